--- /dev/null
+++ b/cmd/golden_test.go
@@ -0,0 +1,353 @@
+// Package cmd_test holds golden lists of what scripts and supervisors see of our programs: exit codes,
+// help texts and the pages that are served. There is nothing here but tests.
+package cmd_test
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// bin is where the programs were built, those for the platform in a folder of their own.
+var bin string
+
+// TestMain builds all programs once, so that what is tested is what is shipped.
+func TestMain(m *testing.M) { os.Exit(built(m)) }
+
+func built(m *testing.M) int {
+	folder, err := os.MkdirTemp("", "golden-")
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		return 1
+	}
+	defer os.RemoveAll(folder)
+	bin = folder
+	for into, from := range map[string]string{"": "./...", "platform": "../platform/cmd/..."} {
+		target := filepath.Join(folder, into) + string(filepath.Separator)
+		if out, err := exec.Command("go", "build", "-o", target, from).CombinedOutput(); err != nil {
+			fmt.Fprintf(os.Stderr, "go build %s: %v\n%s", from, err, out)
+			return 1
+		}
+	}
+	return m.Run()
+}
+
+// end is how a program ended.
+type end struct {
+	code        int
+	out, errors string
+}
+
+// leave runs a program until it ends by itself.
+func leave(t *testing.T, environment []string, program string, in string, args ...string) end {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
+	defer cancel()
+	command := exec.CommandContext(ctx, filepath.Join(bin, program), args...)
+	var out, complaint strings.Builder
+	command.Stdin, command.Stdout, command.Stderr = strings.NewReader(in), &out, &complaint
+	command.Env = append(environment, "PATH="+os.Getenv("PATH"), "TMPDIR="+t.TempDir())
+	// What it starts ends with it, should a case that is refused now be taken some day.
+	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	command.Cancel = func() error { return syscall.Kill(-command.Process.Pid, syscall.SIGKILL) }
+	err := command.Run()
+	var exit *exec.ExitError
+	if err != nil && !errors.As(err, &exit) || ctx.Err() != nil {
+		t.Fatalf("%s %q: %v", program, args, err)
+	}
+	return end{command.ProcessState.ExitCode(), out.String(), complaint.String()}
+}
+
+// nobody is an address at which nobody answers.
+const nobody = "127.0.0.1:1"
+
+// TestExitCodesGolden holds the exit codes of all programs, by case.
+func TestExitCodesGolden(t *testing.T) {
+	folder := t.TempDir()
+	write := func(name, text string) string {
+		file := filepath.Join(folder, name)
+		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return file
+	}
+	unknown, badValue := write("unknown", "colour red\n"), write("bad", "ring many\n")
+	badNode, emptyNode := write("node-bad", "no words\n"), write("node-empty", "")
+	setup, badSetup := write("setup.cue", `segment: t: {salt: "b"}`), write("bad.cue", `route: r: {prefix: 4}`)
+	served := func(status int, pages map[string]string) string {
+		server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
+			page, known := pages[request.Method+" "+request.URL.Path]
+			switch {
+			case status != 0:
+				out.WriteHeader(status)
+			case !known:
+				out.WriteHeader(http.StatusNotFound)
+			}
+			_, _ = out.Write([]byte(page))
+		}))
+		t.Cleanup(server.Close)
+		return strings.TrimPrefix(server.URL, "http://")
+	}
+	const shown = `{"sequence":7,"items":[]}`
+	changes := func(answer string) string {
+		return served(0, map[string]string{"GET /v1/setup": shown, "POST /v1/changes": answer, "GET /v1/changes/x": answer})
+	}
+	accepted := changes(`{"id":"x","ruling":"accepted","sequence":8,"acknowledged":true}`)
+	waiting := changes(`{"id":"x","ruling":"accepted","acknowledged":false,"waiting":["p"]}`)
+	conflict := changes(`{"id":"x","ruling":"conflict","defect":"CONFLICT"}`)
+	broken := changes(`{`)
+	trace := func(text string) string { return served(0, map[string]string{"GET /v1/trace/x": text}) }
+	young, empty := served(http.StatusServiceUnavailable, nil), served(0, nil)
+	pages := served(0, map[string]string{"GET /v1/setup": shown, "GET /v1/verdicts": "[]", "GET /v1/workers": "[]", "GET /v1/releases": "[]", "GET /v1/status": `{"registries":[]}`,
+		"POST /v1/explain": `{"route":"r","verdict":{}}`, "POST /v1/changes": `{"id":"x","ruling":"accepted","acknowledged":true}`, "GET /v1/changes/x": `{"id":"x","ruling":"accepted","acknowledged":true}`})
+
+	type testCase struct {
+		name, program string
+		environment   []string
+		args          []string
+	}
+	var cases []testCase
+	add := func(name, program string, args ...string) {
+		cases = append(cases, testCase{name: name, program: program, args: args})
+	}
+	for _, program := range []string{"proxy", "registry", "store"} {
+		add("help", program, "-help")
+		add("version", program, "-version")
+		add("no settings", program)
+		add("unknown flag", program, "-colour", "red")
+		add("a word beside the flags", program, "word")
+		add("settings file that is not there", program, "-settings", "/nowhere")
+		add("settings file with an unknown name", program, "-settings", unknown)
+		add("settings file with a bad value", program, "-settings", badValue)
+		onPlatform := "platform/" + program
+		add("no node file", onPlatform)
+		for name, file := range map[string]string{"node file that is not there": "/nowhere", "node file with a bad line": badNode, "node file without fields": emptyNode} {
+			cases = append(cases, testCase{name, onPlatform, []string{"MEADOWHINGE_NODE_FILE=" + file}, nil})
+		}
+	}
+	add("address of another machine", "store", "-seat=a", "-links=plain", "-listen=192.0.2.1:1", "-seeds="+nobody, "-probe-listen=192.0.2.1:2", "-data="+folder, "-founding=true")
+	add("probe address of another machine", "registry", "-seat=a", "-links=plain", "-listen=127.0.0.1:0", "-seeds="+nobody, "-store="+nobody, "-operator-listen=127.0.0.1:0", "-probe-listen=192.0.2.1:2")
+	add("probe address of another machine", "proxy", "-name=p", "-area=a", "-links=plain", "-listen=127.0.0.1:0", "-seeds="+nobody, "-callers=c=127.0.0.1:0", "-workers-listen=127.0.0.1:0", "-probe-listen=192.0.2.1:2")
+	for _, verb := range []string{"apply", "outcome", "show", "verdicts", "releases", "workers", "status", "explain", "release", "cancel", "stop", "lift"} {
+		add(verb+" help", "operator", verb, "-help")
+		add(verb+" unknown flag", "operator", verb, "-colour")
+		add(verb+" too many words", "operator", verb, "a", "b", "c")
+	}
+	words := map[string][]string{"apply": {"apply", setup}, "outcome": {"outcome", "x"}, "show": {"show"}, "verdicts": {"verdicts"}, "releases": {"releases"}, "workers": {"workers"},
+		"status": {"status"}, "explain": {"explain", "/x"}, "release": {"release", "-service", "s", "-version", "2", "r"}, "cancel": {"cancel", "r"}, "stop": {"stop", "s", "2"}, "lift": {"lift", "s", "2"}}
+	for verb, given := range words {
+		for name, address := range map[string]string{"answered": pages, "nobody there": nobody, "young": young, "no such page": empty, "one of two dead": nobody + "," + pages, "address that is none": "here"} {
+			add(verb+" "+name, "operator", append([]string{"-registries", address, "-timeout", "3s"}, given...)...)
+		}
+	}
+	add("help", "operator", "-help")
+	add("version", "operator", "-version")
+	add("no command", "operator")
+	add("unknown command", "operator", "dance")
+	add("unknown flag", "operator", "-colour")
+	add("apply file that is not there", "operator", "-registries", accepted, "apply", "/nowhere")
+	add("apply bad setup", "operator", "-registries", accepted, "apply", badSetup)
+	add("release without a version", "operator", "-registries", pages, "release", "-service", "s", "r")
+	for name, address := range map[string]string{"accepted": accepted, "waiting": waiting, "conflict": conflict, "broken answer": broken} {
+		add("apply "+name, "operator", "-registries", address, "apply", setup)
+		add("outcome "+name, "operator", "-registries", address, "outcome", "x")
+	}
+	add("help", "tracer", "-help")
+	add("version", "tracer", "-version")
+	add("no change", "tracer")
+	add("two changes", "tracer", "x", "y")
+	add("unknown flag", "tracer", "-colour", "x")
+	add("address that is none", "tracer", "-registries", "here", "x")
+	add("nobody there", "tracer", "-registries", nobody, "x")
+	add("known", "tracer", "-registries", trace(`{"seat":"a","known":true,"ruling":"accepted","sequence":3}`), "x")
+	add("unknown change", "tracer", "-registries", trace(`{"seat":"a"}`), "x")
+	add("store silent", "tracer", "-registries", trace(`{"seat":"a","storeSilent":true}`), "x")
+	add("broken answer", "tracer", "-registries", trace(`{`), "x")
+	// Where there are no programs no fleet can come up, whatever becomes of these cases.
+	without := "-binaries=" + t.TempDir()
+	add("version", emulator, without, "-version")
+	add("unknown deployment", emulator, without, "-deployment", "no-such-deployment")
+	add("unknown play", emulator, without, "-play", "no-such-play")
+	add("no programs", emulator, without, "-play", "none")
+	for _, word := range []string{"", "hollow", "slopes", "calls", "soak"} {
+		prefix := strings.Fields(word)
+		add(strings.TrimSpace(word+" help"), emulator, append(prefix, without, "-help")...)
+		add(strings.TrimSpace(word+" unknown flag"), emulator, append(prefix, without, "-colour")...)
+	}
+	add("soak unknown deployment", emulator, "soak", without, "-deployment", "no-such-deployment")
+	for _, word := range []string{"hollow", "slopes", "calls"} {
+		add(word+" bad value", emulator, word, without, "-seed", "many")
+		add(word+" a word beside the flags", emulator, word, without, "word")
+	}
+	var lines []string
+	for _, one := range cases {
+		ended := leave(t, one.environment, one.program, "", one.args...)
+		lines = append(lines, fmt.Sprintf("%s: %s: %d", labelOf(one.program), one.name, ended.code))
+	}
+	slices.Sort(lines)
+	compareGolden(t, "exit-codes.txt", strings.Join(lines, "\n")+"\n")
+}
+
+// emulator is the program that brings up fleets. It may be given another name; the golden lists go by
+// emulatorLabel whatever that name is.
+const (
+	emulator      = "rehearsal"
+	emulatorLabel = "emulator"
+)
+
+func labelOf(program string) string {
+	if program == emulator {
+		return emulatorLabel
+	}
+	return program
+}
+
+var (
+	columnGap  = regexp.MustCompile(`\s{2,}`)
+	defaultsTo = regexp.MustCompile(`\(default .*\)`)
+)
+
+// outlineOf keeps of a help text what scripts rely on: verbs, usage, flags, their forms and defaults. The
+// words that explain them are not held.
+func outlineOf(help string) string {
+	var outline strings.Builder
+	section := ""
+	for line := range strings.Lines(help) {
+		line = strings.TrimRight(line, "\n")
+		switch {
+		case line == strings.ToUpper(line) && strings.TrimSpace(line) != "":
+			section = line
+		case strings.HasPrefix(line, "\t") || strings.HasPrefix(line, "    \t"):
+			if preset := defaultsTo.FindString(line); preset != "" {
+				fmt.Fprintln(&outline, "     ", preset)
+			}
+		case strings.HasPrefix(line, "  -"):
+			fmt.Fprintln(&outline, " ", columnGap.Split(strings.TrimSpace(line), 2)[0])
+		case section == "SUBCOMMANDS" && strings.HasPrefix(line, "  "):
+			fmt.Fprintln(&outline, "  verb", strings.Fields(line)[0])
+		case section == "USAGE" && strings.HasPrefix(line, "  "):
+			fmt.Fprintln(&outline, line)
+		}
+	}
+	return outline.String()
+}
+
+// TestHelpGolden holds the command lines of the programs whose settings do not come from the schema: verbs,
+// flags and defaults that scripts rely on.
+func TestHelpGolden(t *testing.T) {
+	var listed strings.Builder
+	for _, words := range [][]string{{"operator"}, {"operator", "apply"}, {"operator", "outcome"}, {"operator", "show"}, {"operator", "verdicts"}, {"operator", "releases"},
+		{"operator", "workers"}, {"operator", "status"}, {"operator", "explain"}, {"operator", "release"}, {"operator", "cancel"}, {"operator", "stop"}, {"operator", "lift"},
+		{"tracer"}, {emulator}, {emulator, "soak"}} {
+		ended := leave(t, nil, words[0], "", append(words[1:], "-help")...)
+		fmt.Fprintf(&listed, "== %s -help\n%s", strings.Join(append([]string{labelOf(words[0])}, words[1:]...), " "), outlineOf(ended.out+ended.errors))
+	}
+	compareGolden(t, "help.txt", listed.String())
+}
+
+// TestPagesServedGolden starts each of the three programs by itself and holds which paths it serves.
+func TestPagesServedGolden(t *testing.T) {
+	address := func() string {
+		held, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer held.Close()
+		return held.Addr().String()
+	}
+	var listed strings.Builder
+	for _, program := range []string{"proxy", "registry", "store"} {
+		probe, other := address(), address()
+		args := map[string][]string{
+			"proxy":    {"-name=p", "-area=a", "-callers=client=" + address(), "-workers-listen=" + other},
+			"registry": {"-seat=a", "-store=" + nobody, "-operator-listen=" + other, "-lease=500ms"},
+			"store":    {"-seat=a", "-data=" + t.TempDir(), "-founding=true"},
+		}[program]
+		command := exec.Command(filepath.Join(bin, program), append(args, "-links=plain", "-listen="+address(), "-seeds="+nobody, "-probe-listen="+probe)...)
+		if err := command.Start(); err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { _, _ = command.Process.Kill(), command.Wait() })
+		await(t, probe)
+		for _, path := range []string{"/live", "/process", "/journal", "/status", "/certificate", "/traffic", "/events", "/nowhere"} {
+			fmt.Fprintf(&listed, "%s probe GET %s: %s\n", program, path, isServed(t, http.MethodGet, probe, path))
+		}
+		if program != "store" {
+			await(t, other)
+			for _, call := range []string{"POST /v1/worker", "POST /v1/changes", "GET /v1/changes", "GET /v1/changes/x", "GET /v1/trace/x", "GET /v1/setup", "GET /v1/verdicts", "GET /v1/workers",
+				"GET /v1/releases", "GET /v1/status", "POST /v1/explain", "GET /v1/explain", "GET /nowhere"} {
+				method, path, _ := strings.Cut(call, " ")
+				fmt.Fprintf(&listed, "%s %s: %s\n", program, call, isServed(t, method, other, path))
+			}
+		}
+	}
+	compareGolden(t, "pages.txt", listed.String())
+}
+
+// await waits until an address takes connections.
+func await(t *testing.T, address string) {
+	t.Helper()
+	for range 200 {
+		if connection, err := net.Dial("tcp", address); err == nil {
+			connection.Close()
+			return
+		}
+		time.Sleep(20 * time.Millisecond)
+	}
+	t.Fatalf("nobody listens at %s", address)
+}
+
+// isServed tells whether there is a page, whatever it says.
+func isServed(t *testing.T, method, address, path string) string {
+	t.Helper()
+	request, err := http.NewRequest(method, "http://"+address+path, strings.NewReader("{"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	response, err := (&http.Client{Timeout: 5 * time.Second}).Do(request)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer response.Body.Close()
+	if response.StatusCode == http.StatusNotFound {
+		return "no page"
+	}
+	return "served"
+}
+
+// compareGolden compares text with a golden file, and tells the lines that only one of them has.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	file := filepath.Join("testdata", "golden", name)
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(want) == got {
+		return
+	}
+	had, wanted := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for _, line := range had {
+		if !slices.Contains(wanted, line) {
+			t.Errorf("%s has not: %s", file, line)
+		}
+	}
+	for _, line := range wanted {
+		if !slices.Contains(had, line) {
+			t.Errorf("%s has, and it is gone: %s", file, line)
+		}
+	}
+	t.Errorf("%s differs", file)
+}
--- /dev/null
+++ b/internal/defect/golden_test.go
@@ -0,0 +1,28 @@
+package defect_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"meadowhinge/internal/defect"
+)
+
+// TestKindsGolden compares every kind of failure and its HTTP status with the golden list. Callers
+// and operators decide by these words, so they outlive the names of the constants.
+func TestKindsGolden(t *testing.T) {
+	var listed strings.Builder
+	for _, kind := range defect.Kinds() {
+		fmt.Fprintf(&listed, "%s %d\n", kind, defect.Status(kind))
+	}
+	fmt.Fprintf(&listed, "(any other) %d\n", defect.Status("NO_SUCH_KIND"))
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", "kinds.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if listed.String() != string(want) {
+		t.Errorf("got\n%s\nwant\n%s", listed.String(), want)
+	}
+}
--- /dev/null
+++ b/internal/options/golden_test.go
@@ -0,0 +1,121 @@
+package options_test
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"meadowhinge/internal/options"
+	"meadowhinge/schema"
+)
+
+// programs are all programs whose settings stand in the schema. The golden lists go by these names, which
+// stay when a program is given another.
+var programs = map[string]proto.Message{
+	"proxy":           &schema.ProxyOptions{},
+	"registry":        &schema.RegistryOptions{},
+	"store":           &schema.StoreOptions{},
+	"emulator hollow": &schema.HollowOptions{},
+	"emulator slopes": &schema.SlopesOptions{},
+	"emulator calls":  &schema.CallsOptions{},
+}
+
+// TestSettingsGolden compares the settings of each program with the golden list. Operators have them
+// in files and on command lines, so no renaming of ours may touch a name, default, bound or form.
+func TestSettingsGolden(t *testing.T) {
+	for program, target := range programs {
+		t.Run(program, func(t *testing.T) {
+			var listed strings.Builder
+			fields := target.ProtoReflect().Descriptor().Fields()
+			for i := range fields.Len() {
+				listed.WriteString(settingLine(t, fields.Get(i)))
+			}
+			var help bytes.Buffer
+			if err := options.Parse(program, []string{"-help"}, target, &help); !errors.Is(err, flag.ErrHelp) {
+				t.Fatalf("-help gave %v", err)
+			}
+			compareGolden(t, strings.ReplaceAll(program, " ", "-")+".txt", listed.String()+"\n"+flagsIn(help.String()))
+		})
+	}
+}
+
+// TestEveryOptionsMessageIsListed fails for a program with settings that has no golden list.
+func TestEveryOptionsMessageIsListed(t *testing.T) {
+	listed := map[protoreflect.FullName]bool{}
+	for _, target := range programs {
+		listed[target.ProtoReflect().Descriptor().FullName()] = true
+	}
+	for _, file := range []protoreflect.FileDescriptor{schema.File_mesh_proto, schema.File_rehearsal_proto} {
+		for i := range file.Messages().Len() {
+			message := file.Messages().Get(i)
+			if strings.HasSuffix(string(message.Name()), "Options") && !listed[message.FullName()] {
+				t.Errorf("%s has no golden list", message.FullName())
+			}
+		}
+	}
+}
+
+// flagsIn keeps the lines of a help text that name a flag. The words that explain it are not held.
+func flagsIn(help string) string {
+	var flags strings.Builder
+	for line := range strings.Lines(help) {
+		if strings.HasPrefix(line, "  -") {
+			flags.WriteString(line)
+		}
+	}
+	return flags.String()
+}
+
+// settingLine tells everything that the schema says of one setting but the words that explain it. The
+// rule's own fields are listed by reflection, so that a field added to it shows too.
+func settingLine(t *testing.T, field protoreflect.FieldDescriptor) string {
+	t.Helper()
+	rule, ok := proto.GetExtension(field.Options(), schema.E_Rule).(proto.Message)
+	if !ok {
+		t.Fatalf("%s has no rule", field.FullName())
+	}
+	line := fmt.Sprintf("%s: kind=%s", strings.ReplaceAll(string(field.Name()), "_", "-"), field.Kind())
+	reflected := rule.ProtoReflect()
+	told := reflected.Descriptor().Fields()
+	for i := range told.Len() {
+		if told.Get(i).Name() == "help" {
+			continue
+		}
+		line += fmt.Sprintf(" %s=%q", told.Get(i).Name(), reflected.Get(told.Get(i)).String())
+	}
+	return line + "\n"
+}
+
+// compareGolden compares text with a golden file and names the lines that differ.
+func compareGolden(t *testing.T, name, got string) {
+	t.Helper()
+	file := filepath.Join("testdata", "golden", name)
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if string(want) == got {
+		return
+	}
+	wanted, had := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(wanted), len(had)) {
+		var left, right string
+		if i < len(wanted) {
+			left = wanted[i]
+		}
+		if i < len(had) {
+			right = had[i]
+		}
+		if left != right {
+			t.Fatalf("%s line %d:\n got %q\nwant %q", file, i+1, right, left)
+		}
+	}
+}
--- /dev/null
+++ b/internal/registry/golden_test.go
@@ -0,0 +1,29 @@
+package registry
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"meadowhinge/schema"
+)
+
+// TestRulingsGolden compares how each ruling is told to operators with the golden list: its word, its
+// HTTP status and its kind of error. A ruling that is added to the schema shows here at once.
+func TestRulingsGolden(t *testing.T) {
+	var listed strings.Builder
+	values := schema.Ruling(0).Descriptor().Values()
+	for i := range values.Len() {
+		status, answer := answerOf("id", &schema.Outcome{Ruling: schema.Ruling(values.Get(i).Number())})
+		fmt.Fprintf(&listed, "%d: word=%q status=%d defect=%q\n", values.Get(i).Number(), answer.Ruling, status, answer.Defect)
+	}
+	want, err := os.ReadFile(filepath.Join("testdata", "golden", "rulings.txt"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if listed.String() != string(want) {
+		t.Errorf("got\n%s\nwant\n%s", listed.String(), want)
+	}
+}
--- /dev/null
+++ b/internal/store/golden_model_test.go
@@ -0,0 +1,205 @@
+package store
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/hex"
+	"fmt"
+	"hash"
+	"maps"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+)
+
+// modelGoldenFile holds one line for each run of the model: its name, its digest, and totals that make
+// a difference easier to read.
+const modelGoldenFile = "testdata/golden/model.txt"
+
+// The codes of what a replica does, whatever these are called in Go.
+const (
+	modelCodeSend = iota + 1
+	modelCodePersist
+	modelCodeReply
+	modelCodeReadReady
+	modelCodeEnd
+)
+
+// modelTrace takes in all that the replicas of a run ask for, in its order, as numbers and
+// length-prefixed bytes. Names of Go types, functions and fields never go in, so that renaming them
+// changes no digest.
+type modelTrace struct {
+	sum                             hash.Hash
+	sends, persists, replies, reads int
+}
+
+func (d *modelTrace) number(values ...uint64) {
+	for _, value := range values {
+		d.sum.Write(binary.LittleEndian.AppendUint64(nil, value))
+	}
+}
+
+func (d *modelTrace) text(values ...string) {
+	for _, value := range values {
+		d.number(uint64(len(value)))
+		d.sum.Write([]byte(value))
+	}
+}
+
+// message takes in a message by its field numbers, not by its names.
+func (d *modelTrace) message(t *testing.T, message proto.Message) {
+	t.Helper()
+	bytes, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+	if err != nil {
+		t.Fatal(err)
+	}
+	d.text(string(bytes))
+}
+
+// action takes in what a replica asks for.
+func (d *modelTrace) action(t *testing.T, m *model, replica *modelReplica, action Action) {
+	t.Helper()
+	d.number(uint64(m.now), uint64(replica.life))
+	d.text(replica.name)
+	switch one := action.(type) {
+	case Send:
+		d.sends++
+		d.number(modelCodeSend)
+		d.text(one.Message.From, one.Message.To)
+		d.message(t, one.Message)
+	case Persist:
+		d.persists++
+		whole := uint64(0)
+		if one.Whole {
+			whole = 1
+		}
+		d.number(modelCodePersist, one.Mark, whole)
+		d.message(t, one.Record)
+	case Reply:
+		d.replies++
+		d.number(modelCodeReply)
+		d.message(t, one.Result)
+	case ReadIndexReady:
+		d.reads++
+		d.number(modelCodeReadReady)
+		d.message(t, one.Result)
+	default:
+		t.Fatal("an action of an unknown kind")
+	}
+}
+
+// end takes in where every machine stands when the run is over.
+func (d *modelTrace) end(t *testing.T, m *model) {
+	t.Helper()
+	d.number(modelCodeEnd, uint64(m.now), uint64(m.steps), uint64(m.serial))
+	for _, epoch := range slices.Sorted(maps.Keys(m.leaders)) {
+		d.number(epoch)
+		d.text(m.leaders[epoch])
+	}
+	for _, replica := range m.members {
+		committed, state := replica.Committed()
+		d.text(replica.name)
+		d.number(committed, replica.incarnation, uint64(replica.life))
+		for _, item := range state.Items() {
+			d.message(t, item)
+		}
+		for _, record := range replica.disk {
+			d.message(t, record)
+		}
+	}
+	d.text(m.said...)
+}
+
+// modelGoldenRuns are the runs held fast: faults that take no disk, drawn from a seed, and beside
+// them losses of disks and machines, with the repairs of membership that these call for.
+var modelGoldenRuns = []struct {
+	name   string
+	size   modelSize
+	faults func() map[int]modelStrike
+}{
+	{"3 members, no fault", three, func() map[int]modelStrike { return nil }},
+	{"5 members, no fault", five, func() map[int]modelStrike { return nil }},
+	{"3 members, drawn 7", three, func() map[int]modelStrike { return withoutLoss(three, 7) }},
+	{"3 members, drawn 30", three, func() map[int]modelStrike { return withoutLoss(three, 30) }},
+	{"3 members, drawn 46", three, func() map[int]modelStrike { return withoutLoss(three, 46) }},
+	{"3 members, drawn 59", three, func() map[int]modelStrike { return withoutLoss(three, 59) }},
+	{"5 members, drawn 22", five, func() map[int]modelStrike { return withoutLoss(five, 22) }},
+	{"5 members, drawn 32", five, func() map[int]modelStrike { return withoutLoss(five, 32) }},
+	{"5 members, drawn 44", five, func() map[int]modelStrike { return withoutLoss(five, 44) }},
+	{"5 members, drawn 48", five, func() map[int]modelStrike { return withoutLoss(five, 48) }},
+	{"3 members, loss after repair", three, func() map[int]modelStrike {
+		return map[int]modelStrike{20: lossAfterRepair(secondLosses[0], 0, secondLosses[1], 1)}
+	}},
+	{"5 members, loss after repair", five, func() map[int]modelStrike {
+		return map[int]modelStrike{20: lossAfterRepair(secondLosses[1], 1, secondLosses[0], 3)}
+	}},
+	{"3 members, copies lost beside a learner", three, func() map[int]modelStrike {
+		return map[int]modelStrike{11: withLearner(copiesLost(0))}
+	}},
+	{"5 members, all lose power in a repair", five, func() map[int]modelStrike {
+		return map[int]modelStrike{repairFrom: strikeSeat(modelFault{strike: wipeSeat}, 2), repairFrom + 30: powerOfAll}
+	}},
+}
+
+// modelGoldenRun plays a run and gives its line.
+func modelGoldenRun(t *testing.T, size modelSize, faults map[int]modelStrike) string {
+	t.Helper()
+	trace := &modelTrace{sum: sha256.New()}
+	var played *model
+	modelRun(size, func(m *model) {
+		played = m
+		m.watch = func(replica *modelReplica, action Action) { trace.action(t, m, replica, action) }
+	}, faults)
+	trace.end(t, played)
+	committed := uint64(0)
+	for _, replica := range played.members {
+		reached, _ := replica.Committed()
+		committed = max(committed, reached)
+	}
+	return fmt.Sprintf("%s: %d messages, %d records, %d replies, %d reads, %d elections, committed %d, %d steps, %v, %d breaches",
+		hex.EncodeToString(trace.sum.Sum(nil)), trace.sends, trace.persists, trace.replies, trace.reads, len(played.leaders), committed, played.steps, played.now.Round(time.Millisecond), len(played.said))
+}
+
+// A change that should alter no behaviour alters no run of the model: the replicas send, write and
+// answer the same at the same times as when the file was written. A refactoring leaves the file as it
+// is.
+func TestGoldenModel(t *testing.T) {
+	golden := modelGoldenLines(t)
+	if len(golden) != len(modelGoldenRuns) {
+		t.Errorf("%s has %d lines for %d runs", modelGoldenFile, len(golden), len(modelGoldenRuns))
+	}
+	for _, one := range modelGoldenRuns {
+		t.Run(one.name, func(t *testing.T) {
+			t.Parallel()
+			want, known := golden[one.name]
+			if !known {
+				t.Fatalf("%s has no line for it", modelGoldenFile)
+			}
+			if got := modelGoldenRun(t, one.size, one.faults()); got != want {
+				t.Errorf("its run differs:\n got %s\nwant %s", got, want)
+			}
+		})
+	}
+}
+
+// modelGoldenLines reads the file, by the names of the runs.
+func modelGoldenLines(t *testing.T) map[string]string {
+	t.Helper()
+	content, err := os.ReadFile(modelGoldenFile)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := map[string]string{}
+	for line := range strings.Lines(string(content)) {
+		name, rest, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
+		if _, twice := lines[name]; twice {
+			t.Fatalf("%s has %q twice", modelGoldenFile, name)
+		}
+		lines[name] = rest
+	}
+	return lines
+}
--- /dev/null
+++ b/internal/store/golden_test.go
@@ -0,0 +1,612 @@
+package store
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"hash/crc32"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/reflect/protoreflect"
+
+	"meadowhinge/internal/setup"
+	"meadowhinge/schema"
+)
+
+// The golden folders are logs as members wrote them before names in the code were changed. A
+// version that is installed over another must go on from such a folder, and the other way round.
+// They are never written anew. Under git their files end in .golden, as *.log is ignored there.
+//
+//   - member-a, member-b, member-d: a core of founders a, b and c, where d came in c's place. It has
+//     a release on its way, and of a the whole state, entries upon it, votes and a later epoch.
+//   - born: a lone founder that has said nothing yet.
+//   - torn: that founder later, with two records in one frame and a last frame that is torn.
+const (
+	goldenFolder = "testdata/golden"
+	goldenSuffix = ".golden"
+)
+
+// goldenCore runs the real members of a core on one clock, each with a log of its own.
+type goldenCore struct {
+	t       *testing.T
+	root    string
+	now     time.Duration
+	names   []string // in which they tick
+	members map[string]*Replica
+	disks   map[string]*Disk
+	down    map[string]bool
+	hold    bool // records wait, to be written as one group
+	held    []Persist
+	replies map[string]*schema.ProposalReply
+}
+
+func newGoldenCore(t *testing.T, root string) *goldenCore {
+	t.Helper()
+	core := &goldenCore{t: t, root: root, members: map[string]*Replica{}, disks: map[string]*Disk{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}}
+	t.Cleanup(core.close)
+	return core
+}
+
+func goldenOptions(name string) Options {
+	return Options{Name: name, Address: "10.0.0." + name, Seeds: []string{"a", "b", "c"}, Draw: func() uint64 { return 99 }, Losses: 0, Silence: 1500 * time.Millisecond,
+		Stall: 2 * time.Second, EntriesMost: 8, OutcomesMost: 64, BufferMost: 16, DroppedMost: 12}
+}
+
+// start starts a member upon its folder; an empty one gets a birth with the incarnation given.
+func (c *goldenCore) start(name string, incarnation uint64, founders ...string) {
+	c.t.Helper()
+	options := goldenOptions(name)
+	options.Founders = founders
+	disk, records, err := Open(filepath.Join(c.root, "member-"+name))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	if len(records) == 0 {
+		records = []*schema.Record{Birth(options, incarnation)}
+		if err := disk.Write(records, true); err != nil {
+			c.t.Fatal(err)
+		}
+	}
+	options.Founders = nil
+	c.members[name], c.disks[name] = NewReplica(options, 0, records), disk
+	if !slices.Contains(c.names, name) {
+		c.names = append(c.names, name)
+	}
+}
+
+func (c *goldenCore) close() {
+	for _, name := range slices.Sorted(maps.Keys(c.disks)) {
+		if err := c.disks[name].Close(); err != nil {
+			c.t.Error(err)
+		}
+	}
+	c.disks = map[string]*Disk{}
+}
+
+func (c *goldenCore) act(from string, actions []Action) {
+	c.t.Helper()
+	for _, action := range actions {
+		switch one := action.(type) {
+		case Send:
+			if to := one.Message.To; c.members[to] != nil && !c.down[to] && !c.down[from] {
+				c.act(to, c.members[to].Deliver(c.now, proto.Clone(one.Message).(*schema.ReplicaMessage)))
+			}
+		case Persist:
+			if c.hold {
+				c.held = append(c.held, one)
+				continue
+			}
+			c.write(from, one)
+		case Reply:
+			c.replies[one.Result.Ticket] = one.Result
+		}
+	}
+}
+
+// write writes what was asked for as one group, and tells that it is synced.
+func (c *goldenCore) write(at string, asked ...Persist) {
+	c.t.Helper()
+	var records []*schema.Record
+	for _, one := range asked {
+		records = append(records, one.Record)
+	}
+	last := asked[len(asked)-1]
+	if err := c.disks[at].Write(records, last.Whole); err != nil {
+		c.t.Fatal(err)
+	}
+	c.act(at, c.members[at].Synced(c.now, last.Mark))
+}
+
+func (c *goldenCore) pass(span time.Duration) {
+	c.t.Helper()
+	for end := c.now + span; c.now < end; c.now += 75 * time.Millisecond {
+		for _, name := range c.names {
+			if !c.down[name] {
+				c.act(name, c.members[name].Tick(c.now))
+			}
+		}
+	}
+}
+
+func (c *goldenCore) propose(at string, change *schema.Change) {
+	c.t.Helper()
+	c.act(at, c.members[at].Propose(c.now, &schema.Proposal{Ticket: change.Id, Change: change}))
+}
+
+// rules proposes a change and wants it to be ruled so.
+func (c *goldenCore) rules(at string, want schema.Ruling, change *schema.Change) {
+	c.t.Helper()
+	c.propose(at, change)
+	if got := c.replies[change.Id].GetOutcome(); got.GetRuling() != want {
+		c.t.Fatalf("%s: %v, want %v", change.Id, c.replies[change.Id], want)
+	}
+}
+
+func goldenItem(kind, name string, given uint64, body string) *schema.Item {
+	return &schema.Item{Kind: kind, Name: name, Given: given, Body: []byte(body)}
+}
+
+func goldenFlag(weight int) *schema.Item {
+	return goldenItem("flag", "release.shop", 0, fmt.Sprintf(`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,`+
+		`"fallthrough":{"rollout":{"variations":[{"variation":1,"weight":%d},{"variation":0,"weight":%d}]}}}`, weight, 100000-weight))
+}
+
+func goldenProgress(duty int, state string, weight int, elapsed time.Duration) *schema.Item {
+	return goldenItem("progress", "shop", 0, fmt.Sprintf(`{"duty":%d,"holder":"a","set":"shop 3","state":%q,"reason":"the version is known","share":%d,"weight":%d,"elapsed":%d,"from":"1","since":7}`,
+		duty, state, weight/1000, weight, elapsed))
+}
+
+// expecting is a change of items that were last written in the sequences given, 0 for never.
+func expecting(id string, items []*schema.Item, sequences ...uint64) *schema.Change {
+	change := &schema.Change{Id: id, Items: items}
+	for i, sequence := range sequences {
+		change.Expected = append(change.Expected, &schema.Expected{Kind: items[i].Kind, Name: items[i].Name, Sequence: sequence})
+	}
+	return change
+}
+
+// sequenceOf is in which sequence an item was last written.
+func (c *goldenCore) sequenceOf(at, kind, name string) uint64 {
+	_, state := c.members[at].Committed()
+	return state[setup.Key(kind, name)].GetVersion().GetSequence()
+}
+
+// writeGoldenCore writes the folders of the members by the real steps.
+func writeGoldenCore(t *testing.T, root string) {
+	t.Helper()
+	const accepted = schema.Ruling_RULING_ACCEPTED
+	c := newGoldenCore(t, root)
+	for i, name := range []string{"a", "b", "c"} {
+		c.start(name, uint64(11+i), "a", "b", "c")
+	}
+	c.pass(5 * time.Second)
+	c.rules("a", accepted, expecting("shop", []*schema.Item{
+		goldenItem("service", "shop", 0, `{"versions":["1","2"],"fallback":"1"}`), goldenFlag(0), goldenItem("route", "buy", 0, `{"service":"shop","prefix":"/buy"}`)}))
+	c.rules("b", accepted, &schema.Change{Id: "given", ByGiven: true, Items: []*schema.Item{
+		{Kind: "segment", Name: "testers", Given: 5, Body: []byte(`{"salt":"t","included":["ann"]}`), Said: []byte(`{"spec":{"salt":"t"}}`)},
+		goldenItem("segment", "old", 6, `{"salt":"o"}`)}})
+	c.rules("a", accepted, expecting("plain", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"p"}`)}))
+	c.rules("a", accepted, &schema.Change{Id: "dropped-given", ByGiven: true, Items: []*schema.Item{{Kind: "segment", Name: "old", Given: 8, Deleted: true}}})
+	c.rules("a", schema.Ruling_RULING_INVALID, expecting("wrong", []*schema.Item{goldenItem("segment", "wrong", 0, `{"colour":"red"}`)}))
+	c.rules("b", schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"q"}`)}))
+	// c is gone for good; d takes its place.
+	c.down["c"] = true
+	c.start("d", 14)
+	c.pass(6 * time.Second)
+	c.rules("d", accepted, expecting("release", []*schema.Item{goldenItem("release", "shop", 0, `{"service":"shop","version":"2","target":50,"over":"10m","pace":"go"}`)}))
+	c.rules("a", accepted, expecting("trial", []*schema.Item{goldenFlag(10000), goldenProgress(2, "trial", 10000, 0)}, c.sequenceOf("a", "flag", "release.shop"), 0))
+	c.rules("a", accepted, expecting("dropped-plain", []*schema.Item{{Kind: "segment", Name: "plain", Deleted: true}}, c.sequenceOf("a", "segment", "plain")))
+	c.rules("a", schema.Ruling_RULING_STALE, expecting("stale", []*schema.Item{goldenProgress(1, "ramp", 20000, 0)}, c.sequenceOf("a", "progress", "shop")))
+	// Leadership goes to b and comes back, so that votes and epochs come after the whole state.
+	c.down["a"] = true
+	c.pass(4 * time.Second)
+	c.down["a"] = false
+	c.pass(5 * time.Second)
+	c.rules("b", accepted, expecting("ramp", []*schema.Item{goldenFlag(25000), goldenProgress(3, "ramp", 25000, 150*time.Second)},
+		c.sequenceOf("b", "flag", "release.shop"), c.sequenceOf("b", "progress", "shop")))
+	c.pass(time.Second)
+	c.close()
+	if err := os.RemoveAll(filepath.Join(root, "member-c")); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// writeGoldenLone writes the folder of a lone founder, as it was born and later with a torn end.
+func writeGoldenLone(t *testing.T, root string) {
+	t.Helper()
+	c := newGoldenCore(t, root)
+	c.start("l", 21, "l")
+	move := func(name string) {
+		t.Helper()
+		for file, data := range readFolder(t, filepath.Join(root, "member-l"), "") {
+			if err := os.MkdirAll(filepath.Join(root, name), 0o750); err != nil {
+				t.Fatal(err)
+			}
+			if name == "torn" {
+				data = data[:len(data)-9]
+			}
+			if err := os.WriteFile(filepath.Join(root, name, file), data, 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	move("born")
+	c.pass(5 * time.Second)
+	c.hold = true
+	for _, id := range []string{"one", "two"} {
+		c.propose("l", expecting(id, []*schema.Item{goldenItem("segment", id, 0, `{"salt":""}`)}))
+	}
+	c.hold = false
+	c.write("l", c.held...)
+	c.rules("l", schema.Ruling_RULING_ACCEPTED, expecting("torn", []*schema.Item{goldenItem("segment", "torn", 0, `{"salt":""}`)}))
+	c.close()
+	move("torn")
+	if err := os.RemoveAll(filepath.Join(root, "member-l")); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// readFolder reads a folder's files, without a suffix of their names.
+func readFolder(t *testing.T, folder, suffix string) map[string][]byte {
+	t.Helper()
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string][]byte{}
+	for _, entry := range entries {
+		data, err := os.ReadFile(filepath.Join(folder, entry.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[strings.TrimSuffix(entry.Name(), suffix)] = data
+	}
+	return files
+}
+
+// copyGolden copies a golden folder to where a log may be opened, for that may change it.
+func copyGolden(t *testing.T, name, to string) {
+	t.Helper()
+	if err := os.MkdirAll(to, 0o750); err != nil {
+		t.Fatal(err)
+	}
+	for file, data := range readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix) {
+		if err := os.WriteFile(filepath.Join(to, file), data, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func openGolden(t *testing.T, name string) (*Disk, []*schema.Record, string) {
+	t.Helper()
+	folder := filepath.Join(t.TempDir(), name)
+	copyGolden(t, name, folder)
+	disk, records, err := Open(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { disk.Close() })
+	return disk, records, folder
+}
+
+var goldenFolders = []string{"member-a", "member-b", "member-d", "born", "torn"}
+
+// dump writes a message by the numbers of its fields, so that no renaming shows in it.
+func dump(to *strings.Builder, indent string, message protoreflect.Message) {
+	fields := message.Descriptor().Fields()
+	var numbers []int
+	for i := range fields.Len() {
+		if message.Has(fields.Get(i)) {
+			numbers = append(numbers, int(fields.Get(i).Number()))
+		}
+	}
+	slices.Sort(numbers)
+	for _, number := range numbers {
+		field := fields.ByNumber(protoreflect.FieldNumber(number))
+		values := []protoreflect.Value{message.Get(field)}
+		if field.IsList() {
+			list := values[0].List()
+			values = nil
+			for i := range list.Len() {
+				values = append(values, list.Get(i))
+			}
+		}
+		for _, value := range values {
+			switch held := value.Interface().(type) {
+			case protoreflect.Message:
+				fmt.Fprintf(to, "%s%d:\n", indent, number)
+				dump(to, indent+"  ", held)
+			case string:
+				fmt.Fprintf(to, "%s%d: %q\n", indent, number, held)
+			case []byte:
+				fmt.Fprintf(to, "%s%d: %q\n", indent, number, held)
+			default:
+				fmt.Fprintf(to, "%s%d: %v\n", indent, number, held)
+			}
+		}
+	}
+	if unknown := message.GetUnknown(); len(unknown) > 0 {
+		fmt.Fprintf(to, "%sunknown: %x\n", indent, unknown)
+	}
+}
+
+func dumpRecords(records []*schema.Record) string {
+	made := &strings.Builder{}
+	for _, record := range records {
+		fmt.Fprintln(made, "record")
+		dump(made, "  ", record.ProtoReflect())
+	}
+	return made.String()
+}
+
+// Every record of the golden logs is read, and says what it said when it was written.
+func TestGoldenRecords(t *testing.T) {
+	for _, name := range goldenFolders {
+		t.Run(name, func(t *testing.T) {
+			_, records, _ := openGolden(t, name)
+			want, err := os.ReadFile(filepath.Join(goldenFolder, name+".txt"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := dumpRecords(records); got != string(want) {
+				t.Errorf("records are\n%s\nwant\n%s", got, want)
+			}
+		})
+	}
+}
+
+// goldenFrames takes a log apart by its bytes alone, without the code that is tested.
+func goldenFrames(t *testing.T, data []byte) (bodies [][]byte, rest []byte) {
+	t.Helper()
+	for len(data) >= 20 {
+		if string(data[:4]) != "mhw1" {
+			t.Fatalf("a frame begins with %q", data[:4])
+		}
+		length := int(binary.LittleEndian.Uint32(data[4:]))
+		if len(data)-20 < length {
+			break
+		}
+		if place := binary.LittleEndian.Uint64(data[8:]); place != uint64(len(bodies)+1) {
+			t.Fatalf("frame %d is of place %d", len(bodies)+1, place)
+		}
+		sum := crc32.Update(crc32.ChecksumIEEE(data[4:16]), crc32.IEEETable, data[20:20+length])
+		if sum != binary.LittleEndian.Uint32(data[16:]) {
+			t.Fatalf("frame %d has another checksum", len(bodies)+1)
+		}
+		bodies, data = append(bodies, data[20:20+length]), data[20+length:]
+	}
+	return bodies, data
+}
+
+// The same records are written as the same bytes, so that the version before reads what this one
+// writes.
+func TestGoldenFrames(t *testing.T) {
+	for _, name := range goldenFolders {
+		t.Run(name, func(t *testing.T) {
+			for file, data := range readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix) {
+				bodies, rest := goldenFrames(t, data)
+				if torn := name == "torn"; torn != (len(rest) > 0) || len(bodies) == 0 {
+					t.Fatalf("%s has %d frames and %d bytes more", file, len(bodies), len(rest))
+				}
+				folder := t.TempDir()
+				disk, _, err := Open(folder)
+				if err != nil {
+					t.Fatal(err)
+				}
+				for _, body := range bodies {
+					group := &schema.Group{}
+					if err := proto.Unmarshal(body, group); err != nil {
+						t.Fatal(err)
+					}
+					if err := disk.Write(group.Records, false); err != nil {
+						t.Fatal(err)
+					}
+				}
+				if err := disk.Close(); err != nil {
+					t.Fatal(err)
+				}
+				written := readFolder(t, folder, "")
+				if got := written["setup-000000000001.log"]; len(written) != 1 || !bytes.Equal(got, data[:len(data)-len(rest)]) {
+					t.Errorf("%s is written again as %d bytes in %v, not as the %d it has", file, len(got), slices.Collect(maps.Keys(written)), len(data)-len(rest))
+				}
+			}
+		})
+	}
+}
+
+// The same steps write the same files. Whoever changes on purpose what a member does may replace the
+// steps here; the golden folders stay, for there are members that have such folders.
+func TestGoldenSteps(t *testing.T) {
+	root := t.TempDir()
+	writeGoldenCore(t, root)
+	writeGoldenLone(t, root)
+	for _, name := range goldenFolders {
+		t.Run(name, func(t *testing.T) {
+			got, want := readFolder(t, filepath.Join(root, name), ""), readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix)
+			if !maps.EqualFunc(got, want, bytes.Equal) {
+				t.Errorf("%v are written, and differ from the golden %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
+			}
+		})
+	}
+}
+
+// What the records of a member come to: its term and vote, who the members are, every item with its
+// versions, the tombstones, and how far the release is.
+func TestGoldenReplica(t *testing.T) {
+	const items = "flag/release.shop 9.13 given 0 by ramp; progress/shop 9.13 given 0 by ramp; release/shop 3.9 given 0 by release; route/buy 3.1 given 0 by shop; " +
+		"segment/old 3.4 given 8 by dropped-given deleted; segment/plain 3.11 given 0 by dropped-plain deleted; segment/testers 3.2 given 5 by given; service/shop 3.1 given 0 by shop"
+	for _, want := range []struct {
+		name                 string
+		incarnation          uint64
+		founder              bool
+		epoch, voted, length uint64
+		votedFor             string
+		members, items       string
+	}{
+		{"member-a", 11, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
+		{"member-b", 12, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
+		// It took committed state of a later epoch, which it had no vote in.
+		{"member-d", 14, false, 9, 9, 13, "", "a/11 b/12 d/14 of 3 since 3.8", items},
+		{"born", 21, true, 0, 0, 0, "", "l/0 of 1 since 0.0", ""},
+		{"torn", 21, true, 1, 1, 2, "l", "l/21 of 1 since 1.0", "segment/one 1.1 given 0 by one; segment/two 1.2 given 0 by two"},
+	} {
+		t.Run(want.name, func(t *testing.T) {
+			_, records, _ := openGolden(t, want.name)
+			s := NewReplica(goldenOptions(strings.TrimPrefix(want.name, "member-")), 0, records)
+			if s.incarnation != want.incarnation || s.founder != want.founder {
+				t.Errorf("incarnation %d, founder %t", s.incarnation, s.founder)
+			}
+			if s.epoch != want.epoch || s.votedEpoch != want.voted || s.votedFor != want.votedFor || s.seq != want.length {
+				t.Errorf("epoch %d, voted for %q in %d, sequence %d", s.epoch, s.votedFor, s.votedEpoch, s.seq)
+			}
+			var members, held []string
+			for _, one := range s.membership.Members {
+				members = append(members, fmt.Sprintf("%s/%d", one.Seat, one.Incarnation))
+			}
+			taken := s.membership.Taken
+			if got := fmt.Sprintf("%s of %d since %d.%d", strings.Join(members, " "), s.membership.Wanted, taken.GetEpoch(), taken.GetSequence()); got != want.members {
+				t.Errorf("members are %q, want %q", got, want.members)
+			}
+			for _, key := range slices.Sorted(maps.Keys(s.state)) {
+				item := s.state[key]
+				text := fmt.Sprintf("%s/%s %d.%d given %d by %s", item.Kind, item.Name, item.Version.Epoch, item.Version.Sequence, item.Given, item.Change)
+				if item.Deleted {
+					text += " deleted"
+				}
+				held = append(held, text)
+			}
+			if got := strings.Join(held, "; "); got != want.items {
+				t.Errorf("items are\n%s\nwant\n%s", got, want.items)
+			}
+			if strings.HasPrefix(want.name, "member-") {
+				checkGoldenRelease(t, s.state)
+				checkGoldenOutcomes(t, s)
+			}
+		})
+	}
+}
+
+// checkGoldenRelease checks that the release on its way is read as it was steered.
+func checkGoldenRelease(t *testing.T, state setup.State) {
+	t.Helper()
+	made, faults := setup.Compile(state, 13)
+	if len(faults) > 0 {
+		t.Fatal(faults)
+	}
+	plan, progress := made.Releases["shop"], made.Progress["shop"]
+	if plan == nil || plan.Service != "shop" || plan.Version != "2" || plan.Target != 50 || plan.Over != 10*time.Minute || plan.Pace != "go" || plan.Sequence != 9 {
+		t.Errorf("the plan is %+v", plan)
+	}
+	want := setup.Progress{Duty: 3, Holder: "a", Set: "shop 3", State: "ramp", Reason: "the version is known", Share: 25, Weight: 25000, Elapsed: int64(150 * time.Second), From: "1", Since: 7}
+	if progress == nil || *progress != want {
+		t.Errorf("the progress is %+v, want %+v", progress, want)
+	}
+	decider := made.Flags.Flags["release.shop"]
+	if decider == nil || decider.Fallthrough.Rollout == nil || decider.Fallthrough.Rollout.Variations[0].Weight != 25000 {
+		t.Errorf("the flag is %+v", decider)
+	}
+}
+
+// checkGoldenOutcomes checks what became of every change, refused ones included.
+func checkGoldenOutcomes(t *testing.T, s *Replica) {
+	t.Helper()
+	for id, want := range map[string]string{
+		"shop": "1 at 1", "given": "1 at 2", "plain": "1 at 3", "dropped-given": "1 at 4", "wrong": "2 at 5 segment.wrong", "late": "3 at 6 segment/plain 3",
+		"members-3-7": "1 at 7", "members-3-8": "1 at 8", "release": "1 at 9", "trial": "1 at 10", "dropped-plain": "1 at 11", "stale": "4 at 12", "ramp": "1 at 13",
+	} {
+		outcome, known := s.Accepted(id)
+		if !known {
+			t.Errorf("%s is forgotten", id)
+			continue
+		}
+		got := fmt.Sprintf("%d at %d", outcome.Ruling, outcome.Version.Sequence)
+		for _, fault := range outcome.Faults {
+			got += " " + fault.Path
+		}
+		for _, current := range outcome.Current {
+			got += fmt.Sprintf(" %s/%s %d", current.Kind, current.Name, current.Sequence)
+		}
+		if got != want {
+			t.Errorf("%s came to %q, want %q", id, got, want)
+		}
+	}
+	if len(s.outcomes) != 13 {
+		t.Errorf("%d outcomes are known, want 13", len(s.outcomes))
+	}
+}
+
+// Members go on from the golden folders: they elect a leader under a later epoch, know what they
+// know, take changes on top, and can be started again from what is then on disk.
+func TestGoldenGoesOn(t *testing.T) {
+	for _, one := range []struct {
+		name    string
+		folders map[string]string // by member
+		leader  string
+		after   uint64 // least epoch of the first leader
+		held    string // an item that was committed
+	}{
+		{"core", map[string]string{"a": "member-a", "b": "member-b", "d": "member-d"}, "a", 10, "progress/shop"},
+		{"without a", map[string]string{"b": "member-b", "d": "member-d"}, "b", 10, "progress/shop"},
+		{"born", map[string]string{"l": "born"}, "l", 1, ""},
+		{"torn", map[string]string{"l": "torn"}, "l", 2, "segment/two"},
+	} {
+		t.Run(one.name, func(t *testing.T) {
+			root := t.TempDir()
+			for name, folder := range one.folders {
+				copyGolden(t, folder, filepath.Join(root, "member-"+name))
+			}
+			// Whoever starts it again finds what the life before has added.
+			for life := 1; life <= 2; life++ {
+				c := newGoldenCore(t, root)
+				for _, name := range slices.Sorted(maps.Keys(one.folders)) {
+					c.start(name, 0)
+				}
+				c.pass(8 * time.Second)
+				for name, member := range c.members {
+					if status := member.Status(); status.Leader != one.leader || status.Epoch < one.after {
+						t.Fatalf("life %d: %s takes %q for the leader, in epoch %d", life, name, status.Leader, status.Epoch)
+					}
+				}
+				added := fmt.Sprint("added-", life)
+				c.rules(one.leader, schema.Ruling_RULING_ACCEPTED, expecting(added, []*schema.Item{goldenItem("segment", added, 0, `{"salt":""}`)}))
+				c.pass(time.Second)
+				for name, member := range c.members {
+					_, state := member.Committed()
+					for _, key := range []string{one.held, "segment/added-1", "segment/" + added} {
+						if key != "" && state[key] == nil {
+							t.Errorf("life %d: %s has lost %s", life, name, key)
+						}
+					}
+					if state["segment/torn"] != nil {
+						t.Errorf("life %d: what was torn is held", life)
+					}
+				}
+				if one.held == "progress/shop" {
+					goldenCoreGoesOn(c, one.leader, life)
+				}
+				c.close()
+			}
+		})
+	}
+}
+
+// goldenCoreGoesOn checks that versions of before still rule what comes: a tombstone bars older
+// orders, an id has its first outcome, and the release's duty stays with the later epoch.
+func goldenCoreGoesOn(c *goldenCore, leader string, life int) {
+	c.t.Helper()
+	older := fmt.Sprint("older-", life)
+	c.rules(leader, schema.Ruling_RULING_ACCEPTED, &schema.Change{Id: older, ByGiven: true, Items: []*schema.Item{goldenItem("segment", "old", 7, `{"salt":"o"}`)}})
+	if _, state := c.members[leader].Committed(); !state["segment/old"].GetDeleted() || state["segment/old"].GetGiven() != 8 {
+		c.t.Errorf("an older order brought back %v", state["segment/old"])
+	}
+	c.rules(leader, schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "late", 0, `{"salt":""}`)}))
+	c.rules(leader, schema.Ruling_RULING_STALE, expecting(fmt.Sprint("stale-", life), []*schema.Item{goldenProgress(2, "back", 0, 0)}, c.sequenceOf(leader, "progress", "shop")))
+	c.rules(leader, schema.Ruling_RULING_ACCEPTED, expecting(fmt.Sprint("on-", life), []*schema.Item{goldenProgress(3+life, "ramp", 30000, 200*time.Second)}, c.sequenceOf(leader, "progress", "shop")))
+}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -103,7 +103,8 @@
 	open    map[int]func() // by client: notes its call as one without an answer
 	said    []string       // breaches
 	leaders map[uint64]string
-	states  map[uint64]string // by committed sequence
+	states  map[uint64]string           // by committed sequence
+	watch   func(*modelReplica, Action) // told of each action before it is carried out, if set
 }
 
 // newModel founds a core of three members, and of more that join at the first start. Prepare may
@@ -250,6 +251,9 @@
 
 func (m *model) act(replica *modelReplica, actions []Action) {
 	for _, action := range actions {
+		if m.watch != nil {
+			m.watch(replica, action)
+		}
 		switch one := action.(type) {
 		case Send:
 			m.post(replica, proto.Clone(one.Message).(*schema.ReplicaMessage))
