--- a/cmd/golden_test.go
+++ b/cmd/golden_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// bin is where the programs were built, those for the platform in a folder of their own.
+// bin is where the programs were built.
 var bin string
 
 // TestMain builds all programs once, so that what is tested is what is shipped.
@@ -34,12 +34,9 @@
 	}
 	defer os.RemoveAll(folder)
 	bin = folder
-	for into, from := range map[string]string{"": "./...", "platform": "../platform/cmd/..."} {
-		target := filepath.Join(folder, into) + string(filepath.Separator)
-		if out, err := exec.Command("go", "build", "-o", target, from).CombinedOutput(); err != nil {
-			fmt.Fprintf(os.Stderr, "go build %s: %v\n%s", from, err, out)
-			return 1
-		}
+	if out, err := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./...").CombinedOutput(); err != nil {
+		fmt.Fprintf(os.Stderr, "go build: %v\n%s", err, out)
+		return 1
 	}
 	return m.Run()
 }
@@ -84,7 +81,6 @@
 		return file
 	}
 	unknown, badValue := write("unknown", "colour red\n"), write("bad", "ring many\n")
-	badNode, emptyNode := write("node-bad", "no words\n"), write("node-empty", "")
 	setup, badSetup := write("setup.cue", `segment: t: {salt: "b"}`), write("bad.cue", `route: r: {prefix: 4}`)
 	served := func(status int, pages map[string]string) string {
 		server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
@@ -131,11 +127,6 @@
 		add("settings file that is not there", program, "-settings", "/nowhere")
 		add("settings file with an unknown name", program, "-settings", unknown)
 		add("settings file with a bad value", program, "-settings", badValue)
-		onPlatform := "platform/" + program
-		add("no node file", onPlatform)
-		for name, file := range map[string]string{"node file that is not there": "/nowhere", "node file with a bad line": badNode, "node file without fields": emptyNode} {
-			cases = append(cases, testCase{name, onPlatform, []string{"MEADOWHINGE_NODE_FILE=" + file}, nil})
-		}
 	}
 	add("address of another machine", "store", "-seat=a", "-links=plain", "-listen=192.0.2.1:1", "-seeds="+nobody, "-probe-listen=192.0.2.1:2", "-data="+folder, "-founding=true")
 	add("probe address of another machine", "registry", "-seat=a", "-links=plain", "-listen=127.0.0.1:0", "-seeds="+nobody, "-store="+nobody, "-operator-listen=127.0.0.1:0", "-probe-listen=192.0.2.1:2")
