--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -58,9 +58,9 @@
 	}
 	silent := []string{}
 	var young []byte
-	for _, address := range options.List(c.registries) {
+	for _, address := range options.SplitList(c.registries) {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return 0, nil, defect.New(defect.BadOptions, fmt.Sprintf("registries: %q is not IP:port", address))
+			return 0, nil, defect.New(defect.InvalidOptions, fmt.Sprintf("registries: %q is not IP:port", address))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 		request, _ := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(sent))
@@ -88,7 +88,7 @@
 	if young != nil {
 		return http.StatusServiceUnavailable, young, nil
 	}
-	return 0, nil, defect.New(defect.NoMajority, "no answer from "+strings.Join(silent, ", "))
+	return 0, nil, defect.New(defect.NoQuorum, "no answer from "+strings.Join(silent, ", "))
 }
 
 // coded carries an exit code out of a command.
@@ -106,13 +106,13 @@
 		return false, &coded{exitUnreachable, err}
 	}
 	if status != http.StatusOK {
-		return false, &coded{exitRefused, defect.New(defect.NoMajority, string(text))}
+		return false, &coded{exitRefused, defect.New(defect.NoQuorum, string(text))}
 	}
 	if c.asJSON {
 		fmt.Fprintln(c.out, string(text))
 		return true, nil
 	}
-	return false, defect.Wrap(json.Unmarshal(text, into), defect.Malformed, path)
+	return false, defect.Wrap(json.Unmarshal(text, into), defect.MalformedRequest, path)
 }
 
 func (c *client) apply(file, id string) error {
@@ -121,14 +121,14 @@
 		text, err = io.ReadAll(c.in)
 	}
 	if err != nil {
-		return &coded{exitUsage, defect.Wrap(err, defect.BadOptions, "setup")}
+		return &coded{exitUsage, defect.Wrap(err, defect.InvalidOptions, "setup")}
 	}
 	return c.send(id, text)
 }
 
 // release states a plan; of a plan that stands, what no flag gives stays as it is.
-func (c *client) release(name string, plan *registry.ShownRelease, given map[string]bool) error {
-	var shown []registry.ShownRelease
+func (c *client) release(name string, plan *registry.ReleaseView, given map[string]bool) error {
+	var shown []registry.ReleaseView
 	plainly := *c
 	plainly.asJSON = false
 	if _, err := plainly.get("/v1/releases", &shown); err != nil {
@@ -143,7 +143,7 @@
 			"service": func() { plan.Service = held.Service },
 			"version": func() { plan.Version = held.Version },
 			"target":  func() { plan.Target = held.Target },
-			"over":    func() { plan.Over = held.Over },
+			"over":    func() { plan.Duration = held.Duration },
 			"pace":    func() { plan.Pace = held.Pace },
 		} {
 			if !given[flagName] {
@@ -152,53 +152,53 @@
 		}
 	}
 	if plan.Service == "" || plan.Version == "" {
-		return &coded{exitUsage, defect.New(defect.BadOptions, "release: a new plan needs -service and -version")}
+		return &coded{exitUsage, defect.New(defect.InvalidOptions, "release: a new plan needs -service and -version")}
 	}
-	return c.send("", []byte(fmt.Sprintf("release: %q: {service: %q, version: %q, target: %v, over: %q, pace: %q}\n", name, plan.Service, plan.Version, plan.Target, plan.Over, plan.Pace)))
+	return c.send("", []byte(fmt.Sprintf("release: %q: {service: %q, version: %q, target: %v, over: %q, pace: %q}\n", name, plan.Service, plan.Version, plan.Target, plan.Duration, plan.Pace)))
 }
 
 // send states a change against what stands now, and waits for what becomes of it.
 func (c *client) send(id string, text []byte) error {
-	submission := registry.Submission{ID: id, Setup: string(text), Expected: map[string]uint64{}}
+	submission := registry.ChangeRequest{ID: id, Config: string(text), ExpectedVersions: map[string]uint64{}}
 	if id == "" {
 		drawn := make([]byte, 8)
 		_, _ = rand.Read(drawn)
 		submission.ID = "change-" + hex.EncodeToString(drawn)
 	}
 	// What stands now is what this change was written against.
-	var shown registry.Shown
+	var shown registry.ConfigView
 	plainly := *c
 	plainly.asJSON = false
 	_, err := plainly.get("/v1/setup", &shown)
 	if err != nil {
 		return err
 	}
-	items, faults := statement.Read(text)
+	items, faults := statement.Parse(text)
 	if len(faults) > 0 {
 		for _, fault := range faults {
 			fmt.Fprintf(c.complaint, "%s: %s\n", fault.Path, fault.Reason)
 		}
-		return &coded{exitRefused, defect.New(defect.BadSetup, "nothing of it was sent")}
+		return &coded{exitRefused, defect.New(defect.InvalidConfig, "nothing of it was sent")}
 	}
 	for _, item := range items {
 		for _, held := range shown.Items {
 			if held.Kind == item.Kind && held.Name == item.Name {
-				submission.Expected[setup.Key(item.Kind, item.Name)] = held.Version
+				submission.ExpectedVersions[setup.Key(item.Kind, item.Name)] = held.Version
 			}
 		}
 	}
 	status, body, err := c.ask(http.MethodPost, "/v1/changes", submission)
 	if err != nil {
-		return &coded{exitUnreachable, defect.Wrap(err, defect.NoMajority, "ask again with: operator outcome "+submission.ID)}
+		return &coded{exitUnreachable, defect.Wrap(err, defect.NoQuorum, "ask again with: operator outcome "+submission.ID)}
 	}
 	return c.tell(status, body)
 }
 
 // tell prints what became of a change.
 func (c *client) tell(status int, body []byte) error {
-	var answer registry.Answer
+	var answer registry.ChangeResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return &coded{exitUnreachable, defect.Wrap(err, defect.Malformed, string(body))}
+		return &coded{exitUnreachable, defect.Wrap(err, defect.MalformedRequest, string(body))}
 	}
 	if c.asJSON {
 		fmt.Fprintln(c.out, string(body))
@@ -210,17 +210,17 @@
 		if answer.Ruling == "accepted" {
 			fmt.Fprintf(c.out, ", acknowledged: %v", answer.Acknowledged)
 		}
-		if len(answer.Waiting) > 0 {
-			fmt.Fprintf(c.out, ", still waiting for %s", strings.Join(answer.Waiting, ", "))
+		if len(answer.LaggingProxies) > 0 {
+			fmt.Fprintf(c.out, ", still waiting for %s", strings.Join(answer.LaggingProxies, ", "))
 		}
 		fmt.Fprintln(c.out)
 		for _, fault := range answer.Faults {
 			fmt.Fprintf(c.out, "  %s: %s\n", fault.Path, fault.Reason)
 		}
-		for _, key := range slices.Sorted(maps.Keys(answer.Current)) {
-			fmt.Fprintf(c.out, "  %s stands at %d\n", key, answer.Current[key])
+		for _, key := range slices.Sorted(maps.Keys(answer.CurrentVersions)) {
+			fmt.Fprintf(c.out, "  %s stands at %d\n", key, answer.CurrentVersions[key])
 		}
-		for _, item := range answer.Standing {
+		for _, item := range answer.CurrentItems {
 			fmt.Fprintf(c.out, "  %s/%s, by change %s: %s\n", item.Kind, item.Name, item.Change, item.Body)
 		}
 	}
@@ -228,14 +228,14 @@
 	case answer.Ruling == "accepted" && answer.Acknowledged:
 		return nil
 	case answer.Ruling == "accepted" || status == http.StatusServiceUnavailable:
-		return &coded{exitUnreachable, defect.New(defect.NoMajority, "not settled; ask again with: operator outcome "+answer.ID)}
+		return &coded{exitUnreachable, defect.New(defect.NoQuorum, "not settled; ask again with: operator outcome "+answer.ID)}
 	}
-	return &coded{exitRefused, defect.New(answer.Defect, answer.ID)}
+	return &coded{exitRefused, defect.New(answer.ErrorCode, answer.ID)}
 }
 
 // explain says in words which version a request would get, and why.
-func (c *client) explain(told *registry.Explanation) error {
-	fmt.Fprintf(c.out, "route %s of service %s, %s, within %s\n", told.Route, told.Service, told.Class, told.Horizon)
+func (c *client) explain(told *registry.ExplainResponse) error {
+	fmt.Fprintf(c.out, "route %s of service %s, %s, within %s\n", told.Route, told.Service, told.Class, told.Deadline)
 	if told.Policy != "" {
 		fmt.Fprintf(c.out, "policy %s: %s\n", told.Policy, map[bool]string{true: "refuses it", false: "holds"}[told.Refused])
 	}
@@ -249,8 +249,8 @@
 			fmt.Fprintf(c.out, ", %s %s", name, text)
 		}
 	}
-	fmt.Fprintf(c.out, ", by setup %d\n", verdict.Setup)
-	fmt.Fprintf(c.out, "workers: %s\n", strings.Join(told.Pool, " "))
+	fmt.Fprintf(c.out, ", by setup %d\n", verdict.ConfigRevision)
+	fmt.Fprintf(c.out, "workers: %s\n", strings.Join(told.Candidates, " "))
 	return nil
 }
 
@@ -289,7 +289,7 @@
 		return &ffcli.Command{Name: name, ShortUsage: "operator [flags] " + usage, ShortHelp: help, FlagSet: set,
 			Exec: func(_ context.Context, args []string) error {
 				if len(args) != words {
-					return &coded{exitUsage, defect.New(defect.BadOptions, "usage: operator [flags] "+usage)}
+					return &coded{exitUsage, defect.New(defect.InvalidOptions, "usage: operator [flags] "+usage)}
 				}
 				return exec(args)
 			}}
@@ -304,11 +304,11 @@
 	headers := explainSet.String("headers", "", "name=value by comma")
 
 	releaseSet := flag.NewFlagSet("release", flag.ContinueOnError)
-	plan := &registry.ShownRelease{}
+	plan := &registry.ReleaseView{}
 	releaseSet.StringVar(&plan.Service, "service", "", "the service")
 	releaseSet.StringVar(&plan.Version, "version", "", "the version to bring in")
 	releaseSet.Float64Var(&plan.Target, "target", 100, "the share it should end with, in percent")
-	releaseSet.StringVar(&plan.Over, "over", "10m", "the time to get there")
+	releaseSet.StringVar(&plan.Duration, "over", "10m", "the time to get there")
 	releaseSet.StringVar(&plan.Pace, "pace", "go", "go, hold, or back (turn back to the fallback version)")
 
 	watching := func(set *flag.FlagSet) (*time.Duration, *int) {
@@ -350,13 +350,13 @@
 			return c.send("", []byte(fmt.Sprintf("remove: release: [%q]\n", args[0])))
 		}),
 		command("releases", "releases [-watch TIME] [-times N]", "show release plans: the set point beside the measured share", releasesSet, 0, again(releasesPause, releasesTimes, func() error {
-			var shown []registry.ShownRelease
+			var shown []registry.ReleaseView
 			if done, err := c.get("/v1/releases", &shown); done || err != nil {
 				return err
 			}
 			var rows [][]any
 			for _, one := range shown {
-				rows = append(rows, []any{one.Name, one.Service, one.Version, one.Target, one.Over, one.Pace, one.State, fmt.Sprintf("%.1f", one.Share), fmt.Sprintf("%.1f", one.Measured), one.Reason})
+				rows = append(rows, []any{one.Name, one.Service, one.Version, one.Target, one.Duration, one.Pace, one.State, fmt.Sprintf("%.1f", one.Percentage), fmt.Sprintf("%.1f", one.MeasuredPercentage), one.Reason})
 			}
 			c.table("NAME SERVICE VERSION TARGET OVER PACE STATE SET-POINT MEASURED REASON", rows)
 			return nil
@@ -369,12 +369,12 @@
 				return &coded{exitUnreachable, err}
 			}
 			if status != http.StatusOK {
-				return &coded{exitRefused, defect.New(defect.UnknownChange, string(body))}
+				return &coded{exitRefused, defect.New(defect.ChangeNotFound, string(body))}
 			}
 			return c.tell(status, body)
 		}),
 		command("show", "show", "show the setup in force", nil, 0, func([]string) error {
-			var shown registry.Shown
+			var shown registry.ConfigView
 			if done, err := c.get("/v1/setup", &shown); done || err != nil {
 				return err
 			}
@@ -387,7 +387,7 @@
 			return nil
 		}),
 		command("verdicts", "verdicts [-watch TIME] [-times N]", "show verdict counts by flag, variation and reason; watched, also what came since", verdictsSet, 0, again(verdictsPause, verdictsTimes, func() error {
-			var lines []registry.VerdictLine
+			var lines []registry.VerdictCount
 			if done, err := c.get("/v1/verdicts", &lines); done || err != nil {
 				return err
 			}
@@ -402,19 +402,19 @@
 			return nil
 		})),
 		command("workers", "workers", "show the workers that described themselves", nil, 0, func([]string) error {
-			var shown []registry.ShownWorker
+			var shown []registry.WorkerView
 			if done, err := c.get("/v1/workers", &shown); done || err != nil {
 				return err
 			}
 			var rows [][]any
 			for _, worker := range shown {
-				rows = append(rows, []any{worker.Service, worker.Version, worker.Area, worker.State, worker.Load, worker.Instance})
+				rows = append(rows, []any{worker.Service, worker.Version, worker.Zone, worker.State, worker.Load, worker.Instance})
 			}
 			c.table("SERVICE VERSION AREA STATE LOAD INSTANCE", rows)
 			return nil
 		}),
 		command("status", "status", "show the core: who leads, who the members are, who grants leases, who lags", nil, 0, func([]string) error {
-			var status registry.Status
+			var status registry.CoreStatus
 			if done, err := c.get("/v1/status", &status); done || err != nil {
 				return err
 			}
@@ -437,24 +437,24 @@
 					fmt.Fprintf(c.out, "registry %s: SETTINGS CONTRADICT: %s\n", one.Seat, odd)
 				}
 			}
-			fmt.Fprintf(c.out, "members %d\n", status.Members)
+			fmt.Fprintf(c.out, "members %d\n", status.LiveProxies)
 			return nil
 		}),
 		command("explain", "explain [flags] PATH", "tell which version a request would get, and why", explainSet, 1, func(args []string) error {
-			status, body, err := c.ask(http.MethodPost, "/v1/explain", registry.Question{Caller: *caller, Method: *method, Path: args[0], Area: *area, Headers: options.Pairs(*headers)})
+			status, body, err := c.ask(http.MethodPost, "/v1/explain", registry.ExplainRequest{Caller: *caller, Method: *method, Path: args[0], Zone: *area, Headers: options.SplitPairs(*headers)})
 			if err != nil {
 				return &coded{exitUnreachable, err}
 			}
 			if status != http.StatusOK {
-				return &coded{exitRefused, defect.New(defect.NoRoute, string(body))}
+				return &coded{exitRefused, defect.New(defect.RouteNotFound, string(body))}
 			}
 			if c.asJSON {
 				fmt.Fprintln(c.out, string(body))
 				return nil
 			}
-			var told registry.Explanation
+			var told registry.ExplainResponse
 			if err := json.Unmarshal(body, &told); err != nil {
-				return &coded{exitRefused, defect.Wrap(err, defect.Malformed, "explanation")}
+				return &coded{exitRefused, defect.Wrap(err, defect.MalformedRequest, "explanation")}
 			}
 			return c.explain(&told)
 		}),
@@ -465,7 +465,7 @@
 				fmt.Fprintln(c.out, "operator", options.Version)
 				return nil
 			}
-			return &coded{exitUsage, defect.New(defect.BadOptions, "no such command; see operator -help")}
+			return &coded{exitUsage, defect.New(defect.InvalidOptions, "no such command; see operator -help")}
 		}}
 	err := top.ParseAndRun(context.Background(), words)
 	if err == nil || errors.Is(err, flag.ErrHelp) {
--- a/cmd/operator/main_test.go
+++ b/cmd/operator/main_test.go
@@ -108,8 +108,8 @@
 		return address
 	}
 	const nobody = "127.0.0.1:1"
-	conflict, _ := json.Marshal(registry.Answer{ID: "x", Ruling: "conflict", Defect: "CONFLICT", Current: map[string]uint64{"segment/s": 9},
-		Standing: []registry.ShownItem{{Kind: "segment", Name: "s", Version: 9, Change: "ben-4", Body: json.RawMessage(`{"salt":"his"}`)}}})
+	conflict, _ := json.Marshal(registry.ChangeResponse{ID: "x", Ruling: "conflict", ErrorCode: "CONFLICT", CurrentVersions: map[string]uint64{"segment/s": 9},
+		CurrentItems: []registry.ItemView{{Kind: "segment", Name: "s", Version: 9, Change: "ben-4", Body: json.RawMessage(`{"salt":"his"}`)}}})
 	for name, one := range map[string]struct {
 		registries string
 		words      []string
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	given := &schema.ProxyOptions{}
-	os.Exit(daemon.Run("proxy", daemon.Given(os.Args[1:]), given,
+	os.Exit(daemon.Run("proxy", daemon.FromArgs(os.Args[1:]), given,
 		func() (string, int64) { return given.Data, given.Ring },
-		func(ctx context.Context, frame *daemon.Frame) error { return proxy.Run(ctx, frame, given) }))
+		func(ctx context.Context, frame *daemon.Environment) error { return proxy.Run(ctx, frame, given) }))
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	given := &schema.RegistryOptions{}
-	os.Exit(daemon.Run("registry", daemon.Given(os.Args[1:]), given,
+	os.Exit(daemon.Run("registry", daemon.FromArgs(os.Args[1:]), given,
 		func() (string, int64) { return given.Data, given.Ring },
-		func(ctx context.Context, frame *daemon.Frame) error { return registry.Run(ctx, frame, given) }))
+		func(ctx context.Context, frame *daemon.Environment) error { return registry.Run(ctx, frame, given) }))
 }
--- a/cmd/rehearsal/hollow.go
+++ b/cmd/rehearsal/hollow.go
@@ -25,7 +25,7 @@
 		}
 	}
 	if err != nil {
-		return options.Exit(program, err, os.Stderr), true
+		return options.ExitCode(program, err, os.Stderr), true
 	}
 	return places(program, folder, binaries)
 }
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -12,7 +12,7 @@
 
 func main() {
 	given := &schema.StoreOptions{}
-	os.Exit(daemon.Run("store", daemon.Given(os.Args[1:]), given,
+	os.Exit(daemon.Run("store", daemon.FromArgs(os.Args[1:]), given,
 		func() (string, int64) { return given.Data, given.Ring },
-		func(ctx context.Context, frame *daemon.Frame) error { return store.Run(ctx, frame, given) }))
+		func(ctx context.Context, frame *daemon.Environment) error { return store.Run(ctx, frame, given) }))
 }
--- a/cmd/tracer/main.go
+++ b/cmd/tracer/main.go
@@ -56,22 +56,22 @@
 		set.Usage()
 		return exitUsage
 	}
-	for _, address := range options.List(*registries) {
+	for _, address := range options.SplitList(*registries) {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			fmt.Fprintln(complaint, "tracer:", defect.New(defect.BadOptions, fmt.Sprintf("registries: %q is not IP:port", address)))
+			fmt.Fprintln(complaint, "tracer:", defect.New(defect.InvalidOptions, fmt.Sprintf("registries: %q is not IP:port", address)))
 			return exitUsage
 		}
 	}
-	traces, silent := ask(options.List(*registries), set.Arg(0), *timeout)
+	traces, silent := ask(options.SplitList(*registries), set.Arg(0), *timeout)
 	if len(traces) == 0 {
-		fmt.Fprintln(complaint, "tracer:", defect.New(defect.NoMajority, "no answer from "+strings.Join(silent, ", ")))
+		fmt.Fprintln(complaint, "tracer:", defect.New(defect.NoQuorum, "no answer from "+strings.Join(silent, ", ")))
 		return exitUnreachable
 	}
 	known := false
 	stores := 0
 	for _, one := range traces {
-		known = known || one.Known
-		if !one.StoreSilent {
+		known = known || one.KnownToStore
+		if !one.StoreUnreachable {
 			stores++
 		}
 	}
@@ -85,19 +85,19 @@
 	case known:
 		return 0
 	case stores == 0:
-		fmt.Fprintln(complaint, "tracer:", defect.New(defect.NoMajority, "no store answered"))
+		fmt.Fprintln(complaint, "tracer:", defect.New(defect.NoQuorum, "no store answered"))
 		return exitUnreachable
 	}
 	text := set.Arg(0)
 	if len(silent) > 0 {
 		text += "; no answer from " + strings.Join(silent, ", ")
 	}
-	fmt.Fprintln(complaint, "tracer:", defect.New(defect.UnknownChange, text))
+	fmt.Fprintln(complaint, "tracer:", defect.New(defect.ChangeNotFound, text))
 	return exitUnknown
 }
 
 // ask asks every core machine, each once.
-func ask(addresses []string, id string, timeout time.Duration) (traces []registry.Trace, silent []string) {
+func ask(addresses []string, id string, timeout time.Duration) (traces []registry.ChangeTrace, silent []string) {
 	client := &http.Client{Timeout: timeout}
 	for _, address := range addresses {
 		response, err := client.Get("http://" + address + "/v1/trace/" + id)
@@ -105,7 +105,7 @@
 			silent = append(silent, address)
 			continue
 		}
-		one := registry.Trace{}
+		one := registry.ChangeTrace{}
 		err = json.NewDecoder(response.Body).Decode(&one)
 		response.Body.Close()
 		if err != nil || response.StatusCode != http.StatusOK {
@@ -114,12 +114,12 @@
 		}
 		traces = append(traces, one)
 	}
-	sort.Slice(traces, func(i, j int) bool { return traces[i].Seat < traces[j].Seat })
+	sort.Slice(traces, func(i, j int) bool { return traces[i].MemberID < traces[j].MemberID })
 	return traces, silent
 }
 
 // tell prints the steps in the order in which they happened.
-func tell(out io.Writer, id string, traces []registry.Trace, silent []string) {
+func tell(out io.Writer, id string, traces []registry.ChangeTrace, silent []string) {
 	type step struct {
 		at   time.Time
 		what string
@@ -128,9 +128,9 @@
 	applied := map[string]time.Time{}
 	missing := map[string]bool{}
 	for _, one := range traces {
-		if one.Known && one.Sequence > 0 {
-			if one.Taken.IsZero() || one.Holder == one.Seat {
-				fmt.Fprintf(out, "change %s: %s as %d in epoch %d; the duty is now with %s\n", id, one.Ruling, one.Sequence, one.Epoch, one.Holder)
+		if one.KnownToStore && one.Sequence > 0 {
+			if one.Appended.IsZero() || one.Leader == one.MemberID {
+				fmt.Fprintf(out, "change %s: %s as %d in epoch %d; the duty is now with %s\n", id, one.Ruling, one.Sequence, one.Term, one.Leader)
 				break
 			}
 		}
@@ -141,17 +141,17 @@
 				steps = append(steps, step{at, what})
 			}
 		}
-		add(one.Taken, "store "+one.Seat+" took it")
-		add(one.Synced, "store "+one.Seat+" synced it")
-		add(one.Stable, "store "+one.Seat+" knew it stable")
-		add(one.Seen, "registry "+one.Seat+" had it")
-		add(one.Acknowledged, "registry "+one.Seat+" acknowledged it")
+		add(one.Appended, "store "+one.MemberID+" took it")
+		add(one.Durable, "store "+one.MemberID+" synced it")
+		add(one.Committed, "store "+one.MemberID+" knew it stable")
+		add(one.Seen, "registry "+one.MemberID+" had it")
+		add(one.Acknowledged, "registry "+one.MemberID+" acknowledged it")
 		for proxy, at := range one.Applied {
 			if held, found := applied[proxy]; !found || at.Before(held) {
 				applied[proxy] = at
 			}
 		}
-		for _, proxy := range one.Missing {
+		for _, proxy := range one.Laggards {
 			missing[proxy] = true
 		}
 	}
@@ -164,12 +164,12 @@
 	}
 	for _, one := range traces {
 		switch {
-		case one.StoreSilent:
-			fmt.Fprintf(out, "missing: store %s does not answer its registry\n", one.Seat)
-		case !one.Known:
-			fmt.Fprintf(out, "missing: store %s does not know the change\n", one.Seat)
-		case one.Stable.IsZero() && one.Ruling != "":
-			fmt.Fprintf(out, "missing: store %s was told of it in a digest, or does not know it stable yet\n", one.Seat)
+		case one.StoreUnreachable:
+			fmt.Fprintf(out, "missing: store %s does not answer its registry\n", one.MemberID)
+		case !one.KnownToStore:
+			fmt.Fprintf(out, "missing: store %s does not know the change\n", one.MemberID)
+		case one.Committed.IsZero() && one.Ruling != "":
+			fmt.Fprintf(out, "missing: store %s was told of it in a digest, or does not know it stable yet\n", one.MemberID)
 		}
 	}
 	for _, proxy := range sorted(missing) {
--- a/cmd/tracer/main_test.go
+++ b/cmd/tracer/main_test.go
@@ -12,7 +12,7 @@
 	"meadowhinge/internal/registry"
 )
 
-func core(t *testing.T, trace registry.Trace) string {
+func core(t *testing.T, trace registry.ChangeTrace) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(out).Encode(trace) }))
 	t.Cleanup(server.Close)
@@ -21,11 +21,11 @@
 
 func TestTracer(t *testing.T) {
 	at := time.Unix(1000, 0)
-	holder := core(t, registry.Trace{Seat: "a", Known: true, Ruling: "accepted", Sequence: 7, Epoch: 3, Holder: "a", Taken: at, Synced: at.Add(time.Millisecond),
-		Stable: at.Add(2 * time.Millisecond), Seen: at.Add(3 * time.Millisecond), Acknowledged: at.Add(9 * time.Millisecond),
-		Applied: map[string]time.Time{"edge-1": at.Add(5 * time.Millisecond)}, Missing: []string{"edge-2"}})
-	stranger := core(t, registry.Trace{Seat: "b"})
-	storeless := core(t, registry.Trace{Seat: "c", StoreSilent: true})
+	holder := core(t, registry.ChangeTrace{MemberID: "a", KnownToStore: true, Ruling: "accepted", Sequence: 7, Term: 3, Leader: "a", Appended: at, Durable: at.Add(time.Millisecond),
+		Committed: at.Add(2 * time.Millisecond), Seen: at.Add(3 * time.Millisecond), Acknowledged: at.Add(9 * time.Millisecond),
+		Applied: map[string]time.Time{"edge-1": at.Add(5 * time.Millisecond)}, Laggards: []string{"edge-2"}})
+	stranger := core(t, registry.ChangeTrace{MemberID: "b"})
+	storeless := core(t, registry.ChangeTrace{MemberID: "c", StoreUnreachable: true})
 	gone := httptest.NewServer(http.NotFoundHandler())
 	dead := strings.TrimPrefix(gone.URL, "http://")
 	gone.Close()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -25,54 +25,54 @@
 	"meadowhinge/internal/ring"
 )
 
-// collectAt is how much the heap may grow, in percent, before it is collected.
-const collectAt = 100
+// defaultGCPercent is how much the heap may grow, in percent, before it is collected.
+const defaultGCPercent = 100
 
-// Frame is what a running program gets from its surroundings.
-type Frame struct {
-	Log      logr.Logger
-	Ring     *ring.Ring
-	Draining *atomic.Bool
-	probe    *fasthttp.Server
-	pages    map[string]func() any
-	readyAt  []string
-	settings *settings // nil for a program that was not started by Run
+// Environment is what a running program gets from its surroundings.
+type Environment struct {
+	Log            logr.Logger
+	Recorder       *ring.Recorder
+	Draining       *atomic.Bool
+	probeServer    *fasthttp.Server
+	statusPages    map[string]func() any
+	readinessPaths []string
+	settings       *settings // nil for a program that was not started by Run
 }
 
-// Soundness is what a program says when it is probed for readiness.
-type Soundness struct {
+// Readiness is what a program says when it is probed for readiness.
+type Readiness struct {
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason,omitempty"`
 }
 
 // Run reads settings into target, then runs body until SIGTERM or failure; it returns the exit code.
-func Run(program string, source Source, target proto.Message, ringOf func() (folder string, lines int64), body func(ctx context.Context, frame *Frame) error) int {
+func Run(program string, source Source, target proto.Message, recorderOptions func() (directory string, lines int64), body func(ctx context.Context, environment *Environment) error) int {
 	// Word that settings have changed is not word to end.
-	changed := make(chan os.Signal, 1)
-	signal.Notify(changed, syscall.SIGHUP)
-	defer signal.Stop(changed)
-	read, err := source.read(program, target, os.Stdout)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	defer signal.Stop(reloadSignals)
+	loaded, err := source.load(program, target, os.Stdout)
 	if err != nil {
-		return options.Exit(program, err, os.Stderr)
+		return options.ExitCode(program, err, os.Stderr)
 	}
-	folder, lines := ringOf()
-	kept := ring.New(folder, program, int(lines))
-	frame := &Frame{Log: kept.Logger(), Ring: kept, Draining: &atomic.Bool{}, pages: map[string]func() any{}}
-	frame.settings = newSettings(program, source, target, read, changed, frame.Log)
+	directory, lines := recorderOptions()
+	recorder := ring.New(directory, program, int(lines))
+	environment := &Environment{Log: recorder.Logger(), Recorder: recorder, Draining: &atomic.Bool{}, statusPages: map[string]func() any{}}
+	environment.settings = newSettings(program, source, target, loaded, reloadSignals, environment.Log)
 	// Memory at its peak is paid for on every edge machine, and a collection of so small a heap costs
 	// little; an operator who sets GOGC is obeyed.
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(collectAt)
+		debug.SetGCPercent(defaultGCPercent)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	err = body(ctx, frame)
+	err = body(ctx, environment)
 	if err != nil {
-		frame.Log.Error(err, "program failed", "program", program)
-		_ = kept.Dump(true)
+		environment.Log.Error(err, "program failed", "program", program)
+		_ = recorder.Dump(true)
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
 		// Bad settings found late still leave with 2, so that a supervisor does not retry them.
-		if defect.KindOf(err) == defect.BadOptions {
+		if defect.CodeOf(err) == defect.InvalidOptions {
 			return 2
 		}
 		return 1
@@ -80,58 +80,60 @@
 	return 0
 }
 
-// Page adds a JSON page to the probe listener.
-func (f *Frame) Page(path string, page func() any) {
-	if f.pages == nil {
-		f.pages = map[string]func() any{}
+// AddPage adds a JSON page to the probe listener.
+func (e *Environment) AddPage(path string, page func() any) {
+	if e.statusPages == nil {
+		e.statusPages = map[string]func() any{}
 	}
-	f.pages[path] = page
+	e.statusPages[path] = page
 }
 
-// ReadyAt lets readiness be asked for at another path too.
-func (f *Frame) ReadyAt(path string) { f.readyAt = append(f.readyAt, path) }
+// AddReadinessPath lets readiness be asked for at another path too.
+func (e *Environment) AddReadinessPath(path string) {
+	e.readinessPaths = append(e.readinessPaths, path)
+}
 
-// Probe serves /live, /ready, /journal and the program's own pages.
-func (f *Frame) Probe(address string, ready func() Soundness) error {
+// ServeProbes serves /live, /ready, /journal and the program's own pages.
+func (e *Environment) ServeProbes(address string, ready func() Readiness) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return defect.Wrap(err, defect.BadOptions, "probe-listen")
+		return defect.Wrap(err, defect.InvalidOptions, "probe-listen")
 	}
-	f.probe = &fasthttp.Server{Name: "meadowhinge", Concurrency: 256, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute,
+	e.probeServer = &fasthttp.Server{Name: "meadowhinge", Concurrency: 256, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute,
 		NoDefaultServerHeader: true, Handler: func(call *fasthttp.RequestCtx) {
 			path := string(call.Path())
-			if slices.Contains(f.readyAt, path) {
+			if slices.Contains(e.readinessPaths, path) {
 				path = "/ready"
 			}
 			switch path {
 			case "/live":
-				Answer(call, fasthttp.StatusOK, map[string]bool{"live": true})
+				WriteJSON(call, fasthttp.StatusOK, map[string]bool{"live": true})
 			case "/ready":
-				soundness := ready()
-				if f.Draining.Load() {
-					soundness = Soundness{Reason: string(defect.Draining)}
+				readiness := ready()
+				if e.Draining.Load() {
+					readiness = Readiness{Reason: string(defect.ProxyDraining)}
 				}
 				status := fasthttp.StatusOK
-				if !soundness.Ready {
+				if !readiness.Ready {
 					status = fasthttp.StatusServiceUnavailable
 				}
-				Answer(call, status, soundness)
+				WriteJSON(call, status, readiness)
 			case "/process":
 				var memory runtime.MemStats
 				runtime.ReadMemStats(&memory)
-				Answer(call, fasthttp.StatusOK, Process{Goroutines: runtime.NumGoroutine(), HeapBytes: memory.HeapAlloc})
+				WriteJSON(call, fasthttp.StatusOK, Process{Goroutines: runtime.NumGoroutine(), HeapBytes: memory.HeapAlloc})
 			case "/journal":
 				call.SetContentType("text/plain")
-				call.SetBodyString(strings.Join(f.Ring.Lines(), "\n"))
+				call.SetBodyString(strings.Join(e.Recorder.Lines(), "\n"))
 			default:
-				if page, known := f.pages[path]; known {
-					Answer(call, fasthttp.StatusOK, page())
+				if page, found := e.statusPages[path]; found {
+					WriteJSON(call, fasthttp.StatusOK, page())
 					return
 				}
-				Refuse(call, defect.New(defect.NoRoute, path), "", nil)
+				WriteError(call, defect.New(defect.RouteNotFound, path), "", nil)
 			}
 		}}
-	go func() { _ = f.probe.Serve(listener) }()
+	go func() { _ = e.probeServer.Serve(listener) }()
 	return nil
 }
 
@@ -141,34 +143,34 @@
 	HeapBytes  uint64 `json:"heapBytes"`
 }
 
-// Answer writes JSON.
-func Answer(call *fasthttp.RequestCtx, status int, body any) {
-	text, err := json.Marshal(body)
+// WriteJSON writes JSON.
+func WriteJSON(call *fasthttp.RequestCtx, status int, body any) {
+	encoded, err := json.Marshal(body)
 	if err != nil {
-		status, text = fasthttp.StatusInternalServerError, []byte(`{"defect":"INTERNAL"}`)
+		status, encoded = fasthttp.StatusInternalServerError, []byte(`{"defect":"INTERNAL"}`)
 	}
 	call.Response.Reset()
 	call.SetStatusCode(status)
 	call.SetContentType("application/json")
-	call.SetBody(text)
+	call.SetBody(encoded)
 }
 
-// Refusal is the typed JSON error of every outward interface.
-type Refusal struct {
-	Defect  defect.Kind `json:"defect"`
+// ErrorResponse is the typed JSON error of every outward interface.
+type ErrorResponse struct {
+	Code    defect.Code `json:"defect"`
 	Detail  string      `json:"detail,omitempty"`
 	Outcome string      `json:"outcome,omitempty"`
 	Faults  any         `json:"faults,omitempty"`
 }
 
-// Refuse answers with a typed error.
-func Refuse(call *fasthttp.RequestCtx, err error, outcome string, faults any) {
-	status, refusal := RefusalOf(err, outcome, faults)
-	Answer(call, status, refusal)
+// WriteError answers with a typed error.
+func WriteError(call *fasthttp.RequestCtx, err error, outcome string, faults any) {
+	status, response := NewErrorResponse(err, outcome, faults)
+	WriteJSON(call, status, response)
 }
 
-// RefusalOf is a typed error as it is answered, and its status.
-func RefusalOf(err error, outcome string, faults any) (int, Refusal) {
-	kind := defect.KindOf(err)
-	return defect.Status(kind), Refusal{Defect: kind, Detail: err.Error(), Outcome: outcome, Faults: faults}
+// NewErrorResponse is a typed error as it is answered, and its status.
+func NewErrorResponse(err error, outcome string, faults any) (int, ErrorResponse) {
+	code := defect.CodeOf(err)
+	return defect.HTTPStatus(code), ErrorResponse{Code: code, Detail: err.Error(), Outcome: outcome, Faults: faults}
 }
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -19,174 +19,174 @@
 // Source is where a program has its settings from.
 type Source struct {
 	// Read gives the command line that stands for the settings as they are now.
-	Read func() (Reading, error)
+	Read func() (SourceSettings, error)
 	// File is watched for changes, besides the one that the command line names.
 	File string
 }
 
-// Reading is what was read of a source.
-type Reading struct {
-	Args []string
-	Rest map[string]string // what goes past the settings; it counts from the next start on
-	Take func()            // called once all that was read is found to be good; may be nil
+// SourceSettings is what was read of a source.
+type SourceSettings struct {
+	Args        []string
+	RestartOnly map[string]string // what goes past the settings; it counts from the next start on
+	OnAccepted  func()            // called once all that was read is found to be good; may be nil
 }
 
-// Given are settings from the command line, and from the file that it names.
-func Given(args []string) Source {
-	return Source{Read: func() (Reading, error) { return Reading{Args: args}, nil }}
+// FromArgs are settings from the command line, and from the file that it names.
+func FromArgs(args []string) Source {
+	return Source{Read: func() (SourceSettings, error) { return SourceSettings{Args: args}, nil }}
 }
 
-// reading is one reading of a source, checked.
-type reading struct {
-	Reading
-	files  []string
-	stamps []os.FileInfo // of the files, from before they were read
+// loadedSettings is one reading of a source, checked.
+type loadedSettings struct {
+	SourceSettings
+	files     []string
+	fileInfos []os.FileInfo // of the files, from before they were read
 }
 
-// read fills target, or leaves it and says what is wrong.
-func (s Source) read(program string, target proto.Message, help io.Writer) (*reading, error) {
-	made := &reading{}
+// load fills target, or leaves it and says what is wrong.
+func (s Source) load(program string, target proto.Message, help io.Writer) (*loadedSettings, error) {
+	loaded := &loadedSettings{}
 	if s.File != "" {
-		made.files, made.stamps = []string{s.File}, stampsOf([]string{s.File})
+		loaded.files, loaded.fileInfos = []string{s.File}, statFiles([]string{s.File})
 	}
 	var err error
-	if made.Reading, err = s.Read(); err != nil {
-		return made, err
+	if loaded.SourceSettings, err = s.Read(); err != nil {
+		return loaded, err
 	}
 	// Which file the command line names is known only once it was read. Should that change
 	// meanwhile, its stamp from before must not be taken for that of what was read.
-	for range readsMost {
+	for range maxReads {
 		fresh := target.ProtoReflect().New().Interface()
-		file, err := options.Read(program, made.Args, fresh, help)
-		if file != "" && !slices.Contains(made.files, file) {
-			made.files = append(made.files, file)
-			made.stamps = append(made.stamps, stampsOf([]string{file})...)
+		file, err := options.ParseWithFile(program, loaded.Args, fresh, help)
+		if file != "" && !slices.Contains(loaded.files, file) {
+			loaded.files = append(loaded.files, file)
+			loaded.fileInfos = append(loaded.fileInfos, statFiles([]string{file})...)
 			continue
 		}
 		if err != nil {
-			return made, err
+			return loaded, err
 		}
 		proto.Reset(target)
 		proto.Merge(target, fresh)
 		break
 	}
-	if made.Take != nil {
-		made.Take()
+	if loaded.OnAccepted != nil {
+		loaded.OnAccepted()
 	}
-	return made, nil
+	return loaded, nil
 }
 
-// readsMost is how often settings are read at most, to know what their file was before.
-const readsMost = 2
+// maxReads is how often settings are read at most, to know what their file was before.
+const maxReads = 2
 
-// stampsOf tells files' versions from each other; nil for one that is not there.
-func stampsOf(files []string) []os.FileInfo {
-	stamps := make([]os.FileInfo, len(files))
+// statFiles tells files' versions from each other; nil for one that is not there.
+func statFiles(files []string) []os.FileInfo {
+	infos := make([]os.FileInfo, len(files))
 	for i, file := range files {
 		if info, err := os.Stat(file); err == nil {
-			stamps[i] = info
+			infos[i] = info
 		}
 	}
-	return stamps
+	return infos
 }
 
-func sameStamps(one, other []os.FileInfo) bool {
-	return slices.EqualFunc(one, other, func(one, other os.FileInfo) bool {
-		if one == nil || other == nil {
-			return one == nil && other == nil
+func sameFileInfos(a, b []os.FileInfo) bool {
+	return slices.EqualFunc(a, b, func(a, b os.FileInfo) bool {
+		if a == nil || b == nil {
+			return a == nil && b == nil
 		}
-		return os.SameFile(one, other) && one.Size() == other.Size() && one.ModTime().Equal(other.ModTime())
+		return os.SameFile(a, b) && a.Size() == b.Size() && a.ModTime().Equal(b.ModTime())
 	})
 }
 
 // settings are those in force while a program runs.
 type settings struct {
-	program string
-	source  Source
-	started proto.Message
-	held    proto.Message
-	last    *reading
-	first   map[string]string
-	seen    []os.FileInfo // at the last look
-	changed chan os.Signal
-	log     logr.Logger
+	program            string
+	source             Source
+	initial            proto.Message
+	current            proto.Message
+	lastLoaded         *loadedSettings
+	initialRestartOnly map[string]string
+	lastFileInfos      []os.FileInfo // at the last look
+	reloadSignals      chan os.Signal
+	log                logr.Logger
 }
 
-func newSettings(program string, source Source, started proto.Message, read *reading, changed chan os.Signal, log logr.Logger) *settings {
-	return &settings{program: program, source: source, started: proto.Clone(started), held: proto.Clone(started), last: read, first: read.Rest,
-		seen: read.stamps, changed: changed, log: log}
+func newSettings(program string, source Source, initial proto.Message, loaded *loadedSettings, reloadSignals chan os.Signal, log logr.Logger) *settings {
+	return &settings{program: program, source: source, initial: proto.Clone(initial), current: proto.Clone(initial), lastLoaded: loaded, initialRestartOnly: loaded.RestartOnly,
+		lastFileInfos: loaded.fileInfos, reloadSignals: reloadSignals, log: log}
 }
 
-// Follow hands settings that have changed to a program that runs, until ctx ends: on SIGHUP, and
+// WatchSettings hands settings that have changed to a program that runs, until ctx ends: on SIGHUP, and
 // within two of every once a file is another. Only what may change while a program runs is another
 // than before in what it hands on.
-func (f *Frame) Follow(ctx context.Context, every time.Duration, take func(proto.Message)) {
-	if f.settings == nil {
+func (e *Environment) WatchSettings(ctx context.Context, interval time.Duration, apply func(proto.Message)) {
+	if e.settings == nil {
 		return
 	}
 	go func() {
-		ticker := time.NewTicker(every)
+		ticker := time.NewTicker(interval)
 		defer ticker.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-f.settings.changed:
-				f.settings.load(take)
+			case <-e.settings.reloadSignals:
+				e.settings.reload(apply)
 			case <-ticker.C:
-				f.settings.look(take)
+				e.settings.poll(apply)
 			}
 		}
 	}()
 }
 
-// look reads the files again once they are others than those read, and the same at two looks: a
+// poll reads the files again once they are others than those read, and the same at two looks: a
 // file that is being written may be cut anywhere, and yet be right by itself.
-func (s *settings) look(take func(proto.Message)) {
-	now := stampsOf(s.last.files)
-	settled := sameStamps(now, s.seen)
-	if s.seen = now; settled && !sameStamps(now, s.last.stamps) {
-		s.load(take)
+func (s *settings) poll(apply func(proto.Message)) {
+	infos := statFiles(s.lastLoaded.files)
+	unchanged := sameFileInfos(infos, s.lastFileInfos)
+	if s.lastFileInfos = infos; unchanged && !sameFileInfos(infos, s.lastLoaded.fileInfos) {
+		s.reload(apply)
 	}
 }
 
-// load reads settings anew. They are taken as a whole or not at all.
-func (s *settings) load(take func(proto.Message)) {
-	read := s.started.ProtoReflect().New().Interface()
-	made, err := s.source.read(s.program, read, io.Discard)
+// reload reads settings anew. They are taken as a whole or not at all.
+func (s *settings) reload(apply func(proto.Message)) {
+	target := s.initial.ProtoReflect().New().Interface()
+	loaded, err := s.source.load(s.program, target, io.Discard)
 	// A file that could not be taken is not asked again before it changes.
-	files := s.last.files
-	s.last = made
-	if err != nil && len(made.files) < len(files) {
-		made.files, made.stamps = files, stampsOf(files)
+	files := s.lastLoaded.files
+	s.lastLoaded = loaded
+	if err != nil && len(loaded.files) < len(files) {
+		loaded.files, loaded.fileInfos = files, statFiles(files)
 	}
-	s.seen = made.stamps
+	s.lastFileInfos = loaded.fileInfos
 	if err != nil {
-		s.refuse(err)
+		s.logRejected(err)
 		return
 	}
-	renewed := options.Renew(s.started, s.held, read)
-	for _, name := range slices.Sorted(maps.Keys(made.Rest)) {
-		if made.Rest[name] != s.first[name] {
-			renewed.Waiting = append(renewed.Waiting, name)
+	update := options.ApplyLive(s.initial, s.current, target)
+	for _, name := range slices.Sorted(maps.Keys(loaded.RestartOnly)) {
+		if loaded.RestartOnly[name] != s.initialRestartOnly[name] {
+			update.PendingRestart = append(update.PendingRestart, name)
 		}
 	}
-	if len(renewed.Waiting) > 0 {
-		s.log.Info("settings that count from the next start on", "settings", renewed.Waiting)
+	if len(update.PendingRestart) > 0 {
+		s.log.Info("settings that count from the next start on", "settings", update.PendingRestart)
 	}
-	s.log.Info("settings read again", "changed", renewed.Moved)
-	if len(renewed.Moved) > 0 {
-		s.held = renewed.Now
-		take(renewed.Now)
+	s.log.Info("settings read again", "changed", update.Changed)
+	if len(update.Changed) > 0 {
+		s.current = update.Current
+		apply(update.Current)
 	}
 }
 
-// refuse names every bad field, each with what is wrong with it.
-func (s *settings) refuse(err error) {
+// logRejected names every bad field, each with what is wrong with it.
+func (s *settings) logRejected(err error) {
 	faults := options.Faults{err.Error()}
 	var list options.Faults
 	if errors.As(err, &list) {
 		faults = list
 	}
-	s.log.Error(defect.New(defect.BadOptions, s.program), "settings refused; those from before stay in force", "faults", []string(faults))
+	s.log.Error(defect.New(defect.InvalidOptions, s.program), "settings refused; those from before stay in force", "faults", []string(faults))
 }
--- a/internal/defect/defect.go
+++ b/internal/defect/defect.go
@@ -10,147 +10,147 @@
 	"github.com/pkg/errors"
 )
 
-// Kind is the type of a failure; it is what callers, counts and logs see.
-type Kind string
+// Code is the type of a failure; it is what callers, counts and logs see.
+type Code string
 
 // The kinds of failure that leave a process or steer a decision.
 const (
-	BadOptions     Kind = "BAD_OPTIONS"
-	BadSetup       Kind = "BAD_SETUP"
-	Conflict       Kind = "CONFLICT"
-	StaleDuty      Kind = "STALE_DUTY"
-	NoMajority     Kind = "NO_MAJORITY"
-	UnknownChange  Kind = "UNKNOWN_CHANGE"
-	NoRoute        Kind = "NO_ROUTE"
-	NotAllowed     Kind = "CALLER_NOT_ALLOWED"
-	PolicyRefused  Kind = "POLICY_REFUSED"
-	TooLarge       Kind = "TOO_LARGE"
-	HeadTooLarge   Kind = "HEAD_TOO_LARGE"
-	TooSlow        Kind = "TOO_SLOW"
-	Malformed      Kind = "MALFORMED"
-	NoLease        Kind = "NO_LEASE"
-	NoWorker       Kind = "NO_WORKER"
-	BufferFull     Kind = "BUFFER_FULL"
-	Leaving        Kind = "WORKER_LEAVING"
-	WrongInstance  Kind = "WRONG_INSTANCE"
-	ProxyYoung     Kind = "PROXY_YOUNG" // has just started, and may lack workers that are there
-	VersionBarred  Kind = "VERSION_NOT_ALLOWED"
-	StalePlan      Kind = "STALE_PLAN"
-	HorizonPast    Kind = "HORIZON_PAST"
-	CallerGone     Kind = "CALLER_GONE" // closed its connection before its call was answered
-	Repeated       Kind = "REQUEST_REPEATED"
-	KeyReused      Kind = "IDEMPOTENCY_KEY_REUSED"
-	KeyUnsettled   Kind = "IDEMPOTENCY_KEY_UNSETTLED"
-	KeyUnclaimed   Kind = "IDEMPOTENCY_KEY_UNCLAIMED"
-	BadAnswer      Kind = "BAD_ANSWER"
-	LinkLost       Kind = "LINK_LOST"
-	LinkUnopened   Kind = "LINK_UNOPENED"
-	WorkerLost     Kind = "WORKER_LOST"
-	WorkerUnopened Kind = "WORKER_UNOPENED"
-	Draining       Kind = "PROXY_DRAINING"
-	DiskFailed     Kind = "DISK_FAILED"
-	DiskCorrupt    Kind = "DISK_CORRUPT"
-	Stranger       Kind = "STRANGER"
-	Internal       Kind = "INTERNAL"
+	InvalidOptions            Code = "BAD_OPTIONS"
+	InvalidConfig             Code = "BAD_SETUP"
+	Conflict                  Code = "CONFLICT"
+	StaleTerm                 Code = "STALE_DUTY"
+	NoQuorum                  Code = "NO_MAJORITY"
+	ChangeNotFound            Code = "UNKNOWN_CHANGE"
+	RouteNotFound             Code = "NO_ROUTE"
+	CallerNotAllowed          Code = "CALLER_NOT_ALLOWED"
+	PolicyDenied              Code = "POLICY_REFUSED"
+	BodyTooLarge              Code = "TOO_LARGE"
+	HeaderTooLarge            Code = "HEAD_TOO_LARGE"
+	RequestTimeout            Code = "TOO_SLOW"
+	MalformedRequest          Code = "MALFORMED"
+	NoLease                   Code = "NO_LEASE"
+	NoWorker                  Code = "NO_WORKER"
+	QueueFull                 Code = "BUFFER_FULL"
+	WorkerDraining            Code = "WORKER_LEAVING"
+	WrongInstance             Code = "WRONG_INSTANCE"
+	ProxyWarmingUp            Code = "PROXY_YOUNG" // has just started, and may lack workers that are there
+	VersionNotAllowed         Code = "VERSION_NOT_ALLOWED"
+	StalePlan                 Code = "STALE_PLAN"
+	DeadlineExceeded          Code = "HORIZON_PAST"
+	CallerDisconnected        Code = "CALLER_GONE" // closed its connection before its call was answered
+	DuplicateRequest          Code = "REQUEST_REPEATED"
+	IdempotencyKeyReused      Code = "IDEMPOTENCY_KEY_REUSED"
+	IdempotencyKeyUnresolved  Code = "IDEMPOTENCY_KEY_UNSETTLED"
+	IdempotencyKeyNotReserved Code = "IDEMPOTENCY_KEY_UNCLAIMED"
+	InvalidResponse           Code = "BAD_ANSWER"
+	PeerConnectionLost        Code = "LINK_LOST"
+	PeerConnectFailed         Code = "LINK_UNOPENED"
+	WorkerConnectionLost      Code = "WORKER_LOST"
+	WorkerConnectFailed       Code = "WORKER_UNOPENED"
+	ProxyDraining             Code = "PROXY_DRAINING"
+	DiskFailed                Code = "DISK_FAILED"
+	DiskCorrupt               Code = "DISK_CORRUPT"
+	Unauthorized              Code = "STRANGER"
+	Internal                  Code = "INTERNAL"
 )
 
 // statusClosedRequest is what logs call a request whose client closed its connection; nobody is sent it.
 const statusClosedRequest = 499
 
-// statusByKind is the HTTP status that a caller or operator gets for a kind.
-var statusByKind = map[Kind]int{
-	BadOptions:     http.StatusBadRequest,
-	BadSetup:       http.StatusBadRequest,
-	Malformed:      http.StatusBadRequest,
-	Conflict:       http.StatusConflict,
-	StaleDuty:      http.StatusConflict,
-	NoMajority:     http.StatusServiceUnavailable,
-	UnknownChange:  http.StatusNotFound,
-	NoRoute:        http.StatusNotFound,
-	NotAllowed:     http.StatusForbidden,
-	PolicyRefused:  http.StatusForbidden,
-	TooLarge:       http.StatusRequestEntityTooLarge,
-	HeadTooLarge:   http.StatusRequestHeaderFieldsTooLarge,
-	TooSlow:        http.StatusRequestTimeout,
-	NoLease:        http.StatusServiceUnavailable,
-	NoWorker:       http.StatusServiceUnavailable,
-	BufferFull:     http.StatusServiceUnavailable,
-	Draining:       http.StatusServiceUnavailable,
-	Leaving:        http.StatusServiceUnavailable,
-	WrongInstance:  http.StatusServiceUnavailable,
-	VersionBarred:  http.StatusServiceUnavailable,
-	ProxyYoung:     http.StatusServiceUnavailable,
-	StalePlan:      http.StatusServiceUnavailable,
-	LinkUnopened:   http.StatusServiceUnavailable,
-	WorkerUnopened: http.StatusServiceUnavailable,
-	HorizonPast:    http.StatusGatewayTimeout,
-	CallerGone:     statusClosedRequest,
-	KeyReused:      http.StatusUnprocessableEntity,
-	KeyUnsettled:   http.StatusConflict,
-	KeyUnclaimed:   http.StatusServiceUnavailable,
-	Repeated:       http.StatusConflict,
-	BadAnswer:      http.StatusBadGateway,
-	LinkLost:       http.StatusBadGateway,
-	WorkerLost:     http.StatusBadGateway,
-	DiskFailed:     http.StatusInternalServerError,
-	DiskCorrupt:    http.StatusInternalServerError,
-	Stranger:       http.StatusForbidden,
-	Internal:       http.StatusInternalServerError,
+// statusByCode is the HTTP status that a caller or operator gets for a kind.
+var statusByCode = map[Code]int{
+	InvalidOptions:            http.StatusBadRequest,
+	InvalidConfig:             http.StatusBadRequest,
+	MalformedRequest:          http.StatusBadRequest,
+	Conflict:                  http.StatusConflict,
+	StaleTerm:                 http.StatusConflict,
+	NoQuorum:                  http.StatusServiceUnavailable,
+	ChangeNotFound:            http.StatusNotFound,
+	RouteNotFound:             http.StatusNotFound,
+	CallerNotAllowed:          http.StatusForbidden,
+	PolicyDenied:              http.StatusForbidden,
+	BodyTooLarge:              http.StatusRequestEntityTooLarge,
+	HeaderTooLarge:            http.StatusRequestHeaderFieldsTooLarge,
+	RequestTimeout:            http.StatusRequestTimeout,
+	NoLease:                   http.StatusServiceUnavailable,
+	NoWorker:                  http.StatusServiceUnavailable,
+	QueueFull:                 http.StatusServiceUnavailable,
+	ProxyDraining:             http.StatusServiceUnavailable,
+	WorkerDraining:            http.StatusServiceUnavailable,
+	WrongInstance:             http.StatusServiceUnavailable,
+	VersionNotAllowed:         http.StatusServiceUnavailable,
+	ProxyWarmingUp:            http.StatusServiceUnavailable,
+	StalePlan:                 http.StatusServiceUnavailable,
+	PeerConnectFailed:         http.StatusServiceUnavailable,
+	WorkerConnectFailed:       http.StatusServiceUnavailable,
+	DeadlineExceeded:          http.StatusGatewayTimeout,
+	CallerDisconnected:        statusClosedRequest,
+	IdempotencyKeyReused:      http.StatusUnprocessableEntity,
+	IdempotencyKeyUnresolved:  http.StatusConflict,
+	IdempotencyKeyNotReserved: http.StatusServiceUnavailable,
+	DuplicateRequest:          http.StatusConflict,
+	InvalidResponse:           http.StatusBadGateway,
+	PeerConnectionLost:        http.StatusBadGateway,
+	WorkerConnectionLost:      http.StatusBadGateway,
+	DiskFailed:                http.StatusInternalServerError,
+	DiskCorrupt:               http.StatusInternalServerError,
+	Unauthorized:              http.StatusForbidden,
+	Internal:                  http.StatusInternalServerError,
 }
 
-// Kinds lists every kind of failure there is.
-func Kinds() []Kind { return slices.Sorted(maps.Keys(statusByKind)) }
+// Codes lists every kind of failure there is.
+func Codes() []Code { return slices.Sorted(maps.Keys(statusByCode)) }
 
-// Defect is a failure with its kind; the cause, if any, carries the stack.
-type Defect struct {
-	Kind   Kind
+// Error is a failure with its kind; the cause, if any, carries the stack.
+type Error struct {
+	Code   Code
 	Detail string
 	cause  error
 }
 
 // Error says the kind first, so that a log line can be searched by it.
-func (d *Defect) Error() string {
-	text := string(d.Kind)
-	if d.Detail != "" {
-		text += ": " + d.Detail
+func (e *Error) Error() string {
+	message := string(e.Code)
+	if e.Detail != "" {
+		message += ": " + e.Detail
 	}
-	if d.cause != nil {
-		text += ": " + d.cause.Error()
+	if e.cause != nil {
+		message += ": " + e.cause.Error()
 	}
-	return text
+	return message
 }
 
 // Unwrap gives the cause to errors.Is and errors.As.
-func (d *Defect) Unwrap() error { return d.cause }
+func (e *Error) Unwrap() error { return e.cause }
 
 // New makes a failure that has no cause in another library.
-func New(kind Kind, detail string) *Defect { return &Defect{Kind: kind, Detail: detail} }
+func New(code Code, detail string) *Error { return &Error{Code: code, Detail: detail} }
 
 // Wrap names an error from elsewhere; nil stays nil and a defect keeps its first kind.
-func Wrap(err error, kind Kind, detail string) error {
+func Wrap(err error, code Code, detail string) error {
 	if err == nil {
 		return nil
 	}
 	// The first name given is nearest the cause, so it is the one kept.
-	var inner *Defect
+	var inner *Error
 	if stderrors.As(err, &inner) {
-		return &Defect{Kind: inner.Kind, Detail: detail, cause: err}
+		return &Error{Code: inner.Code, Detail: detail, cause: err}
 	}
-	return &Defect{Kind: kind, Detail: detail, cause: errors.WithStack(err)}
+	return &Error{Code: code, Detail: detail, cause: errors.WithStack(err)}
 }
 
-// KindOf finds the kind of any error; one that was never named is internal.
-func KindOf(err error) Kind {
-	var found *Defect
-	if stderrors.As(err, &found) {
-		return found.Kind
+// CodeOf finds the kind of any error; one that was never named is internal.
+func CodeOf(err error) Code {
+	var typed *Error
+	if stderrors.As(err, &typed) {
+		return typed.Code
 	}
 	return Internal
 }
 
-// Status is the HTTP status for a kind.
-func Status(kind Kind) int {
-	if status, known := statusByKind[kind]; known {
+// HTTPStatus is the HTTP status for a kind.
+func HTTPStatus(code Code) int {
+	if status, found := statusByCode[code]; found {
 		return status
 	}
 	return http.StatusInternalServerError
--- a/internal/defect/golden_test.go
+++ b/internal/defect/golden_test.go
@@ -10,14 +10,14 @@
 	"meadowhinge/internal/defect"
 )
 
-// TestKindsGolden compares every kind of failure and its HTTP status with the golden list. Callers
+// TestCodesGolden compares every kind of failure and its HTTP status with the golden list. Callers
 // and operators decide by these words, so they outlive the names of the constants.
-func TestKindsGolden(t *testing.T) {
+func TestCodesGolden(t *testing.T) {
 	var listed strings.Builder
-	for _, kind := range defect.Kinds() {
-		fmt.Fprintf(&listed, "%s %d\n", kind, defect.Status(kind))
+	for _, code := range defect.Codes() {
+		fmt.Fprintf(&listed, "%s %d\n", code, defect.HTTPStatus(code))
 	}
-	fmt.Fprintf(&listed, "(any other) %d\n", defect.Status("NO_SUCH_KIND"))
+	fmt.Fprintf(&listed, "(any other) %d\n", defect.HTTPStatus("NO_SUCH_KIND"))
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", "kinds.txt"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -17,142 +17,142 @@
 // Where nothing else tells of a proxy that hangs, one try of a repeatable call may take this part of the time left, or all but so many times
 // what its worker takes, if that is known.
 const (
-	repeatParts = 2
-	repeatTimes = 2
+	attemptTimeDivisor   = 2
+	reservedServiceTimes = 2
 )
 
 // intact tells whether an answer is this request's, as it was sent.
-func intact(carry *schema.Carry, carried *schema.Carried) bool {
-	return carried.Request == carry.Request && uint64(len(carried.Body)) == carried.Length && crc32.ChecksumIEEE(carried.Body) == carried.Checksum
+func intact(request *schema.Carry, response *schema.Carried) bool {
+	return response.Request == request.Request && uint64(len(response.Body)) == response.Length && crc32.ChecksumIEEE(response.Body) == response.Checksum
 }
 
-// aimLeft is what is left of a call's aim, below 0 once it is past, 0 if it has none.
-func aimLeft(made *plan.Plan, left time.Duration) int64 {
-	if made.Aim <= 0 {
+// remainingTarget is what is left of a call's aim, below 0 once it is past, 0 if it has none.
+func remainingTarget(callPlan *plan.Plan, remaining time.Duration) int64 {
+	if callPlan.LatencyTarget <= 0 {
 		return 0
 	}
-	aim := made.Aim - (made.Horizon - left)
-	if aim <= 0 {
+	target := callPlan.LatencyTarget - (callPlan.Deadline - remaining)
+	if target <= 0 {
 		return -1
 	}
-	return int64(aim)
+	return int64(target)
 }
 
-// enquiryTimes is how many times what an enquiry takes must be likely to be spared by it.
-const enquiryTimes = 2
+// capacityCheckGain is how many times what an enquiry takes must be likely to be spared by it.
+const capacityCheckGain = 2
 
-// enquire asks whether there is room at a worker in another zone before a body is sent there that is
+// checkCapacity asks whether there is room at a worker in another zone before a body is sent there that is
 // likely to be refused: what is turned away need not have travelled. Nil: it is to be sent.
-func (c *Carrier) enquire(ctx context.Context, carry *schema.Carry, candidate *plan.Candidate, turned bool) *schema.Carried {
-	if candidate.Area == c.Options.Area || len(carry.Body) == 0 {
+func (f *Forwarder) checkCapacity(ctx context.Context, request *schema.Carry, endpoint *plan.Endpoint, refusedBefore bool) *schema.Carried {
+	if endpoint.Zone == f.PlanOptions.Zone || len(request.Body) == 0 {
 		return nil
 	}
-	chance := c.Soundness.Turns(candidate.Instance)
+	refusalProbability := f.Outliers.RefusalRate(endpoint.Instance)
 	// Whom another has just turned away is as likely as not to be turned away here.
-	if turned {
-		chance = max(chance, 0.5)
+	if refusedBefore {
+		refusalProbability = max(refusalProbability, 0.5)
 	}
 	// A proxy that knows no enquiries takes this for a request that lost its body, and refuses it.
-	enquiry := &schema.Carry{Request: carry.Request, Caller: carry.Caller, Service: carry.Service, Version: carry.Version, Instance: carry.Instance,
-		Checksum: carry.Checksum, LeftNanos: carry.LeftNanos, Route: carry.Route, Rank: carry.Rank, AimNanos: carry.AimNanos, Enquiry: true}
-	if chance*float64(len(carry.Body)) < enquiryTimes*float64(proto.Size(enquiry)) {
+	capacityCheck := &schema.Carry{Request: request.Request, Caller: request.Caller, Service: request.Service, Version: request.Version, Instance: request.Instance,
+		Checksum: request.Checksum, LeftNanos: request.LeftNanos, Route: request.Route, Rank: request.Rank, AimNanos: request.AimNanos, Enquiry: true}
+	if refusalProbability*float64(len(request.Body)) < capacityCheckGain*float64(proto.Size(capacityCheck)) {
 		return nil
 	}
-	carried, err := c.SendOn(ctx, *candidate, enquiry)
+	response, err := f.Send(ctx, *endpoint, capacityCheck)
 	switch {
-	case err != nil && c.Patient && ctx.Err() != nil:
-		return notRun(endOf(ctx), 0)
+	case err != nil && f.NoAttemptTimeout && ctx.Err() != nil:
+		return notExecuted(contextErrorCode(ctx), 0)
 	case err != nil:
 		// Nothing that could run was sent.
-		c.Soundness.Lost(candidate.Proxy, c.Now())
-		return notRun(defect.LinkUnopened, 0)
-	case carried.Request != carry.Request || carried.Ending != schema.Ending_ENDING_NOT_RUN || carried.Defect == "":
+		f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
+		return notExecuted(defect.PeerConnectFailed, 0)
+	case response.Request != request.Request || response.Ending != schema.Ending_ENDING_NOT_RUN || response.Defect == "":
 		return nil
 	}
-	c.Soundness.Reached(candidate.Proxy)
-	return carried
+	f.Outliers.MarkReachable(endpoint.Proxy)
+	return response
 }
 
-// sendOn sends a call to a candidate; turned tells whether another has already turned it away.
-func (c *Carrier) sendOn(ctx context.Context, call *Call, ended *Ended, candidate plan.Candidate, left time.Duration, turned bool) *schema.Carried {
-	carry := &schema.Carry{Request: ended.ID + "-" + strconv.Itoa(ended.Tries), Caller: call.Request.Caller, Service: ended.Plan.Service,
-		Version: ended.Plan.Verdict.Version, Instance: candidate.Instance, Method: call.Request.Method, Target: call.Target,
-		Head: call.Head, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), LeftNanos: int64(left),
-		Setup: ended.Plan.Verdict.Setup, Once: ended.Plan.Class == setup.Once, Idempotency: call.Request.Idempotency, Route: ended.Plan.Route.Name,
-		Host: call.Request.Host, Identity: call.Request.Identity, Rank: uint32(max(0, ended.Plan.Route.Rank)), AimNanos: aimLeft(ended.Plan, left)}
+// sendAttempt sends a call to a candidate; turned tells whether another has already turned it away.
+func (f *Forwarder) sendAttempt(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, remaining time.Duration, refusedBefore bool) *schema.Carried {
+	request := &schema.Carry{Request: result.ID + "-" + strconv.Itoa(result.Attempts), Caller: call.Request.Caller, Service: result.Plan.Service,
+		Version: result.Plan.Verdict.Version, Instance: endpoint.Instance, Method: call.Request.Method, Target: call.Target,
+		Head: call.HeaderBlock, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), LeftNanos: int64(remaining),
+		Setup: result.Plan.Verdict.ConfigRevision, Once: result.Plan.Class == setup.ClassNonIdempotent, Idempotency: call.Request.IdempotencyKey, Route: result.Plan.Route.Name,
+		Host: call.Request.Host, Identity: call.Request.Identity, Rank: uint32(max(0, result.Plan.Route.Priority)), AimNanos: remainingTarget(result.Plan, remaining)}
 	// A call that may be repeated leaves itself time to be, should this proxy hang: as much as the
 	// worker takes, for what is broken off while it runs is lost.
-	bounded := ctx
-	if ended.Plan.Class == setup.Repeatable && !c.Patient {
-		patience := left / repeatParts
-		if pace := c.Soundness.See(&candidate, c.Now()).Pace; pace > 0 {
-			patience = max(patience, left-repeatTimes*pace)
+	attemptCtx := ctx
+	if result.Plan.Class == setup.ClassIdempotent && !f.NoAttemptTimeout {
+		timeout := remaining / attemptTimeDivisor
+		if serviceTime := f.Outliers.Stats(&endpoint, f.Now()).ServiceTime; serviceTime > 0 {
+			timeout = max(timeout, remaining-reservedServiceTimes*serviceTime)
 		}
 		var cancel context.CancelFunc
-		bounded, cancel = context.WithTimeout(ctx, patience)
+		attemptCtx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
 	var ending schema.Ending
 	var status int32
-	callerLeft := false
-	sentAt := c.Now()
-	c.Soundness.Begin(candidate.Instance, sentAt)
-	if refusal := c.enquire(bounded, carry, &candidate, turned); refusal != nil {
-		if calledOff(refusal) {
-			c.Soundness.CalledOff(candidate.Instance)
+	callerGone := false
+	sentAt := f.Now()
+	f.Outliers.BeginCall(endpoint.Instance, sentAt)
+	if refusal := f.checkCapacity(attemptCtx, request, &endpoint, refusedBefore); refusal != nil {
+		if isCanceled(refusal) {
+			f.Outliers.CancelCall(endpoint.Instance)
 		} else {
-			c.Soundness.Ended(candidate.Instance, c.Now(), c.Now()-sentAt, refusal)
+			f.Outliers.RecordResponse(endpoint.Instance, f.Now(), f.Now()-sentAt, refusal)
 		}
 		return refusal
 	}
 	// It may have waited for its turn already.
-	if waited := c.Now() - sentAt; waited > 0 {
-		left -= waited
-		carry.LeftNanos, carry.AimNanos = int64(left), aimLeft(ended.Plan, left)
+	if waited := f.Now() - sentAt; waited > 0 {
+		remaining -= waited
+		request.LeftNanos, request.AimNanos = int64(remaining), remainingTarget(result.Plan, remaining)
 	}
-	if len(c.View().Setup.Guards[ended.Plan.Service]) > 0 {
-		tried := c.Trials.Begin(ended.Plan.Service, ended.Plan.Verdict.Version, c.Now())
+	if len(f.View().Config.GuardedVersions[result.Plan.Service]) > 0 {
+		canaryCall := f.Canaries.Begin(result.Plan.Service, result.Plan.Verdict.Version, f.Now())
 		defer func() {
-			if callerLeft {
-				c.Trials.Drop(tried)
+			if callerGone {
+				f.Canaries.Discard(canaryCall)
 				return
 			}
 			// What was proved not to have run says nothing of the version.
-			c.Trials.End(tried, c.Now(), ending == schema.Ending_ENDING_UNKNOWN || status >= 500)
+			f.Canaries.End(canaryCall, f.Now(), ending == schema.Ending_ENDING_UNKNOWN || status >= 500)
 		}()
 	}
-	carried, err := c.SendOn(bounded, candidate, carry)
+	response, err := f.Send(attemptCtx, endpoint, request)
 	// A patient call that came to the end of its time found a slow worker, not a lost proxy.
-	outOfTime := c.Patient && ctx.Err() != nil
+	deadlinePassed := f.NoAttemptTimeout && ctx.Err() != nil
 	switch {
 	case err == nil:
-		c.Soundness.Reached(candidate.Proxy)
-	case !outOfTime:
-		c.Soundness.Lost(candidate.Proxy, c.Now())
+		f.Outliers.MarkReachable(endpoint.Proxy)
+	case !deadlinePassed:
+		f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
 	}
 	switch {
-	case err != nil && outOfTime:
-		carried = unknown(endOf(ctx))
-	case err != nil && defect.KindOf(err) == defect.LinkUnopened:
-		carried = notRun(defect.LinkUnopened, 0)
+	case err != nil && deadlinePassed:
+		response = outcomeUnknown(contextErrorCode(ctx))
+	case err != nil && defect.CodeOf(err) == defect.PeerConnectFailed:
+		response = notExecuted(defect.PeerConnectFailed, 0)
 	case err != nil:
-		carried = unknown(defect.LinkLost)
+		response = outcomeUnknown(defect.PeerConnectionLost)
 	// An answer that is not this request's, or not whole, is no answer.
-	case !intact(carry, carried):
-		carried = unknown(defect.BadAnswer)
+	case !intact(request, response):
+		response = outcomeUnknown(defect.InvalidResponse)
 	}
-	if calledOff(carried) {
-		callerLeft = true
-		c.Soundness.CalledOff(candidate.Instance)
-		return carried
+	if isCanceled(response) {
+		callerGone = true
+		f.Outliers.CancelCall(endpoint.Instance)
+		return response
 	}
 	// The directory is behind: what it still lists is no more, and need not be tried again.
-	if refusal := defect.Kind(carried.Defect); carried.Ending == schema.Ending_ENDING_NOT_RUN && (refusal == defect.WrongInstance || refusal == defect.Leaving) {
-		c.Soundness.Disown(candidate.Instance)
+	if refusal := defect.Code(response.Defect); response.Ending == schema.Ending_ENDING_NOT_RUN && (refusal == defect.WrongInstance || refusal == defect.WorkerDraining) {
+		f.Outliers.MarkDisowned(endpoint.Instance)
 	}
-	ending, status = carried.Ending, carried.Status
-	endedAt := c.Now()
-	c.Soundness.Ended(candidate.Instance, endedAt, endedAt-sentAt, carried)
-	c.Soundness.Asked(candidate.Instance, ended.Plan.Route.Name, endedAt, carried)
-	return carried
+	ending, status = response.Ending, response.Status
+	endedAt := f.Now()
+	f.Outliers.RecordResponse(endpoint.Instance, endedAt, endedAt-sentAt, response)
+	f.Outliers.RecordOffer(endpoint.Instance, result.Plan.Route.Name, endedAt, response)
+	return response
 }
--- a/internal/dispatch/budget_test.go
+++ b/internal/dispatch/budget_test.go
@@ -8,18 +8,18 @@
 
 // In any window, extra tries stay within the ratio of the calls in them, and the floor.
 func TestBudgetInAnyWindow(t *testing.T) {
-	dice := rand.New(rand.NewPCG(5, 5))
+	random := rand.New(rand.NewPCG(5, 5))
 	for round := range 200 {
-		window := []time.Duration{BudgetWindow, 8 * time.Second, 3 * time.Second}[round%3]
-		budget, floor := NewBudget(0.2, window), float64(dice.IntN(20))
+		window := []time.Duration{DefaultRetryWindow, 8 * time.Second, 3 * time.Second}[round%3]
+		budget, floor := NewRetryBudget(0.2, window), float64(random.IntN(20))
 		var calls, extras []time.Duration
-		for now := time.Duration(0); now < 40*time.Second; now += time.Duration(dice.Int64N(int64(200 * time.Millisecond))) {
-			if dice.IntN(2) == 0 {
-				budget.Call(now)
+		for now := time.Duration(0); now < 40*time.Second; now += time.Duration(random.Int64N(int64(200 * time.Millisecond))) {
+			if random.IntN(2) == 0 {
+				budget.RecordCall(now)
 				calls = append(calls, now)
 			}
-			for budget.Spend(now, floor, 1) {
-				if extras = append(extras, now); dice.IntN(3) == 0 {
+			for budget.Allow(now, floor, 1) {
+				if extras = append(extras, now); random.IntN(3) == 0 {
 					break
 				}
 			}
@@ -43,25 +43,25 @@
 // Bounds that change while calls are under way hold from then on, for a window that ends after the
 // change as well as the extra tries of before count: nobody gets a second budget by a change.
 func TestBudgetThatChanges(t *testing.T) {
-	dice := rand.New(rand.NewPCG(6, 6))
+	random := rand.New(rand.NewPCG(6, 6))
 	for round := range 200 {
-		windows := []time.Duration{BudgetWindow, 8 * time.Second, 4 * time.Second}
-		window, ratio, floor := windows[round%3], 0.3, float64(5+dice.IntN(20))
-		budget := NewBudget(ratio, window)
+		windows := []time.Duration{DefaultRetryWindow, 8 * time.Second, 4 * time.Second}
+		window, ratio, floor := windows[round%3], 0.3, float64(5+random.IntN(20))
+		budget := NewRetryBudget(ratio, window)
 		var calls, extras []time.Duration
 		changed := 15 * time.Second
-		for now := time.Duration(0); now < 40*time.Second; now += time.Duration(dice.Int64N(int64(200 * time.Millisecond))) {
+		for now := time.Duration(0); now < 40*time.Second; now += time.Duration(random.Int64N(int64(200 * time.Millisecond))) {
 			if now >= changed && ratio > 0.1 {
 				// The window changes in some rounds, the ratio in all.
 				window, ratio = windows[(round/3)%3], 0.1
-				budget.rebound(now, &Bounds{ExtraRatio: ratio, ExtraWindow: window})
+				budget.setLimits(now, &Limits{RetryRatio: ratio, RetryWindow: window})
 			}
-			if dice.IntN(2) == 0 {
-				budget.Call(now)
+			if random.IntN(2) == 0 {
+				budget.RecordCall(now)
 				calls = append(calls, now)
 			}
-			for budget.Spend(now, floor, 1) {
-				if extras = append(extras, now); dice.IntN(3) == 0 {
+			for budget.Allow(now, floor, 1) {
+				if extras = append(extras, now); random.IntN(3) == 0 {
 					break
 				}
 			}
--- a/internal/dispatch/buffer.go
+++ b/internal/dispatch/buffer.go
@@ -9,387 +9,389 @@
 	"meadowhinge/internal/defect"
 )
 
-// Buffer is what waits for one worker at the proxy beside it. That proxy is the only way to the
+// WorkerQueue is what waits for one worker at the proxy beside it. That proxy is the only way to the
 // worker, so it knows exactly how much the worker has at hand: it gives it no more than it can
 // work on, lets the rest wait in an order, and refuses at once what would be answered too late.
 // What it refuses was never handed over.
-type Buffer struct {
-	lock    sync.Mutex
-	most    int // handed over at once, whatever the worker says
-	slots   int // that the worker works on at once, 0 for not told
-	narrow  int // handed over at once since the worker turned something away, 0 for no such bound
-	eased   int // answers since then
-	running int
-	moved   time.Duration // when something was handed over or ended last
-	waiting []*Waiter     // by rank, then by when each must start
-	shut    defect.Kind
-	all     pace
-	routes  map[string]*pace
-	road    *Road         // that answers leave by
-	answer  time.Duration // that one takes on it, of late
+type WorkerQueue struct {
+	lock                sync.Mutex
+	maxRunning          int // handed over at once, whatever the worker says
+	slots               int // that the worker works on at once, 0 for not told
+	reducedLimit        int // handed over at once since the worker turned something away, 0 for no such bound
+	answersSinceReduced int // answers since then
+	running             int
+	lastProgressAt      time.Duration    // when something was handed over or ended last
+	waiting             []*QueuedRequest // by rank, then by when each must start
+	closedReason        defect.Code
+	overall             serviceTimeEstimate
+	byRoute             map[string]*serviceTimeEstimate
+	uplink              *Uplink       // that answers leave by
+	answerTransferTime  time.Duration // that one takes on it, of late
 }
 
-// Ask is a request that wants to be handed over.
-type Ask struct {
-	Route   string
-	Rank    uint32        // 0 goes first
-	Aim     time.Duration // until when an answer is worth most, 0 for no such time
-	Horizon time.Duration // until when it is worth anything
+// AdmissionRequest is a request that wants to be handed over.
+type AdmissionRequest struct {
+	Route    string
+	Priority uint32        // 0 goes first
+	TargetAt time.Duration // until when an answer is worth most, 0 for no such time
+	Deadline time.Duration // until when it is worth anything
 }
 
-// Turn is what a request is told: to go, or why not and when to come back.
-type Turn struct {
-	Kind defect.Kind // empty: it is its turn
-	Back time.Duration
+// Admission is what a request is told: to go, or why not and when to come back.
+type Admission struct {
+	Refusal    defect.Code // empty: it is its turn
+	RetryAfter time.Duration
 }
 
-// Waiter is a request that waits for its turn.
-type Waiter struct {
-	Turn   chan Turn // has room, so that nobody waits to tell it
-	ask    Ask
-	came   time.Duration
-	work   time.Duration // that it is likely to take
-	spread time.Duration // by which it may well take longer
-	start  time.Duration // when it must start at the latest to be answered in time
+// QueuedRequest is a request that waits for its turn.
+type QueuedRequest struct {
+	Admission   chan Admission // has room, so that nobody waits to tell it
+	request     AdmissionRequest
+	arrivedAt   time.Duration
+	serviceTime time.Duration // that it is likely to take
+	deviation   time.Duration // by which it may well take longer
+	latestStart time.Duration // when it must start at the latest to be answered in time
 }
 
 // cost is the worker's time that a request takes, against what its rank is worth.
-func (w *Waiter) cost() float64 { return costOf(w.work, w.ask.Rank) }
+func (q *QueuedRequest) cost() float64 { return priorityCost(q.serviceTime, q.request.Priority) }
 
-func costOf(work time.Duration, rank uint32) float64 {
-	return float64(work) * math.Pow(rankTimes, float64(rank))
+func priorityCost(serviceTime time.Duration, priority uint32) float64 {
+	return float64(serviceTime) * math.Pow(priorityFactor, float64(priority))
 }
 
-// before tells who goes first: whoever costs less of the worker's time for its rank, so that where
+// goesBefore tells who goes first: whoever costs less of the worker's time for its rank, so that where
 // not all can be served the most are, and what other work waits for is not turned away; of a
 // kind, whoever must start earlier.
-func (w *Waiter) before(other *Waiter) bool {
-	if mine, theirs := w.cost(), other.cost(); mine != theirs && (w.ask.Route != other.ask.Route || w.ask.Rank != other.ask.Rank) {
-		return mine < theirs
+func (q *QueuedRequest) goesBefore(other *QueuedRequest) bool {
+	if ownCost, otherCost := q.cost(), other.cost(); ownCost != otherCost && (q.request.Route != other.request.Route || q.request.Priority != other.request.Priority) {
+		return ownCost < otherCost
 	}
-	return w.start <= other.start
+	return q.latestStart <= other.latestStart
 }
 
-// pace is how long requests take, of late, and which part of the worker's time is theirs.
-type pace struct {
-	mean   time.Duration
-	spread time.Duration // how far from the mean they commonly are
-	known  bool
-	rank   uint32
-	part   float64
-	at     time.Duration // as of when
+// serviceTimeEstimate is how long requests take, of late, and which part of the worker's time is theirs.
+type serviceTimeEstimate struct {
+	mean         time.Duration
+	deviation    time.Duration // how far from the mean they commonly are
+	known        bool
+	priority     uint32
+	timeFraction float64
+	updatedAt    time.Duration // as of when
 }
 
-// partAt is the part of the worker's time at a moment; it fades over a span.
-func (p *pace) partAt(now, span time.Duration) float64 {
-	if span <= 0 || now <= p.at {
-		return p.part
+// timeFractionAt is the part of the worker's time at a moment; it fades over a span.
+func (e *serviceTimeEstimate) timeFractionAt(now, window time.Duration) float64 {
+	if window <= 0 || now <= e.updatedAt {
+		return e.timeFraction
 	}
-	return p.part * math.Exp(-float64(now-p.at)/float64(span))
+	return e.timeFraction * math.Exp(-float64(now-e.updatedAt)/float64(window))
 }
 
 // Ratios of the buffer.
 const (
-	overlapParts = 16   // besides one, this part of the slots is handed over ahead, to hide the way there
-	meanParts    = 8    // each answer moves the mean by this part
-	heldParts    = 4    // of the time to its aim, after which a request that waits is not sent elsewhere any more
-	easeTimes    = 2    // answers, as a multiple of what is handed over, after which one more is tried
-	unknownTimes = 2    // requests that may wait for each that runs, while it is not known how long they take
-	shortTimes   = 2    // a request is short that takes this part of the mean
-	rankTimes    = 2    // a rank is worth this many times the one below it
-	spanTimes    = 32   // the mean, over which it is reckoned whose the worker's time is
-	takenMost    = 0.95 // of its time that those who go first are reckoned with at the most
-	waitTimes    = 3    // parts of the time left, out of the next number, that a request waits at the most
-	waitOutOf    = 8
-	routesMost   = 1024
+	overlapDivisor        = 16   // besides one, this part of the slots is handed over ahead, to hide the way there
+	averagingDivisor      = 8    // each answer moves the mean by this part
+	displaceDivisor       = 4    // of the time to its aim, after which a request that waits is not sent elsewhere any more
+	increaseAfterFactor   = 2    // answers, as a multiple of what is handed over, after which one more is tried
+	unmeasuredQueueFactor = 2    // requests that may wait for each that runs, while it is not known how long they take
+	shortRequestFactor    = 2    // a request is short that takes this part of the mean
+	priorityFactor        = 2    // a rank is worth this many times the one below it
+	fractionWindowFactor  = 32   // the mean, over which it is reckoned whose the worker's time is
+	maxPrecedingFraction  = 0.95 // of its time that those who go first are reckoned with at the most
+	maxWaitNumerator      = 3    // parts of the time left, out of the next number, that a request waits at the most
+	maxWaitDenominator    = 8
+	maxRoutes             = 1024
 )
 
-// NewBuffer hands over at most so many at once.
-func NewBuffer(most, slots int) *Buffer {
-	return &Buffer{most: most, slots: slots, routes: map[string]*pace{}}
+// NewWorkerQueue hands over at most so many at once.
+func NewWorkerQueue(maxRunning, slots int) *WorkerQueue {
+	return &WorkerQueue{maxRunning: maxRunning, slots: slots, byRoute: map[string]*serviceTimeEstimate{}}
 }
 
-// leaving has the answers leave by a link.
-func (b *Buffer) leaving(road *Road) *Buffer {
-	b.road = road
-	return b
+// withUplink has the answers leave by a link.
+func (q *WorkerQueue) withUplink(uplink *Uplink) *WorkerQueue {
+	q.uplink = uplink
+	return q
 }
 
 // limit is how many are handed over at once.
-func (b *Buffer) limit() int {
-	limit := b.most
-	if b.slots > 0 {
-		limit = min(limit, b.slots+1+b.slots/overlapParts)
+func (q *WorkerQueue) limit() int {
+	limit := q.maxRunning
+	if q.slots > 0 {
+		limit = min(limit, q.slots+1+q.slots/overlapDivisor)
 	}
-	if b.narrow > 0 {
-		limit = min(limit, b.narrow)
+	if q.reducedLimit > 0 {
+		limit = min(limit, q.reducedLimit)
 	}
 	// More answers than the link carries away would only wait there, where none goes before another.
-	if b.answer > 0 && b.all.known {
-		limit = min(limit, 1+int(b.ahead()/b.answer))
+	if q.answerTransferTime > 0 && q.overall.known {
+		limit = min(limit, 1+int(q.uplinkBacklogTarget()/q.answerTransferTime))
 	}
 	return max(1, limit)
 }
 
-// ahead is how much of the link's time answers that are under way may take: what keeps it busy
+// uplinkBacklogTarget is how much of the link's time answers that are under way may take: what keeps it busy
 // while the next ones are worked on.
-func (b *Buffer) ahead() time.Duration { return b.all.mean + b.all.mean/overlapParts }
+func (q *WorkerQueue) uplinkBacklogTarget() time.Duration {
+	return q.overall.mean + q.overall.mean/overlapDivisor
+}
 
-// room tells whether one more may be handed over. What is on the link already leaves so much less
+// hasCapacity tells whether one more may be handed over. What is on the link already leaves so much less
 // for answers; but one is always under way, whose end gives the next their turn.
-func (b *Buffer) room() bool {
+func (q *WorkerQueue) hasCapacity() bool {
 	switch {
-	case b.running == 0:
+	case q.running == 0:
 		return true
-	case b.running >= b.limit():
+	case q.running >= q.limit():
 		return false
 	}
-	return b.answer == 0 || b.road.Wait()+time.Duration(b.running)*b.answer <= b.ahead()
+	return q.answerTransferTime == 0 || q.uplink.Backlog()+time.Duration(q.running)*q.answerTransferTime <= q.uplinkBacklogTarget()
 }
 
-// work is how long a request of a route takes, and by how much it may well be longer.
-func (b *Buffer) work(route string) (mean, spread time.Duration) {
-	if known := b.routes[route]; known != nil {
-		return known.mean, known.spread
+// expectedServiceTime is how long a request of a route takes, and by how much it may well be longer.
+func (q *WorkerQueue) expectedServiceTime(route string) (mean, deviation time.Duration) {
+	if estimate := q.byRoute[route]; estimate != nil {
+		return estimate.mean, estimate.deviation
 	}
-	return b.all.mean, b.all.spread
+	return q.overall.mean, q.overall.deviation
 }
 
-// waitOf is how long a request has to wait before which there is so much work. A worker that is
+// expectedWait is how long a request has to wait before which there is so much work. A worker that is
 // full and ends nothing may go on so for as long as it has already.
-func (b *Buffer) waitOf(now, work time.Duration) time.Duration {
-	return max((b.all.mean+work)/time.Duration(b.limit()), now-b.moved)
+func (q *WorkerQueue) expectedWait(now, workAhead time.Duration) time.Duration {
+	return max((q.overall.mean+workAhead)/time.Duration(q.limit()), now-q.lastProgressAt)
 }
 
-// waitFor is how long a request has to wait that goes behind so much work, and behind whoever
+// expectedWaitBehind is how long a request has to wait that goes behind so much work, and behind whoever
 // comes meanwhile and goes first.
-func (b *Buffer) waitFor(now time.Duration, one *Waiter, work time.Duration) time.Duration {
-	taken, cost := 0.0, one.cost()
-	for route, known := range b.routes {
-		if route != one.ask.Route && costOf(known.mean, known.rank) < cost {
-			taken += known.partAt(now, spanTimes*b.all.mean)
+func (q *WorkerQueue) expectedWaitBehind(now time.Duration, queued *QueuedRequest, workAhead time.Duration) time.Duration {
+	precedingFraction, cost := 0.0, queued.cost()
+	for route, estimate := range q.byRoute {
+		if route != queued.request.Route && priorityCost(estimate.mean, estimate.priority) < cost {
+			precedingFraction += estimate.timeFractionAt(now, fractionWindowFactor*q.overall.mean)
 		}
 	}
-	return time.Duration(float64(b.waitOf(now, work)) / (1 - min(taken, takenMost)))
+	return time.Duration(float64(q.expectedWait(now, workAhead)) / (1 - min(precedingFraction, maxPrecedingFraction)))
 }
 
-// by is when a request should be answered.
-func (a *Ask) by() time.Duration {
-	if a.Aim != 0 {
-		return min(a.Aim, a.Horizon)
+// answerBy is when a request should be answered.
+func (r *AdmissionRequest) answerBy() time.Duration {
+	if r.TargetAt != 0 {
+		return min(r.TargetAt, r.Deadline)
 	}
-	return a.Horizon
+	return r.Deadline
 }
 
-// over is how much too late a request would be answered that had to wait so long. What is short
+// lateness is how much too late a request would be answered that had to wait so long. What is short
 // by the measure of the others is better served late: little room is won by turning it away.
-func (b *Buffer) over(now time.Duration, one *Waiter, wait time.Duration) time.Duration {
-	by := one.ask.by()
-	if one.work*shortTimes <= b.all.mean {
-		by = one.ask.Horizon
+func (q *WorkerQueue) lateness(now time.Duration, queued *QueuedRequest, wait time.Duration) time.Duration {
+	answerBy := queued.request.answerBy()
+	if queued.serviceTime*shortRequestFactor <= q.overall.mean {
+		answerBy = queued.request.Deadline
 	}
-	return now + wait + one.work + one.spread + b.road.Wait() - by
+	return now + wait + queued.serviceTime + queued.deviation + q.uplink.Backlog() - answerBy
 }
 
-// Arrive gives a request its turn, lets it wait, or refuses it.
-func (b *Buffer) Arrive(now time.Duration, ask Ask) (Turn, *Waiter) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
+// Admit gives a request its turn, lets it wait, or refuses it.
+func (q *WorkerQueue) Admit(now time.Duration, request AdmissionRequest) (Admission, *QueuedRequest) {
+	q.lock.Lock()
+	defer q.lock.Unlock()
 	switch {
-	case b.shut != "":
-		return Turn{Kind: b.shut}, nil
-	case now >= ask.Horizon:
-		return Turn{Kind: defect.HorizonPast}, nil
-	case b.room() && len(b.waiting) == 0:
-		b.running, b.moved = b.running+1, now
-		return Turn{}, nil
+	case q.closedReason != "":
+		return Admission{Refusal: q.closedReason}, nil
+	case now >= request.Deadline:
+		return Admission{Refusal: defect.DeadlineExceeded}, nil
+	case q.hasCapacity() && len(q.waiting) == 0:
+		q.running, q.lastProgressAt = q.running+1, now
+		return Admission{}, nil
 	}
-	fresh := &Waiter{ask: ask, came: now}
-	fresh.work, fresh.spread = b.work(ask.Route)
-	if known := b.routes[ask.Route]; known != nil {
-		known.rank = ask.Rank
+	queued := &QueuedRequest{request: request, arrivedAt: now}
+	queued.serviceTime, queued.deviation = q.expectedServiceTime(request.Route)
+	if estimate := q.byRoute[request.Route]; estimate != nil {
+		estimate.priority = request.Priority
 	}
-	fresh.start = ask.by() - (fresh.work + fresh.spread)
-	place, ahead := 0, time.Duration(0)
-	for place < len(b.waiting) && b.waiting[place].before(fresh) {
-		ahead += b.waiting[place].work
-		place++
+	queued.latestStart = request.answerBy() - (queued.serviceTime + queued.deviation)
+	position, workAhead := 0, time.Duration(0)
+	for position < len(q.waiting) && q.waiting[position].goesBefore(queued) {
+		workAhead += q.waiting[position].serviceTime
+		position++
 	}
-	if !b.all.known {
-		if b.slots == 0 || place >= unknownTimes*b.limit() {
-			return Turn{Kind: defect.BufferFull}, nil
+	if !q.overall.known {
+		if q.slots == 0 || position >= unmeasuredQueueFactor*q.limit() {
+			return Admission{Refusal: defect.QueueFull}, nil
 		}
-	} else if over := b.over(now, fresh, b.waitFor(now, fresh, ahead)); over > 0 || b.slots == 0 {
-		return Turn{Kind: defect.BufferFull, Back: max(over, b.waitOf(now, 0))}, nil
+	} else if lateness := q.lateness(now, queued, q.expectedWaitBehind(now, queued, workAhead)); lateness > 0 || q.slots == 0 {
+		return Admission{Refusal: defect.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}, nil
 	}
-	fresh.Turn = make(chan Turn, 1)
-	b.waiting = append(b.waiting, nil)
-	copy(b.waiting[place+1:], b.waiting[place:])
-	b.waiting[place] = fresh
-	b.displace(now, place+1, ahead+fresh.work)
-	return Turn{}, fresh
+	queued.Admission = make(chan Admission, 1)
+	q.waiting = append(q.waiting, nil)
+	copy(q.waiting[position+1:], q.waiting[position:])
+	q.waiting[position] = queued
+	q.displace(now, position+1, workAhead+queued.serviceTime)
+	return Admission{}, queued
 }
 
 // displace refuses those from a place on that now would come too late, for as long as they can
 // well go elsewhere: who has waited long is better served late than not at all.
-func (b *Buffer) displace(now time.Duration, from int, ahead time.Duration) {
-	kept := b.waiting[:from]
-	for _, one := range b.waiting[from:] {
-		over := b.over(now, one, b.waitFor(now, one, ahead))
-		if over > 0 && now-one.came <= (one.ask.by()-one.came)/heldParts {
-			one.Turn <- Turn{Kind: defect.BufferFull, Back: max(over, b.waitOf(now, 0))}
+func (q *WorkerQueue) displace(now time.Duration, from int, workAhead time.Duration) {
+	retained := q.waiting[:from]
+	for _, queued := range q.waiting[from:] {
+		lateness := q.lateness(now, queued, q.expectedWaitBehind(now, queued, workAhead))
+		if lateness > 0 && now-queued.arrivedAt <= (queued.request.answerBy()-queued.arrivedAt)/displaceDivisor {
+			queued.Admission <- Admission{Refusal: defect.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}
 			continue
 		}
-		kept, ahead = append(kept, one), ahead+one.work
+		retained, workAhead = append(retained, queued), workAhead+queued.serviceTime
 	}
-	clear(b.waiting[len(kept):])
-	b.waiting = kept
+	clear(q.waiting[len(retained):])
+	q.waiting = retained
 }
 
-// Leave takes out a request that need not wait any more. False if it was told meanwhile: then
+// Remove takes out a request that need not wait any more. False if it was told meanwhile: then
 // what it was told waits for it.
-func (b *Buffer) Leave(one *Waiter) bool {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	for i, listed := range b.waiting {
-		if listed == one {
-			b.waiting = append(b.waiting[:i], b.waiting[i+1:]...)
+func (q *WorkerQueue) Remove(queued *QueuedRequest) bool {
+	q.lock.Lock()
+	defer q.lock.Unlock()
+	for i, waiting := range q.waiting {
+		if waiting == queued {
+			q.waiting = append(q.waiting[:i], q.waiting[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-// Await waits for a request's turn, but not for so much of the time left that nobody else could
+// Wait waits for a request's turn, but not for so much of the time left that nobody else could
 // do anything with the rest.
-func (b *Buffer) Await(ctx context.Context, one *Waiter, left time.Duration) Turn {
-	timer := time.NewTimer(left * waitTimes / waitOutOf)
+func (q *WorkerQueue) Wait(ctx context.Context, queued *QueuedRequest, remaining time.Duration) Admission {
+	timer := time.NewTimer(remaining * maxWaitNumerator / maxWaitDenominator)
 	defer timer.Stop()
-	gone := Turn{Kind: defect.BufferFull, Back: one.work}
+	refused := Admission{Refusal: defect.QueueFull, RetryAfter: queued.serviceTime}
 	select {
-	case turn := <-one.Turn:
-		return turn
+	case admission := <-queued.Admission:
+		return admission
 	case <-ctx.Done():
-		gone = Turn{Kind: endOf(ctx)}
+		refused = Admission{Refusal: contextErrorCode(ctx)}
 	case <-timer.C:
 	}
-	if b.Leave(one) {
-		return gone
+	if q.Remove(queued) {
+		return refused
 	}
-	return <-one.Turn
+	return <-queued.Admission
 }
 
-// Result is what became of a request that had its turn.
-type Result int
+// RunResult is what became of a request that had its turn.
+type RunResult int
 
 // The results that count.
 const (
-	Unrun    Result = iota // it was not handed over, or not to its end
-	Answered               // it ran to its end
-	Turned                 // the worker turned it away
-	Failed                 // it ran, and its answer is a failure
+	ResultNotRun   RunResult = iota // it was not handed over, or not to its end
+	ResultAnswered                  // it ran to its end
+	ResultRejected                  // the worker turned it away
+	ResultFailed                    // it ran, and its answer is a failure
 )
 
-// End notes that a request which had its turn is over, and gives the next ones theirs.
-func (b *Buffer) End(now time.Duration, route string, result Result, took time.Duration) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	b.running, b.moved = b.running-1, now
+// Release notes that a request which had its turn is over, and gives the next ones theirs.
+func (q *WorkerQueue) Release(now time.Duration, route string, result RunResult, took time.Duration) {
+	q.lock.Lock()
+	defer q.lock.Unlock()
+	q.running, q.lastProgressAt = q.running-1, now
 	switch result {
-	case Answered, Failed:
+	case ResultAnswered, ResultFailed:
 		// A quick failure says nothing of how long calls take: by it, who fails would look the quickest.
-		if mean, _ := b.work(route); result == Answered || took >= mean {
-			b.learn(now, route, took)
+		if mean, _ := q.expectedServiceTime(route); result == ResultAnswered || took >= mean {
+			q.recordServiceTime(now, route, took)
 		}
 		// After it turned something away, the worker gets one more at a time until it is full again.
-		if b.eased++; b.narrow > 0 && b.eased >= easeTimes*b.narrow {
-			b.eased = 0
-			if b.narrow++; b.narrow > b.slots {
-				b.narrow = 0
+		if q.answersSinceReduced++; q.reducedLimit > 0 && q.answersSinceReduced >= increaseAfterFactor*q.reducedLimit {
+			q.answersSinceReduced = 0
+			if q.reducedLimit++; q.reducedLimit > q.slots {
+				q.reducedLimit = 0
 			}
 		}
-	case Turned:
-		b.narrow, b.eased = max(1, b.running), 0
+	case ResultRejected:
+		q.reducedLimit, q.answersSinceReduced = max(1, q.running), 0
 	}
-	b.next(now)
+	q.admitNext(now)
 }
 
-func (b *Buffer) learn(now time.Duration, route string, took time.Duration) {
-	if len(b.routes) >= routesMost {
-		clear(b.routes)
+func (q *WorkerQueue) recordServiceTime(now time.Duration, route string, took time.Duration) {
+	if len(q.byRoute) >= maxRoutes {
+		clear(q.byRoute)
 	}
-	own := b.routes[route]
-	if own == nil {
-		own = &pace{}
-		b.routes[route] = own
+	routeEstimate := q.byRoute[route]
+	if routeEstimate == nil {
+		routeEstimate = &serviceTimeEstimate{}
+		q.byRoute[route] = routeEstimate
 	}
-	for _, one := range []*pace{&b.all, own} {
-		if !one.known {
-			one.mean, one.known = took, true
+	for _, estimate := range []*serviceTimeEstimate{&q.overall, routeEstimate} {
+		if !estimate.known {
+			estimate.mean, estimate.known = took, true
 		}
-		one.spread += ((took - one.mean).Abs() - one.spread) / meanParts
-		one.mean += (took - one.mean) / meanParts
+		estimate.deviation += ((took - estimate.mean).Abs() - estimate.deviation) / averagingDivisor
+		estimate.mean += (took - estimate.mean) / averagingDivisor
 	}
-	span := spanTimes * b.all.mean
-	own.part, own.at = own.partAt(now, span)+float64(took)/float64(b.limit())/float64(span), now
+	window := fractionWindowFactor * q.overall.mean
+	routeEstimate.timeFraction, routeEstimate.updatedAt = routeEstimate.timeFractionAt(now, window)+float64(took)/float64(q.limit())/float64(window), now
 }
 
-// Left notes how many bytes an answer had.
-func (b *Buffer) Left(bytes int) {
-	if span := b.road.Span(bytes); span > 0 {
-		b.lock.Lock()
-		defer b.lock.Unlock()
-		if b.answer == 0 {
-			b.answer = span
+// RecordAnswerSize notes how many bytes an answer had.
+func (q *WorkerQueue) RecordAnswerSize(bytes int) {
+	if transferTime := q.uplink.TransferTime(bytes); transferTime > 0 {
+		q.lock.Lock()
+		defer q.lock.Unlock()
+		if q.answerTransferTime == 0 {
+			q.answerTransferTime = transferTime
 		}
-		b.answer += (span - b.answer) / meanParts
+		q.answerTransferTime += (transferTime - q.answerTransferTime) / averagingDivisor
 	}
 }
 
-// next gives turns as far as there is room.
-func (b *Buffer) next(now time.Duration) {
-	for len(b.waiting) > 0 && b.room() {
-		first := b.waiting[0]
-		b.waiting[0] = nil
-		b.waiting = b.waiting[1:]
-		if now >= first.ask.Horizon {
-			first.Turn <- Turn{Kind: defect.HorizonPast}
+// admitNext gives turns as far as there is room.
+func (q *WorkerQueue) admitNext(now time.Duration) {
+	for len(q.waiting) > 0 && q.hasCapacity() {
+		first := q.waiting[0]
+		q.waiting[0] = nil
+		q.waiting = q.waiting[1:]
+		if now >= first.request.Deadline {
+			first.Admission <- Admission{Refusal: defect.DeadlineExceeded}
 			continue
 		}
-		b.running, b.moved = b.running+1, now
-		first.Turn <- Turn{}
+		q.running, q.lastProgressAt = q.running+1, now
+		first.Admission <- Admission{}
 	}
 }
 
-// Shut refuses all that waits and all that comes; what was handed over goes on to its end.
-func (b *Buffer) Shut(kind defect.Kind) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	b.shut = kind
-	for _, one := range b.waiting {
-		one.Turn <- Turn{Kind: kind}
+// Close refuses all that waits and all that comes; what was handed over goes on to its end.
+func (q *WorkerQueue) Close(reason defect.Code) {
+	q.lock.Lock()
+	defer q.lock.Unlock()
+	q.closedReason = reason
+	for _, queued := range q.waiting {
+		queued.Admission <- Admission{Refusal: reason}
 	}
-	b.waiting = nil
+	q.waiting = nil
 }
 
-// Slots takes note of how many requests the worker works on at once.
-func (b *Buffer) Slots(now time.Duration, slots int) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	b.slots = slots
-	b.next(now)
+// SetSlots takes note of how many requests the worker works on at once.
+func (q *WorkerQueue) SetSlots(now time.Duration, slots int) {
+	q.lock.Lock()
+	defer q.lock.Unlock()
+	q.slots = slots
+	q.admitNext(now)
 }
 
-// Pace is how long the worker takes for a request, of late; 0 for not known.
-func (b *Buffer) Pace() time.Duration {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	return b.all.mean
+// ServiceTime is how long the worker takes for a request, of late; 0 for not known.
+func (q *WorkerQueue) ServiceTime() time.Duration {
+	q.lock.Lock()
+	defer q.lock.Unlock()
+	return q.overall.mean
 }
 
 // Load is how much the worker has at hand, how much waits for it, and how many it works on at once.
-func (b *Buffer) Load() (running, waiting, slots uint32) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
-	return uint32(b.running), uint32(len(b.waiting)), uint32(min(b.slots, b.limit()))
+func (q *WorkerQueue) Load() (running, waiting, slots uint32) {
+	q.lock.Lock()
+	defer q.lock.Unlock()
+	return uint32(q.running), uint32(len(q.waiting)), uint32(min(q.slots, q.limit()))
 }
--- a/internal/dispatch/carry.go
+++ b/internal/dispatch/carry.go
@@ -17,340 +17,342 @@
 
 // Call is a caller's request as the proxy beside it took it.
 type Call struct {
-	Request plan.Request
-	Target  string // path with query
-	Head    []byte // the headers that go on, as lines
-	Body    []byte
+	Request     plan.Request
+	Target      string // path with query
+	HeaderBlock []byte // the headers that go on, as lines
+	Body        []byte
 }
 
-// Ended is what the caller gets: an answer, or a typed defect with its outcome.
-type Ended struct {
-	ID      string
-	Carried *schema.Carried
-	Plan    *plan.Plan // nil when no plan could be made
-	Tries   int        // dispatches sent
-	Met     int        // of these, how many came to a worker, or may have
-	Err     error
+// CallResult is what the caller gets: an answer, or a typed defect with its outcome.
+type CallResult struct {
+	ID             string
+	Response       *schema.Carried
+	Plan           *plan.Plan // nil when no plan could be made
+	Attempts       int        // dispatches sent
+	WorkerAttempts int        // of these, how many came to a worker, or may have
+	Err            error
 
-	claimed *schema.Claim // the claim this call may hold, as it was last asked for
+	reservation *schema.Claim // the claim this call may hold, as it was last asked for
 }
 
 // Sender sends one dispatch to the proxy beside a worker. An error of kind LINK_UNOPENED
 // proves that nothing was sent; any other leaves it unknown.
-type Sender func(ctx context.Context, candidate plan.Candidate, carry *schema.Carry) (*schema.Carried, error)
+type Sender func(ctx context.Context, candidate plan.Endpoint, carry *schema.Carry) (*schema.Carried, error)
 
-// Claimer takes a claim to the registries. It tells how they ruled, and whose the key is if
+// KeyReserver takes a claim to the registries. It tells how they ruled, and whose the key is if
 // it is another request's.
-type Claimer func(ctx context.Context, claim *schema.Claim) (session.ClaimVerdict, *schema.Claim)
+type KeyReserver func(ctx context.Context, claim *schema.Claim) (session.ReservationOutcome, *schema.Claim)
 
-// Carrier is the caller's side: it makes a plan and carries it out.
-type Carrier struct {
+// Forwarder is the caller's side: it makes a plan and carries it out.
+type Forwarder struct {
 	Name        string
 	Incarnation uint64
-	Bounds      // at the start; those in force may be others
+	Limits      // at the start; those in force may be others
 	View        func() *plan.View
 	// AwaitView waits until the view satisfies ready, or ctx ends.
 	AwaitView func(ctx context.Context, ready func(*plan.View) bool)
 	// AwaitLease waits until this proxy may decide, or ctx ends.
 	AwaitLease func(ctx context.Context) bool
-	// Patient lets one try of a repeatable call take all the time there is: SendOn itself finds
+	// NoAttemptTimeout lets one try of a repeatable call take all the time there is: Send itself finds
 	// out about a proxy that gives no sign of life, so that silence is only a slow worker's.
-	Patient bool
-	// ByArrival counts as extra only what goes to a worker after another has had the request; a
+	NoAttemptTimeout bool
+	// FreeProxyRefusals counts as extra only what goes to a worker after another has had the request; a
 	// call that was only refused by proxies is free to look for its first worker.
-	ByArrival bool
-	// Lagging tells that another proxy has a newer setup, which does not come to this one.
-	Lagging   func()
-	Leased    func() bool
-	Members   func() int
-	Now       func() time.Duration
-	Dice      plan.Dice
-	SendOn    Sender
-	Soundness *Soundness
-	Trials    *Trials
-	Tally     *Tally
-	// Claim asks the registries for an idempotency key, or lets one go.
-	Claim Claimer
-	// ClaimPause is how long a refusal may wait for its claim to be let go.
-	ClaimPause time.Duration
-
-	bounds  atomic.Pointer[Bounds] // those in force
-	facts   plan.Facts
-	budgets *xsync.Map[string, *Budget]
-	memory  *Memory
-	serial  atomic.Uint64
-	newest  atomic.Uint64 // a setup that another proxy refused an older one for
-	blamed  atomic.Uint64 // and the last for which the feed was left
+	FreeProxyRefusals bool
+	// OnConfigLag tells that another proxy has a newer setup, which does not come to this one.
+	OnConfigLag func()
+	HasLease    func() bool
+	FleetSize   func() int
+	Now         func() time.Duration
+	Random      plan.Random
+	Send        Sender
+	Outliers    *OutlierDetector
+	Canaries    *CanaryGuard
+	Counter     *CallCounter
+	// ReserveKey asks the registries for an idempotency key, or lets one go.
+	ReserveKey KeyReserver
+	// KeyReleaseTimeout is how long a refusal may wait for its claim to be let go.
+	KeyReleaseTimeout time.Duration
+
+	limits              atomic.Pointer[Limits] // those in force
+	local               plan.LocalState
+	retryBudgets        *xsync.Map[string, *RetryBudget]
+	idempotency         *IdempotencyCache
+	serial              atomic.Uint64
+	newestRevision      atomic.Uint64 // a setup that another proxy refused an older one for
+	lagReportedRevision atomic.Uint64 // and the last for which the feed was left
 }
 
-// Bounds are what a carrier plans and tries again within.
-type Bounds struct {
-	Options    plan.Options
-	ExtraRatio float64
-	ExtraFloor float64
-	// ExtraWindow is the time in which extra tries are bounded, 0 for the preset.
-	ExtraWindow time.Duration
-	// ExtraFailed is the part of them for calls that a worker answered with a failure.
-	ExtraFailed float64
+// Limits are what a carrier plans and tries again within.
+type Limits struct {
+	PlanOptions plan.Options
+	RetryRatio  float64
+	RetryFloor  float64
+	// RetryWindow is the time in which extra tries are bounded, 0 for the preset.
+	RetryWindow time.Duration
+	// FailureRetryFraction is the part of them for calls that a worker answered with a failure.
+	FailureRetryFraction float64
 }
 
-// Rebound sets other bounds for what is planned and tried again from now on.
-func (c *Carrier) Rebound(bounds Bounds) { c.bounds.Store(&bounds) }
+// SetLimits sets other bounds for what is planned and tried again from now on.
+func (f *Forwarder) SetLimits(limits Limits) { f.limits.Store(&limits) }
 
-// Start readies the carrier; it keeps so many idempotency keys.
-func (c *Carrier) Start(remembered int) *Carrier {
-	c.bounds.Store(&c.Bounds)
-	c.budgets = xsync.NewMap[string, *Budget]()
-	c.memory = NewMemory(remembered)
-	c.facts = &Facts{c.Soundness, c.Trials}
-	return c
+// Init readies the carrier; it keeps so many idempotency keys.
+func (f *Forwarder) Init(maxKeys int) *Forwarder {
+	f.limits.Store(&f.Limits)
+	f.retryBudgets = xsync.NewMap[string, *RetryBudget]()
+	f.idempotency = NewIdempotencyCache(maxKeys)
+	f.local = &LocalState{f.Outliers, f.Canaries}
+	return f
 }
 
-// roundsMost is how often a plan is made anew within one call before it is given up.
-const roundsMost = 4
+// maxPlanRounds is how often a plan is made anew within one call before it is given up.
+const maxPlanRounds = 4
 
-// wayParts is the part of the time a caller gives that is kept for the way back to it.
-const wayParts = 32
+// returnMarginDivisor is the part of the time a caller gives that is kept for the way back to it.
+const returnMarginDivisor = 32
 
-// newsBefore is the part of the aim for which a call may wait for news of workers: refused
+// targetWaitDivisor is the part of the aim for which a call may wait for news of workers: refused
 // sooner than a fourth of it, a caller still has time to ask again.
-const newsBefore = 8
+const targetWaitDivisor = 8
 
-// newsParts is the part of the time left for which a setup is awaited that another proxy has.
-const newsParts = 2
+// configWaitDivisor is the part of the time left for which a setup is awaited that another proxy has.
+const configWaitDivisor = 2
 
-// Carry plans a call and carries it out. The end of ctx is the caller's leaving: a call that waits is dropped
+// Forward plans a call and carries it out. The end of ctx is the caller's leaving: a call that waits is dropped
 // then, and one that may be repeated ends where it runs. One that may not runs to its end once a worker has
 // it, and one under an idempotency key is not touched at all, for its outcome is kept for those who ask again.
-func (c *Carrier) Carry(ctx context.Context, call *Call) *Ended {
-	began := c.Now()
-	ended := &Ended{ID: c.newID()}
-	if !c.Leased() && !c.awaitLease(ctx, call) {
-		ended.Err = defect.New(defect.NoLease, "this proxy cannot know the rules in force")
-		return ended
+func (f *Forwarder) Forward(ctx context.Context, call *Call) *CallResult {
+	startedAt := f.Now()
+	result := &CallResult{ID: f.newID()}
+	if !f.HasLease() && !f.awaitLease(ctx, call) {
+		result.Err = defect.New(defect.NoLease, "this proxy cannot know the rules in force")
+		return result
 	}
-	made, err := c.plan(&call.Request)
+	callPlan, err := f.makePlan(&call.Request)
 	if err != nil {
-		ended.Err = err
+		result.Err = err
 		// What a policy refused has a count of its own.
-		if made != nil {
-			ended.Plan, ended.Carried = made, notRun(defect.KindOf(err), 0)
-			c.Tally.Add(ended, c.Now()-began)
+		if callPlan != nil {
+			result.Plan, result.Response = callPlan, notExecuted(defect.CodeOf(err), 0)
+			f.Counter.Add(result, f.Now()-startedAt)
 		}
-		return ended
+		return result
 	}
-	ended.Plan = made
-	c.budget(made.Service).Call(began)
-	keyed := made.Class == setup.Once && call.Request.Idempotency != ""
+	result.Plan = callPlan
+	f.retryBudget(callPlan.Service).RecordCall(startedAt)
+	keyed := callPlan.Class == setup.ClassNonIdempotent && call.Request.IdempotencyKey != ""
 	if keyed {
 		ctx = context.WithoutCancel(ctx)
 	}
-	bounded, cancel := context.WithTimeout(ctx, made.Horizon)
+	boundedCtx, cancel := context.WithTimeout(ctx, callPlan.Deadline)
 	defer cancel()
 	if keyed {
-		ended.Carried = c.carryKeyed(bounded, ctx, call, ended, began)
+		result.Response = f.forwardKeyed(boundedCtx, ctx, call, result, startedAt)
 	} else {
-		ended.Carried, _ = c.carryOut(bounded, call, ended, began, "")
+		result.Response, _ = f.attemptCandidates(boundedCtx, call, result, startedAt, "")
 	}
-	c.Tally.Add(ended, c.Now()-began)
-	if ended.Carried.Ending != schema.Ending_ENDING_ANSWERED {
-		ended.Err = defect.New(defect.Kind(ended.Carried.Defect), made.Service)
+	f.Counter.Add(result, f.Now()-startedAt)
+	if result.Response.Ending != schema.Ending_ENDING_ANSWERED {
+		result.Err = defect.New(defect.Code(result.Response.Defect), callPlan.Service)
 	}
-	return ended
+	return result
 }
 
 // newID names a request as no other proxy and no other life of this one does.
-func (c *Carrier) newID() string {
-	id := append(make([]byte, 0, 64), c.Name...)
-	id = strconv.AppendUint(append(id, '-'), c.Incarnation, 16)
-	return string(strconv.AppendUint(append(id, '-'), c.serial.Add(1), 16))
+func (f *Forwarder) newID() string {
+	id := append(make([]byte, 0, 64), f.Name...)
+	id = strconv.AppendUint(append(id, '-'), f.Incarnation, 16)
+	return string(strconv.AppendUint(append(id, '-'), f.serial.Add(1), 16))
 }
 
 // awaitLease holds a call back for a moment: most gaps between leases are shorter than that.
-func (c *Carrier) awaitLease(ctx context.Context, call *Call) bool {
-	waiting, cancel := context.WithTimeout(ctx, c.patience(&call.Request)/waitParts)
+func (f *Forwarder) awaitLease(ctx context.Context, call *Call) bool {
+	waitCtx, cancel := context.WithTimeout(ctx, f.assumedDeadline(&call.Request)/updateWaitDivisor)
 	defer cancel()
-	return c.AwaitLease(waiting)
+	return f.AwaitLease(waitCtx)
 }
 
-func (c *Carrier) patience(request *plan.Request) time.Duration {
-	if request.Asked > 0 {
-		return min(request.Asked, c.bounds.Load().Options.HorizonMost)
+func (f *Forwarder) assumedDeadline(request *plan.Request) time.Duration {
+	if request.CallerDeadline > 0 {
+		return min(request.CallerDeadline, f.limits.Load().PlanOptions.MaxDeadline)
 	}
-	return c.bounds.Load().Options.HorizonMost / waitParts
+	return f.limits.Load().PlanOptions.MaxDeadline / updateWaitDivisor
 }
 
-func (c *Carrier) plan(request *plan.Request) (*plan.Plan, error) {
-	made, err := plan.Make(c.View(), request, c.bounds.Load().Options, c.facts, c.Now(), c.Dice)
-	if made != nil {
-		made.Horizon -= made.Horizon / wayParts
+func (f *Forwarder) makePlan(request *plan.Request) (*plan.Plan, error) {
+	callPlan, err := plan.Make(f.View(), request, f.limits.Load().PlanOptions, f.local, f.Now(), f.Random)
+	if callPlan != nil {
+		callPlan.Deadline -= callPlan.Deadline / returnMarginDivisor
 	}
-	return made, err
+	return callPlan, err
 }
 
-func (c *Carrier) budget(service string) *Budget {
-	bounds := c.bounds.Load()
-	budget, _ := c.budgets.LoadOrCompute(service, func() (*Budget, bool) { return NewBudget(bounds.ExtraRatio, bounds.ExtraWindow), false })
-	if budget.by.Load() != bounds {
-		budget.rebound(c.Now(), bounds)
+func (f *Forwarder) retryBudget(service string) *RetryBudget {
+	limits := f.limits.Load()
+	budget, _ := f.retryBudgets.LoadOrCompute(service, func() (*RetryBudget, bool) { return NewRetryBudget(limits.RetryRatio, limits.RetryWindow), false })
+	if budget.limits.Load() != limits {
+		budget.setLimits(f.Now(), limits)
 	}
 	return budget
 }
 
-// heldNow tells whether the plan's version may not be used any more.
-func (c *Carrier) heldNow(view *plan.View, made *plan.Plan) bool {
-	version := made.Verdict.Version
-	return version != view.Setup.FallbackOf(made.Service) && c.Trials.Held(made.Service, version, c.Now())
+// versionBlocked tells whether the plan's version may not be used any more.
+func (f *Forwarder) versionBlocked(view *plan.View, callPlan *plan.Plan) bool {
+	version := callPlan.Verdict.Version
+	return version != view.Config.FallbackOf(callPlan.Service) && f.Canaries.VersionBlocked(callPlan.Service, version, f.Now())
 }
 
-// listed tells whether a worker is still in the directory.
-func listed(view *plan.View, service, version, instance string) bool {
-	for _, one := range view.Directory[service][version] {
-		if one.Instance == instance {
+// isListed tells whether a worker is still in the directory.
+func isListed(view *plan.View, service, version, instance string) bool {
+	for _, endpoint := range view.Directory[service][version] {
+		if endpoint.Instance == instance {
 			return true
 		}
 	}
 	return false
 }
 
-// fullMost is how many workers without room a call is taken to.
-const fullMost = 2
+// maxFullEndpoints is how many workers without room a call is taken to.
+const maxFullEndpoints = 2
 
-// round is one call's way through its candidates.
-type round struct {
-	last   *schema.Carried // how it ended last; once unknown, it stays that
-	failed map[string]bool // instances not to be tried again
-	full   int             // how many told when they will have room
-	back   int64           // the soonest that any of these has room, 0 for not told
-	paid   bool            // the next try is
+// callProgress is one call's way through its candidates.
+type callProgress struct {
+	lastResponse  *schema.Carried // how it ended last; once unknown, it stays that
+	excluded      map[string]bool // instances not to be tried again
+	fullEndpoints int             // how many told when they will have room
+	retryAfter    int64           // the soonest that any of these has room, 0 for not told
+	prepaid       bool            // the next try is
 }
 
-// end is how the whole call ends if it ends now: once a dispatch ended unknown, or with a failure
+// endWith is how the whole call ends if it ends now: once a dispatch ended unknown, or with a failure
 // for an answer, no later refusal may make it "not run".
-func (r *round) end(kind defect.Kind) *schema.Carried {
-	if r.last.Ending == schema.Ending_ENDING_NOT_RUN {
-		r.last = notRun(kind, 0)
+func (p *callProgress) endWith(kind defect.Code) *schema.Carried {
+	if p.lastResponse.Ending == schema.Ending_ENDING_NOT_RUN {
+		p.lastResponse = notExecuted(kind, 0)
 	}
-	return r.final()
+	return p.lastWithRetryAfter()
 }
 
-// answered tells whether a worker has answered, with a failure.
-func (r *round) answered() bool { return r.last.Ending == schema.Ending_ENDING_ANSWERED }
+// hasAnswer tells whether a worker has answered, with a failure.
+func (p *callProgress) hasAnswer() bool {
+	return p.lastResponse.Ending == schema.Ending_ENDING_ANSWERED
+}
 
-// final is how the call ends with its last dispatch.
-func (r *round) final() *schema.Carried {
-	if r.last.Ending == schema.Ending_ENDING_NOT_RUN && r.back > 0 {
-		r.last.BackNanos = r.back
+// lastWithRetryAfter is how the call ends with its last dispatch.
+func (p *callProgress) lastWithRetryAfter() *schema.Carried {
+	if p.lastResponse.Ending == schema.Ending_ENDING_NOT_RUN && p.retryAfter > 0 {
+		p.lastResponse.BackNanos = p.retryAfter
 	}
-	return r.last
+	return p.lastResponse
 }
 
-func (r *round) fail(instance string) {
-	if r.failed == nil {
-		r.failed = map[string]bool{}
+func (p *callProgress) exclude(instance string) {
+	if p.excluded == nil {
+		p.excluded = map[string]bool{}
 	}
-	r.failed[instance] = true
+	p.excluded[instance] = true
 }
 
-// refused notes a refusal that proves that nothing ran.
-func (r *round) refused(carried *schema.Carried) {
-	if r.last.Ending == schema.Ending_ENDING_NOT_RUN {
-		r.last = carried
+// recordRefusal notes a refusal that proves that nothing ran.
+func (p *callProgress) recordRefusal(response *schema.Carried) {
+	if p.lastResponse.Ending == schema.Ending_ENDING_NOT_RUN {
+		p.lastResponse = response
 	}
-	if carried.BackNanos <= 0 {
+	if response.BackNanos <= 0 {
 		return
 	}
-	r.full++
-	if r.back == 0 || carried.BackNanos < r.back {
-		r.back = carried.BackNanos
+	p.fullEndpoints++
+	if p.retryAfter == 0 || response.BackNanos < p.retryAfter {
+		p.retryAfter = response.BackNanos
 	}
 }
 
-// mayTry tells whether a call may be tried once more, by what its route lets and by the fleet's
+// mayAttempt tells whether a call may be tried once more, by what its route lets and by the fleet's
 // budget.
-func (c *Carrier) mayTry(ended *Ended, r *round) bool {
-	if r.paid {
-		r.paid = false
+func (f *Forwarder) mayAttempt(result *CallResult, progress *callProgress) bool {
+	if progress.prepaid {
+		progress.prepaid = false
 		return true
 	}
-	if most := ended.Plan.Route.Tries; most > 0 && ended.Met >= most {
+	if maxAttempts := result.Plan.Route.MaxAttempts; maxAttempts > 0 && result.WorkerAttempts >= maxAttempts {
 		return false
 	}
-	before := ended.Tries
-	if c.ByArrival {
-		before = ended.Met
+	attemptsBefore := result.Attempts
+	if f.FreeProxyRefusals {
+		attemptsBefore = result.WorkerAttempts
 	}
-	return before == 0 || c.budget(ended.Plan.Service).Spend(c.Now(), c.extraFloor(), 1)
+	return attemptsBefore == 0 || f.retryBudget(result.Plan.Service).Allow(f.Now(), f.retryFloorPerProxy(), 1)
 }
 
-// callsOwn is the part of a worker's calls below which its failures are taken for the calls' own.
-const callsOwn = 0.05
+// ownFailureRatio is the part of a worker's calls below which its failures are taken for the calls' own.
+const ownFailureRatio = 0.05
 
-// extraFloor is this proxy's part of the extra tries that the whole fleet has besides the ratio.
-func (c *Carrier) extraFloor() float64 {
-	return c.bounds.Load().ExtraFloor / float64(max(1, c.Members()))
+// retryFloorPerProxy is this proxy's part of the extra tries that the whole fleet has besides the ratio.
+func (f *Forwarder) retryFloorPerProxy() float64 {
+	return f.limits.Load().RetryFloor / float64(max(1, f.FleetSize()))
 }
 
-// mayAskAnother tells whether a call that a worker answered with a failure goes to another one, and
+// mayRetryFailure tells whether a call that a worker answered with a failure goes to another one, and
 // pays for it. It does where it may run again and can still be answered within its aim, and nobody
 // has refused it: where there is no room, another run takes it from other callers. A version
 // that is being judged answers for its own failures, and of a worker that hardly ever fails it is
 // likely the call's own, which another would fail too.
-func (c *Carrier) mayAskAnother(ended *Ended, r *round, carried *schema.Carried, left time.Duration) bool {
-	made, bounds := ended.Plan, c.bounds.Load()
+func (f *Forwarder) mayRetryFailure(result *CallResult, progress *callProgress, response *schema.Carried, remaining time.Duration) bool {
+	callPlan, limits := result.Plan, f.limits.Load()
 	switch {
-	case bounds.ExtraFailed <= 0 || made.Class != setup.Repeatable || carried.Status < failedFrom || r.answered() || r.full > 0:
+	case limits.FailureRetryFraction <= 0 || callPlan.Class != setup.ClassIdempotent || response.Status < minFailureStatus || progress.hasAnswer() || progress.fullEndpoints > 0:
 		return false
-	case made.Verdict.Version != c.View().Setup.FallbackOf(made.Service):
+	case callPlan.Verdict.Version != f.View().Config.FallbackOf(callPlan.Service):
 		return false
-	case carried.Slots > 0 && float64(carried.Failed) < callsOwn*float64(carried.Ran):
+	case response.Slots > 0 && float64(response.Failed) < ownFailureRatio*float64(response.Ran):
 		return false
-	case made.Route.Tries > 0 && ended.Met >= made.Route.Tries:
+	case callPlan.Route.MaxAttempts > 0 && result.WorkerAttempts >= callPlan.Route.MaxAttempts:
 		return false
-	case left < time.Duration(carried.PaceNanos) || (made.Aim > 0 && aimLeft(made, left) < carried.PaceNanos):
+	case remaining < time.Duration(response.PaceNanos) || (callPlan.LatencyTarget > 0 && remainingTarget(callPlan, remaining) < response.PaceNanos):
 		return false
 	}
-	r.paid = c.budget(made.Service).Spend(c.Now(), c.extraFloor(), bounds.ExtraFailed)
-	return r.paid
+	progress.prepaid = f.retryBudget(callPlan.Service).Allow(f.Now(), f.retryFloorPerProxy(), limits.FailureRetryFraction)
+	return progress.prepaid
 }
 
-// carryOut tries the candidates in order until one answers or nothing more may be done. It
+// attemptCandidates tries the candidates in order until one answers or nothing more may be done. It
 // returns how the last dispatch ended, and where.
-func (c *Carrier) carryOut(ctx context.Context, call *Call, ended *Ended, began time.Duration, pinned string) (*schema.Carried, string) {
-	r := &round{last: notRun(defect.NoWorker, 0)}
-	for turn := 0; turn < roundsMost; turn++ {
+func (f *Forwarder) attemptCandidates(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string) (*schema.Carried, string) {
+	progress := &callProgress{lastResponse: notExecuted(defect.NoWorker, 0)}
+	for replans := 0; replans < maxPlanRounds; replans++ {
 		// What another proxy refused one call for, it would refuse the next one for too.
-		c.awaitNews(ctx, ended.Plan.Horizon-(c.Now()-began))
+		f.awaitNewerConfig(ctx, result.Plan.Deadline-(f.Now()-startedAt))
 		// A plan is only carried out on the setup it was made from; else it is made again.
-		if view := c.View(); turn > 0 || view.Setup.Sequence != ended.Plan.Verdict.Setup {
-			made, err := c.plan(&call.Request)
+		if view := f.View(); replans > 0 || view.Config.Revision != result.Plan.Verdict.ConfigRevision {
+			callPlan, err := f.makePlan(&call.Request)
 			if err != nil {
-				return r.end(defect.KindOf(err)), ""
+				return progress.endWith(defect.CodeOf(err)), ""
 			}
-			ended.Plan = made
+			result.Plan = callPlan
 		}
 		replan := false
-		for i := range ended.Plan.Candidates {
-			candidate := &ended.Plan.Candidates[i]
-			if (pinned != "" && candidate.Instance != pinned) || r.failed[candidate.Instance] {
+		for i := range result.Plan.Candidates {
+			candidate := &result.Plan.Candidates[i]
+			if (pinnedInstance != "" && candidate.Instance != pinnedInstance) || progress.excluded[candidate.Instance] {
 				continue
 			}
 			// A key is claimed for the very worker it goes to, and claimed anew for another.
-			if pinned == "" && ended.Plan.Class == setup.Once && call.Request.Idempotency != "" && ended.claimed.GetInstance() != candidate.Instance {
-				if carried, mine := c.claim(ctx, call, ended, *candidate, began); !mine {
-					return carried, elsewhere
+			if pinnedInstance == "" && result.Plan.Class == setup.ClassNonIdempotent && call.Request.IdempotencyKey != "" && result.reservation.GetInstance() != candidate.Instance {
+				if response, reserved := f.reserveKey(ctx, call, result, *candidate, startedAt); !reserved {
+					return response, anotherProxy
 				}
 			}
-			left := ended.Plan.Horizon - (c.Now() - began)
-			view := c.View()
+			remaining := result.Plan.Deadline - (f.Now() - startedAt)
+			view := f.View()
 			switch {
-			case left <= 0 || ctx.Err() != nil:
-				return r.end(endOf(ctx)), ""
-			case !c.Leased():
-				return r.end(defect.NoLease), ""
-			case view.Setup.Sequence != ended.Plan.Verdict.Setup || c.heldNow(view, ended.Plan):
+			case remaining <= 0 || ctx.Err() != nil:
+				return progress.endWith(contextErrorCode(ctx)), ""
+			case !f.HasLease():
+				return progress.endWith(defect.NoLease), ""
+			case view.Config.Revision != result.Plan.Verdict.ConfigRevision || f.versionBlocked(view, result.Plan):
 				replan = true
-			case !listed(view, ended.Plan.Service, ended.Plan.Verdict.Version, candidate.Instance):
+			case !isListed(view, result.Plan.Service, result.Plan.Verdict.Version, candidate.Instance):
 				continue
 			}
 			if replan {
@@ -358,130 +360,130 @@
 			}
 			// Who turns most away is asked less. Where one worker alone may have the call, only that
 			// one can say that it has no room; and to ask the one beside costs nothing.
-			if back, spared := c.Soundness.Spares(candidate.Instance, ended.Plan.Route.Name, c.Now(), c.Dice); spared && pinned == "" && candidate.Proxy != c.Name {
-				carried := notRun(defect.BufferFull, 0)
-				carried.BackNanos = int64(back)
-				r.refused(carried)
-				r.fail(candidate.Instance)
-				if r.full >= fullMost || r.answered() {
-					return r.final(), ""
+			if retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, result.Plan.Route.Name, f.Now(), f.Random); skip && pinnedInstance == "" && candidate.Proxy != f.Name {
+				response := notExecuted(defect.QueueFull, 0)
+				response.BackNanos = int64(retryAfter)
+				progress.recordRefusal(response)
+				progress.exclude(candidate.Instance)
+				if progress.fullEndpoints >= maxFullEndpoints || progress.hasAnswer() {
+					return progress.lastWithRetryAfter(), ""
 				}
 				continue
 			}
-			if !c.mayTry(ended, r) {
-				return r.final(), ""
+			if !f.mayAttempt(result, progress) {
+				return progress.lastWithRetryAfter(), ""
 			}
-			ended.Tries++
-			carried := c.sendOn(ctx, call, ended, *candidate, left, r.full > 0)
-			switch carried.Ending {
+			result.Attempts++
+			response := f.sendAttempt(ctx, call, result, *candidate, remaining, progress.fullEndpoints > 0)
+			switch response.Ending {
 			case schema.Ending_ENDING_ANSWERED:
-				ended.Met++
-				if !c.mayAskAnother(ended, r, carried, ended.Plan.Horizon-(c.Now()-began)) {
-					return carried, candidate.Instance
+				result.WorkerAttempts++
+				if !f.mayRetryFailure(result, progress, response, result.Plan.Deadline-(f.Now()-startedAt)) {
+					return response, candidate.Instance
 				}
-				r.last = carried
-				r.fail(candidate.Instance)
+				progress.lastResponse = response
+				progress.exclude(candidate.Instance)
 				continue
 			case schema.Ending_ENDING_UNKNOWN:
-				ended.Met++
+				result.WorkerAttempts++
 				// A failure for an answer is still an answer.
-				if r.answered() {
-					return r.final(), ""
+				if progress.hasAnswer() {
+					return progress.lastWithRetryAfter(), ""
 				}
-				r.last = carried
-				r.fail(candidate.Instance)
+				progress.lastResponse = response
+				progress.exclude(candidate.Instance)
 				// It may have run: only a request that bears repeating is sent again.
-				if ended.Plan.Class == setup.Once {
-					return carried, candidate.Instance
+				if result.Plan.Class == setup.ClassNonIdempotent {
+					return response, candidate.Instance
 				}
 				continue
 			}
-			if carried.Met {
-				ended.Met++
+			if response.Met {
+				result.WorkerAttempts++
 			}
-			r.refused(carried)
-			if r.answered() {
-				return r.final(), ""
+			progress.recordRefusal(response)
+			if progress.hasAnswer() {
+				return progress.lastWithRetryAfter(), ""
 			}
 			// The other side has a newer setup, by which the plan is too old or its version barred:
 			// a proper call is then planned anew by that setup, not turned away.
-			refusal := defect.Kind(carried.Defect)
-			if refusal == defect.StalePlan || (refusal == defect.VersionBarred && carried.Setup > ended.Plan.Verdict.Setup) {
+			refusal := defect.Code(response.Defect)
+			if refusal == defect.StalePlan || (refusal == defect.VersionNotAllowed && response.Setup > result.Plan.Verdict.ConfigRevision) {
 				replan = true
-				c.newest.Store(max(c.newest.Load(), carried.Setup))
+				f.newestRevision.Store(max(f.newestRevision.Load(), response.Setup))
 				break
 			}
-			r.fail(candidate.Instance)
+			progress.exclude(candidate.Instance)
 			// Whoever is asked first has the most room by all that is known. If some of these tell
 			// that they have none, the others have none either, and are kept free of being asked.
-			if r.full >= fullMost {
-				return r.final(), ""
+			if progress.fullEndpoints >= maxFullEndpoints {
+				return progress.lastWithRetryAfter(), ""
 			}
 		}
 		// Nobody is left to try: news of other workers may be on its way.
-		if !replan && (r.answered() || !c.awaitOthers(ctx, ended, r, began, pinned)) {
+		if !replan && (progress.hasAnswer() || !f.awaitUntriedWorkers(ctx, result, progress, startedAt, pinnedInstance)) {
 			break
 		}
 	}
-	return r.final(), ""
+	return progress.lastWithRetryAfter(), ""
 }
 
-// awaitNews waits for a setup that another proxy is known to have: a proxy under a lease lags
+// awaitNewerConfig waits for a setup that another proxy is known to have: a proxy under a lease lags
 // only so far, so it is as good as here. If it does not come, its feed is to blame.
-func (c *Carrier) awaitNews(ctx context.Context, left time.Duration) {
-	newest := c.newest.Load()
-	if c.View().Setup.Sequence >= newest {
+func (f *Forwarder) awaitNewerConfig(ctx context.Context, remaining time.Duration) {
+	newestRevision := f.newestRevision.Load()
+	if f.View().Config.Revision >= newestRevision {
 		return
 	}
-	has := func(view *plan.View) bool { return view.Setup.Sequence >= newest }
-	waiting, cancel := context.WithTimeout(ctx, left/newsParts)
+	isCurrent := func(view *plan.View) bool { return view.Config.Revision >= newestRevision }
+	waitCtx, cancel := context.WithTimeout(ctx, remaining/configWaitDivisor)
 	defer cancel()
-	soon, stop := context.WithTimeout(waiting, left/waitParts)
-	c.AwaitView(soon, has)
-	stop()
+	shortCtx, cancelShort := context.WithTimeout(waitCtx, remaining/updateWaitDivisor)
+	f.AwaitView(shortCtx, isCurrent)
+	cancelShort()
 	// Others have had it for a while; of all calls that wait, one is enough to leave the feed.
-	if !has(c.View()) && c.blamed.Swap(newest) != newest {
-		c.Lagging()
+	if !isCurrent(f.View()) && f.lagReportedRevision.Swap(newestRevision) != newestRevision {
+		f.OnConfigLag()
 	}
-	if !has(c.View()) {
-		c.AwaitView(waiting, has)
+	if !isCurrent(f.View()) {
+		f.AwaitView(waitCtx, isCurrent)
 	}
 }
 
-// awaitOthers waits a moment for a worker not yet tried. Workers that are known and have no room
+// awaitUntriedWorkers waits a moment for a worker not yet tried. Workers that are known and have no room
 // are no news: a caller turned away by them is told at once.
-func (c *Carrier) awaitOthers(ctx context.Context, ended *Ended, r *round, began time.Duration, pinned string) bool {
-	if pinned != "" {
+func (f *Forwarder) awaitUntriedWorkers(ctx context.Context, result *CallResult, progress *callProgress, startedAt time.Duration, pinnedInstance string) bool {
+	if pinnedInstance != "" {
 		return false
 	}
-	fresh := func(view *plan.View) bool {
-		if view.Setup.Sequence != ended.Plan.Verdict.Setup {
+	hasUntried := func(view *plan.View) bool {
+		if view.Config.Revision != result.Plan.Verdict.ConfigRevision {
 			return true
 		}
-		service := view.Setup.Services[ended.Plan.Service]
-		for _, version := range [2]string{ended.Plan.Verdict.Version, fallbackOf(service)} {
-			for i := range view.Directory[ended.Plan.Service][version] {
-				if !r.failed[view.Directory[ended.Plan.Service][version][i].Instance] {
+		service := view.Config.Services[result.Plan.Service]
+		for _, version := range [2]string{result.Plan.Verdict.Version, fallbackOf(service)} {
+			for i := range view.Directory[result.Plan.Service][version] {
+				if !progress.excluded[view.Directory[result.Plan.Service][version][i].Instance] {
 					return true
 				}
 			}
 		}
 		return false
 	}
-	if fresh(c.View()) {
+	if hasUntried(f.View()) {
 		return true
 	}
-	wait := (ended.Plan.Horizon - (c.Now() - began)) / waitParts
-	if ended.Plan.Aim > 0 {
-		wait = min(wait, ended.Plan.Aim/newsBefore)
+	wait := (result.Plan.Deadline - (f.Now() - startedAt)) / updateWaitDivisor
+	if result.Plan.LatencyTarget > 0 {
+		wait = min(wait, result.Plan.LatencyTarget/targetWaitDivisor)
 	}
-	if wait <= 0 || (r.last.Ending == schema.Ending_ENDING_NOT_RUN && turnedAway(r.last)) {
+	if wait <= 0 || (progress.lastResponse.Ending == schema.Ending_ENDING_NOT_RUN && isCapacityRefusal(progress.lastResponse)) {
 		return false
 	}
-	waiting, cancel := context.WithTimeout(ctx, wait)
+	waitCtx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	c.AwaitView(waiting, fresh)
-	return fresh(c.View())
+	f.AwaitView(waitCtx, hasUntried)
+	return hasUntried(f.View())
 }
 
 func fallbackOf(service *setup.Service) string {
--- a/internal/dispatch/carry_key.go
+++ b/internal/dispatch/carry_key.go
@@ -12,66 +12,66 @@
 	"meadowhinge/schema"
 )
 
-// carryKeyed carries a call out that must not run twice under its idempotency key. What is to
+// forwardKeyed carries a call out that must not run twice under its idempotency key. What is to
 // outlast the call goes on under life.
-func (c *Carrier) carryKeyed(ctx, life context.Context, call *Call, ended *Ended, began time.Duration) *schema.Carried {
-	key := keyOf(call.Request.Caller, ended.Plan.Service, ended.Plan.Route.Name, call.Request.Idempotency)
-	return c.memory.Do(ctx, key, printOf(call.Target, call.Body), func(pinned string) (*schema.Carried, string) {
-		carried, instance := c.carryOut(ctx, call, ended, began, pinned)
+func (f *Forwarder) forwardKeyed(ctx, outlivingCtx context.Context, call *Call, result *CallResult, startedAt time.Duration) *schema.Carried {
+	key := idempotencyKey(call.Request.Caller, result.Plan.Service, result.Plan.Route.Name, call.Request.IdempotencyKey)
+	return f.idempotency.Do(ctx, key, requestFingerprint(call.Target, call.Body), func(pinnedInstance string) (*schema.Carried, string) {
+		response, instance := f.attemptCandidates(ctx, call, result, startedAt, pinnedInstance)
 		// Only proof that nothing ran frees the key; the answer need not wait long for that.
-		if pinned == "" && ended.claimed != nil && carried.Ending == schema.Ending_ENDING_NOT_RUN {
-			c.letGo(life, ended.claimed)
+		if pinnedInstance == "" && result.reservation != nil && response.Ending == schema.Ending_ENDING_NOT_RUN {
+			f.releaseKey(outlivingCtx, result.reservation)
 		}
-		return carried, instance
+		return response, instance
 	})
 }
 
-// claim asks for the call's key, to be run at a candidate. If the key is another request's, it
+// reserveKey asks for the call's key, to be run at a candidate. If the key is another request's, it
 // gives what that one came to, as far as it can be known.
-func (c *Carrier) claim(ctx context.Context, call *Call, ended *Ended, candidate plan.Candidate, began time.Duration) (*schema.Carried, bool) {
-	made := ended.Plan
-	key := sha256.Sum256([]byte(keyOf(call.Request.Caller, made.Service, made.Route.Name, call.Request.Idempotency)))
-	moved := ended.claimed != nil
-	ended.claimed = &schema.Claim{Key: key[:], Body: printOf(call.Target, call.Body), Request: ended.ID, Caller: call.Request.Caller, Proxy: c.Name,
-		Incarnation: c.Incarnation, Instance: candidate.Instance, Beside: candidate.Proxy, Address: candidate.Address}
-	verdict, holder := c.Claim(ctx, ended.claimed)
-	refusals := map[session.ClaimVerdict]defect.Kind{session.ClaimReused: defect.KeyReused, session.ClaimFull: defect.BufferFull, session.ClaimLost: defect.KeyUnclaimed}
+func (f *Forwarder) reserveKey(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, startedAt time.Duration) (*schema.Carried, bool) {
+	callPlan := result.Plan
+	key := sha256.Sum256([]byte(idempotencyKey(call.Request.Caller, callPlan.Service, callPlan.Route.Name, call.Request.IdempotencyKey)))
+	reservedBefore := result.reservation != nil
+	result.reservation = &schema.Claim{Key: key[:], Body: requestFingerprint(call.Target, call.Body), Request: result.ID, Caller: call.Request.Caller, Proxy: f.Name,
+		Incarnation: f.Incarnation, Instance: endpoint.Instance, Beside: endpoint.Proxy, Address: endpoint.Address}
+	verdict, existing := f.ReserveKey(ctx, result.reservation)
+	refusals := map[session.ReservationOutcome]defect.Code{session.ReservationKeyReused: defect.IdempotencyKeyReused, session.ReservationNoCapacity: defect.QueueFull, session.ReservationNoMajority: defect.IdempotencyKeyNotReserved}
 	switch {
-	case verdict == session.ClaimWon:
+	case verdict == session.ReservationGranted:
 		return nil, true
-	case verdict != session.ClaimHeld:
-		return notRun(refusals[verdict], 0), false
+	case verdict != session.ReservationConflict:
+		return notExecuted(refusals[verdict], 0), false
 	// This request had the key and has lost it: another may have run under it meanwhile.
-	case moved:
-		return unknown(defect.KeyUnsettled), false
+	case reservedBefore:
+		return outcomeUnknown(defect.IdempotencyKeyUnresolved), false
 	}
-	c.letGo(ctx, ended.claimed)
-	ended.claimed = nil
-	return c.recall(ctx, call, ended, holder, began), false
+	f.releaseKey(ctx, result.reservation)
+	result.reservation = nil
+	return f.recallResult(ctx, call, result, existing, startedAt), false
 }
 
-// letGo drops a claim. Registries that are not reached keep it until it runs out.
-func (c *Carrier) letGo(ctx context.Context, claim *schema.Claim) {
-	dropped := &schema.Claim{Key: claim.Key, Body: claim.Body, Request: claim.Request, Caller: claim.Caller, Proxy: claim.Proxy, Incarnation: claim.Incarnation, Drop: true}
+// releaseKey drops a claim. Registries that are not reached keep it until it runs out.
+func (f *Forwarder) releaseKey(ctx context.Context, reservation *schema.Claim) {
+	release := &schema.Claim{Key: reservation.Key, Body: reservation.Body, Request: reservation.Request, Caller: reservation.Caller, Proxy: reservation.Proxy, Incarnation: reservation.Incarnation, Drop: true}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.Claim(context.WithoutCancel(ctx), dropped)
+		f.ReserveKey(context.WithoutCancel(ctx), release)
 	}()
 	select {
 	case <-done:
-	case <-time.After(c.ClaimPause):
+	case <-time.After(f.KeyReleaseTimeout):
 	}
 }
 
-// recall asks the proxy that a key went to what came of it.
-func (c *Carrier) recall(ctx context.Context, call *Call, ended *Ended, holder *schema.Claim, began time.Duration) *schema.Carried {
-	left := ended.Plan.Horizon - (c.Now() - began)
-	carry := &schema.Carry{Request: ended.ID + "-0", Caller: call.Request.Caller, Service: ended.Plan.Service, Route: ended.Plan.Route.Name, Method: call.Request.Method,
-		Target: call.Target, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), LeftNanos: int64(left), Idempotency: call.Request.Idempotency, Recall: true}
-	carried, err := c.SendOn(ctx, plan.Candidate{Instance: holder.Instance, Proxy: holder.Beside, Address: holder.Address}, carry)
-	if err != nil || !intact(carry, carried) || carried.Ending == schema.Ending_ENDING_NOT_RUN {
-		return unknown(defect.KeyUnsettled)
+// recallResult asks the proxy that a key went to what came of it.
+func (f *Forwarder) recallResult(ctx context.Context, call *Call, result *CallResult, existing *schema.Claim, startedAt time.Duration) *schema.Carried {
+	remaining := result.Plan.Deadline - (f.Now() - startedAt)
+	request := &schema.Carry{Request: result.ID + "-0", Caller: call.Request.Caller, Service: result.Plan.Service, Route: result.Plan.Route.Name, Method: call.Request.Method,
+		Target: call.Target, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), LeftNanos: int64(remaining), Idempotency: call.Request.IdempotencyKey, Recall: true}
+	response, err := f.Send(ctx, plan.Endpoint{Instance: existing.Instance, Proxy: existing.Beside, Address: existing.Address}, request)
+	if err != nil || !intact(request, response) || response.Ending == schema.Ending_ENDING_NOT_RUN {
+		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
 	}
-	return carried
+	return response
 }
--- a/internal/dispatch/claim_test.go
+++ b/internal/dispatch/claim_test.go
@@ -17,53 +17,53 @@
 	"meadowhinge/schema"
 )
 
-const claimLease = 8 * time.Second
+const reservationLease = 8 * time.Second
 
-// desk is three registries' claims, and two proxies whose callers have one key between them.
+// keyFixture is three registries' claims, and two proxies whose callers have one key between them.
 // Each proxy sees another worker, behind another proxy, so that only the claims keep the
 // request from running twice.
-type desk struct {
-	stages [2]*stage
-	lock   sync.Mutex // of claims: a key is let go beside the thread that had it
-	claims [3]*registry.Claims
-	hung   [3]bool // a registry that does not answer
-	began  time.Time
-	single bool // planted: one registry's word is enough
-	lost   [2]func(order int) bool
-	told   [2][]*Ended
+type keyFixture struct {
+	fixtures             [2]*workerFixture
+	lock                 sync.Mutex // of claims: a key is let go beside the thread that had it
+	claims               [3]*registry.ReservationTable
+	unresponsive         [3]bool // a registry that does not answer
+	began                time.Time
+	seededSingleRegistry bool // planted: one registry's word is enough
+	lost                 [2]func(order int) bool
+	results              [2][]*CallResult
 }
 
-func newDesk(t testing.TB) *desk {
-	d := &desk{stages: [2]*stage{newStage(t), newStage(t)}, began: time.Now()}
+func newKeyFixture(t testing.TB) *keyFixture {
+	d := &keyFixture{fixtures: [2]*workerFixture{newWorkerFixture(t), newWorkerFixture(t)}, began: time.Now()}
 	for i := range d.claims {
-		d.claims[i] = d.fresh()
-		d.claims[i].Unused()
+		d.claims[i] = d.newReservations()
+		d.claims[i].MarkNeverUsed()
 	}
 	return d
 }
 
-func (d *desk) fresh() *registry.Claims {
-	return registry.NewClaims(registry.ClaimsOptions{Lease: claimLease, Window: 4 * claimLease, Most: 64, Seats: 3})
+func (f *keyFixture) newReservations() *registry.ReservationTable {
+	return registry.NewReservationTable(registry.ReservationOptions{Lease: reservationLease, Window: 4 * reservationLease, MaxReservations: 64, MemberCount: 3})
 }
 
-func (d *desk) now() time.Duration { return time.Since(d.began) }
+func (f *keyFixture) now() time.Duration { return time.Since(f.began) }
 
-// restart lets a registry begin anew and, if it is sound, read the others before it counts.
-func (d *desk) restart(i int, way string) {
-	fresh := d.fresh()
+// restartRegistry lets a registry begin anew and, if it is sound, read the others before it counts.
+func (f *keyFixture) restartRegistry(i int, way string) {
+	reservations := f.newReservations()
 	if way == countsAtOnce {
-		fresh.Unused()
+		reservations.MarkNeverUsed()
 	}
-	d.lock.Lock()
-	d.claims[i] = fresh
-	d.lock.Unlock()
+	f.lock.Lock()
+	f.claims[i] = reservations
+	f.lock.Unlock()
 	switch way {
 	case countsAtOnce:
 		return
 	case readsLater:
-		time.Sleep(fresh.ReadsFrom())
+		time.Sleep(reservations.RecoveryStartsAt())
 	}
-	d.refill(i)
+	f.refillRegistry(i)
 }
 
 // Ways in which a registry begins anew; only the first is sound.
@@ -73,93 +73,95 @@
 	countsAtOnce = "counts at once"
 )
 
-func (d *desk) refill(i int) {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	for other := range d.claims {
+func (f *keyFixture) refillRegistry(i int) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	for other := range f.claims {
 		if other != i {
-			d.claims[i].Fill(d.now(), fmt.Sprint(other), d.claims[other].Page(d.now(), 0))
+			f.claims[i].MergePage(f.now(), fmt.Sprint(other), f.claims[other].Page(f.now(), 0))
 		}
 	}
 }
 
-// claimer takes claims to the registries one after another, yielding before each.
-func (d *desk) claimer(from int, yield func()) Claimer {
-	return func(_ context.Context, claim *schema.Claim) (session.ClaimVerdict, *schema.Claim) {
+// newReserver takes claims to the registries one after another, yielding before each.
+func (f *keyFixture) newReserver(from int, yield func()) KeyReserver {
+	return func(_ context.Context, claim *schema.Claim) (session.ReservationOutcome, *schema.Claim) {
 		seats := 3
-		if d.single {
+		if f.seededSingleRegistry {
 			seats = 1
 		}
-		round := session.NewClaiming(claim, seats, d.now(), session.ClaimBound(claimLease))
+		round := session.NewReservationRound(claim, seats, f.now(), session.ReservationRoundTimeout(reservationLease))
 		for i := range 3 {
 			seat := (from + i) % 3
 			yield()
-			if !d.hung[seat] {
-				d.lock.Lock()
-				claimed := d.claims[seat].Take(d.now(), claim)
-				d.lock.Unlock()
-				round.Take(d.now(), fmt.Sprint(seat), claimed)
+			if !f.unresponsive[seat] {
+				f.lock.Lock()
+				claimed := f.claims[seat].Apply(f.now(), claim)
+				f.lock.Unlock()
+				round.Record(f.now(), fmt.Sprint(seat), claimed)
 			}
-			if verdict := round.Verdict(i == 2); verdict != session.ClaimOpen {
-				return verdict, round.Holder
+			if verdict := round.Outcome(i == 2); verdict != session.ReservationPending {
+				return verdict, round.Conflicting
 			}
 		}
-		return round.Verdict(true), round.Holder
+		return round.Outcome(true), round.Conflicting
 	}
 }
 
-// caller is one of the two proxies.
-func (d *desk) caller(t testing.TB, which int, yield func()) *Carrier {
-	s := d.stages[which]
-	view := &plan.View{Setup: s.view.Setup, Directory: plan.Directory{"shop": {"1": {}}}}
-	for _, one := range s.workers.List() {
-		view.Directory["shop"]["1"] = append(view.Directory["shop"]["1"], plan.Candidate{Instance: one.Instance, Proxy: fmt.Sprint("beside-", which)})
+// newForwarder is one of the two proxies.
+func (f *keyFixture) newForwarder(t testing.TB, caller int, yield func()) *Forwarder {
+	fixture := f.fixtures[caller]
+	view := &plan.View{Config: fixture.view.Config, Directory: plan.Directory{"shop": {"1": {}}}}
+	for _, worker := range fixture.workers.List() {
+		view.Directory["shop"]["1"] = append(view.Directory["shop"]["1"], plan.Endpoint{Instance: worker.Instance, Proxy: fmt.Sprint("beside-", caller)})
 	}
 	sent := 0
-	return (&Carrier{Name: fmt.Sprint("q", which), Incarnation: 1, Bounds: Bounds{Options: plan.Options{HorizonMost: 2 * time.Second}, ExtraFloor: 10}, View: func() *plan.View { return view },
+	return (&Forwarder{Name: fmt.Sprint("q", caller), Incarnation: 1, Limits: Limits{PlanOptions: plan.Options{MaxDeadline: 2 * time.Second}, RetryFloor: 10}, View: func() *plan.View { return view },
 		AwaitView:  func(context.Context, func(*plan.View) bool) {},
-		AwaitLease: func(context.Context) bool { return true }, Lagging: func() {}, Leased: func() bool { return true }, Members: func() int { return 1 },
-		Now: d.now, Dice: func() float64 { return 0 }, Soundness: NewSoundness(5, time.Second), Trials: NewTrials(TrialDefaults, func() int { return 1 }, func() Guards { return stated{} }), Tally: NewTally(64),
-		Claim: d.claimer(which, yield), ClaimPause: time.Hour,
-		SendOn: func(ctx context.Context, candidate plan.Candidate, carry *schema.Carry) (*schema.Carried, error) {
+		AwaitLease: func(context.Context) bool { return true }, OnConfigLag: func() {}, HasLease: func() bool { return true }, FleetSize: func() int { return 1 },
+		Now: f.now, Random: func() float64 { return 0 }, Outliers: NewOutlierDetector(5, time.Second), Canaries: NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }), Counter: NewCallCounter(64),
+		ReserveKey: f.newReserver(caller, yield), KeyReleaseTimeout: time.Hour,
+		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.Carry) (*schema.Carried, error) {
 			yield()
 			sent++
-			target := d.stages[0]
+			target := f.fixtures[0]
 			if candidate.Proxy == "beside-1" {
-				target = d.stages[1]
+				target = f.fixtures[1]
 			}
-			carried := target.runner.Run(ctx, link.Local("proxy", "q", map[string]bool{"client": true}), carry)
-			if lost := d.lost[which]; lost != nil && lost(sent) {
-				return unknown("LINK_LOST"), nil
+			response := target.runner.Run(ctx, link.LocalPeer("proxy", "q", map[string]bool{"client": true}), request)
+			if answerLost := f.lost[caller]; answerLost != nil && answerLost(sent) {
+				return outcomeUnknown("LINK_LOST"), nil
 			}
-			return carried, nil
-		}}).Start(16)
+			return response, nil
+		}}).Init(16)
 }
 
-func (d *desk) call(key, body string) *Call {
-	return &Call{Target: "/shop/buy", Body: []byte(body), Request: plan.Request{Caller: "client", Method: "POST", Path: "/shop/buy", Keyed: true, Idempotency: key,
+func (f *keyFixture) newCall(key, body string) *Call {
+	return &Call{Target: "/shop/buy", Body: []byte(body), Request: plan.Request{Caller: "client", Method: "POST", Path: "/shop/buy", HasIdempotencyKey: true, IdempotencyKey: key,
 		Header: func(string) (string, bool) { return "ann", true }}}
 }
 
-func (d *desk) runs() int { return len(d.stages[0].ledger()) + len(d.stages[1].ledger()) }
+func (f *keyFixture) countRuns() int {
+	return len(f.fixtures[0].recordedRuns()) + len(f.fixtures[1].recordedRuns())
+}
 
-// judge holds what was told against what ran: one run at most, and none of what was told so.
-func (d *desk) judge() error {
+// check holds what was told against what ran: one run at most, and none of what was told so.
+func (f *keyFixture) check() error {
 	ran := map[string]bool{}
-	for _, s := range d.stages {
-		for _, one := range s.ledger() {
+	for _, fixture := range f.fixtures {
+		for _, one := range fixture.recordedRuns() {
 			ran[one.request[:strings.LastIndex(one.request, "-")]] = true
 		}
 	}
-	if count := d.runs(); count > 1 {
+	if count := f.countRuns(); count > 1 {
 		return fmt.Errorf("ran %d times: %v", count, ran)
 	}
-	for _, told := range d.told {
-		for _, one := range told {
-			if one.Carried.Ending == schema.Ending_ENDING_NOT_RUN && ran[one.ID] {
+	for _, results := range f.results {
+		for _, one := range results {
+			if one.Response.Ending == schema.Ending_ENDING_NOT_RUN && ran[one.ID] {
 				return fmt.Errorf("%s was told not run, and ran", one.ID)
 			}
-			if one.Carried.Ending == schema.Ending_ENDING_ANSWERED && len(ran) == 0 {
+			if one.Response.Ending == schema.Ending_ENDING_ANSWERED && len(ran) == 0 {
 				return fmt.Errorf("%s was answered, and nothing ran", one.ID)
 			}
 		}
@@ -172,24 +174,24 @@
 // where a registry that restarted counts before it has read the others.
 func TestEveryOrderOfOneKeyAtTwoProxies(t *testing.T) {
 	explore := func(single bool, restart string) interleave.Outcome {
-		return interleave.Explore(t, 200000, func(t *testing.T, run *interleave.Run) func() error {
-			d := newDesk(t)
-			d.single = single
-			for i, s := range d.stages {
-				s.enter(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+		return interleave.Explore(t, 200000, func(t *testing.T, run *interleave.Execution) func() error {
+			d := newKeyFixture(t)
+			d.seededSingleRegistry = single
+			for i, s := range d.fixtures {
+				s.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
 			}
 			for which := range 2 {
 				run.Go(fmt.Sprint("caller-", which), func(yield func()) {
-					d.told[which] = append(d.told[which], d.caller(t, which, yield).Carry(t.Context(), d.call("key", "{}")))
+					d.results[which] = append(d.results[which], d.newForwarder(t, which, yield).Forward(t.Context(), d.newCall("key", "{}")))
 				})
 			}
 			if restart != "" {
-				run.Go("restart", func(func()) { d.restart(1, restart) })
+				run.Go("restart", func(func()) { d.restartRegistry(1, restart) })
 			}
-			return d.judge
+			return d.check
 		})
 	}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		single  bool
 		restart string
 		broken  bool
@@ -200,11 +202,11 @@
 		"planted: counts at once":         {restart: countsAtOnce, broken: true},
 		"planted: reads at once":          {restart: readsAtOnce, broken: true},
 	} {
-		outcome := explore(one.single, one.restart)
-		if (outcome.Failure != "") != one.broken {
-			t.Errorf("%s: %q after %d orders", name, outcome.Failure, outcome.Orders)
+		outcome := explore(test.single, test.restart)
+		if (outcome.Failure != "") != test.broken {
+			t.Errorf("%s: %q after %d orders", name, outcome.Failure, outcome.Schedules)
 		}
-		t.Logf("%s: %d orders", name, outcome.Orders)
+		t.Logf("%s: %d orders", name, outcome.Schedules)
 	}
 }
 
@@ -212,83 +214,83 @@
 // first answer where that can still be known.
 func TestRepeatElsewhere(t *testing.T) {
 	answered, unknownEnding, notRunEnding := schema.Ending_ENDING_ANSWERED, schema.Ending_ENDING_UNKNOWN, schema.Ending_ENDING_NOT_RUN
-	for name, one := range map[string]struct {
-		before func(d *desk)            // the first try
-		after  func(d *desk)            // it
-		body   string                   // of the repeat, where another
-		first  schema.Ending            //
-		again  schema.Ending            //
-		runs   int                      //
-		lost   func(order int) bool     // answers of the first try that are lost
-		check  func(*testing.T, *Ended) // of the repeat
+	for name, test := range map[string]struct {
+		before func(d *keyFixture)           // the first try
+		after  func(d *keyFixture)           // it
+		body   string                        // of the repeat, where another
+		first  schema.Ending                 //
+		again  schema.Ending                 //
+		runs   int                           //
+		lost   func(order int) bool          // answers of the first try that are lost
+		check  func(*testing.T, *CallResult) // of the repeat
 	}{
 		"the first was answered":        {first: answered, again: answered, runs: 1},
 		"the first's answer was lost":   {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }},
-		"the worker's proxy is lost":    {first: unknownEnding, again: unknownEnding, runs: 1, lost: func(int) bool { return true }, after: func(d *desk) { d.stages[0].runner.memory = NewMemory(8) }},
-		"a core machine is lost after":  {first: answered, again: answered, runs: 1, after: func(d *desk) { d.hung[1] = true }},
-		"a core machine is lost before": {first: answered, again: answered, runs: 1, before: func(d *desk) { d.hung[2] = true }},
-		"one core machine after another comes back empty": {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(d *desk) {
+		"the worker's proxy is lost":    {first: unknownEnding, again: unknownEnding, runs: 1, lost: func(int) bool { return true }, after: func(d *keyFixture) { d.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
+		"a core machine is lost after":  {first: answered, again: answered, runs: 1, after: func(d *keyFixture) { d.unresponsive[1] = true }},
+		"a core machine is lost before": {first: answered, again: answered, runs: 1, before: func(d *keyFixture) { d.unresponsive[2] = true }},
+		"one core machine after another comes back empty": {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(d *keyFixture) {
 			for i := range 3 {
-				d.restart(i, readsLater)
+				d.restartRegistry(i, readsLater)
 			}
 		}},
-		"two core machines are lost at once": {first: answered, again: notRunEnding, runs: 1, after: func(d *desk) {
-			d.claims[0], d.claims[1] = d.fresh(), d.fresh()
-			time.Sleep(claimLease)
-			d.refill(0)
-			d.refill(1)
+		"two core machines are lost at once": {first: answered, again: notRunEnding, runs: 1, after: func(d *keyFixture) {
+			d.claims[0], d.claims[1] = d.newReservations(), d.newReservations()
+			time.Sleep(reservationLease)
+			d.refillRegistry(0)
+			d.refillRegistry(1)
 			// The third still has the key, but its word alone would not keep another from running.
-			d.claims[2] = d.fresh()
+			d.claims[2] = d.newReservations()
 		}},
-		"no majority of registries": {first: notRunEnding, again: answered, runs: 1, before: func(d *desk) { d.hung[0], d.hung[1] = true, true }, after: func(d *desk) {
-			d.hung[0], d.hung[1] = false, false
+		"no majority of registries": {first: notRunEnding, again: answered, runs: 1, before: func(d *keyFixture) { d.unresponsive[0], d.unresponsive[1] = true, true }, after: func(d *keyFixture) {
+			d.unresponsive[0], d.unresponsive[1] = false, false
 		}},
-		"another body under the key": {first: answered, again: notRunEnding, runs: 1, body: "{1}", check: func(t *testing.T, ended *Ended) {
-			if ended.Carried.Defect != "IDEMPOTENCY_KEY_REUSED" {
-				t.Error(ended.Carried.Defect)
+		"another body under the key": {first: answered, again: notRunEnding, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
+			if result.Response.Defect != "IDEMPOTENCY_KEY_REUSED" {
+				t.Error(result.Response.Defect)
 			}
 		}},
-		"the first never ran": {first: notRunEnding, again: answered, runs: 1, before: func(d *desk) {
-			said := d.stages[0].saying("127.0.0.1:1", d.stages[0].actors["127.0.0.1:1"])
-			said.Leaving = true
-			_, _ = d.stages[0].workers.Describe(said)
+		"the first never ran": {first: notRunEnding, again: answered, runs: 1, before: func(d *keyFixture) {
+			said := d.fixtures[0].describe("127.0.0.1:1", d.fixtures[0].workersByAddress["127.0.0.1:1"])
+			said.Draining = true
+			_, _ = d.fixtures[0].workers.Register(said)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newDesk(t)
-				for i, s := range d.stages {
-					s.enter(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+				d := newKeyFixture(t)
+				for i, s := range d.fixtures {
+					s.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
 				}
-				first, second := d.caller(t, 0, func() {}), d.caller(t, 1, func() {})
-				if one.before != nil {
-					one.before(d)
+				first, second := d.newForwarder(t, 0, func() {}), d.newForwarder(t, 1, func() {})
+				if test.before != nil {
+					test.before(d)
 				}
-				d.lost[0] = one.lost
-				d.told[0] = append(d.told[0], first.Carry(t.Context(), d.call("key", "{}")))
-				if one.after != nil {
-					one.after(d)
+				d.lost[0] = test.lost
+				d.results[0] = append(d.results[0], first.Forward(t.Context(), d.newCall("key", "{}")))
+				if test.after != nil {
+					test.after(d)
 				}
 				body := "{}"
-				if one.body != "" {
-					body = one.body
+				if test.body != "" {
+					body = test.body
 				}
-				again := second.Carry(t.Context(), d.call("key", body))
-				d.told[1] = append(d.told[1], again)
-				if got := d.told[0][0].Carried; got.Ending != one.first {
-					t.Errorf("the first ended %v with %s, want %v", got.Ending, got.Defect, one.first)
+				again := second.Forward(t.Context(), d.newCall("key", body))
+				d.results[1] = append(d.results[1], again)
+				if got := d.results[0][0].Response; got.Ending != test.first {
+					t.Errorf("the first ended %v with %s, want %v", got.Ending, got.Defect, test.first)
 				}
-				if again.Carried.Ending != one.again {
-					t.Errorf("the repeat ended %v with %s, want %v", again.Carried.Ending, again.Carried.Defect, one.again)
+				if again.Response.Ending != test.again {
+					t.Errorf("the repeat ended %v with %s, want %v", again.Response.Ending, again.Response.Defect, test.again)
 				}
-				if d.runs() != one.runs {
-					t.Errorf("%d runs, want %d", d.runs(), one.runs)
+				if d.countRuns() != test.runs {
+					t.Errorf("%d runs, want %d", d.countRuns(), test.runs)
 				}
-				if err := d.judge(); err != nil {
+				if err := d.check(); err != nil {
 					t.Error(err)
 				}
-				if one.check != nil {
-					one.check(t, again)
+				if test.check != nil {
+					test.check(t, again)
 				}
 			})
 		})
@@ -299,13 +301,13 @@
 // planned anew by the newer one as soon as it is here, and answered.
 func TestNewerSetupElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDesk(t)
-		for i, s := range d.stages {
-			s.enter(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+		d := newKeyFixture(t)
+		for i, s := range d.fixtures {
+			s.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
 		}
-		carrier := d.caller(t, 0, func() {})
+		carrier := d.newForwarder(t, 0, func() {})
 		older, arrives := carrier.View(), time.Now().Add(700*time.Millisecond)
-		newer := &plan.View{Setup: compiled(t, 6), Directory: older.Directory}
+		newer := &plan.View{Config: compileConfig(t, 6), Directory: older.Directory}
 		carrier.View = func() *plan.View {
 			if time.Now().Before(arrives) {
 				return older
@@ -318,20 +320,20 @@
 			case <-time.After(time.Until(arrives)):
 			}
 		}
-		send := carrier.SendOn
+		send := carrier.Send
 		refused := 0
-		carrier.SendOn = func(ctx context.Context, candidate plan.Candidate, carry *schema.Carry) (*schema.Carried, error) {
-			if carry.Setup < 6 {
+		carrier.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.Carry) (*schema.Carried, error) {
+			if request.Setup < 6 {
 				refused++
-				carried := notRun("VERSION_NOT_ALLOWED", 6)
-				carried.Request = carry.Request
-				return carried, nil
+				response := notExecuted("VERSION_NOT_ALLOWED", 6)
+				response.Request = request.Request
+				return response, nil
 			}
-			return send(ctx, candidate, carry)
+			return send(ctx, candidate, request)
 		}
-		ended := carrier.Carry(t.Context(), d.call("key", "{}"))
-		if ended.Err != nil || refused != 1 || ended.Plan.Verdict.Setup != 6 {
-			t.Errorf("ended %v after %d refusals, by setup %d", ended.Err, refused, ended.Plan.Verdict.Setup)
+		result := carrier.Forward(t.Context(), d.newCall("key", "{}"))
+		if result.Err != nil || refused != 1 || result.Plan.Verdict.ConfigRevision != 6 {
+			t.Errorf("ended %v after %d refusals, by setup %d", result.Err, refused, result.Plan.Verdict.ConfigRevision)
 		}
 	})
 }
--- a/internal/dispatch/conns.go
+++ b/internal/dispatch/conns.go
@@ -20,277 +20,277 @@
 	"meadowhinge/internal/socket"
 )
 
-// conns are the connections to one worker, each for one request at a time. The library's own
+// connPool are the connections to one worker, each for one request at a time. The library's own
 // client is not used: it sends again what it takes for unsent, gives up a connection without a
 // word, and takes any answer that comes for the one that was asked for.
-type conns struct {
+type connPool struct {
 	address string
 	dial    func(address string) (net.Conn, error)
 	now     func() time.Duration
 
-	lock sync.Mutex
-	idle []*conn // the one idle the longest first
-	shut bool
-	// idleMost is after how long the worker closes a connection that nothing comes on: by its own
+	lock   sync.Mutex
+	idle   []*workerConn // the one idle the longest first
+	closed bool
+	// idleTimeout is after how long the worker closes a connection that nothing comes on: by its own
 	// word, or as it was found out; 0 for not known.
-	idleMost time.Duration
+	idleTimeout time.Duration
 }
 
 // Ratios to how long a worker keeps an idle connection.
 const (
-	idleParts  = 8 // one this part of the time from its end is not used any more
-	learnParts = 4 // what was found closed was closed this part earlier
+	idleMarginDivisor = 8 // one this part of the time from its end is not used any more
+	idleLearnDivisor  = 4 // what was found closed was closed this part earlier
 )
 
 // Bounds on what a worker sends beside the answer.
 const (
-	interimMost = 16 // interim answers before the final one
-	straysMost  = 4  // whole answers to other requests
-	piecesMost  = 1 << 16
-	headMost    = 16 << 10
+	maxInterimResponses = 16 // interim answers before the final one
+	maxStrayResponses   = 4  // whole answers to other requests
+	bodyChunkSize       = 1 << 16
+	maxHeaderBytes      = 16 << 10
 )
 
 // Buffers are borrowed for the time of an exchange, so that idle connections hold none.
 var (
-	readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, headMost) }}
-	writers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, 4<<10) }}
+	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHeaderBytes) }}
+	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, 4<<10) }}
 )
 
-// conn is one connection to a worker.
-type conn struct {
+// workerConn is one connection to a worker.
+type workerConn struct {
 	net.Conn
-	sent   int // bytes of the request that left this process
-	idleAt time.Duration
-	raw    syscall.RawConn // nil for what is no socket
-	look   func(handle uintptr) bool
-	quiet  bool
+	bytesSent int // bytes of the request that left this process
+	idleSince time.Duration
+	rawConn   syscall.RawConn // nil for what is no socket
+	peek      func(handle uintptr) bool
+	noData    bool
 }
 
 // Write counts what left.
-func (c *conn) Write(data []byte) (int, error) {
+func (c *workerConn) Write(data []byte) (int, error) {
 	count, err := c.Conn.Write(data)
-	c.sent += count
+	c.bytesSent += count
 	return count, err
 }
 
-func newConn(raw net.Conn) *conn {
-	made := &conn{Conn: socket.Of(raw)}
-	if plain, is := raw.(syscall.Conn); is {
-		if inner, err := plain.SyscallConn(); err == nil {
-			made.raw = inner
-			var one [1]byte
-			made.look = func(handle uintptr) bool {
-				_, err := socket.Read(handle, one[:])
-				made.quiet = errors.Is(err, syscall.EAGAIN)
+func newWorkerConn(raw net.Conn) *workerConn {
+	conn := &workerConn{Conn: socket.Wrap(raw)}
+	if syscallConn, ok := raw.(syscall.Conn); ok {
+		if rawConn, err := syscallConn.SyscallConn(); err == nil {
+			conn.rawConn = rawConn
+			var buffer [1]byte
+			conn.peek = func(handle uintptr) bool {
+				_, err := socket.Read(handle, buffer[:])
+				conn.noData = errors.Is(err, syscall.EAGAIN)
 				return true
 			}
 		}
 	}
-	return made
+	return conn
 }
 
 // alive tells whether nothing came on an idle connection: neither its end, nor bytes, which
 // could only belong to a request that is over.
-func (c *conn) alive() bool {
-	if c.raw == nil {
+func (c *workerConn) alive() bool {
+	if c.rawConn == nil {
 		return true
 	}
-	return c.raw.Read(c.look) == nil && c.quiet
+	return c.rawConn.Read(c.peek) == nil && c.noData
 }
 
 // exchange is one request to a worker and what became of it.
 type exchange struct {
-	request  *fasthttp.Request
-	response *fasthttp.Response
-	until    time.Time
-	most     int // bytes of a body
-	bodiless func(status int) bool
-	read     func(header *fasthttp.ResponseHeader) Said
+	request      *fasthttp.Request
+	response     *fasthttp.Response
+	deadline     time.Time
+	maxBodyBytes int // bytes of a body
+	hasNoBody    func(status int) bool
+	readHeader   func(header *fasthttp.ResponseHeader) ResponseInfo
 
-	room *semaphore.Weighted // for large bodies
+	bodyMemory *semaphore.Weighted // for large bodies
 
-	ctx    context.Context // ends when the run is to end
-	sentAt time.Duration   // when the first byte of the request was sent, 0 for not at all
-	said   Said
-	body   []byte
-	taken  int64 // of the room
+	ctx           context.Context // ends when the run is to end
+	sentAt        time.Duration   // when the first byte of the request was sent, 0 for not at all
+	info          ResponseInfo
+	body          []byte
+	reservedBytes int64 // of the room
 }
 
-// hand sends a request and reads its answer. An error of the kind WORKER_UNOPENED proves that
+// roundTrip sends a request and reads its answer. An error of the kind WORKER_UNOPENED proves that
 // the worker saw nothing of it; any other leaves that open. When ctx ends the connection is closed, which
 // is how a worker is told that nobody waits, and the error is of the kind CALLER_GONE. Once something was sent,
 // the context of the exchange counts in its place.
-func (c *conns) hand(ctx context.Context, x *exchange) error {
+func (c *connPool) roundTrip(ctx context.Context, x *exchange) error {
 	for {
 		if ctx.Err() != nil {
-			return defect.New(defect.CallerGone, c.address)
+			return defect.New(defect.CallerDisconnected, c.address)
 		}
-		one, fresh := c.take(x.until), false
-		if one == nil {
+		conn, fresh := c.takeIdle(x.deadline), false
+		if conn == nil {
 			raw, err := c.dial(c.address)
 			if err != nil {
-				return defect.Wrap(err, defect.WorkerUnopened, c.address)
+				return defect.Wrap(err, defect.WorkerConnectFailed, c.address)
 			}
-			one, fresh = newConn(raw), true
-			_ = one.SetDeadline(x.until)
+			conn, fresh = newWorkerConn(raw), true
+			_ = conn.SetDeadline(x.deadline)
 		}
 		// The worker may have been long in taking the connection.
 		if ctx.Err() != nil {
-			one.Close()
-			return defect.New(defect.CallerGone, c.address)
+			conn.Close()
+			return defect.New(defect.CallerDisconnected, c.address)
 		}
-		began := c.now()
-		stop := context.AfterFunc(x.ctx, one.interrupt)
-		clean, err := one.exchange(x)
-		if one.sent > 0 {
-			x.sentAt = max(1, began)
+		startedAt := c.now()
+		stop := context.AfterFunc(x.ctx, conn.interrupt)
+		reusable, err := conn.exchange(x)
+		if conn.bytesSent > 0 {
+			x.sentAt = max(1, startedAt)
 		}
 		// An interrupt that has begun may strike at any time from now on.
 		if !stop() {
-			clean = false
-			if err != nil && one.sent > 0 {
-				err = defect.New(defect.CallerGone, c.address)
+			reusable = false
+			if err != nil && conn.bytesSent > 0 {
+				err = defect.New(defect.CallerDisconnected, c.address)
 			}
 		}
-		if clean {
-			c.give(one, x.said.IdleMost)
+		if reusable {
+			c.putIdle(conn, x.info.IdleTimeout)
 		} else {
-			one.Close()
+			conn.Close()
 		}
 		switch {
-		case err == nil || one.sent > 0:
+		case err == nil || conn.bytesSent > 0:
 			return err
 		// Nothing left this process, so another connection may be tried; a fresh one will do.
 		case fresh && ctx.Err() == nil:
-			return defect.New(defect.WorkerUnopened, c.address)
+			return defect.New(defect.WorkerConnectFailed, c.address)
 		}
 	}
 }
 
 // interrupt ends every read and write on a connection at once.
-func (c *conn) interrupt() { _ = c.SetDeadline(time.Unix(1, 0)) }
+func (c *workerConn) interrupt() { _ = c.SetDeadline(time.Unix(1, 0)) }
 
-// take gives the connection that was idle the longest: so all that are in use by turns stay
+// takeIdle gives the connection that was idle the longest: so all that are in use by turns stay
 // open, and those that are not needed run out.
-func (c *conns) take(until time.Time) *conn {
+func (c *connPool) takeIdle(deadline time.Time) *workerConn {
 	for {
 		c.lock.Lock()
 		if len(c.idle) == 0 {
 			c.lock.Unlock()
 			return nil
 		}
-		one, bound := c.idle[0], c.idleMost
+		conn, idleTimeout := c.idle[0], c.idleTimeout
 		c.idle = append(c.idle[:0], c.idle[1:]...)
 		c.lock.Unlock()
-		_ = one.SetDeadline(until)
-		idle := c.now() - one.idleAt
+		_ = conn.SetDeadline(deadline)
+		idleFor := c.now() - conn.idleSince
 		switch {
-		case bound > 0 && idle > bound-bound/idleParts:
-		case one.alive():
-			return one
+		case idleTimeout > 0 && idleFor > idleTimeout-idleTimeout/idleMarginDivisor:
+		case conn.alive():
+			return conn
 		default:
 			// Whoever closes without a word when is found out by it.
 			c.lock.Lock()
-			if c.idleMost == 0 || idle < c.idleMost {
-				c.idleMost = idle - idle/learnParts
+			if c.idleTimeout == 0 || idleFor < c.idleTimeout {
+				c.idleTimeout = idleFor - idleFor/idleLearnDivisor
 			}
 			c.lock.Unlock()
 		}
-		one.Close()
+		conn.Close()
 	}
 }
 
-// give keeps a connection for the next request.
-func (c *conns) give(one *conn, told time.Duration) {
-	one.idleAt = c.now()
+// putIdle keeps a connection for the next request.
+func (c *connPool) putIdle(conn *workerConn, reportedTimeout time.Duration) {
+	conn.idleSince = c.now()
 	c.lock.Lock()
-	shut := c.shut
-	if told > 0 {
-		c.idleMost = told
+	closed := c.closed
+	if reportedTimeout > 0 {
+		c.idleTimeout = reportedTimeout
 	}
-	if !shut {
-		c.idle = append(c.idle, one)
+	if !closed {
+		c.idle = append(c.idle, conn)
 	}
 	c.lock.Unlock()
-	if shut {
-		one.Close()
+	if closed {
+		conn.Close()
 	}
 }
 
 // close ends what is idle now, and what is in use as soon as it is not.
-func (c *conns) close() {
+func (c *connPool) close() {
 	c.lock.Lock()
 	idle := c.idle
-	c.idle, c.shut = nil, true
+	c.idle, c.closed = nil, true
 	c.lock.Unlock()
-	for _, one := range idle {
-		one.Close()
+	for _, conn := range idle {
+		conn.Close()
 	}
 }
 
 // exchange sends a request and reads up to its answer; clean tells that the connection is as
 // good as new.
-func (c *conn) exchange(x *exchange) (clean bool, err error) {
-	c.sent = 0
-	writer := writers.Get().(*bufio.Writer)
+func (c *workerConn) exchange(x *exchange) (reusable bool, err error) {
+	c.bytesSent = 0
+	writer := writerPool.Get().(*bufio.Writer)
 	writer.Reset(c)
-	unsent := x.request.Write(writer)
-	if unsent == nil {
-		unsent = writer.Flush()
+	writeErr := x.request.Write(writer)
+	if writeErr == nil {
+		writeErr = writer.Flush()
 	}
 	writer.Reset(nil)
-	writers.Put(writer)
-	if unsent != nil && c.sent == 0 {
-		return false, defect.Wrap(unsent, kindOf(unsent), "sending")
+	writerPool.Put(writer)
+	if writeErr != nil && c.bytesSent == 0 {
+		return false, defect.Wrap(writeErr, transferErrorCode(writeErr), "sending")
 	}
 	// A worker that does not take a request to its end may have answered it all the same.
-	reader := readers.Get().(*bufio.Reader)
+	reader := readerPool.Get().(*bufio.Reader)
 	reader.Reset(c.Conn)
 	defer func() {
 		reader.Reset(nil)
-		readers.Put(reader)
+		readerPool.Put(reader)
 	}()
 	for strays := 0; ; strays++ {
-		if err := x.head(reader); err != nil {
+		if err := x.readFinalHeader(reader); err != nil {
 			return false, err
 		}
-		x.said = x.read(&x.response.Header)
-		err := x.fill(reader)
+		x.info = x.readHeader(&x.response.Header)
+		err := x.readBody(reader)
 		// An answer to another request, which came late, is passed over as a whole.
-		if x.said.Stray && err == nil && strays < straysMost {
+		if x.info.WrongRequest && err == nil && strays < maxStrayResponses {
 			continue
 		}
-		if x.said.Stray {
-			return false, defect.New(defect.BadAnswer, "answers another request")
+		if x.info.WrongRequest {
+			return false, defect.New(defect.InvalidResponse, "answers another request")
 		}
 		// That it did not run holds, however little comes after that word.
-		if err != nil && !x.said.NotRun && !x.said.Elsewhere {
+		if err != nil && !x.info.NotExecuted && !x.info.WrongWorker {
 			return false, err
 		}
 		// Bytes after a whole answer belong to no request, so the connection goes with them.
-		return err == nil && unsent == nil && strays == 0 && !x.said.Closing && reader.Buffered() == 0, nil
+		return err == nil && writeErr == nil && strays == 0 && !x.info.ClosesConnection && reader.Buffered() == 0, nil
 	}
 }
 
-// head reads the head of a final answer.
-func (x *exchange) head(reader *bufio.Reader) error {
-	for range interimMost {
+// readFinalHeader reads the head of a final answer.
+func (x *exchange) readFinalHeader(reader *bufio.Reader) error {
+	for range maxInterimResponses {
 		if err := x.response.Header.Read(reader); err != nil {
-			return defect.Wrap(err, kindOf(err), "head of an answer")
+			return defect.Wrap(err, transferErrorCode(err), "head of an answer")
 		}
 		status := x.response.StatusCode()
 		switch {
 		case status >= 200 && status <= 599:
 			return nil
 		case status < 100 || status > 199 || status == fasthttp.StatusSwitchingProtocols:
-			return defect.New(defect.BadAnswer, "no final status")
+			return defect.New(defect.InvalidResponse, "no final status")
 		}
 	}
-	return defect.New(defect.BadAnswer, "no final answer")
+	return defect.New(defect.InvalidResponse, "no final answer")
 }
 
-// fill reads the body that belongs to a head.
-func (x *exchange) fill(reader *bufio.Reader) error {
+// readBody reads the body that belongs to a head.
+func (x *exchange) readBody(reader *bufio.Reader) error {
 	x.body = nil
 	header := &x.response.Header
 	const (
@@ -299,107 +299,107 @@
 	)
 	length := header.ContentLength()
 	switch {
-	case x.bodiless(header.StatusCode()):
+	case x.hasNoBody(header.StatusCode()):
 		return nil
 	case length == inChunks:
-		return x.chunks(reader, header)
-	case length == toTheEnd && x.said.Unframed:
-		return x.rest(reader)
-	case length < 0 || length > x.most:
-		return defect.New(defect.BadAnswer, "no length, or too much")
+		return x.readChunks(reader, header)
+	case length == toTheEnd && x.info.EndsAtClose:
+		return x.readToClose(reader)
+	case length < 0 || length > x.maxBodyBytes:
+		return defect.New(defect.InvalidResponse, "no length, or too much")
 	}
-	return x.more(reader, length, length)
+	return x.readMore(reader, length, length)
 }
 
-// rest reads a body that ends when its connection does. It is whole if the worker closed the
+// readToClose reads a body that ends when its connection does. It is whole if the worker closed the
 // connection, and cut short if the connection was reset or time ran out.
-func (x *exchange) rest(reader *bufio.Reader) error {
+func (x *exchange) readToClose(reader *bufio.Reader) error {
 	for {
 		_, err := reader.Peek(1)
 		switch {
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return defect.Wrap(err, kindOf(err), "body to the end of the connection")
-		case len(x.body)+reader.Buffered() > x.most:
-			return defect.New(defect.BadAnswer, "too much before the end of the connection")
+			return defect.Wrap(err, transferErrorCode(err), "body to the end of the connection")
+		case len(x.body)+reader.Buffered() > x.maxBodyBytes:
+			return defect.New(defect.InvalidResponse, "too much before the end of the connection")
 		}
-		if err := x.more(reader, reader.Buffered(), x.most); err != nil {
+		if err := x.readMore(reader, reader.Buffered(), x.maxBodyBytes); err != nil {
 			return err
 		}
 	}
 }
 
-// chunks reads a body that comes in chunks, up to the end of its tail.
-func (x *exchange) chunks(reader *bufio.Reader, header *fasthttp.ResponseHeader) error {
+// readChunks reads a body that comes in chunks, up to the end of its tail.
+func (x *exchange) readChunks(reader *bufio.Reader, header *fasthttp.ResponseHeader) error {
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
-			return defect.Wrap(err, kindOf(err), "size of a chunk")
+			return defect.Wrap(err, transferErrorCode(err), "size of a chunk")
 		}
 		// Extensions of a chunk mean nothing to us.
 		digits, _, _ := bytes.Cut(bytes.TrimSuffix(bytes.TrimSuffix(line, []byte{'\n'}), []byte{'\r'}), []byte{';'})
 		size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 31)
 		switch {
-		case err != nil || len(x.body)+int(size) > x.most:
-			return defect.New(defect.BadAnswer, "size of a chunk")
+		case err != nil || len(x.body)+int(size) > x.maxBodyBytes:
+			return defect.New(defect.InvalidResponse, "size of a chunk")
 		case size == 0:
 			err = header.ReadTrailer(reader)
-			return defect.Wrap(err, kindOf(err), "end of chunks")
+			return defect.Wrap(err, transferErrorCode(err), "end of chunks")
 		}
-		if err := x.more(reader, int(size), x.most); err != nil {
+		if err := x.readMore(reader, int(size), x.maxBodyBytes); err != nil {
 			return err
 		}
 		if end, err := reader.Peek(2); err != nil || end[0] != '\r' || end[1] != '\n' {
-			return defect.Wrap(errors.Join(err, io.ErrUnexpectedEOF), defect.BadAnswer, "end of a chunk")
+			return defect.Wrap(errors.Join(err, io.ErrUnexpectedEOF), defect.InvalidResponse, "end of a chunk")
 		}
 		_, _ = reader.Discard(2)
 	}
 }
 
-// more reads so much more of a body that may come to all in all. Large ones take memory only as
+// readMore reads so much more of a body that may come to all in all. Large ones take memory only as
 // they come in, for that they are said to be large proves nothing; and only as far as there is
 // room for what all workers here answer at once, or they wait where they are.
-func (x *exchange) more(reader *bufio.Reader, length, all int) error {
-	for whole := len(x.body) + length; len(x.body) < whole; {
+func (x *exchange) readMore(reader *bufio.Reader, length, limit int) error {
+	for target := len(x.body) + length; len(x.body) < target; {
 		if len(x.body) == cap(x.body) {
-			if cap(x.body) >= piecesMost && x.taken == 0 {
-				waiting, cancel := context.WithDeadline(x.ctx, x.until)
-				err := x.room.Acquire(waiting, int64(all))
+			if cap(x.body) >= bodyChunkSize && x.reservedBytes == 0 {
+				waitCtx, cancel := context.WithDeadline(x.ctx, x.deadline)
+				err := x.bodyMemory.Acquire(waitCtx, int64(limit))
 				cancel()
 				if err != nil {
-					return defect.Wrap(err, defect.HorizonPast, "room for a body")
+					return defect.Wrap(err, defect.DeadlineExceeded, "room for a body")
 				}
-				x.taken = int64(all)
+				x.reservedBytes = int64(limit)
 			}
-			x.body = append(make([]byte, 0, min(whole, max(2*cap(x.body), piecesMost))), x.body...)
+			x.body = append(make([]byte, 0, min(target, max(2*cap(x.body), bodyChunkSize))), x.body...)
 		}
-		from, to := len(x.body), min(whole, cap(x.body))
+		from, to := len(x.body), min(target, cap(x.body))
 		x.body = x.body[:to]
 		if _, err := io.ReadFull(reader, x.body[from:to]); err != nil {
-			return defect.Wrap(err, kindOf(err), "body")
+			return defect.Wrap(err, transferErrorCode(err), "body")
 		}
 	}
 	return nil
 }
 
-// leave gives back the room that a body took.
-func (x *exchange) leave() {
-	if x.taken > 0 {
-		x.room.Release(x.taken)
-		x.taken = 0
+// releaseMemory gives back the room that a body took.
+func (x *exchange) releaseMemory() {
+	if x.reservedBytes > 0 {
+		x.bodyMemory.Release(x.reservedBytes)
+		x.reservedBytes = 0
 	}
 }
 
-// kindOf tells of what is left open whether time ran out, the connection ended, or what came
+// transferErrorCode tells of what is left open whether time ran out, the connection ended, or what came
 // was no answer.
-func kindOf(err error) defect.Kind {
+func transferErrorCode(err error) defect.Code {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, fasthttp.ErrTimeout):
-		return defect.HorizonPast
+		return defect.DeadlineExceeded
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.ErrClosedPipe) || errors.Is(err, net.ErrClosed) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
-		return defect.WorkerLost
+		return defect.WorkerConnectionLost
 	}
-	return defect.BadAnswer
+	return defect.InvalidResponse
 }
--- a/internal/dispatch/conns_fuzz_test.go
+++ b/internal/dispatch/conns_fuzz_test.go
@@ -23,24 +23,24 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		response := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseResponse(response)
-		x := &exchange{response: response, until: time.Now().Add(time.Minute), most: most, bodiless: func(status int) bool { return status == 204 || status == 304 },
-			read: func(header *fasthttp.ResponseHeader) Said {
-				return testSpeech{}.Read(header, &schema.Carry{Request: "r"})
-			}, room: semaphore.NewWeighted(most)}
-		defer x.leave()
+		x := &exchange{response: response, deadline: time.Now().Add(time.Minute), maxBodyBytes: most, hasNoBody: func(status int) bool { return status == 204 || status == 304 },
+			readHeader: func(header *fasthttp.ResponseHeader) ResponseInfo {
+				return testCodec{}.ReadHeader(header, &schema.Carry{Request: "r"})
+			}, bodyMemory: semaphore.NewWeighted(most)}
+		defer x.releaseMemory()
 		reader := bufio.NewReader(bytes.NewReader(text))
-		if x.head(reader) != nil {
+		if x.readFinalHeader(reader) != nil {
 			return
 		}
-		x.said = x.read(&response.Header)
-		err := x.fill(reader)
+		x.info = x.readHeader(&response.Header)
+		err := x.readBody(reader)
 		if len(x.body) > most {
 			t.Fatalf("%d bytes were kept", len(x.body))
 		}
 		if status := response.StatusCode(); err == nil && (status < 200 || status > 599) {
 			t.Fatalf("status %d was taken", status)
 		}
-		if length := response.Header.ContentLength(); err == nil && length > 0 && !x.bodiless(response.StatusCode()) && len(x.body) != length {
+		if length := response.Header.ContentLength(); err == nil && length > 0 && !x.hasNoBody(response.StatusCode()) && len(x.body) != length {
 			t.Fatalf("%d bytes of %d were taken for whole", len(x.body), length)
 		}
 	})
