--- a/internal/dispatch/conns_test.go
+++ b/internal/dispatch/conns_test.go
@@ -22,72 +22,72 @@
 	"meadowhinge/schema"
 )
 
-// testSpeech is a speech with a word for everything that a worker may say.
-type testSpeech struct{ OwnSpeech }
+// testCodec is a speech with a word for everything that a worker may say.
+type testCodec struct{ NativeCodec }
 
-func (testSpeech) Dress(request *fasthttp.Request, carry *schema.Carry, _ Registered, _ time.Duration) {
-	request.Header.SetHost(carry.Host)
-	request.Header.Set("X-Id", carry.Request)
+func (testCodec) WriteHeaders(request *fasthttp.Request, forward *schema.Carry, _ WorkerRegistration, _ time.Duration) {
+	request.Header.SetHost(forward.Host)
+	request.Header.Set("X-Id", forward.Request)
 }
 
-func (testSpeech) Read(header *fasthttp.ResponseHeader, carry *schema.Carry) Said {
+func (testCodec) ReadHeader(header *fasthttp.ResponseHeader, request *schema.Carry) ResponseInfo {
 	id := string(header.Peek("X-Id"))
-	return Said{Stray: id != "" && id != carry.Request, NotRun: len(header.Peek("X-Unrun")) > 0, Elsewhere: header.StatusCode() == 421,
-		Closing: header.ConnectionClose(), Unframed: true}
+	return ResponseInfo{WrongRequest: id != "" && id != request.Request, NotExecuted: len(header.Peek("X-Unrun")) > 0, WrongWorker: header.StatusCode() == 421,
+		ClosesConnection: header.ConnectionClose(), EndsAtClose: true}
 }
 
-// socketStage is a proxy's worker side with a worker on a loopback socket.
-type socketStage struct {
+// socketFixture is a proxy's worker side with a worker on a loopback socket.
+type socketFixture struct {
 	runner  *Runner
 	workers *Workers
 	opened  atomic.Int32
 	address string
 }
 
-// newSocketStage lets serve answer on each connection, of which it is told the how manieth it is.
-func newSocketStage(t testing.TB, serve func(conn *net.TCPConn, reader *bufio.Reader, place int)) *socketStage {
+// newSocketFixture lets serve answer on each connection, of which it is told the how manieth it is.
+func newSocketFixture(t testing.TB, serve func(conn *net.TCPConn, reader *bufio.Reader, connNumber int)) *socketFixture {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	s := &socketStage{address: listener.Addr().String()}
+	s := &socketFixture{address: listener.Addr().String()}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			place := int(s.opened.Add(1))
+			connNumber := int(s.opened.Add(1))
 			go func() {
 				defer conn.Close()
-				serve(conn.(*net.TCPConn), bufio.NewReader(conn), place)
+				serve(conn.(*net.TCPConn), bufio.NewReader(conn), connNumber)
 			}()
 		}
 	}()
-	began := time.Now()
-	now := func() time.Duration { return time.Since(began) }
-	s.workers = NewWorkers(WorkersOptions{Proxy: "p", Silence: 3, Most: 4, ConnsMost: 64, BodyMost: 1 << 20, Now: now, Untethered: true,
+	startedAt := time.Now()
+	now := func() time.Duration { return time.Since(startedAt) }
+	s.workers = NewWorkers(WorkersOptions{Proxy: "p", MaxMissedHeartbeats: 3, MaxWorkers: 4, MaxConns: 64, MaxBodyBytes: 1 << 20, Now: now, NoLivenessConn: true,
 		Dial: func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }}, func() {})
-	view := &plan.View{Setup: compiled(t, 5)}
-	s.runner = NewRunner(Runner{Workers: s.workers, Speech: testSpeech{}, View: func() *plan.View { return view }, AwaitSetup: func(context.Context, uint64) {},
-		Outdated: func(uint64) bool { return false }, Leased: func() bool { return true }, Now: now}, 1<<16)
-	if _, err := s.workers.Describe(Description{ID: "w", Address: s.address, Service: "shop", Version: "1", BeatMS: 60000, Slots: 64}); err != nil {
+	view := &plan.View{Config: compileConfig(t, 5)}
+	s.runner = NewRunner(Runner{Workers: s.workers, Codec: testCodec{}, View: func() *plan.View { return view }, AwaitConfig: func(context.Context, uint64) {},
+		RevisionOutdated: func(uint64) bool { return false }, HasLease: func() bool { return true }, Now: now}, 1<<16)
+	if _, err := s.workers.Register(WorkerDescription{ID: "w", Address: s.address, Service: "shop", Version: "1", HeartbeatMS: 60000, Slots: 64}); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = s.workers.Describe(Description{ID: "w", Address: s.address, Gone: true}) })
+	t.Cleanup(func() { _, _ = s.workers.Register(WorkerDescription{ID: "w", Address: s.address, Deregistered: true}) })
 	return s
 }
 
-func (s *socketStage) run(t testing.TB, id string, change func(*schema.Carry)) *schema.Carried {
-	asked := carry(id, "w")
-	asked.Host = "shop.example"
-	asked.LeftNanos = int64(10 * time.Second)
+func (f *socketFixture) run(t testing.TB, id string, change func(*schema.Carry)) *schema.Carried {
+	request := newForwardRequest(id, "w")
+	request.Host = "shop.example"
+	request.LeftNanos = int64(10 * time.Second)
 	if change != nil {
-		change(asked)
+		change(request)
 	}
-	return s.runner.Run(t.Context(), client, asked)
+	return f.runner.Run(t.Context(), client, request)
 }
 
 // idOf reads a request and gives its id, empty at the end.
@@ -109,14 +109,14 @@
 func TestOddWorkers(t *testing.T) {
 	whole, notRunEnding, lost := schema.Ending_ENDING_ANSWERED, schema.Ending_ENDING_NOT_RUN, schema.Ending_ENDING_UNKNOWN
 	say := func(text string) func(string) string { return func(string) string { return text } }
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		first  func(id string) string // the answer to the first request
 		ends   bool                   // the worker then closes
 		resets bool                   // it does so by a reset
 		second func(id string) string // the answer to the second, on the same connection
 		change func(*schema.Carry)
 		want   [2]schema.Ending
-		kind   defect.Kind // of the first
+		kind   defect.Code // of the first
 		opened int32
 	}{
 		"plain":             {want: [2]schema.Ending{whole, whole}, opened: 1},
@@ -135,86 +135,86 @@
 		"says a second answer": {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.Ending{whole, whole}, opened: 2},
 		"says it late":         {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.Ending{whole, whole}, opened: 1},
 		"only says it late":    {second: func(string) string { return answered("first", "one") }, want: [2]schema.Ending{whole, lost}, opened: 1},
-		"refuses":              {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.Ending{notRunEnding, whole}, kind: defect.BufferFull, opened: 1},
-		"refuses, and is cut":  {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.Ending{notRunEnding, whole}, kind: defect.BufferFull, opened: 2},
+		"refuses":              {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.Ending{notRunEnding, whole}, kind: defect.QueueFull, opened: 1},
+		"refuses, and is cut":  {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.Ending{notRunEnding, whole}, kind: defect.QueueFull, opened: 2},
 		"is another":           {first: say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.Ending{notRunEnding, notRunEnding}, kind: defect.WrongInstance, opened: 1},
 		"an error of its own":  {first: say("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.Ending{whole, whole}, opened: 1},
-		"closes for an answer": {first: say(""), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerLost, opened: 2},
+		"closes for an answer": {first: say(""), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
 		"cut in the head":      {first: say("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.Ending{lost, whole}, opened: 2},
-		"cut in the body":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerLost, opened: 2},
+		"cut in the body":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
 		"cut in a chunk":       {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.Ending{lost, whole}, opened: 2},
 		"cut before the tail":  {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.Ending{lost, whole}, opened: 2},
 		"chunks named oddly":   {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.Ending{whole, whole}, opened: 1},
-		"a chunk with no size": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.BadAnswer, opened: 2},
-		"a chunk too long":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.BadAnswer, opened: 2},
-		"chunks too large":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.Ending{lost, whole}, kind: defect.BadAnswer, opened: 2},
+		"a chunk with no size": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"a chunk too long":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"chunks too large":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
 		"to the end":           {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.Ending{whole, whole}, opened: 2},
 		"nothing to the end":   {first: say("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.Ending{whole, whole}, opened: 2},
 		"much to the end":      {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.Ending{whole, whole}, opened: 2},
-		"too much to the end":  {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.BadAnswer, opened: 2},
-		"reset before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerLost, opened: 2},
+		"too much to the end":  {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"reset before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
 		"silent before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.Carry) { c.LeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.Ending{lost, whole},
-			kind: defect.HorizonPast, opened: 2},
-		"two lengths":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.Ending{lost, whole}, kind: defect.BadAnswer, opened: 2},
-		"no answer":        {first: say("no answer at all\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.BadAnswer, opened: 2},
-		"changes protocol": {first: say("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.BadAnswer, opened: 2},
-		"too much":         {first: say("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.BadAnswer, opened: 2},
+			kind: defect.DeadlineExceeded, opened: 2},
+		"two lengths":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"no answer":        {first: say("no answer at all\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"changes protocol": {first: say("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"too much":         {first: say("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
 		"silent": {first: say("HTTP/1.1 200 OK\r\n"), change: func(c *schema.Carry) { c.LeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.Ending{lost, whole},
-			kind: defect.HorizonPast, opened: 2},
+			kind: defect.DeadlineExceeded, opened: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			plain := func(id string) string { return answered(id, id) }
-			if one.first == nil {
-				one.first = plain
+			if test.first == nil {
+				test.first = plain
 			}
-			if one.second == nil {
-				one.second = plain
+			if test.second == nil {
+				test.second = plain
 			}
-			ended := make(chan bool, 1)
-			s := newSocketStage(t, func(conn *net.TCPConn, reader *bufio.Reader, place int) {
+			result := make(chan bool, 1)
+			s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
 				for {
 					id := idOf(reader)
-					text := one.second(id)
+					text := test.second(id)
 					if id == "first" {
-						text = one.first(id)
+						text = test.first(id)
 					}
 					if id == "" {
 						return
 					}
 					_, _ = conn.Write([]byte(text))
-					if one.resets && place == 1 {
+					if test.resets && connNumber == 1 {
 						_ = conn.SetLinger(0)
 					}
-					if place == 1 && one.ends {
+					if connNumber == 1 && test.ends {
 						conn.Close()
-						ended <- true
+						result <- true
 						return
 					}
 					// No more than the one late answer is to be waited for.
-					if id == "second" && one.want[1] == lost {
+					if id == "second" && test.want[1] == lost {
 						return
 					}
 				}
 			})
-			first := s.run(t, "first", one.change)
-			if first.Ending != one.want[0] || (one.kind != "" && first.Defect != string(one.kind)) {
-				t.Errorf("the first ended %v with %s, want %v with %s", first.Ending, first.Defect, one.want[0], one.kind)
+			first := s.run(t, "first", test.change)
+			if first.Ending != test.want[0] || (test.kind != "" && first.Defect != string(test.kind)) {
+				t.Errorf("the first ended %v with %s, want %v with %s", first.Ending, first.Defect, test.want[0], test.kind)
 			}
-			if one.ends {
-				<-ended
+			if test.ends {
+				<-result
 			}
 			second := s.run(t, "second", nil)
-			if second.Ending != one.want[1] || (one.want[1] == whole && string(second.Body) != "second") {
-				t.Errorf("the second ended %v with %s and %q, want %v", second.Ending, second.Defect, second.Body, one.want[1])
+			if second.Ending != test.want[1] || (test.want[1] == whole && string(second.Body) != "second") {
+				t.Errorf("the second ended %v with %s and %q, want %v", second.Ending, second.Defect, second.Body, test.want[1])
 			}
 			if first.Ending == whole && strings.HasSuffix(name, "to the end") {
-				sent := one.first("first")
+				sent := test.first("first")
 				if want := sent[strings.Index(sent, "\r\n\r\n")+4:]; string(first.Body) != want {
 					t.Errorf("%d bytes came of %d", len(first.Body), len(want))
 				}
 			}
-			if got := s.opened.Load(); got != one.opened {
-				t.Errorf("%d connections, want %d", got, one.opened)
+			if got := s.opened.Load(); got != test.opened {
+				t.Errorf("%d connections, want %d", got, test.opened)
 			}
 		})
 	}
@@ -222,10 +222,10 @@
 
 // Bytes that come while nothing was asked make a connection useless.
 func TestUnaskedBytesEndAConnection(t *testing.T) {
-	s := newSocketStage(t, func(conn *net.TCPConn, reader *bufio.Reader, place int) {
+	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
 		for id := idOf(reader); id != ""; id = idOf(reader) {
 			_, _ = conn.Write([]byte(answered(id, id)))
-			if place == 1 {
+			if connNumber == 1 {
 				_, _ = conn.Write([]byte(answered(id, id)))
 			}
 		}
@@ -246,21 +246,21 @@
 
 // A worker that resets when it is full may have run what it was sent; one that is no more has not.
 func TestResetAndDeadWorkers(t *testing.T) {
-	s := newSocketStage(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		idOf(reader)
 		_ = conn.SetLinger(0)
 	})
-	if got := s.run(t, "first", nil); got.Ending != schema.Ending_ENDING_UNKNOWN || got.Defect != string(defect.WorkerLost) {
+	if got := s.run(t, "first", nil); got.Ending != schema.Ending_ENDING_UNKNOWN || got.Defect != string(defect.WorkerConnectionLost) {
 		t.Errorf("ended %v with %s", got.Ending, got.Defect)
 	}
 	s.workers.byInstance["w"].conns.address = "127.0.0.1:1"
-	for _, want := range []defect.Kind{defect.WorkerUnopened, defect.WrongInstance} {
+	for _, want := range []defect.Code{defect.WorkerConnectFailed, defect.WrongInstance} {
 		if got := s.run(t, string(want), nil); got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != string(want) {
 			t.Errorf("ended %v with %s, want %s", got.Ending, got.Defect, want)
 		}
 	}
 	// A worker that speaks again is there again.
-	if _, err := s.workers.Describe(Description{ID: "w", Address: s.address, Service: "shop", Version: "1", BeatMS: 60000}); err != nil {
+	if _, err := s.workers.Register(WorkerDescription{ID: "w", Address: s.address, Service: "shop", Version: "1", HeartbeatMS: 60000}); err != nil {
 		t.Fatal(err)
 	}
 	if got := s.run(t, "third", nil); got.Ending != schema.Ending_ENDING_UNKNOWN {
@@ -270,7 +270,7 @@
 
 // Requests and answers pass as they are, whatever their size.
 func TestBodiesPassUnchanged(t *testing.T) {
-	s := newSocketStage(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		for {
 			request, err := http.ReadRequest(reader)
 			if err != nil {
@@ -301,7 +301,7 @@
 func TestAnsweredBeforeTheBodyIsRead(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 1<<16)
 	read := make(chan string, 2)
-	s := newSocketStage(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		for {
 			request, err := http.ReadRequest(reader)
 			if err != nil {
@@ -334,7 +334,7 @@
 func TestLargeAnswersTakeTurns(t *testing.T) {
 	const size = 1 << 20
 	body, begun, goOn := strings.Repeat("x", size), make(chan bool), make(chan bool)
-	s := newSocketStage(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		for id := idOf(reader); id != ""; id = idOf(reader) {
 			text := answered(id, body)
 			if id == "first" {
@@ -346,31 +346,31 @@
 			_, _ = conn.Write([]byte(text))
 		}
 	})
-	s.workers.room = semaphore.NewWeighted(size)
+	s.workers.bodyMemory = semaphore.NewWeighted(size)
 	first := make(chan *schema.Carried)
 	go func() { first <- s.run(t, "first", nil) }()
 	<-begun
 	// The first has its room once it has read more than a piece: the second then finds none.
-	for s.workers.room.TryAcquire(size) {
-		s.workers.room.Release(size)
+	for s.workers.bodyMemory.TryAcquire(size) {
+		s.workers.bodyMemory.Release(size)
 		runtime.Gosched()
 	}
 	hasty := s.run(t, "hasty", func(c *schema.Carry) { c.LeftNanos = int64(50 * time.Millisecond) })
-	if hasty.Ending != schema.Ending_ENDING_UNKNOWN || hasty.Defect != string(defect.HorizonPast) {
+	if hasty.Ending != schema.Ending_ENDING_UNKNOWN || hasty.Defect != string(defect.DeadlineExceeded) {
 		t.Errorf("ended %v with %s beside another", hasty.Ending, hasty.Defect)
 	}
 	close(goOn)
 	if got := <-first; got.Ending != schema.Ending_ENDING_ANSWERED || len(got.Body) != size {
 		t.Errorf("the first ended %v with %d bytes", got.Ending, len(got.Body))
 	}
-	if got := s.run(t, "third", nil); got.Ending != schema.Ending_ENDING_ANSWERED || len(got.Body) != size || !s.workers.room.TryAcquire(size) {
+	if got := s.run(t, "third", nil); got.Ending != schema.Ending_ENDING_ANSWERED || len(got.Body) != size || !s.workers.bodyMemory.TryAcquire(size) {
 		t.Errorf("the third ended %v with %d bytes, or room is not given back", got.Ending, len(got.Body))
 	}
 }
 
 // BenchmarkHop is the worker's side of a hop; most of it are the sockets.
 func BenchmarkHop(b *testing.B) {
-	s := newSocketStage(b, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	s := newSocketFixture(b, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		text, request := []byte(answered("", strings.Repeat("x", 400))), make([]byte, 4096)
 		for {
 			if _, err := reader.Read(request); err != nil {
--- a/internal/dispatch/departures.go
+++ b/internal/dispatch/departures.go
@@ -11,146 +11,148 @@
 	"meadowhinge/schema"
 )
 
-// Departures counts what becomes of calls whose callers leave before they are answered. The proxy
+// Disconnects counts what becomes of calls whose callers leave before they are answered. The proxy
 // that took a call counts Noticed and HalfClosed; the proxy beside the worker counts the rest.
-type Departures struct {
-	Noticed    atomic.Uint64 // callers found gone while their call was under way
+type Disconnects struct {
+	Detected   atomic.Uint64 // callers found gone while their call was under way
 	HalfClosed atomic.Uint64 // callers that ended only their sending side, and still read
-	Told       atomic.Uint64 // callers known to be gone at the worker's proxy, while it was handing their call over or it ran
-	Dropped    atomic.Uint64 // calls taken out of a worker's queue, unrun
-	Stopped    atomic.Uint64 // runs of repeatable calls that were ended for it
-	Kept       atomic.Uint64 // runs of calls that may not be repeated, which went on to their end
+	Propagated atomic.Uint64 // callers known to be gone at the worker's proxy, while it was handing their call over or it ran
+	Dequeued   atomic.Uint64 // calls taken out of a worker's queue, unrun
+	Canceled   atomic.Uint64 // runs of repeatable calls that were ended for it
+	RanToEnd   atomic.Uint64 // runs of calls that may not be repeated, which went on to their end
 
 	// The next two are violations of what must hold, so they stay 0.
-	HandedLate atomic.Uint64 // calls handed to a worker though their caller was known to be gone
-	Overrun    atomic.Uint64 // runs of repeatable calls that went on for longer than is allowed after it
+	SentLate atomic.Uint64 // calls handed to a worker though their caller was known to be gone
+	Overrun  atomic.Uint64 // runs of repeatable calls that went on for longer than is allowed after it
 
-	longest atomic.Int64 // that a repeatable run went on, after its caller was known to be gone
+	longestOverrun atomic.Int64 // that a repeatable run went on, after its caller was known to be gone
 }
 
-// DepartureCounts are the counts of Departures at one moment.
-type DepartureCounts struct {
-	Noticed    uint64 `json:"noticed"`
+// DisconnectCounts are the counts of Departures at one moment.
+type DisconnectCounts struct {
+	Detected   uint64 `json:"noticed"`
 	HalfClosed uint64 `json:"halfClosed"`
-	Told       uint64 `json:"told"`
-	Dropped    uint64 `json:"dropped"`
-	Stopped    uint64 `json:"stopped"`
-	Kept       uint64 `json:"kept"`
-	HandedLate uint64 `json:"handedLate"`
+	Propagated uint64 `json:"told"`
+	Dequeued   uint64 `json:"dropped"`
+	Canceled   uint64 `json:"stopped"`
+	RanToEnd   uint64 `json:"kept"`
+	SentLate   uint64 `json:"handedLate"`
 	Overrun    uint64 `json:"overrun"`
 	LongestMS  int64  `json:"longestMs"`
 }
 
 // Counts gives the counts as they are now.
-func (d *Departures) Counts() DepartureCounts {
-	return DepartureCounts{Noticed: d.Noticed.Load(), HalfClosed: d.HalfClosed.Load(), Told: d.Told.Load(), Dropped: d.Dropped.Load(), Stopped: d.Stopped.Load(),
-		Kept: d.Kept.Load(), HandedLate: d.HandedLate.Load(), Overrun: d.Overrun.Load(), LongestMS: time.Duration(d.longest.Load()).Milliseconds()}
+func (d *Disconnects) Counts() DisconnectCounts {
+	return DisconnectCounts{Detected: d.Detected.Load(), HalfClosed: d.HalfClosed.Load(), Propagated: d.Propagated.Load(), Dequeued: d.Dequeued.Load(), Canceled: d.Canceled.Load(),
+		RanToEnd: d.RanToEnd.Load(), SentLate: d.SentLate.Load(), Overrun: d.Overrun.Load(), LongestMS: time.Duration(d.longestOverrun.Load()).Milliseconds()}
 }
 
 // Add adds other counts; of the longest run the longer counts.
-func (c *DepartureCounts) Add(other DepartureCounts) {
-	c.Noticed += other.Noticed
+func (c *DisconnectCounts) Add(other DisconnectCounts) {
+	c.Detected += other.Detected
 	c.HalfClosed += other.HalfClosed
-	c.Told += other.Told
-	c.Dropped += other.Dropped
-	c.Stopped += other.Stopped
-	c.Kept += other.Kept
-	c.HandedLate += other.HandedLate
+	c.Propagated += other.Propagated
+	c.Dequeued += other.Dequeued
+	c.Canceled += other.Canceled
+	c.RanToEnd += other.RanToEnd
+	c.SentLate += other.SentLate
 	c.Overrun += other.Overrun
 	c.LongestMS = max(c.LongestMS, other.LongestMS)
 }
 
 // Violations is how often what must hold did not.
-func (c DepartureCounts) Violations() uint64 { return c.HandedLate + c.Overrun }
+func (c DisconnectCounts) Violations() uint64 { return c.SentLate + c.Overrun }
 
-// endOf names why a call's context has ended: its time is over, or its caller, or the proxy that took
+// contextErrorCode names why a call's context has ended: its time is over, or its caller, or the proxy that took
 // the call, has left.
-func endOf(ctx context.Context) defect.Kind {
+func contextErrorCode(ctx context.Context) defect.Code {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return defect.CallerGone
+		return defect.CallerDisconnected
 	}
-	return defect.HorizonPast
+	return defect.DeadlineExceeded
 }
 
-// calledOff tells whether a dispatch ended because nobody waits for it any more. That says nothing of
+// isCanceled tells whether a dispatch ended because nobody waits for it any more. That says nothing of
 // its worker, of the version that runs there, or of the link.
-func calledOff(carried *schema.Carried) bool { return defect.Kind(carried.Defect) == defect.CallerGone }
-
-// departure follows the caller of one call that is handed to a worker. Once the caller is known to be gone, a
-// repeatable run has OverrunMost to end; if it has not, that is a violation.
-type departure struct {
-	counts  *Departures
-	now     func() time.Duration
-	stop    func() bool
-	most    time.Duration
-	limited bool // the run must end with its caller
-
-	lock  sync.Mutex
-	at    time.Duration // when the caller was known to be gone, 0 while it is not
-	timer *time.Timer
-	over  bool // the run has ended
+func isCanceled(response *schema.Carried) bool {
+	return defect.Code(response.Defect) == defect.CallerDisconnected
 }
 
-// graceParts is the part of the time allowed that a run gets besides, so that a process which was stopped
+// disconnectWatch follows the caller of one call that is handed to a worker. Once the caller is known to be gone, a
+// repeatable run has MaxOverrun to end; if it has not, that is a violation.
+type disconnectWatch struct {
+	counts     *Disconnects
+	now        func() time.Duration
+	stop       func() bool
+	maxOverrun time.Duration
+	mustStop   bool // the run must end with its caller
+
+	lock           sync.Mutex
+	disconnectedAt time.Duration // when the caller was known to be gone, 0 while it is not
+	timer          *time.Timer
+	finished       bool // the run has ended
+}
+
+// graceDivisor is the part of the time allowed that a run gets besides, so that a process which was stopped
 // in the meantime can still end it.
-const graceParts = 4
+const graceDivisor = 4
 
-// followCaller follows the caller whose leaving ends ctx, until end is called.
-func (d *Departures) followCaller(ctx context.Context, limited bool, most time.Duration, now func() time.Duration) *departure {
-	one := &departure{counts: d, now: now, most: most, limited: limited}
-	one.stop = context.AfterFunc(ctx, one.left)
-	return one
+// watchCaller follows the caller whose leaving ends ctx, until end is called.
+func (d *Disconnects) watchCaller(ctx context.Context, mustStop bool, maxOverrun time.Duration, now func() time.Duration) *disconnectWatch {
+	watch := &disconnectWatch{counts: d, now: now, maxOverrun: maxOverrun, mustStop: mustStop}
+	watch.stop = context.AfterFunc(ctx, watch.onDisconnect)
+	return watch
 }
 
-// left notes that the caller is gone.
-func (d *departure) left() {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if d.over {
+// onDisconnect notes that the caller is gone.
+func (w *disconnectWatch) onDisconnect() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	if w.finished {
 		return
 	}
-	d.at = max(1, d.now())
-	d.counts.Told.Add(1)
-	if d.limited && d.most > 0 {
-		d.timer = time.AfterFunc(d.most, d.late)
+	w.disconnectedAt = max(1, w.now())
+	w.counts.Propagated.Add(1)
+	if w.mustStop && w.maxOverrun > 0 {
+		w.timer = time.AfterFunc(w.maxOverrun, w.extendGrace)
 	}
 }
 
-// late gives a run that is over its time the rest of it.
-func (d *departure) late() {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if !d.over {
-		d.timer = time.AfterFunc(d.most/graceParts, d.overrun)
+// extendGrace gives a run that is over its time the rest of it.
+func (w *disconnectWatch) extendGrace() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	if !w.finished {
+		w.timer = time.AfterFunc(w.maxOverrun/graceDivisor, w.recordOverrun)
 	}
 }
 
-// overrun counts a run that did not end with its caller.
-func (d *departure) overrun() {
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	if !d.over {
-		d.counts.Overrun.Add(1)
+// recordOverrun counts a run that did not end with its caller.
+func (w *disconnectWatch) recordOverrun() {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	if !w.finished {
+		w.counts.Overrun.Add(1)
 	}
 }
 
-// end ends the following with the run. It tells when the caller left, if it has.
-func (d *departure) end() (at time.Duration, left bool) {
-	d.stop()
-	d.lock.Lock()
-	defer d.lock.Unlock()
-	d.over = true
-	if d.timer != nil {
-		d.timer.Stop()
+// finish ends the following with the run. It tells when the caller left, if it has.
+func (w *disconnectWatch) finish() (disconnectedAt time.Duration, disconnected bool) {
+	w.stop()
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	w.finished = true
+	if w.timer != nil {
+		w.timer.Stop()
 	}
-	return d.at, d.at > 0
+	return w.disconnectedAt, w.disconnectedAt > 0
 }
 
-// lasted notes for how long a repeatable run went on after its caller was known to be gone.
-func (d *Departures) lasted(span time.Duration) {
+// recordOverrunTime notes for how long a repeatable run went on after its caller was known to be gone.
+func (d *Disconnects) recordOverrunTime(overrun time.Duration) {
 	for {
-		longest := d.longest.Load()
-		if int64(span) <= longest || d.longest.CompareAndSwap(longest, int64(span)) {
+		longest := d.longestOverrun.Load()
+		if int64(overrun) <= longest || d.longestOverrun.CompareAndSwap(longest, int64(overrun)) {
 			return
 		}
 	}
--- a/internal/dispatch/departures_test.go
+++ b/internal/dispatch/departures_test.go
@@ -17,15 +17,15 @@
 // they had time to.
 func TestOverrunsAreCounted(t *testing.T) {
 	const most = 100 * time.Millisecond
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		limited bool
 		lasts   time.Duration // from the caller's leaving to the run's end
 		want    uint64
 	}{
 		"ends at once":               {true, 0, 0},
 		"ends in time":               {true, most, 0},
-		"ends within the grace":      {true, most + most/graceParts - 1, 0},
-		"goes on":                    {true, most + most/graceParts + 1, 1},
+		"ends within the grace":      {true, most + most/graceDivisor - 1, 0},
+		"goes on":                    {true, most + most/graceDivisor + 1, 1},
 		"may go on":                  {false, time.Hour, 0},
 		"its caller does not leave":  {true, -1, 0},
 		"goes on for a long time":    {true, time.Hour, 1},
@@ -34,22 +34,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began, counts := time.Now(), &Departures{}
+				startedAt, counts := time.Now(), &Disconnects{}
 				ctx, leave := context.WithCancel(t.Context())
 				defer leave()
-				caller := counts.followCaller(ctx, one.limited, most, func() time.Duration { return time.Since(began) })
+				caller := counts.watchCaller(ctx, test.limited, most, func() time.Duration { return time.Since(startedAt) })
 				time.Sleep(time.Second)
-				if one.lasts >= 0 {
+				if test.lasts >= 0 {
 					leave()
 					synctest.Wait()
-					time.Sleep(one.lasts)
+					time.Sleep(test.lasts)
 				}
-				if _, left := caller.end(); left != (one.lasts >= 0) {
+				if _, left := caller.finish(); left != (test.lasts >= 0) {
 					t.Errorf("left: %t", left)
 				}
 				time.Sleep(time.Hour)
-				if got := counts.Counts().Overrun; got != one.want {
-					t.Errorf("%d overruns counted, want %d", got, one.want)
+				if got := counts.Counts().Overrun; got != test.want {
+					t.Errorf("%d overruns counted, want %d", got, test.want)
 				}
 			})
 		})
@@ -59,47 +59,47 @@
 // A run ends when its context does: the worker sees its connection end, the call is said to be called off, and
 // nothing is held against the worker. One that may not be repeated goes on.
 func TestRunsEndWithTheirCallers(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		once   bool
 		ending schema.Ending
-		kind   defect.Kind
-		counts DepartureCounts
+		kind   defect.Code
+		counts DisconnectCounts
 	}{
-		"repeatable": {false, schema.Ending_ENDING_UNKNOWN, defect.CallerGone, DepartureCounts{Told: 1, Stopped: 1}},
-		"once":       {true, schema.Ending_ENDING_ANSWERED, "", DepartureCounts{Told: 1, Kept: 1}},
+		"repeatable": {false, schema.Ending_ENDING_UNKNOWN, defect.CallerDisconnected, DisconnectCounts{Propagated: 1, Canceled: 1}},
+		"once":       {true, schema.Ending_ENDING_ANSWERED, "", DisconnectCounts{Propagated: 1, RanToEnd: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStage(t)
-				s.runner.OverrunMost, s.runner.Soundness = 100*time.Millisecond, NewSoundness(1, time.Minute)
-				instance, who := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
-				who.answer = func(string) string {
+				s := newWorkerFixture(t)
+				s.runner.MaxOverrun, s.runner.Outliers = 100*time.Millisecond, NewOutlierDetector(1, time.Minute)
+				instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+				worker.answer = func(string) string {
 					time.Sleep(500 * time.Millisecond)
-					return whole(`{}`)
+					return jsonAnswer(`{}`)
 				}
 				ctx, leave := context.WithCancel(t.Context())
 				time.AfterFunc(200*time.Millisecond, leave)
-				asked := carry("r1", instance)
-				asked.Once = one.once
-				began := time.Now()
-				got := s.runner.Run(ctx, client, asked)
-				if got.Ending != one.ending || got.Defect != string(one.kind) {
+				request := newForwardRequest("r1", instance)
+				request.Once = test.once
+				startedAt := time.Now()
+				got := s.runner.Run(ctx, client, request)
+				if got.Ending != test.ending || got.Defect != string(test.kind) {
 					t.Errorf("ended %v with %q", got.Ending, got.Defect)
 				}
-				if !one.once && time.Since(began) != 200*time.Millisecond {
-					t.Errorf("it ended after %v", time.Since(began))
+				if !test.once && time.Since(startedAt) != 200*time.Millisecond {
+					t.Errorf("it ended after %v", time.Since(startedAt))
 				}
-				if counts := s.runner.Departures.Counts(); counts != one.counts {
+				if counts := s.runner.Disconnects.Counts(); counts != test.counts {
 					t.Errorf("counted %+v", counts)
 				}
-				if _, failed := s.runner.Soundness.Record(instance, s.now()); failed != 0 {
+				if _, failed := s.runner.Outliers.RunCounts(instance, s.now()); failed != 0 {
 					t.Error("the call is held against its worker")
 				}
 				if running, waiting, _, _ := s.workers.Load(instance); running+waiting != 0 {
 					t.Errorf("%d running, %d waiting", running, waiting)
 				}
 				// The next call has a connection of its own.
-				if next := s.runner.Run(t.Context(), client, carry("r2", instance)); next.Ending != schema.Ending_ENDING_ANSWERED {
+				if next := s.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); next.Ending != schema.Ending_ENDING_ANSWERED {
 					t.Errorf("the next call ended %v with %q", next.Ending, next.Defect)
 				}
 			})
@@ -108,21 +108,21 @@
 }
 
 // A call that its caller's proxy gives up as time runs out has run out of time: that is held against its worker.
-func TestGivenUpInTheEndIsNotCalledOff(t *testing.T) {
+func TestGivenUpInTheEndIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStage(t)
-		s.runner.Soundness = NewSoundness(1, time.Minute)
-		instance, who := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
-		who.answer = func(string) string {
+		s := newWorkerFixture(t)
+		s.runner.Outliers = NewOutlierDetector(1, time.Minute)
+		instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+		worker.answer = func(string) string {
 			time.Sleep(5 * time.Second)
-			return whole(`{}`)
+			return jsonAnswer(`{}`)
 		}
-		asked := carry("r1", instance)
-		asked.Once = false
-		left := time.Duration(asked.LeftNanos)
+		request := newForwardRequest("r1", instance)
+		request.Once = false
+		left := time.Duration(request.LeftNanos)
 		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(left-left/shortParts/2, leave)
-		if got := s.runner.Run(ctx, client, asked); got.Ending != schema.Ending_ENDING_UNKNOWN || got.Defect != string(defect.HorizonPast) {
+		time.AfterFunc(left-left/truncatedRunDivisor/2, leave)
+		if got := s.runner.Run(ctx, client, request); got.Ending != schema.Ending_ENDING_UNKNOWN || got.Defect != string(defect.DeadlineExceeded) {
 			t.Errorf("ended %v with %q", got.Ending, got.Defect)
 		}
 	})
@@ -131,50 +131,50 @@
 // The caller's side: a call that is called off ends at once, is tried nowhere else, and is no failure of the worker
 // or of its version; one under an idempotency key is not called off.
 func TestCarryingEndsWithTheCaller(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		route, key string
 		ending     schema.Ending
-		kind       defect.Kind
+		kind       defect.Code
 	}{
-		"repeatable":  {`"class":"repeatable"`, "", schema.Ending_ENDING_UNKNOWN, defect.CallerGone},
-		"once":        {`"class":"once"`, "", schema.Ending_ENDING_UNKNOWN, defect.CallerGone},
+		"repeatable":  {`"class":"repeatable"`, "", schema.Ending_ENDING_UNKNOWN, defect.CallerDisconnected},
+		"once":        {`"class":"once"`, "", schema.Ending_ENDING_UNKNOWN, defect.CallerDisconnected},
 		"under a key": {`"class":"once"`, "k", schema.Ending_ENDING_ANSWERED, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				answersAfter := func(ctx context.Context, carry *schema.Carry) (*schema.Carried, error) {
+				answersAfter := func(ctx context.Context, request *schema.Carry) (*schema.Carried, error) {
 					select {
 					case <-ctx.Done():
 						return nil, ctx.Err()
 					case <-time.After(time.Second):
-						return answering(ctx, carry)
+						return answering(ctx, request)
 					}
 				}
-				c := startCarrying(t, 3, one.route, 9, answersAfter)
-				c.Claim = func(context.Context, *schema.Claim) (session.ClaimVerdict, *schema.Claim) {
-					return session.ClaimWon, nil
+				c := newScriptedForwarder(t, 3, test.route, 9, answersAfter)
+				c.ReserveKey = func(context.Context, *schema.Claim) (session.ReservationOutcome, *schema.Claim) {
+					return session.ReservationGranted, nil
 				}
 				ctx, leave := context.WithCancel(t.Context())
 				time.AfterFunc(300*time.Millisecond, leave)
-				began := time.Now()
-				ended := c.Carry(ctx, &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Idempotency: one.key, Header: func(string) (string, bool) { return "", false }}})
-				if ended.Carried.Ending != one.ending || ended.Carried.Defect != string(one.kind) || len(c.sent) != 1 {
-					t.Errorf("ended %v with %q after %d tries", ended.Carried.Ending, ended.Carried.Defect, len(c.sent))
+				startedAt := time.Now()
+				result := c.Forward(ctx, &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", IdempotencyKey: test.key, Header: func(string) (string, bool) { return "", false }}})
+				if result.Response.Ending != test.ending || result.Response.Defect != string(test.kind) || len(c.sent) != 1 {
+					t.Errorf("ended %v with %q after %d tries", result.Response.Ending, result.Response.Defect, len(c.sent))
 				}
-				if one.key == "" && time.Since(began) != 300*time.Millisecond {
-					t.Errorf("it ended after %v", time.Since(began))
+				if test.key == "" && time.Since(startedAt) != 300*time.Millisecond {
+					t.Errorf("it ended after %v", time.Since(startedAt))
 				}
-				for _, line := range c.Tally.Counts(1) {
+				for _, line := range c.Counter.Counts(1) {
 					if line.Failures != 0 {
 						t.Errorf("counted as a failure: %v", line)
 					}
-					if one.key == "" && line.Outcome != outcomeCalledOff {
+					if test.key == "" && line.Outcome != outcomeCanceled {
 						t.Errorf("counted as %q", line.Outcome)
 					}
 				}
-				seen := c.Soundness.See(&plan.Candidate{Instance: c.sent[0]}, c.Now())
-				if seen.InFlight != 0 || seen.Failures != 0 || seen.Ejected {
-					t.Errorf("of the worker is kept %+v", seen)
+				stats := c.Outliers.Stats(&plan.Endpoint{Instance: c.sent[0]}, c.Now())
+				if stats.InFlight != 0 || stats.RecentFailures != 0 || stats.Ejected {
+					t.Errorf("of the worker is kept %+v", stats)
 				}
 			})
 		})
@@ -182,23 +182,23 @@
 }
 
 // What is called off before it was sent proves that nothing ran, at whichever wait it is.
-func TestCalledOffBeforeItIsSent(t *testing.T) {
+func TestCanceledBeforeItIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStage(t)
-		instance, _ := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
+		s := newWorkerFixture(t)
+		instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 		ctx, leave := context.WithCancel(t.Context())
 		leave()
 		for _, once := range []bool{false, true} {
-			asked := carry("r-"+map[bool]string{true: "once"}[once], instance)
-			asked.Once = once
-			if got := s.runner.Run(ctx, client, asked); got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != string(defect.CallerGone) {
+			request := newForwardRequest("r-"+map[bool]string{true: "once"}[once], instance)
+			request.Once = once
+			if got := s.runner.Run(ctx, client, request); got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != string(defect.CallerDisconnected) {
 				t.Errorf("once %t: ended %v with %q", once, got.Ending, got.Defect)
 			}
 		}
-		if runs := s.ledger(); len(runs) > 0 {
+		if runs := s.recordedRuns(); len(runs) > 0 {
 			t.Errorf("it ran: %v", runs)
 		}
-		if !errors.Is(ctx.Err(), context.Canceled) || endOf(ctx) != defect.CallerGone {
+		if !errors.Is(ctx.Err(), context.Canceled) || contextErrorCode(ctx) != defect.CallerDisconnected {
 			t.Error("a caller's leaving is told as something else")
 		}
 	})
@@ -208,31 +208,31 @@
 // answer of its own, and no connection is left that a call was cut off on.
 func TestDeparturesCrossAnswers(t *testing.T) {
 	const rounds, took = 300, 100 * time.Millisecond
-	ended := map[schema.Ending]int{}
+	result := map[schema.Ending]int{}
 	for range rounds {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStage(t)
-			instance, who := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
-			who.answer = func(request string) string {
+			s := newWorkerFixture(t)
+			instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+			worker.answer = func(request string) string {
 				time.Sleep(took)
-				return whole(`{"request":"` + request + `"}`)
+				return jsonAnswer(`{"request":"` + request + `"}`)
 			}
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(took, leave)
-			first, second := carry("r1", instance), carry("r2", instance)
+			first, second := newForwardRequest("r1", instance), newForwardRequest("r2", instance)
 			first.Once, second.Once = false, false
 			got := s.runner.Run(ctx, client, first)
-			ended[got.Ending]++
+			result[got.Ending]++
 			if got.Ending == schema.Ending_ENDING_ANSWERED && string(got.Body) != `{"request":"r1"}` {
 				t.Errorf("the first got %q", got.Body)
 			}
 			if got = s.runner.Run(t.Context(), client, second); got.Ending != schema.Ending_ENDING_ANSWERED || string(got.Body) != `{"request":"r2"}` {
 				t.Errorf("the second ended %v with %q: %q", got.Ending, got.Defect, got.Body)
 			}
-			if counts := s.runner.Departures.Counts(); counts.Violations() > 0 {
+			if counts := s.runner.Disconnects.Counts(); counts.Violations() > 0 {
 				t.Errorf("counted %+v", counts)
 			}
 		})
 	}
-	t.Logf("the first ended %v", ended)
+	t.Logf("the first ended %v", result)
 }
--- a/internal/dispatch/fields.go
+++ b/internal/dispatch/fields.go
@@ -15,36 +15,36 @@
 )
 
 // AppendField adds a header to a head. What would end its line early is taken out.
-func AppendField[Text string | []byte](head []byte, name, value Text) []byte {
-	head = append(append(head, name...), fieldMiddle...)
-	from := len(head)
-	head = append(head, value...)
-	for i := from; i < len(head); i++ {
-		if head[i] == '\r' || head[i] == '\n' {
-			head[i] = ' '
+func AppendField[Text string | []byte](block []byte, name, value Text) []byte {
+	block = append(append(block, name...), fieldMiddle...)
+	from := len(block)
+	block = append(block, value...)
+	for i := from; i < len(block); i++ {
+		if block[i] == '\r' || block[i] == '\n' {
+			block[i] = ' '
 		}
 	}
-	return append(head, fieldEnd...)
+	return append(block, fieldEnd...)
 }
 
 // Fields are the headers of a head, in order.
-func Fields(head []byte) iter.Seq2[[]byte, []byte] {
+func Fields(block []byte) iter.Seq2[[]byte, []byte] {
 	return func(yield func(name, value []byte) bool) {
-		for len(head) > 0 {
-			line, rest, _ := bytes.Cut(head, []byte(fieldEnd))
+		for len(block) > 0 {
+			line, rest, _ := bytes.Cut(block, []byte(fieldEnd))
 			name, value, _ := bytes.Cut(line, []byte(fieldMiddle))
 			if !yield(name, value) {
 				return
 			}
-			head = rest
+			block = rest
 		}
 	}
 }
 
 // FieldOf is the first header of a name in a head.
-func FieldOf(head []byte, name string) string {
-	for held, value := range Fields(head) {
-		if strings.EqualFold(string(held), name) {
+func FieldOf(block []byte, name string) string {
+	for fieldName, value := range Fields(block) {
+		if strings.EqualFold(string(fieldName), name) {
 			return string(value)
 		}
 	}
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -11,197 +11,199 @@
 	"meadowhinge/schema"
 )
 
-// elsewhere is where a repeat was that found the key to be another proxy's: what it was told
+// anotherProxy is where a repeat was that found the key to be another proxy's: what it was told
 // holds for that moment only, and the next repeat asks anew.
-const elsewhere = "elsewhere"
+const anotherProxy = "elsewhere"
 
-// keyOf names an idempotency key: one key of two callers, or on two routes, is two keys.
-func keyOf(caller, service, route, key string) string {
+// idempotencyKey names an idempotency key: one key of two callers, or on two routes, is two keys.
+func idempotencyKey(caller, service, route, key string) string {
 	return strings.Join([]string{caller, service, route, key}, "\x00")
 }
 
-// printOf is what two requests under one key must have alike.
-func printOf(target string, body []byte) []byte {
-	sum := sha256.New()
-	sum.Write([]byte(target))
-	sum.Write([]byte{0})
-	sum.Write(body)
-	return sum.Sum(nil)
+// requestFingerprint is what two requests under one key must have alike.
+func requestFingerprint(target string, body []byte) []byte {
+	hash := sha256.New()
+	hash.Write([]byte(target))
+	hash.Write([]byte{0})
+	hash.Write(body)
+	return hash.Sum(nil)
 }
 
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// remembered is one idempotency key: in flight until done is closed, then settled.
-type remembered struct {
-	body     uint64
-	done     chan struct{}
-	instance string
-	result   *schema.Carried
+// idempotencyEntry is one idempotency key: in flight until done is closed, then settled.
+type idempotencyEntry struct {
+	fingerprint uint64
+	done        chan struct{}
+	instance    string
+	result      *schema.Carried
 }
 
-// Memory holds idempotency keys and what came of them, so that a repeat gets the first
+// IdempotencyCache holds idempotency keys and what came of them, so that a repeat gets the first
 // answer. It is bounded: the oldest settled keys go first.
-type Memory struct {
-	lock  sync.Mutex
-	most  int
-	keys  map[string]*remembered
-	order []string
-	bytes int // of the answers kept
+type IdempotencyCache struct {
+	lock        sync.Mutex
+	maxKeys     int
+	entries     map[string]*idempotencyEntry
+	order       []string
+	answerBytes int // of the answers kept
 }
 
 // bytesPerKey is what an answer may take on average: larger ones push out older ones sooner.
 const bytesPerKey = 1024
 
-// NewMemory makes a memory of at most so many keys.
-func NewMemory(most int) *Memory {
-	return &Memory{most: most, keys: map[string]*remembered{}}
+// NewIdempotencyCache makes a memory of at most so many keys.
+func NewIdempotencyCache(maxKeys int) *IdempotencyCache {
+	return &IdempotencyCache{maxKeys: maxKeys, entries: map[string]*idempotencyEntry{}}
 }
 
 // Do runs a request under a key once. A repeat waits for the first or gets its result; the
 // same key with another body is refused. run tells where it tried; a repeat of a try that
 // ended unknown may only go there again, because only there is it known whether it ran.
-func (m *Memory) Do(ctx context.Context, key string, body []byte, run func(pinned string) (*schema.Carried, string)) *schema.Carried {
-	sum := crc64.Checksum(body, crcTable)
-	pinned := ""
-	m.lock.Lock()
+func (c *IdempotencyCache) Do(ctx context.Context, key string, fingerprint []byte, run func(pinnedInstance string) (*schema.Carried, string)) *schema.Carried {
+	checksum := crc64.Checksum(fingerprint, crcTable)
+	pinnedInstance := ""
+	c.lock.Lock()
 	for {
-		held := m.keys[key]
-		if held == nil {
+		existing := c.entries[key]
+		if existing == nil {
 			break
 		}
-		if held.body != sum {
-			m.lock.Unlock()
-			return notRun(defect.KeyReused, 0)
+		if existing.fingerprint != checksum {
+			c.lock.Unlock()
+			return notExecuted(defect.IdempotencyKeyReused, 0)
 		}
-		m.lock.Unlock()
+		c.lock.Unlock()
 		select {
-		case <-held.done:
+		case <-existing.done:
 		case <-ctx.Done():
-			return unknown(defect.KeyUnsettled)
+			return outcomeUnknown(defect.IdempotencyKeyUnresolved)
 		}
-		m.lock.Lock()
-		settled := held.result.Ending == schema.Ending_ENDING_ANSWERED ||
-			(held.result.Ending == schema.Ending_ENDING_UNKNOWN && held.instance == "")
-		if settled {
-			m.lock.Unlock()
-			return held.result
+		c.lock.Lock()
+		final := existing.result.Ending == schema.Ending_ENDING_ANSWERED ||
+			(existing.result.Ending == schema.Ending_ENDING_UNKNOWN && existing.instance == "")
+		if final {
+			c.lock.Unlock()
+			return existing.result
 		}
-		if m.keys[key] == held {
+		if c.entries[key] == existing {
 			// Not run, or unknown at a place that can still tell: the repeat takes its turn.
-			if held.result.Ending == schema.Ending_ENDING_UNKNOWN && held.instance != elsewhere {
-				pinned = held.instance
+			if existing.result.Ending == schema.Ending_ENDING_UNKNOWN && existing.instance != anotherProxy {
+				pinnedInstance = existing.instance
 			}
-			m.forget(key)
+			c.forget(key)
 		}
 	}
-	if !m.room() {
-		m.lock.Unlock()
-		return notRun(defect.BufferFull, 0)
+	if !c.makeRoom() {
+		c.lock.Unlock()
+		return notExecuted(defect.QueueFull, 0)
 	}
-	mine := &remembered{body: sum, done: make(chan struct{})}
-	m.keys[key] = mine
-	m.order = append(m.order, key)
-	m.lock.Unlock()
+	entry := &idempotencyEntry{fingerprint: checksum, done: make(chan struct{})}
+	c.entries[key] = entry
+	c.order = append(c.order, key)
+	c.lock.Unlock()
 
-	result, instance := run(pinned)
+	result, instance := run(pinnedInstance)
 	// That this try did not run says nothing of the one before it.
-	if pinned != "" && result.Ending == schema.Ending_ENDING_NOT_RUN {
-		result, instance = unknown(defect.KeyUnsettled), pinned
+	if pinnedInstance != "" && result.Ending == schema.Ending_ENDING_NOT_RUN {
+		result, instance = outcomeUnknown(defect.IdempotencyKeyUnresolved), pinnedInstance
 	}
-	m.lock.Lock()
-	mine.result, mine.instance = result, instance
-	close(mine.done)
-	m.bytes += len(result.Body)
-	m.room()
-	m.lock.Unlock()
+	c.lock.Lock()
+	entry.result, entry.instance = result, instance
+	close(entry.done)
+	c.answerBytes += len(result.Body)
+	c.makeRoom()
+	c.lock.Unlock()
 	return result
 }
 
 // Recall gives what came of a key, waiting for it while it is in flight; it never runs anything.
-func (m *Memory) Recall(ctx context.Context, key string, body []byte) *schema.Carried {
-	m.lock.Lock()
-	held := m.keys[key]
-	m.lock.Unlock()
-	if held == nil {
-		return unknown(defect.KeyUnsettled)
+func (c *IdempotencyCache) Recall(ctx context.Context, key string, fingerprint []byte) *schema.Carried {
+	c.lock.Lock()
+	existing := c.entries[key]
+	c.lock.Unlock()
+	if existing == nil {
+		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
 	}
-	if held.body != crc64.Checksum(body, crcTable) {
-		return notRun(defect.KeyReused, 0)
+	if existing.fingerprint != crc64.Checksum(fingerprint, crcTable) {
+		return notExecuted(defect.IdempotencyKeyReused, 0)
 	}
 	select {
-	case <-held.done:
+	case <-existing.done:
 	case <-ctx.Done():
-		return unknown(defect.KeyUnsettled)
+		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
 	}
 	// That it did not run here does not say that it runs nowhere: its proxy may try elsewhere.
-	if held.result.Ending != schema.Ending_ENDING_ANSWERED {
-		return unknown(defect.KeyUnsettled)
+	if existing.result.Ending != schema.Ending_ENDING_ANSWERED {
+		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
 	}
-	return held.result
+	return existing.result
 }
 
-func (m *Memory) forget(key string) {
-	m.bytes -= len(m.keys[key].result.GetBody())
-	delete(m.keys, key)
-	for i, listed := range m.order {
+func (c *IdempotencyCache) forget(key string) {
+	c.answerBytes -= len(c.entries[key].result.GetBody())
+	delete(c.entries, key)
+	for i, listed := range c.order {
 		if listed == key {
-			m.order = append(m.order[:i], m.order[i+1:]...)
+			c.order = append(c.order[:i], c.order[i+1:]...)
 			return
 		}
 	}
 }
 
-// room lets the oldest settled keys go until the answers fit and one more key does; false if
+// makeRoom lets the oldest settled keys go until the answers fit and one more key does; false if
 // all are in flight.
-func (m *Memory) room() bool {
-	for i := 0; i < len(m.order) && (len(m.order) >= m.most || m.bytes > m.most*bytesPerKey); {
+func (c *IdempotencyCache) makeRoom() bool {
+	for i := 0; i < len(c.order) && (len(c.order) >= c.maxKeys || c.answerBytes > c.maxKeys*bytesPerKey); {
 		select {
-		case <-m.keys[m.order[i]].done:
-			m.forget(m.order[i])
+		case <-c.entries[c.order[i]].done:
+			c.forget(c.order[i])
 		default:
 			i++
 		}
 	}
-	return len(m.order) < m.most
+	return len(c.order) < c.maxKeys
 }
 
-// Seen is a bounded set of request ids.
-type Seen struct {
+// RecentIDs is a bounded set of request ids.
+type RecentIDs struct {
 	lock sync.Mutex
 	ids  map[string]struct{}
 	ring []string
 	next int
 }
 
-// NewSeen keeps the last so many ids.
-func NewSeen(most int) *Seen { return &Seen{ids: map[string]struct{}{}, ring: make([]string, most)} }
+// NewRecentIDs keeps the last so many ids.
+func NewRecentIDs(limit int) *RecentIDs {
+	return &RecentIDs{ids: map[string]struct{}{}, ring: make([]string, limit)}
+}
 
-// First tells whether an id is new, and keeps it.
-func (s *Seen) First(id string) bool {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	if _, found := s.ids[id]; found {
+// AddIfNew tells whether an id is new, and keeps it.
+func (r *RecentIDs) AddIfNew(id string) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	if _, found := r.ids[id]; found {
 		return false
 	}
-	delete(s.ids, s.ring[s.next])
-	s.ring[s.next] = id
-	s.next = (s.next + 1) % len(s.ring)
-	s.ids[id] = struct{}{}
+	delete(r.ids, r.ring[r.next])
+	r.ring[r.next] = id
+	r.next = (r.next + 1) % len(r.ring)
+	r.ids[id] = struct{}{}
 	return true
 }
 
-// Has tells whether an id was kept.
-func (s *Seen) Has(id string) bool {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	_, found := s.ids[id]
+// Contains tells whether an id was kept.
+func (r *RecentIDs) Contains(id string) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	_, found := r.ids[id]
 	return found
 }
 
-func notRun(kind defect.Kind, setup uint64) *schema.Carried {
-	return &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(kind), Setup: setup}
+func notExecuted(code defect.Code, configRevision uint64) *schema.Carried {
+	return &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(code), Setup: configRevision}
 }
 
-func unknown(kind defect.Kind) *schema.Carried {
-	return &schema.Carried{Ending: schema.Ending_ENDING_UNKNOWN, Defect: string(kind)}
+func outcomeUnknown(code defect.Code) *schema.Carried {
+	return &schema.Carried{Ending: schema.Ending_ENDING_UNKNOWN, Defect: string(code)}
 }
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -29,15 +29,15 @@
 }
 
 type simWorker struct {
-	zone    int
-	speed   float64
-	slots   int
-	running int
-	queue   []*queuedCall
-	pace    time.Duration
-	coldTo  time.Duration
-	failing float64 // part of its calls
-	ran     record
+	zone        int
+	speed       float64
+	slots       int
+	running     int
+	queue       []*queuedCall
+	serviceTime time.Duration
+	slowUntil   time.Duration
+	failing     float64 // part of its calls
+	calls       callRecord
 }
 
 type simEvent struct {
@@ -57,32 +57,32 @@
 func (e *simEvents) Pop() any     { old := *e; last := old[len(old)-1]; *e = old[:len(old)-1]; return last }
 
 type simOptions struct {
-	zones   []int     // workers of each zone
-	shares  []float64 // of the traffic of each zone
-	speeds  []float64
-	use     float64 // of what all workers can do
-	place   func(w *simWorld, from int) []int
-	length  time.Duration
-	seed    uint64
-	cold    int     // so many workers start anew in the middle
-	swing   float64 // of the traffic, as a part of it
-	times   int     // proxies, as a multiple of the usual number, and how much longer calls take
-	silent  bool    // workers tell no load with their answers
-	ill     int     // every so manyth worker fails, 0 for none
-	failing float64 // this part of its calls, in a tenth of the time
-	way     string  // by which workers are judged, empty for the product's own
+	zones        []int     // workers of each zone
+	shares       []float64 // of the traffic of each zone
+	speeds       []float64
+	utilization  float64 // of what all workers can do
+	place        func(w *simWorld, from int) []int
+	length       time.Duration
+	seed         uint64
+	restarted    int     // so many workers start anew in the middle
+	swing        float64 // of the traffic, as a part of it
+	times        int     // proxies, as a multiple of the usual number, and how much longer calls take
+	silent       bool    // workers tell no load with their answers
+	failingEvery int     // every so manyth worker fails, 0 for none
+	failing      float64 // this part of its calls, in a tenth of the time
+	judgedBy     string  // by which workers are judged, empty for the product's own
 }
 
 type simWorld struct {
 	simOptions
-	now     time.Duration
-	events  simEvents
-	seq     int
-	dice    *rand.Rand
-	workers []*simWorker
-	facts   []*Soundness
-	views   []*plan.View
-	aim     time.Duration
+	now           time.Duration
+	events        simEvents
+	seq           int
+	dice          *rand.Rand
+	workers       []*simWorker
+	detectors     []*OutlierDetector
+	views         []*plan.View
+	latencyTarget time.Duration
 
 	calls, late, crossed, refused, lost, failed int
 	zoneCrossed                                 [3][]int // by second
@@ -90,12 +90,12 @@
 }
 
 const (
-	simProxies  = 15
-	simSlots    = 18
-	simWork     = 160 * time.Millisecond
-	simAim      = 500 * time.Millisecond
-	simWarmup   = 5 * time.Second
-	simEjection = 5 * time.Second
+	simProxies       = 15
+	simSlots         = 18
+	simWork          = 160 * time.Millisecond
+	simLatencyTarget = 500 * time.Millisecond
+	simWarmup        = 5 * time.Second
+	simEjection      = 5 * time.Second
 )
 
 // proxies and work are how many proxies there are, and how long a call takes in the mean.
@@ -110,63 +110,63 @@
 func zoneOf(proxy int) int { return proxy % 3 }
 
 func simulate(options simOptions) *simWorld {
-	w := &simWorld{simOptions: options, dice: rand.New(rand.NewPCG(options.seed, 1)), aim: simAim * time.Duration(max(1, options.times))}
+	w := &simWorld{simOptions: options, dice: rand.New(rand.NewPCG(options.seed, 1)), latencyTarget: simLatencyTarget * time.Duration(max(1, options.times))}
 	for zone, count := range options.zones {
 		for range count {
-			one := &simWorker{zone: zone, slots: simSlots, speed: options.speeds[len(w.workers)%len(options.speeds)]}
-			if options.ill > 0 && len(w.workers)%options.ill == options.ill-1 {
-				one.failing = options.failing
+			worker := &simWorker{zone: zone, slots: simSlots, speed: options.speeds[len(w.workers)%len(options.speeds)]}
+			if options.failingEvery > 0 && len(w.workers)%options.failingEvery == options.failingEvery-1 {
+				worker.failing = options.failing
 			}
-			w.workers = append(w.workers, one)
+			w.workers = append(w.workers, worker)
 		}
 	}
 	w.byWorker = make([]int, len(w.workers))
 	capacity := 0.0
-	for _, one := range w.workers {
-		capacity += float64(one.slots) * one.speed / options.work().Seconds()
+	for _, worker := range w.workers {
+		capacity += float64(worker.slots) * worker.speed / options.work().Seconds()
 	}
 	compiled, _ := setup.Compile(setup.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "s", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"versions":["1"],"fallback":"1"}`)},
-		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: fmt.Appendf(nil, `{"service":"s","prefix":"/","aim":"%v"}`, w.aim)}}), 1)
+		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: fmt.Appendf(nil, `{"service":"s","prefix":"/","aim":"%v"}`, w.latencyTarget)}}), 1)
 	for range options.proxies() {
-		w.facts = append(w.facts, NewSoundness(5, simEjection))
-		w.views = append(w.views, &plan.View{Setup: compiled, Directory: plan.Directory{"s": {"1": make([]plan.Candidate, len(w.workers))}}})
+		w.detectors = append(w.detectors, NewOutlierDetector(5, simEjection))
+		w.views = append(w.views, &plan.View{Config: compiled, Directory: plan.Directory{"s": {"1": make([]plan.Endpoint, len(w.workers))}}})
 	}
 	var beat func(i int)
 	beat = func(i int) {
-		one := w.workers[i]
-		told := plan.Candidate{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Area: fmt.Sprint("z", one.zone), Slots: one.slots, Running: one.running,
-			Waiting: len(one.queue), Pace: one.pace, Told: w.now, Warm: one.coldTo}
+		worker := w.workers[i]
+		reported := plan.Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Zone: fmt.Sprint("z", worker.zone), Slots: worker.slots, Running: worker.running,
+			Waiting: len(worker.queue), ServiceTime: worker.serviceTime, ReportedAt: w.now, WarmUntil: worker.slowUntil}
 		w.after(100*time.Millisecond, func() {
 			for _, view := range w.views {
-				view.Directory["s"]["1"][i] = told
+				view.Directory["s"]["1"][i] = reported
 			}
 		})
 		w.after(1500*time.Millisecond, func() { beat(i) })
 	}
 	for i := range w.workers {
 		w.now = 0
-		told := plan.Candidate{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Area: fmt.Sprint("z", w.workers[i].zone), Slots: simSlots}
+		reported := plan.Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Zone: fmt.Sprint("z", w.workers[i].zone), Slots: simSlots}
 		for _, view := range w.views {
-			view.Directory["s"]["1"][i] = told
+			view.Directory["s"]["1"][i] = reported
 		}
 		w.after(time.Duration(w.dice.Int64N(int64(1500*time.Millisecond))), func() { beat(i) })
 	}
 	for zone := range 3 {
-		rate := options.use * capacity * options.shares[zone]
+		rate := options.utilization * capacity * options.shares[zone]
 		var arrive func()
 		arrive = func() {
 			// Traffic swings, each zone by itself.
 			swung := rate * (1 + options.swing*math.Sin(2*math.Pi*(w.now.Seconds()/11+float64(zone)/3)))
 			w.after(time.Duration(w.dice.ExpFloat64()/swung*1e9), arrive)
-			w.take(zone + 3*w.dice.IntN(options.proxies()/3))
+			w.startCall(zone + 3*w.dice.IntN(options.proxies()/3))
 		}
 		w.after(0, arrive)
 	}
-	if options.cold > 0 {
+	if options.restarted > 0 {
 		w.after(options.length/2, func() {
-			for i := range options.cold {
-				w.workers[i].coldTo = w.now + 3*time.Second
+			for i := range options.restarted {
+				w.workers[i].slowUntil = w.now + 3*time.Second
 			}
 		})
 	}
@@ -178,8 +178,8 @@
 	return w
 }
 
-// take begins a call at a proxy.
-func (w *simWorld) take(from int) {
+// startCall begins a call at a proxy.
+func (w *simWorld) startCall(from int) {
 	const spread = 0.8
 	work := math.Exp(w.dice.NormFloat64()*spread-spread*spread/2) * float64(w.work())
 	call := &queuedCall{from: from, began: w.now, work: time.Duration(min(work, 6*float64(w.work())))}
@@ -188,7 +188,7 @@
 
 // send tries the next worker.
 func (w *simWorld) send(call *queuedCall) {
-	if call.tried >= 4 || w.now-call.began > w.aim {
+	if call.tried >= 4 || w.now-call.began > w.latencyTarget {
 		w.end(call, false)
 		return
 	}
@@ -202,7 +202,7 @@
 	call.to = call.order[call.tried]
 	call.tried++
 	call.sent = w.now
-	w.facts[call.from].Begin(fmt.Sprint("w", call.to), w.now)
+	w.detectors[call.from].BeginCall(fmt.Sprint("w", call.to), w.now)
 	hop := 300 * time.Microsecond
 	if w.workers[call.to].zone != zoneOf(call.from) {
 		hop += 700 * time.Microsecond
@@ -212,63 +212,63 @@
 
 // arrive queues a call at a worker, or refuses it where its answer would be late.
 func (w *simWorld) arrive(call *queuedCall, hop time.Duration) {
-	one := w.workers[call.to]
-	if wait := float64(len(one.queue)+1) * float64(one.pace) / float64(one.slots); one.running >= one.slots && wait > float64(w.aim) {
+	worker := w.workers[call.to]
+	if wait := float64(len(worker.queue)+1) * float64(worker.serviceTime) / float64(worker.slots); worker.running >= worker.slots && wait > float64(w.latencyTarget) {
 		w.refused++
-		carried := &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.BufferFull), BackNanos: int64(50 * time.Millisecond)}
-		w.tell(one, carried)
+		response := &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.QueueFull), BackNanos: int64(50 * time.Millisecond)}
+		w.fillLoad(worker, response)
 		w.after(hop, func() {
-			w.facts[call.from].Ended(fmt.Sprint("w", call.to), w.now, w.now-call.sent, carried)
+			w.detectors[call.from].RecordResponse(fmt.Sprint("w", call.to), w.now, w.now-call.sent, response)
 			w.send(call)
 		})
 		return
 	}
-	one.queue = append(one.queue, call)
-	w.begin(one, hop)
+	worker.queue = append(worker.queue, call)
+	w.begin(worker, hop)
 }
 
-func (w *simWorld) tell(one *simWorker, carried *schema.Carried) {
+func (w *simWorld) fillLoad(worker *simWorker, response *schema.Carried) {
 	if w.silent {
 		return
 	}
-	carried.Running, carried.Waiting, carried.Slots, carried.PaceNanos = uint32(one.running), uint32(len(one.queue)), uint32(one.slots), int64(one.pace)
-	if ran, failed := one.ran.seen(w.now, simEjection); w.way == "" && math.Round(failed) > 0 {
-		carried.Ran, carried.Failed = uint32(math.Round(ran)), uint32(math.Round(failed))
+	response.Running, response.Waiting, response.Slots, response.PaceNanos = uint32(worker.running), uint32(len(worker.queue)), uint32(worker.slots), int64(worker.serviceTime)
+	if ran, failed := worker.calls.decayed(w.now, simEjection); w.judgedBy == "" && math.Round(failed) > 0 {
+		response.Ran, response.Failed = uint32(math.Round(ran)), uint32(math.Round(failed))
 	}
 }
 
 // begin lets a worker work on what waits.
-func (w *simWorld) begin(one *simWorker, hop time.Duration) {
-	for one.running < one.slots && len(one.queue) > 0 {
-		call := one.queue[0]
-		one.queue = one.queue[1:]
-		one.running++
-		took := time.Duration(float64(call.work) / one.speed)
-		if w.now < one.coldTo {
+func (w *simWorld) begin(worker *simWorker, hop time.Duration) {
+	for worker.running < worker.slots && len(worker.queue) > 0 {
+		call := worker.queue[0]
+		worker.queue = worker.queue[1:]
+		worker.running++
+		took := time.Duration(float64(call.work) / worker.speed)
+		if w.now < worker.slowUntil {
 			took *= 2
 		}
 		status, learns := int32(200), true
-		if one.failing > 0 && w.dice.Float64() < one.failing {
+		if worker.failing > 0 && w.dice.Float64() < worker.failing {
 			status, took = 500, took/10
-			learns = w.way != "" || took >= one.pace
+			learns = w.judgedBy != "" || took >= worker.serviceTime
 		}
 		w.after(took, func() {
-			one.running--
-			if one.pace == 0 {
-				one.pace = took
+			worker.running--
+			if worker.serviceTime == 0 {
+				worker.serviceTime = took
 			}
 			if learns {
-				one.pace += (took - one.pace) / 32
+				worker.serviceTime += (took - worker.serviceTime) / 32
 			}
-			one.ran.note(w.now, simEjection, status != 200)
-			w.begin(one, hop)
-			carried := &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: status}
+			worker.calls.add(w.now, simEjection, status != 200)
+			w.begin(worker, hop)
+			response := &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: status}
 			if status != 200 && w.now >= simWarmup {
 				w.failed++
 			}
-			w.tell(one, carried)
+			w.fillLoad(worker, response)
 			w.after(hop, func() {
-				w.facts[call.from].Ended(fmt.Sprint("w", call.to), w.now, w.now-call.sent, carried)
+				w.detectors[call.from].RecordResponse(fmt.Sprint("w", call.to), w.now, w.now-call.sent, response)
 				w.end(call, true)
 			})
 		})
@@ -294,7 +294,7 @@
 	if !served {
 		w.lost++
 	}
-	if !served || w.now-call.began > w.aim {
+	if !served || w.now-call.began > w.latencyTarget {
 		w.late++
 	}
 }
@@ -308,9 +308,9 @@
 // The ways of placing that are compared.
 var simPlacers = map[string]func(w *simWorld, from int) []int{
 	"planned": func(w *simWorld, from int) []int {
-		options := plan.Options{Area: fmt.Sprint("z", zoneOf(from)), HorizonMost: time.Minute}
+		options := plan.Options{Zone: fmt.Sprint("z", zoneOf(from)), MaxDeadline: time.Minute}
 		made, err := plan.Make(w.views[from], &plan.Request{Caller: "c", Method: "GET", Path: "/", Header: func(string) (string, bool) { return "", false }, Identity: "i"}, options,
-			judging{Facts{w.facts[from], nil}, w.way}, w.now, w.dice.Float64)
+			judgedState{LocalState{w.detectors[from], nil}, w.judgedBy}, w.now, w.dice.Float64)
 		if err != nil {
 			panic(err)
 		}
@@ -330,7 +330,7 @@
 		order := w.dice.Perm(len(w.workers))
 		slices.SortStableFunc(order, func(a, b int) int {
 			seen := func(at int) int {
-				return w.facts[from].See(&plan.Candidate{Instance: fmt.Sprint("w", at)}, w.now).InFlight
+				return w.detectors[from].Stats(&plan.Endpoint{Instance: fmt.Sprint("w", at)}, w.now).InFlight
 			}
 			return seen(a) - seen(b)
 		})
@@ -340,13 +340,13 @@
 
 // Placing beats the simple ways by what calls lose together, late or between zones; and it is
 // late less often than whoever looks at nothing or stays in the own zone.
-func TestPlacement(t *testing.T) {
+func TestEndpointPicks(t *testing.T) {
 	layouts := []simOptions{
 		{zones: []int{2, 2, 1}, speeds: []float64{1.4, 1.0, 1.4, 1.0, 0.6}},
 		{zones: []int{1, 1, 1}, speeds: []float64{0.7, 0.7, 1.6}},
 		{zones: []int{4, 4, 4}, speeds: []float64{0.6, 1.0, 1.0, 1.5}},
 		{zones: []int{2, 2, 1}, speeds: []float64{0.6, 1.0, 1.4}, silent: true},
-		{zones: []int{2, 2, 1}, speeds: []float64{0.6, 1.0, 1.4}, cold: 2},
+		{zones: []int{2, 2, 1}, speeds: []float64{0.6, 1.0, 1.4}, restarted: 2},
 		{zones: []int{9, 11, 9}, speeds: []float64{0.7, 0.7, 1.6}, times: 3},
 	}
 	for at, layout := range layouts {
@@ -361,10 +361,10 @@
 
 func placedBest(t *testing.T, layout simOptions, use float64) {
 	played := map[string]*simWorld{}
-	text := fmt.Sprintf("%v %v used %.2f, silent %v, cold %d, times %d:", layout.zones, layout.speeds, use, layout.silent, layout.cold, layout.times)
+	text := fmt.Sprintf("%v %v used %.2f, silent %v, cold %d, times %d:", layout.zones, layout.speeds, use, layout.silent, layout.restarted, layout.times)
 	for _, name := range []string{"planned", "random", "own zone", "least in flight"} {
 		options := layout
-		options.use, options.place, options.length, options.shares, options.swing = use, simPlacers[name], 20*time.Second, []float64{.31, .36, .33}, 0.15
+		options.utilization, options.place, options.length, options.shares, options.swing = use, simPlacers[name], 20*time.Second, []float64{.31, .36, .33}, 0.15
 		played[name] = simulate(options)
 		text += fmt.Sprintf("  %s %.3f late %.3f across", name, played[name].shareLate(), played[name].shareCrossed())
 	}
@@ -386,11 +386,11 @@
 // Where zones hold their own, next to nothing crosses; where one cannot, what it lacks crosses
 // evenly over time, not by turns.
 func TestSpillIsSmooth(t *testing.T) {
-	even := simulate(simOptions{zones: []int{4, 4, 4}, speeds: []float64{1}, shares: []float64{1. / 3, 1. / 3, 1. / 3}, use: 0.6, place: simPlacers["planned"], length: 20 * time.Second})
+	even := simulate(simOptions{zones: []int{4, 4, 4}, speeds: []float64{1}, shares: []float64{1. / 3, 1. / 3, 1. / 3}, utilization: 0.6, place: simPlacers["planned"], length: 20 * time.Second})
 	if even.shareCrossed() > 0.01 {
 		t.Errorf("%.3f cross though every zone holds its own", even.shareCrossed())
 	}
-	short := simulate(simOptions{zones: []int{2, 2, 1}, speeds: []float64{1}, shares: []float64{.31, .36, .33}, use: 0.8, place: simPlacers["planned"], length: 30 * time.Second})
+	short := simulate(simOptions{zones: []int{2, 2, 1}, speeds: []float64{1}, shares: []float64{.31, .36, .33}, utilization: 0.8, place: simPlacers["planned"], length: 30 * time.Second})
 	seconds := short.zoneCrossed[2][6:29]
 	sum, squares := 0.0, 0.0
 	for _, count := range seconds {
@@ -412,8 +412,8 @@
 	compiled, _ := setup.Compile(setup.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "s", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"versions":["1"],"fallback":"1"}`)},
 		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"service":"s","prefix":"/"}`)}}), 1)
-	dice := rand.New(rand.NewPCG(1, 2))
-	for name, one := range map[string]struct {
+	random := rand.New(rand.NewPCG(1, 2))
+	for name, test := range map[string]struct {
 		failing          [3]float64 // part of each worker's calls
 		fromPart, toPart float64    // of calls that worker 0 may get while it fails
 	}{
@@ -424,25 +424,25 @@
 		"all alike":          {[3]float64{0.3, 0.3, 0.3}, 0.25, 0.42},
 		"two of three, half": {[3]float64{0.5, 0.5, 0}, 0, 0.4},
 	} {
-		facts := NewSoundness(5, 5*time.Second)
-		view := &plan.View{Setup: compiled, Directory: plan.Directory{"s": {"1": {{Instance: "w0", Proxy: "p0"}, {Instance: "w1", Proxy: "p1"}, {Instance: "w2", Proxy: "p2"}}}}}
+		detector := NewOutlierDetector(5, 5*time.Second)
+		view := &plan.View{Config: compiled, Directory: plan.Directory{"s": {"1": {{Instance: "w0", Proxy: "p0"}, {Instance: "w1", Proxy: "p1"}, {Instance: "w2", Proxy: "p2"}}}}}
 		now := time.Duration(0)
 		play := func(calls int, failing [3]float64) (got [3]float64) {
 			for range calls {
 				now += 10 * time.Millisecond
-				made, err := plan.Make(view, &plan.Request{Method: "GET", Path: "/", Header: func(string) (string, bool) { return "", false }}, plan.Options{HorizonMost: time.Minute}, Facts{facts, nil}, now, dice.Float64)
+				made, err := plan.Make(view, &plan.Request{Method: "GET", Path: "/", Header: func(string) (string, bool) { return "", false }}, plan.Options{MaxDeadline: time.Minute}, LocalState{detector, nil}, now, random.Float64)
 				if err != nil {
 					t.Fatal(err)
 				}
 				at := int(made.Candidates[0].Instance[1] - '0')
 				got[at] += 1 / float64(calls)
-				facts.Begin(made.Candidates[0].Instance, now)
-				facts.End(made.Candidates[0].Instance, now, dice.Float64() < failing[at])
+				detector.BeginCall(made.Candidates[0].Instance, now)
+				detector.EndCall(made.Candidates[0].Instance, now, random.Float64() < failing[at])
 			}
 			return got
 		}
-		play(200, one.failing)
-		if got := play(1000, one.failing); got[0] < one.fromPart || got[0] > one.toPart {
+		play(200, test.failing)
+		if got := play(1000, test.failing); got[0] < test.fromPart || got[0] > test.toPart {
 			t.Errorf("%s: the parts are %.2f", name, got)
 		}
 		play(1500, [3]float64{})
@@ -459,34 +459,34 @@
 	wayOwn  = "its own callers' record" // and the part that fails, as it sees it: the product's way before
 )
 
-// judging is facts as another way of judging has them.
-type judging struct {
-	plan.Facts
-	way string
+// judgedState is facts as another way of judging has them.
+type judgedState struct {
+	plan.LocalState
+	judgedBy string
 }
 
-func (j judging) See(worker *plan.Candidate, now time.Duration) plan.Seen {
-	seen := j.Facts.See(worker, now)
-	switch j.way {
+func (j judgedState) Stats(worker *plan.Endpoint, now time.Duration) plan.EndpointStats {
+	stats := j.LocalState.Stats(worker, now)
+	switch j.judgedBy {
 	case wayNone:
-		seen.Ejected, seen.Calls, seen.Failures = seen.Unreached, 0, 0
+		stats.Ejected, stats.RecentCalls, stats.RecentFailures = stats.Unreachable, 0, 0
 	case wayRow:
-		seen.Calls, seen.Failures = 0, 0
+		stats.RecentCalls, stats.RecentFailures = 0, 0
 	}
-	return seen
+	return stats
 }
 
-// grown is a service of a grown fleet, of which every so manyth worker fails part of its calls.
-func grown(way string, ill int, failing float64) *simWorld {
-	return simulate(simOptions{zones: []int{9, 11, 9}, speeds: []float64{0.7, 0.7, 1.6}, times: 3, use: 0.6, place: simPlacers["planned"], length: 40 * time.Second,
-		shares: []float64{.31, .36, .33}, seed: 7, ill: ill, failing: failing, way: way})
+// simulateGrownFleet is a service of a grown fleet, of which every so manyth worker fails part of its calls.
+func simulateGrownFleet(judgedBy string, failingEvery int, failing float64) *simWorld {
+	return simulate(simOptions{zones: []int{9, 11, 9}, speeds: []float64{0.7, 0.7, 1.6}, times: 3, utilization: 0.6, place: simPlacers["planned"], length: 40 * time.Second,
+		shares: []float64{.31, .36, .33}, seed: 7, failingEvery: failingEvery, failing: failing, judgedBy: judgedBy})
 }
 
-// partOf is how many calls every so manyth worker got, of what all alike would get.
-func (w *simWorld) partOf(ill int) float64 {
+// relativeCalls is how many calls every so manyth worker got, of what all alike would get.
+func (w *simWorld) relativeCalls(failingEvery int) float64 {
 	calls, workers := 0, 0
 	for i, count := range w.byWorker {
-		if i%ill == ill-1 {
+		if i%failingEvery == failingEvery-1 {
 			calls, workers = calls+count, workers+1
 		}
 	}
@@ -518,24 +518,24 @@
 // size of fault, how much is called at those who fail, and how many calls fail.
 func TestGreyWorkersOfAFleet(t *testing.T) {
 	const every = 4
-	for _, one := range []struct {
+	for _, test := range []struct {
 		failing  float64
 		partMost float64 // of the calls that a worker gets by its number, that one who fails may get
 		ownMost  float64 // failures, as a part of those by the callers' own record
 	}{{0, 1.1, 1}, {0.02, 1.15, 1.1}, {0.1, 1, 0.85}, {0.2, 0.75, 0.7}, {0.4, 0.55, 0.65}, {0.8, 0.4, 0.65}} {
-		t.Run(fmt.Sprint(one.failing), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.failing), func(t *testing.T) {
 			t.Parallel()
 			failed, text := map[string]float64{}, ""
 			for _, way := range []string{wayNone, wayRow, wayOwn, ""} {
-				w := grown(way, every, one.failing)
+				w := simulateGrownFleet(way, every, test.failing)
 				failed[way] = float64(w.failed) / float64(w.calls)
-				text += fmt.Sprintf(" %q: failed %.4f, late %.4f, part %.2f;", way, failed[way], w.shareLate(), w.partOf(every))
-				if way == "" && w.partOf(every) > one.partMost {
-					t.Errorf("who fails gets %.2f of its part", w.partOf(every))
+				text += fmt.Sprintf(" %q: failed %.4f, late %.4f, part %.2f;", way, failed[way], w.shareLate(), w.relativeCalls(every))
+				if way == "" && w.relativeCalls(every) > test.partMost {
+					t.Errorf("who fails gets %.2f of its part", w.relativeCalls(every))
 				}
 			}
 			t.Log(text)
-			if failed[""] > one.ownMost*failed[wayOwn] {
+			if failed[""] > test.ownMost*failed[wayOwn] {
 				t.Errorf("too many fail:%s", text)
 			}
 		})
@@ -545,11 +545,11 @@
 // Where all fail alike nobody is the outlier: chance convicts hardly anybody, so calls stay as evenly
 // spread over workers that are alike as where none fails.
 func TestNobodyIsConvictedByChance(t *testing.T) {
-	sound := grown("", 1, 0).spread()
+	sound := simulateGrownFleet("", 1, 0).spread()
 	for failing, most := range map[float64]float64{0.02: 0.05, 0.1: 0.05, 0.3: 0.1} {
 		t.Run(fmt.Sprint(failing), func(t *testing.T) {
 			t.Parallel()
-			w := grown("", 1, failing)
+			w := simulateGrownFleet("", 1, failing)
 			t.Logf("spread %.3f, where none fails %.3f; late %.4f", w.spread(), sound, w.shareLate())
 			if w.spread() > sound+most {
 				t.Errorf("calls are spread by %.3f, where none fails by %.3f", w.spread(), sound)
--- a/internal/dispatch/road.go
+++ b/internal/dispatch/road.go
@@ -5,59 +5,59 @@
 	"time"
 )
 
-// Road is the link that a machine has to the others, as far as this process fills it. What is
+// Uplink is the link that a machine has to the others, as far as this process fills it. What is
 // written to a socket only joins a queue there, in which everything waits behind everything
 // else; so how long that is, is reckoned from what was written and from the link's rate. Nil is
 // a link that need not be thought of.
-type Road struct {
-	now  func() time.Duration
-	rate float64 // bytes a second
+type Uplink struct {
+	now            func() time.Duration
+	bytesPerSecond float64 // bytes a second
 
-	lock  sync.Mutex
-	clear time.Duration // when all that was written has left
+	lock      sync.Mutex
+	drainedAt time.Duration // when all that was written has left
 }
 
 // What a link carries besides what is written, in bytes.
 const (
-	segment     = 1460 // of what is written goes into one packet
-	segmentHead = 40   // that each packet has before it
+	segmentPayload  = 1460 // of what is written goes into one packet
+	segmentOverhead = 40   // that each packet has before it
 )
 
-// NewRoad is a link of so many bytes a second; none where the rate is not known.
-func NewRoad(rate int64, now func() time.Duration) *Road {
-	if rate <= 0 {
+// NewUplink is a link of so many bytes a second; none where the rate is not known.
+func NewUplink(bytesPerSecond int64, now func() time.Duration) *Uplink {
+	if bytesPerSecond <= 0 {
 		return nil
 	}
-	return &Road{now: now, rate: float64(rate)}
+	return &Uplink{now: now, bytesPerSecond: float64(bytesPerSecond)}
 }
 
-// Span is how long the link takes for so many bytes that are written at once.
-func (r *Road) Span(bytes int) time.Duration {
-	if r == nil || bytes <= 0 {
+// TransferTime is how long the link takes for so many bytes that are written at once.
+func (u *Uplink) TransferTime(bytes int) time.Duration {
+	if u == nil || bytes <= 0 {
 		return 0
 	}
-	packets := (bytes + segment - 1) / segment
-	return time.Duration(float64(bytes+packets*segmentHead) / r.rate * float64(time.Second))
+	packets := (bytes + segmentPayload - 1) / segmentPayload
+	return time.Duration(float64(bytes+packets*segmentOverhead) / u.bytesPerSecond * float64(time.Second))
 }
 
-// Carry notes that so many bytes were written.
-func (r *Road) Carry(bytes int) {
-	if r == nil || bytes <= 0 {
+// RecordWrite notes that so many bytes were written.
+func (u *Uplink) RecordWrite(bytes int) {
+	if u == nil || bytes <= 0 {
 		return
 	}
-	now := r.now()
-	r.lock.Lock()
-	r.clear = max(r.clear, now) + r.Span(bytes)
-	r.lock.Unlock()
+	now := u.now()
+	u.lock.Lock()
+	u.drainedAt = max(u.drainedAt, now) + u.TransferTime(bytes)
+	u.lock.Unlock()
 }
 
-// Wait is how long what is written now waits before it leaves.
-func (r *Road) Wait() time.Duration {
-	if r == nil {
+// Backlog is how long what is written now waits before it leaves.
+func (u *Uplink) Backlog() time.Duration {
+	if u == nil {
 		return 0
 	}
-	now := r.now()
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	return max(0, r.clear-now)
+	now := u.now()
+	u.lock.Lock()
+	defer u.lock.Unlock()
+	return max(0, u.drainedAt-now)
 }
--- a/internal/dispatch/run_test.go
+++ b/internal/dispatch/run_test.go
@@ -17,50 +17,50 @@
 
 // Every refusal of the worker's side is not-run, and is true.
 func TestRefusalsRunNothing(t *testing.T) {
-	for name, one := range map[string]struct {
-		change func(s *stage, c *schema.Carry)
+	for name, test := range map[string]struct {
+		change func(s *workerFixture, c *schema.Carry)
 		peer   link.Peer
-		want   defect.Kind
+		want   defect.Code
 	}{
-		"a caller the peer may not speak for": {func(_ *stage, c *schema.Carry) { c.Caller = "saves" }, client, defect.NotAllowed},
-		"a peer without a certificate":        {func(*stage, *schema.Carry) {}, link.Peer{}, defect.NotAllowed},
-		"an altered body":                     {func(_ *stage, c *schema.Carry) { c.Body = []byte("x") }, client, defect.Malformed},
-		"an instance that is no more":         {func(_ *stage, c *schema.Carry) { c.Instance = "p/old/1" }, client, defect.WrongInstance},
-		"another version":                     {func(_ *stage, c *schema.Carry) { c.Version = "2" }, client, defect.WrongInstance},
-		"another service":                     {func(_ *stage, c *schema.Carry) { c.Service = "saves" }, client, defect.WrongInstance},
-		"a version no setup lists":            {func(_ *stage, c *schema.Carry) { c.Version = "9" }, client, defect.VersionBarred},
-		"a service no setup lists":            {func(_ *stage, c *schema.Carry) { c.Service = "nowhere" }, client, defect.VersionBarred},
-		"a plan by rules long replaced":       {func(_ *stage, c *schema.Carry) { c.Setup = 3 }, client, defect.StalePlan},
-		"no time left":                        {func(_ *stage, c *schema.Carry) { c.LeftNanos = 0 }, client, defect.HorizonPast},
-		"a proxy without a lease":             {func(s *stage, _ *schema.Carry) { s.runner.Leased = func() bool { return false } }, client, defect.NoLease},
-		"a worker that is leaving": {func(s *stage, _ *schema.Carry) {
-			said := s.saying("127.0.0.1:1", s.actors["127.0.0.1:1"])
-			said.Leaving = true
-			_, _ = s.workers.Describe(said)
-		}, client, defect.Leaving},
-		"a worker that fell silent": {func(s *stage, _ *schema.Carry) {
+		"a caller the peer may not speak for": {func(_ *workerFixture, c *schema.Carry) { c.Caller = "saves" }, client, defect.CallerNotAllowed},
+		"a peer without a certificate":        {func(*workerFixture, *schema.Carry) {}, link.Peer{}, defect.CallerNotAllowed},
+		"an altered body":                     {func(_ *workerFixture, c *schema.Carry) { c.Body = []byte("x") }, client, defect.MalformedRequest},
+		"an instance that is no more":         {func(_ *workerFixture, c *schema.Carry) { c.Instance = "p/old/1" }, client, defect.WrongInstance},
+		"another version":                     {func(_ *workerFixture, c *schema.Carry) { c.Version = "2" }, client, defect.WrongInstance},
+		"another service":                     {func(_ *workerFixture, c *schema.Carry) { c.Service = "saves" }, client, defect.WrongInstance},
+		"a version no setup lists":            {func(_ *workerFixture, c *schema.Carry) { c.Version = "9" }, client, defect.VersionNotAllowed},
+		"a service no setup lists":            {func(_ *workerFixture, c *schema.Carry) { c.Service = "nowhere" }, client, defect.VersionNotAllowed},
+		"a plan by rules long replaced":       {func(_ *workerFixture, c *schema.Carry) { c.Setup = 3 }, client, defect.StalePlan},
+		"no time left":                        {func(_ *workerFixture, c *schema.Carry) { c.LeftNanos = 0 }, client, defect.DeadlineExceeded},
+		"a proxy without a lease":             {func(s *workerFixture, _ *schema.Carry) { s.runner.HasLease = func() bool { return false } }, client, defect.NoLease},
+		"a worker that is leaving": {func(s *workerFixture, _ *schema.Carry) {
+			description := s.describe("127.0.0.1:1", s.workersByAddress["127.0.0.1:1"])
+			description.Draining = true
+			_, _ = s.workers.Register(description)
+		}, client, defect.WorkerDraining},
+		"a worker that fell silent": {func(s *workerFixture, _ *schema.Carry) {
 			time.Sleep(4 * time.Second)
-			s.workers.Sweep()
+			s.workers.DropUnresponsive()
 		}, client, defect.WrongInstance},
-		"an address now another's, told": {func(s *stage, _ *schema.Carry) {
-			s.actors["127.0.0.1:1"] = &actor{token: "new", service: "saves", version: "1"}
-			_, _ = s.workers.Describe(s.saying("127.0.0.1:1", s.actors["127.0.0.1:1"]))
+		"an address now another's, told": {func(s *workerFixture, _ *schema.Carry) {
+			s.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
+			_, _ = s.workers.Register(s.describe("127.0.0.1:1", s.workersByAddress["127.0.0.1:1"]))
 		}, client, defect.WrongInstance},
-		"an address now another's, not yet told": {func(s *stage, _ *schema.Carry) {
-			s.actors["127.0.0.1:1"] = &actor{token: "new", service: "saves", version: "1"}
+		"an address now another's, not yet told": {func(s *workerFixture, _ *schema.Carry) {
+			s.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 		}, client, defect.WrongInstance},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStage(t)
-				instance, _ := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
-				c := carry("r1", instance)
-				one.change(s, c)
-				got := s.runner.Run(t.Context(), one.peer, c)
-				if got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != string(one.want) {
-					t.Errorf("ended %v with %s, want not run with %s", got.Ending, got.Defect, one.want)
+				s := newWorkerFixture(t)
+				instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+				c := newForwardRequest("r1", instance)
+				test.change(s, c)
+				got := s.runner.Run(t.Context(), test.peer, c)
+				if got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != string(test.want) {
+					t.Errorf("ended %v with %s, want not run with %s", got.Ending, got.Defect, test.want)
 				}
-				if runs := s.ledger(); len(runs) > 0 {
+				if runs := s.recordedRuns(); len(runs) > 0 {
 					t.Errorf("it ran: %v", runs)
 				}
 			})
@@ -70,11 +70,11 @@
 
 // What a worker answers is passed on only if it is certainly whole.
 func TestAnswersMustBeWhole(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		answer string
 		want   schema.Ending
 	}{
-		"whole":                        {whole(`{"a":1}`), schema.Ending_ENDING_ANSWERED},
+		"whole":                        {jsonAnswer(`{"a":1}`), schema.Ending_ENDING_ANSWERED},
 		"whole, in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: Content-Length\r\n\r\n3\r\nabc\r\n0\r\n\r\n", schema.Ending_ENDING_ANSWERED},
 		"an error of the worker's":     {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", schema.Ending_ENDING_ANSWERED},
 		"cut short":                    {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", schema.Ending_ENDING_UNKNOWN},
@@ -82,17 +82,17 @@
 		"ended by the connection":      {"HTTP/1.1 200 OK\r\n\r\nabc", schema.Ending_ENDING_UNKNOWN},
 		"garbage for a status":         {"HTTP/1.1 9 ?\r\nContent-Length: 0\r\n\r\n", schema.Ending_ENDING_UNKNOWN},
 		"no HTTP":                      {"this is not an answer at all\r\n\r\n", schema.Ending_ENDING_UNKNOWN},
-		"JSON that is not":             {strings.Replace(whole(`{"a":1}`), `{"a":1}`, `{"a":1]`, 1), schema.Ending_ENDING_UNKNOWN},
-		"larger than is taken":         {whole(`"` + strings.Repeat("x", 5000) + `"`), schema.Ending_ENDING_UNKNOWN},
+		"JSON that is not":             {strings.Replace(jsonAnswer(`{"a":1}`), `{"a":1}`, `{"a":1]`, 1), schema.Ending_ENDING_UNKNOWN},
+		"larger than is taken":         {jsonAnswer(`"` + strings.Repeat("x", 5000) + `"`), schema.Ending_ENDING_UNKNOWN},
 		"nothing, the work being done": {"", schema.Ending_ENDING_UNKNOWN},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStage(t)
-				instance, who := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
-				who.answer = func(string) string {
+				s := newWorkerFixture(t)
+				instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+				worker.answer = func(string) string {
 					// A cut answer is followed by the end of the connection.
-					if one.want == schema.Ending_ENDING_UNKNOWN {
+					if test.want == schema.Ending_ENDING_UNKNOWN {
 						go func() {
 							time.Sleep(time.Millisecond)
 							s.lock.Lock()
@@ -102,10 +102,10 @@
 							}
 						}()
 					}
-					return one.answer
+					return test.answer
 				}
-				if got := s.runner.Run(t.Context(), client, carry("r1", instance)); got.Ending != one.want {
-					t.Errorf("ended %v with %s, want %v", got.Ending, got.Defect, one.want)
+				if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Ending != test.want {
+					t.Errorf("ended %v with %s, want %v", got.Ending, got.Defect, test.want)
 				}
 			})
 		})
@@ -115,30 +115,30 @@
 // A worker gets no call after it said it is leaving, and a request runs once however often
 // it is delivered: in every order of two deliveries and the worker's word.
 func TestEveryOrderOfDeliveryAndLeaving(t *testing.T) {
-	explore := func(planted bool) interleave.Outcome {
-		return interleave.Explore(t, 20000, func(t *testing.T, run *interleave.Run) func() error {
-			s := newStage(t)
-			instance, who := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
+	explore := func(seeded bool) interleave.Outcome {
+		return interleave.Explore(t, 20000, func(t *testing.T, run *interleave.Execution) func() error {
+			s := newWorkerFixture(t)
+			instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 			var leftAt int
 			for _, name := range []string{"first", "again"} {
 				run.Go(name, func(yield func()) {
-					mine := *s.runner
-					mine.Leased = func() bool { yield(); return true }
-					if planted {
-						mine.seen = NewSeen(8) // each delivery with a memory of its own
+					runner := *s.runner
+					runner.HasLease = func() bool { yield(); return true }
+					if seeded {
+						runner.recentIDs = NewRecentIDs(8) // each delivery with a memory of its own
 					}
-					mine.Run(t.Context(), client, carry("r1", instance))
+					runner.Run(t.Context(), client, newForwardRequest("r1", instance))
 				})
 			}
 			run.Go("leaving", func(yield func()) {
-				said := s.saying("127.0.0.1:1", who)
-				said.Leaving = true
+				description := s.describe("127.0.0.1:1", worker)
+				description.Draining = true
 				yield()
-				_, _ = s.workers.Describe(said)
-				leftAt = len(s.ledger()) + 1
+				_, _ = s.workers.Register(description)
+				leftAt = len(s.recordedRuns()) + 1
 			})
 			return func() error {
-				runs := s.ledger()
+				runs := s.recordedRuns()
 				if len(runs) > 1 {
 					return fmt.Errorf("ran %d times", len(runs))
 				}
@@ -152,26 +152,26 @@
 	if broken := explore(true); broken.Failure == "" {
 		t.Error("the planted fault was not found")
 	}
-	sound := explore(false)
-	if sound.Failure != "" {
-		t.Error(sound.Failure)
+	correct := explore(false)
+	if correct.Failure != "" {
+		t.Error(correct.Failure)
 	}
-	t.Logf("%d orders", sound.Orders)
+	t.Logf("%d orders", correct.Schedules)
 }
 
 // Of three callers with one key, one runs; the others get its answer, in every order.
 func TestEveryOrderOfOneKey(t *testing.T) {
-	explore := func(planted bool) interleave.Outcome {
-		return interleave.Explore(t, 20000, func(t *testing.T, run *interleave.Run) func() error {
-			memory := NewMemory(8)
+	explore := func(seeded bool) interleave.Outcome {
+		return interleave.Explore(t, 20000, func(t *testing.T, run *interleave.Execution) func() error {
+			cache := NewIdempotencyCache(8)
 			var runs, answered atomic.Int32
 			for _, name := range []string{"a", "b", "c"} {
 				run.Go(name, func(yield func()) {
 					key := "key"
-					if planted {
+					if seeded {
 						key += name
 					}
-					got := memory.Do(t.Context(), key, []byte("body"), func(string) (*schema.Carried, string) {
+					got := cache.Do(t.Context(), key, []byte("body"), func(string) (*schema.Carried, string) {
 						yield()
 						runs.Add(1)
 						return &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200, Body: []byte("one")}, "w"
@@ -195,23 +195,23 @@
 	if explore(true).Failure == "" {
 		t.Error("the planted fault was not found")
 	}
-	if sound := explore(false); sound.Failure != "" {
-		t.Error(sound.Failure)
+	if correct := explore(false); correct.Failure != "" {
+		t.Error(correct.Failure)
 	}
 }
 
 // The memory's other answers.
-func TestMemory(t *testing.T) {
-	memory := NewMemory(2)
+func TestIdempotencyCache(t *testing.T) {
+	cache := NewIdempotencyCache(2)
 	runs := 0
 	try := func(key, body string, ending schema.Ending, at string) *schema.Carried {
-		return memory.Do(context.Background(), key, []byte(body), func(string) (*schema.Carried, string) {
+		return cache.Do(context.Background(), key, []byte(body), func(string) (*schema.Carried, string) {
 			runs++
 			return &schema.Carried{Ending: ending}, at
 		})
 	}
 	unknownEnding, notRunEnding, answered := schema.Ending_ENDING_UNKNOWN, schema.Ending_ENDING_NOT_RUN, schema.Ending_ENDING_ANSWERED
-	for i, one := range []struct {
+	for i, test := range []struct {
 		key, body string
 		ending    schema.Ending
 		at        string
@@ -228,27 +228,27 @@
 		{"u", "b", answered, "", unknownEnding, 5},       // stays unknown, and is not run
 		{"v", "b", answered, "", answered, 6},            // makes room: the oldest goes
 	} {
-		if got := try(one.key, one.body, one.ending, one.at); got.Ending != one.want || runs != one.ran {
-			t.Errorf("step %d: ended %v after %d runs, want %v after %d", i, got.Ending, runs, one.want, one.ran)
+		if got := try(test.key, test.body, test.ending, test.at); got.Ending != test.want || runs != test.ran {
+			t.Errorf("step %d: ended %v after %d runs, want %v after %d", i, got.Ending, runs, test.want, test.ran)
 		}
 	}
 }
 
 // Large answers push older ones out, so that keys never take more memory than settings allow.
-func TestMemoryIsBoundedInBytes(t *testing.T) {
-	memory := NewMemory(100)
+func TestIdempotencyCacheIsBoundedInBytes(t *testing.T) {
+	cache := NewIdempotencyCache(100)
 	large := make([]byte, 10*bytesPerKey)
 	for i := range 50 {
-		memory.Do(context.Background(), fmt.Sprint(i), nil, func(string) (*schema.Carried, string) {
+		cache.Do(context.Background(), fmt.Sprint(i), nil, func(string) (*schema.Carried, string) {
 			return &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Body: large}, "w"
 		})
 	}
-	if memory.bytes > 100*bytesPerKey || len(memory.order) != 10 || len(memory.keys) != 10 {
-		t.Errorf("%d bytes in %d keys", memory.bytes, len(memory.keys))
+	if cache.answerBytes > 100*bytesPerKey || len(cache.order) != 10 || len(cache.entries) != 10 {
+		t.Errorf("%d bytes in %d keys", cache.answerBytes, len(cache.entries))
 	}
 	runs := 0
 	for _, key := range []string{"0", "49"} {
-		memory.Do(context.Background(), key, nil, func(string) (*schema.Carried, string) {
+		cache.Do(context.Background(), key, nil, func(string) (*schema.Carried, string) {
 			runs++
 			return &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED}, "w"
 		})
@@ -261,18 +261,18 @@
 // What was refused as not run stays so when it is delivered again, though nothing refuses it then.
 func TestWhatWasRefusedNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStage(t)
-		instance, _ := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
+		s := newWorkerFixture(t)
+		instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 		leased := false
-		s.runner.Leased = func() bool { return leased }
-		if got := s.runner.Run(t.Context(), client, carry("r1", instance)); got.Ending != schema.Ending_ENDING_NOT_RUN {
+		s.runner.HasLease = func() bool { return leased }
+		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Ending != schema.Ending_ENDING_NOT_RUN {
 			t.Fatalf("ended %v", got.Ending)
 		}
 		leased = true
-		if got := s.runner.Run(t.Context(), client, carry("r1", instance)); got.Ending != schema.Ending_ENDING_UNKNOWN || len(s.ledger()) > 0 {
-			t.Errorf("delivered again it ended %v, with runs %v", got.Ending, s.ledger())
+		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Ending != schema.Ending_ENDING_UNKNOWN || len(s.recordedRuns()) > 0 {
+			t.Errorf("delivered again it ended %v, with runs %v", got.Ending, s.recordedRuns())
 		}
-		if got := s.runner.Run(t.Context(), client, carry("r2", instance)); got.Ending != schema.Ending_ENDING_ANSWERED {
+		if got := s.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); got.Ending != schema.Ending_ENDING_ANSWERED {
 			t.Errorf("another request ended %v", got.Ending)
 		}
 	})
@@ -280,14 +280,14 @@
 
 // What came of a worker's calls is told with each answer: failures, broken answers, and calls that were
 // given up after far longer than calls take; not those that had not the time that calls take.
-func TestWhatIsToldOfAWorker(t *testing.T) {
+func TestReportedWorkerRecord(t *testing.T) {
 	const answers = 20
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		answer string        // of the calls after those; empty for none
 		given  time.Duration // that calls have
 		failed uint32        // told of so many
 	}{
-		"answers":                {whole(`{"a":1}`), time.Minute, 0},
+		"answers":                {jsonAnswer(`{"a":1}`), time.Minute, 0},
 		"fails":                  {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", time.Minute, 5},
 		"breaks answers off":     {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", 500 * time.Millisecond, 5},
 		"hangs":                  {"", 500 * time.Millisecond, 5},
@@ -296,13 +296,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStage(t)
-				s.runner.Soundness = NewSoundness(5, time.Hour)
-				instance, who := s.enter(t, "127.0.0.1:1", "shop", "1", "token")
+				s := newWorkerFixture(t)
+				s.runner.Outliers = NewOutlierDetector(5, time.Hour)
+				instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 				hung := make(chan struct{})
 				defer close(hung)
-				said := whole(`{"a":1}`)
-				who.answer = func(string) string {
+				said := jsonAnswer(`{"a":1}`)
+				worker.answer = func(string) string {
 					time.Sleep(100 * time.Millisecond)
 					if said == "" || strings.Contains(said, "10\r\n\r\nabc") {
 						<-hung
@@ -310,20 +310,20 @@
 					return said
 				}
 				run := func(turn int, given time.Duration) *schema.Carried {
-					one := carry(fmt.Sprint("r", turn), instance)
-					one.LeftNanos = int64(given)
-					return s.runner.Run(t.Context(), client, one)
+					test := newForwardRequest(fmt.Sprint("r", turn), instance)
+					test.LeftNanos = int64(given)
+					return s.runner.Run(t.Context(), client, test)
 				}
 				for turn := range answers {
 					if got := run(turn, time.Minute); got.Ending != schema.Ending_ENDING_ANSWERED || got.Failed != 0 || got.Ran != 0 {
 						t.Fatal(got)
 					}
 				}
-				said = one.answer
+				said = test.answer
 				for turn := range 5 {
-					run(answers+turn, one.given)
+					run(answers+turn, test.given)
 				}
-				if ran, failed := s.runner.Soundness.Record(instance, s.now()); failed != one.failed || (failed > 0 && ran != answers+failed) {
+				if ran, failed := s.runner.Outliers.RunCounts(instance, s.now()); failed != test.failed || (failed > 0 && ran != answers+failed) {
 					t.Errorf("told: %d of %d failed", failed, ran)
 				}
 			})
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -20,92 +20,92 @@
 // OutcomeName is an outcome as callers see it.
 func OutcomeName(ending schema.Ending) string { return outcomeNames[ending] }
 
-type tallyKey struct {
+type callCountKey struct {
 	flag, service, variation, reason, rule, route, outcome string
-	setup                                                  uint64
+	configRevision                                         uint64
 }
 
-type tallyLine struct{ calls, failures, nanos atomic.Uint64 }
+type callCount struct{ calls, failures, nanos atomic.Uint64 }
 
-// Tally counts verdicts; counts only grow while the process lives. Counts of the last setups
+// CallCounter counts verdicts; counts only grow while the process lives. Counts of the last setups
 // are kept apart; those of older ones are added up under setup 0.
-type Tally struct {
-	lines *xsync.Map[tallyKey, *tallyLine]
-	most  int
+type CallCounter struct {
+	counts    *xsync.Map[callCountKey, *callCount]
+	maxCounts int
 
-	// folding is held shared while a line is added to, so that none is taken out meanwhile.
-	folding sync.RWMutex
+	// foldLock is held shared while a line is added to, so that none is taken out meanwhile.
+	foldLock sync.RWMutex
 }
 
-// setupsApart is for how many of the last setups counts are kept apart.
-const setupsApart = 4
+// separateRevisions is for how many of the last setups counts are kept apart.
+const separateRevisions = 4
 
-// NewTally keeps at most so many lines; setups beyond that are counted together as 0.
-func NewTally(most int) *Tally {
-	return &Tally{lines: xsync.NewMap[tallyKey, *tallyLine](), most: most}
+// NewCallCounter keeps at most so many lines; setups beyond that are counted together as 0.
+func NewCallCounter(maxCounts int) *CallCounter {
+	return &CallCounter{counts: xsync.NewMap[callCountKey, *callCount](), maxCounts: maxCounts}
 }
 
-// outcomeCalledOff is the outcome, in counts, of calls that ended with their caller.
-const outcomeCalledOff = "called-off"
+// outcomeCanceled is the outcome, in counts, of calls that ended with their caller.
+const outcomeCanceled = "called-off"
 
-func outcomeOf(carried *schema.Carried) string {
-	if calledOff(carried) {
-		return outcomeCalledOff
+func outcomeLabel(response *schema.Carried) string {
+	if isCanceled(response) {
+		return outcomeCanceled
 	}
-	return outcomeNames[carried.Ending]
+	return outcomeNames[response.Ending]
 }
 
 // Add counts one call by its verdict and outcome.
-func (t *Tally) Add(ended *Ended, took time.Duration) {
-	t.folding.RLock()
-	defer t.folding.RUnlock()
-	verdict, outcome := &ended.Plan.Verdict, outcomeOf(ended.Carried)
-	t.add(tallyKey{flag: verdict.Flag, service: ended.Plan.Service, variation: verdict.Version, reason: string(verdict.Reason), rule: verdict.RuleID,
-		route: ended.Plan.Route.Name, outcome: outcome, setup: verdict.Setup}, ended, took)
+func (c *CallCounter) Add(result *CallResult, took time.Duration) {
+	c.foldLock.RLock()
+	defer c.foldLock.RUnlock()
+	verdict, outcome := &result.Plan.Verdict, outcomeLabel(result.Response)
+	c.add(callCountKey{flag: verdict.Flag, service: result.Plan.Service, variation: verdict.Version, reason: string(verdict.Reason), rule: verdict.RuleID,
+		route: result.Plan.Route.Name, outcome: outcome, configRevision: verdict.ConfigRevision}, result, took)
 	// A split's verdict is of no service's versions, so its line names none.
-	if split := &ended.Plan.Split; split.Flag != "" {
-		t.add(tallyKey{flag: split.Flag, variation: split.Version, reason: string(split.Reason), route: ended.Plan.Route.Name, outcome: outcome, setup: split.Setup}, ended, took)
+	if split := &result.Plan.Split; split.Flag != "" {
+		c.add(callCountKey{flag: split.Flag, variation: split.Version, reason: string(split.Reason), route: result.Plan.Route.Name, outcome: outcome, configRevision: split.ConfigRevision}, result, took)
 	}
 }
 
-func (t *Tally) add(key tallyKey, ended *Ended, took time.Duration) {
+func (c *CallCounter) add(key callCountKey, result *CallResult, took time.Duration) {
 	// Old setups would pile up lines without end; beyond the bound they share one line.
-	if _, known := t.lines.Load(key); !known && t.lines.Size() >= t.most {
-		key.setup = 0
+	if _, known := c.counts.Load(key); !known && c.counts.Size() >= c.maxCounts {
+		key.configRevision = 0
 	}
-	line := t.line(key)
-	line.calls.Add(1)
-	line.nanos.Add(uint64(took))
-	if !calledOff(ended.Carried) && (ended.Carried.Ending != schema.Ending_ENDING_ANSWERED || ended.Carried.Status >= 500) {
-		line.failures.Add(1)
+	count := c.countOf(key)
+	count.calls.Add(1)
+	count.nanos.Add(uint64(took))
+	if !isCanceled(result.Response) && (result.Response.Ending != schema.Ending_ENDING_ANSWERED || result.Response.Status >= 500) {
+		count.failures.Add(1)
 	}
 }
 
 // Counts lists all lines as they stand, current being the setup in use.
-func (t *Tally) Counts(current uint64) []*schema.Count {
-	t.folding.Lock()
-	defer t.folding.Unlock()
-	t.lines.Range(func(key tallyKey, line *tallyLine) bool {
-		if key.setup != 0 && key.setup+setupsApart < current {
-			t.lines.Delete(key)
-			key.setup = 0
-			sum := t.line(key)
-			sum.calls.Add(line.calls.Load())
-			sum.failures.Add(line.failures.Load())
-			sum.nanos.Add(line.nanos.Load())
+func (c *CallCounter) Counts(currentRevision uint64) []*schema.Count {
+	c.foldLock.Lock()
+	defer c.foldLock.Unlock()
+	c.counts.Range(func(key callCountKey, count *callCount) bool {
+		if key.configRevision != 0 && key.configRevision+separateRevisions < currentRevision {
+			c.counts.Delete(key)
+			key.configRevision = 0
+			sum := c.countOf(key)
+			sum.calls.Add(count.calls.Load())
+			sum.failures.Add(count.failures.Load())
+			sum.nanos.Add(count.nanos.Load())
 		}
 		return true
 	})
 	var counts []*schema.Count
-	t.lines.Range(func(key tallyKey, line *tallyLine) bool {
+	c.counts.Range(func(key callCountKey, count *callCount) bool {
 		counts = append(counts, &schema.Count{Flag: key.flag, Service: key.service, Variation: key.variation, Reason: key.reason, Rule: key.rule,
-			Route: key.route, Outcome: key.outcome, Setup: key.setup, Calls: line.calls.Load(), Failures: line.failures.Load(), Nanos: line.nanos.Load()})
+			Route: key.route, Outcome: key.outcome, Setup: key.configRevision, Calls: count.calls.Load(), Failures: count.failures.Load(), Nanos: count.nanos.Load()})
 		return true
 	})
 	return counts
 }
 
-func (t *Tally) line(key tallyKey) *tallyLine {
-	line, _ := t.lines.LoadOrCompute(key, func() (*tallyLine, bool) { return &tallyLine{}, false })
-	return line
+func (c *CallCounter) countOf(key callCountKey) *callCount {
+	count, _ := c.counts.LoadOrCompute(key, func() (*callCount, bool) { return &callCount{}, false })
+	return count
 }
--- a/internal/dispatch/tally_test.go
+++ b/internal/dispatch/tally_test.go
@@ -13,11 +13,11 @@
 
 // Lines do not grow with the number of setups, and no call is counted twice or lost, while
 // others count.
-func TestTallyFoldsOldSetups(t *testing.T) {
-	tally := NewTally(1000)
-	ended := func(sequence uint64) *Ended {
-		return &Ended{Plan: &plan.Plan{Route: &setup.Route{Name: "r"}, Service: "shop", Verdict: plan.Verdict{Flag: "f", Version: "1", Reason: flag.ReasonFallthrough, Setup: sequence}},
-			Carried: &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200}}
+func TestCallCounterFoldsOldRevisions(t *testing.T) {
+	tally := NewCallCounter(1000)
+	result := func(sequence uint64) *CallResult {
+		return &CallResult{Plan: &plan.Plan{Route: &setup.Route{Name: "r"}, Service: "shop", Verdict: plan.Verdict{Flag: "f", Version: "1", Reason: flag.ReasonFallthrough, ConfigRevision: sequence}},
+			Response: &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200}}
 	}
 	const threads, setups, calls = 4, 200, 5
 	var counting sync.WaitGroup
@@ -25,7 +25,7 @@
 		counting.Go(func() {
 			for sequence := uint64(1); sequence <= setups; sequence++ {
 				for range calls {
-					tally.Add(ended(sequence), time.Millisecond)
+					tally.Add(result(sequence), time.Millisecond)
 				}
 			}
 		})
@@ -47,7 +47,7 @@
 	if total != threads*setups*calls {
 		t.Errorf("counted %d calls of %d", total, threads*setups*calls)
 	}
-	if lines > setupsApart+2 {
+	if lines > separateRevisions+2 {
 		t.Errorf("%d lines are left", lines)
 	}
 }
--- a/internal/dispatch/trial.go
+++ b/internal/dispatch/trial.go
@@ -8,142 +8,144 @@
 	"meadowhinge/schema"
 )
 
-// slowFloor is what no call is too slow below.
-const slowFloor = 50 * time.Millisecond
+// minSlowTime is what no call is too slow below.
+const minSlowTime = 50 * time.Millisecond
 
-// TrialOptions bound one proxy's part of the brake.
-type TrialOptions struct {
-	Length   time.Duration // how long a grant lasts
-	Failures int64         // that the whole fleet may take
-	Times    float64       // a version's failures as a multiple of the fallback version's
-	Excess   float64       // and above them, as a part of calls
-	Slow     float64       // a call this many times as long as the fallback version's mean has failed
+// CanaryOptions bound one proxy's part of the brake.
+type CanaryOptions struct {
+	GrantDuration time.Duration // how long a grant lasts
+	MaxFailures   int64         // that the whole fleet may take
+	FailureRatio  float64       // a version's failures as a multiple of the fallback version's
+	FailureExcess float64       // and above them, as a part of calls
+	SlowFactor    float64       // a call this many times as long as the fallback version's mean has failed
 }
 
-// TrialDefaults are the settings' presets.
-var TrialDefaults = TrialOptions{Length: time.Second, Failures: 40, Times: 2, Excess: 0.02, Slow: 10}
+// DefaultCanaryOptions are the settings' presets.
+var DefaultCanaryOptions = CanaryOptions{GrantDuration: time.Second, MaxFailures: 40, FailureRatio: 2, FailureExcess: 0.02, SlowFactor: 10}
 
-// Trials is one proxy's part of the brake: a version other than its service's fallback is used
+// CanaryGuard is one proxy's part of the brake: a version other than its service's fallback is used
 // only under a short grant, and only until this proxy has taken its own part of the failures
 // allowed.
-type Trials struct {
-	lock    sync.Mutex
-	options TrialOptions
-	members func() int
-	guards  func() Guards
-	granted map[[2]string]trialGrant // by service and version
-	tripped map[[2]string]tripped    // where this proxy has taken its part
-	seen    map[[2]string]*trialWindow
-}
-
-// Guards is what the setup in use says of versions; setup.Setup has it.
-type Guards interface {
-	// Statement tells whether a version is guarded, and under what that was stated of it.
-	Statement(service, version string) (sequence uint64, guarded bool)
+type CanaryGuard struct {
+	lock       sync.Mutex
+	options    CanaryOptions
+	fleetSize  func() int
+	guards     func() VersionGuards
+	grants     map[[2]string]canaryGrant // by service and version
+	localStops map[[2]string]localStop   // where this proxy has taken its part
+	windows    map[[2]string]*canaryWindow
+}
+
+// VersionGuards is what the setup in use says of versions; setup.Snapshot has it.
+type VersionGuards interface {
+	// GuardedRevision tells whether a version is guarded, and under what that was stated of it.
+	GuardedRevision(service, version string) (sequence uint64, guarded bool)
 	// FallbackOf names the version that others are held against.
 	FallbackOf(service string) string
 }
 
-// trialGrant and tripped hold only under the statement they were learned under.
-type trialGrant struct {
-	statement uint64
-	until     time.Duration
-	stopped   bool
+// canaryGrant and tripped hold only under the statement they were learned under.
+type canaryGrant struct {
+	statementSequence uint64
+	expiresAt         time.Duration
+	stopped           bool
 }
 
-// tripped is this proxy's own stop: it stands until the duty, knowing of the failures that
+// localStop is this proxy's own stop: it stands until the duty, knowing of the failures that
 // led to it, finds the version fine, or something else is stated of it.
-type tripped struct {
-	statement uint64
-	at        time.Duration
+type localStop struct {
+	statementSequence uint64
+	stoppedAt         time.Duration
 }
 
-// judgedParts is how many lengths of a grant it takes, at most, until what this proxy told
+// judgementGrants is how many lengths of a grant it takes, at most, until what this proxy told
 // has been judged and the judgement has come back.
-const judgedParts = 2
+const judgementGrants = 2
 
-// trialWindow is what this proxy saw of a version of late, in slots as a budget has.
-type trialWindow struct {
+// canaryWindow is what this proxy saw of a version of late, in slots as a budget has.
+type canaryWindow struct {
 	slots [windowSlots]struct {
 		number          int64
 		calls, failures float64
 		spent           time.Duration
 	}
-	open map[*TrialCall]bool
+	inFlight map[*CanaryCall]bool
 }
 
-// TrialCall is one call under way to a service with a version on trial.
-type TrialCall struct {
-	key    [2]string
-	began  time.Duration
-	window *trialWindow
+// CanaryCall is one call under way to a service with a version on trial.
+type CanaryCall struct {
+	key       [2]string
+	startedAt time.Duration
+	window    *canaryWindow
 }
 
-// NewTrials begins without any grant.
-func NewTrials(options TrialOptions, members func() int, guards func() Guards) *Trials {
-	return &Trials{options: options, members: members, guards: guards,
-		granted: map[[2]string]trialGrant{}, tripped: map[[2]string]tripped{}, seen: map[[2]string]*trialWindow{}}
+// NewCanaryGuard begins without any grant.
+func NewCanaryGuard(options CanaryOptions, fleetSize func() int, guards func() VersionGuards) *CanaryGuard {
+	return &CanaryGuard{options: options, fleetSize: fleetSize, guards: guards,
+		grants: map[[2]string]canaryGrant{}, localStops: map[[2]string]localStop{}, windows: map[[2]string]*canaryWindow{}}
 }
 
-// Rebound sets other bounds; grants and stops stay.
-func (t *Trials) Rebound(options TrialOptions) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	t.options = options
+// SetOptions sets other bounds; grants and stops stay.
+func (g *CanaryGuard) SetOptions(options CanaryOptions) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	g.options = options
 }
 
-// Granted takes a registry's answer; the grant counts from when it was asked for.
-func (t *Trials) Granted(asked time.Duration, trials []*schema.Trial) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	guards := t.guards()
-	for _, one := range trials {
-		key := [2]string{one.Service, one.Version}
+// ApplyGrants takes a registry's answer; the grant counts from when it was asked for.
+func (g *CanaryGuard) ApplyGrants(requestedAt time.Duration, grants []*schema.Trial) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	guards := g.guards()
+	for _, granted := range grants {
+		key := [2]string{granted.Service, granted.Version}
 		// What was told under another statement is of the past, or of a setup not here yet.
-		if statement, guarded := guards.Statement(one.Service, one.Version); !guarded || statement != one.Plan {
+		if statementSequence, guarded := guards.GuardedRevision(granted.Service, granted.Version); !guarded || statementSequence != granted.Plan {
 			continue
 		}
-		held := t.granted[key]
-		if held.statement != one.Plan {
-			held = trialGrant{statement: one.Plan}
-			delete(t.tripped, key)
-			delete(t.seen, key)
+		current := g.grants[key]
+		if current.statementSequence != granted.Plan {
+			current = canaryGrant{statementSequence: granted.Plan}
+			delete(g.localStops, key)
+			delete(g.windows, key)
 		}
-		if stop, stopped := t.tripped[key]; stopped && one.Fine && asked >= stop.at+judgedParts*t.options.Length {
-			delete(t.tripped, key)
-			delete(t.seen, key)
+		if stop, stopped := g.localStops[key]; stopped && granted.Fine && requestedAt >= stop.stoppedAt+judgementGrants*g.options.GrantDuration {
+			delete(g.localStops, key)
+			delete(g.windows, key)
 		}
 		// A stop stands until something else is stated, whoever grants later.
-		t.granted[key] = trialGrant{one.Plan, max(held.until, asked+t.options.Length), held.stopped || one.Stopped}
+		g.grants[key] = canaryGrant{granted.Plan, max(current.expiresAt, requestedAt+g.options.GrantDuration), current.stopped || granted.Stopped}
 	}
 }
 
-// Forget drops what is known of versions that are not guarded any more.
-func (t *Trials) Forget() {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	guards := t.guards()
-	gone := func(key [2]string) bool {
-		_, guarded := guards.Statement(key[0], key[1])
+// ForgetUnguarded drops what is known of versions that are not guarded any more.
+func (g *CanaryGuard) ForgetUnguarded() {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	guards := g.guards()
+	unguarded := func(key [2]string) bool {
+		_, guarded := guards.GuardedRevision(key[0], key[1])
 		return !guarded
 	}
-	maps.DeleteFunc(t.granted, func(key [2]string, _ trialGrant) bool { return gone(key) })
-	maps.DeleteFunc(t.tripped, func(key [2]string, _ tripped) bool { return gone(key) })
-	maps.DeleteFunc(t.seen, func(key [2]string, _ *trialWindow) bool { return gone(key) && guards.FallbackOf(key[0]) != key[1] })
-}
-
-func (t *Trials) window(key [2]string) *trialWindow {
-	held := t.seen[key]
-	if held == nil {
-		held = &trialWindow{open: map[*TrialCall]bool{}}
-		t.seen[key] = held
+	maps.DeleteFunc(g.grants, func(key [2]string, _ canaryGrant) bool { return unguarded(key) })
+	maps.DeleteFunc(g.localStops, func(key [2]string, _ localStop) bool { return unguarded(key) })
+	maps.DeleteFunc(g.windows, func(key [2]string, _ *canaryWindow) bool {
+		return unguarded(key) && guards.FallbackOf(key[0]) != key[1]
+	})
+}
+
+func (g *CanaryGuard) window(key [2]string) *canaryWindow {
+	window := g.windows[key]
+	if window == nil {
+		window = &canaryWindow{inFlight: map[*CanaryCall]bool{}}
+		g.windows[key] = window
 	}
-	return held
+	return window
 }
 
 // sum adds up the slots that are not too old.
-func (w *trialWindow) sum(now time.Duration) (calls, failures float64, spent time.Duration) {
-	number := int64(now / (BudgetWindow / windowSlots))
+func (w *canaryWindow) sum(now time.Duration) (calls, failures float64, spent time.Duration) {
+	number := int64(now / (DefaultRetryWindow / windowSlots))
 	for _, slot := range w.slots {
 		if number-slot.number < windowSlots {
 			calls, failures, spent = calls+slot.calls, failures+slot.failures, spent+slot.spent
@@ -152,13 +154,13 @@
 	return calls, failures, spent
 }
 
-// old sums what was seen of the service's fallback version.
-func (t *Trials) old(service string, now time.Duration) (calls, failures float64, mean time.Duration) {
-	seen := t.seen[[2]string{service, t.guards().FallbackOf(service)}]
-	if seen == nil {
+// fallbackStats sums what was seen of the service's fallback version.
+func (g *CanaryGuard) fallbackStats(service string, now time.Duration) (calls, failures float64, mean time.Duration) {
+	window := g.windows[[2]string{service, g.guards().FallbackOf(service)}]
+	if window == nil {
 		return 0, 0, 0
 	}
-	calls, failures, spent := seen.sum(now)
+	calls, failures, spent := window.sum(now)
 	if calls > 0 {
 		mean = spent / time.Duration(calls)
 	}
@@ -166,80 +168,80 @@
 }
 
 // Begin notes a call sent to a version.
-func (t *Trials) Begin(service, version string, now time.Duration) *TrialCall {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	call := &TrialCall{key: [2]string{service, version}, began: now}
-	call.window = t.window(call.key)
-	call.window.open[call] = true
+func (g *CanaryGuard) Begin(service, version string, now time.Duration) *CanaryCall {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	call := &CanaryCall{key: [2]string{service, version}, startedAt: now}
+	call.window = g.window(call.key)
+	call.window.inFlight[call] = true
 	return call
 }
 
 // End notes how it ended.
-func (t *Trials) End(call *TrialCall, now time.Duration, failed bool) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	held := call.window
-	delete(held.open, call)
-	number := int64(now / (BudgetWindow / windowSlots))
-	slot := &held.slots[number%windowSlots]
+func (g *CanaryGuard) End(call *CanaryCall, now time.Duration, failed bool) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	window := call.window
+	delete(window.inFlight, call)
+	number := int64(now / (DefaultRetryWindow / windowSlots))
+	slot := &window.slots[number%windowSlots]
 	if slot.number != number {
 		slot.number, slot.calls, slot.failures, slot.spent = number, 0, 0, 0
 	}
 	slot.calls++
-	slot.spent += now - call.began
-	if failed || t.tooLong(call, now) {
+	slot.spent += now - call.startedAt
+	if failed || g.isTooSlow(call, now) {
 		slot.failures++
 	}
 }
 
-// Drop forgets a call whose caller left: how it would have ended is not known.
-func (t *Trials) Drop(call *TrialCall) {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	delete(call.window.open, call)
+// Discard forgets a call whose caller left: how it would have ended is not known.
+func (g *CanaryGuard) Discard(call *CanaryCall) {
+	g.lock.Lock()
+	defer g.lock.Unlock()
+	delete(call.window.inFlight, call)
 }
 
-// tooLong tells whether a call takes far longer than the old version's do.
-func (t *Trials) tooLong(call *TrialCall, now time.Duration) bool {
-	calls, _, mean := t.old(call.key[0], now)
-	return call.key[1] != t.guards().FallbackOf(call.key[0]) && calls > 0 && now-call.began > max(slowFloor, time.Duration(t.options.Slow*float64(mean)))
+// isTooSlow tells whether a call takes far longer than the old version's do.
+func (g *CanaryGuard) isTooSlow(call *CanaryCall, now time.Duration) bool {
+	calls, _, mean := g.fallbackStats(call.key[0], now)
+	return call.key[1] != g.guards().FallbackOf(call.key[0]) && calls > 0 && now-call.startedAt > max(minSlowTime, time.Duration(g.options.SlowFactor*float64(mean)))
 }
 
-// Held tells whether a version other than the fallback must not be used now.
-func (t *Trials) Held(service, version string, now time.Duration) bool {
-	t.lock.Lock()
-	defer t.lock.Unlock()
+// VersionBlocked tells whether a version other than the fallback must not be used now.
+func (g *CanaryGuard) VersionBlocked(service, version string, now time.Duration) bool {
+	g.lock.Lock()
+	defer g.lock.Unlock()
 	key := [2]string{service, version}
-	statement, _ := t.guards().Statement(service, version)
-	grant, found := t.granted[key]
-	stop, stopped := t.tripped[key]
-	if !found || grant.statement != statement || grant.stopped || now >= grant.until || (stopped && stop.statement == statement) {
+	statementSequence, _ := g.guards().GuardedRevision(service, version)
+	grant, found := g.grants[key]
+	stop, stopped := g.localStops[key]
+	if !found || grant.statementSequence != statementSequence || grant.stopped || now >= grant.expiresAt || (stopped && stop.statementSequence == statementSequence) {
 		return true
 	}
-	seen := t.window(key)
-	calls, failures, _ := seen.sum(now)
+	window := g.window(key)
+	calls, failures, _ := window.sum(now)
 	// A call that hangs is a failure already; waiting for its end would let many more follow.
-	for open := range seen.open {
-		if t.tooLong(open, now) {
+	for open := range window.inFlight {
+		if g.isTooSlow(open, now) {
 			calls, failures = calls+1, failures+1
 		}
 	}
-	part := max(1, float64(t.options.Failures)/float64(max(1, t.members())))
-	oldCalls, oldFailures, _ := t.old(service, now)
+	failureAllowance := max(1, float64(g.options.MaxFailures)/float64(max(1, g.fleetSize())))
+	oldCalls, oldFailures, _ := g.fallbackStats(service, now)
 	oldRate := 0.0
 	if oldCalls > 0 {
 		oldRate = oldFailures / oldCalls
 	}
-	if failures+1 <= part || failures/calls <= t.options.Times*oldRate+t.options.Excess {
+	if failures+1 <= failureAllowance || failures/calls <= g.options.FailureRatio*oldRate+g.options.FailureExcess {
 		return false
 	}
-	t.tripped[key] = tripped{statement, now}
+	g.localStops[key] = localStop{statementSequence, now}
 	return true
 }
 
-// Facts is all that a proxy knows of workers and versions beyond its view.
-type Facts struct {
-	*Soundness
-	*Trials
+// LocalState is all that a proxy knows of workers and versions beyond its view.
+type LocalState struct {
+	*OutlierDetector
+	*CanaryGuard
 }
--- a/internal/dispatch/trial_test.go
+++ b/internal/dispatch/trial_test.go
@@ -7,50 +7,50 @@
 	"meadowhinge/schema"
 )
 
-// stated is what a setup says of versions: each under a statement, 1 being the fallback.
-type stated map[string]uint64
+// fakeGuards is what a setup says of versions: each under a statement, 1 being the fallback.
+type fakeGuards map[string]uint64
 
-func (s stated) Statement(_, version string) (uint64, bool) {
+func (s fakeGuards) GuardedRevision(_, version string) (uint64, bool) {
 	sequence, guarded := s[version]
 	return sequence, guarded
 }
 
-func (s stated) FallbackOf(string) string { return "1" }
+func (s fakeGuards) FallbackOf(string) string { return "1" }
 
 // A proxy of a fleet of ten, which may take forty failures in all: four are its part.
-func onTrial(now time.Duration) *Trials {
-	trials := trialsOf(stated{"2": 0, "3": 0})
-	trials.Granted(now, []*schema.Trial{{Service: "shop", Version: "2"}})
-	return trials
+func newGrantedGuard(now time.Duration) *CanaryGuard {
+	guard := newTestGuard(fakeGuards{"2": 0, "3": 0})
+	guard.ApplyGrants(now, []*schema.Trial{{Service: "shop", Version: "2"}})
+	return guard
 }
 
-func trialsOf(setup stated) *Trials {
-	return NewTrials(TrialDefaults, func() int { return 10 }, func() Guards { return setup })
+func newTestGuard(setup fakeGuards) *CanaryGuard {
+	return NewCanaryGuard(DefaultCanaryOptions, func() int { return 10 }, func() VersionGuards { return setup })
 }
 
-func call(t *Trials, version string, now time.Duration, failed bool) {
+func recordCanaryCall(t *CanaryGuard, version string, now time.Duration, failed bool) {
 	t.End(t.Begin("shop", version, now), now+time.Millisecond, failed)
 }
 
-func TestTrialNeedsAGrant(t *testing.T) {
-	if !trialsOf(stated{"2": 0}).Held("shop", "2", 0) {
+func TestCanaryNeedsAGrant(t *testing.T) {
+	if !newTestGuard(fakeGuards{"2": 0}).VersionBlocked("shop", "2", 0) {
 		t.Error("without a grant it is not held")
 	}
-	trials := onTrial(0)
-	if trials.Held("shop", "2", time.Second-1) || !trials.Held("shop", "2", time.Second) {
+	guard := newGrantedGuard(0)
+	if guard.VersionBlocked("shop", "2", time.Second-1) || !guard.VersionBlocked("shop", "2", time.Second) {
 		t.Error("the grant does not last as long as it should")
 	}
-	if !trials.Held("shop", "3", 0) {
+	if !guard.VersionBlocked("shop", "3", 0) {
 		t.Error("a grant for one version counts for another")
 	}
 	// A stop outlasts any later grant, until something else is stated of the version; what was
 	// told under the older statement then counts no more.
-	setup := stated{"2": 4, "3": 0}
-	trials = trialsOf(setup)
+	setup := fakeGuards{"2": 4, "3": 0}
+	guard = newTestGuard(setup)
 	grant := func(statement uint64, stopped bool) {
-		trials.Granted(0, []*schema.Trial{{Service: "shop", Version: "2", Plan: statement, Stopped: stopped}})
+		guard.ApplyGrants(0, []*schema.Trial{{Service: "shop", Version: "2", Plan: statement, Stopped: stopped}})
 	}
-	for i, one := range []struct {
+	for i, test := range []struct {
 		do   func()
 		held bool
 	}{
@@ -63,16 +63,16 @@
 		{func() { setup["2"] = 5 }, true}, // a stop that was removed leaves an older statement
 		{func() { grant(9, false) }, true},
 		{func() { grant(5, false) }, false},
-		{func() { delete(setup, "2"); trials.Forget(); setup["2"] = 5 }, true},
+		{func() { delete(setup, "2"); guard.ForgetUnguarded(); setup["2"] = 5 }, true},
 	} {
-		if one.do(); trials.Held("shop", "2", 0) != one.held {
-			t.Errorf("step %d: held %v", i, !one.held)
+		if test.do(); guard.VersionBlocked("shop", "2", 0) != test.held {
+			t.Errorf("step %d: held %v", i, !test.held)
 		}
 	}
 }
 
-func TestTrialTakesItsPartOfFailures(t *testing.T) {
-	for name, one := range map[string]struct {
+func TestCanaryStopsAtItsFailureShare(t *testing.T) {
+	for name, test := range map[string]struct {
 		old, new, oldFailed, newFailed int
 		held                           bool
 	}{
@@ -82,14 +82,14 @@
 		"both versions fail alike": {100, 20, 40, 8, false},
 		"a few in very many":       {1000, 1000, 0, 10, false},
 	} {
-		trials := onTrial(0)
-		for i := range one.old {
-			call(trials, "1", 0, i < one.oldFailed)
+		guard := newGrantedGuard(0)
+		for i := range test.old {
+			recordCanaryCall(guard, "1", 0, i < test.oldFailed)
 		}
-		for i := range one.new {
-			call(trials, "2", 0, i < one.newFailed)
+		for i := range test.new {
+			recordCanaryCall(guard, "2", 0, i < test.newFailed)
 		}
-		if got := trials.Held("shop", "2", 0); got != one.held {
+		if got := guard.VersionBlocked("shop", "2", 0); got != test.held {
 			t.Errorf("%s: held %v", name, got)
 		}
 	}
@@ -97,35 +97,35 @@
 
 // Calls that hang count before they end: else all that are sent meanwhile would be lost too.
 func TestHangingCallsCount(t *testing.T) {
-	trials := onTrial(0)
+	guard := newGrantedGuard(0)
 	for range 20 {
-		call(trials, "1", 0, false)
+		recordCanaryCall(guard, "1", 0, false)
 	}
-	var open []*TrialCall
+	var open []*CanaryCall
 	for range 4 {
-		open = append(open, trials.Begin("shop", "2", 0))
+		open = append(open, guard.Begin("shop", "2", 0))
 	}
-	if trials.Held("shop", "2", 10*time.Millisecond) {
+	if guard.VersionBlocked("shop", "2", 10*time.Millisecond) {
 		t.Error("held before the calls took long")
 	}
-	if !trials.Held("shop", "2", 100*time.Millisecond) {
+	if !guard.VersionBlocked("shop", "2", 100*time.Millisecond) {
 		t.Error("not held while four calls hang")
 	}
-	for _, one := range open {
-		trials.End(one, 100*time.Millisecond, false)
+	for _, test := range open {
+		guard.End(test, 100*time.Millisecond, false)
 	}
 	// The proxy's own stop outlasts its window, until the duty, asked late enough to know of
 	// the failures, finds the version fine.
-	later := BudgetWindow + time.Second
-	for _, one := range []struct {
+	later := DefaultRetryWindow + time.Second
+	for _, test := range []struct {
 		asked time.Duration
 		fine  bool
 		held  bool
 	}{{later, false, true}, {time.Second, true, true}, {later, true, false}} {
-		trials.Granted(later, []*schema.Trial{{Service: "shop", Version: "2"}})
-		trials.Granted(one.asked, []*schema.Trial{{Service: "shop", Version: "2", Fine: one.fine}})
-		if got := trials.Held("shop", "2", later); got != one.held {
-			t.Errorf("asked at %v, fine %v: held %v", one.asked, one.fine, got)
+		guard.ApplyGrants(later, []*schema.Trial{{Service: "shop", Version: "2"}})
+		guard.ApplyGrants(test.asked, []*schema.Trial{{Service: "shop", Version: "2", Fine: test.fine}})
+		if got := guard.VersionBlocked("shop", "2", later); got != test.held {
+			t.Errorf("asked at %v, fine %v: held %v", test.asked, test.fine, got)
 		}
 	}
 }
--- a/internal/dispatch/turns.go
+++ b/internal/dispatch/turns.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// keptParts is the part of the time left for which a turn is kept for a request that was enquired for.
-const keptParts = 16
+// reservationDivisor is the part of the time left for which a turn is kept for a request that was enquired for.
+const reservationDivisor = 16
 
-// turns are kept for requests that were enquired for and are on their way.
-type turns struct {
-	lock sync.Mutex
-	kept map[string]*keptTurn
+// reservedAdmissions are kept for requests that were enquired for and are on their way.
+type reservedAdmissions struct {
+	lock      sync.Mutex
+	byRequest map[string]*reservedAdmission
 }
 
-type keptTurn struct {
-	buffer *Buffer
-	now    func() time.Duration
-	timer  *time.Timer
+type reservedAdmission struct {
+	queue *WorkerQueue
+	now   func() time.Duration
+	timer *time.Timer
 }
 
-// back gives the turn to who waits.
-func (k *keptTurn) back() { k.buffer.End(k.now(), "", Unrun, 0) }
+// release gives the turn to who waits.
+func (r *reservedAdmission) release() { r.queue.Release(r.now(), "", ResultNotRun, 0) }
 
-// add keeps a turn at a buffer for a request, for a time.
-func (t *turns) add(request string, buffer *Buffer, now func() time.Duration, span time.Duration) {
-	fresh := &keptTurn{buffer: buffer, now: now}
-	t.lock.Lock()
-	defer t.lock.Unlock()
+// reserve keeps a turn at a buffer for a request, for a time.
+func (r *reservedAdmissions) reserve(request string, queue *WorkerQueue, now func() time.Duration, lifetime time.Duration) {
+	reservation := &reservedAdmission{queue: queue, now: now}
+	r.lock.Lock()
+	defer r.lock.Unlock()
 	// An enquiry that came twice waited twice; one turn is enough.
-	if earlier := t.kept[request]; earlier != nil {
+	if earlier := r.byRequest[request]; earlier != nil {
 		earlier.timer.Stop()
-		earlier.back()
+		earlier.release()
 	}
-	t.kept[request] = fresh
-	fresh.timer = time.AfterFunc(span, func() {
-		t.lock.Lock()
-		defer t.lock.Unlock()
-		if t.kept[request] == fresh {
-			delete(t.kept, request)
-			fresh.back()
+	r.byRequest[request] = reservation
+	reservation.timer = time.AfterFunc(lifetime, func() {
+		r.lock.Lock()
+		defer r.lock.Unlock()
+		if r.byRequest[request] == reservation {
+			delete(r.byRequest, request)
+			reservation.release()
 		}
 	})
 }
 
 // take tells whether a turn at a buffer is kept for a request, and hands it over.
-func (t *turns) take(request string, buffer *Buffer) bool {
-	t.lock.Lock()
-	defer t.lock.Unlock()
-	found := t.kept[request]
-	if found == nil {
+func (r *reservedAdmissions) take(request string, queue *WorkerQueue) bool {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	reservation := r.byRequest[request]
+	if reservation == nil {
 		return false
 	}
-	found.timer.Stop()
-	delete(t.kept, request)
+	reservation.timer.Stop()
+	delete(r.byRequest, request)
 	// It was kept at a worker that has been replaced meanwhile.
-	if found.buffer != buffer {
-		found.back()
+	if reservation.queue != queue {
+		reservation.release()
 		return false
 	}
 	return true
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -14,28 +14,28 @@
 	"meadowhinge/schema"
 )
 
-// Description is what a worker says of itself, every few seconds and when it leaves.
-type Description struct {
-	Address string  `json:"address"` // where it takes requests
-	Service string  `json:"service"`
-	Version string  `json:"version"`
-	Area    string  `json:"area,omitempty"`
-	Load    float64 `json:"load"`
-	Leaving bool    `json:"leaving"`
-	Gone    bool    `json:"gone"`
-	Token   string  `json:"token"`  // handed back with each request, so that the worker knows it was meant
-	BeatMS  int64   `json:"beatMs"` // how often it describes itself
+// WorkerDescription is what a worker says of itself, every few seconds and when it leaves.
+type WorkerDescription struct {
+	Address      string  `json:"address"` // where it takes requests
+	Service      string  `json:"service"`
+	Version      string  `json:"version"`
+	Zone         string  `json:"area,omitempty"`
+	Load         float64 `json:"load"`
+	Draining     bool    `json:"leaving"`
+	Deregistered bool    `json:"gone"`
+	Token        string  `json:"token"`  // handed back with each request, so that the worker knows it was meant
+	HeartbeatMS  int64   `json:"beatMs"` // how often it describes itself
 
 	// ID is the worker's own, another for each of its lives. With it the registration is the
 	// same wherever and however often it is told, and it stands in place of the token.
-	ID     string `json:"id,omitempty"`
-	Serial uint64 `json:"serial,omitempty"` // grows with every description; one that comes late changes nothing
-	Slots  uint32 `json:"slots,omitempty"`  // requests it works on at once
-	WarmMS int64  `json:"warmMs,omitempty"` // how long it is still slow after its start
+	ID       string `json:"id,omitempty"`
+	Serial   uint64 `json:"serial,omitempty"` // grows with every description; one that comes late changes nothing
+	Slots    uint32 `json:"slots,omitempty"`  // requests it works on at once
+	WarmupMS int64  `json:"warmMs,omitempty"` // how long it is still slow after its start
 }
 
 // token is what the worker knows a request by that is meant for it.
-func (d *Description) token() string {
+func (d *WorkerDescription) token() string {
 	if d.ID != "" {
 		return d.ID
 	}
@@ -44,38 +44,38 @@
 
 // Bounds on a description.
 const (
-	nameMost  = 64
-	tokenMost = 128
-	slotsMost = 1 << 16
-	beatMost  = time.Minute
-	endedKept = 1024
-	roomLeast = 64 << 20
+	maxNameBytes         = 64
+	maxTokenBytes        = 128
+	maxSlots             = 1 << 16
+	maxHeartbeatInterval = time.Minute
+	deregisteredRetained = 1024
+	minBodyMemory        = 64 << 20
 )
 
-// Check lists all that is wrong with a description.
-func (d *Description) Check() []string {
+// Validate lists all that is wrong with a description.
+func (d *WorkerDescription) Validate() []string {
 	var faults []string
 	if address, err := netip.ParseAddrPort(d.Address); err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
 		faults = append(faults, "address: is not IP:port")
 	}
 	for field, text := range map[string]string{"service": d.Service, "version": d.Version} {
-		if text == "" || len(text) > nameMost {
-			faults = append(faults, fmt.Sprintf("%s: needs 1 to %d bytes", field, nameMost))
+		if text == "" || len(text) > maxNameBytes {
+			faults = append(faults, fmt.Sprintf("%s: needs 1 to %d bytes", field, maxNameBytes))
 		}
 	}
-	if len(d.Area) > nameMost {
-		faults = append(faults, fmt.Sprintf("area: takes at most %d bytes", nameMost))
+	if len(d.Zone) > maxNameBytes {
+		faults = append(faults, fmt.Sprintf("area: takes at most %d bytes", maxNameBytes))
 	}
-	if d.token() == "" || len(d.token()) > tokenMost {
-		faults = append(faults, fmt.Sprintf("token: needs 1 to %d bytes, or an id as long", tokenMost))
+	if d.token() == "" || len(d.token()) > maxTokenBytes {
+		faults = append(faults, fmt.Sprintf("token: needs 1 to %d bytes, or an id as long", maxTokenBytes))
 	}
-	if d.WarmMS < 0 || d.Slots > slotsMost {
-		faults = append(faults, fmt.Sprintf("slots, warmMs: must be from 0 up, slots to %d", slotsMost))
+	if d.WarmupMS < 0 || d.Slots > maxSlots {
+		faults = append(faults, fmt.Sprintf("slots, warmMs: must be from 0 up, slots to %d", maxSlots))
 	}
 	if !(d.Load >= 0 && d.Load <= 1e6) {
 		faults = append(faults, "load: must be a number from 0 up")
 	}
-	if beat := time.Duration(d.BeatMS) * time.Millisecond; beat <= 0 || beat > beatMost {
+	if heartbeat := time.Duration(d.HeartbeatMS) * time.Millisecond; heartbeat <= 0 || heartbeat > maxHeartbeatInterval {
 		faults = append(faults, "beatMs: must be above 0 and at most a minute")
 	}
 	sort.Strings(faults)
@@ -84,193 +84,193 @@
 
 // localWorker is a worker beside this proxy.
 type localWorker struct {
-	instance string
-	address  string // the same for as long as the registration lives
-	said     Description
-	heardAt  time.Duration
-	tether   net.Conn // open as long as the worker lives; its end is the worker's end
-	conns    *conns
-	buffer   *Buffer
+	instance        string
+	address         string // the same for as long as the registration lives
+	description     WorkerDescription
+	lastHeartbeatAt time.Duration
+	livenessConn    net.Conn // open as long as the worker lives; its end is the worker's end
+	conns           *connPool
+	queue           *WorkerQueue
 }
 
 // Workers are the workers beside this proxy, each registration under an instance of its own.
 type Workers struct {
-	lock       sync.Mutex
-	options    WorkersOptions
-	byPlace    map[string]*localWorker // by address: an address is one worker's at a time
-	byInstance map[string]*localWorker
-	ended      *Seen // ids of workers that said they are gone: they never come back
-	serial     uint64
-	parting    bool                // this proxy itself is ending
-	room       *semaphore.Weighted // for large bodies
-	onChange   func()
+	lock            sync.Mutex
+	options         WorkersOptions
+	byAddress       map[string]*localWorker // by address: an address is one worker's at a time
+	byInstance      map[string]*localWorker
+	deregisteredIDs *RecentIDs // ids of workers that said they are gone: they never come back
+	serial          uint64
+	shuttingDown    bool                // this proxy itself is ending
+	bodyMemory      *semaphore.Weighted // for large bodies
+	onChange        func()
 }
 
 // WorkersOptions bound what is kept of workers.
 type WorkersOptions struct {
-	Proxy       string
-	Incarnation uint64
-	Area        string
-	Silence     int64 // beats missed before a worker is dropped
-	Most        int
-	ConnsMost   int
-	BodyMost    int
-	RoomMost    int   // bytes of large bodies that are read at once, 0 for enough of them
-	Road        *Road // that answers leave by
-	Now         func() time.Duration
-	Dial        func(address string) (net.Conn, error)
-	// Untethered: no connection is held to each worker to learn of its end, where workers
+	Proxy               string
+	Incarnation         uint64
+	Zone                string
+	MaxMissedHeartbeats int64 // beats missed before a worker is dropped
+	MaxWorkers          int
+	MaxConns            int
+	MaxBodyBytes        int
+	MaxBodyMemory       int     // bytes of large bodies that are read at once, 0 for enough of them
+	Uplink              *Uplink // that answers leave by
+	Now                 func() time.Duration
+	Dial                func(address string) (net.Conn, error)
+	// NoLivenessConn: no connection is held to each worker to learn of its end, where workers
 	// close or count such connections.
-	Untethered bool
-	// Young is how long a proxy that has just started may lack workers that are there and known
+	NoLivenessConn bool
+	// DiscoveryGrace is how long a proxy that has just started may lack workers that are there and known
 	// by ids of their own.
-	Young time.Duration
+	DiscoveryGrace time.Duration
 }
 
 // NewWorkers makes an empty list; onChange is called whenever what others should know changes.
 func NewWorkers(options WorkersOptions, onChange func()) *Workers {
-	if options.RoomMost == 0 {
-		options.RoomMost = max(options.BodyMost, roomLeast)
+	if options.MaxBodyMemory == 0 {
+		options.MaxBodyMemory = max(options.MaxBodyBytes, minBodyMemory)
 	}
-	return &Workers{room: semaphore.NewWeighted(int64(options.RoomMost)), options: options, byPlace: map[string]*localWorker{}, byInstance: map[string]*localWorker{}, ended: NewSeen(endedKept), onChange: onChange}
+	return &Workers{bodyMemory: semaphore.NewWeighted(int64(options.MaxBodyMemory)), options: options, byAddress: map[string]*localWorker{}, byInstance: map[string]*localWorker{}, deregisteredIDs: NewRecentIDs(deregisteredRetained), onChange: onChange}
 }
 
-// Describe takes a worker's description and tells the instance it stands under.
-func (w *Workers) Describe(said Description) (string, error) {
+// Register takes a worker's description and tells the instance it stands under.
+func (w *Workers) Register(description WorkerDescription) (string, error) {
 	now := w.options.Now()
 	w.lock.Lock()
-	held := w.byPlace[said.Address]
-	if said.ID != "" {
+	existing := w.byAddress[description.Address]
+	if description.ID != "" {
 		// A worker's own id finds it wherever it stands.
-		if named := w.byInstance[said.ID]; named != nil && (said.Gone || said.Serial < named.said.Serial || named.address == said.Address) {
-			held = named
+		if byID := w.byInstance[description.ID]; byID != nil && (description.Deregistered || description.Serial < byID.description.Serial || byID.address == description.Address) {
+			existing = byID
 		}
-		if said.Gone {
-			w.ended.First(said.ID)
+		if description.Deregistered {
+			w.deregisteredIDs.AddIfNew(description.ID)
 		}
 	}
-	same := held != nil && held.said.token() == said.token() && (said.Gone || (held.said.Service == said.Service && held.said.Version == said.Version))
+	sameWorker := existing != nil && existing.description.token() == description.token() && (description.Deregistered || (existing.description.Service == description.Service && existing.description.Version == description.Version))
 	switch {
-	case said.Gone:
+	case description.Deregistered:
 		// Only the worker itself may say that it is gone; a stranger at its address may not.
-		if same {
-			w.drop(held)
+		if sameWorker {
+			w.remove(existing)
 		}
 		w.lock.Unlock()
-		if same {
+		if sameWorker {
 			w.onChange()
 		}
 		return "", nil
 	// What comes late is taken note of, and changes nothing.
-	case said.ID != "" && w.ended.Has(said.ID):
+	case description.ID != "" && w.deregisteredIDs.Contains(description.ID):
 		w.lock.Unlock()
-		return said.ID, nil
-	case same && said.Serial < held.said.Serial:
+		return description.ID, nil
+	case sameWorker && description.Serial < existing.description.Serial:
 		w.lock.Unlock()
-		return held.instance, nil
-	case same:
+		return existing.instance, nil
+	case sameWorker:
 		// A worker that said it is leaving does not come back under the same token.
-		said.Leaving = said.Leaving || held.said.Leaving
-		changed := said.Leaving != held.said.Leaving || said.Area != held.said.Area || said.Slots != held.said.Slots
-		slots := said.Slots != held.said.Slots
-		held.said, held.heardAt = said, now
+		description.Draining = description.Draining || existing.description.Draining
+		visibleChange := description.Draining != existing.description.Draining || description.Zone != existing.description.Zone || description.Slots != existing.description.Slots
+		slotsChanged := description.Slots != existing.description.Slots
+		existing.description, existing.lastHeartbeatAt = description, now
 		w.lock.Unlock()
 		// What still waits for a worker that leaves is better off with another.
-		if said.Leaving {
-			held.buffer.Shut(defect.Leaving)
+		if description.Draining {
+			existing.queue.Close(defect.WorkerDraining)
 		}
-		if slots {
-			held.buffer.Slots(now, int(said.Slots))
+		if slotsChanged {
+			existing.queue.SetSlots(now, int(description.Slots))
 		}
-		if changed {
+		if visibleChange {
 			w.onChange()
 		}
-		return held.instance, nil
+		return existing.instance, nil
 	}
 	// Another worker now stands at this address, or this one at another: the old registration
 	// ends before anything else.
-	dropped := held != nil
-	if held != nil {
-		w.drop(held)
+	removed := existing != nil
+	if existing != nil {
+		w.remove(existing)
 	}
-	if named := w.byInstance[said.ID]; said.ID != "" && named != nil {
-		w.drop(named)
-		dropped = true
+	if byID := w.byInstance[description.ID]; description.ID != "" && byID != nil {
+		w.remove(byID)
+		removed = true
 	}
-	full := len(w.byPlace) >= w.options.Most
+	full := len(w.byAddress) >= w.options.MaxWorkers
 	w.lock.Unlock()
-	if dropped {
+	if removed {
 		w.onChange()
 	}
 	if full {
-		return "", defect.New(defect.BufferFull, "too many workers at this proxy")
+		return "", defect.New(defect.QueueFull, "too many workers at this proxy")
 	}
-	var tether net.Conn
-	if !w.options.Untethered {
+	var livenessConn net.Conn
+	if !w.options.NoLivenessConn {
 		var err error
-		if tether, err = w.options.Dial(said.Address); err != nil {
-			return "", defect.Wrap(err, defect.WorkerUnopened, said.Address)
+		if livenessConn, err = w.options.Dial(description.Address); err != nil {
+			return "", defect.Wrap(err, defect.WorkerConnectFailed, description.Address)
 		}
 	}
 	w.lock.Lock()
 	w.serial++
-	fresh := &localWorker{instance: fmt.Sprintf("%s/%s/%x.%d", w.options.Proxy, said.Address, w.options.Incarnation, w.serial),
-		address: said.Address, said: said, heardAt: now, tether: tether,
-		conns: &conns{address: said.Address, dial: w.options.Dial, now: w.options.Now}, buffer: NewBuffer(w.options.ConnsMost, int(said.Slots)).leaving(w.options.Road)}
-	if said.Leaving {
-		fresh.buffer.Shut(defect.Leaving)
-	}
-	if said.ID != "" {
-		fresh.instance = said.ID
+	worker := &localWorker{instance: fmt.Sprintf("%s/%s/%x.%d", w.options.Proxy, description.Address, w.options.Incarnation, w.serial),
+		address: description.Address, description: description, lastHeartbeatAt: now, livenessConn: livenessConn,
+		conns: &connPool{address: description.Address, dial: w.options.Dial, now: w.options.Now}, queue: NewWorkerQueue(w.options.MaxConns, int(description.Slots)).withUplink(w.options.Uplink)}
+	if description.Draining {
+		worker.queue.Close(defect.WorkerDraining)
+	}
+	if description.ID != "" {
+		worker.instance = description.ID
 		// It may have said meanwhile that it is gone.
-		if w.ended.Has(said.ID) {
+		if w.deregisteredIDs.Contains(description.ID) {
 			w.lock.Unlock()
-			return said.ID, nil
+			return description.ID, nil
 		}
 	}
-	for _, raced := range []*localWorker{w.byPlace[said.Address], w.byInstance[fresh.instance]} {
-		if raced != nil {
-			w.drop(raced)
+	for _, competing := range []*localWorker{w.byAddress[description.Address], w.byInstance[worker.instance]} {
+		if competing != nil {
+			w.remove(competing)
 		}
 	}
-	w.byPlace[said.Address], w.byInstance[fresh.instance] = fresh, fresh
+	w.byAddress[description.Address], w.byInstance[worker.instance] = worker, worker
 	w.lock.Unlock()
-	if tether != nil {
-		go w.watch(fresh)
+	if livenessConn != nil {
+		go w.watchLiveness(worker)
 	}
 	w.onChange()
-	return fresh.instance, nil
+	return worker.instance, nil
 }
 
-// TakeUp takes a worker for being where it was, as an earlier life of this proxy told: whoever else
+// Restore takes a worker for being where it was, as an earlier life of this proxy told: whoever else
 // stands there by now refuses what is not meant for it. The worker's own word, whatever it is, comes
 // first, and if it misses a beat, it is dropped.
-func (w *Workers) TakeUp(told Description) {
+func (w *Workers) Restore(description WorkerDescription) {
 	w.lock.Lock()
-	known := told.ID == "" || w.ended.Has(told.ID) || w.byPlace[told.Address] != nil || w.byInstance[told.ID] != nil
+	known := description.ID == "" || w.deregisteredIDs.Contains(description.ID) || w.byAddress[description.Address] != nil || w.byInstance[description.ID] != nil
 	w.lock.Unlock()
-	if known || !w.options.Untethered || len(told.Check()) > 0 {
+	if known || !w.options.NoLivenessConn || len(description.Validate()) > 0 {
 		return
 	}
-	if _, err := w.Describe(told); err != nil {
+	if _, err := w.Register(description); err != nil {
 		return
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	if held := w.byInstance[told.ID]; held != nil && held.said == told {
-		held.heardAt -= time.Duration((w.options.Silence-1)*told.BeatMS) * time.Millisecond
+	if worker := w.byInstance[description.ID]; worker != nil && worker.description == description {
+		worker.lastHeartbeatAt -= time.Duration((w.options.MaxMissedHeartbeats-1)*description.HeartbeatMS) * time.Millisecond
 	}
 }
 
-// watch waits for the end of a worker's tether. The kernel closes it when the worker dies,
+// watchLiveness waits for the end of a worker's tether. The kernel closes it when the worker dies,
 // long before its beats are missed.
-func (w *Workers) watch(held *localWorker) {
-	one := make([]byte, 1)
-	_, _ = held.tether.Read(one)
+func (w *Workers) watchLiveness(worker *localWorker) {
+	buffer := make([]byte, 1)
+	_, _ = worker.livenessConn.Read(buffer)
 	w.lock.Lock()
-	current := w.byPlace[held.address] == held
+	current := w.byAddress[worker.address] == worker
 	if current {
-		w.drop(held)
+		w.remove(worker)
 	}
 	w.lock.Unlock()
 	if current {
@@ -278,103 +278,103 @@
 	}
 }
 
-// drop ends a registration; the caller holds the lock.
-func (w *Workers) drop(held *localWorker) {
-	if w.byPlace[held.address] == held {
-		delete(w.byPlace, held.address)
+// remove ends a registration; the caller holds the lock.
+func (w *Workers) remove(worker *localWorker) {
+	if w.byAddress[worker.address] == worker {
+		delete(w.byAddress, worker.address)
 	}
-	if w.byInstance[held.instance] == held {
-		delete(w.byInstance, held.instance)
+	if w.byInstance[worker.instance] == worker {
+		delete(w.byInstance, worker.instance)
 	}
-	if held.tether != nil {
-		held.tether.Close()
+	if worker.livenessConn != nil {
+		worker.livenessConn.Close()
 	}
-	held.conns.close()
-	held.buffer.Shut(defect.WrongInstance)
+	worker.conns.close()
+	worker.queue.Close(defect.WrongInstance)
 }
 
-// Sweep drops the workers that fell silent.
-func (w *Workers) Sweep() {
+// DropUnresponsive drops the workers that fell silent.
+func (w *Workers) DropUnresponsive() {
 	now := w.options.Now()
-	dropped := false
+	removed := false
 	w.lock.Lock()
-	for _, held := range w.byPlace {
-		if now-held.heardAt > time.Duration(w.options.Silence*held.said.BeatMS)*time.Millisecond {
-			w.drop(held)
-			dropped = true
+	for _, worker := range w.byAddress {
+		if now-worker.lastHeartbeatAt > time.Duration(w.options.MaxMissedHeartbeats*worker.description.HeartbeatMS)*time.Millisecond {
+			w.remove(worker)
+			removed = true
 		}
 	}
 	w.lock.Unlock()
-	if dropped {
+	if removed {
 		w.onChange()
 	}
 }
 
-// warm is how long a worker is still slow after its start.
-func (w *Workers) warm(held *localWorker) time.Duration {
-	return max(0, time.Duration(held.said.WarmMS)*time.Millisecond-(w.options.Now()-held.heardAt))
+// remainingWarmup is how long a worker is still slow after its start.
+func (w *Workers) remainingWarmup(worker *localWorker) time.Duration {
+	return max(0, time.Duration(worker.description.WarmupMS)*time.Millisecond-(w.options.Now()-worker.lastHeartbeatAt))
 }
 
 // List is what others should know of the workers here.
 func (w *Workers) List() []*schema.Worker {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	var listed []*schema.Worker
-	for _, held := range w.byPlace {
-		area := held.said.Area
-		if area == "" {
-			area = w.options.Area
+	var workers []*schema.Worker
+	for _, worker := range w.byAddress {
+		zone := worker.description.Zone
+		if zone == "" {
+			zone = w.options.Zone
 		}
-		running, waiting, _ := held.buffer.Load()
-		listed = append(listed, &schema.Worker{Running: running, Waiting: waiting, Instance: held.instance, Service: held.said.Service, Version: held.said.Version,
-			Area: area, Load: held.said.Load, Leaving: held.said.Leaving || w.parting,
-			Slots: held.said.Slots, WarmNanos: int64(w.warm(held)), PaceNanos: int64(held.buffer.Pace())})
+		running, waiting, _ := worker.queue.Load()
+		workers = append(workers, &schema.Worker{Running: running, Waiting: waiting, Instance: worker.instance, Service: worker.description.Service, Version: worker.description.Version,
+			Area: zone, Load: worker.description.Load, Leaving: worker.description.Draining || w.shuttingDown,
+			Slots: worker.description.Slots, WarmNanos: int64(w.remainingWarmup(worker)), PaceNanos: int64(worker.queue.ServiceTime())})
 	}
-	sort.Slice(listed, func(i, j int) bool { return listed[i].Instance < listed[j].Instance })
-	return listed
+	sort.Slice(workers, func(i, j int) bool { return workers[i].Instance < workers[j].Instance })
+	return workers
 }
 
 // find gives the live registration that a request was meant for.
-func (w *Workers) find(carry *schema.Carry) (*localWorker, string, defect.Kind) {
+func (w *Workers) find(request *schema.Carry) (*localWorker, string, defect.Code) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	held := w.byInstance[carry.Instance]
+	worker := w.byInstance[request.Instance]
 	switch {
-	case held == nil && w.options.Now() < w.options.Young:
-		return nil, "", defect.ProxyYoung
-	case held == nil, held.said.Service != carry.Service, held.said.Version != carry.Version:
+	case worker == nil && w.options.Now() < w.options.DiscoveryGrace:
+		return nil, "", defect.ProxyWarmingUp
+	case worker == nil, worker.description.Service != request.Service, worker.description.Version != request.Version:
 		return nil, "", defect.WrongInstance
-	case held.said.Leaving:
-		return nil, "", defect.Leaving
+	case worker.description.Draining:
+		return nil, "", defect.WorkerDraining
 	}
-	return held, held.said.token(), ""
+	return worker, worker.description.token(), ""
 }
 
 // Load is how much a worker here has at hand and before it, and how many it works on at once.
-func (w *Workers) Load(instance string) (running, waiting, slots uint32, pace time.Duration) {
+func (w *Workers) Load(instance string) (running, waiting, slots uint32, serviceTime time.Duration) {
 	w.lock.Lock()
-	held := w.byInstance[instance]
+	worker := w.byInstance[instance]
 	w.lock.Unlock()
-	if held == nil {
+	if worker == nil {
 		return 0, 0, 0, 0
 	}
-	running, waiting, slots = held.buffer.Load()
-	return running, waiting, slots, held.buffer.Pace()
+	running, waiting, slots = worker.queue.Load()
+	return running, waiting, slots, worker.queue.ServiceTime()
 }
 
-// disown drops a registration whose address turned out to be somebody else's.
-func (w *Workers) disown(held *localWorker) {
+// removeDisowned drops a registration whose address turned out to be somebody else's.
+func (w *Workers) removeDisowned(worker *localWorker) {
 	w.lock.Lock()
-	w.drop(held)
+	w.remove(worker)
 	w.lock.Unlock()
 	w.onChange()
 }
 
-// LeaveAll tells the mesh that every worker here is leaving, as when the proxy itself is told
+// DrainAll tells the mesh that every worker here is leaving, as when the proxy itself is told
 // to end. What comes all the same is served: only the workers' own word turns it away.
-func (w *Workers) LeaveAll() {
+func (w *Workers) DrainAll() {
 	w.lock.Lock()
-	w.parting = true
+	w.shuttingDown = true
 	w.lock.Unlock()
 	w.onChange()
 }
--- a/internal/dispatch/works.go
+++ b/internal/dispatch/works.go
@@ -11,91 +11,91 @@
 	"meadowhinge/schema"
 )
 
-// Works counts how requests ended that this proxy handed to the workers beside it. It is what
+// WorkCounts counts how requests ended that this proxy handed to the workers beside it. It is what
 // versions are judged by: no link between proxies, and no death of one, is in it.
-type Works struct {
-	lines *xsync.Map[workKey, *Worked]
-	most  int
+type WorkCounts struct {
+	counts    *xsync.Map[workCountKey, *WorkCount]
+	maxCounts int
 }
 
-type workKey struct {
+type workCountKey struct {
 	service, version, route string
-	plan                    uint64
+	statementSequence       uint64
 }
 
-// Worked is one line of the count; it only grows while the process lives.
-type Worked struct {
-	calls, failures, nanos atomic.Uint64
-	times                  [release.TimeSteps]atomic.Uint32
-	open                   atomic.Int32
-	lostAt                 atomic.Int64
+// WorkCount is one line of the count; it only grows while the process lives.
+type WorkCount struct {
+	calls, failures, totalNanos atomic.Uint64
+	histogram                   [release.LatencyBucketCount]atomic.Uint32
+	inFlight                    atomic.Int32
+	connectionLostAt            atomic.Int64
 }
 
-// NewWorks keeps at most so many lines; what comes beyond them is not counted.
-func NewWorks(most int) *Works {
-	return &Works{lines: xsync.NewMap[workKey, *Worked](), most: most}
+// NewWorkCounts keeps at most so many lines; what comes beyond them is not counted.
+func NewWorkCounts(maxCounts int) *WorkCounts {
+	return &WorkCounts{counts: xsync.NewMap[workCountKey, *WorkCount](), maxCounts: maxCounts}
 }
 
 // Begin notes that a request is handed to a worker of a version; plan is what was stated of it.
-func (w *Works) Begin(service, version, route string, plan uint64) *Worked {
-	key := workKey{service, version, route, plan}
-	line, found := w.lines.Load(key)
+func (w *WorkCounts) Begin(service, version, route string, statementSequence uint64) *WorkCount {
+	key := workCountKey{service, version, route, statementSequence}
+	count, found := w.counts.Load(key)
 	if !found {
-		if w.lines.Size() >= w.most {
+		if w.counts.Size() >= w.maxCounts {
 			return nil
 		}
-		line, _ = w.lines.LoadOrCompute(key, func() (*Worked, bool) { return &Worked{}, false })
+		count, _ = w.counts.LoadOrCompute(key, func() (*WorkCount, bool) { return &WorkCount{}, false })
 	}
-	line.open.Add(1)
-	return line
+	count.inFlight.Add(1)
+	return count
 }
 
-// lostTogether is within what time connections that a worker breaks are one failure: its end,
+// connectionLossWindow is within what time connections that a worker breaks are one failure: its end,
 // which says no more of its version than a single one does.
-const lostTogether = 100 * time.Millisecond
+const connectionLossWindow = 100 * time.Millisecond
 
 // End notes how it ended, so long after it was handed over.
-func (line *Worked) End(now, took time.Duration, carried *schema.Carried) {
-	if line == nil {
+func (c *WorkCount) End(now, took time.Duration, response *schema.Carried) {
+	if c == nil {
 		return
 	}
-	line.open.Add(-1)
-	if carried.Ending == schema.Ending_ENDING_NOT_RUN || calledOff(carried) {
+	c.inFlight.Add(-1)
+	if response.Ending == schema.Ending_ENDING_NOT_RUN || isCanceled(response) {
 		return
 	}
-	if defect.Kind(carried.Defect) == defect.WorkerLost {
-		if before := line.lostAt.Swap(int64(now)); before != 0 && now-time.Duration(before) < lostTogether {
+	if defect.Code(response.Defect) == defect.WorkerConnectionLost {
+		if before := c.connectionLostAt.Swap(int64(now)); before != 0 && now-time.Duration(before) < connectionLossWindow {
 			return
 		}
 	}
-	line.nanos.Add(uint64(took))
-	if carried.Ending != schema.Ending_ENDING_ANSWERED || carried.Status >= 500 {
-		line.failures.Add(1)
+	c.totalNanos.Add(uint64(took))
+	if response.Ending != schema.Ending_ENDING_ANSWERED || response.Status >= 500 {
+		c.failures.Add(1)
 	} else {
-		line.times[release.TimeStep(took)].Add(1)
+		c.histogram[release.LatencyBucket(took)].Add(1)
 	}
-	line.calls.Add(1)
+	c.calls.Add(1)
 }
 
-// Tell lists the lines of the services that are asked for.
-func (w *Works) Tell(asked func(service string) bool) []*schema.Work {
-	var told []*schema.Work
-	w.lines.Range(func(key workKey, line *Worked) bool {
-		if !asked(key.service) {
+// Report lists the lines of the services that are asked for.
+func (w *WorkCounts) Report(include func(service string) bool) []*schema.Work {
+	var reported []*schema.Work
+	w.counts.Range(func(key workCountKey, workCount *WorkCount) bool {
+		if !include(key.service) {
 			return true
 		}
-		one := &schema.Work{Service: key.service, Version: key.version, Route: key.route, Plan: key.plan, Calls: line.calls.Load(),
-			Failures: line.failures.Load(), Nanos: line.nanos.Load(), Open: uint32(max(0, line.open.Load()))}
-		for step := range line.times {
-			if count := line.times[step].Load(); count > 0 {
-				for len(one.Times) < step {
-					one.Times = append(one.Times, 0)
+		work := &schema.Work{Service: key.service, Version: key.version, Route: key.route, Plan: key.statementSequence, Calls: workCount.calls.Load(),
+			Failures: workCount.failures.Load(), Nanos: workCount.totalNanos.Load(), Open: uint32(max(0, workCount.inFlight.Load()))}
+		for step := range workCount.histogram {
+			if count := workCount.histogram[step].Load(); count > 0 {
+				for len(work.Times) < step {
+					work.Times = append(work.Times, 0)
 				}
-				one.Times = append(one.Times, count)
+				work.Times = append(work.Times, count)
 			}
 		}
-		told = append(told, one)
+		reported = append(reported, work)
 		return true
 	})
-	return told
+	return reported
 }
--- a/internal/flag/compile.go
+++ b/internal/flag/compile.go
@@ -25,27 +25,27 @@
 	for _, key := range slices.Sorted(maps.Keys(s.Flags)) {
 		faults = append(faults, s.Flags[key].Prepare()...)
 	}
-	return append(faults, s.Check()...)
+	return append(faults, s.CheckReferences()...)
 }
 
-// Check reports what is wrong between definitions that are each prepared. Most refer to no
+// CheckReferences reports what is wrong between definitions that are each prepared. Most refer to no
 // other and cost nothing here.
-func (s *Set) Check() []Fault {
+func (s *Set) CheckReferences() []Fault {
 	var faults []Fault
 	var referring []string
-	for key, one := range s.Flags {
-		if one.refers {
+	for key, definition := range s.Flags {
+		if definition.hasReferences {
 			referring = append(referring, key)
 		}
 	}
 	slices.Sort(referring)
 	for _, key := range referring {
-		faults = append(faults, s.Flags[key].check(s)...)
+		faults = append(faults, s.Flags[key].checkReferences(s)...)
 	}
-	return append(faults, s.cycles(referring)...)
+	return append(faults, s.findCycles(referring)...)
 }
 
-func listed(values []string) map[string]bool {
+func stringSet(values []string) map[string]bool {
 	set := make(map[string]bool, len(values))
 	for _, value := range values {
 		set[value] = true
@@ -56,12 +56,12 @@
 // Prepare readies a flag for evaluation and reports what is wrong with it by itself.
 func (f *Flag) Prepare() []Fault {
 	path := "flag." + f.Key
-	f.refers = len(f.Prerequisites) > 0
+	f.hasReferences = len(f.Prerequisites) > 0
 	var faults []Fault
 	add := func(at, format string, values ...any) {
 		faults = append(faults, Fault{path + at, fmt.Sprintf(format, values...)})
 	}
-	index := func(at string, variation int) {
+	checkIndex := func(at string, variation int) {
 		if variation < 0 || variation >= len(f.Variations) {
 			add(at, "variation %d is not one of the %d", variation, len(f.Variations))
 		}
@@ -69,31 +69,31 @@
 	if len(f.Variations) == 0 {
 		add(".variations", "a flag needs at least one variation")
 	}
-	index(".offVariation", f.OffVariation)
+	checkIndex(".offVariation", f.OffVariation)
 	for i := range f.Targets {
-		index(fmt.Sprintf(".targets[%d]", i), f.Targets[i].Variation)
-		f.Targets[i].listed = listed(f.Targets[i].Values)
+		checkIndex(fmt.Sprintf(".targets[%d]", i), f.Targets[i].Variation)
+		f.Targets[i].keySet = stringSet(f.Targets[i].Values)
 	}
-	served := func(at string, serve Serve) {
+	checkServe := func(at string, serve Serve) {
 		if (serve.Variation == nil) == (serve.Rollout == nil) {
 			add(at, "needs either a variation or a rollout")
 			return
 		}
 		if serve.Variation != nil {
-			index(at, *serve.Variation)
+			checkIndex(at, *serve.Variation)
 			return
 		}
 		sum := 0
 		for _, weighted := range serve.Rollout.Variations {
-			index(at+".rollout", weighted.Variation)
-			if weighted.Weight < 0 || weighted.Weight > Whole {
-				add(at+".rollout", "weight %d is outside 0 to %d", weighted.Weight, Whole)
+			checkIndex(at+".rollout", weighted.Variation)
+			if weighted.Weight < 0 || weighted.Weight > TotalWeight {
+				add(at+".rollout", "weight %d is outside 0 to %d", weighted.Weight, TotalWeight)
 				return
 			}
 			sum += weighted.Weight
 		}
-		if sum != Whole {
-			add(at+".rollout", "weights add up to %d, not %d", sum, Whole)
+		if sum != TotalWeight {
+			add(at+".rollout", "weights add up to %d, not %d", sum, TotalWeight)
 		}
 	}
 	seen := map[string]bool{}
@@ -104,23 +104,23 @@
 		}
 		seen[f.Rules[i].ID] = true
 		faults = append(faults, compileClauses(f.Rules[i].Clauses, path+at, true)...)
-		f.refers = f.refers || slices.ContainsFunc(f.Rules[i].Clauses, func(one Clause) bool { return one.Operator == segmentMatch })
-		served(at, f.Rules[i].Serve)
+		f.hasReferences = f.hasReferences || slices.ContainsFunc(f.Rules[i].Clauses, func(clause Clause) bool { return clause.Operator == segmentMatch })
+		checkServe(at, f.Rules[i].Serve)
 	}
-	served(".fallthrough", f.Fallthrough)
+	checkServe(".fallthrough", f.Fallthrough)
 	return faults
 }
 
-// check reports what a flag names and is not there.
-func (f *Flag) check(set *Set) []Fault {
+// checkReferences reports what a flag names and is not there.
+func (f *Flag) checkReferences(set *Set) []Fault {
 	path := "flag." + f.Key
 	var faults []Fault
 	for i, prerequisite := range f.Prerequisites {
 		at := fmt.Sprintf("%s.prerequisites[%d]", path, i)
-		needed, found := set.Flags[prerequisite.Key]
+		required, found := set.Flags[prerequisite.Key]
 		if !found {
 			faults = append(faults, Fault{at, fmt.Sprintf("flag %q does not exist", prerequisite.Key)})
-		} else if prerequisite.Variation < 0 || prerequisite.Variation >= len(needed.Variations) {
+		} else if prerequisite.Variation < 0 || prerequisite.Variation >= len(required.Variations) {
 			faults = append(faults, Fault{at, fmt.Sprintf("flag %q has no variation %d", prerequisite.Key, prerequisite.Variation)})
 		}
 	}
@@ -139,13 +139,13 @@
 
 // Prepare readies a segment for evaluation and reports what is wrong with it.
 func (s *Segment) Prepare() []Fault {
-	s.included, s.excluded = listed(s.Included), listed(s.Excluded)
+	s.included, s.excluded = stringSet(s.Included), stringSet(s.Excluded)
 	var faults []Fault
 	for i := range s.Rules {
 		at := fmt.Sprintf("segment.%s.rules[%d]", s.Key, i)
 		faults = append(faults, compileClauses(s.Rules[i].Clauses, at, false)...)
-		if weight := s.Rules[i].Weight; weight != nil && (*weight < 0 || *weight > Whole) {
-			faults = append(faults, Fault{at, fmt.Sprintf("weight %d is outside 0 to %d", *weight, Whole)})
+		if weight := s.Rules[i].Weight; weight != nil && (*weight < 0 || *weight > TotalWeight) {
+			faults = append(faults, Fault{at, fmt.Sprintf("weight %d is outside 0 to %d", *weight, TotalWeight)})
 		}
 	}
 	return faults
@@ -167,13 +167,13 @@
 	"semVerGreaterThan":  compileSemver,
 	"before":             compileTime,
 	"after":              compileTime,
-	"lessThan":           needNumber,
-	"lessThanOrEqual":    needNumber,
-	"greaterThan":        needNumber,
-	"greaterThanOrEqual": needNumber,
-	"startsWith":         needText,
-	"endsWith":           needText,
-	"contains":           needText,
+	"lessThan":           requireNumber,
+	"lessThanOrEqual":    requireNumber,
+	"greaterThan":        requireNumber,
+	"greaterThanOrEqual": requireNumber,
+	"startsWith":         requireText,
+	"endsWith":           requireText,
+	"contains":           requireText,
 	"in":                 func(*Clause, int) string { return "" },
 	segmentMatch:         func(*Clause, int) string { return "" }, // what it names is checked against the set
 }
@@ -192,41 +192,41 @@
 }
 
 func compileTime(clause *Clause, i int) string {
-	instant, isMoment := moment(clause.Values[i])
-	if !isMoment {
+	instant, isTimestamp := parseTimestamp(clause.Values[i])
+	if !isTimestamp {
 		return fmt.Sprintf("%v is neither milliseconds since 1970 nor RFC 3339 text", clause.Values[i])
 	}
 	clause.times[i] = &instant
 	return ""
 }
 
-func needNumber(clause *Clause, i int) string {
+func requireNumber(clause *Clause, i int) string {
 	if _, isNumber := numeric(clause.Values[i]); !isNumber {
 		return fmt.Sprintf("%v is not a number", clause.Values[i])
 	}
 	return ""
 }
 
-func needText(clause *Clause, i int) string {
+func requireText(clause *Clause, i int) string {
 	if _, isText := clause.Values[i].(string); !isText {
 		return fmt.Sprintf("%v is not text", clause.Values[i])
 	}
 	return ""
 }
 
-func compileClauses(clauses []Clause, path string, segments bool) []Fault {
+func compileClauses(clauses []Clause, path string, allowSegments bool) []Fault {
 	var faults []Fault
 	for i := range clauses {
 		clause, at := &clauses[i], fmt.Sprintf("%s.clauses[%d]", path, i)
 		clause.patterns = make([]*regexp.Regexp, len(clause.Values))
 		clause.semvers = make([]*semver.Version, len(clause.Values))
 		clause.times = make([]*int64, len(clause.Values))
-		prepare, known := compileValue[clause.Operator]
+		prepare, found := compileValue[clause.Operator]
 		switch {
-		case !known:
+		case !found:
 			faults = append(faults, Fault{at, fmt.Sprintf("operator %q does not exist", clause.Operator)})
 			continue
-		case clause.Operator == segmentMatch && !segments:
+		case clause.Operator == segmentMatch && !allowSegments:
 			faults = append(faults, Fault{at, "a segment's own rules may not use segmentMatch"})
 			continue
 		case clause.Operator != segmentMatch && clause.Attribute == "":
@@ -243,8 +243,8 @@
 	return faults
 }
 
-// cycles finds flags that are prerequisites of themselves, among those that have any.
-func (s *Set) cycles(referring []string) []Fault {
+// findCycles finds flags that are prerequisites of themselves, among those that have any.
+func (s *Set) findCycles(referring []string) []Fault {
 	var faults []Fault
 	const walking, done = 1, 2
 	state := map[string]int{}
--- a/internal/flag/flag.go
+++ b/internal/flag/flag.go
@@ -9,8 +9,8 @@
 	"github.com/Masterminds/semver/v3"
 )
 
-// Whole is the sum that the weights of a rollout make up.
-const Whole = 100000
+// TotalWeight is the sum that the weights of a rollout make up.
+const TotalWeight = 100000
 
 // DefaultKind is the context kind meant where none is named.
 const DefaultKind = "user"
@@ -50,7 +50,7 @@
 	Variation   int      `json:"variation"`
 	Values      []string `json:"values"`
 
-	listed map[string]bool
+	keySet map[string]bool
 }
 
 // Clause compares one attribute with values.
@@ -66,18 +66,18 @@
 	times    []*int64
 }
 
-// Weighted gives a variation a part of Whole.
-type Weighted struct {
+// WeightedVariation gives a variation a part of Whole.
+type WeightedVariation struct {
 	Variation int `json:"variation"`
 	Weight    int `json:"weight"`
 }
 
 // Rollout spreads contexts over variations by the bucket of an attribute.
 type Rollout struct {
-	ContextKind string     `json:"contextKind,omitempty"`
-	BucketBy    string     `json:"bucketBy,omitempty"`
-	Seed        *int64     `json:"seed,omitempty"`
-	Variations  []Weighted `json:"variations"`
+	ContextKind string              `json:"contextKind,omitempty"`
+	BucketBy    string              `json:"bucketBy,omitempty"`
+	Seed        *int64              `json:"seed,omitempty"`
+	Variations  []WeightedVariation `json:"variations"`
 }
 
 // Serve is either one variation or a rollout.
@@ -105,21 +105,21 @@
 	Rules         []Rule         `json:"rules,omitempty"`
 	Fallthrough   Serve          `json:"fallthrough"`
 
-	refers bool // to other flags or to segments
+	hasReferences bool // to other flags or to segments
 }
 
-// Reachable lists the variations that an evaluation may give as the flag stands, in order.
-func (f *Flag) Reachable() []string {
+// ReachableVariations lists the variations that an evaluation may give as the flag stands, in order.
+func (f *Flag) ReachableVariations() []string {
 	reached := map[int]bool{}
 	if !f.On || len(f.Prerequisites) > 0 {
 		reached[f.OffVariation] = true
 	}
-	serve := func(one Serve) {
-		if one.Variation != nil {
-			reached[*one.Variation] = true
+	serve := func(served Serve) {
+		if served.Variation != nil {
+			reached[*served.Variation] = true
 		}
-		if one.Rollout != nil {
-			for _, weighted := range one.Rollout.Variations {
+		if served.Rollout != nil {
+			for _, weighted := range served.Rollout.Variations {
 				if weighted.Weight > 0 {
 					reached[weighted.Variation] = true
 				}
@@ -163,14 +163,14 @@
 	included, excluded map[string]bool
 }
 
-// Single is one context of one kind; Key is its key, Attributes hold the rest.
-type Single struct {
+// SingleContext is one context of one kind; Key is its key, Attributes hold the rest.
+type SingleContext struct {
 	Key        string
 	Attributes map[string]any
 }
 
 // Context maps kinds to contexts; more than one makes a multi-context.
-type Context map[string]Single
+type Context map[string]SingleContext
 
 // Result is a verdict: the variation, and why.
 type Result struct {
@@ -188,15 +188,15 @@
 	Segments map[string]*Segment
 }
 
-// Subject is what flags are evaluated for: a context of one or more kinds. Context is one; what
+// EvaluationContext is what flags are evaluated for: a context of one or more kinds. Context is one; what
 // is at hand already can be another, so that no maps need be made of it.
-type Subject interface {
+type EvaluationContext interface {
 	// KeyOf gives the key of the context of a kind, found being false if there is none.
 	KeyOf(kind string) (key string, found bool)
 	// Attribute gives an attribute besides kind and key; null is as good as absent.
 	Attribute(kind, name string) (value any, present bool)
-	// Keyed tells whether no context lacks its key.
-	Keyed() bool
+	// HasAllKeys tells whether no context lacks its key.
+	HasAllKeys() bool
 }
 
 // KeyOf gives the key of the context of a kind.
@@ -211,8 +211,8 @@
 	return value, found && value != nil
 }
 
-// Keyed tells whether no context lacks its key.
-func (c Context) Keyed() bool {
+// HasAllKeys tells whether no context lacks its key.
+func (c Context) HasAllKeys() bool {
 	for _, single := range c {
 		if single.Key == "" {
 			return false
@@ -221,22 +221,22 @@
 	return true
 }
 
-// orDefault is the kind that is meant.
-func orDefault(kind string) string {
+// kindOrDefault is the kind that is meant.
+func kindOrDefault(kind string) string {
 	if kind == "" {
 		return DefaultKind
 	}
 	return kind
 }
 
-func has(subject Subject, kind string) bool {
+func hasKind(subject EvaluationContext, kind string) bool {
 	_, found := subject.KeyOf(kind)
 	return found
 }
 
 // attribute finds a value in the context of a kind; present is false for none or null.
-func attribute(subject Subject, kind, name string) (value any, present bool) {
-	kind = orDefault(kind)
+func attribute(subject EvaluationContext, kind, name string) (value any, present bool) {
+	kind = kindOrDefault(kind)
 	key, found := subject.KeyOf(kind)
 	switch {
 	case !found:
@@ -250,69 +250,71 @@
 	return subject.Attribute(kind, name)
 }
 
-// valid tells whether a context can be evaluated: a user with a key, and no keyless part.
-func valid(subject Subject) bool { return has(subject, DefaultKind) && subject.Keyed() }
+// isEvaluable tells whether a context can be evaluated: a user with a key, and no keyless part.
+func isEvaluable(subject EvaluationContext) bool {
+	return hasKind(subject, DefaultKind) && subject.HasAllKeys()
+}
 
 // Evaluate decides a flag for a context. It never fails: what cannot be decided is ReasonError.
-func (s *Set) Evaluate(key string, context Subject) Result {
+func (s *Set) Evaluate(key string, context EvaluationContext) Result {
 	return s.Decide(s.Flags[key], context)
 }
 
 // Decide is Evaluate of a flag that was looked up already, nil if there is none.
-func (s *Set) Decide(chosenFlag *Flag, context Subject) Result {
+func (s *Set) Decide(chosenFlag *Flag, context EvaluationContext) Result {
 	if chosenFlag == nil {
 		return Result{Index: -1, Reason: ReasonError, Error: FlagNotFound}
 	}
-	if !valid(context) {
+	if !isEvaluable(context) {
 		return Result{Index: -1, Reason: ReasonError, Error: KeyMissing}
 	}
 	return s.evaluate(chosenFlag, context, nil)
 }
 
-func (s *Set) evaluate(chosenFlag *Flag, context Subject, walked map[string]bool) Result {
+func (s *Set) evaluate(chosenFlag *Flag, context EvaluationContext, visiting map[string]bool) Result {
 	if !chosenFlag.On {
-		return chosenFlag.give(chosenFlag.OffVariation, Result{Reason: ReasonOff})
+		return chosenFlag.variationResult(chosenFlag.OffVariation, Result{Reason: ReasonOff})
 	}
 	// Cycles are refused on write; the walk is still bounded so that no definition can hang a proxy.
 	if len(chosenFlag.Prerequisites) > 0 {
-		if walked[chosenFlag.Key] {
+		if visiting[chosenFlag.Key] {
 			return Result{Index: -1, Reason: ReasonError, Error: MalformedFlag}
 		}
-		if walked == nil {
-			walked = map[string]bool{}
+		if visiting == nil {
+			visiting = map[string]bool{}
 		}
-		walked[chosenFlag.Key] = true
-		defer delete(walked, chosenFlag.Key)
+		visiting[chosenFlag.Key] = true
+		defer delete(visiting, chosenFlag.Key)
 	}
 
 	for _, prerequisite := range chosenFlag.Prerequisites {
-		neededFlag, found := s.Flags[prerequisite.Key]
-		met := found && neededFlag.On
+		requiredFlag, found := s.Flags[prerequisite.Key]
+		met := found && requiredFlag.On
 		if met {
-			given := s.evaluate(neededFlag, context, walked).Index
-			met = given >= 0 && given == prerequisite.Variation
+			index := s.evaluate(requiredFlag, context, visiting).Index
+			met = index >= 0 && index == prerequisite.Variation
 		}
 		if !met {
-			return chosenFlag.give(chosenFlag.OffVariation, Result{Reason: ReasonPrerequisite, Prerequisite: prerequisite.Key})
+			return chosenFlag.variationResult(chosenFlag.OffVariation, Result{Reason: ReasonPrerequisite, Prerequisite: prerequisite.Key})
 		}
 	}
 	for i := range chosenFlag.Targets {
 		target := &chosenFlag.Targets[i]
-		if key, found := context.KeyOf(orDefault(target.ContextKind)); found && target.listed[key] {
-			return chosenFlag.give(target.Variation, Result{Reason: ReasonTarget})
+		if key, found := context.KeyOf(kindOrDefault(target.ContextKind)); found && target.keySet[key] {
+			return chosenFlag.variationResult(target.Variation, Result{Reason: ReasonTarget})
 		}
 	}
 	for i := range chosenFlag.Rules {
 		rule := &chosenFlag.Rules[i]
-		if s.allHold(rule.Clauses, context, true) {
+		if s.allClausesMatch(rule.Clauses, context, true) {
 			return chosenFlag.serve(rule.Serve, context, Result{Reason: ReasonRule, RuleID: rule.ID})
 		}
 	}
 	return chosenFlag.serve(chosenFlag.Fallthrough, context, Result{Reason: ReasonFallthrough})
 }
 
-// give fills in the variation, or turns a bad index into an error.
-func (f *Flag) give(index int, result Result) Result {
+// variationResult fills in the variation, or turns a bad index into an error.
+func (f *Flag) variationResult(index int, result Result) Result {
 	if index < 0 || index >= len(f.Variations) {
 		return Result{Index: -1, Reason: ReasonError, Error: MalformedFlag}
 	}
@@ -320,29 +322,29 @@
 	return result
 }
 
-func (f *Flag) serve(serve Serve, context Subject, result Result) Result {
+func (f *Flag) serve(serve Serve, context EvaluationContext, result Result) Result {
 	if serve.Variation != nil {
-		return f.give(*serve.Variation, result)
+		return f.variationResult(*serve.Variation, result)
 	}
 	if serve.Rollout == nil {
 		return Result{Index: -1, Reason: ReasonError, Error: MalformedFlag}
 	}
-	index, found := serve.Rollout.place(f.Key, f.Salt, context)
+	index, found := serve.Rollout.pickVariation(f.Key, f.Salt, context)
 	if !found {
 		return Result{Index: -1, Reason: ReasonError, Error: MalformedFlag}
 	}
-	return f.give(index, result)
+	return f.variationResult(index, result)
 }
 
-// place picks the first variation whose running weight exceeds the context's bucket.
-func (r *Rollout) place(key, salt string, context Subject) (int, bool) {
-	kind := orDefault(r.ContextKind)
+// pickVariation picks the first variation whose running weight exceeds the context's bucket.
+func (r *Rollout) pickVariation(key, salt string, context EvaluationContext) (int, bool) {
+	kind := kindOrDefault(r.ContextKind)
 	last, found := 0, false
 	for _, weighted := range r.Variations {
 		if weighted.Weight > 0 {
 			// A context of another kind cannot be bucketed: it gets the first that has any weight. And
 			// what has all the weight needs no bucket.
-			if weighted.Weight == Whole || !has(context, kind) {
+			if weighted.Weight == TotalWeight || !hasKind(context, kind) {
 				return weighted.Variation, true
 			}
 			last, found = weighted.Variation, true
@@ -352,7 +354,7 @@
 	sum := 0
 	for _, weighted := range r.Variations {
 		sum += weighted.Weight
-		if bucket < float64(sum)/Whole {
+		if bucket < float64(sum)/TotalWeight {
 			return weighted.Variation, true
 		}
 	}
@@ -360,20 +362,20 @@
 	return last, found
 }
 
-// allHold tells whether every clause holds. A flag rule that names a custom attribute
+// allClausesMatch tells whether every clause holds. A flag rule that names a custom attribute
 // that is null is skipped even where a negated clause would hold.
-func (s *Set) allHold(clauses []Clause, context Subject, segments bool) bool {
+func (s *Set) allClausesMatch(clauses []Clause, context EvaluationContext, allowSegments bool) bool {
 	for i := range clauses {
-		if !s.holds(&clauses[i], context, segments) {
+		if !s.clauseMatches(&clauses[i], context, allowSegments) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *Set) holds(clause *Clause, context Subject, segments bool) bool {
+func (s *Set) clauseMatches(clause *Clause, context EvaluationContext, allowSegments bool) bool {
 	if clause.Operator == segmentMatch {
-		if !segments {
+		if !allowSegments {
 			return false
 		}
 		inside := false
@@ -391,24 +393,24 @@
 	if !present {
 		return false
 	}
-	compare, known := operators[clause.Operator]
-	if !known {
+	compare, found := operators[clause.Operator]
+	if !found {
 		return false
 	}
 	matched := false
 	if list, isList := value.([]any); isList {
 		for _, element := range list {
-			if matched = anyValue(compare, element, clause); matched {
+			if matched = matchesAnyValue(compare, element, clause); matched {
 				break
 			}
 		}
 	} else {
-		matched = anyValue(compare, value, clause)
+		matched = matchesAnyValue(compare, value, clause)
 	}
 	return matched != clause.Negate
 }
 
-func anyValue(compare comparison, value any, clause *Clause) bool {
+func matchesAnyValue(compare comparison, value any, clause *Clause) bool {
 	for i := range clause.Values {
 		if compare(value, clause, i) {
 			return true
@@ -417,7 +419,7 @@
 	return false
 }
 
-func (s *Set) contains(segment *Segment, context Subject) bool {
+func (s *Set) contains(segment *Segment, context EvaluationContext) bool {
 	user, _ := context.KeyOf(DefaultKind)
 	if segment.included[user] {
 		return true
@@ -427,13 +429,13 @@
 	}
 	for i := range segment.Rules {
 		rule := &segment.Rules[i]
-		if !s.allHold(rule.Clauses, context, false) {
+		if !s.allClausesMatch(rule.Clauses, context, false) {
 			continue
 		}
 		if rule.Weight == nil {
 			return true
 		}
-		if Bucket(segment.Key, segment.Salt, nil, context, orDefault(rule.ContextKind), rule.BucketBy) < float64(*rule.Weight)/Whole {
+		if Bucket(segment.Key, segment.Salt, nil, context, kindOrDefault(rule.ContextKind), rule.BucketBy) < float64(*rule.Weight)/TotalWeight {
 			return true
 		}
 	}
--- a/internal/flag/flag_test.go
+++ b/internal/flag/flag_test.go
@@ -196,7 +196,7 @@
 func rollout(weights ...int) *Rollout {
 	made := &Rollout{}
 	for i, weight := range weights {
-		made.Variations = append(made.Variations, Weighted{Variation: i, Weight: weight})
+		made.Variations = append(made.Variations, WeightedVariation{Variation: i, Weight: weight})
 	}
 	return made
 }
@@ -216,10 +216,10 @@
 		t.Errorf("missing value gave %d", got.Index)
 	}
 	// A bucket of exactly 1 exceeds every sum; it belongs to the last variation with weight.
-	if index, found := (&Rollout{Variations: []Weighted{{Variation: 0, Weight: 0}, {Variation: 1, Weight: 0}, {Variation: 2, Weight: 0}}}).place("f", "s", user("ann", nil)); found {
+	if index, found := (&Rollout{Variations: []WeightedVariation{{Variation: 0, Weight: 0}, {Variation: 1, Weight: 0}, {Variation: 2, Weight: 0}}}).pickVariation("f", "s", user("ann", nil)); found {
 		t.Errorf("no weight at all gave %d", index)
 	}
-	if index, found := (&Rollout{Variations: []Weighted{{Variation: 0, Weight: 1}, {Variation: 1, Weight: 0}}}).place("f", "s", user("ann", nil)); !found || index != 0 {
+	if index, found := (&Rollout{Variations: []WeightedVariation{{Variation: 0, Weight: 1}, {Variation: 1, Weight: 0}}}).pickVariation("f", "s", user("ann", nil)); !found || index != 0 {
 		t.Errorf("past the last sum gave %d, %v", index, found)
 	}
 }
@@ -295,12 +295,12 @@
 func TestMonotoneMovement(t *testing.T) {
 	dice := rand.New(rand.NewPCG(7, 7))
 	for range 2000 {
-		before := dice.IntN(Whole + 1)
-		after := before + dice.IntN(Whole+1-before)
+		before := dice.IntN(TotalWeight + 1)
+		after := before + dice.IntN(TotalWeight+1-before)
 		key := fmt.Sprintf("%x", dice.Uint64())
 		index := func(weight int) int {
 			decided := plain("f")
-			decided.Fallthrough = Serve{Rollout: &Rollout{Variations: []Weighted{{Variation: 1, Weight: weight}, {Variation: 0, Weight: Whole - weight}}}}
+			decided.Fallthrough = Serve{Rollout: &Rollout{Variations: []WeightedVariation{{Variation: 1, Weight: weight}, {Variation: 0, Weight: TotalWeight - weight}}}}
 			return setOf(t, []*Flag{decided}).Evaluate("f", user(key, nil)).Index
 		}
 		if index(before) == 1 && index(after) != 1 {
--- a/internal/flag/operator.go
+++ b/internal/flag/operator.go
@@ -12,14 +12,14 @@
 	"github.com/Masterminds/semver/v3"
 )
 
-// bucketDigits is how much of the SHA1 counts, and bucketWhole the largest value it can have.
+// bucketDigits is how much of the SHA1 counts, and maxBucketValue the largest value it can have.
 const (
-	bucketDigits = 15
-	bucketWhole  = 0xFFFFFFFFFFFFFFF
+	bucketDigits   = 15
+	maxBucketValue = 0xFFFFFFFFFFFFFFF
 )
 
 // Bucket places a context in [0,1]; a missing kind or value gives 0.
-func Bucket(key, salt string, seed *int64, context Subject, kind, name string) float64 {
+func Bucket(key, salt string, seed *int64, context EvaluationContext, kind, name string) float64 {
 	// Nearly always the key is what counts; it is text as it is.
 	text, usable := "", false
 	if name == "" || name == "key" {
@@ -31,8 +31,8 @@
 	if !usable {
 		return 0
 	}
-	var space [bucketBytes]byte
-	joined := space[:0]
+	var buffer [bucketBufferBytes]byte
+	joined := buffer[:0]
 	if seed != nil {
 		joined = strconv.AppendInt(joined, *seed, 10)
 	} else {
@@ -41,11 +41,11 @@
 	joined = append(append(joined, '.'), text...)
 	sum := sha1.Sum(joined)
 	// The first digits of its text are the first bits of the number.
-	return float64(binary.BigEndian.Uint64(sum[:])>>(64-4*bucketDigits)) / bucketWhole
+	return float64(binary.BigEndian.Uint64(sum[:])>>(64-4*bucketDigits)) / maxBucketValue
 }
 
-// bucketBytes is how long what is hashed may be before it takes an allocation.
-const bucketBytes = 192
+// bucketBufferBytes is how long what is hashed may be before it takes an allocation.
+const bucketBufferBytes = 192
 
 // bucketText gives the text a value is bucketed by; only text and whole numbers have one.
 func bucketText(value any) (string, bool) {
@@ -64,29 +64,29 @@
 
 // operators is the table of all operators but segmentMatch, which needs the segments.
 var operators = map[string]comparison{
-	"in": func(value any, clause *Clause, i int) bool { return same(value, clause.Values[i]) },
-	"endsWith": texts(func(value, wanted string) bool {
+	"in": func(value any, clause *Clause, i int) bool { return equalValues(value, clause.Values[i]) },
+	"endsWith": compareTexts(func(value, wanted string) bool {
 		return strings.HasSuffix(value, wanted)
 	}),
-	"startsWith": texts(strings.HasPrefix),
-	"contains":   texts(strings.Contains),
+	"startsWith": compareTexts(strings.HasPrefix),
+	"contains":   compareTexts(strings.Contains),
 	"matches": func(value any, clause *Clause, i int) bool {
 		text, isText := value.(string)
 		return isText && i < len(clause.patterns) && clause.patterns[i] != nil && clause.patterns[i].MatchString(text)
 	},
-	"lessThan":           numbers(func(a, b float64) bool { return a < b }),
-	"lessThanOrEqual":    numbers(func(a, b float64) bool { return a <= b }),
-	"greaterThan":        numbers(func(a, b float64) bool { return a > b }),
-	"greaterThanOrEqual": numbers(func(a, b float64) bool { return a >= b }),
-	"before":             times(func(a, b int64) bool { return a < b }),
-	"after":              times(func(a, b int64) bool { return a > b }),
-	"semVerEqual":        semvers(func(order int) bool { return order == 0 }),
-	"semVerLessThan":     semvers(func(order int) bool { return order < 0 }),
-	"semVerGreaterThan":  semvers(func(order int) bool { return order > 0 }),
+	"lessThan":           compareNumbers(func(a, b float64) bool { return a < b }),
+	"lessThanOrEqual":    compareNumbers(func(a, b float64) bool { return a <= b }),
+	"greaterThan":        compareNumbers(func(a, b float64) bool { return a > b }),
+	"greaterThanOrEqual": compareNumbers(func(a, b float64) bool { return a >= b }),
+	"before":             compareTimes(func(a, b int64) bool { return a < b }),
+	"after":              compareTimes(func(a, b int64) bool { return a > b }),
+	"semVerEqual":        compareSemvers(func(order int) bool { return order == 0 }),
+	"semVerLessThan":     compareSemvers(func(order int) bool { return order < 0 }),
+	"semVerGreaterThan":  compareSemvers(func(order int) bool { return order > 0 }),
 }
 
-// same is equality of value and type; JSON has one type of number.
-func same(a, b any) bool {
+// equalValues is equality of value and type; JSON has one type of number.
+func equalValues(a, b any) bool {
 	if left, isNumber := numeric(a); isNumber {
 		right, alsoNumber := numeric(b)
 		return alsoNumber && left == right
@@ -106,7 +106,7 @@
 	return 0, false
 }
 
-func texts(compare func(value, wanted string) bool) comparison {
+func compareTexts(compare func(value, wanted string) bool) comparison {
 	return func(value any, clause *Clause, i int) bool {
 		text, isText := value.(string)
 		wanted, wantedText := clause.Values[i].(string)
@@ -114,7 +114,7 @@
 	}
 }
 
-func numbers(compare func(a, b float64) bool) comparison {
+func compareNumbers(compare func(a, b float64) bool) comparison {
 	return func(value any, clause *Clause, i int) bool {
 		number, isNumber := numeric(value)
 		wanted, wantedNumber := numeric(clause.Values[i])
@@ -122,8 +122,8 @@
 	}
 }
 
-// moment reads a timestamp: whole milliseconds since 1970, or RFC 3339 text.
-func moment(value any) (int64, bool) {
+// parseTimestamp reads a timestamp: whole milliseconds since 1970, or RFC 3339 text.
+func parseTimestamp(value any) (int64, bool) {
 	if text, isText := value.(string); isText {
 		parsed, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
@@ -138,17 +138,17 @@
 	return int64(number), true
 }
 
-func times(compare func(a, b int64) bool) comparison {
+func compareTimes(compare func(a, b int64) bool) comparison {
 	return func(value any, clause *Clause, i int) bool {
 		if i >= len(clause.times) || clause.times[i] == nil {
 			return false
 		}
-		instant, isMoment := moment(value)
-		return isMoment && compare(instant, *clause.times[i])
+		instant, isTimestamp := parseTimestamp(value)
+		return isTimestamp && compare(instant, *clause.times[i])
 	}
 }
 
-func semvers(accepts func(order int) bool) comparison {
+func compareSemvers(accepts func(order int) bool) comparison {
 	return func(value any, clause *Clause, i int) bool {
 		text, isText := value.(string)
 		if !isText || i >= len(clause.semvers) || clause.semvers[i] == nil {
