--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -35,33 +35,33 @@
 // the golden lists. A renamed field without its tag would change a key in silence.
 func TestPageKeysGolden(t *testing.T) {
 	for name, page := range map[string]any{
-		"probe-ready":             daemon.Soundness{},
+		"probe-ready":             daemon.Readiness{},
 		"probe-process":           daemon.Process{},
-		"probe-certificate":       link.Certificate{},
+		"probe-certificate":       link.CertificateStatus{},
 		"probe-traffic":           link.Traffic{},
-		"refusal":                 daemon.Refusal{},
+		"refusal":                 daemon.ErrorResponse{},
 		"proxy-status":            proxy.Status{},
-		"proxy-events":            []proxy.ShownEvent{},
-		"worker-description":      dispatch.Description{},
+		"proxy-events":            []proxy.EventSummary{},
+		"worker-description":      dispatch.WorkerDescription{},
 		"store-status":            &schema.ReplicaStatus{},
 		"registry-status":         &schema.RegistryStatus{},
-		"operator-change":         registry.Submission{},
-		"operator-change-answer":  registry.Answer{},
-		"operator-setup":          registry.Shown{},
-		"operator-verdicts":       []registry.VerdictLine{},
-		"operator-workers":        []registry.ShownWorker{},
-		"operator-releases":       []registry.ShownRelease{},
-		"operator-status":         registry.Status{},
-		"operator-explain":        registry.Question{},
-		"operator-explain-answer": registry.Explanation{},
-		"operator-trace":          registry.Trace{},
+		"operator-change":         registry.ChangeRequest{},
+		"operator-change-answer":  registry.ChangeResponse{},
+		"operator-setup":          registry.ConfigView{},
+		"operator-verdicts":       []registry.VerdictCount{},
+		"operator-workers":        []registry.WorkerView{},
+		"operator-releases":       []registry.ReleaseView{},
+		"operator-status":         registry.CoreStatus{},
+		"operator-explain":        registry.ExplainRequest{},
+		"operator-explain-answer": registry.ExplainResponse{},
+		"operator-trace":          registry.ChangeTrace{},
 		"item-service":            setup.Service{},
 		"item-route":              setup.Route{},
 		"item-limits":             setup.Limits{},
 		"item-policy":             setup.Policy{},
 		"item-release":            setup.Release{},
 		"item-progress":           setup.Progress{},
-		"item-stop":               setup.Stop{},
+		"item-stop":               setup.VersionStop{},
 		"item-flag":               flag.Flag{},
 		"item-segment":            flag.Segment{},
 	} {
@@ -78,17 +78,17 @@
 		fmt.Fprintf(&listed, "%s: %s\n", name, strings.Join(words, " "))
 	}
 	section("verdict reason", textsOf([]flag.Reason{flag.ReasonError, flag.ReasonOff, flag.ReasonPrerequisite, flag.ReasonTarget, flag.ReasonRule, flag.ReasonFallthrough,
-		plan.ReasonPoolEmpty, plan.ReasonHeld, plan.ReasonPolicy, plan.ReasonSplitEmpty, plan.ReasonNoVersion})...)
+		plan.ReasonPoolEmpty, plan.ReasonVersionBlocked, plan.ReasonPolicy, plan.ReasonSplitEmpty, plan.ReasonNoVersion})...)
 	section("verdict error", textsOf([]flag.ErrorCode{flag.FlagNotFound, flag.KeyMissing, flag.MalformedFlag})...)
-	section("route class", textsOf([]setup.Class{setup.Once, setup.Repeatable})...)
-	section("release state", release.Trial, release.Ramp, release.Hold, release.Done, release.Back)
-	section("plan as operators are told", textsOf([]registry.PlanEnd{registry.PlanUnderWay, registry.PlanDone, registry.PlanBack})...)
+	section("route class", textsOf([]setup.Class{setup.ClassNonIdempotent, setup.ClassIdempotent})...)
+	section("release state", release.StateCanary, release.StateRamping, release.StateHolding, release.StateDone, release.StateRolledBack)
+	section("plan as operators are told", textsOf([]registry.RolloutStatus{registry.RolloutInProgress, registry.RolloutDone, registry.RolloutRolledBack})...)
 	endings := schema.Ending(0).Descriptor().Values()
 	for i := range endings.Len() {
 		section(fmt.Sprint("outcome ", endings.Get(i).Number()), dispatch.OutcomeName(schema.Ending(endings.Get(i).Number())))
 	}
-	section("headers", dispatch.HeaderRequest, dispatch.HeaderHorizon, dispatch.HeaderOutcome, dispatch.HeaderVersion, dispatch.HeaderReason, dispatch.HeaderSetup,
-		dispatch.HeaderTries, dispatch.HeaderCaller, dispatch.HeaderToken, dispatch.HeaderRefused)
+	section("headers", dispatch.HeaderRequest, dispatch.HeaderDeadline, dispatch.HeaderOutcome, dispatch.HeaderVersion, dispatch.HeaderReason, dispatch.HeaderConfigRevision,
+		dispatch.HeaderAttempts, dispatch.HeaderCaller, dispatch.HeaderToken, dispatch.HeaderRefused)
 	compareGolden(t, "words.txt", listed.String())
 }
 
@@ -102,10 +102,10 @@
 	address := held.Addr().String()
 	held.Close()
 	ready := atomic.Bool{}
-	frame := &daemon.Frame{Ring: ring.New("", "golden", 4), Draining: &atomic.Bool{}}
-	frame.Page("/page", func() any { return map[string]int{"own": 1} })
-	frame.ReadyAt("/elsewhere")
-	if err := frame.Probe(address, func() daemon.Soundness { return daemon.Soundness{Ready: ready.Load(), Reason: "young"} }); err != nil {
+	frame := &daemon.Environment{Recorder: ring.New("", "golden", 4), Draining: &atomic.Bool{}}
+	frame.AddPage("/page", func() any { return map[string]int{"own": 1} })
+	frame.AddReadinessPath("/elsewhere")
+	if err := frame.ServeProbes(address, func() daemon.Readiness { return daemon.Readiness{Ready: ready.Load(), Reason: "young"} }); err != nil {
 		t.Fatal(err)
 	}
 	var listed strings.Builder
@@ -154,8 +154,8 @@
 // kind, and the body's own words.
 func TestStatusOfRefusalGolden(t *testing.T) {
 	var listed strings.Builder
-	for _, kind := range defect.Kinds() {
-		status, refusal := daemon.RefusalOf(defect.New(kind, "detail"), "not-run", []string{"fault"})
+	for _, kind := range defect.Codes() {
+		status, refusal := daemon.NewErrorResponse(defect.New(kind, "detail"), "not-run", []string{"fault"})
 		text, err := json.Marshal(refusal)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/interleave/interleave.go
+++ b/internal/interleave/interleave.go
@@ -12,73 +12,73 @@
 	"time"
 )
 
-// Run is one order being tried.
-type Run struct {
-	threads []*thread
-	trace   []string
-	stirred chan struct{} // some thread has parked or is done
+// Execution is one order being tried.
+type Execution struct {
+	threads    []*thread
+	trace      []string
+	progressed chan struct{} // some thread has parked or is done
 }
 
 type thread struct {
-	name string
-	turn chan struct{}
+	name   string
+	resume chan struct{}
 	// A thread that the clock wakes has no other tie to whoever looks at these.
 	parked atomic.Bool
 	done   atomic.Bool
 }
 
 // Go adds a thread. Its body starts parked, as if it had just yielded.
-func (r *Run) Go(name string, body func(yield func())) {
-	one := &thread{name: name, turn: make(chan struct{})}
-	r.threads = append(r.threads, one)
+func (e *Execution) Go(name string, body func(yield func())) {
+	added := &thread{name: name, resume: make(chan struct{})}
+	e.threads = append(e.threads, added)
 	go func() {
 		yield := func() {
-			one.parked.Store(true)
-			r.stir()
-			<-one.turn
+			added.parked.Store(true)
+			e.signalProgress()
+			<-added.resume
 		}
 		yield()
 		body(yield)
-		one.done.Store(true)
-		r.stir()
+		added.done.Store(true)
+		e.signalProgress()
 	}()
 }
 
-func (r *Run) stir() {
+func (e *Execution) signalProgress() {
 	select {
-	case r.stirred <- struct{}{}:
+	case e.progressed <- struct{}{}:
 	default:
 	}
 }
 
 // Outcome is what all the orders gave.
 type Outcome struct {
-	Orders  int
-	Failure string // the first failure, and the order that led to it
+	Schedules int
+	Failure   string // the first failure, and the order that led to it
 }
 
-// waitMost bounds how long threads may wait for the virtual clock in one order.
-const waitMost = 100 * time.Second
+// maxVirtualWait bounds how long threads may wait for the virtual clock in one order.
+const maxVirtualWait = 100 * time.Second
 
 // Explore runs build once for each order. build starts threads and gives a check, which
 // must hold after every step and at the end. It stops at the first failure, or fails the
 // test if there are more orders than most.
-func Explore(t *testing.T, most int, build func(t *testing.T, run *Run) (check func() error)) Outcome {
+func Explore(t *testing.T, maxSchedules int, build func(t *testing.T, execution *Execution) (check func() error)) Outcome {
 	t.Helper()
 	var outcome Outcome
 	var choices []int
 	for {
-		if outcome.Orders == most {
-			t.Fatalf("more than %d orders", most)
+		if outcome.Schedules == maxSchedules {
+			t.Fatalf("more than %d orders", maxSchedules)
 		}
-		outcome.Orders++
-		var options []int
+		outcome.Schedules++
+		var branchCounts []int
 		synctest.Test(t, func(t *testing.T) {
-			run := &Run{stirred: make(chan struct{}, 1)}
-			check := build(t, run)
-			options = run.play(choices, func() bool {
+			execution := &Execution{progressed: make(chan struct{}, 1)}
+			check := build(t, execution)
+			branchCounts = execution.execute(choices, func() bool {
 				if err := check(); err != nil && outcome.Failure == "" {
-					outcome.Failure = fmt.Sprintf("%v, after %s", err, strings.Join(run.trace, " "))
+					outcome.Failure = fmt.Sprintf("%v, after %s", err, strings.Join(execution.trace, " "))
 				}
 				return outcome.Failure == ""
 			})
@@ -87,63 +87,63 @@
 			return outcome
 		}
 		// The next order differs at the last point where another thread could have gone on.
-		taken := make([]int, len(options))
-		copy(taken, choices)
-		place := len(options) - 1
-		for place >= 0 && taken[place]+1 >= options[place] {
-			place--
+		nextChoices := make([]int, len(branchCounts))
+		copy(nextChoices, choices)
+		position := len(branchCounts) - 1
+		for position >= 0 && nextChoices[position]+1 >= branchCounts[position] {
+			position--
 		}
-		if place < 0 {
+		if position < 0 {
 			return outcome
 		}
-		choices = append(taken[:place:place], taken[place]+1)
+		choices = append(nextChoices[:position:position], nextChoices[position]+1)
 	}
 }
 
-// play follows the choices, then always the first thread; it tells how many there were at
+// execute follows the choices, then always the first thread; it tells how many there were at
 // each point.
-func (r *Run) play(choices []int, sound func() bool) []int {
-	var options []int
-	going := true
+func (e *Execution) execute(choices []int, invariantHolds func() bool) []int {
+	var branchCounts []int
+	checking := true
 	for {
 		synctest.Wait()
 		// What has stirred so far is looked at now.
 		select {
-		case <-r.stirred:
+		case <-e.progressed:
 		default:
 		}
-		if going {
-			going = sound()
+		if checking {
+			checking = invariantHolds()
 		}
 		var ready []*thread
-		left := 0
-		for _, one := range r.threads {
-			if !one.done.Load() {
-				left++
+		unfinished := 0
+		for _, candidate := range e.threads {
+			if !candidate.done.Load() {
+				unfinished++
 			}
-			if one.parked.Load() {
-				ready = append(ready, one)
+			if candidate.parked.Load() {
+				ready = append(ready, candidate)
 			}
 		}
-		if left == 0 {
-			return options
+		if unfinished == 0 {
+			return branchCounts
 		}
 		if len(ready) == 0 {
 			// Every thread waits for the clock or for another: let time pass until one goes on.
 			select {
-			case <-r.stirred:
-			case <-time.After(waitMost):
-				panic("threads wait for each other for ever: " + strings.Join(r.trace, " "))
+			case <-e.progressed:
+			case <-time.After(maxVirtualWait):
+				panic("threads wait for each other for ever: " + strings.Join(e.trace, " "))
 			}
 			continue
 		}
 		choice := 0
-		if len(options) < len(choices) {
-			choice = choices[len(options)]
+		if len(branchCounts) < len(choices) {
+			choice = choices[len(branchCounts)]
 		}
-		options = append(options, len(ready))
-		r.trace = append(r.trace, ready[choice].name)
+		branchCounts = append(branchCounts, len(ready))
+		e.trace = append(e.trace, ready[choice].name)
 		ready[choice].parked.Store(false)
-		ready[choice].turn <- struct{}{}
+		ready[choice].resume <- struct{}{}
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -10,18 +10,18 @@
 
 // Journal folds events into a view and keeps the last of them.
 type Journal[Event, View any] struct {
-	lock  sync.Mutex
-	fold  func(View, Event) View
-	view  atomic.Pointer[View]
-	last  []Event
-	next  int
-	moved chan struct{}
+	lock    sync.Mutex
+	fold    func(View, Event) View
+	view    atomic.Pointer[View]
+	recent  []Event
+	next    int
+	changed chan struct{}
 }
 
 // New makes a journal that starts from a view and keeps the last few events.
-func New[Event, View any](start View, kept int, fold func(View, Event) View) *Journal[Event, View] {
-	j := &Journal[Event, View]{fold: fold, last: make([]Event, 0, kept), moved: make(chan struct{})}
-	j.view.Store(&start)
+func New[Event, View any](initial View, retained int, fold func(View, Event) View) *Journal[Event, View] {
+	j := &Journal[Event, View]{fold: fold, recent: make([]Event, 0, retained), changed: make(chan struct{})}
+	j.view.Store(&initial)
 	return j
 }
 
@@ -31,14 +31,14 @@
 	defer j.lock.Unlock()
 	folded := j.fold(*j.view.Load(), event)
 	j.view.Store(&folded)
-	if len(j.last) < cap(j.last) {
-		j.last = append(j.last, event)
-	} else if cap(j.last) > 0 {
-		j.last[j.next] = event
-		j.next = (j.next + 1) % cap(j.last)
+	if len(j.recent) < cap(j.recent) {
+		j.recent = append(j.recent, event)
+	} else if cap(j.recent) > 0 {
+		j.recent[j.next] = event
+		j.next = (j.next + 1) % cap(j.recent)
 	}
-	close(j.moved)
-	j.moved = make(chan struct{})
+	close(j.changed)
+	j.changed = make(chan struct{})
 	return folded
 }
 
@@ -49,7 +49,7 @@
 func (j *Journal[Event, View]) Wait(ctx context.Context, ready func(View) bool) (View, bool) {
 	for {
 		j.lock.Lock()
-		view, moved := *j.view.Load(), j.moved
+		view, moved := *j.view.Load(), j.changed
 		j.lock.Unlock()
 		if ready(view) {
 			return view, true
@@ -62,9 +62,9 @@
 	}
 }
 
-// Last gives the events kept, oldest first.
-func (j *Journal[Event, View]) Last() []Event {
+// Recent gives the events kept, oldest first.
+func (j *Journal[Event, View]) Recent() []Event {
 	j.lock.Lock()
 	defer j.lock.Unlock()
-	return append(append([]Event(nil), j.last[j.next:]...), j.last[:j.next]...)
+	return append(append([]Event(nil), j.recent[j.next:]...), j.recent[:j.next]...)
 }
--- a/internal/linearize/linearize.go
+++ b/internal/linearize/linearize.go
@@ -22,10 +22,10 @@
 
 // The results of a call.
 const (
-	Unknown  Result = iota // no answer: the call may have taken effect at any time, or never
-	Accepted               // a write was confirmed, or a read was answered
-	Clashed                // a write was refused because of this item
-	Refused                // a write was refused for a reason that this item has no part in
+	OutcomeUnknown Result = iota // no answer: the call may have taken effect at any time, or never
+	Accepted                     // a write was confirmed, or a read was answered
+	Conflicted                   // a write was refused because of this item
+	Rejected                     // a write was refused for a reason that this item has no part in
 )
 
 // Value is an item as it is written or read. Dropped items, and those that never were, are absent.
@@ -70,18 +70,18 @@
 
 // Check gives an error that names an item for which no order of the calls explains what the
 // callers were told, or ErrUndecided if the search for one takes longer than the bound.
-func (h *History) Check(bound time.Duration) error {
+func (h *History) Check(timeout time.Duration) error {
 	h.lock.Lock()
 	byItem := map[string][]porcupine.Operation{}
 	for _, operation := range h.operations {
-		if told, tells := asPorcupine(operation); tells {
-			byItem[operation.Item] = append(byItem[operation.Item], told)
+		if converted, informative := toPorcupine(operation); informative {
+			byItem[operation.Item] = append(byItem[operation.Item], converted)
 		}
 	}
 	h.lock.Unlock()
 	undecided := error(nil)
 	for item, operations := range byItem {
-		switch porcupine.CheckOperationsTimeout(register, operations, bound) {
+		switch porcupine.CheckOperationsTimeout(versionedRegister, operations, timeout) {
 		case porcupine.Illegal:
 			return fmt.Errorf("%s: no order of its %d calls explains what the callers were told", item, len(operations))
 		case porcupine.Unknown:
@@ -91,20 +91,20 @@
 	return undecided
 }
 
-// asPorcupine gives an operation as the checker takes it; one that tells nothing is left out.
-func asPorcupine(operation Operation) (told porcupine.Operation, tells bool) {
-	if operation.Result == Refused || operation.Read && operation.Result == Unknown {
-		return told, false
+// toPorcupine gives an operation as the checker takes it; one that tells nothing is left out.
+func toPorcupine(operation Operation) (converted porcupine.Operation, informative bool) {
+	if operation.Result == Rejected || operation.Read && operation.Result == OutcomeUnknown {
+		return converted, false
 	}
-	told = porcupine.Operation{ClientId: operation.Client, Input: operation, Call: int64(operation.Begin), Output: operation.Result, Return: int64(operation.End)}
-	if operation.Result == Unknown {
-		told.Return = math.MaxInt64
+	converted = porcupine.Operation{ClientId: operation.Client, Input: operation, Call: int64(operation.Begin), Output: operation.Result, Return: int64(operation.End)}
+	if operation.Result == OutcomeUnknown {
+		converted.Return = math.MaxInt64
 	}
-	return told, true
+	return converted, true
 }
 
-// register is the rule of versions for one item.
-var register = porcupine.Model{
+// versionedRegister is the rule of versions for one item.
+var versionedRegister = porcupine.Model{
 	Init: func() any { return Value{Absent: true} },
 	Step: func(state, input, _ any) (bool, any) {
 		held, operation := state.(Value), input.(Operation)
@@ -113,20 +113,20 @@
 }
 
 // step tells whether an operation can happen on what is held, and what is held after it.
-func step(held Value, operation Operation) (possible bool, after Value) {
+func step(current Value, operation Operation) (possible bool, after Value) {
 	value := operation.Value
 	if operation.Read {
-		return held.Absent && value.Absent || held == value, held
+		return current.Absent && value.Absent || current == value, current
 	}
-	newer := held.Version < value.Version
-	clashes := held.Version == value.Version && (held.Absent != value.Absent || held.Content != value.Content)
+	newer := current.Version < value.Version
+	conflicts := current.Version == value.Version && (current.Absent != value.Absent || current.Content != value.Content)
 	switch {
-	case operation.Result == Clashed:
-		return clashes, held
-	case clashes:
-		return operation.Result == Unknown, held
+	case operation.Result == Conflicted:
+		return conflicts, current
+	case conflicts:
+		return operation.Result == OutcomeUnknown, current
 	case newer:
 		return true, value
 	}
-	return true, held
+	return true, current
 }
--- a/internal/linearize/linearize_test.go
+++ b/internal/linearize/linearize_test.go
@@ -10,7 +10,7 @@
 	return Operation{Item: "item", Value: Value{Version: version, Content: content}, Result: result, Begin: begin, End: end}
 }
 
-func drop(version uint64, result Result, begin, end time.Duration) Operation {
+func remove(version uint64, result Result, begin, end time.Duration) Operation {
 	return Operation{Item: "item", Value: Value{Version: version, Absent: true}, Result: result, Begin: begin, End: end}
 }
 
@@ -32,23 +32,23 @@
 		"a confirmed write is lost":          {[]Operation{write(1, "a", Accepted, 0, 1), readAbsent(2, 3)}, false},
 		"an old value is read":               {[]Operation{write(1, "a", Accepted, 0, 1), write(2, "b", Accepted, 2, 3), read(1, "a", 4, 5)}, false},
 		"an old value during the write":      {[]Operation{write(1, "a", Accepted, 0, 1), write(2, "b", Accepted, 2, 6), read(1, "a", 4, 5)}, true},
-		"two reads go back":                  {[]Operation{write(1, "a", Accepted, 0, 1), write(2, "b", Unknown, 2, 3), read(2, "b", 4, 5), read(1, "a", 6, 7)}, false},
+		"two reads go back":                  {[]Operation{write(1, "a", Accepted, 0, 1), write(2, "b", OutcomeUnknown, 2, 3), read(2, "b", 4, 5), read(1, "a", 6, 7)}, false},
 		"two contents confirmed":             {[]Operation{write(1, "a", Accepted, 0, 1), write(1, "b", Accepted, 0, 1)}, false},
-		"the second content refused":         {[]Operation{write(1, "a", Accepted, 0, 1), write(1, "b", Clashed, 0, 1), read(1, "a", 2, 3)}, true},
-		"both contents refused":              {[]Operation{write(1, "a", Clashed, 0, 1), write(1, "b", Clashed, 0, 1)}, false},
+		"the second content refused":         {[]Operation{write(1, "a", Accepted, 0, 1), write(1, "b", Conflicted, 0, 1), read(1, "a", 2, 3)}, true},
+		"both contents refused":              {[]Operation{write(1, "a", Conflicted, 0, 1), write(1, "b", Conflicted, 0, 1)}, false},
 		"a repeat is confirmed":              {[]Operation{write(1, "a", Accepted, 0, 1), write(1, "a", Accepted, 2, 3)}, true},
-		"a repeat is refused":                {[]Operation{write(1, "a", Accepted, 0, 1), write(1, "a", Clashed, 2, 3)}, false},
+		"a repeat is refused":                {[]Operation{write(1, "a", Accepted, 0, 1), write(1, "a", Conflicted, 2, 3)}, false},
 		"another content, overtaken":         {[]Operation{write(1, "a", Accepted, 0, 1), write(2, "c", Accepted, 2, 3), write(1, "b", Accepted, 4, 5), read(2, "c", 6, 7)}, true},
 		"an overtaken one comes into force":  {[]Operation{write(2, "c", Accepted, 0, 1), write(1, "b", Accepted, 2, 3), read(1, "b", 4, 5)}, false},
-		"set under a drop's version":         {[]Operation{drop(3, Accepted, 0, 1), write(3, "a", Accepted, 2, 3)}, false},
-		"an unknown one took effect":         {[]Operation{write(1, "a", Unknown, 0, 1), read(1, "a", 2, 3)}, true},
-		"an unknown one took effect late":    {[]Operation{write(1, "a", Unknown, 0, 1), readAbsent(2, 3), read(1, "a", 4, 5)}, true},
-		"one refused for another reason":     {[]Operation{write(1, "a", Refused, 0, 1), readAbsent(2, 3)}, true},
+		"set under a drop's version":         {[]Operation{remove(3, Accepted, 0, 1), write(3, "a", Accepted, 2, 3)}, false},
+		"an unknown one took effect":         {[]Operation{write(1, "a", OutcomeUnknown, 0, 1), read(1, "a", 2, 3)}, true},
+		"an unknown one took effect late":    {[]Operation{write(1, "a", OutcomeUnknown, 0, 1), readAbsent(2, 3), read(1, "a", 4, 5)}, true},
+		"one refused for another reason":     {[]Operation{write(1, "a", Rejected, 0, 1), readAbsent(2, 3)}, true},
 		"a read that was not answered":       {[]Operation{write(1, "a", Accepted, 0, 1), {Item: "item", Read: true, Value: Value{Absent: true}, Begin: 2, End: 3}}, true},
 		"another item has another value":     {[]Operation{write(1, "a", Accepted, 0, 1), {Item: "other", Read: true, Value: Value{Absent: true}, Result: Accepted, Begin: 2, End: 3}}, true},
 		"what was never written is read":     {[]Operation{read(1, "a", 0, 1)}, false},
 		"the content of another is read":     {[]Operation{write(1, "a", Accepted, 0, 1), read(1, "b", 2, 3)}, false},
-		"a drop, and its repeat, is no loss": {[]Operation{write(1, "a", Accepted, 0, 1), drop(2, Accepted, 2, 3), drop(2, Accepted, 4, 5), readAbsent(6, 7)}, true},
+		"a drop, and its repeat, is no loss": {[]Operation{write(1, "a", Accepted, 0, 1), remove(2, Accepted, 2, 3), remove(2, Accepted, 4, 5), readAbsent(6, 7)}, true},
 	} {
 		history := &History{}
 		for _, operation := range one.history {
--- a/internal/link/called_off_test.go
+++ b/internal/link/called_off_test.go
@@ -12,27 +12,27 @@
 	"meadowhinge/schema"
 )
 
-// waiting answers a request named "stays" at once, and any other when its caller is gone.
-type waiting struct {
+// blockingServer answers a request named "stays" at once, and any other when its caller is gone.
+type blockingServer struct {
 	schema.DRPCHopUnimplementedServer
-	came chan struct{}
-	gone chan struct{}
+	started   chan struct{}
+	cancelled chan struct{}
 }
 
-func (w *waiting) Run(ctx context.Context, carry *schema.Carry) (*schema.Carried, error) {
+func (w *blockingServer) Run(ctx context.Context, carry *schema.Carry) (*schema.Carried, error) {
 	if carry.Request != "stays" {
-		w.came <- struct{}{}
+		w.started <- struct{}{}
 		<-ctx.Done()
-		w.gone <- struct{}{}
+		w.cancelled <- struct{}{}
 	}
 	return &schema.Carried{Request: carry.Request}, nil
 }
 
 // A call that is called off ends at the other side too, and costs no other call anything: its link is not met
 // by one that comes next, however soon that is.
-func TestCalledOffCallsCostNoOthers(t *testing.T) {
+func TestCancelledCallsDoNotAffectOthers(t *testing.T) {
 	const rounds, beside = 300, 4
-	server := &waiting{came: make(chan struct{}, rounds), gone: make(chan struct{}, rounds)}
+	server := &blockingServer{started: make(chan struct{}, rounds), cancelled: make(chan struct{}, rounds)}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, server); err != nil {
 		t.Fatal(err)
@@ -43,19 +43,19 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	there, here := link.Plain("proxy", "there", nil), link.Plain("proxy", "here", nil)
-	go func() { _ = there.Serve(ctx, listener, mux, "proxy") }()
-	t.Cleanup(here.Close)
+	serving, calling := link.NewPlaintext("proxy", "there", nil), link.NewPlaintext("proxy", "here", nil)
+	go func() { _ = serving.Serve(ctx, listener, mux, "proxy") }()
+	t.Cleanup(calling.Close)
 	call := func(ctx context.Context, request string) error {
-		_, err := schema.NewDRPCHopClient(here.To(ctx, listener.Addr().String())).Run(ctx, &schema.Carry{Request: request})
+		_, err := schema.NewDRPCHopClient(calling.Conn(ctx, listener.Addr().String())).Run(ctx, &schema.Carry{Request: request})
 		return err
 	}
 	for range rounds {
-		leaving, leave := context.WithCancel(ctx)
+		cancelledCtx, cancelCall := context.WithCancel(ctx)
 		ended := make(chan error, 1)
-		go func() { ended <- call(leaving, "leaves") }()
-		<-server.came
-		leave()
+		go func() { ended <- call(cancelledCtx, "leaves") }()
+		<-server.started
+		cancelCall()
 		var others sync.WaitGroup
 		for range beside {
 			others.Go(func() {
@@ -71,6 +71,6 @@
 			t.Errorf("the next: %v", err)
 		}
 		others.Wait()
-		<-server.gone
+		<-server.cancelled
 	}
 }
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -30,39 +30,39 @@
 	"meadowhinge/internal/socket"
 )
 
-// protocol is the version of what our processes say; ALPN refuses any other at the handshake.
-const protocol = "meadowhinge/1"
+// protocolVersion is the version of what our processes say; ALPN refuses any other at the handshake.
+const protocolVersion = "meadowhinge/1"
 
-// messageMost bounds one message, in bytes; a whole setup must fit, and the largest body that
+// maxMessageBytes bounds one message, in bytes; a whole setup must fit, and the largest body that
 // settings let through with what goes beside it.
-const messageMost = 65 << 20
+const maxMessageBytes = 65 << 20
 
 // Peer is who stands at the other end, as its certificate says.
 type Peer struct {
-	Role     string // proxy, registry, store
-	Name     string
-	speaks   map[string]bool
-	verified bool
+	Role      string // proxy, registry, store
+	Name      string
+	mayCallAs map[string]bool
+	verified  bool
 }
 
-// Speaks tells whether the peer may make calls for a service or client kind.
-func (p Peer) Speaks(service string) bool { return p.verified && p.speaks[service] }
+// MayCallAs tells whether the peer may make calls for a service or client kind.
+func (p Peer) MayCallAs(service string) bool { return p.verified && p.mayCallAs[service] }
 
-// Local is this process itself, for a dispatch that needs no wire.
-func Local(role, name string, services map[string]bool) Peer {
-	return Peer{Role: role, Name: name, speaks: services, verified: true}
+// LocalPeer is this process itself, for a dispatch that needs no wire.
+func LocalPeer(role, name string, services map[string]bool) Peer {
+	return Peer{Role: role, Name: name, mayCallAs: services, verified: true}
 }
 
-// peerOf reads the identity from the URIs of a certificate: mesh:role/name and mesh:speaks/service.
-func peerOf(certificate *x509.Certificate) Peer {
-	peer := Peer{speaks: map[string]bool{}, verified: true}
-	for _, address := range certificate.URIs {
-		role, name, _ := strings.Cut(address.Opaque, "/")
-		if address.Scheme != "mesh" || name == "" {
+// peerFromCertificate reads the identity from the URIs of a certificate: mesh:role/name and mesh:speaks/service.
+func peerFromCertificate(certificate *x509.Certificate) Peer {
+	peer := Peer{mayCallAs: map[string]bool{}, verified: true}
+	for _, uri := range certificate.URIs {
+		role, name, _ := strings.Cut(uri.Opaque, "/")
+		if uri.Scheme != "mesh" || name == "" {
 			continue
 		}
 		if role == "speaks" {
-			peer.speaks[name] = true
+			peer.mayCallAs[name] = true
 		} else {
 			peer.Role, peer.Name = role, name
 		}
@@ -70,78 +70,78 @@
 	return peer
 }
 
-// Ends holds this process's credentials and its open links.
-type Ends struct {
-	config  *tls.Config // nil for plain links
-	resting shelves
-	dial    time.Duration
-	self    Peer
-	from    net.Addr
-	files   [2]string
-	now     func() time.Time
+// Transport holds this process's credentials and its open links.
+type Transport struct {
+	tlsConfig       *tls.Config // nil for plain links
+	idle            connPool
+	dialTimeout     time.Duration
+	self            Peer
+	localAddress    net.Addr
+	credentialFiles [2]string
+	now             func() time.Time
 
-	lock    sync.Mutex
-	held    *credentials
-	checked time.Time
-	fault   string
+	lock        sync.Mutex
+	active      *credentials
+	checkedAt   time.Time
+	reloadFault string
 
-	// Refused counts peers turned away for a wrong certificate, protocol or garbage.
-	Refused atomic.Uint64
+	// RejectedPeers counts peers turned away for a wrong certificate, protocol or garbage.
+	RejectedPeers atomic.Uint64
 
 	meter meter
 }
 
 // Option changes a default of Ends.
-type Option func(*Ends)
+type Option func(*Transport)
 
-// WithDial bounds the time to open a link.
-func WithDial(bound time.Duration) Option { return func(e *Ends) { e.dial = bound } }
+// WithDialTimeout bounds the time to open a link.
+func WithDialTimeout(bound time.Duration) Option { return func(t *Transport) { t.dialTimeout = bound } }
 
 // WithClock tells the time by another clock.
-func WithClock(now func() time.Time) Option { return func(e *Ends) { e.now = now } }
+func WithClock(now func() time.Time) Option { return func(t *Transport) { t.now = now } }
 
-// WithFrom dials from the IP of an address, so that a machine with several has one face.
-func WithFrom(address string) Option {
-	return func(e *Ends) {
+// WithLocalAddress dials from the IP of an address, so that a machine with several has one face.
+func WithLocalAddress(address string) Option {
+	return func(t *Transport) {
 		if from, err := netip.ParseAddrPort(address); err == nil && !from.Addr().IsUnspecified() {
-			e.from = &net.TCPAddr{IP: from.Addr().AsSlice()}
+			t.localAddress = &net.TCPAddr{IP: from.Addr().AsSlice()}
 		}
 	}
 }
 
 // credentials are a process's certificate and whom it trusts, as they were read together.
 type credentials struct {
-	pair    tls.Certificate
-	leaf    *x509.Certificate
-	trusted *x509.CertPool
-	stamp   string // of the files they were read from
+	pair      tls.Certificate
+	leaf      *x509.Certificate
+	roots     *x509.CertPool
+	fileStamp string // of the files they were read from
 }
 
-// read reads credentials and refuses what could not serve.
-func read(certificateFile, authorityFile string, now time.Time) (*credentials, error) {
+// readCredentials reads credentials and refuses what could not serve.
+func readCredentials(certificateFile, authorityFile string, now time.Time) (*credentials, error) {
 	pair, err := tls.LoadX509KeyPair(certificateFile, certificateFile)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.BadOptions, "certificate")
+		return nil, defect.Wrap(err, defect.InvalidOptions, "certificate")
 	}
 	authority, err := os.ReadFile(authorityFile)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.BadOptions, "authority")
+		return nil, defect.Wrap(err, defect.InvalidOptions, "authority")
 	}
-	held := &credentials{pair: pair, trusted: x509.NewCertPool()}
-	if !held.trusted.AppendCertsFromPEM(authority) {
-		return nil, defect.New(defect.BadOptions, "authority holds no certificate")
+	loaded := &credentials{pair: pair, roots: x509.NewCertPool()}
+	if !loaded.roots.AppendCertsFromPEM(authority) {
+		return nil, defect.New(defect.InvalidOptions, "authority holds no certificate")
 	}
-	if held.leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
-		return nil, defect.Wrap(err, defect.BadOptions, "certificate")
+	if loaded.leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
+		return nil, defect.Wrap(err, defect.InvalidOptions, "certificate")
 	}
-	if now.After(held.leaf.NotAfter) || now.Before(held.leaf.NotBefore) {
-		return nil, defect.New(defect.BadOptions, fmt.Sprintf("certificate is good from %s to %s only", held.leaf.NotBefore.Format(time.RFC3339), held.leaf.NotAfter.Format(time.RFC3339)))
+	if now.After(loaded.leaf.NotAfter) || now.Before(loaded.leaf.NotBefore) {
+		return nil, defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is good from %s to %s only", loaded.leaf.NotBefore.Format(time.RFC3339), loaded.leaf.NotAfter.Format(time.RFC3339)))
 	}
-	return held, nil
+	return loaded, nil
 }
 
-// stampOf tells files' contents apart by their times and sizes.
-func stampOf(files ...string) string {
+// fileStampOf tells files' contents apart by their times and sizes.
+func fileStampOf(files ...string) string {
 	stamp := ""
 	for _, file := range files {
 		if info, err := os.Stat(file); err == nil {
@@ -151,217 +151,219 @@
 	return stamp
 }
 
-// Load reads the credentials of this process. They are read again whenever their files change.
-func Load(certificateFile, authorityFile string, changes ...Option) (*Ends, error) {
-	ends := &Ends{resting: shelves{byAddress: map[string]*shelf{}}, dial: time.Second, files: [2]string{certificateFile, authorityFile}, now: time.Now}
-	for _, change := range changes {
-		change(ends)
+// NewTLS reads the credentials of this process. They are read again whenever their files change.
+func NewTLS(certificateFile, authorityFile string, opts ...Option) (*Transport, error) {
+	transport := &Transport{idle: connPool{byAddress: map[string]*idleConns{}}, dialTimeout: time.Second, credentialFiles: [2]string{certificateFile, authorityFile}, now: time.Now}
+	for _, opt := range opts {
+		opt(transport)
 	}
-	stamp := stampOf(certificateFile, authorityFile)
-	held, err := read(certificateFile, authorityFile, ends.now())
+	stamp := fileStampOf(certificateFile, authorityFile)
+	loaded, err := readCredentials(certificateFile, authorityFile, transport.now())
 	if err != nil {
 		return nil, err
 	}
-	held.stamp = stamp
-	ends.held, ends.checked, ends.self = held, ends.now(), peerOf(held.leaf)
-	ends.config = &tls.Config{
+	loaded.fileStamp = stamp
+	transport.active, transport.checkedAt, transport.self = loaded, transport.now(), peerFromCertificate(loaded.leaf)
+	transport.tlsConfig = &tls.Config{
 		// Which certificate is shown is asked anew at each handshake.
-		GetCertificate:       func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &ends.current().pair, nil },
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &ends.current().pair, nil },
-		ClientAuth:           tls.RequireAnyClientCert,
-		MinVersion:           tls.VersionTLS13,
-		NextProtos:           []string{protocol},
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &transport.currentCredentials().pair, nil },
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			return &transport.currentCredentials().pair, nil
+		},
+		ClientAuth: tls.RequireAnyClientCert,
+		MinVersion: tls.VersionTLS13,
+		NextProtos: []string{protocolVersion},
 		// Peers are named by role, not by host, so the chain is checked here and the name by the caller.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
-			if state.NegotiatedProtocol != protocol {
-				return defect.New(defect.Stranger, "speaks another protocol")
+			if state.NegotiatedProtocol != protocolVersion {
+				return defect.New(defect.Unauthorized, "speaks another protocol")
 			}
-			shown := state.PeerCertificates
-			if len(shown) == 0 {
-				return defect.New(defect.Stranger, "shows no certificate")
+			certificates := state.PeerCertificates
+			if len(certificates) == 0 {
+				return defect.New(defect.Unauthorized, "shows no certificate")
 			}
-			_, err := shown[0].Verify(x509.VerifyOptions{Roots: ends.current().trusted, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
-			return defect.Wrap(err, defect.Stranger, "certificate")
+			_, err := certificates[0].Verify(x509.VerifyOptions{Roots: transport.currentCredentials().roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
+			return defect.Wrap(err, defect.Unauthorized, "certificate")
 		},
 	}
-	return ends, nil
+	return transport, nil
 }
 
-// Plain makes ends without keys: peers say who they are and are believed. It is for networks
+// NewPlaintext makes ends without keys: peers say who they are and are believed. It is for networks
 // that only our own processes can reach, where no keys are to be had.
-func Plain(role, name string, speaks []string, changes ...Option) *Ends {
-	ends := &Ends{resting: shelves{byAddress: map[string]*shelf{}}, dial: time.Second, now: time.Now, self: Peer{Role: role, Name: name, speaks: map[string]bool{}, verified: true}}
-	for _, service := range speaks {
-		ends.self.speaks[service] = true
+func NewPlaintext(role, name string, mayCallAs []string, opts ...Option) *Transport {
+	transport := &Transport{idle: connPool{byAddress: map[string]*idleConns{}}, dialTimeout: time.Second, now: time.Now, self: Peer{Role: role, Name: name, mayCallAs: map[string]bool{}, verified: true}}
+	for _, service := range mayCallAs {
+		transport.self.mayCallAs[service] = true
 	}
-	for _, change := range changes {
-		change(ends)
+	for _, opt := range opts {
+		opt(transport)
 	}
-	return ends
+	return transport
 }
 
-// greetingMost bounds what a peer says of itself on a plain link, in bytes.
-const greetingMost = 4096
+// maxGreetingBytes bounds what a peer says of itself on a plain link, in bytes.
+const maxGreetingBytes = 4096
 
 // greeting is the line with which a plain link begins: protocol, role, name, whom it speaks for.
 func (p Peer) greeting() string {
-	return strings.Join([]string{protocol, p.Role, p.Name, strings.Join(slices.Sorted(maps.Keys(p.speaks)), ",")}, " ") + "\n"
+	return strings.Join([]string{protocolVersion, p.Role, p.Name, strings.Join(slices.Sorted(maps.Keys(p.mayCallAs)), ",")}, " ") + "\n"
 }
 
 // readGreeting reads a peer's greeting byte by byte, so that nothing after it is taken.
 func readGreeting(raw net.Conn) (Peer, error) {
-	line, one := make([]byte, 0, 64), make([]byte, 1)
+	line, octet := make([]byte, 0, 64), make([]byte, 1)
 	for {
-		if _, err := io.ReadFull(raw, one); err != nil {
-			return Peer{}, defect.Wrap(err, defect.Stranger, "greeting")
+		if _, err := io.ReadFull(raw, octet); err != nil {
+			return Peer{}, defect.Wrap(err, defect.Unauthorized, "greeting")
 		}
-		if one[0] == '\n' {
+		if octet[0] == '\n' {
 			break
 		}
-		if line = append(line, one[0]); len(line) > greetingMost {
-			return Peer{}, defect.New(defect.Stranger, "greeting is too long")
+		if line = append(line, octet[0]); len(line) > maxGreetingBytes {
+			return Peer{}, defect.New(defect.Unauthorized, "greeting is too long")
 		}
 	}
-	words := strings.Split(string(line), " ")
-	const wordsOfGreeting = 4
-	if len(words) != wordsOfGreeting || words[0] != protocol {
-		return Peer{}, defect.New(defect.Stranger, "speaks another protocol")
+	fields := strings.Split(string(line), " ")
+	const greetingFields = 4
+	if len(fields) != greetingFields || fields[0] != protocolVersion {
+		return Peer{}, defect.New(defect.Unauthorized, "speaks another protocol")
 	}
-	peer := Peer{Role: words[1], Name: words[2], speaks: map[string]bool{}, verified: true}
-	for _, service := range strings.Split(words[3], ",") {
+	peer := Peer{Role: fields[1], Name: fields[2], mayCallAs: map[string]bool{}, verified: true}
+	for _, service := range strings.Split(fields[3], ",") {
 		if service != "" {
-			peer.speaks[service] = true
+			peer.mayCallAs[service] = true
 		}
 	}
 	return peer, nil
 }
 
-// checkEvery is how often, at most, the files are looked at.
-const checkEvery = time.Second
+// credentialCheckInterval is how often, at most, the files are looked at.
+const credentialCheckInterval = time.Second
 
-// current gives the credentials as the files have them now. Ones that could not serve are
+// currentCredentials gives the credentials as the files have them now. Ones that could not serve are
 // refused: the old are kept, and why is shown.
-func (e *Ends) current() *credentials {
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	if now := e.now(); now.Sub(e.checked) >= checkEvery {
-		e.checked = now
-		if stamp := stampOf(e.files[0], e.files[1]); stamp != e.held.stamp {
-			fresh, err := read(e.files[0], e.files[1], now)
+func (t *Transport) currentCredentials() *credentials {
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	if now := t.now(); now.Sub(t.checkedAt) >= credentialCheckInterval {
+		t.checkedAt = now
+		if stamp := fileStampOf(t.credentialFiles[0], t.credentialFiles[1]); stamp != t.active.fileStamp {
+			fresh, err := readCredentials(t.credentialFiles[0], t.credentialFiles[1], now)
 			if err == nil {
-				if self := peerOf(fresh.leaf); self.Role != e.self.Role || self.Name != e.self.Name {
-					err = defect.New(defect.BadOptions, fmt.Sprintf("certificate is for %s %q, not %s %q", self.Role, self.Name, e.self.Role, e.self.Name))
+				if self := peerFromCertificate(fresh.leaf); self.Role != t.self.Role || self.Name != t.self.Name {
+					err = defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not %s %q", self.Role, self.Name, t.self.Role, t.self.Name))
 				}
 			}
-			if e.fault = ""; err != nil {
-				e.fault = err.Error()
+			if t.reloadFault = ""; err != nil {
+				t.reloadFault = err.Error()
 			} else {
-				fresh.stamp = stamp
-				e.held = fresh
+				fresh.fileStamp = stamp
+				t.active = fresh
 			}
 		}
 	}
-	return e.held
+	return t.active
 }
 
-// Certificate is what a process says of its own certificate.
-type Certificate struct {
+// CertificateStatus is what a process says of its own certificate.
+type CertificateStatus struct {
 	Name     string    `json:"name"`
 	NotAfter time.Time `json:"notAfter"`
 	Fault    string    `json:"fault,omitempty"` // why a newer one in the file is not used
 }
 
 // Certificate tells which certificate is in use.
-func (e *Ends) Certificate() any {
-	if e.config == nil {
-		return Certificate{Name: e.self.Role + "/" + e.self.Name, Fault: "links are plain: there is none"}
+func (t *Transport) Certificate() any {
+	if t.tlsConfig == nil {
+		return CertificateStatus{Name: t.self.Role + "/" + t.self.Name, Fault: "links are plain: there is none"}
 	}
-	held := e.current()
-	e.lock.Lock()
-	defer e.lock.Unlock()
-	return Certificate{Name: e.self.Role + "/" + e.self.Name, NotAfter: held.leaf.NotAfter, Fault: e.fault}
+	active := t.currentCredentials()
+	t.lock.Lock()
+	defer t.lock.Unlock()
+	return CertificateStatus{Name: t.self.Role + "/" + t.self.Name, NotAfter: active.leaf.NotAfter, Fault: t.reloadFault}
 }
 
 // Self is the identity in this process's own certificate.
-func (e *Ends) Self() Peer { return e.self }
+func (t *Transport) Self() Peer { return t.self }
 
-func (e *Ends) limits() drpcmanager.Options {
-	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: messageMost}}
+func (t *Transport) managerOptions() drpcmanager.Options {
+	return drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes}}
 }
 
-// open dials; its error marks a link that never came up: nothing can have reached the other side.
-func (e *Ends) open(ctx context.Context, address string) (*drpcconn.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, e.dial)
+// dialConn dials; its error marks a link that never came up: nothing can have reached the other side.
+func (t *Transport) dialConn(ctx context.Context, address string) (*drpcconn.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, t.dialTimeout)
 	defer cancel()
-	plain := &net.Dialer{LocalAddr: e.from, KeepAliveConfig: e.alive(), Control: e.control}
-	raw, err := e.dialed(race(ctx, e.dial/redialParts, func(ctx context.Context) (net.Conn, error) { return plain.DialContext(ctx, "tcp", address) }))
-	if e.config == nil {
+	dialer := &net.Dialer{LocalAddr: t.localAddress, KeepAliveConfig: t.keepAliveConfig(), Control: t.setUserTimeout}
+	raw, err := t.countOpened(dialRepeatedly(ctx, t.dialTimeout/dialsPerTimeout, func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address) }))
+	if t.tlsConfig == nil {
 		if err == nil {
-			if _, err = io.WriteString(raw, e.self.greeting()); err != nil {
+			if _, err = io.WriteString(raw, t.self.greeting()); err != nil {
 				raw.Close()
 			}
 		}
 	} else if err == nil {
-		secured := tls.Client(raw, e.config)
+		secured := tls.Client(raw, t.tlsConfig)
 		if err = secured.HandshakeContext(ctx); err != nil {
 			raw.Close()
 		}
 		raw = secured
 	}
 	if err != nil {
-		return nil, defect.Wrap(err, defect.LinkUnopened, address)
+		return nil, defect.Wrap(err, defect.PeerConnectFailed, address)
 	}
-	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: e.limits()}), nil
+	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: t.managerOptions()}), nil
 }
 
-// dialed counts what goes over a link that this process opened.
-func (e *Ends) dialed(raw net.Conn, err error) (net.Conn, error) {
+// countOpened counts what goes over a link that this process opened.
+func (t *Transport) countOpened(raw net.Conn, err error) (net.Conn, error) {
 	if err != nil {
 		return nil, err
 	}
-	e.meter.opened.Add(1)
-	return metered{socket.Of(raw), &e.meter}, nil
+	t.meter.opened.Add(1)
+	return countingConn{socket.Wrap(raw), &t.meter}, nil
 }
 
 // Ratios to the time that a link may take to open: a peer that does not answer for so long is
 // gone. A machine without power says nothing, so without these its links would hang.
 const (
-	greetParts   = 5 // a peer may take so much longer to say who it is
-	unheardParts = 2
-	probesMost   = 3
+	handshakeTimeoutFactor      = 5 // a peer may take so much longer to say who it is
+	unacknowledgedTimeoutFactor = 2
+	maxKeepAliveProbes          = 3
 )
 
-func (e *Ends) alive() net.KeepAliveConfig {
-	return net.KeepAliveConfig{Enable: true, Idle: max(time.Second, e.dial*unheardParts), Interval: max(time.Second, e.dial), Count: probesMost}
+func (t *Transport) keepAliveConfig() net.KeepAliveConfig {
+	return net.KeepAliveConfig{Enable: true, Idle: max(time.Second, t.dialTimeout*unacknowledgedTimeoutFactor), Interval: max(time.Second, t.dialTimeout), Count: maxKeepAliveProbes}
 }
 
-// control bounds how long what was sent may stay unacknowledged.
-func (e *Ends) control(_, _ string, raw syscall.RawConn) error {
-	var failed error
-	err := raw.Control(func(handle uintptr) {
-		failed = unix.SetsockoptInt(int(handle), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int((e.dial * unheardParts).Milliseconds()))
+// setUserTimeout bounds how long what was sent may stay unacknowledged.
+func (t *Transport) setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var socketErr error
+	err := raw.Control(func(fd uintptr) {
+		socketErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int((t.dialTimeout * unacknowledgedTimeoutFactor).Milliseconds()))
 	})
 	if err == nil {
-		err = failed
+		err = socketErr
 	}
-	return defect.Wrap(err, defect.LinkUnopened, "socket")
+	return defect.Wrap(err, defect.PeerConnectFailed, "socket")
 }
 
-// To gives a connection to address; each call on it takes a link of its own.
-func (e *Ends) To(_ context.Context, address string) drpc.Conn { return reach{e, address} }
+// Conn gives a connection to address; each call on it takes a link of its own.
+func (t *Transport) Conn(_ context.Context, address string) drpc.Conn { return pooledConn{t, address} }
 
-type peerKey struct{}
+type peerContextKey struct{}
 
-// PeerOf tells who made the call being served.
-func PeerOf(ctx context.Context) Peer {
-	peer, _ := ctx.Value(peerKey{}).(Peer)
+// PeerFromContext tells who made the call being served.
+func PeerFromContext(ctx context.Context) Peer {
+	peer, _ := ctx.Value(peerContextKey{}).(Peer)
 	return peer
 }
 
 // Serve answers calls on listener until ctx ends. Roles not allowed are cut at the handshake.
-func (e *Ends) Serve(ctx context.Context, listener net.Listener, handler drpc.Handler, roles ...string) error {
-	server := drpcserver.NewWithOptions(counting{handler, &e.meter}, drpcserver.Options{Manager: e.limits()})
+func (t *Transport) Serve(ctx context.Context, listener net.Listener, handler drpc.Handler, roles ...string) error {
+	server := drpcserver.NewWithOptions(countingHandler{handler, &t.meter}, drpcserver.Options{Manager: t.managerOptions()})
 	allowed := map[string]bool{}
 	for _, role := range roles {
 		allowed[role] = true
@@ -383,45 +385,45 @@
 			return defect.Wrap(err, defect.Internal, "accept")
 		}
 		go func() {
-			secured, peer, err := e.greet(ctx, raw)
+			secured, peer, err := t.handshake(ctx, raw)
 			if err != nil || !allowed[peer.Role] {
 				// Counted first: whoever sees the end may look at the count.
-				e.Refused.Add(1)
+				t.RejectedPeers.Add(1)
 				secured.Close()
 				return
 			}
 			defer secured.Close()
 			// An error here is a peer that hung up or sent garbage; only the latter has a wire error.
-			if err := server.ServeOne(context.WithValue(ctx, peerKey{}, peer), secured); err != nil && ctx.Err() == nil && drpc.ProtocolError.Has(err) {
-				e.Refused.Add(1)
+			if err := server.ServeOne(context.WithValue(ctx, peerContextKey{}, peer), secured); err != nil && ctx.Err() == nil && drpc.ProtocolError.Has(err) {
+				t.RejectedPeers.Add(1)
 			}
 		}()
 	}
 }
 
-// greet learns who opened a link, within a bound.
-func (e *Ends) greet(ctx context.Context, raw net.Conn) (net.Conn, Peer, error) {
-	if tcp, is := raw.(*net.TCPConn); is {
-		_ = tcp.SetKeepAliveConfig(e.alive())
+// handshake learns who opened a link, within a bound.
+func (t *Transport) handshake(ctx context.Context, raw net.Conn) (net.Conn, Peer, error) {
+	if tcp, isTCP := raw.(*net.TCPConn); isTCP {
+		_ = tcp.SetKeepAliveConfig(t.keepAliveConfig())
 		if inner, err := tcp.SyscallConn(); err == nil {
-			_ = e.control("", "", inner)
+			_ = t.setUserTimeout("", "", inner)
 		}
 	}
-	raw = metered{socket.Of(raw), &e.meter}
-	if e.config == nil {
-		_ = raw.SetReadDeadline(time.Now().Add(e.dial * greetParts))
+	raw = countingConn{socket.Wrap(raw), &t.meter}
+	if t.tlsConfig == nil {
+		_ = raw.SetReadDeadline(time.Now().Add(t.dialTimeout * handshakeTimeoutFactor))
 		peer, err := readGreeting(raw)
 		_ = raw.SetReadDeadline(time.Time{})
 		return raw, peer, err
 	}
-	secured := tls.Server(raw, e.config)
-	greeting, cancel := context.WithTimeout(ctx, e.dial*greetParts)
+	secured := tls.Server(raw, t.tlsConfig)
+	handshakeCtx, cancel := context.WithTimeout(ctx, t.dialTimeout*handshakeTimeoutFactor)
 	defer cancel()
-	if err := secured.HandshakeContext(greeting); err != nil {
-		return secured, Peer{}, defect.Wrap(err, defect.Stranger, "handshake")
+	if err := secured.HandshakeContext(handshakeCtx); err != nil {
+		return secured, Peer{}, defect.Wrap(err, defect.Unauthorized, "handshake")
 	}
-	return secured, peerOf(secured.ConnectionState().PeerCertificates[0]), nil
+	return secured, peerFromCertificate(secured.ConnectionState().PeerCertificates[0]), nil
 }
 
 // Close ends all links that wait for a call.
-func (e *Ends) Close() { e.resting.close() }
+func (t *Transport) Close() { t.idle.close() }
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -18,24 +18,24 @@
 	"meadowhinge/schema"
 )
 
-// peerTold answers with who called.
-type peerTold struct {
+// peerRecorder answers with who called.
+type peerRecorder struct {
 	schema.DRPCHopUnimplementedServer
 	seen chan link.Peer
 }
 
-func (p *peerTold) Run(ctx context.Context, carry *schema.Carry) (*schema.Carried, error) {
-	p.seen <- link.PeerOf(ctx)
+func (p *peerRecorder) Run(ctx context.Context, carry *schema.Carry) (*schema.Carried, error) {
+	p.seen <- link.PeerFromContext(ctx)
 	return &schema.Carried{Request: carry.Request}, nil
 }
 
-func credentials(t *testing.T, authority *rehearsal.Authority, role, name string, services ...string) *link.Ends {
+func credentials(t *testing.T, authority *rehearsal.Authority, role, name string, services ...string) *link.Transport {
 	t.Helper()
 	file, err := authority.Issue(role, name, services)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ends, err := link.Load(file, authority.File())
+	ends, err := link.NewTLS(file, authority.File())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,26 +59,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := &peerTold{seen: make(chan link.Peer, 8)}
+	recorder := &peerRecorder{seen: make(chan link.Peer, 8)}
 	mux := drpcmux.New()
-	if err := schema.DRPCRegisterHop(mux, told); err != nil {
+	if err := schema.DRPCRegisterHop(mux, recorder); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx, listener, mux, "proxy") }()
 	address := listener.Addr().String()
-	call := func(ends *link.Ends) error {
+	call := func(ends *link.Transport) error {
 		bounded, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		_, err := schema.NewDRPCHopClient(ends.To(bounded, address)).Run(bounded, &schema.Carry{Request: "r"})
+		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, address)).Run(bounded, &schema.Carry{Request: "r"})
 		return err
 	}
 	awaitRefused := func(want uint64) {
 		t.Helper()
-		for deadline := time.Now().Add(20 * time.Second); server.Refused.Load() < want; {
+		for deadline := time.Now().Add(20 * time.Second); server.RejectedPeers.Load() < want; {
 			if time.Now().After(deadline) {
-				t.Fatalf("%d peers refused, want %d", server.Refused.Load(), want)
+				t.Fatalf("%d peers refused, want %d", server.RejectedPeers.Load(), want)
 			}
 			runtime.Gosched()
 		}
@@ -87,7 +87,7 @@
 	if err := call(friend); err != nil {
 		t.Fatal(err)
 	}
-	if peer := <-told.seen; peer.Name != "q" || !peer.Speaks("client") || peer.Speaks("shop") {
+	if peer := <-recorder.seen; peer.Name != "q" || !peer.MayCallAs("client") || peer.MayCallAs("shop") {
 		t.Errorf("the server saw %+v", peer)
 	}
 	if err := call(credentials(t, theirs, "proxy", "q", "client")); err == nil {
@@ -121,7 +121,7 @@
 }
 
 // A link that never opened says so: that is the proof that nothing was sent.
-func TestUnopenedLinkIsTold(t *testing.T) {
+func TestConnectFailureIsTyped(t *testing.T) {
 	authority, err := rehearsal.NewAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -133,15 +133,15 @@
 	address := listener.Addr().String()
 	listener.Close()
 	ends := credentials(t, authority, "proxy", "q")
-	_, err = schema.NewDRPCHopClient(ends.To(t.Context(), address)).Run(t.Context(), &schema.Carry{})
-	if defect.KindOf(err) != defect.LinkUnopened {
+	_, err = schema.NewDRPCHopClient(ends.Conn(t.Context(), address)).Run(t.Context(), &schema.Carry{})
+	if defect.CodeOf(err) != defect.PeerConnectFailed {
 		t.Errorf("got %v", err)
 	}
 }
 
 // A certificate is read again when its file changes; one that could not serve is refused, the
 // old one is kept, and why is shown.
-func TestCertificatesAreReadAgain(t *testing.T) {
+func TestCertificatesAreReloaded(t *testing.T) {
 	authority, err := rehearsal.NewAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -151,12 +151,12 @@
 		t.Fatal(err)
 	}
 	now := time.Now()
-	ends, err := link.Load(file, authority.File(), link.WithClock(func() time.Time { now = now.Add(2 * time.Second); return now }))
+	ends, err := link.NewTLS(file, authority.File(), link.WithClock(func() time.Time { now = now.Add(2 * time.Second); return now }))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ends.Close()
-	shown := func() link.Certificate { return ends.Certificate().(link.Certificate) }
+	shown := func() link.CertificateStatus { return ends.Certificate().(link.CertificateStatus) }
 	first := shown()
 	good, _ := os.ReadFile(file)
 	write := func(text []byte, later time.Duration) {
@@ -195,40 +195,40 @@
 			t.Errorf("%s: %+v", one.name, got)
 		}
 	}
-	if _, err := link.Load("/nowhere", authority.File()); defect.KindOf(err) != defect.BadOptions {
+	if _, err := link.NewTLS("/nowhere", authority.File()); defect.CodeOf(err) != defect.InvalidOptions {
 		t.Errorf("a file that is not there gave %v", err)
 	}
 }
 
 // A plain link tells who stands at its other end; who speaks another protocol, or in a role that
 // is not taken here, is cut off and counted.
-func TestPlainLinksGreet(t *testing.T) {
+func TestPlaintextHandshake(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := &peerTold{seen: make(chan link.Peer, 8)}
+	recorder := &peerRecorder{seen: make(chan link.Peer, 8)}
 	mux := drpcmux.New()
-	if err := schema.DRPCRegisterHop(mux, told); err != nil {
+	if err := schema.DRPCRegisterHop(mux, recorder); err != nil {
 		t.Fatal(err)
 	}
-	server := link.Plain("proxy", "p", nil)
+	server := link.NewPlaintext("proxy", "p", nil)
 	t.Cleanup(server.Close)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx, listener, mux, "proxy") }()
 	call := func(role string) error {
-		ends := link.Plain(role, "q", []string{"shop", "bag"})
+		ends := link.NewPlaintext(role, "q", []string{"shop", "bag"})
 		defer ends.Close()
 		bounded, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		_, err := schema.NewDRPCHopClient(ends.To(bounded, listener.Addr().String())).Run(bounded, &schema.Carry{Request: "r"})
+		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, listener.Addr().String())).Run(bounded, &schema.Carry{Request: "r"})
 		return err
 	}
 	if err := call("proxy"); err != nil {
 		t.Fatal(err)
 	}
-	if peer := <-told.seen; peer.Role != "proxy" || peer.Name != "q" || !peer.Speaks("bag") || peer.Speaks("other") {
+	if peer := <-recorder.seen; peer.Role != "proxy" || peer.Name != "q" || !peer.MayCallAs("bag") || peer.MayCallAs("other") {
 		t.Fatalf("%+v", peer)
 	}
 	if err := call("store"); err == nil {
@@ -242,7 +242,7 @@
 	if _, err := raw.Read(make([]byte, 1)); err == nil {
 		t.Fatal("another protocol was answered")
 	}
-	if refused := server.Refused.Load(); refused != 2 {
+	if refused := server.RejectedPeers.Load(); refused != 2 {
 		t.Fatalf("%d refused", refused)
 	}
 	cancel()
--- a/internal/link/pool.go
+++ b/internal/link/pool.go
@@ -16,31 +16,31 @@
 
 // Bounds on the links that wait for their next call.
 const (
-	idleMost   = time.Minute // before one is closed
-	sweepEvery = idleMost / 4
-	shelfMost  = 256 // to one address
+	maxIdleTime       = time.Minute // before one is closed
+	sweepInterval     = maxIdleTime / 4
+	maxIdlePerAddress = 256 // to one address
 )
 
-// shelf holds the links to one address that wait for their next call; the one used last is
+// idleConns holds the links to one address that wait for their next call; the one used last is
 // taken first, so that those too many fall idle and are closed.
-type shelf struct {
-	resting []resting
+type idleConns struct {
+	conns []idleConn
 }
 
-type resting struct {
+type idleConn struct {
 	conn  *drpcconn.Conn
 	since time.Time
 }
 
-// shelves hold all links that wait.
-type shelves struct {
+// connPool hold all links that wait.
+type connPool struct {
 	lock      sync.Mutex
-	byAddress map[string]*shelf
-	swept     time.Time
-	ended     bool
+	byAddress map[string]*idleConns
+	sweptAt   time.Time
+	closed    bool
 }
 
-func ended(conn *drpcconn.Conn) bool {
+func isClosed(conn *drpcconn.Conn) bool {
 	select {
 	case <-conn.Closed():
 		return true
@@ -49,19 +49,19 @@
 	}
 }
 
-// take gives a link that still stands, nil for none.
-func (s *shelves) take(address string) *drpcconn.Conn {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	held := s.byAddress[address]
-	if held == nil {
+// get gives a link that still stands, nil for none.
+func (p *connPool) get(address string) *drpcconn.Conn {
+	p.lock.Lock()
+	defer p.lock.Unlock()
+	waiting := p.byAddress[address]
+	if waiting == nil {
 		return nil
 	}
-	for count := len(held.resting); count > 0; count-- {
-		conn := held.resting[count-1].conn
-		held.resting[count-1] = resting{}
-		held.resting = held.resting[:count-1]
-		if !ended(conn) {
+	for count := len(waiting.conns); count > 0; count-- {
+		conn := waiting.conns[count-1].conn
+		waiting.conns[count-1] = idleConn{}
+		waiting.conns = waiting.conns[:count-1]
+		if !isClosed(conn) {
 			return conn
 		}
 	}
@@ -69,90 +69,90 @@
 }
 
 // put keeps a link for the next call, if it still stands.
-func (s *shelves) put(address string, conn *drpcconn.Conn) {
-	if ended(conn) {
+func (p *connPool) put(address string, conn *drpcconn.Conn) {
+	if isClosed(conn) {
 		return
 	}
 	now := time.Now()
-	s.lock.Lock()
-	held := s.byAddress[address]
-	if held == nil {
-		held = &shelf{}
-		s.byAddress[address] = held
+	p.lock.Lock()
+	waiting := p.byAddress[address]
+	if waiting == nil {
+		waiting = &idleConns{}
+		p.byAddress[address] = waiting
 	}
-	kept := !s.ended && len(held.resting) < shelfMost
-	if kept {
-		held.resting = append(held.resting, resting{conn, now})
+	retained := !p.closed && len(waiting.conns) < maxIdlePerAddress
+	if retained {
+		waiting.conns = append(waiting.conns, idleConn{conn, now})
 	}
-	var old []*drpcconn.Conn
-	if now.Sub(s.swept) > sweepEvery {
-		s.swept = now
-		old = s.sweep(now)
+	var expired []*drpcconn.Conn
+	if now.Sub(p.sweptAt) > sweepInterval {
+		p.sweptAt = now
+		expired = p.sweep(now)
 	}
-	s.lock.Unlock()
-	if !kept {
-		old = append(old, conn)
+	p.lock.Unlock()
+	if !retained {
+		expired = append(expired, conn)
 	}
-	for _, one := range old {
-		_ = one.Close()
+	for _, stale := range expired {
+		_ = stale.Close()
 	}
 }
 
 // sweep takes out the links that waited too long, and those that ended by themselves; the
 // caller holds the lock, and closes them.
-func (s *shelves) sweep(now time.Time) (old []*drpcconn.Conn) {
-	for address, held := range s.byAddress {
-		kept := held.resting[:0]
-		for _, one := range held.resting {
-			if ended(one.conn) || now.Sub(one.since) > idleMost {
-				old = append(old, one.conn)
+func (p *connPool) sweep(now time.Time) (expired []*drpcconn.Conn) {
+	for address, waiting := range p.byAddress {
+		retained := waiting.conns[:0]
+		for _, candidate := range waiting.conns {
+			if isClosed(candidate.conn) || now.Sub(candidate.since) > maxIdleTime {
+				expired = append(expired, candidate.conn)
 			} else {
-				kept = append(kept, one)
+				retained = append(retained, candidate)
 			}
 		}
-		clear(held.resting[len(kept):])
-		held.resting = kept
-		if len(kept) == 0 {
-			delete(s.byAddress, address)
+		clear(waiting.conns[len(retained):])
+		waiting.conns = retained
+		if len(retained) == 0 {
+			delete(p.byAddress, address)
 		}
 	}
-	return old
+	return expired
 }
 
 // close ends every link that waits; those at a call end with it.
-func (s *shelves) close() {
-	s.lock.Lock()
-	s.ended = true
-	all := s.byAddress
-	s.byAddress = map[string]*shelf{}
-	s.lock.Unlock()
-	for _, held := range all {
-		for _, one := range held.resting {
-			_ = one.conn.Close()
+func (p *connPool) close() {
+	p.lock.Lock()
+	p.closed = true
+	all := p.byAddress
+	p.byAddress = map[string]*idleConns{}
+	p.lock.Unlock()
+	for _, waiting := range all {
+		for _, entry := range waiting.conns {
+			_ = entry.conn.Close()
 		}
 	}
 }
 
-// reach is the way to one address: each call on it takes a link of its own.
-type reach struct {
-	ends    *Ends
-	address string
+// pooledConn is the way to one address: each call on it takes a link of its own.
+type pooledConn struct {
+	transport *Transport
+	address   string
 }
 
 // Close does nothing: what a reach uses outlives it.
-func (r reach) Close() error { return nil }
+func (r pooledConn) Close() error { return nil }
 
 // Closed is never: a reach opens another link where one ended.
-func (r reach) Closed() <-chan struct{} { return nil }
+func (r pooledConn) Closed() <-chan struct{} { return nil }
 
 // open gives a stream on a link to the address, with nothing sent on it yet.
-func (r reach) open(ctx context.Context, rpc string, enc drpc.Encoding) (*drpcconn.Conn, drpc.Stream, error) {
+func (c pooledConn) open(ctx context.Context, rpc string, enc drpc.Encoding) (*drpcconn.Conn, drpc.Stream, error) {
 	for {
-		conn := r.ends.resting.take(r.address)
+		conn := c.transport.idle.get(c.address)
 		fresh := conn == nil
 		if fresh {
 			var err error
-			if conn, err = r.ends.open(ctx, r.address); err != nil {
+			if conn, err = c.transport.dialConn(ctx, c.address); err != nil {
 				return nil, nil, err
 			}
 		}
@@ -163,51 +163,51 @@
 		_ = conn.Close()
 		// A link that ended while it waited carried nothing of this call.
 		if fresh || ctx.Err() != nil {
-			return nil, nil, defect.Wrap(err, defect.LinkUnopened, r.address)
+			return nil, nil, defect.Wrap(err, defect.PeerConnectFailed, c.address)
 		}
 	}
 }
 
 // release gives a link back after a call. One whose call was called off is being closed by the library,
 // which a next call must not meet.
-func (e *Ends) release(ctx context.Context, address string, conn *drpcconn.Conn) {
+func (t *Transport) release(ctx context.Context, address string, conn *drpcconn.Conn) {
 	if ctx.Err() != nil {
 		_ = conn.Close()
 		return
 	}
-	e.resting.put(address, conn)
+	t.idle.put(address, conn)
 }
 
-// messages are buffers to write messages into, before they go over a link.
-var messages = sync.Pool{New: func() any { return new([]byte) }}
+// messageBuffers are buffers to write messages into, before they go over a link.
+var messageBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// messageKept is the largest buffer that is kept for the next message.
-const messageKept = 64 << 10
+// maxPooledBufferBytes is the largest buffer that is kept for the next message.
+const maxPooledBufferBytes = 64 << 10
 
-// raw is what a stream can do beside the interface.
-type raw interface {
+// rawWriter is what a stream can do beside the interface.
+type rawWriter interface {
 	RawWrite(kind drpcwire.Kind, data []byte) error
 }
 
 // Invoke calls the other side. What is asked goes out with the word that nothing follows, and
 // the answer is read up to the same word from there: so each way is one write, and the link is
 // free again without either side having to say so once more.
-func (r reach) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
-	conn, stream, err := r.open(ctx, rpc, enc)
+func (c pooledConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
+	conn, stream, err := c.open(ctx, rpc, enc)
 	if err != nil {
 		return err
 	}
-	defer r.ends.release(ctx, r.address, conn)
+	defer c.transport.release(ctx, c.address, conn)
 	defer stream.Close()
-	buffer := messages.Get().(*[]byte)
-	asked, err := drpcenc.MarshalAppend(in, enc, (*buffer)[:0])
+	buffer := messageBuffers.Get().(*[]byte)
+	encoded, err := drpcenc.MarshalAppend(in, enc, (*buffer)[:0])
 	if err == nil {
-		err = stream.(raw).RawWrite(drpcwire.KindMessage, asked)
+		err = stream.(rawWriter).RawWrite(drpcwire.KindMessage, encoded)
 	}
-	if cap(asked) <= messageKept {
-		*buffer = asked
+	if cap(encoded) <= maxPooledBufferBytes {
+		*buffer = encoded
 	}
-	messages.Put(buffer)
+	messageBuffers.Put(buffer)
 	if err != nil {
 		return err
 	}
@@ -218,22 +218,22 @@
 		return err
 	}
 	// The answer is whole; that its end does not come says nothing against it.
-	_ = stream.MsgRecv(nil, nothingMore{})
+	_ = stream.MsgRecv(nil, endOfStreamEncoding{})
 	return nil
 }
 
-// nothingMore refuses to read a message where none may be.
-type nothingMore struct{}
+// endOfStreamEncoding refuses to read a message where none may be.
+type endOfStreamEncoding struct{}
 
-func (nothingMore) Marshal(drpc.Message) ([]byte, error) { return nil, io.ErrUnexpectedEOF }
-func (nothingMore) Unmarshal([]byte, drpc.Message) error { return io.ErrUnexpectedEOF }
+func (endOfStreamEncoding) Marshal(drpc.Message) ([]byte, error) { return nil, io.ErrUnexpectedEOF }
+func (endOfStreamEncoding) Unmarshal([]byte, drpc.Message) error { return io.ErrUnexpectedEOF }
 
 // NewStream opens a stream on a link of its own, which is free again when the stream is done.
-func (r reach) NewStream(ctx context.Context, rpc string, enc drpc.Encoding) (drpc.Stream, error) {
-	conn, stream, err := r.open(ctx, rpc, enc)
+func (c pooledConn) NewStream(ctx context.Context, rpc string, enc drpc.Encoding) (drpc.Stream, error) {
+	conn, stream, err := c.open(ctx, rpc, enc)
 	if err != nil {
 		return nil, err
 	}
-	context.AfterFunc(stream.Context(), func() { r.ends.release(ctx, r.address, conn) })
+	context.AfterFunc(stream.Context(), func() { c.transport.release(ctx, c.address, conn) })
 	return stream, nil
 }
--- a/internal/link/race_test.go
+++ b/internal/link/race_test.go
@@ -20,14 +20,14 @@
 	}
 	refused := errors.WithStack(syscall.ECONNREFUSED)
 	for name, one := range map[string]struct {
-		dial func(ctx context.Context, try int64) (net.Conn, error)
+		dial func(ctx context.Context, attempt int64) (net.Conn, error)
 		want error
 		most int64
 	}{
 		"the first answers": {most: 1, dial: func(context.Context, int64) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }},
-		"the third answers": {most: 1 << 20, dial: func(ctx context.Context, try int64) (net.Conn, error) {
-			if try < 3 {
-				return silent(ctx, try)
+		"the third answers": {most: 1 << 20, dial: func(ctx context.Context, attempt int64) (net.Conn, error) {
+			if attempt < 3 {
+				return silent(ctx, attempt)
 			}
 			a, _ := net.Pipe()
 			return a, nil
@@ -40,10 +40,10 @@
 			if one.most > 1 {
 				gap = time.Microsecond
 			}
-			var tries atomic.Int64
-			conn, err := race(t.Context(), gap, func(ctx context.Context) (net.Conn, error) { return one.dial(ctx, tries.Add(1)) })
-			if !errors.Is(err, one.want) || (err == nil) != (conn != nil) || tries.Load() > one.most {
-				t.Fatalf("got %v, %v after %d dials", conn, err, tries.Load())
+			var attempts atomic.Int64
+			conn, err := dialRepeatedly(t.Context(), gap, func(ctx context.Context) (net.Conn, error) { return one.dial(ctx, attempts.Add(1)) })
+			if !errors.Is(err, one.want) || (err == nil) != (conn != nil) || attempts.Load() > one.most {
+				t.Fatalf("got %v, %v after %d dials", conn, err, attempts.Load())
 			}
 			if conn != nil {
 				conn.Close()
@@ -52,9 +52,9 @@
 	}
 	t.Run("nobody answers", func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
-		var tries atomic.Int64
-		_, err := race(ctx, time.Microsecond, func(ctx context.Context) (net.Conn, error) {
-			if tries.Add(1) == 3 {
+		var attempts atomic.Int64
+		_, err := dialRepeatedly(ctx, time.Microsecond, func(ctx context.Context) (net.Conn, error) {
+			if attempts.Add(1) == 3 {
 				end()
 			}
 			return silent(ctx, 0)
@@ -66,9 +66,9 @@
 	t.Run("a late one is closed", func(t *testing.T) {
 		mine, theirs := net.Pipe()
 		won := make(chan struct{})
-		var tries atomic.Int64
-		conn, err := race(t.Context(), time.Microsecond, func(context.Context) (net.Conn, error) {
-			if tries.Add(1) == 1 {
+		var attempts atomic.Int64
+		conn, err := dialRepeatedly(t.Context(), time.Microsecond, func(context.Context) (net.Conn, error) {
+			if attempts.Add(1) == 1 {
 				<-won
 				return mine, nil
 			}
--- a/internal/link/traffic.go
+++ b/internal/link/traffic.go
@@ -20,48 +20,48 @@
 	Messages map[string]uint64 `json:"messages"` // that went either way in them
 }
 
-// Tell has whoever wants to know hear of the bytes that go out; it is set before the first link.
-func (e *Ends) Tell(carried func(bytes int)) { e.meter.carried = carried }
+// OnSent has whoever wants to know hear of the bytes that go out; it is set before the first link.
+func (t *Transport) OnSent(notify func(bytes int)) { t.meter.onSent = notify }
 
 // meter counts what goes over links.
 type meter struct {
 	in, out, opened atomic.Uint64
-	carried         func(bytes int) // hears of what goes out; may be nil
+	onSent          func(bytes int) // hears of what goes out; may be nil
 
 	lock             sync.Mutex
 	served, messages map[string]uint64
 }
 
 // Traffic tells what has gone over this process's links.
-func (e *Ends) Traffic() Traffic {
-	e.meter.lock.Lock()
-	defer e.meter.lock.Unlock()
-	return Traffic{In: e.meter.in.Load(), Out: e.meter.out.Load(), Opened: e.meter.opened.Load(), Served: maps.Clone(e.meter.served), Messages: maps.Clone(e.meter.messages)}
+func (t *Transport) Traffic() Traffic {
+	t.meter.lock.Lock()
+	defer t.meter.lock.Unlock()
+	return Traffic{In: t.meter.in.Load(), Out: t.meter.out.Load(), Opened: t.meter.opened.Load(), Served: maps.Clone(t.meter.served), Messages: maps.Clone(t.meter.messages)}
 }
 
-// metered counts the bytes of one link.
-type metered struct {
+// countingConn counts the bytes of one link.
+type countingConn struct {
 	net.Conn
 	meter *meter
 }
 
-func (m metered) Read(into []byte) (int, error) {
+func (m countingConn) Read(into []byte) (int, error) {
 	count, err := m.Conn.Read(into)
 	m.meter.in.Add(uint64(count))
 	return count, err
 }
 
-func (m metered) Write(from []byte) (int, error) {
+func (m countingConn) Write(from []byte) (int, error) {
 	count, err := m.Conn.Write(from)
 	m.meter.out.Add(uint64(count))
-	if m.meter.carried != nil {
-		m.meter.carried(count)
+	if m.meter.onSent != nil {
+		m.meter.onSent(count)
 	}
 	return count, err
 }
 
-// single are the calls that have one message each way.
-var single = func() map[string]bool {
+// unaryRPCs are the calls that have one message each way.
+var unaryRPCs = func() map[string]bool {
 	found := map[string]bool{}
 	services := schema.File_mesh_proto.Services()
 	for i := range services.Len() {
@@ -75,23 +75,23 @@
 	return found
 }()
 
-// counting counts the calls that a handler takes.
-type counting struct {
+// countingHandler counts the calls that a handler takes.
+type countingHandler struct {
 	drpc.Handler
 	meter *meter
 }
 
-func (c counting) HandleRPC(stream drpc.Stream, rpc string) error {
-	c.meter.note(&c.meter.served, rpc)
+func (c countingHandler) HandleRPC(stream drpc.Stream, rpc string) error {
+	c.meter.count(&c.meter.served, rpc)
 	// A single answer goes out with the word that nothing follows it, in one write.
-	if held, can := stream.(interface{ SetManualFlush(bool) }); can && single[rpc] {
-		held.SetManualFlush(true)
+	if flusher, isFlusher := stream.(interface{ SetManualFlush(bool) }); isFlusher && unaryRPCs[rpc] {
+		flusher.SetManualFlush(true)
 	}
-	return c.Handler.HandleRPC(heard{stream, c.meter, rpc}, rpc)
+	return c.Handler.HandleRPC(countingStream{stream, c.meter, rpc}, rpc)
 }
 
-// note counts one by its name.
-func (m *meter) note(counts *map[string]uint64, rpc string) {
+// count counts one by its name.
+func (m *meter) count(counts *map[string]uint64, rpc string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	if *counts == nil {
@@ -100,22 +100,22 @@
 	(*counts)[rpc]++
 }
 
-// heard counts the messages of one call.
-type heard struct {
+// countingStream counts the messages of one call.
+type countingStream struct {
 	drpc.Stream
 	meter *meter
 	rpc   string
 }
 
-func (h heard) MsgSend(message drpc.Message, encoding drpc.Encoding) error {
-	h.meter.note(&h.meter.messages, h.rpc)
-	return h.Stream.MsgSend(message, encoding)
+func (s countingStream) MsgSend(message drpc.Message, encoding drpc.Encoding) error {
+	s.meter.count(&s.meter.messages, s.rpc)
+	return s.Stream.MsgSend(message, encoding)
 }
 
-func (h heard) MsgRecv(message drpc.Message, encoding drpc.Encoding) error {
-	err := h.Stream.MsgRecv(message, encoding)
+func (s countingStream) MsgRecv(message drpc.Message, encoding drpc.Encoding) error {
+	err := s.Stream.MsgRecv(message, encoding)
 	if err == nil {
-		h.meter.note(&h.meter.messages, h.rpc)
+		s.meter.count(&s.meter.messages, s.rpc)
 	}
 	return err
 }
--- a/internal/link/traffic_test.go
+++ b/internal/link/traffic_test.go
@@ -20,17 +20,17 @@
 		t.Fatal(err)
 	}
 	mux := drpcmux.New()
-	if err := schema.DRPCRegisterHop(mux, &peerTold{seen: make(chan link.Peer, calls)}); err != nil {
+	if err := schema.DRPCRegisterHop(mux, &peerRecorder{seen: make(chan link.Peer, calls)}); err != nil {
 		t.Fatal(err)
 	}
-	server, client := link.Plain("proxy", "p", nil), link.Plain("proxy", "q", nil)
+	server, client := link.NewPlaintext("proxy", "p", nil), link.NewPlaintext("proxy", "q", nil)
 	t.Cleanup(server.Close)
 	t.Cleanup(client.Close)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
 	go func() { _ = server.Serve(ctx, listener, mux, "proxy") }()
 	for range calls {
-		if _, err := schema.NewDRPCHopClient(client.To(ctx, listener.Addr().String())).Run(ctx, &schema.Carry{Body: make([]byte, body)}); err != nil {
+		if _, err := schema.NewDRPCHopClient(client.Conn(ctx, listener.Addr().String())).Run(ctx, &schema.Carry{Body: make([]byte, body)}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/options/golden_test.go
+++ b/internal/options/golden_test.go
@@ -84,12 +84,12 @@
 	}
 	line := fmt.Sprintf("%s: kind=%s", strings.ReplaceAll(string(field.Name()), "_", "-"), field.Kind())
 	reflected := rule.ProtoReflect()
-	told := reflected.Descriptor().Fields()
-	for i := range told.Len() {
-		if told.Get(i).Name() == "help" {
+	ruleFields := reflected.Descriptor().Fields()
+	for i := range ruleFields.Len() {
+		if ruleFields.Get(i).Name() == "help" {
 			continue
 		}
-		line += fmt.Sprintf(" %s=%q", told.Get(i).Name(), reflected.Get(told.Get(i)).String())
+		line += fmt.Sprintf(" %s=%q", ruleFields.Get(i).Name(), reflected.Get(ruleFields.Get(i)).String())
 	}
 	return line + "\n"
 }
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -47,22 +47,22 @@
 
 // Parse fills target from args and the file named by --settings.
 func Parse(program string, args []string, target proto.Message, help io.Writer) error {
-	_, err := Read(program, args, target, help)
+	_, err := ParseWithFile(program, args, target, help)
 	return err
 }
 
-// Read fills target as Parse does, and tells which settings file was named, if any.
-func Read(program string, args []string, target proto.Message, help io.Writer) (file string, err error) {
+// ParseWithFile fills target as Parse does, and tells which settings file was named, if any.
+func ParseWithFile(program string, args []string, target proto.Message, help io.Writer) (file string, err error) {
 	set := flag.NewFlagSet(program, flag.ContinueOnError)
 	set.SetOutput(io.Discard)
-	named := set.String("settings", "", "file with one 'name value' a line; flags go before it")
-	shownVersion := set.Bool("version", false, "print the version and leave")
+	settingsFile := set.String("settings", "", "file with one 'name value' a line; flags go before it")
+	showVersion := set.Bool("version", false, "print the version and leave")
 	message := target.ProtoReflect()
 	fields := message.Descriptor().Fields()
 	values := make([]*string, fields.Len())
 	for i := 0; i < fields.Len(); i++ {
 		rule := ruleOf(fields.Get(i))
-		values[i] = set.String(flagName(fields.Get(i)), rule.Preset, describe(rule))
+		values[i] = set.String(flagName(fields.Get(i)), rule.Preset, describeRule(rule))
 	}
 	err = ff.Parse(set, args, ff.WithConfigFileFlag("settings"), ff.WithConfigFileParser(ff.PlainParser))
 	if errors.Is(err, flag.ErrHelp) {
@@ -72,9 +72,9 @@
 		return "", flag.ErrHelp
 	}
 	if err != nil {
-		return *named, Faults{err.Error()}
+		return *settingsFile, Faults{err.Error()}
 	}
-	if *shownVersion {
+	if *showVersion {
 		fmt.Fprintf(help, "%s %s\n", program, Version)
 		return "", flag.ErrHelp
 	}
@@ -82,18 +82,18 @@
 	if set.NArg() > 0 {
 		faults = append(faults, fmt.Sprintf("%s: takes no words besides its flags, got %q", program, set.Args()))
 	}
-	given := map[string]string{}
+	textByName := map[string]string{}
 	for i := range values {
-		given[flagName(fields.Get(i))] = *values[i]
+		textByName[flagName(fields.Get(i))] = *values[i]
 	}
 	for i := 0; i < fields.Len(); i++ {
 		field, rule := fields.Get(i), ruleOf(fields.Get(i))
 		// Some settings are needed only as long as another does not make them needless.
-		if name, value, depends := strings.Cut(rule.Unless, "="); depends && given[name] != value && *values[i] == "" {
+		if name, value, depends := strings.Cut(rule.Unless, "="); depends && textByName[name] != value && *values[i] == "" {
 			faults = append(faults, flagName(field)+": is required")
 			continue
 		}
-		value, reason := check(*values[i], field, rule)
+		value, reason := parseValue(*values[i], field, rule)
 		if reason != "" {
 			faults = append(faults, flagName(field)+": "+reason)
 			continue
@@ -103,12 +103,12 @@
 		}
 	}
 	if len(faults) > 0 {
-		return *named, faults
+		return *settingsFile, faults
 	}
-	return *named, nil
+	return *settingsFile, nil
 }
 
-func describe(rule *schema.Rule) string {
+func describeRule(rule *schema.Rule) string {
 	text := rule.Help
 	if rule.Least != "" || rule.Most != "" {
 		text += fmt.Sprintf(" (%s to %s)", rule.Least, rule.Most)
@@ -125,13 +125,13 @@
 	return text
 }
 
-// checkByForm turns the text of a setting into its value, or says what is wrong.
-var checkByForm = map[string]func(text string, rule *schema.Rule) (protoreflect.Value, string){
+// parseByForm turns the text of a setting into its value, or says what is wrong.
+var parseByForm = map[string]func(text string, rule *schema.Rule) (protoreflect.Value, string){
 	"text": func(text string, _ *schema.Rule) (protoreflect.Value, string) {
 		return protoreflect.ValueOfString(text), ""
 	},
-	"address":   checkAddresses(1),
-	"addresses": checkAddresses(3),
+	"address":   parseAddresses(1),
+	"addresses": parseAddresses(3),
 	"pairs": func(text string, _ *schema.Rule) (protoreflect.Value, string) {
 		seen := map[string]bool{}
 		for _, pair := range strings.Split(text, ",") {
@@ -183,7 +183,7 @@
 		return protoreflect.ValueOfInt64(value), ""
 	},
 	"choice": func(text string, rule *schema.Rule) (protoreflect.Value, string) {
-		if !slices.Contains(List(rule.Choices), text) {
+		if !slices.Contains(SplitList(rule.Choices), text) {
 			return protoreflect.Value{}, fmt.Sprintf("%q is not one of %s", text, rule.Choices)
 		}
 		return protoreflect.ValueOfString(text), ""
@@ -207,61 +207,61 @@
 	},
 }
 
-func checkAddresses(most int) func(string, *schema.Rule) (protoreflect.Value, string) {
+func parseAddresses(maxAddresses int) func(string, *schema.Rule) (protoreflect.Value, string) {
 	return func(text string, _ *schema.Rule) (protoreflect.Value, string) {
-		parts := strings.Split(text, ",")
-		if len(parts) > most {
-			return protoreflect.Value{}, fmt.Sprintf("takes at most %d addresses", most)
+		addresses := strings.Split(text, ",")
+		if len(addresses) > maxAddresses {
+			return protoreflect.Value{}, fmt.Sprintf("takes at most %d addresses", maxAddresses)
 		}
-		for _, part := range parts {
+		for _, address := range addresses {
 			// Only IP numbers are taken: where this runs there is no name service to lean on.
-			if _, err := netip.ParseAddrPort(part); err != nil {
-				return protoreflect.Value{}, fmt.Sprintf("%q is not IP:port", part)
+			if _, err := netip.ParseAddrPort(address); err != nil {
+				return protoreflect.Value{}, fmt.Sprintf("%q is not IP:port", address)
 			}
 		}
 		return protoreflect.ValueOfString(text), ""
 	}
 }
 
-func check(text string, field protoreflect.FieldDescriptor, rule *schema.Rule) (protoreflect.Value, string) {
+func parseValue(text string, field protoreflect.FieldDescriptor, rule *schema.Rule) (protoreflect.Value, string) {
 	if text == "" {
 		if rule.Required {
 			return protoreflect.Value{}, "is required"
 		}
 		return protoreflect.Value{}, ""
 	}
-	return checkByForm[rule.Form](text, rule)
+	return parseByForm[rule.Form](text, rule)
 }
 
-// Exit is the exit code for an error of Parse: 0 after help or version, else 2.
-func Exit(program string, err error, complaint io.Writer) int {
+// ExitCode is the exit code for an error of Parse: 0 after help or version, else 2.
+func ExitCode(program string, err error, output io.Writer) int {
 	if err == flag.ErrHelp {
 		return 0
 	}
 	var faults Faults
-	if list, ok := err.(Faults); ok {
+	if list, isFaults := err.(Faults); isFaults {
 		faults = list
 	} else {
 		faults = Faults{err.Error()}
 	}
 	for _, fault := range faults {
-		fmt.Fprintf(complaint, "%s: %s: %s\n", program, defect.BadOptions, fault)
+		fmt.Fprintf(output, "%s: %s: %s\n", program, defect.InvalidOptions, fault)
 	}
 	return 2
 }
 
-// List splits a setting that holds several values.
-func List(text string) []string {
+// SplitList splits a setting that holds several values.
+func SplitList(text string) []string {
 	if text == "" {
 		return nil
 	}
 	return strings.Split(text, ",")
 }
 
-// Pairs splits a setting of the form name=value by comma.
-func Pairs(text string) map[string]string {
+// SplitPairs splits a setting of the form name=value by comma.
+func SplitPairs(text string) map[string]string {
 	pairs := map[string]string{}
-	for _, pair := range List(text) {
+	for _, pair := range SplitList(text) {
 		name, value, _ := strings.Cut(pair, "=")
 		pairs[name] = value
 	}
--- a/internal/options/options_test.go
+++ b/internal/options/options_test.go
@@ -18,7 +18,7 @@
 	err := Parse("store", []string{"-seat", "a", "-listen", "localhost:1", "-seeds", "1,2", "-silence", "1ms", "-buffer", "many", "-data", t.TempDir(),
 		"-certificate", "/nowhere", "-probe-listen", "127.0.0.1:1"}, given, &bytes.Buffer{})
 	var complaint bytes.Buffer
-	if code := Exit("store", err, &complaint); code != 2 {
+	if code := ExitCode("store", err, &complaint); code != 2 {
 		t.Errorf("exit code %d", code)
 	}
 	for _, name := range []string{"order: is required", "listen: ", "seeds: ", "silence: ", "buffer: ", "certificate: ", "authority: is required"} {
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -10,19 +10,19 @@
 func BenchmarkMake(b *testing.B) {
 	for _, pool := range []int{5, 40} {
 		b.Run(fmt.Sprint(pool, " workers"), func(b *testing.B) {
-			var workers []Candidate
+			var workers []Endpoint
 			for i := range pool {
-				workers = append(workers, Candidate{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Area: []string{"near", "far", "away"}[i%3], Slots: 18, Running: i % 7, Pace: 1e8})
+				workers = append(workers, Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Zone: []string{"near", "far", "away"}[i%3], Slots: 18, Running: i % 7, ServiceTime: 1e8})
 			}
 			view := compiledOf(b, benchBodies, Directory{"shop": {"1": workers, "2": workers}})
-			request := asking("GET", "/a/x", nil)
+			request := newRequest("GET", "/a/x", nil)
 			request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
-			dice := rand.New(rand.NewPCG(1, 1))
-			var known Facts = facts{}
-			roll := dice.Float64
+			random := rand.New(rand.NewPCG(1, 1))
+			var local LocalState = fakeLocalState{}
+			roll := random.Float64
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Make(view, request, options, known, 0, roll); err != nil {
+				if _, err := Make(view, request, options, local, 0, roll); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -37,12 +37,12 @@
 // A plan allocates itself and its candidates, and no more, whatever its flag takes to decide.
 func TestMakeAllocatesLittle(t *testing.T) {
 	view := compiledOf(t, benchBodies, Directory{"shop": {"1": workers("a", "b", "far1"), "2": workers("c")}})
-	request := asking("GET", "/a/x", nil)
+	request := newRequest("GET", "/a/x", nil)
 	request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
-	dice := rand.New(rand.NewPCG(1, 1))
-	var known Facts = facts{}
-	roll := dice.Float64
-	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, known, 0, roll) })
+	random := rand.New(rand.NewPCG(1, 1))
+	var local LocalState = fakeLocalState{}
+	roll := random.Float64
+	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, local, 0, roll) })
 	if allocations > 2 && !underRace {
 		t.Errorf("%v allocations", allocations)
 	}
--- a/internal/plan/directory.go
+++ b/internal/plan/directory.go
@@ -8,7 +8,7 @@
 
 // DirectoryOf folds sources into a directory; since tells when each worker was first known, and
 // told when a source was heard.
-func DirectoryOf(sources []*schema.Source, since, told func(name string) time.Duration) Directory {
+func DirectoryOf(sources []*schema.Source, firstSeenAt, reportedAt func(name string) time.Duration) Directory {
 	directory := Directory{}
 	for _, source := range sources {
 		for _, worker := range source.Workers {
@@ -17,19 +17,19 @@
 			}
 			byVersion := directory[worker.Service]
 			if byVersion == nil {
-				byVersion = map[string][]Candidate{}
+				byVersion = map[string][]Endpoint{}
 				directory[worker.Service] = byVersion
 			}
-			candidate := Candidate{Instance: worker.Instance, Proxy: source.Name, Address: source.Address, Area: worker.Area, Load: worker.Load,
-				Slots: int(worker.Slots), Running: int(worker.Running), Waiting: int(worker.Waiting), Pace: time.Duration(worker.PaceNanos)}
-			if since != nil {
-				candidate.Since = since(worker.Instance)
+			endpoint := Endpoint{Instance: worker.Instance, Proxy: source.Name, Address: source.Address, Zone: worker.Area, Load: worker.Load,
+				Slots: int(worker.Slots), Running: int(worker.Running), Waiting: int(worker.Waiting), ServiceTime: time.Duration(worker.PaceNanos)}
+			if firstSeenAt != nil {
+				endpoint.FirstSeenAt = firstSeenAt(worker.Instance)
 			}
-			if told != nil {
-				candidate.Told = told(source.Name)
-				candidate.Warm = candidate.Told + time.Duration(worker.WarmNanos)
+			if reportedAt != nil {
+				endpoint.ReportedAt = reportedAt(source.Name)
+				endpoint.WarmUntil = endpoint.ReportedAt + time.Duration(worker.WarmNanos)
 			}
-			byVersion[worker.Version] = append(byVersion[worker.Version], candidate)
+			byVersion[worker.Version] = append(byVersion[worker.Version], endpoint)
 		}
 	}
 	return directory
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -14,22 +14,22 @@
 	"meadowhinge/schema"
 )
 
-type facts struct {
-	inFlight map[string]int
-	ejected  map[string]bool
-	held     bool
-	lost     map[string]bool
+type fakeLocalState struct {
+	inFlight    map[string]int
+	ejected     map[string]bool
+	blocked     bool
+	unreachable map[string]bool
 }
 
-func (f facts) See(one *Candidate, _ time.Duration) Seen {
-	lost := f.lost[one.Instance]
-	return Seen{InFlight: f.inFlight[one.Instance], Ejected: lost || f.ejected[one.Instance], Unreached: lost, Slots: one.Slots, Pace: one.Pace, Others: float64(one.Running + one.Waiting)}
+func (f fakeLocalState) Stats(endpoint *Endpoint, _ time.Duration) EndpointStats {
+	unreachable := f.unreachable[endpoint.Instance]
+	return EndpointStats{InFlight: f.inFlight[endpoint.Instance], Ejected: unreachable || f.ejected[endpoint.Instance], Unreachable: unreachable, Slots: endpoint.Slots, ServiceTime: endpoint.ServiceTime, OtherInFlight: float64(endpoint.Running + endpoint.Waiting)}
 }
-func (f facts) Held(string, string, time.Duration) bool { return f.held }
+func (f fakeLocalState) VersionBlocked(string, string, time.Duration) bool { return f.blocked }
 
 func viewOf(t *testing.T, directory Directory, more string) *View {
 	t.Helper()
-	items, faults := statement.Read([]byte(`
+	items, faults := statement.Parse([]byte(`
 service: shop: {versions: ["1", "2"], fallback: "1", callers: ["client"]}
 route: buy: {service: "shop", prefix: "/shop/buy", methods: ["POST"], horizon: "2s", key: "X-User"}
 route: look: {service: "shop", prefix: "/shop", horizon: "3s", key: "X-User", attributes: country: "X-Country"}
@@ -39,27 +39,27 @@
 	for i, item := range items {
 		item.Version = &schema.Version{Epoch: 1, Sequence: uint64(i + 1)}
 	}
-	made, found := setup.Compile(setup.State{}.With(items), 9)
+	config, found := setup.Compile(setup.State{}.With(items), 9)
 	if len(faults)+len(found) > 0 {
 		t.Fatal(faults, found)
 	}
-	return &View{Setup: made, Directory: directory}
+	return &View{Config: config, Directory: directory}
 }
 
-func asking(method, path string, headers map[string]string) *Request {
+func newRequest(method, path string, headers map[string]string) *Request {
 	return &Request{Caller: "client", Method: method, Path: path, Header: func(name string) (string, bool) { value, found := headers[name]; return value, found }}
 }
 
-var options = Options{Area: "near", HorizonMost: 10 * time.Second, Warmup: 10 * time.Second}
+var options = Options{Zone: "near", MaxDeadline: 10 * time.Second, Warmup: 10 * time.Second}
 
-func workers(names ...string) []Candidate {
-	var pool []Candidate
+func workers(names ...string) []Endpoint {
+	var pool []Endpoint
 	for _, name := range names {
 		area := "near"
 		if strings.HasPrefix(name, "far") {
 			area = "far"
 		}
-		pool = append(pool, Candidate{Instance: name, Area: area, Since: -time.Hour})
+		pool = append(pool, Endpoint{Instance: name, Zone: area, FirstSeenAt: -time.Hour})
 	}
 	return pool
 }
@@ -68,7 +68,7 @@
 	full := Directory{"shop": {"1": workers("old"), "2": workers("new")}}
 	trial := `release: r: {service: "shop", version: "2", target: 50, over: "1m"}`
 	user := map[string]string{"X-User": "ann"}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		directory Directory
 		more      string
 		held      bool
@@ -82,22 +82,22 @@
 		"no key":                        {full, "", false, nil, "1", flag.ReasonError, ""},
 		"an empty pool":                 {Directory{"shop": {"1": workers("old")}}, "", false, user, "1", ReasonPoolEmpty, "2"},
 		"on trial, and allowed":         {full, trial, false, user, "2", flag.ReasonFallthrough, ""},
-		"on trial, and held":            {full, trial, true, user, "1", ReasonHeld, "2"},
+		"on trial, and held":            {full, trial, true, user, "1", ReasonVersionBlocked, "2"},
 		"nobody of the pool is reached": {full, "", false, user, "1", ReasonPoolEmpty, "2"},
-		"held without any plan":         {full, "", true, user, "1", ReasonHeld, "2"},
+		"held without any plan":         {full, "", true, user, "1", ReasonVersionBlocked, "2"},
 		"the fallback is never held":    {full, "", true, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
-		"stopped":                       {full, `stop: "shop.2": {service: "shop", version: "2"}`, false, user, "1", ReasonHeld, "2"},
+		"stopped":                       {full, `stop: "shop.2": {service: "shop", version: "2"}`, false, user, "1", ReasonVersionBlocked, "2"},
 		"a stop that was lifted":        {full, `stop: "shop.2": {service: "shop", version: "2", lifted: true}`, false, user, "2", flag.ReasonFallthrough, ""},
 	} {
-		made, err := Make(viewOf(t, one.directory, one.more), asking("GET", "/shop/x", one.headers), options, facts{held: one.held, lost: map[string]bool{"new": name == "nobody of the pool is reached"}}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
+		callPlan, err := Make(viewOf(t, test.directory, test.more), newRequest("GET", "/shop/x", test.headers), options, fakeLocalState{blocked: test.held, unreachable: map[string]bool{"new": name == "nobody of the pool is reached"}}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		if v := made.Verdict; v.Version != one.version || v.Reason != one.reason || v.Evaluated != one.evaluated || v.Setup != 9 {
+		if v := callPlan.Verdict; v.Version != test.version || v.Reason != test.reason || v.Evaluated != test.evaluated || v.ConfigRevision != 9 {
 			t.Errorf("%s: %+v", name, v)
 		}
-		if len(made.Candidates) != 1 {
-			t.Errorf("%s: %v", name, made.Candidates)
+		if len(callPlan.Candidates) != 1 {
+			t.Errorf("%s: %v", name, callPlan.Candidates)
 		}
 	}
 }
@@ -105,26 +105,26 @@
 func TestRefusalsAndDeadlines(t *testing.T) {
 	view := viewOf(t, nil, "")
 	dice := rand.New(rand.NewPCG(1, 1)).Float64
-	if _, err := Make(view, asking("GET", "/other", nil), options, facts{}, 0, dice); defect.KindOf(err) != defect.NoRoute {
+	if _, err := Make(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, dice); defect.CodeOf(err) != defect.RouteNotFound {
 		t.Errorf("no route gave %v", err)
 	}
-	stranger := asking("GET", "/shop", nil)
+	stranger := newRequest("GET", "/shop", nil)
 	stranger.Caller = "saves"
-	if _, err := Make(view, stranger, options, facts{}, 0, dice); defect.KindOf(err) != defect.NotAllowed {
+	if _, err := Make(view, stranger, options, fakeLocalState{}, 0, dice); defect.CodeOf(err) != defect.CallerNotAllowed {
 		t.Errorf("a stranger gave %v", err)
 	}
-	for asked, want := range map[time.Duration]time.Duration{0: 2 * time.Second, time.Second: time.Second, time.Minute: 2 * time.Second} {
-		request := asking("POST", "/shop/buy", nil)
-		request.Asked = asked
-		if made, err := Make(view, request, options, facts{}, 0, dice); err != nil || made.Horizon != want || made.Class != setup.Once {
-			t.Errorf("asked %v: %v, %v", asked, made, err)
+	for callerDeadline, want := range map[time.Duration]time.Duration{0: 2 * time.Second, time.Second: time.Second, time.Minute: 2 * time.Second} {
+		request := newRequest("POST", "/shop/buy", nil)
+		request.CallerDeadline = callerDeadline
+		if callPlan, err := Make(view, request, options, fakeLocalState{}, 0, dice); err != nil || callPlan.Deadline != want || callPlan.Class != setup.ClassNonIdempotent {
+			t.Errorf("asked %v: %v, %v", callerDeadline, callPlan, err)
 		}
 	}
 }
 
 // A policy decides whether there is a call, before the flag decides its version.
 func TestPolicies(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		policy  string
 		headers map[string]string
 		holds   bool
@@ -137,13 +137,13 @@
 		"by the flag's key, missing": {`key != ""`, nil, false},
 	} {
 		view := viewOf(t, Directory{"shop": {"1": workers("old"), "2": workers("new")}}, fmt.Sprintf(`policy: only: expression: %q
-route: guarded: {service: "shop", prefix: "/shop/guarded", key: "X-User", attributes: country: "X-Country", policy: "only"}`, one.policy))
-		made, err := Make(view, asking("GET", "/shop/guarded", one.headers), options, facts{}, 0, rand.Float64)
-		if one.holds != (err == nil) || (err != nil && (defect.KindOf(err) != defect.PolicyRefused || made.Verdict.Reason != ReasonPolicy || len(made.Candidates) > 0)) {
-			t.Errorf("%s: %v, %+v", name, err, made)
+route: guarded: {service: "shop", prefix: "/shop/guarded", key: "X-User", attributes: country: "X-Country", policy: "only"}`, test.policy))
+		callPlan, err := Make(view, newRequest("GET", "/shop/guarded", test.headers), options, fakeLocalState{}, 0, rand.Float64)
+		if test.holds != (err == nil) || (err != nil && (defect.CodeOf(err) != defect.PolicyDenied || callPlan.Verdict.Reason != ReasonPolicy || len(callPlan.Candidates) > 0)) {
+			t.Errorf("%s: %v, %+v", name, err, callPlan)
 		}
 		// Another route of the service is not touched by it.
-		if _, err := Make(view, asking("GET", "/shop/x", one.headers), options, facts{}, 0, rand.Float64); err != nil {
+		if _, err := Make(view, newRequest("GET", "/shop/x", test.headers), options, fakeLocalState{}, 0, rand.Float64); err != nil {
 			t.Errorf("%s: a route without a policy: %v", name, err)
 		}
 	}
@@ -152,59 +152,59 @@
 // A key that can't be kept is refused where it would have mattered, and left alone elsewhere.
 func TestKeys(t *testing.T) {
 	view := viewOf(t, nil, "")
-	for _, one := range []struct {
+	for _, test := range []struct {
 		method, key string
 		keyed       bool
-		want        defect.Kind
+		want        defect.Code
 	}{
-		{"POST", "k", true, ""}, {"POST", "", false, ""}, {"POST", "", true, defect.Malformed},
-		{"POST", strings.Repeat("k", keyMost), true, ""}, {"POST", strings.Repeat("k", keyMost+1), true, defect.Malformed},
-		{"GET", "", true, ""}, {"GET", strings.Repeat("k", keyMost+1), true, ""},
+		{"POST", "k", true, ""}, {"POST", "", false, ""}, {"POST", "", true, defect.MalformedRequest},
+		{"POST", strings.Repeat("k", maxIdempotencyKeyBytes), true, ""}, {"POST", strings.Repeat("k", maxIdempotencyKeyBytes+1), true, defect.MalformedRequest},
+		{"GET", "", true, ""}, {"GET", strings.Repeat("k", maxIdempotencyKeyBytes+1), true, ""},
 	} {
-		request := asking(one.method, "/shop/buy", nil)
-		request.Keyed, request.Idempotency = one.keyed, one.key
-		_, err := Make(view, request, options, facts{}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
-		if (err == nil) != (one.want == "") || (err != nil && defect.KindOf(err) != one.want) {
-			t.Errorf("%s with a key of %d bytes: %v", one.method, len(one.key), err)
+		request := newRequest(test.method, "/shop/buy", nil)
+		request.HasIdempotencyKey, request.IdempotencyKey = test.keyed, test.key
+		_, err := Make(view, request, options, fakeLocalState{}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
+		if (err == nil) != (test.want == "") || (err != nil && defect.CodeOf(err) != test.want) {
+			t.Errorf("%s with a key of %d bytes: %v", test.method, len(test.key), err)
 		}
 	}
 }
 
 // How often each worker comes first, over many draws.
-func firsts(t *testing.T, pool []Candidate, f facts, now time.Duration) map[string]int {
+func countFirstPicks(t *testing.T, pool []Endpoint, local fakeLocalState, now time.Duration) map[string]int {
 	t.Helper()
-	dice := rand.New(rand.NewPCG(2, 2))
+	random := rand.New(rand.NewPCG(2, 2))
 	view := viewOf(t, Directory{"shop": {"2": pool}}, "")
 	counts := map[string]int{}
 	for range 1000 {
-		made, err := Make(view, asking("GET", "/shop/x", map[string]string{"X-User": "ann"}), options, f, now, dice.Float64)
-		if err != nil || len(made.Candidates) != len(pool) {
-			t.Fatal(made, err)
+		callPlan, err := Make(view, newRequest("GET", "/shop/x", map[string]string{"X-User": "ann"}), options, local, now, random.Float64)
+		if err != nil || len(callPlan.Candidates) != len(pool) {
+			t.Fatal(callPlan, err)
 		}
-		counts[made.Candidates[0].Instance]++
+		counts[callPlan.Candidates[0].Instance]++
 	}
 	return counts
 }
 
-func TestPlace(t *testing.T) {
-	if got := firsts(t, workers("a", "b", "far1"), facts{}, 0); got["far1"] > 0 || got["a"] < 400 || got["b"] < 400 {
+func TestPickEndpoints(t *testing.T) {
+	if got := countFirstPicks(t, workers("a", "b", "far1"), fakeLocalState{}, 0); got["far1"] > 0 || got["a"] < 400 || got["b"] < 400 {
 		t.Errorf("own zone first, evenly: %v", got)
 	}
-	if got := firsts(t, workers("a", "far1"), facts{inFlight: map[string]int{"a": 9}}, 0); got["far1"] != 1000 {
+	if got := countFirstPicks(t, workers("a", "far1"), fakeLocalState{inFlight: map[string]int{"a": 9}}, 0); got["far1"] != 1000 {
 		t.Errorf("an overloaded zone spills over: %v", got)
 	}
-	if got := firsts(t, workers("a", "b", "c"), facts{inFlight: map[string]int{"a": 5}}, 0); got["a"] > 0 {
+	if got := countFirstPicks(t, workers("a", "b", "c"), fakeLocalState{inFlight: map[string]int{"a": 5}}, 0); got["a"] > 0 {
 		t.Errorf("of two drawn, the busier goes second: %v", got)
 	}
-	if got := firsts(t, workers("a", "b"), facts{ejected: map[string]bool{"a": true}}, 0); got["a"] > 0 {
+	if got := countFirstPicks(t, workers("a", "b"), fakeLocalState{ejected: map[string]bool{"a": true}}, 0); got["a"] > 0 {
 		t.Errorf("an ejected worker comes last: %v", got)
 	}
-	if got := firsts(t, workers("a", "b"), facts{ejected: map[string]bool{"a": true, "b": true}}, 0); len(got) != 1 {
+	if got := countFirstPicks(t, workers("a", "b"), fakeLocalState{ejected: map[string]bool{"a": true, "b": true}}, 0); len(got) != 1 {
 		t.Errorf("at most half of a pool is ejected: %v", got)
 	}
 	young := workers("a", "b", "c")
-	young[0].Since = 0
-	if got := firsts(t, young, facts{inFlight: map[string]int{"b": 1, "c": 1}}, time.Second); got["a"] > 0 {
+	young[0].FirstSeenAt = 0
+	if got := countFirstPicks(t, young, fakeLocalState{inFlight: map[string]int{"b": 1, "c": 1}}, time.Second); got["a"] > 0 {
 		t.Errorf("a worker that warms up is spared: %v", got)
 	}
 }
@@ -213,14 +213,14 @@
 func TestKeysStay(t *testing.T) {
 	pool := workers("a", "b", "c", "d")
 	lost := map[string]bool{}
-	place := func(pool []Candidate, key string) string {
-		request := asking("POST", "/shop/buy", map[string]string{"X-User": "ann"})
-		request.Idempotency = key
-		made, err := Make(viewOf(t, Directory{"shop": {"2": pool}}, ""), request, options, facts{lost: lost}, 0, rand.Float64)
+	place := func(pool []Endpoint, key string) string {
+		request := newRequest("POST", "/shop/buy", map[string]string{"X-User": "ann"})
+		request.IdempotencyKey = key
+		callPlan, err := Make(viewOf(t, Directory{"shop": {"2": pool}}, ""), request, options, fakeLocalState{unreachable: lost}, 0, rand.Float64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return made.Candidates[0].Instance
+		return callPlan.Candidates[0].Instance
 	}
 	used := map[string]bool{}
 	for i := range 40 {
@@ -253,14 +253,14 @@
 		"route/named":       `{"service":"shop","prefix":"/named/","key":"X-User"}`,
 		"flag/release.shop": `{"on":true,"salt":"","variations":["1","2"],"offVariation":0,"fallthrough":{"variation":0},"targets":[{"variation":1,"values":["ann"]}]}`},
 		Directory{"shop": {"1": workers("old"), "2": workers("new")}})
-	for _, one := range []struct{ path, identity, header, version string }{
+	for _, test := range []struct{ path, identity, header, version string }{
 		{"/own/x", "ann", "", "2"}, {"/own/x", "bob", "ann", "1"}, {"/own/x", "", "ann", "1"}, {"/named/x", "bob", "ann", "2"}, {"/named/x", "ann", "", "1"},
 	} {
-		request := asking("GET", one.path, map[string]string{"X-User": one.header})
-		request.Identity = one.identity
-		made, err := Make(view, request, options, facts{}, 0, rand.Float64)
-		if err != nil || made.Verdict.Version != one.version {
-			t.Errorf("%+v: %+v, %v", one, made, err)
+		request := newRequest("GET", test.path, map[string]string{"X-User": test.header})
+		request.Identity = test.identity
+		callPlan, err := Make(view, request, options, fakeLocalState{}, 0, rand.Float64)
+		if err != nil || callPlan.Verdict.Version != test.version {
+			t.Errorf("%+v: %+v, %v", test, callPlan, err)
 		}
 	}
 }
@@ -272,11 +272,11 @@
 		kind, name, _ := strings.Cut(key, "/")
 		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Epoch: 1, Sequence: 1}})
 	}
-	made, faults := setup.Compile(setup.State{}.With(items), 9)
+	config, faults := setup.Compile(setup.State{}.With(items), 9)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	return &View{Setup: made, Directory: directory}
+	return &View{Config: config, Directory: directory}
 }
 
 // A split decides the service by weight and key, then the service's own flag decides its
@@ -287,11 +287,11 @@
 	at := func(names ...string) Directory {
 		directory := Directory{}
 		for _, name := range names {
-			directory[name] = map[string][]Candidate{"1": workers("at-" + name)}
+			directory[name] = map[string][]Endpoint{"1": workers("at-" + name)}
 		}
 		return directory
 	}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		directory Directory
 		lost      map[string]bool
 		caller    string
@@ -304,58 +304,58 @@
 		"one not reached":         {at("a", "b", "c"), map[string]bool{"at-a": true}, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
 		"empty for those who may": {at("b", "d"), nil, "client", map[string]int{"b": 900, "denied": 100}, 600},
 	} {
-		view := compiledOf(t, bodies, one.directory)
+		view := compiledOf(t, bodies, test.directory)
 		got, exceptions := map[string]int{}, 0
 		for i := range 1000 {
-			request := asking("GET", "/x", nil)
-			request.Identity, request.Caller = fmt.Sprint("key-", i), one.caller
-			made, err := Make(view, request, options, facts{lost: one.lost}, 0, rand.Float64)
+			request := newRequest("GET", "/x", nil)
+			request.Identity, request.Caller = fmt.Sprint("key-", i), test.caller
+			callPlan, err := Make(view, request, options, fakeLocalState{unreachable: test.lost}, 0, rand.Float64)
 			switch {
-			case defect.KindOf(err) == defect.NotAllowed && err != nil:
+			case defect.CodeOf(err) == defect.CallerNotAllowed && err != nil:
 				got["denied"]++
 				continue
 			case err != nil:
 				t.Fatal(name, err)
-			case len(made.Candidates) == 0:
+			case len(callPlan.Candidates) == 0:
 				got[""]++
 				continue
 			}
-			got[made.Service]++
-			if made.Split.Flag != "route.r" || made.Split.Version != made.Service || made.Candidates[0].Instance != "at-"+made.Service || made.Verdict.Flag != "release."+made.Service {
-				t.Errorf("%s: %+v", name, made)
+			got[callPlan.Service]++
+			if callPlan.Split.Flag != "route.r" || callPlan.Split.Version != callPlan.Service || callPlan.Candidates[0].Instance != "at-"+callPlan.Service || callPlan.Verdict.Flag != "release."+callPlan.Service {
+				t.Errorf("%s: %+v", name, callPlan)
 			}
-			if made.Split.Reason == ReasonSplitEmpty {
+			if callPlan.Split.Reason == ReasonSplitEmpty {
 				exceptions++
-				if made.Split.Evaluated == made.Service || made.Split.Evaluated == "" {
-					t.Errorf("%s: what the flag said is not kept: %+v", name, made.Split)
+				if callPlan.Split.Evaluated == callPlan.Service || callPlan.Split.Evaluated == "" {
+					t.Errorf("%s: what the flag said is not kept: %+v", name, callPlan.Split)
 				}
 			}
-			if again, _ := Make(view, request, options, facts{lost: one.lost}, 0, rand.Float64); again.Service != made.Service {
-				t.Errorf("%s: a key moved from %s to %s", name, made.Service, again.Service)
+			if again, _ := Make(view, request, options, fakeLocalState{unreachable: test.lost}, 0, rand.Float64); again.Service != callPlan.Service {
+				t.Errorf("%s: a key moved from %s to %s", name, callPlan.Service, again.Service)
 			}
 		}
-		for service, want := range one.shares {
+		for service, want := range test.shares {
 			if diff := got[service] - want; diff < -60 || diff > 60 {
 				t.Errorf("%s: %v", name, got)
 			}
 		}
-		if len(got) != len(one.shares) || exceptions < one.empty-60 || exceptions > one.empty+60 {
+		if len(got) != len(test.shares) || exceptions < test.empty-60 || exceptions > test.empty+60 {
 			t.Errorf("%s: %v, %d exceptions", name, got, exceptions)
 		}
 	}
 	// Without a key it is the first with weight, and an error.
-	made, err := Make(compiledOf(t, bodies, at("a")), asking("GET", "/x", nil), options, facts{}, 0, rand.Float64)
-	if err != nil || made.Service != "a" || made.Split.Reason != flag.ReasonError || made.Split.Error != flag.KeyMissing {
-		t.Errorf("no key: %+v, %v", made, err)
+	callPlan, err := Make(compiledOf(t, bodies, at("a")), newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
+	if err != nil || callPlan.Service != "a" || callPlan.Split.Reason != flag.ReasonError || callPlan.Split.Error != flag.KeyMissing {
+		t.Errorf("no key: %+v, %v", callPlan, err)
 	}
 }
 
 // A service of which no version is known yet gets no call, and the refusal can be counted.
 func TestNoVersionYet(t *testing.T) {
 	view := compiledOf(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
-	made, err := Make(view, asking("GET", "/x", nil), options, facts{}, 0, rand.Float64)
-	if err == nil || defect.KindOf(err) != defect.NoWorker || made == nil || made.Verdict.Reason != ReasonNoVersion || made.Service != "a" {
-		t.Errorf("%+v, %v", made, err)
+	callPlan, err := Make(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
+	if err == nil || defect.CodeOf(err) != defect.NoWorker || callPlan == nil || callPlan.Verdict.Reason != ReasonNoVersion || callPlan.Service != "a" {
+		t.Errorf("%+v, %v", callPlan, err)
 	}
 }
 
@@ -364,25 +364,25 @@
 func TestPackedCallsFillWorkersInTurn(t *testing.T) {
 	pool := workers("w2", "far1", "w1")
 	for i := range pool {
-		pool[i].Slots, pool[i].Pace = 10, 10*time.Millisecond
+		pool[i].Slots, pool[i].ServiceTime = 10, 10*time.Millisecond
 	}
 	dice := rand.New(rand.NewPCG(1, 2)).Float64
-	for name, one := range map[string]struct {
-		facts facts
+	for name, test := range map[string]struct {
+		facts fakeLocalState
 		want  string
 	}{
-		"all idle":                   {facts{}, "far1"},
-		"one has its part":           {facts{inFlight: map[string]int{"far1": 8}}, "w1"},
-		"one nearly has":             {facts{inFlight: map[string]int{"far1": 7}}, "far1"},
-		"two have theirs":            {facts{inFlight: map[string]int{"far1": 8, "w1": 9}}, "w2"},
-		"one is not reached":         {facts{lost: map[string]bool{"far1": true}}, "w1"},
-		"all are beyond their parts": {facts{inFlight: map[string]int{"far1": 9, "w1": 9, "w2": 9}}, ""},
+		"all idle":                   {fakeLocalState{}, "far1"},
+		"one has its part":           {fakeLocalState{inFlight: map[string]int{"far1": 8}}, "w1"},
+		"one nearly has":             {fakeLocalState{inFlight: map[string]int{"far1": 7}}, "far1"},
+		"two have theirs":            {fakeLocalState{inFlight: map[string]int{"far1": 8, "w1": 9}}, "w2"},
+		"one is not reached":         {fakeLocalState{unreachable: map[string]bool{"far1": true}}, "w1"},
+		"all are beyond their parts": {fakeLocalState{inFlight: map[string]int{"far1": 9, "w1": 9, "w2": 9}}, ""},
 	} {
 		for _, area := range []string{"near", "far"} {
 			for range 50 {
-				got := place(pool, true, 0, Options{Area: area, HorizonMost: time.Second}, one.facts, time.Second, dice)
-				if len(got) != len(pool) || one.want != "" && got[0].Instance != one.want {
-					t.Fatalf("%s, from %s: %v first of %d, want %s", name, area, got[0].Instance, len(got), one.want)
+				got := pickEndpoints(pool, true, 0, Options{Zone: area, MaxDeadline: time.Second}, test.facts, time.Second, dice)
+				if len(got) != len(pool) || test.want != "" && got[0].Instance != test.want {
+					t.Fatalf("%s, from %s: %v first of %d, want %s", name, area, got[0].Instance, len(got), test.want)
 				}
 			}
 		}
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -17,26 +17,26 @@
 
 // Bounds on a policy.
 const (
-	TextMost   = 1024 // bytes of its expression
-	nodesMost  = 256
-	memoryMost = 1 << 12 // what one evaluation may take, in the library's units
+	MaxExpressionBytes = 1024 // bytes of its expression
+	maxNodes           = 256
+	memoryBudget       = 1 << 12 // what one evaluation may take, in the library's units
 )
 
-// helpers are the functions a policy may use; none loops over what it is given.
-var helpers = []string{"len", "lower", "upper", "trim"}
+// allowedFunctions are the functions a policy may use; none loops over what it is given.
+var allowedFunctions = []string{"len", "lower", "upper", "trim"}
 
 // Context is what a policy sees of a call, besides the attributes that its route names.
 type Context struct {
-	Caller, Area, Method, Path, Key string
+	Caller, Zone, Method, Path, Key string
 	Attributes                      map[string]any
 }
 
-// names are the context's own; a route's attribute of the same name would hide one.
-var names = []string{"caller", "area", "method", "path", "key"}
+// contextNames are the context's own; a route's attribute of the same name would hide one.
+var contextNames = []string{"caller", "area", "method", "path", "key"}
 
-// Reserved tells whether a name is the context's own.
-func Reserved(name string) bool {
-	return slices.Contains(names, name)
+// IsReserved tells whether a name is the context's own.
+func IsReserved(name string) bool {
+	return slices.Contains(contextNames, name)
 }
 
 // Fault is why a policy was refused, and where.
@@ -51,66 +51,66 @@
 // Compile checks a policy's types and compiles it. With no attributes given (nil), any name may
 // stand for one: that is how a policy is checked which no route names yet.
 func Compile(expression string, attributes []string) (*Program, *Fault) {
-	if len(expression) > TextMost {
-		return nil, &Fault{1, TextMost + 1, fmt.Sprintf("takes at most %d bytes", TextMost)}
+	if len(expression) > MaxExpressionBytes {
+		return nil, &Fault{1, MaxExpressionBytes + 1, fmt.Sprintf("takes at most %d bytes", MaxExpressionBytes)}
 	}
-	surroundings := types.Map{}
+	environment := types.Map{}
 	for _, name := range attributes {
-		surroundings[name] = types.Any
+		environment[name] = types.Any
 	}
-	for _, name := range names {
-		surroundings[name] = types.String
+	for _, name := range contextNames {
+		environment[name] = types.String
 	}
-	bounds := []expr.Option{expr.Env(surroundings), expr.AsBool(), expr.WarnOnAny(), expr.MaxNodes(nodesMost), expr.DisableAllBuiltins()}
-	for _, name := range helpers {
-		bounds = append(bounds, expr.EnableBuiltin(name))
+	exprOptions := []expr.Option{expr.Env(environment), expr.AsBool(), expr.WarnOnAny(), expr.MaxNodes(maxNodes), expr.DisableAllBuiltins()}
+	for _, name := range allowedFunctions {
+		exprOptions = append(exprOptions, expr.EnableBuiltin(name))
 	}
 	if attributes == nil {
-		bounds = append(bounds, expr.AllowUndefinedVariables())
+		exprOptions = append(exprOptions, expr.AllowUndefinedVariables())
 	}
-	calls := &foreign{}
-	bounds = append(bounds, expr.Patch(calls))
-	code, err := expr.Compile(expression, bounds...)
-	if err == nil && calls.found != nil {
-		at := calls.found.Location()
+	checker := &callChecker{}
+	exprOptions = append(exprOptions, expr.Patch(checker))
+	code, err := expr.Compile(expression, exprOptions...)
+	if err == nil && checker.disallowed != nil {
+		at := checker.disallowed.Location()
 		return nil, &Fault{1, at.From + 1, "calls what is no helper of a policy"}
 	}
 	if err != nil {
 		fault := &Fault{1, 1, err.Error()}
-		var placed *file.Error
-		if errors.As(err, &placed) {
-			fault = &Fault{placed.Line, placed.Column + 1, placed.Message}
+		var exprErr *file.Error
+		if errors.As(err, &exprErr) {
+			fault = &Fault{exprErr.Line, exprErr.Column + 1, exprErr.Message}
 		}
 		return nil, fault
 	}
 	return &Program{code}, nil
 }
 
-// foreign finds calls of anything but helpers: what loops, and names that may stand for an
+// callChecker finds calls of anything but helpers: what loops, and names that may stand for an
 // attribute but are called like a function.
-type foreign struct{ found ast.Node }
+type callChecker struct{ disallowed ast.Node }
 
-func (f *foreign) Visit(node *ast.Node) {
-	switch one := (*node).(type) {
+func (c *callChecker) Visit(node *ast.Node) {
+	switch call := (*node).(type) {
 	case *ast.CallNode, *ast.PredicateNode:
-		f.found = one
+		c.disallowed = call
 	case *ast.BuiltinNode:
-		if !slices.Contains(helpers, one.Name) {
-			f.found = one
+		if !slices.Contains(allowedFunctions, call.Name) {
+			c.disallowed = call
 		}
 	}
 }
 
-// Holds tells whether a call may be planned. What cannot be evaluated does not hold: a policy
+// Allows tells whether a call may be planned. What cannot be evaluated does not hold: a policy
 // that let through what it cannot judge would protect nothing.
-func (p *Program) Holds(context Context) bool {
-	surroundings := map[string]any{}
+func (p *Program) Allows(context Context) bool {
+	environment := map[string]any{}
 	for name, value := range context.Attributes {
-		surroundings[name] = value
+		environment[name] = value
 	}
-	surroundings["caller"], surroundings["area"], surroundings["method"], surroundings["path"], surroundings["key"] = context.Caller, context.Area, context.Method, context.Path, context.Key
-	machine := vm.VM{MemoryBudget: memoryMost}
-	result, err := machine.Run(p.code, surroundings)
-	holds, is := result.(bool)
-	return err == nil && is && holds
+	environment["caller"], environment["area"], environment["method"], environment["path"], environment["key"] = context.Caller, context.Zone, context.Method, context.Path, context.Key
+	machine := vm.VM{MemoryBudget: memoryBudget}
+	result, err := machine.Run(p.code, environment)
+	allowed, isBool := result.(bool)
+	return err == nil && isBool && allowed
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestWhatPoliciesAreRefused(t *testing.T) {
+func TestCompileFaults(t *testing.T) {
 	for name, one := range map[string]struct {
 		text       string
 		attributes []string
@@ -18,7 +18,7 @@
 		"a name nobody has":          {`colour == "red"`, []string{"country"}, "unknown name colour"},
 		"a name no route has yet":    {`colour == "red"`, nil, ""},
 		"a number against a text":    {`method > 4`, []string{}, "mismatched types"},
-		"too long":                   {`caller == "` + strings.Repeat("x", TextMost) + `"`, nil, "at most 1024 bytes"},
+		"too long":                   {`caller == "` + strings.Repeat("x", MaxExpressionBytes) + `"`, nil, "at most 1024 bytes"},
 		"too many parts":             {strings.Repeat(`key=="" or `, 90) + `caller == "b"`, nil, "maximum allowed nodes"},
 		"a loop":                     {`all(1..1000000, # > 0)`, []string{}, "no helper"},
 		"a function that takes time": {`repeat(caller, 1000000) == ""`, []string{}, "unknown name repeat"},
@@ -34,8 +34,8 @@
 	}
 }
 
-func TestWhatHolds(t *testing.T) {
-	context := Context{Caller: "client", Area: "a", Method: "POST", Path: "/shop/buy", Key: "ann", Attributes: map[string]any{"country": "se", "age": 20.0}}
+func TestAllows(t *testing.T) {
+	context := Context{Caller: "client", Zone: "a", Method: "POST", Path: "/shop/buy", Key: "ann", Attributes: map[string]any{"country": "se", "age": 20.0}}
 	for text, want := range map[string]bool{
 		`caller == "client"`:                         true,
 		`caller != "client"`:                         false,
@@ -52,7 +52,7 @@
 			continue
 		}
 		for range 3 {
-			if got := program.Holds(context); got != want {
+			if got := program.Allows(context); got != want {
 				t.Errorf("%s: %v", text, got)
 			}
 		}
@@ -65,7 +65,7 @@
 	if fault != nil {
 		t.Fatal(fault)
 	}
-	if program.Holds(Context{Caller: "stranger", Attributes: map[string]any{"caller": "client"}}) {
+	if program.Allows(Context{Caller: "stranger", Attributes: map[string]any{"caller": "client"}}) {
 		t.Error("an attribute passed for the caller")
 	}
 }
--- a/internal/proxy/attend.go
+++ b/internal/proxy/attend.go
@@ -11,225 +11,225 @@
 	"meadowhinge/schema"
 )
 
-// settle finds an incarnation above all that registries saw of this proxy's name. Whatever is
+// establishIncarnation finds an incarnation above all that registries saw of this proxy's name. Whatever is
 // seen later that is higher still, mind goes beyond.
-func (s *Server) settle(ctx context.Context) {
+func (s *Server) establishIncarnation(ctx context.Context) {
 	for ctx.Err() == nil {
-		addresses := s.registries()
-		greeted := make(chan *schema.Greeted, len(addresses))
-		bounded, cancel := context.WithTimeout(ctx, s.lease/renewParts)
+		addresses := s.registryAddresses()
+		replies := make(chan *schema.Greeted, len(addresses))
+		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
 		for _, address := range addresses {
 			go func() {
-				back, err := schema.NewDRPCRegistryClient(s.ends.To(bounded, address)).Greet(bounded, &schema.Greeting{Proxy: s.options.Name})
+				reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Greet(bounded, &schema.Greeting{Proxy: s.initialOptions.Name})
 				if err != nil {
-					back = nil
+					reply = nil
 				}
-				greeted <- back
+				replies <- reply
 			}()
 		}
 		for range addresses {
-			if back := <-greeted; back != nil {
+			if reply := <-replies; reply != nil {
 				s.lock.Lock()
-				s.life = session.NextIncarnation(back.Incarnation)
-				s.incarnation, s.carrier.Incarnation = s.life, s.life
+				s.processIncarnation = session.NextIncarnation(reply.Incarnation)
+				s.sourceIncarnation, s.forwarder.Incarnation = s.processIncarnation, s.processIncarnation
 				s.lock.Unlock()
-				s.takeUp(back.Workers)
+				s.restoreWorker(reply.Workers)
 				// A call cut short would take its link with it.
-				time.AfterFunc(s.lease/renewParts, cancel)
+				time.AfterFunc(s.leaseDuration/renewalsPerLease, cancel)
 				return
 			}
 		}
 		cancel()
-		s.pause(ctx, retryParts)
+		s.sleepLeaseFraction(ctx, retryPauseDivisor)
 	}
 }
 
-// takeUp goes on with the worker beside this proxy that an earlier life of it told of.
-func (s *Server) takeUp(told []*schema.Worker) {
-	if s.options.Beside == "" || s.speeches.ids == 0 || len(told) != 1 {
+// restoreWorker goes on with the worker beside this proxy that an earlier life of it told of.
+func (s *Server) restoreWorker(reported []*schema.Worker) {
+	if s.initialOptions.Beside == "" || s.extensions.workerIDHeartbeat == 0 || len(reported) != 1 {
 		return
 	}
-	worker := told[0]
-	s.workers.TakeUp(dispatch.Description{ID: worker.Instance, Address: s.options.Beside, Service: worker.Service, Version: worker.Version, Area: worker.Area,
-		Slots: worker.Slots, WarmMS: time.Duration(worker.WarmNanos).Milliseconds(), BeatMS: s.speeches.ids.Milliseconds()})
+	worker := reported[0]
+	s.workers.Restore(dispatch.WorkerDescription{ID: worker.Instance, Address: s.initialOptions.Beside, Service: worker.Service, Version: worker.Version, Zone: worker.Area,
+		Slots: worker.Slots, WarmupMS: time.Duration(worker.WarmNanos).Milliseconds(), HeartbeatMS: s.extensions.workerIDHeartbeat.Milliseconds()})
 }
 
-// mind looks for what is said of this proxy itself: where an earlier life's word is higher than
+// checkSuperseded looks for what is said of this proxy itself: where an earlier life's word is higher than
 // its own, or its own life was taken for ended, it tells of itself anew under a higher one.
-func (s *Server) mind(sources []*schema.Source) {
+func (s *Server) checkSuperseded(sources []*schema.Source) {
 	for _, source := range sources {
-		if source.Name != s.options.Name {
+		if source.Name != s.initialOptions.Name {
 			continue
 		}
 		s.lock.Lock()
-		seen := source.Stamp.GetIncarnation()
-		overtaken := session.Overtaken(s.incarnation, seen, source.Stamp.GetEnded())
-		if overtaken {
-			s.incarnation = session.NextIncarnation(seen)
+		listedIncarnation := source.Stamp.GetIncarnation()
+		superseded := session.IsSuperseded(s.sourceIncarnation, listedIncarnation, source.Stamp.GetEnded())
+		if superseded {
+			s.sourceIncarnation = session.NextIncarnation(listedIncarnation)
 		}
 		s.lock.Unlock()
-		if overtaken {
+		if superseded {
 			s.log.V(1).Info("another life of this proxy was listed; telling anew")
-			s.workersChanged()
+			s.publishWorkers()
 		}
 	}
 }
 
-// sitting is one session as it is kept up.
-type sitting struct {
-	address string
-	end     context.CancelFunc
-	trial   bool // beside the session that counts
+// registrySession is one session as it is kept up.
+type registrySession struct {
+	address   string
+	cancel    context.CancelFunc
+	candidate bool // beside the session that counts
 }
 
-// heard is what came of a session: a sign of life, or its end.
-type heard struct {
-	sitting *sitting
-	news    *schema.News // nil for the end
+// sessionEvent is what came of a session: a sign of life, or its end.
+type sessionEvent struct {
+	session *registrySession
+	update  *schema.News // nil for the end
 	err     error
 }
 
-// newTie makes the tie of this proxy as its settings have it.
-func (s *Server) newTie() *session.Tie {
-	return session.NewTie(session.TieOptions{Name: s.options.Name, Area: s.options.Area, Beat: s.lease / session.BeatParts, Silence: s.lease / session.SilenceParts,
-		Lag: time.Duration(float64(s.lease) / session.LagParts), Back: s.lease}, options.List(s.options.Seeds))
+// newRegistrySelector makes the tie of this proxy as its settings have it.
+func (s *Server) newRegistrySelector() *session.RegistrySelector {
+	return session.NewRegistrySelector(session.SelectorOptions{ProxyName: s.initialOptions.Name, Zone: s.initialOptions.Area, HeartbeatInterval: s.leaseDuration / session.HeartbeatsPerLease, HeartbeatTimeout: s.leaseDuration / session.HeartbeatTimeoutDivisor,
+		MaxStaleness: time.Duration(float64(s.leaseDuration) / session.MaxStalenessDivisor), FailureCooldown: s.leaseDuration}, options.SplitList(s.initialOptions.Seeds))
 }
 
-// keepTie keeps a session with a registry.
-func (s *Server) keepTie(ctx context.Context) {
-	came := make(chan heard)
-	sittings := map[string]*sitting{}
+// maintainSession keeps a session with a registry.
+func (s *Server) maintainSession(ctx context.Context) {
+	events := make(chan sessionEvent)
+	sessions := map[string]*registrySession{}
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		var acts []session.TieAct
+		var actions []session.Action
 		select {
 		case <-ctx.Done():
 			return
-		case one := <-came:
+		case event := <-events:
 			// What is left of a session that was ended here says nothing of the next one.
-			if sittings[one.sitting.address] != one.sitting {
+			if sessions[event.session.address] != event.session {
 				continue
 			}
-			if acts = s.sat(one); one.news == nil {
-				one.sitting.end()
-				delete(sittings, one.sitting.address)
+			if actions = s.recordSessionEvent(event); event.update == nil {
+				event.session.cancel()
+				delete(sessions, event.session.address)
 			}
 		case <-timer.C:
 			s.lock.Lock()
-			acts = s.tie.Tick(s.now())
+			actions = s.registrySelector.Tick(s.now())
 			s.lock.Unlock()
 		}
-		for _, act := range acts {
-			s.log.V(1).Info("registry", "at", act.Address, "opened", act.Open, "why", act.Why)
-			if held := sittings[act.Address]; held != nil {
-				held.end()
-				delete(sittings, act.Address)
+		for _, action := range actions {
+			s.log.V(1).Info("registry", "at", action.Address, "opened", action.Open, "why", action.Reason)
+			if existing := sessions[action.Address]; existing != nil {
+				existing.cancel()
+				delete(sessions, action.Address)
 			}
-			if act.Open {
-				bounded, end := context.WithCancel(ctx)
-				sittings[act.Address] = &sitting{act.Address, end, act.Trial}
-				go s.attend(bounded, sittings[act.Address], act.Trial, came)
+			if action.Open {
+				bounded, cancel := context.WithCancel(ctx)
+				sessions[action.Address] = &registrySession{action.Address, cancel, action.Candidate}
+				go s.subscribe(bounded, sessions[action.Address], action.Candidate, events)
 			}
 		}
-		s.workers.Sweep()
+		s.workers.DropUnresponsive()
 		s.lock.Lock()
-		next, current := s.tie.Next(s.now()), sittings[s.tie.Current()]
+		nextTickAt, current := s.registrySelector.NextTick(s.now()), sessions[s.registrySelector.Current()]
 		s.lock.Unlock()
 		// A session on trial that is taken makes its registry the one to mind this proxy.
-		if current != nil && current.trial {
-			current.trial = false
-			poke(s.tellNow)
+		if current != nil && current.candidate {
+			current.candidate = false
+			wake(s.reportNow)
 		}
-		timer.Reset(next - s.now())
+		timer.Reset(nextTickAt - s.now())
 	}
 }
 
-// sat tells the tie what came of a session.
-func (s *Server) sat(one heard) []session.TieAct {
+// recordSessionEvent tells the tie what came of a session.
+func (s *Server) recordSessionEvent(event sessionEvent) []session.Action {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if one.news == nil {
-		s.log.V(1).Info("session ended", "registry", one.sitting.address, "why", defect.KindOf(one.err))
-		return s.tie.Ended(s.now(), one.sitting.address)
+	if event.update == nil {
+		s.log.V(1).Info("session ended", "registry", event.session.address, "why", defect.CodeOf(event.err))
+		return s.registrySelector.RecordSessionEnd(s.now(), event.session.address)
 	}
-	s.tie.Cores(one.news.Cores)
-	return s.tie.Heard(s.now(), one.sitting.address, one.news.Vouched, time.Duration(one.news.AgeNanos))
+	s.registrySelector.SetCoreMembers(event.update.Cores)
+	return s.registrySelector.RecordHeartbeat(s.now(), event.session.address, event.update.Vouched, time.Duration(event.update.AgeNanos))
 }
 
-// attend has one session with a registry. One on trial tells nothing of this proxy: were it given
+// subscribe has one session with a registry. One on trial tells nothing of this proxy: were it given
 // up, its registry would take the proxy for gone, though it has a session elsewhere.
-func (s *Server) attend(ctx context.Context, sitting *sitting, trial bool, came chan<- heard) {
-	tell := func(one heard) {
+func (s *Server) subscribe(ctx context.Context, registry *registrySession, candidate bool, events chan<- sessionEvent) {
+	send := func(event sessionEvent) {
 		select {
-		case came <- one:
+		case events <- event:
 		case <-ctx.Done():
 		}
 	}
-	held, asked := s.journal.View(), &schema.Attending{Node: s.options.Name, Trial: trial, BeatNanos: int64(s.lease / session.BeatParts), LeaseNanos: int64(s.lease)}
-	if !trial {
-		asked.Source = s.source()
-		held = s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{asked.Source}})
+	state, request := s.journal.View(), &schema.Attending{Node: s.initialOptions.Name, Trial: candidate, BeatNanos: int64(s.leaseDuration / session.HeartbeatsPerLease), LeaseNanos: int64(s.leaseDuration)}
+	if !candidate {
+		request.Source = s.localSource()
+		state = s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{request.Source}})
 	}
-	asked.Vector, asked.Setup = held.Vector(), held.setup.Sequence
-	stream, err := schema.NewDRPCRegistryClient(s.ends.To(ctx, sitting.address)).Attend(ctx, asked)
+	request.Vector, request.Setup = state.Vector(), state.config.Revision
+	stream, err := schema.NewDRPCRegistryClient(s.transport.Conn(ctx, registry.address)).Attend(ctx, request)
 	for err == nil {
-		var news *schema.News
-		if news, err = stream.Recv(); err == nil {
-			s.takeNews(news)
-			tell(heard{sitting, news, nil})
+		var update *schema.News
+		if update, err = stream.Recv(); err == nil {
+			s.applyUpdate(update)
+			send(sessionEvent{registry, update, nil})
 		}
 	}
-	tell(heard{sitting, nil, err})
+	send(sessionEvent{registry, nil, err})
 }
 
-// takeNews folds what a registry sent into the picture.
-func (s *Server) takeNews(news *schema.News) {
+// applyUpdate folds what a registry sent into the picture.
+func (s *Server) applyUpdate(update *schema.News) {
 	now := s.now()
-	before := s.journal.View().setup.Sequence
-	if len(news.Sources) > 0 || news.Setup > before {
-		view := s.journal.Append(Event{At: now, Setup: news.Setup, Items: news.Items, Whole: news.Whole, Sources: news.Sources})
-		s.facts.Keep(view.Known())
-		if view.setup.Sequence != before {
-			s.log.V(1).Info("setup", "sequence", view.setup.Sequence)
-			poke(s.lookNow)
+	previousRevision := s.journal.View().config.Revision
+	if len(update.Sources) > 0 || update.Setup > previousRevision {
+		state := s.journal.Append(Event{At: now, ConfigRevision: update.Setup, Items: update.Items, Complete: update.Whole, Sources: update.Sources})
+		s.outliers.Retain(state.KnownWorkers())
+		if state.config.Revision != previousRevision {
+			s.log.V(1).Info("setup", "sequence", state.config.Revision)
+			wake(s.configChanged)
 		}
 	}
-	s.mind(news.Sources)
+	s.checkSuperseded(update.Sources)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.learn(news.Cores)
-	if len(news.Cores) > 0 {
-		s.seats = len(news.Cores)
+	s.recordCoreMembers(update.Cores)
+	if len(update.Cores) > 0 {
+		s.coreSize = len(update.Cores)
 	}
-	if news.Members > 0 {
-		s.told = int64(news.Members)
+	if update.Members > 0 {
+		s.reportedFleetSize = int64(update.Members)
 	}
-	s.members.Store(s.fleet.Note(now, s.told))
+	s.fleetSize.Store(s.fleetSizeEstimate.Observe(now, s.reportedFleetSize))
 	// All that this registry had when it said so is in the picture now.
-	if at := now - time.Duration(news.AgeNanos); news.Vouched && at > s.vouched {
-		s.vouched = at
+	if freshAsOf := now - time.Duration(update.AgeNanos); update.Vouched && freshAsOf > s.freshAsOf {
+		s.freshAsOf = freshAsOf
 	}
 }
 
-// picture tells with which registry this proxy is in session and how old its picture may be.
-func (s *Server) picture() (address string, age time.Duration, vouched bool) {
+// sessionState tells with which registry this proxy is in session and how old its picture may be.
+func (s *Server) sessionState() (address string, staleness time.Duration, known bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.tie.Current(), s.now() - s.vouched, s.vouched > 0
+	return s.registrySelector.Current(), s.now() - s.freshAsOf, s.freshAsOf > 0
 }
 
-// farewell tells that this proxy ends, so that nobody waits for it to come back.
-func (s *Server) farewell() {
-	address, _ := s.feedAddress()
-	if !serving(s.options) || address == "" {
+// announceShutdown tells that this proxy ends, so that nobody waits for it to come back.
+func (s *Server) announceShutdown() {
+	address, _ := s.currentRegistry()
+	if !servesStale(s.initialOptions) || address == "" {
 		return
 	}
-	source := s.source()
+	source := s.localSource()
 	source.Workers, source.Ended = nil, true
-	bounded, cancel := context.WithTimeout(context.Background(), s.lease/renewParts)
+	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
 	defer cancel()
-	if _, err := schema.NewDRPCRegistryClient(s.ends.To(bounded, address)).Tell(bounded, &schema.Report{Proxy: s.options.Name, Incarnation: s.life, Source: source}); err != nil {
-		s.log.V(1).Info("left without a farewell", "why", defect.KindOf(err))
+	if _, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Tell(bounded, &schema.Report{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source}); err != nil {
+		s.log.V(1).Info("left without a farewell", "why", defect.CodeOf(err))
 	}
 }
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -12,143 +12,143 @@
 	"meadowhinge/internal/defect"
 )
 
-// readBody reads the body that the head tells of.
-func (c *connection) readBody(limits bounds) ([]byte, error) {
+// bufferBody reads the body that the head tells of.
+func (c *connection) readBody(limits requestLimits) ([]byte, error) {
 	switch {
-	case c.head.length > int64(limits.body):
-		return nil, defect.New(defect.TooLarge, strconv.FormatInt(c.head.length, 10)+" bytes")
-	case c.head.length == 0 && !c.head.chunked:
+	case c.header.contentLength > int64(limits.bodyBytes):
+		return nil, defect.New(defect.BodyTooLarge, strconv.FormatInt(c.header.contentLength, 10)+" bytes")
+	case c.header.contentLength == 0 && !c.header.chunked:
 		return nil, nil
-	case c.head.expects && c.at == c.have:
+	case c.header.expectsContinue && c.bufferStart == c.bufferEnd:
 		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return nil, io.ErrUnexpectedEOF
 		}
 	}
-	if c.head.chunked {
-		return c.readChunks(limits)
+	if c.header.chunked {
+		return c.readChunkedBody(limits)
 	}
-	return c.take(nil, int(c.head.length), limits)
+	return c.appendBody(nil, int(c.header.contentLength), limits)
 }
 
-// take appends so many bytes of the body; room is made as they come, not as they are promised.
-func (c *connection) take(body []byte, count int, limits bounds) ([]byte, error) {
-	buffered := min(count, c.have-c.at)
-	if err := c.hold(int64(len(body) + count)); err != nil {
+// appendBody appends so many bytes of the body; room is made as they come, not as they are promised.
+func (c *connection) appendBody(body []byte, count int, limits requestLimits) ([]byte, error) {
+	buffered := min(count, c.bufferEnd-c.bufferStart)
+	if err := c.reserveBody(int64(len(body) + count)); err != nil {
 		return nil, err
 	}
 	if body == nil {
-		body = make([]byte, 0, min(count, bodyStep))
+		body = make([]byte, 0, min(count, smallBodyBytes))
 	}
-	body = append(body, c.buffer[c.at:c.at+buffered]...)
-	c.at += buffered
+	body = append(body, c.buffer[c.bufferStart:c.bufferStart+buffered]...)
+	c.bufferStart += buffered
 	for count -= buffered; count > 0; {
 		if len(body) == cap(body) {
-			larger := make([]byte, len(body), min(len(body)+count, bodyTimes*cap(body)+bodyStep))
+			larger := make([]byte, len(body), min(len(body)+count, bodyGrowthFactor*cap(body)+smallBodyBytes))
 			copy(larger, body)
 			body = larger
 		}
-		room := body[len(body):min(cap(body), len(body)+count)]
-		c.wait(time.Now(), limits.quiet)
-		got, err := c.conn.Read(room)
-		if got == 0 && err != nil {
-			return nil, endOfBody(err)
+		free := body[len(body):min(cap(body), len(body)+count)]
+		c.setReadTimeout(time.Now(), limits.idleTimeout)
+		received, err := c.conn.Read(free)
+		if received == 0 && err != nil {
+			return nil, bodyReadError(err)
 		}
-		body, count = body[:len(body)+got], count-got
+		body, count = body[:len(body)+received], count-received
 	}
 	return body, nil
 }
 
-// hold counts a large body against the room that all share; where there is none it is refused,
+// reserveBody counts a large body against the room that all share; where there is none it is refused,
 // for what a process may take of memory is bounded, and over the bound all its calls end.
-func (c *connection) hold(size int64) error {
-	if size <= bodyStep {
+func (c *connection) reserveBody(size int64) error {
+	if size <= smallBodyBytes {
 		return nil
 	}
-	more := size - c.held
-	if c.front.taken.Add(more) > c.front.room {
-		c.front.taken.Add(-more)
-		return defect.New(defect.BufferFull, "too many large bodies at once")
+	additional := size - c.reservedBytes
+	if c.listener.largeBodyBytes.Add(additional) > c.listener.largeBodyCapacity {
+		c.listener.largeBodyBytes.Add(-additional)
+		return defect.New(defect.QueueFull, "too many large bodies at once")
 	}
-	c.held = size
+	c.reservedBytes = size
 	return nil
 }
 
-// giveBack makes the room free that a body took.
-func (c *connection) giveBack() {
-	if c.held > 0 {
-		c.front.taken.Add(-c.held)
-		c.held = 0
+// releaseBody makes the room free that a body took.
+func (c *connection) releaseBody() {
+	if c.reservedBytes > 0 {
+		c.listener.largeBodyBytes.Add(-c.reservedBytes)
+		c.reservedBytes = 0
 	}
 }
 
-func endOfBody(err error) error {
+func bodyReadError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return defect.Wrap(err, defect.TooSlow, "body")
+		return defect.Wrap(err, defect.RequestTimeout, "body")
 	}
 	return io.ErrUnexpectedEOF
 }
 
-// line reads a line within a chunked body, without its end.
-func (c *connection) line(most int, limits bounds) ([]byte, error) {
+// readChunkLine reads a line within a chunked body, without its end.
+func (c *connection) readChunkLine(maxBytes int, limits requestLimits) ([]byte, error) {
 	for searched := 0; ; {
-		if next := bytes.IndexByte(c.buffer[c.at+searched:c.have], '\n'); next >= 0 {
-			line := c.buffer[c.at : c.at+searched+next]
-			c.at += len(line) + 1
+		if lineFeed := bytes.IndexByte(c.buffer[c.bufferStart+searched:c.bufferEnd], '\n'); lineFeed >= 0 {
+			line := c.buffer[c.bufferStart : c.bufferStart+searched+lineFeed]
+			c.bufferStart += len(line) + 1
 			if len(line) == 0 || line[len(line)-1] != '\r' {
 				return nil, malformed("a bare line end")
 			}
 			return line[:len(line)-1], nil
 		}
-		if searched = c.have - c.at; searched > most {
+		if searched = c.bufferEnd - c.bufferStart; searched > maxBytes {
 			return nil, malformed("a long line between chunks")
 		}
-		c.makeRoom(most)
-		c.wait(time.Now(), limits.quiet)
-		if err := c.fill(); err != nil {
-			return nil, endOfBody(err)
+		c.growBuffer(maxBytes)
+		c.setReadTimeout(time.Now(), limits.idleTimeout)
+		if err := c.fillBuffer(); err != nil {
+			return nil, bodyReadError(err)
 		}
 	}
 }
 
-// readChunks reads a chunked body; what follows its last chunk is dropped.
-func (c *connection) readChunks(limits bounds) ([]byte, error) {
+// readChunkedBody reads a chunked body; what follows its last chunk is dropped.
+func (c *connection) readChunkedBody(limits requestLimits) ([]byte, error) {
 	body := []byte{}
 	for {
-		line, err := c.line(lineMost, limits)
+		line, err := c.readChunkLine(maxChunkLineBytes, limits)
 		if err != nil {
 			return nil, err
 		}
 		size, extension, _ := bytes.Cut(line, []byte(";"))
 		count, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 62)
-		if err != nil || len(size) == 0 || !isHex(size[0]) || !clean(string(extension), ' ') {
+		if err != nil || len(size) == 0 || !isHexDigit(size[0]) || !isPrintable(string(extension), ' ') {
 			return nil, malformed("a chunk's size")
 		}
-		if count > uint64(limits.body-len(body)) {
-			return nil, defect.New(defect.TooLarge, "more than "+strconv.Itoa(limits.body)+" bytes")
+		if count > uint64(limits.bodyBytes-len(body)) {
+			return nil, defect.New(defect.BodyTooLarge, "more than "+strconv.Itoa(limits.bodyBytes)+" bytes")
 		}
 		if count == 0 {
 			break
 		}
-		if body, err = c.take(body, int(count), limits); err != nil {
+		if body, err = c.appendBody(body, int(count), limits); err != nil {
 			return nil, err
 		}
-		if end, err := c.line(lineMost, limits); err != nil {
+		if terminator, err := c.readChunkLine(maxChunkLineBytes, limits); err != nil {
 			return nil, err
-		} else if len(end) > 0 {
+		} else if len(terminator) > 0 {
 			return nil, malformed("a chunk's end")
 		}
 	}
-	for left := limits.head; ; {
-		line, err := c.line(left, limits)
+	for trailerBytesLeft := limits.headerBytes; ; {
+		line, err := c.readChunkLine(trailerBytesLeft, limits)
 		if err != nil || len(line) == 0 {
 			return body, err
 		}
-		if left -= len(line); left <= 0 {
-			return nil, defect.New(defect.HeadTooLarge, "trailer")
+		if trailerBytesLeft -= len(line); trailerBytesLeft <= 0 {
+			return nil, defect.New(defect.HeaderTooLarge, "trailer")
 		}
 	}
 }
 
-func isHex(one byte) bool {
-	return (one >= '0' && one <= '9') || (one|0x20 >= 'a' && one|0x20 <= 'f')
+func isHexDigit(char byte) bool {
+	return (char >= '0' && char <= '9') || (char|0x20 >= 'a' && char|0x20 <= 'f')
 }
--- a/internal/proxy/claim.go
+++ b/internal/proxy/claim.go
@@ -7,91 +7,91 @@
 	"meadowhinge/schema"
 )
 
-// claimTicket is a claim on its way to one registry.
-type claimTicket struct {
-	ctx    context.Context
-	claim  *schema.Claim
-	answer chan session.ClaimAnswer // has room for every answer, so that nobody waits to give one
+// pendingReservation is a claim on its way to one registry.
+type pendingReservation struct {
+	ctx         context.Context
+	reservation *schema.Claim
+	answers     chan session.ReservationAnswer // has room for every answer, so that nobody waits to give one
 }
 
-// claimsMost bounds the claims that wait for one registry, and that go to it at once.
-const claimsMost = 1024
+// maxReservationBatch bounds the claims that wait for one registry, and that go to it at once.
+const maxReservationBatch = 1024
 
-// claim takes a claim to every registry and comes back as soon as it is won or lost.
-func (s *Server) claim(ctx context.Context, claim *schema.Claim) (session.ClaimVerdict, *schema.Claim) {
-	bound := session.ClaimBound(s.lease)
-	bounded, cancel := context.WithTimeout(ctx, bound)
+// reserveKey takes a claim to every registry and comes back as soon as it is won or lost.
+func (s *Server) reserveKey(ctx context.Context, reservation *schema.Claim) (session.ReservationOutcome, *schema.Claim) {
+	timeout := session.ReservationRoundTimeout(s.leaseDuration)
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	addresses := s.registries()
+	addresses := s.registryAddresses()
 	s.lock.Lock()
-	round := session.NewClaiming(claim, s.seats, s.now(), bound)
+	round := session.NewReservationRound(reservation, s.coreSize, s.now(), timeout)
 	s.lock.Unlock()
-	answers := make(chan session.ClaimAnswer, len(addresses))
+	answers := make(chan session.ReservationAnswer, len(addresses))
 	for _, address := range addresses {
 		select {
-		case s.askingAt(address) <- &claimTicket{bounded, claim, answers}:
+		case s.reservationQueue(address) <- &pendingReservation{bounded, reservation, answers}:
 		default:
-			answers <- session.ClaimAnswer{}
+			answers <- session.ReservationAnswer{}
 		}
 	}
-	return round.Gather(bounded, len(addresses), answers, s.now)
+	return round.AwaitOutcome(bounded, len(addresses), answers, s.now)
 }
 
-// askingAt is the way to one registry; the first claim opens it.
-func (s *Server) askingAt(address string) chan *claimTicket {
+// reservationQueue is the way to one registry; the first claim opens it.
+func (s *Server) reservationQueue(address string) chan *pendingReservation {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	way := s.asking[address]
-	if way == nil {
-		way = make(chan *claimTicket, claimsMost)
-		s.asking[address] = way
-		go s.carryClaims(address, way)
+	queue := s.reservationQueues[address]
+	if queue == nil {
+		queue = make(chan *pendingReservation, maxReservationBatch)
+		s.reservationQueues[address] = queue
+		go s.sendReservations(address, queue)
 	}
-	return way
+	return queue
 }
 
-// carryClaims takes claims to one registry; what comes while one batch is under way goes with
+// sendReservations takes claims to one registry; what comes while one batch is under way goes with
 // the next, so that a rush of purchases costs few messages.
-func (s *Server) carryClaims(address string, way chan *claimTicket) {
+func (s *Server) sendReservations(address string, queue chan *pendingReservation) {
 	for {
-		var batch []*claimTicket
+		var batch []*pendingReservation
 		select {
-		case <-s.linked.Done():
+		case <-s.linkContext.Done():
 			return
-		case first := <-way:
+		case first := <-queue:
 			batch = append(batch, first)
 		}
-		for more := true; more && len(batch) < claimsMost; {
+		for more := true; more && len(batch) < maxReservationBatch; {
 			select {
-			case next := <-way:
+			case next := <-queue:
 				batch = append(batch, next)
 			default:
 				more = false
 			}
 		}
-		asked := &schema.Claims{}
-		var going []*claimTicket
-		for _, ticket := range batch {
+		request := &schema.Claims{}
+		var sent []*pendingReservation
+		for _, pending := range batch {
 			// Who gave up waiting meanwhile wants no claim any more.
-			if ticket.ctx.Err() != nil && !ticket.claim.Drop {
-				ticket.answer <- session.ClaimAnswer{}
+			if pending.ctx.Err() != nil && !pending.reservation.Drop {
+				pending.answers <- session.ReservationAnswer{}
 				continue
 			}
-			going = append(going, ticket)
-			asked.Claims = append(asked.Claims, ticket.claim)
+			sent = append(sent, pending)
+			request.Claims = append(request.Claims, pending.reservation)
 		}
-		if len(going) == 0 {
+		if len(sent) == 0 {
 			continue
 		}
-		bounded, cancel := context.WithTimeout(s.linked, session.ClaimBound(s.lease))
-		back, err := schema.NewDRPCRegistryClient(s.ends.To(bounded, address)).Claim(bounded, asked)
+		bounded, cancel := context.WithTimeout(s.linkContext, session.ReservationRoundTimeout(s.leaseDuration))
+		reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Claim(bounded, request)
 		cancel()
-		for i, ticket := range going {
-			if err != nil || i >= len(back.Claimed) {
-				ticket.answer <- session.ClaimAnswer{}
+		for i, pending := range sent {
+			if err != nil || i >= len(reply.Claimed) {
+				pending.answers <- session.ReservationAnswer{}
 				continue
 			}
-			ticket.answer <- session.ClaimAnswer{Seat: back.Seat, Claimed: back.Claimed[i]}
+			pending.answers <- session.ReservationAnswer{MemberID: reply.Seat, Response: reply.Claimed[i]}
 		}
 	}
 }
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -13,38 +13,38 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// BeatSpeech takes what workers say of themselves at the workers' listener.
-type BeatSpeech interface {
+// HeartbeatHandler takes what workers say of themselves at the workers' listener.
+type HeartbeatHandler interface {
 	Handle(call *fasthttp.RequestCtx, workers *dispatch.Workers)
 }
 
-// ownBeats is our own interface: one JSON description a call.
-type ownBeats struct{}
+// nativeHeartbeatHandler is our own interface: one JSON description a call.
+type nativeHeartbeatHandler struct{}
 
 // Handle takes a description and tells the instance that it stands under.
-func (ownBeats) Handle(call *fasthttp.RequestCtx, workers *dispatch.Workers) {
-	if string(call.Path()) != "/v1/worker" || !call.IsPost() {
-		daemon.Refuse(call, defect.New(defect.NoRoute, string(call.Path())), "", nil)
+func (nativeHeartbeatHandler) Handle(requestCtx *fasthttp.RequestCtx, workers *dispatch.Workers) {
+	if string(requestCtx.Path()) != "/v1/worker" || !requestCtx.IsPost() {
+		daemon.WriteError(requestCtx, defect.New(defect.RouteNotFound, string(requestCtx.Path())), "", nil)
 		return
 	}
-	said := dispatch.Description{}
-	decoder := json.NewDecoder(strings.NewReader(string(call.PostBody())))
+	description := dispatch.WorkerDescription{}
+	decoder := json.NewDecoder(strings.NewReader(string(requestCtx.PostBody())))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(&said); err != nil {
-		daemon.Refuse(call, defect.Wrap(err, defect.Malformed, "description"), "", nil)
+	if err := decoder.Decode(&description); err != nil {
+		daemon.WriteError(requestCtx, defect.Wrap(err, defect.MalformedRequest, "description"), "", nil)
 		return
 	}
-	if faults := said.Check(); len(faults) > 0 {
-		daemon.Refuse(call, defect.New(defect.Malformed, "description"), "", faults)
+	if fieldErrors := description.Validate(); len(fieldErrors) > 0 {
+		daemon.WriteError(requestCtx, defect.New(defect.MalformedRequest, "description"), "", fieldErrors)
 		return
 	}
-	instance, err := workers.Describe(said)
+	instance, err := workers.Register(description)
 	if err != nil {
-		daemon.Refuse(call, err, "", nil)
+		daemon.WriteError(requestCtx, err, "", nil)
 		// It may do with the next beat.
-		beat := time.Duration(said.BeatMS) * time.Millisecond
-		call.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(int64((beat+time.Second-1)/time.Second), 10))
+		heartbeatInterval := time.Duration(description.HeartbeatMS) * time.Millisecond
+		requestCtx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(int64((heartbeatInterval+time.Second-1)/time.Second), 10))
 		return
 	}
-	daemon.Answer(call, fasthttp.StatusOK, map[string]string{"instance": instance})
+	daemon.WriteJSON(requestCtx, fasthttp.StatusOK, map[string]string{"instance": instance})
 }
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -16,82 +16,82 @@
 	"meadowhinge/schema"
 )
 
-// Lone is a proxy without registries: its picture is given to it.
-type Lone struct {
+// StandaloneProxy is a proxy without registries: its picture is given to it.
+type StandaloneProxy struct {
 	*Server
-	Callers string // where its callers' listener is
+	CallerAddress string // where its callers' listener is
 
-	end func()
+	stop func()
 }
 
-// StartLone starts a proxy on loopback that serves by what it is told.
-func StartLone(t testing.TB, given *schema.ProxyOptions, caller string, changes ...Option) *Lone {
+// StartStandaloneProxy starts a proxy on loopback that serves by what it is told.
+func StartStandaloneProxy(t testing.TB, opts *schema.ProxyOptions, caller string, extensionOptions ...Option) *StandaloneProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	given.Advertise, given.Doubt, given.Links = listener.Addr().String(), doubtServe, linksPlain
-	ends := link.Plain("proxy", given.Name, []string{caller})
-	server := build(ends, &daemon.Frame{Draining: &atomic.Bool{}}, given, changes...)
+	opts.Advertise, opts.Doubt, opts.Links = listener.Addr().String(), staleModeServe, linkModePlaintext
+	rpcTransport := link.NewPlaintext("proxy", opts.Name, []string{caller})
+	server := newServer(rpcTransport, &daemon.Environment{Draining: &atomic.Bool{}}, opts, extensionOptions...)
 	ctx, cancel := context.WithCancel(context.Background())
-	server.linked = ctx
+	server.linkContext = ctx
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, server); err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = ends.Serve(ctx, listener, mux, "proxy") }()
-	opened, err := server.open(caller, "127.0.0.1:0")
+	go func() { _ = rpcTransport.Serve(ctx, listener, mux, "proxy") }()
+	opened, err := server.openCallerListener(caller, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := sync.OnceFunc(func() {
-		opened.finish(closed)
+	stop := sync.OnceFunc(func() {
+		opened.shutDown(closedChannel)
 		cancel()
-		ends.Close()
+		rpcTransport.Close()
 	})
-	t.Cleanup(end)
-	return &Lone{Server: server, Callers: opened.listener.Addr().String(), end: end}
+	t.Cleanup(stop)
+	return &StandaloneProxy{Server: server, CallerAddress: opened.listener.Addr().String(), stop: stop}
 }
 
-var closed = func() chan struct{} {
+var closedChannel = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }()
 
-// Learn gives the proxy a setup and what other proxies tell of their workers.
-func (l *Lone) Learn(sequence uint64, items []*schema.Item, sources ...*schema.Source) {
-	l.journal.Append(Event{At: l.now(), Setup: sequence, Items: items, Whole: true, Sources: sources})
+// Apply gives the proxy a setup and what other proxies tell of their workers.
+func (p *StandaloneProxy) Apply(sequence uint64, items []*schema.Item, sources ...*schema.Source) {
+	p.journal.Append(Event{At: p.now(), ConfigRevision: sequence, Items: items, Complete: true, Sources: sources})
 }
 
 // Source is what the proxy tells of itself.
-func (l *Lone) Source() *schema.Source { return l.source() }
+func (p *StandaloneProxy) Source() *schema.Source { return p.localSource() }
 
 // Workers are those beside the proxy.
-func (l *Lone) Workers() *dispatch.Workers { return l.workers }
+func (p *StandaloneProxy) Workers() *dispatch.Workers { return p.workers }
 
-// Change gives the proxy other settings while it runs.
-func (l *Lone) Change(change func(*schema.ProxyOptions)) {
-	now := proto.Clone(l.given()).(*schema.ProxyOptions)
-	change(now)
-	l.follow(now)
+// ChangeOptions gives the proxy other settings while it runs.
+func (p *StandaloneProxy) ChangeOptions(change func(*schema.ProxyOptions)) {
+	opts := proto.Clone(p.currentOptions()).(*schema.ProxyOptions)
+	change(opts)
+	p.applyOptions(opts)
 }
 
 // Registries are where it looks for registries.
-func (l *Lone) Registries() []string { return l.registries() }
+func (p *StandaloneProxy) Registries() []string { return p.registryAddresses() }
 
-// End ends the proxy at once, as its process's end would.
-func (l *Lone) End() { l.end() }
+// Stop ends the proxy at once, as its process's end would.
+func (p *StandaloneProxy) Stop() { p.stop() }
 
-// Departures are the proxy's counts of callers that left.
-func (l *Lone) Departures() dispatch.DepartureCounts { return l.left.Counts() }
+// Disconnects are the proxy's counts of callers that left.
+func (p *StandaloneProxy) Disconnects() dispatch.DisconnectCounts { return p.disconnects.Counts() }
 
-// Waiting is how many calls wait for the worker beside the proxy.
-func (l *Lone) Waiting() uint32 {
-	waiting := uint32(0)
-	for _, worker := range l.workers.List() {
-		_, waiting, _, _ = l.workers.Load(worker.Instance)
+// QueuedCalls is how many calls wait for the worker beside the proxy.
+func (p *StandaloneProxy) QueuedCalls() uint32 {
+	queued := uint32(0)
+	for _, worker := range p.workers.List() {
+		_, queued, _, _ = p.workers.Load(worker.Instance)
 	}
-	return waiting
+	return queued
 }
--- a/internal/proxy/fold_test.go
+++ b/internal/proxy/fold_test.go
@@ -13,100 +13,100 @@
 	"meadowhinge/schema"
 )
 
-// wholePicture is what foldWhole keeps.
-type wholePicture struct {
-	sources   map[string]known
-	swept     map[string]*schema.Stamp
-	since     map[string]time.Duration
-	directory plan.Directory
+// fullState is what foldFromScratch keeps.
+type fullState struct {
+	sources         map[string]sourceRecord
+	droppedVersions map[string]*schema.Stamp
+	firstSeenAt     map[string]time.Duration
+	directory       plan.Directory
 }
 
-// foldWhole works everything out anew from all sources, with each event.
-func foldWhole(before wholePicture, event Event) wholePicture {
-	after := wholePicture{sources: map[string]known{}, swept: map[string]*schema.Stamp{}, since: map[string]time.Duration{}}
-	for name, stamp := range before.swept {
-		after.swept[name] = stamp
+// foldFromScratch works everything out anew from all sources, with each event.
+func foldFromScratch(before fullState, event Event) fullState {
+	after := fullState{sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.Stamp{}, firstSeenAt: map[string]time.Duration{}}
+	for name, stamp := range before.droppedVersions {
+		after.droppedVersions[name] = stamp
 	}
-	fresh := 0
-	for _, held := range before.sources {
-		if event.At-held.at <= event.Sweep {
-			fresh++
+	heardCount := 0
+	for _, record := range before.sources {
+		if event.At-record.receivedAt <= event.SourceTimeout {
+			heardCount++
 		}
 	}
-	sweeps := event.Sweep > 0 && float64(fresh) > sweepRatio*float64(len(before.sources))
-	for name, held := range before.sources {
-		if !sweeps || event.At-held.at <= event.Sweep {
-			after.sources[name] = held
+	dropsSilent := event.SourceTimeout > 0 && float64(heardCount) > minHeardRatio*float64(len(before.sources))
+	for name, record := range before.sources {
+		if !dropsSilent || event.At-record.receivedAt <= event.SourceTimeout {
+			after.sources[name] = record
 		} else {
-			after.swept[name] = held.source.Stamp
+			after.droppedVersions[name] = record.source.Stamp
 		}
 	}
 	for _, source := range event.Sources {
 		if source.Bare {
 			continue
 		}
-		held, found := after.sources[source.Name]
-		if (!found && newer(source.Stamp, after.swept[source.Name])) || (found && newer(source.Stamp, held.source.Stamp)) {
-			after.sources[source.Name] = known{source, event.At}
-			delete(after.swept, source.Name)
+		record, found := after.sources[source.Name]
+		if (!found && isNewer(source.Stamp, after.droppedVersions[source.Name])) || (found && isNewer(source.Stamp, record.source.Stamp)) {
+			after.sources[source.Name] = sourceRecord{source, event.At}
+			delete(after.droppedVersions, source.Name)
 		}
 	}
 	var list []*schema.Source
-	for _, held := range after.sources {
-		list = append(list, held.source)
-		for _, worker := range held.source.Workers {
-			after.since[worker.Instance] = event.At
-			if first, found := before.since[worker.Instance]; found {
-				after.since[worker.Instance] = first
+	for _, record := range after.sources {
+		list = append(list, record.source)
+		for _, worker := range record.source.Workers {
+			after.firstSeenAt[worker.Instance] = event.At
+			if first, found := before.firstSeenAt[worker.Instance]; found {
+				after.firstSeenAt[worker.Instance] = first
 			}
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
-	after.directory = plan.DirectoryOf(list, func(instance string) time.Duration { return after.since[instance] },
-		func(source string) time.Duration { return after.sources[source].at })
+	after.directory = plan.DirectoryOf(list, func(instance string) time.Duration { return after.firstSeenAt[instance] },
+		func(source string) time.Duration { return after.sources[source].receivedAt })
 	return after
 }
 
 // Folding by difference gives what folding everything anew gives, and leaves the picture before
 // as it was.
-func TestFoldByDifference(t *testing.T) {
-	dice := rand.New(rand.NewPCG(1, 1))
-	held, whole := EmptyPicture(), wholePicture{}
+func TestIncrementalFoldEqualsFullFold(t *testing.T) {
+	random := rand.New(rand.NewPCG(1, 1))
+	incremental, full := EmptyMeshState(), fullState{}
 	for turn := range 3000 {
 		event := Event{At: time.Duration(turn) * time.Second}
-		for range dice.IntN(4) {
-			one := &schema.Source{Name: fmt.Sprint("p", dice.IntN(12)), Address: "127.0.0.1:1", Stamp: &schema.Stamp{Incarnation: uint64(1 + turn/1000), Counter: uint64(turn - dice.IntN(3))},
-				Bare: dice.IntN(20) == 0}
+		for range random.IntN(4) {
+			entry := &schema.Source{Name: fmt.Sprint("p", random.IntN(12)), Address: "127.0.0.1:1", Stamp: &schema.Stamp{Incarnation: uint64(1 + turn/1000), Counter: uint64(turn - random.IntN(3))},
+				Bare: random.IntN(20) == 0}
 			// Few instances, so that they go from one source to another and are listed twice.
-			for range dice.IntN(4) {
-				one.Workers = append(one.Workers, &schema.Worker{Instance: fmt.Sprint("w", dice.IntN(20)), Service: fmt.Sprint("s", dice.IntN(3)), Version: fmt.Sprint(dice.IntN(2)),
-					Leaving: dice.IntN(5) == 0, Load: dice.Float64()})
+			for range random.IntN(4) {
+				entry.Workers = append(entry.Workers, &schema.Worker{Instance: fmt.Sprint("w", random.IntN(20)), Service: fmt.Sprint("s", random.IntN(3)), Version: fmt.Sprint(random.IntN(2)),
+					Leaving: random.IntN(5) == 0, Load: random.Float64()})
 			}
-			event.Sources = append(event.Sources, one)
+			event.Sources = append(event.Sources, entry)
 		}
-		if dice.IntN(10) == 0 {
-			event.Sweep = 40 * time.Second
+		if random.IntN(10) == 0 {
+			event.SourceTimeout = 40 * time.Second
 		}
-		before, directory := held, plan.DirectoryOf(nil, nil, nil)
-		for service, pools := range held.directory {
-			directory[service] = map[string][]plan.Candidate{}
+		before, directory := incremental, plan.DirectoryOf(nil, nil, nil)
+		for service, pools := range incremental.directory {
+			directory[service] = map[string][]plan.Endpoint{}
 			for version, pool := range pools {
-				directory[service][version] = append([]plan.Candidate(nil), pool...)
+				directory[service][version] = append([]plan.Endpoint(nil), pool...)
 			}
 		}
-		held, whole = Fold(held, event), foldWhole(whole, event)
+		incremental, full = Fold(incremental, event), foldFromScratch(full, event)
 		first := map[string]time.Duration{}
-		for instance, one := range held.since {
-			first[instance] = one.first
+		for instance, entry := range incremental.workers {
+			first[instance] = entry.firstSeenAt
 		}
-		for what, differs := range map[string]string{"directory": cmp.Diff(whole.directory, held.view.Directory), "workers": cmp.Diff(whole.since, first),
+		for what, differs := range map[string]string{"directory": cmp.Diff(full.directory, incremental.view.Directory), "workers": cmp.Diff(full.firstSeenAt, first),
 			"the picture before": cmp.Diff(directory, before.directory)} {
 			if differs != "" {
 				t.Fatalf("turn %d: %s: %s", turn, what, differs)
 			}
 		}
-		if len(whole.sources) != len(held.sources) || len(whole.swept) != len(held.swept) {
-			t.Fatalf("turn %d: %d sources of %d, %d swept of %d", turn, len(held.sources), len(whole.sources), len(held.swept), len(whole.swept))
+		if len(full.sources) != len(incremental.sources) || len(full.droppedVersions) != len(incremental.droppedVersions) {
+			t.Fatalf("turn %d: %d sources of %d, %d swept of %d", turn, len(incremental.sources), len(full.sources), len(incremental.droppedVersions), len(full.droppedVersions))
 		}
 	}
 }
@@ -116,14 +116,14 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			var all []*schema.Source
 			for i := range size {
-				one := source(fmt.Sprintf("10.0.%d.%d", i/250, i%250), 1, fmt.Sprintf("w-%d", i))
-				one.Workers[0].Service = fmt.Sprint("s", i%150)
-				all = append(all, one)
+				listed := source(fmt.Sprintf("10.0.%d.%d", i/250, i%250), 1, fmt.Sprintf("w-%d", i))
+				listed.Workers[0].Service = fmt.Sprint("s", i%150)
+				all = append(all, listed)
 			}
-			held := Fold(EmptyPicture(), Event{At: 1, Sources: all})
+			state := Fold(EmptyMeshState(), Event{At: 1, Sources: all})
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				held = Fold(held, Event{At: 2, Sources: []*schema.Source{source("10.0.0.1", uint64(n+2), "w-1")}})
+				state = Fold(state, Event{At: 2, Sources: []*schema.Source{source("10.0.0.1", uint64(n+2), "w-1")}})
 			}
 		})
 	}
--- a/internal/proxy/follow_test.go
+++ b/internal/proxy/follow_test.go
@@ -11,8 +11,8 @@
 	"meadowhinge/schema"
 )
 
-// held is a worker that answers a request only once it is let.
-func held(t *testing.T) (address string, came chan struct{}, answer chan struct{}) {
+// startGatedWorker is a worker that answers a request only once it is let.
+func startGatedWorker(t *testing.T) (address string, came chan struct{}, answer chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,8 +49,8 @@
 	return listener.Addr().String(), came, answer
 }
 
-// begin sends a request on a connection of its own; what it is answered comes later.
-func begin(t *testing.T, address string) chan string {
+// startRequest sends a request on a connection of its own; what it is answered comes later.
+func startRequest(t *testing.T, address string) chan string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -84,16 +84,16 @@
 // Settings that change while calls are under way cut none of them; those that come later go by
 // the new ones, and where registries are looked for moves too.
 func TestSettingsChangeUnderCalls(t *testing.T) {
-	worker, came, answer := held(t)
-	here := pair(t, worker)
-	first := begin(t, here.Callers)
+	worker, came, answer := startGatedWorker(t)
+	here := startProxyPair(t, worker)
+	first := startRequest(t, here.CallerAddress)
 	await(t, came, first)
-	here.Change(func(given *schema.ProxyOptions) { given.Buffer, given.Seeds = 1, "127.0.0.1:9" })
-	if got := <-begin(t, here.Callers); !strings.HasPrefix(got, "503 ") {
+	here.ChangeOptions(func(given *schema.ProxyOptions) { given.Buffer, given.Seeds = 1, "127.0.0.1:9" })
+	if got := <-startRequest(t, here.CallerAddress); !strings.HasPrefix(got, "503 ") {
 		t.Errorf("the second call of one that may be in flight was answered %q", got)
 	}
-	here.Change(func(given *schema.ProxyOptions) { given.Buffer, given.Seeds = 2, "127.0.0.1:9,127.0.0.1:10" })
-	second := begin(t, here.Callers)
+	here.ChangeOptions(func(given *schema.ProxyOptions) { given.Buffer, given.Seeds = 2, "127.0.0.1:9,127.0.0.1:10" })
+	second := startRequest(t, here.CallerAddress)
 	await(t, came, second)
 	close(answer)
 	for _, answered := range []chan string{first, second} {
@@ -107,12 +107,12 @@
 }
 
 // How long a call may take at most follows the settings.
-func TestHorizonFollowsSettings(t *testing.T) {
-	worker, came, answer := held(t)
+func TestMaxDeadlineFollowsSettings(t *testing.T) {
+	worker, came, answer := startGatedWorker(t)
 	defer close(answer)
-	here := pair(t, worker)
-	here.Change(func(given *schema.ProxyOptions) { given.HorizonMost = int64(50e6) })
-	late := begin(t, here.Callers)
+	here := startProxyPair(t, worker)
+	here.ChangeOptions(func(given *schema.ProxyOptions) { given.HorizonMost = int64(50e6) })
+	late := startRequest(t, here.CallerAddress)
 	await(t, came, late)
 	if got := <-late; !strings.HasPrefix(got, "504 ") {
 		t.Errorf("answered %q", got)
--- a/internal/proxy/front.go
+++ b/internal/proxy/front.go
@@ -13,143 +13,143 @@
 	"meadowhinge/internal/socket"
 )
 
-// bounds are what a caller may send, and how long it may take.
-type bounds struct {
-	head     int           // bytes of a head
-	body     int           // bytes of a body
-	headWait time.Duration // from the first byte of a head to its last
-	quiet    time.Duration // without a byte, between requests or within one
+// requestLimits are what a caller may send, and how long it may take.
+type requestLimits struct {
+	headerBytes   int           // bytes of a head
+	bodyBytes     int           // bytes of a body
+	headerTimeout time.Duration // from the first byte of a head to its last
+	idleTimeout   time.Duration // without a byte, between requests or within one
 }
 
-// front takes requests from callers at one listener. A library's server would not do: the
+// callerListener takes requests from callers at one listener. A library's server would not do: the
 // bounds change with the setup, a request that could be read in two ways is to be refused and
 // not repaired, target and headers go on as they came, and new connections are taken for as
 // long as this process lives.
-type front struct {
-	listener net.Listener
-	bounds   func() bounds
-	most     int // connections at once
-	// leaving tells callers to take their connections back with the next answer.
-	leaving *atomic.Bool
-	// carried hears how many bytes of answers were written; may be nil.
-	carried func(bytes int)
-	// departures counts callers that leave while a call of theirs is under way.
-	departures *dispatch.Departures
-	// serve carries a request out; its context ends when the caller leaves.
-	serve  func(ctx context.Context, head *Head, body []byte, came time.Time, reply *Reply)
-	refuse func(head *Head, err error, reply *Reply)
-	// room is how many bytes of large bodies may be held at once; taken is how many are.
-	room  int64
-	taken atomic.Int64
+type callerListener struct {
+	listener       net.Listener
+	limits         func() requestLimits
+	maxConnections int // connections at once
+	// draining tells callers to take their connections back with the next answer.
+	draining *atomic.Bool
+	// onWritten hears how many bytes of answers were written; may be nil.
+	onWritten func(bytes int)
+	// disconnects counts callers that leave while a call of theirs is under way.
+	disconnects *dispatch.Disconnects
+	// handle carries a request out; its context ends when the caller leaves.
+	handle     func(ctx context.Context, head *RequestHeader, body []byte, came time.Time, reply *Response)
+	writeError func(head *RequestHeader, err error, reply *Response)
+	// largeBodyCapacity is how many bytes of large bodies may be held at once; taken is how many are.
+	largeBodyCapacity int64
+	largeBodyBytes    atomic.Int64
 
 	lock        sync.Mutex
 	connections map[*connection]struct{}
-	ended       bool
-	gone        chan struct{} // closed when the last connection has ended after the end
+	closed      bool
+	allClosed   chan struct{} // closed when the last connection has ended after the end
 }
 
 // Sizes in bytes, and ratios.
 const (
-	firstRead   = 4 << 10  // of a connection's buffer; it grows with heads that need more
-	bodyStep    = 64 << 10 // of a body before more of it has come; a larger one is counted
-	bodyTimes   = 4        // times which room for a body grows as more of it comes
-	joinMost    = 16 << 10 // bodies up to this are written together with their head
-	lineMost    = 256      // of a chunk's size line
-	lingerTimes = 16       // times the bound, of a body that is read and dropped after a refusal
-	stillGood   = 4        // a deadline is moved once this part of it has passed
+	initialBufferSize      = 4 << 10  // of a connection's buffer; it grows with heads that need more
+	smallBodyBytes         = 64 << 10 // of a body before more of it has come; a larger one is counted
+	bodyGrowthFactor       = 4        // times which room for a body grows as more of it comes
+	maxCombinedWriteBytes  = 16 << 10 // bodies up to this are written together with their head
+	maxChunkLineBytes      = 256      // of a chunk's size line
+	lingerDiscardFactor    = 16       // times the bound, of a body that is read and dropped after a refusal
+	deadlineRefreshDivisor = 4        // a deadline is moved once this part of it has passed
 )
 
-func newFront(listener net.Listener, most int, room int64, leaving *atomic.Bool, bounds func() bounds) *front {
-	return &front{listener: listener, bounds: bounds, most: most, room: room, leaving: leaving, connections: map[*connection]struct{}{}, gone: make(chan struct{}), departures: &dispatch.Departures{}}
+func newCallerListener(listener net.Listener, maxConnections int, largeBodyCapacity int64, draining *atomic.Bool, limits func() requestLimits) *callerListener {
+	return &callerListener{listener: listener, limits: limits, maxConnections: maxConnections, largeBodyCapacity: largeBodyCapacity, draining: draining, connections: map[*connection]struct{}{}, allClosed: make(chan struct{}), disconnects: &dispatch.Disconnects{}}
 }
 
-// run takes connections until the listener is closed.
-func (f *front) run() {
+// acceptLoop takes connections until the listener is closed.
+func (l *callerListener) acceptLoop() {
 	for {
-		conn, err := f.listener.Accept()
+		conn, err := l.listener.Accept()
 		if err != nil {
 			// Descriptors may run out for a moment; only a closed listener takes no more for good.
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		one := &connection{front: f, conn: socket.Of(conn)}
-		f.lock.Lock()
-		taken := !f.ended && (len(f.connections) < f.most || f.makeRoom())
-		if taken {
-			f.connections[one] = struct{}{}
+		accepted := &connection{listener: l, conn: socket.Wrap(conn)}
+		l.lock.Lock()
+		admitted := !l.closed && (len(l.connections) < l.maxConnections || l.closeLongestIdle())
+		if admitted {
+			l.connections[accepted] = struct{}{}
 		}
-		f.lock.Unlock()
-		if !taken {
+		l.lock.Unlock()
+		if !admitted {
 			conn.Close()
 			continue
 		}
-		go one.run()
+		go accepted.serve()
 	}
 }
 
-// makeRoom ends the connection that has been quiet the longest, for callers that were refused come
+// closeLongestIdle ends the connection that has been quiet the longest, for callers that were refused come
 // back on a new one and keep the old; the caller holds the lock. It tells whether any was quiet.
-func (f *front) makeRoom() bool {
+func (l *callerListener) closeLongestIdle() bool {
 	var oldest *connection
-	since := int64(0)
-	for one := range f.connections {
-		if at := one.idleSince.Load(); at != 0 && (oldest == nil || at < since) {
-			oldest, since = one, at
+	oldestIdleSince := int64(0)
+	for candidate := range l.connections {
+		if idleSince := candidate.idleSince.Load(); idleSince != 0 && (oldest == nil || idleSince < oldestIdleSince) {
+			oldest, oldestIdleSince = candidate, idleSince
 		}
 	}
-	if oldest == nil || !oldest.idleSince.CompareAndSwap(since, 0) {
+	if oldest == nil || !oldest.idleSince.CompareAndSwap(oldestIdleSince, 0) {
 		return false
 	}
 	_ = oldest.conn.SetReadDeadline(time.Unix(1, 0))
 	return true
 }
 
-// acceptPause is how long a listener rests that could not take a connection.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is how long a listener rests that could not take a connection.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// finish takes no more connections and waits, as long as until, for the connections that are at a
+// shutDown takes no more connections and waits, as long as until, for the connections that are at a
 // request; what is idle is closed. It tells whether all came to their end.
-func (f *front) finish(until <-chan struct{}) bool {
-	f.listener.Close()
-	f.lock.Lock()
-	f.ended = true
-	if len(f.connections) == 0 {
-		f.lock.Unlock()
+func (l *callerListener) shutDown(deadline <-chan struct{}) bool {
+	l.listener.Close()
+	l.lock.Lock()
+	l.closed = true
+	if len(l.connections) == 0 {
+		l.lock.Unlock()
 		return true
 	}
-	for one := range f.connections {
-		if one.idleSince.Load() != 0 {
-			_ = one.conn.SetReadDeadline(time.Unix(1, 0))
+	for remaining := range l.connections {
+		if remaining.idleSince.Load() != 0 {
+			_ = remaining.conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
-	f.lock.Unlock()
+	l.lock.Unlock()
 	select {
-	case <-f.gone:
+	case <-l.allClosed:
 		return true
-	case <-until:
+	case <-deadline:
 	}
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	for one := range f.connections {
-		one.conn.Close()
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	for remaining := range l.connections {
+		remaining.conn.Close()
 	}
 	return false
 }
 
-func (f *front) ending() bool {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	return f.ended
+func (l *callerListener) isClosed() bool {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	return l.closed
 }
 
-func (f *front) leave(one *connection) {
-	f.lock.Lock()
-	defer f.lock.Unlock()
-	delete(f.connections, one)
-	if f.ended && len(f.connections) == 0 {
-		close(f.gone)
+func (l *callerListener) removeConnection(finished *connection) {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	delete(l.connections, finished)
+	if l.closed && len(l.connections) == 0 {
+		close(l.allClosed)
 	}
 }
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -9,49 +9,49 @@
 	"meadowhinge/schema"
 )
 
-// gate is where calls pass while this proxy may decide them.
-type gate interface {
+// servingGate is where calls pass while this proxy may decide them.
+type servingGate interface {
 	Open() bool
 	// Await waits a moment for the gate to open, AwaitFirst as long as ctx does.
 	Await(ctx context.Context) bool
 	AwaitFirst(ctx context.Context) bool
 }
 
-// doubtServe is the setting under which a proxy goes on by what it knows, however old that is.
-const doubtServe = "serve"
+// staleModeServe is the setting under which a proxy goes on by what it knows, however old that is.
+const staleModeServe = "serve"
 
-// pictureGate is open for good from the first setup on: a proxy that serves in doubt needs no
+// configGate is open for good from the first setup on: a proxy that serves in doubt needs no
 // lease, for nobody waits until it can no longer use older rules.
-type pictureGate struct {
-	journal *journal.Journal[Event, Picture]
+type configGate struct {
+	journal *journal.Journal[Event, MeshState]
 }
 
-func (g pictureGate) holds(held Picture) bool { return held.setup.Sequence > 0 }
+func (g configGate) hasConfig(state MeshState) bool { return state.config.Revision > 0 }
 
-func (g pictureGate) Open() bool { return g.holds(g.journal.View()) }
+func (g configGate) Open() bool { return g.hasConfig(g.journal.View()) }
 
-func (g pictureGate) Await(context.Context) bool { return g.Open() }
+func (g configGate) Await(context.Context) bool { return g.Open() }
 
-func (g pictureGate) AwaitFirst(ctx context.Context) bool {
-	g.journal.Wait(ctx, g.holds)
+func (g configGate) AwaitFirst(ctx context.Context) bool {
+	g.journal.Wait(ctx, g.hasConfig)
 	return g.Open()
 }
 
-// linksPlain is the setting under which links have no keys.
-const linksPlain = "plain"
+// linkModePlaintext is the setting under which links have no keys.
+const linkModePlaintext = "plain"
 
-// linksOf opens this process's side of the links, as the settings say.
-func linksOf(given *schema.ProxyOptions, callers map[string]string) (*link.Ends, error) {
-	changes := []link.Option{link.WithFrom(given.Listen), link.WithDial(time.Duration(given.Lease) / dialParts)}
-	if given.Links != linksPlain {
-		return link.Load(given.Certificate, given.Authority, changes...)
+// newTransport opens this process's side of the links, as the settings say.
+func newTransport(opts *schema.ProxyOptions, callers map[string]string) (*link.Transport, error) {
+	transportOptions := []link.Option{link.WithLocalAddress(opts.Listen), link.WithDialTimeout(time.Duration(opts.Lease) / dialTimeoutDivisor)}
+	if opts.Links != linkModePlaintext {
+		return link.NewTLS(opts.Certificate, opts.Authority, transportOptions...)
 	}
-	var speaks []string
+	var callerNames []string
 	for caller := range callers {
-		speaks = append(speaks, caller)
+		callerNames = append(callerNames, caller)
 	}
-	return link.Plain("proxy", given.Name, speaks, changes...), nil
+	return link.NewPlaintext("proxy", opts.Name, callerNames, transportOptions...), nil
 }
 
-// serving tells whether this proxy serves by whatever it knows.
-func serving(given *schema.ProxyOptions) bool { return given.Doubt == doubtServe }
+// servesStale tells whether this proxy serves by whatever it knows.
+func servesStale(opts *schema.ProxyOptions) bool { return opts.Doubt == staleModeServe }
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -15,32 +15,32 @@
 // Hollow is a proxy without listeners: its sessions, its picture and its workers' beats are
 // those of a proxy, but nobody can call through it. Rehearsals hold many in one process.
 type Hollow struct {
-	server *Server
-	end    context.CancelFunc
-	ends   *link.Ends
+	server    *Server
+	cancel    context.CancelFunc
+	transport *link.Transport
 }
 
 // Seen is what a hollow proxy took into its picture, and when.
 type Seen struct {
-	At      time.Time
-	Setup   uint64 // newly in use, 0 for the one before
-	Sources []*schema.Source
+	At             time.Time
+	ConfigRevision uint64 // newly in use, 0 for the one before
+	Sources        []*schema.Source
 }
 
 // JoinHollow lets a hollow proxy join the mesh. Workers beside it are stand-ins without a
 // socket. Whatever comes into its picture is shown to seen, which must be quick.
-func JoinHollow(frame *daemon.Frame, given *schema.ProxyOptions, seen func(Seen)) (*Hollow, error) {
-	ends, err := linksOf(given, options.Pairs(given.Callers))
+func JoinHollow(environment *daemon.Environment, opts *schema.ProxyOptions, seen func(Seen)) (*Hollow, error) {
+	rpcTransport, err := newTransport(opts, options.SplitPairs(opts.Callers))
 	if err != nil {
 		return nil, err
 	}
-	fold := func(before Picture, event Event) Picture {
+	fold := func(before MeshState, event Event) MeshState {
 		after := Fold(before, event)
-		news := Seen{At: time.Now(), Sources: event.Sources}
-		if after.Sequence() > before.Sequence() {
-			news.Setup = after.Sequence()
+		applied := Seen{At: time.Now(), Sources: event.Sources}
+		if after.ConfigRevision() > before.ConfigRevision() {
+			applied.ConfigRevision = after.ConfigRevision()
 		}
-		seen(news)
+		seen(applied)
 		return after
 	}
 	// A stand-in worker's connection stays open until the proxy closes it.
@@ -48,38 +48,40 @@
 		here, _ := net.Pipe()
 		return here, nil
 	}
-	server := build(ends, frame, given, func(given *running) { given.fold, given.dial = fold, dial })
+	server := newServer(rpcTransport, environment, opts, func(opts *running) { opts.foldEvent, opts.dialWorker = fold, dial })
 	ctx, cancel := context.WithCancel(context.Background())
-	server.join(ctx)
-	return &Hollow{server: server, end: cancel, ends: ends}, nil
+	server.startSessions(ctx)
+	return &Hollow{server: server, cancel: cancel, transport: rpcTransport}, nil
 }
 
 // End cuts the proxy off, as when its process is killed.
 func (h *Hollow) End() {
-	h.end()
-	h.ends.Close()
+	h.cancel()
+	h.transport.Close()
 }
 
-// Beat takes a description, as the workers' listener would.
-func (h *Hollow) Beat(said dispatch.Description) error {
-	_, err := h.server.workers.Describe(said)
+// Heartbeat takes a description, as the workers' listener would.
+func (h *Hollow) Heartbeat(description dispatch.WorkerDescription) error {
+	_, err := h.server.workers.Register(description)
 	return err
 }
 
 // Count adds to the counts as calls would.
-func (h *Hollow) Count(ended *dispatch.Ended, took time.Duration) { h.server.tally.Add(ended, took) }
+func (h *Hollow) Count(ended *dispatch.CallResult, took time.Duration) {
+	h.server.callCounter.Add(ended, took)
+}
 
 // Work notes a call as if it had been handed to a worker beside the proxy and answered.
 func (h *Hollow) Work(service, version, route string, took time.Duration) {
-	line := h.server.runner.Works.Begin(service, version, route, h.server.view().Setup.Stated(service, version))
+	line := h.server.runner.WorkCounts.Begin(service, version, route, h.server.view().Config.VersionRevision(service, version))
 	line.End(h.server.now(), took, &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200})
 }
 
-// Setup is the sequence in use.
-func (h *Hollow) Setup() uint64 { return h.server.journal.View().Sequence() }
+// ConfigRevision is the sequence in use.
+func (h *Hollow) ConfigRevision() uint64 { return h.server.journal.View().ConfigRevision() }
 
 // Traffic is what went over the proxy's links.
-func (h *Hollow) Traffic() link.Traffic { return h.ends.Traffic() }
+func (h *Hollow) Traffic() link.Traffic { return h.transport.Traffic() }
 
 // Status is what the proxy says of itself.
 func (h *Hollow) Status() Status { return h.server.status() }
--- a/internal/proxy/option.go
+++ b/internal/proxy/option.go
@@ -9,49 +9,53 @@
 
 // running is what a proxy is given beside its settings: how it is spoken to.
 type running struct {
-	callers CallerSpeech
-	worker  dispatch.WorkerSpeech
-	beats   BeatSpeech
-	readyAt []string
-	dial    func(address string) (net.Conn, error) // a worker
-	fold    func(Picture, Event) Picture
-	ids     time.Duration // workers have ids of their own and describe themselves this often, 0 for none
+	callerCodec       CallerCodec
+	workerCodec       dispatch.WorkerCodec
+	heartbeatHandler  HeartbeatHandler
+	readinessPaths    []string
+	dialWorker        func(address string) (net.Conn, error) // a worker
+	foldEvent         func(MeshState, Event) MeshState
+	workerIDHeartbeat time.Duration // workers have ids of their own and describe themselves this often, 0 for none
 }
 
 // Option changes how a proxy is spoken to; without any it is our own interface.
 type Option func(*running)
 
-// WithCallerSpeech lets callers be understood and answered in another way.
-func WithCallerSpeech(speech CallerSpeech) Option {
-	return func(given *running) { given.callers = speech }
+// WithCallerCodec lets callers be understood and answered in another way.
+func WithCallerCodec(codec CallerCodec) Option {
+	return func(target *running) { target.callerCodec = codec }
 }
 
-// WithWorkerSpeech lets workers be called in another way.
-func WithWorkerSpeech(speech dispatch.WorkerSpeech) Option {
-	return func(given *running) { given.worker = speech }
+// WithWorkerCodec lets workers be called in another way.
+func WithWorkerCodec(codec dispatch.WorkerCodec) Option {
+	return func(target *running) { target.workerCodec = codec }
 }
 
-// WithBeatSpeech lets workers describe themselves in another way.
-func WithBeatSpeech(speech BeatSpeech) Option { return func(given *running) { given.beats = speech } }
+// WithHeartbeatHandler lets workers describe themselves in another way.
+func WithHeartbeatHandler(handler HeartbeatHandler) Option {
+	return func(target *running) { target.heartbeatHandler = handler }
+}
 
 // WithWorkerIDs is for workers that have ids of their own and describe themselves so often. They
 // are known by them before and after a restart of this proxy, and no connection is kept to
 // each only to learn of its end.
-func WithWorkerIDs(beat time.Duration) Option { return func(given *running) { given.ids = beat } }
+func WithWorkerIDs(heartbeatInterval time.Duration) Option {
+	return func(target *running) { target.workerIDHeartbeat = heartbeatInterval }
+}
 
-// youngTimes is for how many beats a proxy that has just started may lack workers.
-const youngTimes = 3
+// discoveryGraceHeartbeats is for how many beats a proxy that has just started may lack workers.
+const discoveryGraceHeartbeats = 3
 
-// WithReady lets readiness be asked for at another path of the probe listener too.
-func WithReady(path string) Option {
-	return func(given *running) { given.readyAt = append(given.readyAt, path) }
+// WithReadinessPath lets readiness be asked for at another path of the probe listener too.
+func WithReadinessPath(path string) Option {
+	return func(target *running) { target.readinessPaths = append(target.readinessPaths, path) }
 }
 
-func speechesOf(changes []Option) running {
-	given := running{callers: ownCallers{}, worker: dispatch.OwnSpeech{}, beats: ownBeats{}, fold: Fold,
-		dial: func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }}
-	for _, change := range changes {
-		change(&given)
+func newExtensions(extensionOptions []Option) running {
+	result := running{callerCodec: nativeCallerCodec{}, workerCodec: dispatch.NativeCodec{}, heartbeatHandler: nativeHeartbeatHandler{}, foldEvent: Fold,
+		dialWorker: func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }}
+	for _, apply := range extensionOptions {
+		apply(&result)
 	}
-	return given
+	return result
 }
--- a/internal/proxy/path_test.go
+++ b/internal/proxy/path_test.go
@@ -16,8 +16,8 @@
 	"meadowhinge/schema"
 )
 
-// standIn answers every request that comes on its connections, at small cost.
-func standIn(t testing.TB, fields, body string) string {
+// startFakeWorker answers every request that comes on its connections, at small cost.
+func startFakeWorker(t testing.TB, fields, body string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,17 +52,17 @@
 	return listener.Addr().String()
 }
 
-// pair starts two proxies, of which the second has a worker of the service that the first calls.
-func pair(t testing.TB, worker string) *proxy.Lone {
+// startProxyPair starts two proxies, of which the second has a worker of the service that the first calls.
+func startProxyPair(t testing.TB, worker string) *proxy.StandaloneProxy {
 	t.Helper()
 	given := func(name string) *schema.ProxyOptions {
 		return &schema.ProxyOptions{Name: name, Area: "a", Buffer: 2048, CallersMost: 64, BodyMost: 1 << 20, HorizonMost: int64(10 * time.Second), Lease: int64(8 * time.Second),
 			MembersMost: 64, ExtraRatio: 0.2, ExtraFloor: 60, Remembered: 12000, Silence: 3, FailuresMost: 5, Ejection: int64(5 * time.Second), Trial: int64(time.Second),
 			TrialFailures: 40, TrialTimes: 2, TrialExcess: 0.02, TrialSlow: 10}
 	}
-	here := proxy.StartLone(t, given("here"), "shop")
-	there := proxy.StartLone(t, given("there"), "saves")
-	if _, err := there.Workers().Describe(dispatch.Description{Address: worker, Service: "saves", Version: "v1", BeatMS: 60000, Token: "i-1"}); err != nil {
+	here := proxy.StartStandaloneProxy(t, given("here"), "shop")
+	there := proxy.StartStandaloneProxy(t, given("there"), "saves")
+	if _, err := there.Workers().Register(dispatch.WorkerDescription{Address: worker, Service: "saves", Version: "v1", HeartbeatMS: 60000, Token: "i-1"}); err != nil {
 		t.Fatal(err)
 	}
 	item := func(kind, name, body string) *schema.Item {
@@ -72,8 +72,8 @@
 		item("service", "saves", `{"versions":["v1"],"fallback":"v1"}`),
 		item("route", "r", `{"service":"saves","prefix":"/saves/","class":"repeatable","horizon":"9s"}`),
 	}
-	there.Learn(1, items)
-	here.Learn(1, items, there.Source())
+	there.Apply(1, items)
+	here.Apply(1, items, there.Source())
 	return here
 }
 
@@ -82,14 +82,14 @@
 	fields  = "X-Player: 9c41d07be2a35f68\r\nEtag: 3e1b.07.5a2.600.0.c9f2a4d1\r\nX-Load: 3,0,18\r\nContent-Type: text/plain\r\n"
 )
 
-func processor() time.Duration {
+func processCPUTime() time.Duration {
 	var used syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used)
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// ask sends requests on one connection, one after the other.
-func ask(t testing.TB, address string, times int) {
+// sendRequests sends requests on one connection, one after the other.
+func sendRequests(t testing.TB, address string, times int) {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -124,14 +124,14 @@
 // worker, all in this process; /direct is what caller and worker take of that. Run it with
 // -cpu 1, for that is what an edge machine has.
 func BenchmarkCall(b *testing.B) {
-	worker := standIn(b, fields, strings.Repeat("x", 600))
-	for name, address := range map[string]string{"proxies": pair(b, worker).Callers, "direct": worker} {
+	worker := startFakeWorker(b, fields, strings.Repeat("x", 600))
+	for name, address := range map[string]string{"proxies": startProxyPair(b, worker).CallerAddress, "direct": worker} {
 		b.Run(name, func(b *testing.B) {
-			ask(b, address, 100)
+			sendRequests(b, address, 100)
 			b.ReportAllocs()
-			before := processor()
-			ask(b, address, b.N)
-			b.ReportMetric(float64((processor()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
+			before := processCPUTime()
+			sendRequests(b, address, b.N)
+			b.ReportMetric(float64((processCPUTime()-before).Nanoseconds())/float64(b.N), "cpu-ns/op")
 		})
 	}
 }
