--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -28,465 +28,467 @@
 
 // Ratios to the lease.
 const (
-	renewParts  = session.LeaseParts
-	tellParts   = 4 * session.LeaseParts // counts must come in well before a bad version has done much harm
-	countParts  = 2                      // counts of verdicts are for operators to read
-	countLeases = 2                      // and so seldom where a proxy serves in doubt
-	pollParts   = 2
-	sweepParts  = 4 // a proxy silent for this part of a lease, while others are heard, is dropped
-	dialParts   = 16
-	retryParts  = 40
-	gapParts    = session.LeaseParts     // how long after its end a lease is still waited for
-	lagParts    = 2 * session.LeaseParts // a feed this far behind is left for another
-	claimPause  = 64                     // how long a refusal waits for its claim to be let go
-	tallyLines  = 4096
-	eventsKept  = 256
-	workersMost = 256
+	renewalsPerLease         = session.RenewalsPerLease
+	reportsPerLease          = 4 * session.RenewalsPerLease // counts must come in well before a bad version has done much harm
+	verdictReportsPerLease   = 2                            // counts of verdicts are for operators to read
+	staleVerdictReportLeases = 2                            // and so seldom where a proxy serves in doubt
+	longPollDivisor          = 2
+	sourceTimeoutDivisor     = 4 // a proxy silent for this part of a lease, while others are heard, is dropped
+	dialTimeoutDivisor       = 16
+	retryPauseDivisor        = 40
+	renewalGraceDivisor      = session.RenewalsPerLease     // how long after its end a lease is still waited for
+	feedLagDivisor           = 2 * session.RenewalsPerLease // a feed this far behind is left for another
+	keyReleaseTimeoutDivisor = 64                           // how long a refusal waits for its claim to be let go
+	maxCallCounts            = 4096
+	maxRetainedEvents        = 256
+	maxLocalWorkers          = 256
 )
 
-// overrunParts is the part of a lease for which a repeatable call may go on at
+// overrunDivisor is the part of a lease for which a repeatable call may go on at
 // its worker once its caller is known to be gone.
-const overrunParts = 16
+const overrunDivisor = 16
 
 // Server runs a proxy.
 type Server struct {
 	schema.DRPCHopUnimplementedServer
-	options     *schema.ProxyOptions                // as they were at the start
-	live        atomic.Pointer[schema.ProxyOptions] // as they are now, where they may change
-	life        uint64                              // tells this life from others; settled before any session
-	incarnation uint64                              // of what is told of this proxy, above all that was seen of it; 0 until it is settled; guarded by lock
-	address     string
-	lease       time.Duration
-	ends        *link.Ends
-	log         logr.Logger
-	started     time.Time
-	road        *dispatch.Road // this machine's link, as far as it is known how much it carries
-	speaks      link.Peer
-	speeches    running
-
-	journal *journal.Journal[Event, Picture]
-	workers *dispatch.Workers
-	runner  *dispatch.Runner
-	carrier *dispatch.Carrier
-	tally   *dispatch.Tally
-	left    dispatch.Departures // of callers while their calls were under way
-	calls   atomic.Int64        // in flight, of callers here
-	hops    atomic.Int64        // in flight, from other proxies
-	facts   *dispatch.Soundness
-	trials  *dispatch.Trials
-
-	lock     sync.Mutex
-	granted  *session.Gate
-	gate     gate // whether this proxy may decide calls
-	cores    map[string]*schema.Core
-	seats    int           // how many core seats there are
-	behind   time.Duration // since when some registry knew a newer setup than the one applied; 0 for never
-	feedAt   int
-	members  atomic.Int64
-	told     int64          // proxies that the registry knows to live; guarded by lock
-	tie      *session.Tie   // with which registry this proxy is in session; guarded by lock
-	vouched  time.Duration  // of what time the setup here is known to have been the newest; 0 for never; guarded by lock
-	fleet    *session.Fleet // how many share the budgets; guarded by lock
-	counter  uint64
-	tellNow  chan struct{}
-	lookNow  chan struct{}                // the setup is another
-	asking   map[string]chan *claimTicket // claims on their way, by registry; guarded by lock
-	linked   context.Context              // ends with this proxy's links
-	lastCame atomic.Int64                 // when the last call came, since this proxy was told to end
-	overAt   atomic.Int64                 // when this proxy is over, once it was told to end
-	closing  atomic.Bool                  // no dispatch is taken any more
-	draining *atomic.Bool
+	initialOptions     *schema.ProxyOptions                // as they were at the start
+	liveOptions        atomic.Pointer[schema.ProxyOptions] // as they are now, where they may change
+	processIncarnation uint64                              // tells this life from others; settled before any session
+	sourceIncarnation  uint64                              // of what is told of this proxy, above all that was seen of it; 0 until it is settled; guarded by lock
+	address            string
+	leaseDuration      time.Duration
+	transport          *link.Transport
+	log                logr.Logger
+	startedAt          time.Time
+	uplink             *dispatch.Uplink // this machine's link, as far as it is known how much it carries
+	localPeer          link.Peer
+	extensions         running
+
+	journal           *journal.Journal[Event, MeshState]
+	workers           *dispatch.Workers
+	runner            *dispatch.Runner
+	forwarder         *dispatch.Forwarder
+	callCounter       *dispatch.CallCounter
+	disconnects       dispatch.Disconnects // of callers while their calls were under way
+	callsInFlight     atomic.Int64         // in flight, of callers here
+	peerCallsInFlight atomic.Int64         // in flight, from other proxies
+	outliers          *dispatch.OutlierDetector
+	canaries          *dispatch.CanaryGuard
+
+	lock              sync.Mutex
+	leaseGate         *session.LeaseGate
+	servingGate       servingGate // whether this proxy may decide calls
+	coreMembers       map[string]*schema.Core
+	coreSize          int           // how many core seats there are
+	behindSince       time.Duration // since when some registry knew a newer setup than the one applied; 0 for never
+	registryRotation  int
+	fleetSize         atomic.Int64
+	reportedFleetSize int64                     // proxies that the registry knows to live; guarded by lock
+	registrySelector  *session.RegistrySelector // with which registry this proxy is in session; guarded by lock
+	freshAsOf         time.Duration             // of what time the setup here is known to have been the newest; 0 for never; guarded by lock
+	fleetSizeEstimate *session.FleetSize        // how many share the budgets; guarded by lock
+	sourceCounter     uint64
+	reportNow         chan struct{}
+	configChanged     chan struct{}                       // the setup is another
+	reservationQueues map[string]chan *pendingReservation // claims on their way, by registry; guarded by lock
+	linkContext       context.Context                     // ends with this proxy's links
+	lastCallAt        atomic.Int64                        // when the last call came, since this proxy was told to end
+	shutdownDeadline  atomic.Int64                        // when this proxy is over, once it was told to end
+	rejectsPeerCalls  atomic.Bool                         // no dispatch is taken any more
+	draining          *atomic.Bool
 }
 
 // Run serves a proxy until ctx ends.
-func Run(ctx context.Context, frame *daemon.Frame, given *schema.ProxyOptions, changes ...Option) error {
-	callers := options.Pairs(given.Callers)
-	ends, err := linksOf(given, callers)
+func Run(ctx context.Context, environment *daemon.Environment, opts *schema.ProxyOptions, extensionOptions ...Option) error {
+	callers := options.SplitPairs(opts.Callers)
+	rpcTransport, err := newTransport(opts, callers)
 	if err != nil {
 		return err
 	}
-	defer ends.Close()
-	if self := ends.Self(); self.Role != "proxy" || self.Name != given.Name {
-		return defect.New(defect.BadOptions, fmt.Sprintf("certificate is for %s %q, not proxy %q", self.Role, self.Name, given.Name))
+	defer rpcTransport.Close()
+	if self := rpcTransport.Self(); self.Role != "proxy" || self.Name != opts.Name {
+		return defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not proxy %q", self.Role, self.Name, opts.Name))
 	}
 	for caller := range callers {
-		if !ends.Self().Speaks(caller) {
-			return defect.New(defect.BadOptions, fmt.Sprintf("callers: the certificate may not speak for %q", caller))
+		if !rpcTransport.Self().MayCallAs(caller) {
+			return defect.New(defect.InvalidOptions, fmt.Sprintf("callers: the certificate may not speak for %q", caller))
 		}
 	}
-	s := build(ends, frame, given, changes...)
-	frame.Follow(ctx, s.lease, func(now proto.Message) { s.follow(now.(*schema.ProxyOptions)) })
+	s := newServer(rpcTransport, environment, opts, extensionOptions...)
+	environment.WatchSettings(ctx, s.leaseDuration, func(now proto.Message) { s.applyOptions(now.(*schema.ProxyOptions)) })
 
-	listener, err := net.Listen("tcp", given.Listen)
+	listener, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
-		return defect.Wrap(err, defect.BadOptions, "listen")
+		return defect.Wrap(err, defect.InvalidOptions, "listen")
 	}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, s); err != nil {
 		return defect.Wrap(err, defect.Internal, "mux")
 	}
-	frame.Page("/status", func() any { return s.status() })
-	frame.Page("/certificate", ends.Certificate)
-	frame.Page("/traffic", func() any { return ends.Traffic() })
-	frame.Page("/events", func() any { return s.events() })
-	for _, path := range s.speeches.readyAt {
-		frame.ReadyAt(path)
+	environment.AddPage("/status", func() any { return s.status() })
+	environment.AddPage("/certificate", rpcTransport.Certificate)
+	environment.AddPage("/traffic", func() any { return rpcTransport.Traffic() })
+	environment.AddPage("/events", func() any { return s.events() })
+	for _, path := range s.extensions.readinessPaths {
+		environment.AddReadinessPath(path)
 	}
-	if err := frame.Probe(given.ProbeListen, s.soundness); err != nil {
+	if err := environment.ServeProbes(opts.ProbeListen, s.readiness); err != nil {
 		return err
 	}
 	// Links to other proxies outlive the signal until the calls in flight have ended.
-	linked, unlink := context.WithCancel(context.Background())
-	defer unlink()
-	s.join(linked)
-	served := make(chan error, 1)
-	go func() { served <- ends.Serve(linked, listener, mux, "proxy") }()
-	beside, err := s.listen(given.WorkersListen, func(call *fasthttp.RequestCtx) { s.speeches.beats.Handle(call, s.workers) }, 1<<16,
-		func(call *fasthttp.RequestCtx, err error) { daemon.Refuse(call, err, notRun, nil) })
+	linkContext, closeLinks := context.WithCancel(context.Background())
+	defer closeLinks()
+	s.startSessions(linkContext)
+	serveErrors := make(chan error, 1)
+	go func() { serveErrors <- rpcTransport.Serve(linkContext, listener, mux, "proxy") }()
+	workerServer, err := s.listenForWorkers(opts.WorkersListen, func(requestCtx *fasthttp.RequestCtx) { s.extensions.heartbeatHandler.Handle(requestCtx, s.workers) }, 1<<16,
+		func(requestCtx *fasthttp.RequestCtx, err error) { daemon.WriteError(requestCtx, err, notExecuted, nil) })
 	if err != nil {
 		return err
 	}
 	// Callers are let in once this proxy can decide: until then a refused connection sends them
 	// to another, where a taken one would only bring them a refusal.
-	if !s.gate.AwaitFirst(ctx) {
-		frame.Draining.Store(true)
-		return s.drain(nil, beside)
+	if !s.servingGate.AwaitFirst(ctx) {
+		environment.Draining.Store(true)
+		return s.shutDown(nil, workerServer)
 	}
-	var outward []*front
+	var callerListeners []*callerListener
 	for caller, address := range callers {
-		server, err := s.open(caller, address)
+		opened, err := s.openCallerListener(caller, address)
 		if err != nil {
 			return err
 		}
-		outward = append(outward, server)
+		callerListeners = append(callerListeners, opened)
 	}
-	frame.Log.V(1).Info("proxy up", "name", given.Name, "listen", given.Listen)
+	environment.Log.V(1).Info("proxy up", "name", opts.Name, "listen", opts.Listen)
 	select {
 	case <-ctx.Done():
-	case err := <-served:
+	case err := <-serveErrors:
 		return err
 	}
-	frame.Draining.Store(true)
-	return s.drain(outward, beside)
+	environment.Draining.Store(true)
+	return s.shutDown(callerListeners, workerServer)
 }
 
-// build makes a proxy that has no listeners and no sessions yet.
-func build(ends *link.Ends, frame *daemon.Frame, given *schema.ProxyOptions, changes ...Option) *Server {
-	s := &Server{options: given, address: given.Advertise, lease: time.Duration(given.Lease), ends: ends,
-		speeches: speechesOf(changes), log: frame.Log, started: time.Now(), cores: map[string]*schema.Core{}, tellNow: make(chan struct{}, 1), lookNow: make(chan struct{}, 1), asking: map[string]chan *claimTicket{}, draining: frame.Draining}
-	s.live.Store(given)
-	s.life = session.NextIncarnation(0)
+// newServer makes a proxy that has no listeners and no sessions yet.
+func newServer(rpcTransport *link.Transport, environment *daemon.Environment, opts *schema.ProxyOptions, extensionOptions ...Option) *Server {
+	s := &Server{initialOptions: opts, address: opts.Advertise, leaseDuration: time.Duration(opts.Lease), transport: rpcTransport,
+		extensions: newExtensions(extensionOptions), log: environment.Log, startedAt: time.Now(), coreMembers: map[string]*schema.Core{}, reportNow: make(chan struct{}, 1), configChanged: make(chan struct{}, 1), reservationQueues: map[string]chan *pendingReservation{}, draining: environment.Draining}
+	s.liveOptions.Store(opts)
+	s.processIncarnation = session.NextIncarnation(0)
 	if s.address == "" {
-		s.address = given.Listen
-	}
-	if s.road = dispatch.NewRoad(given.LinkRate, s.now); s.road != nil {
-		ends.Tell(s.road.Carry)
-	}
-	s.members.Store(given.MembersMost)
-	s.fleet = session.NewFleet(given.MembersMost, s.lease)
-	s.journal = journal.New(EmptyPicture(), eventsKept, s.speeches.fold)
-	s.tie = s.newTie()
-	s.granted = session.NewGate(s.lease, s.now)
-	s.gate = s.granted
-	if serving(given) {
-		s.gate = pictureGate{s.journal}
-	}
-	s.tally = dispatch.NewTally(tallyLines)
-	s.facts = dispatch.NewSoundness(given.FailuresMost, time.Duration(given.Ejection))
-	s.assemble()
+		s.address = opts.Listen
+	}
+	if s.uplink = dispatch.NewUplink(opts.LinkRate, s.now); s.uplink != nil {
+		rpcTransport.OnSent(s.uplink.RecordWrite)
+	}
+	s.fleetSize.Store(opts.MembersMost)
+	s.fleetSizeEstimate = session.NewFleetSize(opts.MembersMost, s.leaseDuration)
+	s.journal = journal.New(EmptyMeshState(), maxRetainedEvents, s.extensions.foldEvent)
+	s.registrySelector = s.newRegistrySelector()
+	s.leaseGate = session.NewLeaseGate(s.leaseDuration, s.now)
+	s.servingGate = s.leaseGate
+	if servesStale(opts) {
+		s.servingGate = configGate{s.journal}
+	}
+	s.callCounter = dispatch.NewCallCounter(maxCallCounts)
+	s.outliers = dispatch.NewOutlierDetector(opts.FailuresMost, time.Duration(opts.Ejection))
+	s.wireDispatch()
 	return s
 }
 
-// given are the settings in force.
-func (s *Server) given() *schema.ProxyOptions { return s.live.Load() }
+// currentOptions are the settings in force.
+func (s *Server) currentOptions() *schema.ProxyOptions { return s.liveOptions.Load() }
 
-// follow goes on by settings that have changed. What is under way is not touched by it.
-func (s *Server) follow(now *schema.ProxyOptions) {
-	s.live.Store(now)
-	s.facts.Rebound(now.FailuresMost, time.Duration(now.Ejection))
-	s.trials.Rebound(trialsOf(now))
-	s.carrier.Rebound(boundsOf(now))
+// applyOptions goes on by settings that have changed. What is under way is not touched by it.
+func (s *Server) applyOptions(opts *schema.ProxyOptions) {
+	s.liveOptions.Store(opts)
+	s.outliers.SetLimits(opts.FailuresMost, time.Duration(opts.Ejection))
+	s.canaries.SetOptions(canaryOptions(opts))
+	s.forwarder.SetLimits(forwarderLimits(opts))
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.tie.Seeds(options.List(now.Seeds))
+	s.registrySelector.SetSeeds(options.SplitList(opts.Seeds))
 }
 
-func trialsOf(given *schema.ProxyOptions) dispatch.TrialOptions {
-	return dispatch.TrialOptions{Length: time.Duration(given.Trial), Failures: given.TrialFailures, Times: given.TrialTimes, Excess: given.TrialExcess, Slow: given.TrialSlow}
+func canaryOptions(opts *schema.ProxyOptions) dispatch.CanaryOptions {
+	return dispatch.CanaryOptions{GrantDuration: time.Duration(opts.Trial), MaxFailures: opts.TrialFailures, FailureRatio: opts.TrialTimes, FailureExcess: opts.TrialExcess, SlowFactor: opts.TrialSlow}
 }
 
-func boundsOf(given *schema.ProxyOptions) dispatch.Bounds {
-	return dispatch.Bounds{Options: plan.Options{Area: given.Area, HorizonMost: time.Duration(given.HorizonMost), Warmup: time.Duration(given.Warmup)},
-		ExtraRatio: given.ExtraRatio, ExtraFloor: float64(given.ExtraFloor), ExtraWindow: time.Duration(given.ExtraWindow), ExtraFailed: given.ExtraFailed}
+func forwarderLimits(opts *schema.ProxyOptions) dispatch.Limits {
+	return dispatch.Limits{PlanOptions: plan.Options{Zone: opts.Area, MaxDeadline: time.Duration(opts.HorizonMost), Warmup: time.Duration(opts.Warmup)},
+		RetryRatio: opts.ExtraRatio, RetryFloor: float64(opts.ExtraFloor), RetryWindow: time.Duration(opts.ExtraWindow), FailureRetryFraction: opts.ExtraFailed}
 }
 
-// join begins this proxy's sessions with the registries; they end with ctx.
-func (s *Server) join(ctx context.Context) {
-	s.linked = ctx
+// startSessions begins this proxy's sessions with the registries; they end with ctx.
+func (s *Server) startSessions(ctx context.Context) {
+	s.linkContext = ctx
 	go func() {
-		s.settle(ctx)
-		if serving(s.options) {
-			go s.keepTie(ctx)
+		s.establishIncarnation(ctx)
+		if servesStale(s.initialOptions) {
+			go s.maintainSession(ctx)
 		} else {
-			loops := len(options.List(s.options.Seeds))
-			for i := range loops {
-				go s.renew(ctx, i, loops)
+			loopCount := len(options.SplitList(s.initialOptions.Seeds))
+			for i := range loopCount {
+				go s.renewLoop(ctx, i, loopCount)
 			}
-			go s.feed(ctx)
+			go s.pullLoop(ctx)
 		}
-		s.tell(ctx)
+		s.reportLoop(ctx)
 	}()
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.started) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
 func (s *Server) view() *plan.View { return s.journal.View().view }
 
-// assemble wires the two sides of a dispatch to this process.
-func (s *Server) assemble() {
-	given := s.options
-	speaks := map[string]bool{}
-	for caller := range options.Pairs(given.Callers) {
-		speaks[caller] = true
-	}
-	s.speaks = link.Local("proxy", given.Name, speaks)
-	s.workers = dispatch.NewWorkers(dispatch.WorkersOptions{Proxy: given.Name, Incarnation: s.life, Area: given.Area, Silence: given.Silence,
-		Most: workersMost, ConnsMost: int(given.Buffer), BodyMost: int(given.BodyMost), Now: s.now,
-		Road: s.road, Untethered: s.speeches.ids > 0, Young: youngTimes * s.speeches.ids, Dial: s.speeches.dial}, s.workersChanged)
-	s.runner = dispatch.NewRunner(dispatch.Runner{Workers: s.workers, Speech: s.speeches.worker, Soundness: s.facts, Departures: &s.left, OverrunMost: s.lease / overrunParts, View: s.view, Leased: s.gate.Open, Now: s.now, Doubting: serving(given),
-		AwaitSetup: func(ctx context.Context, sequence uint64) {
-			s.journal.Wait(ctx, func(held Picture) bool { return held.setup.Sequence >= sequence })
+// wireDispatch wires the two sides of a dispatch to this process.
+func (s *Server) wireDispatch() {
+	opts := s.initialOptions
+	mayCallAs := map[string]bool{}
+	for caller := range options.SplitPairs(opts.Callers) {
+		mayCallAs[caller] = true
+	}
+	s.localPeer = link.LocalPeer("proxy", opts.Name, mayCallAs)
+	s.workers = dispatch.NewWorkers(dispatch.WorkersOptions{Proxy: opts.Name, Incarnation: s.processIncarnation, Zone: opts.Area, MaxMissedHeartbeats: opts.Silence,
+		MaxWorkers: maxLocalWorkers, MaxConns: int(opts.Buffer), MaxBodyBytes: int(opts.BodyMost), Now: s.now,
+		Uplink: s.uplink, NoLivenessConn: s.extensions.workerIDHeartbeat > 0, DiscoveryGrace: discoveryGraceHeartbeats * s.extensions.workerIDHeartbeat, Dial: s.extensions.dialWorker}, s.publishWorkers)
+	s.runner = dispatch.NewRunner(dispatch.Runner{Workers: s.workers, Codec: s.extensions.workerCodec, Outliers: s.outliers, Disconnects: &s.disconnects, MaxOverrun: s.leaseDuration / overrunDivisor, View: s.view, HasLease: s.servingGate.Open, Now: s.now, ServeStale: servesStale(opts),
+		AwaitConfig: func(ctx context.Context, revision uint64) {
+			s.journal.Wait(ctx, func(state MeshState) bool { return state.config.Revision >= revision })
 		},
-		Outdated: func(sequence uint64) bool {
-			return !serving(given) && s.journal.View().Outdated(sequence, s.now(), s.lease/renewParts)
-		}}, int(given.Remembered))
-	s.trials = dispatch.NewTrials(trialsOf(given), func() int { return int(s.members.Load()) },
-		func() dispatch.Guards { return s.view().Setup })
-	s.carrier = (&dispatch.Carrier{Name: given.Name, Incarnation: s.life,
-		Bounds: boundsOf(given),
-		View:   s.view, Leased: s.gate.Open, Now: s.now, Dice: rand.Float64, Soundness: s.facts, Trials: s.trials, Tally: s.tally,
-		Members: func() int { return int(s.members.Load()) },
+		RevisionOutdated: func(revision uint64) bool {
+			return !servesStale(opts) && s.journal.View().Outdated(revision, s.now(), s.leaseDuration/renewalsPerLease)
+		}}, int(opts.Remembered))
+	s.canaries = dispatch.NewCanaryGuard(canaryOptions(opts), func() int { return int(s.fleetSize.Load()) },
+		func() dispatch.VersionGuards { return s.view().Config })
+	s.forwarder = (&dispatch.Forwarder{Name: opts.Name, Incarnation: s.processIncarnation,
+		Limits: forwarderLimits(opts),
+		View:   s.view, HasLease: s.servingGate.Open, Now: s.now, Random: rand.Float64, Outliers: s.outliers, Canaries: s.canaries, Counter: s.callCounter,
+		FleetSize: func() int { return int(s.fleetSize.Load()) },
 		AwaitView: func(ctx context.Context, ready func(*plan.View) bool) {
-			s.journal.Wait(ctx, func(held Picture) bool { return ready(held.view) })
+			s.journal.Wait(ctx, func(state MeshState) bool { return ready(state.view) })
 		},
-		AwaitLease: s.gate.Await, SendOn: s.sendOn, Patient: true, ByArrival: given.ExtraCounts == "arrivals", Lagging: s.lagging, Claim: s.claim, ClaimPause: s.lease / claimPause}).Start(int(given.Remembered))
+		AwaitLease: s.servingGate.Await, Send: s.forward, NoAttemptTimeout: true, FreeProxyRefusals: opts.ExtraCounts == "arrivals", OnConfigLag: s.leaveLaggingRegistry, ReserveKey: s.reserveKey, KeyReleaseTimeout: s.leaseDuration / keyReleaseTimeoutDivisor}).Init(int(opts.Remembered))
 }
 
-// sendOn hands a dispatch to the proxy beside the worker, or to this one's own other side.
-func (s *Server) sendOn(ctx context.Context, candidate plan.Candidate, carry *schema.Carry) (*schema.Carried, error) {
-	if candidate.Proxy == s.options.Name {
-		return s.runner.Run(ctx, s.speaks, carry), nil
+// forward hands a dispatch to the proxy beside the worker, or to this one's own other side.
+func (s *Server) forward(ctx context.Context, endpoint plan.Endpoint, request *schema.Carry) (*schema.Carried, error) {
+	if endpoint.Proxy == s.initialOptions.Name {
+		return s.runner.Run(ctx, s.localPeer, request), nil
 	}
-	return schema.NewDRPCHopClient(s.ends.To(ctx, candidate.Address)).Run(ctx, carry)
+	return schema.NewDRPCHopClient(s.transport.Conn(ctx, endpoint.Address)).Run(ctx, request)
 }
 
 // Run serves a dispatch from another proxy.
-func (s *Server) Run(ctx context.Context, carry *schema.Carry) (*schema.Carried, error) {
-	s.came()
-	defer s.hops.Add(-1)
-	switch inFlight := s.hops.Add(1); {
+func (s *Server) Run(ctx context.Context, request *schema.Carry) (*schema.Carried, error) {
+	s.recordArrival()
+	defer s.peerCallsInFlight.Add(-1)
+	switch inFlight := s.peerCallsInFlight.Add(1); {
 	// Beyond the bound a dispatch is refused unrun, and so it is once this proxy is about to end.
-	case inFlight > s.given().Buffer:
-		return &schema.Carried{Request: carry.Request, Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.BufferFull)}, nil
-	case s.closing.Load():
-		return &schema.Carried{Request: carry.Request, Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.Draining)}, nil
+	case inFlight > s.currentOptions().Buffer:
+		return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.QueueFull)}, nil
+	case s.rejectsPeerCalls.Load():
+		return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.ProxyDraining)}, nil
 	}
-	return s.runner.Run(ctx, link.PeerOf(ctx), carry), nil
+	return s.runner.Run(ctx, link.PeerFromContext(ctx), request), nil
 }
 
-func (s *Server) soundness() daemon.Soundness {
-	if !s.gate.Open() {
-		return daemon.Soundness{Reason: string(defect.NoLease)}
+func (s *Server) readiness() daemon.Readiness {
+	if !s.servingGate.Open() {
+		return daemon.Readiness{Reason: string(defect.NoLease)}
 	}
-	return daemon.Soundness{Ready: true}
+	return daemon.Readiness{Ready: true}
 }
 
 // Status is what a proxy says of itself.
 type Status struct {
-	Name     string           `json:"name"`
-	Setup    uint64           `json:"setup"`
-	Leased   bool             `json:"leased"`
-	LeaseMS  int64            `json:"leaseMs"`
-	Members  int64            `json:"members"`
-	Registry string           `json:"registry,omitempty"` // with which this proxy is in session
-	Vouched  bool             `json:"vouched"`            // whether the picture's age is known
-	AgeMS    int64            `json:"ageMs"`              // since it was last known that nothing newer was promised to anyone
-	Sources  int              `json:"sources"`
-	Known    int              `json:"knownWorkers"` // in the whole mesh
-	Workers  []*schema.Worker `json:"workers"`
-	Refused  uint64           `json:"refusedPeers"`
-	InCalls  int              `json:"callsInFlight"`
-	HopCalls int              `json:"hopsInFlight"`
-
-	Departures dispatch.DepartureCounts `json:"departures"` // of callers before their calls were answered
+	Name              string           `json:"name"`
+	ConfigRevision    uint64           `json:"setup"`
+	HasLease          bool             `json:"leased"`
+	LeaseMS           int64            `json:"leaseMs"`
+	FleetSize         int64            `json:"members"`
+	Registry          string           `json:"registry,omitempty"` // with which this proxy is in session
+	StalenessKnown    bool             `json:"vouched"`            // whether the picture's age is known
+	StalenessMS       int64            `json:"ageMs"`              // since it was last known that nothing newer was promised to anyone
+	Sources           int              `json:"sources"`
+	KnownWorkers      int              `json:"knownWorkers"` // in the whole mesh
+	Workers           []*schema.Worker `json:"workers"`
+	RejectedPeers     uint64           `json:"refusedPeers"`
+	CallsInFlight     int              `json:"callsInFlight"`
+	PeerCallsInFlight int              `json:"hopsInFlight"`
+
+	Disconnects dispatch.DisconnectCounts `json:"departures"` // of callers before their calls were answered
 }
 
 func (s *Server) status() Status {
-	held := s.journal.View()
-	known := 0
-	for _, byVersion := range held.view.Directory {
+	state := s.journal.View()
+	knownWorkers := 0
+	for _, byVersion := range state.view.Directory {
 		for _, pool := range byVersion {
-			known += len(pool)
+			knownWorkers += len(pool)
 		}
 	}
-	registry, age, vouched := s.picture()
-	return Status{Registry: registry, Vouched: vouched, AgeMS: age.Milliseconds(), Known: known, Name: s.options.Name, Setup: held.setup.Sequence, Leased: s.gate.Open(), LeaseMS: (s.granted.Until() - s.now()).Milliseconds(),
-		Members: s.members.Load(), Sources: len(held.sources), Workers: s.workers.List(), Refused: s.ends.Refused.Load(),
-		InCalls: int(s.calls.Load()), HopCalls: int(s.hops.Load()), Departures: s.left.Counts()}
+	registry, staleness, stalenessKnown := s.sessionState()
+	return Status{Registry: registry, StalenessKnown: stalenessKnown, StalenessMS: staleness.Milliseconds(), KnownWorkers: knownWorkers, Name: s.initialOptions.Name, ConfigRevision: state.config.Revision, HasLease: s.servingGate.Open(), LeaseMS: (s.leaseGate.ExpiresAt() - s.now()).Milliseconds(),
+		FleetSize: s.fleetSize.Load(), Sources: len(state.sources), Workers: s.workers.List(), RejectedPeers: s.transport.RejectedPeers.Load(),
+		CallsInFlight: int(s.callsInFlight.Load()), PeerCallsInFlight: int(s.peerCallsInFlight.Load()), Disconnects: s.disconnects.Counts()}
 }
 
-// ShownEvent is an event of the journal, in short.
-type ShownEvent struct {
-	At      string   `json:"at"` // since the proxy started
-	Setup   uint64   `json:"setup,omitempty"`
-	Items   int      `json:"items,omitempty"`
-	Sources []string `json:"sources,omitempty"`
+// EventSummary is an event of the journal, in short.
+type EventSummary struct {
+	At             string   `json:"at"` // since the proxy started
+	ConfigRevision uint64   `json:"setup,omitempty"`
+	Items          int      `json:"items,omitempty"`
+	Sources        []string `json:"sources,omitempty"`
 }
 
 // events lists the last events that this proxy's view was folded from.
-func (s *Server) events() []ShownEvent {
-	shown := []ShownEvent{}
-	for _, event := range s.journal.Last() {
-		one := ShownEvent{At: event.At.String(), Setup: event.Setup, Items: len(event.Items)}
+func (s *Server) events() []EventSummary {
+	summaries := []EventSummary{}
+	for _, event := range s.journal.Recent() {
+		summary := EventSummary{At: event.At.String(), ConfigRevision: event.ConfigRevision, Items: len(event.Items)}
 		for _, source := range event.Sources {
-			one.Sources = append(one.Sources, source.Name)
+			summary.Sources = append(summary.Sources, source.Name)
 		}
-		shown = append(shown, one)
+		summaries = append(summaries, summary)
 	}
-	return shown
+	return summaries
 }
 
-func (s *Server) listen(address string, handler fasthttp.RequestHandler, bodyMost int, refuse func(*fasthttp.RequestCtx, error)) (*fasthttp.Server, error) {
+func (s *Server) listenForWorkers(address string, handler fasthttp.RequestHandler, maxBodyBytes int, writeError func(*fasthttp.RequestCtx, error)) (*fasthttp.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.BadOptions, address)
+		return nil, defect.Wrap(err, defect.InvalidOptions, address)
 	}
-	server := &fasthttp.Server{Name: "meadowhinge", NoDefaultServerHeader: true, NoDefaultContentType: true, NoDefaultDate: true, Concurrency: int(s.options.Buffer) * 4,
-		MaxRequestBodySize: bodyMost, ReadTimeout: time.Duration(s.options.HorizonMost), IdleTimeout: time.Minute, CloseOnShutdown: true,
+	server := &fasthttp.Server{Name: "meadowhinge", NoDefaultServerHeader: true, NoDefaultContentType: true, NoDefaultDate: true, Concurrency: int(s.initialOptions.Buffer) * 4,
+		MaxRequestBodySize: maxBodyBytes, ReadTimeout: time.Duration(s.initialOptions.HorizonMost), IdleTimeout: time.Minute, CloseOnShutdown: true,
 		DisablePreParseMultipartForm: true, StreamRequestBody: true,
-		Handler: func(call *fasthttp.RequestCtx) {
-			if err := readBody(call, bodyMost); err != nil {
-				refuse(call, err)
-				call.SetConnectionClose()
+		Handler: func(requestCtx *fasthttp.RequestCtx) {
+			if err := bufferBody(requestCtx, maxBodyBytes); err != nil {
+				writeError(requestCtx, err)
+				requestCtx.SetConnectionClose()
 				return
 			}
-			handler(call)
+			handler(requestCtx)
 			// A caller told to close its connection does not meet one that was closed on it.
 			if s.draining.Load() {
-				call.SetConnectionClose()
+				requestCtx.SetConnectionClose()
 			}
 		},
-		ErrorHandler: func(call *fasthttp.RequestCtx, err error) {
-			kind := defect.Malformed
+		ErrorHandler: func(requestCtx *fasthttp.RequestCtx, err error) {
+			code := defect.MalformedRequest
 			if err == fasthttp.ErrBodyTooLarge {
-				kind = defect.TooLarge
+				code = defect.BodyTooLarge
 			}
-			refuse(call, defect.Wrap(err, kind, "request"))
-			call.SetConnectionClose()
+			writeError(requestCtx, defect.Wrap(err, code, "request"))
+			requestCtx.SetConnectionClose()
 		}}
 	go func() { _ = server.Serve(listener) }()
 	return server, nil
 }
 
-// drainParts is how many times the bound is read and dropped of a body that is too large: a
+// oversizeDiscardFactor is how many times the bound is read and dropped of a body that is too large: a
 // connection closed on unread bytes is reset, and the caller would never see the refusal.
-const drainParts = 16
+const oversizeDiscardFactor = 16
 
-// notRun is the outcome's name of a request that was refused before anything was sent.
-var notRun = dispatch.OutcomeName(schema.Ending_ENDING_NOT_RUN)
+// notExecuted is the outcome's name of a request that was refused before anything was sent.
+var notExecuted = dispatch.OutcomeName(schema.Ending_ENDING_NOT_RUN)
 
-// readBody takes a request's body into memory if it is within the bound.
-func readBody(call *fasthttp.RequestCtx, most int) error {
-	if !call.Request.IsBodyStream() {
+// bufferBody takes a request's body into memory if it is within the bound.
+func bufferBody(requestCtx *fasthttp.RequestCtx, maxBytes int) error {
+	if !requestCtx.Request.IsBodyStream() {
 		return nil
 	}
-	stream := call.RequestBodyStream()
-	body, err := io.ReadAll(io.LimitReader(stream, int64(most)+1))
+	stream := requestCtx.RequestBodyStream()
+	body, err := io.ReadAll(io.LimitReader(stream, int64(maxBytes)+1))
 	if err != nil {
-		return defect.Wrap(err, defect.Malformed, "body")
+		return defect.Wrap(err, defect.MalformedRequest, "body")
 	}
-	if len(body) > most {
-		_, _ = io.CopyN(io.Discard, stream, int64(most)*drainParts)
-		return defect.New(defect.TooLarge, fmt.Sprintf("more than %d bytes", most))
+	if len(body) > maxBytes {
+		_, _ = io.CopyN(io.Discard, stream, int64(maxBytes)*oversizeDiscardFactor)
+		return defect.New(defect.BodyTooLarge, fmt.Sprintf("more than %d bytes", maxBytes))
 	}
-	call.Request.SetBody(body)
+	requestCtx.Request.SetBody(body)
 	return nil
 }
 
-// open listens for one caller; the listener, never a header, says who calls.
-func (s *Server) open(caller, address string) (*front, error) {
+// openCallerListener listens for one caller; the listener, never a header, says who calls.
+func (s *Server) openCallerListener(caller, address string) (*callerListener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.BadOptions, address)
+		return nil, defect.Wrap(err, defect.InvalidOptions, address)
 	}
-	made := newFront(listener, int(s.options.CallersMost), s.options.BodyMost, s.draining, s.bounds)
-	made.carried = s.road.Carry
-	made.departures = &s.left
-	made.refuse = func(head *Head, err error, reply *Reply) { s.refuse(head, err, notRun, reply) }
-	made.serve = func(ctx context.Context, head *Head, body []byte, came time.Time, reply *Reply) {
-		s.serve(ctx, caller, head, body, came, reply)
+	opened := newCallerListener(listener, int(s.initialOptions.CallersMost), s.initialOptions.BodyMost, s.draining, s.requestLimits)
+	opened.onWritten = s.uplink.RecordWrite
+	opened.disconnects = &s.disconnects
+	opened.writeError = func(header *RequestHeader, err error, response *Response) {
+		s.writeError(header, err, notExecuted, response)
 	}
-	go made.run()
-	return made, nil
+	opened.handle = func(ctx context.Context, header *RequestHeader, body []byte, receivedAt time.Time, response *Response) {
+		s.serveCall(ctx, caller, header, body, receivedAt, response)
+	}
+	go opened.acceptLoop()
+	return opened, nil
 }
 
-// bounds are what callers may send, and how long they may take, as the setup in use states it.
-func (s *Server) bounds() bounds {
-	limits := &s.view().Setup.Limits
-	return bounds{head: limits.HeaderMost, body: int(min(limits.BodyMost, s.options.BodyMost)), headWait: limits.HeaderWait, quiet: limits.Quiet}
+// requestLimits are what callers may send, and how long they may take, as the setup in use states it.
+func (s *Server) requestLimits() requestLimits {
+	configured := &s.view().Config.Limits
+	return requestLimits{headerBytes: configured.MaxHeaderBytes, bodyBytes: int(min(configured.MaxBodyBytes, s.initialOptions.BodyMost)), headerTimeout: configured.HeaderTimeout, idleTimeout: configured.IdleTimeout}
 }
 
-// serve carries one call out, on its connection's own thread of control. When ctx ends its caller has left.
-func (s *Server) serve(ctx context.Context, caller string, head *Head, body []byte, came time.Time, reply *Reply) {
-	taken, err := s.callOf(caller, head, body)
+// serveCall carries one call out, on its connection's own thread of control. When ctx ends its caller has left.
+func (s *Server) serveCall(ctx context.Context, caller string, header *RequestHeader, body []byte, receivedAt time.Time, response *Response) {
+	call, err := s.newCall(caller, header, body)
 	if err != nil {
-		s.refuse(head, err, notRun, reply)
+		s.writeError(header, err, notExecuted, response)
 		return
 	}
 	// What it took to read the body is gone from the time that the caller gives.
-	if taken.Request.Asked > 0 {
-		taken.Request.Asked = max(1, taken.Request.Asked-time.Since(came))
-	}
-	taken.Request.Asked = within(taken.Request.Asked, time.Duration(s.overAt.Load()), s.now(), time.Duration(s.options.Drain))
-	s.came()
-	defer s.calls.Add(-1)
-	if s.calls.Add(1) > s.given().Buffer {
-		s.refuse(head, defect.New(defect.BufferFull, "too many calls in flight"), notRun, reply)
+	if call.Request.CallerDeadline > 0 {
+		call.Request.CallerDeadline = max(1, call.Request.CallerDeadline-time.Since(receivedAt))
+	}
+	call.Request.CallerDeadline = boundDeadline(call.Request.CallerDeadline, time.Duration(s.shutdownDeadline.Load()), s.now(), time.Duration(s.initialOptions.Drain))
+	s.recordArrival()
+	defer s.callsInFlight.Add(-1)
+	if s.callsInFlight.Add(1) > s.currentOptions().Buffer {
+		s.writeError(header, defect.New(defect.QueueFull, "too many calls in flight"), notExecuted, response)
 		return
 	}
-	s.answer(head, s.carrier.Carry(ctx, taken), reply)
+	s.writeResult(header, s.forwarder.Forward(ctx, call), response)
 }
 
-// callOf makes a call of a request.
-func (s *Server) callOf(caller string, head *Head, body []byte) (*dispatch.Call, error) {
-	taken := &dispatch.Call{Target: head.Target, Body: body}
-	head.pass(func(name string) bool { return s.speeches.worker.Passes([]byte(name), false) })
-	for _, field := range head.kept {
-		taken.Head = dispatch.AppendField(taken.Head, field.Name, field.Value)
+// newCall makes a call of a request.
+func (s *Server) newCall(caller string, header *RequestHeader, body []byte) (*dispatch.Call, error) {
+	call := &dispatch.Call{Target: header.Target, Body: body}
+	header.selectForwarded(func(name string) bool { return s.extensions.workerCodec.PassesHeader([]byte(name), false) })
+	for _, field := range header.forwarded {
+		call.HeaderBlock = dispatch.AppendField(call.HeaderBlock, field.Name, field.Value)
 	}
-	taken.Request = plan.Request{Caller: caller, Method: head.Method, Path: head.Path, Host: head.Host, Header: head.passed}
-	if err := s.speeches.callers.Take(head, taken); err != nil {
+	call.Request = plan.Request{Caller: caller, Method: header.Method, Path: header.Path, Host: header.Host, Header: header.forwardedValue}
+	if err := s.extensions.callerCodec.ReadRequest(header, call); err != nil {
 		return nil, err
 	}
-	return taken, nil
+	return call, nil
 }
 
-// answer writes what became of a call.
-func (s *Server) answer(head *Head, ended *dispatch.Ended, reply *Reply) {
-	if ended.Err != nil {
-		outcome := notRun
-		if ended.Carried != nil {
-			outcome = dispatch.OutcomeName(ended.Carried.Ending)
+// writeResult writes what became of a call.
+func (s *Server) writeResult(header *RequestHeader, result *dispatch.CallResult, response *Response) {
+	if result.Err != nil {
+		outcome := notExecuted
+		if result.Response != nil {
+			outcome = dispatch.OutcomeName(result.Response.Ending)
 		}
 		// Whoever turned the call away knows best when there is room again.
-		wait := s.waitAfter(ended.Err)
-		if back := time.Duration(ended.Carried.GetBackNanos()); back > 0 {
-			wait = back
+		retryAfter := s.retryAfter(result.Err)
+		if overloadRetryAfter := time.Duration(result.Response.GetBackNanos()); overloadRetryAfter > 0 {
+			retryAfter = overloadRetryAfter
 		}
-		s.speeches.callers.Refuse(head, ended.Err, outcome, wait, reply)
+		s.extensions.callerCodec.WriteError(header, result.Err, outcome, retryAfter, response)
 	} else {
-		reply.Status, reply.Body = int(ended.Carried.Status), ended.Carried.Body
-		reply.fields = append(reply.fields, ended.Carried.Head...)
+		response.Status, response.Body = int(result.Response.Status), result.Response.Body
+		response.headerBlock = append(response.headerBlock, result.Response.Head...)
 	}
-	s.speeches.callers.Answer(ended, reply)
+	s.extensions.callerCodec.AddMetadata(result, response)
 }
--- a/internal/proxy/refuse.go
+++ b/internal/proxy/refuse.go
@@ -8,58 +8,58 @@
 	"meadowhinge/schema"
 )
 
-// comeBack tells, of each failure after which asking again makes sense, how long it takes until
+// retryDelays tells, of each failure after which asking again makes sense, how long it takes until
 // what caused it may have passed, as far as this proxy knows. What is not in the table stays
 // refused however often it is asked for.
-var comeBack = map[defect.Kind]func(given *schema.ProxyOptions) time.Duration{
+var retryDelays = map[defect.Code]func(given *schema.ProxyOptions) time.Duration{
 	// The lease is asked for, and workers and setups are told, that often.
-	defect.NoLease:       renewal,
-	defect.NoWorker:      renewal,
-	defect.Leaving:       renewal,
-	defect.WrongInstance: renewal,
-	defect.ProxyYoung:    renewal,
-	defect.StalePlan:     renewal,
-	defect.VersionBarred: renewal,
-	defect.NoMajority:    renewal,
+	defect.NoLease:           renewalInterval,
+	defect.NoWorker:          renewalInterval,
+	defect.WorkerDraining:    renewalInterval,
+	defect.WrongInstance:     renewalInterval,
+	defect.ProxyWarmingUp:    renewalInterval,
+	defect.StalePlan:         renewalInterval,
+	defect.VersionNotAllowed: renewalInterval,
+	defect.NoQuorum:          renewalInterval,
 	// A claim's round, after which the registries may answer again.
-	defect.KeyUnclaimed: func(given *schema.ProxyOptions) time.Duration {
-		return session.ClaimBound(time.Duration(given.Lease))
+	defect.IdempotencyKeyNotReserved: func(given *schema.ProxyOptions) time.Duration {
+		return session.ReservationRoundTimeout(time.Duration(given.Lease))
 	},
 	// Whoever has the key or the room has ended by its own deadline.
-	defect.KeyUnsettled: horizon,
-	defect.HorizonPast:  horizon,
-	defect.BufferFull:   horizon,
-	defect.Repeated:     horizon,
+	defect.IdempotencyKeyUnresolved: typicalCallTime,
+	defect.DeadlineExceeded:         typicalCallTime,
+	defect.QueueFull:                typicalCallTime,
+	defect.DuplicateRequest:         typicalCallTime,
 	// A worker or proxy that failed is tried last for so long.
-	defect.LinkLost:       ejection,
-	defect.LinkUnopened:   ejection,
-	defect.WorkerLost:     ejection,
-	defect.WorkerUnopened: ejection,
-	defect.BadAnswer:      ejection,
-	defect.Draining:       func(given *schema.ProxyOptions) time.Duration { return time.Duration(given.Drain) },
+	defect.PeerConnectionLost:   ejectionTime,
+	defect.PeerConnectFailed:    ejectionTime,
+	defect.WorkerConnectionLost: ejectionTime,
+	defect.WorkerConnectFailed:  ejectionTime,
+	defect.InvalidResponse:      ejectionTime,
+	defect.ProxyDraining:        func(given *schema.ProxyOptions) time.Duration { return time.Duration(given.Drain) },
 }
 
-func renewal(given *schema.ProxyOptions) time.Duration {
-	return time.Duration(given.Lease) / renewParts
+func renewalInterval(opts *schema.ProxyOptions) time.Duration {
+	return time.Duration(opts.Lease) / renewalsPerLease
 }
-func ejection(given *schema.ProxyOptions) time.Duration { return time.Duration(given.Ejection) }
+func ejectionTime(opts *schema.ProxyOptions) time.Duration { return time.Duration(opts.Ejection) }
 
-// horizonParts is the part of the longest deadline that calls commonly take at the most.
-const horizonParts = 8
+// typicalCallDivisor is the part of the longest deadline that calls commonly take at the most.
+const typicalCallDivisor = 8
 
-func horizon(given *schema.ProxyOptions) time.Duration {
-	return time.Duration(given.HorizonMost) / horizonParts
+func typicalCallTime(opts *schema.ProxyOptions) time.Duration {
+	return time.Duration(opts.HorizonMost) / typicalCallDivisor
 }
 
-// waitAfter is when asking again makes sense after a failure, 0 if it does not.
-func (s *Server) waitAfter(err error) time.Duration {
-	if wait := comeBack[defect.KindOf(err)]; wait != nil {
-		return wait(s.given())
+// retryAfter is when asking again makes sense after a failure, 0 if it does not.
+func (s *Server) retryAfter(err error) time.Duration {
+	if delay := retryDelays[defect.CodeOf(err)]; delay != nil {
+		return delay(s.currentOptions())
 	}
 	return 0
 }
 
-// refuse gives a caller its final answer, with word when to come back if that makes sense.
-func (s *Server) refuse(head *Head, err error, outcome string, reply *Reply) {
-	s.speeches.callers.Refuse(head, err, outcome, s.waitAfter(err), reply)
+// writeError gives a caller its final answer, with word when to come back if that makes sense.
+func (s *Server) writeError(header *RequestHeader, err error, outcome string, response *Response) {
+	s.extensions.callerCodec.WriteError(header, err, outcome, s.retryAfter(err), response)
 }
--- a/internal/proxy/ties.go
+++ b/internal/proxy/ties.go
@@ -11,48 +11,48 @@
 	"meadowhinge/schema"
 )
 
-// poke wakes a loop without waiting for it.
-func poke(bell chan struct{}) {
+// wake wakes a loop without waiting for it.
+func wake(signal chan struct{}) {
 	select {
-	case bell <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
 	}
 }
 
-// workersChanged lets the whole mesh know, this proxy first.
-func (s *Server) workersChanged() {
-	s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{s.source()}})
-	poke(s.tellNow)
+// publishWorkers lets the whole mesh know, this proxy first.
+func (s *Server) publishWorkers() {
+	s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{s.localSource()}})
+	wake(s.reportNow)
 }
 
-// source is what this proxy tells of itself, under a new stamp each time.
-func (s *Server) source() *schema.Source {
+// localSource is what this proxy tells of itself, under a new stamp each time.
+func (s *Server) localSource() *schema.Source {
 	workers := s.workers.List()
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.counter++
-	return &schema.Source{Name: s.options.Name, Stamp: &schema.Stamp{Incarnation: s.incarnation, Counter: s.counter},
-		Address: s.address, Area: s.options.Area, Workers: workers}
+	s.sourceCounter++
+	return &schema.Source{Name: s.initialOptions.Name, Stamp: &schema.Stamp{Incarnation: s.sourceIncarnation, Counter: s.sourceCounter},
+		Address: s.address, Area: s.initialOptions.Area, Workers: workers}
 }
 
-// registries lists where registries may be reached: where they said they are, then the seeds.
-func (s *Server) registries() []string {
+// registryAddresses lists where registries may be reached: where they said they are, then the seeds.
+func (s *Server) registryAddresses() []string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	var seats []string
-	for seat := range s.cores {
-		seats = append(seats, seat)
+	var memberIDs []string
+	for memberID := range s.coreMembers {
+		memberIDs = append(memberIDs, memberID)
 	}
-	sort.Strings(seats)
+	sort.Strings(memberIDs)
 	var addresses []string
 	seen := map[string]bool{}
-	for _, seat := range seats {
-		if address := s.cores[seat].Address; !seen[address] {
+	for _, memberID := range memberIDs {
+		if address := s.coreMembers[memberID].Address; !seen[address] {
 			seen[address] = true
 			addresses = append(addresses, address)
 		}
 	}
-	for _, address := range options.List(s.given().Seeds) {
+	for _, address := range options.SplitList(s.currentOptions().Seeds) {
 		if !seen[address] {
 			seen[address] = true
 			addresses = append(addresses, address)
@@ -61,24 +61,24 @@
 	return addresses
 }
 
-func (s *Server) learn(cores []*schema.Core) {
-	for _, core := range cores {
-		if held := s.cores[core.Seat]; held == nil || core.Incarnation > held.Incarnation {
-			s.cores[core.Seat] = core
+func (s *Server) recordCoreMembers(members []*schema.Core) {
+	for _, member := range members {
+		if known := s.coreMembers[member.Seat]; known == nil || member.Incarnation > known.Incarnation {
+			s.coreMembers[member.Seat] = member
 		}
 	}
 }
 
-// renew keeps the lease with one of the registries, the i-th of those known, of so many loops.
-func (s *Server) renew(ctx context.Context, i, loops int) {
-	ticker := time.NewTicker(s.lease / renewParts)
+// renewLoop keeps the lease with one of the registries, the i-th of those known, of so many loops.
+func (s *Server) renewLoop(ctx context.Context, loopIndex, loopCount int) {
+	ticker := time.NewTicker(s.leaseDuration / renewalsPerLease)
 	defer ticker.Stop()
 	for {
-		addresses := s.registries()
-		for place, address := range addresses {
+		addresses := s.registryAddresses()
+		for index, address := range addresses {
 			// Each loop minds the addresses of its own place.
-			if place%loops == i {
-				s.renewAt(ctx, address, 0)
+			if index%loopCount == loopIndex {
+				s.renewLease(ctx, address, 0)
 			}
 		}
 		select {
@@ -89,243 +89,243 @@
 	}
 }
 
-// tellKnown lets a majority of registries know of a setup before this proxy uses it. Were
+// announceRevision lets a majority of registries know of a setup before this proxy uses it. Were
 // this proxy restarted after it, one of any majority would refuse it a lease below that.
-func (s *Server) tellKnown(ctx context.Context, sequence uint64) bool {
-	addresses := s.registries()
-	seats := make(chan string, len(addresses))
-	bounded, cancel := context.WithTimeout(ctx, s.lease/renewParts)
-	var asking sync.WaitGroup
+func (s *Server) announceRevision(ctx context.Context, revision uint64) bool {
+	addresses := s.registryAddresses()
+	memberIDs := make(chan string, len(addresses))
+	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
+	var requests sync.WaitGroup
 	for _, address := range addresses {
-		asking.Go(func() { seats <- s.renewAt(bounded, address, sequence) })
+		requests.Go(func() { memberIDs <- s.renewLease(bounded, address, revision) })
 	}
 	// The majority is enough to go on by, but a call cut short would take its link with it.
 	go func() {
-		asking.Wait()
+		requests.Wait()
 		cancel()
 	}()
-	heard := map[string]bool{}
+	answered := map[string]bool{}
 	for range addresses {
-		if seat := <-seats; seat != "" {
-			heard[seat] = true
+		if memberID := <-memberIDs; memberID != "" {
+			answered[memberID] = true
 		}
 		s.lock.Lock()
-		enough := s.seats > 0 && len(heard) > s.seats/2
+		majority := s.coreSize > 0 && len(answered) > s.coreSize/2
 		s.lock.Unlock()
-		if enough {
+		if majority {
 			return true
 		}
 	}
 	return false
 }
 
-// renewAt asks one registry to renew; the grant counts from before it was asked. It gives
+// renewLease asks one registry to renew; the grant counts from before it was asked. It gives
 // the seat that answered, whether it granted or not.
-func (s *Server) renewAt(ctx context.Context, address string, knows uint64) string {
-	bounded, cancel := context.WithTimeout(ctx, s.lease/renewParts)
+func (s *Server) renewLease(ctx context.Context, address string, receivedRevision uint64) string {
+	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
 	defer cancel()
-	asked := s.now()
-	applied := s.journal.View().setup.Sequence
-	reply, err := schema.NewDRPCRegistryClient(s.ends.To(bounded, address)).Lease(bounded, &schema.Renew{Proxy: s.options.Name, Incarnation: s.life, Applied: applied, Knows: knows, LeaseNanos: int64(s.lease)})
+	requestedAt := s.now()
+	applied := s.journal.View().config.Revision
+	reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Lease(bounded, &schema.Renew{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Applied: applied, Knows: receivedRevision, LeaseNanos: int64(s.leaseDuration)})
 	if err != nil {
 		return ""
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.learn(reply.Cores)
-	s.seats = max(s.seats, int(reply.Seats))
-	s.members.Store(s.fleet.Note(s.now(), int64(reply.Members)))
+	s.recordCoreMembers(reply.Cores)
+	s.coreSize = max(s.coreSize, int(reply.Seats))
+	s.fleetSize.Store(s.fleetSizeEstimate.Observe(s.now(), int64(reply.Members)))
 	switch {
 	case reply.Stable <= applied:
-		s.behind = 0
+		s.behindSince = 0
 	// Some registry knows more than the one that feeds this proxy: change over if it lasts.
-	case s.behind == 0:
-		s.behind = asked
-	case asked-s.behind > s.lease/lagParts:
-		s.behind = 0
-		s.feedAt++
+	case s.behindSince == 0:
+		s.behindSince = requestedAt
+	case requestedAt-s.behindSince > s.leaseDuration/feedLagDivisor:
+		s.behindSince = 0
+		s.registryRotation++
 	}
 	if !reply.Granted {
 		return reply.Seat
 	}
-	s.granted.Granted(reply.Seat, int(reply.Seats), asked)
+	s.leaseGate.RecordGrant(reply.Seat, int(reply.Seats), requestedAt)
 	return reply.Seat
 }
 
-// feedAddress is the registry this proxy has its session with.
-func (s *Server) feedAddress() (string, int) {
-	if serving(s.options) {
+// currentRegistry is the registry this proxy has its session with.
+func (s *Server) currentRegistry() (string, int) {
+	if servesStale(s.initialOptions) {
 		s.lock.Lock()
 		defer s.lock.Unlock()
-		return s.tie.Current(), 0
+		return s.registrySelector.Current(), 0
 	}
-	addresses := s.registries()
+	addresses := s.registryAddresses()
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	// Proxies spread over the registries by name, and move on when theirs fails them.
-	start := 0
-	for _, letter := range s.options.Name {
-		start = start*31 + int(letter)
+	preferred := 0
+	for _, char := range s.initialOptions.Name {
+		preferred = preferred*31 + int(char)
 	}
-	if start < 0 {
-		start = -start
+	if preferred < 0 {
+		preferred = -preferred
 	}
-	return addresses[(start+s.feedAt)%len(addresses)], s.feedAt
+	return addresses[(preferred+s.registryRotation)%len(addresses)], s.registryRotation
 }
 
-// moveOn leaves a registry that failed, unless that was done already.
-func (s *Server) moveOn(from int) {
+// switchRegistry leaves a registry that failed, unless that was done already.
+func (s *Server) switchRegistry(rotation int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.feedAt == from {
-		s.feedAt++
+	if s.registryRotation == rotation {
+		s.registryRotation++
 	}
 }
 
-// lagging leaves a registry whose feed is behind what another proxy already has.
-func (s *Server) lagging() {
-	_, at := s.feedAddress()
-	s.moveOn(at)
+// leaveLaggingRegistry leaves a registry whose feed is behind what another proxy already has.
+func (s *Server) leaveLaggingRegistry() {
+	_, rotation := s.currentRegistry()
+	s.switchRegistry(rotation)
 }
 
-func (s *Server) pause(ctx context.Context, parts time.Duration) {
+func (s *Server) sleepLeaseFraction(ctx context.Context, divisor time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(s.lease / parts):
+	case <-time.After(s.leaseDuration / divisor):
 	}
 }
 
-// feed pulls what this proxy lacks, by its vector.
-func (s *Server) feed(ctx context.Context) {
+// pullLoop pulls what this proxy lacks, by its vector.
+func (s *Server) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
-		address, at := s.feedAddress()
-		held := s.journal.View()
-		bounded, cancel := context.WithTimeout(ctx, s.lease/pollParts+s.lease/renewParts)
-		go s.endWhenMoved(bounded, cancel, at)
-		pulled, err := schema.NewDRPCRegistryClient(s.ends.To(bounded, address)).Feed(bounded, &schema.Pull{Node: s.options.Name,
-			Vector: held.Vector(), Setup: held.setup.Sequence, WaitNanos: int64(s.lease / pollParts)})
+		address, rotation := s.currentRegistry()
+		state := s.journal.View()
+		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/longPollDivisor+s.leaseDuration/renewalsPerLease)
+		go s.cancelOnSwitch(bounded, cancel, rotation)
+		update, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Feed(bounded, &schema.Pull{Node: s.initialOptions.Name,
+			Vector: state.Vector(), Setup: state.config.Revision, WaitNanos: int64(s.leaseDuration / longPollDivisor)})
 		cancel()
 		if err != nil {
-			s.moveOn(at)
-			s.pause(ctx, retryParts)
+			s.switchRegistry(rotation)
+			s.sleepLeaseFraction(ctx, retryPauseDivisor)
 			continue
 		}
 		s.lock.Lock()
-		s.learn(pulled.Cores)
+		s.recordCoreMembers(update.Cores)
 		s.lock.Unlock()
-		s.mind(pulled.Sources)
-		if len(pulled.Sources) == 0 && pulled.Setup <= held.setup.Sequence {
+		s.checkSuperseded(update.Sources)
+		if len(update.Sources) == 0 && update.Setup <= state.config.Revision {
 			continue
 		}
 		// The first setup needs no telling: without a lease nothing is shown by it yet.
-		if pulled.Setup > held.setup.Sequence && held.setup.Sequence > 0 && !s.tellKnown(ctx, pulled.Setup) {
-			s.pause(ctx, retryParts)
+		if update.Setup > state.config.Revision && state.config.Revision > 0 && !s.announceRevision(ctx, update.Setup) {
+			s.sleepLeaseFraction(ctx, retryPauseDivisor)
 			continue
 		}
-		s.journal.Append(Event{At: s.now(), Setup: pulled.Setup, Items: pulled.Items, Whole: pulled.Whole, Sources: pulled.Sources})
+		s.journal.Append(Event{At: s.now(), ConfigRevision: update.Setup, Items: update.Items, Complete: update.Whole, Sources: update.Sources})
 		// An applied change is told at once: its acknowledgement may be waiting for this proxy.
-		if pulled.Setup > held.setup.Sequence {
-			for _, address := range s.registries() {
-				go s.renewAt(ctx, address, 0)
+		if update.Setup > state.config.Revision {
+			for _, address := range s.registryAddresses() {
+				go s.renewLease(ctx, address, 0)
 			}
 		}
 	}
 }
 
-// endWhenMoved ends a poll when this proxy has left the registry it polls.
-func (s *Server) endWhenMoved(ctx context.Context, cancel context.CancelFunc, at int) {
+// cancelOnSwitch ends a poll when this proxy has left the registry it polls.
+func (s *Server) cancelOnSwitch(ctx context.Context, cancel context.CancelFunc, rotation int) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(s.lease / lagParts):
+		case <-time.After(s.leaseDuration / feedLagDivisor):
 		}
 		s.lock.Lock()
-		moved := s.feedAt != at
+		switched := s.registryRotation != rotation
 		s.lock.Unlock()
-		if moved {
+		if switched {
 			cancel()
 			return
 		}
 	}
 }
 
-// tell reports workers and counts to the registry of this proxy's session.
-func (s *Server) tell(ctx context.Context) {
+// reportLoop reports workers and counts to the registry of this proxy's session.
+func (s *Server) reportLoop(ctx context.Context) {
 	changed := true
-	looked, any, judged := uint64(0), false, func(string) bool { return false }
-	pause, countedAt := s.lease/countParts, time.Duration(0)
-	if serving(s.options) {
-		pause = countLeases * s.lease
+	judgedRevision, anyJudged, isJudged := uint64(0), false, func(string) bool { return false }
+	verdictInterval, verdictsReportedAt := s.leaseDuration/verdictReportsPerLease, time.Duration(0)
+	if servesStale(s.initialOptions) {
+		verdictInterval = staleVerdictReportLeases * s.leaseDuration
 	}
 	for turn := 0; ; turn++ {
-		// Loads and liveness are told every renewParts-th of a lease, a change at once; what was
+		// Loads and liveness are told every renewalsPerLease-th of a lease, a change at once; what was
 		// seen of workers oftener, but only while some version is to be judged by it; counts of
 		// verdicts, which nothing waits for, more seldom. In a session the registry sees that this
 		// proxy lives, and hardly anything is told while nothing changes.
-		due := changed || (!serving(s.options) && turn%(tellParts/renewParts) == 0)
-		if setup := s.view().Setup; setup.Sequence != looked {
-			judged, any = release.Judged(setup)
-			looked = setup.Sequence
+		includeWorkers := changed || (!servesStale(s.initialOptions) && turn%(reportsPerLease/renewalsPerLease) == 0)
+		if snapshot := s.view().Config; snapshot.Revision != judgedRevision {
+			isJudged, anyJudged = release.JudgedServices(snapshot)
+			judgedRevision = snapshot.Revision
 		}
-		counts := s.now()-countedAt >= pause
-		told := true
-		if any || due || counts {
-			if told = s.tellOnce(ctx, due, counts, judged); told && counts {
-				countedAt = s.now()
+		includeVerdicts := s.now()-verdictsReportedAt >= verdictInterval
+		reported := true
+		if anyJudged || includeWorkers || includeVerdicts {
+			if reported = s.report(ctx, includeWorkers, includeVerdicts, isJudged); reported && includeVerdicts {
+				verdictsReportedAt = s.now()
 			}
 		}
-		wait := time.After(pause)
+		timer := time.After(verdictInterval)
 		switch {
-		case !told && due && serving(s.options):
-			wait = time.After(s.lease / retryParts)
-		case any || !serving(s.options):
-			wait = time.After(s.lease / tellParts)
+		case !reported && includeWorkers && servesStale(s.initialOptions):
+			timer = time.After(s.leaseDuration / retryPauseDivisor)
+		case anyJudged || !servesStale(s.initialOptions):
+			timer = time.After(s.leaseDuration / reportsPerLease)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-wait:
-			changed = !told && due && serving(s.options)
-		case <-s.lookNow:
+		case <-timer:
+			changed = !reported && includeWorkers && servesStale(s.initialOptions)
+		case <-s.configChanged:
 			changed = false
-		case <-s.tellNow:
+		case <-s.reportNow:
 			changed = true
 		}
 	}
 }
 
-// tellOnce reports what was seen of judged services, with whole this proxy's workers too, and
+// report reports what was seen of judged services, with whole this proxy's workers too, and
 // counts of verdicts if they are wanted; it tells whether that went well.
-func (s *Server) tellOnce(ctx context.Context, whole, counts bool, judged func(service string) bool) bool {
-	defer s.trials.Forget()
-	address, at := s.feedAddress()
+func (s *Server) report(ctx context.Context, includeWorkers, includeVerdicts bool, isJudged func(service string) bool) bool {
+	defer s.canaries.ForgetUnguarded()
+	address, rotation := s.currentRegistry()
 	// Without a session there is nobody to tell.
 	if address == "" {
 		return false
 	}
 	var source *schema.Source
 	switch {
-	case whole && serving(s.options):
-		source = s.source()
-	case whole:
-		s.workers.Sweep()
-		source = s.source()
-		view := s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{source}, Sweep: s.lease / sweepParts})
-		s.facts.Keep(view.Known())
+	case includeWorkers && servesStale(s.initialOptions):
+		source = s.localSource()
+	case includeWorkers:
+		s.workers.DropUnresponsive()
+		source = s.localSource()
+		state := s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{source}, SourceTimeout: s.leaseDuration / sourceTimeoutDivisor})
+		s.outliers.Retain(state.KnownWorkers())
 	}
-	bounded, cancel := context.WithTimeout(ctx, s.lease/renewParts)
-	asked, setup := s.now(), s.view().Setup
-	report := &schema.Report{Proxy: s.options.Name, Incarnation: s.life, Source: source, Applied: setup.Sequence, Works: s.runner.Works.Tell(judged)}
-	if counts {
-		report.Counts = s.tally.Counts(setup.Sequence)
+	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
+	requestedAt, snapshot := s.now(), s.view().Config
+	report := &schema.Report{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source, Applied: snapshot.Revision, Works: s.runner.WorkCounts.Report(isJudged)}
+	if includeVerdicts {
+		report.Counts = s.callCounter.Counts(snapshot.Revision)
 	}
-	told, err := schema.NewDRPCRegistryClient(s.ends.To(bounded, address)).Tell(bounded, report)
+	reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Tell(bounded, report)
 	cancel()
 	if err == nil {
-		s.trials.Granted(asked, told.Trials)
-	} else if ctx.Err() == nil && !serving(s.options) {
-		s.moveOn(at)
+		s.canaries.ApplyGrants(requestedAt, reply.Trials)
+	} else if ctx.Err() == nil && !servesStale(s.initialOptions) {
+		s.switchRegistry(rotation)
 	}
 	return err == nil
 }
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -15,181 +15,181 @@
 
 // Event is what happened: setup or sources arrived.
 type Event struct {
-	At      time.Duration
-	Setup   uint64
-	Items   []*schema.Item
-	Whole   bool
-	Sources []*schema.Source
-	Sweep   time.Duration // drop sources not heard from for this long, if others are
+	At             time.Duration
+	ConfigRevision uint64
+	Items          []*schema.Item
+	Complete       bool
+	Sources        []*schema.Source
+	SourceTimeout  time.Duration // drop sources not heard from for this long, if others are
 }
 
-type known struct {
-	source *schema.Source
-	at     time.Duration
+type sourceRecord struct {
+	source     *schema.Source
+	receivedAt time.Duration
 }
 
-// Picture is all that is folded from the journal; readers take its plan view.
-type Picture struct {
-	state    setup.State
-	setup    *setup.Setup
-	sources  map[string]known
-	swept    map[string]*schema.Stamp // of sources dropped as silent: only newer news brings one back
-	since    map[string]listed        // by instance of a worker
-	replaced []replacement
+// MeshState is all that is folded from the journal; readers take its plan view.
+type MeshState struct {
+	items            setup.State
+	config           *setup.Snapshot
+	sources          map[string]sourceRecord
+	droppedVersions  map[string]*schema.Stamp // of sources dropped as silent: only newer news brings one back
+	workers          map[string]workerRecord  // by instance of a worker
+	appliedRevisions []appliedRevision
 
 	directory plan.Directory
 	view      *plan.View
 }
 
-// listed is since when a worker is known, and how many sources list it.
-type listed struct {
-	first   time.Duration
-	sources int
+// workerRecord is since when a worker is known, and how many sources list it.
+type workerRecord struct {
+	firstSeenAt time.Duration
+	sourceCount int
 }
 
-// replacement tells when a setup was applied, and so when the ones before it went.
-type replacement struct {
-	sequence uint64
-	at       time.Duration
+// appliedRevision tells when a setup was applied, and so when the ones before it went.
+type appliedRevision struct {
+	revision  uint64
+	appliedAt time.Duration
 }
 
-// sweepRatio is the part of the sources that must be heard for the silent rest to be dropped.
-const sweepRatio = 0.8
+// minHeardRatio is the part of the sources that must be heard for the silent rest to be dropped.
+const minHeardRatio = 0.8
 
-// replacedKept bounds the memory of replacements.
-const replacedKept = 64
+// maxAppliedRevisions bounds the memory of replacements.
+const maxAppliedRevisions = 64
 
-// EmptyPicture is what a proxy knows at first: nothing.
-func EmptyPicture() Picture {
+// EmptyMeshState is what a proxy knows at first: nothing.
+func EmptyMeshState() MeshState {
 	compiled, _ := setup.Compile(setup.State{}, 0)
-	return Picture{state: setup.State{}, setup: compiled, sources: map[string]known{}, swept: map[string]*schema.Stamp{}, since: map[string]listed{}, directory: plan.Directory{},
-		view: &plan.View{Setup: compiled, Directory: plan.Directory{}}}
+	return MeshState{items: setup.State{}, config: compiled, sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.Stamp{}, workers: map[string]workerRecord{}, directory: plan.Directory{},
+		view: &plan.View{Config: compiled, Directory: plan.Directory{}}}
 }
 
 // Fold makes the next picture. An older setup than the one held changes nothing, whoever
 // sends it: a node never falls back.
-func Fold(before Picture, event Event) Picture {
+func Fold(before MeshState, event Event) MeshState {
 	after := before
-	if event.Setup > before.setup.Sequence {
-		after.state = before.state.Taking(event.Items, event.Whole)
-		after.setup, _ = setup.CompileAfter(before.setup, after.state, event.Setup)
-		after.replaced = append(append([]replacement(nil), before.replaced...), replacement{event.Setup, event.At})
-		if len(after.replaced) > replacedKept {
-			after.replaced = after.replaced[1:]
+	if event.ConfigRevision > before.config.Revision {
+		after.items = before.items.Apply(event.Items, event.Complete)
+		after.config, _ = setup.CompileIncremental(before.config, after.items, event.ConfigRevision)
+		after.appliedRevisions = append(append([]appliedRevision(nil), before.appliedRevisions...), appliedRevision{event.ConfigRevision, event.At})
+		if len(after.appliedRevisions) > maxAppliedRevisions {
+			after.appliedRevisions = after.appliedRevisions[1:]
 		}
 	}
-	if len(event.Sources) > 0 || event.Sweep > 0 {
-		after.takeSources(before, event)
+	if len(event.Sources) > 0 || event.SourceTimeout > 0 {
+		after.applySources(before, event)
 	}
-	after.view = &plan.View{Setup: after.setup, Directory: after.directory}
+	after.view = &plan.View{Config: after.config, Directory: after.directory}
 	return after
 }
 
-// takeSources folds what sources told. Only what they told anew is worked out again: in a large
+// applySources folds what sources told. Only what they told anew is worked out again: in a large
 // mesh every change of one proxy's workers comes to all others.
-func (p *Picture) takeSources(before Picture, event Event) {
-	p.sources, p.swept = maps.Clone(before.sources), maps.Clone(before.swept)
-	moved := map[string]bool{} // by source: it is another than before, or gone
-	if event.Sweep > 0 {
-		p.sweep(before, event, moved)
+func (m *MeshState) applySources(before MeshState, event Event) {
+	m.sources, m.droppedVersions = maps.Clone(before.sources), maps.Clone(before.droppedVersions)
+	changed := map[string]bool{} // by source: it is another than before, or gone
+	if event.SourceTimeout > 0 {
+		m.dropSilentSources(before, event, changed)
 	}
 	for _, source := range event.Sources {
 		// Of a bare source nothing is known but that it was seen.
 		if source.Bare {
 			continue
 		}
-		held, found := p.sources[source.Name]
-		if (!found && newer(source.Stamp, p.swept[source.Name])) || (found && newer(source.Stamp, held.source.Stamp)) {
-			p.sources[source.Name] = known{source, event.At}
-			delete(p.swept, source.Name)
-			moved[source.Name] = true
+		existing, found := m.sources[source.Name]
+		if (!found && isNewer(source.Stamp, m.droppedVersions[source.Name])) || (found && isNewer(source.Stamp, existing.source.Stamp)) {
+			m.sources[source.Name] = sourceRecord{source, event.At}
+			delete(m.droppedVersions, source.Name)
+			changed[source.Name] = true
 		}
 	}
-	if len(moved) > 0 {
-		p.relist(before, event.At, slices.Sorted(maps.Keys(moved)))
+	if len(changed) > 0 {
+		m.updateDirectory(before, event.At, slices.Sorted(maps.Keys(changed)))
 	}
 }
 
-// sweep drops the sources that were silent for long. When many are silent at once it is the feed
+// dropSilentSources drops the sources that were silent for long. When many are silent at once it is the feed
 // that failed, as in a split core, not they: then all are kept, and those that are dead are found
 // out by calling them.
-func (p *Picture) sweep(before Picture, event Event, moved map[string]bool) {
+func (m *MeshState) dropSilentSources(before MeshState, event Event, changed map[string]bool) {
 	var silent []string
-	for name, held := range before.sources {
-		if event.At-held.at > event.Sweep {
+	for name, record := range before.sources {
+		if event.At-record.receivedAt > event.SourceTimeout {
 			silent = append(silent, name)
 		}
 	}
-	if fresh := len(before.sources) - len(silent); float64(fresh) <= sweepRatio*float64(len(before.sources)) {
+	if heardCount := len(before.sources) - len(silent); float64(heardCount) <= minHeardRatio*float64(len(before.sources)) {
 		return
 	}
 	for _, name := range silent {
-		p.swept[name] = p.sources[name].source.Stamp
-		delete(p.sources, name)
-		moved[name] = true
+		m.droppedVersions[name] = m.sources[name].source.Stamp
+		delete(m.sources, name)
+		changed[name] = true
 	}
 }
 
-// relist brings the directory and the list of workers up to the sources that moved.
-func (p *Picture) relist(before Picture, now time.Duration, moved []string) {
-	p.since, p.directory = maps.Clone(before.since), maps.Clone(before.directory)
-	var fresh []*schema.Source
-	touched := map[string]bool{}
+// updateDirectory brings the directory and the list of workers up to the sources that moved.
+func (m *MeshState) updateDirectory(before MeshState, now time.Duration, changed []string) {
+	m.workers, m.directory = maps.Clone(before.workers), maps.Clone(before.directory)
+	var updatedSources []*schema.Source
+	changedServices := map[string]bool{}
 	// What is listed anew is counted before what is no longer, so that a worker that goes from one
 	// source to another keeps the time since when it is known.
-	for _, name := range moved {
-		held, found := p.sources[name]
+	for _, name := range changed {
+		record, found := m.sources[name]
 		if !found {
 			continue
 		}
-		fresh = append(fresh, held.source)
-		for _, worker := range held.source.Workers {
-			touched[worker.Service] = true
-			one, listed := p.since[worker.Instance]
-			if !listed {
-				one.first = now
+		updatedSources = append(updatedSources, record.source)
+		for _, worker := range record.source.Workers {
+			changedServices[worker.Service] = true
+			entry, isListed := m.workers[worker.Instance]
+			if !isListed {
+				entry.firstSeenAt = now
 			}
-			one.sources++
-			p.since[worker.Instance] = one
+			entry.sourceCount++
+			m.workers[worker.Instance] = entry
 		}
 	}
-	for _, name := range moved {
-		held, found := before.sources[name]
+	for _, name := range changed {
+		record, found := before.sources[name]
 		if !found {
 			continue
 		}
-		for _, worker := range held.source.Workers {
-			touched[worker.Service] = true
-			one := p.since[worker.Instance]
-			if one.sources--; one.sources == 0 {
-				delete(p.since, worker.Instance)
+		for _, worker := range record.source.Workers {
+			changedServices[worker.Service] = true
+			entry := m.workers[worker.Instance]
+			if entry.sourceCount--; entry.sourceCount == 0 {
+				delete(m.workers, worker.Instance)
 			} else {
-				p.since[worker.Instance] = one
+				m.workers[worker.Instance] = entry
 			}
 		}
 	}
-	added := plan.DirectoryOf(fresh, func(instance string) time.Duration { return p.since[instance].first },
-		func(source string) time.Duration { return p.sources[source].at })
-	for service := range touched {
-		pools := map[string][]plan.Candidate{}
+	added := plan.DirectoryOf(updatedSources, func(instance string) time.Duration { return m.workers[instance].firstSeenAt },
+		func(source string) time.Duration { return m.sources[source].receivedAt })
+	for service := range changedServices {
+		pools := map[string][]plan.Endpoint{}
 		for version, pool := range before.directory[service] {
-			for _, candidate := range pool {
-				if _, gone := slices.BinarySearch(moved, candidate.Proxy); !gone {
-					pools[version] = append(pools[version], candidate)
+			for _, endpoint := range pool {
+				if _, isChanged := slices.BinarySearch(changed, endpoint.Proxy); !isChanged {
+					pools[version] = append(pools[version], endpoint)
 				}
 			}
 		}
 		for version, pool := range added[service] {
 			pools[version] = append(pools[version], pool...)
-			slices.SortStableFunc(pools[version], func(a, b plan.Candidate) int { return strings.Compare(a.Proxy, b.Proxy) })
+			slices.SortStableFunc(pools[version], func(a, b plan.Endpoint) int { return strings.Compare(a.Proxy, b.Proxy) })
 		}
-		if p.directory[service] = pools; len(pools) == 0 {
-			delete(p.directory, service)
+		if m.directory[service] = pools; len(pools) == 0 {
+			delete(m.directory, service)
 		}
 	}
 }
 
-func newer(a, b *schema.Stamp) bool {
+func isNewer(a, b *schema.Stamp) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
 	}
@@ -200,42 +200,42 @@
 }
 
 // View is what plans are made from.
-func (p Picture) View() *plan.View { return p.view }
+func (m MeshState) View() *plan.View { return m.view }
 
-// Sequence is the setup in use.
-func (p Picture) Sequence() uint64 { return p.setup.Sequence }
+// ConfigRevision is the setup in use.
+func (m MeshState) ConfigRevision() uint64 { return m.config.Revision }
 
-// State is the items of the setup in use.
-func (p Picture) State() setup.State { return p.state }
+// Items is the items of the setup in use.
+func (m MeshState) Items() setup.State { return m.items }
 
 // Outdated tells whether a setup was replaced longer ago than a bound.
-func (p Picture) Outdated(sequence uint64, now, bound time.Duration) bool {
-	for _, one := range p.replaced {
-		if one.sequence > sequence {
-			return now-one.at > bound
+func (m MeshState) Outdated(revision uint64, now, grace time.Duration) bool {
+	for _, applied := range m.appliedRevisions {
+		if applied.revision > revision {
+			return now-applied.appliedAt > grace
 		}
 	}
 	return false
 }
 
 // Vector is what this proxy has of each source.
-func (p Picture) Vector() map[string]*schema.Stamp {
-	vector := make(map[string]*schema.Stamp, len(p.sources))
-	for name, held := range p.sources {
-		vector[name] = held.source.Stamp
+func (m MeshState) Vector() map[string]*schema.Stamp {
+	vector := make(map[string]*schema.Stamp, len(m.sources))
+	for name, record := range m.sources {
+		vector[name] = record.source.Stamp
 	}
 	// A registry keeps silent sources longer; it need not send them again.
-	for name, stamp := range p.swept {
+	for name, stamp := range m.droppedVersions {
 		vector[name] = stamp
 	}
 	return vector
 }
 
-// Known is every worker that is listed.
-func (p Picture) Known() map[string]bool {
-	listed := make(map[string]bool, len(p.since))
-	for instance := range p.since {
-		listed[instance] = true
+// KnownWorkers is every worker that is listed.
+func (m MeshState) KnownWorkers() map[string]bool {
+	instances := make(map[string]bool, len(m.workers))
+	for instance := range m.workers {
+		instances[instance] = true
 	}
-	return listed
+	return instances
 }
--- a/internal/proxy/watch.go
+++ b/internal/proxy/watch.go
@@ -21,12 +21,12 @@
 //     still reads. The two look alike until something is sent, so an interim answer is: a closed
 //     connection resets on it, an open one ignores it (RFC 9110, section 15.2).
 
-// interim is sent to find out whether a caller that sends nothing more still reads. 100 is the one
+// continueResponse is sent to find out whether a caller that sends nothing more still reads. 100 is the one
 // interim status that every client of HTTP/1.1 passes over.
-const interim = "HTTP/1.1 100 Continue\r\n\r\n"
+const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// watched is what the read of a watch came to.
-type watched struct {
+// watchResult is what the read of a watch came to.
+type watchResult struct {
 	count int
 	err   error
 }
@@ -34,129 +34,129 @@
 // startWatch begins to watch the connection. Where bytes of a next request have come already there is
 // no need: its caller waits for that one.
 func (c *connection) startWatch() {
-	if c.at < c.have {
+	if c.bufferStart < c.bufferEnd {
 		return
 	}
 	c.resetBuffer()
-	c.answering = false
+	c.responseStarted = false
 	c.watching = true
-	go c.watch(c.buffer, c.head.old)
+	go c.watchInput(c.buffer, c.header.http10)
 }
 
-// watch reads into the connection's empty buffer until something comes, or the connection ends.
-func (c *connection) watch(into []byte, old bool) {
+// watchInput reads into the connection's empty buffer until something comes, or the connection ends.
+func (c *connection) watchInput(buffer []byte, http10 bool) {
 	for {
-		count, err := c.conn.Read(into)
+		count, err := c.conn.Read(buffer)
 		// The deadline was for requests; a call may take longer.
-		if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extend() {
+		if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendReadDeadline() {
 			continue
 		}
 		if count == 0 && err != nil {
-			c.ended(err, old)
+			c.handleInputEnd(err, http10)
 		}
-		c.watchEnded <- watched{count, err}
+		c.watchResults <- watchResult{count, err}
 		return
 	}
 }
 
-// extend moves the deadline for reading while a call is under way; false once it is answered.
-func (c *connection) extend() bool {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	if c.answering {
+// extendReadDeadline moves the deadline for reading while a call is under way; false once it is answered.
+func (c *connection) extendReadDeadline() bool {
+	c.writeLock.Lock()
+	defer c.writeLock.Unlock()
+	if c.responseStarted {
 		return false
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(c.front.bounds().quiet))
-	c.extended = true
+	_ = c.conn.SetReadDeadline(time.Now().Add(c.listener.limits().idleTimeout))
+	c.deadlineExtended = true
 	return true
 }
 
-// ended finds out what the end of a connection means for the call under way. Callers of HTTP/1.0 know
+// handleInputEnd finds out what the end of a connection means for the call under way. Callers of HTTP/1.0 know
 // no interim answers, and hardly one of them closes one side only.
-func (c *connection) ended(err error, old bool) {
-	if errors.Is(err, io.EOF) && !old {
-		c.inputEnded.Store(true)
-		if c.reads() {
+func (c *connection) handleInputEnd(err error, http10 bool) {
+	if errors.Is(err, io.EOF) && !http10 {
+		c.inputClosed.Store(true)
+		if c.callerStillReads() {
 			return
 		}
 	}
-	c.left()
+	c.markDisconnected()
 }
 
-// left ends the call under way, for its caller is gone; unless it has been answered.
-func (c *connection) left() {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	if !c.answering {
-		c.gone = true
-		c.end()
-		c.front.departures.Noticed.Add(1)
+// markDisconnected ends the call under way, for its caller is gone; unless it has been answered.
+func (c *connection) markDisconnected() {
+	c.writeLock.Lock()
+	defer c.writeLock.Unlock()
+	if !c.responseStarted {
+		c.callerDisconnected = true
+		c.cancelCaller()
+		c.listener.disconnects.Detected.Add(1)
 	}
 }
 
-// reads tells whether a caller that sends nothing more still reads: it is sent an interim answer, and
+// callerStillReads tells whether a caller that sends nothing more still reads: it is sent an interim answer, and
 // did not reset the connection on it by the time that its call is answered.
-func (c *connection) reads() bool {
-	sent, err := c.sendInterim()
+func (c *connection) callerStillReads() bool {
+	sent, err := c.sendContinue()
 	if err != nil {
 		return false
 	}
 	return !sent || !c.awaitReset()
 }
 
-// sendInterim sends the interim answer, unless the final one is on its way.
-func (c *connection) sendInterim() (sent bool, err error) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	if c.answering {
+// sendContinue sends the interim answer, unless the final one is on its way.
+func (c *connection) sendContinue() (sent bool, err error) {
+	c.writeLock.Lock()
+	defer c.writeLock.Unlock()
+	if c.responseStarted {
 		return false, nil
 	}
-	c.boundWrite()
-	_, err = io.WriteString(c.conn, interim)
+	c.setWriteTimeout()
+	_, err = io.WriteString(c.conn, continueResponse)
 	return true, err
 }
 
 // awaitReset waits until the other side resets the connection; false if this side ends it before.
 func (c *connection) awaitReset() bool {
-	plain, is := c.conn.(syscall.Conn)
-	if !is {
+	syscallConn, supported := c.conn.(syscall.Conn)
+	if !supported {
 		return false
 	}
-	raw, err := plain.SyscallConn()
+	raw, err := syscallConn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	reset := false
 	for {
-		err := raw.Read(func(handle uintptr) bool {
-			reset = failed(handle)
+		err := raw.Read(func(descriptor uintptr) bool {
+			reset = hasSocketError(descriptor)
 			return reset
 		})
-		if reset || err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || !c.extend() {
+		if reset || err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || !c.extendReadDeadline() {
 			return reset
 		}
 	}
 }
 
-// failed tells whether a socket's connection has failed.
-func failed(handle uintptr) bool {
-	fault, err := unix.GetsockoptInt(int(handle), unix.SOL_SOCKET, unix.SO_ERROR)
-	return err == nil && fault != 0
+// hasSocketError tells whether a socket's connection has failed.
+func hasSocketError(descriptor uintptr) bool {
+	socketError, err := unix.GetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_ERROR)
+	return err == nil && socketError != 0
 }
 
-// takeWatched gives what the watch came to.
-func (c *connection) takeWatched() (int, error) {
-	result := <-c.watchEnded
+// awaitWatchResult gives what the watch came to.
+func (c *connection) awaitWatchResult() (int, error) {
+	result := <-c.watchResults
 	c.watching = false
 	return result.count, result.err
 }
 
-// beginAnswer ends the watch's right to write and to move the deadline.
-func (c *connection) beginAnswer() {
-	c.writing.Lock()
-	defer c.writing.Unlock()
-	c.answering = true
-	if c.extended {
-		c.readBy, c.extended = time.Time{}, false
+// beginResponse ends the watch's right to write and to move the deadline.
+func (c *connection) beginResponse() {
+	c.writeLock.Lock()
+	defer c.writeLock.Unlock()
+	c.responseStarted = true
+	if c.deadlineExtended {
+		c.readDeadline, c.deadlineExtended = time.Time{}, false
 	}
 }
--- a/internal/registry/attend.go
+++ b/internal/registry/attend.go
@@ -11,14 +11,14 @@
 
 // Ratios to the lease.
 const (
-	peerBeats  = 4 // beats of a session between registries: bytes between zones are dear
-	youngParts = 2 // how long a registry that has just started may keep its setup to itself
+	peerHeartbeatTicks = 4 // beats of a session between registries: bytes between zones are dear
+	startupHoldDivisor = 2 // how long a registry that has just started may keep its setup to itself
 )
 
-// beats lets all sessions send their signs of life in one go, so that an idle registry wakes once
+// runHeartbeats lets all sessions send their signs of life in one go, so that an idle registry wakes once
 // for all of them, and has a look at the roster.
-func (s *Server) beats(ctx context.Context) {
-	ticker := time.NewTicker(s.lease / session.BeatParts)
+func (s *Server) runHeartbeats(ctx context.Context) {
+	ticker := time.NewTicker(s.leaseDuration / session.HeartbeatsPerLease)
 	defer ticker.Stop()
 	for {
 		select {
@@ -27,204 +27,204 @@
 		case <-ticker.C:
 		}
 		s.lock.Lock()
-		before := s.table.roster.place
-		s.table.sweep(s.now())
-		if s.table.roster.place != before {
-			s.announce()
+		before := s.fleetState.directory.lastSequence
+		s.fleetState.sweep(s.now())
+		if s.fleetState.directory.lastSequence != before {
+			s.broadcastChange()
 		}
-		close(s.beat)
-		s.beat = make(chan struct{})
+		close(s.heartbeatTick)
+		s.heartbeatTick = make(chan struct{})
 		s.lock.Unlock()
 	}
 }
 
 // Attend serves a session: what the node lacks at first, then whatever is new.
-func (s *Server) Attend(asked *schema.Attending, stream schema.DRPCRegistry_AttendStream) error {
+func (s *Server) Attend(request *schema.Attending, stream schema.DRPCRegistry_AttendStream) error {
 	ctx := stream.Context()
-	peer := asked.Core != nil
-	if peer {
-		if err := s.isRegistry(ctx); err != nil {
+	fromRegistry := request.Core != nil
+	if fromRegistry {
+		if err := s.requireRegistry(ctx); err != nil {
 			return err
 		}
-	} else if err := s.isProxy(ctx, asked.Node); err != nil {
+	} else if err := s.requireProxy(ctx, request.Node); err != nil {
 		return err
 	}
-	if (asked.Source != nil && asked.Source.Name != asked.Node) || (asked.Trial && peer) {
-		return defect.New(defect.Stranger, asked.Node)
+	if (request.Source != nil && request.Source.Name != request.Node) || (request.Trial && fromRegistry) {
+		return defect.New(defect.Unauthorized, request.Node)
 	}
 	s.lock.Lock()
-	s.table.Differs(asked.Node, "lease", time.Duration(asked.LeaseNanos).String(), s.lease.String(), asked.LeaseNanos != 0)
-	s.table.Learn(s.now(), asked.Vector)
-	moved := s.learnCore(asked.Core)
+	s.fleetState.CompareSetting(request.Node, "lease", time.Duration(request.LeaseNanos).String(), s.leaseDuration.String(), request.LeaseNanos != 0)
+	s.fleetState.ObserveVector(s.now(), request.Vector)
+	stateChanged := s.observeMember(request.Core)
 	switch {
-	case asked.Trial:
-		s.table.Visit(asked.Node)
-	case asked.Source != nil:
-		moved = s.table.Arrive(s.now(), asked.Source) || moved
+	case request.Trial:
+		s.fleetState.OpenProvisionalSession(request.Node)
+	case request.Source != nil:
+		stateChanged = s.fleetState.OpenSession(s.now(), request.Source) || stateChanged
 	}
-	if moved {
-		s.announce()
+	if stateChanged {
+		s.broadcastChange()
 	}
 	s.lock.Unlock()
-	if asked.Trial || asked.Source != nil {
-		s.log.V(1).Info("session begins", "proxy", asked.Node)
+	if request.Trial || request.Source != nil {
+		s.log.V(1).Info("session begins", "proxy", request.Node)
 		defer func() {
 			s.lock.Lock()
-			s.table.Depart(s.now(), asked.Node)
+			s.fleetState.CloseSession(s.now(), request.Node)
 			s.lock.Unlock()
-			s.log.V(1).Info("session ends", "proxy", asked.Node)
+			s.log.V(1).Info("session ends", "proxy", request.Node)
 		}()
 	}
-	told := &telling{position: NewPosition(asked.Node, asked.GetCore().GetSeat(), asked.Vector), peer: peer, setup: asked.Setup}
-	for onBeat := true; ; {
+	progress := &sessionProgress{cursor: NewSessionCursor(request.Node, request.GetCore().GetSeat(), request.Vector), toRegistry: fromRegistry, revision: request.Setup}
+	for onHeartbeat := true; ; {
 		s.lock.Lock()
-		news, worth := s.newsFor(told)
-		moved, beat := s.moved, s.beat
+		update, hasContent := s.nextUpdate(progress)
+		stateChanged, heartbeatTick := s.stateChanged, s.heartbeatTick
 		s.lock.Unlock()
-		if worth || onBeat && signDue(s.now()-told.at, time.Duration(asked.BeatNanos), s.lease) {
-			if err := stream.Send(news); err != nil {
+		if hasContent || onHeartbeat && heartbeatDue(s.now()-progress.lastSentAt, time.Duration(request.BeatNanos), s.leaseDuration) {
+			if err := stream.Send(update); err != nil {
 				return err
 			}
-			told.at = s.now()
+			progress.lastSentAt = s.now()
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-beat:
-			onBeat = true
+		case <-heartbeatTick:
+			onHeartbeat = true
 			continue
-		case <-moved:
+		case <-stateChanged:
 		}
 		// News come in flocks: those of a moment are sent together.
-		s.pause(ctx, batchParts)
+		s.waitLeaseFraction(ctx, batchDivisor)
 		select {
-		case <-beat:
-			onBeat = true
+		case <-heartbeatTick:
+			onHeartbeat = true
 		default:
-			onBeat = false
+			onHeartbeat = false
 		}
 	}
 }
 
-// signDue tells, at a beat, whether a session's node that was told something so long ago is owed a sign
+// heartbeatDue tells, at a beat, whether a session's node that was told something so long ago is owed a sign
 // of life now: by the next beat it would have waited for longer than it was promised. News between
 // two beats must not put the next sign off, or whoever hears it would take this registry for silent.
-func signDue(since, promised, lease time.Duration) bool {
-	return since+lease/session.BeatParts > promised+lease/batchParts
+func heartbeatDue(sinceLastSend, promisedInterval, leaseDuration time.Duration) bool {
+	return sinceLastSend+leaseDuration/session.HeartbeatsPerLease > promisedInterval+leaseDuration/batchDivisor
 }
 
-// telling is what a session's node has been told.
-type telling struct {
-	position *Position
-	peer     bool
-	setup    uint64
-	cores    []*schema.Core
-	members  uint32
-	begun    bool
-	at       time.Duration
+// sessionProgress is what a session's node has been told.
+type sessionProgress struct {
+	cursor      *SessionCursor
+	toRegistry  bool
+	revision    uint64
+	members     []*schema.Core
+	liveProxies uint32
+	started     bool
+	lastSentAt  time.Duration
 }
 
-// newsFor makes what a node is to be told now, and tells whether it is worth more than a sign of
+// nextUpdate makes what a node is to be told now, and tells whether it is worth more than a sign of
 // life; the caller holds the lock.
-func (s *Server) newsFor(told *telling) (news *schema.News, worth bool) {
+func (s *Server) nextUpdate(progress *sessionProgress) (update *schema.News, hasContent bool) {
 	now := s.now()
-	news = &schema.News{Sources: s.table.News(now, told.position)}
-	age, known := s.table.Age(now)
+	update = &schema.News{Sources: s.fleetState.NextUpdates(now, progress.cursor)}
+	age, confirmed := s.fleetState.Staleness(now)
 	// A registry that has just started may hold an older setup than was promised in an earlier
 	// life. It finds out what is newest first, unless the core cannot tell.
-	if news.Vouched, news.AgeNanos = known, int64(age); s.shows(now) {
-		if news.Setup = s.table.stable; !told.peer && news.Setup > told.setup {
-			news.Items, news.Whole = s.state.After(told.setup)
-			news.Items = unsaid(news.Items)
-			told.setup = news.Setup
-			worth = true
+	if update.Vouched, update.AgeNanos = confirmed, int64(age); s.servesConfig(now) {
+		if update.Setup = s.fleetState.committedRevision; !progress.toRegistry && update.Setup > progress.revision {
+			update.Items, update.Whole = s.configState.ChangesAfter(progress.revision)
+			update.Items = withoutOperatorText(update.Items)
+			progress.revision = update.Setup
+			hasContent = true
 		}
 	} else {
-		news.Vouched = false
+		update.Vouched = false
 	}
-	if cores := s.coreList(); !sameCores(cores, told.cores) {
-		told.cores, news.Cores = cores, cores
-		worth = true
+	if members := s.reachableMembers(); !sameMembers(members, progress.members) {
+		progress.members, update.Cores = members, members
+		hasContent = true
 	}
-	if told.peer {
-		news.Reached = s.table.Reached(now)
+	if progress.toRegistry {
+		update.Reached = s.fleetState.ReachableRegistries(now)
 	}
-	if members := uint32(s.table.Members(now)); !told.peer && members != told.members {
-		told.members, news.Members = members, members
-		worth = true
+	if liveProxies := uint32(s.fleetState.LiveProxies(now)); !progress.toRegistry && liveProxies != progress.liveProxies {
+		progress.liveProxies, update.Members = liveProxies, liveProxies
+		hasContent = true
 	}
-	worth = worth || !told.begun || len(news.Sources) > 0
-	told.begun = true
-	return news, worth
+	hasContent = hasContent || !progress.started || len(update.Sources) > 0
+	progress.started = true
+	return update, hasContent
 }
 
-// shows tells whether this registry may show its setup.
-func (s *Server) shows(now time.Duration) bool {
-	return s.table.current || now >= s.lease/youngParts
+// servesConfig tells whether this registry may show its setup.
+func (s *Server) servesConfig(now time.Duration) bool {
+	return s.fleetState.caughtUp || now >= s.leaseDuration/startupHoldDivisor
 }
 
-// attendPeer has a session with the registry at an address, and begins another when it ends.
-func (s *Server) attendPeer(ctx context.Context, address string) {
+// subscribeToPeer has a session with the registry at an address, and begins another when it ends.
+func (s *Server) subscribeToPeer(ctx context.Context, address string) {
 	for ctx.Err() == nil {
-		seat, err := s.attendOnce(ctx, address)
-		if seat != "" && ctx.Err() == nil {
-			s.log.V(1).Info("registry lost", "at", address, "why", defect.KindOf(err))
+		memberID, err := s.runPeerSubscription(ctx, address)
+		if memberID != "" && ctx.Err() == nil {
+			s.log.V(1).Info("registry lost", "at", address, "why", defect.CodeOf(err))
 		}
-		s.pause(ctx, retryParts)
+		s.waitLeaseFraction(ctx, retryPauseDivisor)
 	}
 }
 
-// attendOnce has one session with a registry; it gives its seat if it was heard.
-func (s *Server) attendOnce(ctx context.Context, address string) (seat string, err error) {
+// runPeerSubscription has one session with a registry; it gives its seat if it was heard.
+func (s *Server) runPeerSubscription(ctx context.Context, address string) (memberID string, err error) {
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
 	// A registry that says nothing for a lease is as good as gone.
-	watch := time.AfterFunc(s.lease, cancel)
-	defer watch.Stop()
+	watchdog := time.AfterFunc(s.leaseDuration, cancel)
+	defer watchdog.Stop()
 	s.lock.Lock()
-	asked := &schema.Attending{Node: "registry/" + s.options.Seat, Vector: s.table.Vector(), Core: s.cores[s.options.Seat], LeaseNanos: int64(s.lease),
-		BeatNanos: int64(peerBeats * s.lease / session.BeatParts)}
+	request := &schema.Attending{Node: "registry/" + s.initialOptions.Seat, Vector: s.fleetState.Vector(), Core: s.coreMembers[s.initialOptions.Seat], LeaseNanos: int64(s.leaseDuration),
+		BeatNanos: int64(peerHeartbeatTicks * s.leaseDuration / session.HeartbeatsPerLease)}
 	s.lock.Unlock()
-	stream, err := schema.NewDRPCRegistryClient(s.ends.To(bounded, address)).Attend(bounded, asked)
+	stream, err := schema.NewDRPCRegistryClient(s.rpcTransport.Conn(bounded, address)).Attend(bounded, request)
 	if err != nil {
-		return "", defect.Wrap(err, defect.LinkUnopened, address)
+		return "", defect.Wrap(err, defect.PeerConnectFailed, address)
 	}
 	for {
-		news, err := stream.Recv()
+		update, err := stream.Recv()
 		if err != nil {
-			return seat, defect.Wrap(err, defect.LinkLost, address)
+			return memberID, defect.Wrap(err, defect.PeerConnectionLost, address)
 		}
-		watch.Reset(s.lease)
-		if seat == "" {
+		watchdog.Reset(s.leaseDuration)
+		if memberID == "" {
 			s.log.V(1).Info("registry heard", "at", address)
 		}
 		s.lock.Lock()
 		changed := false
-		for _, core := range news.Cores {
-			changed = s.learnCore(core) || changed
-			if core.Address == address {
-				seat = core.Seat
+		for _, member := range update.Cores {
+			changed = s.observeMember(member) || changed
+			if member.Address == address {
+				memberID = member.Seat
 			}
 		}
-		for _, source := range news.Sources {
-			changed = s.table.Merge(s.now(), source) || changed
+		for _, source := range update.Sources {
+			changed = s.fleetState.MergeSource(s.now(), source) || changed
 		}
-		if seat != "" {
-			s.table.Reach(s.now(), seat, news.Reached)
+		if memberID != "" {
+			s.fleetState.RecordPeerHeard(s.now(), memberID, update.Reached)
 		}
 		if changed {
-			s.announce()
+			s.broadcastChange()
 		}
 		s.lock.Unlock()
 	}
 }
 
-// keepLevel keeps this registry level with the one at an address: by a session, or by polls
+// syncWithPeer keeps this registry level with the one at an address: by a session, or by polls
 // where an order rules.
-func (s *Server) keepLevel(ctx context.Context, address string) {
-	if s.order == nil {
-		s.attendPeer(ctx, address)
+func (s *Server) syncWithPeer(ctx context.Context, address string) {
+	if s.memberOrder == nil {
+		s.subscribeToPeer(ctx, address)
 	} else {
-		s.pullFrom(ctx, address)
+		s.pollPeer(ctx, address)
 	}
 }
--- a/internal/registry/claims.go
+++ b/internal/registry/claims.go
@@ -9,160 +9,162 @@
 	"meadowhinge/schema"
 )
 
-// ClaimsOptions bound the claims of a registry.
-type ClaimsOptions struct {
-	Lease  time.Duration
-	Window time.Duration // how long a claim stands
-	Most   int
-	Seats  int
+// ReservationOptions bound the claims of a registry.
+type ReservationOptions struct {
+	Lease           time.Duration
+	Window          time.Duration // how long a claim stands
+	MaxReservations int
+	MemberCount     int
 }
 
-// pageMost is how many claims go into one page for a registry that restarted.
-const pageMost = 4096
+// reservationsPerPage is how many claims go into one page for a registry that restarted.
+const reservationsPerPage = 4096
 
-// Claims is which idempotency keys are whose, as one registry has it. A key runs only for the
+// ReservationTable is which idempotency keys are whose, as one registry has it. A key runs only for the
 // request that a majority of registries gave it to. It is a step function of events and the
 // time since the registry started; its caller guards it.
-type Claims struct {
-	options ClaimsOptions
-	held    map[string]*heldClaim
-	order   []*heldClaim // by place, and so by when they were taken
-	place   uint64
-	read    map[string]bool // other seats whose claims were read whole, while they counted
-	whole   bool            // nothing that was ever taken here can be missing
-	newest  map[string]uint64
+type ReservationTable struct {
+	options           ReservationOptions
+	byKey             map[string]*storedReservation
+	byPosition        []*storedReservation // by place, and so by when they were taken
+	lastPosition      uint64
+	membersRead       map[string]bool // other seats whose claims were read whole, while they counted
+	complete          bool            // nothing that was ever taken here can be missing
+	newestIncarnation map[string]uint64
 
 	// Refused counts claims of strangers, of old incarnations, and past the bound.
 	Refused uint64
 }
 
-// heldClaim is a claim as it is kept: there are very many, and their names are few.
-type heldClaim struct {
-	key, body, request                       string
-	caller, proxy, instance, beside, address unique.Handle[string]
-	incarnation, place                       uint64
-	until                                    time.Duration
-	gone                                     bool
+// storedReservation is a claim as it is kept: there are very many, and their names are few.
+type storedReservation struct {
+	key, bodyDigest, requestID                               string
+	caller, proxy, instance, workerProxy, workerProxyAddress unique.Handle[string]
+	incarnation, position                                    uint64
+	expiresAt                                                time.Duration
+	removed                                                  bool
 }
 
-// claim is the claim as it is told to others.
-func (h *heldClaim) claim() *schema.Claim {
-	return &schema.Claim{Key: []byte(h.key), Body: []byte(h.body), Request: h.request, Caller: h.caller.Value(), Proxy: h.proxy.Value(), Incarnation: h.incarnation,
-		Instance: h.instance.Value(), Beside: h.beside.Value(), Address: h.address.Value(), Place: h.place}
+// message is the claim as it is told to others.
+func (h *storedReservation) message() *schema.Claim {
+	return &schema.Claim{Key: []byte(h.key), Body: []byte(h.bodyDigest), Request: h.requestID, Caller: h.caller.Value(), Proxy: h.proxy.Value(), Incarnation: h.incarnation,
+		Instance: h.instance.Value(), Beside: h.workerProxy.Value(), Address: h.workerProxyAddress.Value(), Place: h.position}
 }
 
-// NewClaims makes the claims of a registry that has just started.
-func NewClaims(options ClaimsOptions) *Claims {
-	return &Claims{options: options, held: map[string]*heldClaim{}, read: map[string]bool{}, newest: map[string]uint64{}}
+// NewReservationTable makes the claims of a registry that has just started.
+func NewReservationTable(options ReservationOptions) *ReservationTable {
+	return &ReservationTable{options: options, byKey: map[string]*storedReservation{}, membersRead: map[string]bool{}, newestIncarnation: map[string]uint64{}}
 }
 
-// Unused tells that no setup was ever stable, so no call was ever planned and no key claimed.
-func (c *Claims) Unused() { c.whole = true }
+// MarkNeverUsed tells that no setup was ever stable, so no call was ever planned and no key claimed.
+func (c *ReservationTable) MarkNeverUsed() { c.complete = true }
 
-// Counts tells whether this registry's word counts. One that started anew may have given
+// IsAuthoritative tells whether this registry's word counts. One that started anew may have given
 // claims that it forgot: it counts once it has read both others, or all it forgot has run out.
-func (c *Claims) Counts(now time.Duration) bool { return c.whole || now >= c.options.Window }
+func (c *ReservationTable) IsAuthoritative(now time.Duration) bool {
+	return c.complete || now >= c.options.Window
+}
 
-// ReadsFrom is when the others may be read: by then every round has ended in which a claim
+// RecoveryStartsAt is when the others may be read: by then every round has ended in which a claim
 // given in an earlier life may still have been counted.
-func (c *Claims) ReadsFrom() time.Duration {
-	return session.ClaimBound(c.options.Lease) + session.ClaimBound(c.options.Lease)/session.LeaseParts
+func (c *ReservationTable) RecoveryStartsAt() time.Duration {
+	return session.ReservationRoundTimeout(c.options.Lease) + session.ReservationRoundTimeout(c.options.Lease)/session.RenewalsPerLease
 }
 
-func (c *Claims) sweep(now time.Duration) {
+func (c *ReservationTable) removeExpired(now time.Duration) {
 	dropped := 0
-	for _, one := range c.order {
-		if !one.gone && one.until > now {
+	for _, stored := range c.byPosition {
+		if !stored.removed && stored.expiresAt > now {
 			break
 		}
-		c.forget(one)
+		c.remove(stored)
 		dropped++
 	}
-	c.order = c.order[dropped:]
+	c.byPosition = c.byPosition[dropped:]
 }
 
-func (c *Claims) forget(one *heldClaim) {
-	one.gone = true
-	if c.held[one.key] == one {
-		delete(c.held, one.key)
+func (c *ReservationTable) remove(stored *storedReservation) {
+	stored.removed = true
+	if c.byKey[stored.key] == stored {
+		delete(c.byKey, stored.key)
 	}
 }
 
-func (c *Claims) keep(claim *schema.Claim, until time.Duration) {
-	c.place++
-	fresh := &heldClaim{key: string(claim.Key), body: string(claim.Body), request: claim.Request, caller: unique.Make(claim.Caller), proxy: unique.Make(claim.Proxy),
-		instance: unique.Make(claim.Instance), beside: unique.Make(claim.Beside), address: unique.Make(claim.Address), incarnation: claim.Incarnation, place: c.place, until: until}
-	c.held[fresh.key] = fresh
-	c.order = append(c.order, fresh)
+func (c *ReservationTable) add(reservation *schema.Claim, expiresAt time.Duration) {
+	c.lastPosition++
+	stored := &storedReservation{key: string(reservation.Key), bodyDigest: string(reservation.Body), requestID: reservation.Request, caller: unique.Make(reservation.Caller), proxy: unique.Make(reservation.Proxy),
+		instance: unique.Make(reservation.Instance), workerProxy: unique.Make(reservation.Beside), workerProxyAddress: unique.Make(reservation.Address), incarnation: reservation.Incarnation, position: c.lastPosition, expiresAt: expiresAt}
+	c.byKey[stored.key] = stored
+	c.byPosition = append(c.byPosition, stored)
 }
 
-// Take rules on a claim, or drops one whose taker proved that nothing ran.
-func (c *Claims) Take(now time.Duration, claim *schema.Claim) *schema.Claimed {
-	c.sweep(now)
+// Apply rules on a claim, or drops one whose taker proved that nothing ran.
+func (c *ReservationTable) Apply(now time.Duration, reservation *schema.Claim) *schema.Claimed {
+	c.removeExpired(now)
 	// A proxy that was restarted has nobody left who could run what its earlier life claimed.
-	if claim.Incarnation < c.newest[claim.Proxy] {
+	if reservation.Incarnation < c.newestIncarnation[reservation.Proxy] {
 		c.Refused++
 		return &schema.Claimed{Ruled: schema.Ruled_RULED_STALE}
 	}
-	c.newest[claim.Proxy] = claim.Incarnation
-	held := c.held[string(claim.Key)]
-	if claim.Drop {
-		if held != nil && held.request == claim.Request {
-			c.forget(held)
+	c.newestIncarnation[reservation.Proxy] = reservation.Incarnation
+	existing := c.byKey[string(reservation.Key)]
+	if reservation.Drop {
+		if existing != nil && existing.requestID == reservation.Request {
+			c.remove(existing)
 		}
 		return &schema.Claimed{Ruled: schema.Ruled_RULED_TAKEN}
 	}
 	switch {
-	case held != nil && held.request == claim.Request && c.Counts(now):
+	case existing != nil && existing.requestID == reservation.Request && c.IsAuthoritative(now):
 		// The same request goes to another worker, having been proved not to have run before.
-		c.forget(held)
-	case held != nil && held.request != claim.Request:
-		return &schema.Claimed{Ruled: schema.Ruled_RULED_HELD, Held: held.claim()}
-	case !c.Counts(now):
+		c.remove(existing)
+	case existing != nil && existing.requestID != reservation.Request:
+		return &schema.Claimed{Ruled: schema.Ruled_RULED_HELD, Held: existing.message()}
+	case !c.IsAuthoritative(now):
 		return &schema.Claimed{Ruled: schema.Ruled_RULED_UNCOUNTED}
 	// A claim that stands is never forgotten to make room for another.
-	case len(c.held) >= c.options.Most:
+	case len(c.byKey) >= c.options.MaxReservations:
 		c.Refused++
 		return &schema.Claimed{Ruled: schema.Ruled_RULED_FULL}
 	}
-	c.keep(claim, now+c.options.Window)
+	c.add(reservation, now+c.options.Window)
 	return &schema.Claimed{Ruled: schema.Ruled_RULED_TAKEN}
 }
 
 // Page gives the claims after a place, in order, to a registry that restarted.
-func (c *Claims) Page(now time.Duration, after uint64) *schema.ClaimsPage {
-	c.sweep(now)
-	page := &schema.ClaimsPage{Counts: c.Counts(now)}
-	from := sort.Search(len(c.order), func(i int) bool { return c.order[i].place > after })
-	for _, one := range c.order[from:] {
-		if len(page.Claims) == pageMost {
+func (c *ReservationTable) Page(now time.Duration, after uint64) *schema.ClaimsPage {
+	c.removeExpired(now)
+	page := &schema.ClaimsPage{Counts: c.IsAuthoritative(now)}
+	from := sort.Search(len(c.byPosition), func(i int) bool { return c.byPosition[i].position > after })
+	for _, stored := range c.byPosition[from:] {
+		if len(page.Claims) == reservationsPerPage {
 			return page
 		}
-		if one.gone {
+		if stored.removed {
 			continue
 		}
-		passed := one.claim()
-		passed.LeftNanos = int64(one.until - now)
-		page.Claims = append(page.Claims, passed)
+		message := stored.message()
+		message.LeftNanos = int64(stored.expiresAt - now)
+		page.Claims = append(page.Claims, message)
 	}
 	page.Last = true
 	return page
 }
 
-// Fill takes a page of another seat's claims. It counts from when both others have been read
+// MergePage takes a page of another seat's claims. It counts from when both others have been read
 // to the end, each while its own word counted.
-func (c *Claims) Fill(now time.Duration, seat string, page *schema.ClaimsPage) {
-	for _, claim := range page.Claims {
+func (c *ReservationTable) MergePage(now time.Duration, memberID string, page *schema.ClaimsPage) {
+	for _, reservation := range page.Claims {
 		// Of two seats' claims to one key the first read stays: either way it does not run here.
-		if c.held[string(claim.Key)] == nil {
-			c.keep(claim, now+min(time.Duration(claim.LeftNanos), c.options.Window))
+		if c.byKey[string(reservation.Key)] == nil {
+			c.add(reservation, now+min(time.Duration(reservation.LeftNanos), c.options.Window))
 		}
 	}
 	if page.Last && page.Counts {
-		c.read[seat] = true
+		c.membersRead[memberID] = true
 	}
-	c.whole = c.whole || len(c.read) >= c.options.Seats-1
+	c.complete = c.complete || len(c.membersRead) >= c.options.MemberCount-1
 }
 
-// Held is how many claims stand.
-func (c *Claims) Held() int { return len(c.held) }
+// Len is how many claims stand.
+func (c *ReservationTable) Len() int { return len(c.byKey) }
--- a/internal/registry/claims_test.go
+++ b/internal/registry/claims_test.go
@@ -9,130 +9,130 @@
 	"meadowhinge/schema"
 )
 
-func claims(most int) *Claims {
-	return NewClaims(ClaimsOptions{Lease: span, Window: 4 * span, Most: most, Seats: 3})
+func newTestReservations(maxReservations int) *ReservationTable {
+	return NewReservationTable(ReservationOptions{Lease: testLease, Window: 4 * testLease, MaxReservations: maxReservations, MemberCount: 3})
 }
 
-func claimed(key, request string, incarnation uint64) *schema.Claim {
+func reservationFor(key, request string, incarnation uint64) *schema.Claim {
 	return &schema.Claim{Key: []byte(key), Body: []byte("b"), Request: request, Proxy: "p", Incarnation: incarnation}
 }
 
 // What a registry says to one claim after another, and what it counts.
-func TestClaimsTable(t *testing.T) {
-	table := claims(2)
-	table.Unused()
-	drop := claimed("k", "r1", 5)
+func TestReservationTable(t *testing.T) {
+	table := newTestReservations(2)
+	table.MarkNeverUsed()
+	drop := reservationFor("k", "r1", 5)
 	drop.Drop = true
-	strange := claimed("k", "r9", 5)
-	strange.Drop = true
-	for i, one := range []struct {
+	foreignDrop := reservationFor("k", "r9", 5)
+	foreignDrop.Drop = true
+	for i, test := range []struct {
 		at    time.Duration
 		claim *schema.Claim
 		want  schema.Ruled
 	}{
-		{0, claimed("k", "r1", 5), schema.Ruled_RULED_TAKEN},
-		{0, claimed("k", "r1", 5), schema.Ruled_RULED_TAKEN}, // the same request, moved to another worker
-		{0, claimed("k", "r2", 5), schema.Ruled_RULED_HELD},
-		{0, strange, schema.Ruled_RULED_TAKEN}, // lets nothing go that is not its own
-		{0, claimed("k", "r2", 5), schema.Ruled_RULED_HELD},
+		{0, reservationFor("k", "r1", 5), schema.Ruled_RULED_TAKEN},
+		{0, reservationFor("k", "r1", 5), schema.Ruled_RULED_TAKEN}, // the same request, moved to another worker
+		{0, reservationFor("k", "r2", 5), schema.Ruled_RULED_HELD},
+		{0, foreignDrop, schema.Ruled_RULED_TAKEN}, // lets nothing go that is not its own
+		{0, reservationFor("k", "r2", 5), schema.Ruled_RULED_HELD},
 		{0, drop, schema.Ruled_RULED_TAKEN},
-		{0, claimed("k", "r2", 5), schema.Ruled_RULED_TAKEN},
-		{span, claimed("l", "r3", 5), schema.Ruled_RULED_TAKEN},
-		{span, claimed("m", "r4", 5), schema.Ruled_RULED_FULL},       // none that stands is forgotten for it
-		{span, claimed("m", "r4", 4), schema.Ruled_RULED_STALE},      // of an earlier life of that proxy
-		{4 * span, claimed("m", "r4", 5), schema.Ruled_RULED_TAKEN},  // k has run out
-		{4 * span, claimed("l", "r5", 5), schema.Ruled_RULED_HELD},   // l has not
-		{5 * span, claimed("l", "r5", 6), schema.Ruled_RULED_TAKEN},  // and now it has
-		{8 * span, claimed("m", "r6", 6), schema.Ruled_RULED_TAKEN},  //
-		{9 * span, claimed("n", "r7", 6), schema.Ruled_RULED_TAKEN},  //
-		{20 * span, claimed("o", "r8", 6), schema.Ruled_RULED_TAKEN}, // all others have run out
+		{0, reservationFor("k", "r2", 5), schema.Ruled_RULED_TAKEN},
+		{testLease, reservationFor("l", "r3", 5), schema.Ruled_RULED_TAKEN},
+		{testLease, reservationFor("m", "r4", 5), schema.Ruled_RULED_FULL},       // none that stands is forgotten for it
+		{testLease, reservationFor("m", "r4", 4), schema.Ruled_RULED_STALE},      // of an earlier life of that proxy
+		{4 * testLease, reservationFor("m", "r4", 5), schema.Ruled_RULED_TAKEN},  // k has run out
+		{4 * testLease, reservationFor("l", "r5", 5), schema.Ruled_RULED_HELD},   // l has not
+		{5 * testLease, reservationFor("l", "r5", 6), schema.Ruled_RULED_TAKEN},  // and now it has
+		{8 * testLease, reservationFor("m", "r6", 6), schema.Ruled_RULED_TAKEN},  //
+		{9 * testLease, reservationFor("n", "r7", 6), schema.Ruled_RULED_TAKEN},  //
+		{20 * testLease, reservationFor("o", "r8", 6), schema.Ruled_RULED_TAKEN}, // all others have run out
 	} {
-		if got := table.Take(one.at, one.claim); got.Ruled != one.want {
-			t.Errorf("step %d: %v, want %v", i, got.Ruled, one.want)
+		if got := table.Apply(test.at, test.claim); got.Ruled != test.want {
+			t.Errorf("step %d: %v, want %v", i, got.Ruled, test.want)
 		}
 	}
-	if table.Refused != 2 || table.Held() != 1 || len(table.order) != 1 {
-		t.Errorf("%d refused, %d held in %d places", table.Refused, table.Held(), len(table.order))
+	if table.Refused != 2 || table.Len() != 1 || len(table.byPosition) != 1 {
+		t.Errorf("%d refused, %d held in %d places", table.Refused, table.Len(), len(table.byPosition))
 	}
 }
 
 // A registry that restarted counts once it has read both others whole, each while its own word
 // counted, or once all that it forgot has run out; and it then knows what they knew.
-func TestClaimsAreReadAgain(t *testing.T) {
-	full := claims(3 * pageMost)
-	full.Unused()
-	for i := range pageMost + 7 {
-		full.Take(span, claimed(fmt.Sprint(i), fmt.Sprint("r", i), 1))
+func TestReservationsAreRecovered(t *testing.T) {
+	full := newTestReservations(3 * reservationsPerPage)
+	full.MarkNeverUsed()
+	for i := range reservationsPerPage + 7 {
+		full.Apply(testLease, reservationFor(fmt.Sprint(i), fmt.Sprint("r", i), 1))
 	}
-	young := claims(3 * pageMost)
-	read := func(seat string, from *Claims) (pages int) {
+	restarted := newTestReservations(3 * reservationsPerPage)
+	read := func(memberID string, from *ReservationTable) (pages int) {
 		for after, last := uint64(0), false; !last; pages++ {
-			page := from.Page(2*span, after)
-			young.Fill(0, seat, page)
+			page := from.Page(2*testLease, after)
+			restarted.MergePage(0, memberID, page)
 			if last = page.Last; !last {
 				after = page.Claims[len(page.Claims)-1].Place
 			}
 		}
 		return pages
 	}
-	if got := young.Take(0, claimed("0", "other", 1)); got.Ruled != schema.Ruled_RULED_UNCOUNTED {
+	if got := restarted.Apply(0, reservationFor("0", "other", 1)); got.Ruled != schema.Ruled_RULED_UNCOUNTED {
 		t.Errorf("a registry that knows nothing ruled %v", got.Ruled)
 	}
-	if pages := read("b", full); pages != 2 || young.Counts(0) {
-		t.Errorf("%d pages of one seat, and it counts: %v", pages, young.Counts(0))
+	if pages := read("b", full); pages != 2 || restarted.IsAuthoritative(0) {
+		t.Errorf("%d pages of one seat, and it counts: %v", pages, restarted.IsAuthoritative(0))
 	}
 	// The third is as young: its word does not help.
-	if read("c", claims(8)); young.Counts(0) {
+	if read("c", newTestReservations(8)); restarted.IsAuthoritative(0) {
 		t.Error("a seat that does not count itself was counted on")
 	}
-	third := claims(8)
-	third.Unused()
-	if read("c", third); !young.Counts(0) || young.Held() != pageMost+7 {
-		t.Errorf("counts %v with %d claims", young.Counts(0), young.Held())
+	third := newTestReservations(8)
+	third.MarkNeverUsed()
+	if read("c", third); !restarted.IsAuthoritative(0) || restarted.Len() != reservationsPerPage+7 {
+		t.Errorf("counts %v with %d claims", restarted.IsAuthoritative(0), restarted.Len())
 	}
-	if got := young.Take(0, claimed("0", "other", 1)); got.Ruled != schema.Ruled_RULED_HELD || got.Held.Request != "r0" {
+	if got := restarted.Apply(0, reservationFor("0", "other", 1)); got.Ruled != schema.Ruled_RULED_HELD || got.Held.Request != "r0" {
 		t.Errorf("a claim that was read again was ruled %v", got)
 	}
 	// What is left of the window goes along: one lease of four had passed there.
-	if got := young.Take(3*span, claimed("0", "other", 1)); got.Ruled != schema.Ruled_RULED_TAKEN {
+	if got := restarted.Apply(3*testLease, reservationFor("0", "other", 1)); got.Ruled != schema.Ruled_RULED_TAKEN {
 		t.Errorf("a claim that ran out was ruled %v", got.Ruled)
 	}
-	if alone := claims(8); alone.Counts(4*span-1) || !alone.Counts(4*span) {
+	if alone := newTestReservations(8); alone.IsAuthoritative(4*testLease-1) || !alone.IsAuthoritative(4*testLease) {
 		t.Error("a registry that could read nobody counts too early or never")
 	}
 }
 
 // A grant counts only if it came soon after it was asked for, and from a majority of seats.
-func TestClaiming(t *testing.T) {
-	taken, held, full := &schema.Claimed{Ruled: schema.Ruled_RULED_TAKEN}, &schema.Claimed{Ruled: schema.Ruled_RULED_HELD, Held: claimed("k", "other", 1)}, &schema.Claimed{Ruled: schema.Ruled_RULED_FULL}
+func TestReservationRound(t *testing.T) {
+	taken, held, full := &schema.Claimed{Ruled: schema.Ruled_RULED_TAKEN}, &schema.Claimed{Ruled: schema.Ruled_RULED_HELD, Held: reservationFor("k", "other", 1)}, &schema.Claimed{Ruled: schema.Ruled_RULED_FULL}
 	reused := &schema.Claimed{Ruled: schema.Ruled_RULED_HELD, Held: &schema.Claim{Key: []byte("k"), Body: []byte("another")}}
-	type word struct {
-		at   time.Duration
-		seat string
-		said *schema.Claimed
+	type answer struct {
+		at       time.Duration
+		memberID string
+		ruling   *schema.Claimed
 	}
-	bound := session.ClaimBound(span)
-	for name, one := range map[string]struct {
-		words []word
-		ended bool
-		want  session.ClaimVerdict
+	bound := session.ReservationRoundTimeout(testLease)
+	for name, test := range map[string]struct {
+		answers []answer
+		ended   bool
+		want    session.ReservationOutcome
 	}{
-		"two of three":                     {[]word{{0, "a", taken}, {0, "b", taken}}, false, session.ClaimWon},
-		"one seat twice":                   {[]word{{0, "a", taken}, {0, "a", taken}}, false, session.ClaimOpen},
-		"one of three, no more to come":    {[]word{{0, "a", taken}}, true, session.ClaimLost},
-		"two, one too late":                {[]word{{0, "a", taken}, {bound + 1, "b", taken}}, true, session.ClaimLost},
-		"held by one, a majority besides":  {[]word{{0, "a", held}, {0, "b", taken}, {0, "c", taken}}, false, session.ClaimWon},
-		"held by one, the third may speak": {[]word{{0, "a", held}, {0, "b", taken}}, false, session.ClaimOpen},
-		"held by two":                      {[]word{{0, "a", held}, {0, "b", held}}, false, session.ClaimHeld},
-		"held with another body":           {[]word{{0, "a", reused}, {0, "b", reused}}, false, session.ClaimReused},
-		"full":                             {[]word{{0, "a", full}, {0, "b", full}}, false, session.ClaimFull},
+		"two of three":                     {[]answer{{0, "a", taken}, {0, "b", taken}}, false, session.ReservationGranted},
+		"one seat twice":                   {[]answer{{0, "a", taken}, {0, "a", taken}}, false, session.ReservationPending},
+		"one of three, no more to come":    {[]answer{{0, "a", taken}}, true, session.ReservationNoMajority},
+		"two, one too late":                {[]answer{{0, "a", taken}, {bound + 1, "b", taken}}, true, session.ReservationNoMajority},
+		"held by one, a majority besides":  {[]answer{{0, "a", held}, {0, "b", taken}, {0, "c", taken}}, false, session.ReservationGranted},
+		"held by one, the third may speak": {[]answer{{0, "a", held}, {0, "b", taken}}, false, session.ReservationPending},
+		"held by two":                      {[]answer{{0, "a", held}, {0, "b", held}}, false, session.ReservationConflict},
+		"held with another body":           {[]answer{{0, "a", reused}, {0, "b", reused}}, false, session.ReservationKeyReused},
+		"full":                             {[]answer{{0, "a", full}, {0, "b", full}}, false, session.ReservationNoCapacity},
 	} {
-		round := session.NewClaiming(claimed("k", "mine", 1), 3, 0, bound)
-		for _, said := range one.words {
-			round.Take(said.at, said.seat, said.said)
+		round := session.NewReservationRound(reservationFor("k", "mine", 1), 3, 0, bound)
+		for _, ruling := range test.answers {
+			round.Record(ruling.at, ruling.memberID, ruling.ruling)
 		}
-		if got := round.Verdict(one.ended); got != one.want {
-			t.Errorf("%s: verdict %v, want %v", name, got, one.want)
+		if got := round.Outcome(test.ended); got != test.want {
+			t.Errorf("%s: verdict %v, want %v", name, got, test.want)
 		}
 	}
 }
--- a/internal/registry/daemon.go
+++ b/internal/registry/daemon.go
@@ -25,354 +25,354 @@
 
 // Ratios to the lease.
 const (
-	pollParts  = 2  // longest wait of one poll of a feed
-	retryParts = 40 // pause after a call that failed
-	batchParts = 400
+	pollWaitDivisor   = 2  // longest wait of one poll of a feed
+	retryPauseDivisor = 40 // pause after a call that failed
+	batchDivisor      = 400
 
-	windowLeases = 4 // that a claim must stand at the least
+	minWindowLeases = 4 // that a claim must stand at the least
 )
 
 // Server runs a registry.
 type Server struct {
 	schema.DRPCRegistryUnimplementedServer
-	options *schema.RegistryOptions                // as they were at the start
-	live    atomic.Pointer[schema.RegistryOptions] // as they are now, where they may change
-	order   []string                               // of the seats as set; nil where the stores agree on them
-	speech  OperatorSpeech
-	lease   time.Duration
-	address string
-	ends    *link.Ends
-	log     logr.Logger
-	started time.Time
-	born    uint64
-
-	lock   sync.Mutex
-	table  *Table
-	claims *Claims
-	state  setup.State
-	setup  *setup.Setup // compiled; of an earlier state unless fresh
-	fresh  bool
-	fleet  *session.Fleet
-	cores  map[string]*schema.Core
-	agreed []*schema.Core // the seats as the store beside has them, where no order rules
-	moved  chan struct{}
-	beat   chan struct{} // closed and replaced whenever sessions are due a sign of life
-	store  schema.DRPCStoreClient
-
-	offerSerial uint64
-	offers      map[string]*offered // changes on their way, by what they ask for
-	steering    steering            // guarded by lock
-	stale       atomic.Uint64       // steps refused because a later epoch had the release duty
+	initialOptions    *schema.RegistryOptions                // as they were at the start
+	liveOptions       atomic.Pointer[schema.RegistryOptions] // as they are now, where they may change
+	memberOrder       []string                               // of the seats as set; nil where the stores agree on them
+	operatorAPI       OperatorAPI
+	leaseDuration     time.Duration
+	advertisedAddress string
+	rpcTransport      *link.Transport
+	log               logr.Logger
+	startedAt         time.Time
+	incarnation       uint64
+
+	lock          sync.Mutex
+	fleetState    *FleetState
+	reservations  *ReservationTable
+	configState   setup.State
+	snapshot      *setup.Snapshot // compiled; of an earlier state unless fresh
+	snapshotFresh bool
+	fleetSize     *session.FleetSize
+	coreMembers   map[string]*schema.Core
+	agreedMembers []*schema.Core // the seats as the store beside has them, where no order rules
+	stateChanged  chan struct{}
+	heartbeatTick chan struct{} // closed and replaced whenever sessions are due a sign of life
+	store         schema.DRPCStoreClient
+
+	changeSerial   uint64
+	pendingChanges map[string]*pendingChange // changes on their way, by what they ask for
+	rollout        rolloutState              // guarded by lock
+	staleSteps     atomic.Uint64             // steps refused because a later epoch had the release duty
 }
 
 // Option changes how a registry runs.
 type Option func(*Server)
 
-// WithOperatorSpeech lets operators speak otherwise than in the product's own pages.
-func WithOperatorSpeech(speech OperatorSpeech) Option {
-	return func(s *Server) { s.speech = speech }
+// WithOperatorAPI lets operators speak otherwise than in the product's own pages.
+func WithOperatorAPI(api OperatorAPI) Option {
+	return func(s *Server) { s.operatorAPI = api }
 }
 
 // Values of settings.
 const (
-	plainLinks  = "plain"
-	afterStable = "stable"
+	linksPlaintext         = "plain"
+	acknowledgeAfterCommit = "stable"
 )
 
-// endsOf opens this registry's links as the settings have them.
-func endsOf(given *schema.RegistryOptions) (*link.Ends, error) {
-	from := link.WithFrom(given.Listen)
-	if given.Links == plainLinks {
-		return link.Plain("registry", given.Seat, nil, from), nil
+// newTransport opens this registry's links as the settings have them.
+func newTransport(opts *schema.RegistryOptions) (*link.Transport, error) {
+	localAddress := link.WithLocalAddress(opts.Listen)
+	if opts.Links == linksPlaintext {
+		return link.NewPlaintext("registry", opts.Seat, nil, localAddress), nil
 	}
-	return link.Load(given.Certificate, given.Authority, from)
+	return link.NewTLS(opts.Certificate, opts.Authority, localAddress)
 }
 
 // Run serves a registry until ctx ends.
-func Run(ctx context.Context, frame *daemon.Frame, given *schema.RegistryOptions, changes ...Option) error {
-	ends, err := endsOf(given)
+func Run(ctx context.Context, frame *daemon.Environment, opts *schema.RegistryOptions, runOptions ...Option) error {
+	rpcTransport, err := newTransport(opts)
 	if err != nil {
 		return err
 	}
-	defer ends.Close()
-	if self := ends.Self(); self.Role != "registry" || self.Name != given.Seat {
-		return defect.New(defect.BadOptions, fmt.Sprintf("certificate is for %s %q, not registry %q", self.Role, self.Name, given.Seat))
+	defer rpcTransport.Close()
+	if self := rpcTransport.Self(); self.Role != "registry" || self.Name != opts.Seat {
+		return defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not registry %q", self.Role, self.Name, opts.Seat))
 	}
 	// A claim must outlive every call that may still run under it, and the leases of that time.
-	if given.KeyWindow < windowLeases*given.Lease {
-		return defect.New(defect.BadOptions, fmt.Sprintf("key-window: must be at least %d leases", windowLeases))
+	if opts.KeyWindow < minWindowLeases*opts.Lease {
+		return defect.New(defect.InvalidOptions, fmt.Sprintf("key-window: must be at least %d leases", minWindowLeases))
 	}
-	address := given.Advertise
+	address := opts.Advertise
 	if address == "" {
-		address = given.Listen
+		address = opts.Listen
 	}
-	if given.Order == "" {
+	if opts.Order == "" {
 		// Without an order a seat is named by where it stands, as its store names it.
-		given.Seat = ipOf(address)
-	}
-	s := &Server{options: given, order: options.List(given.Order), lease: time.Duration(given.Lease), address: address, ends: ends, log: frame.Log,
-		started: time.Now(), born: session.NextIncarnation(0), state: setup.State{}, cores: map[string]*schema.Core{}, moved: make(chan struct{}), beat: make(chan struct{}), offers: map[string]*offered{}, steering: steering{rivals: map[string]*rival{}, writing: map[string]bool{}}}
-	for _, change := range changes {
-		change(s)
-	}
-	s.live.Store(proto.Clone(given).(*schema.RegistryOptions))
-	s.fleet = session.NewFleet(given.SourcesMost, s.lease)
-	s.table = NewTable(TableOptions{Seat: given.Seat, Lease: s.lease, SourcesMost: int(given.SourcesMost), CountsMost: int(given.CountsMost), Leaseless: s.stableIsEnough()})
-	s.claims = NewClaims(ClaimsOptions{Lease: s.lease, Window: time.Duration(given.KeyWindow), Most: int(given.ClaimsMost), Seats: len(s.seats())})
-	s.table.Among(len(s.seats()))
-	s.setup, _ = setup.Compile(s.state, 0)
-	s.cores[given.Seat] = &schema.Core{Seat: given.Seat, Address: address, Incarnation: s.born, Area: given.Area}
-	frame.Follow(ctx, s.lease, func(now proto.Message) { s.live.Store(now.(*schema.RegistryOptions)) })
-	s.store = schema.NewDRPCStoreClient(ends.To(ctx, given.Store))
-
-	listener, err := net.Listen("tcp", given.Listen)
+		opts.Seat = ipOf(address)
+	}
+	s := &Server{initialOptions: opts, memberOrder: options.SplitList(opts.Order), leaseDuration: time.Duration(opts.Lease), advertisedAddress: address, rpcTransport: rpcTransport, log: frame.Log,
+		startedAt: time.Now(), incarnation: session.NextIncarnation(0), configState: setup.State{}, coreMembers: map[string]*schema.Core{}, stateChanged: make(chan struct{}), heartbeatTick: make(chan struct{}), pendingChanges: map[string]*pendingChange{}, rollout: rolloutState{predecessors: map[string]*predecessor{}, stepsInFlight: map[string]bool{}}}
+	for _, applyOption := range runOptions {
+		applyOption(s)
+	}
+	s.liveOptions.Store(proto.Clone(opts).(*schema.RegistryOptions))
+	s.fleetSize = session.NewFleetSize(opts.SourcesMost, s.leaseDuration)
+	s.fleetState = NewFleetState(FleetStateOptions{MemberID: opts.Seat, Lease: s.leaseDuration, MaxSources: int(opts.SourcesMost), MaxCounts: int(opts.CountsMost), WithoutLeases: s.acknowledgesAfterCommit()})
+	s.reservations = NewReservationTable(ReservationOptions{Lease: s.leaseDuration, Window: time.Duration(opts.KeyWindow), MaxReservations: int(opts.ClaimsMost), MemberCount: len(s.members())})
+	s.fleetState.SetMemberCount(len(s.members()))
+	s.snapshot, _ = setup.Compile(s.configState, 0)
+	s.coreMembers[opts.Seat] = &schema.Core{Seat: opts.Seat, Address: address, Incarnation: s.incarnation, Area: opts.Area}
+	frame.WatchSettings(ctx, s.leaseDuration, func(updated proto.Message) { s.liveOptions.Store(updated.(*schema.RegistryOptions)) })
+	s.store = schema.NewDRPCStoreClient(rpcTransport.Conn(ctx, opts.Store))
+
+	listener, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
-		return defect.Wrap(err, defect.BadOptions, "listen")
+		return defect.Wrap(err, defect.InvalidOptions, "listen")
 	}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterRegistry(mux, s); err != nil {
 		return defect.Wrap(err, defect.Internal, "mux")
 	}
-	frame.Page("/certificate", ends.Certificate)
-	frame.Page("/traffic", func() any { return ends.Traffic() })
-	frame.Page("/status", func() any { status, _ := s.Look(ctx, nil); return status })
-	if err := frame.Probe(given.ProbeListen, s.soundness); err != nil {
+	frame.AddPage("/certificate", rpcTransport.Certificate)
+	frame.AddPage("/traffic", func() any { return rpcTransport.Traffic() })
+	frame.AddPage("/status", func() any { status, _ := s.Look(ctx, nil); return status })
+	if err := frame.ServeProbes(opts.ProbeListen, s.readiness); err != nil {
 		return err
 	}
-	go s.follow(ctx)
+	go s.followStore(ctx)
 	go s.catchUp(ctx)
-	go s.steer(ctx)
-	go s.fillClaims(ctx)
-	go s.pullFromAll(ctx)
-	go s.beats(ctx)
-	outward, err := s.serveOperators(given.OperatorListen)
+	go s.runRolloutController(ctx)
+	go s.recoverReservations(ctx)
+	go s.syncWithPeers(ctx)
+	go s.runHeartbeats(ctx)
+	operatorServer, err := s.serveOperators(opts.OperatorListen)
 	if err != nil {
 		return err
 	}
-	served := make(chan error, 1)
-	go func() { served <- ends.Serve(ctx, listener, mux, "proxy", "registry") }()
-	frame.Log.V(1).Info("registry up", "seat", given.Seat, "listen", given.Listen)
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- rpcTransport.Serve(ctx, listener, mux, "proxy", "registry") }()
+	frame.Log.V(1).Info("registry up", "seat", opts.Seat, "listen", opts.Listen)
 	select {
 	case <-ctx.Done():
-	case err := <-served:
+	case err := <-serveResult:
 		return err
 	}
 	frame.Draining.Store(true)
-	if err := <-served; err != nil {
+	if err := <-serveResult; err != nil {
 		return err
 	}
-	draining, cancel := context.WithTimeout(context.Background(), time.Duration(s.given().Drain))
+	draining, cancel := context.WithTimeout(context.Background(), time.Duration(s.currentOptions().Drain))
 	defer cancel()
-	return defect.Wrap(outward.ShutdownWithContext(draining), defect.Internal, "operators still waiting at the end of the drain time")
+	return defect.Wrap(operatorServer.ShutdownWithContext(draining), defect.Internal, "operators still waiting at the end of the drain time")
 }
 
-func (s *Server) now() time.Duration { return time.Since(s.started) }
+func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-func (s *Server) soundness() daemon.Soundness {
+func (s *Server) readiness() daemon.Readiness {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if !s.table.Grants(s.now()) {
-		return daemon.Soundness{Reason: "REGISTRY_YOUNG"}
+	if !s.fleetState.GrantsLeases(s.now()) {
+		return daemon.Readiness{Reason: "REGISTRY_YOUNG"}
 	}
-	return daemon.Soundness{Ready: true}
+	return daemon.Readiness{Ready: true}
 }
 
-// announce wakes whoever waits for news; the caller holds the lock.
-func (s *Server) announce() {
-	close(s.moved)
-	s.moved = make(chan struct{})
+// broadcastChange wakes whoever waits for news; the caller holds the lock.
+func (s *Server) broadcastChange() {
+	close(s.stateChanged)
+	s.stateChanged = make(chan struct{})
 }
 
-func (s *Server) pause(ctx context.Context, parts int) {
+func (s *Server) waitLeaseFraction(ctx context.Context, divisor int) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(s.lease / time.Duration(parts)):
+	case <-time.After(s.leaseDuration / time.Duration(divisor)):
 	}
 }
 
-// quickRetries are made after ever longer pauses, before retryParts counts: where the whole
+// quickRetries are made after ever longer pauses, before retryPauseDivisor counts: where the whole
 // machine has just started, its store is up a moment after its registry, and its seat finds the
 // others a moment later still.
 const quickRetries = 5
 
-// retryAfter is the part of a lease to pause for after so many failures in a row.
-func retryAfter(failures int) int { return retryParts << max(0, quickRetries-failures) }
+// backoffDivisor is the part of a lease to pause for after so many failures in a row.
+func backoffDivisor(failures int) int { return retryPauseDivisor << max(0, quickRetries-failures) }
 
-// follow keeps the stable setup from this machine's store.
-func (s *Server) follow(ctx context.Context) {
+// followStore keeps the stable setup from this machine's store.
+func (s *Server) followStore(ctx context.Context) {
 	for failures := 0; ctx.Err() == nil; {
 		s.lock.Lock()
-		after := s.table.stable
+		after := s.fleetState.committedRevision
 		s.lock.Unlock()
-		bounded, cancel := context.WithTimeout(ctx, s.lease)
-		back, err := s.store.Follow(bounded, &schema.FollowRequest{After: after, WaitNanos: int64(s.lease / session.BeatParts)})
+		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration)
+		reply, err := s.store.Follow(bounded, &schema.FollowRequest{After: after, WaitNanos: int64(s.leaseDuration / session.HeartbeatsPerLease)})
 		cancel()
 		if err != nil {
 			failures++
-			s.pause(ctx, retryAfter(failures))
+			s.waitLeaseFraction(ctx, backoffDivisor(failures))
 			continue
 		}
 		failures = 0
-		s.take(back)
+		s.applyCommitted(reply)
 	}
 }
 
-// take applies stable news; older news, as from a store that was refilled, changes nothing.
-func (s *Server) take(back *schema.FollowReply) {
+// applyCommitted applies stable news; older news, as from a store that was refilled, changes nothing.
+func (s *Server) applyCommitted(reply *schema.FollowReply) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if len(back.Cores) > 0 && !sameCores(s.agreed, back.Cores) {
-		s.log.V(1).Info("the seats are others", "seats", len(back.Cores))
-		s.agreed = back.Cores
-		s.table.Among(len(s.seats()))
-		s.announce()
+	if len(reply.Cores) > 0 && !sameMembers(s.agreedMembers, reply.Cores) {
+		s.log.V(1).Info("the seats are others", "seats", len(reply.Cores))
+		s.agreedMembers = reply.Cores
+		s.fleetState.SetMemberCount(len(s.members()))
+		s.broadcastChange()
 	}
-	if back.Vouched && back.Committed >= s.table.stable {
-		s.table.Vouch(s.now() - time.Duration(back.AgeNanos))
+	if reply.Vouched && reply.Committed >= s.fleetState.committedRevision {
+		s.fleetState.ConfirmCurrent(s.now() - time.Duration(reply.AgeNanos))
 	}
-	if back.Committed <= s.table.stable {
+	if reply.Committed <= s.fleetState.committedRevision {
 		return
 	}
-	s.state = s.state.Taking(back.Items, back.Whole)
-	s.fresh = false // compiled again when somebody next asks for it
-	s.table.SetStable(s.now(), back.Committed)
-	s.announce()
+	s.configState = s.configState.Apply(reply.Items, reply.Whole)
+	s.snapshotFresh = false // compiled again when somebody next asks for it
+	s.fleetState.SetCommitted(s.now(), reply.Committed)
+	s.broadcastChange()
 }
 
 // catchUp learns what was stable when this registry started; until then it grants nothing.
 func (s *Server) catchUp(ctx context.Context) {
 	for failures := 1; ctx.Err() == nil; failures++ {
-		bounded, cancel := context.WithTimeout(ctx, s.lease/session.LeaseParts)
-		back, err := s.store.ReadIndex(bounded, &schema.Nothing{})
+		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/session.RenewalsPerLease)
+		readIndex, err := s.store.ReadIndex(bounded, &schema.Nothing{})
 		cancel()
-		if err == nil && !back.Undecided {
-			if back.Unused {
+		if err == nil && !readIndex.Undecided {
+			if readIndex.Unused {
 				s.lock.Lock()
-				s.claims.Unused()
+				s.reservations.MarkNeverUsed()
 				s.lock.Unlock()
 			}
 			for ctx.Err() == nil {
 				s.lock.Lock()
-				reached := s.table.stable >= back.Committed
+				reached := s.fleetState.committedRevision >= readIndex.Committed
 				if reached {
-					s.table.SetCurrent()
-					s.announce()
+					s.fleetState.MarkCaughtUp()
+					s.broadcastChange()
 				}
-				moved := s.moved
+				stateChanged := s.stateChanged
 				s.lock.Unlock()
 				if reached {
 					return
 				}
 				select {
-				case <-moved:
+				case <-stateChanged:
 				case <-ctx.Done():
 				}
 			}
 		}
-		s.pause(ctx, retryAfter(failures))
+		s.waitLeaseFraction(ctx, backoffDivisor(failures))
 	}
 }
 
-// pullFromAll keeps this registry level with all others, wherever they are at the time.
-func (s *Server) pullFromAll(ctx context.Context) {
-	pulling := map[string]context.CancelFunc{}
+// syncWithPeers keeps this registry level with all others, wherever they are at the time.
+func (s *Server) syncWithPeers(ctx context.Context) {
+	cancelByAddress := map[string]context.CancelFunc{}
 	for {
 		s.lock.Lock()
-		addresses, moved := s.peers(), s.moved
+		addresses, stateChanged := s.peerAddresses(), s.stateChanged
 		s.lock.Unlock()
-		for address, stop := range pulling {
+		for address, stop := range cancelByAddress {
 			if !addresses[address] {
 				stop()
-				delete(pulling, address)
+				delete(cancelByAddress, address)
 			}
 		}
 		for address := range addresses {
-			if pulling[address] == nil {
+			if cancelByAddress[address] == nil {
 				bounded, cancel := context.WithCancel(ctx)
-				pulling[address] = cancel
-				go s.keepLevel(bounded, address)
+				cancelByAddress[address] = cancel
+				go s.syncWithPeer(bounded, address)
 			}
 		}
 		select {
-		case <-moved:
+		case <-stateChanged:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// peers is where the other registries are, or may be; the caller holds the lock.
-func (s *Server) peers() map[string]bool {
+// peerAddresses is where the other registries are, or may be; the caller holds the lock.
+func (s *Server) peerAddresses() map[string]bool {
 	addresses := map[string]bool{}
-	for _, core := range s.coreList() {
-		addresses[core.Address] = true
+	for _, member := range s.reachableMembers() {
+		addresses[member.Address] = true
 	}
 	// Who the seats are is known for good once the stores have told it.
-	if s.agreed == nil {
-		for _, seed := range options.List(s.given().Seeds) {
+	if s.agreedMembers == nil {
+		for _, seed := range options.SplitList(s.currentOptions().Seeds) {
 			addresses[seed] = true
 		}
 	}
-	delete(addresses, s.address)
+	delete(addresses, s.advertisedAddress)
 	return addresses
 }
 
-// pullFrom keeps this registry level with the one at an address.
-func (s *Server) pullFrom(ctx context.Context, seed string) {
+// pollPeer keeps this registry level with the one at an address.
+func (s *Server) pollPeer(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		s.lock.Lock()
-		pull := &schema.Pull{Node: "registry/" + s.options.Seat, Vector: s.table.Vector(), WaitNanos: int64(s.lease / pollParts), Core: s.cores[s.options.Seat],
-			LeaseNanos: int64(s.lease), Order: s.options.Order}
+		request := &schema.Pull{Node: "registry/" + s.initialOptions.Seat, Vector: s.fleetState.Vector(), WaitNanos: int64(s.leaseDuration / pollWaitDivisor), Core: s.coreMembers[s.initialOptions.Seat],
+			LeaseNanos: int64(s.leaseDuration), Order: s.initialOptions.Order}
 		s.lock.Unlock()
-		bounded, cancel := context.WithTimeout(ctx, s.lease)
-		pulled, err := schema.NewDRPCRegistryClient(s.ends.To(bounded, seed)).Feed(bounded, pull)
+		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration)
+		response, err := schema.NewDRPCRegistryClient(s.rpcTransport.Conn(bounded, address)).Feed(bounded, request)
 		cancel()
 		if err != nil {
-			s.pause(ctx, retryParts)
+			s.waitLeaseFraction(ctx, retryPauseDivisor)
 			continue
 		}
 		s.lock.Lock()
 		changed := false
-		for _, source := range pulled.Sources {
-			changed = s.table.Merge(s.now(), source) || changed
+		for _, source := range response.Sources {
+			changed = s.fleetState.MergeSource(s.now(), source) || changed
 		}
-		for _, core := range pulled.Cores {
-			changed = s.learnCore(core) || changed
+		for _, member := range response.Cores {
+			changed = s.observeMember(member) || changed
 		}
 		if changed {
-			s.announce()
+			s.broadcastChange()
 		}
 		s.lock.Unlock()
 	}
 }
 
-// sameCores tells whether two lists name the same seats at the same places.
-func sameCores(a, b []*schema.Core) bool {
+// sameMembers tells whether two lists name the same seats at the same places.
+func sameMembers(a, b []*schema.Core) bool {
 	return slices.EqualFunc(a, b, func(a, b *schema.Core) bool {
 		return a.Seat == b.Seat && a.Address == b.Address && a.Area == b.Area && a.Incarnation == b.Incarnation
 	})
 }
 
-// learnCore notes where a core machine is now; of two tellings the later start wins.
-func (s *Server) learnCore(core *schema.Core) bool {
-	if core == nil || core.Seat == "" {
+// observeMember notes where a core machine is now; of two tellings the later start wins.
+func (s *Server) observeMember(member *schema.Core) bool {
+	if member == nil || member.Seat == "" {
 		return false
 	}
-	own := s.cores[s.options.Seat]
+	own := s.coreMembers[s.initialOptions.Seat]
 	// Where an earlier life of this registry was is believed until this one's word is the later.
-	if core.Seat == s.options.Seat {
-		if session.Overtaken(own.Incarnation, core.Incarnation, false) {
-			s.cores[core.Seat] = &schema.Core{Seat: own.Seat, Address: own.Address, Area: own.Area, Incarnation: session.NextIncarnation(core.Incarnation)}
+	if member.Seat == s.initialOptions.Seat {
+		if session.IsSuperseded(own.Incarnation, member.Incarnation, false) {
+			s.coreMembers[member.Seat] = &schema.Core{Seat: own.Seat, Address: own.Address, Area: own.Area, Incarnation: session.NextIncarnation(member.Incarnation)}
 			return true
 		}
 		return false
 	}
 	listed := false
-	for _, seat := range s.seats() {
-		listed = listed || seat.Seat == core.Seat
+	for _, listedMember := range s.members() {
+		listed = listed || listedMember.Seat == member.Seat
 	}
-	if held := s.cores[core.Seat]; listed && (held == nil || core.Incarnation > held.Incarnation) {
-		s.cores[core.Seat] = core
+	if existing := s.coreMembers[member.Seat]; listed && (existing == nil || member.Incarnation > existing.Incarnation) {
+		s.coreMembers[member.Seat] = member
 		return true
 	}
 	return false
@@ -387,189 +387,191 @@
 	return host
 }
 
-// beside gives where this registry's counterpart on another core machine is: the same port of
+// counterpartAddress gives where this registry's counterpart on another core machine is: the same port of
 // that machine's IP.
-func (s *Server) beside(address string) string {
-	_, port, _ := net.SplitHostPort(s.address)
+func (s *Server) counterpartAddress(address string) string {
+	_, port, _ := net.SplitHostPort(s.advertisedAddress)
 	return net.JoinHostPort(ipOf(address), port)
 }
 
-// seats lists the core's seats in the order in which duties fall, each with where its registry
+// members lists the core's seats in the order in which duties fall, each with where its registry
 // is reached if that is known; the caller holds the lock. Without an order they are those that
 // the stores agreed on, by name; until the store beside tells, the seeds are taken for them.
-func (s *Server) seats() []*schema.Core {
+func (s *Server) members() []*schema.Core {
 	var listed []*schema.Core
-	for _, name := range s.order {
+	for _, name := range s.memberOrder {
 		listed = append(listed, &schema.Core{Seat: name})
 	}
-	if s.order == nil {
-		for _, core := range s.agreed {
-			listed = append(listed, &schema.Core{Seat: core.Seat, Address: s.beside(core.Address)})
+	if s.memberOrder == nil {
+		for _, member := range s.agreedMembers {
+			listed = append(listed, &schema.Core{Seat: member.Seat, Address: s.counterpartAddress(member.Address)})
 		}
-		for _, seed := range options.List(s.given().Seeds) {
-			if len(s.agreed) == 0 {
+		for _, seed := range options.SplitList(s.currentOptions().Seeds) {
+			if len(s.agreedMembers) == 0 {
 				listed = append(listed, &schema.Core{Seat: ipOf(seed), Address: seed})
 			}
 		}
 		slices.SortFunc(listed, func(a, b *schema.Core) int { return strings.Compare(a.Seat, b.Seat) })
 	}
-	for i, seat := range listed {
-		if told := s.cores[seat.Seat]; told != nil {
-			listed[i] = told
+	for i, member := range listed {
+		if observed := s.coreMembers[member.Seat]; observed != nil {
+			listed[i] = observed
 		}
 	}
 	return listed
 }
 
-// given are the settings in force, as far as they may change.
-func (s *Server) given() *schema.RegistryOptions { return s.live.Load() }
+// currentOptions are the settings in force, as far as they may change.
+func (s *Server) currentOptions() *schema.RegistryOptions { return s.liveOptions.Load() }
 
-// stableIsEnough tells whether a change is acknowledged once it is stable.
-func (s *Server) stableIsEnough() bool { return s.options.AcknowledgeAfter == afterStable }
+// acknowledgesAfterCommit tells whether a change is acknowledged once it is stable.
+func (s *Server) acknowledgesAfterCommit() bool {
+	return s.initialOptions.AcknowledgeAfter == acknowledgeAfterCommit
+}
 
-// coreList is the seats whose registry can be reached somewhere.
-func (s *Server) coreList() []*schema.Core {
-	return slices.DeleteFunc(s.seats(), func(core *schema.Core) bool { return core.Address == "" })
+// reachableMembers is the seats whose registry can be reached somewhere.
+func (s *Server) reachableMembers() []*schema.Core {
+	return slices.DeleteFunc(s.members(), func(member *schema.Core) bool { return member.Address == "" })
 }
 
-// isProxy tells whether the peer is the proxy it says it is.
-func (s *Server) isProxy(ctx context.Context, name string) error {
-	if peer := link.PeerOf(ctx); peer.Role != "proxy" || peer.Name != name {
-		s.ends.Refused.Add(1)
-		return defect.New(defect.Stranger, name)
+// requireProxy tells whether the peer is the proxy it says it is.
+func (s *Server) requireProxy(ctx context.Context, name string) error {
+	if peer := link.PeerFromContext(ctx); peer.Role != "proxy" || peer.Name != name {
+		s.rpcTransport.RejectedPeers.Add(1)
+		return defect.New(defect.Unauthorized, name)
 	}
 	return nil
 }
 
-// isRegistry tells whether the peer is another registry.
-func (s *Server) isRegistry(ctx context.Context) error {
-	if peer := link.PeerOf(ctx); peer.Role != "registry" {
-		s.ends.Refused.Add(1)
-		return defect.New(defect.Stranger, peer.Role)
+// requireRegistry tells whether the peer is another registry.
+func (s *Server) requireRegistry(ctx context.Context) error {
+	if peer := link.PeerFromContext(ctx); peer.Role != "registry" {
+		s.rpcTransport.RejectedPeers.Add(1)
+		return defect.New(defect.Unauthorized, peer.Role)
 	}
 	return nil
 }
 
 // Lease renews a proxy's lease here.
-func (s *Server) Lease(ctx context.Context, renew *schema.Renew) (*schema.Renewed, error) {
-	if err := s.isProxy(ctx, renew.Proxy); err != nil {
+func (s *Server) Lease(ctx context.Context, request *schema.Renew) (*schema.Renewed, error) {
+	if err := s.requireProxy(ctx, request.Proxy); err != nil {
 		return nil, err
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	reply := s.table.Renew(s.now(), renew)
-	reply.Cores, reply.Seats = s.coreList(), uint32(len(s.seats()))
+	reply := s.fleetState.RenewLease(s.now(), request)
+	reply.Cores, reply.Seats = s.reachableMembers(), uint32(len(s.members()))
 	return reply, nil
 }
 
 // Greet tells a proxy that starts which incarnation of its name was seen last.
 func (s *Server) Greet(ctx context.Context, greeting *schema.Greeting) (*schema.Greeted, error) {
-	if err := s.isProxy(ctx, greeting.Proxy); err != nil {
+	if err := s.requireProxy(ctx, greeting.Proxy); err != nil {
 		return nil, err
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return &schema.Greeted{Incarnation: s.table.Seen(greeting.Proxy), Workers: s.table.ToldOf(greeting.Proxy)}, nil
+	return &schema.Greeted{Incarnation: s.fleetState.HighestIncarnation(greeting.Proxy), Workers: s.fleetState.ReportedWorkers(greeting.Proxy)}, nil
 }
 
 // Feed waits for news that a node lacks and gives it.
-func (s *Server) Feed(ctx context.Context, pull *schema.Pull) (*schema.Pulled, error) {
-	if pull.Core != nil {
-		if err := s.isRegistry(ctx); err != nil {
+func (s *Server) Feed(ctx context.Context, request *schema.Pull) (*schema.Pulled, error) {
+	if request.Core != nil {
+		if err := s.requireRegistry(ctx); err != nil {
 			return nil, err
 		}
 		s.lock.Lock()
-		if s.learnCore(pull.Core) {
-			s.announce()
+		if s.observeMember(request.Core) {
+			s.broadcastChange()
 		}
-		s.table.Differs(pull.Node, "lease", time.Duration(pull.LeaseNanos).String(), s.lease.String(), pull.LeaseNanos != 0)
-		s.table.Differs(pull.Node, "order", pull.Order, s.options.Order, pull.Order != "")
+		s.fleetState.CompareSetting(request.Node, "lease", time.Duration(request.LeaseNanos).String(), s.leaseDuration.String(), request.LeaseNanos != 0)
+		s.fleetState.CompareSetting(request.Node, "order", request.Order, s.initialOptions.Order, request.Order != "")
 		s.lock.Unlock()
 	}
 	s.lock.Lock()
-	s.table.Learn(s.now(), pull.Vector)
+	s.fleetState.ObserveVector(s.now(), request.Vector)
 	s.lock.Unlock()
-	of := pull.Node
-	if pull.Core != nil {
-		of = ""
+	incarnationsOf := request.Node
+	if request.Core != nil {
+		incarnationsOf = ""
 	}
-	horizon := time.NewTimer(min(time.Duration(pull.WaitNanos), s.lease))
-	defer horizon.Stop()
+	deadline := time.NewTimer(min(time.Duration(request.WaitNanos), s.leaseDuration))
+	defer deadline.Stop()
 	for {
 		s.lock.Lock()
-		pulled := &schema.Pulled{Sources: s.table.Feed(s.now(), pull.Vector), Setup: s.table.stable, Cores: s.coreList()}
-		pulled.Sources = append(pulled.Sources, s.table.Bare(pull.Vector, of)...)
-		if pull.Core == nil && s.table.stable > pull.Setup {
-			pulled.Items, pulled.Whole = s.state.After(pull.Setup)
-			pulled.Items = unsaid(pulled.Items)
+		response := &schema.Pulled{Sources: s.fleetState.SourcesNewerThan(s.now(), request.Vector), Setup: s.fleetState.committedRevision, Cores: s.reachableMembers()}
+		response.Sources = append(response.Sources, s.fleetState.IncarnationOnlySources(request.Vector, incarnationsOf)...)
+		if request.Core == nil && s.fleetState.committedRevision > request.Setup {
+			response.Items, response.Whole = s.configState.ChangesAfter(request.Setup)
+			response.Items = withoutOperatorText(response.Items)
 		}
-		moved := s.moved
+		stateChanged := s.stateChanged
 		s.lock.Unlock()
-		if len(pulled.Sources) > 0 || (pull.Core == nil && pulled.Setup > pull.Setup) {
-			return pulled, nil
+		if len(response.Sources) > 0 || (request.Core == nil && response.Setup > request.Setup) {
+			return response, nil
 		}
 		select {
-		case <-moved:
-		case <-horizon.C:
-			return pulled, nil
+		case <-stateChanged:
+		case <-deadline.C:
+			return response, nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// unsaid leaves out of items what only operators ask for.
-func unsaid(items []*schema.Item) []*schema.Item {
-	bare := make([]*schema.Item, len(items))
+// withoutOperatorText leaves out of items what only operators ask for.
+func withoutOperatorText(items []*schema.Item) []*schema.Item {
+	stripped := make([]*schema.Item, len(items))
 	for i, item := range items {
-		if bare[i] = item; len(item.Said) > 0 {
-			bare[i] = &schema.Item{Kind: item.Kind, Name: item.Name, Version: item.Version, Body: item.Body, Deleted: item.Deleted, Given: item.Given}
+		if stripped[i] = item; len(item.Said) > 0 {
+			stripped[i] = &schema.Item{Kind: item.Kind, Name: item.Name, Version: item.Version, Body: item.Body, Deleted: item.Deleted, Given: item.Given}
 		}
 	}
-	return bare
+	return stripped
 }
 
 // Tell takes a proxy's workers and counts.
 func (s *Server) Tell(ctx context.Context, report *schema.Report) (*schema.Told, error) {
-	if err := s.isProxy(ctx, report.Proxy); err != nil {
+	if err := s.requireProxy(ctx, report.Proxy); err != nil {
 		return nil, err
 	}
 	if report.Source != nil && report.Source.Name != report.Proxy {
-		return nil, defect.New(defect.Stranger, report.Source.Name)
+		return nil, defect.New(defect.Unauthorized, report.Source.Name)
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if s.table.Tell(s.now(), report) {
-		s.announce()
+	if s.fleetState.ApplyReport(s.now(), report) {
+		s.broadcastChange()
 	}
-	return &schema.Told{Trials: s.table.Trials(s.now())}, nil
+	return &schema.Told{Trials: s.fleetState.CanaryGrants(s.now())}, nil
 }
 
 // Bar sets a fence for another registry.
 func (s *Server) Bar(ctx context.Context, fence *schema.Fence) (*schema.Fenced, error) {
-	if err := s.isRegistry(ctx); err != nil {
+	if err := s.requireRegistry(ctx); err != nil {
 		return nil, err
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.table.Bar(s.now(), fence.Setup), nil
+	return s.fleetState.SetFence(s.now(), fence.Setup), nil
 }
 
 // Counts gives the counts held here to another registry.
-func (s *Server) Counts(ctx context.Context, ask *schema.CountsAsk) (*schema.CountsBack, error) {
-	if err := s.isRegistry(ctx); err != nil {
+func (s *Server) Counts(ctx context.Context, request *schema.CountsAsk) (*schema.CountsBack, error) {
+	if err := s.requireRegistry(ctx); err != nil {
 		return nil, err
 	}
-	if ask.Duty != "" {
-		s.takeTrials(ask.Trials)
+	if request.Duty != "" {
+		s.setCanaryGrants(request.Trials)
 	}
-	return s.countsHere(ask.Works), nil
+	return s.localCounts(request.Works), nil
 }
 
-func (s *Server) countsHere(works bool) *schema.CountsBack {
+func (s *Server) localCounts(workCountsOnly bool) *schema.CountsBack {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.table.Counts(s.now(), works)
+	return s.fleetState.ReportedCounts(s.now(), workCountsOnly)
 }
 
 // Look gives this registry's status.
@@ -577,56 +579,56 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	now := s.now()
-	age, known := s.table.Age(now)
-	return &schema.RegistryStatus{Seat: s.options.Seat, Grants: s.table.Grants(now), Steers: s.steers(), Stable: s.table.stable, Leases: s.table.Leases(now),
-		Sessions: uint32(s.table.Sessions()), Members: uint32(s.table.Members(now)), Vouched: known, AgeNanos: int64(age), Reached: s.table.Reached(now),
-		StaleSteps: s.stale.Load(), RefusedPeers: s.ends.Refused.Load(),
-		Claims: uint64(s.claims.Held()), ClaimsCount: s.claims.Counts(now), RefusedClaims: s.claims.Refused, Odd: s.table.Odd()}, nil
+	age, confirmed := s.fleetState.Staleness(now)
+	return &schema.RegistryStatus{Seat: s.initialOptions.Seat, Grants: s.fleetState.GrantsLeases(now), Steers: s.mayControlRollouts(), Stable: s.fleetState.committedRevision, Leases: s.fleetState.Leases(now),
+		Sessions: uint32(s.fleetState.SessionCount()), Members: uint32(s.fleetState.LiveProxies(now)), Vouched: confirmed, AgeNanos: int64(age), Reached: s.fleetState.ReachableRegistries(now),
+		StaleSteps: s.staleSteps.Load(), RefusedPeers: s.rpcTransport.RejectedPeers.Load(),
+		Claims: uint64(s.reservations.Len()), ClaimsCount: s.reservations.IsAuthoritative(now), RefusedClaims: s.reservations.Refused, Odd: s.fleetState.SettingMismatches()}, nil
 }
 
-// keyBytes is the length of a claim's digests.
-const keyBytes = 32
+// digestBytes is the length of a claim's digests.
+const digestBytes = 32
 
 // Claim rules on the keys that a proxy wants to run.
-func (s *Server) Claim(ctx context.Context, asked *schema.Claims) (*schema.ClaimsBack, error) {
-	peer := link.PeerOf(ctx)
+func (s *Server) Claim(ctx context.Context, request *schema.Claims) (*schema.ClaimsBack, error) {
+	peer := link.PeerFromContext(ctx)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	now := s.now()
-	back := &schema.ClaimsBack{Seat: s.options.Seat, Seats: uint32(len(s.seats()))}
-	for _, claim := range asked.Claims {
+	response := &schema.ClaimsBack{Seat: s.initialOptions.Seat, Seats: uint32(len(s.members()))}
+	for _, reservation := range request.Claims {
 		// Only the proxy itself may claim, and only for callers that it may speak for.
-		if peer.Role != "proxy" || peer.Name != claim.Proxy || !peer.Speaks(claim.Caller) || len(claim.Key) != keyBytes || len(claim.Body) != keyBytes {
-			s.claims.Refused++
-			back.Claimed = append(back.Claimed, &schema.Claimed{Ruled: schema.Ruled_RULED_STRANGER})
+		if peer.Role != "proxy" || peer.Name != reservation.Proxy || !peer.MayCallAs(reservation.Caller) || len(reservation.Key) != digestBytes || len(reservation.Body) != digestBytes {
+			s.reservations.Refused++
+			response.Claimed = append(response.Claimed, &schema.Claimed{Ruled: schema.Ruled_RULED_STRANGER})
 			continue
 		}
-		back.Claimed = append(back.Claimed, s.claims.Take(now, claim))
+		response.Claimed = append(response.Claimed, s.reservations.Apply(now, reservation))
 	}
-	return back, nil
+	return response, nil
 }
 
 // Read gives another registry the claims held here.
-func (s *Server) Read(ctx context.Context, ask *schema.ClaimsAsk) (*schema.ClaimsPage, error) {
-	if err := s.isRegistry(ctx); err != nil {
+func (s *Server) Read(ctx context.Context, request *schema.ClaimsAsk) (*schema.ClaimsPage, error) {
+	if err := s.requireRegistry(ctx); err != nil {
 		return nil, err
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	page := s.claims.Page(s.now(), ask.After)
-	page.Seat = s.options.Seat
+	page := s.reservations.Page(s.now(), request.After)
+	page.Seat = s.initialOptions.Seat
 	return page, nil
 }
 
-// fillClaims reads what the other registries hold until this one's word counts.
-func (s *Server) fillClaims(ctx context.Context) {
+// recoverReservations reads what the other registries hold until this one's word counts.
+func (s *Server) recoverReservations(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.lock.Lock()
 		now := s.now()
-		counts, wait := s.claims.Counts(now), s.claims.ReadsFrom()-now
+		authoritative, wait := s.reservations.IsAuthoritative(now), s.reservations.RecoveryStartsAt()-now
 		s.lock.Unlock()
 		switch {
-		case counts:
+		case authoritative:
 			return
 		case wait > 0:
 			select {
@@ -635,14 +637,14 @@
 			}
 			continue
 		}
-		others(ctx, s, s.lease, func(ctx context.Context, peer schema.DRPCRegistryClient) (bool, error) {
+		callOtherRegistries(ctx, s, s.leaseDuration, func(ctx context.Context, peer schema.DRPCRegistryClient) (bool, error) {
 			for after := uint64(0); ; {
 				page, err := peer.Read(ctx, &schema.ClaimsAsk{After: after})
 				if err != nil {
 					return false, err
 				}
 				s.lock.Lock()
-				s.claims.Fill(s.now(), page.Seat, page)
+				s.reservations.MergePage(s.now(), page.Seat, page)
 				s.lock.Unlock()
 				if page.Last {
 					return true, nil
@@ -650,21 +652,21 @@
 				after = page.Claims[len(page.Claims)-1].Place
 			}
 		})
-		s.pause(ctx, retryParts)
+		s.waitLeaseFraction(ctx, retryPauseDivisor)
 	}
 }
 
-// others calls every other registry at once and gives the answers that came.
-func others[T any](ctx context.Context, s *Server, bound time.Duration, call func(context.Context, schema.DRPCRegistryClient) (T, error)) []T {
+// callOtherRegistries calls every other registry at once and gives the answers that came.
+func callOtherRegistries[T any](ctx context.Context, s *Server, timeout time.Duration, call func(context.Context, schema.DRPCRegistryClient) (T, error)) []T {
 	s.lock.Lock()
-	addresses := s.peers()
+	addresses := s.peerAddresses()
 	s.lock.Unlock()
-	bounded, cancel := context.WithTimeout(ctx, bound)
+	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	answers := make(chan *T, len(addresses))
 	for address := range addresses {
 		go func() {
-			answer, err := call(bounded, schema.NewDRPCRegistryClient(s.ends.To(bounded, address)))
+			answer, err := call(bounded, schema.NewDRPCRegistryClient(s.rpcTransport.Conn(bounded, address)))
 			if err != nil {
 				answers <- nil
 				return
@@ -672,41 +674,41 @@
 			answers <- &answer
 		}()
 	}
-	var came []T
+	var received []T
 	for range addresses {
 		if answer := <-answers; answer != nil {
-			came = append(came, *answer)
+			received = append(received, *answer)
 		}
 	}
-	return came
+	return received
 }
 
-// acknowledge waits until no proxy can any longer use rules older than setup. It returns
+// awaitAcknowledgement waits until no proxy can any longer use rules older than setup. It returns
 // who still may when the wait ends.
-func (s *Server) acknowledge(ctx context.Context, sequence uint64) []string {
-	if s.stableIsEnough() {
+func (s *Server) awaitAcknowledgement(ctx context.Context, sequence uint64) []string {
+	if s.acknowledgesAfterCommit() {
 		return nil
 	}
 	s.lock.Lock()
-	fence := NewAcknowledgement(len(s.seats()))
+	acknowledgement := NewAcknowledgement(len(s.members()))
 	s.lock.Unlock()
 	for {
 		laggards := map[string]bool{}
 		s.lock.Lock()
-		answers := []*schema.Fenced{s.table.Bar(s.now(), sequence)}
-		moved := s.moved
+		answers := []*schema.Fenced{s.fleetState.SetFence(s.now(), sequence)}
+		stateChanged := s.stateChanged
 		s.lock.Unlock()
-		answers = append(answers, others(ctx, s, s.lease/session.LeaseParts, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.Fenced, error) {
+		answers = append(answers, callOtherRegistries(ctx, s, s.leaseDuration/session.RenewalsPerLease, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.Fenced, error) {
 			return peer.Bar(ctx, &schema.Fence{Setup: sequence})
 		})...)
 		for _, answer := range answers {
-			for _, one := range answer.Laggards {
-				laggards[one.Proxy] = true
+			for _, laggard := range answer.Laggards {
+				laggards[laggard.Proxy] = true
 			}
-			if fence.Take(answer) {
+			if acknowledgement.Record(answer) {
 				s.lock.Lock()
-				if traced := s.table.traces[sequence]; traced != nil && traced.yes == 0 {
-					traced.yes = s.now()
+				if traced := s.fleetState.traces[sequence]; traced != nil && traced.acknowledgedAt == 0 {
+					traced.acknowledgedAt = s.now()
 				}
 				s.lock.Unlock()
 				return nil
@@ -719,8 +721,8 @@
 				names = append(names, name)
 			}
 			return names
-		case <-moved:
-		case <-time.After(s.lease / batchParts):
+		case <-stateChanged:
+		case <-time.After(s.leaseDuration / batchDivisor):
 		}
 	}
 }
