--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -20,256 +20,256 @@
 	"meadowhinge/schema"
 )
 
-// Submission is what an operator sends: CUE text, the versions it was written against, an id.
-type Submission struct {
-	ID       string            `json:"id"`
-	Setup    string            `json:"setup"`
-	Expected map[string]uint64 `json:"expected"` // "kind/name" to version; absent means: is new
+// ChangeRequest is what an operator sends: CUE text, the versions it was written against, an id.
+type ChangeRequest struct {
+	ID               string            `json:"id"`
+	Config           string            `json:"setup"`
+	ExpectedVersions map[string]uint64 `json:"expected"` // "kind/name" to version; absent means: is new
 }
 
-// Answer is what became of a change.
-type Answer struct {
-	ID           string            `json:"id"`
-	Ruling       string            `json:"ruling"`
-	Sequence     uint64            `json:"sequence,omitempty"`
-	Epoch        uint64            `json:"epoch,omitempty"`
-	Acknowledged bool              `json:"acknowledged"`
-	Waiting      []string          `json:"waiting,omitempty"` // proxies that may still use older rules
-	Current      map[string]uint64 `json:"current,omitempty"`
-	Standing     []ShownItem       `json:"standing,omitempty"` // on a conflict: what stands, and whose it is
-	Defect       defect.Kind       `json:"defect,omitempty"`
-	Faults       []*schema.Fault   `json:"faults,omitempty"`
+// ChangeResponse is what became of a change.
+type ChangeResponse struct {
+	ID              string            `json:"id"`
+	Ruling          string            `json:"ruling"`
+	Sequence        uint64            `json:"sequence,omitempty"`
+	Term            uint64            `json:"epoch,omitempty"`
+	Acknowledged    bool              `json:"acknowledged"`
+	LaggingProxies  []string          `json:"waiting,omitempty"` // proxies that may still use older rules
+	CurrentVersions map[string]uint64 `json:"current,omitempty"`
+	CurrentItems    []ItemView        `json:"standing,omitempty"` // on a conflict: what stands, and whose it is
+	ErrorCode       defect.Code       `json:"defect,omitempty"`
+	Faults          []*schema.Fault   `json:"faults,omitempty"`
 }
 
 // rulings names each ruling outside, with its status and defect.
 var rulings = map[schema.Ruling]struct {
 	name   string
 	status int
-	defect defect.Kind
+	defect defect.Code
 }{
 	schema.Ruling_RULING_ACCEPTED: {"accepted", fasthttp.StatusOK, ""},
-	schema.Ruling_RULING_INVALID:  {"invalid", fasthttp.StatusBadRequest, defect.BadSetup},
+	schema.Ruling_RULING_INVALID:  {"invalid", fasthttp.StatusBadRequest, defect.InvalidConfig},
 	schema.Ruling_RULING_CONFLICT: {"conflict", fasthttp.StatusConflict, defect.Conflict},
-	schema.Ruling_RULING_STALE:    {"stale", fasthttp.StatusConflict, defect.StaleDuty},
-	schema.Ruling_RULING_UNKNOWN:  {"unknown", fasthttp.StatusServiceUnavailable, defect.NoMajority},
+	schema.Ruling_RULING_STALE:    {"stale", fasthttp.StatusConflict, defect.StaleTerm},
+	schema.Ruling_RULING_UNKNOWN:  {"unknown", fasthttp.StatusServiceUnavailable, defect.NoQuorum},
 }
 
-func answerOf(id string, outcome *schema.Outcome) (int, *Answer) {
+func newChangeResponse(id string, outcome *schema.Outcome) (int, *ChangeResponse) {
 	ruling := rulings[outcome.GetRuling()]
-	answer := &Answer{ID: id, Ruling: ruling.name, Defect: ruling.defect, Sequence: outcome.GetVersion().GetSequence(),
-		Epoch: outcome.GetVersion().GetEpoch(), Faults: outcome.GetFaults()}
-	for _, one := range outcome.GetCurrent() {
-		if answer.Current == nil {
-			answer.Current = map[string]uint64{}
+	response := &ChangeResponse{ID: id, Ruling: ruling.name, ErrorCode: ruling.defect, Sequence: outcome.GetVersion().GetSequence(),
+		Term: outcome.GetVersion().GetEpoch(), Faults: outcome.GetFaults()}
+	for _, expected := range outcome.GetCurrent() {
+		if response.CurrentVersions == nil {
+			response.CurrentVersions = map[string]uint64{}
 		}
-		answer.Current[setup.Key(one.Kind, one.Name)] = one.Sequence
+		response.CurrentVersions[setup.Key(expected.Kind, expected.Name)] = expected.Sequence
 	}
-	return ruling.status, answer
+	return ruling.status, response
 }
 
 // serveOperators opens the operators' HTTP interface.
 func (s *Server) serveOperators(address string) (*fasthttp.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.BadOptions, "operator-listen")
+		return nil, defect.Wrap(err, defect.InvalidOptions, "operator-listen")
 	}
 	// Each path and method has one page; what is not in the table does not exist.
-	pages := map[string]func(*fasthttp.RequestCtx){
-		"POST /v1/changes": s.pageChange,
-		"GET /v1/setup":    s.pageSetup,
-		"GET /v1/verdicts": s.pageVerdicts,
-		"GET /v1/workers":  s.pageWorkers,
-		"GET /v1/releases": s.pageReleases,
-		"GET /v1/status":   s.pageStatus,
-		"POST /v1/explain": s.pageExplain,
+	handlers := map[string]func(*fasthttp.RequestCtx){
+		"POST /v1/changes": s.handleChange,
+		"GET /v1/setup":    s.handleConfig,
+		"GET /v1/verdicts": s.handleVerdicts,
+		"GET /v1/workers":  s.handleWorkers,
+		"GET /v1/releases": s.handleReleases,
+		"GET /v1/status":   s.handleStatus,
+		"POST /v1/explain": s.handleExplain,
 	}
-	server := &fasthttp.Server{Name: "meadowhinge", Concurrency: 1024, NoDefaultServerHeader: true, MaxRequestBodySize: int(s.options.SetupMost),
+	server := &fasthttp.Server{Name: "meadowhinge", Concurrency: 1024, NoDefaultServerHeader: true, MaxRequestBodySize: int(s.initialOptions.SetupMost),
 		ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, CloseOnShutdown: true,
 		Handler: func(call *fasthttp.RequestCtx) {
 			path := string(call.Path())
-			if s.speech != nil && s.speech.Handle(call, s) {
+			if s.operatorAPI != nil && s.operatorAPI.Handle(call, s) {
 				return
 			}
-			if id, asks := strings.CutPrefix(path, "/v1/changes/"); asks && call.IsGet() {
-				s.pageOutcome(call, id)
+			if id, matches := strings.CutPrefix(path, "/v1/changes/"); matches && call.IsGet() {
+				s.handleOutcome(call, id)
 				return
 			}
-			if id, asks := strings.CutPrefix(path, "/v1/trace/"); asks && call.IsGet() {
-				s.pageTrace(call, id)
+			if id, matches := strings.CutPrefix(path, "/v1/trace/"); matches && call.IsGet() {
+				s.handleTrace(call, id)
 				return
 			}
-			page, known := pages[string(call.Method())+" "+path]
-			if !known {
-				daemon.Refuse(call, defect.New(defect.NoRoute, path), "", nil)
+			handler, found := handlers[string(call.Method())+" "+path]
+			if !found {
+				daemon.WriteError(call, defect.New(defect.RouteNotFound, path), "", nil)
 				return
 			}
-			page(call)
+			handler(call)
 			// What no majority answers now may be answered once a lease has been renewed again.
 			if call.Response.StatusCode() == fasthttp.StatusServiceUnavailable {
-				call.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(max(1, int64(s.lease/session.LeaseParts/time.Second)), 10))
+				call.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(max(1, int64(s.leaseDuration/session.RenewalsPerLease/time.Second)), 10))
 			}
 		},
 		ErrorHandler: func(call *fasthttp.RequestCtx, err error) {
-			kind := defect.Malformed
+			code := defect.MalformedRequest
 			if err == fasthttp.ErrBodyTooLarge {
-				kind = defect.TooLarge
+				code = defect.BodyTooLarge
 			}
-			daemon.Refuse(call, defect.Wrap(err, kind, "request"), "", nil)
+			daemon.WriteError(call, defect.Wrap(err, code, "request"), "", nil)
 		}}
 	go func() { _ = server.Serve(listener) }()
 	return server, nil
 }
 
-func (s *Server) pageChange(call *fasthttp.RequestCtx) {
-	submission := &Submission{}
+func (s *Server) handleChange(call *fasthttp.RequestCtx) {
+	request := &ChangeRequest{}
 	decoder := json.NewDecoder(strings.NewReader(string(call.PostBody())))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(submission); err != nil {
-		daemon.Refuse(call, defect.Wrap(err, defect.Malformed, "change"), "", nil)
+	if err := decoder.Decode(request); err != nil {
+		daemon.WriteError(call, defect.Wrap(err, defect.MalformedRequest, "change"), "", nil)
 		return
 	}
-	if submission.ID == "" || len(submission.ID) > 128 {
-		daemon.Refuse(call, defect.New(defect.Malformed, "a change needs an id of 1 to 128 bytes"), "", nil)
+	if request.ID == "" || len(request.ID) > 128 {
+		daemon.WriteError(call, defect.New(defect.MalformedRequest, "a change needs an id of 1 to 128 bytes"), "", nil)
 		return
 	}
-	items, faults := statement.Read([]byte(submission.Setup))
+	items, faults := statement.Parse([]byte(request.Config))
 	if len(faults) > 0 {
-		daemon.Answer(call, fasthttp.StatusBadRequest, &Answer{ID: submission.ID, Ruling: "invalid", Defect: defect.BadSetup, Faults: faults})
+		daemon.WriteJSON(call, fasthttp.StatusBadRequest, &ChangeResponse{ID: request.ID, Ruling: "invalid", ErrorCode: defect.InvalidConfig, Faults: faults})
 		return
 	}
-	change := &schema.Change{Id: submission.ID, Items: items}
-	for key, sequence := range submission.Expected {
+	change := &schema.Change{Id: request.ID, Items: items}
+	for key, sequence := range request.ExpectedVersions {
 		kind, name, _ := strings.Cut(key, "/")
 		change.Expected = append(change.Expected, &schema.Expected{Kind: kind, Name: name, Sequence: sequence})
 	}
-	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(s.given().AnswerMost))
+	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(s.currentOptions().AnswerMost))
 	defer cancel()
-	submitted := s.offer(bounded, change)
-	if submitted == nil {
+	reply := s.propose(bounded, change)
+	if reply == nil {
 		// Not known is not refused: the change may yet come into force, so the id is to be asked about.
-		daemon.Answer(call, fasthttp.StatusServiceUnavailable, &Answer{ID: submission.ID, Ruling: "unknown", Defect: defect.NoMajority})
+		daemon.WriteJSON(call, fasthttp.StatusServiceUnavailable, &ChangeResponse{ID: request.ID, Ruling: "unknown", ErrorCode: defect.NoQuorum})
 		return
 	}
-	status, answer := answerOf(submission.ID, submitted.Outcome)
-	if submitted.Outcome.Ruling == schema.Ruling_RULING_CONFLICT {
+	status, response := newChangeResponse(request.ID, reply.Outcome)
+	if reply.Outcome.Ruling == schema.Ruling_RULING_CONFLICT {
 		s.lock.Lock()
 		for _, item := range items {
-			if held := s.state[setup.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
-				answer.Standing = append(answer.Standing, shownItem(held))
+			if current := s.configState[setup.Key(item.Kind, item.Name)]; current != nil && !current.Deleted {
+				response.CurrentItems = append(response.CurrentItems, newItemView(current))
 			}
 		}
 		s.lock.Unlock()
 	}
-	if submitted.Outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
-		answer.Waiting = s.acknowledge(bounded, answer.Sequence)
-		answer.Acknowledged = answer.Waiting == nil
+	if reply.Outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
+		response.LaggingProxies = s.awaitAcknowledgement(bounded, response.Sequence)
+		response.Acknowledged = response.LaggingProxies == nil
 		// In force, but some proxy could not be heard: not yet the promise that a 200 makes.
-		if !answer.Acknowledged {
+		if !response.Acknowledged {
 			status = fasthttp.StatusAccepted
 		}
 	}
-	daemon.Answer(call, status, answer)
+	daemon.WriteJSON(call, status, response)
 }
 
-// offer hands a change to the store until it is decided. Asking again is safe: the id of a
+// propose hands a change to the store until it is decided. Asking again is safe: the id of a
 // change that was taken gives its first outcome. nil means that it is not known.
-func (s *Server) offer(ctx context.Context, change *schema.Change) *schema.ProposalReply {
+func (s *Server) propose(ctx context.Context, change *schema.Change) *schema.ProposalReply {
 	for {
-		submitted, err := s.store.Propose(ctx, &schema.Proposal{Change: change})
-		if err == nil && !submitted.Undecided {
-			return submitted
+		reply, err := s.store.Propose(ctx, &schema.Proposal{Change: change})
+		if err == nil && !reply.Undecided {
+			return reply
 		}
-		s.pause(ctx, retryParts)
+		s.waitLeaseFraction(ctx, retryPauseDivisor)
 		if ctx.Err() != nil {
 			return nil
 		}
 	}
 }
 
-func (s *Server) pageOutcome(call *fasthttp.RequestCtx, id string) {
-	bounded, cancel := context.WithTimeout(context.Background(), s.lease/session.LeaseParts)
+func (s *Server) handleOutcome(call *fasthttp.RequestCtx, id string) {
+	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/session.RenewalsPerLease)
 	defer cancel()
-	submitted, err := s.store.Inquire(bounded, &schema.Ask{ChangeId: id})
+	reply, err := s.store.Inquire(bounded, &schema.Ask{ChangeId: id})
 	if err != nil {
-		daemon.Refuse(call, defect.Wrap(err, defect.NoMajority, "store"), "", nil)
+		daemon.WriteError(call, defect.Wrap(err, defect.NoQuorum, "store"), "", nil)
 		return
 	}
-	if submitted.Undecided {
-		daemon.Refuse(call, defect.New(defect.UnknownChange, id), "", nil)
+	if reply.Undecided {
+		daemon.WriteError(call, defect.New(defect.ChangeNotFound, id), "", nil)
 		return
 	}
-	_, answer := answerOf(id, submitted.Outcome)
-	if submitted.Outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
-		answer.Waiting = s.acknowledge(bounded, answer.Sequence)
-		answer.Acknowledged = answer.Waiting == nil
+	_, response := newChangeResponse(id, reply.Outcome)
+	if reply.Outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
+		response.LaggingProxies = s.awaitAcknowledgement(bounded, response.Sequence)
+		response.Acknowledged = response.LaggingProxies == nil
 	}
-	daemon.Answer(call, fasthttp.StatusOK, answer)
+	daemon.WriteJSON(call, fasthttp.StatusOK, response)
 }
 
-// Trace is what one core machine saw of a change; times are those of its own clock.
-type Trace struct {
-	Seat         string               `json:"seat"`
-	Known        bool                 `json:"known"` // by the store here
-	Ruling       string               `json:"ruling,omitempty"`
-	Sequence     uint64               `json:"sequence,omitempty"`
-	Epoch        uint64               `json:"epoch,omitempty"`
-	Holder       string               `json:"holder,omitempty"` // of the admission duty
-	Taken        time.Time            `json:"taken"`
-	Synced       time.Time            `json:"synced"`
-	Stable       time.Time            `json:"stable"`
-	Seen         time.Time            `json:"seen"`         // by the registry here
-	Acknowledged time.Time            `json:"acknowledged"` // to the operator, by the registry here
-	Applied      map[string]time.Time `json:"applied"`      // by proxy, as told to the registry here
-	Missing      []string             `json:"missing"`      // proxies with a lease here that have not applied it
-	StoreSilent  bool                 `json:"storeSilent"`
+// ChangeTrace is what one core machine saw of a change; times are those of its own clock.
+type ChangeTrace struct {
+	MemberID         string               `json:"seat"`
+	KnownToStore     bool                 `json:"known"` // by the store here
+	Ruling           string               `json:"ruling,omitempty"`
+	Sequence         uint64               `json:"sequence,omitempty"`
+	Term             uint64               `json:"epoch,omitempty"`
+	Leader           string               `json:"holder,omitempty"` // of the admission duty
+	Appended         time.Time            `json:"taken"`
+	Durable          time.Time            `json:"synced"`
+	Committed        time.Time            `json:"stable"`
+	Seen             time.Time            `json:"seen"`         // by the registry here
+	Acknowledged     time.Time            `json:"acknowledged"` // to the operator, by the registry here
+	Applied          map[string]time.Time `json:"applied"`      // by proxy, as told to the registry here
+	Laggards         []string             `json:"missing"`      // proxies with a lease here that have not applied it
+	StoreUnreachable bool                 `json:"storeSilent"`
 }
 
-// pageTrace tells what this core machine saw of a change.
-func (s *Server) pageTrace(call *fasthttp.RequestCtx, id string) {
-	bounded, cancel := context.WithTimeout(context.Background(), s.lease/session.LeaseParts)
+// handleTrace tells what this core machine saw of a change.
+func (s *Server) handleTrace(call *fasthttp.RequestCtx, id string) {
+	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/session.RenewalsPerLease)
 	defer cancel()
-	shown := Trace{Seat: s.options.Seat, Applied: map[string]time.Time{}}
-	traced, err := s.store.Trace(bounded, &schema.Ask{ChangeId: id})
+	response := ChangeTrace{MemberID: s.initialOptions.Seat, Applied: map[string]time.Time{}}
+	storeTrace, err := s.store.Trace(bounded, &schema.Ask{ChangeId: id})
 	if err != nil {
-		shown.StoreSilent = true
-		daemon.Answer(call, fasthttp.StatusOK, shown)
+		response.StoreUnreachable = true
+		daemon.WriteJSON(call, fasthttp.StatusOK, response)
 		return
 	}
-	wall := func(nanos int64) time.Time {
+	wallTime := func(nanos int64) time.Time {
 		if nanos == 0 {
 			return time.Time{}
 		}
 		return time.Unix(0, nanos)
 	}
-	shown.Known, shown.Holder = traced.Known, traced.Leader
-	shown.Taken, shown.Synced, shown.Stable = wall(traced.Appended), wall(traced.Durable), wall(traced.Committed)
-	if traced.Known {
-		shown.Ruling, shown.Sequence, shown.Epoch = rulings[traced.Outcome.Ruling].name, traced.Outcome.Version.Sequence, traced.Outcome.Version.Epoch
+	response.KnownToStore, response.Leader = storeTrace.Known, storeTrace.Leader
+	response.Appended, response.Durable, response.Committed = wallTime(storeTrace.Appended), wallTime(storeTrace.Durable), wallTime(storeTrace.Committed)
+	if storeTrace.Known {
+		response.Ruling, response.Sequence, response.Term = rulings[storeTrace.Outcome.Ruling].name, storeTrace.Outcome.Version.Sequence, storeTrace.Outcome.Version.Epoch
 		s.lock.Lock()
-		here := func(at time.Duration) time.Time {
+		localTime := func(at time.Duration) time.Time {
 			if at == 0 {
 				return time.Time{}
 			}
-			return s.started.Add(at)
+			return s.startedAt.Add(at)
 		}
-		if seen := s.table.traces[shown.Sequence]; seen != nil {
-			shown.Seen, shown.Acknowledged = here(seen.seen), here(seen.yes)
-			for proxy, at := range seen.applied {
-				shown.Applied[proxy] = here(at)
+		if registryTrace := s.fleetState.traces[response.Sequence]; registryTrace != nil {
+			response.Seen, response.Acknowledged = localTime(registryTrace.seenAt), localTime(registryTrace.acknowledgedAt)
+			for proxy, at := range registryTrace.appliedAt {
+				response.Applied[proxy] = localTime(at)
 			}
 		}
-		for _, held := range s.table.Leases(s.now()) {
-			if held.Applied < shown.Sequence {
-				shown.Missing = append(shown.Missing, held.Proxy)
+		for _, standing := range s.fleetState.Leases(s.now()) {
+			if standing.Applied < response.Sequence {
+				response.Laggards = append(response.Laggards, standing.Proxy)
 			}
 		}
 		s.lock.Unlock()
 	}
-	daemon.Answer(call, fasthttp.StatusOK, shown)
+	daemon.WriteJSON(call, fasthttp.StatusOK, response)
 }
 
-// ShownItem is an item as operators see it.
-type ShownItem struct {
+// ItemView is an item as operators see it.
+type ItemView struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
 	Version uint64          `json:"version"`
@@ -277,88 +277,88 @@
 	Body    json.RawMessage `json:"body,omitempty"`
 }
 
-func shownItem(item *schema.Item) ShownItem {
-	return ShownItem{item.Kind, item.Name, item.Version.GetSequence(), item.Change, item.Body}
+func newItemView(item *schema.Item) ItemView {
+	return ItemView{item.Kind, item.Name, item.Version.GetSequence(), item.Change, item.Body}
 }
 
-// Shown is the stable setup as operators see it.
-type Shown struct {
-	Sequence uint64      `json:"sequence"`
-	Items    []ShownItem `json:"items"`
+// ConfigView is the stable setup as operators see it.
+type ConfigView struct {
+	Sequence uint64     `json:"sequence"`
+	Items    []ItemView `json:"items"`
 }
 
-func (s *Server) pageSetup(call *fasthttp.RequestCtx) {
+func (s *Server) handleConfig(call *fasthttp.RequestCtx) {
 	s.lock.Lock()
-	shown := Shown{Sequence: s.table.stable, Items: []ShownItem{}}
-	items := s.state.Items()
-	current := s.table.current
+	view := ConfigView{Sequence: s.fleetState.committedRevision, Items: []ItemView{}}
+	items := s.configState.Items()
+	caughtUp := s.fleetState.caughtUp
 	s.lock.Unlock()
 	// A registry that has not caught up might show an older setup than was shown before.
-	if !current {
-		daemon.Refuse(call, defect.New(defect.NoMajority, "this registry has not caught up"), "", nil)
+	if !caughtUp {
+		daemon.WriteError(call, defect.New(defect.NoQuorum, "this registry has not caught up"), "", nil)
 		return
 	}
 	for _, item := range items {
-		if !item.Deleted && item.Kind != setup.Purged {
-			shown.Items = append(shown.Items, shownItem(item))
+		if !item.Deleted && item.Kind != setup.KindPurged {
+			view.Items = append(view.Items, newItemView(item))
 		}
 	}
-	daemon.Answer(call, fasthttp.StatusOK, shown)
+	daemon.WriteJSON(call, fasthttp.StatusOK, view)
 }
 
-// allCounts gathers the counts of all registries, each proxy's once.
-func (s *Server) allCounts(ctx context.Context) []*schema.SourceCounts {
-	answers := others(ctx, s, s.lease/session.LeaseParts, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.CountsBack, error) {
+// collectCounts gathers the counts of all registries, each proxy's once.
+func (s *Server) collectCounts(ctx context.Context) []*schema.SourceCounts {
+	answers := callOtherRegistries(ctx, s, s.leaseDuration/session.RenewalsPerLease, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.CountsBack, error) {
 		return peer.Counts(ctx, &schema.CountsAsk{})
 	})
-	return MostOf(append(answers, s.countsHere(false)))
+	return MergeCounts(append(answers, s.localCounts(false)))
 }
 
-// MostOf keeps, of each proxy's incarnation, the tellings that counted most.
-func MostOf(answers []*schema.CountsBack) []*schema.SourceCounts {
-	most := map[leaseKey]*schema.SourceCounts{}
+// MergeCounts keeps, of each proxy's incarnation, the tellings that counted most.
+func MergeCounts(answers []*schema.CountsBack) []*schema.SourceCounts {
+	byIncarnation := map[proxyIncarnation]*schema.SourceCounts{}
 	var all []*schema.SourceCounts
 	for _, answer := range answers {
-		for _, told := range answer.Sources {
-			key := leaseKey{told.Proxy, told.Incarnation}
-			held := most[key]
-			if held == nil {
-				held = &schema.SourceCounts{Proxy: told.Proxy, Incarnation: told.Incarnation, AgoNanos: told.AgoNanos}
-				most[key] = held
-				all = append(all, held)
+		for _, reported := range answer.Sources {
+			key := proxyIncarnation{reported.Proxy, reported.Incarnation}
+			merged := byIncarnation[key]
+			if merged == nil {
+				merged = &schema.SourceCounts{Proxy: reported.Proxy, Incarnation: reported.Incarnation, AgoNanos: reported.AgoNanos}
+				byIncarnation[key] = merged
+				all = append(all, merged)
 			}
-			if callsIn(told) > callsIn(held) {
-				held.Counts = told.Counts
+			if totalCalls(reported) > totalCalls(merged) {
+				merged.Counts = reported.Counts
 			}
 			// Of two tellings that count the same, the later one has what is under way now.
-			if worksIn(told) > worksIn(held) || (worksIn(told) == worksIn(held) && told.AgoNanos <= held.AgoNanos) {
-				held.Works = told.Works
+			if totalWorkCalls(reported) > totalWorkCalls(merged) || (totalWorkCalls(reported) == totalWorkCalls(merged) && reported.AgoNanos <= merged.AgoNanos) {
+				merged.Works = reported.Works
 			}
-			held.Applied, held.AgoNanos = max(held.Applied, told.Applied), min(held.AgoNanos, told.AgoNanos)
+			merged.Applied, merged.AgoNanos = max(merged.Applied, reported.Applied), min(merged.AgoNanos, reported.AgoNanos)
 		}
 	}
 	return all
 }
 
-// compiled is the stable setup; it is compiled only when somebody asks.
-func (s *Server) compiled() *setup.Setup {
-	compiled, _ := s.compiledState()
-	return compiled
+// configSnapshot is the stable setup; it is compiled only when somebody asks.
+func (s *Server) configSnapshot() *setup.Snapshot {
+	snapshot, _ := s.configSnapshotAndState()
+	return snapshot
 }
 
-// compiledState is the stable setup beside the items it was made of.
-func (s *Server) compiledState() (*setup.Setup, setup.State) {
+// configSnapshotAndState is the stable setup beside the items it was made of.
+func (s *Server) configSnapshotAndState() (*setup.Snapshot, setup.State) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if !s.fresh {
-		s.setup, _ = setup.CompileAfter(s.setup, s.state, s.table.stable)
-		s.fresh = true
+	if !s.snapshotFresh {
+		s.snapshot, _ = setup.CompileIncremental(s.snapshot, s.configState, s.fleetState.committedRevision)
+		s.snapshotFresh = true
 	}
-	return s.setup, s.state
+	return s.snapshot, s.configState
 }
 
-// VerdictLine is one line of verdict counts.
-type VerdictLine struct {
+// VerdictCount is one line of verdict counts.
+type VerdictCount struct {
 	Flag      string  `json:"flag"`
 	Service   string  `json:"service"`
 	Variation string  `json:"variation"`
@@ -371,107 +371,107 @@
 	MeanMS    float64 `json:"meanMs"`
 }
 
-func (s *Server) pageVerdicts(call *fasthttp.RequestCtx) {
-	sums := map[VerdictLine]*schema.Count{}
-	for _, counts := range s.allCounts(context.Background()) {
-		for _, one := range counts.Counts {
-			key := VerdictLine{Flag: one.Flag, Service: one.Service, Variation: one.Variation, Reason: one.Reason, Rule: one.Rule, Route: one.Route, Outcome: one.Outcome}
+func (s *Server) handleVerdicts(call *fasthttp.RequestCtx) {
+	sums := map[VerdictCount]*schema.Count{}
+	for _, counts := range s.collectCounts(context.Background()) {
+		for _, count := range counts.Counts {
+			key := VerdictCount{Flag: count.Flag, Service: count.Service, Variation: count.Variation, Reason: count.Reason, Rule: count.Rule, Route: count.Route, Outcome: count.Outcome}
 			if sums[key] == nil {
 				sums[key] = &schema.Count{}
 			}
-			sums[key].Calls += one.Calls
-			sums[key].Failures += one.Failures
-			sums[key].Nanos += one.Nanos
+			sums[key].Calls += count.Calls
+			sums[key].Failures += count.Failures
+			sums[key].Nanos += count.Nanos
 		}
 	}
-	lines := []VerdictLine{}
+	verdictCounts := []VerdictCount{}
 	for key, sum := range sums {
 		key.Calls, key.Failures = sum.Calls, sum.Failures
 		if sum.Calls > 0 {
 			key.MeanMS = float64(sum.Nanos) / float64(sum.Calls) / float64(time.Millisecond)
 		}
-		lines = append(lines, key)
+		verdictCounts = append(verdictCounts, key)
 	}
-	sort.Slice(lines, func(i, j int) bool {
-		a, b := lines[i], lines[j]
+	sort.Slice(verdictCounts, func(i, j int) bool {
+		a, b := verdictCounts[i], verdictCounts[j]
 		return a.Service+"\x00"+a.Variation+"\x00"+a.Reason+"\x00"+a.Route+"\x00"+a.Outcome < b.Service+"\x00"+b.Variation+"\x00"+b.Reason+"\x00"+b.Route+"\x00"+b.Outcome
 	})
-	daemon.Answer(call, fasthttp.StatusOK, lines)
+	daemon.WriteJSON(call, fasthttp.StatusOK, verdictCounts)
 }
 
-// ShownWorker is a worker as operators see it.
-type ShownWorker struct {
+// WorkerView is a worker as operators see it.
+type WorkerView struct {
 	Instance string  `json:"instance"`
 	Service  string  `json:"service"`
 	Version  string  `json:"version"`
-	Area     string  `json:"area"`
+	Zone     string  `json:"area"`
 	Proxy    string  `json:"proxy"`
 	Load     float64 `json:"load"`
 	State    string  `json:"state"`
 }
 
-func (s *Server) pageWorkers(call *fasthttp.RequestCtx) {
+func (s *Server) handleWorkers(call *fasthttp.RequestCtx) {
 	s.lock.Lock()
-	sources := s.table.Feed(s.now(), nil)
+	sources := s.fleetState.SourcesNewerThan(s.now(), nil)
 	s.lock.Unlock()
-	shown := []ShownWorker{}
+	views := []WorkerView{}
 	for _, source := range sources {
 		for _, worker := range source.Workers {
 			state := "serving"
 			if worker.Leaving {
 				state = "leaving"
 			}
-			shown = append(shown, ShownWorker{worker.Instance, worker.Service, worker.Version, worker.Area, source.Name, worker.Load, state})
+			views = append(views, WorkerView{worker.Instance, worker.Service, worker.Version, worker.Area, source.Name, worker.Load, state})
 		}
 	}
-	daemon.Answer(call, fasthttp.StatusOK, shown)
+	daemon.WriteJSON(call, fasthttp.StatusOK, views)
 }
 
-// Status is the core as operators see it.
-type Status struct {
-	Store      *schema.ReplicaStatus    `json:"store,omitempty"`
-	Registries []*schema.RegistryStatus `json:"registries"`
-	Cores      []*schema.Core           `json:"cores"`
-	Members    int                      `json:"members"`
+// CoreStatus is the core as operators see it.
+type CoreStatus struct {
+	Store       *schema.ReplicaStatus    `json:"store,omitempty"`
+	Registries  []*schema.RegistryStatus `json:"registries"`
+	CoreMembers []*schema.Core           `json:"cores"`
+	LiveProxies int                      `json:"members"`
 }
 
-func (s *Server) pageStatus(call *fasthttp.RequestCtx) {
-	bounded, cancel := context.WithTimeout(context.Background(), s.lease/session.LeaseParts)
+func (s *Server) handleStatus(call *fasthttp.RequestCtx) {
+	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/session.RenewalsPerLease)
 	defer cancel()
-	here, _ := s.Look(bounded, nil)
-	status := &Status{Registries: append([]*schema.RegistryStatus{here}, others(bounded, s, s.lease/session.LeaseParts,
+	local, _ := s.Look(bounded, nil)
+	status := &CoreStatus{Registries: append([]*schema.RegistryStatus{local}, callOtherRegistries(bounded, s, s.leaseDuration/session.RenewalsPerLease,
 		func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.RegistryStatus, error) {
 			return peer.Look(ctx, &schema.Nothing{})
 		})...)}
 	sort.Slice(status.Registries, func(i, j int) bool { return status.Registries[i].Seat < status.Registries[j].Seat })
 	status.Store, _ = s.store.Look(bounded, &schema.Nothing{})
 	s.lock.Lock()
-	status.Cores, status.Members = s.coreList(), s.table.Members(s.now())
+	status.CoreMembers, status.LiveProxies = s.reachableMembers(), s.fleetState.LiveProxies(s.now())
 	s.lock.Unlock()
-	daemon.Answer(call, fasthttp.StatusOK, status)
+	daemon.WriteJSON(call, fasthttp.StatusOK, status)
 }
 
-// Question is a request to be explained, not sent.
-type Question struct {
+// ExplainRequest is a request to be explained, not sent.
+type ExplainRequest struct {
 	Caller   string            `json:"caller"`
 	Host     string            `json:"host,omitempty"`
 	Identity string            `json:"identity,omitempty"` // the key, where the route names no header
 	Method   string            `json:"method"`
 	Path     string            `json:"path"`
-	Area     string            `json:"area"`
+	Zone     string            `json:"area"`
 	Headers  map[string]string `json:"headers"`
 }
 
-// Explanation says which version a request would get, and why.
-type Explanation struct {
-	Route   string       `json:"route"`
-	Service string       `json:"service"`
-	Class   setup.Class  `json:"class"`
-	Horizon string       `json:"horizon"`
-	Verdict plan.Verdict `json:"verdict"`
-	Pool    []string     `json:"pool"`
-	Policy  string       `json:"policy,omitempty"`  // that the route names
-	Refused bool         `json:"refused,omitempty"` // by it
+// ExplainResponse says which version a request would get, and why.
+type ExplainResponse struct {
+	Route      string       `json:"route"`
+	Service    string       `json:"service"`
+	Class      setup.Class  `json:"class"`
+	Deadline   string       `json:"horizon"`
+	Verdict    plan.Verdict `json:"verdict"`
+	Candidates []string     `json:"pool"`
+	Policy     string       `json:"policy,omitempty"`  // that the route names
+	Refused    bool         `json:"refused,omitempty"` // by it
 
 	Split *plan.Verdict `json:"split,omitempty"` // which service, of a route that is split
 }
@@ -479,41 +479,41 @@
 // noFacts is for plans that are explained, not carried out.
 type noFacts struct{}
 
-func (noFacts) See(worker *plan.Candidate, _ time.Duration) plan.Seen {
-	return plan.Seen{Slots: worker.Slots, Pace: worker.Pace, Others: float64(worker.Running + worker.Waiting)}
+func (noFacts) Stats(worker *plan.Endpoint, _ time.Duration) plan.EndpointStats {
+	return plan.EndpointStats{Slots: worker.Slots, ServiceTime: worker.ServiceTime, OtherInFlight: float64(worker.Running + worker.Waiting)}
 }
-func (noFacts) Held(string, string, time.Duration) bool { return false }
+func (noFacts) VersionBlocked(string, string, time.Duration) bool { return false }
 
-func (s *Server) pageExplain(call *fasthttp.RequestCtx) {
-	question := &Question{}
-	if err := json.Unmarshal(call.PostBody(), question); err != nil {
-		daemon.Refuse(call, defect.Wrap(err, defect.Malformed, "question"), "", nil)
+func (s *Server) handleExplain(call *fasthttp.RequestCtx) {
+	query := &ExplainRequest{}
+	if err := json.Unmarshal(call.PostBody(), query); err != nil {
+		daemon.WriteError(call, defect.Wrap(err, defect.MalformedRequest, "question"), "", nil)
 		return
 	}
-	compiled := s.compiled()
+	snapshot := s.configSnapshot()
 	s.lock.Lock()
-	view := &plan.View{Setup: compiled, Directory: plan.DirectoryOf(s.table.Feed(s.now(), nil), nil, nil)}
+	view := &plan.View{Config: snapshot, Directory: plan.DirectoryOf(s.fleetState.SourcesNewerThan(s.now(), nil), nil, nil)}
 	s.lock.Unlock()
 	headers := map[string]string{}
-	for name, value := range question.Headers {
+	for name, value := range query.Headers {
 		headers[strings.ToLower(name)] = value
 	}
-	request := &plan.Request{Caller: question.Caller, Host: question.Host, Identity: question.Identity, Method: question.Method, Path: question.Path,
+	request := &plan.Request{Caller: query.Caller, Host: query.Host, Identity: query.Identity, Method: query.Method, Path: query.Path,
 		Header: func(name string) (string, bool) { value, found := headers[strings.ToLower(name)]; return value, found }}
-	made, err := plan.Make(view, request, plan.Options{Area: question.Area, HorizonMost: time.Hour}, noFacts{}, 0, func() float64 { return 0 })
-	refused := defect.KindOf(err) == defect.PolicyRefused && err != nil
+	decision, err := plan.Make(view, request, plan.Options{Zone: query.Zone, MaxDeadline: time.Hour}, noFacts{}, 0, func() float64 { return 0 })
+	refused := defect.CodeOf(err) == defect.PolicyDenied && err != nil
 	// A service of which no version is known yet has a verdict that says so.
-	if err != nil && made == nil {
-		daemon.Refuse(call, err, "", nil)
+	if err != nil && decision == nil {
+		daemon.WriteError(call, err, "", nil)
 		return
 	}
-	explained := Explanation{Route: made.Route.Name, Service: made.Service, Class: made.Class, Horizon: made.Horizon.String(), Verdict: made.Verdict, Pool: []string{},
-		Policy: made.Route.PolicyName, Refused: refused}
-	if made.Split.Flag != "" {
-		explained.Split = &made.Split
+	response := ExplainResponse{Route: decision.Route.Name, Service: decision.Service, Class: decision.Class, Deadline: decision.Deadline.String(), Verdict: decision.Verdict, Candidates: []string{},
+		Policy: decision.Route.PolicyName, Refused: refused}
+	if decision.Split.Flag != "" {
+		response.Split = &decision.Split
 	}
-	for _, one := range made.Candidates {
-		explained.Pool = append(explained.Pool, one.Instance)
+	for _, candidate := range decision.Candidates {
+		response.Candidates = append(response.Candidates, candidate.Instance)
 	}
-	daemon.Answer(call, fasthttp.StatusOK, explained)
+	daemon.WriteJSON(call, fasthttp.StatusOK, response)
 }
--- a/internal/registry/retry_test.go
+++ b/internal/registry/retry_test.go
@@ -7,18 +7,18 @@
 func TestRetriesAreQuickAtFirst(t *testing.T) {
 	longest := 0.
 	for failures := 1; failures < 40; failures++ {
-		part := 1 / float64(retryAfter(failures))
+		fraction := 1 / float64(backoffDivisor(failures))
 		switch {
-		case failures == 1 && part > 1./500:
-			t.Errorf("the first pause takes %v of a lease", part)
-		case part < longest:
+		case failures == 1 && fraction > 1./500:
+			t.Errorf("the first pause takes %v of a lease", fraction)
+		case fraction < longest:
 			t.Errorf("pause %d is shorter than the one before", failures)
-		case part > 1./retryParts:
-			t.Errorf("pause %d takes %v of a lease", failures, part)
+		case fraction > 1./retryPauseDivisor:
+			t.Errorf("pause %d takes %v of a lease", failures, fraction)
 		}
-		longest = part
+		longest = fraction
 	}
-	if longest != 1./retryParts {
-		t.Errorf("pauses grow to %v of a lease, want %v", longest, 1./retryParts)
+	if longest != 1./retryPauseDivisor {
+		t.Errorf("pauses grow to %v of a lease, want %v", longest, 1./retryPauseDivisor)
 	}
 }
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -11,161 +11,161 @@
 
 // Ratios to the lease of how long sources of sessions stay listed.
 const (
-	partedLeases = 1  // after the last session of a proxy ended at its home
-	orphanLeases = 2  // after its home was last heard, if this registry is in touch with the core
-	vouchedParts = 2  // part of a lease within which its setup must have been vouched for, for it to be so
-	sweptParts   = 64 // part of a lease for which sessions need not look again for what has run out
+	disconnectedLeases      = 1  // after the last session of a proxy ended at its home
+	orphanLeases            = 2  // after its home was last heard, if this registry is in touch with the core
+	quorumContactAgeDivisor = 2  // part of a lease within which its setup must have been vouched for, for it to be so
+	sweepDivisor            = 64 // part of a lease for which sessions need not look again for what has run out
 )
 
-// roster is the part of a table that is about sessions: a proxy in session need not say again
+// directory is the part of a table that is about sessions: a proxy in session need not say again
 // and again that it lives, for its registry sees it. A source stays until its home, the registry
 // that had its session, finds the session ended for good, or the home itself is lost.
-type roster struct {
-	place    uint64                   // of the news taken last
-	order    []placed                 // of sources, by place; those taken again since are in it twice
-	sessions map[string]int           // open here, by proxy
-	parted   map[string]time.Duration // when a proxy's last session here ended
-	bare     map[string]*heldSource   // incarnations seen of names, above what is held of them
-	reached  map[string]time.Duration // when another registry was last heard here, or by one that was
-	direct   map[string]time.Duration // and when here
-	hears    map[string][]string      // which registries another one hears
-	vouched  time.Duration            // when the setup here was last known to be the newest
-	isFresh  bool
-	others   int // registries beside this one
-	// members are so many since the place and the time at which they were counted.
-	members   int
-	countedTo uint64
-	countedAt time.Duration
+type directory struct {
+	lastSequence    uint64                   // of the news taken last
+	updateLog       []updateLogEntry         // of sources, by place; those taken again since are in it twice
+	sessions        map[string]int           // open here, by proxy
+	disconnectedAt  map[string]time.Duration // when a proxy's last session here ended
+	incarnationOnly map[string]*sourceEntry  // incarnations seen of names, above what is held of them
+	reachedAt       map[string]time.Duration // when another registry was last heard here, or by one that was
+	heardAt         map[string]time.Duration // and when here
+	reachedBy       map[string][]string      // which registries another one hears
+	confirmedAt     time.Duration            // when the setup here was last known to be the newest
+	everConfirmed   bool
+	otherRegistries int // registries beside this one
+	// liveProxies are so many since the place and the time at which they were counted.
+	liveProxies     int
+	countedSequence uint64
+	countedAt       time.Duration
 }
 
-// placed is where in the order of all news a source's were taken.
-type placed struct {
-	place uint64
-	name  string
+// updateLogEntry is where in the order of all news a source's were taken.
+type updateLogEntry struct {
+	sequence uint64
+	name     string
 }
 
-// orderTimes is how many times the sources the order may hold before it is put straight.
-const orderTimes = 2
+// updateLogMaxRatio is how many times the sources the order may hold before it is put straight.
+const updateLogMaxRatio = 2
 
-func newRoster() roster {
-	return roster{sessions: map[string]int{}, parted: map[string]time.Duration{}, bare: map[string]*heldSource{}, reached: map[string]time.Duration{}, direct: map[string]time.Duration{}, hears: map[string][]string{}}
+func newDirectory() directory {
+	return directory{sessions: map[string]int{}, disconnectedAt: map[string]time.Duration{}, incarnationOnly: map[string]*sourceEntry{}, reachedAt: map[string]time.Duration{}, heardAt: map[string]time.Duration{}, reachedBy: map[string][]string{}}
 }
 
-// Arrive opens a session of a proxy and takes what it tells of itself.
-func (t *Table) Arrive(now time.Duration, source *schema.Source) bool {
-	t.roster.sessions[source.Name]++
-	t.own(source)
-	return t.Merge(now, source)
+// OpenSession opens a session of a proxy and takes what it tells of itself.
+func (t *FleetState) OpenSession(now time.Duration, source *schema.Source) bool {
+	t.directory.sessions[source.Name]++
+	t.adoptSource(source)
+	return t.MergeSource(now, source)
 }
 
-// Visit opens a session of a proxy that has another one: its source stays with the home of that
+// OpenProvisionalSession opens a session of a proxy that has another one: its source stays with the home of that
 // one until the proxy tells of itself here.
-func (t *Table) Visit(name string) { t.roster.sessions[name]++ }
+func (t *FleetState) OpenProvisionalSession(name string) { t.directory.sessions[name]++ }
 
-// Depart ends a session of a proxy.
-func (t *Table) Depart(now time.Duration, name string) {
-	t.roster.sessions[name]--
-	if t.roster.sessions[name] <= 0 {
-		delete(t.roster.sessions, name)
-		t.roster.parted[name] = now
+// CloseSession ends a session of a proxy.
+func (t *FleetState) CloseSession(now time.Duration, name string) {
+	t.directory.sessions[name]--
+	if t.directory.sessions[name] <= 0 {
+		delete(t.directory.sessions, name)
+		t.directory.disconnectedAt[name] = now
 	}
 }
 
-// Reach notes that another registry was heard, and those that it hears itself.
-func (t *Table) Reach(now time.Duration, seat string, others []string) {
-	t.roster.hears[seat] = others
-	t.roster.direct[seat], t.roster.reached[seat] = now, now
-	for _, other := range others {
-		t.roster.reached[other] = now
+// RecordPeerHeard notes that another registry was heard, and those that it hears itself.
+func (t *FleetState) RecordPeerHeard(now time.Duration, memberID string, reaches []string) {
+	t.directory.reachedBy[memberID] = reaches
+	t.directory.heardAt[memberID], t.directory.reachedAt[memberID] = now, now
+	for _, reached := range reaches {
+		t.directory.reachedAt[reached] = now
 	}
 }
 
-// Among tells how many seats the core has.
-func (t *Table) Among(seats int) { t.roster.others = seats - 1 }
+// SetMemberCount tells how many seats the core has.
+func (t *FleetState) SetMemberCount(memberCount int) { t.directory.otherRegistries = memberCount - 1 }
 
-// Vouch notes of what time the setup here is known to be the newest.
-func (t *Table) Vouch(at time.Duration) {
-	if !t.roster.isFresh || at > t.roster.vouched {
-		t.roster.isFresh, t.roster.vouched = true, at
+// ConfirmCurrent notes of what time the setup here is known to be the newest.
+func (t *FleetState) ConfirmCurrent(at time.Duration) {
+	if !t.directory.everConfirmed || at > t.directory.confirmedAt {
+		t.directory.everConfirmed, t.directory.confirmedAt = true, at
 	}
 }
 
-// Age is how long ago the setup here was last known to be the newest; false if it never was.
-func (t *Table) Age(now time.Duration) (time.Duration, bool) {
-	return now - t.roster.vouched, t.roster.isFresh
+// Staleness is how long ago the setup here was last known to be the newest; false if it never was.
+func (t *FleetState) Staleness(now time.Duration) (time.Duration, bool) {
+	return now - t.directory.confirmedAt, t.directory.everConfirmed
 }
 
-// inTouch tells whether this registry's store is in touch with a majority of the core.
-func (t *Table) inTouch(now time.Duration) bool {
-	age, known := t.Age(now)
-	return known && age <= t.options.Lease/vouchedParts
+// hasQuorumContact tells whether this registry's store is in touch with a majority of the core.
+func (t *FleetState) hasQuorumContact(now time.Duration) bool {
+	age, confirmed := t.Staleness(now)
+	return confirmed && age <= t.options.Lease/quorumContactAgeDivisor
 }
 
-// own makes a source that was told here this registry's to mind.
-func (t *Table) own(source *schema.Source) {
-	if source != nil && t.roster.sessions[source.Name] > 0 {
-		source.Home = t.options.Seat
+// adoptSource makes a source that was told here this registry's to mind.
+func (t *FleetState) adoptSource(source *schema.Source) {
+	if source != nil && t.directory.sessions[source.Name] > 0 {
+		source.Home = t.options.MemberID
 	}
 }
 
-// retire lists sources as ended whose proxies are gone.
-func (t *Table) retire(now time.Duration) {
-	for name, held := range t.sources {
-		home := held.source.Home
-		if home == "" || held.source.Stamp.GetEnded() {
+// endLostSources lists sources as ended whose proxies are gone.
+func (t *FleetState) endLostSources(now time.Duration) {
+	for name, entry := range t.sources {
+		home := entry.source.Home
+		if home == "" || entry.source.Stamp.GetEnded() {
 			continue
 		}
-		gone := false
-		if home == t.options.Seat {
+		lost := false
+		if home == t.options.MemberID {
 			// After a restart of this registry its proxies are given as long to come back.
-			gone = t.roster.sessions[name] == 0 && now-max(t.roster.parted[name], held.at) > partedLeases*t.options.Lease
+			lost = t.directory.sessions[name] == 0 && now-max(t.directory.disconnectedAt[name], entry.receivedAt) > disconnectedLeases*t.options.Lease
 		} else {
 			// When the others are silent because this registry is cut off, nothing is known of their proxies.
-			gone = t.inTouch(now) && now-max(t.roster.reached[home], held.at) > orphanLeases*t.options.Lease
+			lost = t.hasQuorumContact(now) && now-max(t.directory.reachedAt[home], entry.receivedAt) > orphanLeases*t.options.Lease
 		}
-		if gone {
-			t.end(now, held.source)
+		if lost {
+			t.endSource(now, entry.source)
 		}
 	}
 	// Some node lists a proxy that no registry knows any more: if it lived, it would have come.
 	// That is only certain while all of them are heard here.
-	for _, held := range t.roster.bare {
-		if t.inTouch(now) && len(t.Reached(now)) >= t.roster.others && now-held.at > orphanLeases*t.options.Lease {
-			t.end(now, held.source)
+	for _, entry := range t.directory.incarnationOnly {
+		if t.hasQuorumContact(now) && len(t.ReachableRegistries(now)) >= t.directory.otherRegistries && now-entry.receivedAt > orphanLeases*t.options.Lease {
+			t.endSource(now, entry.source)
 		}
 	}
 }
 
-// end lists a source as ended.
-func (t *Table) end(now time.Duration, source *schema.Source) {
+// endSource lists a source as ended.
+func (t *FleetState) endSource(now time.Duration, source *schema.Source) {
 	stamp := &schema.Stamp{Incarnation: source.Stamp.GetIncarnation(), Counter: source.Stamp.GetCounter(), Ended: true}
-	t.put(now, &schema.Source{Name: source.Name, Stamp: stamp, Address: source.Address, Area: source.Area, Home: t.options.Seat})
+	t.storeSource(now, &schema.Source{Name: source.Name, Stamp: stamp, Address: source.Address, Area: source.Area, Home: t.options.MemberID})
 }
 
-// put takes a source's news and gives them a place in the order of all news taken here.
-func (t *Table) put(now time.Duration, source *schema.Source) {
-	t.roster.place++
-	fresh := &heldSource{source: source, at: now, place: t.roster.place, shown: t.roster.place}
+// storeSource takes a source's news and gives them a place in the order of all news taken here.
+func (t *FleetState) storeSource(now time.Duration, source *schema.Source) {
+	t.directory.lastSequence++
+	stored := &sourceEntry{source: source, receivedAt: now, updateSequence: t.directory.lastSequence, proxyUpdateSequence: t.directory.lastSequence}
 	// A proxy that only changed its registry says nothing new to other proxies.
-	if held := t.sources[source.Name]; held != nil && sameWord(held.source, source) {
-		fresh.shown = held.shown
+	if existing := t.sources[source.Name]; existing != nil && sameContent(existing.source, source) {
+		stored.proxyUpdateSequence = existing.proxyUpdateSequence
 	}
-	t.sources[source.Name] = fresh
-	t.roster.order = append(t.roster.order, placed{fresh.place, source.Name})
-	if len(t.roster.order) > orderTimes*(len(t.sources)+1) {
-		t.roster.order = slices.DeleteFunc(t.roster.order, func(one placed) bool {
-			held := t.sources[one.name]
-			return held == nil || held.place != one.place
+	t.sources[source.Name] = stored
+	t.directory.updateLog = append(t.directory.updateLog, updateLogEntry{stored.updateSequence, source.Name})
+	if len(t.directory.updateLog) > updateLogMaxRatio*(len(t.sources)+1) {
+		t.directory.updateLog = slices.DeleteFunc(t.directory.updateLog, func(entry updateLogEntry) bool {
+			existing := t.sources[entry.name]
+			return existing == nil || existing.updateSequence != entry.sequence
 		})
 	}
-	if bare := t.roster.bare[source.Name]; bare != nil && !newerStamp(bare.source.Stamp, source.Stamp) {
-		delete(t.roster.bare, source.Name)
+	if incarnationOnly := t.directory.incarnationOnly[source.Name]; incarnationOnly != nil && !newerStamp(incarnationOnly.source.Stamp, source.Stamp) {
+		delete(t.directory.incarnationOnly, source.Name)
 	}
 }
 
-// sameWord tells whether two words of one life say the same, but for loads, which proxies learn
+// sameContent tells whether two words of one life say the same, but for loads, which proxies learn
 // from answers.
-func sameWord(a, b *schema.Source) bool {
+func sameContent(a, b *schema.Source) bool {
 	if a.Stamp.GetIncarnation() != b.Stamp.GetIncarnation() || a.Stamp.GetEnded() || b.Stamp.GetEnded() || a.Ended != b.Ended || a.Address != b.Address || a.Area != b.Area {
 		return false
 	}
@@ -174,35 +174,35 @@
 	})
 }
 
-// Learn takes from a vector what others saw that is unknown here. A proxy that is restarted must
+// ObserveVector takes from a vector what others saw that is unknown here. A proxy that is restarted must
 // go beyond it, or whoever has it would not believe the proxy.
-func (t *Table) Learn(now time.Duration, vector map[string]*schema.Stamp) {
+func (t *FleetState) ObserveVector(now time.Duration, vector map[string]*schema.Stamp) {
 	for name, stamp := range vector {
-		t.learnBare(now, &schema.Source{Name: name, Stamp: &schema.Stamp{Incarnation: stamp.GetIncarnation(), Counter: stamp.GetCounter()}, Bare: true, Home: t.options.Seat})
+		t.mergeIncarnationOnly(now, &schema.Source{Name: name, Stamp: &schema.Stamp{Incarnation: stamp.GetIncarnation(), Counter: stamp.GetCounter()}, Bare: true, Home: t.options.MemberID})
 	}
 }
 
-// Seen is the highest incarnation seen of a name.
-func (t *Table) Seen(name string) uint64 {
-	seen := uint64(0)
-	if held := t.sources[name]; held != nil {
-		seen = held.source.Stamp.GetIncarnation()
+// HighestIncarnation is the highest incarnation seen of a name.
+func (t *FleetState) HighestIncarnation(name string) uint64 {
+	highest := uint64(0)
+	if entry := t.sources[name]; entry != nil {
+		highest = entry.source.Stamp.GetIncarnation()
 	}
-	if held := t.roster.bare[name]; held != nil {
-		seen = max(seen, held.source.Stamp.GetIncarnation())
+	if entry := t.directory.incarnationOnly[name]; entry != nil {
+		highest = max(highest, entry.source.Stamp.GetIncarnation())
 	}
-	return seen
+	return highest
 }
 
-// ToldOf lists the workers that a proxy told of last and that did not say they were leaving. A
+// ReportedWorkers lists the workers that a proxy told of last and that did not say they were leaving. A
 // proxy that is killed loses them, while they live on and speak only with their next beat.
-func (t *Table) ToldOf(name string) []*schema.Worker {
-	held := t.sources[name]
-	if held == nil || held.source.Ended {
+func (t *FleetState) ReportedWorkers(name string) []*schema.Worker {
+	entry := t.sources[name]
+	if entry == nil || entry.source.Ended {
 		return nil
 	}
 	var staying []*schema.Worker
-	for _, worker := range held.source.Workers {
+	for _, worker := range entry.source.Workers {
 		if !worker.Leaving && !worker.Gone {
 			staying = append(staying, worker)
 		}
@@ -210,103 +210,103 @@
 	return staying
 }
 
-// Bare lists what is known of incarnations alone beyond a vector; of a proxy's own name, or of all.
-func (t *Table) Bare(vector map[string]*schema.Stamp, name string) []*schema.Source {
+// IncarnationOnlySources lists what is known of incarnations alone beyond a vector; of a proxy's own name, or of all.
+func (t *FleetState) IncarnationOnlySources(vector map[string]*schema.Stamp, name string) []*schema.Source {
 	var listed []*schema.Source
-	for one, held := range t.roster.bare {
-		if (name == "" || one == name) && held.source.Stamp.Incarnation > vector[one].GetIncarnation() {
-			listed = append(listed, held.source)
+	for sourceName, entry := range t.directory.incarnationOnly {
+		if (name == "" || sourceName == name) && entry.source.Stamp.Incarnation > vector[sourceName].GetIncarnation() {
+			listed = append(listed, entry.source)
 		}
 	}
 	return listed
 }
 
-func (t *Table) learnBare(now time.Duration, source *schema.Source) bool {
-	if held := t.sources[source.Name]; held != nil && !newerStamp(source.Stamp, held.source.Stamp) {
+func (t *FleetState) mergeIncarnationOnly(now time.Duration, source *schema.Source) bool {
+	if existing := t.sources[source.Name]; existing != nil && !newerStamp(source.Stamp, existing.source.Stamp) {
 		return false
 	}
-	held := t.roster.bare[source.Name]
-	if (held != nil && !newerStamp(source.Stamp, held.source.Stamp)) || (held == nil && len(t.roster.bare) >= t.options.SourcesMost) {
+	existing := t.directory.incarnationOnly[source.Name]
+	if (existing != nil && !newerStamp(source.Stamp, existing.source.Stamp)) || (existing == nil && len(t.directory.incarnationOnly) >= t.options.MaxSources) {
 		return false
 	}
-	t.roster.place++
-	t.roster.bare[source.Name] = &heldSource{source: source, at: now, place: t.roster.place}
+	t.directory.lastSequence++
+	t.directory.incarnationOnly[source.Name] = &sourceEntry{source: source, receivedAt: now, updateSequence: t.directory.lastSequence}
 	return true
 }
 
-// Position is how far a session has been told of sources.
-type Position struct {
-	node   string
-	peer   string // the seat of another registry, empty for a proxy
-	hears  []string
-	begun  bool
-	place  uint64
-	vector map[string]*schema.Stamp
+// SessionCursor is how far a session has been told of sources.
+type SessionCursor struct {
+	node         string
+	peerMemberID string // the seat of another registry, empty for a proxy
+	peerReaches  []string
+	started      bool
+	sentSequence uint64
+	vector       map[string]*schema.Stamp
 }
 
-// NewPosition begins a session with a node that has a vector; with a peer, its seat is given.
-func NewPosition(node, peer string, vector map[string]*schema.Stamp) *Position {
-	return &Position{node: node, peer: peer, vector: vector}
+// NewSessionCursor begins a session with a node that has a vector; with a peer, its seat is given.
+func NewSessionCursor(node, peerMemberID string, vector map[string]*schema.Stamp) *SessionCursor {
+	return &SessionCursor{node: node, peerMemberID: peerMemberID, vector: vector}
 }
 
-// passesOn tells whether a session is told of sources of a home. Once level, a registry is told
+// relaysTo tells whether a session is told of sources of a home. Once level, a registry is told
 // of those at home here, and of those of registries that it does not hear itself.
-func (t *Table) passesOn(position *Position, home string) bool {
-	return position.peer == "" || !position.begun || home == t.options.Seat || (home != position.peer && !slices.Contains(position.hears, home))
+func (t *FleetState) relaysTo(cursor *SessionCursor, home string) bool {
+	return cursor.peerMemberID == "" || !cursor.started || home == t.options.MemberID || (home != cursor.peerMemberID && !slices.Contains(cursor.peerReaches, home))
 }
 
-// News lists the sources that a session has not been told of, and moves it on.
-func (t *Table) News(now time.Duration, position *Position) []*schema.Source {
-	t.sweepSoon(now)
+// NextUpdates lists the sources that a session has not been told of, and moves it on.
+func (t *FleetState) NextUpdates(now time.Duration, cursor *SessionCursor) []*schema.Source {
+	t.sweepIfDue(now)
 	// What a registry no longer hears, it has to be told from the start.
-	if hears := t.roster.hears[position.peer]; position.peer != "" && !slices.Equal(hears, position.hears) {
-		position.hears, position.begun, position.place = hears, false, 0
+	if reaches := t.directory.reachedBy[cursor.peerMemberID]; cursor.peerMemberID != "" && !slices.Equal(reaches, cursor.peerReaches) {
+		cursor.peerReaches, cursor.started, cursor.sentSequence = reaches, false, 0
 	}
-	var news []*schema.Source
+	var updates []*schema.Source
 	// Every session asks at each piece of news: only what was taken since it last did is looked at.
-	from, _ := slices.BinarySearchFunc(t.roster.order, position.place+1, func(one placed, place uint64) int { return cmp.Compare(one.place, place) })
-	for _, one := range t.roster.order[from:] {
-		name, held := one.name, t.sources[one.name]
-		if held == nil || held.place != one.place {
+	from, _ := slices.BinarySearchFunc(t.directory.updateLog, cursor.sentSequence+1, func(logged updateLogEntry, sequence uint64) int { return cmp.Compare(logged.sequence, sequence) })
+	for _, logged := range t.directory.updateLog[from:] {
+		name, entry := logged.name, t.sources[logged.name]
+		if entry == nil || entry.updateSequence != logged.sequence {
 			continue
 		}
 		// A proxy knows of itself; it is told only what was said of it since, or in an earlier life.
-		place := held.place
-		if position.peer == "" {
-			place = held.shown
+		sequence := entry.updateSequence
+		if cursor.peerMemberID == "" {
+			sequence = entry.proxyUpdateSequence
 		}
-		if place > position.place && newerStamp(held.source.Stamp, position.vector[name]) && t.passesOn(position, held.source.Home) {
-			news = append(news, held.source)
+		if sequence > cursor.sentSequence && newerStamp(entry.source.Stamp, cursor.vector[name]) && t.relaysTo(cursor, entry.source.Home) {
+			updates = append(updates, entry.source)
 		}
 	}
-	seen := func(name string, held *heldSource) {
-		if held != nil && held.place > position.place && newerStamp(held.source.Stamp, position.vector[name]) && t.passesOn(position, held.source.Home) {
-			news = append(news, held.source)
+	appendIfUnsent := func(name string, entry *sourceEntry) {
+		if entry != nil && entry.updateSequence > cursor.sentSequence && newerStamp(entry.source.Stamp, cursor.vector[name]) && t.relaysTo(cursor, entry.source.Home) {
+			updates = append(updates, entry.source)
 		}
 	}
-	if position.peer == "" {
-		seen(position.node, t.roster.bare[position.node])
+	if cursor.peerMemberID == "" {
+		appendIfUnsent(cursor.node, t.directory.incarnationOnly[cursor.node])
 	} else {
-		for name, held := range t.roster.bare {
-			seen(name, held)
+		for name, entry := range t.directory.incarnationOnly {
+			appendIfUnsent(name, entry)
 		}
 	}
-	slices.SortFunc(news, func(a, b *schema.Source) int { return strings.Compare(a.Name, b.Name) })
-	position.begun, position.place = true, t.roster.place
-	return news
+	slices.SortFunc(updates, func(a, b *schema.Source) int { return strings.Compare(a.Name, b.Name) })
+	cursor.started, cursor.sentSequence = true, t.directory.lastSequence
+	return updates
 }
 
-// Sessions counts the proxies in session here.
-func (t *Table) Sessions() int { return len(t.roster.sessions) }
+// SessionCount counts the proxies in session here.
+func (t *FleetState) SessionCount() int { return len(t.directory.sessions) }
 
-// Reached lists the registries that were heard here within a lease.
-func (t *Table) Reached(now time.Duration) []string {
-	var seats []string
-	for seat, at := range t.roster.direct {
+// ReachableRegistries lists the registries that were heard here within a lease.
+func (t *FleetState) ReachableRegistries(now time.Duration) []string {
+	var memberIDs []string
+	for memberID, at := range t.directory.heardAt {
 		if now-at <= t.options.Lease {
-			seats = append(seats, seat)
+			memberIDs = append(memberIDs, memberID)
 		}
 	}
-	slices.Sort(seats)
-	return seats
+	slices.Sort(memberIDs)
+	return memberIDs
 }
--- a/internal/registry/speech.go
+++ b/internal/registry/speech.go
@@ -14,114 +14,114 @@
 	"meadowhinge/schema"
 )
 
-// OperatorSpeech is a way in which operators speak to the registry. The product's own pages are
-// one; another is put before them by WithOperatorSpeech.
-type OperatorSpeech interface {
+// OperatorAPI is a way in which operators speak to the registry. The product's own pages are
+// one; another is put before them by WithOperatorAPI.
+type OperatorAPI interface {
 	// Handle answers a call of this speech and tells whether it was one.
-	Handle(call *fasthttp.RequestCtx, desk Desk) bool
+	Handle(call *fasthttp.RequestCtx, desk OperatorBackend) bool
 }
 
-// Desk is what a speech may ask of the registry.
-type Desk interface {
-	// Offer hands in a change and gives what became of it, or nil if that is not known when ctx
+// OperatorBackend is what a speech may ask of the registry.
+type OperatorBackend interface {
+	// SubmitChange hands in a change and gives what became of it, or nil if that is not known when ctx
 	// ends; it is worked on further. The same items, handed in again meanwhile, join it.
-	Offer(ctx context.Context, change *schema.Change) *schema.Outcome
-	// State gives all items, tombstones included, no older than any yes given before the call;
+	SubmitChange(ctx context.Context, change *schema.Change) *schema.Outcome
+	// ReadItems gives all items, tombstones included, no older than any yes given before the call;
 	// false if that cannot be told before ctx ends.
-	State(ctx context.Context) ([]*schema.Item, bool)
-	// Plan states a plan that moves all of a service's calls to a version over a time. A plan for
+	ReadItems(ctx context.Context) ([]*schema.Item, bool)
+	// StartRollout states a plan that moves all of a service's calls to a version over a time. A plan for
 	// that version that is under way already is left as it is, and accepted.
-	Plan(ctx context.Context, service, version string, over time.Duration) *schema.Outcome
-	// PlanState tells how the plan for a service stands and for which version it is; the state is
+	StartRollout(ctx context.Context, service, version string, over time.Duration) *schema.Outcome
+	// RolloutStatus tells how the plan for a service stands and for which version it is; the state is
 	// empty if there is none, known false if that cannot be told before ctx ends.
-	PlanState(ctx context.Context, service string) (state PlanEnd, version string, known bool)
+	RolloutStatus(ctx context.Context, service string) (state RolloutStatus, version string, known bool)
 }
 
-// PlanEnd is how a release plan stands.
-type PlanEnd string
+// RolloutStatus is how a release plan stands.
+type RolloutStatus string
 
 // How a plan stands, as operators are told.
 const (
-	PlanUnderWay PlanEnd = "under way"
-	PlanDone     PlanEnd = "done" // the version is the service's fallback now
-	PlanBack     PlanEnd = "back" // the version was found bad
+	RolloutInProgress RolloutStatus = "under way"
+	RolloutDone       RolloutStatus = "done" // the version is the service's fallback now
+	RolloutRolledBack RolloutStatus = "back" // the version was found bad
 )
 
-// offered is a change on its way.
-type offered struct {
+// pendingChange is a change on its way.
+type pendingChange struct {
 	done    chan struct{}
 	outcome *schema.Outcome // once done is closed; nil for not known
 }
 
-// sumOf tells changes apart by all that they ask for, down to how the operator said it.
-func sumOf(change *schema.Change) string {
-	sum := sha256.New()
+// changeDigest tells changes apart by all that they ask for, down to how the operator said it.
+func changeDigest(change *schema.Change) string {
+	hash := sha256.New()
 	for _, item := range change.Items {
-		fmt.Fprintf(sum, "%q %q %d %t %q %q\n", item.Kind, item.Name, item.Given, item.Deleted, item.Body, item.Said)
+		fmt.Fprintf(hash, "%q %q %d %t %q %q\n", item.Kind, item.Name, item.Given, item.Deleted, item.Body, item.Said)
 	}
-	for _, one := range change.Expected {
-		fmt.Fprintf(sum, "%q %q %d\n", one.Kind, one.Name, one.Sequence)
+	for _, expected := range change.Expected {
+		fmt.Fprintf(hash, "%q %q %d\n", expected.Kind, expected.Name, expected.Sequence)
 	}
-	fmt.Fprint(sum, change.ByGiven)
-	return hex.EncodeToString(sum.Sum(nil))
+	fmt.Fprint(hash, change.ByGiven)
+	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// Offer hands in a change; its id, unless it has one, is made here.
-func (s *Server) Offer(ctx context.Context, change *schema.Change) *schema.Outcome {
-	sum := sumOf(change)
+// SubmitChange hands in a change; its id, unless it has one, is made here.
+func (s *Server) SubmitChange(ctx context.Context, change *schema.Change) *schema.Outcome {
+	digest := changeDigest(change)
 	s.lock.Lock()
-	one := s.offers[sum]
-	if one == nil {
-		one = &offered{done: make(chan struct{})}
-		s.offers[sum] = one
-		s.offerSerial++
+	pending := s.pendingChanges[digest]
+	if pending == nil {
+		pending = &pendingChange{done: make(chan struct{})}
+		s.pendingChanges[digest] = pending
+		s.changeSerial++
 		if change.Id == "" {
-			change.Id = fmt.Sprintf("%s-%x-%d", s.options.Seat, s.born, s.offerSerial)
+			change.Id = fmt.Sprintf("%s-%x-%d", s.initialOptions.Seat, s.incarnation, s.changeSerial)
 		}
-		go s.carryOffer(sum, one, change)
+		go s.completeChange(digest, pending, change)
 	}
 	s.lock.Unlock()
 	select {
-	case <-one.done:
-		return one.outcome
+	case <-pending.done:
+		return pending.outcome
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// carryOffer keeps at a change after whoever handed it in has stopped waiting.
-func (s *Server) carryOffer(sum string, one *offered, change *schema.Change) {
-	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(s.given().AnswerMost))
+// completeChange keeps at a change after whoever handed it in has stopped waiting.
+func (s *Server) completeChange(digest string, pending *pendingChange, change *schema.Change) {
+	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(s.currentOptions().AnswerMost))
 	defer cancel()
-	submitted := s.offer(bounded, change)
-	if outcome := submitted.GetOutcome(); outcome != nil {
-		if outcome.Ruling != schema.Ruling_RULING_ACCEPTED || s.acknowledge(bounded, outcome.Version.GetSequence()) == nil {
-			one.outcome = outcome
+	reply := s.propose(bounded, change)
+	if outcome := reply.GetOutcome(); outcome != nil {
+		if outcome.Ruling != schema.Ruling_RULING_ACCEPTED || s.awaitAcknowledgement(bounded, outcome.Version.GetSequence()) == nil {
+			pending.outcome = outcome
 		}
 	}
 	s.lock.Lock()
-	delete(s.offers, sum)
+	delete(s.pendingChanges, digest)
 	s.lock.Unlock()
-	close(one.done)
+	close(pending.done)
 }
 
-// State gives all items as of a moment after the call began.
-func (s *Server) State(ctx context.Context) ([]*schema.Item, bool) {
+// ReadItems gives all items as of a moment after the call began.
+func (s *Server) ReadItems(ctx context.Context) ([]*schema.Item, bool) {
 	for ctx.Err() == nil {
-		back, err := s.store.ReadIndex(ctx, &schema.Nothing{})
-		if err != nil || back.Undecided {
-			s.pause(ctx, retryParts)
+		readIndex, err := s.store.ReadIndex(ctx, &schema.Nothing{})
+		if err != nil || readIndex.Undecided {
+			s.waitLeaseFraction(ctx, retryPauseDivisor)
 			continue
 		}
 		for ctx.Err() == nil {
 			s.lock.Lock()
-			stable, items, moved := s.table.stable, s.state, s.moved
+			committed, configState, stateChanged := s.fleetState.committedRevision, s.configState, s.stateChanged
 			s.lock.Unlock()
-			if stable >= back.Committed {
-				return items.Items(), true
+			if committed >= readIndex.Committed {
+				return configState.Items(), true
 			}
 			select {
-			case <-moved:
+			case <-stateChanged:
 			case <-ctx.Done():
 			}
 		}
@@ -129,16 +129,16 @@
 	return nil, false
 }
 
-// Plan states a release plan as one change.
-func (s *Server) Plan(ctx context.Context, service, version string, over time.Duration) *schema.Outcome {
+// StartRollout states a release plan as one change.
+func (s *Server) StartRollout(ctx context.Context, service, version string, duration time.Duration) *schema.Outcome {
 	for ctx.Err() == nil {
-		if _, known := s.State(ctx); !known {
+		if _, known := s.ReadItems(ctx); !known {
 			return nil
 		}
-		compiled, state := s.compiledState()
-		step, err := release.Place(compiled, state, release.Order{Service: service, Version: version, Over: over})
+		snapshot, state := s.configSnapshotAndState()
+		step, err := release.PlanRollout(snapshot, state, release.RolloutOrder{Service: service, Version: version, Within: duration})
 		switch {
-		case err != nil && defect.KindOf(err) == defect.BadSetup:
+		case err != nil && defect.CodeOf(err) == defect.InvalidConfig:
 			return &schema.Outcome{Ruling: schema.Ruling_RULING_INVALID, Faults: []*schema.Fault{{Path: "release." + service, Reason: err.Error()}}}
 		case err != nil:
 			return nil
@@ -146,30 +146,30 @@
 			return &schema.Outcome{Ruling: schema.Ruling_RULING_ACCEPTED}
 		}
 		s.lock.Lock()
-		s.offerSerial++
-		change := step.Change(s.options.Seat, s.born, s.offerSerial, state)
+		s.changeSerial++
+		change := step.Change(s.initialOptions.Seat, s.incarnation, s.changeSerial, state)
 		s.lock.Unlock()
 		// A step of another hand came between: look again.
-		if outcome := s.Offer(ctx, change); outcome.GetRuling() != schema.Ruling_RULING_CONFLICT {
+		if outcome := s.SubmitChange(ctx, change); outcome.GetRuling() != schema.Ruling_RULING_CONFLICT {
 			return outcome
 		}
 	}
 	return nil
 }
 
-// PlanState tells how a release plan stands.
-func (s *Server) PlanState(ctx context.Context, service string) (state PlanEnd, version string, known bool) {
-	if _, known := s.State(ctx); !known {
+// RolloutStatus tells how a release plan stands.
+func (s *Server) RolloutStatus(ctx context.Context, service string) (state RolloutStatus, version string, known bool) {
+	if _, known := s.ReadItems(ctx); !known {
 		return "", "", false
 	}
-	version, stands := release.StateOf(s.compiled(), service)
-	switch stands {
+	version, planState := release.RolloutState(s.configSnapshot(), service)
+	switch planState {
 	case "":
 		return "", "", true
-	case release.Done:
-		return PlanDone, version, true
-	case release.Back:
-		return PlanBack, version, true
+	case release.StateDone:
+		return RolloutDone, version, true
+	case release.StateRolledBack:
+		return RolloutRolledBack, version, true
 	}
-	return PlanUnderWay, version, true
+	return RolloutInProgress, version, true
 }
--- a/internal/registry/toldof_test.go
+++ b/internal/registry/toldof_test.go
@@ -8,8 +8,8 @@
 )
 
 // Only workers that stay are told to a proxy that starts anew, and none of one that had ended.
-func TestToldOf(t *testing.T) {
-	for name, one := range map[string]struct {
+func TestReportedWorkers(t *testing.T) {
+	for name, test := range map[string]struct {
 		source *schema.Source
 		want   int
 	}{
@@ -18,12 +18,12 @@
 		"it had gone": {&schema.Source{Workers: []*schema.Worker{{Instance: "a", Gone: true}}}, 0},
 		"ended":       {&schema.Source{Ended: true, Workers: []*schema.Worker{{Instance: "a"}}}, 0},
 	} {
-		table := NewTable(TableOptions{Seat: "s", Lease: time.Second, SourcesMost: 4, CountsMost: 4, Leaseless: true})
-		if one.source != nil {
-			one.source.Name, one.source.Stamp = "p", &schema.Stamp{Incarnation: 1, Counter: 1}
-			table.Arrive(0, one.source)
+		table := NewFleetState(FleetStateOptions{MemberID: "s", Lease: time.Second, MaxSources: 4, MaxCounts: 4, WithoutLeases: true})
+		if test.source != nil {
+			test.source.Name, test.source.Stamp = "p", &schema.Stamp{Incarnation: 1, Counter: 1}
+			table.OpenSession(0, test.source)
 		}
-		if got := table.ToldOf("p"); len(got) != one.want {
+		if got := table.ReportedWorkers("p"); len(got) != test.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/rehearsal/caller.go
+++ b/internal/rehearsal/caller.go
@@ -148,12 +148,12 @@
 // read takes the proxy's word for what happened, and checks the answer itself.
 func (e *CallEntry) read(status int, header func(name string) string, body []byte) {
 	e.Status, e.Outcome, e.Version = status, header(dispatch.HeaderOutcome), header(dispatch.HeaderVersion)
-	e.Setup, _ = strconv.ParseUint(header(dispatch.HeaderSetup), 10, 64)
-	e.Tries, _ = strconv.Atoi(header(dispatch.HeaderTries))
+	e.Setup, _ = strconv.ParseUint(header(dispatch.HeaderConfigRevision), 10, 64)
+	e.Tries, _ = strconv.Atoi(header(dispatch.HeaderAttempts))
 	if e.Outcome == "answered" {
 		var got standin.Reply
 		if json.Unmarshal(body, &got) == nil {
-			e.Echoed, e.Worker, e.Whole = got.Op, got.Worker, got.Whole()
+			e.Echoed, e.Worker, e.Whole = got.Operation, got.Worker, got.IsIntact()
 		}
 		return
 	}
--- a/internal/rehearsal/calls.go
+++ b/internal/rehearsal/calls.go
@@ -80,10 +80,10 @@
 // wholes reads whole numbers above 0, by comma.
 func wholes(text string) ([]int, error) {
 	var values []int
-	for _, one := range options.List(text) {
+	for _, one := range options.SplitList(text) {
 		value, err := strconv.Atoi(one)
 		if err != nil || value < 1 {
-			return nil, defect.New(defect.BadOptions, fmt.Sprintf("%q is not a whole number from 1 up", one))
+			return nil, defect.New(defect.InvalidOptions, fmt.Sprintf("%q is not a whole number from 1 up", one))
 		}
 		values = append(values, value)
 	}
@@ -213,13 +213,13 @@
 	}
 	request.SetBody(c.body)
 	if err := client.DoTimeout(request, response, callerTimeout); err != nil {
-		return 0, defect.Wrap(err, defect.LinkLost, "call")
+		return 0, defect.Wrap(err, defect.PeerConnectionLost, "call")
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return 0, defect.New(defect.BadAnswer, strconv.Itoa(response.StatusCode()))
+		return 0, defect.New(defect.InvalidResponse, strconv.Itoa(response.StatusCode()))
 	}
 	worked, err := strconv.ParseInt(string(response.Header.Peek(workHeader)), 10, 64)
-	return time.Duration(worked), defect.Wrap(err, defect.BadAnswer, "work")
+	return time.Duration(worked), defect.Wrap(err, defect.InvalidResponse, "work")
 }
 
 // run makes chains at a rate for the length of a run.
--- a/internal/rehearsal/disk.go
+++ b/internal/rehearsal/disk.go
@@ -44,10 +44,10 @@
 // RunStandInStore is the store's daemon on such a disk; it gives the exit code.
 func RunStandInStore(file string, args []string) int {
 	given := &schema.StoreOptions{}
-	return daemon.Run("store", daemon.Given(args), given,
+	return daemon.Run("store", daemon.FromArgs(args), given,
 		func() (string, int64) { return given.Data, given.Ring },
-		func(ctx context.Context, frame *daemon.Frame) error {
-			return store.Run(ctx, frame, given, store.WithDisk(func(disk store.Log) store.Log { return slowDisk{disk, file} }))
+		func(ctx context.Context, frame *daemon.Environment) error {
+			return store.Run(ctx, frame, given, store.WithLogWrapper(func(disk store.Log) store.Log { return slowDisk{disk, file} }))
 		})
 }
 
--- a/internal/rehearsal/fleet.go
+++ b/internal/rehearsal/fleet.go
@@ -212,7 +212,7 @@
 		return nil, err
 	}
 	f := &Fleet{Deployment: d, folder: folder, binaries: binaries, lease: lease, disks: disks, authority: authority, Cuts: NewCuts()}
-	if f.net, f.netHeld, err = standin.ClaimNet(); err != nil {
+	if f.net, f.netHeld, err = standin.ReserveLoopbackNet(); err != nil {
 		return nil, err
 	}
 	join := func(from func(int) string, count, port, besides int) string {
--- a/internal/rehearsal/fleet_test.go
+++ b/internal/rehearsal/fleet_test.go
@@ -154,7 +154,7 @@
 		t.Errorf("the key with another body got %d %s", status, text)
 	}
 	// The counts reach the registries, each call once.
-	var lines []registry.VerdictLine
+	var lines []registry.VerdictCount
 	counted := uint64(0)
 	person := NewOperator("person", fleet, &Ledger{}, func() time.Duration { return 0 })
 	for deadline := time.Now().Add(time.Minute); counted < 5+again && time.Now().Before(deadline); {
--- a/internal/rehearsal/hollow_core.go
+++ b/internal/rehearsal/hollow_core.go
@@ -31,7 +31,7 @@
 	}
 	f := &Fleet{Deployment: &Deployment{Name: "hollow", Cores: int(given.Seats), Areas: int(given.Zones)}, folder: given.Folder, binaries: given.Binaries,
 		lease: time.Duration(given.Lease), authority: authority, Cuts: NewCuts()}
-	if f.net, f.netHeld, err = standin.ClaimNet(); err != nil {
+	if f.net, f.netHeld, err = standin.ReserveLoopbackNet(); err != nil {
 		return nil, err
 	}
 	seats := f.seats()
--- a/internal/rehearsal/hollow_members.go
+++ b/internal/rehearsal/hollow_members.go
@@ -47,7 +47,7 @@
 
 // hollowWorker is a worker that only beats, and the number of its service.
 type hollowWorker struct {
-	dispatch.Description
+	dispatch.WorkerDescription
 	service int
 }
 
@@ -65,7 +65,7 @@
 	given   *schema.HollowOptions
 	core    *Fleet
 	members []*hollowMember
-	frame   *daemon.Frame
+	frame   *daemon.Environment
 	now     func() time.Duration
 	dice    *rand.Rand
 
@@ -97,7 +97,7 @@
 // newHollowFleet lays out the members; none has joined yet.
 func newHollowFleet(given *schema.HollowOptions, core *Fleet, now func() time.Duration) (*hollowFleet, error) {
 	f := &hollowFleet{given: given, core: core, now: now, dice: rand.New(rand.NewPCG(uint64(given.Seed), 2)),
-		frame: &daemon.Frame{Log: logr.Discard(), Draining: &atomic.Bool{}}, staleness: newSpans(), news: newSpans(), backs: newSpans(), moves: newSpans(), named: map[string]*hollowMember{}}
+		frame: &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}, staleness: newSpans(), news: newSpans(), backs: newSpans(), moves: newSpans(), named: map[string]*hollowMember{}}
 	for i := range int(given.Members) {
 		settings, err := core.hollowSettings(given, i)
 		if err != nil {
@@ -120,8 +120,8 @@
 		if i/int(given.Services)%2 == 1 {
 			version = versionNew
 		}
-		member.workers = append(member.workers, hollowWorker{dispatch.Description{Address: fmt.Sprintf("127.%d.250.2:%d", core.net, 1+i), Service: serviceName(i % int(given.Services)),
-			Version: version, Area: member.settings.Area, Token: fmt.Sprintf("token-%d", i), BeatMS: time.Duration(given.Beat).Milliseconds()}, i % int(given.Services)})
+		member.workers = append(member.workers, hollowWorker{dispatch.WorkerDescription{Address: fmt.Sprintf("127.%d.250.2:%d", core.net, 1+i), Service: serviceName(i % int(given.Services)),
+			Version: version, Zone: member.settings.Area, Token: fmt.Sprintf("token-%d", i), HeartbeatMS: time.Duration(given.Beat).Milliseconds()}, i % int(given.Services)})
 	}
 	return f, nil
 }
@@ -134,7 +134,7 @@
 func reachedBy(given *schema.HollowOptions, member, j int) reached {
 	route := (member*int(given.Reach) + j) % int(given.Routes)
 	service := serviceName(route % int(given.Services))
-	one := reached{route: routeName(route), service: service, flag: setup.FlagOf(service), versions: []string{versionOld}}
+	one := reached{route: routeName(route), service: service, flag: setup.VersionFlagKey(service), versions: []string{versionOld}}
 	if route%int(given.Services) < int(given.Releases) {
 		one.versions = append(one.versions, versionNew)
 	}
@@ -167,9 +167,9 @@
 			delete(m.told, source.Stamp.GetCounter()-toldKept)
 		}
 	}
-	backed := m.backed || seen.Setup == 0
-	if seen.Setup > 0 {
-		m.applied, m.backed = append(m.applied, applied{seen.Setup, now}), true
+	backed := m.backed || seen.ConfigRevision == 0
+	if seen.ConfigRevision > 0 {
+		m.applied, m.backed = append(m.applied, applied{seen.ConfigRevision, now}), true
 	}
 	joined := m.joined
 	m.lock.Unlock()
@@ -210,9 +210,9 @@
 // beat lets a member's workers describe themselves.
 func (f *hollowFleet) beat(m *hollowMember) error {
 	for _, worker := range m.workers {
-		said := worker.Description
+		said := worker.WorkerDescription
 		said.Load = rand.Float64()
-		if err := m.held().Beat(said); err != nil {
+		if err := m.held().Heartbeat(said); err != nil {
 			return err
 		}
 	}
@@ -246,9 +246,9 @@
 			f.work(m)
 			for _, one := range m.reach {
 				for _, version := range one.versions {
-					held.Count(&dispatch.Ended{Plan: &plan.Plan{Route: &setup.Route{Name: one.route}, Service: one.service,
-						Verdict: plan.Verdict{Flag: one.flag, Version: version, Reason: flag.ReasonFallthrough, Setup: held.Setup()}},
-						Carried: &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200}}, time.Millisecond)
+					held.Count(&dispatch.CallResult{Plan: &plan.Plan{Route: &setup.Route{Name: one.route}, Service: one.service,
+						Verdict: plan.Verdict{Flag: one.flag, Version: version, Reason: flag.ReasonFallthrough, ConfigRevision: held.ConfigRevision()}},
+						Response: &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200}}, time.Millisecond)
 				}
 			}
 		}
@@ -417,8 +417,8 @@
 		for range staleAt {
 			held := f.members[dice.IntN(len(f.members))].held()
 			if f.given.Mode == open {
-				if status := held.Status(); status.Vouched {
-					f.note(f.staleness, time.Duration(status.AgeMS)*time.Millisecond)
+				if status := held.Status(); status.StalenessKnown {
+					f.note(f.staleness, time.Duration(status.StalenessMS)*time.Millisecond)
 				}
 				continue
 			}
@@ -437,11 +437,11 @@
 	for _, m := range f.members {
 		for {
 			status := m.held().Status()
-			if status.Setup >= setup && status.Known >= workers {
+			if status.ConfigRevision >= setup && status.KnownWorkers >= workers {
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s has setup %d of %d and knows %d workers of %d", m.settings.Name, status.Setup, setup, status.Known, workers)
+				return fmt.Errorf("%s has setup %d of %d and knows %d workers of %d", m.settings.Name, status.ConfigRevision, setup, status.KnownWorkers, workers)
 			}
 			if !pause(ctx, joinCheck) {
 				return ctx.Err()
@@ -453,7 +453,7 @@
 
 // has tells whether every member uses a setup, or one after it.
 func (f *hollowFleet) has(setup uint64) bool {
-	return !slices.ContainsFunc(f.members, func(m *hollowMember) bool { return m.held().Setup() < setup })
+	return !slices.ContainsFunc(f.members, func(m *hollowMember) bool { return m.held().ConfigRevision() < setup })
 }
 
 const joinCheck = 20 * time.Millisecond
--- a/internal/rehearsal/hollow_operator.go
+++ b/internal/rehearsal/hollow_operator.go
@@ -49,17 +49,17 @@
 }
 
 // change states one change at a core machine.
-func (o *hollowOperator) change(core int, text string) (*registry.Answer, error) {
-	items, faults := statement.Read([]byte(text))
+func (o *hollowOperator) change(core int, text string) (*registry.ChangeResponse, error) {
+	items, faults := statement.Parse([]byte(text))
 	if len(faults) > 0 {
-		return nil, defect.New(defect.BadSetup, fmt.Sprint(faults[0]))
+		return nil, defect.New(defect.InvalidConfig, fmt.Sprint(faults[0]))
 	}
 	o.lock.Lock()
 	o.serial++
-	submission := registry.Submission{ID: fmt.Sprintf("hollow-%d", o.serial), Setup: text, Expected: map[string]uint64{}}
+	submission := registry.ChangeRequest{ID: fmt.Sprintf("hollow-%d", o.serial), Config: text, ExpectedVersions: map[string]uint64{}}
 	for _, item := range items {
 		if version := o.held[setup.Key(item.Kind, item.Name)]; version > 0 {
-			submission.Expected[setup.Key(item.Kind, item.Name)] = version
+			submission.ExpectedVersions[setup.Key(item.Kind, item.Name)] = version
 		}
 	}
 	o.lock.Unlock()
@@ -70,16 +70,16 @@
 	entry := statedChange{stated: o.now()}
 	response, err := o.http.Post("http://"+o.core.Operator(core)+"/v1/changes", "application/json", bytes.NewReader(body))
 	if err != nil {
-		return nil, defect.Wrap(err, defect.LinkLost, "registry")
+		return nil, defect.Wrap(err, defect.PeerConnectionLost, "registry")
 	}
 	defer response.Body.Close()
 	answered, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.LinkLost, "registry")
+		return nil, defect.Wrap(err, defect.PeerConnectionLost, "registry")
 	}
-	answer := &registry.Answer{}
+	answer := &registry.ChangeResponse{}
 	if err := json.Unmarshal(answered, answer); err != nil {
-		return nil, defect.Wrap(err, defect.Malformed, string(answered))
+		return nil, defect.Wrap(err, defect.MalformedRequest, string(answered))
 	}
 	if answer.Acknowledged {
 		entry.acknowledged = o.now()
@@ -88,7 +88,7 @@
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.rulings[answer.Ruling]++
-	for key, version := range answer.Current {
+	for key, version := range answer.CurrentVersions {
 		o.held[key] = version
 	}
 	if answer.Ruling == "accepted" {
@@ -146,10 +146,10 @@
 				break
 			}
 			if err == nil && answer.Ruling == "invalid" {
-				return defect.New(defect.BadSetup, fmt.Sprint(answer.Faults))
+				return defect.New(defect.InvalidConfig, fmt.Sprint(answer.Faults))
 			}
 			if tries == foundTries {
-				return defect.New(defect.NoMajority, fmt.Sprintf("the first setup was not taken: %+v, %v", answer, err))
+				return defect.New(defect.NoQuorum, fmt.Sprintf("the first setup was not taken: %+v, %v", answer, err))
 			}
 			if !pause(ctx, foundPause) {
 				return ctx.Err()
--- a/internal/rehearsal/judge_test.go
+++ b/internal/rehearsal/judge_test.go
@@ -22,7 +22,7 @@
 		Runs: []RunEntry{{Op: "1", Caller: "client", Service: "shop", Version: versionOld, Worker: "w", At: 10 * s},
 			{Op: "3", Caller: "client", Service: "shop", Version: versionOld, Worker: "w", At: 6 * s}},
 		Ends:       []EndEntry{{Op: "4", Worker: "w", At: 21 * s, Broken: true}},
-		Departures: map[string]dispatch.DepartureCounts{"p 1": {Stopped: 1}},
+		Departures: map[string]dispatch.DisconnectCounts{"p 1": {Canceled: 1}},
 		Changes:    []ChangeEntry{{ID: "c", Got: 9 * s, Ruling: "accepted", Sequence: 5, Acknowledged: true}, {ID: "bad", Invalid: true, Ruling: "invalid", Marker: "route/bad"}},
 		Bad:        []BadEntry{{Service: "shop", Version: versionNew}},
 		Leaves:     []LeaveEntry{{Worker: "w", At: 9 * s}},
@@ -54,7 +54,7 @@
 		func(l *Ledger) { l.Lost = []string{"c"} },
 		func(l *Ledger) { l.Faults = nil },
 		func(l *Ledger) { l.Ends[0].At = 22 * s },
-		func(l *Ledger) { l.Departures["p 1"] = dispatch.DepartureCounts{Stopped: 1, Overrun: 1} },
+		func(l *Ledger) { l.Departures["p 1"] = dispatch.DisconnectCounts{Canceled: 1, Overrun: 1} },
 		func(l *Ledger) {
 			l.Faults = []FaultEntry{{What: "proxy killed", At: 30 * s, Costs: true}, {What: "core machine killed", At: 5 * s, Core: true}}
 		},
--- a/internal/rehearsal/ledger.go
+++ b/internal/rehearsal/ledger.go
@@ -124,7 +124,7 @@
 	// DepartBound is how long a worker may go on with a repeatable call after its caller left; 0 for not judged.
 	DepartBound time.Duration
 	// Departures are the counts of each life of each proxy, as far as they could be asked for.
-	Departures map[string]dispatch.DepartureCounts
+	Departures map[string]dispatch.DisconnectCounts
 	// Timed: callers turned away without cause are breaches, not only counted.
 	Timed bool
 	// Survived is how many acknowledged changes were there at the end; Lost are the others.
--- a/internal/rehearsal/operator.go
+++ b/internal/rehearsal/operator.go
@@ -35,23 +35,23 @@
 	request, _ := http.NewRequest(method, "http://"+o.fleet.Operator(core)+path, bytes.NewReader(text))
 	response, err := o.http.Do(request)
 	if err != nil {
-		return 0, defect.Wrap(err, defect.LinkLost, "registry")
+		return 0, defect.Wrap(err, defect.PeerConnectionLost, "registry")
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
 	if err != nil {
-		return 0, defect.Wrap(err, defect.LinkLost, "registry")
+		return 0, defect.Wrap(err, defect.PeerConnectionLost, "registry")
 	}
-	return response.StatusCode, defect.Wrap(json.Unmarshal(answer, into), defect.Malformed, string(answer))
+	return response.StatusCode, defect.Wrap(json.Unmarshal(answer, into), defect.MalformedRequest, string(answer))
 }
 
 // Shown reads the setup at a core machine and writes down what it showed.
-func (o *Operator) Shown(core int) (*registry.Shown, error) {
+func (o *Operator) Shown(core int) (*registry.ConfigView, error) {
 	entry := ShownEntry{Node: o.fleet.Registries[core].Name, Asked: o.now()}
-	shown := &registry.Shown{}
+	shown := &registry.ConfigView{}
 	status, err := o.ask(core, http.MethodGet, "/v1/setup", nil, shown)
 	if err != nil || status != http.StatusOK {
-		return nil, defect.New(defect.NoMajority, fmt.Sprintf("status %d: %v", status, err))
+		return nil, defect.New(defect.NoQuorum, fmt.Sprintf("status %d: %v", status, err))
 	}
 	entry.Got, entry.Setup = o.now(), shown.Sequence
 	for _, item := range shown.Items {
@@ -66,19 +66,19 @@
 func (o *Operator) Change(core int, text, marker string) ChangeEntry {
 	o.serial++
 	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.serial), Invalid: marker != "", Marker: marker}
-	submission := registry.Submission{ID: entry.ID, Setup: text, Expected: map[string]uint64{}}
+	submission := registry.ChangeRequest{ID: entry.ID, Config: text, ExpectedVersions: map[string]uint64{}}
 	if shown, err := o.Shown(core); err == nil {
-		items, _ := statement.Read([]byte(text))
+		items, _ := statement.Parse([]byte(text))
 		for _, item := range items {
 			for _, held := range shown.Items {
 				if held.Kind == item.Kind && held.Name == item.Name {
-					submission.Expected[setup.Key(item.Kind, item.Name)] = held.Version
+					submission.ExpectedVersions[setup.Key(item.Kind, item.Name)] = held.Version
 				}
 			}
 		}
 	}
 	entry.Sent = o.now()
-	var answer registry.Answer
+	var answer registry.ChangeResponse
 	_, err := o.ask(core, http.MethodPost, "/v1/changes", submission, &answer)
 	entry.Got = o.now()
 	entry.Ruling, entry.Sequence, entry.Acknowledged = answer.Ruling, answer.Sequence, answer.Acknowledged
@@ -125,11 +125,11 @@
 }
 
 // Releases reads the release plans at a core machine.
-func (o *Operator) Releases(core int) ([]registry.ShownRelease, error) {
-	var shown []registry.ShownRelease
+func (o *Operator) Releases(core int) ([]registry.ReleaseView, error) {
+	var shown []registry.ReleaseView
 	status, err := o.ask(core, http.MethodGet, "/v1/releases", nil, &shown)
 	if err == nil && status != http.StatusOK {
-		err = defect.New(defect.NoMajority, fmt.Sprint(status))
+		err = defect.New(defect.NoQuorum, fmt.Sprint(status))
 	}
 	return shown, err
 }
--- a/internal/rehearsal/play.go
+++ b/internal/rehearsal/play.go
@@ -305,7 +305,7 @@
 					}
 				}
 			}
-			entry := ShareEntry{At: c.now(), Release: one.Name, State: one.State, Reason: one.Reason, SetPoint: one.Share, Measured: 100 * float64(new) / float64(max(1, all))}
+			entry := ShareEntry{At: c.now(), Release: one.Name, State: one.State, Reason: one.Reason, SetPoint: one.Percentage, Measured: 100 * float64(new) / float64(max(1, all))}
 			note(c.ledger, &c.ledger.Shares, entry)
 			if word := one.State + " " + one.Reason; last[one.Name] != word {
 				last[one.Name] = word
--- a/internal/rehearsal/random.go
+++ b/internal/rehearsal/random.go
@@ -416,7 +416,7 @@
 		if !change.Acknowledged {
 			continue
 		}
-		answer := askedAgain(c.options.Deployment.Cores, c.now, func(core int) (answer registry.Answer, status int, err error) {
+		answer := askedAgain(c.options.Deployment.Cores, c.now, func(core int) (answer registry.ChangeResponse, status int, err error) {
 			status, err = person.ask((i+core)%c.options.Deployment.Cores, http.MethodGet, "/v1/changes/"+change.ID, nil, &answer)
 			return answer, status, err
 		})
@@ -433,7 +433,7 @@
 
 // askedAgain asks one registry after another what became of a change, until one tells. One that
 // cannot know it now, for want of a majority or because it is behind, does not tell of a loss.
-func askedAgain(cores int, now func() time.Duration, ask func(core int) (registry.Answer, int, error)) registry.Answer {
+func askedAgain(cores int, now func() time.Duration, ask func(core int) (registry.ChangeResponse, int, error)) registry.ChangeResponse {
 	began := now()
 	for {
 		for core := range cores {
@@ -442,7 +442,7 @@
 			}
 		}
 		if now()-began > askedMost {
-			return registry.Answer{}
+			return registry.ChangeResponse{}
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -46,7 +46,7 @@
 	Shares   []ShareEntry `json:"shares,omitempty"`
 	Breaches int          `json:"breaches"`
 	// Departures is what the proxies counted of callers that left.
-	Departures dispatch.DepartureCounts `json:"departures"`
+	Departures dispatch.DisconnectCounts `json:"departures"`
 }
 
 // Phase is what callers got from one fault to the next.
--- a/internal/rehearsal/slopes.go
+++ b/internal/rehearsal/slopes.go
@@ -69,10 +69,10 @@
 // valuesOf reads a driver's values.
 func valuesOf(given *schema.SlopesOptions, driver string) ([]float64, error) {
 	var values []float64
-	for _, text := range options.List(drivers[driver].of(given)) {
+	for _, text := range options.SplitList(drivers[driver].of(given)) {
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(value >= 0) {
-			return nil, defect.New(defect.BadOptions, fmt.Sprintf("%s: %q is not a number from 0 up", driver, text))
+			return nil, defect.New(defect.InvalidOptions, fmt.Sprintf("%s: %q is not a number from 0 up", driver, text))
 		}
 		values = append(values, value)
 	}
@@ -82,7 +82,7 @@
 // CheckSlopes lists what cannot be run here, for each run of the series.
 func CheckSlopes(given *schema.SlopesOptions) options.Faults {
 	var faults options.Faults
-	for _, driver := range options.List(given.Drivers) {
+	for _, driver := range options.SplitList(given.Drivers) {
 		if _, known := drivers[driver]; !known {
 			faults = append(faults, fmt.Sprintf("drivers: %q is not one of them", driver))
 			continue
@@ -229,7 +229,7 @@
 func planPoints(given *schema.SlopesOptions) []Point {
 	var planned []Point
 	for run := range int(given.Runs) {
-		for _, driver := range options.List(given.Drivers) {
+		for _, driver := range options.SplitList(given.Drivers) {
 			values, _ := valuesOf(given, driver)
 			for _, value := range values {
 				planned = append(planned, Point{Driver: driver, Value: value, Run: run + 1})
@@ -253,7 +253,7 @@
 	for lines.Scan() {
 		var point Point
 		if err := json.Unmarshal(lines.Bytes(), &point); err != nil {
-			return nil, defect.Wrap(err, defect.Malformed, file)
+			return nil, defect.Wrap(err, defect.MalformedRequest, file)
 		}
 		points = append(points, point)
 	}
@@ -262,7 +262,7 @@
 
 func fitPoints(given *schema.SlopesOptions, points []Point) *SlopesReport {
 	report := &SlopesReport{Commit: commitHere(), Mode: given.Mode, Runs: len(points), points: points}
-	for _, driver := range options.List(given.Drivers) {
+	for _, driver := range options.SplitList(given.Drivers) {
 		for _, cost := range costsOf {
 			var runs []measured
 			for _, point := range points {
--- a/internal/rehearsal/soak.go
+++ b/internal/rehearsal/soak.go
@@ -39,17 +39,17 @@
 
 // SoakRun is one seed of a soak.
 type SoakRun struct {
-	Seed       uint64                   `json:"seed"`
-	Deployment string                   `json:"deployment"`
-	Processes  int                      `json:"processes"`
-	Faults     int                      `json:"faults"`
-	Calls      int                      `json:"calls"`
-	Outcomes   map[string]int           `json:"outcomes"`
-	Departures dispatch.DepartureCounts `json:"departures"`
-	Back       float64                  `json:"backSeconds"`
-	Broken     []Finding                `json:"broken,omitempty"`
-	Unclean    []string                 `json:"unclean,omitempty"`
-	Failure    string                   `json:"failure,omitempty"` // why the run came to no judgement
+	Seed       uint64                    `json:"seed"`
+	Deployment string                    `json:"deployment"`
+	Processes  int                       `json:"processes"`
+	Faults     int                       `json:"faults"`
+	Calls      int                       `json:"calls"`
+	Outcomes   map[string]int            `json:"outcomes"`
+	Departures dispatch.DisconnectCounts `json:"departures"`
+	Back       float64                   `json:"backSeconds"`
+	Broken     []Finding                 `json:"broken,omitempty"`
+	Unclean    []string                  `json:"unclean,omitempty"`
+	Failure    string                    `json:"failure,omitempty"` // why the run came to no judgement
 }
 
 // Sound tells whether nothing was broken in a run.
@@ -61,7 +61,7 @@
 // Soak plays every seed and tells what came of it, each in its own folder.
 func Soak(o SoakOptions) (*SoakReport, error) {
 	if o.Seeds == 0 || o.Side < 1 || o.Deployment == nil || (o.WideEvery > 0 && o.Wide == nil) {
-		return nil, defect.New(defect.BadOptions, "a soak needs seeds, fleets beside each other and deployments")
+		return nil, defect.New(defect.InvalidOptions, "a soak needs seeds, fleets beside each other and deployments")
 	}
 	report := &SoakReport{Runs: make([]SoakRun, o.Seeds)}
 	var playing sync.WaitGroup
@@ -194,14 +194,14 @@
 				return
 			}
 			defer response.Body.Close()
-			var status struct{ Departures dispatch.DepartureCounts }
+			var status struct{ Departures dispatch.DisconnectCounts }
 			if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&status) != nil {
 				return
 			}
 			c.ledger.lock.Lock()
 			defer c.ledger.lock.Unlock()
 			if c.ledger.Departures == nil {
-				c.ledger.Departures = map[string]dispatch.DepartureCounts{}
+				c.ledger.Departures = map[string]dispatch.DisconnectCounts{}
 			}
 			c.ledger.Departures[life] = status.Departures
 		})
@@ -210,8 +210,8 @@
 }
 
 // departures sums the counts of all lives.
-func (l *Ledger) departures() dispatch.DepartureCounts {
-	var sum dispatch.DepartureCounts
+func (l *Ledger) departures() dispatch.DisconnectCounts {
+	var sum dispatch.DisconnectCounts
 	for _, counts := range l.Departures {
 		sum.Add(counts)
 	}
--- a/internal/rehearsal/soak_test.go
+++ b/internal/rehearsal/soak_test.go
@@ -24,7 +24,7 @@
 		if !run.Sound() {
 			t.Errorf("seed %d: %+v", run.Seed, run)
 		}
-		if run.Faults == 0 || run.Outcomes["answered"] == 0 || run.Outcomes[outcomeLeft] == 0 || run.Departures.Noticed == 0 {
+		if run.Faults == 0 || run.Outcomes["answered"] == 0 || run.Outcomes[outcomeLeft] == 0 || run.Departures.Detected == 0 {
 			t.Errorf("seed %d judged nothing: %+v", run.Seed, run)
 		}
 	}
@@ -59,7 +59,7 @@
 			}
 		})
 	}
-	counted := &Ledger{Departures: map[string]dispatch.DepartureCounts{"p 1": {Overrun: 1, HandedLate: 1}, "p 2": {Stopped: 5}}}
+	counted := &Ledger{Departures: map[string]dispatch.DisconnectCounts{"p 1": {Overrun: 1, SentLate: 1}, "p 2": {Canceled: 5}}}
 	for _, finding := range Judge(counted, Deployments["small"]) {
 		if strings.HasPrefix(finding.Rule, "no proxy counts a breach") && (finding.Breaches != 2 || finding.Judged != 5) {
 			t.Errorf("%+v", finding)
--- a/internal/rehearsal/worker.go
+++ b/internal/rehearsal/worker.go
@@ -31,7 +31,7 @@
 // Worker is a stand-in worker. It runs what bears its token, and writes each run down.
 type Worker struct {
 	name    string
-	said    dispatch.Description
+	said    dispatch.WorkerDescription
 	describ string // where the proxy beside it takes descriptions
 	ledger  *Ledger
 	now     func() time.Duration
@@ -86,7 +86,7 @@
 		return nil, defect.Wrap(err, defect.Internal, "worker")
 	}
 	w := &Worker{name: name, describ: proxyAddress, ledger: ledger, now: now, delay: delay, conns: map[net.Conn]bool{}, listener: listener, ended: make(chan struct{}),
-		said: dispatch.Description{Address: address, Service: service, Version: version, Area: area, Token: fmt.Sprintf("%s-%d", name, now()), BeatMS: beat.Milliseconds()}}
+		said: dispatch.WorkerDescription{Address: address, Service: service, Version: version, Zone: area, Token: fmt.Sprintf("%s-%d", name, now()), HeartbeatMS: beat.Milliseconds()}}
 	// That a proxy closed a connection is noted in the ledger where it counts.
 	silent := log.New(io.Discard, "", 0)
 	server := &fasthttp.Server{Handler: w.handle, NoDefaultServerHeader: true, Concurrency: 10000, Logger: silent}
@@ -180,7 +180,7 @@
 	call.SetBody(text)
 }
 
-func (w *Worker) describe(change func(*dispatch.Description)) error {
+func (w *Worker) describe(change func(*dispatch.WorkerDescription)) error {
 	w.lock.Lock()
 	if change != nil {
 		change(&w.said)
@@ -197,10 +197,10 @@
 	request.Header.SetContentType("application/json")
 	request.SetBody(text)
 	if err := fasthttp.DoTimeout(request, response, beat); err != nil {
-		return defect.Wrap(err, defect.LinkLost, w.name)
+		return defect.Wrap(err, defect.PeerConnectionLost, w.name)
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return defect.New(defect.Malformed, string(response.Body()))
+		return defect.New(defect.MalformedRequest, string(response.Body()))
 	}
 	return nil
 }
@@ -214,7 +214,7 @@
 	request.Header.Set(dispatch.HeaderToken, w.said.Token)
 	begin := time.Now()
 	err := fasthttp.DoTimeout(request, response, beat)
-	return time.Since(begin), defect.Wrap(err, defect.WorkerLost, w.name)
+	return time.Since(begin), defect.Wrap(err, defect.WorkerConnectionLost, w.name)
 }
 
 func (w *Worker) keepDescribing() {
@@ -233,14 +233,14 @@
 // Drain says that the worker is emptying, and goes on serving what it has.
 func (w *Worker) Drain() error {
 	w.leaving.Store(true)
-	err := w.describe(func(said *dispatch.Description) { said.Leaving = true })
+	err := w.describe(func(said *dispatch.WorkerDescription) { said.Draining = true })
 	note(w.ledger, &w.ledger.Leaves, LeaveEntry{w.name, w.now()})
 	return err
 }
 
 // Leave says that the worker is gone, waits for what it runs, and ends.
 func (w *Worker) Leave() {
-	_ = w.describe(func(said *dispatch.Description) { said.Gone = true })
+	_ = w.describe(func(said *dispatch.WorkerDescription) { said.Deregistered = true })
 	for w.running.Load() > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/release/brake.go
+++ b/internal/release/brake.go
@@ -2,42 +2,42 @@
 
 // Ratios of the brake's windows to one gathering of counts.
 const (
-	shortWindow = 4  // a burst of failures shows here, however many good calls came before
-	longWindow  = 20 // and a slower one here
-	sparseEvery = 4  // gatherings between two that are kept for the windows below
-	fineWindow  = 60 // of those: that long a version must have been fine to be tried again
-	slowWindow  = 60 // and here what fails seldom, or on a route that is seldom called
-	thinWindow  = 300
-	fineHeard   = 0.9
+	shortWindow       = 4  // a burst of failures shows here, however many good calls came before
+	longWindow        = 20 // and a slower one here
+	sparseSampleEvery = 4  // gatherings between two that are kept for the windows below
+	recoveryWindow    = 60 // of those: that long a version must have been fine to be tried again
+	sparseShortWindow = 60 // and here what fails seldom, or on a route that is seldom called
+	sparseLongWindow  = 300
+	recoveryMinHeard  = 0.9
 )
 
-// Brake keeps the last gatherings of a version's evidence and tells when it must be stopped at
+// RollbackGuard keeps the last gatherings of a version's evidence and tells when it must be stopped at
 // once.
-type Brake struct {
-	recent []Evidence
-	sparse []Evidence // one in sparseEvery
-	looks  int
+type RollbackGuard struct {
+	recentSamples []VersionCounts
+	sparseSamples []VersionCounts // one in sparseSampleEvery
+	sampleCount   int
 }
 
-// Look takes a gathering. heard is the part of the fleet that it tells of: a duty that hears
+// Observe takes a gathering. heard is the part of the fleet that it tells of: a duty that hears
 // half of the proxies judges by half of the failures, for the rest fail unheard.
-func (b *Brake) Look(options Options, evidence Evidence, heard float64) (reason string, bad bool) {
-	b.recent = append(b.recent, evidence)
-	if len(b.recent) > longWindow+1 {
-		b.recent = b.recent[1:]
+func (g *RollbackGuard) Observe(options Options, counts VersionCounts, heardFraction float64) (reason string, bad bool) {
+	g.recentSamples = append(g.recentSamples, counts)
+	if len(g.recentSamples) > longWindow+1 {
+		g.recentSamples = g.recentSamples[1:]
 	}
-	if b.looks%sparseEvery == 0 {
-		b.sparse = append(b.sparse, evidence)
-		if len(b.sparse) > thinWindow {
-			b.sparse = b.sparse[1:]
+	if g.sampleCount%sparseSampleEvery == 0 {
+		g.sparseSamples = append(g.sparseSamples, counts)
+		if len(g.sparseSamples) > sparseLongWindow {
+			g.sparseSamples = g.sparseSamples[1:]
 		}
 	}
-	b.looks++
-	options.FailuresMost = max(1, uint64(float64(options.FailuresMost)*min(1, heard)))
-	back := func(kept []Evidence, window int) Evidence { return kept[max(0, len(kept)-1-window)] }
-	usual := b.usual(evidence, back(b.recent, longWindow), back(b.sparse, slowWindow))
-	for _, from := range []Evidence{back(b.recent, shortWindow), back(b.recent, longWindow), back(b.sparse, slowWindow), back(b.sparse, thinWindow)} {
-		if reason, bad = options.Bad(evidence.Since(from), usual); bad {
+	g.sampleCount++
+	options.FailureThreshold = max(1, uint64(float64(options.FailureThreshold)*min(1, heardFraction)))
+	sampleAgo := func(samples []VersionCounts, window int) VersionCounts { return samples[max(0, len(samples)-1-window)] }
+	baseline := g.baseline(counts, sampleAgo(g.recentSamples, longWindow), sampleAgo(g.sparseSamples, sparseShortWindow))
+	for _, windowStart := range []VersionCounts{sampleAgo(g.recentSamples, shortWindow), sampleAgo(g.recentSamples, longWindow), sampleAgo(g.sparseSamples, sparseShortWindow), sampleAgo(g.sparseSamples, sparseLongWindow)} {
+		if reason, bad = options.IsFailing(counts.Since(windowStart), baseline); bad {
 			return reason, true
 		}
 	}
@@ -46,34 +46,34 @@
 
 // Ratios of what stands for an old version that hardly gets calls.
 const (
-	hardly     = 50  // below this part of the new version's calls it is no measure of anything
-	hardlyFrom = 200 // and it takes so many of the new version's to say so
+	sparseBaselineRatio    = 50  // below this part of the new version's calls it is no measure of anything
+	sparseBaselineMinCalls = 200 // and it takes so many of the new version's to say so
 )
 
-// usual is all that was ever counted of the old version, if it hardly gets calls any more. The
+// baseline is all that was ever counted of the old version, if it hardly gets calls any more. The
 // shortest window that has enough calls to tell decides.
-func (b *Brake) usual(evidence Evidence, windows ...Evidence) map[string]Count {
-	for _, from := range windows {
-		lately := evidence.Since(from)
-		before, after := total(lately.Old), total(lately.New)
-		if after.Calls < hardlyFrom {
+func (g *RollbackGuard) baseline(counts VersionCounts, windowStarts ...VersionCounts) map[string]CallStats {
+	for _, windowStart := range windowStarts {
+		inWindow := counts.Since(windowStart)
+		oldStats, newStats := total(inWindow.Old), total(inWindow.New)
+		if newStats.Calls < sparseBaselineMinCalls {
 			continue
 		}
-		if before.Calls*hardly < after.Calls {
-			return evidence.Old
+		if oldStats.Calls*sparseBaselineRatio < newStats.Calls {
+			return counts.Old
 		}
 		return nil
 	}
 	return nil
 }
 
-// Fine tells whether proxies that stopped by themselves may try the version out again: nearly
+// Recovered tells whether proxies that stopped by themselves may try the version out again: nearly
 // all of the fleet was heard, and even what may have been chance was not seen of late.
-func (b *Brake) Fine(options Options, heard float64) bool {
-	if heard < fineHeard || len(b.recent) == 0 {
+func (g *RollbackGuard) Recovered(options Options, heardFraction float64) bool {
+	if heardFraction < recoveryMinHeard || len(g.recentSamples) == 0 {
 		return false
 	}
-	lately := b.recent[len(b.recent)-1].Since(b.sparse[max(0, len(b.sparse)-fineWindow)])
-	before, after := total(lately.Old), total(lately.New)
-	return after.Failures < options.FailuresMost || after.rate() <= options.Times*before.rate()+options.Excess
+	inWindow := g.recentSamples[len(g.recentSamples)-1].Since(g.sparseSamples[max(0, len(g.sparseSamples)-recoveryWindow)])
+	oldStats, newStats := total(inWindow.Old), total(inWindow.New)
+	return newStats.Failures < options.FailureThreshold || newStats.failureRate() <= options.FailureRateMultiple*oldStats.failureRate()+options.FailureRateMargin
 }
--- a/internal/release/duty.go
+++ b/internal/release/duty.go
@@ -13,16 +13,16 @@
 	"meadowhinge/schema"
 )
 
-// Duty is what the registry that has the release duty knows of versions and plans. It is a step
+// Controller is what the registry that has the release duty knows of versions and plans. It is a step
 // function: the registry gathers counts, lets the duty look at them, hands out the trials and
 // writes the steps as changes. All that must outlive the holder is in those changes.
-type Duty struct {
-	options Options
-	seat    string
-	least   time.Duration // between two steps of a plan
-	guards  map[[2]string]*guard
-	courses map[string]*course
-	sources map[sourceKey]*schema.SourceCounts
+type Controller struct {
+	options         Options
+	memberID        string
+	minStepInterval time.Duration // between two steps of a plan
+	guardedVersions map[[2]string]*guardedVersion
+	trackedPlans    map[string]*trackedPlan
+	lastCounts      map[sourceKey]*schema.SourceCounts
 }
 
 // sourceKey is a life of a proxy.
@@ -31,55 +31,55 @@
 	incarnation uint64
 }
 
-// guard is what is known of one version under one statement of it.
-type guard struct {
-	statement uint64
-	brake     Brake
-	suspicion Suspicion
-	strength  float64 // of the suspicion, as of the last gathering
-	why       string
-	stopped   string // why, once the brake was pulled
-	fine      bool   // as of the last gathering
+// guardedVersion is what is known of one version under one statement of it.
+type guardedVersion struct {
+	revision         uint64
+	rollbackGuard    RollbackGuard
+	failureEvidence  FailureEvidence
+	evidenceStrength float64 // of the suspicion, as of the last gathering
+	evidenceReason   string
+	stopReason       string // why, once the brake was pulled
+	recovered        bool   // as of the last gathering
 }
 
-// course is what is known of a plan under one statement of it.
-type course struct {
-	statement uint64
-	first     Evidence
-	lately    Evidence
-	steppedAt time.Duration
+// trackedPlan is what is known of a plan under one statement of it.
+type trackedPlan struct {
+	revision       uint64
+	firstCounts    VersionCounts
+	lastStepCounts VersionCounts
+	steppedAt      time.Duration
 	// Of a plan by its term:
-	firstAt time.Duration // of first, from which it is measured what is needed
-	since   [2]int64      // when its step began, and with what weight
-	balance float64       // of the suspicion then
-	needed  float64       // calls under way at all the service's workers
-	rate    float64       // calls a second
+	firstCountsAt  time.Duration // of first, from which it is measured what is needed
+	stepKey        [2]int64      // when its step began, and with what weight
+	logOddsAtStep  float64       // of the suspicion then
+	meanInFlight   float64       // calls under way at all the service's workers
+	callsPerSecond float64       // calls a second
 }
 
-// Sight is what a duty sees of the fleet.
-type Sight struct {
-	Counts []*schema.SourceCounts
-	Heard  float64 // the part of the fleet that the counts tell of
+// FleetObservation is what a duty sees of the fleet.
+type FleetObservation struct {
+	Counts        []*schema.SourceCounts
+	HeardFraction float64 // the part of the fleet that the counts tell of
 	// Workers are those that live, by service and version.
-	Workers map[[2]string]Pool
-	// Known is how long this registry has known what was stated in a sequence.
-	Known func(sequence uint64) time.Duration
+	Workers map[[2]string]WorkerPool
+	// KnownFor is how long this registry has known what was stated in a sequence.
+	KnownFor func(sequence uint64) time.Duration
 }
 
-// Pool is the workers of a version.
-type Pool struct {
+// WorkerPool is the workers of a version.
+type WorkerPool struct {
 	Workers int
 	Slots   int // together, 0 if any does not tell
 }
 
-// inTouch is how long a proxy may be silent before nothing waits for it.
-const inTouch = time.Second
+// maxReportAge is how long a proxy may be silent before nothing waits for it.
+const maxReportAge = time.Second
 
-// behind counts the proxies that do not go by a setup yet.
-func (s Sight) behind(sequence uint64) int {
+// proxiesBehind counts the proxies that do not go by a setup yet.
+func (o FleetObservation) proxiesBehind(sequence uint64) int {
 	count := 0
-	for _, source := range s.Counts {
-		if time.Duration(source.AgoNanos) <= inTouch && source.Applied < sequence {
+	for _, source := range o.Counts {
+		if time.Duration(source.AgoNanos) <= maxReportAge && source.Applied < sequence {
 			count++
 		}
 	}
@@ -88,16 +88,16 @@
 
 // Step is a change that the duty wants written, against the versions it was made from.
 type Step struct {
-	Name  string
-	Items []*schema.Item
-	Says  string // what is worth a line in the log
+	Name    string
+	Items   []*schema.Item
+	Message string // what is worth a line in the log
 	// Urgent steps turn a version back; they wait for no other.
 	Urgent bool
 }
 
-// Due tells whether there is anything for a duty to look at.
-func Due(compiled *setup.Setup, workers map[[2]string]Pool) bool {
-	if len(compiled.Guards) > 0 || len(standSteps(compiled, workers)) > 0 {
+// NeedsControl tells whether there is anything for a duty to look at.
+func NeedsControl(compiled *setup.Snapshot, workers map[[2]string]WorkerPool) bool {
+	if len(compiled.GuardedVersions) > 0 || len(initialStandingSteps(compiled, workers)) > 0 {
 		return true
 	}
 	for name := range compiled.Progress {
@@ -105,106 +105,106 @@
 			return true
 		}
 	}
-	for name, planned := range compiled.Releases {
+	for name, plan := range compiled.Releases {
 		// What is done by its term, or was turned back, asks for nothing any more.
 		progress := compiled.Progress[name]
-		if planned.By != setup.ByTerm || progress == nil || progress.Set != identity(planned) || running(progress.State) ||
-			progress.Reason == operatorsWord && planned.Pace != "back" {
+		if plan.Strategy != setup.StrategyDeadline || progress == nil || progress.PlanID != planIdentity(plan) || inProgress(progress.State) ||
+			progress.Reason == reasonOperatorRollback && plan.Control != "back" {
 			return true
 		}
 	}
 	return false
 }
 
-// running tells whether a plan in a state goes on.
-func running(state string) bool { return state != Done && state != Back }
+// inProgress tells whether a plan in a state goes on.
+func inProgress(state string) bool { return state != StateDone && state != StateRolledBack }
 
-// Judged tells of which services the work done is to be told, for a version is judged by it, and
+// JudgedServices tells of which services the work done is to be told, for a version is judged by it, and
 // whether there are any.
-func Judged(compiled *setup.Setup) (judges func(service string) bool, any bool) {
+func JudgedServices(compiled *setup.Snapshot) (isJudged func(service string) bool, anyJudged bool) {
 	judged := map[string]bool{}
-	for service := range compiled.Guards {
+	for service := range compiled.GuardedVersions {
 		judged[service] = true
 	}
-	for name, planned := range compiled.Releases {
+	for name, plan := range compiled.Releases {
 		progress := compiled.Progress[name]
-		if progress == nil || progress.Set != identity(planned) || running(progress.State) {
-			judged[planned.Service] = true
+		if progress == nil || progress.PlanID != planIdentity(plan) || inProgress(progress.State) {
+			judged[plan.Service] = true
 		}
 	}
 	return func(service string) bool { return judged[service] }, len(judged) > 0
 }
 
-// Rebound sets the bounds that versions and plans are judged by from now on.
-func (d *Duty) Rebound(options Options) { d.options = options }
+// SetOptions sets the bounds that versions and plans are judged by from now on.
+func (c *Controller) SetOptions(options Options) { c.options = options }
 
-// NewDuty begins the duty anew at a seat; a plan makes at most one step in least.
-func NewDuty(options Options, seat string, least time.Duration) *Duty {
-	return &Duty{options: options, seat: seat, least: least, guards: map[[2]string]*guard{}, courses: map[string]*course{}, sources: map[sourceKey]*schema.SourceCounts{}}
+// NewController begins the duty anew at a seat; a plan makes at most one step in least.
+func NewController(options Options, memberID string, minStepInterval time.Duration) *Controller {
+	return &Controller{options: options, memberID: memberID, minStepInterval: minStepInterval, guardedVersions: map[[2]string]*guardedVersion{}, trackedPlans: map[string]*trackedPlan{}, lastCounts: map[sourceKey]*schema.SourceCounts{}}
 }
 
 // planFor finds the plan for a version.
-func planFor(compiled *setup.Setup, service, version string) (string, *setup.Release) {
-	for name, planned := range compiled.Releases {
-		if planned.Service == service && planned.Version == version {
-			return name, planned
+func planFor(compiled *setup.Snapshot, service, version string) (string, *setup.Release) {
+	for name, plan := range compiled.Releases {
+		if plan.Service == service && plan.Version == version {
+			return name, plan
 		}
 	}
 	return "", nil
 }
 
-// Trials lists each guarded version, and whether it may be used.
-func (d *Duty) Trials(compiled *setup.Setup) []*schema.Trial {
-	var trials []*schema.Trial
-	for _, service := range slices.Sorted(maps.Keys(compiled.Guards)) {
-		for _, version := range compiled.Guards[service] {
-			statement, _ := compiled.Statement(service, version)
-			trial := &schema.Trial{Service: service, Version: version, Plan: statement}
+// CanaryGrants lists each guarded version, and whether it may be used.
+func (c *Controller) CanaryGrants(compiled *setup.Snapshot) []*schema.Trial {
+	var grants []*schema.Trial
+	for _, service := range slices.Sorted(maps.Keys(compiled.GuardedVersions)) {
+		for _, version := range compiled.GuardedVersions[service] {
+			revision, _ := compiled.GuardedRevision(service, version)
+			grant := &schema.Trial{Service: service, Version: version, Plan: revision}
 			name, _ := planFor(compiled, service, version)
-			if progress := compiled.Progress[name]; progress != nil && progress.State == Back {
-				trial.Stopped = true
+			if progress := compiled.Progress[name]; progress != nil && progress.State == StateRolledBack {
+				grant.Stopped = true
 			}
-			if held := d.guards[[2]string{service, version}]; held != nil && held.statement == statement {
-				trial.Stopped = trial.Stopped || held.stopped != ""
-				trial.Fine = held.fine && !trial.Stopped
+			if guarded := c.guardedVersions[[2]string{service, version}]; guarded != nil && guarded.revision == revision {
+				grant.Stopped = grant.Stopped || guarded.stopReason != ""
+				grant.Fine = guarded.recovered && !grant.Stopped
 			}
-			trial.Stopped = trial.Stopped || compiled.StopOn(service, version) != nil
-			trials = append(trials, trial)
+			grant.Stopped = grant.Stopped || compiled.ActiveStop(service, version) != nil
+			grants = append(grants, grant)
 		}
 	}
-	return trials
+	return grants
 }
 
-// Look judges every guarded version and steers every plan by what was seen.
-func (d *Duty) Look(now time.Duration, compiled *setup.Setup, state setup.State, sight Sight) ([]Step, error) {
-	steps := standSteps(compiled, sight.Workers)
-	sight.Counts = d.remember(sight.Counts)
-	var failed error
-	for key := range d.guards {
-		if _, guarded := compiled.Statement(key[0], key[1]); !guarded && !settling(compiled, key[0], key[1]) {
-			delete(d.guards, key)
+// Reconcile judges every guarded version and steers every plan by what was seen.
+func (c *Controller) Reconcile(now time.Duration, compiled *setup.Snapshot, state setup.State, observation FleetObservation) ([]Step, error) {
+	steps := initialStandingSteps(compiled, observation.Workers)
+	observation.Counts = c.withLastCounts(observation.Counts)
+	var lastErr error
+	for key := range c.guardedVersions {
+		if _, isGuarded := compiled.GuardedRevision(key[0], key[1]); !isGuarded && !isDraining(compiled, key[0], key[1]) {
+			delete(c.guardedVersions, key)
 		}
 	}
-	for name, held := range d.courses {
-		if planned := compiled.Releases[name]; planned == nil || planned.Sequence != held.statement {
-			delete(d.courses, name)
+	for name, tracked := range c.trackedPlans {
+		if plan := compiled.Releases[name]; plan == nil || plan.Revision != tracked.revision {
+			delete(c.trackedPlans, name)
 		}
 	}
-	for _, service := range slices.Sorted(maps.Keys(compiled.Guards)) {
-		for _, version := range compiled.Guards[service] {
+	for _, service := range slices.Sorted(maps.Keys(compiled.GuardedVersions)) {
+		for _, version := range compiled.GuardedVersions[service] {
 			key := [2]string{service, version}
-			statement, _ := compiled.Statement(service, version)
-			held := d.guards[key]
-			if held == nil || held.statement != statement {
-				held = &guard{statement: statement}
-				d.guards[key] = held
+			revision, _ := compiled.GuardedRevision(service, version)
+			tracked := c.guardedVersions[key]
+			if tracked == nil || tracked.revision != revision {
+				tracked = &guardedVersion{revision: revision}
+				c.guardedVersions[key] = tracked
 			}
-			d.judge(held, Gather(sight.Counts, service, version, statement, compiled.FallbackOf(service)), sight.Heard, alone(compiled, service, version))
+			c.judgeVersion(tracked, GatherVersionCounts(observation.Counts, service, version, revision, compiled.FallbackOf(service)), observation.HeardFraction, planGivesAllCalls(compiled, service, version))
 			// Without a plan to turn back, the stop is stated by itself, so that it outlives this duty.
-			if _, planned := planFor(compiled, service, version); held.stopped != "" && planned == nil && compiled.StopOn(service, version) == nil {
-				step, err := stopStep(service, version, held.stopped)
+			if _, plan := planFor(compiled, service, version); tracked.stopReason != "" && plan == nil && compiled.ActiveStop(service, version) == nil {
+				step, err := versionStopStep(service, version, tracked.stopReason)
 				if err != nil {
-					failed = err
+					lastErr = err
 					continue
 				}
 				steps = append(steps, step)
@@ -217,218 +217,218 @@
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(compiled.Releases)) {
-		planned := compiled.Releases[name]
+		plan := compiled.Releases[name]
 		var step *Step
 		var err error
-		if planned.By == setup.ByTerm {
-			step, err = d.term(now, compiled, state, planned, sight)
+		if plan.Strategy == setup.StrategyDeadline {
+			step, err = c.nextDeadlineStep(now, compiled, state, plan, observation)
 		} else {
-			step, err = d.steer(now, compiled, state, planned, Gather(sight.Counts, planned.Service, planned.Version, planned.Sequence, compiled.FallbackOf(planned.Service)))
+			step, err = c.nextRampStep(now, compiled, state, plan, GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, compiled.FallbackOf(plan.Service)))
 		}
 		if err != nil {
-			failed = err
+			lastErr = err
 		} else if step != nil {
 			steps = append(steps, *step)
 		}
 	}
-	return steps, failed
+	return steps, lastErr
 }
 
-// remember gives what was told with what was told before of sources that nobody tells of now, so
+// withLastCounts gives what was told with what was told before of sources that nobody tells of now, so
 // that no sum falls: a registry that can't be reached takes its proxies' counts with it.
-func (d *Duty) remember(counts []*schema.SourceCounts) []*schema.SourceCounts {
-	told := map[sourceKey]bool{}
+func (c *Controller) withLastCounts(counts []*schema.SourceCounts) []*schema.SourceCounts {
+	reported := map[sourceKey]bool{}
 	for i, source := range counts {
 		key := sourceKey{source.Proxy, source.Incarnation}
-		told[key] = true
-		if held := d.sources[key]; held != nil && callsOf(held) > callsOf(source) {
-			source = &schema.SourceCounts{Proxy: source.Proxy, Incarnation: source.Incarnation, Works: held.Works, Applied: source.Applied, AgoNanos: source.AgoNanos}
+		reported[key] = true
+		if last := c.lastCounts[key]; last != nil && totalCalls(last) > totalCalls(source) {
+			source = &schema.SourceCounts{Proxy: source.Proxy, Incarnation: source.Incarnation, Works: last.Works, Applied: source.Applied, AgoNanos: source.AgoNanos}
 			counts[i] = source
 		}
-		d.sources[key] = source
+		c.lastCounts[key] = source
 	}
-	for key, held := range d.sources {
-		if !told[key] {
+	for key, last := range c.lastCounts {
+		if !reported[key] {
 			// What it had under way, and which setup it goes by, is not known any more.
-			counts = append(counts, &schema.SourceCounts{Proxy: held.Proxy, Incarnation: held.Incarnation, Works: held.Works, AgoNanos: math.MaxInt64})
+			counts = append(counts, &schema.SourceCounts{Proxy: last.Proxy, Incarnation: last.Incarnation, Works: last.Works, AgoNanos: math.MaxInt64})
 		}
 	}
 	return counts
 }
 
-func callsOf(source *schema.SourceCounts) (calls uint64) {
-	for _, line := range source.Works {
-		calls += line.Calls
+func totalCalls(source *schema.SourceCounts) (calls uint64) {
+	for _, work := range source.Works {
+		calls += work.Calls
 	}
 	return calls
 }
 
-// judge looks at one version's evidence.
-func (d *Duty) judge(held *guard, evidence Evidence, heard float64, alone bool) {
-	if reason, bad := held.brake.Look(d.options, evidence, heard); bad && held.stopped == "" {
-		held.stopped = reason
+// judgeVersion looks at one version's evidence.
+func (c *Controller) judgeVersion(guarded *guardedVersion, counts VersionCounts, heardFraction float64, allCalls bool) {
+	if reason, bad := guarded.rollbackGuard.Observe(c.options, counts, heardFraction); bad && guarded.stopReason == "" {
+		guarded.stopReason = reason
 	}
-	held.fine = held.brake.Fine(d.options, heard)
-	if held.strength, held.why = held.suspicion.Look(d.options, evidence, alone); held.strength >= 1 && held.stopped == "" {
-		held.stopped = held.why
+	guarded.recovered = guarded.rollbackGuard.Recovered(c.options, heardFraction)
+	if guarded.evidenceStrength, guarded.evidenceReason = guarded.failureEvidence.Observe(c.options, counts, allCalls); guarded.evidenceStrength >= 1 && guarded.stopReason == "" {
+		guarded.stopReason = guarded.evidenceReason
 	}
 }
 
-// alone tells whether a plan gives a version all calls.
-func alone(compiled *setup.Setup, service, version string) bool {
-	name, planned := planFor(compiled, service, version)
+// planGivesAllCalls tells whether a plan gives a version all calls.
+func planGivesAllCalls(compiled *setup.Snapshot, service, version string) bool {
+	name, plan := planFor(compiled, service, version)
 	progress := compiled.Progress[name]
-	return planned != nil && progress != nil && progress.Set == identity(planned) && progress.Share >= 100
+	return plan != nil && progress != nil && progress.PlanID == planIdentity(plan) && progress.Percentage >= 100
 }
 
-// settling tells whether a plan has just made a version the fallback and waits for the last calls
+// isDraining tells whether a plan has just made a version the fallback and waits for the last calls
 // at the old one: it is not guarded any more, but still judged.
-func settling(compiled *setup.Setup, service, version string) bool {
-	name, planned := planFor(compiled, service, version)
+func isDraining(compiled *setup.Snapshot, service, version string) bool {
+	name, plan := planFor(compiled, service, version)
 	progress := compiled.Progress[name]
-	return planned != nil && progress != nil && progress.Set == identity(planned) && progress.State == Settle
+	return plan != nil && progress != nil && progress.PlanID == planIdentity(plan) && progress.State == StateDraining
 }
 
-// neededOver is the time over which it is measured how many calls are under way.
-const neededOver = time.Second
+// rateWindow is the time over which it is measured how many calls are under way.
+const rateWindow = time.Second
 
-// writtenParts is how often in a plan's time its progress is written though nothing changes, so
+// progressWritesPerPlan is how often in a plan's time its progress is written though nothing changes, so
 // that a registry that starts later knows about how late it is.
-const writtenParts = 6
+const progressWritesPerPlan = 6
 
-// term makes the next step of a plan that goes by its term, if one is due.
-func (d *Duty) term(now time.Duration, compiled *setup.Setup, state setup.State, planned *setup.Release, sight Sight) (*Step, error) {
-	service, before := compiled.Services[planned.Service], setup.Progress{}
+// nextDeadlineStep makes the next step of a plan that goes by its term, if one is due.
+func (c *Controller) nextDeadlineStep(now time.Duration, compiled *setup.Snapshot, state setup.State, plan *setup.Release, observation FleetObservation) (*Step, error) {
+	service, before := compiled.Services[plan.Service], setup.Progress{}
 	if service == nil || service.Fallback == "" {
 		return nil, nil
 	}
-	sequence, elapsed := planned.Sequence, sight.Known(planned.Sequence)
-	if known := compiled.Progress[planned.Name]; known != nil && known.Set == identity(planned) {
-		before, sequence = *known, state[setup.Key("progress", planned.Name)].Version.GetSequence()
+	sequence, elapsed := plan.Revision, observation.KnownFor(plan.Revision)
+	if recorded := compiled.Progress[plan.Name]; recorded != nil && recorded.PlanID == planIdentity(plan) {
+		before, sequence = *recorded, state[setup.Key("progress", plan.Name)].Version.GetSequence()
 		// A registry that started later than the plan goes on from what was written of it.
-		elapsed = max(elapsed, time.Duration(before.Elapsed)+sight.Known(sequence))
+		elapsed = max(elapsed, time.Duration(before.Elapsed)+observation.KnownFor(sequence))
 	}
-	if before.From == "" {
-		before.From = service.Fallback
+	if before.PreviousVersion == "" {
+		before.PreviousVersion = service.Fallback
 	}
-	if before.State == Done {
+	if before.State == StateDone {
 		return nil, nil
 	}
-	if before.From == planned.Version {
+	if before.PreviousVersion == plan.Version {
 		// It is in place already: nothing moves.
 		after := before
-		after.State, after.Reason, after.Share = Done, "the version has all calls", planned.Target
-		return d.termStep(planned, compiled, state, before, after)
+		after.State, after.Reason, after.Percentage = StateDone, "the version has all calls", plan.Target
+		return c.deadlineStep(plan, compiled, state, before, after)
 	}
-	evidence := Gather(sight.Counts, planned.Service, planned.Version, planned.Sequence, before.From)
-	key := [2]string{planned.Service, planned.Version}
-	held := d.guards[key]
-	if held == nil || held.statement != planned.Sequence {
-		held = &guard{statement: planned.Sequence}
-		d.guards[key] = held
+	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, before.PreviousVersion)
+	key := [2]string{plan.Service, plan.Version}
+	guarded := c.guardedVersions[key]
+	if guarded == nil || guarded.revision != plan.Revision {
+		guarded = &guardedVersion{revision: plan.Revision}
+		c.guardedVersions[key] = guarded
 	}
-	if _, guarded := compiled.Statement(key[0], key[1]); !guarded {
-		d.judge(held, evidence, sight.Heard, alone(compiled, key[0], key[1]))
+	if _, isGuarded := compiled.GuardedRevision(key[0], key[1]); !isGuarded {
+		c.judgeVersion(guarded, counts, observation.HeardFraction, planGivesAllCalls(compiled, key[0], key[1]))
 	}
-	taken := d.courses[planned.Name]
-	if taken == nil {
-		taken = &course{statement: planned.Sequence, first: evidence, firstAt: now}
-		d.courses[planned.Name] = taken
+	tracked := c.trackedPlans[plan.Name]
+	if tracked == nil {
+		tracked = &trackedPlan{revision: plan.Revision, firstCounts: counts, firstCountsAt: now}
+		c.trackedPlans[plan.Name] = tracked
 	}
 	// What is written now and then without a move begins no new step.
-	if since := [2]int64{before.Since, int64(before.Weight)}; taken.since != since {
-		taken.since, taken.balance = since, held.suspicion.Balance()
-	}
-	if passed := now - taken.firstAt; passed >= neededOver {
-		lately := evidence.Since(taken.first)
-		all := total(lately.Old)
-		all.add(total(lately.New))
-		all.add(lately.Rest)
-		taken.needed, taken.rate, taken.first, taken.firstAt = underWay(all, passed), float64(all.Calls)/passed.Seconds(), evidence, now
-	}
-	pool := sight.Workers[key]
-	seen := Term{Elapsed: elapsed, Turn: d.least, Suspicion: held.strength, Why: held.why, Trust: taken.balance - held.suspicion.Balance(), Calls: total(evidence.New).Calls,
-		Rate: taken.rate, Needed: taken.needed, Slots: float64(pool.Slots), Workers: pool.Workers, Behind: sight.behind(sequence), Open: total(evidence.Old).Open, Stands: stands(compiled, planned.Service)}
-	if held.stopped != "" {
-		seen.Suspicion, seen.Why = 1, held.stopped
-	}
-	return d.termStep(planned, compiled, state, before, d.options.ByTerm(planned, before, seen))
+	if since := [2]int64{before.StateSince, int64(before.Weight)}; tracked.stepKey != since {
+		tracked.stepKey, tracked.logOddsAtStep = since, guarded.failureEvidence.LogOdds()
+	}
+	if windowElapsed := now - tracked.firstCountsAt; windowElapsed >= rateWindow {
+		inWindow := counts.Since(tracked.firstCounts)
+		totals := total(inWindow.Old)
+		totals.add(total(inWindow.New))
+		totals.add(inWindow.Others)
+		tracked.meanInFlight, tracked.callsPerSecond, tracked.firstCounts, tracked.firstCountsAt = meanInFlight(totals, windowElapsed), float64(totals.Calls)/windowElapsed.Seconds(), counts, now
+	}
+	pool := observation.Workers[key]
+	inputs := DeadlineInputs{Elapsed: elapsed, MinStepInterval: c.minStepInterval, EvidenceStrength: guarded.evidenceStrength, EvidenceReason: guarded.evidenceReason, HealthLogOdds: tracked.logOddsAtStep - guarded.failureEvidence.LogOdds(), NewCalls: total(counts.New).Calls,
+		CallsPerSecond: tracked.callsPerSecond, MeanInFlight: tracked.meanInFlight, NewSlots: float64(pool.Slots), NewWorkers: pool.Workers, ProxiesBehind: observation.proxiesBehind(sequence), OldInFlight: total(counts.Old).InFlight, MayReplaceFallback: hasOwnStanding(compiled, plan.Service)}
+	if guarded.stopReason != "" {
+		inputs.EvidenceStrength, inputs.EvidenceReason = 1, guarded.stopReason
+	}
+	return c.deadlineStep(plan, compiled, state, before, c.options.NextDeadlineProgress(plan, before, inputs))
 }
 
-// termStep writes a plan's progress, and with it what follows from it.
-func (d *Duty) termStep(planned *setup.Release, compiled *setup.Setup, state setup.State, before, after setup.Progress) (*Step, error) {
-	moved := before.State != after.State || before.Weight != after.Weight || before.Reason != after.Reason
-	if !moved && after.Elapsed-before.Elapsed < int64(planned.Over)/writtenParts {
+// deadlineStep writes a plan's progress, and with it what follows from it.
+func (c *Controller) deadlineStep(plan *setup.Release, compiled *setup.Snapshot, state setup.State, before, after setup.Progress) (*Step, error) {
+	changed := before.State != after.State || before.Weight != after.Weight || before.Reason != after.Reason
+	if !changed && after.Elapsed-before.Elapsed < int64(plan.Duration)/progressWritesPerPlan {
 		return nil, nil
 	}
-	after.Set, after.Holder = identity(planned), d.seat
+	after.PlanID, after.Controller = planIdentity(plan), c.memberID
 	// Another seat's progress is taken over under a higher epoch, which shuts that seat out.
-	if before.Holder != d.seat {
-		after.Duty++
+	if before.Controller != c.memberID {
+		after.ControllerTerm++
 	}
-	step := &Step{Name: planned.Name, Urgent: after.State == Back}
-	if moved {
-		step.Says = fmt.Sprintf("%s of %s: %s at %g %%, %v after it was stated: %s", planned.Version, planned.Service, after.State, after.Share,
+	step := &Step{Name: plan.Name, Urgent: after.State == StateRolledBack}
+	if changed {
+		step.Message = fmt.Sprintf("%s of %s: %s at %g %%, %v after it was stated: %s", plan.Version, plan.Service, after.State, after.Percentage,
 			time.Duration(after.Elapsed).Round(time.Millisecond), after.Reason)
 	}
 	put := func(kind, name string, body any) error {
-		text, err := json.Marshal(body)
-		step.Items = append(step.Items, &schema.Item{Kind: kind, Name: name, Body: text})
+		encoded, err := json.Marshal(body)
+		step.Items = append(step.Items, &schema.Item{Kind: kind, Name: name, Body: encoded})
 		return defect.Wrap(err, defect.Internal, kind+" "+name)
 	}
-	if !moved || after.State == Done {
-		return step, put("progress", planned.Name, after)
+	if !changed || after.State == StateDone {
+		return step, put("progress", plan.Name, after)
 	}
 	// An operator's own flag keeps its targets and rules.
-	if !stands(compiled, planned.Service) {
-		items, err := stepItems(planned, compiled, state, after)
+	if !hasOwnStanding(compiled, plan.Service) {
+		items, err := flagAndProgressItems(plan, compiled, state, after)
 		step.Items = items
 		return step, err
 	}
-	fallback, version, decider := after.From, planned.Version, rollout(compiled, planned.Service, after.From, planned.Version, after.Weight)
+	fallback, version, rolloutFlag := after.PreviousVersion, plan.Version, newRolloutFlag(compiled, plan.Service, after.PreviousVersion, plan.Version, after.Weight)
 	switch after.State {
-	case Back:
-		decider.On = false
-	case Settle:
-		fallback, decider = version, rollout(compiled, planned.Service, version, version, 0)
+	case StateRolledBack:
+		rolloutFlag.On = false
+	case StateDraining:
+		fallback, rolloutFlag = version, newRolloutFlag(compiled, plan.Service, version, version, 0)
 	}
-	if err := put("flag", setup.FlagOf(planned.Service), decider); err != nil {
+	if err := put("flag", setup.VersionFlagKey(plan.Service), rolloutFlag); err != nil {
 		return nil, err
 	}
-	if standing := standingOf(fallback, version); compiled.Standing[planned.Service].Fallback != fallback {
-		if err := put(standingKind, planned.Service, standing); err != nil {
+	if standing := newStanding(fallback, version); compiled.DiscoveredVersions[plan.Service].Fallback != fallback {
+		if err := put(standingKind, plan.Service, standing); err != nil {
 			return nil, err
 		}
 	}
-	return step, put("progress", planned.Name, after)
+	return step, put("progress", plan.Name, after)
 }
 
-// standSteps state what stands for services of which no versions are stated: the version that
+// initialStandingSteps state what stands for services of which no versions are stated: the version that
 // their workers told, or most of them, before any plan.
-func standSteps(compiled *setup.Setup, workers map[[2]string]Pool) []Step {
+func initialStandingSteps(compiled *setup.Snapshot, workers map[[2]string]WorkerPool) []Step {
 	var steps []Step
 	for _, name := range slices.Sorted(maps.Keys(compiled.Services)) {
-		if service := compiled.Services[name]; service.Versions != nil || service.Fallback != "" || compiled.Standing[name] != nil {
+		if service := compiled.Services[name]; service.Versions != nil || service.Fallback != "" || compiled.DiscoveredVersions[name] != nil {
 			continue
 		}
-		first, most := "", 0
+		version, mostWorkers := "", 0
 		for key, pool := range workers {
-			if key[0] == name && (pool.Workers > most || pool.Workers == most && key[1] < first) {
-				first, most = key[1], pool.Workers
+			if key[0] == name && (pool.Workers > mostWorkers || pool.Workers == mostWorkers && key[1] < version) {
+				version, mostWorkers = key[1], pool.Workers
 			}
 		}
-		if first == "" {
+		if version == "" {
 			continue
 		}
-		step := Step{Name: "standing-" + name, Says: name + " has version " + first + " by what its workers tell"}
-		for _, one := range []struct {
+		step := Step{Name: "standing-" + name, Message: name + " has version " + version + " by what its workers tell"}
+		for _, entry := range []struct {
 			kind, name string
 			body       any
-		}{{standingKind, name, standingOf(first, first)}, {"flag", setup.FlagOf(name), rollout(compiled, name, first, first, 0)}} {
-			body, err := json.Marshal(one.body)
+		}{{standingKind, name, newStanding(version, version)}, {"flag", setup.VersionFlagKey(name), newRolloutFlag(compiled, name, version, version, 0)}} {
+			body, err := json.Marshal(entry.body)
 			// A flag that an operator wrote before stays.
-			if err == nil && (one.kind != "flag" || compiled.Flags.Flags[one.name] == nil) {
-				step.Items = append(step.Items, &schema.Item{Kind: one.kind, Name: one.name, Body: body})
+			if err == nil && (entry.kind != "flag" || compiled.Flags.Flags[entry.name] == nil) {
+				step.Items = append(step.Items, &schema.Item{Kind: entry.kind, Name: entry.name, Body: body})
 			}
 		}
 		steps = append(steps, step)
@@ -436,104 +436,104 @@
 	return steps
 }
 
-// steer makes a plan's next step, if one is due and worth a change.
-func (d *Duty) steer(now time.Duration, compiled *setup.Setup, state setup.State, planned *setup.Release, evidence Evidence) (*Step, error) {
+// nextRampStep makes a plan's next step, if one is due and worth a change.
+func (c *Controller) nextRampStep(now time.Duration, compiled *setup.Snapshot, state setup.State, plan *setup.Release, counts VersionCounts) (*Step, error) {
 	before := setup.Progress{}
-	identity := identity(planned)
-	if known := compiled.Progress[planned.Name]; known != nil && known.Set == identity {
-		before = *known
-	}
-	held := d.courses[planned.Name]
-	if held == nil {
-		held = &course{statement: planned.Sequence, first: evidence, lately: evidence, steppedAt: now}
-		d.courses[planned.Name] = held
-	}
-	stopped := ""
-	if guarded := d.guards[[2]string{planned.Service, planned.Version}]; guarded != nil {
-		stopped = guarded.stopped
-	}
-	pause := max(planned.Over/time.Duration(d.options.Steps), d.least)
-	braked := stopped != "" && before.State != Back
-	due := now-held.steppedAt >= pause || before.State == "" || braked || (planned.Pace == "back") != (before.State == Back)
+	planID := planIdentity(plan)
+	if recorded := compiled.Progress[plan.Name]; recorded != nil && recorded.PlanID == planID {
+		before = *recorded
+	}
+	tracked := c.trackedPlans[plan.Name]
+	if tracked == nil {
+		tracked = &trackedPlan{revision: plan.Revision, firstCounts: counts, lastStepCounts: counts, steppedAt: now}
+		c.trackedPlans[plan.Name] = tracked
+	}
+	stopReason := ""
+	if version := c.guardedVersions[[2]string{plan.Service, plan.Version}]; version != nil {
+		stopReason = version.stopReason
+	}
+	stepInterval := max(plan.Duration/time.Duration(c.options.RampSteps), c.minStepInterval)
+	mustRollBack := stopReason != "" && before.State != StateRolledBack
+	due := now-tracked.steppedAt >= stepInterval || before.State == "" || mustRollBack || (plan.Control == "back") != (before.State == StateRolledBack)
 	if !due {
 		return nil, nil
 	}
-	after := d.options.Step(planned, before, evidence.Since(held.first), evidence.Since(held.lately), now-held.steppedAt)
-	if stopped != "" {
-		after.State, after.Reason, after.Share, after.Weight = Back, "the version "+stopped, 0, 0
+	after := c.options.NextRampProgress(plan, before, counts.Since(tracked.firstCounts), counts.Since(tracked.lastStepCounts), now-tracked.steppedAt)
+	if stopReason != "" {
+		after.State, after.Reason, after.Percentage, after.Weight = StateRolledBack, "the version "+stopReason, 0, 0
 	}
-	held.steppedAt = now
-	if lately := evidence.Since(held.lately); before.State == "" || lately.Share() > 0 {
-		held.lately = evidence
+	tracked.steppedAt = now
+	if sinceLastStep := counts.Since(tracked.lastStepCounts); before.State == "" || sinceLastStep.NewPercent() > 0 {
+		tracked.lastStepCounts = counts
 	}
-	if !Differs(before, after) {
+	if !NeedsWrite(before, after) {
 		return nil, nil
 	}
-	after.Set, after.Holder, after.Duty = identity, d.seat, before.Duty
+	after.PlanID, after.Controller, after.ControllerTerm = planID, c.memberID, before.ControllerTerm
 	// Another seat's progress is taken over under a higher epoch, which shuts that seat out.
-	if before.Holder != d.seat {
-		after.Duty++
+	if before.Controller != c.memberID {
+		after.ControllerTerm++
 	}
-	items, err := stepItems(planned, compiled, state, after)
-	return &Step{Name: planned.Name, Items: items, Urgent: after.State == Back}, err
+	items, err := flagAndProgressItems(plan, compiled, state, after)
+	return &Step{Name: plan.Name, Items: items, Urgent: after.State == StateRolledBack}, err
 }
 
-// stopStep states that a version gets no calls any more.
-func stopStep(service, version, reason string) (Step, error) {
-	body, err := json.Marshal(setup.Stop{Service: service, Version: version, Reason: "the version " + reason})
+// versionStopStep states that a version gets no calls any more.
+func versionStopStep(service, version, reason string) (Step, error) {
+	body, err := json.Marshal(setup.VersionStop{Service: service, Version: version, Reason: "the version " + reason})
 	name := setup.StopName(service, version)
 	return Step{Name: name, Items: []*schema.Item{{Kind: "stop", Name: name, Body: body}}}, defect.Wrap(err, defect.Internal, name)
 }
 
-// stepItems are the plan's progress and the flag that follows it, to be written as one.
-func stepItems(planned *setup.Release, compiled *setup.Setup, state setup.State, after setup.Progress) ([]*schema.Item, error) {
-	key := setup.FlagOf(planned.Service)
-	held := state[setup.Key("flag", key)]
-	decider, service := compiled.Flags.Flags[key], compiled.Services[planned.Service]
-	if held == nil || decider == nil || service == nil {
-		return nil, defect.New(defect.BadSetup, key+" is gone")
-	}
-	place := func(version string) int { return max(0, slices.Index(decider.Variations, version)) }
-	body := map[string]any{}
-	if err := json.Unmarshal(held.Body, &body); err != nil {
-		return nil, defect.Wrap(err, defect.BadSetup, key)
-	}
-	if after.State == Back {
-		body["on"], body["offVariation"] = false, place(service.Fallback)
+// flagAndProgressItems are the plan's progress and the flag that follows it, to be written as one.
+func flagAndProgressItems(plan *setup.Release, compiled *setup.Snapshot, state setup.State, after setup.Progress) ([]*schema.Item, error) {
+	key := setup.VersionFlagKey(plan.Service)
+	flagItem := state[setup.Key("flag", key)]
+	rolloutFlag, service := compiled.Flags.Flags[key], compiled.Services[plan.Service]
+	if flagItem == nil || rolloutFlag == nil || service == nil {
+		return nil, defect.New(defect.InvalidConfig, key+" is gone")
+	}
+	variationIndex := func(version string) int { return max(0, slices.Index(rolloutFlag.Variations, version)) }
+	flagFields := map[string]any{}
+	if err := json.Unmarshal(flagItem.Body, &flagFields); err != nil {
+		return nil, defect.Wrap(err, defect.InvalidConfig, key)
+	}
+	if after.State == StateRolledBack {
+		flagFields["on"], flagFields["offVariation"] = false, variationIndex(service.Fallback)
 	} else {
-		rollout := map[string]any{}
-		if through, _ := body["fallthrough"].(map[string]any); through != nil {
-			if set, _ := through["rollout"].(map[string]any); set != nil {
-				rollout = set
+		rolloutFields := map[string]any{}
+		if fallthroughFields, _ := flagFields["fallthrough"].(map[string]any); fallthroughFields != nil {
+			if existing, _ := fallthroughFields["rollout"].(map[string]any); existing != nil {
+				rolloutFields = existing
 			}
 		}
-		rollout["variations"] = []map[string]int{{"variation": place(planned.Version), "weight": after.Weight}, {"variation": place(service.Fallback), "weight": 100000 - after.Weight}}
-		body["on"], body["fallthrough"] = true, map[string]any{"rollout": rollout}
+		rolloutFields["variations"] = []map[string]int{{"variation": variationIndex(plan.Version), "weight": after.Weight}, {"variation": variationIndex(service.Fallback), "weight": 100000 - after.Weight}}
+		flagFields["on"], flagFields["fallthrough"] = true, map[string]any{"rollout": rolloutFields}
 	}
-	flagBody, err := json.Marshal(body)
+	flagBody, err := json.Marshal(flagFields)
 	if err != nil {
 		return nil, defect.Wrap(err, defect.Internal, key)
 	}
 	progressBody, err := json.Marshal(after)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, planned.Name)
+		return nil, defect.Wrap(err, defect.Internal, plan.Name)
 	}
-	return []*schema.Item{{Kind: "flag", Name: key, Body: flagBody}, {Kind: "progress", Name: planned.Name, Body: progressBody}}, nil
+	return []*schema.Item{{Kind: "flag", Name: key, Body: flagBody}, {Kind: "progress", Name: plan.Name, Body: progressBody}}, nil
 }
 
-// Expected is what a step was made against: whatever somebody else wrote meanwhile makes it a
+// Preconditions is what a step was made against: whatever somebody else wrote meanwhile makes it a
 // conflict, and it is thought over again.
-func (s Step) Expected(state setup.State) []*schema.Expected {
-	var list []*schema.Expected
+func (s Step) Preconditions(state setup.State) []*schema.Expected {
+	var expected []*schema.Expected
 	for _, item := range s.Items {
-		if held := state[setup.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
-			list = append(list, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: held.Version.Sequence})
+		if current := state[setup.Key(item.Kind, item.Name)]; current != nil && !current.Deleted {
+			expected = append(expected, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: current.Version.Sequence})
 		}
 	}
-	return list
+	return expected
 }
 
 // Change is the step as a change, under an id of the holder's own.
-func (s Step) Change(seat string, born, serial uint64, state setup.State) *schema.Change {
-	return &schema.Change{Id: fmt.Sprintf("steer-%s-%x-%d-%s", seat, born, serial, s.Name), Items: s.Items, Expected: s.Expected(state)}
+func (s Step) Change(memberID string, incarnation, serial uint64, state setup.State) *schema.Change {
+	return &schema.Change{Id: fmt.Sprintf("steer-%s-%x-%d-%s", memberID, incarnation, serial, s.Name), Items: s.Items, Expected: s.Preconditions(state)}
 }
--- a/internal/release/order_test.go
+++ b/internal/release/order_test.go
@@ -9,98 +9,98 @@
 	"meadowhinge/schema"
 )
 
-// world is a state that steps are written to, as a store would.
-type world struct {
+// fakeStore is a state that steps are written to, as a store would.
+type fakeStore struct {
 	t        *testing.T
 	state    setup.State
 	sequence uint64
 }
 
-func (w *world) write(items ...*schema.Item) {
-	w.t.Helper()
-	w.sequence++
+func (s *fakeStore) write(items ...*schema.Item) {
+	s.t.Helper()
+	s.sequence++
 	for _, item := range items {
-		item.Version = &schema.Version{Epoch: 1, Sequence: w.sequence}
+		item.Version = &schema.Version{Epoch: 1, Sequence: s.sequence}
 	}
-	w.state = w.state.With(items)
-	if _, faults := setup.Compile(w.state, w.sequence); len(faults) > 0 {
-		w.t.Fatalf("step %d is refused: %v", w.sequence, faults)
+	s.state = s.state.With(items)
+	if _, faults := setup.Compile(s.state, s.sequence); len(faults) > 0 {
+		s.t.Fatalf("step %d is refused: %v", s.sequence, faults)
 	}
 }
 
-func (w *world) compiled() *setup.Setup {
-	compiled, _ := setup.Compile(w.state, w.sequence)
+func (s *fakeStore) compiled() *setup.Snapshot {
+	compiled, _ := setup.Compile(s.state, s.sequence)
 	return compiled
 }
 
-func (w *world) body(kind, name string, body any) *schema.Item {
-	text, err := json.Marshal(body)
+func (s *fakeStore) jsonItem(kind, name string, content any) *schema.Item {
+	encoded, err := json.Marshal(content)
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	return &schema.Item{Kind: kind, Name: name, Body: text}
+	return &schema.Item{Kind: kind, Name: name, Body: encoded}
 }
 
-func worldOf(t *testing.T) *world {
-	w := &world{t: t, state: setup.State{}}
-	w.write(&schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"versions":["1","2","3"],"fallback":"1","callers":["client"]}`)})
-	return w
+func newFakeStore(t *testing.T) *fakeStore {
+	store := &fakeStore{t: t, state: setup.State{}}
+	store.write(&schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"versions":["1","2","3"],"fallback":"1","callers":["client"]}`)})
+	return store
 }
 
-func (w *world) place(version string) *Step {
-	w.t.Helper()
-	step, err := Place(w.compiled(), w.state, Order{"shop", version, 12 * time.Second})
+func (s *fakeStore) planRollout(version string) *Step {
+	s.t.Helper()
+	step, err := PlanRollout(s.compiled(), s.state, RolloutOrder{"shop", version, 12 * time.Second})
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
 	if step != nil {
-		w.write(step.Items...)
+		s.write(step.Items...)
 	}
 	return step
 }
 
 // An order is one valid change; again it is none; after it was turned back it is stated anew; and
 // another version takes its place.
-func TestOrders(t *testing.T) {
-	w := worldOf(t)
-	if version, state := StateOf(w.compiled(), "shop"); version != "" || state != "" {
+func TestPlanRollout(t *testing.T) {
+	store := newFakeStore(t)
+	if version, state := RolloutState(store.compiled(), "shop"); version != "" || state != "" {
 		t.Errorf("before any order: %q %q", version, state)
 	}
-	if w.place("2") == nil {
+	if store.planRollout("2") == nil {
 		t.Fatal("the order needs no step")
 	}
-	if got := w.compiled().Flags.Flags["release.shop"].Reachable(); len(got) != 1 || got[0] != "1" {
+	if got := store.compiled().Flags.Flags["release.shop"].ReachableVariations(); len(got) != 1 || got[0] != "1" {
 		t.Errorf("calls before the first step may get %v", got)
 	}
-	if w.place("2") != nil {
+	if store.planRollout("2") != nil {
 		t.Error("an order under way is stated again")
 	}
-	stated := w.compiled().Releases["shop"].Sequence
-	w.write(w.body("progress", "shop", setup.Progress{Set: "shop 2", State: Back}))
-	if version, state := StateOf(w.compiled(), "shop"); version != "2" || state != Back {
+	firstRevision := store.compiled().Releases["shop"].Revision
+	store.write(store.jsonItem("progress", "shop", setup.Progress{PlanID: "shop 2", State: StateRolledBack}))
+	if version, state := RolloutState(store.compiled(), "shop"); version != "2" || state != StateRolledBack {
 		t.Errorf("turned back: %q %q", version, state)
 	}
-	if w.place("2") == nil {
+	if store.planRollout("2") == nil {
 		t.Error("what was turned back can't be ordered again")
 	}
-	if _, state := StateOf(w.compiled(), "shop"); state != Trial || w.compiled().Releases["shop"].Sequence == stated {
+	if _, state := RolloutState(store.compiled(), "shop"); state != StateCanary || store.compiled().Releases["shop"].Revision == firstRevision {
 		t.Errorf("ordered again: %s", state)
 	}
-	w.place("3")
-	if version, state := StateOf(w.compiled(), "shop"); version != "3" || state != Trial {
+	store.planRollout("3")
+	if version, state := RolloutState(store.compiled(), "shop"); version != "3" || state != StateCanary {
 		t.Errorf("another version ordered: %q %q", version, state)
 	}
 }
 
-func TestBadOrders(t *testing.T) {
-	w := worldOf(t)
-	for name, order := range map[string]Order{
+func TestPlanRolloutRejectsBadOrders(t *testing.T) {
+	store := newFakeStore(t)
+	for name, order := range map[string]RolloutOrder{
 		"no such service":    {"saves", "2", time.Second},
 		"a version unlisted": {"shop", "9", time.Second},
 		"no version":         {"shop", "", time.Second},
 		"no time":            {"shop", "2", 0},
 	} {
-		if step, err := Place(w.compiled(), w.state, order); err == nil {
+		if step, err := PlanRollout(store.compiled(), store.state, order); err == nil {
 			t.Errorf("%s: %v", name, step)
 		}
 	}
--- a/internal/release/suspicion.go
+++ b/internal/release/suspicion.go
@@ -8,184 +8,186 @@
 
 // Bounds of what a sound and a bad version are taken for, as parts of calls that end badly.
 const (
-	soundAtMost  = 0.06 // a sound version may fail so often while nothing of the old one's does
-	soundTimes   = 1.5  // and so many times as often as the old one
-	soundBeyond  = 0.03 // and this much beyond
-	badBeyond    = 0.2  // a bad one fails so much more often than a sound one may
-	badTimes     = 2
-	rateMost     = 0.95
-	slowSteps    = 4     // two doublings: as slow as this beyond the old version's median is as bad as a failure
-	medianFrom   = 20    // calls of the old version on a route, to know its median
-	recentKeeps  = 0.8   // part of what came of late that is kept from look to look
-	recentFrom   = 20    // calls of the old version of late, to know how it fares just now
-	alike        = 0.001 // how unlikely it must be that the old version, of late, fails as the new one does
-	wholeOfRoute = ""    // what stands for all routes together
+	healthyRateFloor    = 0.06 // a sound version may fail so often while nothing of the old one's does
+	healthyRateMultiple = 1.5  // and so many times as often as the old one
+	healthyRateMargin   = 0.03 // and this much beyond
+	badRateMargin       = 0.2  // a bad one fails so much more often than a sound one may
+	badRateMultiple     = 2
+	maxBadRate          = 0.95
+	slowBuckets         = 4     // two doublings: as slow as this beyond the old version's median is as bad as a failure
+	medianMinCalls      = 20    // calls of the old version on a route, to know its median
+	recentDecay         = 0.8   // part of what came of late that is kept from look to look
+	recentMinCalls      = 20    // calls of the old version of late, to know how it fares just now
+	maxAlikeProbability = 0.001 // how unlikely it must be that the old version, of late, fails as the new one does
+	allRoutes           = ""    // what stands for all routes together
 )
 
-// TimeSteps is into how many steps the time of a call falls.
-const TimeSteps = 32
+// LatencyBucketCount is into how many steps the time of a call falls.
+const LatencyBucketCount = 32
 
-// timeFirst is below the length, in bits, of the longest time that falls into the first step.
-const timeFirst = 10
+// firstBucketBits is below the length, in bits, of the longest time that falls into the first step.
+const firstBucketBits = 10
 
-// TimeStep is the step that a time falls into: two for each doubling, from a millisecond up.
-func TimeStep(took time.Duration) int {
-	micros := uint64(max(1, took.Microseconds()))
-	length := bits.Len64(micros)
-	if length <= timeFirst {
+// LatencyBucket is the step that a time falls into: two for each doubling, from a millisecond up.
+func LatencyBucket(latency time.Duration) int {
+	micros := uint64(max(1, latency.Microseconds()))
+	bitLength := bits.Len64(micros)
+	if bitLength <= firstBucketBits {
 		return 0
 	}
-	return min(TimeSteps-1, 2*(length-timeFirst)-1+int(micros>>(length-2)&1))
+	return min(LatencyBucketCount-1, 2*(bitLength-firstBucketBits)-1+int(micros>>(bitLength-2)&1))
 }
 
-// ended is calls that ended, and those of them that ended badly.
-type ended struct{ all, bad float64 }
+// outcomeCounts is calls that ended, and those of them that ended badly.
+type outcomeCounts struct{ total, bad float64 }
 
-func (e *ended) add(other ended) { e.all, e.bad = e.all+other.all, e.bad+other.bad }
+func (o *outcomeCounts) add(other outcomeCounts) {
+	o.total, o.bad = o.total+other.total, o.bad+other.bad
+}
 
-func (e ended) rate() float64 {
-	if e.all == 0 {
+func (o outcomeCounts) badRate() float64 {
+	if o.total == 0 {
 		return 0
 	}
-	return e.bad / e.all
+	return o.bad / o.total
 }
 
-// Suspicion weighs, call by call, how much likelier what was seen is of a bad version than of a
+// FailureEvidence weighs, call by call, how much likelier what was seen is of a bad version than of a
 // sound one. It never falls below nothing, so a version that turns bad late is found as soon as
 // one that always was; and it is kept by route, so that one bad route shows.
-type Suspicion struct {
-	routes map[string]*doubt
-	last   Evidence
+type FailureEvidence struct {
+	routes     map[string]*routeEvidence
+	lastCounts VersionCounts
 }
 
-// doubt is the suspicion on one route.
-type doubt struct {
-	sum      float64
-	balance  float64 // as the sum, but that it may fall: below nothing, the version is likelier sound
-	old, new ended   // of late
+// routeEvidence is the suspicion on one route.
+type routeEvidence struct {
+	cusum                float64
+	logOdds              float64       // as the sum, but that it may fall: below nothing, the version is likelier sound
+	recentOld, recentNew outcomeCounts // of late
 }
 
-// Balance is how much likelier it is, on the whole, that the version is bad than that it is sound,
+// LogOdds is how much likelier it is, on the whole, that the version is bad than that it is sound,
 // as a logarithm; a difference of two tells what was seen between.
-func (s *Suspicion) Balance() float64 {
-	if whole := s.routes[wholeOfRoute]; whole != nil {
-		return whole.balance
+func (e *FailureEvidence) LogOdds() float64 {
+	if overall := e.routes[allRoutes]; overall != nil {
+		return overall.logOdds
 	}
 	return 0
 }
 
-// limit is the first step of time that is too slow on a route, beyond all if it can't be known.
-func limit(usual Count) int {
-	seen, upTo := uint64(0), uint64(0)
-	for _, count := range usual.Times {
-		seen += count
+// slowBucket is the first step of time that is too slow on a route, beyond all if it can't be known.
+func slowBucket(baseline CallStats) int {
+	calls, cumulative := uint64(0), uint64(0)
+	for _, count := range baseline.LatencyBuckets {
+		calls += count
 	}
-	for step, count := range usual.Times {
-		if upTo += count; upTo*2 < seen || seen < medianFrom {
+	for bucket, count := range baseline.LatencyBuckets {
+		if cumulative += count; cumulative*2 < calls || calls < medianMinCalls {
 			continue
 		}
 		// Where the median lies high in its step, the steps beyond begin at less than so many times it.
-		if high := 2*upTo - seen; high < count {
-			step++
+		if high := 2*cumulative - calls; high < count {
+			bucket++
 		}
-		return step + slowSteps
+		return bucket + slowBuckets
 	}
-	return TimeSteps
+	return LatencyBucketCount
 }
 
-// endedOf is a count with what came too late among what ended badly.
-func endedOf(count Count, slowFrom int) ended {
-	bad := count.Failures
-	for step := slowFrom; step < TimeSteps; step++ {
-		bad += count.Times[step]
+// outcomesOf is a count with what came too late among what ended badly.
+func outcomesOf(stats CallStats, slowFrom int) outcomeCounts {
+	bad := stats.Failures
+	for bucket := slowFrom; bucket < LatencyBucketCount; bucket++ {
+		bad += stats.LatencyBuckets[bucket]
 	}
-	return ended{float64(count.Calls), float64(min(bad, count.Calls))}
+	return outcomeCounts{float64(stats.Calls), float64(min(bad, stats.Calls))}
 }
 
-// Look takes what came since the last look. It gives the strongest suspicion, 1 being certain,
+// Observe takes what came since the last look. It gives the strongest suspicion, 1 being certain,
 // and on what it rests. alone says that the old version is to have no calls any more.
-func (s *Suspicion) Look(options Options, evidence Evidence, alone bool) (strength float64, reason string) {
-	if s.routes == nil {
-		s.routes = map[string]*doubt{}
-	}
-	lately := evidence.Since(s.last)
-	s.last = evidence
-	var fresh, usual, recent ended
-	look := func(route string, fresh, usual, recent ended) *doubt {
-		if s.routes[route] == nil {
-			s.routes[route] = &doubt{}
+func (e *FailureEvidence) Observe(options Options, counts VersionCounts, allCalls bool) (strength float64, reason string) {
+	if e.routes == nil {
+		e.routes = map[string]*routeEvidence{}
+	}
+	sinceLast := counts.Since(e.lastCounts)
+	e.lastCounts = counts
+	var fresh, baseline, recent outcomeCounts
+	observeRoute := func(route string, fresh, baseline, recent outcomeCounts) *routeEvidence {
+		if e.routes[route] == nil {
+			e.routes[route] = &routeEvidence{}
 		}
-		s.routes[route].look(fresh, usual, recent)
-		return s.routes[route]
-	}
-	for route, count := range lately.New {
-		slowFrom := limit(evidence.Old[route])
-		now, ever, late := endedOf(count, slowFrom), endedOf(evidence.Old[route], slowFrom), endedOf(lately.Old[route], slowFrom)
-		look(route, now, ever, late)
-		fresh.add(now)
-		usual.add(ever)
-		recent.add(late)
-	}
-	whole := look(wholeOfRoute, fresh, usual, recent)
+		e.routes[route].observe(fresh, baseline, recent)
+		return e.routes[route]
+	}
+	for route, stats := range sinceLast.New {
+		slowFrom := slowBucket(counts.Old[route])
+		freshRoute, baselineRoute, recentRoute := outcomesOf(stats, slowFrom), outcomesOf(counts.Old[route], slowFrom), outcomesOf(sinceLast.Old[route], slowFrom)
+		observeRoute(route, freshRoute, baselineRoute, recentRoute)
+		fresh.add(freshRoute)
+		baseline.add(baselineRoute)
+		recent.add(recentRoute)
+	}
+	overall := observeRoute(allRoutes, fresh, baseline, recent)
 	// Where the old version hardly gets calls any more, only what it used to be can be known.
-	gone := alone || whole.old.all*hardly < whole.new.all
-	for route, held := range s.routes {
-		seen := held.old
-		if seen.all < 1 {
-			seen = whole.old
+	oldUnused := allCalls || overall.recentOld.total*sparseBaselineRatio < overall.recentNew.total
+	for route, perRoute := range e.routes {
+		oldOutcomes := perRoute.recentOld
+		if oldOutcomes.total < 1 {
+			oldOutcomes = overall.recentOld
 		}
 		// What the old version, of late, may do just as well is held against nobody. Both are taken
 		// over the same time, so that one trouble of all begins for both at once.
-		if one := held.sum / options.Sure; one > strength && (gone || atMost(seen, held.new.rate()) <= alike) {
-			strength, reason = one, "fails or is slow "+where(route)
+		if routeStrength := perRoute.cusum / options.RollbackLogOdds; routeStrength > strength && (oldUnused || binomialCDF(oldOutcomes, perRoute.recentNew.badRate()) <= maxAlikeProbability) {
+			strength, reason = routeStrength, "fails or is slow "+describeRoute(route)
 		}
 	}
 	return strength, reason
 }
 
-// look weighs fresh calls of the new version against what the old one is usually and of late.
-func (d *doubt) look(fresh, usual, recent ended) {
-	d.old = ended{recentKeeps*d.old.all + recent.all, recentKeeps*d.old.bad + recent.bad}
-	d.new = ended{recentKeeps*d.new.all + fresh.all, recentKeeps*d.new.bad + fresh.bad}
-	rate := usual.rate()
-	if d.old.all >= recentFrom {
-		rate = max(rate, d.old.rate())
-	}
-	sound := min(0.5, max(soundAtMost, soundTimes*rate+soundBeyond))
-	bad := min(rateMost, max(sound+badBeyond, badTimes*sound))
-	weight := fresh.bad*math.Log(bad/sound) + (fresh.all-fresh.bad)*math.Log((1-bad)/(1-sound))
-	d.sum, d.balance = max(0, d.sum+weight), d.balance+weight
+// observe weighs fresh calls of the new version against what the old one is usually and of late.
+func (e *routeEvidence) observe(fresh, baseline, recent outcomeCounts) {
+	e.recentOld = outcomeCounts{recentDecay*e.recentOld.total + recent.total, recentDecay*e.recentOld.bad + recent.bad}
+	e.recentNew = outcomeCounts{recentDecay*e.recentNew.total + fresh.total, recentDecay*e.recentNew.bad + fresh.bad}
+	rate := baseline.badRate()
+	if e.recentOld.total >= recentMinCalls {
+		rate = max(rate, e.recentOld.badRate())
+	}
+	healthyRate := min(0.5, max(healthyRateFloor, healthyRateMultiple*rate+healthyRateMargin))
+	badRate := min(maxBadRate, max(healthyRate+badRateMargin, badRateMultiple*healthyRate))
+	logLikelihoodRatio := fresh.bad*math.Log(badRate/healthyRate) + (fresh.total-fresh.bad)*math.Log((1-badRate)/(1-healthyRate))
+	e.cusum, e.logOdds = max(0, e.cusum+logLikelihoodRatio), e.logOdds+logLikelihoodRatio
 }
 
-// atMost is how likely no more than so many of calls end badly, if each does at a rate.
-func atMost(seen ended, rate float64) float64 {
+// binomialCDF is how likely no more than so many of calls end badly, if each does at a rate.
+func binomialCDF(outcomes outcomeCounts, rate float64) float64 {
 	if rate <= 0 {
 		return 1
 	}
-	if rate = min(rate, rateMost); seen.all < 1 {
+	if rate = min(rate, maxBadRate); outcomes.total < 1 {
 		return 1
 	}
 	// The binomial's terms, one from the other.
-	all, sum := math.Round(seen.all), 0.0
-	term := all * math.Log(1-rate)
-	for count := 0.0; count <= math.Round(seen.bad); count++ {
-		sum += math.Exp(term)
-		term += math.Log((all-count)/(count+1)) + math.Log(rate/(1-rate))
+	calls, probability := math.Round(outcomes.total), 0.0
+	logTerm := calls * math.Log(1-rate)
+	for count := 0.0; count <= math.Round(outcomes.bad); count++ {
+		probability += math.Exp(logTerm)
+		logTerm += math.Log((calls-count)/(count+1)) + math.Log(rate/(1-rate))
 	}
-	return sum
+	return probability
 }
 
-func where(route string) string {
-	if route == wholeOfRoute {
+func describeRoute(route string) string {
+	if route == allRoutes {
 		return "on the whole"
 	}
 	return "on route " + route
 }
 
-// underWay is how many calls were so on average while so much time passed.
-func underWay(count Count, passed time.Duration) float64 {
-	if passed <= 0 {
+// meanInFlight is how many calls were so on average while so much time passed.
+func meanInFlight(stats CallStats, window time.Duration) float64 {
+	if window <= 0 {
 		return 0
 	}
-	return float64(count.Spent) / float64(passed)
+	return float64(stats.TotalLatency) / float64(window)
 }
--- a/internal/release/term_test.go
+++ b/internal/release/term_test.go
@@ -9,315 +9,315 @@
 	"meadowhinge/schema"
 )
 
-var termOptions = func() Options {
+var deadlineOptions = func() Options {
 	options := Defaults
-	options.TrialShare, options.BadShare, options.BadMargin = 8, 0.1, 50
+	options.CanaryPercent, options.MaxBadFraction, options.BadCallsMargin = 8, 0.1, 50
 	return options
 }()
 
-// termWorld is a world whose shop leaves its versions out, steered by a duty that can be replaced.
-type termWorld struct {
-	*world
-	duty    *Duty
-	now     time.Duration
-	seen    map[uint64]time.Duration // when each sequence came
-	applied uint64                   // by every proxy; 0 for the newest
-	works   map[[2]string]*schema.Work
-	workers map[[2]string]Pool
+// deadlineHarness is a world whose shop leaves its versions out, steered by a duty that can be replaced.
+type deadlineHarness struct {
+	*fakeStore
+	controller      *Controller
+	now             time.Duration
+	firstSeenAt     map[uint64]time.Duration // when each sequence came
+	appliedRevision uint64                   // by every proxy; 0 for the newest
+	workCounts      map[[2]string]*schema.Work
+	workers         map[[2]string]WorkerPool
 }
 
-func termWorldOf(t *testing.T) *termWorld {
-	w := &termWorld{world: &world{t: t, state: setup.State{}}, seen: map[uint64]time.Duration{}, works: map[[2]string]*schema.Work{},
-		workers: map[[2]string]Pool{{"shop", "1"}: {Workers: 3, Slots: 54}}}
-	w.hold("a")
-	w.write(&schema.Item{Kind: "service", Name: "shop", Body: []byte(`{}`)})
-	w.look()
-	return w
+func newDeadlineHarness(t *testing.T) *deadlineHarness {
+	h := &deadlineHarness{fakeStore: &fakeStore{t: t, state: setup.State{}}, firstSeenAt: map[uint64]time.Duration{}, workCounts: map[[2]string]*schema.Work{},
+		workers: map[[2]string]WorkerPool{{"shop", "1"}: {Workers: 3, Slots: 54}}}
+	h.takeControl("a")
+	h.write(&schema.Item{Kind: "service", Name: "shop", Body: []byte(`{}`)})
+	h.reconcile()
+	return h
 }
 
-// hold lets a registry that has just started take the duty.
-func (w *termWorld) hold(seat string) {
-	w.duty = NewDuty(termOptions, seat, 500*time.Millisecond)
-	w.seen = map[uint64]time.Duration{}
+// takeControl lets a registry that has just started take the duty.
+func (h *deadlineHarness) takeControl(memberID string) {
+	h.controller = NewController(deadlineOptions, memberID, 500*time.Millisecond)
+	h.firstSeenAt = map[uint64]time.Duration{}
 }
 
-// work counts calls that ended at a version's workers.
-func (w *termWorld) work(version string, calls, failures uint64, took time.Duration, open uint32) {
+// recordCalls counts calls that ended at a version's workers.
+func (h *deadlineHarness) recordCalls(version string, calls, failures uint64, latency time.Duration, open uint32) {
 	key := [2]string{version, "buy"}
-	if w.works[key] == nil {
-		w.works[key] = &schema.Work{Service: "shop", Version: version, Route: "buy", Times: make([]uint32, TimeSteps), Plan: w.compiled().Stated("shop", version)}
+	if h.workCounts[key] == nil {
+		h.workCounts[key] = &schema.Work{Service: "shop", Version: version, Route: "buy", Times: make([]uint32, LatencyBucketCount), Plan: h.compiled().VersionRevision("shop", version)}
 	}
-	line := w.works[key]
-	line.Calls, line.Failures, line.Nanos, line.Open = line.Calls+calls, line.Failures+failures, line.Nanos+calls*uint64(took), open
-	line.Times[TimeStep(took)] += uint32(calls - failures)
+	work := h.workCounts[key]
+	work.Calls, work.Failures, work.Nanos, work.Open = work.Calls+calls, work.Failures+failures, work.Nanos+calls*uint64(latency), open
+	work.Times[LatencyBucket(latency)] += uint32(calls - failures)
 }
 
-// look lets the duty look once and writes its steps.
-func (w *termWorld) look() {
-	w.t.Helper()
-	if w.seen[w.sequence] == 0 {
-		for sequence := uint64(1); sequence <= w.sequence; sequence++ {
-			if w.seen[sequence] == 0 {
-				w.seen[sequence] = w.now
+// reconcile lets the duty look once and writes its steps.
+func (h *deadlineHarness) reconcile() {
+	h.t.Helper()
+	if h.firstSeenAt[h.sequence] == 0 {
+		for sequence := uint64(1); sequence <= h.sequence; sequence++ {
+			if h.firstSeenAt[sequence] == 0 {
+				h.firstSeenAt[sequence] = h.now
 			}
 		}
 	}
-	source := &schema.SourceCounts{Proxy: "p", Incarnation: 1, Applied: w.applied}
-	if w.applied == 0 {
-		source.Applied = w.sequence
+	source := &schema.SourceCounts{Proxy: "p", Incarnation: 1, Applied: h.appliedRevision}
+	if h.appliedRevision == 0 {
+		source.Applied = h.sequence
 	}
-	for _, line := range w.works {
-		source.Works = append(source.Works, line)
+	for _, work := range h.workCounts {
+		source.Works = append(source.Works, work)
 	}
-	steps, err := w.duty.Look(w.now, w.compiled(), w.state, Sight{Counts: []*schema.SourceCounts{source}, Heard: 1, Workers: w.workers,
-		Known: func(sequence uint64) time.Duration { return w.now - w.seen[sequence] }})
+	steps, err := h.controller.Reconcile(h.now, h.compiled(), h.state, FleetObservation{Counts: []*schema.SourceCounts{source}, HeardFraction: 1, Workers: h.workers,
+		KnownFor: func(sequence uint64) time.Duration { return h.now - h.firstSeenAt[sequence] }})
 	if err != nil {
-		w.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	for _, step := range steps {
-		w.write(step.Items...)
+		h.write(step.Items...)
 	}
 }
 
-// run lets time pass, with so many calls a second that go by the flag's share.
-func (w *termWorld) run(span time.Duration, rate int, new func() (failures uint64, took time.Duration)) {
-	w.t.Helper()
-	const turn = 125 * time.Millisecond
-	for end := w.now + span; w.now < end; {
-		w.now += turn
-		calls := float64(rate) * turn.Seconds()
+// runFor lets time pass, with so many calls a second that go by the flag's share.
+func (h *deadlineHarness) runFor(span time.Duration, rate int, newOutcome func() (failures uint64, latency time.Duration)) {
+	h.t.Helper()
+	const interval = 125 * time.Millisecond
+	for end := h.now + span; h.now < end; {
+		h.now += interval
+		calls := float64(rate) * interval.Seconds()
 		share, from, to := 0.0, "1", "2"
-		if progress := w.progress(); progress.State != "" {
-			from, to = progress.From, w.compiled().Releases["shop"].Version
-			if running(progress.State) {
-				share = progress.Share / 100
+		if progress := h.progress(); progress.State != "" {
+			from, to = progress.PreviousVersion, h.compiled().Releases["shop"].Version
+			if inProgress(progress.State) {
+				share = progress.Percentage / 100
 			}
 		}
-		w.work(from, uint64(calls*(1-share)), 0, 20*time.Millisecond, 0)
+		h.recordCalls(from, uint64(calls*(1-share)), 0, 20*time.Millisecond, 0)
 		if fresh := uint64(calls * share); fresh > 0 {
-			failures, took := uint64(0), 20*time.Millisecond
-			if new != nil {
-				failures, took = new()
+			failures, latency := uint64(0), 20*time.Millisecond
+			if newOutcome != nil {
+				failures, latency = newOutcome()
 			}
-			w.work(to, fresh, min(fresh, failures), took, 0)
+			h.recordCalls(to, fresh, min(fresh, failures), latency, 0)
 		}
-		w.look()
+		h.reconcile()
 	}
 }
 
-func (w *termWorld) progress() setup.Progress {
-	if progress := w.compiled().Progress["shop"]; progress != nil {
+func (h *deadlineHarness) progress() setup.Progress {
+	if progress := h.compiled().Progress["shop"]; progress != nil {
 		return *progress
 	}
 	return setup.Progress{}
 }
 
-func (w *termWorld) order(version string, over time.Duration) {
-	w.t.Helper()
-	step, err := Place(w.compiled(), w.state, Order{"shop", version, over})
+func (h *deadlineHarness) orderRollout(version string, over time.Duration) {
+	h.t.Helper()
+	step, err := PlanRollout(h.compiled(), h.state, RolloutOrder{"shop", version, over})
 	if err != nil || step == nil {
-		w.t.Fatal(step, err)
+		h.t.Fatal(step, err)
 	}
-	w.write(step.Items...)
-	w.workers[[2]string{"shop", version}] = Pool{Workers: 3, Slots: 54}
+	h.write(step.Items...)
+	h.workers[[2]string{"shop", version}] = WorkerPool{Workers: 3, Slots: 54}
 }
 
 // What workers tell first stands as the fallback, with a flag that gives it; another version that
 // comes without an order does not.
 func TestStanding(t *testing.T) {
-	w := termWorldOf(t)
-	compiled := w.compiled()
-	if compiled.FallbackOf("shop") != "1" || compiled.Flags.Flags["release.shop"] == nil || len(compiled.Guards["shop"]) != 0 {
-		t.Fatalf("stands %v", compiled.Standing["shop"])
+	h := newDeadlineHarness(t)
+	compiled := h.compiled()
+	if compiled.FallbackOf("shop") != "1" || compiled.Flags.Flags["release.shop"] == nil || len(compiled.GuardedVersions["shop"]) != 0 {
+		t.Fatalf("stands %v", compiled.DiscoveredVersions["shop"])
 	}
-	w.workers[[2]string{"shop", "2"}] = Pool{Workers: 9}
-	at := w.sequence
-	w.look()
-	if w.sequence != at || w.compiled().Services["shop"].Allows("2") {
+	h.workers[[2]string{"shop", "2"}] = WorkerPool{Workers: 9}
+	sequence := h.sequence
+	h.reconcile()
+	if h.sequence != sequence || h.compiled().Services["shop"].AllowsVersion("2") {
 		t.Error("a version that nobody ordered is taken in")
 	}
 }
 
 // A good version stays on trial, gets half, then all, takes the old one's place and is done before
 // the term; a second order, and one for the version before, go the same way.
-func TestGoodByItsTerm(t *testing.T) {
-	w := termWorldOf(t)
+func TestHealthyByDeadline(t *testing.T) {
+	h := newDeadlineHarness(t)
 	for i, version := range []string{"2", "1"} {
-		w.order(version, 12*time.Second)
+		h.orderRollout(version, 12*time.Second)
 		states := ""
-		for w.progress().State != Done {
-			w.run(125*time.Millisecond, 400, nil)
-			if one := fmt.Sprintf("%s ", w.progress().State); len(states) < len(one) || states[len(states)-len(one):] != one {
-				states += one
+		for h.progress().State != StateDone {
+			h.runFor(125*time.Millisecond, 400, nil)
+			if state := fmt.Sprintf("%s ", h.progress().State); len(states) < len(state) || states[len(states)-len(state):] != state {
+				states += state
 			}
-			if elapsed := time.Duration(w.progress().Elapsed); elapsed > 11*time.Second {
-				t.Fatalf("still %v at %v", w.progress(), elapsed)
+			if elapsed := time.Duration(h.progress().Elapsed); elapsed > 11*time.Second {
+				t.Fatalf("still %v at %v", h.progress(), elapsed)
 			}
-			if trial := w.progress(); trial.State == Trial && trial.Share > 8 {
-				t.Fatalf("on trial with %v %%", trial.Share)
+			if canary := h.progress(); canary.State == StateCanary && canary.Percentage > 8 {
+				t.Fatalf("on trial with %v %%", canary.Percentage)
 			}
 		}
 		if want := "trial ramp settle done "; states != want {
 			t.Errorf("order %d went %q", i, states)
 		}
-		compiled := w.compiled()
-		if compiled.FallbackOf("shop") != version || len(compiled.Services["shop"].Versions) != 1 || len(compiled.Guards["shop"]) != 0 {
-			t.Errorf("after order %d there stands %v", i, compiled.Standing["shop"])
+		compiled := h.compiled()
+		if compiled.FallbackOf("shop") != version || len(compiled.Services["shop"].Versions) != 1 || len(compiled.GuardedVersions["shop"]) != 0 {
+			t.Errorf("after order %d there stands %v", i, compiled.DiscoveredVersions["shop"])
 		}
-		if told, state := StateOf(compiled, "shop"); told != version || state != Done || Due(compiled, w.workers) {
-			t.Errorf("order %d: %s %s", i, told, state)
+		if ordered, state := RolloutState(compiled, "shop"); ordered != version || state != StateDone || NeedsControl(compiled, h.workers) {
+			t.Errorf("order %d: %s %s", i, ordered, state)
 		}
-		w.works = map[[2]string]*schema.Work{}
-		w.hold("a")
+		h.workCounts = map[[2]string]*schema.Work{}
+		h.takeControl("a")
 	}
 }
 
-// underLoad lets a version fail so many of each four dozen calls, but only once it has all of a
+// runFailingUnderLoad lets a version fail so many of each four dozen calls, but only once it has all of a
 // service's calls, and tells how its plan stands and how many calls it came to.
-func underLoad(t *testing.T, failing uint64) (stands setup.Progress, calls, most uint64) {
+func runFailingUnderLoad(t *testing.T, failingPerStep uint64) (final setup.Progress, calls, maxCalls uint64) {
 	const rate, over = 250, 14 * time.Second
-	w := termWorldOf(t)
-	w.work("1", 4000, 8, 20*time.Millisecond, 0)
-	w.order("2", over)
+	h := newDeadlineHarness(t)
+	h.recordCalls("1", 4000, 8, 20*time.Millisecond, 0)
+	h.orderRollout("2", over)
 	ticks := 0
-	for time.Duration(w.progress().Elapsed) < over && w.progress().State != Done && w.progress().State != Back {
-		w.run(125*time.Millisecond, rate, func() (uint64, time.Duration) {
-			if ticks++; w.progress().Share < 100 || ticks%4 != 0 && failing < 12 {
+	for time.Duration(h.progress().Elapsed) < over && h.progress().State != StateDone && h.progress().State != StateRolledBack {
+		h.runFor(125*time.Millisecond, rate, func() (uint64, time.Duration) {
+			if ticks++; h.progress().Percentage < 100 || ticks%4 != 0 && failingPerStep < 12 {
 				return 0, 20 * time.Millisecond
 			}
-			return failing, 20 * time.Millisecond
+			return failingPerStep, 20 * time.Millisecond
 		})
-		if proves := w.compiled().Proving("shop", "2"); proves != (w.progress().State == Ramp) {
-			t.Fatalf("at %v it is told to prove itself: %t", w.progress(), proves)
+		if proving := h.compiled().RampingByDeadline("shop", "2"); proving != (h.progress().State == StateRamping) {
+			t.Fatalf("at %v it is told to prove itself: %t", h.progress(), proving)
 		}
 	}
-	for key, line := range w.works {
+	for key, work := range h.workCounts {
 		if key[0] == "2" {
-			calls += line.Calls
+			calls += work.Calls
 		}
 	}
-	return w.progress(), calls, uint64(0.1*rate*over.Seconds()) + 50
+	return h.progress(), calls, uint64(0.1*rate*over.Seconds()) + 50
 }
 
 // A version that fails only under load, and then only one call in twenty-five, shows that with all
 // calls alone. It must not come to more than its part of all calls, and must not take over.
 func TestBadUnderLoadKeepsTheBound(t *testing.T) {
-	if stands, calls, most := underLoad(t, 5); stands.State != Back || calls > most {
-		t.Errorf("the plan stands at %v after %d calls, of which %d are allowed", stands, calls, most)
+	if final, calls, maxCalls := runFailingUnderLoad(t, 5); final.State != StateRolledBack || calls > maxCalls {
+		t.Errorf("the plan stands at %v after %d calls, of which %d are allowed", final, calls, maxCalls)
 	}
 }
 
 // One that fails two calls in five once its workers are full, as they are where calls are packed,
 // keeps the bound.
 func TestBadOnFullWorkersKeepsTheBound(t *testing.T) {
-	if stands, calls, most := underLoad(t, 12); stands.State != Back || calls > most {
-		t.Errorf("the plan stands at %v after %d calls, of which %d are allowed", stands, calls, most)
+	if final, calls, maxCalls := runFailingUnderLoad(t, 12); final.State != StateRolledBack || calls > maxCalls {
+		t.Errorf("the plan stands at %v after %d calls, of which %d are allowed", final, calls, maxCalls)
 	}
 }
 
 // The old workers may end at once when the plan is done, so it is not before every proxy goes by
 // the last step and nothing is under way there.
 func TestDoneWaitsForTheLastCalls(t *testing.T) {
-	w := termWorldOf(t)
-	w.order("2", 12*time.Second)
-	for w.progress().State != Settle {
-		w.run(125*time.Millisecond, 400, nil)
+	h := newDeadlineHarness(t)
+	h.orderRollout("2", 12*time.Second)
+	for h.progress().State != StateDraining {
+		h.runFor(125*time.Millisecond, 400, nil)
 	}
-	w.work("1", 0, 0, 0, 2)
+	h.recordCalls("1", 0, 0, 0, 2)
 	for range 6 {
-		w.now += 125 * time.Millisecond
-		w.look()
+		h.now += 125 * time.Millisecond
+		h.reconcile()
 	}
-	if w.progress().State != Settle {
-		t.Errorf("%s with calls under way", w.progress().State)
+	if h.progress().State != StateDraining {
+		t.Errorf("%s with calls under way", h.progress().State)
 	}
-	w.work("1", 0, 0, 0, 0)
-	w.applied = 1
-	w.now += 125 * time.Millisecond
-	if w.look(); w.progress().State != Settle {
-		t.Errorf("%s with a proxy behind", w.progress().State)
+	h.recordCalls("1", 0, 0, 0, 0)
+	h.appliedRevision = 1
+	h.now += 125 * time.Millisecond
+	if h.reconcile(); h.progress().State != StateDraining {
+		t.Errorf("%s with a proxy behind", h.progress().State)
 	}
-	w.applied = 0
-	w.now += 125 * time.Millisecond
-	if w.look(); w.progress().State != Done {
-		t.Errorf("%s with nothing to wait for", w.progress().State)
+	h.appliedRevision = 0
+	h.now += 125 * time.Millisecond
+	if h.reconcile(); h.progress().State != StateDone {
+		t.Errorf("%s with nothing to wait for", h.progress().State)
 	}
 }
 
 // What is bad is turned back whenever it shows, also when it has taken the old one's place already,
 // and may be ordered again.
-func TestBadByItsTerm(t *testing.T) {
-	for state, bad := range map[string]func() (uint64, time.Duration){
-		Trial:  func() (uint64, time.Duration) { return 1, 20 * time.Millisecond },
-		Ramp:   func() (uint64, time.Duration) { return 9, 20 * time.Millisecond },
-		Settle: func() (uint64, time.Duration) { return 0, 160 * time.Millisecond },
+func TestFailingByDeadline(t *testing.T) {
+	for state, badOutcome := range map[string]func() (uint64, time.Duration){
+		StateCanary:   func() (uint64, time.Duration) { return 1, 20 * time.Millisecond },
+		StateRamping:  func() (uint64, time.Duration) { return 9, 20 * time.Millisecond },
+		StateDraining: func() (uint64, time.Duration) { return 0, 160 * time.Millisecond },
 	} {
-		w := termWorldOf(t)
-		w.order("2", 12*time.Second)
-		for w.progress().State != state {
-			w.run(125*time.Millisecond, 400, nil)
+		h := newDeadlineHarness(t)
+		h.orderRollout("2", 12*time.Second)
+		for h.progress().State != state {
+			h.runFor(125*time.Millisecond, 400, nil)
 		}
-		w.run(2*time.Second, 400, bad)
-		compiled := w.compiled()
-		if progress := w.progress(); progress.State != Back || compiled.FallbackOf("shop") != "1" || compiled.Flags.Flags["release.shop"].On {
-			t.Errorf("bad from %s: %v, standing %v", state, progress, compiled.Standing["shop"])
+		h.runFor(2*time.Second, 400, badOutcome)
+		compiled := h.compiled()
+		if progress := h.progress(); progress.State != StateRolledBack || compiled.FallbackOf("shop") != "1" || compiled.Flags.Flags["release.shop"].On {
+			t.Errorf("bad from %s: %v, standing %v", state, progress, compiled.DiscoveredVersions["shop"])
 		}
-		if _, told := StateOf(compiled, "shop"); told != Back || Due(compiled, w.workers) {
-			t.Errorf("bad from %s: told %s", state, told)
+		if _, reported := RolloutState(compiled, "shop"); reported != StateRolledBack || NeedsControl(compiled, h.workers) {
+			t.Errorf("bad from %s: told %s", state, reported)
 		}
-		w.order("2", 12*time.Second)
-		if w.look(); w.progress().State != Trial {
-			t.Errorf("ordered again: %v", w.progress())
+		h.orderRollout("2", 12*time.Second)
+		if h.reconcile(); h.progress().State != StateCanary {
+			t.Errorf("ordered again: %v", h.progress())
 		}
 	}
 }
 
 // A registry that takes the duty over goes on from what was written, one that knew the order from
 // that too; what was seen of a version before does not begin anew.
-func TestTakingOverByTheTerm(t *testing.T) {
-	w := termWorldOf(t)
-	w.order("2", 12*time.Second)
-	w.run(6*time.Second, 400, nil)
-	before := w.progress()
-	w.hold("b")
-	w.run(500*time.Millisecond, 400, nil)
-	if after := time.Duration(w.progress().Elapsed); after < time.Duration(before.Elapsed) {
+func TestTakeoverByDeadline(t *testing.T) {
+	h := newDeadlineHarness(t)
+	h.orderRollout("2", 12*time.Second)
+	h.runFor(6*time.Second, 400, nil)
+	before := h.progress()
+	h.takeControl("b")
+	h.runFor(500*time.Millisecond, 400, nil)
+	if after := time.Duration(h.progress().Elapsed); after < time.Duration(before.Elapsed) {
 		t.Errorf("at %v after %v", after, time.Duration(before.Elapsed))
 	}
-	w.run(5500*time.Millisecond, 400, nil)
-	if progress := w.progress(); progress.State != Done || progress.Holder != "b" {
+	h.runFor(5500*time.Millisecond, 400, nil)
+	if progress := h.progress(); progress.State != StateDone || progress.Controller != "b" {
 		t.Errorf("%+v", progress)
 	}
 }
 
 // What can't carry all calls, or was hardly seen, does not get them.
-func TestTermNeedsRoomAndEvidence(t *testing.T) {
-	w := termWorldOf(t)
-	w.order("2", 12*time.Second)
-	w.workers[[2]string{"shop", "2"}] = Pool{Workers: 1, Slots: 4}
-	w.run(11*time.Second, 400, nil)
-	if progress := w.progress(); progress.State != Trial {
+func TestDeadlinePlanNeedsCapacityAndEvidence(t *testing.T) {
+	h := newDeadlineHarness(t)
+	h.orderRollout("2", 12*time.Second)
+	h.workers[[2]string{"shop", "2"}] = WorkerPool{Workers: 1, Slots: 4}
+	h.runFor(11*time.Second, 400, nil)
+	if progress := h.progress(); progress.State != StateCanary {
 		t.Errorf("too small: %v", progress)
 	}
-	w = termWorldOf(t)
-	w.order("2", 12*time.Second)
-	w.run(11*time.Second, 4, nil)
-	if progress := w.progress(); progress.State != Trial {
+	h = newDeadlineHarness(t)
+	h.orderRollout("2", 12*time.Second)
+	h.runFor(11*time.Second, 4, nil)
+	if progress := h.progress(); progress.State != StateCanary {
 		t.Errorf("not seen: %v", progress)
 	}
 }
 
 // What a version gets that shows with all calls only that it is bad stays within the bound, over
 // plans and rates.
-func TestTrialShareKeepsTheBound(t *testing.T) {
-	turn := 500 * time.Millisecond
-	for _, over := range []time.Duration{12 * time.Second, 16 * time.Second, 60 * time.Second} {
+func TestCanaryPercentKeepsTheBound(t *testing.T) {
+	interval := 500 * time.Millisecond
+	for _, planDuration := range []time.Duration{12 * time.Second, 16 * time.Second, 60 * time.Second} {
 		for _, rate := range []float64{20, 100, 223, 460, 900} {
-			share := termOptions.trialShare(over, Term{Rate: rate, Turn: turn})
-			trial := share / 100 * rate * termOptions.FinishAt * over.Seconds()
-			moved := rate * turn.Seconds() * backTurns * (probeShare/100.0 + 1)
-			if bound := termOptions.BadShare*rate*over.Seconds() + termOptions.BadMargin; trial+moved > bound*1.15 {
-				t.Errorf("%v at %g a second: %.1f %%, %.0f calls of %.0f", over, rate, share, trial+moved, bound)
+			percent := deadlineOptions.canaryPercent(planDuration, DeadlineInputs{CallsPerSecond: rate, MinStepInterval: interval})
+			canaryCalls := percent / 100 * rate * deadlineOptions.CanaryEndFraction * planDuration.Seconds()
+			movedCalls := rate * interval.Seconds() * rollbackIntervals * (intermediatePercent/100.0 + 1)
+			if bound := deadlineOptions.MaxBadFraction*rate*planDuration.Seconds() + deadlineOptions.BadCallsMargin; canaryCalls+movedCalls > bound*1.15 {
+				t.Errorf("%v at %g a second: %.1f %%, %.0f calls of %.0f", planDuration, rate, percent, canaryCalls+movedCalls, bound)
 			}
 		}
 	}
--- a/internal/ring/ring_test.go
+++ b/internal/ring/ring_test.go
@@ -11,19 +11,19 @@
 )
 
 // The ring keeps its last lines, stays silent while all is well, and is written out with an error.
-func TestRing(t *testing.T) {
+func TestRecorder(t *testing.T) {
 	folder := t.TempDir()
-	kept := New(folder, "proxy", 5)
-	still := time.Unix(1000, 0)
-	kept.now = func() time.Time { return still }
-	log := kept.Logger()
+	recorder := New(folder, "proxy", 5)
+	fixedTime := time.Unix(1000, 0)
+	recorder.now = func() time.Time { return fixedTime }
+	log := recorder.Logger()
 	for i := range 12 {
 		log.V(1).Info("event", "number", i)
 	}
 	if files, _ := os.ReadDir(folder); len(files) > 0 {
 		t.Error("written out though nothing went wrong")
 	}
-	if lines := kept.Lines(); len(lines) != 5 || !strings.Contains(lines[0], `"number"=7`) || !strings.Contains(lines[4], `"number"=11`) {
+	if lines := recorder.Lines(); len(lines) != 5 || !strings.Contains(lines[0], `"number"=7`) || !strings.Contains(lines[4], `"number"=11`) {
 		t.Errorf("kept %q", lines)
 	}
 	log.Error(errors.New("it broke"), "failed")
@@ -38,7 +38,7 @@
 	if text, _ := os.ReadFile(filepath.Join(folder, "proxy.log")); strings.Contains(string(text), "again") {
 		t.Error("each error of a storm was written out")
 	}
-	if err := kept.Dump(true); err != nil {
+	if err := recorder.Dump(true); err != nil {
 		t.Error(err)
 	}
 	if text, _ := os.ReadFile(filepath.Join(folder, "proxy.log")); !strings.Contains(string(text), "again 2") {
