--- a/internal/session/claim.go
+++ b/internal/session/claim.go
@@ -8,105 +8,107 @@
 	"meadowhinge/schema"
 )
 
-// claimParts is the part of a lease in which a round of claiming must be through.
-const claimParts = 8
+// reservationRoundDivisor is the part of a lease in which a round of claiming must be through.
+const reservationRoundDivisor = 8
 
-// ClaimBound is how long answers to one round of claiming count. A registry that restarts
+// ReservationRoundTimeout is how long answers to one round of claiming count. A registry that restarts
 // reads the others only after it, so that no round straddles its two lives.
-func ClaimBound(lease time.Duration) time.Duration { return lease / claimParts }
+func ReservationRoundTimeout(lease time.Duration) time.Duration {
+	return lease / reservationRoundDivisor
+}
 
-// ClaimVerdict is what came of a claim.
-type ClaimVerdict int
+// ReservationOutcome is what came of a claim.
+type ReservationOutcome int
 
 // The verdicts.
 const (
-	ClaimOpen   ClaimVerdict = iota // not known yet
-	ClaimWon                        // the key is this request's, at a majority
-	ClaimHeld                       // another request has it, or may have it
-	ClaimReused                     // it was claimed with another body
-	ClaimFull                       // no majority has room
-	ClaimLost                       // no majority answered
+	ReservationPending    ReservationOutcome = iota // not known yet
+	ReservationGranted                              // the key is this request's, at a majority
+	ReservationConflict                             // another request has it, or may have it
+	ReservationKeyReused                            // it was claimed with another body
+	ReservationNoCapacity                           // no majority has room
+	ReservationNoMajority                           // no majority answered
 )
 
-// Claiming gathers the answers to one claim. It is won by a majority that answered in time;
+// ReservationRound gathers the answers to one claim. It is won by a majority that answered in time;
 // it is over as soon as that can no longer be.
-type Claiming struct {
-	claim    *schema.Claim
-	asked    time.Duration
-	bound    time.Duration
-	seats    int
-	answered map[string]schema.Ruled
-	taken    int
-	full     int
-	Holder   *schema.Claim // a claim of another request, if one was met
+type ReservationRound struct {
+	reservation *schema.Claim
+	startedAt   time.Duration
+	timeout     time.Duration
+	memberCount int
+	answers     map[string]schema.Ruled
+	grants      int
+	rejections  int
+	Conflicting *schema.Claim // a claim of another request, if one was met
 }
 
-// NewClaiming begins a round.
-func NewClaiming(claim *schema.Claim, seats int, asked, bound time.Duration) *Claiming {
-	return &Claiming{claim: claim, asked: asked, bound: bound, seats: seats, answered: map[string]schema.Ruled{}}
+// NewReservationRound begins a round.
+func NewReservationRound(reservation *schema.Claim, memberCount int, startedAt, timeout time.Duration) *ReservationRound {
+	return &ReservationRound{reservation: reservation, startedAt: startedAt, timeout: timeout, memberCount: memberCount, answers: map[string]schema.Ruled{}}
 }
 
-// Take notes one seat's answer; nil says that it gave none.
-func (c *Claiming) Take(now time.Duration, seat string, claimed *schema.Claimed) {
-	if _, known := c.answered[seat]; known {
+// Record notes one seat's answer; nil says that it gave none.
+func (r *ReservationRound) Record(now time.Duration, memberID string, response *schema.Claimed) {
+	if _, answered := r.answers[memberID]; answered {
 		return
 	}
-	ruled := claimed.GetRuled()
+	ruling := response.GetRuled()
 	// A grant that comes late may be of a life that ended since.
-	if ruled == schema.Ruled_RULED_TAKEN && now-c.asked > c.bound {
-		ruled = schema.Ruled_RULED_UNCOUNTED
+	if ruling == schema.Ruled_RULED_TAKEN && now-r.startedAt > r.timeout {
+		ruling = schema.Ruled_RULED_UNCOUNTED
 	}
-	c.answered[seat] = ruled
-	switch ruled {
+	r.answers[memberID] = ruling
+	switch ruling {
 	case schema.Ruled_RULED_TAKEN:
-		c.taken++
+		r.grants++
 	case schema.Ruled_RULED_FULL:
-		c.full++
+		r.rejections++
 	case schema.Ruled_RULED_HELD:
-		c.Holder = claimed.Held
+		r.Conflicting = response.Held
 	}
 }
 
-// ClaimAnswer is one registry's word; Seat is empty if it gave none.
-type ClaimAnswer struct {
-	Seat    string
-	Claimed *schema.Claimed
+// ReservationAnswer is one registry's word; Seat is empty if it gave none.
+type ReservationAnswer struct {
+	MemberID string
+	Response *schema.Claimed
 }
 
-// Gather takes as many answers as were asked for, until the round is over.
-func (c *Claiming) Gather(ctx context.Context, asked int, answers <-chan ClaimAnswer, now func() time.Duration) (ClaimVerdict, *schema.Claim) {
-	for ; ; asked-- {
-		if verdict := c.Verdict(asked == 0); verdict != ClaimOpen {
-			return verdict, c.Holder
+// AwaitOutcome takes as many answers as were asked for, until the round is over.
+func (r *ReservationRound) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer, now func() time.Duration) (ReservationOutcome, *schema.Claim) {
+	for ; ; outstanding-- {
+		if outcome := r.Outcome(outstanding == 0); outcome != ReservationPending {
+			return outcome, r.Conflicting
 		}
 		select {
 		case answer := <-answers:
-			if answer.Seat != "" {
-				c.Take(now(), answer.Seat, answer.Claimed)
+			if answer.MemberID != "" {
+				r.Record(now(), answer.MemberID, answer.Response)
 			}
 		case <-ctx.Done():
-			return c.Verdict(true), c.Holder
+			return r.Outcome(true), r.Conflicting
 		}
 	}
 }
 
-// Verdict tells how the round stands; ended says that no more answers will come.
-func (c *Claiming) Verdict(ended bool) ClaimVerdict {
-	majority := c.seats/2 + 1
-	if c.seats > 0 && c.taken >= majority {
-		return ClaimWon
+// Outcome tells how the round stands; ended says that no more answers will come.
+func (r *ReservationRound) Outcome(complete bool) ReservationOutcome {
+	majority := r.memberCount/2 + 1
+	if r.memberCount > 0 && r.grants >= majority {
+		return ReservationGranted
 	}
-	left := c.seats - len(c.answered)
-	if !ended && (c.seats == 0 || c.taken+left >= majority) {
-		return ClaimOpen
+	unanswered := r.memberCount - len(r.answers)
+	if !complete && (r.memberCount == 0 || r.grants+unanswered >= majority) {
+		return ReservationPending
 	}
 	switch {
-	case c.Holder != nil && !bytes.Equal(c.Holder.Body, c.claim.Body):
-		return ClaimReused
-	case c.Holder != nil:
-		return ClaimHeld
-	case c.full > 0:
-		return ClaimFull
+	case r.Conflicting != nil && !bytes.Equal(r.Conflicting.Body, r.reservation.Body):
+		return ReservationKeyReused
+	case r.Conflicting != nil:
+		return ReservationConflict
+	case r.rejections > 0:
+		return ReservationNoCapacity
 	}
-	return ClaimLost
+	return ReservationNoMajority
 }
--- a/internal/session/fleet.go
+++ b/internal/session/fleet.go
@@ -2,32 +2,34 @@
 
 import "time"
 
-// fleetMemory is how many leases a larger fleet is remembered for.
-const fleetMemory = 16
+// fleetMemoryLeases is how many leases a larger fleet is remembered for.
+const fleetMemoryLeases = 16
 
-// Fleet tells among how many proxies what is allowed to the whole fleet is shared out. It
+// FleetSize tells among how many proxies what is allowed to the whole fleet is shared out. It
 // errs to the large side: a registry cut off from the others sees only its own proxies, and
 // were each to take a part of so few, they would together take too much.
-type Fleet struct {
-	lease    time.Duration
-	most     int64 // reckoned with until the fleet is known
-	now      int64 // the largest number told in this period
-	before   int64 // and in the one before
-	turnedAt time.Duration
+type FleetSize struct {
+	lease           time.Duration
+	initial         int64 // reckoned with until the fleet is known
+	currentMax      int64 // the largest number told in this period
+	previousMax     int64 // and in the one before
+	periodStartedAt time.Duration
 }
 
-// NewFleet reckons with most until a lease has passed.
-func NewFleet(most int64, lease time.Duration) *Fleet { return &Fleet{lease: lease, most: most} }
+// NewFleetSize reckons with most until a lease has passed.
+func NewFleetSize(initial int64, lease time.Duration) *FleetSize {
+	return &FleetSize{lease: lease, initial: initial}
+}
 
-// Note takes a number that a registry told and gives the one to reckon with.
-func (f *Fleet) Note(now time.Duration, members int64) int64 {
-	if now-f.turnedAt > fleetMemory*f.lease {
-		f.before, f.now, f.turnedAt = f.now, 0, now
+// Observe takes a number that a registry told and gives the one to reckon with.
+func (f *FleetSize) Observe(now time.Duration, proxies int64) int64 {
+	if now-f.periodStartedAt > fleetMemoryLeases*f.lease {
+		f.previousMax, f.currentMax, f.periodStartedAt = f.currentMax, 0, now
 	}
-	f.now = max(f.now, members)
+	f.currentMax = max(f.currentMax, proxies)
 	// Right after a start the registries have not heard of everyone yet.
 	if now < f.lease {
-		return f.most
+		return f.initial
 	}
-	return max(1, f.now, f.before)
+	return max(1, f.currentMax, f.previousMax)
 }
--- a/internal/session/fleet_test.go
+++ b/internal/session/fleet_test.go
@@ -6,12 +6,12 @@
 )
 
 // A fleet that seems to shrink is reckoned with at its old size for a while, never a smaller one.
-func TestFleetErrsToTheLargeSide(t *testing.T) {
+func TestFleetSizeErrsToTheLargeSide(t *testing.T) {
 	const lease = 8 * time.Second
-	fleet := NewFleet(64, lease)
-	for _, one := range []struct {
-		at         time.Duration
-		told, want int64
+	fleet := NewFleetSize(64, lease)
+	for _, test := range []struct {
+		at             time.Duration
+		reported, want int64
 	}{
 		{0, 1, 64},           // just started
 		{lease, 15, 15},      // known
@@ -23,8 +23,8 @@
 		{200 * lease, 0, 5},  // nobody told
 		{400 * lease, 0, 1},  // nor for long
 	} {
-		if got := fleet.Note(one.at, one.told); got != one.want {
-			t.Errorf("at %v told %d: %d, want %d", one.at, one.told, got, one.want)
+		if got := fleet.Observe(test.at, test.reported); got != test.want {
+			t.Errorf("at %v told %d: %d, want %d", test.at, test.reported, got, test.want)
 		}
 	}
 }
--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// slackParts is the part of a lease given away for clocks that run at different speeds.
-const slackParts = 50
+// clockDriftDivisor is the part of a lease given away for clocks that run at different speeds.
+const clockDriftDivisor = 50
 
 // Lease tells whether a proxy may decide calls. A grant counts from when it was asked for.
 type Lease struct {
-	length time.Duration
-	seats  int
-	asked  map[string]time.Duration
+	usableDuration time.Duration
+	memberCount    int
+	requestedAt    map[string]time.Duration
 }
 
 // NewLease makes a lease that needs a majority of the core's seats.
 func NewLease(length time.Duration) *Lease {
-	return &Lease{length: length - length/slackParts, asked: map[string]time.Duration{}}
+	return &Lease{usableDuration: length - length/clockDriftDivisor, requestedAt: map[string]time.Duration{}}
 }
 
-// Granted notes that one of a number of seats granted what was asked for at a time.
-func (l *Lease) Granted(seat string, seats int, askedAt time.Duration) {
-	l.seats = max(l.seats, seats)
-	if held, known := l.asked[seat]; !known || askedAt > held {
-		l.asked[seat] = askedAt
+// RecordGrant notes that one of a number of seats granted what was asked for at a time.
+func (l *Lease) RecordGrant(memberID string, memberCount int, requestedAt time.Duration) {
+	l.memberCount = max(l.memberCount, memberCount)
+	if latest, recorded := l.requestedAt[memberID]; !recorded || requestedAt > latest {
+		l.requestedAt[memberID] = requestedAt
 	}
 }
 
-// Until is when the lease runs out; 0 if it never stood.
-func (l *Lease) Until() time.Duration {
-	times := make([]time.Duration, 0, len(l.asked))
-	for _, at := range l.asked {
-		times = append(times, at)
+// ExpiresAt is when the lease runs out; 0 if it never stood.
+func (l *Lease) ExpiresAt() time.Duration {
+	requestTimes := make([]time.Duration, 0, len(l.requestedAt))
+	for _, requestedAt := range l.requestedAt {
+		requestTimes = append(requestTimes, requestedAt)
 	}
-	majority := l.seats/2 + 1
-	if l.seats == 0 || len(times) < majority {
+	majority := l.memberCount/2 + 1
+	if l.memberCount == 0 || len(requestTimes) < majority {
 		return 0
 	}
 	// The majority-th latest grant is the one that ends the lease.
-	sort.Slice(times, func(i, j int) bool { return times[i] > times[j] })
-	return times[majority-1] + l.length
+	sort.Slice(requestTimes, func(i, j int) bool { return requestTimes[i] > requestTimes[j] })
+	return requestTimes[majority-1] + l.usableDuration
 }
 
-// Stands tells whether the lease holds at a time.
-func (l *Lease) Stands(now time.Duration) bool { return now < l.Until() }
+// IsValid tells whether the lease holds at a time.
+func (l *Lease) IsValid(now time.Duration) bool { return now < l.ExpiresAt() }
--- a/internal/session/tie.go
+++ b/internal/session/tie.go
@@ -9,339 +9,339 @@
 	"meadowhinge/schema"
 )
 
-// TieOptions are whose tie it is and the times it goes by.
-type TieOptions struct {
-	Name    string        // of this proxy: proxies spread over the registries by it
-	Area    string        // its zone: a registry there is taken first
-	Beat    time.Duration // how often a registry says something at the least
-	Silence time.Duration // a registry silent for so long is left
-	Lag     time.Duration // and one whose setup may be so old
-	Back    time.Duration // how long one that failed or lagged is not tried again while another does
+// SelectorOptions are whose tie it is and the times it goes by.
+type SelectorOptions struct {
+	ProxyName         string        // of this proxy: proxies spread over the registries by it
+	Zone              string        // its zone: a registry there is taken first
+	HeartbeatInterval time.Duration // how often a registry says something at the least
+	HeartbeatTimeout  time.Duration // a registry silent for so long is left
+	MaxStaleness      time.Duration // and one whose setup may be so old
+	FailureCooldown   time.Duration // how long one that failed or lagged is not tried again while another does
 }
 
-// TieAct opens or ends a session with the registry at an address.
-type TieAct struct {
-	Open    bool
-	Trial   bool // beside the session that counts, which stays until this one is heard and is better
-	Address string
-	Why     string
+// Action opens or ends a session with the registry at an address.
+type Action struct {
+	Open      bool
+	Candidate bool // beside the session that counts, which stays until this one is heard and is better
+	Address   string
+	Reason    string
 }
 
-// Tie is with which registry a proxy has its session: one of its own zone if it can, and another
+// RegistrySelector is with which registry a proxy has its session: one of its own zone if it can, and another
 // as long as that one is silent, gone, or cut off from the core. A new session is opened before
 // the old one is ended, unless that one is dead. It is a step function of what is heard and when.
-type Tie struct {
-	options TieOptions
-	seeds   []string
-	places  map[string]*place
-	known   bool          // the registries told who they are
-	current string        // the session that counts, empty for none
-	opening string        // one that was opened to take its place
-	due     time.Duration // when Tick was to be called at the latest; 0 for not said
-	fit     bool          // some registry was in touch with the core, once
-	grace   time.Duration // until when nobody is taken to be silent or to lag, after a stall of this process
+type RegistrySelector struct {
+	options       SelectorOptions
+	seeds         []string
+	endpoints     map[string]*registryEndpoint
+	membersKnown  bool          // the registries told who they are
+	current       string        // the session that counts, empty for none
+	candidate     string        // one that was opened to take its place
+	nextTickAt    time.Duration // when Tick was to be called at the latest; 0 for not said
+	foundUpToDate bool          // some registry was in touch with the core, once
+	graceUntil    time.Duration // until when nobody is taken to be silent or to lag, after a stall of this process
 }
 
-// place is an address where a registry is, or may be.
-type place struct {
-	address  string
-	area     string
-	listed   bool // by the registries themselves
-	open     bool
-	begun    time.Duration
-	heard    bool
-	heardAt  time.Duration // in this session
-	failed   bool
-	failedAt time.Duration
-	lagged   bool
-	laggedAt time.Duration
-	aged     bool          // it told how old its setup may be
-	freshAt  time.Duration // of what time its setup is known to be the newest
+// registryEndpoint is an address where a registry is, or may be.
+type registryEndpoint struct {
+	address           string
+	zone              string
+	advertised        bool // by the registries themselves
+	sessionOpen       bool
+	openedAt          time.Duration
+	heartbeatReceived bool
+	lastHeartbeatAt   time.Duration // in this session
+	failed            bool
+	failedAt          time.Duration
+	stale             bool
+	staleAt           time.Duration
+	stalenessReported bool          // it told how old its setup may be
+	freshAsOf         time.Duration // of what time its setup is known to be the newest
 }
 
-// NewTie starts from addresses that were given.
-func NewTie(options TieOptions, seeds []string) *Tie {
-	t := &Tie{options: options, places: map[string]*place{}}
-	t.Seeds(seeds)
-	return t
+// NewRegistrySelector starts from addresses that were given.
+func NewRegistrySelector(options SelectorOptions, seeds []string) *RegistrySelector {
+	s := &RegistrySelector{options: options, endpoints: map[string]*registryEndpoint{}}
+	s.SetSeeds(seeds)
+	return s
 }
 
-// Seeds takes other addresses to start from. Sessions that are open stay.
-func (t *Tie) Seeds(seeds []string) {
-	t.seeds = seeds
+// SetSeeds takes other addresses to start from. Sessions that are open stay.
+func (s *RegistrySelector) SetSeeds(seeds []string) {
+	s.seeds = seeds
 	for _, address := range seeds {
-		t.at(address)
+		s.ensureEndpoint(address)
 	}
 }
 
-func (t *Tie) at(address string) *place {
-	held := t.places[address]
-	if held == nil {
-		held = &place{address: address}
-		t.places[address] = held
+func (s *RegistrySelector) ensureEndpoint(address string) *registryEndpoint {
+	endpoint := s.endpoints[address]
+	if endpoint == nil {
+		endpoint = &registryEndpoint{address: address}
+		s.endpoints[address] = endpoint
 	}
-	return held
+	return endpoint
 }
 
-// Cores takes where the registries say that they are.
-func (t *Tie) Cores(cores []*schema.Core) {
-	if len(cores) == 0 {
+// SetCoreMembers takes where the registries say that they are.
+func (s *RegistrySelector) SetCoreMembers(members []*schema.Core) {
+	if len(members) == 0 {
 		return
 	}
-	t.known = true
-	for _, held := range t.places {
-		held.listed = false
+	s.membersKnown = true
+	for _, endpoint := range s.endpoints {
+		endpoint.advertised = false
 	}
-	for _, core := range cores {
-		if core.Address != "" {
-			held := t.at(core.Address)
-			held.listed, held.area = true, core.Area
+	for _, member := range members {
+		if member.Address != "" {
+			endpoint := s.ensureEndpoint(member.Address)
+			endpoint.advertised, endpoint.zone = true, member.Area
 		}
 	}
-	for address, held := range t.places {
-		if !held.listed && !held.open && !slices.Contains(t.seeds, address) {
-			delete(t.places, address)
+	for address, endpoint := range s.endpoints {
+		if !endpoint.advertised && !endpoint.sessionOpen && !slices.Contains(s.seeds, address) {
+			delete(s.endpoints, address)
 		}
 	}
 }
 
 // Current is the address of the session that counts, empty for none.
-func (t *Tie) Current() string { return t.current }
+func (s *RegistrySelector) Current() string { return s.current }
 
-// stallParts is the part of a beat by which a call that is late shows that this process stalled.
-const stallParts = 2
+// stallDivisor is the part of a beat by which a call that is late shows that this process stalled.
+const stallDivisor = 2
 
-// wake finds out whether this process was stalled: what came meanwhile has not been looked at
+// detectStall finds out whether this process was stalled: what came meanwhile has not been looked at
 // yet, so its own silence must not be taken for that of registries.
-func (t *Tie) wake(now time.Duration) {
-	if late := now - t.due; t.due > 0 && late > t.options.Beat/stallParts {
-		for _, held := range t.places {
-			held.begun, held.heardAt = held.begun+late, held.heardAt+late
+func (s *RegistrySelector) detectStall(now time.Duration) {
+	if late := now - s.nextTickAt; s.nextTickAt > 0 && late > s.options.HeartbeatInterval/stallDivisor {
+		for _, endpoint := range s.endpoints {
+			endpoint.openedAt, endpoint.lastHeartbeatAt = endpoint.openedAt+late, endpoint.lastHeartbeatAt+late
 		}
-		t.grace = now + t.options.Beat
+		s.graceUntil = now + s.options.HeartbeatInterval
 	}
-	t.due = 0
+	s.nextTickAt = 0
 }
 
-// Heard takes a sign of life in a session, and how old the registry's setup may be.
-func (t *Tie) Heard(now time.Duration, address string, vouched bool, age time.Duration) []TieAct {
-	t.wake(now)
-	held := t.places[address]
-	if held == nil || !held.open {
-		return t.Tick(now)
+// RecordHeartbeat takes a sign of life in a session, and how old the registry's setup may be.
+func (s *RegistrySelector) RecordHeartbeat(now time.Duration, address string, stalenessReported bool, staleness time.Duration) []Action {
+	s.detectStall(now)
+	endpoint := s.endpoints[address]
+	if endpoint == nil || !endpoint.sessionOpen {
+		return s.Tick(now)
 	}
-	held.heard, held.heardAt, held.aged, held.freshAt, held.failed = true, now, vouched, now-age, false
-	if held.lagged = t.lags(now, held); held.lagged {
-		held.laggedAt = now
+	endpoint.heartbeatReceived, endpoint.lastHeartbeatAt, endpoint.stalenessReported, endpoint.freshAsOf, endpoint.failed = true, now, stalenessReported, now-staleness, false
+	if endpoint.stale = s.isStale(now, endpoint); endpoint.stale {
+		endpoint.staleAt = now
 	}
-	t.fit = t.fit || !held.lagged
-	return t.Tick(now)
+	s.foundUpToDate = s.foundUpToDate || !endpoint.stale
+	return s.Tick(now)
 }
 
-// Ended takes the end of a session, or that it could not be opened.
-func (t *Tie) Ended(now time.Duration, address string) []TieAct {
-	t.wake(now)
-	if held := t.places[address]; held != nil && held.open {
-		t.fail(now, held)
+// RecordSessionEnd takes the end of a session, or that it could not be opened.
+func (s *RegistrySelector) RecordSessionEnd(now time.Duration, address string) []Action {
+	s.detectStall(now)
+	if endpoint := s.endpoints[address]; endpoint != nil && endpoint.sessionOpen {
+		s.markFailed(now, endpoint)
 	}
-	return t.Tick(now)
+	return s.Tick(now)
 }
 
-func (t *Tie) fail(now time.Duration, held *place) {
-	held.open, held.heard, held.failed, held.failedAt = false, false, true, now
-	if t.current == held.address {
-		t.current = ""
+func (s *RegistrySelector) markFailed(now time.Duration, endpoint *registryEndpoint) {
+	endpoint.sessionOpen, endpoint.heartbeatReceived, endpoint.failed, endpoint.failedAt = false, false, true, now
+	if s.current == endpoint.address {
+		s.current = ""
 	}
-	if t.opening == held.address {
-		t.opening = ""
+	if s.candidate == endpoint.address {
+		s.candidate = ""
 	}
 }
 
-// lags tells whether a registry's setup may be too old.
-func (t *Tie) lags(now time.Duration, held *place) bool {
-	return now >= t.grace && (!held.aged || now-held.freshAt > t.options.Lag)
+// isStale tells whether a registry's setup may be too old.
+func (s *RegistrySelector) isStale(now time.Duration, endpoint *registryEndpoint) bool {
+	return now >= s.graceUntil && (!endpoint.stalenessReported || now-endpoint.freshAsOf > s.options.MaxStaleness)
 }
 
-// suspectTimes is how many beats may be missed before another registry is tried beside a silent one.
-const suspectTimes = 1.5
+// suspectAfterHeartbeats is how many beats may be missed before another registry is tried beside a silent one.
+const suspectAfterHeartbeats = 1.5
 
-// lastHeard is when a session gave its last sign of life, or began.
-func (held *place) lastHeard() time.Duration {
-	if held.heard {
-		return held.heardAt
+// lastActivityAt is when a session gave its last sign of life, or began.
+func (e *registryEndpoint) lastActivityAt() time.Duration {
+	if e.heartbeatReceived {
+		return e.lastHeartbeatAt
 	}
-	return held.begun
+	return e.openedAt
 }
 
-// triedAt is when a registry was last found wanting.
-func (held *place) triedAt() time.Duration { return max(held.failedAt, held.laggedAt) }
+// lastFailureAt is when a registry was last found wanting.
+func (e *registryEndpoint) lastFailureAt() time.Duration { return max(e.failedAt, e.staleAt) }
 
 // Ratios to a beat, of how long one that lagged is not tried again, if all do.
 const (
-	laggedBeats = 2
-	firstParts  = 4 // as long as none was found that does not
+	staleRetryHeartbeats = 2
+	initialRetryDivisor  = 4 // as long as none was found that does not
 )
 
-// laggedPause is that time. A proxy that has just started holds nothing that it could go on by,
+// staleRetryInterval is that time. A proxy that has just started holds nothing that it could go on by,
 // and where the core started with it, the registries find the core again one by one.
-func (t *Tie) laggedPause() time.Duration {
-	if t.fit {
-		return laggedBeats * t.options.Beat
+func (s *RegistrySelector) staleRetryInterval() time.Duration {
+	if s.foundUpToDate {
+		return staleRetryHeartbeats * s.options.HeartbeatInterval
 	}
-	return t.options.Beat / firstParts
+	return s.options.HeartbeatInterval / initialRetryDivisor
 }
 
 // Classes of registries, the better ones first.
 const (
-	classSound    = iota
-	classAway     // in another zone
-	classDoubtful // failed or lagged not long ago: tried again only if there is nothing better than a lagging one
-	classLagging  // not in touch with the core, or silent for a moment
-	classFailed   // just now
+	classHealthy   = iota
+	classOtherZone // in another zone
+	classSuspect   // failed or lagged not long ago: tried again only if there is nothing better than a lagging one
+	classDegraded  // not in touch with the core, or silent for a moment
+	classFailed    // just now
 )
 
 // class tells how good a registry is, as far as it is known.
-func (t *Tie) class(now time.Duration, held *place) int {
-	recent := func(at time.Duration) bool { return now-at < t.options.Back }
-	failed, lagged := !held.open && held.failed, !held.open && held.lagged
-	silent := now >= t.grace && held.open && now-held.lastHeard() > time.Duration(suspectTimes*float64(t.options.Beat))
+func (s *RegistrySelector) class(now time.Duration, endpoint *registryEndpoint) int {
+	withinCooldown := func(at time.Duration) bool { return now-at < s.options.FailureCooldown }
+	failed, stale := !endpoint.sessionOpen && endpoint.failed, !endpoint.sessionOpen && endpoint.stale
+	unresponsive := now >= s.graceUntil && endpoint.sessionOpen && now-endpoint.lastActivityAt() > time.Duration(suspectAfterHeartbeats*float64(s.options.HeartbeatInterval))
 	switch {
-	case failed && now-held.failedAt < t.options.Beat:
+	case failed && now-endpoint.failedAt < s.options.HeartbeatInterval:
 		return classFailed
-	case silent, held.open && held.heard && t.lags(now, held), lagged && now-held.laggedAt < t.laggedPause():
-		return classLagging
-	case failed && recent(held.failedAt), lagged && recent(held.laggedAt), !held.open && !held.listed && t.known:
-		return classDoubtful
-	case held.area != "" && t.options.Area != "" && held.area != t.options.Area:
-		return classAway
+	case unresponsive, endpoint.sessionOpen && endpoint.heartbeatReceived && s.isStale(now, endpoint), stale && now-endpoint.staleAt < s.staleRetryInterval():
+		return classDegraded
+	case failed && withinCooldown(endpoint.failedAt), stale && withinCooldown(endpoint.staleAt), !endpoint.sessionOpen && !endpoint.advertised && s.membersKnown:
+		return classSuspect
+	case endpoint.zone != "" && s.options.Zone != "" && endpoint.zone != s.options.Zone:
+		return classOtherZone
 	}
-	return classSound
+	return classHealthy
 }
 
-// spread puts registries of one class in an order of this proxy's own.
-func (t *Tie) spread(address string) uint64 {
-	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(t.options.Name + " " + address))
-	return sum.Sum64()
+// affinityHash puts registries of one class in an order of this proxy's own.
+func (s *RegistrySelector) affinityHash(address string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(s.options.ProxyName + " " + address))
+	return hash.Sum64()
 }
 
-// best is the registry to have a session with.
-func (t *Tie) best(now time.Duration) *place {
-	var places []*place
-	for address, held := range t.places {
+// bestEndpoint is the registry to have a session with.
+func (s *RegistrySelector) bestEndpoint(now time.Duration) *registryEndpoint {
+	var endpoints []*registryEndpoint
+	for address, endpoint := range s.endpoints {
 		// Addresses that were given matter until the registries say where they are, and again,
 		// as the class has it, when none of those can be reached.
-		if held.listed || !t.known || slices.Contains(t.seeds, address) {
-			places = append(places, held)
+		if endpoint.advertised || !s.membersKnown || slices.Contains(s.seeds, address) {
+			endpoints = append(endpoints, endpoint)
 		}
 	}
-	slices.SortFunc(places, func(a, b *place) int {
-		first, second := t.class(now, a), t.class(now, b)
+	slices.SortFunc(endpoints, func(a, b *registryEndpoint) int {
+		classA, classB := s.class(now, a), s.class(now, b)
 		switch {
-		case first != second:
-			return first - second
-		case (first == classFailed || first == classDoubtful) && a.triedAt() != b.triedAt():
-			return int(a.triedAt() - b.triedAt())
-		case a.address == t.current || b.address == t.current:
-			if a.address == t.current {
+		case classA != classB:
+			return classA - classB
+		case (classA == classFailed || classA == classSuspect) && a.lastFailureAt() != b.lastFailureAt():
+			return int(a.lastFailureAt() - b.lastFailureAt())
+		case a.address == s.current || b.address == s.current:
+			if a.address == s.current {
 				return -1
 			}
 			return 1
 		}
-		if one, other := t.spread(a.address), t.spread(b.address); one != other {
-			if one < other {
+		if hashA, hashB := s.affinityHash(a.address), s.affinityHash(b.address); hashA != hashB {
+			if hashA < hashB {
 				return -1
 			}
 			return 1
 		}
 		return strings.Compare(a.address, b.address)
 	})
-	if len(places) == 0 {
+	if len(endpoints) == 0 {
 		return nil
 	}
-	return places[0]
+	return endpoints[0]
 }
 
 // Tick looks at the sessions and tells what to do.
-func (t *Tie) Tick(now time.Duration) []TieAct {
-	t.wake(now)
-	var acts []TieAct
-	for _, address := range t.sorted() {
-		if held := t.places[address]; held.open && now >= t.grace && now-held.lastHeard() >= t.options.Silence {
-			t.fail(now, held)
-			acts = append(acts, TieAct{Address: address, Why: "silent"})
+func (s *RegistrySelector) Tick(now time.Duration) []Action {
+	s.detectStall(now)
+	var actions []Action
+	for _, address := range s.sortedAddresses() {
+		if endpoint := s.endpoints[address]; endpoint.sessionOpen && now >= s.graceUntil && now-endpoint.lastActivityAt() >= s.options.HeartbeatTimeout {
+			s.markFailed(now, endpoint)
+			actions = append(actions, Action{Address: address, Reason: "silent"})
 		}
 	}
 	// What was opened to take a session's place takes it once it is heard and is the better one.
-	if held := t.places[t.opening]; held != nil && held.heard {
-		if current := t.places[t.current]; current == nil || t.class(now, held) < t.class(now, current) {
+	if endpoint := s.endpoints[s.candidate]; endpoint != nil && endpoint.heartbeatReceived {
+		if current := s.endpoints[s.current]; current == nil || s.class(now, endpoint) < s.class(now, current) {
 			if current != nil {
-				current.open, current.heard = false, false
-				acts = append(acts, TieAct{Address: t.current, Why: "another is better"})
+				current.sessionOpen, current.heartbeatReceived = false, false
+				actions = append(actions, Action{Address: s.current, Reason: "another is better"})
 			}
-			t.current, t.opening = held.address, ""
+			s.current, s.candidate = endpoint.address, ""
 		} else {
-			held.open, held.heard = false, false
-			acts = append(acts, TieAct{Address: held.address, Why: "it is no better"})
-			t.opening = ""
+			endpoint.sessionOpen, endpoint.heartbeatReceived = false, false
+			actions = append(actions, Action{Address: endpoint.address, Reason: "it is no better"})
+			s.candidate = ""
 		}
 	}
-	if t.opening != "" {
-		return acts
+	if s.candidate != "" {
+		return actions
 	}
-	best, current := t.best(now), t.places[t.current]
+	best, current := s.bestEndpoint(now), s.endpoints[s.current]
 	switch {
 	case best == nil, best == current:
-		return acts
+		return actions
 	// Each is tried again after a while, so that not all are called over and over when none answers.
-	case current == nil && best.failed && now-best.failedAt < t.options.Beat:
-		return acts
-	case current != nil && t.class(now, best) >= t.class(now, current):
-		return acts
+	case current == nil && best.failed && now-best.failedAt < s.options.HeartbeatInterval:
+		return actions
+	case current != nil && s.class(now, best) >= s.class(now, current):
+		return actions
 	}
-	best.open, best.begun, best.heard = true, now, false
-	t.opening = best.address
-	why := "none"
+	best.sessionOpen, best.openedAt, best.heartbeatReceived = true, now, false
+	s.candidate = best.address
+	reason := "none"
 	if current != nil {
-		why = classNames[t.class(now, current)]
+		reason = classNames[s.class(now, current)]
 	}
-	return append(acts, TieAct{Open: true, Trial: current != nil, Address: best.address, Why: why})
+	return append(actions, Action{Open: true, Candidate: current != nil, Address: best.address, Reason: reason})
 }
 
-var classNames = map[int]string{classSound: "sound", classAway: "in another zone", classLagging: "lags", classDoubtful: "failed before", classFailed: "failed"}
+var classNames = map[int]string{classHealthy: "sound", classOtherZone: "in another zone", classDegraded: "lags", classSuspect: "failed before", classFailed: "failed"}
 
-func (t *Tie) sorted() []string {
-	addresses := make([]string, 0, len(t.places))
-	for address := range t.places {
+func (s *RegistrySelector) sortedAddresses() []string {
+	addresses := make([]string, 0, len(s.endpoints))
+	for address := range s.endpoints {
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
 	return addresses
 }
 
-// Next is when Tick must be called at the latest, if nothing is heard before.
-func (t *Tie) Next(now time.Duration) time.Duration {
-	next := now + t.options.Silence
-	for _, held := range t.places {
-		if !held.open {
+// NextTick is when Tick must be called at the latest, if nothing is heard before.
+func (s *RegistrySelector) NextTick(now time.Duration) time.Duration {
+	next := now + s.options.HeartbeatTimeout
+	for _, endpoint := range s.endpoints {
+		if !endpoint.sessionOpen {
 			continue
 		}
-		for _, at := range []time.Duration{held.lastHeard() + time.Duration(suspectTimes*float64(t.options.Beat)) + 1, held.lastHeard() + t.options.Silence, held.freshAt + t.options.Lag + 1} {
-			if at > now {
-				next = min(next, at)
+		for _, deadline := range []time.Duration{endpoint.lastActivityAt() + time.Duration(suspectAfterHeartbeats*float64(s.options.HeartbeatInterval)) + 1, endpoint.lastActivityAt() + s.options.HeartbeatTimeout, endpoint.freshAsOf + s.options.MaxStaleness + 1} {
+			if deadline > now {
+				next = min(next, deadline)
 			}
 		}
 	}
-	if t.grace > now {
-		next = min(next, t.grace)
+	if s.graceUntil > now {
+		next = min(next, s.graceUntil)
 	}
 	switch {
-	case t.opening != "":
-	case !t.fit:
-		next = min(next, now+t.laggedPause())
-	case t.current == "":
-		next = min(next, now+t.options.Beat)
+	case s.candidate != "":
+	case !s.foundUpToDate:
+		next = min(next, now+s.staleRetryInterval())
+	case s.current == "":
+		next = min(next, now+s.options.HeartbeatInterval)
 	}
-	t.due = next
+	s.nextTickAt = next
 	return next
 }
--- a/internal/setup/compile.go
+++ b/internal/setup/compile.go
@@ -16,205 +16,211 @@
 	"meadowhinge/schema"
 )
 
-// adder takes a fault at its path.
-type adder func(path, format string, values ...any)
+// faultReporter takes a fault at its path.
+type faultReporter func(path, format string, values ...any)
 
-// part is an item as decoded, with what is wrong with it by itself. It never changes once made,
+// decodedItem is an item as decoded, with what is wrong with it by itself. It never changes once made,
 // so setups share it.
-type part struct {
+type decodedItem struct {
 	item   *schema.Item
 	value  any // nil where the body could not be read
 	faults []*schema.Fault
 }
 
-// kind is how items of a kind are decoded, and where they stand in a setup.
-type kind struct {
-	decode func(item *schema.Item, add adder) any
-	place  func(made *Setup, held *part)
+// itemKind is how items of a kind are decoded, and where they stand in a setup.
+type itemKind struct {
+	decode func(item *schema.Item, add faultReporter) any
+	addTo  func(made *Snapshot, held *decodedItem)
 }
 
-// kindOf makes a kind of items with a body of V: finish completes and checks one by itself.
-func kindOf[V any](finish func(item *schema.Item, value *V, add adder), place func(made *Setup, name string, value *V, item *schema.Item)) kind {
-	return kind{
-		decode: func(item *schema.Item, add adder) any {
+// newItemKind makes a kind of items with a body of V: finish completes and checks one by itself.
+func newItemKind[V any](finish func(item *schema.Item, value *V, add faultReporter), addTo func(snapshot *Snapshot, name string, value *V, item *schema.Item)) itemKind {
+	return itemKind{
+		decode: func(item *schema.Item, add faultReporter) any {
 			value := new(V)
-			if err := strict(item.Body, value); err != nil {
+			if err := decodeStrict(item.Body, value); err != nil {
 				add(item.Kind+"."+item.Name, "%v", err)
 				return nil
 			}
 			finish(item, value, add)
 			return value
 		},
-		place: func(made *Setup, held *part) { place(made, held.item.Name, held.value.(*V), held.item) },
+		addTo: func(snapshot *Snapshot, decoded *decodedItem) {
+			addTo(snapshot, decoded.item.Name, decoded.value.(*V), decoded.item)
+		},
 	}
 }
 
 // The kinds that are named elsewhere than in the table.
 const (
-	routeKind  = "route"
-	limitsKind = schema.LimitsKind
+	kindRoute  = "route"
+	kindLimits = schema.LimitsKind
 )
 
-// kinds are all kinds of item. Routes have no place here: they are kept in order from setup to setup.
-var kinds = map[string]kind{
-	"service": kindOf(func(_ *schema.Item, service *Service, _ adder) {
-		service.allowed, service.callers = set(service.Versions), set(service.Callers)
-	}, func(made *Setup, name string, service *Service, _ *schema.Item) { made.Services[name] = service }),
-	"standing": kindOf(func(item *schema.Item, standing *Standing, add adder) {
+// itemKinds are all kinds of item. Routes have no place here: they are kept in order from setup to setup.
+var itemKinds = map[string]itemKind{
+	"service": newItemKind(func(_ *schema.Item, service *Service, _ faultReporter) {
+		service.allowedVersions, service.allowedCallers = stringSet(service.Versions), stringSet(service.Callers)
+	}, func(made *Snapshot, name string, service *Service, _ *schema.Item) { made.Services[name] = service }),
+	"standing": newItemKind(func(item *schema.Item, standing *DiscoveredVersions, add faultReporter) {
 		if !slices.Contains(standing.Versions, standing.Fallback) {
 			add("standing."+item.Name+".fallback", "version %q is not in versions", standing.Fallback)
 		}
-	}, func(made *Setup, name string, standing *Standing, _ *schema.Item) { made.Standing[name] = standing }),
-	routeKind: kindOf(finishRoute, func(*Setup, string, *Route, *schema.Item) {}),
-	"limits":  kindOf(finishLimits, func(made *Setup, _ string, limits *Limits, _ *schema.Item) { made.Limits = *limits }),
-	"flag": kindOf(func(item *schema.Item, decoded *flag.Flag, add adder) {
+	}, func(made *Snapshot, name string, standing *DiscoveredVersions, _ *schema.Item) {
+		made.DiscoveredVersions[name] = standing
+	}),
+	kindRoute: newItemKind(finishRoute, func(*Snapshot, string, *Route, *schema.Item) {}),
+	"limits":  newItemKind(applyDefaultLimits, func(made *Snapshot, _ string, limits *Limits, _ *schema.Item) { made.Limits = *limits }),
+	"flag": newItemKind(func(item *schema.Item, decoded *flag.Flag, add faultReporter) {
 		decoded.Key = item.Name
 		for _, fault := range decoded.Prepare() {
 			add(fault.Path, "%s", fault.Reason)
 		}
-	}, func(made *Setup, name string, decoded *flag.Flag, _ *schema.Item) { made.Flags.Flags[name] = decoded }),
-	"segment": kindOf(func(item *schema.Item, decoded *flag.Segment, add adder) {
+	}, func(made *Snapshot, name string, decoded *flag.Flag, _ *schema.Item) {
+		made.Flags.Flags[name] = decoded
+	}),
+	"segment": newItemKind(func(item *schema.Item, decoded *flag.Segment, add faultReporter) {
 		decoded.Key = item.Name
 		for _, fault := range decoded.Prepare() {
 			add(fault.Path, "%s", fault.Reason)
 		}
-	}, func(made *Setup, name string, decoded *flag.Segment, _ *schema.Item) {
+	}, func(made *Snapshot, name string, decoded *flag.Segment, _ *schema.Item) {
 		made.Flags.Segments[name] = decoded
 	}),
-	"release": kindOf(func(item *schema.Item, release *Release, add adder) {
-		release.Name, release.Sequence = item.Name, item.Version.GetSequence()
-		release.Over = spanOf(release.OverIn, "release."+item.Name+".over", add)
-	}, func(made *Setup, name string, release *Release, item *schema.Item) {
+	"release": newItemKind(func(item *schema.Item, release *Release, add faultReporter) {
+		release.Name, release.Revision = item.Name, item.Version.GetSequence()
+		release.Duration = parsePositiveDuration(release.DurationText, "release."+item.Name+".over", add)
+	}, func(made *Snapshot, name string, release *Release, item *schema.Item) {
 		made.Releases[name] = release
-		made.state(release.Service, release.Version, item)
+		made.recordRevision(release.Service, release.Version, item)
 	}),
-	"stop": kindOf(func(*schema.Item, *Stop, adder) {}, func(made *Setup, name string, stop *Stop, item *schema.Item) {
+	"stop": newItemKind(func(*schema.Item, *VersionStop, faultReporter) {}, func(made *Snapshot, name string, stop *VersionStop, item *schema.Item) {
 		made.Stops[name] = stop
-		made.state(stop.Service, stop.Version, item)
+		made.recordRevision(stop.Service, stop.Version, item)
 	}),
-	"policy":   kindOf(func(*schema.Item, *Policy, adder) {}, func(made *Setup, name string, one *Policy, _ *schema.Item) { made.policies[name] = one }),
-	Purged:     kindOf(func(*schema.Item, *purged, adder) {}, func(*Setup, string, *purged, *schema.Item) {}),
-	"progress": kindOf(func(*schema.Item, *Progress, adder) {}, func(made *Setup, name string, one *Progress, _ *schema.Item) { made.Progress[name] = one }),
+	"policy":   newItemKind(func(*schema.Item, *Policy, faultReporter) {}, func(made *Snapshot, name string, one *Policy, _ *schema.Item) { made.policies[name] = one }),
+	KindPurged: newItemKind(func(*schema.Item, *tombstonePurge, faultReporter) {}, func(*Snapshot, string, *tombstonePurge, *schema.Item) {}),
+	"progress": newItemKind(func(*schema.Item, *Progress, faultReporter) {}, func(made *Snapshot, name string, one *Progress, _ *schema.Item) { made.Progress[name] = one }),
 }
 
-// spanOf reads a span of time that must be above zero.
-func spanOf(text, path string, add adder) time.Duration {
-	span, err := time.ParseDuration(text)
+// parsePositiveDuration reads a span of time that must be above zero.
+func parsePositiveDuration(text, path string, add faultReporter) time.Duration {
+	duration, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
 		add(path, "%v", err)
-	case span <= 0:
+	case duration <= 0:
 		add(path, "must be a time above zero")
 	}
-	return span
+	return duration
 }
 
-// aimBeyond is how much longer than its horizon a route's aim may not be: so much is no slip.
-const aimBeyond = time.Minute
+// maxTargetPastDeadline is how much longer than its horizon a route's aim may not be: so much is no slip.
+const maxTargetPastDeadline = time.Minute
 
 // finishRoute completes a route and finds what is wrong with it by itself.
-func finishRoute(item *schema.Item, route *Route, add adder) {
+func finishRoute(item *schema.Item, route *Route, add faultReporter) {
 	path := "route." + item.Name
-	route.Name, route.given = item.Name, item.Given
-	if route.HostIn != nil {
+	route.Name, route.operatorVersion = item.Name, item.Given
+	if route.HostText != nil {
 		// Left out is any host; stated, it must be one.
-		if route.Host = HostOf(*route.HostIn); route.Host == "" {
+		if route.Host = NormalizeHost(*route.HostText); route.Host == "" {
 			add(path+".host", "must not be empty")
 		}
 	}
-	if route.HorizonIn != "" {
-		route.Horizon = spanOf(route.HorizonIn, path+".horizon", add)
+	if route.DeadlineText != "" {
+		route.Deadline = parsePositiveDuration(route.DeadlineText, path+".horizon", add)
 	}
-	if route.AimIn != "" {
-		route.Aim = spanOf(route.AimIn, path+".aim", add)
-		if route.Horizon > 0 && route.Aim-route.Horizon >= aimBeyond {
-			add(path+".aim", "is longer than the horizon by %v", route.Aim-route.Horizon)
+	if route.LatencyTargetText != "" {
+		route.LatencyTarget = parsePositiveDuration(route.LatencyTargetText, path+".aim", add)
+		if route.Deadline > 0 && route.LatencyTarget-route.Deadline >= maxTargetPastDeadline {
+			add(path+".aim", "is longer than the horizon by %v", route.LatencyTarget-route.Deadline)
 		}
 	}
-	if route.Tries < 0 {
+	if route.MaxAttempts < 0 {
 		add(path+".tries", "must not be below zero")
 	}
-	if route.Class != "" && route.Class != Once && route.Class != Repeatable {
+	if route.Class != "" && route.Class != ClassNonIdempotent && route.Class != ClassIdempotent {
 		add(path+".class", "class %q does not exist", route.Class)
 	}
 	if len(route.Split) > 0 {
-		finishSplit(path, route, add)
+		buildSplitFlag(path, route, add)
 	}
 }
 
-// finishSplit makes the flag that decides a route's service: a percentage rollout over them.
-func finishSplit(path string, route *Route, add adder) {
+// buildSplitFlag makes the flag that decides a route's service: a percentage rollout over them.
+func buildSplitFlag(path string, route *Route, add faultReporter) {
 	if route.Service != "" {
 		add(path+".service", "is stated beside a split")
 	}
-	whole := 0.0
-	for i, share := range route.Split {
-		if share.Weight < 0 {
+	totalWeight := 0.0
+	for i, weighted := range route.Split {
+		if weighted.Weight < 0 {
 			add(fmt.Sprintf("%s.split[%d].weight", path, i), "must not be below zero")
 			return
 		}
-		whole += share.Weight
+		totalWeight += weighted.Weight
 	}
-	if whole <= 0 {
+	if totalWeight <= 0 {
 		add(path+".split", "gives no service any weight")
 		return
 	}
-	decider := &flag.Flag{Key: route.SplitFlag(), On: true, Salt: route.Name}
+	decider := &flag.Flag{Key: route.SplitFlagKey(), On: true, Salt: route.Name}
 	rollout := &flag.Rollout{}
-	sum, before := 0.0, 0
-	for i, share := range route.Split {
-		sum += share.Weight
+	cumulativeWeight, previousBound := 0.0, 0
+	for i, weighted := range route.Split {
+		cumulativeWeight += weighted.Weight
 		// The sums are rounded, not the weights, so that these make up the whole.
-		upTo := int(math.Round(sum / whole * flag.Whole))
-		decider.Variations = append(decider.Variations, share.Service)
-		rollout.Variations = append(rollout.Variations, flag.Weighted{Variation: i, Weight: upTo - before})
-		before = upTo
+		bound := int(math.Round(cumulativeWeight / totalWeight * flag.TotalWeight))
+		decider.Variations = append(decider.Variations, weighted.Service)
+		rollout.Variations = append(rollout.Variations, flag.WeightedVariation{Variation: i, Weight: bound - previousBound})
+		previousBound = bound
 	}
 	decider.Fallthrough.Rollout = rollout
 	decider.Prepare()
 	route.splitFlag = decider
 }
 
-// finishLimits puts the usual limits where none are stated.
-func finishLimits(item *schema.Item, limits *Limits, add adder) {
-	const path = limitsKind
+// applyDefaultLimits puts the usual limits where none are stated.
+func applyDefaultLimits(item *schema.Item, limits *Limits, add faultReporter) {
+	const path = kindLimits
 	if item.Name != schema.LimitsName {
 		add(path+"."+item.Name, "must be named %q", schema.LimitsName)
 	}
-	if limits.HeaderMost < 0 {
+	if limits.MaxHeaderBytes < 0 {
 		add(path+".headerMost", "must not be below zero")
 	}
-	if limits.BodyMost < 0 {
+	if limits.MaxBodyBytes < 0 {
 		add(path+".bodyMost", "must not be below zero")
 	}
-	limits.HeaderWait, limits.Quiet = DefaultLimits.HeaderWait, DefaultLimits.Quiet
-	if limits.HeaderWaitIn != "" {
-		limits.HeaderWait = spanOf(limits.HeaderWaitIn, path+".headerWait", add)
+	limits.HeaderTimeout, limits.IdleTimeout = DefaultLimits.HeaderTimeout, DefaultLimits.IdleTimeout
+	if limits.HeaderTimeoutText != "" {
+		limits.HeaderTimeout = parsePositiveDuration(limits.HeaderTimeoutText, path+".headerWait", add)
 	}
-	if limits.QuietIn != "" {
-		limits.Quiet = spanOf(limits.QuietIn, path+".quiet", add)
+	if limits.IdleTimeoutText != "" {
+		limits.IdleTimeout = parsePositiveDuration(limits.IdleTimeoutText, path+".quiet", add)
 	}
-	if limits.HeaderMost == 0 {
-		limits.HeaderMost = DefaultLimits.HeaderMost
+	if limits.MaxHeaderBytes == 0 {
+		limits.MaxHeaderBytes = DefaultLimits.MaxHeaderBytes
 	}
-	if limits.BodyMost == 0 {
-		limits.BodyMost = DefaultLimits.BodyMost
+	if limits.MaxBodyBytes == 0 {
+		limits.MaxBodyBytes = DefaultLimits.MaxBodyBytes
 	}
 }
 
-// state notes that an item states something of a version; the latest counts.
-func (s *Setup) state(service, version string, item *schema.Item) {
+// recordRevision notes that an item states something of a version; the latest counts.
+func (s *Snapshot) recordRevision(service, version string, item *schema.Item) {
 	key := [2]string{service, version}
-	s.statements[key] = max(s.statements[key], item.Version.GetSequence())
+	s.versionRevisions[key] = max(s.versionRevisions[key], item.Version.GetSequence())
 }
 
-func strict(body []byte, target any) error {
+func decodeStrict(body []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	return decoder.Decode(target)
 }
 
-func set(names []string) map[string]bool {
+func stringSet(names []string) map[string]bool {
 	members := make(map[string]bool, len(names))
 	for _, name := range names {
 		members[name] = true
@@ -222,19 +228,19 @@
 	return members
 }
 
-// decode reads an item and finds what is wrong with it by itself.
-func decode(item *schema.Item) *part {
-	made := &part{item: item}
+// decodeItem reads an item and finds what is wrong with it by itself.
+func decodeItem(item *schema.Item) *decodedItem {
+	decoded := &decodedItem{item: item}
 	add := func(path, format string, values ...any) {
-		made.faults = append(made.faults, &schema.Fault{Path: path, Reason: fmt.Sprintf(format, values...)})
+		decoded.faults = append(decoded.faults, &schema.Fault{Path: path, Reason: fmt.Sprintf(format, values...)})
 	}
-	known, found := kinds[item.Kind]
+	itemKind, found := itemKinds[item.Kind]
 	if !found {
 		add(item.Kind+"."+item.Name, "kind %q does not exist", item.Kind)
-		return made
+		return decoded
 	}
-	made.value = known.decode(item, add)
-	return made
+	decoded.value = itemKind.decode(item, add)
+	return decoded
 }
 
 // Check finds what is wrong with items by themselves, whatever else there is: an item that can
@@ -243,158 +249,158 @@
 	var faults []*schema.Fault
 	for _, item := range items {
 		if !item.Deleted {
-			faults = append(faults, decode(item).faults...)
+			faults = append(faults, decodeItem(item).faults...)
 		}
 	}
 	return faults
 }
 
 // Compile makes a setup of the state and lists every fault, each at its path.
-func Compile(state State, sequence uint64) (*Setup, []*schema.Fault) {
-	return CompileAfter(nil, state, sequence)
+func Compile(state State, revision uint64) (*Snapshot, []*schema.Fault) {
+	return CompileIncremental(nil, state, revision)
 }
 
-// same tells whether a part was made of an item, or of one that says the same.
-func (p *part) same(item *schema.Item) bool {
-	held := p.item
-	return held == item || (held.Version.GetSequence() == item.Version.GetSequence() && held.Version.GetEpoch() == item.Version.GetEpoch() &&
-		held.Given == item.Given && bytes.Equal(held.Body, item.Body))
+// sameItem tells whether a part was made of an item, or of one that says the same.
+func (d *decodedItem) sameItem(item *schema.Item) bool {
+	decodedFrom := d.item
+	return decodedFrom == item || (decodedFrom.Version.GetSequence() == item.Version.GetSequence() && decodedFrom.Version.GetEpoch() == item.Version.GetEpoch() &&
+		decodedFrom.Given == item.Given && bytes.Equal(decodedFrom.Body, item.Body))
 }
 
-// CompileAfter is Compile with everything taken over from an earlier setup whose item stayed:
+// CompileIncremental is Compile with everything taken over from an earlier setup whose item stayed:
 // a change costs by what it changes.
-func CompileAfter(before *Setup, state State, sequence uint64) (*Setup, []*schema.Fault) {
-	if before == nil {
-		before = &Setup{parts: map[string]*part{}}
-	}
-	made := &Setup{
-		Sequence: sequence,
-		Services: map[string]*Service{},
-		Flags:    &flag.Set{Flags: map[string]*flag.Flag{}, Segments: map[string]*flag.Segment{}},
-		Releases: map[string]*Release{},
-		Progress: map[string]*Progress{},
-		Standing: map[string]*Standing{},
-		Stops:    map[string]*Stop{},
-		Guards:   map[string][]string{},
-		Limits:   DefaultLimits,
+func CompileIncremental(previous *Snapshot, state State, revision uint64) (*Snapshot, []*schema.Fault) {
+	if previous == nil {
+		previous = &Snapshot{decodedItems: map[string]*decodedItem{}}
+	}
+	snapshot := &Snapshot{
+		Revision:           revision,
+		Services:           map[string]*Service{},
+		Flags:              &flag.Set{Flags: map[string]*flag.Flag{}, Segments: map[string]*flag.Segment{}},
+		Releases:           map[string]*Release{},
+		Progress:           map[string]*Progress{},
+		DiscoveredVersions: map[string]*DiscoveredVersions{},
+		Stops:              map[string]*VersionStop{},
+		GuardedVersions:    map[string][]string{},
+		Limits:             DefaultLimits,
 
-		statements: map[[2]string]uint64{},
-		policies:   map[string]*Policy{},
-		programs:   map[string]*policy.Program{},
-		parts:      maps.Clone(before.parts),
-		deciders:   map[string]Decider{},
+		versionRevisions: map[[2]string]uint64{},
+		policies:         map[string]*Policy{},
+		programs:         map[string]*policy.Program{},
+		decodedItems:     maps.Clone(previous.decodedItems),
+		versionDeciders:  map[string]Decider{},
 	}
 	var faults []*schema.Fault
 	add := func(path, format string, values ...any) {
 		faults = append(faults, &schema.Fault{Path: path, Reason: fmt.Sprintf(format, values...)})
 	}
-	changed, standing := made.take(state)
-	for _, held := range made.parts {
-		faults = append(faults, held.faults...)
-		if held.value != nil && held.item.Kind != routeKind {
-			kinds[held.item.Kind].place(made, held)
+	changedRoutes, retainUnchanged := snapshot.decodeChanges(state)
+	for _, decoded := range snapshot.decodedItems {
+		faults = append(faults, decoded.faults...)
+		if decoded.value != nil && decoded.item.Kind != kindRoute {
+			itemKinds[decoded.item.Kind].addTo(snapshot, decoded)
 		}
 	}
-	made.Routes = merged(standing(before.match.routes), changed)
-	made.match = newMatcher(made.Routes)
-	made.bindStanding()
-	for _, route := range made.Routes {
+	snapshot.Routes = mergeRoutes(retainUnchanged(previous.routeMatcher.routes), changedRoutes)
+	snapshot.routeMatcher = newMatcher(snapshot.Routes)
+	snapshot.bindDiscoveredVersions()
+	for _, route := range snapshot.Routes {
 		if route.splitFlag == nil {
 			continue
 		}
-		if _, found := made.Flags.Flags[route.splitFlag.Key]; found {
+		if _, found := snapshot.Flags.Flags[route.splitFlag.Key]; found {
 			add("flag."+route.splitFlag.Key, "is made of the split of route %q", route.Name)
 		}
-		made.Flags.Flags[route.splitFlag.Key] = route.splitFlag
+		snapshot.Flags.Flags[route.splitFlag.Key] = route.splitFlag
 	}
-	for _, fault := range made.Flags.Check() {
+	for _, fault := range snapshot.Flags.CheckReferences() {
 		add(fault.Path, "%s", fault.Reason)
 	}
-	made.crossCheck(add)
-	made.bindPolicies(before, add)
-	for _, name := range names(made.Services) {
-		key := FlagOf(name)
-		decider := made.Flags.Flags[key]
-		made.deciders[name] = Decider{key, decider}
+	snapshot.checkReferences(add)
+	snapshot.bindPolicies(previous, add)
+	for _, name := range sortedKeys(snapshot.Services) {
+		key := VersionFlagKey(name)
+		decider := snapshot.Flags.Flags[key]
+		snapshot.versionDeciders[name] = Decider{key, decider}
 		if decider != nil {
-			for _, version := range decider.Reachable() {
-				if version != made.Services[name].Fallback {
-					made.Guards[name] = append(made.Guards[name], version)
+			for _, version := range decider.ReachableVariations() {
+				if version != snapshot.Services[name].Fallback {
+					snapshot.GuardedVersions[name] = append(snapshot.GuardedVersions[name], version)
 				}
 			}
 		}
 	}
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].Path < faults[j].Path })
-	return made, faults
+	return snapshot, faults
 }
 
-// take decodes what is new or changed in a state and drops what is gone. It gives the routes
+// decodeChanges decodes what is new or changed in a state and drops what is gone. It gives the routes
 // that are new, in order, and a sieve for those of before that stand.
-func (s *Setup) take(state State) (changed []*Route, standing func([]*Route) []*Route) {
-	gone, live := map[string]bool{}, 0
+func (s *Snapshot) decodeChanges(state State) (changedRoutes []*Route, retainUnchanged func([]*Route) []*Route) {
+	replacedRoutes, liveItems := map[string]bool{}, 0
 	for key, item := range state {
 		if item.Deleted {
 			continue
 		}
-		live++
-		held := s.parts[key]
-		if held != nil && held.same(item) {
+		liveItems++
+		cached := s.decodedItems[key]
+		if cached != nil && cached.sameItem(item) {
 			continue
 		}
-		if held != nil && item.Kind == routeKind {
-			gone[item.Name] = true
+		if cached != nil && item.Kind == kindRoute {
+			replacedRoutes[item.Name] = true
 		}
-		fresh := decode(item)
-		s.decodes++
-		s.parts[key] = fresh
-		if route, is := fresh.value.(*Route); is {
-			changed = append(changed, route)
+		fresh := decodeItem(item)
+		s.decodeCount++
+		s.decodedItems[key] = fresh
+		if route, isRoute := fresh.value.(*Route); isRoute {
+			changedRoutes = append(changedRoutes, route)
 		}
 	}
-	if len(s.parts) > live {
-		for key, held := range s.parts {
+	if len(s.decodedItems) > liveItems {
+		for key, cached := range s.decodedItems {
 			if item := state[key]; item == nil || item.Deleted {
-				delete(s.parts, key)
-				if held.item.Kind == routeKind {
-					gone[held.item.Name] = true
+				delete(s.decodedItems, key)
+				if cached.item.Kind == kindRoute {
+					replacedRoutes[cached.item.Name] = true
 				}
 			}
 		}
 	}
-	slices.SortFunc(changed, ordered)
-	return changed, func(before []*Route) []*Route {
-		kept := make([]*Route, 0, len(before))
-		for _, route := range before {
-			if !gone[route.Name] {
-				kept = append(kept, route)
+	slices.SortFunc(changedRoutes, compareRoutes)
+	return changedRoutes, func(previous []*Route) []*Route {
+		retained := make([]*Route, 0, len(previous))
+		for _, route := range previous {
+			if !replacedRoutes[route.Name] {
+				retained = append(retained, route)
 			}
 		}
-		return kept
+		return retained
 	}
 }
 
-// bindStanding gives services of which no versions are stated those that stand.
-func (s *Setup) bindStanding() {
+// bindDiscoveredVersions gives services of which no versions are stated those that stand.
+func (s *Snapshot) bindDiscoveredVersions() {
 	for name, service := range s.Services {
-		standing := s.Standing[name]
-		if service.Versions != nil || service.Fallback != "" || standing == nil {
+		discovered := s.DiscoveredVersions[name]
+		if service.Versions != nil || service.Fallback != "" || discovered == nil {
 			continue
 		}
 		// The decoded service is shared with other setups, whose standing was another.
 		bound := *service
-		bound.Versions, bound.Fallback, bound.allowed = standing.Versions, standing.Fallback, set(standing.Versions)
+		bound.Versions, bound.Fallback, bound.allowedVersions = discovered.Versions, discovered.Fallback, stringSet(discovered.Versions)
 		s.Services[name] = &bound
 	}
 }
 
 // bindPolicies compiles each policy once for each set of attributes that routes give it, and
 // takes over what the setup before had compiled.
-func (s *Setup) bindPolicies(before *Setup, add adder) {
+func (s *Snapshot) bindPolicies(previous *Snapshot, add faultReporter) {
 	compile := func(name string, attributes []string, user string) *policy.Program {
 		expression := s.policies[name].Expression
 		key := expression + "\x00" + strings.Join(attributes, "\x00")
-		if before != nil && before.programs[key] != nil {
-			s.programs[key] = before.programs[key]
+		if previous != nil && previous.programs[key] != nil {
+			s.programs[key] = previous.programs[key]
 		}
 		if s.programs[key] == nil {
 			program, fault := policy.Compile(expression, attributes)
@@ -416,54 +422,54 @@
 			continue
 		}
 		used[route.PolicyName] = true
-		for _, name := range names(route.Attributes) {
-			if policy.Reserved(name) {
+		for _, name := range sortedKeys(route.Attributes) {
+			if policy.IsReserved(name) {
 				add("route."+route.Name+".attributes."+name, "a policy knows %q as its own", name)
 			}
 		}
 		// A route may be shared with the setup before, whose policy was another.
 		bound := *route
-		bound.Policy = compile(route.PolicyName, append([]string{}, names(route.Attributes)...), " (as route "+route.Name+" names it)")
+		bound.Policy = compile(route.PolicyName, append([]string{}, sortedKeys(route.Attributes)...), " (as route "+route.Name+" names it)")
 		s.Routes[i] = &bound
 	}
-	for _, name := range names(s.policies) {
+	for _, name := range sortedKeys(s.policies) {
 		if !used[name] {
 			compile(name, nil, "")
 		}
 	}
 }
 
-// names lists a map's keys in order, so that faults come in the same order each time.
-func names[V any](from map[string]V) []string {
+// sortedKeys lists a map's keys in order, so that faults come in the same order each time.
+func sortedKeys[V any](from map[string]V) []string {
 	return slices.Sorted(maps.Keys(from))
 }
 
-// crossCheck finds what no item shows alone.
-func (s *Setup) crossCheck(add adder) {
-	for _, name := range names(s.Services) {
+// checkReferences finds what no item shows alone.
+func (s *Snapshot) checkReferences(add faultReporter) {
+	for _, name := range sortedKeys(s.Services) {
 		service := s.Services[name]
 		// Where no version is stated and none stands yet, the service has no worker so far: that is no fault.
-		if (service.Versions != nil || service.Fallback != "") && !service.Allows(service.Fallback) {
+		if (service.Versions != nil || service.Fallback != "") && !service.AllowsVersion(service.Fallback) {
 			add("service."+name+".fallback", "version %q is not in versions", service.Fallback)
 		}
-		decider, found := s.Flags.Flags[FlagOf(name)]
+		decider, found := s.Flags.Flags[VersionFlagKey(name)]
 		if !found {
 			continue
 		}
 		for i, version := range decider.Variations {
-			if !service.Allows(version) {
+			if !service.AllowsVersion(version) {
 				add(fmt.Sprintf("flag.%s.variations[%d]", decider.Key, i), "service %q does not list version %q", name, version)
 			}
 		}
 	}
-	for _, key := range names(s.Flags.Flags) {
+	for _, key := range sortedKeys(s.Flags.Flags) {
 		// What the release duty wrote of a service outlasts it: an operator may drop it and bring it again.
-		if service, decides := strings.CutPrefix(key, FlagOf("")); decides && s.Services[service] == nil && s.Standing[service] == nil {
+		if service, decides := strings.CutPrefix(key, VersionFlagKey("")); decides && s.Services[service] == nil && s.DiscoveredVersions[service] == nil {
 			add("flag."+key, "service %q does not exist", service)
 		}
 	}
-	s.crossCheckRoutes(add)
-	for _, name := range names(s.Stops) {
+	s.checkRouteReferences(add)
+	for _, name := range sortedKeys(s.Stops) {
 		stop, path := s.Stops[name], "stop."+name
 		service := s.Services[stop.Service]
 		switch {
@@ -471,40 +477,40 @@
 			add(path, "must be named %q", StopName(stop.Service, stop.Version))
 		case service == nil:
 			add(path+".service", "service %q does not exist", stop.Service)
-		case !service.Allows(stop.Version):
+		case !service.AllowsVersion(stop.Version):
 			add(path+".version", "service %q does not list version %q", stop.Service, stop.Version)
 		case stop.Version == service.Fallback && !stop.Lifted:
 			add(path+".version", "is the fallback version, which has none to take its calls")
 		}
 	}
-	planned := map[string]string{}
-	for _, name := range names(s.Releases) {
+	planByService := map[string]string{}
+	for _, name := range sortedKeys(s.Releases) {
 		release := s.Releases[name]
 		path := "release." + name
-		service, stands := s.Services[release.Service], s.Standing[release.Service] != nil
-		if service == nil && stands {
+		service, discovered := s.Services[release.Service], s.DiscoveredVersions[release.Service] != nil
+		if service == nil && discovered {
 			continue
 		}
 		if service == nil {
 			add(path+".service", "service %q does not exist", release.Service)
-		} else if !service.Allows(release.Version) {
+		} else if !service.AllowsVersion(release.Version) {
 			add(path+".version", "service %q does not list version %q", release.Service, release.Version)
 		}
-		if decider := s.Flags.Flags[FlagOf(release.Service)]; decider == nil || !slices.Contains(decider.Variations, release.Version) {
-			add(path, "flag %q does not have the variation %q", FlagOf(release.Service), release.Version)
-		} else if service != nil && release.Version == service.Fallback && !stands {
+		if decider := s.Flags.Flags[VersionFlagKey(release.Service)]; decider == nil || !slices.Contains(decider.Variations, release.Version) {
+			add(path, "flag %q does not have the variation %q", VersionFlagKey(release.Service), release.Version)
+		} else if service != nil && release.Version == service.Fallback && !discovered {
 			// What stands may be what this very plan made of it.
 			add(path+".version", "is the fallback version, which has no other to be weighed against")
 		}
-		if other, found := planned[release.Service]; found {
+		if other, found := planByService[release.Service]; found {
 			add(path, "service %q has the plan %q already", release.Service, other)
 		}
-		planned[release.Service] = name
+		planByService[release.Service] = name
 	}
 }
 
-// crossCheckRoutes finds services that routes name and that do not exist, and routes at one place.
-func (s *Setup) crossCheckRoutes(add adder) {
+// checkRouteReferences finds services that routes name and that do not exist, and routes at one place.
+func (s *Snapshot) checkRouteReferences(add faultReporter) {
 	for _, route := range s.Routes {
 		switch {
 		case len(route.Split) > 0:
@@ -519,13 +525,13 @@
 			}
 		}
 	}
-	for _, one := range s.match.stems {
-		within := s.Routes[one.routes.from:one.routes.to]
+	for _, group := range s.routeMatcher.groups {
+		within := s.Routes[group.routes.from:group.routes.to]
 		for i, route := range within {
 			for _, other := range within[:i] {
 				// Who gives items versions of their own may race with others who do, each by what it
 				// knew: both changes are then taken, and the matcher's order rules.
-				if method, both := overlap(route, other); both && (route.given == 0 || other.given == 0) {
+				if method, overlaps := overlappingMethod(route, other); overlaps && (route.operatorVersion == 0 || other.operatorVersion == 0) {
 					add("route."+route.Name, "%s %s is taken by route %q", method, route.Prefix, other.Name)
 				}
 			}
@@ -533,8 +539,8 @@
 	}
 }
 
-// overlap names a method that two routes both take.
-func overlap(a, b *Route) (string, bool) {
+// overlappingMethod names a method that two routes both take.
+func overlappingMethod(a, b *Route) (string, bool) {
 	if len(a.Methods) == 0 && len(b.Methods) == 0 {
 		return "*", true
 	}
--- a/internal/setup/compile_test.go
+++ b/internal/setup/compile_test.go
@@ -14,8 +14,8 @@
 	"meadowhinge/schema"
 )
 
-// plain makes a state of items as an adapter states them, without CUE: kind/name to body.
-func plain(bodies map[string]string) State {
+// stateFromBodies makes a state of items as an adapter states them, without CUE: kind/name to body.
+func stateFromBodies(bodies map[string]string) State {
 	var items []*schema.Item
 	for key, body := range bodies {
 		kind, name, _ := strings.Cut(key, "/")
@@ -32,7 +32,7 @@
 }
 
 // What comes without CUE is held to the same, each fault at its path.
-func TestPlainItems(t *testing.T) {
+func TestItemFaults(t *testing.T) {
 	for body, paths := range map[string][]string{
 		`{"service":"shop","prefix":"/a/"}`: nil,
 		`{"service":"shop","prefix":"/a/","host":"a.example","horizon":"800ms","aim":"200ms","tries":2,"rank":2}`:  nil,
@@ -55,7 +55,7 @@
 		`{"split":[{"service":"gone","weight":-1}],"prefix":"/a/","host":"","tries":-2,"horizon":"1s","aim":"3m"}`: {"route.r.aim", "route.r.host", "route.r.split[0].service", "route.r.split[0].weight", "route.r.tries"},
 		`{"service":"shop"`: {"route.r"},
 	} {
-		_, faults := Compile(plain(map[string]string{"service/shop": `{}`, "service/bar": `{}`, "route/r": body}), 1)
+		_, faults := Compile(stateFromBodies(map[string]string{"service/shop": `{}`, "service/bar": `{}`, "route/r": body}), 1)
 		if diff := cmp.Diff(paths, pathsOf(faults)); diff != "" {
 			t.Errorf("%s: %s", body, diff)
 		}
@@ -64,8 +64,8 @@
 
 // An item that can never be right is found out by itself, so also where a newer one stands.
 func TestCheck(t *testing.T) {
-	wrong := &schema.Item{Kind: "route", Name: "r", Body: []byte(`{"service":"gone","prefix":"/a/","tries":-1}`)}
-	if diff := cmp.Diff([]string{"route.r.tries"}, pathsOf(Check([]*schema.Item{wrong, {Kind: "route", Name: "s", Deleted: true}}))); diff != "" {
+	invalid := &schema.Item{Kind: "route", Name: "r", Body: []byte(`{"service":"gone","prefix":"/a/","tries":-1}`)}
+	if diff := cmp.Diff([]string{"route.r.tries"}, pathsOf(Check([]*schema.Item{invalid, {Kind: "route", Name: "s", Deleted: true}}))); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -77,22 +77,22 @@
 		paths  []string
 	}{
 		"none":   {nil, DefaultLimits, nil},
-		"some":   {map[string]string{"limits/limits": `{"headerMost":100,"quiet":"15000ms"}`}, Limits{HeaderMost: 100, BodyMost: DefaultLimits.BodyMost, HeaderWait: DefaultLimits.HeaderWait, Quiet: 15 * time.Second, QuietIn: "15000ms"}, nil},
+		"some":   {map[string]string{"limits/limits": `{"headerMost":100,"quiet":"15000ms"}`}, Limits{MaxHeaderBytes: 100, MaxBodyBytes: DefaultLimits.MaxBodyBytes, HeaderTimeout: DefaultLimits.HeaderTimeout, IdleTimeout: 15 * time.Second, IdleTimeoutText: "15000ms"}, nil},
 		"wrong":  {map[string]string{"limits/limits": `{"headerMost":-1,"bodyMost":-1,"quiet":"0s","headerWait":"x"}`}, Limits{}, []string{"limits.bodyMost", "limits.headerMost", "limits.headerWait", "limits.quiet"}},
 		"others": {map[string]string{"limits/else": `{}`}, DefaultLimits, []string{"limits.else"}},
 	} {
-		made, faults := Compile(plain(one.bodies), 1)
+		snapshot, faults := Compile(stateFromBodies(one.bodies), 1)
 		if diff := cmp.Diff(one.paths, pathsOf(faults)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		if diff := cmp.Diff(one.limits, made.Limits); diff != "" && name != "wrong" {
+		if diff := cmp.Diff(one.limits, snapshot.Limits); diff != "" && name != "wrong" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 }
 
 // Operators of the product's own interface have the same words.
-func TestReadsTheNewWords(t *testing.T) {
+func TestParsedItemsCompile(t *testing.T) {
 	state, faults := stateOf(t, `
 service: {shop: {}, bar: {callers: ["client"]}}
 route: r: {host: "A.example", prefix: "/a/", split: [{service: "shop", weight: 90}, {service: "bar", weight: 10}], aim: "200ms", tries: 2, rank: 1}
@@ -101,29 +101,29 @@
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	made, faults := Compile(state, 1)
+	snapshot, faults := Compile(state, 1)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	route, found := made.Match("a.EXAMPLE", "/a/x", "GET")
-	if !found || route.Aim != 200*time.Millisecond || route.Tries != 2 || route.Rank != 1 || route.Horizon != 2*time.Second || route.Key == "" {
+	route, found := snapshot.Match("a.EXAMPLE", "/a/x", "GET")
+	if !found || route.LatencyTarget != 200*time.Millisecond || route.MaxAttempts != 2 || route.Priority != 1 || route.Deadline != 2*time.Second || route.KeyHeader == "" {
 		t.Errorf("%+v", route)
 	}
-	if made.Limits.BodyMost != 100 || made.Limits.Quiet != 15*time.Second {
-		t.Errorf("%+v", made.Limits)
+	if snapshot.Limits.MaxBodyBytes != 100 || snapshot.Limits.IdleTimeout != 15*time.Second {
+		t.Errorf("%+v", snapshot.Limits)
 	}
-	if !made.Services["shop"].AllowsCaller("anyone") || made.Services["bar"].AllowsCaller("anyone") {
+	if !snapshot.Services["shop"].AllowsCaller("anyone") || snapshot.Services["bar"].AllowsCaller("anyone") {
 		t.Error("callers left out are anyone, those named are they alone")
 	}
 	for _, text := range []string{`route: r: {host: "", prefix: "/", service: "shop"}`, `route: r: {prefix: "/", service: "shop", tries: -1}`, `limits: {headerMost: 0}`, `limits: {colour: 1}`} {
-		if _, faults := statement.Read([]byte(text)); len(faults) == 0 {
+		if _, faults := statement.Parse([]byte(text)); len(faults) == 0 {
 			t.Errorf("%s was read", text)
 		}
 	}
 }
 
 // Versions that a service leaves out are those that stand; what it states itself goes first.
-func TestStandingVersions(t *testing.T) {
+func TestDiscoveredVersions(t *testing.T) {
 	for name, one := range map[string]struct {
 		service, standing, fallback string
 		versions                    []string
@@ -140,25 +140,25 @@
 		if one.standing != "" {
 			bodies["standing/shop"] = one.standing
 		}
-		made, faults := Compile(plain(bodies), 1)
+		snapshot, faults := Compile(stateFromBodies(bodies), 1)
 		if diff := cmp.Diff(one.paths, pathsOf(faults)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
-		service := made.Services["shop"]
-		if diff := cmp.Diff(one.versions, service.Versions); diff != "" || service.Fallback != one.fallback || made.FallbackOf("shop") != one.fallback {
+		service := snapshot.Services["shop"]
+		if diff := cmp.Diff(one.versions, service.Versions); diff != "" || service.Fallback != one.fallback || snapshot.FallbackOf("shop") != one.fallback {
 			t.Errorf("%s: %+v", name, service)
 		}
 		for _, version := range one.versions {
-			if !service.Allows(version) {
+			if !service.AllowsVersion(version) {
 				t.Errorf("%s: bars %q", name, version)
 			}
 		}
 	}
 	// What stands may change while the service's item stays, and the earlier setup keeps its own.
-	first := plain(map[string]string{"service/shop": `{}`, "standing/shop": `{"versions":["v1"],"fallback":"v1"}`})
+	first := stateFromBodies(map[string]string{"service/shop": `{}`, "standing/shop": `{"versions":["v1"],"fallback":"v1"}`})
 	before, _ := Compile(first, 1)
-	after, _ := CompileAfter(before, first.With([]*schema.Item{{Kind: "standing", Name: "shop", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"versions":["v1","v2"],"fallback":"v2"}`)}}), 2)
-	if before.Services["shop"].Allows("v2") || !after.Services["shop"].Allows("v2") || after.FallbackOf("shop") != "v2" || before.FallbackOf("shop") != "v1" {
+	after, _ := CompileIncremental(before, first.With([]*schema.Item{{Kind: "standing", Name: "shop", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"versions":["v1","v2"],"fallback":"v2"}`)}}), 2)
+	if before.Services["shop"].AllowsVersion("v2") || !after.Services["shop"].AllowsVersion("v2") || after.FallbackOf("shop") != "v2" || before.FallbackOf("shop") != "v1" {
 		t.Error("a change of what stands did not come through, or reached back")
 	}
 }
@@ -172,11 +172,11 @@
 		`[{"service":"a","weight":100000},{"service":"b","weight":100000}]`:                     {50000, 50000},
 		`[{"service":"b","weight":7},{"service":"a","weight":0},{"service":"b","weight":0.01}]`: {99857, 0, 143},
 	} {
-		made, faults := Compile(plain(map[string]string{"service/a": `{}`, "service/b": `{}`, "route/r": fmt.Sprintf(`{"prefix":"/","split":%s}`, shares)}), 1)
+		snapshot, faults := Compile(stateFromBodies(map[string]string{"service/a": `{}`, "service/b": `{}`, "route/r": fmt.Sprintf(`{"prefix":"/","split":%s}`, shares)}), 1)
 		if len(faults) > 0 {
 			t.Fatal(shares, faults)
 		}
-		decider := made.Flags.Flags["route.r"]
+		decider := snapshot.Flags.Flags["route.r"]
 		var got []int
 		for _, one := range decider.Fallthrough.Rollout.Variations {
 			got = append(got, one.Weight)
@@ -186,7 +186,7 @@
 		}
 	}
 	// The name is the route's: a flag that an operator writes cannot have it.
-	_, faults := Compile(plain(map[string]string{"service/a": `{}`, "route/r": `{"prefix":"/","split":[{"service":"a","weight":1}]}`,
+	_, faults := Compile(stateFromBodies(map[string]string{"service/a": `{}`, "route/r": `{"prefix":"/","split":[{"service":"a","weight":1}]}`,
 		"flag/route.r": `{"on":true,"salt":"","variations":["a"],"offVariation":0,"fallthrough":{"variation":0}}`}), 1)
 	if diff := cmp.Diff([]string{"flag.route.r"}, pathsOf(faults)); diff != "" {
 		t.Error(diff)
@@ -194,7 +194,7 @@
 }
 
 func TestMatch(t *testing.T) {
-	made, faults := Compile(plain(map[string]string{"service/s": `{}`,
+	snapshot, faults := Compile(stateFromBodies(map[string]string{"service/s": `{}`,
 		"route/any": `{"service":"s","prefix":"/"}`, "route/own": `{"service":"s","prefix":"/a/","host":"a.example"}`,
 		"route/deep": `{"service":"s","prefix":"/a/b/","host":"a.example","methods":["GET"]}`, "route/post": `{"service":"s","prefix":"/a/b/","host":"a.example","methods":["POST"]}`,
 		"route/open": `{"service":"s","prefix":"/open"}`, "route/other": `{"service":"s","prefix":"/a/b/c/","host":"b.example:81"}`,
@@ -221,7 +221,7 @@
 		{"[::1]:99", "/x", "GET", "six"},
 		{"c.example", "x", "GET", ""},
 	} {
-		route, found := made.Match(one.host, one.path, one.method)
+		route, found := snapshot.Match(one.host, one.path, one.method)
 		got := ""
 		if found {
 			got = route.Name
@@ -233,31 +233,31 @@
 }
 
 // The index finds what going through all routes would.
-func TestMatchAsByHand(t *testing.T) {
-	dice := rand.New(rand.NewPCG(3, 3))
+func TestMatchAgreesWithLinearSearch(t *testing.T) {
+	random := rand.New(rand.NewPCG(3, 3))
 	text := func(most int) string {
 		made := "/"
-		for range dice.IntN(most) {
-			made += string("ab/"[dice.IntN(3)])
+		for range random.IntN(most) {
+			made += string("ab/"[random.IntN(3)])
 		}
 		return made
 	}
 	methods := []string{"", "GET", "POST"}
 	for range 200 {
 		var routes []*Route
-		for i := range 1 + dice.IntN(12) {
-			route := &Route{Name: fmt.Sprint("r", i), Host: []string{"", "a", "b"}[dice.IntN(3)], Prefix: text(6)}
-			if method := methods[dice.IntN(3)]; method != "" {
+		for i := range 1 + random.IntN(12) {
+			route := &Route{Name: fmt.Sprint("r", i), Host: []string{"", "a", "b"}[random.IntN(3)], Prefix: text(6)}
+			if method := methods[random.IntN(3)]; method != "" {
 				route.Methods = []string{method}
 			}
-			routes = merged(routes, []*Route{route})
+			routes = mergeRoutes(routes, []*Route{route})
 		}
 		made := newMatcher(routes)
 		for range 50 {
-			host, path := []string{"", "a", "b", "c"}[dice.IntN(4)], text(9)
+			host, path := []string{"", "a", "b", "c"}[random.IntN(4)], text(9)
 			var best *Route
 			for _, route := range routes {
-				if route.Host == host && strings.HasPrefix(path, route.Prefix) && route.takes("GET") && (best == nil || len(route.Prefix) > len(best.Prefix)) {
+				if route.Host == host && strings.HasPrefix(path, route.Prefix) && route.matchesMethod("GET") && (best == nil || len(route.Prefix) > len(best.Prefix)) {
 					best = route
 				}
 			}
@@ -270,7 +270,7 @@
 
 // Two routes at one place are refused; operators whose items have versions of their own may
 // race for one, and then it is settled who goes first, in whatever order the changes came.
-func TestOnePlaceTwice(t *testing.T) {
+func TestRoutesWithSamePrefix(t *testing.T) {
 	route := func(name string, sequence, given uint64) *schema.Item {
 		return &schema.Item{Kind: "route", Name: name, Given: given, Version: &schema.Version{Epoch: 1, Sequence: sequence}, Body: []byte(`{"service":"s","prefix":"/","host":"h"}`)}
 	}
@@ -288,24 +288,24 @@
 	} {
 		a, b := route("a", 1, one.first), route("b", 1, one.second)
 		for _, order := range [][]*schema.Item{{service, a, b}, {service, b, a}} {
-			state, made := State{}, (*Setup)(nil)
+			state, snapshot := State{}, (*Snapshot)(nil)
 			var faults []*schema.Fault
 			for _, item := range order {
 				state = state.With([]*schema.Item{item})
-				made, faults = CompileAfter(made, state, 1)
+				snapshot, faults = CompileIncremental(snapshot, state, 1)
 			}
 			if diff := cmp.Diff(one.paths, pathsOf(faults)); diff != "" {
 				t.Errorf("%s: %s", name, diff)
 			}
-			if got, _ := made.Match("h", "/", "GET"); got.Name != one.want {
+			if got, _ := snapshot.Match("h", "/", "GET"); got.Name != one.want {
 				t.Errorf("%s: %s goes first", name, got.Name)
 			}
 		}
 	}
 }
 
-// manyHosts is a state as an operator of many hosts has it.
-func manyHosts(routes int) State {
+// stateWithHosts is a state as an operator of many hosts has it.
+func stateWithHosts(routes int) State {
 	bodies := map[string]string{"service/a": `{}`, "service/b": `{}`, "standing/a": `{"versions":["v1"],"fallback":"v1"}`,
 		"flag/release.a": `{"on":true,"salt":"s","variations":["v1"],"offVariation":0,"fallthrough":{"variation":0}}`}
 	for i := range routes {
@@ -315,16 +315,16 @@
 		}
 		bodies[fmt.Sprint("route/r", i)] = fmt.Sprintf(`{"host":"h%d.example","prefix":"/p%d/",%s,"class":"repeatable","horizon":"800ms","aim":"200ms","tries":2,"rank":1}`, i/2, i, to)
 	}
-	return plain(bodies)
+	return stateFromBodies(bodies)
 }
 
 // A change costs by what it changes, also where the whole state is sent anew; what was taken
 // over is the same as if made anew.
-func TestDecodesOnlyWhatChanged(t *testing.T) {
-	state := manyHosts(500)
+func TestDecodesOnlyChangedItems(t *testing.T) {
+	state := stateWithHosts(500)
 	before, faults := Compile(state, 1)
-	if before.decodes != len(state) || len(faults) > 0 {
-		t.Fatal(before.decodes, faults)
+	if before.decodeCount != len(state) || len(faults) > 0 {
+		t.Fatal(before.decodeCount, faults)
 	}
 	at := func(kind, name, body string, deleted bool) *schema.Item {
 		return &schema.Item{Kind: kind, Name: name, Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(body), Deleted: deleted}
@@ -352,48 +352,48 @@
 			t.Fatal(name, wrong)
 		}
 		for _, state := range []State{next, again} {
-			after, faults := CompileAfter(before, state, 2)
-			if after.decodes != one.decodes || len(faults) > 0 {
-				t.Errorf("%s: %d decodes, %v", name, after.decodes, faults)
+			after, faults := CompileIncremental(before, state, 2)
+			if after.decodeCount != one.decodes || len(faults) > 0 {
+				t.Errorf("%s: %d decodes, %v", name, after.decodeCount, faults)
 			}
-			shown := func(made *Setup) (list []string) {
+			shown := func(made *Snapshot) (list []string) {
 				for _, route := range made.Routes {
 					list = append(list, fmt.Sprint(route.Name, route.Host, route.Prefix, route.Service, route.Split))
 				}
-				for _, key := range names(made.Flags.Flags) {
+				for _, key := range sortedKeys(made.Flags.Flags) {
 					list = append(list, fmt.Sprint(key, made.Flags.Flags[key].On, made.Flags.Flags[key].Variations))
 				}
-				return append(list, fmt.Sprint(made.Services["a"].Versions, len(made.match.stems), made.match.hosts))
+				return append(list, fmt.Sprint(made.Services["a"].Versions, len(made.routeMatcher.groups), made.routeMatcher.hosts))
 			}
 			if diff := cmp.Diff(shown(anew), shown(after)); diff != "" {
 				t.Errorf("%s: %s", name, diff)
 			}
 		}
 	}
-	if decider := before.Flags.Flags["route.r10"]; decider == nil || decider.Fallthrough.Rollout.Variations[0].Weight != flag.Whole*9/10 {
+	if decider := before.Flags.Flags["route.r10"]; decider == nil || decider.Fallthrough.Rollout.Variations[0].Weight != flag.TotalWeight*9/10 {
 		t.Error("an earlier setup was changed")
 	}
 }
 
 func BenchmarkCompileFirst(b *testing.B) {
-	state := manyHosts(350)
+	state := stateWithHosts(350)
 	for b.Loop() {
 		Compile(state, 1)
 	}
 }
 
 func BenchmarkCompileOneRouteOf500(b *testing.B) {
-	state := manyHosts(500)
+	state := stateWithHosts(500)
 	before, _ := Compile(state, 1)
 	next := state.With([]*schema.Item{{Kind: "route", Name: "r7", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"host":"h7.example","prefix":"/","service":"a"}`)}})
 	for b.Loop() {
-		CompileAfter(before, next, 2)
+		CompileIncremental(before, next, 2)
 	}
 }
 
 func BenchmarkMatch(b *testing.B) {
-	made, _ := Compile(manyHosts(500), 1)
+	snapshot, _ := Compile(stateWithHosts(500), 1)
 	for b.Loop() {
-		made.Match("h170.example:8304", "/p340/2f", "GET")
+		snapshot.Match("h170.example:8304", "/p340/2f", "GET")
 	}
 }
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -11,7 +11,7 @@
 	"meadowhinge/schema"
 )
 
-const good = `
+const validConfig = `
 service: shop: {versions: ["1.0.0", "2.0.0"], fallback: "1.0.0", callers: ["client"]}
 route: buy: {service: "shop", prefix: "/shop/buy", methods: ["POST"]}
 route: look: {service: "shop", prefix: "/shop", key: "X-Player", attributes: country: "X-Country"}
@@ -23,38 +23,38 @@
 
 func stateOf(t *testing.T, text string) (State, []*schema.Fault) {
 	t.Helper()
-	items, faults := statement.Read([]byte(text))
+	items, faults := statement.Parse([]byte(text))
 	for i, item := range items {
 		item.Version = &schema.Version{Epoch: 1, Sequence: uint64(i + 1)}
 	}
 	return State{}.With(items), faults
 }
 
-func TestGoodSetupCompiles(t *testing.T) {
-	state, faults := stateOf(t, good)
+func TestValidConfigCompiles(t *testing.T) {
+	state, faults := stateOf(t, validConfig)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	made, faults := Compile(state, 7)
+	snapshot, faults := Compile(state, 7)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
 	for _, want := range []struct{ path, method, route string }{
 		{"/shop/buy", "POST", "buy"}, {"/shop/buy", "GET", "look"}, {"/shop/x", "POST", "look"}, {"/other", "GET", ""},
 	} {
-		route, found := made.Match("", want.path, want.method)
+		route, found := snapshot.Match("", want.path, want.method)
 		if got := map[bool]func() string{true: func() string { return route.Name }, false: func() string { return "" }}[found](); got != want.route {
 			t.Errorf("%s %s matched %q, want %q", want.method, want.path, got, want.route)
 		}
 	}
-	route, _ := made.Match("", "/shop/buy", "POST")
-	if route.ClassFor("POST") != Once || route.ClassFor("GET") != Repeatable {
+	route, _ := snapshot.Match("", "/shop/buy", "POST")
+	if route.ClassFor("POST") != ClassNonIdempotent || route.ClassFor("GET") != ClassIdempotent {
 		t.Error("only GET and HEAD may be repeated unasked")
 	}
 }
 
 // Every fault of a text is named in one answer, by path.
-func TestFaultsAreAllNamed(t *testing.T) {
+func TestEveryFaultIsReported(t *testing.T) {
 	_, faults := stateOf(t, `
 service: shop: {versions: [], fallback: "1", callers: [], colour: "red"}
 route: a: {service: "shop", prefix: "no-slash"}
@@ -119,7 +119,7 @@
 	}
 }
 
-func grown(routes int) State {
+func stateWithRoutes(routes int) State {
 	var items []*schema.Item
 	for i := range routes {
 		items = append(items, &schema.Item{Kind: "route", Name: fmt.Sprint("r", i), Version: &schema.Version{Epoch: 1, Sequence: 1},
@@ -129,26 +129,26 @@
 }
 
 // A change to a large setup costs by what changed; what did not is taken over as it was.
-func BenchmarkCompileAfterOneChange(b *testing.B) {
-	state := grown(5000)
+func BenchmarkCompileIncrementalOneChange(b *testing.B) {
+	state := stateWithRoutes(5000)
 	before, _ := Compile(state, 1)
 	next := state.With([]*schema.Item{{Kind: "segment", Name: "s", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"salt":""}`)}})
 	for b.Loop() {
-		CompileAfter(before, next, 2)
+		CompileIncremental(before, next, 2)
 	}
 }
 
 // Compiling after another setup gives the same as compiling anew.
-func TestCompileAfter(t *testing.T) {
-	state := grown(20)
+func TestCompileIncremental(t *testing.T) {
+	state := stateWithRoutes(20)
 	before, _ := Compile(state, 1)
 	next := state.With([]*schema.Item{
 		{Kind: "route", Name: "r3", Version: &schema.Version{Epoch: 1, Sequence: 2}, Deleted: true},
 		{Kind: "route", Name: "r4", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"service":"shop","prefix":"/moved","methods":[],"horizon":"1s","key":"K","attributes":{}}`)},
 	})
-	after, _ := CompileAfter(before, next, 2)
+	after, _ := CompileIncremental(before, next, 2)
 	anew, _ := Compile(next, 2)
-	prefixes := func(s *Setup) (list []string) {
+	prefixes := func(s *Snapshot) (list []string) {
 		for _, route := range s.Routes {
 			list = append(list, route.Name+route.Prefix)
 		}
@@ -160,7 +160,7 @@
 	if _, found := after.Match("", "/grown/3", "GET"); found {
 		t.Error("a removed route is still there")
 	}
-	if route, found := after.Match("", "/moved", "GET"); !found || route.Key != "K" {
+	if route, found := after.Match("", "/moved", "GET"); !found || route.KeyHeader != "K" {
 		t.Error("a changed route was taken over as it was")
 	}
 }
@@ -188,15 +188,15 @@
 		"a stop of the fallback":      {`stop: "shop.1": {service: "shop", version: "1"}`, nil, 1},
 		"a lifted stop, now fallback": {`stop: "shop.1": {service: "shop", version: "1", lifted: true}`, nil, 0},
 	} {
-		items, faults := statement.Read([]byte(base + one.text))
+		items, faults := statement.Parse([]byte(base + one.text))
 		for i, item := range items {
 			item.Version = &schema.Version{Epoch: 1, Sequence: uint64(i + 1)}
 		}
-		made, cross := Compile(State{}.With(items), 9)
+		snapshot, cross := Compile(State{}.With(items), 9)
 		if len(faults) > 0 || len(cross) != one.faults {
 			t.Errorf("%s: faults %v, %v", name, faults, cross)
 		}
-		if diff := cmp.Diff(one.guards, made.Guards["shop"]); diff != "" {
+		if diff := cmp.Diff(one.guards, snapshot.GuardedVersions["shop"]); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
@@ -222,11 +222,11 @@
 route: r: {service: "shop", prefix: "/r", attributes: caller: "X", policy: "p"}`, []string{"route.r.attributes.caller"}},
 		"each by itself": {`policy: {p: expression: "caller", q: expression: "1 +"}`, []string{"policy.p.expression", "policy.q.expression"}},
 	} {
-		items, faults := statement.Read([]byte(base + one.text))
+		items, faults := statement.Parse([]byte(base + one.text))
 		for i, item := range items {
 			item.Version = &schema.Version{Epoch: 1, Sequence: uint64(i + 1)}
 		}
-		made, cross := Compile(State{}.With(items), 9)
+		snapshot, cross := Compile(State{}.With(items), 9)
 		var paths []string
 		for _, fault := range append(faults, cross...) {
 			paths = append(paths, fault.Path)
@@ -235,7 +235,7 @@
 			t.Errorf("%s: %s", name, diff)
 		}
 		// Compiled once: the next setup takes it over.
-		if next, _ := CompileAfter(made, State{}.With(items), 10); len(one.paths) == 0 && len(made.Routes) > 0 && next.Routes[0].Policy != made.Routes[0].Policy {
+		if next, _ := CompileIncremental(snapshot, State{}.With(items), 10); len(one.paths) == 0 && len(snapshot.Routes) > 0 && next.Routes[0].Policy != snapshot.Routes[0].Policy {
 			t.Errorf("%s: was compiled again", name)
 		}
 	}
--- a/internal/simulator/brake.go
+++ b/internal/simulator/brake.go
@@ -142,10 +142,10 @@
 		}
 		for name, progress := range node.setup.Progress {
 			run.State, run.WhyStopped = progress.State, progress.Reason
-			run.Back = run.Back || (progress.State == release.Back && name != "")
+			run.Back = run.Back || (progress.State == release.StateRolledBack && name != "")
 		}
 		for _, service := range services {
-			if stop := node.setup.StopOn(service, "2"); stop != nil {
+			if stop := node.setup.ActiveStop(service, "2"); stop != nil {
 				run.Back, run.WhyStopped = true, stop.Reason
 			}
 		}
@@ -172,6 +172,6 @@
 		}
 		names += fmt.Sprintf("%q", fmt.Sprint("user-", i))
 	}
-	return &schema.Item{Kind: "flag", Name: setup.FlagOf(service), Body: []byte(fmt.Sprintf(
+	return &schema.Item{Kind: "flag", Name: setup.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
 		`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"variation":0},"targets":[{"variation":1,"values":[%s]}]}`, names))}
 }
--- a/internal/simulator/cast.go
+++ b/internal/simulator/cast.go
@@ -112,12 +112,12 @@
 	if !beside.up {
 		return
 	}
-	said := dispatch.Description{Address: one.address, Service: one.service, Version: one.version, Token: one.token, BeatMS: beat.Milliseconds(), Leaving: one.leaving, Gone: gone}
+	said := dispatch.WorkerDescription{Address: one.address, Service: one.service, Version: one.version, Token: one.token, HeartbeatMS: beat.Milliseconds(), Draining: one.leaving, Deregistered: gone}
 	if w.plant == PlantUnheard {
-		said.Leaving = false
+		said.Draining = false
 	}
 	workers := beside.workers
-	w.on(&beside.machine, time.Millisecond, func() { _, _ = workers.Describe(said) })
+	w.on(&beside.machine, time.Millisecond, func() { _, _ = workers.Register(said) })
 }
 
 // drain lets a worker say that it is emptying.
@@ -194,7 +194,7 @@
 	defer w.lock.Unlock()
 	one := w.places[address]
 	if one == nil || !one.up || w.quit {
-		return nil, defect.New(defect.WorkerUnopened, address)
+		return nil, defect.New(defect.WorkerConnectFailed, address)
 	}
 	near, far := net.Pipe()
 	from.add(near)
@@ -395,15 +395,15 @@
 		return entry.outcome
 	}
 	head := dispatch.AppendField(dispatch.AppendField(dispatch.AppendField(nil, "X-Op", one.id), "X-Ask", strconv.Itoa(ask)), "X-User", user)
-	call := &dispatch.Call{Target: one.path, Head: head, Body: []byte(one.id), Request: plan.Request{Caller: one.caller, Method: method, Path: one.path,
+	call := &dispatch.Call{Target: one.path, HeaderBlock: head, Body: []byte(one.id), Request: plan.Request{Caller: one.caller, Method: method, Path: one.path,
 		Header: func(string) (string, bool) { return user, true }}}
 	if method == "GET" {
 		call.Body = nil
 	}
 	if one.keyed {
-		call.Request.Keyed, call.Request.Idempotency = true, one.id
+		call.Request.HasIdempotencyKey, call.Request.IdempotencyKey = true, one.id
 	}
-	done := make(chan *dispatch.Ended, 1)
+	done := make(chan *dispatch.CallResult, 1)
 	carrier := node.carrier
 	ctx, leave := context.WithCancel(called(fmt.Sprint(one.id, "/", ask)))
 	// Elsewhere what a caller gave up goes on, as its proxy cannot tell.
@@ -426,7 +426,7 @@
 		if w.time() > entry.sent {
 			w.stagger(ctx)
 		}
-		ended := carrier.Carry(ctx, call)
+		ended := carrier.Forward(ctx, call)
 		if w.thawed(&node.machine, life) {
 			done <- ended
 		}
@@ -437,8 +437,8 @@
 	case ended := <-done:
 		entry.ended = ended
 		entry.outcome = "not-run"
-		if ended.Carried != nil {
-			entry.outcome = dispatch.OutcomeName(ended.Carried.Ending)
+		if ended.Response != nil {
+			entry.outcome = dispatch.OutcomeName(ended.Response.Ending)
 		}
 	case <-leaves:
 		leave()
--- a/internal/simulator/core.go
+++ b/internal/simulator/core.go
@@ -17,7 +17,7 @@
 type seatNode struct {
 	machine
 	seat        *store.Replica
-	options     store.Options
+	options     store.Config
 	incarnation uint64
 	disk        []*schema.Record // synced
 	writing     []store.Persist
@@ -34,13 +34,13 @@
 	machine
 	born   uint64
 	start  time.Duration
-	table  *registry.Table
-	claims *registry.Claims
+	table  *registry.FleetState
+	claims *registry.ReservationTable
 	state  setup.State
-	setup  *setup.Setup
+	setup  *setup.Snapshot
 	beside *seatNode
 	sits   map[string]*sitting // with other registries, in a serving world
-	duty   *release.Duty
+	duty   *release.Controller
 	steps  uint64
 }
 
@@ -48,26 +48,26 @@
 
 // ---- stores ----
 
-func seatOptions(name string, order []string, losses int) store.Options {
-	return store.Options{Name: name, Order: order, Address: name, Losses: losses, Silence: silence, Stall: stall,
-		EntriesMost: 16, OutcomesMost: 4096, BufferMost: 64, DroppedMost: 64}
+func seatOptions(name string, order []string, losses int) store.Config {
+	return store.Config{Name: name, StaticMembers: order, Address: name, ToleratedLosses: losses, HeartbeatTimeout: silence, StallTimeout: stall,
+		MaxEntries: 16, MaxOutcomes: 4096, MaxUncommittedEntries: 64, MaxOperatorTombstones: 64}
 }
 
 func (w *World) startSeat(node *seatNode) {
 	w.rise(&node.machine)
 	node.writing, node.tickets, node.wakesAt = nil, map[string]func(any){}, 0
-	node.options.Draw = func() uint64 { return uint64(w.next()) }
+	node.options.NewIncarnation = func() uint64 { return uint64(w.next()) }
 	options := node.options
 	if len(node.disk) == 0 {
 		// The planted fault lets an empty folder pass for the one that was lost.
 		if w.plant != PlantAmnesia || node.incarnation == 0 {
 			node.incarnation = uint64(w.next())
 		} else {
-			options.Founders, options.Raise = seatsOf(node.seat), false
+			options.Founders, options.ExpandsMembership = seatsOf(node.seat), false
 		}
-		node.disk = []*schema.Record{store.Birth(options, node.incarnation)}
+		node.disk = []*schema.Record{store.InitialRecord(options, node.incarnation)}
 		// Only the first start of all founds anything.
-		node.options.Founders, node.options.Raise = nil, false
+		node.options.Founders, node.options.ExpandsMembership = nil, false
 	}
 	node.seat = store.NewReplica(options, node.incarnation, node.disk)
 	w.on(&node.machine, 0, func() { w.tick(node) })
@@ -88,7 +88,7 @@
 
 // rouse lets a seat tick when it wants to, as its daemon does.
 func (w *World) rouse(node *seatNode) {
-	at := node.seat.Wakes()
+	at := node.seat.NextTickAt()
 	if node.wakesAt != 0 && at >= node.wakesAt {
 		return
 	}
@@ -119,7 +119,7 @@
 				continue
 			}
 			letter := proto.Clone(one.Message).(*schema.ReplicaMessage)
-			w.deliver(&node.machine, &to.machine, func() { w.act(to, to.seat.Deliver(to.clock.at(w.now), letter)) })
+			w.deliver(&node.machine, &to.machine, func() { w.act(to, to.seat.Step(to.clock.at(w.now), letter)) })
 		case store.Persist:
 			one.Record = proto.Clone(one.Record).(*schema.Record)
 			node.writing = append(node.writing, one)
@@ -169,7 +169,7 @@
 		if len(node.writing) > 0 {
 			w.sync(node)
 		}
-		w.act(node, node.seat.Synced(node.clock.at(w.now), done.Mark))
+		w.act(node, node.seat.Persisted(node.clock.at(w.now), done.WriteID))
 	})
 }
 
@@ -187,13 +187,13 @@
 	w.act(node, node.seat.DiskFailed(node.clock.at(w.now)))
 	w.on(&node.machine, stall/8, func() {
 		node.writing = nil
-		w.act(node, node.seat.Rewrite(node.clock.at(w.now)))
+		w.act(node, node.seat.RewriteSnapshot(node.clock.at(w.now)))
 	})
 }
 
 // keep puts a record on the disk for good.
 func (w *World) keep(node *seatNode, one store.Persist) {
-	if one.Whole {
+	if one.ReplacesLog {
 		node.disk = nil
 	}
 	node.disk = append(node.disk, one.Record)
@@ -223,10 +223,10 @@
 	w.rise(&node.machine)
 	node.born, node.start, node.state, node.duty = uint64(w.next()), w.now, setup.State{}, nil
 	node.setup, _ = setup.Compile(node.state, 0)
-	node.table = registry.NewTable(registry.TableOptions{Seat: node.name[len("registry-"):], Lease: w.tableLease(), SourcesMost: 64, CountsMost: 256, Leaseless: w.Options.Serving})
-	node.claims = registry.NewClaims(registry.ClaimsOptions{Lease: lease, Window: keyWindow, Most: 1 << 16, Seats: seatCount})
+	node.table = registry.NewFleetState(registry.FleetStateOptions{MemberID: node.name[len("registry-"):], Lease: w.tableLease(), MaxSources: 64, MaxCounts: 256, WithoutLeases: w.Options.Serving})
+	node.claims = registry.NewReservationTable(registry.ReservationOptions{Lease: lease, Window: keyWindow, MaxReservations: 1 << 16, MemberCount: seatCount})
 	if w.plant == PlantForgets {
-		node.claims.Unused()
+		node.claims.MarkNeverUsed()
 	}
 	w.every(&node.machine, poll, func() {
 		beside := node.beside
@@ -234,13 +234,13 @@
 			return
 		}
 		stable, state := beside.seat.Committed()
-		if stable > node.table.Stable() {
-			news := store.Difference(state, stable, node.table.Stable())
-			node.state = node.state.Taking(news.Items, news.Whole)
+		if stable > node.table.CommittedRevision() {
+			news := store.ItemsAfter(state, stable, node.table.CommittedRevision())
+			node.state = node.state.Apply(news.Items, news.Whole)
 			w.History.observe(w.now, node.name, stable, node.state)
-			node.setup, _ = setup.CompileAfter(node.setup, node.state, stable)
+			node.setup, _ = setup.CompileIncremental(node.setup, node.state, stable)
 			w.History.inForce(node.setup)
-			node.table.SetStable(w.ageOf(node), stable)
+			node.table.SetCommitted(w.ageOf(node), stable)
 		}
 	})
 	asked := false
@@ -249,7 +249,7 @@
 			return
 		}
 		if w.plant == PlantYoung {
-			node.table.SetCurrent()
+			node.table.MarkCaughtUp()
 			return
 		}
 		ticket := fmt.Sprint("stand-", w.next())
@@ -260,11 +260,11 @@
 			}
 			asked = true
 			if back.Unused {
-				node.claims.Unused()
+				node.claims.MarkNeverUsed()
 			}
 			w.every(&node.machine, poll, func() {
-				if node.table.Stable() >= back.Committed {
-					node.table.SetCurrent()
+				if node.table.CommittedRevision() >= back.Committed {
+					node.table.MarkCaughtUp()
 				}
 			})
 		}
@@ -279,7 +279,7 @@
 		}
 		w.every(&node.machine, lease/16, func() { w.readClaims(node, other) })
 	}
-	w.every(&node.machine, w.tableLease()/(4*session.LeaseParts), func() { w.steer(node) })
+	w.every(&node.machine, w.tableLease()/(4*session.RenewalsPerLease), func() { w.steer(node) })
 	if w.Options.Serving {
 		w.serveCore(node)
 	}
@@ -306,10 +306,10 @@
 func (w *World) pullFrom(node, other *registryNode) {
 	vector := node.table.Vector()
 	w.deliver(&node.machine, &other.machine, func() {
-		if news := other.table.Feed(w.ageOf(other), vector); len(news) > 0 {
+		if news := other.table.SourcesNewerThan(w.ageOf(other), vector); len(news) > 0 {
 			w.deliver(&other.machine, &node.machine, func() {
 				for _, source := range news {
-					node.table.Merge(w.ageOf(node), source)
+					node.table.MergeSource(w.ageOf(node), source)
 				}
 			})
 		}
@@ -318,7 +318,7 @@
 
 // readClaims lets a registry that started anew read what another holds.
 func (w *World) readClaims(node, other *registryNode) {
-	if age := w.ageOf(node); node.claims.Counts(age) || age < node.claims.ReadsFrom() {
+	if age := w.ageOf(node); node.claims.IsAuthoritative(age) || age < node.claims.RecoveryStartsAt() {
 		return
 	}
 	var read func(after uint64)
@@ -326,7 +326,7 @@
 		w.deliver(&node.machine, &other.machine, func() {
 			page := other.claims.Page(w.ageOf(other), after)
 			w.deliver(&other.machine, &node.machine, func() {
-				node.claims.Fill(w.ageOf(node), other.name, page)
+				node.claims.MergePage(w.ageOf(node), other.name, page)
 				if !page.Last {
 					read(page.Claims[len(page.Claims)-1].Place)
 				}
@@ -357,73 +357,73 @@
 // steers tells whether a registry may have the release duty at all.
 func (w *World) steers(node *registryNode) bool {
 	beside := node.beside
-	if !node.table.Grants(w.ageOf(node)) || !w.standing(&beside.machine) {
+	if !node.table.GrantsLeases(w.ageOf(node)) || !w.standing(&beside.machine) {
 		return false
 	}
 	// A planted fault lets each part of a split core have a duty, whose word can then do harm.
 	if w.plant == PlantEasy {
 		return true
 	}
-	age, known := beside.seat.Fresh(beside.clock.at(w.now))
+	age, known := beside.seat.CommittedAge(beside.clock.at(w.now))
 	return known && age <= w.tableLease()/4
 }
 
 // steer does the release duty whenever it falls on a registry.
 func (w *World) steer(node *registryNode) {
 	compiled, state := node.setup, node.state
-	workers := registry.PoolsOf(node.table.Feed(w.ageOf(node), nil))
-	if !release.Due(compiled, workers) || !w.hasDuty(node) {
+	workers := registry.WorkerPoolsOf(node.table.SourcesNewerThan(w.ageOf(node), nil))
+	if !release.NeedsControl(compiled, workers) || !w.hasDuty(node) {
 		node.duty = nil
 		return
 	}
 	if node.duty == nil {
 		options := release.Defaults
 		if w.plant == PlantDeaf {
-			options.FailuresMost, options.SlowTimes, options.Sure = 1<<40, 1e9, 1e9
+			options.FailureThreshold, options.LatencyMultiple, options.RollbackLogOdds = 1<<40, 1e9, 1e9
 		}
 		if w.plant == PlantHairTrigger {
-			options.FailuresMost, options.Excess, options.Certain = 2, 0, 0
+			options.FailureThreshold, options.FailureRateMargin, options.MinStandardErrors = 2, 0, 0
 		}
 		if w.Options.Bound {
-			options.TrialShare, options.BadShare, options.BadMargin, options.Excess = termTrial, termShare, termMargin, termExcess
+			options.CanaryPercent, options.MaxBadFraction, options.BadCallsMargin, options.FailureRateMargin = termTrial, termShare, termMargin, termExcess
 		}
-		node.duty = release.NewDuty(options, node.table.Seat(), w.tableLease()/session.LeaseParts)
+		node.duty = release.NewController(options, node.table.MemberID(), w.tableLease()/session.RenewalsPerLease)
 	}
 	duty := node.duty
-	trials := duty.Trials(compiled)
+	trials := duty.CanaryGrants(compiled)
 	if w.plant == PlantEasy {
 		for _, one := range trials {
 			one.Stopped, one.Fine = false, true
 		}
 	}
-	node.table.TakeTrials(w.ageOf(node), trials)
+	node.table.SetCanaryGrants(w.ageOf(node), trials)
 	answers := []*schema.CountsBack{}
 	for _, other := range w.regs {
 		if other != node {
 			w.deliver(&node.machine, &other.machine, func() {
-				other.table.TakeTrials(w.ageOf(other), trials)
-				back := other.table.Counts(w.ageOf(other), true)
+				other.table.SetCanaryGrants(w.ageOf(other), trials)
+				back := other.table.ReportedCounts(w.ageOf(other), true)
 				w.deliver(&other.machine, &node.machine, func() { answers = append(answers, back) })
 			})
 		}
 	}
 	// Whoever has not answered by then is not heard this time.
-	w.on(&node.machine, w.tableLease()/(8*session.LeaseParts), func() {
+	w.on(&node.machine, w.tableLease()/(8*session.RenewalsPerLease), func() {
 		if node.duty != duty {
 			return
 		}
-		answers = append(answers, node.table.Counts(w.ageOf(node), true))
+		answers = append(answers, node.table.ReportedCounts(w.ageOf(node), true))
 		telling := 0
 		for _, answer := range answers {
 			telling += int(answer.Telling)
 		}
-		steps, err := duty.Look(w.ageOf(node), compiled, state, release.Sight{Counts: registry.MostOf(answers), Heard: float64(telling) / float64(len(w.proxies)), Workers: workers,
-			Known: func(sequence uint64) time.Duration { return node.table.KnownFor(w.ageOf(node), sequence) }})
+		steps, err := duty.Reconcile(w.ageOf(node), compiled, state, release.FleetObservation{Counts: registry.MergeCounts(answers), HeardFraction: float64(telling) / float64(len(w.proxies)), Workers: workers,
+			KnownFor: func(sequence uint64) time.Duration { return node.table.KnownFor(w.ageOf(node), sequence) }})
 		if err != nil {
 			w.History.breach(RuleRecovery, "%v: a step could not be made: %v", w.now, err)
 		}
 		if w.plant != PlantEasy {
-			node.table.TakeTrials(w.ageOf(node), duty.Trials(compiled))
+			node.table.SetCanaryGrants(w.ageOf(node), duty.CanaryGrants(compiled))
 		}
 		for _, step := range steps {
 			node.steps++
@@ -467,7 +467,7 @@
 	done := false
 	giveUp := w.now + 3*lease
 	take := func(fenced *schema.Fenced) {
-		if !done && fence.Take(fenced) {
+		if !done && fence.Record(fenced) {
 			done = true
 			w.History.yesGiven(w.now, sequence)
 			then()
@@ -478,11 +478,11 @@
 		if done || w.now > giveUp {
 			return
 		}
-		take(node.table.Bar(w.ageOf(node), sequence))
+		take(node.table.SetFence(w.ageOf(node), sequence))
 		for _, other := range w.regs {
 			if other != node {
 				w.deliver(&node.machine, &other.machine, func() {
-					fenced := other.table.Bar(w.ageOf(other), sequence)
+					fenced := other.table.SetFence(w.ageOf(other), sequence)
 					w.deliver(&other.machine, &node.machine, func() { take(fenced) })
 				})
 			}
@@ -500,7 +500,7 @@
 			return false
 		}
 		reg := w.regs[i]
-		if !reg.up || !reg.claims.Counts(w.ageOf(reg)) || !reg.table.Grants(w.ageOf(reg)) {
+		if !reg.up || !reg.claims.IsAuthoritative(w.ageOf(reg)) || !reg.table.GrantsLeases(w.ageOf(reg)) {
 			return false
 		}
 	}
--- a/internal/simulator/edge.go
+++ b/internal/simulator/edge.go
@@ -25,8 +25,8 @@
 // Settings of the simulated proxies.
 const (
 	horizonMost = 10 * time.Second
-	extraRatio  = standin.BudgetRatio
-	extraFloor  = standin.BudgetFloor
+	extraRatio  = standin.RetryBudgetRatio
+	extraFloor  = standin.RetryBudgetFloor
 	dialBound   = lease / 16
 	remembered  = 1 << 14
 )
@@ -36,16 +36,16 @@
 	index       int
 	incarnation uint64
 	start       time.Duration
-	gate        *session.Gate
-	fleet       *session.Fleet
+	gate        *session.LeaseGate
+	fleet       *session.FleetSize
 	members     atomic.Int64
-	journal     *journal.Journal[proxy.Event, proxy.Picture]
+	journal     *journal.Journal[proxy.Event, proxy.MeshState]
 	workers     *dispatch.Workers
 	runner      *dispatch.Runner
-	carrier     *dispatch.Carrier
-	trials      *dispatch.Trials
-	tally       *dispatch.Tally
-	facts       *dispatch.Soundness
+	carrier     *dispatch.Forwarder
+	trials      *dispatch.CanaryGuard
+	tally       *dispatch.CallCounter
+	facts       *dispatch.OutlierDetector
 	counter     uint64
 	feedAt      int
 	lagging     atomic.Bool
@@ -54,7 +54,7 @@
 	conns       *connections
 
 	// of a serving world
-	tie    *session.Tie
+	tie    *session.RegistrySelector
 	sits   map[string]*sitting
 	told   int64
 	untold bool
@@ -73,53 +73,53 @@
 	node.politely.Store(false)
 	node.lagging.Store(false)
 	node.conns = &connections{}
-	gate := session.NewGate(lease, now)
-	node.gate, node.fleet = gate, session.NewFleet(64, lease)
+	gate := session.NewLeaseGate(lease, now)
+	node.gate, node.fleet = gate, session.NewFleetSize(64, lease)
 	node.members.Store(64)
-	held := journal.New(proxy.EmptyPicture(), 8, proxy.Fold)
+	held := journal.New(proxy.EmptyMeshState(), 8, proxy.Fold)
 	node.journal = held
 	view := func() *plan.View { return held.View().View() }
 	leased := func() bool {
 		switch {
 		case w.Options.Serving:
-			return held.View().Sequence() > 0
-		case w.plant == PlantEternal && gate.Until() > 0, w.plant == PlantHasty && held.View().Sequence() > 0:
+			return held.View().ConfigRevision() > 0
+		case w.plant == PlantEternal && gate.ExpiresAt() > 0, w.plant == PlantHasty && held.View().ConfigRevision() > 0:
 			return true
 		}
 		return gate.Open()
 	}
-	trying := dispatch.TrialDefaults
+	trying := dispatch.DefaultCanaryOptions
 	if w.plant == PlantDeaf {
-		trying.Failures = 1 << 40
+		trying.MaxFailures = 1 << 40
 	}
 	// Where the duty keeps the bound, proxies do not take the evidence from it.
 	if w.Options.Bound {
-		trying.Failures = termTrips
+		trying.MaxFailures = termTrips
 	}
-	node.trials = dispatch.NewTrials(trying, func() int { return int(node.members.Load()) }, func() dispatch.Guards { return view().Setup })
-	node.tally = dispatch.NewTally(512)
-	node.facts = dispatch.NewSoundness(5, 5*time.Second)
+	node.trials = dispatch.NewCanaryGuard(trying, func() int { return int(node.members.Load()) }, func() dispatch.VersionGuards { return view().Config })
+	node.tally = dispatch.NewCallCounter(512)
+	node.facts = dispatch.NewOutlierDetector(5, 5*time.Second)
 	conns := node.conns
-	node.workers = dispatch.NewWorkers(dispatch.WorkersOptions{Proxy: name, Incarnation: node.incarnation, Area: w.areaOf(node.index), Silence: 3, Most: 64, ConnsMost: 256,
-		BodyMost: 1 << 16, Now: now, Dial: func(address string) (net.Conn, error) { return w.dial(address, conns) }}, func() { w.workersChanged(node, life) })
-	node.runner = dispatch.NewRunner(dispatch.Runner{Workers: node.workers, Soundness: node.facts, View: view, Leased: leased, Now: now, OverrunMost: lease / 16,
-		AwaitSetup: func(ctx context.Context, sequence uint64) {
-			if held.View().Sequence() < sequence && !w.Options.Serving {
-				held.Wait(ctx, func(picture proxy.Picture) bool { return picture.Sequence() >= sequence })
+	node.workers = dispatch.NewWorkers(dispatch.WorkersOptions{Proxy: name, Incarnation: node.incarnation, Zone: w.areaOf(node.index), MaxMissedHeartbeats: 3, MaxWorkers: 64, MaxConns: 256,
+		MaxBodyBytes: 1 << 16, Now: now, Dial: func(address string) (net.Conn, error) { return w.dial(address, conns) }}, func() { w.workersChanged(node, life) })
+	node.runner = dispatch.NewRunner(dispatch.Runner{Workers: node.workers, Outliers: node.facts, View: view, HasLease: leased, Now: now, MaxOverrun: lease / 16,
+		AwaitConfig: func(ctx context.Context, sequence uint64) {
+			if held.View().ConfigRevision() < sequence && !w.Options.Serving {
+				held.Wait(ctx, func(picture proxy.MeshState) bool { return picture.ConfigRevision() >= sequence })
 				w.stagger(ctx)
 			}
 		},
-		Outdated: func(sequence uint64) bool {
-			return !w.Options.Serving && held.View().Outdated(sequence, now(), lease/session.LeaseParts)
+		RevisionOutdated: func(sequence uint64) bool {
+			return !w.Options.Serving && held.View().Outdated(sequence, now(), lease/session.RenewalsPerLease)
 		}}, map[bool]int{true: 1, false: remembered}[w.plant == PlantNoSeen])
 	floor := w.Options.Floor
 	if w.plant == PlantNoBudget {
 		floor = 1e9
 	}
-	node.carrier = (&dispatch.Carrier{Name: name, Incarnation: node.incarnation,
-		Bounds: dispatch.Bounds{Options: plan.Options{Area: w.areaOf(node.index), HorizonMost: horizonMost, Warmup: 5 * time.Second}, ExtraRatio: extraRatio, ExtraFloor: floor}, View: view,
+	node.carrier = (&dispatch.Forwarder{Name: name, Incarnation: node.incarnation,
+		Limits: dispatch.Limits{PlanOptions: plan.Options{Zone: w.areaOf(node.index), MaxDeadline: horizonMost, Warmup: 5 * time.Second}, RetryRatio: extraRatio, RetryFloor: floor}, View: view,
 		AwaitView: func(ctx context.Context, ready func(*plan.View) bool) {
-			held.Wait(ctx, func(picture proxy.Picture) bool { return ready(picture.View()) })
+			held.Wait(ctx, func(picture proxy.MeshState) bool { return ready(picture.View()) })
 			w.stagger(ctx)
 		},
 		AwaitLease: func(ctx context.Context) bool {
@@ -131,20 +131,20 @@
 			}
 			defer w.stagger(ctx)
 			return gate.Await(ctx)
-		}, Lagging: func() { node.lagging.Store(true) },
-		Leased: leased, Members: func() int { return int(node.members.Load()) }, Now: now, Dice: func() float64 { return w.own(name).Float64() }, SendOn: w.sender(node, life), Soundness: node.facts,
-		Patient: w.Options.Leaving > 0, Trials: node.trials, Tally: node.tally, Claim: w.claimer(node, life, now), ClaimPause: lease / 64}).Start(remembered)
+		}, OnConfigLag: func() { node.lagging.Store(true) },
+		HasLease: leased, FleetSize: func() int { return int(node.members.Load()) }, Now: now, Random: func() float64 { return w.own(name).Float64() }, Send: w.sender(node, life), Outliers: node.facts,
+		NoAttemptTimeout: w.Options.Leaving > 0, Canaries: node.trials, Counter: node.tally, ReserveKey: w.claimer(node, life, now), KeyReleaseTimeout: lease / 64}).Init(remembered)
 	if w.Options.Serving {
 		w.serveEdge(node)
 	} else {
 		for i := range w.regs {
-			w.every(&node.machine, lease/session.LeaseParts, func() { w.renew(node, i, 0, nil) })
+			w.every(&node.machine, lease/session.RenewalsPerLease, func() { w.renew(node, i, 0, nil) })
 		}
 		w.feed(node)
-		w.every(&node.machine, lease/session.LeaseParts, func() { w.tell(node, true) })
+		w.every(&node.machine, lease/session.RenewalsPerLease, func() { w.tell(node, true) })
 	}
-	w.every(&node.machine, w.tableLease()/(4*session.LeaseParts), func() {
-		if _, any := release.Judged(view().Setup); any {
+	w.every(&node.machine, w.tableLease()/(4*session.RenewalsPerLease), func() {
+		if _, any := release.JudgedServices(view().Config); any {
 			w.tell(node, false)
 		}
 	})
@@ -182,18 +182,18 @@
 		if busy != 0 {
 			node.feedAt++
 		}
-		busy = w.now + lease/(2*session.LeaseParts)
+		busy = w.now + lease/(2*session.RenewalsPerLease)
 		target := w.regs[node.feedAt%len(w.regs)]
 		journal := node.journal
 		held := journal.View()
-		vector, sequence := held.Vector(), held.Sequence()
+		vector, sequence := held.Vector(), held.ConfigRevision()
 		w.deliver(&node.machine, &target.machine, func() {
-			event := proxy.Event{Sources: target.table.Feed(w.ageOf(target), vector)}
-			if stable := target.table.Stable(); stable > sequence {
-				event.Setup = stable
-				event.Items, event.Whole = target.state.After(sequence)
+			event := proxy.Event{Sources: target.table.SourcesNewerThan(w.ageOf(target), vector)}
+			if stable := target.table.CommittedRevision(); stable > sequence {
+				event.ConfigRevision = stable
+				event.Items, event.Complete = target.state.ChangesAfter(sequence)
 				if w.plant == PlantRevives {
-					event.Whole = false
+					event.Complete = false
 				}
 			}
 			w.deliver(&target.machine, &node.machine, func() {
@@ -209,7 +209,7 @@
 // apply takes news; a setup is used once a majority of registries knows of it. The first needs
 // no telling, for without a lease nothing is shown by it yet.
 func (w *World) apply(node *proxyNode, event proxy.Event) {
-	if held := node.journal.View().State(); w.plant == PlantOpen {
+	if held := node.journal.View().Items(); w.plant == PlantOpen {
 		event.Items = slices.DeleteFunc(event.Items, func(item *schema.Item) bool {
 			return item.Kind == "service" && held[setup.Key(item.Kind, item.Name)] != nil
 		})
@@ -219,10 +219,10 @@
 		if node.journal != journal {
 			return // the proxy was killed meanwhile, and what it knew is gone
 		}
-		if node.journal.View().Sequence() < event.Setup || len(event.Sources) > 0 {
+		if node.journal.View().ConfigRevision() < event.ConfigRevision || len(event.Sources) > 0 {
 			event.At = node.clockOf(w.now)
-			before := node.journal.View().Sequence()
-			if after := node.journal.Append(event).Sequence(); after > before {
+			before := node.journal.View().ConfigRevision()
+			if after := node.journal.Append(event).ConfigRevision(); after > before {
 				w.History.applied(w.now, node)
 				for i := range w.regs {
 					w.renew(node, i, 0, nil)
@@ -230,14 +230,14 @@
 			}
 		}
 	}
-	if event.Setup <= node.journal.View().Sequence() || node.journal.View().Sequence() == 0 {
+	if event.ConfigRevision <= node.journal.View().ConfigRevision() || node.journal.View().ConfigRevision() == 0 {
 		use()
 		return
 	}
 	heard := map[string]bool{}
 	used := false
 	for i := range w.regs {
-		w.renew(node, i, event.Setup, func(seat string) {
+		w.renew(node, i, event.ConfigRevision, func(seat string) {
 			if heard[seat] = true; len(heard) > seatCount/2 && !used {
 				used = true
 				use()
@@ -249,24 +249,24 @@
 func (w *World) renew(node *proxyNode, i int, knows uint64, heard func(seat string)) {
 	target := w.regs[i]
 	asked := node.clockOf(w.now)
-	applied := node.journal.View().Sequence()
+	applied := node.journal.View().ConfigRevision()
 	renew := &schema.Renew{Proxy: node.name, Incarnation: node.incarnation, Applied: applied, Knows: knows, LeaseNanos: int64(lease)}
 	gate := node.gate
 	w.deliver(&node.machine, &target.machine, func() {
-		reply := target.table.Renew(w.ageOf(target), renew)
+		reply := target.table.RenewLease(w.ageOf(target), renew)
 		w.deliver(&target.machine, &node.machine, func() {
 			if node.incarnation != renew.Incarnation {
 				return
 			}
-			node.members.Store(node.fleet.Note(node.clockOf(w.now), int64(reply.Members)))
+			node.members.Store(node.fleet.Observe(node.clockOf(w.now), int64(reply.Members)))
 			if heard != nil {
 				heard(reply.Seat)
 			}
 			if reply.Granted {
-				gate.Granted(reply.Seat, seatCount, asked)
+				gate.RecordGrant(reply.Seat, seatCount, asked)
 			}
 			// Another registry knows more than the one that feeds this proxy.
-			if reply.Stable > node.journal.View().Sequence() && node.feedAt%len(w.regs) != i && w.roll(4) == 0 {
+			if reply.Stable > node.journal.View().ConfigRevision() && node.feedAt%len(w.regs) != i && w.roll(4) == 0 {
 				node.feedAt = i
 			}
 		})
@@ -293,20 +293,20 @@
 func (w *World) tell(node *proxyNode, whole bool) {
 	report := &schema.Report{Proxy: node.name, Incarnation: node.incarnation}
 	if whole {
-		node.workers.Sweep()
+		node.workers.DropUnresponsive()
 		report.Source = node.source(w.areaOf(node.index))
 		event := proxy.Event{At: node.clockOf(w.now), Sources: []*schema.Source{report.Source}}
 		if !w.Options.Serving {
-			event.Sweep = lease / 4
+			event.SourceTimeout = lease / 4
 		}
 		picture := node.journal.Append(event)
-		node.facts.Keep(picture.Known())
+		node.facts.Retain(picture.KnownWorkers())
 	}
-	setup := node.journal.View().View().Setup
-	judged, _ := release.Judged(setup)
-	report.Works, report.Applied = node.runner.Works.Tell(judged), setup.Sequence
+	setup := node.journal.View().View().Config
+	judged, _ := release.JudgedServices(setup)
+	report.Works, report.Applied = node.runner.WorkCounts.Report(judged), setup.Revision
 	if whole {
-		for _, count := range node.tally.Counts(setup.Sequence) {
+		for _, count := range node.tally.Counts(setup.Revision) {
 			report.Counts = append(report.Counts, proto.Clone(count).(*schema.Count))
 		}
 	}
@@ -314,20 +314,20 @@
 	target := w.regs[node.feedAt%len(w.regs)]
 	trials := node.trials
 	if w.Options.Serving {
-		w.tellSitting(node, report, func(told []*schema.Trial) { trials.Granted(asked, told) })
-		trials.Forget()
+		w.tellSitting(node, report, func(told []*schema.Trial) { trials.ApplyGrants(asked, told) })
+		trials.ForgetUnguarded()
 		return
 	}
 	w.deliver(&node.machine, &target.machine, func() {
-		target.table.Tell(w.ageOf(target), report)
-		told := target.table.Trials(w.ageOf(target))
+		target.table.ApplyReport(w.ageOf(target), report)
+		told := target.table.CanaryGrants(w.ageOf(target))
 		w.deliver(&target.machine, &node.machine, func() {
 			if node.incarnation == report.Incarnation {
-				trials.Granted(asked, told)
+				trials.ApplyGrants(asked, told)
 			}
 		})
 	})
-	trials.Forget()
+	trials.ForgetUnguarded()
 }
 
 // hopAnswer is what comes back of a dispatch.
@@ -339,34 +339,34 @@
 // peerOf is how a proxy stands before another: it may speak for its own callers.
 func (w *World) peerOf(node *proxyNode) link.Peer {
 	speaks := map[string]bool{"client": true, "saves": true}
-	return link.Local("proxy", node.name, speaks)
+	return link.LocalPeer("proxy", node.name, speaks)
 }
 
 // claimer takes a key to the registries.
-func (w *World) claimer(node *proxyNode, life int, now func() time.Duration) dispatch.Claimer {
-	return func(ctx context.Context, claim *schema.Claim) (session.ClaimVerdict, *schema.Claim) {
+func (w *World) claimer(node *proxyNode, life int, now func() time.Duration) dispatch.KeyReserver {
+	return func(ctx context.Context, claim *schema.Claim) (session.ReservationOutcome, *schema.Claim) {
 		if w.plant == PlantNoClaims {
-			return session.ClaimWon, nil
+			return session.ReservationGranted, nil
 		}
 		if !w.thawed(&node.machine, life) {
-			return session.ClaimLost, nil
+			return session.ReservationNoMajority, nil
 		}
-		bound := session.ClaimBound(lease)
+		bound := session.ReservationRoundTimeout(lease)
 		bounded, cancel := context.WithTimeout(ctx, bound)
 		defer cancel()
-		answers := make(chan session.ClaimAnswer, seatCount)
-		round := session.NewClaiming(claim, seatCount, now(), bound)
+		answers := make(chan session.ReservationAnswer, seatCount)
+		round := session.NewReservationRound(claim, seatCount, now(), bound)
 		for _, reg := range w.regs {
 			sent := proto.Clone(claim).(*schema.Claim)
 			w.deliverBy(w.own(fmt.Sprint(claim.Request, claim.Instance, claim.Drop, reg.name)), &node.machine, &reg.machine, func() {
-				claimed := reg.claims.Take(w.ageOf(reg), sent)
-				w.deliver(&reg.machine, &node.machine, func() { answers <- session.ClaimAnswer{Seat: reg.name, Claimed: claimed} })
+				claimed := reg.claims.Apply(w.ageOf(reg), sent)
+				w.deliver(&reg.machine, &node.machine, func() { answers <- session.ReservationAnswer{MemberID: reg.name, Response: claimed} })
 			})
 		}
-		verdict, holder := round.Gather(bounded, seatCount, answers, now)
+		verdict, holder := round.AwaitOutcome(bounded, seatCount, answers, now)
 		// A proxy that was frozen meanwhile goes on when it thaws.
 		if !w.thawed(&node.machine, life) {
-			return session.ClaimLost, nil
+			return session.ReservationNoMajority, nil
 		}
 		return verdict, holder
 	}
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -109,15 +109,15 @@
 			d.text(entry.proxy.name, entry.outcome)
 			d.times(entry.sent, entry.got)
 			if ended := entry.ended; ended != nil {
-				d.text(ended.ID, string(defect.KindOf(ended.Err)))
-				d.number(uint64(ended.Tries), uint64(ended.Met))
-				if ended.Carried != nil {
-					d.message(t, ended.Carried)
+				d.text(ended.ID, string(defect.CodeOf(ended.Err)))
+				d.number(uint64(ended.Attempts), uint64(ended.WorkerAttempts))
+				if ended.Response != nil {
+					d.message(t, ended.Response)
 				}
 				if made := ended.Plan; made != nil {
-					d.number(historyPlan, made.Verdict.Setup, uint64(len(made.Candidates)))
+					d.number(historyPlan, made.Verdict.ConfigRevision, uint64(len(made.Candidates)))
 					d.text(made.Service, made.Verdict.Flag, made.Verdict.Version, string(made.Verdict.Reason), made.Verdict.RuleID, string(made.Verdict.Error), made.Verdict.Evaluated)
-					d.times(made.Horizon, made.Aim)
+					d.times(made.Deadline, made.LatencyTarget)
 				}
 			}
 		}
@@ -308,7 +308,7 @@
 			w.insist(func() {}, &schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"callers":["client","saves"]}`)},
 				&schema.Item{Kind: "flag", Name: "release.shop", Deleted: true})
 			w.Run(w.now + 4*time.Second)
-			w.place(release.Order{Service: "shop", Version: "2", Over: 12 * time.Second}, func() {})
+			w.place(release.RolloutOrder{Service: "shop", Version: "2", Within: 12 * time.Second}, func() {})
 		} else {
 			w.insist(func() {}, planned("shop", 60, 20*time.Second))
 		}
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -35,7 +35,7 @@
 	proxy     *proxyNode
 	sent, got time.Duration
 	outcome   string
-	ended     *dispatch.Ended // nil if the connection was lost or never opened
+	ended     *dispatch.CallResult // nil if the connection was lost or never opened
 }
 
 type runEntry struct {
@@ -80,8 +80,8 @@
 	Purges     int // how often tombstones were let go
 	purgedTo   uint64
 	HeldCalls  int
-	Left       int                      // callers that left before they were answered
-	Departures dispatch.DepartureCounts // of all lives of proxies
+	Left       int                       // callers that left before they were answered
+	Departures dispatch.DisconnectCounts // of all lives of proxies
 	world      *World
 	yeses      []shown // by time, the highest acknowledged setup
 	yes        uint64
@@ -93,7 +93,7 @@
 	rulings    map[string]schema.Ruling
 	ops        map[string]*op
 	left       map[string]time.Duration // by token: when its worker said that it leaves, or ended
-	setups     map[uint64]*setup.Setup
+	setups     map[uint64]*setup.Snapshot
 	extras     map[string][]time.Duration // by service: dispatches after the first of their call
 	under      map[string]int             // calls under way, by service and version
 	bad        []*badEntry
@@ -147,12 +147,12 @@
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.Decisions++
-	if least := h.yesAt(now - standin.RulesBound); h.world.Options.Serving {
+	if least := h.yesAt(now - standin.ConfigPropagationBound); h.world.Options.Serving {
 		if touch {
 			h.Touched++
 		}
 		if touch && carry.Setup < least {
-			h.breach(RuleOlder, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name, carry.Request, carry.Setup, least, standin.RulesBound)
+			h.breach(RuleOlder, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name, carry.Request, carry.Setup, least, standin.ConfigPropagationBound)
 		}
 	} else if carry.Setup < h.yes {
 		h.breach(RuleOlder, "%v: %s sent %s by %d; %d was acknowledged", now, node.name, carry.Request, carry.Setup, h.yes)
@@ -166,7 +166,7 @@
 	}
 	h.last[node.name] = max(h.last[node.name], carry.Setup)
 	for marker := range h.markers {
-		if item := node.journal.View().State()[marker]; item != nil {
+		if item := node.journal.View().Items()[marker]; item != nil {
 			h.breach(RuleInvalid, "%v: %s holds %s", now, node.name, marker)
 		}
 	}
@@ -204,11 +204,11 @@
 }
 
 // inForce notes a setup that a registry gives out.
-func (h *History) inForce(compiled *setup.Setup) {
+func (h *History) inForce(compiled *setup.Snapshot) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	if h.setups[compiled.Sequence] == nil {
-		h.setups[compiled.Sequence] = compiled
+	if h.setups[compiled.Revision] == nil {
+		h.setups[compiled.Revision] = compiled
 	}
 }
 
@@ -226,7 +226,7 @@
 		return
 	}
 	wanted.runs = append(wanted.runs, runEntry{one, now, ask, request, 0})
-	if at, left := h.left[one.token]; left && bound && now > at+standin.LeftBound {
+	if at, left := h.left[one.token]; left && bound && now > at+standin.DrainingBound {
 		h.breach(RuleLeft, "%v: %s ran %s %v after it left", now, one.name, id, now-at)
 	}
 	// What was in force when it was asked for, or came into force since, may have allowed it.
@@ -234,7 +234,7 @@
 	if ask < len(wanted.asks) {
 		sent = wanted.asks[ask].sent
 	}
-	least, allowed := h.yesAt(sent-standin.RulesBound), false
+	least, allowed := h.yesAt(sent-standin.ConfigPropagationBound), false
 	// A proxy that is out of touch may go by any setup there ever was.
 	if h.world.Options.Serving {
 		least = 0
@@ -243,7 +243,7 @@
 		if sequence < least {
 			continue
 		}
-		if service := compiled.Services[one.service]; service != nil && service.Allows(one.version) && service.AllowsCaller(caller) {
+		if service := compiled.Services[one.service]; service != nil && service.AllowsVersion(one.version) && service.AllowsCaller(caller) {
 			allowed = true
 			break
 		}
@@ -265,11 +265,11 @@
 		}
 		bad.its++
 		bad.last = now
-		if bad.failures >= standin.BadFailures && now > bad.fiftieth+standin.BadBound && bad.late == 0 {
+		if bad.failures >= standin.FaultyVersionFailures && now > bad.fiftieth+standin.FaultyVersionBound && bad.late == 0 {
 			bad.late = now
 		}
 		if failed {
-			if bad.failures++; bad.failures == standin.BadFailures {
+			if bad.failures++; bad.failures == standin.FaultyVersionFailures {
 				bad.fiftieth = now
 			}
 		}
@@ -300,8 +300,8 @@
 		return
 	}
 	if made := entry.ended.Plan; made != nil {
-		if least := h.yesAt(entry.sent - standin.RulesBound); !h.world.Options.Serving && made.Verdict.Setup < least {
-			h.breach(RuleOlder, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged", now, one.id, entry.sent, made.Verdict.Setup, least)
+		if least := h.yesAt(entry.sent - standin.ConfigPropagationBound); !h.world.Options.Serving && made.Verdict.ConfigRevision < least {
+			h.breach(RuleOlder, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged", now, one.id, entry.sent, made.Verdict.ConfigRevision, least)
 		}
 		if made.Verdict.Reason == "HELD" {
 			h.HeldCalls++
@@ -309,8 +309,8 @@
 	}
 	if entry.ended.Err != nil {
 		// A caller that was withdrawn is refused rightly.
-		if defect.KindOf(entry.ended.Err) != defect.NotAllowed {
-			h.away(entry, string(defect.KindOf(entry.ended.Err)))
+		if defect.CodeOf(entry.ended.Err) != defect.CallerNotAllowed {
+			h.away(entry, string(defect.CodeOf(entry.ended.Err)))
 		}
 		return
 	}
@@ -319,8 +319,8 @@
 		h.Repeats++
 	}
 	var got standin.Reply
-	carried := entry.ended.Carried
-	if json.Unmarshal(carried.Body, &got) != nil || got.Op != one.id || !got.Whole() {
+	carried := entry.ended.Response
+	if json.Unmarshal(carried.Body, &got) != nil || got.Operation != one.id || !got.IsIntact() {
 		h.breach(RuleAnswer, "%v: %s got %q", now, one.id, carried.Body)
 	}
 	if len(one.runs) == 0 {
@@ -376,7 +376,7 @@
 func (h *History) applied(now time.Duration, node *proxyNode) {
 	held := node.journal.View()
 	if h.world.plant != PlantOpen {
-		h.observe(now, node.name, held.Sequence(), held.State())
+		h.observe(now, node.name, held.ConfigRevision(), held.Items())
 	}
 }
 
@@ -392,7 +392,7 @@
 	print := fmt.Sprint(sequence, ":", sum.Sum64())
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	if to := state.PurgedTo(); to > h.purgedTo {
+	if to := state.PurgedUpTo(); to > h.purgedTo {
 		h.purgedTo = to
 		h.Purges++
 	}
--- a/internal/simulator/hop.go
+++ b/internal/simulator/hop.go
@@ -19,18 +19,18 @@
 // may be cut, slow, lossy, or end in a dead or frozen machine.
 func (w *World) sender(node *proxyNode, life int) dispatch.Sender {
 	peer := w.peerOf(node)
-	return func(ctx context.Context, candidate plan.Candidate, given *schema.Carry) (*schema.Carried, error) {
+	return func(ctx context.Context, candidate plan.Endpoint, given *schema.Carry) (*schema.Carried, error) {
 		// What is left of an earlier life does nothing any more.
 		if now, _, up := w.lifeOf(&node.machine); !up || now != life {
 			<-ctx.Done()
-			return nil, defect.New(defect.LinkLost, "this proxy is dead")
+			return nil, defect.New(defect.PeerConnectionLost, "this proxy is dead")
 		}
 		if !given.Recall && !given.Enquiry {
 			w.History.dispatched(w.time(), node, given)
 		}
 		if !w.thawed(&node.machine, life) {
 			<-ctx.Done()
-			return nil, defect.New(defect.LinkLost, "this proxy is dead")
+			return nil, defect.New(defect.PeerConnectionLost, "this proxy is dead")
 		}
 		if candidate.Proxy == node.name {
 			return node.runner.Run(ctx, peer, given), nil
@@ -43,7 +43,7 @@
 			return answer.carried, answer.err
 		case <-ctx.Done():
 			w.hangUp(node, candidate.Proxy, given.Request)
-			return nil, defect.New(defect.LinkLost, "no answer in time")
+			return nil, defect.New(defect.PeerConnectionLost, "no answer in time")
 		}
 	}
 }
@@ -58,7 +58,7 @@
 	}
 	lost := func() { answers <- hopAnswer{nil, w.lostLink()} }
 	unopened := func(after time.Duration) {
-		w.after(after, func() { answers <- hopAnswer{nil, defect.New(defect.LinkUnopened, name)} })
+		w.after(after, func() { answers <- hopAnswer{nil, defect.New(defect.PeerConnectFailed, name)} })
 	}
 	delay, dropped := w.passes(&node.machine, &target.machine, dice)
 	_, _, up := w.lifeOf(&target.machine)
@@ -112,9 +112,9 @@
 
 func (w *World) lostLink() error {
 	if w.plant == PlantFalseNo {
-		return defect.New(defect.LinkUnopened, "lost")
+		return defect.New(defect.PeerConnectFailed, "lost")
 	}
-	return defect.New(defect.LinkLost, "lost")
+	return defect.New(defect.PeerConnectionLost, "lost")
 }
 
 // mangled alters an answer now and then on the way; a checksum that fits would be a forgery.
@@ -142,9 +142,9 @@
 	if carry.Caller == "client" && w.own("stranger "+carry.Request).IntN(100) == 0 {
 		forged := proto.Clone(carry).(*schema.Carry)
 		forged.Request, forged.Caller, forged.Recall = "forged-"+carry.Request, "saves", false
-		stranger := link.Local("proxy", "stranger", map[string]bool{"client": true})
+		stranger := link.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
 		if w.plant == PlantClaimsAll {
-			stranger = link.Local("proxy", "stranger", map[string]bool{"client": true, "saves": true})
+			stranger = link.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
 		}
 		go runner.Run(context.Background(), stranger, forged)
 	}
--- a/internal/simulator/leaving.go
+++ b/internal/simulator/leaving.go
@@ -143,7 +143,7 @@
 	}
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	counts := node.runner.Departures.Counts()
+	counts := node.runner.Disconnects.Counts()
 	h.Departures.Add(counts)
 	if counts.Violations() > 0 {
 		h.breach(RuleGone, "%s counts %+v", node.name, counts)
--- a/internal/simulator/play.go
+++ b/internal/simulator/play.go
@@ -17,7 +17,7 @@
 
 // weighted is a release flag with a share of version 2, in thousandths of a percent.
 func weighted(service string, weight int) *schema.Item {
-	return &schema.Item{Kind: "flag", Name: setup.FlagOf(service), Body: []byte(fmt.Sprintf(
+	return &schema.Item{Kind: "flag", Name: setup.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
 		`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":{"variations":[{"variation":0,"weight":%d},{"variation":1,"weight":%d}]}}}`, 100000-weight, weight))}
 }
 
@@ -34,7 +34,7 @@
 }
 
 func single(service string) *schema.Item {
-	return &schema.Item{Kind: "flag", Name: setup.FlagOf(service), Body: []byte(`{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`)}
+	return &schema.Item{Kind: "flag", Name: setup.VersionFlagKey(service), Body: []byte(`{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`)}
 }
 
 func planned(service string, target float64, over time.Duration) *schema.Item {
@@ -91,7 +91,7 @@
 	var items []*schema.Item
 	both := func(service string) bool {
 		listed := node.setup.Services[service]
-		return listed != nil && listed.Allows("2")
+		return listed != nil && listed.AllowsVersion("2")
 	}
 	switch kind := w.roll(12); {
 	case kind < 4:
@@ -452,7 +452,7 @@
 	}
 	life := node.life
 	w.stopping, w.stoppedIn = node, life
-	node.workers.LeaveAll()
+	node.workers.DrainAll()
 	w.on(&node.machine, time.Second, func() {
 		node.politely.Store(true)
 		w.on(&node.machine, 3*time.Second, func() {
@@ -504,7 +504,7 @@
 // begin waits until the fleet serves its first setup.
 func (w *World) begin() {
 	w.Run(lease + 2*time.Second)
-	items, _ := statement.Read([]byte(firstSetup))
+	items, _ := statement.Parse([]byte(firstSetup))
 	w.insist(func() {}, items...)
 	w.Run(settled)
 	w.callers()
--- a/internal/simulator/seats.go
+++ b/internal/simulator/seats.go
@@ -110,13 +110,13 @@
 func (w *coreWorld) add(name string, founding bool) *seatNode {
 	options := seatOptions(name, nil, w.options.Losses)
 	if w.plant == PlantNoStones {
-		options.DroppedMost = 1
+		options.MaxOperatorTombstones = 1
 	}
 	node := &seatNode{machine: w.machine("store-" + name), options: options}
 	if first := []string{"a", "b", "c"}; founding && slices.Contains(first, name) {
 		node.options.Founders = first
 	} else {
-		node.options.Raise = founding
+		node.options.ExpandsMembership = founding
 	}
 	w.seats = append(w.seats, node)
 	w.start(node)
@@ -303,7 +303,7 @@
 			}
 		}
 	}
-	w.unanswered[client] = func() { call(linearize.Unknown) }
+	w.unanswered[client] = func() { call(linearize.OutcomeUnknown) }
 	var try func()
 	try = func() {
 		if decided {
@@ -352,9 +352,9 @@
 	case ruling == schema.Ruling_RULING_ACCEPTED:
 		return linearize.Accepted
 	case ruling == schema.Ruling_RULING_CONFLICT && items == 1 && !again:
-		return linearize.Clashed
+		return linearize.Conflicted
 	}
-	return linearize.Refused
+	return linearize.Rejected
 }
 
 func (w *coreWorld) offer(node *seatNode, change *schema.Change, decided func(schema.Ruling)) {
@@ -386,7 +386,7 @@
 		}
 	}
 	w.act(node, node.seat.Propose(node.clock.at(w.now), &schema.Proposal{Ticket: ticket, Change: change}))
-	if outcome, taken := node.seat.Accepted(change.Id); w.plant == PlantUnstable && taken && outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
+	if outcome, taken := node.seat.AppendedOutcome(change.Id); w.plant == PlantUnstable && taken && outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
 		w.acknowledged(change, 0)
 	}
 }
--- a/internal/simulator/serving.go
+++ b/internal/simulator/serving.go
@@ -27,7 +27,7 @@
 	serverLife int
 	client     *machine
 	clientLife int
-	position   *registry.Position
+	position   *registry.SessionCursor
 	peer       bool
 	trial      bool // the client has another session
 	setup      uint64
@@ -89,7 +89,7 @@
 	if one.broken() {
 		one.over = true
 		if !one.peer {
-			server.table.Depart(w.ageOf(server), one.client.name)
+			server.table.CloseSession(w.ageOf(server), one.client.name)
 		}
 		return
 	}
@@ -98,7 +98,7 @@
 	if one.peer {
 		beats = 4
 	}
-	if worth || w.now-one.sent >= beats*servingLease/session.BeatParts {
+	if worth || w.now-one.sent >= beats*servingLease/session.HeartbeatsPerLease {
 		one.sent = w.now
 		delay, lost := w.passes(&server.machine, one.client, w.dice)
 		if lost || w.cutEither(&server.machine, one.client) {
@@ -130,14 +130,14 @@
 	node := one.server
 	now := w.ageOf(node)
 	news = &schema.News{}
-	for _, source := range node.table.News(now, one.position) {
+	for _, source := range node.table.NextUpdates(now, one.position) {
 		news.Sources = append(news.Sources, proto.Clone(source).(*schema.Source))
 	}
-	age, known := node.table.Age(now)
+	age, known := node.table.Staleness(now)
 	news.Vouched, news.AgeNanos = known, int64(age)
-	if node.table.Grants(now) || now >= servingLease/2 {
-		if news.Setup = node.table.Stable(); !one.peer && news.Setup > one.setup {
-			news.Items, news.Whole = node.state.After(one.setup)
+	if node.table.GrantsLeases(now) || now >= servingLease/2 {
+		if news.Setup = node.table.CommittedRevision(); !one.peer && news.Setup > one.setup {
+			news.Items, news.Whole = node.state.ChangesAfter(one.setup)
 			one.setup, worth = news.Setup, true
 		}
 	} else {
@@ -146,11 +146,11 @@
 	if !one.cores {
 		one.cores, news.Cores, worth = true, w.coresOf(), true
 	}
-	if members := uint32(node.table.Members(now)); !one.peer && members != one.members {
+	if members := uint32(node.table.LiveProxies(now)); !one.peer && members != one.members {
 		one.members, news.Members, worth = members, members, true
 	}
 	if one.peer {
-		news.Reached = node.table.Reached(now)
+		news.Reached = node.table.ReachableRegistries(now)
 	}
 	worth = worth || !one.begun || len(news.Sources) > 0
 	one.begun = true
@@ -161,13 +161,13 @@
 
 // serveCore starts the part of a registry's life that is about sessions.
 func (w *World) serveCore(node *registryNode) {
-	node.table.Among(seatCount)
+	node.table.SetMemberCount(seatCount)
 	node.sits = map[string]*sitting{}
 	w.every(&node.machine, poll, func() {
 		if beside := node.beside; w.standing(&beside.machine) {
-			if stable, _ := beside.seat.Committed(); stable >= node.table.Stable() {
-				if age, known := beside.seat.Fresh(beside.clock.at(w.now)); known {
-					node.table.Vouch(w.ageOf(node) - age)
+			if stable, _ := beside.seat.Committed(); stable >= node.table.CommittedRevision() {
+				if age, known := beside.seat.CommittedAge(beside.clock.at(w.now)); known {
+					node.table.ConfirmCurrent(w.ageOf(node) - age)
 				}
 			}
 		}
@@ -187,19 +187,19 @@
 				held.over = true
 			}
 			heard = w.now
-			vector, seat := node.table.Vector(), node.table.Seat()
+			vector, seat := node.table.Vector(), node.table.MemberID()
 			one := &sitting{server: other, client: &node.machine, peer: true}
 			one.take = func(news *schema.News) {
 				heard = w.now
 				for _, source := range news.Sources {
-					node.table.Merge(w.ageOf(node), source)
+					node.table.MergeSource(w.ageOf(node), source)
 				}
-				node.table.Reach(w.ageOf(node), other.table.Seat(), news.Reached)
+				node.table.RecordPeerHeard(w.ageOf(node), other.table.MemberID(), news.Reached)
 			}
 			node.sits[other.name] = one
 			w.sit(one, func() {
-				other.table.Learn(w.ageOf(other), vector)
-				one.position = registry.NewPosition(node.name, seat, vector)
+				other.table.ObserveVector(w.ageOf(other), vector)
+				one.position = registry.NewSessionCursor(node.name, seat, vector)
 			})
 		})
 	}
@@ -216,7 +216,7 @@
 // serveEdge starts the part of a proxy's life that is about sessions.
 func (w *World) serveEdge(node *proxyNode) {
 	node.incarnation, node.told = w.nextIncarnation(0), 0
-	lag := float64(servingLease) / session.LagParts
+	lag := float64(servingLease) / session.MaxStalenessDivisor
 	if w.plant == PlantStays {
 		lag = float64(time.Hour)
 	}
@@ -224,8 +224,8 @@
 	for _, reg := range w.regs {
 		seeds = append(seeds, reg.name)
 	}
-	node.tie = session.NewTie(session.TieOptions{Name: node.name, Area: w.areaOf(node.index), Beat: servingLease / session.BeatParts,
-		Silence: servingLease / session.SilenceParts, Lag: time.Duration(lag), Back: servingLease}, seeds)
+	node.tie = session.NewRegistrySelector(session.SelectorOptions{ProxyName: node.name, Zone: w.areaOf(node.index), HeartbeatInterval: servingLease / session.HeartbeatsPerLease,
+		HeartbeatTimeout: servingLease / session.HeartbeatTimeoutDivisor, MaxStaleness: time.Duration(lag), FailureCooldown: servingLease}, seeds)
 	node.sits, node.untold = map[string]*sitting{}, false
 	w.every(&node.machine, poll, func() {
 		now := node.clockOf(w.now)
@@ -235,19 +235,19 @@
 			if held != nil && (held.over || !reg.up || (held.serverLife != 0 && reg.life != held.serverLife)) && !w.cutEither(&node.machine, &reg.machine) {
 				held.over = true
 				delete(node.sits, reg.name)
-				w.heed(node, node.tie.Ended(now, reg.name))
+				w.heed(node, node.tie.RecordSessionEnd(now, reg.name))
 			}
 		}
 		w.heed(node, node.tie.Tick(now))
-		if node.untold && node.tie.Current() != "" && w.now-node.toldAt > servingLease/session.LeaseParts {
+		if node.untold && node.tie.Current() != "" && w.now-node.toldAt > servingLease/session.RenewalsPerLease {
 			w.tell(node, true)
 		}
 	})
-	w.every(&node.machine, servingLease/session.BeatParts, node.workers.Sweep)
+	w.every(&node.machine, servingLease/session.HeartbeatsPerLease, node.workers.DropUnresponsive)
 }
 
 // heed carries out what a proxy's tie wants.
-func (w *World) heed(node *proxyNode, acts []session.TieAct) {
+func (w *World) heed(node *proxyNode, acts []session.Action) {
 	for _, act := range acts {
 		if held := node.sits[act.Address]; held != nil {
 			held.over = true
@@ -257,22 +257,22 @@
 			continue
 		}
 		reg, held, told := w.regCalled(act.Address), node.journal.View(), (*schema.Source)(nil)
-		if !act.Trial {
+		if !act.Candidate {
 			source := node.source(w.areaOf(node.index))
 			held = node.journal.Append(proxy.Event{At: node.clockOf(w.now), Sources: []*schema.Source{source}})
 			told = proto.Clone(source).(*schema.Source)
 		}
 		vector := held.Vector()
-		one := &sitting{server: reg, client: &node.machine, setup: held.Sequence(), trial: act.Trial}
+		one := &sitting{server: reg, client: &node.machine, setup: held.ConfigRevision(), trial: act.Candidate}
 		one.take = func(news *schema.News) { w.takeNews(node, act.Address, news) }
 		node.sits[act.Address] = one
 		w.sit(one, func() {
-			reg.table.Learn(w.ageOf(reg), vector)
-			one.position = registry.NewPosition(node.name, "", vector)
-			if act.Trial {
-				reg.table.Visit(node.name)
+			reg.table.ObserveVector(w.ageOf(reg), vector)
+			one.position = registry.NewSessionCursor(node.name, "", vector)
+			if act.Candidate {
+				reg.table.OpenProvisionalSession(node.name)
 			} else {
-				reg.table.Arrive(w.ageOf(reg), told)
+				reg.table.OpenSession(w.ageOf(reg), told)
 			}
 		})
 	}
@@ -286,20 +286,20 @@
 // takeNews does what a proxy's daemon does with what a session brings.
 func (w *World) takeNews(node *proxyNode, address string, news *schema.News) {
 	now := node.clockOf(w.now)
-	before := node.journal.View().Sequence()
+	before := node.journal.View().ConfigRevision()
 	if news.Setup > before || len(news.Sources) > 0 {
-		event := proxy.Event{At: now, Setup: news.Setup, Items: news.Items, Whole: news.Whole, Sources: news.Sources}
+		event := proxy.Event{At: now, ConfigRevision: news.Setup, Items: news.Items, Complete: news.Whole, Sources: news.Sources}
 		if w.plant == PlantRevives {
-			event.Whole = false
+			event.Complete = false
 		}
 		picture := node.journal.Append(event)
-		node.facts.Keep(picture.Known())
-		if picture.Sequence() > before {
+		node.facts.Retain(picture.KnownWorkers())
+		if picture.ConfigRevision() > before {
 			w.History.applied(w.now, node)
 		}
 	}
 	for _, source := range news.Sources {
-		if source.Name == node.name && session.Overtaken(node.incarnation, source.Stamp.GetIncarnation(), source.Stamp.GetEnded()) {
+		if source.Name == node.name && session.IsSuperseded(node.incarnation, source.Stamp.GetIncarnation(), source.Stamp.GetEnded()) {
 			node.incarnation = w.nextIncarnation(source.Stamp.GetIncarnation())
 			w.tell(node, true)
 		}
@@ -307,9 +307,9 @@
 	if news.Members > 0 {
 		node.told = int64(news.Members)
 	}
-	node.members.Store(node.fleet.Note(now, node.told))
-	node.tie.Cores(news.Cores)
-	w.heed(node, node.tie.Heard(now, address, news.Vouched, time.Duration(news.AgeNanos)))
+	node.members.Store(node.fleet.Observe(now, node.told))
+	node.tie.SetCoreMembers(news.Cores)
+	w.heed(node, node.tie.RecordHeartbeat(now, address, news.Vouched, time.Duration(news.AgeNanos)))
 }
 
 // tellSitting tells a registry in session what is new; it is told again if no word of it comes.
@@ -324,8 +324,8 @@
 	life, counter := node.life, node.counter
 	sent := proto.Clone(report).(*schema.Report)
 	w.deliver(&node.machine, &target.machine, func() {
-		target.table.Tell(w.ageOf(target), sent)
-		told := target.table.Trials(w.ageOf(target))
+		target.table.ApplyReport(w.ageOf(target), sent)
+		told := target.table.CanaryGrants(w.ageOf(target))
 		w.deliver(&target.machine, &node.machine, func() {
 			if node.life == life {
 				if node.counter == counter && report.Source != nil {
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -119,7 +119,7 @@
 					for _, rule := range h.rules() {
 						t.Errorf("%s: %s", rule, strings.Join(h.Breaches[rule], "\n\t"))
 					}
-					if h.Left < 20 || h.Departures.Stopped+h.Departures.Dropped == 0 || h.Departures.Kept == 0 {
+					if h.Left < 20 || h.Departures.Canceled+h.Departures.Dequeued == 0 || h.Departures.RanToEnd == 0 {
 						t.Errorf("only %d callers left: %+v", h.Left, h.Departures)
 					}
 					t.Logf("%d callers left of %d: %+v", h.Left, h.Asked, h.Departures)
--- a/internal/simulator/term.go
+++ b/internal/simulator/term.go
@@ -80,7 +80,7 @@
 	w.Run(w.now + 4*time.Second)
 
 	run, ordered := TermRun{}, time.Duration(0)
-	w.place(release.Order{Service: "shop", Version: "2", Over: kind.Over}, func() { ordered = w.now })
+	w.place(release.RolloutOrder{Service: "shop", Version: "2", Within: kind.Over}, func() { ordered = w.now })
 	for ordered == 0 {
 		w.Run(w.now + 50*time.Millisecond)
 	}
@@ -113,24 +113,24 @@
 		}
 	})
 	// Trouble comes when it hurts most: while the version leaves its trial.
-	moment := time.Duration(float64(kind.Over)*release.Defaults.FinishAt) + w.upTo(1500*time.Millisecond)
+	moment := time.Duration(float64(kind.Over)*release.Defaults.CanaryEndFraction) + w.upTo(1500*time.Millisecond)
 	if !kind.Good() {
 		moment = termStarts + kind.Ill.From + w.upTo(1500*time.Millisecond)
 	}
 	w.after(moment, func() { w.strike(kind) })
 	for w.now < term+termAfter {
 		w.Run(w.now + 50*time.Millisecond)
-		if run.State != release.Done && run.State != release.Back {
+		if run.State != release.StateDone && run.State != release.StateRolledBack {
 			for _, node := range w.regs {
 				if !node.up || node.setup == nil {
 					continue
 				}
-				if _, state := release.StateOf(node.setup, "shop"); state == release.Done || state == release.Back {
+				if _, state := release.RolloutState(node.setup, "shop"); state == release.StateDone || state == release.StateRolledBack {
 					run.State, run.At = state, w.now-ordered
 				}
 			}
 			// The old workers end at once.
-			if run.State == release.Done {
+			if run.State == release.StateDone {
 				run.Lost = w.History.under["shop1"]
 				for _, one := range w.all() {
 					if one.service == "shop" && one.version == "1" {
@@ -147,7 +147,7 @@
 }
 
 // place states an order at some registry until it is taken.
-func (w *World) place(order release.Order, then func()) {
+func (w *World) place(order release.RolloutOrder, then func()) {
 	placed := false
 	var try func()
 	try = func() {
@@ -156,7 +156,7 @@
 		}
 		node := w.regs[w.roll(len(w.regs))]
 		if node.setup != nil {
-			if step, err := release.Place(node.setup, node.state, order); err == nil && step != nil {
+			if step, err := release.PlanRollout(node.setup, node.state, order); err == nil && step != nil {
 				node.steps++
 				w.submit(node, step.Change(node.name+"-order", node.born, node.steps, node.state), func(ruling schema.Ruling, _ uint64) {
 					if ruling == schema.Ruling_RULING_ACCEPTED && !placed {
--- a/internal/simulator/term_test.go
+++ b/internal/simulator/term_test.go
@@ -34,9 +34,9 @@
 				for rule, breaches := range got.Breaches {
 					t.Errorf("seed %d: %s: %v", seed, rule, breaches)
 				}
-				want := release.Back
+				want := release.StateRolledBack
 				if kind.Good() {
-					want = release.Done
+					want = release.StateDone
 				}
 				if got.State != want || got.At > kind.Over {
 					wrong++
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -17,47 +17,47 @@
 // blocks needs none of that, and in a process that mostly rests this is much of what a call costs.
 type Conn struct {
 	*net.TCPConn
-	raw     syscall.RawConn
-	reading side
-	writing side
+	raw       syscall.RawConn
+	readSide  direction
+	writeSide direction
 }
 
-// side is one direction of a connection.
-type side struct {
-	lock  sync.Mutex
-	data  []byte
-	count int
-	err   error
-	once  func(handle uintptr) bool // made once, so that a call allocates nothing
+// direction is one direction of a connection.
+type direction struct {
+	lock    sync.Mutex
+	data    []byte
+	count   int
+	err     error
+	onReady func(handle uintptr) bool // made once, so that a call allocates nothing
 }
 
-// Of gives a connection the plain calls, if it is one that can have them.
-func Of(conn net.Conn) net.Conn {
-	tcp, is := conn.(*net.TCPConn)
-	if !is {
+// Wrap gives a connection the plain calls, if it is one that can have them.
+func Wrap(conn net.Conn) net.Conn {
+	tcp, isTCP := conn.(*net.TCPConn)
+	if !isTCP {
 		return conn
 	}
 	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return conn
 	}
-	made := &Conn{TCPConn: tcp, raw: raw}
-	made.reading.once = func(handle uintptr) bool { return made.reading.do(handle, Read) }
-	made.writing.once = func(handle uintptr) bool { return made.writing.do(handle, Write) }
-	return made
+	wrapped := &Conn{TCPConn: tcp, raw: raw}
+	wrapped.readSide.onReady = func(handle uintptr) bool { return wrapped.readSide.attempt(handle, Read) }
+	wrapped.writeSide.onReady = func(handle uintptr) bool { return wrapped.writeSide.attempt(handle, Write) }
+	return wrapped
 }
 
-// do makes one call for what is left; false waits until the socket is ready for more.
-func (s *side) do(handle uintptr, call func(handle uintptr, data []byte) (int, error)) bool {
+// attempt makes one call for what is left; false waits until the socket is ready for more.
+func (d *direction) attempt(handle uintptr, call func(handle uintptr, data []byte) (int, error)) bool {
 	for {
-		count, err := call(handle, s.data)
+		count, err := call(handle, d.data)
 		switch {
 		case errors.Is(err, syscall.EINTR):
 			continue
 		case errors.Is(err, syscall.EAGAIN):
 			return false
 		}
-		s.count, s.err = count, err
+		d.count, d.err = count, err
 		return true
 	}
 }
@@ -67,17 +67,17 @@
 	if len(into) == 0 {
 		return 0, nil
 	}
-	side := &c.reading
+	side := &c.readSide
 	side.lock.Lock()
 	defer side.lock.Unlock()
 	side.data, side.count, side.err = into, 0, nil
-	err := c.raw.Read(side.once)
+	err := c.raw.Read(side.onReady)
 	side.data = nil
 	switch {
 	case err != nil:
 		return 0, err
 	case side.err != nil:
-		return 0, c.fault("read", side.err)
+		return 0, c.opError("read", side.err)
 	case side.count == 0:
 		return 0, io.EOF
 	}
@@ -86,18 +86,18 @@
 
 // Write sends everything, or tells how much of it went before what error.
 func (c *Conn) Write(from []byte) (int, error) {
-	side := &c.writing
+	side := &c.writeSide
 	side.lock.Lock()
 	defer side.lock.Unlock()
 	defer func() { side.data = nil }()
 	for sent := 0; ; {
 		side.data, side.count, side.err = from[sent:], 0, nil
-		err := c.raw.Write(side.once)
+		err := c.raw.Write(side.onReady)
 		switch {
 		case err != nil:
 			return sent, err
 		case side.err != nil:
-			return sent, c.fault("write", side.err)
+			return sent, c.opError("write", side.err)
 		}
 		if sent += side.count; sent >= len(from) {
 			return sent, nil
@@ -105,6 +105,6 @@
 	}
 }
 
-func (c *Conn) fault(what string, err error) error {
-	return &net.OpError{Op: what, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError(what, err)}
+func (c *Conn) opError(op string, err error) error {
+	return &net.OpError{Op: op, Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError(op, err)}
 }
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// pair gives both ends of a connection, the first of them with plain calls.
-func pair(t *testing.T) (plain net.Conn, other *net.TCPConn) {
+// connPair gives both ends of a connection, the first of them with plain calls.
+func connPair(t *testing.T) (plain net.Conn, other *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,16 +28,16 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { dialled.Close(); taken.Close() })
-	plain = Of(taken)
+	plain = Wrap(taken)
 	if _, is := plain.(*Conn); !is {
 		t.Fatalf("a TCP connection became %T", plain)
 	}
 	return plain, dialled.(*net.TCPConn)
 }
 
-// TestAllComesThrough sends more than a socket holds both ways at once.
-func TestAllComesThrough(t *testing.T) {
-	plain, other := pair(t)
+// TestFullDuplexTransfer sends more than a socket holds both ways at once.
+func TestFullDuplexTransfer(t *testing.T) {
+	plain, other := connPair(t)
 	sent := bytes.Repeat([]byte("meadow hinge "), 1<<20)
 	ends := make(chan error, 2)
 	go func() {
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestEnds has each way in which a read or a write ends come out as the library's own would.
-func TestEnds(t *testing.T) {
+// TestErrorsMatchTheStandardLibrary has each way in which a read or a write ends come out as the library's own would.
+func TestErrorsMatchTheStandardLibrary(t *testing.T) {
 	one := make([]byte, 1)
 	for name, test := range map[string]struct {
 		do   func(plain net.Conn, other *net.TCPConn) error
@@ -136,16 +136,16 @@
 		}, syscall.EPIPE},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := test.do(pair(t)); !errors.Is(err, test.want) {
+			if err := test.do(connPair(t)); !errors.Is(err, test.want) {
 				t.Fatalf("ended with %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-// TestNothingIsAllocated holds the calls to what they are for.
-func TestNothingIsAllocated(t *testing.T) {
-	plain, other := pair(t)
+// TestNoAllocations holds the calls to what they are for.
+func TestNoAllocations(t *testing.T) {
+	plain, other := connPair(t)
 	one := make([]byte, 1)
 	if count := testing.AllocsPerRun(100, func() {
 		_, _ = plain.Write(one)
@@ -157,12 +157,12 @@
 	}
 }
 
-// TestOthersStayAsTheyAre: what is no TCP connection is given back.
-func TestOthersStayAsTheyAre(t *testing.T) {
+// TestOtherConnsAreNotWrapped: what is no TCP connection is given back.
+func TestOtherConnsAreNotWrapped(t *testing.T) {
 	one, other := net.Pipe()
 	defer one.Close()
 	defer other.Close()
-	if Of(one) != one {
+	if Wrap(one) != one {
 		t.Fatal("a pipe was changed")
 	}
 }
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -9,36 +9,36 @@
 
 // The bounds of the users' never-rules.
 const (
-	LeftBound    = 2 * time.Second        // after a worker said that it leaves
-	RulesBound   = 2 * time.Second        // after a change was acknowledged
-	FallBound    = 250 * time.Millisecond // after a newer setup was shown
-	BudgetWindow = 10 * time.Second       // in which extra tries are bounded
-	BudgetRatio  = 0.2                    // of a service's calls
-	BudgetFloor  = 60                     // and so many besides
-	BadRatio     = 0.1                    // of its service's calls that a bad version may get
-	BadFloor     = 50                     // and so many besides
-	BadFailures  = 50                     // after this failure
-	BadBound     = 5 * time.Second        // and so long, it gets none
+	DrainingBound          = 2 * time.Second        // after a worker said that it leaves
+	ConfigPropagationBound = 2 * time.Second        // after a change was acknowledged
+	ConfigRegressionBound  = 250 * time.Millisecond // after a newer setup was shown
+	RetryBudgetWindow      = 10 * time.Second       // in which extra tries are bounded
+	RetryBudgetRatio       = 0.2                    // of a service's calls
+	RetryBudgetFloor       = 60                     // and so many besides
+	FaultyVersionRatio     = 0.1                    // of its service's calls that a bad version may get
+	FaultyVersionFloor     = 50                     // and so many besides
+	FaultyVersionFailures  = 50                     // after this failure
+	FaultyVersionBound     = 5 * time.Second        // and so long, it gets none
 )
 
 // Reply is what a worker answers; Sum covers Op, Worker and Filler.
 type Reply struct {
-	Op     string `json:"op"`
-	Worker string `json:"worker"`
-	Filler string `json:"filler"`
-	Sum    uint32 `json:"sum"`
+	Operation string `json:"op"`
+	Worker    string `json:"worker"`
+	Filler    string `json:"filler"`
+	Checksum  uint32 `json:"sum"`
 }
 
 // NewReply answers an op, sealed by its sum.
-func NewReply(op, worker, filler string) Reply {
-	made := Reply{Op: op, Worker: worker, Filler: filler}
-	made.Sum = made.sum()
-	return made
+func NewReply(operation, worker, filler string) Reply {
+	reply := Reply{Operation: operation, Worker: worker, Filler: filler}
+	reply.Checksum = reply.checksum()
+	return reply
 }
 
-func (r Reply) sum() uint32 {
-	return crc32.ChecksumIEEE([]byte(r.Op + "|" + r.Worker + "|" + r.Filler))
+func (r Reply) checksum() uint32 {
+	return crc32.ChecksumIEEE([]byte(r.Operation + "|" + r.Worker + "|" + r.Filler))
 }
 
-// Whole tells whether nothing of the reply was cut or altered.
-func (r Reply) Whole() bool { return r.Sum == r.sum() }
+// IsIntact tells whether nothing of the reply was cut or altered.
+func (r Reply) IsIntact() bool { return r.Checksum == r.checksum() }
--- a/internal/statement/read.go
+++ b/internal/statement/read.go
@@ -20,72 +20,72 @@
 //go:embed schema.cue
 var schemaText string
 
-// reader keeps the compiled schema; a CUE context is not safe for several threads and
+// schemaCache keeps the compiled schema; a CUE context is not safe for several threads and
 // grows with use, so it is guarded and made anew after a number of readings.
-var reader struct {
+var schemaCache struct {
 	lock   sync.Mutex
 	left   int
 	schema cue.Value
 	ctx    *cue.Context
 }
 
-// readingsPerContext bounds what a CUE context may pile up.
-const readingsPerContext = 64
+// parsesPerContext bounds what a CUE context may pile up.
+const parsesPerContext = 64
 
-// Read turns an operator's CUE text into the items of a change, or lists every fault.
-func Read(text []byte) ([]*schema.Item, []*schema.Fault) {
-	reader.lock.Lock()
-	defer reader.lock.Unlock()
-	if reader.left == 0 {
-		reader.ctx = cuecontext.New()
-		reader.schema = reader.ctx.CompileString(schemaText, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Setup"))
-		reader.left = readingsPerContext
+// Parse turns an operator's CUE text into the items of a change, or lists every fault.
+func Parse(text []byte) ([]*schema.Item, []*schema.Fault) {
+	schemaCache.lock.Lock()
+	defer schemaCache.lock.Unlock()
+	if schemaCache.left == 0 {
+		schemaCache.ctx = cuecontext.New()
+		schemaCache.schema = schemaCache.ctx.CompileString(schemaText, cue.Filename("schema.cue")).LookupPath(cue.ParsePath("#Setup"))
+		schemaCache.left = parsesPerContext
 	}
-	reader.left--
-	given := reader.ctx.CompileBytes(text, cue.Filename("setup.cue"))
-	if err := given.Err(); err != nil {
-		return nil, faultsOf(err)
+	schemaCache.left--
+	input := schemaCache.ctx.CompileBytes(text, cue.Filename("setup.cue"))
+	if err := input.Err(); err != nil {
+		return nil, cueFaults(err)
 	}
-	whole := reader.schema.Unify(given)
-	if err := whole.Validate(cue.Concrete(true), cue.Final(), cue.All()); err != nil {
+	unified := schemaCache.schema.Unify(input)
+	if err := unified.Validate(cue.Concrete(true), cue.Final(), cue.All()); err != nil {
 		// A bad value in a struct hides its misspelt fields from CUE, so those are looked for apart.
-		faults := faultsOf(err)
-		seen := map[string]bool{}
+		faults := cueFaults(err)
+		reported := map[string]bool{}
 		for _, fault := range faults {
-			seen[fault.Path] = true
+			reported[fault.Path] = true
 		}
-		strangers(reader.schema, given, nil, func(path string) {
-			if !seen[path] {
+		reportUnknownFields(schemaCache.schema, input, nil, func(path string) {
+			if !reported[path] {
 				faults = append(faults, &schema.Fault{Path: path, Reason: "field not allowed"})
 			}
 		})
 		return nil, faults
 	}
-	body, err := whole.MarshalJSON()
+	body, err := unified.MarshalJSON()
 	if err != nil {
-		return nil, faultsOf(err)
+		return nil, cueFaults(err)
 	}
-	var parts map[string]map[string]json.RawMessage
-	if err := json.Unmarshal(body, &parts); err != nil {
+	var bodiesByKind map[string]map[string]json.RawMessage
+	if err := json.Unmarshal(body, &bodiesByKind); err != nil {
 		return nil, []*schema.Fault{{Path: ".", Reason: err.Error()}}
 	}
 	var items []*schema.Item
-	for kind, named := range parts {
+	for kind, bodyByName := range bodiesByKind {
 		// There is one item of limits, so nobody need name it.
 		if kind == schema.LimitsKind {
-			limits, err := json.Marshal(named)
+			limits, err := json.Marshal(bodyByName)
 			if err != nil {
 				return nil, []*schema.Fault{{Path: kind, Reason: err.Error()}}
 			}
-			named = map[string]json.RawMessage{schema.LimitsName: limits}
+			bodyByName = map[string]json.RawMessage{schema.LimitsName: limits}
 		}
-		for name, part := range named {
+		for name, itemBody := range bodyByName {
 			if kind != "remove" {
-				items = append(items, &schema.Item{Kind: kind, Name: name, Body: part})
+				items = append(items, &schema.Item{Kind: kind, Name: name, Body: itemBody})
 				continue
 			}
 			var names []string
-			if err := json.Unmarshal(part, &names); err != nil {
+			if err := json.Unmarshal(itemBody, &names); err != nil {
 				return nil, []*schema.Fault{{Path: "remove." + name, Reason: err.Error()}}
 			}
 			for _, removed := range names {
@@ -107,41 +107,41 @@
 	return items, nil
 }
 
-// strangers walks what was given beside the schema and names each field that is not in it.
-func strangers(allowed, given cue.Value, path []string, found func(path string)) {
-	if list, err := given.List(); err == nil {
+// reportUnknownFields walks what was given beside the schema and names each field that is not in it.
+func reportUnknownFields(allowed, input cue.Value, path []string, report func(path string)) {
+	if list, err := input.List(); err == nil {
 		for i := 0; list.Next(); i++ {
-			strangers(allowed.LookupPath(cue.MakePath(cue.AnyIndex)), list.Value(), append(path, strconv.Itoa(i)), found)
+			reportUnknownFields(allowed.LookupPath(cue.MakePath(cue.AnyIndex)), list.Value(), append(path, strconv.Itoa(i)), report)
 		}
 		return
 	}
-	fields, err := given.Fields()
+	fields, err := input.Fields()
 	if err != nil || !allowed.Exists() || allowed.IncompleteKind() != cue.StructKind {
 		return
 	}
 	for fields.Next() {
 		selector := fields.Selector()
-		at := append(path[:len(path):len(path)], selector.String())
+		fieldPath := append(path[:len(path):len(path)], selector.String())
 		if !allowed.Allows(selector) {
-			found(strings.Join(at, "."))
+			report(strings.Join(fieldPath, "."))
 			continue
 		}
-		next := allowed.LookupPath(cue.MakePath(selector.Optional()))
-		if !next.Exists() {
-			next = allowed.LookupPath(cue.MakePath(cue.AnyString))
+		fieldSchema := allowed.LookupPath(cue.MakePath(selector.Optional()))
+		if !fieldSchema.Exists() {
+			fieldSchema = allowed.LookupPath(cue.MakePath(cue.AnyString))
 		}
-		strangers(next, fields.Value(), at, found)
+		reportUnknownFields(fieldSchema, fields.Value(), fieldPath, report)
 	}
 }
 
-// faultsOf lists every error CUE found, once each.
-func faultsOf(err error) []*schema.Fault {
+// cueFaults lists every error CUE found, once each.
+func cueFaults(err error) []*schema.Fault {
 	var faults []*schema.Fault
 	seen := map[string]bool{}
-	for _, found := range errors.Errors(err) {
-		path := strings.TrimPrefix(strings.Join(found.Path(), "."), "#Setup.")
-		format, values := found.Msg()
-		reason := strings.TrimSpace(errors.Details(errors.Newf(found.Position(), format, values...), nil))
+	for _, cueError := range errors.Errors(err) {
+		path := strings.TrimPrefix(strings.Join(cueError.Path(), "."), "#Setup.")
+		format, values := cueError.Msg()
+		reason := strings.TrimSpace(errors.Details(errors.Newf(cueError.Position(), format, values...), nil))
 		reason, _, _ = strings.Cut(reason, "\n")
 		reason = strings.TrimSuffix(reason, ":")
 		if path == "" {
--- a/internal/store/admission_test.go
+++ b/internal/store/admission_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each ruling on a change, against one state.
-func TestAdmit(t *testing.T) {
+func TestDecide(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Epoch: 1, Sequence: sequence} }
 	state := setup.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "shop", Version: at(1), Body: []byte(`{"versions":["1","2"],"fallback":"1","callers":[]}`)},
@@ -21,7 +21,7 @@
 	expect := func(kind, name string, sequence uint64) *schema.Expected {
 		return &schema.Expected{Kind: kind, Name: name, Sequence: sequence}
 	}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		change *schema.Change
 		want   schema.Ruling
 	}{
@@ -35,34 +35,34 @@
 		"a duty under a passed epoch":      {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":4}`)}, Expected: []*schema.Expected{expect("progress", "r", 2)}}, schema.Ruling_RULING_STALE},
 		"a duty under its own epoch":       {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":5}`)}, Expected: []*schema.Expected{expect("progress", "r", 2)}}, schema.Ruling_RULING_ACCEPTED},
 	} {
-		entry, _ := Accept(state, nil, one.change, at(10))
-		if entry.Outcome.Ruling != one.want {
-			t.Errorf("%s: %v, want %v (%v)", name, entry.Outcome.Ruling, one.want, entry.Outcome.Faults)
+		entry, _ := Decide(state, nil, test.change, at(10))
+		if entry.Outcome.Ruling != test.want {
+			t.Errorf("%s: %v, want %v (%v)", name, entry.Outcome.Ruling, test.want, entry.Outcome.Faults)
 		}
 		// Whole or nothing: a refusal carries no item.
-		if (len(entry.Items) > 0) != (one.want == schema.Ruling_RULING_ACCEPTED) {
-			t.Errorf("%s: ruled %v with %d items", name, one.want, len(entry.Items))
+		if (len(entry.Items) > 0) != (test.want == schema.Ruling_RULING_ACCEPTED) {
+			t.Errorf("%s: ruled %v with %d items", name, test.want, len(entry.Items))
 		}
 	}
 }
 
 // Which items of a change by given versions are taken, against one state.
-func TestAdmitByGiven(t *testing.T) {
+func TestDecideByOperatorVersion(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Epoch: 1, Sequence: sequence} }
-	item := func(name string, given uint64, body string) *schema.Item {
-		return &schema.Item{Kind: "segment", Name: name, Given: given, Body: []byte(body), Deleted: body == ""}
+	item := func(name string, version uint64, body string) *schema.Item {
+		return &schema.Item{Kind: "segment", Name: name, Given: version, Body: []byte(body), Deleted: body == ""}
 	}
-	held := func(sequence uint64, item *schema.Item) *schema.Item { item.Version = at(sequence); return item }
+	stored := func(sequence uint64, item *schema.Item) *schema.Item { item.Version = at(sequence); return item }
 	const body = `{"salt":"new"}`
 	state := setup.State{}.With([]*schema.Item{
-		held(1, item("stands", 7, `{"salt":""}`)), held(2, item("dropped", 7, "")), held(3, item("ours", 0, `{"salt":""}`))})
-	route := func(name string, given uint64) *schema.Item {
-		return &schema.Item{Kind: "route", Name: name, Given: given, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)}
+		stored(1, item("stands", 7, `{"salt":""}`)), stored(2, item("dropped", 7, "")), stored(3, item("ours", 0, `{"salt":""}`))})
+	route := func(name string, version uint64) *schema.Item {
+		return &schema.Item{Kind: "route", Name: name, Given: version, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)}
 	}
-	for name, one := range map[string]struct {
-		items []*schema.Item
-		want  schema.Ruling
-		taken map[string]uint64 // given version by name
+	for name, test := range map[string]struct {
+		items   []*schema.Item
+		want    schema.Ruling
+		written map[string]uint64 // given version by name
 	}{
 		"higher":                            {[]*schema.Item{item("stands", 8, body)}, schema.Ruling_RULING_ACCEPTED, map[string]uint64{"stands": 8}},
 		"equal, the same":                   {[]*schema.Item{item("stands", 7, `{"salt":""}`)}, schema.Ruling_RULING_ACCEPTED, nil},
@@ -87,42 +87,42 @@
 		"one newer that is invalid":         {[]*schema.Item{item("stands", 9, body), route("r", 9)}, schema.Ruling_RULING_INVALID, nil},
 		"one newer beside a broken kind":    {[]*schema.Item{item("stands", 9, body), {Kind: "thing", Name: "x", Given: 9}}, schema.Ruling_RULING_INVALID, nil},
 	} {
-		entry, _ := Accept(state, nil, &schema.Change{Items: one.items, ByGiven: true}, at(10))
-		if entry.Outcome.Ruling != one.want || len(entry.Items) != len(one.taken) {
+		entry, _ := Decide(state, nil, &schema.Change{Items: test.items, ByGiven: true}, at(10))
+		if entry.Outcome.Ruling != test.want || len(entry.Items) != len(test.written) {
 			t.Errorf("%s: %v with %d items (%v)", name, entry.Outcome.Ruling, len(entry.Items), entry.Outcome.Faults)
 		}
-		if one.want == schema.Ruling_RULING_CONFLICT && len(entry.Outcome.Current) == 0 {
+		if test.want == schema.Ruling_RULING_CONFLICT && len(entry.Outcome.Current) == 0 {
 			t.Errorf("%s: the refusal names no item", name)
 		}
-		for _, taken := range entry.Items {
-			if taken.Given != one.taken[taken.Name] {
-				t.Errorf("%s: %s is taken under %d", name, taken.Name, taken.Given)
+		for _, written := range entry.Items {
+			if written.Given != test.written[written.Name] {
+				t.Errorf("%s: %s is taken under %d", name, written.Name, written.Given)
 			}
 		}
 	}
 	// Whoever writes without a given version leaves the one that stands.
-	entry, _ := Accept(state, nil, &schema.Change{Items: []*schema.Item{item("stands", 0, body)}, Expected: []*schema.Expected{{Kind: "segment", Name: "stands", Sequence: 1}}}, at(10))
+	entry, _ := Decide(state, nil, &schema.Change{Items: []*schema.Item{item("stands", 0, body)}, Expected: []*schema.Expected{{Kind: "segment", Name: "stands", Sequence: 1}}}, at(10))
 	if len(entry.Items) != 1 || entry.Items[0].Given != 7 {
 		t.Errorf("written without a version: %v", entry)
 	}
 }
 
 // What the operator said counts, also where the product makes no use of it.
-func TestContentIsWhatWasSaid(t *testing.T) {
-	service := func(said string) *schema.Item {
-		return &schema.Item{Kind: "service", Name: "shop", Given: 7, Body: []byte(`{}`), Said: []byte(said)}
+func TestContentIsWhatTheOperatorWrote(t *testing.T) {
+	service := func(source string) *schema.Item {
+		return &schema.Item{Kind: "service", Name: "shop", Given: 7, Body: []byte(`{}`), Said: []byte(source)}
 	}
-	held := service(`{"MaxConns":20,"Name":"shop"}`)
-	held.Version = &schema.Version{Epoch: 1, Sequence: 4}
-	state := setup.State{}.With([]*schema.Item{held})
-	for said, want := range map[string]schema.Ruling{
+	stored := service(`{"MaxConns":20,"Name":"shop"}`)
+	stored.Version = &schema.Version{Epoch: 1, Sequence: 4}
+	state := setup.State{}.With([]*schema.Item{stored})
+	for source, want := range map[string]schema.Ruling{
 		`{"Name":"shop", "MaxConns":20}`: schema.Ruling_RULING_ACCEPTED,
 		`{"MaxConns":21,"Name":"shop"}`:  schema.Ruling_RULING_CONFLICT,
 		`{"Name":"shop"}`:                schema.Ruling_RULING_CONFLICT,
 	} {
-		entry, _ := Accept(state, nil, &schema.Change{Items: []*schema.Item{service(said)}, ByGiven: true}, &schema.Version{Epoch: 1, Sequence: 9})
+		entry, _ := Decide(state, nil, &schema.Change{Items: []*schema.Item{service(source)}, ByGiven: true}, &schema.Version{Epoch: 1, Sequence: 9})
 		if entry.Outcome.Ruling != want || len(entry.Items) > 0 {
-			t.Errorf("%s: %v", said, entry.Outcome)
+			t.Errorf("%s: %v", source, entry.Outcome)
 		}
 	}
 }
--- a/internal/store/deliver.go
+++ b/internal/store/deliver.go
@@ -15,43 +15,43 @@
 
 // Tick lets time pass.
 func (s *Replica) Tick(now time.Duration) []Action {
-	s.begin(now)
+	s.beginStep(now)
 	s.tick()
 	return s.actions
 }
 
 func (s *Replica) tick() {
 	s.expireForwarded()
-	if !s.member() {
-		if s.phase != idle {
-			s.stepDown()
+	if !s.isMember() {
+		if s.role != roleFollower {
+			s.becomeFollower()
 		}
-		if len(s.options.Order) > 0 && s.membership.Taken == nil && !s.joins {
-			s.askToRead()
+		if len(s.config.StaticMembers) > 0 && s.membership.Taken == nil && !s.joinsExisting {
+			s.requestState()
 		} else {
 			s.requestJoin()
 		}
 		return
 	}
 	// A leader that cannot reach a majority, or whose disk stalls, lets leadership go.
-	if s.phase != idle && !s.reachesMajority(s.options.Name) {
-		s.stepDown()
+	if s.role != roleFollower && !s.reachesMajority(s.config.Name) {
+		s.becomeFollower()
 	}
-	stuck := (s.phase == campaigning || s.phase == beginning) && s.now-s.phaseAt > s.options.Stall/campaignsPerStall
+	stuck := (s.role == roleCandidate || s.role == roleLeaderElect) && s.now-s.roleSince > s.config.StallTimeout/campaignsPerStallTimeout
 	// One try a silence bound keeps two members that see the links differently from racing.
-	due := stuck || s.phase == idle && (s.now-s.phaseAt > s.options.Silence || s.phaseAt == 0)
-	if due && len(s.newerMembers()) == 0 && s.preferredLeader() == s.options.Name && (stuck || s.caughtUp()) && !s.awaitsFounders() {
-		s.campaign()
+	due := stuck || s.role == roleFollower && (s.now-s.roleSince > s.config.HeartbeatTimeout || s.roleSince == 0)
+	if due && len(s.newerMembers()) == 0 && s.preferredLeader() == s.config.Name && (stuck || s.caughtUp()) && !s.awaitsFounders() {
+		s.becomeCandidate()
 	}
-	s.purge()
+	s.purgeTombstones()
 	s.reconcileMembership()
-	if !s.sentHeartbeat || s.now-s.lastHeartbeat >= s.pause() {
+	if !s.heartbeatSent || s.now-s.heartbeatSentAt >= s.heartbeatInterval() {
 		s.sendHeartbeats()
-		s.resend()
+		s.resendUnacknowledged()
 	}
-	s.sendNews()
+	s.sendUrgentHeartbeats()
 	// Whoever reaches no majority may have missed who the members are now.
-	if !s.reachesMajority(s.options.Name) && s.now-s.bornAt > s.options.Silence {
+	if !s.reachesMajority(s.config.Name) && s.now-s.clockStartedAt > s.config.HeartbeatTimeout {
 		s.requestJoin()
 	}
 }
@@ -60,13 +60,13 @@
 // registry asks again under the same change id, which is safe.
 func (s *Replica) expireForwarded() {
 	leader := s.leader()
-	for _, ticket := range slices.Sorted(maps.Keys(s.forwarded)) {
-		waiting := s.forwarded[ticket]
-		if waiting.leader == leader && s.now-waiting.at <= s.options.Silence {
+	for _, ticket := range slices.Sorted(maps.Keys(s.forwardedRequests)) {
+		request := s.forwardedRequests[ticket]
+		if request.leader == leader && s.now-request.sentAt <= s.config.HeartbeatTimeout {
 			continue
 		}
-		delete(s.forwarded, ticket)
-		if waiting.pendingRead {
+		delete(s.forwardedRequests, ticket)
+		if request.isRead {
 			s.actions = append(s.actions, ReadIndexReady{&schema.ReadIndexReply{Ticket: ticket, Undecided: true}})
 		} else {
 			s.actions = append(s.actions, Reply{&schema.ProposalReply{Ticket: ticket, Undecided: true}})
@@ -74,48 +74,48 @@
 	}
 }
 
-// Deliver takes a message from another replica.
-func (s *Replica) Deliver(now time.Duration, message *schema.ReplicaMessage) []Action {
-	s.begin(now)
-	if message.To != s.options.Name || message.From == s.options.Name {
+// Step takes a message from another replica.
+func (s *Replica) Step(now time.Duration, message *schema.ReplicaMessage) []Action {
+	s.beginStep(now)
+	if message.To != s.config.Name || message.From == s.config.Name {
 		return nil
 	}
 	if message.Address != "" {
 		s.addresses[message.From] = message.Address
 	}
-	known, counted := s.sender(message)
+	peer, counted := s.sender(message)
 	switch body := message.Body.(type) {
 	case *schema.ReplicaMessage_Heartbeat:
-		if known == nil {
-			s.tellMembers(message.From, body.Heartbeat.Membership)
+		if peer == nil {
+			s.sendMembership(message.From, body.Heartbeat.Membership)
 		} else {
-			s.onHeartbeat(message.From, known, body.Heartbeat)
+			s.onHeartbeat(message.From, peer, body.Heartbeat)
 		}
 	case *schema.ReplicaMessage_VoteRequest:
-		if known == nil {
-			s.tellMembers(message.From, body.VoteRequest.Membership)
+		if peer == nil {
+			s.sendMembership(message.From, body.VoteRequest.Membership)
 		} else {
 			s.onVoteRequest(message.From, body.VoteRequest)
 		}
 	case *schema.ReplicaMessage_Vote:
 		if counted {
-			s.onVote(known, body.Vote)
+			s.onVote(peer, body.Vote)
 		}
 	case *schema.ReplicaMessage_BeginEpoch:
-		s.onBeginEpoch(message.From, body.BeginEpoch)
+		s.onBeginTerm(message.From, body.BeginEpoch)
 	case *schema.ReplicaMessage_AppendEntries:
 		s.onAppendEntries(message.From, body.AppendEntries)
 	case *schema.ReplicaMessage_AppendReply:
-		if known != nil {
-			s.onAppendReply(message.From, known, counted, body.AppendReply)
+		if peer != nil {
+			s.onAppendReply(message.From, peer, counted, body.AppendReply)
 		}
 	case *schema.ReplicaMessage_StateRequest:
 		s.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_StateReply{StateReply: &schema.StateReply{
-			Round: body.StateRequest.Round, VotedEpoch: s.votedEpoch, Snapshot: &schema.Snapshot{Epoch: s.epoch, Sequence: s.seq}}}})
+			Round: body.StateRequest.Round, VotedEpoch: s.votedTerm, Snapshot: &schema.Snapshot{Epoch: s.term, Sequence: s.sequence}}}})
 	case *schema.ReplicaMessage_StateReply:
 		s.onStateReply(message.From, message.Incarnation, body.StateReply)
 	case *schema.ReplicaMessage_SnapshotRequest:
-		if s.committedEpoch != 0 {
+		if s.committedTerm != 0 {
 			s.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_SnapshotReply{SnapshotReply: &schema.SnapshotReply{Snapshot: s.committedSnapshot()}}})
 		}
 	case *schema.ReplicaMessage_SnapshotReply:
@@ -125,23 +125,23 @@
 	case *schema.ReplicaMessage_Membership:
 		s.onMembership(body.Membership)
 	case *schema.ReplicaMessage_Proposal:
-		s.propose(body.Proposal, waiter{ticket: body.Proposal.Ticket, to: message.From})
+		s.propose(body.Proposal, requester{ticket: body.Proposal.Ticket, replica: message.From})
 	case *schema.ReplicaMessage_ProposalReply:
-		delete(s.forwarded, body.ProposalReply.Ticket)
+		delete(s.forwardedRequests, body.ProposalReply.Ticket)
 		s.actions = append(s.actions, Reply{body.ProposalReply})
 	case *schema.ReplicaMessage_ReadIndex:
-		s.readIndex(waiter{ticket: body.ReadIndex.Ticket, to: message.From})
+		s.readIndex(requester{ticket: body.ReadIndex.Ticket, replica: message.From})
 	case *schema.ReplicaMessage_ReadIndexReply:
-		delete(s.forwarded, body.ReadIndexReply.Ticket)
+		delete(s.forwardedRequests, body.ReadIndexReply.Ticket)
 		s.actions = append(s.actions, ReadIndexReady{body.ReadIndexReply})
 	case *schema.ReplicaMessage_Confirm:
-		refused := body.Confirm.Epoch != s.votedEpoch || !s.member()
+		refused := body.Confirm.Epoch != s.votedTerm || !s.isMember()
 		s.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Confirmed{Confirmed: &schema.Confirmed{
 			Epoch: body.Confirm.Epoch, Round: body.Confirm.Round, Refused: refused}}})
 	case *schema.ReplicaMessage_Confirmed:
-		if counted && s.phase == active && body.Confirmed.Epoch == s.epoch && !body.Confirmed.Refused {
-			known.confirmed = max(known.confirmed, body.Confirmed.Round)
-			s.settleReads()
+		if counted && s.role == roleLeader && body.Confirmed.Epoch == s.term && !body.Confirmed.Refused {
+			peer.confirmedRound = max(peer.confirmedRound, body.Confirmed.Round)
+			s.resolveReads()
 		}
 	}
 	return s.actions
@@ -149,39 +149,39 @@
 
 // sender finds who sent a message: one of the members, whose word is counted; or one that asks to
 // become a member or knows newer ones, whose is not; or nobody known.
-func (s *Replica) sender(message *schema.ReplicaMessage) (known *peer, counted bool) {
-	if lists(s.membership, message.From, message.Incarnation, message.Founder) {
-		known = s.peers[message.From]
-		if known.incarnation != message.Incarnation {
-			*known = peer{incarnation: message.Incarnation}
+func (s *Replica) sender(message *schema.ReplicaMessage) (peer *peerState, counted bool) {
+	if containsMember(s.membership, message.From, message.Incarnation, message.Founder) {
+		peer = s.peers[message.From]
+		if peer.incarnation != message.Incarnation {
+			*peer = peerState{incarnation: message.Incarnation}
 		}
-		known.founder, known.heard, known.heardAt = message.Founder, true, s.now
-		return known, true
+		peer.founder, peer.heard, peer.heardAt = message.Founder, true, s.now
+		return peer, true
 	}
-	var members *schema.Version
+	var membershipVersion *schema.Version
 	switch body := message.Body.(type) {
 	case *schema.ReplicaMessage_Heartbeat:
-		members = body.Heartbeat.Membership
+		membershipVersion = body.Heartbeat.Membership
 	case *schema.ReplicaMessage_VoteRequest:
-		members = body.VoteRequest.Membership
+		membershipVersion = body.VoteRequest.Membership
 	}
-	known = s.outsiders[message.From]
+	peer = s.outsiders[message.From]
 	// What was not taken into the state that this replica has under a later epoch came to nothing.
-	if members != nil && members.Epoch >= s.epoch && setup.Newer(members, s.membership.Taken) && s.membership.Taken != nil {
-		if known == nil || known.learns || known.incarnation != message.Incarnation {
-			known = &peer{incarnation: message.Incarnation}
-			s.outsiders[message.From] = known
+	if membershipVersion != nil && membershipVersion.Epoch >= s.term && setup.Newer(membershipVersion, s.membership.Taken) && s.membership.Taken != nil {
+		if peer == nil || peer.isLearner || peer.incarnation != message.Incarnation {
+			peer = &peerState{incarnation: message.Incarnation}
+			s.outsiders[message.From] = peer
 		}
-	} else if known == nil || known.incarnation != message.Incarnation {
+	} else if peer == nil || peer.incarnation != message.Incarnation {
 		return nil, false
-	} else if !known.learns && members != nil {
+	} else if !peer.isLearner && membershipVersion != nil {
 		delete(s.outsiders, message.From)
 		return nil, false
 	}
-	known.heard, known.heardAt = true, s.now
-	return known, false
+	peer.heard, peer.heardAt = true, s.now
+	return peer, false
 }
 
-func sequenceText(version *schema.Version) string {
+func versionText(version *schema.Version) string {
 	return strings.Join([]string{fmt.Sprint(version.Epoch), fmt.Sprint(version.Sequence)}, "-")
 }
--- a/internal/store/durable_test.go
+++ b/internal/store/durable_test.go
@@ -7,27 +7,27 @@
 	"meadowhinge/schema"
 )
 
-// told lists what a replica says in answer to an event, but for heartbeats.
-func told(actions []Action) (messages []*schema.ReplicaMessage, marks []uint64) {
+// nonHeartbeatMessages lists what a replica says in answer to an event, but for heartbeats.
+func nonHeartbeatMessages(actions []Action) (messages []*schema.ReplicaMessage, writeIDs []uint64) {
 	for _, action := range actions {
-		switch one := action.(type) {
+		switch typed := action.(type) {
 		case Send:
-			if one.Message.GetHeartbeat() == nil {
-				messages = append(messages, one.Message)
+			if typed.Message.GetHeartbeat() == nil {
+				messages = append(messages, typed.Message)
 			}
 		case Persist:
-			marks = append(marks, one.Mark)
+			writeIDs = append(writeIDs, typed.WriteID)
 		}
 	}
-	return messages, marks
+	return messages, writeIDs
 }
 
 // A vote, the beginning of an epoch and entries are told of only once they are on disk.
-func TestNothingIsToldBeforeItIsOnDisk(t *testing.T) {
+func TestNothingIsSentBeforeItIsDurable(t *testing.T) {
 	founders := []string{"a", "b", "c"}
-	options := trioOptions("b")
-	options.Order, options.Seeds, options.Founders = nil, founders, founders
-	replica := NewReplica(options, 0, []*schema.Record{Birth(options, 2)})
+	cfg := trioConfig("b")
+	cfg.StaticMembers, cfg.Seeds, cfg.Founders = nil, founders, founders
+	replica := NewReplica(cfg, 0, []*schema.Record{InitialRecord(cfg, 2)})
 	now := time.Second
 	from := func(body *schema.ReplicaMessage) *schema.ReplicaMessage {
 		body.From, body.To, body.Address, body.Incarnation, body.Founder = "a", "b", "a", 1, true
@@ -47,11 +47,11 @@
 		{"an entry", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Epoch: 3, Entries: []*schema.Entry{entry}}}},
 			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetSequence() == 1 }},
 	} {
-		messages, marks := told(replica.Deliver(now, from(step.message)))
-		if len(messages) > 0 || len(marks) != 1 {
-			t.Fatalf("%s: %v was told with %d records not yet on disk", step.name, messages, len(marks))
+		messages, writeIDs := nonHeartbeatMessages(replica.Step(now, from(step.message)))
+		if len(messages) > 0 || len(writeIDs) != 1 {
+			t.Fatalf("%s: %v was told with %d records not yet on disk", step.name, messages, len(writeIDs))
 		}
-		messages, _ = told(replica.Synced(now, marks[0]))
+		messages, _ = nonHeartbeatMessages(replica.Persisted(now, writeIDs[0]))
 		if len(messages) != 1 || !step.says(messages[0]) {
 			t.Fatalf("%s: once it is on disk, %v is told", step.name, messages)
 		}
