--- a/internal/store/election.go
+++ b/internal/store/election.go
@@ -13,75 +13,75 @@
 
 // unfit tells that this replica must not hold leadership, nor be counted upon for now.
 func (s *Replica) unfit() bool {
-	stalled := len(s.pending) > 0 && s.now-s.pending[0].at > s.options.Stall
-	return !s.member() || stalled || s.refused
+	stalled := len(s.pendingWrites) > 0 && s.now-s.pendingWrites[0].startedAt > s.config.StallTimeout
+	return !s.isMember() || stalled || s.diskFailed
 }
 
 // newerMembers are replicas that know a newer membership than this one has.
 func (s *Replica) newerMembers() []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(s.outsiders)) {
-		if one := s.outsiders[name]; !one.learns && s.hears(one) {
+		if outsider := s.outsiders[name]; !outsider.isLearner && s.recentlyHeard(outsider) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// mutual lists the members that are heard here, hear this one and are fit.
-func (s *Replica) mutual() []string {
+// mutualPeers lists the members that are heard here, hear this one and are fit.
+func (s *Replica) mutualPeers() []string {
 	var names []string
 	for _, name := range s.otherMembers {
-		if s.linked(s.peers[name]) {
+		if s.mutuallyReachable(s.peers[name]) {
 			names = append(names, name)
 		}
 	}
 	for _, name := range s.newerMembers() {
-		if s.linked(s.outsiders[name]) {
+		if s.mutuallyReachable(s.outsiders[name]) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-func (s *Replica) linked(known *peer) bool {
-	return s.hears(known) && known.heartbeat != nil && !known.heartbeat.Unfit && slices.Contains(known.heartbeat.Heard, s.options.Name)
+func (s *Replica) mutuallyReachable(peer *peerState) bool {
+	return s.recentlyHeard(peer) && peer.receivedHeartbeat != nil && !peer.receivedHeartbeat.Unfit && slices.Contains(peer.receivedHeartbeat.Heard, s.config.Name)
 }
 
 // reachesMajority tells whether a replica has links in both directions to a majority, itself included.
 // One-way links do not count, so a replica that can only speak or only listen gets no leadership.
 func (s *Replica) reachesMajority(name string) bool {
 	linked := map[string]bool{}
-	mine := s.mutual()
+	ownLinks := s.mutualPeers()
 	switch {
-	case name == s.options.Name && s.unfit():
+	case name == s.config.Name && s.unfit():
 		return false
-	case name == s.options.Name:
-		for _, other := range mine {
+	case name == s.config.Name:
+		for _, other := range ownLinks {
 			linked[other] = true
 		}
 	default:
-		linked[s.options.Name] = slices.Contains(mine, name)
+		linked[s.config.Name] = slices.Contains(ownLinks, name)
 		for _, other := range s.otherMembers {
-			known := s.peers[other]
-			if !s.hears(known) || known.heartbeat == nil {
+			peer := s.peers[other]
+			if !s.recentlyHeard(peer) || peer.receivedHeartbeat == nil {
 				continue
 			}
 			if other == name {
-				if known.heartbeat.Unfit || known.heartbeat.Behind {
+				if peer.receivedHeartbeat.Unfit || peer.receivedHeartbeat.Behind {
 					return false
 				}
-				for _, end := range known.heartbeat.Mutual {
-					linked[end] = true
+				for _, linkedName := range peer.receivedHeartbeat.Mutual {
+					linked[linkedName] = true
 				}
-			} else if slices.Contains(known.heartbeat.Mutual, name) {
+			} else if slices.Contains(peer.receivedHeartbeat.Mutual, name) {
 				linked[other] = true
 			}
 		}
 	}
 	links := 0
-	for _, replica := range s.membership.Members {
-		if replica.Seat != name && linked[replica.Seat] {
+	for _, member := range s.membership.Members {
+		if member.Seat != name && linked[member.Seat] {
 			links++
 		}
 	}
@@ -90,9 +90,9 @@
 
 // preferredLeader names the replica that should lead: the first in the order that reaches a majority.
 func (s *Replica) preferredLeader() string {
-	for _, replica := range s.membership.Members {
-		if s.reachesMajority(replica.Seat) {
-			return replica.Seat
+	for _, member := range s.membership.Members {
+		if s.reachesMajority(member.Seat) {
+			return member.Seat
 		}
 	}
 	return ""
@@ -100,20 +100,20 @@
 
 // leader names the replica that does hold it, as far as is known here.
 func (s *Replica) leader() string {
-	name, epoch := "", uint64(0)
-	if s.phase == active {
-		name, epoch = s.options.Name, s.epoch
+	name, term := "", uint64(0)
+	if s.role == roleLeader {
+		name, term = s.config.Name, s.term
 	}
-	look := func(other string, known *peer) {
-		if s.hears(known) && known.heartbeat != nil && known.heartbeat.Leader == other && known.heartbeat.Epoch > epoch {
-			name, epoch = other, known.heartbeat.Epoch
+	consider := func(other string, peer *peerState) {
+		if s.recentlyHeard(peer) && peer.receivedHeartbeat != nil && peer.receivedHeartbeat.Leader == other && peer.receivedHeartbeat.Epoch > term {
+			name, term = other, peer.receivedHeartbeat.Epoch
 		}
 	}
 	for _, other := range s.otherMembers {
-		look(other, s.peers[other])
+		consider(other, s.peers[other])
 	}
 	for _, other := range s.newerMembers() {
-		look(other, s.outsiders[other])
+		consider(other, s.outsiders[other])
 	}
 	return name
 }
@@ -121,11 +121,11 @@
 // awaitsFounders tells whether, at the first start of all, founders may yet come: those that are
 // there as the first epoch begins need no change of the members of their own.
 func (s *Replica) awaitsFounders() bool {
-	if s.highest > 0 || s.now-s.bornAt > s.options.Silence {
+	if s.highestTerm > 0 || s.now-s.clockStartedAt > s.config.HeartbeatTimeout {
 		return false
 	}
 	for _, name := range s.otherMembers {
-		if known := s.peers[name]; !known.heard || !known.founder {
+		if peer := s.peers[name]; !peer.heard || !peer.founder {
 			return true
 		}
 	}
@@ -136,109 +136,111 @@
 // without a gap.
 func (s *Replica) caughtUp() bool {
 	name := s.leader()
-	known := s.peers[name]
-	return known == nil || known.heartbeat.Epoch == s.epoch && s.seq >= known.heartbeat.Committed
+	peer := s.peers[name]
+	return peer == nil || peer.receivedHeartbeat.Epoch == s.term && s.sequence >= peer.receivedHeartbeat.Committed
 }
 
-// durableVote is the highest epoch for which a vote is on disk.
-func (s *Replica) durableVote() uint64 {
-	for _, waiting := range s.pending {
-		if waiting.promise != 0 {
-			return waiting.promise - 1
+// durableVotedTerm is the highest epoch for which a vote is on disk.
+func (s *Replica) durableVotedTerm() uint64 {
+	for _, write := range s.pendingWrites {
+		if write.votedTerm != 0 {
+			return write.votedTerm - 1
 		}
 	}
-	return s.votedEpoch
+	return s.votedTerm
 }
 
-func (s *Replica) stepDown() {
-	s.phase, s.phaseAt = idle, s.now
-	for _, id := range slices.Sorted(maps.Keys(s.waiters)) {
-		waiting := s.waiters[id]
-		for _, one := range waiting {
-			s.answer(one, &schema.ProposalReply{Ticket: one.ticket, Undecided: true})
+func (s *Replica) becomeFollower() {
+	s.role, s.roleSince = roleFollower, s.now
+	for _, id := range slices.Sorted(maps.Keys(s.pendingProposals)) {
+		requesters := s.pendingProposals[id]
+		for _, request := range requesters {
+			s.answerProposal(request, &schema.ProposalReply{Ticket: request.ticket, Undecided: true})
 		}
-		delete(s.waiters, id)
+		delete(s.pendingProposals, id)
 	}
-	for _, one := range s.pendingReads {
-		s.answerBarrier(one.waiter, &schema.ReadIndexReply{Ticket: one.ticket, Undecided: true})
+	for _, request := range s.pendingReads {
+		s.answerRead(request.requester, &schema.ReadIndexReply{Ticket: request.ticket, Undecided: true})
 	}
 	s.pendingReads = nil
 }
 
 // recordVote lets no epoch below count here any more, and this one only for one replica.
-func (s *Replica) recordVote(epoch uint64, to string) {
-	s.votedEpoch, s.votedFor, s.highest = epoch, to, max(s.highest, epoch)
+func (s *Replica) recordVote(term uint64, candidate string) {
+	s.votedTerm, s.votedFor, s.highestTerm = term, candidate, max(s.highestTerm, term)
 }
 
-// campaign asks a majority to vote for an epoch of this replica's own.
-func (s *Replica) campaign() {
-	s.stepDown()
+// becomeCandidate asks a majority to vote for an epoch of this replica's own.
+func (s *Replica) becomeCandidate() {
+	s.becomeFollower()
 	// Epochs are dealt out by replica, so that two members seldom ask for the same one.
 	members := uint64(len(s.membership.Members))
-	epoch := (max(s.highest, s.votedEpoch)/members+1)*members + uint64(max(0, placeIn(s.membership, s.options.Name)))
-	s.phase, s.phaseAt = campaigning, s.now
-	s.recordVote(epoch, s.options.Name)
-	for _, known := range s.peers {
-		known.vote, known.tells, known.epoch, known.acked, known.sent, known.confirmed = nil, false, 0, 0, 0, 0
+	term := (max(s.highestTerm, s.votedTerm)/members+1)*members + uint64(max(0, memberIndex(s.membership, s.config.Name)))
+	s.role, s.roleSince = roleCandidate, s.now
+	s.recordVote(term, s.config.Name)
+	for _, peer := range s.peers {
+		peer.vote, peer.versionReported, peer.term, peer.acked, peer.sent, peer.confirmedRound = nil, false, 0, 0, 0, 0
 	}
-	for _, known := range s.outsiders {
-		known.tells, known.epoch, known.acked, known.sent = false, 0, 0, 0
+	for _, peer := range s.outsiders {
+		peer.versionReported, peer.term, peer.acked, peer.sent = false, 0, 0, 0
 	}
-	then := afterSync{promise: epoch}
+	write := pendingWrite{votedTerm: term}
 	for _, name := range s.otherMembers {
-		then.messages = append(then.messages, s.voteRequest(name))
+		write.messages = append(write.messages, s.voteRequest(name))
 	}
-	s.persist(&schema.Record{VotedEpoch: epoch, VotedFor: s.options.Name}, then)
+	s.persist(&schema.Record{VotedEpoch: term, VotedFor: s.config.Name}, write)
 }
 
 func (s *Replica) voteRequest(to string) *schema.ReplicaMessage {
-	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Epoch: s.votedEpoch, Have: s.holds(), Membership: s.membership.Taken}}}
+	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Epoch: s.votedTerm, Have: s.lastVersion(), Membership: s.membership.Taken}}}
 }
 
 func (s *Replica) requestVote(name string) { s.send(name, s.voteRequest(name)) }
 
-// holds is what this replica has taken.
-func (s *Replica) holds() *schema.Version { return &schema.Version{Epoch: s.epoch, Sequence: s.seq} }
+// lastVersion is what this replica has taken.
+func (s *Replica) lastVersion() *schema.Version {
+	return &schema.Version{Epoch: s.term, Sequence: s.sequence}
+}
 
 func (s *Replica) onVoteRequest(from string, request *schema.VoteRequest) {
-	if !s.member() {
+	if !s.isMember() {
 		return
 	}
-	if request.Epoch < s.votedEpoch || request.Epoch == s.votedEpoch && s.votedFor != from {
-		s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Vote{Vote: &schema.Vote{Epoch: request.Epoch, Refused: true, Higher: s.votedEpoch}}})
+	if request.Epoch < s.votedTerm || request.Epoch == s.votedTerm && s.votedFor != from {
+		s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Vote{Vote: &schema.Vote{Epoch: request.Epoch, Refused: true, Higher: s.votedTerm}}})
 		return
 	}
-	if request.Epoch == s.votedEpoch && s.durableVote() >= s.votedEpoch {
-		s.vote(from, request)
+	if request.Epoch == s.votedTerm && s.durableVotedTerm() >= s.votedTerm {
+		s.sendVote(from, request)
 		return
 	}
-	if request.Epoch > s.votedEpoch {
-		s.stepDown()
+	if request.Epoch > s.votedTerm {
+		s.becomeFollower()
 	}
 	s.recordVote(request.Epoch, from)
-	s.persist(&schema.Record{VotedEpoch: request.Epoch, VotedFor: from}, afterSync{promise: request.Epoch, asked: request, from: from})
+	s.persist(&schema.Record{VotedEpoch: request.Epoch, VotedFor: from}, pendingWrite{votedTerm: request.Epoch, voteRequest: request, candidate: from})
 }
 
-// vote tells a candidate that it has this replica's vote, and what it lacks of the state here.
-func (s *Replica) vote(to string, asked *schema.VoteRequest) {
-	vote := &schema.Vote{Epoch: asked.Epoch, Have: s.holds()}
+// sendVote tells a candidate that it has this replica's vote, and what it lacks of the state here.
+func (s *Replica) sendVote(to string, request *schema.VoteRequest) {
+	vote := &schema.Vote{Epoch: request.Epoch, Have: s.lastVersion()}
 	switch {
-	case !setup.Newer(vote.Have, asked.Have):
-	case asked.Have.GetEpoch() == s.epoch && asked.Have.GetSequence() >= s.baseSeq:
-		vote.Entries = s.entries[asked.Have.GetSequence()-s.baseSeq:]
+	case !setup.Newer(vote.Have, request.Have):
+	case request.Have.GetEpoch() == s.term && request.Have.GetSequence() >= s.baseSequence:
+		vote.Entries = s.entries[request.Have.GetSequence()-s.baseSequence:]
 	default:
 		vote.Snapshot = s.snapshot()
 	}
 	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Vote{Vote: vote}})
 }
 
-func (s *Replica) onVote(known *peer, vote *schema.Vote) {
+func (s *Replica) onVote(peer *peerState, vote *schema.Vote) {
 	if vote.Refused {
-		s.highest = max(s.highest, vote.Higher)
+		s.highestTerm = max(s.highestTerm, vote.Higher)
 		return
 	}
-	if s.phase == campaigning && vote.Epoch == s.votedEpoch {
-		known.vote, known.have, known.tells = vote, vote.Have, true
+	if s.role == roleCandidate && vote.Epoch == s.votedTerm {
+		peer.vote, peer.lastKnownVersion, peer.versionReported = vote, vote.Have, true
 		s.countVotes()
 	}
 }
@@ -246,16 +248,16 @@
 // countVotes counts the votes. The newest state among them is taken whole, and with it who the members
 // are; with the votes of a majority of those, this replica's epoch begins upon that state.
 func (s *Replica) countVotes() {
-	if s.durableVote() < s.votedEpoch {
+	if s.durableVotedTerm() < s.votedTerm {
 		return
 	}
 	for _, name := range s.otherMembers {
-		if known := s.peers[name]; known != nil && known.vote != nil && setup.Newer(known.vote.Have, s.holds()) && !s.has(plantStaleLeader) {
-			s.adoptVote(known.vote)
+		if peer := s.peers[name]; peer != nil && peer.vote != nil && setup.Newer(peer.vote.Have, s.lastVersion()) && !s.hasFault(faultStaleLeader) {
+			s.adoptVote(peer.vote)
 		}
 	}
-	if !s.member() {
-		s.stepDown()
+	if !s.isMember() {
+		s.becomeFollower()
 		return
 	}
 	votes := 1
@@ -267,17 +269,17 @@
 	if votes < s.majority() {
 		return
 	}
-	s.phase, s.phaseAt, s.upon = beginning, s.now, s.holds()
-	s.epoch = s.votedEpoch
+	s.role, s.roleSince, s.termStartVersion = roleLeaderElect, s.now, s.lastVersion()
+	s.term = s.votedTerm
 	if members := s.bindFounders(); members == s.membership {
-		s.persist(&schema.Record{Epoch: s.epoch}, afterSync{})
+		s.persist(&schema.Record{Epoch: s.term}, pendingWrite{})
 	} else {
-		members.Taken = s.holds()
+		members.Taken = s.lastVersion()
 		snapshot := s.snapshot()
 		snapshot.Membership = members
-		s.restore(snapshot)
-		s.upon = &schema.Version{Epoch: s.epoch, Sequence: s.seq}
-		s.persist(&schema.Record{Snapshot: s.snapshot()}, afterSync{})
+		s.restoreSnapshot(snapshot)
+		s.termStartVersion = &schema.Version{Epoch: s.term, Sequence: s.sequence}
+		s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
 	}
 	for _, name := range s.otherMembers {
 		s.replicate(name, s.peers[name])
@@ -288,17 +290,17 @@
 // counted must be.
 func (s *Replica) bindFounders() *schema.Membership {
 	members := s.membership
-	for _, replica := range s.membership.Members {
+	for _, member := range s.membership.Members {
 		incarnation := s.incarnation
-		if replica.Seat != s.options.Name {
-			known := s.peers[replica.Seat]
-			if known.incarnation == 0 || !known.founder {
+		if member.Seat != s.config.Name {
+			peer := s.peers[member.Seat]
+			if peer.incarnation == 0 || !peer.founder {
 				continue
 			}
-			incarnation = known.incarnation
+			incarnation = peer.incarnation
 		}
-		if replica.Incarnation == 0 {
-			members = with(members, &schema.Core{Seat: replica.Seat, Address: s.placeOf(replica.Seat), Incarnation: incarnation})
+		if member.Incarnation == 0 {
+			members = withMember(members, &schema.Core{Seat: member.Seat, Address: s.memberAddress(member.Seat), Incarnation: incarnation})
 		}
 	}
 	return members
@@ -307,11 +309,11 @@
 // adoptVote takes from a vote what this replica lacks.
 func (s *Replica) adoptVote(vote *schema.Vote) {
 	if vote.Snapshot != nil {
-		s.restore(vote.Snapshot)
-		s.persist(&schema.Record{Snapshot: s.snapshot()}, afterSync{})
+		s.restoreSnapshot(vote.Snapshot)
+		s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
 		return
 	}
-	if taken := s.appendFollowing(vote.Entries); len(taken) > 0 {
-		s.persist(&schema.Record{Entries: taken}, afterSync{})
+	if appended := s.appendContiguous(vote.Entries); len(appended) > 0 {
+		s.persist(&schema.Record{Entries: appended}, pendingWrite{})
 	}
 }
--- a/internal/store/explore_test.go
+++ b/internal/store/explore_test.go
@@ -35,7 +35,7 @@
 		m.faultAt[from+step] = append(m.faultAt[from+step], func(event *modelEvent) bool { return fault(m, event) })
 	}
 	m.operate(size.writes)
-	m.runTo(m.now + time.Duration(size.writes)*modelBetween)
+	m.runTo(m.now + time.Duration(size.writes)*modelCallInterval)
 	return m.verdict()
 }
 
@@ -45,18 +45,18 @@
 	m := newModel(size.members, size.losses, nil)
 	from := m.steps
 	m.operate(size.writes)
-	m.runTo(m.now + time.Duration(size.writes)*modelBetween)
+	m.runTo(m.now + time.Duration(size.writes)*modelCallInterval)
 	steps := m.steps - from
-	if said := m.verdict(); len(said) > 0 {
-		t.Fatalf("without a fault: %v", said)
+	if breaches := m.verdict(); len(breaches) > 0 {
+		t.Fatalf("without a fault: %v", breaches)
 	}
 	return steps
 }
 
-// strikeSeat lets a fault strike one replica.
-func strikeSeat(fault modelFault, place int) modelStrike {
+// strikeMember lets a fault strike one replica.
+func strikeMember(fault modelFault, index int) modelStrike {
 	return func(m *model, _ *modelEvent) bool {
-		fault.strike(m, m.members[place])
+		fault.strike(m, m.members[index])
 		return false
 	}
 }
@@ -64,12 +64,12 @@
 // strikes lists all faults that can strike before a step, by name.
 func strikes(size modelSize) map[string]modelStrike {
 	all := map[string]modelStrike{
-		"all lose power":      powerOfAll,
-		"the message is lost": func(_ *model, event *modelEvent) bool { return event.kind == letterEvent },
+		"all lose power":      allLosePower,
+		"the message is lost": func(_ *model, event *modelEvent) bool { return event.kind == messageEvent },
 	}
 	for _, fault := range modelFaults {
-		for place := range size.members {
-			all[modelName(place)+" "+fault.name] = strikeSeat(fault, place)
+		for index := range size.members {
+			all[modelName(index)+" "+fault.name] = strikeMember(fault, index)
 		}
 	}
 	return all
@@ -93,8 +93,8 @@
 			t.Run(fmt.Sprintf("%d members, step %d of %d", size.members, step, steps), func(t *testing.T) {
 				t.Parallel()
 				for name, strike := range strikes(size) {
-					if said := modelRun(size, nil, map[int]modelStrike{step: strike}); len(said) > 0 {
-						t.Errorf("%s: %v", name, said)
+					if breaches := modelRun(size, nil, map[int]modelStrike{step: strike}); len(breaches) > 0 {
+						t.Errorf("%s: %v", name, breaches)
 					}
 				}
 			})
@@ -103,7 +103,7 @@
 }
 
 // secondLosses are what may come as soon as a replica that was lost counts again.
-var secondLosses = []modelFault{{"loses its disk", wipeSeat}, {"is replaced", replaceSeat}}
+var secondLosses = []modelFault{{"loses its disk", wipeMember}, {"is replaced", replaceMember}}
 
 // A replica is lost for good or with its disk, is repaired, and after the time to catch up another one
 // is lost, whichever that is; and once more.
@@ -113,10 +113,10 @@
 			for _, second := range secondLosses {
 				t.Run(fmt.Sprintf("%d members, one %s, then one %s", size.members, first.name, second.name), func(t *testing.T) {
 					t.Parallel()
-					for place := range size.members {
+					for index := range size.members {
 						for other := range size.members {
-							if said := modelRun(size, nil, map[int]modelStrike{20: lossAfterRepair(first, place, second, other)}); len(said) > 0 {
-								t.Errorf("%s, then %s: %v", modelName(place), modelName(other), said)
+							if breaches := modelRun(size, nil, map[int]modelStrike{20: lossAfterRepair(first, index, second, other)}); len(breaches) > 0 {
+								t.Errorf("%s, then %s: %v", modelName(index), modelName(other), breaches)
 							}
 						}
 					}
@@ -128,7 +128,7 @@
 
 // lossAfterRepair lets a first replica be lost, as many as may be at once, and then others, each as
 // soon as those before count again.
-func lossAfterRepair(first modelFault, place int, second modelFault, other int) modelStrike {
+func lossAfterRepair(first modelFault, index int, second modelFault, other int) modelStrike {
 	return func(m *model, _ *modelEvent) bool {
 		lose := func(fault modelFault, from int) {
 			for loss := range m.losses {
@@ -137,15 +137,15 @@
 				}
 			}
 		}
-		m.endOf = m.now + 3*(modelSilence+modelCatchUp)
-		lose(first, place)
-		m.at(modelSilence+modelCatchUp, nil, plainEvent, func() {
+		m.faultsEndAt = m.now + 3*(modelHeartbeatTimeout+modelCatchUp)
+		lose(first, index)
+		m.at(modelHeartbeatTimeout+modelCatchUp, nil, ordinaryEvent, func() {
 			m.operate(1)
 			lose(second, other)
 		})
-		m.at(2*(modelSilence+modelCatchUp), nil, plainEvent, func() {
+		m.at(2*(modelHeartbeatTimeout+modelCatchUp), nil, ordinaryEvent, func() {
 			m.operate(1)
-			lose(first, place+1)
+			lose(first, index+1)
 		})
 		return false
 	}
@@ -166,11 +166,11 @@
 			}
 			t.Run(fmt.Sprintf("%d members, one %s", size.members, fault.name), func(t *testing.T) {
 				t.Parallel()
-				for place := range size.members {
+				for index := range size.members {
 					for step := repairFrom + 1; step < repairFrom+repairSteps; step += modelStride(size) {
-						faults := map[int]modelStrike{repairFrom: strikeSeat(fault, place), step: powerOfAll}
-						if said := modelRun(size, nil, faults); len(said) > 0 {
-							t.Errorf("%s, then the power of all before step %d: %v", modelName(place), step, said)
+						faults := map[int]modelStrike{repairFrom: strikeMember(fault, index), step: allLosePower}
+						if breaches := modelRun(size, nil, faults); len(breaches) > 0 {
+							t.Errorf("%s, then the power of all before step %d: %v", modelName(index), step, breaches)
 						}
 					}
 				}
@@ -188,8 +188,8 @@
 				t.Parallel()
 				for seed := range uint64(*modelSeeds / randomParts) {
 					faults := withoutLoss(size, seed*randomParts+uint64(part))
-					if said := modelRun(size, nil, faults); len(said) > 0 {
-						t.Errorf("seed %d: %v", seed*randomParts+uint64(part), said)
+					if breaches := modelRun(size, nil, faults); len(breaches) > 0 {
+						t.Errorf("seed %d: %v", seed*randomParts+uint64(part), breaches)
 					}
 				}
 			})
@@ -201,33 +201,33 @@
 
 // withoutLoss draws faults that take no disk.
 func withoutLoss(size modelSize, seed uint64) map[int]modelStrike {
-	const most, lastStep = 8, 300
+	const maxFaults, lastStep = 8, 300
 	dice := rand.New(rand.NewPCG(seed, uint64(size.members)))
 	faults := map[int]modelStrike{}
-	for range 2 + dice.IntN(most-1) {
-		kind, place, outage := dice.IntN(6), dice.IntN(size.members), time.Duration(dice.Int64N(int64(modelOutage)))
+	for range 2 + dice.IntN(maxFaults-1) {
+		kind, index, outage := dice.IntN(6), dice.IntN(size.members), time.Duration(dice.Int64N(int64(modelOutage)))
 		faults[1+dice.IntN(lastStep)] = func(m *model, event *modelEvent) bool {
-			replica := m.members[place]
-			m.lasts(outage)
+			replica := m.members[index]
+			m.extendFaults(outage)
 			switch kind {
 			case 0:
 				if replica.up {
 					m.powerLoss(replica, int(outage)%2)
-					m.back(replica, outage)
+					m.restartAfter(replica, outage)
 				}
 			case 1:
 				if replica.up {
 					m.powerLoss(replica, int(outage)%2)
-					m.back(replica, modelLink)
+					m.restartAfter(replica, modelLinkDelay)
 				}
 			case 2:
 				m.isolateFor(outage, replica, true, true)
 			case 3:
 				m.isolateFor(outage, replica, int(outage)%2 == 0, int(outage)%2 == 1)
 			case 4:
-				replica.frozenTo = m.now + outage
+				replica.frozenUntil = m.now + outage
 			case 5:
-				return event.kind == letterEvent
+				return event.kind == messageEvent
 			}
 			return false
 		}
@@ -239,15 +239,15 @@
 // there are of what is sent meanwhile, lose their disks.
 func copiesLost(wiped ...int) modelStrike {
 	return func(m *model, _ *modelEvent) bool {
-		for place, replica := range m.members[:min(len(m.members), m.founded)] {
-			if !slices.Contains(wiped, place) {
+		for index, replica := range m.members[:min(len(m.members), m.founded)] {
+			if !slices.Contains(wiped, index) {
 				m.isolate(replica, true, false)
 			}
 		}
 		m.operate(4)
-		m.at(4*modelBetween, nil, plainEvent, func() {
-			for _, place := range wiped {
-				wipeSeat(m, m.members[place])
+		m.at(4*modelCallInterval, nil, ordinaryEvent, func() {
+			for _, index := range wiped {
+				wipeMember(m, m.members[index])
 			}
 		})
 		return false
@@ -258,18 +258,18 @@
 // few members, nor by one that waits for a replica beside one member.
 func TestCopiesLost(t *testing.T) {
 	for step := 1; step < 60; step += modelStride(three) {
-		for place := range three.members {
-			if said := modelRun(three, nil, map[int]modelStrike{step: copiesLost(place)}); len(said) > 0 {
-				t.Errorf("step %d, %s: %v", step, modelName(place), said)
+		for index := range three.members {
+			if breaches := modelRun(three, nil, map[int]modelStrike{step: copiesLost(index)}); len(breaches) > 0 {
+				t.Errorf("step %d, %s: %v", step, modelName(index), breaches)
 			}
-			if said := modelRun(three, nil, map[int]modelStrike{step: withLearner(copiesLost(place))}); len(said) > 0 {
-				t.Errorf("step %d, %s and a learner: %v", step, modelName(place), said)
+			if breaches := modelRun(three, nil, map[int]modelStrike{step: withLearner(copiesLost(index))}); len(breaches) > 0 {
+				t.Errorf("step %d, %s and a learner: %v", step, modelName(index), breaches)
 			}
 		}
-		for place := range five.members {
-			for other := range place {
-				if said := modelRun(five, nil, map[int]modelStrike{step: copiesLost(other, place)}); len(said) > 0 {
-					t.Errorf("step %d, %s and %s: %v", step, modelName(other), modelName(place), said)
+		for index := range five.members {
+			for other := range index {
+				if breaches := modelRun(five, nil, map[int]modelStrike{step: copiesLost(other, index)}); len(breaches) > 0 {
+					t.Errorf("step %d, %s and %s: %v", step, modelName(other), modelName(index), breaches)
 				}
 			}
 		}
@@ -281,11 +281,11 @@
 func withLearner(strike modelStrike) modelStrike {
 	return func(m *model, event *modelEvent) bool {
 		learner := m.add(modelName(len(m.members)), false)
-		m.at(2*modelSilence, nil, plainEvent, func() {
+		m.at(2*modelHeartbeatTimeout, nil, ordinaryEvent, func() {
 			strike(m, event)
 		})
-		m.at(2*modelSilence+2*modelOutage, nil, plainEvent, func() { m.remove(learner) })
-		m.lasts(2*modelSilence + 3*modelOutage)
+		m.at(2*modelHeartbeatTimeout+2*modelOutage, nil, ordinaryEvent, func() { m.remove(learner) })
+		m.extendFaults(2*modelHeartbeatTimeout + 3*modelOutage)
 		return false
 	}
 }
@@ -295,43 +295,43 @@
 func lagWipeOff(lagging, wiped, off int) modelStrike {
 	return func(m *model, _ *modelEvent) bool {
 		m.isolate(m.members[lagging], true, true)
-		m.at(2*modelBetween, nil, plainEvent, func() { wipeSeat(m, m.members[wiped]) })
-		m.at(2*modelBetween+modelSilence/2, nil, plainEvent, func() {
+		m.at(2*modelCallInterval, nil, ordinaryEvent, func() { wipeMember(m, m.members[wiped]) })
+		m.at(2*modelCallInterval+modelHeartbeatTimeout/2, nil, ordinaryEvent, func() {
 			m.powerLoss(m.members[off], 0)
-			m.back(m.members[off], 2*modelOutage)
+			m.restartAfter(m.members[off], 2*modelOutage)
 		})
 		return false
 	}
 }
 
 // The checks see each planted fault, in a run that passes without it.
-func TestModelSeesPlantedFaults(t *testing.T) {
-	for _, one := range []struct {
+func TestModelDetectsSeededFaults(t *testing.T) {
+	for _, test := range []struct {
 		name    string
 		size    modelSize
 		prepare func(*model)
 		runs    func(yield func(string, map[int]modelStrike) bool)
 	}{
-		{"a read without a majority", three, planting(plantReadAlone), eachFault(three)},
-		{"commit by the founders' majority", five, planting(plantFoundersQuorum), eachLossOfCopies(five)},
-		{"learners are counted", three, planting(plantCountLearners), eachLossOfCopies(three)},
-		{"a stale state is led from", three, planting(plantStaleLeader), eachFault(three)},
-		{"entries are acknowledged before they are on disk", three, planting(plantEarlyAcknowledgement), eachFault(three)},
+		{"a read without a majority", three, withSeededFault(faultLocalRead), eachFault(three)},
+		{"commit by the founders' majority", five, withSeededFault(faultFoundersQuorum), eachLossOfCopies(five)},
+		{"learners are counted", three, withSeededFault(faultCountLearners), eachLossOfCopies(three)},
+		{"a stale state is led from", three, withSeededFault(faultStaleLeader), eachFault(three)},
+		{"entries are acknowledged before they are on disk", three, withSeededFault(faultEarlyAcknowledgement), eachFault(three)},
 		{"an empty folder counts as the one before", three, func(m *model) { m.amnesia = true }, eachLagWipeOff(three)},
-		{"a replica put in by an entry that came to nothing insists", three, planting(plantInsists), eachPowerLossDuringRepair(three)},
+		{"a replica put in by an entry that came to nothing insists", three, withSeededFault(faultIgnoresExclusion), eachPowerLossDuringRepair(three)},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			runs := 0
-			for name, faults := range one.runs {
+			for name, faults := range test.runs {
 				runs++
-				said := modelRun(one.size, one.prepare, faults)
-				if len(said) == 0 {
+				breaches := modelRun(test.size, test.prepare, faults)
+				if len(breaches) == 0 {
 					continue
 				}
-				t.Logf("seen in run %d: %s: %s", runs, name, said[0])
-				if sound := modelRun(one.size, nil, faults); len(sound) > 0 {
-					t.Errorf("the same run without it: %v", sound)
+				t.Logf("seen in run %d: %s: %s", runs, name, breaches[0])
+				if withoutFault := modelRun(test.size, nil, faults); len(withoutFault) > 0 {
+					t.Errorf("the same run without it: %v", withoutFault)
 				}
 				return
 			}
@@ -340,16 +340,16 @@
 	}
 }
 
-func planting(fault plantedFault) func(*model) { return func(m *model) { m.planted = fault } }
+func withSeededFault(fault seededFault) func(*model) { return func(m *model) { m.seededFault = fault } }
 
-// plantedSteps is how many steps are looked at for a planted fault.
-const plantedSteps = 100
+// seededFaultSteps is how many steps are looked at for a planted fault.
+const seededFaultSteps = 100
 
 // eachFault gives every fault before every step.
 func eachFault(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
 	return func(yield func(string, map[int]modelStrike) bool) {
 		all := strikes(size)
-		for step := range plantedSteps {
+		for step := range seededFaultSteps {
 			for _, name := range slices.Sorted(maps.Keys(all)) {
 				if !yield(fmt.Sprint(name, " before step ", step+1), map[int]modelStrike{step + 1: all[name]}) {
 					return
@@ -362,9 +362,9 @@
 // eachLossOfCopies gives every loss of as many disks as may be lost, with a learner and without.
 func eachLossOfCopies(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
 	return func(yield func(string, map[int]modelStrike) bool) {
-		for step := 1; step < plantedSteps; step++ {
-			for place := range size.members {
-				wiped := []int{place, (place + 1) % size.members}[:size.losses]
+		for step := 1; step < seededFaultSteps; step++ {
+			for index := range size.members {
+				wiped := []int{index, (index + 1) % size.members}[:size.losses]
 				if !yield(fmt.Sprint(wiped, " before step ", step), map[int]modelStrike{step: copiesLost(wiped...)}) ||
 					!yield(fmt.Sprint(wiped, " and a learner, before step ", step), map[int]modelStrike{step: withLearner(copiesLost(wiped...))}) {
 					return
@@ -377,7 +377,7 @@
 // eachLagWipeOff gives every order of three members.
 func eachLagWipeOff(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
 	return func(yield func(string, map[int]modelStrike) bool) {
-		for step := 1; step < plantedSteps; step++ {
+		for step := 1; step < seededFaultSteps; step++ {
 			for lagging := range size.members {
 				for wiped := range size.members {
 					off := size.members - lagging - wiped
@@ -393,10 +393,10 @@
 // eachPowerLossDuringRepair gives what TestPowerLossDuringRepair looks at.
 func eachPowerLossDuringRepair(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
 	return func(yield func(string, map[int]modelStrike) bool) {
-		for place := range size.members {
+		for index := range size.members {
 			for step := repairFrom + 1; step < repairFrom+repairSteps; step++ {
-				faults := map[int]modelStrike{repairFrom: strikeSeat(modelFault{strike: wipeSeat}, place), step: powerOfAll}
-				if !yield(fmt.Sprint(modelName(place), ", all lose power before step ", step), faults) {
+				faults := map[int]modelStrike{repairFrom: strikeMember(modelFault{strike: wipeMember}, index), step: allLosePower}
+				if !yield(fmt.Sprint(modelName(index), ", all lose power before step ", step), faults) {
 					return
 				}
 			}
@@ -404,7 +404,7 @@
 	}
 }
 
-func powerOfAll(m *model, _ *modelEvent) bool {
+func allLosePower(m *model, _ *modelEvent) bool {
 	m.allLosePower()
 	return false
 }
--- a/internal/store/given.go
+++ b/internal/store/given.go
@@ -9,25 +9,25 @@
 	"meadowhinge/schema"
 )
 
-// byGiven compares the items of a change with the state by the versions that operators gave them.
+// byOperatorVersion compares the items of a change with the state by the versions that operators gave them.
 //
 // An item with a higher version than the one held, tombstones included, is written. One with a
 // lower version was overtaken and changes nothing. Under one version an item has one content: the
 // same content again is a repeat and changes nothing, another content is a clash, by which the
 // whole change must be refused.
-func byGiven(state setup.State, items []*schema.Item) (written []*schema.Item, clashes []*schema.Expected) {
+func byOperatorVersion(state setup.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.Expected) {
 	latest := map[string]*schema.Item{}
 	for _, item := range items {
 		key := setup.Key(item.Kind, item.Name)
-		held, within := latest[key]
-		if !within {
-			held = state[key]
+		existing, seen := latest[key]
+		if !seen {
+			existing = state[key]
 		}
 		switch {
-		case held == nil || held.Given < item.Given:
+		case existing == nil || existing.Given < item.Given:
 			latest[key] = item
-		case held.Given == item.Given && !sameContent(held, item):
-			clashes = append(clashes, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: held.Version.GetSequence(), Given: held.Given})
+		case existing.Given == item.Given && !sameContent(existing, item):
+			conflicts = append(conflicts, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.GetSequence(), Given: existing.Given})
 		}
 	}
 	for _, item := range items {
@@ -35,7 +35,7 @@
 			written = append(written, item)
 		}
 	}
-	return written, clashes
+	return written, conflicts
 }
 
 // sameContent tells whether two items say the same. What the operator said counts where both
@@ -56,12 +56,12 @@
 	if bytes.Equal(a, b) {
 		return true
 	}
-	first, readFirst := decodeJSON(a)
-	second, readSecond := decodeJSON(b)
-	return readFirst && readSecond && reflect.DeepEqual(first, second)
+	first, firstValid := decodeJSON(a)
+	second, secondValid := decodeJSON(b)
+	return firstValid && secondValid && reflect.DeepEqual(first, second)
 }
 
-func decodeJSON(text []byte) (value any, read bool) {
+func decodeJSON(text []byte) (value any, valid bool) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
 	err := decoder.Decode(&value)
--- a/internal/store/golden_model_test.go
+++ b/internal/store/golden_model_test.go
@@ -63,30 +63,30 @@
 // action takes in what a replica asks for.
 func (d *modelTrace) action(t *testing.T, m *model, replica *modelReplica, action Action) {
 	t.Helper()
-	d.number(uint64(m.now), uint64(replica.life))
+	d.number(uint64(m.now), uint64(replica.processRun))
 	d.text(replica.name)
-	switch one := action.(type) {
+	switch typed := action.(type) {
 	case Send:
 		d.sends++
 		d.number(modelCodeSend)
-		d.text(one.Message.From, one.Message.To)
-		d.message(t, one.Message)
+		d.text(typed.Message.From, typed.Message.To)
+		d.message(t, typed.Message)
 	case Persist:
 		d.persists++
-		whole := uint64(0)
-		if one.Whole {
-			whole = 1
+		replacesLog := uint64(0)
+		if typed.ReplacesLog {
+			replacesLog = 1
 		}
-		d.number(modelCodePersist, one.Mark, whole)
-		d.message(t, one.Record)
+		d.number(modelCodePersist, typed.WriteID, replacesLog)
+		d.message(t, typed.Record)
 	case Reply:
 		d.replies++
 		d.number(modelCodeReply)
-		d.message(t, one.Result)
+		d.message(t, typed.Result)
 	case ReadIndexReady:
 		d.reads++
 		d.number(modelCodeReadReady)
-		d.message(t, one.Result)
+		d.message(t, typed.Result)
 	default:
 		t.Fatal("an action of an unknown kind")
 	}
@@ -96,14 +96,14 @@
 func (d *modelTrace) end(t *testing.T, m *model) {
 	t.Helper()
 	d.number(modelCodeEnd, uint64(m.now), uint64(m.steps), uint64(m.serial))
-	for _, epoch := range slices.Sorted(maps.Keys(m.leaders)) {
-		d.number(epoch)
-		d.text(m.leaders[epoch])
+	for _, term := range slices.Sorted(maps.Keys(m.leaders)) {
+		d.number(term)
+		d.text(m.leaders[term])
 	}
 	for _, replica := range m.members {
 		committed, state := replica.Committed()
 		d.text(replica.name)
-		d.number(committed, replica.incarnation, uint64(replica.life))
+		d.number(committed, replica.incarnation, uint64(replica.processRun))
 		for _, item := range state.Items() {
 			d.message(t, item)
 		}
@@ -111,7 +111,7 @@
 			d.message(t, record)
 		}
 	}
-	d.text(m.said...)
+	d.text(m.breaches...)
 }
 
 // modelGoldenRuns are the runs held fast: faults that take no disk, drawn from a seed, and beside
@@ -141,7 +141,7 @@
 		return map[int]modelStrike{11: withLearner(copiesLost(0))}
 	}},
 	{"5 members, all lose power in a repair", five, func() map[int]modelStrike {
-		return map[int]modelStrike{repairFrom: strikeSeat(modelFault{strike: wipeSeat}, 2), repairFrom + 30: powerOfAll}
+		return map[int]modelStrike{repairFrom: strikeMember(modelFault{strike: wipeMember}, 2), repairFrom + 30: allLosePower}
 	}},
 }
 
@@ -152,7 +152,7 @@
 	var played *model
 	modelRun(size, func(m *model) {
 		played = m
-		m.watch = func(replica *modelReplica, action Action) { trace.action(t, m, replica, action) }
+		m.onAction = func(replica *modelReplica, action Action) { trace.action(t, m, replica, action) }
 	}, faults)
 	trace.end(t, played)
 	committed := uint64(0)
@@ -161,7 +161,7 @@
 		committed = max(committed, reached)
 	}
 	return fmt.Sprintf("%s: %d messages, %d records, %d replies, %d reads, %d elections, committed %d, %d steps, %v, %d breaches",
-		hex.EncodeToString(trace.sum.Sum(nil)), trace.sends, trace.persists, trace.replies, trace.reads, len(played.leaders), committed, played.steps, played.now.Round(time.Millisecond), len(played.said))
+		hex.EncodeToString(trace.sum.Sum(nil)), trace.sends, trace.persists, trace.replies, trace.reads, len(played.leaders), committed, played.steps, played.now.Round(time.Millisecond), len(played.breaches))
 }
 
 // A change that should alter no behaviour alters no run of the model: the replicas send, write and
@@ -172,14 +172,14 @@
 	if len(golden) != len(modelGoldenRuns) {
 		t.Errorf("%s has %d lines for %d runs", modelGoldenFile, len(golden), len(modelGoldenRuns))
 	}
-	for _, one := range modelGoldenRuns {
-		t.Run(one.name, func(t *testing.T) {
+	for _, run := range modelGoldenRuns {
+		t.Run(run.name, func(t *testing.T) {
 			t.Parallel()
-			want, known := golden[one.name]
+			want, known := golden[run.name]
 			if !known {
 				t.Fatalf("%s has no line for it", modelGoldenFile)
 			}
-			if got := modelGoldenRun(t, one.size, one.faults()); got != want {
+			if got := modelGoldenRun(t, run.size, run.faults()); got != want {
 				t.Errorf("its run differs:\n got %s\nwant %s", got, want)
 			}
 		})
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -35,47 +35,47 @@
 
 // goldenCore runs the real members of a core on one clock, each with a log of its own.
 type goldenCore struct {
-	t       *testing.T
-	root    string
-	now     time.Duration
-	names   []string // in which they tick
-	members map[string]*Replica
-	disks   map[string]*Disk
-	down    map[string]bool
-	hold    bool // records wait, to be written as one group
-	held    []Persist
-	replies map[string]*schema.ProposalReply
+	t          *testing.T
+	root       string
+	now        time.Duration
+	names      []string // in which they tick
+	members    map[string]*Replica
+	disks      map[string]*FileLog
+	down       map[string]bool
+	holdWrites bool // records wait, to be written as one group
+	heldWrites []Persist
+	replies    map[string]*schema.ProposalReply
 }
 
 func newGoldenCore(t *testing.T, root string) *goldenCore {
 	t.Helper()
-	core := &goldenCore{t: t, root: root, members: map[string]*Replica{}, disks: map[string]*Disk{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}}
+	core := &goldenCore{t: t, root: root, members: map[string]*Replica{}, disks: map[string]*FileLog{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}}
 	t.Cleanup(core.close)
 	return core
 }
 
-func goldenOptions(name string) Options {
-	return Options{Name: name, Address: "10.0.0." + name, Seeds: []string{"a", "b", "c"}, Draw: func() uint64 { return 99 }, Losses: 0, Silence: 1500 * time.Millisecond,
-		Stall: 2 * time.Second, EntriesMost: 8, OutcomesMost: 64, BufferMost: 16, DroppedMost: 12}
+func goldenConfig(name string) Config {
+	return Config{Name: name, Address: "10.0.0." + name, Seeds: []string{"a", "b", "c"}, NewIncarnation: func() uint64 { return 99 }, ToleratedLosses: 0, HeartbeatTimeout: 1500 * time.Millisecond,
+		StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
 }
 
 // start starts a member upon its folder; an empty one gets a birth with the incarnation given.
 func (c *goldenCore) start(name string, incarnation uint64, founders ...string) {
 	c.t.Helper()
-	options := goldenOptions(name)
-	options.Founders = founders
+	cfg := goldenConfig(name)
+	cfg.Founders = founders
 	disk, records, err := Open(filepath.Join(c.root, "member-"+name))
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	if len(records) == 0 {
-		records = []*schema.Record{Birth(options, incarnation)}
+		records = []*schema.Record{InitialRecord(cfg, incarnation)}
 		if err := disk.Write(records, true); err != nil {
 			c.t.Fatal(err)
 		}
 	}
-	options.Founders = nil
-	c.members[name], c.disks[name] = NewReplica(options, 0, records), disk
+	cfg.Founders = nil
+	c.members[name], c.disks[name] = NewReplica(cfg, 0, records), disk
 	if !slices.Contains(c.names, name) {
 		c.names = append(c.names, name)
 	}
@@ -87,44 +87,44 @@
 			c.t.Error(err)
 		}
 	}
-	c.disks = map[string]*Disk{}
+	c.disks = map[string]*FileLog{}
 }
 
 func (c *goldenCore) act(from string, actions []Action) {
 	c.t.Helper()
 	for _, action := range actions {
-		switch one := action.(type) {
+		switch typed := action.(type) {
 		case Send:
-			if to := one.Message.To; c.members[to] != nil && !c.down[to] && !c.down[from] {
-				c.act(to, c.members[to].Deliver(c.now, proto.Clone(one.Message).(*schema.ReplicaMessage)))
+			if to := typed.Message.To; c.members[to] != nil && !c.down[to] && !c.down[from] {
+				c.act(to, c.members[to].Step(c.now, proto.Clone(typed.Message).(*schema.ReplicaMessage)))
 			}
 		case Persist:
-			if c.hold {
-				c.held = append(c.held, one)
+			if c.holdWrites {
+				c.heldWrites = append(c.heldWrites, typed)
 				continue
 			}
-			c.write(from, one)
+			c.write(from, typed)
 		case Reply:
-			c.replies[one.Result.Ticket] = one.Result
+			c.replies[typed.Result.Ticket] = typed.Result
 		}
 	}
 }
 
 // write writes what was asked for as one group, and tells that it is synced.
-func (c *goldenCore) write(at string, asked ...Persist) {
+func (c *goldenCore) write(at string, writes ...Persist) {
 	c.t.Helper()
 	var records []*schema.Record
-	for _, one := range asked {
-		records = append(records, one.Record)
+	for _, write := range writes {
+		records = append(records, write.Record)
 	}
-	last := asked[len(asked)-1]
-	if err := c.disks[at].Write(records, last.Whole); err != nil {
+	last := writes[len(writes)-1]
+	if err := c.disks[at].Write(records, last.ReplacesLog); err != nil {
 		c.t.Fatal(err)
 	}
-	c.act(at, c.members[at].Synced(c.now, last.Mark))
+	c.act(at, c.members[at].Persisted(c.now, last.WriteID))
 }
 
-func (c *goldenCore) pass(span time.Duration) {
+func (c *goldenCore) advance(span time.Duration) {
 	c.t.Helper()
 	for end := c.now + span; c.now < end; c.now += 75 * time.Millisecond {
 		for _, name := range c.names {
@@ -140,8 +140,8 @@
 	c.act(at, c.members[at].Propose(c.now, &schema.Proposal{Ticket: change.Id, Change: change}))
 }
 
-// rules proposes a change and wants it to be ruled so.
-func (c *goldenCore) rules(at string, want schema.Ruling, change *schema.Change) {
+// expectRuling proposes a change and wants it to be ruled so.
+func (c *goldenCore) expectRuling(at string, want schema.Ruling, change *schema.Change) {
 	c.t.Helper()
 	c.propose(at, change)
 	if got := c.replies[change.Id].GetOutcome(); got.GetRuling() != want {
@@ -149,8 +149,8 @@
 	}
 }
 
-func goldenItem(kind, name string, given uint64, body string) *schema.Item {
-	return &schema.Item{Kind: kind, Name: name, Given: given, Body: []byte(body)}
+func goldenItem(kind, name string, operatorVersion uint64, body string) *schema.Item {
+	return &schema.Item{Kind: kind, Name: name, Given: operatorVersion, Body: []byte(body)}
 }
 
 func goldenFlag(weight int) *schema.Item {
@@ -186,32 +186,32 @@
 	for i, name := range []string{"a", "b", "c"} {
 		c.start(name, uint64(11+i), "a", "b", "c")
 	}
-	c.pass(5 * time.Second)
-	c.rules("a", accepted, expecting("shop", []*schema.Item{
+	c.advance(5 * time.Second)
+	c.expectRuling("a", accepted, expecting("shop", []*schema.Item{
 		goldenItem("service", "shop", 0, `{"versions":["1","2"],"fallback":"1"}`), goldenFlag(0), goldenItem("route", "buy", 0, `{"service":"shop","prefix":"/buy"}`)}))
-	c.rules("b", accepted, &schema.Change{Id: "given", ByGiven: true, Items: []*schema.Item{
+	c.expectRuling("b", accepted, &schema.Change{Id: "given", ByGiven: true, Items: []*schema.Item{
 		{Kind: "segment", Name: "testers", Given: 5, Body: []byte(`{"salt":"t","included":["ann"]}`), Said: []byte(`{"spec":{"salt":"t"}}`)},
 		goldenItem("segment", "old", 6, `{"salt":"o"}`)}})
-	c.rules("a", accepted, expecting("plain", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"p"}`)}))
-	c.rules("a", accepted, &schema.Change{Id: "dropped-given", ByGiven: true, Items: []*schema.Item{{Kind: "segment", Name: "old", Given: 8, Deleted: true}}})
-	c.rules("a", schema.Ruling_RULING_INVALID, expecting("wrong", []*schema.Item{goldenItem("segment", "wrong", 0, `{"colour":"red"}`)}))
-	c.rules("b", schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"q"}`)}))
+	c.expectRuling("a", accepted, expecting("plain", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"p"}`)}))
+	c.expectRuling("a", accepted, &schema.Change{Id: "dropped-given", ByGiven: true, Items: []*schema.Item{{Kind: "segment", Name: "old", Given: 8, Deleted: true}}})
+	c.expectRuling("a", schema.Ruling_RULING_INVALID, expecting("wrong", []*schema.Item{goldenItem("segment", "wrong", 0, `{"colour":"red"}`)}))
+	c.expectRuling("b", schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"q"}`)}))
 	// c is gone for good; d takes its place.
 	c.down["c"] = true
 	c.start("d", 14)
-	c.pass(6 * time.Second)
-	c.rules("d", accepted, expecting("release", []*schema.Item{goldenItem("release", "shop", 0, `{"service":"shop","version":"2","target":50,"over":"10m","pace":"go"}`)}))
-	c.rules("a", accepted, expecting("trial", []*schema.Item{goldenFlag(10000), goldenProgress(2, "trial", 10000, 0)}, c.sequenceOf("a", "flag", "release.shop"), 0))
-	c.rules("a", accepted, expecting("dropped-plain", []*schema.Item{{Kind: "segment", Name: "plain", Deleted: true}}, c.sequenceOf("a", "segment", "plain")))
-	c.rules("a", schema.Ruling_RULING_STALE, expecting("stale", []*schema.Item{goldenProgress(1, "ramp", 20000, 0)}, c.sequenceOf("a", "progress", "shop")))
+	c.advance(6 * time.Second)
+	c.expectRuling("d", accepted, expecting("release", []*schema.Item{goldenItem("release", "shop", 0, `{"service":"shop","version":"2","target":50,"over":"10m","pace":"go"}`)}))
+	c.expectRuling("a", accepted, expecting("trial", []*schema.Item{goldenFlag(10000), goldenProgress(2, "trial", 10000, 0)}, c.sequenceOf("a", "flag", "release.shop"), 0))
+	c.expectRuling("a", accepted, expecting("dropped-plain", []*schema.Item{{Kind: "segment", Name: "plain", Deleted: true}}, c.sequenceOf("a", "segment", "plain")))
+	c.expectRuling("a", schema.Ruling_RULING_STALE, expecting("stale", []*schema.Item{goldenProgress(1, "ramp", 20000, 0)}, c.sequenceOf("a", "progress", "shop")))
 	// Leadership goes to b and comes back, so that votes and epochs come after the whole state.
 	c.down["a"] = true
-	c.pass(4 * time.Second)
+	c.advance(4 * time.Second)
 	c.down["a"] = false
-	c.pass(5 * time.Second)
-	c.rules("b", accepted, expecting("ramp", []*schema.Item{goldenFlag(25000), goldenProgress(3, "ramp", 25000, 150*time.Second)},
+	c.advance(5 * time.Second)
+	c.expectRuling("b", accepted, expecting("ramp", []*schema.Item{goldenFlag(25000), goldenProgress(3, "ramp", 25000, 150*time.Second)},
 		c.sequenceOf("b", "flag", "release.shop"), c.sequenceOf("b", "progress", "shop")))
-	c.pass(time.Second)
+	c.advance(time.Second)
 	c.close()
 	if err := os.RemoveAll(filepath.Join(root, "member-c")); err != nil {
 		t.Fatal(err)
@@ -238,14 +238,14 @@
 		}
 	}
 	move("born")
-	c.pass(5 * time.Second)
-	c.hold = true
+	c.advance(5 * time.Second)
+	c.holdWrites = true
 	for _, id := range []string{"one", "two"} {
 		c.propose("l", expecting(id, []*schema.Item{goldenItem("segment", id, 0, `{"salt":""}`)}))
 	}
-	c.hold = false
-	c.write("l", c.held...)
-	c.rules("l", schema.Ruling_RULING_ACCEPTED, expecting("torn", []*schema.Item{goldenItem("segment", "torn", 0, `{"salt":""}`)}))
+	c.holdWrites = false
+	c.write("l", c.heldWrites...)
+	c.expectRuling("l", schema.Ruling_RULING_ACCEPTED, expecting("torn", []*schema.Item{goldenItem("segment", "torn", 0, `{"salt":""}`)}))
 	c.close()
 	move("torn")
 	if err := os.RemoveAll(filepath.Join(root, "member-l")); err != nil {
@@ -284,7 +284,7 @@
 	}
 }
 
-func openGolden(t *testing.T, name string) (*Disk, []*schema.Record, string) {
+func openGolden(t *testing.T, name string) (*FileLog, []*schema.Record, string) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), name)
 	copyGolden(t, name, folder)
@@ -319,16 +319,16 @@
 			}
 		}
 		for _, value := range values {
-			switch held := value.Interface().(type) {
+			switch value := value.Interface().(type) {
 			case protoreflect.Message:
 				fmt.Fprintf(to, "%s%d:\n", indent, number)
-				dump(to, indent+"  ", held)
+				dump(to, indent+"  ", value)
 			case string:
-				fmt.Fprintf(to, "%s%d: %q\n", indent, number, held)
+				fmt.Fprintf(to, "%s%d: %q\n", indent, number, value)
 			case []byte:
-				fmt.Fprintf(to, "%s%d: %q\n", indent, number, held)
+				fmt.Fprintf(to, "%s%d: %q\n", indent, number, value)
 			default:
-				fmt.Fprintf(to, "%s%d: %v\n", indent, number, held)
+				fmt.Fprintf(to, "%s%d: %v\n", indent, number, value)
 			}
 		}
 	}
@@ -338,12 +338,12 @@
 }
 
 func dumpRecords(records []*schema.Record) string {
-	made := &strings.Builder{}
+	text := &strings.Builder{}
 	for _, record := range records {
-		fmt.Fprintln(made, "record")
-		dump(made, "  ", record.ProtoReflect())
+		fmt.Fprintln(text, "record")
+		dump(text, "  ", record.ProtoReflect())
 	}
-	return made.String()
+	return text.String()
 }
 
 // Every record of the golden logs is read, and says what it said when it was written.
@@ -373,8 +373,8 @@
 		if len(data)-20 < length {
 			break
 		}
-		if place := binary.LittleEndian.Uint64(data[8:]); place != uint64(len(bodies)+1) {
-			t.Fatalf("frame %d is of place %d", len(bodies)+1, place)
+		if frameNumber := binary.LittleEndian.Uint64(data[8:]); frameNumber != uint64(len(bodies)+1) {
+			t.Fatalf("frame %d is of place %d", len(bodies)+1, frameNumber)
 		}
 		sum := crc32.Update(crc32.ChecksumIEEE(data[4:16]), crc32.IEEETable, data[20:20+length])
 		if sum != binary.LittleEndian.Uint32(data[16:]) {
@@ -443,12 +443,12 @@
 	const items = "flag/release.shop 9.13 given 0 by ramp; progress/shop 9.13 given 0 by ramp; release/shop 3.9 given 0 by release; route/buy 3.1 given 0 by shop; " +
 		"segment/old 3.4 given 8 by dropped-given deleted; segment/plain 3.11 given 0 by dropped-plain deleted; segment/testers 3.2 given 5 by given; service/shop 3.1 given 0 by shop"
 	for _, want := range []struct {
-		name                 string
-		incarnation          uint64
-		founder              bool
-		epoch, voted, length uint64
-		votedFor             string
-		members, items       string
+		name                string
+		incarnation         uint64
+		founder             bool
+		term, voted, length uint64
+		votedFor            string
+		members, items      string
 	}{
 		{"member-a", 11, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
 		{"member-b", 12, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
@@ -459,19 +459,19 @@
 	} {
 		t.Run(want.name, func(t *testing.T) {
 			_, records, _ := openGolden(t, want.name)
-			s := NewReplica(goldenOptions(strings.TrimPrefix(want.name, "member-")), 0, records)
+			s := NewReplica(goldenConfig(strings.TrimPrefix(want.name, "member-")), 0, records)
 			if s.incarnation != want.incarnation || s.founder != want.founder {
 				t.Errorf("incarnation %d, founder %t", s.incarnation, s.founder)
 			}
-			if s.epoch != want.epoch || s.votedEpoch != want.voted || s.votedFor != want.votedFor || s.seq != want.length {
-				t.Errorf("epoch %d, voted for %q in %d, sequence %d", s.epoch, s.votedFor, s.votedEpoch, s.seq)
+			if s.term != want.term || s.votedTerm != want.voted || s.votedFor != want.votedFor || s.sequence != want.length {
+				t.Errorf("epoch %d, voted for %q in %d, sequence %d", s.term, s.votedFor, s.votedTerm, s.sequence)
 			}
-			var members, held []string
-			for _, one := range s.membership.Members {
-				members = append(members, fmt.Sprintf("%s/%d", one.Seat, one.Incarnation))
+			var members, stateItems []string
+			for _, member := range s.membership.Members {
+				members = append(members, fmt.Sprintf("%s/%d", member.Seat, member.Incarnation))
 			}
-			taken := s.membership.Taken
-			if got := fmt.Sprintf("%s of %d since %d.%d", strings.Join(members, " "), s.membership.Wanted, taken.GetEpoch(), taken.GetSequence()); got != want.members {
+			since := s.membership.Taken
+			if got := fmt.Sprintf("%s of %d since %d.%d", strings.Join(members, " "), s.membership.Wanted, since.GetEpoch(), since.GetSequence()); got != want.members {
 				t.Errorf("members are %q, want %q", got, want.members)
 			}
 			for _, key := range slices.Sorted(maps.Keys(s.state)) {
@@ -480,9 +480,9 @@
 				if item.Deleted {
 					text += " deleted"
 				}
-				held = append(held, text)
+				stateItems = append(stateItems, text)
 			}
-			if got := strings.Join(held, "; "); got != want.items {
+			if got := strings.Join(stateItems, "; "); got != want.items {
 				t.Errorf("items are\n%s\nwant\n%s", got, want.items)
 			}
 			if strings.HasPrefix(want.name, "member-") {
@@ -496,19 +496,19 @@
 // checkGoldenRelease checks that the release on its way is read as it was steered.
 func checkGoldenRelease(t *testing.T, state setup.State) {
 	t.Helper()
-	made, faults := setup.Compile(state, 13)
+	compiled, faults := setup.Compile(state, 13)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
-	plan, progress := made.Releases["shop"], made.Progress["shop"]
-	if plan == nil || plan.Service != "shop" || plan.Version != "2" || plan.Target != 50 || plan.Over != 10*time.Minute || plan.Pace != "go" || plan.Sequence != 9 {
+	plan, progress := compiled.Releases["shop"], compiled.Progress["shop"]
+	if plan == nil || plan.Service != "shop" || plan.Version != "2" || plan.Target != 50 || plan.Duration != 10*time.Minute || plan.Control != "go" || plan.Revision != 9 {
 		t.Errorf("the plan is %+v", plan)
 	}
-	want := setup.Progress{Duty: 3, Holder: "a", Set: "shop 3", State: "ramp", Reason: "the version is known", Share: 25, Weight: 25000, Elapsed: int64(150 * time.Second), From: "1", Since: 7}
+	want := setup.Progress{ControllerTerm: 3, Controller: "a", PlanID: "shop 3", State: "ramp", Reason: "the version is known", Percentage: 25, Weight: 25000, Elapsed: int64(150 * time.Second), PreviousVersion: "1", StateSince: 7}
 	if progress == nil || *progress != want {
 		t.Errorf("the progress is %+v, want %+v", progress, want)
 	}
-	decider := made.Flags.Flags["release.shop"]
+	decider := compiled.Flags.Flags["release.shop"]
 	if decider == nil || decider.Fallthrough.Rollout == nil || decider.Fallthrough.Rollout.Variations[0].Weight != 25000 {
 		t.Errorf("the flag is %+v", decider)
 	}
@@ -521,7 +521,7 @@
 		"shop": "1 at 1", "given": "1 at 2", "plain": "1 at 3", "dropped-given": "1 at 4", "wrong": "2 at 5 segment.wrong", "late": "3 at 6 segment/plain 3",
 		"members-3-7": "1 at 7", "members-3-8": "1 at 8", "release": "1 at 9", "trial": "1 at 10", "dropped-plain": "1 at 11", "stale": "4 at 12", "ramp": "1 at 13",
 	} {
-		outcome, known := s.Accepted(id)
+		outcome, known := s.AppendedOutcome(id)
 		if !known {
 			t.Errorf("%s is forgotten", id)
 			continue
@@ -544,52 +544,52 @@
 
 // Members go on from the golden folders: they elect a leader under a later epoch, know what they
 // know, take changes on top, and can be started again from what is then on disk.
-func TestGoldenGoesOn(t *testing.T) {
-	for _, one := range []struct {
-		name    string
-		folders map[string]string // by member
-		leader  string
-		after   uint64 // least epoch of the first leader
-		held    string // an item that was committed
+func TestGoldenFoldersContinue(t *testing.T) {
+	for _, test := range []struct {
+		name         string
+		folders      map[string]string // by member
+		leader       string
+		after        uint64 // least epoch of the first leader
+		committedKey string // an item that was committed
 	}{
 		{"core", map[string]string{"a": "member-a", "b": "member-b", "d": "member-d"}, "a", 10, "progress/shop"},
 		{"without a", map[string]string{"b": "member-b", "d": "member-d"}, "b", 10, "progress/shop"},
 		{"born", map[string]string{"l": "born"}, "l", 1, ""},
 		{"torn", map[string]string{"l": "torn"}, "l", 2, "segment/two"},
 	} {
-		t.Run(one.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			root := t.TempDir()
-			for name, folder := range one.folders {
+			for name, folder := range test.folders {
 				copyGolden(t, folder, filepath.Join(root, "member-"+name))
 			}
 			// Whoever starts it again finds what the life before has added.
-			for life := 1; life <= 2; life++ {
+			for run := 1; run <= 2; run++ {
 				c := newGoldenCore(t, root)
-				for _, name := range slices.Sorted(maps.Keys(one.folders)) {
+				for _, name := range slices.Sorted(maps.Keys(test.folders)) {
 					c.start(name, 0)
 				}
-				c.pass(8 * time.Second)
+				c.advance(8 * time.Second)
 				for name, member := range c.members {
-					if status := member.Status(); status.Leader != one.leader || status.Epoch < one.after {
-						t.Fatalf("life %d: %s takes %q for the leader, in epoch %d", life, name, status.Leader, status.Epoch)
+					if status := member.Status(); status.Leader != test.leader || status.Epoch < test.after {
+						t.Fatalf("life %d: %s takes %q for the leader, in epoch %d", run, name, status.Leader, status.Epoch)
 					}
 				}
-				added := fmt.Sprint("added-", life)
-				c.rules(one.leader, schema.Ruling_RULING_ACCEPTED, expecting(added, []*schema.Item{goldenItem("segment", added, 0, `{"salt":""}`)}))
-				c.pass(time.Second)
+				added := fmt.Sprint("added-", run)
+				c.expectRuling(test.leader, schema.Ruling_RULING_ACCEPTED, expecting(added, []*schema.Item{goldenItem("segment", added, 0, `{"salt":""}`)}))
+				c.advance(time.Second)
 				for name, member := range c.members {
 					_, state := member.Committed()
-					for _, key := range []string{one.held, "segment/added-1", "segment/" + added} {
+					for _, key := range []string{test.committedKey, "segment/added-1", "segment/" + added} {
 						if key != "" && state[key] == nil {
-							t.Errorf("life %d: %s has lost %s", life, name, key)
+							t.Errorf("life %d: %s has lost %s", run, name, key)
 						}
 					}
 					if state["segment/torn"] != nil {
-						t.Errorf("life %d: what was torn is held", life)
+						t.Errorf("life %d: what was torn is held", run)
 					}
 				}
-				if one.held == "progress/shop" {
-					goldenCoreGoesOn(c, one.leader, life)
+				if test.committedKey == "progress/shop" {
+					goldenCoreContinues(c, test.leader, run)
 				}
 				c.close()
 			}
@@ -597,16 +597,16 @@
 	}
 }
 
-// goldenCoreGoesOn checks that versions of before still rule what comes: a tombstone bars older
+// goldenCoreContinues checks that versions of before still rule what comes: a tombstone bars older
 // orders, an id has its first outcome, and the release's duty stays with the later epoch.
-func goldenCoreGoesOn(c *goldenCore, leader string, life int) {
+func goldenCoreContinues(c *goldenCore, leader string, run int) {
 	c.t.Helper()
-	older := fmt.Sprint("older-", life)
-	c.rules(leader, schema.Ruling_RULING_ACCEPTED, &schema.Change{Id: older, ByGiven: true, Items: []*schema.Item{goldenItem("segment", "old", 7, `{"salt":"o"}`)}})
+	older := fmt.Sprint("older-", run)
+	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, &schema.Change{Id: older, ByGiven: true, Items: []*schema.Item{goldenItem("segment", "old", 7, `{"salt":"o"}`)}})
 	if _, state := c.members[leader].Committed(); !state["segment/old"].GetDeleted() || state["segment/old"].GetGiven() != 8 {
 		c.t.Errorf("an older order brought back %v", state["segment/old"])
 	}
-	c.rules(leader, schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "late", 0, `{"salt":""}`)}))
-	c.rules(leader, schema.Ruling_RULING_STALE, expecting(fmt.Sprint("stale-", life), []*schema.Item{goldenProgress(2, "back", 0, 0)}, c.sequenceOf(leader, "progress", "shop")))
-	c.rules(leader, schema.Ruling_RULING_ACCEPTED, expecting(fmt.Sprint("on-", life), []*schema.Item{goldenProgress(3+life, "ramp", 30000, 200*time.Second)}, c.sequenceOf(leader, "progress", "shop")))
+	c.expectRuling(leader, schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "late", 0, `{"salt":""}`)}))
+	c.expectRuling(leader, schema.Ruling_RULING_STALE, expecting(fmt.Sprint("stale-", run), []*schema.Item{goldenProgress(2, "back", 0, 0)}, c.sequenceOf(leader, "progress", "shop")))
+	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, expecting(fmt.Sprint("on-", run), []*schema.Item{goldenProgress(3+run, "ramp", 30000, 200*time.Second)}, c.sequenceOf(leader, "progress", "shop")))
 }
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -28,57 +28,57 @@
 // bad one therefore means rot.
 
 const (
-	frameMark   = "mhw1"
-	headBytes   = 4 + 4 + 8 + 4 // mark, length, place, checksum
-	logPrefix   = "setup-"
-	logSuffix   = ".log"
-	asidePrefix = "aside-"
+	frameMagic       = "mhw1"
+	frameHeaderBytes = 4 + 4 + 8 + 4 // mark, length, place, checksum
+	logPrefix        = "setup-"
+	logSuffix        = ".log"
+	corruptPrefix    = "aside-"
 )
 
-// drive is a folder of files as a log needs it, so that a test can lose its power.
-type drive interface {
+// fileSystem is a folder of files as a log needs it, so that a test can lose its power.
+type fileSystem interface {
 	list() ([]string, error)
 	read(name string) ([]byte, error)
 	// create begins an empty file, in place of one that may be there.
-	create(name string) (file, error)
-	open(name string) (file, error)
+	create(name string) (logFile, error)
+	open(name string) (logFile, error)
 	remove(name string) error
 	rename(from, to string) error
-	// syncNames lets removals and renames last.
-	syncNames() error
+	// syncDirectory lets removals and renames last.
+	syncDirectory() error
 }
 
-// file is written at its end.
-type file interface {
+// logFile is written at its end.
+type logFile interface {
 	write(data []byte) error
 	truncate(size int64) error
 	sync() error
 	close() error
 }
 
-// Disk is a replica's log of records; what Write returned for is synced.
-type Disk struct {
-	drive  drive
-	number uint64 // of the log's file
-	file   file
-	place  uint64 // of the last frame
-	spoilt bool   // a write was refused: what is in the file is not known
+// FileLog is a replica's log of records; what Write returned for is synced.
+type FileLog struct {
+	fileSystem  fileSystem
+	fileNumber  uint64 // of the log's file
+	file        logFile
+	frameNumber uint64 // of the last frame
+	failed      bool   // a write was refused: what is in the file is not known
 }
 
 // Open reads the log in a folder. A torn end, which no yes was ever given for, is dropped.
 // Rot is refused with DISK_CORRUPT: the folder must then be set aside and refilled.
-func Open(folder string) (*Disk, []*schema.Record, error) {
+func Open(folder string) (*FileLog, []*schema.Record, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, nil, defect.Wrap(err, defect.DiskFailed, "folder")
 	}
-	return openDrive(folderDrive(folder))
+	return openLog(osFileSystem(folder))
 }
 
 func logName(number uint64) string { return fmt.Sprintf("%s%012d%s", logPrefix, number, logSuffix) }
 
-// logsOn lists the numbers of a drive's logs, newest first.
-func logsOn(on drive) ([]uint64, error) {
-	names, err := on.list()
+// logNumbers lists the numbers of a drive's logs, newest first.
+func logNumbers(files fileSystem) ([]uint64, error) {
+	names, err := files.list()
 	if err != nil {
 		return nil, defect.Wrap(err, defect.DiskFailed, "list")
 	}
@@ -94,21 +94,21 @@
 	return numbers, nil
 }
 
-func openDrive(on drive) (*Disk, []*schema.Record, error) {
-	numbers, err := logsOn(on)
+func openLog(files fileSystem) (*FileLog, []*schema.Record, error) {
+	numbers, err := logNumbers(files)
 	if err != nil {
 		return nil, nil, err
 	}
-	disk := &Disk{drive: on}
+	disk := &FileLog{fileSystem: files}
 	var records []*schema.Record
 	for _, number := range numbers {
-		disk.number = max(disk.number, number)
-		data, err := on.read(logName(number))
+		disk.fileNumber = max(disk.fileNumber, number)
+		data, err := files.read(logName(number))
 		if err != nil {
 			return nil, nil, defect.Wrap(err, defect.DiskFailed, logName(number))
 		}
-		groups, whole, rotten := readFrames(data)
-		if rotten {
+		groups, validSize, corrupt := readFrames(data)
+		if corrupt {
 			return nil, nil, defect.New(defect.DiskCorrupt, logName(number))
 		}
 		// A file that does not begin well was never synced: the one before it stands.
@@ -118,22 +118,22 @@
 		for _, group := range groups {
 			records = append(records, group.Records...)
 		}
-		if err := disk.goOn(number, uint64(len(groups)), whole, len(data)); err != nil {
+		if err := disk.resume(number, uint64(len(groups)), validSize, len(data)); err != nil {
 			return nil, nil, err
 		}
 		break
 	}
-	return disk, records, disk.removeBut(disk.number, disk.file != nil)
+	return disk, records, disk.removeOthers(disk.fileNumber, disk.file != nil)
 }
 
-// goOn opens a log for more, without its torn end.
-func (d *Disk) goOn(number, place uint64, whole, size int) error {
-	opened, err := d.drive.open(logName(number))
+// resume opens a log for more, without its torn end.
+func (d *FileLog) resume(number, frameNumber uint64, validSize, size int) error {
+	opened, err := d.fileSystem.open(logName(number))
 	if err != nil {
 		return defect.Wrap(err, defect.DiskFailed, logName(number))
 	}
-	if whole < size {
-		err = opened.truncate(int64(whole))
+	if validSize < size {
+		err = opened.truncate(int64(validSize))
 	}
 	// What was read may not have been synced by whoever wrote it.
 	if err == nil {
@@ -143,22 +143,22 @@
 		opened.close()
 		return defect.Wrap(err, defect.DiskFailed, logName(number))
 	}
-	d.file, d.number, d.place = opened, number, place
+	d.file, d.fileNumber, d.frameNumber = opened, number, frameNumber
 	return nil
 }
 
-// removeBut lets the other logs go, for good.
-func (d *Disk) removeBut(number uint64, keep bool) error {
-	numbers, err := logsOn(d.drive)
+// removeOthers lets the other logs go, for good.
+func (d *FileLog) removeOthers(number uint64, keepNumber bool) error {
+	numbers, err := logNumbers(d.fileSystem)
 	if err != nil {
 		return err
 	}
 	removed := false
 	for _, other := range numbers {
-		if keep && other == number {
+		if keepNumber && other == number {
 			continue
 		}
-		if err := d.drive.remove(logName(other)); err != nil {
+		if err := d.fileSystem.remove(logName(other)); err != nil {
 			return defect.Wrap(err, defect.DiskFailed, logName(other))
 		}
 		removed = true
@@ -166,74 +166,74 @@
 	if !removed {
 		return nil
 	}
-	return defect.Wrap(d.drive.syncNames(), defect.DiskFailed, "folder")
+	return defect.Wrap(d.fileSystem.syncDirectory(), defect.DiskFailed, "folder")
 }
 
 // readFrames reads a log's groups and tells how far they reach.
-func readFrames(data []byte) (groups []*schema.Group, whole int, rotten bool) {
+func readFrames(data []byte) (groups []*schema.Group, validSize int, corrupt bool) {
 	for {
-		group, size := readFrame(data[whole:], uint64(len(groups)+1))
+		group, size := readFrame(data[validSize:], uint64(len(groups)+1))
 		if group == nil {
 			break
 		}
 		groups = append(groups, group)
-		whole += size
+		validSize += size
 	}
 	// A torn end is the last that was written: nothing good can follow it.
-	for at := whole + 1; at < len(data); at++ {
-		next := bytes.Index(data[at:], []byte(frameMark))
+	for offset := validSize + 1; offset < len(data); offset++ {
+		next := bytes.Index(data[offset:], []byte(frameMagic))
 		if next < 0 {
 			break
 		}
-		at += next
-		if body, place := frameAt(data[at:]); body != nil && place > uint64(len(groups)+1) {
+		offset += next
+		if body, frameNumber := decodeFrame(data[offset:]); body != nil && frameNumber > uint64(len(groups)+1) {
 			return nil, 0, true
 		}
 	}
-	return groups, whole, false
+	return groups, validSize, false
 }
 
-// frameAt gives the body and the place of the frame that data begins with, if it is good.
-func frameAt(data []byte) (body []byte, place uint64) {
-	if len(data) < headBytes || string(data[:4]) != frameMark {
+// decodeFrame gives the body and the place of the frame that data begins with, if it is good.
+func decodeFrame(data []byte) (body []byte, frameNumber uint64) {
+	if len(data) < frameHeaderBytes || string(data[:4]) != frameMagic {
 		return nil, 0
 	}
 	length := int(binary.LittleEndian.Uint32(data[4:]))
-	if length > len(data)-headBytes {
+	if length > len(data)-frameHeaderBytes {
 		return nil, 0
 	}
-	body = data[headBytes : headBytes+length]
+	body = data[frameHeaderBytes : frameHeaderBytes+length]
 	if checksum(data[4:16], body) != binary.LittleEndian.Uint32(data[16:]) {
 		return nil, 0
 	}
 	return body, binary.LittleEndian.Uint64(data[8:])
 }
 
-func checksum(head, body []byte) uint32 {
-	return crc32.Update(crc32.ChecksumIEEE(head), crc32.IEEETable, body)
+func checksum(header, body []byte) uint32 {
+	return crc32.Update(crc32.ChecksumIEEE(header), crc32.IEEETable, body)
 }
 
 func readFrame(data []byte, want uint64) (*schema.Group, int) {
-	body, place := frameAt(data)
-	if body == nil || place != want {
+	body, frameNumber := decodeFrame(data)
+	if body == nil || frameNumber != want {
 		return nil, 0
 	}
 	group := &schema.Group{}
 	if proto.Unmarshal(body, group) != nil {
 		return nil, 0
 	}
-	return group, headBytes + len(body)
+	return group, frameHeaderBytes + len(body)
 }
 
-func frame(records []*schema.Record, place uint64) ([]byte, error) {
-	data, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, headBytes), &schema.Group{Records: records})
+func encodeFrame(records []*schema.Record, frameNumber uint64) ([]byte, error) {
+	data, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, frameHeaderBytes), &schema.Group{Records: records})
 	if err != nil {
 		return nil, defect.Wrap(err, defect.Internal, "record")
 	}
-	copy(data, frameMark)
-	binary.LittleEndian.PutUint32(data[4:], uint32(len(data)-headBytes))
-	binary.LittleEndian.PutUint64(data[8:], place)
-	binary.LittleEndian.PutUint32(data[16:], checksum(data[4:16], data[headBytes:]))
+	copy(data, frameMagic)
+	binary.LittleEndian.PutUint32(data[4:], uint32(len(data)-frameHeaderBytes))
+	binary.LittleEndian.PutUint64(data[8:], frameNumber)
+	binary.LittleEndian.PutUint32(data[16:], checksum(data[4:16], data[frameHeaderBytes:]))
 	return data, nil
 }
 
@@ -242,24 +242,24 @@
 //
 // After an error it is not known what is on the disk, so that nothing may follow it: only a whole
 // state is taken from then on.
-func (d *Disk) Write(records []*schema.Record, whole bool) error {
-	if whole {
-		return d.begin(records[len(records)-1])
+func (d *FileLog) Write(records []*schema.Record, replacesLog bool) error {
+	if replacesLog {
+		return d.beginFile(records[len(records)-1])
 	}
-	if d.spoilt {
+	if d.failed {
 		return defect.New(defect.DiskFailed, "an earlier write was refused")
 	}
 	if d.file == nil {
-		return d.begin(records...)
+		return d.beginFile(records...)
 	}
-	err := d.put(records)
-	d.spoilt = err != nil
+	err := d.writeFrame(records)
+	d.failed = err != nil
 	return err
 }
 
-// put writes one frame and syncs it.
-func (d *Disk) put(records []*schema.Record) error {
-	data, err := frame(records, d.place+1)
+// writeFrame writes one frame and syncs it.
+func (d *FileLog) writeFrame(records []*schema.Record) error {
+	data, err := encodeFrame(records, d.frameNumber+1)
 	if err != nil {
 		return err
 	}
@@ -269,34 +269,34 @@
 	if err != nil {
 		return defect.Wrap(err, defect.DiskFailed, "write")
 	}
-	d.place++
+	d.frameNumber++
 	return nil
 }
 
-// begin lets the next file be the log.
-func (d *Disk) begin(records ...*schema.Record) error {
+// beginFile lets the next file be the log.
+func (d *FileLog) beginFile(records ...*schema.Record) error {
 	if d.file != nil {
 		d.file.close()
 	}
-	d.file, d.spoilt = nil, true
-	d.number++
-	created, err := d.drive.create(logName(d.number))
+	d.file, d.failed = nil, true
+	d.fileNumber++
+	created, err := d.fileSystem.create(logName(d.fileNumber))
 	if err != nil {
-		return defect.Wrap(err, defect.DiskFailed, logName(d.number))
+		return defect.Wrap(err, defect.DiskFailed, logName(d.fileNumber))
 	}
-	d.file, d.place = created, 0
-	if err := d.put(records); err != nil {
+	d.file, d.frameNumber = created, 0
+	if err := d.writeFrame(records); err != nil {
 		return err
 	}
-	if err := d.removeBut(d.number, true); err != nil {
+	if err := d.removeOthers(d.fileNumber, true); err != nil {
 		return err
 	}
-	d.spoilt = false
+	d.failed = false
 	return nil
 }
 
 // Close lets go of the file.
-func (d *Disk) Close() error {
+func (d *FileLog) Close() error {
 	if d.file == nil {
 		return nil
 	}
@@ -306,36 +306,36 @@
 // SetAside moves corrupt logs out of the way, kept for whoever wants to look at them; of earlier
 // ones none is kept.
 func SetAside(folder string) error {
-	on := folderDrive(folder)
-	names, err := on.list()
+	files := osFileSystem(folder)
+	names, err := files.list()
 	if err != nil {
 		return defect.Wrap(err, defect.DiskFailed, "list")
 	}
 	for _, name := range names {
-		if strings.HasPrefix(name, asidePrefix) {
-			if err := on.remove(name); err != nil {
+		if strings.HasPrefix(name, corruptPrefix) {
+			if err := files.remove(name); err != nil {
 				return defect.Wrap(err, defect.DiskFailed, name)
 			}
 		}
 	}
-	numbers, err := logsOn(on)
+	numbers, err := logNumbers(files)
 	if err != nil {
 		return err
 	}
 	for _, number := range numbers {
-		if err := on.rename(logName(number), asidePrefix+logName(number)); err != nil {
+		if err := files.rename(logName(number), corruptPrefix+logName(number)); err != nil {
 			return defect.Wrap(err, defect.DiskFailed, logName(number))
 		}
 	}
-	return defect.Wrap(on.syncNames(), defect.DiskFailed, "folder")
+	return defect.Wrap(files.syncDirectory(), defect.DiskFailed, "folder")
 }
 
-// folderDrive is a folder of the machine's own files.
-type folderDrive string
+// osFileSystem is a folder of the machine's own files.
+type osFileSystem string
 
-func (f folderDrive) path(name string) string { return filepath.Join(string(f), name) }
+func (f osFileSystem) path(name string) string { return filepath.Join(string(f), name) }
 
-func (f folderDrive) list() ([]string, error) {
+func (f osFileSystem) list() ([]string, error) {
 	entries, err := os.ReadDir(string(f))
 	var names []string
 	for _, entry := range entries {
@@ -344,26 +344,26 @@
 	return names, err
 }
 
-func (f folderDrive) read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
+func (f osFileSystem) read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
 
-func (f folderDrive) create(name string) (file, error) {
+func (f osFileSystem) create(name string) (logFile, error) {
 	opened, err := os.OpenFile(f.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
-	return plainFile{opened}, err
+	return osFile{opened}, err
 }
 
-func (f folderDrive) open(name string) (file, error) {
+func (f osFileSystem) open(name string) (logFile, error) {
 	opened, err := os.OpenFile(f.path(name), os.O_WRONLY, 0)
 	if err == nil {
 		_, err = opened.Seek(0, io.SeekEnd)
 	}
-	return plainFile{opened}, err
+	return osFile{opened}, err
 }
 
-func (f folderDrive) remove(name string) error { return os.Remove(f.path(name)) }
+func (f osFileSystem) remove(name string) error { return os.Remove(f.path(name)) }
 
-func (f folderDrive) rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
+func (f osFileSystem) rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
 
-func (f folderDrive) syncNames() error {
+func (f osFileSystem) syncDirectory() error {
 	handle, err := os.Open(string(f))
 	if err != nil {
 		return err
@@ -372,14 +372,14 @@
 	return handle.Sync()
 }
 
-type plainFile struct{ *os.File }
+type osFile struct{ *os.File }
 
-func (p plainFile) write(data []byte) error {
+func (p osFile) write(data []byte) error {
 	_, err := p.File.Write(data)
 	return err
 }
 
-func (p plainFile) truncate(size int64) error {
+func (p osFile) truncate(size int64) error {
 	if err := p.File.Truncate(size); err != nil {
 		return err
 	}
@@ -387,5 +387,5 @@
 	return err
 }
 
-func (p plainFile) sync() error  { return p.File.Sync() }
-func (p plainFile) close() error { return p.File.Close() }
+func (p osFile) sync() error  { return p.File.Sync() }
+func (p osFile) close() error { return p.File.Close() }
--- a/internal/store/log_fuzz_test.go
+++ b/internal/store/log_fuzz_test.go
@@ -9,26 +9,26 @@
 // Whatever a file holds after a loss of power, reading it gives whole groups in their order or says
 // that it is rotten; what was read, written again, is read alike.
 func FuzzReadFrames(f *testing.F) {
-	first, err := frame([]*schema.Record{{VotedEpoch: 3, VotedFor: "a"}}, 1)
+	first, err := encodeFrame([]*schema.Record{{VotedEpoch: 3, VotedFor: "a"}}, 1)
 	if err != nil {
 		f.Fatal(err)
 	}
-	second, err := frame([]*schema.Record{{Epoch: 3, Entries: []*schema.Entry{{Version: &schema.Version{Epoch: 3, Sequence: 1}}}}}, 2)
+	second, err := encodeFrame([]*schema.Record{{Epoch: 3, Entries: []*schema.Entry{{Version: &schema.Version{Epoch: 3, Sequence: 1}}}}}, 2)
 	if err != nil {
 		f.Fatal(err)
 	}
-	whole := append(append([]byte{}, first...), second...)
-	for _, seed := range [][]byte{nil, first, whole, whole[:len(whole)-3], append(append([]byte{}, whole...), first...), second, []byte(frameMark)} {
+	both := append(append([]byte{}, first...), second...)
+	for _, seed := range [][]byte{nil, first, both, both[:len(both)-3], append(append([]byte{}, both...), first...), second, []byte(frameMagic)} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		groups, size, rotten := readFrames(data)
-		if rotten && len(groups) > 0 || size > len(data) {
-			t.Fatalf("rotten %t with %d groups in %d of %d bytes", rotten, len(groups), size, len(data))
+		groups, size, corrupt := readFrames(data)
+		if corrupt && len(groups) > 0 || size > len(data) {
+			t.Fatalf("rotten %t with %d groups in %d of %d bytes", corrupt, len(groups), size, len(data))
 		}
 		var again []byte
-		for place, group := range groups {
-			written, err := frame(group.Records, uint64(place+1))
+		for index, group := range groups {
+			written, err := encodeFrame(group.Records, uint64(index+1))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/store/log_test.go
+++ b/internal/store/log_test.go
@@ -15,91 +15,93 @@
 	"meadowhinge/schema"
 )
 
-// faulty is a drive whose power can be lost at any moment. Of a file it keeps what its last sync
+// faultyFileSystem is a drive whose power can be lost at any moment. Of a file it keeps what its last sync
 // covered; each later write may be there, missing or torn. A new file lasts once it is synced
 // itself; a removal or a change of name lasts once the names are synced.
-type faulty struct {
-	now     map[string]*faultyFile // as a process sees it
-	lasting map[string]*faultyFile // by the names that last; the files are the same ones
-	refuses bool
-	moments int // operations so far
-	stopAt  int // power is lost once so many have begun; 0 for never
+type faultyFileSystem struct {
+	visible       map[string]*faultyFile // as a process sees it
+	durable       map[string]*faultyFile // by the names that last; the files are the same ones
+	refusesWrites bool
+	operations    int // operations so far
+	powerLossAt   int // power is lost once so many have begun; 0 for never
 }
 
 type faultyFile struct {
-	on     *faulty
-	synced []byte
-	later  []change // not covered by a sync
-	lasts  bool     // a sync has made its name last
+	fileSystem  *faultyFileSystem
+	synced      []byte
+	unsynced    []fileChange // not covered by a sync
+	nameDurable bool         // a sync has made its name last
 }
 
-// change is a write at the end or, with cut not negative, a new length.
-type change struct {
-	data []byte
-	cut  int
+// fileChange is a write at the end or, with cut not negative, a new length.
+type fileChange struct {
+	data    []byte
+	newSize int
 }
 
 var errPower = errors.New("power is lost")
 
-func newFaulty() *faulty {
-	return &faulty{now: map[string]*faultyFile{}, lasting: map[string]*faultyFile{}}
+func newFaultyFileSystem() *faultyFileSystem {
+	return &faultyFileSystem{visible: map[string]*faultyFile{}, durable: map[string]*faultyFile{}}
 }
 
-// moment is a point at which power may be lost: whatever is begun there is in doubt.
-func (f *faulty) moment() error {
-	f.moments++
-	if f.stopAt > 0 && f.moments > f.stopAt {
+// operation is a point at which power may be lost: whatever is begun there is in doubt.
+func (f *faultyFileSystem) operation() error {
+	f.operations++
+	if f.powerLossAt > 0 && f.operations > f.powerLossAt {
 		return errPower
 	}
-	if f.refuses {
+	if f.refusesWrites {
 		return errors.New("refused")
 	}
 	return nil
 }
 
-func (f *faulty) list() ([]string, error) { return slices.Sorted(maps.Keys(f.now)), nil }
+func (f *faultyFileSystem) list() ([]string, error) { return slices.Sorted(maps.Keys(f.visible)), nil }
 
-func (f *faulty) read(name string) ([]byte, error) {
-	one := f.now[name]
-	data := slices.Clone(one.synced)
-	for _, later := range one.later {
-		if later.cut >= 0 {
-			data = data[:later.cut]
+func (f *faultyFileSystem) read(name string) ([]byte, error) {
+	stored := f.visible[name]
+	data := slices.Clone(stored.synced)
+	for _, later := range stored.unsynced {
+		if later.newSize >= 0 {
+			data = data[:later.newSize]
 		}
 		data = append(data, later.data...)
 	}
 	return data, nil
 }
 
-func (f *faulty) create(name string) (file, error) {
-	if err := f.moment(); err != nil {
+func (f *faultyFileSystem) create(name string) (logFile, error) {
+	if err := f.operation(); err != nil {
 		return nil, err
 	}
-	f.now[name] = &faultyFile{on: f}
-	return &faultyHandle{f.now[name], name}, nil
+	f.visible[name] = &faultyFile{fileSystem: f}
+	return &faultyHandle{f.visible[name], name}, nil
 }
 
-func (f *faulty) open(name string) (file, error) { return &faultyHandle{f.now[name], name}, nil }
+func (f *faultyFileSystem) open(name string) (logFile, error) {
+	return &faultyHandle{f.visible[name], name}, nil
+}
 
-func (f *faulty) remove(name string) error {
-	if err := f.moment(); err != nil {
+func (f *faultyFileSystem) remove(name string) error {
+	if err := f.operation(); err != nil {
 		return err
 	}
-	delete(f.now, name)
+	delete(f.visible, name)
 	return nil
 }
 
-func (f *faulty) rename(from, to string) error {
-	f.now[to] = f.now[from]
-	delete(f.now, from)
+func (f *faultyFileSystem) rename(from, to string) error {
+	f.visible[to] = f.visible[from]
+	delete(f.visible, from)
 	return nil
 }
 
-func (f *faulty) syncNames() error {
-	if err := f.moment(); err != nil {
+func (f *faultyFileSystem) syncDirectory() error {
+	if err := f.operation(); err != nil {
 		return err
 	}
-	maps.DeleteFunc(f.lasting, func(name string, _ *faultyFile) bool { return f.now[name] == nil })
+	maps.DeleteFunc(f.durable, func(name string, _ *faultyFile) bool { return f.visible[name] == nil })
 	return nil
 }
 
@@ -109,40 +111,40 @@
 }
 
 func (h *faultyHandle) write(data []byte) error {
-	h.later = append(h.later, change{data: slices.Clone(data), cut: -1})
-	return h.on.moment()
+	h.unsynced = append(h.unsynced, fileChange{data: slices.Clone(data), newSize: -1})
+	return h.fileSystem.operation()
 }
 
 func (h *faultyHandle) truncate(size int64) error {
-	h.later = append(h.later, change{cut: int(size)})
-	return h.on.moment()
+	h.unsynced = append(h.unsynced, fileChange{newSize: int(size)})
+	return h.fileSystem.operation()
 }
 
 func (h *faultyHandle) sync() error {
-	if err := h.on.moment(); err != nil {
+	if err := h.fileSystem.operation(); err != nil {
 		return err
 	}
-	h.synced, _ = h.on.read(h.name)
-	h.later, h.lasts = nil, true
-	h.on.lasting[h.name] = h.faultyFile
+	h.synced, _ = h.fileSystem.read(h.name)
+	h.unsynced, h.nameDurable = nil, true
+	h.fileSystem.durable[h.name] = h.faultyFile
 	return nil
 }
 
 func (h *faultyHandle) close() error { return nil }
 
-// remains are all the ways in which one file may be found after power was lost.
-func (one *faultyFile) remains() (ways [][]byte) {
-	ways = [][]byte{slices.Clone(one.synced)}
-	if !one.lasts {
-		ways = append(ways, nil)
+// contentsAfterPowerLoss are all the ways in which one file may be found after power was lost.
+func (f *faultyFile) contentsAfterPowerLoss() (contents [][]byte) {
+	contents = [][]byte{slices.Clone(f.synced)}
+	if !f.nameDurable {
+		contents = append(contents, nil)
 	}
-	for _, later := range one.later {
-		for _, way := range slices.Clone(ways) {
-			if way == nil {
-				way = []byte{}
+	for _, later := range f.unsynced {
+		for _, content := range slices.Clone(contents) {
+			if content == nil {
+				content = []byte{}
 			}
-			if later.cut >= 0 {
-				ways = append(ways, slices.Clone(way[:min(len(way), later.cut)]))
+			if later.newSize >= 0 {
+				contents = append(contents, slices.Clone(content[:min(len(content), later.newSize)]))
 				continue
 			}
 			size := len(later.data)
@@ -151,76 +153,76 @@
 			head := slices.Clone(later.data)
 			clear(head[:size/2])
 			// Whole, cut at several places, with a hole, without its beginning, and only its length.
-			for _, data := range [][]byte{later.data, later.data[:1], later.data[:min(headBytes, size)], later.data[:size/2], later.data[:size-1], hole, head, make([]byte, size)} {
-				ways = append(ways, slices.Concat(way, data))
+			for _, data := range [][]byte{later.data, later.data[:1], later.data[:min(frameHeaderBytes, size)], later.data[:size/2], later.data[:size-1], hole, head, make([]byte, size)} {
+				contents = append(contents, slices.Concat(content, data))
 			}
 		}
 	}
-	return ways
+	return contents
 }
 
-// after gives the drives that may be found after power was lost: each file in each of its ways,
+// statesAfterPowerLoss gives the drives that may be found after power was lost: each file in each of its ways,
 // each removal that does not last yet done or undone.
-func (f *faulty) after() (found []*faulty) {
-	found = []*faulty{newFaulty()}
+func (f *faultyFileSystem) statesAfterPowerLoss() (states []*faultyFileSystem) {
+	states = []*faultyFileSystem{newFaultyFileSystem()}
 	names := map[string]bool{}
-	for name := range f.now {
+	for name := range f.visible {
 		names[name] = true
 	}
-	for name := range f.lasting {
+	for name := range f.durable {
 		names[name] = true
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		one := f.now[name]
-		ways := [][]byte{}
-		if one == nil {
-			one = f.lasting[name]
-			ways = append(ways, nil) // removed, if the removal lasted
+		current := f.visible[name]
+		contents := [][]byte{}
+		if current == nil {
+			current = f.durable[name]
+			contents = append(contents, nil) // removed, if the removal lasted
 		}
-		ways = append(ways, one.remains()...)
-		var next []*faulty
-		for _, drive := range found {
-			for _, way := range ways {
-				with := newFaulty()
-				for other, kept := range drive.now {
-					with.now[other] = &faultyFile{on: with, synced: kept.synced, lasts: true}
-					with.lasting[other] = with.now[other]
+		contents = append(contents, current.contentsAfterPowerLoss()...)
+		var next []*faultyFileSystem
+		for _, drive := range states {
+			for _, content := range contents {
+				candidate := newFaultyFileSystem()
+				for other, existing := range drive.visible {
+					candidate.visible[other] = &faultyFile{fileSystem: candidate, synced: existing.synced, nameDurable: true}
+					candidate.durable[other] = candidate.visible[other]
 				}
-				if way != nil {
-					with.now[name] = &faultyFile{on: with, synced: way, lasts: true}
-					with.lasting[name] = with.now[name]
+				if content != nil {
+					candidate.visible[name] = &faultyFile{fileSystem: candidate, synced: content, nameDurable: true}
+					candidate.durable[name] = candidate.visible[name]
 				}
-				next = append(next, with)
+				next = append(next, candidate)
 			}
 		}
-		found = next
+		states = next
 	}
-	return found
+	return states
 }
 
-func marked(number int) *schema.Record {
+func voteRecord(number int) *schema.Record {
 	return &schema.Record{VotedEpoch: uint64(number), VotedFor: fmt.Sprint("replica-", number)}
 }
 
-// session opens a drive's log and writes groups of records to it until power is lost. It gives
+// writeUntilPowerLoss opens a drive's log and writes groups of records to it until power is lost. It gives
 // what it read, what was synced for certain beyond that, and the group that was under way.
-func session(on *faulty, from int, wholes bool) (read, synced, under []*schema.Record, err error) {
-	disk, read, err := openDrive(on)
+func writeUntilPowerLoss(files *faultyFileSystem, from int, snapshots bool) (read, synced, inFlight []*schema.Record, err error) {
+	disk, read, err := openLog(files)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	for step := range 4 {
 		// The whole state stands for all before it: here it tells the number of the last.
-		whole := wholes && step == 2 || len(read)+len(synced) == 0
-		group := []*schema.Record{marked(from + 2*step), marked(from + 2*step + 1)}
-		if whole {
+		replacesLog := snapshots && step == 2 || len(read)+len(synced) == 0
+		group := []*schema.Record{voteRecord(from + 2*step), voteRecord(from + 2*step + 1)}
+		if replacesLog {
 			group = group[1:]
 			group[0].Snapshot = &schema.Snapshot{Sequence: group[0].VotedEpoch}
 		}
-		if err := disk.Write(group, whole); err != nil {
+		if err := disk.Write(group, replacesLog); err != nil {
 			return read, synced, group, nil
 		}
-		if whole {
+		if replacesLog {
 			read, synced = nil, nil
 		}
 		synced = append(synced, group...)
@@ -228,7 +230,7 @@
 	return read, synced, nil, nil
 }
 
-func same(a, b []*schema.Record) bool {
+func equalRecords(a, b []*schema.Record) bool {
 	return slices.EqualFunc(a, b, func(a, b *schema.Record) bool { return proto.Equal(a, b) })
 }
 
@@ -237,43 +239,43 @@
 // from there, through a second loss.
 func TestPowerLost(t *testing.T) {
 	tried := 0
-	for _, wholes := range []bool{false, true} {
+	for _, snapshots := range []bool{false, true} {
 		for first := 1; ; first++ {
-			one := newFaulty()
-			one.stopAt = first
-			_, synced, under, err := session(one, 1, wholes)
+			files := newFaultyFileSystem()
+			files.powerLossAt = first
+			_, synced, inFlight, err := writeUntilPowerLoss(files, 1, snapshots)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, found := range one.after() {
-				again := found.after()[0]
-				_, read, err := openDrive(again)
-				if !fits(read, nil, synced, under) || err != nil {
-					t.Fatalf("wholes %v, stopped at %d: read %v, synced %v, under way %v: %v", wholes, first, read, synced, under, err)
+			for _, state := range files.statesAfterPowerLoss() {
+				again := state.statesAfterPowerLoss()[0]
+				_, read, err := openLog(again)
+				if !readsExpected(read, nil, synced, inFlight) || err != nil {
+					t.Fatalf("wholes %v, stopped at %d: read %v, synced %v, under way %v: %v", snapshots, first, read, synced, inFlight, err)
 				}
 				for second := 1; ; second++ {
-					twice := found.after()[0]
-					twice.stopAt = second
-					before, synced, under, err := session(twice, 100, wholes)
+					twice := state.statesAfterPowerLoss()[0]
+					twice.powerLossAt = second
+					before, synced, inFlight, err := writeUntilPowerLoss(twice, 100, snapshots)
 					if err != nil {
-						if errors.Is(err, errPower) || defect.KindOf(err) == defect.DiskFailed {
+						if errors.Is(err, errPower) || defect.CodeOf(err) == defect.DiskFailed {
 							continue // lost while it was opened
 						}
 						t.Fatal(err)
 					}
-					for _, left := range twice.after() {
-						_, read, err := openDrive(left)
+					for _, secondState := range twice.statesAfterPowerLoss() {
+						_, read, err := openLog(secondState)
 						tried++
-						if !fits(read, before, synced, under) || err != nil {
-							t.Fatalf("wholes %v, stopped at %d and %d: read %v, before %v, synced %v, under way %v: %v", wholes, first, second, read, before, synced, under, err)
+						if !readsExpected(read, before, synced, inFlight) || err != nil {
+							t.Fatalf("wholes %v, stopped at %d and %d: read %v, before %v, synced %v, under way %v: %v", snapshots, first, second, read, before, synced, inFlight, err)
 						}
 					}
-					if twice.moments < second {
+					if twice.operations < second {
 						break
 					}
 				}
 			}
-			if one.moments < first {
+			if files.operations < first {
 				break
 			}
 		}
@@ -284,22 +286,22 @@
 	t.Logf("%d ways", tried)
 }
 
-// fits tells whether a log holds what it must: all before and synced, and perhaps what was under way.
-func fits(read, before, synced, under []*schema.Record) bool {
-	certain := slices.Concat(before, synced)
-	if same(read, certain) {
+// readsExpected tells whether a log holds what it must: all before and synced, and perhaps what was under way.
+func readsExpected(read, before, synced, inFlight []*schema.Record) bool {
+	durable := slices.Concat(before, synced)
+	if equalRecords(read, durable) {
 		return true
 	}
-	if len(under) > 0 && under[len(under)-1].Snapshot != nil {
-		return same(read, under)
+	if len(inFlight) > 0 && inFlight[len(inFlight)-1].Snapshot != nil {
+		return equalRecords(read, inFlight)
 	}
-	return same(read, slices.Concat(certain, under))
+	return equalRecords(read, slices.Concat(durable, inFlight))
 }
 
 // A disk that has refused a write takes nothing but the whole state, and then goes on.
 func TestRefusedWrite(t *testing.T) {
-	on := newFaulty()
-	disk, _, err := openDrive(on)
+	files := newFaultyFileSystem()
+	disk, _, err := openLog(files)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -307,31 +309,31 @@
 	if err := disk.Write([]*schema.Record{first}, true); err != nil {
 		t.Fatal(err)
 	}
-	on.refuses = true
+	files.refusesWrites = true
 	refused := func(number int) {
 		t.Helper()
-		if err := disk.Write([]*schema.Record{marked(number)}, false); defect.KindOf(err) != defect.DiskFailed {
+		if err := disk.Write([]*schema.Record{voteRecord(number)}, false); defect.CodeOf(err) != defect.DiskFailed {
 			t.Errorf("%d was written after one that may be missing: %v", number, err)
 		}
 	}
 	refused(2)
-	on.refuses = false
+	files.refusesWrites = false
 	refused(2)
-	on.refuses = true
-	if err := disk.Write([]*schema.Record{first}, true); defect.KindOf(err) != defect.DiskFailed {
+	files.refusesWrites = true
+	if err := disk.Write([]*schema.Record{first}, true); defect.CodeOf(err) != defect.DiskFailed {
 		t.Fatal(err)
 	}
-	on.refuses = false
+	files.refusesWrites = false
 	refused(3)
-	whole := &schema.Record{VotedEpoch: 4, Snapshot: &schema.Snapshot{}}
-	if err := disk.Write([]*schema.Record{whole}, true); err != nil {
+	snapshot := &schema.Record{VotedEpoch: 4, Snapshot: &schema.Snapshot{}}
+	if err := disk.Write([]*schema.Record{snapshot}, true); err != nil {
 		t.Fatal(err)
 	}
-	if err := disk.Write([]*schema.Record{marked(5)}, false); err != nil {
+	if err := disk.Write([]*schema.Record{voteRecord(5)}, false); err != nil {
 		t.Fatal(err)
 	}
-	for _, found := range on.after() {
-		if _, read, err := openDrive(found); err != nil || !same(read, []*schema.Record{whole, marked(5)}) {
+	for _, state := range files.statesAfterPowerLoss() {
+		if _, read, err := openLog(state); err != nil || !equalRecords(read, []*schema.Record{snapshot, voteRecord(5)}) {
 			t.Errorf("read %v: %v", read, err)
 		}
 	}
@@ -341,19 +343,19 @@
 // the middle of a write, and power is lost then.
 func TestReadLasts(t *testing.T) {
 	for first := 1; ; first++ {
-		one := newFaulty()
-		one.stopAt = first
-		if _, _, _, err := session(one, 1, true); err != nil {
+		files := newFaultyFileSystem()
+		files.powerLossAt = first
+		if _, _, _, err := writeUntilPowerLoss(files, 1, true); err != nil {
 			t.Fatal(err)
 		}
-		ended := one.moments < first
-		one.stopAt = 0
-		_, read, err := openDrive(one)
+		ended := files.operations < first
+		files.powerLossAt = 0
+		_, read, err := openLog(files)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, found := range one.after() {
-			if _, again, err := openDrive(found); err != nil || !same(read, again) {
+		for _, state := range files.statesAfterPowerLoss() {
+			if _, again, err := openLog(state); err != nil || !equalRecords(read, again) {
 				t.Fatalf("stopped at %d: read %v, then %v: %v", first, read, again, err)
 			}
 		}
@@ -363,7 +365,7 @@
 	}
 }
 
-func filled(t *testing.T, count int) (folder string, written []*schema.Record) {
+func filledLog(t *testing.T, count int) (folder string, written []*schema.Record) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "data")
 	disk, _, err := Open(folder)
@@ -371,7 +373,7 @@
 		t.Fatal(err)
 	}
 	for i := range count {
-		written = append(written, marked(i+1))
+		written = append(written, voteRecord(i+1))
 		if err := disk.Write(written[i:i+1], false); err != nil {
 			t.Fatal(err)
 		}
@@ -382,62 +384,62 @@
 	return folder, written
 }
 
-func reread(t *testing.T, folder string, want []*schema.Record) {
+func expectRecords(t *testing.T, folder string, want []*schema.Record) {
 	t.Helper()
 	disk, records, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer disk.Close()
-	if !same(want, records) {
+	if !equalRecords(want, records) {
 		t.Errorf("read %v, want %v", records, want)
 	}
 	// What follows a repair must be writable and readable again.
-	if err := disk.Write([]*schema.Record{marked(99)}, false); err != nil {
+	if err := disk.Write([]*schema.Record{voteRecord(99)}, false); err != nil {
 		t.Error(err)
 	}
 }
 
 // Wherever the last record is cut on a real disk, the records before it are all there.
 func TestTornTailIsDropped(t *testing.T) {
-	folder, written := filled(t, 3)
+	folder, written := filledLog(t, 3)
 	file := filepath.Join(folder, logName(1))
-	whole, _ := os.ReadFile(file)
-	last := len(whole) / 3
+	intact, _ := os.ReadFile(file)
+	last := len(intact) / 3
 	for cut := 1; cut < last; cut++ {
-		if err := os.WriteFile(file, whole[:len(whole)-cut], 0o640); err != nil {
+		if err := os.WriteFile(file, intact[:len(intact)-cut], 0o640); err != nil {
 			t.Fatal(err)
 		}
-		reread(t, folder, written[:2])
+		expectRecords(t, folder, written[:2])
 	}
 	// A tail whose length was written but whose bytes were not.
-	zeroed := append([]byte(nil), whole...)
+	zeroed := append([]byte(nil), intact...)
 	for i := len(zeroed) - last + 3; i < len(zeroed); i++ {
 		zeroed[i] = 0
 	}
 	_ = os.WriteFile(file, zeroed, 0o640)
-	reread(t, folder, written[:2])
+	expectRecords(t, folder, written[:2])
 }
 
 // Rot before the tail is refused, not skipped: a promise might be in it.
-func TestRotInTheMiddleIsRefused(t *testing.T) {
-	folder, _ := filled(t, 3)
+func TestCorruptionInTheMiddleIsRefused(t *testing.T) {
+	folder, _ := filledLog(t, 3)
 	file := filepath.Join(folder, logName(1))
-	whole, _ := os.ReadFile(file)
-	whole[len(whole)/2] ^= 0x40
-	_ = os.WriteFile(file, whole, 0o640)
-	if _, _, err := Open(folder); err == nil || defect.KindOf(err) != defect.DiskCorrupt {
+	content, _ := os.ReadFile(file)
+	content[len(content)/2] ^= 0x40
+	_ = os.WriteFile(file, content, 0o640)
+	if _, _, err := Open(folder); err == nil || defect.CodeOf(err) != defect.DiskCorrupt {
 		t.Errorf("got %v", err)
 	}
 	if err := SetAside(folder); err != nil {
 		t.Fatal(err)
 	}
-	reread(t, folder, nil)
+	expectRecords(t, folder, nil)
 }
 
 // A whole record lets everything before it go.
-func TestWholeRecordTruncates(t *testing.T) {
-	folder, _ := filled(t, 3)
+func TestSnapshotRecordTruncates(t *testing.T) {
+	folder, _ := filledLog(t, 3)
 	disk, _, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
@@ -447,8 +449,8 @@
 		t.Fatal(err)
 	}
 	disk.Close()
-	if names, _ := folderDrive(folder).list(); len(names) != 1 {
+	if names, _ := osFileSystem(folder).list(); len(names) != 1 {
 		t.Errorf("left: %v", names)
 	}
-	reread(t, folder, []*schema.Record{snapshot})
+	expectRecords(t, folder, []*schema.Record{snapshot})
 }
--- a/internal/store/many_changes_test.go
+++ b/internal/store/many_changes_test.go
@@ -21,7 +21,7 @@
 func TestCatchingUpUnderManyChanges(t *testing.T) {
 	m := newModel(3, 1, nil)
 	for i := range manyChanges {
-		m.at(time.Duration(i)*changeEvery, nil, plainEvent, func() {
+		m.at(time.Duration(i)*changeEvery, nil, ordinaryEvent, func() {
 			m.write(i, &schema.Item{Kind: "segment", Name: modelItem(i % modelItems), Given: uint64(i + 1), Body: []byte(fmt.Sprintf(`{"salt":"%d"}`, i))})
 			if i%20 == 0 {
 				m.read(i)
@@ -30,18 +30,18 @@
 	}
 	losses := 0
 	for i := goneInChange; i < manyChanges-goneInChange; i += 2 * goneInChange {
-		m.at(time.Duration(i)*changeEvery, nil, plainEvent, func() {
+		m.at(time.Duration(i)*changeEvery, nil, ordinaryEvent, func() {
 			standing := m.standing()
 			lost := standing[losses%len(standing)]
-			fault := []func(){func() { wipeSeat(m, lost) }, func() { m.powerLoss(lost, 0); m.back(lost, goneInChange/2*changeEvery) }, func() { replaceSeat(m, lost) }}[losses%3]
+			fault := []func(){func() { wipeMember(m, lost) }, func() { m.powerLoss(lost, 0); m.restartAfter(lost, goneInChange/2*changeEvery) }, func() { replaceMember(m, lost) }}[losses%3]
 			losses++
 			fault()
-			m.at(goneInChange/2*changeEvery+modelCatchUp, nil, plainEvent, func() { m.mustHaveCaughtUp(t, i) })
+			m.at(goneInChange/2*changeEvery+modelCatchUp, nil, ordinaryEvent, func() { m.mustHaveCaughtUp(t, i) })
 		})
 	}
 	m.runTo(m.now + manyChanges*changeEvery)
-	if said := m.verdict(); len(said) > 0 {
-		t.Error(said)
+	if breaches := m.verdict(); len(breaches) > 0 {
+		t.Error(breaches)
 	}
 	committed, _ := m.standing()[0].Committed()
 	if committed < manyChanges || losses < 6 {
@@ -52,13 +52,13 @@
 
 // mustHaveCaughtUp looks whether every replica is a member and close behind the others.
 func (m *model) mustHaveCaughtUp(t *testing.T, change int) {
-	var most uint64
-	for _, seat := range m.standing() {
-		most = max(most, seat.committed)
+	var highest uint64
+	for _, replica := range m.standing() {
+		highest = max(highest, replica.committedSequence)
 	}
-	for _, seat := range m.standing() {
-		if !seat.up || !seat.member() || seat.committed+uint64(seat.options.EntriesMost) < most {
-			t.Errorf("at change %d: %s, up %t, member %t, is at %d of %d", change, seat.name, seat.up, seat.Replica.member(), seat.committed, most)
+	for _, replica := range m.standing() {
+		if !replica.up || !replica.isMember() || replica.committedSequence+uint64(replica.config.MaxEntries) < highest {
+			t.Errorf("at change %d: %s, up %t, member %t, is at %d of %d", change, replica.name, replica.up, replica.Replica.isMember(), replica.committedSequence, highest)
 		}
 	}
 }
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -21,13 +21,13 @@
 
 // Ratios to the silence bound and to the entries kept.
 const (
-	retireSilences = 2 // a replica unheard for so long gives its place to one that stands ready
-	freshParts     = 2 // of the silence bound within which those must have been heard that are needed
-	lagParts       = 8 // of the entries kept that one may lack and yet be ready
+	removeAfterTimeouts  = 2 // a replica unheard for so long gives its place to one that stands ready
+	recentTimeoutDivisor = 2 // of the silence bound within which those must have been heard that are needed
+	maxLagDivisor        = 8 // of the entries kept that one may lack and yet be ready
 )
 
-// foundingMembers is the first members; their incarnations are bound as they are first counted.
-func foundingMembers(names []string) *schema.Membership {
+// foundingMembership is the first members; their incarnations are bound as they are first counted.
+func foundingMembership(names []string) *schema.Membership {
 	members := &schema.Membership{Wanted: uint32(len(names)), Taken: &schema.Version{}}
 	for _, name := range names {
 		members.Members = append(members.Members, &schema.Core{Seat: name})
@@ -35,203 +35,203 @@
 	return members
 }
 
-func placeIn(members *schema.Membership, name string) int {
-	return slices.IndexFunc(members.GetMembers(), func(one *schema.Core) bool { return one.Seat == name })
+func memberIndex(members *schema.Membership, name string) int {
+	return slices.IndexFunc(members.GetMembers(), func(member *schema.Core) bool { return member.Seat == name })
 }
 
-// lists tells whether a folder is one of the members. A founder that is not bound yet may be only a
+// containsMember tells whether a folder is one of the members. A founder that is not bound yet may be only a
 // folder that has been there since: one found empty later could have lost what it was counted for.
-func lists(members *schema.Membership, name string, incarnation uint64, founder bool) bool {
-	place := placeIn(members, name)
-	if place < 0 {
+func containsMember(members *schema.Membership, name string, incarnation uint64, founder bool) bool {
+	index := memberIndex(members, name)
+	if index < 0 {
 		return false
 	}
-	bound := members.Members[place].Incarnation
+	bound := members.Members[index].Incarnation
 	return bound == incarnation || bound == 0 && founder
 }
 
-// without and with are the members after one change.
-func without(members *schema.Membership, name string) *schema.Membership {
+// withoutMember and with are the members after one change.
+func withoutMember(members *schema.Membership, name string) *schema.Membership {
 	changed := proto.Clone(members).(*schema.Membership)
-	changed.Members = slices.DeleteFunc(changed.Members, func(one *schema.Core) bool { return one.Seat == name })
+	changed.Members = slices.DeleteFunc(changed.Members, func(member *schema.Core) bool { return member.Seat == name })
 	return changed
 }
 
-func with(members *schema.Membership, replica *schema.Core) *schema.Membership {
+func withMember(members *schema.Membership, member *schema.Core) *schema.Membership {
 	changed := proto.Clone(members).(*schema.Membership)
-	if place := placeIn(changed, replica.Seat); place >= 0 {
-		changed.Members[place] = replica
+	if index := memberIndex(changed, member.Seat); index >= 0 {
+		changed.Members[index] = member
 	} else {
-		changed.Members = append(changed.Members, replica)
+		changed.Members = append(changed.Members, member)
 	}
 	return changed
 }
 
-// member tells whether this folder is one of the members.
-func (s *Replica) member() bool {
-	return !s.excluded() && lists(s.membership, s.options.Name, s.incarnation, s.founder)
+// isMember tells whether this folder is one of the members.
+func (s *Replica) isMember() bool {
+	return !s.isExcluded() && containsMember(s.membership, s.config.Name, s.incarnation, s.founder)
 }
 
 func (s *Replica) majority() int { return len(s.membership.Members)/2 + 1 }
 
-// neededOf is how many durable copies make a change committed: a majority, and one more than may be lost.
-func neededOf(members *schema.Membership, losses int) int {
+// commitQuorum is how many durable copies make a change committed: a majority, and one more than may be lost.
+func commitQuorum(members *schema.Membership, losses int) int {
 	return max(len(members.Members)/2+1, min(losses+1, len(members.Members)))
 }
 
 // applyMembership lets the peers be those of the members taken.
 func (s *Replica) applyMembership() {
-	kept := map[string]*peer{}
+	peers := map[string]*peerState{}
 	s.otherMembers = nil
-	for _, replica := range s.membership.Members {
-		if replica.Address != "" && replica.Seat != s.options.Name {
-			s.addresses[replica.Seat] = replica.Address
+	for _, member := range s.membership.Members {
+		if member.Address != "" && member.Seat != s.config.Name {
+			s.addresses[member.Seat] = member.Address
 		}
-		if replica.Seat == s.options.Name {
+		if member.Seat == s.config.Name {
 			continue
 		}
-		s.otherMembers = append(s.otherMembers, replica.Seat)
-		known := s.peers[replica.Seat]
-		if outsider := s.outsiders[replica.Seat]; outsider != nil && replica.Incarnation == outsider.incarnation {
-			known = outsider
-			delete(s.outsiders, replica.Seat)
+		s.otherMembers = append(s.otherMembers, member.Seat)
+		peer := s.peers[member.Seat]
+		if outsider := s.outsiders[member.Seat]; outsider != nil && member.Incarnation == outsider.incarnation {
+			peer = outsider
+			delete(s.outsiders, member.Seat)
 		}
-		if known == nil || replica.Incarnation != 0 && known.incarnation != replica.Incarnation {
-			known = &peer{incarnation: replica.Incarnation}
+		if peer == nil || member.Incarnation != 0 && peer.incarnation != member.Incarnation {
+			peer = &peerState{incarnation: member.Incarnation}
 		}
-		kept[replica.Seat] = known
+		peers[member.Seat] = peer
 	}
-	s.peers = kept
+	s.peers = peers
 	// Whoever has a place no longer asks for one.
-	if s.raise && lists(s.membership, s.options.Name, s.incarnation, s.founder) {
-		s.raise = false
+	if s.expandsMembership && containsMember(s.membership, s.config.Name, s.incarnation, s.founder) {
+		s.expandsMembership = false
 	}
 }
 
-// askToRead lets an empty replica of an order learn whether there is a setup already. Only if every
+// requestState lets an empty replica of an order learn whether there is a setup already. Only if every
 // other replica has none, these are the first members.
-func (s *Replica) askToRead() {
-	if s.readRound != 0 && s.now-s.readAt < s.options.Silence/heartbeatsPerSilence {
+func (s *Replica) requestState() {
+	if s.stateRequestRound != 0 && s.now-s.stateRequestedAt < s.config.HeartbeatTimeout/heartbeatsPerTimeout {
 		return
 	}
-	s.readRound++
-	s.readAt = s.now
-	for _, name := range s.options.Order {
-		if name != s.options.Name {
-			s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_StateRequest{StateRequest: &schema.StateRequest{Round: s.readRound}}})
+	s.stateRequestRound++
+	s.stateRequestedAt = s.now
+	for _, name := range s.config.StaticMembers {
+		if name != s.config.Name {
+			s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_StateRequest{StateRequest: &schema.StateRequest{Round: s.stateRequestRound}}})
 		}
 	}
-	s.foundIfAllAreEmpty()
+	s.bootstrapIfAllEmpty()
 }
 
-func (s *Replica) onStateReply(from string, incarnation uint64, back *schema.StateReply) {
-	if s.joins || s.membership.Taken != nil || back.Round != s.readRound {
+func (s *Replica) onStateReply(from string, incarnation uint64, reply *schema.StateReply) {
+	if s.joinsExisting || s.membership.Taken != nil || reply.Round != s.stateRequestRound {
 		return
 	}
-	if back.VotedEpoch > 0 || back.Snapshot.Epoch > 0 || back.Snapshot.Sequence > 0 {
-		s.joins = true
+	if reply.VotedEpoch > 0 || reply.Snapshot.Epoch > 0 || reply.Snapshot.Sequence > 0 {
+		s.joinsExisting = true
 		return
 	}
 	if s.outsiders[from] == nil {
-		s.outsiders[from] = &peer{}
+		s.outsiders[from] = &peerState{}
 	}
-	s.outsiders[from].incarnation, s.outsiders[from].read = incarnation, back
-	s.foundIfAllAreEmpty()
+	s.outsiders[from].incarnation, s.outsiders[from].stateReply = incarnation, reply
+	s.bootstrapIfAllEmpty()
 }
 
-func (s *Replica) foundIfAllAreEmpty() {
-	for _, name := range s.options.Order {
-		if known := s.outsiders[name]; name != s.options.Name && (known == nil || known.read == nil || known.read.Round != s.readRound) {
+func (s *Replica) bootstrapIfAllEmpty() {
+	for _, name := range s.config.StaticMembers {
+		if peer := s.outsiders[name]; name != s.config.Name && (peer == nil || peer.stateReply == nil || peer.stateReply.Round != s.stateRequestRound) {
 			return
 		}
 	}
-	s.founder, s.phaseAt = true, 0
-	s.outsiders = map[string]*peer{}
-	s.restore(&schema.Snapshot{Membership: foundingMembers(s.options.Order)})
-	s.persist(&schema.Record{Snapshot: s.snapshot()}, afterSync{})
+	s.founder, s.roleSince = true, 0
+	s.outsiders = map[string]*peerState{}
+	s.restoreSnapshot(&schema.Snapshot{Membership: foundingMembership(s.config.StaticMembers)})
+	s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
 }
 
 // requestJoin asks to become a member: at the leader once it is known, else at everybody who may know it.
 func (s *Replica) requestJoin() {
-	if s.joinRequestedAt != 0 && s.now-s.joinRequestedAt < s.options.Silence/heartbeatsPerSilence {
+	if s.joinRequestedAt != 0 && s.now-s.joinRequestedAt < s.config.HeartbeatTimeout/heartbeatsPerTimeout {
 		return
 	}
 	s.joinRequestedAt = s.now
-	asked := map[string]bool{}
+	targets := map[string]bool{}
 	if leader := s.leader(); leader != "" {
-		asked[leader] = true
+		targets[leader] = true
 	} else {
-		for _, name := range slices.Concat(s.options.Seeds, s.options.Order) {
-			asked[name] = true
+		for _, name := range slices.Concat(s.config.Seeds, s.config.StaticMembers) {
+			targets[name] = true
 		}
-		for _, members := range []*schema.Membership{s.membership, s.learnedMembers} {
-			for _, replica := range members.GetMembers() {
-				asked[replica.Seat] = true
+		for _, members := range []*schema.Membership{s.membership, s.reportedMembership} {
+			for _, member := range members.GetMembers() {
+				targets[member.Seat] = true
 			}
 		}
 	}
-	delete(asked, s.options.Name)
-	known := s.membership.Taken
-	if s.learnedMembers != nil && setup.Newer(s.learnedMembers.Committed, s.holds()) {
-		known = s.learnedMembers.Taken
+	delete(targets, s.config.Name)
+	knownVersion := s.membership.Taken
+	if s.reportedMembership != nil && setup.Newer(s.reportedMembership.Committed, s.lastVersion()) {
+		knownVersion = s.reportedMembership.Taken
 	}
-	for _, name := range slices.Sorted(maps.Keys(asked)) {
-		s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Join{Join: &schema.Join{Raise: s.raise, Known: known}}})
+	for _, name := range slices.Sorted(maps.Keys(targets)) {
+		s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Join{Join: &schema.Join{Raise: s.expandsMembership, Known: knownVersion}}})
 	}
 }
 
-// tellMembers answers whoever knows other members than the committed ones here, if those are older, or
+// sendMembership answers whoever knows other members than the committed ones here, if those are older, or
 // were taken under an older epoch and so came to nothing.
-func (s *Replica) tellMembers(to string, known *schema.Version) {
-	if s.committedEpoch == 0 || len(s.committedMembers.Members) == 0 || known.GetEpoch() > s.committedEpoch || proto.Equal(known, s.committedMembers.Taken) {
+func (s *Replica) sendMembership(to string, knownVersion *schema.Version) {
+	if s.committedTerm == 0 || len(s.committedMembership.Members) == 0 || knownVersion.GetEpoch() > s.committedTerm || proto.Equal(knownVersion, s.committedMembership.Taken) {
 		return
 	}
-	if setup.Newer(s.committedMembers.Taken, known) || known.GetEpoch() < s.committedEpoch {
-		told := proto.Clone(s.committedMembers).(*schema.Membership)
-		told.Committed = &schema.Version{Epoch: s.committedEpoch, Sequence: s.committed}
-		s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Membership{Membership: told}})
+	if setup.Newer(s.committedMembership.Taken, knownVersion) || knownVersion.GetEpoch() < s.committedTerm {
+		membership := proto.Clone(s.committedMembership).(*schema.Membership)
+		membership.Committed = &schema.Version{Epoch: s.committedTerm, Sequence: s.committedSequence}
+		s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Membership{Membership: membership}})
 	}
 }
 
-func (s *Replica) onMembership(told *schema.Membership) {
-	if s.learnedMembers != nil && !setup.Newer(told.Committed, s.learnedMembers.Committed) {
+func (s *Replica) onMembership(membership *schema.Membership) {
+	if s.reportedMembership != nil && !setup.Newer(membership.Committed, s.reportedMembership.Committed) {
 		return
 	}
-	was := s.member()
-	s.learnedMembers = told
-	for _, replica := range told.Members {
-		if replica.Address != "" && replica.Seat != s.options.Name {
-			s.addresses[replica.Seat] = replica.Address
+	wasMember := s.isMember()
+	s.reportedMembership = membership
+	for _, member := range membership.Members {
+		if member.Address != "" && member.Seat != s.config.Name {
+			s.addresses[member.Seat] = member.Address
 		}
 	}
-	if was && !s.member() {
-		s.stepDown()
+	if wasMember && !s.isMember() {
+		s.becomeFollower()
 	}
-	if !s.member() {
+	if !s.isMember() {
 		s.joinRequestedAt = 0
 		s.requestJoin()
 	}
 }
 
 func (s *Replica) onJoin(message *schema.ReplicaMessage, join *schema.Join) {
-	s.tellMembers(message.From, join.Known)
-	if s.phase != active {
+	s.sendMembership(message.From, join.Known)
+	if s.role != roleLeader {
 		return
 	}
-	if lists(s.membership, message.From, message.Incarnation, message.Founder) {
+	if containsMember(s.membership, message.From, message.Incarnation, message.Founder) {
 		// It has a place but does not know it yet.
-		known := s.peers[message.From]
-		known.sent = known.acked
-		s.replicate(message.From, known)
+		peer := s.peers[message.From]
+		peer.sent = peer.acked
+		s.replicate(message.From, peer)
 		return
 	}
 	outsider := s.outsiders[message.From]
 	if outsider == nil || outsider.incarnation != message.Incarnation {
-		outsider = &peer{incarnation: message.Incarnation, have: &schema.Version{}}
+		outsider = &peerState{incarnation: message.Incarnation, lastKnownVersion: &schema.Version{}}
 		s.outsiders[message.From] = outsider
 	}
-	outsider.learns, outsider.raise, outsider.heard, outsider.heardAt = true, join.Raise, true, s.now
-	if outsider.epoch != s.epoch || outsider.acked < s.seq {
+	outsider.isLearner, outsider.expandsMembership, outsider.heard, outsider.heardAt = true, join.Raise, true, s.now
+	if outsider.term != s.term || outsider.acked < s.sequence {
 		outsider.sent = outsider.acked
 		s.replicate(message.From, outsider)
 	}
@@ -239,41 +239,41 @@
 	s.reconcileMembership()
 }
 
-// startAnew lets this replica be another one, empty, of the same name. It is for a replica that was taken
+// restartAsNewIncarnation lets this replica be another one, empty, of the same name. It is for a replica that was taken
 // out while it was away and has since voted for an epoch that no leader has: it could never be
 // kept up to date again, and a vote must not be taken back. What it has said of before stays with
 // its old incarnation, which counts for nothing: it was taken out after all that it holds.
-func (s *Replica) startAnew() {
-	options := s.options
-	options.Founders, options.Raise = nil, false
-	birth := Birth(options, options.Draw())
-	fresh := NewReplica(options, 0, []*schema.Record{birth})
-	fresh.addresses, fresh.learnedMembers, fresh.joins = s.addresses, s.learnedMembers, true
-	fresh.born, fresh.bornAt, fresh.now, fresh.actions = true, s.bornAt, s.now, s.actions
+func (s *Replica) restartAsNewIncarnation() {
+	cfg := s.config
+	cfg.Founders, cfg.ExpandsMembership = nil, false
+	record := InitialRecord(cfg, cfg.NewIncarnation())
+	successor := NewReplica(cfg, 0, []*schema.Record{record})
+	successor.addresses, successor.reportedMembership, successor.joinsExisting = s.addresses, s.reportedMembership, true
+	successor.clockStarted, successor.clockStartedAt, successor.now, successor.actions = true, s.clockStartedAt, s.now, s.actions
 	// Nothing is said any more of what the old one still had to sync.
-	fresh.nextMark, fresh.forwarded = s.nextMark, s.forwarded
-	*s = *fresh
-	s.nextMark++
-	s.pending = append(s.pending, afterSync{mark: s.nextMark, at: s.now})
-	s.actions = append(s.actions, Persist{Mark: s.nextMark, Record: birth, Whole: true})
+	successor.lastWriteID, successor.forwardedRequests = s.lastWriteID, s.forwardedRequests
+	*s = *successor
+	s.lastWriteID++
+	s.pendingWrites = append(s.pendingWrites, pendingWrite{writeID: s.lastWriteID, startedAt: s.now})
+	s.actions = append(s.actions, Persist{WriteID: s.lastWriteID, Record: record, ReplacesLog: true})
 	s.requestJoin()
 }
 
-// excluded tells whether this replica is not among the members of a committed state that is newer than all
+// isExcluded tells whether this replica is not among the members of a committed state that is newer than all
 // it holds. Either it was taken out while it was away, or it was put in by an entry that only it and
 // too few others took, and that came to nothing: in both cases what it takes for the members is void.
-func (s *Replica) excluded() bool {
-	if s.has(plantInsists) && s.learnedMembers != nil && !setup.Newer(s.learnedMembers.Taken, s.membership.Taken) {
+func (s *Replica) isExcluded() bool {
+	if s.hasFault(faultIgnoresExclusion) && s.reportedMembership != nil && !setup.Newer(s.reportedMembership.Taken, s.membership.Taken) {
 		return false
 	}
-	return s.learnedMembers != nil && setup.Newer(s.learnedMembers.Committed, s.holds()) && !lists(s.learnedMembers, s.options.Name, s.incarnation, s.founder)
+	return s.reportedMembership != nil && setup.Newer(s.reportedMembership.Committed, s.lastVersion()) && !containsMember(s.reportedMembership, s.config.Name, s.incarnation, s.founder)
 }
 
 // learners are those that are kept up to date by the leader though they are no members.
 func (s *Replica) learners() []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(s.outsiders)) {
-		if one := s.outsiders[name]; one.learns && s.hears(one) {
+		if outsider := s.outsiders[name]; outsider.isLearner && s.recentlyHeard(outsider) {
 			names = append(names, name)
 		}
 	}
@@ -283,33 +283,33 @@
 // reconcileMembership makes the next change of the members that is due, as the leader. One is made only once the
 // members before it are committed under this epoch.
 func (s *Replica) reconcileMembership() {
-	if s.phase != active || s.unfit() || s.committedEpoch != s.epoch || s.committed < s.membership.Taken.GetSequence() {
+	if s.role != roleLeader || s.unfit() || s.committedTerm != s.term || s.committedSequence < s.membership.Taken.GetSequence() {
 		return
 	}
-	for _, replica := range s.membership.Members {
-		if known := s.peers[replica.Seat]; replica.Incarnation == 0 && known != nil && s.hears(known) && known.founder {
-			s.proposeMembership(with(s.membership, &schema.Core{Seat: replica.Seat, Address: s.placeOf(replica.Seat), Incarnation: known.incarnation}))
+	for _, member := range s.membership.Members {
+		if peer := s.peers[member.Seat]; member.Incarnation == 0 && peer != nil && s.recentlyHeard(peer) && peer.founder {
+			s.proposeMembership(withMember(s.membership, &schema.Core{Seat: member.Seat, Address: s.memberAddress(member.Seat), Incarnation: peer.incarnation}))
 			return
 		}
 	}
 	for _, name := range s.learners() {
 		outsider := s.outsiders[name]
-		if outsider.epoch != s.epoch || outsider.acked+uint64(s.options.EntriesMost/lagParts) < s.seq {
+		if outsider.term != s.term || outsider.acked+uint64(s.config.MaxEntries/maxLagDivisor) < s.sequence {
 			continue
 		}
-		replica := &schema.Core{Seat: name, Address: s.placeOf(name), Incarnation: outsider.incarnation}
+		member := &schema.Core{Seat: name, Address: s.memberAddress(name), Incarnation: outsider.incarnation}
 		switch {
-		case placeIn(s.membership, name) >= 0:
+		case memberIndex(s.membership, name) >= 0:
 			// Its folder of before is gone: it no longer counts for what was on it.
 			s.removeMember(name)
-		case outsider.raise:
-			raised := with(s.membership, replica)
-			raised.Wanted++
-			s.proposeMembership(raised)
+		case outsider.expandsMembership:
+			expanded := withMember(s.membership, member)
+			expanded.Wanted++
+			s.proposeMembership(expanded)
 		case len(s.membership.Members) < int(s.membership.Wanted):
-			s.proposeMembership(with(s.membership, replica))
+			s.proposeMembership(withMember(s.membership, member))
 		default:
-			if longestSilent := s.longestSilent(); longestSilent != "" {
+			if longestSilent := s.longestUnresponsive(); longestSilent != "" {
 				s.removeMember(longestSilent)
 			}
 		}
@@ -320,36 +320,36 @@
 // removeMember lets a replica count no more, if as many of the others as are then needed were heard just
 // now: fewer members need each other more, so it is not done while another is being lost.
 func (s *Replica) removeMember(name string) {
-	left := without(s.membership, name)
+	remaining := withoutMember(s.membership, name)
 	heard := 1
 	for _, other := range s.otherMembers {
-		if known := s.peers[other]; other != name && known.heard && s.now-known.heardAt <= s.options.Silence/freshParts {
+		if peer := s.peers[other]; other != name && peer.heard && s.now-peer.heardAt <= s.config.HeartbeatTimeout/recentTimeoutDivisor {
 			heard++
 		}
 	}
-	if heard >= neededOf(left, s.options.Losses) {
-		s.proposeMembership(left)
+	if heard >= commitQuorum(remaining, s.config.ToleratedLosses) {
+		s.proposeMembership(remaining)
 	}
 }
 
-// placeOf is where a replica is reached, if members are found by that and not by an order.
-func (s *Replica) placeOf(name string) string {
-	if len(s.options.Order) > 0 {
+// memberAddress is where a replica is reached, if members are found by that and not by an order.
+func (s *Replica) memberAddress(name string) string {
+	if len(s.config.StaticMembers) > 0 {
 		return ""
 	}
-	if name == s.options.Name {
-		return s.options.Address
+	if name == s.config.Name {
+		return s.config.Address
 	}
 	return s.addresses[name]
 }
 
-// longestSilent names the replica that has not been heard for longest, if for too long.
-func (s *Replica) longestSilent() (name string) {
-	longest := retireSilences * s.options.Silence
+// longestUnresponsive names the replica that has not been heard for longest, if for too long.
+func (s *Replica) longestUnresponsive() (name string) {
+	longest := removeAfterTimeouts * s.config.HeartbeatTimeout
 	for _, other := range s.otherMembers {
-		since := s.bornAt
-		if known := s.peers[other]; known.heard {
-			since = known.heardAt
+		since := s.clockStartedAt
+		if peer := s.peers[other]; peer.heard {
+			since = peer.heardAt
 		}
 		if unheard := s.now - since; unheard > longest {
 			name, longest = other, unheard
@@ -360,44 +360,44 @@
 
 // proposeMembership lets other members count from the next place in the order on.
 func (s *Replica) proposeMembership(members *schema.Membership) {
-	version := &schema.Version{Epoch: s.epoch, Sequence: s.seq + 1}
+	version := &schema.Version{Epoch: s.term, Sequence: s.sequence + 1}
 	members.Taken = version
-	id := "members-" + sequenceText(version)
-	s.appendOwn(&schema.Entry{Version: version, ChangeId: id, Membership: members,
+	id := "members-" + versionText(version)
+	s.appendAsLeader(&schema.Entry{Version: version, ChangeId: id, Membership: members,
 		Outcome: &schema.Outcome{ChangeId: id, Version: version, Ruling: schema.Ruling_RULING_ACCEPTED}})
 }
 
-// Wakes tells when Tick is next needed, if nothing else happens.
-func (s *Replica) Wakes() time.Duration {
-	wakes := s.lastHeartbeat + s.pause()
+// NextTickAt tells when Tick is next needed, if nothing else happens.
+func (s *Replica) NextTickAt() time.Duration {
+	next := s.heartbeatSentAt + s.heartbeatInterval()
 	earlier := func(at time.Duration) {
 		if at > s.now {
-			wakes = min(wakes, at)
+			next = min(next, at)
 		}
 	}
-	if !s.member() {
-		wakes = s.joinRequestedAt + s.options.Silence/heartbeatsPerSilence
-		if len(s.options.Order) > 0 && s.membership.Taken == nil && !s.joins {
-			wakes = s.readAt + s.options.Silence/heartbeatsPerSilence
+	if !s.isMember() {
+		next = s.joinRequestedAt + s.config.HeartbeatTimeout/heartbeatsPerTimeout
+		if len(s.config.StaticMembers) > 0 && s.membership.Taken == nil && !s.joinsExisting {
+			next = s.stateRequestedAt + s.config.HeartbeatTimeout/heartbeatsPerTimeout
 		}
 	}
-	for _, known := range s.peers {
-		if s.hears(known) {
-			earlier(known.heardAt + s.options.Silence + 1)
+	for _, peer := range s.peers {
+		if s.recentlyHeard(peer) {
+			earlier(peer.heardAt + s.config.HeartbeatTimeout + 1)
 		}
 	}
-	if s.said() != s.lastNews {
-		earlier(s.lastHeartbeat + s.options.Silence/newsPerSilence)
+	if s.urgentState() != s.lastUrgentState {
+		earlier(s.heartbeatSentAt + s.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout)
 	}
-	if s.phase == idle || s.phase == campaigning || s.phase == beginning {
-		earlier(s.phaseAt + s.options.Silence + 1)
-		earlier(s.phaseAt + s.options.Stall/campaignsPerStall + 1)
+	if s.role == roleFollower || s.role == roleCandidate || s.role == roleLeaderElect {
+		earlier(s.roleSince + s.config.HeartbeatTimeout + 1)
+		earlier(s.roleSince + s.config.StallTimeout/campaignsPerStallTimeout + 1)
 	}
-	if len(s.pending) > 0 {
-		earlier(s.pending[0].at + s.options.Stall + 1)
+	if len(s.pendingWrites) > 0 {
+		earlier(s.pendingWrites[0].startedAt + s.config.StallTimeout + 1)
 	}
-	for _, waiting := range s.forwarded {
-		earlier(waiting.at + s.options.Silence + 1)
+	for _, request := range s.forwardedRequests {
+		earlier(request.sentAt + s.config.HeartbeatTimeout + 1)
 	}
-	return max(wakes, s.now+1)
+	return max(next, s.now+1)
 }
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -22,9 +22,9 @@
 // Persist asks for a record to be synced; Synced must be stepped with its mark afterwards,
 // marks in the order they were given. Whole means that records before it may be dropped.
 type Persist struct {
-	Mark   uint64
-	Record *schema.Record
-	Whole  bool
+	WriteID     uint64
+	Record      *schema.Record
+	ReplacesLog bool
 }
 
 // Reply ends a ticket given with Propose.
@@ -36,249 +36,249 @@
 // Action is one of Send, Persist, Reply, ReadIndexReady.
 type Action any
 
-// Options are the bounds a replica works within.
-type Options struct {
-	Name         string
-	Address      string
-	Order        []string      // all members, where an operator orders them
-	Founders     []string      // the first members, at the first start of all without an order
-	Seeds        []string      // whom a replica asks that has no place among the members
-	Raise        bool          // first start of all, and not a founder: one replica more is wanted
-	Losses       int           // disks that may be lost at once
-	Draw         func() uint64 // an incarnation that no other folder has
-	Silence      time.Duration
-	Stall        time.Duration
-	EntriesMost  int
-	OutcomesMost int
-	BufferMost   int
-	DroppedMost  int // tombstones that bear an operator's version and are kept
-
-	planted plantedFault // by tests of the checks
+// Config are the bounds a replica works within.
+type Config struct {
+	Name                  string
+	Address               string
+	StaticMembers         []string      // all members, where an operator orders them
+	Founders              []string      // the first members, at the first start of all without an order
+	Seeds                 []string      // whom a replica asks that has no place among the members
+	ExpandsMembership     bool          // first start of all, and not a founder: one replica more is wanted
+	ToleratedLosses       int           // disks that may be lost at once
+	NewIncarnation        func() uint64 // an incarnation that no other folder has
+	HeartbeatTimeout      time.Duration
+	StallTimeout          time.Duration
+	MaxEntries            int
+	MaxOutcomes           int
+	MaxUncommittedEntries int
+	MaxOperatorTombstones int // tombstones that bear an operator's version and are kept
+
+	seededFault seededFault // by tests of the checks
 }
 
 // Ratios to the bounds in Options.
 const (
-	heartbeatsPerSilence = 3  // heartbeats that fit into the silence bound, so that one late one does not count
-	hurriesPerSilence    = 15 // the same, for a replica that does not reach a majority
-	newsPerSilence       = 30 // least pause between heartbeats that tell something new
-	campaignsPerStall    = 1  // a campaign that takes longer than the stall bound starts again
+	heartbeatsPerTimeout         = 3  // heartbeats that fit into the silence bound, so that one late one does not count
+	isolatedHeartbeatsPerTimeout = 15 // the same, for a replica that does not reach a majority
+	urgentHeartbeatsPerTimeout   = 30 // least pause between heartbeats that tell something new
+	campaignsPerStallTimeout     = 1  // a campaign that takes longer than the stall bound starts again
 )
 
-// wholeBytes is what entries may take on disk, at the least, before the whole state is written in
+// minSnapshotLogBytes is what entries may take on disk, at the least, before the whole state is written in
 // their place; a larger state is written once they take as much as it several times.
 const (
-	wholeBytes = 1 << 20
-	wholeTimes = 2
+	minSnapshotLogBytes = 1 << 20
+	snapshotLogFactor   = 2
 )
 
-type phase int
+type role int
 
 const (
-	idle phase = iota
-	campaigning
-	beginning
-	active
+	roleFollower role = iota
+	roleCandidate
+	roleLeaderElect
+	roleLeader
 )
 
-type afterSync struct {
-	mark     uint64
-	at       time.Duration
-	epoch    uint64
-	seq      uint64
-	messages []*schema.ReplicaMessage
-	promise  uint64
-	asked    *schema.VoteRequest // by whom the promise was asked for; answered once synced
-	from     string
+type pendingWrite struct {
+	writeID     uint64
+	startedAt   time.Duration
+	term        uint64
+	sequence    uint64
+	messages    []*schema.ReplicaMessage
+	votedTerm   uint64
+	voteRequest *schema.VoteRequest // by whom the promise was asked for; answered once synced
+	candidate   string
 }
 
-// peer is another replica, as far as it is known here.
-type peer struct {
-	incarnation uint64
-	founder     bool
-	heardAt     time.Duration
-	heard       bool
-	heartbeat   *schema.Heartbeat
-	told        *schema.Heartbeat // the last heartbeat in full to it, and how often it was said in short since
-	abbreviated int
+// peerState is another replica, as far as it is known here.
+type peerState struct {
+	incarnation       uint64
+	founder           bool
+	heardAt           time.Duration
+	heard             bool
+	receivedHeartbeat *schema.Heartbeat
+	lastFullHeartbeat *schema.Heartbeat // the last heartbeat in full to it, and how often it was said in short since
+	abbreviatedCount  int
 	// what a candidate or the leader knows of it under its epoch
-	epoch, acked, sent uint64
-	have               *schema.Version // what it held when it was last told of; a hint
-	tells              bool            // it told so itself under this epoch
-	wholeAt            time.Duration   // when the whole state was last sent to it
-	vote               *schema.Vote
-	confirmed          uint64
-	read               *schema.StateReply
-	learns, raise      bool // asks to become a member
+	term, acked, sent            uint64
+	lastKnownVersion             *schema.Version // what it held when it was last told of; a hint
+	versionReported              bool            // it told so itself under this epoch
+	snapshotSentAt               time.Duration   // when the whole state was last sent to it
+	vote                         *schema.Vote
+	confirmedRound               uint64
+	stateReply                   *schema.StateReply
+	isLearner, expandsMembership bool // asks to become a member
 }
 
-type waiter struct {
-	ticket string
-	to     string // replica to answer, empty for this process
+type requester struct {
+	ticket  string
+	replica string // replica to answer, empty for this process
 }
 
-// forwarded is a ticket of this machine's registry that waits for the leader's answer.
-type forwarded struct {
-	leader      string
-	at          time.Duration
-	pendingRead bool
+// forwardedRequest is a ticket of this machine's registry that waits for the leader's answer.
+type forwardedRequest struct {
+	leader string
+	sentAt time.Duration
+	isRead bool
 }
 
 type pendingRead struct {
-	waiter
+	requester
 	round uint64
 }
 
 // Replica is one copy of the setup.
 type Replica struct {
-	options     Options
-	incarnation uint64
-	founder     bool // its folder has been there since the first members were
-	raise       bool
+	config            Config
+	incarnation       uint64
+	founder           bool // its folder has been there since the first members were
+	expandsMembership bool
 
-	votedEpoch     uint64
+	votedTerm      uint64
 	votedFor       string
-	epoch          uint64
-	seq            uint64
+	term           uint64
+	sequence       uint64
 	state          setup.State
 	membership     *schema.Membership // the latest taken, committed or not: it counts
-	baseSeq        uint64
-	base           setup.State
+	baseSequence   uint64
+	baseState      setup.State
 	baseMembership *schema.Membership
-	entries        []*schema.Entry // from baseSeq+1 to seq
+	entries        []*schema.Entry // from baseSequence+1 to seq
 	outcomes       map[string]*schema.Outcome
-	ordered        []string // change ids, oldest first
-
-	durableEpoch, durableSeq uint64
-	committed                uint64
-	committedEpoch           uint64
-	committedState           setup.State
-	committedMembers         *schema.Membership
-	sinceWhole               int
-	bytesSince               int
-	bytesWhole               int
-	purgeAt                  uint64       // committed sequence from which the leader looks for tombstones again
-	compiled                 *setup.Setup // of the last change taken here, to compile the next one after
-
-	nextMark uint64
-	pending  []afterSync
-
-	peers           map[string]*peer // the other members of the set
-	otherMembers    []string         // their names in the agreed order, so that a run can be replayed
-	outsiders       map[string]*peer // who asks to become a member, and who knows of newer members than this one
-	addresses       map[string]string
-	learnedMembers  *schema.Membership // committed members that another told of
-	phase           phase
-	phaseAt         time.Duration
-	upon            *schema.Version // what the leader held when its epoch began
-	born            bool
-	bornAt          time.Duration // the first time that was told
-	lastHeartbeat   time.Duration
-	sentHeartbeat   bool
-	lastNews        string // what is new in a heartbeat, as it was last sent
-	serial          uint32
-	joinRequestedAt time.Duration
-	highest         uint64 // highest epoch seen anywhere
-	round           uint64
-	readRound       uint64
-	readAt          time.Duration
-	joins           bool                // reading showed that there are members already
-	waiters         map[string][]waiter // by change id, at the leader
-	pendingReads    []pendingRead
-	forwarded       map[string]forwarded
-	fresh           freshness
-	refused         bool // the disk refuses writes
+	outcomeOrder   []string // change ids, oldest first
+
+	durableTerm, durableSequence uint64
+	committedSequence            uint64
+	committedTerm                uint64
+	committedState               setup.State
+	committedMembership          *schema.Membership
+	entriesSinceSnapshot         int
+	bytesSinceSnapshot           int
+	snapshotBytes                int
+	nextPurgeSequence            uint64          // committed sequence from which the leader looks for tombstones again
+	compiledConfig               *setup.Snapshot // of the last change taken here, to compile the next one after
+
+	lastWriteID   uint64
+	pendingWrites []pendingWrite
+
+	peers              map[string]*peerState // the other members of the set
+	otherMembers       []string              // their names in the agreed order, so that a run can be replayed
+	outsiders          map[string]*peerState // who asks to become a member, and who knows of newer members than this one
+	addresses          map[string]string
+	reportedMembership *schema.Membership // committed members that another told of
+	role               role
+	roleSince          time.Duration
+	termStartVersion   *schema.Version // what the leader held when its epoch began
+	clockStarted       bool
+	clockStartedAt     time.Duration // the first time that was told
+	heartbeatSentAt    time.Duration
+	heartbeatSent      bool
+	lastUrgentState    string // what is new in a heartbeat, as it was last sent
+	heartbeatSerial    uint32
+	joinRequestedAt    time.Duration
+	highestTerm        uint64 // highest epoch seen anywhere
+	readIndexRound     uint64
+	stateRequestRound  uint64
+	stateRequestedAt   time.Duration
+	joinsExisting      bool                   // reading showed that there are members already
+	pendingProposals   map[string][]requester // by change id, at the leader
+	pendingReads       []pendingRead
+	forwardedRequests  map[string]forwardedRequest
+	freshness          freshness
+	diskFailed         bool // the disk refuses writes
 
 	actions []Action
 	now     time.Duration
 }
 
-// Rebound sets other bounds, and whom to ask. Who this replica is, with whom, and how many copies a
+// SetLimits sets other bounds, and whom to ask. Who this replica is, with whom, and how many copies a
 // change needs stay as they were at its start.
-func (s *Replica) Rebound(now time.Duration, options Options) []Action {
-	s.begin(now)
-	held := &s.options
-	held.Seeds, held.Silence, held.Stall = options.Seeds, options.Silence, options.Stall
-	held.EntriesMost, held.OutcomesMost, held.DroppedMost = options.EntriesMost, options.OutcomesMost, options.DroppedMost
+func (s *Replica) SetLimits(now time.Duration, cfg Config) []Action {
+	s.beginStep(now)
+	current := &s.config
+	current.Seeds, current.HeartbeatTimeout, current.StallTimeout = cfg.Seeds, cfg.HeartbeatTimeout, cfg.StallTimeout
+	current.MaxEntries, current.MaxOutcomes, current.MaxOperatorTombstones = cfg.MaxEntries, cfg.MaxOutcomes, cfg.MaxOperatorTombstones
 	s.tick()
 	return s.actions
 }
 
 // NewReplica makes a replica from what its disk held; records nil and a new incarnation make an empty one.
-func NewReplica(options Options, incarnation uint64, records []*schema.Record) *Replica {
-	s := &Replica{options: options, incarnation: incarnation, state: setup.State{}, base: setup.State{}, committedState: setup.State{},
-		membership: &schema.Membership{}, baseMembership: &schema.Membership{}, committedMembers: &schema.Membership{}, outcomes: map[string]*schema.Outcome{}, peers: map[string]*peer{},
-		outsiders: map[string]*peer{}, addresses: map[string]string{}, waiters: map[string][]waiter{}, forwarded: map[string]forwarded{}}
+func NewReplica(cfg Config, incarnation uint64, records []*schema.Record) *Replica {
+	s := &Replica{config: cfg, incarnation: incarnation, state: setup.State{}, baseState: setup.State{}, committedState: setup.State{},
+		membership: &schema.Membership{}, baseMembership: &schema.Membership{}, committedMembership: &schema.Membership{}, outcomes: map[string]*schema.Outcome{}, peers: map[string]*peerState{},
+		outsiders: map[string]*peerState{}, addresses: map[string]string{}, pendingProposals: map[string][]requester{}, forwardedRequests: map[string]forwardedRequest{}}
 	for _, record := range records {
-		s.replay(record)
+		s.replayRecord(record)
 	}
 	s.applyMembership()
-	s.durableEpoch, s.durableSeq = s.epoch, s.seq
-	s.highest = s.votedEpoch
+	s.durableTerm, s.durableSequence = s.term, s.sequence
+	s.highestTerm = s.votedTerm
 	return s
 }
 
-// Birth is the first record of an empty folder. It must be synced before the replica says anything,
+// InitialRecord is the first record of an empty folder. It must be synced before the replica says anything,
 // so that no incarnation ever stands for two folders.
-func Birth(options Options, incarnation uint64) *schema.Record {
-	record := &schema.Record{Incarnation: incarnation, Raise: options.Raise}
-	if slices.Contains(options.Founders, options.Name) {
-		record.Founder, record.Snapshot = true, &schema.Snapshot{Membership: foundingMembers(options.Founders)}
+func InitialRecord(cfg Config, incarnation uint64) *schema.Record {
+	record := &schema.Record{Incarnation: incarnation, Raise: cfg.ExpandsMembership}
+	if slices.Contains(cfg.Founders, cfg.Name) {
+		record.Founder, record.Snapshot = true, &schema.Snapshot{Membership: foundingMembership(cfg.Founders)}
 	}
 	return record
 }
 
-// replay applies a record read back from disk.
-func (s *Replica) replay(record *schema.Record) {
+// replayRecord applies a record read back from disk.
+func (s *Replica) replayRecord(record *schema.Record) {
 	if record.Incarnation != 0 {
 		s.incarnation = record.Incarnation
 	}
-	if record.VotedEpoch > s.votedEpoch {
-		s.votedEpoch, s.votedFor = record.VotedEpoch, record.VotedFor
+	if record.VotedEpoch > s.votedTerm {
+		s.votedTerm, s.votedFor = record.VotedEpoch, record.VotedFor
 	}
 	s.founder = s.founder || record.Founder
-	s.raise = s.raise || record.Raise
+	s.expandsMembership = s.expandsMembership || record.Raise
 	if record.Snapshot != nil {
-		s.raise = record.Raise
-		s.restore(record.Snapshot)
+		s.expandsMembership = record.Raise
+		s.restoreSnapshot(record.Snapshot)
 	}
 	for _, entry := range record.Entries {
-		if entry.Version.Sequence == s.seq+1 {
-			s.append(entry)
+		if entry.Version.Sequence == s.sequence+1 {
+			s.appendEntry(entry)
 		}
 	}
-	s.epoch = max(s.epoch, record.Epoch)
+	s.term = max(s.term, record.Epoch)
 }
 
-// restore takes a snapshot as the whole working state.
-func (s *Replica) restore(snapshot *schema.Snapshot) {
-	s.epoch, s.seq = snapshot.Epoch, snapshot.Sequence
+// restoreSnapshot takes a snapshot as the whole working state.
+func (s *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
+	s.term, s.sequence = snapshot.Epoch, snapshot.Sequence
 	s.state = setup.State{}.With(snapshot.Items)
 	if s.membership = snapshot.Membership; s.membership == nil {
 		s.membership = &schema.Membership{}
 	}
-	s.base, s.baseSeq, s.baseMembership, s.entries = s.state, s.seq, s.membership, nil
-	s.outcomes, s.ordered = map[string]*schema.Outcome{}, nil
+	s.baseState, s.baseSequence, s.baseMembership, s.entries = s.state, s.sequence, s.membership, nil
+	s.outcomes, s.outcomeOrder = map[string]*schema.Outcome{}, nil
 	for _, outcome := range snapshot.Outcomes {
-		s.remember(outcome)
+		s.recordOutcome(outcome)
 	}
 	s.applyMembership()
 }
 
-func (s *Replica) remember(outcome *schema.Outcome) {
+func (s *Replica) recordOutcome(outcome *schema.Outcome) {
 	if _, known := s.outcomes[outcome.ChangeId]; !known {
-		s.ordered = append(s.ordered, outcome.ChangeId)
+		s.outcomeOrder = append(s.outcomeOrder, outcome.ChangeId)
 	}
 	s.outcomes[outcome.ChangeId] = outcome
 	// The memory of outcomes is bounded; the oldest ids are forgotten first.
-	for len(s.ordered) > s.options.OutcomesMost {
-		delete(s.outcomes, s.ordered[0])
-		s.ordered = s.ordered[1:]
+	for len(s.outcomeOrder) > s.config.MaxOutcomes {
+		delete(s.outcomes, s.outcomeOrder[0])
+		s.outcomeOrder = s.outcomeOrder[1:]
 	}
 }
 
-func (s *Replica) append(entry *schema.Entry) {
+func (s *Replica) appendEntry(entry *schema.Entry) {
 	s.entries = append(s.entries, entry)
-	s.seq = entry.Version.Sequence
+	s.sequence = entry.Version.Sequence
 	if len(entry.Items) > 0 {
 		s.state = s.state.With(entry.Items)
 	}
@@ -286,14 +286,14 @@
 		s.membership = entry.Membership
 		s.applyMembership()
 	}
-	s.remember(entry.Outcome)
-	s.sinceWhole++
-	s.bytesSince += proto.Size(entry)
+	s.recordOutcome(entry.Outcome)
+	s.entriesSinceSnapshot++
+	s.bytesSinceSnapshot += proto.Size(entry)
 }
 
 func (s *Replica) snapshot() *schema.Snapshot {
-	snapshot := &schema.Snapshot{Epoch: s.epoch, Sequence: s.seq, Items: s.state.Items(), Membership: s.membership}
-	for _, id := range s.ordered {
+	snapshot := &schema.Snapshot{Epoch: s.term, Sequence: s.sequence, Items: s.state.Items(), Membership: s.membership}
+	for _, id := range s.outcomeOrder {
 		snapshot.Outcomes = append(snapshot.Outcomes, s.outcomes[id])
 	}
 	return snapshot
@@ -301,9 +301,9 @@
 
 // committedSnapshot is the state as shown outside; outcomes later than it are left out.
 func (s *Replica) committedSnapshot() *schema.Snapshot {
-	snapshot := &schema.Snapshot{Epoch: s.committedEpoch, Sequence: s.committed, Items: s.committedState.Items(), Membership: s.committedMembers}
-	for _, id := range s.ordered {
-		if outcome := s.outcomes[id]; outcome.Version.Sequence <= s.committed {
+	snapshot := &schema.Snapshot{Epoch: s.committedTerm, Sequence: s.committedSequence, Items: s.committedState.Items(), Membership: s.committedMembership}
+	for _, id := range s.outcomeOrder {
+		if outcome := s.outcomes[id]; outcome.Version.Sequence <= s.committedSequence {
 			snapshot.Outcomes = append(snapshot.Outcomes, outcome)
 		}
 	}
@@ -311,95 +311,97 @@
 }
 
 // commitTo moves the committed mark; seq must be committed under the epoch this replica is in.
-func (s *Replica) commitTo(seq uint64) {
-	seq = min(seq, s.seq)
+func (s *Replica) commitTo(sequence uint64) {
+	sequence = min(sequence, s.sequence)
 	// A snapshot newer than the mark hides the states between: wait until the mark reaches it.
-	if seq < s.baseSeq || (seq <= s.committed && s.committedEpoch == s.epoch) || seq < s.committed {
+	if sequence < s.baseSequence || (sequence <= s.committedSequence && s.committedTerm == s.term) || sequence < s.committedSequence {
 		return
 	}
-	state, set, from := s.committedState, s.committedMembers, s.committed
-	if from < s.baseSeq || s.committedEpoch != s.epoch {
-		state, set, from = s.base, s.baseMembership, s.baseSeq
+	state, membership, from := s.committedState, s.committedMembership, s.committedSequence
+	if from < s.baseSequence || s.committedTerm != s.term {
+		state, membership, from = s.baseState, s.baseMembership, s.baseSequence
 	}
 	var items []*schema.Item
 	for _, entry := range s.entries {
-		if entry.Version.Sequence > from && entry.Version.Sequence <= seq {
+		if entry.Version.Sequence > from && entry.Version.Sequence <= sequence {
 			items = append(items, entry.Items...)
 			if entry.Membership != nil {
-				set = entry.Membership
+				membership = entry.Membership
 			}
 		}
 	}
 	if len(items) > 0 {
 		state = state.With(items)
 	}
-	s.committedState, s.committedMembers, s.committed, s.committedEpoch = state, set, seq, s.epoch
-	s.trim()
-	s.answerWaiters()
+	s.committedState, s.committedMembership, s.committedSequence, s.committedTerm = state, membership, sequence, s.term
+	s.compactEntries()
+	s.answerCommittedProposals()
 }
 
-// trim lets go of entries that are committed and beyond the bound.
-func (s *Replica) trim() {
-	if len(s.entries) < 2*s.options.EntriesMost {
+// compactEntries lets go of entries that are committed and beyond the bound.
+func (s *Replica) compactEntries() {
+	if len(s.entries) < 2*s.config.MaxEntries {
 		return
 	}
-	keepFrom := min(s.committed, s.seq-uint64(s.options.EntriesMost))
-	cut := 0
+	compactTo := min(s.committedSequence, s.sequence-uint64(s.config.MaxEntries))
+	count := 0
 	var items []*schema.Item
-	for cut < len(s.entries) && s.entries[cut].Version.Sequence <= keepFrom {
-		items = append(items, s.entries[cut].Items...)
-		if s.entries[cut].Membership != nil {
-			s.baseMembership = s.entries[cut].Membership
+	for count < len(s.entries) && s.entries[count].Version.Sequence <= compactTo {
+		items = append(items, s.entries[count].Items...)
+		if s.entries[count].Membership != nil {
+			s.baseMembership = s.entries[count].Membership
 		}
-		cut++
+		count++
 	}
-	if cut == 0 {
+	if count == 0 {
 		return
 	}
-	s.base, s.baseSeq = s.base.With(items), s.entries[cut-1].Version.Sequence
-	s.entries = append([]*schema.Entry(nil), s.entries[cut:]...)
+	s.baseState, s.baseSequence = s.baseState.With(items), s.entries[count-1].Version.Sequence
+	s.entries = append([]*schema.Entry(nil), s.entries[count:]...)
 }
 
 // Committed gives the state that may be shown outside.
-func (s *Replica) Committed() (uint64, setup.State) { return s.committed, s.committedState }
+func (s *Replica) Committed() (uint64, setup.State) { return s.committedSequence, s.committedState }
 
 // Members lists the members as far as they are committed, where they agree on them themselves.
 func (s *Replica) Members() []*schema.Core {
-	if len(s.options.Order) > 0 {
+	if len(s.config.StaticMembers) > 0 {
 		return nil
 	}
-	return s.committedMembers.Members
+	return s.committedMembership.Members
 }
 
-// OutcomeOf tells what became of a change, if it is settled here.
-func (s *Replica) OutcomeOf(changeID string) (*schema.Outcome, bool) {
+// CommittedOutcome tells what became of a change, if it is settled here.
+func (s *Replica) CommittedOutcome(changeID string) (*schema.Outcome, bool) {
 	outcome, found := s.outcomes[changeID]
-	if !found || outcome.Version.Sequence > s.committed {
+	if !found || outcome.Version.Sequence > s.committedSequence {
 		return nil, false
 	}
 	return outcome, true
 }
 
-// Accepted tells what was decided of a change, whether or not that is committed yet.
-func (s *Replica) Accepted(changeID string) (*schema.Outcome, bool) {
+// AppendedOutcome tells what was decided of a change, whether or not that is committed yet.
+func (s *Replica) AppendedOutcome(changeID string) (*schema.Outcome, bool) {
 	outcome, found := s.outcomes[changeID]
 	return outcome, found
 }
 
-// Reached is how far this replica has come: appended, durable and committed sequences.
-func (s *Replica) Reached() [3]uint64 { return [3]uint64{s.seq, s.durableSeq, s.committed} }
+// Progress is how far this replica has come: appended, durable and committed sequences.
+func (s *Replica) Progress() [3]uint64 {
+	return [3]uint64{s.sequence, s.durableSequence, s.committedSequence}
+}
 
 // Status is what an operator sees of the replica.
 func (s *Replica) Status() *schema.ReplicaStatus {
-	status := &schema.ReplicaStatus{Replica: s.options.Name, Leader: s.leader(), Epoch: s.epoch, VotedEpoch: s.votedEpoch, Sequence: s.seq,
-		Durable: s.durableSeq, Committed: s.committed, Member: s.member(), Unfit: s.unfit(), Membership: s.membership, Refuses: s.refused}
+	status := &schema.ReplicaStatus{Replica: s.config.Name, Leader: s.leader(), Epoch: s.term, VotedEpoch: s.votedTerm, Sequence: s.sequence,
+		Durable: s.durableSequence, Committed: s.committedSequence, Member: s.isMember(), Unfit: s.unfit(), Membership: s.membership, Refuses: s.diskFailed}
 	for _, name := range s.otherMembers {
-		if s.hears(s.peers[name]) {
+		if s.recentlyHeard(s.peers[name]) {
 			status.Heard = append(status.Heard, name)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.outsiders)) {
-		if one := s.outsiders[name]; one.learns && s.hears(one) {
+		if outsider := s.outsiders[name]; outsider.isLearner && s.recentlyHeard(outsider) {
 			status.Waiting = append(status.Waiting, name)
 		}
 	}
@@ -409,60 +411,60 @@
 // Addresses tells where each other replica was last heard from, or is said to stand.
 func (s *Replica) Addresses() map[string]string { return s.addresses }
 
-func (s *Replica) begin(now time.Duration) {
-	if !s.born {
-		s.born, s.bornAt = true, now
+func (s *Replica) beginStep(now time.Duration) {
+	if !s.clockStarted {
+		s.clockStarted, s.clockStartedAt = true, now
 	}
 	s.now, s.actions = now, nil
 }
 
 func (s *Replica) send(to string, message *schema.ReplicaMessage) {
-	message.From, message.To, message.Address, message.Incarnation, message.Founder = s.options.Name, to, s.options.Address, s.incarnation, s.founder
+	message.From, message.To, message.Address, message.Incarnation, message.Founder = s.config.Name, to, s.config.Address, s.incarnation, s.founder
 	s.actions = append(s.actions, Send{message})
 }
 
 // persist asks for a sync and keeps what must wait for it.
-func (s *Replica) persist(record *schema.Record, then afterSync) {
-	s.nextMark++
-	whole := record.Snapshot != nil
+func (s *Replica) persist(record *schema.Record, write pendingWrite) {
+	s.lastWriteID++
+	replacesLog := record.Snapshot != nil
 	// Every so many entries or bytes the whole state is written, so that the log in front can go.
-	if !whole && (s.sinceWhole >= s.options.EntriesMost || s.bytesSince >= max(wholeBytes, wholeTimes*s.bytesWhole)) {
-		record, whole = &schema.Record{Snapshot: s.snapshot()}, true
+	if !replacesLog && (s.entriesSinceSnapshot >= s.config.MaxEntries || s.bytesSinceSnapshot >= max(minSnapshotLogBytes, snapshotLogFactor*s.snapshotBytes)) {
+		record, replacesLog = &schema.Record{Snapshot: s.snapshot()}, true
 	}
-	if whole {
-		s.fill(record)
+	if replacesLog {
+		s.completeSnapshotRecord(record)
 	}
-	then.mark, then.at, then.epoch, then.seq = s.nextMark, s.now, s.epoch, s.seq
-	s.pending = append(s.pending, then)
-	s.actions = append(s.actions, Persist{Mark: s.nextMark, Record: record, Whole: whole})
+	write.writeID, write.startedAt, write.term, write.sequence = s.lastWriteID, s.now, s.term, s.sequence
+	s.pendingWrites = append(s.pendingWrites, write)
+	s.actions = append(s.actions, Persist{WriteID: s.lastWriteID, Record: record, ReplacesLog: replacesLog})
 }
 
-// fill adds to the whole state what else a folder must hold once everything before it may go.
-func (s *Replica) fill(record *schema.Record) {
-	record.Incarnation, record.VotedEpoch, record.VotedFor, record.Founder, record.Raise = s.incarnation, s.votedEpoch, s.votedFor, s.founder, s.raise
-	s.sinceWhole, s.bytesSince, s.bytesWhole = 0, 0, proto.Size(record)
+// completeSnapshotRecord adds to the whole state what else a folder must hold once everything before it may go.
+func (s *Replica) completeSnapshotRecord(record *schema.Record) {
+	record.Incarnation, record.VotedEpoch, record.VotedFor, record.Founder, record.Raise = s.incarnation, s.votedTerm, s.votedFor, s.founder, s.expandsMembership
+	s.entriesSinceSnapshot, s.bytesSinceSnapshot, s.snapshotBytes = 0, 0, proto.Size(record)
 }
 
-// Synced tells that every record up to mark is on disk.
-func (s *Replica) Synced(now time.Duration, mark uint64) []Action {
-	s.begin(now)
-	s.refused = false
-	for len(s.pending) > 0 && s.pending[0].mark <= mark {
-		done := s.pending[0]
-		s.pending = s.pending[1:]
-		if done.epoch == s.epoch {
+// Persisted tells that every record up to mark is on disk.
+func (s *Replica) Persisted(now time.Duration, writeID uint64) []Action {
+	s.beginStep(now)
+	s.diskFailed = false
+	for len(s.pendingWrites) > 0 && s.pendingWrites[0].writeID <= writeID {
+		done := s.pendingWrites[0]
+		s.pendingWrites = s.pendingWrites[1:]
+		if done.term == s.term {
 			// Within an epoch the synced mark only grows; a new epoch starts it afresh.
-			if s.durableEpoch != done.epoch || done.seq > s.durableSeq {
-				s.durableEpoch, s.durableSeq = done.epoch, done.seq
+			if s.durableTerm != done.term || done.sequence > s.durableSequence {
+				s.durableTerm, s.durableSequence = done.term, done.sequence
 			}
 		}
 		for _, message := range done.messages {
 			s.send(message.To, message)
 		}
-		if done.asked != nil && s.votedEpoch == done.promise {
-			s.vote(done.from, done.asked)
+		if done.voteRequest != nil && s.votedTerm == done.votedTerm {
+			s.sendVote(done.candidate, done.voteRequest)
 		}
-		if s.phase == campaigning {
+		if s.role == roleCandidate {
 			s.countVotes()
 		}
 		s.advanceCommit()
@@ -474,16 +476,16 @@
 // DiskFailed tells that the disk refused a write. Nothing that waits for it is said, and leadership
 // goes to another replica, until Rewrite has succeeded.
 func (s *Replica) DiskFailed(now time.Duration) []Action {
-	s.begin(now)
-	s.refused = true
-	s.stepDown()
+	s.beginStep(now)
+	s.diskFailed = true
+	s.becomeFollower()
 	return s.actions
 }
 
-// Rewrite asks for the whole state to be written in place of all that the disk has refused.
-func (s *Replica) Rewrite(now time.Duration) []Action {
-	s.begin(now)
+// RewriteSnapshot asks for the whole state to be written in place of all that the disk has refused.
+func (s *Replica) RewriteSnapshot(now time.Duration) []Action {
+	s.beginStep(now)
 	record := &schema.Record{Snapshot: s.snapshot()}
-	s.fill(record)
-	return append(s.actions, Persist{Mark: s.nextMark, Record: record, Whole: true})
+	s.completeSnapshotRecord(record)
+	return append(s.actions, Persist{WriteID: s.lastWriteID, Record: record, ReplacesLog: true})
 }
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -9,211 +9,211 @@
 
 // How the leader hands entries to the others, and when what enough of them have on disk is committed.
 
-// resend repeats whatever a lost message may have held up.
-func (s *Replica) resend() {
+// resendUnacknowledged repeats whatever a lost message may have held up.
+func (s *Replica) resendUnacknowledged() {
 	for _, name := range s.otherMembers {
-		known := s.peers[name]
-		if !s.hears(known) {
+		peer := s.peers[name]
+		if !s.recentlyHeard(peer) {
 			continue
 		}
-		switch s.phase {
-		case campaigning:
-			if known.vote == nil && s.durableVote() >= s.votedEpoch {
+		switch s.role {
+		case roleCandidate:
+			if peer.vote == nil && s.durableVotedTerm() >= s.votedTerm {
 				s.requestVote(name)
 			}
-		case beginning, active:
-			if known.epoch != s.epoch || known.acked < s.seq {
-				known.sent = known.acked
-				s.replicate(name, known)
+		case roleLeaderElect, roleLeader:
+			if peer.term != s.term || peer.acked < s.sequence {
+				peer.sent = peer.acked
+				s.replicate(name, peer)
 			}
 		}
 	}
-	if s.phase == active && len(s.pendingReads) > 0 {
+	if s.role == roleLeader && len(s.pendingReads) > 0 {
 		s.sendConfirm()
 	}
 }
 
-// appendFollowing takes entries that follow what is held.
-func (s *Replica) appendFollowing(entries []*schema.Entry) (taken []*schema.Entry) {
+// appendContiguous takes entries that follow what is held.
+func (s *Replica) appendContiguous(entries []*schema.Entry) (appended []*schema.Entry) {
 	for _, entry := range entries {
-		if entry.Version.Sequence == s.seq+1 {
-			s.append(entry)
-			taken = append(taken, entry)
+		if entry.Version.Sequence == s.sequence+1 {
+			s.appendEntry(entry)
+			appended = append(appended, entry)
 		}
 	}
-	return taken
+	return appended
 }
 
 // replicate sends a peer what it lacks under this epoch: its beginning first, then entries.
-func (s *Replica) replicate(name string, known *peer) {
-	if known.epoch != s.epoch || known.acked < s.baseSeq {
-		s.beginEpochAt(name, known)
+func (s *Replica) replicate(name string, peer *peerState) {
+	if peer.term != s.term || peer.acked < s.baseSequence {
+		s.sendBeginTerm(name, peer)
 		return
 	}
-	if known.sent < known.acked {
-		known.sent = known.acked
+	if peer.sent < peer.acked {
+		peer.sent = peer.acked
 	}
 	var entries []*schema.Entry
-	if known.sent < s.seq {
-		entries = s.entries[known.sent-s.baseSeq:]
+	if peer.sent < s.sequence {
+		entries = s.entries[peer.sent-s.baseSequence:]
 	}
-	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Epoch: s.epoch, After: known.sent, Entries: entries, Committed: s.committed}}})
-	known.sent = s.seq
+	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Epoch: s.term, After: peer.sent, Entries: entries, Committed: s.committedSequence}}})
+	peer.sent = s.sequence
 }
 
-// beginEpochAt begins this replica's epoch at another: upon the state that it holds, if that is a part of
+// sendBeginTerm begins this replica's epoch at another: upon the state that it holds, if that is a part of
 // what the epoch began with here, else with the whole state, which may be large.
-func (s *Replica) beginEpochAt(name string, known *peer) {
-	beginEpochAt := &schema.BeginEpoch{Epoch: s.epoch}
-	have := known.have
-	within := have != nil && s.upon.Epoch != s.epoch && have.Epoch == s.upon.Epoch && have.Sequence <= s.upon.Sequence && have.Sequence >= s.baseSeq
+func (s *Replica) sendBeginTerm(name string, peer *peerState) {
+	begin := &schema.BeginEpoch{Epoch: s.term}
+	reported := peer.lastKnownVersion
+	isPrefix := reported != nil && s.termStartVersion.Epoch != s.term && reported.Epoch == s.termStartVersion.Epoch && reported.Sequence <= s.termStartVersion.Sequence && reported.Sequence >= s.baseSequence
 	switch {
-	case within:
-		beginEpochAt.Upon, beginEpochAt.Entries = have, s.entries[have.Sequence-s.baseSeq:]
-	case !known.tells && s.upon.Epoch != s.epoch && s.upon.Sequence >= s.baseSeq:
+	case isPrefix:
+		begin.Upon, begin.Entries = reported, s.entries[reported.Sequence-s.baseSequence:]
+	case !peer.versionReported && s.termStartVersion.Epoch != s.term && s.termStartVersion.Sequence >= s.baseSequence:
 		// What it held may be long ago: it is asked by trying, before much is sent.
-		beginEpochAt.Upon, beginEpochAt.Entries = s.upon, s.entries[s.upon.Sequence-s.baseSeq:]
-	case known.wholeAt != 0 && s.now-known.wholeAt < s.options.Silence && known.sent != 0:
+		begin.Upon, begin.Entries = s.termStartVersion, s.entries[s.termStartVersion.Sequence-s.baseSequence:]
+	case peer.snapshotSentAt != 0 && s.now-peer.snapshotSentAt < s.config.HeartbeatTimeout && peer.sent != 0:
 		return // it may be under way still
 	default:
-		beginEpochAt.Snapshot, known.wholeAt = s.snapshot(), s.now
+		begin.Snapshot, peer.snapshotSentAt = s.snapshot(), s.now
 	}
-	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginEpoch{BeginEpoch: beginEpochAt}})
-	known.sent = s.seq
+	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginEpoch{BeginEpoch: begin}})
+	peer.sent = s.sequence
 }
 
-func (s *Replica) refuse(from string) {
-	s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, Higher: s.votedEpoch}}})
+func (s *Replica) refuseAppend(from string) {
+	s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, Higher: s.votedTerm}}})
 }
 
 func (s *Replica) ackMessage(to string) *schema.ReplicaMessage {
-	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Epoch: s.epoch, Sequence: s.seq}}}
+	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Epoch: s.term, Sequence: s.sequence}}}
 }
 
-// ackSynced acknowledges what is on disk now, for messages that brought nothing new.
-func (s *Replica) ackSynced(to string) {
-	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Epoch: s.durableEpoch, Sequence: s.durableSeq, Have: s.holds()}}})
+// ackDurable acknowledges what is on disk now, for messages that brought nothing new.
+func (s *Replica) ackDurable(to string) {
+	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Epoch: s.durableTerm, Sequence: s.durableSequence, Have: s.lastVersion()}}})
 }
 
-func (s *Replica) onBeginEpoch(from string, begin *schema.BeginEpoch) {
-	if begin.Epoch < s.votedEpoch && s.excluded() {
-		s.startAnew()
+func (s *Replica) onBeginTerm(from string, begin *schema.BeginEpoch) {
+	if begin.Epoch < s.votedTerm && s.isExcluded() {
+		s.restartAsNewIncarnation()
 		return
 	}
-	if begin.Epoch < s.votedEpoch {
-		s.refuse(from)
+	if begin.Epoch < s.votedTerm {
+		s.refuseAppend(from)
 		return
 	}
-	if begin.Epoch == s.epoch && (begin.Snapshot == nil || s.seq >= begin.Snapshot.Sequence) {
-		s.ackSynced(from)
+	if begin.Epoch == s.term && (begin.Snapshot == nil || s.sequence >= begin.Snapshot.Sequence) {
+		s.ackDurable(from)
 		return
 	}
-	if upon := begin.Upon; begin.Snapshot == nil && (upon.GetEpoch() != s.epoch || upon.GetSequence() != s.seq) {
-		s.ackSynced(from)
+	if upon := begin.Upon; begin.Snapshot == nil && (upon.GetEpoch() != s.term || upon.GetSequence() != s.sequence) {
+		s.ackDurable(from)
 		return
 	}
-	if s.phase != idle {
-		s.stepDown()
+	if s.role != roleFollower {
+		s.becomeFollower()
 	}
 	s.recordVote(begin.Epoch, from)
 	if begin.Snapshot != nil {
-		s.restore(begin.Snapshot)
-		s.epoch = begin.Epoch
-		s.persist(&schema.Record{Snapshot: s.snapshot()}, afterSync{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+		s.restoreSnapshot(begin.Snapshot)
+		s.term = begin.Epoch
+		s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
 		return
 	}
-	taken := s.appendFollowing(begin.Entries)
-	s.epoch = begin.Epoch
-	s.persist(&schema.Record{Entries: taken, Epoch: s.epoch, VotedEpoch: s.votedEpoch, VotedFor: from}, afterSync{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+	appended := s.appendContiguous(begin.Entries)
+	s.term = begin.Epoch
+	s.persist(&schema.Record{Entries: appended, Epoch: s.term, VotedEpoch: s.votedTerm, VotedFor: from}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
 }
 
-func (s *Replica) onAppendEntries(from string, given *schema.AppendEntries) {
-	if given.Epoch < s.votedEpoch {
-		s.refuse(from)
+func (s *Replica) onAppendEntries(from string, request *schema.AppendEntries) {
+	if request.Epoch < s.votedTerm {
+		s.refuseAppend(from)
 		return
 	}
-	if given.Epoch != s.epoch || given.After > s.seq {
-		s.ackSynced(from)
+	if request.Epoch != s.term || request.After > s.sequence {
+		s.ackDurable(from)
 		return
 	}
-	if taken := s.appendFollowing(given.Entries); len(taken) > 0 {
-		if s.has(plantEarlyAcknowledgement) {
+	if appended := s.appendContiguous(request.Entries); len(appended) > 0 {
+		if s.hasFault(faultEarlyAcknowledgement) {
 			s.send(from, s.ackMessage(from))
 		}
-		s.persist(&schema.Record{Entries: taken}, afterSync{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
-	} else if len(given.Entries) > 0 {
-		s.ackSynced(from)
+		s.persist(&schema.Record{Entries: appended}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+	} else if len(request.Entries) > 0 {
+		s.ackDurable(from)
 	}
-	s.commitTo(given.Committed)
+	s.commitTo(request.Committed)
 }
 
-func (s *Replica) onAppendReply(from string, known *peer, counted bool, reply *schema.AppendReply) {
+func (s *Replica) onAppendReply(from string, peer *peerState, counted bool, reply *schema.AppendReply) {
 	if reply.Refused {
-		s.highest = max(s.highest, reply.Higher)
+		s.highestTerm = max(s.highestTerm, reply.Higher)
 		// Who is no member disturbs nobody, unless there is a place for it.
-		wanted := counted || len(s.membership.Members) < int(s.membership.Wanted)
-		if (s.phase == active || s.phase == beginning) && reply.Higher > s.epoch && wanted {
-			s.stepDown()
+		mayJoin := counted || len(s.membership.Members) < int(s.membership.Wanted)
+		if (s.role == roleLeader || s.role == roleLeaderElect) && reply.Higher > s.term && mayJoin {
+			s.becomeFollower()
 		}
 		return
 	}
-	if s.phase != beginning && s.phase != active {
+	if s.role != roleLeaderElect && s.role != roleLeader {
 		return
 	}
-	if reply.Epoch != s.epoch {
+	if reply.Epoch != s.term {
 		// It lacks this epoch's beginning, and gets it upon what it says that it holds.
-		if told := reply.Have; told != nil && told.Epoch != s.epoch {
-			again := known.tells && known.have.GetEpoch() == told.Epoch && known.have.GetSequence() == told.Sequence
-			if known.tells, known.have = true, told; !again {
-				s.replicate(from, known)
+		if reported := reply.Have; reported != nil && reported.Epoch != s.term {
+			repeated := peer.versionReported && peer.lastKnownVersion.GetEpoch() == reported.Epoch && peer.lastKnownVersion.GetSequence() == reported.Sequence
+			if peer.versionReported, peer.lastKnownVersion = true, reported; !repeated {
+				s.replicate(from, peer)
 			}
 		}
 		return
 	}
-	first := known.epoch != s.epoch
-	known.epoch, known.acked = s.epoch, max(known.acked, reply.Sequence)
+	first := peer.term != s.term
+	peer.term, peer.acked = s.term, max(peer.acked, reply.Sequence)
 	s.advanceCommit()
-	if first && known.acked < s.seq && s.phase == active {
-		known.sent = known.acked
-		s.replicate(from, known)
+	if first && peer.acked < s.sequence && s.role == roleLeader {
+		peer.sent = peer.acked
+		s.replicate(from, peer)
 	}
 	s.reconcileMembership()
 }
 
 // advanceCommit finds what enough members have on disk under this epoch; that much is committed.
 func (s *Replica) advanceCommit() {
-	if (s.phase != beginning && s.phase != active) || s.durableEpoch != s.epoch {
+	if (s.role != roleLeaderElect && s.role != roleLeader) || s.durableTerm != s.term {
 		return
 	}
-	reached := []uint64{s.durableSeq}
-	for _, replica := range s.membership.Members {
+	durable := []uint64{s.durableSequence}
+	for _, member := range s.membership.Members {
 		// A founder counts only once it is bound to its folder.
-		if known := s.peers[replica.Seat]; known != nil && replica.Incarnation != 0 && known.epoch == s.epoch {
-			reached = append(reached, known.acked)
+		if peer := s.peers[member.Seat]; peer != nil && member.Incarnation != 0 && peer.term == s.term {
+			durable = append(durable, peer.acked)
 		}
 	}
-	needed := neededOf(s.membership, s.options.Losses)
-	if s.has(plantCountLearners) {
+	needed := commitQuorum(s.membership, s.config.ToleratedLosses)
+	if s.hasFault(faultCountLearners) {
 		for _, name := range s.learners() {
-			if learner := s.outsiders[name]; learner.epoch == s.epoch {
-				reached = append(reached, learner.acked)
+			if learner := s.outsiders[name]; learner.term == s.term {
+				durable = append(durable, learner.acked)
 			}
 		}
 	}
-	if s.has(plantFoundersQuorum) {
-		needed = min(needed, plantedFounders/2+1)
+	if s.hasFault(faultFoundersQuorum) {
+		needed = min(needed, faultFounderCount/2+1)
 	}
-	if len(reached) < needed {
+	if len(durable) < needed {
 		return
 	}
-	slices.Sort(reached)
-	s.phase = active
-	before, beforeEpoch := s.committed, s.committedEpoch
-	s.commitTo(reached[len(reached)-needed])
+	slices.Sort(durable)
+	s.role = roleLeader
+	before, beforeTerm := s.committedSequence, s.committedTerm
+	s.commitTo(durable[len(durable)-needed])
 	// Followers show a change only once they know it is committed, so they are told at once.
-	if s.committed != before || s.committedEpoch != beforeEpoch {
+	if s.committedSequence != before || s.committedTerm != beforeTerm {
 		s.replicateAll()
-		s.sendNews()
+		s.sendUrgentHeartbeats()
 	}
 }
 
@@ -221,34 +221,34 @@
 // resend; entries before it would be wasted.
 func (s *Replica) replicateAll() {
 	for _, name := range s.otherMembers {
-		if known := s.peers[name]; known.epoch == s.epoch {
-			s.replicate(name, known)
+		if peer := s.peers[name]; peer.term == s.term {
+			s.replicate(name, peer)
 		}
 	}
 	for _, name := range s.learners() {
-		if known := s.outsiders[name]; known.epoch == s.epoch {
-			s.replicate(name, known)
+		if peer := s.outsiders[name]; peer.term == s.term {
+			s.replicate(name, peer)
 		}
 	}
 }
 
-// appendOwn appends an entry of the leader's own and hands it to the others.
-func (s *Replica) appendOwn(entry *schema.Entry) {
-	s.append(entry)
-	s.persist(&schema.Record{Entries: []*schema.Entry{entry}}, afterSync{})
+// appendAsLeader appends an entry of the leader's own and hands it to the others.
+func (s *Replica) appendAsLeader(entry *schema.Entry) {
+	s.appendEntry(entry)
+	s.persist(&schema.Record{Entries: []*schema.Entry{entry}}, pendingWrite{})
 	s.replicateAll()
 }
 
 func (s *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
-	if !s.member() || s.phase != idle || !setup.Newer(&schema.Version{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}, s.holds()) {
+	if !s.isMember() || s.role != roleFollower || !setup.Newer(&schema.Version{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}, s.lastVersion()) {
 		return
 	}
 	// Committed state may be taken even under a later vote: a majority has it already, so
 	// whoever was voted for will read it too.
-	if snapshot.Epoch > s.votedEpoch {
+	if snapshot.Epoch > s.votedTerm {
 		s.recordVote(snapshot.Epoch, "")
 	}
-	s.restore(snapshot)
-	s.persist(&schema.Record{Snapshot: s.snapshot()}, afterSync{})
+	s.restoreSnapshot(snapshot)
+	s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
 	s.commitTo(snapshot.Sequence)
 }
