--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -428,13 +428,13 @@
 					leases = append(leases, fmt.Sprintf("%s@%d", lease.Proxy, lease.Applied))
 				}
 				sort.Strings(leases)
-				rows = append(rows, []any{one.Seat, one.Grants, one.Stable, strings.Join(leases, " ")})
+				rows = append(rows, []any{one.Member, one.GrantsLeases, one.Committed, strings.Join(leases, " ")})
 			}
 			c.table("REGISTRY GRANTS STABLE LEASES", rows)
 			for _, one := range status.Registries {
-				fmt.Fprintf(c.out, "registry %s: %d keys claimed, its word on them counts: %v\n", one.Seat, one.Claims, one.ClaimsCount)
-				for _, odd := range one.Odd {
-					fmt.Fprintf(c.out, "registry %s: SETTINGS CONTRADICT: %s\n", one.Seat, odd)
+				fmt.Fprintf(c.out, "registry %s: %d keys claimed, its word on them counts: %v\n", one.Member, one.KeyReservations, one.ReservationsAuthoritative)
+				for _, odd := range one.ConflictingSettings {
+					fmt.Fprintf(c.out, "registry %s: SETTINGS CONTRADICT: %s\n", one.Member, odd)
 				}
 			}
 			fmt.Fprintf(c.out, "members %d\n", status.LiveProxies)
@@ -486,19 +486,19 @@
 	}
 	var members []string
 	for _, member := range store.GetMembership().GetMembers() {
-		members = append(members, member.Seat)
+		members = append(members, member.Id)
 	}
 	heard := "no majority heard yet"
-	if store.Vouched {
-		heard = fmt.Sprint("majority heard ", time.Duration(store.MajorityAgeNanos).Round(time.Millisecond), " ago")
+	if store.StalenessKnown {
+		heard = fmt.Sprint("majority heard ", time.Duration(store.StalenessNanos).Round(time.Millisecond), " ago")
 	}
-	fmt.Fprintf(out, "store %s: leader %s, epoch %d, committed %d of %d, %s\n", store.Replica, leader, store.Epoch, store.Committed, store.Sequence, heard)
-	fmt.Fprintf(out, "members (%d of %d wanted): %s; hears %s\n", len(members), store.GetMembership().GetWanted(), strings.Join(members, " "), strings.Join(store.Heard, " "))
+	fmt.Fprintf(out, "store %s: leader %s, epoch %d, committed %d of %d, %s\n", store.Replica, leader, store.Term, store.Committed, store.Sequence, heard)
+	fmt.Fprintf(out, "members (%d of %d wanted): %s; hears %s\n", len(members), store.GetMembership().GetTargetSize(), strings.Join(members, " "), strings.Join(store.Heard, " "))
 	for _, note := range []struct {
 		told bool
 		text string
 	}{{!store.Member, "this store is no member: it counts for nothing until it is put in"}, {store.Unfit, "this store must not lead: no member, or its disk stalls or refuses"},
-		{len(store.Waiting) > 0, "waiting to become members: " + strings.Join(store.Waiting, " ")}} {
+		{len(store.Learners) > 0, "waiting to become members: " + strings.Join(store.Learners, " ")}} {
 		if note.told {
 			fmt.Fprintln(out, note.text)
 		}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -22,7 +22,7 @@
 )
 
 // intact tells whether an answer is this request's, as it was sent.
-func intact(request *schema.Carry, response *schema.Carried) bool {
+func intact(request *schema.ForwardRequest, response *schema.ForwardResponse) bool {
 	return response.Request == request.Request && uint64(len(response.Body)) == response.Length && crc32.ChecksumIEEE(response.Body) == response.Checksum
 }
 
@@ -43,7 +43,7 @@
 
 // checkCapacity asks whether there is room at a worker in another zone before a body is sent there that is
 // likely to be refused: what is turned away need not have travelled. Nil: it is to be sent.
-func (f *Forwarder) checkCapacity(ctx context.Context, request *schema.Carry, endpoint *plan.Endpoint, refusedBefore bool) *schema.Carried {
+func (f *Forwarder) checkCapacity(ctx context.Context, request *schema.ForwardRequest, endpoint *plan.Endpoint, refusedBefore bool) *schema.ForwardResponse {
 	if endpoint.Zone == f.PlanOptions.Zone || len(request.Body) == 0 {
 		return nil
 	}
@@ -53,8 +53,8 @@
 		refusalProbability = max(refusalProbability, 0.5)
 	}
 	// A proxy that knows no enquiries takes this for a request that lost its body, and refuses it.
-	capacityCheck := &schema.Carry{Request: request.Request, Caller: request.Caller, Service: request.Service, Version: request.Version, Instance: request.Instance,
-		Checksum: request.Checksum, LeftNanos: request.LeftNanos, Route: request.Route, Rank: request.Rank, AimNanos: request.AimNanos, Enquiry: true}
+	capacityCheck := &schema.ForwardRequest{Request: request.Request, Caller: request.Caller, Service: request.Service, Version: request.Version, Instance: request.Instance,
+		Checksum: request.Checksum, TimeLeftNanos: request.TimeLeftNanos, Route: request.Route, Priority: request.Priority, LatencyTargetNanos: request.LatencyTargetNanos, AdmissionOnly: true}
 	if refusalProbability*float64(len(request.Body)) < capacityCheckGain*float64(proto.Size(capacityCheck)) {
 		return nil
 	}
@@ -66,7 +66,7 @@
 		// Nothing that could run was sent.
 		f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
 		return notExecuted(defect.PeerConnectFailed, 0)
-	case response.Request != request.Request || response.Ending != schema.Ending_ENDING_NOT_RUN || response.Defect == "":
+	case response.Request != request.Request || response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || response.ErrorCode == "":
 		return nil
 	}
 	f.Outliers.MarkReachable(endpoint.Proxy)
@@ -74,12 +74,12 @@
 }
 
 // sendAttempt sends a call to a candidate; turned tells whether another has already turned it away.
-func (f *Forwarder) sendAttempt(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, remaining time.Duration, refusedBefore bool) *schema.Carried {
-	request := &schema.Carry{Request: result.ID + "-" + strconv.Itoa(result.Attempts), Caller: call.Request.Caller, Service: result.Plan.Service,
+func (f *Forwarder) sendAttempt(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, remaining time.Duration, refusedBefore bool) *schema.ForwardResponse {
+	request := &schema.ForwardRequest{Request: result.ID + "-" + strconv.Itoa(result.Attempts), Caller: call.Request.Caller, Service: result.Plan.Service,
 		Version: result.Plan.Verdict.Version, Instance: endpoint.Instance, Method: call.Request.Method, Target: call.Target,
-		Head: call.HeaderBlock, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), LeftNanos: int64(remaining),
-		Setup: result.Plan.Verdict.ConfigRevision, Once: result.Plan.Class == setup.ClassNonIdempotent, Idempotency: call.Request.IdempotencyKey, Route: result.Plan.Route.Name,
-		Host: call.Request.Host, Identity: call.Request.Identity, Rank: uint32(max(0, result.Plan.Route.Priority)), AimNanos: remainingTarget(result.Plan, remaining)}
+		HeaderBlock: call.HeaderBlock, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), TimeLeftNanos: int64(remaining),
+		Revision: result.Plan.Verdict.ConfigRevision, NonIdempotent: result.Plan.Class == setup.ClassNonIdempotent, IdempotencyKey: call.Request.IdempotencyKey, Route: result.Plan.Route.Name,
+		Host: call.Request.Host, AttemptId: call.Request.Identity, Priority: uint32(max(0, result.Plan.Route.Priority)), LatencyTargetNanos: remainingTarget(result.Plan, remaining)}
 	// A call that may be repeated leaves itself time to be, should this proxy hang: as much as the
 	// worker takes, for what is broken off while it runs is lost.
 	attemptCtx := ctx
@@ -92,7 +92,7 @@
 		attemptCtx, cancel = context.WithTimeout(ctx, timeout)
 		defer cancel()
 	}
-	var ending schema.Ending
+	var ending schema.CallOutcome
 	var status int32
 	callerGone := false
 	sentAt := f.Now()
@@ -108,7 +108,7 @@
 	// It may have waited for its turn already.
 	if waited := f.Now() - sentAt; waited > 0 {
 		remaining -= waited
-		request.LeftNanos, request.AimNanos = int64(remaining), remainingTarget(result.Plan, remaining)
+		request.TimeLeftNanos, request.LatencyTargetNanos = int64(remaining), remainingTarget(result.Plan, remaining)
 	}
 	if len(f.View().Config.GuardedVersions[result.Plan.Service]) > 0 {
 		canaryCall := f.Canaries.Begin(result.Plan.Service, result.Plan.Verdict.Version, f.Now())
@@ -118,7 +118,7 @@
 				return
 			}
 			// What was proved not to have run says nothing of the version.
-			f.Canaries.End(canaryCall, f.Now(), ending == schema.Ending_ENDING_UNKNOWN || status >= 500)
+			f.Canaries.End(canaryCall, f.Now(), ending == schema.CallOutcome_CALL_OUTCOME_UNKNOWN || status >= 500)
 		}()
 	}
 	response, err := f.Send(attemptCtx, endpoint, request)
@@ -147,10 +147,10 @@
 		return response
 	}
 	// The directory is behind: what it still lists is no more, and need not be tried again.
-	if refusal := defect.Code(response.Defect); response.Ending == schema.Ending_ENDING_NOT_RUN && (refusal == defect.WrongInstance || refusal == defect.WorkerDraining) {
+	if refusal := defect.Code(response.ErrorCode); response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (refusal == defect.WrongInstance || refusal == defect.WorkerDraining) {
 		f.Outliers.MarkDisowned(endpoint.Instance)
 	}
-	ending, status = response.Ending, response.Status
+	ending, status = response.Outcome, response.Status
 	endedAt := f.Now()
 	f.Outliers.RecordResponse(endpoint.Instance, endedAt, endedAt-sentAt, response)
 	f.Outliers.RecordOffer(endpoint.Instance, result.Plan.Route.Name, endedAt, response)
--- a/internal/dispatch/carry.go
+++ b/internal/dispatch/carry.go
@@ -26,22 +26,22 @@
 // CallResult is what the caller gets: an answer, or a typed defect with its outcome.
 type CallResult struct {
 	ID             string
-	Response       *schema.Carried
+	Response       *schema.ForwardResponse
 	Plan           *plan.Plan // nil when no plan could be made
 	Attempts       int        // dispatches sent
 	WorkerAttempts int        // of these, how many came to a worker, or may have
 	Err            error
 
-	reservation *schema.Claim // the claim this call may hold, as it was last asked for
+	reservation *schema.KeyReservation // the claim this call may hold, as it was last asked for
 }
 
 // Sender sends one dispatch to the proxy beside a worker. An error of kind LINK_UNOPENED
 // proves that nothing was sent; any other leaves it unknown.
-type Sender func(ctx context.Context, candidate plan.Endpoint, carry *schema.Carry) (*schema.Carried, error)
+type Sender func(ctx context.Context, candidate plan.Endpoint, carry *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
 // KeyReserver takes a claim to the registries. It tells how they ruled, and whose the key is if
 // it is another request's.
-type KeyReserver func(ctx context.Context, claim *schema.Claim) (session.ReservationOutcome, *schema.Claim)
+type KeyReserver func(ctx context.Context, claim *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation)
 
 // Forwarder is the caller's side: it makes a plan and carries it out.
 type Forwarder struct {
@@ -153,8 +153,8 @@
 		result.Response, _ = f.attemptCandidates(boundedCtx, call, result, startedAt, "")
 	}
 	f.Counter.Add(result, f.Now()-startedAt)
-	if result.Response.Ending != schema.Ending_ENDING_ANSWERED {
-		result.Err = defect.New(defect.Code(result.Response.Defect), callPlan.Service)
+	if result.Response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
+		result.Err = defect.New(defect.Code(result.Response.ErrorCode), callPlan.Service)
 	}
 	return result
 }
@@ -218,17 +218,17 @@
 
 // callProgress is one call's way through its candidates.
 type callProgress struct {
-	lastResponse  *schema.Carried // how it ended last; once unknown, it stays that
-	excluded      map[string]bool // instances not to be tried again
-	fullEndpoints int             // how many told when they will have room
-	retryAfter    int64           // the soonest that any of these has room, 0 for not told
-	prepaid       bool            // the next try is
+	lastResponse  *schema.ForwardResponse // how it ended last; once unknown, it stays that
+	excluded      map[string]bool         // instances not to be tried again
+	fullEndpoints int                     // how many told when they will have room
+	retryAfter    int64                   // the soonest that any of these has room, 0 for not told
+	prepaid       bool                    // the next try is
 }
 
 // endWith is how the whole call ends if it ends now: once a dispatch ended unknown, or with a failure
 // for an answer, no later refusal may make it "not run".
-func (p *callProgress) endWith(kind defect.Code) *schema.Carried {
-	if p.lastResponse.Ending == schema.Ending_ENDING_NOT_RUN {
+func (p *callProgress) endWith(kind defect.Code) *schema.ForwardResponse {
+	if p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		p.lastResponse = notExecuted(kind, 0)
 	}
 	return p.lastWithRetryAfter()
@@ -236,13 +236,13 @@
 
 // hasAnswer tells whether a worker has answered, with a failure.
 func (p *callProgress) hasAnswer() bool {
-	return p.lastResponse.Ending == schema.Ending_ENDING_ANSWERED
+	return p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED
 }
 
 // lastWithRetryAfter is how the call ends with its last dispatch.
-func (p *callProgress) lastWithRetryAfter() *schema.Carried {
-	if p.lastResponse.Ending == schema.Ending_ENDING_NOT_RUN && p.retryAfter > 0 {
-		p.lastResponse.BackNanos = p.retryAfter
+func (p *callProgress) lastWithRetryAfter() *schema.ForwardResponse {
+	if p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && p.retryAfter > 0 {
+		p.lastResponse.RetryAfterNanos = p.retryAfter
 	}
 	return p.lastResponse
 }
@@ -255,16 +255,16 @@
 }
 
 // recordRefusal notes a refusal that proves that nothing ran.
-func (p *callProgress) recordRefusal(response *schema.Carried) {
-	if p.lastResponse.Ending == schema.Ending_ENDING_NOT_RUN {
+func (p *callProgress) recordRefusal(response *schema.ForwardResponse) {
+	if p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		p.lastResponse = response
 	}
-	if response.BackNanos <= 0 {
+	if response.RetryAfterNanos <= 0 {
 		return
 	}
 	p.fullEndpoints++
-	if p.retryAfter == 0 || response.BackNanos < p.retryAfter {
-		p.retryAfter = response.BackNanos
+	if p.retryAfter == 0 || response.RetryAfterNanos < p.retryAfter {
+		p.retryAfter = response.RetryAfterNanos
 	}
 }
 
@@ -298,18 +298,18 @@
 // has refused it: where there is no room, another run takes it from other callers. A version
 // that is being judged answers for its own failures, and of a worker that hardly ever fails it is
 // likely the call's own, which another would fail too.
-func (f *Forwarder) mayRetryFailure(result *CallResult, progress *callProgress, response *schema.Carried, remaining time.Duration) bool {
+func (f *Forwarder) mayRetryFailure(result *CallResult, progress *callProgress, response *schema.ForwardResponse, remaining time.Duration) bool {
 	callPlan, limits := result.Plan, f.limits.Load()
 	switch {
 	case limits.FailureRetryFraction <= 0 || callPlan.Class != setup.ClassIdempotent || response.Status < minFailureStatus || progress.hasAnswer() || progress.fullEndpoints > 0:
 		return false
 	case callPlan.Verdict.Version != f.View().Config.FallbackOf(callPlan.Service):
 		return false
-	case response.Slots > 0 && float64(response.Failed) < ownFailureRatio*float64(response.Ran):
+	case response.Slots > 0 && float64(response.RecentFailures) < ownFailureRatio*float64(response.RecentRuns):
 		return false
 	case callPlan.Route.MaxAttempts > 0 && result.WorkerAttempts >= callPlan.Route.MaxAttempts:
 		return false
-	case remaining < time.Duration(response.PaceNanos) || (callPlan.LatencyTarget > 0 && remainingTarget(callPlan, remaining) < response.PaceNanos):
+	case remaining < time.Duration(response.ServiceTimeNanos) || (callPlan.LatencyTarget > 0 && remainingTarget(callPlan, remaining) < response.ServiceTimeNanos):
 		return false
 	}
 	progress.prepaid = f.retryBudget(callPlan.Service).Allow(f.Now(), f.retryFloorPerProxy(), limits.FailureRetryFraction)
@@ -318,7 +318,7 @@
 
 // attemptCandidates tries the candidates in order until one answers or nothing more may be done. It
 // returns how the last dispatch ended, and where.
-func (f *Forwarder) attemptCandidates(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string) (*schema.Carried, string) {
+func (f *Forwarder) attemptCandidates(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string) (*schema.ForwardResponse, string) {
 	progress := &callProgress{lastResponse: notExecuted(defect.NoWorker, 0)}
 	for replans := 0; replans < maxPlanRounds; replans++ {
 		// What another proxy refused one call for, it would refuse the next one for too.
@@ -362,7 +362,7 @@
 			// one can say that it has no room; and to ask the one beside costs nothing.
 			if retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, result.Plan.Route.Name, f.Now(), f.Random); skip && pinnedInstance == "" && candidate.Proxy != f.Name {
 				response := notExecuted(defect.QueueFull, 0)
-				response.BackNanos = int64(retryAfter)
+				response.RetryAfterNanos = int64(retryAfter)
 				progress.recordRefusal(response)
 				progress.exclude(candidate.Instance)
 				if progress.fullEndpoints >= maxFullEndpoints || progress.hasAnswer() {
@@ -375,8 +375,8 @@
 			}
 			result.Attempts++
 			response := f.sendAttempt(ctx, call, result, *candidate, remaining, progress.fullEndpoints > 0)
-			switch response.Ending {
-			case schema.Ending_ENDING_ANSWERED:
+			switch response.Outcome {
+			case schema.CallOutcome_CALL_OUTCOME_ANSWERED:
 				result.WorkerAttempts++
 				if !f.mayRetryFailure(result, progress, response, result.Plan.Deadline-(f.Now()-startedAt)) {
 					return response, candidate.Instance
@@ -384,7 +384,7 @@
 				progress.lastResponse = response
 				progress.exclude(candidate.Instance)
 				continue
-			case schema.Ending_ENDING_UNKNOWN:
+			case schema.CallOutcome_CALL_OUTCOME_UNKNOWN:
 				result.WorkerAttempts++
 				// A failure for an answer is still an answer.
 				if progress.hasAnswer() {
@@ -398,7 +398,7 @@
 				}
 				continue
 			}
-			if response.Met {
+			if response.ReachedWorker {
 				result.WorkerAttempts++
 			}
 			progress.recordRefusal(response)
@@ -407,10 +407,10 @@
 			}
 			// The other side has a newer setup, by which the plan is too old or its version barred:
 			// a proper call is then planned anew by that setup, not turned away.
-			refusal := defect.Code(response.Defect)
-			if refusal == defect.StalePlan || (refusal == defect.VersionNotAllowed && response.Setup > result.Plan.Verdict.ConfigRevision) {
+			refusal := defect.Code(response.ErrorCode)
+			if refusal == defect.StalePlan || (refusal == defect.VersionNotAllowed && response.Revision > result.Plan.Verdict.ConfigRevision) {
 				replan = true
-				f.newestRevision.Store(max(f.newestRevision.Load(), response.Setup))
+				f.newestRevision.Store(max(f.newestRevision.Load(), response.Revision))
 				break
 			}
 			progress.exclude(candidate.Instance)
@@ -477,7 +477,7 @@
 	if result.Plan.LatencyTarget > 0 {
 		wait = min(wait, result.Plan.LatencyTarget/targetWaitDivisor)
 	}
-	if wait <= 0 || (progress.lastResponse.Ending == schema.Ending_ENDING_NOT_RUN && isCapacityRefusal(progress.lastResponse)) {
+	if wait <= 0 || (progress.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && isCapacityRefusal(progress.lastResponse)) {
 		return false
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
--- a/internal/dispatch/carry_test.go
+++ b/internal/dispatch/carry_test.go
@@ -21,38 +21,38 @@
 }
 
 // attemptScript makes a dispatch end in a way.
-type attemptScript func(ctx context.Context, carry *schema.Carry) (*schema.Carried, error)
+type attemptScript func(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
 func refusing(kind defect.Code, back time.Duration, met bool) attemptScript {
-	return func(_ context.Context, request *schema.Carry) (*schema.Carried, error) {
-		return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(kind), BackNanos: int64(back), Met: met}, nil
+	return func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(kind), RetryAfterNanos: int64(back), ReachedWorker: met}, nil
 	}
 }
 
-func failing(_ context.Context, request *schema.Carry) (*schema.Carried, error) {
-	return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_ANSWERED, Status: 500}, nil
+func failing(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+	return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500}, nil
 }
 
 // failingOf tells of how many calls the worker failed how many.
 func failingOf(ran, failed uint32) attemptScript {
-	return func(_ context.Context, request *schema.Carry) (*schema.Carried, error) {
-		return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_ANSWERED, Status: 500, Slots: 9, Ran: ran, Failed: failed}, nil
+	return func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500, Slots: 9, RecentRuns: ran, RecentFailures: failed}, nil
 	}
 }
 
-func answering(_ context.Context, request *schema.Carry) (*schema.Carried, error) {
-	return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_ANSWERED, Status: 200}, nil
+func answering(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+	return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}, nil
 }
 
-func breaking(context.Context, *schema.Carry) (*schema.Carried, error) {
+func breaking(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	return nil, defect.New(defect.PeerConnectionLost, "cut")
 }
 
-func unopened(context.Context, *schema.Carry) (*schema.Carried, error) {
+func unopened(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	return nil, defect.New(defect.PeerConnectFailed, "nobody there")
 }
 
-func hanging(ctx context.Context, _ *schema.Carry) (*schema.Carried, error) {
+func hanging(ctx context.Context, _ *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
@@ -80,7 +80,7 @@
 		AwaitLease: func(context.Context) bool { return true }, OnConfigLag: func() {}, HasLease: func() bool { return true }, FleetSize: func() int { return 1 },
 		Now: func() time.Duration { return time.Since(startedAt) }, Random: func() float64 { return 0 }, Outliers: NewOutlierDetector(5, 5*time.Second),
 		Canaries: NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }), Counter: NewCallCounter(64), NoAttemptTimeout: true, FreeProxyRefusals: true,
-		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.Carry) (*schema.Carried, error) {
+		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			at := len(c.sent)
 			c.sent = append(c.sent, candidate.Instance)
 			return script[min(at, len(script)-1)](ctx, request)
@@ -100,36 +100,36 @@
 		floor  float64
 		script []attemptScript
 		sent   int
-		ending schema.Ending
+		ending schema.CallOutcome
 		kind   defect.Code
 	}{
-		"refused by proxies, then answered":           {once, 0, []attemptScript{full, refusing(defect.DeadlineExceeded, 0, false), unopened, refusing(defect.WorkerDraining, 0, false), answering}, 5, schema.Ending_ENDING_ANSWERED, ""},
-		"no room at two, by their own word":           {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.Ending_ENDING_NOT_RUN, defect.QueueFull},
-		"turned away by a worker, with no budget":     {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.Ending_ENDING_NOT_RUN, defect.QueueFull},
-		"turned away by a worker, with a budget":      {once, 1, []attemptScript{rejected, answering}, 2, schema.Ending_ENDING_ANSWERED, ""},
-		"turned away by two, with a budget of one":    {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.Ending_ENDING_NOT_RUN, defect.QueueFull},
-		"turned away by as many as the route lets":    {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.Ending_ENDING_NOT_RUN, defect.QueueFull},
-		"broken off, once":                            {once, 9, []attemptScript{breaking, answering}, 1, schema.Ending_ENDING_UNKNOWN, defect.PeerConnectionLost},
-		"broken off, repeatable":                      {repeatable, 1, []attemptScript{breaking, answering}, 2, schema.Ending_ENDING_ANSWERED, ""},
-		"broken off, repeatable, with no budget":      {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.Ending_ENDING_UNKNOWN, defect.PeerConnectionLost},
-		"broken off, repeatable, one try":             {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.Ending_ENDING_UNKNOWN, defect.PeerConnectionLost},
-		"broken off, then refused everywhere":         {repeatable, 9, []attemptScript{breaking, full}, 6, schema.Ending_ENDING_UNKNOWN, defect.PeerConnectionLost},
-		"no answer in all the time there is":          {repeatable, 9, []attemptScript{hanging}, 1, schema.Ending_ENDING_UNKNOWN, defect.DeadlineExceeded},
-		"refused, then no answer, once":               {once, 9, []attemptScript{full, hanging, answering}, 2, schema.Ending_ENDING_UNKNOWN, defect.DeadlineExceeded},
-		"an answer that is a failure is the worker's": {repeatable, 9, []attemptScript{failing, answering}, 1, schema.Ending_ENDING_ANSWERED, ""},
-		"an answer to another request is no answer": {once, 9, []attemptScript{func(context.Context, *schema.Carry) (*schema.Carried, error) {
-			return &schema.Carried{Request: "other", Ending: schema.Ending_ENDING_ANSWERED, Status: 200}, nil
-		}}, 1, schema.Ending_ENDING_UNKNOWN, defect.InvalidResponse},
-		"an answer that is not whole is no answer": {once, 9, []attemptScript{func(_ context.Context, request *schema.Carry) (*schema.Carried, error) {
-			return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_ANSWERED, Status: 200, Body: []byte("a"), Length: 2}, nil
-		}}, 1, schema.Ending_ENDING_UNKNOWN, defect.InvalidResponse},
+		"refused by proxies, then answered":           {once, 0, []attemptScript{full, refusing(defect.DeadlineExceeded, 0, false), unopened, refusing(defect.WorkerDraining, 0, false), answering}, 5, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"no room at two, by their own word":           {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, defect.QueueFull},
+		"turned away by a worker, with no budget":     {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, defect.QueueFull},
+		"turned away by a worker, with a budget":      {once, 1, []attemptScript{rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"turned away by two, with a budget of one":    {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, defect.QueueFull},
+		"turned away by as many as the route lets":    {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, defect.QueueFull},
+		"broken off, once":                            {once, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.PeerConnectionLost},
+		"broken off, repeatable":                      {repeatable, 1, []attemptScript{breaking, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"broken off, repeatable, with no budget":      {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.PeerConnectionLost},
+		"broken off, repeatable, one try":             {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.PeerConnectionLost},
+		"broken off, then refused everywhere":         {repeatable, 9, []attemptScript{breaking, full}, 6, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.PeerConnectionLost},
+		"no answer in all the time there is":          {repeatable, 9, []attemptScript{hanging}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.DeadlineExceeded},
+		"refused, then no answer, once":               {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.DeadlineExceeded},
+		"an answer that is a failure is the worker's": {repeatable, 9, []attemptScript{failing, answering}, 1, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"an answer to another request is no answer": {once, 9, []attemptScript{func(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+			return &schema.ForwardResponse{Request: "other", Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}, nil
+		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.InvalidResponse},
+		"an answer that is not whole is no answer": {once, 9, []attemptScript{func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+			return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Body: []byte("a"), Length: 2}, nil
+		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.InvalidResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
 				result := c.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
-				if len(c.sent) != test.sent || result.Response.Ending != test.ending || (test.kind != "" && result.Response.Defect != string(test.kind)) {
-					t.Errorf("sent to %v, ended %v %s; want %d, %v %s", c.sent, result.Response.Ending, result.Response.Defect, test.sent, test.ending, test.kind)
+				if len(c.sent) != test.sent || result.Response.Outcome != test.ending || (test.kind != "" && result.Response.ErrorCode != string(test.kind)) {
+					t.Errorf("sent to %v, ended %v %s; want %d, %v %s", c.sent, result.Response.Outcome, result.Response.ErrorCode, test.sent, test.ending, test.kind)
 				}
 				seen := map[string]bool{}
 				for _, instance := range c.sent {
@@ -149,8 +149,8 @@
 		const lost = 300 * time.Millisecond
 		var sent []time.Duration
 		note := func(then attemptScript) attemptScript {
-			return func(ctx context.Context, request *schema.Carry) (*schema.Carried, error) {
-				sent = append(sent, time.Duration(request.LeftNanos))
+			return func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+				sent = append(sent, time.Duration(request.TimeLeftNanos))
 				time.Sleep(lost)
 				return then(ctx, request)
 			}
@@ -172,9 +172,9 @@
 // of the budget; whatever comes of that, the caller gets a worker's answer.
 func TestFailedAnswerIsRetriedElsewhere(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
-	slow := func(_ context.Context, request *schema.Carry) (*schema.Carried, error) {
+	slow := func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		time.Sleep(300 * time.Millisecond)
-		return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_ANSWERED, Status: 500, PaceNanos: int64(300 * time.Millisecond)}, nil
+		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500, ServiceTimeNanos: int64(300 * time.Millisecond)}, nil
 	}
 	for name, test := range map[string]struct {
 		route  string
@@ -225,7 +225,7 @@
 		}
 		view := &plan.View{Config: trying, Directory: c.View().Directory}
 		c.View = func() *plan.View { return view }
-		failed, _ := failing(t.Context(), &schema.Carry{})
+		failed, _ := failing(t.Context(), &schema.ForwardRequest{})
 		for version, want := range map[string]bool{"0": true, "1": false} {
 			callPlan := &plan.Plan{Route: &setup.Route{}, Service: "shop", Verdict: plan.Verdict{Version: version}, Class: setup.ClassIdempotent}
 			if got := c.mayRetryFailure(&CallResult{Plan: callPlan}, &callProgress{lastResponse: notExecuted(defect.NoWorker, 0)}, failed, time.Second); got != want {
@@ -255,13 +255,13 @@
 		call := &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}}
 		c := newScriptedForwarder(t, 3, route, 0, refusing(defect.QueueFull, 300*time.Millisecond, false), refusing(defect.DeadlineExceeded, 100*time.Millisecond, false), refusing(defect.QueueFull, 0, false))
 		startedAt := time.Now()
-		if result := c.Forward(t.Context(), call); len(c.sent) != 2 || time.Since(startedAt) > 0 || time.Duration(result.Response.BackNanos) != 100*time.Millisecond {
-			t.Errorf("%d tries, %v, back after %v", len(c.sent), time.Since(startedAt), time.Duration(result.Response.BackNanos))
+		if result := c.Forward(t.Context(), call); len(c.sent) != 2 || time.Since(startedAt) > 0 || time.Duration(result.Response.RetryAfterNanos) != 100*time.Millisecond {
+			t.Errorf("%d tries, %v, back after %v", len(c.sent), time.Since(startedAt), time.Duration(result.Response.RetryAfterNanos))
 		}
 		c = newScriptedForwarder(t, 0, route, 0, answering)
 		startedAt = time.Now()
-		if result := c.Forward(t.Context(), call); result.Response.Defect != string(defect.NoWorker) || time.Since(startedAt) > 200*time.Millisecond {
-			t.Errorf("%s after %v", result.Response.Defect, time.Since(startedAt))
+		if result := c.Forward(t.Context(), call); result.Response.ErrorCode != string(defect.NoWorker) || time.Since(startedAt) > 200*time.Millisecond {
+			t.Errorf("%s after %v", result.Response.ErrorCode, time.Since(startedAt))
 		}
 	})
 }
--- a/internal/dispatch/claim_test.go
+++ b/internal/dispatch/claim_test.go
@@ -85,7 +85,7 @@
 
 // newReserver takes claims to the registries one after another, yielding before each.
 func (f *keyFixture) newReserver(from int, yield func()) KeyReserver {
-	return func(_ context.Context, claim *schema.Claim) (session.ReservationOutcome, *schema.Claim) {
+	return func(_ context.Context, claim *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 		seats := 3
 		if f.seededSingleRegistry {
 			seats = 1
@@ -121,7 +121,7 @@
 		AwaitLease: func(context.Context) bool { return true }, OnConfigLag: func() {}, HasLease: func() bool { return true }, FleetSize: func() int { return 1 },
 		Now: f.now, Random: func() float64 { return 0 }, Outliers: NewOutlierDetector(5, time.Second), Canaries: NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }), Counter: NewCallCounter(64),
 		ReserveKey: f.newReserver(caller, yield), KeyReleaseTimeout: time.Hour,
-		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.Carry) (*schema.Carried, error) {
+		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			yield()
 			sent++
 			target := f.fixtures[0]
@@ -158,10 +158,10 @@
 	}
 	for _, results := range f.results {
 		for _, one := range results {
-			if one.Response.Ending == schema.Ending_ENDING_NOT_RUN && ran[one.ID] {
+			if one.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && ran[one.ID] {
 				return fmt.Errorf("%s was told not run, and ran", one.ID)
 			}
-			if one.Response.Ending == schema.Ending_ENDING_ANSWERED && len(ran) == 0 {
+			if one.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && len(ran) == 0 {
 				return fmt.Errorf("%s was answered, and nothing ran", one.ID)
 			}
 		}
@@ -213,13 +213,13 @@
 // A key asked for again elsewhere, after each single loss, runs once; the repeat gets the
 // first answer where that can still be known.
 func TestRepeatElsewhere(t *testing.T) {
-	answered, unknownEnding, notRunEnding := schema.Ending_ENDING_ANSWERED, schema.Ending_ENDING_UNKNOWN, schema.Ending_ENDING_NOT_RUN
+	answered, unknownEnding, notRunEnding := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
 	for name, test := range map[string]struct {
 		before func(d *keyFixture)           // the first try
 		after  func(d *keyFixture)           // it
 		body   string                        // of the repeat, where another
-		first  schema.Ending                 //
-		again  schema.Ending                 //
+		first  schema.CallOutcome            //
+		again  schema.CallOutcome            //
 		runs   int                           //
 		lost   func(order int) bool          // answers of the first try that are lost
 		check  func(*testing.T, *CallResult) // of the repeat
@@ -246,8 +246,8 @@
 			d.unresponsive[0], d.unresponsive[1] = false, false
 		}},
 		"another body under the key": {first: answered, again: notRunEnding, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
-			if result.Response.Defect != "IDEMPOTENCY_KEY_REUSED" {
-				t.Error(result.Response.Defect)
+			if result.Response.ErrorCode != "IDEMPOTENCY_KEY_REUSED" {
+				t.Error(result.Response.ErrorCode)
 			}
 		}},
 		"the first never ran": {first: notRunEnding, again: answered, runs: 1, before: func(d *keyFixture) {
@@ -277,11 +277,11 @@
 				}
 				again := second.Forward(t.Context(), d.newCall("key", body))
 				d.results[1] = append(d.results[1], again)
-				if got := d.results[0][0].Response; got.Ending != test.first {
-					t.Errorf("the first ended %v with %s, want %v", got.Ending, got.Defect, test.first)
+				if got := d.results[0][0].Response; got.Outcome != test.first {
+					t.Errorf("the first ended %v with %s, want %v", got.Outcome, got.ErrorCode, test.first)
 				}
-				if again.Response.Ending != test.again {
-					t.Errorf("the repeat ended %v with %s, want %v", again.Response.Ending, again.Response.Defect, test.again)
+				if again.Response.Outcome != test.again {
+					t.Errorf("the repeat ended %v with %s, want %v", again.Response.Outcome, again.Response.ErrorCode, test.again)
 				}
 				if d.countRuns() != test.runs {
 					t.Errorf("%d runs, want %d", d.countRuns(), test.runs)
@@ -322,8 +322,8 @@
 		}
 		send := carrier.Send
 		refused := 0
-		carrier.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.Carry) (*schema.Carried, error) {
-			if request.Setup < 6 {
+		carrier.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+			if request.Revision < 6 {
 				refused++
 				response := notExecuted("VERSION_NOT_ALLOWED", 6)
 				response.Request = request.Request
--- a/internal/dispatch/conns_fuzz_test.go
+++ b/internal/dispatch/conns_fuzz_test.go
@@ -25,7 +25,7 @@
 		defer fasthttp.ReleaseResponse(response)
 		x := &exchange{response: response, deadline: time.Now().Add(time.Minute), maxBodyBytes: most, hasNoBody: func(status int) bool { return status == 204 || status == 304 },
 			readHeader: func(header *fasthttp.ResponseHeader) ResponseInfo {
-				return testCodec{}.ReadHeader(header, &schema.Carry{Request: "r"})
+				return testCodec{}.ReadHeader(header, &schema.ForwardRequest{Request: "r"})
 			}, bodyMemory: semaphore.NewWeighted(most)}
 		defer x.releaseMemory()
 		reader := bufio.NewReader(bytes.NewReader(text))
--- a/internal/dispatch/conns_test.go
+++ b/internal/dispatch/conns_test.go
@@ -25,12 +25,12 @@
 // testCodec is a speech with a word for everything that a worker may say.
 type testCodec struct{ NativeCodec }
 
-func (testCodec) WriteHeaders(request *fasthttp.Request, forward *schema.Carry, _ WorkerRegistration, _ time.Duration) {
+func (testCodec) WriteHeaders(request *fasthttp.Request, forward *schema.ForwardRequest, _ WorkerRegistration, _ time.Duration) {
 	request.Header.SetHost(forward.Host)
 	request.Header.Set("X-Id", forward.Request)
 }
 
-func (testCodec) ReadHeader(header *fasthttp.ResponseHeader, request *schema.Carry) ResponseInfo {
+func (testCodec) ReadHeader(header *fasthttp.ResponseHeader, request *schema.ForwardRequest) ResponseInfo {
 	id := string(header.Peek("X-Id"))
 	return ResponseInfo{WrongRequest: id != "" && id != request.Request, NotExecuted: len(header.Peek("X-Unrun")) > 0, WrongWorker: header.StatusCode() == 421,
 		ClosesConnection: header.ConnectionClose(), EndsAtClose: true}
@@ -80,10 +80,10 @@
 	return s
 }
 
-func (f *socketFixture) run(t testing.TB, id string, change func(*schema.Carry)) *schema.Carried {
+func (f *socketFixture) run(t testing.TB, id string, change func(*schema.ForwardRequest)) *schema.ForwardResponse {
 	request := newForwardRequest(id, "w")
 	request.Host = "shop.example"
-	request.LeftNanos = int64(10 * time.Second)
+	request.TimeLeftNanos = int64(10 * time.Second)
 	if change != nil {
 		change(request)
 	}
@@ -107,59 +107,59 @@
 // Whatever a worker sends, two requests after each other end as they should, and each answer
 // is that of its own request.
 func TestOddWorkers(t *testing.T) {
-	whole, notRunEnding, lost := schema.Ending_ENDING_ANSWERED, schema.Ending_ENDING_NOT_RUN, schema.Ending_ENDING_UNKNOWN
+	whole, notRunEnding, lost := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN
 	say := func(text string) func(string) string { return func(string) string { return text } }
 	for name, test := range map[string]struct {
 		first  func(id string) string // the answer to the first request
 		ends   bool                   // the worker then closes
 		resets bool                   // it does so by a reset
 		second func(id string) string // the answer to the second, on the same connection
-		change func(*schema.Carry)
-		want   [2]schema.Ending
+		change func(*schema.ForwardRequest)
+		want   [2]schema.CallOutcome
 		kind   defect.Code // of the first
 		opened int32
 	}{
-		"plain":             {want: [2]schema.Ending{whole, whole}, opened: 1},
-		"an empty body":     {first: func(id string) string { return answered(id, "") }, want: [2]schema.Ending{whole, whole}, opened: 1},
-		"in chunks":         {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.Ending{whole, whole}, opened: 1},
-		"in chunks, a tail": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.Ending{whole, whole}, opened: 1},
+		"plain":             {want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"an empty body":     {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"in chunks":         {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"in chunks, a tail": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
 		"interim answers": {first: func(id string) string {
 			return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answered(id, "one")
-		}, want: [2]schema.Ending{whole, whole}, opened: 1},
-		"no content":           {first: say("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.Ending{whole, whole}, opened: 1},
-		"not modified":         {first: say("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.Ending{whole, whole}, opened: 1},
-		"the head alone":       {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.Carry) { c.Method = "HEAD" }, want: [2]schema.Ending{whole, whole}, opened: 1},
-		"gives it back":        {first: say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.Ending{whole, whole}, opened: 2},
-		"closes while idle":    {ends: true, want: [2]schema.Ending{whole, whole}, opened: 2},
-		"says more":            {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.Ending{whole, whole}, opened: 2},
-		"says a second answer": {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.Ending{whole, whole}, opened: 2},
-		"says it late":         {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.Ending{whole, whole}, opened: 1},
-		"only says it late":    {second: func(string) string { return answered("first", "one") }, want: [2]schema.Ending{whole, lost}, opened: 1},
-		"refuses":              {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.Ending{notRunEnding, whole}, kind: defect.QueueFull, opened: 1},
-		"refuses, and is cut":  {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.Ending{notRunEnding, whole}, kind: defect.QueueFull, opened: 2},
-		"is another":           {first: say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.Ending{notRunEnding, notRunEnding}, kind: defect.WrongInstance, opened: 1},
-		"an error of its own":  {first: say("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.Ending{whole, whole}, opened: 1},
-		"closes for an answer": {first: say(""), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
-		"cut in the head":      {first: say("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.Ending{lost, whole}, opened: 2},
-		"cut in the body":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
-		"cut in a chunk":       {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.Ending{lost, whole}, opened: 2},
-		"cut before the tail":  {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.Ending{lost, whole}, opened: 2},
-		"chunks named oddly":   {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.Ending{whole, whole}, opened: 1},
-		"a chunk with no size": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"a chunk too long":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"chunks too large":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"to the end":           {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.Ending{whole, whole}, opened: 2},
-		"nothing to the end":   {first: say("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.Ending{whole, whole}, opened: 2},
-		"much to the end":      {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.Ending{whole, whole}, opened: 2},
-		"too much to the end":  {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"reset before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.Ending{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
-		"silent before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.Carry) { c.LeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.Ending{lost, whole},
+		}, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"no content":           {first: say("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"not modified":         {first: say("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"the head alone":       {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"gives it back":        {first: say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{whole, whole}, opened: 2},
+		"closes while idle":    {ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
+		"says more":            {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
+		"says a second answer": {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
+		"says it late":         {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"only says it late":    {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{whole, lost}, opened: 1},
+		"refuses":              {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, whole}, kind: defect.QueueFull, opened: 1},
+		"refuses, and is cut":  {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, whole}, kind: defect.QueueFull, opened: 2},
+		"is another":           {first: say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, kind: defect.WrongInstance, opened: 1},
+		"an error of its own":  {first: say("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"closes for an answer": {first: say(""), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
+		"cut in the head":      {first: say("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
+		"cut in the body":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
+		"cut in a chunk":       {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
+		"cut before the tail":  {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
+		"chunks named oddly":   {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"a chunk with no size": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"a chunk too long":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"chunks too large":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"to the end":           {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
+		"nothing to the end":   {first: say("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
+		"much to the end":      {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
+		"too much to the end":  {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"reset before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
+		"silent before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{lost, whole},
 			kind: defect.DeadlineExceeded, opened: 2},
-		"two lengths":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"no answer":        {first: say("no answer at all\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"changes protocol": {first: say("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"too much":         {first: say("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.Ending{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"silent": {first: say("HTTP/1.1 200 OK\r\n"), change: func(c *schema.Carry) { c.LeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.Ending{lost, whole},
+		"two lengths":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"no answer":        {first: say("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"changes protocol": {first: say("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"too much":         {first: say("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"silent": {first: say("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{lost, whole},
 			kind: defect.DeadlineExceeded, opened: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -197,17 +197,17 @@
 				}
 			})
 			first := s.run(t, "first", test.change)
-			if first.Ending != test.want[0] || (test.kind != "" && first.Defect != string(test.kind)) {
-				t.Errorf("the first ended %v with %s, want %v with %s", first.Ending, first.Defect, test.want[0], test.kind)
+			if first.Outcome != test.want[0] || (test.kind != "" && first.ErrorCode != string(test.kind)) {
+				t.Errorf("the first ended %v with %s, want %v with %s", first.Outcome, first.ErrorCode, test.want[0], test.kind)
 			}
 			if test.ends {
 				<-result
 			}
 			second := s.run(t, "second", nil)
-			if second.Ending != test.want[1] || (test.want[1] == whole && string(second.Body) != "second") {
-				t.Errorf("the second ended %v with %s and %q, want %v", second.Ending, second.Defect, second.Body, test.want[1])
+			if second.Outcome != test.want[1] || (test.want[1] == whole && string(second.Body) != "second") {
+				t.Errorf("the second ended %v with %s and %q, want %v", second.Outcome, second.ErrorCode, second.Body, test.want[1])
 			}
-			if first.Ending == whole && strings.HasSuffix(name, "to the end") {
+			if first.Outcome == whole && strings.HasSuffix(name, "to the end") {
 				sent := test.first("first")
 				if want := sent[strings.Index(sent, "\r\n\r\n")+4:]; string(first.Body) != want {
 					t.Errorf("%d bytes came of %d", len(first.Body), len(want))
@@ -240,7 +240,7 @@
 		conns.idle[0].Close()
 	}
 	if got := s.run(t, "second", nil); string(got.Body) != "second" || s.opened.Load() != 2 {
-		t.Errorf("ended %v with %q over %d connections", got.Ending, got.Body, s.opened.Load())
+		t.Errorf("ended %v with %q over %d connections", got.Outcome, got.Body, s.opened.Load())
 	}
 }
 
@@ -250,21 +250,21 @@
 		idOf(reader)
 		_ = conn.SetLinger(0)
 	})
-	if got := s.run(t, "first", nil); got.Ending != schema.Ending_ENDING_UNKNOWN || got.Defect != string(defect.WorkerConnectionLost) {
-		t.Errorf("ended %v with %s", got.Ending, got.Defect)
+	if got := s.run(t, "first", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(defect.WorkerConnectionLost) {
+		t.Errorf("ended %v with %s", got.Outcome, got.ErrorCode)
 	}
 	s.workers.byInstance["w"].conns.address = "127.0.0.1:1"
 	for _, want := range []defect.Code{defect.WorkerConnectFailed, defect.WrongInstance} {
-		if got := s.run(t, string(want), nil); got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != string(want) {
-			t.Errorf("ended %v with %s, want %s", got.Ending, got.Defect, want)
+		if got := s.run(t, string(want), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(want) {
+			t.Errorf("ended %v with %s, want %s", got.Outcome, got.ErrorCode, want)
 		}
 	}
 	// A worker that speaks again is there again.
 	if _, err := s.workers.Register(WorkerDescription{ID: "w", Address: s.address, Service: "shop", Version: "1", HeartbeatMS: 60000}); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.run(t, "third", nil); got.Ending != schema.Ending_ENDING_UNKNOWN {
-		t.Errorf("ended %v with %s", got.Ending, got.Defect)
+	if got := s.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN {
+		t.Errorf("ended %v with %s", got.Outcome, got.ErrorCode)
 	}
 }
 
@@ -282,11 +282,11 @@
 	})
 	for _, size := range []int{0, 1, 4095, 65536, 65537, 1 << 20} {
 		body := strings.Repeat("x", size)
-		got := s.run(t, fmt.Sprint(size), func(c *schema.Carry) {
+		got := s.run(t, fmt.Sprint(size), func(c *schema.ForwardRequest) {
 			c.Method, c.Target, c.Body = "PUT", "/a//b/../%7e?x=%20y&&z", []byte(body)
 			c.Checksum = crc32.ChecksumIEEE(c.Body)
 		})
-		line := FieldOf(got.Head, "X-Line")
+		line := FieldOf(got.HeaderBlock, "X-Line")
 		if string(got.Body) != body || line != "PUT /a//b/../%7e?x=%20y&&z shop.example" {
 			t.Errorf("%d bytes came back as %d, of %q", size, len(got.Body), line)
 		}
@@ -317,12 +317,12 @@
 		}
 	})
 	for _, id := range []string{"first", "second"} {
-		got := s.run(t, id, func(c *schema.Carry) {
+		got := s.run(t, id, func(c *schema.ForwardRequest) {
 			c.Method, c.Body = "PUT", []byte(body)
 			c.Checksum = crc32.ChecksumIEEE(c.Body)
 		})
-		if got.Ending != schema.Ending_ENDING_ANSWERED || string(got.Body) != id {
-			t.Errorf("%s ended %v with %s and %q", id, got.Ending, got.Defect, got.Body)
+		if got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || string(got.Body) != id {
+			t.Errorf("%s ended %v with %s and %q", id, got.Outcome, got.ErrorCode, got.Body)
 		}
 		if rest := <-read; rest != body {
 			t.Errorf("%s: the worker read %d bytes of %d", id, len(rest), len(body))
@@ -347,7 +347,7 @@
 		}
 	})
 	s.workers.bodyMemory = semaphore.NewWeighted(size)
-	first := make(chan *schema.Carried)
+	first := make(chan *schema.ForwardResponse)
 	go func() { first <- s.run(t, "first", nil) }()
 	<-begun
 	// The first has its room once it has read more than a piece: the second then finds none.
@@ -355,16 +355,16 @@
 		s.workers.bodyMemory.Release(size)
 		runtime.Gosched()
 	}
-	hasty := s.run(t, "hasty", func(c *schema.Carry) { c.LeftNanos = int64(50 * time.Millisecond) })
-	if hasty.Ending != schema.Ending_ENDING_UNKNOWN || hasty.Defect != string(defect.DeadlineExceeded) {
-		t.Errorf("ended %v with %s beside another", hasty.Ending, hasty.Defect)
+	hasty := s.run(t, "hasty", func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(50 * time.Millisecond) })
+	if hasty.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || hasty.ErrorCode != string(defect.DeadlineExceeded) {
+		t.Errorf("ended %v with %s beside another", hasty.Outcome, hasty.ErrorCode)
 	}
 	close(goOn)
-	if got := <-first; got.Ending != schema.Ending_ENDING_ANSWERED || len(got.Body) != size {
-		t.Errorf("the first ended %v with %d bytes", got.Ending, len(got.Body))
+	if got := <-first; got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(got.Body) != size {
+		t.Errorf("the first ended %v with %d bytes", got.Outcome, len(got.Body))
 	}
-	if got := s.run(t, "third", nil); got.Ending != schema.Ending_ENDING_ANSWERED || len(got.Body) != size || !s.workers.bodyMemory.TryAcquire(size) {
-		t.Errorf("the third ended %v with %d bytes, or room is not given back", got.Ending, len(got.Body))
+	if got := s.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(got.Body) != size || !s.workers.bodyMemory.TryAcquire(size) {
+		t.Errorf("the third ended %v with %d bytes, or room is not given back", got.Outcome, len(got.Body))
 	}
 }
 
@@ -381,7 +381,7 @@
 	})
 	b.ReportAllocs()
 	for i := range b.N {
-		if got := s.run(b, fmt.Sprint(i), nil); got.Ending != schema.Ending_ENDING_ANSWERED {
+		if got := s.run(b, fmt.Sprint(i), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 			b.Fatal(got)
 		}
 	}
--- a/internal/dispatch/departures.go
+++ b/internal/dispatch/departures.go
@@ -74,8 +74,8 @@
 
 // isCanceled tells whether a dispatch ended because nobody waits for it any more. That says nothing of
 // its worker, of the version that runs there, or of the link.
-func isCanceled(response *schema.Carried) bool {
-	return defect.Code(response.Defect) == defect.CallerDisconnected
+func isCanceled(response *schema.ForwardResponse) bool {
+	return defect.Code(response.ErrorCode) == defect.CallerDisconnected
 }
 
 // disconnectWatch follows the caller of one call that is handed to a worker. Once the caller is known to be gone, a
--- a/internal/dispatch/departures_test.go
+++ b/internal/dispatch/departures_test.go
@@ -61,12 +61,12 @@
 func TestRunsEndWithTheirCallers(t *testing.T) {
 	for name, test := range map[string]struct {
 		once   bool
-		ending schema.Ending
+		ending schema.CallOutcome
 		kind   defect.Code
 		counts DisconnectCounts
 	}{
-		"repeatable": {false, schema.Ending_ENDING_UNKNOWN, defect.CallerDisconnected, DisconnectCounts{Propagated: 1, Canceled: 1}},
-		"once":       {true, schema.Ending_ENDING_ANSWERED, "", DisconnectCounts{Propagated: 1, RanToEnd: 1}},
+		"repeatable": {false, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.CallerDisconnected, DisconnectCounts{Propagated: 1, Canceled: 1}},
+		"once":       {true, schema.CallOutcome_CALL_OUTCOME_ANSWERED, "", DisconnectCounts{Propagated: 1, RanToEnd: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -80,11 +80,11 @@
 				ctx, leave := context.WithCancel(t.Context())
 				time.AfterFunc(200*time.Millisecond, leave)
 				request := newForwardRequest("r1", instance)
-				request.Once = test.once
+				request.NonIdempotent = test.once
 				startedAt := time.Now()
 				got := s.runner.Run(ctx, client, request)
-				if got.Ending != test.ending || got.Defect != string(test.kind) {
-					t.Errorf("ended %v with %q", got.Ending, got.Defect)
+				if got.Outcome != test.ending || got.ErrorCode != string(test.kind) {
+					t.Errorf("ended %v with %q", got.Outcome, got.ErrorCode)
 				}
 				if !test.once && time.Since(startedAt) != 200*time.Millisecond {
 					t.Errorf("it ended after %v", time.Since(startedAt))
@@ -99,8 +99,8 @@
 					t.Errorf("%d running, %d waiting", running, waiting)
 				}
 				// The next call has a connection of its own.
-				if next := s.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); next.Ending != schema.Ending_ENDING_ANSWERED {
-					t.Errorf("the next call ended %v with %q", next.Ending, next.Defect)
+				if next := s.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); next.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
+					t.Errorf("the next call ended %v with %q", next.Outcome, next.ErrorCode)
 				}
 			})
 		})
@@ -118,12 +118,12 @@
 			return jsonAnswer(`{}`)
 		}
 		request := newForwardRequest("r1", instance)
-		request.Once = false
-		left := time.Duration(request.LeftNanos)
+		request.NonIdempotent = false
+		left := time.Duration(request.TimeLeftNanos)
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(left-left/truncatedRunDivisor/2, leave)
-		if got := s.runner.Run(ctx, client, request); got.Ending != schema.Ending_ENDING_UNKNOWN || got.Defect != string(defect.DeadlineExceeded) {
-			t.Errorf("ended %v with %q", got.Ending, got.Defect)
+		if got := s.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(defect.DeadlineExceeded) {
+			t.Errorf("ended %v with %q", got.Outcome, got.ErrorCode)
 		}
 	})
 }
@@ -133,16 +133,16 @@
 func TestCarryingEndsWithTheCaller(t *testing.T) {
 	for name, test := range map[string]struct {
 		route, key string
-		ending     schema.Ending
+		ending     schema.CallOutcome
 		kind       defect.Code
 	}{
-		"repeatable":  {`"class":"repeatable"`, "", schema.Ending_ENDING_UNKNOWN, defect.CallerDisconnected},
-		"once":        {`"class":"once"`, "", schema.Ending_ENDING_UNKNOWN, defect.CallerDisconnected},
-		"under a key": {`"class":"once"`, "k", schema.Ending_ENDING_ANSWERED, ""},
+		"repeatable":  {`"class":"repeatable"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.CallerDisconnected},
+		"once":        {`"class":"once"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.CallerDisconnected},
+		"under a key": {`"class":"once"`, "k", schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				answersAfter := func(ctx context.Context, request *schema.Carry) (*schema.Carried, error) {
+				answersAfter := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 					select {
 					case <-ctx.Done():
 						return nil, ctx.Err()
@@ -151,15 +151,15 @@
 					}
 				}
 				c := newScriptedForwarder(t, 3, test.route, 9, answersAfter)
-				c.ReserveKey = func(context.Context, *schema.Claim) (session.ReservationOutcome, *schema.Claim) {
+				c.ReserveKey = func(context.Context, *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 					return session.ReservationGranted, nil
 				}
 				ctx, leave := context.WithCancel(t.Context())
 				time.AfterFunc(300*time.Millisecond, leave)
 				startedAt := time.Now()
 				result := c.Forward(ctx, &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", IdempotencyKey: test.key, Header: func(string) (string, bool) { return "", false }}})
-				if result.Response.Ending != test.ending || result.Response.Defect != string(test.kind) || len(c.sent) != 1 {
-					t.Errorf("ended %v with %q after %d tries", result.Response.Ending, result.Response.Defect, len(c.sent))
+				if result.Response.Outcome != test.ending || result.Response.ErrorCode != string(test.kind) || len(c.sent) != 1 {
+					t.Errorf("ended %v with %q after %d tries", result.Response.Outcome, result.Response.ErrorCode, len(c.sent))
 				}
 				if test.key == "" && time.Since(startedAt) != 300*time.Millisecond {
 					t.Errorf("it ended after %v", time.Since(startedAt))
@@ -190,9 +190,9 @@
 		leave()
 		for _, once := range []bool{false, true} {
 			request := newForwardRequest("r-"+map[bool]string{true: "once"}[once], instance)
-			request.Once = once
-			if got := s.runner.Run(ctx, client, request); got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != string(defect.CallerDisconnected) {
-				t.Errorf("once %t: ended %v with %q", once, got.Ending, got.Defect)
+			request.NonIdempotent = once
+			if got := s.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(defect.CallerDisconnected) {
+				t.Errorf("once %t: ended %v with %q", once, got.Outcome, got.ErrorCode)
 			}
 		}
 		if runs := s.recordedRuns(); len(runs) > 0 {
@@ -208,7 +208,7 @@
 // answer of its own, and no connection is left that a call was cut off on.
 func TestDeparturesCrossAnswers(t *testing.T) {
 	const rounds, took = 300, 100 * time.Millisecond
-	result := map[schema.Ending]int{}
+	result := map[schema.CallOutcome]int{}
 	for range rounds {
 		synctest.Test(t, func(t *testing.T) {
 			s := newWorkerFixture(t)
@@ -220,14 +220,14 @@
 			ctx, leave := context.WithCancel(t.Context())
 			time.AfterFunc(took, leave)
 			first, second := newForwardRequest("r1", instance), newForwardRequest("r2", instance)
-			first.Once, second.Once = false, false
+			first.NonIdempotent, second.NonIdempotent = false, false
 			got := s.runner.Run(ctx, client, first)
-			result[got.Ending]++
-			if got.Ending == schema.Ending_ENDING_ANSWERED && string(got.Body) != `{"request":"r1"}` {
+			result[got.Outcome]++
+			if got.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && string(got.Body) != `{"request":"r1"}` {
 				t.Errorf("the first got %q", got.Body)
 			}
-			if got = s.runner.Run(t.Context(), client, second); got.Ending != schema.Ending_ENDING_ANSWERED || string(got.Body) != `{"request":"r2"}` {
-				t.Errorf("the second ended %v with %q: %q", got.Ending, got.Defect, got.Body)
+			if got = s.runner.Run(t.Context(), client, second); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || string(got.Body) != `{"request":"r2"}` {
+				t.Errorf("the second ended %v with %q: %q", got.Outcome, got.ErrorCode, got.Body)
 			}
 			if counts := s.runner.Disconnects.Counts(); counts.Violations() > 0 {
 				t.Errorf("counted %+v", counts)
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -36,7 +36,7 @@
 	fingerprint uint64
 	done        chan struct{}
 	instance    string
-	result      *schema.Carried
+	result      *schema.ForwardResponse
 }
 
 // IdempotencyCache holds idempotency keys and what came of them, so that a repeat gets the first
@@ -60,7 +60,7 @@
 // Do runs a request under a key once. A repeat waits for the first or gets its result; the
 // same key with another body is refused. run tells where it tried; a repeat of a try that
 // ended unknown may only go there again, because only there is it known whether it ran.
-func (c *IdempotencyCache) Do(ctx context.Context, key string, fingerprint []byte, run func(pinnedInstance string) (*schema.Carried, string)) *schema.Carried {
+func (c *IdempotencyCache) Do(ctx context.Context, key string, fingerprint []byte, run func(pinnedInstance string) (*schema.ForwardResponse, string)) *schema.ForwardResponse {
 	checksum := crc64.Checksum(fingerprint, crcTable)
 	pinnedInstance := ""
 	c.lock.Lock()
@@ -80,15 +80,15 @@
 			return outcomeUnknown(defect.IdempotencyKeyUnresolved)
 		}
 		c.lock.Lock()
-		final := existing.result.Ending == schema.Ending_ENDING_ANSWERED ||
-			(existing.result.Ending == schema.Ending_ENDING_UNKNOWN && existing.instance == "")
+		final := existing.result.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED ||
+			(existing.result.Outcome == schema.CallOutcome_CALL_OUTCOME_UNKNOWN && existing.instance == "")
 		if final {
 			c.lock.Unlock()
 			return existing.result
 		}
 		if c.entries[key] == existing {
 			// Not run, or unknown at a place that can still tell: the repeat takes its turn.
-			if existing.result.Ending == schema.Ending_ENDING_UNKNOWN && existing.instance != anotherProxy {
+			if existing.result.Outcome == schema.CallOutcome_CALL_OUTCOME_UNKNOWN && existing.instance != anotherProxy {
 				pinnedInstance = existing.instance
 			}
 			c.forget(key)
@@ -105,7 +105,7 @@
 
 	result, instance := run(pinnedInstance)
 	// That this try did not run says nothing of the one before it.
-	if pinnedInstance != "" && result.Ending == schema.Ending_ENDING_NOT_RUN {
+	if pinnedInstance != "" && result.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		result, instance = outcomeUnknown(defect.IdempotencyKeyUnresolved), pinnedInstance
 	}
 	c.lock.Lock()
@@ -118,7 +118,7 @@
 }
 
 // Recall gives what came of a key, waiting for it while it is in flight; it never runs anything.
-func (c *IdempotencyCache) Recall(ctx context.Context, key string, fingerprint []byte) *schema.Carried {
+func (c *IdempotencyCache) Recall(ctx context.Context, key string, fingerprint []byte) *schema.ForwardResponse {
 	c.lock.Lock()
 	existing := c.entries[key]
 	c.lock.Unlock()
@@ -134,7 +134,7 @@
 		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
 	}
 	// That it did not run here does not say that it runs nowhere: its proxy may try elsewhere.
-	if existing.result.Ending != schema.Ending_ENDING_ANSWERED {
+	if existing.result.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
 	}
 	return existing.result
@@ -200,10 +200,10 @@
 	return found
 }
 
-func notExecuted(code defect.Code, configRevision uint64) *schema.Carried {
-	return &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(code), Setup: configRevision}
+func notExecuted(code defect.Code, configRevision uint64) *schema.ForwardResponse {
+	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), Revision: configRevision}
 }
 
-func outcomeUnknown(code defect.Code) *schema.Carried {
-	return &schema.Carried{Ending: schema.Ending_ENDING_UNKNOWN, Defect: string(code)}
+func outcomeUnknown(code defect.Code) *schema.ForwardResponse {
+	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_UNKNOWN, ErrorCode: string(code)}
 }
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -215,7 +215,7 @@
 	worker := w.workers[call.to]
 	if wait := float64(len(worker.queue)+1) * float64(worker.serviceTime) / float64(worker.slots); worker.running >= worker.slots && wait > float64(w.latencyTarget) {
 		w.refused++
-		response := &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.QueueFull), BackNanos: int64(50 * time.Millisecond)}
+		response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.QueueFull), RetryAfterNanos: int64(50 * time.Millisecond)}
 		w.fillLoad(worker, response)
 		w.after(hop, func() {
 			w.detectors[call.from].RecordResponse(fmt.Sprint("w", call.to), w.now, w.now-call.sent, response)
@@ -227,13 +227,13 @@
 	w.begin(worker, hop)
 }
 
-func (w *simWorld) fillLoad(worker *simWorker, response *schema.Carried) {
+func (w *simWorld) fillLoad(worker *simWorker, response *schema.ForwardResponse) {
 	if w.silent {
 		return
 	}
-	response.Running, response.Waiting, response.Slots, response.PaceNanos = uint32(worker.running), uint32(len(worker.queue)), uint32(worker.slots), int64(worker.serviceTime)
+	response.Running, response.Queued, response.Slots, response.ServiceTimeNanos = uint32(worker.running), uint32(len(worker.queue)), uint32(worker.slots), int64(worker.serviceTime)
 	if ran, failed := worker.calls.decayed(w.now, simEjection); w.judgedBy == "" && math.Round(failed) > 0 {
-		response.Ran, response.Failed = uint32(math.Round(ran)), uint32(math.Round(failed))
+		response.RecentRuns, response.RecentFailures = uint32(math.Round(ran)), uint32(math.Round(failed))
 	}
 }
 
@@ -262,7 +262,7 @@
 			}
 			worker.calls.add(w.now, simEjection, status != 200)
 			w.begin(worker, hop)
-			response := &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: status}
+			response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: status}
 			if status != 200 && w.now >= simWarmup {
 				w.failed++
 			}
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -91,35 +91,35 @@
 }
 
 // Run checks a dispatch and runs it once; every refusal here is proof that it was not run.
-func (r *Runner) Run(ctx context.Context, peer link.Peer, request *schema.Carry) *schema.Carried {
+func (r *Runner) Run(ctx context.Context, peer link.Peer, request *schema.ForwardRequest) *schema.ForwardResponse {
 	arrivedAt := r.Now()
 	response := r.checkAndRun(ctx, peer, request, arrivedAt)
 	response.Request = request.Request
 	// Whoever calls next does well to know how full the worker is.
 	running, waiting, slots, serviceTime := r.Workers.Load(request.Instance)
-	response.Running, response.Waiting, response.Slots, response.PaceNanos = running, waiting, slots, int64(serviceTime)
+	response.Running, response.Queued, response.Slots, response.ServiceTimeNanos = running, waiting, slots, int64(serviceTime)
 	if r.Outliers != nil && slots > 0 {
-		response.Ran, response.Failed = r.Outliers.RunCounts(request.Instance, r.Now())
+		response.RecentRuns, response.RecentFailures = r.Outliers.RunCounts(request.Instance, r.Now())
 	}
 	return response
 }
 
-func (r *Runner) checkAndRun(ctx context.Context, peer link.Peer, request *schema.Carry, arrivedAt time.Duration) *schema.Carried {
-	remaining := func() time.Duration { return time.Duration(request.LeftNanos) - (r.Now() - arrivedAt) }
+func (r *Runner) checkAndRun(ctx context.Context, peer link.Peer, request *schema.ForwardRequest, arrivedAt time.Duration) *schema.ForwardResponse {
+	remaining := func() time.Duration { return time.Duration(request.TimeLeftNanos) - (r.Now() - arrivedAt) }
 	if !peer.MayCallAs(request.Caller) {
 		return notExecuted(defect.CallerNotAllowed, 0)
 	}
-	if request.Enquiry {
+	if request.AdmissionOnly {
 		return r.reserveAdmission(ctx, request, arrivedAt, remaining)
 	}
 	if crc32.ChecksumIEEE(request.Body) != request.Checksum {
 		return notExecuted(defect.MalformedRequest, 0)
 	}
-	if request.Recall {
+	if request.RecallOnly {
 		// Nothing is run, so neither lease nor worker matters, only who asks.
 		boundedCtx, cancel := context.WithTimeout(ctx, remaining())
 		defer cancel()
-		return cloneResponse(r.idempotency.Recall(boundedCtx, idempotencyKey(request.Caller, request.Service, request.Route, request.Idempotency), requestFingerprint(request.Target, request.Body)))
+		return cloneResponse(r.idempotency.Recall(boundedCtx, idempotencyKey(request.Caller, request.Service, request.Route, request.IdempotencyKey), requestFingerprint(request.Target, request.Body)))
 	}
 	// Noted before anything can refuse it: what is refused here as not run must not run when it
 	// comes a second time, by then perhaps under a lease again.
@@ -134,7 +134,7 @@
 		return notExecuted(defect.NoLease, 0)
 	}
 	view := r.View()
-	if r.RevisionOutdated(request.Setup) {
+	if r.RevisionOutdated(request.Revision) {
 		return notExecuted(defect.StalePlan, view.Config.Revision)
 	}
 	if !isAllowed(view, request) {
@@ -147,47 +147,47 @@
 	if _, _, refusal := r.Workers.find(request); refusal != "" {
 		return notExecuted(refusal, view.Config.Revision)
 	}
-	if request.Once && request.Idempotency != "" {
-		key := idempotencyKey(request.Caller, request.Service, request.Route, request.Idempotency)
-		return cloneResponse(r.idempotency.Do(ctx, key, requestFingerprint(request.Target, request.Body), func(string) (*schema.Carried, string) {
+	if request.NonIdempotent && request.IdempotencyKey != "" {
+		key := idempotencyKey(request.Caller, request.Service, request.Route, request.IdempotencyKey)
+		return cloneResponse(r.idempotency.Do(ctx, key, requestFingerprint(request.Target, request.Body), func(string) (*schema.ForwardResponse, string) {
 			return r.runOnWorker(ctx, request, arrivedAt, remaining), ""
 		}))
 	}
 	return r.runOnWorker(ctx, request, arrivedAt, remaining)
 }
 
-func isAllowed(view *plan.View, request *schema.Carry) bool {
+func isAllowed(view *plan.View, request *schema.ForwardRequest) bool {
 	service := view.Config.Services[request.Service]
 	return service != nil && service.AllowsVersion(request.Version) && service.AllowsCaller(request.Caller)
 }
 
 // awaitConfig waits a little for the setup that a plan was made from, if it is not here yet.
-func (r *Runner) awaitConfig(ctx context.Context, request *schema.Carry, remaining time.Duration) {
-	if r.View().Config.Revision >= request.Setup {
+func (r *Runner) awaitConfig(ctx context.Context, request *schema.ForwardRequest, remaining time.Duration) {
+	if r.View().Config.Revision >= request.Revision {
 		return
 	}
 	boundedCtx, cancel := context.WithTimeout(ctx, remaining/updateWaitDivisor)
 	defer cancel()
-	r.AwaitConfig(boundedCtx, request.Setup)
+	r.AwaitConfig(boundedCtx, request.Revision)
 }
 
 // cloneResponse lets an answer from memory carry the id of the request it now answers.
-func cloneResponse(response *schema.Carried) *schema.Carried {
-	return &schema.Carried{Ending: response.Ending, Defect: response.Defect, Status: response.Status, Head: response.Head,
-		Body: response.Body, Length: response.Length, Checksum: response.Checksum, Setup: response.Setup}
+func cloneResponse(response *schema.ForwardResponse) *schema.ForwardResponse {
+	return &schema.ForwardResponse{Outcome: response.Outcome, ErrorCode: response.ErrorCode, Status: response.Status, HeaderBlock: response.HeaderBlock,
+		Body: response.Body, Length: response.Length, Checksum: response.Checksum, Revision: response.Revision}
 }
 
 // admissionRequestOf is what a dispatch asks of the buffer before its worker.
-func admissionRequestOf(request *schema.Carry, arrivedAt time.Duration) AdmissionRequest {
-	admission := AdmissionRequest{Route: request.Route, Priority: request.Rank, Deadline: arrivedAt + time.Duration(request.LeftNanos)}
-	if request.AimNanos != 0 {
-		admission.TargetAt = arrivedAt + time.Duration(request.AimNanos)
+func admissionRequestOf(request *schema.ForwardRequest, arrivedAt time.Duration) AdmissionRequest {
+	admission := AdmissionRequest{Route: request.Route, Priority: request.Priority, Deadline: arrivedAt + time.Duration(request.TimeLeftNanos)}
+	if request.LatencyTargetNanos != 0 {
+		admission.TargetAt = arrivedAt + time.Duration(request.LatencyTargetNanos)
 	}
 	return admission
 }
 
 // awaitAdmission lets a request wait for its turn; nil: it has it.
-func (r *Runner) awaitAdmission(ctx context.Context, worker *localWorker, request *schema.Carry, arrivedAt time.Duration, remaining func() time.Duration) *schema.Carried {
+func (r *Runner) awaitAdmission(ctx context.Context, worker *localWorker, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
 	admission, queued := worker.queue.Admit(r.Now(), admissionRequestOf(request, arrivedAt))
 	if queued != nil {
 		admission = worker.queue.Wait(ctx, queued, remaining())
@@ -199,13 +199,13 @@
 		r.Disconnects.Dequeued.Add(1)
 	}
 	response := notExecuted(admission.Refusal, 0)
-	response.BackNanos = int64(admission.RetryAfter)
+	response.RetryAfterNanos = int64(admission.RetryAfter)
 	return response
 }
 
 // reserveAdmission answers an enquiry: it waits as the request would, and its turn is then kept for the request
 // for a part of the time left, so that no body comes which is then refused. Nothing is run.
-func (r *Runner) reserveAdmission(ctx context.Context, request *schema.Carry, arrivedAt time.Duration, remaining func() time.Duration) *schema.Carried {
+func (r *Runner) reserveAdmission(ctx context.Context, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
 	worker, _, refusal := r.Workers.find(request)
 	if refusal != "" {
 		return notExecuted(refusal, r.View().Config.Revision)
@@ -223,7 +223,7 @@
 }
 
 // runOnWorker lets a request wait for its turn, and gives it to the worker.
-func (r *Runner) runOnWorker(ctx context.Context, request *schema.Carry, arrivedAt time.Duration, remaining func() time.Duration) *schema.Carried {
+func (r *Runner) runOnWorker(ctx context.Context, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
 	worker, _, refusal := r.Workers.find(request)
 	if refusal != "" {
 		return notExecuted(refusal, 0)
@@ -237,7 +237,7 @@
 	delivery := handover{result: ResultNotRun}
 	// From here on it is the worker's time, and its version's doing.
 	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, r.View().Config.VersionRevision(request.Service, request.Version))
-	caller := r.Disconnects.watchCaller(ctx, !request.Once, r.MaxOverrun, r.Now)
+	caller := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
 	response := r.sendToWorker(ctx, worker, request, remaining, &delivery)
 	now := r.Now()
 	r.recordDisconnect(caller, request, response, delivery.sentAt, now)
@@ -246,26 +246,26 @@
 	}
 	// How a call would have ended that had not the time calls take is not known.
 	truncated := delivery.result != ResultAnswered && remaining() < timeAllowed/truncatedRunDivisor && now-startedAt < overdueFactor*worker.queue.ServiceTime()
-	if ran := response.Ending != schema.Ending_ENDING_NOT_RUN; ran && r.Outliers != nil && !truncated && !isCanceled(response) {
+	if ran := response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED; ran && r.Outliers != nil && !truncated && !isCanceled(response) {
 		r.Outliers.RecordRun(request.Instance, now, delivery.result != ResultAnswered)
 	}
-	worker.queue.RecordAnswerSize(len(response.Head) + len(response.Body))
+	worker.queue.RecordAnswerSize(len(response.HeaderBlock) + len(response.Body))
 	worker.queue.Release(now, request.Route, delivery.result, now-startedAt)
 	workCount.End(now, now-startedAt, response)
 	return response
 }
 
 // recordDisconnect counts what became of a call whose caller left while it was handed over or run.
-func (r *Runner) recordDisconnect(watch *disconnectWatch, request *schema.Carry, response *schema.Carried, sentAt, now time.Duration) {
+func (r *Runner) recordDisconnect(watch *disconnectWatch, request *schema.ForwardRequest, response *schema.ForwardResponse, sentAt, now time.Duration) {
 	disconnectedAt, disconnected := watch.finish()
 	if disconnected && sentAt > disconnectedAt+r.MaxOverrun {
 		r.Disconnects.SentLate.Add(1)
 	}
 	switch {
 	case !disconnected:
-	case response.Ending == schema.Ending_ENDING_NOT_RUN:
+	case response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED:
 		r.Disconnects.Dequeued.Add(1)
-	case request.Once:
+	case request.NonIdempotent:
 		r.Disconnects.RanToEnd.Add(1)
 	default:
 		if isCanceled(response) {
@@ -286,14 +286,14 @@
 }
 
 // sendToWorker gives a request to the worker; from the first byte on, it may have run.
-func (r *Runner) sendToWorker(ctx context.Context, worker *localWorker, request *schema.Carry, remaining func() time.Duration, delivery *handover) *schema.Carried {
+func (r *Runner) sendToWorker(ctx context.Context, worker *localWorker, request *schema.ForwardRequest, remaining func() time.Duration, delivery *handover) *schema.ForwardResponse {
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	defer fasthttp.ReleaseResponse(httpResponse)
 	httpRequest.Header.DisableNormalizing()
 	httpRequest.Header.SetMethod(request.Method)
 	httpRequest.SetRequestURI(request.Target)
-	for name, value := range Fields(request.Head) {
+	for name, value := range Fields(request.HeaderBlock) {
 		httpRequest.Header.AddBytesKV(name, value)
 	}
 	httpRequest.SetBodyRaw(request.Body)
@@ -319,7 +319,7 @@
 	defer x.releaseMemory()
 	x.ctx = ctx
 	// What may not be repeated runs to its end, whoever waits for it.
-	if request.Once {
+	if request.NonIdempotent {
 		x.ctx = context.WithoutCancel(ctx)
 	}
 	err := worker.conns.roundTrip(ctx, &x)
@@ -348,19 +348,19 @@
 		return outcomeUnknown(defect.InvalidResponse)
 	}
 	delivery.result = ResultAnswered
-	response := &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: int32(httpResponse.StatusCode()), Body: x.body,
+	response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: int32(httpResponse.StatusCode()), Body: x.body,
 		Length: uint64(len(x.body)), Checksum: crc32.ChecksumIEEE(x.body)}
 	for name, value := range httpResponse.Header.All() {
 		if r.Codec.PassesHeader(name, true) {
-			response.Head = AppendField(response.Head, name, value)
+			response.HeaderBlock = AppendField(response.HeaderBlock, name, value)
 		}
 	}
 	return response
 }
 
 // withReachedWorker says of a refusal that it is a worker's own: the request came to it all the same.
-func withReachedWorker(response *schema.Carried) *schema.Carried {
-	response.Met = true
+func withReachedWorker(response *schema.ForwardResponse) *schema.ForwardResponse {
+	response.ReachedWorker = true
 	return response
 }
 
--- a/internal/dispatch/run_test.go
+++ b/internal/dispatch/run_test.go
@@ -18,35 +18,35 @@
 // Every refusal of the worker's side is not-run, and is true.
 func TestRefusalsRunNothing(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(s *workerFixture, c *schema.Carry)
+		change func(s *workerFixture, c *schema.ForwardRequest)
 		peer   link.Peer
 		want   defect.Code
 	}{
-		"a caller the peer may not speak for": {func(_ *workerFixture, c *schema.Carry) { c.Caller = "saves" }, client, defect.CallerNotAllowed},
-		"a peer without a certificate":        {func(*workerFixture, *schema.Carry) {}, link.Peer{}, defect.CallerNotAllowed},
-		"an altered body":                     {func(_ *workerFixture, c *schema.Carry) { c.Body = []byte("x") }, client, defect.MalformedRequest},
-		"an instance that is no more":         {func(_ *workerFixture, c *schema.Carry) { c.Instance = "p/old/1" }, client, defect.WrongInstance},
-		"another version":                     {func(_ *workerFixture, c *schema.Carry) { c.Version = "2" }, client, defect.WrongInstance},
-		"another service":                     {func(_ *workerFixture, c *schema.Carry) { c.Service = "saves" }, client, defect.WrongInstance},
-		"a version no setup lists":            {func(_ *workerFixture, c *schema.Carry) { c.Version = "9" }, client, defect.VersionNotAllowed},
-		"a service no setup lists":            {func(_ *workerFixture, c *schema.Carry) { c.Service = "nowhere" }, client, defect.VersionNotAllowed},
-		"a plan by rules long replaced":       {func(_ *workerFixture, c *schema.Carry) { c.Setup = 3 }, client, defect.StalePlan},
-		"no time left":                        {func(_ *workerFixture, c *schema.Carry) { c.LeftNanos = 0 }, client, defect.DeadlineExceeded},
-		"a proxy without a lease":             {func(s *workerFixture, _ *schema.Carry) { s.runner.HasLease = func() bool { return false } }, client, defect.NoLease},
-		"a worker that is leaving": {func(s *workerFixture, _ *schema.Carry) {
+		"a caller the peer may not speak for": {func(_ *workerFixture, c *schema.ForwardRequest) { c.Caller = "saves" }, client, defect.CallerNotAllowed},
+		"a peer without a certificate":        {func(*workerFixture, *schema.ForwardRequest) {}, link.Peer{}, defect.CallerNotAllowed},
+		"an altered body":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Body = []byte("x") }, client, defect.MalformedRequest},
+		"an instance that is no more":         {func(_ *workerFixture, c *schema.ForwardRequest) { c.Instance = "p/old/1" }, client, defect.WrongInstance},
+		"another version":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Version = "2" }, client, defect.WrongInstance},
+		"another service":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Service = "saves" }, client, defect.WrongInstance},
+		"a version no setup lists":            {func(_ *workerFixture, c *schema.ForwardRequest) { c.Version = "9" }, client, defect.VersionNotAllowed},
+		"a service no setup lists":            {func(_ *workerFixture, c *schema.ForwardRequest) { c.Service = "nowhere" }, client, defect.VersionNotAllowed},
+		"a plan by rules long replaced":       {func(_ *workerFixture, c *schema.ForwardRequest) { c.Revision = 3 }, client, defect.StalePlan},
+		"no time left":                        {func(_ *workerFixture, c *schema.ForwardRequest) { c.TimeLeftNanos = 0 }, client, defect.DeadlineExceeded},
+		"a proxy without a lease":             {func(s *workerFixture, _ *schema.ForwardRequest) { s.runner.HasLease = func() bool { return false } }, client, defect.NoLease},
+		"a worker that is leaving": {func(s *workerFixture, _ *schema.ForwardRequest) {
 			description := s.describe("127.0.0.1:1", s.workersByAddress["127.0.0.1:1"])
 			description.Draining = true
 			_, _ = s.workers.Register(description)
 		}, client, defect.WorkerDraining},
-		"a worker that fell silent": {func(s *workerFixture, _ *schema.Carry) {
+		"a worker that fell silent": {func(s *workerFixture, _ *schema.ForwardRequest) {
 			time.Sleep(4 * time.Second)
 			s.workers.DropUnresponsive()
 		}, client, defect.WrongInstance},
-		"an address now another's, told": {func(s *workerFixture, _ *schema.Carry) {
+		"an address now another's, told": {func(s *workerFixture, _ *schema.ForwardRequest) {
 			s.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 			_, _ = s.workers.Register(s.describe("127.0.0.1:1", s.workersByAddress["127.0.0.1:1"]))
 		}, client, defect.WrongInstance},
-		"an address now another's, not yet told": {func(s *workerFixture, _ *schema.Carry) {
+		"an address now another's, not yet told": {func(s *workerFixture, _ *schema.ForwardRequest) {
 			s.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 		}, client, defect.WrongInstance},
 	} {
@@ -57,8 +57,8 @@
 				c := newForwardRequest("r1", instance)
 				test.change(s, c)
 				got := s.runner.Run(t.Context(), test.peer, c)
-				if got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != string(test.want) {
-					t.Errorf("ended %v with %s, want not run with %s", got.Ending, got.Defect, test.want)
+				if got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(test.want) {
+					t.Errorf("ended %v with %s, want not run with %s", got.Outcome, got.ErrorCode, test.want)
 				}
 				if runs := s.recordedRuns(); len(runs) > 0 {
 					t.Errorf("it ran: %v", runs)
@@ -72,19 +72,19 @@
 func TestAnswersMustBeWhole(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
-		want   schema.Ending
+		want   schema.CallOutcome
 	}{
-		"whole":                        {jsonAnswer(`{"a":1}`), schema.Ending_ENDING_ANSWERED},
-		"whole, in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: Content-Length\r\n\r\n3\r\nabc\r\n0\r\n\r\n", schema.Ending_ENDING_ANSWERED},
-		"an error of the worker's":     {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", schema.Ending_ENDING_ANSWERED},
-		"cut short":                    {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", schema.Ending_ENDING_UNKNOWN},
-		"cut short in a chunk":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc", schema.Ending_ENDING_UNKNOWN},
-		"ended by the connection":      {"HTTP/1.1 200 OK\r\n\r\nabc", schema.Ending_ENDING_UNKNOWN},
-		"garbage for a status":         {"HTTP/1.1 9 ?\r\nContent-Length: 0\r\n\r\n", schema.Ending_ENDING_UNKNOWN},
-		"no HTTP":                      {"this is not an answer at all\r\n\r\n", schema.Ending_ENDING_UNKNOWN},
-		"JSON that is not":             {strings.Replace(jsonAnswer(`{"a":1}`), `{"a":1}`, `{"a":1]`, 1), schema.Ending_ENDING_UNKNOWN},
-		"larger than is taken":         {jsonAnswer(`"` + strings.Repeat("x", 5000) + `"`), schema.Ending_ENDING_UNKNOWN},
-		"nothing, the work being done": {"", schema.Ending_ENDING_UNKNOWN},
+		"whole":                        {jsonAnswer(`{"a":1}`), schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"whole, in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: Content-Length\r\n\r\n3\r\nabc\r\n0\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"an error of the worker's":     {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"cut short":                    {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"cut short in a chunk":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"ended by the connection":      {"HTTP/1.1 200 OK\r\n\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"garbage for a status":         {"HTTP/1.1 9 ?\r\nContent-Length: 0\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"no HTTP":                      {"this is not an answer at all\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"JSON that is not":             {strings.Replace(jsonAnswer(`{"a":1}`), `{"a":1}`, `{"a":1]`, 1), schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"larger than is taken":         {jsonAnswer(`"` + strings.Repeat("x", 5000) + `"`), schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"nothing, the work being done": {"", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -92,7 +92,7 @@
 				instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 				worker.answer = func(string) string {
 					// A cut answer is followed by the end of the connection.
-					if test.want == schema.Ending_ENDING_UNKNOWN {
+					if test.want == schema.CallOutcome_CALL_OUTCOME_UNKNOWN {
 						go func() {
 							time.Sleep(time.Millisecond)
 							s.lock.Lock()
@@ -104,8 +104,8 @@
 					}
 					return test.answer
 				}
-				if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Ending != test.want {
-					t.Errorf("ended %v with %s, want %v", got.Ending, got.Defect, test.want)
+				if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != test.want {
+					t.Errorf("ended %v with %s, want %v", got.Outcome, got.ErrorCode, test.want)
 				}
 			})
 		})
@@ -171,10 +171,10 @@
 					if seeded {
 						key += name
 					}
-					got := cache.Do(t.Context(), key, []byte("body"), func(string) (*schema.Carried, string) {
+					got := cache.Do(t.Context(), key, []byte("body"), func(string) (*schema.ForwardResponse, string) {
 						yield()
 						runs.Add(1)
-						return &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200, Body: []byte("one")}, "w"
+						return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Body: []byte("one")}, "w"
 					})
 					if string(got.Body) == "one" {
 						answered.Add(1)
@@ -204,18 +204,18 @@
 func TestIdempotencyCache(t *testing.T) {
 	cache := NewIdempotencyCache(2)
 	runs := 0
-	try := func(key, body string, ending schema.Ending, at string) *schema.Carried {
-		return cache.Do(context.Background(), key, []byte(body), func(string) (*schema.Carried, string) {
+	try := func(key, body string, ending schema.CallOutcome, at string) *schema.ForwardResponse {
+		return cache.Do(context.Background(), key, []byte(body), func(string) (*schema.ForwardResponse, string) {
 			runs++
-			return &schema.Carried{Ending: ending}, at
+			return &schema.ForwardResponse{Outcome: ending}, at
 		})
 	}
-	unknownEnding, notRunEnding, answered := schema.Ending_ENDING_UNKNOWN, schema.Ending_ENDING_NOT_RUN, schema.Ending_ENDING_ANSWERED
+	unknownEnding, notRunEnding, answered := schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_ANSWERED
 	for i, test := range []struct {
 		key, body string
-		ending    schema.Ending
+		ending    schema.CallOutcome
 		at        string
-		want      schema.Ending
+		want      schema.CallOutcome
 		ran       int
 	}{
 		{"k", "b", notRunEnding, "", notRunEnding, 1},    // not run: the key is free again
@@ -228,8 +228,8 @@
 		{"u", "b", answered, "", unknownEnding, 5},       // stays unknown, and is not run
 		{"v", "b", answered, "", answered, 6},            // makes room: the oldest goes
 	} {
-		if got := try(test.key, test.body, test.ending, test.at); got.Ending != test.want || runs != test.ran {
-			t.Errorf("step %d: ended %v after %d runs, want %v after %d", i, got.Ending, runs, test.want, test.ran)
+		if got := try(test.key, test.body, test.ending, test.at); got.Outcome != test.want || runs != test.ran {
+			t.Errorf("step %d: ended %v after %d runs, want %v after %d", i, got.Outcome, runs, test.want, test.ran)
 		}
 	}
 }
@@ -239,8 +239,8 @@
 	cache := NewIdempotencyCache(100)
 	large := make([]byte, 10*bytesPerKey)
 	for i := range 50 {
-		cache.Do(context.Background(), fmt.Sprint(i), nil, func(string) (*schema.Carried, string) {
-			return &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Body: large}, "w"
+		cache.Do(context.Background(), fmt.Sprint(i), nil, func(string) (*schema.ForwardResponse, string) {
+			return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Body: large}, "w"
 		})
 	}
 	if cache.answerBytes > 100*bytesPerKey || len(cache.order) != 10 || len(cache.entries) != 10 {
@@ -248,9 +248,9 @@
 	}
 	runs := 0
 	for _, key := range []string{"0", "49"} {
-		cache.Do(context.Background(), key, nil, func(string) (*schema.Carried, string) {
+		cache.Do(context.Background(), key, nil, func(string) (*schema.ForwardResponse, string) {
 			runs++
-			return &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED}, "w"
+			return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED}, "w"
 		})
 	}
 	if runs != 1 {
@@ -265,15 +265,15 @@
 		instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 		leased := false
 		s.runner.HasLease = func() bool { return leased }
-		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Ending != schema.Ending_ENDING_NOT_RUN {
-			t.Fatalf("ended %v", got.Ending)
+		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
+			t.Fatalf("ended %v", got.Outcome)
 		}
 		leased = true
-		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Ending != schema.Ending_ENDING_UNKNOWN || len(s.recordedRuns()) > 0 {
-			t.Errorf("delivered again it ended %v, with runs %v", got.Ending, s.recordedRuns())
+		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || len(s.recordedRuns()) > 0 {
+			t.Errorf("delivered again it ended %v, with runs %v", got.Outcome, s.recordedRuns())
 		}
-		if got := s.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); got.Ending != schema.Ending_ENDING_ANSWERED {
-			t.Errorf("another request ended %v", got.Ending)
+		if got := s.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
+			t.Errorf("another request ended %v", got.Outcome)
 		}
 	})
 }
@@ -309,13 +309,13 @@
 					}
 					return said
 				}
-				run := func(turn int, given time.Duration) *schema.Carried {
+				run := func(turn int, given time.Duration) *schema.ForwardResponse {
 					test := newForwardRequest(fmt.Sprint("r", turn), instance)
-					test.LeftNanos = int64(given)
+					test.TimeLeftNanos = int64(given)
 					return s.runner.Run(t.Context(), client, test)
 				}
 				for turn := range answers {
-					if got := run(turn, time.Minute); got.Ending != schema.Ending_ENDING_ANSWERED || got.Failed != 0 || got.Ran != 0 {
+					if got := run(turn, time.Minute); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || got.RecentFailures != 0 || got.RecentRuns != 0 {
 						t.Fatal(got)
 					}
 				}
--- a/internal/dispatch/see_test.go
+++ b/internal/dispatch/see_test.go
@@ -11,8 +11,8 @@
 // What a worker has there is told by the later of its last answer and the directory, less what
 // this process has there, and gives way to what is usual as it ages.
 func TestOtherInFlight(t *testing.T) {
-	answer := func(running, waiting, slots uint32) *schema.Carried {
-		return &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200, Running: running, Waiting: waiting, Slots: slots, PaceNanos: int64(time.Second)}
+	answer := func(running, waiting, slots uint32) *schema.ForwardResponse {
+		return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Running: running, Queued: waiting, Slots: slots, ServiceTimeNanos: int64(time.Second)}
 	}
 	detector := NewOutlierDetector(5, 5*time.Second)
 	worker := plan.Endpoint{Instance: "w", Slots: 9, Running: 4, Waiting: 1, ReportedAt: time.Second}
@@ -43,7 +43,7 @@
 	for _, test := range []struct{ told, until time.Duration }{{100 * time.Millisecond, 100 * time.Millisecond}, {0, 5 * time.Second / fullEjectionDivisor}, {time.Hour, 5 * time.Second}} {
 		for range 3 {
 			detector.BeginCall("w", 0)
-			detector.RecordResponse("w", time.Minute, time.Millisecond, &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: "BUFFER_FULL", BackNanos: int64(test.told)})
+			detector.RecordResponse("w", time.Minute, time.Millisecond, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: "BUFFER_FULL", RetryAfterNanos: int64(test.told)})
 		}
 		before, after := detector.Stats(&worker, time.Minute+test.until-1), detector.Stats(&worker, time.Minute+test.until)
 		if !before.Full || after.Full || before.Ejected || before.RecentFailures > 0 || before.InFlight != 0 {
--- a/internal/dispatch/soundness.go
+++ b/internal/dispatch/soundness.go
@@ -246,20 +246,20 @@
 
 // RecordResponse takes what came back of a call sent to a worker, took being how long that was: how it
 // ended, the load that the worker's proxy told with it, and whether there was room.
-func (d *OutlierDetector) RecordResponse(instance string, now, elapsed time.Duration, response *schema.Carried) {
+func (d *OutlierDetector) RecordResponse(instance string, now, elapsed time.Duration, response *schema.ForwardResponse) {
 	if state := d.stateOf(instance); isCapacityRefusal(response) {
 		// It says nothing of how sound the worker is, only that it is tried last until there is room.
 		state.inFlight.Add(-1)
-		retryAfter := time.Duration(response.BackNanos)
+		retryAfter := time.Duration(response.RetryAfterNanos)
 		if retryAfter <= 0 {
 			retryAfter = d.ejection() / fullEjectionDivisor
 		}
 		state.fullUntil.Store(int64(now + min(retryAfter, d.ejection())))
 	} else {
-		d.EndCall(instance, now, response.Ending != schema.Ending_ENDING_ANSWERED || response.Status >= 500)
+		d.EndCall(instance, now, response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || response.Status >= 500)
 	}
 	state := d.stateOf(instance)
-	if response.Slots > 0 || response.Ending == schema.Ending_ENDING_ANSWERED {
+	if response.Slots > 0 || response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 		state.lastResponseAt.Store(int64(now))
 	}
 	state.observeLoad(now, elapsed, response)
@@ -274,7 +274,7 @@
 }
 
 // RecordOffer notes whether a worker that was asked took a call of a route.
-func (d *OutlierDetector) RecordOffer(instance, route string, now time.Duration, response *schema.Carried) {
+func (d *OutlierDetector) RecordOffer(instance, route string, now time.Duration, response *schema.ForwardResponse) {
 	state, full := d.stateOf(instance), isCapacityRefusal(response)
 	state.lock.Lock()
 	defer state.lock.Unlock()
@@ -317,13 +317,13 @@
 }
 
 // isCapacityRefusal tells whether a call was refused for want of room or time, by who knows the worker best.
-func isCapacityRefusal(response *schema.Carried) bool {
-	code := defect.Code(response.Defect)
-	return response.Ending == schema.Ending_ENDING_NOT_RUN && (code == defect.QueueFull || code == defect.DeadlineExceeded)
+func isCapacityRefusal(response *schema.ForwardResponse) bool {
+	code := defect.Code(response.ErrorCode)
+	return response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (code == defect.QueueFull || code == defect.DeadlineExceeded)
 }
 
 // observeLoad takes the load that was told with an answer or a refusal.
-func (s *workerState) observeLoad(now, took time.Duration, response *schema.Carried) {
+func (s *workerState) observeLoad(now, took time.Duration, response *schema.ForwardResponse) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.refusalRate -= s.refusalRate / refusalAveragingDivisor
@@ -331,8 +331,8 @@
 		s.refusalRate += 1.0 / refusalAveragingDivisor
 	}
 	// Its proxy knows best how long the worker takes; from here, the way and the wait are in it too.
-	reported := time.Duration(response.PaceNanos)
-	if reported == 0 && response.Ending == schema.Ending_ENDING_ANSWERED {
+	reported := time.Duration(response.ServiceTimeNanos)
+	if reported == 0 && response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 		reported = took
 	}
 	if s.serviceTime == 0 {
@@ -344,9 +344,9 @@
 	if response.Slots == 0 {
 		return
 	}
-	s.reportedCalls = callRecord{float64(response.Ran), float64(min(response.Failed, response.Ran)), now}
+	s.reportedCalls = callRecord{float64(response.RecentRuns), float64(min(response.RecentFailures, response.RecentRuns)), now}
 	s.slots = int(response.Slots)
-	s.otherInFlight = max(0, float64(int64(response.Running)+int64(response.Waiting)-s.inFlight.Load()))
+	s.otherInFlight = max(0, float64(int64(response.Running)+int64(response.Queued)-s.inFlight.Load()))
 	if !s.hasLoad {
 		s.baselineInFlight = s.otherInFlight
 	}
--- a/internal/dispatch/soundness_test.go
+++ b/internal/dispatch/soundness_test.go
@@ -49,7 +49,7 @@
 	detector := NewOutlierDetector(3, 5*time.Second)
 	worker := plan.Endpoint{Instance: "w", Proxy: "p", ServiceTime: 100 * ms, Slots: 9}
 	silent := func(now time.Duration) bool { return detector.Stats(&worker, now).Ejected }
-	answer := &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200, Slots: 9, PaceNanos: int64(100 * ms)}
+	answer := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Slots: 9, ServiceTimeNanos: int64(100 * ms)}
 	detector.BeginCall("w", 1000*ms)
 	detector.BeginCall("w", 1200*ms)
 	if silent(1600*ms) || !silent(1601*ms) {
@@ -79,9 +79,9 @@
 	for range 10 {
 		beside.RecordRun("w", time.Second, true)
 	}
-	answer := &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200, Slots: 9}
-	if answer.Ran, answer.Failed = beside.RunCounts("w", time.Second); answer.Ran != 50 || answer.Failed != 10 {
-		t.Fatalf("told %d of %d", answer.Failed, answer.Ran)
+	answer := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Slots: 9}
+	if answer.RecentRuns, answer.RecentFailures = beside.RunCounts("w", time.Second); answer.RecentRuns != 50 || answer.RecentFailures != 10 {
+		t.Fatalf("told %d of %d", answer.RecentFailures, answer.RecentRuns)
 	}
 	if own := beside.Stats(&worker, time.Second); own.RecentCalls != 50 || own.RecentFailures != 10 {
 		t.Errorf("beside it, seen %+v", own)
@@ -102,7 +102,7 @@
 	if stats := caller.Stats(&worker, 12*time.Second); stats.RecentFailures != 0 {
 		t.Errorf("seen %+v", stats)
 	}
-	answer.Ran, answer.Failed = 0, 0
+	answer.RecentRuns, answer.RecentFailures = 0, 0
 	caller.BeginCall("w", 12*time.Second)
 	caller.RecordResponse("w", 12*time.Second, time.Second, answer)
 	if stats := caller.Stats(&worker, 12*time.Second); stats.RecentFailures != 0 {
--- a/internal/dispatch/spare_test.go
+++ b/internal/dispatch/spare_test.go
@@ -11,22 +11,22 @@
 // A worker that turns most calls of a route away is asked for some more than it takes, not for
 // all; other routes are not held back by that, and with time it gets its calls back.
 func TestShouldSkip(t *testing.T) {
-	full := &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.QueueFull)}
-	accepted := &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200}
+	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.QueueFull)}
+	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
 	for name, test := range map[string]struct {
-		answers []*schema.Carried
+		answers []*schema.ForwardResponse
 		route   string
 		after   time.Duration
 		random  float64
 		want    bool
 	}{
 		"never refused":           {nil, "r", 0, 0, false},
-		"one refusal says little": {[]*schema.Carried{full, full}, "r", 0, 0, false},
-		"takes none":              {[]*schema.Carried{full, full, full, full, full, full}, "r", 0, 0.5, true},
-		"but is asked at times":   {[]*schema.Carried{full, full, full, full, full, full}, "r", 0, 0.6, false},
-		"takes half":              {[]*schema.Carried{full, accepted, full, accepted, full, accepted}, "r", 0, 0, false},
-		"another route":           {[]*schema.Carried{full, full, full, full, full, full}, "other", 0, 0, false},
-		"a while later":           {[]*schema.Carried{full, full, full, full, full, full}, "r", 5 * time.Second, 0, false},
+		"one refusal says little": {[]*schema.ForwardResponse{full, full}, "r", 0, 0, false},
+		"takes none":              {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 0, 0.5, true},
+		"but is asked at times":   {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 0, 0.6, false},
+		"takes half":              {[]*schema.ForwardResponse{full, accepted, full, accepted, full, accepted}, "r", 0, 0, false},
+		"another route":           {[]*schema.ForwardResponse{full, full, full, full, full, full}, "other", 0, 0, false},
+		"a while later":           {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 5 * time.Second, 0, false},
 	} {
 		s := NewOutlierDetector(5, 5*time.Second)
 		for _, answer := range test.answers {
@@ -41,8 +41,8 @@
 
 // What is asked settles at a multiple of what is taken, however much more there is to ask.
 func TestShouldSkipConverges(t *testing.T) {
-	full := &schema.Carried{Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.QueueFull)}
-	accepted := &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200}
+	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.QueueFull)}
+	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
 	s, rolled := NewOutlierDetector(5, 5*time.Second), 0.0
 	random := func() float64 {
 		rolled += 0.618
--- a/internal/dispatch/speech.go
+++ b/internal/dispatch/speech.go
@@ -39,9 +39,9 @@
 // HTTP: it reads and writes headers, and decides nothing.
 type WorkerCodec interface {
 	// WriteHeaders sets what a request says to its worker beside method, target, body and the headers passed on.
-	WriteHeaders(request *fasthttp.Request, carry *schema.Carry, worker WorkerRegistration, left time.Duration)
+	WriteHeaders(request *fasthttp.Request, carry *schema.ForwardRequest, worker WorkerRegistration, left time.Duration)
 	// ReadHeader tells what the head of an answer says.
-	ReadHeader(header *fasthttp.ResponseHeader, carry *schema.Carry) ResponseInfo
+	ReadHeader(header *fasthttp.ResponseHeader, carry *schema.ForwardRequest) ResponseInfo
 	// ValidBody tells whether a body that came whole can be what the worker meant to answer.
 	ValidBody(header *fasthttp.ResponseHeader, body []byte) bool
 	// PassesHeader tells whether a header is passed on, from a caller or, with answer, to it.
@@ -52,7 +52,7 @@
 type NativeCodec struct{}
 
 // WriteHeaders hands a worker the token it registered with, who calls, and what for.
-func (NativeCodec) WriteHeaders(httpRequest *fasthttp.Request, request *schema.Carry, worker WorkerRegistration, _ time.Duration) {
+func (NativeCodec) WriteHeaders(httpRequest *fasthttp.Request, request *schema.ForwardRequest, worker WorkerRegistration, _ time.Duration) {
 	httpRequest.Header.SetHost(worker.Address)
 	httpRequest.Header.Set(HeaderToken, worker.Token)
 	httpRequest.Header.Set(HeaderCaller, request.Caller)
@@ -61,7 +61,7 @@
 }
 
 // ReadHeader finds the one thing that workers say: that the request was not meant for them.
-func (NativeCodec) ReadHeader(header *fasthttp.ResponseHeader, _ *schema.Carry) ResponseInfo {
+func (NativeCodec) ReadHeader(header *fasthttp.ResponseHeader, _ *schema.ForwardRequest) ResponseInfo {
 	return ResponseInfo{WrongWorker: header.StatusCode() == fasthttp.StatusMisdirectedRequest && len(header.Peek(HeaderRefused)) > 0,
 		ClosesConnection: header.ConnectionClose()}
 }
--- a/internal/dispatch/stage_test.go
+++ b/internal/dispatch/stage_test.go
@@ -34,7 +34,7 @@
 	t.Helper()
 	items, faults := fixtureItems, fixtureFaults
 	for _, item := range items {
-		item.Version = &schema.Version{Epoch: 1, Sequence: 1}
+		item.Version = &schema.Version{Term: 1, Sequence: 1}
 	}
 	config, more := setup.Compile(setup.State{}.With(items), sequence)
 	if len(faults)+len(more) > 0 {
@@ -191,8 +191,8 @@
 
 var client = link.LocalPeer("proxy", "q", map[string]bool{"client": true})
 
-func newForwardRequest(request, instance string) *schema.Carry {
+func newForwardRequest(request, instance string) *schema.ForwardRequest {
 	body := []byte(`{"a":1}`)
-	return &schema.Carry{Request: request, Caller: "client", Service: "shop", Version: "1", Instance: instance, Method: "POST", Target: "/shop/buy?n=1",
-		Body: body, Checksum: crc32.ChecksumIEEE(body), LeftNanos: int64(time.Second), Setup: 5, Once: true, Route: "buy"}
+	return &schema.ForwardRequest{Request: request, Caller: "client", Service: "shop", Version: "1", Instance: instance, Method: "POST", Target: "/shop/buy?n=1",
+		Body: body, Checksum: crc32.ChecksumIEEE(body), TimeLeftNanos: int64(time.Second), Revision: 5, NonIdempotent: true, Route: "buy"}
 }
--- a/internal/dispatch/takeup_test.go
+++ b/internal/dispatch/takeup_test.go
@@ -50,7 +50,7 @@
 		workers.DropUnresponsive()
 		listed, got, leaves := workers.List(), "", false
 		if len(listed) > 0 {
-			got, leaves = listed[0].Instance, listed[0].Leaving
+			got, leaves = listed[0].Instance, listed[0].Draining
 		}
 		if got != test.want || leaves != test.leaves || len(listed) > 1 {
 			t.Errorf("%s: %v, want %q", name, listed, test.want)
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -11,14 +11,14 @@
 )
 
 // outcomeNames are the outcomes as callers and operators see them.
-var outcomeNames = map[schema.Ending]string{
-	schema.Ending_ENDING_ANSWERED: "answered",
-	schema.Ending_ENDING_NOT_RUN:  "not-run",
-	schema.Ending_ENDING_UNKNOWN:  "unknown",
+var outcomeNames = map[schema.CallOutcome]string{
+	schema.CallOutcome_CALL_OUTCOME_ANSWERED:     "answered",
+	schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED: "not-run",
+	schema.CallOutcome_CALL_OUTCOME_UNKNOWN:      "unknown",
 }
 
 // OutcomeName is an outcome as callers see it.
-func OutcomeName(ending schema.Ending) string { return outcomeNames[ending] }
+func OutcomeName(ending schema.CallOutcome) string { return outcomeNames[ending] }
 
 type callCountKey struct {
 	flag, service, variation, reason, rule, route, outcome string
@@ -48,11 +48,11 @@
 // outcomeCanceled is the outcome, in counts, of calls that ended with their caller.
 const outcomeCanceled = "called-off"
 
-func outcomeLabel(response *schema.Carried) string {
+func outcomeLabel(response *schema.ForwardResponse) string {
 	if isCanceled(response) {
 		return outcomeCanceled
 	}
-	return outcomeNames[response.Ending]
+	return outcomeNames[response.Outcome]
 }
 
 // Add counts one call by its verdict and outcome.
@@ -76,13 +76,13 @@
 	count := c.countOf(key)
 	count.calls.Add(1)
 	count.nanos.Add(uint64(took))
-	if !isCanceled(result.Response) && (result.Response.Ending != schema.Ending_ENDING_ANSWERED || result.Response.Status >= 500) {
+	if !isCanceled(result.Response) && (result.Response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || result.Response.Status >= 500) {
 		count.failures.Add(1)
 	}
 }
 
 // Counts lists all lines as they stand, current being the setup in use.
-func (c *CallCounter) Counts(currentRevision uint64) []*schema.Count {
+func (c *CallCounter) Counts(currentRevision uint64) []*schema.VerdictCount {
 	c.foldLock.Lock()
 	defer c.foldLock.Unlock()
 	c.counts.Range(func(key callCountKey, count *callCount) bool {
@@ -96,10 +96,10 @@
 		}
 		return true
 	})
-	var counts []*schema.Count
+	var counts []*schema.VerdictCount
 	c.counts.Range(func(key callCountKey, count *callCount) bool {
-		counts = append(counts, &schema.Count{Flag: key.flag, Service: key.service, Variation: key.variation, Reason: key.reason, Rule: key.rule,
-			Route: key.route, Outcome: key.outcome, Setup: key.configRevision, Calls: count.calls.Load(), Failures: count.failures.Load(), Nanos: count.nanos.Load()})
+		counts = append(counts, &schema.VerdictCount{Flag: key.flag, Service: key.service, Variation: key.variation, Reason: key.reason, Rule: key.rule,
+			Route: key.route, Outcome: key.outcome, Revision: key.configRevision, Calls: count.calls.Load(), Failures: count.failures.Load(), TotalNanos: count.nanos.Load()})
 		return true
 	})
 	return counts
--- a/internal/dispatch/tally_test.go
+++ b/internal/dispatch/tally_test.go
@@ -17,7 +17,7 @@
 	tally := NewCallCounter(1000)
 	result := func(sequence uint64) *CallResult {
 		return &CallResult{Plan: &plan.Plan{Route: &setup.Route{Name: "r"}, Service: "shop", Verdict: plan.Verdict{Flag: "f", Version: "1", Reason: flag.ReasonFallthrough, ConfigRevision: sequence}},
-			Response: &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200}}
+			Response: &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}}
 	}
 	const threads, setups, calls = 4, 200, 5
 	var counting sync.WaitGroup
--- a/internal/dispatch/trial.go
+++ b/internal/dispatch/trial.go
@@ -93,28 +93,28 @@
 }
 
 // ApplyGrants takes a registry's answer; the grant counts from when it was asked for.
-func (g *CanaryGuard) ApplyGrants(requestedAt time.Duration, grants []*schema.Trial) {
+func (g *CanaryGuard) ApplyGrants(requestedAt time.Duration, grants []*schema.Canary) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	guards := g.guards()
 	for _, granted := range grants {
 		key := [2]string{granted.Service, granted.Version}
 		// What was told under another statement is of the past, or of a setup not here yet.
-		if statementSequence, guarded := guards.GuardedRevision(granted.Service, granted.Version); !guarded || statementSequence != granted.Plan {
+		if statementSequence, guarded := guards.GuardedRevision(granted.Service, granted.Version); !guarded || statementSequence != granted.PlanSequence {
 			continue
 		}
 		current := g.grants[key]
-		if current.statementSequence != granted.Plan {
-			current = canaryGrant{statementSequence: granted.Plan}
+		if current.statementSequence != granted.PlanSequence {
+			current = canaryGrant{statementSequence: granted.PlanSequence}
 			delete(g.localStops, key)
 			delete(g.windows, key)
 		}
-		if stop, stopped := g.localStops[key]; stopped && granted.Fine && requestedAt >= stop.stoppedAt+judgementGrants*g.options.GrantDuration {
+		if stop, stopped := g.localStops[key]; stopped && granted.Healthy && requestedAt >= stop.stoppedAt+judgementGrants*g.options.GrantDuration {
 			delete(g.localStops, key)
 			delete(g.windows, key)
 		}
 		// A stop stands until something else is stated, whoever grants later.
-		g.grants[key] = canaryGrant{granted.Plan, max(current.expiresAt, requestedAt+g.options.GrantDuration), current.stopped || granted.Stopped}
+		g.grants[key] = canaryGrant{granted.PlanSequence, max(current.expiresAt, requestedAt+g.options.GrantDuration), current.stopped || granted.Blocked}
 	}
 }
 
--- a/internal/dispatch/trial_test.go
+++ b/internal/dispatch/trial_test.go
@@ -20,7 +20,7 @@
 // A proxy of a fleet of ten, which may take forty failures in all: four are its part.
 func newGrantedGuard(now time.Duration) *CanaryGuard {
 	guard := newTestGuard(fakeGuards{"2": 0, "3": 0})
-	guard.ApplyGrants(now, []*schema.Trial{{Service: "shop", Version: "2"}})
+	guard.ApplyGrants(now, []*schema.Canary{{Service: "shop", Version: "2"}})
 	return guard
 }
 
@@ -48,7 +48,7 @@
 	setup := fakeGuards{"2": 4, "3": 0}
 	guard = newTestGuard(setup)
 	grant := func(statement uint64, stopped bool) {
-		guard.ApplyGrants(0, []*schema.Trial{{Service: "shop", Version: "2", Plan: statement, Stopped: stopped}})
+		guard.ApplyGrants(0, []*schema.Canary{{Service: "shop", Version: "2", PlanSequence: statement, Blocked: stopped}})
 	}
 	for i, test := range []struct {
 		do   func()
@@ -122,8 +122,8 @@
 		fine  bool
 		held  bool
 	}{{later, false, true}, {time.Second, true, true}, {later, true, false}} {
-		guard.ApplyGrants(later, []*schema.Trial{{Service: "shop", Version: "2"}})
-		guard.ApplyGrants(test.asked, []*schema.Trial{{Service: "shop", Version: "2", Fine: test.fine}})
+		guard.ApplyGrants(later, []*schema.Canary{{Service: "shop", Version: "2"}})
+		guard.ApplyGrants(test.asked, []*schema.Canary{{Service: "shop", Version: "2", Healthy: test.fine}})
 		if got := guard.VersionBlocked("shop", "2", later); got != test.held {
 			t.Errorf("asked at %v, fine %v: held %v", test.asked, test.fine, got)
 		}
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -16,7 +16,7 @@
 // A body goes to another zone only once there is a turn for it, where it is likely to be refused.
 func TestCapacityCheckBeforeABodyIsSent(t *testing.T) {
 	full := refusing(defect.QueueFull, 9*time.Millisecond, false)
-	room := func(ctx context.Context, request *schema.Carry) (*schema.Carried, error) {
+	room := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		time.Sleep(20 * time.Millisecond) // it waits for its turn
 		return refusing("", 0, false)(ctx, request)
 	}
@@ -27,16 +27,16 @@
 		rejected int // calls that the worker turned away before
 		script   []attemptScript
 		want     string // a letter a dispatch: e for an enquiry, s for one with all its body
-		ending   schema.Ending
+		ending   schema.CallOutcome
 	}{
-		"of the own zone":                                     {body, false, 9, []attemptScript{full, full}, "ss", schema.Ending_ENDING_NOT_RUN},
-		"elsewhere, with room so far":                         {body, true, 0, []attemptScript{answering}, "s", schema.Ending_ENDING_ANSWERED},
-		"elsewhere, after another refused":                    {body, true, 0, []attemptScript{full, full}, "se", schema.Ending_ENDING_NOT_RUN},
-		"elsewhere, after another refused, and there is room": {body, true, 0, []attemptScript{full, room, answering}, "ses", schema.Ending_ENDING_ANSWERED},
-		"elsewhere, that refused of late":                     {body, true, 9, []attemptScript{full, full}, "ee", schema.Ending_ENDING_NOT_RUN},
-		"elsewhere, that refused of late and has room":        {body, true, 9, []attemptScript{room, answering}, "es", schema.Ending_ENDING_ANSWERED},
-		"elsewhere, not reached by the enquiry":               {body, true, 9, []attemptScript{breaking, unopened, room, answering}, "eees", schema.Ending_ENDING_ANSWERED},
-		"elsewhere, with hardly a body":                       {"x", true, 9, []attemptScript{full, full}, "ss", schema.Ending_ENDING_NOT_RUN},
+		"of the own zone":                                     {body, false, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"elsewhere, with room so far":                         {body, true, 0, []attemptScript{answering}, "s", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, after another refused":                    {body, true, 0, []attemptScript{full, full}, "se", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"elsewhere, after another refused, and there is room": {body, true, 0, []attemptScript{full, room, answering}, "ses", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, that refused of late":                     {body, true, 9, []attemptScript{full, full}, "ee", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"elsewhere, that refused of late and has room":        {body, true, 9, []attemptScript{room, answering}, "es", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, not reached by the enquiry":               {body, true, 9, []attemptScript{breaking, unopened, room, answering}, "eees", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, with hardly a body":                       {"x", true, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -50,23 +50,23 @@
 					}
 				}
 				kinds, plain, startedAt, made := "", c.Send, time.Now(), 3100*time.Millisecond
-				c.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.Carry) (*schema.Carried, error) {
+				c.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 					kind := "s"
-					if request.Enquiry {
+					if request.AdmissionOnly {
 						kind = "e"
 					}
-					if request.Enquiry == (len(request.Body) > 0) {
+					if request.AdmissionOnly == (len(request.Body) > 0) {
 						t.Error("an enquiry with its body, or a request without")
 					}
 					kinds += kind
-					if left := made - time.Since(startedAt); request.LeftNanos != int64(left) {
-						t.Errorf("%v is told to be left, not %v", time.Duration(request.LeftNanos), left)
+					if left := made - time.Since(startedAt); request.TimeLeftNanos != int64(left) {
+						t.Errorf("%v is told to be left, not %v", time.Duration(request.TimeLeftNanos), left)
 					}
 					return plain(ctx, candidate, request)
 				}
 				result := c.Forward(t.Context(), &Call{Target: "/a", Body: []byte(test.body), Request: plan.Request{Caller: "client", Method: "PUT", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
-				if kinds != test.want || result.Response.Ending != test.ending {
-					t.Errorf("sent %q, ended %v; want %q, %v", kinds, result.Response.Ending, test.want, test.ending)
+				if kinds != test.want || result.Response.Outcome != test.ending {
+					t.Errorf("sent %q, ended %v; want %q, %v", kinds, result.Response.Outcome, test.want, test.ending)
 				}
 			})
 		})
@@ -138,32 +138,32 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newWorkerFixture(t)
 		instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
-		newCapacityCheck := func(id string) *schema.Carry {
+		newCapacityCheck := func(id string) *schema.ForwardRequest {
 			request := newForwardRequest(id, instance)
-			request.Enquiry, request.Body = true, nil
+			request.AdmissionOnly, request.Body = true, nil
 			return request
 		}
 		worker, _, _ := s.workers.find(newForwardRequest("r1", instance))
 		worker.queue.maxRunning, worker.queue.slots = 1, 0
-		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r1")); got.Ending != schema.Ending_ENDING_NOT_RUN || got.Defect != "" || len(s.recordedRuns()) > 0 {
-			t.Errorf("the enquiry ended %v with %s, runs %v", got.Ending, got.Defect, s.recordedRuns())
+		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r1")); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != "" || len(s.recordedRuns()) > 0 {
+			t.Errorf("the enquiry ended %v with %s, runs %v", got.Outcome, got.ErrorCode, s.recordedRuns())
 		}
-		if got := s.runner.Run(t.Context(), link.Peer{}, newCapacityCheck("r1")); got.Defect != string(defect.CallerNotAllowed) {
-			t.Errorf("a stranger's enquiry ended with %s", got.Defect)
+		if got := s.runner.Run(t.Context(), link.Peer{}, newCapacityCheck("r1")); got.ErrorCode != string(defect.CallerNotAllowed) {
+			t.Errorf("a stranger's enquiry ended with %s", got.ErrorCode)
 		}
-		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r2")); got.Defect != string(defect.QueueFull) {
-			t.Errorf("an enquiry without room ended with %q", got.Defect)
+		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r2")); got.ErrorCode != string(defect.QueueFull) {
+			t.Errorf("an enquiry without room ended with %q", got.ErrorCode)
 		}
-		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Ending != schema.Ending_ENDING_ANSWERED || len(s.recordedRuns()) != 1 {
-			t.Errorf("the request ended %v with %s, runs %v", got.Ending, got.Defect, s.recordedRuns())
+		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(s.recordedRuns()) != 1 {
+			t.Errorf("the request ended %v with %s, runs %v", got.Outcome, got.ErrorCode, s.recordedRuns())
 		}
-		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r3")); got.Defect != "" {
-			t.Errorf("the turn did not come back: %s", got.Defect)
+		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r3")); got.ErrorCode != "" {
+			t.Errorf("the turn did not come back: %s", got.ErrorCode)
 		}
 		unknown := newCapacityCheck("r4")
 		unknown.Instance = "p/old/1"
-		if got := s.runner.Run(t.Context(), client, unknown); got.Defect != string(defect.WrongInstance) {
-			t.Errorf("an enquiry for a worker that is no more ended with %q", got.Defect)
+		if got := s.runner.Run(t.Context(), client, unknown); got.ErrorCode != string(defect.WrongInstance) {
+			t.Errorf("an enquiry for a worker that is no more ended with %q", got.ErrorCode)
 		}
 	})
 }
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -326,16 +326,16 @@
 			zone = w.options.Zone
 		}
 		running, waiting, _ := worker.queue.Load()
-		workers = append(workers, &schema.Worker{Running: running, Waiting: waiting, Instance: worker.instance, Service: worker.description.Service, Version: worker.description.Version,
-			Area: zone, Load: worker.description.Load, Leaving: worker.description.Draining || w.shuttingDown,
-			Slots: worker.description.Slots, WarmNanos: int64(w.remainingWarmup(worker)), PaceNanos: int64(worker.queue.ServiceTime())})
+		workers = append(workers, &schema.Worker{Running: running, Queued: waiting, Instance: worker.instance, Service: worker.description.Service, Version: worker.description.Version,
+			Zone: zone, Load: worker.description.Load, Draining: worker.description.Draining || w.shuttingDown,
+			Slots: worker.description.Slots, WarmupLeftNanos: int64(w.remainingWarmup(worker)), ServiceTimeNanos: int64(worker.queue.ServiceTime())})
 	}
 	sort.Slice(workers, func(i, j int) bool { return workers[i].Instance < workers[j].Instance })
 	return workers
 }
 
 // find gives the live registration that a request was meant for.
-func (w *Workers) find(request *schema.Carry) (*localWorker, string, defect.Code) {
+func (w *Workers) find(request *schema.ForwardRequest) (*localWorker, string, defect.Code) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	worker := w.byInstance[request.Instance]
--- a/internal/dispatch/works.go
+++ b/internal/dispatch/works.go
@@ -55,21 +55,21 @@
 const connectionLossWindow = 100 * time.Millisecond
 
 // End notes how it ended, so long after it was handed over.
-func (c *WorkCount) End(now, took time.Duration, response *schema.Carried) {
+func (c *WorkCount) End(now, took time.Duration, response *schema.ForwardResponse) {
 	if c == nil {
 		return
 	}
 	c.inFlight.Add(-1)
-	if response.Ending == schema.Ending_ENDING_NOT_RUN || isCanceled(response) {
+	if response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || isCanceled(response) {
 		return
 	}
-	if defect.Code(response.Defect) == defect.WorkerConnectionLost {
+	if defect.Code(response.ErrorCode) == defect.WorkerConnectionLost {
 		if before := c.connectionLostAt.Swap(int64(now)); before != 0 && now-time.Duration(before) < connectionLossWindow {
 			return
 		}
 	}
 	c.totalNanos.Add(uint64(took))
-	if response.Ending != schema.Ending_ENDING_ANSWERED || response.Status >= 500 {
+	if response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || response.Status >= 500 {
 		c.failures.Add(1)
 	} else {
 		c.histogram[release.LatencyBucket(took)].Add(1)
@@ -78,20 +78,20 @@
 }
 
 // Report lists the lines of the services that are asked for.
-func (w *WorkCounts) Report(include func(service string) bool) []*schema.Work {
-	var reported []*schema.Work
+func (w *WorkCounts) Report(include func(service string) bool) []*schema.WorkCount {
+	var reported []*schema.WorkCount
 	w.counts.Range(func(key workCountKey, workCount *WorkCount) bool {
 		if !include(key.service) {
 			return true
 		}
-		work := &schema.Work{Service: key.service, Version: key.version, Route: key.route, Plan: key.statementSequence, Calls: workCount.calls.Load(),
-			Failures: workCount.failures.Load(), Nanos: workCount.totalNanos.Load(), Open: uint32(max(0, workCount.inFlight.Load()))}
+		work := &schema.WorkCount{Service: key.service, Version: key.version, Route: key.route, PlanSequence: key.statementSequence, Calls: workCount.calls.Load(),
+			Failures: workCount.failures.Load(), TotalNanos: workCount.totalNanos.Load(), InFlight: uint32(max(0, workCount.inFlight.Load()))}
 		for step := range workCount.histogram {
 			if count := workCount.histogram[step].Load(); count > 0 {
-				for len(work.Times) < step {
-					work.Times = append(work.Times, 0)
+				for len(work.LatencyHistogram) < step {
+					work.LatencyHistogram = append(work.LatencyHistogram, 0)
 				}
-				work.Times = append(work.Times, count)
+				work.LatencyHistogram = append(work.LatencyHistogram, count)
 			}
 		}
 		reported = append(reported, work)
--- a/internal/dispatch/works_test.go
+++ b/internal/dispatch/works_test.go
@@ -27,11 +27,11 @@
 // answers now and then fails each time.
 func TestWorkCountsCountAnEndOnce(t *testing.T) {
 	counts := NewWorkCounts(2)
-	end := func(now time.Duration, response *schema.Carried) {
+	end := func(now time.Duration, response *schema.ForwardResponse) {
 		counts.Begin("shop", "2", "buy", 7).End(now, 20*time.Millisecond, response)
 	}
-	answer := func(status int32) *schema.Carried {
-		return &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: status}
+	answer := func(status int32) *schema.ForwardResponse {
+		return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: status}
 	}
 	end(0, answer(200))
 	end(0, answer(503))
@@ -45,10 +45,10 @@
 	counts.Begin("saves", "1", "load", 0)
 	counts.Begin("saves", "1", "beyond the bound", 0).End(0, 0, answer(200))
 	reported := counts.Report(func(service string) bool { return service == "shop" })
-	if len(reported) != 1 || reported[0].Calls != 5 || reported[0].Failures != 4 || reported[0].Open != 1 || reported[0].Plan != 7 {
+	if len(reported) != 1 || reported[0].Calls != 5 || reported[0].Failures != 4 || reported[0].InFlight != 1 || reported[0].PlanSequence != 7 {
 		t.Fatalf("told %v", reported)
 	}
-	if sum := 0; len(reported[0].Times) != release.LatencyBucket(20*time.Millisecond)+1 || reported[0].Times[len(reported[0].Times)-1] != 1 {
-		t.Errorf("times %v, %d", reported[0].Times, sum)
+	if sum := 0; len(reported[0].LatencyHistogram) != release.LatencyBucket(20*time.Millisecond)+1 || reported[0].LatencyHistogram[len(reported[0].LatencyHistogram)-1] != 1 {
+		t.Errorf("times %v, %d", reported[0].LatencyHistogram, sum)
 	}
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -83,9 +83,9 @@
 	section("route class", textsOf([]setup.Class{setup.ClassNonIdempotent, setup.ClassIdempotent})...)
 	section("release state", release.StateCanary, release.StateRamping, release.StateHolding, release.StateDone, release.StateRolledBack)
 	section("plan as operators are told", textsOf([]registry.RolloutStatus{registry.RolloutInProgress, registry.RolloutDone, registry.RolloutRolledBack})...)
-	endings := schema.Ending(0).Descriptor().Values()
+	endings := schema.CallOutcome(0).Descriptor().Values()
 	for i := range endings.Len() {
-		section(fmt.Sprint("outcome ", endings.Get(i).Number()), dispatch.OutcomeName(schema.Ending(endings.Get(i).Number())))
+		section(fmt.Sprint("outcome ", endings.Get(i).Number()), dispatch.OutcomeName(schema.CallOutcome(endings.Get(i).Number())))
 	}
 	section("headers", dispatch.HeaderRequest, dispatch.HeaderDeadline, dispatch.HeaderOutcome, dispatch.HeaderVersion, dispatch.HeaderReason, dispatch.HeaderConfigRevision,
 		dispatch.HeaderAttempts, dispatch.HeaderCaller, dispatch.HeaderToken, dispatch.HeaderRefused)
--- a/internal/link/called_off_test.go
+++ b/internal/link/called_off_test.go
@@ -19,13 +19,13 @@
 	cancelled chan struct{}
 }
 
-func (w *blockingServer) Run(ctx context.Context, carry *schema.Carry) (*schema.Carried, error) {
+func (w *blockingServer) Run(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	if carry.Request != "stays" {
 		w.started <- struct{}{}
 		<-ctx.Done()
 		w.cancelled <- struct{}{}
 	}
-	return &schema.Carried{Request: carry.Request}, nil
+	return &schema.ForwardResponse{Request: carry.Request}, nil
 }
 
 // A call that is called off ends at the other side too, and costs no other call anything: its link is not met
@@ -47,7 +47,7 @@
 	go func() { _ = serving.Serve(ctx, listener, mux, "proxy") }()
 	t.Cleanup(calling.Close)
 	call := func(ctx context.Context, request string) error {
-		_, err := schema.NewDRPCHopClient(calling.Conn(ctx, listener.Addr().String())).Run(ctx, &schema.Carry{Request: request})
+		_, err := schema.NewDRPCHopClient(calling.Conn(ctx, listener.Addr().String())).Run(ctx, &schema.ForwardRequest{Request: request})
 		return err
 	}
 	for range rounds {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -24,9 +24,9 @@
 	seen chan link.Peer
 }
 
-func (p *peerRecorder) Run(ctx context.Context, carry *schema.Carry) (*schema.Carried, error) {
+func (p *peerRecorder) Run(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	p.seen <- link.PeerFromContext(ctx)
-	return &schema.Carried{Request: carry.Request}, nil
+	return &schema.ForwardResponse{Request: carry.Request}, nil
 }
 
 func credentials(t *testing.T, authority *rehearsal.Authority, role, name string, services ...string) *link.Transport {
@@ -71,7 +71,7 @@
 	call := func(ends *link.Transport) error {
 		bounded, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, address)).Run(bounded, &schema.Carry{Request: "r"})
+		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, address)).Run(bounded, &schema.ForwardRequest{Request: "r"})
 		return err
 	}
 	awaitRefused := func(want uint64) {
@@ -133,7 +133,7 @@
 	address := listener.Addr().String()
 	listener.Close()
 	ends := credentials(t, authority, "proxy", "q")
-	_, err = schema.NewDRPCHopClient(ends.Conn(t.Context(), address)).Run(t.Context(), &schema.Carry{})
+	_, err = schema.NewDRPCHopClient(ends.Conn(t.Context(), address)).Run(t.Context(), &schema.ForwardRequest{})
 	if defect.CodeOf(err) != defect.PeerConnectFailed {
 		t.Errorf("got %v", err)
 	}
@@ -222,7 +222,7 @@
 		defer ends.Close()
 		bounded, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, listener.Addr().String())).Run(bounded, &schema.Carry{Request: "r"})
+		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, listener.Addr().String())).Run(bounded, &schema.ForwardRequest{Request: "r"})
 		return err
 	}
 	if err := call("proxy"); err != nil {
--- a/internal/link/traffic_test.go
+++ b/internal/link/traffic_test.go
@@ -30,7 +30,7 @@
 	defer cancel()
 	go func() { _ = server.Serve(ctx, listener, mux, "proxy") }()
 	for range calls {
-		if _, err := schema.NewDRPCHopClient(client.Conn(ctx, listener.Addr().String())).Run(ctx, &schema.Carry{Body: make([]byte, body)}); err != nil {
+		if _, err := schema.NewDRPCHopClient(client.Conn(ctx, listener.Addr().String())).Run(ctx, &schema.ForwardRequest{Body: make([]byte, body)}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/plan/directory.go
+++ b/internal/plan/directory.go
@@ -12,7 +12,7 @@
 	directory := Directory{}
 	for _, source := range sources {
 		for _, worker := range source.Workers {
-			if worker.Leaving || worker.Gone {
+			if worker.Draining || worker.Terminated {
 				continue
 			}
 			byVersion := directory[worker.Service]
@@ -20,14 +20,14 @@
 				byVersion = map[string][]Endpoint{}
 				directory[worker.Service] = byVersion
 			}
-			endpoint := Endpoint{Instance: worker.Instance, Proxy: source.Name, Address: source.Address, Zone: worker.Area, Load: worker.Load,
-				Slots: int(worker.Slots), Running: int(worker.Running), Waiting: int(worker.Waiting), ServiceTime: time.Duration(worker.PaceNanos)}
+			endpoint := Endpoint{Instance: worker.Instance, Proxy: source.Name, Address: source.Address, Zone: worker.Zone, Load: worker.Load,
+				Slots: int(worker.Slots), Running: int(worker.Running), Waiting: int(worker.Queued), ServiceTime: time.Duration(worker.ServiceTimeNanos)}
 			if firstSeenAt != nil {
 				endpoint.FirstSeenAt = firstSeenAt(worker.Instance)
 			}
 			if reportedAt != nil {
 				endpoint.ReportedAt = reportedAt(source.Name)
-				endpoint.WarmUntil = endpoint.ReportedAt + time.Duration(worker.WarmNanos)
+				endpoint.WarmUntil = endpoint.ReportedAt + time.Duration(worker.WarmupLeftNanos)
 			}
 			byVersion[worker.Version] = append(byVersion[worker.Version], endpoint)
 		}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -37,7 +37,7 @@
 	rules: [{id: "norse", variation: 0, clauses: [{attribute: "country", operator: "in", values: ["no", "se"]}]}]}
 ` + more))
 	for i, item := range items {
-		item.Version = &schema.Version{Epoch: 1, Sequence: uint64(i + 1)}
+		item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 	}
 	config, found := setup.Compile(setup.State{}.With(items), 9)
 	if len(faults)+len(found) > 0 {
@@ -270,7 +270,7 @@
 	var items []*schema.Item
 	for key, body := range bodies {
 		kind, name, _ := strings.Cut(key, "/")
-		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Epoch: 1, Sequence: 1}})
+		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}})
 	}
 	config, faults := setup.Compile(setup.State{}.With(items), 9)
 	if len(faults) > 0 {
--- a/internal/proxy/attend.go
+++ b/internal/proxy/attend.go
@@ -16,11 +16,11 @@
 func (s *Server) establishIncarnation(ctx context.Context) {
 	for ctx.Err() == nil {
 		addresses := s.registryAddresses()
-		replies := make(chan *schema.Greeted, len(addresses))
+		replies := make(chan *schema.IncarnationReply, len(addresses))
 		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
 		for _, address := range addresses {
 			go func() {
-				reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Greet(bounded, &schema.Greeting{Proxy: s.initialOptions.Name})
+				reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Greet(bounded, &schema.IncarnationRequest{Proxy: s.initialOptions.Name})
 				if err != nil {
 					reply = nil
 				}
@@ -50,8 +50,8 @@
 		return
 	}
 	worker := reported[0]
-	s.workers.Restore(dispatch.WorkerDescription{ID: worker.Instance, Address: s.initialOptions.Beside, Service: worker.Service, Version: worker.Version, Zone: worker.Area,
-		Slots: worker.Slots, WarmupMS: time.Duration(worker.WarmNanos).Milliseconds(), HeartbeatMS: s.extensions.workerIDHeartbeat.Milliseconds()})
+	s.workers.Restore(dispatch.WorkerDescription{ID: worker.Instance, Address: s.initialOptions.Beside, Service: worker.Service, Version: worker.Version, Zone: worker.Zone,
+		Slots: worker.Slots, WarmupMS: time.Duration(worker.WarmupLeftNanos).Milliseconds(), HeartbeatMS: s.extensions.workerIDHeartbeat.Milliseconds()})
 }
 
 // checkSuperseded looks for what is said of this proxy itself: where an earlier life's word is higher than
@@ -62,8 +62,8 @@
 			continue
 		}
 		s.lock.Lock()
-		listedIncarnation := source.Stamp.GetIncarnation()
-		superseded := session.IsSuperseded(s.sourceIncarnation, listedIncarnation, source.Stamp.GetEnded())
+		listedIncarnation := source.Version.GetIncarnation()
+		superseded := session.IsSuperseded(s.sourceIncarnation, listedIncarnation, source.Version.GetEnded())
 		if superseded {
 			s.sourceIncarnation = session.NextIncarnation(listedIncarnation)
 		}
@@ -85,7 +85,7 @@
 // sessionEvent is what came of a session: a sign of life, or its end.
 type sessionEvent struct {
 	session *registrySession
-	update  *schema.News // nil for the end
+	update  *schema.Update // nil for the end
 	err     error
 }
 
@@ -153,8 +153,8 @@
 		s.log.V(1).Info("session ended", "registry", event.session.address, "why", defect.CodeOf(event.err))
 		return s.registrySelector.RecordSessionEnd(s.now(), event.session.address)
 	}
-	s.registrySelector.SetCoreMembers(event.update.Cores)
-	return s.registrySelector.RecordHeartbeat(s.now(), event.session.address, event.update.Vouched, time.Duration(event.update.AgeNanos))
+	s.registrySelector.SetCoreMembers(event.update.CoreMembers)
+	return s.registrySelector.RecordHeartbeat(s.now(), event.session.address, event.update.StalenessKnown, time.Duration(event.update.StalenessNanos))
 }
 
 // subscribe has one session with a registry. One on trial tells nothing of this proxy: were it given
@@ -166,15 +166,15 @@
 		case <-ctx.Done():
 		}
 	}
-	state, request := s.journal.View(), &schema.Attending{Node: s.initialOptions.Name, Trial: candidate, BeatNanos: int64(s.leaseDuration / session.HeartbeatsPerLease), LeaseNanos: int64(s.leaseDuration)}
+	state, request := s.journal.View(), &schema.SubscribeRequest{Node: s.initialOptions.Name, Tentative: candidate, HeartbeatNanos: int64(s.leaseDuration / session.HeartbeatsPerLease), LeaseNanos: int64(s.leaseDuration)}
 	if !candidate {
 		request.Source = s.localSource()
 		state = s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{request.Source}})
 	}
-	request.Vector, request.Setup = state.Vector(), state.config.Revision
+	request.Vector, request.Revision = state.Vector(), state.config.Revision
 	stream, err := schema.NewDRPCRegistryClient(s.transport.Conn(ctx, registry.address)).Attend(ctx, request)
 	for err == nil {
-		var update *schema.News
+		var update *schema.Update
 		if update, err = stream.Recv(); err == nil {
 			s.applyUpdate(update)
 			send(sessionEvent{registry, update, nil})
@@ -184,11 +184,11 @@
 }
 
 // applyUpdate folds what a registry sent into the picture.
-func (s *Server) applyUpdate(update *schema.News) {
+func (s *Server) applyUpdate(update *schema.Update) {
 	now := s.now()
 	previousRevision := s.journal.View().config.Revision
-	if len(update.Sources) > 0 || update.Setup > previousRevision {
-		state := s.journal.Append(Event{At: now, ConfigRevision: update.Setup, Items: update.Items, Complete: update.Whole, Sources: update.Sources})
+	if len(update.Sources) > 0 || update.Revision > previousRevision {
+		state := s.journal.Append(Event{At: now, ConfigRevision: update.Revision, Items: update.Items, Complete: update.Complete, Sources: update.Sources})
 		s.outliers.Retain(state.KnownWorkers())
 		if state.config.Revision != previousRevision {
 			s.log.V(1).Info("setup", "sequence", state.config.Revision)
@@ -198,16 +198,16 @@
 	s.checkSuperseded(update.Sources)
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.recordCoreMembers(update.Cores)
-	if len(update.Cores) > 0 {
-		s.coreSize = len(update.Cores)
+	s.recordCoreMembers(update.CoreMembers)
+	if len(update.CoreMembers) > 0 {
+		s.coreSize = len(update.CoreMembers)
 	}
-	if update.Members > 0 {
-		s.reportedFleetSize = int64(update.Members)
+	if update.FleetSize > 0 {
+		s.reportedFleetSize = int64(update.FleetSize)
 	}
 	s.fleetSize.Store(s.fleetSizeEstimate.Observe(now, s.reportedFleetSize))
 	// All that this registry had when it said so is in the picture now.
-	if freshAsOf := now - time.Duration(update.AgeNanos); update.Vouched && freshAsOf > s.freshAsOf {
+	if freshAsOf := now - time.Duration(update.StalenessNanos); update.StalenessKnown && freshAsOf > s.freshAsOf {
 		s.freshAsOf = freshAsOf
 	}
 }
@@ -226,10 +226,10 @@
 		return
 	}
 	source := s.localSource()
-	source.Workers, source.Ended = nil, true
+	source.Workers, source.ShuttingDown = nil, true
 	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
 	defer cancel()
-	if _, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Tell(bounded, &schema.Report{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source}); err != nil {
+	if _, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Tell(bounded, &schema.ProxyReport{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source}); err != nil {
 		s.log.V(1).Info("left without a farewell", "why", defect.CodeOf(err))
 	}
 }
--- a/internal/proxy/claim.go
+++ b/internal/proxy/claim.go
@@ -10,7 +10,7 @@
 // pendingReservation is a claim on its way to one registry.
 type pendingReservation struct {
 	ctx         context.Context
-	reservation *schema.Claim
+	reservation *schema.KeyReservation
 	answers     chan session.ReservationAnswer // has room for every answer, so that nobody waits to give one
 }
 
@@ -18,7 +18,7 @@
 const maxReservationBatch = 1024
 
 // reserveKey takes a claim to every registry and comes back as soon as it is won or lost.
-func (s *Server) reserveKey(ctx context.Context, reservation *schema.Claim) (session.ReservationOutcome, *schema.Claim) {
+func (s *Server) reserveKey(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 	timeout := session.ReservationRoundTimeout(s.leaseDuration)
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -69,16 +69,16 @@
 				more = false
 			}
 		}
-		request := &schema.Claims{}
+		request := &schema.ReserveRequest{}
 		var sent []*pendingReservation
 		for _, pending := range batch {
 			// Who gave up waiting meanwhile wants no claim any more.
-			if pending.ctx.Err() != nil && !pending.reservation.Drop {
+			if pending.ctx.Err() != nil && !pending.reservation.Release {
 				pending.answers <- session.ReservationAnswer{}
 				continue
 			}
 			sent = append(sent, pending)
-			request.Claims = append(request.Claims, pending.reservation)
+			request.Reservations = append(request.Reservations, pending.reservation)
 		}
 		if len(sent) == 0 {
 			continue
@@ -87,11 +87,11 @@
 		reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Claim(bounded, request)
 		cancel()
 		for i, pending := range sent {
-			if err != nil || i >= len(reply.Claimed) {
+			if err != nil || i >= len(reply.Replies) {
 				pending.answers <- session.ReservationAnswer{}
 				continue
 			}
-			pending.answers <- session.ReservationAnswer{MemberID: reply.Seat, Response: reply.Claimed[i]}
+			pending.answers <- session.ReservationAnswer{MemberID: reply.Member, Response: reply.Replies[i]}
 		}
 	}
 }
--- a/internal/proxy/departure_test.go
+++ b/internal/proxy/departure_test.go
@@ -99,7 +99,7 @@
 	register(m.callerProxy, workerHere)
 	register(m.workerProxy, workerThere)
 	item := func(kind, name, body string) *schema.Item {
-		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Epoch: 1, Sequence: 1}}
+		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}}
 	}
 	items := []*schema.Item{
 		item("service", "saves", `{"versions":["v1"],"fallback":"v1"}`),
--- a/internal/proxy/fold_test.go
+++ b/internal/proxy/fold_test.go
@@ -16,14 +16,14 @@
 // fullState is what foldFromScratch keeps.
 type fullState struct {
 	sources         map[string]sourceRecord
-	droppedVersions map[string]*schema.Stamp
+	droppedVersions map[string]*schema.SourceVersion
 	firstSeenAt     map[string]time.Duration
 	directory       plan.Directory
 }
 
 // foldFromScratch works everything out anew from all sources, with each event.
 func foldFromScratch(before fullState, event Event) fullState {
-	after := fullState{sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.Stamp{}, firstSeenAt: map[string]time.Duration{}}
+	after := fullState{sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.SourceVersion{}, firstSeenAt: map[string]time.Duration{}}
 	for name, stamp := range before.droppedVersions {
 		after.droppedVersions[name] = stamp
 	}
@@ -38,15 +38,15 @@
 		if !dropsSilent || event.At-record.receivedAt <= event.SourceTimeout {
 			after.sources[name] = record
 		} else {
-			after.droppedVersions[name] = record.source.Stamp
+			after.droppedVersions[name] = record.source.Version
 		}
 	}
 	for _, source := range event.Sources {
-		if source.Bare {
+		if source.IncarnationOnly {
 			continue
 		}
 		record, found := after.sources[source.Name]
-		if (!found && isNewer(source.Stamp, after.droppedVersions[source.Name])) || (found && isNewer(source.Stamp, record.source.Stamp)) {
+		if (!found && isNewer(source.Version, after.droppedVersions[source.Name])) || (found && isNewer(source.Version, record.source.Version)) {
 			after.sources[source.Name] = sourceRecord{source, event.At}
 			delete(after.droppedVersions, source.Name)
 		}
@@ -75,12 +75,12 @@
 	for turn := range 3000 {
 		event := Event{At: time.Duration(turn) * time.Second}
 		for range random.IntN(4) {
-			entry := &schema.Source{Name: fmt.Sprint("p", random.IntN(12)), Address: "127.0.0.1:1", Stamp: &schema.Stamp{Incarnation: uint64(1 + turn/1000), Counter: uint64(turn - random.IntN(3))},
-				Bare: random.IntN(20) == 0}
+			entry := &schema.Source{Name: fmt.Sprint("p", random.IntN(12)), Address: "127.0.0.1:1", Version: &schema.SourceVersion{Incarnation: uint64(1 + turn/1000), Counter: uint64(turn - random.IntN(3))},
+				IncarnationOnly: random.IntN(20) == 0}
 			// Few instances, so that they go from one source to another and are listed twice.
 			for range random.IntN(4) {
 				entry.Workers = append(entry.Workers, &schema.Worker{Instance: fmt.Sprint("w", random.IntN(20)), Service: fmt.Sprint("s", random.IntN(3)), Version: fmt.Sprint(random.IntN(2)),
-					Leaving: random.IntN(5) == 0, Load: random.Float64()})
+					Draining: random.IntN(5) == 0, Load: random.Float64()})
 			}
 			event.Sources = append(event.Sources, entry)
 		}
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -74,7 +74,7 @@
 // Work notes a call as if it had been handed to a worker beside the proxy and answered.
 func (h *Hollow) Work(service, version, route string, took time.Duration) {
 	line := h.server.runner.WorkCounts.Begin(service, version, route, h.server.view().Config.VersionRevision(service, version))
-	line.End(h.server.now(), took, &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200})
+	line.End(h.server.now(), took, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200})
 }
 
 // ConfigRevision is the sequence in use.
@@ -87,4 +87,4 @@
 func (h *Hollow) Status() Status { return h.server.status() }
 
 // Vector is what the proxy knows of each source.
-func (h *Hollow) Vector() map[string]*schema.Stamp { return h.server.journal.View().Vector() }
+func (h *Hollow) Vector() map[string]*schema.SourceVersion { return h.server.journal.View().Vector() }
--- a/internal/proxy/path_test.go
+++ b/internal/proxy/path_test.go
@@ -66,7 +66,7 @@
 		t.Fatal(err)
 	}
 	item := func(kind, name, body string) *schema.Item {
-		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Epoch: 1, Sequence: 1}}
+		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}}
 	}
 	items := []*schema.Item{
 		item("service", "saves", `{"versions":["v1"],"fallback":"v1"}`),
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -78,7 +78,7 @@
 	lock              sync.Mutex
 	leaseGate         *session.LeaseGate
 	servingGate       servingGate // whether this proxy may decide calls
-	coreMembers       map[string]*schema.Core
+	coreMembers       map[string]*schema.CoreMember
 	coreSize          int           // how many core seats there are
 	behindSince       time.Duration // since when some registry knew a newer setup than the one applied; 0 for never
 	registryRotation  int
@@ -173,7 +173,7 @@
 // newServer makes a proxy that has no listeners and no sessions yet.
 func newServer(rpcTransport *link.Transport, environment *daemon.Environment, opts *schema.ProxyOptions, extensionOptions ...Option) *Server {
 	s := &Server{initialOptions: opts, address: opts.Advertise, leaseDuration: time.Duration(opts.Lease), transport: rpcTransport,
-		extensions: newExtensions(extensionOptions), log: environment.Log, startedAt: time.Now(), coreMembers: map[string]*schema.Core{}, reportNow: make(chan struct{}, 1), configChanged: make(chan struct{}, 1), reservationQueues: map[string]chan *pendingReservation{}, draining: environment.Draining}
+		extensions: newExtensions(extensionOptions), log: environment.Log, startedAt: time.Now(), coreMembers: map[string]*schema.CoreMember{}, reportNow: make(chan struct{}, 1), configChanged: make(chan struct{}, 1), reservationQueues: map[string]chan *pendingReservation{}, draining: environment.Draining}
 	s.liveOptions.Store(opts)
 	s.processIncarnation = session.NextIncarnation(0)
 	if s.address == "" {
@@ -273,7 +273,7 @@
 }
 
 // forward hands a dispatch to the proxy beside the worker, or to this one's own other side.
-func (s *Server) forward(ctx context.Context, endpoint plan.Endpoint, request *schema.Carry) (*schema.Carried, error) {
+func (s *Server) forward(ctx context.Context, endpoint plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	if endpoint.Proxy == s.initialOptions.Name {
 		return s.runner.Run(ctx, s.localPeer, request), nil
 	}
@@ -281,15 +281,15 @@
 }
 
 // Run serves a dispatch from another proxy.
-func (s *Server) Run(ctx context.Context, request *schema.Carry) (*schema.Carried, error) {
+func (s *Server) Run(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	s.recordArrival()
 	defer s.peerCallsInFlight.Add(-1)
 	switch inFlight := s.peerCallsInFlight.Add(1); {
 	// Beyond the bound a dispatch is refused unrun, and so it is once this proxy is about to end.
 	case inFlight > s.currentOptions().Buffer:
-		return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.QueueFull)}, nil
+		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.QueueFull)}, nil
 	case s.rejectsPeerCalls.Load():
-		return &schema.Carried{Request: request.Request, Ending: schema.Ending_ENDING_NOT_RUN, Defect: string(defect.ProxyDraining)}, nil
+		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.ProxyDraining)}, nil
 	}
 	return s.runner.Run(ctx, link.PeerFromContext(ctx), request), nil
 }
@@ -393,7 +393,7 @@
 const oversizeDiscardFactor = 16
 
 // notExecuted is the outcome's name of a request that was refused before anything was sent.
-var notExecuted = dispatch.OutcomeName(schema.Ending_ENDING_NOT_RUN)
+var notExecuted = dispatch.OutcomeName(schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED)
 
 // bufferBody takes a request's body into memory if it is within the bound.
 func bufferBody(requestCtx *fasthttp.RequestCtx, maxBytes int) error {
@@ -478,17 +478,17 @@
 	if result.Err != nil {
 		outcome := notExecuted
 		if result.Response != nil {
-			outcome = dispatch.OutcomeName(result.Response.Ending)
+			outcome = dispatch.OutcomeName(result.Response.Outcome)
 		}
 		// Whoever turned the call away knows best when there is room again.
 		retryAfter := s.retryAfter(result.Err)
-		if overloadRetryAfter := time.Duration(result.Response.GetBackNanos()); overloadRetryAfter > 0 {
+		if overloadRetryAfter := time.Duration(result.Response.GetRetryAfterNanos()); overloadRetryAfter > 0 {
 			retryAfter = overloadRetryAfter
 		}
 		s.extensions.callerCodec.WriteError(header, result.Err, outcome, retryAfter, response)
 	} else {
 		response.Status, response.Body = int(result.Response.Status), result.Response.Body
-		response.headerBlock = append(response.headerBlock, result.Response.Head...)
+		response.headerBlock = append(response.headerBlock, result.Response.HeaderBlock...)
 	}
 	s.extensions.callerCodec.AddMetadata(result, response)
 }
--- a/internal/proxy/refuse_test.go
+++ b/internal/proxy/refuse_test.go
@@ -27,7 +27,7 @@
 		if !known {
 			t.Errorf("%s: nothing is said of when to come back", code)
 		}
-		for _, forwarded := range []*schema.Carried{nil, {Ending: schema.Ending_ENDING_NOT_RUN}, {Ending: schema.Ending_ENDING_UNKNOWN}} {
+		for _, forwarded := range []*schema.ForwardResponse{nil, {Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED}, {Outcome: schema.CallOutcome_CALL_OUTCOME_UNKNOWN}} {
 			response := &Response{}
 			s.writeResult(&RequestHeader{}, &dispatch.CallResult{Err: defect.New(code, ""), Response: forwarded}, response)
 			if retryAfter := response.HeaderValue("Retry-After"); retryAfter != seconds {
--- a/internal/proxy/speech.go
+++ b/internal/proxy/speech.go
@@ -40,7 +40,7 @@
 func (nativeCallerCodec) AddMetadata(result *dispatch.CallResult, response *Response) {
 	response.AddHeader(dispatch.HeaderRequest, result.ID)
 	if result.Response != nil {
-		response.AddHeader(dispatch.HeaderOutcome, dispatch.OutcomeName(result.Response.Ending))
+		response.AddHeader(dispatch.HeaderOutcome, dispatch.OutcomeName(result.Response.Outcome))
 	}
 	if result.Plan != nil {
 		response.AddHeader(dispatch.HeaderVersion, result.Plan.Verdict.Version)
--- a/internal/proxy/ties.go
+++ b/internal/proxy/ties.go
@@ -31,8 +31,8 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.sourceCounter++
-	return &schema.Source{Name: s.initialOptions.Name, Stamp: &schema.Stamp{Incarnation: s.sourceIncarnation, Counter: s.sourceCounter},
-		Address: s.address, Area: s.initialOptions.Area, Workers: workers}
+	return &schema.Source{Name: s.initialOptions.Name, Version: &schema.SourceVersion{Incarnation: s.sourceIncarnation, Counter: s.sourceCounter},
+		Address: s.address, Zone: s.initialOptions.Area, Workers: workers}
 }
 
 // registryAddresses lists where registries may be reached: where they said they are, then the seeds.
@@ -61,10 +61,10 @@
 	return addresses
 }
 
-func (s *Server) recordCoreMembers(members []*schema.Core) {
+func (s *Server) recordCoreMembers(members []*schema.CoreMember) {
 	for _, member := range members {
-		if known := s.coreMembers[member.Seat]; known == nil || member.Incarnation > known.Incarnation {
-			s.coreMembers[member.Seat] = member
+		if known := s.coreMembers[member.Id]; known == nil || member.Incarnation > known.Incarnation {
+			s.coreMembers[member.Id] = member
 		}
 	}
 }
@@ -126,17 +126,17 @@
 	defer cancel()
 	requestedAt := s.now()
 	applied := s.journal.View().config.Revision
-	reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Lease(bounded, &schema.Renew{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Applied: applied, Knows: receivedRevision, LeaseNanos: int64(s.leaseDuration)})
+	reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Lease(bounded, &schema.LeaseRequest{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Applied: applied, Received: receivedRevision, LeaseNanos: int64(s.leaseDuration)})
 	if err != nil {
 		return ""
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.recordCoreMembers(reply.Cores)
-	s.coreSize = max(s.coreSize, int(reply.Seats))
-	s.fleetSize.Store(s.fleetSizeEstimate.Observe(s.now(), int64(reply.Members)))
+	s.recordCoreMembers(reply.CoreMembers)
+	s.coreSize = max(s.coreSize, int(reply.CoreSize))
+	s.fleetSize.Store(s.fleetSizeEstimate.Observe(s.now(), int64(reply.FleetSize)))
 	switch {
-	case reply.Stable <= applied:
+	case reply.Committed <= applied:
 		s.behindSince = 0
 	// Some registry knows more than the one that feeds this proxy: change over if it lasts.
 	case s.behindSince == 0:
@@ -146,10 +146,10 @@
 		s.registryRotation++
 	}
 	if !reply.Granted {
-		return reply.Seat
+		return reply.Member
 	}
-	s.leaseGate.RecordGrant(reply.Seat, int(reply.Seats), requestedAt)
-	return reply.Seat
+	s.leaseGate.RecordGrant(reply.Member, int(reply.CoreSize), requestedAt)
+	return reply.Member
 }
 
 // currentRegistry is the registry this proxy has its session with.
@@ -202,8 +202,8 @@
 		state := s.journal.View()
 		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/longPollDivisor+s.leaseDuration/renewalsPerLease)
 		go s.cancelOnSwitch(bounded, cancel, rotation)
-		update, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Feed(bounded, &schema.Pull{Node: s.initialOptions.Name,
-			Vector: state.Vector(), Setup: state.config.Revision, WaitNanos: int64(s.leaseDuration / longPollDivisor)})
+		update, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Feed(bounded, &schema.FeedRequest{Node: s.initialOptions.Name,
+			Vector: state.Vector(), Revision: state.config.Revision, WaitNanos: int64(s.leaseDuration / longPollDivisor)})
 		cancel()
 		if err != nil {
 			s.switchRegistry(rotation)
@@ -211,20 +211,20 @@
 			continue
 		}
 		s.lock.Lock()
-		s.recordCoreMembers(update.Cores)
+		s.recordCoreMembers(update.CoreMembers)
 		s.lock.Unlock()
 		s.checkSuperseded(update.Sources)
-		if len(update.Sources) == 0 && update.Setup <= state.config.Revision {
+		if len(update.Sources) == 0 && update.Revision <= state.config.Revision {
 			continue
 		}
 		// The first setup needs no telling: without a lease nothing is shown by it yet.
-		if update.Setup > state.config.Revision && state.config.Revision > 0 && !s.announceRevision(ctx, update.Setup) {
+		if update.Revision > state.config.Revision && state.config.Revision > 0 && !s.announceRevision(ctx, update.Revision) {
 			s.sleepLeaseFraction(ctx, retryPauseDivisor)
 			continue
 		}
-		s.journal.Append(Event{At: s.now(), ConfigRevision: update.Setup, Items: update.Items, Complete: update.Whole, Sources: update.Sources})
+		s.journal.Append(Event{At: s.now(), ConfigRevision: update.Revision, Items: update.Items, Complete: update.Complete, Sources: update.Sources})
 		// An applied change is told at once: its acknowledgement may be waiting for this proxy.
-		if update.Setup > state.config.Revision {
+		if update.Revision > state.config.Revision {
 			for _, address := range s.registryAddresses() {
 				go s.renewLease(ctx, address, 0)
 			}
@@ -316,14 +316,14 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
 	requestedAt, snapshot := s.now(), s.view().Config
-	report := &schema.Report{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source, Applied: snapshot.Revision, Works: s.runner.WorkCounts.Report(isJudged)}
+	report := &schema.ProxyReport{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source, Applied: snapshot.Revision, WorkCounts: s.runner.WorkCounts.Report(isJudged)}
 	if includeVerdicts {
 		report.Counts = s.callCounter.Counts(snapshot.Revision)
 	}
 	reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Tell(bounded, report)
 	cancel()
 	if err == nil {
-		s.canaries.ApplyGrants(requestedAt, reply.Trials)
+		s.canaries.ApplyGrants(requestedAt, reply.Canaries)
 	} else if ctx.Err() == nil && !servesStale(s.initialOptions) {
 		s.switchRegistry(rotation)
 	}
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -33,8 +33,8 @@
 	items            setup.State
 	config           *setup.Snapshot
 	sources          map[string]sourceRecord
-	droppedVersions  map[string]*schema.Stamp // of sources dropped as silent: only newer news brings one back
-	workers          map[string]workerRecord  // by instance of a worker
+	droppedVersions  map[string]*schema.SourceVersion // of sources dropped as silent: only newer news brings one back
+	workers          map[string]workerRecord          // by instance of a worker
 	appliedRevisions []appliedRevision
 
 	directory plan.Directory
@@ -62,7 +62,7 @@
 // EmptyMeshState is what a proxy knows at first: nothing.
 func EmptyMeshState() MeshState {
 	compiled, _ := setup.Compile(setup.State{}, 0)
-	return MeshState{items: setup.State{}, config: compiled, sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.Stamp{}, workers: map[string]workerRecord{}, directory: plan.Directory{},
+	return MeshState{items: setup.State{}, config: compiled, sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.SourceVersion{}, workers: map[string]workerRecord{}, directory: plan.Directory{},
 		view: &plan.View{Config: compiled, Directory: plan.Directory{}}}
 }
 
@@ -95,11 +95,11 @@
 	}
 	for _, source := range event.Sources {
 		// Of a bare source nothing is known but that it was seen.
-		if source.Bare {
+		if source.IncarnationOnly {
 			continue
 		}
 		existing, found := m.sources[source.Name]
-		if (!found && isNewer(source.Stamp, m.droppedVersions[source.Name])) || (found && isNewer(source.Stamp, existing.source.Stamp)) {
+		if (!found && isNewer(source.Version, m.droppedVersions[source.Name])) || (found && isNewer(source.Version, existing.source.Version)) {
 			m.sources[source.Name] = sourceRecord{source, event.At}
 			delete(m.droppedVersions, source.Name)
 			changed[source.Name] = true
@@ -124,7 +124,7 @@
 		return
 	}
 	for _, name := range silent {
-		m.droppedVersions[name] = m.sources[name].source.Stamp
+		m.droppedVersions[name] = m.sources[name].source.Version
 		delete(m.sources, name)
 		changed[name] = true
 	}
@@ -189,7 +189,7 @@
 	}
 }
 
-func isNewer(a, b *schema.Stamp) bool {
+func isNewer(a, b *schema.SourceVersion) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
 	}
@@ -219,10 +219,10 @@
 }
 
 // Vector is what this proxy has of each source.
-func (m MeshState) Vector() map[string]*schema.Stamp {
-	vector := make(map[string]*schema.Stamp, len(m.sources))
+func (m MeshState) Vector() map[string]*schema.SourceVersion {
+	vector := make(map[string]*schema.SourceVersion, len(m.sources))
 	for name, record := range m.sources {
-		vector[name] = record.source.Stamp
+		vector[name] = record.source.Version
 	}
 	// A registry keeps silent sources longer; it need not send them again.
 	for name, stamp := range m.droppedVersions {
--- a/internal/proxy/view_test.go
+++ b/internal/proxy/view_test.go
@@ -9,7 +9,7 @@
 )
 
 func source(name string, counter uint64, workers ...string) *schema.Source {
-	made := &schema.Source{Name: name, Address: "127.0.0.1:1", Stamp: &schema.Stamp{Incarnation: 1, Counter: counter}}
+	made := &schema.Source{Name: name, Address: "127.0.0.1:1", Version: &schema.SourceVersion{Incarnation: 1, Counter: counter}}
 	for _, instance := range workers {
 		made.Workers = append(made.Workers, &schema.Worker{Instance: instance, Service: "shop", Version: "1"})
 	}
@@ -17,7 +17,7 @@
 }
 
 func item(name string, sequence uint64) *schema.Item {
-	return &schema.Item{Kind: "segment", Name: name, Body: []byte(`{"salt":""}`), Version: &schema.Version{Epoch: 1, Sequence: sequence}}
+	return &schema.Item{Kind: "segment", Name: name, Body: []byte(`{"salt":""}`), Version: &schema.Version{Term: 1, Sequence: sequence}}
 }
 
 // Older news changes nothing, whoever brings it.
--- a/internal/registry/attend.go
+++ b/internal/registry/attend.go
@@ -39,9 +39,9 @@
 }
 
 // Attend serves a session: what the node lacks at first, then whatever is new.
-func (s *Server) Attend(request *schema.Attending, stream schema.DRPCRegistry_AttendStream) error {
+func (s *Server) Attend(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
 	ctx := stream.Context()
-	fromRegistry := request.Core != nil
+	fromRegistry := request.Member != nil
 	if fromRegistry {
 		if err := s.requireRegistry(ctx); err != nil {
 			return err
@@ -49,15 +49,15 @@
 	} else if err := s.requireProxy(ctx, request.Node); err != nil {
 		return err
 	}
-	if (request.Source != nil && request.Source.Name != request.Node) || (request.Trial && fromRegistry) {
+	if (request.Source != nil && request.Source.Name != request.Node) || (request.Tentative && fromRegistry) {
 		return defect.New(defect.Unauthorized, request.Node)
 	}
 	s.lock.Lock()
 	s.fleetState.CompareSetting(request.Node, "lease", time.Duration(request.LeaseNanos).String(), s.leaseDuration.String(), request.LeaseNanos != 0)
 	s.fleetState.ObserveVector(s.now(), request.Vector)
-	stateChanged := s.observeMember(request.Core)
+	stateChanged := s.observeMember(request.Member)
 	switch {
-	case request.Trial:
+	case request.Tentative:
 		s.fleetState.OpenProvisionalSession(request.Node)
 	case request.Source != nil:
 		stateChanged = s.fleetState.OpenSession(s.now(), request.Source) || stateChanged
@@ -66,7 +66,7 @@
 		s.broadcastChange()
 	}
 	s.lock.Unlock()
-	if request.Trial || request.Source != nil {
+	if request.Tentative || request.Source != nil {
 		s.log.V(1).Info("session begins", "proxy", request.Node)
 		defer func() {
 			s.lock.Lock()
@@ -75,13 +75,13 @@
 			s.log.V(1).Info("session ends", "proxy", request.Node)
 		}()
 	}
-	progress := &sessionProgress{cursor: NewSessionCursor(request.Node, request.GetCore().GetSeat(), request.Vector), toRegistry: fromRegistry, revision: request.Setup}
+	progress := &sessionProgress{cursor: NewSessionCursor(request.Node, request.GetMember().GetId(), request.Vector), toRegistry: fromRegistry, revision: request.Revision}
 	for onHeartbeat := true; ; {
 		s.lock.Lock()
 		update, hasContent := s.nextUpdate(progress)
 		stateChanged, heartbeatTick := s.stateChanged, s.heartbeatTick
 		s.lock.Unlock()
-		if hasContent || onHeartbeat && heartbeatDue(s.now()-progress.lastSentAt, time.Duration(request.BeatNanos), s.leaseDuration) {
+		if hasContent || onHeartbeat && heartbeatDue(s.now()-progress.lastSentAt, time.Duration(request.HeartbeatNanos), s.leaseDuration) {
 			if err := stream.Send(update); err != nil {
 				return err
 			}
@@ -118,7 +118,7 @@
 	cursor      *SessionCursor
 	toRegistry  bool
 	revision    uint64
-	members     []*schema.Core
+	members     []*schema.CoreMember
 	liveProxies uint32
 	started     bool
 	lastSentAt  time.Duration
@@ -126,31 +126,31 @@
 
 // nextUpdate makes what a node is to be told now, and tells whether it is worth more than a sign of
 // life; the caller holds the lock.
-func (s *Server) nextUpdate(progress *sessionProgress) (update *schema.News, hasContent bool) {
+func (s *Server) nextUpdate(progress *sessionProgress) (update *schema.Update, hasContent bool) {
 	now := s.now()
-	update = &schema.News{Sources: s.fleetState.NextUpdates(now, progress.cursor)}
+	update = &schema.Update{Sources: s.fleetState.NextUpdates(now, progress.cursor)}
 	age, confirmed := s.fleetState.Staleness(now)
 	// A registry that has just started may hold an older setup than was promised in an earlier
 	// life. It finds out what is newest first, unless the core cannot tell.
-	if update.Vouched, update.AgeNanos = confirmed, int64(age); s.servesConfig(now) {
-		if update.Setup = s.fleetState.committedRevision; !progress.toRegistry && update.Setup > progress.revision {
-			update.Items, update.Whole = s.configState.ChangesAfter(progress.revision)
+	if update.StalenessKnown, update.StalenessNanos = confirmed, int64(age); s.servesConfig(now) {
+		if update.Revision = s.fleetState.committedRevision; !progress.toRegistry && update.Revision > progress.revision {
+			update.Items, update.Complete = s.configState.ChangesAfter(progress.revision)
 			update.Items = withoutOperatorText(update.Items)
-			progress.revision = update.Setup
+			progress.revision = update.Revision
 			hasContent = true
 		}
 	} else {
-		update.Vouched = false
+		update.StalenessKnown = false
 	}
 	if members := s.reachableMembers(); !sameMembers(members, progress.members) {
-		progress.members, update.Cores = members, members
+		progress.members, update.CoreMembers = members, members
 		hasContent = true
 	}
 	if progress.toRegistry {
-		update.Reached = s.fleetState.ReachableRegistries(now)
+		update.Reachable = s.fleetState.ReachableRegistries(now)
 	}
 	if liveProxies := uint32(s.fleetState.LiveProxies(now)); !progress.toRegistry && liveProxies != progress.liveProxies {
-		progress.liveProxies, update.Members = liveProxies, liveProxies
+		progress.liveProxies, update.FleetSize = liveProxies, liveProxies
 		hasContent = true
 	}
 	hasContent = hasContent || !progress.started || len(update.Sources) > 0
@@ -182,8 +182,8 @@
 	watchdog := time.AfterFunc(s.leaseDuration, cancel)
 	defer watchdog.Stop()
 	s.lock.Lock()
-	request := &schema.Attending{Node: "registry/" + s.initialOptions.Seat, Vector: s.fleetState.Vector(), Core: s.coreMembers[s.initialOptions.Seat], LeaseNanos: int64(s.leaseDuration),
-		BeatNanos: int64(peerHeartbeatTicks * s.leaseDuration / session.HeartbeatsPerLease)}
+	request := &schema.SubscribeRequest{Node: "registry/" + s.initialOptions.Seat, Vector: s.fleetState.Vector(), Member: s.coreMembers[s.initialOptions.Seat], LeaseNanos: int64(s.leaseDuration),
+		HeartbeatNanos: int64(peerHeartbeatTicks * s.leaseDuration / session.HeartbeatsPerLease)}
 	s.lock.Unlock()
 	stream, err := schema.NewDRPCRegistryClient(s.rpcTransport.Conn(bounded, address)).Attend(bounded, request)
 	if err != nil {
@@ -200,17 +200,17 @@
 		}
 		s.lock.Lock()
 		changed := false
-		for _, member := range update.Cores {
+		for _, member := range update.CoreMembers {
 			changed = s.observeMember(member) || changed
 			if member.Address == address {
-				memberID = member.Seat
+				memberID = member.Id
 			}
 		}
 		for _, source := range update.Sources {
 			changed = s.fleetState.MergeSource(s.now(), source) || changed
 		}
 		if memberID != "" {
-			s.fleetState.RecordPeerHeard(s.now(), memberID, update.Reached)
+			s.fleetState.RecordPeerHeard(s.now(), memberID, update.Reachable)
 		}
 		if changed {
 			s.broadcastChange()
--- a/internal/registry/claims.go
+++ b/internal/registry/claims.go
@@ -46,9 +46,9 @@
 }
 
 // message is the claim as it is told to others.
-func (h *storedReservation) message() *schema.Claim {
-	return &schema.Claim{Key: []byte(h.key), Body: []byte(h.bodyDigest), Request: h.requestID, Caller: h.caller.Value(), Proxy: h.proxy.Value(), Incarnation: h.incarnation,
-		Instance: h.instance.Value(), Beside: h.workerProxy.Value(), Address: h.workerProxyAddress.Value(), Place: h.position}
+func (h *storedReservation) message() *schema.KeyReservation {
+	return &schema.KeyReservation{Key: []byte(h.key), BodyDigest: []byte(h.bodyDigest), Request: h.requestID, Caller: h.caller.Value(), Proxy: h.proxy.Value(), Incarnation: h.incarnation,
+		Instance: h.instance.Value(), WorkerProxy: h.workerProxy.Value(), Address: h.workerProxyAddress.Value(), Position: h.position}
 }
 
 // NewReservationTable makes the claims of a registry that has just started.
@@ -90,62 +90,62 @@
 	}
 }
 
-func (c *ReservationTable) add(reservation *schema.Claim, expiresAt time.Duration) {
+func (c *ReservationTable) add(reservation *schema.KeyReservation, expiresAt time.Duration) {
 	c.lastPosition++
-	stored := &storedReservation{key: string(reservation.Key), bodyDigest: string(reservation.Body), requestID: reservation.Request, caller: unique.Make(reservation.Caller), proxy: unique.Make(reservation.Proxy),
-		instance: unique.Make(reservation.Instance), workerProxy: unique.Make(reservation.Beside), workerProxyAddress: unique.Make(reservation.Address), incarnation: reservation.Incarnation, position: c.lastPosition, expiresAt: expiresAt}
+	stored := &storedReservation{key: string(reservation.Key), bodyDigest: string(reservation.BodyDigest), requestID: reservation.Request, caller: unique.Make(reservation.Caller), proxy: unique.Make(reservation.Proxy),
+		instance: unique.Make(reservation.Instance), workerProxy: unique.Make(reservation.WorkerProxy), workerProxyAddress: unique.Make(reservation.Address), incarnation: reservation.Incarnation, position: c.lastPosition, expiresAt: expiresAt}
 	c.byKey[stored.key] = stored
 	c.byPosition = append(c.byPosition, stored)
 }
 
 // Apply rules on a claim, or drops one whose taker proved that nothing ran.
-func (c *ReservationTable) Apply(now time.Duration, reservation *schema.Claim) *schema.Claimed {
+func (c *ReservationTable) Apply(now time.Duration, reservation *schema.KeyReservation) *schema.ReservationReply {
 	c.removeExpired(now)
 	// A proxy that was restarted has nobody left who could run what its earlier life claimed.
 	if reservation.Incarnation < c.newestIncarnation[reservation.Proxy] {
 		c.Refused++
-		return &schema.Claimed{Ruled: schema.Ruled_RULED_STALE}
+		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_STALE}
 	}
 	c.newestIncarnation[reservation.Proxy] = reservation.Incarnation
 	existing := c.byKey[string(reservation.Key)]
-	if reservation.Drop {
+	if reservation.Release {
 		if existing != nil && existing.requestID == reservation.Request {
 			c.remove(existing)
 		}
-		return &schema.Claimed{Ruled: schema.Ruled_RULED_TAKEN}
+		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_GRANTED}
 	}
 	switch {
 	case existing != nil && existing.requestID == reservation.Request && c.IsAuthoritative(now):
 		// The same request goes to another worker, having been proved not to have run before.
 		c.remove(existing)
 	case existing != nil && existing.requestID != reservation.Request:
-		return &schema.Claimed{Ruled: schema.Ruled_RULED_HELD, Held: existing.message()}
+		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_HELD, Holder: existing.message()}
 	case !c.IsAuthoritative(now):
-		return &schema.Claimed{Ruled: schema.Ruled_RULED_UNCOUNTED}
+		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_NOT_AUTHORITATIVE}
 	// A claim that stands is never forgotten to make room for another.
 	case len(c.byKey) >= c.options.MaxReservations:
 		c.Refused++
-		return &schema.Claimed{Ruled: schema.Ruled_RULED_FULL}
+		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_FULL}
 	}
 	c.add(reservation, now+c.options.Window)
-	return &schema.Claimed{Ruled: schema.Ruled_RULED_TAKEN}
+	return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_GRANTED}
 }
 
 // Page gives the claims after a place, in order, to a registry that restarted.
-func (c *ReservationTable) Page(now time.Duration, after uint64) *schema.ClaimsPage {
+func (c *ReservationTable) Page(now time.Duration, after uint64) *schema.ReservationsPage {
 	c.removeExpired(now)
-	page := &schema.ClaimsPage{Counts: c.IsAuthoritative(now)}
+	page := &schema.ReservationsPage{Authoritative: c.IsAuthoritative(now)}
 	from := sort.Search(len(c.byPosition), func(i int) bool { return c.byPosition[i].position > after })
 	for _, stored := range c.byPosition[from:] {
-		if len(page.Claims) == reservationsPerPage {
+		if len(page.Reservations) == reservationsPerPage {
 			return page
 		}
 		if stored.removed {
 			continue
 		}
 		message := stored.message()
-		message.LeftNanos = int64(stored.expiresAt - now)
-		page.Claims = append(page.Claims, message)
+		message.RemainingNanos = int64(stored.expiresAt - now)
+		page.Reservations = append(page.Reservations, message)
 	}
 	page.Last = true
 	return page
@@ -153,14 +153,14 @@
 
 // MergePage takes a page of another seat's claims. It counts from when both others have been read
 // to the end, each while its own word counted.
-func (c *ReservationTable) MergePage(now time.Duration, memberID string, page *schema.ClaimsPage) {
-	for _, reservation := range page.Claims {
+func (c *ReservationTable) MergePage(now time.Duration, memberID string, page *schema.ReservationsPage) {
+	for _, reservation := range page.Reservations {
 		// Of two seats' claims to one key the first read stays: either way it does not run here.
 		if c.byKey[string(reservation.Key)] == nil {
-			c.add(reservation, now+min(time.Duration(reservation.LeftNanos), c.options.Window))
+			c.add(reservation, now+min(time.Duration(reservation.RemainingNanos), c.options.Window))
 		}
 	}
-	if page.Last && page.Counts {
+	if page.Last && page.Authoritative {
 		c.membersRead[memberID] = true
 	}
 	c.complete = c.complete || len(c.membersRead) >= c.options.MemberCount-1
--- a/internal/registry/claims_test.go
+++ b/internal/registry/claims_test.go
@@ -13,8 +13,8 @@
 	return NewReservationTable(ReservationOptions{Lease: testLease, Window: 4 * testLease, MaxReservations: maxReservations, MemberCount: 3})
 }
 
-func reservationFor(key, request string, incarnation uint64) *schema.Claim {
-	return &schema.Claim{Key: []byte(key), Body: []byte("b"), Request: request, Proxy: "p", Incarnation: incarnation}
+func reservationFor(key, request string, incarnation uint64) *schema.KeyReservation {
+	return &schema.KeyReservation{Key: []byte(key), BodyDigest: []byte("b"), Request: request, Proxy: "p", Incarnation: incarnation}
 }
 
 // What a registry says to one claim after another, and what it counts.
@@ -22,33 +22,33 @@
 	table := newTestReservations(2)
 	table.MarkNeverUsed()
 	drop := reservationFor("k", "r1", 5)
-	drop.Drop = true
+	drop.Release = true
 	foreignDrop := reservationFor("k", "r9", 5)
-	foreignDrop.Drop = true
+	foreignDrop.Release = true
 	for i, test := range []struct {
 		at    time.Duration
-		claim *schema.Claim
-		want  schema.Ruled
+		claim *schema.KeyReservation
+		want  schema.ReservationResult
 	}{
-		{0, reservationFor("k", "r1", 5), schema.Ruled_RULED_TAKEN},
-		{0, reservationFor("k", "r1", 5), schema.Ruled_RULED_TAKEN}, // the same request, moved to another worker
-		{0, reservationFor("k", "r2", 5), schema.Ruled_RULED_HELD},
-		{0, foreignDrop, schema.Ruled_RULED_TAKEN}, // lets nothing go that is not its own
-		{0, reservationFor("k", "r2", 5), schema.Ruled_RULED_HELD},
-		{0, drop, schema.Ruled_RULED_TAKEN},
-		{0, reservationFor("k", "r2", 5), schema.Ruled_RULED_TAKEN},
-		{testLease, reservationFor("l", "r3", 5), schema.Ruled_RULED_TAKEN},
-		{testLease, reservationFor("m", "r4", 5), schema.Ruled_RULED_FULL},       // none that stands is forgotten for it
-		{testLease, reservationFor("m", "r4", 4), schema.Ruled_RULED_STALE},      // of an earlier life of that proxy
-		{4 * testLease, reservationFor("m", "r4", 5), schema.Ruled_RULED_TAKEN},  // k has run out
-		{4 * testLease, reservationFor("l", "r5", 5), schema.Ruled_RULED_HELD},   // l has not
-		{5 * testLease, reservationFor("l", "r5", 6), schema.Ruled_RULED_TAKEN},  // and now it has
-		{8 * testLease, reservationFor("m", "r6", 6), schema.Ruled_RULED_TAKEN},  //
-		{9 * testLease, reservationFor("n", "r7", 6), schema.Ruled_RULED_TAKEN},  //
-		{20 * testLease, reservationFor("o", "r8", 6), schema.Ruled_RULED_TAKEN}, // all others have run out
+		{0, reservationFor("k", "r1", 5), schema.ReservationResult_RESERVATION_GRANTED},
+		{0, reservationFor("k", "r1", 5), schema.ReservationResult_RESERVATION_GRANTED}, // the same request, moved to another worker
+		{0, reservationFor("k", "r2", 5), schema.ReservationResult_RESERVATION_HELD},
+		{0, foreignDrop, schema.ReservationResult_RESERVATION_GRANTED}, // lets nothing go that is not its own
+		{0, reservationFor("k", "r2", 5), schema.ReservationResult_RESERVATION_HELD},
+		{0, drop, schema.ReservationResult_RESERVATION_GRANTED},
+		{0, reservationFor("k", "r2", 5), schema.ReservationResult_RESERVATION_GRANTED},
+		{testLease, reservationFor("l", "r3", 5), schema.ReservationResult_RESERVATION_GRANTED},
+		{testLease, reservationFor("m", "r4", 5), schema.ReservationResult_RESERVATION_FULL},         // none that stands is forgotten for it
+		{testLease, reservationFor("m", "r4", 4), schema.ReservationResult_RESERVATION_STALE},        // of an earlier life of that proxy
+		{4 * testLease, reservationFor("m", "r4", 5), schema.ReservationResult_RESERVATION_GRANTED},  // k has run out
+		{4 * testLease, reservationFor("l", "r5", 5), schema.ReservationResult_RESERVATION_HELD},     // l has not
+		{5 * testLease, reservationFor("l", "r5", 6), schema.ReservationResult_RESERVATION_GRANTED},  // and now it has
+		{8 * testLease, reservationFor("m", "r6", 6), schema.ReservationResult_RESERVATION_GRANTED},  //
+		{9 * testLease, reservationFor("n", "r7", 6), schema.ReservationResult_RESERVATION_GRANTED},  //
+		{20 * testLease, reservationFor("o", "r8", 6), schema.ReservationResult_RESERVATION_GRANTED}, // all others have run out
 	} {
-		if got := table.Apply(test.at, test.claim); got.Ruled != test.want {
-			t.Errorf("step %d: %v, want %v", i, got.Ruled, test.want)
+		if got := table.Apply(test.at, test.claim); got.Result != test.want {
+			t.Errorf("step %d: %v, want %v", i, got.Result, test.want)
 		}
 	}
 	if table.Refused != 2 || table.Len() != 1 || len(table.byPosition) != 1 {
@@ -70,13 +70,13 @@
 			page := from.Page(2*testLease, after)
 			restarted.MergePage(0, memberID, page)
 			if last = page.Last; !last {
-				after = page.Claims[len(page.Claims)-1].Place
+				after = page.Reservations[len(page.Reservations)-1].Position
 			}
 		}
 		return pages
 	}
-	if got := restarted.Apply(0, reservationFor("0", "other", 1)); got.Ruled != schema.Ruled_RULED_UNCOUNTED {
-		t.Errorf("a registry that knows nothing ruled %v", got.Ruled)
+	if got := restarted.Apply(0, reservationFor("0", "other", 1)); got.Result != schema.ReservationResult_RESERVATION_NOT_AUTHORITATIVE {
+		t.Errorf("a registry that knows nothing ruled %v", got.Result)
 	}
 	if pages := read("b", full); pages != 2 || restarted.IsAuthoritative(0) {
 		t.Errorf("%d pages of one seat, and it counts: %v", pages, restarted.IsAuthoritative(0))
@@ -90,12 +90,12 @@
 	if read("c", third); !restarted.IsAuthoritative(0) || restarted.Len() != reservationsPerPage+7 {
 		t.Errorf("counts %v with %d claims", restarted.IsAuthoritative(0), restarted.Len())
 	}
-	if got := restarted.Apply(0, reservationFor("0", "other", 1)); got.Ruled != schema.Ruled_RULED_HELD || got.Held.Request != "r0" {
+	if got := restarted.Apply(0, reservationFor("0", "other", 1)); got.Result != schema.ReservationResult_RESERVATION_HELD || got.Holder.Request != "r0" {
 		t.Errorf("a claim that was read again was ruled %v", got)
 	}
 	// What is left of the window goes along: one lease of four had passed there.
-	if got := restarted.Apply(3*testLease, reservationFor("0", "other", 1)); got.Ruled != schema.Ruled_RULED_TAKEN {
-		t.Errorf("a claim that ran out was ruled %v", got.Ruled)
+	if got := restarted.Apply(3*testLease, reservationFor("0", "other", 1)); got.Result != schema.ReservationResult_RESERVATION_GRANTED {
+		t.Errorf("a claim that ran out was ruled %v", got.Result)
 	}
 	if alone := newTestReservations(8); alone.IsAuthoritative(4*testLease-1) || !alone.IsAuthoritative(4*testLease) {
 		t.Error("a registry that could read nobody counts too early or never")
@@ -104,12 +104,12 @@
 
 // A grant counts only if it came soon after it was asked for, and from a majority of seats.
 func TestReservationRound(t *testing.T) {
-	taken, held, full := &schema.Claimed{Ruled: schema.Ruled_RULED_TAKEN}, &schema.Claimed{Ruled: schema.Ruled_RULED_HELD, Held: reservationFor("k", "other", 1)}, &schema.Claimed{Ruled: schema.Ruled_RULED_FULL}
-	reused := &schema.Claimed{Ruled: schema.Ruled_RULED_HELD, Held: &schema.Claim{Key: []byte("k"), Body: []byte("another")}}
+	taken, held, full := &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_GRANTED}, &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_HELD, Holder: reservationFor("k", "other", 1)}, &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_FULL}
+	reused := &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_HELD, Holder: &schema.KeyReservation{Key: []byte("k"), BodyDigest: []byte("another")}}
 	type answer struct {
 		at       time.Duration
 		memberID string
-		ruling   *schema.Claimed
+		ruling   *schema.ReservationReply
 	}
 	bound := session.ReservationRoundTimeout(testLease)
 	for name, test := range map[string]struct {
