--- a/internal/registry/daemon.go
+++ b/internal/registry/daemon.go
@@ -53,8 +53,8 @@
 	snapshot      *setup.Snapshot // compiled; of an earlier state unless fresh
 	snapshotFresh bool
 	fleetSize     *session.FleetSize
-	coreMembers   map[string]*schema.Core
-	agreedMembers []*schema.Core // the seats as the store beside has them, where no order rules
+	coreMembers   map[string]*schema.CoreMember
+	agreedMembers []*schema.CoreMember // the seats as the store beside has them, where no order rules
 	stateChanged  chan struct{}
 	heartbeatTick chan struct{} // closed and replaced whenever sessions are due a sign of life
 	store         schema.DRPCStoreClient
@@ -111,7 +111,7 @@
 		opts.Seat = ipOf(address)
 	}
 	s := &Server{initialOptions: opts, memberOrder: options.SplitList(opts.Order), leaseDuration: time.Duration(opts.Lease), advertisedAddress: address, rpcTransport: rpcTransport, log: frame.Log,
-		startedAt: time.Now(), incarnation: session.NextIncarnation(0), configState: setup.State{}, coreMembers: map[string]*schema.Core{}, stateChanged: make(chan struct{}), heartbeatTick: make(chan struct{}), pendingChanges: map[string]*pendingChange{}, rollout: rolloutState{predecessors: map[string]*predecessor{}, stepsInFlight: map[string]bool{}}}
+		startedAt: time.Now(), incarnation: session.NextIncarnation(0), configState: setup.State{}, coreMembers: map[string]*schema.CoreMember{}, stateChanged: make(chan struct{}), heartbeatTick: make(chan struct{}), pendingChanges: map[string]*pendingChange{}, rollout: rolloutState{predecessors: map[string]*predecessor{}, stepsInFlight: map[string]bool{}}}
 	for _, applyOption := range runOptions {
 		applyOption(s)
 	}
@@ -121,7 +121,7 @@
 	s.reservations = NewReservationTable(ReservationOptions{Lease: s.leaseDuration, Window: time.Duration(opts.KeyWindow), MaxReservations: int(opts.ClaimsMost), MemberCount: len(s.members())})
 	s.fleetState.SetMemberCount(len(s.members()))
 	s.snapshot, _ = setup.Compile(s.configState, 0)
-	s.coreMembers[opts.Seat] = &schema.Core{Seat: opts.Seat, Address: address, Incarnation: s.incarnation, Area: opts.Area}
+	s.coreMembers[opts.Seat] = &schema.CoreMember{Id: opts.Seat, Address: address, Incarnation: s.incarnation, Zone: opts.Area}
 	frame.WatchSettings(ctx, s.leaseDuration, func(updated proto.Message) { s.liveOptions.Store(updated.(*schema.RegistryOptions)) })
 	s.store = schema.NewDRPCStoreClient(rpcTransport.Conn(ctx, opts.Store))
 
@@ -205,7 +205,7 @@
 		after := s.fleetState.committedRevision
 		s.lock.Unlock()
 		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration)
-		reply, err := s.store.Follow(bounded, &schema.FollowRequest{After: after, WaitNanos: int64(s.leaseDuration / session.HeartbeatsPerLease)})
+		reply, err := s.store.Follow(bounded, &schema.FollowRequest{AfterSequence: after, WaitNanos: int64(s.leaseDuration / session.HeartbeatsPerLease)})
 		cancel()
 		if err != nil {
 			failures++
@@ -221,19 +221,19 @@
 func (s *Server) applyCommitted(reply *schema.FollowReply) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if len(reply.Cores) > 0 && !sameMembers(s.agreedMembers, reply.Cores) {
-		s.log.V(1).Info("the seats are others", "seats", len(reply.Cores))
-		s.agreedMembers = reply.Cores
+	if len(reply.Members) > 0 && !sameMembers(s.agreedMembers, reply.Members) {
+		s.log.V(1).Info("the seats are others", "seats", len(reply.Members))
+		s.agreedMembers = reply.Members
 		s.fleetState.SetMemberCount(len(s.members()))
 		s.broadcastChange()
 	}
-	if reply.Vouched && reply.Committed >= s.fleetState.committedRevision {
-		s.fleetState.ConfirmCurrent(s.now() - time.Duration(reply.AgeNanos))
+	if reply.StalenessKnown && reply.Committed >= s.fleetState.committedRevision {
+		s.fleetState.ConfirmCurrent(s.now() - time.Duration(reply.StalenessNanos))
 	}
 	if reply.Committed <= s.fleetState.committedRevision {
 		return
 	}
-	s.configState = s.configState.Apply(reply.Items, reply.Whole)
+	s.configState = s.configState.Apply(reply.Items, reply.Complete)
 	s.snapshotFresh = false // compiled again when somebody next asks for it
 	s.fleetState.SetCommitted(s.now(), reply.Committed)
 	s.broadcastChange()
@@ -243,10 +243,10 @@
 func (s *Server) catchUp(ctx context.Context) {
 	for failures := 1; ctx.Err() == nil; failures++ {
 		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/session.RenewalsPerLease)
-		readIndex, err := s.store.ReadIndex(bounded, &schema.Nothing{})
+		readIndex, err := s.store.ReadIndex(bounded, &schema.Empty{})
 		cancel()
 		if err == nil && !readIndex.Undecided {
-			if readIndex.Unused {
+			if readIndex.Empty {
 				s.lock.Lock()
 				s.reservations.MarkNeverUsed()
 				s.lock.Unlock()
@@ -321,8 +321,8 @@
 func (s *Server) pollPeer(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		s.lock.Lock()
-		request := &schema.Pull{Node: "registry/" + s.initialOptions.Seat, Vector: s.fleetState.Vector(), WaitNanos: int64(s.leaseDuration / pollWaitDivisor), Core: s.coreMembers[s.initialOptions.Seat],
-			LeaseNanos: int64(s.leaseDuration), Order: s.initialOptions.Order}
+		request := &schema.FeedRequest{Node: "registry/" + s.initialOptions.Seat, Vector: s.fleetState.Vector(), WaitNanos: int64(s.leaseDuration / pollWaitDivisor), Member: s.coreMembers[s.initialOptions.Seat],
+			LeaseNanos: int64(s.leaseDuration), MemberList: s.initialOptions.Order}
 		s.lock.Unlock()
 		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration)
 		response, err := schema.NewDRPCRegistryClient(s.rpcTransport.Conn(bounded, address)).Feed(bounded, request)
@@ -336,7 +336,7 @@
 		for _, source := range response.Sources {
 			changed = s.fleetState.MergeSource(s.now(), source) || changed
 		}
-		for _, member := range response.Cores {
+		for _, member := range response.CoreMembers {
 			changed = s.observeMember(member) || changed
 		}
 		if changed {
@@ -347,32 +347,32 @@
 }
 
 // sameMembers tells whether two lists name the same seats at the same places.
-func sameMembers(a, b []*schema.Core) bool {
-	return slices.EqualFunc(a, b, func(a, b *schema.Core) bool {
-		return a.Seat == b.Seat && a.Address == b.Address && a.Area == b.Area && a.Incarnation == b.Incarnation
+func sameMembers(a, b []*schema.CoreMember) bool {
+	return slices.EqualFunc(a, b, func(a, b *schema.CoreMember) bool {
+		return a.Id == b.Id && a.Address == b.Address && a.Zone == b.Zone && a.Incarnation == b.Incarnation
 	})
 }
 
 // observeMember notes where a core machine is now; of two tellings the later start wins.
-func (s *Server) observeMember(member *schema.Core) bool {
-	if member == nil || member.Seat == "" {
+func (s *Server) observeMember(member *schema.CoreMember) bool {
+	if member == nil || member.Id == "" {
 		return false
 	}
 	own := s.coreMembers[s.initialOptions.Seat]
 	// Where an earlier life of this registry was is believed until this one's word is the later.
-	if member.Seat == s.initialOptions.Seat {
+	if member.Id == s.initialOptions.Seat {
 		if session.IsSuperseded(own.Incarnation, member.Incarnation, false) {
-			s.coreMembers[member.Seat] = &schema.Core{Seat: own.Seat, Address: own.Address, Area: own.Area, Incarnation: session.NextIncarnation(member.Incarnation)}
+			s.coreMembers[member.Id] = &schema.CoreMember{Id: own.Id, Address: own.Address, Zone: own.Zone, Incarnation: session.NextIncarnation(member.Incarnation)}
 			return true
 		}
 		return false
 	}
 	listed := false
 	for _, listedMember := range s.members() {
-		listed = listed || listedMember.Seat == member.Seat
+		listed = listed || listedMember.Id == member.Id
 	}
-	if existing := s.coreMembers[member.Seat]; listed && (existing == nil || member.Incarnation > existing.Incarnation) {
-		s.coreMembers[member.Seat] = member
+	if existing := s.coreMembers[member.Id]; listed && (existing == nil || member.Incarnation > existing.Incarnation) {
+		s.coreMembers[member.Id] = member
 		return true
 	}
 	return false
@@ -397,24 +397,24 @@
 // members lists the core's seats in the order in which duties fall, each with where its registry
 // is reached if that is known; the caller holds the lock. Without an order they are those that
 // the stores agreed on, by name; until the store beside tells, the seeds are taken for them.
-func (s *Server) members() []*schema.Core {
-	var listed []*schema.Core
+func (s *Server) members() []*schema.CoreMember {
+	var listed []*schema.CoreMember
 	for _, name := range s.memberOrder {
-		listed = append(listed, &schema.Core{Seat: name})
+		listed = append(listed, &schema.CoreMember{Id: name})
 	}
 	if s.memberOrder == nil {
 		for _, member := range s.agreedMembers {
-			listed = append(listed, &schema.Core{Seat: member.Seat, Address: s.counterpartAddress(member.Address)})
+			listed = append(listed, &schema.CoreMember{Id: member.Id, Address: s.counterpartAddress(member.Address)})
 		}
 		for _, seed := range options.SplitList(s.currentOptions().Seeds) {
 			if len(s.agreedMembers) == 0 {
-				listed = append(listed, &schema.Core{Seat: ipOf(seed), Address: seed})
+				listed = append(listed, &schema.CoreMember{Id: ipOf(seed), Address: seed})
 			}
 		}
-		slices.SortFunc(listed, func(a, b *schema.Core) int { return strings.Compare(a.Seat, b.Seat) })
+		slices.SortFunc(listed, func(a, b *schema.CoreMember) int { return strings.Compare(a.Id, b.Id) })
 	}
 	for i, member := range listed {
-		if observed := s.coreMembers[member.Seat]; observed != nil {
+		if observed := s.coreMembers[member.Id]; observed != nil {
 			listed[i] = observed
 		}
 	}
@@ -430,8 +430,8 @@
 }
 
 // reachableMembers is the seats whose registry can be reached somewhere.
-func (s *Server) reachableMembers() []*schema.Core {
-	return slices.DeleteFunc(s.members(), func(member *schema.Core) bool { return member.Address == "" })
+func (s *Server) reachableMembers() []*schema.CoreMember {
+	return slices.DeleteFunc(s.members(), func(member *schema.CoreMember) bool { return member.Address == "" })
 }
 
 // requireProxy tells whether the peer is the proxy it says it is.
@@ -453,61 +453,61 @@
 }
 
 // Lease renews a proxy's lease here.
-func (s *Server) Lease(ctx context.Context, request *schema.Renew) (*schema.Renewed, error) {
+func (s *Server) Lease(ctx context.Context, request *schema.LeaseRequest) (*schema.LeaseReply, error) {
 	if err := s.requireProxy(ctx, request.Proxy); err != nil {
 		return nil, err
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	reply := s.fleetState.RenewLease(s.now(), request)
-	reply.Cores, reply.Seats = s.reachableMembers(), uint32(len(s.members()))
+	reply.CoreMembers, reply.CoreSize = s.reachableMembers(), uint32(len(s.members()))
 	return reply, nil
 }
 
 // Greet tells a proxy that starts which incarnation of its name was seen last.
-func (s *Server) Greet(ctx context.Context, greeting *schema.Greeting) (*schema.Greeted, error) {
+func (s *Server) Greet(ctx context.Context, greeting *schema.IncarnationRequest) (*schema.IncarnationReply, error) {
 	if err := s.requireProxy(ctx, greeting.Proxy); err != nil {
 		return nil, err
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return &schema.Greeted{Incarnation: s.fleetState.HighestIncarnation(greeting.Proxy), Workers: s.fleetState.ReportedWorkers(greeting.Proxy)}, nil
+	return &schema.IncarnationReply{Incarnation: s.fleetState.HighestIncarnation(greeting.Proxy), Workers: s.fleetState.ReportedWorkers(greeting.Proxy)}, nil
 }
 
 // Feed waits for news that a node lacks and gives it.
-func (s *Server) Feed(ctx context.Context, request *schema.Pull) (*schema.Pulled, error) {
-	if request.Core != nil {
+func (s *Server) Feed(ctx context.Context, request *schema.FeedRequest) (*schema.FeedReply, error) {
+	if request.Member != nil {
 		if err := s.requireRegistry(ctx); err != nil {
 			return nil, err
 		}
 		s.lock.Lock()
-		if s.observeMember(request.Core) {
+		if s.observeMember(request.Member) {
 			s.broadcastChange()
 		}
 		s.fleetState.CompareSetting(request.Node, "lease", time.Duration(request.LeaseNanos).String(), s.leaseDuration.String(), request.LeaseNanos != 0)
-		s.fleetState.CompareSetting(request.Node, "order", request.Order, s.initialOptions.Order, request.Order != "")
+		s.fleetState.CompareSetting(request.Node, "order", request.MemberList, s.initialOptions.Order, request.MemberList != "")
 		s.lock.Unlock()
 	}
 	s.lock.Lock()
 	s.fleetState.ObserveVector(s.now(), request.Vector)
 	s.lock.Unlock()
 	incarnationsOf := request.Node
-	if request.Core != nil {
+	if request.Member != nil {
 		incarnationsOf = ""
 	}
 	deadline := time.NewTimer(min(time.Duration(request.WaitNanos), s.leaseDuration))
 	defer deadline.Stop()
 	for {
 		s.lock.Lock()
-		response := &schema.Pulled{Sources: s.fleetState.SourcesNewerThan(s.now(), request.Vector), Setup: s.fleetState.committedRevision, Cores: s.reachableMembers()}
+		response := &schema.FeedReply{Sources: s.fleetState.SourcesNewerThan(s.now(), request.Vector), Revision: s.fleetState.committedRevision, CoreMembers: s.reachableMembers()}
 		response.Sources = append(response.Sources, s.fleetState.IncarnationOnlySources(request.Vector, incarnationsOf)...)
-		if request.Core == nil && s.fleetState.committedRevision > request.Setup {
-			response.Items, response.Whole = s.configState.ChangesAfter(request.Setup)
+		if request.Member == nil && s.fleetState.committedRevision > request.Revision {
+			response.Items, response.Complete = s.configState.ChangesAfter(request.Revision)
 			response.Items = withoutOperatorText(response.Items)
 		}
 		stateChanged := s.stateChanged
 		s.lock.Unlock()
-		if len(response.Sources) > 0 || (request.Core == nil && response.Setup > request.Setup) {
+		if len(response.Sources) > 0 || (request.Member == nil && response.Revision > request.Revision) {
 			return response, nil
 		}
 		select {
@@ -524,15 +524,15 @@
 func withoutOperatorText(items []*schema.Item) []*schema.Item {
 	stripped := make([]*schema.Item, len(items))
 	for i, item := range items {
-		if stripped[i] = item; len(item.Said) > 0 {
-			stripped[i] = &schema.Item{Kind: item.Kind, Name: item.Name, Version: item.Version, Body: item.Body, Deleted: item.Deleted, Given: item.Given}
+		if stripped[i] = item; len(item.OperatorBody) > 0 {
+			stripped[i] = &schema.Item{Kind: item.Kind, Name: item.Name, Version: item.Version, Body: item.Body, Deleted: item.Deleted, OperatorVersion: item.OperatorVersion}
 		}
 	}
 	return stripped
 }
 
 // Tell takes a proxy's workers and counts.
-func (s *Server) Tell(ctx context.Context, report *schema.Report) (*schema.Told, error) {
+func (s *Server) Tell(ctx context.Context, report *schema.ProxyReport) (*schema.ReportReply, error) {
 	if err := s.requireProxy(ctx, report.Proxy); err != nil {
 		return nil, err
 	}
@@ -544,79 +544,79 @@
 	if s.fleetState.ApplyReport(s.now(), report) {
 		s.broadcastChange()
 	}
-	return &schema.Told{Trials: s.fleetState.CanaryGrants(s.now())}, nil
+	return &schema.ReportReply{Canaries: s.fleetState.CanaryGrants(s.now())}, nil
 }
 
 // Bar sets a fence for another registry.
-func (s *Server) Bar(ctx context.Context, fence *schema.Fence) (*schema.Fenced, error) {
+func (s *Server) Bar(ctx context.Context, fence *schema.FenceRequest) (*schema.FenceReply, error) {
 	if err := s.requireRegistry(ctx); err != nil {
 		return nil, err
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	return s.fleetState.SetFence(s.now(), fence.Setup), nil
+	return s.fleetState.SetFence(s.now(), fence.Revision), nil
 }
 
 // Counts gives the counts held here to another registry.
-func (s *Server) Counts(ctx context.Context, request *schema.CountsAsk) (*schema.CountsBack, error) {
+func (s *Server) Counts(ctx context.Context, request *schema.CountsRequest) (*schema.CountsReply, error) {
 	if err := s.requireRegistry(ctx); err != nil {
 		return nil, err
 	}
-	if request.Duty != "" {
-		s.setCanaryGrants(request.Trials)
+	if request.Controller != "" {
+		s.setCanaryGrants(request.Canaries)
 	}
-	return s.localCounts(request.Works), nil
+	return s.localCounts(request.WorkOnly), nil
 }
 
-func (s *Server) localCounts(workCountsOnly bool) *schema.CountsBack {
+func (s *Server) localCounts(workCountsOnly bool) *schema.CountsReply {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.fleetState.ReportedCounts(s.now(), workCountsOnly)
 }
 
 // Look gives this registry's status.
-func (s *Server) Look(context.Context, *schema.Nothing) (*schema.RegistryStatus, error) {
+func (s *Server) Look(context.Context, *schema.Empty) (*schema.RegistryStatus, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	now := s.now()
 	age, confirmed := s.fleetState.Staleness(now)
-	return &schema.RegistryStatus{Seat: s.initialOptions.Seat, Grants: s.fleetState.GrantsLeases(now), Steers: s.mayControlRollouts(), Stable: s.fleetState.committedRevision, Leases: s.fleetState.Leases(now),
-		Sessions: uint32(s.fleetState.SessionCount()), Members: uint32(s.fleetState.LiveProxies(now)), Vouched: confirmed, AgeNanos: int64(age), Reached: s.fleetState.ReachableRegistries(now),
+	return &schema.RegistryStatus{Member: s.initialOptions.Seat, GrantsLeases: s.fleetState.GrantsLeases(now), MayControlRollouts: s.mayControlRollouts(), Committed: s.fleetState.committedRevision, Leases: s.fleetState.Leases(now),
+		Sessions: uint32(s.fleetState.SessionCount()), FleetSize: uint32(s.fleetState.LiveProxies(now)), StalenessKnown: confirmed, StalenessNanos: int64(age), Reachable: s.fleetState.ReachableRegistries(now),
 		StaleSteps: s.staleSteps.Load(), RefusedPeers: s.rpcTransport.RejectedPeers.Load(),
-		Claims: uint64(s.reservations.Len()), ClaimsCount: s.reservations.IsAuthoritative(now), RefusedClaims: s.reservations.Refused, Odd: s.fleetState.SettingMismatches()}, nil
+		KeyReservations: uint64(s.reservations.Len()), ReservationsAuthoritative: s.reservations.IsAuthoritative(now), RefusedReservations: s.reservations.Refused, ConflictingSettings: s.fleetState.SettingMismatches()}, nil
 }
 
 // digestBytes is the length of a claim's digests.
 const digestBytes = 32
 
 // Claim rules on the keys that a proxy wants to run.
-func (s *Server) Claim(ctx context.Context, request *schema.Claims) (*schema.ClaimsBack, error) {
+func (s *Server) Claim(ctx context.Context, request *schema.ReserveRequest) (*schema.ReserveReply, error) {
 	peer := link.PeerFromContext(ctx)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	now := s.now()
-	response := &schema.ClaimsBack{Seat: s.initialOptions.Seat, Seats: uint32(len(s.members()))}
-	for _, reservation := range request.Claims {
+	response := &schema.ReserveReply{Member: s.initialOptions.Seat, CoreSize: uint32(len(s.members()))}
+	for _, reservation := range request.Reservations {
 		// Only the proxy itself may claim, and only for callers that it may speak for.
-		if peer.Role != "proxy" || peer.Name != reservation.Proxy || !peer.MayCallAs(reservation.Caller) || len(reservation.Key) != digestBytes || len(reservation.Body) != digestBytes {
+		if peer.Role != "proxy" || peer.Name != reservation.Proxy || !peer.MayCallAs(reservation.Caller) || len(reservation.Key) != digestBytes || len(reservation.BodyDigest) != digestBytes {
 			s.reservations.Refused++
-			response.Claimed = append(response.Claimed, &schema.Claimed{Ruled: schema.Ruled_RULED_STRANGER})
+			response.Replies = append(response.Replies, &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_UNAUTHORIZED})
 			continue
 		}
-		response.Claimed = append(response.Claimed, s.reservations.Apply(now, reservation))
+		response.Replies = append(response.Replies, s.reservations.Apply(now, reservation))
 	}
 	return response, nil
 }
 
 // Read gives another registry the claims held here.
-func (s *Server) Read(ctx context.Context, request *schema.ClaimsAsk) (*schema.ClaimsPage, error) {
+func (s *Server) Read(ctx context.Context, request *schema.ReservationsRequest) (*schema.ReservationsPage, error) {
 	if err := s.requireRegistry(ctx); err != nil {
 		return nil, err
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	page := s.reservations.Page(s.now(), request.After)
-	page.Seat = s.initialOptions.Seat
+	page.Member = s.initialOptions.Seat
 	return page, nil
 }
 
@@ -639,17 +639,17 @@
 		}
 		callOtherRegistries(ctx, s, s.leaseDuration, func(ctx context.Context, peer schema.DRPCRegistryClient) (bool, error) {
 			for after := uint64(0); ; {
-				page, err := peer.Read(ctx, &schema.ClaimsAsk{After: after})
+				page, err := peer.Read(ctx, &schema.ReservationsRequest{After: after})
 				if err != nil {
 					return false, err
 				}
 				s.lock.Lock()
-				s.reservations.MergePage(s.now(), page.Seat, page)
+				s.reservations.MergePage(s.now(), page.Member, page)
 				s.lock.Unlock()
 				if page.Last {
 					return true, nil
 				}
-				after = page.Claims[len(page.Claims)-1].Place
+				after = page.Reservations[len(page.Reservations)-1].Position
 			}
 		})
 		s.waitLeaseFraction(ctx, retryPauseDivisor)
@@ -695,11 +695,11 @@
 	for {
 		laggards := map[string]bool{}
 		s.lock.Lock()
-		answers := []*schema.Fenced{s.fleetState.SetFence(s.now(), sequence)}
+		answers := []*schema.FenceReply{s.fleetState.SetFence(s.now(), sequence)}
 		stateChanged := s.stateChanged
 		s.lock.Unlock()
-		answers = append(answers, callOtherRegistries(ctx, s, s.leaseDuration/session.RenewalsPerLease, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.Fenced, error) {
-			return peer.Bar(ctx, &schema.Fence{Setup: sequence})
+		answers = append(answers, callOtherRegistries(ctx, s, s.leaseDuration/session.RenewalsPerLease, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.FenceReply, error) {
+			return peer.Bar(ctx, &schema.FenceRequest{Revision: sequence})
 		})...)
 		for _, answer := range answers {
 			for _, laggard := range answer.Laggards {
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -16,7 +16,7 @@
 	var listed strings.Builder
 	values := schema.Ruling(0).Descriptor().Values()
 	for i := range values.Len() {
-		status, answer := newChangeResponse("id", &schema.Outcome{Ruling: schema.Ruling(values.Get(i).Number())})
+		status, answer := newChangeResponse("id", &schema.ChangeOutcome{Ruling: schema.Ruling(values.Get(i).Number())})
 		fmt.Fprintf(&listed, "%d: word=%q status=%d defect=%q\n", values.Get(i).Number(), answer.Ruling, status, answer.ErrorCode)
 	}
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", "rulings.txt"))
--- a/internal/registry/news_test.go
+++ b/internal/registry/news_test.go
@@ -26,12 +26,12 @@
 		if cursor.peerMemberID == "" {
 			sequence = entry.proxyUpdateSequence
 		}
-		if sequence > from && newerStamp(entry.source.Stamp, cursor.vector[name]) && relays(entry.source.Home) {
+		if sequence > from && newerStamp(entry.source.Version, cursor.vector[name]) && relays(entry.source.HomeRegistry) {
 			names = append(names, name)
 		}
 	}
 	for name, entry := range t.directory.incarnationOnly {
-		if (cursor.peerMemberID != "" || name == cursor.node) && entry.updateSequence > from && newerStamp(entry.source.Stamp, cursor.vector[name]) && relays(entry.source.Home) {
+		if (cursor.peerMemberID != "" || name == cursor.node) && entry.updateSequence > from && newerStamp(entry.source.Version, cursor.vector[name]) && relays(entry.source.HomeRegistry) {
 			names = append(names, name)
 		}
 	}
@@ -46,22 +46,22 @@
 		random := rand.New(rand.NewPCG(seed, 8))
 		table := NewFleetState(FleetStateOptions{MemberID: "a", Lease: testLease, MaxSources: 12, MaxCounts: 4, WithoutLeases: true})
 		table.SetMemberCount(3)
-		cursors := []*SessionCursor{NewSessionCursor("p0", "", nil), NewSessionCursor("p1", "", map[string]*schema.Stamp{"p2": {Incarnation: 2}}), NewSessionCursor("registry/b", "b", nil), NewSessionCursor("registry/c", "c", nil)}
+		cursors := []*SessionCursor{NewSessionCursor("p0", "", nil), NewSessionCursor("p1", "", map[string]*schema.SourceVersion{"p2": {Incarnation: 2}}), NewSessionCursor("registry/b", "b", nil), NewSessionCursor("registry/c", "c", nil)}
 		incarnations, now := map[string]uint64{}, time.Duration(0)
 		for step := range 400 {
 			now += time.Duration(random.Int64N(int64(testLease / 16)))
 			name := fmt.Sprint("p", random.IntN(16))
-			source := &schema.Source{Name: name, Home: []string{"a", "b", "c"}[random.IntN(3)], Address: fmt.Sprint(random.IntN(2)),
-				Stamp: &schema.Stamp{Incarnation: incarnations[name], Counter: uint64(step)}}
+			source := &schema.Source{Name: name, HomeRegistry: []string{"a", "b", "c"}[random.IntN(3)], Address: fmt.Sprint(random.IntN(2)),
+				Version: &schema.SourceVersion{Incarnation: incarnations[name], Counter: uint64(step)}}
 			switch random.IntN(8) {
 			case 0:
 				incarnations[name]++
 			case 1:
-				table.ObserveVector(now, map[string]*schema.Stamp{name: {Incarnation: incarnations[name] + uint64(random.IntN(3))}})
+				table.ObserveVector(now, map[string]*schema.SourceVersion{name: {Incarnation: incarnations[name] + uint64(random.IntN(3))}})
 			case 2:
 				table.RecordPeerHeard(now, []string{"b", "c"}[random.IntN(2)], [][]string{{"c"}, {"b"}, {}}[random.IntN(3)])
 			case 3:
-				source.Stamp.Ended = true
+				source.Version.Ended = true
 				table.MergeSource(now, source)
 			case 4:
 				table.ConfirmCurrent(now)
@@ -90,7 +90,7 @@
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
 			table := NewFleetState(FleetStateOptions{MemberID: "a", Lease: testLease, MaxSources: 4096, MaxCounts: 4, WithoutLeases: true})
 			source := func(i int, counter uint64) *schema.Source {
-				return &schema.Source{Name: fmt.Sprint("p", i), Home: "a", Stamp: &schema.Stamp{Incarnation: 1, Counter: counter}, Workers: []*schema.Worker{{Instance: fmt.Sprint("w", i), Leaving: counter%2 == 0}}}
+				return &schema.Source{Name: fmt.Sprint("p", i), HomeRegistry: "a", Version: &schema.SourceVersion{Incarnation: 1, Counter: counter}, Workers: []*schema.Worker{{Instance: fmt.Sprint("w", i), Draining: counter%2 == 0}}}
 			}
 			var cursors []*SessionCursor
 			for i := range proxies {
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -29,16 +29,16 @@
 
 // ChangeResponse is what became of a change.
 type ChangeResponse struct {
-	ID              string            `json:"id"`
-	Ruling          string            `json:"ruling"`
-	Sequence        uint64            `json:"sequence,omitempty"`
-	Term            uint64            `json:"epoch,omitempty"`
-	Acknowledged    bool              `json:"acknowledged"`
-	LaggingProxies  []string          `json:"waiting,omitempty"` // proxies that may still use older rules
-	CurrentVersions map[string]uint64 `json:"current,omitempty"`
-	CurrentItems    []ItemView        `json:"standing,omitempty"` // on a conflict: what stands, and whose it is
-	ErrorCode       defect.Code       `json:"defect,omitempty"`
-	Faults          []*schema.Fault   `json:"faults,omitempty"`
+	ID              string               `json:"id"`
+	Ruling          string               `json:"ruling"`
+	Sequence        uint64               `json:"sequence,omitempty"`
+	Term            uint64               `json:"epoch,omitempty"`
+	Acknowledged    bool                 `json:"acknowledged"`
+	LaggingProxies  []string             `json:"waiting,omitempty"` // proxies that may still use older rules
+	CurrentVersions map[string]uint64    `json:"current,omitempty"`
+	CurrentItems    []ItemView           `json:"standing,omitempty"` // on a conflict: what stands, and whose it is
+	ErrorCode       defect.Code          `json:"defect,omitempty"`
+	Faults          []*schema.FieldError `json:"faults,omitempty"`
 }
 
 // rulings names each ruling outside, with its status and defect.
@@ -54,10 +54,10 @@
 	schema.Ruling_RULING_UNKNOWN:  {"unknown", fasthttp.StatusServiceUnavailable, defect.NoQuorum},
 }
 
-func newChangeResponse(id string, outcome *schema.Outcome) (int, *ChangeResponse) {
+func newChangeResponse(id string, outcome *schema.ChangeOutcome) (int, *ChangeResponse) {
 	ruling := rulings[outcome.GetRuling()]
 	response := &ChangeResponse{ID: id, Ruling: ruling.name, ErrorCode: ruling.defect, Sequence: outcome.GetVersion().GetSequence(),
-		Term: outcome.GetVersion().GetEpoch(), Faults: outcome.GetFaults()}
+		Term: outcome.GetVersion().GetTerm(), Faults: outcome.GetFaults()}
 	for _, expected := range outcome.GetCurrent() {
 		if response.CurrentVersions == nil {
 			response.CurrentVersions = map[string]uint64{}
@@ -140,7 +140,7 @@
 	change := &schema.Change{Id: request.ID, Items: items}
 	for key, sequence := range request.ExpectedVersions {
 		kind, name, _ := strings.Cut(key, "/")
-		change.Expected = append(change.Expected, &schema.Expected{Kind: kind, Name: name, Sequence: sequence})
+		change.Expected = append(change.Expected, &schema.ExpectedVersion{Kind: kind, Name: name, Sequence: sequence})
 	}
 	bounded, cancel := context.WithTimeout(context.Background(), time.Duration(s.currentOptions().AnswerMost))
 	defer cancel()
@@ -189,7 +189,7 @@
 func (s *Server) handleOutcome(call *fasthttp.RequestCtx, id string) {
 	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/session.RenewalsPerLease)
 	defer cancel()
-	reply, err := s.store.Inquire(bounded, &schema.Ask{ChangeId: id})
+	reply, err := s.store.Inquire(bounded, &schema.ChangeQuery{ChangeId: id})
 	if err != nil {
 		daemon.WriteError(call, defect.Wrap(err, defect.NoQuorum, "store"), "", nil)
 		return
@@ -229,7 +229,7 @@
 	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/session.RenewalsPerLease)
 	defer cancel()
 	response := ChangeTrace{MemberID: s.initialOptions.Seat, Applied: map[string]time.Time{}}
-	storeTrace, err := s.store.Trace(bounded, &schema.Ask{ChangeId: id})
+	storeTrace, err := s.store.Trace(bounded, &schema.ChangeQuery{ChangeId: id})
 	if err != nil {
 		response.StoreUnreachable = true
 		daemon.WriteJSON(call, fasthttp.StatusOK, response)
@@ -244,7 +244,7 @@
 	response.KnownToStore, response.Leader = storeTrace.Known, storeTrace.Leader
 	response.Appended, response.Durable, response.Committed = wallTime(storeTrace.Appended), wallTime(storeTrace.Durable), wallTime(storeTrace.Committed)
 	if storeTrace.Known {
-		response.Ruling, response.Sequence, response.Term = rulings[storeTrace.Outcome.Ruling].name, storeTrace.Outcome.Version.Sequence, storeTrace.Outcome.Version.Epoch
+		response.Ruling, response.Sequence, response.Term = rulings[storeTrace.Outcome.Ruling].name, storeTrace.Outcome.Version.Sequence, storeTrace.Outcome.Version.Term
 		s.lock.Lock()
 		localTime := func(at time.Duration) time.Time {
 			if at == 0 {
@@ -278,7 +278,7 @@
 }
 
 func newItemView(item *schema.Item) ItemView {
-	return ItemView{item.Kind, item.Name, item.Version.GetSequence(), item.Change, item.Body}
+	return ItemView{item.Kind, item.Name, item.Version.GetSequence(), item.ChangeId, item.Body}
 }
 
 // ConfigView is the stable setup as operators see it.
@@ -308,14 +308,14 @@
 
 // collectCounts gathers the counts of all registries, each proxy's once.
 func (s *Server) collectCounts(ctx context.Context) []*schema.SourceCounts {
-	answers := callOtherRegistries(ctx, s, s.leaseDuration/session.RenewalsPerLease, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.CountsBack, error) {
-		return peer.Counts(ctx, &schema.CountsAsk{})
+	answers := callOtherRegistries(ctx, s, s.leaseDuration/session.RenewalsPerLease, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.CountsReply, error) {
+		return peer.Counts(ctx, &schema.CountsRequest{})
 	})
 	return MergeCounts(append(answers, s.localCounts(false)))
 }
 
 // MergeCounts keeps, of each proxy's incarnation, the tellings that counted most.
-func MergeCounts(answers []*schema.CountsBack) []*schema.SourceCounts {
+func MergeCounts(answers []*schema.CountsReply) []*schema.SourceCounts {
 	byIncarnation := map[proxyIncarnation]*schema.SourceCounts{}
 	var all []*schema.SourceCounts
 	for _, answer := range answers {
@@ -323,7 +323,7 @@
 			key := proxyIncarnation{reported.Proxy, reported.Incarnation}
 			merged := byIncarnation[key]
 			if merged == nil {
-				merged = &schema.SourceCounts{Proxy: reported.Proxy, Incarnation: reported.Incarnation, AgoNanos: reported.AgoNanos}
+				merged = &schema.SourceCounts{Proxy: reported.Proxy, Incarnation: reported.Incarnation, AgeNanos: reported.AgeNanos}
 				byIncarnation[key] = merged
 				all = append(all, merged)
 			}
@@ -331,10 +331,10 @@
 				merged.Counts = reported.Counts
 			}
 			// Of two tellings that count the same, the later one has what is under way now.
-			if totalWorkCalls(reported) > totalWorkCalls(merged) || (totalWorkCalls(reported) == totalWorkCalls(merged) && reported.AgoNanos <= merged.AgoNanos) {
-				merged.Works = reported.Works
+			if totalWorkCalls(reported) > totalWorkCalls(merged) || (totalWorkCalls(reported) == totalWorkCalls(merged) && reported.AgeNanos <= merged.AgeNanos) {
+				merged.WorkCounts = reported.WorkCounts
 			}
-			merged.Applied, merged.AgoNanos = max(merged.Applied, reported.Applied), min(merged.AgoNanos, reported.AgoNanos)
+			merged.Applied, merged.AgeNanos = max(merged.Applied, reported.Applied), min(merged.AgeNanos, reported.AgeNanos)
 		}
 	}
 	return all
@@ -372,23 +372,23 @@
 }
 
 func (s *Server) handleVerdicts(call *fasthttp.RequestCtx) {
-	sums := map[VerdictCount]*schema.Count{}
+	sums := map[VerdictCount]*schema.VerdictCount{}
 	for _, counts := range s.collectCounts(context.Background()) {
 		for _, count := range counts.Counts {
 			key := VerdictCount{Flag: count.Flag, Service: count.Service, Variation: count.Variation, Reason: count.Reason, Rule: count.Rule, Route: count.Route, Outcome: count.Outcome}
 			if sums[key] == nil {
-				sums[key] = &schema.Count{}
+				sums[key] = &schema.VerdictCount{}
 			}
 			sums[key].Calls += count.Calls
 			sums[key].Failures += count.Failures
-			sums[key].Nanos += count.Nanos
+			sums[key].TotalNanos += count.TotalNanos
 		}
 	}
 	verdictCounts := []VerdictCount{}
 	for key, sum := range sums {
 		key.Calls, key.Failures = sum.Calls, sum.Failures
 		if sum.Calls > 0 {
-			key.MeanMS = float64(sum.Nanos) / float64(sum.Calls) / float64(time.Millisecond)
+			key.MeanMS = float64(sum.TotalNanos) / float64(sum.Calls) / float64(time.Millisecond)
 		}
 		verdictCounts = append(verdictCounts, key)
 	}
@@ -418,10 +418,10 @@
 	for _, source := range sources {
 		for _, worker := range source.Workers {
 			state := "serving"
-			if worker.Leaving {
+			if worker.Draining {
 				state = "leaving"
 			}
-			views = append(views, WorkerView{worker.Instance, worker.Service, worker.Version, worker.Area, source.Name, worker.Load, state})
+			views = append(views, WorkerView{worker.Instance, worker.Service, worker.Version, worker.Zone, source.Name, worker.Load, state})
 		}
 	}
 	daemon.WriteJSON(call, fasthttp.StatusOK, views)
@@ -431,7 +431,7 @@
 type CoreStatus struct {
 	Store       *schema.ReplicaStatus    `json:"store,omitempty"`
 	Registries  []*schema.RegistryStatus `json:"registries"`
-	CoreMembers []*schema.Core           `json:"cores"`
+	CoreMembers []*schema.CoreMember     `json:"cores"`
 	LiveProxies int                      `json:"members"`
 }
 
@@ -441,10 +441,10 @@
 	local, _ := s.Look(bounded, nil)
 	status := &CoreStatus{Registries: append([]*schema.RegistryStatus{local}, callOtherRegistries(bounded, s, s.leaseDuration/session.RenewalsPerLease,
 		func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.RegistryStatus, error) {
-			return peer.Look(ctx, &schema.Nothing{})
+			return peer.Look(ctx, &schema.Empty{})
 		})...)}
-	sort.Slice(status.Registries, func(i, j int) bool { return status.Registries[i].Seat < status.Registries[j].Seat })
-	status.Store, _ = s.store.Look(bounded, &schema.Nothing{})
+	sort.Slice(status.Registries, func(i, j int) bool { return status.Registries[i].Member < status.Registries[j].Member })
+	status.Store, _ = s.store.Look(bounded, &schema.Empty{})
 	s.lock.Lock()
 	status.CoreMembers, status.LiveProxies = s.reachableMembers(), s.fleetState.LiveProxies(s.now())
 	s.lock.Unlock()
--- a/internal/registry/roster.go
+++ b/internal/registry/roster.go
@@ -104,15 +104,15 @@
 // adoptSource makes a source that was told here this registry's to mind.
 func (t *FleetState) adoptSource(source *schema.Source) {
 	if source != nil && t.directory.sessions[source.Name] > 0 {
-		source.Home = t.options.MemberID
+		source.HomeRegistry = t.options.MemberID
 	}
 }
 
 // endLostSources lists sources as ended whose proxies are gone.
 func (t *FleetState) endLostSources(now time.Duration) {
 	for name, entry := range t.sources {
-		home := entry.source.Home
-		if home == "" || entry.source.Stamp.GetEnded() {
+		home := entry.source.HomeRegistry
+		if home == "" || entry.source.Version.GetEnded() {
 			continue
 		}
 		lost := false
@@ -138,8 +138,8 @@
 
 // endSource lists a source as ended.
 func (t *FleetState) endSource(now time.Duration, source *schema.Source) {
-	stamp := &schema.Stamp{Incarnation: source.Stamp.GetIncarnation(), Counter: source.Stamp.GetCounter(), Ended: true}
-	t.storeSource(now, &schema.Source{Name: source.Name, Stamp: stamp, Address: source.Address, Area: source.Area, Home: t.options.MemberID})
+	stamp := &schema.SourceVersion{Incarnation: source.Version.GetIncarnation(), Counter: source.Version.GetCounter(), Ended: true}
+	t.storeSource(now, &schema.Source{Name: source.Name, Version: stamp, Address: source.Address, Zone: source.Zone, HomeRegistry: t.options.MemberID})
 }
 
 // storeSource takes a source's news and gives them a place in the order of all news taken here.
@@ -158,7 +158,7 @@
 			return existing == nil || existing.updateSequence != entry.sequence
 		})
 	}
-	if incarnationOnly := t.directory.incarnationOnly[source.Name]; incarnationOnly != nil && !newerStamp(incarnationOnly.source.Stamp, source.Stamp) {
+	if incarnationOnly := t.directory.incarnationOnly[source.Name]; incarnationOnly != nil && !newerStamp(incarnationOnly.source.Version, source.Version) {
 		delete(t.directory.incarnationOnly, source.Name)
 	}
 }
@@ -166,19 +166,19 @@
 // sameContent tells whether two words of one life say the same, but for loads, which proxies learn
 // from answers.
 func sameContent(a, b *schema.Source) bool {
-	if a.Stamp.GetIncarnation() != b.Stamp.GetIncarnation() || a.Stamp.GetEnded() || b.Stamp.GetEnded() || a.Ended != b.Ended || a.Address != b.Address || a.Area != b.Area {
+	if a.Version.GetIncarnation() != b.Version.GetIncarnation() || a.Version.GetEnded() || b.Version.GetEnded() || a.ShuttingDown != b.ShuttingDown || a.Address != b.Address || a.Zone != b.Zone {
 		return false
 	}
 	return slices.EqualFunc(a.Workers, b.Workers, func(a, b *schema.Worker) bool {
-		return a.Instance == b.Instance && a.Service == b.Service && a.Version == b.Version && a.Area == b.Area && a.Leaving == b.Leaving && a.Gone == b.Gone && a.Slots == b.Slots
+		return a.Instance == b.Instance && a.Service == b.Service && a.Version == b.Version && a.Zone == b.Zone && a.Draining == b.Draining && a.Terminated == b.Terminated && a.Slots == b.Slots
 	})
 }
 
 // ObserveVector takes from a vector what others saw that is unknown here. A proxy that is restarted must
 // go beyond it, or whoever has it would not believe the proxy.
-func (t *FleetState) ObserveVector(now time.Duration, vector map[string]*schema.Stamp) {
+func (t *FleetState) ObserveVector(now time.Duration, vector map[string]*schema.SourceVersion) {
 	for name, stamp := range vector {
-		t.mergeIncarnationOnly(now, &schema.Source{Name: name, Stamp: &schema.Stamp{Incarnation: stamp.GetIncarnation(), Counter: stamp.GetCounter()}, Bare: true, Home: t.options.MemberID})
+		t.mergeIncarnationOnly(now, &schema.Source{Name: name, Version: &schema.SourceVersion{Incarnation: stamp.GetIncarnation(), Counter: stamp.GetCounter()}, IncarnationOnly: true, HomeRegistry: t.options.MemberID})
 	}
 }
 
@@ -186,10 +186,10 @@
 func (t *FleetState) HighestIncarnation(name string) uint64 {
 	highest := uint64(0)
 	if entry := t.sources[name]; entry != nil {
-		highest = entry.source.Stamp.GetIncarnation()
+		highest = entry.source.Version.GetIncarnation()
 	}
 	if entry := t.directory.incarnationOnly[name]; entry != nil {
-		highest = max(highest, entry.source.Stamp.GetIncarnation())
+		highest = max(highest, entry.source.Version.GetIncarnation())
 	}
 	return highest
 }
@@ -198,12 +198,12 @@
 // proxy that is killed loses them, while they live on and speak only with their next beat.
 func (t *FleetState) ReportedWorkers(name string) []*schema.Worker {
 	entry := t.sources[name]
-	if entry == nil || entry.source.Ended {
+	if entry == nil || entry.source.ShuttingDown {
 		return nil
 	}
 	var staying []*schema.Worker
 	for _, worker := range entry.source.Workers {
-		if !worker.Leaving && !worker.Gone {
+		if !worker.Draining && !worker.Terminated {
 			staying = append(staying, worker)
 		}
 	}
@@ -211,10 +211,10 @@
 }
 
 // IncarnationOnlySources lists what is known of incarnations alone beyond a vector; of a proxy's own name, or of all.
-func (t *FleetState) IncarnationOnlySources(vector map[string]*schema.Stamp, name string) []*schema.Source {
+func (t *FleetState) IncarnationOnlySources(vector map[string]*schema.SourceVersion, name string) []*schema.Source {
 	var listed []*schema.Source
 	for sourceName, entry := range t.directory.incarnationOnly {
-		if (name == "" || sourceName == name) && entry.source.Stamp.Incarnation > vector[sourceName].GetIncarnation() {
+		if (name == "" || sourceName == name) && entry.source.Version.Incarnation > vector[sourceName].GetIncarnation() {
 			listed = append(listed, entry.source)
 		}
 	}
@@ -222,11 +222,11 @@
 }
 
 func (t *FleetState) mergeIncarnationOnly(now time.Duration, source *schema.Source) bool {
-	if existing := t.sources[source.Name]; existing != nil && !newerStamp(source.Stamp, existing.source.Stamp) {
+	if existing := t.sources[source.Name]; existing != nil && !newerStamp(source.Version, existing.source.Version) {
 		return false
 	}
 	existing := t.directory.incarnationOnly[source.Name]
-	if (existing != nil && !newerStamp(source.Stamp, existing.source.Stamp)) || (existing == nil && len(t.directory.incarnationOnly) >= t.options.MaxSources) {
+	if (existing != nil && !newerStamp(source.Version, existing.source.Version)) || (existing == nil && len(t.directory.incarnationOnly) >= t.options.MaxSources) {
 		return false
 	}
 	t.directory.lastSequence++
@@ -241,11 +241,11 @@
 	peerReaches  []string
 	started      bool
 	sentSequence uint64
-	vector       map[string]*schema.Stamp
+	vector       map[string]*schema.SourceVersion
 }
 
 // NewSessionCursor begins a session with a node that has a vector; with a peer, its seat is given.
-func NewSessionCursor(node, peerMemberID string, vector map[string]*schema.Stamp) *SessionCursor {
+func NewSessionCursor(node, peerMemberID string, vector map[string]*schema.SourceVersion) *SessionCursor {
 	return &SessionCursor{node: node, peerMemberID: peerMemberID, vector: vector}
 }
 
@@ -275,12 +275,12 @@
 		if cursor.peerMemberID == "" {
 			sequence = entry.proxyUpdateSequence
 		}
-		if sequence > cursor.sentSequence && newerStamp(entry.source.Stamp, cursor.vector[name]) && t.relaysTo(cursor, entry.source.Home) {
+		if sequence > cursor.sentSequence && newerStamp(entry.source.Version, cursor.vector[name]) && t.relaysTo(cursor, entry.source.HomeRegistry) {
 			updates = append(updates, entry.source)
 		}
 	}
 	appendIfUnsent := func(name string, entry *sourceEntry) {
-		if entry != nil && entry.updateSequence > cursor.sentSequence && newerStamp(entry.source.Stamp, cursor.vector[name]) && t.relaysTo(cursor, entry.source.Home) {
+		if entry != nil && entry.updateSequence > cursor.sentSequence && newerStamp(entry.source.Version, cursor.vector[name]) && t.relaysTo(cursor, entry.source.HomeRegistry) {
 			updates = append(updates, entry.source)
 		}
 	}
--- a/internal/registry/roster_test.go
+++ b/internal/registry/roster_test.go
@@ -106,24 +106,24 @@
 // source is what a proxy tells of itself; its worker's name says how new it is.
 func (p *fakeProxy) source() *schema.Source {
 	p.counter++
-	return &schema.Source{Name: p.name, Stamp: &schema.Stamp{Incarnation: p.incarnation, Counter: p.counter},
+	return &schema.Source{Name: p.name, Version: &schema.SourceVersion{Incarnation: p.incarnation, Counter: p.counter},
 		Workers: []*schema.Worker{{Instance: fmt.Sprintf("%s-%d-%d", p.name, p.processCount, p.contentVersion)}}}
 }
 
-func (p *fakeProxy) vector() map[string]*schema.Stamp {
-	vector := map[string]*schema.Stamp{}
+func (p *fakeProxy) vector() map[string]*schema.SourceVersion {
+	vector := map[string]*schema.SourceVersion{}
 	for name, source := range p.directory {
-		vector[name] = source.Stamp
+		vector[name] = source.Version
 	}
 	return vector
 }
 
 func (p *fakeProxy) applyUpdates(updates []*schema.Source) (overtaken bool) {
 	for _, source := range updates {
-		if source.Name == p.name && session.IsSuperseded(p.incarnation, source.Stamp.Incarnation, source.Stamp.Ended) {
-			p.incarnation, overtaken = session.NextIncarnation(source.Stamp.Incarnation), true
+		if source.Name == p.name && session.IsSuperseded(p.incarnation, source.Version.Incarnation, source.Version.Ended) {
+			p.incarnation, overtaken = session.NextIncarnation(source.Version.Incarnation), true
 		}
-		if existing := p.directory[source.Name]; !source.Bare && (existing == nil || newerStamp(source.Stamp, existing.Stamp)) {
+		if existing := p.directory[source.Name]; !source.IncarnationOnly && (existing == nil || newerStamp(source.Version, existing.Version)) {
 			p.directory[source.Name] = source
 		}
 	}
@@ -143,7 +143,7 @@
 func (f *fakeFleet) report(p *fakeProxy, source *schema.Source) {
 	p.directory[p.name] = source
 	if p.registryIndex >= 0 && f.hasIntactSession(p) {
-		f.tables[p.registryIndex].ApplyReport(f.now, &schema.Report{Proxy: p.name, Incarnation: uint64(p.processCount), Source: cloneSources(source)[0]})
+		f.tables[p.registryIndex].ApplyReport(f.now, &schema.ProxyReport{Proxy: p.name, Incarnation: uint64(p.processCount), Source: cloneSources(source)[0]})
 	}
 }
 
@@ -251,7 +251,7 @@
 	for _, p := range f.proxies {
 		for _, other := range f.proxies {
 			steady := p.up && other.up && f.now-other.steadySince > 2*testLease && f.now-p.steadySince > 2*testLease
-			if listed := p.directory[other.name]; steady && (listed == nil || listed.Stamp.Ended) {
+			if listed := p.directory[other.name]; steady && (listed == nil || listed.Version.Ended) {
 				f.t.Fatalf("seed %d, %v: %s lost %s, which is in session: %v", f.seed, f.now, p.name, other.name, listed)
 			}
 		}
@@ -273,7 +273,7 @@
 		// It ends politely.
 		if p.up {
 			last := p.source()
-			last.Ended, last.Workers = true, nil
+			last.ShuttingDown, last.Workers = true, nil
 			f.report(p, last)
 			p.up = false
 		}
@@ -349,7 +349,7 @@
 func TestSourcesOfALostRegistry(t *testing.T) {
 	for _, quorumContact := range []bool{true, false} {
 		table := NewFleetState(FleetStateOptions{MemberID: "a", Lease: testLease, MaxSources: 4, MaxCounts: 4, WithoutLeases: true})
-		table.MergeSource(0, &schema.Source{Name: "p", Home: "b", Stamp: &schema.Stamp{Incarnation: 1, Counter: 1}})
+		table.MergeSource(0, &schema.Source{Name: "p", HomeRegistry: "b", Version: &schema.SourceVersion{Incarnation: 1, Counter: 1}})
 		table.RecordPeerHeard(0, "b", nil)
 		for now := time.Duration(0); now <= 3*testLease; now += fleetTick {
 			if quorumContact {
@@ -357,7 +357,7 @@
 			}
 			table.sweep(now)
 		}
-		if ended := table.sources["p"].source.Stamp.GetEnded(); ended != quorumContact {
+		if ended := table.sources["p"].source.Version.GetEnded(); ended != quorumContact {
 			t.Errorf("in touch %v: listed as ended %v", quorumContact, ended)
 		}
 	}
--- a/internal/registry/speech.go
+++ b/internal/registry/speech.go
@@ -25,13 +25,13 @@
 type OperatorBackend interface {
 	// SubmitChange hands in a change and gives what became of it, or nil if that is not known when ctx
 	// ends; it is worked on further. The same items, handed in again meanwhile, join it.
-	SubmitChange(ctx context.Context, change *schema.Change) *schema.Outcome
+	SubmitChange(ctx context.Context, change *schema.Change) *schema.ChangeOutcome
 	// ReadItems gives all items, tombstones included, no older than any yes given before the call;
 	// false if that cannot be told before ctx ends.
 	ReadItems(ctx context.Context) ([]*schema.Item, bool)
 	// StartRollout states a plan that moves all of a service's calls to a version over a time. A plan for
 	// that version that is under way already is left as it is, and accepted.
-	StartRollout(ctx context.Context, service, version string, over time.Duration) *schema.Outcome
+	StartRollout(ctx context.Context, service, version string, over time.Duration) *schema.ChangeOutcome
 	// RolloutStatus tells how the plan for a service stands and for which version it is; the state is
 	// empty if there is none, known false if that cannot be told before ctx ends.
 	RolloutStatus(ctx context.Context, service string) (state RolloutStatus, version string, known bool)
@@ -50,24 +50,24 @@
 // pendingChange is a change on its way.
 type pendingChange struct {
 	done    chan struct{}
-	outcome *schema.Outcome // once done is closed; nil for not known
+	outcome *schema.ChangeOutcome // once done is closed; nil for not known
 }
 
 // changeDigest tells changes apart by all that they ask for, down to how the operator said it.
 func changeDigest(change *schema.Change) string {
 	hash := sha256.New()
 	for _, item := range change.Items {
-		fmt.Fprintf(hash, "%q %q %d %t %q %q\n", item.Kind, item.Name, item.Given, item.Deleted, item.Body, item.Said)
+		fmt.Fprintf(hash, "%q %q %d %t %q %q\n", item.Kind, item.Name, item.OperatorVersion, item.Deleted, item.Body, item.OperatorBody)
 	}
 	for _, expected := range change.Expected {
 		fmt.Fprintf(hash, "%q %q %d\n", expected.Kind, expected.Name, expected.Sequence)
 	}
-	fmt.Fprint(hash, change.ByGiven)
+	fmt.Fprint(hash, change.ByOperatorVersion)
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
 // SubmitChange hands in a change; its id, unless it has one, is made here.
-func (s *Server) SubmitChange(ctx context.Context, change *schema.Change) *schema.Outcome {
+func (s *Server) SubmitChange(ctx context.Context, change *schema.Change) *schema.ChangeOutcome {
 	digest := changeDigest(change)
 	s.lock.Lock()
 	pending := s.pendingChanges[digest]
@@ -108,7 +108,7 @@
 // ReadItems gives all items as of a moment after the call began.
 func (s *Server) ReadItems(ctx context.Context) ([]*schema.Item, bool) {
 	for ctx.Err() == nil {
-		readIndex, err := s.store.ReadIndex(ctx, &schema.Nothing{})
+		readIndex, err := s.store.ReadIndex(ctx, &schema.Empty{})
 		if err != nil || readIndex.Undecided {
 			s.waitLeaseFraction(ctx, retryPauseDivisor)
 			continue
@@ -130,7 +130,7 @@
 }
 
 // StartRollout states a release plan as one change.
-func (s *Server) StartRollout(ctx context.Context, service, version string, duration time.Duration) *schema.Outcome {
+func (s *Server) StartRollout(ctx context.Context, service, version string, duration time.Duration) *schema.ChangeOutcome {
 	for ctx.Err() == nil {
 		if _, known := s.ReadItems(ctx); !known {
 			return nil
@@ -139,11 +139,11 @@
 		step, err := release.PlanRollout(snapshot, state, release.RolloutOrder{Service: service, Version: version, Within: duration})
 		switch {
 		case err != nil && defect.CodeOf(err) == defect.InvalidConfig:
-			return &schema.Outcome{Ruling: schema.Ruling_RULING_INVALID, Faults: []*schema.Fault{{Path: "release." + service, Reason: err.Error()}}}
+			return &schema.ChangeOutcome{Ruling: schema.Ruling_RULING_INVALID, Faults: []*schema.FieldError{{Path: "release." + service, Reason: err.Error()}}}
 		case err != nil:
 			return nil
 		case step == nil:
-			return &schema.Outcome{Ruling: schema.Ruling_RULING_ACCEPTED}
+			return &schema.ChangeOutcome{Ruling: schema.Ruling_RULING_ACCEPTED}
 		}
 		s.lock.Lock()
 		s.changeSerial++
--- a/internal/registry/steer.go
+++ b/internal/registry/steer.go
@@ -24,7 +24,7 @@
 	stepWriteDivisor          = session.RenewalsPerLease / 4 // how long a step may be on its way
 )
 
-func (s *Server) setCanaryGrants(grants []*schema.Trial) {
+func (s *Server) setCanaryGrants(grants []*schema.Canary) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.fleetState.SetCanaryGrants(s.now(), grants)
@@ -59,13 +59,13 @@
 	s.lock.Unlock()
 	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/rolloutTickDivisor)
 	defer cancel()
-	reply, err := s.store.Follow(bounded, &schema.FollowRequest{After: after, WaitNanos: 0})
-	if err != nil || !reply.Vouched {
+	reply, err := s.store.Follow(bounded, &schema.FollowRequest{AfterSequence: after, WaitNanos: 0})
+	if err != nil || !reply.StalenessKnown {
 		return
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	s.rollout.hadQuorumContact, s.rollout.quorumContactAt = true, s.now()-time.Duration(reply.AgeNanos)
+	s.rollout.hadQuorumContact, s.rollout.quorumContactAt = true, s.now()-time.Duration(reply.StalenessNanos)
 }
 
 // hasControl tells whether no registry before this one in the order steers. They are asked on the
@@ -75,16 +75,16 @@
 	defer s.lock.Unlock()
 	inControl, now := s.mayControlRollouts(), s.now()
 	for _, member := range s.members() {
-		if member.Seat == s.initialOptions.Seat {
+		if member.Id == s.initialOptions.Seat {
 			break
 		}
 		if member.Address == "" {
 			continue
 		}
-		earlier := s.rollout.predecessors[member.Seat]
+		earlier := s.rollout.predecessors[member.Id]
 		if earlier == nil {
 			earlier = &predecessor{lastActiveAt: now}
-			s.rollout.predecessors[member.Seat] = earlier
+			s.rollout.predecessors[member.Id] = earlier
 		}
 		inControl = inControl && now-earlier.lastActiveAt > s.leaseDuration/predecessorTimeoutDivisor
 		if !earlier.queryInFlight {
@@ -98,10 +98,10 @@
 func (s *Server) queryPredecessor(ctx context.Context, earlier *predecessor, address string) {
 	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/canaryGrantDivisor)
 	defer cancel()
-	status, err := schema.NewDRPCRegistryClient(s.rpcTransport.Conn(bounded, address)).Look(bounded, &schema.Nothing{})
+	status, err := schema.NewDRPCRegistryClient(s.rpcTransport.Conn(bounded, address)).Look(bounded, &schema.Empty{})
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if earlier.queryInFlight = false; err == nil && status.Steers {
+	if earlier.queryInFlight = false; err == nil && status.MayControlRollouts {
 		earlier.lastActiveAt = s.now()
 	}
 }
@@ -197,7 +197,7 @@
 	slotsUnknown := map[[2]string]bool{}
 	for _, source := range sources {
 		for _, worker := range source.Workers {
-			if worker.Leaving || worker.Gone {
+			if worker.Draining || worker.Terminated {
 				continue
 			}
 			key := [2]string{worker.Service, worker.Version}
@@ -222,13 +222,13 @@
 
 // gatherCounts collects the counts of all registries reached, handing out trials with the call. It
 // tells of what part of the fleet they are.
-func (s *Server) gatherCounts(ctx context.Context, canaryGrants []*schema.Trial) ([]*schema.SourceCounts, float64) {
-	answers := append(callOtherRegistries(ctx, s, s.leaseDuration/rolloutTickDivisor, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.CountsBack, error) {
-		return peer.Counts(ctx, &schema.CountsAsk{Duty: s.initialOptions.Seat, Trials: canaryGrants, Works: true})
+func (s *Server) gatherCounts(ctx context.Context, canaryGrants []*schema.Canary) ([]*schema.SourceCounts, float64) {
+	answers := append(callOtherRegistries(ctx, s, s.leaseDuration/rolloutTickDivisor, func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.CountsReply, error) {
+		return peer.Counts(ctx, &schema.CountsRequest{Controller: s.initialOptions.Seat, Canaries: canaryGrants, WorkOnly: true})
 	}), s.localCounts(true))
 	reporting := 0
 	for _, answer := range answers {
-		reporting += int(answer.Telling)
+		reporting += int(answer.Reporting)
 	}
 	s.lock.Lock()
 	fleetSize := s.fleetSize.Observe(s.now(), int64(s.fleetState.LiveProxies(s.now())))
--- a/internal/registry/table.go
+++ b/internal/registry/table.go
@@ -65,7 +65,7 @@
 	reportedAt          map[proxyIncarnation]time.Duration
 	traces              map[uint64]*trace
 	lastTraced          uint64 // sequence traced last
-	canaryGrants        []*schema.Trial
+	canaryGrants        []*schema.Canary
 	canaryGrantsAt      time.Duration // when the release duty last handed them out
 	settingMismatches   map[string]string
 	sweptAt             time.Duration
@@ -139,7 +139,7 @@
 	}
 	for name, entry := range t.sources {
 		// Proxies in session say nothing while nothing changes: see retire.
-		if entry.source.Home == "" && now-entry.receivedAt > sourceRetentionLeases*t.options.Lease {
+		if entry.source.HomeRegistry == "" && now-entry.receivedAt > sourceRetentionLeases*t.options.Lease {
 			delete(t.sources, name)
 		}
 	}
@@ -147,10 +147,10 @@
 }
 
 // RenewLease grants or refuses a lease.
-func (t *FleetState) RenewLease(now time.Duration, request *schema.Renew) *schema.Renewed {
+func (t *FleetState) RenewLease(now time.Duration, request *schema.LeaseRequest) *schema.LeaseReply {
 	t.sweep(now)
-	t.newestKnownRevision = max(t.newestKnownRevision, t.committedRevision, request.Applied, request.Knows)
-	reply := &schema.Renewed{Stable: t.newestKnownRevision, Members: uint32(t.LiveProxies(now)), Seat: t.options.MemberID}
+	t.newestKnownRevision = max(t.newestKnownRevision, t.committedRevision, request.Applied, request.Received)
+	reply := &schema.LeaseReply{Committed: t.newestKnownRevision, FleetSize: uint32(t.LiveProxies(now)), Member: t.options.MemberID}
 	key := proxyIncarnation{request.Proxy, request.Incarnation}
 	existing := t.leases[key]
 	t.CompareSetting("proxy "+request.Proxy, "lease", time.Duration(request.LeaseNanos).String(), t.options.Lease.String(), request.LeaseNanos != 0)
@@ -190,24 +190,24 @@
 
 // SetFence sets a fence: from now on no lease is granted below the setup. It tells which leases
 // still stand below it.
-func (t *FleetState) SetFence(now time.Duration, revision uint64) *schema.Fenced {
+func (t *FleetState) SetFence(now time.Duration, revision uint64) *schema.FenceReply {
 	t.sweep(now)
 	if !t.GrantsLeases(now) {
-		return &schema.Fenced{Seat: t.options.MemberID}
+		return &schema.FenceReply{Member: t.options.MemberID}
 	}
 	t.requiredRevision = max(t.requiredRevision, revision)
-	fenced := &schema.Fenced{Seat: t.options.MemberID, Counts: true}
+	fenced := &schema.FenceReply{Member: t.options.MemberID, Authoritative: true}
 	for key, standing := range t.leases {
 		if standing.appliedRevision < revision {
 			fenced.Laggards = append(fenced.Laggards, &schema.Laggard{Proxy: key.proxy, Incarnation: key.incarnation,
-				Applied: standing.appliedRevision, LeftNanos: int64(standing.expiresAt - now)})
+				Applied: standing.appliedRevision, LeaseLeftNanos: int64(standing.expiresAt - now)})
 		}
 	}
 	return fenced
 }
 
 // newerStamp orders the news of one source.
-func newerStamp(a, b *schema.Stamp) bool {
+func newerStamp(a, b *schema.SourceVersion) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
 	}
@@ -219,14 +219,14 @@
 
 // MergeSource takes a source's news if it is newer than what is held.
 func (t *FleetState) MergeSource(now time.Duration, source *schema.Source) bool {
-	if source == nil || source.Stamp == nil {
+	if source == nil || source.Version == nil {
 		return false
 	}
-	if source.Bare {
+	if source.IncarnationOnly {
 		return t.mergeIncarnationOnly(now, source)
 	}
 	existing := t.sources[source.Name]
-	if existing != nil && !newerStamp(source.Stamp, existing.source.Stamp) {
+	if existing != nil && !newerStamp(source.Version, existing.source.Version) {
 		return false
 	}
 	if existing == nil && len(t.sources) >= t.options.MaxSources && !t.evictEndedSource() {
@@ -240,7 +240,7 @@
 func (t *FleetState) evictEndedSource() bool {
 	oldest := ""
 	for name, entry := range t.sources {
-		if entry.source.Stamp.GetEnded() && (oldest == "" || entry.updateSequence < t.sources[oldest].updateSequence) {
+		if entry.source.Version.GetEnded() && (oldest == "" || entry.updateSequence < t.sources[oldest].updateSequence) {
 			oldest = name
 		}
 	}
@@ -249,24 +249,24 @@
 }
 
 // ApplyReport takes a proxy's report; counts only grow within an incarnation.
-func (t *FleetState) ApplyReport(now time.Duration, report *schema.Report) bool {
+func (t *FleetState) ApplyReport(now time.Duration, report *schema.ProxyReport) bool {
 	t.reportedAt[proxyIncarnation{report.Proxy, report.Incarnation}] = now
-	if len(report.Counts)+len(report.Works) <= t.options.MaxCounts {
-		t.recordCounts(&schema.SourceCounts{Proxy: report.Proxy, Incarnation: report.Incarnation, Counts: report.Counts, Works: report.Works, Applied: report.Applied})
+	if len(report.Counts)+len(report.WorkCounts) <= t.options.MaxCounts {
+		t.recordCounts(&schema.SourceCounts{Proxy: report.Proxy, Incarnation: report.Incarnation, Counts: report.Counts, WorkCounts: report.WorkCounts, Applied: report.Applied})
 	}
 	t.adoptSource(report.Source)
-	if report.Source.GetEnded() {
-		report.Source.Stamp.Ended = true
+	if report.Source.GetShuttingDown() {
+		report.Source.Version.Ended = true
 	}
 	return t.MergeSource(now, report.Source)
 }
 
 // ReportedCounts gives what proxies told of their verdicts, and how many of them did of late; with works
 // only what versions are judged by.
-func (t *FleetState) ReportedCounts(now time.Duration, workCountsOnly bool) *schema.CountsBack {
-	response := &schema.CountsBack{Telling: uint32(t.recentReporters(now))}
+func (t *FleetState) ReportedCounts(now time.Duration, workCountsOnly bool) *schema.CountsReply {
+	response := &schema.CountsReply{Reporting: uint32(t.recentReporters(now))}
 	for key, stored := range t.countsByIncarnation {
-		counts := &schema.SourceCounts{Proxy: stored.Proxy, Incarnation: stored.Incarnation, Works: stored.Works, Applied: stored.Applied, AgoNanos: int64(now - t.reportedAt[key])}
+		counts := &schema.SourceCounts{Proxy: stored.Proxy, Incarnation: stored.Incarnation, WorkCounts: stored.WorkCounts, Applied: stored.Applied, AgeNanos: int64(now - t.reportedAt[key])}
 		if !workCountsOnly {
 			counts.Counts = stored.Counts
 		}
@@ -297,12 +297,12 @@
 		existing = &schema.SourceCounts{Proxy: reported.Proxy, Incarnation: reported.Incarnation}
 		t.countsByAge = append(t.countsByAge, key)
 	}
-	merged := &schema.SourceCounts{Proxy: existing.Proxy, Incarnation: existing.Incarnation, Counts: existing.Counts, Works: existing.Works, Applied: max(existing.Applied, reported.Applied)}
+	merged := &schema.SourceCounts{Proxy: existing.Proxy, Incarnation: existing.Incarnation, Counts: existing.Counts, WorkCounts: existing.WorkCounts, Applied: max(existing.Applied, reported.Applied)}
 	if totalCalls(reported) > 0 && totalCalls(reported) >= totalCalls(existing) {
 		merged.Counts = reported.Counts
 	}
-	if len(reported.Works) > 0 && totalWorkCalls(reported) >= totalWorkCalls(existing) {
-		merged.Works = reported.Works
+	if len(reported.WorkCounts) > 0 && totalWorkCalls(reported) >= totalWorkCalls(existing) {
+		merged.WorkCounts = reported.WorkCounts
 	}
 	t.countsByIncarnation[key] = merged
 	// Counts of incarnations long gone make room, oldest first.
@@ -323,18 +323,18 @@
 // totalWorkCalls adds up what workers ended.
 func totalWorkCalls(counts *schema.SourceCounts) uint64 {
 	var calls uint64
-	for _, work := range counts.GetWorks() {
+	for _, work := range counts.GetWorkCounts() {
 		calls += work.Calls
 	}
 	return calls
 }
 
 // SourcesNewerThan lists the sources that a vector lacks.
-func (t *FleetState) SourcesNewerThan(now time.Duration, vector map[string]*schema.Stamp) []*schema.Source {
+func (t *FleetState) SourcesNewerThan(now time.Duration, vector map[string]*schema.SourceVersion) []*schema.Source {
 	t.sweep(now)
 	var newer []*schema.Source
 	for name, entry := range t.sources {
-		if newerStamp(entry.source.Stamp, vector[name]) {
+		if newerStamp(entry.source.Version, vector[name]) {
 			newer = append(newer, entry.source)
 		}
 	}
@@ -346,17 +346,17 @@
 const canaryGrantDivisor = 2 * session.RenewalsPerLease
 
 // SetCanaryGrants takes what the release duty hands out.
-func (t *FleetState) SetCanaryGrants(now time.Duration, grants []*schema.Trial) {
+func (t *FleetState) SetCanaryGrants(now time.Duration, grants []*schema.Canary) {
 	t.canaryGrants, t.canaryGrantsAt = grants, now
 }
 
 // CanaryGrants is what this registry may pass on to its proxies.
-func (t *FleetState) CanaryGrants(now time.Duration) []*schema.Trial {
-	var forwarded []*schema.Trial
+func (t *FleetState) CanaryGrants(now time.Duration) []*schema.Canary {
+	var forwarded []*schema.Canary
 	fresh := now-t.canaryGrantsAt <= t.options.Lease/canaryGrantDivisor
 	for _, grant := range t.canaryGrants {
 		// A stop is passed on for ever; a grant only while the duty is heard.
-		if fresh || grant.Stopped {
+		if fresh || grant.Blocked {
 			forwarded = append(forwarded, grant)
 		}
 	}
@@ -388,14 +388,14 @@
 func (t *FleetState) CommittedRevision() uint64 { return t.committedRevision }
 
 // Vector is what this table has of each source.
-func (t *FleetState) Vector() map[string]*schema.Stamp {
-	vector := map[string]*schema.Stamp{}
+func (t *FleetState) Vector() map[string]*schema.SourceVersion {
+	vector := map[string]*schema.SourceVersion{}
 	for name, entry := range t.sources {
-		vector[name] = entry.source.Stamp
+		vector[name] = entry.source.Version
 	}
 	// Of what was only seen, nothing is had of its last life.
 	for name, entry := range t.directory.incarnationOnly {
-		if seen := (&schema.Stamp{Incarnation: entry.source.Stamp.Incarnation}); newerStamp(seen, vector[name]) {
+		if seen := (&schema.SourceVersion{Incarnation: entry.source.Version.Incarnation}); newerStamp(seen, vector[name]) {
 			vector[name] = seen
 		}
 	}
@@ -414,8 +414,8 @@
 func (t *FleetState) countLiveProxies(now time.Duration) int {
 	count := 0
 	for _, entry := range t.sources {
-		leased := entry.source.Home == "" && now-entry.receivedAt <= t.options.Lease
-		inSession := entry.source.Home != "" && !entry.source.Stamp.GetEnded()
+		leased := entry.source.HomeRegistry == "" && now-entry.receivedAt <= t.options.Lease
+		inSession := entry.source.HomeRegistry != "" && !entry.source.Version.GetEnded()
 		if leased || inSession {
 			count++
 		}
@@ -428,7 +428,7 @@
 	t.sweep(now)
 	var listed []*schema.Laggard
 	for key, standing := range t.leases {
-		listed = append(listed, &schema.Laggard{Proxy: key.proxy, Incarnation: key.incarnation, Applied: standing.appliedRevision, LeftNanos: int64(standing.expiresAt - now)})
+		listed = append(listed, &schema.Laggard{Proxy: key.proxy, Incarnation: key.incarnation, Applied: standing.appliedRevision, LeaseLeftNanos: int64(standing.expiresAt - now)})
 	}
 	sort.Slice(listed, func(i, j int) bool { return listed[i].Proxy < listed[j].Proxy })
 	return listed
@@ -448,9 +448,9 @@
 
 // Record notes an answer and tells whether the fence is done. A fenced registry without
 // laggards stays without, so it need not be asked again.
-func (a *Acknowledgement) Record(fenced *schema.Fenced) bool {
-	if fenced.Counts && len(fenced.Laggards) == 0 {
-		a.withoutLaggards[fenced.Seat] = true
+func (a *Acknowledgement) Record(fenced *schema.FenceReply) bool {
+	if fenced.Authoritative && len(fenced.Laggards) == 0 {
+		a.withoutLaggards[fenced.Member] = true
 	}
 	return len(a.withoutLaggards) > a.memberCount/2
 }
--- a/internal/registry/table_test.go
+++ b/internal/registry/table_test.go
@@ -27,8 +27,8 @@
 func renewAll(tables []*FleetState, now time.Duration, incarnation, applied, newestKnown uint64) *session.Lease {
 	lease := session.NewLease(testLease)
 	for _, table := range tables {
-		if reply := table.RenewLease(now, &schema.Renew{Proxy: "p", Incarnation: incarnation, Applied: applied, Knows: newestKnown}); reply.Granted {
-			lease.RecordGrant(reply.Seat, 3, now)
+		if reply := table.RenewLease(now, &schema.LeaseRequest{Proxy: "p", Incarnation: incarnation, Applied: applied, Received: newestKnown}); reply.Granted {
+			lease.RecordGrant(reply.Member, 3, now)
 		}
 	}
 	return lease
@@ -67,8 +67,8 @@
 				table := tables[step%3]
 				if step < 3 {
 					// Steps 0 to 2 are the proxy, still at 8, asking each registry.
-					if reply := table.RenewLease(testLease, &schema.Renew{Proxy: "p", Incarnation: 1, Applied: 8}); reply.Granted {
-						lease.RecordGrant(reply.Seat, 3, testLease)
+					if reply := table.RenewLease(testLease, &schema.LeaseRequest{Proxy: "p", Incarnation: 1, Applied: 8}); reply.Granted {
+						lease.RecordGrant(reply.Member, 3, testLease)
 					}
 				} else {
 					acknowledged = fence.Record(table.SetFence(testLease, 9)) || acknowledged
@@ -98,8 +98,8 @@
 func TestLeaseRules(t *testing.T) {
 	young := NewFleetState(FleetStateOptions{MemberID: "a", Lease: testLease, MaxSources: 4, MaxCounts: 4})
 	young.SetCommitted(0, 5)
-	renew := &schema.Renew{Proxy: "p", Incarnation: 1, Applied: 5}
-	if young.RenewLease(testLease-1, renew).Granted || young.SetFence(testLease-1, 5).Counts {
+	renew := &schema.LeaseRequest{Proxy: "p", Incarnation: 1, Applied: 5}
+	if young.RenewLease(testLease-1, renew).Granted || young.SetFence(testLease-1, 5).Authoritative {
 		t.Error("a registry younger than a lease granted or counted")
 	}
 	if young.RenewLease(testLease, renew).Granted {
@@ -138,7 +138,7 @@
 func TestCountsAreNotDoubled(t *testing.T) {
 	table := newFleetStates(1)[0]
 	tell := func(incarnation, calls uint64) {
-		table.ApplyReport(0, &schema.Report{Proxy: "p", Incarnation: incarnation, Counts: []*schema.Count{{Flag: "f", Calls: calls}}})
+		table.ApplyReport(0, &schema.ProxyReport{Proxy: "p", Incarnation: incarnation, Counts: []*schema.VerdictCount{{Flag: "f", Calls: calls}}})
 	}
 	for _, calls := range []uint64{3, 7, 7, 5} {
 		tell(1, calls)
@@ -157,12 +157,12 @@
 func TestSourcesNewerThanVector(t *testing.T) {
 	table := newFleetStates(1)[0]
 	source := func(name string, counter uint64) *schema.Source {
-		return &schema.Source{Name: name, Stamp: &schema.Stamp{Incarnation: 1, Counter: counter}}
+		return &schema.Source{Name: name, Version: &schema.SourceVersion{Incarnation: 1, Counter: counter}}
 	}
 	for _, one := range []*schema.Source{source("p", 2), source("p", 1), source("q", 1)} {
 		table.MergeSource(0, one)
 	}
-	if newer := table.SourcesNewerThan(0, map[string]*schema.Stamp{"q": {Incarnation: 1, Counter: 1}}); len(newer) != 1 || newer[0].Stamp.Counter != 2 {
+	if newer := table.SourcesNewerThan(0, map[string]*schema.SourceVersion{"q": {Incarnation: 1, Counter: 1}}); len(newer) != 1 || newer[0].Version.Counter != 2 {
 		t.Errorf("the feed gave %v", newer)
 	}
 	if newer := table.SourcesNewerThan(3*testLease, nil); len(newer) != 0 {
@@ -174,7 +174,7 @@
 // kept here, or be taken for dead. Status shows whose settings contradict, until they don't.
 func TestSettingMismatches(t *testing.T) {
 	table := newFleetStates(1)[0]
-	renew := &schema.Renew{Proxy: "p", Incarnation: 1, Applied: 1, LeaseNanos: int64(2 * testLease)}
+	renew := &schema.LeaseRequest{Proxy: "p", Incarnation: 1, Applied: 1, LeaseNanos: int64(2 * testLease)}
 	if reply := table.RenewLease(testLease, renew); reply.Granted || reply.Reason != "LEASE_DIFFERS" || len(table.SettingMismatches()) != 1 {
 		t.Errorf("%v, %v", reply, table.SettingMismatches())
 	}
--- a/internal/registry/toldof_test.go
+++ b/internal/registry/toldof_test.go
@@ -14,13 +14,13 @@
 		want   int
 	}{
 		"unknown":     {nil, 0},
-		"one of two":  {&schema.Source{Workers: []*schema.Worker{{Instance: "a"}, {Instance: "b", Leaving: true}}}, 1},
-		"it had gone": {&schema.Source{Workers: []*schema.Worker{{Instance: "a", Gone: true}}}, 0},
-		"ended":       {&schema.Source{Ended: true, Workers: []*schema.Worker{{Instance: "a"}}}, 0},
+		"one of two":  {&schema.Source{Workers: []*schema.Worker{{Instance: "a"}, {Instance: "b", Draining: true}}}, 1},
+		"it had gone": {&schema.Source{Workers: []*schema.Worker{{Instance: "a", Terminated: true}}}, 0},
+		"ended":       {&schema.Source{ShuttingDown: true, Workers: []*schema.Worker{{Instance: "a"}}}, 0},
 	} {
 		table := NewFleetState(FleetStateOptions{MemberID: "s", Lease: time.Second, MaxSources: 4, MaxCounts: 4, WithoutLeases: true})
 		if test.source != nil {
-			test.source.Name, test.source.Stamp = "p", &schema.Stamp{Incarnation: 1, Counter: 1}
+			test.source.Name, test.source.Version = "p", &schema.SourceVersion{Incarnation: 1, Counter: 1}
 			table.OpenSession(0, test.source)
 		}
 		if got := table.ReportedWorkers("p"); len(got) != test.want {
--- a/internal/rehearsal/hollow_members.go
+++ b/internal/rehearsal/hollow_members.go
@@ -162,9 +162,9 @@
 	m.lock.Lock()
 	for _, source := range seen.Sources {
 		if source.Name == m.settings.Name {
-			m.life = source.Stamp.GetIncarnation()
-			m.told[source.Stamp.GetCounter()] = now
-			delete(m.told, source.Stamp.GetCounter()-toldKept)
+			m.life = source.Version.GetIncarnation()
+			m.told[source.Version.GetCounter()] = now
+			delete(m.told, source.Version.GetCounter()-toldKept)
 		}
 	}
 	backed := m.backed || seen.ConfigRevision == 0
@@ -182,7 +182,7 @@
 	for _, source := range seen.Sources {
 		// What a restarted member is told at first is no news.
 		if source.Name != m.settings.Name && time.Since(joined) > f.core.lease {
-			if made, known := f.named[source.Name].madeAt(source.Stamp); known {
+			if made, known := f.named[source.Name].madeAt(source.Version); known {
 				f.note(f.news, now-made)
 			}
 		}
@@ -190,7 +190,7 @@
 }
 
 // madeAt is when a member told what bears a stamp.
-func (m *hollowMember) madeAt(stamp *schema.Stamp) (time.Duration, bool) {
+func (m *hollowMember) madeAt(stamp *schema.SourceVersion) (time.Duration, bool) {
 	if m == nil {
 		return 0, false
 	}
@@ -248,7 +248,7 @@
 				for _, version := range one.versions {
 					held.Count(&dispatch.CallResult{Plan: &plan.Plan{Route: &setup.Route{Name: one.route}, Service: one.service,
 						Verdict: plan.Verdict{Flag: one.flag, Version: version, Reason: flag.ReasonFallthrough, ConfigRevision: held.ConfigRevision()}},
-						Response: &schema.Carried{Ending: schema.Ending_ENDING_ANSWERED, Status: 200}}, time.Millisecond)
+						Response: &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}}, time.Millisecond)
 				}
 			}
 		}
--- a/internal/release/duty.go
+++ b/internal/release/duty.go
@@ -79,7 +79,7 @@
 func (o FleetObservation) proxiesBehind(sequence uint64) int {
 	count := 0
 	for _, source := range o.Counts {
-		if time.Duration(source.AgoNanos) <= maxReportAge && source.Applied < sequence {
+		if time.Duration(source.AgeNanos) <= maxReportAge && source.Applied < sequence {
 			count++
 		}
 	}
@@ -154,21 +154,21 @@
 }
 
 // CanaryGrants lists each guarded version, and whether it may be used.
-func (c *Controller) CanaryGrants(compiled *setup.Snapshot) []*schema.Trial {
-	var grants []*schema.Trial
+func (c *Controller) CanaryGrants(compiled *setup.Snapshot) []*schema.Canary {
+	var grants []*schema.Canary
 	for _, service := range slices.Sorted(maps.Keys(compiled.GuardedVersions)) {
 		for _, version := range compiled.GuardedVersions[service] {
 			revision, _ := compiled.GuardedRevision(service, version)
-			grant := &schema.Trial{Service: service, Version: version, Plan: revision}
+			grant := &schema.Canary{Service: service, Version: version, PlanSequence: revision}
 			name, _ := planFor(compiled, service, version)
 			if progress := compiled.Progress[name]; progress != nil && progress.State == StateRolledBack {
-				grant.Stopped = true
+				grant.Blocked = true
 			}
 			if guarded := c.guardedVersions[[2]string{service, version}]; guarded != nil && guarded.revision == revision {
-				grant.Stopped = grant.Stopped || guarded.stopReason != ""
-				grant.Fine = guarded.recovered && !grant.Stopped
+				grant.Blocked = grant.Blocked || guarded.stopReason != ""
+				grant.Healthy = guarded.recovered && !grant.Blocked
 			}
-			grant.Stopped = grant.Stopped || compiled.ActiveStop(service, version) != nil
+			grant.Blocked = grant.Blocked || compiled.ActiveStop(service, version) != nil
 			grants = append(grants, grant)
 		}
 	}
@@ -242,7 +242,7 @@
 		key := sourceKey{source.Proxy, source.Incarnation}
 		reported[key] = true
 		if last := c.lastCounts[key]; last != nil && totalCalls(last) > totalCalls(source) {
-			source = &schema.SourceCounts{Proxy: source.Proxy, Incarnation: source.Incarnation, Works: last.Works, Applied: source.Applied, AgoNanos: source.AgoNanos}
+			source = &schema.SourceCounts{Proxy: source.Proxy, Incarnation: source.Incarnation, WorkCounts: last.WorkCounts, Applied: source.Applied, AgeNanos: source.AgeNanos}
 			counts[i] = source
 		}
 		c.lastCounts[key] = source
@@ -250,14 +250,14 @@
 	for key, last := range c.lastCounts {
 		if !reported[key] {
 			// What it had under way, and which setup it goes by, is not known any more.
-			counts = append(counts, &schema.SourceCounts{Proxy: last.Proxy, Incarnation: last.Incarnation, Works: last.Works, AgoNanos: math.MaxInt64})
+			counts = append(counts, &schema.SourceCounts{Proxy: last.Proxy, Incarnation: last.Incarnation, WorkCounts: last.WorkCounts, AgeNanos: math.MaxInt64})
 		}
 	}
 	return counts
 }
 
 func totalCalls(source *schema.SourceCounts) (calls uint64) {
-	for _, work := range source.Works {
+	for _, work := range source.WorkCounts {
 		calls += work.Calls
 	}
 	return calls
@@ -523,11 +523,11 @@
 
 // Preconditions is what a step was made against: whatever somebody else wrote meanwhile makes it a
 // conflict, and it is thought over again.
-func (s Step) Preconditions(state setup.State) []*schema.Expected {
-	var expected []*schema.Expected
+func (s Step) Preconditions(state setup.State) []*schema.ExpectedVersion {
+	var expected []*schema.ExpectedVersion
 	for _, item := range s.Items {
 		if current := state[setup.Key(item.Kind, item.Name)]; current != nil && !current.Deleted {
-			expected = append(expected, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: current.Version.Sequence})
+			expected = append(expected, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: current.Version.Sequence})
 		}
 	}
 	return expected
--- a/internal/release/order_test.go
+++ b/internal/release/order_test.go
@@ -20,7 +20,7 @@
 	s.t.Helper()
 	s.sequence++
 	for _, item := range items {
-		item.Version = &schema.Version{Epoch: 1, Sequence: s.sequence}
+		item.Version = &schema.Version{Term: 1, Sequence: s.sequence}
 	}
 	s.state = s.state.With(items)
 	if _, faults := setup.Compile(s.state, s.sequence); len(faults) > 0 {
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -99,20 +99,20 @@
 func GatherVersionCounts(sources []*schema.SourceCounts, service, version string, revision uint64, fallback string) VersionCounts {
 	counts := VersionCounts{Old: map[string]CallStats{}, New: map[string]CallStats{}}
 	for _, source := range sources {
-		for _, work := range source.Works {
+		for _, work := range source.WorkCounts {
 			if work.Service != service {
 				continue
 			}
-			stats := CallStats{Calls: work.Calls, Failures: work.Failures, TotalLatency: time.Duration(work.Nanos)}
-			for bucket, count := range work.Times {
+			stats := CallStats{Calls: work.Calls, Failures: work.Failures, TotalLatency: time.Duration(work.TotalNanos)}
+			for bucket, count := range work.LatencyHistogram {
 				stats.LatencyBuckets[min(bucket, LatencyBucketCount-1)] += uint64(count)
 			}
-			if time.Duration(source.AgoNanos) <= inFlightMaxAge {
-				stats.InFlight = uint64(work.Open)
+			if time.Duration(source.AgeNanos) <= inFlightMaxAge {
+				stats.InFlight = uint64(work.InFlight)
 			}
 			var byRoute map[string]CallStats
 			switch {
-			case work.Version == version && work.Plan == revision:
+			case work.Version == version && work.PlanSequence == revision:
 				byRoute = counts.New
 			// What was learned of a version under another statement says nothing under this one.
 			case work.Version == version:
--- a/internal/release/term_test.go
+++ b/internal/release/term_test.go
@@ -22,12 +22,12 @@
 	now             time.Duration
 	firstSeenAt     map[uint64]time.Duration // when each sequence came
 	appliedRevision uint64                   // by every proxy; 0 for the newest
-	workCounts      map[[2]string]*schema.Work
+	workCounts      map[[2]string]*schema.WorkCount
 	workers         map[[2]string]WorkerPool
 }
 
 func newDeadlineHarness(t *testing.T) *deadlineHarness {
-	h := &deadlineHarness{fakeStore: &fakeStore{t: t, state: setup.State{}}, firstSeenAt: map[uint64]time.Duration{}, workCounts: map[[2]string]*schema.Work{},
+	h := &deadlineHarness{fakeStore: &fakeStore{t: t, state: setup.State{}}, firstSeenAt: map[uint64]time.Duration{}, workCounts: map[[2]string]*schema.WorkCount{},
 		workers: map[[2]string]WorkerPool{{"shop", "1"}: {Workers: 3, Slots: 54}}}
 	h.takeControl("a")
 	h.write(&schema.Item{Kind: "service", Name: "shop", Body: []byte(`{}`)})
@@ -45,11 +45,11 @@
 func (h *deadlineHarness) recordCalls(version string, calls, failures uint64, latency time.Duration, open uint32) {
 	key := [2]string{version, "buy"}
 	if h.workCounts[key] == nil {
-		h.workCounts[key] = &schema.Work{Service: "shop", Version: version, Route: "buy", Times: make([]uint32, LatencyBucketCount), Plan: h.compiled().VersionRevision("shop", version)}
+		h.workCounts[key] = &schema.WorkCount{Service: "shop", Version: version, Route: "buy", LatencyHistogram: make([]uint32, LatencyBucketCount), PlanSequence: h.compiled().VersionRevision("shop", version)}
 	}
 	work := h.workCounts[key]
-	work.Calls, work.Failures, work.Nanos, work.Open = work.Calls+calls, work.Failures+failures, work.Nanos+calls*uint64(latency), open
-	work.Times[LatencyBucket(latency)] += uint32(calls - failures)
+	work.Calls, work.Failures, work.TotalNanos, work.InFlight = work.Calls+calls, work.Failures+failures, work.TotalNanos+calls*uint64(latency), open
+	work.LatencyHistogram[LatencyBucket(latency)] += uint32(calls - failures)
 }
 
 // reconcile lets the duty look once and writes its steps.
@@ -67,7 +67,7 @@
 		source.Applied = h.sequence
 	}
 	for _, work := range h.workCounts {
-		source.Works = append(source.Works, work)
+		source.WorkCounts = append(source.WorkCounts, work)
 	}
 	steps, err := h.controller.Reconcile(h.now, h.compiled(), h.state, FleetObservation{Counts: []*schema.SourceCounts{source}, HeardFraction: 1, Workers: h.workers,
 		KnownFor: func(sequence uint64) time.Duration { return h.now - h.firstSeenAt[sequence] }})
@@ -167,7 +167,7 @@
 		if ordered, state := RolloutState(compiled, "shop"); ordered != version || state != StateDone || NeedsControl(compiled, h.workers) {
 			t.Errorf("order %d: %s %s", i, ordered, state)
 		}
-		h.workCounts = map[[2]string]*schema.Work{}
+		h.workCounts = map[[2]string]*schema.WorkCount{}
 		h.takeControl("a")
 	}
 }
--- a/internal/session/claim.go
+++ b/internal/session/claim.go
@@ -33,50 +33,50 @@
 // ReservationRound gathers the answers to one claim. It is won by a majority that answered in time;
 // it is over as soon as that can no longer be.
 type ReservationRound struct {
-	reservation *schema.Claim
+	reservation *schema.KeyReservation
 	startedAt   time.Duration
 	timeout     time.Duration
 	memberCount int
-	answers     map[string]schema.Ruled
+	answers     map[string]schema.ReservationResult
 	grants      int
 	rejections  int
-	Conflicting *schema.Claim // a claim of another request, if one was met
+	Conflicting *schema.KeyReservation // a claim of another request, if one was met
 }
 
 // NewReservationRound begins a round.
-func NewReservationRound(reservation *schema.Claim, memberCount int, startedAt, timeout time.Duration) *ReservationRound {
-	return &ReservationRound{reservation: reservation, startedAt: startedAt, timeout: timeout, memberCount: memberCount, answers: map[string]schema.Ruled{}}
+func NewReservationRound(reservation *schema.KeyReservation, memberCount int, startedAt, timeout time.Duration) *ReservationRound {
+	return &ReservationRound{reservation: reservation, startedAt: startedAt, timeout: timeout, memberCount: memberCount, answers: map[string]schema.ReservationResult{}}
 }
 
 // Record notes one seat's answer; nil says that it gave none.
-func (r *ReservationRound) Record(now time.Duration, memberID string, response *schema.Claimed) {
+func (r *ReservationRound) Record(now time.Duration, memberID string, response *schema.ReservationReply) {
 	if _, answered := r.answers[memberID]; answered {
 		return
 	}
-	ruling := response.GetRuled()
+	ruling := response.GetResult()
 	// A grant that comes late may be of a life that ended since.
-	if ruling == schema.Ruled_RULED_TAKEN && now-r.startedAt > r.timeout {
-		ruling = schema.Ruled_RULED_UNCOUNTED
+	if ruling == schema.ReservationResult_RESERVATION_GRANTED && now-r.startedAt > r.timeout {
+		ruling = schema.ReservationResult_RESERVATION_NOT_AUTHORITATIVE
 	}
 	r.answers[memberID] = ruling
 	switch ruling {
-	case schema.Ruled_RULED_TAKEN:
+	case schema.ReservationResult_RESERVATION_GRANTED:
 		r.grants++
-	case schema.Ruled_RULED_FULL:
+	case schema.ReservationResult_RESERVATION_FULL:
 		r.rejections++
-	case schema.Ruled_RULED_HELD:
-		r.Conflicting = response.Held
+	case schema.ReservationResult_RESERVATION_HELD:
+		r.Conflicting = response.Holder
 	}
 }
 
 // ReservationAnswer is one registry's word; Seat is empty if it gave none.
 type ReservationAnswer struct {
 	MemberID string
-	Response *schema.Claimed
+	Response *schema.ReservationReply
 }
 
 // AwaitOutcome takes as many answers as were asked for, until the round is over.
-func (r *ReservationRound) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer, now func() time.Duration) (ReservationOutcome, *schema.Claim) {
+func (r *ReservationRound) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer, now func() time.Duration) (ReservationOutcome, *schema.KeyReservation) {
 	for ; ; outstanding-- {
 		if outcome := r.Outcome(outstanding == 0); outcome != ReservationPending {
 			return outcome, r.Conflicting
@@ -103,7 +103,7 @@
 		return ReservationPending
 	}
 	switch {
-	case r.Conflicting != nil && !bytes.Equal(r.Conflicting.Body, r.reservation.Body):
+	case r.Conflicting != nil && !bytes.Equal(r.Conflicting.BodyDigest, r.reservation.BodyDigest):
 		return ReservationKeyReused
 	case r.Conflicting != nil:
 		return ReservationConflict
--- a/internal/session/tie.go
+++ b/internal/session/tie.go
@@ -84,7 +84,7 @@
 }
 
 // SetCoreMembers takes where the registries say that they are.
-func (s *RegistrySelector) SetCoreMembers(members []*schema.Core) {
+func (s *RegistrySelector) SetCoreMembers(members []*schema.CoreMember) {
 	if len(members) == 0 {
 		return
 	}
@@ -95,7 +95,7 @@
 	for _, member := range members {
 		if member.Address != "" {
 			endpoint := s.ensureEndpoint(member.Address)
-			endpoint.advertised, endpoint.zone = true, member.Area
+			endpoint.advertised, endpoint.zone = true, member.Zone
 		}
 	}
 	for address, endpoint := range s.endpoints {
--- a/internal/session/tie_test.go
+++ b/internal/session/tie_test.go
@@ -11,7 +11,7 @@
 
 var selectorOptions = SelectorOptions{ProxyName: "p", Zone: "x", HeartbeatInterval: 4, HeartbeatTimeout: 8, MaxStaleness: 20, FailureCooldown: 32}
 
-var threeMembers = []*schema.Core{{Seat: "a", Address: "a", Area: "x"}, {Seat: "b", Address: "b", Area: "y"}, {Seat: "c", Address: "c", Area: "z"}}
+var threeMembers = []*schema.CoreMember{{Id: "a", Address: "a", Zone: "x"}, {Id: "b", Address: "b", Zone: "y"}, {Id: "c", Address: "c", Zone: "z"}}
 
 // selectorHarness is a proxy in a world of registries that say something every beat while they can.
 type selectorHarness struct {
@@ -28,7 +28,7 @@
 	log          []string
 }
 
-func newSelectorHarness(members []*schema.Core, seeds ...string) *selectorHarness {
+func newSelectorHarness(members []*schema.CoreMember, seeds ...string) *selectorHarness {
 	h := &selectorHarness{selector: NewRegistrySelector(selectorOptions, seeds), openedAt: map[string]time.Duration{}, unresponsive: map[string]bool{}, refusing: map[string]bool{}, staleness: map[string]time.Duration{}}
 	h.selector.SetCoreMembers(members)
 	return h
@@ -82,7 +82,7 @@
 // A proxy keeps to the registry of its zone, and leaves it for another within bounds.
 func TestRegistrySelector(t *testing.T) {
 	for name, test := range map[string]struct {
-		members  []*schema.Core
+		members  []*schema.CoreMember
 		seeds    []string
 		scenario func(h *selectorHarness)
 		want     string        // the session that counts at the end, of several by comma
--- a/internal/setup/compile.go
+++ b/internal/setup/compile.go
@@ -24,7 +24,7 @@
 type decodedItem struct {
 	item   *schema.Item
 	value  any // nil where the body could not be read
-	faults []*schema.Fault
+	faults []*schema.FieldError
 }
 
 // itemKind is how items of a kind are decoded, and where they stand in a setup.
@@ -121,7 +121,7 @@
 // finishRoute completes a route and finds what is wrong with it by itself.
 func finishRoute(item *schema.Item, route *Route, add faultReporter) {
 	path := "route." + item.Name
-	route.Name, route.operatorVersion = item.Name, item.Given
+	route.Name, route.operatorVersion = item.Name, item.OperatorVersion
 	if route.HostText != nil {
 		// Left out is any host; stated, it must be one.
 		if route.Host = NormalizeHost(*route.HostText); route.Host == "" {
@@ -232,7 +232,7 @@
 func decodeItem(item *schema.Item) *decodedItem {
 	decoded := &decodedItem{item: item}
 	add := func(path, format string, values ...any) {
-		decoded.faults = append(decoded.faults, &schema.Fault{Path: path, Reason: fmt.Sprintf(format, values...)})
+		decoded.faults = append(decoded.faults, &schema.FieldError{Path: path, Reason: fmt.Sprintf(format, values...)})
 	}
 	itemKind, found := itemKinds[item.Kind]
 	if !found {
@@ -245,8 +245,8 @@
 
 // Check finds what is wrong with items by themselves, whatever else there is: an item that can
 // never be right is refused even where a newer one stands.
-func Check(items []*schema.Item) []*schema.Fault {
-	var faults []*schema.Fault
+func Check(items []*schema.Item) []*schema.FieldError {
+	var faults []*schema.FieldError
 	for _, item := range items {
 		if !item.Deleted {
 			faults = append(faults, decodeItem(item).faults...)
@@ -256,20 +256,20 @@
 }
 
 // Compile makes a setup of the state and lists every fault, each at its path.
-func Compile(state State, revision uint64) (*Snapshot, []*schema.Fault) {
+func Compile(state State, revision uint64) (*Snapshot, []*schema.FieldError) {
 	return CompileIncremental(nil, state, revision)
 }
 
 // sameItem tells whether a part was made of an item, or of one that says the same.
 func (d *decodedItem) sameItem(item *schema.Item) bool {
 	decodedFrom := d.item
-	return decodedFrom == item || (decodedFrom.Version.GetSequence() == item.Version.GetSequence() && decodedFrom.Version.GetEpoch() == item.Version.GetEpoch() &&
-		decodedFrom.Given == item.Given && bytes.Equal(decodedFrom.Body, item.Body))
+	return decodedFrom == item || (decodedFrom.Version.GetSequence() == item.Version.GetSequence() && decodedFrom.Version.GetTerm() == item.Version.GetTerm() &&
+		decodedFrom.OperatorVersion == item.OperatorVersion && bytes.Equal(decodedFrom.Body, item.Body))
 }
 
 // CompileIncremental is Compile with everything taken over from an earlier setup whose item stayed:
 // a change costs by what it changes.
-func CompileIncremental(previous *Snapshot, state State, revision uint64) (*Snapshot, []*schema.Fault) {
+func CompileIncremental(previous *Snapshot, state State, revision uint64) (*Snapshot, []*schema.FieldError) {
 	if previous == nil {
 		previous = &Snapshot{decodedItems: map[string]*decodedItem{}}
 	}
@@ -290,9 +290,9 @@
 		decodedItems:     maps.Clone(previous.decodedItems),
 		versionDeciders:  map[string]Decider{},
 	}
-	var faults []*schema.Fault
+	var faults []*schema.FieldError
 	add := func(path, format string, values ...any) {
-		faults = append(faults, &schema.Fault{Path: path, Reason: fmt.Sprintf(format, values...)})
+		faults = append(faults, &schema.FieldError{Path: path, Reason: fmt.Sprintf(format, values...)})
 	}
 	changedRoutes, retainUnchanged := snapshot.decodeChanges(state)
 	for _, decoded := range snapshot.decodedItems {
--- a/internal/setup/compile_test.go
+++ b/internal/setup/compile_test.go
@@ -19,12 +19,12 @@
 	var items []*schema.Item
 	for key, body := range bodies {
 		kind, name, _ := strings.Cut(key, "/")
-		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Epoch: 1, Sequence: 1}})
+		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}})
 	}
 	return State{}.With(items)
 }
 
-func pathsOf(faults []*schema.Fault) (paths []string) {
+func pathsOf(faults []*schema.FieldError) (paths []string) {
 	for _, fault := range faults {
 		paths = append(paths, fault.Path)
 	}
@@ -157,7 +157,7 @@
 	// What stands may change while the service's item stays, and the earlier setup keeps its own.
 	first := stateFromBodies(map[string]string{"service/shop": `{}`, "standing/shop": `{"versions":["v1"],"fallback":"v1"}`})
 	before, _ := Compile(first, 1)
-	after, _ := CompileIncremental(before, first.With([]*schema.Item{{Kind: "standing", Name: "shop", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"versions":["v1","v2"],"fallback":"v2"}`)}}), 2)
+	after, _ := CompileIncremental(before, first.With([]*schema.Item{{Kind: "standing", Name: "shop", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"versions":["v1","v2"],"fallback":"v2"}`)}}), 2)
 	if before.Services["shop"].AllowsVersion("v2") || !after.Services["shop"].AllowsVersion("v2") || after.FallbackOf("shop") != "v2" || before.FallbackOf("shop") != "v1" {
 		t.Error("a change of what stands did not come through, or reached back")
 	}
@@ -272,9 +272,9 @@
 // race for one, and then it is settled who goes first, in whatever order the changes came.
 func TestRoutesWithSamePrefix(t *testing.T) {
 	route := func(name string, sequence, given uint64) *schema.Item {
-		return &schema.Item{Kind: "route", Name: name, Given: given, Version: &schema.Version{Epoch: 1, Sequence: sequence}, Body: []byte(`{"service":"s","prefix":"/","host":"h"}`)}
+		return &schema.Item{Kind: "route", Name: name, OperatorVersion: given, Version: &schema.Version{Term: 1, Sequence: sequence}, Body: []byte(`{"service":"s","prefix":"/","host":"h"}`)}
 	}
-	service := &schema.Item{Kind: "service", Name: "s", Version: &schema.Version{Epoch: 1, Sequence: 1}, Body: []byte(`{}`)}
+	service := &schema.Item{Kind: "service", Name: "s", Version: &schema.Version{Term: 1, Sequence: 1}, Body: []byte(`{}`)}
 	for name, one := range map[string]struct {
 		first, second uint64
 		want          string
@@ -289,7 +289,7 @@
 		a, b := route("a", 1, one.first), route("b", 1, one.second)
 		for _, order := range [][]*schema.Item{{service, a, b}, {service, b, a}} {
 			state, snapshot := State{}, (*Snapshot)(nil)
-			var faults []*schema.Fault
+			var faults []*schema.FieldError
 			for _, item := range order {
 				state = state.With([]*schema.Item{item})
 				snapshot, faults = CompileIncremental(snapshot, state, 1)
@@ -327,7 +327,7 @@
 		t.Fatal(before.decodeCount, faults)
 	}
 	at := func(kind, name, body string, deleted bool) *schema.Item {
-		return &schema.Item{Kind: kind, Name: name, Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(body), Deleted: deleted}
+		return &schema.Item{Kind: kind, Name: name, Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(body), Deleted: deleted}
 	}
 	for name, one := range map[string]struct {
 		items   []*schema.Item
@@ -345,7 +345,7 @@
 		next := state.With(one.items)
 		again := State{}
 		for key, item := range next {
-			again[key] = &schema.Item{Kind: item.Kind, Name: item.Name, Version: &schema.Version{Epoch: 1, Sequence: item.Version.Sequence}, Body: append([]byte(nil), item.Body...), Deleted: item.Deleted}
+			again[key] = &schema.Item{Kind: item.Kind, Name: item.Name, Version: &schema.Version{Term: 1, Sequence: item.Version.Sequence}, Body: append([]byte(nil), item.Body...), Deleted: item.Deleted}
 		}
 		anew, wrong := Compile(next, 2)
 		if len(wrong) > 0 {
@@ -385,7 +385,7 @@
 func BenchmarkCompileOneRouteOf500(b *testing.B) {
 	state := stateWithHosts(500)
 	before, _ := Compile(state, 1)
-	next := state.With([]*schema.Item{{Kind: "route", Name: "r7", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"host":"h7.example","prefix":"/","service":"a"}`)}})
+	next := state.With([]*schema.Item{{Kind: "route", Name: "r7", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"host":"h7.example","prefix":"/","service":"a"}`)}})
 	for b.Loop() {
 		CompileIncremental(before, next, 2)
 	}
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -333,7 +333,7 @@
 func (s State) Tombstones() (count int, operatorVersioned []uint64) {
 	for _, item := range s {
 		switch {
-		case item.Deleted && item.Given == 0:
+		case item.Deleted && item.OperatorVersion == 0:
 			count++
 		case item.Deleted:
 			operatorVersioned = append(operatorVersioned, item.Version.GetSequence())
@@ -379,7 +379,7 @@
 			purge := decodePurge(item)
 			maps.DeleteFunc(merged, func(_ string, candidate *schema.Item) bool {
 				sequence := candidate.Version.GetSequence()
-				return candidate.Deleted && (sequence <= purge.OperatorVersionedUpTo || candidate.Given == 0 && sequence <= purge.UpTo)
+				return candidate.Deleted && (sequence <= purge.OperatorVersionedUpTo || candidate.OperatorVersion == 0 && sequence <= purge.UpTo)
 			})
 		}
 	}
@@ -388,8 +388,8 @@
 
 // Newer orders versions by epoch, then sequence.
 func Newer(a, b *schema.Version) bool {
-	if a.GetEpoch() != b.GetEpoch() {
-		return a.GetEpoch() > b.GetEpoch()
+	if a.GetTerm() != b.GetTerm() {
+		return a.GetTerm() > b.GetTerm()
 	}
 	return a.GetSequence() > b.GetSequence()
 }
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -21,11 +21,11 @@
 release: r1: {service: "shop", version: "2.0.0", target: 50, over: "10m"}
 `
 
-func stateOf(t *testing.T, text string) (State, []*schema.Fault) {
+func stateOf(t *testing.T, text string) (State, []*schema.FieldError) {
 	t.Helper()
 	items, faults := statement.Parse([]byte(text))
 	for i, item := range items {
-		item.Version = &schema.Version{Epoch: 1, Sequence: uint64(i + 1)}
+		item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 	}
 	return State{}.With(items), faults
 }
@@ -106,8 +106,8 @@
 }
 
 func TestMergeKeepsNewer(t *testing.T) {
-	older := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Epoch: 1, Sequence: 9}, Body: []byte("old")}
-	newer := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Epoch: 2, Sequence: 1}, Body: []byte("new")}
+	older := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 1, Sequence: 9}, Body: []byte("old")}
+	newer := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 2, Sequence: 1}, Body: []byte("new")}
 	for _, order := range [][]*schema.Item{{older, newer}, {newer, older}} {
 		merged := State{}
 		for _, item := range order {
@@ -122,7 +122,7 @@
 func stateWithRoutes(routes int) State {
 	var items []*schema.Item
 	for i := range routes {
-		items = append(items, &schema.Item{Kind: "route", Name: fmt.Sprint("r", i), Version: &schema.Version{Epoch: 1, Sequence: 1},
+		items = append(items, &schema.Item{Kind: "route", Name: fmt.Sprint("r", i), Version: &schema.Version{Term: 1, Sequence: 1},
 			Body: []byte(fmt.Sprintf(`{"service":"shop","prefix":"/grown/%d","methods":[],"horizon":"2s","key":"X-User","attributes":{}}`, i))})
 	}
 	return State{}.With(items)
@@ -132,7 +132,7 @@
 func BenchmarkCompileIncrementalOneChange(b *testing.B) {
 	state := stateWithRoutes(5000)
 	before, _ := Compile(state, 1)
-	next := state.With([]*schema.Item{{Kind: "segment", Name: "s", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"salt":""}`)}})
+	next := state.With([]*schema.Item{{Kind: "segment", Name: "s", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"salt":""}`)}})
 	for b.Loop() {
 		CompileIncremental(before, next, 2)
 	}
@@ -143,8 +143,8 @@
 	state := stateWithRoutes(20)
 	before, _ := Compile(state, 1)
 	next := state.With([]*schema.Item{
-		{Kind: "route", Name: "r3", Version: &schema.Version{Epoch: 1, Sequence: 2}, Deleted: true},
-		{Kind: "route", Name: "r4", Version: &schema.Version{Epoch: 1, Sequence: 2}, Body: []byte(`{"service":"shop","prefix":"/moved","methods":[],"horizon":"1s","key":"K","attributes":{}}`)},
+		{Kind: "route", Name: "r3", Version: &schema.Version{Term: 1, Sequence: 2}, Deleted: true},
+		{Kind: "route", Name: "r4", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"service":"shop","prefix":"/moved","methods":[],"horizon":"1s","key":"K","attributes":{}}`)},
 	})
 	after, _ := CompileIncremental(before, next, 2)
 	anew, _ := Compile(next, 2)
@@ -190,7 +190,7 @@
 	} {
 		items, faults := statement.Parse([]byte(base + one.text))
 		for i, item := range items {
-			item.Version = &schema.Version{Epoch: 1, Sequence: uint64(i + 1)}
+			item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 		}
 		snapshot, cross := Compile(State{}.With(items), 9)
 		if len(faults) > 0 || len(cross) != one.faults {
@@ -224,7 +224,7 @@
 	} {
 		items, faults := statement.Parse([]byte(base + one.text))
 		for i, item := range items {
-			item.Version = &schema.Version{Epoch: 1, Sequence: uint64(i + 1)}
+			item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 		}
 		snapshot, cross := Compile(State{}.With(items), 9)
 		var paths []string
--- a/internal/simulator/cast.go
+++ b/internal/simulator/cast.go
@@ -438,7 +438,7 @@
 		entry.ended = ended
 		entry.outcome = "not-run"
 		if ended.Response != nil {
-			entry.outcome = dispatch.OutcomeName(ended.Response.Ending)
+			entry.outcome = dispatch.OutcomeName(ended.Response.Outcome)
 		}
 	case <-leaves:
 		leave()
--- a/internal/simulator/core.go
+++ b/internal/simulator/core.go
@@ -76,7 +76,7 @@
 // seatsOf names the seats as one of them knows them.
 func seatsOf(seat *store.Replica) (names []string) {
 	for _, one := range seat.Status().Membership.GetMembers() {
-		names = append(names, one.Seat)
+		names = append(names, one.Id)
 	}
 	return names
 }
@@ -236,7 +236,7 @@
 		stable, state := beside.seat.Committed()
 		if stable > node.table.CommittedRevision() {
 			news := store.ItemsAfter(state, stable, node.table.CommittedRevision())
-			node.state = node.state.Apply(news.Items, news.Whole)
+			node.state = node.state.Apply(news.Items, news.Complete)
 			w.History.observe(w.now, node.name, stable, node.state)
 			node.setup, _ = setup.CompileIncremental(node.setup, node.state, stable)
 			w.History.inForce(node.setup)
@@ -259,7 +259,7 @@
 				return
 			}
 			asked = true
-			if back.Unused {
+			if back.Empty {
 				node.claims.MarkNeverUsed()
 			}
 			w.every(&node.machine, poll, func() {
@@ -328,7 +328,7 @@
 			w.deliver(&other.machine, &node.machine, func() {
 				node.claims.MergePage(w.ageOf(node), other.name, page)
 				if !page.Last {
-					read(page.Claims[len(page.Claims)-1].Place)
+					read(page.Reservations[len(page.Reservations)-1].Position)
 				}
 			})
 		})
@@ -393,11 +393,11 @@
 	trials := duty.CanaryGrants(compiled)
 	if w.plant == PlantEasy {
 		for _, one := range trials {
-			one.Stopped, one.Fine = false, true
+			one.Blocked, one.Healthy = false, true
 		}
 	}
 	node.table.SetCanaryGrants(w.ageOf(node), trials)
-	answers := []*schema.CountsBack{}
+	answers := []*schema.CountsReply{}
 	for _, other := range w.regs {
 		if other != node {
 			w.deliver(&node.machine, &other.machine, func() {
@@ -415,7 +415,7 @@
 		answers = append(answers, node.table.ReportedCounts(w.ageOf(node), true))
 		telling := 0
 		for _, answer := range answers {
-			telling += int(answer.Telling)
+			telling += int(answer.Reporting)
 		}
 		steps, err := duty.Reconcile(w.ageOf(node), compiled, state, release.FleetObservation{Counts: registry.MergeCounts(answers), HeardFraction: float64(telling) / float64(len(w.proxies)), Workers: workers,
 			KnownFor: func(sequence uint64) time.Duration { return node.table.KnownFor(w.ageOf(node), sequence) }})
@@ -466,7 +466,7 @@
 	fence := registry.NewAcknowledgement(seatCount)
 	done := false
 	giveUp := w.now + 3*lease
-	take := func(fenced *schema.Fenced) {
+	take := func(fenced *schema.FenceReply) {
 		if !done && fence.Record(fenced) {
 			done = true
 			w.History.yesGiven(w.now, sequence)
--- a/internal/simulator/edge.go
+++ b/internal/simulator/edge.go
@@ -250,7 +250,7 @@
 	target := w.regs[i]
 	asked := node.clockOf(w.now)
 	applied := node.journal.View().ConfigRevision()
-	renew := &schema.Renew{Proxy: node.name, Incarnation: node.incarnation, Applied: applied, Knows: knows, LeaseNanos: int64(lease)}
+	renew := &schema.LeaseRequest{Proxy: node.name, Incarnation: node.incarnation, Applied: applied, Received: knows, LeaseNanos: int64(lease)}
 	gate := node.gate
 	w.deliver(&node.machine, &target.machine, func() {
 		reply := target.table.RenewLease(w.ageOf(target), renew)
@@ -258,15 +258,15 @@
 			if node.incarnation != renew.Incarnation {
 				return
 			}
-			node.members.Store(node.fleet.Observe(node.clockOf(w.now), int64(reply.Members)))
+			node.members.Store(node.fleet.Observe(node.clockOf(w.now), int64(reply.FleetSize)))
 			if heard != nil {
-				heard(reply.Seat)
+				heard(reply.Member)
 			}
 			if reply.Granted {
-				gate.RecordGrant(reply.Seat, seatCount, asked)
+				gate.RecordGrant(reply.Member, seatCount, asked)
 			}
 			// Another registry knows more than the one that feeds this proxy.
-			if reply.Stable > node.journal.View().ConfigRevision() && node.feedAt%len(w.regs) != i && w.roll(4) == 0 {
+			if reply.Committed > node.journal.View().ConfigRevision() && node.feedAt%len(w.regs) != i && w.roll(4) == 0 {
 				node.feedAt = i
 			}
 		})
@@ -276,7 +276,7 @@
 // source is what a proxy tells of itself, under a new stamp each time.
 func (node *proxyNode) source(area string) *schema.Source {
 	node.counter++
-	return &schema.Source{Name: node.name, Stamp: &schema.Stamp{Incarnation: node.incarnation, Counter: node.counter}, Address: node.name, Area: area, Workers: node.workers.List()}
+	return &schema.Source{Name: node.name, Version: &schema.SourceVersion{Incarnation: node.incarnation, Counter: node.counter}, Address: node.name, Zone: area, Workers: node.workers.List()}
 }
 
 // workersChanged lets the mesh know, this proxy first. It may be called by a goroutine, as when
@@ -291,7 +291,7 @@
 
 // tell reports counts, and with whole the proxy's workers too.
 func (w *World) tell(node *proxyNode, whole bool) {
-	report := &schema.Report{Proxy: node.name, Incarnation: node.incarnation}
+	report := &schema.ProxyReport{Proxy: node.name, Incarnation: node.incarnation}
 	if whole {
 		node.workers.DropUnresponsive()
 		report.Source = node.source(w.areaOf(node.index))
@@ -304,17 +304,17 @@
 	}
 	setup := node.journal.View().View().Config
 	judged, _ := release.JudgedServices(setup)
-	report.Works, report.Applied = node.runner.WorkCounts.Report(judged), setup.Revision
+	report.WorkCounts, report.Applied = node.runner.WorkCounts.Report(judged), setup.Revision
 	if whole {
 		for _, count := range node.tally.Counts(setup.Revision) {
-			report.Counts = append(report.Counts, proto.Clone(count).(*schema.Count))
+			report.Counts = append(report.Counts, proto.Clone(count).(*schema.VerdictCount))
 		}
 	}
 	asked := node.clockOf(w.now)
 	target := w.regs[node.feedAt%len(w.regs)]
 	trials := node.trials
 	if w.Options.Serving {
-		w.tellSitting(node, report, func(told []*schema.Trial) { trials.ApplyGrants(asked, told) })
+		w.tellSitting(node, report, func(told []*schema.Canary) { trials.ApplyGrants(asked, told) })
 		trials.ForgetUnguarded()
 		return
 	}
@@ -332,7 +332,7 @@
 
 // hopAnswer is what comes back of a dispatch.
 type hopAnswer struct {
-	carried *schema.Carried
+	carried *schema.ForwardResponse
 	err     error
 }
 
@@ -344,7 +344,7 @@
 
 // claimer takes a key to the registries.
 func (w *World) claimer(node *proxyNode, life int, now func() time.Duration) dispatch.KeyReserver {
-	return func(ctx context.Context, claim *schema.Claim) (session.ReservationOutcome, *schema.Claim) {
+	return func(ctx context.Context, claim *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 		if w.plant == PlantNoClaims {
 			return session.ReservationGranted, nil
 		}
@@ -357,8 +357,8 @@
 		answers := make(chan session.ReservationAnswer, seatCount)
 		round := session.NewReservationRound(claim, seatCount, now(), bound)
 		for _, reg := range w.regs {
-			sent := proto.Clone(claim).(*schema.Claim)
-			w.deliverBy(w.own(fmt.Sprint(claim.Request, claim.Instance, claim.Drop, reg.name)), &node.machine, &reg.machine, func() {
+			sent := proto.Clone(claim).(*schema.KeyReservation)
+			w.deliverBy(w.own(fmt.Sprint(claim.Request, claim.Instance, claim.Release, reg.name)), &node.machine, &reg.machine, func() {
 				claimed := reg.claims.Apply(w.ageOf(reg), sent)
 				w.deliver(&reg.machine, &node.machine, func() { answers <- session.ReservationAnswer{MemberID: reg.name, Response: claimed} })
 			})
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -220,7 +220,7 @@
 // historyEpoch is the highest epoch under which anything was led: how many elections there were.
 func historyEpoch(w *World) (highest uint64) {
 	for _, node := range w.seats {
-		highest = max(highest, node.seat.Status().Epoch)
+		highest = max(highest, node.seat.Status().Term)
 	}
 	return highest
 }
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -142,7 +142,7 @@
 }
 
 // dispatched judges one call as it is sent: no bound of seconds is needed, for time is exact.
-func (h *History) dispatched(now time.Duration, node *proxyNode, carry *schema.Carry) {
+func (h *History) dispatched(now time.Duration, node *proxyNode, carry *schema.ForwardRequest) {
 	touch := !h.world.Options.Serving || h.world.inTouch(node)
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -151,20 +151,20 @@
 		if touch {
 			h.Touched++
 		}
-		if touch && carry.Setup < least {
-			h.breach(RuleOlder, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name, carry.Request, carry.Setup, least, standin.ConfigPropagationBound)
+		if touch && carry.Revision < least {
+			h.breach(RuleOlder, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name, carry.Request, carry.Revision, least, standin.ConfigPropagationBound)
 		}
-	} else if carry.Setup < h.yes {
-		h.breach(RuleOlder, "%v: %s sent %s by %d; %d was acknowledged", now, node.name, carry.Request, carry.Setup, h.yes)
+	} else if carry.Revision < h.yes {
+		h.breach(RuleOlder, "%v: %s sent %s by %d; %d was acknowledged", now, node.name, carry.Request, carry.Revision, h.yes)
 	}
 	// In doubt a proxy serves by what it knows, so only within one life it knows never less.
 	if h.lives[node.name] != node.life && h.world.Options.Serving {
 		h.last[node.name], h.lives[node.name] = 0, node.life
 	}
-	if carry.Setup < h.last[node.name] {
-		h.breach(RuleFallback, "%v: %s sent %s by %d after %d", now, node.name, carry.Request, carry.Setup, h.last[node.name])
+	if carry.Revision < h.last[node.name] {
+		h.breach(RuleFallback, "%v: %s sent %s by %d after %d", now, node.name, carry.Request, carry.Revision, h.last[node.name])
 	}
-	h.last[node.name] = max(h.last[node.name], carry.Setup)
+	h.last[node.name] = max(h.last[node.name], carry.Revision)
 	for marker := range h.markers {
 		if item := node.journal.View().Items()[marker]; item != nil {
 			h.breach(RuleInvalid, "%v: %s holds %s", now, node.name, marker)
--- a/internal/simulator/hop.go
+++ b/internal/simulator/hop.go
@@ -19,13 +19,13 @@
 // may be cut, slow, lossy, or end in a dead or frozen machine.
 func (w *World) sender(node *proxyNode, life int) dispatch.Sender {
 	peer := w.peerOf(node)
-	return func(ctx context.Context, candidate plan.Endpoint, given *schema.Carry) (*schema.Carried, error) {
+	return func(ctx context.Context, candidate plan.Endpoint, given *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		// What is left of an earlier life does nothing any more.
 		if now, _, up := w.lifeOf(&node.machine); !up || now != life {
 			<-ctx.Done()
 			return nil, defect.New(defect.PeerConnectionLost, "this proxy is dead")
 		}
-		if !given.Recall && !given.Enquiry {
+		if !given.RecallOnly && !given.AdmissionOnly {
 			w.History.dispatched(w.time(), node, given)
 		}
 		if !w.thawed(&node.machine, life) {
@@ -35,7 +35,7 @@
 		if candidate.Proxy == node.name {
 			return node.runner.Run(ctx, peer, given), nil
 		}
-		carry := proto.Clone(given).(*schema.Carry)
+		carry := proto.Clone(given).(*schema.ForwardRequest)
 		answers := make(chan hopAnswer, 1)
 		w.hop(node, candidate.Proxy, peer, carry, answers)
 		select {
@@ -48,7 +48,7 @@
 	}
 }
 
-func (w *World) hop(node *proxyNode, name string, peer link.Peer, carry *schema.Carry, answers chan hopAnswer) {
+func (w *World) hop(node *proxyNode, name string, peer link.Peer, carry *schema.ForwardRequest, answers chan hopAnswer) {
 	dice := w.own(carry.Request)
 	var target *proxyNode
 	for _, one := range w.proxies {
@@ -78,7 +78,7 @@
 		if dice.IntN(2) == 0 {
 			w.after(time.Duration(dice.Int64N(int64(12*time.Second))), func() {
 				if !w.isCut(&node.machine, &target.machine) {
-					w.on(&target.machine, 0, func() { w.serve(target, peer, carry, func(*schema.Carried) {}, func() {}) })
+					w.on(&target.machine, 0, func() { w.serve(target, peer, carry, func(*schema.ForwardResponse) {}, func() {}) })
 				}
 			})
 		}
@@ -93,13 +93,13 @@
 	if twice {
 		w.after(delay+time.Duration(dice.Int64N(int64(time.Second))), func() {
 			w.on(&target.machine, 0, func() {
-				w.serve(target, peer, proto.Clone(carry).(*schema.Carry), func(*schema.Carried) {}, func() {})
+				w.serve(target, peer, proto.Clone(carry).(*schema.ForwardRequest), func(*schema.ForwardResponse) {}, func() {})
 			})
 		})
 	}
 	w.after(delay, func() {
 		w.on(&target.machine, 0, func() {
-			w.serve(target, peer, carry, func(carried *schema.Carried) {
+			w.serve(target, peer, carry, func(carried *schema.ForwardResponse) {
 				back := w.own("back " + carry.Request)
 				delay, dropped := w.passes(&target.machine, &node.machine, back)
 				if !dropped {
@@ -118,8 +118,8 @@
 }
 
 // mangled alters an answer now and then on the way; a checksum that fits would be a forgery.
-func (w *World) mangled(carried *schema.Carried, dice *rand.Rand) *schema.Carried {
-	came := proto.Clone(carried).(*schema.Carried)
+func (w *World) mangled(carried *schema.ForwardResponse, dice *rand.Rand) *schema.ForwardResponse {
+	came := proto.Clone(carried).(*schema.ForwardResponse)
 	w.lock.Lock()
 	part := w.mangle
 	w.lock.Unlock()
@@ -135,20 +135,20 @@
 }
 
 // serve runs a dispatch at the proxy that it came to. Should that proxy die, the link is lost.
-func (w *World) serve(target *proxyNode, peer link.Peer, carry *schema.Carry, answer func(*schema.Carried), lost func()) {
+func (w *World) serve(target *proxyNode, peer link.Peer, carry *schema.ForwardRequest, answer func(*schema.ForwardResponse), lost func()) {
 	life, died, _ := w.lifeOf(&target.machine)
 	runner := target.runner
 	// Somebody else now and then sends under a name that is not its own.
 	if carry.Caller == "client" && w.own("stranger "+carry.Request).IntN(100) == 0 {
-		forged := proto.Clone(carry).(*schema.Carry)
-		forged.Request, forged.Caller, forged.Recall = "forged-"+carry.Request, "saves", false
+		forged := proto.Clone(carry).(*schema.ForwardRequest)
+		forged.Request, forged.Caller, forged.RecallOnly = "forged-"+carry.Request, "saves", false
 		stranger := link.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
 		if w.plant == PlantClaimsAll {
 			stranger = link.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
 		}
 		go runner.Run(context.Background(), stranger, forged)
 	}
-	done := make(chan *schema.Carried, 1)
+	done := make(chan *schema.ForwardResponse, 1)
 	ctx := called(carry.Request)
 	if w.Options.Leaving > 0 {
 		ctx = w.linkedCall(carry.Request)
--- a/internal/simulator/play.go
+++ b/internal/simulator/play.go
@@ -42,11 +42,11 @@
 }
 
 // expected is what the registry's setup says of the items of a change.
-func expected(state setup.State, items []*schema.Item) []*schema.Expected {
-	var list []*schema.Expected
+func expected(state setup.State, items []*schema.Item) []*schema.ExpectedVersion {
+	var list []*schema.ExpectedVersion
 	for _, item := range items {
 		if held := state[setup.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
-			list = append(list, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: held.Version.Sequence})
+			list = append(list, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: held.Version.Sequence})
 		}
 	}
 	return list
--- a/internal/simulator/seats.go
+++ b/internal/simulator/seats.go
@@ -177,8 +177,8 @@
 			return node.name + " does not count"
 		case status.Durable < yes:
 			return node.name + " has not synced what is acknowledged"
-		case len(status.Membership.Members) != w.options.Seats || int(status.Membership.Wanted) != w.options.Seats:
-			return fmt.Sprintf("%s knows %d seats of %d", node.name, len(status.Membership.Members), status.Membership.Wanted)
+		case len(status.Membership.Members) != w.options.Seats || int(status.Membership.TargetSize) != w.options.Seats:
+			return fmt.Sprintf("%s knows %d seats of %d", node.name, len(status.Membership.Members), status.Membership.TargetSize)
 		}
 	}
 	if seats != w.options.Seats {
@@ -215,7 +215,7 @@
 }
 
 func (w *coreWorld) state() {
-	change := &schema.Change{Id: fmt.Sprint("change-", w.next()), ByGiven: true}
+	change := &schema.Change{Id: fmt.Sprint("change-", w.next()), ByOperatorVersion: true}
 	again := false // a call sent once more under its own id
 	switch kind := w.roll(10); {
 	case kind == 0 && len(w.sent) > 0:
@@ -228,19 +228,19 @@
 	case kind == 1:
 		name := fmt.Sprint("bad", w.next())
 		w.History.mark("route/" + name)
-		change.Items = append(w.items(1), &schema.Item{Kind: "route", Name: name, Given: 1, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)})
+		change.Items = append(w.items(1), &schema.Item{Kind: "route", Name: name, OperatorVersion: 1, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)})
 	default:
 		change.Items = w.items(1 + w.roll(3))
 		w.sent = append(w.sent, change)
 	}
 	if w.plant == PlantUnordered {
-		change.ByGiven = false
+		change.ByOperatorVersion = false
 	}
 	at := w.any()
 	w.give(at, change, again)
 	// Two operators at once, at two seats.
 	if w.roll(3) == 0 {
-		other := &schema.Change{Id: fmt.Sprint("change-", w.next()), ByGiven: change.ByGiven}
+		other := &schema.Change{Id: fmt.Sprint("change-", w.next()), ByOperatorVersion: change.ByOperatorVersion}
 		sameVersions := w.roll(2) == 0
 		for _, item := range change.Items {
 			switch {
@@ -268,9 +268,9 @@
 // item is the next version of an item, by an uneven step; now and then it is dropped.
 func (w *coreWorld) item(name string) *schema.Item {
 	w.issued[name] += uint64(1 + w.roll(3))
-	item := &schema.Item{Kind: "segment", Name: name, Given: w.issued[name], Deleted: w.roll(4) == 0}
+	item := &schema.Item{Kind: "segment", Name: name, OperatorVersion: w.issued[name], Deleted: w.roll(4) == 0}
 	if !item.Deleted {
-		item.Body = []byte(fmt.Sprintf(`{"salt":"%d"}`, item.Given))
+		item.Body = []byte(fmt.Sprintf(`{"salt":"%d"}`, item.OperatorVersion))
 	}
 	w.says(item)
 	return item
@@ -281,12 +281,12 @@
 	if w.said[item.Name] == nil {
 		w.said[item.Name] = map[uint64][]string{}
 	}
-	w.said[item.Name][item.Given] = append(w.said[item.Name][item.Given], string(item.Body))
+	w.said[item.Name][item.OperatorVersion] = append(w.said[item.Name][item.OperatorVersion], string(item.Body))
 }
 
 // rival is another content under the version of an item.
 func (w *coreWorld) rival(of *schema.Item) *schema.Item {
-	item := &schema.Item{Kind: of.Kind, Name: of.Name, Given: of.Given, Body: []byte(fmt.Sprintf(`{"salt":"rival %d"}`, w.next()))}
+	item := &schema.Item{Kind: of.Kind, Name: of.Name, OperatorVersion: of.OperatorVersion, Body: []byte(fmt.Sprintf(`{"salt":"rival %d"}`, w.next()))}
 	w.says(item)
 	return item
 }
@@ -340,9 +340,9 @@
 // valueOf is an item as the checker of calls takes it.
 func valueOf(item *schema.Item) linearize.Value {
 	if item == nil || item.Deleted {
-		return linearize.Value{Version: item.GetGiven(), Absent: true}
+		return linearize.Value{Version: item.GetOperatorVersion(), Absent: true}
 	}
-	return linearize.Value{Version: item.Given, Content: string(item.Body)}
+	return linearize.Value{Version: item.OperatorVersion, Content: string(item.Body)}
 }
 
 // resultOf is what a ruling says of each item of a change. Where there are several, which of them
@@ -363,7 +363,7 @@
 		_, state := node.seat.Committed()
 		for _, item := range change.Items {
 			if held := state[setup.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
-				change.Expected = append(change.Expected, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: held.Version.Sequence})
+				change.Expected = append(change.Expected, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: held.Version.Sequence})
 			}
 		}
 	}
@@ -395,7 +395,7 @@
 	w.Yeses++
 	w.History.yesGiven(w.now, sequence)
 	for _, item := range change.Items {
-		w.yes[item.Name] = max(w.yes[item.Name], item.Given)
+		w.yes[item.Name] = max(w.yes[item.Name], item.OperatorVersion)
 	}
 	for _, then := range w.uponYes {
 		then()
@@ -456,13 +456,13 @@
 func (w *coreWorld) judge(node *seatNode, state setup.State, yes map[string]uint64) {
 	for name, given := range yes {
 		item := state[setup.Key("segment", name)]
-		if item.GetGiven() < given {
-			w.History.breach(RuleGiven, "%v: %s shows %s under %d; %d was acknowledged", w.now, node.name, name, item.GetGiven(), given)
+		if item.GetOperatorVersion() < given {
+			w.History.breach(RuleGiven, "%v: %s shows %s under %d; %d was acknowledged", w.now, node.name, name, item.GetOperatorVersion(), given)
 		}
 	}
 	for _, item := range state {
-		if item.Kind == "segment" && !slices.Contains(w.said[item.Name][item.Given], string(item.Body)) {
-			w.History.breach(RuleSaid, "%v: %s shows %s under %d as %q", w.now, node.name, item.Name, item.Given, item.Body)
+		if item.Kind == "segment" && !slices.Contains(w.said[item.Name][item.OperatorVersion], string(item.Body)) {
+			w.History.breach(RuleSaid, "%v: %s shows %s under %d as %q", w.now, node.name, item.Name, item.OperatorVersion, item.Body)
 		}
 		if w.History.markers[setup.Key(item.Kind, item.Name)] {
 			w.History.breach(RuleInvalid, "%v: %s holds %s", w.now, node.name, item.Name)
--- a/internal/simulator/serving.go
+++ b/internal/simulator/serving.go
@@ -34,21 +34,21 @@
 	members    uint32
 	begun      bool
 	cores      bool
-	sent       time.Duration  // last
-	arrives    time.Duration  // what was sent last
-	came       []*schema.News // and not taken yet, as by a frozen client
-	over       bool           // nothing goes through it any more
-	take       func(*schema.News)
+	sent       time.Duration    // last
+	arrives    time.Duration    // what was sent last
+	came       []*schema.Update // and not taken yet, as by a frozen client
+	over       bool             // nothing goes through it any more
+	take       func(*schema.Update)
 }
 
 // areaOfSeat is where a core machine stands.
 func (w *World) areaOfSeat(i int) string { return w.areaOf(i) }
 
 // coresOf is what registries tell of themselves.
-func (w *World) coresOf() []*schema.Core {
-	var cores []*schema.Core
+func (w *World) coresOf() []*schema.CoreMember {
+	var cores []*schema.CoreMember
 	for i, node := range w.regs {
-		cores = append(cores, &schema.Core{Seat: seatName(i), Address: node.name, Area: w.areaOfSeat(i)})
+		cores = append(cores, &schema.CoreMember{Id: seatName(i), Address: node.name, Zone: w.areaOfSeat(i)})
 	}
 	return cores
 }
@@ -126,31 +126,31 @@
 }
 
 // newsFor is what a registry's daemon makes for a session.
-func (w *World) newsFor(one *sitting) (news *schema.News, worth bool) {
+func (w *World) newsFor(one *sitting) (news *schema.Update, worth bool) {
 	node := one.server
 	now := w.ageOf(node)
-	news = &schema.News{}
+	news = &schema.Update{}
 	for _, source := range node.table.NextUpdates(now, one.position) {
 		news.Sources = append(news.Sources, proto.Clone(source).(*schema.Source))
 	}
 	age, known := node.table.Staleness(now)
-	news.Vouched, news.AgeNanos = known, int64(age)
+	news.StalenessKnown, news.StalenessNanos = known, int64(age)
 	if node.table.GrantsLeases(now) || now >= servingLease/2 {
-		if news.Setup = node.table.CommittedRevision(); !one.peer && news.Setup > one.setup {
-			news.Items, news.Whole = node.state.ChangesAfter(one.setup)
-			one.setup, worth = news.Setup, true
+		if news.Revision = node.table.CommittedRevision(); !one.peer && news.Revision > one.setup {
+			news.Items, news.Complete = node.state.ChangesAfter(one.setup)
+			one.setup, worth = news.Revision, true
 		}
 	} else {
-		news.Vouched = false
+		news.StalenessKnown = false
 	}
 	if !one.cores {
-		one.cores, news.Cores, worth = true, w.coresOf(), true
+		one.cores, news.CoreMembers, worth = true, w.coresOf(), true
 	}
 	if members := uint32(node.table.LiveProxies(now)); !one.peer && members != one.members {
-		one.members, news.Members, worth = members, members, true
+		one.members, news.FleetSize, worth = members, members, true
 	}
 	if one.peer {
-		news.Reached = node.table.ReachableRegistries(now)
+		news.Reachable = node.table.ReachableRegistries(now)
 	}
 	worth = worth || !one.begun || len(news.Sources) > 0
 	one.begun = true
@@ -189,12 +189,12 @@
 			heard = w.now
 			vector, seat := node.table.Vector(), node.table.MemberID()
 			one := &sitting{server: other, client: &node.machine, peer: true}
-			one.take = func(news *schema.News) {
+			one.take = func(news *schema.Update) {
 				heard = w.now
 				for _, source := range news.Sources {
 					node.table.MergeSource(w.ageOf(node), source)
 				}
-				node.table.RecordPeerHeard(w.ageOf(node), other.table.MemberID(), news.Reached)
+				node.table.RecordPeerHeard(w.ageOf(node), other.table.MemberID(), news.Reachable)
 			}
 			node.sits[other.name] = one
 			w.sit(one, func() {
@@ -264,7 +264,7 @@
 		}
 		vector := held.Vector()
 		one := &sitting{server: reg, client: &node.machine, setup: held.ConfigRevision(), trial: act.Candidate}
-		one.take = func(news *schema.News) { w.takeNews(node, act.Address, news) }
+		one.take = func(news *schema.Update) { w.takeNews(node, act.Address, news) }
 		node.sits[act.Address] = one
 		w.sit(one, func() {
 			reg.table.ObserveVector(w.ageOf(reg), vector)
@@ -284,11 +284,11 @@
 }
 
 // takeNews does what a proxy's daemon does with what a session brings.
-func (w *World) takeNews(node *proxyNode, address string, news *schema.News) {
+func (w *World) takeNews(node *proxyNode, address string, news *schema.Update) {
 	now := node.clockOf(w.now)
 	before := node.journal.View().ConfigRevision()
-	if news.Setup > before || len(news.Sources) > 0 {
-		event := proxy.Event{At: now, ConfigRevision: news.Setup, Items: news.Items, Complete: news.Whole, Sources: news.Sources}
+	if news.Revision > before || len(news.Sources) > 0 {
+		event := proxy.Event{At: now, ConfigRevision: news.Revision, Items: news.Items, Complete: news.Complete, Sources: news.Sources}
 		if w.plant == PlantRevives {
 			event.Complete = false
 		}
@@ -299,21 +299,21 @@
 		}
 	}
 	for _, source := range news.Sources {
-		if source.Name == node.name && session.IsSuperseded(node.incarnation, source.Stamp.GetIncarnation(), source.Stamp.GetEnded()) {
-			node.incarnation = w.nextIncarnation(source.Stamp.GetIncarnation())
+		if source.Name == node.name && session.IsSuperseded(node.incarnation, source.Version.GetIncarnation(), source.Version.GetEnded()) {
+			node.incarnation = w.nextIncarnation(source.Version.GetIncarnation())
 			w.tell(node, true)
 		}
 	}
-	if news.Members > 0 {
-		node.told = int64(news.Members)
+	if news.FleetSize > 0 {
+		node.told = int64(news.FleetSize)
 	}
 	node.members.Store(node.fleet.Observe(now, node.told))
-	node.tie.SetCoreMembers(news.Cores)
-	w.heed(node, node.tie.RecordHeartbeat(now, address, news.Vouched, time.Duration(news.AgeNanos)))
+	node.tie.SetCoreMembers(news.CoreMembers)
+	w.heed(node, node.tie.RecordHeartbeat(now, address, news.StalenessKnown, time.Duration(news.StalenessNanos)))
 }
 
 // tellSitting tells a registry in session what is new; it is told again if no word of it comes.
-func (w *World) tellSitting(node *proxyNode, report *schema.Report, answered func(told []*schema.Trial)) {
+func (w *World) tellSitting(node *proxyNode, report *schema.ProxyReport, answered func(told []*schema.Canary)) {
 	target := w.regCalled(node.tie.Current())
 	if report.Source != nil {
 		node.untold, node.toldAt = true, w.now
@@ -322,7 +322,7 @@
 		return
 	}
 	life, counter := node.life, node.counter
-	sent := proto.Clone(report).(*schema.Report)
+	sent := proto.Clone(report).(*schema.ProxyReport)
 	w.deliver(&node.machine, &target.machine, func() {
 		target.table.ApplyReport(w.ageOf(target), sent)
 		told := target.table.CanaryGrants(w.ageOf(target))
--- a/internal/simulator/world_test.go
+++ b/internal/simulator/world_test.go
@@ -31,7 +31,7 @@
 		w.startSeat(node)
 		synced := time.Duration(0)
 		node.stalledTo = w.now + 10*time.Second
-		w.act(node, []store.Action{store.Persist{WriteID: 1, Record: &schema.Record{VotedEpoch: 1}}})
+		w.act(node, []store.Action{store.Persist{WriteID: 1, Record: &schema.Record{VotedTerm: 1}}})
 		w.after(2*time.Second, func() { w.unstall(node) })
 		var look func()
 		look = func() {
--- a/internal/statement/read.go
+++ b/internal/statement/read.go
@@ -33,7 +33,7 @@
 const parsesPerContext = 64
 
 // Parse turns an operator's CUE text into the items of a change, or lists every fault.
-func Parse(text []byte) ([]*schema.Item, []*schema.Fault) {
+func Parse(text []byte) ([]*schema.Item, []*schema.FieldError) {
 	schemaCache.lock.Lock()
 	defer schemaCache.lock.Unlock()
 	if schemaCache.left == 0 {
@@ -56,7 +56,7 @@
 		}
 		reportUnknownFields(schemaCache.schema, input, nil, func(path string) {
 			if !reported[path] {
-				faults = append(faults, &schema.Fault{Path: path, Reason: "field not allowed"})
+				faults = append(faults, &schema.FieldError{Path: path, Reason: "field not allowed"})
 			}
 		})
 		return nil, faults
@@ -67,7 +67,7 @@
 	}
 	var bodiesByKind map[string]map[string]json.RawMessage
 	if err := json.Unmarshal(body, &bodiesByKind); err != nil {
-		return nil, []*schema.Fault{{Path: ".", Reason: err.Error()}}
+		return nil, []*schema.FieldError{{Path: ".", Reason: err.Error()}}
 	}
 	var items []*schema.Item
 	for kind, bodyByName := range bodiesByKind {
@@ -75,7 +75,7 @@
 		if kind == schema.LimitsKind {
 			limits, err := json.Marshal(bodyByName)
 			if err != nil {
-				return nil, []*schema.Fault{{Path: kind, Reason: err.Error()}}
+				return nil, []*schema.FieldError{{Path: kind, Reason: err.Error()}}
 			}
 			bodyByName = map[string]json.RawMessage{schema.LimitsName: limits}
 		}
@@ -86,7 +86,7 @@
 			}
 			var names []string
 			if err := json.Unmarshal(itemBody, &names); err != nil {
-				return nil, []*schema.Fault{{Path: "remove." + name, Reason: err.Error()}}
+				return nil, []*schema.FieldError{{Path: "remove." + name, Reason: err.Error()}}
 			}
 			for _, removed := range names {
 				items = append(items, &schema.Item{Kind: name, Name: removed, Deleted: true})
@@ -98,11 +98,11 @@
 	})
 	for i := 1; i < len(items); i++ {
 		if schema.Key(items[i].Kind, items[i].Name) == schema.Key(items[i-1].Kind, items[i-1].Name) {
-			return nil, []*schema.Fault{{Path: items[i].Kind + "." + items[i].Name, Reason: "is both written and removed"}}
+			return nil, []*schema.FieldError{{Path: items[i].Kind + "." + items[i].Name, Reason: "is both written and removed"}}
 		}
 	}
 	if len(items) == 0 {
-		return nil, []*schema.Fault{{Path: ".", Reason: "states no item"}}
+		return nil, []*schema.FieldError{{Path: ".", Reason: "states no item"}}
 	}
 	return items, nil
 }
@@ -135,8 +135,8 @@
 }
 
 // cueFaults lists every error CUE found, once each.
-func cueFaults(err error) []*schema.Fault {
-	var faults []*schema.Fault
+func cueFaults(err error) []*schema.FieldError {
+	var faults []*schema.FieldError
 	seen := map[string]bool{}
 	for _, cueError := range errors.Errors(err) {
 		path := strings.TrimPrefix(strings.Join(cueError.Path(), "."), "#Setup.")
@@ -149,7 +149,7 @@
 		}
 		if !seen[path+reason] {
 			seen[path+reason] = true
-			faults = append(faults, &schema.Fault{Path: path, Reason: reason})
+			faults = append(faults, &schema.FieldError{Path: path, Reason: reason})
 		}
 	}
 	return faults
--- a/internal/store/admission.go
+++ b/internal/store/admission.go
@@ -83,7 +83,7 @@
 // admit gives a change the next sequence and hands it to the others.
 func (s *Replica) admit(change *schema.Change) {
 	var entry *schema.Entry
-	entry, s.compiledConfig = Decide(s.state, s.compiledConfig, change, &schema.Version{Epoch: s.term, Sequence: s.sequence + 1})
+	entry, s.compiledConfig = Decide(s.state, s.compiledConfig, change, &schema.Version{Term: s.term, Sequence: s.sequence + 1})
 	s.appendAsLeader(entry)
 }
 
@@ -119,9 +119,9 @@
 		return
 	}
 	item := setup.NewPurgeItem(purgeTo, operatorVersion)
-	change := &schema.Change{Id: "purge-" + versionText(&schema.Version{Epoch: s.term, Sequence: s.sequence + 1}), Items: []*schema.Item{item}}
+	change := &schema.Change{Id: "purge-" + versionText(&schema.Version{Term: s.term, Sequence: s.sequence + 1}), Items: []*schema.Item{item}}
 	if existing := s.state[setup.Key(item.Kind, item.Name)]; existing != nil {
-		change.Expected = []*schema.Expected{{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.Sequence}}
+		change.Expected = []*schema.ExpectedVersion{{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.Sequence}}
 	}
 	s.admit(change)
 }
@@ -158,7 +158,7 @@
 
 func (s *Replica) sendConfirm() {
 	for _, name := range s.otherMembers {
-		s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Confirm{Confirm: &schema.Confirm{Epoch: s.term, Round: s.readIndexRound}}})
+		s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ConfirmLeadership{ConfirmLeadership: &schema.ConfirmLeadership{Term: s.term, Round: s.readIndexRound}}})
 	}
 }
 
@@ -173,7 +173,7 @@
 			}
 		}
 		if confirmed >= s.majority() {
-			s.answerRead(read.requester, &schema.ReadIndexReply{Ticket: read.ticket, Committed: s.committedSequence, Unused: len(s.committedState) == 0})
+			s.answerRead(read.requester, &schema.ReadIndexReply{Ticket: read.ticket, Committed: s.committedSequence, Empty: len(s.committedState) == 0})
 		} else {
 			remaining = append(remaining, read)
 		}
@@ -187,10 +187,10 @@
 // Decide decides a change against a state: taken whole, or refused whole with every reason.
 // It compiles after an earlier setup, nil for none, and gives the one that it made of a change it took.
 func Decide(state setup.State, previous *setup.Snapshot, change *schema.Change, version *schema.Version) (*schema.Entry, *setup.Snapshot) {
-	entry := &schema.Entry{Version: version, ChangeId: change.Id, Outcome: &schema.Outcome{ChangeId: change.Id, Version: version}}
+	entry := &schema.Entry{Version: version, ChangeId: change.Id, Outcome: &schema.ChangeOutcome{ChangeId: change.Id, Version: version}}
 	written := change.Items
-	if change.ByGiven {
-		var conflicts []*schema.Expected
+	if change.ByOperatorVersion {
+		var conflicts []*schema.ExpectedVersion
 		written, conflicts = byOperatorVersion(state, change.Items)
 		// What can never be right is refused also where a newer version stands in its place.
 		if len(written) < len(change.Items) {
@@ -218,8 +218,8 @@
 	for _, item := range written {
 		// Whoever writes an item without a version of an operator's leaves the one that it had: it
 		// must not go down, or an older order could take the item back.
-		operatorVersion := max(item.Given, state[setup.Key(item.Kind, item.Name)].GetGiven())
-		items = append(items, &schema.Item{Kind: item.Kind, Name: item.Name, Body: item.Body, Deleted: item.Deleted, Version: version, Change: change.Id, Given: operatorVersion, Said: item.Said})
+		operatorVersion := max(item.OperatorVersion, state[setup.Key(item.Kind, item.Name)].GetOperatorVersion())
+		items = append(items, &schema.Item{Kind: item.Kind, Name: item.Name, Body: item.Body, Deleted: item.Deleted, Version: version, ChangeId: change.Id, OperatorVersion: operatorVersion, OperatorBody: item.OperatorBody})
 	}
 	// What brings nothing new leaves the state as it was, which was valid.
 	if len(items) == 0 {
@@ -236,7 +236,7 @@
 }
 
 // conflictingItems lists the items of a change that do not stand as the writer expected.
-func conflictingItems(state setup.State, change *schema.Change) (current []*schema.Expected) {
+func conflictingItems(state setup.State, change *schema.Change) (current []*schema.ExpectedVersion) {
 	expected := map[string]uint64{}
 	for _, expectation := range change.Expected {
 		expected[setup.Key(expectation.Kind, expectation.Name)] = expectation.Sequence
@@ -248,7 +248,7 @@
 			sequence = existing.Version.Sequence
 		}
 		if expected[key] != sequence {
-			current = append(current, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: sequence})
+			current = append(current, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: sequence})
 		}
 	}
 	return current
--- a/internal/store/admission_test.go
+++ b/internal/store/admission_test.go
@@ -9,7 +9,7 @@
 
 // Each ruling on a change, against one state.
 func TestDecide(t *testing.T) {
-	at := func(sequence uint64) *schema.Version { return &schema.Version{Epoch: 1, Sequence: sequence} }
+	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
 	state := setup.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "shop", Version: at(1), Body: []byte(`{"versions":["1","2"],"fallback":"1","callers":[]}`)},
 		{Kind: "progress", Name: "r", Version: at(2), Body: []byte(`{"duty":5}`)},
@@ -18,8 +18,8 @@
 	item := func(kind, name, body string) *schema.Item {
 		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Deleted: body == ""}
 	}
-	expect := func(kind, name string, sequence uint64) *schema.Expected {
-		return &schema.Expected{Kind: kind, Name: name, Sequence: sequence}
+	expect := func(kind, name string, sequence uint64) *schema.ExpectedVersion {
+		return &schema.ExpectedVersion{Kind: kind, Name: name, Sequence: sequence}
 	}
 	for name, test := range map[string]struct {
 		change *schema.Change
@@ -28,12 +28,12 @@
 		"a new item":                       {&schema.Change{Items: []*schema.Item{item("segment", "s", `{"salt":""}`)}}, schema.Ruling_RULING_ACCEPTED},
 		"an item again that was removed":   {&schema.Change{Items: []*schema.Item{item("segment", "old", `{"salt":""}`)}}, schema.Ruling_RULING_ACCEPTED},
 		"an item that stands, as if new":   {&schema.Change{Items: []*schema.Item{item("service", "shop", `{}`)}}, schema.Ruling_RULING_CONFLICT},
-		"an item by an older version":      {&schema.Change{Items: []*schema.Item{item("service", "shop", `{}`)}, Expected: []*schema.Expected{expect("service", "shop", 9)}}, schema.Ruling_RULING_CONFLICT},
+		"an item by an older version":      {&schema.Change{Items: []*schema.Item{item("service", "shop", `{}`)}, Expected: []*schema.ExpectedVersion{expect("service", "shop", 9)}}, schema.Ruling_RULING_CONFLICT},
 		"one that the rest does not allow": {&schema.Change{Items: []*schema.Item{item("segment", "s", `{"salt":""}`), item("route", "x", `{"service":"gone","prefix":"/","horizon":"1s"}`)}}, schema.Ruling_RULING_INVALID},
-		"a removal that is needed":         {&schema.Change{Items: []*schema.Item{item("service", "shop", ""), item("route", "x", `{"service":"shop","prefix":"/","horizon":"1s"}`)}, Expected: []*schema.Expected{expect("service", "shop", 1)}}, schema.Ruling_RULING_INVALID},
+		"a removal that is needed":         {&schema.Change{Items: []*schema.Item{item("service", "shop", ""), item("route", "x", `{"service":"shop","prefix":"/","horizon":"1s"}`)}, Expected: []*schema.ExpectedVersion{expect("service", "shop", 1)}}, schema.Ruling_RULING_INVALID},
 		"a kind that does not exist":       {&schema.Change{Items: []*schema.Item{item("thing", "x", `{}`)}}, schema.Ruling_RULING_INVALID},
-		"a duty under a passed epoch":      {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":4}`)}, Expected: []*schema.Expected{expect("progress", "r", 2)}}, schema.Ruling_RULING_STALE},
-		"a duty under its own epoch":       {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":5}`)}, Expected: []*schema.Expected{expect("progress", "r", 2)}}, schema.Ruling_RULING_ACCEPTED},
+		"a duty under a passed epoch":      {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":4}`)}, Expected: []*schema.ExpectedVersion{expect("progress", "r", 2)}}, schema.Ruling_RULING_STALE},
+		"a duty under its own epoch":       {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":5}`)}, Expected: []*schema.ExpectedVersion{expect("progress", "r", 2)}}, schema.Ruling_RULING_ACCEPTED},
 	} {
 		entry, _ := Decide(state, nil, test.change, at(10))
 		if entry.Outcome.Ruling != test.want {
@@ -48,16 +48,16 @@
 
 // Which items of a change by given versions are taken, against one state.
 func TestDecideByOperatorVersion(t *testing.T) {
-	at := func(sequence uint64) *schema.Version { return &schema.Version{Epoch: 1, Sequence: sequence} }
+	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
 	item := func(name string, version uint64, body string) *schema.Item {
-		return &schema.Item{Kind: "segment", Name: name, Given: version, Body: []byte(body), Deleted: body == ""}
+		return &schema.Item{Kind: "segment", Name: name, OperatorVersion: version, Body: []byte(body), Deleted: body == ""}
 	}
 	stored := func(sequence uint64, item *schema.Item) *schema.Item { item.Version = at(sequence); return item }
 	const body = `{"salt":"new"}`
 	state := setup.State{}.With([]*schema.Item{
 		stored(1, item("stands", 7, `{"salt":""}`)), stored(2, item("dropped", 7, "")), stored(3, item("ours", 0, `{"salt":""}`))})
 	route := func(name string, version uint64) *schema.Item {
-		return &schema.Item{Kind: "route", Name: name, Given: version, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)}
+		return &schema.Item{Kind: "route", Name: name, OperatorVersion: version, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)}
 	}
 	for name, test := range map[string]struct {
 		items   []*schema.Item
@@ -85,9 +85,9 @@
 		"one name twice, two contents":      {[]*schema.Item{item("stands", 9, body), item("stands", 9, "")}, schema.Ruling_RULING_CONFLICT, nil},
 		"one name twice, the same":          {[]*schema.Item{item("stands", 9, body), item("stands", 9, body)}, schema.Ruling_RULING_ACCEPTED, map[string]uint64{"stands": 9}},
 		"one newer that is invalid":         {[]*schema.Item{item("stands", 9, body), route("r", 9)}, schema.Ruling_RULING_INVALID, nil},
-		"one newer beside a broken kind":    {[]*schema.Item{item("stands", 9, body), {Kind: "thing", Name: "x", Given: 9}}, schema.Ruling_RULING_INVALID, nil},
+		"one newer beside a broken kind":    {[]*schema.Item{item("stands", 9, body), {Kind: "thing", Name: "x", OperatorVersion: 9}}, schema.Ruling_RULING_INVALID, nil},
 	} {
-		entry, _ := Decide(state, nil, &schema.Change{Items: test.items, ByGiven: true}, at(10))
+		entry, _ := Decide(state, nil, &schema.Change{Items: test.items, ByOperatorVersion: true}, at(10))
 		if entry.Outcome.Ruling != test.want || len(entry.Items) != len(test.written) {
 			t.Errorf("%s: %v with %d items (%v)", name, entry.Outcome.Ruling, len(entry.Items), entry.Outcome.Faults)
 		}
@@ -95,14 +95,14 @@
 			t.Errorf("%s: the refusal names no item", name)
 		}
 		for _, written := range entry.Items {
-			if written.Given != test.written[written.Name] {
-				t.Errorf("%s: %s is taken under %d", name, written.Name, written.Given)
+			if written.OperatorVersion != test.written[written.Name] {
+				t.Errorf("%s: %s is taken under %d", name, written.Name, written.OperatorVersion)
 			}
 		}
 	}
 	// Whoever writes without a given version leaves the one that stands.
-	entry, _ := Decide(state, nil, &schema.Change{Items: []*schema.Item{item("stands", 0, body)}, Expected: []*schema.Expected{{Kind: "segment", Name: "stands", Sequence: 1}}}, at(10))
-	if len(entry.Items) != 1 || entry.Items[0].Given != 7 {
+	entry, _ := Decide(state, nil, &schema.Change{Items: []*schema.Item{item("stands", 0, body)}, Expected: []*schema.ExpectedVersion{{Kind: "segment", Name: "stands", Sequence: 1}}}, at(10))
+	if len(entry.Items) != 1 || entry.Items[0].OperatorVersion != 7 {
 		t.Errorf("written without a version: %v", entry)
 	}
 }
@@ -110,17 +110,17 @@
 // What the operator said counts, also where the product makes no use of it.
 func TestContentIsWhatTheOperatorWrote(t *testing.T) {
 	service := func(source string) *schema.Item {
-		return &schema.Item{Kind: "service", Name: "shop", Given: 7, Body: []byte(`{}`), Said: []byte(source)}
+		return &schema.Item{Kind: "service", Name: "shop", OperatorVersion: 7, Body: []byte(`{}`), OperatorBody: []byte(source)}
 	}
 	stored := service(`{"MaxConns":20,"Name":"shop"}`)
-	stored.Version = &schema.Version{Epoch: 1, Sequence: 4}
+	stored.Version = &schema.Version{Term: 1, Sequence: 4}
 	state := setup.State{}.With([]*schema.Item{stored})
 	for source, want := range map[string]schema.Ruling{
 		`{"Name":"shop", "MaxConns":20}`: schema.Ruling_RULING_ACCEPTED,
 		`{"MaxConns":21,"Name":"shop"}`:  schema.Ruling_RULING_CONFLICT,
 		`{"Name":"shop"}`:                schema.Ruling_RULING_CONFLICT,
 	} {
-		entry, _ := Decide(state, nil, &schema.Change{Items: []*schema.Item{service(source)}, ByGiven: true}, &schema.Version{Epoch: 1, Sequence: 9})
+		entry, _ := Decide(state, nil, &schema.Change{Items: []*schema.Item{service(source)}, ByOperatorVersion: true}, &schema.Version{Term: 1, Sequence: 9})
 		if entry.Outcome.Ruling != want || len(entry.Items) > 0 {
 			t.Errorf("%s: %v", source, entry.Outcome)
 		}
--- a/internal/store/deliver.go
+++ b/internal/store/deliver.go
@@ -26,7 +26,7 @@
 		if s.role != roleFollower {
 			s.becomeFollower()
 		}
-		if len(s.config.StaticMembers) > 0 && s.membership.Taken == nil && !s.joinsExisting {
+		if len(s.config.StaticMembers) > 0 && s.membership.EffectiveFrom == nil && !s.joinsExisting {
 			s.requestState()
 		} else {
 			s.requestJoin()
@@ -101,8 +101,8 @@
 		if counted {
 			s.onVote(peer, body.Vote)
 		}
-	case *schema.ReplicaMessage_BeginEpoch:
-		s.onBeginTerm(message.From, body.BeginEpoch)
+	case *schema.ReplicaMessage_BeginTerm:
+		s.onBeginTerm(message.From, body.BeginTerm)
 	case *schema.ReplicaMessage_AppendEntries:
 		s.onAppendEntries(message.From, body.AppendEntries)
 	case *schema.ReplicaMessage_AppendReply:
@@ -111,7 +111,7 @@
 		}
 	case *schema.ReplicaMessage_StateRequest:
 		s.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_StateReply{StateReply: &schema.StateReply{
-			Round: body.StateRequest.Round, VotedEpoch: s.votedTerm, Snapshot: &schema.Snapshot{Epoch: s.term, Sequence: s.sequence}}}})
+			Round: body.StateRequest.Round, VotedTerm: s.votedTerm, Snapshot: &schema.Snapshot{Term: s.term, Sequence: s.sequence}}}})
 	case *schema.ReplicaMessage_StateReply:
 		s.onStateReply(message.From, message.Incarnation, body.StateReply)
 	case *schema.ReplicaMessage_SnapshotRequest:
@@ -134,13 +134,13 @@
 	case *schema.ReplicaMessage_ReadIndexReply:
 		delete(s.forwardedRequests, body.ReadIndexReply.Ticket)
 		s.actions = append(s.actions, ReadIndexReady{body.ReadIndexReply})
-	case *schema.ReplicaMessage_Confirm:
-		refused := body.Confirm.Epoch != s.votedTerm || !s.isMember()
-		s.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Confirmed{Confirmed: &schema.Confirmed{
-			Epoch: body.Confirm.Epoch, Round: body.Confirm.Round, Refused: refused}}})
-	case *schema.ReplicaMessage_Confirmed:
-		if counted && s.role == roleLeader && body.Confirmed.Epoch == s.term && !body.Confirmed.Refused {
-			peer.confirmedRound = max(peer.confirmedRound, body.Confirmed.Round)
+	case *schema.ReplicaMessage_ConfirmLeadership:
+		refused := body.ConfirmLeadership.Term != s.votedTerm || !s.isMember()
+		s.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ConfirmLeadershipReply{ConfirmLeadershipReply: &schema.ConfirmLeadershipReply{
+			Term: body.ConfirmLeadership.Term, Round: body.ConfirmLeadership.Round, Refused: refused}}})
+	case *schema.ReplicaMessage_ConfirmLeadershipReply:
+		if counted && s.role == roleLeader && body.ConfirmLeadershipReply.Term == s.term && !body.ConfirmLeadershipReply.Refused {
+			peer.confirmedRound = max(peer.confirmedRound, body.ConfirmLeadershipReply.Round)
 			s.resolveReads()
 		}
 	}
@@ -167,7 +167,7 @@
 	}
 	peer = s.outsiders[message.From]
 	// What was not taken into the state that this replica has under a later epoch came to nothing.
-	if membershipVersion != nil && membershipVersion.Epoch >= s.term && setup.Newer(membershipVersion, s.membership.Taken) && s.membership.Taken != nil {
+	if membershipVersion != nil && membershipVersion.Term >= s.term && setup.Newer(membershipVersion, s.membership.EffectiveFrom) && s.membership.EffectiveFrom != nil {
 		if peer == nil || peer.isLearner || peer.incarnation != message.Incarnation {
 			peer = &peerState{incarnation: message.Incarnation}
 			s.outsiders[message.From] = peer
@@ -183,5 +183,5 @@
 }
 
 func versionText(version *schema.Version) string {
-	return strings.Join([]string{fmt.Sprint(version.Epoch), fmt.Sprint(version.Sequence)}, "-")
+	return strings.Join([]string{fmt.Sprint(version.Term), fmt.Sprint(version.Sequence)}, "-")
 }
--- a/internal/store/durable_test.go
+++ b/internal/store/durable_test.go
@@ -33,18 +33,18 @@
 		body.From, body.To, body.Address, body.Incarnation, body.Founder = "a", "b", "a", 1, true
 		return body
 	}
-	entry := &schema.Entry{Version: &schema.Version{Epoch: 3, Sequence: 1}, ChangeId: "one",
-		Outcome: &schema.Outcome{ChangeId: "one", Version: &schema.Version{Epoch: 3, Sequence: 1}, Ruling: schema.Ruling_RULING_ACCEPTED}}
+	entry := &schema.Entry{Version: &schema.Version{Term: 3, Sequence: 1}, ChangeId: "one",
+		Outcome: &schema.ChangeOutcome{ChangeId: "one", Version: &schema.Version{Term: 3, Sequence: 1}, Ruling: schema.Ruling_RULING_ACCEPTED}}
 	for _, step := range []struct {
 		name    string
 		message *schema.ReplicaMessage
 		says    func(*schema.ReplicaMessage) bool
 	}{
-		{"a vote", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Epoch: 3, Membership: &schema.Version{}}}},
-			func(message *schema.ReplicaMessage) bool { return message.GetVote().GetEpoch() == 3 }},
-		{"the beginning of an epoch", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginEpoch{BeginEpoch: &schema.BeginEpoch{Epoch: 3, Upon: &schema.Version{}}}},
-			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetEpoch() == 3 }},
-		{"an entry", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Epoch: 3, Entries: []*schema.Entry{entry}}}},
+		{"a vote", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Term: 3, Membership: &schema.Version{}}}},
+			func(message *schema.ReplicaMessage) bool { return message.GetVote().GetTerm() == 3 }},
+		{"the beginning of an epoch", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginTerm{BeginTerm: &schema.BeginTerm{Term: 3, Base: &schema.Version{}}}},
+			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetTerm() == 3 }},
+		{"an entry", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Term: 3, Entries: []*schema.Entry{entry}}}},
 			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetSequence() == 1 }},
 	} {
 		messages, writeIDs := nonHeartbeatMessages(replica.Step(now, from(step.message)))
--- a/internal/store/election.go
+++ b/internal/store/election.go
@@ -68,7 +68,7 @@
 				continue
 			}
 			if other == name {
-				if peer.receivedHeartbeat.Unfit || peer.receivedHeartbeat.Behind {
+				if peer.receivedHeartbeat.Unfit || peer.receivedHeartbeat.MembershipBehind {
 					return false
 				}
 				for _, linkedName := range peer.receivedHeartbeat.Mutual {
@@ -81,7 +81,7 @@
 	}
 	links := 0
 	for _, member := range s.membership.Members {
-		if member.Seat != name && linked[member.Seat] {
+		if member.Id != name && linked[member.Id] {
 			links++
 		}
 	}
@@ -91,8 +91,8 @@
 // preferredLeader names the replica that should lead: the first in the order that reaches a majority.
 func (s *Replica) preferredLeader() string {
 	for _, member := range s.membership.Members {
-		if s.reachesMajority(member.Seat) {
-			return member.Seat
+		if s.reachesMajority(member.Id) {
+			return member.Id
 		}
 	}
 	return ""
@@ -105,8 +105,8 @@
 		name, term = s.config.Name, s.term
 	}
 	consider := func(other string, peer *peerState) {
-		if s.recentlyHeard(peer) && peer.receivedHeartbeat != nil && peer.receivedHeartbeat.Leader == other && peer.receivedHeartbeat.Epoch > term {
-			name, term = other, peer.receivedHeartbeat.Epoch
+		if s.recentlyHeard(peer) && peer.receivedHeartbeat != nil && peer.receivedHeartbeat.Leader == other && peer.receivedHeartbeat.Term > term {
+			name, term = other, peer.receivedHeartbeat.Term
 		}
 	}
 	for _, other := range s.otherMembers {
@@ -137,7 +137,7 @@
 func (s *Replica) caughtUp() bool {
 	name := s.leader()
 	peer := s.peers[name]
-	return peer == nil || peer.receivedHeartbeat.Epoch == s.term && s.sequence >= peer.receivedHeartbeat.Committed
+	return peer == nil || peer.receivedHeartbeat.Term == s.term && s.sequence >= peer.receivedHeartbeat.Committed
 }
 
 // durableVotedTerm is the highest epoch for which a vote is on disk.
@@ -188,46 +188,46 @@
 	for _, name := range s.otherMembers {
 		write.messages = append(write.messages, s.voteRequest(name))
 	}
-	s.persist(&schema.Record{VotedEpoch: term, VotedFor: s.config.Name}, write)
+	s.persist(&schema.Record{VotedTerm: term, VotedFor: s.config.Name}, write)
 }
 
 func (s *Replica) voteRequest(to string) *schema.ReplicaMessage {
-	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Epoch: s.votedTerm, Have: s.lastVersion(), Membership: s.membership.Taken}}}
+	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Term: s.votedTerm, Last: s.lastVersion(), Membership: s.membership.EffectiveFrom}}}
 }
 
 func (s *Replica) requestVote(name string) { s.send(name, s.voteRequest(name)) }
 
 // lastVersion is what this replica has taken.
 func (s *Replica) lastVersion() *schema.Version {
-	return &schema.Version{Epoch: s.term, Sequence: s.sequence}
+	return &schema.Version{Term: s.term, Sequence: s.sequence}
 }
 
 func (s *Replica) onVoteRequest(from string, request *schema.VoteRequest) {
 	if !s.isMember() {
 		return
 	}
-	if request.Epoch < s.votedTerm || request.Epoch == s.votedTerm && s.votedFor != from {
-		s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Vote{Vote: &schema.Vote{Epoch: request.Epoch, Refused: true, Higher: s.votedTerm}}})
+	if request.Term < s.votedTerm || request.Term == s.votedTerm && s.votedFor != from {
+		s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Vote{Vote: &schema.Vote{Term: request.Term, Refused: true, HigherTerm: s.votedTerm}}})
 		return
 	}
-	if request.Epoch == s.votedTerm && s.durableVotedTerm() >= s.votedTerm {
+	if request.Term == s.votedTerm && s.durableVotedTerm() >= s.votedTerm {
 		s.sendVote(from, request)
 		return
 	}
-	if request.Epoch > s.votedTerm {
+	if request.Term > s.votedTerm {
 		s.becomeFollower()
 	}
-	s.recordVote(request.Epoch, from)
-	s.persist(&schema.Record{VotedEpoch: request.Epoch, VotedFor: from}, pendingWrite{votedTerm: request.Epoch, voteRequest: request, candidate: from})
+	s.recordVote(request.Term, from)
+	s.persist(&schema.Record{VotedTerm: request.Term, VotedFor: from}, pendingWrite{votedTerm: request.Term, voteRequest: request, candidate: from})
 }
 
 // sendVote tells a candidate that it has this replica's vote, and what it lacks of the state here.
 func (s *Replica) sendVote(to string, request *schema.VoteRequest) {
-	vote := &schema.Vote{Epoch: request.Epoch, Have: s.lastVersion()}
+	vote := &schema.Vote{Term: request.Term, Last: s.lastVersion()}
 	switch {
-	case !setup.Newer(vote.Have, request.Have):
-	case request.Have.GetEpoch() == s.term && request.Have.GetSequence() >= s.baseSequence:
-		vote.Entries = s.entries[request.Have.GetSequence()-s.baseSequence:]
+	case !setup.Newer(vote.Last, request.Last):
+	case request.Last.GetTerm() == s.term && request.Last.GetSequence() >= s.baseSequence:
+		vote.Entries = s.entries[request.Last.GetSequence()-s.baseSequence:]
 	default:
 		vote.Snapshot = s.snapshot()
 	}
@@ -236,11 +236,11 @@
 
 func (s *Replica) onVote(peer *peerState, vote *schema.Vote) {
 	if vote.Refused {
-		s.highestTerm = max(s.highestTerm, vote.Higher)
+		s.highestTerm = max(s.highestTerm, vote.HigherTerm)
 		return
 	}
-	if s.role == roleCandidate && vote.Epoch == s.votedTerm {
-		peer.vote, peer.lastKnownVersion, peer.versionReported = vote, vote.Have, true
+	if s.role == roleCandidate && vote.Term == s.votedTerm {
+		peer.vote, peer.lastKnownVersion, peer.versionReported = vote, vote.Last, true
 		s.countVotes()
 	}
 }
@@ -252,7 +252,7 @@
 		return
 	}
 	for _, name := range s.otherMembers {
-		if peer := s.peers[name]; peer != nil && peer.vote != nil && setup.Newer(peer.vote.Have, s.lastVersion()) && !s.hasFault(faultStaleLeader) {
+		if peer := s.peers[name]; peer != nil && peer.vote != nil && setup.Newer(peer.vote.Last, s.lastVersion()) && !s.hasFault(faultStaleLeader) {
 			s.adoptVote(peer.vote)
 		}
 	}
@@ -272,13 +272,13 @@
 	s.role, s.roleSince, s.termStartVersion = roleLeaderElect, s.now, s.lastVersion()
 	s.term = s.votedTerm
 	if members := s.bindFounders(); members == s.membership {
-		s.persist(&schema.Record{Epoch: s.term}, pendingWrite{})
+		s.persist(&schema.Record{Term: s.term}, pendingWrite{})
 	} else {
-		members.Taken = s.lastVersion()
+		members.EffectiveFrom = s.lastVersion()
 		snapshot := s.snapshot()
 		snapshot.Membership = members
 		s.restoreSnapshot(snapshot)
-		s.termStartVersion = &schema.Version{Epoch: s.term, Sequence: s.sequence}
+		s.termStartVersion = &schema.Version{Term: s.term, Sequence: s.sequence}
 		s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
 	}
 	for _, name := range s.otherMembers {
@@ -292,15 +292,15 @@
 	members := s.membership
 	for _, member := range s.membership.Members {
 		incarnation := s.incarnation
-		if member.Seat != s.config.Name {
-			peer := s.peers[member.Seat]
+		if member.Id != s.config.Name {
+			peer := s.peers[member.Id]
 			if peer.incarnation == 0 || !peer.founder {
 				continue
 			}
 			incarnation = peer.incarnation
 		}
 		if member.Incarnation == 0 {
-			members = withMember(members, &schema.Core{Seat: member.Seat, Address: s.memberAddress(member.Seat), Incarnation: incarnation})
+			members = withMember(members, &schema.CoreMember{Id: member.Id, Address: s.memberAddress(member.Id), Incarnation: incarnation})
 		}
 	}
 	return members
--- a/internal/store/given.go
+++ b/internal/store/given.go
@@ -15,7 +15,7 @@
 // lower version was overtaken and changes nothing. Under one version an item has one content: the
 // same content again is a repeat and changes nothing, another content is a clash, by which the
 // whole change must be refused.
-func byOperatorVersion(state setup.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.Expected) {
+func byOperatorVersion(state setup.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.ExpectedVersion) {
 	latest := map[string]*schema.Item{}
 	for _, item := range items {
 		key := setup.Key(item.Kind, item.Name)
@@ -24,10 +24,10 @@
 			existing = state[key]
 		}
 		switch {
-		case existing == nil || existing.Given < item.Given:
+		case existing == nil || existing.OperatorVersion < item.OperatorVersion:
 			latest[key] = item
-		case existing.Given == item.Given && !sameContent(existing, item):
-			conflicts = append(conflicts, &schema.Expected{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.GetSequence(), Given: existing.Given})
+		case existing.OperatorVersion == item.OperatorVersion && !sameContent(existing, item):
+			conflicts = append(conflicts, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.GetSequence(), OperatorVersion: existing.OperatorVersion})
 		}
 	}
 	for _, item := range items {
@@ -44,8 +44,8 @@
 	if a.Deleted || b.Deleted {
 		return a.Deleted == b.Deleted
 	}
-	if len(a.Said) > 0 && len(b.Said) > 0 {
-		return sameJSON(a.Said, b.Said)
+	if len(a.OperatorBody) > 0 && len(b.OperatorBody) > 0 {
+		return sameJSON(a.OperatorBody, b.OperatorBody)
 	}
 	return sameJSON(a.Body, b.Body)
 }
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -150,7 +150,7 @@
 }
 
 func goldenItem(kind, name string, operatorVersion uint64, body string) *schema.Item {
-	return &schema.Item{Kind: kind, Name: name, Given: operatorVersion, Body: []byte(body)}
+	return &schema.Item{Kind: kind, Name: name, OperatorVersion: operatorVersion, Body: []byte(body)}
 }
 
 func goldenFlag(weight int) *schema.Item {
@@ -167,7 +167,7 @@
 func expecting(id string, items []*schema.Item, sequences ...uint64) *schema.Change {
 	change := &schema.Change{Id: id, Items: items}
 	for i, sequence := range sequences {
-		change.Expected = append(change.Expected, &schema.Expected{Kind: items[i].Kind, Name: items[i].Name, Sequence: sequence})
+		change.Expected = append(change.Expected, &schema.ExpectedVersion{Kind: items[i].Kind, Name: items[i].Name, Sequence: sequence})
 	}
 	return change
 }
@@ -189,11 +189,11 @@
 	c.advance(5 * time.Second)
 	c.expectRuling("a", accepted, expecting("shop", []*schema.Item{
 		goldenItem("service", "shop", 0, `{"versions":["1","2"],"fallback":"1"}`), goldenFlag(0), goldenItem("route", "buy", 0, `{"service":"shop","prefix":"/buy"}`)}))
-	c.expectRuling("b", accepted, &schema.Change{Id: "given", ByGiven: true, Items: []*schema.Item{
-		{Kind: "segment", Name: "testers", Given: 5, Body: []byte(`{"salt":"t","included":["ann"]}`), Said: []byte(`{"spec":{"salt":"t"}}`)},
+	c.expectRuling("b", accepted, &schema.Change{Id: "given", ByOperatorVersion: true, Items: []*schema.Item{
+		{Kind: "segment", Name: "testers", OperatorVersion: 5, Body: []byte(`{"salt":"t","included":["ann"]}`), OperatorBody: []byte(`{"spec":{"salt":"t"}}`)},
 		goldenItem("segment", "old", 6, `{"salt":"o"}`)}})
 	c.expectRuling("a", accepted, expecting("plain", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"p"}`)}))
-	c.expectRuling("a", accepted, &schema.Change{Id: "dropped-given", ByGiven: true, Items: []*schema.Item{{Kind: "segment", Name: "old", Given: 8, Deleted: true}}})
+	c.expectRuling("a", accepted, &schema.Change{Id: "dropped-given", ByOperatorVersion: true, Items: []*schema.Item{{Kind: "segment", Name: "old", OperatorVersion: 8, Deleted: true}}})
 	c.expectRuling("a", schema.Ruling_RULING_INVALID, expecting("wrong", []*schema.Item{goldenItem("segment", "wrong", 0, `{"colour":"red"}`)}))
 	c.expectRuling("b", schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"q"}`)}))
 	// c is gone for good; d takes its place.
@@ -401,7 +401,7 @@
 					t.Fatal(err)
 				}
 				for _, body := range bodies {
-					group := &schema.Group{}
+					group := &schema.RecordGroup{}
 					if err := proto.Unmarshal(body, group); err != nil {
 						t.Fatal(err)
 					}
@@ -468,15 +468,15 @@
 			}
 			var members, stateItems []string
 			for _, member := range s.membership.Members {
-				members = append(members, fmt.Sprintf("%s/%d", member.Seat, member.Incarnation))
+				members = append(members, fmt.Sprintf("%s/%d", member.Id, member.Incarnation))
 			}
-			since := s.membership.Taken
-			if got := fmt.Sprintf("%s of %d since %d.%d", strings.Join(members, " "), s.membership.Wanted, since.GetEpoch(), since.GetSequence()); got != want.members {
+			since := s.membership.EffectiveFrom
+			if got := fmt.Sprintf("%s of %d since %d.%d", strings.Join(members, " "), s.membership.TargetSize, since.GetTerm(), since.GetSequence()); got != want.members {
 				t.Errorf("members are %q, want %q", got, want.members)
 			}
 			for _, key := range slices.Sorted(maps.Keys(s.state)) {
 				item := s.state[key]
-				text := fmt.Sprintf("%s/%s %d.%d given %d by %s", item.Kind, item.Name, item.Version.Epoch, item.Version.Sequence, item.Given, item.Change)
+				text := fmt.Sprintf("%s/%s %d.%d given %d by %s", item.Kind, item.Name, item.Version.Term, item.Version.Sequence, item.OperatorVersion, item.ChangeId)
 				if item.Deleted {
 					text += " deleted"
 				}
@@ -570,8 +570,8 @@
 				}
 				c.advance(8 * time.Second)
 				for name, member := range c.members {
-					if status := member.Status(); status.Leader != test.leader || status.Epoch < test.after {
-						t.Fatalf("life %d: %s takes %q for the leader, in epoch %d", run, name, status.Leader, status.Epoch)
+					if status := member.Status(); status.Leader != test.leader || status.Term < test.after {
+						t.Fatalf("life %d: %s takes %q for the leader, in epoch %d", run, name, status.Leader, status.Term)
 					}
 				}
 				added := fmt.Sprint("added-", run)
@@ -602,8 +602,8 @@
 func goldenCoreContinues(c *goldenCore, leader string, run int) {
 	c.t.Helper()
 	older := fmt.Sprint("older-", run)
-	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, &schema.Change{Id: older, ByGiven: true, Items: []*schema.Item{goldenItem("segment", "old", 7, `{"salt":"o"}`)}})
-	if _, state := c.members[leader].Committed(); !state["segment/old"].GetDeleted() || state["segment/old"].GetGiven() != 8 {
+	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, &schema.Change{Id: older, ByOperatorVersion: true, Items: []*schema.Item{goldenItem("segment", "old", 7, `{"salt":"o"}`)}})
+	if _, state := c.members[leader].Committed(); !state["segment/old"].GetDeleted() || state["segment/old"].GetOperatorVersion() != 8 {
 		c.t.Errorf("an older order brought back %v", state["segment/old"])
 	}
 	c.expectRuling(leader, schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "late", 0, `{"salt":""}`)}))
--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -45,12 +45,12 @@
 // news is what a heartbeat tells that must not wait for the next round.
 func (s *Replica) urgentState() string {
 	heartbeat := s.heartbeat()
-	return fmt.Sprint(heartbeat.Heard, heartbeat.Mutual, heartbeat.Unfit, heartbeat.Behind, heartbeat.Leader)
+	return fmt.Sprint(heartbeat.Heard, heartbeat.Mutual, heartbeat.Unfit, heartbeat.MembershipBehind, heartbeat.Leader)
 }
 
 func (s *Replica) heartbeat() *schema.Heartbeat {
-	heartbeat := &schema.Heartbeat{Mutual: s.mutualPeers(), Unfit: s.unfit(), VotedEpoch: s.votedTerm, Epoch: s.term, Sequence: s.sequence,
-		Committed: s.committedSequence, CommittedEpoch: s.committedTerm, Membership: s.membership.Taken, Behind: len(s.newerMembers()) > 0}
+	heartbeat := &schema.Heartbeat{Mutual: s.mutualPeers(), Unfit: s.unfit(), VotedTerm: s.votedTerm, Term: s.term, Sequence: s.sequence,
+		Committed: s.committedSequence, CommittedTerm: s.committedTerm, Membership: s.membership.EffectiveFrom, MembershipBehind: len(s.newerMembers()) > 0}
 	for _, name := range s.otherMembers {
 		if s.recentlyHeard(s.peers[name]) {
 			heartbeat.Heard = append(heartbeat.Heard, name)
@@ -83,9 +83,9 @@
 }
 
 func equalHeartbeats(a, b *schema.Heartbeat) bool {
-	return slices.Equal(a.Mutual, b.Mutual) && slices.Equal(a.Heard, b.Heard) && a.Unfit == b.Unfit && a.VotedEpoch == b.VotedEpoch &&
-		a.Epoch == b.Epoch && a.Sequence == b.Sequence && a.Committed == b.Committed && a.CommittedEpoch == b.CommittedEpoch && a.Leader == b.Leader &&
-		a.Behind == b.Behind && a.Membership == b.Membership
+	return slices.Equal(a.Mutual, b.Mutual) && slices.Equal(a.Heard, b.Heard) && a.Unfit == b.Unfit && a.VotedTerm == b.VotedTerm &&
+		a.Term == b.Term && a.Sequence == b.Sequence && a.Committed == b.Committed && a.CommittedTerm == b.CommittedTerm && a.Leader == b.Leader &&
+		a.MembershipBehind == b.MembershipBehind && a.Membership == b.Membership
 }
 
 // isAbbreviated tells that a heartbeat says no more than that nothing has changed.
@@ -94,7 +94,7 @@
 }
 
 func (s *Replica) onHeartbeat(from string, peer *peerState, heartbeat *schema.Heartbeat) {
-	if heartbeat.Unknown {
+	if heartbeat.ResendFull {
 		if peer.lastFullHeartbeat = nil; s.isMember() {
 			s.sendHeartbeat(from, peer)
 		}
@@ -102,7 +102,7 @@
 	}
 	if isAbbreviated(heartbeat) {
 		if peer.receivedHeartbeat.GetSerial() != heartbeat.Serial {
-			s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{Unknown: true}}})
+			s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{ResendFull: true}}})
 			return
 		}
 		heartbeat = peer.receivedHeartbeat
@@ -111,13 +111,13 @@
 	if !heartbeat.Unfit {
 		s.freshness.observe(from, s.now, heartbeat.Sequence, s.committedSequence)
 	}
-	peer.lastKnownVersion = &schema.Version{Epoch: heartbeat.Epoch, Sequence: heartbeat.Sequence}
-	s.highestTerm = max(s.highestTerm, heartbeat.VotedEpoch)
-	if heartbeat.CommittedEpoch == s.term {
+	peer.lastKnownVersion = &schema.Version{Term: heartbeat.Term, Sequence: heartbeat.Sequence}
+	s.highestTerm = max(s.highestTerm, heartbeat.VotedTerm)
+	if heartbeat.CommittedTerm == s.term {
 		s.commitTo(heartbeat.Committed)
 	}
 	// A replica the leader cannot reach learns what is committed from any other that has it.
-	behind := heartbeat.CommittedEpoch > s.term || (heartbeat.CommittedEpoch == s.term && heartbeat.Committed > s.sequence)
+	behind := heartbeat.CommittedTerm > s.term || (heartbeat.CommittedTerm == s.term && heartbeat.Committed > s.sequence)
 	if s.isMember() && behind && s.role == roleFollower && !slices.Contains(s.mutualPeers(), s.leader()) {
 		s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_SnapshotRequest{SnapshotRequest: &schema.SnapshotRequest{}}})
 	}
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -170,7 +170,7 @@
 }
 
 // readFrames reads a log's groups and tells how far they reach.
-func readFrames(data []byte) (groups []*schema.Group, validSize int, corrupt bool) {
+func readFrames(data []byte) (groups []*schema.RecordGroup, validSize int, corrupt bool) {
 	for {
 		group, size := readFrame(data[validSize:], uint64(len(groups)+1))
 		if group == nil {
@@ -213,12 +213,12 @@
 	return crc32.Update(crc32.ChecksumIEEE(header), crc32.IEEETable, body)
 }
 
-func readFrame(data []byte, want uint64) (*schema.Group, int) {
+func readFrame(data []byte, want uint64) (*schema.RecordGroup, int) {
 	body, frameNumber := decodeFrame(data)
 	if body == nil || frameNumber != want {
 		return nil, 0
 	}
-	group := &schema.Group{}
+	group := &schema.RecordGroup{}
 	if proto.Unmarshal(body, group) != nil {
 		return nil, 0
 	}
@@ -226,7 +226,7 @@
 }
 
 func encodeFrame(records []*schema.Record, frameNumber uint64) ([]byte, error) {
-	data, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, frameHeaderBytes), &schema.Group{Records: records})
+	data, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, frameHeaderBytes), &schema.RecordGroup{Records: records})
 	if err != nil {
 		return nil, defect.Wrap(err, defect.Internal, "record")
 	}
--- a/internal/store/log_fuzz_test.go
+++ b/internal/store/log_fuzz_test.go
@@ -9,11 +9,11 @@
 // Whatever a file holds after a loss of power, reading it gives whole groups in their order or says
 // that it is rotten; what was read, written again, is read alike.
 func FuzzReadFrames(f *testing.F) {
-	first, err := encodeFrame([]*schema.Record{{VotedEpoch: 3, VotedFor: "a"}}, 1)
+	first, err := encodeFrame([]*schema.Record{{VotedTerm: 3, VotedFor: "a"}}, 1)
 	if err != nil {
 		f.Fatal(err)
 	}
-	second, err := encodeFrame([]*schema.Record{{Epoch: 3, Entries: []*schema.Entry{{Version: &schema.Version{Epoch: 3, Sequence: 1}}}}}, 2)
+	second, err := encodeFrame([]*schema.Record{{Term: 3, Entries: []*schema.Entry{{Version: &schema.Version{Term: 3, Sequence: 1}}}}}, 2)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/store/log_test.go
+++ b/internal/store/log_test.go
@@ -201,7 +201,7 @@
 }
 
 func voteRecord(number int) *schema.Record {
-	return &schema.Record{VotedEpoch: uint64(number), VotedFor: fmt.Sprint("replica-", number)}
+	return &schema.Record{VotedTerm: uint64(number), VotedFor: fmt.Sprint("replica-", number)}
 }
 
 // writeUntilPowerLoss opens a drive's log and writes groups of records to it until power is lost. It gives
@@ -217,7 +217,7 @@
 		group := []*schema.Record{voteRecord(from + 2*step), voteRecord(from + 2*step + 1)}
 		if replacesLog {
 			group = group[1:]
-			group[0].Snapshot = &schema.Snapshot{Sequence: group[0].VotedEpoch}
+			group[0].Snapshot = &schema.Snapshot{Sequence: group[0].VotedTerm}
 		}
 		if err := disk.Write(group, replacesLog); err != nil {
 			return read, synced, group, nil
@@ -305,7 +305,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := &schema.Record{VotedEpoch: 1, Snapshot: &schema.Snapshot{}}
+	first := &schema.Record{VotedTerm: 1, Snapshot: &schema.Snapshot{}}
 	if err := disk.Write([]*schema.Record{first}, true); err != nil {
 		t.Fatal(err)
 	}
@@ -325,7 +325,7 @@
 	}
 	files.refusesWrites = false
 	refused(3)
-	snapshot := &schema.Record{VotedEpoch: 4, Snapshot: &schema.Snapshot{}}
+	snapshot := &schema.Record{VotedTerm: 4, Snapshot: &schema.Snapshot{}}
 	if err := disk.Write([]*schema.Record{snapshot}, true); err != nil {
 		t.Fatal(err)
 	}
@@ -444,7 +444,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	snapshot := &schema.Record{Snapshot: &schema.Snapshot{Epoch: 4, Sequence: 7}}
+	snapshot := &schema.Record{Snapshot: &schema.Snapshot{Term: 4, Sequence: 7}}
 	if err := disk.Write([]*schema.Record{snapshot}, true); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/store/many_changes_test.go
+++ b/internal/store/many_changes_test.go
@@ -22,7 +22,7 @@
 	m := newModel(3, 1, nil)
 	for i := range manyChanges {
 		m.at(time.Duration(i)*changeEvery, nil, ordinaryEvent, func() {
-			m.write(i, &schema.Item{Kind: "segment", Name: modelItem(i % modelItems), Given: uint64(i + 1), Body: []byte(fmt.Sprintf(`{"salt":"%d"}`, i))})
+			m.write(i, &schema.Item{Kind: "segment", Name: modelItem(i % modelItems), OperatorVersion: uint64(i + 1), Body: []byte(fmt.Sprintf(`{"salt":"%d"}`, i))})
 			if i%20 == 0 {
 				m.read(i)
 			}
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -28,15 +28,15 @@
 
 // foundingMembership is the first members; their incarnations are bound as they are first counted.
 func foundingMembership(names []string) *schema.Membership {
-	members := &schema.Membership{Wanted: uint32(len(names)), Taken: &schema.Version{}}
+	members := &schema.Membership{TargetSize: uint32(len(names)), EffectiveFrom: &schema.Version{}}
 	for _, name := range names {
-		members.Members = append(members.Members, &schema.Core{Seat: name})
+		members.Members = append(members.Members, &schema.CoreMember{Id: name})
 	}
 	return members
 }
 
 func memberIndex(members *schema.Membership, name string) int {
-	return slices.IndexFunc(members.GetMembers(), func(member *schema.Core) bool { return member.Seat == name })
+	return slices.IndexFunc(members.GetMembers(), func(member *schema.CoreMember) bool { return member.Id == name })
 }
 
 // containsMember tells whether a folder is one of the members. A founder that is not bound yet may be only a
@@ -53,13 +53,13 @@
 // withoutMember and with are the members after one change.
 func withoutMember(members *schema.Membership, name string) *schema.Membership {
 	changed := proto.Clone(members).(*schema.Membership)
-	changed.Members = slices.DeleteFunc(changed.Members, func(member *schema.Core) bool { return member.Seat == name })
+	changed.Members = slices.DeleteFunc(changed.Members, func(member *schema.CoreMember) bool { return member.Id == name })
 	return changed
 }
 
-func withMember(members *schema.Membership, member *schema.Core) *schema.Membership {
+func withMember(members *schema.Membership, member *schema.CoreMember) *schema.Membership {
 	changed := proto.Clone(members).(*schema.Membership)
-	if index := memberIndex(changed, member.Seat); index >= 0 {
+	if index := memberIndex(changed, member.Id); index >= 0 {
 		changed.Members[index] = member
 	} else {
 		changed.Members = append(changed.Members, member)
@@ -84,22 +84,22 @@
 	peers := map[string]*peerState{}
 	s.otherMembers = nil
 	for _, member := range s.membership.Members {
-		if member.Address != "" && member.Seat != s.config.Name {
-			s.addresses[member.Seat] = member.Address
+		if member.Address != "" && member.Id != s.config.Name {
+			s.addresses[member.Id] = member.Address
 		}
-		if member.Seat == s.config.Name {
+		if member.Id == s.config.Name {
 			continue
 		}
-		s.otherMembers = append(s.otherMembers, member.Seat)
-		peer := s.peers[member.Seat]
-		if outsider := s.outsiders[member.Seat]; outsider != nil && member.Incarnation == outsider.incarnation {
+		s.otherMembers = append(s.otherMembers, member.Id)
+		peer := s.peers[member.Id]
+		if outsider := s.outsiders[member.Id]; outsider != nil && member.Incarnation == outsider.incarnation {
 			peer = outsider
-			delete(s.outsiders, member.Seat)
+			delete(s.outsiders, member.Id)
 		}
 		if peer == nil || member.Incarnation != 0 && peer.incarnation != member.Incarnation {
 			peer = &peerState{incarnation: member.Incarnation}
 		}
-		peers[member.Seat] = peer
+		peers[member.Id] = peer
 	}
 	s.peers = peers
 	// Whoever has a place no longer asks for one.
@@ -125,10 +125,10 @@
 }
 
 func (s *Replica) onStateReply(from string, incarnation uint64, reply *schema.StateReply) {
-	if s.joinsExisting || s.membership.Taken != nil || reply.Round != s.stateRequestRound {
+	if s.joinsExisting || s.membership.EffectiveFrom != nil || reply.Round != s.stateRequestRound {
 		return
 	}
-	if reply.VotedEpoch > 0 || reply.Snapshot.Epoch > 0 || reply.Snapshot.Sequence > 0 {
+	if reply.VotedTerm > 0 || reply.Snapshot.Term > 0 || reply.Snapshot.Sequence > 0 {
 		s.joinsExisting = true
 		return
 	}
@@ -166,29 +166,29 @@
 		}
 		for _, members := range []*schema.Membership{s.membership, s.reportedMembership} {
 			for _, member := range members.GetMembers() {
-				targets[member.Seat] = true
+				targets[member.Id] = true
 			}
 		}
 	}
 	delete(targets, s.config.Name)
-	knownVersion := s.membership.Taken
+	knownVersion := s.membership.EffectiveFrom
 	if s.reportedMembership != nil && setup.Newer(s.reportedMembership.Committed, s.lastVersion()) {
-		knownVersion = s.reportedMembership.Taken
+		knownVersion = s.reportedMembership.EffectiveFrom
 	}
 	for _, name := range slices.Sorted(maps.Keys(targets)) {
-		s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Join{Join: &schema.Join{Raise: s.expandsMembership, Known: knownVersion}}})
+		s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Join{Join: &schema.Join{RaiseTargetSize: s.expandsMembership, KnownMembership: knownVersion}}})
 	}
 }
 
 // sendMembership answers whoever knows other members than the committed ones here, if those are older, or
 // were taken under an older epoch and so came to nothing.
 func (s *Replica) sendMembership(to string, knownVersion *schema.Version) {
-	if s.committedTerm == 0 || len(s.committedMembership.Members) == 0 || knownVersion.GetEpoch() > s.committedTerm || proto.Equal(knownVersion, s.committedMembership.Taken) {
+	if s.committedTerm == 0 || len(s.committedMembership.Members) == 0 || knownVersion.GetTerm() > s.committedTerm || proto.Equal(knownVersion, s.committedMembership.EffectiveFrom) {
 		return
 	}
-	if setup.Newer(s.committedMembership.Taken, knownVersion) || knownVersion.GetEpoch() < s.committedTerm {
+	if setup.Newer(s.committedMembership.EffectiveFrom, knownVersion) || knownVersion.GetTerm() < s.committedTerm {
 		membership := proto.Clone(s.committedMembership).(*schema.Membership)
-		membership.Committed = &schema.Version{Epoch: s.committedTerm, Sequence: s.committedSequence}
+		membership.Committed = &schema.Version{Term: s.committedTerm, Sequence: s.committedSequence}
 		s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Membership{Membership: membership}})
 	}
 }
@@ -200,8 +200,8 @@
 	wasMember := s.isMember()
 	s.reportedMembership = membership
 	for _, member := range membership.Members {
-		if member.Address != "" && member.Seat != s.config.Name {
-			s.addresses[member.Seat] = member.Address
+		if member.Address != "" && member.Id != s.config.Name {
+			s.addresses[member.Id] = member.Address
 		}
 	}
 	if wasMember && !s.isMember() {
@@ -214,7 +214,7 @@
 }
 
 func (s *Replica) onJoin(message *schema.ReplicaMessage, join *schema.Join) {
-	s.sendMembership(message.From, join.Known)
+	s.sendMembership(message.From, join.KnownMembership)
 	if s.role != roleLeader {
 		return
 	}
@@ -230,7 +230,7 @@
 		outsider = &peerState{incarnation: message.Incarnation, lastKnownVersion: &schema.Version{}}
 		s.outsiders[message.From] = outsider
 	}
-	outsider.isLearner, outsider.expandsMembership, outsider.heard, outsider.heardAt = true, join.Raise, true, s.now
+	outsider.isLearner, outsider.expandsMembership, outsider.heard, outsider.heardAt = true, join.RaiseTargetSize, true, s.now
 	if outsider.term != s.term || outsider.acked < s.sequence {
 		outsider.sent = outsider.acked
 		s.replicate(message.From, outsider)
@@ -263,7 +263,7 @@
 // it holds. Either it was taken out while it was away, or it was put in by an entry that only it and
 // too few others took, and that came to nothing: in both cases what it takes for the members is void.
 func (s *Replica) isExcluded() bool {
-	if s.hasFault(faultIgnoresExclusion) && s.reportedMembership != nil && !setup.Newer(s.reportedMembership.Taken, s.membership.Taken) {
+	if s.hasFault(faultIgnoresExclusion) && s.reportedMembership != nil && !setup.Newer(s.reportedMembership.EffectiveFrom, s.membership.EffectiveFrom) {
 		return false
 	}
 	return s.reportedMembership != nil && setup.Newer(s.reportedMembership.Committed, s.lastVersion()) && !containsMember(s.reportedMembership, s.config.Name, s.incarnation, s.founder)
@@ -283,12 +283,12 @@
 // reconcileMembership makes the next change of the members that is due, as the leader. One is made only once the
 // members before it are committed under this epoch.
 func (s *Replica) reconcileMembership() {
-	if s.role != roleLeader || s.unfit() || s.committedTerm != s.term || s.committedSequence < s.membership.Taken.GetSequence() {
+	if s.role != roleLeader || s.unfit() || s.committedTerm != s.term || s.committedSequence < s.membership.EffectiveFrom.GetSequence() {
 		return
 	}
 	for _, member := range s.membership.Members {
-		if peer := s.peers[member.Seat]; member.Incarnation == 0 && peer != nil && s.recentlyHeard(peer) && peer.founder {
-			s.proposeMembership(withMember(s.membership, &schema.Core{Seat: member.Seat, Address: s.memberAddress(member.Seat), Incarnation: peer.incarnation}))
+		if peer := s.peers[member.Id]; member.Incarnation == 0 && peer != nil && s.recentlyHeard(peer) && peer.founder {
+			s.proposeMembership(withMember(s.membership, &schema.CoreMember{Id: member.Id, Address: s.memberAddress(member.Id), Incarnation: peer.incarnation}))
 			return
 		}
 	}
@@ -297,16 +297,16 @@
 		if outsider.term != s.term || outsider.acked+uint64(s.config.MaxEntries/maxLagDivisor) < s.sequence {
 			continue
 		}
-		member := &schema.Core{Seat: name, Address: s.memberAddress(name), Incarnation: outsider.incarnation}
+		member := &schema.CoreMember{Id: name, Address: s.memberAddress(name), Incarnation: outsider.incarnation}
 		switch {
 		case memberIndex(s.membership, name) >= 0:
 			// Its folder of before is gone: it no longer counts for what was on it.
 			s.removeMember(name)
 		case outsider.expandsMembership:
 			expanded := withMember(s.membership, member)
-			expanded.Wanted++
+			expanded.TargetSize++
 			s.proposeMembership(expanded)
-		case len(s.membership.Members) < int(s.membership.Wanted):
+		case len(s.membership.Members) < int(s.membership.TargetSize):
 			s.proposeMembership(withMember(s.membership, member))
 		default:
 			if longestSilent := s.longestUnresponsive(); longestSilent != "" {
@@ -360,11 +360,11 @@
 
 // proposeMembership lets other members count from the next place in the order on.
 func (s *Replica) proposeMembership(members *schema.Membership) {
-	version := &schema.Version{Epoch: s.term, Sequence: s.sequence + 1}
-	members.Taken = version
+	version := &schema.Version{Term: s.term, Sequence: s.sequence + 1}
+	members.EffectiveFrom = version
 	id := "members-" + versionText(version)
 	s.appendAsLeader(&schema.Entry{Version: version, ChangeId: id, Membership: members,
-		Outcome: &schema.Outcome{ChangeId: id, Version: version, Ruling: schema.Ruling_RULING_ACCEPTED}})
+		Outcome: &schema.ChangeOutcome{ChangeId: id, Version: version, Ruling: schema.Ruling_RULING_ACCEPTED}})
 }
 
 // NextTickAt tells when Tick is next needed, if nothing else happens.
@@ -377,7 +377,7 @@
 	}
 	if !s.isMember() {
 		next = s.joinRequestedAt + s.config.HeartbeatTimeout/heartbeatsPerTimeout
-		if len(s.config.StaticMembers) > 0 && s.membership.Taken == nil && !s.joinsExisting {
+		if len(s.config.StaticMembers) > 0 && s.membership.EffectiveFrom == nil && !s.joinsExisting {
 			next = s.stateRequestedAt + s.config.HeartbeatTimeout/heartbeatsPerTimeout
 		}
 	}
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -48,9 +48,9 @@
 	var names []string
 	status := w.replicas[at].Status()
 	for _, member := range status.Membership.GetMembers() {
-		names = append(names, member.Seat)
+		names = append(names, member.Id)
 	}
-	return fmt.Sprint(strings.Join(names, " "), " of ", status.Membership.GetWanted())
+	return fmt.Sprint(strings.Join(names, " "), " of ", status.Membership.GetTargetSize())
 }
 
 func (w *trio) expectMembers(t *testing.T, want string, names ...string) {
@@ -127,12 +127,12 @@
 			want := strings.Join(remaining, " ") + " d of 3"
 			w.expectMembers(t, want, append(remaining, "d")...)
 			w.expectAccepted(t, "d", "two")
-			term := w.replicas["d"].Status().Epoch
+			term := w.replicas["d"].Status().Term
 			w.down[gone] = false
 			w.advance(10 * time.Second)
 			w.expectMembers(t, want, append(remaining, "d")...)
 			status := w.replicas[gone].Status()
-			if now := w.replicas["d"].Status().Epoch; now != term || status.Member {
+			if now := w.replicas["d"].Status().Term; now != term || status.Member {
 				t.Errorf("%s came back: epoch %d after %d, counted %t", gone, now, term, status.Member)
 			}
 			if status.Committed != w.replicas["d"].Status().Committed {
@@ -228,11 +228,11 @@
 		t.Helper()
 		serial++
 		id := fmt.Sprint("given-", serial)
-		item := &schema.Item{Kind: "segment", Name: name, Given: version, Deleted: deleted}
+		item := &schema.Item{Kind: "segment", Name: name, OperatorVersion: version, Deleted: deleted}
 		if !deleted {
 			item.Body = []byte(`{"salt":""}`)
 		}
-		w.act("b", w.replicas["b"].Propose(w.now, &schema.Proposal{Ticket: id, Change: &schema.Change{Id: id, ByGiven: true, Items: []*schema.Item{item}}}))
+		w.act("b", w.replicas["b"].Propose(w.now, &schema.Proposal{Ticket: id, Change: &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}}))
 		if got := w.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
 			t.Fatalf("%s: %v", id, got)
 		}
@@ -248,7 +248,7 @@
 	}
 	_, state := w.replicas["c"].Committed()
 	for i := range maxTombstones {
-		if item := state[setup.Key("segment", fmt.Sprint("s", i))]; item == nil || !item.Deleted || item.Given != 7 {
+		if item := state[setup.Key("segment", fmt.Sprint("s", i))]; item == nil || !item.Deleted || item.OperatorVersion != 7 {
 			t.Errorf("s%d: %v", i, item)
 		}
 	}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -334,7 +334,7 @@
 func stateText(state setup.State) string {
 	var texts []string
 	for _, item := range state.Items() {
-		texts = append(texts, fmt.Sprintf("%s/%s %d %s", item.Kind, item.Name, item.Given, item.Body))
+		texts = append(texts, fmt.Sprintf("%s/%s %d %s", item.Kind, item.Name, item.OperatorVersion, item.Body))
 	}
 	return strings.Join(texts, ", ")
 }
@@ -356,7 +356,7 @@
 	m.openCalls[client] = func() { record(linearize.OutcomeUnknown) }
 	id := fmt.Sprint("change-", client)
 	m.call(client, index, func(replica *modelReplica, ticket string) {
-		m.act(replica, replica.Propose(m.now-replica.started, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id, ByGiven: true, Items: []*schema.Item{item}}}))
+		m.act(replica, replica.Propose(m.now-replica.started, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}}))
 	}, func(replica *modelReplica, result any) bool {
 		reply := result.(*schema.ProposalReply)
 		switch {
@@ -429,9 +429,9 @@
 
 func modelValue(item *schema.Item) linearize.Value {
 	if item == nil || item.Deleted {
-		return linearize.Value{Version: item.GetGiven(), Absent: true}
+		return linearize.Value{Version: item.GetOperatorVersion(), Absent: true}
 	}
-	return linearize.Value{Version: item.Given, Content: string(item.Body)}
+	return linearize.Value{Version: item.OperatorVersion, Content: string(item.Body)}
 }
 
 // operate lets operators send so many writes, a rival of every third, and a read after each.
@@ -440,7 +440,7 @@
 		m.at(time.Duration(i)*modelCallInterval, nil, ordinaryEvent, func() {
 			name, version := modelItem(i%modelItems), uint64(i+1)
 			item := func(content string) *schema.Item {
-				return &schema.Item{Kind: "segment", Name: name, Given: version, Body: []byte(fmt.Sprintf(`{"salt":"%s"}`, content)), Deleted: i%5 == 4}
+				return &schema.Item{Kind: "segment", Name: name, OperatorVersion: version, Body: []byte(fmt.Sprintf(`{"salt":"%s"}`, content)), Deleted: i%5 == 4}
 			}
 			m.write(i, item("first"))
 			if i%3 == 2 {
@@ -462,7 +462,7 @@
 			m.read(index)
 		}
 	}
-	m.write(slices.Index(m.members, m.standing()[0]), &schema.Item{Kind: "segment", Name: modelItem(0), Given: 1 << 30, Body: []byte(`{"salt":"last"}`)})
+	m.write(slices.Index(m.members, m.standing()[0]), &schema.Item{Kind: "segment", Name: modelItem(0), OperatorVersion: 1 << 30, Body: []byte(`{"salt":"last"}`)})
 	m.runTo(m.now + modelHeartbeatTimeout)
 	if len(m.openCalls) > 0 {
 		m.breach("%d calls were not decided before and %d at the end", before, len(m.openCalls))
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -145,7 +145,7 @@
 	baseState      setup.State
 	baseMembership *schema.Membership
 	entries        []*schema.Entry // from baseSequence+1 to seq
-	outcomes       map[string]*schema.Outcome
+	outcomes       map[string]*schema.ChangeOutcome
 	outcomeOrder   []string // change ids, oldest first
 
 	durableTerm, durableSequence uint64
@@ -206,7 +206,7 @@
 // NewReplica makes a replica from what its disk held; records nil and a new incarnation make an empty one.
 func NewReplica(cfg Config, incarnation uint64, records []*schema.Record) *Replica {
 	s := &Replica{config: cfg, incarnation: incarnation, state: setup.State{}, baseState: setup.State{}, committedState: setup.State{},
-		membership: &schema.Membership{}, baseMembership: &schema.Membership{}, committedMembership: &schema.Membership{}, outcomes: map[string]*schema.Outcome{}, peers: map[string]*peerState{},
+		membership: &schema.Membership{}, baseMembership: &schema.Membership{}, committedMembership: &schema.Membership{}, outcomes: map[string]*schema.ChangeOutcome{}, peers: map[string]*peerState{},
 		outsiders: map[string]*peerState{}, addresses: map[string]string{}, pendingProposals: map[string][]requester{}, forwardedRequests: map[string]forwardedRequest{}}
 	for _, record := range records {
 		s.replayRecord(record)
@@ -220,7 +220,7 @@
 // InitialRecord is the first record of an empty folder. It must be synced before the replica says anything,
 // so that no incarnation ever stands for two folders.
 func InitialRecord(cfg Config, incarnation uint64) *schema.Record {
-	record := &schema.Record{Incarnation: incarnation, Raise: cfg.ExpandsMembership}
+	record := &schema.Record{Incarnation: incarnation, RaiseTargetSize: cfg.ExpandsMembership}
 	if slices.Contains(cfg.Founders, cfg.Name) {
 		record.Founder, record.Snapshot = true, &schema.Snapshot{Membership: foundingMembership(cfg.Founders)}
 	}
@@ -232,13 +232,13 @@
 	if record.Incarnation != 0 {
 		s.incarnation = record.Incarnation
 	}
-	if record.VotedEpoch > s.votedTerm {
-		s.votedTerm, s.votedFor = record.VotedEpoch, record.VotedFor
+	if record.VotedTerm > s.votedTerm {
+		s.votedTerm, s.votedFor = record.VotedTerm, record.VotedFor
 	}
 	s.founder = s.founder || record.Founder
-	s.expandsMembership = s.expandsMembership || record.Raise
+	s.expandsMembership = s.expandsMembership || record.RaiseTargetSize
 	if record.Snapshot != nil {
-		s.expandsMembership = record.Raise
+		s.expandsMembership = record.RaiseTargetSize
 		s.restoreSnapshot(record.Snapshot)
 	}
 	for _, entry := range record.Entries {
@@ -246,25 +246,25 @@
 			s.appendEntry(entry)
 		}
 	}
-	s.term = max(s.term, record.Epoch)
+	s.term = max(s.term, record.Term)
 }
 
 // restoreSnapshot takes a snapshot as the whole working state.
 func (s *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
-	s.term, s.sequence = snapshot.Epoch, snapshot.Sequence
+	s.term, s.sequence = snapshot.Term, snapshot.Sequence
 	s.state = setup.State{}.With(snapshot.Items)
 	if s.membership = snapshot.Membership; s.membership == nil {
 		s.membership = &schema.Membership{}
 	}
 	s.baseState, s.baseSequence, s.baseMembership, s.entries = s.state, s.sequence, s.membership, nil
-	s.outcomes, s.outcomeOrder = map[string]*schema.Outcome{}, nil
+	s.outcomes, s.outcomeOrder = map[string]*schema.ChangeOutcome{}, nil
 	for _, outcome := range snapshot.Outcomes {
 		s.recordOutcome(outcome)
 	}
 	s.applyMembership()
 }
 
-func (s *Replica) recordOutcome(outcome *schema.Outcome) {
+func (s *Replica) recordOutcome(outcome *schema.ChangeOutcome) {
 	if _, known := s.outcomes[outcome.ChangeId]; !known {
 		s.outcomeOrder = append(s.outcomeOrder, outcome.ChangeId)
 	}
@@ -292,7 +292,7 @@
 }
 
 func (s *Replica) snapshot() *schema.Snapshot {
-	snapshot := &schema.Snapshot{Epoch: s.term, Sequence: s.sequence, Items: s.state.Items(), Membership: s.membership}
+	snapshot := &schema.Snapshot{Term: s.term, Sequence: s.sequence, Items: s.state.Items(), Membership: s.membership}
 	for _, id := range s.outcomeOrder {
 		snapshot.Outcomes = append(snapshot.Outcomes, s.outcomes[id])
 	}
@@ -301,7 +301,7 @@
 
 // committedSnapshot is the state as shown outside; outcomes later than it are left out.
 func (s *Replica) committedSnapshot() *schema.Snapshot {
-	snapshot := &schema.Snapshot{Epoch: s.committedTerm, Sequence: s.committedSequence, Items: s.committedState.Items(), Membership: s.committedMembership}
+	snapshot := &schema.Snapshot{Term: s.committedTerm, Sequence: s.committedSequence, Items: s.committedState.Items(), Membership: s.committedMembership}
 	for _, id := range s.outcomeOrder {
 		if outcome := s.outcomes[id]; outcome.Version.Sequence <= s.committedSequence {
 			snapshot.Outcomes = append(snapshot.Outcomes, outcome)
@@ -364,7 +364,7 @@
 func (s *Replica) Committed() (uint64, setup.State) { return s.committedSequence, s.committedState }
 
 // Members lists the members as far as they are committed, where they agree on them themselves.
-func (s *Replica) Members() []*schema.Core {
+func (s *Replica) Members() []*schema.CoreMember {
 	if len(s.config.StaticMembers) > 0 {
 		return nil
 	}
@@ -372,7 +372,7 @@
 }
 
 // CommittedOutcome tells what became of a change, if it is settled here.
-func (s *Replica) CommittedOutcome(changeID string) (*schema.Outcome, bool) {
+func (s *Replica) CommittedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
 	outcome, found := s.outcomes[changeID]
 	if !found || outcome.Version.Sequence > s.committedSequence {
 		return nil, false
@@ -381,7 +381,7 @@
 }
 
 // AppendedOutcome tells what was decided of a change, whether or not that is committed yet.
-func (s *Replica) AppendedOutcome(changeID string) (*schema.Outcome, bool) {
+func (s *Replica) AppendedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
 	outcome, found := s.outcomes[changeID]
 	return outcome, found
 }
@@ -393,8 +393,8 @@
 
 // Status is what an operator sees of the replica.
 func (s *Replica) Status() *schema.ReplicaStatus {
-	status := &schema.ReplicaStatus{Replica: s.config.Name, Leader: s.leader(), Epoch: s.term, VotedEpoch: s.votedTerm, Sequence: s.sequence,
-		Durable: s.durableSequence, Committed: s.committedSequence, Member: s.isMember(), Unfit: s.unfit(), Membership: s.membership, Refuses: s.diskFailed}
+	status := &schema.ReplicaStatus{Replica: s.config.Name, Leader: s.leader(), Term: s.term, VotedTerm: s.votedTerm, Sequence: s.sequence,
+		Durable: s.durableSequence, Committed: s.committedSequence, Member: s.isMember(), Unfit: s.unfit(), Membership: s.membership, DiskFailed: s.diskFailed}
 	for _, name := range s.otherMembers {
 		if s.recentlyHeard(s.peers[name]) {
 			status.Heard = append(status.Heard, name)
@@ -402,7 +402,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.outsiders)) {
 		if outsider := s.outsiders[name]; outsider.isLearner && s.recentlyHeard(outsider) {
-			status.Waiting = append(status.Waiting, name)
+			status.Learners = append(status.Learners, name)
 		}
 	}
 	return status
@@ -441,7 +441,7 @@
 
 // completeSnapshotRecord adds to the whole state what else a folder must hold once everything before it may go.
 func (s *Replica) completeSnapshotRecord(record *schema.Record) {
-	record.Incarnation, record.VotedEpoch, record.VotedFor, record.Founder, record.Raise = s.incarnation, s.votedTerm, s.votedFor, s.founder, s.expandsMembership
+	record.Incarnation, record.VotedTerm, record.VotedFor, record.Founder, record.RaiseTargetSize = s.incarnation, s.votedTerm, s.votedFor, s.founder, s.expandsMembership
 	s.entriesSinceSnapshot, s.bytesSinceSnapshot, s.snapshotBytes = 0, 0, proto.Size(record)
 }
 
