--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -42,7 +42,7 @@
 		switch typed := action.(type) {
 		case Send:
 			w.bytesSent += proto.Size(typed.Message)
-			if typed.Message.GetBeginEpoch().GetSnapshot() != nil || typed.Message.GetVote().GetSnapshot() != nil {
+			if typed.Message.GetBeginTerm().GetSnapshot() != nil || typed.Message.GetVote().GetSnapshot() != nil {
 				w.snapshotsSent++
 			}
 			if to := typed.Message.To; w.replicas[to] != nil && !w.down[to] && !w.down[from] {
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -57,82 +57,82 @@
 	if peer.sent < s.sequence {
 		entries = s.entries[peer.sent-s.baseSequence:]
 	}
-	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Epoch: s.term, After: peer.sent, Entries: entries, Committed: s.committedSequence}}})
+	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Term: s.term, PreviousSequence: peer.sent, Entries: entries, Committed: s.committedSequence}}})
 	peer.sent = s.sequence
 }
 
 // sendBeginTerm begins this replica's epoch at another: upon the state that it holds, if that is a part of
 // what the epoch began with here, else with the whole state, which may be large.
 func (s *Replica) sendBeginTerm(name string, peer *peerState) {
-	begin := &schema.BeginEpoch{Epoch: s.term}
+	begin := &schema.BeginTerm{Term: s.term}
 	reported := peer.lastKnownVersion
-	isPrefix := reported != nil && s.termStartVersion.Epoch != s.term && reported.Epoch == s.termStartVersion.Epoch && reported.Sequence <= s.termStartVersion.Sequence && reported.Sequence >= s.baseSequence
+	isPrefix := reported != nil && s.termStartVersion.Term != s.term && reported.Term == s.termStartVersion.Term && reported.Sequence <= s.termStartVersion.Sequence && reported.Sequence >= s.baseSequence
 	switch {
 	case isPrefix:
-		begin.Upon, begin.Entries = reported, s.entries[reported.Sequence-s.baseSequence:]
-	case !peer.versionReported && s.termStartVersion.Epoch != s.term && s.termStartVersion.Sequence >= s.baseSequence:
+		begin.Base, begin.Entries = reported, s.entries[reported.Sequence-s.baseSequence:]
+	case !peer.versionReported && s.termStartVersion.Term != s.term && s.termStartVersion.Sequence >= s.baseSequence:
 		// What it held may be long ago: it is asked by trying, before much is sent.
-		begin.Upon, begin.Entries = s.termStartVersion, s.entries[s.termStartVersion.Sequence-s.baseSequence:]
+		begin.Base, begin.Entries = s.termStartVersion, s.entries[s.termStartVersion.Sequence-s.baseSequence:]
 	case peer.snapshotSentAt != 0 && s.now-peer.snapshotSentAt < s.config.HeartbeatTimeout && peer.sent != 0:
 		return // it may be under way still
 	default:
 		begin.Snapshot, peer.snapshotSentAt = s.snapshot(), s.now
 	}
-	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginEpoch{BeginEpoch: begin}})
+	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginTerm{BeginTerm: begin}})
 	peer.sent = s.sequence
 }
 
 func (s *Replica) refuseAppend(from string) {
-	s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, Higher: s.votedTerm}}})
+	s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, HigherTerm: s.votedTerm}}})
 }
 
 func (s *Replica) ackMessage(to string) *schema.ReplicaMessage {
-	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Epoch: s.term, Sequence: s.sequence}}}
+	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: s.term, Sequence: s.sequence}}}
 }
 
 // ackDurable acknowledges what is on disk now, for messages that brought nothing new.
 func (s *Replica) ackDurable(to string) {
-	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Epoch: s.durableTerm, Sequence: s.durableSequence, Have: s.lastVersion()}}})
+	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: s.durableTerm, Sequence: s.durableSequence, Appended: s.lastVersion()}}})
 }
 
-func (s *Replica) onBeginTerm(from string, begin *schema.BeginEpoch) {
-	if begin.Epoch < s.votedTerm && s.isExcluded() {
+func (s *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
+	if begin.Term < s.votedTerm && s.isExcluded() {
 		s.restartAsNewIncarnation()
 		return
 	}
-	if begin.Epoch < s.votedTerm {
+	if begin.Term < s.votedTerm {
 		s.refuseAppend(from)
 		return
 	}
-	if begin.Epoch == s.term && (begin.Snapshot == nil || s.sequence >= begin.Snapshot.Sequence) {
+	if begin.Term == s.term && (begin.Snapshot == nil || s.sequence >= begin.Snapshot.Sequence) {
 		s.ackDurable(from)
 		return
 	}
-	if upon := begin.Upon; begin.Snapshot == nil && (upon.GetEpoch() != s.term || upon.GetSequence() != s.sequence) {
+	if upon := begin.Base; begin.Snapshot == nil && (upon.GetTerm() != s.term || upon.GetSequence() != s.sequence) {
 		s.ackDurable(from)
 		return
 	}
 	if s.role != roleFollower {
 		s.becomeFollower()
 	}
-	s.recordVote(begin.Epoch, from)
+	s.recordVote(begin.Term, from)
 	if begin.Snapshot != nil {
 		s.restoreSnapshot(begin.Snapshot)
-		s.term = begin.Epoch
+		s.term = begin.Term
 		s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
 		return
 	}
 	appended := s.appendContiguous(begin.Entries)
-	s.term = begin.Epoch
-	s.persist(&schema.Record{Entries: appended, Epoch: s.term, VotedEpoch: s.votedTerm, VotedFor: from}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+	s.term = begin.Term
+	s.persist(&schema.Record{Entries: appended, Term: s.term, VotedTerm: s.votedTerm, VotedFor: from}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
 }
 
 func (s *Replica) onAppendEntries(from string, request *schema.AppendEntries) {
-	if request.Epoch < s.votedTerm {
+	if request.Term < s.votedTerm {
 		s.refuseAppend(from)
 		return
 	}
-	if request.Epoch != s.term || request.After > s.sequence {
+	if request.Term != s.term || request.PreviousSequence > s.sequence {
 		s.ackDurable(from)
 		return
 	}
@@ -149,10 +149,10 @@
 
 func (s *Replica) onAppendReply(from string, peer *peerState, counted bool, reply *schema.AppendReply) {
 	if reply.Refused {
-		s.highestTerm = max(s.highestTerm, reply.Higher)
+		s.highestTerm = max(s.highestTerm, reply.HigherTerm)
 		// Who is no member disturbs nobody, unless there is a place for it.
-		mayJoin := counted || len(s.membership.Members) < int(s.membership.Wanted)
-		if (s.role == roleLeader || s.role == roleLeaderElect) && reply.Higher > s.term && mayJoin {
+		mayJoin := counted || len(s.membership.Members) < int(s.membership.TargetSize)
+		if (s.role == roleLeader || s.role == roleLeaderElect) && reply.HigherTerm > s.term && mayJoin {
 			s.becomeFollower()
 		}
 		return
@@ -160,10 +160,10 @@
 	if s.role != roleLeaderElect && s.role != roleLeader {
 		return
 	}
-	if reply.Epoch != s.term {
+	if reply.Term != s.term {
 		// It lacks this epoch's beginning, and gets it upon what it says that it holds.
-		if reported := reply.Have; reported != nil && reported.Epoch != s.term {
-			repeated := peer.versionReported && peer.lastKnownVersion.GetEpoch() == reported.Epoch && peer.lastKnownVersion.GetSequence() == reported.Sequence
+		if reported := reply.Appended; reported != nil && reported.Term != s.term {
+			repeated := peer.versionReported && peer.lastKnownVersion.GetTerm() == reported.Term && peer.lastKnownVersion.GetSequence() == reported.Sequence
 			if peer.versionReported, peer.lastKnownVersion = true, reported; !repeated {
 				s.replicate(from, peer)
 			}
@@ -188,7 +188,7 @@
 	durable := []uint64{s.durableSequence}
 	for _, member := range s.membership.Members {
 		// A founder counts only once it is bound to its folder.
-		if peer := s.peers[member.Seat]; peer != nil && member.Incarnation != 0 && peer.term == s.term {
+		if peer := s.peers[member.Id]; peer != nil && member.Incarnation != 0 && peer.term == s.term {
 			durable = append(durable, peer.acked)
 		}
 	}
@@ -240,13 +240,13 @@
 }
 
 func (s *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
-	if !s.isMember() || s.role != roleFollower || !setup.Newer(&schema.Version{Epoch: snapshot.Epoch, Sequence: snapshot.Sequence}, s.lastVersion()) {
+	if !s.isMember() || s.role != roleFollower || !setup.Newer(&schema.Version{Term: snapshot.Term, Sequence: snapshot.Sequence}, s.lastVersion()) {
 		return
 	}
 	// Committed state may be taken even under a later vote: a majority has it already, so
 	// whoever was voted for will read it too.
-	if snapshot.Epoch > s.votedTerm {
-		s.recordVote(snapshot.Epoch, "")
+	if snapshot.Term > s.votedTerm {
+		s.recordVote(snapshot.Term, "")
 	}
 	s.restoreSnapshot(snapshot)
 	s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -253,7 +253,7 @@
 	status := s.replica.Status()
 	status.RefusedPeers = s.transport.RejectedPeers.Load()
 	age, known := s.replica.CommittedAge(time.Since(s.started))
-	status.Vouched, status.MajorityAgeNanos = known, int64(age)
+	status.StalenessKnown, status.StalenessNanos = known, int64(age)
 	return status
 }
 
@@ -324,7 +324,7 @@
 }
 
 // Trace tells when a change was where in this store.
-func (s *Server) Trace(_ context.Context, request *schema.Ask) (*schema.ReplicaTrace, error) {
+func (s *Server) Trace(_ context.Context, request *schema.ChangeQuery) (*schema.ReplicaTrace, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	trace := &schema.ReplicaTrace{Replica: s.initialOptions.Seat, Leader: s.replica.Status().Leader}
@@ -575,7 +575,7 @@
 // Propose takes a change from the registry of this machine and answers once it is settled.
 func (s *Server) Propose(ctx context.Context, proposal *schema.Proposal) (*schema.ProposalReply, error) {
 	result, _ := s.awaitResult(ctx, func(now time.Duration, ticket string) []Action {
-		return s.replica.Propose(now, &schema.Proposal{Ticket: ticket, Change: proposal.Change, DutyEpoch: proposal.DutyEpoch})
+		return s.replica.Propose(now, &schema.Proposal{Ticket: ticket, Change: proposal.Change, ControllerTerm: proposal.ControllerTerm})
 	}).(*schema.ProposalReply)
 	if result == nil {
 		result = &schema.ProposalReply{Undecided: true}
@@ -584,7 +584,7 @@
 }
 
 // ReadIndex answers with a committed sequence that no yes given before lies above.
-func (s *Server) ReadIndex(ctx context.Context, _ *schema.Nothing) (*schema.ReadIndexReply, error) {
+func (s *Server) ReadIndex(ctx context.Context, _ *schema.Empty) (*schema.ReadIndexReply, error) {
 	result, _ := s.awaitResult(ctx, func(now time.Duration, ticket string) []Action {
 		return s.replica.ReadIndex(now, ticket)
 	}).(*schema.ReadIndexReply)
@@ -595,7 +595,7 @@
 }
 
 // Inquire tells what became of a change.
-func (s *Server) Inquire(_ context.Context, request *schema.Ask) (*schema.ProposalReply, error) {
+func (s *Server) Inquire(_ context.Context, request *schema.ChangeQuery) (*schema.ProposalReply, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	outcome, committed := s.replica.CommittedOutcome(request.ChangeId)
@@ -611,8 +611,8 @@
 		committed, state := s.replica.Committed()
 		changed := s.committedChanged
 		s.lock.Unlock()
-		if committed > request.After {
-			return s.withFreshness(ItemsAfter(state, committed, request.After)), nil
+		if committed > request.AfterSequence {
+			return s.withFreshness(ItemsAfter(state, committed, request.AfterSequence)), nil
 		}
 		select {
 		case <-changed:
@@ -629,18 +629,18 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	age, known := s.replica.CommittedAge(time.Since(s.started))
-	reply.AgeNanos, reply.Vouched, reply.Cores = int64(age), known, s.replica.Members()
+	reply.StalenessNanos, reply.StalenessKnown, reply.Members = int64(age), known, s.replica.Members()
 	return reply
 }
 
 // ItemsAfter lists the items of a state newer than a sequence, or all when it is 0.
 func ItemsAfter(state setup.State, committed, after uint64) *schema.FollowReply {
 	reply := &schema.FollowReply{Committed: committed}
-	reply.Items, reply.Whole = state.ChangesAfter(after)
+	reply.Items, reply.Complete = state.ChangesAfter(after)
 	return reply
 }
 
 // Look gives the replica's status.
-func (s *Server) Look(context.Context, *schema.Nothing) (*schema.ReplicaStatus, error) {
+func (s *Server) Look(context.Context, *schema.Empty) (*schema.ReplicaStatus, error) {
 	return s.status(), nil
 }
