--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -23,12 +23,12 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/configsource"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/options"
 	"meadowhinge/internal/registry"
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/statement"
-	"meadowhinge/schema"
+	"meadowhinge/internal/statuspage"
 )
 
 // Exit codes: what a script can tell apart.
@@ -53,14 +53,14 @@
 	if body != nil {
 		var err error
 		if sent, err = json.Marshal(body); err != nil {
-			return 0, nil, defect.Wrap(err, defect.Internal, "request")
+			return 0, nil, errs.Wrap(err, errs.Internal, "request")
 		}
 	}
 	silent := []string{}
 	var young []byte
 	for _, address := range options.SplitList(c.registries) {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return 0, nil, defect.New(defect.InvalidOptions, fmt.Sprintf("registries: %q is not IP:port", address))
+			return 0, nil, errs.New(errs.InvalidOptions, fmt.Sprintf("registries: %q is not IP:port", address))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 		request, _ := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(sent))
@@ -88,7 +88,7 @@
 	if young != nil {
 		return http.StatusServiceUnavailable, young, nil
 	}
-	return 0, nil, defect.New(defect.NoQuorum, "no answer from "+strings.Join(silent, ", "))
+	return 0, nil, errs.New(errs.NoQuorum, "no answer from "+strings.Join(silent, ", "))
 }
 
 // coded carries an exit code out of a command.
@@ -106,13 +106,13 @@
 		return false, &coded{exitUnreachable, err}
 	}
 	if status != http.StatusOK {
-		return false, &coded{exitRefused, defect.New(defect.NoQuorum, string(text))}
+		return false, &coded{exitRefused, errs.New(errs.NoQuorum, string(text))}
 	}
 	if c.asJSON {
 		fmt.Fprintln(c.out, string(text))
 		return true, nil
 	}
-	return false, defect.Wrap(json.Unmarshal(text, into), defect.MalformedRequest, path)
+	return false, errs.Wrap(json.Unmarshal(text, into), errs.MalformedRequest, path)
 }
 
 func (c *client) apply(file, id string) error {
@@ -121,7 +121,7 @@
 		text, err = io.ReadAll(c.in)
 	}
 	if err != nil {
-		return &coded{exitUsage, defect.Wrap(err, defect.InvalidOptions, "setup")}
+		return &coded{exitUsage, errs.Wrap(err, errs.InvalidOptions, "setup")}
 	}
 	return c.send(id, text)
 }
@@ -152,7 +152,7 @@
 		}
 	}
 	if plan.Service == "" || plan.Version == "" {
-		return &coded{exitUsage, defect.New(defect.InvalidOptions, "release: a new plan needs -service and -version")}
+		return &coded{exitUsage, errs.New(errs.InvalidOptions, "release: a new plan needs -service and -version")}
 	}
 	return c.send("", []byte(fmt.Sprintf("release: %q: {service: %q, version: %q, target: %v, over: %q, pace: %q}\n", name, plan.Service, plan.Version, plan.Target, plan.Duration, plan.Pace)))
 }
@@ -173,23 +173,23 @@
 	if err != nil {
 		return err
 	}
-	items, faults := statement.Parse(text)
+	items, faults := configsource.Parse(text)
 	if len(faults) > 0 {
 		for _, fault := range faults {
 			fmt.Fprintf(c.complaint, "%s: %s\n", fault.Path, fault.Reason)
 		}
-		return &coded{exitRefused, defect.New(defect.InvalidConfig, "nothing of it was sent")}
+		return &coded{exitRefused, errs.New(errs.InvalidConfig, "nothing of it was sent")}
 	}
 	for _, item := range items {
 		for _, held := range shown.Items {
 			if held.Kind == item.Kind && held.Name == item.Name {
-				submission.ExpectedVersions[setup.Key(item.Kind, item.Name)] = held.Version
+				submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = held.Version
 			}
 		}
 	}
 	status, body, err := c.ask(http.MethodPost, "/v1/changes", submission)
 	if err != nil {
-		return &coded{exitUnreachable, defect.Wrap(err, defect.NoQuorum, "ask again with: operator outcome "+submission.ID)}
+		return &coded{exitUnreachable, errs.Wrap(err, errs.NoQuorum, "ask again with: operator outcome "+submission.ID)}
 	}
 	return c.tell(status, body)
 }
@@ -198,7 +198,7 @@
 func (c *client) tell(status int, body []byte) error {
 	var answer registry.ChangeResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return &coded{exitUnreachable, defect.Wrap(err, defect.MalformedRequest, string(body))}
+		return &coded{exitUnreachable, errs.Wrap(err, errs.MalformedRequest, string(body))}
 	}
 	if c.asJSON {
 		fmt.Fprintln(c.out, string(body))
@@ -228,9 +228,9 @@
 	case answer.Ruling == "accepted" && answer.Acknowledged:
 		return nil
 	case answer.Ruling == "accepted" || status == http.StatusServiceUnavailable:
-		return &coded{exitUnreachable, defect.New(defect.NoQuorum, "not settled; ask again with: operator outcome "+answer.ID)}
+		return &coded{exitUnreachable, errs.New(errs.NoQuorum, "not settled; ask again with: operator outcome "+answer.ID)}
 	}
-	return &coded{exitRefused, defect.New(answer.ErrorCode, answer.ID)}
+	return &coded{exitRefused, errs.New(answer.ErrorCode, answer.ID)}
 }
 
 // explain says in words which version a request would get, and why.
@@ -289,7 +289,7 @@
 		return &ffcli.Command{Name: name, ShortUsage: "operator [flags] " + usage, ShortHelp: help, FlagSet: set,
 			Exec: func(_ context.Context, args []string) error {
 				if len(args) != words {
-					return &coded{exitUsage, defect.New(defect.InvalidOptions, "usage: operator [flags] "+usage)}
+					return &coded{exitUsage, errs.New(errs.InvalidOptions, "usage: operator [flags] "+usage)}
 				}
 				return exec(args)
 			}}
@@ -335,10 +335,10 @@
 
 	commands := []*ffcli.Command{
 		command("stop", "stop [-reason TEXT] SERVICE VERSION", "let a version get no calls; its fallback version serves them", stopSet, 2, func(args []string) error {
-			return c.send("", []byte(fmt.Sprintf("stop: %q: {service: %q, version: %q, reason: %q}\n", setup.StopName(args[0], args[1]), args[0], args[1], *reason)))
+			return c.send("", []byte(fmt.Sprintf("stop: %q: {service: %q, version: %q, reason: %q}\n", config.StopName(args[0], args[1]), args[0], args[1], *reason)))
 		}),
 		command("lift", "lift SERVICE VERSION", "lift a stop, an operator's or the brake's; the version is tried out anew", nil, 2, func(args []string) error {
-			return c.send("", []byte(fmt.Sprintf("stop: %q: {service: %q, version: %q, lifted: true}\n", setup.StopName(args[0], args[1]), args[0], args[1])))
+			return c.send("", []byte(fmt.Sprintf("stop: %q: {service: %q, version: %q, lifted: true}\n", config.StopName(args[0], args[1]), args[0], args[1])))
 		}),
 		command("release", "release [-service S] [-version V] [-target PERCENT] [-over TIME] [-pace go|hold|back] NAME", "state a release plan, or change what flags give of one", releaseSet, 1,
 			func(args []string) error {
@@ -369,7 +369,7 @@
 				return &coded{exitUnreachable, err}
 			}
 			if status != http.StatusOK {
-				return &coded{exitRefused, defect.New(defect.ChangeNotFound, string(body))}
+				return &coded{exitRefused, errs.New(errs.ChangeNotFound, string(body))}
 			}
 			return c.tell(status, body)
 		}),
@@ -446,7 +446,7 @@
 				return &coded{exitUnreachable, err}
 			}
 			if status != http.StatusOK {
-				return &coded{exitRefused, defect.New(defect.RouteNotFound, string(body))}
+				return &coded{exitRefused, errs.New(errs.RouteNotFound, string(body))}
 			}
 			if c.asJSON {
 				fmt.Fprintln(c.out, string(body))
@@ -454,7 +454,7 @@
 			}
 			var told registry.ExplainResponse
 			if err := json.Unmarshal(body, &told); err != nil {
-				return &coded{exitRefused, defect.Wrap(err, defect.MalformedRequest, "explanation")}
+				return &coded{exitRefused, errs.Wrap(err, errs.MalformedRequest, "explanation")}
 			}
 			return c.explain(&told)
 		}),
@@ -465,7 +465,7 @@
 				fmt.Fprintln(c.out, "operator", options.Version)
 				return nil
 			}
-			return &coded{exitUsage, defect.New(defect.InvalidOptions, "no such command; see operator -help")}
+			return &coded{exitUsage, errs.New(errs.InvalidOptions, "no such command; see operator -help")}
 		}}
 	err := top.ParseAndRun(context.Background(), words)
 	if err == nil || errors.Is(err, flag.ErrHelp) {
@@ -479,21 +479,25 @@
 }
 
 // showReplica shows how a store stands among the others.
-func showReplica(out io.Writer, store *schema.ReplicaStatus) {
+func showReplica(out io.Writer, store *statuspage.Replica) {
 	leader := store.Leader
 	if leader == "" {
 		leader = "none known"
 	}
 	var members []string
-	for _, member := range store.GetMembership().GetMembers() {
-		members = append(members, member.Id)
+	membership := store.Membership
+	if membership == nil {
+		membership = &statuspage.Membership{}
+	}
+	for _, member := range membership.Members {
+		members = append(members, member.ID)
 	}
 	heard := "no majority heard yet"
 	if store.StalenessKnown {
 		heard = fmt.Sprint("majority heard ", time.Duration(store.StalenessNanos).Round(time.Millisecond), " ago")
 	}
 	fmt.Fprintf(out, "store %s: leader %s, epoch %d, committed %d of %d, %s\n", store.Replica, leader, store.Term, store.Committed, store.Sequence, heard)
-	fmt.Fprintf(out, "members (%d of %d wanted): %s; hears %s\n", len(members), store.GetMembership().GetTargetSize(), strings.Join(members, " "), strings.Join(store.Heard, " "))
+	fmt.Fprintf(out, "members (%d of %d wanted): %s; hears %s\n", len(members), membership.TargetSize, strings.Join(members, " "), strings.Join(store.Heard, " "))
 	for _, note := range []struct {
 		told bool
 		text string
--- a/cmd/tracer/main.go
+++ b/cmd/tracer/main.go
@@ -17,7 +17,7 @@
 
 	"github.com/peterbourgon/ff/v3"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/options"
 	"meadowhinge/internal/registry"
 )
@@ -58,13 +58,13 @@
 	}
 	for _, address := range options.SplitList(*registries) {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			fmt.Fprintln(complaint, "tracer:", defect.New(defect.InvalidOptions, fmt.Sprintf("registries: %q is not IP:port", address)))
+			fmt.Fprintln(complaint, "tracer:", errs.New(errs.InvalidOptions, fmt.Sprintf("registries: %q is not IP:port", address)))
 			return exitUsage
 		}
 	}
 	traces, silent := ask(options.SplitList(*registries), set.Arg(0), *timeout)
 	if len(traces) == 0 {
-		fmt.Fprintln(complaint, "tracer:", defect.New(defect.NoQuorum, "no answer from "+strings.Join(silent, ", ")))
+		fmt.Fprintln(complaint, "tracer:", errs.New(errs.NoQuorum, "no answer from "+strings.Join(silent, ", ")))
 		return exitUnreachable
 	}
 	known := false
@@ -85,14 +85,14 @@
 	case known:
 		return 0
 	case stores == 0:
-		fmt.Fprintln(complaint, "tracer:", defect.New(defect.NoQuorum, "no store answered"))
+		fmt.Fprintln(complaint, "tracer:", errs.New(errs.NoQuorum, "no store answered"))
 		return exitUnreachable
 	}
 	text := set.Arg(0)
 	if len(silent) > 0 {
 		text += "; no answer from " + strings.Join(silent, ", ")
 	}
-	fmt.Fprintln(complaint, "tracer:", defect.New(defect.ChangeNotFound, text))
+	fmt.Fprintln(complaint, "tracer:", errs.New(errs.ChangeNotFound, text))
 	return exitUnknown
 }
 
--- a/internal/setup/compile.go
+++ b/internal/config/compile.go
@@ -1,4 +1,4 @@
-package setup
+package config
 
 import (
 	"bytes"
--- a/internal/setup/compile_test.go
+++ b/internal/config/compile_test.go
@@ -1,4 +1,4 @@
-package setup
+package config
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"meadowhinge/internal/configsource"
 	"meadowhinge/internal/flag"
-	"meadowhinge/internal/statement"
 	"meadowhinge/schema"
 )
 
@@ -116,7 +116,7 @@
 		t.Error("callers left out are anyone, those named are they alone")
 	}
 	for _, text := range []string{`route: r: {host: "", prefix: "/", service: "shop"}`, `route: r: {prefix: "/", service: "shop", tries: -1}`, `limits: {headerMost: 0}`, `limits: {colour: 1}`} {
-		if _, faults := statement.Parse([]byte(text)); len(faults) == 0 {
+		if _, faults := configsource.Parse([]byte(text)); len(faults) == 0 {
 			t.Errorf("%s was read", text)
 		}
 	}
--- a/internal/setup/setup.go
+++ b/internal/config/setup.go
@@ -1,6 +1,6 @@
 // Package setup is the configuration that operators state: items as stored, checked
 // against each other, and compiled for the planner.
-package setup
+package config
 
 import (
 	"fmt"
--- a/internal/setup/setup_test.go
+++ b/internal/config/setup_test.go
@@ -1,4 +1,4 @@
-package setup
+package config
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"meadowhinge/internal/statement"
+	"meadowhinge/internal/configsource"
 	"meadowhinge/schema"
 )
 
@@ -23,7 +23,7 @@
 
 func stateOf(t *testing.T, text string) (State, []*schema.FieldError) {
 	t.Helper()
-	items, faults := statement.Parse([]byte(text))
+	items, faults := configsource.Parse([]byte(text))
 	for i, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 	}
@@ -188,7 +188,7 @@
 		"a stop of the fallback":      {`stop: "shop.1": {service: "shop", version: "1"}`, nil, 1},
 		"a lifted stop, now fallback": {`stop: "shop.1": {service: "shop", version: "1", lifted: true}`, nil, 0},
 	} {
-		items, faults := statement.Parse([]byte(base + one.text))
+		items, faults := configsource.Parse([]byte(base + one.text))
 		for i, item := range items {
 			item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 		}
@@ -222,7 +222,7 @@
 route: r: {service: "shop", prefix: "/r", attributes: caller: "X", policy: "p"}`, []string{"route.r.attributes.caller"}},
 		"each by itself": {`policy: {p: expression: "caller", q: expression: "1 +"}`, []string{"policy.p.expression", "policy.q.expression"}},
 	} {
-		items, faults := statement.Parse([]byte(base + one.text))
+		items, faults := configsource.Parse([]byte(base + one.text))
 		for i, item := range items {
 			item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 		}
--- a/internal/statement/read.go
+++ b/internal/configsource/read.go
@@ -1,6 +1,6 @@
 // Package statement reads what operators state, in CUE, into the items of a change. It stands apart
 // from the setup so that programs which never read it do not carry its library.
-package statement
+package configsource
 
 import (
 	_ "embed"
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,9 +20,9 @@
 	"github.com/valyala/fasthttp"
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/flightrecorder"
 	"meadowhinge/internal/options"
-	"meadowhinge/internal/ring"
 )
 
 // defaultGCPercent is how much the heap may grow, in percent, before it is collected.
@@ -31,7 +31,7 @@
 // Environment is what a running program gets from its surroundings.
 type Environment struct {
 	Log            logr.Logger
-	Recorder       *ring.Recorder
+	Recorder       *flightrecorder.Recorder
 	Draining       *atomic.Bool
 	probeServer    *fasthttp.Server
 	statusPages    map[string]func() any
@@ -56,7 +56,7 @@
 		return options.ExitCode(program, err, os.Stderr)
 	}
 	directory, lines := recorderOptions()
-	recorder := ring.New(directory, program, int(lines))
+	recorder := flightrecorder.New(directory, program, int(lines))
 	environment := &Environment{Log: recorder.Logger(), Recorder: recorder, Draining: &atomic.Bool{}, statusPages: map[string]func() any{}}
 	environment.settings = newSettings(program, source, target, loaded, reloadSignals, environment.Log)
 	// Memory at its peak is paid for on every edge machine, and a collection of so small a heap costs
@@ -72,7 +72,7 @@
 		_ = recorder.Dump(true)
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
 		// Bad settings found late still leave with 2, so that a supervisor does not retry them.
-		if defect.CodeOf(err) == defect.InvalidOptions {
+		if errs.CodeOf(err) == errs.InvalidOptions {
 			return 2
 		}
 		return 1
@@ -97,7 +97,7 @@
 func (e *Environment) ServeProbes(address string, ready func() Readiness) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return defect.Wrap(err, defect.InvalidOptions, "probe-listen")
+		return errs.Wrap(err, errs.InvalidOptions, "probe-listen")
 	}
 	e.probeServer = &fasthttp.Server{Name: "meadowhinge", Concurrency: 256, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute,
 		NoDefaultServerHeader: true, Handler: func(call *fasthttp.RequestCtx) {
@@ -111,7 +111,7 @@
 			case "/ready":
 				readiness := ready()
 				if e.Draining.Load() {
-					readiness = Readiness{Reason: string(defect.ProxyDraining)}
+					readiness = Readiness{Reason: string(errs.ProxyDraining)}
 				}
 				status := fasthttp.StatusOK
 				if !readiness.Ready {
@@ -130,7 +130,7 @@
 					WriteJSON(call, fasthttp.StatusOK, page())
 					return
 				}
-				WriteError(call, defect.New(defect.RouteNotFound, path), "", nil)
+				WriteError(call, errs.New(errs.RouteNotFound, path), "", nil)
 			}
 		}}
 	go func() { _ = e.probeServer.Serve(listener) }()
@@ -157,10 +157,10 @@
 
 // ErrorResponse is the typed JSON error of every outward interface.
 type ErrorResponse struct {
-	Code    defect.Code `json:"defect"`
-	Detail  string      `json:"detail,omitempty"`
-	Outcome string      `json:"outcome,omitempty"`
-	Faults  any         `json:"faults,omitempty"`
+	Code    errs.Code `json:"defect"`
+	Detail  string    `json:"detail,omitempty"`
+	Outcome string    `json:"outcome,omitempty"`
+	Faults  any       `json:"faults,omitempty"`
 }
 
 // WriteError answers with a typed error.
@@ -171,6 +171,6 @@
 
 // NewErrorResponse is a typed error as it is answered, and its status.
 func NewErrorResponse(err error, outcome string, faults any) (int, ErrorResponse) {
-	code := defect.CodeOf(err)
-	return defect.HTTPStatus(code), ErrorResponse{Code: code, Detail: err.Error(), Outcome: outcome, Faults: faults}
+	code := errs.CodeOf(err)
+	return errs.HTTPStatus(code), ErrorResponse{Code: code, Detail: err.Error(), Outcome: outcome, Faults: faults}
 }
--- a/internal/daemon/settings.go
+++ b/internal/daemon/settings.go
@@ -12,7 +12,7 @@
 	"github.com/go-logr/logr"
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/options"
 )
 
@@ -188,5 +188,5 @@
 	if errors.As(err, &list) {
 		faults = list
 	}
-	s.log.Error(defect.New(defect.InvalidOptions, s.program), "settings refused; those from before stay in force", "faults", []string(faults))
+	s.log.Error(errs.New(errs.InvalidOptions, s.program), "settings refused; those from before stay in force", "faults", []string(faults))
 }
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_test.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/ring"
+	"meadowhinge/internal/flightrecorder"
 	"meadowhinge/schema"
 )
 
@@ -21,14 +21,14 @@
 	*testing.T
 	file, data string
 	writes     int
-	recorder   *ring.Recorder
+	recorder   *flightrecorder.Recorder
 	settings   *settings
 	applied    []*schema.StoreOptions
 }
 
 func newSettingsFixture(t *testing.T, lines string) *settingsFixture {
 	t.Helper()
-	f := &settingsFixture{T: t, data: t.TempDir(), recorder: ring.New(t.TempDir(), "store", 100)}
+	f := &settingsFixture{T: t, data: t.TempDir(), recorder: flightrecorder.New(t.TempDir(), "store", 100)}
 	f.file = filepath.Join(f.data, "settings")
 	f.write(lines)
 	started, source := &schema.StoreOptions{}, FromArgs([]string{"-settings=" + f.file})
@@ -65,7 +65,7 @@
 		applied = f.applied[len(f.applied)-1]
 	}
 	lines := strings.Join(f.recorder.Lines(), "\n")
-	f.applied, f.recorder = nil, ring.New(f.TempDir(), "store", 100)
+	f.applied, f.recorder = nil, flightrecorder.New(f.TempDir(), "store", 100)
 	f.settings.log = f.recorder.Logger()
 	return applied, lines
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -8,9 +8,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -65,7 +65,7 @@
 	case err != nil:
 		// Nothing that could run was sent.
 		f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
-		return notExecuted(defect.PeerConnectFailed, 0)
+		return notExecuted(errs.PeerConnectFailed, 0)
 	case response.Request != request.Request || response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || response.ErrorCode == "":
 		return nil
 	}
@@ -78,12 +78,12 @@
 	request := &schema.ForwardRequest{Request: result.ID + "-" + strconv.Itoa(result.Attempts), Caller: call.Request.Caller, Service: result.Plan.Service,
 		Version: result.Plan.Verdict.Version, Instance: endpoint.Instance, Method: call.Request.Method, Target: call.Target,
 		HeaderBlock: call.HeaderBlock, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), TimeLeftNanos: int64(remaining),
-		Revision: result.Plan.Verdict.ConfigRevision, NonIdempotent: result.Plan.Class == setup.ClassNonIdempotent, IdempotencyKey: call.Request.IdempotencyKey, Route: result.Plan.Route.Name,
+		Revision: result.Plan.Verdict.ConfigRevision, NonIdempotent: result.Plan.Class == config.ClassNonIdempotent, IdempotencyKey: call.Request.IdempotencyKey, Route: result.Plan.Route.Name,
 		Host: call.Request.Host, AttemptId: call.Request.Identity, Priority: uint32(max(0, result.Plan.Route.Priority)), LatencyTargetNanos: remainingTarget(result.Plan, remaining)}
 	// A call that may be repeated leaves itself time to be, should this proxy hang: as much as the
 	// worker takes, for what is broken off while it runs is lost.
 	attemptCtx := ctx
-	if result.Plan.Class == setup.ClassIdempotent && !f.NoAttemptTimeout {
+	if result.Plan.Class == config.ClassIdempotent && !f.NoAttemptTimeout {
 		timeout := remaining / attemptTimeDivisor
 		if serviceTime := f.Outliers.Stats(&endpoint, f.Now()).ServiceTime; serviceTime > 0 {
 			timeout = max(timeout, remaining-reservedServiceTimes*serviceTime)
@@ -133,13 +133,13 @@
 	switch {
 	case err != nil && deadlinePassed:
 		response = outcomeUnknown(contextErrorCode(ctx))
-	case err != nil && defect.CodeOf(err) == defect.PeerConnectFailed:
-		response = notExecuted(defect.PeerConnectFailed, 0)
+	case err != nil && errs.CodeOf(err) == errs.PeerConnectFailed:
+		response = notExecuted(errs.PeerConnectFailed, 0)
 	case err != nil:
-		response = outcomeUnknown(defect.PeerConnectionLost)
+		response = outcomeUnknown(errs.PeerConnectionLost)
 	// An answer that is not this request's, or not whole, is no answer.
 	case !intact(request, response):
-		response = outcomeUnknown(defect.InvalidResponse)
+		response = outcomeUnknown(errs.InvalidResponse)
 	}
 	if isCanceled(response) {
 		callerGone = true
@@ -147,7 +147,7 @@
 		return response
 	}
 	// The directory is behind: what it still lists is no more, and need not be tried again.
-	if refusal := defect.Code(response.ErrorCode); response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (refusal == defect.WrongInstance || refusal == defect.WorkerDraining) {
+	if refusal := errs.Code(response.ErrorCode); response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (refusal == errs.WrongInstance || refusal == errs.WorkerDraining) {
 		f.Outliers.MarkDisowned(endpoint.Instance)
 	}
 	ending, status = response.Outcome, response.Status
--- a/internal/dispatch/buffer.go
+++ b/internal/dispatch/buffer.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // WorkerQueue is what waits for one worker at the proxy beside it. That proxy is the only way to the
@@ -22,7 +22,7 @@
 	running             int
 	lastProgressAt      time.Duration    // when something was handed over or ended last
 	waiting             []*QueuedRequest // by rank, then by when each must start
-	closedReason        defect.Code
+	closedReason        errs.Code
 	overall             serviceTimeEstimate
 	byRoute             map[string]*serviceTimeEstimate
 	uplink              *Uplink       // that answers leave by
@@ -39,7 +39,7 @@
 
 // Admission is what a request is told: to go, or why not and when to come back.
 type Admission struct {
-	Refusal    defect.Code // empty: it is its turn
+	Refusal    errs.Code // empty: it is its turn
 	RetryAfter time.Duration
 }
 
@@ -201,7 +201,7 @@
 	case q.closedReason != "":
 		return Admission{Refusal: q.closedReason}, nil
 	case now >= request.Deadline:
-		return Admission{Refusal: defect.DeadlineExceeded}, nil
+		return Admission{Refusal: errs.DeadlineExceeded}, nil
 	case q.hasCapacity() && len(q.waiting) == 0:
 		q.running, q.lastProgressAt = q.running+1, now
 		return Admission{}, nil
@@ -219,10 +219,10 @@
 	}
 	if !q.overall.known {
 		if q.slots == 0 || position >= unmeasuredQueueFactor*q.limit() {
-			return Admission{Refusal: defect.QueueFull}, nil
+			return Admission{Refusal: errs.QueueFull}, nil
 		}
 	} else if lateness := q.lateness(now, queued, q.expectedWaitBehind(now, queued, workAhead)); lateness > 0 || q.slots == 0 {
-		return Admission{Refusal: defect.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}, nil
+		return Admission{Refusal: errs.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}, nil
 	}
 	queued.Admission = make(chan Admission, 1)
 	q.waiting = append(q.waiting, nil)
@@ -239,7 +239,7 @@
 	for _, queued := range q.waiting[from:] {
 		lateness := q.lateness(now, queued, q.expectedWaitBehind(now, queued, workAhead))
 		if lateness > 0 && now-queued.arrivedAt <= (queued.request.answerBy()-queued.arrivedAt)/displaceDivisor {
-			queued.Admission <- Admission{Refusal: defect.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}
+			queued.Admission <- Admission{Refusal: errs.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}
 			continue
 		}
 		retained, workAhead = append(retained, queued), workAhead+queued.serviceTime
@@ -267,7 +267,7 @@
 func (q *WorkerQueue) Wait(ctx context.Context, queued *QueuedRequest, remaining time.Duration) Admission {
 	timer := time.NewTimer(remaining * maxWaitNumerator / maxWaitDenominator)
 	defer timer.Stop()
-	refused := Admission{Refusal: defect.QueueFull, RetryAfter: queued.serviceTime}
+	refused := Admission{Refusal: errs.QueueFull, RetryAfter: queued.serviceTime}
 	select {
 	case admission := <-queued.Admission:
 		return admission
@@ -355,7 +355,7 @@
 		q.waiting[0] = nil
 		q.waiting = q.waiting[1:]
 		if now >= first.request.Deadline {
-			first.Admission <- Admission{Refusal: defect.DeadlineExceeded}
+			first.Admission <- Admission{Refusal: errs.DeadlineExceeded}
 			continue
 		}
 		q.running, q.lastProgressAt = q.running+1, now
@@ -364,7 +364,7 @@
 }
 
 // Close refuses all that waits and all that comes; what was handed over goes on to its end.
-func (q *WorkerQueue) Close(reason defect.Code) {
+func (q *WorkerQueue) Close(reason errs.Code) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	q.closedReason = reason
--- a/internal/dispatch/buffer_test.go
+++ b/internal/dispatch/buffer_test.go
@@ -10,8 +10,8 @@
 	"testing/synctest"
 	"time"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/interleave"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/scheduleexplorer"
 )
 
 const ms = time.Millisecond
@@ -195,7 +195,7 @@
 			for _, name := range []string{"a", "b", "c"} {
 				p.admit(name, 0, 0, time.Second)
 			}
-			p.queue.Close(defect.WorkerDraining)
+			p.queue.Close(errs.WorkerDraining)
 			p.collect()
 			p.release(ResultAnswered)
 			p.admit("d", 0, 0, time.Second)
@@ -242,8 +242,8 @@
 // In every order of requests, one that is given up, and the worker's leaving: no more run at
 // once than may, none both runs and is refused, and none is forgotten.
 func TestEveryOrderAtTheWorkerQueue(t *testing.T) {
-	explore := func(seeded bool) interleave.Outcome {
-		return interleave.Explore(t, 400000, func(t *testing.T, run *interleave.Execution) func() error {
+	explore := func(seeded bool) scheduleexplorer.Outcome {
+		return scheduleexplorer.Explore(t, 400000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			queue := NewWorkerQueue(1, 1)
 			queue.recordServiceTime(0, "", ms)
 			// A thread that a turn wakes goes on beside the one that gave it.
@@ -267,7 +267,7 @@
 					case queued != nil && seeded && callerCtx.Err() != nil:
 						// Planted: whoever gives up does not look whether it was told to go.
 						queue.Remove(queued)
-						admission.Refusal = defect.DeadlineExceeded
+						admission.Refusal = errs.DeadlineExceeded
 					case queued != nil:
 						admission = queue.Wait(callerCtx, queued, time.Hour)
 					}
@@ -293,7 +293,7 @@
 			}
 			run.Go("cancel", func(func()) { cancel() })
 			run.Go("shut", func(func()) {
-				queue.Close(defect.WorkerDraining)
+				queue.Close(errs.WorkerDraining)
 				lock.Lock()
 				shut = true
 				lock.Unlock()
@@ -327,7 +327,7 @@
 		queue.Admit(0, AdmissionRequest{Deadline: time.Second})
 		_, queued := queue.Admit(0, AdmissionRequest{Deadline: time.Second})
 		admission := queue.Wait(t.Context(), queued, time.Second)
-		if took := time.Since(startedAt); admission.Refusal != defect.QueueFull || took > time.Second/2 {
+		if took := time.Since(startedAt); admission.Refusal != errs.QueueFull || took > time.Second/2 {
 			t.Errorf("told %s after %v", admission.Refusal, took)
 		}
 		if running, waiting, _ := queue.Load(); running != 1 || waiting != 0 {
--- a/internal/dispatch/carry.go
+++ b/internal/dispatch/carry.go
@@ -8,10 +8,10 @@
 
 	"github.com/puzpuzpuz/xsync/v4"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/session"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -126,7 +126,7 @@
 	startedAt := f.Now()
 	result := &CallResult{ID: f.newID()}
 	if !f.HasLease() && !f.awaitLease(ctx, call) {
-		result.Err = defect.New(defect.NoLease, "this proxy cannot know the rules in force")
+		result.Err = errs.New(errs.NoLease, "this proxy cannot know the rules in force")
 		return result
 	}
 	callPlan, err := f.makePlan(&call.Request)
@@ -134,14 +134,14 @@
 		result.Err = err
 		// What a policy refused has a count of its own.
 		if callPlan != nil {
-			result.Plan, result.Response = callPlan, notExecuted(defect.CodeOf(err), 0)
+			result.Plan, result.Response = callPlan, notExecuted(errs.CodeOf(err), 0)
 			f.Counter.Add(result, f.Now()-startedAt)
 		}
 		return result
 	}
 	result.Plan = callPlan
 	f.retryBudget(callPlan.Service).RecordCall(startedAt)
-	keyed := callPlan.Class == setup.ClassNonIdempotent && call.Request.IdempotencyKey != ""
+	keyed := callPlan.Class == config.ClassNonIdempotent && call.Request.IdempotencyKey != ""
 	if keyed {
 		ctx = context.WithoutCancel(ctx)
 	}
@@ -154,7 +154,7 @@
 	}
 	f.Counter.Add(result, f.Now()-startedAt)
 	if result.Response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
-		result.Err = defect.New(defect.Code(result.Response.ErrorCode), callPlan.Service)
+		result.Err = errs.New(errs.Code(result.Response.ErrorCode), callPlan.Service)
 	}
 	return result
 }
@@ -227,7 +227,7 @@
 
 // endWith is how the whole call ends if it ends now: once a dispatch ended unknown, or with a failure
 // for an answer, no later refusal may make it "not run".
-func (p *callProgress) endWith(kind defect.Code) *schema.ForwardResponse {
+func (p *callProgress) endWith(kind errs.Code) *schema.ForwardResponse {
 	if p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		p.lastResponse = notExecuted(kind, 0)
 	}
@@ -301,7 +301,7 @@
 func (f *Forwarder) mayRetryFailure(result *CallResult, progress *callProgress, response *schema.ForwardResponse, remaining time.Duration) bool {
 	callPlan, limits := result.Plan, f.limits.Load()
 	switch {
-	case limits.FailureRetryFraction <= 0 || callPlan.Class != setup.ClassIdempotent || response.Status < minFailureStatus || progress.hasAnswer() || progress.fullEndpoints > 0:
+	case limits.FailureRetryFraction <= 0 || callPlan.Class != config.ClassIdempotent || response.Status < minFailureStatus || progress.hasAnswer() || progress.fullEndpoints > 0:
 		return false
 	case callPlan.Verdict.Version != f.View().Config.FallbackOf(callPlan.Service):
 		return false
@@ -319,7 +319,7 @@
 // attemptCandidates tries the candidates in order until one answers or nothing more may be done. It
 // returns how the last dispatch ended, and where.
 func (f *Forwarder) attemptCandidates(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string) (*schema.ForwardResponse, string) {
-	progress := &callProgress{lastResponse: notExecuted(defect.NoWorker, 0)}
+	progress := &callProgress{lastResponse: notExecuted(errs.NoWorker, 0)}
 	for replans := 0; replans < maxPlanRounds; replans++ {
 		// What another proxy refused one call for, it would refuse the next one for too.
 		f.awaitNewerConfig(ctx, result.Plan.Deadline-(f.Now()-startedAt))
@@ -327,7 +327,7 @@
 		if view := f.View(); replans > 0 || view.Config.Revision != result.Plan.Verdict.ConfigRevision {
 			callPlan, err := f.makePlan(&call.Request)
 			if err != nil {
-				return progress.endWith(defect.CodeOf(err)), ""
+				return progress.endWith(errs.CodeOf(err)), ""
 			}
 			result.Plan = callPlan
 		}
@@ -338,7 +338,7 @@
 				continue
 			}
 			// A key is claimed for the very worker it goes to, and claimed anew for another.
-			if pinnedInstance == "" && result.Plan.Class == setup.ClassNonIdempotent && call.Request.IdempotencyKey != "" && result.reservation.GetInstance() != candidate.Instance {
+			if pinnedInstance == "" && result.Plan.Class == config.ClassNonIdempotent && call.Request.IdempotencyKey != "" && result.reservation.GetInstance() != candidate.Instance {
 				if response, reserved := f.reserveKey(ctx, call, result, *candidate, startedAt); !reserved {
 					return response, anotherProxy
 				}
@@ -349,7 +349,7 @@
 			case remaining <= 0 || ctx.Err() != nil:
 				return progress.endWith(contextErrorCode(ctx)), ""
 			case !f.HasLease():
-				return progress.endWith(defect.NoLease), ""
+				return progress.endWith(errs.NoLease), ""
 			case view.Config.Revision != result.Plan.Verdict.ConfigRevision || f.versionBlocked(view, result.Plan):
 				replan = true
 			case !isListed(view, result.Plan.Service, result.Plan.Verdict.Version, candidate.Instance):
@@ -361,7 +361,7 @@
 			// Who turns most away is asked less. Where one worker alone may have the call, only that
 			// one can say that it has no room; and to ask the one beside costs nothing.
 			if retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, result.Plan.Route.Name, f.Now(), f.Random); skip && pinnedInstance == "" && candidate.Proxy != f.Name {
-				response := notExecuted(defect.QueueFull, 0)
+				response := notExecuted(errs.QueueFull, 0)
 				response.RetryAfterNanos = int64(retryAfter)
 				progress.recordRefusal(response)
 				progress.exclude(candidate.Instance)
@@ -393,7 +393,7 @@
 				progress.lastResponse = response
 				progress.exclude(candidate.Instance)
 				// It may have run: only a request that bears repeating is sent again.
-				if result.Plan.Class == setup.ClassNonIdempotent {
+				if result.Plan.Class == config.ClassNonIdempotent {
 					return response, candidate.Instance
 				}
 				continue
@@ -407,8 +407,8 @@
 			}
 			// The other side has a newer setup, by which the plan is too old or its version barred:
 			// a proper call is then planned anew by that setup, not turned away.
-			refusal := defect.Code(response.ErrorCode)
-			if refusal == defect.StalePlan || (refusal == defect.VersionNotAllowed && response.Revision > result.Plan.Verdict.ConfigRevision) {
+			refusal := errs.Code(response.ErrorCode)
+			if refusal == errs.StalePlan || (refusal == errs.VersionNotAllowed && response.Revision > result.Plan.Verdict.ConfigRevision) {
 				replan = true
 				f.newestRevision.Store(max(f.newestRevision.Load(), response.Revision))
 				break
@@ -486,7 +486,7 @@
 	return hasUntried(f.View())
 }
 
-func fallbackOf(service *setup.Service) string {
+func fallbackOf(service *config.Service) string {
 	if service == nil {
 		return ""
 	}
--- a/internal/dispatch/carry_key.go
+++ b/internal/dispatch/carry_key.go
@@ -6,7 +6,7 @@
 	"hash/crc32"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/session"
 	"meadowhinge/schema"
@@ -35,7 +35,7 @@
 	result.reservation = &schema.KeyReservation{Key: key[:], BodyDigest: requestFingerprint(call.Target, call.Body), Request: result.ID, Caller: call.Request.Caller, Proxy: f.Name,
 		Incarnation: f.Incarnation, Instance: endpoint.Instance, WorkerProxy: endpoint.Proxy, Address: endpoint.Address}
 	verdict, existing := f.ReserveKey(ctx, result.reservation)
-	refusals := map[session.ReservationOutcome]defect.Code{session.ReservationKeyReused: defect.IdempotencyKeyReused, session.ReservationNoCapacity: defect.QueueFull, session.ReservationNoMajority: defect.IdempotencyKeyNotReserved}
+	refusals := map[session.ReservationOutcome]errs.Code{session.ReservationKeyReused: errs.IdempotencyKeyReused, session.ReservationNoCapacity: errs.QueueFull, session.ReservationNoMajority: errs.IdempotencyKeyNotReserved}
 	switch {
 	case verdict == session.ReservationGranted:
 		return nil, true
@@ -43,7 +43,7 @@
 		return notExecuted(refusals[verdict], 0), false
 	// This request had the key and has lost it: another may have run under it meanwhile.
 	case reservedBefore:
-		return outcomeUnknown(defect.IdempotencyKeyUnresolved), false
+		return outcomeUnknown(errs.IdempotencyKeyUnresolved), false
 	}
 	f.releaseKey(ctx, result.reservation)
 	result.reservation = nil
@@ -71,7 +71,7 @@
 		Target: call.Target, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), TimeLeftNanos: int64(remaining), IdempotencyKey: call.Request.IdempotencyKey, RecallOnly: true}
 	response, err := f.Send(ctx, plan.Endpoint{Instance: existing.Instance, Proxy: existing.WorkerProxy, Address: existing.Address}, request)
 	if err != nil || !intact(request, response) || response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
-		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
+		return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 	}
 	return response
 }
--- a/internal/dispatch/carry_test.go
+++ b/internal/dispatch/carry_test.go
@@ -7,9 +7,9 @@
 	"testing/synctest"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -23,7 +23,7 @@
 // attemptScript makes a dispatch end in a way.
 type attemptScript func(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
-func refusing(kind defect.Code, back time.Duration, met bool) attemptScript {
+func refusing(kind errs.Code, back time.Duration, met bool) attemptScript {
 	return func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(kind), RetryAfterNanos: int64(back), ReachedWorker: met}, nil
 	}
@@ -45,11 +45,11 @@
 }
 
 func breaking(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-	return nil, defect.New(defect.PeerConnectionLost, "cut")
+	return nil, errs.New(errs.PeerConnectionLost, "cut")
 }
 
 func unopened(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-	return nil, defect.New(defect.PeerConnectFailed, "nobody there")
+	return nil, errs.New(errs.PeerConnectFailed, "nobody there")
 }
 
 func hanging(ctx context.Context, _ *schema.ForwardRequest) (*schema.ForwardResponse, error) {
@@ -63,9 +63,9 @@
 	item := func(kind, name, body string) *schema.Item {
 		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
 	}
-	state := setup.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["1"],"fallback":"1"}`),
+	state := config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["1"],"fallback":"1"}`),
 		item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+route+`}`)})
-	compiled, faults := setup.Compile(state, 1)
+	compiled, faults := config.Compile(state, 1)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -92,37 +92,37 @@
 // request goes to none after it may have run.
 func TestNextCandidate(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
-	full := refusing(defect.QueueFull, 0, false)
-	wait := refusing(defect.QueueFull, 9*time.Millisecond, false)
-	rejected := refusing(defect.QueueFull, 0, true)
+	full := refusing(errs.QueueFull, 0, false)
+	wait := refusing(errs.QueueFull, 9*time.Millisecond, false)
+	rejected := refusing(errs.QueueFull, 0, true)
 	for name, test := range map[string]struct {
 		route  string
 		floor  float64
 		script []attemptScript
 		sent   int
 		ending schema.CallOutcome
-		kind   defect.Code
+		kind   errs.Code
 	}{
-		"refused by proxies, then answered":           {once, 0, []attemptScript{full, refusing(defect.DeadlineExceeded, 0, false), unopened, refusing(defect.WorkerDraining, 0, false), answering}, 5, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"no room at two, by their own word":           {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, defect.QueueFull},
-		"turned away by a worker, with no budget":     {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, defect.QueueFull},
+		"refused by proxies, then answered":           {once, 0, []attemptScript{full, refusing(errs.DeadlineExceeded, 0, false), unopened, refusing(errs.WorkerDraining, 0, false), answering}, 5, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"no room at two, by their own word":           {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"turned away by a worker, with no budget":     {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
 		"turned away by a worker, with a budget":      {once, 1, []attemptScript{rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"turned away by two, with a budget of one":    {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, defect.QueueFull},
-		"turned away by as many as the route lets":    {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, defect.QueueFull},
-		"broken off, once":                            {once, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.PeerConnectionLost},
+		"turned away by two, with a budget of one":    {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"turned away by as many as the route lets":    {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"broken off, once":                            {once, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
 		"broken off, repeatable":                      {repeatable, 1, []attemptScript{breaking, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"broken off, repeatable, with no budget":      {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.PeerConnectionLost},
-		"broken off, repeatable, one try":             {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.PeerConnectionLost},
-		"broken off, then refused everywhere":         {repeatable, 9, []attemptScript{breaking, full}, 6, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.PeerConnectionLost},
-		"no answer in all the time there is":          {repeatable, 9, []attemptScript{hanging}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.DeadlineExceeded},
-		"refused, then no answer, once":               {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.DeadlineExceeded},
+		"broken off, repeatable, with no budget":      {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"broken off, repeatable, one try":             {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"broken off, then refused everywhere":         {repeatable, 9, []attemptScript{breaking, full}, 6, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"no answer in all the time there is":          {repeatable, 9, []attemptScript{hanging}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
+		"refused, then no answer, once":               {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
 		"an answer that is a failure is the worker's": {repeatable, 9, []attemptScript{failing, answering}, 1, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
 		"an answer to another request is no answer": {once, 9, []attemptScript{func(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			return &schema.ForwardResponse{Request: "other", Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}, nil
-		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.InvalidResponse},
+		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.InvalidResponse},
 		"an answer that is not whole is no answer": {once, 9, []attemptScript{func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Body: []byte("a"), Length: 2}, nil
-		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.InvalidResponse},
+		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.InvalidResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -192,11 +192,11 @@
 		"not who hardly ever fails":        {repeatable, 9, 0.5, []attemptScript{failingOf(100, 4), answering}, 1, 500},
 		"who fails some":                   {repeatable, 9, 0.5, []attemptScript{failingOf(100, 5), answering}, 2, 200},
 		"one other only":                   {repeatable, 9, 0.5, []attemptScript{failing, failing, answering}, 2, 500},
-		"the other has no room":            {repeatable, 9, 0.5, []attemptScript{failing, refusing(defect.QueueFull, 9, false), answering}, 2, 500},
+		"the other has no room":            {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.QueueFull, 9, false), answering}, 2, 500},
 		"the other's answer is lost":       {repeatable, 9, 0.5, []attemptScript{failing, breaking, answering}, 2, 500},
-		"the other has a newer setup":      {repeatable, 9, 0.5, []attemptScript{failing, refusing(defect.StalePlan, 0, false), answering}, 2, 500},
+		"the other has a newer setup":      {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.StalePlan, 0, false), answering}, 2, 500},
 		"after a lost answer":              {repeatable, 9, 0.5, []attemptScript{breaking, failing, answering}, 3, 200},
-		"not after a refusal for room":     {repeatable, 9, 0.5, []attemptScript{refusing(defect.QueueFull, 9, false), failing, answering}, 2, 500},
+		"not after a refusal for room":     {repeatable, 9, 0.5, []attemptScript{refusing(errs.QueueFull, 9, false), failing, answering}, 2, 500},
 		"in time":                          {repeatable + `,"aim":"700ms"`, 9, 0.5, []attemptScript{slow, answering}, 2, 200},
 		"not where it would come too late": {repeatable + `,"aim":"500ms"`, 9, 0.5, []attemptScript{slow, answering}, 1, 500},
 	} {
@@ -218,7 +218,7 @@
 		item := func(kind, name, body string) *schema.Item {
 			return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
 		}
-		trying, faults := setup.Compile(setup.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
+		trying, faults := config.Compile(config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
 			item("flag", "release.shop", `{"on":true,"salt":"","variations":["0","1"],"offVariation":0,"fallthrough":{"variation":1}}`)}), 1)
 		if len(faults) > 0 {
 			t.Fatal(faults)
@@ -227,8 +227,8 @@
 		c.View = func() *plan.View { return view }
 		failed, _ := failing(t.Context(), &schema.ForwardRequest{})
 		for version, want := range map[string]bool{"0": true, "1": false} {
-			callPlan := &plan.Plan{Route: &setup.Route{}, Service: "shop", Verdict: plan.Verdict{Version: version}, Class: setup.ClassIdempotent}
-			if got := c.mayRetryFailure(&CallResult{Plan: callPlan}, &callProgress{lastResponse: notExecuted(defect.NoWorker, 0)}, failed, time.Second); got != want {
+			callPlan := &plan.Plan{Route: &config.Route{}, Service: "shop", Verdict: plan.Verdict{Version: version}, Class: config.ClassIdempotent}
+			if got := c.mayRetryFailure(&CallResult{Plan: callPlan}, &callProgress{lastResponse: notExecuted(errs.NoWorker, 0)}, failed, time.Second); got != want {
 				t.Errorf("version %s: asked of another %v", version, got)
 			}
 		}
@@ -238,7 +238,7 @@
 // Where every try counts, looking for a first worker is paid for too.
 func TestEveryAttemptCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(defect.QueueFull, 0, false))
+		c := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(errs.QueueFull, 0, false))
 		c.FreeProxyRefusals = false
 		c.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
 		if len(c.sent) != 3 {
@@ -253,14 +253,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		const route = `"class":"once","aim":"800ms"`
 		call := &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}}
-		c := newScriptedForwarder(t, 3, route, 0, refusing(defect.QueueFull, 300*time.Millisecond, false), refusing(defect.DeadlineExceeded, 100*time.Millisecond, false), refusing(defect.QueueFull, 0, false))
+		c := newScriptedForwarder(t, 3, route, 0, refusing(errs.QueueFull, 300*time.Millisecond, false), refusing(errs.DeadlineExceeded, 100*time.Millisecond, false), refusing(errs.QueueFull, 0, false))
 		startedAt := time.Now()
 		if result := c.Forward(t.Context(), call); len(c.sent) != 2 || time.Since(startedAt) > 0 || time.Duration(result.Response.RetryAfterNanos) != 100*time.Millisecond {
 			t.Errorf("%d tries, %v, back after %v", len(c.sent), time.Since(startedAt), time.Duration(result.Response.RetryAfterNanos))
 		}
 		c = newScriptedForwarder(t, 0, route, 0, answering)
 		startedAt = time.Now()
-		if result := c.Forward(t.Context(), call); result.Response.ErrorCode != string(defect.NoWorker) || time.Since(startedAt) > 200*time.Millisecond {
+		if result := c.Forward(t.Context(), call); result.Response.ErrorCode != string(errs.NoWorker) || time.Since(startedAt) > 200*time.Millisecond {
 			t.Errorf("%s after %v", result.Response.ErrorCode, time.Since(startedAt))
 		}
 	})
--- a/internal/dispatch/claim_test.go
+++ b/internal/dispatch/claim_test.go
@@ -9,11 +9,11 @@
 	"testing/synctest"
 	"time"
 
-	"meadowhinge/internal/interleave"
-	"meadowhinge/internal/link"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/registry"
+	"meadowhinge/internal/scheduleexplorer"
 	"meadowhinge/internal/session"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -128,7 +128,7 @@
 			if candidate.Proxy == "beside-1" {
 				target = f.fixtures[1]
 			}
-			response := target.runner.Run(ctx, link.LocalPeer("proxy", "q", map[string]bool{"client": true}), request)
+			response := target.runner.Run(ctx, transport.LocalPeer("proxy", "q", map[string]bool{"client": true}), request)
 			if answerLost := f.lost[caller]; answerLost != nil && answerLost(sent) {
 				return outcomeUnknown("LINK_LOST"), nil
 			}
@@ -173,8 +173,8 @@
 // restart and their dispatches: one run. It fails where one registry's word is enough, and
 // where a registry that restarted counts before it has read the others.
 func TestEveryOrderOfOneKeyAtTwoProxies(t *testing.T) {
-	explore := func(single bool, restart string) interleave.Outcome {
-		return interleave.Explore(t, 200000, func(t *testing.T, run *interleave.Execution) func() error {
+	explore := func(single bool, restart string) scheduleexplorer.Outcome {
+		return scheduleexplorer.Explore(t, 200000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			d := newKeyFixture(t)
 			d.seededSingleRegistry = single
 			for i, s := range d.fixtures {
--- a/internal/dispatch/conns.go
+++ b/internal/dispatch/conns.go
@@ -16,7 +16,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/semaphore"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/socket"
 )
 
@@ -123,13 +123,13 @@
 func (c *connPool) roundTrip(ctx context.Context, x *exchange) error {
 	for {
 		if ctx.Err() != nil {
-			return defect.New(defect.CallerDisconnected, c.address)
+			return errs.New(errs.CallerDisconnected, c.address)
 		}
 		conn, fresh := c.takeIdle(x.deadline), false
 		if conn == nil {
 			raw, err := c.dial(c.address)
 			if err != nil {
-				return defect.Wrap(err, defect.WorkerConnectFailed, c.address)
+				return errs.Wrap(err, errs.WorkerConnectFailed, c.address)
 			}
 			conn, fresh = newWorkerConn(raw), true
 			_ = conn.SetDeadline(x.deadline)
@@ -137,7 +137,7 @@
 		// The worker may have been long in taking the connection.
 		if ctx.Err() != nil {
 			conn.Close()
-			return defect.New(defect.CallerDisconnected, c.address)
+			return errs.New(errs.CallerDisconnected, c.address)
 		}
 		startedAt := c.now()
 		stop := context.AfterFunc(x.ctx, conn.interrupt)
@@ -149,7 +149,7 @@
 		if !stop() {
 			reusable = false
 			if err != nil && conn.bytesSent > 0 {
-				err = defect.New(defect.CallerDisconnected, c.address)
+				err = errs.New(errs.CallerDisconnected, c.address)
 			}
 		}
 		if reusable {
@@ -162,7 +162,7 @@
 			return err
 		// Nothing left this process, so another connection may be tried; a fresh one will do.
 		case fresh && ctx.Err() == nil:
-			return defect.New(defect.WorkerConnectFailed, c.address)
+			return errs.New(errs.WorkerConnectFailed, c.address)
 		}
 	}
 }
@@ -241,7 +241,7 @@
 	writer.Reset(nil)
 	writerPool.Put(writer)
 	if writeErr != nil && c.bytesSent == 0 {
-		return false, defect.Wrap(writeErr, transferErrorCode(writeErr), "sending")
+		return false, errs.Wrap(writeErr, transferErrorCode(writeErr), "sending")
 	}
 	// A worker that does not take a request to its end may have answered it all the same.
 	reader := readerPool.Get().(*bufio.Reader)
@@ -261,7 +261,7 @@
 			continue
 		}
 		if x.info.WrongRequest {
-			return false, defect.New(defect.InvalidResponse, "answers another request")
+			return false, errs.New(errs.InvalidResponse, "answers another request")
 		}
 		// That it did not run holds, however little comes after that word.
 		if err != nil && !x.info.NotExecuted && !x.info.WrongWorker {
@@ -276,17 +276,17 @@
 func (x *exchange) readFinalHeader(reader *bufio.Reader) error {
 	for range maxInterimResponses {
 		if err := x.response.Header.Read(reader); err != nil {
-			return defect.Wrap(err, transferErrorCode(err), "head of an answer")
+			return errs.Wrap(err, transferErrorCode(err), "head of an answer")
 		}
 		status := x.response.StatusCode()
 		switch {
 		case status >= 200 && status <= 599:
 			return nil
 		case status < 100 || status > 199 || status == fasthttp.StatusSwitchingProtocols:
-			return defect.New(defect.InvalidResponse, "no final status")
+			return errs.New(errs.InvalidResponse, "no final status")
 		}
 	}
-	return defect.New(defect.InvalidResponse, "no final answer")
+	return errs.New(errs.InvalidResponse, "no final answer")
 }
 
 // readBody reads the body that belongs to a head.
@@ -306,7 +306,7 @@
 	case length == toTheEnd && x.info.EndsAtClose:
 		return x.readToClose(reader)
 	case length < 0 || length > x.maxBodyBytes:
-		return defect.New(defect.InvalidResponse, "no length, or too much")
+		return errs.New(errs.InvalidResponse, "no length, or too much")
 	}
 	return x.readMore(reader, length, length)
 }
@@ -320,9 +320,9 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return defect.Wrap(err, transferErrorCode(err), "body to the end of the connection")
+			return errs.Wrap(err, transferErrorCode(err), "body to the end of the connection")
 		case len(x.body)+reader.Buffered() > x.maxBodyBytes:
-			return defect.New(defect.InvalidResponse, "too much before the end of the connection")
+			return errs.New(errs.InvalidResponse, "too much before the end of the connection")
 		}
 		if err := x.readMore(reader, reader.Buffered(), x.maxBodyBytes); err != nil {
 			return err
@@ -335,23 +335,23 @@
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
-			return defect.Wrap(err, transferErrorCode(err), "size of a chunk")
+			return errs.Wrap(err, transferErrorCode(err), "size of a chunk")
 		}
 		// Extensions of a chunk mean nothing to us.
 		digits, _, _ := bytes.Cut(bytes.TrimSuffix(bytes.TrimSuffix(line, []byte{'\n'}), []byte{'\r'}), []byte{';'})
 		size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 31)
 		switch {
 		case err != nil || len(x.body)+int(size) > x.maxBodyBytes:
-			return defect.New(defect.InvalidResponse, "size of a chunk")
+			return errs.New(errs.InvalidResponse, "size of a chunk")
 		case size == 0:
 			err = header.ReadTrailer(reader)
-			return defect.Wrap(err, transferErrorCode(err), "end of chunks")
+			return errs.Wrap(err, transferErrorCode(err), "end of chunks")
 		}
 		if err := x.readMore(reader, int(size), x.maxBodyBytes); err != nil {
 			return err
 		}
 		if end, err := reader.Peek(2); err != nil || end[0] != '\r' || end[1] != '\n' {
-			return defect.Wrap(errors.Join(err, io.ErrUnexpectedEOF), defect.InvalidResponse, "end of a chunk")
+			return errs.Wrap(errors.Join(err, io.ErrUnexpectedEOF), errs.InvalidResponse, "end of a chunk")
 		}
 		_, _ = reader.Discard(2)
 	}
@@ -368,7 +368,7 @@
 				err := x.bodyMemory.Acquire(waitCtx, int64(limit))
 				cancel()
 				if err != nil {
-					return defect.Wrap(err, defect.DeadlineExceeded, "room for a body")
+					return errs.Wrap(err, errs.DeadlineExceeded, "room for a body")
 				}
 				x.reservedBytes = int64(limit)
 			}
@@ -377,7 +377,7 @@
 		from, to := len(x.body), min(target, cap(x.body))
 		x.body = x.body[:to]
 		if _, err := io.ReadFull(reader, x.body[from:to]); err != nil {
-			return defect.Wrap(err, transferErrorCode(err), "body")
+			return errs.Wrap(err, transferErrorCode(err), "body")
 		}
 	}
 	return nil
@@ -393,13 +393,13 @@
 
 // transferErrorCode tells of what is left open whether time ran out, the connection ended, or what came
 // was no answer.
-func transferErrorCode(err error) defect.Code {
+func transferErrorCode(err error) errs.Code {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, fasthttp.ErrTimeout):
-		return defect.DeadlineExceeded
+		return errs.DeadlineExceeded
 	case errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.ErrClosedPipe) || errors.Is(err, net.ErrClosed) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE):
-		return defect.WorkerConnectionLost
+		return errs.WorkerConnectionLost
 	}
-	return defect.InvalidResponse
+	return errs.InvalidResponse
 }
--- a/internal/dispatch/conns_test.go
+++ b/internal/dispatch/conns_test.go
@@ -17,7 +17,7 @@
 	"github.com/valyala/fasthttp"
 	"golang.org/x/sync/semaphore"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
 	"meadowhinge/schema"
 )
@@ -116,7 +116,7 @@
 		second func(id string) string // the answer to the second, on the same connection
 		change func(*schema.ForwardRequest)
 		want   [2]schema.CallOutcome
-		kind   defect.Code // of the first
+		kind   errs.Code // of the first
 		opened int32
 	}{
 		"plain":             {want: [2]schema.CallOutcome{whole, whole}, opened: 1},
@@ -135,32 +135,32 @@
 		"says a second answer": {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
 		"says it late":         {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
 		"only says it late":    {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{whole, lost}, opened: 1},
-		"refuses":              {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, whole}, kind: defect.QueueFull, opened: 1},
-		"refuses, and is cut":  {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, whole}, kind: defect.QueueFull, opened: 2},
-		"is another":           {first: say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, kind: defect.WrongInstance, opened: 1},
+		"refuses":              {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, whole}, kind: errs.QueueFull, opened: 1},
+		"refuses, and is cut":  {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, whole}, kind: errs.QueueFull, opened: 2},
+		"is another":           {first: say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, kind: errs.WrongInstance, opened: 1},
 		"an error of its own":  {first: say("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"closes for an answer": {first: say(""), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
+		"closes for an answer": {first: say(""), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: errs.WorkerConnectionLost, opened: 2},
 		"cut in the head":      {first: say("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
-		"cut in the body":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
+		"cut in the body":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: errs.WorkerConnectionLost, opened: 2},
 		"cut in a chunk":       {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
 		"cut before the tail":  {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
 		"chunks named oddly":   {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"a chunk with no size": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"a chunk too long":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"chunks too large":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+		"a chunk with no size": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
+		"a chunk too long":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
+		"chunks too large":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
 		"to the end":           {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
 		"nothing to the end":   {first: say("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
 		"much to the end":      {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
-		"too much to the end":  {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"reset before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{lost, whole}, kind: defect.WorkerConnectionLost, opened: 2},
+		"too much to the end":  {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
+		"reset before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{lost, whole}, kind: errs.WorkerConnectionLost, opened: 2},
 		"silent before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{lost, whole},
-			kind: defect.DeadlineExceeded, opened: 2},
-		"two lengths":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"no answer":        {first: say("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"changes protocol": {first: say("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
-		"too much":         {first: say("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: defect.InvalidResponse, opened: 2},
+			kind: errs.DeadlineExceeded, opened: 2},
+		"two lengths":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
+		"no answer":        {first: say("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
+		"changes protocol": {first: say("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
+		"too much":         {first: say("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
 		"silent": {first: say("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{lost, whole},
-			kind: defect.DeadlineExceeded, opened: 2},
+			kind: errs.DeadlineExceeded, opened: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			plain := func(id string) string { return answered(id, id) }
@@ -250,11 +250,11 @@
 		idOf(reader)
 		_ = conn.SetLinger(0)
 	})
-	if got := s.run(t, "first", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(defect.WorkerConnectionLost) {
+	if got := s.run(t, "first", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(errs.WorkerConnectionLost) {
 		t.Errorf("ended %v with %s", got.Outcome, got.ErrorCode)
 	}
 	s.workers.byInstance["w"].conns.address = "127.0.0.1:1"
-	for _, want := range []defect.Code{defect.WorkerConnectFailed, defect.WrongInstance} {
+	for _, want := range []errs.Code{errs.WorkerConnectFailed, errs.WrongInstance} {
 		if got := s.run(t, string(want), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(want) {
 			t.Errorf("ended %v with %s, want %s", got.Outcome, got.ErrorCode, want)
 		}
@@ -356,7 +356,7 @@
 		runtime.Gosched()
 	}
 	hasty := s.run(t, "hasty", func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(50 * time.Millisecond) })
-	if hasty.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || hasty.ErrorCode != string(defect.DeadlineExceeded) {
+	if hasty.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || hasty.ErrorCode != string(errs.DeadlineExceeded) {
 		t.Errorf("ended %v with %s beside another", hasty.Outcome, hasty.ErrorCode)
 	}
 	close(goOn)
--- a/internal/dispatch/departures.go
+++ b/internal/dispatch/departures.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/schema"
 )
 
@@ -65,17 +65,17 @@
 
 // contextErrorCode names why a call's context has ended: its time is over, or its caller, or the proxy that took
 // the call, has left.
-func contextErrorCode(ctx context.Context) defect.Code {
+func contextErrorCode(ctx context.Context) errs.Code {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return defect.CallerDisconnected
+		return errs.CallerDisconnected
 	}
-	return defect.DeadlineExceeded
+	return errs.DeadlineExceeded
 }
 
 // isCanceled tells whether a dispatch ended because nobody waits for it any more. That says nothing of
 // its worker, of the version that runs there, or of the link.
 func isCanceled(response *schema.ForwardResponse) bool {
-	return defect.Code(response.ErrorCode) == defect.CallerDisconnected
+	return errs.Code(response.ErrorCode) == errs.CallerDisconnected
 }
 
 // disconnectWatch follows the caller of one call that is handed to a worker. Once the caller is known to be gone, a
--- a/internal/dispatch/departures_test.go
+++ b/internal/dispatch/departures_test.go
@@ -7,7 +7,7 @@
 	"testing/synctest"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/session"
 	"meadowhinge/schema"
@@ -62,10 +62,10 @@
 	for name, test := range map[string]struct {
 		once   bool
 		ending schema.CallOutcome
-		kind   defect.Code
+		kind   errs.Code
 		counts DisconnectCounts
 	}{
-		"repeatable": {false, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.CallerDisconnected, DisconnectCounts{Propagated: 1, Canceled: 1}},
+		"repeatable": {false, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected, DisconnectCounts{Propagated: 1, Canceled: 1}},
 		"once":       {true, schema.CallOutcome_CALL_OUTCOME_ANSWERED, "", DisconnectCounts{Propagated: 1, RanToEnd: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -122,7 +122,7 @@
 		left := time.Duration(request.TimeLeftNanos)
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(left-left/truncatedRunDivisor/2, leave)
-		if got := s.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(defect.DeadlineExceeded) {
+		if got := s.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(errs.DeadlineExceeded) {
 			t.Errorf("ended %v with %q", got.Outcome, got.ErrorCode)
 		}
 	})
@@ -134,10 +134,10 @@
 	for name, test := range map[string]struct {
 		route, key string
 		ending     schema.CallOutcome
-		kind       defect.Code
+		kind       errs.Code
 	}{
-		"repeatable":  {`"class":"repeatable"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.CallerDisconnected},
-		"once":        {`"class":"once"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, defect.CallerDisconnected},
+		"repeatable":  {`"class":"repeatable"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected},
+		"once":        {`"class":"once"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected},
 		"under a key": {`"class":"once"`, "k", schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -191,14 +191,14 @@
 		for _, once := range []bool{false, true} {
 			request := newForwardRequest("r-"+map[bool]string{true: "once"}[once], instance)
 			request.NonIdempotent = once
-			if got := s.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(defect.CallerDisconnected) {
+			if got := s.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(errs.CallerDisconnected) {
 				t.Errorf("once %t: ended %v with %q", once, got.Outcome, got.ErrorCode)
 			}
 		}
 		if runs := s.recordedRuns(); len(runs) > 0 {
 			t.Errorf("it ran: %v", runs)
 		}
-		if !errors.Is(ctx.Err(), context.Canceled) || contextErrorCode(ctx) != defect.CallerDisconnected {
+		if !errors.Is(ctx.Err(), context.Canceled) || contextErrorCode(ctx) != errs.CallerDisconnected {
 			t.Error("a caller's leaving is told as something else")
 		}
 	})
--- a/internal/dispatch/memory.go
+++ b/internal/dispatch/memory.go
@@ -7,7 +7,7 @@
 	"strings"
 	"sync"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/schema"
 )
 
@@ -71,13 +71,13 @@
 		}
 		if existing.fingerprint != checksum {
 			c.lock.Unlock()
-			return notExecuted(defect.IdempotencyKeyReused, 0)
+			return notExecuted(errs.IdempotencyKeyReused, 0)
 		}
 		c.lock.Unlock()
 		select {
 		case <-existing.done:
 		case <-ctx.Done():
-			return outcomeUnknown(defect.IdempotencyKeyUnresolved)
+			return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 		}
 		c.lock.Lock()
 		final := existing.result.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED ||
@@ -96,7 +96,7 @@
 	}
 	if !c.makeRoom() {
 		c.lock.Unlock()
-		return notExecuted(defect.QueueFull, 0)
+		return notExecuted(errs.QueueFull, 0)
 	}
 	entry := &idempotencyEntry{fingerprint: checksum, done: make(chan struct{})}
 	c.entries[key] = entry
@@ -106,7 +106,7 @@
 	result, instance := run(pinnedInstance)
 	// That this try did not run says nothing of the one before it.
 	if pinnedInstance != "" && result.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
-		result, instance = outcomeUnknown(defect.IdempotencyKeyUnresolved), pinnedInstance
+		result, instance = outcomeUnknown(errs.IdempotencyKeyUnresolved), pinnedInstance
 	}
 	c.lock.Lock()
 	entry.result, entry.instance = result, instance
@@ -123,19 +123,19 @@
 	existing := c.entries[key]
 	c.lock.Unlock()
 	if existing == nil {
-		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
+		return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 	}
 	if existing.fingerprint != crc64.Checksum(fingerprint, crcTable) {
-		return notExecuted(defect.IdempotencyKeyReused, 0)
+		return notExecuted(errs.IdempotencyKeyReused, 0)
 	}
 	select {
 	case <-existing.done:
 	case <-ctx.Done():
-		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
+		return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 	}
 	// That it did not run here does not say that it runs nowhere: its proxy may try elsewhere.
 	if existing.result.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
-		return outcomeUnknown(defect.IdempotencyKeyUnresolved)
+		return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 	}
 	return existing.result
 }
@@ -200,10 +200,10 @@
 	return found
 }
 
-func notExecuted(code defect.Code, configRevision uint64) *schema.ForwardResponse {
+func notExecuted(code errs.Code, configRevision uint64) *schema.ForwardResponse {
 	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), Revision: configRevision}
 }
 
-func outcomeUnknown(code defect.Code) *schema.ForwardResponse {
+func outcomeUnknown(code errs.Code) *schema.ForwardResponse {
 	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_UNKNOWN, ErrorCode: string(code)}
 }
--- a/internal/dispatch/placement_test.go
+++ b/internal/dispatch/placement_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -125,7 +125,7 @@
 	for _, worker := range w.workers {
 		capacity += float64(worker.slots) * worker.speed / options.work().Seconds()
 	}
-	compiled, _ := setup.Compile(setup.State{}.With([]*schema.Item{
+	compiled, _ := config.Compile(config.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "s", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"versions":["1"],"fallback":"1"}`)},
 		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: fmt.Appendf(nil, `{"service":"s","prefix":"/","aim":"%v"}`, w.latencyTarget)}}), 1)
 	for range options.proxies() {
@@ -215,7 +215,7 @@
 	worker := w.workers[call.to]
 	if wait := float64(len(worker.queue)+1) * float64(worker.serviceTime) / float64(worker.slots); worker.running >= worker.slots && wait > float64(w.latencyTarget) {
 		w.refused++
-		response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.QueueFull), RetryAfterNanos: int64(50 * time.Millisecond)}
+		response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull), RetryAfterNanos: int64(50 * time.Millisecond)}
 		w.fillLoad(worker, response)
 		w.after(hop, func() {
 			w.detectors[call.from].RecordResponse(fmt.Sprint("w", call.to), w.now, w.now-call.sent, response)
@@ -409,7 +409,7 @@
 
 // A worker that fails is passed by, by the others' measure, and gets its calls back by and by.
 func TestFailingWorkersArePassedBy(t *testing.T) {
-	compiled, _ := setup.Compile(setup.State{}.With([]*schema.Item{
+	compiled, _ := config.Compile(config.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "s", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"versions":["1"],"fallback":"1"}`)},
 		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"service":"s","prefix":"/"}`)}}), 1)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/dispatch/run.go
+++ b/internal/dispatch/run.go
@@ -9,9 +9,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -91,7 +91,7 @@
 }
 
 // Run checks a dispatch and runs it once; every refusal here is proof that it was not run.
-func (r *Runner) Run(ctx context.Context, peer link.Peer, request *schema.ForwardRequest) *schema.ForwardResponse {
+func (r *Runner) Run(ctx context.Context, peer transport.Peer, request *schema.ForwardRequest) *schema.ForwardResponse {
 	arrivedAt := r.Now()
 	response := r.checkAndRun(ctx, peer, request, arrivedAt)
 	response.Request = request.Request
@@ -104,16 +104,16 @@
 	return response
 }
 
-func (r *Runner) checkAndRun(ctx context.Context, peer link.Peer, request *schema.ForwardRequest, arrivedAt time.Duration) *schema.ForwardResponse {
+func (r *Runner) checkAndRun(ctx context.Context, peer transport.Peer, request *schema.ForwardRequest, arrivedAt time.Duration) *schema.ForwardResponse {
 	remaining := func() time.Duration { return time.Duration(request.TimeLeftNanos) - (r.Now() - arrivedAt) }
 	if !peer.MayCallAs(request.Caller) {
-		return notExecuted(defect.CallerNotAllowed, 0)
+		return notExecuted(errs.CallerNotAllowed, 0)
 	}
 	if request.AdmissionOnly {
 		return r.reserveAdmission(ctx, request, arrivedAt, remaining)
 	}
 	if crc32.ChecksumIEEE(request.Body) != request.Checksum {
-		return notExecuted(defect.MalformedRequest, 0)
+		return notExecuted(errs.MalformedRequest, 0)
 	}
 	if request.RecallOnly {
 		// Nothing is run, so neither lease nor worker matters, only who asks.
@@ -124,24 +124,24 @@
 	// Noted before anything can refuse it: what is refused here as not run must not run when it
 	// comes a second time, by then perhaps under a lease again.
 	if !r.recentIDs.AddIfNew(request.Request) {
-		return outcomeUnknown(defect.DuplicateRequest)
+		return outcomeUnknown(errs.DuplicateRequest)
 	}
 	if !r.ServeStale {
 		r.awaitConfig(ctx, request, remaining())
 	}
 	// Without a lease this proxy cannot know whether the version is still allowed.
 	if !r.HasLease() {
-		return notExecuted(defect.NoLease, 0)
+		return notExecuted(errs.NoLease, 0)
 	}
 	view := r.View()
 	if r.RevisionOutdated(request.Revision) {
-		return notExecuted(defect.StalePlan, view.Config.Revision)
+		return notExecuted(errs.StalePlan, view.Config.Revision)
 	}
 	if !isAllowed(view, request) {
 		// The setup that the plan was made from may be on its way here.
 		r.awaitConfig(ctx, request, remaining())
 		if view = r.View(); !isAllowed(view, request) {
-			return notExecuted(defect.VersionNotAllowed, view.Config.Revision)
+			return notExecuted(errs.VersionNotAllowed, view.Config.Revision)
 		}
 	}
 	if _, _, refusal := r.Workers.find(request); refusal != "" {
@@ -195,7 +195,7 @@
 	if admission.Refusal == "" {
 		return nil
 	}
-	if admission.Refusal == defect.CallerDisconnected {
+	if admission.Refusal == errs.CallerDisconnected {
 		r.Disconnects.Dequeued.Add(1)
 	}
 	response := notExecuted(admission.Refusal, 0)
@@ -304,11 +304,11 @@
 	case refusal != "":
 		return notExecuted(refusal, 0)
 	case current != worker:
-		return notExecuted(defect.WrongInstance, 0)
+		return notExecuted(errs.WrongInstance, 0)
 	case timeLeft <= 0 || ctx.Err() != nil:
 		return notExecuted(contextErrorCode(ctx), 0)
 	case !hasLease:
-		return notExecuted(defect.NoLease, 0)
+		return notExecuted(errs.NoLease, 0)
 	}
 	r.Codec.WriteHeaders(httpRequest, request, WorkerRegistration{Instance: worker.instance, Address: worker.address, Token: token, Service: request.Service, Version: request.Version}, timeLeft-timeLeft/workerMarginDivisor)
 	httpResponse.Header.DisableNormalizing()
@@ -324,13 +324,13 @@
 	}
 	err := worker.conns.roundTrip(ctx, &x)
 	delivery.sentAt = x.sentAt
-	switch code := defect.CodeOf(err); {
+	switch code := errs.CodeOf(err); {
 	case err != nil && x.sentAt == 0 && ctx.Err() != nil:
 		return notExecuted(contextErrorCode(ctx), 0)
 	// A call that is given up as its time ends has run out of time, and that says something of its worker.
-	case code == defect.CallerDisconnected && remaining() <= timeLeft/truncatedRunDivisor:
-		return outcomeUnknown(defect.DeadlineExceeded)
-	case err != nil && code == defect.WorkerConnectFailed:
+	case code == errs.CallerDisconnected && remaining() <= timeLeft/truncatedRunDivisor:
+		return outcomeUnknown(errs.DeadlineExceeded)
+	case err != nil && code == errs.WorkerConnectFailed:
 		// Where nobody listens there is no worker any more; should there be, its next word tells.
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			r.Workers.removeDisowned(worker)
@@ -340,12 +340,12 @@
 		return outcomeUnknown(code)
 	case x.info.WrongWorker:
 		r.Workers.removeDisowned(worker)
-		return withReachedWorker(notExecuted(defect.WrongInstance, 0))
+		return withReachedWorker(notExecuted(errs.WrongInstance, 0))
 	case x.info.NotExecuted:
 		delivery.result = ResultRejected
-		return withReachedWorker(notExecuted(defect.QueueFull, 0))
+		return withReachedWorker(notExecuted(errs.QueueFull, 0))
 	case !r.Codec.ValidBody(&httpResponse.Header, x.body):
-		return outcomeUnknown(defect.InvalidResponse)
+		return outcomeUnknown(errs.InvalidResponse)
 	}
 	delivery.result = ResultAnswered
 	response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: int32(httpResponse.StatusCode()), Body: x.body,
--- a/internal/dispatch/run_test.go
+++ b/internal/dispatch/run_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/interleave"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/scheduleexplorer"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -19,36 +19,36 @@
 func TestRefusalsRunNothing(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(s *workerFixture, c *schema.ForwardRequest)
-		peer   link.Peer
-		want   defect.Code
+		peer   transport.Peer
+		want   errs.Code
 	}{
-		"a caller the peer may not speak for": {func(_ *workerFixture, c *schema.ForwardRequest) { c.Caller = "saves" }, client, defect.CallerNotAllowed},
-		"a peer without a certificate":        {func(*workerFixture, *schema.ForwardRequest) {}, link.Peer{}, defect.CallerNotAllowed},
-		"an altered body":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Body = []byte("x") }, client, defect.MalformedRequest},
-		"an instance that is no more":         {func(_ *workerFixture, c *schema.ForwardRequest) { c.Instance = "p/old/1" }, client, defect.WrongInstance},
-		"another version":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Version = "2" }, client, defect.WrongInstance},
-		"another service":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Service = "saves" }, client, defect.WrongInstance},
-		"a version no setup lists":            {func(_ *workerFixture, c *schema.ForwardRequest) { c.Version = "9" }, client, defect.VersionNotAllowed},
-		"a service no setup lists":            {func(_ *workerFixture, c *schema.ForwardRequest) { c.Service = "nowhere" }, client, defect.VersionNotAllowed},
-		"a plan by rules long replaced":       {func(_ *workerFixture, c *schema.ForwardRequest) { c.Revision = 3 }, client, defect.StalePlan},
-		"no time left":                        {func(_ *workerFixture, c *schema.ForwardRequest) { c.TimeLeftNanos = 0 }, client, defect.DeadlineExceeded},
-		"a proxy without a lease":             {func(s *workerFixture, _ *schema.ForwardRequest) { s.runner.HasLease = func() bool { return false } }, client, defect.NoLease},
+		"a caller the peer may not speak for": {func(_ *workerFixture, c *schema.ForwardRequest) { c.Caller = "saves" }, client, errs.CallerNotAllowed},
+		"a peer without a certificate":        {func(*workerFixture, *schema.ForwardRequest) {}, transport.Peer{}, errs.CallerNotAllowed},
+		"an altered body":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Body = []byte("x") }, client, errs.MalformedRequest},
+		"an instance that is no more":         {func(_ *workerFixture, c *schema.ForwardRequest) { c.Instance = "p/old/1" }, client, errs.WrongInstance},
+		"another version":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Version = "2" }, client, errs.WrongInstance},
+		"another service":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Service = "saves" }, client, errs.WrongInstance},
+		"a version no setup lists":            {func(_ *workerFixture, c *schema.ForwardRequest) { c.Version = "9" }, client, errs.VersionNotAllowed},
+		"a service no setup lists":            {func(_ *workerFixture, c *schema.ForwardRequest) { c.Service = "nowhere" }, client, errs.VersionNotAllowed},
+		"a plan by rules long replaced":       {func(_ *workerFixture, c *schema.ForwardRequest) { c.Revision = 3 }, client, errs.StalePlan},
+		"no time left":                        {func(_ *workerFixture, c *schema.ForwardRequest) { c.TimeLeftNanos = 0 }, client, errs.DeadlineExceeded},
+		"a proxy without a lease":             {func(s *workerFixture, _ *schema.ForwardRequest) { s.runner.HasLease = func() bool { return false } }, client, errs.NoLease},
 		"a worker that is leaving": {func(s *workerFixture, _ *schema.ForwardRequest) {
 			description := s.describe("127.0.0.1:1", s.workersByAddress["127.0.0.1:1"])
 			description.Draining = true
 			_, _ = s.workers.Register(description)
-		}, client, defect.WorkerDraining},
+		}, client, errs.WorkerDraining},
 		"a worker that fell silent": {func(s *workerFixture, _ *schema.ForwardRequest) {
 			time.Sleep(4 * time.Second)
 			s.workers.DropUnresponsive()
-		}, client, defect.WrongInstance},
+		}, client, errs.WrongInstance},
 		"an address now another's, told": {func(s *workerFixture, _ *schema.ForwardRequest) {
 			s.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 			_, _ = s.workers.Register(s.describe("127.0.0.1:1", s.workersByAddress["127.0.0.1:1"]))
-		}, client, defect.WrongInstance},
+		}, client, errs.WrongInstance},
 		"an address now another's, not yet told": {func(s *workerFixture, _ *schema.ForwardRequest) {
 			s.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
-		}, client, defect.WrongInstance},
+		}, client, errs.WrongInstance},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -115,8 +115,8 @@
 // A worker gets no call after it said it is leaving, and a request runs once however often
 // it is delivered: in every order of two deliveries and the worker's word.
 func TestEveryOrderOfDeliveryAndLeaving(t *testing.T) {
-	explore := func(seeded bool) interleave.Outcome {
-		return interleave.Explore(t, 20000, func(t *testing.T, run *interleave.Execution) func() error {
+	explore := func(seeded bool) scheduleexplorer.Outcome {
+		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			s := newWorkerFixture(t)
 			instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 			var leftAt int
@@ -161,8 +161,8 @@
 
 // Of three callers with one key, one runs; the others get its answer, in every order.
 func TestEveryOrderOfOneKey(t *testing.T) {
-	explore := func(seeded bool) interleave.Outcome {
-		return interleave.Explore(t, 20000, func(t *testing.T, run *interleave.Execution) func() error {
+	explore := func(seeded bool) scheduleexplorer.Outcome {
+		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			cache := NewIdempotencyCache(8)
 			var runs, answered atomic.Int32
 			for _, name := range []string{"a", "b", "c"} {
--- a/internal/dispatch/soundness.go
+++ b/internal/dispatch/soundness.go
@@ -8,7 +8,7 @@
 
 	"github.com/puzpuzpuz/xsync/v4"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
 	"meadowhinge/schema"
 )
@@ -318,8 +318,8 @@
 
 // isCapacityRefusal tells whether a call was refused for want of room or time, by who knows the worker best.
 func isCapacityRefusal(response *schema.ForwardResponse) bool {
-	code := defect.Code(response.ErrorCode)
-	return response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (code == defect.QueueFull || code == defect.DeadlineExceeded)
+	code := errs.Code(response.ErrorCode)
+	return response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (code == errs.QueueFull || code == errs.DeadlineExceeded)
 }
 
 // observeLoad takes the load that was told with an answer or a refusal.
--- a/internal/dispatch/spare_test.go
+++ b/internal/dispatch/spare_test.go
@@ -4,14 +4,14 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/schema"
 )
 
 // A worker that turns most calls of a route away is asked for some more than it takes, not for
 // all; other routes are not held back by that, and with time it gets its calls back.
 func TestShouldSkip(t *testing.T) {
-	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.QueueFull)}
+	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
 	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
 	for name, test := range map[string]struct {
 		answers []*schema.ForwardResponse
@@ -41,7 +41,7 @@
 
 // What is asked settles at a multiple of what is taken, however much more there is to ask.
 func TestShouldSkipConverges(t *testing.T) {
-	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.QueueFull)}
+	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
 	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
 	s, rolled := NewOutlierDetector(5, 5*time.Second), 0.0
 	random := func() float64 {
--- a/internal/dispatch/stage_test.go
+++ b/internal/dispatch/stage_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/configsource"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/statement"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -28,15 +28,15 @@
 `
 
 // fixtureItems is read once: reading CUE takes longer than most of what is tried with it.
-var fixtureItems, fixtureFaults = statement.Parse([]byte(fixtureConfig))
+var fixtureItems, fixtureFaults = configsource.Parse([]byte(fixtureConfig))
 
-func compileConfig(t testing.TB, sequence uint64) *setup.Snapshot {
+func compileConfig(t testing.TB, sequence uint64) *config.Snapshot {
 	t.Helper()
 	items, faults := fixtureItems, fixtureFaults
 	for _, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: 1}
 	}
-	config, more := setup.Compile(setup.State{}.With(items), sequence)
+	config, more := config.Compile(config.State{}.With(items), sequence)
 	if len(faults)+len(more) > 0 {
 		t.Fatal(faults, more)
 	}
@@ -88,7 +88,7 @@
 	f.lock.Lock()
 	defer f.lock.Unlock()
 	if f.workersByAddress[address] == nil {
-		return nil, defect.New(defect.WorkerConnectFailed, address)
+		return nil, errs.New(errs.WorkerConnectFailed, address)
 	}
 	near, far := net.Pipe()
 	f.conns[address] = append(f.conns[address], near, far)
@@ -189,7 +189,7 @@
 	return append([]workerRun(nil), f.runs...)
 }
 
-var client = link.LocalPeer("proxy", "q", map[string]bool{"client": true})
+var client = transport.LocalPeer("proxy", "q", map[string]bool{"client": true})
 
 func newForwardRequest(request, instance string) *schema.ForwardRequest {
 	body := []byte(`{"a":1}`)
--- a/internal/dispatch/tally_test.go
+++ b/internal/dispatch/tally_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/flag"
 	"meadowhinge/internal/plan"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -16,7 +16,7 @@
 func TestCallCounterFoldsOldRevisions(t *testing.T) {
 	tally := NewCallCounter(1000)
 	result := func(sequence uint64) *CallResult {
-		return &CallResult{Plan: &plan.Plan{Route: &setup.Route{Name: "r"}, Service: "shop", Verdict: plan.Verdict{Flag: "f", Version: "1", Reason: flag.ReasonFallthrough, ConfigRevision: sequence}},
+		return &CallResult{Plan: &plan.Plan{Route: &config.Route{Name: "r"}, Service: "shop", Verdict: plan.Verdict{Flag: "f", Version: "1", Reason: flag.ReasonFallthrough, ConfigRevision: sequence}},
 			Response: &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}}
 	}
 	const threads, setups, calls = 4, 200, 5
--- a/internal/dispatch/turns_test.go
+++ b/internal/dispatch/turns_test.go
@@ -7,15 +7,15 @@
 	"testing/synctest"
 	"time"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
 // A body goes to another zone only once there is a turn for it, where it is likely to be refused.
 func TestCapacityCheckBeforeABodyIsSent(t *testing.T) {
-	full := refusing(defect.QueueFull, 9*time.Millisecond, false)
+	full := refusing(errs.QueueFull, 9*time.Millisecond, false)
 	room := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		time.Sleep(20 * time.Millisecond) // it waits for its turn
 		return refusing("", 0, false)(ctx, request)
@@ -46,7 +46,7 @@
 					directory[i].Zone = map[bool]string{true: "elsewhere"}[test.far]
 					for range test.rejected {
 						c.Outliers.BeginCall(directory[i].Instance, 0)
-						c.Outliers.RecordResponse(directory[i].Instance, 0, 0, notExecuted(defect.QueueFull, 0))
+						c.Outliers.RecordResponse(directory[i].Instance, 0, 0, notExecuted(errs.QueueFull, 0))
 					}
 				}
 				kinds, plain, startedAt, made := "", c.Send, time.Now(), 3100*time.Millisecond
@@ -148,10 +148,10 @@
 		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r1")); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != "" || len(s.recordedRuns()) > 0 {
 			t.Errorf("the enquiry ended %v with %s, runs %v", got.Outcome, got.ErrorCode, s.recordedRuns())
 		}
-		if got := s.runner.Run(t.Context(), link.Peer{}, newCapacityCheck("r1")); got.ErrorCode != string(defect.CallerNotAllowed) {
+		if got := s.runner.Run(t.Context(), transport.Peer{}, newCapacityCheck("r1")); got.ErrorCode != string(errs.CallerNotAllowed) {
 			t.Errorf("a stranger's enquiry ended with %s", got.ErrorCode)
 		}
-		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r2")); got.ErrorCode != string(defect.QueueFull) {
+		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r2")); got.ErrorCode != string(errs.QueueFull) {
 			t.Errorf("an enquiry without room ended with %q", got.ErrorCode)
 		}
 		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(s.recordedRuns()) != 1 {
@@ -162,7 +162,7 @@
 		}
 		unknown := newCapacityCheck("r4")
 		unknown.Instance = "p/old/1"
-		if got := s.runner.Run(t.Context(), client, unknown); got.ErrorCode != string(defect.WrongInstance) {
+		if got := s.runner.Run(t.Context(), client, unknown); got.ErrorCode != string(errs.WrongInstance) {
 			t.Errorf("an enquiry for a worker that is no more ended with %q", got.ErrorCode)
 		}
 	})
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -10,7 +10,7 @@
 
 	"golang.org/x/sync/semaphore"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/schema"
 )
 
@@ -177,7 +177,7 @@
 		w.lock.Unlock()
 		// What still waits for a worker that leaves is better off with another.
 		if description.Draining {
-			existing.queue.Close(defect.WorkerDraining)
+			existing.queue.Close(errs.WorkerDraining)
 		}
 		if slotsChanged {
 			existing.queue.SetSlots(now, int(description.Slots))
@@ -203,13 +203,13 @@
 		w.onChange()
 	}
 	if full {
-		return "", defect.New(defect.QueueFull, "too many workers at this proxy")
+		return "", errs.New(errs.QueueFull, "too many workers at this proxy")
 	}
 	var livenessConn net.Conn
 	if !w.options.NoLivenessConn {
 		var err error
 		if livenessConn, err = w.options.Dial(description.Address); err != nil {
-			return "", defect.Wrap(err, defect.WorkerConnectFailed, description.Address)
+			return "", errs.Wrap(err, errs.WorkerConnectFailed, description.Address)
 		}
 	}
 	w.lock.Lock()
@@ -218,7 +218,7 @@
 		address: description.Address, description: description, lastHeartbeatAt: now, livenessConn: livenessConn,
 		conns: &connPool{address: description.Address, dial: w.options.Dial, now: w.options.Now}, queue: NewWorkerQueue(w.options.MaxConns, int(description.Slots)).withUplink(w.options.Uplink)}
 	if description.Draining {
-		worker.queue.Close(defect.WorkerDraining)
+		worker.queue.Close(errs.WorkerDraining)
 	}
 	if description.ID != "" {
 		worker.instance = description.ID
@@ -290,7 +290,7 @@
 		worker.livenessConn.Close()
 	}
 	worker.conns.close()
-	worker.queue.Close(defect.WrongInstance)
+	worker.queue.Close(errs.WrongInstance)
 }
 
 // DropUnresponsive drops the workers that fell silent.
@@ -335,17 +335,17 @@
 }
 
 // find gives the live registration that a request was meant for.
-func (w *Workers) find(request *schema.ForwardRequest) (*localWorker, string, defect.Code) {
+func (w *Workers) find(request *schema.ForwardRequest) (*localWorker, string, errs.Code) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	worker := w.byInstance[request.Instance]
 	switch {
 	case worker == nil && w.options.Now() < w.options.DiscoveryGrace:
-		return nil, "", defect.ProxyWarmingUp
+		return nil, "", errs.ProxyWarmingUp
 	case worker == nil, worker.description.Service != request.Service, worker.description.Version != request.Version:
-		return nil, "", defect.WrongInstance
+		return nil, "", errs.WrongInstance
 	case worker.description.Draining:
-		return nil, "", defect.WorkerDraining
+		return nil, "", errs.WorkerDraining
 	}
 	return worker, worker.description.token(), ""
 }
--- a/internal/dispatch/works.go
+++ b/internal/dispatch/works.go
@@ -6,7 +6,7 @@
 
 	"github.com/puzpuzpuz/xsync/v4"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/release"
 	"meadowhinge/schema"
 )
@@ -63,7 +63,7 @@
 	if response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || isCanceled(response) {
 		return
 	}
-	if defect.Code(response.ErrorCode) == defect.WorkerConnectionLost {
+	if errs.Code(response.ErrorCode) == errs.WorkerConnectionLost {
 		if before := c.connectionLostAt.Swap(int64(now)); before != 0 && now-time.Duration(before) < connectionLossWindow {
 			return
 		}
--- a/internal/dispatch/works_test.go
+++ b/internal/dispatch/works_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/release"
 	"meadowhinge/schema"
 )
@@ -35,12 +35,12 @@
 	}
 	end(0, answer(200))
 	end(0, answer(503))
-	end(0, notExecuted(defect.QueueFull, 0))
+	end(0, notExecuted(errs.QueueFull, 0))
 	for range 9 {
-		end(time.Second, outcomeUnknown(defect.WorkerConnectionLost))
+		end(time.Second, outcomeUnknown(errs.WorkerConnectionLost))
 	}
-	end(2*time.Second, outcomeUnknown(defect.WorkerConnectionLost))
-	end(2*time.Second, outcomeUnknown(defect.DeadlineExceeded))
+	end(2*time.Second, outcomeUnknown(errs.WorkerConnectionLost))
+	end(2*time.Second, outcomeUnknown(errs.DeadlineExceeded))
 	counts.Begin("shop", "2", "buy", 7)
 	counts.Begin("saves", "1", "load", 0)
 	counts.Begin("saves", "1", "beyond the bound", 0).End(0, 0, answer(200))
--- a/internal/defect/defect.go
+++ b/internal/errs/defect.go
@@ -1,5 +1,5 @@
 // Package defect names and wraps every failure in meadowhinge: one type, one kind each.
-package defect
+package errs
 
 import (
 	stderrors "errors"
--- a/internal/defect/defect_test.go
+++ b/internal/errs/defect_test.go
@@ -1,4 +1,4 @@
-package defect
+package errs
 
 import (
 	"errors"
--- a/internal/defect/golden_test.go
+++ b/internal/errs/golden_test.go
@@ -1,4 +1,4 @@
-package defect_test
+package errs_test
 
 import (
 	"fmt"
@@ -7,17 +7,17 @@
 	"strings"
 	"testing"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // TestCodesGolden compares every kind of failure and its HTTP status with the golden list. Callers
 // and operators decide by these words, so they outlive the names of the constants.
 func TestCodesGolden(t *testing.T) {
 	var listed strings.Builder
-	for _, code := range defect.Codes() {
-		fmt.Fprintf(&listed, "%s %d\n", code, defect.HTTPStatus(code))
+	for _, code := range errs.Codes() {
+		fmt.Fprintf(&listed, "%s %d\n", code, errs.HTTPStatus(code))
 	}
-	fmt.Fprintf(&listed, "(any other) %d\n", defect.HTTPStatus("NO_SUCH_KIND"))
+	fmt.Fprintf(&listed, "(any other) %d\n", errs.HTTPStatus("NO_SUCH_KIND"))
 	want, err := os.ReadFile(filepath.Join("testdata", "golden", "kinds.txt"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/net.go
+++ b/internal/fakebackend/net.go
@@ -1,4 +1,4 @@
-package standin
+package fakebackend
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"net"
 	"os"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // The second octets of the loopback net that runs share out among them, and the port that holds one.
@@ -29,5 +29,5 @@
 			return octet, lock, nil
 		}
 	}
-	return 0, nil, defect.Wrap(err, defect.Internal, "no free loopback net")
+	return 0, nil, errs.Wrap(err, errs.Internal, "no free loopback net")
 }
--- a/internal/standin/standin.go
+++ b/internal/fakebackend/standin.go
@@ -1,6 +1,6 @@
 // Package standin is what the simulator's and the rehearsal's stand-ins have in common: what a
 // worker answers, and the bounds of the never-rules that both judge by.
-package standin
+package fakebackend
 
 import (
 	"hash/crc32"
--- a/internal/ring/ring.go
+++ b/internal/flightrecorder/ring.go
@@ -1,5 +1,5 @@
 // Package ring keeps the last log lines in memory and writes them out when something goes wrong.
-package ring
+package flightrecorder
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"github.com/go-logr/logr"
 	"github.com/go-logr/logr/funcr"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // Recorder is a bounded buffer of log lines.
@@ -88,9 +88,9 @@
 	text := strings.Join(r.Lines(), "\n") + "\n"
 	// Written beside and moved into place, so that a dump cut short leaves the one before.
 	if err := os.WriteFile(r.file+".new", []byte(text), 0o640); err != nil {
-		return defect.Wrap(err, defect.DiskFailed, fmt.Sprintf("log ring %s", r.file))
+		return errs.Wrap(err, errs.DiskFailed, fmt.Sprintf("log ring %s", r.file))
 	}
-	return defect.Wrap(os.Rename(r.file+".new", r.file), defect.DiskFailed, "log ring")
+	return errs.Wrap(os.Rename(r.file+".new", r.file), errs.DiskFailed, "log ring")
 }
 
 // writeToStderr writes to standard error what it has not been told yet: unlike a file it is not replaced.
@@ -103,5 +103,5 @@
 		return nil
 	}
 	_, err := os.Stderr.WriteString(strings.Join(lines, "\n") + "\n")
-	return defect.Wrap(err, defect.DiskFailed, "log ring")
+	return errs.Wrap(err, errs.DiskFailed, "log ring")
 }
--- a/internal/ring/ring_test.go
+++ b/internal/flightrecorder/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package flightrecorder
 
 import (
 	"errors"
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -17,17 +17,18 @@
 	"testing"
 	"time"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/flag"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/flightrecorder"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/proxy"
 	"meadowhinge/internal/registry"
 	"meadowhinge/internal/release"
-	"meadowhinge/internal/ring"
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/statuspage"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -37,14 +38,14 @@
 	for name, page := range map[string]any{
 		"probe-ready":             daemon.Readiness{},
 		"probe-process":           daemon.Process{},
-		"probe-certificate":       link.CertificateStatus{},
-		"probe-traffic":           link.Traffic{},
+		"probe-certificate":       transport.CertificateStatus{},
+		"probe-traffic":           transport.Traffic{},
 		"refusal":                 daemon.ErrorResponse{},
 		"proxy-status":            proxy.Status{},
 		"proxy-events":            []proxy.EventSummary{},
 		"worker-description":      dispatch.WorkerDescription{},
-		"store-status":            &schema.ReplicaStatus{},
-		"registry-status":         &schema.RegistryStatus{},
+		"store-status":            &statuspage.Replica{},
+		"registry-status":         &statuspage.Registry{},
 		"operator-change":         registry.ChangeRequest{},
 		"operator-change-answer":  registry.ChangeResponse{},
 		"operator-setup":          registry.ConfigView{},
@@ -55,13 +56,13 @@
 		"operator-explain":        registry.ExplainRequest{},
 		"operator-explain-answer": registry.ExplainResponse{},
 		"operator-trace":          registry.ChangeTrace{},
-		"item-service":            setup.Service{},
-		"item-route":              setup.Route{},
-		"item-limits":             setup.Limits{},
-		"item-policy":             setup.Policy{},
-		"item-release":            setup.Release{},
-		"item-progress":           setup.Progress{},
-		"item-stop":               setup.VersionStop{},
+		"item-service":            config.Service{},
+		"item-route":              config.Route{},
+		"item-limits":             config.Limits{},
+		"item-policy":             config.Policy{},
+		"item-release":            config.Release{},
+		"item-progress":           config.Progress{},
+		"item-stop":               config.VersionStop{},
 		"item-flag":               flag.Flag{},
 		"item-segment":            flag.Segment{},
 	} {
@@ -80,7 +81,7 @@
 	section("verdict reason", textsOf([]flag.Reason{flag.ReasonError, flag.ReasonOff, flag.ReasonPrerequisite, flag.ReasonTarget, flag.ReasonRule, flag.ReasonFallthrough,
 		plan.ReasonPoolEmpty, plan.ReasonVersionBlocked, plan.ReasonPolicy, plan.ReasonSplitEmpty, plan.ReasonNoVersion})...)
 	section("verdict error", textsOf([]flag.ErrorCode{flag.FlagNotFound, flag.KeyMissing, flag.MalformedFlag})...)
-	section("route class", textsOf([]setup.Class{setup.ClassNonIdempotent, setup.ClassIdempotent})...)
+	section("route class", textsOf([]config.Class{config.ClassNonIdempotent, config.ClassIdempotent})...)
 	section("release state", release.StateCanary, release.StateRamping, release.StateHolding, release.StateDone, release.StateRolledBack)
 	section("plan as operators are told", textsOf([]registry.RolloutStatus{registry.RolloutInProgress, registry.RolloutDone, registry.RolloutRolledBack})...)
 	endings := schema.CallOutcome(0).Descriptor().Values()
@@ -102,7 +103,7 @@
 	address := held.Addr().String()
 	held.Close()
 	ready := atomic.Bool{}
-	frame := &daemon.Environment{Recorder: ring.New("", "golden", 4), Draining: &atomic.Bool{}}
+	frame := &daemon.Environment{Recorder: flightrecorder.New("", "golden", 4), Draining: &atomic.Bool{}}
 	frame.AddPage("/page", func() any { return map[string]int{"own": 1} })
 	frame.AddReadinessPath("/elsewhere")
 	if err := frame.ServeProbes(address, func() daemon.Readiness { return daemon.Readiness{Ready: ready.Load(), Reason: "young"} }); err != nil {
@@ -154,8 +155,8 @@
 // kind, and the body's own words.
 func TestStatusOfRefusalGolden(t *testing.T) {
 	var listed strings.Builder
-	for _, kind := range defect.Codes() {
-		status, refusal := daemon.NewErrorResponse(defect.New(kind, "detail"), "not-run", []string{"fault"})
+	for _, kind := range errs.Codes() {
+		status, refusal := daemon.NewErrorResponse(errs.New(kind, "detail"), "not-run", []string{"fault"})
 		text, err := json.Marshal(refusal)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/options/options.go
+++ b/internal/options/options.go
@@ -18,7 +18,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/schema"
 )
 
@@ -245,7 +245,7 @@
 		faults = Faults{err.Error()}
 	}
 	for _, fault := range faults {
-		fmt.Fprintf(output, "%s: %s: %s\n", program, defect.InvalidOptions, fault)
+		fmt.Fprintf(output, "%s: %s: %s\n", program, errs.InvalidOptions, fault)
 	}
 	return 2
 }
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -8,10 +8,10 @@
 	"strings"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/flag"
 	"meadowhinge/internal/policy"
-	"meadowhinge/internal/setup"
 )
 
 // Exceptions to the flag's verdict; each is counted under its own reason.
@@ -32,7 +32,7 @@
 
 // View is one immutable picture of the world; a plan is made from one view only.
 type View struct {
-	Config    *setup.Snapshot
+	Config    *config.Snapshot
 	Directory Directory
 }
 
@@ -62,11 +62,11 @@
 
 // Plan is what will be carried out.
 type Plan struct {
-	Route         *setup.Route
+	Route         *config.Route
 	Service       string
 	Split         Verdict // of a route that is split: the service, in place of a version; else without a flag
 	Verdict       Verdict
-	Class         setup.Class
+	Class         config.Class
 	Deadline      time.Duration
 	LatencyTarget time.Duration // the time within which an answer is worth most, 0 for none
 	Candidates    []Endpoint    // in the order in which to try them
@@ -92,7 +92,7 @@
 func Make(view *View, request *Request, options Options, local LocalState, now time.Duration, random Random) (*Plan, error) {
 	route, found := view.Config.Match(request.Host, request.Path, request.Method)
 	if !found {
-		return nil, defect.New(defect.RouteNotFound, request.Method+" "+request.Path)
+		return nil, errs.New(errs.RouteNotFound, request.Method+" "+request.Path)
 	}
 	plan := &Plan{Route: route, Class: route.ClassFor(request.Method), Deadline: options.MaxDeadline}
 	if route.Deadline > 0 {
@@ -112,20 +112,20 @@
 	}
 	service := view.Config.Services[plan.Service]
 	if service == nil {
-		return nil, defect.New(defect.RouteNotFound, plan.Service)
+		return nil, errs.New(errs.RouteNotFound, plan.Service)
 	}
 	if !service.AllowsCaller(request.Caller) {
-		return nil, defect.New(defect.CallerNotAllowed, request.Caller+" may not call "+plan.Service)
+		return nil, errs.New(errs.CallerNotAllowed, request.Caller+" may not call "+plan.Service)
 	}
 	// A key that can't be kept would protect nothing, so its sender is told. Where requests may
 	// be repeated anyway, a key says nothing and is left alone.
-	if plan.Class == setup.ClassNonIdempotent && request.HasIdempotencyKey && (request.IdempotencyKey == "" || len(request.IdempotencyKey) > maxIdempotencyKeyBytes) {
-		return nil, defect.New(defect.MalformedRequest, fmt.Sprintf("Idempotency-Key needs 1 to %d bytes", maxIdempotencyKeyBytes))
+	if plan.Class == config.ClassNonIdempotent && request.HasIdempotencyKey && (request.IdempotencyKey == "" || len(request.IdempotencyKey) > maxIdempotencyKeyBytes) {
+		return nil, errs.New(errs.MalformedRequest, fmt.Sprintf("Idempotency-Key needs 1 to %d bytes", maxIdempotencyKeyBytes))
 	}
 	// A policy says whether there is to be a call at all; only then the flag decides its version.
 	if route.Policy != nil && !route.Policy.Allows(policyContext(subject)) {
-		plan.Verdict = Verdict{Flag: setup.VersionFlagKey(plan.Service), Reason: ReasonPolicy, ConfigRevision: view.Config.Revision}
-		return plan, defect.New(defect.PolicyDenied, route.PolicyName)
+		plan.Verdict = Verdict{Flag: config.VersionFlagKey(plan.Service), Reason: ReasonPolicy, ConfigRevision: view.Config.Revision}
+		return plan, errs.New(errs.PolicyDenied, route.PolicyName)
 	}
 	verdict, pool := decideVersion(view, plan.Service, subject, local, now)
 	// Of a split, any service with weight may serve: where the one that was decided has nobody,
@@ -139,9 +139,9 @@
 	}
 	plan.Verdict = verdict
 	if verdict.Version == "" {
-		return plan, defect.New(defect.NoWorker, plan.Service+" has no version yet")
+		return plan, errs.New(errs.NoWorker, plan.Service+" has no version yet")
 	}
-	if request.IdempotencyKey != "" && plan.Class == setup.ClassNonIdempotent {
+	if request.IdempotencyKey != "" && plan.Class == config.ClassNonIdempotent {
 		plan.Candidates = rendezvous(pool, request.Caller+"\x00"+request.IdempotencyKey, func(endpoint *Endpoint) bool { return local.Stats(endpoint, now).Unreachable })
 	} else {
 		plan.Candidates = pickEndpoints(pool, view.Config.RampingByDeadline(plan.Service, verdict.Version), plan.LatencyTarget, options, local, now, random)
@@ -150,7 +150,7 @@
 }
 
 // decideSplit decides the service of a route that is split.
-func decideSplit(view *View, route *setup.Route, subject flag.EvaluationContext) Verdict {
+func decideSplit(view *View, route *config.Route, subject flag.EvaluationContext) Verdict {
 	decider := view.Config.ServiceDecider(route)
 	result := view.Config.Flags.Decide(decider.Flag, subject)
 	verdict := Verdict{Flag: decider.Key, Version: result.Value, Reason: result.Reason, Error: result.Error, ConfigRevision: view.Config.Revision}
@@ -167,8 +167,8 @@
 // pickOtherService picks, for a split whose service has nobody, one that has, by weight. A key stays with
 // its service for as long as that is so; its bucket is another than the split's, for all keys of
 // the service that has nobody are alike in that one.
-func pickOtherService(view *View, route *setup.Route, decided, caller string, subject flag.EvaluationContext, local LocalState, now time.Duration) string {
-	var available []setup.WeightedService
+func pickOtherService(view *View, route *config.Route, decided, caller string, subject flag.EvaluationContext, local LocalState, now time.Duration) string {
+	var available []config.WeightedService
 	totalWeight := 0.0
 	for _, target := range route.Split {
 		service := view.Config.Services[target.Service]
@@ -233,14 +233,14 @@
 // evaluationContext is what flags are evaluated for: the user as the route says, and the caller. It reads
 // the request where it is asked, for most flags ask for nothing but the key.
 type evaluationContext struct {
-	route   *setup.Route
+	route   *config.Route
 	request *Request
 	zone    string
 	key     string
 }
 
 // newEvaluationContext is the context of a request.
-func newEvaluationContext(route *setup.Route, request *Request, zone string) evaluationContext {
+func newEvaluationContext(route *config.Route, request *Request, zone string) evaluationContext {
 	evaluation := evaluationContext{route: route, request: request, zone: zone, key: request.Identity}
 	// Where the route names no header, the request's own identity is the key.
 	if route.KeyHeader != "" {
@@ -311,7 +311,7 @@
 }
 
 // evaluateVersion asks the flag for the version of a service.
-func evaluateVersion(view *View, service *setup.Service, serviceName string, subject flag.EvaluationContext) Verdict {
+func evaluateVersion(view *View, service *config.Service, serviceName string, subject flag.EvaluationContext) Verdict {
 	decider := view.Config.VersionDecider(serviceName)
 	result := view.Config.Flags.Decide(decider.Flag, subject)
 	verdict := Verdict{Flag: decider.Key, Version: result.Value, Reason: result.Reason, RuleID: result.RuleID, Error: result.Error, ConfigRevision: view.Config.Revision}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/configsource"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/flag"
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/statement"
 	"meadowhinge/schema"
 )
 
@@ -29,7 +29,7 @@
 
 func viewOf(t *testing.T, directory Directory, more string) *View {
 	t.Helper()
-	items, faults := statement.Parse([]byte(`
+	items, faults := configsource.Parse([]byte(`
 service: shop: {versions: ["1", "2"], fallback: "1", callers: ["client"]}
 route: buy: {service: "shop", prefix: "/shop/buy", methods: ["POST"], horizon: "2s", key: "X-User"}
 route: look: {service: "shop", prefix: "/shop", horizon: "3s", key: "X-User", attributes: country: "X-Country"}
@@ -39,7 +39,7 @@
 	for i, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 	}
-	config, found := setup.Compile(setup.State{}.With(items), 9)
+	config, found := config.Compile(config.State{}.With(items), 9)
 	if len(faults)+len(found) > 0 {
 		t.Fatal(faults, found)
 	}
@@ -105,18 +105,18 @@
 func TestRefusalsAndDeadlines(t *testing.T) {
 	view := viewOf(t, nil, "")
 	dice := rand.New(rand.NewPCG(1, 1)).Float64
-	if _, err := Make(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, dice); defect.CodeOf(err) != defect.RouteNotFound {
+	if _, err := Make(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, dice); errs.CodeOf(err) != errs.RouteNotFound {
 		t.Errorf("no route gave %v", err)
 	}
 	stranger := newRequest("GET", "/shop", nil)
 	stranger.Caller = "saves"
-	if _, err := Make(view, stranger, options, fakeLocalState{}, 0, dice); defect.CodeOf(err) != defect.CallerNotAllowed {
+	if _, err := Make(view, stranger, options, fakeLocalState{}, 0, dice); errs.CodeOf(err) != errs.CallerNotAllowed {
 		t.Errorf("a stranger gave %v", err)
 	}
 	for callerDeadline, want := range map[time.Duration]time.Duration{0: 2 * time.Second, time.Second: time.Second, time.Minute: 2 * time.Second} {
 		request := newRequest("POST", "/shop/buy", nil)
 		request.CallerDeadline = callerDeadline
-		if callPlan, err := Make(view, request, options, fakeLocalState{}, 0, dice); err != nil || callPlan.Deadline != want || callPlan.Class != setup.ClassNonIdempotent {
+		if callPlan, err := Make(view, request, options, fakeLocalState{}, 0, dice); err != nil || callPlan.Deadline != want || callPlan.Class != config.ClassNonIdempotent {
 			t.Errorf("asked %v: %v, %v", callerDeadline, callPlan, err)
 		}
 	}
@@ -139,7 +139,7 @@
 		view := viewOf(t, Directory{"shop": {"1": workers("old"), "2": workers("new")}}, fmt.Sprintf(`policy: only: expression: %q
 route: guarded: {service: "shop", prefix: "/shop/guarded", key: "X-User", attributes: country: "X-Country", policy: "only"}`, test.policy))
 		callPlan, err := Make(view, newRequest("GET", "/shop/guarded", test.headers), options, fakeLocalState{}, 0, rand.Float64)
-		if test.holds != (err == nil) || (err != nil && (defect.CodeOf(err) != defect.PolicyDenied || callPlan.Verdict.Reason != ReasonPolicy || len(callPlan.Candidates) > 0)) {
+		if test.holds != (err == nil) || (err != nil && (errs.CodeOf(err) != errs.PolicyDenied || callPlan.Verdict.Reason != ReasonPolicy || len(callPlan.Candidates) > 0)) {
 			t.Errorf("%s: %v, %+v", name, err, callPlan)
 		}
 		// Another route of the service is not touched by it.
@@ -155,16 +155,16 @@
 	for _, test := range []struct {
 		method, key string
 		keyed       bool
-		want        defect.Code
+		want        errs.Code
 	}{
-		{"POST", "k", true, ""}, {"POST", "", false, ""}, {"POST", "", true, defect.MalformedRequest},
-		{"POST", strings.Repeat("k", maxIdempotencyKeyBytes), true, ""}, {"POST", strings.Repeat("k", maxIdempotencyKeyBytes+1), true, defect.MalformedRequest},
+		{"POST", "k", true, ""}, {"POST", "", false, ""}, {"POST", "", true, errs.MalformedRequest},
+		{"POST", strings.Repeat("k", maxIdempotencyKeyBytes), true, ""}, {"POST", strings.Repeat("k", maxIdempotencyKeyBytes+1), true, errs.MalformedRequest},
 		{"GET", "", true, ""}, {"GET", strings.Repeat("k", maxIdempotencyKeyBytes+1), true, ""},
 	} {
 		request := newRequest(test.method, "/shop/buy", nil)
 		request.HasIdempotencyKey, request.IdempotencyKey = test.keyed, test.key
 		_, err := Make(view, request, options, fakeLocalState{}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
-		if (err == nil) != (test.want == "") || (err != nil && defect.CodeOf(err) != test.want) {
+		if (err == nil) != (test.want == "") || (err != nil && errs.CodeOf(err) != test.want) {
 			t.Errorf("%s with a key of %d bytes: %v", test.method, len(test.key), err)
 		}
 	}
@@ -272,7 +272,7 @@
 		kind, name, _ := strings.Cut(key, "/")
 		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}})
 	}
-	config, faults := setup.Compile(setup.State{}.With(items), 9)
+	config, faults := config.Compile(config.State{}.With(items), 9)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -311,7 +311,7 @@
 			request.Identity, request.Caller = fmt.Sprint("key-", i), test.caller
 			callPlan, err := Make(view, request, options, fakeLocalState{unreachable: test.lost}, 0, rand.Float64)
 			switch {
-			case defect.CodeOf(err) == defect.CallerNotAllowed && err != nil:
+			case errs.CodeOf(err) == errs.CallerNotAllowed && err != nil:
 				got["denied"]++
 				continue
 			case err != nil:
@@ -354,7 +354,7 @@
 func TestNoVersionYet(t *testing.T) {
 	view := compiledOf(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
 	callPlan, err := Make(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
-	if err == nil || defect.CodeOf(err) != defect.NoWorker || callPlan == nil || callPlan.Verdict.Reason != ReasonNoVersion || callPlan.Service != "a" {
+	if err == nil || errs.CodeOf(err) != errs.NoWorker || callPlan == nil || callPlan.Verdict.Reason != ReasonNoVersion || callPlan.Service != "a" {
 		t.Errorf("%+v, %v", callPlan, err)
 	}
 }
--- a/internal/proxy/attend.go
+++ b/internal/proxy/attend.go
@@ -4,8 +4,8 @@
 	"context"
 	"time"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/options"
 	"meadowhinge/internal/session"
 	"meadowhinge/schema"
@@ -150,7 +150,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if event.update == nil {
-		s.log.V(1).Info("session ended", "registry", event.session.address, "why", defect.CodeOf(event.err))
+		s.log.V(1).Info("session ended", "registry", event.session.address, "why", errs.CodeOf(event.err))
 		return s.registrySelector.RecordSessionEnd(s.now(), event.session.address)
 	}
 	s.registrySelector.SetCoreMembers(event.update.CoreMembers)
@@ -230,6 +230,6 @@
 	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
 	defer cancel()
 	if _, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Tell(bounded, &schema.ProxyReport{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source}); err != nil {
-		s.log.V(1).Info("left without a farewell", "why", defect.CodeOf(err))
+		s.log.V(1).Info("left without a farewell", "why", errs.CodeOf(err))
 	}
 }
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -9,14 +9,14 @@
 
 	"github.com/pkg/errors"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // bufferBody reads the body that the head tells of.
 func (c *connection) readBody(limits requestLimits) ([]byte, error) {
 	switch {
 	case c.header.contentLength > int64(limits.bodyBytes):
-		return nil, defect.New(defect.BodyTooLarge, strconv.FormatInt(c.header.contentLength, 10)+" bytes")
+		return nil, errs.New(errs.BodyTooLarge, strconv.FormatInt(c.header.contentLength, 10)+" bytes")
 	case c.header.contentLength == 0 && !c.header.chunked:
 		return nil, nil
 	case c.header.expectsContinue && c.bufferStart == c.bufferEnd:
@@ -67,7 +67,7 @@
 	additional := size - c.reservedBytes
 	if c.listener.largeBodyBytes.Add(additional) > c.listener.largeBodyCapacity {
 		c.listener.largeBodyBytes.Add(-additional)
-		return defect.New(defect.QueueFull, "too many large bodies at once")
+		return errs.New(errs.QueueFull, "too many large bodies at once")
 	}
 	c.reservedBytes = size
 	return nil
@@ -83,7 +83,7 @@
 
 func bodyReadError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return defect.Wrap(err, defect.RequestTimeout, "body")
+		return errs.Wrap(err, errs.RequestTimeout, "body")
 	}
 	return io.ErrUnexpectedEOF
 }
@@ -124,7 +124,7 @@
 			return nil, malformed("a chunk's size")
 		}
 		if count > uint64(limits.bodyBytes-len(body)) {
-			return nil, defect.New(defect.BodyTooLarge, "more than "+strconv.Itoa(limits.bodyBytes)+" bytes")
+			return nil, errs.New(errs.BodyTooLarge, "more than "+strconv.Itoa(limits.bodyBytes)+" bytes")
 		}
 		if count == 0 {
 			break
@@ -144,7 +144,7 @@
 			return body, err
 		}
 		if trailerBytesLeft -= len(line); trailerBytesLeft <= 0 {
-			return nil, defect.New(defect.HeaderTooLarge, "trailer")
+			return nil, errs.New(errs.HeaderTooLarge, "trailer")
 		}
 	}
 }
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 	"github.com/valyala/fasthttp"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // connection is one connection of a caller. Its requests are answered one after the other, in the
@@ -120,7 +120,7 @@
 		return nil
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return defect.Wrap(err, defect.RequestTimeout, "request")
+		return errs.Wrap(err, errs.RequestTimeout, "request")
 	}
 	return err
 }
@@ -166,7 +166,7 @@
 			text := string(c.buffer[c.bufferStart : c.bufferStart+headerLength])
 			// The bound is for the lines after the first, and for the first.
 			if lineLength := strings.IndexByte(text, '\n') + 1; lineLength > limits.headerBytes || headerLength-lineLength > limits.headerBytes {
-				return receivedAt, defect.New(defect.HeaderTooLarge, strconv.Itoa(headerLength)+" bytes")
+				return receivedAt, errs.New(errs.HeaderTooLarge, strconv.Itoa(headerLength)+" bytes")
 			}
 			c.bufferStart += headerLength
 			return receivedAt, parseRequestHeader(text, &c.header)
@@ -177,7 +177,7 @@
 		}
 		switch {
 		case searchedBytes > 2*limits.headerBytes:
-			return receivedAt, defect.New(defect.HeaderTooLarge, "more than "+strconv.Itoa(limits.headerBytes)+" bytes")
+			return receivedAt, errs.New(errs.HeaderTooLarge, "more than "+strconv.Itoa(limits.headerBytes)+" bytes")
 		case hasBareLineFeed(c.buffer[c.bufferStart:c.bufferEnd]):
 			return receivedAt, malformed("a bare line end")
 		}
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fasthttp"
 
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 )
 
 // HeartbeatHandler takes what workers say of themselves at the workers' listener.
@@ -24,18 +24,18 @@
 // Handle takes a description and tells the instance that it stands under.
 func (nativeHeartbeatHandler) Handle(requestCtx *fasthttp.RequestCtx, workers *dispatch.Workers) {
 	if string(requestCtx.Path()) != "/v1/worker" || !requestCtx.IsPost() {
-		daemon.WriteError(requestCtx, defect.New(defect.RouteNotFound, string(requestCtx.Path())), "", nil)
+		daemon.WriteError(requestCtx, errs.New(errs.RouteNotFound, string(requestCtx.Path())), "", nil)
 		return
 	}
 	description := dispatch.WorkerDescription{}
 	decoder := json.NewDecoder(strings.NewReader(string(requestCtx.PostBody())))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&description); err != nil {
-		daemon.WriteError(requestCtx, defect.Wrap(err, defect.MalformedRequest, "description"), "", nil)
+		daemon.WriteError(requestCtx, errs.Wrap(err, errs.MalformedRequest, "description"), "", nil)
 		return
 	}
 	if fieldErrors := description.Validate(); len(fieldErrors) > 0 {
-		daemon.WriteError(requestCtx, defect.New(defect.MalformedRequest, "description"), "", fieldErrors)
+		daemon.WriteError(requestCtx, errs.New(errs.MalformedRequest, "description"), "", fieldErrors)
 		return
 	}
 	instance, err := workers.Register(description)
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -12,7 +12,7 @@
 
 	"meadowhinge/internal/daemon"
 	"meadowhinge/internal/dispatch"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	opts.Advertise, opts.Doubt, opts.Links = listener.Addr().String(), staleModeServe, linkModePlaintext
-	rpcTransport := link.NewPlaintext("proxy", opts.Name, []string{caller})
+	rpcTransport := transport.NewPlaintext("proxy", opts.Name, []string{caller})
 	server := newServer(rpcTransport, &daemon.Environment{Draining: &atomic.Bool{}}, opts, extensionOptions...)
 	ctx, cancel := context.WithCancel(context.Background())
 	server.linkContext = ctx
--- a/internal/proxy/front_test.go
+++ b/internal/proxy/front_test.go
@@ -15,8 +15,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 )
 
 // receivedRequest is a request as a front handed it on.
@@ -48,7 +48,7 @@
 	harness := &listenerHarness{address: listener.Addr().String(), received: make(chan receivedRequest, 64), release: make(chan struct{})}
 	harness.listener = newCallerListener(listener, 64, int64(limits.bodyBytes), &harness.draining, func() requestLimits { return limits })
 	harness.listener.writeError = func(_ *RequestHeader, err error, response *Response) {
-		response.Status, response.Body = defect.HTTPStatus(defect.CodeOf(err)), []byte(defect.CodeOf(err))
+		response.Status, response.Body = errs.HTTPStatus(errs.CodeOf(err)), []byte(errs.CodeOf(err))
 	}
 	harness.listener.handle = func(ctx context.Context, header *RequestHeader, body []byte, _ time.Time, response *Response) {
 		header.selectForwarded(func(name string) bool { return dispatch.NativeCodec{}.PassesHeader([]byte(name), false) })
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"meadowhinge/internal/journal"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -41,16 +41,16 @@
 const linkModePlaintext = "plain"
 
 // newTransport opens this process's side of the links, as the settings say.
-func newTransport(opts *schema.ProxyOptions, callers map[string]string) (*link.Transport, error) {
-	transportOptions := []link.Option{link.WithLocalAddress(opts.Listen), link.WithDialTimeout(time.Duration(opts.Lease) / dialTimeoutDivisor)}
+func newTransport(opts *schema.ProxyOptions, callers map[string]string) (*transport.Transport, error) {
+	transportOptions := []transport.Option{transport.WithLocalAddress(opts.Listen), transport.WithDialTimeout(time.Duration(opts.Lease) / dialTimeoutDivisor)}
 	if opts.Links != linkModePlaintext {
-		return link.NewTLS(opts.Certificate, opts.Authority, transportOptions...)
+		return transport.NewTLS(opts.Certificate, opts.Authority, transportOptions...)
 	}
 	var callerNames []string
 	for caller := range callers {
 		callerNames = append(callerNames, caller)
 	}
-	return link.NewPlaintext("proxy", opts.Name, callerNames, transportOptions...), nil
+	return transport.NewPlaintext("proxy", opts.Name, callerNames, transportOptions...), nil
 }
 
 // servesStale tells whether this proxy serves by whatever it knows.
--- a/internal/proxy/head.go
+++ b/internal/proxy/head.go
@@ -5,8 +5,8 @@
 	"strconv"
 	"strings"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 )
 
 // HeaderField is one line of a head, as it came.
@@ -93,7 +93,7 @@
 	return true
 }
 
-func malformed(detail string) error { return defect.New(defect.MalformedRequest, detail) }
+func malformed(detail string) error { return errs.New(errs.MalformedRequest, detail) }
 
 var headerTerminator = []byte("\r\n\r\n")
 
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -7,8 +7,8 @@
 
 	"meadowhinge/internal/daemon"
 	"meadowhinge/internal/dispatch"
-	"meadowhinge/internal/link"
 	"meadowhinge/internal/options"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -17,7 +17,7 @@
 type Hollow struct {
 	server    *Server
 	cancel    context.CancelFunc
-	transport *link.Transport
+	transport *transport.Transport
 }
 
 // Seen is what a hollow proxy took into its picture, and when.
@@ -81,7 +81,7 @@
 func (h *Hollow) ConfigRevision() uint64 { return h.server.journal.View().ConfigRevision() }
 
 // Traffic is what went over the proxy's links.
-func (h *Hollow) Traffic() link.Traffic { return h.transport.Traffic() }
+func (h *Hollow) Traffic() transport.Traffic { return h.transport.Traffic() }
 
 // Status is what the proxy says of itself.
 func (h *Hollow) Status() Status { return h.server.status() }
--- a/internal/proxy/leave.go
+++ b/internal/proxy/leave.go
@@ -5,7 +5,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // Ratios to the time that SIGTERM leaves.
@@ -112,7 +112,7 @@
 	var firstErr error
 	for _, listener := range callerListeners {
 		if !listener.shutDown(deadline) && firstErr == nil {
-			firstErr = defect.New(defect.ProxyDraining, "calls still in flight at the end of the drain time")
+			firstErr = errs.New(errs.ProxyDraining, "calls still in flight at the end of the drain time")
 		}
 	}
 	if current == closing {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -16,13 +16,14 @@
 	"storj.io/drpc/drpcmux"
 
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/journal"
-	"meadowhinge/internal/link"
 	"meadowhinge/internal/options"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/session"
+	"meadowhinge/internal/statuspage"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -57,11 +58,11 @@
 	sourceIncarnation  uint64                              // of what is told of this proxy, above all that was seen of it; 0 until it is settled; guarded by lock
 	address            string
 	leaseDuration      time.Duration
-	transport          *link.Transport
+	transport          *transport.Transport
 	log                logr.Logger
 	startedAt          time.Time
 	uplink             *dispatch.Uplink // this machine's link, as far as it is known how much it carries
-	localPeer          link.Peer
+	localPeer          transport.Peer
 	extensions         running
 
 	journal           *journal.Journal[Event, MeshState]
@@ -107,11 +108,11 @@
 	}
 	defer rpcTransport.Close()
 	if self := rpcTransport.Self(); self.Role != "proxy" || self.Name != opts.Name {
-		return defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not proxy %q", self.Role, self.Name, opts.Name))
+		return errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not proxy %q", self.Role, self.Name, opts.Name))
 	}
 	for caller := range callers {
 		if !rpcTransport.Self().MayCallAs(caller) {
-			return defect.New(defect.InvalidOptions, fmt.Sprintf("callers: the certificate may not speak for %q", caller))
+			return errs.New(errs.InvalidOptions, fmt.Sprintf("callers: the certificate may not speak for %q", caller))
 		}
 	}
 	s := newServer(rpcTransport, environment, opts, extensionOptions...)
@@ -119,11 +120,11 @@
 
 	listener, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
-		return defect.Wrap(err, defect.InvalidOptions, "listen")
+		return errs.Wrap(err, errs.InvalidOptions, "listen")
 	}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, s); err != nil {
-		return defect.Wrap(err, defect.Internal, "mux")
+		return errs.Wrap(err, errs.Internal, "mux")
 	}
 	environment.AddPage("/status", func() any { return s.status() })
 	environment.AddPage("/certificate", rpcTransport.Certificate)
@@ -171,7 +172,7 @@
 }
 
 // newServer makes a proxy that has no listeners and no sessions yet.
-func newServer(rpcTransport *link.Transport, environment *daemon.Environment, opts *schema.ProxyOptions, extensionOptions ...Option) *Server {
+func newServer(rpcTransport *transport.Transport, environment *daemon.Environment, opts *schema.ProxyOptions, extensionOptions ...Option) *Server {
 	s := &Server{initialOptions: opts, address: opts.Advertise, leaseDuration: time.Duration(opts.Lease), transport: rpcTransport,
 		extensions: newExtensions(extensionOptions), log: environment.Log, startedAt: time.Now(), coreMembers: map[string]*schema.CoreMember{}, reportNow: make(chan struct{}, 1), configChanged: make(chan struct{}, 1), reservationQueues: map[string]chan *pendingReservation{}, draining: environment.Draining}
 	s.liveOptions.Store(opts)
@@ -249,7 +250,7 @@
 	for caller := range options.SplitPairs(opts.Callers) {
 		mayCallAs[caller] = true
 	}
-	s.localPeer = link.LocalPeer("proxy", opts.Name, mayCallAs)
+	s.localPeer = transport.LocalPeer("proxy", opts.Name, mayCallAs)
 	s.workers = dispatch.NewWorkers(dispatch.WorkersOptions{Proxy: opts.Name, Incarnation: s.processIncarnation, Zone: opts.Area, MaxMissedHeartbeats: opts.Silence,
 		MaxWorkers: maxLocalWorkers, MaxConns: int(opts.Buffer), MaxBodyBytes: int(opts.BodyMost), Now: s.now,
 		Uplink: s.uplink, NoLivenessConn: s.extensions.workerIDHeartbeat > 0, DiscoveryGrace: discoveryGraceHeartbeats * s.extensions.workerIDHeartbeat, Dial: s.extensions.dialWorker}, s.publishWorkers)
@@ -287,36 +288,36 @@
 	switch inFlight := s.peerCallsInFlight.Add(1); {
 	// Beyond the bound a dispatch is refused unrun, and so it is once this proxy is about to end.
 	case inFlight > s.currentOptions().Buffer:
-		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.QueueFull)}, nil
+		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}, nil
 	case s.rejectsPeerCalls.Load():
-		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(defect.ProxyDraining)}, nil
+		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.ProxyDraining)}, nil
 	}
-	return s.runner.Run(ctx, link.PeerFromContext(ctx), request), nil
+	return s.runner.Run(ctx, transport.PeerFromContext(ctx), request), nil
 }
 
 func (s *Server) readiness() daemon.Readiness {
 	if !s.servingGate.Open() {
-		return daemon.Readiness{Reason: string(defect.NoLease)}
+		return daemon.Readiness{Reason: string(errs.NoLease)}
 	}
 	return daemon.Readiness{Ready: true}
 }
 
 // Status is what a proxy says of itself.
 type Status struct {
-	Name              string           `json:"name"`
-	ConfigRevision    uint64           `json:"setup"`
-	HasLease          bool             `json:"leased"`
-	LeaseMS           int64            `json:"leaseMs"`
-	FleetSize         int64            `json:"members"`
-	Registry          string           `json:"registry,omitempty"` // with which this proxy is in session
-	StalenessKnown    bool             `json:"vouched"`            // whether the picture's age is known
-	StalenessMS       int64            `json:"ageMs"`              // since it was last known that nothing newer was promised to anyone
-	Sources           int              `json:"sources"`
-	KnownWorkers      int              `json:"knownWorkers"` // in the whole mesh
-	Workers           []*schema.Worker `json:"workers"`
-	RejectedPeers     uint64           `json:"refusedPeers"`
-	CallsInFlight     int              `json:"callsInFlight"`
-	PeerCallsInFlight int              `json:"hopsInFlight"`
+	Name              string               `json:"name"`
+	ConfigRevision    uint64               `json:"setup"`
+	HasLease          bool                 `json:"leased"`
+	LeaseMS           int64                `json:"leaseMs"`
+	FleetSize         int64                `json:"members"`
+	Registry          string               `json:"registry,omitempty"` // with which this proxy is in session
+	StalenessKnown    bool                 `json:"vouched"`            // whether the picture's age is known
+	StalenessMS       int64                `json:"ageMs"`              // since it was last known that nothing newer was promised to anyone
+	Sources           int                  `json:"sources"`
+	KnownWorkers      int                  `json:"knownWorkers"` // in the whole mesh
+	Workers           []*statuspage.Worker `json:"workers"`
+	RejectedPeers     uint64               `json:"refusedPeers"`
+	CallsInFlight     int                  `json:"callsInFlight"`
+	PeerCallsInFlight int                  `json:"hopsInFlight"`
 
 	Disconnects dispatch.DisconnectCounts `json:"departures"` // of callers before their calls were answered
 }
@@ -331,7 +332,7 @@
 	}
 	registry, staleness, stalenessKnown := s.sessionState()
 	return Status{Registry: registry, StalenessKnown: stalenessKnown, StalenessMS: staleness.Milliseconds(), KnownWorkers: knownWorkers, Name: s.initialOptions.Name, ConfigRevision: state.config.Revision, HasLease: s.servingGate.Open(), LeaseMS: (s.leaseGate.ExpiresAt() - s.now()).Milliseconds(),
-		FleetSize: s.fleetSize.Load(), Sources: len(state.sources), Workers: s.workers.List(), RejectedPeers: s.transport.RejectedPeers.Load(),
+		FleetSize: s.fleetSize.Load(), Sources: len(state.sources), Workers: statuspage.WorkersOf(s.workers.List()), RejectedPeers: s.transport.RejectedPeers.Load(),
 		CallsInFlight: int(s.callsInFlight.Load()), PeerCallsInFlight: int(s.peerCallsInFlight.Load()), Disconnects: s.disconnects.Counts()}
 }
 
@@ -359,7 +360,7 @@
 func (s *Server) listenForWorkers(address string, handler fasthttp.RequestHandler, maxBodyBytes int, writeError func(*fasthttp.RequestCtx, error)) (*fasthttp.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.InvalidOptions, address)
+		return nil, errs.Wrap(err, errs.InvalidOptions, address)
 	}
 	server := &fasthttp.Server{Name: "meadowhinge", NoDefaultServerHeader: true, NoDefaultContentType: true, NoDefaultDate: true, Concurrency: int(s.initialOptions.Buffer) * 4,
 		MaxRequestBodySize: maxBodyBytes, ReadTimeout: time.Duration(s.initialOptions.HorizonMost), IdleTimeout: time.Minute, CloseOnShutdown: true,
@@ -377,11 +378,11 @@
 			}
 		},
 		ErrorHandler: func(requestCtx *fasthttp.RequestCtx, err error) {
-			code := defect.MalformedRequest
+			code := errs.MalformedRequest
 			if err == fasthttp.ErrBodyTooLarge {
-				code = defect.BodyTooLarge
+				code = errs.BodyTooLarge
 			}
-			writeError(requestCtx, defect.Wrap(err, code, "request"))
+			writeError(requestCtx, errs.Wrap(err, code, "request"))
 			requestCtx.SetConnectionClose()
 		}}
 	go func() { _ = server.Serve(listener) }()
@@ -403,11 +404,11 @@
 	stream := requestCtx.RequestBodyStream()
 	body, err := io.ReadAll(io.LimitReader(stream, int64(maxBytes)+1))
 	if err != nil {
-		return defect.Wrap(err, defect.MalformedRequest, "body")
+		return errs.Wrap(err, errs.MalformedRequest, "body")
 	}
 	if len(body) > maxBytes {
 		_, _ = io.CopyN(io.Discard, stream, int64(maxBytes)*oversizeDiscardFactor)
-		return defect.New(defect.BodyTooLarge, fmt.Sprintf("more than %d bytes", maxBytes))
+		return errs.New(errs.BodyTooLarge, fmt.Sprintf("more than %d bytes", maxBytes))
 	}
 	requestCtx.Request.SetBody(body)
 	return nil
@@ -417,7 +418,7 @@
 func (s *Server) openCallerListener(caller, address string) (*callerListener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.InvalidOptions, address)
+		return nil, errs.Wrap(err, errs.InvalidOptions, address)
 	}
 	opened := newCallerListener(listener, int(s.initialOptions.CallersMost), s.initialOptions.BodyMost, s.draining, s.requestLimits)
 	opened.onWritten = s.uplink.RecordWrite
@@ -453,7 +454,7 @@
 	s.recordArrival()
 	defer s.callsInFlight.Add(-1)
 	if s.callsInFlight.Add(1) > s.currentOptions().Buffer {
-		s.writeError(header, defect.New(defect.QueueFull, "too many calls in flight"), notExecuted, response)
+		s.writeError(header, errs.New(errs.QueueFull, "too many calls in flight"), notExecuted, response)
 		return
 	}
 	s.writeResult(header, s.forwarder.Forward(ctx, call), response)
--- a/internal/proxy/refuse.go
+++ b/internal/proxy/refuse.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/session"
 	"meadowhinge/schema"
 )
@@ -11,32 +11,32 @@
 // retryDelays tells, of each failure after which asking again makes sense, how long it takes until
 // what caused it may have passed, as far as this proxy knows. What is not in the table stays
 // refused however often it is asked for.
-var retryDelays = map[defect.Code]func(given *schema.ProxyOptions) time.Duration{
+var retryDelays = map[errs.Code]func(given *schema.ProxyOptions) time.Duration{
 	// The lease is asked for, and workers and setups are told, that often.
-	defect.NoLease:           renewalInterval,
-	defect.NoWorker:          renewalInterval,
-	defect.WorkerDraining:    renewalInterval,
-	defect.WrongInstance:     renewalInterval,
-	defect.ProxyWarmingUp:    renewalInterval,
-	defect.StalePlan:         renewalInterval,
-	defect.VersionNotAllowed: renewalInterval,
-	defect.NoQuorum:          renewalInterval,
+	errs.NoLease:           renewalInterval,
+	errs.NoWorker:          renewalInterval,
+	errs.WorkerDraining:    renewalInterval,
+	errs.WrongInstance:     renewalInterval,
+	errs.ProxyWarmingUp:    renewalInterval,
+	errs.StalePlan:         renewalInterval,
+	errs.VersionNotAllowed: renewalInterval,
+	errs.NoQuorum:          renewalInterval,
 	// A claim's round, after which the registries may answer again.
-	defect.IdempotencyKeyNotReserved: func(given *schema.ProxyOptions) time.Duration {
+	errs.IdempotencyKeyNotReserved: func(given *schema.ProxyOptions) time.Duration {
 		return session.ReservationRoundTimeout(time.Duration(given.Lease))
 	},
 	// Whoever has the key or the room has ended by its own deadline.
-	defect.IdempotencyKeyUnresolved: typicalCallTime,
-	defect.DeadlineExceeded:         typicalCallTime,
-	defect.QueueFull:                typicalCallTime,
-	defect.DuplicateRequest:         typicalCallTime,
+	errs.IdempotencyKeyUnresolved: typicalCallTime,
+	errs.DeadlineExceeded:         typicalCallTime,
+	errs.QueueFull:                typicalCallTime,
+	errs.DuplicateRequest:         typicalCallTime,
 	// A worker or proxy that failed is tried last for so long.
-	defect.PeerConnectionLost:   ejectionTime,
-	defect.PeerConnectFailed:    ejectionTime,
-	defect.WorkerConnectionLost: ejectionTime,
-	defect.WorkerConnectFailed:  ejectionTime,
-	defect.InvalidResponse:      ejectionTime,
-	defect.ProxyDraining:        func(given *schema.ProxyOptions) time.Duration { return time.Duration(given.Drain) },
+	errs.PeerConnectionLost:   ejectionTime,
+	errs.PeerConnectFailed:    ejectionTime,
+	errs.WorkerConnectionLost: ejectionTime,
+	errs.WorkerConnectFailed:  ejectionTime,
+	errs.InvalidResponse:      ejectionTime,
+	errs.ProxyDraining:        func(given *schema.ProxyOptions) time.Duration { return time.Duration(given.Drain) },
 }
 
 func renewalInterval(opts *schema.ProxyOptions) time.Duration {
@@ -53,7 +53,7 @@
 
 // retryAfter is when asking again makes sense after a failure, 0 if it does not.
 func (s *Server) retryAfter(err error) time.Duration {
-	if delay := retryDelays[defect.CodeOf(err)]; delay != nil {
+	if delay := retryDelays[errs.CodeOf(err)]; delay != nil {
 		return delay(s.currentOptions())
 	}
 	return 0
--- a/internal/proxy/session_test.go
+++ b/internal/proxy/session_test.go
@@ -12,12 +12,12 @@
 
 	"meadowhinge/internal/daemon"
 	"meadowhinge/internal/dispatch"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/fakebackend"
 	"meadowhinge/internal/proxy"
 	"meadowhinge/internal/registry"
 	"meadowhinge/internal/session"
-	"meadowhinge/internal/standin"
 	"meadowhinge/internal/store"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -51,12 +51,12 @@
 }
 
 func newTestCore(t *testing.T) *testCore {
-	octet, claim, err := standin.ReserveLoopbackNet()
+	octet, claim, err := fakebackend.ReserveLoopbackNet()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { claim.Close() })
-	c := &testCore{t: t, port: standin.FirstPort, subnet: fmt.Sprintf("127.%d.0", octet)}
+	c := &testCore{t: t, port: fakebackend.FirstPort, subnet: fmt.Sprintf("127.%d.0", octet)}
 	for i := range 3 {
 		c.hosts = append(c.hosts, fmt.Sprint(c.subnet, ".10", i))
 	}
@@ -97,7 +97,7 @@
 // change hands a change to a store and waits until it is decided.
 func (c *testCore) change(i int, change *schema.Change) {
 	c.t.Helper()
-	rpcTransport := link.NewPlaintext("registry", "operator", nil)
+	rpcTransport := transport.NewPlaintext("registry", "operator", nil)
 	defer rpcTransport.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
--- a/internal/proxy/settle_test.go
+++ b/internal/proxy/settle_test.go
@@ -8,15 +8,15 @@
 	"github.com/go-logr/logr"
 
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/link"
 	"meadowhinge/internal/session"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
 // Workers that describe themselves before the proxy's incarnation is settled do not keep its own
 // picture from what it tells afterwards, whatever that incarnation is.
 func TestHeartbeatsBeforeIncarnationIsEstablished(t *testing.T) {
-	rpcTransport := link.NewPlaintext("proxy", "p", nil)
+	rpcTransport := transport.NewPlaintext("proxy", "p", nil)
 	t.Cleanup(rpcTransport.Close)
 	// Incarnations are drawn, so one try in two would hide it.
 	for range 32 {
--- a/internal/proxy/view.go
+++ b/internal/proxy/view.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/plan"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -30,8 +30,8 @@
 
 // MeshState is all that is folded from the journal; readers take its plan view.
 type MeshState struct {
-	items            setup.State
-	config           *setup.Snapshot
+	items            config.State
+	config           *config.Snapshot
 	sources          map[string]sourceRecord
 	droppedVersions  map[string]*schema.SourceVersion // of sources dropped as silent: only newer news brings one back
 	workers          map[string]workerRecord          // by instance of a worker
@@ -61,8 +61,8 @@
 
 // EmptyMeshState is what a proxy knows at first: nothing.
 func EmptyMeshState() MeshState {
-	compiled, _ := setup.Compile(setup.State{}, 0)
-	return MeshState{items: setup.State{}, config: compiled, sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.SourceVersion{}, workers: map[string]workerRecord{}, directory: plan.Directory{},
+	compiled, _ := config.Compile(config.State{}, 0)
+	return MeshState{items: config.State{}, config: compiled, sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.SourceVersion{}, workers: map[string]workerRecord{}, directory: plan.Directory{},
 		view: &plan.View{Config: compiled, Directory: plan.Directory{}}}
 }
 
@@ -72,7 +72,7 @@
 	after := before
 	if event.ConfigRevision > before.config.Revision {
 		after.items = before.items.Apply(event.Items, event.Complete)
-		after.config, _ = setup.CompileIncremental(before.config, after.items, event.ConfigRevision)
+		after.config, _ = config.CompileIncremental(before.config, after.items, event.ConfigRevision)
 		after.appliedRevisions = append(append([]appliedRevision(nil), before.appliedRevisions...), appliedRevision{event.ConfigRevision, event.At})
 		if len(after.appliedRevisions) > maxAppliedRevisions {
 			after.appliedRevisions = after.appliedRevisions[1:]
@@ -206,7 +206,7 @@
 func (m MeshState) ConfigRevision() uint64 { return m.config.Revision }
 
 // Items is the items of the setup in use.
-func (m MeshState) Items() setup.State { return m.items }
+func (m MeshState) Items() config.State { return m.items }
 
 // Outdated tells whether a setup was replaced longer ago than a bound.
 func (m MeshState) Outdated(revision uint64, now, grace time.Duration) bool {
--- a/internal/registry/attend.go
+++ b/internal/registry/attend.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/session"
 	"meadowhinge/schema"
 )
@@ -50,7 +50,7 @@
 		return err
 	}
 	if (request.Source != nil && request.Source.Name != request.Node) || (request.Tentative && fromRegistry) {
-		return defect.New(defect.Unauthorized, request.Node)
+		return errs.New(errs.Unauthorized, request.Node)
 	}
 	s.lock.Lock()
 	s.fleetState.CompareSetting(request.Node, "lease", time.Duration(request.LeaseNanos).String(), s.leaseDuration.String(), request.LeaseNanos != 0)
@@ -168,7 +168,7 @@
 	for ctx.Err() == nil {
 		memberID, err := s.runPeerSubscription(ctx, address)
 		if memberID != "" && ctx.Err() == nil {
-			s.log.V(1).Info("registry lost", "at", address, "why", defect.CodeOf(err))
+			s.log.V(1).Info("registry lost", "at", address, "why", errs.CodeOf(err))
 		}
 		s.waitLeaseFraction(ctx, retryPauseDivisor)
 	}
@@ -187,12 +187,12 @@
 	s.lock.Unlock()
 	stream, err := schema.NewDRPCRegistryClient(s.rpcTransport.Conn(bounded, address)).Attend(bounded, request)
 	if err != nil {
-		return "", defect.Wrap(err, defect.PeerConnectFailed, address)
+		return "", errs.Wrap(err, errs.PeerConnectFailed, address)
 	}
 	for {
 		update, err := stream.Recv()
 		if err != nil {
-			return memberID, defect.Wrap(err, defect.PeerConnectionLost, address)
+			return memberID, errs.Wrap(err, errs.PeerConnectionLost, address)
 		}
 		watchdog.Reset(s.leaseDuration)
 		if memberID == "" {
--- a/internal/registry/daemon.go
+++ b/internal/registry/daemon.go
@@ -14,12 +14,13 @@
 	"google.golang.org/protobuf/proto"
 	"storj.io/drpc/drpcmux"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/options"
 	"meadowhinge/internal/session"
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/statuspage"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -41,7 +42,7 @@
 	operatorAPI       OperatorAPI
 	leaseDuration     time.Duration
 	advertisedAddress string
-	rpcTransport      *link.Transport
+	rpcTransport      *transport.Transport
 	log               logr.Logger
 	startedAt         time.Time
 	incarnation       uint64
@@ -49,8 +50,8 @@
 	lock          sync.Mutex
 	fleetState    *FleetState
 	reservations  *ReservationTable
-	configState   setup.State
-	snapshot      *setup.Snapshot // compiled; of an earlier state unless fresh
+	configState   config.State
+	snapshot      *config.Snapshot // compiled; of an earlier state unless fresh
 	snapshotFresh bool
 	fleetSize     *session.FleetSize
 	coreMembers   map[string]*schema.CoreMember
@@ -80,12 +81,12 @@
 )
 
 // newTransport opens this registry's links as the settings have them.
-func newTransport(opts *schema.RegistryOptions) (*link.Transport, error) {
-	localAddress := link.WithLocalAddress(opts.Listen)
+func newTransport(opts *schema.RegistryOptions) (*transport.Transport, error) {
+	localAddress := transport.WithLocalAddress(opts.Listen)
 	if opts.Links == linksPlaintext {
-		return link.NewPlaintext("registry", opts.Seat, nil, localAddress), nil
+		return transport.NewPlaintext("registry", opts.Seat, nil, localAddress), nil
 	}
-	return link.NewTLS(opts.Certificate, opts.Authority, localAddress)
+	return transport.NewTLS(opts.Certificate, opts.Authority, localAddress)
 }
 
 // Run serves a registry until ctx ends.
@@ -96,11 +97,11 @@
 	}
 	defer rpcTransport.Close()
 	if self := rpcTransport.Self(); self.Role != "registry" || self.Name != opts.Seat {
-		return defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not registry %q", self.Role, self.Name, opts.Seat))
+		return errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not registry %q", self.Role, self.Name, opts.Seat))
 	}
 	// A claim must outlive every call that may still run under it, and the leases of that time.
 	if opts.KeyWindow < minWindowLeases*opts.Lease {
-		return defect.New(defect.InvalidOptions, fmt.Sprintf("key-window: must be at least %d leases", minWindowLeases))
+		return errs.New(errs.InvalidOptions, fmt.Sprintf("key-window: must be at least %d leases", minWindowLeases))
 	}
 	address := opts.Advertise
 	if address == "" {
@@ -111,7 +112,7 @@
 		opts.Seat = ipOf(address)
 	}
 	s := &Server{initialOptions: opts, memberOrder: options.SplitList(opts.Order), leaseDuration: time.Duration(opts.Lease), advertisedAddress: address, rpcTransport: rpcTransport, log: frame.Log,
-		startedAt: time.Now(), incarnation: session.NextIncarnation(0), configState: setup.State{}, coreMembers: map[string]*schema.CoreMember{}, stateChanged: make(chan struct{}), heartbeatTick: make(chan struct{}), pendingChanges: map[string]*pendingChange{}, rollout: rolloutState{predecessors: map[string]*predecessor{}, stepsInFlight: map[string]bool{}}}
+		startedAt: time.Now(), incarnation: session.NextIncarnation(0), configState: config.State{}, coreMembers: map[string]*schema.CoreMember{}, stateChanged: make(chan struct{}), heartbeatTick: make(chan struct{}), pendingChanges: map[string]*pendingChange{}, rollout: rolloutState{predecessors: map[string]*predecessor{}, stepsInFlight: map[string]bool{}}}
 	for _, applyOption := range runOptions {
 		applyOption(s)
 	}
@@ -120,22 +121,22 @@
 	s.fleetState = NewFleetState(FleetStateOptions{MemberID: opts.Seat, Lease: s.leaseDuration, MaxSources: int(opts.SourcesMost), MaxCounts: int(opts.CountsMost), WithoutLeases: s.acknowledgesAfterCommit()})
 	s.reservations = NewReservationTable(ReservationOptions{Lease: s.leaseDuration, Window: time.Duration(opts.KeyWindow), MaxReservations: int(opts.ClaimsMost), MemberCount: len(s.members())})
 	s.fleetState.SetMemberCount(len(s.members()))
-	s.snapshot, _ = setup.Compile(s.configState, 0)
+	s.snapshot, _ = config.Compile(s.configState, 0)
 	s.coreMembers[opts.Seat] = &schema.CoreMember{Id: opts.Seat, Address: address, Incarnation: s.incarnation, Zone: opts.Area}
 	frame.WatchSettings(ctx, s.leaseDuration, func(updated proto.Message) { s.liveOptions.Store(updated.(*schema.RegistryOptions)) })
 	s.store = schema.NewDRPCStoreClient(rpcTransport.Conn(ctx, opts.Store))
 
 	listener, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
-		return defect.Wrap(err, defect.InvalidOptions, "listen")
+		return errs.Wrap(err, errs.InvalidOptions, "listen")
 	}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterRegistry(mux, s); err != nil {
-		return defect.Wrap(err, defect.Internal, "mux")
+		return errs.Wrap(err, errs.Internal, "mux")
 	}
 	frame.AddPage("/certificate", rpcTransport.Certificate)
 	frame.AddPage("/traffic", func() any { return rpcTransport.Traffic() })
-	frame.AddPage("/status", func() any { status, _ := s.Look(ctx, nil); return status })
+	frame.AddPage("/status", func() any { return statuspage.RegistryOf(s.registryStatus()) })
 	if err := frame.ServeProbes(opts.ProbeListen, s.readiness); err != nil {
 		return err
 	}
@@ -163,7 +164,7 @@
 	}
 	draining, cancel := context.WithTimeout(context.Background(), time.Duration(s.currentOptions().Drain))
 	defer cancel()
-	return defect.Wrap(operatorServer.ShutdownWithContext(draining), defect.Internal, "operators still waiting at the end of the drain time")
+	return errs.Wrap(operatorServer.ShutdownWithContext(draining), errs.Internal, "operators still waiting at the end of the drain time")
 }
 
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
@@ -436,18 +437,18 @@
 
 // requireProxy tells whether the peer is the proxy it says it is.
 func (s *Server) requireProxy(ctx context.Context, name string) error {
-	if peer := link.PeerFromContext(ctx); peer.Role != "proxy" || peer.Name != name {
+	if peer := transport.PeerFromContext(ctx); peer.Role != "proxy" || peer.Name != name {
 		s.rpcTransport.RejectedPeers.Add(1)
-		return defect.New(defect.Unauthorized, name)
+		return errs.New(errs.Unauthorized, name)
 	}
 	return nil
 }
 
 // requireRegistry tells whether the peer is another registry.
 func (s *Server) requireRegistry(ctx context.Context) error {
-	if peer := link.PeerFromContext(ctx); peer.Role != "registry" {
+	if peer := transport.PeerFromContext(ctx); peer.Role != "registry" {
 		s.rpcTransport.RejectedPeers.Add(1)
-		return defect.New(defect.Unauthorized, peer.Role)
+		return errs.New(errs.Unauthorized, peer.Role)
 	}
 	return nil
 }
@@ -537,7 +538,7 @@
 		return nil, err
 	}
 	if report.Source != nil && report.Source.Name != report.Proxy {
-		return nil, defect.New(defect.Unauthorized, report.Source.Name)
+		return nil, errs.New(errs.Unauthorized, report.Source.Name)
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -576,6 +577,10 @@
 
 // Look gives this registry's status.
 func (s *Server) Look(context.Context, *schema.Empty) (*schema.RegistryStatus, error) {
+	return s.registryStatus(), nil
+}
+
+func (s *Server) registryStatus() *schema.RegistryStatus {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	now := s.now()
@@ -583,7 +588,7 @@
 	return &schema.RegistryStatus{Member: s.initialOptions.Seat, GrantsLeases: s.fleetState.GrantsLeases(now), MayControlRollouts: s.mayControlRollouts(), Committed: s.fleetState.committedRevision, Leases: s.fleetState.Leases(now),
 		Sessions: uint32(s.fleetState.SessionCount()), FleetSize: uint32(s.fleetState.LiveProxies(now)), StalenessKnown: confirmed, StalenessNanos: int64(age), Reachable: s.fleetState.ReachableRegistries(now),
 		StaleSteps: s.staleSteps.Load(), RefusedPeers: s.rpcTransport.RejectedPeers.Load(),
-		KeyReservations: uint64(s.reservations.Len()), ReservationsAuthoritative: s.reservations.IsAuthoritative(now), RefusedReservations: s.reservations.Refused, ConflictingSettings: s.fleetState.SettingMismatches()}, nil
+		KeyReservations: uint64(s.reservations.Len()), ReservationsAuthoritative: s.reservations.IsAuthoritative(now), RefusedReservations: s.reservations.Refused, ConflictingSettings: s.fleetState.SettingMismatches()}
 }
 
 // digestBytes is the length of a claim's digests.
@@ -591,7 +596,7 @@
 
 // Claim rules on the keys that a proxy wants to run.
 func (s *Server) Claim(ctx context.Context, request *schema.ReserveRequest) (*schema.ReserveReply, error) {
-	peer := link.PeerFromContext(ctx)
+	peer := transport.PeerFromContext(ctx)
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	now := s.now()
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -11,12 +11,13 @@
 
 	"github.com/valyala/fasthttp"
 
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/configsource"
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/session"
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/statement"
+	"meadowhinge/internal/statuspage"
 	"meadowhinge/schema"
 )
 
@@ -37,7 +38,7 @@
 	LaggingProxies  []string             `json:"waiting,omitempty"` // proxies that may still use older rules
 	CurrentVersions map[string]uint64    `json:"current,omitempty"`
 	CurrentItems    []ItemView           `json:"standing,omitempty"` // on a conflict: what stands, and whose it is
-	ErrorCode       defect.Code          `json:"defect,omitempty"`
+	ErrorCode       errs.Code            `json:"defect,omitempty"`
 	Faults          []*schema.FieldError `json:"faults,omitempty"`
 }
 
@@ -45,13 +46,13 @@
 var rulings = map[schema.Ruling]struct {
 	name   string
 	status int
-	defect defect.Code
+	defect errs.Code
 }{
 	schema.Ruling_RULING_ACCEPTED: {"accepted", fasthttp.StatusOK, ""},
-	schema.Ruling_RULING_INVALID:  {"invalid", fasthttp.StatusBadRequest, defect.InvalidConfig},
-	schema.Ruling_RULING_CONFLICT: {"conflict", fasthttp.StatusConflict, defect.Conflict},
-	schema.Ruling_RULING_STALE:    {"stale", fasthttp.StatusConflict, defect.StaleTerm},
-	schema.Ruling_RULING_UNKNOWN:  {"unknown", fasthttp.StatusServiceUnavailable, defect.NoQuorum},
+	schema.Ruling_RULING_INVALID:  {"invalid", fasthttp.StatusBadRequest, errs.InvalidConfig},
+	schema.Ruling_RULING_CONFLICT: {"conflict", fasthttp.StatusConflict, errs.Conflict},
+	schema.Ruling_RULING_STALE:    {"stale", fasthttp.StatusConflict, errs.StaleTerm},
+	schema.Ruling_RULING_UNKNOWN:  {"unknown", fasthttp.StatusServiceUnavailable, errs.NoQuorum},
 }
 
 func newChangeResponse(id string, outcome *schema.ChangeOutcome) (int, *ChangeResponse) {
@@ -62,7 +63,7 @@
 		if response.CurrentVersions == nil {
 			response.CurrentVersions = map[string]uint64{}
 		}
-		response.CurrentVersions[setup.Key(expected.Kind, expected.Name)] = expected.Sequence
+		response.CurrentVersions[config.Key(expected.Kind, expected.Name)] = expected.Sequence
 	}
 	return ruling.status, response
 }
@@ -71,7 +72,7 @@
 func (s *Server) serveOperators(address string) (*fasthttp.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.InvalidOptions, "operator-listen")
+		return nil, errs.Wrap(err, errs.InvalidOptions, "operator-listen")
 	}
 	// Each path and method has one page; what is not in the table does not exist.
 	handlers := map[string]func(*fasthttp.RequestCtx){
@@ -100,7 +101,7 @@
 			}
 			handler, found := handlers[string(call.Method())+" "+path]
 			if !found {
-				daemon.WriteError(call, defect.New(defect.RouteNotFound, path), "", nil)
+				daemon.WriteError(call, errs.New(errs.RouteNotFound, path), "", nil)
 				return
 			}
 			handler(call)
@@ -110,11 +111,11 @@
 			}
 		},
 		ErrorHandler: func(call *fasthttp.RequestCtx, err error) {
-			code := defect.MalformedRequest
+			code := errs.MalformedRequest
 			if err == fasthttp.ErrBodyTooLarge {
-				code = defect.BodyTooLarge
+				code = errs.BodyTooLarge
 			}
-			daemon.WriteError(call, defect.Wrap(err, code, "request"), "", nil)
+			daemon.WriteError(call, errs.Wrap(err, code, "request"), "", nil)
 		}}
 	go func() { _ = server.Serve(listener) }()
 	return server, nil
@@ -125,16 +126,16 @@
 	decoder := json.NewDecoder(strings.NewReader(string(call.PostBody())))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(request); err != nil {
-		daemon.WriteError(call, defect.Wrap(err, defect.MalformedRequest, "change"), "", nil)
+		daemon.WriteError(call, errs.Wrap(err, errs.MalformedRequest, "change"), "", nil)
 		return
 	}
 	if request.ID == "" || len(request.ID) > 128 {
-		daemon.WriteError(call, defect.New(defect.MalformedRequest, "a change needs an id of 1 to 128 bytes"), "", nil)
+		daemon.WriteError(call, errs.New(errs.MalformedRequest, "a change needs an id of 1 to 128 bytes"), "", nil)
 		return
 	}
-	items, faults := statement.Parse([]byte(request.Config))
+	items, faults := configsource.Parse([]byte(request.Config))
 	if len(faults) > 0 {
-		daemon.WriteJSON(call, fasthttp.StatusBadRequest, &ChangeResponse{ID: request.ID, Ruling: "invalid", ErrorCode: defect.InvalidConfig, Faults: faults})
+		daemon.WriteJSON(call, fasthttp.StatusBadRequest, &ChangeResponse{ID: request.ID, Ruling: "invalid", ErrorCode: errs.InvalidConfig, Faults: faults})
 		return
 	}
 	change := &schema.Change{Id: request.ID, Items: items}
@@ -147,14 +148,14 @@
 	reply := s.propose(bounded, change)
 	if reply == nil {
 		// Not known is not refused: the change may yet come into force, so the id is to be asked about.
-		daemon.WriteJSON(call, fasthttp.StatusServiceUnavailable, &ChangeResponse{ID: request.ID, Ruling: "unknown", ErrorCode: defect.NoQuorum})
+		daemon.WriteJSON(call, fasthttp.StatusServiceUnavailable, &ChangeResponse{ID: request.ID, Ruling: "unknown", ErrorCode: errs.NoQuorum})
 		return
 	}
 	status, response := newChangeResponse(request.ID, reply.Outcome)
 	if reply.Outcome.Ruling == schema.Ruling_RULING_CONFLICT {
 		s.lock.Lock()
 		for _, item := range items {
-			if current := s.configState[setup.Key(item.Kind, item.Name)]; current != nil && !current.Deleted {
+			if current := s.configState[config.Key(item.Kind, item.Name)]; current != nil && !current.Deleted {
 				response.CurrentItems = append(response.CurrentItems, newItemView(current))
 			}
 		}
@@ -191,11 +192,11 @@
 	defer cancel()
 	reply, err := s.store.Inquire(bounded, &schema.ChangeQuery{ChangeId: id})
 	if err != nil {
-		daemon.WriteError(call, defect.Wrap(err, defect.NoQuorum, "store"), "", nil)
+		daemon.WriteError(call, errs.Wrap(err, errs.NoQuorum, "store"), "", nil)
 		return
 	}
 	if reply.Undecided {
-		daemon.WriteError(call, defect.New(defect.ChangeNotFound, id), "", nil)
+		daemon.WriteError(call, errs.New(errs.ChangeNotFound, id), "", nil)
 		return
 	}
 	_, response := newChangeResponse(id, reply.Outcome)
@@ -295,11 +296,11 @@
 	s.lock.Unlock()
 	// A registry that has not caught up might show an older setup than was shown before.
 	if !caughtUp {
-		daemon.WriteError(call, defect.New(defect.NoQuorum, "this registry has not caught up"), "", nil)
+		daemon.WriteError(call, errs.New(errs.NoQuorum, "this registry has not caught up"), "", nil)
 		return
 	}
 	for _, item := range items {
-		if !item.Deleted && item.Kind != setup.KindPurged {
+		if !item.Deleted && item.Kind != config.KindPurged {
 			view.Items = append(view.Items, newItemView(item))
 		}
 	}
@@ -341,17 +342,17 @@
 }
 
 // configSnapshot is the stable setup; it is compiled only when somebody asks.
-func (s *Server) configSnapshot() *setup.Snapshot {
+func (s *Server) configSnapshot() *config.Snapshot {
 	snapshot, _ := s.configSnapshotAndState()
 	return snapshot
 }
 
 // configSnapshotAndState is the stable setup beside the items it was made of.
-func (s *Server) configSnapshotAndState() (*setup.Snapshot, setup.State) {
+func (s *Server) configSnapshotAndState() (*config.Snapshot, config.State) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if !s.snapshotFresh {
-		s.snapshot, _ = setup.CompileIncremental(s.snapshot, s.configState, s.fleetState.committedRevision)
+		s.snapshot, _ = config.CompileIncremental(s.snapshot, s.configState, s.fleetState.committedRevision)
 		s.snapshotFresh = true
 	}
 	return s.snapshot, s.configState
@@ -429,24 +430,27 @@
 
 // CoreStatus is the core as operators see it.
 type CoreStatus struct {
-	Store       *schema.ReplicaStatus    `json:"store,omitempty"`
-	Registries  []*schema.RegistryStatus `json:"registries"`
-	CoreMembers []*schema.CoreMember     `json:"cores"`
+	Store       *statuspage.Replica      `json:"store,omitempty"`
+	Registries  []*statuspage.Registry   `json:"registries"`
+	CoreMembers []*statuspage.CoreMember `json:"cores"`
 	LiveProxies int                      `json:"members"`
 }
 
 func (s *Server) handleStatus(call *fasthttp.RequestCtx) {
 	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/session.RenewalsPerLease)
 	defer cancel()
-	local, _ := s.Look(bounded, nil)
-	status := &CoreStatus{Registries: append([]*schema.RegistryStatus{local}, callOtherRegistries(bounded, s, s.leaseDuration/session.RenewalsPerLease,
+	statuses := append([]*schema.RegistryStatus{s.registryStatus()}, callOtherRegistries(bounded, s, s.leaseDuration/session.RenewalsPerLease,
 		func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.RegistryStatus, error) {
 			return peer.Look(ctx, &schema.Empty{})
-		})...)}
-	sort.Slice(status.Registries, func(i, j int) bool { return status.Registries[i].Member < status.Registries[j].Member })
-	status.Store, _ = s.store.Look(bounded, &schema.Empty{})
+		})...)
+	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Member < statuses[j].Member })
+	status := &CoreStatus{Registries: statuspage.RegistriesOf(statuses)}
+	// A store that does not answer is left out of the page.
+	if replica, err := s.store.Look(bounded, &schema.Empty{}); err == nil {
+		status.Store = statuspage.ReplicaOf(replica)
+	}
 	s.lock.Lock()
-	status.CoreMembers, status.LiveProxies = s.reachableMembers(), s.fleetState.LiveProxies(s.now())
+	status.CoreMembers, status.LiveProxies = statuspage.CoreMembersOf(s.reachableMembers()), s.fleetState.LiveProxies(s.now())
 	s.lock.Unlock()
 	daemon.WriteJSON(call, fasthttp.StatusOK, status)
 }
@@ -466,7 +470,7 @@
 type ExplainResponse struct {
 	Route      string       `json:"route"`
 	Service    string       `json:"service"`
-	Class      setup.Class  `json:"class"`
+	Class      config.Class `json:"class"`
 	Deadline   string       `json:"horizon"`
 	Verdict    plan.Verdict `json:"verdict"`
 	Candidates []string     `json:"pool"`
@@ -487,7 +491,7 @@
 func (s *Server) handleExplain(call *fasthttp.RequestCtx) {
 	query := &ExplainRequest{}
 	if err := json.Unmarshal(call.PostBody(), query); err != nil {
-		daemon.WriteError(call, defect.Wrap(err, defect.MalformedRequest, "question"), "", nil)
+		daemon.WriteError(call, errs.Wrap(err, errs.MalformedRequest, "question"), "", nil)
 		return
 	}
 	snapshot := s.configSnapshot()
@@ -501,7 +505,7 @@
 	request := &plan.Request{Caller: query.Caller, Host: query.Host, Identity: query.Identity, Method: query.Method, Path: query.Path,
 		Header: func(name string) (string, bool) { value, found := headers[strings.ToLower(name)]; return value, found }}
 	decision, err := plan.Make(view, request, plan.Options{Zone: query.Zone, MaxDeadline: time.Hour}, noFacts{}, 0, func() float64 { return 0 })
-	refused := defect.CodeOf(err) == defect.PolicyDenied && err != nil
+	refused := errs.CodeOf(err) == errs.PolicyDenied && err != nil
 	// A service of which no version is known yet has a verdict that says so.
 	if err != nil && decision == nil {
 		daemon.WriteError(call, err, "", nil)
--- a/internal/registry/speech.go
+++ b/internal/registry/speech.go
@@ -9,7 +9,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/release"
 	"meadowhinge/schema"
 )
@@ -138,7 +138,7 @@
 		snapshot, state := s.configSnapshotAndState()
 		step, err := release.PlanRollout(snapshot, state, release.RolloutOrder{Service: service, Version: version, Within: duration})
 		switch {
-		case err != nil && defect.CodeOf(err) == defect.InvalidConfig:
+		case err != nil && errs.CodeOf(err) == errs.InvalidConfig:
 			return &schema.ChangeOutcome{Ruling: schema.Ruling_RULING_INVALID, Faults: []*schema.FieldError{{Path: "release." + service, Reason: err.Error()}}}
 		case err != nil:
 			return nil
--- a/internal/registry/steer.go
+++ b/internal/registry/steer.go
@@ -8,10 +8,10 @@
 
 	"github.com/valyala/fasthttp"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/daemon"
 	"meadowhinge/internal/release"
 	"meadowhinge/internal/session"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -156,7 +156,7 @@
 
 // writeStepAsync writes a step on the side, unless the one before it is still on its way. One that turns a
 // version back waits for none.
-func (s *Server) writeStepAsync(ctx context.Context, step release.Step, serial uint64, state setup.State) {
+func (s *Server) writeStepAsync(ctx context.Context, step release.Step, serial uint64, state config.State) {
 	key := fmt.Sprint(step.Name, step.Urgent)
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/rehearsal/caller.go
+++ b/internal/rehearsal/caller.go
@@ -14,7 +14,7 @@
 	"github.com/valyala/fasthttp"
 
 	"meadowhinge/internal/dispatch"
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/fakebackend"
 )
 
 // inFlightMost bounds the calls of one caller that wait for an answer.
@@ -151,7 +151,7 @@
 	e.Setup, _ = strconv.ParseUint(header(dispatch.HeaderConfigRevision), 10, 64)
 	e.Tries, _ = strconv.Atoi(header(dispatch.HeaderAttempts))
 	if e.Outcome == "answered" {
-		var got standin.Reply
+		var got fakebackend.Reply
 		if json.Unmarshal(body, &got) == nil {
 			e.Echoed, e.Worker, e.Whole = got.Operation, got.Worker, got.IsIntact()
 		}
--- a/internal/rehearsal/calls.go
+++ b/internal/rehearsal/calls.go
@@ -15,8 +15,8 @@
 	"github.com/valyala/fasthttp"
 	"gonum.org/v1/plot/plotter"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/options"
 	"meadowhinge/schema"
 )
@@ -83,7 +83,7 @@
 	for _, one := range options.SplitList(text) {
 		value, err := strconv.Atoi(one)
 		if err != nil || value < 1 {
-			return nil, defect.New(defect.InvalidOptions, fmt.Sprintf("%q is not a whole number from 1 up", one))
+			return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("%q is not a whole number from 1 up", one))
 		}
 		values = append(values, value)
 	}
@@ -213,13 +213,13 @@
 	}
 	request.SetBody(c.body)
 	if err := client.DoTimeout(request, response, callerTimeout); err != nil {
-		return 0, defect.Wrap(err, defect.PeerConnectionLost, "call")
+		return 0, errs.Wrap(err, errs.PeerConnectionLost, "call")
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return 0, defect.New(defect.InvalidResponse, strconv.Itoa(response.StatusCode()))
+		return 0, errs.New(errs.InvalidResponse, strconv.Itoa(response.StatusCode()))
 	}
 	worked, err := strconv.ParseInt(string(response.Header.Peek(workHeader)), 10, 64)
-	return time.Duration(worked), defect.Wrap(err, defect.InvalidResponse, "work")
+	return time.Duration(worked), errs.Wrap(err, errs.InvalidResponse, "work")
 }
 
 // run makes chains at a rate for the length of a run.
--- a/internal/rehearsal/certificates.go
+++ b/internal/rehearsal/certificates.go
@@ -15,7 +15,7 @@
 	"path/filepath"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // Authority makes the certificates of one mesh.
@@ -32,18 +32,18 @@
 // NewAuthority makes an authority and writes its certificate to folder.
 func NewAuthority(folder string) (*Authority, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		return nil, defect.Wrap(err, defect.DiskFailed, folder)
+		return nil, errs.Wrap(err, errs.DiskFailed, folder)
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, "key")
+		return nil, errs.Wrap(err, errs.Internal, "key")
 	}
 	a := &Authority{folder: folder, key: key, serial: 1}
 	a.root = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "meadowhinge rehearsal"}, IsCA: true,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(validity)}
 	signed, err := x509.CreateCertificate(rand.Reader, a.root, a.root, &key.PublicKey, key)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, "authority")
+		return nil, errs.Wrap(err, errs.Internal, "authority")
 	}
 	return a, writePEM(a.File(), []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}})
 }
@@ -60,7 +60,7 @@
 func (a *Authority) IssueUntil(role, name string, services []string, until time.Time) (string, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return "", defect.Wrap(err, defect.Internal, "key")
+		return "", errs.Wrap(err, errs.Internal, "key")
 	}
 	a.serial++
 	request := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: role + "/" + name},
@@ -72,11 +72,11 @@
 	}
 	signed, err := x509.CreateCertificate(rand.Reader, request, a.root, &key.PublicKey, a.key)
 	if err != nil {
-		return "", defect.Wrap(err, defect.Internal, "certificate")
+		return "", errs.Wrap(err, errs.Internal, "certificate")
 	}
 	private, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return "", defect.Wrap(err, defect.Internal, "key")
+		return "", errs.Wrap(err, errs.Internal, "key")
 	}
 	file := filepath.Join(a.folder, role+"-"+name+".pem")
 	return file, writePEM(file, []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}, {Type: "EC PRIVATE KEY", Bytes: private}})
@@ -87,5 +87,5 @@
 	for _, block := range blocks {
 		text = append(text, pem.EncodeToMemory(block)...)
 	}
-	return defect.Wrap(os.WriteFile(file, text, 0o600), defect.DiskFailed, file)
+	return errs.Wrap(os.WriteFile(file, text, 0o600), errs.DiskFailed, file)
 }
--- a/internal/rehearsal/disk.go
+++ b/internal/rehearsal/disk.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/store"
 	"meadowhinge/schema"
 )
@@ -54,5 +54,5 @@
 // slowDisk makes every sync of a store take longer; 0 makes its disk whole again.
 func (p *Process) slowDisk(by time.Duration) error {
 	file := filepath.Join(filepath.Dir(p.settingsFile), diskFile)
-	return defect.Wrap(os.WriteFile(file, []byte(by.String()), 0o640), defect.DiskFailed, file)
+	return errs.Wrap(os.WriteFile(file, []byte(by.String()), 0o640), errs.DiskFailed, file)
 }
--- a/internal/rehearsal/fleet.go
+++ b/internal/rehearsal/fleet.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/fakebackend"
 )
 
 // Ports, the same on every machine: machines differ by their loopback address.
@@ -57,13 +57,13 @@
 	}
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
-		return defect.Wrap(err, defect.DiskFailed, p.log)
+		return errs.Wrap(err, errs.DiskFailed, p.log)
 	}
 	defer out.Close()
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		return defect.Wrap(err, defect.Internal, p.Name)
+		return errs.Wrap(err, errs.Internal, p.Name)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -212,7 +212,7 @@
 		return nil, err
 	}
 	f := &Fleet{Deployment: d, folder: folder, binaries: binaries, lease: lease, disks: disks, authority: authority, Cuts: NewCuts()}
-	if f.net, f.netHeld, err = standin.ReserveLoopbackNet(); err != nil {
+	if f.net, f.netHeld, err = fakebackend.ReserveLoopbackNet(); err != nil {
 		return nil, err
 	}
 	join := func(from func(int) string, count, port, besides int) string {
@@ -285,7 +285,7 @@
 	}
 	folder := filepath.Join(f.folder, program+"-"+name)
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		return nil, defect.Wrap(err, defect.DiskFailed, folder)
+		return nil, errs.Wrap(err, errs.DiskFailed, folder)
 	}
 	process := &Process{Name: program + "/" + name, program: filepath.Join(f.binaries, program), args: []string{"-settings", filepath.Join(folder, "settings")},
 		settingsFile: filepath.Join(folder, "settings"),
@@ -308,7 +308,7 @@
 	for key, value := range p.settings {
 		fmt.Fprintf(&text, "%s %s\n", key, value)
 	}
-	return defect.Wrap(os.WriteFile(p.settingsFile, []byte(text.String()), 0o640), defect.DiskFailed, p.Name)
+	return errs.Wrap(os.WriteFile(p.settingsFile, []byte(text.String()), 0o640), errs.DiskFailed, p.Name)
 }
 
 // All lists every process, the core first.
@@ -322,7 +322,7 @@
 	for _, process := range processes {
 		for !process.Ready() {
 			if time.Now().After(deadline) {
-				return defect.New(defect.Internal, process.Name+" is not ready in time; see "+process.log)
+				return errs.New(errs.Internal, process.Name+" is not ready in time; see "+process.log)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -346,7 +346,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return defect.New(defect.Internal, fmt.Sprintf("%s knows %d workers of %d", process.Name, status.Known, workers))
+				return errs.New(errs.Internal, fmt.Sprintf("%s knows %d workers of %d", process.Name, status.Known, workers))
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -416,5 +416,5 @@
 // Wipe empties a process's data folder, as a machine that comes back without its disk.
 func (p *Process) Wipe() error {
 	folder := filepath.Join(filepath.Dir(p.log), "data")
-	return defect.Wrap(os.RemoveAll(folder), defect.DiskFailed, folder)
+	return errs.Wrap(os.RemoveAll(folder), errs.DiskFailed, folder)
 }
--- a/internal/rehearsal/hollow_core.go
+++ b/internal/rehearsal/hollow_core.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/fakebackend"
 	"meadowhinge/internal/options"
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -31,7 +31,7 @@
 	}
 	f := &Fleet{Deployment: &Deployment{Name: "hollow", Cores: int(given.Seats), Areas: int(given.Zones)}, folder: given.Folder, binaries: given.Binaries,
 		lease: time.Duration(given.Lease), authority: authority, Cuts: NewCuts()}
-	if f.net, f.netHeld, err = standin.ReserveLoopbackNet(); err != nil {
+	if f.net, f.netHeld, err = fakebackend.ReserveLoopbackNet(); err != nil {
 		return nil, err
 	}
 	seats := f.seats()
@@ -142,7 +142,7 @@
 	heapKB   int
 	diskKB   int
 	written  uint64 // bytes to disk so far
-	traffic  link.Traffic
+	traffic  transport.Traffic
 }
 
 // realProxy is the role of proxies that are processes, where hollow ones are the proxies.
--- a/internal/rehearsal/hollow_members.go
+++ b/internal/rehearsal/hollow_members.go
@@ -12,13 +12,13 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/go-logr/logr"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/daemon"
 	"meadowhinge/internal/dispatch"
 	"meadowhinge/internal/flag"
-	"meadowhinge/internal/link"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/proxy"
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -36,7 +36,7 @@
 	applied []applied                // setups it took into use, in order
 	told    map[uint64]time.Duration // when it made its own last news, by counter
 	life    uint64                   // the incarnation of which told is
-	before  link.Traffic             // of the lives before this one
+	before  transport.Traffic        // of the lives before this one
 }
 
 // applied is a setup that came into use at a member.
@@ -134,7 +134,7 @@
 func reachedBy(given *schema.HollowOptions, member, j int) reached {
 	route := (member*int(given.Reach) + j) % int(given.Routes)
 	service := serviceName(route % int(given.Services))
-	one := reached{route: routeName(route), service: service, flag: setup.VersionFlagKey(service), versions: []string{versionOld}}
+	one := reached{route: routeName(route), service: service, flag: config.VersionFlagKey(service), versions: []string{versionOld}}
 	if route%int(given.Services) < int(given.Releases) {
 		one.versions = append(one.versions, versionNew)
 	}
@@ -246,7 +246,7 @@
 			f.work(m)
 			for _, one := range m.reach {
 				for _, version := range one.versions {
-					held.Count(&dispatch.CallResult{Plan: &plan.Plan{Route: &setup.Route{Name: one.route}, Service: one.service,
+					held.Count(&dispatch.CallResult{Plan: &plan.Plan{Route: &config.Route{Name: one.route}, Service: one.service,
 						Verdict: plan.Verdict{Flag: one.flag, Version: version, Reason: flag.ReasonFallthrough, ConfigRevision: held.ConfigRevision()}},
 						Response: &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}}, time.Millisecond)
 				}
@@ -459,16 +459,16 @@
 const joinCheck = 20 * time.Millisecond
 
 // traffic sums what went over all members' links.
-func (f *hollowFleet) traffic() link.Traffic {
-	var sum link.Traffic
+func (f *hollowFleet) traffic() transport.Traffic {
+	var sum transport.Traffic
 	for _, m := range f.members {
 		sum = sumTraffic(sum, sumTraffic(m.before, m.held().Traffic()))
 	}
 	return sum
 }
 
-func sumTraffic(a, b link.Traffic) link.Traffic {
-	return link.Traffic{In: a.In + b.In, Out: a.Out + b.Out, Opened: a.Opened + b.Opened}
+func sumTraffic(a, b transport.Traffic) transport.Traffic {
+	return transport.Traffic{In: a.In + b.In, Out: a.Out + b.Out, Opened: a.Opened + b.Opened}
 }
 
 // end ends every member.
--- a/internal/rehearsal/hollow_operator.go
+++ b/internal/rehearsal/hollow_operator.go
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/configsource"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/registry"
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/statement"
 	"meadowhinge/schema"
 )
 
@@ -50,36 +50,36 @@
 
 // change states one change at a core machine.
 func (o *hollowOperator) change(core int, text string) (*registry.ChangeResponse, error) {
-	items, faults := statement.Parse([]byte(text))
+	items, faults := configsource.Parse([]byte(text))
 	if len(faults) > 0 {
-		return nil, defect.New(defect.InvalidConfig, fmt.Sprint(faults[0]))
+		return nil, errs.New(errs.InvalidConfig, fmt.Sprint(faults[0]))
 	}
 	o.lock.Lock()
 	o.serial++
 	submission := registry.ChangeRequest{ID: fmt.Sprintf("hollow-%d", o.serial), Config: text, ExpectedVersions: map[string]uint64{}}
 	for _, item := range items {
-		if version := o.held[setup.Key(item.Kind, item.Name)]; version > 0 {
-			submission.ExpectedVersions[setup.Key(item.Kind, item.Name)] = version
+		if version := o.held[config.Key(item.Kind, item.Name)]; version > 0 {
+			submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = version
 		}
 	}
 	o.lock.Unlock()
 	body, err := json.Marshal(submission)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, "change")
+		return nil, errs.Wrap(err, errs.Internal, "change")
 	}
 	entry := statedChange{stated: o.now()}
 	response, err := o.http.Post("http://"+o.core.Operator(core)+"/v1/changes", "application/json", bytes.NewReader(body))
 	if err != nil {
-		return nil, defect.Wrap(err, defect.PeerConnectionLost, "registry")
+		return nil, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
 	defer response.Body.Close()
 	answered, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.PeerConnectionLost, "registry")
+		return nil, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
 	answer := &registry.ChangeResponse{}
 	if err := json.Unmarshal(answered, answer); err != nil {
-		return nil, defect.Wrap(err, defect.MalformedRequest, string(answered))
+		return nil, errs.Wrap(err, errs.MalformedRequest, string(answered))
 	}
 	if answer.Acknowledged {
 		entry.acknowledged = o.now()
@@ -93,7 +93,7 @@
 	}
 	if answer.Ruling == "accepted" {
 		for _, item := range items {
-			o.held[setup.Key(item.Kind, item.Name)] = answer.Sequence
+			o.held[config.Key(item.Kind, item.Name)] = answer.Sequence
 		}
 		o.stated = append(o.stated, entry)
 		o.newest = max(o.newest, answer.Sequence)
@@ -146,10 +146,10 @@
 				break
 			}
 			if err == nil && answer.Ruling == "invalid" {
-				return defect.New(defect.InvalidConfig, fmt.Sprint(answer.Faults))
+				return errs.New(errs.InvalidConfig, fmt.Sprint(answer.Faults))
 			}
 			if tries == foundTries {
-				return defect.New(defect.NoQuorum, fmt.Sprintf("the first setup was not taken: %+v, %v", answer, err))
+				return errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not taken: %+v, %v", answer, err))
 			}
 			if !pause(ctx, foundPause) {
 				return ctx.Err()
--- a/internal/rehearsal/judge.go
+++ b/internal/rehearsal/judge.go
@@ -6,7 +6,7 @@
 	"sort"
 	"time"
 
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/fakebackend"
 )
 
 // Finding is the judgement of one never-rule.
@@ -136,7 +136,7 @@
 			if call.Setup == 0 {
 				continue
 			}
-			place := sort.Search(len(yeses), func(i int) bool { return yeses[i].Got+standin.ConfigPropagationBound > call.Sent }) - 1
+			place := sort.Search(len(yeses), func(i int) bool { return yeses[i].Got+fakebackend.ConfigPropagationBound > call.Sent }) - 1
 			if place < 0 {
 				continue
 			}
@@ -162,7 +162,7 @@
 			sort.Slice(entries, func(i, j int) bool { return entries[i].Asked < entries[j].Asked })
 			highest, next := uint64(0), 0
 			for _, one := range entries {
-				for next < len(byGot) && byGot[next].Got+standin.ConfigRegressionBound < one.Asked {
+				for next < len(byGot) && byGot[next].Got+fakebackend.ConfigRegressionBound < one.Asked {
 					highest = max(highest, byGot[next].Setup)
 					next++
 				}
@@ -210,16 +210,16 @@
 				}
 			}
 			f.Judged += all
-			if float64(len(its)) > standin.FaultyVersionRatio*float64(all)+standin.FaultyVersionFloor {
+			if float64(len(its)) > fakebackend.FaultyVersionRatio*float64(all)+fakebackend.FaultyVersionFloor {
 				f.breach("%s %s got %d of %d calls after it turned bad", bad.Service, bad.Version, len(its), all)
 			}
 			slices.Sort(failures)
-			if len(failures) < standin.FaultyVersionFailures {
+			if len(failures) < fakebackend.FaultyVersionFailures {
 				continue
 			}
 			for _, at := range its {
-				if at > failures[standin.FaultyVersionFailures-1]+standin.FaultyVersionBound {
-					f.breach("%s %s got a call %v after failure 50", bad.Service, bad.Version, at-failures[standin.FaultyVersionFailures-1])
+				if at > failures[fakebackend.FaultyVersionFailures-1]+fakebackend.FaultyVersionBound {
+					f.breach("%s %s got a call %v after failure 50", bad.Service, bad.Version, at-failures[fakebackend.FaultyVersionFailures-1])
 				}
 			}
 		}
@@ -234,12 +234,12 @@
 			first, extras := 0, 0
 			for i, call := range calls {
 				extras += max(0, call.Tries-1)
-				for calls[first].Sent < call.Sent-standin.RetryBudgetWindow {
+				for calls[first].Sent < call.Sent-fakebackend.RetryBudgetWindow {
 					extras -= max(0, calls[first].Tries-1)
 					first++
 				}
 				f.Judged++
-				if bound := standin.RetryBudgetRatio*float64(i-first+1) + standin.RetryBudgetFloor; float64(extras) > bound {
+				if bound := fakebackend.RetryBudgetRatio*float64(i-first+1) + fakebackend.RetryBudgetFloor; float64(extras) > bound {
 					f.breach("%s had %d extra tries on %d calls in the 10 s up to %v", service, extras, i-first+1, call.Sent)
 				}
 			}
