--- a/internal/rehearsal/operator.go
+++ b/internal/rehearsal/operator.go
@@ -8,10 +8,10 @@
 	"net/http"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/configsource"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/registry"
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/statement"
 )
 
 // Operator is a stand-in operator: it states changes and writes down what it was told.
@@ -35,14 +35,14 @@
 	request, _ := http.NewRequest(method, "http://"+o.fleet.Operator(core)+path, bytes.NewReader(text))
 	response, err := o.http.Do(request)
 	if err != nil {
-		return 0, defect.Wrap(err, defect.PeerConnectionLost, "registry")
+		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
 	if err != nil {
-		return 0, defect.Wrap(err, defect.PeerConnectionLost, "registry")
+		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
-	return response.StatusCode, defect.Wrap(json.Unmarshal(answer, into), defect.MalformedRequest, string(answer))
+	return response.StatusCode, errs.Wrap(json.Unmarshal(answer, into), errs.MalformedRequest, string(answer))
 }
 
 // Shown reads the setup at a core machine and writes down what it showed.
@@ -51,11 +51,11 @@
 	shown := &registry.ConfigView{}
 	status, err := o.ask(core, http.MethodGet, "/v1/setup", nil, shown)
 	if err != nil || status != http.StatusOK {
-		return nil, defect.New(defect.NoQuorum, fmt.Sprintf("status %d: %v", status, err))
+		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("status %d: %v", status, err))
 	}
 	entry.Got, entry.Setup = o.now(), shown.Sequence
 	for _, item := range shown.Items {
-		entry.Items = append(entry.Items, setup.Key(item.Kind, item.Name))
+		entry.Items = append(entry.Items, config.Key(item.Kind, item.Name))
 	}
 	note(o.ledger, &o.ledger.Shown, entry)
 	return shown, nil
@@ -68,11 +68,11 @@
 	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.serial), Invalid: marker != "", Marker: marker}
 	submission := registry.ChangeRequest{ID: entry.ID, Config: text, ExpectedVersions: map[string]uint64{}}
 	if shown, err := o.Shown(core); err == nil {
-		items, _ := statement.Parse([]byte(text))
+		items, _ := configsource.Parse([]byte(text))
 		for _, item := range items {
 			for _, held := range shown.Items {
 				if held.Kind == item.Kind && held.Name == item.Name {
-					submission.ExpectedVersions[setup.Key(item.Kind, item.Name)] = held.Version
+					submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = held.Version
 				}
 			}
 		}
@@ -129,7 +129,7 @@
 	var shown []registry.ReleaseView
 	status, err := o.ask(core, http.MethodGet, "/v1/releases", nil, &shown)
 	if err == nil && status != http.StatusOK {
-		err = defect.New(defect.NoQuorum, fmt.Sprint(status))
+		err = errs.New(errs.NoQuorum, fmt.Sprint(status))
 	}
 	return shown, err
 }
--- a/internal/rehearsal/plots.go
+++ b/internal/rehearsal/plots.go
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // Size of a plot, in inches.
@@ -47,7 +47,7 @@
 		if one.dots {
 			dots, err := plotter.NewScatter(one.points)
 			if err != nil {
-				return defect.Wrap(err, defect.Internal, name)
+				return errs.Wrap(err, errs.Internal, name)
 			}
 			dots.Color, dots.Shape = plotutil.Color(i), plotutil.Shape(i)
 			drawn.Add(dots)
@@ -56,14 +56,14 @@
 		}
 		line, err := plotter.NewLine(one.points)
 		if err != nil {
-			return defect.Wrap(err, defect.Internal, name)
+			return errs.Wrap(err, errs.Internal, name)
 		}
 		line.Color = color.Color(plotutil.Color(i))
 		drawn.Add(line)
 		drawn.Legend.Add(one.name, line)
 	}
 	file := filepath.Join(folder, strings.ReplaceAll(name, " ", "-")+"."+form)
-	return defect.Wrap(drawn.Save(plotWide*vg.Inch, plotHigh*vg.Inch, file), defect.DiskFailed, file)
+	return errs.Wrap(drawn.Save(plotWide*vg.Inch, plotHigh*vg.Inch, file), errs.DiskFailed, file)
 }
 
 // quantileLine is a histogram as a line: what part was done within which time, in milliseconds.
--- a/internal/rehearsal/relay.go
+++ b/internal/rehearsal/relay.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // Relay stands in front of a machine's port and lets bytes through, or not, by which
@@ -100,7 +100,7 @@
 func NewRelay(address, target, to string, cuts *Cuts) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, "relay")
+		return nil, errs.Wrap(err, errs.Internal, "relay")
 	}
 	r := &Relay{listener: listener, target: target, to: to, cuts: cuts}
 	go r.serve()
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 )
 
 // Report is what a rehearsal found, for machines.
@@ -157,9 +157,9 @@
 func writeReport(file string, report any) error {
 	text, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
-		return defect.Wrap(err, defect.Internal, file)
+		return errs.Wrap(err, errs.Internal, file)
 	}
-	return defect.Wrap(os.WriteFile(file, append(text, '\n'), 0o640), defect.DiskFailed, file)
+	return errs.Wrap(os.WriteFile(file, append(text, '\n'), 0o640), errs.DiskFailed, file)
 }
 
 // figures lists named numbers in a settled order.
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // Options say what to rehearse.
@@ -41,7 +41,7 @@
 	say := func(format string, values ...any) { fmt.Fprintf(o.Out, format+"\n", values...) }
 	piece, known := Plays[o.Play]
 	if !known {
-		return nil, defect.New(defect.InvalidOptions, fmt.Sprintf("no play is called %q", o.Play))
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("no play is called %q", o.Play))
 	}
 	fleet, err := NewFleet(o.Deployment, o.Folder, o.Binaries, o.Lease, piece.relayEdges, piece.disks)
 	if err != nil {
@@ -76,7 +76,7 @@
 			break
 		}
 		if tries == 2*o.Deployment.Cores {
-			return nil, defect.New(defect.NoQuorum, fmt.Sprintf("the first setup was not acknowledged: %+v", first))
+			return nil, errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not acknowledged: %+v", first))
 		}
 	}
 	for _, process := range fleet.Proxies {
--- a/internal/rehearsal/slopes.go
+++ b/internal/rehearsal/slopes.go
@@ -17,7 +17,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/plot/plotter"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/options"
 	"meadowhinge/schema"
 )
@@ -72,7 +72,7 @@
 	for _, text := range options.SplitList(drivers[driver].of(given)) {
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(value >= 0) {
-			return nil, defect.New(defect.InvalidOptions, fmt.Sprintf("%s: %q is not a number from 0 up", driver, text))
+			return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("%s: %q is not a number from 0 up", driver, text))
 		}
 		values = append(values, value)
 	}
@@ -178,7 +178,7 @@
 		return nil, faults
 	}
 	if err := os.MkdirAll(given.Folder, 0o750); err != nil {
-		return nil, defect.Wrap(err, defect.DiskFailed, given.Folder)
+		return nil, errs.Wrap(err, errs.DiskFailed, given.Folder)
 	}
 	file := filepath.Join(given.Folder, pointsFile)
 	points, err := readPoints(file)
@@ -187,7 +187,7 @@
 	}
 	kept, err := os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.DiskFailed, file)
+		return nil, errs.Wrap(err, errs.DiskFailed, file)
 	}
 	defer kept.Close()
 	planned := planPoints(given)
@@ -213,10 +213,10 @@
 		_ = os.RemoveAll(run.Folder)
 		text, err := json.Marshal(point)
 		if err != nil {
-			return nil, defect.Wrap(err, defect.Internal, "point")
+			return nil, errs.Wrap(err, errs.Internal, "point")
 		}
 		if _, err := kept.Write(append(text, '\n')); err != nil {
-			return nil, defect.Wrap(err, defect.DiskFailed, file)
+			return nil, errs.Wrap(err, errs.DiskFailed, file)
 		}
 		points = append(points, point)
 		pause(ctx, time.Duration(given.Pause))
@@ -245,7 +245,7 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, defect.Wrap(err, defect.DiskFailed, file)
+		return nil, errs.Wrap(err, errs.DiskFailed, file)
 	}
 	var points []Point
 	lines := bufio.NewScanner(bytes.NewReader(text))
@@ -253,7 +253,7 @@
 	for lines.Scan() {
 		var point Point
 		if err := json.Unmarshal(lines.Bytes(), &point); err != nil {
-			return nil, defect.Wrap(err, defect.MalformedRequest, file)
+			return nil, errs.Wrap(err, errs.MalformedRequest, file)
 		}
 		points = append(points, point)
 	}
--- a/internal/rehearsal/soak.go
+++ b/internal/rehearsal/soak.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
 )
 
 // SoakOptions say which seeds to soak, and how. A soak runs real processes of the mesh under faults that are
@@ -61,7 +61,7 @@
 // Soak plays every seed and tells what came of it, each in its own folder.
 func Soak(o SoakOptions) (*SoakReport, error) {
 	if o.Seeds == 0 || o.Side < 1 || o.Deployment == nil || (o.WideEvery > 0 && o.Wide == nil) {
-		return nil, defect.New(defect.InvalidOptions, "a soak needs seeds, fleets beside each other and deployments")
+		return nil, errs.New(errs.InvalidOptions, "a soak needs seeds, fleets beside each other and deployments")
 	}
 	report := &SoakReport{Runs: make([]SoakRun, o.Seeds)}
 	var playing sync.WaitGroup
--- a/internal/rehearsal/worker.go
+++ b/internal/rehearsal/worker.go
@@ -17,9 +17,9 @@
 
 	"github.com/valyala/fasthttp"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/fakebackend"
 )
 
 // opHeader carries the name of a request from caller to worker.
@@ -83,7 +83,7 @@
 func StartWorker(name, service, version, area, address, proxyAddress string, delay time.Duration, ledger *Ledger, now func() time.Duration) (*Worker, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, "worker")
+		return nil, errs.Wrap(err, errs.Internal, "worker")
 	}
 	w := &Worker{name: name, describ: proxyAddress, ledger: ledger, now: now, delay: delay, conns: map[net.Conn]bool{}, listener: listener, ended: make(chan struct{}),
 		said: dispatch.WorkerDescription{Address: address, Service: service, Version: version, Zone: area, Token: fmt.Sprintf("%s-%d", name, now()), HeartbeatMS: beat.Milliseconds()}}
@@ -175,7 +175,7 @@
 	if onward := w.onward.Load(); onward != nil {
 		(*onward)(call)
 	}
-	text, _ := json.Marshal(standin.NewReply(op, w.name, string(bytes.Repeat([]byte("x"), 200))))
+	text, _ := json.Marshal(fakebackend.NewReply(op, w.name, string(bytes.Repeat([]byte("x"), 200))))
 	call.SetContentType("application/json")
 	call.SetBody(text)
 }
@@ -197,10 +197,10 @@
 	request.Header.SetContentType("application/json")
 	request.SetBody(text)
 	if err := fasthttp.DoTimeout(request, response, beat); err != nil {
-		return defect.Wrap(err, defect.PeerConnectionLost, w.name)
+		return errs.Wrap(err, errs.PeerConnectionLost, w.name)
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return defect.New(defect.MalformedRequest, string(response.Body()))
+		return errs.New(errs.MalformedRequest, string(response.Body()))
 	}
 	return nil
 }
@@ -214,7 +214,7 @@
 	request.Header.Set(dispatch.HeaderToken, w.said.Token)
 	begin := time.Now()
 	err := fasthttp.DoTimeout(request, response, beat)
-	return time.Since(begin), defect.Wrap(err, defect.WorkerConnectionLost, w.name)
+	return time.Since(begin), errs.Wrap(err, errs.WorkerConnectionLost, w.name)
 }
 
 func (w *Worker) keepDescribing() {
--- a/internal/release/duty.go
+++ b/internal/release/duty.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/errs"
 	"meadowhinge/schema"
 )
 
@@ -96,7 +96,7 @@
 }
 
 // NeedsControl tells whether there is anything for a duty to look at.
-func NeedsControl(compiled *setup.Snapshot, workers map[[2]string]WorkerPool) bool {
+func NeedsControl(compiled *config.Snapshot, workers map[[2]string]WorkerPool) bool {
 	if len(compiled.GuardedVersions) > 0 || len(initialStandingSteps(compiled, workers)) > 0 {
 		return true
 	}
@@ -108,7 +108,7 @@
 	for name, plan := range compiled.Releases {
 		// What is done by its term, or was turned back, asks for nothing any more.
 		progress := compiled.Progress[name]
-		if plan.Strategy != setup.StrategyDeadline || progress == nil || progress.PlanID != planIdentity(plan) || inProgress(progress.State) ||
+		if plan.Strategy != config.StrategyDeadline || progress == nil || progress.PlanID != planIdentity(plan) || inProgress(progress.State) ||
 			progress.Reason == reasonOperatorRollback && plan.Control != "back" {
 			return true
 		}
@@ -121,7 +121,7 @@
 
 // JudgedServices tells of which services the work done is to be told, for a version is judged by it, and
 // whether there are any.
-func JudgedServices(compiled *setup.Snapshot) (isJudged func(service string) bool, anyJudged bool) {
+func JudgedServices(compiled *config.Snapshot) (isJudged func(service string) bool, anyJudged bool) {
 	judged := map[string]bool{}
 	for service := range compiled.GuardedVersions {
 		judged[service] = true
@@ -144,7 +144,7 @@
 }
 
 // planFor finds the plan for a version.
-func planFor(compiled *setup.Snapshot, service, version string) (string, *setup.Release) {
+func planFor(compiled *config.Snapshot, service, version string) (string, *config.Release) {
 	for name, plan := range compiled.Releases {
 		if plan.Service == service && plan.Version == version {
 			return name, plan
@@ -154,7 +154,7 @@
 }
 
 // CanaryGrants lists each guarded version, and whether it may be used.
-func (c *Controller) CanaryGrants(compiled *setup.Snapshot) []*schema.Canary {
+func (c *Controller) CanaryGrants(compiled *config.Snapshot) []*schema.Canary {
 	var grants []*schema.Canary
 	for _, service := range slices.Sorted(maps.Keys(compiled.GuardedVersions)) {
 		for _, version := range compiled.GuardedVersions[service] {
@@ -176,7 +176,7 @@
 }
 
 // Reconcile judges every guarded version and steers every plan by what was seen.
-func (c *Controller) Reconcile(now time.Duration, compiled *setup.Snapshot, state setup.State, observation FleetObservation) ([]Step, error) {
+func (c *Controller) Reconcile(now time.Duration, compiled *config.Snapshot, state config.State, observation FleetObservation) ([]Step, error) {
 	steps := initialStandingSteps(compiled, observation.Workers)
 	observation.Counts = c.withLastCounts(observation.Counts)
 	var lastErr error
@@ -220,7 +220,7 @@
 		plan := compiled.Releases[name]
 		var step *Step
 		var err error
-		if plan.Strategy == setup.StrategyDeadline {
+		if plan.Strategy == config.StrategyDeadline {
 			step, err = c.nextDeadlineStep(now, compiled, state, plan, observation)
 		} else {
 			step, err = c.nextRampStep(now, compiled, state, plan, GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, compiled.FallbackOf(plan.Service)))
@@ -275,7 +275,7 @@
 }
 
 // planGivesAllCalls tells whether a plan gives a version all calls.
-func planGivesAllCalls(compiled *setup.Snapshot, service, version string) bool {
+func planGivesAllCalls(compiled *config.Snapshot, service, version string) bool {
 	name, plan := planFor(compiled, service, version)
 	progress := compiled.Progress[name]
 	return plan != nil && progress != nil && progress.PlanID == planIdentity(plan) && progress.Percentage >= 100
@@ -283,7 +283,7 @@
 
 // isDraining tells whether a plan has just made a version the fallback and waits for the last calls
 // at the old one: it is not guarded any more, but still judged.
-func isDraining(compiled *setup.Snapshot, service, version string) bool {
+func isDraining(compiled *config.Snapshot, service, version string) bool {
 	name, plan := planFor(compiled, service, version)
 	progress := compiled.Progress[name]
 	return plan != nil && progress != nil && progress.PlanID == planIdentity(plan) && progress.State == StateDraining
@@ -297,14 +297,14 @@
 const progressWritesPerPlan = 6
 
 // nextDeadlineStep makes the next step of a plan that goes by its term, if one is due.
-func (c *Controller) nextDeadlineStep(now time.Duration, compiled *setup.Snapshot, state setup.State, plan *setup.Release, observation FleetObservation) (*Step, error) {
-	service, before := compiled.Services[plan.Service], setup.Progress{}
+func (c *Controller) nextDeadlineStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release, observation FleetObservation) (*Step, error) {
+	service, before := compiled.Services[plan.Service], config.Progress{}
 	if service == nil || service.Fallback == "" {
 		return nil, nil
 	}
 	sequence, elapsed := plan.Revision, observation.KnownFor(plan.Revision)
 	if recorded := compiled.Progress[plan.Name]; recorded != nil && recorded.PlanID == planIdentity(plan) {
-		before, sequence = *recorded, state[setup.Key("progress", plan.Name)].Version.GetSequence()
+		before, sequence = *recorded, state[config.Key("progress", plan.Name)].Version.GetSequence()
 		// A registry that started later than the plan goes on from what was written of it.
 		elapsed = max(elapsed, time.Duration(before.Elapsed)+observation.KnownFor(sequence))
 	}
@@ -356,7 +356,7 @@
 }
 
 // deadlineStep writes a plan's progress, and with it what follows from it.
-func (c *Controller) deadlineStep(plan *setup.Release, compiled *setup.Snapshot, state setup.State, before, after setup.Progress) (*Step, error) {
+func (c *Controller) deadlineStep(plan *config.Release, compiled *config.Snapshot, state config.State, before, after config.Progress) (*Step, error) {
 	changed := before.State != after.State || before.Weight != after.Weight || before.Reason != after.Reason
 	if !changed && after.Elapsed-before.Elapsed < int64(plan.Duration)/progressWritesPerPlan {
 		return nil, nil
@@ -374,7 +374,7 @@
 	put := func(kind, name string, body any) error {
 		encoded, err := json.Marshal(body)
 		step.Items = append(step.Items, &schema.Item{Kind: kind, Name: name, Body: encoded})
-		return defect.Wrap(err, defect.Internal, kind+" "+name)
+		return errs.Wrap(err, errs.Internal, kind+" "+name)
 	}
 	if !changed || after.State == StateDone {
 		return step, put("progress", plan.Name, after)
@@ -392,7 +392,7 @@
 	case StateDraining:
 		fallback, rolloutFlag = version, newRolloutFlag(compiled, plan.Service, version, version, 0)
 	}
-	if err := put("flag", setup.VersionFlagKey(plan.Service), rolloutFlag); err != nil {
+	if err := put("flag", config.VersionFlagKey(plan.Service), rolloutFlag); err != nil {
 		return nil, err
 	}
 	if standing := newStanding(fallback, version); compiled.DiscoveredVersions[plan.Service].Fallback != fallback {
@@ -405,7 +405,7 @@
 
 // initialStandingSteps state what stands for services of which no versions are stated: the version that
 // their workers told, or most of them, before any plan.
-func initialStandingSteps(compiled *setup.Snapshot, workers map[[2]string]WorkerPool) []Step {
+func initialStandingSteps(compiled *config.Snapshot, workers map[[2]string]WorkerPool) []Step {
 	var steps []Step
 	for _, name := range slices.Sorted(maps.Keys(compiled.Services)) {
 		if service := compiled.Services[name]; service.Versions != nil || service.Fallback != "" || compiled.DiscoveredVersions[name] != nil {
@@ -424,7 +424,7 @@
 		for _, entry := range []struct {
 			kind, name string
 			body       any
-		}{{standingKind, name, newStanding(version, version)}, {"flag", setup.VersionFlagKey(name), newRolloutFlag(compiled, name, version, version, 0)}} {
+		}{{standingKind, name, newStanding(version, version)}, {"flag", config.VersionFlagKey(name), newRolloutFlag(compiled, name, version, version, 0)}} {
 			body, err := json.Marshal(entry.body)
 			// A flag that an operator wrote before stays.
 			if err == nil && (entry.kind != "flag" || compiled.Flags.Flags[entry.name] == nil) {
@@ -437,8 +437,8 @@
 }
 
 // nextRampStep makes a plan's next step, if one is due and worth a change.
-func (c *Controller) nextRampStep(now time.Duration, compiled *setup.Snapshot, state setup.State, plan *setup.Release, counts VersionCounts) (*Step, error) {
-	before := setup.Progress{}
+func (c *Controller) nextRampStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release, counts VersionCounts) (*Step, error) {
+	before := config.Progress{}
 	planID := planIdentity(plan)
 	if recorded := compiled.Progress[plan.Name]; recorded != nil && recorded.PlanID == planID {
 		before = *recorded
@@ -480,23 +480,23 @@
 
 // versionStopStep states that a version gets no calls any more.
 func versionStopStep(service, version, reason string) (Step, error) {
-	body, err := json.Marshal(setup.VersionStop{Service: service, Version: version, Reason: "the version " + reason})
-	name := setup.StopName(service, version)
-	return Step{Name: name, Items: []*schema.Item{{Kind: "stop", Name: name, Body: body}}}, defect.Wrap(err, defect.Internal, name)
+	body, err := json.Marshal(config.VersionStop{Service: service, Version: version, Reason: "the version " + reason})
+	name := config.StopName(service, version)
+	return Step{Name: name, Items: []*schema.Item{{Kind: "stop", Name: name, Body: body}}}, errs.Wrap(err, errs.Internal, name)
 }
 
 // flagAndProgressItems are the plan's progress and the flag that follows it, to be written as one.
-func flagAndProgressItems(plan *setup.Release, compiled *setup.Snapshot, state setup.State, after setup.Progress) ([]*schema.Item, error) {
-	key := setup.VersionFlagKey(plan.Service)
-	flagItem := state[setup.Key("flag", key)]
+func flagAndProgressItems(plan *config.Release, compiled *config.Snapshot, state config.State, after config.Progress) ([]*schema.Item, error) {
+	key := config.VersionFlagKey(plan.Service)
+	flagItem := state[config.Key("flag", key)]
 	rolloutFlag, service := compiled.Flags.Flags[key], compiled.Services[plan.Service]
 	if flagItem == nil || rolloutFlag == nil || service == nil {
-		return nil, defect.New(defect.InvalidConfig, key+" is gone")
+		return nil, errs.New(errs.InvalidConfig, key+" is gone")
 	}
 	variationIndex := func(version string) int { return max(0, slices.Index(rolloutFlag.Variations, version)) }
 	flagFields := map[string]any{}
 	if err := json.Unmarshal(flagItem.Body, &flagFields); err != nil {
-		return nil, defect.Wrap(err, defect.InvalidConfig, key)
+		return nil, errs.Wrap(err, errs.InvalidConfig, key)
 	}
 	if after.State == StateRolledBack {
 		flagFields["on"], flagFields["offVariation"] = false, variationIndex(service.Fallback)
@@ -512,21 +512,21 @@
 	}
 	flagBody, err := json.Marshal(flagFields)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, key)
+		return nil, errs.Wrap(err, errs.Internal, key)
 	}
 	progressBody, err := json.Marshal(after)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, plan.Name)
+		return nil, errs.Wrap(err, errs.Internal, plan.Name)
 	}
 	return []*schema.Item{{Kind: "flag", Name: key, Body: flagBody}, {Kind: "progress", Name: plan.Name, Body: progressBody}}, nil
 }
 
 // Preconditions is what a step was made against: whatever somebody else wrote meanwhile makes it a
 // conflict, and it is thought over again.
-func (s Step) Preconditions(state setup.State) []*schema.ExpectedVersion {
+func (s Step) Preconditions(state config.State) []*schema.ExpectedVersion {
 	var expected []*schema.ExpectedVersion
 	for _, item := range s.Items {
-		if current := state[setup.Key(item.Kind, item.Name)]; current != nil && !current.Deleted {
+		if current := state[config.Key(item.Kind, item.Name)]; current != nil && !current.Deleted {
 			expected = append(expected, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: current.Version.Sequence})
 		}
 	}
@@ -534,6 +534,6 @@
 }
 
 // Change is the step as a change, under an id of the holder's own.
-func (s Step) Change(memberID string, incarnation, serial uint64, state setup.State) *schema.Change {
+func (s Step) Change(memberID string, incarnation, serial uint64, state config.State) *schema.Change {
 	return &schema.Change{Id: fmt.Sprintf("steer-%s-%x-%d-%s", memberID, incarnation, serial, s.Name), Items: s.Items, Expected: s.Preconditions(state)}
 }
--- a/internal/release/order.go
+++ b/internal/release/order.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/flag"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -25,17 +25,17 @@
 
 // PlanRollout turns an order into the step that states it: the version is allowed, the flag can give
 // it, and the plan says how. An order that is under way already, or done, needs no step.
-func PlanRollout(compiled *setup.Snapshot, state setup.State, order RolloutOrder) (*Step, error) {
+func PlanRollout(compiled *config.Snapshot, state config.State, order RolloutOrder) (*Step, error) {
 	service := compiled.Services[order.Service]
 	switch {
 	case service == nil:
-		return nil, defect.New(defect.InvalidConfig, fmt.Sprintf("service %q does not exist", order.Service))
+		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf("service %q does not exist", order.Service))
 	case order.Version == "" || order.Within <= 0:
-		return nil, defect.New(defect.InvalidConfig, "an order needs a version and a time")
+		return nil, errs.New(errs.InvalidConfig, "an order needs a version and a time")
 	}
 	fallback := service.Fallback
 	if fallback == "" {
-		return nil, defect.New(defect.NoQuorum, fmt.Sprintf("no version of %q is known yet", order.Service))
+		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("no version of %q is known yet", order.Service))
 	}
 	if version, state := RolloutState(compiled, order.Service); version == order.Version && state != "" && state != StateRolledBack {
 		return nil, nil
@@ -44,10 +44,10 @@
 	put := func(kind, name string, body any) error {
 		encoded, err := json.Marshal(body)
 		step.Items = append(step.Items, &schema.Item{Kind: kind, Name: name, Body: encoded})
-		return defect.Wrap(err, defect.Internal, kind+" "+name)
+		return errs.Wrap(err, errs.Internal, kind+" "+name)
 	}
 	remove := func(kind, name string) {
-		if current := state[setup.Key(kind, name)]; current != nil && !current.Deleted {
+		if current := state[config.Key(kind, name)]; current != nil && !current.Deleted {
 			step.Items = append(step.Items, &schema.Item{Kind: kind, Name: name, Deleted: true})
 		}
 	}
@@ -59,9 +59,9 @@
 		}
 	}
 	remove("progress", order.Service)
-	remove("stop", setup.StopName(order.Service, order.Version))
+	remove("stop", config.StopName(order.Service, order.Version))
 	if !service.AllowsVersion(order.Version) && !hasOwnStanding(compiled, order.Service) {
-		return nil, defect.New(defect.InvalidConfig, fmt.Sprintf("service %q does not list version %q", order.Service, order.Version))
+		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf("service %q does not list version %q", order.Service, order.Version))
 	}
 	if hasOwnStanding(compiled, order.Service) {
 		if err := put(standingKind, order.Service, newStanding(fallback, order.Version)); err != nil {
@@ -69,16 +69,16 @@
 		}
 	}
 	// No call yet: the duty's first step gives the version its trial.
-	if err := put("flag", setup.VersionFlagKey(order.Service), newRolloutFlag(compiled, order.Service, fallback, order.Version, 0)); err != nil {
+	if err := put("flag", config.VersionFlagKey(order.Service), newRolloutFlag(compiled, order.Service, fallback, order.Version, 0)); err != nil {
 		return nil, err
 	}
-	err := put("release", order.Service, setup.Release{Service: order.Service, Version: order.Version, Target: 100, DurationText: order.Within.String(), Control: "go", Strategy: setup.StrategyDeadline})
+	err := put("release", order.Service, config.Release{Service: order.Service, Version: order.Version, Target: 100, DurationText: order.Within.String(), Control: "go", Strategy: config.StrategyDeadline})
 	return step, err
 }
 
 // RolloutState tells which version was last ordered for a service, and what has come of it: a state
 // of its plan, or nothing if no plan is known.
-func RolloutState(compiled *setup.Snapshot, service string) (version, state string) {
+func RolloutState(compiled *config.Snapshot, service string) (version, state string) {
 	for name, plan := range compiled.Releases {
 		if plan.Service != service {
 			continue
@@ -96,8 +96,8 @@
 }
 
 // newRolloutFlag is the flag that gives a version so many of a service's calls, in a hundred thousand.
-func newRolloutFlag(compiled *setup.Snapshot, service, fallback, version string, weight int) *flag.Flag {
-	key := setup.VersionFlagKey(service)
+func newRolloutFlag(compiled *config.Snapshot, service, fallback, version string, weight int) *flag.Flag {
+	key := config.VersionFlagKey(service)
 	rolloutFlag := &flag.Flag{On: true, Salt: service, Variations: []string{fallback}}
 	if current := compiled.Flags.Flags[key]; current != nil {
 		rolloutFlag.Salt = current.Salt
@@ -112,19 +112,19 @@
 }
 
 // hasOwnStanding tells whether a service's versions are what stands for it, and not an operator's word.
-func hasOwnStanding(compiled *setup.Snapshot, service string) bool {
+func hasOwnStanding(compiled *config.Snapshot, service string) bool {
 	definition, standing := compiled.Services[service], compiled.DiscoveredVersions[service]
 	return definition != nil && standing != nil && slices.Equal(definition.Versions, standing.Versions) && definition.Fallback == standing.Fallback
 }
 
 // newStanding is the fallback version and one more, if it is another.
-func newStanding(fallback, version string) setup.DiscoveredVersions {
+func newStanding(fallback, version string) config.DiscoveredVersions {
 	versions := []string{fallback}
 	if version != fallback {
 		versions = append(versions, version)
 	}
-	return setup.DiscoveredVersions{Versions: versions, Fallback: fallback}
+	return config.DiscoveredVersions{Versions: versions, Fallback: fallback}
 }
 
 // planIdentity is the plan that a progress is of.
-func planIdentity(plan *setup.Release) string { return plan.Service + " " + plan.Version }
+func planIdentity(plan *config.Release) string { return plan.Service + " " + plan.Version }
--- a/internal/release/order_test.go
+++ b/internal/release/order_test.go
@@ -5,14 +5,14 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
 // fakeStore is a state that steps are written to, as a store would.
 type fakeStore struct {
 	t        *testing.T
-	state    setup.State
+	state    config.State
 	sequence uint64
 }
 
@@ -23,13 +23,13 @@
 		item.Version = &schema.Version{Term: 1, Sequence: s.sequence}
 	}
 	s.state = s.state.With(items)
-	if _, faults := setup.Compile(s.state, s.sequence); len(faults) > 0 {
+	if _, faults := config.Compile(s.state, s.sequence); len(faults) > 0 {
 		s.t.Fatalf("step %d is refused: %v", s.sequence, faults)
 	}
 }
 
-func (s *fakeStore) compiled() *setup.Snapshot {
-	compiled, _ := setup.Compile(s.state, s.sequence)
+func (s *fakeStore) compiled() *config.Snapshot {
+	compiled, _ := config.Compile(s.state, s.sequence)
 	return compiled
 }
 
@@ -42,7 +42,7 @@
 }
 
 func newFakeStore(t *testing.T) *fakeStore {
-	store := &fakeStore{t: t, state: setup.State{}}
+	store := &fakeStore{t: t, state: config.State{}}
 	store.write(&schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"versions":["1","2","3"],"fallback":"1","callers":["client"]}`)})
 	return store
 }
@@ -76,7 +76,7 @@
 		t.Error("an order under way is stated again")
 	}
 	firstRevision := store.compiled().Releases["shop"].Revision
-	store.write(store.jsonItem("progress", "shop", setup.Progress{PlanID: "shop 2", State: StateRolledBack}))
+	store.write(store.jsonItem("progress", "shop", config.Progress{PlanID: "shop 2", State: StateRolledBack}))
 	if version, state := RolloutState(store.compiled(), "shop"); version != "2" || state != StateRolledBack {
 		t.Errorf("turned back: %q %q", version, state)
 	}
--- a/internal/release/release.go
+++ b/internal/release/release.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -232,14 +232,14 @@
 
 // NextRampProgress decides the next progress of a plan. whole is the evidence since the plan began,
 // lately what came since the last step, passed the time since then.
-func (o Options) NextRampProgress(plan *setup.Release, before setup.Progress, sinceStart, sinceLastStep VersionCounts, elapsed time.Duration) setup.Progress {
+func (o Options) NextRampProgress(plan *config.Release, before config.Progress, sinceStart, sinceLastStep VersionCounts, elapsed time.Duration) config.Progress {
 	after := before
 	switch {
 	// What was turned back as bad stays so; what the operator turned back, the operator may resume.
 	case before.State == StateRolledBack && (before.Reason != reasonOperatorRollback || plan.Control == "back"):
 		return after
 	case before.State == StateRolledBack:
-		before.State, after = "", setup.Progress{ControllerTerm: before.ControllerTerm, Controller: before.Controller, PlanID: before.PlanID}
+		before.State, after = "", config.Progress{ControllerTerm: before.ControllerTerm, Controller: before.Controller, PlanID: before.PlanID}
 	case plan.Control == "back":
 		after.State, after.Reason, after.Percentage, after.Weight = StateRolledBack, reasonOperatorRollback, 0, 0
 		return after
@@ -275,7 +275,7 @@
 
 // flagWeight turns a set point into the flag's weight. Contexts do not all call alike, so the
 // share that was measured corrects it, within bounds, and never above the trial's share.
-func (o Options) flagWeight(before, after setup.Progress, measuredPercent float64) int {
+func (o Options) flagWeight(before, after config.Progress, measuredPercent float64) int {
 	target := after.Percentage
 	weight := target
 	if before.Weight > 0 && measuredPercent > 0 && math.Abs(before.Percentage-target) < 1e-9 {
@@ -289,7 +289,7 @@
 }
 
 // NeedsWrite tells whether a step is worth a change of setup.
-func NeedsWrite(before, after setup.Progress) bool {
+func NeedsWrite(before, after config.Progress) bool {
 	return before.State != after.State || before.Reason != after.Reason || math.Abs(before.Percentage-after.Percentage) >= 0.5 ||
 		math.Abs(float64(before.Weight-after.Weight)) >= 500
 }
--- a/internal/release/release_test.go
+++ b/internal/release/release_test.go
@@ -4,10 +4,10 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 )
 
-var shopPlan = &setup.Release{Name: "r", Service: "shop", Version: "2", Target: 50, Duration: 100 * time.Second, Control: "go"}
+var shopPlan = &config.Release{Name: "r", Service: "shop", Version: "2", Target: 50, Duration: 100 * time.Second, Control: "go"}
 
 func callStats(calls, failures uint64, mean time.Duration) CallStats {
 	return CallStats{Calls: calls, Failures: failures, TotalLatency: mean * time.Duration(calls)}
@@ -49,7 +49,7 @@
 // A good version stays at the trial's share until each route is known, then rises over the
 // plan's time, and ends at the target.
 func TestHealthyRamp(t *testing.T) {
-	progress := setup.Progress{}
+	progress := config.Progress{}
 	sinceLastStep := versionCounts(callStats(90, 0, time.Millisecond), callStats(10, 0, time.Millisecond))
 	progress = Defaults.NextRampProgress(shopPlan, progress, versionCounts(callStats(400, 0, time.Millisecond), callStats(29, 0, time.Millisecond)), sinceLastStep, 5*time.Second)
 	if progress.State != StateCanary || progress.Percentage != 10 {
@@ -72,8 +72,8 @@
 func TestHoldRollbackAndThinEvidence(t *testing.T) {
 	proven := versionCounts(callStats(4000, 0, time.Millisecond), callStats(400, 0, time.Millisecond))
 	sinceLastStep := versionCounts(callStats(90, 0, time.Millisecond), callStats(10, 0, time.Millisecond))
-	ramping := setup.Progress{State: StateRamping, Percentage: 20, Weight: 20000, Elapsed: int64(40 * time.Second)}
-	withPace := func(pace string) *setup.Release { plan := *shopPlan; plan.Control = pace; return &plan }
+	ramping := config.Progress{State: StateRamping, Percentage: 20, Weight: 20000, Elapsed: int64(40 * time.Second)}
+	withPace := func(pace string) *config.Release { plan := *shopPlan; plan.Control = pace; return &plan }
 	if got := Defaults.NextRampProgress(withPace("hold"), ramping, proven, sinceLastStep, time.Second); got.State != StateHolding || got.Percentage != 20 || got.Elapsed != ramping.Elapsed {
 		t.Errorf("held: %+v", got)
 	}
@@ -94,14 +94,14 @@
 		t.Errorf("after it was turned back: %+v", got)
 	}
 	failing := versionCounts(callStats(90, 0, time.Millisecond), callStats(30, 30, time.Millisecond))
-	if got := Defaults.NextRampProgress(shopPlan, setup.Progress{State: StateDone, Percentage: 50}, proven, failing, time.Second); got.State != StateRolledBack {
+	if got := Defaults.NextRampProgress(shopPlan, config.Progress{State: StateDone, Percentage: 50}, proven, failing, time.Second); got.State != StateRolledBack {
 		t.Errorf("bad late, at the target: %+v", got)
 	}
 }
 
 // The measured share moves the weight toward the set point, within bounds.
 func TestWeightFollowsMeasuredShare(t *testing.T) {
-	before := setup.Progress{State: StateRamping, Percentage: 50, Weight: 50000, Elapsed: int64(200 * time.Second)}
+	before := config.Progress{State: StateRamping, Percentage: 50, Weight: 50000, Elapsed: int64(200 * time.Second)}
 	proven := versionCounts(callStats(4000, 0, time.Millisecond), callStats(400, 0, time.Millisecond))
 	if got := Defaults.NextRampProgress(shopPlan, before, proven, versionCounts(callStats(60, 0, time.Millisecond), callStats(40, 0, time.Millisecond)), time.Second); got.Weight != 55000 {
 		t.Errorf("measured 40 of 50: weight %d", got.Weight)
--- a/internal/release/term.go
+++ b/internal/release/term.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 )
 
 // StateDraining is the state in which a plan's version has all calls, and calls that were under way at
@@ -61,10 +61,10 @@
 // NextDeadlineProgress decides the next progress of a plan that goes by its term: a share on trial for most of
 // its time, then a quarter, then all, and done before the term. What a version can get that turns bad
 // however late is so bounded over the whole of the plan's time.
-func (o Options) NextDeadlineProgress(plan *setup.Release, before setup.Progress, inputs DeadlineInputs) setup.Progress {
+func (o Options) NextDeadlineProgress(plan *config.Release, before config.Progress, inputs DeadlineInputs) config.Progress {
 	after := before
 	after.Elapsed = max(before.Elapsed, int64(inputs.Elapsed))
-	moveTo := func(state, reason string, percent float64) setup.Progress {
+	moveTo := func(state, reason string, percent float64) config.Progress {
 		after.State, after.Reason, after.Percentage, after.Weight, after.StateSince = state, reason, percent, int(percent*1000), after.Elapsed
 		return after
 	}
--- a/internal/release/term_test.go
+++ b/internal/release/term_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -27,7 +27,7 @@
 }
 
 func newDeadlineHarness(t *testing.T) *deadlineHarness {
-	h := &deadlineHarness{fakeStore: &fakeStore{t: t, state: setup.State{}}, firstSeenAt: map[uint64]time.Duration{}, workCounts: map[[2]string]*schema.WorkCount{},
+	h := &deadlineHarness{fakeStore: &fakeStore{t: t, state: config.State{}}, firstSeenAt: map[uint64]time.Duration{}, workCounts: map[[2]string]*schema.WorkCount{},
 		workers: map[[2]string]WorkerPool{{"shop", "1"}: {Workers: 3, Slots: 54}}}
 	h.takeControl("a")
 	h.write(&schema.Item{Kind: "service", Name: "shop", Body: []byte(`{}`)})
@@ -105,11 +105,11 @@
 	}
 }
 
-func (h *deadlineHarness) progress() setup.Progress {
+func (h *deadlineHarness) progress() config.Progress {
 	if progress := h.compiled().Progress["shop"]; progress != nil {
 		return *progress
 	}
-	return setup.Progress{}
+	return config.Progress{}
 }
 
 func (h *deadlineHarness) orderRollout(version string, over time.Duration) {
@@ -174,7 +174,7 @@
 
 // runFailingUnderLoad lets a version fail so many of each four dozen calls, but only once it has all of a
 // service's calls, and tells how its plan stands and how many calls it came to.
-func runFailingUnderLoad(t *testing.T, failingPerStep uint64) (final setup.Progress, calls, maxCalls uint64) {
+func runFailingUnderLoad(t *testing.T, failingPerStep uint64) (final config.Progress, calls, maxCalls uint64) {
 	const rate, over = 250, 14 * time.Second
 	h := newDeadlineHarness(t)
 	h.recordCalls("1", 4000, 8, 20*time.Millisecond, 0)
--- a/internal/interleave/interleave.go
+++ b/internal/scheduleexplorer/interleave.go
@@ -1,7 +1,7 @@
 // Package interleave tries every interleaving of a few threads. Each thread runs the real
 // code and gives up its turn at the points where it calls yield; which thread goes on there
 // is what is varied, until no order is left untried.
-package interleave
+package scheduleexplorer
 
 import (
 	"fmt"
--- a/internal/interleave/interleave_test.go
+++ b/internal/scheduleexplorer/interleave_test.go
@@ -1,4 +1,4 @@
-package interleave
+package scheduleexplorer
 
 import (
 	"errors"
--- a/internal/simulator/brake.go
+++ b/internal/simulator/brake.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/release"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -172,6 +172,6 @@
 		}
 		names += fmt.Sprintf("%q", fmt.Sprint("user-", i))
 	}
-	return &schema.Item{Kind: "flag", Name: setup.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
+	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
 		`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"variation":0},"targets":[{"variation":1,"values":[%s]}]}`, names))}
 }
--- a/internal/simulator/cast.go
+++ b/internal/simulator/cast.go
@@ -15,10 +15,10 @@
 	"sync"
 	"time"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/fakebackend"
 	"meadowhinge/internal/plan"
-	"meadowhinge/internal/standin"
 )
 
 // connections are the open ends that close with a life.
@@ -194,7 +194,7 @@
 	defer w.lock.Unlock()
 	one := w.places[address]
 	if one == nil || !one.up || w.quit {
-		return nil, defect.New(defect.WorkerConnectFailed, address)
+		return nil, errs.New(errs.WorkerConnectFailed, address)
 	}
 	near, far := net.Pipe()
 	from.add(near)
@@ -253,7 +253,7 @@
 			time.Sleep(took)
 		}
 		w.eased(one)
-		body, _ := json.Marshal(standin.NewReply(op, one.name, "xxxxxxxxxxxxxxxxxxxx"))
+		body, _ := json.Marshal(fakebackend.NewReply(op, one.name, "xxxxxxxxxxxxxxxxxxxx"))
 		status := "200 OK"
 		if fails {
 			status = "500 Ill"
--- a/internal/simulator/core.go
+++ b/internal/simulator/core.go
@@ -6,10 +6,10 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/registry"
 	"meadowhinge/internal/release"
 	"meadowhinge/internal/session"
-	"meadowhinge/internal/setup"
 	"meadowhinge/internal/store"
 	"meadowhinge/schema"
 )
@@ -36,8 +36,8 @@
 	start  time.Duration
 	table  *registry.FleetState
 	claims *registry.ReservationTable
-	state  setup.State
-	setup  *setup.Snapshot
+	state  config.State
+	setup  *config.Snapshot
 	beside *seatNode
 	sits   map[string]*sitting // with other registries, in a serving world
 	duty   *release.Controller
@@ -221,8 +221,8 @@
 
 func (w *World) startRegistry(node *registryNode) {
 	w.rise(&node.machine)
-	node.born, node.start, node.state, node.duty = uint64(w.next()), w.now, setup.State{}, nil
-	node.setup, _ = setup.Compile(node.state, 0)
+	node.born, node.start, node.state, node.duty = uint64(w.next()), w.now, config.State{}, nil
+	node.setup, _ = config.Compile(node.state, 0)
 	node.table = registry.NewFleetState(registry.FleetStateOptions{MemberID: node.name[len("registry-"):], Lease: w.tableLease(), MaxSources: 64, MaxCounts: 256, WithoutLeases: w.Options.Serving})
 	node.claims = registry.NewReservationTable(registry.ReservationOptions{Lease: lease, Window: keyWindow, MaxReservations: 1 << 16, MemberCount: seatCount})
 	if w.plant == PlantForgets {
@@ -238,7 +238,7 @@
 			news := store.ItemsAfter(state, stable, node.table.CommittedRevision())
 			node.state = node.state.Apply(news.Items, news.Complete)
 			w.History.observe(w.now, node.name, stable, node.state)
-			node.setup, _ = setup.CompileIncremental(node.setup, node.state, stable)
+			node.setup, _ = config.CompileIncremental(node.setup, node.state, stable)
 			w.History.inForce(node.setup)
 			node.table.SetCommitted(w.ageOf(node), stable)
 		}
--- a/internal/simulator/edge.go
+++ b/internal/simulator/edge.go
@@ -10,23 +10,23 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/fakebackend"
 	"meadowhinge/internal/journal"
-	"meadowhinge/internal/link"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/proxy"
 	"meadowhinge/internal/release"
 	"meadowhinge/internal/session"
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
 // Settings of the simulated proxies.
 const (
 	horizonMost = 10 * time.Second
-	extraRatio  = standin.RetryBudgetRatio
-	extraFloor  = standin.RetryBudgetFloor
+	extraRatio  = fakebackend.RetryBudgetRatio
+	extraFloor  = fakebackend.RetryBudgetFloor
 	dialBound   = lease / 16
 	remembered  = 1 << 14
 )
@@ -211,7 +211,7 @@
 func (w *World) apply(node *proxyNode, event proxy.Event) {
 	if held := node.journal.View().Items(); w.plant == PlantOpen {
 		event.Items = slices.DeleteFunc(event.Items, func(item *schema.Item) bool {
-			return item.Kind == "service" && held[setup.Key(item.Kind, item.Name)] != nil
+			return item.Kind == "service" && held[config.Key(item.Kind, item.Name)] != nil
 		})
 	}
 	journal := node.journal
@@ -337,9 +337,9 @@
 }
 
 // peerOf is how a proxy stands before another: it may speak for its own callers.
-func (w *World) peerOf(node *proxyNode) link.Peer {
+func (w *World) peerOf(node *proxyNode) transport.Peer {
 	speaks := map[string]bool{"client": true, "saves": true}
-	return link.LocalPeer("proxy", node.name, speaks)
+	return transport.LocalPeer("proxy", node.name, speaks)
 }
 
 // claimer takes a key to the registries.
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -16,7 +16,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/release"
 	"meadowhinge/schema"
 )
@@ -109,7 +109,7 @@
 			d.text(entry.proxy.name, entry.outcome)
 			d.times(entry.sent, entry.got)
 			if ended := entry.ended; ended != nil {
-				d.text(ended.ID, string(defect.CodeOf(ended.Err)))
+				d.text(ended.ID, string(errs.CodeOf(ended.Err)))
 				d.number(uint64(ended.Attempts), uint64(ended.WorkerAttempts))
 				if ended.Response != nil {
 					d.message(t, ended.Response)
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -9,10 +9,10 @@
 	"sync"
 	"time"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/dispatch"
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/fakebackend"
 	"meadowhinge/schema"
 )
 
@@ -93,7 +93,7 @@
 	rulings    map[string]schema.Ruling
 	ops        map[string]*op
 	left       map[string]time.Duration // by token: when its worker said that it leaves, or ended
-	setups     map[uint64]*setup.Snapshot
+	setups     map[uint64]*config.Snapshot
 	extras     map[string][]time.Duration // by service: dispatches after the first of their call
 	under      map[string]int             // calls under way, by service and version
 	bad        []*badEntry
@@ -147,12 +147,12 @@
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.Decisions++
-	if least := h.yesAt(now - standin.ConfigPropagationBound); h.world.Options.Serving {
+	if least := h.yesAt(now - fakebackend.ConfigPropagationBound); h.world.Options.Serving {
 		if touch {
 			h.Touched++
 		}
 		if touch && carry.Revision < least {
-			h.breach(RuleOlder, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name, carry.Request, carry.Revision, least, standin.ConfigPropagationBound)
+			h.breach(RuleOlder, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name, carry.Request, carry.Revision, least, fakebackend.ConfigPropagationBound)
 		}
 	} else if carry.Revision < h.yes {
 		h.breach(RuleOlder, "%v: %s sent %s by %d; %d was acknowledged", now, node.name, carry.Request, carry.Revision, h.yes)
@@ -204,7 +204,7 @@
 }
 
 // inForce notes a setup that a registry gives out.
-func (h *History) inForce(compiled *setup.Snapshot) {
+func (h *History) inForce(compiled *config.Snapshot) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	if h.setups[compiled.Revision] == nil {
@@ -226,7 +226,7 @@
 		return
 	}
 	wanted.runs = append(wanted.runs, runEntry{one, now, ask, request, 0})
-	if at, left := h.left[one.token]; left && bound && now > at+standin.DrainingBound {
+	if at, left := h.left[one.token]; left && bound && now > at+fakebackend.DrainingBound {
 		h.breach(RuleLeft, "%v: %s ran %s %v after it left", now, one.name, id, now-at)
 	}
 	// What was in force when it was asked for, or came into force since, may have allowed it.
@@ -234,7 +234,7 @@
 	if ask < len(wanted.asks) {
 		sent = wanted.asks[ask].sent
 	}
-	least, allowed := h.yesAt(sent-standin.ConfigPropagationBound), false
+	least, allowed := h.yesAt(sent-fakebackend.ConfigPropagationBound), false
 	// A proxy that is out of touch may go by any setup there ever was.
 	if h.world.Options.Serving {
 		least = 0
@@ -265,11 +265,11 @@
 		}
 		bad.its++
 		bad.last = now
-		if bad.failures >= standin.FaultyVersionFailures && now > bad.fiftieth+standin.FaultyVersionBound && bad.late == 0 {
+		if bad.failures >= fakebackend.FaultyVersionFailures && now > bad.fiftieth+fakebackend.FaultyVersionBound && bad.late == 0 {
 			bad.late = now
 		}
 		if failed {
-			if bad.failures++; bad.failures == standin.FaultyVersionFailures {
+			if bad.failures++; bad.failures == fakebackend.FaultyVersionFailures {
 				bad.fiftieth = now
 			}
 		}
@@ -300,7 +300,7 @@
 		return
 	}
 	if made := entry.ended.Plan; made != nil {
-		if least := h.yesAt(entry.sent - standin.ConfigPropagationBound); !h.world.Options.Serving && made.Verdict.ConfigRevision < least {
+		if least := h.yesAt(entry.sent - fakebackend.ConfigPropagationBound); !h.world.Options.Serving && made.Verdict.ConfigRevision < least {
 			h.breach(RuleOlder, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged", now, one.id, entry.sent, made.Verdict.ConfigRevision, least)
 		}
 		if made.Verdict.Reason == "HELD" {
@@ -309,8 +309,8 @@
 	}
 	if entry.ended.Err != nil {
 		// A caller that was withdrawn is refused rightly.
-		if defect.CodeOf(entry.ended.Err) != defect.CallerNotAllowed {
-			h.away(entry, string(defect.CodeOf(entry.ended.Err)))
+		if errs.CodeOf(entry.ended.Err) != errs.CallerNotAllowed {
+			h.away(entry, string(errs.CodeOf(entry.ended.Err)))
 		}
 		return
 	}
@@ -318,7 +318,7 @@
 	if len(one.asks) > 1 {
 		h.Repeats++
 	}
-	var got standin.Reply
+	var got fakebackend.Reply
 	carried := entry.ended.Response
 	if json.Unmarshal(carried.Body, &got) != nil || got.Operation != one.id || !got.IsIntact() {
 		h.breach(RuleAnswer, "%v: %s got %q", now, one.id, carried.Body)
@@ -382,7 +382,7 @@
 
 // observe compares what stands at a sequence: each item by the change that took it. Removed
 // items count as absent, for copies let go of their tombstones at different times.
-func (h *History) observe(now time.Duration, name string, sequence uint64, state setup.State) {
+func (h *History) observe(now time.Duration, name string, sequence uint64, state config.State) {
 	sum := fnv.New64a()
 	for _, item := range state.Items() {
 		if !item.Deleted {
--- a/internal/simulator/hop.go
+++ b/internal/simulator/hop.go
@@ -8,10 +8,10 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/defect"
 	"meadowhinge/internal/dispatch"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -23,14 +23,14 @@
 		// What is left of an earlier life does nothing any more.
 		if now, _, up := w.lifeOf(&node.machine); !up || now != life {
 			<-ctx.Done()
-			return nil, defect.New(defect.PeerConnectionLost, "this proxy is dead")
+			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
 		}
 		if !given.RecallOnly && !given.AdmissionOnly {
 			w.History.dispatched(w.time(), node, given)
 		}
 		if !w.thawed(&node.machine, life) {
 			<-ctx.Done()
-			return nil, defect.New(defect.PeerConnectionLost, "this proxy is dead")
+			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
 		}
 		if candidate.Proxy == node.name {
 			return node.runner.Run(ctx, peer, given), nil
@@ -43,12 +43,12 @@
 			return answer.carried, answer.err
 		case <-ctx.Done():
 			w.hangUp(node, candidate.Proxy, given.Request)
-			return nil, defect.New(defect.PeerConnectionLost, "no answer in time")
+			return nil, errs.New(errs.PeerConnectionLost, "no answer in time")
 		}
 	}
 }
 
-func (w *World) hop(node *proxyNode, name string, peer link.Peer, carry *schema.ForwardRequest, answers chan hopAnswer) {
+func (w *World) hop(node *proxyNode, name string, peer transport.Peer, carry *schema.ForwardRequest, answers chan hopAnswer) {
 	dice := w.own(carry.Request)
 	var target *proxyNode
 	for _, one := range w.proxies {
@@ -58,7 +58,7 @@
 	}
 	lost := func() { answers <- hopAnswer{nil, w.lostLink()} }
 	unopened := func(after time.Duration) {
-		w.after(after, func() { answers <- hopAnswer{nil, defect.New(defect.PeerConnectFailed, name)} })
+		w.after(after, func() { answers <- hopAnswer{nil, errs.New(errs.PeerConnectFailed, name)} })
 	}
 	delay, dropped := w.passes(&node.machine, &target.machine, dice)
 	_, _, up := w.lifeOf(&target.machine)
@@ -112,9 +112,9 @@
 
 func (w *World) lostLink() error {
 	if w.plant == PlantFalseNo {
-		return defect.New(defect.PeerConnectFailed, "lost")
+		return errs.New(errs.PeerConnectFailed, "lost")
 	}
-	return defect.New(defect.PeerConnectionLost, "lost")
+	return errs.New(errs.PeerConnectionLost, "lost")
 }
 
 // mangled alters an answer now and then on the way; a checksum that fits would be a forgery.
@@ -135,16 +135,16 @@
 }
 
 // serve runs a dispatch at the proxy that it came to. Should that proxy die, the link is lost.
-func (w *World) serve(target *proxyNode, peer link.Peer, carry *schema.ForwardRequest, answer func(*schema.ForwardResponse), lost func()) {
+func (w *World) serve(target *proxyNode, peer transport.Peer, carry *schema.ForwardRequest, answer func(*schema.ForwardResponse), lost func()) {
 	life, died, _ := w.lifeOf(&target.machine)
 	runner := target.runner
 	// Somebody else now and then sends under a name that is not its own.
 	if carry.Caller == "client" && w.own("stranger "+carry.Request).IntN(100) == 0 {
 		forged := proto.Clone(carry).(*schema.ForwardRequest)
 		forged.Request, forged.Caller, forged.RecallOnly = "forged-"+carry.Request, "saves", false
-		stranger := link.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
+		stranger := transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
 		if w.plant == PlantClaimsAll {
-			stranger = link.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
+			stranger = transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
 		}
 		go runner.Run(context.Background(), stranger, forged)
 	}
--- a/internal/simulator/judge.go
+++ b/internal/simulator/judge.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/fakebackend"
 )
 
 // close judges what can be judged only when all is over.
@@ -41,17 +41,17 @@
 		slices.Sort(extras)
 		from := 0
 		for i, at := range extras {
-			for extras[from] < at-standin.RetryBudgetWindow {
+			for extras[from] < at-fakebackend.RetryBudgetWindow {
 				from++
 			}
-			inside := sort.Search(len(list), func(i int) bool { return list[i] > at }) - sort.Search(len(list), func(i int) bool { return list[i] >= at-standin.RetryBudgetWindow })
-			if float64(i-from+1) > standin.RetryBudgetRatio*float64(inside)+h.world.Options.Floor {
+			inside := sort.Search(len(list), func(i int) bool { return list[i] > at }) - sort.Search(len(list), func(i int) bool { return list[i] >= at-fakebackend.RetryBudgetWindow })
+			if float64(i-from+1) > fakebackend.RetryBudgetRatio*float64(inside)+h.world.Options.Floor {
 				h.breach(RuleBudget, "%v: %s had %d extra tries on %d calls in ten seconds", at, service, i-from+1, inside)
 			}
 		}
 	}
 	for _, bad := range h.bad {
-		if float64(bad.its) > standin.FaultyVersionRatio*float64(bad.all)+standin.FaultyVersionFloor {
+		if float64(bad.its) > fakebackend.FaultyVersionRatio*float64(bad.all)+fakebackend.FaultyVersionFloor {
 			h.breach(RuleBad, "%s %s got %d of %d calls since it was bad, %d of them failures", bad.service, bad.version, bad.its, bad.all, bad.failures)
 		}
 		if bad.late > 0 {
@@ -66,7 +66,7 @@
 	for _, entry := range o.asks {
 		kind := ""
 		if entry.ended != nil && entry.ended.Err != nil {
-			kind = string(defect.CodeOf(entry.ended.Err))
+			kind = string(errs.CodeOf(entry.ended.Err))
 		}
 		parts = append(parts, fmt.Sprintf("%s@%v:%s %s", entry.proxy.name, entry.sent, entry.outcome, kind))
 	}
--- a/internal/simulator/play.go
+++ b/internal/simulator/play.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"meadowhinge/internal/setup"
-	"meadowhinge/internal/statement"
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/configsource"
 	"meadowhinge/schema"
 )
 
@@ -17,7 +17,7 @@
 
 // weighted is a release flag with a share of version 2, in thousandths of a percent.
 func weighted(service string, weight int) *schema.Item {
-	return &schema.Item{Kind: "flag", Name: setup.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
+	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
 		`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":{"variations":[{"variation":0,"weight":%d},{"variation":1,"weight":%d}]}}}`, 100000-weight, weight))}
 }
 
@@ -34,7 +34,7 @@
 }
 
 func single(service string) *schema.Item {
-	return &schema.Item{Kind: "flag", Name: setup.VersionFlagKey(service), Body: []byte(`{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`)}
+	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(`{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`)}
 }
 
 func planned(service string, target float64, over time.Duration) *schema.Item {
@@ -42,10 +42,10 @@
 }
 
 // expected is what the registry's setup says of the items of a change.
-func expected(state setup.State, items []*schema.Item) []*schema.ExpectedVersion {
+func expected(state config.State, items []*schema.Item) []*schema.ExpectedVersion {
 	var list []*schema.ExpectedVersion
 	for _, item := range items {
-		if held := state[setup.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
+		if held := state[config.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
 			list = append(list, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: held.Version.Sequence})
 		}
 	}
@@ -504,7 +504,7 @@
 // begin waits until the fleet serves its first setup.
 func (w *World) begin() {
 	w.Run(lease + 2*time.Second)
-	items, _ := statement.Parse([]byte(firstSetup))
+	items, _ := configsource.Parse([]byte(firstSetup))
 	w.insist(func() {}, items...)
 	w.Run(settled)
 	w.callers()
--- a/internal/simulator/seats.go
+++ b/internal/simulator/seats.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/linearize"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -362,7 +362,7 @@
 		change = &schema.Change{Id: change.Id, Items: change.Items}
 		_, state := node.seat.Committed()
 		for _, item := range change.Items {
-			if held := state[setup.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
+			if held := state[config.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
 				change.Expected = append(change.Expected, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: held.Version.Sequence})
 			}
 		}
@@ -418,12 +418,12 @@
 		yes[name] = given
 	}
 	began, client := w.now, int(w.next())
-	shown := func(state setup.State) {
+	shown := func(state config.State) {
 		w.Reads++
 		w.judge(node, state, yes)
 		for place := range coreNames {
 			name := coreItem(place)
-			value := valueOf(state[setup.Key("segment", name)])
+			value := valueOf(state[config.Key("segment", name)])
 			w.calls.Add(linearize.Operation{Client: client, Item: name, Read: true, Value: value, Result: linearize.Accepted, Begin: began, End: w.now})
 		}
 	}
@@ -453,9 +453,9 @@
 }
 
 // judge holds what was read against what had been acknowledged before it was asked for.
-func (w *coreWorld) judge(node *seatNode, state setup.State, yes map[string]uint64) {
+func (w *coreWorld) judge(node *seatNode, state config.State, yes map[string]uint64) {
 	for name, given := range yes {
-		item := state[setup.Key("segment", name)]
+		item := state[config.Key("segment", name)]
 		if item.GetOperatorVersion() < given {
 			w.History.breach(RuleGiven, "%v: %s shows %s under %d; %d was acknowledged", w.now, node.name, name, item.GetOperatorVersion(), given)
 		}
@@ -464,7 +464,7 @@
 		if item.Kind == "segment" && !slices.Contains(w.said[item.Name][item.OperatorVersion], string(item.Body)) {
 			w.History.breach(RuleSaid, "%v: %s shows %s under %d as %q", w.now, node.name, item.Name, item.OperatorVersion, item.Body)
 		}
-		if w.History.markers[setup.Key(item.Kind, item.Name)] {
+		if w.History.markers[config.Key(item.Kind, item.Name)] {
 			w.History.breach(RuleInvalid, "%v: %s holds %s", w.now, node.name, item.Name)
 		}
 	}
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -20,7 +20,7 @@
 	"testing/synctest"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -192,7 +192,7 @@
 	w := &World{seed: seed, dice: rand.New(rand.NewPCG(seed, 17)), plant: plant, cuts: map[[2]string]bool{}, disturbed: map[string]time.Duration{}, base: time.Now(), moved: make(chan struct{}, 1),
 		places: map[string]*workerNode{}, ills: map[[2]string]*Illness{}, Options: options}
 	w.History = &History{shown: map[string][]shown{}, orders: map[uint64]string{}, markers: map[string]bool{}, rulings: map[string]schema.Ruling{}, last: map[string]uint64{}, lives: map[string]int{},
-		ops: map[string]*op{}, left: map[string]time.Duration{}, setups: map[uint64]*setup.Snapshot{}, Away: map[string]int{}, world: w}
+		ops: map[string]*op{}, left: map[string]time.Duration{}, setups: map[uint64]*config.Snapshot{}, Away: map[string]int{}, world: w}
 	if options.Bare {
 		return w
 	}
--- a/internal/store/admission.go
+++ b/internal/store/admission.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -118,9 +118,9 @@
 	if (uint64(count) < threshold || purgeTo <= s.committedState.PurgedUpTo()) && operatorVersion <= s.committedState.OperatorVersionedPurgedUpTo() {
 		return
 	}
-	item := setup.NewPurgeItem(purgeTo, operatorVersion)
+	item := config.NewPurgeItem(purgeTo, operatorVersion)
 	change := &schema.Change{Id: "purge-" + versionText(&schema.Version{Term: s.term, Sequence: s.sequence + 1}), Items: []*schema.Item{item}}
-	if existing := s.state[setup.Key(item.Kind, item.Name)]; existing != nil {
+	if existing := s.state[config.Key(item.Kind, item.Name)]; existing != nil {
 		change.Expected = []*schema.ExpectedVersion{{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.Sequence}}
 	}
 	s.admit(change)
@@ -186,7 +186,7 @@
 
 // Decide decides a change against a state: taken whole, or refused whole with every reason.
 // It compiles after an earlier setup, nil for none, and gives the one that it made of a change it took.
-func Decide(state setup.State, previous *setup.Snapshot, change *schema.Change, version *schema.Version) (*schema.Entry, *setup.Snapshot) {
+func Decide(state config.State, previous *config.Snapshot, change *schema.Change, version *schema.Version) (*schema.Entry, *config.Snapshot) {
 	entry := &schema.Entry{Version: version, ChangeId: change.Id, Outcome: &schema.ChangeOutcome{ChangeId: change.Id, Version: version}}
 	written := change.Items
 	if change.ByOperatorVersion {
@@ -194,7 +194,7 @@
 		written, conflicts = byOperatorVersion(state, change.Items)
 		// What can never be right is refused also where a newer version stands in its place.
 		if len(written) < len(change.Items) {
-			if faults := setup.Check(change.Items); len(faults) > 0 {
+			if faults := config.Check(change.Items); len(faults) > 0 {
 				entry.Outcome.Ruling, entry.Outcome.Faults = schema.Ruling_RULING_INVALID, faults[:min(len(faults), maxReportedFaults)]
 				return entry, previous
 			}
@@ -209,7 +209,7 @@
 	}
 	// A release duty that has passed on may not write what its successor has written under a later epoch.
 	for _, item := range written {
-		if existing := state[setup.Key(item.Kind, item.Name)]; item.Kind == "progress" && !item.Deleted && existing != nil && !existing.Deleted && setup.ControllerTermOf(item) < setup.ControllerTermOf(existing) {
+		if existing := state[config.Key(item.Kind, item.Name)]; item.Kind == "progress" && !item.Deleted && existing != nil && !existing.Deleted && config.ControllerTermOf(item) < config.ControllerTermOf(existing) {
 			entry.Outcome.Ruling = schema.Ruling_RULING_STALE
 			return entry, previous
 		}
@@ -218,7 +218,7 @@
 	for _, item := range written {
 		// Whoever writes an item without a version of an operator's leaves the one that it had: it
 		// must not go down, or an older order could take the item back.
-		operatorVersion := max(item.OperatorVersion, state[setup.Key(item.Kind, item.Name)].GetOperatorVersion())
+		operatorVersion := max(item.OperatorVersion, state[config.Key(item.Kind, item.Name)].GetOperatorVersion())
 		items = append(items, &schema.Item{Kind: item.Kind, Name: item.Name, Body: item.Body, Deleted: item.Deleted, Version: version, ChangeId: change.Id, OperatorVersion: operatorVersion, OperatorBody: item.OperatorBody})
 	}
 	// What brings nothing new leaves the state as it was, which was valid.
@@ -226,7 +226,7 @@
 		entry.Outcome.Ruling = schema.Ruling_RULING_ACCEPTED
 		return entry, previous
 	}
-	compiled, faults := setup.CompileIncremental(previous, state.With(items), version.Sequence)
+	compiled, faults := config.CompileIncremental(previous, state.With(items), version.Sequence)
 	if len(faults) > 0 {
 		entry.Outcome.Ruling, entry.Outcome.Faults = schema.Ruling_RULING_INVALID, faults[:min(len(faults), maxReportedFaults)]
 		return entry, previous
@@ -236,13 +236,13 @@
 }
 
 // conflictingItems lists the items of a change that do not stand as the writer expected.
-func conflictingItems(state setup.State, change *schema.Change) (current []*schema.ExpectedVersion) {
+func conflictingItems(state config.State, change *schema.Change) (current []*schema.ExpectedVersion) {
 	expected := map[string]uint64{}
 	for _, expectation := range change.Expected {
-		expected[setup.Key(expectation.Kind, expectation.Name)] = expectation.Sequence
+		expected[config.Key(expectation.Kind, expectation.Name)] = expectation.Sequence
 	}
 	for _, item := range change.Items {
-		key := setup.Key(item.Kind, item.Name)
+		key := config.Key(item.Kind, item.Name)
 		sequence := uint64(0)
 		if existing := state[key]; existing != nil && !existing.Deleted {
 			sequence = existing.Version.Sequence
--- a/internal/store/admission_test.go
+++ b/internal/store/admission_test.go
@@ -3,14 +3,14 @@
 import (
 	"testing"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
 // Each ruling on a change, against one state.
 func TestDecide(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
-	state := setup.State{}.With([]*schema.Item{
+	state := config.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "shop", Version: at(1), Body: []byte(`{"versions":["1","2"],"fallback":"1","callers":[]}`)},
 		{Kind: "progress", Name: "r", Version: at(2), Body: []byte(`{"duty":5}`)},
 		{Kind: "segment", Name: "old", Version: at(3), Deleted: true},
@@ -54,7 +54,7 @@
 	}
 	stored := func(sequence uint64, item *schema.Item) *schema.Item { item.Version = at(sequence); return item }
 	const body = `{"salt":"new"}`
-	state := setup.State{}.With([]*schema.Item{
+	state := config.State{}.With([]*schema.Item{
 		stored(1, item("stands", 7, `{"salt":""}`)), stored(2, item("dropped", 7, "")), stored(3, item("ours", 0, `{"salt":""}`))})
 	route := func(name string, version uint64) *schema.Item {
 		return &schema.Item{Kind: "route", Name: name, OperatorVersion: version, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)}
@@ -114,7 +114,7 @@
 	}
 	stored := service(`{"MaxConns":20,"Name":"shop"}`)
 	stored.Version = &schema.Version{Term: 1, Sequence: 4}
-	state := setup.State{}.With([]*schema.Item{stored})
+	state := config.State{}.With([]*schema.Item{stored})
 	for source, want := range map[string]schema.Ruling{
 		`{"Name":"shop", "MaxConns":20}`: schema.Ruling_RULING_ACCEPTED,
 		`{"MaxConns":21,"Name":"shop"}`:  schema.Ruling_RULING_CONFLICT,
--- a/internal/store/deliver.go
+++ b/internal/store/deliver.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -167,7 +167,7 @@
 	}
 	peer = s.outsiders[message.From]
 	// What was not taken into the state that this replica has under a later epoch came to nothing.
-	if membershipVersion != nil && membershipVersion.Term >= s.term && setup.Newer(membershipVersion, s.membership.EffectiveFrom) && s.membership.EffectiveFrom != nil {
+	if membershipVersion != nil && membershipVersion.Term >= s.term && config.Newer(membershipVersion, s.membership.EffectiveFrom) && s.membership.EffectiveFrom != nil {
 		if peer == nil || peer.isLearner || peer.incarnation != message.Incarnation {
 			peer = &peerState{incarnation: message.Incarnation}
 			s.outsiders[message.From] = peer
--- a/internal/store/election.go
+++ b/internal/store/election.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -225,7 +225,7 @@
 func (s *Replica) sendVote(to string, request *schema.VoteRequest) {
 	vote := &schema.Vote{Term: request.Term, Last: s.lastVersion()}
 	switch {
-	case !setup.Newer(vote.Last, request.Last):
+	case !config.Newer(vote.Last, request.Last):
 	case request.Last.GetTerm() == s.term && request.Last.GetSequence() >= s.baseSequence:
 		vote.Entries = s.entries[request.Last.GetSequence()-s.baseSequence:]
 	default:
@@ -252,7 +252,7 @@
 		return
 	}
 	for _, name := range s.otherMembers {
-		if peer := s.peers[name]; peer != nil && peer.vote != nil && setup.Newer(peer.vote.Last, s.lastVersion()) && !s.hasFault(faultStaleLeader) {
+		if peer := s.peers[name]; peer != nil && peer.vote != nil && config.Newer(peer.vote.Last, s.lastVersion()) && !s.hasFault(faultStaleLeader) {
 			s.adoptVote(peer.vote)
 		}
 	}
--- a/internal/store/given.go
+++ b/internal/store/given.go
@@ -5,7 +5,7 @@
 	"encoding/json"
 	"reflect"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -15,10 +15,10 @@
 // lower version was overtaken and changes nothing. Under one version an item has one content: the
 // same content again is a repeat and changes nothing, another content is a clash, by which the
 // whole change must be refused.
-func byOperatorVersion(state setup.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.ExpectedVersion) {
+func byOperatorVersion(state config.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.ExpectedVersion) {
 	latest := map[string]*schema.Item{}
 	for _, item := range items {
-		key := setup.Key(item.Kind, item.Name)
+		key := config.Key(item.Kind, item.Name)
 		existing, seen := latest[key]
 		if !seen {
 			existing = state[key]
@@ -31,7 +31,7 @@
 		}
 	}
 	for _, item := range items {
-		if latest[setup.Key(item.Kind, item.Name)] == item {
+		if latest[config.Key(item.Kind, item.Name)] == item {
 			written = append(written, item)
 		}
 	}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -175,7 +175,7 @@
 // sequenceOf is in which sequence an item was last written.
 func (c *goldenCore) sequenceOf(at, kind, name string) uint64 {
 	_, state := c.members[at].Committed()
-	return state[setup.Key(kind, name)].GetVersion().GetSequence()
+	return state[config.Key(kind, name)].GetVersion().GetSequence()
 }
 
 // writeGoldenCore writes the folders of the members by the real steps.
@@ -494,9 +494,9 @@
 }
 
 // checkGoldenRelease checks that the release on its way is read as it was steered.
-func checkGoldenRelease(t *testing.T, state setup.State) {
+func checkGoldenRelease(t *testing.T, state config.State) {
 	t.Helper()
-	compiled, faults := setup.Compile(state, 13)
+	compiled, faults := config.Compile(state, 13)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -504,7 +504,7 @@
 	if plan == nil || plan.Service != "shop" || plan.Version != "2" || plan.Target != 50 || plan.Duration != 10*time.Minute || plan.Control != "go" || plan.Revision != 9 {
 		t.Errorf("the plan is %+v", plan)
 	}
-	want := setup.Progress{ControllerTerm: 3, Controller: "a", PlanID: "shop 3", State: "ramp", Reason: "the version is known", Percentage: 25, Weight: 25000, Elapsed: int64(150 * time.Second), PreviousVersion: "1", StateSince: 7}
+	want := config.Progress{ControllerTerm: 3, Controller: "a", PlanID: "shop 3", State: "ramp", Reason: "the version is known", Percentage: 25, Weight: 25000, Elapsed: int64(150 * time.Second), PreviousVersion: "1", StateSince: 7}
 	if progress == nil || *progress != want {
 		t.Errorf("the progress is %+v, want %+v", progress, want)
 	}
--- a/internal/store/log.go
+++ b/internal/store/log.go
@@ -14,7 +14,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/schema"
 )
 
@@ -69,7 +69,7 @@
 // Rot is refused with DISK_CORRUPT: the folder must then be set aside and refilled.
 func Open(folder string) (*FileLog, []*schema.Record, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		return nil, nil, defect.Wrap(err, defect.DiskFailed, "folder")
+		return nil, nil, errs.Wrap(err, errs.DiskFailed, "folder")
 	}
 	return openLog(osFileSystem(folder))
 }
@@ -80,7 +80,7 @@
 func logNumbers(files fileSystem) ([]uint64, error) {
 	names, err := files.list()
 	if err != nil {
-		return nil, defect.Wrap(err, defect.DiskFailed, "list")
+		return nil, errs.Wrap(err, errs.DiskFailed, "list")
 	}
 	var numbers []uint64
 	for _, name := range names {
@@ -105,11 +105,11 @@
 		disk.fileNumber = max(disk.fileNumber, number)
 		data, err := files.read(logName(number))
 		if err != nil {
-			return nil, nil, defect.Wrap(err, defect.DiskFailed, logName(number))
+			return nil, nil, errs.Wrap(err, errs.DiskFailed, logName(number))
 		}
 		groups, validSize, corrupt := readFrames(data)
 		if corrupt {
-			return nil, nil, defect.New(defect.DiskCorrupt, logName(number))
+			return nil, nil, errs.New(errs.DiskCorrupt, logName(number))
 		}
 		// A file that does not begin well was never synced: the one before it stands.
 		if len(groups) == 0 {
@@ -130,7 +130,7 @@
 func (d *FileLog) resume(number, frameNumber uint64, validSize, size int) error {
 	opened, err := d.fileSystem.open(logName(number))
 	if err != nil {
-		return defect.Wrap(err, defect.DiskFailed, logName(number))
+		return errs.Wrap(err, errs.DiskFailed, logName(number))
 	}
 	if validSize < size {
 		err = opened.truncate(int64(validSize))
@@ -141,7 +141,7 @@
 	}
 	if err != nil {
 		opened.close()
-		return defect.Wrap(err, defect.DiskFailed, logName(number))
+		return errs.Wrap(err, errs.DiskFailed, logName(number))
 	}
 	d.file, d.fileNumber, d.frameNumber = opened, number, frameNumber
 	return nil
@@ -159,14 +159,14 @@
 			continue
 		}
 		if err := d.fileSystem.remove(logName(other)); err != nil {
-			return defect.Wrap(err, defect.DiskFailed, logName(other))
+			return errs.Wrap(err, errs.DiskFailed, logName(other))
 		}
 		removed = true
 	}
 	if !removed {
 		return nil
 	}
-	return defect.Wrap(d.fileSystem.syncDirectory(), defect.DiskFailed, "folder")
+	return errs.Wrap(d.fileSystem.syncDirectory(), errs.DiskFailed, "folder")
 }
 
 // readFrames reads a log's groups and tells how far they reach.
@@ -228,7 +228,7 @@
 func encodeFrame(records []*schema.Record, frameNumber uint64) ([]byte, error) {
 	data, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, frameHeaderBytes), &schema.RecordGroup{Records: records})
 	if err != nil {
-		return nil, defect.Wrap(err, defect.Internal, "record")
+		return nil, errs.Wrap(err, errs.Internal, "record")
 	}
 	copy(data, frameMagic)
 	binary.LittleEndian.PutUint32(data[4:], uint32(len(data)-frameHeaderBytes))
@@ -247,7 +247,7 @@
 		return d.beginFile(records[len(records)-1])
 	}
 	if d.failed {
-		return defect.New(defect.DiskFailed, "an earlier write was refused")
+		return errs.New(errs.DiskFailed, "an earlier write was refused")
 	}
 	if d.file == nil {
 		return d.beginFile(records...)
@@ -267,7 +267,7 @@
 		err = d.file.sync()
 	}
 	if err != nil {
-		return defect.Wrap(err, defect.DiskFailed, "write")
+		return errs.Wrap(err, errs.DiskFailed, "write")
 	}
 	d.frameNumber++
 	return nil
@@ -282,7 +282,7 @@
 	d.fileNumber++
 	created, err := d.fileSystem.create(logName(d.fileNumber))
 	if err != nil {
-		return defect.Wrap(err, defect.DiskFailed, logName(d.fileNumber))
+		return errs.Wrap(err, errs.DiskFailed, logName(d.fileNumber))
 	}
 	d.file, d.frameNumber = created, 0
 	if err := d.writeFrame(records); err != nil {
@@ -300,7 +300,7 @@
 	if d.file == nil {
 		return nil
 	}
-	return defect.Wrap(d.file.close(), defect.DiskFailed, "close")
+	return errs.Wrap(d.file.close(), errs.DiskFailed, "close")
 }
 
 // SetAside moves corrupt logs out of the way, kept for whoever wants to look at them; of earlier
@@ -309,12 +309,12 @@
 	files := osFileSystem(folder)
 	names, err := files.list()
 	if err != nil {
-		return defect.Wrap(err, defect.DiskFailed, "list")
+		return errs.Wrap(err, errs.DiskFailed, "list")
 	}
 	for _, name := range names {
 		if strings.HasPrefix(name, corruptPrefix) {
 			if err := files.remove(name); err != nil {
-				return defect.Wrap(err, defect.DiskFailed, name)
+				return errs.Wrap(err, errs.DiskFailed, name)
 			}
 		}
 	}
@@ -324,10 +324,10 @@
 	}
 	for _, number := range numbers {
 		if err := files.rename(logName(number), corruptPrefix+logName(number)); err != nil {
-			return defect.Wrap(err, defect.DiskFailed, logName(number))
+			return errs.Wrap(err, errs.DiskFailed, logName(number))
 		}
 	}
-	return defect.Wrap(files.syncDirectory(), defect.DiskFailed, "folder")
+	return errs.Wrap(files.syncDirectory(), errs.DiskFailed, "folder")
 }
 
 // osFileSystem is a folder of the machine's own files.
--- a/internal/store/log_test.go
+++ b/internal/store/log_test.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/schema"
 )
 
@@ -258,7 +258,7 @@
 					twice.powerLossAt = second
 					before, synced, inFlight, err := writeUntilPowerLoss(twice, 100, snapshots)
 					if err != nil {
-						if errors.Is(err, errPower) || defect.CodeOf(err) == defect.DiskFailed {
+						if errors.Is(err, errPower) || errs.CodeOf(err) == errs.DiskFailed {
 							continue // lost while it was opened
 						}
 						t.Fatal(err)
@@ -312,7 +312,7 @@
 	files.refusesWrites = true
 	refused := func(number int) {
 		t.Helper()
-		if err := disk.Write([]*schema.Record{voteRecord(number)}, false); defect.CodeOf(err) != defect.DiskFailed {
+		if err := disk.Write([]*schema.Record{voteRecord(number)}, false); errs.CodeOf(err) != errs.DiskFailed {
 			t.Errorf("%d was written after one that may be missing: %v", number, err)
 		}
 	}
@@ -320,7 +320,7 @@
 	files.refusesWrites = false
 	refused(2)
 	files.refusesWrites = true
-	if err := disk.Write([]*schema.Record{first}, true); defect.CodeOf(err) != defect.DiskFailed {
+	if err := disk.Write([]*schema.Record{first}, true); errs.CodeOf(err) != errs.DiskFailed {
 		t.Fatal(err)
 	}
 	files.refusesWrites = false
@@ -428,7 +428,7 @@
 	content, _ := os.ReadFile(file)
 	content[len(content)/2] ^= 0x40
 	_ = os.WriteFile(file, content, 0o640)
-	if _, _, err := Open(folder); err == nil || defect.CodeOf(err) != defect.DiskCorrupt {
+	if _, _, err := Open(folder); err == nil || errs.CodeOf(err) != errs.DiskCorrupt {
 		t.Errorf("got %v", err)
 	}
 	if err := SetAside(folder); err != nil {
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -172,7 +172,7 @@
 	}
 	delete(targets, s.config.Name)
 	knownVersion := s.membership.EffectiveFrom
-	if s.reportedMembership != nil && setup.Newer(s.reportedMembership.Committed, s.lastVersion()) {
+	if s.reportedMembership != nil && config.Newer(s.reportedMembership.Committed, s.lastVersion()) {
 		knownVersion = s.reportedMembership.EffectiveFrom
 	}
 	for _, name := range slices.Sorted(maps.Keys(targets)) {
@@ -186,7 +186,7 @@
 	if s.committedTerm == 0 || len(s.committedMembership.Members) == 0 || knownVersion.GetTerm() > s.committedTerm || proto.Equal(knownVersion, s.committedMembership.EffectiveFrom) {
 		return
 	}
-	if setup.Newer(s.committedMembership.EffectiveFrom, knownVersion) || knownVersion.GetTerm() < s.committedTerm {
+	if config.Newer(s.committedMembership.EffectiveFrom, knownVersion) || knownVersion.GetTerm() < s.committedTerm {
 		membership := proto.Clone(s.committedMembership).(*schema.Membership)
 		membership.Committed = &schema.Version{Term: s.committedTerm, Sequence: s.committedSequence}
 		s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Membership{Membership: membership}})
@@ -194,7 +194,7 @@
 }
 
 func (s *Replica) onMembership(membership *schema.Membership) {
-	if s.reportedMembership != nil && !setup.Newer(membership.Committed, s.reportedMembership.Committed) {
+	if s.reportedMembership != nil && !config.Newer(membership.Committed, s.reportedMembership.Committed) {
 		return
 	}
 	wasMember := s.isMember()
@@ -263,10 +263,10 @@
 // it holds. Either it was taken out while it was away, or it was put in by an entry that only it and
 // too few others took, and that came to nothing: in both cases what it takes for the members is void.
 func (s *Replica) isExcluded() bool {
-	if s.hasFault(faultIgnoresExclusion) && s.reportedMembership != nil && !setup.Newer(s.reportedMembership.EffectiveFrom, s.membership.EffectiveFrom) {
+	if s.hasFault(faultIgnoresExclusion) && s.reportedMembership != nil && !config.Newer(s.reportedMembership.EffectiveFrom, s.membership.EffectiveFrom) {
 		return false
 	}
-	return s.reportedMembership != nil && setup.Newer(s.reportedMembership.Committed, s.lastVersion()) && !containsMember(s.reportedMembership, s.config.Name, s.incarnation, s.founder)
+	return s.reportedMembership != nil && config.Newer(s.reportedMembership.Committed, s.lastVersion()) && !containsMember(s.reportedMembership, s.config.Name, s.incarnation, s.founder)
 }
 
 // learners are those that are kept up to date by the leader though they are no members.
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -248,7 +248,7 @@
 	}
 	_, state := w.replicas["c"].Committed()
 	for i := range maxTombstones {
-		if item := state[setup.Key("segment", fmt.Sprint("s", i))]; item == nil || !item.Deleted || item.OperatorVersion != 7 {
+		if item := state[config.Key("segment", fmt.Sprint("s", i))]; item == nil || !item.Deleted || item.OperatorVersion != 7 {
 			t.Errorf("s%d: %v", i, item)
 		}
 	}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -10,8 +10,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/linearize"
-	"meadowhinge/internal/setup"
 	"meadowhinge/schema"
 )
 
@@ -331,7 +331,7 @@
 	m.states[committed] = text
 }
 
-func stateText(state setup.State) string {
+func stateText(state config.State) string {
 	var texts []string
 	for _, item := range state.Items() {
 		texts = append(texts, fmt.Sprintf("%s/%s %d %s", item.Kind, item.Name, item.OperatorVersion, item.Body))
@@ -398,7 +398,7 @@
 	}
 	for index := range modelItems {
 		name := modelItem(index)
-		m.calls.Add(linearize.Operation{Client: client, Item: name, Read: true, Value: modelValue(state[setup.Key("segment", name)]),
+		m.calls.Add(linearize.Operation{Client: client, Item: name, Read: true, Value: modelValue(state[config.Key("segment", name)]),
 			Result: linearize.Accepted, Begin: began, End: m.now})
 	}
 }
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -139,10 +139,10 @@
 	votedFor       string
 	term           uint64
 	sequence       uint64
-	state          setup.State
+	state          config.State
 	membership     *schema.Membership // the latest taken, committed or not: it counts
 	baseSequence   uint64
-	baseState      setup.State
+	baseState      config.State
 	baseMembership *schema.Membership
 	entries        []*schema.Entry // from baseSequence+1 to seq
 	outcomes       map[string]*schema.ChangeOutcome
@@ -151,13 +151,13 @@
 	durableTerm, durableSequence uint64
 	committedSequence            uint64
 	committedTerm                uint64
-	committedState               setup.State
+	committedState               config.State
 	committedMembership          *schema.Membership
 	entriesSinceSnapshot         int
 	bytesSinceSnapshot           int
 	snapshotBytes                int
-	nextPurgeSequence            uint64          // committed sequence from which the leader looks for tombstones again
-	compiledConfig               *setup.Snapshot // of the last change taken here, to compile the next one after
+	nextPurgeSequence            uint64           // committed sequence from which the leader looks for tombstones again
+	compiledConfig               *config.Snapshot // of the last change taken here, to compile the next one after
 
 	lastWriteID   uint64
 	pendingWrites []pendingWrite
@@ -205,7 +205,7 @@
 
 // NewReplica makes a replica from what its disk held; records nil and a new incarnation make an empty one.
 func NewReplica(cfg Config, incarnation uint64, records []*schema.Record) *Replica {
-	s := &Replica{config: cfg, incarnation: incarnation, state: setup.State{}, baseState: setup.State{}, committedState: setup.State{},
+	s := &Replica{config: cfg, incarnation: incarnation, state: config.State{}, baseState: config.State{}, committedState: config.State{},
 		membership: &schema.Membership{}, baseMembership: &schema.Membership{}, committedMembership: &schema.Membership{}, outcomes: map[string]*schema.ChangeOutcome{}, peers: map[string]*peerState{},
 		outsiders: map[string]*peerState{}, addresses: map[string]string{}, pendingProposals: map[string][]requester{}, forwardedRequests: map[string]forwardedRequest{}}
 	for _, record := range records {
@@ -252,7 +252,7 @@
 // restoreSnapshot takes a snapshot as the whole working state.
 func (s *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
 	s.term, s.sequence = snapshot.Term, snapshot.Sequence
-	s.state = setup.State{}.With(snapshot.Items)
+	s.state = config.State{}.With(snapshot.Items)
 	if s.membership = snapshot.Membership; s.membership == nil {
 		s.membership = &schema.Membership{}
 	}
@@ -361,7 +361,7 @@
 }
 
 // Committed gives the state that may be shown outside.
-func (s *Replica) Committed() (uint64, setup.State) { return s.committedSequence, s.committedState }
+func (s *Replica) Committed() (uint64, config.State) { return s.committedSequence, s.committedState }
 
 // Members lists the members as far as they are committed, where they agree on them themselves.
 func (s *Replica) Members() []*schema.CoreMember {
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/config"
 	"meadowhinge/schema"
 )
 
@@ -240,7 +240,7 @@
 }
 
 func (s *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
-	if !s.isMember() || s.role != roleFollower || !setup.Newer(&schema.Version{Term: snapshot.Term, Sequence: snapshot.Sequence}, s.lastVersion()) {
+	if !s.isMember() || s.role != roleFollower || !config.Newer(&schema.Version{Term: snapshot.Term, Sequence: snapshot.Sequence}, s.lastVersion()) {
 		return
 	}
 	// Committed state may be taken even under a later vote: a majority has it already, so
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -15,11 +15,12 @@
 	"google.golang.org/protobuf/proto"
 	"storj.io/drpc/drpcmux"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/options"
-	"meadowhinge/internal/setup"
+	"meadowhinge/internal/statuspage"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -27,7 +28,7 @@
 type Server struct {
 	schema.DRPCStoreUnimplementedServer
 	initialOptions     *schema.StoreOptions // as they were at the start
-	transport          *link.Transport
+	transport          *transport.Transport
 	log                logr.Logger
 	ctx                context.Context
 	started            time.Time
@@ -76,10 +77,10 @@
 	defer rpcTransport.Close()
 	staticMembers := options.SplitList(opts.Order)
 	if self := rpcTransport.Self(); self.Role != "store" || self.Name != opts.Seat {
-		return defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not store %q", self.Role, self.Name, opts.Seat))
+		return errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not store %q", self.Role, self.Name, opts.Seat))
 	}
 	if len(staticMembers) > 0 && !slices.Contains(staticMembers, opts.Seat) {
-		return defect.New(defect.InvalidOptions, "seat: is not in order")
+		return errs.New(errs.InvalidOptions, "seat: is not in order")
 	}
 	replicaCfg := replicaConfig(opts)
 	recordLog, records := openLogWithRetry(ctx, frame.Log, opts, replicaCfg, run.wrapLog)
@@ -89,7 +90,7 @@
 	defer recordLog.Close()
 	listener, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
-		return defect.Wrap(err, defect.InvalidOptions, "listen")
+		return errs.Wrap(err, errs.InvalidOptions, "listen")
 	}
 	s := &Server{initialOptions: opts, liveOptions: opts, transport: rpcTransport, log: frame.Log, started: time.Now(), processIncarnation: rand.Uint64(), ctx: ctx, tickets: map[string]chan any{}, stageTimes: map[uint64]*[3]int64{},
 		committedChanged: make(chan struct{}), outboxes: map[string]chan *schema.ReplicaMessage{}, writeSignal: make(chan struct{}, 1), timer: time.NewTimer(0)}
@@ -98,11 +99,11 @@
 	go s.writeLoop(ctx, recordLog)
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterStore(mux, s); err != nil {
-		return defect.Wrap(err, defect.Internal, "mux")
+		return errs.Wrap(err, errs.Internal, "mux")
 	}
 	frame.AddPage("/certificate", rpcTransport.Certificate)
 	frame.AddPage("/traffic", func() any { return rpcTransport.Traffic() })
-	frame.AddPage("/status", func() any { return s.status() })
+	frame.AddPage("/status", func() any { return statuspage.ReplicaOf(s.status()) })
 	if opts.ProbeListen != "" {
 		if err := frame.ServeProbes(opts.ProbeListen, s.readiness); err != nil {
 			return err
@@ -148,11 +149,11 @@
 }
 
 // newTransport makes the links' ends: with keys, or plain ones that need none.
-func newTransport(opts *schema.StoreOptions) (*link.Transport, error) {
+func newTransport(opts *schema.StoreOptions) (*transport.Transport, error) {
 	if opts.Links == plaintextLinks {
-		return link.NewPlaintext("store", opts.Seat, nil, link.WithLocalAddress(opts.Listen)), nil
+		return transport.NewPlaintext("store", opts.Seat, nil, transport.WithLocalAddress(opts.Listen)), nil
 	}
-	return link.NewTLS(opts.Certificate, opts.Authority, link.WithLocalAddress(opts.Listen))
+	return transport.NewTLS(opts.Certificate, opts.Authority, transport.WithLocalAddress(opts.Listen))
 }
 
 const plaintextLinks = "plain"
@@ -205,7 +206,7 @@
 
 func tryOpenLog(log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log) (Log, []*schema.Record, error) {
 	opened, records, err := Open(opts.Data)
-	if err != nil && defect.CodeOf(err) == defect.DiskCorrupt {
+	if err != nil && errs.CodeOf(err) == errs.DiskCorrupt {
 		// Rot: the replica starts empty and is refilled by the others.
 		log.Error(err, "log is corrupt and set aside; refilling from the other members")
 		if err = SetAside(opts.Data); err == nil {
@@ -242,7 +243,7 @@
 func (s *Server) readiness() daemon.Readiness {
 	status := s.status()
 	if status.Leader == "" || !status.Member || status.Unfit {
-		return daemon.Readiness{Reason: string(defect.NoQuorum)}
+		return daemon.Readiness{Reason: string(errs.NoQuorum)}
 	}
 	return daemon.Readiness{Ready: true}
 }
@@ -524,7 +525,7 @@
 
 // Deliver takes messages from another replica.
 func (s *Server) Deliver(stream schema.DRPCStore_DeliverStream) error {
-	peer := link.PeerFromContext(stream.Context())
+	peer := transport.PeerFromContext(stream.Context())
 	header := &schema.ReplicaMessage{}
 	for {
 		messages, err := stream.Recv()
@@ -541,7 +542,7 @@
 			// Only the replica named in the certificate may speak as that replica.
 			if peer.Role != "store" || peer.Name != message.From {
 				s.transport.RejectedPeers.Add(1)
-				return defect.New(defect.Unauthorized, message.From)
+				return errs.New(errs.Unauthorized, message.From)
 			}
 			s.step(func(now time.Duration) []Action { return s.replica.Step(now, message) })
 		}
@@ -634,7 +635,7 @@
 }
 
 // ItemsAfter lists the items of a state newer than a sequence, or all when it is 0.
-func ItemsAfter(state setup.State, committed, after uint64) *schema.FollowReply {
+func ItemsAfter(state config.State, committed, after uint64) *schema.FollowReply {
 	reply := &schema.FollowReply{Committed: committed}
 	reply.Items, reply.Complete = state.ChangesAfter(after)
 	return reply
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -10,8 +10,8 @@
 	"github.com/go-logr/logr"
 
 	"meadowhinge/internal/daemon"
-	"meadowhinge/internal/link"
-	"meadowhinge/internal/standin"
+	"meadowhinge/internal/fakebackend"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -31,19 +31,19 @@
 
 // Three stores that know nothing but each other's seeds found a core and take a change.
 func TestFoundedFromSeeds(t *testing.T) {
-	octet, reservation, err := standin.ReserveLoopbackNet()
+	octet, reservation, err := fakebackend.ReserveLoopbackNet()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer reservation.Close()
-	net24, port := fmt.Sprintf("127.%d.0", octet), standin.FirstPort
+	net24, port := fmt.Sprintf("127.%d.0", octet), fakebackend.FirstPort
 	hosts := []string{net24 + ".91", net24 + ".92", net24 + ".93"}
 	seeds := fmt.Sprintf("%[1]s.93:9,%[1]s.91:9,%[1]s.92:9", net24) // of the operators' interface: only the IPs count
 	for _, host := range hosts {
 		defer start(t, &schema.StoreOptions{Seat: host, Listen: fmt.Sprint(host, ":", port), Seeds: seeds, Data: t.TempDir(), Founding: true, Links: "plain",
 			Losses: 1, Silence: int64(300 * time.Millisecond), Stall: int64(time.Second), EntriesMost: 64, OutcomesMost: 64, Buffer: 64})()
 	}
-	clientTransport := link.NewPlaintext("registry", hosts[2], nil)
+	clientTransport := transport.NewPlaintext("registry", hosts[2], nil)
 	defer clientTransport.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/internal/link/called_off_test.go
+++ b/internal/transport/called_off_test.go
@@ -1,4 +1,4 @@
-package link_test
+package transport_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"storj.io/drpc/drpcmux"
 
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -43,7 +43,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	serving, calling := link.NewPlaintext("proxy", "there", nil), link.NewPlaintext("proxy", "here", nil)
+	serving, calling := transport.NewPlaintext("proxy", "there", nil), transport.NewPlaintext("proxy", "here", nil)
 	go func() { _ = serving.Serve(ctx, listener, mux, "proxy") }()
 	t.Cleanup(calling.Close)
 	call := func(ctx context.Context, request string) error {
--- a/internal/link/link.go
+++ b/internal/transport/link.go
@@ -1,5 +1,5 @@
 // Package link carries drpc between our own processes under mutual TLS.
-package link
+package transport
 
 import (
 	"context"
@@ -26,7 +26,7 @@
 	"storj.io/drpc/drpcserver"
 	"storj.io/drpc/drpcwire"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/socket"
 )
 
@@ -121,21 +121,21 @@
 func readCredentials(certificateFile, authorityFile string, now time.Time) (*credentials, error) {
 	pair, err := tls.LoadX509KeyPair(certificateFile, certificateFile)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.InvalidOptions, "certificate")
+		return nil, errs.Wrap(err, errs.InvalidOptions, "certificate")
 	}
 	authority, err := os.ReadFile(authorityFile)
 	if err != nil {
-		return nil, defect.Wrap(err, defect.InvalidOptions, "authority")
+		return nil, errs.Wrap(err, errs.InvalidOptions, "authority")
 	}
 	loaded := &credentials{pair: pair, roots: x509.NewCertPool()}
 	if !loaded.roots.AppendCertsFromPEM(authority) {
-		return nil, defect.New(defect.InvalidOptions, "authority holds no certificate")
+		return nil, errs.New(errs.InvalidOptions, "authority holds no certificate")
 	}
 	if loaded.leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
-		return nil, defect.Wrap(err, defect.InvalidOptions, "certificate")
+		return nil, errs.Wrap(err, errs.InvalidOptions, "certificate")
 	}
 	if now.After(loaded.leaf.NotAfter) || now.Before(loaded.leaf.NotBefore) {
-		return nil, defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is good from %s to %s only", loaded.leaf.NotBefore.Format(time.RFC3339), loaded.leaf.NotAfter.Format(time.RFC3339)))
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is good from %s to %s only", loaded.leaf.NotBefore.Format(time.RFC3339), loaded.leaf.NotAfter.Format(time.RFC3339)))
 	}
 	return loaded, nil
 }
@@ -177,14 +177,14 @@
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			if state.NegotiatedProtocol != protocolVersion {
-				return defect.New(defect.Unauthorized, "speaks another protocol")
+				return errs.New(errs.Unauthorized, "speaks another protocol")
 			}
 			certificates := state.PeerCertificates
 			if len(certificates) == 0 {
-				return defect.New(defect.Unauthorized, "shows no certificate")
+				return errs.New(errs.Unauthorized, "shows no certificate")
 			}
 			_, err := certificates[0].Verify(x509.VerifyOptions{Roots: transport.currentCredentials().roots, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
-			return defect.Wrap(err, defect.Unauthorized, "certificate")
+			return errs.Wrap(err, errs.Unauthorized, "certificate")
 		},
 	}
 	return transport, nil
@@ -216,19 +216,19 @@
 	line, octet := make([]byte, 0, 64), make([]byte, 1)
 	for {
 		if _, err := io.ReadFull(raw, octet); err != nil {
-			return Peer{}, defect.Wrap(err, defect.Unauthorized, "greeting")
+			return Peer{}, errs.Wrap(err, errs.Unauthorized, "greeting")
 		}
 		if octet[0] == '\n' {
 			break
 		}
 		if line = append(line, octet[0]); len(line) > maxGreetingBytes {
-			return Peer{}, defect.New(defect.Unauthorized, "greeting is too long")
+			return Peer{}, errs.New(errs.Unauthorized, "greeting is too long")
 		}
 	}
 	fields := strings.Split(string(line), " ")
 	const greetingFields = 4
 	if len(fields) != greetingFields || fields[0] != protocolVersion {
-		return Peer{}, defect.New(defect.Unauthorized, "speaks another protocol")
+		return Peer{}, errs.New(errs.Unauthorized, "speaks another protocol")
 	}
 	peer := Peer{Role: fields[1], Name: fields[2], mayCallAs: map[string]bool{}, verified: true}
 	for _, service := range strings.Split(fields[3], ",") {
@@ -253,7 +253,7 @@
 			fresh, err := readCredentials(t.credentialFiles[0], t.credentialFiles[1], now)
 			if err == nil {
 				if self := peerFromCertificate(fresh.leaf); self.Role != t.self.Role || self.Name != t.self.Name {
-					err = defect.New(defect.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not %s %q", self.Role, self.Name, t.self.Role, t.self.Name))
+					err = errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not %s %q", self.Role, self.Name, t.self.Role, t.self.Name))
 				}
 			}
 			if t.reloadFault = ""; err != nil {
@@ -312,7 +312,7 @@
 		raw = secured
 	}
 	if err != nil {
-		return nil, defect.Wrap(err, defect.PeerConnectFailed, address)
+		return nil, errs.Wrap(err, errs.PeerConnectFailed, address)
 	}
 	return drpcconn.NewWithOptions(raw, drpcconn.Options{Manager: t.managerOptions()}), nil
 }
@@ -347,7 +347,7 @@
 	if err == nil {
 		err = socketErr
 	}
-	return defect.Wrap(err, defect.PeerConnectFailed, "socket")
+	return errs.Wrap(err, errs.PeerConnectFailed, "socket")
 }
 
 // Conn gives a connection to address; each call on it takes a link of its own.
@@ -382,7 +382,7 @@
 				<-closed
 				return nil
 			}
-			return defect.Wrap(err, defect.Internal, "accept")
+			return errs.Wrap(err, errs.Internal, "accept")
 		}
 		go func() {
 			secured, peer, err := t.handshake(ctx, raw)
@@ -420,7 +420,7 @@
 	handshakeCtx, cancel := context.WithTimeout(ctx, t.dialTimeout*handshakeTimeoutFactor)
 	defer cancel()
 	if err := secured.HandshakeContext(handshakeCtx); err != nil {
-		return secured, Peer{}, defect.Wrap(err, defect.Unauthorized, "handshake")
+		return secured, Peer{}, errs.Wrap(err, errs.Unauthorized, "handshake")
 	}
 	return secured, peerFromCertificate(secured.ConnectionState().PeerCertificates[0]), nil
 }
--- a/internal/link/link_test.go
+++ b/internal/transport/link_test.go
@@ -1,4 +1,4 @@
-package link_test
+package transport_test
 
 import (
 	"context"
@@ -12,30 +12,30 @@
 
 	"storj.io/drpc/drpcmux"
 
-	"meadowhinge/internal/defect"
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/errs"
 	"meadowhinge/internal/rehearsal"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
 // peerRecorder answers with who called.
 type peerRecorder struct {
 	schema.DRPCHopUnimplementedServer
-	seen chan link.Peer
+	seen chan transport.Peer
 }
 
 func (p *peerRecorder) Run(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-	p.seen <- link.PeerFromContext(ctx)
+	p.seen <- transport.PeerFromContext(ctx)
 	return &schema.ForwardResponse{Request: carry.Request}, nil
 }
 
-func credentials(t *testing.T, authority *rehearsal.Authority, role, name string, services ...string) *link.Transport {
+func credentials(t *testing.T, authority *rehearsal.Authority, role, name string, services ...string) *transport.Transport {
 	t.Helper()
 	file, err := authority.Issue(role, name, services)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ends, err := link.NewTLS(file, authority.File())
+	ends, err := transport.NewTLS(file, authority.File())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorder := &peerRecorder{seen: make(chan link.Peer, 8)}
+	recorder := &peerRecorder{seen: make(chan transport.Peer, 8)}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, recorder); err != nil {
 		t.Fatal(err)
@@ -68,7 +68,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx, listener, mux, "proxy") }()
 	address := listener.Addr().String()
-	call := func(ends *link.Transport) error {
+	call := func(ends *transport.Transport) error {
 		bounded, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
 		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, address)).Run(bounded, &schema.ForwardRequest{Request: "r"})
@@ -134,7 +134,7 @@
 	listener.Close()
 	ends := credentials(t, authority, "proxy", "q")
 	_, err = schema.NewDRPCHopClient(ends.Conn(t.Context(), address)).Run(t.Context(), &schema.ForwardRequest{})
-	if defect.CodeOf(err) != defect.PeerConnectFailed {
+	if errs.CodeOf(err) != errs.PeerConnectFailed {
 		t.Errorf("got %v", err)
 	}
 }
@@ -151,12 +151,12 @@
 		t.Fatal(err)
 	}
 	now := time.Now()
-	ends, err := link.NewTLS(file, authority.File(), link.WithClock(func() time.Time { now = now.Add(2 * time.Second); return now }))
+	ends, err := transport.NewTLS(file, authority.File(), transport.WithClock(func() time.Time { now = now.Add(2 * time.Second); return now }))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ends.Close()
-	shown := func() link.CertificateStatus { return ends.Certificate().(link.CertificateStatus) }
+	shown := func() transport.CertificateStatus { return ends.Certificate().(transport.CertificateStatus) }
 	first := shown()
 	good, _ := os.ReadFile(file)
 	write := func(text []byte, later time.Duration) {
@@ -195,7 +195,7 @@
 			t.Errorf("%s: %+v", one.name, got)
 		}
 	}
-	if _, err := link.NewTLS("/nowhere", authority.File()); defect.CodeOf(err) != defect.InvalidOptions {
+	if _, err := transport.NewTLS("/nowhere", authority.File()); errs.CodeOf(err) != errs.InvalidOptions {
 		t.Errorf("a file that is not there gave %v", err)
 	}
 }
@@ -207,18 +207,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	recorder := &peerRecorder{seen: make(chan link.Peer, 8)}
+	recorder := &peerRecorder{seen: make(chan transport.Peer, 8)}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, recorder); err != nil {
 		t.Fatal(err)
 	}
-	server := link.NewPlaintext("proxy", "p", nil)
+	server := transport.NewPlaintext("proxy", "p", nil)
 	t.Cleanup(server.Close)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx, listener, mux, "proxy") }()
 	call := func(role string) error {
-		ends := link.NewPlaintext(role, "q", []string{"shop", "bag"})
+		ends := transport.NewPlaintext(role, "q", []string{"shop", "bag"})
 		defer ends.Close()
 		bounded, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
--- a/internal/link/pool.go
+++ b/internal/transport/pool.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"storj.io/drpc/drpcenc"
 	"storj.io/drpc/drpcwire"
 
-	"meadowhinge/internal/defect"
+	"meadowhinge/internal/errs"
 )
 
 // Bounds on the links that wait for their next call.
@@ -163,7 +163,7 @@
 		_ = conn.Close()
 		// A link that ended while it waited carried nothing of this call.
 		if fresh || ctx.Err() != nil {
-			return nil, nil, defect.Wrap(err, defect.PeerConnectFailed, c.address)
+			return nil, nil, errs.Wrap(err, errs.PeerConnectFailed, c.address)
 		}
 	}
 }
--- a/internal/link/traffic.go
+++ b/internal/transport/traffic.go
@@ -1,4 +1,4 @@
-package link
+package transport
 
 import (
 	"maps"
--- a/internal/link/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -1,4 +1,4 @@
-package link_test
+package transport_test
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"storj.io/drpc/drpcmux"
 
-	"meadowhinge/internal/link"
+	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
 
@@ -20,10 +20,10 @@
 		t.Fatal(err)
 	}
 	mux := drpcmux.New()
-	if err := schema.DRPCRegisterHop(mux, &peerRecorder{seen: make(chan link.Peer, calls)}); err != nil {
+	if err := schema.DRPCRegisterHop(mux, &peerRecorder{seen: make(chan transport.Peer, calls)}); err != nil {
 		t.Fatal(err)
 	}
-	server, client := link.NewPlaintext("proxy", "p", nil), link.NewPlaintext("proxy", "q", nil)
+	server, client := transport.NewPlaintext("proxy", "p", nil), transport.NewPlaintext("proxy", "q", nil)
 	t.Cleanup(server.Close)
 	t.Cleanup(client.Close)
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
