--- a/cmd/golden_test.go
+++ b/cmd/golden_test.go
@@ -20,20 +20,20 @@
 	"time"
 )
 
-// bin is where the programs were built.
-var bin string
+// binaries is where the programs were built.
+var binaries string
 
 // TestMain builds all programs once, so that what is tested is what is shipped.
-func TestMain(m *testing.M) { os.Exit(built(m)) }
+func TestMain(m *testing.M) { os.Exit(buildAndTest(m)) }
 
-func built(m *testing.M) int {
+func buildAndTest(m *testing.M) int {
 	folder, err := os.MkdirTemp("", "golden-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	defer os.RemoveAll(folder)
-	bin = folder
+	binaries = folder
 	if out, err := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./...").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "go build: %v\n%s", err, out)
 		return 1
@@ -41,20 +41,20 @@
 	return m.Run()
 }
 
-// end is how a program ended.
-type end struct {
+// exitResult is how a program ended.
+type exitResult struct {
 	code        int
 	out, errors string
 }
 
-// leave runs a program until it ends by itself.
-func leave(t *testing.T, environment []string, program string, in string, args ...string) end {
+// runProgram runs a program until it ends by itself.
+func runProgram(t *testing.T, environment []string, program string, in string, args ...string) exitResult {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	command := exec.CommandContext(ctx, filepath.Join(bin, program), args...)
-	var out, complaint strings.Builder
-	command.Stdin, command.Stdout, command.Stderr = strings.NewReader(in), &out, &complaint
+	command := exec.CommandContext(ctx, filepath.Join(binaries, program), args...)
+	var out, errOut strings.Builder
+	command.Stdin, command.Stdout, command.Stderr = strings.NewReader(in), &out, &errOut
 	command.Env = append(environment, "PATH="+os.Getenv("PATH"), "TMPDIR="+t.TempDir())
 	// What it starts ends with it, should a case that is refused now be taken some day.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
@@ -64,11 +64,11 @@
 	if err != nil && !errors.As(err, &exit) || ctx.Err() != nil {
 		t.Fatalf("%s %q: %v", program, args, err)
 	}
-	return end{command.ProcessState.ExitCode(), out.String(), complaint.String()}
+	return exitResult{command.ProcessState.ExitCode(), out.String(), errOut.String()}
 }
 
-// nobody is an address at which nobody answers.
-const nobody = "127.0.0.1:1"
+// unreachableAddress is an address at which nobody answers.
+const unreachableAddress = "127.0.0.1:1"
 
 // TestExitCodesGolden holds the exit codes of all programs, by case.
 func TestExitCodesGolden(t *testing.T) {
@@ -82,13 +82,13 @@
 	}
 	unknown, badValue := write("unknown", "colour red\n"), write("bad", "ring many\n")
 	setup, badSetup := write("setup.cue", `segment: t: {salt: "b"}`), write("bad.cue", `route: r: {prefix: 4}`)
-	served := func(status int, pages map[string]string) string {
+	fakeRegistry := func(status int, pages map[string]string) string {
 		server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
-			page, known := pages[request.Method+" "+request.URL.Path]
+			page, found := pages[request.Method+" "+request.URL.Path]
 			switch {
 			case status != 0:
 				out.WriteHeader(status)
-			case !known:
+			case !found:
 				out.WriteHeader(http.StatusNotFound)
 			}
 			_, _ = out.Write([]byte(page))
@@ -96,17 +96,17 @@
 		t.Cleanup(server.Close)
 		return strings.TrimPrefix(server.URL, "http://")
 	}
-	const shown = `{"sequence":7,"items":[]}`
-	changes := func(answer string) string {
-		return served(0, map[string]string{"GET /v1/setup": shown, "POST /v1/changes": answer, "GET /v1/changes/x": answer})
+	const configPage = `{"sequence":7,"items":[]}`
+	changesPage := func(answer string) string {
+		return fakeRegistry(0, map[string]string{"GET /v1/setup": configPage, "POST /v1/changes": answer, "GET /v1/changes/x": answer})
 	}
-	accepted := changes(`{"id":"x","ruling":"accepted","sequence":8,"acknowledged":true}`)
-	waiting := changes(`{"id":"x","ruling":"accepted","acknowledged":false,"waiting":["p"]}`)
-	conflict := changes(`{"id":"x","ruling":"conflict","defect":"CONFLICT"}`)
-	broken := changes(`{`)
-	trace := func(text string) string { return served(0, map[string]string{"GET /v1/trace/x": text}) }
-	young, empty := served(http.StatusServiceUnavailable, nil), served(0, nil)
-	pages := served(0, map[string]string{"GET /v1/setup": shown, "GET /v1/verdicts": "[]", "GET /v1/workers": "[]", "GET /v1/releases": "[]", "GET /v1/status": `{"registries":[]}`,
+	accepted := changesPage(`{"id":"x","ruling":"accepted","sequence":8,"acknowledged":true}`)
+	unacknowledged := changesPage(`{"id":"x","ruling":"accepted","acknowledged":false,"waiting":["p"]}`)
+	conflict := changesPage(`{"id":"x","ruling":"conflict","defect":"CONFLICT"}`)
+	broken := changesPage(`{`)
+	trace := func(text string) string { return fakeRegistry(0, map[string]string{"GET /v1/trace/x": text}) }
+	unavailable, empty := fakeRegistry(http.StatusServiceUnavailable, nil), fakeRegistry(0, nil)
+	pages := fakeRegistry(0, map[string]string{"GET /v1/setup": configPage, "GET /v1/verdicts": "[]", "GET /v1/workers": "[]", "GET /v1/releases": "[]", "GET /v1/status": `{"registries":[]}`,
 		"POST /v1/explain": `{"route":"r","verdict":{}}`, "POST /v1/changes": `{"id":"x","ruling":"accepted","acknowledged":true}`, "GET /v1/changes/x": `{"id":"x","ruling":"accepted","acknowledged":true}`})
 
 	type testCase struct {
@@ -128,19 +128,19 @@
 		add("settings file with an unknown name", program, "-settings", unknown)
 		add("settings file with a bad value", program, "-settings", badValue)
 	}
-	add("address of another machine", "store", "-seat=a", "-links=plain", "-listen=192.0.2.1:1", "-seeds="+nobody, "-probe-listen=192.0.2.1:2", "-data="+folder, "-founding=true")
-	add("probe address of another machine", "registry", "-seat=a", "-links=plain", "-listen=127.0.0.1:0", "-seeds="+nobody, "-store="+nobody, "-operator-listen=127.0.0.1:0", "-probe-listen=192.0.2.1:2")
-	add("probe address of another machine", "proxy", "-name=p", "-area=a", "-links=plain", "-listen=127.0.0.1:0", "-seeds="+nobody, "-callers=c=127.0.0.1:0", "-workers-listen=127.0.0.1:0", "-probe-listen=192.0.2.1:2")
+	add("address of another machine", "store", "-seat=a", "-links=plain", "-listen=192.0.2.1:1", "-seeds="+unreachableAddress, "-probe-listen=192.0.2.1:2", "-data="+folder, "-founding=true")
+	add("probe address of another machine", "registry", "-seat=a", "-links=plain", "-listen=127.0.0.1:0", "-seeds="+unreachableAddress, "-store="+unreachableAddress, "-operator-listen=127.0.0.1:0", "-probe-listen=192.0.2.1:2")
+	add("probe address of another machine", "proxy", "-name=p", "-area=a", "-links=plain", "-listen=127.0.0.1:0", "-seeds="+unreachableAddress, "-callers=c=127.0.0.1:0", "-workers-listen=127.0.0.1:0", "-probe-listen=192.0.2.1:2")
 	for _, verb := range []string{"apply", "outcome", "show", "verdicts", "releases", "workers", "status", "explain", "release", "cancel", "stop", "lift"} {
 		add(verb+" help", "operator", verb, "-help")
 		add(verb+" unknown flag", "operator", verb, "-colour")
 		add(verb+" too many words", "operator", verb, "a", "b", "c")
 	}
-	words := map[string][]string{"apply": {"apply", setup}, "outcome": {"outcome", "x"}, "show": {"show"}, "verdicts": {"verdicts"}, "releases": {"releases"}, "workers": {"workers"},
+	commandLines := map[string][]string{"apply": {"apply", setup}, "outcome": {"outcome", "x"}, "show": {"show"}, "verdicts": {"verdicts"}, "releases": {"releases"}, "workers": {"workers"},
 		"status": {"status"}, "explain": {"explain", "/x"}, "release": {"release", "-service", "s", "-version", "2", "r"}, "cancel": {"cancel", "r"}, "stop": {"stop", "s", "2"}, "lift": {"lift", "s", "2"}}
-	for verb, given := range words {
-		for name, address := range map[string]string{"answered": pages, "nobody there": nobody, "young": young, "no such page": empty, "one of two dead": nobody + "," + pages, "address that is none": "here"} {
-			add(verb+" "+name, "operator", append([]string{"-registries", address, "-timeout", "3s"}, given...)...)
+	for verb, args := range commandLines {
+		for name, address := range map[string]string{"answered": pages, "nobody there": unreachableAddress, "young": unavailable, "no such page": empty, "one of two dead": unreachableAddress + "," + pages, "address that is none": "here"} {
+			add(verb+" "+name, "operator", append([]string{"-registries", address, "-timeout", "3s"}, args...)...)
 		}
 	}
 	add("help", "operator", "-help")
@@ -151,7 +151,7 @@
 	add("apply file that is not there", "operator", "-registries", accepted, "apply", "/nowhere")
 	add("apply bad setup", "operator", "-registries", accepted, "apply", badSetup)
 	add("release without a version", "operator", "-registries", pages, "release", "-service", "s", "r")
-	for name, address := range map[string]string{"accepted": accepted, "waiting": waiting, "conflict": conflict, "broken answer": broken} {
+	for name, address := range map[string]string{"accepted": accepted, "waiting": unacknowledged, "conflict": conflict, "broken answer": broken} {
 		add("apply "+name, "operator", "-registries", address, "apply", setup)
 		add("outcome "+name, "operator", "-registries", address, "outcome", "x")
 	}
@@ -161,31 +161,31 @@
 	add("two changes", "tracer", "x", "y")
 	add("unknown flag", "tracer", "-colour", "x")
 	add("address that is none", "tracer", "-registries", "here", "x")
-	add("nobody there", "tracer", "-registries", nobody, "x")
+	add("nobody there", "tracer", "-registries", unreachableAddress, "x")
 	add("known", "tracer", "-registries", trace(`{"seat":"a","known":true,"ruling":"accepted","sequence":3}`), "x")
 	add("unknown change", "tracer", "-registries", trace(`{"seat":"a"}`), "x")
 	add("store silent", "tracer", "-registries", trace(`{"seat":"a","storeSilent":true}`), "x")
 	add("broken answer", "tracer", "-registries", trace(`{`), "x")
 	// Where there are no programs no fleet can come up, whatever becomes of these cases.
-	without := "-binaries=" + t.TempDir()
-	add("version", emulator, without, "-version")
-	add("unknown deployment", emulator, without, "-deployment", "no-such-deployment")
-	add("unknown play", emulator, without, "-play", "no-such-play")
-	add("no programs", emulator, without, "-play", "none")
-	for _, word := range []string{"", "hollow", "slopes", "calls", "soak"} {
-		prefix := strings.Fields(word)
-		add(strings.TrimSpace(word+" help"), emulator, append(prefix, without, "-help")...)
-		add(strings.TrimSpace(word+" unknown flag"), emulator, append(prefix, without, "-colour")...)
+	noBinaries := "-binaries=" + t.TempDir()
+	add("version", emulator, noBinaries, "-version")
+	add("unknown deployment", emulator, noBinaries, "-deployment", "no-such-deployment")
+	add("unknown play", emulator, noBinaries, "-play", "no-such-play")
+	add("no programs", emulator, noBinaries, "-play", "none")
+	for _, subcommand := range []string{"", "hollow", "slopes", "calls", "soak"} {
+		prefix := strings.Fields(subcommand)
+		add(strings.TrimSpace(subcommand+" help"), emulator, append(prefix, noBinaries, "-help")...)
+		add(strings.TrimSpace(subcommand+" unknown flag"), emulator, append(prefix, noBinaries, "-colour")...)
 	}
-	add("soak unknown deployment", emulator, "soak", without, "-deployment", "no-such-deployment")
-	for _, word := range []string{"hollow", "slopes", "calls"} {
-		add(word+" bad value", emulator, word, without, "-seed", "many")
-		add(word+" a word beside the flags", emulator, word, without, "word")
+	add("soak unknown deployment", emulator, "soak", noBinaries, "-deployment", "no-such-deployment")
+	for _, subcommand := range []string{"hollow", "slopes", "calls"} {
+		add(subcommand+" bad value", emulator, subcommand, noBinaries, "-seed", "many")
+		add(subcommand+" a word beside the flags", emulator, subcommand, noBinaries, "word")
 	}
 	var lines []string
-	for _, one := range cases {
-		ended := leave(t, one.environment, one.program, "", one.args...)
-		lines = append(lines, fmt.Sprintf("%s: %s: %d", labelOf(one.program), one.name, ended.code))
+	for _, testCase := range cases {
+		exit := runProgram(t, testCase.environment, testCase.program, "", testCase.args...)
+		lines = append(lines, fmt.Sprintf("%s: %s: %d", labelOf(testCase.program), testCase.name, exit.code))
 	}
 	slices.Sort(lines)
 	compareGolden(t, "exit-codes.txt", strings.Join(lines, "\n")+"\n")
@@ -239,56 +239,56 @@
 // flags and defaults that scripts rely on.
 func TestHelpGolden(t *testing.T) {
 	var listed strings.Builder
-	for _, words := range [][]string{{"operator"}, {"operator", "apply"}, {"operator", "outcome"}, {"operator", "show"}, {"operator", "verdicts"}, {"operator", "releases"},
+	for _, commandLine := range [][]string{{"operator"}, {"operator", "apply"}, {"operator", "outcome"}, {"operator", "show"}, {"operator", "verdicts"}, {"operator", "releases"},
 		{"operator", "workers"}, {"operator", "status"}, {"operator", "explain"}, {"operator", "release"}, {"operator", "cancel"}, {"operator", "stop"}, {"operator", "lift"},
 		{"tracer"}, {emulator}, {emulator, "soak"}} {
-		ended := leave(t, nil, words[0], "", append(words[1:], "-help")...)
-		fmt.Fprintf(&listed, "== %s -help\n%s", strings.Join(append([]string{labelOf(words[0])}, words[1:]...), " "), outlineOf(ended.out+ended.errors))
+		exit := runProgram(t, nil, commandLine[0], "", append(commandLine[1:], "-help")...)
+		fmt.Fprintf(&listed, "== %s -help\n%s", strings.Join(append([]string{labelOf(commandLine[0])}, commandLine[1:]...), " "), outlineOf(exit.out+exit.errors))
 	}
 	compareGolden(t, "help.txt", listed.String())
 }
 
 // TestPagesServedGolden starts each of the three programs by itself and holds which paths it serves.
 func TestPagesServedGolden(t *testing.T) {
-	address := func() string {
-		held, err := net.Listen("tcp", "127.0.0.1:0")
+	freeAddress := func() string {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer held.Close()
-		return held.Addr().String()
+		defer listener.Close()
+		return listener.Addr().String()
 	}
 	var listed strings.Builder
 	for _, program := range []string{"proxy", "registry", "store"} {
-		probe, other := address(), address()
+		probe, api := freeAddress(), freeAddress()
 		args := map[string][]string{
-			"proxy":    {"-name=p", "-area=a", "-callers=client=" + address(), "-workers-listen=" + other},
-			"registry": {"-seat=a", "-store=" + nobody, "-operator-listen=" + other, "-lease=500ms"},
+			"proxy":    {"-name=p", "-area=a", "-callers=client=" + freeAddress(), "-workers-listen=" + api},
+			"registry": {"-seat=a", "-store=" + unreachableAddress, "-operator-listen=" + api, "-lease=500ms"},
 			"store":    {"-seat=a", "-data=" + t.TempDir(), "-founding=true"},
 		}[program]
-		command := exec.Command(filepath.Join(bin, program), append(args, "-links=plain", "-listen="+address(), "-seeds="+nobody, "-probe-listen="+probe)...)
+		command := exec.Command(filepath.Join(binaries, program), append(args, "-links=plain", "-listen="+freeAddress(), "-seeds="+unreachableAddress, "-probe-listen="+probe)...)
 		if err := command.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { _, _ = command.Process.Kill(), command.Wait() })
-		await(t, probe)
+		awaitListener(t, probe)
 		for _, path := range []string{"/live", "/process", "/journal", "/status", "/certificate", "/traffic", "/events", "/nowhere"} {
-			fmt.Fprintf(&listed, "%s probe GET %s: %s\n", program, path, isServed(t, http.MethodGet, probe, path))
+			fmt.Fprintf(&listed, "%s probe GET %s: %s\n", program, path, servedOrNot(t, http.MethodGet, probe, path))
 		}
 		if program != "store" {
-			await(t, other)
+			awaitListener(t, api)
 			for _, call := range []string{"POST /v1/worker", "POST /v1/changes", "GET /v1/changes", "GET /v1/changes/x", "GET /v1/trace/x", "GET /v1/setup", "GET /v1/verdicts", "GET /v1/workers",
 				"GET /v1/releases", "GET /v1/status", "POST /v1/explain", "GET /v1/explain", "GET /nowhere"} {
 				method, path, _ := strings.Cut(call, " ")
-				fmt.Fprintf(&listed, "%s %s: %s\n", program, call, isServed(t, method, other, path))
+				fmt.Fprintf(&listed, "%s %s: %s\n", program, call, servedOrNot(t, method, api, path))
 			}
 		}
 	}
 	compareGolden(t, "pages.txt", listed.String())
 }
 
-// await waits until an address takes connections.
-func await(t *testing.T, address string) {
+// awaitListener waits until an address takes connections.
+func awaitListener(t *testing.T, address string) {
 	t.Helper()
 	for range 200 {
 		if connection, err := net.Dial("tcp", address); err == nil {
@@ -300,8 +300,8 @@
 	t.Fatalf("nobody listens at %s", address)
 }
 
-// isServed tells whether there is a page, whatever it says.
-func isServed(t *testing.T, method, address, path string) string {
+// servedOrNot tells whether there is a page, whatever it says.
+func servedOrNot(t *testing.T, method, address, path string) string {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address+path, strings.NewReader("{"))
 	if err != nil {
@@ -329,14 +329,14 @@
 	if string(want) == got {
 		return
 	}
-	had, wanted := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for _, line := range had {
-		if !slices.Contains(wanted, line) {
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
+	for _, line := range gotLines {
+		if !slices.Contains(wantLines, line) {
 			t.Errorf("%s has not: %s", file, line)
 		}
 	}
-	for _, line := range wanted {
-		if !slices.Contains(had, line) {
+	for _, line := range wantLines {
+		if !slices.Contains(gotLines, line) {
 			t.Errorf("%s has, and it is gone: %s", file, line)
 		}
 	}
--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -33,7 +33,7 @@
 
 // Exit codes: what a script can tell apart.
 const (
-	exitRefused     = 1 // the mesh said no
+	exitRejected    = 1 // the mesh said no
 	exitUsage       = 2
 	exitUnreachable = 3 // no registry answered, or the outcome is not known
 )
@@ -44,75 +44,75 @@
 	asJSON     bool
 	in         io.Reader
 	out        io.Writer
-	complaint  io.Writer
+	errOut     io.Writer
 }
 
-// ask calls the first registry that answers and gives its status and body.
-func (c *client) ask(method, path string, body any) (int, []byte, error) {
-	var sent []byte
+// request calls the first registry that answers and gives its status and body.
+func (c *client) request(method, path string, body any) (int, []byte, error) {
+	var encoded []byte
 	if body != nil {
 		var err error
-		if sent, err = json.Marshal(body); err != nil {
+		if encoded, err = json.Marshal(body); err != nil {
 			return 0, nil, errs.Wrap(err, errs.Internal, "request")
 		}
 	}
-	silent := []string{}
-	var young []byte
+	unreachable := []string{}
+	var unavailable []byte
 	for _, address := range options.SplitList(c.registries) {
 		if _, err := netip.ParseAddrPort(address); err != nil {
 			return 0, nil, errs.New(errs.InvalidOptions, fmt.Sprintf("registries: %q is not IP:port", address))
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
-		request, _ := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(sent))
+		request, _ := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(encoded))
 		request.Header.Set("Content-Type", "application/json")
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
 			cancel()
-			silent = append(silent, address)
+			unreachable = append(unreachable, address)
 			continue
 		}
 		text, err := io.ReadAll(response.Body)
 		response.Body.Close()
 		cancel()
 		if err != nil {
-			silent = append(silent, address)
+			unreachable = append(unreachable, address)
 			continue
 		}
 		// One that has just started may not know; a question does no harm at another.
 		if method == http.MethodGet && response.StatusCode == http.StatusServiceUnavailable {
-			young = text
+			unavailable = text
 			continue
 		}
 		return response.StatusCode, text, nil
 	}
-	if young != nil {
-		return http.StatusServiceUnavailable, young, nil
+	if unavailable != nil {
+		return http.StatusServiceUnavailable, unavailable, nil
 	}
-	return 0, nil, errs.New(errs.NoQuorum, "no answer from "+strings.Join(silent, ", "))
+	return 0, nil, errs.New(errs.NoQuorum, "no answer from "+strings.Join(unreachable, ", "))
 }
 
-// coded carries an exit code out of a command.
-type coded struct {
+// exitError carries an exit code out of a command.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (f *coded) Error() string { return f.err.Error() }
+func (f *exitError) Error() string { return f.err.Error() }
 
 // get asks for a page and decodes it, or prints it as it came.
-func (c *client) get(path string, into any) (done bool, err error) {
-	status, text, err := c.ask(http.MethodGet, path, nil)
+func (c *client) get(path string, target any) (printed bool, err error) {
+	status, text, err := c.request(http.MethodGet, path, nil)
 	if err != nil {
-		return false, &coded{exitUnreachable, err}
+		return false, &exitError{exitUnreachable, err}
 	}
 	if status != http.StatusOK {
-		return false, &coded{exitRefused, errs.New(errs.NoQuorum, string(text))}
+		return false, &exitError{exitRejected, errs.New(errs.NoQuorum, string(text))}
 	}
 	if c.asJSON {
 		fmt.Fprintln(c.out, string(text))
 		return true, nil
 	}
-	return false, errs.Wrap(json.Unmarshal(text, into), errs.MalformedRequest, path)
+	return false, errs.Wrap(json.Unmarshal(text, target), errs.MalformedRequest, path)
 }
 
 func (c *client) apply(file, id string) error {
@@ -121,84 +121,84 @@
 		text, err = io.ReadAll(c.in)
 	}
 	if err != nil {
-		return &coded{exitUsage, errs.Wrap(err, errs.InvalidOptions, "setup")}
+		return &exitError{exitUsage, errs.Wrap(err, errs.InvalidOptions, "setup")}
 	}
-	return c.send(id, text)
+	return c.submitChange(id, text)
 }
 
-// release states a plan; of a plan that stands, what no flag gives stays as it is.
-func (c *client) release(name string, plan *registry.ReleaseView, given map[string]bool) error {
+// changeRelease states a plan; of a plan that stands, what no flag gives stays as it is.
+func (c *client) changeRelease(name string, plan *registry.ReleaseView, setFlags map[string]bool) error {
 	var shown []registry.ReleaseView
-	plainly := *c
-	plainly.asJSON = false
-	if _, err := plainly.get("/v1/releases", &shown); err != nil {
+	decoding := *c
+	decoding.asJSON = false
+	if _, err := decoding.get("/v1/releases", &shown); err != nil {
 		return err
 	}
-	for _, held := range shown {
-		if held.Name != name {
+	for _, existing := range shown {
+		if existing.Name != name {
 			continue
 		}
 		// Each flag has one field that it overrides.
-		for flagName, take := range map[string]func(){
-			"service": func() { plan.Service = held.Service },
-			"version": func() { plan.Version = held.Version },
-			"target":  func() { plan.Target = held.Target },
-			"over":    func() { plan.Duration = held.Duration },
-			"pace":    func() { plan.Pace = held.Pace },
+		for flagName, keepExisting := range map[string]func(){
+			"service": func() { plan.Service = existing.Service },
+			"version": func() { plan.Version = existing.Version },
+			"target":  func() { plan.Target = existing.Target },
+			"over":    func() { plan.Duration = existing.Duration },
+			"pace":    func() { plan.Pace = existing.Pace },
 		} {
-			if !given[flagName] {
-				take()
+			if !setFlags[flagName] {
+				keepExisting()
 			}
 		}
 	}
 	if plan.Service == "" || plan.Version == "" {
-		return &coded{exitUsage, errs.New(errs.InvalidOptions, "release: a new plan needs -service and -version")}
+		return &exitError{exitUsage, errs.New(errs.InvalidOptions, "release: a new plan needs -service and -version")}
 	}
-	return c.send("", []byte(fmt.Sprintf("release: %q: {service: %q, version: %q, target: %v, over: %q, pace: %q}\n", name, plan.Service, plan.Version, plan.Target, plan.Duration, plan.Pace)))
+	return c.submitChange("", []byte(fmt.Sprintf("release: %q: {service: %q, version: %q, target: %v, over: %q, pace: %q}\n", name, plan.Service, plan.Version, plan.Target, plan.Duration, plan.Pace)))
 }
 
-// send states a change against what stands now, and waits for what becomes of it.
-func (c *client) send(id string, text []byte) error {
+// submitChange states a change against what stands now, and waits for what becomes of it.
+func (c *client) submitChange(id string, text []byte) error {
 	submission := registry.ChangeRequest{ID: id, Config: string(text), ExpectedVersions: map[string]uint64{}}
 	if id == "" {
-		drawn := make([]byte, 8)
-		_, _ = rand.Read(drawn)
-		submission.ID = "change-" + hex.EncodeToString(drawn)
+		random := make([]byte, 8)
+		_, _ = rand.Read(random)
+		submission.ID = "change-" + hex.EncodeToString(random)
 	}
 	// What stands now is what this change was written against.
 	var shown registry.ConfigView
-	plainly := *c
-	plainly.asJSON = false
-	_, err := plainly.get("/v1/setup", &shown)
+	decoding := *c
+	decoding.asJSON = false
+	_, err := decoding.get("/v1/setup", &shown)
 	if err != nil {
 		return err
 	}
 	items, faults := configsource.Parse(text)
 	if len(faults) > 0 {
 		for _, fault := range faults {
-			fmt.Fprintf(c.complaint, "%s: %s\n", fault.Path, fault.Reason)
+			fmt.Fprintf(c.errOut, "%s: %s\n", fault.Path, fault.Reason)
 		}
-		return &coded{exitRefused, errs.New(errs.InvalidConfig, "nothing of it was sent")}
+		return &exitError{exitRejected, errs.New(errs.InvalidConfig, "nothing of it was sent")}
 	}
 	for _, item := range items {
-		for _, held := range shown.Items {
-			if held.Kind == item.Kind && held.Name == item.Name {
-				submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = held.Version
+		for _, current := range shown.Items {
+			if current.Kind == item.Kind && current.Name == item.Name {
+				submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = current.Version
 			}
 		}
 	}
-	status, body, err := c.ask(http.MethodPost, "/v1/changes", submission)
+	status, body, err := c.request(http.MethodPost, "/v1/changes", submission)
 	if err != nil {
-		return &coded{exitUnreachable, errs.Wrap(err, errs.NoQuorum, "ask again with: operator outcome "+submission.ID)}
+		return &exitError{exitUnreachable, errs.Wrap(err, errs.NoQuorum, "ask again with: operator outcome "+submission.ID)}
 	}
-	return c.tell(status, body)
+	return c.printOutcome(status, body)
 }
 
-// tell prints what became of a change.
-func (c *client) tell(status int, body []byte) error {
+// printOutcome prints what became of a change.
+func (c *client) printOutcome(status int, body []byte) error {
 	var answer registry.ChangeResponse
 	if err := json.Unmarshal(body, &answer); err != nil {
-		return &coded{exitUnreachable, errs.Wrap(err, errs.MalformedRequest, string(body))}
+		return &exitError{exitUnreachable, errs.Wrap(err, errs.MalformedRequest, string(body))}
 	}
 	if c.asJSON {
 		fmt.Fprintln(c.out, string(body))
@@ -228,21 +228,21 @@
 	case answer.Ruling == "accepted" && answer.Acknowledged:
 		return nil
 	case answer.Ruling == "accepted" || status == http.StatusServiceUnavailable:
-		return &coded{exitUnreachable, errs.New(errs.NoQuorum, "not settled; ask again with: operator outcome "+answer.ID)}
+		return &exitError{exitUnreachable, errs.New(errs.NoQuorum, "not settled; ask again with: operator outcome "+answer.ID)}
 	}
-	return &coded{exitRefused, errs.New(answer.ErrorCode, answer.ID)}
+	return &exitError{exitRejected, errs.New(answer.ErrorCode, answer.ID)}
 }
 
-// explain says in words which version a request would get, and why.
-func (c *client) explain(told *registry.ExplainResponse) error {
-	fmt.Fprintf(c.out, "route %s of service %s, %s, within %s\n", told.Route, told.Service, told.Class, told.Deadline)
-	if told.Policy != "" {
-		fmt.Fprintf(c.out, "policy %s: %s\n", told.Policy, map[bool]string{true: "refuses it", false: "holds"}[told.Refused])
+// printExplanation says in words which version a request would get, and why.
+func (c *client) printExplanation(explanation *registry.ExplainResponse) error {
+	fmt.Fprintf(c.out, "route %s of service %s, %s, within %s\n", explanation.Route, explanation.Service, explanation.Class, explanation.Deadline)
+	if explanation.Policy != "" {
+		fmt.Fprintf(c.out, "policy %s: %s\n", explanation.Policy, map[bool]string{true: "refuses it", false: "holds"}[explanation.Refused])
 	}
-	if told.Refused {
+	if explanation.Refused {
 		return nil
 	}
-	verdict := told.Verdict
+	verdict := explanation.Verdict
 	fmt.Fprintf(c.out, "version %s, because %s of flag %s", verdict.Version, verdict.Reason, verdict.Flag)
 	for name, text := range map[string]string{"rule": verdict.RuleID, "error": string(verdict.Error), "in place of": verdict.Evaluated} {
 		if text != "" {
@@ -250,13 +250,13 @@
 		}
 	}
 	fmt.Fprintf(c.out, ", by setup %d\n", verdict.ConfigRevision)
-	fmt.Fprintf(c.out, "workers: %s\n", strings.Join(told.Candidates, " "))
+	fmt.Fprintf(c.out, "workers: %s\n", strings.Join(explanation.Candidates, " "))
 	return nil
 }
 
-func (c *client) table(head string, rows [][]any) {
+func (c *client) printTable(header string, rows [][]any) {
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(writer, strings.ReplaceAll(head, " ", "\t"))
+	fmt.Fprintln(writer, strings.ReplaceAll(header, " ", "\t"))
 	for _, row := range rows {
 		for i, cell := range row {
 			if i > 0 {
@@ -272,214 +272,214 @@
 func main() { os.Exit(run(os.Args[1:], os.Stdin, os.Stdout, os.Stderr)) }
 
 // run does one command and gives its exit code.
-func run(words []string, in io.Reader, out, complaint io.Writer) int {
-	c := &client{in: in, out: out, complaint: complaint}
-	root := flag.NewFlagSet("operator", flag.ContinueOnError)
-	root.SetOutput(complaint)
-	root.StringVar(&c.registries, "registries", "127.0.0.1:7102", "IP:port of the registries' operator interfaces, by comma")
-	root.DurationVar(&c.timeout, "timeout", 25*time.Second, "longest wait for one registry")
-	root.BoolVar(&c.asJSON, "json", false, "print answers as they came")
-	version := root.Bool("version", false, "print the version and leave")
+func run(words []string, in io.Reader, out, errOut io.Writer) int {
+	api := &client{in: in, out: out, errOut: errOut}
+	rootFlags := flag.NewFlagSet("operator", flag.ContinueOnError)
+	rootFlags.SetOutput(errOut)
+	rootFlags.StringVar(&api.registries, "registries", "127.0.0.1:7102", "IP:port of the registries' operator interfaces, by comma")
+	rootFlags.DurationVar(&api.timeout, "timeout", 25*time.Second, "longest wait for one registry")
+	rootFlags.BoolVar(&api.asJSON, "json", false, "print answers as they came")
+	showVersion := rootFlags.Bool("version", false, "print the version and leave")
 
-	command := func(name, usage, help string, set *flag.FlagSet, words int, exec func(args []string) error) *ffcli.Command {
-		if set == nil {
-			set = flag.NewFlagSet(name, flag.ContinueOnError)
+	newCommand := func(name, usage, help string, flags *flag.FlagSet, words int, exec func(args []string) error) *ffcli.Command {
+		if flags == nil {
+			flags = flag.NewFlagSet(name, flag.ContinueOnError)
 		}
-		set.SetOutput(complaint)
-		return &ffcli.Command{Name: name, ShortUsage: "operator [flags] " + usage, ShortHelp: help, FlagSet: set,
+		flags.SetOutput(errOut)
+		return &ffcli.Command{Name: name, ShortUsage: "operator [flags] " + usage, ShortHelp: help, FlagSet: flags,
 			Exec: func(_ context.Context, args []string) error {
 				if len(args) != words {
-					return &coded{exitUsage, errs.New(errs.InvalidOptions, "usage: operator [flags] "+usage)}
+					return &exitError{exitUsage, errs.New(errs.InvalidOptions, "usage: operator [flags] "+usage)}
 				}
 				return exec(args)
 			}}
 	}
 
-	applySet := flag.NewFlagSet("apply", flag.ContinueOnError)
-	id := applySet.String("id", "", "change id; a repeat under the same id gets the first outcome")
-	explainSet := flag.NewFlagSet("explain", flag.ContinueOnError)
-	caller := explainSet.String("caller", "client", "which service or client kind calls")
-	method := explainSet.String("method", "GET", "HTTP method")
-	area := explainSet.String("area", "", "zone the call comes from")
-	headers := explainSet.String("headers", "", "name=value by comma")
+	applyFlags := flag.NewFlagSet("apply", flag.ContinueOnError)
+	changeID := applyFlags.String("id", "", "change id; a repeat under the same id gets the first outcome")
+	explainFlags := flag.NewFlagSet("explain", flag.ContinueOnError)
+	caller := explainFlags.String("caller", "client", "which service or client kind calls")
+	method := explainFlags.String("method", "GET", "HTTP method")
+	zone := explainFlags.String("area", "", "zone the call comes from")
+	headers := explainFlags.String("headers", "", "name=value by comma")
 
-	releaseSet := flag.NewFlagSet("release", flag.ContinueOnError)
+	releaseFlags := flag.NewFlagSet("release", flag.ContinueOnError)
 	plan := &registry.ReleaseView{}
-	releaseSet.StringVar(&plan.Service, "service", "", "the service")
-	releaseSet.StringVar(&plan.Version, "version", "", "the version to bring in")
-	releaseSet.Float64Var(&plan.Target, "target", 100, "the share it should end with, in percent")
-	releaseSet.StringVar(&plan.Duration, "over", "10m", "the time to get there")
-	releaseSet.StringVar(&plan.Pace, "pace", "go", "go, hold, or back (turn back to the fallback version)")
+	releaseFlags.StringVar(&plan.Service, "service", "", "the service")
+	releaseFlags.StringVar(&plan.Version, "version", "", "the version to bring in")
+	releaseFlags.Float64Var(&plan.Target, "target", 100, "the share it should end with, in percent")
+	releaseFlags.StringVar(&plan.Duration, "over", "10m", "the time to get there")
+	releaseFlags.StringVar(&plan.Pace, "pace", "go", "go, hold, or back (turn back to the fallback version)")
 
-	watching := func(set *flag.FlagSet) (*time.Duration, *int) {
-		return set.Duration("watch", 0, "show it again and again, with this pause"), set.Int("times", 0, "how often with -watch; 0 for until Ctrl-C")
+	addWatchFlags := func(flags *flag.FlagSet) (*time.Duration, *int) {
+		return flags.Duration("watch", 0, "show it again and again, with this pause"), flags.Int("times", 0, "how often with -watch; 0 for until Ctrl-C")
 	}
 	// again shows a page once, or as often as asked for.
-	again := func(pause *time.Duration, times *int, show func() error) func([]string) error {
+	repeat := func(pause *time.Duration, times *int, show func() error) func([]string) error {
 		return func([]string) error {
 			for shown := 1; ; shown++ {
 				if err := show(); err != nil || *pause <= 0 || shown == *times {
 					return err
 				}
 				time.Sleep(*pause)
-				fmt.Fprintln(c.out)
+				fmt.Fprintln(api.out)
 			}
 		}
 	}
-	verdictsSet, releasesSet := flag.NewFlagSet("verdicts", flag.ContinueOnError), flag.NewFlagSet("releases", flag.ContinueOnError)
-	verdictsPause, verdictsTimes := watching(verdictsSet)
-	releasesPause, releasesTimes := watching(releasesSet)
-	stopSet := flag.NewFlagSet("stop", flag.ContinueOnError)
-	reason := stopSet.String("reason", "an operator stopped it", "why")
-	before := map[string]uint64{}
+	verdictsFlags, releasesFlags := flag.NewFlagSet("verdicts", flag.ContinueOnError), flag.NewFlagSet("releases", flag.ContinueOnError)
+	verdictsPause, verdictsTimes := addWatchFlags(verdictsFlags)
+	releasesPause, releasesTimes := addWatchFlags(releasesFlags)
+	stopFlags := flag.NewFlagSet("stop", flag.ContinueOnError)
+	reason := stopFlags.String("reason", "an operator stopped it", "why")
+	previousCalls := map[string]uint64{}
 
 	commands := []*ffcli.Command{
-		command("stop", "stop [-reason TEXT] SERVICE VERSION", "let a version get no calls; its fallback version serves them", stopSet, 2, func(args []string) error {
-			return c.send("", []byte(fmt.Sprintf("stop: %q: {service: %q, version: %q, reason: %q}\n", config.StopName(args[0], args[1]), args[0], args[1], *reason)))
+		newCommand("stop", "stop [-reason TEXT] SERVICE VERSION", "let a version get no calls; its fallback version serves them", stopFlags, 2, func(args []string) error {
+			return api.submitChange("", []byte(fmt.Sprintf("stop: %q: {service: %q, version: %q, reason: %q}\n", config.StopName(args[0], args[1]), args[0], args[1], *reason)))
 		}),
-		command("lift", "lift SERVICE VERSION", "lift a stop, an operator's or the brake's; the version is tried out anew", nil, 2, func(args []string) error {
-			return c.send("", []byte(fmt.Sprintf("stop: %q: {service: %q, version: %q, lifted: true}\n", config.StopName(args[0], args[1]), args[0], args[1])))
+		newCommand("lift", "lift SERVICE VERSION", "lift a stop, an operator's or the brake's; the version is tried out anew", nil, 2, func(args []string) error {
+			return api.submitChange("", []byte(fmt.Sprintf("stop: %q: {service: %q, version: %q, lifted: true}\n", config.StopName(args[0], args[1]), args[0], args[1])))
 		}),
-		command("release", "release [-service S] [-version V] [-target PERCENT] [-over TIME] [-pace go|hold|back] NAME", "state a release plan, or change what flags give of one", releaseSet, 1,
+		newCommand("release", "release [-service S] [-version V] [-target PERCENT] [-over TIME] [-pace go|hold|back] NAME", "state a release plan, or change what flags give of one", releaseFlags, 1,
 			func(args []string) error {
-				given := map[string]bool{}
-				releaseSet.Visit(func(one *flag.Flag) { given[one.Name] = true })
-				return c.release(args[0], plan, given)
+				setFlags := map[string]bool{}
+				releaseFlags.Visit(func(entry *flag.Flag) { setFlags[entry.Name] = true })
+				return api.changeRelease(args[0], plan, setFlags)
 			}),
-		command("cancel", "cancel NAME", "end a release plan; the flag stays as it is", nil, 1, func(args []string) error {
-			return c.send("", []byte(fmt.Sprintf("remove: release: [%q]\n", args[0])))
+		newCommand("cancel", "cancel NAME", "end a release plan; the flag stays as it is", nil, 1, func(args []string) error {
+			return api.submitChange("", []byte(fmt.Sprintf("remove: release: [%q]\n", args[0])))
 		}),
-		command("releases", "releases [-watch TIME] [-times N]", "show release plans: the set point beside the measured share", releasesSet, 0, again(releasesPause, releasesTimes, func() error {
+		newCommand("releases", "releases [-watch TIME] [-times N]", "show release plans: the set point beside the measured share", releasesFlags, 0, repeat(releasesPause, releasesTimes, func() error {
 			var shown []registry.ReleaseView
-			if done, err := c.get("/v1/releases", &shown); done || err != nil {
+			if done, err := api.get("/v1/releases", &shown); done || err != nil {
 				return err
 			}
 			var rows [][]any
-			for _, one := range shown {
-				rows = append(rows, []any{one.Name, one.Service, one.Version, one.Target, one.Duration, one.Pace, one.State, fmt.Sprintf("%.1f", one.Percentage), fmt.Sprintf("%.1f", one.MeasuredPercentage), one.Reason})
+			for _, entry := range shown {
+				rows = append(rows, []any{entry.Name, entry.Service, entry.Version, entry.Target, entry.Duration, entry.Pace, entry.State, fmt.Sprintf("%.1f", entry.Percentage), fmt.Sprintf("%.1f", entry.MeasuredPercentage), entry.Reason})
 			}
-			c.table("NAME SERVICE VERSION TARGET OVER PACE STATE SET-POINT MEASURED REASON", rows)
+			api.printTable("NAME SERVICE VERSION TARGET OVER PACE STATE SET-POINT MEASURED REASON", rows)
 			return nil
 		})),
-		command("apply", "apply [-id ID] FILE", "state a setup change, written in CUE; - reads standard input", applySet, 1,
-			func(args []string) error { return c.apply(args[0], *id) }),
-		command("outcome", "outcome ID", "tell what became of a change", nil, 1, func(args []string) error {
-			status, body, err := c.ask(http.MethodGet, "/v1/changes/"+args[0], nil)
+		newCommand("apply", "apply [-id ID] FILE", "state a setup change, written in CUE; - reads standard input", applyFlags, 1,
+			func(args []string) error { return api.apply(args[0], *changeID) }),
+		newCommand("outcome", "outcome ID", "tell what became of a change", nil, 1, func(args []string) error {
+			status, body, err := api.request(http.MethodGet, "/v1/changes/"+args[0], nil)
 			if err != nil {
-				return &coded{exitUnreachable, err}
+				return &exitError{exitUnreachable, err}
 			}
 			if status != http.StatusOK {
-				return &coded{exitRefused, errs.New(errs.ChangeNotFound, string(body))}
+				return &exitError{exitRejected, errs.New(errs.ChangeNotFound, string(body))}
 			}
-			return c.tell(status, body)
+			return api.printOutcome(status, body)
 		}),
-		command("show", "show", "show the setup in force", nil, 0, func([]string) error {
+		newCommand("show", "show", "show the setup in force", nil, 0, func([]string) error {
 			var shown registry.ConfigView
-			if done, err := c.get("/v1/setup", &shown); done || err != nil {
+			if done, err := api.get("/v1/setup", &shown); done || err != nil {
 				return err
 			}
 			var rows [][]any
 			for _, item := range shown.Items {
 				rows = append(rows, []any{item.Kind, item.Name, item.Version, string(item.Body)})
 			}
-			fmt.Fprintf(c.out, "setup %d\n", shown.Sequence)
-			c.table("KIND NAME VERSION BODY", rows)
+			fmt.Fprintf(api.out, "setup %d\n", shown.Sequence)
+			api.printTable("KIND NAME VERSION BODY", rows)
 			return nil
 		}),
-		command("verdicts", "verdicts [-watch TIME] [-times N]", "show verdict counts by flag, variation and reason; watched, also what came since", verdictsSet, 0, again(verdictsPause, verdictsTimes, func() error {
+		newCommand("verdicts", "verdicts [-watch TIME] [-times N]", "show verdict counts by flag, variation and reason; watched, also what came since", verdictsFlags, 0, repeat(verdictsPause, verdictsTimes, func() error {
 			var lines []registry.VerdictCount
-			if done, err := c.get("/v1/verdicts", &lines); done || err != nil {
+			if done, err := api.get("/v1/verdicts", &lines); done || err != nil {
 				return err
 			}
 			var rows [][]any
 			for _, line := range lines {
 				key := strings.Join([]string{line.Flag, line.Variation, line.Reason, line.Rule, line.Route, line.Outcome}, " ")
-				since := line.Calls - min(before[key], line.Calls)
-				before[key] = line.Calls
-				rows = append(rows, []any{line.Flag, line.Variation, line.Reason, line.Rule, line.Route, line.Outcome, line.Calls, since, line.Failures, fmt.Sprintf("%.2f", line.MeanMS)})
+				newCalls := line.Calls - min(previousCalls[key], line.Calls)
+				previousCalls[key] = line.Calls
+				rows = append(rows, []any{line.Flag, line.Variation, line.Reason, line.Rule, line.Route, line.Outcome, line.Calls, newCalls, line.Failures, fmt.Sprintf("%.2f", line.MeanMS)})
 			}
-			c.table("FLAG VARIATION REASON RULE ROUTE OUTCOME CALLS SINCE FAILURES MEAN-MS", rows)
+			api.printTable("FLAG VARIATION REASON RULE ROUTE OUTCOME CALLS SINCE FAILURES MEAN-MS", rows)
 			return nil
 		})),
-		command("workers", "workers", "show the workers that described themselves", nil, 0, func([]string) error {
+		newCommand("workers", "workers", "show the workers that described themselves", nil, 0, func([]string) error {
 			var shown []registry.WorkerView
-			if done, err := c.get("/v1/workers", &shown); done || err != nil {
+			if done, err := api.get("/v1/workers", &shown); done || err != nil {
 				return err
 			}
 			var rows [][]any
 			for _, worker := range shown {
 				rows = append(rows, []any{worker.Service, worker.Version, worker.Zone, worker.State, worker.Load, worker.Instance})
 			}
-			c.table("SERVICE VERSION AREA STATE LOAD INSTANCE", rows)
+			api.printTable("SERVICE VERSION AREA STATE LOAD INSTANCE", rows)
 			return nil
 		}),
-		command("status", "status", "show the core: who leads, who the members are, who grants leases, who lags", nil, 0, func([]string) error {
+		newCommand("status", "status", "show the core: who leads, who the members are, who grants leases, who lags", nil, 0, func([]string) error {
 			var status registry.CoreStatus
-			if done, err := c.get("/v1/status", &status); done || err != nil {
+			if done, err := api.get("/v1/status", &status); done || err != nil {
 				return err
 			}
 			if store := status.Store; store != nil {
-				showReplica(c.out, store)
+				printStoreStatus(api.out, store)
 			}
 			var rows [][]any
-			for _, one := range status.Registries {
+			for _, entry := range status.Registries {
 				leases := []string{}
-				for _, lease := range one.Leases {
+				for _, lease := range entry.Leases {
 					leases = append(leases, fmt.Sprintf("%s@%d", lease.Proxy, lease.Applied))
 				}
 				sort.Strings(leases)
-				rows = append(rows, []any{one.Member, one.GrantsLeases, one.Committed, strings.Join(leases, " ")})
+				rows = append(rows, []any{entry.Member, entry.GrantsLeases, entry.Committed, strings.Join(leases, " ")})
 			}
-			c.table("REGISTRY GRANTS STABLE LEASES", rows)
-			for _, one := range status.Registries {
-				fmt.Fprintf(c.out, "registry %s: %d keys claimed, its word on them counts: %v\n", one.Member, one.KeyReservations, one.ReservationsAuthoritative)
-				for _, odd := range one.ConflictingSettings {
-					fmt.Fprintf(c.out, "registry %s: SETTINGS CONTRADICT: %s\n", one.Member, odd)
+			api.printTable("REGISTRY GRANTS STABLE LEASES", rows)
+			for _, entry := range status.Registries {
+				fmt.Fprintf(api.out, "registry %s: %d keys claimed, its word on them counts: %v\n", entry.Member, entry.KeyReservations, entry.ReservationsAuthoritative)
+				for _, conflict := range entry.ConflictingSettings {
+					fmt.Fprintf(api.out, "registry %s: SETTINGS CONTRADICT: %s\n", entry.Member, conflict)
 				}
 			}
-			fmt.Fprintf(c.out, "members %d\n", status.LiveProxies)
+			fmt.Fprintf(api.out, "members %d\n", status.LiveProxies)
 			return nil
 		}),
-		command("explain", "explain [flags] PATH", "tell which version a request would get, and why", explainSet, 1, func(args []string) error {
-			status, body, err := c.ask(http.MethodPost, "/v1/explain", registry.ExplainRequest{Caller: *caller, Method: *method, Path: args[0], Zone: *area, Headers: options.SplitPairs(*headers)})
+		newCommand("explain", "explain [flags] PATH", "tell which version a request would get, and why", explainFlags, 1, func(args []string) error {
+			status, body, err := api.request(http.MethodPost, "/v1/explain", registry.ExplainRequest{Caller: *caller, Method: *method, Path: args[0], Zone: *zone, Headers: options.SplitPairs(*headers)})
 			if err != nil {
-				return &coded{exitUnreachable, err}
+				return &exitError{exitUnreachable, err}
 			}
 			if status != http.StatusOK {
-				return &coded{exitRefused, errs.New(errs.RouteNotFound, string(body))}
+				return &exitError{exitRejected, errs.New(errs.RouteNotFound, string(body))}
 			}
-			if c.asJSON {
-				fmt.Fprintln(c.out, string(body))
+			if api.asJSON {
+				fmt.Fprintln(api.out, string(body))
 				return nil
 			}
-			var told registry.ExplainResponse
-			if err := json.Unmarshal(body, &told); err != nil {
-				return &coded{exitRefused, errs.Wrap(err, errs.MalformedRequest, "explanation")}
+			var explanation registry.ExplainResponse
+			if err := json.Unmarshal(body, &explanation); err != nil {
+				return &exitError{exitRejected, errs.Wrap(err, errs.MalformedRequest, "explanation")}
 			}
-			return c.explain(&told)
+			return api.printExplanation(&explanation)
 		}),
 	}
-	top := &ffcli.Command{Name: "operator", ShortUsage: "operator [flags] COMMAND", FlagSet: root, Subcommands: commands,
+	rootCommand := &ffcli.Command{Name: "operator", ShortUsage: "operator [flags] COMMAND", FlagSet: rootFlags, Subcommands: commands,
 		Exec: func(context.Context, []string) error {
-			if *version {
-				fmt.Fprintln(c.out, "operator", options.Version)
+			if *showVersion {
+				fmt.Fprintln(api.out, "operator", options.Version)
 				return nil
 			}
-			return &coded{exitUsage, errs.New(errs.InvalidOptions, "no such command; see operator -help")}
+			return &exitError{exitUsage, errs.New(errs.InvalidOptions, "no such command; see operator -help")}
 		}}
-	err := top.ParseAndRun(context.Background(), words)
+	err := rootCommand.ParseAndRun(context.Background(), words)
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return 0
 	}
-	fmt.Fprintln(complaint, "operator:", err)
-	if ended, ok := err.(*coded); ok {
-		return ended.code
+	fmt.Fprintln(errOut, "operator:", err)
+	if exit, ok := err.(*exitError); ok {
+		return exit.code
 	}
 	return exitUsage
 }
 
-// showReplica shows how a store stands among the others.
-func showReplica(out io.Writer, store *statuspage.Replica) {
+// printStoreStatus shows how a store stands among the others.
+func printStoreStatus(out io.Writer, store *statuspage.Replica) {
 	leader := store.Leader
 	if leader == "" {
 		leader = "none known"
@@ -492,19 +492,19 @@
 	for _, member := range membership.Members {
 		members = append(members, member.ID)
 	}
-	heard := "no majority heard yet"
+	quorum := "no majority heard yet"
 	if store.StalenessKnown {
-		heard = fmt.Sprint("majority heard ", time.Duration(store.StalenessNanos).Round(time.Millisecond), " ago")
+		quorum = fmt.Sprint("majority heard ", time.Duration(store.StalenessNanos).Round(time.Millisecond), " ago")
 	}
-	fmt.Fprintf(out, "store %s: leader %s, epoch %d, committed %d of %d, %s\n", store.Replica, leader, store.Term, store.Committed, store.Sequence, heard)
+	fmt.Fprintf(out, "store %s: leader %s, epoch %d, committed %d of %d, %s\n", store.Replica, leader, store.Term, store.Committed, store.Sequence, quorum)
 	fmt.Fprintf(out, "members (%d of %d wanted): %s; hears %s\n", len(members), membership.TargetSize, strings.Join(members, " "), strings.Join(store.Heard, " "))
-	for _, note := range []struct {
-		told bool
-		text string
+	for _, warning := range []struct {
+		applies bool
+		text    string
 	}{{!store.Member, "this store is no member: it counts for nothing until it is put in"}, {store.Unfit, "this store must not lead: no member, or its disk stalls or refuses"},
 		{len(store.Learners) > 0, "waiting to become members: " + strings.Join(store.Learners, " ")}} {
-		if note.told {
-			fmt.Fprintln(out, note.text)
+		if warning.applies {
+			fmt.Fprintln(out, warning.text)
 		}
 	}
 }
--- a/cmd/operator/main_test.go
+++ b/cmd/operator/main_test.go
@@ -11,19 +11,19 @@
 	"meadowhinge/internal/registry"
 )
 
-// standIn is a registry's operators' interface with one answer for each page.
-func standIn(t *testing.T, pages map[string]string, status int) (address string, asked *[]string) {
+// fakeRegistry is a registry's operators' interface with one answer for each page.
+func fakeRegistry(t *testing.T, pages map[string]string, status int) (address string, requests *[]string) {
 	t.Helper()
-	asked = &[]string{}
+	requests = &[]string{}
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, request *http.Request) {
 		var body bytes.Buffer
 		_, _ = body.ReadFrom(request.Body)
-		*asked = append(*asked, request.Method+" "+request.URL.Path+" "+body.String())
-		page, known := pages[request.Method+" "+request.URL.Path]
+		*requests = append(*requests, request.Method+" "+request.URL.Path+" "+body.String())
+		page, found := pages[request.Method+" "+request.URL.Path]
 		switch {
 		case status != 0:
 			out.WriteHeader(status)
-		case !known:
+		case !found:
 			out.WriteHeader(http.StatusNotFound)
 		case strings.Contains(page, `"conflict"`):
 			out.WriteHeader(http.StatusConflict)
@@ -33,7 +33,7 @@
 		_, _ = out.Write([]byte(page))
 	}))
 	t.Cleanup(server.Close)
-	return strings.TrimPrefix(server.URL, "http://"), asked
+	return strings.TrimPrefix(server.URL, "http://"), requests
 }
 
 var goodPages = map[string]string{
@@ -50,12 +50,12 @@
 
 // Each command with good input says what came of it, in words or as JSON, and leaves with 0.
 func TestCommands(t *testing.T) {
-	address, asked := standIn(t, goodPages, 0)
-	for _, one := range []struct {
-		words []string
-		in    string
-		says  string
-		asks  string
+	address, requests := fakeRegistry(t, goodPages, 0)
+	for _, testCase := range []struct {
+		words       []string
+		in          string
+		wantOutput  string
+		wantRequest string
 	}{
 		{[]string{"apply", "-"}, `segment: s: {salt: "b"}`, "accepted as 8, acknowledged: true", `"expected":{"segment/s":3}`},
 		{[]string{"apply", "-id", "x", "-"}, `segment: t: {salt: "b"}`, "change x: accepted", `"id":"x"`},
@@ -76,68 +76,68 @@
 		{[]string{"lift", "shop", "2"}, "", "accepted", "lifted: true"},
 		{[]string{"-version"}, "", "operator 0", ""},
 	} {
-		var out, complaint bytes.Buffer
-		*asked = nil
-		if code := run(append([]string{"-registries", address}, one.words...), strings.NewReader(one.in), &out, &complaint); code != 0 || !strings.Contains(out.String(), one.says) {
-			t.Errorf("%v: code %d, %q, %q", one.words, code, out.String(), complaint.String())
+		var out, errOut bytes.Buffer
+		*requests = nil
+		if code := run(append([]string{"-registries", address}, testCase.words...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !strings.Contains(out.String(), testCase.wantOutput) {
+			t.Errorf("%v: code %d, %q, %q", testCase.words, code, out.String(), errOut.String())
 		}
-		if sent := strings.Join(*asked, "\n"); !strings.Contains(sent, one.asks) {
-			t.Errorf("%v: asked %s", one.words, sent)
+		if sent := strings.Join(*requests, "\n"); !strings.Contains(sent, testCase.wantRequest) {
+			t.Errorf("%v: asked %s", testCase.words, sent)
 		}
-		if one.words[0] == "-version" || len(one.words) > 4 && one.words[1] == "-watch" {
+		if testCase.words[0] == "-version" || len(testCase.words) > 4 && testCase.words[1] == "-watch" {
 			continue
 		}
 		out.Reset()
-		if code := run(append([]string{"-registries", address, "-json"}, one.words...), strings.NewReader(one.in), &out, &complaint); code != 0 || !json.Valid(out.Bytes()) {
-			t.Errorf("%v as JSON: code %d, %q", one.words, code, out.String())
+		if code := run(append([]string{"-registries", address, "-json"}, testCase.words...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !json.Valid(out.Bytes()) {
+			t.Errorf("%v as JSON: code %d, %q", testCase.words, code, out.String())
 		}
 		out.Reset()
-		if code := run([]string{one.words[0], "-help"}, nil, &out, &complaint); code != 0 || !strings.Contains(complaint.String(), "operator [flags] "+one.words[0]) {
-			t.Errorf("%s -help: code %d, %q", one.words[0], code, complaint.String())
+		if code := run([]string{testCase.words[0], "-help"}, nil, &out, &errOut); code != 0 || !strings.Contains(errOut.String(), "operator [flags] "+testCase.words[0]) {
+			t.Errorf("%s -help: code %d, %q", testCase.words[0], code, errOut.String())
 		}
 	}
 }
 
 // What goes wrong has its exit code: refused 1, misused 2, not known 3.
 func TestExitCodes(t *testing.T) {
-	good, _ := standIn(t, goodPages, 0)
-	young, _ := standIn(t, nil, http.StatusServiceUnavailable)
+	good, _ := fakeRegistry(t, goodPages, 0)
+	unavailable, _ := fakeRegistry(t, nil, http.StatusServiceUnavailable)
 	with := func(page, answer string) string {
 		pages := map[string]string{"GET /v1/setup": goodPages["GET /v1/setup"], page: answer}
-		address, _ := standIn(t, pages, 0)
+		address, _ := fakeRegistry(t, pages, 0)
 		return address
 	}
-	const nobody = "127.0.0.1:1"
+	const unreachable = "127.0.0.1:1"
 	conflict, _ := json.Marshal(registry.ChangeResponse{ID: "x", Ruling: "conflict", ErrorCode: "CONFLICT", CurrentVersions: map[string]uint64{"segment/s": 9},
 		CurrentItems: []registry.ItemView{{Kind: "segment", Name: "s", Version: 9, Change: "ben-4", Body: json.RawMessage(`{"salt":"his"}`)}}})
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		registries string
 		words      []string
 		in         string
 		code       int
-		says       string
+		wantOutput string
 	}{
-		"nobody there":                        {nobody, []string{"show"}, "", exitUnreachable, nobody},
-		"one of three is dead":                {nobody + "," + good, []string{"show"}, "", 0, "setup 7"},
-		"one of three is young":               {young + "," + good, []string{"show"}, "", 0, "setup 7"},
-		"all are young":                       {young, []string{"show"}, "", exitRefused, "NO_MAJORITY"},
-		"a change, one of three dead":         {nobody + "," + good, []string{"apply", "-"}, `segment: t: {salt: ""}`, 0, "accepted"},
+		"nobody there":                        {unreachable, []string{"show"}, "", exitUnreachable, unreachable},
+		"one of three is dead":                {unreachable + "," + good, []string{"show"}, "", 0, "setup 7"},
+		"one of three is young":               {unavailable + "," + good, []string{"show"}, "", 0, "setup 7"},
+		"all are young":                       {unavailable, []string{"show"}, "", exitRejected, "NO_MAJORITY"},
+		"a change, one of three dead":         {unreachable + "," + good, []string{"apply", "-"}, `segment: t: {salt: ""}`, 0, "accepted"},
 		"no such command":                     {good, []string{"dance"}, "", exitUsage, "no such command"},
 		"too few words":                       {good, []string{"apply"}, "", exitUsage, "usage"},
 		"no such flag":                        {good, []string{"show", "-colour"}, "", exitUsage, "colour"},
 		"an address that is none":             {"here", []string{"show"}, "", exitUnreachable, "is not IP:port"},
 		"no such file":                        {good, []string{"apply", "/nowhere"}, "", exitUsage, "BAD_OPTIONS"},
-		"a setup that breaks the schema":      {good, []string{"apply", "-"}, `route: r: {prefix: 4}`, exitRefused, "route.r.prefix"},
+		"a setup that breaks the schema":      {good, []string{"apply", "-"}, `route: r: {prefix: 4}`, exitRejected, "route.r.prefix"},
 		"a plan without its version":          {good, []string{"release", "-service", "shop", "new"}, "", exitUsage, "needs -service and -version"},
-		"an outcome nobody knows":             {good, []string{"outcome", "never"}, "", exitRefused, "UNKNOWN_CHANGE"},
+		"an outcome nobody knows":             {good, []string{"outcome", "never"}, "", exitRejected, "UNKNOWN_CHANGE"},
 		"not yet acknowledged":                {with("POST /v1/changes", `{"id":"x","ruling":"accepted","acknowledged":false,"waiting":["p"]}`), []string{"apply", "-"}, `segment: t: {salt: ""}`, exitUnreachable, "operator outcome x"},
-		"a conflict tells what stands, whose": {with("POST /v1/changes", string(conflict)), []string{"apply", "-"}, `segment: s: {salt: "mine"}`, exitRefused, `by change ben-4: {"salt":"his"}`},
+		"a conflict tells what stands, whose": {with("POST /v1/changes", string(conflict)), []string{"apply", "-"}, `segment: s: {salt: "mine"}`, exitRejected, `by change ben-4: {"salt":"his"}`},
 		"an answer that is none":              {with("POST /v1/changes", `{`), []string{"apply", "-"}, `segment: t: {salt: ""}`, exitUnreachable, "MALFORMED"},
 	} {
-		var out, complaint bytes.Buffer
-		code := run(append([]string{"-registries", one.registries, "-timeout", "2s"}, one.words...), strings.NewReader(one.in), &out, &complaint)
-		if all := out.String() + complaint.String(); code != one.code || !strings.Contains(all, one.says) {
-			t.Errorf("%s: code %d, want %d: %q", name, code, one.code, all)
+		var out, errOut bytes.Buffer
+		code := run(append([]string{"-registries", testCase.registries, "-timeout", "2s"}, testCase.words...), strings.NewReader(testCase.in), &out, &errOut)
+		if all := out.String() + errOut.String(); code != testCase.code || !strings.Contains(all, testCase.wantOutput) {
+			t.Errorf("%s: code %d, want %d: %q", name, code, testCase.code, all)
 		}
 	}
 }
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -11,8 +11,10 @@
 )
 
 func main() {
-	given := &schema.ProxyOptions{}
-	os.Exit(daemon.Run("proxy", daemon.FromArgs(os.Args[1:]), given,
-		func() (string, int64) { return given.Data, given.Ring },
-		func(ctx context.Context, frame *daemon.Environment) error { return proxy.Run(ctx, frame, given) }))
+	opts := &schema.ProxyOptions{}
+	os.Exit(daemon.Run("proxy", daemon.FromArgs(os.Args[1:]), opts,
+		func() (string, int64) { return opts.Data, opts.Ring },
+		func(ctx context.Context, environment *daemon.Environment) error {
+			return proxy.Run(ctx, environment, opts)
+		}))
 }
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -11,8 +11,10 @@
 )
 
 func main() {
-	given := &schema.RegistryOptions{}
-	os.Exit(daemon.Run("registry", daemon.FromArgs(os.Args[1:]), given,
-		func() (string, int64) { return given.Data, given.Ring },
-		func(ctx context.Context, frame *daemon.Environment) error { return registry.Run(ctx, frame, given) }))
+	opts := &schema.RegistryOptions{}
+	os.Exit(daemon.Run("registry", daemon.FromArgs(os.Args[1:]), opts,
+		func() (string, int64) { return opts.Data, opts.Ring },
+		func(ctx context.Context, environment *daemon.Environment) error {
+			return registry.Run(ctx, environment, opts)
+		}))
 }
--- a/cmd/rehearsal/main.go
+++ b/cmd/rehearsal/main.go
@@ -21,61 +21,61 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-var words = map[string]func(args []string) int{"hollow": hollow, "slopes": slopes, "calls": calls, "soak": soak}
+var subcommands = map[string]func(args []string) int{"hollow": runHollow, "slopes": runSlopes, "calls": runCalls, "soak": runSoak}
 
 func run(args []string) int {
-	if len(args) > 1 && args[0] == rehearsal.StandInStore {
-		return rehearsal.RunStandInStore(args[1], args[2:])
+	if len(args) > 1 && args[0] == rehearsal.DelayedStoreCommand {
+		return rehearsal.RunDelayedStore(args[1], args[2:])
 	}
 	// Runs that measure rather than judge have words of their own.
-	if len(args) > 0 && words[args[0]] != nil {
-		return words[args[0]](args[1:])
+	if len(args) > 0 && subcommands[args[0]] != nil {
+		return subcommands[args[0]](args[1:])
 	}
-	set := flag.NewFlagSet("rehearsal", flag.ContinueOnError)
-	name := set.String("deployment", "small", "which fleet: small, wroblewski or kithul")
-	length := set.Duration("length", 20*time.Second, "how long the load lasts")
-	lease := set.Duration("lease", 8*time.Second, "the fleet's lease")
-	seed := set.Uint64("seed", 1, "seed of callers' choices")
-	play := set.String("play", "standard", "which faults: "+strings.Join(rehearsal.PlayNames(), ", "))
-	keep := set.Bool("keep", false, "bring the fleet up without load and let it stand until Ctrl-C")
-	delay := set.Duration("delay", time.Millisecond, "how long a stand-in worker takes for a request")
-	rate := set.Float64("rate", 1, "multiplies the deployment's rate")
-	folder := set.String("folder", "", "where data, logs and the report go (default: a new temporary folder)")
-	binaries := set.String("binaries", "", "where proxy, registry and store are (default: beside this program)")
-	version := set.Bool("version", false, "print the version and leave")
-	if err := ff.Parse(set, args); err != nil {
+	flags := flag.NewFlagSet("rehearsal", flag.ContinueOnError)
+	deploymentName := flags.String("deployment", "small", "which fleet: small, wroblewski or kithul")
+	loadDuration := flags.Duration("length", 20*time.Second, "how long the load lasts")
+	lease := flags.Duration("lease", 8*time.Second, "the fleet's lease")
+	seed := flags.Uint64("seed", 1, "seed of callers' choices")
+	scenario := flags.String("play", "standard", "which faults: "+strings.Join(rehearsal.ScenarioNames(), ", "))
+	keep := flags.Bool("keep", false, "bring the fleet up without load and let it stand until Ctrl-C")
+	workerDelay := flags.Duration("delay", time.Millisecond, "how long a stand-in worker takes for a request")
+	rateFactor := flags.Float64("rate", 1, "multiplies the deployment's rate")
+	folder := flags.String("folder", "", "where data, logs and the report go (default: a new temporary folder)")
+	binaries := flags.String("binaries", "", "where proxy, registry and store are (default: beside this program)")
+	showVersion := flags.Bool("version", false, "print the version and leave")
+	if err := ff.Parse(flags, args); err != nil {
 		if errors.Is(err, flag.ErrHelp) {
 			return 0
 		}
 		return 2
 	}
-	if *version {
+	if *showVersion {
 		fmt.Println("rehearsal", options.Version)
 		return 0
 	}
-	deployment := rehearsal.Deployments[*name]
+	deployment := rehearsal.Deployments[*deploymentName]
 	if deployment == nil {
-		fmt.Fprintf(os.Stderr, "rehearsal: no deployment is called %q; there are small, wroblewski and kithul\n", *name)
+		fmt.Fprintf(os.Stderr, "rehearsal: no deployment is called %q; there are small, wroblewski and kithul\n", *deploymentName)
 		return 2
 	}
-	if rehearsal.Plays[*play] == nil {
-		fmt.Fprintf(os.Stderr, "rehearsal: no play is called %q; there are %s\n", *play, strings.Join(rehearsal.PlayNames(), ", "))
+	if rehearsal.Scenarios[*scenario] == nil {
+		fmt.Fprintf(os.Stderr, "rehearsal: no play is called %q; there are %s\n", *scenario, strings.Join(rehearsal.ScenarioNames(), ", "))
 		return 2
 	}
-	if code, done := places("rehearsal", folder, binaries); done {
+	if code, done := resolveFolders("rehearsal", folder, binaries); done {
 		return code
 	}
-	var standing func(*rehearsal.Fleet)
+	var onReady func(*rehearsal.Fleet)
 	if *keep {
-		standing = func(fleet *rehearsal.Fleet) {
+		onReady = func(fleet *rehearsal.Fleet) {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 			defer stop()
-			fmt.Printf("operator interface at %s, clients' listener at %s; Ctrl-C ends it\n", fleet.Operator(0), fleet.CallerAddress(0, "client"))
+			fmt.Printf("operator interface at %s, clients' listener at %s; Ctrl-C ends it\n", fleet.OperatorAddress(0), fleet.CallerAddress(0, "client"))
 			<-ctx.Done()
 		}
 	}
-	report, err := rehearsal.Run(rehearsal.Options{Deployment: deployment, Folder: *folder, Binaries: *binaries, Length: *length, Lease: *lease,
-		Seed: *seed, Play: *play, Standing: standing, Delay: *delay, Rate: *rate, LeaveBound: 2 * time.Second, Timed: true, Out: os.Stdout})
+	report, err := rehearsal.Run(rehearsal.Options{Deployment: deployment, Folder: *folder, Binaries: *binaries, LoadDuration: *loadDuration, Lease: *lease,
+		Seed: *seed, Scenario: *scenario, OnReady: onReady, WorkerDelay: *workerDelay, RateFactor: *rateFactor, DrainingBound: 2 * time.Second, CheckRejections: true, Out: os.Stdout})
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "rehearsal: %v (logs in %s)\n", err, *folder)
 		return 1
@@ -90,7 +90,7 @@
 		return 1
 	}
 	fmt.Println("report in", file)
-	if report.Breaches > 0 {
+	if report.Violations > 0 {
 		return 1
 	}
 	return 0
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -11,8 +11,10 @@
 )
 
 func main() {
-	given := &schema.StoreOptions{}
-	os.Exit(daemon.Run("store", daemon.FromArgs(os.Args[1:]), given,
-		func() (string, int64) { return given.Data, given.Ring },
-		func(ctx context.Context, frame *daemon.Environment) error { return store.Run(ctx, frame, given) }))
+	opts := &schema.StoreOptions{}
+	os.Exit(daemon.Run("store", daemon.FromArgs(os.Args[1:]), opts,
+		func() (string, int64) { return opts.Data, opts.Ring },
+		func(ctx context.Context, environment *daemon.Environment) error {
+			return store.Run(ctx, environment, opts)
+		}))
 }
--- a/cmd/tracer/main_test.go
+++ b/cmd/tracer/main_test.go
@@ -12,7 +12,7 @@
 	"meadowhinge/internal/registry"
 )
 
-func core(t *testing.T, trace registry.ChangeTrace) string {
+func fakeCoreMember(t *testing.T, trace registry.ChangeTrace) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(out).Encode(trace) }))
 	t.Cleanup(server.Close)
@@ -21,35 +21,35 @@
 
 func TestTracer(t *testing.T) {
 	at := time.Unix(1000, 0)
-	holder := core(t, registry.ChangeTrace{MemberID: "a", KnownToStore: true, Ruling: "accepted", Sequence: 7, Term: 3, Leader: "a", Appended: at, Durable: at.Add(time.Millisecond),
+	leader := fakeCoreMember(t, registry.ChangeTrace{MemberID: "a", KnownToStore: true, Ruling: "accepted", Sequence: 7, Term: 3, Leader: "a", Appended: at, Durable: at.Add(time.Millisecond),
 		Committed: at.Add(2 * time.Millisecond), Seen: at.Add(3 * time.Millisecond), Acknowledged: at.Add(9 * time.Millisecond),
 		Applied: map[string]time.Time{"edge-1": at.Add(5 * time.Millisecond)}, Laggards: []string{"edge-2"}})
-	stranger := core(t, registry.ChangeTrace{MemberID: "b"})
-	storeless := core(t, registry.ChangeTrace{MemberID: "c", StoreUnreachable: true})
-	gone := httptest.NewServer(http.NotFoundHandler())
-	dead := strings.TrimPrefix(gone.URL, "http://")
-	gone.Close()
-	for name, one := range map[string]struct {
-		args  []string
-		code  int
-		parts []string
+	unaware := fakeCoreMember(t, registry.ChangeTrace{MemberID: "b"})
+	storeless := fakeCoreMember(t, registry.ChangeTrace{MemberID: "c", StoreUnreachable: true})
+	closed := httptest.NewServer(http.NotFoundHandler())
+	dead := strings.TrimPrefix(closed.URL, "http://")
+	closed.Close()
+	for name, testCase := range map[string]struct {
+		args       []string
+		code       int
+		wantOutput []string
 	}{
-		"a change, with one core machine dead": {[]string{"-registries", holder + "," + stranger + "," + dead, "x"}, 0, []string{"accepted as 7 in epoch 3", "store a took it",
+		"a change, with one core machine dead": {[]string{"-registries", leader + "," + unaware + "," + dead, "x"}, 0, []string{"accepted as 7 in epoch 3", "store a took it",
 			"store a synced it", "registry a had it", "proxy edge-1 applied it", "registry a acknowledged it", "missing: store b", "missing: proxy edge-2", dead}},
-		"an unknown change":   {[]string{"-registries", stranger, "x"}, exitUnknown, []string{"UNKNOWN_CHANGE"}},
+		"an unknown change":   {[]string{"-registries", unaware, "x"}, exitNotFound, []string{"UNKNOWN_CHANGE"}},
 		"nobody answers":      {[]string{"-registries", dead, "x"}, exitUnreachable, []string{"NO_MAJORITY", dead}},
 		"no store answers":    {[]string{"-registries", storeless, "x"}, exitUnreachable, []string{"no store answered"}},
-		"no change named":     {[]string{"-registries", holder}, exitUsage, []string{"usage"}},
+		"no change named":     {[]string{"-registries", leader}, exitUsage, []string{"usage"}},
 		"not an address":      {[]string{"-registries", "here", "x"}, exitUsage, []string{"BAD_OPTIONS", `"here"`}},
 		"a flag nobody knows": {[]string{"-colour", "x"}, exitUsage, []string{"colour"}},
 		"help":                {[]string{"-help"}, 0, []string{"usage"}},
-		"JSON":                {[]string{"-json", "-registries", holder, "x"}, 0, []string{`"sequence": 7`}},
+		"JSON":                {[]string{"-json", "-registries", leader, "x"}, 0, []string{`"sequence": 7`}},
 	} {
 		var out bytes.Buffer
-		if code := run(one.args, &out, &out); code != one.code {
-			t.Errorf("%s: exit %d, want %d: %s", name, code, one.code, out.String())
+		if code := run(testCase.args, &out, &out); code != testCase.code {
+			t.Errorf("%s: exit %d, want %d: %s", name, code, testCase.code, out.String())
 		}
-		for _, part := range one.parts {
+		for _, part := range testCase.wantOutput {
 			if !strings.Contains(out.String(), part) {
 				t.Errorf("%s: no %q in\n%s", name, part, out.String())
 			}
--- a/internal/rehearsal/asked_test.go
+++ b/internal/rehearsal/asked_test.go
@@ -12,9 +12,9 @@
 
 // A registry that cannot tell is no proof of a loss; one that tells is believed at once, whatever
 // it tells; and what nobody can tell for long is lost.
-func TestLossIsTold(t *testing.T) {
+func TestAwaitOutcome(t *testing.T) {
 	accepted, other := registry.ChangeResponse{Ruling: "accepted", Sequence: 7}, registry.ChangeResponse{Ruling: "conflict", Sequence: 7}
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		ask  func(since time.Duration, core int) (registry.ChangeResponse, int, error)
 		want registry.ChangeResponse
 		most time.Duration
@@ -35,17 +35,17 @@
 		"another ruling": {func(time.Duration, int) (registry.ChangeResponse, int, error) { return other, http.StatusOK, nil }, other, 0},
 		"lost": {func(time.Duration, int) (registry.ChangeResponse, int, error) {
 			return registry.ChangeResponse{}, http.StatusNotFound, nil
-		}, registry.ChangeResponse{}, askedMost + time.Second},
+		}, registry.ChangeResponse{}, maxOutcomeWait + time.Second},
 		"nobody answers": {func(time.Duration, int) (registry.ChangeResponse, int, error) {
 			return registry.ChangeResponse{}, 0, errors.New("gone")
-		}, registry.ChangeResponse{}, askedMost + time.Second},
+		}, registry.ChangeResponse{}, maxOutcomeWait + time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
 				now := func() time.Duration { return time.Since(began) }
-				got := askedAgain(3, now, func(core int) (registry.ChangeResponse, int, error) { return one.ask(now(), core) })
-				if got.Ruling != one.want.Ruling || got.Sequence != one.want.Sequence || now() > one.most {
+				got := awaitOutcome(3, now, func(core int) (registry.ChangeResponse, int, error) { return testCase.ask(now(), core) })
+				if got.Ruling != testCase.want.Ruling || got.Sequence != testCase.want.Sequence || now() > testCase.most {
 					t.Errorf("got %v after %v", got, now())
 				}
 			})
--- a/internal/rehearsal/brief_test.go
+++ b/internal/rehearsal/brief_test.go
@@ -33,7 +33,7 @@
 	}
 	for _, match := range regexp.MustCompile(`\bplay ([a-z]+)`).FindAllStringSubmatch(string(text), -1) {
 		named++
-		if Plays[match[1]] == nil {
+		if Scenarios[match[1]] == nil {
 			t.Errorf("play %s does not exist", match[1])
 		}
 	}
--- a/internal/rehearsal/caller.go
+++ b/internal/rehearsal/caller.go
@@ -17,8 +17,8 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// inFlightMost bounds the calls of one caller that wait for an answer.
-const inFlightMost = 256
+// maxInFlight bounds the calls of one caller that wait for an answer.
+const maxInFlight = 256
 
 // callerTimeout is longer than any horizon, so that the proxy answers first.
 const callerTimeout = 5 * time.Second
@@ -28,25 +28,25 @@
 type Caller struct {
 	name, proxy string
 	client      *fasthttp.HostClient
-	elsewhere   []*Caller // the same caller at other proxies, to be asked when this one failed
-	routes      []RoutePlan
+	alternates  []*Caller // the same caller at other proxies, to be asked when this one failed
+	routes      []RouteSpec
 	rate        float64
-	ledger      *Ledger
+	history     *History
 	now         func() time.Duration
 	serial      atomic.Uint64
 }
 
 // NewCaller makes a caller of the routes, each by its share.
-func NewCaller(name, proxy, address string, routes []RoutePlan, rate float64, ledger *Ledger, now func() time.Duration) *Caller {
-	return &Caller{name: name, proxy: proxy, routes: routes, rate: rate, ledger: ledger, now: now,
-		client: &fasthttp.HostClient{Addr: address, MaxConns: inFlightMost, MaxIdemponentCallAttempts: 1,
+func NewCaller(name, proxy, address string, routes []RouteSpec, rate float64, history *History, now func() time.Duration) *Caller {
+	return &Caller{name: name, proxy: proxy, routes: routes, rate: rate, history: history, now: now,
+		client: &fasthttp.HostClient{Addr: address, MaxConns: maxInFlight, MaxIdemponentCallAttempts: 1,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}}
 }
 
 // Run sends until stop is closed, then waits for what is in flight.
 func (c *Caller) Run(stop <-chan struct{}, dice *rand.Rand) {
 	var waiting sync.WaitGroup
-	slots := make(chan struct{}, inFlightMost)
+	slots := make(chan struct{}, maxInFlight)
 	begin := time.Now()
 	for sent := 0; ; sent++ {
 		due := begin.Add(time.Duration(float64(sent) / c.rate * float64(time.Second)))
@@ -56,7 +56,7 @@
 			return
 		case <-time.After(time.Until(due)):
 		}
-		route := c.draw(dice.Float64())
+		route := c.pickRoute(dice.Float64())
 		user := dice.IntN(10000)
 		select {
 		case slots <- struct{}{}:
@@ -72,92 +72,92 @@
 	}
 }
 
-func (c *Caller) draw(at float64) RoutePlan {
+func (c *Caller) pickRoute(point float64) RouteSpec {
 	total := 0.0
 	for _, route := range c.routes {
-		total += route.Share
+		total += route.Weight
 	}
-	at *= total
+	point *= total
 	for _, route := range c.routes {
-		if at -= route.Share; at < 0 {
+		if point -= route.Weight; point < 0 {
 			return route
 		}
 	}
 	return c.routes[len(c.routes)-1]
 }
 
-// keyedParts is the part of the once calls that have no idempotency key.
-const keyedParts = 4
+// unkeyedOneIn is the part of the once calls that have no idempotency key.
+const unkeyedOneIn = 4
 
-// asksMost is how often a call under a key is asked for; askPause is between two asks.
+// maxCallerRetries is how often a call under a key is asked for; callerRetryPause is between two asks.
 const (
-	asksMost = 4
-	askPause = 300 * time.Millisecond
+	maxCallerRetries = 4
+	callerRetryPause = 300 * time.Millisecond
 )
 
 // call makes one call. One under a key is asked for again, at another proxy each time, for as
 // long as its outcome is not known.
-func (c *Caller) call(route RoutePlan, user int) {
+func (c *Caller) call(route RouteSpec, user int) {
 	serial := c.serial.Add(1)
-	op := fmt.Sprintf("%s@%s-%d", c.name, c.proxy, serial)
-	keyed := route.Once && serial%keyedParts != 0
-	for ask, at := 0, c; ; ask++ {
-		entry := at.ask(route, user, op, keyed, ask)
-		if !keyed || ask == asksMost || entry.Outcome == "answered" || entry.Outcome == "not-run" || len(c.elsewhere) == 0 {
+	operation := fmt.Sprintf("%s@%s-%d", c.name, c.proxy, serial)
+	keyed := route.NonIdempotent && serial%unkeyedOneIn != 0
+	for retry, target := 0, c; ; retry++ {
+		entry := target.send(route, user, operation, keyed, retry)
+		if !keyed || retry == maxCallerRetries || entry.Outcome == "answered" || entry.Outcome == "not-run" || len(c.alternates) == 0 {
 			return
 		}
-		time.Sleep(askPause)
-		at = c.elsewhere[(int(serial)+ask)%len(c.elsewhere)]
+		time.Sleep(callerRetryPause)
+		target = c.alternates[(int(serial)+retry)%len(c.alternates)]
 	}
 }
 
-func (c *Caller) ask(route RoutePlan, user int, op string, keyed bool, ask int) CallEntry {
-	entry := CallEntry{Op: op, Caller: c.name, Proxy: c.proxy, Service: route.Service, Route: route.Name, Once: route.Once, Keyed: keyed, Ask: ask}
+func (c *Caller) send(route RouteSpec, user int, operation string, keyed bool, retry int) CallEntry {
+	entry := CallEntry{Operation: operation, Caller: c.name, Proxy: c.proxy, Service: route.Service, Route: route.Name, NonIdempotent: route.NonIdempotent, Keyed: keyed, CallerRetry: retry}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
 	request.SetRequestURI("http://mesh" + route.Prefix + "?n=1")
 	request.Header.SetMethod(route.Method)
-	request.Header.Set(opHeader, entry.Op)
+	request.Header.Set(operationHeader, entry.Operation)
 	if keyed {
-		request.Header.Set("Idempotency-Key", op)
-		request.Header.Set(askHeader, strconv.Itoa(ask))
+		request.Header.Set("Idempotency-Key", operation)
+		request.Header.Set(callerRetryHeader, strconv.Itoa(retry))
 	}
 	request.Header.Set("X-User", "user-"+strconv.Itoa(user))
 	// A false claim of identity, which must never reach a worker.
 	request.Header.Set(dispatch.HeaderCaller, "somebody-else")
 	if route.Method == fasthttp.MethodPost {
-		request.SetBodyString(`{"op":"` + entry.Op + `","filler":"0123456789012345678901234567890123456789"}`)
+		request.SetBodyString(`{"op":"` + entry.Operation + `","filler":"0123456789012345678901234567890123456789"}`)
 		request.Header.SetContentType("application/json")
 	}
 	entry.Sent = c.now()
 	err := c.client.DoTimeout(request, response, callerTimeout)
-	entry.Got = c.now()
+	entry.Received = c.now()
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
 		entry.Outcome = "unsent"
 	case err != nil:
 		entry.Outcome = "unknown"
 	default:
-		entry.read(response.StatusCode(), func(name string) string { return string(response.Header.Peek(name)) }, response.Body())
+		entry.readResponse(response.StatusCode(), func(name string) string { return string(response.Header.Peek(name)) }, response.Body())
 	}
-	note(c.ledger, &c.ledger.Calls, entry)
+	appendEntry(c.history, &c.history.Calls, entry)
 	return entry
 }
 
-// read takes the proxy's word for what happened, and checks the answer itself.
-func (e *CallEntry) read(status int, header func(name string) string, body []byte) {
+// readResponse takes the proxy's word for what happened, and checks the answer itself.
+func (e *CallEntry) readResponse(status int, header func(name string) string, body []byte) {
 	e.Status, e.Outcome, e.Version = status, header(dispatch.HeaderOutcome), header(dispatch.HeaderVersion)
-	e.Setup, _ = strconv.ParseUint(header(dispatch.HeaderConfigRevision), 10, 64)
-	e.Tries, _ = strconv.Atoi(header(dispatch.HeaderAttempts))
+	e.ConfigRevision, _ = strconv.ParseUint(header(dispatch.HeaderConfigRevision), 10, 64)
+	e.Attempts, _ = strconv.Atoi(header(dispatch.HeaderAttempts))
 	if e.Outcome == "answered" {
-		var got fakebackend.Reply
-		if json.Unmarshal(body, &got) == nil {
-			e.Echoed, e.Worker, e.Whole = got.Operation, got.Worker, got.IsIntact()
+		var reply fakebackend.Reply
+		if json.Unmarshal(body, &reply) == nil {
+			e.Echoed, e.Worker, e.Intact = reply.Operation, reply.Worker, reply.IsIntact()
 		}
 		return
 	}
 	var refusal struct{ Defect, Outcome string }
 	_ = json.Unmarshal(body, &refusal)
-	e.Defect, e.Outcome = refusal.Defect, refusal.Outcome
+	e.ErrorCode, e.Outcome = refusal.Defect, refusal.Outcome
 }
--- a/internal/rehearsal/calls_test.go
+++ b/internal/rehearsal/calls_test.go
@@ -15,34 +15,34 @@
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
-	binaries := buildPlain(t)
-	given := &schema.CallsOptions{}
+	binaries := buildWithoutRaceDetector(t)
+	opts := &schema.CallsOptions{}
 	if err := options.Parse("rehearsal calls", []string{"-rates=20,40,80", "-depths=1,2,4,8", "-chains=10", "-runs=1", "-length=1s", "-work=1ms", "-body=1000", "-lease=2s",
-		"-folder=" + t.TempDir(), "-binaries=" + binaries}, given, io.Discard); err != nil {
+		"-folder=" + t.TempDir(), "-binaries=" + binaries}, opts, io.Discard); err != nil {
 		t.Fatal(err)
 	}
-	report, err := RunCalls(t.Context(), given, t.Output())
+	report, err := RunCalls(t.Context(), opts, t.Output())
 	if err != nil {
 		t.Fatal(err)
 	}
 	report.Print(t.Output())
 	for _, point := range report.Points {
-		if point.Failed > 0 || point.Calls == 0 {
-			t.Errorf("%g chains of depth %d: %.0f calls a second, %d failed", point.Rate, point.Depth, point.Calls, point.Failed)
+		if point.Failed > 0 || point.CallRate == 0 {
+			t.Errorf("%g chains of depth %d: %.0f calls a second, %d failed", point.Rate, point.Depth, point.CallRate, point.Failed)
 		}
 	}
 	// A call's two bodies cross one link, and what goes with them is smaller than they are.
 	const bodies = 1000 + 300
 	for _, slope := range report.Slopes {
-		if strings.HasPrefix(slope.Cost, "bytes sent") && (slope.Terms[1] < bodies || slope.Terms[1] > 2*bodies) {
-			t.Errorf("%s by %s: %s", slope.Cost, slope.Driver, slope.Text())
+		if strings.HasPrefix(slope.Cost, "bytes sent") && (slope.Coefficients[1] < bodies || slope.Coefficients[1] > 2*bodies) {
+			t.Errorf("%s by %s: %s", slope.Cost, slope.Driver, slope.Formula())
 		}
 	}
-	if err := report.Draw(t.TempDir(), "svg"); err != nil {
+	if err := report.WritePlots(t.TempDir(), "svg"); err != nil {
 		t.Error(err)
 	}
-	given.Rates, given.Depths = "0,x", "65"
-	if faults := CheckCalls(given); len(faults) != 2 {
+	opts.Rates, opts.Depths = "0,x", "65"
+	if faults := ValidateCalls(opts); len(faults) != 2 {
 		t.Error(faults)
 	}
 }
--- a/internal/rehearsal/certificates.go
+++ b/internal/rehearsal/certificates.go
@@ -26,8 +26,8 @@
 	serial int64
 }
 
-// validity is short: a rehearsal's certificates are of no use after it.
-const validity = 48 * time.Hour
+// certificateValidity is short: a rehearsal's certificates are of no use after it.
+const certificateValidity = 48 * time.Hour
 
 // NewAuthority makes an authority and writes its certificate to folder.
 func NewAuthority(folder string) (*Authority, error) {
@@ -40,7 +40,7 @@
 	}
 	a := &Authority{folder: folder, key: key, serial: 1}
 	a.root = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "meadowhinge rehearsal"}, IsCA: true,
-		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(validity)}
+		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(certificateValidity)}
 	signed, err := x509.CreateCertificate(rand.Reader, a.root, a.root, &key.PublicKey, key)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "authority")
@@ -53,7 +53,7 @@
 
 // Issue makes a certificate for role/name that may speak for services.
 func (a *Authority) Issue(role, name string, services []string) (string, error) {
-	return a.IssueUntil(role, name, services, time.Now().Add(validity))
+	return a.IssueUntil(role, name, services, time.Now().Add(certificateValidity))
 }
 
 // IssueUntil makes one that is good until a time.
--- a/internal/rehearsal/deployment.go
+++ b/internal/rehearsal/deployment.go
@@ -7,32 +7,32 @@
 
 // Deployment is a fleet's size and what its callers do.
 type Deployment struct {
-	Name     string
-	Edges    int
-	Cores    int
-	Areas    int
-	Rate     float64 // client requests a second
-	Internal float64 // calls between services, as a part of Rate
-	Services []ServicePlan
-	Routes   []RoutePlan
+	Name          string
+	Edges         int
+	CoreMembers   int
+	Zones         int
+	RequestRate   float64 // client requests a second
+	InternalRatio float64 // calls between services, as a part of Rate
+	Services      []ServiceSpec
+	Routes        []RouteSpec
 }
 
-// ServicePlan is a service and how many workers of it there are.
-type ServicePlan struct {
+// ServiceSpec is a service and how many workers of it there are.
+type ServiceSpec struct {
 	Name    string
 	Workers int
 }
 
-// RoutePlan is one kind of request.
-type RoutePlan struct {
+// RouteSpec is one kind of request.
+type RouteSpec struct {
 	Name, Service, Prefix, Method string
-	Once                          bool
-	Share                         float64 // of the client requests
+	NonIdempotent                 bool
+	Weight                        float64 // of the client requests
 	Internal                      bool    // called by other services rather than clients
 }
 
 // smallRoutes are the kinds of request of fleets that stand for no deployment of the users'.
-var smallRoutes = []RoutePlan{
+var smallRoutes = []RouteSpec{
 	{"shop-buy", "shop", "/shop/buy", "POST", true, 0.4, false},
 	{"shop-look", "shop", "/shop/look", "GET", false, 0.3, false},
 	{"save-commit", "saves", "/saves/commit", "POST", true, 0.3, false},
@@ -41,9 +41,9 @@
 
 // Deployments are the fleets of today, and a small one for quick runs.
 var Deployments = map[string]*Deployment{
-	"wroblewski": {Name: "wroblewski", Edges: 15, Cores: 3, Areas: 3, Rate: 680, Internal: 0.3,
-		Services: []ServicePlan{{"saves", 4}, {"shop", 4}, {"items", 4}, {"accounts", 3}},
-		Routes: []RoutePlan{
+	"wroblewski": {Name: "wroblewski", Edges: 15, CoreMembers: 3, Zones: 3, RequestRate: 680, InternalRatio: 0.3,
+		Services: []ServiceSpec{{"saves", 4}, {"shop", 4}, {"items", 4}, {"accounts", 3}},
+		Routes: []RouteSpec{
 			{"login", "accounts", "/accounts/login", "GET", false, 0.25, false},
 			{"save-load", "saves", "/saves/load", "GET", false, 0.2, false},
 			{"save-commit", "saves", "/saves/commit", "POST", true, 0.2, false},
@@ -53,9 +53,9 @@
 			{"check-slot", "saves", "/saves/slot", "GET", false, 0.3, true},
 			{"check-item", "items", "/items/definition", "GET", false, 0.3, true},
 		}},
-	"kithul": {Name: "kithul", Edges: 14, Cores: 3, Areas: 3, Rate: 900, Internal: 0.3,
-		Services: []ServicePlan{{"recipes", 4}, {"cookbooks", 4}, {"orders", 3}, {"search", 3}},
-		Routes: []RoutePlan{
+	"kithul": {Name: "kithul", Edges: 14, CoreMembers: 3, Zones: 3, RequestRate: 900, InternalRatio: 0.3,
+		Services: []ServiceSpec{{"recipes", 4}, {"cookbooks", 4}, {"orders", 3}, {"search", 3}},
+		Routes: []RouteSpec{
 			{"recipe", "recipes", "/recipes/read", "GET", false, 0.4, false},
 			{"cookbook-save", "cookbooks", "/cookbooks/save", "POST", true, 0.15, false},
 			{"kit-order", "orders", "/orders/kit", "POST", true, 0.15, false},
@@ -65,27 +65,27 @@
 			{"ranking", "search", "/search/ranking", "GET", false, 0.4, true},
 		}},
 	// As many processes as one machine bears beside its other work.
-	"wide": {Name: "wide", Edges: 120, Cores: 3, Areas: 4, Rate: 240, Internal: 0.2,
-		Services: []ServicePlan{{"shop", 60}, {"saves", 60}},
+	"wide": {Name: "wide", Edges: 120, CoreMembers: 3, Zones: 4, RequestRate: 240, InternalRatio: 0.2,
+		Services: []ServiceSpec{{"shop", 60}, {"saves", 60}},
 		Routes:   smallRoutes},
-	"small": {Name: "small", Edges: 6, Cores: 3, Areas: 2, Rate: 60, Internal: 0.2,
-		Services: []ServicePlan{{"shop", 3}, {"saves", 3}},
+	"small": {Name: "small", Edges: 6, CoreMembers: 3, Zones: 2, RequestRate: 60, InternalRatio: 0.2,
+		Services: []ServiceSpec{{"shop", 3}, {"saves", 3}},
 		Routes:   smallRoutes},
 }
 
-// clientKind is the caller whom the ingress listeners stand for.
-const clientKind = "client"
+// clientCaller is the caller whom the ingress listeners stand for.
+const clientCaller = "client"
 
 // The versions that workers run; no worker of the barred one is in any setup.
 const (
-	versionOld    = "1.0.0"
-	versionNew    = "1.1.0"
-	versionBarred = "9.9.9"
+	versionOld        = "1.0.0"
+	versionNew        = "1.1.0"
+	versionNotAllowed = "9.9.9"
 )
 
-// callersOf lists who may call a service: clients and every other service.
-func (d *Deployment) callersOf(service string) []string {
-	callers := []string{clientKind}
+// allowedCallers lists who may call a service: clients and every other service.
+func (d *Deployment) allowedCallers(service string) []string {
+	callers := []string{clientCaller}
 	for _, other := range d.Services {
 		if other.Name != service {
 			callers = append(callers, other.Name)
@@ -94,7 +94,7 @@
 	return callers
 }
 
-func quoted(names []string) string {
+func quoteList(names []string) string {
 	var parts []string
 	for _, name := range names {
 		parts = append(parts, fmt.Sprintf("%q", name))
@@ -104,23 +104,23 @@
 
 // FlagText is the release flag of a service at a share of the new version, in thousandths
 // of a percent; mark changes with each writing, so that each writing is a change.
-func (d *Deployment) FlagText(service string, newWeight, mark int) string {
+func (d *Deployment) FlagText(service string, newWeight, generation int) string {
 	return fmt.Sprintf(`flag: "release.%s": {on: true, salt: "s", variations: [%q, %q], offVariation: 0,
 	targets: [{variation: 0, values: ["nobody-%d"]}],
 	fallthrough: rollout: variations: [{variation: 0, weight: %d}, {variation: 1, weight: %d}]}
-`, service, versionOld, versionNew, mark, 100000-newWeight, newWeight)
+`, service, versionOld, versionNew, generation, 100000-newWeight, newWeight)
 }
 
-// SetupText is the first setup of the fleet, in CUE, with the new version at a weight.
-func (d *Deployment) SetupText(newWeight int) string {
+// ConfigText is the first setup of the fleet, in CUE, with the new version at a weight.
+func (d *Deployment) ConfigText(newWeight int) string {
 	var text strings.Builder
 	for _, service := range d.Services {
-		fmt.Fprintf(&text, "service: %q: {versions: [%q, %q], fallback: %q, callers: %s}\n", service.Name, versionOld, versionNew, versionOld, quoted(d.callersOf(service.Name)))
+		fmt.Fprintf(&text, "service: %q: {versions: [%q, %q], fallback: %q, callers: %s}\n", service.Name, versionOld, versionNew, versionOld, quoteList(d.allowedCallers(service.Name)))
 		text.WriteString(d.FlagText(service.Name, newWeight, 0))
 	}
 	for _, route := range d.Routes {
 		class := "repeatable"
-		if route.Once {
+		if route.NonIdempotent {
 			class = "once"
 		}
 		fmt.Fprintf(&text, "route: %q: {service: %q, prefix: %q, methods: [%q], class: %q, horizon: \"2s\", key: \"X-User\"}\n",
@@ -129,16 +129,16 @@
 	return text.String()
 }
 
-// workerPlan places a worker on an edge machine.
-type workerPlan struct {
+// workerPlacement places a worker on an edge machine.
+type workerPlacement struct {
 	edge    int
 	service string
 	version string
 }
 
 // placeWorkers puts one worker on each edge; each service runs both versions.
-func (d *Deployment) placeWorkers() []workerPlan {
-	var placed []workerPlan
+func (d *Deployment) placeWorkers() []workerPlacement {
+	var placements []workerPlacement
 	edge := 0
 	for _, service := range d.Services {
 		for i := 0; i < service.Workers; i++ {
@@ -146,9 +146,9 @@
 			if i%2 == 1 {
 				version = versionNew
 			}
-			placed = append(placed, workerPlan{edge % d.Edges, service.Name, version})
+			placements = append(placements, workerPlacement{edge % d.Edges, service.Name, version})
 			edge++
 		}
 	}
-	return placed
+	return placements
 }
--- a/internal/rehearsal/fleet.go
+++ b/internal/rehearsal/fleet.go
@@ -20,32 +20,32 @@
 
 // Ports, the same on every machine: machines differ by their loopback address.
 const (
-	portHop      = 7001
-	portWorkers  = 7002
-	portProbe    = 7003
-	portCallers  = 7010
-	portRegistry = 7101
-	portOperator = 7102
-	portRegProbe = 7103
-	portStore    = 7201
-	portStoProbe = 7203
-	portWorker   = 7301
+	portPeer          = 7001
+	portWorkerAPI     = 7002
+	portProbe         = 7003
+	portCallers       = 7010
+	portRegistry      = 7101
+	portOperator      = 7102
+	portRegistryProbe = 7103
+	portStore         = 7201
+	portStoreProbe    = 7203
+	portWorker        = 7301
 )
 
 // Process is one of the mesh's own processes.
 type Process struct {
-	Name    string
-	program string
-	args    []string
-	probe   string
-	log     string
+	Name         string
+	program      string
+	args         []string
+	probeAddress string
+	logFile      string
 
 	settings     map[string]string
 	settingsFile string
 
-	lock sync.Mutex
-	cmd  *exec.Cmd
-	done chan struct{}
+	lock   sync.Mutex
+	cmd    *exec.Cmd
+	exited chan struct{}
 }
 
 // Start runs the process, unless it runs already.
@@ -55,9 +55,9 @@
 	if p.running() {
 		return nil
 	}
-	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
+	out, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
-		return errs.Wrap(err, errs.DiskFailed, p.log)
+		return errs.Wrap(err, errs.DiskFailed, p.logFile)
 	}
 	defer out.Close()
 	cmd := exec.Command(p.program, p.args...)
@@ -65,12 +65,12 @@
 	if err := cmd.Start(); err != nil {
 		return errs.Wrap(err, errs.Internal, p.Name)
 	}
-	done := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
 		_ = cmd.Wait()
-		close(done)
+		close(exited)
 	}()
-	p.cmd, p.done = cmd, done
+	p.cmd, p.exited = cmd, exited
 	return nil
 }
 
@@ -80,7 +80,7 @@
 		return false
 	}
 	select {
-	case <-p.done:
+	case <-p.exited:
 		return false
 	default:
 		return true
@@ -99,13 +99,13 @@
 // Kill ends the process at once and waits for its end.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
-	p.wait(5 * time.Second)
+	p.awaitExit(5 * time.Second)
 }
 
 // Stop ends the process politely, then not.
-func (p *Process) Stop(patience time.Duration) (clean bool) {
+func (p *Process) Stop(timeout time.Duration) (clean bool) {
 	p.Signal(syscall.SIGTERM)
-	if p.wait(patience) {
+	if p.awaitExit(timeout) {
 		p.lock.Lock()
 		defer p.lock.Unlock()
 		return p.cmd != nil && p.cmd.ProcessState.ExitCode() == 0
@@ -114,17 +114,17 @@
 	return false
 }
 
-func (p *Process) wait(patience time.Duration) bool {
+func (p *Process) awaitExit(timeout time.Duration) bool {
 	p.lock.Lock()
-	done := p.done
+	exited := p.exited
 	p.lock.Unlock()
-	if done == nil {
+	if exited == nil {
 		return true
 	}
 	select {
-	case <-done:
+	case <-exited:
 		return true
-	case <-time.After(patience):
+	case <-time.After(timeout):
 		return false
 	}
 }
@@ -133,8 +133,8 @@
 func (p *Process) Ready() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.probe+"/ready", nil)
-	response, err := probes.Do(request)
+	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.probeAddress+"/ready", nil)
+	response, err := probeClient.Do(request)
 	if err != nil {
 		return false
 	}
@@ -143,108 +143,110 @@
 	return response.StatusCode == http.StatusOK
 }
 
-var probes = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var probeClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // Fleet is a whole mesh on one machine.
 type Fleet struct {
-	Deployment *Deployment
-	folder     string
-	binaries   string
-	net        int // second octet of every address, so that fleets do not meet
-	netHeld    io.Closer
-	lease      time.Duration
-	disks      bool // stores run on a stand-in disk
-	authority  *Authority
-	Cuts       *Cuts
-	relays     []*Relay
+	Deployment   *Deployment
+	folder       string
+	binaries     string
+	netOctet     int // second octet of every address, so that fleets do not meet
+	netLock      io.Closer
+	lease        time.Duration
+	delayedDisks bool // stores run on a stand-in disk
+	authority    *Authority
+	LinkFaults   *LinkFaults
+	relays       []*Relay
 
 	Stores     []*Process
 	Registries []*Process
 	Proxies    []*Process
 }
 
-// seats are the core machines' names, in the order in which duties fall.
-func (f *Fleet) seats() []string {
+// memberIDs are the core machines' names, in the order in which duties fall.
+func (f *Fleet) memberIDs() []string {
 	var names []string
-	for i := range f.Deployment.Cores {
+	for i := range f.Deployment.CoreMembers {
 		names = append(names, string(rune('a'+i)))
 	}
 	return names
 }
 
-// core and edge are the addresses of machines; gate is where the relay in front of one stands.
-func (f *Fleet) core(i int) string { return fmt.Sprintf("127.%d.1.%d", f.net, i+1) }
-func (f *Fleet) edge(i int) string { return fmt.Sprintf("127.%d.2.%d", f.net, i+1) }
-func gate(machine string) string {
-	parts := strings.Split(machine, ".")
-	return parts[0] + "." + parts[1] + ".10" + parts[2] + "." + parts[3]
+// coreAddress and edge are the addresses of machines; gate is where the relay in front of one stands.
+func (f *Fleet) coreAddress(i int) string { return fmt.Sprintf("127.%d.1.%d", f.netOctet, i+1) }
+func (f *Fleet) edgeAddress(i int) string { return fmt.Sprintf("127.%d.2.%d", f.netOctet, i+1) }
+func relayAddress(machine string) string {
+	octets := strings.Split(machine, ".")
+	return octets[0] + "." + octets[1] + ".10" + octets[2] + "." + octets[3]
 }
 
-// area is the zone of the i-th machine.
-func (f *Fleet) area(i int) string { return fmt.Sprintf("area-%d", i%f.Deployment.Areas+1) }
+// zone is the zone of the i-th machine.
+func (f *Fleet) zone(i int) string { return fmt.Sprintf("area-%d", i%f.Deployment.Zones+1) }
 
-// callersAt are the callers with a listener at an edge: clients and every service.
-func (f *Fleet) callersAt() []string {
-	callers := []string{clientKind}
+// callerNames are the callers with a listener at an edge: clients and every service.
+func (f *Fleet) callerNames() []string {
+	callers := []string{clientCaller}
 	for _, service := range f.Deployment.Services {
 		callers = append(callers, service.Name)
 	}
 	return callers
 }
 
-// Operator is the operators' address of a core machine.
-func (f *Fleet) Operator(i int) string { return fmt.Sprintf("%s:%d", f.core(i), portOperator) }
+// OperatorAddress is the operators' address of a core machine.
+func (f *Fleet) OperatorAddress(i int) string {
+	return fmt.Sprintf("%s:%d", f.coreAddress(i), portOperator)
+}
 
 // CallerAddress is where a caller reaches the proxy of an edge.
 func (f *Fleet) CallerAddress(edge int, caller string) string {
-	for i, name := range f.callersAt() {
+	for i, name := range f.callerNames() {
 		if name == caller {
-			return fmt.Sprintf("%s:%d", f.edge(edge), portCallers+i)
+			return fmt.Sprintf("%s:%d", f.edgeAddress(edge), portCallers+i)
 		}
 	}
 	return ""
 }
 
 // NewFleet lays out a fleet in a folder; nothing runs yet.
-func NewFleet(d *Deployment, folder, binaries string, lease time.Duration, relayEdges, disks bool) (*Fleet, error) {
+func NewFleet(d *Deployment, folder, binaries string, lease time.Duration, relayEdges, delayedDisks bool) (*Fleet, error) {
 	authority, err := NewAuthority(filepath.Join(folder, "certificates"))
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Deployment: d, folder: folder, binaries: binaries, lease: lease, disks: disks, authority: authority, Cuts: NewCuts()}
-	if f.net, f.netHeld, err = fakebackend.ReserveLoopbackNet(); err != nil {
+	f := &Fleet{Deployment: d, folder: folder, binaries: binaries, lease: lease, delayedDisks: delayedDisks, authority: authority, LinkFaults: NewLinkFaults()}
+	if f.netOctet, f.netLock, err = fakebackend.ReserveLoopbackNet(); err != nil {
 		return nil, err
 	}
-	join := func(from func(int) string, count, port, besides int) string {
+	seedList := func(addressOf func(int) string, count, port, except int) string {
 		var parts []string
 		for i := range count {
-			if i != besides {
-				parts = append(parts, fmt.Sprintf("%s:%d", from(i), port))
+			if i != except {
+				parts = append(parts, fmt.Sprintf("%s:%d", addressOf(i), port))
 			}
 		}
 		return strings.Join(parts, ",")
 	}
-	gates := func(i int) string { return gate(f.core(i)) }
-	order := strings.Join(f.seats(), ",")
-	for i, seat := range f.seats() {
+	relayAddressOf := func(i int) string { return relayAddress(f.coreAddress(i)) }
+	memberOrder := strings.Join(f.memberIDs(), ",")
+	for i, memberID := range f.memberIDs() {
 		for _, port := range []int{portStore, portRegistry} {
-			relay, err := NewRelay(fmt.Sprintf("%s:%d", gates(i), port), fmt.Sprintf("%s:%d", f.core(i), port), f.core(i), f.Cuts)
+			relay, err := NewRelay(fmt.Sprintf("%s:%d", relayAddressOf(i), port), fmt.Sprintf("%s:%d", f.coreAddress(i), port), f.coreAddress(i), f.LinkFaults)
 			if err != nil {
 				return nil, err
 			}
 			f.relays = append(f.relays, relay)
 		}
-		store, err := f.process("store", seat, nil, fmt.Sprintf("%s:%d", f.core(i), portStoProbe), map[string]string{
-			"seat": seat, "order": order, "listen": fmt.Sprintf("%s:%d", f.core(i), portStore), "advertise": fmt.Sprintf("%s:%d", gates(i), portStore),
-			"seeds": join(gates, d.Cores, portStore, i)})
+		store, err := f.newProcess("store", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portStoreProbe), map[string]string{
+			"seat": memberID, "order": memberOrder, "listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore), "advertise": fmt.Sprintf("%s:%d", relayAddressOf(i), portStore),
+			"seeds": seedList(relayAddressOf, d.CoreMembers, portStore, i)})
 		if err != nil {
 			return nil, err
 		}
 		f.Stores = append(f.Stores, store)
-		registry, err := f.process("registry", seat, nil, fmt.Sprintf("%s:%d", f.core(i), portRegProbe), map[string]string{
-			"seat": seat, "order": order, "listen": fmt.Sprintf("%s:%d", f.core(i), portRegistry), "advertise": fmt.Sprintf("%s:%d", gates(i), portRegistry),
-			"seeds": join(gates, d.Cores, portRegistry, i), "store": fmt.Sprintf("%s:%d", f.core(i), portStore),
-			"operator-listen": f.Operator(i), "lease": lease.String()})
+		registry, err := f.newProcess("registry", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistryProbe), map[string]string{
+			"seat": memberID, "order": memberOrder, "listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistry), "advertise": fmt.Sprintf("%s:%d", relayAddressOf(i), portRegistry),
+			"seeds": seedList(relayAddressOf, d.CoreMembers, portRegistry, i), "store": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore),
+			"operator-listen": f.OperatorAddress(i), "lease": lease.String()})
 		if err != nil {
 			return nil, err
 		}
@@ -252,23 +254,23 @@
 	}
 	for i := range d.Edges {
 		var callers []string
-		for _, caller := range f.callersAt() {
+		for _, caller := range f.callerNames() {
 			callers = append(callers, caller+"="+f.CallerAddress(i, caller))
 		}
 		name := fmt.Sprintf("edge-%d", i+1)
-		face := f.edge(i)
+		advertised := f.edgeAddress(i)
 		if relayEdges {
-			face = gate(face)
-			relay, err := NewRelay(fmt.Sprintf("%s:%d", face, portHop), fmt.Sprintf("%s:%d", f.edge(i), portHop), f.edge(i), f.Cuts)
+			advertised = relayAddress(advertised)
+			relay, err := NewRelay(fmt.Sprintf("%s:%d", advertised, portPeer), fmt.Sprintf("%s:%d", f.edgeAddress(i), portPeer), f.edgeAddress(i), f.LinkFaults)
 			if err != nil {
 				return nil, err
 			}
 			f.relays = append(f.relays, relay)
 		}
-		proxy, err := f.process("proxy", name, f.callersAt(), fmt.Sprintf("%s:%d", f.edge(i), portProbe), map[string]string{
-			"advertise": fmt.Sprintf("%s:%d", face, portHop),
-			"name":      name, "area": f.area(i), "listen": fmt.Sprintf("%s:%d", f.edge(i), portHop), "seeds": join(gates, d.Cores, portRegistry, -1),
-			"callers": strings.Join(callers, ","), "workers-listen": fmt.Sprintf("%s:%d", f.edge(i), portWorkers), "lease": lease.String()})
+		proxy, err := f.newProcess("proxy", name, f.callerNames(), fmt.Sprintf("%s:%d", f.edgeAddress(i), portProbe), map[string]string{
+			"advertise": fmt.Sprintf("%s:%d", advertised, portPeer),
+			"name":      name, "area": f.zone(i), "listen": fmt.Sprintf("%s:%d", f.edgeAddress(i), portPeer), "seeds": seedList(relayAddressOf, d.CoreMembers, portRegistry, -1),
+			"callers": strings.Join(callers, ","), "workers-listen": fmt.Sprintf("%s:%d", f.edgeAddress(i), portWorkerAPI), "lease": lease.String()})
 		if err != nil {
 			return nil, err
 		}
@@ -277,9 +279,9 @@
 	return f, nil
 }
 
-// process writes a settings file and makes the process that reads it.
-func (f *Fleet) process(program, name string, speaks []string, probe string, settings map[string]string) (*Process, error) {
-	certificate, err := f.authority.Issue(program, name, speaks)
+// newProcess writes a settings file and makes the process that reads it.
+func (f *Fleet) newProcess(program, name string, services []string, probeAddress string, settings map[string]string) (*Process, error) {
+	certificate, err := f.authority.Issue(program, name, services)
 	if err != nil {
 		return nil, err
 	}
@@ -289,18 +291,18 @@
 	}
 	process := &Process{Name: program + "/" + name, program: filepath.Join(f.binaries, program), args: []string{"-settings", filepath.Join(folder, "settings")},
 		settingsFile: filepath.Join(folder, "settings"),
-		probe:        probe, log: filepath.Join(folder, "output"), settings: settings}
-	settings["certificate"], settings["authority"], settings["data"], settings["probe-listen"] = certificate, f.authority.File(), filepath.Join(folder, "data"), probe
+		probeAddress: probeAddress, logFile: filepath.Join(folder, "output"), settings: settings}
+	settings["certificate"], settings["authority"], settings["data"], settings["probe-listen"] = certificate, f.authority.File(), filepath.Join(folder, "data"), probeAddress
 	// A store runs on a disk that can be made slow, which only the rehearsal has.
-	if program == "store" && f.disks {
+	if program == "store" && f.delayedDisks {
 		process.program = filepath.Join(f.binaries, "rehearsal")
-		process.args = append([]string{StandInStore, filepath.Join(folder, diskFile)}, process.args...)
+		process.args = append([]string{DelayedStoreCommand, filepath.Join(folder, diskDelayFile)}, process.args...)
 	}
-	return process, process.configure(nil)
+	return process, process.writeSettings(nil)
 }
 
-// configure writes the settings file anew, with changes.
-func (p *Process) configure(changes map[string]string) error {
+// writeSettings writes the settings file anew, with changes.
+func (p *Process) writeSettings(changes map[string]string) error {
 	var text strings.Builder
 	for key, value := range changes {
 		p.settings[key] = value
@@ -311,18 +313,18 @@
 	return errs.Wrap(os.WriteFile(p.settingsFile, []byte(text.String()), 0o640), errs.DiskFailed, p.Name)
 }
 
-// All lists every process, the core first.
-func (f *Fleet) All() []*Process {
+// Processes lists every process, the core first.
+func (f *Fleet) Processes() []*Process {
 	return append(append(append([]*Process(nil), f.Stores...), f.Registries...), f.Proxies...)
 }
 
 // AwaitReady waits until every process says it is ready.
-func AwaitReady(processes []*Process, patience time.Duration) error {
-	deadline := time.Now().Add(patience)
+func AwaitReady(processes []*Process, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for _, process := range processes {
 		for !process.Ready() {
 			if time.Now().After(deadline) {
-				return errs.New(errs.Internal, process.Name+" is not ready in time; see "+process.log)
+				return errs.New(errs.Internal, process.Name+" is not ready in time; see "+process.logFile)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -330,15 +332,15 @@
 	return nil
 }
 
-// awaitKnown waits until every proxy knows so many workers.
-func awaitKnown(proxies []*Process, workers int, patience time.Duration) error {
-	deadline := time.Now().Add(patience)
+// awaitWorkerDiscovery waits until every proxy knows so many workers.
+func awaitWorkerDiscovery(proxies []*Process, workers int, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for _, process := range proxies {
 		for {
 			var status struct {
 				Known int `json:"knownWorkers"`
 			}
-			if response, err := probes.Get("http://" + process.probe + "/status"); err == nil {
+			if response, err := probeClient.Get("http://" + process.probeAddress + "/status"); err == nil {
 				_ = json.NewDecoder(response.Body).Decode(&status)
 				response.Body.Close()
 			}
@@ -356,11 +358,11 @@
 
 // Stop ends everything; it names the processes that did not end cleanly.
 func (f *Fleet) Stop() []string {
-	f.Cuts.Mend()
+	f.LinkFaults.Heal()
 	var lock sync.Mutex
 	var unclean []string
 	var waiting sync.WaitGroup
-	for _, process := range f.All() {
+	for _, process := range f.Processes() {
 		waiting.Add(1)
 		go func() {
 			defer waiting.Done()
@@ -376,45 +378,45 @@
 	for _, relay := range f.relays {
 		relay.Close()
 	}
-	f.netHeld.Close()
+	f.netLock.Close()
 	return unclean
 }
 
-// MoveCore lets a core machine come back at another address, without its disk, as a
+// ReplaceCoreMember lets a core machine come back at another address, without its disk, as a
 // replacement does. Its old address stays dead; the others learn the new one from it.
-func (f *Fleet) MoveCore(i int) error {
-	moved := fmt.Sprintf("127.%d.3.%d", f.net, i+1)
-	for _, one := range []struct {
+func (f *Fleet) ReplaceCoreMember(i int) error {
+	newAddress := fmt.Sprintf("127.%d.3.%d", f.netOctet, i+1)
+	for _, component := range []struct {
 		process *Process
 		port    int
 		probe   int
-	}{{f.Stores[i], portStore, portStoProbe}, {f.Registries[i], portRegistry, portRegProbe}} {
-		one.process.Kill()
-		if err := one.process.Wipe(); err != nil {
+	}{{f.Stores[i], portStore, portStoreProbe}, {f.Registries[i], portRegistry, portRegistryProbe}} {
+		component.process.Kill()
+		if err := component.process.WipeData(); err != nil {
 			return err
 		}
-		relay, err := NewRelay(fmt.Sprintf("%s:%d", gate(moved), one.port), fmt.Sprintf("%s:%d", moved, one.port), f.core(i), f.Cuts)
+		relay, err := NewRelay(fmt.Sprintf("%s:%d", relayAddress(newAddress), component.port), fmt.Sprintf("%s:%d", newAddress, component.port), f.coreAddress(i), f.LinkFaults)
 		if err != nil {
 			return err
 		}
 		f.relays = append(f.relays, relay)
-		one.process.probe = fmt.Sprintf("%s:%d", moved, one.probe)
-		changes := map[string]string{"listen": fmt.Sprintf("%s:%d", moved, one.port), "advertise": fmt.Sprintf("%s:%d", gate(moved), one.port), "probe-listen": one.process.probe}
-		if one.port == portRegistry {
-			changes["store"] = fmt.Sprintf("%s:%d", moved, portStore)
+		component.process.probeAddress = fmt.Sprintf("%s:%d", newAddress, component.probe)
+		changes := map[string]string{"listen": fmt.Sprintf("%s:%d", newAddress, component.port), "advertise": fmt.Sprintf("%s:%d", relayAddress(newAddress), component.port), "probe-listen": component.process.probeAddress}
+		if component.port == portRegistry {
+			changes["store"] = fmt.Sprintf("%s:%d", newAddress, portStore)
 		}
-		if err := one.process.configure(changes); err != nil {
+		if err := component.process.writeSettings(changes); err != nil {
 			return err
 		}
-		if err := one.process.Start(); err != nil {
+		if err := component.process.Start(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Wipe empties a process's data folder, as a machine that comes back without its disk.
-func (p *Process) Wipe() error {
-	folder := filepath.Join(filepath.Dir(p.log), "data")
+// WipeData empties a process's data folder, as a machine that comes back without its disk.
+func (p *Process) WipeData() error {
+	folder := filepath.Join(filepath.Dir(p.logFile), "data")
 	return errs.Wrap(os.RemoveAll(folder), errs.DiskFailed, folder)
 }
--- a/internal/rehearsal/fleet_test.go
+++ b/internal/rehearsal/fleet_test.go
@@ -12,9 +12,9 @@
 	"meadowhinge/internal/registry"
 )
 
-// build makes the daemons with the race detector, which makes them end with an error when
+// buildWithRaceDetector makes the daemons with the race detector, which makes them end with an error when
 // it found something.
-func build(t *testing.T) string {
+func buildWithRaceDetector(t *testing.T) string {
 	t.Helper()
 	binaries := t.TempDir()
 	if out, err := exec.Command("go", "build", "-race", "-o", binaries+"/", "meadowhinge/cmd/proxy", "meadowhinge/cmd/registry", "meadowhinge/cmd/store", "meadowhinge/cmd/rehearsal").CombinedOutput(); err != nil {
@@ -29,20 +29,20 @@
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
-	binaries := build(t)
-	report, err := Run(Options{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: binaries, Length: 20 * time.Second, Lease: 3 * time.Second,
-		Seed: 1, Play: "standard", Rate: 0.5, LeaveBound: 20 * time.Second, Out: t.Output()})
+	binaries := buildWithRaceDetector(t)
+	report, err := Run(Options{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: binaries, LoadDuration: 20 * time.Second, Lease: 3 * time.Second,
+		Seed: 1, Scenario: "standard", RateFactor: 0.5, DrainingBound: 20 * time.Second, Out: t.Output()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	report.Print(t.Output())
 	for _, finding := range report.Findings {
-		if finding.Breaches > 0 {
+		if finding.Violations > 0 {
 			t.Errorf("%s: %v", finding.Rule, finding.Examples)
 		}
 	}
-	if len(report.Unclean) > 0 {
-		t.Errorf("these did not end cleanly on SIGTERM: %v", report.Unclean)
+	if len(report.UncleanExits) > 0 {
+		t.Errorf("these did not end cleanly on SIGTERM: %v", report.UncleanExits)
 	}
 	if report.Outcomes["answered"] == 0 || report.Acknowledged == 0 {
 		t.Errorf("nothing was judged: %v, %d yeses", report.Outcomes, report.Acknowledged)
@@ -54,20 +54,20 @@
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
-	report, err := Run(Options{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: build(t), Lease: 4 * time.Second, Play: "none", Rate: 1, Out: t.Output(),
-		Standing: func(fleet *Fleet) { askAround(t, fleet) }})
+	report, err := Run(Options{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: buildWithRaceDetector(t), Lease: 4 * time.Second, Scenario: "none", RateFactor: 1, Out: t.Output(),
+		OnReady: func(fleet *Fleet) { checkInputs(t, fleet) }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(report.Unclean) > 0 {
-		t.Errorf("SIGTERM did not end these with 0: %v", report.Unclean)
+	if len(report.UncleanExits) > 0 {
+		t.Errorf("SIGTERM did not end these with 0: %v", report.UncleanExits)
 	}
 }
 
-func askAround(t *testing.T, fleet *Fleet) {
+func checkInputs(t *testing.T, fleet *Fleet) {
 	// A refusal that may be asked again, as where a machine is too busy for its leases and claims,
 	// is asked again; each call that was planned counts, whatever became of it.
-	again := uint64(0)
+	repeats := uint64(0)
 	once := func(method, address, path, body string, headers ...string) (int, string, http.Header) {
 		t.Helper()
 		request, _ := http.NewRequest(method, "http://"+address+path, strings.NewReader(body))
@@ -90,15 +90,15 @@
 				return status, text, header
 			}
 			if header.Get("Meadowhinge-Version") != "" {
-				again++
+				repeats++
 			}
 		}
 	}
-	caller, shop := fleet.CallerAddress(0, clientKind), fleet.CallerAddress(0, "shop")
-	operator, beside := fleet.Operator(1), fmt.Sprintf("%s:%d", fleet.edge(0), portWorkers)
+	caller, shop := fleet.CallerAddress(0, clientCaller), fleet.CallerAddress(0, "shop")
+	operatorAPI, workerAPI := fleet.OperatorAddress(1), fmt.Sprintf("%s:%d", fleet.edgeAddress(0), portWorkerAPI)
 	big := strings.Repeat("x", 2<<20)
 	change := func(id, setup string) string { return fmt.Sprintf(`{"id": %q, "setup": %q}`, id, setup) }
-	for _, one := range []struct {
+	for _, testCase := range []struct {
 		name, method, address, path, body string
 		status                            int
 		parts                             []string
@@ -107,58 +107,58 @@
 		{"no such route", "GET", caller, "/nowhere", "", 404, []string{"NO_ROUTE", "not-run"}},
 		{"a caller not allowed", "GET", shop, "/shop/look", "", 403, []string{"CALLER_NOT_ALLOWED", "not-run"}},
 		{"an oversized body", "POST", caller, "/shop/buy", big, 413, []string{"TOO_LARGE", "not-run"}},
-		{"a malformed self-description", "POST", beside, "/v1/worker", `{"address": "here"}`, 400, []string{"MALFORMED", "address", "service", "token", "beatMs"}},
-		{"a self-description with an unknown field", "POST", beside, "/v1/worker", `{"colour": "red"}`, 400, []string{"MALFORMED", "colour"}},
-		{"a change that is no JSON", "POST", operator, "/v1/changes", "x", 400, []string{"MALFORMED"}},
-		{"a setup that breaks the schema", "POST", operator, "/v1/changes", change("s1", `service: x: {versions: [], fallback: "1", callers: [], colour: 1}
+		{"a malformed self-description", "POST", workerAPI, "/v1/worker", `{"address": "here"}`, 400, []string{"MALFORMED", "address", "service", "token", "beatMs"}},
+		{"a self-description with an unknown field", "POST", workerAPI, "/v1/worker", `{"colour": "red"}`, 400, []string{"MALFORMED", "colour"}},
+		{"a change that is no JSON", "POST", operatorAPI, "/v1/changes", "x", 400, []string{"MALFORMED"}},
+		{"a setup that breaks the schema", "POST", operatorAPI, "/v1/changes", change("s1", `service: x: {versions: [], fallback: "1", callers: [], colour: 1}
 route: y: {service: "x", prefix: "none"}`), 400, []string{`"service.x.colour"`, `"route.y.prefix"`}},
-		{"a setup with several cross faults", "POST", operator, "/v1/changes", change("s2", `route: x: {service: "gone", prefix: "/x"}
+		{"a setup with several cross faults", "POST", operatorAPI, "/v1/changes", change("s2", `route: x: {service: "gone", prefix: "/x"}
 flag: y: {on: true, salt: "", variations: ["a"], offVariation: 4, fallthrough: {variation: 0}}`), 400, []string{"route.x.service", "flag.y.offVariation"}},
-		{"a change written against an older version", "POST", operator, "/v1/changes", change("s3", Deployments["small"].FlagText("shop", 1, 1)), 409, []string{"CONFLICT", `"flag/release.shop":1`}},
-		{"a new item", "POST", operator, "/v1/changes", change("s4", `segment: t: {salt: "t"}`), 200, []string{`"accepted"`, `"acknowledged":true`}},
-		{"the same id again", "POST", operator, "/v1/changes", change("s4", `segment: t: {salt: "t"}`), 200, []string{`"accepted"`}},
-		{"what became of a change", "GET", operator, "/v1/changes/s3", "", 200, []string{`"conflict"`}},
-		{"what became of a change nobody stated", "GET", operator, "/v1/changes/never", "", 404, []string{"UNKNOWN_CHANGE"}},
-		{"an explanation", "POST", operator, "/v1/explain", `{"caller": "client", "method": "GET", "path": "/shop/look", "headers": {"X-User": "ann"}}`, 200, []string{`"FALLTHROUGH"`, `"release.shop"`}},
-		{"an explanation without a key", "POST", operator, "/v1/explain", `{"caller": "client", "method": "GET", "path": "/shop/look"}`, 200, []string{`"ERROR"`, "USER_NOT_SPECIFIED"}},
-		{"a policy on a route", "POST", operator, "/v1/changes", change("s5", `policy: grown: expression: "age >= 18"
+		{"a change written against an older version", "POST", operatorAPI, "/v1/changes", change("s3", Deployments["small"].FlagText("shop", 1, 1)), 409, []string{"CONFLICT", `"flag/release.shop":1`}},
+		{"a new item", "POST", operatorAPI, "/v1/changes", change("s4", `segment: t: {salt: "t"}`), 200, []string{`"accepted"`, `"acknowledged":true`}},
+		{"the same id again", "POST", operatorAPI, "/v1/changes", change("s4", `segment: t: {salt: "t"}`), 200, []string{`"accepted"`}},
+		{"what became of a change", "GET", operatorAPI, "/v1/changes/s3", "", 200, []string{`"conflict"`}},
+		{"what became of a change nobody stated", "GET", operatorAPI, "/v1/changes/never", "", 404, []string{"UNKNOWN_CHANGE"}},
+		{"an explanation", "POST", operatorAPI, "/v1/explain", `{"caller": "client", "method": "GET", "path": "/shop/look", "headers": {"X-User": "ann"}}`, 200, []string{`"FALLTHROUGH"`, `"release.shop"`}},
+		{"an explanation without a key", "POST", operatorAPI, "/v1/explain", `{"caller": "client", "method": "GET", "path": "/shop/look"}`, 200, []string{`"ERROR"`, "USER_NOT_SPECIFIED"}},
+		{"a policy on a route", "POST", operatorAPI, "/v1/changes", change("s5", `policy: grown: expression: "age >= 18"
 route: bar: {service: "shop", prefix: "/shop/bar", key: "X-User", attributes: age: "X-Age", policy: "grown"}`), 200, []string{`"acknowledged":true`}},
 		{"a call that its policy refuses", "GET", caller, "/shop/bar", "", 403, []string{"POLICY_REFUSED", "not-run"}},
-		{"an explanation of that", "POST", operator, "/v1/explain", `{"caller": "client", "method": "GET", "path": "/shop/bar", "headers": {"X-User": "ann", "X-Age": "17"}}`, 200, []string{`"refused":true`, `"grown"`, `"POLICY"`}},
-		{"a policy in use, removed", "POST", operator, "/v1/changes", `{"id": "s6", "setup": "remove: policy: [\"grown\"]", "expected": {"policy/grown": 5}}`, 400, []string{"route.bar.policy"}},
-		{"a policy that names nothing known", "POST", operator, "/v1/changes", change("s7", `policy: odd: expression: "colour =="`), 400, []string{"policy.odd.expression", "line 1"}},
+		{"an explanation of that", "POST", operatorAPI, "/v1/explain", `{"caller": "client", "method": "GET", "path": "/shop/bar", "headers": {"X-User": "ann", "X-Age": "17"}}`, 200, []string{`"refused":true`, `"grown"`, `"POLICY"`}},
+		{"a policy in use, removed", "POST", operatorAPI, "/v1/changes", `{"id": "s6", "setup": "remove: policy: [\"grown\"]", "expected": {"policy/grown": 5}}`, 400, []string{"route.bar.policy"}},
+		{"a policy that names nothing known", "POST", operatorAPI, "/v1/changes", change("s7", `policy: odd: expression: "colour =="`), 400, []string{"policy.odd.expression", "line 1"}},
 		{"an empty key", "POST", caller, "/shop/buy", "{}", 400, []string{"MALFORMED", "Idempotency-Key"}},
-		{"no such page", "GET", operator, "/v1/nothing", "", 404, []string{"NO_ROUTE"}},
+		{"no such page", "GET", operatorAPI, "/v1/nothing", "", 404, []string{"NO_ROUTE"}},
 	} {
-		headers := []string{"X-User", "ann", opHeader, "op-" + one.name}
-		if one.name == "an empty key" {
+		headers := []string{"X-User", "ann", operationHeader, "op-" + testCase.name}
+		if testCase.name == "an empty key" {
 			headers = append(headers, "Idempotency-Key", "")
 		}
-		status, text, _ := ask(one.method, one.address, one.path, one.body, headers...)
-		if status != one.status {
-			t.Errorf("%s: status %d, want %d: %s", one.name, status, one.status, text)
+		status, text, _ := ask(testCase.method, testCase.address, testCase.path, testCase.body, headers...)
+		if status != testCase.status {
+			t.Errorf("%s: status %d, want %d: %s", testCase.name, status, testCase.status, text)
 		}
-		for _, part := range one.parts {
+		for _, part := range testCase.parts {
 			if !strings.Contains(text, part) {
-				t.Errorf("%s: no %s in %s", one.name, part, text)
+				t.Errorf("%s: no %s in %s", testCase.name, part, text)
 			}
 		}
 	}
 	// One key, one run: the repeat gets the first answer, another body is refused.
-	_, first, _ := ask("POST", caller, "/shop/buy", "{}", "X-User", "ann", opHeader, "k1", "Idempotency-Key", "key")
-	_, repeat, header := ask("POST", caller, "/shop/buy", "{}", "X-User", "ann", opHeader, "k2", "Idempotency-Key", "key")
+	_, first, _ := ask("POST", caller, "/shop/buy", "{}", "X-User", "ann", operationHeader, "k1", "Idempotency-Key", "key")
+	_, repeat, header := ask("POST", caller, "/shop/buy", "{}", "X-User", "ann", operationHeader, "k2", "Idempotency-Key", "key")
 	if first != repeat || header.Get("Meadowhinge-Outcome") != "answered" {
 		t.Errorf("a repeat under one key got %s, the first %s", repeat, first)
 	}
-	if status, text, _ := ask("POST", caller, "/shop/buy", `{"other":1}`, "X-User", "ann", opHeader, "k3", "Idempotency-Key", "key"); status != 422 || !strings.Contains(text, "IDEMPOTENCY_KEY_REUSED") {
+	if status, text, _ := ask("POST", caller, "/shop/buy", `{"other":1}`, "X-User", "ann", operationHeader, "k3", "Idempotency-Key", "key"); status != 422 || !strings.Contains(text, "IDEMPOTENCY_KEY_REUSED") {
 		t.Errorf("the key with another body got %d %s", status, text)
 	}
 	// The counts reach the registries, each call once.
 	var lines []registry.VerdictCount
 	counted := uint64(0)
-	person := NewOperator("person", fleet, &Ledger{}, func() time.Duration { return 0 })
-	for deadline := time.Now().Add(time.Minute); counted < 5+again && time.Now().Before(deadline); {
-		if _, err := person.ask(2, http.MethodGet, "/v1/verdicts", nil, &lines); err != nil {
+	operator := NewOperator("person", fleet, &History{}, func() time.Duration { return 0 })
+	for deadline := time.Now().Add(time.Minute); counted < 5+repeats && time.Now().Before(deadline); {
+		if _, err := operator.call(2, http.MethodGet, "/v1/verdicts", nil, &lines); err != nil {
 			t.Fatal(err)
 		}
 		counted = 0
@@ -167,7 +167,7 @@
 		}
 	}
 	// Four calls were planned, the proper one and three under the key; a policy refused one.
-	if counted != 5+again {
-		t.Errorf("%d calls counted, not %d: %v", counted, 5+again, lines)
+	if counted != 5+repeats {
+		t.Errorf("%d calls counted, not %d: %v", counted, 5+repeats, lines)
 	}
 }
--- a/internal/rehearsal/hollow.go
+++ b/internal/rehearsal/hollow.go
@@ -26,27 +26,27 @@
 
 // RoleCost is what the processes of a role cost: means of one process unless it says largest.
 type RoleCost struct {
-	Role        string  `json:"role"`
-	Processes   int     `json:"processes"`
-	CPU         float64 `json:"cpuMsPerSecond"`        // of one core, in thousandths
-	CPULargest  float64 `json:"cpuMsPerSecondLargest"` // of the processes
-	In          float64 `json:"bytesInPerSecond"`
-	Out         float64 `json:"bytesOutPerSecond"`
-	Begun       float64 `json:"begunPerSecond"`    // greetings and sessions begun, of a member; of a registry's row, all that it took
-	Messages    float64 `json:"messagesPerSecond"` // with the core, either way; of the core, with whoever calls it
-	Memory      float64 `json:"memoryMB"`          // resident at the end; of a member, its part of the heap and stacks
-	Heap        float64 `json:"heapMB"`
-	Disk        float64 `json:"diskKB"`
-	Written     float64 `json:"writtenBytesPerSecond"`
-	LinksOpened float64 `json:"linksOpenedPerSecond"`
-	Served      Rates   `json:"messagesPerSecondByCall,omitempty"`
+	Role              string      `json:"role"`
+	Processes         int         `json:"processes"`
+	CPU               float64     `json:"cpuMsPerSecond"`        // of one core, in thousandths
+	CPULargest        float64     `json:"cpuMsPerSecondLargest"` // of the processes
+	BytesIn           float64     `json:"bytesInPerSecond"`
+	BytesOut          float64     `json:"bytesOutPerSecond"`
+	SessionsBegun     float64     `json:"begunPerSecond"`    // greetings and sessions begun, of a member; of a registry's row, all that it took
+	Messages          float64     `json:"messagesPerSecond"` // with the core, either way; of the core, with whoever calls it
+	MemoryMB          float64     `json:"memoryMB"`          // resident at the end; of a member, its part of the heap and stacks
+	HeapMB            float64     `json:"heapMB"`
+	DiskKB            float64     `json:"diskKB"`
+	BytesWritten      float64     `json:"writtenBytesPerSecond"`
+	ConnectionsOpened float64     `json:"linksOpenedPerSecond"`
+	MessagesByCall    RatesByName `json:"messagesPerSecondByCall,omitempty"`
 }
 
-// Rates are numbers a second by name.
-type Rates map[string]float64
+// RatesByName are numbers a second by name.
+type RatesByName map[string]float64
 
-// Spans are the quantiles of a histogram, in milliseconds.
-type Spans struct {
+// LatencySummary are the quantiles of a histogram, in milliseconds.
+type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
 	P90   float64 `json:"p90"`
@@ -54,9 +54,9 @@
 	Max   float64 `json:"max"`
 }
 
-func spansOf(from *hdrhistogram.Histogram) Spans {
+func summarizeLatency(from *hdrhistogram.Histogram) LatencySummary {
 	millis := func(micros int64) float64 { return float64(micros) / 1000 }
-	return Spans{from.TotalCount(), millis(from.ValueAtQuantile(50)), millis(from.ValueAtQuantile(90)), millis(from.ValueAtQuantile(99)), millis(from.Max())}
+	return LatencySummary{from.TotalCount(), millis(from.ValueAtQuantile(50)), millis(from.ValueAtQuantile(90)), millis(from.ValueAtQuantile(99)), millis(from.Max())}
 }
 
 // HollowReport is what a run of hollow members found.
@@ -67,27 +67,27 @@
 	Seconds float64               `json:"seconds"`
 	Roles   []RoleCost            `json:"roles"`
 
-	Acknowledge Spans          `json:"acknowledge"` // from stated to acknowledged
-	Apply       Spans          `json:"apply"`       // from acknowledged to in use, at each member
-	Everywhere  Spans          `json:"everywhere"`  // from stated to in use at every member
-	Stale       Spans          `json:"stale"`       // since a member last knew its picture to be the newest
-	News        Spans          `json:"news"`        // from a change of a member's workers to its being known, at each other member
-	Back        Spans          `json:"back"`        // from a restart to a setup in use
-	Moved       Spans          `json:"moved"`       // from the loss of a member's registry to a session with another
-	Late        Spans          `json:"late"`        // by how much this process itself was woken late: the machine's doing
-	Unapplied   int            `json:"unapplied"`   // changes that some member had not taken into use at the end
-	Rulings     map[string]int `json:"rulings"`
-	Restarts    int            `json:"restarts"`
-	Losses      int            `json:"losses"`    // of core machines and of zones
-	Items       int            `json:"items"`     // in the setup
-	ItemBytes   int            `json:"itemBytes"` // of their bodies, names and versions
-	Lines       []HollowLine   `json:"lines"`
+	Acknowledge       LatencySummary   `json:"acknowledge"` // from stated to acknowledged
+	Applied           LatencySummary   `json:"apply"`       // from acknowledged to in use, at each member
+	AppliedEverywhere LatencySummary   `json:"everywhere"`  // from stated to in use at every member
+	Staleness         LatencySummary   `json:"stale"`       // since a member last knew its picture to be the newest
+	WorkerUpdates     LatencySummary   `json:"news"`        // from a change of a member's workers to its being known, at each other member
+	Recovery          LatencySummary   `json:"back"`        // from a restart to a setup in use
+	RegistryFailover  LatencySummary   `json:"moved"`       // from the loss of a member's registry to a session with another
+	WakeupDelay       LatencySummary   `json:"late"`        // by how much this process itself was woken late: the machine's doing
+	Unapplied         int              `json:"unapplied"`   // changes that some member had not taken into use at the end
+	Rulings           map[string]int   `json:"rulings"`
+	Restarts          int              `json:"restarts"`
+	InjectedLosses    int              `json:"losses"`    // of core machines and of zones
+	Items             int              `json:"items"`     // in the setup
+	ItemBytes         int              `json:"itemBytes"` // of their bodies, names and versions
+	Timeline          []HollowInterval `json:"lines"`
 
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-// HollowLine is what the roles took in one stretch of a run.
-type HollowLine struct {
+// HollowInterval is what the roles took in one stretch of a run.
+type HollowInterval struct {
 	At     float64            `json:"at"`
 	CPU    map[string]float64 `json:"cpuMsPerSecond"` // by role, of its largest process; of members the mean
 	Memory map[string]float64 `json:"memoryMB"`
@@ -99,58 +99,58 @@
 	memberWorkerBytes = 1200      // of each worker that it knows of
 	memberRouteBytes  = 3 << 10   // of each route that it has
 	coreBytes         = 256 << 20 // of a registry and its store
-	memoryPart        = 2         // this part of the machine's memory may be taken
+	memoryDivisor     = 2         // this part of the machine's memory may be taken
 )
 
-// CheckHollow lists what in the settings cannot be run here, beyond the bounds of each.
-func CheckHollow(given *schema.HollowOptions) options.Faults {
-	return checkHollow(given, memoryHere(), filesMost())
+// ValidateHollow lists what in the settings cannot be run here, beyond the bounds of each.
+func ValidateHollow(opts *schema.HollowOptions) options.Faults {
+	return validateHollow(opts, machineMemory(), maxOpenFiles())
 }
 
-// checkHollow is CheckHollow for a machine of so much memory, and of so many files to a process.
-func checkHollow(given *schema.HollowOptions, memory int64, files uint64) options.Faults {
+// validateHollow is ValidateHollow for a machine of so much memory, and of so many files to a process.
+func validateHollow(opts *schema.HollowOptions, memory int64, files uint64) options.Faults {
 	var faults options.Faults
-	if given.Releases > given.Services {
-		faults = append(faults, fmt.Sprintf("releases: %d are more than the %d services", given.Releases, given.Services))
+	if opts.Releases > opts.Services {
+		faults = append(faults, fmt.Sprintf("releases: %d are more than the %d services", opts.Releases, opts.Services))
 	}
-	if given.Reach > given.Routes {
-		faults = append(faults, fmt.Sprintf("reach: %d are more than the %d routes", given.Reach, given.Routes))
+	if opts.Reach > opts.Routes {
+		faults = append(faults, fmt.Sprintf("reach: %d are more than the %d routes", opts.Reach, opts.Routes))
 	}
-	if given.Workers > 0 && given.Workers < given.Services {
-		faults = append(faults, fmt.Sprintf("workers: %d leave some of the %d services without one", given.Workers, given.Services))
+	if opts.Workers > 0 && opts.Workers < opts.Services {
+		faults = append(faults, fmt.Sprintf("workers: %d leave some of the %d services without one", opts.Workers, opts.Services))
 	}
-	losses := given.CoresLost + given.ZonesLost
-	if need := time.Duration(losses*lossLeases) * time.Duration(given.Lease); need > time.Duration(given.Length) {
-		faults = append(faults, fmt.Sprintf("length: %v are too short for %d losses, which take %v", time.Duration(given.Length), losses, need))
+	losses := opts.CoresLost + opts.ZonesLost
+	if need := time.Duration(losses*leasesPerLoss) * time.Duration(opts.Lease); need > time.Duration(opts.Length) {
+		faults = append(faults, fmt.Sprintf("length: %v are too short for %d losses, which take %v", time.Duration(opts.Length), losses, need))
 	}
-	if losses > 0 && given.Restarts > 0 {
+	if losses > 0 && opts.Restarts > 0 {
 		faults = append(faults, "restarts: cannot be run together with cores-lost and zones-lost")
 	}
-	if given.CoresLost > 0 && given.Seats < seatsToLose {
-		faults = append(faults, fmt.Sprintf("cores-lost: of %d seats none can be lost", given.Seats))
+	if opts.CoresLost > 0 && opts.Seats < minMembersForLoss {
+		faults = append(faults, fmt.Sprintf("cores-lost: of %d seats none can be lost", opts.Seats))
 	}
-	if need, have := hollowNeed(given), memory/memoryPart; memory > 0 && need > have {
-		faults = append(faults, fmt.Sprintf("members: %d with this setup need about %d MB, and half of this machine's memory is %d MB", given.Members, need>>20, have>>20))
+	if need, have := requiredMemory(opts), memory/memoryDivisor; memory > 0 && need > have {
+		faults = append(faults, fmt.Sprintf("members: %d with this setup need about %d MB, and half of this machine's memory is %d MB", opts.Members, need>>20, have>>20))
 	}
-	if need := uint64(given.Members*(given.Seats+1)*linksEach) + filesBesides; need > files {
-		faults = append(faults, fmt.Sprintf("members: %d need about %d open files, and %d are allowed", given.Members, need, files))
+	if need := uint64(opts.Members*(opts.Seats+1)*connsPerMember) + reservedFiles; need > files {
+		faults = append(faults, fmt.Sprintf("members: %d need about %d open files, and %d are allowed", opts.Members, need, files))
 	}
 	return faults
 }
 
 // Files that a run holds open: links of a member to each seat at once, and all else.
 const (
-	linksEach    = 2
-	filesBesides = 256
+	connsPerMember = 2
+	reservedFiles  = 256
 )
 
-func hollowNeed(given *schema.HollowOptions) int64 {
-	workers := max(given.Workers, given.Members)
-	return given.Members*(memberBytes+workers*memberWorkerBytes+given.Routes*memberRouteBytes) + given.Seats*coreBytes
+func requiredMemory(opts *schema.HollowOptions) int64 {
+	workers := max(opts.Workers, opts.Members)
+	return opts.Members*(memberBytes+workers*memberWorkerBytes+opts.Routes*memberRouteBytes) + opts.Seats*coreBytes
 }
 
-// memoryHere is the machine's memory in bytes, 0 if it is not known.
-func memoryHere() int64 {
+// machineMemory is the machine's memory in bytes, 0 if it is not known.
+func machineMemory() int64 {
 	var info syscall.Sysinfo_t
 	if syscall.Sysinfo(&info) != nil {
 		return 0
@@ -158,7 +158,7 @@
 	return int64(info.Totalram) * int64(info.Unit)
 }
 
-func filesMost() uint64 {
+func maxOpenFiles() uint64 {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
 		return 0
@@ -166,15 +166,15 @@
 	return limit.Cur
 }
 
-// commitHere is the commit that this program was built from.
-func commitHere() string {
-	built, known := debug.ReadBuildInfo()
-	if !known {
+// buildCommit is the commit that this program was built from.
+func buildCommit() string {
+	info, found := debug.ReadBuildInfo()
+	if !found {
 		return ""
 	}
 	values := map[string]string{}
-	for _, one := range built.Settings {
-		values[one.Key] = one.Value
+	for _, setting := range info.Settings {
+		values[setting.Key] = setting.Value
 	}
 	commit := values["vcs.revision"]
 	if values["vcs.modified"] == "true" {
@@ -187,36 +187,36 @@
 const progressEvery = 10 * time.Second
 
 // RunHollow brings a real core and hollow members up, lets them live, and measures.
-func RunHollow(ctx context.Context, given *schema.HollowOptions, out io.Writer) (*HollowReport, error) {
-	if faults := CheckHollow(given); len(faults) > 0 {
+func RunHollow(ctx context.Context, opts *schema.HollowOptions, out io.Writer) (*HollowReport, error) {
+	if faults := ValidateHollow(opts); len(faults) > 0 {
 		return nil, faults
 	}
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	say := func(format string, values ...any) {
+	logf := func(format string, values ...any) {
 		fmt.Fprintf(out, "%6.1f s  "+format+"\n", append([]any{now().Seconds()}, values...)...)
 	}
-	core, err := newHollowCore(given)
+	core, err := newHollowCore(opts)
 	if err != nil {
 		return nil, err
 	}
 	defer core.Stop()
-	for _, process := range core.All() {
+	for _, process := range core.Processes() {
 		if err := process.Start(); err != nil {
 			return nil, err
 		}
 	}
 	patience := time.Minute + keyWindowLeases*core.lease
-	if err := AwaitReady(core.All(), patience); err != nil {
+	if err := AwaitReady(core.Processes(), patience); err != nil {
 		return nil, err
 	}
-	say("core of %d seats is ready", given.Seats)
-	operator := newHollowOperator(given, core, now)
-	if err := operator.found(ctx); err != nil {
+	logf("core of %d seats is ready", opts.Seats)
+	operator := newHollowOperator(opts, core, now)
+	if err := operator.submitInitialConfig(ctx); err != nil {
 		return nil, err
 	}
-	say("setup of %d services and %d routes is founded", given.Services, given.Routes)
-	if err := core.addReal(given); err != nil {
+	logf("setup of %d services and %d routes is founded", opts.Services, opts.Routes)
+	if err := core.addRealProxies(opts); err != nil {
 		return nil, err
 	}
 	for _, process := range core.Proxies {
@@ -224,8 +224,8 @@
 			return nil, err
 		}
 	}
-	memoryBefore := memoryHeld()
-	fleet, err := newHollowFleet(given, core, now)
+	memoryBefore := settledMemory()
+	fleet, err := newHollowFleet(opts, core, now)
 	if err != nil {
 		return nil, err
 	}
@@ -236,83 +236,83 @@
 		}
 	}
 	stop := make(chan struct{})
-	var living sync.WaitGroup
-	living.Go(func() { fleet.keepBeating(stop) })
-	defer living.Wait()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { fleet.heartbeatLoop(stop) })
+	defer tasks.Wait()
 	stopped := sync.OnceFunc(func() { close(stop) })
 	defer stopped()
-	workers := max(int(given.Workers), int(given.Members))
-	if err := fleet.awaitJoined(ctx, operator.newest, workers, patience+time.Duration(given.Members)*memberPatience); err != nil {
+	workers := max(int(opts.Workers), int(opts.Members))
+	if err := fleet.awaitJoined(ctx, operator.newestRevision, workers, patience+time.Duration(opts.Members)*joinTimeoutPerMember); err != nil {
 		return nil, err
 	}
-	say("%d members know the setup and all %d workers", given.Members, workers)
-	if !pause(ctx, time.Duration(given.Settle)) {
+	logf("%d members know the setup and all %d workers", opts.Members, workers)
+	if !sleepContext(ctx, time.Duration(opts.Settle)) {
 		return nil, ctx.Err()
 	}
 
 	operator.lock.Lock()
-	operator.stated = nil
+	operator.submitted = nil
 	operator.lock.Unlock()
 	fleet.measuring.Store(true)
-	living.Go(func() { operator.keepChanging(stop) })
-	living.Go(func() { fleet.keepRestarting(stop) })
-	living.Go(func() { fleet.keepLosing(stop) })
-	living.Go(func() { fleet.keepLooking(stop) })
-	late := newSpans()
-	living.Go(func() { keepWatch(stop, late) })
-	report := &HollowReport{Options: given, Commit: commitHere(), Cores: runtime.NumCPU()}
-	first := takeMarks(core, fleet)
-	last, said := first, now()
+	tasks.Go(func() { operator.changeLoop(stop) })
+	tasks.Go(func() { fleet.restartLoop(stop) })
+	tasks.Go(func() { fleet.lossLoop(stop) })
+	tasks.Go(func() { fleet.measureStaleness(stop) })
+	wakeupDelay := newLatencyHistogram()
+	tasks.Go(func() { measureWakeupDelay(stop, wakeupDelay) })
+	report := &HollowReport{Options: opts, Commit: buildCommit(), Cores: runtime.NumCPU()}
+	first := takeCounterSnapshot(core, fleet)
+	last, lastProgress := first, now()
 	// By what the marks say: on a busy machine the first alone may take longer than the whole run.
-	for last.at-first.at < time.Duration(given.Length) {
-		if !pause(ctx, min(time.Duration(given.Length)/linesLeast, lineMost)) {
+	for last.at-first.at < time.Duration(opts.Length) {
+		if !sleepContext(ctx, min(time.Duration(opts.Length)/minIntervals, maxInterval)) {
 			return nil, ctx.Err()
 		}
-		next := takeMarks(core, fleet)
-		report.Lines = append(report.Lines, lineBetween(given, first.at, last, next))
+		next := takeCounterSnapshot(core, fleet)
+		report.Timeline = append(report.Timeline, intervalBetween(opts, first.at, last, next))
 		last = next
-		if now()-said >= progressEvery {
-			said = now()
-			say("%.0f of %.0f s measured", (now() - first.at).Seconds(), time.Duration(given.Length).Seconds())
+		if now()-lastProgress >= progressEvery {
+			lastProgress = now()
+			logf("%.0f of %.0f s measured", (now() - first.at).Seconds(), time.Duration(opts.Length).Seconds())
 		}
 	}
 	report.Seconds = (last.at - first.at).Seconds()
 	fleet.measuring.Store(false)
 	stopped()
-	living.Wait()
+	tasks.Wait()
 	// What was stated last is given the time to come into use.
-	for waited := now(); now()-waited < applyMost && !fleet.has(operator.newestSetup()) && pause(ctx, joinCheck); {
-	}
-	report.Roles = costsBetween(given, first, last)
-	report.Roles[0].Memory = float64(memoryHeld()-memoryBefore) / float64(given.Members) / (1 << 20)
-	report.Roles[0].Heap = report.Roles[0].Memory
-	report.take(operator, fleet)
-	report.Late = spansOf(late)
-	if state := core.itemsShown(); state != nil {
+	for waited := now(); now()-waited < applyTimeout && !fleet.allApplied(operator.newestAccepted()) && sleepContext(ctx, joinPoll); {
+	}
+	report.Roles = costsBetween(opts, first, last)
+	report.Roles[0].MemoryMB = float64(settledMemory()-memoryBefore) / float64(opts.Members) / (1 << 20)
+	report.Roles[0].HeapMB = report.Roles[0].MemoryMB
+	report.fillChanges(operator, fleet)
+	report.WakeupDelay = summarizeLatency(wakeupDelay)
+	if state := core.configSize(); state != nil {
 		report.Items, report.ItemBytes = state.items, state.bytes
 	}
 	return report, nil
 }
 
-// watchEvery is how often it is looked whether this process runs when it should.
-const watchEvery = 10 * time.Millisecond
+// wakeupInterval is how often it is looked whether this process runs when it should.
+const wakeupInterval = 10 * time.Millisecond
 
-// keepWatch notes how late this process is woken. What a machine too busy does to it, it does to
+// measureWakeupDelay notes how late this process is woken. What a machine too busy does to it, it does to
 // all that is measured.
-func keepWatch(stop <-chan struct{}, late *hdrhistogram.Histogram) {
+func measureWakeupDelay(stop <-chan struct{}, histogram *hdrhistogram.Histogram) {
 	for {
 		slept := time.Now()
 		select {
 		case <-stop:
 			return
-		case <-time.After(watchEvery):
-			record(late, time.Since(slept)-watchEvery)
+		case <-time.After(wakeupInterval):
+			recordLatency(histogram, time.Since(slept)-wakeupInterval)
 		}
 	}
 }
 
-// pause waits, and tells whether it was not cut short.
-func pause(ctx context.Context, span time.Duration) bool {
+// sleepContext waits, and tells whether it was not cut short.
+func sleepContext(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -323,175 +323,175 @@
 
 // Ratios and bounds of a run.
 const (
-	linesLeast     = 10 // stretches in a run, at the least
-	lineMost       = 2 * time.Second
-	memberPatience = 200 * time.Millisecond
-	applyMost      = 8 * time.Second
+	minIntervals         = 10 // stretches in a run, at the least
+	maxInterval          = 2 * time.Second
+	joinTimeoutPerMember = 200 * time.Millisecond
+	applyTimeout         = 8 * time.Second
 )
 
-// memoryHeld is what this process holds on its heap and stacks once garbage is gone, and with it
+// settledMemory is what this process holds on its heap and stacks once garbage is gone, and with it
 // what ended a moment ago.
-func memoryHeld() int64 {
-	held := int64(0)
-	for range memoryLooks {
+func settledMemory() int64 {
+	previous := int64(0)
+	for range maxMemoryReads {
 		runtime.GC()
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
-		now := int64(memory.HeapAlloc + memory.StackInuse)
-		if held > 0 && now > held-held/memorySettled {
-			return now
+		current := int64(memory.HeapAlloc + memory.StackInuse)
+		if previous > 0 && current > previous-previous/settledDivisor {
+			return current
 		}
-		held = now
-		time.Sleep(joinCheck)
+		previous = current
+		time.Sleep(joinPoll)
 	}
-	return held
+	return previous
 }
 
 // How often memory is looked at until it no longer falls, by this part.
 const (
-	memoryLooks   = 50
-	memorySettled = 200
+	maxMemoryReads = 50
+	settledDivisor = 200
 )
 
-// marks are all counters at a time.
-type marks struct {
+// counterSnapshot are all counters at a time.
+type counterSnapshot struct {
 	at      time.Duration
 	own     float64 // processor seconds of this process
-	members probed
-	core    []probed
+	members processCounters
+	core    []processCounters
 }
 
-func takeMarks(core *Fleet, fleet *hollowFleet) marks {
-	taken := marks{at: fleet.now(), own: cpuOf(os.Getpid())}
-	taken.members.traffic = fleet.traffic()
+func takeCounterSnapshot(core *Fleet, fleet *hollowFleet) counterSnapshot {
+	snapshot := counterSnapshot{at: fleet.now(), own: cpuSecondsOf(os.Getpid())}
+	snapshot.members.traffic = fleet.traffic()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	taken.members.heapKB = int((memory.HeapAlloc + memory.StackInuse) >> 10)
-	for _, process := range core.All() {
-		taken.core = append(taken.core, process.look())
+	snapshot.members.heapKB = int((memory.HeapAlloc + memory.StackInuse) >> 10)
+	for _, process := range core.Processes() {
+		snapshot.core = append(snapshot.core, process.readCounters())
 	}
-	return taken
+	return snapshot
 }
 
-func lineBetween(given *schema.HollowOptions, began time.Duration, from, to marks) HollowLine {
+func intervalBetween(opts *schema.HollowOptions, began time.Duration, from, to counterSnapshot) HollowInterval {
 	seconds := (to.at - from.at).Seconds()
-	line := HollowLine{At: (to.at - began).Seconds(), CPU: map[string]float64{}, Memory: map[string]float64{}}
-	line.CPU["proxy"] = (to.own - from.own) / seconds * 1000 / float64(given.Members)
-	line.Memory["proxy"] = float64(to.members.heapKB) / 1024 / float64(given.Members)
-	for i, one := range to.core {
-		line.CPU[one.role] = max(line.CPU[one.role], (one.cpu-from.core[i].cpu)/seconds*1000)
-		line.Memory[one.role] = max(line.Memory[one.role], float64(one.memoryKB)/1024)
-	}
-	return line
+	interval := HollowInterval{At: (to.at - began).Seconds(), CPU: map[string]float64{}, Memory: map[string]float64{}}
+	interval.CPU["proxy"] = (to.own - from.own) / seconds * 1000 / float64(opts.Members)
+	interval.Memory["proxy"] = float64(to.members.heapKB) / 1024 / float64(opts.Members)
+	for i, process := range to.core {
+		interval.CPU[process.role] = max(interval.CPU[process.role], (process.cpuSeconds-from.core[i].cpuSeconds)/seconds*1000)
+		interval.Memory[process.role] = max(interval.Memory[process.role], float64(process.memoryKB)/1024)
+	}
+	return interval
 }
 
 // costsBetween makes the table of roles, the members' row first.
-func costsBetween(given *schema.HollowOptions, from, to marks) []RoleCost {
+func costsBetween(opts *schema.HollowOptions, from, to counterSnapshot) []RoleCost {
 	seconds := (to.at - from.at).Seconds()
-	members := float64(given.Members)
+	members := float64(opts.Members)
 	// A counter that fell is of a process that could not be read.
 	rate := func(from, to uint64) float64 { return float64(max(to, from)-from) / seconds }
-	rows := []RoleCost{{Role: "proxy", Processes: int(given.Members), CPU: (to.own - from.own) / seconds * 1000 / members,
-		In: rate(from.members.traffic.In, to.members.traffic.In) / members, Out: rate(from.members.traffic.Out, to.members.traffic.Out) / members,
-		LinksOpened: rate(from.members.traffic.Opened, to.members.traffic.Opened) / members}}
+	rows := []RoleCost{{Role: "proxy", Processes: int(opts.Members), CPU: (to.own - from.own) / seconds * 1000 / members,
+		BytesIn: rate(from.members.traffic.In, to.members.traffic.In) / members, BytesOut: rate(from.members.traffic.Out, to.members.traffic.Out) / members,
+		ConnectionsOpened: rate(from.members.traffic.Opened, to.members.traffic.Opened) / members}}
 	rows[0].CPULargest = rows[0].CPU
 	byRole := map[string]*RoleCost{}
 	for i, after := range to.core {
 		before := from.core[i]
 		row := byRole[after.role]
 		if row == nil {
-			row = &RoleCost{Role: after.role, Served: Rates{}}
+			row = &RoleCost{Role: after.role, MessagesByCall: RatesByName{}}
 			byRole[after.role] = row
 		}
 		// A process that was killed meanwhile counts from its start.
-		used := max(after.cpu-before.cpu, 0) / seconds * 1000
+		used := max(after.cpuSeconds-before.cpuSeconds, 0) / seconds * 1000
 		row.Processes++
 		row.CPU += used
 		row.CPULargest = max(row.CPULargest, used)
-		row.In += rate(before.traffic.In, after.traffic.In)
-		row.Out += rate(before.traffic.Out, after.traffic.Out)
-		row.LinksOpened += rate(before.traffic.Opened, after.traffic.Opened)
-		row.Written += rate(before.written, after.written)
-		row.Memory += float64(after.memoryKB) / 1024
-		row.Heap += float64(after.heapKB) / 1024
-		row.Disk += float64(after.diskKB)
-		for _, call := range beginnings {
-			row.Begun += rate(before.traffic.Served[call], after.traffic.Served[call])
+		row.BytesIn += rate(before.traffic.In, after.traffic.In)
+		row.BytesOut += rate(before.traffic.Out, after.traffic.Out)
+		row.ConnectionsOpened += rate(before.traffic.Opened, after.traffic.Opened)
+		row.BytesWritten += rate(before.bytesWritten, after.bytesWritten)
+		row.MemoryMB += float64(after.memoryKB) / 1024
+		row.HeapMB += float64(after.heapKB) / 1024
+		row.DiskKB += float64(after.diskKB)
+		for _, call := range sessionStartCalls {
+			row.SessionsBegun += rate(before.traffic.Served[call], after.traffic.Served[call])
 		}
 		for call, count := range after.traffic.Messages {
-			row.Served[call] += rate(before.traffic.Messages[call], count)
+			row.MessagesByCall[call] += rate(before.traffic.Messages[call], count)
 			row.Messages += rate(before.traffic.Messages[call], count)
 		}
 	}
 	for _, role := range slices.Sorted(maps.Keys(byRole)) {
 		row := byRole[role]
 		processes := float64(row.Processes)
-		for _, figure := range []*float64{&row.CPU, &row.In, &row.Out, &row.Messages, &row.LinksOpened, &row.Written, &row.Memory, &row.Heap, &row.Disk} {
+		for _, figure := range []*float64{&row.CPU, &row.BytesIn, &row.BytesOut, &row.Messages, &row.ConnectionsOpened, &row.BytesWritten, &row.MemoryMB, &row.HeapMB, &row.DiskKB} {
 			*figure /= processes
 		}
-		for call := range row.Served {
-			row.Served[call] /= processes
+		for call := range row.MessagesByCall {
+			row.MessagesByCall[call] /= processes
 		}
 		rows = append(rows, *row)
 		if role == "registry" {
-			for _, call := range callsOfMembers {
-				rows[0].Messages += row.Served[call] * processes / members
+			for _, call := range proxyCalls {
+				rows[0].Messages += row.MessagesByCall[call] * processes / members
 			}
-			rows[0].Begun = row.Begun / members
+			rows[0].SessionsBegun = row.SessionsBegun / members
 		}
 	}
 	return rows
 }
 
-// beginnings are the calls by which a session begins, be it the first or restated.
-var beginnings = []string{"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
+// sessionStartCalls are the calls by which a session begins, be it the first or restated.
+var sessionStartCalls = []string{"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
 
-// callsOfMembers are what proxies ask of registries; of the sessions a few are registries' own.
-var callsOfMembers = []string{"/meadowhinge.Registry/Lease", "/meadowhinge.Registry/Feed", "/meadowhinge.Registry/Tell", "/meadowhinge.Registry/Claim",
+// proxyCalls are what proxies ask of registries; of the sessions a few are registries' own.
+var proxyCalls = []string{"/meadowhinge.Registry/Lease", "/meadowhinge.Registry/Feed", "/meadowhinge.Registry/Tell", "/meadowhinge.Registry/Claim",
 	"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
 
-// take fills in what became of the changes.
-func (r *HollowReport) take(operator *hollowOperator, fleet *hollowFleet) {
-	acknowledge, apply, everywhere := newSpans(), newSpans(), newSpans()
+// fillChanges fills in what became of the changes.
+func (r *HollowReport) fillChanges(operator *hollowOperator, fleet *hollowFleet) {
+	acknowledge, apply, everywhere := newLatencyHistogram(), newLatencyHistogram(), newLatencyHistogram()
 	operator.lock.Lock()
 	defer operator.lock.Unlock()
-	for _, change := range operator.stated {
-		if change.acknowledged == 0 {
+	for _, change := range operator.submitted {
+		if change.acknowledgedAt == 0 {
 			r.Unapplied++
 			continue
 		}
-		record(acknowledge, change.acknowledged-change.stated)
+		recordLatency(acknowledge, change.acknowledgedAt-change.submittedAt)
 		last, all := time.Duration(0), true
 		for _, member := range fleet.members {
 			member.lock.Lock()
 			// Setups come into use in order, but for those of an earlier life, which were as new then.
-			first := sort.Search(len(member.applied), func(i int) bool { return member.applied[i].setup >= change.setup })
+			first := sort.Search(len(member.applied), func(i int) bool { return member.applied[i].revision >= change.revision })
 			if first == len(member.applied) {
 				all = false
 			} else {
-				record(apply, member.applied[first].at-change.acknowledged)
+				recordLatency(apply, member.applied[first].at-change.acknowledgedAt)
 				last = max(last, member.applied[first].at)
 			}
 			member.lock.Unlock()
 		}
 		if all {
-			record(everywhere, last-change.stated)
+			recordLatency(everywhere, last-change.submittedAt)
 		} else {
 			r.Unapplied++
 		}
 	}
-	r.Acknowledge, r.Apply, r.Everywhere = spansOf(acknowledge), spansOf(apply), spansOf(everywhere)
-	r.Stale, r.News, r.Back, r.Moved = spansOf(fleet.staleness), spansOf(fleet.news), spansOf(fleet.backs), spansOf(fleet.moves)
-	r.Rulings, r.Restarts, r.Losses = maps.Clone(operator.rulings), fleet.restarts, fleet.losses
+	r.Acknowledge, r.Applied, r.AppliedEverywhere = summarizeLatency(acknowledge), summarizeLatency(apply), summarizeLatency(everywhere)
+	r.Staleness, r.WorkerUpdates, r.Recovery, r.RegistryFailover = summarizeLatency(fleet.staleness), summarizeLatency(fleet.workerUpdates), summarizeLatency(fleet.recoveries), summarizeLatency(fleet.failovers)
+	r.Rulings, r.Restarts, r.InjectedLosses = maps.Clone(operator.rulings), fleet.restarts, fleet.losses
 	r.histograms = map[string]*hdrhistogram.Histogram{"stated to acknowledged": acknowledge, "acknowledged to in use, each member": apply,
-		"stated to in use everywhere": everywhere, "age of members' pictures": fleet.staleness, "news of workers, each member": fleet.news}
+		"stated to in use everywhere": everywhere, "age of members' pictures": fleet.staleness, "news of workers, each member": fleet.workerUpdates}
 }
 
-type shownState struct{ items, bytes int }
+type configSize struct{ items, bytes int }
 
-// itemsShown counts the items of the setup at the first seat.
-func (f *Fleet) itemsShown() *shownState {
-	response, err := probes.Get("http://" + f.Operator(0) + "/v1/setup")
+// configSize counts the items of the setup at the first seat.
+func (f *Fleet) configSize() *configSize {
+	response, err := probeClient.Get("http://" + f.OperatorAddress(0) + "/v1/setup")
 	if err != nil {
 		return nil
 	}
@@ -502,7 +502,7 @@
 	if json.NewDecoder(response.Body).Decode(&shown) != nil {
 		return nil
 	}
-	state := &shownState{items: len(shown.Items)}
+	state := &configSize{items: len(shown.Items)}
 	for _, item := range shown.Items {
 		state.bytes += len(item)
 	}
@@ -511,33 +511,33 @@
 
 // Print shows the report to a person.
 func (r *HollowReport) Print(out io.Writer) {
-	g := r.Options
+	opts := r.Options
 	fmt.Fprintf(out, "%s: %d members, %d workers, %d services, %d routes, %d seats, %g changes and %g restarts a minute, %d releases, %.0f s, commit %s\n",
-		g.Mode, g.Members, max(g.Workers, g.Members), g.Services, g.Routes, g.Seats, g.Changes, g.Restarts, g.Releases, r.Seconds, r.Commit)
+		opts.Mode, opts.Members, max(opts.Workers, opts.Members), opts.Services, opts.Routes, opts.Seats, opts.Changes, opts.Restarts, opts.Releases, r.Seconds, r.Commit)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(table, "role\tprocesses\tcpu ms/s\tlargest\tbytes in/s\tbytes out/s\tmessages/s\tlinks opened/s\tMB\theap MB\tdisk KB\twritten B/s\t")
 	for _, row := range r.Roles {
-		fmt.Fprintf(table, "%s\t%d\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t\n", row.Role, row.Processes, row.CPU, row.CPULargest, row.In, row.Out, row.Messages,
-			row.LinksOpened, row.Memory, row.Heap, row.Disk, row.Written)
+		fmt.Fprintf(table, "%s\t%d\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t\n", row.Role, row.Processes, row.CPU, row.CPULargest, row.BytesIn, row.BytesOut, row.Messages,
+			row.ConnectionsOpened, row.MemoryMB, row.HeapMB, row.DiskKB, row.BytesWritten)
 	}
 	table.Flush()
 	for _, row := range r.Roles {
-		if len(row.Served) > 0 {
+		if len(row.MessagesByCall) > 0 {
 			var parts []string
-			for _, call := range slices.Sorted(maps.Keys(row.Served)) {
-				parts = append(parts, fmt.Sprintf("%s %.2f", filepath.Base(call), row.Served[call]))
+			for _, call := range slices.Sorted(maps.Keys(row.MessagesByCall)) {
+				parts = append(parts, fmt.Sprintf("%s %.2f", filepath.Base(call), row.MessagesByCall[call]))
 			}
 			fmt.Fprintf(out, "%s, messages a second by call: %s\n", row.Role, strings.Join(parts, ", "))
 		}
 	}
-	fmt.Fprintf(out, "setup: %d items of %d bytes; changes %v, %d not in use everywhere at the end; %d restarts, %d losses\n", r.Items, r.ItemBytes, r.Rulings, r.Unapplied, r.Restarts, r.Losses)
-	for _, one := range []struct {
+	fmt.Fprintf(out, "setup: %d items of %d bytes; changes %v, %d not in use everywhere at the end; %d restarts, %d losses\n", r.Items, r.ItemBytes, r.Rulings, r.Unapplied, r.Restarts, r.InjectedLosses)
+	for _, line := range []struct {
 		name  string
-		spans Spans
-	}{{"stated to acknowledged", r.Acknowledge}, {"acknowledged to in use, each member", r.Apply}, {"stated to in use everywhere", r.Everywhere},
-		{"age of members' pictures", r.Stale}, {"news of workers, each member", r.News}, {"restarted to setup in use", r.Back}, {"registry lost to another session", r.Moved},
-		{"this process was woken late by", r.Late}} {
-		fmt.Fprintf(out, "%-36s ms: p50 %.1f, p90 %.1f, p99 %.1f, max %.1f (%d)\n", one.name, one.spans.P50, one.spans.P90, one.spans.P99, one.spans.Max, one.spans.Count)
+		spans LatencySummary
+	}{{"stated to acknowledged", r.Acknowledge}, {"acknowledged to in use, each member", r.Applied}, {"stated to in use everywhere", r.AppliedEverywhere},
+		{"age of members' pictures", r.Staleness}, {"news of workers, each member", r.WorkerUpdates}, {"restarted to setup in use", r.Recovery}, {"registry lost to another session", r.RegistryFailover},
+		{"this process was woken late by", r.WakeupDelay}} {
+		fmt.Fprintf(out, "%-36s ms: p50 %.1f, p90 %.1f, p99 %.1f, max %.1f (%d)\n", line.name, line.spans.P50, line.spans.P90, line.spans.P99, line.spans.Max, line.spans.Count)
 	}
 }
 
--- a/internal/rehearsal/hollow_core.go
+++ b/internal/rehearsal/hollow_core.go
@@ -16,56 +16,56 @@
 	"meadowhinge/schema"
 )
 
-// open is the mode without keys and leases; see HollowOptions.mode.
-const open = "open"
+// modeOpen is the mode without keys and leases; see HollowOptions.mode.
+const modeOpen = "open"
 
-// seedsMost is how many seeds a process may be told of.
-const seedsMost = 3
+// maxSeeds is how many seeds a process may be told of.
+const maxSeeds = 3
 
 // newHollowCore lays out real registries and stores for hollow members. No relay stands
 // before them, for it would be what is measured.
-func newHollowCore(given *schema.HollowOptions) (*Fleet, error) {
-	authority, err := NewAuthority(filepath.Join(given.Folder, "certificates"))
+func newHollowCore(opts *schema.HollowOptions) (*Fleet, error) {
+	authority, err := NewAuthority(filepath.Join(opts.Folder, "certificates"))
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Deployment: &Deployment{Name: "hollow", Cores: int(given.Seats), Areas: int(given.Zones)}, folder: given.Folder, binaries: given.Binaries,
-		lease: time.Duration(given.Lease), authority: authority, Cuts: NewCuts()}
-	if f.net, f.netHeld, err = fakebackend.ReserveLoopbackNet(); err != nil {
+	f := &Fleet{Deployment: &Deployment{Name: "hollow", CoreMembers: int(opts.Seats), Zones: int(opts.Zones)}, folder: opts.Folder, binaries: opts.Binaries,
+		lease: time.Duration(opts.Lease), authority: authority, LinkFaults: NewLinkFaults()}
+	if f.netOctet, f.netLock, err = fakebackend.ReserveLoopbackNet(); err != nil {
 		return nil, err
 	}
-	seats := f.seats()
-	if given.Mode == open {
-		for i := range seats {
-			seats[i] = f.core(i)
+	memberIDs := f.memberIDs()
+	if opts.Mode == modeOpen {
+		for i := range memberIDs {
+			memberIDs[i] = f.coreAddress(i)
 		}
 	}
-	for i, seat := range seats {
-		shared := map[string]string{"seat": seat}
-		if given.Mode == open {
-			shared["links"] = "plain"
+	for i, memberID := range memberIDs {
+		common := map[string]string{"seat": memberID}
+		if opts.Mode == modeOpen {
+			common["links"] = "plain"
 		}
-		forStore := map[string]string{"listen": fmt.Sprintf("%s:%d", f.core(i), portStore), "seeds": f.coreSeeds(portStore, -1)}
+		storeSettings := map[string]string{"listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore), "seeds": f.coreSeeds(portStore, -1)}
 		// Without an order the seeds found the core, and further seats join it.
-		if given.Mode == open {
-			forStore["founding"] = "true"
+		if opts.Mode == modeOpen {
+			storeSettings["founding"] = "true"
 		} else {
-			shared["order"], forStore["seeds"] = strings.Join(seats, ","), f.coreSeeds(portStore, i)
+			common["order"], storeSettings["seeds"] = strings.Join(memberIDs, ","), f.coreSeeds(portStore, i)
 		}
-		forRegistry := map[string]string{"listen": fmt.Sprintf("%s:%d", f.core(i), portRegistry), "seeds": f.coreSeeds(portRegistry, i),
-			"store": fmt.Sprintf("%s:%d", f.core(i), portStore), "operator-listen": f.Operator(i), "lease": f.lease.String(),
-			"key-window": (f.lease * keyWindowLeases).String(), "sources-most": fmt.Sprint(max(sourcesLeast, 2*given.Members))}
-		if given.Mode == open {
-			forRegistry["acknowledge-after"], forRegistry["area"], forRegistry["seeds"] = "stable", f.area(i), f.coreSeeds(portRegistry, -1)
+		registrySettings := map[string]string{"listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistry), "seeds": f.coreSeeds(portRegistry, i),
+			"store": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore), "operator-listen": f.OperatorAddress(i), "lease": f.lease.String(),
+			"key-window": (f.lease * keyWindowLeases).String(), "sources-most": fmt.Sprint(max(minSources, 2*opts.Members))}
+		if opts.Mode == modeOpen {
+			registrySettings["acknowledge-after"], registrySettings["area"], registrySettings["seeds"] = "stable", f.zone(i), f.coreSeeds(portRegistry, -1)
 		}
-		for key, value := range shared {
-			forStore[key], forRegistry[key] = value, value
+		for key, value := range common {
+			storeSettings[key], registrySettings[key] = value, value
 		}
-		store, err := f.process("store", seat, nil, fmt.Sprintf("%s:%d", f.core(i), portStoProbe), forStore)
+		store, err := f.newProcess("store", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portStoreProbe), storeSettings)
 		if err != nil {
 			return nil, err
 		}
-		registry, err := f.process("registry", seat, nil, fmt.Sprintf("%s:%d", f.core(i), portRegProbe), forRegistry)
+		registry, err := f.newProcess("registry", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistryProbe), registrySettings)
 		if err != nil {
 			return nil, err
 		}
@@ -77,34 +77,34 @@
 // Settings that a large fleet needs beside the presets.
 const (
 	keyWindowLeases = 8
-	sourcesLeast    = 256
+	minSources      = 256
 )
 
 // coreSeeds lists the core machines, but for one, as far as a process may be told.
-func (f *Fleet) coreSeeds(port, besides int) string {
+func (f *Fleet) coreSeeds(port, except int) string {
 	var parts []string
-	for i := range f.Deployment.Cores {
-		if i != besides && len(parts) < seedsMost {
-			parts = append(parts, fmt.Sprintf("%s:%d", f.core(i), port))
+	for i := range f.Deployment.CoreMembers {
+		if i != except && len(parts) < maxSeeds {
+			parts = append(parts, fmt.Sprintf("%s:%d", f.coreAddress(i), port))
 		}
 	}
 	if len(parts) == 0 {
-		parts = []string{fmt.Sprintf("%s:%d", f.core(0), port)}
+		parts = []string{fmt.Sprintf("%s:%d", f.coreAddress(0), port)}
 	}
 	return strings.Join(parts, ",")
 }
 
 // edgeSettings are the settings of a proxy, but for those of its own process.
-func (f *Fleet) edgeSettings(mode string, i int, callers []string, membersMost int64) (map[string]string, error) {
-	address := fmt.Sprintf("127.%d.%d.%d", f.net, 2+i/edgesPerNet, 1+i%edgesPerNet)
-	var listens []string
+func (f *Fleet) edgeSettings(mode string, i int, callers []string, maxMembers int64) (map[string]string, error) {
+	address := fmt.Sprintf("127.%d.%d.%d", f.netOctet, 2+i/edgesPerNet, 1+i%edgesPerNet)
+	var listeners []string
 	for at, caller := range callers {
-		listens = append(listens, fmt.Sprintf("%s=%s:%d", caller, address, portCallers+at))
+		listeners = append(listeners, fmt.Sprintf("%s=%s:%d", caller, address, portCallers+at))
 	}
-	settings := map[string]string{"name": address, "area": f.area(i), "listen": fmt.Sprintf("%s:%d", address, portHop), "seeds": f.coreSeeds(portRegistry, -1),
-		"callers": strings.Join(listens, ","), "workers-listen": fmt.Sprintf("%s:%d", address, portWorkers),
-		"probe-listen": fmt.Sprintf("%s:%d", address, portProbe), "lease": f.lease.String(), "members-most": fmt.Sprint(membersMost)}
-	if mode == open {
+	settings := map[string]string{"name": address, "area": f.zone(i), "listen": fmt.Sprintf("%s:%d", address, portPeer), "seeds": f.coreSeeds(portRegistry, -1),
+		"callers": strings.Join(listeners, ","), "workers-listen": fmt.Sprintf("%s:%d", address, portWorkerAPI),
+		"probe-listen": fmt.Sprintf("%s:%d", address, portProbe), "lease": f.lease.String(), "members-most": fmt.Sprint(maxMembers)}
+	if mode == modeOpen {
 		settings["links"], settings["doubt"] = "plain", "serve"
 		return settings, nil
 	}
@@ -114,71 +114,71 @@
 }
 
 // hollowSettings are a hollow member's settings, checked as the program's own are.
-func (f *Fleet) hollowSettings(given *schema.HollowOptions, i int) (*schema.ProxyOptions, error) {
-	settings, err := f.edgeSettings(given.Mode, i, []string{clientKind}, max(sourcesLeast, 2*given.Members))
+func (f *Fleet) hollowSettings(opts *schema.HollowOptions, i int) (*schema.ProxyOptions, error) {
+	settings, err := f.edgeSettings(opts.Mode, i, []string{clientCaller}, max(minSources, 2*opts.Members))
 	if err != nil {
 		return nil, err
 	}
-	if given.Mode != open {
+	if opts.Mode != modeOpen {
 		settings["data"] = filepath.Join(f.folder, "members")
 	}
 	var args []string
 	for name, value := range settings {
 		args = append(args, "-"+name+"="+value)
 	}
-	made := &schema.ProxyOptions{}
-	return made, options.Parse("proxy", args, made, io.Discard)
+	parsed := &schema.ProxyOptions{}
+	return parsed, options.Parse("proxy", args, parsed, io.Discard)
 }
 
 // edgesPerNet is how many members' addresses differ in the last octet alone.
 const edgesPerNet = 200
 
-// probed is what a process of the core says of itself, and what the kernel says of it.
-type probed struct {
-	role     string
-	name     string
-	cpu      float64 // seconds so far
-	memoryKB int
-	heapKB   int
-	diskKB   int
-	written  uint64 // bytes to disk so far
-	traffic  transport.Traffic
+// processCounters is what a process of the core says of itself, and what the kernel says of it.
+type processCounters struct {
+	role         string
+	name         string
+	cpuSeconds   float64 // seconds so far
+	memoryKB     int
+	heapKB       int
+	diskKB       int
+	bytesWritten uint64 // bytes to disk so far
+	traffic      transport.Traffic
 }
 
 // realProxy is the role of proxies that are processes, where hollow ones are the proxies.
 const realProxy = "real proxy"
 
-// look looks at one process.
-func (p *Process) look() probed {
+// readCounters looks at one process.
+func (p *Process) readCounters() processCounters {
 	role, name, _ := strings.Cut(p.Name, "/")
 	if role == "proxy" {
 		role = realProxy
 	}
-	seen, sample := probed{role: role, name: name}, Sample{}
-	p.measure(&sample)
-	seen.memoryKB, seen.diskKB = sample.MemoryKB, sample.DiskKB
+	counters, sample := processCounters{role: role, name: name}, Sample{}
+	p.raiseSample(&sample)
+	counters.memoryKB, counters.diskKB = sample.MemoryKB, sample.DiskKB
 	p.lock.Lock()
 	pid := 0
 	if p.cmd != nil && p.cmd.Process != nil {
 		pid = p.cmd.Process.Pid
 	}
 	p.lock.Unlock()
-	seen.cpu, seen.written = cpuOf(pid), writtenBy(pid)
+	counters.cpuSeconds, counters.bytesWritten = cpuSecondsOf(pid), bytesWrittenBy(pid)
 	var process daemon.Process
-	p.page("/process", &process)
-	seen.heapKB = int(process.HeapBytes >> 10)
-	p.page("/traffic", &seen.traffic)
-	return seen
+	p.readPage("/process", &process)
+	counters.heapKB = int(process.HeapBytes >> 10)
+	p.readPage("/traffic", &counters.traffic)
+	return counters
 }
 
-// pageTries is how often a page is asked for: what is not read would count as nothing.
-const pageTries = 5
+// pageAttempts is how often a page is asked for: what is not read would count as nothing.
+const pageAttempts = 5
 
-// page reads one of a process's own pages.
-func (p *Process) page(path string, into any) {
-	for range pageTries {
-		if response, err := probes.Get("http://" + p.probe + path); err == nil {
-			err = json.NewDecoder(response.Body).Decode(into)
+// readPage reads one of a process's own pages.
+func (p *Process) readPage(path string, target any) {
+	for range pageAttempts {
+		if response, err := probeClient.Get("http://" + p.probeAddress + path); err == nil {
+			err = json.NewDecoder(response.Body).Decode(target)
 			response.Body.Close()
 			if err == nil {
 				return
@@ -187,14 +187,14 @@
 	}
 }
 
-// writtenBy is what a process has had written to disk, in bytes.
-func writtenBy(pid int) uint64 {
+// bytesWrittenBy is what a process has had written to disk, in bytes.
+func bytesWrittenBy(pid int) uint64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
 		return 0
 	}
 	for _, line := range strings.Split(string(text), "\n") {
-		if value, is := strings.CutPrefix(line, "write_bytes:"); is {
+		if value, found := strings.CutPrefix(line, "write_bytes:"); found {
 			var bytes uint64
 			_, _ = fmt.Sscan(value, &bytes)
 			return bytes
@@ -203,19 +203,19 @@
 	return 0
 }
 
-// addReal lays out real proxies, at the places after the hollow ones.
-func (f *Fleet) addReal(given *schema.HollowOptions) error {
-	for i := range int(given.Real) {
-		callers := []string{clientKind}
-		settings, err := f.edgeSettings(given.Mode, int(given.Members)+i, callers, max(sourcesLeast, 2*given.Members))
+// addRealProxies lays out real proxies, at the places after the hollow ones.
+func (f *Fleet) addRealProxies(opts *schema.HollowOptions) error {
+	for i := range int(opts.Real) {
+		callers := []string{clientCaller}
+		settings, err := f.edgeSettings(opts.Mode, int(opts.Members)+i, callers, max(minSources, 2*opts.Members))
 		if err != nil {
 			return err
 		}
-		made, err := f.process("proxy", settings["name"], callers, settings["probe-listen"], settings)
+		process, err := f.newProcess("proxy", settings["name"], callers, settings["probe-listen"], settings)
 		if err != nil {
 			return err
 		}
-		f.Proxies = append(f.Proxies, made)
+		f.Proxies = append(f.Proxies, process)
 	}
 	return nil
 }
--- a/internal/rehearsal/hollow_members.go
+++ b/internal/rehearsal/hollow_members.go
@@ -27,22 +27,22 @@
 	index    int
 	settings *schema.ProxyOptions
 	workers  []hollowWorker
-	reach    []reached
-
-	lock    sync.Mutex
-	proxy   *proxy.Hollow
-	joined  time.Time
-	backed  bool                     // has a setup since it joined
-	applied []applied                // setups it took into use, in order
-	told    map[uint64]time.Duration // when it made its own last news, by counter
-	life    uint64                   // the incarnation of which told is
-	before  transport.Traffic        // of the lives before this one
+	reach    []calledRoute
+
+	lock         sync.Mutex
+	proxy        *proxy.Hollow
+	joined       time.Time
+	recovered    bool                     // has a setup since it joined
+	applied      []appliedConfig          // setups it took into use, in order
+	reportedAt   map[uint64]time.Duration // when it made its own last news, by counter
+	incarnation  uint64                   // the incarnation of which told is
+	priorTraffic transport.Traffic        // of the lives before this one
 }
 
-// applied is a setup that came into use at a member.
-type applied struct {
-	setup uint64
-	at    time.Duration
+// appliedConfig is a setup that came into use at a member.
+type appliedConfig struct {
+	revision uint64
+	at       time.Duration
 }
 
 // hollowWorker is a worker that only beats, and the number of its service.
@@ -51,77 +51,79 @@
 	service int
 }
 
-// reached is a route that a member's calls use.
-type reached struct {
+// calledRoute is a route that a member's calls use.
+type calledRoute struct {
 	route, service, flag string
 	versions             []string
 }
 
-// toldKept is of how many of a member's last news it is known when they were made.
-const toldKept = 4096
+// maxReportedTimes is of how many of a member's last news it is known when they were made.
+const maxReportedTimes = 4096
 
 // hollowFleet is all hollow members and what is measured at them.
 type hollowFleet struct {
-	given   *schema.HollowOptions
+	opts    *schema.HollowOptions
 	core    *Fleet
 	members []*hollowMember
 	frame   *daemon.Environment
 	now     func() time.Duration
 	dice    *rand.Rand
 
-	named     map[string]*hollowMember
-	lock      sync.Mutex // of the histograms
-	staleness *hdrhistogram.Histogram
-	news      *hdrhistogram.Histogram
-	backs     *hdrhistogram.Histogram
-	moves     *hdrhistogram.Histogram
-	restarts  int
-	losses    int
-	measuring atomic.Bool
+	byName        map[string]*hollowMember
+	lock          sync.Mutex // of the histograms
+	staleness     *hdrhistogram.Histogram
+	workerUpdates *hdrhistogram.Histogram
+	recoveries    *hdrhistogram.Histogram
+	failovers     *hdrhistogram.Histogram
+	restarts      int
+	losses        int
+	measuring     atomic.Bool
 }
 
 // Bounds of the histograms, in microseconds.
 const (
-	spanLeast  = 1
-	spanMost   = int64(10 * time.Minute / time.Microsecond)
-	spanDigits = 3
+	minLatencyMicros = 1
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
+	latencyDigits    = 3
 )
 
-func newSpans() *hdrhistogram.Histogram { return hdrhistogram.New(spanLeast, spanMost, spanDigits) }
+func newLatencyHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
+}
 
-// record notes a time in a histogram.
-func record(into *hdrhistogram.Histogram, took time.Duration) {
-	_ = into.RecordValue(min(max(spanLeast, int64(took/time.Microsecond)), spanMost))
+// recordLatency notes a time in a histogram.
+func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
+	_ = histogram.RecordValue(min(max(minLatencyMicros, int64(latency/time.Microsecond)), maxLatencyMicros))
 }
 
 // newHollowFleet lays out the members; none has joined yet.
-func newHollowFleet(given *schema.HollowOptions, core *Fleet, now func() time.Duration) (*hollowFleet, error) {
-	f := &hollowFleet{given: given, core: core, now: now, dice: rand.New(rand.NewPCG(uint64(given.Seed), 2)),
-		frame: &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}, staleness: newSpans(), news: newSpans(), backs: newSpans(), moves: newSpans(), named: map[string]*hollowMember{}}
-	for i := range int(given.Members) {
-		settings, err := core.hollowSettings(given, i)
+func newHollowFleet(opts *schema.HollowOptions, core *Fleet, now func() time.Duration) (*hollowFleet, error) {
+	f := &hollowFleet{opts: opts, core: core, now: now, dice: rand.New(rand.NewPCG(uint64(opts.Seed), 2)),
+		frame: &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}, staleness: newLatencyHistogram(), workerUpdates: newLatencyHistogram(), recoveries: newLatencyHistogram(), failovers: newLatencyHistogram(), byName: map[string]*hollowMember{}}
+	for i := range int(opts.Members) {
+		settings, err := core.hollowSettings(opts, i)
 		if err != nil {
 			return nil, err
 		}
-		member := &hollowMember{index: i, settings: settings, told: map[uint64]time.Duration{}}
-		for j := range int(given.Reach) {
-			member.reach = append(member.reach, reachedBy(given, i, j))
+		member := &hollowMember{index: i, settings: settings, reportedAt: map[uint64]time.Duration{}}
+		for j := range int(opts.Reach) {
+			member.reach = append(member.reach, routeCalledBy(opts, i, j))
 		}
 		f.members = append(f.members, member)
-		f.named[settings.Name] = member
+		f.byName[settings.Name] = member
 	}
-	workers := int(given.Workers)
+	workers := int(opts.Workers)
 	if workers == 0 {
 		workers = len(f.members)
 	}
 	for i := range workers {
 		member := f.members[i%len(f.members)]
 		version := versionOld
-		if i/int(given.Services)%2 == 1 {
+		if i/int(opts.Services)%2 == 1 {
 			version = versionNew
 		}
-		member.workers = append(member.workers, hollowWorker{dispatch.WorkerDescription{Address: fmt.Sprintf("127.%d.250.2:%d", core.net, 1+i), Service: serviceName(i % int(given.Services)),
-			Version: version, Zone: member.settings.Area, Token: fmt.Sprintf("token-%d", i), HeartbeatMS: time.Duration(given.Beat).Milliseconds()}, i % int(given.Services)})
+		member.workers = append(member.workers, hollowWorker{dispatch.WorkerDescription{Address: fmt.Sprintf("127.%d.250.2:%d", core.netOctet, 1+i), Service: serviceName(i % int(opts.Services)),
+			Version: version, Zone: member.settings.Area, Token: fmt.Sprintf("token-%d", i), HeartbeatMS: time.Duration(opts.Beat).Milliseconds()}, i % int(opts.Services)})
 	}
 	return f, nil
 }
@@ -130,108 +132,108 @@
 func serviceName(i int) string { return fmt.Sprintf("service-%d", i) }
 func routeName(i int) string   { return fmt.Sprintf("route-%d", i) }
 
-// reachedBy spreads what members' calls use over the routes.
-func reachedBy(given *schema.HollowOptions, member, j int) reached {
-	route := (member*int(given.Reach) + j) % int(given.Routes)
-	service := serviceName(route % int(given.Services))
-	one := reached{route: routeName(route), service: service, flag: config.VersionFlagKey(service), versions: []string{versionOld}}
-	if route%int(given.Services) < int(given.Releases) {
-		one.versions = append(one.versions, versionNew)
+// routeCalledBy spreads what members' calls use over the routes.
+func routeCalledBy(opts *schema.HollowOptions, member, j int) calledRoute {
+	route := (member*int(opts.Reach) + j) % int(opts.Routes)
+	service := serviceName(route % int(opts.Services))
+	called := calledRoute{route: routeName(route), service: service, flag: config.VersionFlagKey(service), versions: []string{versionOld}}
+	if route%int(opts.Services) < int(opts.Releases) {
+		called.versions = append(called.versions, versionNew)
 	}
-	return one
+	return called
 }
 
 // join lets a member join the mesh.
 func (f *hollowFleet) join(m *hollowMember) error {
 	m.lock.Lock()
-	m.joined, m.backed, m.told = time.Now(), false, map[uint64]time.Duration{}
+	m.joined, m.recovered, m.reportedAt = time.Now(), false, map[uint64]time.Duration{}
 	m.lock.Unlock()
-	joined, err := proxy.JoinHollow(f.frame, m.settings, func(seen proxy.Seen) { f.seen(m, seen) })
+	joined, err := proxy.JoinHollow(f.frame, m.settings, func(seen proxy.Seen) { f.observe(m, seen) })
 	if err != nil {
 		return err
 	}
 	m.lock.Lock()
 	m.proxy = joined
 	m.lock.Unlock()
-	return f.beat(m)
+	return f.heartbeat(m)
 }
 
-// seen notes what came into a member's picture.
-func (f *hollowFleet) seen(m *hollowMember, seen proxy.Seen) {
+// observe notes what came into a member's picture.
+func (f *hollowFleet) observe(m *hollowMember, seen proxy.Seen) {
 	now := f.now()
 	m.lock.Lock()
 	for _, source := range seen.Sources {
 		if source.Name == m.settings.Name {
-			m.life = source.Version.GetIncarnation()
-			m.told[source.Version.GetCounter()] = now
-			delete(m.told, source.Version.GetCounter()-toldKept)
+			m.incarnation = source.Version.GetIncarnation()
+			m.reportedAt[source.Version.GetCounter()] = now
+			delete(m.reportedAt, source.Version.GetCounter()-maxReportedTimes)
 		}
 	}
-	backed := m.backed || seen.ConfigRevision == 0
+	recovered := m.recovered || seen.ConfigRevision == 0
 	if seen.ConfigRevision > 0 {
-		m.applied, m.backed = append(m.applied, applied{seen.ConfigRevision, now}), true
+		m.applied, m.recovered = append(m.applied, appliedConfig{seen.ConfigRevision, now}), true
 	}
 	joined := m.joined
 	m.lock.Unlock()
 	if !f.measuring.Load() {
 		return
 	}
-	if !backed {
-		f.note(f.backs, time.Since(joined))
+	if !recovered {
+		f.recordLatency(f.recoveries, time.Since(joined))
 	}
 	for _, source := range seen.Sources {
 		// What a restarted member is told at first is no news.
 		if source.Name != m.settings.Name && time.Since(joined) > f.core.lease {
-			if made, known := f.named[source.Name].madeAt(source.Version); known {
-				f.note(f.news, now-made)
+			if updated, found := f.byName[source.Name].updatedAt(source.Version); found {
+				f.recordLatency(f.workerUpdates, now-updated)
 			}
 		}
 	}
 }
 
-// madeAt is when a member told what bears a stamp.
-func (m *hollowMember) madeAt(stamp *schema.SourceVersion) (time.Duration, bool) {
+// updatedAt is when a member told what bears a stamp.
+func (m *hollowMember) updatedAt(stamp *schema.SourceVersion) (time.Duration, bool) {
 	if m == nil {
 		return 0, false
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	made, known := m.told[stamp.GetCounter()]
-	return made, known && m.life == stamp.GetIncarnation()
+	updated, found := m.reportedAt[stamp.GetCounter()]
+	return updated, found && m.incarnation == stamp.GetIncarnation()
 }
 
-// note records a time in one of the fleet's histograms.
-func (f *hollowFleet) note(into *hdrhistogram.Histogram, took time.Duration) {
+// recordLatency records a time in one of the fleet's histograms.
+func (f *hollowFleet) recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	record(into, took)
+	recordLatency(histogram, latency)
 }
 
-// beat lets a member's workers describe themselves.
-func (f *hollowFleet) beat(m *hollowMember) error {
+// heartbeat lets a member's workers describe themselves.
+func (f *hollowFleet) heartbeat(m *hollowMember) error {
 	for _, worker := range m.workers {
-		said := worker.WorkerDescription
-		said.Load = rand.Float64()
-		if err := m.held().Heartbeat(said); err != nil {
+		description := worker.WorkerDescription
+		description.Load = rand.Float64()
+		if err := m.current().Heartbeat(description); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// held is the proxy that holds a member's place now.
-func (m *hollowMember) held() *proxy.Hollow {
+// current is the proxy that holds a member's place now.
+func (m *hollowMember) current() *proxy.Hollow {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.proxy
 }
 
-// beatSteps is in how many turns of one beat the members' workers are heard.
-const beatSteps = 50
+// heartbeatSteps is in how many turns of one beat the members' workers are heard.
+const heartbeatSteps = 50
 
-// keepBeating lets all workers beat until stop closes, and counts what calls would.
-func (f *hollowFleet) keepBeating(stop <-chan struct{}) {
-	ticker := time.NewTicker(time.Duration(f.given.Beat) / beatSteps)
+// heartbeatLoop lets all workers beat until stop closes, and counts what calls would.
+func (f *hollowFleet) heartbeatLoop(stop <-chan struct{}) {
+	ticker := time.NewTicker(time.Duration(f.opts.Beat) / heartbeatSteps)
 	defer ticker.Stop()
 	for step := 0; ; step++ {
 		select {
@@ -239,15 +241,15 @@
 			return
 		case <-ticker.C:
 		}
-		for i := step % beatSteps; i < len(f.members); i += beatSteps {
+		for i := step % heartbeatSteps; i < len(f.members); i += heartbeatSteps {
 			m := f.members[i]
-			_ = f.beat(m)
-			held := m.held()
-			f.work(m)
-			for _, one := range m.reach {
-				for _, version := range one.versions {
-					held.Count(&dispatch.CallResult{Plan: &plan.Plan{Route: &config.Route{Name: one.route}, Service: one.service,
-						Verdict: plan.Verdict{Flag: one.flag, Version: version, Reason: flag.ReasonFallthrough, ConfigRevision: held.ConfigRevision()}},
+			_ = f.heartbeat(m)
+			proxyNow := m.current()
+			f.simulateWork(m)
+			for _, called := range m.reach {
+				for _, version := range called.versions {
+					proxyNow.Count(&dispatch.CallResult{Plan: &plan.Plan{Route: &config.Route{Name: called.route}, Service: called.service,
+						Verdict: plan.Verdict{Flag: called.flag, Version: version, Reason: flag.ReasonFallthrough, ConfigRevision: proxyNow.ConfigRevision()}},
 						Response: &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}}, time.Millisecond)
 				}
 			}
@@ -257,32 +259,32 @@
 
 // How a hollow worker's calls look: so many with each beat, of about so long.
 const (
-	callsEach = 4
-	workLeast = 20 * time.Millisecond
-	workTimes = 8
+	callsPerHeartbeat = 4
+	minWork           = 20 * time.Millisecond
+	workSpread        = 8
 )
 
-// work lets a member's workers answer a few calls, each of one of its service's routes.
-func (f *hollowFleet) work(m *hollowMember) {
+// simulateWork lets a member's workers answer a few calls, each of one of its service's routes.
+func (f *hollowFleet) simulateWork(m *hollowMember) {
 	for _, worker := range m.workers {
-		for j := range int(f.given.Reach) {
-			route := worker.service + j*int(f.given.Services)
-			if route >= int(f.given.Routes) {
+		for j := range int(f.opts.Reach) {
+			route := worker.service + j*int(f.opts.Services)
+			if route >= int(f.opts.Routes) {
 				break
 			}
-			for range callsEach {
-				m.held().Work(worker.Service, worker.Version, routeName(route), time.Duration(float64(workLeast)*(1+workTimes*rand.Float64())))
+			for range callsPerHeartbeat {
+				m.current().Work(worker.Service, worker.Version, routeName(route), time.Duration(float64(minWork)*(1+workSpread*rand.Float64())))
 			}
 		}
 	}
 }
 
-// keepRestarting kills members and brings them back until stop closes.
-func (f *hollowFleet) keepRestarting(stop <-chan struct{}) {
-	if f.given.Restarts == 0 {
+// restartLoop kills members and brings them back until stop closes.
+func (f *hollowFleet) restartLoop(stop <-chan struct{}) {
+	if f.opts.Restarts == 0 {
 		return
 	}
-	ticker := time.NewTicker(time.Duration(float64(time.Minute) / f.given.Restarts))
+	ticker := time.NewTicker(time.Duration(float64(time.Minute) / f.opts.Restarts))
 	defer ticker.Stop()
 	for {
 		select {
@@ -291,7 +293,7 @@
 		case <-ticker.C:
 		}
 		m := f.members[f.dice.IntN(len(f.members))]
-		m.held().End()
+		m.current().End()
 		if f.rejoin(m) == nil {
 			f.restarts++
 		}
@@ -300,29 +302,29 @@
 
 // rejoin brings a member back that was ended.
 func (f *hollowFleet) rejoin(m *hollowMember) error {
-	held := m.held()
+	ended := m.current()
 	m.lock.Lock()
-	m.before = sumTraffic(m.before, held.Traffic())
+	m.priorTraffic = sumTraffic(m.priorTraffic, ended.Traffic())
 	m.lock.Unlock()
 	return f.join(m)
 }
 
 // Bounds of losses.
 const (
-	lossLeases  = 2 // each takes so many: it is away for the first, and settles in the second
-	seatsToLose = 3 // a core has at least, of which one can be away
-	moveCheck   = 10 * time.Millisecond
+	leasesPerLoss     = 2 // each takes so many: it is away for the first, and settles in the second
+	minMembersForLoss = 3 // a core has at least, of which one can be away
+	failoverPoll      = 10 * time.Millisecond
 )
 
-// keepLosing kills core machines, then zones, one after the other and each for a lease, until all
+// lossLoop kills core machines, then zones, one after the other and each for a lease, until all
 // that the settings ask for were, or stop closes.
-func (f *hollowFleet) keepLosing(stop <-chan struct{}) {
-	for i := range int(f.given.CoresLost + f.given.ZonesLost) {
-		area, seat := "", i%int(f.given.Seats)
-		if zone := i - int(f.given.CoresLost); zone >= 0 {
-			area, seat = f.core.area(zone%int(f.given.Zones)), -1
+func (f *hollowFleet) lossLoop(stop <-chan struct{}) {
+	for i := range int(f.opts.CoresLost + f.opts.ZonesLost) {
+		zone, member := "", i%int(f.opts.Seats)
+		if zoneIndex := i - int(f.opts.CoresLost); zoneIndex >= 0 {
+			zone, member = f.core.zone(zoneIndex%int(f.opts.Zones)), -1
 		}
-		if !f.lose(stop, area, seat) {
+		if !f.lose(stop, zone, member) {
 			return
 		}
 		f.losses++
@@ -336,20 +338,20 @@
 
 // lose kills a seat, or all that stands in a zone, brings it back after a lease, and notes how soon the
 // members that were in session there have another session. False if stop closed meanwhile.
-func (f *hollowFleet) lose(stop <-chan struct{}, area string, seat int) bool {
+func (f *hollowFleet) lose(stop <-chan struct{}, zone string, member int) bool {
 	var lost []*Process
-	gone := map[string]bool{}
+	lostRegistries := map[string]bool{}
 	for i := range f.core.Registries {
-		if i == seat || (area != "" && f.core.area(i) == area) {
+		if i == member || (zone != "" && f.core.zone(i) == zone) {
 			lost = append(lost, f.core.Registries[i], f.core.Stores[i])
-			gone[fmt.Sprintf("%s:%d", f.core.core(i), portRegistry)] = true
+			lostRegistries[fmt.Sprintf("%s:%d", f.core.coreAddress(i), portRegistry)] = true
 		}
 	}
 	var ended, moving []*hollowMember
 	for _, m := range f.members {
-		if area != "" && m.settings.Area == area {
+		if zone != "" && m.settings.Area == zone {
 			ended = append(ended, m)
-		} else if gone[m.held().Status().Registry] {
+		} else if lostRegistries[m.current().Status().Registry] {
 			moving = append(moving, m)
 		}
 	}
@@ -358,15 +360,15 @@
 		process.Kill()
 	}
 	for _, m := range ended {
-		m.held().End()
+		m.current().End()
 	}
 	back, over := time.After(f.core.lease), false
 	for !over {
 		moving = slices.DeleteFunc(moving, func(m *hollowMember) bool {
-			registry := m.held().Status().Registry
-			moved := registry != "" && !gone[registry]
+			registry := m.current().Status().Registry
+			moved := registry != "" && !lostRegistries[registry]
 			if moved {
-				f.note(f.moves, f.now()-at)
+				f.recordLatency(f.failovers, f.now()-at)
 			}
 			return moved
 		})
@@ -375,12 +377,12 @@
 			over = true
 		case <-back:
 			over = true
-		case <-time.After(moveCheck):
+		case <-time.After(failoverPoll):
 		}
 	}
 	// What did not find another session in all that time counts as the longest there is.
 	for range moving {
-		f.note(f.moves, f.now()-at)
+		f.recordLatency(f.failovers, f.now()-at)
 	}
 	for _, process := range lost {
 		_ = process.Start()
@@ -396,35 +398,35 @@
 	}
 }
 
-// staleEvery is how often it is looked at how old members' pictures are, and at how many.
+// stalenessInterval is how often it is looked at how old members' pictures are, and at how many.
 const (
-	staleEvery = time.Second
-	staleAt    = 8
+	stalenessInterval = time.Second
+	stalenessSamples  = 8
 )
 
-// keepLooking notes how old some members' pictures are: in sessions as they say themselves, else
+// measureStaleness notes how old some members' pictures are: in sessions as they say themselves, else
 // by what they know of each other one.
-func (f *hollowFleet) keepLooking(stop <-chan struct{}) {
-	ticker := time.NewTicker(staleEvery)
+func (f *hollowFleet) measureStaleness(stop <-chan struct{}) {
+	ticker := time.NewTicker(stalenessInterval)
 	defer ticker.Stop()
-	dice := rand.New(rand.NewPCG(uint64(f.given.Seed), 3))
+	dice := rand.New(rand.NewPCG(uint64(f.opts.Seed), 3))
 	for {
 		select {
 		case <-stop:
 			return
 		case <-ticker.C:
 		}
-		for range staleAt {
-			held := f.members[dice.IntN(len(f.members))].held()
-			if f.given.Mode == open {
-				if status := held.Status(); status.StalenessKnown {
-					f.note(f.staleness, time.Duration(status.StalenessMS)*time.Millisecond)
+		for range stalenessSamples {
+			proxyNow := f.members[dice.IntN(len(f.members))].current()
+			if f.opts.Mode == modeOpen {
+				if status := proxyNow.Status(); status.StalenessKnown {
+					f.recordLatency(f.staleness, time.Duration(status.StalenessMS)*time.Millisecond)
 				}
 				continue
 			}
-			for name, stamp := range held.Vector() {
-				if made, known := f.named[name].madeAt(stamp); known {
-					f.note(f.staleness, f.now()-made)
+			for name, stamp := range proxyNow.Vector() {
+				if updated, found := f.byName[name].updatedAt(stamp); found {
+					f.recordLatency(f.staleness, f.now()-updated)
 				}
 			}
 		}
@@ -432,18 +434,18 @@
 }
 
 // awaitJoined waits until every member has the setup and knows every worker.
-func (f *hollowFleet) awaitJoined(ctx context.Context, setup uint64, workers int, patience time.Duration) error {
-	deadline := time.Now().Add(patience)
+func (f *hollowFleet) awaitJoined(ctx context.Context, revision uint64, workers int, timeout time.Duration) error {
+	deadline := time.Now().Add(timeout)
 	for _, m := range f.members {
 		for {
-			status := m.held().Status()
-			if status.ConfigRevision >= setup && status.KnownWorkers >= workers {
+			status := m.current().Status()
+			if status.ConfigRevision >= revision && status.KnownWorkers >= workers {
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s has setup %d of %d and knows %d workers of %d", m.settings.Name, status.ConfigRevision, setup, status.KnownWorkers, workers)
+				return fmt.Errorf("%s has setup %d of %d and knows %d workers of %d", m.settings.Name, status.ConfigRevision, revision, status.KnownWorkers, workers)
 			}
-			if !pause(ctx, joinCheck) {
+			if !sleepContext(ctx, joinPoll) {
 				return ctx.Err()
 			}
 		}
@@ -451,18 +453,18 @@
 	return nil
 }
 
-// has tells whether every member uses a setup, or one after it.
-func (f *hollowFleet) has(setup uint64) bool {
-	return !slices.ContainsFunc(f.members, func(m *hollowMember) bool { return m.held().ConfigRevision() < setup })
+// allApplied tells whether every member uses a setup, or one after it.
+func (f *hollowFleet) allApplied(revision uint64) bool {
+	return !slices.ContainsFunc(f.members, func(m *hollowMember) bool { return m.current().ConfigRevision() < revision })
 }
 
-const joinCheck = 20 * time.Millisecond
+const joinPoll = 20 * time.Millisecond
 
 // traffic sums what went over all members' links.
 func (f *hollowFleet) traffic() transport.Traffic {
 	var sum transport.Traffic
 	for _, m := range f.members {
-		sum = sumTraffic(sum, sumTraffic(m.before, m.held().Traffic()))
+		sum = sumTraffic(sum, sumTraffic(m.priorTraffic, m.current().Traffic()))
 	}
 	return sum
 }
@@ -474,8 +476,8 @@
 // end ends every member.
 func (f *hollowFleet) end() {
 	for _, m := range f.members {
-		if held := m.held(); held != nil {
-			held.End()
+		if ended := m.current(); ended != nil {
+			ended.End()
 		}
 	}
 }
