--- a/internal/rehearsal/hollow_test.go
+++ b/internal/rehearsal/hollow_test.go
@@ -10,19 +10,19 @@
 	"meadowhinge/schema"
 )
 
-// hollowGiven are settings as the command line makes them.
-func hollowGiven(t *testing.T, args ...string) *schema.HollowOptions {
+// parseHollowOptions are settings as the command line makes them.
+func parseHollowOptions(t *testing.T, args ...string) *schema.HollowOptions {
 	t.Helper()
-	given := &schema.HollowOptions{}
-	if err := options.Parse("rehearsal hollow", args, given, io.Discard); err != nil {
+	opts := &schema.HollowOptions{}
+	if err := options.Parse("rehearsal hollow", args, opts, io.Discard); err != nil {
 		t.Fatal(err)
 	}
-	return given
+	return opts
 }
 
 // Settings that cannot be run are refused before anything starts, each by its name.
-func TestHollowSettings(t *testing.T) {
-	for _, one := range []struct {
+func TestHollowOptionsAreValidated(t *testing.T) {
+	for _, testCase := range []struct {
 		args   []string
 		faults []string
 	}{
@@ -33,14 +33,14 @@
 		{[]string{"-cores-lost=1", "-zones-lost=1", "-length=32s"}, nil},
 		{[]string{"-members=5000", "-workers=20000", "-routes=20000"}, []string{"members", "members"}},
 	} {
-		faults := checkHollow(hollowGiven(t, one.args...), 16<<30, 20000)
-		if len(faults) != len(one.faults) {
-			t.Errorf("%v: %v", one.args, faults)
+		faults := validateHollow(parseHollowOptions(t, testCase.args...), 16<<30, 20000)
+		if len(faults) != len(testCase.faults) {
+			t.Errorf("%v: %v", testCase.args, faults)
 			continue
 		}
 		for i, fault := range faults {
-			if name, _, _ := strings.Cut(fault, ":"); name != one.faults[i] {
-				t.Errorf("%v: %v", one.args, faults)
+			if name, _, _ := strings.Cut(fault, ":"); name != testCase.faults[i] {
+				t.Errorf("%v: %v", testCase.args, faults)
 			}
 		}
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// buildPlain makes the daemons without the race detector, whose costs would hide theirs.
-func buildPlain(t *testing.T) string {
+// buildWithoutRaceDetector makes the daemons without the race detector, whose costs would hide theirs.
+func buildWithoutRaceDetector(t *testing.T) string {
 	t.Helper()
 	binaries := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", binaries+"/", "meadowhinge/cmd/proxy", "meadowhinge/cmd/registry", "meadowhinge/cmd/store").CombinedOutput(); err != nil {
@@ -68,9 +68,9 @@
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
-	given := hollowGiven(t, "-members=12", "-workers=24", "-services=4", "-routes=40", "-changes=60", "-restarts=20", "-releases=2", "-length=8s", "-settle=1s",
-		"-lease=2s", "-mode=strict", "-beat=500ms", "-real=1", "-folder="+t.TempDir(), "-binaries="+buildPlain(t))
-	report, err := RunHollow(t.Context(), given, t.Output())
+	opts := parseHollowOptions(t, "-members=12", "-workers=24", "-services=4", "-routes=40", "-changes=60", "-restarts=20", "-releases=2", "-length=8s", "-settle=1s",
+		"-lease=2s", "-mode=strict", "-beat=500ms", "-real=1", "-folder="+t.TempDir(), "-binaries="+buildWithoutRaceDetector(t))
+	report, err := RunHollow(t.Context(), opts, t.Output())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,8 +78,8 @@
 	if report.Unapplied > 0 || report.Acknowledge.Count == 0 || report.Rulings["accepted"] == 0 {
 		t.Errorf("changes %v: %d acknowledged, %d not in use everywhere", report.Rulings, report.Acknowledge.Count, report.Unapplied)
 	}
-	if report.Restarts == 0 || report.Back.Count == 0 {
-		t.Errorf("%d restarts, %d back", report.Restarts, report.Back.Count)
+	if report.Restarts == 0 || report.Recovery.Count == 0 {
+		t.Errorf("%d restarts, %d back", report.Restarts, report.Recovery.Count)
 	}
 	if least := 4 + 40 + 2*2; report.Items < least {
 		t.Errorf("%d items of %d", report.Items, least)
@@ -88,11 +88,11 @@
 		t.Fatalf("%d roles", rows)
 	}
 	for _, row := range report.Roles {
-		if row.In == 0 || row.Out == 0 || row.Memory == 0 || (row.Messages == 0 && row.Role != realProxy) {
+		if row.BytesIn == 0 || row.BytesOut == 0 || row.MemoryMB == 0 || (row.Messages == 0 && row.Role != realProxy) {
 			t.Errorf("not counted: %+v", row)
 		}
 	}
-	if err := report.Draw(t.TempDir(), "svg"); err != nil {
+	if err := report.WritePlots(t.TempDir(), "svg"); err != nil {
 		t.Error(err)
 	}
 }
@@ -103,15 +103,15 @@
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
-	given := hollowGiven(t, "-members=9", "-changes=60", "-cores-lost=1", "-zones-lost=1", "-length=8s", "-settle=1s", "-lease=2s", "-beat=500ms",
-		"-folder="+t.TempDir(), "-binaries="+buildPlain(t))
-	report, err := RunHollow(t.Context(), given, t.Output())
+	opts := parseHollowOptions(t, "-members=9", "-changes=60", "-cores-lost=1", "-zones-lost=1", "-length=8s", "-settle=1s", "-lease=2s", "-beat=500ms",
+		"-folder="+t.TempDir(), "-binaries="+buildWithoutRaceDetector(t))
+	report, err := RunHollow(t.Context(), opts, t.Output())
 	if err != nil {
 		t.Fatal(err)
 	}
 	report.Print(t.Output())
-	if report.Losses != 2 || report.Moved.Count < 3 || report.Back.Count < 3 {
-		t.Errorf("%d losses, %d moved, %d back", report.Losses, report.Moved.Count, report.Back.Count)
+	if report.InjectedLosses != 2 || report.RegistryFailover.Count < 3 || report.Recovery.Count < 3 {
+		t.Errorf("%d losses, %d moved, %d back", report.InjectedLosses, report.RegistryFailover.Count, report.Recovery.Count)
 	}
 	if report.Unapplied > 0 || report.Rulings["accepted"] == 0 {
 		t.Errorf("changes %v: %d not in use everywhere", report.Rulings, report.Unapplied)
--- a/internal/rehearsal/leaver.go
+++ b/internal/rehearsal/leaver.go
@@ -10,38 +10,38 @@
 	"time"
 )
 
-// lastsHeader asks a worker to take so many milliseconds for a request, or until its connection ends.
-const lastsHeader = "X-Lasts-Ms"
+// workDurationHeader asks a worker to take so many milliseconds for a request, or until its connection ends.
+const workDurationHeader = "X-Lasts-Ms"
 
 // Bounds of what leaving callers do.
 const (
-	leaverPause = 150 * time.Millisecond // mean time between two calls of one leaver
-	leaverStays = 300 * time.Millisecond // mean time for which it waits before it leaves
-	leaverWork  = 1800 * time.Millisecond
-	leaverReads = 4 * time.Second // for which it waits for an answer, if it does
-	leaversEach = 3               // at each proxy
+	meanDisconnectCallPause      = 150 * time.Millisecond // mean time between two calls of one leaver
+	meanDisconnectDelay          = 300 * time.Millisecond // mean time for which it waits before it leaves
+	maxDisconnectedWork          = 1800 * time.Millisecond
+	disconnectingReadTimeout     = 4 * time.Second // for which it waits for an answer, if it does
+	disconnectingCallersPerProxy = 3               // at each proxy
 )
 
-// outcomeLeft is the outcome of a call whose caller left before it was answered.
-const outcomeLeft = "left"
+// outcomeDisconnected is the outcome of a call whose caller left before it was answered.
+const outcomeDisconnected = "left"
 
-// way is how a leaver ends a call.
-type way int
+// disconnectMode is how a leaver ends a call.
+type disconnectMode int
 
 const (
-	closes way = iota // closes its connection
-	resets            // resets it
-	halves            // closes its sending side, and reads the answer
-	stays             // reads the answer, and uses the connection for the next call
-	ways
+	modeClose        disconnectMode = iota // closes its connection
+	modeReset                              // resets it
+	modeHalfClose                          // closes its sending side, and reads the answer
+	modeReadResponse                       // reads the answer, and uses the connection for the next call
+	disconnectModes
 )
 
-// Leaver is a stand-in caller that leaves before it is answered, in all the ways there are. It keeps a
+// DisconnectingCaller is a stand-in caller that leaves before it is answered, in all the ways there are. It keeps a
 // connection for as long as that stands, whatever it was told of it.
-type Leaver struct {
+type DisconnectingCaller struct {
 	name, proxy, address string
-	routes               []RoutePlan
-	ledger               *Ledger
+	routes               []RouteSpec
+	history              *History
 	now                  func() time.Duration
 
 	conn   net.Conn
@@ -50,62 +50,62 @@
 	serial int
 }
 
-// NewLeaver makes a leaver that calls the routes of a caller at one proxy.
-func NewLeaver(caller *Caller, address string, number int) *Leaver {
-	return &Leaver{name: caller.name, number: number, proxy: caller.proxy, address: address, routes: caller.routes, ledger: caller.ledger, now: caller.now}
+// NewDisconnectingCaller makes a leaver that calls the routes of a caller at one proxy.
+func NewDisconnectingCaller(caller *Caller, address string, number int) *DisconnectingCaller {
+	return &DisconnectingCaller{name: caller.name, number: number, proxy: caller.proxy, address: address, routes: caller.routes, history: caller.history, now: caller.now}
 }
 
 // Run makes calls until stop is closed.
-func (l *Leaver) Run(stop <-chan struct{}, dice *rand.Rand) {
-	defer l.drop()
+func (l *DisconnectingCaller) Run(stop <-chan struct{}, dice *rand.Rand) {
+	defer l.closeConn()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(dice.Int64N(int64(2 * leaverPause)))):
+		case <-time.After(time.Duration(dice.Int64N(int64(2 * meanDisconnectCallPause)))):
 		}
-		l.call(l.routes[dice.IntN(len(l.routes))], way(dice.IntN(int(ways))), dice)
+		l.call(l.routes[dice.IntN(len(l.routes))], disconnectMode(dice.IntN(int(disconnectModes))), dice)
 	}
 }
 
 // call makes one call and ends it in a way.
-func (l *Leaver) call(route RoutePlan, end way, dice *rand.Rand) {
+func (l *DisconnectingCaller) call(route RouteSpec, mode disconnectMode, dice *rand.Rand) {
 	l.serial++
-	entry := CallEntry{Op: fmt.Sprintf("leaver-%d-%s@%s-%d", l.number, l.name, l.proxy, l.serial), Caller: l.name, Proxy: l.proxy, Service: route.Service, Route: route.Name, Once: route.Once}
-	work := time.Duration(dice.Int64N(int64(leaverWork)))
-	waits := time.Duration(dice.Int64N(int64(2 * leaverStays)))
+	entry := CallEntry{Operation: fmt.Sprintf("leaver-%d-%s@%s-%d", l.number, l.name, l.proxy, l.serial), Caller: l.name, Proxy: l.proxy, Service: route.Service, Route: route.Name, NonIdempotent: route.NonIdempotent}
+	work := time.Duration(dice.Int64N(int64(maxDisconnectedWork)))
+	delay := time.Duration(dice.Int64N(int64(2 * meanDisconnectDelay)))
 	entry.Sent = l.now()
-	defer func() { note(l.ledger, &l.ledger.Calls, entry) }()
+	defer func() { appendEntry(l.history, &l.history.Calls, entry) }()
 	if !l.dial() {
-		entry.Outcome, entry.Got = "unsent", l.now()
+		entry.Outcome, entry.Received = "unsent", l.now()
 		return
 	}
 	if err := l.send(&entry, route, work); err != nil {
-		entry.Outcome, entry.Got = "unknown", l.now()
-		l.drop()
+		entry.Outcome, entry.Received = "unknown", l.now()
+		l.closeConn()
 		return
 	}
-	switch end {
-	case closes, resets:
-		time.Sleep(waits)
-		if tcp, is := l.conn.(*net.TCPConn); is && end == resets {
+	switch mode {
+	case modeClose, modeReset:
+		time.Sleep(delay)
+		if tcp, isTCP := l.conn.(*net.TCPConn); isTCP && mode == modeReset {
 			_ = tcp.SetLinger(0)
 		}
-		entry.Outcome, entry.Got = outcomeLeft, l.now()
-		l.drop()
-	case halves:
-		if tcp, is := l.conn.(*net.TCPConn); is {
+		entry.Outcome, entry.Received = outcomeDisconnected, l.now()
+		l.closeConn()
+	case modeHalfClose:
+		if tcp, isTCP := l.conn.(*net.TCPConn); isTCP {
 			_ = tcp.CloseWrite()
 		}
 		l.read(&entry)
-		l.drop()
+		l.closeConn()
 	default:
 		l.read(&entry)
 	}
 }
 
 // dial opens a connection where none is left.
-func (l *Leaver) dial() bool {
+func (l *DisconnectingCaller) dial() bool {
 	if l.conn != nil {
 		return true
 	}
@@ -118,39 +118,39 @@
 }
 
 // send sends a call on the connection.
-func (l *Leaver) send(entry *CallEntry, route RoutePlan, work time.Duration) error {
-	_ = l.conn.SetDeadline(time.Now().Add(leaverReads))
+func (l *DisconnectingCaller) send(entry *CallEntry, route RouteSpec, work time.Duration) error {
+	_ = l.conn.SetDeadline(time.Now().Add(disconnectingReadTimeout))
 	_, err := fmt.Fprintf(l.conn, "%s %s?n=1 HTTP/1.1\r\nHost: mesh\r\n%s: %s\r\nX-User: leaver\r\n%s: %d\r\nContent-Length: 2\r\n\r\n{}",
-		route.Method, route.Prefix, opHeader, entry.Op, lastsHeader, work.Milliseconds())
+		route.Method, route.Prefix, operationHeader, entry.Operation, workDurationHeader, work.Milliseconds())
 	return err
 }
 
 // read reads the final answer, past interim ones.
-func (l *Leaver) read(entry *CallEntry) {
+func (l *DisconnectingCaller) read(entry *CallEntry) {
 	for {
-		got, err := http.ReadResponse(l.reader, nil)
+		response, err := http.ReadResponse(l.reader, nil)
 		if err != nil {
-			entry.Outcome, entry.Got = "unknown", l.now()
-			l.drop()
+			entry.Outcome, entry.Received = "unknown", l.now()
+			l.closeConn()
 			return
 		}
-		body, err := io.ReadAll(got.Body)
-		got.Body.Close()
-		if got.StatusCode < http.StatusOK && err == nil {
+		body, err := io.ReadAll(response.Body)
+		response.Body.Close()
+		if response.StatusCode < http.StatusOK && err == nil {
 			continue
 		}
-		entry.Got = l.now()
+		entry.Received = l.now()
 		if err != nil {
 			entry.Outcome = "unknown"
-			l.drop()
+			l.closeConn()
 			return
 		}
-		entry.read(got.StatusCode, got.Header.Get, body)
+		entry.readResponse(response.StatusCode, response.Header.Get, body)
 		return
 	}
 }
 
-func (l *Leaver) drop() {
+func (l *DisconnectingCaller) closeConn() {
 	if l.conn != nil {
 		l.conn.Close()
 		l.conn = nil
--- a/internal/rehearsal/operator.go
+++ b/internal/rehearsal/operator.go
@@ -16,23 +16,23 @@
 
 // Operator is a stand-in operator: it states changes and writes down what it was told.
 type Operator struct {
-	name    string
-	fleet   *Fleet
-	ledger  *Ledger
-	now     func() time.Duration
-	http    *http.Client
-	serial  int
-	writing int
+	name         string
+	fleet        *Fleet
+	history      *History
+	now          func() time.Duration
+	http         *http.Client
+	changeSerial int
+	textSerial   int
 }
 
 // NewOperator makes an operator.
-func NewOperator(name string, fleet *Fleet, ledger *Ledger, now func() time.Duration) *Operator {
-	return &Operator{name: name, fleet: fleet, ledger: ledger, now: now, http: &http.Client{Timeout: 25 * time.Second}}
+func NewOperator(name string, fleet *Fleet, history *History, now func() time.Duration) *Operator {
+	return &Operator{name: name, fleet: fleet, history: history, now: now, http: &http.Client{Timeout: 25 * time.Second}}
 }
 
-func (o *Operator) ask(core int, method, path string, body, into any) (int, error) {
+func (o *Operator) call(core int, method, path string, body, target any) (int, error) {
 	text, _ := json.Marshal(body)
-	request, _ := http.NewRequest(method, "http://"+o.fleet.Operator(core)+path, bytes.NewReader(text))
+	request, _ := http.NewRequest(method, "http://"+o.fleet.OperatorAddress(core)+path, bytes.NewReader(text))
 	response, err := o.http.Do(request)
 	if err != nil {
 		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
@@ -42,92 +42,92 @@
 	if err != nil {
 		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
-	return response.StatusCode, errs.Wrap(json.Unmarshal(answer, into), errs.MalformedRequest, string(answer))
+	return response.StatusCode, errs.Wrap(json.Unmarshal(answer, target), errs.MalformedRequest, string(answer))
 }
 
-// Shown reads the setup at a core machine and writes down what it showed.
-func (o *Operator) Shown(core int) (*registry.ConfigView, error) {
-	entry := ShownEntry{Node: o.fleet.Registries[core].Name, Asked: o.now()}
+// ReadConfig reads the setup at a core machine and writes down what it showed.
+func (o *Operator) ReadConfig(core int) (*registry.ConfigView, error) {
+	entry := ConfigViewEntry{Node: o.fleet.Registries[core].Name, Requested: o.now()}
 	shown := &registry.ConfigView{}
-	status, err := o.ask(core, http.MethodGet, "/v1/setup", nil, shown)
+	status, err := o.call(core, http.MethodGet, "/v1/setup", nil, shown)
 	if err != nil || status != http.StatusOK {
 		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("status %d: %v", status, err))
 	}
-	entry.Got, entry.Setup = o.now(), shown.Sequence
+	entry.Received, entry.ConfigRevision = o.now(), shown.Sequence
 	for _, item := range shown.Items {
 		entry.Items = append(entry.Items, config.Key(item.Kind, item.Name))
 	}
-	note(o.ledger, &o.ledger.Shown, entry)
+	appendEntry(o.history, &o.history.ConfigViews, entry)
 	return shown, nil
 }
 
-// Change states a change at a core machine and writes down what it was told. A marker is
+// SubmitChange states a change at a core machine and writes down what it was told. A marker is
 // an item that only an invalid change names.
-func (o *Operator) Change(core int, text, marker string) ChangeEntry {
-	o.serial++
-	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.serial), Invalid: marker != "", Marker: marker}
+func (o *Operator) SubmitChange(core int, text, marker string) ChangeEntry {
+	o.changeSerial++
+	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.changeSerial), Invalid: marker != "", InvalidItem: marker}
 	submission := registry.ChangeRequest{ID: entry.ID, Config: text, ExpectedVersions: map[string]uint64{}}
-	if shown, err := o.Shown(core); err == nil {
+	if shown, err := o.ReadConfig(core); err == nil {
 		items, _ := configsource.Parse([]byte(text))
 		for _, item := range items {
-			for _, held := range shown.Items {
-				if held.Kind == item.Kind && held.Name == item.Name {
-					submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = held.Version
+			for _, current := range shown.Items {
+				if current.Kind == item.Kind && current.Name == item.Name {
+					submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = current.Version
 				}
 			}
 		}
 	}
 	entry.Sent = o.now()
 	var answer registry.ChangeResponse
-	_, err := o.ask(core, http.MethodPost, "/v1/changes", submission, &answer)
-	entry.Got = o.now()
+	_, err := o.call(core, http.MethodPost, "/v1/changes", submission, &answer)
+	entry.Answered = o.now()
 	entry.Ruling, entry.Sequence, entry.Acknowledged = answer.Ruling, answer.Sequence, answer.Acknowledged
 	if err != nil || entry.Ruling == "" {
 		entry.Ruling = "unknown"
 	}
-	note(o.ledger, &o.ledger.Changes, entry)
+	appendEntry(o.history, &o.history.Changes, entry)
 	return entry
 }
 
-// invalidText is a change with a good item and a bad one: nothing of it may come into force.
-func (o *Operator) invalidText() (text, marker string) {
-	o.writing++
-	name := fmt.Sprintf("bad-%s-%d", o.name, o.writing)
+// invalidChange is a change with a good item and a bad one: nothing of it may come into force.
+func (o *Operator) invalidChange() (text, marker string) {
+	o.textSerial++
+	name := fmt.Sprintf("bad-%s-%d", o.name, o.textSerial)
 	service := o.fleet.Deployment.Services[0].Name
 	return fmt.Sprintf(`route: %q: {service: %q, prefix: "/%s"}
 flag: "loop-%s": {on: true, salt: "", variations: ["x"], offVariation: 0, fallthrough: {variation: 0}, prerequisites: [{key: "loop-%s", variation: 0}]}
 `, name, service, name, name, name), "route/" + name
 }
 
-// Storm states change after change until stop is closed, an invalid one every so
+// ChangeLoop states change after change until stop is closed, an invalid one every so
 // often. With spareFlags the flags are left to the release plans.
-func (o *Operator) Storm(stop <-chan struct{}, pause time.Duration, spareFlags bool) {
-	for turn := 0; ; turn++ {
+func (o *Operator) ChangeLoop(stop <-chan struct{}, interval time.Duration, skipFlags bool) {
+	for round := 0; ; round++ {
 		select {
 		case <-stop:
 			return
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
-		core := turn % o.fleet.Deployment.Cores
-		if turn%5 == 4 {
-			text, marker := o.invalidText()
-			o.Change(core, text, marker)
+		core := round % o.fleet.Deployment.CoreMembers
+		if round%5 == 4 {
+			text, marker := o.invalidChange()
+			o.SubmitChange(core, text, marker)
 			continue
 		}
-		service := o.fleet.Deployment.Services[turn%len(o.fleet.Deployment.Services)].Name
-		o.writing++
-		text := o.fleet.Deployment.FlagText(service, 30000+turn%5*10000, o.writing)
-		if spareFlags {
-			text = fmt.Sprintf("segment: %q: {salt: \"%d\"}\n", "storm-"+service, o.writing)
+		service := o.fleet.Deployment.Services[round%len(o.fleet.Deployment.Services)].Name
+		o.textSerial++
+		text := o.fleet.Deployment.FlagText(service, 30000+round%5*10000, o.textSerial)
+		if skipFlags {
+			text = fmt.Sprintf("segment: %q: {salt: \"%d\"}\n", "storm-"+service, o.textSerial)
 		}
-		o.Change(core, text, "")
+		o.SubmitChange(core, text, "")
 	}
 }
 
-// Releases reads the release plans at a core machine.
-func (o *Operator) Releases(core int) ([]registry.ReleaseView, error) {
+// ReadReleases reads the release plans at a core machine.
+func (o *Operator) ReadReleases(core int) ([]registry.ReleaseView, error) {
 	var shown []registry.ReleaseView
-	status, err := o.ask(core, http.MethodGet, "/v1/releases", nil, &shown)
+	status, err := o.call(core, http.MethodGet, "/v1/releases", nil, &shown)
 	if err == nil && status != http.StatusOK {
 		err = errs.New(errs.NoQuorum, fmt.Sprint(status))
 	}
--- a/internal/rehearsal/plots.go
+++ b/internal/rehearsal/plots.go
@@ -17,99 +17,99 @@
 
 // Size of a plot, in inches.
 const (
-	plotWide = 7
-	plotHigh = 4
+	plotWidthInches  = 7
+	plotHeightInches = 4
 )
 
-// series is one line of a plot.
-type series struct {
-	name   string
-	points plotter.XYs
-	dots   bool // points alone, not joined
+// plotSeries is one line of a plot.
+type plotSeries struct {
+	name    string
+	points  plotter.XYs
+	scatter bool // points alone, not joined
 }
 
-// draw writes a plot as a file of the given form; none writes nothing.
-func draw(folder, form, name, title, across, up string, lines []series, change func(*plot.Plot)) error {
-	if form == "none" || form == "" {
+// writePlot writes a plot as a file of the given form; none writes nothing.
+func writePlot(folder, format, name, title, xLabel, yLabel string, plotted []plotSeries, customize func(*plot.Plot)) error {
+	if format == "none" || format == "" {
 		return nil
 	}
-	drawn := plot.New()
-	drawn.Title.Text, drawn.X.Label.Text, drawn.Y.Label.Text = title, across, up
-	drawn.Legend.Top = true
-	drawn.Add(plotter.NewGrid())
-	if change != nil {
-		change(drawn)
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, xLabel, yLabel
+	chart.Legend.Top = true
+	chart.Add(plotter.NewGrid())
+	if customize != nil {
+		customize(chart)
 	}
-	for i, one := range lines {
-		if len(one.points) == 0 {
+	for i, data := range plotted {
+		if len(data.points) == 0 {
 			continue
 		}
-		if one.dots {
-			dots, err := plotter.NewScatter(one.points)
+		if data.scatter {
+			dots, err := plotter.NewScatter(data.points)
 			if err != nil {
 				return errs.Wrap(err, errs.Internal, name)
 			}
 			dots.Color, dots.Shape = plotutil.Color(i), plotutil.Shape(i)
-			drawn.Add(dots)
-			drawn.Legend.Add(one.name, dots)
+			chart.Add(dots)
+			chart.Legend.Add(data.name, dots)
 			continue
 		}
-		line, err := plotter.NewLine(one.points)
+		line, err := plotter.NewLine(data.points)
 		if err != nil {
 			return errs.Wrap(err, errs.Internal, name)
 		}
 		line.Color = color.Color(plotutil.Color(i))
-		drawn.Add(line)
-		drawn.Legend.Add(one.name, line)
+		chart.Add(line)
+		chart.Legend.Add(data.name, line)
 	}
-	file := filepath.Join(folder, strings.ReplaceAll(name, " ", "-")+"."+form)
-	return errs.Wrap(drawn.Save(plotWide*vg.Inch, plotHigh*vg.Inch, file), errs.DiskFailed, file)
+	file := filepath.Join(folder, strings.ReplaceAll(name, " ", "-")+"."+format)
+	return errs.Wrap(chart.Save(plotWidthInches*vg.Inch, plotHeightInches*vg.Inch, file), errs.DiskFailed, file)
 }
 
 // quantileLine is a histogram as a line: what part was done within which time, in milliseconds.
-func quantileLine(from *hdrhistogram.Histogram) plotter.XYs {
+func quantileLine(histogram *hdrhistogram.Histogram) plotter.XYs {
 	var points plotter.XYs
-	for _, one := range from.CumulativeDistribution() {
-		if one.Count > 0 {
-			points = append(points, plotter.XY{X: float64(one.ValueAt) / 1000, Y: one.Quantile})
+	for _, bracket := range histogram.CumulativeDistribution() {
+		if bracket.Count > 0 {
+			points = append(points, plotter.XY{X: float64(bracket.ValueAt) / 1000, Y: bracket.Quantile})
 		}
 	}
 	return points
 }
 
-// Draw writes the run's plots beside its report.
-func (r *HollowReport) Draw(folder, form string) error {
-	var spans []series
+// WritePlots writes the run's plots beside its report.
+func (r *HollowReport) WritePlots(folder, format string) error {
+	var spans []plotSeries
 	for _, name := range []string{"stated to acknowledged", "acknowledged to in use, each member", "stated to in use everywhere", "age of members' pictures", "news of workers, each member"} {
-		if held := r.histograms[name]; held != nil && held.TotalCount() > 0 {
-			spans = append(spans, series{name: name, points: quantileLine(held)})
+		if histogram := r.histograms[name]; histogram != nil && histogram.TotalCount() > 0 {
+			spans = append(spans, plotSeries{name: name, points: quantileLine(histogram)})
 		}
 	}
 	title := fmt.Sprintf("%d members, %d services, %d routes", r.Options.Members, r.Options.Services, r.Options.Routes)
 	if len(spans) > 0 {
-		err := draw(folder, form, "spans", title, "milliseconds", "per cent done within", spans, logAcross)
+		err := writePlot(folder, format, "spans", title, "milliseconds", "per cent done within", spans, logScaleX)
 		if err != nil {
 			return err
 		}
 	}
 	for _, figure := range []struct {
 		name, up string
-		of       func(HollowLine) map[string]float64
-	}{{"processor", "thousandths of a core", func(l HollowLine) map[string]float64 { return l.CPU }}, {"memory", "MB", func(l HollowLine) map[string]float64 { return l.Memory }}} {
-		var lines []series
+		of       func(HollowInterval) map[string]float64
+	}{{"processor", "thousandths of a core", func(l HollowInterval) map[string]float64 { return l.CPU }}, {"memory", "MB", func(l HollowInterval) map[string]float64 { return l.Memory }}} {
+		var lines []plotSeries
 		for _, role := range []string{"proxy", "registry", "store"} {
-			one := series{name: role}
-			for _, line := range r.Lines {
-				one.points = append(one.points, plotter.XY{X: line.At, Y: figure.of(line)[role]})
+			roleSeries := plotSeries{name: role}
+			for _, line := range r.Timeline {
+				roleSeries.points = append(roleSeries.points, plotter.XY{X: line.At, Y: figure.of(line)[role]})
 			}
-			lines = append(lines, one)
+			lines = append(lines, roleSeries)
 		}
-		if err := draw(folder, form, figure.name, title, "seconds", figure.up, lines, nil); err != nil {
+		if err := writePlot(folder, format, figure.name, title, "seconds", figure.up, lines, nil); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// logAcross spreads times over their powers of ten.
-func logAcross(p *plot.Plot) { p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1} }
+// logScaleX spreads times over their powers of ten.
+func logScaleX(p *plot.Plot) { p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1} }
--- a/internal/rehearsal/relay.go
+++ b/internal/rehearsal/relay.go
@@ -14,82 +14,82 @@
 type Relay struct {
 	listener net.Listener
 	target   string
-	to       string
-	cuts     *Cuts
+	machine  string
+	faults   *LinkFaults
 }
 
-// Cuts says which links are cut, each way by itself.
-type Cuts struct {
-	lock  sync.Mutex
-	cut   map[[2]string]bool
-	lossy map[[2]string]float64 // part of what is sent that is lost at first, and comes late
-	moved chan struct{}
+// LinkFaults says which links are cut, each way by itself.
+type LinkFaults struct {
+	lock        sync.Mutex
+	partitioned map[[2]string]bool
+	lossRatio   map[[2]string]float64 // part of what is sent that is lost at first, and comes late
+	changed     chan struct{}
 }
 
-// resend is how long what a link lost takes to come after all, as TCP sends it again.
-const resend = 250 * time.Millisecond
+// retransmitTimeout is how long what a link lost takes to come after all, as TCP sends it again.
+const retransmitTimeout = 250 * time.Millisecond
 
-// NewCuts starts with every link whole.
-func NewCuts() *Cuts {
-	return &Cuts{cut: map[[2]string]bool{}, lossy: map[[2]string]float64{}, moved: make(chan struct{})}
+// NewLinkFaults starts with every link whole.
+func NewLinkFaults() *LinkFaults {
+	return &LinkFaults{partitioned: map[[2]string]bool{}, lossRatio: map[[2]string]float64{}, changed: make(chan struct{})}
 }
 
-// Lose lets a part of what is sent from one machine to another be lost at first; 0 for none.
-func (c *Cuts) Lose(from, to string, part float64) {
+// SetLoss lets a part of what is sent from one machine to another be lost at first; 0 for none.
+func (c *LinkFaults) SetLoss(from, to string, ratio float64) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if part > 0 {
-		c.lossy[[2]string{from, to}] = part
+	if ratio > 0 {
+		c.lossRatio[[2]string{from, to}] = ratio
 	} else {
-		delete(c.lossy, [2]string{from, to})
+		delete(c.lossRatio, [2]string{from, to})
 	}
 }
 
-// late draws how late something sent comes.
-func (c *Cuts) late(from, to string) time.Duration {
+// retransmitDelay draws how late something sent comes.
+func (c *LinkFaults) retransmitDelay(from, to string) time.Duration {
 	c.lock.Lock()
-	part := c.lossy[[2]string{from, to}]
+	ratio := c.lossRatio[[2]string{from, to}]
 	c.lock.Unlock()
-	wait := time.Duration(0)
-	for part > 0 && rand.Float64() < part && wait < 4*resend {
-		wait += resend
+	delay := time.Duration(0)
+	for ratio > 0 && rand.Float64() < ratio && delay < 4*retransmitTimeout {
+		delay += retransmitTimeout
 	}
-	return wait
+	return delay
 }
 
-// Set cuts or mends the way from one machine to another.
-func (c *Cuts) Set(from, to string, cut bool) {
+// SetPartitioned cuts or mends the way from one machine to another.
+func (c *LinkFaults) SetPartitioned(from, to string, partitioned bool) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if cut {
-		c.cut[[2]string{from, to}] = true
+	if partitioned {
+		c.partitioned[[2]string{from, to}] = true
 	} else {
-		delete(c.cut, [2]string{from, to})
+		delete(c.partitioned, [2]string{from, to})
 	}
-	close(c.moved)
-	c.moved = make(chan struct{})
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// Mend makes every link whole.
-func (c *Cuts) Mend() {
+// Heal makes every link whole.
+func (c *LinkFaults) Heal() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.cut, c.lossy = map[[2]string]bool{}, map[[2]string]float64{}
-	close(c.moved)
-	c.moved = make(chan struct{})
+	c.partitioned, c.lossRatio = map[[2]string]bool{}, map[[2]string]float64{}
+	close(c.changed)
+	c.changed = make(chan struct{})
 }
 
-// wait returns once the way is open, or false when done closes first.
-func (c *Cuts) wait(from, to string, done <-chan struct{}) bool {
+// awaitOpen returns once the way is open, or false when done closes first.
+func (c *LinkFaults) awaitOpen(from, to string, done <-chan struct{}) bool {
 	for {
 		c.lock.Lock()
-		cut, moved := c.cut[[2]string{from, to}], c.moved
+		partitioned, changed := c.partitioned[[2]string{from, to}], c.changed
 		c.lock.Unlock()
-		if !cut {
+		if !partitioned {
 			return true
 		}
 		select {
-		case <-moved:
+		case <-changed:
 		case <-done:
 			return false
 		}
@@ -97,52 +97,52 @@
 }
 
 // NewRelay listens at address for machine to and passes on to target.
-func NewRelay(address, target, to string, cuts *Cuts) (*Relay, error) {
+func NewRelay(address, target, machine string, faults *LinkFaults) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "relay")
 	}
-	r := &Relay{listener: listener, target: target, to: to, cuts: cuts}
-	go r.serve()
+	r := &Relay{listener: listener, target: target, machine: machine, faults: faults}
+	go r.acceptLoop()
 	return r, nil
 }
 
-func (r *Relay) serve() {
+func (r *Relay) acceptLoop() {
 	for {
 		inward, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.pass(inward)
+		go r.forward(inward)
 	}
 }
 
-func (r *Relay) pass(inward net.Conn) {
+func (r *Relay) forward(inbound net.Conn) {
 	// Machines dial from their own address, so the peer's address names the machine.
-	from := inward.RemoteAddr().(*net.TCPAddr).IP.String()
+	from := inbound.RemoteAddr().(*net.TCPAddr).IP.String()
 	done := make(chan struct{})
 	var once sync.Once
-	end := func() { once.Do(func() { close(done) }) }
-	if !r.cuts.wait(from, r.to, done) {
-		inward.Close()
+	finish := func() { once.Do(func() { close(done) }) }
+	if !r.faults.awaitOpen(from, r.machine, done) {
+		inbound.Close()
 		return
 	}
-	outward, err := net.Dial("tcp", r.target)
+	outbound, err := net.Dial("tcp", r.target)
 	if err != nil {
 		// A refused connection must look refused from the other side of the relay too.
-		inward.(*net.TCPConn).SetLinger(0)
-		inward.Close()
+		inbound.(*net.TCPConn).SetLinger(0)
+		inbound.Close()
 		return
 	}
-	move := func(source, sink net.Conn, from, to string) {
-		defer end()
+	copyBytes := func(source, sink net.Conn, from, to string) {
+		defer finish()
 		buffer := make([]byte, 32<<10)
 		for {
 			n, err := source.Read(buffer)
 			if n > 0 {
 				// What is behind it in the stream waits with it.
-				time.Sleep(r.cuts.late(from, to))
-				if !r.cuts.wait(from, to, done) {
+				time.Sleep(r.faults.retransmitDelay(from, to))
+				if !r.faults.awaitOpen(from, to, done) {
 					return
 				}
 				if _, err := sink.Write(buffer[:n]); err != nil {
@@ -154,11 +154,11 @@
 			}
 		}
 	}
-	go move(inward, outward, from, r.to)
-	go move(outward, inward, r.to, from)
+	go copyBytes(inbound, outbound, from, r.machine)
+	go copyBytes(outbound, inbound, r.machine, from)
 	<-done
-	inward.Close()
-	outward.Close()
+	inbound.Close()
+	outbound.Close()
 }
 
 // Close ends the relay.
--- a/internal/rehearsal/report.go
+++ b/internal/rehearsal/report.go
@@ -22,70 +22,70 @@
 	Seconds    float64   `json:"seconds"`
 	Findings   []Finding `json:"findings"`
 	Phases     []Phase   `json:"phases"`
-	// Refused is a sample of the calls that were not answered, a few for each phase and defect.
-	Refused  []CallEntry    `json:"refused"`
-	Faults   []FaultEntry   `json:"faults"`
-	Outcomes map[string]int `json:"outcomes"`
-	Defects  map[string]int `json:"defects"`
-	Rate     float64        `json:"callsPerSecond"`
+	// Unanswered is a sample of the calls that were not answered, a few for each phase and defect.
+	Unanswered []CallEntry    `json:"refused"`
+	Faults     []FaultEntry   `json:"faults"`
+	Outcomes   map[string]int `json:"outcomes"`
+	ErrorCodes map[string]int `json:"defects"`
+	CallRate   float64        `json:"callsPerSecond"`
 	// LatencyMS is by the way a call took: past the mesh, through one proxy, through two.
-	LatencyMS map[string]map[string]float64 `json:"latencyMs"`
-	AckMS     map[string]float64            `json:"ackMs"`
-	Rulings   map[string]int                `json:"rulings"`
+	LatencyMS         map[string]map[string]float64 `json:"latencyMs"`
+	AcknowledgementMS map[string]float64            `json:"ackMs"`
+	Rulings           map[string]int                `json:"rulings"`
 	// Acknowledged is how many changes got their yes.
 	Acknowledged int                `json:"acknowledged"`
 	CPU          map[string]float64 `json:"cpuSecondsPer1000Calls"`
-	Unclean      []string           `json:"unclean"`
+	UncleanExits []string           `json:"unclean"`
 	// Resources is what each program took of the machine, sampled through the run: the largest of
 	// its processes each time.
 	Resources []Sample `json:"resources"`
-	// BackSeconds is how long the fleet took to be back once all faults of a random play were mended.
-	BackSeconds float64 `json:"backSeconds,omitempty"`
-	// Survived is how many acknowledged changes were still there at the end.
-	Survived int          `json:"survived"`
-	Shares   []ShareEntry `json:"shares,omitempty"`
-	Breaches int          `json:"breaches"`
-	// Departures is what the proxies counted of callers that left.
-	Departures dispatch.DisconnectCounts `json:"departures"`
+	// RecoverySeconds is how long the fleet took to be back once all faults of a random play were mended.
+	RecoverySeconds float64 `json:"backSeconds,omitempty"`
+	// SurvivedChanges is how many acknowledged changes were still there at the end.
+	SurvivedChanges int            `json:"survived"`
+	Releases        []ReleaseEntry `json:"shares,omitempty"`
+	Violations      int            `json:"breaches"`
+	// Disconnects is what the proxies counted of callers that left.
+	Disconnects dispatch.DisconnectCounts `json:"departures"`
 }
 
 // Phase is what callers got from one fault to the next.
 type Phase struct {
-	Fault   string         `json:"fault"`
-	On      string         `json:"on"`
-	Calls   int            `json:"calls"`
-	Away    int            `json:"turnedAway"` // proper calls that got the mesh's own error
-	Unsent  int            `json:"unsent"`     // whose own proxy was not there
-	Defects map[string]int `json:"defects,omitempty"`
-	// BackAfter is when, in seconds after the fault, the last call was turned away.
-	BackAfter float64 `json:"backAfterSeconds"`
+	Fault      string         `json:"fault"`
+	Target     string         `json:"on"`
+	Calls      int            `json:"calls"`
+	Rejected   int            `json:"turnedAway"` // proper calls that got the mesh's own error
+	Unsent     int            `json:"unsent"`     // whose own proxy was not there
+	ErrorCodes map[string]int `json:"defects,omitempty"`
+	// LastRejectedAfter is when, in seconds after the fault, the last call was turned away.
+	LastRejectedAfter float64 `json:"backAfterSeconds"`
 }
 
-// samplesMost is how many unanswered calls of each kind a report shows.
-const samplesMost = 8
+// maxUnansweredSamples is how many unanswered calls of each kind a report shows.
+const maxUnansweredSamples = 8
 
-// phases sorts the calls by the fault before them.
-func phases(ledger *Ledger) []Phase {
-	faults := append([]FaultEntry{{What: "before any fault"}}, ledger.Faults...)
-	list := make([]Phase, len(faults))
+// phasesOf sorts the calls by the fault before them.
+func phasesOf(history *History) []Phase {
+	faults := append([]FaultEntry{{Name: "before any fault"}}, history.Faults...)
+	phases := make([]Phase, len(faults))
 	for i, fault := range faults {
-		list[i] = Phase{Fault: fault.What, On: fault.On, Defects: map[string]int{}}
+		phases[i] = Phase{Fault: fault.Name, Target: fault.Target, ErrorCodes: map[string]int{}}
 	}
-	for _, call := range ledger.Calls {
+	for _, call := range history.Calls {
 		i := sort.Search(len(faults), func(i int) bool { return faults[i].At > call.Sent }) - 1
-		phase := &list[max(0, i)]
+		phase := &phases[max(0, i)]
 		phase.Calls++
 		switch call.Outcome {
 		case "answered":
 		case "unsent":
 			phase.Unsent++
 		default:
-			phase.Away++
-			phase.Defects[call.Defect]++
-			phase.BackAfter = max(phase.BackAfter, (call.Got - faults[max(0, i)].At).Seconds())
+			phase.Rejected++
+			phase.ErrorCodes[call.ErrorCode]++
+			phase.LastRejectedAfter = max(phase.LastRejectedAfter, (call.Received - faults[max(0, i)].At).Seconds())
 		}
 	}
-	return list
+	return phases
 }
 
 func quantiles(values []float64) map[string]float64 {
@@ -93,57 +93,57 @@
 		return nil
 	}
 	sort.Float64s(values)
-	at := func(part float64) float64 { return values[int(part*float64(len(values)-1))] }
-	return map[string]float64{"p50": at(0.5), "p90": at(0.9), "p99": at(0.99), "max": at(1)}
+	quantile := func(fraction float64) float64 { return values[int(fraction*float64(len(values)-1))] }
+	return map[string]float64{"p50": quantile(0.5), "p90": quantile(0.9), "p99": quantile(0.99), "max": quantile(1)}
 }
 
-func (c *cast) report(loaded time.Duration, before, after map[string]float64) *Report {
-	report := &Report{Deployment: c.options.Deployment.Name, Seed: c.options.Seed, Seconds: loaded.Seconds(), Findings: Judge(c.ledger, c.options.Deployment),
-		Phases: phases(c.ledger), Faults: c.ledger.Faults, Shares: c.ledger.Shares, Outcomes: map[string]int{}, Defects: map[string]int{}, Rulings: map[string]int{}, CPU: map[string]float64{}}
-	var one, two, acks, keyed, plain []float64
+func (c *testRun) buildReport(loadDuration time.Duration, cpuBefore, cpuAfter map[string]float64) *Report {
+	report := &Report{Deployment: c.options.Deployment.Name, Seed: c.options.Seed, Seconds: loadDuration.Seconds(), Findings: CheckInvariants(c.history, c.options.Deployment),
+		Phases: phasesOf(c.history), Faults: c.history.Faults, Releases: c.history.Releases, Outcomes: map[string]int{}, ErrorCodes: map[string]int{}, Rulings: map[string]int{}, CPU: map[string]float64{}}
+	var oneProxy, twoProxies, acknowledgementMS, keyed, unkeyed []float64
 	sampled := map[string]int{}
-	for _, call := range c.ledger.Calls {
+	for _, call := range c.history.Calls {
 		report.Outcomes[call.Outcome]++
-		at := sort.Search(len(c.ledger.Faults), func(i int) bool { return c.ledger.Faults[i].At > call.Sent })
-		if key := fmt.Sprint(at, call.Outcome, call.Defect); call.Outcome != "answered" && sampled[key] < samplesMost {
+		phase := sort.Search(len(c.history.Faults), func(i int) bool { return c.history.Faults[i].At > call.Sent })
+		if key := fmt.Sprint(phase, call.Outcome, call.ErrorCode); call.Outcome != "answered" && sampled[key] < maxUnansweredSamples {
 			sampled[key]++
-			report.Refused = append(report.Refused, call)
+			report.Unanswered = append(report.Unanswered, call)
 		}
-		if call.Defect != "" {
-			report.Defects[call.Defect]++
+		if call.ErrorCode != "" {
+			report.ErrorCodes[call.ErrorCode]++
 		}
 		if call.Outcome == "answered" {
-			took := float64(call.Got-call.Sent) / float64(time.Millisecond)
-			if call.Once && call.Ask == 0 {
+			latencyMS := float64(call.Received-call.Sent) / float64(time.Millisecond)
+			if call.NonIdempotent && call.CallerRetry == 0 {
 				if call.Keyed {
-					keyed = append(keyed, took)
+					keyed = append(keyed, latencyMS)
 				} else {
-					plain = append(plain, took)
+					unkeyed = append(unkeyed, latencyMS)
 				}
 			}
-			if edge, found := c.edgeOf[call.Worker]; found && c.fleet.Proxies[edge].Name == call.Proxy {
-				one = append(one, took)
+			if edge, found := c.edgeByWorker[call.Worker]; found && c.fleet.Proxies[edge].Name == call.Proxy {
+				oneProxy = append(oneProxy, latencyMS)
 			} else {
-				two = append(two, took)
+				twoProxies = append(twoProxies, latencyMS)
 			}
 		}
 	}
-	for _, change := range c.ledger.Changes {
+	for _, change := range c.history.Changes {
 		report.Rulings[change.Ruling]++
 		report.Acknowledged += map[bool]int{true: 1}[change.Acknowledged]
 		if change.Acknowledged {
-			acks = append(acks, float64(change.Got-change.Sent)/float64(time.Millisecond))
+			acknowledgementMS = append(acknowledgementMS, float64(change.Answered-change.Sent)/float64(time.Millisecond))
 		}
 	}
-	report.Rate = float64(len(c.ledger.Calls)) / loaded.Seconds()
-	report.LatencyMS = map[string]map[string]float64{"direct": quantiles(c.direct), "one proxy": quantiles(one), "two proxies": quantiles(two),
-		"once, under a key": quantiles(keyed), "once, without one": quantiles(plain)}
-	report.AckMS = quantiles(acks)
-	for program, used := range after {
-		report.CPU[program] = (used - before[program]) / float64(len(c.ledger.Calls)) * 1000
+	report.CallRate = float64(len(c.history.Calls)) / loadDuration.Seconds()
+	report.LatencyMS = map[string]map[string]float64{"direct": quantiles(c.directLatencyMS), "one proxy": quantiles(oneProxy), "two proxies": quantiles(twoProxies),
+		"once, under a key": quantiles(keyed), "once, without one": quantiles(unkeyed)}
+	report.AcknowledgementMS = quantiles(acknowledgementMS)
+	for program, used := range cpuAfter {
+		report.CPU[program] = (used - cpuBefore[program]) / float64(len(c.history.Calls)) * 1000
 	}
 	for _, finding := range report.Findings {
-		report.Breaches += finding.Breaches
+		report.Violations += finding.Violations
 	}
 	return report
 }
@@ -162,8 +162,8 @@
 	return errs.Wrap(os.WriteFile(file, append(text, '\n'), 0o640), errs.DiskFailed, file)
 }
 
-// figures lists named numbers in a settled order.
-func figures(values map[string]float64) string {
+// formatFigures lists named numbers in a settled order.
+func formatFigures(values map[string]float64) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(values)) {
 		parts = append(parts, fmt.Sprintf("%s %.3g", name, values[name]))
@@ -173,37 +173,37 @@
 
 // Print shows the report to a person.
 func (r *Report) Print(out io.Writer) {
-	fmt.Fprintf(out, "%s: %.0f s of load, %.0f calls a second, seed %d\n", r.Deployment, r.Seconds, r.Rate, r.Seed)
-	fmt.Fprintf(out, "outcomes %v, defects %v\n", r.Outcomes, r.Defects)
-	fmt.Fprintf(out, "changes %v, yes after ms: %s; %d acknowledged, of which %d were there at the end\n", r.Rulings, figures(r.AckMS), r.Acknowledged, r.Survived)
+	fmt.Fprintf(out, "%s: %.0f s of load, %.0f calls a second, seed %d\n", r.Deployment, r.Seconds, r.CallRate, r.Seed)
+	fmt.Fprintf(out, "outcomes %v, defects %v\n", r.Outcomes, r.ErrorCodes)
+	fmt.Fprintf(out, "changes %v, yes after ms: %s; %d acknowledged, of which %d were there at the end\n", r.Rulings, formatFigures(r.AcknowledgementMS), r.Acknowledged, r.SurvivedChanges)
 	for _, program := range []string{"proxy", "registry", "store"} {
-		fmt.Fprintf(out, "%s, largest process at a third, two thirds and the end of the run: %s\n", program, thirds(r.Resources, program))
+		fmt.Fprintf(out, "%s, largest process at a third, two thirds and the end of the run: %s\n", program, formatGrowth(r.Resources, program))
 	}
-	if r.BackSeconds > 0 {
-		fmt.Fprintf(out, "back %.1f s after the last fault\n", r.BackSeconds)
+	if r.RecoverySeconds > 0 {
+		fmt.Fprintf(out, "back %.1f s after the last fault\n", r.RecoverySeconds)
 	}
-	for _, way := range []string{"direct", "one proxy", "two proxies", "once, without one", "once, under a key"} {
-		fmt.Fprintf(out, "latency ms, %s: %s\n", way, figures(r.LatencyMS[way]))
+	for _, path := range []string{"direct", "one proxy", "two proxies", "once, without one", "once, under a key"} {
+		fmt.Fprintf(out, "latency ms, %s: %s\n", path, formatFigures(r.LatencyMS[path]))
 	}
-	fmt.Fprintf(out, "processor seconds per 1,000 calls: %s\n", figures(r.CPU))
+	fmt.Fprintf(out, "processor seconds per 1,000 calls: %s\n", formatFigures(r.CPU))
 	for _, phase := range r.Phases {
-		if phase.Away+phase.Unsent > 0 {
-			fmt.Fprintf(out, "  after %s (%s): %d of %d turned away, %d unsent, %v, the last after %.1f s\n", phase.Fault, phase.On, phase.Away, phase.Calls, phase.Unsent, phase.Defects, phase.BackAfter)
+		if phase.Rejected+phase.Unsent > 0 {
+			fmt.Fprintf(out, "  after %s (%s): %d of %d turned away, %d unsent, %v, the last after %.1f s\n", phase.Fault, phase.Target, phase.Rejected, phase.Calls, phase.Unsent, phase.ErrorCodes, phase.LastRejectedAfter)
 		}
 	}
 	for _, finding := range r.Findings {
-		word := "holds"
-		if finding.Breaches > 0 {
-			word = fmt.Sprintf("BROKEN %d times", finding.Breaches)
-		} else if finding.Judged == 0 {
-			word = "NOT JUDGED"
+		verdict := "holds"
+		if finding.Violations > 0 {
+			verdict = fmt.Sprintf("BROKEN %d times", finding.Violations)
+		} else if finding.Checked == 0 {
+			verdict = "NOT JUDGED"
 		}
-		fmt.Fprintf(out, "  %-62s %s (%d judged)\n", finding.Rule, word, finding.Judged)
+		fmt.Fprintf(out, "  %-62s %s (%d judged)\n", finding.Rule, verdict, finding.Checked)
 		for _, example := range finding.Examples {
 			fmt.Fprintf(out, "      %s\n", example)
 		}
 	}
-	if len(r.Unclean) > 0 {
-		fmt.Fprintf(out, "did not end cleanly: %v\n", r.Unclean)
+	if len(r.UncleanExits) > 0 {
+		fmt.Fprintf(out, "did not end cleanly: %v\n", r.UncleanExits)
 	}
 }
--- a/internal/rehearsal/run.go
+++ b/internal/rehearsal/run.go
@@ -15,35 +15,35 @@
 
 // Options say what to rehearse.
 type Options struct {
-	Deployment *Deployment
-	Folder     string
-	Binaries   string
-	Length     time.Duration // of the load
-	Lease      time.Duration
-	Seed       uint64
-	Play       string        // which piece of faults, by name; none for no faults
-	Standing   func(*Fleet)  // if set: no load, the fleet just stands while this runs
-	Delay      time.Duration // that a worker takes for a request
-	Rate       float64       // multiplies the deployment's rate
-	LeaveBound time.Duration
-	// DepartBound is how long a worker may go on with a repeatable call after its caller left; 0 for not judged.
-	DepartBound time.Duration
-	// Timed judges what hangs on how fast the machine is: who was turned away without cause.
-	Timed bool
-	Out   io.Writer
+	Deployment    *Deployment
+	Folder        string
+	Binaries      string
+	LoadDuration  time.Duration // of the load
+	Lease         time.Duration
+	Seed          uint64
+	Scenario      string        // which piece of faults, by name; none for no faults
+	OnReady       func(*Fleet)  // if set: no load, the fleet just stands while this runs
+	WorkerDelay   time.Duration // that a worker takes for a request
+	RateFactor    float64       // multiplies the deployment's rate
+	DrainingBound time.Duration
+	// DisconnectBound is how long a worker may go on with a repeatable call after its caller left; 0 for not judged.
+	DisconnectBound time.Duration
+	// CheckRejections judges what hangs on how fast the machine is: who was turned away without cause.
+	CheckRejections bool
+	Out             io.Writer
 }
 
-// quiet is how long the fleet is left alone at the end, for late runs to show.
-const quiet = 3 * time.Second
+// quietPeriod is how long the fleet is left alone at the end, for late runs to show.
+const quietPeriod = 3 * time.Second
 
 // Run brings the fleet up, plays the load and the faults, and judges.
 func Run(o Options) (*Report, error) {
-	say := func(format string, values ...any) { fmt.Fprintf(o.Out, format+"\n", values...) }
-	piece, known := Plays[o.Play]
-	if !known {
-		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("no play is called %q", o.Play))
+	logf := func(format string, values ...any) { fmt.Fprintf(o.Out, format+"\n", values...) }
+	scenario, found := Scenarios[o.Scenario]
+	if !found {
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("no play is called %q", o.Scenario))
 	}
-	fleet, err := NewFleet(o.Deployment, o.Folder, o.Binaries, o.Lease, piece.relayEdges, piece.disks)
+	fleet, err := NewFleet(o.Deployment, o.Folder, o.Binaries, o.Lease, scenario.relayEdges, scenario.delayedDisks)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 	}()
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	ledger := &Ledger{LeaveBound: o.LeaveBound, DepartBound: o.DepartBound, Timed: o.Timed, Lease: o.Lease}
+	history := &History{DrainingBound: o.DrainingBound, DisconnectBound: o.DisconnectBound, CheckRejections: o.CheckRejections, Lease: o.Lease}
 	for _, process := range append(append([]*Process(nil), fleet.Stores...), fleet.Registries...) {
 		if err := process.Start(); err != nil {
 			return nil, err
@@ -67,16 +67,16 @@
 	if err := AwaitReady(fleet.Registries, time.Minute); err != nil {
 		return nil, err
 	}
-	say("core ready after %.1f s", now().Seconds())
-	operator := NewOperator("first", fleet, ledger, now)
+	logf("core ready after %.1f s", now().Seconds())
+	operator := NewOperator("first", fleet, history, now)
 	// On a machine too busy for the core to settle, the first setup is stated again.
-	for tries := 0; ; tries++ {
-		first := operator.Change(tries%o.Deployment.Cores, o.Deployment.SetupText(map[bool]int{false: 50000}[piece.releases]), "")
-		if first.Acknowledged {
+	for attempt := 0; ; attempt++ {
+		result := operator.SubmitChange(attempt%o.Deployment.CoreMembers, o.Deployment.ConfigText(map[bool]int{false: 50000}[scenario.releasePlans]), "")
+		if result.Acknowledged {
 			break
 		}
-		if tries == 2*o.Deployment.Cores {
-			return nil, errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not acknowledged: %+v", first))
+		if attempt == 2*o.Deployment.CoreMembers {
+			return nil, errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not acknowledged: %+v", result))
 		}
 	}
 	for _, process := range fleet.Proxies {
@@ -87,155 +87,155 @@
 	if err := AwaitReady(fleet.Proxies, time.Minute); err != nil {
 		return nil, err
 	}
-	say("proxies ready after %.1f s", now().Seconds())
-	cast := &cast{fleet: fleet, options: o, ledger: ledger, now: now, used: map[int]int{}, edgeOf: map[string]int{}}
-	for i, placed := range o.Deployment.placeWorkers() {
-		if err := cast.startWorker(fmt.Sprintf("w%d-%s", i+1, placed.service), placed.edge, placed.service, placed.version); err != nil {
+	logf("proxies ready after %.1f s", now().Seconds())
+	run := &testRun{fleet: fleet, options: o, history: history, now: now, workersStarted: map[int]int{}, edgeByWorker: map[string]int{}}
+	for i, placement := range o.Deployment.placeWorkers() {
+		if err := run.startWorker(fmt.Sprintf("w%d-%s", i+1, placement.service), placement.edge, placement.service, placement.version); err != nil {
 			return nil, err
 		}
 	}
 	// Calls before every proxy knows every worker are not proper load.
-	if err := awaitKnown(fleet.Proxies, len(cast.workers), time.Minute); err != nil {
+	if err := awaitWorkerDiscovery(fleet.Proxies, len(run.workers), time.Minute); err != nil {
 		return nil, err
 	}
-	if o.Standing != nil {
-		o.Standing(fleet)
-		for _, worker := range cast.workers {
+	if o.OnReady != nil {
+		o.OnReady(fleet)
+		for _, worker := range run.workers {
 			worker.Kill()
 		}
 		stopped = true
-		return &Report{Unclean: fleet.Stop()}, nil
+		return &Report{UncleanExits: fleet.Stop()}, nil
 	}
-	stopCalls, stopChanges := make(chan struct{}), make(chan struct{})
-	var calling, changing sync.WaitGroup
+	stopCallers, stopChanges := make(chan struct{}), make(chan struct{})
+	var callersRunning, backgroundTasks sync.WaitGroup
 	dice := rand.New(rand.NewPCG(o.Seed, 1))
 	var callers [][]*Caller
 	for edge := range o.Deployment.Edges {
-		callers = append(callers, cast.callersOn(edge))
+		callers = append(callers, run.callersOn(edge))
 	}
-	for edge, here := range callers {
-		for _, caller := range here {
-			for other, there := range callers {
-				for _, same := range there {
-					if other != edge && same.name == caller.name {
-						caller.elsewhere = append(caller.elsewhere, same)
+	for edge, edgeCallers := range callers {
+		for _, caller := range edgeCallers {
+			for other, otherCallers := range callers {
+				for _, candidate := range otherCallers {
+					if other != edge && candidate.name == caller.name {
+						caller.alternates = append(caller.alternates, candidate)
 					}
 				}
 			}
 		}
 	}
-	for _, here := range callers {
-		for _, caller := range here {
-			calling.Add(1)
-			own := rand.New(rand.NewPCG(o.Seed, dice.Uint64()))
+	for _, edgeCallers := range callers {
+		for _, caller := range edgeCallers {
+			callersRunning.Add(1)
+			independent := rand.New(rand.NewPCG(o.Seed, dice.Uint64()))
 			go func() {
-				defer calling.Done()
-				caller.Run(stopCalls, own)
+				defer callersRunning.Done()
+				caller.Run(stopCallers, independent)
 			}()
 		}
 	}
-	if piece.leavers {
-		for edge, here := range callers {
-			for i := range leaversEach {
-				leaver := NewLeaver(here[0], fleet.CallerAddress(edge, clientKind), i)
-				own := rand.New(rand.NewPCG(o.Seed, dice.Uint64()))
-				calling.Go(func() { leaver.Run(stopCalls, own) })
+	if scenario.disconnectingCallers {
+		for edge, edgeCallers := range callers {
+			for i := range disconnectingCallersPerProxy {
+				disconnecting := NewDisconnectingCaller(edgeCallers[0], fleet.CallerAddress(edge, clientCaller), i)
+				independent := rand.New(rand.NewPCG(o.Seed, dice.Uint64()))
+				callersRunning.Go(func() { disconnecting.Run(stopCallers, independent) })
 			}
 		}
 	}
 	for _, name := range []string{"ann", "ben"} {
-		changing.Add(1)
-		own := NewOperator(name, fleet, ledger, now)
+		backgroundTasks.Add(1)
+		independent := NewOperator(name, fleet, history, now)
 		go func() {
-			defer changing.Done()
-			own.Storm(stopChanges, 500*time.Millisecond, piece.releases)
+			defer backgroundTasks.Done()
+			independent.ChangeLoop(stopChanges, 500*time.Millisecond, scenario.releasePlans)
 		}()
 	}
-	changing.Go(func() { cast.watchDepartures(stopChanges) })
-	changing.Add(2)
+	backgroundTasks.Go(func() { run.watchDisconnects(stopChanges) })
+	backgroundTasks.Add(2)
 	go func() {
-		defer changing.Done()
-		cast.measureDirect(stopChanges)
+		defer backgroundTasks.Done()
+		run.measureDirectLatency(stopChanges)
 	}()
 	go func() {
-		defer changing.Done()
-		cast.sample(stopChanges)
+		defer backgroundTasks.Done()
+		run.sampleResources(stopChanges)
 	}()
-	if piece.releases {
-		changing.Add(1)
+	if scenario.releasePlans {
+		backgroundTasks.Add(1)
 		go func() {
-			defer changing.Done()
-			cast.watchReleases(stopChanges, say)
+			defer backgroundTasks.Done()
+			run.watchReleases(stopChanges, logf)
 		}()
 	}
-	before, loadFrom := cast.cpu(), now()
-	cast.play(piece, o.Length, say)
+	cpuBefore, loadStarted := run.cpuSeconds(), now()
+	run.runScenario(scenario, o.LoadDuration, logf)
 	close(stopChanges)
-	changing.Wait()
-	close(stopCalls)
-	calling.Wait()
-	loaded := now() - loadFrom
-	after := cast.cpu()
-	time.Sleep(quiet)
-	for core := range o.Deployment.Cores {
-		_, _ = operator.Shown(core)
+	backgroundTasks.Wait()
+	close(stopCallers)
+	callersRunning.Wait()
+	loadDuration := now() - loadStarted
+	cpuAfter := run.cpuSeconds()
+	time.Sleep(quietPeriod)
+	for core := range o.Deployment.CoreMembers {
+		_, _ = operator.ReadConfig(core)
 	}
-	cast.survived()
-	cast.noteDepartures()
-	for _, worker := range cast.workers {
+	run.verifyAcknowledgedChanges()
+	run.recordDisconnects()
+	for _, worker := range run.workers {
 		worker.Kill()
 	}
 	unclean := fleet.Stop()
 	stopped = true
-	report := cast.report(loaded, before, after)
-	report.Unclean, report.Resources = unclean, cast.resources
-	report.BackSeconds, report.Survived, report.Departures = cast.back.Seconds(), ledger.Survived, ledger.departures()
+	report := run.buildReport(loadDuration, cpuBefore, cpuAfter)
+	report.UncleanExits, report.Resources = unclean, run.resources
+	report.RecoverySeconds, report.SurvivedChanges, report.Disconnects = run.recoveryTime.Seconds(), history.SurvivedChanges, history.totalDisconnects()
 	return report, nil
 }
 
-// cast is everyone outside the mesh.
-type cast struct {
-	fleet   *Fleet
-	options Options
-	ledger  *Ledger
-	now     func() time.Duration
-	workers []*Worker
-	used    map[int]int    // workers started so far on each edge
-	edgeOf  map[string]int // by worker
-	direct  []float64      // milliseconds of calls past the mesh
-	lock    sync.Mutex     // of workers, used, edgeOf and named
-	named   int            // workers that came later
-	back    time.Duration  // that the fleet took to be back
+// testRun is everyone outside the mesh.
+type testRun struct {
+	fleet           *Fleet
+	options         Options
+	history         *History
+	now             func() time.Duration
+	workers         []*Worker
+	workersStarted  map[int]int    // workers started so far on each edge
+	edgeByWorker    map[string]int // by worker
+	directLatencyMS []float64      // milliseconds of calls past the mesh
+	lock            sync.Mutex     // of workers, used, edgeByWorker and named
+	namedWorkers    int            // workers that came later
+	recoveryTime    time.Duration  // that the fleet took to be back
 
 	resources []Sample
 }
 
-func (c *cast) startWorker(name string, edge int, service, version string) error {
+func (c *testRun) startWorker(name string, edge int, service, version string) error {
 	c.lock.Lock()
-	address := fmt.Sprintf("%s:%d", c.fleet.edge(edge), portWorker+c.used[edge])
-	c.used[edge]++
+	address := fmt.Sprintf("%s:%d", c.fleet.edgeAddress(edge), portWorker+c.workersStarted[edge])
+	c.workersStarted[edge]++
 	c.lock.Unlock()
 	return c.startWorkerAt(name, edge, service, version, address)
 }
 
-func (c *cast) startWorkerAt(name string, edge int, service, version, address string) error {
-	worker, err := StartWorker(name, service, version, c.fleet.area(edge), address, fmt.Sprintf("%s:%d", c.fleet.edge(edge), portWorkers), c.options.Delay, c.ledger, c.now)
+func (c *testRun) startWorkerAt(name string, edge int, service, version, address string) error {
+	worker, err := StartWorker(name, service, version, c.fleet.zone(edge), address, fmt.Sprintf("%s:%d", c.fleet.edgeAddress(edge), portWorkerAPI), c.options.WorkerDelay, c.history, c.now)
 	if err == nil {
 		c.lock.Lock()
 		c.workers = append(c.workers, worker)
-		c.edgeOf[name] = edge
+		c.edgeByWorker[name] = edge
 		c.lock.Unlock()
 	}
 	return err
 }
 
 // callersOn makes the callers of an edge: clients, and each service for its internal calls.
-func (c *cast) callersOn(edge int) []*Caller {
+func (c *testRun) callersOn(edge int) []*Caller {
 	d := c.options.Deployment
-	rate := d.Rate * c.options.Rate / float64(d.Edges)
+	rate := d.RequestRate * c.options.RateFactor / float64(d.Edges)
 	proxy := c.fleet.Proxies[edge].Name
-	var clients []RoutePlan
-	internal := map[string][]RoutePlan{}
+	var clients []RouteSpec
+	internal := map[string][]RouteSpec{}
 	for _, route := range d.Routes {
 		if !route.Internal {
 			clients = append(clients, route)
@@ -247,49 +247,49 @@
 			}
 		}
 	}
-	callers := []*Caller{NewCaller(clientKind, proxy, c.fleet.CallerAddress(edge, clientKind), clients, rate, c.ledger, c.now)}
+	callers := []*Caller{NewCaller(clientCaller, proxy, c.fleet.CallerAddress(edge, clientCaller), clients, rate, c.history, c.now)}
 	// The service whose worker stands on this edge makes this edge's part of the internal calls.
-	for i, placed := range d.placeWorkers() {
-		if placed.edge == edge && len(internal[placed.service]) > 0 && i < d.Edges {
-			callers = append(callers, NewCaller(placed.service, proxy, c.fleet.CallerAddress(edge, placed.service), internal[placed.service], rate*d.Internal, c.ledger, c.now))
+	for i, placement := range d.placeWorkers() {
+		if placement.edge == edge && len(internal[placement.service]) > 0 && i < d.Edges {
+			callers = append(callers, NewCaller(placement.service, proxy, c.fleet.CallerAddress(edge, placement.service), internal[placement.service], rate*d.InternalRatio, c.history, c.now))
 		}
 	}
 	return callers
 }
 
-// directEvery is how often a call is sent past the mesh.
-const directEvery = 100 * time.Millisecond
+// directInterval is how often a call is sent past the mesh.
+const directInterval = 100 * time.Millisecond
 
-func (c *cast) measureDirect(stop <-chan struct{}) {
+func (c *testRun) measureDirectLatency(stop <-chan struct{}) {
 	// A worker that no standard fault touches.
-	measured := c.workers[1]
+	worker := c.workers[1]
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(directEvery):
+		case <-time.After(directInterval):
 		}
-		if took, err := measured.Direct(); err == nil {
-			c.direct = append(c.direct, float64(took)/float64(time.Millisecond))
+		if took, err := worker.CallDirectly(); err == nil {
+			c.directLatencyMS = append(c.directLatencyMS, float64(took)/float64(time.Millisecond))
 		}
 	}
 }
 
-// cpu is the processor time each program has used so far, in seconds.
-func (c *cast) cpu() map[string]float64 {
-	used := map[string]float64{}
-	for _, process := range c.fleet.All() {
+// cpuSeconds is the processor time each program has used so far, in seconds.
+func (c *testRun) cpuSeconds() map[string]float64 {
+	seconds := map[string]float64{}
+	for _, process := range c.fleet.Processes() {
 		process.lock.Lock()
 		if process.cmd != nil && process.cmd.Process != nil {
-			used[filepath.Base(process.program)] += cpuOf(process.cmd.Process.Pid)
+			seconds[filepath.Base(process.program)] += cpuSecondsOf(process.cmd.Process.Pid)
 		}
 		process.lock.Unlock()
 	}
-	return used
+	return seconds
 }
 
-// cpuOf reads a process's own processor time from the kernel.
-func cpuOf(pid int) float64 {
+// cpuSecondsOf reads a process's own processor time from the kernel.
+func cpuSecondsOf(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -297,8 +297,8 @@
 	// Fields 14 and 15 are user and system time in hundredths of a second; the name, in
 	// parentheses, may hold spaces.
 	end := 0
-	for i, one := range text {
-		if one == ')' {
+	for i, char := range text {
+		if char == ')' {
 			end = i
 		}
 	}
--- a/internal/rehearsal/sample.go
+++ b/internal/rehearsal/sample.go
@@ -22,34 +22,34 @@
 	DiskKB     int           `json:"diskKB"` // in the data folder
 }
 
-// sampleEvery is how often samples are taken.
-const sampleEvery = 5 * time.Second
+// sampleInterval is how often samples are taken.
+const sampleInterval = 5 * time.Second
 
-func (c *cast) sample(stop <-chan struct{}) {
+func (c *testRun) sampleResources(stop <-chan struct{}) {
 	for {
 		largest := map[string]*Sample{}
-		for _, process := range c.fleet.All() {
+		for _, process := range c.fleet.Processes() {
 			program, _, _ := strings.Cut(process.Name, "/")
-			held := largest[program]
-			if held == nil {
-				held = &Sample{At: c.now(), Program: program}
-				largest[program] = held
+			sample := largest[program]
+			if sample == nil {
+				sample = &Sample{At: c.now(), Program: program}
+				largest[program] = sample
 			}
-			process.measure(held)
+			process.raiseSample(sample)
 		}
-		for _, one := range largest {
-			c.resources = append(c.resources, *one)
+		for _, sample := range largest {
+			c.resources = append(c.resources, *sample)
 		}
 		select {
 		case <-stop:
 			return
-		case <-time.After(sampleEvery):
+		case <-time.After(sampleInterval):
 		}
 	}
 }
 
-// measure raises a sample to what one process takes now.
-func (p *Process) measure(held *Sample) {
+// raiseSample raises a sample to what one process takes now.
+func (p *Process) raiseSample(sample *Sample) {
 	p.lock.Lock()
 	pid := 0
 	if p.cmd != nil && p.cmd.Process != nil {
@@ -58,21 +58,21 @@
 	p.lock.Unlock()
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
 		for _, line := range strings.Split(string(text), "\n") {
-			if value, is := strings.CutPrefix(line, "VmRSS:"); is {
+			if value, found := strings.CutPrefix(line, "VmRSS:"); found {
 				var kilobytes int
 				_, _ = fmt.Sscan(value, &kilobytes)
-				held.MemoryKB = max(held.MemoryKB, kilobytes)
+				sample.MemoryKB = max(sample.MemoryKB, kilobytes)
 			}
 		}
 	}
 	if files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
-		held.Files = max(held.Files, len(files))
+		sample.Files = max(sample.Files, len(files))
 	}
-	if response, err := probes.Get("http://" + p.probe + "/process"); err == nil {
-		var told daemon.Process
-		_ = json.NewDecoder(response.Body).Decode(&told)
+	if response, err := probeClient.Get("http://" + p.probeAddress + "/process"); err == nil {
+		var process daemon.Process
+		_ = json.NewDecoder(response.Body).Decode(&process)
 		response.Body.Close()
-		held.Goroutines = max(held.Goroutines, told.Goroutines)
+		sample.Goroutines = max(sample.Goroutines, process.Goroutines)
 	}
 	bytes := int64(0)
 	_ = filepath.WalkDir(filepath.Join(filepath.Dir(p.settingsFile), "data"), func(_ string, entry fs.DirEntry, err error) error {
@@ -84,24 +84,24 @@
 		}
 		return nil
 	})
-	held.DiskKB = max(held.DiskKB, int(bytes>>10))
+	sample.DiskKB = max(sample.DiskKB, int(bytes>>10))
 }
 
-// thirds shows how a program grew: a third through the run, two thirds, and at its end.
-func thirds(samples []Sample, program string) string {
-	var its []Sample
-	for _, one := range samples {
-		if one.Program == program {
-			its = append(its, one)
+// formatGrowth shows how a program grew: a third through the run, two thirds, and at its end.
+func formatGrowth(samples []Sample, program string) string {
+	var ofProgram []Sample
+	for _, sample := range samples {
+		if sample.Program == program {
+			ofProgram = append(ofProgram, sample)
 		}
 	}
-	if len(its) < 3 {
+	if len(ofProgram) < 3 {
 		return "too short to tell"
 	}
 	var parts []string
-	for _, at := range []int{len(its) / 3, 2 * len(its) / 3, len(its) - 1} {
-		one := its[at]
-		parts = append(parts, fmt.Sprintf("%d MB, %d files, %d goroutines, %d KB on disk", one.MemoryKB>>10, one.Files, one.Goroutines, one.DiskKB))
+	for _, index := range []int{len(ofProgram) / 3, 2 * len(ofProgram) / 3, len(ofProgram) - 1} {
+		sample := ofProgram[index]
+		parts = append(parts, fmt.Sprintf("%d MB, %d files, %d goroutines, %d KB on disk", sample.MemoryKB>>10, sample.Files, sample.Goroutines, sample.DiskKB))
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/rehearsal/slopes.go
+++ b/internal/rehearsal/slopes.go
@@ -28,7 +28,7 @@
 	set func(*schema.HollowOptions, float64)
 }{
 	"members":  {func(g *schema.SlopesOptions) string { return g.Members }, func(h *schema.HollowOptions, v float64) { h.Members = int64(v) }},
-	"services": {func(g *schema.SlopesOptions) string { return g.Services }, setServices},
+	"services": {func(g *schema.SlopesOptions) string { return g.Services }, setServiceCount},
 	"routes":   {func(g *schema.SlopesOptions) string { return g.Routes }, func(h *schema.HollowOptions, v float64) { h.Routes = int64(v) }},
 	"changes":  {func(g *schema.SlopesOptions) string { return g.Changes }, func(h *schema.HollowOptions, v float64) { h.Changes = v }},
 	"releases": {func(g *schema.SlopesOptions) string { return g.Releases }, func(h *schema.HollowOptions, v float64) { h.Releases = int64(v) }},
@@ -42,20 +42,20 @@
 // judgedAtOnce is how many releases are under way while members are varied under them.
 const judgedAtOnce = 2
 
-// setServices takes as many routes along as there are services, for each has one at least.
-func setServices(given *schema.HollowOptions, value float64) {
-	given.Services, given.Routes = int64(value), max(given.Routes, int64(value))
-	given.Workers = max(given.Members, given.Services)
+// setServiceCount takes as many routes along as there are services, for each has one at least.
+func setServiceCount(opts *schema.HollowOptions, value float64) {
+	opts.Services, opts.Routes = int64(value), max(opts.Routes, int64(value))
+	opts.Workers = max(opts.Members, opts.Services)
 }
 
-// baseOf are the settings that stay while a driver is varied.
-func baseOf(given *schema.SlopesOptions) *schema.HollowOptions {
+// baseOptions are the settings that stay while a driver is varied.
+func baseOptions(opts *schema.SlopesOptions) *schema.HollowOptions {
 	base := &schema.HollowOptions{}
 	// The presets are checked with each build, so they parse.
 	_ = options.Parse("hollow", nil, base, io.Discard)
-	base.Members, base.Routes = given.At, max(base.Routes, routesAtBase)
+	base.Members, base.Routes = opts.At, max(base.Routes, routesAtBase)
 	base.Releases, base.Changes = 0, changesAtBase
-	base.Length, base.Settle, base.Lease, base.Mode, base.Binaries, base.Plots = given.Length, given.Settle, given.Lease, given.Mode, given.Binaries, "none"
+	base.Length, base.Settle, base.Lease, base.Mode, base.Binaries, base.Plots = opts.Length, opts.Settle, opts.Lease, opts.Mode, opts.Binaries, "none"
 	return base
 }
 
@@ -66,10 +66,10 @@
 	changesAtBase = 6
 )
 
-// valuesOf reads a driver's values.
-func valuesOf(given *schema.SlopesOptions, driver string) ([]float64, error) {
+// driverValues reads a driver's values.
+func driverValues(opts *schema.SlopesOptions, driver string) ([]float64, error) {
 	var values []float64
-	for _, text := range options.SplitList(drivers[driver].of(given)) {
+	for _, text := range options.SplitList(drivers[driver].of(opts)) {
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(value >= 0) {
 			return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("%s: %q is not a number from 0 up", driver, text))
@@ -79,22 +79,22 @@
 	return values, nil
 }
 
-// CheckSlopes lists what cannot be run here, for each run of the series.
-func CheckSlopes(given *schema.SlopesOptions) options.Faults {
+// ValidateSlopes lists what cannot be run here, for each run of the series.
+func ValidateSlopes(opts *schema.SlopesOptions) options.Faults {
 	var faults options.Faults
-	for _, driver := range options.SplitList(given.Drivers) {
-		if _, known := drivers[driver]; !known {
+	for _, driver := range options.SplitList(opts.Drivers) {
+		if _, found := drivers[driver]; !found {
 			faults = append(faults, fmt.Sprintf("drivers: %q is not one of them", driver))
 			continue
 		}
-		values, err := valuesOf(given, driver)
+		values, err := driverValues(opts, driver)
 		if err != nil {
 			faults = append(faults, err.Error())
 		}
 		for _, value := range values {
-			run := baseOf(given)
+			run := baseOptions(opts)
 			drivers[driver].set(run, value)
-			bad := append(outOfBounds(run), CheckHollow(run)...)
+			bad := append(boundsFaults(run), ValidateHollow(run)...)
 			for _, fault := range bad {
 				faults = append(faults, fmt.Sprintf("%s=%g: %s", driver, value, fault))
 			}
@@ -103,11 +103,11 @@
 	return faults
 }
 
-// outOfBounds holds settings that were put together here against their rules.
-func outOfBounds(given *schema.HollowOptions) options.Faults {
+// boundsFaults holds settings that were put together here against their rules.
+func boundsFaults(opts *schema.HollowOptions) options.Faults {
 	var args []string
-	for name, value := range map[string]any{"members": given.Members, "services": given.Services, "routes": given.Routes, "changes": given.Changes,
-		"releases": given.Releases, "restarts": given.Restarts, "reach": given.Reach, "seats": given.Seats} {
+	for name, value := range map[string]any{"members": opts.Members, "services": opts.Services, "routes": opts.Routes, "changes": opts.Changes,
+		"releases": opts.Releases, "restarts": opts.Restarts, "reach": opts.Reach, "seats": opts.Seats} {
 		args = append(args, fmt.Sprintf("-%s=%v", name, value))
 	}
 	faults, _ := options.Parse("hollow", args, &schema.HollowOptions{}, io.Discard).(options.Faults)
@@ -122,31 +122,31 @@
 	Report *HollowReport `json:"report"`
 }
 
-// costsOf are the costs that slopes are fitted to.
-var costsOf = []struct {
+// slopeCosts are the costs that slopes are fitted to.
+var slopeCosts = []struct {
 	name string
 	of   func(*HollowReport) float64
 }{
 	{"proxy cpu ms/s", roleCost("proxy", func(r *RoleCost) float64 { return r.CPU })},
-	{"proxy bytes in/s", roleCost("proxy", func(r *RoleCost) float64 { return r.In })},
-	{"proxy bytes out/s", roleCost("proxy", func(r *RoleCost) float64 { return r.Out })},
+	{"proxy bytes in/s", roleCost("proxy", func(r *RoleCost) float64 { return r.BytesIn })},
+	{"proxy bytes out/s", roleCost("proxy", func(r *RoleCost) float64 { return r.BytesOut })},
 	{"proxy messages/s", roleCost("proxy", func(r *RoleCost) float64 { return r.Messages })},
-	{"proxy MB", roleCost("proxy", func(r *RoleCost) float64 { return r.Memory })},
+	{"proxy MB", roleCost("proxy", func(r *RoleCost) float64 { return r.MemoryMB })},
 	{"registry cpu ms/s", roleCost("registry", func(r *RoleCost) float64 { return r.CPU })},
-	{"registry bytes in/s", roleCost("registry", func(r *RoleCost) float64 { return r.In })},
-	{"registry bytes out/s", roleCost("registry", func(r *RoleCost) float64 { return r.Out })},
+	{"registry bytes in/s", roleCost("registry", func(r *RoleCost) float64 { return r.BytesIn })},
+	{"registry bytes out/s", roleCost("registry", func(r *RoleCost) float64 { return r.BytesOut })},
 	{"registry messages/s", roleCost("registry", func(r *RoleCost) float64 { return r.Messages })},
-	{"registry MB", roleCost("registry", func(r *RoleCost) float64 { return r.Memory })},
+	{"registry MB", roleCost("registry", func(r *RoleCost) float64 { return r.MemoryMB })},
 	{"store cpu ms/s", roleCost("store", func(r *RoleCost) float64 { return r.CPU })},
-	{"store bytes in/s", roleCost("store", func(r *RoleCost) float64 { return r.In })},
+	{"store bytes in/s", roleCost("store", func(r *RoleCost) float64 { return r.BytesIn })},
 	{"store messages/s", roleCost("store", func(r *RoleCost) float64 { return r.Messages })},
-	{"store MB", roleCost("store", func(r *RoleCost) float64 { return r.Memory })},
-	{"store disk KB", roleCost("store", func(r *RoleCost) float64 { return r.Disk })},
+	{"store MB", roleCost("store", func(r *RoleCost) float64 { return r.MemoryMB })},
+	{"store disk KB", roleCost("store", func(r *RoleCost) float64 { return r.DiskKB })},
 	{"acknowledged after ms, p99", func(r *HollowReport) float64 { return r.Acknowledge.P99 }},
-	{"in use everywhere after ms, p99", func(r *HollowReport) float64 { return r.Everywhere.P99 }},
-	{"age of pictures ms, p99", func(r *HollowReport) float64 { return r.Stale.P99 }},
-	{"woken late by ms, p99", func(r *HollowReport) float64 { return r.Late.P99 }},
-	{"news of workers after ms, p99", func(r *HollowReport) float64 { return r.News.P99 }},
+	{"in use everywhere after ms, p99", func(r *HollowReport) float64 { return r.AppliedEverywhere.P99 }},
+	{"age of pictures ms, p99", func(r *HollowReport) float64 { return r.Staleness.P99 }},
+	{"woken late by ms, p99", func(r *HollowReport) float64 { return r.WakeupDelay.P99 }},
+	{"news of workers after ms, p99", func(r *HollowReport) float64 { return r.WorkerUpdates.P99 }},
 }
 
 func roleCost(role string, of func(*RoleCost) float64) func(*HollowReport) float64 {
@@ -173,35 +173,35 @@
 const pointsFile = "points.jsonl"
 
 // RunSlopes varies each driver by itself and fits what it costs.
-func RunSlopes(ctx context.Context, given *schema.SlopesOptions, out io.Writer) (*SlopesReport, error) {
-	if faults := CheckSlopes(given); len(faults) > 0 {
+func RunSlopes(ctx context.Context, opts *schema.SlopesOptions, out io.Writer) (*SlopesReport, error) {
+	if faults := ValidateSlopes(opts); len(faults) > 0 {
 		return nil, faults
 	}
-	if err := os.MkdirAll(given.Folder, 0o750); err != nil {
-		return nil, errs.Wrap(err, errs.DiskFailed, given.Folder)
+	if err := os.MkdirAll(opts.Folder, 0o750); err != nil {
+		return nil, errs.Wrap(err, errs.DiskFailed, opts.Folder)
 	}
-	file := filepath.Join(given.Folder, pointsFile)
+	file := filepath.Join(opts.Folder, pointsFile)
 	points, err := readPoints(file)
 	if err != nil {
 		return nil, err
 	}
-	kept, err := os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
+	pointsLog, err := os.OpenFile(file, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o640)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.DiskFailed, file)
 	}
-	defer kept.Close()
-	planned := planPoints(given)
+	defer pointsLog.Close()
+	planned := planPoints(opts)
 	for i, point := range planned {
-		if slices.ContainsFunc(points, func(had Point) bool {
-			return had.Driver == point.Driver && had.Value == point.Value && had.Run == point.Run
+		if slices.ContainsFunc(points, func(done Point) bool {
+			return done.Driver == point.Driver && done.Value == point.Value && done.Run == point.Run
 		}) {
 			continue
 		}
 		fmt.Fprintf(out, "run %d of %d: %s %g, time %d\n", i+1, len(planned), point.Driver, point.Value, point.Run)
-		run := baseOf(given)
+		run := baseOptions(opts)
 		drivers[point.Driver].set(run, point.Value)
 		run.Seed = int64(point.Run)
-		run.Folder = filepath.Join(given.Folder, fmt.Sprintf("%s-%g-%d", point.Driver, point.Value, point.Run))
+		run.Folder = filepath.Join(opts.Folder, fmt.Sprintf("%s-%g-%d", point.Driver, point.Value, point.Run))
 		if point.Report, err = RunHollow(ctx, run, io.Discard); err != nil {
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
@@ -215,22 +215,22 @@
 		if err != nil {
 			return nil, errs.Wrap(err, errs.Internal, "point")
 		}
-		if _, err := kept.Write(append(text, '\n')); err != nil {
+		if _, err := pointsLog.Write(append(text, '\n')); err != nil {
 			return nil, errs.Wrap(err, errs.DiskFailed, file)
 		}
 		points = append(points, point)
-		pause(ctx, time.Duration(given.Pause))
+		sleepContext(ctx, time.Duration(opts.Pause))
 	}
-	return fitPoints(given, points), nil
+	return fitPoints(opts, points), nil
 }
 
 // planPoints lists the runs. One of each value comes before a second of any, so that what else
 // the machine does is spread over all.
-func planPoints(given *schema.SlopesOptions) []Point {
+func planPoints(opts *schema.SlopesOptions) []Point {
 	var planned []Point
-	for run := range int(given.Runs) {
-		for _, driver := range options.SplitList(given.Drivers) {
-			values, _ := valuesOf(given, driver)
+	for run := range int(opts.Runs) {
+		for _, driver := range options.SplitList(opts.Drivers) {
+			values, _ := driverValues(opts, driver)
 			for _, value := range values {
 				planned = append(planned, Point{Driver: driver, Value: value, Run: run + 1})
 			}
@@ -260,14 +260,14 @@
 	return points, nil
 }
 
-func fitPoints(given *schema.SlopesOptions, points []Point) *SlopesReport {
-	report := &SlopesReport{Commit: commitHere(), Mode: given.Mode, Runs: len(points), points: points}
-	for _, driver := range options.SplitList(given.Drivers) {
-		for _, cost := range costsOf {
-			var runs []measured
+func fitPoints(opts *schema.SlopesOptions, points []Point) *SlopesReport {
+	report := &SlopesReport{Commit: buildCommit(), Mode: opts.Mode, Runs: len(points), points: points}
+	for _, driver := range options.SplitList(opts.Drivers) {
+		for _, cost := range slopeCosts {
+			var runs []costSample
 			for _, point := range points {
 				if point.Driver == driver {
-					runs = append(runs, measured{point.Value, cost.of(point.Report)})
+					runs = append(runs, costSample{point.Value, cost.of(point.Report)})
 				}
 			}
 			if len(runs) > 1 {
@@ -290,7 +290,7 @@
 				if means[point.Value] == nil {
 					values = append(values, point.Value)
 				}
-				means[point.Value] = append(means[point.Value], costOf(slope.Cost)(point.Report))
+				means[point.Value] = append(means[point.Value], costByName(slope.Cost)(point.Report))
 			}
 		}
 		slices.Sort(values)
@@ -304,14 +304,14 @@
 		}
 		fmt.Fprintf(out, "| %s |", slope.Cost)
 		for _, value := range values {
-			fmt.Fprintf(out, " %s |", short(stat.Mean(means[value], nil)))
+			fmt.Fprintf(out, " %s |", formatShort(stat.Mean(means[value], nil)))
 		}
-		fmt.Fprintf(out, " %s | %.3f | %.0f %% | %s, %+.0f %% |\n", slope.Text(), slope.Fit, 100*slope.Spread, short(slope.Predicted), 100*slope.Off())
+		fmt.Fprintf(out, " %s | %.3f | %.0f %% | %s, %+.0f %% |\n", slope.Formula(), slope.RSquared, 100*slope.RelativeSpread, formatShort(slope.Predicted), 100*slope.RelativeError())
 	}
 }
 
-func costOf(name string) func(*HollowReport) float64 {
-	for _, cost := range costsOf {
+func costByName(name string) func(*HollowReport) float64 {
+	for _, cost := range slopeCosts {
 		if cost.name == name {
 			return cost.of
 		}
@@ -319,8 +319,8 @@
 	return func(*HollowReport) float64 { return 0 }
 }
 
-// short writes a number with three places that count.
-func short(value float64) string {
+// formatShort writes a number with three places that count.
+func formatShort(value float64) string {
 	if value >= 1000 || value <= -1000 {
 		return fmt.Sprintf("%.0f", value)
 	}
@@ -332,29 +332,29 @@
 	return writeReport(file, r)
 }
 
-// Draw writes a plot of each slope with the runs that it was fitted to.
-func (r *SlopesReport) Draw(folder, form string) error {
+// WritePlots writes a plot of each slope with the runs that it was fitted to.
+func (r *SlopesReport) WritePlots(folder, format string) error {
 	for _, slope := range r.Slopes {
-		runs, out, line := series{name: "runs", dots: true}, series{name: "left out of the fit", dots: true}, series{name: slope.Text()}
-		most := 0.0
+		runs, heldOut, line := plotSeries{name: "runs", scatter: true}, plotSeries{name: "left out of the fit", scatter: true}, plotSeries{name: slope.Formula()}
+		largest := 0.0
 		for _, point := range r.points {
 			if point.Driver != slope.Driver {
 				continue
 			}
-			one := plotter.XY{X: point.Value, Y: costOf(slope.Cost)(point.Report)}
-			most = max(most, one.X)
-			if point.Value == slope.Out {
-				out.points = append(out.points, one)
+			plotted := plotter.XY{X: point.Value, Y: costByName(slope.Cost)(point.Report)}
+			largest = max(largest, plotted.X)
+			if point.Value == slope.HeldOut {
+				heldOut.points = append(heldOut.points, plotted)
 			} else {
-				runs.points = append(runs.points, one)
+				runs.points = append(runs.points, plotted)
 			}
 		}
 		for i := range 51 {
-			x := most * float64(i) / 50
-			line.points = append(line.points, plotter.XY{X: x, Y: slope.At(x)})
+			x := largest * float64(i) / 50
+			line.points = append(line.points, plotter.XY{X: x, Y: slope.Predict(x)})
 		}
 		name := slope.Cost + " by " + slope.Driver
-		if err := draw(folder, form, strings.ReplaceAll(name, "/", " a "), name, slope.Driver, slope.Cost, []series{line, runs, out}, nil); err != nil {
+		if err := writePlot(folder, format, strings.ReplaceAll(name, "/", " a "), name, slope.Driver, slope.Cost, []plotSeries{line, runs, heldOut}, nil); err != nil {
 			return err
 		}
 	}
--- a/internal/rehearsal/slopes_test.go
+++ b/internal/rehearsal/slopes_test.go
@@ -15,15 +15,15 @@
 // at the value that was left out.
 func TestFitSlope(t *testing.T) {
 	noise := []float64{0.98, 1.02, 1}
-	runsOf := func(law func(float64) float64) (runs []measured) {
+	runsOf := func(law func(float64) float64) (runs []costSample) {
 		for _, value := range []float64{15, 50, 100, 200, 400, 820} {
 			for _, by := range noise {
-				runs = append(runs, measured{value, law(value) * by})
+				runs = append(runs, costSample{value, law(value) * by})
 			}
 		}
 		return runs
 	}
-	for _, one := range []struct {
+	for _, testCase := range []struct {
 		name  string
 		law   func(float64) float64
 		terms int
@@ -33,31 +33,31 @@
 		{"line", func(x float64) float64 { return 5 + 3*x }, 2, 0.05},
 		{"pairs", func(x float64) float64 { return 5 + x + 0.2*x*x }, 3, 0.1},
 	} {
-		slope := fitSlope("members", one.name, runsOf(one.law))
-		if len(slope.Terms) != one.terms || math.Abs(slope.Off()) > one.off || slope.Out != 820 || slope.Spread < 0.01 || slope.Spread > 0.05 {
-			t.Errorf("%s: %+v, off %.3f", one.name, slope, slope.Off())
+		slope := fitSlope("members", testCase.name, runsOf(testCase.law))
+		if len(slope.Coefficients) != testCase.terms || math.Abs(slope.RelativeError()) > testCase.off || slope.HeldOut != 820 || slope.RelativeSpread < 0.01 || slope.RelativeSpread > 0.05 {
+			t.Errorf("%s: %+v, off %.3f", testCase.name, slope, slope.RelativeError())
 		}
 	}
 	// What turns at the end must show as far off, not be smoothed over.
-	if slope := fitSlope("members", "breaks", runsOf(func(x float64) float64 { return 5 + x + math.Max(0, x-400)*9 })); slope.Off() > -0.5 {
-		t.Errorf("%+v, off %.3f", slope, slope.Off())
+	if slope := fitSlope("members", "breaks", runsOf(func(x float64) float64 { return 5 + x + math.Max(0, x-400)*9 })); slope.RelativeError() > -0.5 {
+		t.Errorf("%+v, off %.3f", slope, slope.RelativeError())
 	}
 }
 
 // A series that holds a run that can't be made is refused as a whole, each such run by name.
-func TestSlopesSettings(t *testing.T) {
-	given := &schema.SlopesOptions{}
-	if err := options.Parse("rehearsal slopes", []string{"-drivers=members,loads,releases", "-members=10,99999,many", "-releases=1,500"}, given, io.Discard); err != nil {
+func TestSlopesOptionsAreValidated(t *testing.T) {
+	opts := &schema.SlopesOptions{}
+	if err := options.Parse("rehearsal slopes", []string{"-drivers=members,loads,releases", "-members=10,99999,many", "-releases=1,500"}, opts, io.Discard); err != nil {
 		t.Fatal(err)
 	}
-	faults := CheckSlopes(given).Error()
+	faults := ValidateSlopes(opts).Error()
 	for _, part := range []string{`"loads"`, `members: "many"`, "releases=500: releases"} {
 		if !strings.Contains(faults, part) {
 			t.Errorf("%s is not named in:\n%s", part, faults)
 		}
 	}
-	if given.Members = "10,99999"; !strings.Contains(CheckSlopes(given).Error(), "members=99999: members: 99999 is outside") {
-		t.Errorf("out of bounds: %v", CheckSlopes(given))
+	if opts.Members = "10,99999"; !strings.Contains(ValidateSlopes(opts).Error(), "members=99999: members: 99999 is outside") {
+		t.Errorf("out of bounds: %v", ValidateSlopes(opts))
 	}
 }
 
@@ -68,19 +68,19 @@
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
-	given := &schema.SlopesOptions{}
+	opts := &schema.SlopesOptions{}
 	if err := options.Parse("rehearsal slopes", []string{"-drivers=members,changes,routes", "-members=4,8,16", "-changes=0,60,240", "-routes=64,128,256", "-at=6", "-runs=1",
-		"-length=2s", "-settle=500ms", "-folder=" + t.TempDir(), "-binaries=" + buildPlain(t)}, given, io.Discard); err != nil {
+		"-length=2s", "-settle=500ms", "-folder=" + t.TempDir(), "-binaries=" + buildWithoutRaceDetector(t)}, opts, io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	report, err := RunSlopes(t.Context(), given, t.Output())
+	report, err := RunSlopes(t.Context(), opts, t.Output())
 	if err != nil {
 		t.Fatal(err)
 	}
 	report.Print(t.Output())
 	t.Logf("took %.0f s", time.Since(began).Seconds())
-	if report.Runs != 9 || len(report.Slopes) != 3*len(costsOf) {
+	if report.Runs != 9 || len(report.Slopes) != 3*len(slopeCosts) {
 		t.Fatalf("%d runs, %d slopes", report.Runs, len(report.Slopes))
 	}
 	// Bytes of a change: one route's item, some 250, and what stands around it. A session that is begun
@@ -90,12 +90,12 @@
 	for _, point := range report.points {
 		proxy := point.Report.Roles[0]
 		seconds, changes := point.Report.Seconds, float64(point.Report.Acknowledge.Count)
-		begun, others := proxy.Begun*seconds, float64(proxy.Processes)
-		if most := (changeBytes*(1+changes+begun) + wordBytes*begun*others) / seconds; proxy.In > 2*most || proxy.Out > 2*most {
-			t.Errorf("%s %g: a member took %.0f bytes a second and sent %.0f, with %.0f changes in %.0f s", point.Driver, point.Value, proxy.In, proxy.Out, changes, seconds)
+		sessionsBegun, others := proxy.SessionsBegun*seconds, float64(proxy.Processes)
+		if most := (changeBytes*(1+changes+sessionsBegun) + wordBytes*sessionsBegun*others) / seconds; proxy.BytesIn > 2*most || proxy.BytesOut > 2*most {
+			t.Errorf("%s %g: a member took %.0f bytes a second and sent %.0f, with %.0f changes in %.0f s", point.Driver, point.Value, proxy.BytesIn, proxy.BytesOut, changes, seconds)
 		}
 		// A restated session: a greeting, its answer, the beginning, and a word of each other member.
-		if most := beats + (2*(1+changes)+begun*(others+3))/seconds; proxy.Messages > most {
+		if most := beats + (2*(1+changes)+sessionsBegun*(others+3))/seconds; proxy.Messages > most {
 			t.Errorf("%s %g: %.2f messages a second of a member, more than %.2f", point.Driver, point.Value, proxy.Messages, most)
 		}
 		if point.Report.Unapplied > 0 {
@@ -103,15 +103,15 @@
 		}
 	}
 	for _, slope := range report.Slopes {
-		if slope.Driver == "routes" && slope.Cost == "store disk KB" && (slope.Terms[1] < 0.05 || slope.Terms[1]*1024 > itemBytes) {
-			t.Errorf("%s by routes: %s", slope.Cost, slope.Text())
+		if slope.Driver == "routes" && slope.Cost == "store disk KB" && (slope.Coefficients[1] < 0.05 || slope.Coefficients[1]*1024 > itemBytes) {
+			t.Errorf("%s by routes: %s", slope.Cost, slope.Formula())
 		}
 	}
-	if err := report.Draw(t.TempDir(), "svg"); err != nil {
+	if err := report.WritePlots(t.TempDir(), "svg"); err != nil {
 		t.Error(err)
 	}
 	// A series that was cut short goes on from what it has.
-	again, err := RunSlopes(t.Context(), given, t.Output())
+	again, err := RunSlopes(t.Context(), opts, t.Output())
 	if err != nil || again.Runs != report.Runs {
 		t.Errorf("%d runs the second time, %v", again.Runs, err)
 	}
--- a/internal/rehearsal/soak_test.go
+++ b/internal/rehearsal/soak_test.go
@@ -14,29 +14,29 @@
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
-	report, err := Soak(SoakOptions{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: build(t), First: 1, Seeds: 2, Side: 1,
-		Length: 16 * time.Second, Lease: 8 * time.Second, LeaveBound: 20 * time.Second, Out: t.Output()})
+	report, err := Soak(SoakOptions{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: buildWithRaceDetector(t), FirstSeed: 1, SeedCount: 2, ParallelFleets: 1,
+		LoadDuration: 16 * time.Second, Lease: 8 * time.Second, DrainingBound: 20 * time.Second, Out: t.Output()})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range report.Runs {
 		run := &report.Runs[i]
-		if !run.Sound() {
+		if !run.Passed() {
 			t.Errorf("seed %d: %+v", run.Seed, run)
 		}
-		if run.Faults == 0 || run.Outcomes["answered"] == 0 || run.Outcomes[outcomeLeft] == 0 || run.Departures.Detected == 0 {
+		if run.Faults == 0 || run.Outcomes["answered"] == 0 || run.Outcomes[outcomeDisconnected] == 0 || run.Disconnects.Detected == 0 {
 			t.Errorf("seed %d judged nothing: %+v", run.Seed, run)
 		}
 	}
 }
 
 // What a soak judges of callers that leave is found where it is broken, and only there.
-func TestDeparturesAreJudged(t *testing.T) {
+func TestDisconnectsAreChecked(t *testing.T) {
 	const rule = "workers are freed when the callers of repeatable calls leave"
-	left := CallEntry{Op: "a", Outcome: outcomeLeft, Sent: time.Second, Got: 2 * time.Second}
-	once := left
-	once.Once = true
-	for name, one := range map[string]struct {
+	left := CallEntry{Operation: "a", Outcome: outcomeDisconnected, Sent: time.Second, Received: 2 * time.Second}
+	nonIdempotent := left
+	nonIdempotent.NonIdempotent = true
+	for name, testCase := range map[string]struct {
 		call     CallEntry
 		end      time.Duration
 		faults   []FaultEntry
@@ -45,23 +45,23 @@
 		"freed at once":                      {left, 2 * time.Second, nil, 0},
 		"freed in time":                      {left, 2500 * time.Millisecond, nil, 0},
 		"goes on":                            {left, 2501 * time.Millisecond, nil, 1},
-		"goes on, though a store is slow":    {left, 3 * time.Second, []FaultEntry{{What: "disk slow", At: time.Second}}, 1},
-		"held up by a cut":                   {left, 3 * time.Second, []FaultEntry{{What: "edge machine cut off", At: time.Second, Mute: true}}, 0},
-		"after a cut long over":              {left, 3 * time.Second, []FaultEntry{{What: "edge machine cut off", At: -4 * time.Second, End: -3 * time.Second, Mute: true}}, 1},
-		"may not be repeated, so it goes on": {once, time.Minute, nil, 0},
+		"goes on, though a store is slow":    {left, 3 * time.Second, []FaultEntry{{Name: "disk slow", At: time.Second}}, 1},
+		"held up by a cut":                   {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: time.Second, DelaysPeerMessages: true}}, 0},
+		"after a cut long over":              {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: -4 * time.Second, End: -3 * time.Second, DelaysPeerMessages: true}}, 1},
+		"may not be repeated, so it goes on": {nonIdempotent, time.Minute, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := &Ledger{DepartBound: 500 * time.Millisecond, Calls: []CallEntry{one.call}, Ends: []EndEntry{{Op: "a", Worker: "w", At: one.end}}, Faults: one.faults}
-			for _, finding := range Judge(ledger, Deployments["small"]) {
-				if finding.Rule == rule && finding.Breaches != one.breaches {
-					t.Errorf("%d breaches, want %d: %v", finding.Breaches, one.breaches, finding.Examples)
+			ledger := &History{DisconnectBound: 500 * time.Millisecond, Calls: []CallEntry{testCase.call}, ExecutionEnds: []ExecutionEndEntry{{Operation: "a", Worker: "w", At: testCase.end}}, Faults: testCase.faults}
+			for _, finding := range CheckInvariants(ledger, Deployments["small"]) {
+				if finding.Rule == rule && finding.Violations != testCase.breaches {
+					t.Errorf("%d breaches, want %d: %v", finding.Violations, testCase.breaches, finding.Examples)
 				}
 			}
 		})
 	}
-	counted := &Ledger{Departures: map[string]dispatch.DisconnectCounts{"p 1": {Overrun: 1, SentLate: 1}, "p 2": {Canceled: 5}}}
-	for _, finding := range Judge(counted, Deployments["small"]) {
-		if strings.HasPrefix(finding.Rule, "no proxy counts a breach") && (finding.Breaches != 2 || finding.Judged != 5) {
+	counted := &History{Disconnects: map[string]dispatch.DisconnectCounts{"p 1": {Overrun: 1, SentLate: 1}, "p 2": {Canceled: 5}}}
+	for _, finding := range CheckInvariants(counted, Deployments["small"]) {
+		if strings.HasPrefix(finding.Rule, "no proxy counts a breach") && (finding.Violations != 2 || finding.Checked != 5) {
 			t.Errorf("%+v", finding)
 		}
 	}
@@ -69,17 +69,17 @@
 
 // A call that ran and got no answer is a breach where nothing unplanned struck.
 func TestLostAnswersAreJudged(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, testCase := range map[string]struct {
 		fault    string
 		costs    bool
 		breaches int
 	}{"around planned work": {"proxies restarted politely in series", false, 1}, "around a kill": {"proxy killed", true, 0}} {
 		t.Run(name, func(t *testing.T) {
-			ledger := &Ledger{Calls: []CallEntry{{Op: "a", Outcome: "unknown", Sent: 2 * time.Second, Got: 3 * time.Second}}, Runs: []RunEntry{{Op: "a"}},
-				Faults: []FaultEntry{{What: one.fault, At: time.Second, Costs: one.costs}}}
-			for _, finding := range Judge(ledger, Deployments["small"]) {
-				if strings.HasPrefix(finding.Rule, "a call that a worker is at is answered") && finding.Breaches != one.breaches {
-					t.Errorf("%d breaches, want %d", finding.Breaches, one.breaches)
+			ledger := &History{Calls: []CallEntry{{Operation: "a", Outcome: "unknown", Sent: 2 * time.Second, Received: 3 * time.Second}}, Executions: []ExecutionEntry{{Operation: "a"}},
+				Faults: []FaultEntry{{Name: testCase.fault, At: time.Second, MayReject: testCase.costs}}}
+			for _, finding := range CheckInvariants(ledger, Deployments["small"]) {
+				if strings.HasPrefix(finding.Rule, "a call that a worker is at is answered") && finding.Violations != testCase.breaches {
+					t.Errorf("%d breaches, want %d", finding.Violations, testCase.breaches)
 				}
 			}
 		})
--- a/internal/rehearsal/worker.go
+++ b/internal/rehearsal/worker.go
@@ -22,54 +22,54 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// opHeader carries the name of a request from caller to worker.
-const opHeader = "X-Op"
+// operationHeader carries the name of a request from caller to worker.
+const operationHeader = "X-Op"
 
-// askHeader tells how often the request had been asked for before.
-const askHeader = "X-Ask"
+// callerRetryHeader tells how often the request had been asked for before.
+const callerRetryHeader = "X-Ask"
 
 // Worker is a stand-in worker. It runs what bears its token, and writes each run down.
 type Worker struct {
-	name    string
-	said    dispatch.WorkerDescription
-	describ string // where the proxy beside it takes descriptions
-	ledger  *Ledger
-	now     func() time.Duration
-	delay   time.Duration
+	name                string
+	description         dispatch.WorkerDescription
+	registrationAddress string // where the proxy beside it takes descriptions
+	history             *History
+	now                 func() time.Duration
+	delay               time.Duration
 
-	lock     sync.Mutex
-	conns    map[net.Conn]bool
-	listener net.Listener
-	ended    chan struct{}
-	dead     atomic.Bool
-	leaving  atomic.Bool
-	running  atomic.Int64
-	illness  atomic.Pointer[Illness]
-	onward   atomic.Pointer[func(call *fasthttp.RequestCtx)] // what is done for an answer, besides
+	lock      sync.Mutex
+	conns     map[net.Conn]bool
+	listener  net.Listener
+	stopped   chan struct{}
+	killed    atomic.Bool
+	draining  atomic.Bool
+	inFlight  atomic.Int64
+	fault     atomic.Pointer[WorkerFault]
+	onRequest atomic.Pointer[func(call *fasthttp.RequestCtx)] // what is done for an answer, besides
 }
 
-// Illness is how a bad version behaves.
-type Illness struct {
-	Prefix string        // only on paths with it; empty for all
-	Fails  bool          // answers 500
-	Delay  time.Duration // takes this much longer
-	Loses  bool          // does the work and loses the answer
-	Babble bool          // answers what is no JSON
-	Load   int64         // ill only while more calls than this are under way at the worker
+// WorkerFault is how a bad version behaves.
+type WorkerFault struct {
+	Prefix          string        // only on paths with it; empty for all
+	ReturnsError    bool          // answers 500
+	ExtraDelay      time.Duration // takes this much longer
+	DropsResponse   bool          // does the work and loses the answer
+	GarblesResponse bool          // answers what is no JSON
+	AboveInFlight   int64         // ill only while more calls than this are under way at the worker
 }
 
-// Fall makes the worker ill, or well with nil.
-func (w *Worker) Fall(ill *Illness) { w.illness.Store(ill) }
+// SetFault makes the worker ill, or well with nil.
+func (w *Worker) SetFault(fault *WorkerFault) { w.fault.Store(fault) }
 
-// beat is how often stand-in workers describe themselves.
-const beat = time.Second
+// heartbeatInterval is how often stand-in workers describe themselves.
+const heartbeatInterval = time.Second
 
-type countedListener struct {
+type trackingListener struct {
 	net.Listener
 	worker *Worker
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		l.worker.lock.Lock()
@@ -80,123 +80,123 @@
 }
 
 // StartWorker begins a worker at an address and keeps describing it to its proxy.
-func StartWorker(name, service, version, area, address, proxyAddress string, delay time.Duration, ledger *Ledger, now func() time.Duration) (*Worker, error) {
+func StartWorker(name, service, version, zone, address, registrationAddress string, delay time.Duration, history *History, now func() time.Duration) (*Worker, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "worker")
 	}
-	w := &Worker{name: name, describ: proxyAddress, ledger: ledger, now: now, delay: delay, conns: map[net.Conn]bool{}, listener: listener, ended: make(chan struct{}),
-		said: dispatch.WorkerDescription{Address: address, Service: service, Version: version, Zone: area, Token: fmt.Sprintf("%s-%d", name, now()), HeartbeatMS: beat.Milliseconds()}}
+	w := &Worker{name: name, registrationAddress: registrationAddress, history: history, now: now, delay: delay, conns: map[net.Conn]bool{}, listener: listener, stopped: make(chan struct{}),
+		description: dispatch.WorkerDescription{Address: address, Service: service, Version: version, Zone: zone, Token: fmt.Sprintf("%s-%d", name, now()), HeartbeatMS: heartbeatInterval.Milliseconds()}}
 	// That a proxy closed a connection is noted in the ledger where it counts.
-	silent := log.New(io.Discard, "", 0)
-	server := &fasthttp.Server{Handler: w.handle, NoDefaultServerHeader: true, Concurrency: 10000, Logger: silent}
-	go func() { _ = server.Serve(countedListener{listener, w}) }()
-	go w.keepDescribing()
+	discard := log.New(io.Discard, "", 0)
+	server := &fasthttp.Server{Handler: w.handle, NoDefaultServerHeader: true, Concurrency: 10000, Logger: discard}
+	go func() { _ = server.Serve(trackingListener{listener, w}) }()
+	go w.heartbeatLoop()
 	return w, nil
 }
 
 func (w *Worker) handle(call *fasthttp.RequestCtx) {
-	if w.dead.Load() {
+	if w.killed.Load() {
 		call.HijackSetNoResponse(true)
 		call.Hijack(func(net.Conn) {})
 		return
 	}
-	op := string(call.Request.Header.Peek(opHeader))
-	if string(call.Request.Header.Peek(dispatch.HeaderToken)) != w.said.Token {
+	operation := string(call.Request.Header.Peek(operationHeader))
+	if string(call.Request.Header.Peek(dispatch.HeaderToken)) != w.description.Token {
 		// Not meant for this worker: it says so, and has not run it.
-		note(w.ledger, &w.ledger.Strays, w.name+" refused "+op)
+		appendEntry(w.history, &w.history.MisdirectedRequests, w.name+" refused "+operation)
 		call.Response.Header.Set(dispatch.HeaderRefused, "token")
 		call.SetStatusCode(fasthttp.StatusMisdirectedRequest)
 		return
 	}
-	w.running.Add(1)
-	defer w.running.Add(-1)
+	w.inFlight.Add(1)
+	defer w.inFlight.Add(-1)
 	// What is sent past the mesh, to measure what the mesh adds, is not of its ledger.
 	if string(call.Path()) == directPath {
-		w.answer(call, op)
+		w.respond(call, operation)
 		return
 	}
-	ill := w.illness.Load()
-	struck := ill != nil && strings.HasPrefix(string(call.Path()), ill.Prefix) && w.running.Load() > ill.Load
-	if ill != nil && ill.Load > 0 {
-		time.Sleep(ill.Delay)
+	fault := w.fault.Load()
+	faulty := fault != nil && strings.HasPrefix(string(call.Path()), fault.Prefix) && w.inFlight.Load() > fault.AboveInFlight
+	if fault != nil && fault.AboveInFlight > 0 {
+		time.Sleep(fault.ExtraDelay)
 	}
-	ask, _ := strconv.Atoi(string(call.Request.Header.Peek(askHeader)))
-	note(w.ledger, &w.ledger.Runs, RunEntry{Op: op, Ask: ask, Caller: string(call.Request.Header.Peek(dispatch.HeaderCaller)), Service: w.said.Service,
-		Version: w.said.Version, Worker: w.name, At: w.now(), Ill: struck})
-	if struck && ill.Load == 0 {
-		time.Sleep(ill.Delay)
+	callerRetry, _ := strconv.Atoi(string(call.Request.Header.Peek(callerRetryHeader)))
+	appendEntry(w.history, &w.history.Executions, ExecutionEntry{Operation: operation, CallerRetry: callerRetry, Caller: string(call.Request.Header.Peek(dispatch.HeaderCaller)), Service: w.description.Service,
+		Version: w.description.Version, Worker: w.name, At: w.now(), Faulty: faulty})
+	if faulty && fault.AboveInFlight == 0 {
+		time.Sleep(fault.ExtraDelay)
 	}
-	w.work(call, op)
-	w.answer(call, op)
+	w.simulateWork(call, operation)
+	w.respond(call, operation)
 	switch {
-	case !struck:
-	case ill.Fails:
+	case !faulty:
+	case fault.ReturnsError:
 		call.SetStatusCode(fasthttp.StatusInternalServerError)
-	case ill.Loses:
+	case fault.DropsResponse:
 		call.HijackSetNoResponse(true)
 		call.Hijack(func(net.Conn) {})
-	case ill.Babble:
-		call.SetBodyString(`{"op": "` + op + `", "worker`)
+	case fault.GarblesResponse:
+		call.SetBodyString(`{"op": "` + operation + `", "worker`)
 	}
 }
 
-// work takes as long as a request asks, or until the connection that it came on ends.
-func (w *Worker) work(call *fasthttp.RequestCtx, op string) {
-	asked, err := strconv.Atoi(string(call.Request.Header.Peek(lastsHeader)))
+// simulateWork takes as long as a request asks, or until the connection that it came on ends.
+func (w *Worker) simulateWork(call *fasthttp.RequestCtx, operation string) {
+	requestedMS, err := strconv.Atoi(string(call.Request.Header.Peek(workDurationHeader)))
 	if err != nil {
 		return
 	}
-	conn, ended := call.Conn(), make(chan bool, 1)
+	conn, connEnded := call.Conn(), make(chan bool, 1)
 	go func() {
 		// A proxy sends nothing before it has its answer, so what can be read is the end.
 		_, err := conn.Read(make([]byte, 1))
-		ended <- err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+		connEnded <- err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	}()
-	broken := false
+	connLost := false
 	select {
-	case broken = <-ended:
-	case <-time.After(time.Duration(asked) * time.Millisecond):
+	case connLost = <-connEnded:
+	case <-time.After(time.Duration(requestedMS) * time.Millisecond):
 		_ = conn.SetReadDeadline(time.Unix(1, 0))
-		broken = <-ended
+		connLost = <-connEnded
 		_ = conn.SetReadDeadline(time.Time{})
 	}
-	note(w.ledger, &w.ledger.Ends, EndEntry{op, w.name, w.now(), broken})
+	appendEntry(w.history, &w.history.ExecutionEnds, ExecutionEndEntry{operation, w.name, w.now(), connLost})
 }
 
 // directPath is for calls past the mesh.
 const directPath = "/direct"
 
-// answer does the work and answers.
-func (w *Worker) answer(call *fasthttp.RequestCtx, op string) {
+// respond does the work and answers.
+func (w *Worker) respond(call *fasthttp.RequestCtx, operation string) {
 	if w.delay > 0 {
 		time.Sleep(w.delay)
 	}
-	if onward := w.onward.Load(); onward != nil {
-		(*onward)(call)
+	if onRequest := w.onRequest.Load(); onRequest != nil {
+		(*onRequest)(call)
 	}
-	text, _ := json.Marshal(fakebackend.NewReply(op, w.name, string(bytes.Repeat([]byte("x"), 200))))
+	text, _ := json.Marshal(fakebackend.NewReply(operation, w.name, string(bytes.Repeat([]byte("x"), 200))))
 	call.SetContentType("application/json")
 	call.SetBody(text)
 }
 
-func (w *Worker) describe(change func(*dispatch.WorkerDescription)) error {
+func (w *Worker) register(change func(*dispatch.WorkerDescription)) error {
 	w.lock.Lock()
 	if change != nil {
-		change(&w.said)
+		change(&w.description)
 	}
-	said := w.said
+	description := w.description
 	w.lock.Unlock()
-	said.Load = float64(w.running.Load()) / 100
-	text, _ := json.Marshal(said)
+	description.Load = float64(w.inFlight.Load()) / 100
+	text, _ := json.Marshal(description)
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + w.describ + "/v1/worker")
+	request.SetRequestURI("http://" + w.registrationAddress + "/v1/worker")
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.Header.SetContentType("application/json")
 	request.SetBody(text)
-	if err := fasthttp.DoTimeout(request, response, beat); err != nil {
+	if err := fasthttp.DoTimeout(request, response, heartbeatInterval); err != nil {
 		return errs.Wrap(err, errs.PeerConnectionLost, w.name)
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
@@ -205,25 +205,25 @@
 	return nil
 }
 
-// Direct sends one call straight to the worker and tells how long it took.
-func (w *Worker) Direct() (time.Duration, error) {
+// CallDirectly sends one call straight to the worker and tells how long it took.
+func (w *Worker) CallDirectly() (time.Duration, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
-	request.SetRequestURI("http://" + w.said.Address + directPath)
-	request.Header.Set(dispatch.HeaderToken, w.said.Token)
+	request.SetRequestURI("http://" + w.description.Address + directPath)
+	request.Header.Set(dispatch.HeaderToken, w.description.Token)
 	begin := time.Now()
-	err := fasthttp.DoTimeout(request, response, beat)
+	err := fasthttp.DoTimeout(request, response, heartbeatInterval)
 	return time.Since(begin), errs.Wrap(err, errs.WorkerConnectionLost, w.name)
 }
 
-func (w *Worker) keepDescribing() {
-	ticker := time.NewTicker(beat)
+func (w *Worker) heartbeatLoop() {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
-		_ = w.describe(nil)
+		_ = w.register(nil)
 		select {
-		case <-w.ended:
+		case <-w.stopped:
 			return
 		case <-ticker.C:
 		}
@@ -232,16 +232,16 @@
 
 // Drain says that the worker is emptying, and goes on serving what it has.
 func (w *Worker) Drain() error {
-	w.leaving.Store(true)
-	err := w.describe(func(said *dispatch.WorkerDescription) { said.Draining = true })
-	note(w.ledger, &w.ledger.Leaves, LeaveEntry{w.name, w.now()})
+	w.draining.Store(true)
+	err := w.register(func(description *dispatch.WorkerDescription) { description.Draining = true })
+	appendEntry(w.history, &w.history.WorkerExits, WorkerExitEntry{w.name, w.now()})
 	return err
 }
 
-// Leave says that the worker is gone, waits for what it runs, and ends.
-func (w *Worker) Leave() {
-	_ = w.describe(func(said *dispatch.WorkerDescription) { said.Deregistered = true })
-	for w.running.Load() > 0 {
+// Shutdown says that the worker is gone, waits for what it runs, and ends.
+func (w *Worker) Shutdown() {
+	_ = w.register(func(description *dispatch.WorkerDescription) { description.Deregistered = true })
+	for w.inFlight.Load() > 0 {
 		time.Sleep(10 * time.Millisecond)
 	}
 	w.Kill()
@@ -249,10 +249,10 @@
 
 // Kill ends the worker at once, as a crash does: every connection is reset, nothing said.
 func (w *Worker) Kill() {
-	if w.dead.Swap(true) {
+	if w.killed.Swap(true) {
 		return
 	}
-	close(w.ended)
+	close(w.stopped)
 	w.listener.Close()
 	w.lock.Lock()
 	for conn := range w.conns {
@@ -262,7 +262,7 @@
 		conn.Close()
 	}
 	w.lock.Unlock()
-	if !w.leaving.Load() {
-		note(w.ledger, &w.ledger.Leaves, LeaveEntry{w.name, w.now()})
+	if !w.draining.Load() {
+		appendEntry(w.history, &w.history.WorkerExits, WorkerExitEntry{w.name, w.now()})
 	}
 }
--- a/internal/simulator/cast.go
+++ b/internal/simulator/cast.go
@@ -23,15 +23,15 @@
 
 // connections are the open ends that close with a life.
 type connections struct {
-	lock  sync.Mutex
-	open  []net.Conn
-	ended bool
+	lock   sync.Mutex
+	open   []net.Conn
+	closed bool
 }
 
 func (c *connections) add(conn net.Conn) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	if c.ended {
+	if c.closed {
 		conn.Close()
 		return
 	}
@@ -41,7 +41,7 @@
 func (c *connections) close() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
-	c.ended = true
+	c.closed = true
 	for _, conn := range c.open {
 		conn.Close()
 	}
@@ -51,135 +51,135 @@
 // workerNode is a stand-in worker.
 type workerNode struct {
 	name, address, service, version, token string
-	beside                                 *proxyNode
-	up, leaving                            bool // up is guarded by the world's lock
+	proxy                                  *proxyNode
+	up, draining                           bool // up is guarded by the world's lock
 	conns                                  connections
-	born                                   time.Duration
-	warm                                   time.Duration // it is slow for so long after it began
-	heir                                   *workerNode   // whose connections it took over
-	loses, babbles                         bool          // does the work and loses the answer, or garbles it
+	startedAt                              time.Duration
+	warmup                                 time.Duration // it is slow for so long after it began
+	predecessor                            *workerNode   // whose connections it took over
+	dropsResponses, truncatesResponses     bool          // does the work and loses the answer, or garbles it
 }
 
-// Illness is how a version behaves that is not sound.
-type Illness struct {
-	From  time.Duration
-	Until time.Duration // 0 for ever
-	Route string        // on one route only
-	Fails float64       // part of its calls that it answers with 500
-	Slow  time.Duration // added to each call
-	Times float64       // what would fail takes so many times as long instead, 0 for not
-	Load  int           // it is ill only while more calls than this are under way at it, which take ten times as long
+// Degradation is how a version behaves that is not sound.
+type Degradation struct {
+	From           time.Duration
+	Until          time.Duration // 0 for ever
+	Route          string        // on one route only
+	FailureRate    float64       // part of its calls that it answers with 500
+	ExtraLatency   time.Duration // added to each call
+	SlowdownFactor float64       // what would fail takes so many times as long instead, 0 for not
+	LoadThreshold  int           // it is ill only while more calls than this are under way at it, which take ten times as long
 }
 
-const beat = time.Second
+const heartbeatInterval = time.Second
 
-// spread is how the workers are spread: service, version.
-var spread = [][2]string{{"shop", "1"}, {"shop", "2"}, {"saves", "1"}, {"shop", "1"}, {"saves", "2"}, {"shop", "2"}, {"saves", "1"}, {"saves", "2"}}
+// initialWorkers is how the workers are spread: service, version.
+var initialWorkers = [][2]string{{"shop", "1"}, {"shop", "2"}, {"saves", "1"}, {"shop", "1"}, {"saves", "2"}, {"shop", "2"}, {"saves", "1"}, {"saves", "2"}}
 
-func (w *World) placeWorkers() {
-	for i, one := range spread {
-		w.startWorker(w.proxies[i%len(w.proxies)], one[0], one[1], "")
+func (w *World) startInitialWorkers() {
+	for i, worker := range initialWorkers {
+		w.startWorker(w.proxies[i%len(w.proxies)], worker[0], worker[1], "")
 	}
 }
 
 // startWorker begins a worker beside a proxy, at a new address or at one that was freed.
-func (w *World) startWorker(beside *proxyNode, service, version, address string) *workerNode {
+func (w *World) startWorker(proxy *proxyNode, service, version, address string) *workerNode {
 	if address == "" {
-		w.spares++
-		address = fmt.Sprintf("127.0.0.1:%d", 10000+w.spares)
+		w.addressesUsed++
+		address = fmt.Sprintf("127.0.0.1:%d", 10000+w.addressesUsed)
 	}
-	serial := w.next()
-	one := &workerNode{name: fmt.Sprintf("w%d-%s", serial, service), address: address, service: service, version: version, token: fmt.Sprint("token-", serial), beside: beside, up: true, born: w.now}
+	id := w.nextID()
+	worker := &workerNode{name: fmt.Sprintf("w%d-%s", id, service), address: address, service: service, version: version, token: fmt.Sprint("token-", id), proxy: proxy, up: true, startedAt: w.now}
 	w.lock.Lock()
-	w.places[address] = one
-	w.workers = append(w.workers, one)
+	w.workersByAddress[address] = worker
+	w.workers = append(w.workers, worker)
 	w.lock.Unlock()
-	var beats func()
-	beats = func() {
-		if !one.up {
+	var sendHeartbeat func()
+	sendHeartbeat = func() {
+		if !worker.up {
 			return
 		}
-		w.describe(one, false)
-		w.after(beat, beats)
+		w.describeWorker(worker, false)
+		w.schedule(heartbeatInterval, sendHeartbeat)
 	}
-	w.after(w.upTo(beat/2), beats)
-	return one
+	w.schedule(w.randomDuration(heartbeatInterval/2), sendHeartbeat)
+	return worker
 }
 
-// describe lets a worker say to its proxy what it is; a dead proxy does not hear it.
-func (w *World) describe(one *workerNode, gone bool) {
-	beside := one.beside
-	if !beside.up {
+// describeWorker lets a worker say to its proxy what it is; a dead proxy does not hear it.
+func (w *World) describeWorker(worker *workerNode, terminated bool) {
+	proxy := worker.proxy
+	if !proxy.up {
 		return
 	}
-	said := dispatch.WorkerDescription{Address: one.address, Service: one.service, Version: one.version, Token: one.token, HeartbeatMS: beat.Milliseconds(), Draining: one.leaving, Deregistered: gone}
-	if w.plant == PlantUnheard {
-		said.Draining = false
+	description := dispatch.WorkerDescription{Address: worker.address, Service: worker.service, Version: worker.version, Token: worker.token, HeartbeatMS: heartbeatInterval.Milliseconds(), Draining: worker.draining, Deregistered: terminated}
+	if w.seededFault == SeededDrainIgnored {
+		description.Draining = false
 	}
-	workers := beside.workers
-	w.on(&beside.machine, time.Millisecond, func() { _, _ = workers.Register(said) })
+	workers := proxy.workers
+	w.scheduleOn(&proxy.process, time.Millisecond, func() { _, _ = workers.Register(description) })
 }
 
-// drain lets a worker say that it is emptying.
-func (w *World) drain(one *workerNode) {
-	one.leaving = true
-	w.History.leaves(one.token, w.now)
-	w.describe(one, false)
+// drainWorker lets a worker say that it is emptying.
+func (w *World) drainWorker(worker *workerNode) {
+	worker.draining = true
+	w.History.recordDeparture(worker.token, w.now)
+	w.describeWorker(worker, false)
 }
 
-// endWorker ends a worker at once: every connection breaks.
-func (w *World) endWorker(one *workerNode) {
+// killWorker ends a worker at once: every connection breaks.
+func (w *World) killWorker(worker *workerNode) {
 	w.lock.Lock()
-	was := one.up
-	one.up = false
-	if w.places[one.address] == one {
-		delete(w.places, one.address)
+	wasUp := worker.up
+	worker.up = false
+	if w.workersByAddress[worker.address] == worker {
+		delete(w.workersByAddress, worker.address)
 	}
 	w.lock.Unlock()
-	if was {
-		w.History.leaves(one.token, w.now)
-		for ended := one; ended != nil; ended = ended.heir {
-			ended.conns.close()
+	if wasUp {
+		w.History.recordDeparture(worker.token, w.now)
+		for owner := worker; owner != nil; owner = owner.predecessor {
+			owner.conns.close()
 		}
 	}
 }
 
-// supplant puts another worker at an address in a way that no connection to it shows, as where
+// takeOverConnections puts another worker at an address in a way that no connection to it shows, as where
 // something in front of the workers keeps connections open.
-func (w *World) supplant(old *workerNode, service string) *workerNode {
+func (w *World) takeOverConnections(old *workerNode, service string) *workerNode {
 	w.lock.Lock()
 	old.up = false
 	w.lock.Unlock()
-	w.History.leaves(old.token, w.now)
-	fresh := w.startWorker(old.beside, service, "1", old.address)
-	fresh.heir = old
-	return fresh
+	w.History.recordDeparture(old.token, w.now)
+	replacement := w.startWorker(old.proxy, service, "1", old.address)
+	replacement.predecessor = old
+	return replacement
 }
 
-// replace starts a successor, drains a worker and ends it, and gives its address to a worker of
+// replaceWorker starts a successor, drains a worker and ends it, and gives its address to a worker of
 // another service.
-func (w *World) replace(old *workerNode) {
-	w.startWorker(old.beside, old.service, old.version, "")
-	w.after(300*time.Millisecond, func() {
+func (w *World) replaceWorker(old *workerNode) {
+	w.startWorker(old.proxy, old.service, old.version, "")
+	w.schedule(300*time.Millisecond, func() {
 		if !old.up {
 			return
 		}
-		w.drain(old)
-		w.after(time.Second, func() {
-			w.describe(old, true)
-			w.after(100*time.Millisecond, func() {
-				w.endWorker(old)
+		w.drainWorker(old)
+		w.schedule(time.Second, func() {
+			w.describeWorker(old, true)
+			w.schedule(100*time.Millisecond, func() {
+				w.killWorker(old)
 				other := "saves"
 				if old.service == other {
 					other = "shop"
 				}
-				w.after(w.upTo(time.Second), func() {
-					reuser := w.startWorker(old.beside, other, "1", old.address)
+				w.schedule(w.randomDuration(time.Second), func() {
+					addressReuser := w.startWorker(old.proxy, other, "1", old.address)
 					// It goes again, so that the fleet does not grow with every replacement.
-					w.after(10*time.Second, func() {
-						if reuser.up {
-							w.drain(reuser)
-							w.after(2*time.Second, func() { w.endWorker(reuser) })
+					w.schedule(10*time.Second, func() {
+						if addressReuser.up {
+							w.drainWorker(addressReuser)
+							w.schedule(2*time.Second, func() { w.killWorker(addressReuser) })
 						}
 					})
 				})
@@ -189,29 +189,29 @@
 }
 
 // dial opens a connection from a proxy to whoever stands at an address now.
-func (w *World) dial(address string, from *connections) (net.Conn, error) {
+func (w *World) dial(address string, conns *connections) (net.Conn, error) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	one := w.places[address]
-	if one == nil || !one.up || w.quit {
+	worker := w.workersByAddress[address]
+	if worker == nil || !worker.up || w.closed {
 		return nil, errs.New(errs.WorkerConnectFailed, address)
 	}
 	near, far := net.Pipe()
-	from.add(near)
-	one.conns.add(far)
-	go w.work(address, far)
+	conns.add(near)
+	worker.conns.add(far)
+	go w.serveConn(address, far)
 	return near, nil
 }
 
-// occupant is the worker that stands at an address now.
-func (w *World) occupant(address string) *workerNode {
+// workerAt is the worker that stands at an address now.
+func (w *World) workerAt(address string) *workerNode {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.places[address]
+	return w.workersByAddress[address]
 }
 
-// work answers the requests that come over one connection to an address.
-func (w *World) work(address string, conn net.Conn) {
+// serveConn answers the requests that come over one connection to an address.
+func (w *World) serveConn(address string, conn net.Conn) {
 	defer conn.Close()
 	reader := bufio.NewReader(conn)
 	for {
@@ -220,98 +220,98 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		one := w.occupant(address)
-		if one == nil {
+		worker := w.workerAt(address)
+		if worker == nil {
 			return
 		}
-		if request.Header.Get(dispatch.HeaderToken) != one.token && w.plant != PlantLax {
+		if request.Header.Get(dispatch.HeaderToken) != worker.token && w.seededFault != SeededTokenIgnored {
 			if _, err := fmt.Fprintf(conn, "HTTP/1.1 421 Misdirected\r\n%s: token\r\nContent-Length: 0\r\n\r\n", dispatch.HeaderRefused); err != nil {
 				return
 			}
 			continue
 		}
-		ask, _ := strconv.Atoi(request.Header.Get("X-Ask"))
-		op := request.Header.Get("X-Op")
-		fails, took := w.ailing(one, request.URL.Path, w.own(request.Header.Get(dispatch.HeaderRequest)))
-		w.History.ran(w.time(), one, op, ask, request.Header.Get(dispatch.HeaderCaller), request.Header.Get(dispatch.HeaderRequest), fails || took > 200*time.Millisecond)
-		if w.observed != nil {
+		attemptNumber, _ := strconv.Atoi(request.Header.Get("X-Ask"))
+		operationID := request.Header.Get("X-Op")
+		fails, serviceTime := w.sampleWorkerCall(worker, request.URL.Path, w.derivedRandom(request.Header.Get(dispatch.HeaderRequest)))
+		w.History.recordRun(w.time(), worker, operationID, attemptNumber, request.Header.Get(dispatch.HeaderCaller), request.Header.Get(dispatch.HeaderRequest), fails || serviceTime > 200*time.Millisecond)
+		if w.onWorkerCall != nil {
 			w.lock.Lock()
-			w.observed(one, fails)
+			w.onWorkerCall(worker, fails)
 			w.lock.Unlock()
 		}
-		next := make(chan struct{})
-		if w.Options.Leaving > 0 {
+		connReadable := make(chan struct{})
+		if w.Options.CallerCancelRate > 0 {
 			done := false
-			done, next = labour(reader, took)
-			w.History.ended(w.time(), op, request.Header.Get(dispatch.HeaderRequest))
+			done, connReadable = simulateWork(reader, serviceTime)
+			w.History.recordRunEnd(w.time(), operationID, request.Header.Get(dispatch.HeaderRequest))
 			if !done {
-				w.eased(one)
+				w.endWorkerCall(worker)
 				return
 			}
 		} else {
-			close(next)
-			time.Sleep(took)
+			close(connReadable)
+			time.Sleep(serviceTime)
 		}
-		w.eased(one)
-		body, _ := json.Marshal(fakebackend.NewReply(op, one.name, "xxxxxxxxxxxxxxxxxxxx"))
+		w.endWorkerCall(worker)
+		body, _ := json.Marshal(fakebackend.NewReply(operationID, worker.name, "xxxxxxxxxxxxxxxxxxxx"))
 		status := "200 OK"
 		if fails {
 			status = "500 Ill"
 		}
 		switch {
-		case one.loses:
+		case worker.dropsResponses:
 			return
-		case one.babbles:
+		case worker.truncatesResponses:
 			body = body[:len(body)/2]
 		}
 		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body); err != nil {
 			return
 		}
-		<-next
+		<-connReadable
 	}
 }
 
-// ailing draws how a call goes at a worker.
-func (w *World) ailing(one *workerNode, path string, dice *rand.Rand) (fails bool, took time.Duration) {
+// sampleWorkerCall draws how a call goes at a worker.
+func (w *World) sampleWorkerCall(worker *workerNode, path string, random *rand.Rand) (fails bool, serviceTime time.Duration) {
 	now := w.time()
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	took = time.Millisecond + time.Duration(dice.Int64N(int64(4*time.Millisecond)))
-	if w.Options.Work > 0 {
-		took = time.Duration(float64(w.Options.Work) * math.Exp(workSpread*dice.NormFloat64()-workSpread*workSpread/2))
+	serviceTime = time.Millisecond + time.Duration(random.Int64N(int64(4*time.Millisecond)))
+	if w.Options.MeanServiceTime > 0 {
+		serviceTime = time.Duration(float64(w.Options.MeanServiceTime) * math.Exp(serviceTimeSigma*random.NormFloat64()-serviceTimeSigma*serviceTimeSigma/2))
 	}
-	fails = dice.Float64() < w.Options.Errors
-	if now-one.born < one.warm {
-		took += 200 * time.Millisecond
+	fails = random.Float64() < w.Options.ErrorRate
+	if now-worker.startedAt < worker.warmup {
+		serviceTime += 200 * time.Millisecond
 	}
-	under := w.History.begin(one)
-	ill := w.ills[[2]string{one.service, one.version}]
-	if w.halfIll != nil && one.service == "shop" && one.version == "2" && len(one.name)%2 == int(one.name[1])%2 {
-		ill = w.halfIll
+	inFlight := w.History.beginWorkerCall(worker)
+	degradation := w.degradations[[2]string{worker.service, worker.version}]
+	if w.halfDegradation != nil && worker.service == "shop" && worker.version == "2" && len(worker.name)%2 == int(worker.name[1])%2 {
+		degradation = w.halfDegradation
 	}
-	if ill != nil && ill.Load > 0 && w.Options.Work == 0 {
-		took *= 10
+	if degradation != nil && degradation.LoadThreshold > 0 && w.Options.MeanServiceTime == 0 {
+		serviceTime *= 10
 	}
-	if ill == nil || now < ill.From || (ill.Until > 0 && now >= ill.Until) || (ill.Route != "" && !strings.HasPrefix(path, ill.Route)) || under <= ill.Load {
-		return fails, took
+	if degradation == nil || now < degradation.From || (degradation.Until > 0 && now >= degradation.Until) || (degradation.Route != "" && !strings.HasPrefix(path, degradation.Route)) || inFlight <= degradation.LoadThreshold {
+		return fails, serviceTime
 	}
-	took += ill.Slow
-	if dice.Float64() >= ill.Fails {
-		return fails, took
+	serviceTime += degradation.ExtraLatency
+	if random.Float64() >= degradation.FailureRate {
+		return fails, serviceTime
 	}
-	if ill.Times > 0 {
-		return fails, time.Duration(float64(took) * ill.Times)
+	if degradation.SlowdownFactor > 0 {
+		return fails, time.Duration(float64(serviceTime) * degradation.SlowdownFactor)
 	}
-	return true, took
+	return true, serviceTime
 }
 
-// workSpread is the spread of the logarithm of how long calls take.
-const workSpread = 0.7
+// serviceTimeSigma is the spread of the logarithm of how long calls take.
+const serviceTimeSigma = 0.7
 
-func (w *World) eased(one *workerNode) {
+func (w *World) endWorkerCall(worker *workerNode) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.History.under[one.service+one.version]--
+	w.History.inFlight[worker.service+worker.version]--
 }
 
 // routes that callers use: caller, method, path, once, share.
@@ -327,7 +327,7 @@
 	{"saves", "GET", "/shop/look", "shop", false, 0.15},
 }
 
-const firstSetup = `
+const initialConfig = `
 service: shop: {versions: ["1", "2"], fallback: "1", callers: ["client", "saves"]}
 service: saves: {versions: ["1", "2"], fallback: "1", callers: ["client"]}
 route: buy: {service: "shop", prefix: "/shop/buy", methods: ["POST"], class: "once", key: "X-User"}
@@ -338,116 +338,116 @@
 flag: "release.saves": {on: true, salt: "s", variations: ["1", "2"], offVariation: 0, fallthrough: rollout: variations: [{variation: 0, weight: 70000}, {variation: 1, weight: 30000}]}
 `
 
-// callers send at a steady rate from every edge, whatever the answers.
-func (w *World) callers() {
+// startCallers send at a steady rate from every edge, whatever the answers.
+func (w *World) startCallers() {
 	for _, node := range w.proxies {
-		own := rand.New(rand.NewPCG(uint64(w.roll(1<<30)), uint64(node.index)))
-		var next func()
-		next = func() {
+		random := rand.New(rand.NewPCG(uint64(w.randomInt(1<<30)), uint64(node.index)))
+		var startCall func()
+		startCall = func() {
 			w.lock.Lock()
-			over := w.quit
+			closed := w.closed
 			w.lock.Unlock()
-			if over {
+			if closed {
 				return
 			}
-			serial, dice := w.next(), rand.New(rand.NewPCG(own.Uint64(), own.Uint64()))
-			go w.call(node, serial, dice)
-			w.after(time.Duration(own.ExpFloat64()*float64(time.Second)*float64(len(w.proxies))/w.Options.Rate), next)
+			id, callRandom := w.nextID(), rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
+			go w.makeCall(node, id, callRandom)
+			w.schedule(time.Duration(random.ExpFloat64()*float64(time.Second)*float64(len(w.proxies))/w.Options.CallRate), startCall)
 		}
-		w.after(w.upTo(time.Second), next)
+		w.schedule(w.randomDuration(time.Second), startCall)
 	}
 }
 
-// asksMost is how often a call under a key is asked for.
-const asksMost = 4
+// maxCallerRetries is how often a call under a key is asked for.
+const maxCallerRetries = 4
 
-// call makes one call. One under a key is asked for again elsewhere while its outcome is unknown.
-func (w *World) call(node *proxyNode, serial int, dice *rand.Rand) {
-	at := dice.Float64()
+// makeCall makes one call. One under a key is asked for again elsewhere while its outcome is unknown.
+func (w *World) makeCall(node *proxyNode, id int, random *rand.Rand) {
+	sample := random.Float64()
 	chosen := routes[0]
 	for _, route := range routes {
-		if chosen = route; at < route.share {
+		if chosen = route; sample < route.share {
 			break
 		}
-		at -= route.share
+		sample -= route.share
 	}
-	one := w.History.opens(fmt.Sprint("op-", serial), chosen.caller, chosen.service, chosen.path, chosen.once, chosen.once && dice.IntN(4) > 0)
-	user := fmt.Sprint("user-", dice.IntN(1000))
-	for ask := 0; ; ask++ {
-		outcome := w.ask(node, one, ask, chosen.method, user)
-		if !one.keyed || ask == asksMost || (outcome != "unknown" && outcome != "unsent") {
+	operation := w.History.startOperation(fmt.Sprint("op-", id), chosen.caller, chosen.service, chosen.path, chosen.once, chosen.once && random.IntN(4) > 0)
+	user := fmt.Sprint("user-", random.IntN(1000))
+	for attemptNumber := 0; ; attemptNumber++ {
+		outcome := w.attemptCall(node, operation, attemptNumber, chosen.method, user)
+		if !operation.keyed || attemptNumber == maxCallerRetries || (outcome != "unknown" && outcome != "unsent") {
 			return
 		}
-		time.Sleep(time.Duration(dice.Int64N(int64(3 * time.Second))))
-		node = w.proxies[dice.IntN(len(w.proxies))]
+		time.Sleep(time.Duration(random.Int64N(int64(3 * time.Second))))
+		node = w.proxies[random.IntN(len(w.proxies))]
 	}
 }
 
 // callerTimeout is longer than any horizon, so that the proxy answers first.
 const callerTimeout = 5 * time.Second
 
-func (w *World) ask(node *proxyNode, one *op, ask int, method, user string) string {
-	entry := &askEntry{proxy: node, sent: w.time()}
-	life, died, up := w.lifeOf(&node.machine)
-	if !up || !node.open.Load() || node.politely.Load() {
-		entry.outcome = "unsent"
-		w.History.asked(w.time(), one, entry)
-		return entry.outcome
+func (w *World) attemptCall(node *proxyNode, operation *operation, attemptNumber int, method, user string) string {
+	attempt := &callerAttempt{proxy: node, sentAt: w.time()}
+	processRun, exited, up := w.processRunOf(&node.process)
+	if !up || !node.acceptsCallers.Load() || node.draining.Load() {
+		attempt.outcome = "unsent"
+		w.History.recordOutcome(w.time(), operation, attempt)
+		return attempt.outcome
 	}
-	head := dispatch.AppendField(dispatch.AppendField(dispatch.AppendField(nil, "X-Op", one.id), "X-Ask", strconv.Itoa(ask)), "X-User", user)
-	call := &dispatch.Call{Target: one.path, HeaderBlock: head, Body: []byte(one.id), Request: plan.Request{Caller: one.caller, Method: method, Path: one.path,
+	header := dispatch.AppendField(dispatch.AppendField(dispatch.AppendField(nil, "X-Op", operation.id), "X-Ask", strconv.Itoa(attemptNumber)), "X-User", user)
+	call := &dispatch.Call{Target: operation.path, HeaderBlock: header, Body: []byte(operation.id), Request: plan.Request{Caller: operation.caller, Method: method, Path: operation.path,
 		Header: func(string) (string, bool) { return user, true }}}
 	if method == "GET" {
 		call.Body = nil
 	}
-	if one.keyed {
-		call.Request.HasIdempotencyKey, call.Request.IdempotencyKey = true, one.id
+	if operation.keyed {
+		call.Request.HasIdempotencyKey, call.Request.IdempotencyKey = true, operation.id
 	}
 	done := make(chan *dispatch.CallResult, 1)
-	carrier := node.carrier
-	ctx, leave := context.WithCancel(called(fmt.Sprint(one.id, "/", ask)))
+	forwarder := node.forwarder
+	ctx, cancel := context.WithCancel(callContext(fmt.Sprint(operation.id, "/", attemptNumber)))
 	// Elsewhere what a caller gave up goes on, as its proxy cannot tell.
 	defer func() {
-		if w.Options.Leaving > 0 {
-			leave()
+		if w.Options.CallerCancelRate > 0 {
+			cancel()
 		}
 	}()
-	var leaves <-chan time.Time
-	if after, does := w.leaveAfter(one, ask); does {
-		timer := time.NewTimer(after)
+	var callerLeaves <-chan time.Time
+	if delay, cancels := w.sampleCancel(operation, attemptNumber); cancels {
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
-		leaves = timer.C
+		callerLeaves = timer.C
 	}
 	go func() {
 		// What comes to a frozen machine waits there, and so does what it would answer.
-		if !w.thawed(&node.machine, life) {
+		if !w.awaitThaw(&node.process, processRun) {
 			return
 		}
-		if w.time() > entry.sent {
+		if w.time() > attempt.sentAt {
 			w.stagger(ctx)
 		}
-		ended := carrier.Forward(ctx, call)
-		if w.thawed(&node.machine, life) {
-			done <- ended
+		result := forwarder.Forward(ctx, call)
+		if w.awaitThaw(&node.process, processRun) {
+			done <- result
 		}
 	}()
-	patience := time.NewTimer(callerTimeout)
-	defer patience.Stop()
+	timeout := time.NewTimer(callerTimeout)
+	defer timeout.Stop()
 	select {
-	case ended := <-done:
-		entry.ended = ended
-		entry.outcome = "not-run"
-		if ended.Response != nil {
-			entry.outcome = dispatch.OutcomeName(ended.Response.Outcome)
+	case result := <-done:
+		attempt.result = result
+		attempt.outcome = "not-run"
+		if result.Response != nil {
+			attempt.outcome = dispatch.OutcomeName(result.Response.Outcome)
 		}
-	case <-leaves:
-		leave()
-		entry.outcome = outcomeLeft
-	case <-died:
-		entry.outcome = "unknown"
-	case <-patience.C:
-		entry.outcome = "unknown"
+	case <-callerLeaves:
+		cancel()
+		attempt.outcome = outcomeCancelled
+	case <-exited:
+		attempt.outcome = "unknown"
+	case <-timeout.C:
+		attempt.outcome = "unknown"
 	}
-	w.History.asked(w.time(), one, entry)
-	return entry.outcome
+	w.History.recordOutcome(w.time(), operation, attempt)
+	return attempt.outcome
 }
--- a/internal/simulator/core.go
+++ b/internal/simulator/core.go
@@ -14,95 +14,95 @@
 	"meadowhinge/schema"
 )
 
-type seatNode struct {
-	machine
-	seat        *store.Replica
-	options     store.Config
-	incarnation uint64
-	disk        []*schema.Record // synced
-	writing     []store.Persist
-	stalledTo   time.Duration
-	syncs       int // begun
-	refusesTo   time.Duration
-	slowBy      time.Duration // added to every sync at most
-	wakesAt     time.Duration // by its own clock
-	tickets     map[string]func(any)
-	lost, gone  bool // of a core alone: taken by a fault, or away for good
+type memberNode struct {
+	process
+	replica           *store.Replica
+	replicaConfig     store.Config
+	incarnation       uint64
+	disk              []*schema.Record // synced
+	pendingWrites     []store.Persist
+	stalledUntil      time.Duration
+	syncsStarted      int // begun
+	failsUntil        time.Duration
+	maxExtraSyncDelay time.Duration // added to every sync at most
+	nextTickAt        time.Duration // by its own clock
+	pendingReplies    map[string]func(any)
+	lost, removed     bool // of a core alone: taken by a fault, or away for good
 }
 
 type registryNode struct {
-	machine
-	born   uint64
-	start  time.Duration
-	table  *registry.FleetState
-	claims *registry.ReservationTable
-	state  config.State
-	setup  *config.Snapshot
-	beside *seatNode
-	sits   map[string]*sitting // with other registries, in a serving world
-	duty   *release.Controller
-	steps  uint64
+	process
+	incarnation    uint64
+	startedAt      time.Duration
+	table          *registry.FleetState
+	reservations   *registry.ReservationTable
+	state          config.State
+	snapshot       *config.Snapshot
+	member         *memberNode
+	subscriptions  map[string]*subscription // with other registries, in a serving world
+	controller     *release.Controller
+	stepsSubmitted uint64
 }
 
-func seatName(i int) string { return string(rune('a' + i)) }
+func memberName(i int) string { return string(rune('a' + i)) }
 
 // ---- stores ----
 
-func seatOptions(name string, order []string, losses int) store.Config {
-	return store.Config{Name: name, StaticMembers: order, Address: name, ToleratedLosses: losses, HeartbeatTimeout: silence, StallTimeout: stall,
+func newReplicaConfig(name string, order []string, losses int) store.Config {
+	return store.Config{Name: name, StaticMembers: order, Address: name, ToleratedLosses: losses, HeartbeatTimeout: heartbeatTimeout, StallTimeout: stallTimeout,
 		MaxEntries: 16, MaxOutcomes: 4096, MaxUncommittedEntries: 64, MaxOperatorTombstones: 64}
 }
 
-func (w *World) startSeat(node *seatNode) {
-	w.rise(&node.machine)
-	node.writing, node.tickets, node.wakesAt = nil, map[string]func(any){}, 0
-	node.options.NewIncarnation = func() uint64 { return uint64(w.next()) }
-	options := node.options
+func (w *World) startMember(node *memberNode) {
+	w.startProcess(&node.process)
+	node.pendingWrites, node.pendingReplies, node.nextTickAt = nil, map[string]func(any){}, 0
+	node.replicaConfig.NewIncarnation = func() uint64 { return uint64(w.nextID()) }
+	replicaConfig := node.replicaConfig
 	if len(node.disk) == 0 {
 		// The planted fault lets an empty folder pass for the one that was lost.
-		if w.plant != PlantAmnesia || node.incarnation == 0 {
-			node.incarnation = uint64(w.next())
+		if w.seededFault != SeededWipedMemberCounts || node.incarnation == 0 {
+			node.incarnation = uint64(w.nextID())
 		} else {
-			options.Founders, options.ExpandsMembership = seatsOf(node.seat), false
+			replicaConfig.Founders, replicaConfig.ExpandsMembership = memberNames(node.replica), false
 		}
-		node.disk = []*schema.Record{store.InitialRecord(options, node.incarnation)}
+		node.disk = []*schema.Record{store.InitialRecord(replicaConfig, node.incarnation)}
 		// Only the first start of all founds anything.
-		node.options.Founders, node.options.ExpandsMembership = nil, false
+		node.replicaConfig.Founders, node.replicaConfig.ExpandsMembership = nil, false
 	}
-	node.seat = store.NewReplica(options, node.incarnation, node.disk)
-	w.on(&node.machine, 0, func() { w.tick(node) })
+	node.replica = store.NewReplica(replicaConfig, node.incarnation, node.disk)
+	w.scheduleOn(&node.process, 0, func() { w.tick(node) })
 }
 
-// seatsOf names the seats as one of them knows them.
-func seatsOf(seat *store.Replica) (names []string) {
-	for _, one := range seat.Status().Membership.GetMembers() {
-		names = append(names, one.Id)
+// memberNames names the seats as one of them knows them.
+func memberNames(replica *store.Replica) (names []string) {
+	for _, member := range replica.Status().Membership.GetMembers() {
+		names = append(names, member.Id)
 	}
 	return names
 }
 
-func (w *World) tick(node *seatNode) {
-	node.wakesAt = 0
-	w.act(node, node.seat.Tick(node.clock.at(w.now)))
+func (w *World) tick(node *memberNode) {
+	node.nextTickAt = 0
+	w.execute(node, node.replica.Tick(node.clock.at(w.now)))
 }
 
-// rouse lets a seat tick when it wants to, as its daemon does.
-func (w *World) rouse(node *seatNode) {
-	at := node.seat.NextTickAt()
-	if node.wakesAt != 0 && at >= node.wakesAt {
+// scheduleTick lets a seat tick when it wants to, as its daemon does.
+func (w *World) scheduleTick(node *memberNode) {
+	at := node.replica.NextTickAt()
+	if node.nextTickAt != 0 && at >= node.nextTickAt {
 		return
 	}
-	node.wakesAt = at
-	left := time.Duration(float64(at-node.clock.at(w.now)) / node.clock.rate)
-	w.on(&node.machine, max(left, time.Microsecond), func() {
-		if node.wakesAt == at {
+	node.nextTickAt = at
+	delay := time.Duration(float64(at-node.clock.at(w.now)) / node.clock.rate)
+	w.scheduleOn(&node.process, max(delay, time.Microsecond), func() {
+		if node.nextTickAt == at {
 			w.tick(node)
 		}
 	})
 }
 
-func (w *World) seatCalled(name string) *seatNode {
-	for _, node := range w.seats {
+func (w *World) memberNamed(name string) *memberNode {
+	for _, node := range w.members {
 		if node.name == "store-"+name {
 			return node
 		}
@@ -110,397 +110,397 @@
 	return nil
 }
 
-func (w *World) act(node *seatNode, actions []store.Action) {
+func (w *World) execute(node *memberNode, actions []store.Action) {
 	for _, action := range actions {
-		switch one := action.(type) {
+		switch action := action.(type) {
 		case store.Send:
-			to := w.seatCalled(one.Message.To)
-			if to == nil {
+			receiver := w.memberNamed(action.Message.To)
+			if receiver == nil {
 				continue
 			}
-			letter := proto.Clone(one.Message).(*schema.ReplicaMessage)
-			w.deliver(&node.machine, &to.machine, func() { w.act(to, to.seat.Step(to.clock.at(w.now), letter)) })
+			message := proto.Clone(action.Message).(*schema.ReplicaMessage)
+			w.send(&node.process, &receiver.process, func() { w.execute(receiver, receiver.replica.Step(receiver.clock.at(w.now), message)) })
 		case store.Persist:
-			one.Record = proto.Clone(one.Record).(*schema.Record)
-			node.writing = append(node.writing, one)
-			if len(node.writing) == 1 {
-				w.sync(node)
+			action.Record = proto.Clone(action.Record).(*schema.Record)
+			node.pendingWrites = append(node.pendingWrites, action)
+			if len(node.pendingWrites) == 1 {
+				w.syncNext(node)
 			}
 		case store.Reply:
-			w.end(node, one.Result.Ticket, one.Result)
+			w.resolveReply(node, action.Result.Ticket, action.Result)
 		case store.ReadIndexReady:
-			w.end(node, one.Result.Ticket, one.Result)
+			w.resolveReply(node, action.Result.Ticket, action.Result)
 		}
 	}
-	w.rouse(node)
-	w.observeSeat(node)
+	w.scheduleTick(node)
+	w.observeMember(node)
 }
 
-func (w *World) end(node *seatNode, ticket string, result any) {
-	if then := node.tickets[ticket]; then != nil {
-		delete(node.tickets, ticket)
-		then(result)
+func (w *World) resolveReply(node *memberNode, ticket string, result any) {
+	if onReply := node.pendingReplies[ticket]; onReply != nil {
+		delete(node.pendingReplies, ticket)
+		onReply(result)
 	}
 }
 
-// sync finishes the first write after the disk's delay, then takes the next.
-func (w *World) sync(node *seatNode) {
-	node.syncs++
-	serial := node.syncs
-	delay := w.upTo(8*time.Millisecond + node.slowBy)
-	if node.stalledTo > w.now {
-		delay += node.stalledTo - w.now
+// syncNext finishes the first write after the disk's delay, then takes the next.
+func (w *World) syncNext(node *memberNode) {
+	node.syncsStarted++
+	syncID := node.syncsStarted
+	delay := w.randomDuration(8*time.Millisecond + node.maxExtraSyncDelay)
+	if node.stalledUntil > w.now {
+		delay += node.stalledUntil - w.now
 	}
-	w.on(&node.machine, delay, func() {
-		if serial != node.syncs {
+	w.scheduleOn(&node.process, delay, func() {
+		if syncID != node.syncsStarted {
 			return // the stall that it waited for ended before
 		}
-		if node.stalledTo > w.now {
-			w.sync(node)
+		if node.stalledUntil > w.now {
+			w.syncNext(node)
 			return
 		}
-		if node.refusesTo > w.now {
-			w.refuse(node)
+		if node.failsUntil > w.now {
+			w.failWrites(node)
 			return
 		}
-		done := node.writing[0]
-		node.writing = node.writing[1:]
-		w.keep(node, done)
-		if len(node.writing) > 0 {
-			w.sync(node)
+		write := node.pendingWrites[0]
+		node.pendingWrites = node.pendingWrites[1:]
+		w.persist(node, write)
+		if len(node.pendingWrites) > 0 {
+			w.syncNext(node)
 		}
-		w.act(node, node.seat.Persisted(node.clock.at(w.now), done.WriteID))
+		w.execute(node, node.replica.Persisted(node.clock.at(w.now), write.WriteID))
 	})
 }
 
-// unstall ends a disk's stall, and it goes on at once with what it was writing.
-func (w *World) unstall(node *seatNode) {
-	if node.stalledTo > w.now && len(node.writing) > 0 && node.up {
-		node.stalledTo = 0
-		w.sync(node)
+// endDiskStall ends a disk's stall, and it goes on at once with what it was writing.
+func (w *World) endDiskStall(node *memberNode) {
+	if node.stalledUntil > w.now && len(node.pendingWrites) > 0 && node.up {
+		node.stalledUntil = 0
+		w.syncNext(node)
 	}
-	node.stalledTo = 0
+	node.stalledUntil = 0
 }
 
-// refuse is what the daemon does of a disk that refuses a write.
-func (w *World) refuse(node *seatNode) {
-	w.act(node, node.seat.DiskFailed(node.clock.at(w.now)))
-	w.on(&node.machine, stall/8, func() {
-		node.writing = nil
-		w.act(node, node.seat.RewriteSnapshot(node.clock.at(w.now)))
+// failWrites is what the daemon does of a disk that refuses a write.
+func (w *World) failWrites(node *memberNode) {
+	w.execute(node, node.replica.DiskFailed(node.clock.at(w.now)))
+	w.scheduleOn(&node.process, stallTimeout/8, func() {
+		node.pendingWrites = nil
+		w.execute(node, node.replica.RewriteSnapshot(node.clock.at(w.now)))
 	})
 }
 
-// keep puts a record on the disk for good.
-func (w *World) keep(node *seatNode, one store.Persist) {
-	if one.ReplacesLog {
+// persist puts a record on the disk for good.
+func (w *World) persist(node *memberNode, write store.Persist) {
+	if write.ReplacesLog {
 		node.disk = nil
 	}
-	node.disk = append(node.disk, one.Record)
+	node.disk = append(node.disk, write.Record)
 }
 
-// crashSeat is a loss of power: what was not synced is gone, but for a part that happened
+// crashMember is a loss of power: what was not synced is gone, but for a part that happened
 // to reach the disk.
-func (w *World) crashSeat(node *seatNode) {
+func (w *World) crashMember(node *memberNode) {
 	// The planted disk said "synced" of records that power loss now takes away.
-	if w.plant == PlantLyingDisk {
-		for lost := 1 + w.roll(3); lost > 0 && len(node.disk) > 1 && node.disk[len(node.disk)-1].Snapshot == nil; lost-- {
+	if w.seededFault == SeededLyingDisk {
+		for remaining := 1 + w.randomInt(3); remaining > 0 && len(node.disk) > 1 && node.disk[len(node.disk)-1].Snapshot == nil; remaining-- {
 			node.disk = node.disk[:len(node.disk)-1]
 		}
 	}
 	if node.up {
-		for range w.roll(len(node.writing) + 1) {
-			w.keep(node, node.writing[0])
-			node.writing = node.writing[1:]
+		for range w.randomInt(len(node.pendingWrites) + 1) {
+			w.persist(node, node.pendingWrites[0])
+			node.pendingWrites = node.pendingWrites[1:]
 		}
 	}
-	w.fall(&node.machine)
+	w.stopProcess(&node.process)
 }
 
 // ---- registries ----
 
 func (w *World) startRegistry(node *registryNode) {
-	w.rise(&node.machine)
-	node.born, node.start, node.state, node.duty = uint64(w.next()), w.now, config.State{}, nil
-	node.setup, _ = config.Compile(node.state, 0)
-	node.table = registry.NewFleetState(registry.FleetStateOptions{MemberID: node.name[len("registry-"):], Lease: w.tableLease(), MaxSources: 64, MaxCounts: 256, WithoutLeases: w.Options.Serving})
-	node.claims = registry.NewReservationTable(registry.ReservationOptions{Lease: lease, Window: keyWindow, MaxReservations: 1 << 16, MemberCount: seatCount})
-	if w.plant == PlantForgets {
-		node.claims.MarkNeverUsed()
+	w.startProcess(&node.process)
+	node.incarnation, node.startedAt, node.state, node.controller = uint64(w.nextID()), w.now, config.State{}, nil
+	node.snapshot, _ = config.Compile(node.state, 0)
+	node.table = registry.NewFleetState(registry.FleetStateOptions{MemberID: node.name[len("registry-"):], Lease: w.registryLease(), MaxSources: 64, MaxCounts: 256, WithoutLeases: w.Options.ServeStale})
+	node.reservations = registry.NewReservationTable(registry.ReservationOptions{Lease: leaseDuration, Window: keyReservationWindow, MaxReservations: 1 << 16, MemberCount: memberCount})
+	if w.seededFault == SeededReservationsForgotten {
+		node.reservations.MarkNeverUsed()
 	}
-	w.every(&node.machine, poll, func() {
-		beside := node.beside
-		if !w.standing(&beside.machine) {
+	w.scheduleEvery(&node.process, pollInterval, func() {
+		member := node.member
+		if !w.isResponsive(&member.process) {
 			return
 		}
-		stable, state := beside.seat.Committed()
-		if stable > node.table.CommittedRevision() {
-			news := store.ItemsAfter(state, stable, node.table.CommittedRevision())
-			node.state = node.state.Apply(news.Items, news.Complete)
-			w.History.observe(w.now, node.name, stable, node.state)
-			node.setup, _ = config.CompileIncremental(node.setup, node.state, stable)
-			w.History.inForce(node.setup)
-			node.table.SetCommitted(w.ageOf(node), stable)
+		committed, state := member.replica.Committed()
+		if committed > node.table.CommittedRevision() {
+			update := store.ItemsAfter(state, committed, node.table.CommittedRevision())
+			node.state = node.state.Apply(update.Items, update.Complete)
+			w.History.checkContent(w.now, node.name, committed, node.state)
+			node.snapshot, _ = config.CompileIncremental(node.snapshot, node.state, committed)
+			w.History.recordSnapshot(node.snapshot)
+			node.table.SetCommitted(w.uptime(node), committed)
 		}
 	})
-	asked := false
-	w.every(&node.machine, 4*poll, func() {
-		if asked || !w.standing(&node.beside.machine) {
+	readIndexKnown := false
+	w.scheduleEvery(&node.process, 4*pollInterval, func() {
+		if readIndexKnown || !w.isResponsive(&node.member.process) {
 			return
 		}
-		if w.plant == PlantYoung {
+		if w.seededFault == SeededYoungRegistryGrants {
 			node.table.MarkCaughtUp()
 			return
 		}
-		ticket := fmt.Sprint("stand-", w.next())
-		node.beside.tickets[ticket] = func(result any) {
-			back := result.(*schema.ReadIndexReply)
-			if back.Undecided || asked {
+		ticket := fmt.Sprint("stand-", w.nextID())
+		node.member.pendingReplies[ticket] = func(result any) {
+			reply := result.(*schema.ReadIndexReply)
+			if reply.Undecided || readIndexKnown {
 				return
 			}
-			asked = true
-			if back.Empty {
-				node.claims.MarkNeverUsed()
+			readIndexKnown = true
+			if reply.Empty {
+				node.reservations.MarkNeverUsed()
 			}
-			w.every(&node.machine, poll, func() {
-				if node.table.CommittedRevision() >= back.Committed {
+			w.scheduleEvery(&node.process, pollInterval, func() {
+				if node.table.CommittedRevision() >= reply.Committed {
 					node.table.MarkCaughtUp()
 				}
 			})
 		}
-		w.act(node.beside, node.beside.seat.ReadIndex(node.beside.clock.at(w.now), ticket))
+		w.execute(node.member, node.member.replica.ReadIndex(node.member.clock.at(w.now), ticket))
 	})
-	for _, other := range w.regs {
+	for _, other := range w.registries {
 		if other == node {
 			continue
 		}
-		if !w.Options.Serving {
-			w.every(&node.machine, poll, func() { w.pullFrom(node, other) })
+		if !w.Options.ServeStale {
+			w.scheduleEvery(&node.process, pollInterval, func() { w.pullSources(node, other) })
 		}
-		w.every(&node.machine, lease/16, func() { w.readClaims(node, other) })
+		w.scheduleEvery(&node.process, leaseDuration/16, func() { w.recoverReservations(node, other) })
 	}
-	w.every(&node.machine, w.tableLease()/(4*session.RenewalsPerLease), func() { w.steer(node) })
-	if w.Options.Serving {
-		w.serveCore(node)
+	w.scheduleEvery(&node.process, w.registryLease()/(4*session.RenewalsPerLease), func() { w.runController(node) })
+	if w.Options.ServeStale {
+		w.startRegistrySubscriptions(node)
 	}
 }
 
-// tableLease is the lease of the registries' tables.
-func (w *World) tableLease() time.Duration {
-	if w.Options.Serving {
+// registryLease is the lease of the registries' tables.
+func (w *World) registryLease() time.Duration {
+	if w.Options.ServeStale {
 		return servingLease
 	}
-	return lease
+	return leaseDuration
 }
 
-func (w *World) ageOf(node *registryNode) time.Duration {
-	age := node.clock.at(w.now) - node.clock.at(node.start)
+func (w *World) uptime(node *registryNode) time.Duration {
+	uptime := node.clock.at(w.now) - node.clock.at(node.startedAt)
 	// A planted fault lets the table believe that it has been up for a lease already.
-	if w.plant == PlantYoung {
-		age += lease
+	if w.seededFault == SeededYoungRegistryGrants {
+		uptime += leaseDuration
 	}
-	return age
+	return uptime
 }
 
-// pullFrom keeps a registry level with another.
-func (w *World) pullFrom(node, other *registryNode) {
+// pullSources keeps a registry level with another.
+func (w *World) pullSources(node, other *registryNode) {
 	vector := node.table.Vector()
-	w.deliver(&node.machine, &other.machine, func() {
-		if news := other.table.SourcesNewerThan(w.ageOf(other), vector); len(news) > 0 {
-			w.deliver(&other.machine, &node.machine, func() {
-				for _, source := range news {
-					node.table.MergeSource(w.ageOf(node), source)
+	w.send(&node.process, &other.process, func() {
+		if sources := other.table.SourcesNewerThan(w.uptime(other), vector); len(sources) > 0 {
+			w.send(&other.process, &node.process, func() {
+				for _, source := range sources {
+					node.table.MergeSource(w.uptime(node), source)
 				}
 			})
 		}
 	})
 }
 
-// readClaims lets a registry that started anew read what another holds.
-func (w *World) readClaims(node, other *registryNode) {
-	if age := w.ageOf(node); node.claims.IsAuthoritative(age) || age < node.claims.RecoveryStartsAt() {
+// recoverReservations lets a registry that started anew read what another holds.
+func (w *World) recoverReservations(node, other *registryNode) {
+	if age := w.uptime(node); node.reservations.IsAuthoritative(age) || age < node.reservations.RecoveryStartsAt() {
 		return
 	}
-	var read func(after uint64)
-	read = func(after uint64) {
-		w.deliver(&node.machine, &other.machine, func() {
-			page := other.claims.Page(w.ageOf(other), after)
-			w.deliver(&other.machine, &node.machine, func() {
-				node.claims.MergePage(w.ageOf(node), other.name, page)
+	var readPage func(after uint64)
+	readPage = func(after uint64) {
+		w.send(&node.process, &other.process, func() {
+			page := other.reservations.Page(w.uptime(other), after)
+			w.send(&other.process, &node.process, func() {
+				node.reservations.MergePage(w.uptime(node), other.name, page)
 				if !page.Last {
-					read(page.Reservations[len(page.Reservations)-1].Position)
+					readPage(page.Reservations[len(page.Reservations)-1].Position)
 				}
 			})
 		})
 	}
-	read(0)
+	readPage(0)
 }
 
-// reaches tells whether one machine can call another just now.
-func (w *World) reaches(from, to *machine) bool {
-	return w.standing(to) && !w.isCut(from, to) && !w.isCut(to, from)
+// canReach tells whether one machine can call another just now.
+func (w *World) canReach(from, to *process) bool {
+	return w.isResponsive(to) && !w.isPartitioned(from, to) && !w.isPartitioned(to, from)
 }
 
-// hasDuty tells whether no registry before this one in the order can have the release duty.
-func (w *World) hasDuty(node *registryNode) bool {
-	for _, other := range w.regs {
+// isController tells whether no registry before this one in the order can have the release duty.
+func (w *World) isController(node *registryNode) bool {
+	for _, other := range w.registries {
 		if other == node {
 			break
 		}
-		if w.reaches(&node.machine, &other.machine) && w.steers(other) {
+		if w.canReach(&node.process, &other.process) && w.mayControlRollouts(other) {
 			return false
 		}
 	}
-	return w.steers(node)
+	return w.mayControlRollouts(node)
 }
 
-// steers tells whether a registry may have the release duty at all.
-func (w *World) steers(node *registryNode) bool {
-	beside := node.beside
-	if !node.table.GrantsLeases(w.ageOf(node)) || !w.standing(&beside.machine) {
+// mayControlRollouts tells whether a registry may have the release duty at all.
+func (w *World) mayControlRollouts(node *registryNode) bool {
+	member := node.member
+	if !node.table.GrantsLeases(w.uptime(node)) || !w.isResponsive(&member.process) {
 		return false
 	}
 	// A planted fault lets each part of a split core have a duty, whose word can then do harm.
-	if w.plant == PlantEasy {
+	if w.seededFault == SeededAlwaysHealthy {
 		return true
 	}
-	age, known := beside.seat.CommittedAge(beside.clock.at(w.now))
-	return known && age <= w.tableLease()/4
+	staleness, known := member.replica.CommittedAge(member.clock.at(w.now))
+	return known && staleness <= w.registryLease()/4
 }
 
-// steer does the release duty whenever it falls on a registry.
-func (w *World) steer(node *registryNode) {
-	compiled, state := node.setup, node.state
-	workers := registry.WorkerPoolsOf(node.table.SourcesNewerThan(w.ageOf(node), nil))
-	if !release.NeedsControl(compiled, workers) || !w.hasDuty(node) {
-		node.duty = nil
+// runController does the release duty whenever it falls on a registry.
+func (w *World) runController(node *registryNode) {
+	snapshot, state := node.snapshot, node.state
+	workers := registry.WorkerPoolsOf(node.table.SourcesNewerThan(w.uptime(node), nil))
+	if !release.NeedsControl(snapshot, workers) || !w.isController(node) {
+		node.controller = nil
 		return
 	}
-	if node.duty == nil {
+	if node.controller == nil {
 		options := release.Defaults
-		if w.plant == PlantDeaf {
+		if w.seededFault == SeededFailuresIgnored {
 			options.FailureThreshold, options.LatencyMultiple, options.RollbackLogOdds = 1<<40, 1e9, 1e9
 		}
-		if w.plant == PlantHairTrigger {
+		if w.seededFault == SeededHairTrigger {
 			options.FailureThreshold, options.FailureRateMargin, options.MinStandardErrors = 2, 0, 0
 		}
-		if w.Options.Bound {
-			options.CanaryPercent, options.MaxBadFraction, options.BadCallsMargin, options.FailureRateMargin = termTrial, termShare, termMargin, termExcess
+		if w.Options.BoundExposure {
+			options.CanaryPercent, options.MaxBadFraction, options.BadCallsMargin, options.FailureRateMargin = orderCanaryPercent, orderBadShare, orderBadMargin, orderFailureExcess
 		}
-		node.duty = release.NewController(options, node.table.MemberID(), w.tableLease()/session.RenewalsPerLease)
+		node.controller = release.NewController(options, node.table.MemberID(), w.registryLease()/session.RenewalsPerLease)
 	}
-	duty := node.duty
-	trials := duty.CanaryGrants(compiled)
-	if w.plant == PlantEasy {
-		for _, one := range trials {
-			one.Blocked, one.Healthy = false, true
+	controller := node.controller
+	canaries := controller.CanaryGrants(snapshot)
+	if w.seededFault == SeededAlwaysHealthy {
+		for _, canary := range canaries {
+			canary.Blocked, canary.Healthy = false, true
 		}
 	}
-	node.table.SetCanaryGrants(w.ageOf(node), trials)
-	answers := []*schema.CountsReply{}
-	for _, other := range w.regs {
+	node.table.SetCanaryGrants(w.uptime(node), canaries)
+	replies := []*schema.CountsReply{}
+	for _, other := range w.registries {
 		if other != node {
-			w.deliver(&node.machine, &other.machine, func() {
-				other.table.SetCanaryGrants(w.ageOf(other), trials)
-				back := other.table.ReportedCounts(w.ageOf(other), true)
-				w.deliver(&other.machine, &node.machine, func() { answers = append(answers, back) })
+			w.send(&node.process, &other.process, func() {
+				other.table.SetCanaryGrants(w.uptime(other), canaries)
+				reply := other.table.ReportedCounts(w.uptime(other), true)
+				w.send(&other.process, &node.process, func() { replies = append(replies, reply) })
 			})
 		}
 	}
 	// Whoever has not answered by then is not heard this time.
-	w.on(&node.machine, w.tableLease()/(8*session.RenewalsPerLease), func() {
-		if node.duty != duty {
+	w.scheduleOn(&node.process, w.registryLease()/(8*session.RenewalsPerLease), func() {
+		if node.controller != controller {
 			return
 		}
-		answers = append(answers, node.table.ReportedCounts(w.ageOf(node), true))
-		telling := 0
-		for _, answer := range answers {
-			telling += int(answer.Reporting)
+		replies = append(replies, node.table.ReportedCounts(w.uptime(node), true))
+		reporting := 0
+		for _, reply := range replies {
+			reporting += int(reply.Reporting)
 		}
-		steps, err := duty.Reconcile(w.ageOf(node), compiled, state, release.FleetObservation{Counts: registry.MergeCounts(answers), HeardFraction: float64(telling) / float64(len(w.proxies)), Workers: workers,
-			KnownFor: func(sequence uint64) time.Duration { return node.table.KnownFor(w.ageOf(node), sequence) }})
+		steps, err := controller.Reconcile(w.uptime(node), snapshot, state, release.FleetObservation{Counts: registry.MergeCounts(replies), HeardFraction: float64(reporting) / float64(len(w.proxies)), Workers: workers,
+			KnownFor: func(sequence uint64) time.Duration { return node.table.KnownFor(w.uptime(node), sequence) }})
 		if err != nil {
-			w.History.breach(RuleRecovery, "%v: a step could not be made: %v", w.now, err)
+			w.History.recordBreach(RuleRecoveryTime, "%v: a step could not be made: %v", w.now, err)
 		}
-		if w.plant != PlantEasy {
-			node.table.SetCanaryGrants(w.ageOf(node), duty.CanaryGrants(compiled))
+		if w.seededFault != SeededAlwaysHealthy {
+			node.table.SetCanaryGrants(w.uptime(node), controller.CanaryGrants(snapshot))
 		}
 		for _, step := range steps {
-			node.steps++
-			w.submit(node, step.Change(node.name, node.born, node.steps, state), func(schema.Ruling, uint64) {})
+			node.stepsSubmitted++
+			w.submitChange(node, step.Change(node.name, node.incarnation, node.stepsSubmitted, state), func(schema.Ruling, uint64) {})
 		}
 	})
 }
 
-// submit states a change at a registry and waits for its yes, as the registry's daemon does.
-func (w *World) submit(node *registryNode, change *schema.Change, then func(ruling schema.Ruling, sequence uint64)) {
-	if !w.standing(&node.machine) || !w.standing(&node.beside.machine) {
+// submitChange states a change at a registry and waits for its yes, as the registry's daemon does.
+func (w *World) submitChange(node *registryNode, change *schema.Change, onRuling func(ruling schema.Ruling, sequence uint64)) {
+	if !w.isResponsive(&node.process) || !w.isResponsive(&node.member.process) {
 		return
 	}
-	ticket := fmt.Sprint("offer-", w.next())
-	node.beside.tickets[ticket] = func(result any) {
-		submitted := result.(*schema.ProposalReply)
-		if submitted.Undecided {
+	ticket := fmt.Sprint("offer-", w.nextID())
+	node.member.pendingReplies[ticket] = func(result any) {
+		reply := result.(*schema.ProposalReply)
+		if reply.Undecided {
 			return
 		}
-		w.on(&node.machine, 0, func() {
-			ruling, sequence := submitted.Outcome.Ruling, submitted.Outcome.Version.Sequence
-			w.History.ruled(w.now, change.Id, ruling)
+		w.scheduleOn(&node.process, 0, func() {
+			ruling, sequence := reply.Outcome.Ruling, reply.Outcome.Version.Sequence
+			w.History.recordRuling(w.now, change.Id, ruling)
 			if ruling != schema.Ruling_RULING_ACCEPTED {
-				then(ruling, sequence)
+				onRuling(ruling, sequence)
 				return
 			}
-			if w.plant == PlantEarlyYes || w.Options.Serving {
-				w.History.yesGiven(w.now, sequence)
-				then(ruling, sequence)
+			if w.seededFault == SeededEarlyAcknowledgement || w.Options.ServeStale {
+				w.History.recordAcknowledgement(w.now, sequence)
+				onRuling(ruling, sequence)
 				return
 			}
-			w.acknowledge(node, sequence, func() { then(ruling, sequence) })
+			w.acknowledge(node, sequence, func() { onRuling(ruling, sequence) })
 		})
 	}
-	w.act(node.beside, node.beside.seat.Propose(node.beside.clock.at(w.now), &schema.Proposal{Ticket: ticket, Change: change}))
+	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), &schema.Proposal{Ticket: ticket, Change: change}))
 }
 
 // acknowledge fences the registries until a majority has no laggard left.
-func (w *World) acknowledge(node *registryNode, sequence uint64, then func()) {
-	fence := registry.NewAcknowledgement(seatCount)
+func (w *World) acknowledge(node *registryNode, sequence uint64, onAcknowledged func()) {
+	acknowledgement := registry.NewAcknowledgement(memberCount)
 	done := false
-	giveUp := w.now + 3*lease
-	take := func(fenced *schema.FenceReply) {
-		if !done && fence.Record(fenced) {
+	deadline := w.now + 3*leaseDuration
+	addReply := func(fenceReply *schema.FenceReply) {
+		if !done && acknowledgement.Record(fenceReply) {
 			done = true
-			w.History.yesGiven(w.now, sequence)
-			then()
+			w.History.recordAcknowledgement(w.now, sequence)
+			onAcknowledged()
 		}
 	}
-	var round func()
-	round = func() {
-		if done || w.now > giveUp {
+	var sendFences func()
+	sendFences = func() {
+		if done || w.now > deadline {
 			return
 		}
-		take(node.table.SetFence(w.ageOf(node), sequence))
-		for _, other := range w.regs {
+		addReply(node.table.SetFence(w.uptime(node), sequence))
+		for _, other := range w.registries {
 			if other != node {
-				w.deliver(&node.machine, &other.machine, func() {
-					fenced := other.table.SetFence(w.ageOf(other), sequence)
-					w.deliver(&other.machine, &node.machine, func() { take(fenced) })
+				w.send(&node.process, &other.process, func() {
+					fenceReply := other.table.SetFence(w.uptime(other), sequence)
+					w.send(&other.process, &node.process, func() { addReply(fenceReply) })
 				})
 			}
 		}
-		w.on(&node.machine, poll, round)
+		w.scheduleOn(&node.process, pollInterval, sendFences)
 	}
-	round()
+	sendFences()
 }
 
-// coreWhole tells whether every seat is up, counts, and holds on its disk what is acknowledged,
+// isCoreRecovered tells whether every seat is up, counts, and holds on its disk what is acknowledged,
 // and every registry knows again which keys are claimed.
-func (w *World) coreWhole() bool {
-	for i, node := range w.seats {
-		if !node.up || !node.seat.Status().Member || node.seat.Status().Durable < w.History.yes {
+func (w *World) isCoreRecovered() bool {
+	for i, node := range w.members {
+		if !node.up || !node.replica.Status().Member || node.replica.Status().Durable < w.History.lastAcknowledged {
 			return false
 		}
-		reg := w.regs[i]
-		if !reg.up || !reg.claims.IsAuthoritative(w.ageOf(reg)) || !reg.table.GrantsLeases(w.ageOf(reg)) {
+		registryNode := w.registries[i]
+		if !registryNode.up || !registryNode.reservations.IsAuthoritative(w.uptime(registryNode)) || !registryNode.table.GrantsLeases(w.uptime(registryNode)) {
 			return false
 		}
 	}
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -75,7 +75,7 @@
 // The codes of what is taken in: they stand for kinds of event, whatever these are called in Go.
 const (
 	historyCall = iota + 1
-	historyAsk
+	historyAttempt
 	historyPlan
 	historyRun
 	historyFault
@@ -87,7 +87,7 @@
 	historyExtra
 	historyBad
 	historyBreach
-	historyAway
+	historyRejected
 	historyDisk
 	historyEnd
 	historySent
@@ -98,33 +98,33 @@
 // its worker did.
 func (d historyDigest) calls(t *testing.T, h *History) {
 	t.Helper()
-	for _, id := range sortedOps(h.ops) {
-		one := h.ops[id]
+	for _, id := range sortedOperationIDs(h.operations) {
+		operation := h.operations[id]
 		d.number(historyCall)
-		d.text(one.id, one.caller, one.service, one.path)
-		d.flags(one.once, one.keyed)
-		d.times(one.opened)
-		for _, entry := range one.asks {
-			d.number(historyAsk)
-			d.text(entry.proxy.name, entry.outcome)
-			d.times(entry.sent, entry.got)
-			if ended := entry.ended; ended != nil {
-				d.text(ended.ID, string(errs.CodeOf(ended.Err)))
-				d.number(uint64(ended.Attempts), uint64(ended.WorkerAttempts))
-				if ended.Response != nil {
-					d.message(t, ended.Response)
+		d.text(operation.id, operation.caller, operation.service, operation.path)
+		d.flags(operation.nonIdempotent, operation.keyed)
+		d.times(operation.startedAt)
+		for _, attempt := range operation.attempts {
+			d.number(historyAttempt)
+			d.text(attempt.proxy.name, attempt.outcome)
+			d.times(attempt.sentAt, attempt.finishedAt)
+			if result := attempt.result; result != nil {
+				d.text(result.ID, string(errs.CodeOf(result.Err)))
+				d.number(uint64(result.Attempts), uint64(result.WorkerAttempts))
+				if result.Response != nil {
+					d.message(t, result.Response)
 				}
-				if made := ended.Plan; made != nil {
-					d.number(historyPlan, made.Verdict.ConfigRevision, uint64(len(made.Candidates)))
-					d.text(made.Service, made.Verdict.Flag, made.Verdict.Version, string(made.Verdict.Reason), made.Verdict.RuleID, string(made.Verdict.Error), made.Verdict.Evaluated)
-					d.times(made.Deadline, made.LatencyTarget)
+				if callPlan := result.Plan; callPlan != nil {
+					d.number(historyPlan, callPlan.Verdict.ConfigRevision, uint64(len(callPlan.Candidates)))
+					d.text(callPlan.Service, callPlan.Verdict.Flag, callPlan.Verdict.Version, string(callPlan.Verdict.Reason), callPlan.Verdict.RuleID, string(callPlan.Verdict.Error), callPlan.Verdict.Evaluated)
+					d.times(callPlan.Deadline, callPlan.LatencyTarget)
 				}
 			}
 		}
-		for _, run := range one.runs {
-			d.number(historyRun, uint64(run.ask))
-			d.text(run.worker.name, run.request)
-			d.times(run.at, run.ended)
+		for _, run := range operation.runs {
+			d.number(historyRun, uint64(run.attemptNumber))
+			d.text(run.worker.name, run.requestID)
+			d.times(run.at, run.endedAt)
 		}
 	}
 }
@@ -134,63 +134,63 @@
 func (d historyDigest) world(t *testing.T, w *World) {
 	t.Helper()
 	h := w.History
-	for _, one := range w.faults {
+	for _, entry := range w.faults {
 		d.number(historyFault)
-		d.text(one.name)
-		d.times(one.from, one.to)
+		d.text(entry.name)
+		d.times(entry.startedAt, entry.endedAt)
 	}
-	for _, one := range h.yeses {
-		d.number(historyAcknowledged, one.setup)
-		d.times(one.at)
+	for _, entry := range h.acknowledgements {
+		d.number(historyAcknowledged, entry.revision)
+		d.times(entry.at)
 	}
-	for _, name := range slices.Sorted(maps.Keys(h.shown)) {
+	for _, name := range slices.Sorted(maps.Keys(h.shownRevisions)) {
 		d.text(name)
-		for _, one := range h.shown[name] {
-			d.number(historyShown, one.setup)
-			d.times(one.at)
+		for _, entry := range h.shownRevisions[name] {
+			d.number(historyShown, entry.revision)
+			d.times(entry.at)
 		}
 	}
-	for _, sequence := range slices.Sorted(maps.Keys(h.orders)) {
+	for _, sequence := range slices.Sorted(maps.Keys(h.contentBySequence)) {
 		d.number(historyOrder, sequence)
-		d.text(h.orders[sequence])
+		d.text(h.contentBySequence[sequence])
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.rulings)) {
 		d.number(historyRuling, uint64(h.rulings[id]))
 		d.text(id)
 	}
-	for _, token := range slices.Sorted(maps.Keys(h.left)) {
+	for _, token := range slices.Sorted(maps.Keys(h.departedAt)) {
 		d.number(historyLeft)
 		d.text(token)
-		d.times(h.left[token])
+		d.times(h.departedAt[token])
 	}
-	for _, service := range slices.Sorted(maps.Keys(h.extras)) {
+	for _, service := range slices.Sorted(maps.Keys(h.retryTimes)) {
 		d.number(historyExtra)
 		d.text(service)
-		d.times(slices.Sorted(slices.Values(h.extras[service]))...)
+		d.times(slices.Sorted(slices.Values(h.retryTimes[service]))...)
 	}
-	for _, bad := range h.bad {
-		d.number(historyBad, uint64(bad.all), uint64(bad.its), uint64(bad.failures))
+	for _, bad := range h.badVersions {
+		d.number(historyBad, uint64(bad.serviceCalls), uint64(bad.versionCalls), uint64(bad.failures))
 		d.text(bad.service, bad.version)
-		d.times(bad.fiftieth, bad.last, bad.late)
+		d.times(bad.failureLimitAt, bad.lastCallAt, bad.lateCallAt)
 	}
 	d.breaches(h.Breaches)
-	for _, cause := range slices.Sorted(maps.Keys(h.Away)) {
-		d.number(historyAway, uint64(h.Away[cause]))
+	for _, cause := range slices.Sorted(maps.Keys(h.Rejections)) {
+		d.number(historyRejected, uint64(h.Rejections[cause]))
 		d.text(cause)
 	}
-	for _, node := range w.seats {
-		d.number(historyDisk, node.incarnation, uint64(node.life), uint64(node.syncs))
+	for _, node := range w.members {
+		d.number(historyDisk, node.incarnation, uint64(node.processRun), uint64(node.syncsStarted))
 		d.text(node.name)
 		for _, record := range node.disk {
 			d.message(t, record)
 		}
 	}
-	d.number(historyEnd, uint64(h.Decisions), uint64(h.Touched), uint64(h.Asked), uint64(h.Answered), uint64(h.Runs), uint64(h.Repeats), uint64(h.Yeses), uint64(h.Refusals),
-		uint64(h.Unsent), uint64(h.Tombstones), uint64(h.Purges), uint64(h.HeldCalls), uint64(h.Left))
+	d.number(historyEnd, uint64(h.Decisions), uint64(h.InTouchDecisions), uint64(h.Attempts), uint64(h.Answered), uint64(h.WorkerRuns), uint64(h.AnsweredRetries), uint64(h.Acknowledgements), uint64(h.RefusedChanges),
+		uint64(h.Unsent), uint64(h.MaxTombstones), uint64(h.Purges), uint64(h.BlockedCalls), uint64(h.CancelledCalls))
 	// Where callers leave, goroutines that wake at one moment race for who hangs up first: which events
 	// the world has for it, and what proxies count of it, is not the same in each run.
-	if w.Options.Leaving == 0 {
-		d.number(h.Print, w.order, uint64(w.serial), w.dice.Uint64())
+	if w.Options.CallerCancelRate == 0 {
+		d.number(h.EventHash, w.lastEventSequence, uint64(w.lastID), w.random.Uint64())
 	}
 }
 
@@ -210,26 +210,26 @@
 	rest.world(t, w)
 	h := w.History
 	events := ""
-	if w.Options.Leaving == 0 {
-		events = fmt.Sprintf("%d events, ", w.order)
+	if w.Options.CallerCancelRate == 0 {
+		events = fmt.Sprintf("%d events, ", w.lastEventSequence)
 	}
 	return fmt.Sprintf("calls %s rest %s: %s%d asked, %d answered, %d runs, %d acknowledged, %d refused, %d held, %d left, epoch %d, %d faults, %d breaches",
-		calls, rest, events, h.Asked, h.Answered, h.Runs, h.Yeses, h.Refusals, h.HeldCalls, h.Left, historyEpoch(w), len(w.faults), len(h.Breaches))
+		calls, rest, events, h.Attempts, h.Answered, h.WorkerRuns, h.Acknowledgements, h.RefusedChanges, h.BlockedCalls, h.CancelledCalls, historyHighestTerm(w), len(w.faults), len(h.Breaches))
 }
 
-// historyEpoch is the highest epoch under which anything was led: how many elections there were.
-func historyEpoch(w *World) (highest uint64) {
-	for _, node := range w.seats {
-		highest = max(highest, node.seat.Status().Term)
+// historyHighestTerm is the highest epoch under which anything was led: how many elections there were.
+func historyHighestTerm(w *World) (highest uint64) {
+	for _, node := range w.members {
+		highest = max(highest, node.replica.Status().Term)
 	}
 	return highest
 }
 
-// historyPlay plays a seed as TestSeeds and its kin do.
-func historyPlay(seed uint64, options Options) func(t *testing.T) string {
+// historyMesh plays a seed as TestSeeds and its kin do.
+func historyMesh(seed uint64, options Options) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
-		return historyOfWorld(t, Play(seed, PlantNone, options))
+		return historyOfWorld(t, RunMesh(seed, SeededNone, options))
 	}
 }
 
@@ -237,61 +237,61 @@
 func historyCore(seed uint64, options CoreOptions) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
-		w := PlayCore(seed, PlantNone, options)
+		w := RunCore(seed, SeededNone, options)
 		d := newHistoryDigest()
 		d.world(t, w.World)
-		for _, change := range w.sent {
+		for _, change := range w.sentChanges {
 			d.number(historySent)
 			d.message(t, change)
 		}
-		for _, name := range slices.Sorted(maps.Keys(w.yes)) {
-			d.number(historyAcknowledged, w.yes[name], w.issued[name])
+		for _, name := range slices.Sorted(maps.Keys(w.acknowledgedVersions)) {
+			d.number(historyAcknowledged, w.acknowledgedVersions[name], w.issuedVersions[name])
 			d.text(name)
 		}
-		d.number(historyEnd, uint64(w.Yeses), uint64(w.Reads), uint64(w.Replaced), uint64(w.Repeats))
+		d.number(historyEnd, uint64(w.Acknowledgements), uint64(w.Reads), uint64(w.Replacements), uint64(w.Resends))
 		return fmt.Sprintf("core %s: %d events, %d changes sent, %d acknowledged, %d refused, %d reads, %d replaced, %d repeats, epoch %d, %d breaches",
-			d, w.order, len(w.sent), w.Yeses, w.History.Refusals, w.Reads, w.Replaced, w.Repeats, historyEpoch(w.World), len(w.History.Breaches))
+			d, w.lastEventSequence, len(w.sentChanges), w.Acknowledgements, w.History.RefusedChanges, w.Reads, w.Replacements, w.Resends, historyHighestTerm(w.World), len(w.History.Breaches))
 	}
 }
 
-// historyBrake plays a version that comes in one of the ways that the brake is tried with. Only what
+// historyRollback plays a version that comes in one of the ways that the brake is tried with. Only what
 // came of it is told by the play; historyRelease looks at a whole history.
-func historyBrake(seed uint64, name string) func(t *testing.T) string {
+func historyRollback(seed uint64, name string) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
-		place := slices.IndexFunc(Kinds, func(kind Kind) bool { return kind.Name == name })
-		if place < 0 {
+		index := slices.IndexFunc(RollbackScenarios, func(kind RollbackScenario) bool { return kind.Name == name })
+		if index < 0 {
 			t.Fatalf("there is no kind %q", name)
 		}
-		got := PlayBrake(seed, Kinds[place], PlantNone, 5)
+		got := RunRollback(seed, RollbackScenarios[index], SeededNone, 5)
 		d := newHistoryDigest()
-		d.number(historyOutcome, uint64(got.All), uint64(got.Its), uint64(got.Failed), uint64(got.Held))
-		d.times(got.Took)
-		d.flags(got.Back)
-		d.text(got.State, got.WhyStopped)
+		d.number(historyOutcome, uint64(got.ServiceCalls), uint64(got.VersionCalls), uint64(got.FailedCalls), uint64(got.BlockedCalls))
+		d.times(got.ExposureTime)
+		d.flags(got.RolledBack)
+		d.text(got.State, got.StopReason)
 		d.breaches(got.Breaches)
 		return fmt.Sprintf("outcome %s: %d calls, %d of them its, %d failed, took %d ns, back %t, %d held, state %q, %q, %d breaches",
-			d, got.All, got.Its, got.Failed, got.Took, got.Back, got.Held, got.State, got.WhyStopped, len(got.Breaches))
+			d, got.ServiceCalls, got.VersionCalls, got.FailedCalls, got.ExposureTime, got.RolledBack, got.BlockedCalls, got.State, got.StopReason, len(got.Breaches))
 	}
 }
 
-// historyTerm plays the order of a version with a term.
-func historyTerm(seed uint64, start string) func(t *testing.T) string {
+// historyVersionOrder plays the order of a version with a term.
+func historyVersionOrder(seed uint64, start string) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
-		place := slices.IndexFunc(TermKinds, func(kind TermKind) bool { return strings.HasPrefix(kind.Name, start) })
-		if place < 0 {
+		index := slices.IndexFunc(OrderScenarios, func(kind OrderScenario) bool { return strings.HasPrefix(kind.Name, start) })
+		if index < 0 {
 			t.Fatalf("there is no kind that starts with %q", start)
 		}
-		got := PlayTerm(seed, TermKinds[place])
+		got := RunOrder(seed, OrderScenarios[index])
 		d := newHistoryDigest()
-		d.number(historyOutcome, uint64(got.Its), uint64(got.All), uint64(got.Bad), uint64(got.Lost))
-		d.times(got.At)
-		d.flags(got.Late)
+		d.number(historyOutcome, uint64(got.VersionCalls), uint64(got.ServiceCalls), uint64(got.BadCalls), uint64(got.LostCalls))
+		d.times(got.ReachedAfter)
+		d.flags(got.HasLateCall)
 		d.text(got.State)
 		d.breaches(got.Breaches)
 		return fmt.Sprintf("outcome %s: %d calls, %d of them its, %d bad, %d lost, state %q at %d ns, late %t, %d breaches",
-			d, got.All, got.Its, got.Bad, got.Lost, got.State, got.At, got.Late, len(got.Breaches))
+			d, got.ServiceCalls, got.VersionCalls, got.BadCalls, got.LostCalls, got.State, got.ReachedAfter, got.HasLateCall, len(got.Breaches))
 	}
 }
 
@@ -300,22 +300,22 @@
 func historyRelease(seed uint64, options Options, ordered bool) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
-		w := NewWorld(seed, PlantNone, options)
-		w.begin()
+		w := NewWorld(seed, SeededNone, options)
+		w.bootFleet()
 		w.Run(w.now + 5*time.Second)
-		w.faults = append(w.faults, &faultEntry{name: "a version goes wrong", from: w.now, costs: true})
+		w.faults = append(w.faults, &faultRecord{name: "a version goes wrong", startedAt: w.now, mayReject: true})
 		if ordered {
-			w.insist(func() {}, &schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"callers":["client","saves"]}`)},
+			w.submitUntilAccepted(func() {}, &schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"callers":["client","saves"]}`)},
 				&schema.Item{Kind: "flag", Name: "release.shop", Deleted: true})
 			w.Run(w.now + 4*time.Second)
-			w.place(release.RolloutOrder{Service: "shop", Version: "2", Within: 12 * time.Second}, func() {})
+			w.placeOrder(release.RolloutOrder{Service: "shop", Version: "2", Within: 12 * time.Second}, func() {})
 		} else {
-			w.insist(func() {}, planned("shop", 60, 20*time.Second))
+			w.submitUntilAccepted(func() {}, releasePlanItem("shop", 60, 20*time.Second))
 		}
-		w.sicken("shop", "2", &Illness{From: w.now + 6*time.Second, Fails: 0.5})
+		w.degradeVersion("shop", "2", &Degradation{From: w.now + 6*time.Second, FailureRate: 0.5})
 		w.Run(w.now + 25*time.Second)
 		w.Close()
-		w.History.close()
+		w.History.checkAtEnd()
 		return historyOfWorld(t, w)
 	}
 }
@@ -325,24 +325,24 @@
 	name string
 	play func(t *testing.T) string
 }{
-	{"mesh 1", historyPlay(1, Options{Length: 25 * time.Second})},
-	{"mesh 2, with a plan", historyPlay(2, Options{Length: 25 * time.Second})},
-	{"mesh 4, with a bad version", historyPlay(4, Options{Length: 25 * time.Second})},
-	{"mesh 3, nothing that costs", historyPlay(3, Options{Length: 25 * time.Second, Free: true})},
-	{"serving 1", historyPlay(1, Options{Length: 25 * time.Second, Serving: true})},
-	{"serving 4, with a bad version", historyPlay(4, Options{Length: 25 * time.Second, Serving: true})},
-	{"leaving 1, calm", historyPlay(1, Options{Quiet: true, Leaving: 0.3, Work: 100 * time.Millisecond, Length: 15 * time.Second})},
-	{"leaving 2, faults", historyPlay(2, Options{Leaving: 0.3, Work: 100 * time.Millisecond, Length: 15 * time.Second})},
-	{"core 1, 3 seats", historyCore(1, CoreOptions{Seats: 3, Losses: 1})},
-	{"core 2, 3 seats", historyCore(2, CoreOptions{Seats: 3, Losses: 1})},
-	{"core 1, 5 seats", historyCore(1, CoreOptions{Seats: 5, Losses: 2})},
-	{"core 2, 5 seats", historyCore(2, CoreOptions{Seats: 5, Losses: 2})},
-	{"release 1, planned", historyRelease(1, Options{Proxies: 5, Rate: 60, Quiet: true}, false)},
-	{"release 2, ordered", historyRelease(2, Options{Proxies: 5, Rate: 60, Quiet: true, Serving: true, Bound: true, Work: 20 * time.Millisecond}, true)},
-	{"brake 1, planned", historyBrake(1, "bad late, at a high share")},
-	{"brake 1, by hand, core split", historyBrake(1, "by hand at 100 %, bad late, the core split")},
-	{"term 1, errors, duty killed", historyTerm(1, "errors, duty killed")},
-	{"term 1, good, herd killed", historyTerm(1, "good, herd killed")},
+	{"mesh 1", historyMesh(1, Options{FaultyDuration: 25 * time.Second})},
+	{"mesh 2, with a plan", historyMesh(2, Options{FaultyDuration: 25 * time.Second})},
+	{"mesh 4, with a bad version", historyMesh(4, Options{FaultyDuration: 25 * time.Second})},
+	{"mesh 3, nothing that costs", historyMesh(3, Options{FaultyDuration: 25 * time.Second, HarmlessFaultsOnly: true})},
+	{"serving 1", historyMesh(1, Options{FaultyDuration: 25 * time.Second, ServeStale: true})},
+	{"serving 4, with a bad version", historyMesh(4, Options{FaultyDuration: 25 * time.Second, ServeStale: true})},
+	{"leaving 1, calm", historyMesh(1, Options{NoFaults: true, CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 15 * time.Second})},
+	{"leaving 2, faults", historyMesh(2, Options{CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 15 * time.Second})},
+	{"core 1, 3 seats", historyCore(1, CoreOptions{Members: 3, MaxLosses: 1})},
+	{"core 2, 3 seats", historyCore(2, CoreOptions{Members: 3, MaxLosses: 1})},
+	{"core 1, 5 seats", historyCore(1, CoreOptions{Members: 5, MaxLosses: 2})},
+	{"core 2, 5 seats", historyCore(2, CoreOptions{Members: 5, MaxLosses: 2})},
+	{"release 1, planned", historyRelease(1, Options{Proxies: 5, CallRate: 60, NoFaults: true}, false)},
+	{"release 2, ordered", historyRelease(2, Options{Proxies: 5, CallRate: 60, NoFaults: true, ServeStale: true, BoundExposure: true, MeanServiceTime: 20 * time.Millisecond}, true)},
+	{"brake 1, planned", historyRollback(1, "bad late, at a high share")},
+	{"brake 1, by hand, core split", historyRollback(1, "by hand at 100 %, bad late, the core split")},
+	{"term 1, errors, duty killed", historyVersionOrder(1, "errors, duty killed")},
+	{"term 1, good, herd killed", historyVersionOrder(1, "good, herd killed")},
 }
 
 // A change that should alter no behaviour alters no history: each run gives the very events, times,
@@ -352,15 +352,15 @@
 	if len(golden) != len(historyRuns) {
 		t.Errorf("%s has %d lines for %d runs", historyFile, len(golden), len(historyRuns))
 	}
-	for _, one := range historyRuns {
-		t.Run(one.name, func(t *testing.T) {
+	for _, run := range historyRuns {
+		t.Run(run.name, func(t *testing.T) {
 			t.Parallel()
-			want, known := golden[one.name]
+			want, known := golden[run.name]
 			if !known {
 				t.Fatalf("%s has no line for it", historyFile)
 			}
 			var got string
-			synctest.Test(t, func(t *testing.T) { got = one.play(t) })
+			synctest.Test(t, func(t *testing.T) { got = run.play(t) })
 			if got != want {
 				t.Errorf("its history differs:\n got %s\nwant %s", got, want)
 			}
--- a/internal/simulator/hop.go
+++ b/internal/simulator/hop.go
@@ -15,154 +15,154 @@
 	"meadowhinge/schema"
 )
 
-// sender is a proxy's way to the worker's side: its own, or another proxy's over a link that
+// attemptSender is a proxy's way to the worker's side: its own, or another proxy's over a link that
 // may be cut, slow, lossy, or end in a dead or frozen machine.
-func (w *World) sender(node *proxyNode, life int) dispatch.Sender {
+func (w *World) attemptSender(node *proxyNode, processRun int) dispatch.Sender {
 	peer := w.peerOf(node)
-	return func(ctx context.Context, candidate plan.Endpoint, given *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+	return func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		// What is left of an earlier life does nothing any more.
-		if now, _, up := w.lifeOf(&node.machine); !up || now != life {
+		if currentRun, _, up := w.processRunOf(&node.process); !up || currentRun != processRun {
 			<-ctx.Done()
 			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
 		}
-		if !given.RecallOnly && !given.AdmissionOnly {
-			w.History.dispatched(w.time(), node, given)
+		if !request.RecallOnly && !request.AdmissionOnly {
+			w.History.recordDispatch(w.time(), node, request)
 		}
-		if !w.thawed(&node.machine, life) {
+		if !w.awaitThaw(&node.process, processRun) {
 			<-ctx.Done()
 			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
 		}
 		if candidate.Proxy == node.name {
-			return node.runner.Run(ctx, peer, given), nil
+			return node.runner.Run(ctx, peer, request), nil
 		}
-		carry := proto.Clone(given).(*schema.ForwardRequest)
-		answers := make(chan hopAnswer, 1)
-		w.hop(node, candidate.Proxy, peer, carry, answers)
+		forwarded := proto.Clone(request).(*schema.ForwardRequest)
+		results := make(chan forwardResult, 1)
+		w.forwardToPeer(node, candidate.Proxy, peer, forwarded, results)
 		select {
-		case answer := <-answers:
-			return answer.carried, answer.err
+		case result := <-results:
+			return result.response, result.err
 		case <-ctx.Done():
-			w.hangUp(node, candidate.Proxy, given.Request)
+			w.propagateCancel(node, candidate.Proxy, request.Request)
 			return nil, errs.New(errs.PeerConnectionLost, "no answer in time")
 		}
 	}
 }
 
-func (w *World) hop(node *proxyNode, name string, peer transport.Peer, carry *schema.ForwardRequest, answers chan hopAnswer) {
-	dice := w.own(carry.Request)
+func (w *World) forwardToPeer(node *proxyNode, name string, peer transport.Peer, request *schema.ForwardRequest, results chan forwardResult) {
+	random := w.derivedRandom(request.Request)
 	var target *proxyNode
-	for _, one := range w.proxies {
-		if one.name == name {
-			target = one
+	for _, candidate := range w.proxies {
+		if candidate.name == name {
+			target = candidate
 		}
 	}
-	lost := func() { answers <- hopAnswer{nil, w.lostLink()} }
+	lost := func() { results <- forwardResult{nil, w.lostLinkError()} }
 	unopened := func(after time.Duration) {
-		w.after(after, func() { answers <- hopAnswer{nil, errs.New(errs.PeerConnectFailed, name)} })
+		w.schedule(after, func() { results <- forwardResult{nil, errs.New(errs.PeerConnectFailed, name)} })
 	}
-	delay, dropped := w.passes(&node.machine, &target.machine, dice)
-	_, _, up := w.lifeOf(&target.machine)
+	delay, dropped := w.sampleLink(&node.process, &target.process, random)
+	_, _, up := w.processRunOf(&target.process)
 	switch {
 	case !up:
 		unopened(delay)
 		return
-	case w.plant == PlantAway && dice.IntN(8) == 0:
+	case w.seededFault == SeededSpuriousUnopened && random.IntN(8) == 0:
 		unopened(delay)
 		return
 	// A link that does not open is known for it after a while; one that was open says nothing.
-	case (dropped || w.isCut(&target.machine, &node.machine)) && dice.IntN(2) == 0:
-		unopened(dialBound)
+	case (dropped || w.isPartitioned(&target.process, &node.process)) && random.IntN(2) == 0:
+		unopened(dialTimeout)
 		return
 	case dropped:
 		// What was sent may still arrive, once the link is whole, long after it was given up on.
-		if dice.IntN(2) == 0 {
-			w.after(time.Duration(dice.Int64N(int64(12*time.Second))), func() {
-				if !w.isCut(&node.machine, &target.machine) {
-					w.on(&target.machine, 0, func() { w.serve(target, peer, carry, func(*schema.ForwardResponse) {}, func() {}) })
+		if random.IntN(2) == 0 {
+			w.schedule(time.Duration(random.Int64N(int64(12*time.Second))), func() {
+				if !w.isPartitioned(&node.process, &target.process) {
+					w.scheduleOn(&target.process, 0, func() { w.serveForward(target, peer, request, func(*schema.ForwardResponse) {}, func() {}) })
 				}
 			})
 		}
-		if w.plant == PlantFalseNo {
-			w.after(dialBound, lost)
+		if w.seededFault == SeededLostLinkAsUnopened {
+			w.schedule(dialTimeout, lost)
 		}
 		return
 	}
 	w.lock.Lock()
-	twice := dice.Float64() < w.repeat
+	duplicated := random.Float64() < w.duplicationRate
 	w.lock.Unlock()
-	if twice {
-		w.after(delay+time.Duration(dice.Int64N(int64(time.Second))), func() {
-			w.on(&target.machine, 0, func() {
-				w.serve(target, peer, proto.Clone(carry).(*schema.ForwardRequest), func(*schema.ForwardResponse) {}, func() {})
+	if duplicated {
+		w.schedule(delay+time.Duration(random.Int64N(int64(time.Second))), func() {
+			w.scheduleOn(&target.process, 0, func() {
+				w.serveForward(target, peer, proto.Clone(request).(*schema.ForwardRequest), func(*schema.ForwardResponse) {}, func() {})
 			})
 		})
 	}
-	w.after(delay, func() {
-		w.on(&target.machine, 0, func() {
-			w.serve(target, peer, carry, func(carried *schema.ForwardResponse) {
-				back := w.own("back " + carry.Request)
-				delay, dropped := w.passes(&target.machine, &node.machine, back)
+	w.schedule(delay, func() {
+		w.scheduleOn(&target.process, 0, func() {
+			w.serveForward(target, peer, request, func(response *schema.ForwardResponse) {
+				returnRandom := w.derivedRandom("back " + request.Request)
+				delay, dropped := w.sampleLink(&target.process, &node.process, returnRandom)
 				if !dropped {
-					w.after(delay, func() { answers <- hopAnswer{w.mangled(carried, back), nil} })
+					w.schedule(delay, func() { results <- forwardResult{w.maybeCorrupt(response, returnRandom), nil} })
 				}
 			}, lost)
 		})
 	})
 }
 
-func (w *World) lostLink() error {
-	if w.plant == PlantFalseNo {
+func (w *World) lostLinkError() error {
+	if w.seededFault == SeededLostLinkAsUnopened {
 		return errs.New(errs.PeerConnectFailed, "lost")
 	}
 	return errs.New(errs.PeerConnectionLost, "lost")
 }
 
-// mangled alters an answer now and then on the way; a checksum that fits would be a forgery.
-func (w *World) mangled(carried *schema.ForwardResponse, dice *rand.Rand) *schema.ForwardResponse {
-	came := proto.Clone(carried).(*schema.ForwardResponse)
+// maybeCorrupt alters an answer now and then on the way; a checksum that fits would be a forgery.
+func (w *World) maybeCorrupt(response *schema.ForwardResponse, random *rand.Rand) *schema.ForwardResponse {
+	received := proto.Clone(response).(*schema.ForwardResponse)
 	w.lock.Lock()
-	part := w.mangle
+	rate := w.corruptionRate
 	w.lock.Unlock()
-	if part == 0 || dice.Float64() >= part || len(came.Body) == 0 {
-		return came
+	if rate == 0 || random.Float64() >= rate || len(received.Body) == 0 {
+		return received
 	}
-	came.Body = append([]byte(nil), came.Body...)
-	came.Body[dice.IntN(len(came.Body))] ^= 1
-	if w.plant == PlantForged {
-		came.Checksum = crc32.ChecksumIEEE(came.Body)
+	received.Body = append([]byte(nil), received.Body...)
+	received.Body[random.IntN(len(received.Body))] ^= 1
+	if w.seededFault == SeededForgedChecksum {
+		received.Checksum = crc32.ChecksumIEEE(received.Body)
 	}
-	return came
+	return received
 }
 
-// serve runs a dispatch at the proxy that it came to. Should that proxy die, the link is lost.
-func (w *World) serve(target *proxyNode, peer transport.Peer, carry *schema.ForwardRequest, answer func(*schema.ForwardResponse), lost func()) {
-	life, died, _ := w.lifeOf(&target.machine)
+// serveForward runs a dispatch at the proxy that it came to. Should that proxy die, the link is lost.
+func (w *World) serveForward(target *proxyNode, peer transport.Peer, request *schema.ForwardRequest, answer func(*schema.ForwardResponse), lost func()) {
+	processRun, exited, _ := w.processRunOf(&target.process)
 	runner := target.runner
 	// Somebody else now and then sends under a name that is not its own.
-	if carry.Caller == "client" && w.own("stranger "+carry.Request).IntN(100) == 0 {
-		forged := proto.Clone(carry).(*schema.ForwardRequest)
-		forged.Request, forged.Caller, forged.RecallOnly = "forged-"+carry.Request, "saves", false
-		stranger := transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
-		if w.plant == PlantClaimsAll {
-			stranger = transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
+	if request.Caller == "client" && w.derivedRandom("stranger "+request.Request).IntN(100) == 0 {
+		forged := proto.Clone(request).(*schema.ForwardRequest)
+		forged.Request, forged.Caller, forged.RecallOnly = "forged-"+request.Request, "saves", false
+		impostor := transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
+		if w.seededFault == SeededAnyCallerAccepted {
+			impostor = transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
 		}
-		go runner.Run(context.Background(), stranger, forged)
+		go runner.Run(context.Background(), impostor, forged)
 	}
 	done := make(chan *schema.ForwardResponse, 1)
-	ctx := called(carry.Request)
-	if w.Options.Leaving > 0 {
-		ctx = w.linkedCall(carry.Request)
+	ctx := callContext(request.Request)
+	if w.Options.CallerCancelRate > 0 {
+		ctx = w.cancellableContext(request.Request)
 	}
-	go func() { done <- runner.Run(ctx, peer, carry) }()
+	go func() { done <- runner.Run(ctx, peer, request) }()
 	go func() {
 		select {
-		case carried := <-done:
-			if w.thawed(&target.machine, life) {
-				answer(carried)
+		case response := <-done:
+			if w.awaitThaw(&target.process, processRun) {
+				answer(response)
 				return
 			}
 			lost()
-		case <-died:
+		case <-exited:
 			lost()
 		}
 	}()
