--- a/internal/simulator/judge.go
+++ b/internal/simulator/judge.go
@@ -11,71 +11,71 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// close judges what can be judged only when all is over.
-func (h *History) close() {
+// checkAtEnd judges what can be judged only when all is over.
+func (h *History) checkAtEnd() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	calls := map[string][]time.Duration{}
-	for _, id := range sortedOps(h.ops) {
-		one := h.ops[id]
-		if one.once && len(one.runs) > 1 {
+	for _, id := range sortedOperationIDs(h.operations) {
+		operation := h.operations[id]
+		if operation.nonIdempotent && len(operation.runs) > 1 {
 			var runs []string
-			for _, run := range one.runs {
-				runs = append(runs, fmt.Sprintf("%s at %s (%s) at %v", run.request, run.worker.name, run.worker.beside.name, run.at))
+			for _, run := range operation.runs {
+				runs = append(runs, fmt.Sprintf("%s at %s (%s) at %v", run.requestID, run.worker.name, run.worker.proxy.name, run.at))
 			}
-			h.breach(RuleTwice, "%s (keyed %v) ran %d times: %s; asked %s", id, one.keyed, len(one.runs), strings.Join(runs, ", "), one.told())
+			h.recordBreach(RuleRanTwice, "%s (keyed %v) ran %d times: %s; asked %s", id, operation.keyed, len(operation.runs), strings.Join(runs, ", "), operation.outcomes())
 		}
-		h.judgeLeft(one)
-		for ask, entry := range one.asks {
-			calls[one.service] = append(calls[one.service], entry.sent)
-			for _, run := range one.runs {
-				if run.ask == ask && entry.outcome == "not-run" {
-					h.breach(RuleNotRun, "%s ran at %v and was told %s", id, run.at, one.told())
+		h.checkCancelled(operation)
+		for attemptNumber, attempt := range operation.attempts {
+			calls[operation.service] = append(calls[operation.service], attempt.sentAt)
+			for _, run := range operation.runs {
+				if run.attemptNumber == attemptNumber && attempt.outcome == "not-run" {
+					h.recordBreach(RuleNotExecutedRan, "%s ran at %v and was told %s", id, run.at, operation.outcomes())
 				}
 			}
 		}
 	}
-	for service, extras := range h.extras {
-		list := calls[service]
-		slices.Sort(list)
-		slices.Sort(extras)
+	for service, retries := range h.retryTimes {
+		callTimes := calls[service]
+		slices.Sort(callTimes)
+		slices.Sort(retries)
 		from := 0
-		for i, at := range extras {
-			for extras[from] < at-fakebackend.RetryBudgetWindow {
+		for i, at := range retries {
+			for retries[from] < at-fakebackend.RetryBudgetWindow {
 				from++
 			}
-			inside := sort.Search(len(list), func(i int) bool { return list[i] > at }) - sort.Search(len(list), func(i int) bool { return list[i] >= at-fakebackend.RetryBudgetWindow })
-			if float64(i-from+1) > fakebackend.RetryBudgetRatio*float64(inside)+h.world.Options.Floor {
-				h.breach(RuleBudget, "%v: %s had %d extra tries on %d calls in ten seconds", at, service, i-from+1, inside)
+			callsInWindow := sort.Search(len(callTimes), func(i int) bool { return callTimes[i] > at }) - sort.Search(len(callTimes), func(i int) bool { return callTimes[i] >= at-fakebackend.RetryBudgetWindow })
+			if float64(i-from+1) > fakebackend.RetryBudgetRatio*float64(callsInWindow)+h.world.Options.RetryFloor {
+				h.recordBreach(RuleRetryBudget, "%v: %s had %d extra tries on %d calls in ten seconds", at, service, i-from+1, callsInWindow)
 			}
 		}
 	}
-	for _, bad := range h.bad {
-		if float64(bad.its) > fakebackend.FaultyVersionRatio*float64(bad.all)+fakebackend.FaultyVersionFloor {
-			h.breach(RuleBad, "%s %s got %d of %d calls since it was bad, %d of them failures", bad.service, bad.version, bad.its, bad.all, bad.failures)
+	for _, bad := range h.badVersions {
+		if float64(bad.versionCalls) > fakebackend.FaultyVersionRatio*float64(bad.serviceCalls)+fakebackend.FaultyVersionFloor {
+			h.recordBreach(RuleBadVersionExposure, "%s %s got %d of %d calls since it was bad, %d of them failures", bad.service, bad.version, bad.versionCalls, bad.serviceCalls, bad.failures)
 		}
-		if bad.late > 0 {
-			h.breach(RuleBad, "%s %s got a call %v after its fiftieth failure", bad.service, bad.version, bad.late-bad.fiftieth)
+		if bad.lateCallAt > 0 {
+			h.recordBreach(RuleBadVersionExposure, "%s %s got a call %v after its fiftieth failure", bad.service, bad.version, bad.lateCallAt-bad.failureLimitAt)
 		}
 	}
 }
 
-// told lists what the callers of an op were told.
-func (o *op) told() string {
+// outcomes lists what the callers of an op were told.
+func (o *operation) outcomes() string {
 	var parts []string
-	for _, entry := range o.asks {
+	for _, attempt := range o.attempts {
 		kind := ""
-		if entry.ended != nil && entry.ended.Err != nil {
-			kind = string(errs.CodeOf(entry.ended.Err))
+		if attempt.result != nil && attempt.result.Err != nil {
+			kind = string(errs.CodeOf(attempt.result.Err))
 		}
-		parts = append(parts, fmt.Sprintf("%s@%v:%s %s", entry.proxy.name, entry.sent, entry.outcome, kind))
+		parts = append(parts, fmt.Sprintf("%s@%v:%s %s", attempt.proxy.name, attempt.sentAt, attempt.outcome, kind))
 	}
 	return strings.Join(parts, ", ")
 }
 
-func sortedOps(ops map[string]*op) []string {
-	ids := make([]string, 0, len(ops))
-	for id := range ops {
+func sortedOperationIDs(operations map[string]*operation) []string {
+	ids := make([]string, 0, len(operations))
+	for id := range operations {
 		ids = append(ids, id)
 	}
 	sort.Strings(ids)
--- a/internal/simulator/play.go
+++ b/internal/simulator/play.go
@@ -11,97 +11,97 @@
 	"meadowhinge/schema"
 )
 
-func route(name string, mark int) *schema.Item {
-	return &schema.Item{Kind: "route", Name: name, Body: []byte(fmt.Sprintf(`{"service":"shop","prefix":"/%s/%d","methods":[],"horizon":"2s","key":"X","attributes":{}}`, name, mark))}
+func routeItem(name string, variant int) *schema.Item {
+	return &schema.Item{Kind: "route", Name: name, Body: []byte(fmt.Sprintf(`{"service":"shop","prefix":"/%s/%d","methods":[],"horizon":"2s","key":"X","attributes":{}}`, name, variant))}
 }
 
-// weighted is a release flag with a share of version 2, in thousandths of a percent.
-func weighted(service string, weight int) *schema.Item {
+// weightedFlagItem is a release flag with a share of version 2, in thousandths of a percent.
+func weightedFlagItem(service string, weight int) *schema.Item {
 	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
 		`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":{"variations":[{"variation":0,"weight":%d},{"variation":1,"weight":%d}]}}}`, 100000-weight, weight))}
 }
 
-// listing is a service that lists version 2 or not, and lets "saves" call or not.
-func listing(service string, both, saves bool) *schema.Item {
+// serviceItem is a service that lists version 2 or not, and lets "saves" call or not.
+func serviceItem(service string, listsBoth, admitsSaves bool) *schema.Item {
 	versions, callers := `"1"`, `"client"`
-	if both {
+	if listsBoth {
 		versions += `,"2"`
 	}
-	if saves {
+	if admitsSaves {
 		callers += `,"saves"`
 	}
 	return &schema.Item{Kind: "service", Name: service, Body: []byte(fmt.Sprintf(`{"versions":[%s],"fallback":"1","callers":[%s]}`, versions, callers))}
 }
 
-func single(service string) *schema.Item {
+func singleVersionFlagItem(service string) *schema.Item {
 	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(`{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`)}
 }
 
-func planned(service string, target float64, over time.Duration) *schema.Item {
+func releasePlanItem(service string, target float64, over time.Duration) *schema.Item {
 	return &schema.Item{Kind: "release", Name: "to-" + service, Body: []byte(fmt.Sprintf(`{"service":%q,"version":"2","target":%v,"over":%q,"pace":"go"}`, service, target, over.String()))}
 }
 
-// expected is what the registry's setup says of the items of a change.
-func expected(state config.State, items []*schema.Item) []*schema.ExpectedVersion {
+// expectedVersions is what the registry's setup says of the items of a change.
+func expectedVersions(state config.State, items []*schema.Item) []*schema.ExpectedVersion {
 	var list []*schema.ExpectedVersion
 	for _, item := range items {
-		if held := state[config.Key(item.Kind, item.Name)]; held != nil && !held.Deleted {
-			list = append(list, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: held.Version.Sequence})
+		if existing := state[config.Key(item.Kind, item.Name)]; existing != nil && !existing.Deleted {
+			list = append(list, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.Sequence})
 		}
 	}
 	return list
 }
 
-// state states items at a registry, as an operator who read the setup there.
-func (w *World) state(node *registryNode, items ...*schema.Item) *schema.Change {
-	change := &schema.Change{Id: fmt.Sprint("change-", w.next()), Items: items, Expected: expected(node.state, items)}
-	w.submit(node, change, func(schema.Ruling, uint64) {})
+// submitItems states items at a registry, as an operator who read the setup there.
+func (w *World) submitItems(node *registryNode, items ...*schema.Item) *schema.Change {
+	change := &schema.Change{Id: fmt.Sprint("change-", w.nextID()), Items: items, Expected: expectedVersions(node.state, items)}
+	w.submitChange(node, change, func(schema.Ruling, uint64) {})
 	return change
 }
 
-// insist states items until they are accepted, now at one registry and then at another.
-func (w *World) insist(then func(), items ...*schema.Item) {
+// submitUntilAccepted states items until they are accepted, now at one registry and then at another.
+func (w *World) submitUntilAccepted(onAccepted func(), items ...*schema.Item) {
 	accepted := false
-	var try func()
-	try = func() {
+	var attempt func()
+	attempt = func() {
 		if accepted {
 			return
 		}
-		node := w.regs[w.roll(len(w.regs))]
+		node := w.registries[w.randomInt(len(w.registries))]
 		if node.state["service/shop"] != nil || items[0].Kind == "service" || items[0].Kind == "flag" {
-			w.submit(node, &schema.Change{Id: fmt.Sprint("insist-", w.next()), Items: items, Expected: expected(node.state, items)}, func(ruling schema.Ruling, _ uint64) {
+			w.submitChange(node, &schema.Change{Id: fmt.Sprint("insist-", w.nextID()), Items: items, Expected: expectedVersions(node.state, items)}, func(ruling schema.Ruling, _ uint64) {
 				if ruling == schema.Ruling_RULING_ACCEPTED && !accepted {
 					accepted = true
-					then()
+					onAccepted()
 				}
 			})
 		}
-		w.after(500*time.Millisecond, try)
+		w.schedule(500*time.Millisecond, attempt)
 	}
-	try()
+	attempt()
 }
 
-// operate states changes: good ones, ones that race for the same item, and invalid ones.
-func (w *World) operate() {
-	serial := w.next()
-	node := w.regs[w.roll(len(w.regs))]
+// submitRandomChange states changes: good ones, ones that race for the same item, and invalid ones.
+func (w *World) submitRandomChange() {
+	id := w.nextID()
+	node := w.registries[w.randomInt(len(w.registries))]
 	if node.state["service/shop"] == nil {
 		return
 	}
 	var items []*schema.Item
-	both := func(service string) bool {
-		listed := node.setup.Services[service]
+	listsBoth := func(service string) bool {
+		listed := node.snapshot.Services[service]
 		return listed != nil && listed.AllowsVersion("2")
 	}
-	switch kind := w.roll(12); {
+	switch kind := w.randomInt(12); {
 	case kind < 4:
-		items = []*schema.Item{route(fmt.Sprint("r", w.roll(3)), serial)}
+		items = []*schema.Item{routeItem(fmt.Sprint("r", w.randomInt(3)), id)}
 	case kind < 6:
 		for range 3 {
-			serial = w.next()
-			items = append(items, route(fmt.Sprint("many", serial), serial))
+			id = w.nextID()
+			items = append(items, routeItem(fmt.Sprint("many", id), id))
 		}
-	case kind < 7 && w.roll(2) == 0:
+	case kind < 7 && w.randomInt(2) == 0:
 		// What was added goes again, so that tombstones pile up and are let go.
 		for _, item := range node.state.Items() {
 			if item.Kind == "route" && !item.Deleted && len(items) < 4 && (strings.HasPrefix(item.Name, "many") || strings.HasPrefix(item.Name, "grown")) {
@@ -113,101 +113,101 @@
 		}
 	case kind < 7 && node.state["route/r0"] != nil:
 		items = []*schema.Item{{Kind: "route", Name: "r0", Deleted: true}}
-	case kind < 8 && both("saves"):
-		items = []*schema.Item{weighted("saves", 1000*w.roll(60))}
-	case kind < 9 && len(w.ills) == 0 && node.setup.Releases["to-shop"] == nil:
+	case kind < 8 && listsBoth("saves"):
+		items = []*schema.Item{weightedFlagItem("saves", 1000*w.randomInt(60))}
+	case kind < 9 && len(w.degradations) == 0 && node.snapshot.Releases["to-shop"] == nil:
 		// A version is delisted, or listed again; its workers stay and go on describing themselves.
-		if listed := both("saves"); listed {
-			items = []*schema.Item{listing("saves", false, false), single("saves")}
+		if listed := listsBoth("saves"); listed {
+			items = []*schema.Item{serviceItem("saves", false, false), singleVersionFlagItem("saves")}
 		} else {
-			items = []*schema.Item{listing("saves", true, false), weighted("saves", 30000)}
+			items = []*schema.Item{serviceItem("saves", true, false), weightedFlagItem("saves", 30000)}
 		}
 	case kind < 10:
 		// A caller is withdrawn, or let in again.
-		items = []*schema.Item{listing("shop", true, !node.setup.Services["shop"].AllowsCaller("saves"))}
+		items = []*schema.Item{serviceItem("shop", true, !node.snapshot.Services["shop"].AllowsCaller("saves"))}
 	default:
 		// A good route beside a flag that closes a cycle: whole, it is invalid.
-		name := fmt.Sprint("bad", serial)
-		w.History.mark("route/" + name)
-		items = []*schema.Item{route(name, serial), {Kind: "flag", Name: name,
+		name := fmt.Sprint("bad", id)
+		w.History.markInvalid("route/" + name)
+		items = []*schema.Item{routeItem(name, id), {Kind: "flag", Name: name,
 			Body: []byte(fmt.Sprintf(`{"on":true,"salt":"","variations":["x"],"offVariation":0,"fallthrough":{"variation":0},"prerequisites":[{"key":"%s","variation":0}]}`, name))}}
-		if w.plant == PlantPartial {
+		if w.seededFault == SeededPartialChange {
 			items = items[:1]
 		}
 	}
-	change := w.state(node, items...)
+	change := w.submitItems(node, items...)
 	// The same change is sometimes stated again elsewhere, as an operator does who got no answer.
-	if w.roll(4) == 0 {
-		other := w.regs[w.roll(len(w.regs))]
-		w.after(w.upTo(3*time.Second), func() { w.submit(other, change, func(schema.Ruling, uint64) {}) })
+	if w.randomInt(4) == 0 {
+		other := w.registries[w.randomInt(len(w.registries))]
+		w.schedule(w.randomDuration(3*time.Second), func() { w.submitChange(other, change, func(schema.Ruling, uint64) {}) })
 	}
 }
 
-func (h *History) mark(item string) {
+func (h *History) markInvalid(item string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.markers[item] = true
+	h.invalidItems[item] = true
 }
 
 // fault is a kind of fault; act begins it and gives what ends it, or nil if it ends by itself.
 type fault struct {
-	name  string
-	costs bool // it may turn callers away
-	core  bool // it takes a core machine or its disk: one at a time is promised to be survived
-	act   func(w *World) (mend func())
+	name      string
+	mayReject bool // it may turn callers away
+	hitsCore  bool // it takes a core machine or its disk: one at a time is promised to be survived
+	inject    func(w *World) (mend func())
 }
 
-// wholeCore is more than is promised to be survived without cost: nothing acknowledged is lost,
+// wholeCorePowerLoss is more than is promised to be survived without cost: nothing acknowledged is lost,
 // but what was claimed is, so keys are refused until whatever was forgotten has run out.
-const wholeCore = "the whole core loses power"
+const wholeCorePowerLoss = "the whole core loses power"
 
 // Faults are all kinds of fault; each ends after a while.
 var Faults = []fault{
 	{"seat loses power", false, true, func(w *World) func() {
-		node := w.seats[w.roll(seatCount)]
-		w.crashSeat(node)
-		return func() { w.startSeat(node) }
+		node := w.members[w.randomInt(memberCount)]
+		w.crashMember(node)
+		return func() { w.startMember(node) }
 	}},
 	{"core machine loses power", false, true, func(w *World) func() {
-		i := w.roll(seatCount)
-		w.crashSeat(w.seats[i])
-		w.fall(&w.regs[i].machine)
-		return func() { w.startSeat(w.seats[i]); w.startRegistry(w.regs[i]) }
+		i := w.randomInt(memberCount)
+		w.crashMember(w.members[i])
+		w.stopProcess(&w.registries[i].process)
+		return func() { w.startMember(w.members[i]); w.startRegistry(w.registries[i]) }
 	}},
 	{"core machine comes back empty", false, true, func(w *World) func() {
-		i := w.roll(seatCount)
-		w.crashSeat(w.seats[i])
-		w.seats[i].disk = nil
-		w.fall(&w.regs[i].machine)
-		return func() { w.startSeat(w.seats[i]); w.startRegistry(w.regs[i]) }
+		i := w.randomInt(memberCount)
+		w.crashMember(w.members[i])
+		w.members[i].disk = nil
+		w.stopProcess(&w.registries[i].process)
+		return func() { w.startMember(w.members[i]); w.startRegistry(w.registries[i]) }
 	}},
 	{"seat loses its disk", false, true, func(w *World) func() {
-		node := w.seats[w.roll(seatCount)]
-		w.crashSeat(node)
+		node := w.members[w.randomInt(memberCount)]
+		w.crashMember(node)
 		node.disk = nil
-		return func() { w.startSeat(node) }
+		return func() { w.startMember(node) }
 	}},
 	{"power lost right after a yes, with the disk", false, true, func(w *World) func() {
 		lost := false
 		var mend func()
 		// It waits for the next yes, and then takes the seat that has the duty.
-		yeses := w.History.Yeses
+		yeses := w.History.Acknowledgements
 		var watch func()
 		watch = func() {
 			if lost {
 				return
 			}
-			if w.History.Yeses == yeses {
-				w.after(time.Millisecond, watch)
+			if w.History.Acknowledgements == yeses {
+				w.schedule(time.Millisecond, watch)
 				return
 			}
-			for i, node := range w.seats {
-				if status := node.seat.Status(); !lost && node.up && status.Leader == seatName(i) {
+			for i, node := range w.members {
+				if status := node.replica.Status(); !lost && node.up && status.Leader == memberName(i) {
 					lost = true
-					w.crashSeat(node)
+					w.crashMember(node)
 					node.disk = nil
-					w.fall(&w.regs[i].machine)
-					mend = func() { w.startSeat(node); w.startRegistry(w.regs[i]) }
+					w.stopProcess(&w.registries[i].process)
+					mend = func() { w.startMember(node); w.startRegistry(w.registries[i]) }
 				}
 			}
 		}
@@ -219,220 +219,223 @@
 			}
 		}
 	}},
-	{wholeCore, true, true, func(w *World) func() {
-		for i := range seatCount {
-			w.crashSeat(w.seats[i])
-			w.fall(&w.regs[i].machine)
+	{wholeCorePowerLoss, true, true, func(w *World) func() {
+		for i := range memberCount {
+			w.crashMember(w.members[i])
+			w.stopProcess(&w.registries[i].process)
 		}
 		return func() {
-			for i := range seatCount {
-				w.startSeat(w.seats[i])
-				w.startRegistry(w.regs[i])
+			for i := range memberCount {
+				w.startMember(w.members[i])
+				w.startRegistry(w.registries[i])
 			}
 		}
 	}},
 	{"registry restarts", false, true, func(w *World) func() {
-		node := w.regs[w.roll(seatCount)]
-		w.fall(&node.machine)
+		node := w.registries[w.randomInt(memberCount)]
+		w.stopProcess(&node.process)
 		return func() { w.startRegistry(node) }
 	}},
 	{"core machine frozen", false, true, func(w *World) func() {
-		i := w.roll(seatCount)
-		until := w.now + w.upTo(12*time.Second)
-		w.freeze(&w.seats[i].machine, until)
-		w.freeze(&w.regs[i].machine, until)
-		return func() { w.freeze(&w.seats[i].machine, 0); w.freeze(&w.regs[i].machine, 0) }
+		i := w.randomInt(memberCount)
+		until := w.now + w.randomDuration(12*time.Second)
+		w.freeze(&w.members[i].process, until)
+		w.freeze(&w.registries[i].process, until)
+		return func() { w.freeze(&w.members[i].process, 0); w.freeze(&w.registries[i].process, 0) }
 	}},
 	{"core split one from two", true, false, func(w *World) func() {
-		lone := w.roll(seatCount)
-		return w.split(func(i, j int) bool { return i == lone || j == lone })
+		lone := w.randomInt(memberCount)
+		return w.partitionCore(func(i, j int) bool { return i == lone || j == lone })
 	}},
 	{"core split each alone", true, false, func(w *World) func() {
-		return w.split(func(i, j int) bool { return true })
+		return w.partitionCore(func(i, j int) bool { return true })
 	}},
 	{"one link one way", true, false, func(w *World) func() {
-		i, j := w.roll(seatCount), w.roll(seatCount)
-		return w.split(func(a, b int) bool { return a == i && b == j })
+		i, j := w.randomInt(memberCount), w.randomInt(memberCount)
+		return w.partitionCore(func(a, b int) bool { return a == i && b == j })
 	}},
 	{"a core machine cut off one way", true, false, func(w *World) func() {
-		lone, inward := w.roll(seatCount), w.roll(2) == 0
-		return w.split(func(a, b int) bool { return (inward && b == lone) || (!inward && a == lone) })
+		lone, inward := w.randomInt(memberCount), w.randomInt(2) == 0
+		return w.partitionCore(func(a, b int) bool { return (inward && b == lone) || (!inward && a == lone) })
 	}},
 	{"core cut off from some proxies", true, false, func(w *World) func() {
 		var ways [][2]string
-		for _, node := range w.proxies[:1+w.roll(len(w.proxies))] {
-			for i := range seatCount {
-				if w.roll(4) > 0 {
-					ways = append(ways, [2]string{"core-" + seatName(i), node.name}, [2]string{node.name, "core-" + seatName(i)})
+		for _, node := range w.proxies[:1+w.randomInt(len(w.proxies))] {
+			for i := range memberCount {
+				if w.randomInt(4) > 0 {
+					ways = append(ways, [2]string{"core-" + memberName(i), node.name}, [2]string{node.name, "core-" + memberName(i)})
 				}
 			}
 		}
-		return w.cutWays(ways)
+		return w.cutLinks(ways)
 	}},
 	{"edge machine cut off", true, false, func(w *World) func() {
-		node := w.proxies[w.roll(len(w.proxies))]
+		node := w.proxies[w.randomInt(len(w.proxies))]
 		var ways [][2]string
-		for i := range seatCount {
-			ways = append(ways, [2]string{"core-" + seatName(i), node.name}, [2]string{node.name, "core-" + seatName(i)})
+		for i := range memberCount {
+			ways = append(ways, [2]string{"core-" + memberName(i), node.name}, [2]string{node.name, "core-" + memberName(i)})
 		}
 		for _, other := range w.proxies {
 			ways = append(ways, [2]string{other.name, node.name}, [2]string{node.name, other.name})
 		}
-		return w.cutWays(ways)
+		return w.cutLinks(ways)
 	}},
 	{"link between two edges lost one way", true, false, func(w *World) func() {
-		a, b := w.proxies[w.roll(len(w.proxies))], w.proxies[w.roll(len(w.proxies))]
-		return w.cutWays([][2]string{{a.name, b.name}})
+		a, b := w.proxies[w.randomInt(len(w.proxies))], w.proxies[w.randomInt(len(w.proxies))]
+		return w.cutLinks([][2]string{{a.name, b.name}})
 	}},
 	{"disk stalls", false, true, func(w *World) func() {
-		node := w.seats[w.roll(seatCount)]
-		node.stalledTo = w.now + w.upTo(8*time.Second)
-		return func() { w.unstall(node) }
+		node := w.members[w.randomInt(memberCount)]
+		node.stalledUntil = w.now + w.randomDuration(8*time.Second)
+		return func() { w.endDiskStall(node) }
 	}},
 	{"disk slow", false, true, func(w *World) func() {
-		node := w.seats[w.roll(seatCount)]
-		node.slowBy = w.upTo(500 * time.Millisecond)
-		return func() { node.slowBy = 0; w.links(func() { w.disturb(w.time(), site(node.name)) }) }
+		node := w.members[w.randomInt(memberCount)]
+		node.maxExtraSyncDelay = w.randomDuration(500 * time.Millisecond)
+		return func() {
+			node.maxExtraSyncDelay = 0
+			w.withLock(func() { w.markDisturbed(w.time(), hostOf(node.name)) })
+		}
 	}},
 	{"edge machine frozen", true, false, func(w *World) func() {
-		m := &w.proxies[w.roll(len(w.proxies))].machine
-		w.freeze(m, w.now+w.upTo(15*time.Second))
+		m := &w.proxies[w.randomInt(len(w.proxies))].process
+		w.freeze(m, w.now+w.randomDuration(15*time.Second))
 		return func() { w.freeze(m, 0) }
 	}},
-	{"proxy killed", true, false, func(w *World) func() { return w.kill(w.proxies[w.roll(len(w.proxies)):][:1]) }},
+	{"proxy killed", true, false, func(w *World) func() { return w.killProxies(w.proxies[w.randomInt(len(w.proxies)):][:1]) }},
 	{"a herd of proxies killed", true, false, func(w *World) func() {
 		var herd []*proxyNode
 		for _, node := range w.proxies {
-			if w.roll(2) == 0 {
+			if w.randomInt(2) == 0 {
 				herd = append(herd, node)
 			}
 		}
-		return w.kill(herd)
+		return w.killProxies(herd)
 	}},
 	{"lossy links", true, false, func(w *World) func() {
-		w.links(func() { w.loss = 0.3 * w.dice.Float64() })
-		return func() { w.links(func() { w.loss = 0; w.disturb(w.time(), everySite) }) }
+		w.withLock(func() { w.lossRate = 0.3 * w.random.Float64() })
+		return func() { w.withLock(func() { w.lossRate = 0; w.markDisturbed(w.time(), everyHost) }) }
 	}},
 	{"slow links", true, false, func(w *World) func() {
-		w.links(func() { w.slow = time.Duration(w.dice.Int64N(int64(400 * time.Millisecond))) })
-		return func() { w.links(func() { w.slow = 0; w.disturb(w.time(), everySite) }) }
+		w.withLock(func() { w.maxExtraDelay = time.Duration(w.random.Int64N(int64(400 * time.Millisecond))) })
+		return func() { w.withLock(func() { w.maxExtraDelay = 0; w.markDisturbed(w.time(), everyHost) }) }
 	}},
 	{"links that alter", true, false, func(w *World) func() {
-		w.links(func() { w.mangle = 0.2 * w.dice.Float64() })
-		return func() { w.links(func() { w.mangle = 0 }) }
+		w.withLock(func() { w.corruptionRate = 0.2 * w.random.Float64() })
+		return func() { w.withLock(func() { w.corruptionRate = 0 }) }
 	}},
 	{"links that repeat", true, false, func(w *World) func() {
-		w.links(func() { w.repeat = 0.3 * w.dice.Float64() })
-		return func() { w.links(func() { w.repeat = 0 }) }
+		w.withLock(func() { w.duplicationRate = 0.3 * w.random.Float64() })
+		return func() { w.withLock(func() { w.duplicationRate = 0 }) }
 	}},
 	{"worker killed", true, false, func(w *World) func() {
-		old := w.living()
-		w.endWorker(old)
-		return func() { w.startWorker(old.beside, old.service, old.version, old.address) }
+		old := w.randomWorker()
+		w.killWorker(old)
+		return func() { w.startWorker(old.proxy, old.service, old.version, old.address) }
 	}},
 	{"worker killed, its address another's", true, false, func(w *World) func() {
-		old := w.living()
+		old := w.randomWorker()
 		other := "shop"
 		if old.service == other {
 			other = "saves"
 		}
 		var reuser *workerNode
-		if w.roll(2) == 0 {
-			reuser = w.supplant(old, other)
+		if w.randomInt(2) == 0 {
+			reuser = w.takeOverConnections(old, other)
 		} else {
-			w.endWorker(old)
-			reuser = w.startWorker(old.beside, other, "1", old.address)
+			w.killWorker(old)
+			reuser = w.startWorker(old.proxy, other, "1", old.address)
 		}
-		return func() { w.endWorker(reuser); w.startWorker(old.beside, old.service, old.version, "") }
+		return func() { w.killWorker(reuser); w.startWorker(old.proxy, old.service, old.version, "") }
 	}},
 	{"worker loses answers", true, false, func(w *World) func() {
-		one := w.living()
-		one.loses = true
-		return func() { one.loses = false }
+		one := w.randomWorker()
+		one.dropsResponses = true
+		return func() { one.dropsResponses = false }
 	}},
 	{"worker babbles", true, false, func(w *World) func() {
-		one := w.living()
-		one.babbles = true
-		return func() { one.babbles = false }
+		one := w.randomWorker()
+		one.truncatesResponses = true
+		return func() { one.truncatesResponses = false }
 	}},
 	{"worker warms up slowly", false, false, func(w *World) func() {
-		old := w.living()
-		w.startWorker(old.beside, old.service, old.version, "").warm = 5 * time.Second
+		old := w.randomWorker()
+		w.startWorker(old.proxy, old.service, old.version, "").warmup = 5 * time.Second
 		return func() {}
 	}},
 	{"worker replaced, its address reused", false, false, func(w *World) func() {
-		w.replace(w.living())
+		w.replaceWorker(w.randomWorker())
 		return func() {}
 	}},
 	{"worker drained, and goes later", false, false, func(w *World) func() {
-		old := w.living()
-		w.startWorker(old.beside, old.service, old.version, "")
-		w.after(500*time.Millisecond, func() {
+		old := w.randomWorker()
+		w.startWorker(old.proxy, old.service, old.version, "")
+		w.schedule(500*time.Millisecond, func() {
 			if old.up {
-				w.drain(old)
+				w.drainWorker(old)
 			}
 		})
-		return func() { w.after(6*time.Second, func() { w.describe(old, true); w.endWorker(old) }) }
+		return func() { w.schedule(6*time.Second, func() { w.describeWorker(old, true); w.killWorker(old) }) }
 	}},
 	{"every worker replaced in turn", false, false, func(w *World) func() {
-		for i, one := range w.all() {
-			w.after(time.Duration(i)*1200*time.Millisecond, func() {
-				if one.up && !one.leaving {
-					w.replace(one)
+		for i, one := range w.activeWorkers() {
+			w.schedule(time.Duration(i)*1200*time.Millisecond, func() {
+				if one.up && !one.draining {
+					w.replaceWorker(one)
 				}
 			})
 		}
 		return func() {}
 	}},
 	{"proxy restarted politely", false, false, func(w *World) func() {
-		w.polite(w.proxies[w.roll(len(w.proxies))])
+		w.restartGracefully(w.proxies[w.randomInt(len(w.proxies))])
 		return func() {}
 	}},
 	{"storm of changes", false, false, func(w *World) func() {
 		for i := range 100 {
-			w.after(time.Duration(i)*20*time.Millisecond, w.operate)
+			w.schedule(time.Duration(i)*20*time.Millisecond, w.submitRandomChange)
 		}
 		return func() {}
 	}},
 	{"setup grows", false, false, func(w *World) func() {
 		var items []*schema.Item
 		for range 300 {
-			serial := w.next()
-			items = append(items, route(fmt.Sprint("grown", serial), serial))
+			serial := w.nextID()
+			items = append(items, routeItem(fmt.Sprint("grown", serial), serial))
 		}
-		w.state(w.regs[w.roll(seatCount)], items...)
+		w.submitItems(w.registries[w.randomInt(memberCount)], items...)
 		return func() {}
 	}},
 }
 
-func (w *World) links(change func()) {
+func (w *World) withLock(change func()) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	change()
 }
 
-// living draws a worker that is up and stays.
-func (w *World) living() *workerNode {
-	all := w.all()
-	return all[w.roll(len(all))]
+// randomWorker draws a worker that is up and stays.
+func (w *World) randomWorker() *workerNode {
+	all := w.activeWorkers()
+	return all[w.randomInt(len(all))]
 }
 
-func (w *World) all() []*workerNode {
+func (w *World) activeWorkers() []*workerNode {
 	var all []*workerNode
-	for _, one := range w.workers {
-		if one.up && !one.leaving {
-			all = append(all, one)
+	for _, worker := range w.workers {
+		if worker.up && !worker.draining {
+			all = append(all, worker)
 		}
 	}
 	return all
 }
 
-// kill ends proxies at once; what gives back starts them again. Their workers stay.
-func (w *World) kill(herd []*proxyNode) func() {
+// killProxies ends proxies at once; what gives back starts them again. Their workers stay.
+func (w *World) killProxies(nodes []*proxyNode) func() {
 	var killed []*proxyNode
-	for _, node := range herd {
+	for _, node := range nodes {
 		if node.up {
-			w.endProxy(node)
+			w.stopProxy(node)
 			killed = append(killed, node)
 		}
 	}
@@ -443,51 +446,51 @@
 	}
 }
 
-// polite ends a proxy as SIGTERM does: its workers are told as leaving, callers are turned to
+// restartGracefully ends a proxy as SIGTERM does: its workers are told as leaving, callers are turned to
 // other proxies, what is under way ends, and then it starts anew.
-func (w *World) polite(node *proxyNode) {
+func (w *World) restartGracefully(node *proxyNode) {
 	// Machines are stopped in turn: the next one goes when the last is back.
-	if !node.up || w.stopping != nil && (w.stopping.life == w.stoppedIn || !w.stopping.open.Load()) {
+	if !node.up || w.lastRestarted != nil && (w.lastRestarted.processRun == w.lastRestartedRun || !w.lastRestarted.acceptsCallers.Load()) {
 		return
 	}
-	life := node.life
-	w.stopping, w.stoppedIn = node, life
+	processRun := node.processRun
+	w.lastRestarted, w.lastRestartedRun = node, processRun
 	node.workers.DrainAll()
-	w.on(&node.machine, time.Second, func() {
-		node.politely.Store(true)
-		w.on(&node.machine, 3*time.Second, func() {
-			if node.life == life {
-				w.endProxy(node)
-				w.after(w.upTo(time.Second), func() { w.startProxy(node) })
+	w.scheduleOn(&node.process, time.Second, func() {
+		node.draining.Store(true)
+		w.scheduleOn(&node.process, 3*time.Second, func() {
+			if node.processRun == processRun {
+				w.stopProxy(node)
+				w.schedule(w.randomDuration(time.Second), func() { w.startProxy(node) })
 			}
 		})
 	})
 }
 
-func (w *World) split(cut func(i, j int) bool) func() {
-	var ways [][2]string
-	for i := range seatCount {
-		for j := range seatCount {
-			if i != j && cut(i, j) {
-				ways = append(ways, [2]string{"core-" + seatName(i), "core-" + seatName(j)})
+func (w *World) partitionCore(isCut func(i, j int) bool) func() {
+	var links [][2]string
+	for i := range memberCount {
+		for j := range memberCount {
+			if i != j && isCut(i, j) {
+				links = append(links, [2]string{"core-" + memberName(i), "core-" + memberName(j)})
 			}
 		}
 	}
-	return w.cutWays(ways)
+	return w.cutLinks(links)
 }
 
-func (w *World) cutWays(ways [][2]string) func() {
-	w.links(func() {
-		for _, way := range ways {
-			w.cuts[way] = true
-			w.disturb(w.time(), way[0], way[1])
+func (w *World) cutLinks(links [][2]string) func() {
+	w.withLock(func() {
+		for _, link := range links {
+			w.partitionedLinks[link] = true
+			w.markDisturbed(w.time(), link[0], link[1])
 		}
 	})
 	return func() {
-		w.links(func() {
-			for _, way := range ways {
-				delete(w.cuts, way)
-				w.disturb(w.time(), way[0], way[1])
+		w.withLock(func() {
+			for _, link := range links {
+				delete(w.partitionedLinks, link)
+				w.markDisturbed(w.time(), link[0], link[1])
 			}
 		})
 	}
@@ -495,191 +498,191 @@
 
 // Lengths of a play.
 const (
-	settled   = 3 * lease
-	faultyFor = 60 * time.Second
-	mendsIn   = 12 * time.Second
-	settleIn  = 2 * lease // registries that restarted last count again only after a lease
+	settlingTime          = 3 * leaseDuration
+	defaultFaultyDuration = 60 * time.Second
+	maxFaultDuration      = 12 * time.Second
+	registryRestartTime   = 2 * leaseDuration // registries that restarted last count again only after a lease
 )
 
-// begin waits until the fleet serves its first setup.
-func (w *World) begin() {
-	w.Run(lease + 2*time.Second)
-	items, _ := configsource.Parse([]byte(firstSetup))
-	w.insist(func() {}, items...)
-	w.Run(settled)
-	w.callers()
+// bootFleet waits until the fleet serves its first setup.
+func (w *World) bootFleet() {
+	w.Run(leaseDuration + 2*time.Second)
+	items, _ := configsource.Parse([]byte(initialConfig))
+	w.submitUntilAccepted(func() {}, items...)
+	w.Run(settlingTime)
+	w.startCallers()
 }
 
-// draws picks a fault by the dice, among those that the options allow.
-func (w *World) draws() *fault {
+// drawFault picks a fault by the dice, among those that the options allow.
+func (w *World) drawFault() *fault {
 	for {
-		chosen := &Faults[w.roll(len(Faults))]
+		chosen := &Faults[w.randomInt(len(Faults))]
 		// It ends the claims of a whole window, and with them most of what a seed could show.
-		if chosen.name == wholeCore && len(w.Options.Only) == 0 && w.roll(8) > 0 {
+		if chosen.name == wholeCorePowerLoss && len(w.Options.OnlyFaults) == 0 && w.randomInt(8) > 0 {
 			continue
 		}
-		if (len(w.Options.Only) == 0 || slices.Contains(w.Options.Only, chosen.name)) && (!w.Options.Free || !chosen.costs) {
+		if (len(w.Options.OnlyFaults) == 0 || slices.Contains(w.Options.OnlyFaults, chosen.name)) && (!w.Options.HarmlessFaultsOnly || !chosen.mayReject) {
 			return chosen
 		}
 	}
 }
 
-// trouble lets faults come and go. In a free world they come one at a time.
-func (w *World) trouble(until time.Duration) {
-	coreDown, place := false, 0
-	var next func()
-	next = func() {
+// injectFaults lets faults come and go. In a free world they come one at a time.
+func (w *World) injectFaults(until time.Duration) {
+	coreDown, faultIndex := false, 0
+	var injectNext func()
+	injectNext = func() {
 		if w.now > until {
 			return
 		}
-		chosen := w.draws()
-		skipped := w.Options.Skip[place]
-		place++
-		pause := w.upTo(5 * time.Second)
+		chosen := w.drawFault()
+		skipped := w.Options.SkipFaults[faultIndex]
+		faultIndex++
+		pause := w.randomDuration(5 * time.Second)
 		// One core machine at a time may lose its process or its disk; links may fail besides.
-		if (chosen.core && coreDown) || skipped {
-			w.after(pause, next)
+		if (chosen.hitsCore && coreDown) || skipped {
+			w.schedule(pause, injectNext)
 			return
 		}
-		entry := &faultEntry{name: chosen.name, from: w.now, costs: chosen.costs, core: chosen.core}
+		record := &faultRecord{name: chosen.name, startedAt: w.now, mayReject: chosen.mayReject, hitsCore: chosen.hitsCore}
 		w.lock.Lock()
-		w.faults = append(w.faults, entry)
+		w.faults = append(w.faults, record)
 		w.lock.Unlock()
-		mend := chosen.act(w)
-		coreDown = coreDown || chosen.core
-		w.after(w.upTo(mendsIn), func() {
-			mend()
-			if chosen.core && w.plant == PlantNoRecovery && w.now > until/2 {
-				for _, node := range w.seats[:2] {
-					w.crashSeat(node)
+		repair := chosen.inject(w)
+		coreDown = coreDown || chosen.hitsCore
+		w.schedule(w.randomDuration(maxFaultDuration), func() {
+			repair()
+			if chosen.hitsCore && w.seededFault == SeededNoRecovery && w.now > until/2 {
+				for _, node := range w.members[:2] {
+					w.crashMember(node)
 				}
 			}
-			ended := func() {
+			recordEnd := func() {
 				w.lock.Lock()
-				entry.to = w.now
+				record.endedAt = w.now
 				w.lock.Unlock()
-				if w.Options.Free {
-					w.after(2*lease, next)
+				if w.Options.HarmlessFaultsOnly {
+					w.schedule(2*leaseDuration, injectNext)
 				}
 			}
-			if !chosen.core {
-				ended()
+			if !chosen.hitsCore {
+				recordEnd()
 				return
 			}
 			// Only one core machine's loss at a time is promised to be survived, so the next goes
 			// only once this one has been refilled by the others.
-			var whole func()
-			whole = func() {
-				if w.coreWhole() {
+			var awaitCoreRecovery func()
+			awaitCoreRecovery = func() {
+				if w.isCoreRecovered() {
 					coreDown = false
-					ended()
+					recordEnd()
 					return
 				}
-				w.after(time.Second, whole)
+				w.schedule(time.Second, awaitCoreRecovery)
 			}
-			w.after(time.Second, whole)
+			w.schedule(time.Second, awaitCoreRecovery)
 		})
-		if !w.Options.Free {
-			w.after(pause, next)
+		if !w.Options.HarmlessFaultsOnly {
+			w.schedule(pause, injectNext)
 		}
 	}
-	next()
+	injectNext()
 }
 
-// operators state changes at random times.
-func (w *World) operators() {
-	pause := w.Options.Changes
-	if pause == 0 {
-		pause = time.Second
+// startOperators state changes at random times.
+func (w *World) startOperators() {
+	interval := w.Options.ChangeInterval
+	if interval == 0 {
+		interval = time.Second
 	}
-	var operating func()
-	operating = func() {
-		w.operate()
-		w.after(w.upTo(pause), operating)
+	var submitAndReschedule func()
+	submitAndReschedule = func() {
+		w.submitRandomChange()
+		w.schedule(w.randomDuration(interval), submitAndReschedule)
 	}
-	operating()
+	submitAndReschedule()
 }
 
-// Play runs one seed: a fleet comes up, callers call, operators state changes and a release
+// RunMesh runs one seed: a fleet comes up, callers call, operators state changes and a release
 // plan, faults come and go in combination, all are mended, and the fleet must be back. It must
 // run inside a bubble.
-func Play(seed uint64, plant Plant, options Options) *World {
+func RunMesh(seed uint64, seededFault SeededFault, options Options) *World {
 	if options.Proxies == 0 {
 		options.Proxies = 5
 		if seed%8 == 0 {
 			options.Proxies = 14
 		}
 	}
-	if options.Rate == 0 {
-		options.Rate = 30
+	if options.CallRate == 0 {
+		options.CallRate = 30
 	}
-	if options.Length == 0 {
-		options.Length = faultyFor
+	if options.FaultyDuration == 0 {
+		options.FaultyDuration = defaultFaultyDuration
 	}
-	w := NewWorld(seed, plant, options)
-	w.begin()
-	w.operators()
-	until := w.now + options.Length
+	w := NewWorld(seed, seededFault, options)
+	w.bootFleet()
+	w.startOperators()
+	until := w.now + options.FaultyDuration
 	if seed%2 == 0 {
-		w.release(seed)
+		w.startRelease(seed)
 	}
-	if !options.Quiet {
-		w.trouble(until)
+	if !options.NoFaults {
+		w.injectFaults(until)
 	}
 	// By then the last fault has been mended; the registries may have restarted just before.
-	w.Run(until + mendsIn + time.Second)
-	w.closing()
+	w.Run(until + maxFaultDuration + time.Second)
+	w.checkRecovery()
 	w.Close()
-	w.History.close()
+	w.History.checkAtEnd()
 	return w
 }
 
-// release states a plan for the shop in the midst of it all; in some seeds the version is bad.
-func (w *World) release(seed uint64) {
-	w.insist(func() {}, planned("shop", 60, 20*time.Second))
+// startRelease states a plan for the shop in the midst of it all; in some seeds the version is bad.
+func (w *World) startRelease(seed uint64) {
+	w.submitUntilAccepted(func() {}, releasePlanItem("shop", 60, 20*time.Second))
 	if seed%4 == 0 {
-		w.sicken("shop", "2", &Illness{From: w.now + w.upTo(40*time.Second), Fails: 1})
+		w.degradeVersion("shop", "2", &Degradation{From: w.now + w.randomDuration(40*time.Second), FailureRate: 1})
 	}
 }
 
-// sicken makes a version ill from a time on, and has it watched.
-func (w *World) sicken(service, version string, ill *Illness) {
+// degradeVersion makes a version ill from a time on, and has it watched.
+func (w *World) degradeVersion(service, version string, degradation *Degradation) {
 	w.lock.Lock()
-	w.ills[[2]string{service, version}] = ill
+	w.degradations[[2]string{service, version}] = degradation
 	w.lock.Unlock()
 	w.History.lock.Lock()
-	w.History.bad = append(w.History.bad, &badEntry{service: service, version: version})
+	w.History.badVersions = append(w.History.badVersions, &badVersion{service: service, version: version})
 	w.History.lock.Unlock()
 }
 
-// closing checks that after the last fault service is back and what was acknowledged stands.
-func (w *World) closing() {
-	back := time.Duration(0)
+// checkRecovery checks that after the last fault service is back and what was acknowledged stands.
+func (w *World) checkRecovery() {
+	recoveredAfter := time.Duration(0)
 	start := w.now
-	yesBefore := w.History.yes
+	acknowledgedBefore := w.History.lastAcknowledged
 	// A registry that restarted with the last fault counts again after a lease: that is the bound's bulk.
-	for w.now < start+recovery+settleIn {
+	for w.now < start+recoveryBound+registryRestartTime {
 		w.Run(w.now + 250*time.Millisecond)
 		leased := 0
 		for _, node := range w.proxies {
-			if node.up && (w.Options.Serving || node.gate.Open()) && node.open.Load() {
+			if node.up && (w.Options.ServeStale || node.leaseGate.Open()) && node.acceptsCallers.Load() {
 				leased++
 			}
 		}
-		if leased == len(w.proxies) && w.History.yes > yesBefore {
-			back = w.now - start
+		if leased == len(w.proxies) && w.History.lastAcknowledged > acknowledgedBefore {
+			recoveredAfter = w.now - start
 			break
 		}
 	}
-	if back == 0 || back > recovery {
-		w.History.breach(RuleRecovery, "service back after %v (0: never)", back)
+	if recoveredAfter == 0 || recoveredAfter > recoveryBound {
+		w.History.recordBreach(RuleRecoveryTime, "service back after %v (0: never)", recoveredAfter)
 	}
-	for _, node := range w.seats {
+	for _, node := range w.members {
 		if !node.up {
 			continue
 		}
-		if stable, _ := node.seat.Committed(); stable < yesBefore {
-			w.History.breach(RuleLost, "%s shows %d; %d had been acknowledged", node.name, stable, yesBefore)
+		if committed, _ := node.replica.Committed(); committed < acknowledgedBefore {
+			w.History.recordBreach(RuleAcknowledgedLost, "%s shows %d; %d had been acknowledged", node.name, committed, acknowledgedBefore)
 		}
 	}
 }
--- a/internal/simulator/seats_test.go
+++ b/internal/simulator/seats_test.go
@@ -7,32 +7,32 @@
 	"testing/synctest"
 )
 
-var coreSeeds = flag.Int("core-seeds", 20, "how many seeds of a core alone to run, of each size")
+var coreSeedCount = flag.Int("core-seeds", 20, "how many seeds of a core alone to run, of each size")
 
-func runCore(t *testing.T, seed uint64, plant Plant, options CoreOptions) *coreWorld {
+func runCoreSeed(t *testing.T, seed uint64, seededFault SeededFault, options CoreOptions) *coreWorld {
 	t.Helper()
 	var w *coreWorld
-	synctest.Test(t, func(*testing.T) { w = PlayCore(seed, plant, options) })
+	synctest.Test(t, func(*testing.T) { w = RunCore(seed, seededFault, options) })
 	return w
 }
 
-// sizes are the cores that there are, and how many machines of each may be lost at once.
-var sizes = []CoreOptions{{Seats: 3, Losses: 1}, {Seats: 5, Losses: 2}}
+// coreSizes are the cores that there are, and how many machines of each may be lost at once.
+var coreSizes = []CoreOptions{{Members: 3, MaxLosses: 1}, {Members: 5, MaxLosses: 2}}
 
 // Whatever is lost, as long as it is no more at once than is promised to be survived, nothing
 // acknowledged is lost, no given version goes down, and the core is whole again in time.
 func TestCores(t *testing.T) {
-	for _, options := range sizes {
-		t.Run(fmt.Sprint(options.Seats, " seats"), func(t *testing.T) {
-			for seed := *first; seed < *first+uint64(*coreSeeds); seed++ {
+	for _, options := range coreSizes {
+		t.Run(fmt.Sprint(options.Members, " seats"), func(t *testing.T) {
+			for seed := *firstSeed; seed < *firstSeed+uint64(*coreSeedCount); seed++ {
 				t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 					t.Parallel()
-					w := runCore(t, seed, PlantNone, options)
+					w := runCoreSeed(t, seed, SeededNone, options)
 					for rule, breaches := range w.History.Breaches {
 						t.Errorf("seed %d: %s: %v", seed, rule, breaches)
 					}
-					if w.Yeses < 20 || w.Reads < 5 {
-						t.Errorf("only %d yeses and %d reads", w.Yeses, w.Reads)
+					if w.Acknowledgements < 20 || w.Reads < 5 {
+						t.Errorf("only %d yeses and %d reads", w.Acknowledgements, w.Reads)
 					}
 				})
 			}
@@ -41,36 +41,36 @@
 }
 
 // Each checker sees the fault that it is there for.
-func TestCorePlants(t *testing.T) {
-	for _, one := range []struct {
-		plant   Plant
-		rules   []string
-		only    []string
-		options CoreOptions
+func TestCoreSeededFaults(t *testing.T) {
+	for _, test := range []struct {
+		seededFault SeededFault
+		rules       []string
+		onlyFaults  []string
+		options     CoreOptions
 	}{
-		{PlantAmnesia, []string{RuleGiven, RuleForked}, []string{"disk lost right after a yes", "one cut off"}, sizes[0]},
-		{PlantLyingDisk, []string{RuleGiven, RuleForked}, []string{"all lose power", "all lose power, and some their disks"}, sizes[0]},
-		{PlantUnstable, []string{RuleGiven}, []string{"power lost", "disk lost", "one cut off"}, sizes[0]},
-		{PlantUnordered, []string{RuleGiven, RuleSaid}, nil, sizes[0]},
-		{PlantNoStones, []string{RuleGiven, RuleSaid}, nil, sizes[0]},
-		{PlantStaleRead, []string{RuleOrder}, []string{"one cut off", "split in two", "machine frozen"}, sizes[0]},
-		{PlantTwice, []string{RuleOrder}, nil, sizes[0]},
-		{PlantAlone, []string{RuleSeats, RuleSlow}, []string{"machine replaced"}, sizes[0]},
+		{SeededWipedMemberCounts, []string{RuleOperatorVersionLost, RuleDivergedState}, []string{"disk lost right after a yes", "one cut off"}, coreSizes[0]},
+		{SeededLyingDisk, []string{RuleOperatorVersionLost, RuleDivergedState}, []string{"all lose power", "all lose power, and some their disks"}, coreSizes[0]},
+		{SeededUncommittedAcknowledgement, []string{RuleOperatorVersionLost}, []string{"power lost", "disk lost", "one cut off"}, coreSizes[0]},
+		{SeededOperatorVersionsIgnored, []string{RuleOperatorVersionLost, RuleContentMismatch}, nil, coreSizes[0]},
+		{SeededNoTombstones, []string{RuleOperatorVersionLost, RuleContentMismatch}, nil, coreSizes[0]},
+		{SeededStaleRead, []string{RuleNotLinearizable}, []string{"one cut off", "split in two", "machine frozen"}, coreSizes[0]},
+		{SeededConflictAccepted, []string{RuleNotLinearizable}, nil, coreSizes[0]},
+		{SeededNoReplacement, []string{RuleCoreIncomplete, RuleSlowAcknowledgement}, []string{"machine replaced"}, coreSizes[0]},
 	} {
-		t.Run(fmt.Sprint(one.plant, ", ", one.options.Seats, " seats"), func(t *testing.T) {
+		t.Run(fmt.Sprint(test.seededFault, ", ", test.options.Members, " seats"), func(t *testing.T) {
 			t.Parallel()
-			options := one.options
-			options.Only = one.only
-			for seed := uint64(1); seed <= plantSeeds; seed++ {
-				w := runCore(t, seed, one.plant, options)
-				for _, rule := range one.rules {
+			options := test.options
+			options.OnlyFaults = test.onlyFaults
+			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
+				w := runCoreSeed(t, seed, test.seededFault, options)
+				for _, rule := range test.rules {
 					if len(w.History.Breaches[rule]) > 0 {
 						t.Logf("seed %d: %s: %s", seed, rule, w.History.Breaches[rule][0])
 						return
 					}
 				}
 			}
-			t.Errorf("none of %v was seen", one.rules)
+			t.Errorf("none of %v was seen", test.rules)
 		})
 	}
 }
--- a/internal/simulator/serving.go
+++ b/internal/simulator/serving.go
@@ -17,44 +17,44 @@
 // servingLease is what the ratios of sessions refer to.
 const servingLease = 4 * time.Second
 
-// inTouchFor is how long nothing may have troubled a machine, or the core, for it to be in touch.
-const inTouchFor = 3 * time.Second
+// inTouchAfter is how long nothing may have troubled a machine, or the core, for it to be in touch.
+const inTouchAfter = 3 * time.Second
 
-// sitting is a session with a registry as the world carries it: what the registry sends comes in
+// subscription is a session with a registry as the world carries it: what the registry sends comes in
 // order, or not at all any more.
-type sitting struct {
-	server     *registryNode
-	serverLife int
-	client     *machine
-	clientLife int
-	position   *registry.SessionCursor
-	peer       bool
-	trial      bool // the client has another session
-	setup      uint64
-	members    uint32
-	begun      bool
-	cores      bool
-	sent       time.Duration    // last
-	arrives    time.Duration    // what was sent last
-	came       []*schema.Update // and not taken yet, as by a frozen client
-	over       bool             // nothing goes through it any more
-	take       func(*schema.Update)
+type subscription struct {
+	server          *registryNode
+	serverRun       int
+	client          *process
+	clientRun       int
+	position        *registry.SessionCursor
+	peer            bool
+	tentative       bool // the client has another session
+	revision        uint64
+	fleetSize       uint32
+	started         bool
+	sentCoreMembers bool
+	lastSentAt      time.Duration    // last
+	lastArrivalAt   time.Duration    // what was sent last
+	inbox           []*schema.Update // and not taken yet, as by a frozen client
+	closed          bool             // nothing goes through it any more
+	handle          func(*schema.Update)
 }
 
-// areaOfSeat is where a core machine stands.
-func (w *World) areaOfSeat(i int) string { return w.areaOf(i) }
+// zoneOfMember is where a core machine stands.
+func (w *World) zoneOfMember(i int) string { return w.zoneOf(i) }
 
-// coresOf is what registries tell of themselves.
-func (w *World) coresOf() []*schema.CoreMember {
-	var cores []*schema.CoreMember
-	for i, node := range w.regs {
-		cores = append(cores, &schema.CoreMember{Id: seatName(i), Address: node.name, Zone: w.areaOfSeat(i)})
+// coreMembers is what registries tell of themselves.
+func (w *World) coreMembers() []*schema.CoreMember {
+	var members []*schema.CoreMember
+	for i, node := range w.registries {
+		members = append(members, &schema.CoreMember{Id: memberName(i), Address: node.name, Zone: w.zoneOfMember(i)})
 	}
-	return cores
+	return members
 }
 
-func (w *World) regCalled(name string) *registryNode {
-	for _, node := range w.regs {
+func (w *World) registryNamed(name string) *registryNode {
+	for _, node := range w.registries {
 		if node.name == name {
 			return node
 		}
@@ -62,144 +62,146 @@
 	return nil
 }
 
-// cutEither tells whether a link is cut in one direction or the other: no session stands on it.
-func (w *World) cutEither(a, b *machine) bool { return w.isCut(a, b) || w.isCut(b, a) }
+// isPartitionedEitherWay tells whether a link is cut in one direction or the other: no session stands on it.
+func (w *World) isPartitionedEitherWay(a, b *process) bool {
+	return w.isPartitioned(a, b) || w.isPartitioned(b, a)
+}
 
-// sit opens a session; asked runs at the registry once it is reached.
-func (w *World) sit(one *sitting, asked func()) {
-	one.clientLife = one.client.life
-	w.deliver(one.client, &one.server.machine, func() {
-		if one.over {
+// openSubscription opens a session; asked runs at the registry once it is reached.
+func (w *World) openSubscription(sub *subscription, onReached func()) {
+	sub.clientRun = sub.client.processRun
+	w.send(sub.client, &sub.server.process, func() {
+		if sub.closed {
 			return
 		}
-		one.serverLife = one.server.life
-		asked()
-		w.serveSitting(one)
+		sub.serverRun = sub.server.processRun
+		onReached()
+		w.serveSubscription(sub)
 	})
 }
 
-// broken tells whether the registry's side of a session finds it ended.
-func (one *sitting) broken() bool {
-	return one.over || !one.client.up || one.client.life != one.clientLife
+// isBroken tells whether the registry's side of a session finds it ended.
+func (s *subscription) isBroken() bool {
+	return s.closed || !s.client.up || s.client.processRun != s.clientRun
 }
 
-// serveSitting sends what is new, and a sign of life now and then.
-func (w *World) serveSitting(one *sitting) {
-	server := one.server
-	if one.broken() {
-		one.over = true
-		if !one.peer {
-			server.table.CloseSession(w.ageOf(server), one.client.name)
+// serveSubscription sends what is new, and a sign of life now and then.
+func (w *World) serveSubscription(sub *subscription) {
+	server := sub.server
+	if sub.isBroken() {
+		sub.closed = true
+		if !sub.peer {
+			server.table.CloseSession(w.uptime(server), sub.client.name)
 		}
 		return
 	}
-	news, worth := w.newsFor(one)
-	beats := time.Duration(1)
-	if one.peer {
-		beats = 4
+	update, isDue := w.nextUpdate(sub)
+	heartbeats := time.Duration(1)
+	if sub.peer {
+		heartbeats = 4
 	}
-	if worth || w.now-one.sent >= beats*servingLease/session.HeartbeatsPerLease {
-		one.sent = w.now
-		delay, lost := w.passes(&server.machine, one.client, w.dice)
-		if lost || w.cutEither(&server.machine, one.client) {
+	if isDue || w.now-sub.lastSentAt >= heartbeats*servingLease/session.HeartbeatsPerLease {
+		sub.lastSentAt = w.now
+		delay, lost := w.sampleLink(&server.process, sub.client, w.random)
+		if lost || w.isPartitionedEitherWay(&server.process, sub.client) {
 			// A link on which nothing is acknowledged is ended after a while.
-			w.on(&server.machine, servingLease/8, func() { one.over = true; w.serveSitting(one) })
+			w.scheduleOn(&server.process, servingLease/8, func() { sub.closed = true; w.serveSubscription(sub) })
 			return
 		}
-		one.arrives = max(one.arrives+1, w.now+delay)
-		w.after(one.arrives-w.now, func() {
-			if !w.isCut(&server.machine, one.client) && one.client.life == one.clientLife {
-				one.came = append(one.came, news)
-				w.on(one.client, 0, func() {
-					first := one.came[0]
-					one.came = one.came[1:]
-					if !one.over {
-						one.take(first)
+		sub.lastArrivalAt = max(sub.lastArrivalAt+1, w.now+delay)
+		w.schedule(sub.lastArrivalAt-w.now, func() {
+			if !w.isPartitioned(&server.process, sub.client) && sub.client.processRun == sub.clientRun {
+				sub.inbox = append(sub.inbox, update)
+				w.scheduleOn(sub.client, 0, func() {
+					first := sub.inbox[0]
+					sub.inbox = sub.inbox[1:]
+					if !sub.closed {
+						sub.handle(first)
 					}
 				})
 			} else {
-				one.over = true
+				sub.closed = true
 			}
 		})
 	}
-	w.on(&server.machine, poll, func() { w.serveSitting(one) })
+	w.scheduleOn(&server.process, pollInterval, func() { w.serveSubscription(sub) })
 }
 
-// newsFor is what a registry's daemon makes for a session.
-func (w *World) newsFor(one *sitting) (news *schema.Update, worth bool) {
-	node := one.server
-	now := w.ageOf(node)
-	news = &schema.Update{}
-	for _, source := range node.table.NextUpdates(now, one.position) {
-		news.Sources = append(news.Sources, proto.Clone(source).(*schema.Source))
+// nextUpdate is what a registry's daemon makes for a session.
+func (w *World) nextUpdate(sub *subscription) (update *schema.Update, isDue bool) {
+	node := sub.server
+	now := w.uptime(node)
+	update = &schema.Update{}
+	for _, source := range node.table.NextUpdates(now, sub.position) {
+		update.Sources = append(update.Sources, proto.Clone(source).(*schema.Source))
 	}
-	age, known := node.table.Staleness(now)
-	news.StalenessKnown, news.StalenessNanos = known, int64(age)
+	staleness, known := node.table.Staleness(now)
+	update.StalenessKnown, update.StalenessNanos = known, int64(staleness)
 	if node.table.GrantsLeases(now) || now >= servingLease/2 {
-		if news.Revision = node.table.CommittedRevision(); !one.peer && news.Revision > one.setup {
-			news.Items, news.Complete = node.state.ChangesAfter(one.setup)
-			one.setup, worth = news.Revision, true
+		if update.Revision = node.table.CommittedRevision(); !sub.peer && update.Revision > sub.revision {
+			update.Items, update.Complete = node.state.ChangesAfter(sub.revision)
+			sub.revision, isDue = update.Revision, true
 		}
 	} else {
-		news.StalenessKnown = false
+		update.StalenessKnown = false
 	}
-	if !one.cores {
-		one.cores, news.CoreMembers, worth = true, w.coresOf(), true
+	if !sub.sentCoreMembers {
+		sub.sentCoreMembers, update.CoreMembers, isDue = true, w.coreMembers(), true
 	}
-	if members := uint32(node.table.LiveProxies(now)); !one.peer && members != one.members {
-		one.members, news.FleetSize, worth = members, members, true
+	if fleetSize := uint32(node.table.LiveProxies(now)); !sub.peer && fleetSize != sub.fleetSize {
+		sub.fleetSize, update.FleetSize, isDue = fleetSize, fleetSize, true
 	}
-	if one.peer {
-		news.Reachable = node.table.ReachableRegistries(now)
+	if sub.peer {
+		update.Reachable = node.table.ReachableRegistries(now)
 	}
-	worth = worth || !one.begun || len(news.Sources) > 0
-	one.begun = true
-	return news, worth
+	isDue = isDue || !sub.started || len(update.Sources) > 0
+	sub.started = true
+	return update, isDue
 }
 
 // ---- registries ----
 
-// serveCore starts the part of a registry's life that is about sessions.
-func (w *World) serveCore(node *registryNode) {
-	node.table.SetMemberCount(seatCount)
-	node.sits = map[string]*sitting{}
-	w.every(&node.machine, poll, func() {
-		if beside := node.beside; w.standing(&beside.machine) {
-			if stable, _ := beside.seat.Committed(); stable >= node.table.CommittedRevision() {
-				if age, known := beside.seat.CommittedAge(beside.clock.at(w.now)); known {
-					node.table.ConfirmCurrent(w.ageOf(node) - age)
+// startRegistrySubscriptions starts the part of a registry's life that is about sessions.
+func (w *World) startRegistrySubscriptions(node *registryNode) {
+	node.table.SetMemberCount(memberCount)
+	node.subscriptions = map[string]*subscription{}
+	w.scheduleEvery(&node.process, pollInterval, func() {
+		if member := node.member; w.isResponsive(&member.process) {
+			if committed, _ := member.replica.Committed(); committed >= node.table.CommittedRevision() {
+				if staleness, known := member.replica.CommittedAge(member.clock.at(w.now)); known {
+					node.table.ConfirmCurrent(w.uptime(node) - staleness)
 				}
 			}
 		}
 	})
-	for _, other := range w.regs {
+	for _, other := range w.registries {
 		if other == node {
 			continue
 		}
-		heard := time.Duration(0)
-		w.every(&node.machine, poll, func() {
-			held := node.sits[other.name]
-			silent := w.now-heard > servingLease
-			if held != nil && !held.over && !silent && (other.life == held.serverLife || held.serverLife == 0) {
+		heardAt := time.Duration(0)
+		w.scheduleEvery(&node.process, pollInterval, func() {
+			current := node.subscriptions[other.name]
+			timedOut := w.now-heardAt > servingLease
+			if current != nil && !current.closed && !timedOut && (other.processRun == current.serverRun || current.serverRun == 0) {
 				return
 			}
-			if held != nil {
-				held.over = true
+			if current != nil {
+				current.closed = true
 			}
-			heard = w.now
-			vector, seat := node.table.Vector(), node.table.MemberID()
-			one := &sitting{server: other, client: &node.machine, peer: true}
-			one.take = func(news *schema.Update) {
-				heard = w.now
-				for _, source := range news.Sources {
-					node.table.MergeSource(w.ageOf(node), source)
+			heardAt = w.now
+			vector, memberID := node.table.Vector(), node.table.MemberID()
+			sub := &subscription{server: other, client: &node.process, peer: true}
+			sub.handle = func(update *schema.Update) {
+				heardAt = w.now
+				for _, source := range update.Sources {
+					node.table.MergeSource(w.uptime(node), source)
 				}
-				node.table.RecordPeerHeard(w.ageOf(node), other.table.MemberID(), news.Reachable)
+				node.table.RecordPeerHeard(w.uptime(node), other.table.MemberID(), update.Reachable)
 			}
-			node.sits[other.name] = one
-			w.sit(one, func() {
-				other.table.ObserveVector(w.ageOf(other), vector)
-				one.position = registry.NewSessionCursor(node.name, seat, vector)
+			node.subscriptions[other.name] = sub
+			w.openSubscription(sub, func() {
+				other.table.ObserveVector(w.uptime(other), vector)
+				sub.position = registry.NewSessionCursor(node.name, memberID, vector)
 			})
 		})
 	}
@@ -210,128 +212,128 @@
 // nextIncarnation is one above all seen, with bits of the world's own.
 func (w *World) nextIncarnation(seen uint64) uint64 {
 	const shift = 32
-	return (seen>>shift+1)<<shift | uint64(w.next())
+	return (seen>>shift+1)<<shift | uint64(w.nextID())
 }
 
-// serveEdge starts the part of a proxy's life that is about sessions.
-func (w *World) serveEdge(node *proxyNode) {
-	node.incarnation, node.told = w.nextIncarnation(0), 0
+// startProxySubscriptions starts the part of a proxy's life that is about sessions.
+func (w *World) startProxySubscriptions(node *proxyNode) {
+	node.incarnation, node.reportedFleetSize = w.nextIncarnation(0), 0
 	lag := float64(servingLease) / session.MaxStalenessDivisor
-	if w.plant == PlantStays {
+	if w.seededFault == SeededNoRegistryFailover {
 		lag = float64(time.Hour)
 	}
 	var seeds []string
-	for _, reg := range w.regs {
-		seeds = append(seeds, reg.name)
+	for _, registryNode := range w.registries {
+		seeds = append(seeds, registryNode.name)
 	}
-	node.tie = session.NewRegistrySelector(session.SelectorOptions{ProxyName: node.name, Zone: w.areaOf(node.index), HeartbeatInterval: servingLease / session.HeartbeatsPerLease,
+	node.selector = session.NewRegistrySelector(session.SelectorOptions{ProxyName: node.name, Zone: w.zoneOf(node.index), HeartbeatInterval: servingLease / session.HeartbeatsPerLease,
 		HeartbeatTimeout: servingLease / session.HeartbeatTimeoutDivisor, MaxStaleness: time.Duration(lag), FailureCooldown: servingLease}, seeds)
-	node.sits, node.untold = map[string]*sitting{}, false
-	w.every(&node.machine, poll, func() {
-		now := node.clockOf(w.now)
-		for _, reg := range w.regs {
-			held := node.sits[reg.name]
+	node.subscriptions, node.reportPending = map[string]*subscription{}, false
+	w.scheduleEvery(&node.process, pollInterval, func() {
+		now := node.localTime(w.now)
+		for _, registryNode := range w.registries {
+			current := node.subscriptions[registryNode.name]
 			// A dead process's links are reset, as soon as that gets through.
-			if held != nil && (held.over || !reg.up || (held.serverLife != 0 && reg.life != held.serverLife)) && !w.cutEither(&node.machine, &reg.machine) {
-				held.over = true
-				delete(node.sits, reg.name)
-				w.heed(node, node.tie.RecordSessionEnd(now, reg.name))
+			if current != nil && (current.closed || !registryNode.up || (current.serverRun != 0 && registryNode.processRun != current.serverRun)) && !w.isPartitionedEitherWay(&node.process, &registryNode.process) {
+				current.closed = true
+				delete(node.subscriptions, registryNode.name)
+				w.applySelectorActions(node, node.selector.RecordSessionEnd(now, registryNode.name))
 			}
 		}
-		w.heed(node, node.tie.Tick(now))
-		if node.untold && node.tie.Current() != "" && w.now-node.toldAt > servingLease/session.RenewalsPerLease {
-			w.tell(node, true)
+		w.applySelectorActions(node, node.selector.Tick(now))
+		if node.reportPending && node.selector.Current() != "" && w.now-node.reportedAt > servingLease/session.RenewalsPerLease {
+			w.sendReport(node, true)
 		}
 	})
-	w.every(&node.machine, servingLease/session.HeartbeatsPerLease, node.workers.DropUnresponsive)
+	w.scheduleEvery(&node.process, servingLease/session.HeartbeatsPerLease, node.workers.DropUnresponsive)
 }
 
-// heed carries out what a proxy's tie wants.
-func (w *World) heed(node *proxyNode, acts []session.Action) {
-	for _, act := range acts {
-		if held := node.sits[act.Address]; held != nil {
-			held.over = true
-			delete(node.sits, act.Address)
+// applySelectorActions carries out what a proxy's tie wants.
+func (w *World) applySelectorActions(node *proxyNode, actions []session.Action) {
+	for _, action := range actions {
+		if picture := node.subscriptions[action.Address]; picture != nil {
+			picture.closed = true
+			delete(node.subscriptions, action.Address)
 		}
-		if !act.Open {
+		if !action.Open {
 			continue
 		}
-		reg, held, told := w.regCalled(act.Address), node.journal.View(), (*schema.Source)(nil)
-		if !act.Candidate {
-			source := node.source(w.areaOf(node.index))
-			held = node.journal.Append(proxy.Event{At: node.clockOf(w.now), Sources: []*schema.Source{source}})
-			told = proto.Clone(source).(*schema.Source)
+		registryNode, picture, sentSource := w.registryNamed(action.Address), node.journal.View(), (*schema.Source)(nil)
+		if !action.Candidate {
+			source := node.nextSource(w.zoneOf(node.index))
+			picture = node.journal.Append(proxy.Event{At: node.localTime(w.now), Sources: []*schema.Source{source}})
+			sentSource = proto.Clone(source).(*schema.Source)
 		}
-		vector := held.Vector()
-		one := &sitting{server: reg, client: &node.machine, setup: held.ConfigRevision(), trial: act.Candidate}
-		one.take = func(news *schema.Update) { w.takeNews(node, act.Address, news) }
-		node.sits[act.Address] = one
-		w.sit(one, func() {
-			reg.table.ObserveVector(w.ageOf(reg), vector)
-			one.position = registry.NewSessionCursor(node.name, "", vector)
-			if act.Candidate {
-				reg.table.OpenProvisionalSession(node.name)
+		vector := picture.Vector()
+		sub := &subscription{server: registryNode, client: &node.process, revision: picture.ConfigRevision(), tentative: action.Candidate}
+		sub.handle = func(update *schema.Update) { w.applySubscriptionUpdate(node, action.Address, update) }
+		node.subscriptions[action.Address] = sub
+		w.openSubscription(sub, func() {
+			registryNode.table.ObserveVector(w.uptime(registryNode), vector)
+			sub.position = registry.NewSessionCursor(node.name, "", vector)
+			if action.Candidate {
+				registryNode.table.OpenProvisionalSession(node.name)
 			} else {
-				reg.table.OpenSession(w.ageOf(reg), told)
+				registryNode.table.OpenSession(w.uptime(registryNode), sentSource)
 			}
 		})
 	}
 	// A session on trial that is taken makes its registry the one to mind this proxy.
-	if current := node.sits[node.tie.Current()]; current != nil && current.trial {
-		current.trial = false
-		w.tell(node, true)
+	if current := node.subscriptions[node.selector.Current()]; current != nil && current.tentative {
+		current.tentative = false
+		w.sendReport(node, true)
 	}
 }
 
-// takeNews does what a proxy's daemon does with what a session brings.
-func (w *World) takeNews(node *proxyNode, address string, news *schema.Update) {
-	now := node.clockOf(w.now)
+// applySubscriptionUpdate does what a proxy's daemon does with what a session brings.
+func (w *World) applySubscriptionUpdate(node *proxyNode, address string, update *schema.Update) {
+	now := node.localTime(w.now)
 	before := node.journal.View().ConfigRevision()
-	if news.Revision > before || len(news.Sources) > 0 {
-		event := proxy.Event{At: now, ConfigRevision: news.Revision, Items: news.Items, Complete: news.Complete, Sources: news.Sources}
-		if w.plant == PlantRevives {
+	if update.Revision > before || len(update.Sources) > 0 {
+		event := proxy.Event{At: now, ConfigRevision: update.Revision, Items: update.Items, Complete: update.Complete, Sources: update.Sources}
+		if w.seededFault == SeededDeltaAfterPurge {
 			event.Complete = false
 		}
 		picture := node.journal.Append(event)
-		node.facts.Retain(picture.KnownWorkers())
+		node.outliers.Retain(picture.KnownWorkers())
 		if picture.ConfigRevision() > before {
-			w.History.applied(w.now, node)
+			w.History.observeProxy(w.now, node)
 		}
 	}
-	for _, source := range news.Sources {
+	for _, source := range update.Sources {
 		if source.Name == node.name && session.IsSuperseded(node.incarnation, source.Version.GetIncarnation(), source.Version.GetEnded()) {
 			node.incarnation = w.nextIncarnation(source.Version.GetIncarnation())
-			w.tell(node, true)
+			w.sendReport(node, true)
 		}
 	}
-	if news.FleetSize > 0 {
-		node.told = int64(news.FleetSize)
+	if update.FleetSize > 0 {
+		node.reportedFleetSize = int64(update.FleetSize)
 	}
-	node.members.Store(node.fleet.Observe(now, node.told))
-	node.tie.SetCoreMembers(news.CoreMembers)
-	w.heed(node, node.tie.RecordHeartbeat(now, address, news.StalenessKnown, time.Duration(news.StalenessNanos)))
+	node.fleetSize.Store(node.fleetEstimate.Observe(now, node.reportedFleetSize))
+	node.selector.SetCoreMembers(update.CoreMembers)
+	w.applySelectorActions(node, node.selector.RecordHeartbeat(now, address, update.StalenessKnown, time.Duration(update.StalenessNanos)))
 }
 
-// tellSitting tells a registry in session what is new; it is told again if no word of it comes.
-func (w *World) tellSitting(node *proxyNode, report *schema.ProxyReport, answered func(told []*schema.Canary)) {
-	target := w.regCalled(node.tie.Current())
+// sendHomeReport tells a registry in session what is new; it is told again if no word of it comes.
+func (w *World) sendHomeReport(node *proxyNode, report *schema.ProxyReport, onReply func(canaries []*schema.Canary)) {
+	target := w.registryNamed(node.selector.Current())
 	if report.Source != nil {
-		node.untold, node.toldAt = true, w.now
+		node.reportPending, node.reportedAt = true, w.now
 	}
 	if target == nil {
 		return
 	}
-	life, counter := node.life, node.counter
+	processRun, counter := node.processRun, node.sourceCounter
 	sent := proto.Clone(report).(*schema.ProxyReport)
-	w.deliver(&node.machine, &target.machine, func() {
-		target.table.ApplyReport(w.ageOf(target), sent)
-		told := target.table.CanaryGrants(w.ageOf(target))
-		w.deliver(&target.machine, &node.machine, func() {
-			if node.life == life {
-				if node.counter == counter && report.Source != nil {
-					node.untold = false
+	w.send(&node.process, &target.process, func() {
+		target.table.ApplyReport(w.uptime(target), sent)
+		canaries := target.table.CanaryGrants(w.uptime(target))
+		w.send(&target.process, &node.process, func() {
+			if node.processRun == processRun {
+				if node.sourceCounter == counter && report.Source != nil {
+					node.reportPending = false
 				}
-				answered(told)
+				onReply(canaries)
 			}
 		})
 	})
@@ -339,19 +341,19 @@
 
 // ---- who is in touch ----
 
-// disturb notes that something was done to a site.
-func (w *World) disturb(until time.Duration, sites ...string) {
-	for _, one := range sites {
-		w.disturbed[one] = max(w.disturbed[one], until)
+// markDisturbed notes that something was done to a site.
+func (w *World) markDisturbed(until time.Duration, hosts ...string) {
+	for _, host := range hosts {
+		w.disturbedAt[host] = max(w.disturbedAt[host], until)
 	}
 }
 
-// calm tells whether nothing troubled a proxy's own machine for a while.
-func (w *World) calm(node *proxyNode) bool {
+// isUndisturbed tells whether nothing troubled a proxy's own machine for a while.
+func (w *World) isUndisturbed(node *proxyNode) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	at, known := w.disturbed[node.name]
-	return !known || w.time()-at >= inTouchFor
+	at, known := w.disturbedAt[node.name]
+	return !known || w.time()-at >= inTouchAfter
 }
 
 // inTouch tells whether what is promised binds a proxy: nothing troubled it for a while, the core
@@ -360,34 +362,36 @@
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	now := w.time()
-	calm := func(site string) bool { at, known := w.disturbed[site]; return !known || now-at >= inTouchFor }
-	if w.loss > 0 || w.slow > 0 || !calm(everySite) || !calm(node.name) || !node.up {
+	isUndisturbed := func(host string) bool { at, known := w.disturbedAt[host]; return !known || now-at >= inTouchAfter }
+	if w.lossRate > 0 || w.maxExtraDelay > 0 || !isUndisturbed(everyHost) || !isUndisturbed(node.name) || !node.up {
 		return false
 	}
-	runs, reaches := [seatCount]bool{}, [seatCount]int{}
-	for i, seat := range w.seats {
-		if !calm(site(seat.name)) || seat.slowBy > 0 || now-seat.stalledTo < inTouchFor {
+	isUp, reachable := [memberCount]bool{}, [memberCount]int{}
+	for i, member := range w.members {
+		if !isUndisturbed(hostOf(member.name)) || member.maxExtraSyncDelay > 0 || now-member.stalledUntil < inTouchAfter {
 			return false
 		}
-		runs[i] = seat.up && w.regs[i].up
+		isUp[i] = member.up && w.registries[i].up
+	}
+	isConnected := func(a, b string) bool {
+		return !w.partitionedLinks[[2]string{a, b}] && !w.partitionedLinks[[2]string{b, a}]
 	}
-	whole := func(a, b string) bool { return !w.cuts[[2]string{a, b}] && !w.cuts[[2]string{b, a}] }
-	settled := false
-	for i := range seatCount {
-		for j := range seatCount {
-			if runs[i] && runs[j] && whole("core-"+seatName(i), "core-"+seatName(j)) {
-				reaches[i]++
+	hasMajority := false
+	for i := range memberCount {
+		for j := range memberCount {
+			if isUp[i] && isUp[j] && isConnected("core-"+memberName(i), "core-"+memberName(j)) {
+				reachable[i]++
 			}
 		}
-		if reaches[i] > seatCount/2 {
-			settled = true
-			if !whole("core-"+seatName(i), node.name) {
+		if reachable[i] > memberCount/2 {
+			hasMajority = true
+			if !isConnected("core-"+memberName(i), node.name) {
 				return false
 			}
 		}
 	}
-	return settled
+	return hasMajority
 }
 
-// everySite is disturbed when all links are.
-const everySite = "every site"
+// everyHost is disturbed when all links are.
+const everyHost = "every site"
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -13,22 +13,22 @@
 )
 
 var (
-	seeds        = flag.Int("seeds", 40, "how many seeds to run")
-	leavingSeeds = flag.Int("leaving-seeds", 6, "how many seeds of worlds whose callers leave")
-	first        = flag.Uint64("first", 1, "the first seed; with -seeds 1 it replays one")
-	free         = flag.Bool("free", false, "only faults that may turn nobody away, one at a time")
+	seedCount       = flag.Int("seeds", 40, "how many seeds to run")
+	cancelSeedCount = flag.Int("leaving-seeds", 6, "how many seeds of worlds whose callers leave")
+	firstSeed       = flag.Uint64("first", 1, "the first seed; with -seeds 1 it replays one")
+	harmlessOnly    = flag.Bool("free", false, "only faults that may turn nobody away, one at a time")
 )
 
-// run plays a seed in a bubble of its own.
-func run(t *testing.T, seed uint64, plant Plant, options Options) *History {
+// runMeshSeed plays a seed in a bubble of its own.
+func runMeshSeed(t *testing.T, seed uint64, seededFault SeededFault, options Options) *History {
 	t.Helper()
 	var history *History
-	synctest.Test(t, func(*testing.T) { history = Play(seed, plant, options).History })
+	synctest.Test(t, func(*testing.T) { history = RunMesh(seed, seededFault, options).History })
 	return history
 }
 
-// rules lists what was breached.
-func (h *History) rules() []string {
+// breachedRules lists what was breached.
+func (h *History) breachedRules() []string {
 	var names []string
 	for rule := range h.Breaches {
 		names = append(names, rule)
@@ -37,18 +37,18 @@
 	return names
 }
 
-// shrinkMost is how many faults of a seed are tried to be left out.
-const shrinkMost = 48
+// maxShrunkFaults is how many faults of a seed are tried to be left out.
+const maxShrunkFaults = 48
 
 // shrink leaves faults out, one after another, while the seed still breaks the same rule.
-func shrink(t *testing.T, seed uint64, plant Plant, options Options, rule string) Options {
-	for place := range shrinkMost {
+func shrink(t *testing.T, seed uint64, seededFault SeededFault, options Options, rule string) Options {
+	for index := range maxShrunkFaults {
 		without := options
-		without.Skip = map[int]bool{place: true}
-		for one := range options.Skip {
-			without.Skip[one] = true
+		without.SkipFaults = map[int]bool{index: true}
+		for skipped := range options.SkipFaults {
+			without.SkipFaults[skipped] = true
 		}
-		if len(run(t, seed, plant, without).Breaches[rule]) > 0 {
+		if len(runMeshSeed(t, seed, seededFault, without).Breaches[rule]) > 0 {
 			options = without
 		}
 	}
@@ -57,72 +57,72 @@
 
 // No never-rule breaks under any of the seeds' faults.
 func TestSeeds(t *testing.T) {
-	sum := &History{Away: map[string]int{}}
+	sum := &History{Rejections: map[string]int{}}
 	var lock sync.Mutex
 	t.Run("all", func(t *testing.T) {
-		for seed := *first; seed < *first+uint64(*seeds); seed++ {
+		for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 			t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 				t.Parallel()
-				h := run(t, seed, PlantNone, Options{Free: *free})
+				h := runMeshSeed(t, seed, SeededNone, Options{HarmlessFaultsOnly: *harmlessOnly})
 				lock.Lock()
 				sum.add(h)
 				lock.Unlock()
-				h.report(t, seed, Options{Free: *free})
+				h.report(t, seed, Options{HarmlessFaultsOnly: *harmlessOnly})
 			})
 		}
 	})
 	// A run in which nothing happens proves nothing.
-	if sum.Answered < 500**seeds || sum.Yeses < 5**seeds {
-		t.Errorf("only %d answered and %d yeses in %d seeds", sum.Answered, sum.Yeses, *seeds)
+	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount {
+		t.Errorf("only %d answered and %d yeses in %d seeds", sum.Answered, sum.Acknowledgements, *seedCount)
 	}
 	if sum.Purges == 0 {
 		t.Error("no tombstone was ever let go")
 	}
-	t.Logf("%d seeds: %s", *seeds, sum.summary())
+	t.Logf("%d seeds: %s", *seedCount, sum.summary())
 }
 
 // No never-rule breaks where proxies serve in doubt and a change is acknowledged once stable, as
 // far as these bind machines in touch.
 func TestServing(t *testing.T) {
-	sum := &History{Away: map[string]int{}}
+	sum := &History{Rejections: map[string]int{}}
 	var lock sync.Mutex
 	t.Run("all", func(t *testing.T) {
-		for seed := *first; seed < *first+uint64(*seeds); seed++ {
+		for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
 			t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 				t.Parallel()
-				h := run(t, seed, PlantNone, Options{Serving: true, Free: *free})
+				h := runMeshSeed(t, seed, SeededNone, Options{ServeStale: true, HarmlessFaultsOnly: *harmlessOnly})
 				lock.Lock()
 				sum.add(h)
 				lock.Unlock()
-				h.report(t, seed, Options{Serving: true, Free: *free})
+				h.report(t, seed, Options{ServeStale: true, HarmlessFaultsOnly: *harmlessOnly})
 			})
 		}
 	})
-	if sum.Answered < 500**seeds || sum.Yeses < 5**seeds || sum.Touched < sum.Decisions/10 {
-		t.Errorf("only %d answered, %d yeses, %d of %d decisions in touch in %d seeds", sum.Answered, sum.Yeses, sum.Touched, sum.Decisions, *seeds)
+	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount || sum.InTouchDecisions < sum.Decisions/10 {
+		t.Errorf("only %d answered, %d yeses, %d of %d decisions in touch in %d seeds", sum.Answered, sum.Acknowledgements, sum.InTouchDecisions, sum.Decisions, *seedCount)
 	}
-	t.Logf("%d seeds, %d of %d decisions in touch: %s", *seeds, sum.Touched, sum.Decisions, sum.summary())
+	t.Logf("%d seeds, %d of %d decisions in touch: %s", *seedCount, sum.InTouchDecisions, sum.Decisions, sum.summary())
 }
 
 // Callers that leave while their calls wait or run: in a calm world each worker is freed in time, and with all faults
 // every other rule holds besides.
 func TestLeavingCallers(t *testing.T) {
 	for name, options := range map[string]Options{
-		"calm":   {Quiet: true, Leaving: 0.3, Work: 100 * time.Millisecond, Length: 20 * time.Second},
-		"faults": {Leaving: 0.3, Work: 100 * time.Millisecond, Length: 30 * time.Second},
+		"calm":   {NoFaults: true, CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 20 * time.Second},
+		"faults": {CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 30 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := *first; seed < *first+uint64(*leavingSeeds); seed++ {
+			for seed := *firstSeed; seed < *firstSeed+uint64(*cancelSeedCount); seed++ {
 				t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 					t.Parallel()
-					h := run(t, seed, PlantNone, options)
-					for _, rule := range h.rules() {
+					h := runMeshSeed(t, seed, SeededNone, options)
+					for _, rule := range h.breachedRules() {
 						t.Errorf("%s: %s", rule, strings.Join(h.Breaches[rule], "\n\t"))
 					}
-					if h.Left < 20 || h.Departures.Canceled+h.Departures.Dequeued == 0 || h.Departures.RanToEnd == 0 {
-						t.Errorf("only %d callers left: %+v", h.Left, h.Departures)
+					if h.CancelledCalls < 20 || h.Disconnects.Canceled+h.Disconnects.Dequeued == 0 || h.Disconnects.RanToEnd == 0 {
+						t.Errorf("only %d callers left: %+v", h.CancelledCalls, h.Disconnects)
 					}
-					t.Logf("%d callers left of %d: %+v", h.Left, h.Asked, h.Departures)
+					t.Logf("%d callers left of %d: %+v", h.CancelledCalls, h.Attempts, h.Disconnects)
 				})
 			}
 		})
@@ -132,72 +132,72 @@
 // report fails a test with what was breached. A failing seed is cut down to the faults it needs.
 func (h *History) report(t *testing.T, seed uint64, options Options) {
 	t.Helper()
-	for _, rule := range h.rules() {
+	for _, rule := range h.breachedRules() {
 		t.Errorf("seed %d: %s: %s", seed, rule, strings.Join(h.Breaches[rule], "\n\t"))
 	}
 	if len(h.Breaches) == 0 {
 		return
 	}
-	test := map[bool]string{false: "TestSeeds", true: "TestServing"}[options.Serving]
-	t.Logf("replay: go test ./internal/simulator -run '%s$' -seeds 1 -first %d -free=%v -v", test, seed, options.Free)
-	least := shrink(t, seed, PlantNone, options, h.rules()[0])
-	left := run(t, seed, PlantNone, least)
-	t.Logf("%s needs these faults: %s", h.rules()[0], left.faultNames())
+	test := map[bool]string{false: "TestSeeds", true: "TestServing"}[options.ServeStale]
+	t.Logf("replay: go test ./internal/simulator -run '%s$' -seeds 1 -first %d -free=%v -v", test, seed, options.HarmlessFaultsOnly)
+	least := shrink(t, seed, SeededNone, options, h.breachedRules()[0])
+	left := runMeshSeed(t, seed, SeededNone, least)
+	t.Logf("%s needs these faults: %s", h.breachedRules()[0], left.faultNames())
 }
 
 func (h *History) faultNames() string {
 	var names []string
-	for _, one := range h.world.faults {
-		names = append(names, fmt.Sprintf("%s (%v to %v)", one.name, one.from, one.to))
+	for _, record := range h.world.faults {
+		names = append(names, fmt.Sprintf("%s (%v to %v)", record.name, record.startedAt, record.endedAt))
 	}
 	return strings.Join(names, "; ")
 }
 
 func (h *History) add(other *History) {
-	h.Asked, h.Answered, h.Runs, h.Repeats, h.Yeses, h.Refusals = h.Asked+other.Asked, h.Answered+other.Answered, h.Runs+other.Runs, h.Repeats+other.Repeats, h.Yeses+other.Yeses, h.Refusals+other.Refusals
-	h.Decisions, h.Touched = h.Decisions+other.Decisions, h.Touched+other.Touched
-	h.Unsent, h.HeldCalls = h.Unsent+other.Unsent, h.HeldCalls+other.HeldCalls
-	h.Tombstones, h.Purges = max(h.Tombstones, other.Tombstones), h.Purges+other.Purges
-	for cause, count := range other.Away {
-		h.Away[cause] += count
+	h.Attempts, h.Answered, h.WorkerRuns, h.AnsweredRetries, h.Acknowledgements, h.RefusedChanges = h.Attempts+other.Attempts, h.Answered+other.Answered, h.WorkerRuns+other.WorkerRuns, h.AnsweredRetries+other.AnsweredRetries, h.Acknowledgements+other.Acknowledgements, h.RefusedChanges+other.RefusedChanges
+	h.Decisions, h.InTouchDecisions = h.Decisions+other.Decisions, h.InTouchDecisions+other.InTouchDecisions
+	h.Unsent, h.BlockedCalls = h.Unsent+other.Unsent, h.BlockedCalls+other.BlockedCalls
+	h.MaxTombstones, h.Purges = max(h.MaxTombstones, other.MaxTombstones), h.Purges+other.Purges
+	for cause, count := range other.Rejections {
+		h.Rejections[cause] += count
 	}
 }
 
 func (h *History) summary() string {
 	var away []string
-	for cause, count := range h.Away {
+	for cause, count := range h.Rejections {
 		away = append(away, fmt.Sprintf("%s %d", cause, count))
 	}
 	slices.Sort(away)
 	return fmt.Sprintf("%d asked, %d answered, %d of them asked for again, %d unsent, %d held, %d yeses, %d refusals, at most %d tombstones, let go %d times; turned away:\n\t%s",
-		h.Asked, h.Answered, h.Repeats, h.Unsent, h.HeldCalls, h.Yeses, h.Refusals, h.Tombstones, h.Purges, strings.Join(away, "\n\t"))
+		h.Attempts, h.Answered, h.AnsweredRetries, h.Unsent, h.BlockedCalls, h.Acknowledgements, h.RefusedChanges, h.MaxTombstones, h.Purges, strings.Join(away, "\n\t"))
 }
 
 // Nobody is turned away, in any seed, by what must cost nothing: a drain, workers replaced, polite
 // restarts, one core machine lost, frozen, slow or back empty, storms and growth of the setup,
 // invalid and racing changes.
-func TestFree(t *testing.T) {
+func TestHarmlessFaults(t *testing.T) {
 	var lock sync.Mutex
-	sum := &History{Away: map[string]int{}}
+	sum := &History{Rejections: map[string]int{}}
 	t.Run("all", func(t *testing.T) {
-		for seed := uint64(1); seed <= freeSeeds; seed++ {
+		for seed := uint64(1); seed <= harmlessSeedCount; seed++ {
 			t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 				t.Parallel()
-				h := run(t, seed, PlantNone, Options{Free: true})
+				h := runMeshSeed(t, seed, SeededNone, Options{HarmlessFaultsOnly: true})
 				lock.Lock()
 				sum.add(h)
 				lock.Unlock()
-				h.report(t, seed, Options{Free: true})
+				h.report(t, seed, Options{HarmlessFaultsOnly: true})
 			})
 		}
 	})
-	if len(sum.Away) > 0 || sum.Answered < 500*freeSeeds {
+	if len(sum.Rejections) > 0 || sum.Answered < 500*harmlessSeedCount {
 		t.Errorf("%s", sum.summary())
 	}
 }
 
-// freeSeeds run in CI.
-const freeSeeds = 16
+// harmlessSeedCount run in CI.
+const harmlessSeedCount = 16
 
 // Seeds that found something once. What a seed draws changes with the kinds of fault there are,
 // so each cause has a test of its own besides.
@@ -210,7 +210,7 @@
 	for _, seed := range []uint64{10080, 10167, 10209, 10404, 10609} {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			t.Parallel()
-			run(t, seed, PlantNone, Options{}).report(t, seed, Options{})
+			runMeshSeed(t, seed, SeededNone, Options{}).report(t, seed, Options{})
 		})
 	}
 }
@@ -218,73 +218,73 @@
 // A seed replays to the same events at the same times.
 func TestReplay(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		one, two := run(t, seed, PlantNone, Options{}), run(t, seed, PlantNone, Options{})
-		if one.Print != two.Print || one.summary() != two.summary() {
-			t.Errorf("seed %d gave two runs: %x %s and %x %s", seed, one.Print, one.summary(), two.Print, two.summary())
+		first, second := runMeshSeed(t, seed, SeededNone, Options{}), runMeshSeed(t, seed, SeededNone, Options{})
+		if first.EventHash != second.EventHash || first.summary() != second.summary() {
+			t.Errorf("seed %d gave two runs: %x %s and %x %s", seed, first.EventHash, first.summary(), second.EventHash, second.summary())
 		}
 	}
 }
 
-// plantSeeds is how many seeds a checker gets to see a planted fault.
-const plantSeeds = 40
+// seededFaultSeedCount is how many seeds a checker gets to see a planted fault.
+const seededFaultSeedCount = 40
 
 // Each checker sees the fault it is there for, in one of a few seeds.
-func TestPlants(t *testing.T) {
+func TestSeededFaults(t *testing.T) {
 	lossOfDisk := []string{"seat loses its disk", "core split one from two", "a core machine cut off one way", "slow links"}
 	edges := []string{"proxy killed", "a herd of proxies killed", "lossy links", "edge machine frozen"}
-	for _, one := range []struct {
-		plant   Plant
-		rules   []string
-		options Options
+	for _, test := range []struct {
+		seededFault SeededFault
+		rules       []string
+		options     Options
 	}{
-		{PlantEarlyYes, []string{RuleOlder}, Options{}},
-		{PlantEternal, []string{RuleOlder}, Options{}},
-		{PlantLyingDisk, []string{RuleLost, RuleForked, RuleOlder}, Options{Only: []string{"the whole core loses power"}, Rate: 1, Changes: 300 * time.Millisecond}},
-		{PlantAmnesia, []string{RuleLost, RuleForked, RuleOlder}, Options{Only: lossOfDisk, Rate: 1, Length: 3 * time.Minute, Changes: 300 * time.Millisecond}},
-		{PlantPartial, []string{RuleInvalid}, Options{}},
-		{PlantYoung, []string{RuleOlder, RuleFallback}, Options{Only: []string{"registry restarts", "core cut off from some proxies"}, Changes: 200 * time.Millisecond, Length: 2 * time.Minute}},
-		{PlantHasty, []string{RuleFallback, RuleOlder}, Options{}},
-		{PlantNoRecovery, []string{RuleRecovery}, Options{}},
-		{PlantNoClaims, []string{RuleTwice}, Options{Only: edges}},
-		{PlantForgets, []string{RuleTwice}, Options{Only: append([]string{"registry restarts"}, edges...), Rate: 60, Length: 3 * time.Minute}},
-		{PlantFalseNo, []string{RuleNotRun}, Options{Only: edges}},
-		{PlantNoSeen, []string{RuleTwice}, Options{Only: []string{"links that repeat"}}},
-		{PlantRevives, []string{RuleForked}, Options{Only: []string{"edge machine frozen", "edge machine cut off", "core cut off from some proxies"}, Changes: 300 * time.Millisecond}},
-		{PlantHaunts, []string{RuleForked}, Options{Only: []string{"proxy killed", "a herd of proxies killed", "proxy restarted politely", "slow links"}, Changes: 300 * time.Millisecond, Rate: 1}},
-		{PlantLax, []string{RuleSent}, Options{Only: []string{"worker killed, its address another's"}}},
-		{PlantUnheard, []string{RuleLeft}, Options{Only: []string{"worker drained, and goes later"}}},
-		{PlantClaimsAll, []string{RuleSent}, Options{Quiet: true}},
-		{PlantIgnores, []string{RuleGone}, Options{Quiet: true, Leaving: 0.3, Work: 300 * time.Millisecond}},
-		{PlantForged, []string{RuleAnswer}, Options{Only: []string{"links that alter"}}},
-		{PlantNoBudget, []string{RuleBudget}, Options{Only: edges, Floor: 5}},
-		{PlantOpen, []string{RuleAllowed}, Options{Quiet: true}},
-		{PlantAway, []string{RuleAway}, Options{Free: true}},
-		{PlantStays, []string{RuleOlder}, Options{Serving: true, Only: []string{"core split one from two", "a core machine cut off one way"}, Changes: 300 * time.Millisecond}},
+		{SeededEarlyAcknowledgement, []string{RuleStaleConfig}, Options{}},
+		{SeededEternalLease, []string{RuleStaleConfig}, Options{}},
+		{SeededLyingDisk, []string{RuleAcknowledgedLost, RuleDivergedState, RuleStaleConfig}, Options{OnlyFaults: []string{"the whole core loses power"}, CallRate: 1, ChangeInterval: 300 * time.Millisecond}},
+		{SeededWipedMemberCounts, []string{RuleAcknowledgedLost, RuleDivergedState, RuleStaleConfig}, Options{OnlyFaults: lossOfDisk, CallRate: 1, FaultyDuration: 3 * time.Minute, ChangeInterval: 300 * time.Millisecond}},
+		{SeededPartialChange, []string{RuleInvalidConfig}, Options{}},
+		{SeededYoungRegistryGrants, []string{RuleStaleConfig, RuleRevisionDecreased}, Options{OnlyFaults: []string{"registry restarts", "core cut off from some proxies"}, ChangeInterval: 200 * time.Millisecond, FaultyDuration: 2 * time.Minute}},
+		{SeededDecidesBeforeLease, []string{RuleRevisionDecreased, RuleStaleConfig}, Options{}},
+		{SeededNoRecovery, []string{RuleRecoveryTime}, Options{}},
+		{SeededNoKeyReservation, []string{RuleRanTwice}, Options{OnlyFaults: edges}},
+		{SeededReservationsForgotten, []string{RuleRanTwice}, Options{OnlyFaults: append([]string{"registry restarts"}, edges...), CallRate: 60, FaultyDuration: 3 * time.Minute}},
+		{SeededLostLinkAsUnopened, []string{RuleNotExecutedRan}, Options{OnlyFaults: edges}},
+		{SeededNoDuplicateDetection, []string{RuleRanTwice}, Options{OnlyFaults: []string{"links that repeat"}}},
+		{SeededDeltaAfterPurge, []string{RuleDivergedState}, Options{OnlyFaults: []string{"edge machine frozen", "edge machine cut off", "core cut off from some proxies"}, ChangeInterval: 300 * time.Millisecond}},
+		{SeededStaleFeedReply, []string{RuleDivergedState}, Options{OnlyFaults: []string{"proxy killed", "a herd of proxies killed", "proxy restarted politely", "slow links"}, ChangeInterval: 300 * time.Millisecond, CallRate: 1}},
+		{SeededTokenIgnored, []string{RuleUnauthorizedRun}, Options{OnlyFaults: []string{"worker killed, its address another's"}}},
+		{SeededDrainIgnored, []string{RuleCallAfterDrain}, Options{OnlyFaults: []string{"worker drained, and goes later"}}},
+		{SeededAnyCallerAccepted, []string{RuleUnauthorizedRun}, Options{NoFaults: true}},
+		{SeededCancelNotPropagated, []string{RuleRunAfterCancel}, Options{NoFaults: true, CallerCancelRate: 0.3, MeanServiceTime: 300 * time.Millisecond}},
+		{SeededForgedChecksum, []string{RuleWrongAnswer}, Options{OnlyFaults: []string{"links that alter"}}},
+		{SeededNoRetryBudget, []string{RuleRetryBudget}, Options{OnlyFaults: edges, RetryFloor: 5}},
+		{SeededNoAuthorization, []string{RuleDisallowedCall}, Options{NoFaults: true}},
+		{SeededSpuriousUnopened, []string{RuleCauselessRejection}, Options{HarmlessFaultsOnly: true}},
+		{SeededNoRegistryFailover, []string{RuleStaleConfig}, Options{ServeStale: true, OnlyFaults: []string{"core split one from two", "a core machine cut off one way"}, ChangeInterval: 300 * time.Millisecond}},
 	} {
-		t.Run(string(one.plant), func(t *testing.T) {
+		t.Run(string(test.seededFault), func(t *testing.T) {
 			t.Parallel()
-			for seed := uint64(1); seed <= plantSeeds; seed++ {
-				h := run(t, seed, one.plant, one.options)
-				for _, rule := range one.rules {
+			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
+				h := runMeshSeed(t, seed, test.seededFault, test.options)
+				for _, rule := range test.rules {
 					if len(h.Breaches[rule]) > 0 {
 						t.Logf("seed %d: %s: %s", seed, rule, h.Breaches[rule][0])
 						return
 					}
 				}
 			}
-			t.Errorf("none of %v was seen", one.rules)
+			t.Errorf("none of %v was seen", test.rules)
 		})
 	}
-	for plant, kind := range map[Plant]string{PlantDeaf: "bad late, at a high share", PlantEasy: "by hand at 100 %, bad late, the core split", PlantHairTrigger: "a few failures"} {
-		t.Run(string(plant), func(t *testing.T) {
+	for seededFault, kind := range map[SeededFault]string{SeededFailuresIgnored: "bad late, at a high share", SeededAlwaysHealthy: "by hand at 100 %, bad late, the core split", SeededHairTrigger: "a few failures"} {
+		t.Run(string(seededFault), func(t *testing.T) {
 			t.Parallel()
-			for seed := uint64(1); seed <= plantSeeds; seed++ {
-				for _, one := range Kinds {
-					if one.Name != kind {
+			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
+				for _, test := range RollbackScenarios {
+					if test.Name != kind {
 						continue
 					}
-					got := brake(t, seed, one, plant)
-					for _, rule := range []string{RuleBad, RuleGood} {
+					got := runRollbackSeed(t, seed, test, seededFault)
+					for _, rule := range []string{RuleBadVersionExposure, RuleHealthyRolledBack} {
 						if len(got.Breaches[rule]) > 0 {
 							t.Logf("seed %d: %s: %s", seed, rule, got.Breaches[rule][0])
 							return
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -24,66 +24,66 @@
 	"meadowhinge/schema"
 )
 
-// Plant is a fault put into the mesh's own logic, to show that a checker sees it.
-type Plant string
+// SeededFault is a fault put into the mesh's own logic, to show that a checker sees it.
+type SeededFault string
 
 // The plants.
 const (
-	PlantNone        Plant = ""
-	PlantEarlyYes    Plant = "early yes: acknowledged as soon as it is stable"
-	PlantEternal     Plant = "eternal lease: a proxy decides though its lease has run out"
-	PlantLyingDisk   Plant = "lying disk: says synced what power loss takes away"
-	PlantAmnesia     Plant = "amnesia: a wiped seat counts at once"
-	PlantPartial     Plant = "partial: the good half of an invalid change is taken"
-	PlantYoung       Plant = "young registry: grants and fences count from its first moment"
-	PlantHasty       Plant = "hasty proxy: decides before it holds a lease"
-	PlantNoRecovery  Plant = "no recovery: a seat stays down after the last fault"
-	PlantNoClaims    Plant = "no claims: a key is run by whoever is asked"
-	PlantForgets     Plant = "forgets: a registry's word on keys counts from its first moment"
-	PlantFalseNo     Plant = "false no: a lost link is taken for one that never opened"
-	PlantNoSeen      Plant = "no memory: the worker's side forgets which requests it has seen"
-	PlantRevives     Plant = "revives: who is behind what was let go gets the difference only"
-	PlantHaunts      Plant = "haunts: an answer that a proxy asked for before it was killed is taken by its next life"
-	PlantLax         Plant = "lax workers: they run what does not bear their token"
-	PlantUnheard     Plant = "unheard: a worker's word that it leaves is not taken"
-	PlantClaimsAll   Plant = "false claims: a peer may speak for any caller"
-	PlantIgnores     Plant = "ignores: a proxy whose caller has left does not tell the worker's"
-	PlantForged      Plant = "forged: an altered answer carries a checksum that fits it"
-	PlantNoBudget    Plant = "no budget: extra tries are without bound"
-	PlantOpen        Plant = "open: versions and callers are not held against the setup"
-	PlantDeaf        Plant = "deaf brake: neither the proxies nor the duty look at failures"
-	PlantEasy        Plant = "easy brake: the duty finds any version fine, and each part of a split core has one"
-	PlantHairTrigger Plant = "hair trigger: a few failures turn a version back"
-	PlantStays       Plant = "stays: a proxy keeps to a registry however old its setup is"
-	PlantAway        Plant = "away: now and then a whole link is taken for one that never opened"
+	SeededNone                  SeededFault = ""
+	SeededEarlyAcknowledgement  SeededFault = "early yes: acknowledged as soon as it is stable"
+	SeededEternalLease          SeededFault = "eternal lease: a proxy decides though its lease has run out"
+	SeededLyingDisk             SeededFault = "lying disk: says synced what power loss takes away"
+	SeededWipedMemberCounts     SeededFault = "amnesia: a wiped seat counts at once"
+	SeededPartialChange         SeededFault = "partial: the good half of an invalid change is taken"
+	SeededYoungRegistryGrants   SeededFault = "young registry: grants and fences count from its first moment"
+	SeededDecidesBeforeLease    SeededFault = "hasty proxy: decides before it holds a lease"
+	SeededNoRecovery            SeededFault = "no recovery: a seat stays down after the last fault"
+	SeededNoKeyReservation      SeededFault = "no claims: a key is run by whoever is asked"
+	SeededReservationsForgotten SeededFault = "forgets: a registry's word on keys counts from its first moment"
+	SeededLostLinkAsUnopened    SeededFault = "false no: a lost link is taken for one that never opened"
+	SeededNoDuplicateDetection  SeededFault = "no memory: the worker's side forgets which requests it has seen"
+	SeededDeltaAfterPurge       SeededFault = "revives: who is behind what was let go gets the difference only"
+	SeededStaleFeedReply        SeededFault = "haunts: an answer that a proxy asked for before it was killed is taken by its next life"
+	SeededTokenIgnored          SeededFault = "lax workers: they run what does not bear their token"
+	SeededDrainIgnored          SeededFault = "unheard: a worker's word that it leaves is not taken"
+	SeededAnyCallerAccepted     SeededFault = "false claims: a peer may speak for any caller"
+	SeededCancelNotPropagated   SeededFault = "ignores: a proxy whose caller has left does not tell the worker's"
+	SeededForgedChecksum        SeededFault = "forged: an altered answer carries a checksum that fits it"
+	SeededNoRetryBudget         SeededFault = "no budget: extra tries are without bound"
+	SeededNoAuthorization       SeededFault = "open: versions and callers are not held against the setup"
+	SeededFailuresIgnored       SeededFault = "deaf brake: neither the proxies nor the duty look at failures"
+	SeededAlwaysHealthy         SeededFault = "easy brake: the duty finds any version fine, and each part of a split core has one"
+	SeededHairTrigger           SeededFault = "hair trigger: a few failures turn a version back"
+	SeededNoRegistryFailover    SeededFault = "stays: a proxy keeps to a registry however old its setup is"
+	SeededSpuriousUnopened      SeededFault = "away: now and then a whole link is taken for one that never opened"
 )
 
 // Bounds of the simulated fleet.
 const (
-	lease     = 8 * time.Second
-	keyWindow = 12 * lease
-	silence   = 1500 * time.Millisecond
-	stall     = 2 * time.Second
-	poll      = 50 * time.Millisecond
-	recovery  = 15 * time.Second
-	seatCount = 3
+	leaseDuration        = 8 * time.Second
+	keyReservationWindow = 12 * leaseDuration
+	heartbeatTimeout     = 1500 * time.Millisecond
+	stallTimeout         = 2 * time.Second
+	pollInterval         = 50 * time.Millisecond
+	recoveryBound        = 15 * time.Second
+	memberCount          = 3
 )
 
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	at       time.Duration
+	sequence uint64
+	run      func()
 }
 
-type eventBuffer []event
+type eventQueue []event
 
-func (q eventBuffer) Len() int { return len(q) }
-func (q eventBuffer) Less(i, j int) bool {
-	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].order < q[j].order)
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].sequence < q[j].sequence)
 }
-func (q eventBuffer) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventBuffer) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *eventBuffer) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -92,73 +92,73 @@
 
 // World is one simulated fleet.
 type World struct {
-	seed  uint64
-	plant Plant
-	base  time.Time
-	now   time.Duration // of the event that runs; goroutines ask time()
-
-	lock   sync.Mutex // of all below it here: events and goroutines share them
-	dice   *rand.Rand
-	order  uint64
-	serial int
-	buffer eventBuffer
-	moved  chan struct{} // a goroutine added an event
-	cuts   map[[2]string]bool
-	// disturbed is when something was last done to a site.
-	disturbed map[string]time.Duration
-	loss      float64
-	slow      time.Duration // added to every delivery at most
-	mangle    float64       // part of the answers between proxies that is altered on the way
-	repeat    float64       // part of the requests between proxies that arrives twice
-	places    map[string]*workerNode
-	leaving   leaving
-	quit      bool // the run is over: nothing is called any more
-
-	seats   []*seatNode
-	regs    []*registryNode
-	proxies []*proxyNode
-	workers []*workerNode
-	ills    map[[2]string]*Illness // by service and version
-	halfIll *Illness               // of every other worker of a version that is ordered
-	faults  []*faultEntry
-	spares  int // addresses used so far
-	// stopping is the proxy that was last stopped politely, and in which life.
-	stopping  *proxyNode
-	stoppedIn int
-	Options   Options
-	observed  func(one *workerNode, bad bool) // told of each call that a worker begins, if set
-	History   *History
+	seed        uint64
+	seededFault SeededFault
+	startTime   time.Time
+	now         time.Duration // of the event that runs; goroutines ask time()
+
+	lock              sync.Mutex // of all below it here: events and goroutines share them
+	random            *rand.Rand
+	lastEventSequence uint64
+	lastID            int
+	events            eventQueue
+	eventAdded        chan struct{} // a goroutine added an event
+	partitionedLinks  map[[2]string]bool
+	// disturbedAt is when something was last done to a site.
+	disturbedAt      map[string]time.Duration
+	lossRate         float64
+	maxExtraDelay    time.Duration // added to every delivery at most
+	corruptionRate   float64       // part of the answers between proxies that is altered on the way
+	duplicationRate  float64       // part of the requests between proxies that arrives twice
+	workersByAddress map[string]*workerNode
+	cancellations    cancellations
+	closed           bool // the run is over: nothing is called any more
+
+	members         []*memberNode
+	registries      []*registryNode
+	proxies         []*proxyNode
+	workers         []*workerNode
+	degradations    map[[2]string]*Degradation // by service and version
+	halfDegradation *Degradation               // of every other worker of a version that is ordered
+	faults          []*faultRecord
+	addressesUsed   int // addresses used so far
+	// lastRestarted is the proxy that was last stopped politely, and in which life.
+	lastRestarted    *proxyNode
+	lastRestartedRun int
+	Options          Options
+	onWorkerCall     func(one *workerNode, bad bool) // told of each call that a worker begins, if set
+	History          *History
 }
 
 // Options say what kind of world it is.
 type Options struct {
-	Proxies int
-	Rate    float64 // calls a second of the whole fleet
-	Only    []string
-	// Skip leaves out faults by their place in the order drawn, for shrinking.
-	Skip map[int]bool
-	// Free draws only faults that may turn nobody away, one at a time.
-	Free bool
-	// Bare has no machines to begin with.
-	Bare bool
-	// Quiet has no faults at all.
-	Quiet bool
-	// Changes is the mean pause between two changes of operators; 0 for the usual half second.
-	Changes time.Duration
-	// Length of the faulty part; 0 for the usual.
-	Length time.Duration
-	// Serving has proxies that serve in doubt: see serving.go.
-	Serving bool
-	// Bound has the release duty keep a bad version within a share of its plan's time.
-	Bound bool
-	// Work is how long calls take at workers on average, 0 for a few milliseconds.
-	Work time.Duration
-	// Errors is the part of its calls that any worker answers with 500.
-	Errors float64
-	// Leaving is the part of the calls without a key whose callers leave before they are answered.
-	Leaving float64
-	// Floor of the retry budget; 0 for the preset.
-	Floor float64
+	Proxies    int
+	CallRate   float64 // calls a second of the whole fleet
+	OnlyFaults []string
+	// SkipFaults leaves out faults by their place in the order drawn, for shrinking.
+	SkipFaults map[int]bool
+	// HarmlessFaultsOnly draws only faults that may turn nobody away, one at a time.
+	HarmlessFaultsOnly bool
+	// Empty has no machines to begin with.
+	Empty bool
+	// NoFaults has no faults at all.
+	NoFaults bool
+	// ChangeInterval is the mean pause between two changes of operators; 0 for the usual half second.
+	ChangeInterval time.Duration
+	// FaultyDuration of the faulty part; 0 for the usual.
+	FaultyDuration time.Duration
+	// ServeStale has proxies that serve in doubt: see serving.go.
+	ServeStale bool
+	// BoundExposure has the release duty keep a bad version within a share of its plan's time.
+	BoundExposure bool
+	// MeanServiceTime is how long calls take at workers on average, 0 for a few milliseconds.
+	MeanServiceTime time.Duration
+	// ErrorRate is the part of its calls that any worker answers with 500.
+	ErrorRate float64
+	// CallerCancelRate is the part of the calls without a key whose callers leave before they are answered.
+	CallerCancelRate float64
+	// RetryFloor of the retry budget; 0 for the preset.
+	RetryFloor float64
 }
 
 // clock is a node's own: it starts anywhere and runs a little fast or slow.
@@ -171,218 +171,218 @@
 	return c.offset + time.Duration(float64(now)*c.rate)
 }
 
-// machine is what can die, freeze and be cut off. Only events change it.
-type machine struct {
-	name   string
-	up     bool
-	life   int // counts starts, so that events of an earlier life are dropped
-	thawAt time.Duration
-	thaw   chan struct{} // closed once it thaws before that; nil while it is not frozen
-	held   []func()      // what it was held up in
-	clock  clock
-	died   chan struct{} // closed when this life ends
+// process is what can die, freeze and be cut off. Only events change it.
+type process struct {
+	name       string
+	up         bool
+	processRun int // counts starts, so that events of an earlier life are dropped
+	thawAt     time.Duration
+	thaw       chan struct{} // closed once it thaws before that; nil while it is not frozen
+	deferred   []func()      // what it was held up in
+	clock      clock
+	exited     chan struct{} // closed when this life ends
 }
 
 // NewWorld makes a fleet from a seed; everything in it is up. It must be made, run and closed
 // inside a bubble.
-func NewWorld(seed uint64, plant Plant, options Options) *World {
-	if options.Floor == 0 {
-		options.Floor = extraFloor
+func NewWorld(seed uint64, seededFault SeededFault, options Options) *World {
+	if options.RetryFloor == 0 {
+		options.RetryFloor = retryFloor
 	}
-	w := &World{seed: seed, dice: rand.New(rand.NewPCG(seed, 17)), plant: plant, cuts: map[[2]string]bool{}, disturbed: map[string]time.Duration{}, base: time.Now(), moved: make(chan struct{}, 1),
-		places: map[string]*workerNode{}, ills: map[[2]string]*Illness{}, Options: options}
-	w.History = &History{shown: map[string][]shown{}, orders: map[uint64]string{}, markers: map[string]bool{}, rulings: map[string]schema.Ruling{}, last: map[string]uint64{}, lives: map[string]int{},
-		ops: map[string]*op{}, left: map[string]time.Duration{}, setups: map[uint64]*config.Snapshot{}, Away: map[string]int{}, world: w}
-	if options.Bare {
+	w := &World{seed: seed, random: rand.New(rand.NewPCG(seed, 17)), seededFault: seededFault, partitionedLinks: map[[2]string]bool{}, disturbedAt: map[string]time.Duration{}, startTime: time.Now(), eventAdded: make(chan struct{}, 1),
+		workersByAddress: map[string]*workerNode{}, degradations: map[[2]string]*Degradation{}, Options: options}
+	w.History = &History{shownRevisions: map[string][]revisionAt{}, contentBySequence: map[uint64]string{}, invalidItems: map[string]bool{}, rulings: map[string]schema.Ruling{}, lastUsedRevision: map[string]uint64{}, processRuns: map[string]int{},
+		operations: map[string]*operation{}, departedAt: map[string]time.Duration{}, snapshots: map[uint64]*config.Snapshot{}, Rejections: map[string]int{}, world: w}
+	if options.Empty {
 		return w
 	}
-	for i := range seatCount {
-		w.seats = append(w.seats, &seatNode{machine: w.machine("store-" + seatName(i)), options: seatOptions(seatName(i), []string{"a", "b", "c"}, 1)})
+	for i := range memberCount {
+		w.members = append(w.members, &memberNode{process: w.newProcess("store-" + memberName(i)), replicaConfig: newReplicaConfig(memberName(i), []string{"a", "b", "c"}, 1)})
 	}
-	for i := range seatCount {
-		w.regs = append(w.regs, &registryNode{machine: w.machine("registry-" + seatName(i)), beside: w.seats[i]})
+	for i := range memberCount {
+		w.registries = append(w.registries, &registryNode{process: w.newProcess("registry-" + memberName(i)), member: w.members[i]})
 	}
 	for i := range options.Proxies {
-		w.proxies = append(w.proxies, &proxyNode{machine: w.machine(fmt.Sprintf("proxy-%d", i)), index: i, feedAt: i})
+		w.proxies = append(w.proxies, &proxyNode{process: w.newProcess(fmt.Sprintf("proxy-%d", i)), index: i, feedIndex: i})
 	}
-	for _, node := range w.seats {
-		w.startSeat(node)
+	for _, node := range w.members {
+		w.startMember(node)
 	}
-	for _, node := range w.regs {
+	for _, node := range w.registries {
 		w.startRegistry(node)
 	}
 	for _, node := range w.proxies {
 		w.startProxy(node)
 	}
-	w.placeWorkers()
+	w.startInitialWorkers()
 	return w
 }
 
-func (w *World) machine(name string) machine {
+func (w *World) newProcess(name string) process {
 	// Clocks that differ by up to half a percent are within what the lease's slack allows.
-	return machine{name: name, clock: clock{offset: time.Duration(w.dice.Int64N(int64(time.Hour))), rate: 0.995 + 0.01*w.dice.Float64()}}
+	return process{name: name, clock: clock{offset: time.Duration(w.random.Int64N(int64(time.Hour))), rate: 0.995 + 0.01*w.random.Float64()}}
 }
 
 // time is now, for whoever is not an event.
-func (w *World) time() time.Duration { return time.Since(w.base) }
+func (w *World) time() time.Duration { return time.Since(w.startTime) }
 
-// next is a number that was not given before.
-func (w *World) next() int {
+// nextID is a number that was not given before.
+func (w *World) nextID() int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.serial++
-	return w.serial
+	w.lastID++
+	return w.lastID
 }
 
-// roll draws a number below most; chance draws one in [0,1); upTo draws a time.
-func (w *World) roll(most int) int {
+// randomInt draws a number below most; chance draws one in [0,1); randomDuration draws a time.
+func (w *World) randomInt(limit int) int {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.dice.IntN(most)
+	return w.random.IntN(limit)
 }
 
-func (w *World) upTo(most time.Duration) time.Duration {
-	if most <= 0 {
+func (w *World) randomDuration(limit time.Duration) time.Duration {
+	if limit <= 0 {
 		return 0
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return time.Duration(w.dice.Int64N(int64(most)))
+	return time.Duration(w.random.Int64N(int64(limit)))
 }
 
-// own gives dice to whoever is not an event. They are drawn from what is done and when, not from
+// derivedRandom gives dice to whoever is not an event. They are drawn from what is done and when, not from
 // the events' dice, so that it does not matter in which order goroutines go on that wake at once.
-func (w *World) own(what string) *rand.Rand {
+func (w *World) derivedRandom(purpose string) *rand.Rand {
 	sum := fnv.New64a()
-	sum.Write([]byte(what))
+	sum.Write([]byte(purpose))
 	return rand.New(rand.NewPCG(w.seed, sum.Sum64()^uint64(w.time())))
 }
 
-// called is the context of what is done for one call.
-func called(what string) context.Context {
-	return context.WithValue(context.Background(), calledKey{}, what)
+// callContext is the context of what is done for one call.
+func callContext(purpose string) context.Context {
+	return context.WithValue(context.Background(), callContextKey{}, purpose)
 }
 
-type calledKey struct{}
+type callContextKey struct{}
 
 // stagger lets goroutines that one event woke at once go on one after another, each at a time
 // of its own.
 func (w *World) stagger(ctx context.Context) {
-	what, _ := ctx.Value(calledKey{}).(string)
-	time.Sleep(time.Duration(1 + w.own(what).IntN(int(100*time.Microsecond))))
+	purpose, _ := ctx.Value(callContextKey{}).(string)
+	time.Sleep(time.Duration(1 + w.derivedRandom(purpose).IntN(int(100*time.Microsecond))))
 }
 
-// rise and fall begin and end a machine's life.
-func (w *World) rise(m *machine) {
+// startProcess and fall begin and end a machine's life.
+func (w *World) startProcess(m *process) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	m.up, m.life, m.died = true, m.life+1, make(chan struct{})
-	w.disturb(w.time(), site(m.name))
+	m.up, m.processRun, m.exited = true, m.processRun+1, make(chan struct{})
+	w.markDisturbed(w.time(), hostOf(m.name))
 }
 
-func (w *World) fall(m *machine) {
+func (w *World) stopProcess(m *process) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if m.up {
 		m.up = false
-		w.disturb(w.time(), site(m.name))
-		close(m.died)
+		w.markDisturbed(w.time(), hostOf(m.name))
+		close(m.exited)
 	}
 }
 
 // freeze lets a machine do nothing until a time.
-func (w *World) freeze(m *machine, until time.Duration) {
+func (w *World) freeze(m *process, until time.Duration) {
 	w.lock.Lock()
 	m.thawAt = until
-	w.disturb(max(until, w.time()), site(m.name))
-	var held []func()
+	w.markDisturbed(max(until, w.time()), hostOf(m.name))
+	var deferred []func()
 	if until > w.time() && m.thaw == nil {
 		m.thaw = make(chan struct{})
 	} else if until <= w.time() && m.thaw != nil {
 		// Who is thawed early does at once what it was held up in.
 		close(m.thaw)
-		held, m.held, m.thaw = m.held, nil, nil
+		deferred, m.deferred, m.thaw = m.deferred, nil, nil
 	}
 	w.lock.Unlock()
-	for _, turn := range held {
-		w.after(0, turn)
+	for _, task := range deferred {
+		w.schedule(0, task)
 	}
 }
 
-// standing tells whether a machine is up and not frozen.
-func (w *World) standing(m *machine) bool {
+// isResponsive tells whether a machine is up and not frozen.
+func (w *World) isResponsive(m *process) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return m.up && m.thawAt <= w.time()
 }
 
-// lifeOf gives a machine's life and what closes with it.
-func (w *World) lifeOf(m *machine) (life int, died chan struct{}, up bool) {
+// processRunOf gives a machine's life and what closes with it.
+func (w *World) processRunOf(m *process) (processRun int, exited chan struct{}, up bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return m.life, m.died, m.up
+	return m.processRun, m.exited, m.up
 }
 
-// thawed waits while a machine is frozen; false if its life has ended.
-func (w *World) thawed(m *machine, life int) bool {
+// awaitThaw waits while a machine is frozen; false if its life has ended.
+func (w *World) awaitThaw(m *process, processRun int) bool {
 	for {
 		w.lock.Lock()
-		left, lives, died, thaw := m.thawAt-w.time(), m.up && m.life == life, m.died, m.thaw
+		remaining, isSameRun, exited, thaw := m.thawAt-w.time(), m.up && m.processRun == processRun, m.exited, m.thaw
 		w.lock.Unlock()
-		if !lives || left <= 0 {
-			return lives
+		if !isSameRun || remaining <= 0 {
+			return isSameRun
 		}
 		select {
-		case <-died:
+		case <-exited:
 		case <-thaw:
-		case <-time.After(left):
+		case <-time.After(remaining):
 		}
 	}
 }
 
-// after lets something happen later; events and goroutines may call it.
-func (w *World) after(delay time.Duration, run func()) {
+// schedule lets something happen later; events and goroutines may call it.
+func (w *World) schedule(delay time.Duration, run func()) {
 	w.lock.Lock()
-	w.order++
-	heap.Push(&w.buffer, event{w.time() + delay, w.order, run})
+	w.lastEventSequence++
+	heap.Push(&w.events, event{w.time() + delay, w.lastEventSequence, run})
 	w.lock.Unlock()
 	select {
-	case w.moved <- struct{}{}:
+	case w.eventAdded <- struct{}{}:
 	default:
 	}
 }
 
-// on runs something on a machine, in this life only; a frozen machine does it when it thaws.
-func (w *World) on(m *machine, delay time.Duration, run func()) {
-	life, _, _ := w.lifeOf(m)
-	var turn func()
+// scheduleOn runs something on a machine, in this life only; a frozen machine does it when it thaws.
+func (w *World) scheduleOn(m *process, delay time.Duration, run func()) {
+	processRun, _, _ := w.processRunOf(m)
+	var task func()
 	done := false
-	turn = func() {
-		if done || !m.up || m.life != life {
+	task = func() {
+		if done || !m.up || m.processRun != processRun {
 			return
 		}
 		if m.thawAt > w.now {
-			m.held = append(m.held, turn)
-			w.after(m.thawAt-w.now, turn)
+			m.deferred = append(m.deferred, task)
+			w.schedule(m.thawAt-w.now, task)
 			return
 		}
 		done = true
 		run()
 	}
-	w.after(delay, turn)
+	w.schedule(delay, task)
 }
 
-func (w *World) every(m *machine, pause time.Duration, run func()) {
-	var again func()
-	again = func() {
+func (w *World) scheduleEvery(m *process, interval time.Duration, run func()) {
+	var runAndReschedule func()
+	runAndReschedule = func() {
 		run()
-		w.on(m, pause, again)
+		w.scheduleOn(m, interval, runAndReschedule)
 	}
-	w.on(m, w.upTo(pause), again)
+	w.scheduleOn(m, w.randomDuration(interval), runAndReschedule)
 }
 
-// site is the machine a process stands on: a store and a registry share one.
-func site(name string) string {
+// hostOf is the machine a process stands on: a store and a registry share one.
+func hostOf(name string) string {
 	if len(name) > 6 && name[:6] == "store-" {
 		return "core-" + name[6:]
 	}
@@ -392,37 +392,37 @@
 	return name
 }
 
-func (w *World) isCut(from, to *machine) bool {
+func (w *World) isPartitioned(from, to *process) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.cuts[[2]string{site(from.name), site(to.name)}]
+	return w.partitionedLinks[[2]string{hostOf(from.name), hostOf(to.name)}]
 }
 
-// passes draws whether a link lets a message through, and how long it takes.
-func (w *World) passes(from, to *machine, dice *rand.Rand) (delay time.Duration, lost bool) {
+// sampleLink draws whether a link lets a message through, and how long it takes.
+func (w *World) sampleLink(from, to *process, random *rand.Rand) (delay time.Duration, lost bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	a, b := site(from.name), site(to.name)
-	if a != b && (w.cuts[[2]string{a, b}] || dice.Float64() < w.loss) {
+	fromHost, toHost := hostOf(from.name), hostOf(to.name)
+	if fromHost != toHost && (w.partitionedLinks[[2]string{fromHost, toHost}] || random.Float64() < w.lossRate) {
 		lost = true
 	}
-	return time.Millisecond + time.Duration(dice.Int64N(int64(4*time.Millisecond)+int64(w.slow))), lost
+	return time.Millisecond + time.Duration(random.Int64N(int64(4*time.Millisecond)+int64(w.maxExtraDelay))), lost
 }
 
-// deliver carries an event's message from one machine to another, if the links let it.
-func (w *World) deliver(from, to *machine, run func()) { w.deliverBy(w.dice, from, to, run) }
+// send carries an event's message from one machine to another, if the links let it.
+func (w *World) send(from, to *process, run func()) { w.sendWith(w.random, from, to, run) }
 
-func (w *World) deliverBy(dice *rand.Rand, from, to *machine, run func()) {
-	delay, lost := w.passes(from, to, dice)
+func (w *World) sendWith(random *rand.Rand, from, to *process, run func()) {
+	delay, lost := w.sampleLink(from, to, random)
 	if lost {
 		return
 	}
-	w.after(delay, func() {
+	w.schedule(delay, func() {
 		// The link may be cut while the message is under way.
-		if w.isCut(from, to) {
+		if w.isPartitioned(from, to) {
 			return
 		}
-		w.on(to, 0, run)
+		w.scheduleOn(to, 0, run)
 	})
 }
 
@@ -432,14 +432,14 @@
 		synctest.Wait()
 		w.lock.Lock()
 		due := until
-		if len(w.buffer) > 0 {
-			due = min(due, w.buffer[0].at)
+		if len(w.events) > 0 {
+			due = min(due, w.events[0].at)
 		}
 		now := w.time()
-		if due <= now && len(w.buffer) > 0 && w.buffer[0].at <= until {
-			next := heap.Pop(&w.buffer).(event)
+		if due <= now && len(w.events) > 0 && w.events[0].at <= until {
+			next := heap.Pop(&w.events).(event)
 			w.now = now
-			w.History.Print = (w.History.Print ^ uint64(next.at)) * 1099511628211
+			w.History.EventHash = (w.History.EventHash ^ uint64(next.at)) * 1099511628211
 			w.lock.Unlock()
 			next.run()
 			continue
@@ -452,7 +452,7 @@
 		timer := time.NewTimer(due - now)
 		select {
 		case <-timer.C:
-		case <-w.moved:
+		case <-w.eventAdded:
 			timer.Stop()
 		}
 	}
@@ -461,23 +461,23 @@
 // Close ends every life, so that no goroutine outlives the bubble.
 func (w *World) Close() {
 	w.History.lock.Lock()
-	w.History.over = true
+	w.History.closed = true
 	w.History.lock.Unlock()
 	w.lock.Lock()
-	w.quit = true
-	w.buffer = nil
+	w.closed = true
+	w.events = nil
 	w.lock.Unlock()
-	for _, one := range w.workers {
-		w.endWorker(one)
+	for _, worker := range w.workers {
+		w.killWorker(worker)
 	}
 	for _, node := range w.proxies {
-		w.endProxy(node)
+		w.stopProxy(node)
 	}
-	for _, node := range w.seats {
-		w.fall(&node.machine)
+	for _, node := range w.members {
+		w.stopProcess(&node.process)
 	}
-	for _, node := range w.regs {
-		w.fall(&node.machine)
+	for _, node := range w.registries {
+		w.stopProcess(&node.process)
 	}
 	// Callers give up, and the HTTP client's own housekeeping ends, within a minute.
 	time.Sleep(2 * time.Minute)
