--- a/cmd/golden_test.go
+++ b/cmd/golden_test.go
@@ -194,7 +194,7 @@
 // emulator is the program that brings up fleets. It may be given another name; the golden lists go by
 // emulatorLabel whatever that name is.
 const (
-	emulator      = "rehearsal"
+	emulator      = "testbed"
 	emulatorLabel = "emulator"
 )
 
--- a/cmd/rehearsal/hollow.go
+++ b/cmd/testbed/hollow.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"meadowhinge/internal/options"
-	"meadowhinge/internal/rehearsal"
+	"meadowhinge/internal/testbed"
 	"meadowhinge/schema"
 )
 
@@ -33,7 +33,7 @@
 // resolveFolders settles where a run writes and where its programs are.
 func resolveFolders(program string, folder, binaries *string) (code int, exit bool) {
 	if *folder == "" {
-		temporary, err := os.MkdirTemp("", "rehearsal-")
+		temporary, err := os.MkdirTemp("", "testbed-")
 		if err != nil {
 			fmt.Fprintln(os.Stderr, program+":", err)
 			return 1, true
@@ -58,14 +58,14 @@
 
 // runHollow runs hollow members against a real core.
 func runHollow(args []string) int {
-	const program = "rehearsal hollow"
+	const program = "testbed hollow"
 	opts := &schema.HollowOptions{}
-	if code, exit := parseOptions(program, args, opts, func() options.Faults { return rehearsal.ValidateHollow(opts) }, &opts.Folder, &opts.Binaries); exit {
+	if code, exit := parseOptions(program, args, opts, func() options.Faults { return testbed.ValidateHollow(opts) }, &opts.Folder, &opts.Binaries); exit {
 		return code
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	report, err := rehearsal.RunHollow(ctx, opts, os.Stderr)
+	report, err := testbed.RunHollow(ctx, opts, os.Stderr)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v (logs in %s)\n", program, err, opts.Folder)
 		return 1
@@ -82,14 +82,14 @@
 
 // runSlopes runs a series of hollow fleets and fits what each driver costs.
 func runSlopes(args []string) int {
-	const program = "rehearsal slopes"
+	const program = "testbed slopes"
 	opts := &schema.SlopesOptions{}
-	if code, exit := parseOptions(program, args, opts, func() options.Faults { return rehearsal.ValidateSlopes(opts) }, &opts.Folder, &opts.Binaries); exit {
+	if code, exit := parseOptions(program, args, opts, func() options.Faults { return testbed.ValidateSlopes(opts) }, &opts.Folder, &opts.Binaries); exit {
 		return code
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	report, err := rehearsal.RunSlopes(ctx, opts, os.Stderr)
+	report, err := testbed.RunSlopes(ctx, opts, os.Stderr)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v (runs in %s)\n", program, err, opts.Folder)
 		return 1
@@ -106,14 +106,14 @@
 
 // runCalls runs chains of calls through real proxies and fits what one costs.
 func runCalls(args []string) int {
-	const program = "rehearsal calls"
+	const program = "testbed calls"
 	opts := &schema.CallsOptions{}
-	if code, exit := parseOptions(program, args, opts, func() options.Faults { return rehearsal.ValidateCalls(opts) }, &opts.Folder, &opts.Binaries); exit {
+	if code, exit := parseOptions(program, args, opts, func() options.Faults { return testbed.ValidateCalls(opts) }, &opts.Folder, &opts.Binaries); exit {
 		return code
 	}
 	ctx, stop := signalContext()
 	defer stop()
-	report, err := rehearsal.RunCalls(ctx, opts, os.Stderr)
+	report, err := testbed.RunCalls(ctx, opts, os.Stderr)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v (logs in %s)\n", program, err, opts.Folder)
 		return 1
--- a/cmd/rehearsal/soak.go
+++ b/cmd/testbed/soak.go
@@ -10,13 +10,13 @@
 
 	"github.com/peterbourgon/ff/v3"
 
-	"meadowhinge/internal/rehearsal"
+	"meadowhinge/internal/testbed"
 )
 
 // runSoak plays many seeds of overlapping faults against real processes.
 func runSoak(args []string) int {
-	const program = "rehearsal soak"
-	opts := rehearsal.SoakOptions{Out: os.Stdout}
+	const program = "testbed soak"
+	opts := testbed.SoakOptions{Out: os.Stdout}
 	flags := flag.NewFlagSet(program, flag.ContinueOnError)
 	deploymentName := flags.String("deployment", "small", "which fleet: small, wroblewski, kithul or wide")
 	wideName := flags.String("wide", "wide", "which fleet plays every wide-every-th seed")
@@ -36,11 +36,11 @@
 		}
 		return 2
 	}
-	opts.Deployment, opts.WideDeployment = rehearsal.Deployments[*deploymentName], rehearsal.Deployments[*wideName]
+	opts.Deployment, opts.WideDeployment = testbed.Deployments[*deploymentName], testbed.Deployments[*wideName]
 	if code, exit := resolveFolders(program, &opts.Folder, &opts.Binaries); exit {
 		return code
 	}
-	report, err := rehearsal.Soak(opts)
+	report, err := testbed.Soak(opts)
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
 		return 2
--- a/internal/options/golden_test.go
+++ b/internal/options/golden_test.go
@@ -53,7 +53,7 @@
 	for _, target := range programs {
 		listed[target.ProtoReflect().Descriptor().FullName()] = true
 	}
-	for _, file := range []protoreflect.FileDescriptor{schema.File_mesh_proto, schema.File_rehearsal_proto} {
+	for _, file := range []protoreflect.FileDescriptor{schema.File_mesh_proto, schema.File_testbed_proto} {
 		for i := range file.Messages().Len() {
 			message := file.Messages().Get(i)
 			if strings.HasSuffix(string(message.Name()), "Options") && !listed[message.FullName()] {
--- a/internal/rehearsal/brief_test.go
+++ b/internal/testbed/brief_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Every test, play and plant that docs/brief.md names exists.
+// Every test, scenario and seeded fault that docs/brief.md names exists.
 func TestBriefNamesWhatExists(t *testing.T) {
 	text, err := os.ReadFile("../../docs/brief.md")
 	if err != nil {
@@ -25,10 +25,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, match := range regexp.MustCompile("`(Plant[A-Za-z]+)`").FindAllStringSubmatch(string(text), -1) {
+	for _, match := range regexp.MustCompile("`(Seeded[A-Za-z]+)`").FindAllStringSubmatch(string(text), -1) {
 		named++
 		if !strings.Contains(string(world), "\t"+match[1]+" ") {
-			t.Errorf("plant %s does not exist", match[1])
+			t.Errorf("seeded fault %s does not exist", match[1])
 		}
 	}
 	for _, match := range regexp.MustCompile(`\bplay ([a-z]+)`).FindAllStringSubmatch(string(text), -1) {
--- a/internal/rehearsal/calls_test.go
+++ b/internal/testbed/calls_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"io"
@@ -17,7 +17,7 @@
 	}
 	binaries := buildWithoutRaceDetector(t)
 	opts := &schema.CallsOptions{}
-	if err := options.Parse("rehearsal calls", []string{"-rates=20,40,80", "-depths=1,2,4,8", "-chains=10", "-runs=1", "-length=1s", "-work=1ms", "-body=1000", "-lease=2s",
+	if err := options.Parse("testbed calls", []string{"-rates=20,40,80", "-depths=1,2,4,8", "-chains=10", "-runs=1", "-length=1s", "-work=1ms", "-body=1000", "-lease=2s",
 		"-folder=" + t.TempDir(), "-binaries=" + binaries}, opts, io.Discard); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/certificates.go
+++ b/internal/testbed/certificates.go
@@ -1,6 +1,6 @@
-// Package rehearsal brings up a whole fleet on one machine, puts load and faults on it, and
+// Package testbed brings up a whole fleet on one machine, puts load and faults on it, and
 // judges by the ledgers of its stand-in callers and workers what never may happen.
-package rehearsal
+package testbed
 
 import (
 	"crypto/ecdsa"
@@ -39,7 +39,7 @@
 		return nil, errs.Wrap(err, errs.Internal, "key")
 	}
 	a := &Authority{folder: folder, key: key, serial: 1}
-	a.root = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "meadowhinge rehearsal"}, IsCA: true,
+	a.root = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "meadowhinge testbed"}, IsCA: true,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(certificateValidity)}
 	signed, err := x509.CreateCertificate(rand.Reader, a.root, a.root, &key.PublicKey, key)
 	if err != nil {
--- a/internal/rehearsal/fleet.go
+++ b/internal/testbed/fleet.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"context"
@@ -295,7 +295,7 @@
 	settings["certificate"], settings["authority"], settings["data"], settings["probe-listen"] = certificate, f.authority.File(), filepath.Join(folder, "data"), probeAddress
 	// A store runs on a disk that can be made slow, which only the rehearsal has.
 	if program == "store" && f.delayedDisks {
-		process.program = filepath.Join(f.binaries, "rehearsal")
+		process.program = filepath.Join(f.binaries, "testbed")
 		process.args = append([]string{DelayedStoreCommand, filepath.Join(folder, diskDelayFile)}, process.args...)
 	}
 	return process, process.writeSettings(nil)
--- a/internal/rehearsal/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 func buildWithRaceDetector(t *testing.T) string {
 	t.Helper()
 	binaries := t.TempDir()
-	if out, err := exec.Command("go", "build", "-race", "-o", binaries+"/", "meadowhinge/cmd/proxy", "meadowhinge/cmd/registry", "meadowhinge/cmd/store", "meadowhinge/cmd/rehearsal").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-race", "-o", binaries+"/", "meadowhinge/cmd/proxy", "meadowhinge/cmd/registry", "meadowhinge/cmd/store", "meadowhinge/cmd/testbed").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	return binaries
--- a/internal/rehearsal/hollow_test.go
+++ b/internal/testbed/hollow_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"io"
@@ -14,7 +14,7 @@
 func parseHollowOptions(t *testing.T, args ...string) *schema.HollowOptions {
 	t.Helper()
 	opts := &schema.HollowOptions{}
-	if err := options.Parse("rehearsal hollow", args, opts, io.Discard); err != nil {
+	if err := options.Parse("testbed hollow", args, opts, io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	return opts
@@ -44,7 +44,7 @@
 			}
 		}
 	}
-	err := options.Parse("rehearsal hollow", []string{"-members=0", "-seats=6", "-length=1ms", "-mode=lax"}, &schema.HollowOptions{}, io.Discard)
+	err := options.Parse("testbed hollow", []string{"-members=0", "-seats=6", "-length=1ms", "-mode=lax"}, &schema.HollowOptions{}, io.Discard)
 	for _, name := range []string{"members: ", "seats: ", "length: ", "mode: "} {
 		if err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s is not named in %v", name, err)
--- a/internal/rehearsal/relay.go
+++ b/internal/testbed/relay.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"math/rand/v2"
--- a/internal/rehearsal/run.go
+++ b/internal/testbed/run.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"fmt"
--- a/internal/rehearsal/slopes_test.go
+++ b/internal/testbed/slopes_test.go
@@ -1,4 +1,4 @@
-package rehearsal
+package testbed
 
 import (
 	"io"
@@ -47,7 +47,7 @@
 // A series that holds a run that can't be made is refused as a whole, each such run by name.
 func TestSlopesOptionsAreValidated(t *testing.T) {
 	opts := &schema.SlopesOptions{}
-	if err := options.Parse("rehearsal slopes", []string{"-drivers=members,loads,releases", "-members=10,99999,many", "-releases=1,500"}, opts, io.Discard); err != nil {
+	if err := options.Parse("testbed slopes", []string{"-drivers=members,loads,releases", "-members=10,99999,many", "-releases=1,500"}, opts, io.Discard); err != nil {
 		t.Fatal(err)
 	}
 	faults := ValidateSlopes(opts).Error()
@@ -69,7 +69,7 @@
 		t.Skip("brings up processes")
 	}
 	opts := &schema.SlopesOptions{}
-	if err := options.Parse("rehearsal slopes", []string{"-drivers=members,changes,routes", "-members=4,8,16", "-changes=0,60,240", "-routes=64,128,256", "-at=6", "-runs=1",
+	if err := options.Parse("testbed slopes", []string{"-drivers=members,changes,routes", "-members=4,8,16", "-changes=0,60,240", "-routes=64,128,256", "-at=6", "-runs=1",
 		"-length=2s", "-settle=500ms", "-folder=" + t.TempDir(), "-binaries=" + buildWithoutRaceDetector(t)}, opts, io.Discard); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/transport/link_test.go
+++ b/internal/transport/link_test.go
@@ -13,7 +13,7 @@
 	"storj.io/drpc/drpcmux"
 
 	"meadowhinge/internal/errs"
-	"meadowhinge/internal/rehearsal"
+	"meadowhinge/internal/testbed"
 	"meadowhinge/internal/transport"
 	"meadowhinge/schema"
 )
@@ -29,7 +29,7 @@
 	return &schema.ForwardResponse{Request: carry.Request}, nil
 }
 
-func credentials(t *testing.T, authority *rehearsal.Authority, role, name string, services ...string) *transport.Transport {
+func credentials(t *testing.T, authority *testbed.Authority, role, name string, services ...string) *transport.Transport {
 	t.Helper()
 	file, err := authority.Issue(role, name, services)
 	if err != nil {
@@ -46,11 +46,11 @@
 // Only a peer with a certificate of this mesh, in a role that is taken here, is served; all
 // else is cut off and counted, and the server goes on.
 func TestOnlyKnownPeersAreServed(t *testing.T) {
-	ours, err := rehearsal.NewAuthority(t.TempDir())
+	ours, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	theirs, err := rehearsal.NewAuthority(t.TempDir())
+	theirs, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 
 // A link that never opened says so: that is the proof that nothing was sent.
 func TestConnectFailureIsTyped(t *testing.T) {
-	authority, err := rehearsal.NewAuthority(t.TempDir())
+	authority, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,7 +142,7 @@
 // A certificate is read again when its file changes; one that could not serve is refused, the
 // old one is kept, and why is shown.
 func TestCertificatesAreReloaded(t *testing.T) {
-	authority, err := rehearsal.NewAuthority(t.TempDir())
+	authority, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
