--- a/internal/session/fleet_size.go
+++ b/internal/session/fleet_size.go
@@ -2,32 +2,39 @@
 
 import "time"
 
-// fleetMemoryLeases is how many leases a larger fleet is remembered for.
+// fleetMemoryLeases is the length in leases of one of the two periods over which FleetSize takes its
+// maximum.
 const fleetMemoryLeases = 16
 
-// FleetSize tells among how many proxies what is allowed to the whole fleet is shared out. It
-// errs to the large side: a registry cut off from the others sees only its own proxies, and
-// were each to take a part of so few, they would together take too much.
+// FleetSize estimates how many proxies share a limit that applies to the whole fleet. The estimate is
+// the largest count reported in the current period and the one before, because too large is safe and
+// too small is not: a registry partitioned from the others counts only its own proxies, and if every
+// side of the partition divided the limit by such a count, the sides together would exceed it.
+//
+// A FleetSize is not safe for concurrent use; the proxy and the registry guard theirs with their lock.
 type FleetSize struct {
 	lease           time.Duration
-	initial         int64 // reckoned with until the fleet is known
-	currentMax      int64 // the largest number told in this period
-	previousMax     int64 // and in the one before
+	initial         int64 // the estimate until one lease has passed since the start
+	currentMax      int64 // largest count reported in the current period
+	previousMax     int64 // largest count reported in the period before
 	periodStartedAt time.Duration
 }
 
-// NewFleetSize reckons with most until a lease has passed.
+// NewFleetSize makes an estimate that stays at initial until one lease has passed.
 func NewFleetSize(initial int64, lease time.Duration) *FleetSize {
 	return &FleetSize{lease: lease, initial: initial}
 }
 
-// Observe takes a number that a registry told and gives the one to reckon with.
+// Observe records the number of proxies that a registry reported and returns the estimate, which is
+// at least 1 once a lease has passed.
 func (f *FleetSize) Observe(now time.Duration, proxies int64) int64 {
 	if now-f.periodStartedAt > fleetMemoryLeases*f.lease {
-		f.previousMax, f.currentMax, f.periodStartedAt = f.currentMax, 0, now
+		f.previousMax = f.currentMax
+		f.currentMax = 0
+		f.periodStartedAt = now
 	}
 	f.currentMax = max(f.currentMax, proxies)
-	// Right after a start the registries have not heard of everyone yet.
+	// In the first lease after a start, some proxies may not have reported to any registry yet.
 	if now < f.lease {
 		return f.initial
 	}
--- a/internal/session/incarnation.go
+++ b/internal/session/incarnation.go
@@ -2,18 +2,19 @@
 
 import "math/rand/v2"
 
-// incarnationCounterShift is where the count of lives begins in an incarnation; below it are random bits.
+// incarnationCounterShift is the lowest bit of the restart counter in an incarnation. The bits below it
+// are random.
 const incarnationCounterShift = 32
 
-// NextIncarnation is the incarnation of a process that comes after all those seen of its name.
-// Others keep the highest that they saw, so that no time of day is needed. The random bits tell
-// two lives apart that took the same count while they could not hear of each other.
+// NextIncarnation returns an incarnation that is higher than the highest one seen under the same name.
+// Other processes remember the highest incarnation of each name, so no clock is needed. The random
+// bits tell two processes apart that took the same counter while neither could learn of the other.
 func NextIncarnation(seen uint64) uint64 {
 	return (seen>>incarnationCounterShift+1)<<incarnationCounterShift | uint64(rand.Uint32())
 }
 
-// IsSuperseded tells whether a source's own stamp, seen elsewhere, is one that it must go beyond:
-// an earlier life's that is higher than its own, or word that its own life has ended.
+// IsSuperseded reports whether a process must take a new incarnation: the service directory lists a
+// higher one under its name, left by an earlier process, or lists its own incarnation as ended.
 func IsSuperseded(own, seen uint64, ended bool) bool {
 	return seen > own || (seen == own && ended)
 }
--- a/internal/session/intervals.go
+++ b/internal/session/intervals.go
@@ -1,9 +1,16 @@
 package session
 
-// Ratios to the lease, on which both ends of a session count.
+// Fractions of a lease that both ends of a session agree on. Each is a divisor: the duration is the
+// length of the lease divided by the constant.
 const (
-	RenewalsPerLease        = 8                // renewals in one lease, and the part of it that a proxy may lag behind
-	HeartbeatsPerLease      = RenewalsPerLease // how often a registry says something in a session at the least
-	HeartbeatTimeoutDivisor = 4                // a registry silent for this part of a lease is left
-	MaxStalenessDivisor     = 8. / 3           // and one whose setup may be so old: a change is to be in force within half a lease
+	// RenewalsPerLease is how many times a proxy asks for a renewal in one lease. One renewal interval is
+	// also how far a proxy may lag behind.
+	RenewalsPerLease = 8
+	// HeartbeatsPerLease is how many messages a registry sends in a session in one lease, at least.
+	HeartbeatsPerLease = RenewalsPerLease
+	// HeartbeatTimeoutDivisor gives the time without a heartbeat after which a session is closed.
+	HeartbeatTimeoutDivisor = 4
+	// MaxStalenessDivisor gives the age of a registry's configuration from which the registry counts as
+	// stale. At three eighths of a lease, a change is in force everywhere within half a lease.
+	MaxStalenessDivisor = 8. / 3
 )
--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -1,28 +1,35 @@
-// Package session is a proxy's side of its ties to the registries: the lease under which it
-// may decide, and the sessions that feed it.
 package session
 
 import (
-	"sort"
+	"slices"
 	"time"
 )
 
-// clockDriftDivisor is the part of a lease given away for clocks that run at different speeds.
+// clockDriftDivisor is the fraction of a lease that the holder gives up, because the clocks of the
+// proxy and the core members may run at different speeds.
 const clockDriftDivisor = 50
 
-// Lease tells whether a proxy may decide calls. A grant counts from when it was asked for.
+// Lease computes until when a proxy may decide calls. The lease needs grants from a majority of the
+// core members. Each grant counts from the moment at which the proxy sent the request, not from when
+// the reply came, so the proxy's lease never outlasts what the members granted.
+//
+// A Lease is not safe for concurrent use; LeaseGate guards one with a lock.
 type Lease struct {
-	usableDuration time.Duration
-	memberCount    int
-	requestedAt    map[string]time.Duration
+	usableDuration time.Duration            // the granted length less the allowance for clock drift
+	memberCount    int                      // largest number of core members seen
+	requestedAt    map[string]time.Duration // by member id: send time of the latest granted request
 }
 
-// NewLease makes a lease that needs a majority of the core's seats.
+// NewLease makes a lease of the given length without any grant.
 func NewLease(length time.Duration) *Lease {
-	return &Lease{usableDuration: length - length/clockDriftDivisor, requestedAt: map[string]time.Duration{}}
+	return &Lease{
+		usableDuration: length - length/clockDriftDivisor,
+		requestedAt:    map[string]time.Duration{},
+	}
 }
 
-// RecordGrant notes that one of a number of seats granted what was asked for at a time.
+// RecordGrant records that one of memberCount core members granted the request sent at requestedAt.
+// A grant for an older request than the latest one is ignored.
 func (l *Lease) RecordGrant(memberID string, memberCount int, requestedAt time.Duration) {
 	l.memberCount = max(l.memberCount, memberCount)
 	if latest, recorded := l.requestedAt[memberID]; !recorded || requestedAt > latest {
@@ -30,20 +37,20 @@
 	}
 }
 
-// ExpiresAt is when the lease runs out; 0 if it never stood.
+// ExpiresAt is when the lease runs out; 0 if no majority has granted it yet.
 func (l *Lease) ExpiresAt() time.Duration {
+	majority := quorumSize(l.memberCount)
+	if l.memberCount == 0 || len(l.requestedAt) < majority {
+		return 0
+	}
 	requestTimes := make([]time.Duration, 0, len(l.requestedAt))
 	for _, requestedAt := range l.requestedAt {
 		requestTimes = append(requestTimes, requestedAt)
 	}
-	majority := l.memberCount/2 + 1
-	if l.memberCount == 0 || len(requestTimes) < majority {
-		return 0
-	}
-	// The majority-th latest grant is the one that ends the lease.
-	sort.Slice(requestTimes, func(i, j int) bool { return requestTimes[i] > requestTimes[j] })
-	return requestTimes[majority-1] + l.usableDuration
+	slices.Sort(requestTimes)
+	// Of the latest majority of grants, the earliest one ends the lease.
+	return requestTimes[len(requestTimes)-majority] + l.usableDuration
 }
 
-// IsValid tells whether the lease holds at a time.
+// IsValid reports whether the lease is valid at a time.
 func (l *Lease) IsValid(now time.Duration) bool { return now < l.ExpiresAt() }
--- a/internal/session/lease_gate.go
+++ b/internal/session/lease_gate.go
@@ -7,27 +7,38 @@
 	"time"
 )
 
-// renewalGraceDivisor is the part of a lease for which, after its end, calls still wait for it.
+// renewalGraceDivisor is the fraction of a lease, counted from its expiry, during which calls still
+// wait for a renewal.
 const renewalGraceDivisor = 8
 
-// LeaseGate is where calls pass while the lease stands, and wait through the short gap after its
-// end. Most gaps are shorter than that; beyond it nothing is known of when the lease comes
-// back, and no call is held.
+// LeaseGate admits calls while the lease is valid. After expiry it holds calls for a short grace
+// period, because most gaps between leases are shorter than that. After the grace period nothing
+// tells when the lease comes back, so calls are no longer held.
+//
+// A LeaseGate is safe for concurrent use. Open does not take the lock: every call passes through it.
 type LeaseGate struct {
-	lock      sync.Mutex
-	lease     *Lease
-	duration  time.Duration
-	expiresAt atomic.Int64
-	renewed   chan struct{} // closed and replaced when the lease is renewed
+	duration  time.Duration // full length of the lease
 	now       func() time.Duration
+	expiresAt atomic.Int64 // nanoseconds, as of the latest renewal; 0 before the first lease
+
+	lock    sync.Mutex
+	lease   *Lease        // guarded by lock
+	renewed chan struct{} // guarded by lock; closed and replaced by each renewal
 }
 
-// NewLeaseGate makes a gate that is shut until a first lease stands.
+// NewLeaseGate makes a gate that is closed until the first lease is granted. The function now reads
+// the clock that the request times of RecordGrant come from.
 func NewLeaseGate(duration time.Duration, now func() time.Duration) *LeaseGate {
-	return &LeaseGate{lease: NewLease(duration), duration: duration, renewed: make(chan struct{}), now: now}
+	return &LeaseGate{
+		duration: duration,
+		now:      now,
+		lease:    NewLease(duration),
+		renewed:  make(chan struct{}),
+	}
 }
 
-// RecordGrant notes that one of a number of seats granted what was asked for at a time.
+// RecordGrant records that one of memberCount core members granted the request sent at requestedAt,
+// and wakes the waiting calls if that extends the lease.
 func (g *LeaseGate) RecordGrant(memberID string, memberCount int, requestedAt time.Duration) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -39,15 +50,16 @@
 	}
 }
 
-// ExpiresAt is when the lease runs out; 0 if it never stood.
+// ExpiresAt is when the lease runs out; 0 if there was no lease yet.
 func (g *LeaseGate) ExpiresAt() time.Duration { return time.Duration(g.expiresAt.Load()) }
 
-// Open tells whether the lease stands.
+// Open reports whether the lease is valid now.
 func (g *LeaseGate) Open() bool { return g.now() < g.ExpiresAt() }
 
-// AwaitFirst waits until the lease stands, or ctx ends.
+// AwaitFirst waits until the lease is valid, and reports false if ctx ends before that.
 func (g *LeaseGate) AwaitFirst(ctx context.Context) bool {
 	for {
+		// The channel is taken before the check, so a renewal between the two is not missed.
 		g.lock.Lock()
 		renewed := g.renewed
 		g.lock.Unlock()
@@ -62,7 +74,8 @@
 	}
 }
 
-// Await waits until the lease stands, but no longer than through the gap after its end.
+// Await waits until the lease is valid, but no longer than the grace period after its expiry. It
+// reports whether the lease is valid.
 func (g *LeaseGate) Await(ctx context.Context) bool {
 	if g.Open() {
 		return true
--- a/internal/session/registry_selector.go
+++ b/internal/session/registry_selector.go
@@ -1,6 +1,7 @@
 package session
 
 import (
+	"cmp"
 	"hash/fnv"
 	"slices"
 	"strings"
@@ -9,64 +10,59 @@
 	"meadowhinge/schema"
 )
 
-// SelectorOptions are whose tie it is and the times it goes by.
+// SelectorOptions say for which proxy a RegistrySelector selects, and its time limits.
 type SelectorOptions struct {
-	ProxyName         string        // of this proxy: proxies spread over the registries by it
-	Zone              string        // its zone: a registry there is taken first
-	HeartbeatInterval time.Duration // how often a registry says something at the least
-	HeartbeatTimeout  time.Duration // a registry silent for so long is left
-	MaxStaleness      time.Duration // and one whose setup may be so old
-	FailureCooldown   time.Duration // how long one that failed or lagged is not tried again while another does
+	ProxyName         string        // spreads the proxies over registries that are equally good
+	Zone              string        // of this proxy: a registry of the same zone is preferred
+	HeartbeatInterval time.Duration // longest time between two heartbeats of a responsive registry
+	HeartbeatTimeout  time.Duration // time without a heartbeat after which a session is closed
+	MaxStaleness      time.Duration // age of a registry's configuration from which it counts as stale
+	FailureCooldown   time.Duration // how long a failed or stale registry ranks below the others
 }
 
-// Action opens or ends a session with the registry at an address.
+// Action tells the caller to open or close a session with a registry.
 type Action struct {
-	Open      bool
-	Candidate bool // beside the session that counts, which stays until this one is heard and is better
-	Address   string
-	Reason    string
+	Open      bool   // false closes the session
+	Candidate bool   // the session opens beside the current one, and replaces it once it proves better
+	Address   string // of the registry
+	Reason    string // for the log
 }
 
-// RegistrySelector is with which registry a proxy has its session: one of its own zone if it can, and another
-// as long as that one is silent, gone, or cut off from the core. A new session is opened before
-// the old one is ended, unless that one is dead. It is a step function of what is heard and when.
+// The reasons of actions. An action that opens a session beside the current one gives the class of
+// the current registry instead.
+const (
+	reasonNoSession        = "no current session"
+	reasonHeartbeatTimeout = "heartbeat timeout"
+	reasonReplaced         = "replaced by a better registry"
+	reasonCandidateNoGain  = "candidate is no better"
+)
+
+// RegistrySelector selects the registry that a proxy subscribes to: one of its own zone if possible,
+// another while that one is unresponsive, down, or partitioned from the core. It opens a new session
+// before it closes the old one, unless the old one has failed, so at most two sessions are open.
+//
+// It is a step function: the caller reports events with their times, and carries out the returned
+// actions in order. It is not safe for concurrent use; the proxy guards it with its lock.
 type RegistrySelector struct {
 	options       SelectorOptions
-	seeds         []string
-	endpoints     map[string]*registryEndpoint
-	membersKnown  bool          // the registries told who they are
-	current       string        // the session that counts, empty for none
-	candidate     string        // one that was opened to take its place
-	nextTickAt    time.Duration // when Tick was to be called at the latest; 0 for not said
-	foundUpToDate bool          // some registry was in touch with the core, once
-	graceUntil    time.Duration // until when nobody is taken to be silent or to lag, after a stall of this process
-}
-
-// registryEndpoint is an address where a registry is, or may be.
-type registryEndpoint struct {
-	address           string
-	zone              string
-	advertised        bool // by the registries themselves
-	sessionOpen       bool
-	openedAt          time.Duration
-	heartbeatReceived bool
-	lastHeartbeatAt   time.Duration // in this session
-	failed            bool
-	failedAt          time.Duration
-	stale             bool
-	staleAt           time.Duration
-	stalenessReported bool          // it told how old its setup may be
-	freshAsOf         time.Duration // of what time its setup is known to be the newest
+	seeds         []string                     // addresses from the settings
+	endpoints     map[string]*registryEndpoint // by address
+	membersKnown  bool                         // the registries have reported their own addresses
+	current       string                       // address of the session in use, empty for none
+	candidate     string                       // address of the session opened to replace it, or to become the first
+	nextTickAt    time.Duration                // when the next Tick is due; 0 if NextTick was not called since the last event
+	foundUpToDate bool                         // some registry was not stale, once
+	graceUntil    time.Duration                // after a stall of this process: no registry counts as unresponsive or stale before
 }
 
-// NewRegistrySelector starts from addresses that were given.
+// NewRegistrySelector makes a selector that knows the seed addresses alone.
 func NewRegistrySelector(options SelectorOptions, seeds []string) *RegistrySelector {
 	s := &RegistrySelector{options: options, endpoints: map[string]*registryEndpoint{}}
 	s.SetSeeds(seeds)
 	return s
 }
 
-// SetSeeds takes other addresses to start from. Sessions that are open stay.
+// SetSeeds replaces the seed addresses. Open sessions stay open.
 func (s *RegistrySelector) SetSeeds(seeds []string) {
 	s.seeds = seeds
 	for _, address := range seeds {
@@ -83,7 +79,8 @@
 	return endpoint
 }
 
-// SetCoreMembers takes where the registries say that they are.
+// SetCoreMembers replaces the addresses that the registries advertise. An empty list is ignored. An
+// address that is no longer listed is forgotten, unless it is a seed or has an open session.
 func (s *RegistrySelector) SetCoreMembers(members []*schema.CoreMember) {
 	if len(members) == 0 {
 		return
@@ -95,7 +92,8 @@
 	for _, member := range members {
 		if member.Address != "" {
 			endpoint := s.ensureEndpoint(member.Address)
-			endpoint.advertised, endpoint.zone = true, member.Zone
+			endpoint.advertised = true
+			endpoint.zone = member.Zone
 		}
 	}
 	for address, endpoint := range s.endpoints {
@@ -105,32 +103,22 @@
 	}
 }
 
-// Current is the address of the session that counts, empty for none.
+// Current is the address of the session in use, empty for none.
 func (s *RegistrySelector) Current() string { return s.current }
 
-// stallDivisor is the part of a beat by which a call that is late shows that this process stalled.
-const stallDivisor = 2
-
-// detectStall finds out whether this process was stalled: what came meanwhile has not been looked at
-// yet, so its own silence must not be taken for that of registries.
-func (s *RegistrySelector) detectStall(now time.Duration) {
-	if late := now - s.nextTickAt; s.nextTickAt > 0 && late > s.options.HeartbeatInterval/stallDivisor {
-		for _, endpoint := range s.endpoints {
-			endpoint.openedAt, endpoint.lastHeartbeatAt = endpoint.openedAt+late, endpoint.lastHeartbeatAt+late
-		}
-		s.graceUntil = now + s.options.HeartbeatInterval
-	}
-	s.nextTickAt = 0
-}
-
-// RecordHeartbeat takes a sign of life in a session, and how old the registry's setup may be.
+// RecordHeartbeat records a message received in a session. The registry's configuration may be as old as
+// staleness says; without stalenessReported its age is unknown.
 func (s *RegistrySelector) RecordHeartbeat(now time.Duration, address string, stalenessReported bool, staleness time.Duration) []Action {
 	s.detectStall(now)
 	endpoint := s.endpoints[address]
 	if endpoint == nil || !endpoint.sessionOpen {
 		return s.Tick(now)
 	}
-	endpoint.heartbeatReceived, endpoint.lastHeartbeatAt, endpoint.stalenessReported, endpoint.freshAsOf, endpoint.failed = true, now, stalenessReported, now-staleness, false
+	endpoint.heartbeatReceived = true
+	endpoint.lastHeartbeatAt = now
+	endpoint.stalenessReported = stalenessReported
+	endpoint.freshAsOf = now - staleness
+	endpoint.failed = false
 	if endpoint.stale = s.isStale(now, endpoint); endpoint.stale {
 		endpoint.staleAt = now
 	}
@@ -138,177 +126,193 @@
 	return s.Tick(now)
 }
 
-// RecordSessionEnd takes the end of a session, or that it could not be opened.
+// RecordSessionEnd records that a session ended, or could not be opened.
 func (s *RegistrySelector) RecordSessionEnd(now time.Duration, address string) []Action {
 	s.detectStall(now)
 	if endpoint := s.endpoints[address]; endpoint != nil && endpoint.sessionOpen {
-		s.markFailed(now, endpoint)
+		s.recordFailure(now, endpoint)
 	}
 	return s.Tick(now)
 }
 
-func (s *RegistrySelector) markFailed(now time.Duration, endpoint *registryEndpoint) {
-	endpoint.sessionOpen, endpoint.heartbeatReceived, endpoint.failed, endpoint.failedAt = false, false, true, now
-	if s.current == endpoint.address {
-		s.current = ""
-	}
-	if s.candidate == endpoint.address {
-		s.candidate = ""
+// Tick evaluates the sessions and returns what the caller must open and close. It must be called when
+// NextTick says, at the latest.
+func (s *RegistrySelector) Tick(now time.Duration) []Action {
+	s.detectStall(now)
+	actions := s.closeUnresponsive(now)
+	actions = append(actions, s.resolveCandidate(now)...)
+	if s.candidate != "" {
+		return actions
 	}
+	return append(actions, s.openCandidate(now)...)
 }
 
-// isStale tells whether a registry's setup may be too old.
-func (s *RegistrySelector) isStale(now time.Duration, endpoint *registryEndpoint) bool {
-	return now >= s.graceUntil && (!endpoint.stalenessReported || now-endpoint.freshAsOf > s.options.MaxStaleness)
-}
-
-// suspectAfterHeartbeats is how many beats may be missed before another registry is tried beside a silent one.
-const suspectAfterHeartbeats = 1.5
-
-// lastActivityAt is when a session gave its last sign of life, or began.
-func (e *registryEndpoint) lastActivityAt() time.Duration {
-	if e.heartbeatReceived {
-		return e.lastHeartbeatAt
+// NextTick returns when Tick must be called if no event comes before.
+func (s *RegistrySelector) NextTick(now time.Duration) time.Duration {
+	next := now + s.options.HeartbeatTimeout
+	for _, endpoint := range s.endpoints {
+		if !endpoint.sessionOpen {
+			continue
+		}
+		// One nanosecond beyond a limit is the first moment at which it is exceeded.
+		for _, deadline := range []time.Duration{
+			endpoint.lastActivityAt() + s.options.unresponsiveAfter() + 1,
+			endpoint.lastActivityAt() + s.options.HeartbeatTimeout,
+			endpoint.freshAsOf + s.options.MaxStaleness + 1,
+		} {
+			if deadline > now {
+				next = min(next, deadline)
+			}
+		}
 	}
-	return e.openedAt
-}
-
-// lastFailureAt is when a registry was last found wanting.
-func (e *registryEndpoint) lastFailureAt() time.Duration { return max(e.failedAt, e.staleAt) }
-
-// Ratios to a beat, of how long one that lagged is not tried again, if all do.
-const (
-	staleRetryHeartbeats = 2
-	initialRetryDivisor  = 4 // as long as none was found that does not
-)
-
-// staleRetryInterval is that time. A proxy that has just started holds nothing that it could go on by,
-// and where the core started with it, the registries find the core again one by one.
-func (s *RegistrySelector) staleRetryInterval() time.Duration {
-	if s.foundUpToDate {
-		return staleRetryHeartbeats * s.options.HeartbeatInterval
+	if s.graceUntil > now {
+		next = min(next, s.graceUntil)
 	}
-	return s.options.HeartbeatInterval / initialRetryDivisor
-}
-
-// Classes of registries, the better ones first.
-const (
-	classHealthy   = iota
-	classOtherZone // in another zone
-	classSuspect   // failed or lagged not long ago: tried again only if there is nothing better than a lagging one
-	classDegraded  // not in touch with the core, or silent for a moment
-	classFailed    // just now
-)
-
-// class tells how good a registry is, as far as it is known.
-func (s *RegistrySelector) class(now time.Duration, endpoint *registryEndpoint) int {
-	withinCooldown := func(at time.Duration) bool { return now-at < s.options.FailureCooldown }
-	failed, stale := !endpoint.sessionOpen && endpoint.failed, !endpoint.sessionOpen && endpoint.stale
-	unresponsive := now >= s.graceUntil && endpoint.sessionOpen && now-endpoint.lastActivityAt() > time.Duration(suspectAfterHeartbeats*float64(s.options.HeartbeatInterval))
 	switch {
-	case failed && now-endpoint.failedAt < s.options.HeartbeatInterval:
-		return classFailed
-	case unresponsive, endpoint.sessionOpen && endpoint.heartbeatReceived && s.isStale(now, endpoint), stale && now-endpoint.staleAt < s.staleRetryInterval():
-		return classDegraded
-	case failed && withinCooldown(endpoint.failedAt), stale && withinCooldown(endpoint.staleAt), !endpoint.sessionOpen && !endpoint.advertised && s.membersKnown:
-		return classSuspect
-	case endpoint.zone != "" && s.options.Zone != "" && endpoint.zone != s.options.Zone:
-		return classOtherZone
+	case s.candidate != "": // a retry waits for the candidate's first heartbeat or its timeout
+	case !s.foundUpToDate:
+		next = min(next, now+s.staleRetryInterval())
+	case s.current == "":
+		next = min(next, now+s.options.HeartbeatInterval)
 	}
-	return classHealthy
+	s.nextTickAt = next
+	return next
 }
 
-// affinityHash puts registries of one class in an order of this proxy's own.
-func (s *RegistrySelector) affinityHash(address string) uint64 {
-	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(s.options.ProxyName + " " + address))
-	return hash.Sum64()
-}
+// stallDivisor is the fraction of a heartbeat interval by which a call must be late to show that this
+// process was stalled.
+const stallDivisor = 2
 
-// bestEndpoint is the registry to have a session with.
-func (s *RegistrySelector) bestEndpoint(now time.Duration) *registryEndpoint {
-	var endpoints []*registryEndpoint
-	for address, endpoint := range s.endpoints {
-		// Addresses that were given matter until the registries say where they are, and again,
-		// as the class has it, when none of those can be reached.
-		if endpoint.advertised || !s.membersKnown || slices.Contains(s.seeds, address) {
-			endpoints = append(endpoints, endpoint)
+// detectStall finds out whether this process was stalled. Messages that came during a stall are not
+// processed yet, so the registries must not be blamed for its length: it is added to the times of
+// the last activity, and for one heartbeat interval no registry counts as unresponsive or stale.
+func (s *RegistrySelector) detectStall(now time.Duration) {
+	if late := now - s.nextTickAt; s.nextTickAt > 0 && late > s.options.HeartbeatInterval/stallDivisor {
+		for _, endpoint := range s.endpoints {
+			endpoint.openedAt += late
+			endpoint.lastHeartbeatAt += late
 		}
+		s.graceUntil = now + s.options.HeartbeatInterval
 	}
-	slices.SortFunc(endpoints, func(a, b *registryEndpoint) int {
-		classA, classB := s.class(now, a), s.class(now, b)
-		switch {
-		case classA != classB:
-			return classA - classB
-		case (classA == classFailed || classA == classSuspect) && a.lastFailureAt() != b.lastFailureAt():
-			return int(a.lastFailureAt() - b.lastFailureAt())
-		case a.address == s.current || b.address == s.current:
-			if a.address == s.current {
-				return -1
-			}
-			return 1
-		}
-		if hashA, hashB := s.affinityHash(a.address), s.affinityHash(b.address); hashA != hashB {
-			if hashA < hashB {
-				return -1
-			}
-			return 1
-		}
-		return strings.Compare(a.address, b.address)
-	})
-	if len(endpoints) == 0 {
-		return nil
+	s.nextTickAt = 0
+}
+
+// recordFailure closes a session because its registry failed.
+func (s *RegistrySelector) recordFailure(now time.Duration, endpoint *registryEndpoint) {
+	endpoint.fail(now)
+	if s.current == endpoint.address {
+		s.current = ""
+	}
+	if s.candidate == endpoint.address {
+		s.candidate = ""
 	}
-	return endpoints[0]
 }
 
-// Tick looks at the sessions and tells what to do.
-func (s *RegistrySelector) Tick(now time.Duration) []Action {
-	s.detectStall(now)
+// closeUnresponsive closes the sessions that had no heartbeat within the timeout.
+func (s *RegistrySelector) closeUnresponsive(now time.Duration) []Action {
+	if now < s.graceUntil {
+		return nil
+	}
 	var actions []Action
 	for _, address := range s.sortedAddresses() {
-		if endpoint := s.endpoints[address]; endpoint.sessionOpen && now >= s.graceUntil && now-endpoint.lastActivityAt() >= s.options.HeartbeatTimeout {
-			s.markFailed(now, endpoint)
-			actions = append(actions, Action{Address: address, Reason: "silent"})
+		endpoint := s.endpoints[address]
+		if endpoint.sessionOpen && now-endpoint.lastActivityAt() >= s.options.HeartbeatTimeout {
+			s.recordFailure(now, endpoint)
+			actions = append(actions, Action{Address: address, Reason: reasonHeartbeatTimeout})
 		}
 	}
-	// What was opened to take a session's place takes it once it is heard and is the better one.
-	if endpoint := s.endpoints[s.candidate]; endpoint != nil && endpoint.heartbeatReceived {
-		if current := s.endpoints[s.current]; current == nil || s.class(now, endpoint) < s.class(now, current) {
-			if current != nil {
-				current.sessionOpen, current.heartbeatReceived = false, false
-				actions = append(actions, Action{Address: s.current, Reason: "another is better"})
-			}
-			s.current, s.candidate = endpoint.address, ""
-		} else {
-			endpoint.sessionOpen, endpoint.heartbeatReceived = false, false
-			actions = append(actions, Action{Address: endpoint.address, Reason: "it is no better"})
-			s.candidate = ""
-		}
+	return actions
+}
+
+// resolveCandidate decides about the candidate session once it has had its first heartbeat: it
+// replaces the current session if it is better or there is none, otherwise it is closed.
+func (s *RegistrySelector) resolveCandidate(now time.Duration) []Action {
+	candidate := s.endpoints[s.candidate]
+	if candidate == nil || !candidate.heartbeatReceived {
+		return nil
 	}
-	if s.candidate != "" {
-		return actions
+	s.candidate = ""
+	current := s.endpoints[s.current]
+	if current != nil && s.class(now, candidate) >= s.class(now, current) {
+		candidate.close()
+		return []Action{{Address: candidate.address, Reason: reasonCandidateNoGain}}
+	}
+	var actions []Action
+	if current != nil {
+		current.close()
+		actions = append(actions, Action{Address: s.current, Reason: reasonReplaced})
 	}
+	s.current = candidate.address
+	return actions
+}
+
+// openCandidate opens a session with the best registry if that is better than the current one, or if
+// there is no current one.
+func (s *RegistrySelector) openCandidate(now time.Duration) []Action {
 	best, current := s.bestEndpoint(now), s.endpoints[s.current]
 	switch {
 	case best == nil, best == current:
-		return actions
-	// Each is tried again after a while, so that not all are called over and over when none answers.
+		return nil
+	// One attempt a heartbeat interval, so that registries which all fail are not dialled in a busy loop.
 	case current == nil && best.failed && now-best.failedAt < s.options.HeartbeatInterval:
-		return actions
+		return nil
 	case current != nil && s.class(now, best) >= s.class(now, current):
-		return actions
+		return nil
 	}
-	best.sessionOpen, best.openedAt, best.heartbeatReceived = true, now, false
+	best.open(now)
 	s.candidate = best.address
-	reason := "none"
+	reason := reasonNoSession
 	if current != nil {
-		reason = classNames[s.class(now, current)]
+		reason = s.class(now, current).String()
+	}
+	return []Action{{Open: true, Candidate: current != nil, Address: best.address, Reason: reason}}
+}
+
+// bestEndpoint is the registry to have a session with, nil if none is known.
+func (s *RegistrySelector) bestEndpoint(now time.Duration) *registryEndpoint {
+	var best *registryEndpoint
+	for address, endpoint := range s.endpoints {
+		// A seed always counts: its class puts it last once the registries list their own addresses,
+		// so it is used again only when none of those can be reached.
+		if !endpoint.advertised && s.membersKnown && !slices.Contains(s.seeds, address) {
+			continue
+		}
+		if best == nil || s.compareEndpoints(now, endpoint, best) < 0 {
+			best = endpoint
+		}
 	}
-	return append(actions, Action{Open: true, Candidate: current != nil, Address: best.address, Reason: reason})
+	return best
 }
 
-var classNames = map[int]string{classHealthy: "sound", classOtherZone: "in another zone", classDegraded: "lags", classSuspect: "failed before", classFailed: "failed"}
+// compareEndpoints orders registries, the preferred one first: by class, then by the time of the last
+// failure where there was one, then the current one, then in an order that differs between proxies.
+func (s *RegistrySelector) compareEndpoints(now time.Duration, a, b *registryEndpoint) int {
+	classA, classB := s.class(now, a), s.class(now, b)
+	if classA != classB {
+		return cmp.Compare(classA, classB)
+	}
+	// The one that failed longest ago is retried first.
+	if (classA == classFailed || classA == classSuspect) && a.lastFailureAt() != b.lastFailureAt() {
+		return cmp.Compare(a.lastFailureAt(), b.lastFailureAt())
+	}
+	switch s.current {
+	case a.address:
+		return -1
+	case b.address:
+		return 1
+	}
+	return cmp.Or(
+		cmp.Compare(s.affinityHash(a.address), s.affinityHash(b.address)),
+		strings.Compare(a.address, b.address),
+	)
+}
+
+// affinityHash gives each proxy an order of its own among registries that are equally good.
+func (s *RegistrySelector) affinityHash(address string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(s.options.ProxyName + " " + address)) // a hash never fails to write
+	return hash.Sum64()
+}
 
 func (s *RegistrySelector) sortedAddresses() []string {
 	addresses := make([]string, 0, len(s.endpoints))
@@ -318,30 +322,3 @@
 	slices.Sort(addresses)
 	return addresses
 }
-
-// NextTick is when Tick must be called at the latest, if nothing is heard before.
-func (s *RegistrySelector) NextTick(now time.Duration) time.Duration {
-	next := now + s.options.HeartbeatTimeout
-	for _, endpoint := range s.endpoints {
-		if !endpoint.sessionOpen {
-			continue
-		}
-		for _, deadline := range []time.Duration{endpoint.lastActivityAt() + time.Duration(suspectAfterHeartbeats*float64(s.options.HeartbeatInterval)) + 1, endpoint.lastActivityAt() + s.options.HeartbeatTimeout, endpoint.freshAsOf + s.options.MaxStaleness + 1} {
-			if deadline > now {
-				next = min(next, deadline)
-			}
-		}
-	}
-	if s.graceUntil > now {
-		next = min(next, s.graceUntil)
-	}
-	switch {
-	case s.candidate != "":
-	case !s.foundUpToDate:
-		next = min(next, now+s.staleRetryInterval())
-	case s.current == "":
-		next = min(next, now+s.options.HeartbeatInterval)
-	}
-	s.nextTickAt = next
-	return next
-}
--- a/internal/session/reservation_round.go
+++ b/internal/session/reservation_round.go
@@ -8,58 +8,70 @@
 	"meadowhinge/schema"
 )
 
-// reservationRoundDivisor is the part of a lease in which a round of claiming must be through.
+// reservationRoundDivisor is the fraction of a lease within which a reservation round must end.
 const reservationRoundDivisor = 8
 
-// ReservationRoundTimeout is how long answers to one round of claiming count. A registry that restarts
-// reads the others only after it, so that no round straddles its two lives.
+// ReservationRoundTimeout is how long after its start a reservation round accepts grants. A registry
+// that restarts waits this long before it reads the reservations of the others, so no round counts
+// grants from two incarnations of one registry.
 func ReservationRoundTimeout(lease time.Duration) time.Duration {
 	return lease / reservationRoundDivisor
 }
 
-// ReservationOutcome is what came of a claim.
+// ReservationOutcome is the result of a reservation round.
 type ReservationOutcome int
 
-// The verdicts.
+// The outcomes of a round.
 const (
-	ReservationPending    ReservationOutcome = iota // not known yet
-	ReservationGranted                              // the key is this request's, at a majority
-	ReservationConflict                             // another request has it, or may have it
-	ReservationKeyReused                            // it was claimed with another body
-	ReservationNoCapacity                           // no majority has room
-	ReservationNoMajority                           // no majority answered
+	ReservationPending    ReservationOutcome = iota // replies that can still decide are outstanding
+	ReservationGranted                              // a majority reserved the key for this request
+	ReservationConflict                             // another request holds the key, or may hold it
+	ReservationKeyReused                            // the key is reserved with a different request body
+	ReservationNoCapacity                           // no majority, and a registry has no room for more keys
+	ReservationNoMajority                           // no majority, and no more specific cause was reported
 )
 
-// ReservationRound gathers the answers to one claim. It is won by a majority that answered in time;
-// it is over as soon as that can no longer be.
+// ReservationRound counts the core members' replies to one reservation of an idempotency key. A majority
+// of grants within the timeout wins the round; the round is over as soon as that is no longer possible.
+//
+// A ReservationRound belongs to the goroutine of the call that started it.
 type ReservationRound struct {
 	reservation *schema.KeyReservation
 	startedAt   time.Duration
 	timeout     time.Duration
-	memberCount int
-	answers     map[string]schema.ReservationResult
+	memberCount int                                 // of the core; 0 while it is unknown, and then no round can be won
+	results     map[string]schema.ReservationResult // by member id: the first result, a late grant counted as none
 	grants      int
-	rejections  int
-	Conflicting *schema.KeyReservation // a claim of another request, if one was met
+	rejections  int // for want of capacity
+
+	// Conflicting is the reservation of another request that a member reported, nil if none did.
+	Conflicting *schema.KeyReservation
 }
 
-// NewReservationRound begins a round.
+// NewReservationRound starts a round among memberCount core members.
 func NewReservationRound(reservation *schema.KeyReservation, memberCount int, startedAt, timeout time.Duration) *ReservationRound {
-	return &ReservationRound{reservation: reservation, startedAt: startedAt, timeout: timeout, memberCount: memberCount, answers: map[string]schema.ReservationResult{}}
+	return &ReservationRound{
+		reservation: reservation,
+		startedAt:   startedAt,
+		timeout:     timeout,
+		memberCount: memberCount,
+		results:     map[string]schema.ReservationResult{},
+	}
 }
 
-// Record notes one seat's answer; nil says that it gave none.
+// Record counts a member's reply; nil stands for a member that could not be reached. Only the first
+// reply of each member counts.
 func (r *ReservationRound) Record(now time.Duration, memberID string, response *schema.ReservationReply) {
-	if _, answered := r.answers[memberID]; answered {
+	if _, answered := r.results[memberID]; answered {
 		return
 	}
-	ruling := response.GetResult()
-	// A grant that comes late may be of a life that ended since.
-	if ruling == schema.ReservationResult_RESERVATION_GRANTED && now-r.startedAt > r.timeout {
-		ruling = schema.ReservationResult_RESERVATION_NOT_AUTHORITATIVE
+	result := response.GetResult()
+	// A late grant may come from an incarnation of the registry that has ended since.
+	if result == schema.ReservationResult_RESERVATION_GRANTED && now-r.startedAt > r.timeout {
+		result = schema.ReservationResult_RESERVATION_NOT_AUTHORITATIVE
 	}
-	r.answers[memberID] = ruling
-	switch ruling {
+	r.results[memberID] = result
+	switch result {
 	case schema.ReservationResult_RESERVATION_GRANTED:
 		r.grants++
 	case schema.ReservationResult_RESERVATION_FULL:
@@ -69,14 +81,17 @@
 	}
 }
 
-// ReservationAnswer is one registry's word; Seat is empty if it gave none.
+// ReservationAnswer is one member's reply. MemberID is empty if the request to a member failed.
 type ReservationAnswer struct {
 	MemberID string
 	Response *schema.ReservationReply
 }
 
-// AwaitOutcome takes as many answers as were asked for, until the round is over.
-func (r *ReservationRound) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer, now func() time.Duration) (ReservationOutcome, *schema.KeyReservation) {
+// AwaitOutcome records answers until the round is over, all outstanding ones came, or ctx ends. It
+// returns the outcome and the conflicting reservation, if a member reported one. The function now
+// reads the clock that startedAt comes from.
+func (r *ReservationRound) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer,
+	now func() time.Duration) (ReservationOutcome, *schema.KeyReservation) {
 	for ; ; outstanding-- {
 		if outcome := r.Outcome(outstanding == 0); outcome != ReservationPending {
 			return outcome, r.Conflicting
@@ -92,13 +107,14 @@
 	}
 }
 
-// Outcome tells how the round stands; ended says that no more answers will come.
+// Outcome is the state of the round. With complete set, no further reply will come, and the outcome is
+// never ReservationPending.
 func (r *ReservationRound) Outcome(complete bool) ReservationOutcome {
-	majority := r.memberCount/2 + 1
+	majority := quorumSize(r.memberCount)
 	if r.memberCount > 0 && r.grants >= majority {
 		return ReservationGranted
 	}
-	unanswered := r.memberCount - len(r.answers)
+	unanswered := r.memberCount - len(r.results)
 	if !complete && (r.memberCount == 0 || r.grants+unanswered >= majority) {
 		return ReservationPending
 	}
