--- a/internal/session/lease_gate_test.go
+++ b/internal/session/lease_gate_test.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// A call is held through the short gap after a lease's end, no longer; long after it, not at all.
+// TestNoCallWaitsLongAfterTheLease checks that a call waits for a renewal within the grace period after a
+// lease's expiry, and does not wait at all after it.
 func TestNoCallWaitsLongAfterTheLease(t *testing.T) {
 	const duration = 8 * time.Second
 	for name, test := range map[string]struct {
-		sinceExpiry time.Duration // since the lease ended
-		renewsAfter time.Duration // after the call came; 0 for never
+		sinceExpiry time.Duration // when the call comes; negative while the lease is valid
+		renewsAfter time.Duration // after the call came; 0 for no renewal
 		wantOpen    bool
 		maxWait     time.Duration
 	}{
@@ -43,7 +44,7 @@
 				}
 				startedAt := now()
 				if got := gate.Await(t.Context()); got != test.wantOpen || now()-startedAt > test.maxWait {
-					t.Errorf("leased %v after %v, want %v within %v", got, now()-startedAt, test.wantOpen, test.maxWait)
+					t.Errorf("open %v after %v, want %v within %v", got, now()-startedAt, test.wantOpen, test.maxWait)
 				}
 				time.Sleep(duration)
 			})
--- a/internal/session/registry_selector_test.go
+++ b/internal/session/registry_selector_test.go
@@ -9,31 +9,51 @@
 	"meadowhinge/schema"
 )
 
-var selectorOptions = SelectorOptions{ProxyName: "p", Zone: "x", HeartbeatInterval: 4, HeartbeatTimeout: 8, MaxStaleness: 20, FailureCooldown: 32}
+// selectorOptions count in units of a nanosecond, the tick of selectorHarness.
+var selectorOptions = SelectorOptions{
+	ProxyName:         "p",
+	Zone:              "x",
+	HeartbeatInterval: 4,
+	HeartbeatTimeout:  8,
+	MaxStaleness:      20,
+	FailureCooldown:   32,
+}
 
-var threeMembers = []*schema.CoreMember{{Id: "a", Address: "a", Zone: "x"}, {Id: "b", Address: "b", Zone: "y"}, {Id: "c", Address: "c", Zone: "z"}}
+var threeMembers = []*schema.CoreMember{
+	{Id: "a", Address: "a", Zone: "x"},
+	{Id: "b", Address: "b", Zone: "y"},
+	{Id: "c", Address: "c", Zone: "z"},
+}
 
-// selectorHarness is a proxy in a world of registries that say something every beat while they can.
+// selectorHarness is a proxy among simulated registries. Each sends a heartbeat every interval in its
+// sessions, unless a test made it unresponsive or refusing.
 type selectorHarness struct {
 	selector     *RegistrySelector
 	now          time.Duration
-	nextTick     time.Duration // when the tie wants to be asked
-	openedAt     map[string]time.Duration
-	unresponsive map[string]bool // says nothing
-	refusing     map[string]bool // ends its sessions at once
-	staleness    map[string]time.Duration
-	gap          time.Duration // without a session that counts, now
-	longestGap   time.Duration // and at the most, after the first
-	connected    bool
-	log          []string
+	nextTick     time.Duration            // when the selector is next due
+	openedAt     map[string]time.Duration // of the open sessions, by address
+	unresponsive map[string]bool          // sends no heartbeat
+	refusing     map[string]bool          // ends its sessions at once
+	staleness    map[string]time.Duration // age of its configuration
+	gap          time.Duration            // time without a current session, up to now
+	longestGap   time.Duration            // the longest such time since the first session
+	connected    bool                     // there was a current session once
+	log          []string                 // sessions opened (+) and closed (-), and violations
 }
 
 func newSelectorHarness(members []*schema.CoreMember, seeds ...string) *selectorHarness {
-	h := &selectorHarness{selector: NewRegistrySelector(selectorOptions, seeds), openedAt: map[string]time.Duration{}, unresponsive: map[string]bool{}, refusing: map[string]bool{}, staleness: map[string]time.Duration{}}
+	h := &selectorHarness{
+		selector:     NewRegistrySelector(selectorOptions, seeds),
+		openedAt:     map[string]time.Duration{},
+		unresponsive: map[string]bool{},
+		refusing:     map[string]bool{},
+		staleness:    map[string]time.Duration{},
+	}
 	h.selector.SetCoreMembers(members)
 	return h
 }
 
+// apply carries out the selector's actions.
 func (h *selectorHarness) apply(actions []Action) {
 	for _, action := range actions {
 		if !action.Open {
@@ -46,7 +66,7 @@
 	}
 }
 
-// runUntil lets time go by, a unit at a time.
+// runUntil advances the time tick by tick, and delivers ticks, heartbeats and session ends.
 func (h *selectorHarness) runUntil(end time.Duration) {
 	for ; h.now < end; h.now++ {
 		if h.now >= h.nextTick {
@@ -79,52 +99,72 @@
 	}
 }
 
-// A proxy keeps to the registry of its zone, and leaves it for another within bounds.
+// TestRegistrySelector checks that a proxy prefers the registry of its zone, moves to another one when
+// that fails and back when it recovers, and that it is never without a session for too long.
 func TestRegistrySelector(t *testing.T) {
 	for name, test := range map[string]struct {
 		members  []*schema.CoreMember
 		seeds    []string
 		scenario func(h *selectorHarness)
-		want     string        // the session that counts at the end, of several by comma
-		maxGap   time.Duration // the longest time without any, from the first on
+		want     string        // the current session at the end; one of several, separated by commas
+		maxGap   time.Duration // bound on the time without a current session, after the first one
 	}{
-		"calm":                   {threeMembers, nil, func(h *selectorHarness) { h.runUntil(100) }, "a", 0},
-		"seeds alone":            {nil, []string{"b"}, func(h *selectorHarness) { h.runUntil(30) }, "b", 0},
-		"cores are learnt":       {nil, []string{"b"}, func(h *selectorHarness) { h.runUntil(10); h.selector.SetCoreMembers(threeMembers); h.runUntil(20) }, "a", 0},
-		"its registry is killed": {threeMembers, nil, func(h *selectorHarness) { h.runUntil(21); h.refusing["a"] = true; h.runUntil(40) }, "b,c", 3},
-		"and comes back": {threeMembers, nil, func(h *selectorHarness) {
+		"calm":             {threeMembers, nil, func(h *selectorHarness) { h.runUntil(100) }, "a", 0},
+		"only seeds known": {nil, []string{"b"}, func(h *selectorHarness) { h.runUntil(30) }, "b", 0},
+		"members learnt from a seed": {nil, []string{"b"}, func(h *selectorHarness) {
+			h.runUntil(10)
+			h.selector.SetCoreMembers(threeMembers)
+			h.runUntil(20)
+		}, "a", 0},
+		"its registry is killed": {threeMembers, nil, func(h *selectorHarness) {
+			h.runUntil(21)
+			h.refusing["a"] = true
+			h.runUntil(40)
+		}, "b,c", 3},
+		"its registry is killed and comes back": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.refusing["a"] = true
 			h.runUntil(30)
 			h.refusing["a"] = false
 			h.runUntil(100)
 		}, "a", 3},
-		"its registry falls silent": {threeMembers, nil, func(h *selectorHarness) { h.runUntil(21); h.unresponsive["a"] = true; h.runUntil(40) }, "b,c", 0},
-		"two are silent": {threeMembers, nil, func(h *selectorHarness) {
+		"its registry becomes unresponsive": {threeMembers, nil, func(h *selectorHarness) {
+			h.runUntil(21)
+			h.unresponsive["a"] = true
+			h.runUntil(40)
+		}, "b,c", 0},
+		"two are unresponsive": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.unresponsive["a"], h.unresponsive["b"] = true, true
 			h.runUntil(60)
 		}, "c", 10},
-		"its registry is cut off": {threeMembers, nil, func(h *selectorHarness) { h.runUntil(21); h.staleness["a"] = 30; h.runUntil(40) }, "b,c", 0},
-		"and is whole again": {threeMembers, nil, func(h *selectorHarness) {
+		"its registry is partitioned": {threeMembers, nil, func(h *selectorHarness) {
+			h.runUntil(21)
+			h.staleness["a"] = 30
+			h.runUntil(40)
+		}, "b,c", 0},
+		"its registry's partition heals": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"] = 30
 			h.runUntil(40)
 			h.staleness["a"] = 0
 			h.runUntil(100)
 		}, "a", 0},
-		"all are cut off": {threeMembers, nil, func(h *selectorHarness) {
+		"all are partitioned": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(100)
 		}, "a", 0},
-		"all but one are cut off": {threeMembers, nil, func(h *selectorHarness) { h.staleness["a"], h.staleness["b"] = 30, 30; h.runUntil(40) }, "c", 0},
-		"all are gone": {threeMembers, []string{"d"}, func(h *selectorHarness) {
+		"all but one are partitioned": {threeMembers, nil, func(h *selectorHarness) {
+			h.staleness["a"], h.staleness["b"] = 30, 30
+			h.runUntil(40)
+		}, "c", 0},
+		"all are down": {threeMembers, []string{"d"}, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.refusing["a"], h.refusing["b"], h.refusing["c"] = true, true, true
 			h.runUntil(60)
 		}, "d", 20},
-		"back in touch with one cut off first": {threeMembers, nil, func(h *selectorHarness) {
+		"reconnects to a partitioned one first": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.refusing["a"], h.refusing["b"], h.refusing["c"] = 30, true, true, true
 			h.runUntil(41)
@@ -133,14 +173,14 @@
 			h.refusing["b"], h.refusing["c"] = false, false
 			h.runUntil(60)
 		}, "b,c", 30},
-		"the core is whole again but for its own": {threeMembers, nil, func(h *selectorHarness) {
+		"the partition heals except for its own": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(45)
 			h.staleness["b"], h.staleness["c"] = 0, 0
 			h.runUntil(45 + 3*selectorOptions.HeartbeatInterval)
 		}, "b,c", 0},
-		"the core started with it and one registry finds it late": {threeMembers, nil, func(h *selectorHarness) {
+		"the core starts with it and two registries reach quorum later": {threeMembers, nil, func(h *selectorHarness) {
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(6)
 			h.staleness["b"], h.staleness["c"] = 0, 0
@@ -155,7 +195,7 @@
 			}
 			h.runUntil(80)
 		}, "a", 0},
-		"a dead seed is not called while others answer": {threeMembers, []string{"d"}, func(h *selectorHarness) {
+		"a dead seed is not dialled while others answer": {threeMembers, []string{"d"}, func(h *selectorHarness) {
 			h.refusing["d"] = true
 			h.runUntil(21)
 			h.staleness["a"] = 30
@@ -165,19 +205,22 @@
 			}
 		}, "b,c", 0},
 	} {
-		h := newSelectorHarness(test.members, test.seeds...)
-		test.scenario(h)
-		if current := h.selector.Current(); current == "" || !strings.Contains(test.want, current) || strings.Contains(strings.Join(h.log, ","), "too many") {
-			t.Errorf("%s: at %q, want %q: %v", name, current, test.want, h.log)
-		}
-		if h.longestGap > test.maxGap {
-			t.Errorf("%s: %d without a session, want %d at most: %v", name, h.longestGap, test.maxGap, h.log)
-		}
+		t.Run(name, func(t *testing.T) {
+			h := newSelectorHarness(test.members, test.seeds...)
+			test.scenario(h)
+			log := strings.Join(h.log, ",")
+			if current := h.selector.Current(); current == "" || !strings.Contains(test.want, current) || strings.Contains(log, "too many") {
+				t.Errorf("at %q, want %q: %v", current, test.want, h.log)
+			}
+			if h.longestGap > test.maxGap {
+				t.Errorf("%d without a session, want %d at most: %v", h.longestGap, test.maxGap, h.log)
+			}
+		})
 	}
 }
 
-// Seeds given while a proxy runs are tried once nothing known can be reached; the session that is
-// open goes on.
+// TestRegistrySelectorAcceptsOtherSeeds checks that seeds changed at run time leave the open session
+// alone, and are tried once no known registry can be reached.
 func TestRegistrySelectorAcceptsOtherSeeds(t *testing.T) {
 	h := newSelectorHarness(threeMembers, "a", "b", "c")
 	h.runUntil(100)
