--- a/internal/release/deadline.go
+++ b/internal/release/deadline.go
@@ -7,47 +7,39 @@
 	"meadowhinge/internal/config"
 )
 
-// StateDraining is the state in which a plan's version has all calls, and calls that were under way at
-// the old one end; once none is, the plan is done.
-const StateDraining = "settle"
-
-// Ratios of a plan that goes by its term.
+// Bounds of a plan by deadline. Intervals are multiples of DeadlineInputs.MinStepInterval.
 const (
-	intermediatePercent   = 25  // a step between the trial and all, in percent
-	maxEvidenceToProceed  = 0.3 // a suspicion from which a plan does not go on
-	minHealthLogOdds      = 3   // and a trust up to which
-	minCallsDivisor       = 3   // of the calls that make a version known, so many must have been seen
-	minCapacityFraction   = 0.75
-	rollbackIntervals     = 1.25 // that a version has a quarter or all calls until it is turned back, or goes on
-	fullTrafficIntervals  = 2    // that a version has all calls before it takes the old one's place: load shows only then
-	canaryFloorFraction   = 0.25 // of the trial's share that a version gets at the least
-	canaryResizeThreshold = 0.2  // a share on trial that is wrong by this part is set anew
-	maxDrainIntervals     = 3    // in turns, how long calls may take to end at the old version before the plan is done all the same
+	intermediatePercent   = 25   // percentage between the canary's and the target
+	maxEvidenceToProceed  = 0.3  // evidence strength above which the percentage does not rise
+	minHealthLogOdds      = 3    // log odds of "healthy" below which it does not rise
+	minCapacityFraction   = 0.75 // fraction of the service's calls in flight that the new workers' slots must hold
+	rollbackIntervals     = 1.25 // time from a rise of the percentage until a bad version is rolled back
+	fullTrafficIntervals  = 2    // time at the target before the version replaces the fallback: load shows only then
+	canaryFloorFraction   = 0.25 // fraction of Options.CanaryPercent that a canary gets at least
+	canaryResizeThreshold = 0.2  // relative change of the canary's percentage that is worth a step
+	maxDrainIntervals     = 3    // time after which the plan no longer waits for other proxies or old calls
 )
 
-// DeadlineInputs is what a plan by its term goes by, beside what is counted.
+// DeadlineInputs is what the next progress of a plan by deadline depends on, beside the recorded one.
 type DeadlineInputs struct {
 	Elapsed            time.Duration // since the plan was stated
-	MinStepInterval    time.Duration // the shortest time between two steps
-	EvidenceStrength   float64       // 1 and above: the version is bad
-	EvidenceReason     string
-	HealthLogOdds      float64 // logarithm of how much likelier it is sound than bad by what was seen in this step
-	NewCalls           uint64  // of the new version that ended since it was stated
-	CallsPerSecond     float64 // calls a second of all the service's versions, 0 for not known
-	MeanInFlight       float64 // calls under way at all the service's workers on average
-	NewSlots           float64 // of the new version's workers together, 0 for not told
-	NewWorkers         int     // of the new version
-	ProxiesBehind      int     // proxies that do not go by the last step yet
-	OldInFlight        uint64  // calls under way at the old version's workers
-	MayReplaceFallback bool    // the plan may make its version the fallback
+	MinStepInterval    time.Duration // shortest time between two steps
+	EvidenceStrength   float64       // of FailureEvidence, or 1 if the rollback guard stopped the version; bad from 1
+	EvidenceReason     string        // the verdict, if the strength is 1 or more
+	HealthLogOdds      float64       // natural log of how much likelier "healthy" is than "bad", by the calls of this state
+	NewCalls           uint64        // calls of the new version that ended since it was stated
+	CallsPerSecond     float64       // of all the service's versions; 0 while unknown
+	MeanInFlight       float64       // mean number of calls in flight at all the service's workers
+	NewSlots           float64       // concurrent calls that the new version's workers take together; 0 if unknown
+	ProxiesBehind      int           // proxies that have not applied the last step yet
+	OldInFlight        uint64        // calls in flight at the old version's workers
+	MayReplaceFallback bool          // the plan may make its version the fallback
 }
 
-// reasonCanary is the reason of a plan that waits for its term.
-const reasonCanary = "on trial until shortly before the term"
-
-// canaryPercent is the share on trial, in percent. A version that shows only with all calls that it
-// is bad has by then had its trial, and gets a quarter and then all calls until it is turned back; all
-// that together must stay within what a bad version may get.
+// canaryPercent is the percentage of calls in the canary state. It is chosen so that a version which
+// turns out to be bad only under all calls still keeps within MaxBadFraction of the plan's calls plus
+// BadCallsMargin: by then it has had the canary's calls, and gets those of the intermediate step and
+// of the target until it is rolled back. What that takes is reserved, the rest is the canary's.
 func (o Options) canaryPercent(planDuration time.Duration, inputs DeadlineInputs) float64 {
 	if o.MaxBadFraction == 0 || inputs.CallsPerSecond == 0 {
 		return o.CanaryPercent
@@ -55,57 +47,134 @@
 	stepSeconds := inputs.MinStepInterval.Seconds()
 	reserveSeconds := (intermediatePercent/100.0*rollbackIntervals + fullTrafficIntervals) * stepSeconds
 	callBudget := o.MaxBadFraction*planDuration.Seconds()*inputs.CallsPerSecond + o.BadCallsMargin - reserveSeconds*inputs.CallsPerSecond
-	return max(canaryFloorFraction*o.CanaryPercent, min(o.CanaryPercent, 100*callBudget/(inputs.CallsPerSecond*o.CanaryEndFraction*planDuration.Seconds())))
+	callsInCanaryState := inputs.CallsPerSecond * o.CanaryEndFraction * planDuration.Seconds()
+	return max(canaryFloorFraction*o.CanaryPercent, min(o.CanaryPercent, 100*callBudget/callsInCanaryState))
 }
 
-// NextDeadlineProgress decides the next progress of a plan that goes by its term: a share on trial for most of
-// its time, then a quarter, then all, and done before the term. What a version can get that turns bad
-// however late is so bounded over the whole of the plan's time.
+// NextDeadlineProgress decides the next progress of a plan by deadline: the canary's percentage for most
+// of the plan's time, then a quarter of the calls, then all, and done before the time is over. That
+// bounds the calls that a version can get which turns bad, however late it does.
 func (o Options) NextDeadlineProgress(plan *config.Release, before config.Progress, inputs DeadlineInputs) config.Progress {
+	resumes := before.State == StateRolledBack && before.Reason == reasonOperatorRollback && plan.Control != controlRollBack
+	if before.State == StateDone || before.State == StateRolledBack && !resumes {
+		return before
+	}
 	after := before
 	after.Elapsed = max(before.Elapsed, int64(inputs.Elapsed))
-	moveTo := func(state, reason string, percent float64) config.Progress {
-		after.State, after.Reason, after.Percentage, after.Weight, after.StateSince = state, reason, percent, int(percent*1000), after.Elapsed
-		return after
+	decision := deadlineDecision{
+		options:       o,
+		plan:          plan,
+		before:        before,
+		inputs:        inputs,
+		resumes:       resumes,
+		elapsed:       time.Duration(after.Elapsed),
+		timeInState:   time.Duration(after.Elapsed - before.StateSince),
+		canaryPercent: min(o.canaryPercent(plan.Duration, inputs), plan.Target),
 	}
-	timeInStep := time.Duration(after.Elapsed - before.StateSince)
-	canaryPercent := min(o.canaryPercent(plan.Duration, inputs), plan.Target)
-	resumes := before.State == StateRolledBack && before.Reason == reasonOperatorRollback && plan.Control != "back"
+	if move := decision.next(); move != nil {
+		after.State, after.Reason, after.Percentage = move.state, move.reason, move.percent
+		after.Weight = weightOfPercent(move.percent)
+		after.StateSince = after.Elapsed
+	}
+	return after
+}
+
+// planMove is a change of a plan's state or percentage.
+type planMove struct {
+	state, reason string
+	percent       float64
+}
+
+// deadlineDecision holds what one decision about a plan by deadline is made from.
+type deadlineDecision struct {
+	options       Options
+	plan          *config.Release
+	before        config.Progress
+	inputs        DeadlineInputs
+	resumes       bool          // the operator lets a plan continue that the operator rolled back
+	elapsed       time.Duration // since the plan was stated
+	timeInState   time.Duration // since the last move
+	canaryPercent float64
+}
+
+// next is the plan's next move, nil for none. The order of the cases decides.
+func (d deadlineDecision) next() *planMove {
 	switch {
-	case before.State == StateDone, before.State == StateRolledBack && !resumes:
-		return before
-	case plan.Control == "back":
-		return moveTo(StateRolledBack, reasonOperatorRollback, 0)
-	case inputs.EvidenceStrength >= 1:
-		return moveTo(StateRolledBack, "the version "+inputs.EvidenceReason, 0)
-	case before.State == "" || resumes:
-		return moveTo(StateCanary, reasonCanary, canaryPercent)
-	case before.State == StateDraining:
-		drained := inputs.ProxiesBehind == 0 && inputs.OldInFlight == 0
-		if timeInStep >= inputs.MinStepInterval && drained || timeInStep >= maxDrainIntervals*inputs.MinStepInterval {
-			return moveTo(StateDone, "the version has all calls", plan.Target)
-		}
-		return after
-	case before.State == StateCanary && inputs.CallsPerSecond > 0 && math.Abs(canaryPercent-before.Percentage) > canaryResizeThreshold*before.Percentage:
-		return moveTo(StateCanary, reasonCanary, canaryPercent)
-	case plan.Control == "hold", time.Duration(after.Elapsed) < time.Duration(o.CanaryEndFraction*float64(plan.Duration)):
-		return after
-	// What was hardly seen or can't carry all calls stays where it is.
-	case inputs.NewCalls < o.MinCalls/minCallsDivisor, inputs.NewSlots > 0 && inputs.NewSlots < minCapacityFraction*inputs.MeanInFlight, inputs.ProxiesBehind > 0 && timeInStep < maxDrainIntervals*inputs.MinStepInterval:
-		return after
-	// More calls tell soon what the trial could not.
-	case before.Percentage < min(intermediatePercent, plan.Target):
-		return moveTo(StateRamping, "it shows what it does with more calls", min(intermediatePercent, plan.Target))
-	case inputs.EvidenceStrength > maxEvidenceToProceed && before.Percentage > min(intermediatePercent, plan.Target):
-		return moveTo(StateRamping, "it is in doubt, and shows what it does with fewer calls", min(intermediatePercent, plan.Target))
-	case inputs.EvidenceStrength > maxEvidenceToProceed, inputs.HealthLogOdds < minHealthLogOdds:
-		return after
-	case timeInStep < inputs.MinStepInterval || before.Percentage >= plan.Target && timeInStep < fullTrafficIntervals*inputs.MinStepInterval:
-		return after
-	case before.Percentage < plan.Target:
-		return moveTo(StateRamping, "no worse than the old version", plan.Target)
-	case plan.Target < 100 || !inputs.MayReplaceFallback:
-		return moveTo(StateDone, "the target is reached", plan.Target)
+	case d.plan.Control == controlRollBack:
+		return &planMove{StateRolledBack, reasonOperatorRollback, 0}
+	case d.inputs.EvidenceStrength >= 1:
+		return &planMove{StateRolledBack, versionReason(d.inputs.EvidenceReason), 0}
+	case d.before.State == "" || d.resumes:
+		return &planMove{StateCanary, reasonCanary, d.canaryPercent}
+	case d.before.State == StateDraining:
+		return d.nextFromDraining()
+	case d.before.State == StateCanary && d.needsCanaryResize():
+		return &planMove{StateCanary, reasonCanary, d.canaryPercent}
+	case d.plan.Control == controlHold, d.elapsed < d.canaryEnd():
+		return nil
+	case d.lacksCalls(), d.lacksCapacity(), d.awaitsProxies():
+		return nil
+	}
+	return d.nextPercentage()
+}
+
+// nextFromDraining ends the plan once every proxy has applied the last step and no call is in flight at
+// the old version, or when that takes too long.
+func (d deadlineDecision) nextFromDraining() *planMove {
+	drained := d.inputs.ProxiesBehind == 0 && d.inputs.OldInFlight == 0
+	if d.timeInState >= d.inputs.MinStepInterval && drained || d.timeInState >= maxDrainIntervals*d.inputs.MinStepInterval {
+		return &planMove{StateDone, reasonAllCalls, d.plan.Target}
+	}
+	return nil
+}
+
+// needsCanaryResize reports whether the measured call rate asks for another canary percentage.
+func (d deadlineDecision) needsCanaryResize() bool {
+	return d.inputs.CallsPerSecond > 0 &&
+		math.Abs(d.canaryPercent-d.before.Percentage) > canaryResizeThreshold*d.before.Percentage
+}
+
+// canaryEnd is the time since the plan was stated at which the canary state may end.
+func (d deadlineDecision) canaryEnd() time.Duration {
+	return time.Duration(d.options.CanaryEndFraction * float64(d.plan.Duration))
+}
+
+func (d deadlineDecision) lacksCalls() bool {
+	return d.inputs.NewCalls < d.options.MinCalls/minCallsDivisor
+}
+
+// lacksCapacity reports whether the new version's workers could not hold the service's calls.
+func (d deadlineDecision) lacksCapacity() bool {
+	return d.inputs.NewSlots > 0 && d.inputs.NewSlots < minCapacityFraction*d.inputs.MeanInFlight
+}
+
+// awaitsProxies reports whether some proxies have not applied the last step, and it is not too old.
+func (d deadlineDecision) awaitsProxies() bool {
+	return d.inputs.ProxiesBehind > 0 && d.timeInState < maxDrainIntervals*d.inputs.MinStepInterval
+}
+
+// nextPercentage raises the percentage after the canary state, first to the intermediate one, because more
+// calls soon show what the canary could not. It goes back there if the evidence is in doubt. The order
+// of the cases decides.
+func (d deadlineDecision) nextPercentage() *planMove {
+	intermediate := min(intermediatePercent, d.plan.Target)
+	inDoubt := d.inputs.EvidenceStrength > maxEvidenceToProceed
+	atTarget := d.before.Percentage >= d.plan.Target
+	switch {
+	case d.before.Percentage < intermediate:
+		return &planMove{StateRamping, reasonMoreCalls, intermediate}
+	case inDoubt && d.before.Percentage > intermediate:
+		return &planMove{StateRamping, reasonFewerCalls, intermediate}
+	case inDoubt, d.inputs.HealthLogOdds < minHealthLogOdds:
+		return nil
+	case d.timeInState < d.inputs.MinStepInterval:
+		return nil
+	case atTarget && d.timeInState < fullTrafficIntervals*d.inputs.MinStepInterval:
+		return nil
+	case !atTarget:
+		return &planMove{StateRamping, reasonNoWorse, d.plan.Target}
+	case d.plan.Target < maxPercent || !d.inputs.MayReplaceFallback:
+		return &planMove{StateDone, reasonTargetReached, d.plan.Target}
 	}
-	return moveTo(StateDraining, "it takes the old version's place", plan.Target)
+	return &planMove{StateDraining, reasonDraining, d.plan.Target}
 }
--- /dev/null
+++ b/internal/release/discovered_versions.go
@@ -0,0 +1,68 @@
+package release
+
+import (
+	"maps"
+	"slices"
+
+	"meadowhinge/internal/config"
+)
+
+// initialVersionSteps state the first versions of services whose configuration leaves them out: the
+// version of most registered workers becomes the fallback, until a plan replaces it.
+func initialVersionSteps(compiled *config.Snapshot, workers map[[2]string]WorkerPool) []Step {
+	var steps []Step
+	for _, name := range slices.Sorted(maps.Keys(compiled.Services)) {
+		service := compiled.Services[name]
+		if service.Versions != nil || service.Fallback != "" || compiled.DiscoveredVersions[name] != nil {
+			continue
+		}
+		if version := mostCommonVersion(name, workers); version != "" {
+			steps = append(steps, initialVersionStep(compiled, name, version))
+		}
+	}
+	return steps
+}
+
+// mostCommonVersion is the version with the most workers of a service, the first by name of several, and
+// empty if the service has no workers.
+func mostCommonVersion(service string, workers map[[2]string]WorkerPool) string {
+	version, mostWorkers := "", 0
+	for key, pool := range workers {
+		if key[0] == service && (pool.Workers > mostWorkers || pool.Workers == mostWorkers && key[1] < version) {
+			version, mostWorkers = key[1], pool.Workers
+		}
+	}
+	return version
+}
+
+func initialVersionStep(compiled *config.Snapshot, service, version string) Step {
+	step := Step{
+		Name:    "standing-" + service,
+		Message: service + " has version " + version + " by what its workers tell",
+	}
+	flagKey := config.VersionFlagKey(service)
+	// Both bodies hold strings and integers alone, which can always be encoded.
+	_ = step.put(discoveredVersionsKind, service, newDiscoveredVersions(version, version))
+	// A flag that an operator wrote before stays.
+	if compiled.Flags.Flags[flagKey] == nil {
+		_ = step.put(flagKind, flagKey, newRolloutFlag(compiled, service, version, version, 0)) // as above
+	}
+	return step
+}
+
+// usesDiscoveredVersions reports whether a service has its versions from a discovered-versions item rather
+// than from its own configuration.
+func usesDiscoveredVersions(compiled *config.Snapshot, service string) bool {
+	definition, discovered := compiled.Services[service], compiled.DiscoveredVersions[service]
+	return definition != nil && discovered != nil && definition.Fallback == discovered.Fallback &&
+		slices.Equal(definition.Versions, discovered.Versions)
+}
+
+// newDiscoveredVersions lists the fallback version, and another one if it differs.
+func newDiscoveredVersions(fallback, version string) config.DiscoveredVersions {
+	versions := []string{fallback}
+	if version != fallback {
+		versions = append(versions, version)
+	}
+	return config.DiscoveredVersions{Versions: versions, Fallback: fallback}
+}
--- a/internal/release/failure_evidence.go
+++ b/internal/release/failure_evidence.go
@@ -1,48 +1,42 @@
 package release
 
-import (
-	"math"
-	"math/bits"
-	"time"
-)
+import "math"
 
-// Bounds of what a sound and a bad version are taken for, as parts of calls that end badly.
+// The rates of bad calls that stand for a healthy and for a bad version, as fractions of calls. Both
+// follow from the old version's rate.
 const (
-	healthyRateFloor    = 0.06 // a sound version may fail so often while nothing of the old one's does
-	healthyRateMultiple = 1.5  // and so many times as often as the old one
-	healthyRateMargin   = 0.03 // and this much beyond
-	badRateMargin       = 0.2  // a bad one fails so much more often than a sound one may
-	badRateMultiple     = 2
+	healthyRateFloor    = 0.06 // a healthy version may fail this often even beside one that never fails
+	healthyRateMultiple = 1.5  // allowed multiple of the old version's rate
+	healthyRateMargin   = 0.03 // allowed beyond that multiple
+	maxHealthyRate      = 0.5  // a version that fails more often is never healthy
+	badRateMargin       = 0.2  // a bad version fails at least this much more often than a healthy one may
+	badRateMultiple     = 2    // and at least this many times as often
 	maxBadRate          = 0.95
-	slowBuckets         = 4     // two doublings: as slow as this beyond the old version's median is as bad as a failure
-	medianMinCalls      = 20    // calls of the old version on a route, to know its median
-	recentDecay         = 0.8   // part of what came of late that is kept from look to look
-	recentMinCalls      = 20    // calls of the old version of late, to know how it fares just now
-	maxAlikeProbability = 0.001 // how unlikely it must be that the old version, of late, fails as the new one does
-	allRoutes           = ""    // what stands for all routes together
 )
 
-// LatencyBucketCount is into how many steps the time of a call falls.
-const LatencyBucketCount = 32
-
-// firstBucketBits is below the length, in bits, of the longest time that falls into the first step.
-const firstBucketBits = 10
+// Bounds of the comparison with the old version's recent calls.
+const (
+	recentDecay         = 0.8   // factor by which recent counts shrink with each observation
+	recentMinCalls      = 20    // recent calls of the old version from which its recent rate is known
+	maxAlikeProbability = 0.001 // probability below which the old version does not fail like the new one
+)
 
-// LatencyBucket is the step that a time falls into: two for each doubling, from a millisecond up.
-func LatencyBucket(latency time.Duration) int {
-	micros := uint64(max(1, latency.Microseconds()))
-	bitLength := bits.Len64(micros)
-	if bitLength <= firstBucketBits {
-		return 0
-	}
-	return min(LatencyBucketCount-1, 2*(bitLength-firstBucketBits)-1+int(micros>>(bitLength-2)&1))
-}
+// allRoutes is the key of the evidence on all routes together.
+const allRoutes = ""
 
-// outcomeCounts is calls that ended, and those of them that ended badly.
+// outcomeCounts counts calls that ended, and those of them that ended badly: failed or too slow. The
+// numbers are fractions of calls where older ones have decayed.
 type outcomeCounts struct{ total, bad float64 }
 
 func (o *outcomeCounts) add(other outcomeCounts) {
-	o.total, o.bad = o.total+other.total, o.bad+other.bad
+	o.total += other.total
+	o.bad += other.bad
+}
+
+// decay weighs what was counted before by recentDecay and adds new outcomes.
+func (o *outcomeCounts) decay(fresh outcomeCounts) {
+	o.total = recentDecay*o.total + fresh.total
+	o.bad = recentDecay*o.bad + fresh.bad
 }
 
 func (o outcomeCounts) badRate() float64 {
@@ -52,23 +46,36 @@
 	return o.bad / o.total
 }
 
-// FailureEvidence weighs, call by call, how much likelier what was seen is of a bad version than of a
-// sound one. It never falls below nothing, so a version that turns bad late is found as soon as
-// one that always was; and it is kept by route, so that one bad route shows.
+// outcomesOf counts failures, and calls in the bucket slowFrom or above, as bad.
+func outcomesOf(stats CallStats, slowFrom int) outcomeCounts {
+	bad := stats.Failures
+	for bucket := slowFrom; bucket < LatencyBucketCount; bucket++ {
+		bad += stats.LatencyBuckets[bucket]
+	}
+	return outcomeCounts{total: float64(stats.Calls), bad: float64(min(bad, stats.Calls))}
+}
+
+// FailureEvidence is a sequential test of two hypotheses, call by call: that the new version is bad, or
+// that it is healthy. On each route and on all together it keeps a CUSUM of log-likelihood ratios (Page's
+// test): the sum of ln(P(call | bad) / P(call | healthy)), set to 0 whenever it falls below. Because of
+// that bound, good calls of the past do not delay the detection of a version that turns bad late. The
+// routes are apart so that one bad route shows among many good ones.
+//
+// The zero value is ready to use. It is not safe for concurrent use.
 type FailureEvidence struct {
-	routes     map[string]*routeEvidence
-	lastCounts VersionCounts
+	routes     map[string]*routeEvidence // allRoutes included
+	lastCounts VersionCounts             // as of the last observation
 }
 
-// routeEvidence is the suspicion on one route.
+// routeEvidence is the evidence on one route, or on all together.
 type routeEvidence struct {
-	cusum                float64
-	logOdds              float64       // as the sum, but that it may fall: below nothing, the version is likelier sound
-	recentOld, recentNew outcomeCounts // of late
+	cusum                float64       // sum of log-likelihood ratios, never below 0
+	logOdds              float64       // the same sum without the bound; below 0, "healthy" is likelier
+	recentOld, recentNew outcomeCounts // decaying by recentDecay with each observation
 }
 
-// LogOdds is how much likelier it is, on the whole, that the version is bad than that it is sound,
-// as a logarithm; a difference of two tells what was seen between.
+// LogOdds is the logarithm of how much likelier all calls so far are under "bad" than under "healthy".
+// The difference between two readings is the evidence of the calls in between.
 func (e *FailureEvidence) LogOdds() float64 {
 	if overall := e.routes[allRoutes]; overall != nil {
 		return overall.logOdds
@@ -76,118 +83,82 @@
 	return 0
 }
 
-// slowBucket is the first step of time that is too slow on a route, beyond all if it can't be known.
-func slowBucket(baseline CallStats) int {
-	calls, cumulative := uint64(0), uint64(0)
-	for _, count := range baseline.LatencyBuckets {
-		calls += count
-	}
-	for bucket, count := range baseline.LatencyBuckets {
-		if cumulative += count; cumulative*2 < calls || calls < medianMinCalls {
-			continue
-		}
-		// Where the median lies high in its step, the steps beyond begin at less than so many times it.
-		if high := 2*cumulative - calls; high < count {
-			bucket++
-		}
-		return bucket + slowBuckets
-	}
-	return LatencyBucketCount
-}
-
-// outcomesOf is a count with what came too late among what ended badly.
-func outcomesOf(stats CallStats, slowFrom int) outcomeCounts {
-	bad := stats.Failures
-	for bucket := slowFrom; bucket < LatencyBucketCount; bucket++ {
-		bad += stats.LatencyBuckets[bucket]
-	}
-	return outcomeCounts{float64(stats.Calls), float64(min(bad, stats.Calls))}
-}
-
-// Observe takes what came since the last look. It gives the strongest suspicion, 1 being certain,
-// and on what it rests. alone says that the old version is to have no calls any more.
-func (e *FailureEvidence) Observe(options Options, counts VersionCounts, allCalls bool) (strength float64, reason string) {
-	if e.routes == nil {
-		e.routes = map[string]*routeEvidence{}
-	}
+// Observe takes the counts since the proxies started, and weighs what is new in them. It returns the
+// strongest evidence of all routes as a fraction of Options.RollbackLogOdds, at 1 or above of which the
+// version must be stopped, and the verdict. The flag allCalls says that the plan gives the new
+// version all calls, so that the old one can not be compared with.
+func (e *FailureEvidence) Observe(options Options, counts VersionCounts, allCalls bool) (strength float64, verdict string) {
 	sinceLast := counts.Since(e.lastCounts)
 	e.lastCounts = counts
 	var fresh, baseline, recent outcomeCounts
-	observeRoute := func(route string, fresh, baseline, recent outcomeCounts) *routeEvidence {
-		if e.routes[route] == nil {
-			e.routes[route] = &routeEvidence{}
-		}
-		e.routes[route].observe(fresh, baseline, recent)
-		return e.routes[route]
-	}
 	for route, stats := range sinceLast.New {
 		slowFrom := slowBucket(counts.Old[route])
-		freshRoute, baselineRoute, recentRoute := outcomesOf(stats, slowFrom), outcomesOf(counts.Old[route], slowFrom), outcomesOf(sinceLast.Old[route], slowFrom)
-		observeRoute(route, freshRoute, baselineRoute, recentRoute)
-		fresh.add(freshRoute)
-		baseline.add(baselineRoute)
-		recent.add(recentRoute)
+		freshOnRoute := outcomesOf(stats, slowFrom)
+		baselineOnRoute := outcomesOf(counts.Old[route], slowFrom)
+		recentOnRoute := outcomesOf(sinceLast.Old[route], slowFrom)
+		e.route(route).observe(freshOnRoute, baselineOnRoute, recentOnRoute)
+		fresh.add(freshOnRoute)
+		baseline.add(baselineOnRoute)
+		recent.add(recentOnRoute)
+	}
+	overall := e.route(allRoutes)
+	overall.observe(fresh, baseline, recent)
+	return e.strongest(options, overall, allCalls)
+}
+
+// route is the evidence on a route, made when first asked for.
+func (e *FailureEvidence) route(route string) *routeEvidence {
+	if e.routes == nil {
+		e.routes = map[string]*routeEvidence{}
+	}
+	if e.routes[route] == nil {
+		e.routes[route] = &routeEvidence{}
 	}
-	overall := observeRoute(allRoutes, fresh, baseline, recent)
-	// Where the old version hardly gets calls any more, only what it used to be can be known.
+	return e.routes[route]
+}
+
+// strongest is the strongest evidence of all routes that the old version's recent calls do not explain
+// as well: a fault that hits both versions counts against neither. The recent calls of both are taken
+// over the same time, so that such a fault begins for both in the same observation.
+func (e *FailureEvidence) strongest(options Options, overall *routeEvidence, allCalls bool) (strength float64, verdict string) {
 	oldUnused := allCalls || overall.recentOld.total*sparseBaselineRatio < overall.recentNew.total
-	for route, perRoute := range e.routes {
-		oldOutcomes := perRoute.recentOld
+	for route, evidence := range e.routes {
+		oldOutcomes := evidence.recentOld
 		if oldOutcomes.total < 1 {
 			oldOutcomes = overall.recentOld
 		}
-		// What the old version, of late, may do just as well is held against nobody. Both are taken
-		// over the same time, so that one trouble of all begins for both at once.
-		if routeStrength := perRoute.cusum / options.RollbackLogOdds; routeStrength > strength && (oldUnused || binomialCDF(oldOutcomes, perRoute.recentNew.badRate()) <= maxAlikeProbability) {
-			strength, reason = routeStrength, "fails or is slow "+describeRoute(route)
+		routeStrength := evidence.cusum / options.RollbackLogOdds
+		if routeStrength <= strength {
+			continue
+		}
+		if oldUnused || binomialCDF(oldOutcomes, evidence.recentNew.badRate()) <= maxAlikeProbability {
+			strength, verdict = routeStrength, "fails or is slow "+describeRoute(route)
 		}
 	}
-	return strength, reason
+	return strength, verdict
 }
 
-// observe weighs fresh calls of the new version against what the old one is usually and of late.
+// observe weighs fresh calls of the new version. The old version's rate is that of all its calls, the
+// baseline, or that of its recent calls if it is higher.
 func (e *routeEvidence) observe(fresh, baseline, recent outcomeCounts) {
-	e.recentOld = outcomeCounts{recentDecay*e.recentOld.total + recent.total, recentDecay*e.recentOld.bad + recent.bad}
-	e.recentNew = outcomeCounts{recentDecay*e.recentNew.total + fresh.total, recentDecay*e.recentNew.bad + fresh.bad}
-	rate := baseline.badRate()
+	e.recentOld.decay(recent)
+	e.recentNew.decay(fresh)
+	oldRate := baseline.badRate()
 	if e.recentOld.total >= recentMinCalls {
-		rate = max(rate, e.recentOld.badRate())
+		oldRate = max(oldRate, e.recentOld.badRate())
 	}
-	healthyRate := min(0.5, max(healthyRateFloor, healthyRateMultiple*rate+healthyRateMargin))
+	healthyRate := min(maxHealthyRate, max(healthyRateFloor, healthyRateMultiple*oldRate+healthyRateMargin))
 	badRate := min(maxBadRate, max(healthyRate+badRateMargin, badRateMultiple*healthyRate))
-	logLikelihoodRatio := fresh.bad*math.Log(badRate/healthyRate) + (fresh.total-fresh.bad)*math.Log((1-badRate)/(1-healthyRate))
-	e.cusum, e.logOdds = max(0, e.cusum+logLikelihoodRatio), e.logOdds+logLikelihoodRatio
-}
-
-// binomialCDF is how likely no more than so many of calls end badly, if each does at a rate.
-func binomialCDF(outcomes outcomeCounts, rate float64) float64 {
-	if rate <= 0 {
-		return 1
-	}
-	if rate = min(rate, maxBadRate); outcomes.total < 1 {
-		return 1
-	}
-	// The binomial's terms, one from the other.
-	calls, probability := math.Round(outcomes.total), 0.0
-	logTerm := calls * math.Log(1-rate)
-	for count := 0.0; count <= math.Round(outcomes.bad); count++ {
-		probability += math.Exp(logTerm)
-		logTerm += math.Log((calls-count)/(count+1)) + math.Log(rate/(1-rate))
-	}
-	return probability
+	// A bad call has the ratio badRate/healthyRate, a good one (1-badRate)/(1-healthyRate).
+	logLikelihoodRatio := fresh.bad*math.Log(badRate/healthyRate) +
+		(fresh.total-fresh.bad)*math.Log((1-badRate)/(1-healthyRate))
+	e.cusum = max(0, e.cusum+logLikelihoodRatio)
+	e.logOdds += logLikelihoodRatio
 }
 
 func describeRoute(route string) string {
 	if route == allRoutes {
-		return "on the whole"
-	}
-	return "on route " + route
-}
-
-// meanInFlight is how many calls were so on average while so much time passed.
-func meanInFlight(stats CallStats, window time.Duration) float64 {
-	if window <= 0 {
-		return 0
+		return onAllRoutes
 	}
-	return float64(stats.TotalLatency) / float64(window)
+	return onRoute(route)
 }
--- /dev/null
+++ b/internal/release/ramp_step.go
@@ -0,0 +1,49 @@
+package release
+
+import (
+	"time"
+
+	"meadowhinge/internal/config"
+)
+
+// nextRampStep makes the next step of a plan by ramp, nil if none is due or worth a write.
+func (c *Controller) nextRampStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release, observation FleetObservation) (*Step, error) {
+	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, compiled.FallbackOf(plan.Service))
+	before := config.Progress{}
+	if recorded := progressOf(compiled, plan); recorded != nil {
+		before = *recorded
+	}
+	tracked := c.trackedPlanFor(now, plan, counts)
+	stopVerdict := ""
+	if guarded := c.guardedVersions[versionKey{plan.Service, plan.Version}]; guarded != nil {
+		stopVerdict = guarded.stopVerdict
+	}
+	if !c.isRampStepDue(now, plan, tracked, before, stopVerdict) {
+		return nil, nil
+	}
+	sinceLastStep := counts.Since(tracked.lastStepCounts)
+	after := c.options.NextRampProgress(plan, before, counts.Since(tracked.firstCounts), sinceLastStep, now-tracked.steppedAt)
+	if stopVerdict != "" {
+		after = rolledBack(after, versionReason(stopVerdict))
+	}
+	tracked.steppedAt = now
+	if before.State == "" || sinceLastStep.NewPercent() > 0 {
+		tracked.lastStepCounts = counts
+	}
+	if !NeedsWrite(before, after) {
+		return nil, nil
+	}
+	after = c.stamp(plan, before, after)
+	items, err := flagAndProgressItems(plan, compiled, state, after)
+	return &Step{Name: plan.Name, Items: items, Urgent: after.State == StateRolledBack}, err
+}
+
+// isRampStepDue reports whether a plan by ramp decides now: after its step interval, or at once when it is
+// new, must be rolled back, or the operator rolls it back or resumes it.
+func (c *Controller) isRampStepDue(now time.Duration, plan *config.Release, tracked *trackedPlan, before config.Progress, stopVerdict string) bool {
+	stepInterval := max(plan.Duration/time.Duration(c.options.RampSteps), c.minStepInterval)
+	isRolledBack := before.State == StateRolledBack
+	mustRollBack := stopVerdict != "" && !isRolledBack
+	operatorChanged := (plan.Control == controlRollBack) != isRolledBack
+	return now-tracked.steppedAt >= stepInterval || before.State == "" || mustRollBack || operatorChanged
+}
--- a/internal/release/rollback_guard.go
+++ b/internal/release/rollback_guard.go
@@ -1,27 +1,48 @@
 package release
 
-// Ratios of the brake's windows to one gathering of counts.
+// The windows of a rollback guard, in samples. The controller takes a sample each time it gathers counts.
 const (
-	shortWindow       = 4  // a burst of failures shows here, however many good calls came before
-	longWindow        = 20 // and a slower one here
-	sparseSampleEvery = 4  // gatherings between two that are kept for the windows below
-	recoveryWindow    = 60 // of those: that long a version must have been fine to be tried again
-	sparseShortWindow = 60 // and here what fails seldom, or on a route that is seldom called
+	shortWindow = 4  // shows a burst of failures, however many good calls came before
+	longWindow  = 20 // shows a lower rate of failures
+
+	// Every sparseSampleEvery-th sample is also kept for the windows below, which count in those. They
+	// show rare failures, and failures on a route with few calls.
+	sparseSampleEvery = 4
+	sparseShortWindow = 60
 	sparseLongWindow  = 300
-	recoveryMinHeard  = 0.9
+
+	recoveryWindow      = 60  // sparse samples over which a version must have been fine to recover
+	recoveryMinFraction = 0.9 // fraction of the fleet that must have reported for a version to recover
 )
 
-// RollbackGuard keeps the last gatherings of a version's evidence and tells when it must be stopped at
-// once.
+// RollbackGuard keeps the latest samples of a version's counts, and decides by sliding windows over them
+// whether the version must be stopped. The zero value is ready to use. It is not safe for concurrent use.
 type RollbackGuard struct {
-	recentSamples []VersionCounts
-	sparseSamples []VersionCounts // one in sparseSampleEvery
-	sampleCount   int
+	recentSamples []VersionCounts // the last longWindow+1
+	sparseSamples []VersionCounts // the last sparseLongWindow of every sparseSampleEvery-th
+	sampleCount   int             // samples taken so far
+}
+
+// Observe takes a sample and reports whether the version must be stopped, and why. The fraction of the
+// fleet that the counts cover scales the failure threshold: a controller that half of the proxies
+// report to sees half of the failures.
+func (g *RollbackGuard) Observe(options Options, counts VersionCounts, reportingFraction float64) (verdict string, failing bool) {
+	g.addSample(counts)
+	options.FailureThreshold = max(1, uint64(float64(options.FailureThreshold)*min(1, reportingFraction)))
+	short := sampleAgo(g.recentSamples, shortWindow)
+	long := sampleAgo(g.recentSamples, longWindow)
+	sparseShort := sampleAgo(g.sparseSamples, sparseShortWindow)
+	sparseLong := sampleAgo(g.sparseSamples, sparseLongWindow)
+	baseline := g.baseline(counts, long, sparseShort)
+	for _, windowStart := range []VersionCounts{short, long, sparseShort, sparseLong} {
+		if verdict, failing = options.IsFailing(counts.Since(windowStart), baseline); failing {
+			return verdict, true
+		}
+	}
+	return "", false
 }
 
-// Observe takes a gathering. heard is the part of the fleet that it tells of: a duty that hears
-// half of the proxies judges by half of the failures, for the rest fail unheard.
-func (g *RollbackGuard) Observe(options Options, counts VersionCounts, heardFraction float64) (reason string, bad bool) {
+func (g *RollbackGuard) addSample(counts VersionCounts) {
 	g.recentSamples = append(g.recentSamples, counts)
 	if len(g.recentSamples) > longWindow+1 {
 		g.recentSamples = g.recentSamples[1:]
@@ -33,25 +54,22 @@
 		}
 	}
 	g.sampleCount++
-	options.FailureThreshold = max(1, uint64(float64(options.FailureThreshold)*min(1, heardFraction)))
-	sampleAgo := func(samples []VersionCounts, window int) VersionCounts { return samples[max(0, len(samples)-1-window)] }
-	baseline := g.baseline(counts, sampleAgo(g.recentSamples, longWindow), sampleAgo(g.sparseSamples, sparseShortWindow))
-	for _, windowStart := range []VersionCounts{sampleAgo(g.recentSamples, shortWindow), sampleAgo(g.recentSamples, longWindow), sampleAgo(g.sparseSamples, sparseShortWindow), sampleAgo(g.sparseSamples, sparseLongWindow)} {
-		if reason, bad = options.IsFailing(counts.Since(windowStart), baseline); bad {
-			return reason, true
-		}
-	}
-	return "", false
 }
 
-// Ratios of what stands for an old version that hardly gets calls.
+// sampleAgo is the sample that lies the given number of samples before the latest, or the oldest one.
+func sampleAgo(samples []VersionCounts, window int) VersionCounts {
+	return samples[max(0, len(samples)-1-window)]
+}
+
+// An old version that hardly gets calls is no measure of the new one.
 const (
-	sparseBaselineRatio    = 50  // below this part of the new version's calls it is no measure of anything
-	sparseBaselineMinCalls = 200 // and it takes so many of the new version's to say so
+	sparseBaselineRatio    = 50  // the old version must have at least one call to this many of the new one's
+	sparseBaselineMinCalls = 200 // calls of the new version that a window needs to tell
 )
 
-// baseline is all that was ever counted of the old version, if it hardly gets calls any more. The
-// shortest window that has enough calls to tell decides.
+// baseline is all that was ever counted of the old version if that hardly gets calls any more, or nil if
+// its calls within the windows are enough to compare with. The first window with enough calls of the
+// new version decides, so they are passed with the shortest one first.
 func (g *RollbackGuard) baseline(counts VersionCounts, windowStarts ...VersionCounts) map[string]CallStats {
 	for _, windowStart := range windowStarts {
 		inWindow := counts.Since(windowStart)
@@ -67,13 +85,16 @@
 	return nil
 }
 
-// Recovered tells whether proxies that stopped by themselves may try the version out again: nearly
-// all of the fleet was heard, and even what may have been chance was not seen of late.
-func (g *RollbackGuard) Recovered(options Options, heardFraction float64) bool {
-	if heardFraction < recoveryMinHeard || len(g.recentSamples) == 0 {
+// Recovered reports whether proxies that stopped using the version on their own may use it again: nearly
+// the whole fleet reported, and the version did not fail of late, not even so little that it may be chance.
+func (g *RollbackGuard) Recovered(options Options, reportingFraction float64) bool {
+	if reportingFraction < recoveryMinFraction || len(g.recentSamples) == 0 {
 		return false
 	}
-	inWindow := g.recentSamples[len(g.recentSamples)-1].Since(g.sparseSamples[max(0, len(g.sparseSamples)-recoveryWindow)])
+	latest := g.recentSamples[len(g.recentSamples)-1]
+	// recoveryWindow counts the sparse samples in the window, the first of them included.
+	inWindow := latest.Since(sampleAgo(g.sparseSamples, recoveryWindow-1))
 	oldStats, newStats := total(inWindow.Old), total(inWindow.New)
-	return newStats.Failures < options.FailureThreshold || newStats.failureRate() <= options.FailureRateMultiple*oldStats.failureRate()+options.FailureRateMargin
+	return newStats.Failures < options.FailureThreshold ||
+		!options.exceedsBaseline(newStats.failureRate(), oldStats.failureRate())
 }
--- /dev/null
+++ b/internal/release/rollout_flag.go
@@ -0,0 +1,83 @@
+package release
+
+import (
+	"encoding/json"
+	"slices"
+
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/flag"
+	"meadowhinge/schema"
+)
+
+// newRolloutFlag is the flag that gives a version the weight, 0 to flag.TotalWeight, of a service's calls
+// and the fallback version the rest. An existing flag's salt stays, so that contexts keep their buckets.
+func newRolloutFlag(compiled *config.Snapshot, service, fallback, version string, weight int) *flag.Flag {
+	rolloutFlag := &flag.Flag{On: true, Salt: service, Variations: []string{fallback}}
+	if current := compiled.Flags.Flags[config.VersionFlagKey(service)]; current != nil {
+		rolloutFlag.Salt = current.Salt
+	}
+	if version == fallback {
+		rolloutFlag.Fallthrough.Variation = new(int) // variation 0, stated rather than left out
+		return rolloutFlag
+	}
+	rolloutFlag.Variations = append(rolloutFlag.Variations, version)
+	rolloutFlag.Fallthrough.Rollout = &flag.Rollout{Variations: []flag.WeightedVariation{
+		{Variation: 1, Weight: weight},
+		{Variation: 0, Weight: flag.TotalWeight - weight},
+	}}
+	return rolloutFlag
+}
+
+// flagAndProgressItems are the progress of a plan and the operator's flag edited to follow it, to be
+// written as one change.
+func flagAndProgressItems(plan *config.Release, compiled *config.Snapshot, state config.State, after config.Progress) ([]*schema.Item, error) {
+	key := config.VersionFlagKey(plan.Service)
+	flagItem := state[config.Key(flagKind, key)]
+	rolloutFlag, service := compiled.Flags.Flags[key], compiled.Services[plan.Service]
+	if flagItem == nil || rolloutFlag == nil || service == nil {
+		return nil, errs.New(errs.InvalidConfig, key+" is gone")
+	}
+	flagFields := map[string]any{}
+	if err := json.Unmarshal(flagItem.Body, &flagFields); err != nil {
+		return nil, errs.Wrap(err, errs.InvalidConfig, key)
+	}
+	editRolloutFlag(flagFields, rolloutFlag.Variations, plan.Version, service.Fallback, after)
+	flagBody, err := json.Marshal(flagFields)
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Internal, key)
+	}
+	progressBody, err := json.Marshal(after)
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Internal, plan.Name)
+	}
+	return []*schema.Item{
+		{Kind: flagKind, Name: key, Body: flagBody},
+		{Kind: progressKind, Name: plan.Name, Body: progressBody},
+	}, nil
+}
+
+// editRolloutFlag sets the split of an operator's flag to a progress, or turns the flag off to the fallback
+// version if the plan is rolled back. It edits the decoded JSON rather than a flag.Flag, so that the
+// operator's targets, rules and unknown fields stay.
+func editRolloutFlag(flagFields map[string]any, variations []string, version, fallback string, after config.Progress) {
+	// A version that the flag does not list counts as its first variation.
+	variationIndex := func(name string) int { return max(0, slices.Index(variations, name)) }
+	if after.State == StateRolledBack {
+		flagFields["on"] = false
+		flagFields["offVariation"] = variationIndex(fallback)
+		return
+	}
+	rolloutFields := map[string]any{}
+	if fallthroughFields, _ := flagFields["fallthrough"].(map[string]any); fallthroughFields != nil {
+		if existing, _ := fallthroughFields["rollout"].(map[string]any); existing != nil {
+			rolloutFields = existing
+		}
+	}
+	rolloutFields["variations"] = []map[string]int{
+		{"variation": variationIndex(version), "weight": after.Weight},
+		{"variation": variationIndex(fallback), "weight": flag.TotalWeight - after.Weight},
+	}
+	flagFields["on"] = true
+	flagFields["fallthrough"] = map[string]any{"rollout": rolloutFields}
+}
--- a/internal/release/rollout_order.go
+++ b/internal/release/rollout_order.go
@@ -1,30 +1,24 @@
 package release
 
 import (
-	"encoding/json"
 	"fmt"
-	"slices"
 	"time"
 
 	"meadowhinge/internal/config"
 	"meadowhinge/internal/errs"
-	"meadowhinge/internal/flag"
-	"meadowhinge/schema"
 )
 
-// RolloutOrder asks that all calls of a service move to a version within a time.
+// RolloutOrder is an operator's request that all calls of a service move to a version.
 type RolloutOrder struct {
 	Service string
 	Version string
-	Within  time.Duration
+	Within  time.Duration // deadline, counted from when the order is written; above 0
 }
 
-// standingKind names the items that say which versions a service has that leaves them out itself:
-// the release duty writes them, by what workers tell and by what comes of plans.
-const standingKind = "standing"
-
-// PlanRollout turns an order into the step that states it: the version is allowed, the flag can give
-// it, and the plan says how. An order that is under way already, or done, needs no step.
+// PlanRollout turns an order into the step that states its plan: the version is allowed, the flag can
+// give it, and the plan says by when. The step is nil if the service's plan moves calls to the version
+// already, or has done so. An impossible order is an errs.InvalidConfig error, and an order for a service
+// without any known version an errs.NoQuorum error, because the versions may become known later.
 func PlanRollout(compiled *config.Snapshot, state config.State, order RolloutOrder) (*Step, error) {
 	service := compiled.Services[order.Service]
 	switch {
@@ -32,99 +26,92 @@
 		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf("service %q does not exist", order.Service))
 	case order.Version == "" || order.Within <= 0:
 		return nil, errs.New(errs.InvalidConfig, "an order needs a version and a time")
-	}
-	fallback := service.Fallback
-	if fallback == "" {
+	case service.Fallback == "":
 		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("no version of %q is known yet", order.Service))
 	}
-	if version, state := RolloutState(compiled, order.Service); version == order.Version && state != "" && state != StateRolledBack {
+	if version, planState := RolloutState(compiled, order.Service); version == order.Version && planState != "" && planState != StateRolledBack {
 		return nil, nil
 	}
-	step := &Step{Name: "order-" + order.Service}
-	put := func(kind, name string, body any) error {
-		encoded, err := json.Marshal(body)
-		step.Items = append(step.Items, &schema.Item{Kind: kind, Name: name, Body: encoded})
-		return errs.Wrap(err, errs.Internal, kind+" "+name)
-	}
-	remove := func(kind, name string) {
-		if current := state[config.Key(kind, name)]; current != nil && !current.Deleted {
-			step.Items = append(step.Items, &schema.Item{Kind: kind, Name: name, Deleted: true})
-		}
-	}
-	// One service has one plan: an order takes the place of what was planned before.
-	for name, plan := range compiled.Releases {
-		if plan.Service == order.Service && name != order.Service {
-			remove("release", name)
-			remove("progress", name)
-		}
-	}
-	remove("progress", order.Service)
-	remove("stop", config.StopName(order.Service, order.Version))
-	if !service.AllowsVersion(order.Version) && !hasOwnStanding(compiled, order.Service) {
+	discovered := usesDiscoveredVersions(compiled, order.Service)
+	if !service.AllowsVersion(order.Version) && !discovered {
 		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf("service %q does not list version %q", order.Service, order.Version))
 	}
-	if hasOwnStanding(compiled, order.Service) {
-		if err := put(standingKind, order.Service, newStanding(fallback, order.Version)); err != nil {
+	step := &Step{Name: "order-" + order.Service}
+	step.removeSuperseded(compiled, state, order)
+	if discovered {
+		if err := step.put(discoveredVersionsKind, order.Service, newDiscoveredVersions(service.Fallback, order.Version)); err != nil {
 			return nil, err
 		}
 	}
-	// No call yet: the duty's first step gives the version its trial.
-	if err := put("flag", config.VersionFlagKey(order.Service), newRolloutFlag(compiled, order.Service, fallback, order.Version, 0)); err != nil {
+	// The version gets no call yet: the controller's first step moves the plan to the canary state.
+	rolloutFlag := newRolloutFlag(compiled, order.Service, service.Fallback, order.Version, 0)
+	if err := step.put(flagKind, config.VersionFlagKey(order.Service), rolloutFlag); err != nil {
 		return nil, err
 	}
-	err := put("release", order.Service, config.Release{Service: order.Service, Version: order.Version, Target: 100, DurationText: order.Within.String(), Control: "go", Strategy: config.StrategyDeadline})
+	err := step.put(releaseKind, order.Service, config.Release{
+		Service:      order.Service,
+		Version:      order.Version,
+		Target:       maxPercent,
+		DurationText: order.Within.String(),
+		Control:      controlGo,
+		Strategy:     config.StrategyDeadline,
+	})
 	return step, err
 }
 
-// RolloutState tells which version was last ordered for a service, and what has come of it: a state
-// of its plan, or nothing if no plan is known.
-func RolloutState(compiled *config.Snapshot, service string) (version, state string) {
+// removeSuperseded deletes what an order replaces: other plans of the service, since a service has one
+// plan, the progress of the plan before, and a stop of the version.
+func (s *Step) removeSuperseded(compiled *config.Snapshot, state config.State, order RolloutOrder) {
 	for name, plan := range compiled.Releases {
+		if plan.Service == order.Service && name != order.Service {
+			s.remove(state, releaseKind, name)
+			s.remove(state, progressKind, name)
+		}
+	}
+	s.remove(state, progressKind, order.Service)
+	s.remove(state, stopKind, config.StopName(order.Service, order.Version))
+}
+
+// RolloutState is the version of a service's plan, and the state of that plan. Both are empty if the
+// service has no plan.
+func RolloutState(compiled *config.Snapshot, service string) (version, state string) {
+	for _, plan := range compiled.Releases {
 		if plan.Service != service {
 			continue
 		}
-		progress := compiled.Progress[name]
+		recorded := progressOf(compiled, plan)
 		switch {
-		case progress == nil && plan.Version == compiled.FallbackOf(service):
+		case recorded != nil:
+			return plan.Version, recorded.State
+		case compiled.Progress[plan.Name] == nil && plan.Version == compiled.FallbackOf(service):
 			return plan.Version, StateDone
-		case progress == nil || progress.PlanID != planIdentity(plan):
-			return plan.Version, StateCanary
 		}
-		return plan.Version, progress.State
+		return plan.Version, StateCanary
 	}
 	return "", ""
 }
 
-// newRolloutFlag is the flag that gives a version so many of a service's calls, in a hundred thousand.
-func newRolloutFlag(compiled *config.Snapshot, service, fallback, version string, weight int) *flag.Flag {
-	key := config.VersionFlagKey(service)
-	rolloutFlag := &flag.Flag{On: true, Salt: service, Variations: []string{fallback}}
-	if current := compiled.Flags.Flags[key]; current != nil {
-		rolloutFlag.Salt = current.Salt
+// planIdentity is the plan that a progress belongs to, config.Progress.PlanID.
+func planIdentity(plan *config.Release) string { return plan.Service + " " + plan.Version }
+
+// progressOf is the recorded progress of a plan; nil if there is none, if it is of another plan that had
+// the same name, or if plan is nil.
+func progressOf(compiled *config.Snapshot, plan *config.Release) *config.Progress {
+	if plan == nil {
+		return nil
 	}
-	if version == fallback {
-		rolloutFlag.Fallthrough.Variation = new(int)
-		return rolloutFlag
+	if recorded := compiled.Progress[plan.Name]; recorded != nil && recorded.PlanID == planIdentity(plan) {
+		return recorded
 	}
-	rolloutFlag.Variations = append(rolloutFlag.Variations, version)
-	rolloutFlag.Fallthrough.Rollout = &flag.Rollout{Variations: []flag.WeightedVariation{{Variation: 1, Weight: weight}, {Variation: 0, Weight: flag.TotalWeight - weight}}}
-	return rolloutFlag
-}
-
-// hasOwnStanding tells whether a service's versions are what stands for it, and not an operator's word.
-func hasOwnStanding(compiled *config.Snapshot, service string) bool {
-	definition, standing := compiled.Services[service], compiled.DiscoveredVersions[service]
-	return definition != nil && standing != nil && slices.Equal(definition.Versions, standing.Versions) && definition.Fallback == standing.Fallback
+	return nil
 }
 
-// newStanding is the fallback version and one more, if it is another.
-func newStanding(fallback, version string) config.DiscoveredVersions {
-	versions := []string{fallback}
-	if version != fallback {
-		versions = append(versions, version)
+// planFor is the plan for a version of a service, nil for none.
+func planFor(compiled *config.Snapshot, service, version string) *config.Release {
+	for _, plan := range compiled.Releases {
+		if plan.Service == service && plan.Version == version {
+			return plan
+		}
 	}
-	return config.DiscoveredVersions{Versions: versions, Fallback: fallback}
+	return nil
 }
-
-// planIdentity is the plan that a progress is of.
-func planIdentity(plan *config.Release) string { return plan.Service + " " + plan.Version }
