--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -146,7 +146,8 @@
 // Reconcile judges every guarded version and advances every plan by one round's observation. The steps
 // are to be written in any order. If some can't be made, the others are returned with the last error;
 // the next round tries again.
-func (c *Controller) Reconcile(now time.Duration, compiled *config.Snapshot, state config.State, observation FleetObservation) ([]Step, error) {
+func (c *Controller) Reconcile(now time.Duration, compiled *config.Snapshot, state config.State,
+	observation FleetObservation) ([]Step, error) {
 	steps := initialVersionSteps(compiled, observation.Workers)
 	observation.Counts = c.withLastCounts(observation.Counts)
 	c.forgetObsolete(compiled)
@@ -247,7 +248,8 @@
 }
 
 // advancePlans makes the next step of every plan that has one.
-func (c *Controller) advancePlans(now time.Duration, compiled *config.Snapshot, state config.State, observation FleetObservation) (steps []Step, lastErr error) {
+func (c *Controller) advancePlans(now time.Duration, compiled *config.Snapshot, state config.State,
+	observation FleetObservation) (steps []Step, lastErr error) {
 	for _, name := range slices.Sorted(maps.Keys(compiled.Releases)) {
 		plan := compiled.Releases[name]
 		advance := c.nextRampStep
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -15,7 +15,8 @@
 const progressWritesPerPlan = 6
 
 // nextDeadlineStep makes the next step of a plan by deadline, nil if none is due.
-func (c *Controller) nextDeadlineStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release, observation FleetObservation) (*Step, error) {
+func (c *Controller) nextDeadlineStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release,
+	observation FleetObservation) (*Step, error) {
 	service := compiled.Services[plan.Service]
 	if service == nil || service.Fallback == "" {
 		return nil, nil
@@ -73,7 +74,8 @@
 
 // recordedDeadlineProgress reads a plan's progress. A registry that started after the plan was stated adds
 // the time since it learned of the last write to the time recorded then.
-func recordedDeadlineProgress(compiled *config.Snapshot, state config.State, plan *config.Release, observation FleetObservation) deadlineRecord {
+func recordedDeadlineProgress(compiled *config.Snapshot, state config.State, plan *config.Release,
+	observation FleetObservation) deadlineRecord {
 	record := deadlineRecord{sequence: plan.Revision, elapsed: observation.KnownFor(plan.Revision)}
 	if recorded := progressOf(compiled, plan); recorded != nil {
 		record.progress = *recorded
@@ -108,7 +110,8 @@
 
 // deadlineStep writes a plan's progress with the flag and the discovered versions that follow from it. It
 // is nil if nothing changed and the progress was written lately.
-func (c *Controller) deadlineStep(plan *config.Release, compiled *config.Snapshot, state config.State, before, after config.Progress) (*Step, error) {
+func (c *Controller) deadlineStep(plan *config.Release, compiled *config.Snapshot, state config.State,
+	before, after config.Progress) (*Step, error) {
 	changed := before.State != after.State || before.Weight != after.Weight || before.Reason != after.Reason
 	if !changed && after.Elapsed-before.Elapsed < int64(plan.Duration)/progressWritesPerPlan {
 		return nil, nil
--- a/internal/release/ramp.go
+++ b/internal/release/ramp.go
@@ -29,7 +29,8 @@
 // NextRampProgress decides the next progress of a plan by ramp: the percentage rises in proportion to the
 // time in which the new version proved no worse. The counts are those since the plan began and those
 // since the last step; elapsed is the time since the last step.
-func (o Options) NextRampProgress(plan *config.Release, before config.Progress, sinceStart, sinceLastStep VersionCounts, elapsed time.Duration) config.Progress {
+func (o Options) NextRampProgress(plan *config.Release, before config.Progress, sinceStart, sinceLastStep VersionCounts,
+	elapsed time.Duration) config.Progress {
 	after := before
 	switch {
 	// A plan rolled back as bad stays so. The operator may resume a plan that the operator rolled back.
--- a/internal/release/ramp_step.go
+++ b/internal/release/ramp_step.go
@@ -7,7 +7,8 @@
 )
 
 // nextRampStep makes the next step of a plan by ramp, nil if none is due or worth a write.
-func (c *Controller) nextRampStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release, observation FleetObservation) (*Step, error) {
+func (c *Controller) nextRampStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release,
+	observation FleetObservation) (*Step, error) {
 	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, compiled.FallbackOf(plan.Service))
 	before := config.Progress{}
 	if recorded := progressOf(compiled, plan); recorded != nil {
@@ -40,7 +41,8 @@
 
 // isRampStepDue reports whether a plan by ramp decides now: after its step interval, or at once when it is
 // new, must be rolled back, or the operator rolls it back or resumes it.
-func (c *Controller) isRampStepDue(now time.Duration, plan *config.Release, tracked *trackedPlan, before config.Progress, stopVerdict string) bool {
+func (c *Controller) isRampStepDue(now time.Duration, plan *config.Release, tracked *trackedPlan, before config.Progress,
+	stopVerdict string) bool {
 	stepInterval := max(plan.Duration/time.Duration(c.options.RampSteps), c.minStepInterval)
 	isRolledBack := before.State == StateRolledBack
 	mustRollBack := stopVerdict != "" && !isRolledBack
--- a/internal/release/rollout_flag.go
+++ b/internal/release/rollout_flag.go
@@ -31,7 +31,8 @@
 
 // flagAndProgressItems are the progress of a plan and the operator's flag edited to follow it, to be
 // written as one change.
-func flagAndProgressItems(plan *config.Release, compiled *config.Snapshot, state config.State, after config.Progress) ([]*schema.Item, error) {
+func flagAndProgressItems(plan *config.Release, compiled *config.Snapshot, state config.State,
+	after config.Progress) ([]*schema.Item, error) {
 	key := config.VersionFlagKey(plan.Service)
 	flagItem := state[config.Key(flagKind, key)]
 	rolloutFlag, service := compiled.Flags.Flags[key], compiled.Services[plan.Service]
--- a/internal/release/rollout_order.go
+++ b/internal/release/rollout_order.go
@@ -29,7 +29,8 @@
 	case service.Fallback == "":
 		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("no version of %q is known yet", order.Service))
 	}
-	if version, planState := RolloutState(compiled, order.Service); version == order.Version && planState != "" && planState != StateRolledBack {
+	version, planState := RolloutState(compiled, order.Service)
+	if version == order.Version && planState != "" && planState != StateRolledBack {
 		return nil, nil
 	}
 	discovered := usesDiscoveredVersions(compiled, order.Service)
