--- a/internal/registry/steer.go
+++ b/internal/registry/steer.go
@@ -165,7 +165,7 @@
 	}
 	s.rollout.stepsInFlight[key] = true
 	if step.Message != "" {
-		s.log.Info("release step", "plan", step.Name, "says", step.Message)
+		s.log.Info(step.Message, append([]any{"step", step.Name}, step.LogFields...)...)
 	}
 	change := step.Change(s.initialOptions.Seat, s.incarnation, serial, state)
 	go func() {
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -1,7 +1,6 @@
 package release
 
 import (
-	"fmt"
 	"time"
 
 	"meadowhinge/internal/config"
@@ -119,8 +118,15 @@
 	after = c.stamp(plan, before, after)
 	step := &Step{Name: plan.Name, Urgent: after.State == StateRolledBack}
 	if changed {
-		step.Message = fmt.Sprintf("%s of %s: %s at %g %%, %v after it was stated: %s", plan.Version, plan.Service, after.State, after.Percentage,
-			time.Duration(after.Elapsed).Round(time.Millisecond), after.Reason)
+		step.Message = "rollout step"
+		step.LogFields = []any{
+			"service", plan.Service,
+			"version", plan.Version,
+			"state", after.State,
+			"percent", after.Percentage,
+			"elapsed", time.Duration(after.Elapsed).Round(time.Millisecond),
+			"reason", after.Reason,
+		}
 	}
 	if !changed || after.State == StateDone {
 		return step, step.put(progressKind, plan.Name, after)
--- a/internal/release/discovered_versions.go
+++ b/internal/release/discovered_versions.go
@@ -37,8 +37,9 @@
 
 func initialVersionStep(compiled *config.Snapshot, service, version string) Step {
 	step := Step{
-		Name:    "standing-" + service,
-		Message: service + " has version " + version + " by what its workers tell",
+		Name:      "standing-" + service,
+		Message:   "fallback version taken from worker registrations",
+		LogFields: []any{"service", service, "version", version},
 	}
 	flagKey := config.VersionFlagKey(service)
 	// Both bodies hold strings and integers alone, which can always be encoded.
--- a/internal/release/step.go
+++ b/internal/release/step.go
@@ -24,9 +24,12 @@
 
 // Step is a set of items to be written to the configuration as one change.
 type Step struct {
-	Name    string         // of the plan, or of what else the step is about; part of the change's id
-	Items   []*schema.Item // without versions: the store assigns them
-	Message string         // for the log; empty for a step that is not worth a line
+	Name  string         // of the plan, or of what else the step is about; part of the change's id
+	Items []*schema.Item // without versions: the store assigns them
+	// Message and LogFields are the step's log line, the fields as alternating keys and values. The message
+	// is empty for a step that is not worth a line.
+	Message   string
+	LogFields []any
 	// Urgent steps roll a version back. They do not wait for other steps in flight.
 	Urgent bool
 }
