--- a/internal/release/deadline.go
+++ b/internal/release/deadline.go
@@ -154,18 +154,18 @@
 }
 
 // nextPercentage raises the percentage after the canary state, first to the intermediate one, because more
-// calls soon show what the canary could not. It goes back there if the evidence is in doubt. The order
+// calls soon show what the canary could not. It goes back there if the evidence is uncertain. The order
 // of the cases decides.
 func (d deadlineDecision) nextPercentage() *planMove {
 	intermediate := min(intermediatePercent, d.plan.Target)
-	inDoubt := d.inputs.EvidenceStrength > maxEvidenceToProceed
+	isUncertain := d.inputs.EvidenceStrength > maxEvidenceToProceed
 	atTarget := d.before.Percentage >= d.plan.Target
 	switch {
 	case d.before.Percentage < intermediate:
 		return &planMove{StateRamping, reasonMoreCalls, intermediate}
-	case inDoubt && d.before.Percentage > intermediate:
+	case isUncertain && d.before.Percentage > intermediate:
 		return &planMove{StateRamping, reasonFewerCalls, intermediate}
-	case inDoubt, d.inputs.HealthLogOdds < minHealthLogOdds:
+	case isUncertain, d.inputs.HealthLogOdds < minHealthLogOdds:
 		return nil
 	case d.timeInState < d.inputs.MinStepInterval:
 		return nil
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -64,7 +64,7 @@
 	return c.deadlineStep(plan, compiled, state, before, c.options.NextDeadlineProgress(plan, before, inputs))
 }
 
-// deadlineRecord is where a plan by deadline stands.
+// deadlineRecord is what is recorded of a plan by deadline.
 type deadlineRecord struct {
 	progress config.Progress // zero if none is recorded
 	sequence uint64          // of the plan's last step, or of the plan if it made none
--- a/internal/release/deadline_step_test.go
+++ b/internal/release/deadline_step_test.go
@@ -77,7 +77,7 @@
 // calls, gets no more than its bound and does not replace the fallback.
 func TestBadUnderLoadKeepsTheBound(t *testing.T) {
 	if final, calls, maxCalls := runFailingUnderLoad(t, 5); final.State != StateRolledBack || calls > maxCalls {
-		t.Errorf("the plan stands at %v after %d calls, of which %d are allowed", final, calls, maxCalls)
+		t.Errorf("the plan ended at %v after %d calls, of which %d are allowed", final, calls, maxCalls)
 	}
 }
 
@@ -85,7 +85,7 @@
 // are full.
 func TestBadOnFullWorkersKeepsTheBound(t *testing.T) {
 	if final, calls, maxCalls := runFailingUnderLoad(t, 12); final.State != StateRolledBack || calls > maxCalls {
-		t.Errorf("the plan stands at %v after %d calls, of which %d are allowed", final, calls, maxCalls)
+		t.Errorf("the plan ended at %v after %d calls, of which %d are allowed", final, calls, maxCalls)
 	}
 }
 
@@ -103,7 +103,7 @@
 		h.reconcile()
 	}
 	if h.progress().State != StateDraining {
-		t.Errorf("%s with calls under way", h.progress().State)
+		t.Errorf("%s with calls in flight", h.progress().State)
 	}
 	h.recordCalls("1", 0, 0, 0, 0)
 	h.appliedRevision = 1
