--- a/internal/release/options.go
+++ b/internal/release/options.go
@@ -6,7 +6,7 @@
 	CanaryPercent float64 // percent of calls that a version gets until it is known
 	MinCalls      uint64  // calls of the new version on a route from which it is known there
 
-	FailureThreshold    uint64  // failures of the new version below which the rollback guard does not act
+	FailureThreshold    uint64  // failures of the new version below which IsFailing does not judge their rate
 	FailureRateMargin   float64 // failure rate allowed above the multiple of the old version's
 	FailureRateMultiple float64 // allowed multiple of the old version's failure rate
 	MinStandardErrors   float64 // standard errors by which the failure rates must differ, to exclude chance
--- a/internal/release/rollback_guard.go
+++ b/internal/release/rollback_guard.go
@@ -86,7 +86,8 @@
 }
 
 // Recovered reports whether proxies that stopped using the version on their own may use it again: nearly
-// the whole fleet reported, and the version did not fail of late, not even so little that it may be chance.
+// the whole fleet reported, and in the window the version's failures are below the threshold or its rate is
+// within the old version's bounds. Unlike IsFailing, it makes no allowance for chance.
 func (g *RollbackGuard) Recovered(options Options, reportingFraction float64) bool {
 	if reportingFraction < recoveryMinFraction || len(g.recentSamples) == 0 {
 		return false
--- a/internal/release/step.go
+++ b/internal/release/step.go
@@ -16,7 +16,7 @@
 	progressKind = "progress"
 	stopKind     = "stop"
 	// discoveredVersionsKind names the items that say which versions a service has whose configuration
-	// leaves them out. This package writes them, from worker registrations and from finished plans.
+	// leaves them out. This package writes them, from worker registrations, orders and plans.
 	discoveredVersionsKind = "standing"
 
 	changeIDPrefix = "steer-"
