--- a/internal/proxy/caller_codec.go
+++ b/internal/proxy/caller_codec.go
@@ -9,24 +9,24 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// CallerCodec is how callers and the proxy beside them make themselves understood over HTTP:
-// it reads and writes what is said beside the request itself, and decides nothing.
+// CallerCodec is the dialect of HTTP between callers and their proxy: it reads and writes what accompanies a
+// request and its response, and decides nothing. Several goroutines call it at the same time.
 type CallerCodec interface {
-	// ReadRequest reads what a request asks for beside its method, target, headers and body; an error
-	// is a request that cannot be understood, and refuses it.
-	ReadRequest(head *RequestHeader, taken *dispatch.Call) error
-	// AddMetadata says what there is to say beside the worker's answer, or beside a refusal.
-	AddMetadata(ended *dispatch.CallResult, reply *Response)
-	// WriteError gives the final answer to a request that no worker answered: why, what became of
-	// it (an outcome's name), and after which time to ask again, 0 for no word of that. Of a
-	// request that could not be read, the head holds what there is.
-	WriteError(head *RequestHeader, err error, ran string, wait time.Duration, reply *Response)
+	// ReadRequest reads from the header what the request asks for beside its method, target, fields and body, into
+	// call. An error rejects the request as one that cannot be understood.
+	ReadRequest(header *RequestHeader, call *dispatch.Call) error
+	// AddMetadata adds what the proxy has to say to a worker's response or to a rejection.
+	AddMetadata(result *dispatch.CallResult, response *Response)
+	// WriteError fills the final response to a request that no worker answered. outcome is the name of the call's
+	// outcome; retryAfter is the time after which the caller may try again, 0 if it says nothing of that. If
+	// the request could not be read, header holds the part that was.
+	WriteError(header *RequestHeader, err error, outcome string, retryAfter time.Duration, response *Response)
 }
 
-// nativeCallerCodec is our own interface: refusals in JSON, and what was decided in headers.
+// nativeCallerCodec is the mesh's own dialect: errors as JSON, and the decision in header fields.
 type nativeCallerCodec struct{}
 
-// ReadRequest reads the idempotency key and the caller's own deadline.
+// ReadRequest reads the idempotency key and the caller's deadline (in milliseconds).
 func (nativeCallerCodec) ReadRequest(header *RequestHeader, call *dispatch.Call) error {
 	call.Request.IdempotencyKey, call.Request.HasIdempotencyKey = header.Get("Idempotency-Key")
 	text, _ := header.Get(dispatch.HeaderDeadline)
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// AddMetadata tells the request's id and how it was decided.
+// AddMetadata adds the request's id, its outcome, and how the call was decided.
 func (nativeCallerCodec) AddMetadata(result *dispatch.CallResult, response *Response) {
 	response.AddHeader(dispatch.HeaderRequest, result.ID)
 	if result.Response != nil {
@@ -50,15 +50,19 @@
 	}
 }
 
-// WriteError answers in JSON.
+// WriteError answers with a JSON object.
 func (nativeCallerCodec) WriteError(_ *RequestHeader, err error, outcome string, retryAfter time.Duration, response *Response) {
 	status, errorResponse := daemon.NewErrorResponse(err, outcome, nil)
 	response.Status = status
-	response.Body, _ = json.Marshal(errorResponse)
+	response.Body, _ = json.Marshal(errorResponse) // plain strings and numbers: it cannot fail
 	response.AddHeader("Content-Type", "application/json")
 	if retryAfter > 0 {
-		// The header counts in whole seconds, and coming back too early helps nobody.
-		seconds := max(1, int64((retryAfter+time.Second-1)/time.Second))
-		response.AddHeader("Retry-After", strconv.FormatInt(seconds, 10))
+		response.AddHeader("Retry-After", strconv.FormatInt(max(1, ceilSeconds(retryAfter)), 10))
 	}
 }
+
+// ceilSeconds rounds a duration up to whole seconds, the unit of Retry-After: a caller that comes back too early is
+// only rejected again.
+func ceilSeconds(duration time.Duration) int64 {
+	return int64((duration + time.Second - 1) / time.Second)
+}
--- a/internal/proxy/caller_listener.go
+++ b/internal/proxy/caller_listener.go
@@ -13,62 +13,84 @@
 	"meadowhinge/internal/socket"
 )
 
-// requestLimits are what a caller may send, and how long it may take.
+// requestLimits are the limits of one request, from the configuration in use.
 type requestLimits struct {
-	headerBytes   int           // bytes of a head
+	headerBytes   int           // bytes of the request line, and bytes of the header lines after it
 	bodyBytes     int           // bytes of a body
-	headerTimeout time.Duration // from the first byte of a head to its last
-	idleTimeout   time.Duration // without a byte, between requests or within one
+	headerTimeout time.Duration // from the first byte of a header to its last
+	idleTimeout   time.Duration // without a byte, between requests or within a body
 }
 
-// callerListener takes requests from callers at one listener. A library's server would not do: the
-// bounds change with the setup, a request that could be read in two ways is to be refused and
-// not repaired, target and headers go on as they came, and new connections are taken for as
-// long as this process lives.
+// callerListener is the entry point of one caller: it accepts connections and serves the requests on them.
+//
+// A library's server does not fit: the limits change with the configuration, a request that two readers could
+// understand differently is rejected and not repaired, target and headers are forwarded as they came, and
+// new connections are accepted until the process ends.
 type callerListener struct {
 	listener       net.Listener
-	limits         func() requestLimits
-	maxConnections int // connections at once
-	// draining tells callers to take their connections back with the next answer.
+	limits         func() requestLimits // called for each request
+	maxConnections int                  // open at the same time
+	// draining is set during a graceful shutdown: each response then ends its connection.
 	draining *atomic.Bool
-	// onWritten hears how many bytes of answers were written; may be nil.
+	// onWritten observes the bytes of each response to a caller on another machine; may be nil.
 	onWritten func(bytes int)
-	// disconnects counts callers that leave while a call of theirs is under way.
+	// disconnects counts callers that disconnect while a call of theirs is under way.
 	disconnects *dispatch.Disconnects
-	// handle carries a request out; its context ends when the caller leaves.
-	handle     func(ctx context.Context, head *RequestHeader, body []byte, came time.Time, reply *Response)
-	writeError func(head *RequestHeader, err error, reply *Response)
-	// largeBodyCapacity is how many bytes of large bodies may be held at once; taken is how many are.
+	// handle serves a request and fills the response; ctx ends when the caller disconnects.
+	handle func(ctx context.Context, header *RequestHeader, body []byte, receivedAt time.Time, response *Response)
+	// writeError fills the response to a request that could not be read.
+	writeError func(header *RequestHeader, err error, response *Response)
+	// largeBodyCapacity bounds largeBodyBytes, the bytes of all large bodies in memory.
 	largeBodyCapacity int64
 	largeBodyBytes    atomic.Int64
 
-	lock        sync.Mutex
-	connections map[*connection]struct{}
-	closed      bool
-	allClosed   chan struct{} // closed when the last connection has ended after the end
+	lock        sync.Mutex               // guards connections, closed and the closing of allClosed
+	connections map[*connection]struct{} // open ones
+	closed      bool                     // set by shutDown
+	allClosed   chan struct{}            // closed when the last connection has ended after shutDown
 }
 
-// Sizes in bytes, and ratios.
+// Sizes in bytes, and factors.
 const (
-	initialBufferSize      = 4 << 10  // of a connection's buffer; it grows with heads that need more
-	smallBodyBytes         = 64 << 10 // of a body before more of it has come; a larger one is counted
-	bodyGrowthFactor       = 4        // times which room for a body grows as more of it comes
-	maxCombinedWriteBytes  = 16 << 10 // bodies up to this are written together with their head
-	maxChunkLineBytes      = 256      // of a chunk's size line
-	lingerDiscardFactor    = 16       // times the bound, of a body that is read and dropped after a refusal
-	deadlineRefreshDivisor = 4        // a deadline is moved once this part of it has passed
+	initialBufferSize      = 4 << 10  // of a connection's buffer; it grows for larger headers
+	smallBodyBytes         = 64 << 10 // a larger body counts against largeBodyCapacity; also the first allocation for a body
+	bodyGrowthFactor       = 4        // by which the memory of a body grows while its bytes arrive
+	maxCombinedWriteBytes  = 16 << 10 // a body up to this size is written together with its header
+	maxChunkLineBytes      = 256      // of the line with a chunk's size
+	deadlineRefreshDivisor = 4        // a connection's deadline is moved only after this part of the timeout has passed
+
+	// rejectedBodyDiscardFactor is how many times the body limit is read and dropped after a body was rejected
+	// as too large: a connection that is closed with unread bytes is reset, and the caller never sees the response.
+	rejectedBodyDiscardFactor = 16
 )
 
+// acceptRetryDelay is the pause after a failed accept.
+const acceptRetryDelay = 10 * time.Millisecond
+
+// pastDeadline is a deadline that has passed: a read that waits under it returns at once.
+var pastDeadline = time.Unix(1, 0)
+
+// newCallerListener makes an entry point on listener. The caller of this function sets handle and writeError
+// before it starts acceptLoop; largeBodyCapacity is in bytes.
 func newCallerListener(listener net.Listener, maxConnections int, largeBodyCapacity int64, draining *atomic.Bool, limits func() requestLimits) *callerListener {
-	return &callerListener{listener: listener, limits: limits, maxConnections: maxConnections, largeBodyCapacity: largeBodyCapacity, draining: draining, connections: map[*connection]struct{}{}, allClosed: make(chan struct{}), disconnects: &dispatch.Disconnects{}}
+	return &callerListener{
+		listener:          listener,
+		limits:            limits,
+		maxConnections:    maxConnections,
+		largeBodyCapacity: largeBodyCapacity,
+		draining:          draining,
+		connections:       map[*connection]struct{}{},
+		allClosed:         make(chan struct{}),
+		disconnects:       &dispatch.Disconnects{},
+	}
 }
 
-// acceptLoop takes connections until the listener is closed.
+// acceptLoop accepts connections until the listener is closed.
 func (l *callerListener) acceptLoop() {
 	for {
 		conn, err := l.listener.Accept()
 		if err != nil {
-			// Descriptors may run out for a moment; only a closed listener takes no more for good.
+			// File descriptors may run out for a moment; only a closed listener never accepts again.
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
@@ -76,22 +98,30 @@
 			continue
 		}
 		accepted := &connection{listener: l, conn: socket.Wrap(conn)}
-		l.lock.Lock()
-		admitted := !l.closed && (len(l.connections) < l.maxConnections || l.closeLongestIdle())
-		if admitted {
-			l.connections[accepted] = struct{}{}
-		}
-		l.lock.Unlock()
-		if !admitted {
-			conn.Close()
+		if !l.admit(accepted) {
+			_ = conn.Close() // nothing was sent on it
 			continue
 		}
 		go accepted.serve()
 	}
 }
 
-// closeLongestIdle ends the connection that has been quiet the longest, for callers that were refused come
-// back on a new one and keep the old; the caller holds the lock. It tells whether any was quiet.
+// admit adds a connection if there is room for it or an idle connection can be closed in its place.
+func (l *callerListener) admit(accepted *connection) bool {
+	l.lock.Lock()
+	defer l.lock.Unlock()
+	admitted := !l.closed && (len(l.connections) < l.maxConnections || l.closeLongestIdle())
+	if admitted {
+		l.connections[accepted] = struct{}{}
+	}
+	return admitted
+}
+
+// closeLongestIdle closes the connection that has been idle the longest, and reports whether there was one:
+// callers that were rejected come back on new connections and keep the old ones open. The caller holds l.lock.
+//
+// Setting idleSince from its time to 0 claims the connection: its own goroutine does the same when a request
+// arrives, so exactly one of the two wins.
 func (l *callerListener) closeLongestIdle() bool {
 	var oldest *connection
 	oldestIdleSince := int64(0)
@@ -103,17 +133,14 @@
 	if oldest == nil || !oldest.idleSince.CompareAndSwap(oldestIdleSince, 0) {
 		return false
 	}
-	_ = oldest.conn.SetReadDeadline(time.Unix(1, 0))
+	_ = oldest.conn.SetReadDeadline(pastDeadline) // fails only on a connection that has ended by itself
 	return true
 }
 
-// acceptRetryDelay is how long a listener rests that could not take a connection.
-const acceptRetryDelay = 10 * time.Millisecond
-
-// shutDown takes no more connections and waits, as long as until, for the connections that are at a
-// request; what is idle is closed. It tells whether all came to their end.
+// shutDown stops accepting, closes idle connections and waits for the others to finish their request, until
+// deadline is closed; then it closes these too. It reports whether all connections finished in time.
 func (l *callerListener) shutDown(deadline <-chan struct{}) bool {
-	l.listener.Close()
+	_ = l.listener.Close() // the listener is not used again
 	l.lock.Lock()
 	l.closed = true
 	if len(l.connections) == 0 {
@@ -122,7 +149,7 @@
 	}
 	for remaining := range l.connections {
 		if remaining.idleSince.Load() != 0 {
-			_ = remaining.conn.SetReadDeadline(time.Unix(1, 0))
+			_ = remaining.conn.SetReadDeadline(pastDeadline) // fails only on a connection that has ended by itself
 		}
 	}
 	l.lock.Unlock()
@@ -134,17 +161,19 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	for remaining := range l.connections {
-		remaining.conn.Close()
+		_ = remaining.conn.Close() // the caller sees its call cut short
 	}
 	return false
 }
 
+// isClosed reports whether shutDown has begun.
 func (l *callerListener) isClosed() bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	return l.closed
 }
 
+// removeConnection forgets a connection that has ended.
 func (l *callerListener) removeConnection(finished *connection) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- /dev/null
+++ b/internal/proxy/calls.go
@@ -0,0 +1,133 @@
+package proxy
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/plan"
+	"meadowhinge/schema"
+)
+
+// notExecuted is the outcome's name of a request that was rejected before anything was sent to a worker.
+var notExecuted = dispatch.OutcomeName(schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED)
+
+// openCallerListeners opens the entry points of all callers, addresses by caller.
+func (s *Server) openCallerListeners(callers map[string]string) ([]*callerListener, error) {
+	var listeners []*callerListener
+	for caller, address := range callers {
+		opened, err := s.openCallerListener(caller, address)
+		if err != nil {
+			return nil, err
+		}
+		listeners = append(listeners, opened)
+	}
+	return listeners, nil
+}
+
+// openCallerListener opens the entry point of one caller. The listener, never a header, identifies the caller.
+func (s *Server) openCallerListener(caller, address string) (*callerListener, error) {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		return nil, errs.Wrap(err, errs.InvalidOptions, address)
+	}
+	opened := newCallerListener(listener, int(s.initialOptions.CallersMost), s.initialOptions.BodyMost, s.draining, s.requestLimits)
+	opened.onWritten = s.uplink.RecordWrite
+	opened.disconnects = &s.disconnects
+	opened.writeError = func(header *RequestHeader, err error, response *Response) {
+		s.writeError(header, err, notExecuted, response)
+	}
+	opened.handle = func(ctx context.Context, header *RequestHeader, body []byte, receivedAt time.Time, response *Response) {
+		s.serveCall(ctx, caller, header, body, receivedAt, response)
+	}
+	go opened.acceptLoop()
+	return opened, nil
+}
+
+// requestLimits are the limits of a request by the configuration in use.
+func (s *Server) requestLimits() requestLimits {
+	configured := &s.view().Config.Limits
+	return requestLimits{
+		headerBytes:   configured.MaxHeaderBytes,
+		bodyBytes:     int(min(configured.MaxBodyBytes, s.initialOptions.BodyMost)),
+		headerTimeout: configured.HeaderTimeout,
+		idleTimeout:   configured.IdleTimeout,
+	}
+}
+
+// serveCall serves one call on its connection's goroutine. ctx ends when the caller disconnects; receivedAt is when
+// the first byte of the request was seen.
+func (s *Server) serveCall(ctx context.Context, caller string, header *RequestHeader, body []byte, receivedAt time.Time, response *Response) {
+	call, err := s.newCall(caller, header, body)
+	if err != nil {
+		s.writeError(header, err, notExecuted, response)
+		return
+	}
+	s.boundCallerDeadline(call, receivedAt)
+	s.recordArrival()
+	defer s.callsInFlight.Add(-1)
+	if s.callsInFlight.Add(1) > s.currentOptions().Buffer {
+		s.writeError(header, errs.New(errs.QueueFull, "too many calls in flight"), notExecuted, response)
+		return
+	}
+	s.writeResult(header, s.forwarder.Forward(ctx, call), response)
+}
+
+// boundCallerDeadline shortens the time that the caller gives by the time that reading the request took, and by the
+// shutdown of this proxy. 0 stands for a caller that gives none, before and after it.
+func (s *Server) boundCallerDeadline(call *dispatch.Call, receivedAt time.Time) {
+	requested := call.Request.CallerDeadline
+	if requested > 0 {
+		requested = max(1, requested-time.Since(receivedAt))
+	}
+	shutdownDeadline := time.Duration(s.shutdownDeadline.Load())
+	call.Request.CallerDeadline = boundDeadline(requested, shutdownDeadline, s.now(), time.Duration(s.initialOptions.Drain))
+}
+
+// newCall makes a call of a request. An error means that the caller's codec cannot understand the request.
+func (s *Server) newCall(caller string, header *RequestHeader, body []byte) (*dispatch.Call, error) {
+	call := &dispatch.Call{Target: header.Target, Body: body}
+	header.selectForwarded(func(name string) bool { return s.extensions.workerCodec.PassesHeader([]byte(name), false) })
+	for _, field := range header.forwarded {
+		call.HeaderBlock = dispatch.AppendField(call.HeaderBlock, field.Name, field.Value)
+	}
+	call.Request = plan.Request{
+		Caller: caller,
+		Method: header.Method,
+		Path:   header.Path,
+		Host:   header.Host,
+		Header: header.forwardedValue,
+	}
+	if err := s.extensions.callerCodec.ReadRequest(header, call); err != nil {
+		return nil, err
+	}
+	return call, nil
+}
+
+// writeResult fills the response with a call's result.
+func (s *Server) writeResult(header *RequestHeader, result *dispatch.CallResult, response *Response) {
+	if result.Err != nil {
+		outcome := notExecuted
+		if result.Response != nil {
+			outcome = dispatch.OutcomeName(result.Response.Outcome)
+		}
+		retryAfter := s.retryAfter(result.Err)
+		// A proxy that rejected the call for lack of room estimated itself when there is room again.
+		if overloadRetryAfter := time.Duration(result.Response.GetRetryAfterNanos()); overloadRetryAfter > 0 {
+			retryAfter = overloadRetryAfter
+		}
+		s.extensions.callerCodec.WriteError(header, result.Err, outcome, retryAfter, response)
+	} else {
+		response.Status, response.Body = int(result.Response.Status), result.Response.Body
+		response.headerBlock = append(response.headerBlock, result.Response.HeaderBlock...)
+	}
+	s.extensions.callerCodec.AddMetadata(result, response)
+}
+
+// writeError fills the final response to a request that did not become a call, with the time to retry after if a
+// retry makes sense.
+func (s *Server) writeError(header *RequestHeader, err error, outcome string, response *Response) {
+	s.extensions.callerCodec.WriteError(header, err, outcome, s.retryAfter(err), response)
+}
--- a/internal/proxy/disconnect_watch.go
+++ b/internal/proxy/disconnect_watch.go
@@ -1,38 +1,38 @@
 package proxy
 
 import (
-	"errors"
 	"io"
 	"os"
 	"syscall"
 	"time"
 
+	"github.com/pkg/errors"
 	"golang.org/x/sys/unix"
 )
 
-// While a call is carried out, its connection is read on by a goroutine of its own, so that the end
-// of the connection is found when it comes and not with the answer. That read is the same one that
-// would wait for the next request: at rest a watched connection costs no system call more.
+// While a call is under way a goroutine of its own reads the caller's connection, so that a disconnect is detected
+// when it happens and not when the response is written. It is the same read that otherwise waits for the next
+// request: a watched connection costs no additional system call while nothing happens.
 //
-// What a read can find:
-//   - bytes: the next request, so the caller is there; the watch ends;
-//   - a reset: the caller has left;
-//   - the end of the stream: the caller has closed the connection, or only its sending side and
-//     still reads. The two look alike until something is sent, so an interim answer is: a closed
-//     connection resets on it, an open one ignores it (RFC 9110, section 15.2).
-
-// continueResponse is sent to find out whether a caller that sends nothing more still reads. 100 is the one
-// interim status that every client of HTTP/1.1 passes over.
+// What the read can find:
+//   - bytes: they belong to the next request, so the caller is there; the watch ends;
+//   - a reset: the caller has disconnected;
+//   - the end of the stream: the caller has closed the connection, or only its sending side and still reads. The
+//     two look alike until something is sent, so the watch sends an interim response: a closed connection answers
+//     it with a reset, an open one ignores it (RFC 9110, section 15.2).
+
+// continueResponse asks for the body of a request that expects it, and probes whether a caller that sends nothing
+// more still reads. 100 is the one interim status that every client of HTTP/1.1 passes over.
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// watchResult is what the read of a watch came to.
+// watchResult is the result of the watch's read.
 type watchResult struct {
 	count int
 	err   error
 }
 
-// startWatch begins to watch the connection. Where bytes of a next request have come already there is
-// no need: its caller waits for that one.
+// startWatch starts to watch the connection. It is not needed if bytes of a next request have arrived already: their
+// caller waits for the response to it.
 func (c *connection) startWatch() {
 	if c.bufferStart < c.bufferEnd {
 		return
@@ -43,11 +43,11 @@
 	go c.watchInput(c.buffer, c.header.http10)
 }
 
-// watchInput reads into the connection's empty buffer until something comes, or the connection ends.
+// watchInput reads into the connection's empty buffer until something arrives or the connection ends.
 func (c *connection) watchInput(buffer []byte, http10 bool) {
 	for {
 		count, err := c.conn.Read(buffer)
-		// The deadline was for requests; a call may take longer.
+		// The deadline was meant for reading requests; a call may take longer.
 		if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendReadDeadline() {
 			continue
 		}
@@ -59,20 +59,21 @@
 	}
 }
 
-// extendReadDeadline moves the deadline for reading while a call is under way; false once it is answered.
+// extendReadDeadline moves the read deadline while a call is under way; false once its response has started.
 func (c *connection) extendReadDeadline() bool {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
 	if c.responseStarted {
 		return false
 	}
+	// A connection that has ended fails at the next read.
 	_ = c.conn.SetReadDeadline(time.Now().Add(c.listener.limits().idleTimeout))
 	c.deadlineExtended = true
 	return true
 }
 
-// handleInputEnd finds out what the end of a connection means for the call under way. Callers of HTTP/1.0 know
-// no interim answers, and hardly one of them closes one side only.
+// handleInputEnd finds out what the end of the input means for the call under way. Callers of HTTP/1.0 do not know
+// interim responses, and hardly any of them closes only its sending side.
 func (c *connection) handleInputEnd(err error, http10 bool) {
 	if errors.Is(err, io.EOF) && !http10 {
 		c.inputClosed.Store(true)
@@ -80,11 +81,11 @@
 			return
 		}
 	}
-	c.markDisconnected()
+	c.cancelDisconnected()
 }
 
-// markDisconnected ends the call under way, for its caller is gone; unless it has been answered.
-func (c *connection) markDisconnected() {
+// cancelDisconnected cancels the call under way because its caller has disconnected, unless its response has started.
+func (c *connection) cancelDisconnected() {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
 	if !c.responseStarted {
@@ -94,8 +95,8 @@
 	}
 }
 
-// callerStillReads tells whether a caller that sends nothing more still reads: it is sent an interim answer, and
-// did not reset the connection on it by the time that its call is answered.
+// callerStillReads reports whether a caller that sends nothing more still reads: it is sent an interim response and
+// has not reset the connection by the time its call is answered.
 func (c *connection) callerStillReads() bool {
 	sent, err := c.sendContinue()
 	if err != nil {
@@ -104,7 +105,7 @@
 	return !sent || !c.awaitReset()
 }
 
-// sendContinue sends the interim answer, unless the final one is on its way.
+// sendContinue sends the interim response, unless the final one has started.
 func (c *connection) sendContinue() (sent bool, err error) {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
@@ -116,7 +117,8 @@
 	return true, err
 }
 
-// awaitReset waits until the other side resets the connection; false if this side ends it before.
+// awaitReset waits until the caller resets the connection; false if the response starts first, or if the connection
+// is not a socket.
 func (c *connection) awaitReset() bool {
 	syscallConn, supported := c.conn.(syscall.Conn)
 	if !supported {
@@ -138,20 +140,20 @@
 	}
 }
 
-// hasSocketError tells whether a socket's connection has failed.
+// hasSocketError reports whether a socket's connection has failed.
 func hasSocketError(descriptor uintptr) bool {
 	socketError, err := unix.GetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_ERROR)
 	return err == nil && socketError != 0
 }
 
-// awaitWatchResult gives what the watch came to.
+// awaitWatchResult waits for the watch's read to end and takes the buffer back from it.
 func (c *connection) awaitWatchResult() (int, error) {
 	result := <-c.watchResults
 	c.watching = false
 	return result.count, result.err
 }
 
-// beginResponse ends the watch's right to write and to move the deadline.
+// beginResponse ends the watch's right to write and to move the read deadline.
 func (c *connection) beginResponse() {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -95,3 +95,8 @@
 	}
 	return queued
 }
+
+// HeaderValue returns the first field of a name in the response.
+func (r *Response) HeaderValue(name string) string {
+	return dispatch.FieldOf(r.headerBlock, name)
+}
--- a/internal/proxy/mesh_state.go
+++ b/internal/proxy/mesh_state.go
@@ -1,5 +1,3 @@
-// Package proxy is the node beside callers and workers: it decides each call by the flags
-// and carries it out.
 package proxy
 
 import (
--- a/internal/proxy/request_body.go
+++ b/internal/proxy/request_body.go
@@ -12,7 +12,7 @@
 	"meadowhinge/internal/errs"
 )
 
-// bufferBody reads the body that the head tells of.
+// readBody reads the body that the header announces.
 func (c *connection) readBody(limits requestLimits) ([]byte, error) {
 	switch {
 	case c.header.contentLength > int64(limits.bodyBytes):
@@ -20,7 +20,7 @@
 	case c.header.contentLength == 0 && !c.header.chunked:
 		return nil, nil
 	case c.header.expectsContinue && c.bufferStart == c.bufferEnd:
-		if _, err := io.WriteString(c.conn, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+		if _, err := io.WriteString(c.conn, continueResponse); err != nil {
 			return nil, io.ErrUnexpectedEOF
 		}
 	}
@@ -30,7 +30,8 @@
 	return c.appendBody(nil, int(c.header.contentLength), limits)
 }
 
-// appendBody appends so many bytes of the body; room is made as they come, not as they are promised.
+// appendBody appends the next count bytes of the request to body. Memory grows as bytes arrive, not as they are
+// announced.
 func (c *connection) appendBody(body []byte, count int, limits requestLimits) ([]byte, error) {
 	buffered := min(count, c.bufferEnd-c.bufferStart)
 	if err := c.reserveBody(int64(len(body) + count)); err != nil {
@@ -58,8 +59,8 @@
 	return body, nil
 }
 
-// reserveBody counts a large body against the room that all share; where there is none it is refused,
-// for what a process may take of memory is bounded, and over the bound all its calls end.
+// reserveBody counts a large body of size bytes against the capacity that all connections of the listener share,
+// and rejects it if there is no room: a process that exceeds its memory limit loses all its calls.
 func (c *connection) reserveBody(size int64) error {
 	if size <= smallBodyBytes {
 		return nil
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// releaseBody makes the room free that a body took.
+// releaseBody gives back what reserveBody counted.
 func (c *connection) releaseBody() {
 	if c.reservedBytes > 0 {
 		c.listener.largeBodyBytes.Add(-c.reservedBytes)
@@ -81,6 +82,8 @@
 	}
 }
 
+// bodyReadError is the error of a request whose body could not be read: a timeout is answered, a caller that
+// ended the connection is not.
 func bodyReadError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return errs.Wrap(err, errs.RequestTimeout, "body")
@@ -88,63 +91,79 @@
 	return io.ErrUnexpectedEOF
 }
 
-// readChunkLine reads a line within a chunked body, without its end.
-func (c *connection) readChunkLine(maxBytes int, limits requestLimits) ([]byte, error) {
-	for searched := 0; ; {
-		if lineFeed := bytes.IndexByte(c.buffer[c.bufferStart+searched:c.bufferEnd], '\n'); lineFeed >= 0 {
-			line := c.buffer[c.bufferStart : c.bufferStart+searched+lineFeed]
-			c.bufferStart += len(line) + 1
-			if len(line) == 0 || line[len(line)-1] != '\r' {
-				return nil, malformed("a bare line end")
-			}
-			return line[:len(line)-1], nil
-		}
-		if searched = c.bufferEnd - c.bufferStart; searched > maxBytes {
-			return nil, malformed("a long line between chunks")
-		}
-		c.growBuffer(maxBytes)
-		c.setReadTimeout(time.Now(), limits.idleTimeout)
-		if err := c.fillBuffer(); err != nil {
-			return nil, bodyReadError(err)
-		}
-	}
-}
-
-// readChunkedBody reads a chunked body; what follows its last chunk is dropped.
+// readChunkedBody reads a chunked body; its trailer is dropped.
 func (c *connection) readChunkedBody(limits requestLimits) ([]byte, error) {
 	body := []byte{}
 	for {
-		line, err := c.readChunkLine(maxChunkLineBytes, limits)
+		size, err := c.readChunkSize(limits)
 		if err != nil {
 			return nil, err
 		}
-		size, extension, _ := bytes.Cut(line, []byte(";"))
-		count, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 62)
-		if err != nil || len(size) == 0 || !isHexDigit(size[0]) || !isPrintable(string(extension), ' ') {
-			return nil, malformed("a chunk's size")
-		}
-		if count > uint64(limits.bodyBytes-len(body)) {
+		if size > uint64(limits.bodyBytes-len(body)) {
 			return nil, errs.New(errs.BodyTooLarge, "more than "+strconv.Itoa(limits.bodyBytes)+" bytes")
 		}
-		if count == 0 {
-			break
+		if size == 0 {
+			return body, c.skipTrailer(limits)
 		}
-		if body, err = c.appendBody(body, int(count), limits); err != nil {
+		if body, err = c.appendBody(body, int(size), limits); err != nil {
 			return nil, err
 		}
-		if terminator, err := c.readChunkLine(maxChunkLineBytes, limits); err != nil {
+		terminator, err := c.readChunkLine(maxChunkLineBytes, limits)
+		if err != nil {
 			return nil, err
-		} else if len(terminator) > 0 {
+		}
+		if len(terminator) > 0 {
 			return nil, malformed("a chunk's end")
 		}
 	}
-	for trailerBytesLeft := limits.headerBytes; ; {
-		line, err := c.readChunkLine(trailerBytesLeft, limits)
+}
+
+// readChunkSize reads the line before a chunk and returns the chunk's size in bytes, 0 for the end of the body.
+func (c *connection) readChunkSize(limits requestLimits) (uint64, error) {
+	line, err := c.readChunkLine(maxChunkLineBytes, limits)
+	if err != nil {
+		return 0, err
+	}
+	digits, extension, _ := bytes.Cut(line, []byte(";"))
+	size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 62)
+	if err != nil || len(digits) == 0 || !isHexDigit(digits[0]) || !isPrintable(string(extension), ' ') {
+		return 0, malformed("a chunk's size")
+	}
+	return size, nil
+}
+
+// skipTrailer reads and drops the header lines after the last chunk, up to the limit of a header.
+func (c *connection) skipTrailer(limits requestLimits) error {
+	for bytesLeft := limits.headerBytes; ; {
+		line, err := c.readChunkLine(bytesLeft, limits)
 		if err != nil || len(line) == 0 {
-			return body, err
+			return err
 		}
-		if trailerBytesLeft -= len(line); trailerBytesLeft <= 0 {
-			return nil, errs.New(errs.HeaderTooLarge, "trailer")
+		if bytesLeft -= len(line); bytesLeft <= 0 {
+			return errs.New(errs.HeaderTooLarge, "trailer")
+		}
+	}
+}
+
+// readChunkLine reads a line of at most maxBytes within a chunked body and returns it without its line end. It is
+// valid until the next read.
+func (c *connection) readChunkLine(maxBytes int, limits requestLimits) ([]byte, error) {
+	for searched := 0; ; {
+		if lineFeed := bytes.IndexByte(c.buffer[c.bufferStart+searched:c.bufferEnd], '\n'); lineFeed >= 0 {
+			line := c.buffer[c.bufferStart : c.bufferStart+searched+lineFeed]
+			c.bufferStart += len(line) + 1
+			if len(line) == 0 || line[len(line)-1] != '\r' {
+				return nil, malformed("a bare line end")
+			}
+			return line[:len(line)-1], nil
+		}
+		if searched = c.bufferEnd - c.bufferStart; searched > maxBytes {
+			return nil, malformed("a long line between chunks")
+		}
+		c.growBuffer(maxBytes)
+		c.setReadTimeout(time.Now(), limits.idleTimeout)
+		if err := c.fillBuffer(); err != nil {
+			return nil, bodyReadError(err)
 		}
 	}
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -389,13 +389,6 @@
 	return server, nil
 }
 
-// oversizeDiscardFactor is how many times the bound is read and dropped of a body that is too large: a
-// connection closed on unread bytes is reset, and the caller would never see the refusal.
-const oversizeDiscardFactor = 16
-
-// notExecuted is the outcome's name of a request that was refused before anything was sent.
-var notExecuted = dispatch.OutcomeName(schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED)
-
 // bufferBody takes a request's body into memory if it is within the bound.
 func bufferBody(requestCtx *fasthttp.RequestCtx, maxBytes int) error {
 	if !requestCtx.Request.IsBodyStream() {
@@ -407,89 +400,9 @@
 		return errs.Wrap(err, errs.MalformedRequest, "body")
 	}
 	if len(body) > maxBytes {
-		_, _ = io.CopyN(io.Discard, stream, int64(maxBytes)*oversizeDiscardFactor)
+		_, _ = io.CopyN(io.Discard, stream, int64(maxBytes)*rejectedBodyDiscardFactor)
 		return errs.New(errs.BodyTooLarge, fmt.Sprintf("more than %d bytes", maxBytes))
 	}
 	requestCtx.Request.SetBody(body)
 	return nil
 }
-
-// openCallerListener listens for one caller; the listener, never a header, says who calls.
-func (s *Server) openCallerListener(caller, address string) (*callerListener, error) {
-	listener, err := net.Listen("tcp", address)
-	if err != nil {
-		return nil, errs.Wrap(err, errs.InvalidOptions, address)
-	}
-	opened := newCallerListener(listener, int(s.initialOptions.CallersMost), s.initialOptions.BodyMost, s.draining, s.requestLimits)
-	opened.onWritten = s.uplink.RecordWrite
-	opened.disconnects = &s.disconnects
-	opened.writeError = func(header *RequestHeader, err error, response *Response) {
-		s.writeError(header, err, notExecuted, response)
-	}
-	opened.handle = func(ctx context.Context, header *RequestHeader, body []byte, receivedAt time.Time, response *Response) {
-		s.serveCall(ctx, caller, header, body, receivedAt, response)
-	}
-	go opened.acceptLoop()
-	return opened, nil
-}
-
-// requestLimits are what callers may send, and how long they may take, as the setup in use states it.
-func (s *Server) requestLimits() requestLimits {
-	configured := &s.view().Config.Limits
-	return requestLimits{headerBytes: configured.MaxHeaderBytes, bodyBytes: int(min(configured.MaxBodyBytes, s.initialOptions.BodyMost)), headerTimeout: configured.HeaderTimeout, idleTimeout: configured.IdleTimeout}
-}
-
-// serveCall carries one call out, on its connection's own thread of control. When ctx ends its caller has left.
-func (s *Server) serveCall(ctx context.Context, caller string, header *RequestHeader, body []byte, receivedAt time.Time, response *Response) {
-	call, err := s.newCall(caller, header, body)
-	if err != nil {
-		s.writeError(header, err, notExecuted, response)
-		return
-	}
-	// What it took to read the body is gone from the time that the caller gives.
-	if call.Request.CallerDeadline > 0 {
-		call.Request.CallerDeadline = max(1, call.Request.CallerDeadline-time.Since(receivedAt))
-	}
-	call.Request.CallerDeadline = boundDeadline(call.Request.CallerDeadline, time.Duration(s.shutdownDeadline.Load()), s.now(), time.Duration(s.initialOptions.Drain))
-	s.recordArrival()
-	defer s.callsInFlight.Add(-1)
-	if s.callsInFlight.Add(1) > s.currentOptions().Buffer {
-		s.writeError(header, errs.New(errs.QueueFull, "too many calls in flight"), notExecuted, response)
-		return
-	}
-	s.writeResult(header, s.forwarder.Forward(ctx, call), response)
-}
-
-// newCall makes a call of a request.
-func (s *Server) newCall(caller string, header *RequestHeader, body []byte) (*dispatch.Call, error) {
-	call := &dispatch.Call{Target: header.Target, Body: body}
-	header.selectForwarded(func(name string) bool { return s.extensions.workerCodec.PassesHeader([]byte(name), false) })
-	for _, field := range header.forwarded {
-		call.HeaderBlock = dispatch.AppendField(call.HeaderBlock, field.Name, field.Value)
-	}
-	call.Request = plan.Request{Caller: caller, Method: header.Method, Path: header.Path, Host: header.Host, Header: header.forwardedValue}
-	if err := s.extensions.callerCodec.ReadRequest(header, call); err != nil {
-		return nil, err
-	}
-	return call, nil
-}
-
-// writeResult writes what became of a call.
-func (s *Server) writeResult(header *RequestHeader, result *dispatch.CallResult, response *Response) {
-	if result.Err != nil {
-		outcome := notExecuted
-		if result.Response != nil {
-			outcome = dispatch.OutcomeName(result.Response.Outcome)
-		}
-		// Whoever turned the call away knows best when there is room again.
-		retryAfter := s.retryAfter(result.Err)
-		if overloadRetryAfter := time.Duration(result.Response.GetRetryAfterNanos()); overloadRetryAfter > 0 {
-			retryAfter = overloadRetryAfter
-		}
-		s.extensions.callerCodec.WriteError(header, result.Err, outcome, retryAfter, response)
-	} else {
-		response.Status, response.Body = int(result.Response.Status), result.Response.Body
-		response.headerBlock = append(response.headerBlock, result.Response.HeaderBlock...)
-	}
-	s.extensions.callerCodec.AddMetadata(result, response)
-}
