--- a/internal/proxy/caller_listener.go
+++ b/internal/proxy/caller_listener.go
@@ -72,7 +72,13 @@
 
 // newCallerListener makes an entry point on listener. The caller of this function sets handle and writeError
 // before it starts acceptLoop; largeBodyCapacity is in bytes.
-func newCallerListener(listener net.Listener, maxConnections int, largeBodyCapacity int64, draining *atomic.Bool, limits func() requestLimits) *callerListener {
+func newCallerListener(
+	listener net.Listener,
+	maxConnections int,
+	largeBodyCapacity int64,
+	draining *atomic.Bool,
+	limits func() requestLimits,
+) *callerListener {
 	return &callerListener{
 		listener:          listener,
 		limits:            limits,
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -59,7 +59,14 @@
 
 // serveCall serves one call on its connection's goroutine. ctx ends when the caller disconnects; receivedAt is when
 // the first byte of the request was seen.
-func (s *Server) serveCall(ctx context.Context, caller string, header *RequestHeader, body []byte, receivedAt time.Time, response *Response) {
+func (s *Server) serveCall(
+	ctx context.Context,
+	caller string,
+	header *RequestHeader,
+	body []byte,
+	receivedAt time.Time,
+	response *Response,
+) {
 	call, err := s.newCall(caller, header, body)
 	if err != nil {
 		s.writeError(header, err, notExecuted, response)
--- /dev/null
+++ b/internal/proxy/mesh_directory.go
@@ -0,0 +1,151 @@
+package proxy
+
+import (
+	"maps"
+	"slices"
+	"strings"
+	"time"
+
+	"meadowhinge/internal/plan"
+	"meadowhinge/schema"
+)
+
+// minHeardRatio is the part of the sources that must be heard from for the others to be dropped.
+const minHeardRatio = 0.8
+
+// applySources applies an event's sources. Only what they change is computed again: in a large mesh every change of
+// one proxy's workers reaches all others.
+func (m *MeshState) applySources(before MeshState, event Event) {
+	m.sources, m.droppedVersions = maps.Clone(before.sources), maps.Clone(before.droppedVersions)
+	changed := map[string]bool{} // names of the sources that are new, changed or dropped
+	if event.SourceTimeout > 0 {
+		m.dropSilentSources(before, event, changed)
+	}
+	for _, source := range event.Sources {
+		// It says only that the source was seen.
+		if source.IncarnationOnly {
+			continue
+		}
+		current := m.droppedVersions[source.Name]
+		if existing, found := m.sources[source.Name]; found {
+			current = existing.source.Version
+		}
+		if isNewer(source.Version, current) {
+			m.sources[source.Name] = sourceRecord{source, event.At}
+			delete(m.droppedVersions, source.Name)
+			changed[source.Name] = true
+		}
+	}
+	if len(changed) > 0 {
+		m.updateDirectory(before, event.At, slices.Sorted(maps.Keys(changed)))
+	}
+}
+
+// dropSilentSources drops the sources that have not been heard from for the event's timeout. If many are silent at
+// once it is the path to them that failed, as in a partitioned core: then all are retained, and calls find out which
+// of them are dead.
+func (m *MeshState) dropSilentSources(before MeshState, event Event, changed map[string]bool) {
+	var silent []string
+	for name, record := range before.sources {
+		if event.At-record.receivedAt > event.SourceTimeout {
+			silent = append(silent, name)
+		}
+	}
+	heardCount := len(before.sources) - len(silent)
+	if float64(heardCount) <= minHeardRatio*float64(len(before.sources)) {
+		return
+	}
+	for _, name := range silent {
+		m.droppedVersions[name] = m.sources[name].source.Version
+		delete(m.sources, name)
+		changed[name] = true
+	}
+}
+
+// updateDirectory brings workers and directory up to the changed sources, whose names are sorted.
+func (m *MeshState) updateDirectory(before MeshState, now time.Duration, changed []string) {
+	m.workers, m.directory = maps.Clone(before.workers), maps.Clone(before.directory)
+	var updatedSources []*schema.Source
+	changedServices := map[string]bool{}
+	// What is listed now is counted before what was: a worker that moves from one source to another keeps the time
+	// since when it is known.
+	for _, name := range changed {
+		if record, found := m.sources[name]; found {
+			updatedSources = append(updatedSources, record.source)
+			m.countListed(record.source, now, changedServices)
+		}
+	}
+	for _, name := range changed {
+		if record, found := before.sources[name]; found {
+			m.uncountListed(record.source, changedServices)
+		}
+	}
+	added := plan.DirectoryOf(
+		updatedSources,
+		func(instance string) time.Duration { return m.workers[instance].firstSeenAt },
+		func(source string) time.Duration { return m.sources[source].receivedAt },
+	)
+	for service := range changedServices {
+		m.rebuildPools(service, before.directory[service], added[service], changed)
+	}
+}
+
+// countListed counts the workers that a source lists now, and collects their services.
+func (m *MeshState) countListed(source *schema.Source, now time.Duration, changedServices map[string]bool) {
+	for _, worker := range source.Workers {
+		changedServices[worker.Service] = true
+		entry, isListed := m.workers[worker.Instance]
+		if !isListed {
+			entry.firstSeenAt = now
+		}
+		entry.sourceCount++
+		m.workers[worker.Instance] = entry
+	}
+}
+
+// uncountListed takes back the counts of the workers that a source listed before, and collects their services. A
+// worker that no source lists any more is removed.
+func (m *MeshState) uncountListed(source *schema.Source, changedServices map[string]bool) {
+	for _, worker := range source.Workers {
+		changedServices[worker.Service] = true
+		entry := m.workers[worker.Instance]
+		if entry.sourceCount--; entry.sourceCount == 0 {
+			delete(m.workers, worker.Instance)
+		} else {
+			m.workers[worker.Instance] = entry
+		}
+	}
+}
+
+// rebuildPools makes a service's pools, by version, of the endpoints that did not change and those that are added. A
+// pool is sorted by the endpoints' proxies.
+func (m *MeshState) rebuildPools(service string, previous, added map[string][]plan.Endpoint, changed []string) {
+	pools := map[string][]plan.Endpoint{}
+	for version, pool := range previous {
+		for _, endpoint := range pool {
+			if _, isChanged := slices.BinarySearch(changed, endpoint.Proxy); !isChanged {
+				pools[version] = append(pools[version], endpoint)
+			}
+		}
+	}
+	for version, pool := range added {
+		pools[version] = append(pools[version], pool...)
+		slices.SortStableFunc(pools[version], func(a, b plan.Endpoint) int { return strings.Compare(a.Proxy, b.Proxy) })
+	}
+	if len(pools) == 0 {
+		delete(m.directory, service)
+		return
+	}
+	m.directory[service] = pools
+}
+
+// isNewer reports whether version a of a source replaces version b. A nil version is older than any other.
+func isNewer(a, b *schema.SourceVersion) bool {
+	if a.GetIncarnation() != b.GetIncarnation() {
+		return a.GetIncarnation() > b.GetIncarnation()
+	}
+	if a.GetCounter() != b.GetCounter() {
+		return a.GetCounter() > b.GetCounter()
+	}
+	return a.GetEnded() && !b.GetEnded()
+}
--- a/internal/proxy/reservations.go
+++ b/internal/proxy/reservations.go
@@ -7,17 +7,18 @@
 	"meadowhinge/schema"
 )
 
-// pendingReservation is a claim on its way to one registry.
+// pendingReservation is a reservation, or release, of an idempotency key on its way to one registry.
 type pendingReservation struct {
-	ctx         context.Context
+	ctx         context.Context // of the call that reserves; the request lives no longer than it
 	reservation *schema.KeyReservation
-	answers     chan session.ReservationAnswer // has room for every answer, so that nobody waits to give one
+	answers     chan session.ReservationAnswer // has room for the answers of all registries, so that sending never blocks
 }
 
-// maxReservationBatch bounds the claims that wait for one registry, and that go to it at once.
+// maxReservationBatch bounds the reservations that wait for one registry and those that are sent at once.
 const maxReservationBatch = 1024
 
-// reserveKey takes a claim to every registry and comes back as soon as it is won or lost.
+// reserveKey sends a reservation to every registry and returns as soon as it is granted or refused, with the
+// conflicting reservation if there is one.
 func (s *Server) reserveKey(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 	timeout := session.ReservationRoundTimeout(s.leaseDuration)
 	bounded, cancel := context.WithTimeout(ctx, timeout)
@@ -31,13 +32,13 @@
 		select {
 		case s.reservationQueue(address) <- &pendingReservation{bounded, reservation, answers}:
 		default:
-			answers <- session.ReservationAnswer{}
+			answers <- session.ReservationAnswer{} // the queue is full, so this registry gives no answer
 		}
 	}
 	return round.AwaitOutcome(bounded, len(addresses), answers, s.now)
 }
 
-// reservationQueue is the way to one registry; the first claim opens it.
+// reservationQueue is the queue to one registry; the first reservation starts the goroutine that sends it.
 func (s *Server) reservationQueue(address string) chan *pendingReservation {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -45,53 +46,71 @@
 	if queue == nil {
 		queue = make(chan *pendingReservation, maxReservationBatch)
 		s.reservationQueues[address] = queue
-		go s.sendReservations(address, queue)
+		go s.sendReservations(s.linkContext, address, queue)
 	}
 	return queue
 }
 
-// sendReservations takes claims to one registry; what comes while one batch is under way goes with
-// the next, so that a rush of purchases costs few messages.
-func (s *Server) sendReservations(address string, queue chan *pendingReservation) {
+// sendReservations sends the reservations of a queue to one registry until ctx ends. What arrives while one batch is
+// under way is sent with the next, so that many calls at once cost few messages.
+func (s *Server) sendReservations(ctx context.Context, address string, queue chan *pendingReservation) {
+	var batch []*pendingReservation // its memory is reused
 	for {
-		var batch []*pendingReservation
 		select {
-		case <-s.linkContext.Done():
+		case <-ctx.Done():
 			return
 		case first := <-queue:
-			batch = append(batch, first)
-		}
-		for more := true; more && len(batch) < maxReservationBatch; {
-			select {
-			case next := <-queue:
-				batch = append(batch, next)
-			default:
-				more = false
+			batch = collectBatch(append(batch[:0], first), queue)
+			if remaining := dropAbandoned(batch); len(remaining) > 0 {
+				s.sendReservationBatch(ctx, address, remaining)
 			}
+			clear(batch)
 		}
-		request := &schema.ReserveRequest{}
-		var sent []*pendingReservation
-		for _, pending := range batch {
-			// Who gave up waiting meanwhile wants no claim any more.
-			if pending.ctx.Err() != nil && !pending.reservation.Release {
-				pending.answers <- session.ReservationAnswer{}
-				continue
-			}
-			sent = append(sent, pending)
-			request.Reservations = append(request.Reservations, pending.reservation)
+	}
+}
+
+// collectBatch appends what waits in the queue to a batch, up to maxReservationBatch.
+func collectBatch(batch []*pendingReservation, queue chan *pendingReservation) []*pendingReservation {
+	for len(batch) < maxReservationBatch {
+		select {
+		case next := <-queue:
+			batch = append(batch, next)
+		default:
+			return batch
 		}
-		if len(sent) == 0 {
+	}
+	return batch
+}
+
+// dropAbandoned removes, in place, the reservations whose calls have ended while they waited. A release is sent in any
+// case.
+func dropAbandoned(batch []*pendingReservation) []*pendingReservation {
+	remaining := batch[:0]
+	for _, pending := range batch {
+		if pending.ctx.Err() != nil && !pending.reservation.Release {
+			pending.answers <- session.ReservationAnswer{}
 			continue
 		}
-		bounded, cancel := context.WithTimeout(s.linkContext, session.ReservationRoundTimeout(s.leaseDuration))
-		reply, err := schema.NewDRPCRegistryClient(s.transport.Conn(bounded, address)).Claim(bounded, request)
-		cancel()
-		for i, pending := range sent {
-			if err != nil || i >= len(reply.Replies) {
-				pending.answers <- session.ReservationAnswer{}
-				continue
-			}
-			pending.answers <- session.ReservationAnswer{MemberID: reply.Member, Response: reply.Replies[i]}
+		remaining = append(remaining, pending)
+	}
+	return remaining
+}
+
+// sendReservationBatch sends a batch to one registry and distributes its replies, which come in the order of the
+// batch. A reservation without a reply gets an empty answer.
+func (s *Server) sendReservationBatch(ctx context.Context, address string, batch []*pendingReservation) {
+	request := &schema.ReserveRequest{}
+	for _, pending := range batch {
+		request.Reservations = append(request.Reservations, pending.reservation)
+	}
+	bounded, cancel := context.WithTimeout(ctx, session.ReservationRoundTimeout(s.leaseDuration))
+	reply, err := s.registryClient(bounded, address).Claim(bounded, request)
+	cancel()
+	for i, pending := range batch {
+		if err != nil || i >= len(reply.Replies) {
+			pending.answers <- session.ReservationAnswer{}
+			continue
 		}
+		pending.answers <- session.ReservationAnswer{MemberID: reply.Member, Response: reply.Replies[i]}
 	}
 }
--- a/internal/proxy/serving_gate.go
+++ b/internal/proxy/serving_gate.go
@@ -2,56 +2,37 @@
 
 import (
 	"context"
-	"time"
 
 	"meadowhinge/internal/journal"
-	"meadowhinge/internal/transport"
-	"meadowhinge/schema"
 )
 
-// servingGate is where calls pass while this proxy may decide them.
+// servingGate is open while this proxy may decide calls: session.LeaseGate under a lease, configGate without one.
 type servingGate interface {
+	// Open reports whether the gate is open now.
 	Open() bool
-	// Await waits a moment for the gate to open, AwaitFirst as long as ctx does.
+	// Await waits a short while, at most until ctx ends, for the gate to open, and reports whether it is open.
 	Await(ctx context.Context) bool
+	// AwaitFirst waits until the gate opens for the first time or ctx ends, and reports whether it is open.
 	AwaitFirst(ctx context.Context) bool
 }
 
-// staleModeServe is the setting under which a proxy goes on by what it knows, however old that is.
-const staleModeServe = "serve"
-
-// configGate is open for good from the first setup on: a proxy that serves in doubt needs no
-// lease, for nobody waits until it can no longer use older rules.
+// configGate opens with the first configuration and never closes: a proxy that serves stale needs no lease, because
+// no registry waits until it can no longer use older rules.
 type configGate struct {
 	journal *journal.Journal[Event, MeshState]
 }
 
+// hasConfig reports whether a state has a configuration.
 func (g configGate) hasConfig(state MeshState) bool { return state.config.Revision > 0 }
 
+// Open reports whether a configuration has arrived.
 func (g configGate) Open() bool { return g.hasConfig(g.journal.View()) }
 
+// Await does not wait: calls are not held for a first configuration.
 func (g configGate) Await(context.Context) bool { return g.Open() }
 
+// AwaitFirst waits until a configuration arrives or ctx ends.
 func (g configGate) AwaitFirst(ctx context.Context) bool {
 	g.journal.Wait(ctx, g.hasConfig)
 	return g.Open()
 }
-
-// linkModePlaintext is the setting under which links have no keys.
-const linkModePlaintext = "plain"
-
-// newTransport opens this process's side of the links, as the settings say.
-func newTransport(opts *schema.ProxyOptions, callers map[string]string) (*transport.Transport, error) {
-	transportOptions := []transport.Option{transport.WithLocalAddress(opts.Listen), transport.WithDialTimeout(time.Duration(opts.Lease) / dialTimeoutDivisor)}
-	if opts.Links != linkModePlaintext {
-		return transport.NewTLS(opts.Certificate, opts.Authority, transportOptions...)
-	}
-	var callerNames []string
-	for caller := range callers {
-		callerNames = append(callerNames, caller)
-	}
-	return transport.NewPlaintext("proxy", opts.Name, callerNames, transportOptions...), nil
-}
-
-// servesStale tells whether this proxy serves by whatever it knows.
-func servesStale(opts *schema.ProxyOptions) bool { return opts.Doubt == staleModeServe }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"context"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -8,65 +9,84 @@
 	"meadowhinge/internal/errs"
 )
 
-// Ratios to the time that SIGTERM leaves.
+// Parts of the time that a shutdown may take (the option "drain"), or of the notice that callers need (the option
+// "notice").
 const (
-	acceptFraction        = 0.65 // in which calls are still taken, if they go on coming
-	quietDivisor          = 8    // of the notice: without a call for so long, none is thought to come any more
-	workerDrainFraction   = 0.5  // of the notice, in which workers here still get work: what they have at hand ends within the rest
-	shutdownTicks         = 64   // how often it is looked at
-	responseMarginDivisor = 32   // before the end, by which every call has its answer
+	acceptFraction        = 0.65 // of the drain time: after it no call is accepted, also if calls keep coming
+	quietDivisor          = 8    // of the notice: after so long without a call none is expected
+	workerDrainFraction   = 0.5  // of the notice: after it workers here get no more work, and finish theirs in the rest
+	shutdownTicks         = 64   // of the drain time: how often the stage is evaluated
+	responseMarginDivisor = 32   // of the drain time: every call is answered by this much before its end
 )
 
-// shutdownStage is how far a proxy is with its leaving.
+// shutdownStage is a stage of a graceful shutdown. Stages only advance.
 type shutdownStage int
 
 const (
-	accepting shutdownStage = iota // all is served as before, but each connection is given back with its answer
-	closing                        // no call is taken any more, those taken are brought to their end
-	terminated
+	accepting  shutdownStage = iota // calls are accepted as before, but each response ends its connection
+	closing                         // no call is accepted; those accepted run to their end
+	terminated                      // nothing is in flight, or the time is over
 )
 
-// shutdownSchedule is when a proxy that was told to end goes from one stage to the next.
+// shutdownSchedule says when a graceful shutdown enters its next stage. All times count from its start.
 type shutdownSchedule struct {
-	notice           time.Duration // until callers have surely noticed
-	workerDrainAfter time.Duration // until the workers here get no more work
-	drainTimeout     time.Duration // until it must be over
-	quietPeriod      time.Duration
+	notice           time.Duration // by which callers have noticed the shutdown
+	workerDrainAfter time.Duration // when the workers here get no more work
+	drainTimeout     time.Duration // by which the process has ended
+	quietPeriod      time.Duration // after so long without a call none is expected
 }
 
+// newShutdownSchedule makes a schedule from the options "notice" and "drain". A notice too long for the drain time is
+// shortened.
 func newShutdownSchedule(notice, drain time.Duration) shutdownSchedule {
 	effectiveNotice := min(notice, time.Duration(acceptFraction*float64(drain)))
-	return shutdownSchedule{notice: effectiveNotice, workerDrainAfter: time.Duration(workerDrainFraction * float64(effectiveNotice)), drainTimeout: drain, quietPeriod: notice / quietDivisor}
+	return shutdownSchedule{
+		notice:           effectiveNotice,
+		workerDrainAfter: time.Duration(workerDrainFraction * float64(effectiveNotice)),
+		drainTimeout:     drain,
+		quietPeriod:      notice / quietDivisor,
+	}
 }
 
-// nextStage gives the stage at a time since the proxy was told to end, by when the last call came
-// and how many are in flight. A stage is never gone back from.
+// nextStage returns the stage after current, or current itself if it goes on. lastCallAt is when the last call came,
+// negative if that was before the shutdown.
 func (s shutdownSchedule) nextStage(current shutdownStage, elapsed, lastCallAt time.Duration, inFlight int64) shutdownStage {
 	switch {
 	case elapsed >= s.drainTimeout:
 		return terminated
 	case current == closing && inFlight == 0:
 		return terminated
-	case current == accepting && (elapsed >= time.Duration(acceptFraction*float64(s.drainTimeout)) || (elapsed >= s.notice && inFlight == 0 && elapsed-lastCallAt >= s.quietPeriod)):
+	case current == accepting && (s.mustClose(elapsed) || s.isQuiet(elapsed, lastCallAt, inFlight)):
 		return closing
 	}
 	return current
 }
 
-// drainsWorkers tells whether the workers here get no more work, so long after the proxy was told to end.
+// mustClose reports whether the time to accept calls is over, even if they keep coming.
+func (s shutdownSchedule) mustClose(elapsed time.Duration) bool {
+	return elapsed >= time.Duration(acceptFraction*float64(s.drainTimeout))
+}
+
+// isQuiet reports whether callers have noticed the shutdown and no call is expected any more.
+func (s shutdownSchedule) isQuiet(elapsed, lastCallAt time.Duration, inFlight int64) bool {
+	return elapsed >= s.notice && inFlight == 0 && elapsed-lastCallAt >= s.quietPeriod
+}
+
+// drainsWorkers reports whether the workers here get no more work.
 func (s shutdownSchedule) drainsWorkers(elapsed time.Duration) bool {
 	return elapsed >= s.workerDrainAfter
 }
 
-// recordArrival notes a call; only one that is told to end looks at it.
+// recordArrival records the time of a call during a shutdown, for nextStage.
 func (s *Server) recordArrival() {
 	if s.draining.Load() {
 		s.lastCallAt.Store(int64(s.now()))
 	}
 }
 
-// boundDeadline is how long a call may take that asks for so long, 0 for not said: one that is taken while
-// the proxy ends has its answer, whatever it is, before the connections are closed.
+// boundDeadline shortens the time that a call may take during a shutdown, so that it is answered, with whatever
+// result, before its connection is closed. 0 as requested stands for a caller that gives no deadline; 0 as
+// shutdownDeadline means that there is no shutdown, and the result is the time requested.
 func boundDeadline(requested, shutdownDeadline, now, drain time.Duration) time.Duration {
 	if shutdownDeadline <= 0 {
 		return requested
@@ -78,48 +98,91 @@
 	return min(requested, remaining)
 }
 
-// shutDown brings this proxy to its end, in the time that settings allow.
+// shutdownRun is a graceful shutdown under way. It belongs to the goroutine of shutDown.
+type shutdownRun struct {
+	server          *Server
+	schedule        shutdownSchedule
+	startedAt       time.Duration
+	workersDraining bool // the workers have been told
+	ticker          *time.Ticker
+}
+
+// shutDown ends this proxy gracefully within the time of the option "drain". It returns errs.ProxyDraining if calls
+// of callers were cut short at the end of that time.
 func (s *Server) shutDown(callerListeners []*callerListener, workerServer *fasthttp.Server) error {
-	startedAt := s.now()
-	schedule := newShutdownSchedule(time.Duration(s.currentOptions().Notice), time.Duration(s.currentOptions().Drain))
-	s.shutdownDeadline.Store(int64(startedAt + schedule.drainTimeout))
-	if len(callerListeners) == 0 {
-		schedule.notice, schedule.workerDrainAfter, schedule.quietPeriod = 0, 0, 0
+	opts := s.currentOptions()
+	run := &shutdownRun{
+		server:    s,
+		startedAt: s.now(),
+		schedule:  newShutdownSchedule(time.Duration(opts.Notice), time.Duration(opts.Drain)),
 	}
-	// Workers here are told as leaving while there is time for other proxies to send elsewhere, but not
-	// before: callers are let in all that while, and the workers' room is missed.
-	workersDraining := false
-	ticker := time.NewTicker(max(time.Millisecond, time.Duration(s.currentOptions().Drain)/shutdownTicks))
-	defer ticker.Stop()
-	awaitStageAfter := func(from shutdownStage) shutdownStage {
-		for {
-			if !workersDraining && schedule.drainsWorkers(s.now()-startedAt) {
-				workersDraining = true
-				s.workers.DrainAll()
-			}
-			inFlight := s.callsInFlight.Load() + s.peerCallsInFlight.Load()
-			if next := schedule.nextStage(from, s.now()-startedAt, time.Duration(s.lastCallAt.Load())-startedAt, inFlight); next != from {
-				return next
-			}
-			<-ticker.C
-		}
+	s.shutdownDeadline.Store(int64(run.startedAt + run.schedule.drainTimeout))
+	if len(callerListeners) == 0 {
+		run.schedule.notice, run.schedule.workerDrainAfter, run.schedule.quietPeriod = 0, 0, 0
 	}
-	current := awaitStageAfter(accepting)
+	run.ticker = time.NewTicker(max(time.Millisecond, time.Duration(opts.Drain)/shutdownTicks))
+	defer run.ticker.Stop()
+	stage := run.awaitStageAfter(accepting)
 	s.announceShutdown()
 	s.rejectsPeerCalls.Store(true)
+	err := run.closeCallerListeners(callerListeners)
+	if stage == closing {
+		run.awaitStageAfter(closing)
+		// The last responses may still be on their way out.
+		<-run.ticker.C
+	}
+	_ = workerServer.Shutdown() // the process ends now, whatever is left on these connections
+	return err
+}
+
+// awaitStageAfter waits until the shutdown leaves a stage and returns the next one.
+//
+// Workers here are announced as draining while there is still time for other proxies to send their calls elsewhere,
+// but not before: callers are accepted all that time, and the capacity of the workers would be missed.
+func (r *shutdownRun) awaitStageAfter(from shutdownStage) shutdownStage {
+	s := r.server
+	for {
+		if !r.workersDraining && r.schedule.drainsWorkers(s.now()-r.startedAt) {
+			r.workersDraining = true
+			s.workers.DrainAll()
+		}
+		inFlight := s.callsInFlight.Load() + s.peerCallsInFlight.Load()
+		lastCallAt := time.Duration(s.lastCallAt.Load()) - r.startedAt
+		if next := r.schedule.nextStage(from, s.now()-r.startedAt, lastCallAt, inFlight); next != from {
+			return next
+		}
+		<-r.ticker.C
+	}
+}
+
+// closeCallerListeners closes the entry points, one after the other, and waits for their calls until the drain time
+// is over. It returns an error if calls were cut short.
+func (r *shutdownRun) closeCallerListeners(callerListeners []*callerListener) error {
 	deadline := make(chan struct{})
-	defer time.AfterFunc(schedule.drainTimeout-(s.now()-startedAt), func() { close(deadline) }).Stop()
+	timeLeft := r.schedule.drainTimeout - (r.server.now() - r.startedAt)
+	defer time.AfterFunc(timeLeft, func() { close(deadline) }).Stop()
 	var firstErr error
 	for _, listener := range callerListeners {
 		if !listener.shutDown(deadline) && firstErr == nil {
 			firstErr = errs.New(errs.ProxyDraining, "calls still in flight at the end of the drain time")
 		}
 	}
-	if current == closing {
-		awaitStageAfter(closing)
-		// The last answers may just be on their way out.
-		<-ticker.C
-	}
-	_ = workerServer.Shutdown()
 	return firstErr
 }
+
+// announceShutdown tells the registry of the session that this proxy ends, so that nobody waits for it to come back.
+// Under a lease nothing is announced: the lease is not renewed.
+func (s *Server) announceShutdown() {
+	address, _ := s.currentRegistry()
+	if !s.servesStale() || address == "" {
+		return
+	}
+	source := s.localSource()
+	source.Workers, source.ShuttingDown = nil, true
+	// The context that told this proxy to end is over already.
+	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
+	defer cancel()
+	if _, err := s.registryClient(bounded, address).Tell(bounded, s.newReport(source)); err != nil {
+		s.log.V(1).Info("shutdown was not announced", "registry", address, "error_code", errs.CodeOf(err))
+	}
+}
--- a/internal/proxy/worker_heartbeats.go
+++ b/internal/proxy/worker_heartbeats.go
@@ -13,15 +13,17 @@
 	"meadowhinge/internal/errs"
 )
 
-// HeartbeatHandler takes what workers say of themselves at the workers' listener.
+// HeartbeatHandler serves the requests with which workers describe themselves, at the workers' listener. Several
+// goroutines call it at the same time.
 type HeartbeatHandler interface {
+	// Handle registers the worker that the request describes, or renews its registration, and answers it.
 	Handle(call *fasthttp.RequestCtx, workers *dispatch.Workers)
 }
 
-// nativeHeartbeatHandler is our own interface: one JSON description a call.
+// nativeHeartbeatHandler is the mesh's own interface: each request carries one description as JSON.
 type nativeHeartbeatHandler struct{}
 
-// Handle takes a description and tells the instance that it stands under.
+// Handle registers the worker and answers with the instance name that it got.
 func (nativeHeartbeatHandler) Handle(requestCtx *fasthttp.RequestCtx, workers *dispatch.Workers) {
 	if string(requestCtx.Path()) != "/v1/worker" || !requestCtx.IsPost() {
 		daemon.WriteError(requestCtx, errs.New(errs.RouteNotFound, string(requestCtx.Path())), "", nil)
@@ -41,9 +43,9 @@
 	instance, err := workers.Register(description)
 	if err != nil {
 		daemon.WriteError(requestCtx, err, "", nil)
-		// It may do with the next beat.
+		// The next heartbeat may succeed.
 		heartbeatInterval := time.Duration(description.HeartbeatMS) * time.Millisecond
-		requestCtx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(int64((heartbeatInterval+time.Second-1)/time.Second), 10))
+		requestCtx.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(ceilSeconds(heartbeatInterval), 10))
 		return
 	}
 	daemon.WriteJSON(requestCtx, fasthttp.StatusOK, map[string]string{"instance": instance})
