--- a/internal/proxy/caller_listener_test.go
+++ b/internal/proxy/caller_listener_test.go
@@ -19,24 +19,24 @@
 	"meadowhinge/internal/errs"
 )
 
-// receivedRequest is a request as a front handed it on.
+// receivedRequest is a request as the listener handed it to its handler.
 type receivedRequest struct {
 	Method, Host, Target, Body string
 	Fields                     []HeaderField
 }
 
-// listenerHarness is a front whose requests are told to the test, and answered with their target.
+// listenerHarness is a caller listener whose handler shows each request to the test and answers with its target.
 type listenerHarness struct {
 	listener    *callerListener
 	address     string
 	draining    atomic.Bool
 	received    chan receivedRequest
-	release     chan struct{} // what is asked of /held waits for this
-	uplinkBytes atomic.Int64  // bytes of answers that the machine's link had to carry
-	canceled    atomic.Int64  // requests whose context ended while they were held
+	release     chan struct{} // a request of /held waits until the test closes this
+	uplinkBytes atomic.Int64  // bytes of responses that used the machine's uplink
+	canceled    atomic.Int64  // requests of /held whose context ended while they waited
 }
 
-// testTimeout bounds every wait of these tests: far more than any takes, also where the machine is overloaded.
+// testTimeout bounds every wait of these tests. It is far longer than any takes, also on an overloaded machine.
 const testTimeout = time.Minute
 
 func startListener(t *testing.T, limits requestLimits) *listenerHarness {
@@ -45,14 +45,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	harness := &listenerHarness{address: listener.Addr().String(), received: make(chan receivedRequest, 64), release: make(chan struct{})}
+	harness := &listenerHarness{
+		address:  listener.Addr().String(),
+		received: make(chan receivedRequest, 64),
+		release:  make(chan struct{}),
+	}
 	harness.listener = newCallerListener(listener, 64, int64(limits.bodyBytes), &harness.draining, func() requestLimits { return limits })
 	harness.listener.writeError = func(_ *RequestHeader, err error, response *Response) {
 		response.Status, response.Body = errs.HTTPStatus(errs.CodeOf(err)), []byte(errs.CodeOf(err))
 	}
 	harness.listener.handle = func(ctx context.Context, header *RequestHeader, body []byte, _ time.Time, response *Response) {
 		header.selectForwarded(func(name string) bool { return dispatch.NativeCodec{}.PassesHeader([]byte(name), false) })
-		harness.received <- receivedRequest{header.Method, header.Host, header.Target, string(body), append([]HeaderField(nil), header.forwarded...)}
+		harness.received <- receivedRequest{
+			Method: header.Method,
+			Host:   header.Host,
+			Target: header.Target,
+			Body:   string(body),
+			Fields: append([]HeaderField(nil), header.forwarded...),
+		}
 		if header.Path == "/held" {
 			stop := context.AfterFunc(ctx, func() { harness.canceled.Add(1) })
 			defer stop()
@@ -79,32 +89,64 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = conn.SetDeadline(time.Now().Add(testTimeout))
-	t.Cleanup(func() { conn.Close() })
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = conn.Close() }) // the test may have closed it
 	return conn, bufio.NewReader(conn)
 }
 
-// readResponse reads one answer: its status, its body, and whether the connection ends with it.
+// writeText writes a text to a connection, all of it.
+func writeText(t *testing.T, conn net.Conn, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// closeConn closes a connection that the test has not closed yet.
+func closeConn(t *testing.T, conn net.Conn) {
+	t.Helper()
+	if err := conn.Close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// readResponse reads one response: its status, its body, and whether the connection ends with it.
 func readResponse(t *testing.T, reader *bufio.Reader, method string) (status int, body string, closeAfter bool) {
 	t.Helper()
-	got, err := http.ReadResponse(reader, &http.Request{Method: method})
+	response, err := http.ReadResponse(reader, &http.Request{Method: method})
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
-	defer got.Body.Close()
-	read, err := io.ReadAll(got.Body)
+	defer func() { _ = response.Body.Close() }() // it is read to its end
+	read, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.Fatalf("answer cut short: %v", err)
+		t.Fatalf("response cut short: %v", err)
+	}
+	return response.StatusCode, string(read), response.Close
+}
+
+// requireInterimResponse reads the interim response with which the proxy probes a caller that sends nothing more.
+func requireInterimResponse(t *testing.T, reader *bufio.Reader) {
+	t.Helper()
+	response, err := http.ReadResponse(reader, nil)
+	if err != nil {
+		t.Fatalf("%v instead of an interim response", err)
+	}
+	defer func() { _ = response.Body.Close() }() // it is empty
+	if response.StatusCode != http.StatusContinue {
+		t.Fatalf("status %d instead of an interim response", response.StatusCode)
 	}
-	return got.StatusCode, string(read), got.Close
 }
 
 var defaultLimits = requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 16, headerTimeout: testTimeout, idleTimeout: testTimeout}
 
-// What can be read in two ways, or breaks a bound, is refused, and nothing after it on the
-// connection is taken for a request.
+// A request that two readers could understand differently, or that exceeds a limit, is rejected, and nothing after it
+// on the connection is taken for a request: otherwise a caller could smuggle a request past the checks of the first.
 func TestAmbiguousRequestsAreRejected(t *testing.T) {
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: b\r\n\r\n"
+	largeTrailer := "0\r\nX: " + strings.Repeat("x", defaultLimits.headerBytes) + "\r\n\r\n"
 	post := func(fields, body string) string {
 		return "POST /a HTTP/1.1\r\nHost: a\r\n" + fields + "\r\n" + body
 	}
@@ -160,7 +202,7 @@
 		"a head that is too large":     {"GET /a HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", defaultLimits.headerBytes) + "\r\n\r\n", 431},
 		"a target that is too long":    {"GET /" + strings.Repeat("x", defaultLimits.headerBytes) + " HTTP/1.1\r\nHost: a\r\n\r\n", 431},
 		"a head without an end":        {"GET /a HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 4*defaultLimits.headerBytes), 431},
-		"a trailer that is too large":  {post("Transfer-Encoding: chunked\r\n", "0\r\nX: "+strings.Repeat("x", defaultLimits.headerBytes)+"\r\n\r\n"), 431},
+		"a trailer that is too large":  {post("Transfer-Encoding: chunked\r\n", largeTrailer), 431},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -177,38 +219,83 @@
 			}
 			select {
 			case got := <-harness.received:
-				t.Errorf("taken: %+v", got)
+				t.Errorf("the handler received %+v", got)
 			default:
 			}
 		})
 	}
 }
 
-// What is proper goes on as it came: target, names and order of headers, and the body.
+// A valid request reaches the handler as it was sent: target, names and order of header fields, and body, however its
+// bytes are split into writes.
 func TestValidRequestsAreForwardedUnchanged(t *testing.T) {
-	host := HeaderField{"X", "1"}
+	sentField := HeaderField{"X", "1"}
+	largeBody := strings.Repeat("0123456789abcdef", 4096)
+	longValue := strings.Repeat("x", defaultLimits.headerBytes-len("Host: a\r\nX: \r\n\r\n"))
 	for name, test := range map[string]struct {
 		text string
 		want receivedRequest
 	}{
-		"plain":           {"GET /a HTTP/1.1\r\nHost: a.b:80\r\nX: 1\r\n\r\n", receivedRequest{"GET", "a.b:80", "/a", "", []HeaderField{host}}},
-		"a target":        {"GET /a/../b//%2e%2F/%61?x=/../%20+&y HTTP/1.1\r\nHost: a\r\n\r\n", receivedRequest{"GET", "a", "/a/../b//%2e%2F/%61?x=/../%20+&y", "", nil}},
-		"an absolute one": {"GET HTTP://b.c/a?d HTTP/1.1\r\nHost: a\r\n\r\n", receivedRequest{"GET", "b.c", "/a?d", "", nil}},
-		"a bare host":     {"GET http://b.c?d HTTP/1.1\r\nHost: a\r\n\r\n", receivedRequest{"GET", "b.c", "/?d", "", nil}},
-		"a star":          {"OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n", receivedRequest{"OPTIONS", "a", "*", "", nil}},
-		"names and order": {"GET /a HTTP/1.1\r\nhOsT: a\r\nx-B: 1\r\nX-a:2\r\nX-B: \t3 \r\nx-c:\r\n\r\n",
-			receivedRequest{"GET", "a", "/a", "", []HeaderField{{"x-B", "1"}, {"X-a", "2"}, {"X-B", "3"}, {"x-c", ""}}}},
-		"of one connection": {"GET /a HTTP/1.1\r\nHost: a\r\nConnection: x-b , keep-alive\r\nX-B: 1\r\nKeep-Alive: 3\r\nTE: trailers\r\nUpgrade: x\r\nX: 1\r\n\r\n",
-			receivedRequest{"GET", "a", "/a", "", []HeaderField{host}}},
-		"our own namespace": {"GET /a HTTP/1.1\r\nHost: a\r\nMeadowhinge-Caller: b\r\nX: 1\r\n\r\n", receivedRequest{"GET", "a", "/a", "", []HeaderField{host}}},
-		"a length":          {"PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\na\r\n\x00", receivedRequest{"PUT", "a", "/a", "a\r\n\x00", nil}},
-		"chunks": {"PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0A;b=\"c\"\r\n0123456789\r\n000\r\nX: 1\r\n\r\n",
-			receivedRequest{"PUT", "a", "/a", "a0123456789", nil}},
-		"empty chunks":      {"PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", receivedRequest{"PUT", "a", "/a", "", nil}},
-		"ends before":       {"\r\nGET /a HTTP/1.1\r\nHost: a\r\n\r\n", receivedRequest{"GET", "a", "/a", "", nil}},
-		"the old protocol":  {"GET /a HTTP/1.0\r\n\r\n", receivedRequest{"GET", "", "/a", "", nil}},
-		"a large body":      {"PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("0123456789abcdef", 4096), receivedRequest{"PUT", "a", "/a", strings.Repeat("0123456789abcdef", 4096), nil}},
-		"a head at a bound": {"GET /a HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", defaultLimits.headerBytes-len("Host: a\r\nX: \r\n\r\n")) + "\r\n\r\n", receivedRequest{"GET", "a", "/a", "", []HeaderField{{"X", strings.Repeat("x", defaultLimits.headerBytes-len("Host: a\r\nX: \r\n\r\n"))}}}},
+		"plain": {
+			"GET /a HTTP/1.1\r\nHost: a.b:80\r\nX: 1\r\n\r\n",
+			receivedRequest{"GET", "a.b:80", "/a", "", []HeaderField{sentField}},
+		},
+		"a target": {
+			"GET /a/../b//%2e%2F/%61?x=/../%20+&y HTTP/1.1\r\nHost: a\r\n\r\n",
+			receivedRequest{"GET", "a", "/a/../b//%2e%2F/%61?x=/../%20+&y", "", nil},
+		},
+		"an absolute one": {
+			"GET HTTP://b.c/a?d HTTP/1.1\r\nHost: a\r\n\r\n",
+			receivedRequest{"GET", "b.c", "/a?d", "", nil},
+		},
+		"a bare host": {
+			"GET http://b.c?d HTTP/1.1\r\nHost: a\r\n\r\n",
+			receivedRequest{"GET", "b.c", "/?d", "", nil},
+		},
+		"a star": {
+			"OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n",
+			receivedRequest{"OPTIONS", "a", "*", "", nil},
+		},
+		"names and order": {
+			"GET /a HTTP/1.1\r\nhOsT: a\r\nx-B: 1\r\nX-a:2\r\nX-B: \t3 \r\nx-c:\r\n\r\n",
+			receivedRequest{"GET", "a", "/a", "", []HeaderField{{"x-B", "1"}, {"X-a", "2"}, {"X-B", "3"}, {"x-c", ""}}},
+		},
+		"of one connection": {
+			"GET /a HTTP/1.1\r\nHost: a\r\nConnection: x-b , keep-alive\r\nX-B: 1\r\nKeep-Alive: 3\r\nTE: trailers\r\nUpgrade: x\r\nX: 1\r\n\r\n",
+			receivedRequest{"GET", "a", "/a", "", []HeaderField{sentField}},
+		},
+		"our own namespace": {
+			"GET /a HTTP/1.1\r\nHost: a\r\nMeadowhinge-Caller: b\r\nX: 1\r\n\r\n",
+			receivedRequest{"GET", "a", "/a", "", []HeaderField{sentField}},
+		},
+		"a length": {
+			"PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\na\r\n\x00",
+			receivedRequest{"PUT", "a", "/a", "a\r\n\x00", nil},
+		},
+		"chunks": {
+			"PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0A;b=\"c\"\r\n0123456789\r\n000\r\nX: 1\r\n\r\n",
+			receivedRequest{"PUT", "a", "/a", "a0123456789", nil},
+		},
+		"empty chunks": {
+			"PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+			receivedRequest{"PUT", "a", "/a", "", nil},
+		},
+		"ends before": {
+			"\r\nGET /a HTTP/1.1\r\nHost: a\r\n\r\n",
+			receivedRequest{"GET", "a", "/a", "", nil},
+		},
+		"the old protocol": {
+			"GET /a HTTP/1.0\r\n\r\n",
+			receivedRequest{"GET", "", "/a", "", nil},
+		},
+		"a large body": {
+			"PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 65536\r\n\r\n" + largeBody,
+			receivedRequest{"PUT", "a", "/a", largeBody, nil},
+		},
+		"a head at a bound": {
+			"GET /a HTTP/1.1\r\nHost: a\r\nX: " + longValue + "\r\n\r\n",
+			receivedRequest{"GET", "a", "/a", "", []HeaderField{{"X", longValue}}},
+		},
 	} {
 		for _, step := range []int{1 << 20, 1, 7} {
 			t.Run(fmt.Sprint(name, " by ", step), func(t *testing.T) {
@@ -236,12 +323,14 @@
 	}
 }
 
-// Requests on one connection are answered in the order in which they came, also when the later
-// ones did not wait; the last one gives the connection back.
+// Requests on one connection are answered in the order in which they arrive, also if the caller sends the next before
+// it has the response to the last. A request with Connection: close ends the connection.
 func TestConnectionsAreReused(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	conn, reader := harness.dial(t)
-	text := "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n" + "HEAD /2 HTTP/1.1\r\nHost: a\r\n\r\n" + "PUT /3 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc" +
+	text := "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n" +
+		"HEAD /2 HTTP/1.1\r\nHost: a\r\n\r\n" +
+		"PUT /3 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc" +
 		"GET /large HTTP/1.1\r\nHost: a\r\n\r\n"
 	if _, err := io.WriteString(conn, text); err != nil {
 		t.Fatal(err)
@@ -255,13 +344,15 @@
 			t.Fatalf("%s: %d, %d bytes, closes %t", want.method, status, len(body), closes)
 		}
 	}
-	// Whoever waits for word before it sends the body gets it.
-	fmt.Fprint(conn, "PUT /4 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n")
+	// A caller that expects an interim response before it sends the body gets one.
+	writeText(t, conn, "PUT /4 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n")
 	if line, _ := reader.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
-		t.Fatalf("interim answer %q", line)
+		t.Fatalf("interim response %q", line)
+	}
+	if line, err := reader.ReadString('\n'); line != "\r\n" {
+		t.Fatalf("interim response ends with %q, %v", line, err)
 	}
-	_, _ = reader.ReadString('\n')
-	fmt.Fprint(conn, "abc")
+	writeText(t, conn, "abc")
 	if status, body, closes := readResponse(t, reader, "PUT"); status != 200 || body != "/4" || !closes {
 		t.Errorf("%d %q %t", status, body, closes)
 	}
@@ -270,8 +361,8 @@
 	}
 }
 
-// Callers keep connections that they do not use again: the one that has been quiet the longest makes
-// room for a new one, never one that is owed an answer.
+// Callers keep connections that they do not use again. A new connection replaces the one that has been idle the
+// longest, never one with a call under way.
 func TestIdleConnectionsMakeRoom(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	harness.listener.lock.Lock()
@@ -287,46 +378,46 @@
 		}
 		return count
 	}
-	ask := func(conn net.Conn, reader *bufio.Reader, path string) {
+	call := func(conn net.Conn, reader *bufio.Reader, path string) {
 		t.Helper()
-		fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: a\r\n\r\n", path)
+		writeText(t, conn, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: a\r\n\r\n", path))
 		if status, body, _ := readResponse(t, reader, "GET"); status != 200 || body != path {
 			t.Fatalf("%s: %d %q", path, status, body)
 		}
 	}
 	busy, busyReader := harness.dial(t)
-	fmt.Fprint(busy, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
+	writeText(t, busy, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-harness.received
 	first, firstReader := harness.dial(t)
-	ask(first, firstReader, "/first")
+	call(first, firstReader, "/first")
 	for idleCount() < 1 {
 		runtime.Gosched()
 	}
 	second, secondReader := harness.dial(t)
-	ask(second, secondReader, "/second")
+	call(second, secondReader, "/second")
 	for idleCount() < 2 {
 		runtime.Gosched()
 	}
 	third, thirdReader := harness.dial(t)
-	ask(third, thirdReader, "/third")
+	call(third, thirdReader, "/third")
 	if got, err := io.ReadAll(firstReader); len(got) > 0 || err != nil {
-		t.Errorf("the longest quiet got %q, %v", got, err)
+		t.Errorf("the connection idle for the longest time got %q, %v", got, err)
 	}
-	ask(second, secondReader, "/again")
+	call(second, secondReader, "/again")
 	close(harness.release)
 	if status, body, _ := readResponse(t, busyReader, "GET"); status != 200 || body != "/held" {
-		t.Errorf("the one at work got %d %q", status, body)
+		t.Errorf("the connection with a call got %d %q", status, body)
 	}
 }
 
-// Where every connection is at a request a new one is closed at once.
+// If every connection has a call under way, a new connection is closed at once.
 func TestBusyConnectionsMakeNoRoom(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	harness.listener.lock.Lock()
 	harness.listener.maxConnections = 1
 	harness.listener.lock.Unlock()
 	busy, busyReader := harness.dial(t)
-	fmt.Fprint(busy, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
+	writeText(t, busy, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-harness.received
 	_, reader := harness.dial(t)
 	if got, _ := io.ReadAll(reader); len(got) > 0 {
@@ -334,97 +425,101 @@
 	}
 	close(harness.release)
 	if status, _, _ := readResponse(t, busyReader, "GET"); status != 200 {
-		t.Errorf("the one at work got %d", status)
+		t.Errorf("the connection with a call got %d", status)
 	}
 }
 
-// A head or a body that does not come in time is refused; a quiet connection just ends.
+// A header or body that does not arrive in time is rejected; an idle connection ends without a response.
 func TestSlowCallersTimeOut(t *testing.T) {
 	const soon = 30 * time.Millisecond
+	shortHeaderTimeout := requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 10, headerTimeout: soon, idleTimeout: testTimeout}
+	shortIdleTimeout := requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 10, headerTimeout: testTimeout, idleTimeout: soon}
 	for name, test := range map[string]struct {
 		limits requestLimits
 		text   string
 		want   string
 	}{
-		"head":  {requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 10, headerTimeout: soon, idleTimeout: testTimeout}, "GET /a HTTP/1.1\r\nHo", "HTTP/1.1 408 "},
-		"body":  {requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 10, headerTimeout: testTimeout, idleTimeout: soon}, "PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\na", "HTTP/1.1 408 "},
-		"chunk": {requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 10, headerTimeout: testTimeout, idleTimeout: soon}, "PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1", "HTTP/1.1 408 "},
-		"quiet": {requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 10, headerTimeout: testTimeout, idleTimeout: soon}, "", ""},
+		"head":  {shortHeaderTimeout, "GET /a HTTP/1.1\r\nHo", "HTTP/1.1 408 "},
+		"body":  {shortIdleTimeout, "PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\na", "HTTP/1.1 408 "},
+		"chunk": {shortIdleTimeout, "PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1", "HTTP/1.1 408 "},
+		"quiet": {shortIdleTimeout, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			harness := startListener(t, test.limits)
 			conn, reader := harness.dial(t)
-			fmt.Fprint(conn, test.text)
+			writeText(t, conn, test.text)
 			got, err := io.ReadAll(reader)
 			if err != nil || !strings.HasPrefix(string(got), test.want) || (test.want == "") != (len(got) == 0) {
 				t.Errorf("got %q, %v", got, err)
 			}
 			if len(harness.received) > 0 {
-				t.Error("it was taken for a request")
+				t.Error("the handler received it")
 			}
 		})
 	}
 }
 
-// Large bodies share a room: one that finds none is refused, and the room is given back.
+// Large bodies share a bounded capacity: a body that exceeds it is rejected, and the capacity of a body is free again
+// once its request is answered.
 func TestLargeBodiesShareCapacity(t *testing.T) {
 	harness := startListener(t, requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 20, headerTimeout: testTimeout, idleTimeout: testTimeout})
 	put := func(path string, size int) string {
 		return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, size, strings.Repeat("x", size))
 	}
 	first, firstReader := harness.dial(t)
-	fmt.Fprint(first, put("/held", 1<<20))
+	writeText(t, first, put("/held", 1<<20))
 	<-harness.received
 	second, secondReader := harness.dial(t)
-	fmt.Fprint(second, put("/small", smallBodyBytes))
+	writeText(t, second, put("/small", smallBodyBytes))
 	if status, _, _ := readResponse(t, secondReader, "PUT"); status != 200 {
 		t.Errorf("a small body got %d", status)
 	}
-	go func() { fmt.Fprint(second, put("/large", smallBodyBytes+1)) }()
+	// The rejection may cut the write short.
+	go func() { _, _ = io.WriteString(second, put("/large", smallBodyBytes+1)) }()
 	if status, _, closes := readResponse(t, secondReader, "PUT"); status != 503 || !closes {
-		t.Errorf("a large body without room got %d, closes %t", status, closes)
+		t.Errorf("a large body beyond the capacity got %d, closes %t", status, closes)
 	}
 	close(harness.release)
 	readResponse(t, firstReader, "PUT")
-	fmt.Fprint(first, put("/large", 1<<20))
+	writeText(t, first, put("/large", 1<<20))
 	if status, _, _ := readResponse(t, firstReader, "PUT"); status != 200 {
-		t.Errorf("a large body with room again got %d", status)
+		t.Errorf("a large body with free capacity got %d", status)
 	}
 }
 
-// A caller that goes away ends its request's context; what is done then is the request's matter, and the front
-// waits for it to come to its end.
+// A caller that disconnects ends its request's context. The handler decides what that means, and shutDown waits until
+// it has returned.
 func TestRequestsOutliveTheirConnection(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	conn, _ := harness.dial(t)
-	fmt.Fprint(conn, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
+	writeText(t, conn, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-harness.received
-	conn.Close()
-	await(t, "told that its caller left", func() bool { return harness.canceled.Load() == 1 })
+	closeConn(t, conn)
+	waitFor(t, "the end of the request's context", func() bool { return harness.canceled.Load() == 1 })
 	close(harness.release)
 	until, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	if !harness.listener.shutDown(until.Done()) {
-		t.Error("the request did not come to its end")
+		t.Error("the request did not end")
 	}
 }
 
-// Before the end, connections are given back with an answer but new ones are taken; at the end,
-// idle ones are closed and what was read is answered.
+// While draining is set each response ends its connection, but new connections are accepted. shutDown closes idle
+// connections and lets requests that were read be answered.
 func TestCallerListenerShutsDownInOrder(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	idle, idleReader := harness.dial(t)
-	fmt.Fprint(idle, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
+	writeText(t, idle, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
 	readResponse(t, idleReader, "GET")
 	harness.draining.Store(true)
 	fresh, freshReader := harness.dial(t)
-	fmt.Fprint(fresh, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
+	writeText(t, fresh, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
 	if status, _, closes := readResponse(t, freshReader, "GET"); status != 200 || !closes {
 		t.Errorf("%d, closes %t", status, closes)
 	}
 	busy, busyReader := harness.dial(t)
-	fmt.Fprint(busy, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
+	writeText(t, busy, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
 	for received := range harness.received {
 		if received.Target == "/held" {
 			break
@@ -440,39 +535,47 @@
 		t.Errorf("the last request got %d", status)
 	}
 	if !<-ended {
-		t.Error("it did not end in order")
+		t.Error("not all connections finished")
 	}
 	if _, err := net.Dial("tcp", harness.address); err == nil {
-		t.Error("connections are still taken")
+		t.Error("connections are still accepted")
 	}
 }
 
-// What callers on this machine are answered does not take its link; what others are, does.
+// Only responses to callers on other machines count against the machine's uplink.
 func TestOnlyResponsesThatLeaveTheMachineUseItsUplink(t *testing.T) {
-	for from, wanted := range map[string]bool{"127.0.0.1": false, "127.0.0.2": true} {
-		harness := startListener(t, defaultLimits)
-		dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
-		conn, err := dialer.DialContext(t.Context(), "tcp", harness.address)
-		if err != nil {
-			t.Fatal(err)
-		}
-		_ = conn.SetDeadline(time.Now().Add(testTimeout))
-		reader, sent := bufio.NewReader(conn), 0
-		// The first answer is counted before the second request of its connection is read.
-		for range 2 {
-			if _, err := io.WriteString(conn, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
+	for from, usesUplink := range map[string]bool{"127.0.0.1": false, "127.0.0.2": true} {
+		t.Run(from, func(t *testing.T) {
+			harness := startListener(t, defaultLimits)
+			dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from)}}
+			conn, err := dialer.DialContext(t.Context(), "tcp", harness.address)
+			if err != nil {
 				t.Fatal(err)
 			}
-			answer, err := http.ReadResponse(reader, nil)
-			if err != nil {
+			defer closeConn(t, conn)
+			if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 				t.Fatal(err)
 			}
-			body, _ := io.ReadAll(answer.Body)
-			sent += len(body)
-		}
-		if got := harness.uplinkBytes.Load(); got > 0 != wanted || wanted && got < int64(sent/2) {
-			t.Errorf("answers to %s took %d bytes of the link", from, got)
-		}
-		conn.Close()
+			reader, sent := bufio.NewReader(conn), 0
+			// The first response is counted before the second request of its connection is read.
+			for range 2 {
+				if _, err := io.WriteString(conn, "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"); err != nil {
+					t.Fatal(err)
+				}
+				response, err := http.ReadResponse(reader, nil)
+				if err != nil {
+					t.Fatal(err)
+				}
+				body, err := io.ReadAll(response.Body)
+				if err != nil {
+					t.Fatal(err)
+				}
+				_ = response.Body.Close() // it is read to its end
+				sent += len(body)
+			}
+			if got := harness.uplinkBytes.Load(); got > 0 != usesUplink || usesUplink && got < int64(sent/2) {
+				t.Errorf("responses to %s used %d bytes of the uplink", from, got)
+			}
+		})
 	}
 }
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -16,20 +16,25 @@
 	"meadowhinge/schema"
 )
 
-// StandaloneProxy is a proxy without registries: its picture is given to it.
+// StandaloneProxy is a proxy without registries: tests apply its mesh state.
 type StandaloneProxy struct {
 	*Server
-	CallerAddress string // where its callers' listener is
+	CallerAddress string // of its caller's listener
 
 	stop func()
 }
 
-// StartStandaloneProxy starts a proxy on loopback that serves by what it is told.
-func StartStandaloneProxy(t testing.TB, opts *schema.ProxyOptions, caller string, extensionOptions ...Option) *StandaloneProxy {
-	t.Helper()
+// StartStandaloneProxy starts a proxy on the loopback interface, with a listener for one caller.
+func StartStandaloneProxy(
+	tb testing.TB,
+	opts *schema.ProxyOptions,
+	caller string,
+	extensionOptions ...Option,
+) *StandaloneProxy {
+	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	opts.Advertise, opts.Doubt, opts.Links = listener.Addr().String(), staleModeServe, linkModePlaintext
 	rpcTransport := transport.NewPlaintext("proxy", opts.Name, []string{caller})
@@ -38,53 +43,54 @@
 	server.linkContext = ctx
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, server); err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	go func() { _ = rpcTransport.Serve(ctx, listener, mux, "proxy") }()
 	opened, err := server.openCallerListener(caller, "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	stop := sync.OnceFunc(func() {
 		opened.shutDown(closedChannel)
 		cancel()
 		rpcTransport.Close()
 	})
-	t.Cleanup(stop)
+	tb.Cleanup(stop)
 	return &StandaloneProxy{Server: server, CallerAddress: opened.listener.Addr().String(), stop: stop}
 }
 
+// closedChannel is a deadline that has passed.
 var closedChannel = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
 	return done
 }()
 
-// Apply gives the proxy a setup and what other proxies tell of their workers.
-func (p *StandaloneProxy) Apply(sequence uint64, items []*schema.Item, sources ...*schema.Source) {
-	p.journal.Append(Event{At: p.now(), ConfigRevision: sequence, Items: items, Complete: true, Sources: sources})
+// Apply applies a complete configuration and sources to the proxy's mesh state.
+func (p *StandaloneProxy) Apply(revision uint64, items []*schema.Item, sources ...*schema.Source) {
+	p.journal.Append(Event{At: p.now(), ConfigRevision: revision, Items: items, Complete: true, Sources: sources})
 }
 
-// Source is what the proxy tells of itself.
+// Source is the proxy as a source, as it reports itself.
 func (p *StandaloneProxy) Source() *schema.Source { return p.localSource() }
 
 // Workers are those beside the proxy.
 func (p *StandaloneProxy) Workers() *dispatch.Workers { return p.workers }
 
-// ChangeOptions gives the proxy other settings while it runs.
+// ChangeOptions changes the proxy's options while it runs.
 func (p *StandaloneProxy) ChangeOptions(change func(*schema.ProxyOptions)) {
 	opts := proto.Clone(p.currentOptions()).(*schema.ProxyOptions)
 	change(opts)
 	p.applyOptions(opts)
 }
 
-// Registries are where it looks for registries.
+// Registries are the addresses at which it looks for registries.
 func (p *StandaloneProxy) Registries() []string { return p.registryAddresses() }
 
-// Stop ends the proxy at once, as its process's end would.
+// Stop ends the proxy at once, as the end of its process does.
 func (p *StandaloneProxy) Stop() { p.stop() }
 
-// Disconnects are the proxy's counts of callers that left.
+// Disconnects are the proxy's counts of callers that disconnected.
 func (p *StandaloneProxy) Disconnects() dispatch.DisconnectCounts { return p.disconnects.Counts() }
 
 // QueuedCalls is how many calls wait for the worker beside the proxy.
--- a/internal/proxy/mesh_state_fold_test.go
+++ b/internal/proxy/mesh_state_fold_test.go
@@ -2,8 +2,10 @@
 
 import (
 	"fmt"
+	"maps"
 	"math/rand/v2"
-	"sort"
+	"slices"
+	"strings"
 	"testing"
 	"time"
 
@@ -13,7 +15,7 @@
 	"meadowhinge/schema"
 )
 
-// fullState is what foldFromScratch keeps.
+// fullState is the state of foldFromScratch.
 type fullState struct {
 	sources         map[string]sourceRecord
 	droppedVersions map[string]*schema.SourceVersion
@@ -21,12 +23,14 @@
 	directory       plan.Directory
 }
 
-// foldFromScratch works everything out anew from all sources, with each event.
+// foldFromScratch computes everything from all sources with each event.
 func foldFromScratch(before fullState, event Event) fullState {
-	after := fullState{sources: map[string]sourceRecord{}, droppedVersions: map[string]*schema.SourceVersion{}, firstSeenAt: map[string]time.Duration{}}
-	for name, stamp := range before.droppedVersions {
-		after.droppedVersions[name] = stamp
+	after := fullState{
+		sources:         map[string]sourceRecord{},
+		droppedVersions: map[string]*schema.SourceVersion{},
+		firstSeenAt:     map[string]time.Duration{},
 	}
+	maps.Copy(after.droppedVersions, before.droppedVersions)
 	heardCount := 0
 	for _, record := range before.sources {
 		if event.At-record.receivedAt <= event.SourceTimeout {
@@ -46,7 +50,9 @@
 			continue
 		}
 		record, found := after.sources[source.Name]
-		if (!found && isNewer(source.Version, after.droppedVersions[source.Name])) || (found && isNewer(source.Version, record.source.Version)) {
+		isKnown := found && !isNewer(source.Version, record.source.Version)
+		isDropped := !found && !isNewer(source.Version, after.droppedVersions[source.Name])
+		if !isKnown && !isDropped {
 			after.sources[source.Name] = sourceRecord{source, event.At}
 			delete(after.droppedVersions, source.Name)
 		}
@@ -61,32 +67,47 @@
 			}
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
+	slices.SortFunc(list, func(a, b *schema.Source) int { return strings.Compare(a.Name, b.Name) })
 	after.directory = plan.DirectoryOf(list, func(instance string) time.Duration { return after.firstSeenAt[instance] },
 		func(source string) time.Duration { return after.sources[source].receivedAt })
 	return after
 }
 
-// Folding by difference gives what folding everything anew gives, and leaves the picture before
-// as it was.
+// randomEvent makes an event of a few sources, some of them older than the ones before.
+func randomEvent(random *rand.Rand, turn int) Event {
+	event := Event{At: time.Duration(turn) * time.Second}
+	for range random.IntN(4) {
+		source := &schema.Source{
+			Name:            fmt.Sprint("p", random.IntN(12)),
+			Address:         "127.0.0.1:1",
+			Version:         &schema.SourceVersion{Incarnation: uint64(1 + turn/1000), Counter: uint64(turn - random.IntN(3))},
+			IncarnationOnly: random.IntN(20) == 0,
+		}
+		// Few instances, so that they move from one source to another and are listed twice.
+		for range random.IntN(4) {
+			source.Workers = append(source.Workers, &schema.Worker{
+				Instance: fmt.Sprint("w", random.IntN(20)),
+				Service:  fmt.Sprint("s", random.IntN(3)),
+				Version:  fmt.Sprint(random.IntN(2)),
+				Draining: random.IntN(5) == 0,
+				Load:     random.Float64(),
+			})
+		}
+		event.Sources = append(event.Sources, source)
+	}
+	if random.IntN(10) == 0 {
+		event.SourceTimeout = 40 * time.Second
+	}
+	return event
+}
+
+// Fold, which computes only what an event changes, gives what computing everything gives, and leaves the state before
+// the event as it was.
 func TestIncrementalFoldEqualsFullFold(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	incremental, full := EmptyMeshState(), fullState{}
 	for turn := range 3000 {
-		event := Event{At: time.Duration(turn) * time.Second}
-		for range random.IntN(4) {
-			entry := &schema.Source{Name: fmt.Sprint("p", random.IntN(12)), Address: "127.0.0.1:1", Version: &schema.SourceVersion{Incarnation: uint64(1 + turn/1000), Counter: uint64(turn - random.IntN(3))},
-				IncarnationOnly: random.IntN(20) == 0}
-			// Few instances, so that they go from one source to another and are listed twice.
-			for range random.IntN(4) {
-				entry.Workers = append(entry.Workers, &schema.Worker{Instance: fmt.Sprint("w", random.IntN(20)), Service: fmt.Sprint("s", random.IntN(3)), Version: fmt.Sprint(random.IntN(2)),
-					Draining: random.IntN(5) == 0, Load: random.Float64()})
-			}
-			event.Sources = append(event.Sources, entry)
-		}
-		if random.IntN(10) == 0 {
-			event.SourceTimeout = 40 * time.Second
-		}
+		event := randomEvent(random, turn)
 		before, directory := incremental, plan.DirectoryOf(nil, nil, nil)
 		for service, pools := range incremental.directory {
 			directory[service] = map[string][]plan.Endpoint{}
@@ -99,31 +120,36 @@
 		for instance, entry := range incremental.workers {
 			first[instance] = entry.firstSeenAt
 		}
-		for what, differs := range map[string]string{"directory": cmp.Diff(full.directory, incremental.view.Directory), "workers": cmp.Diff(full.firstSeenAt, first),
-			"the picture before": cmp.Diff(directory, before.directory)} {
+		for what, differs := range map[string]string{
+			"directory":        cmp.Diff(full.directory, incremental.view.Directory),
+			"workers":          cmp.Diff(full.firstSeenAt, first),
+			"the state before": cmp.Diff(directory, before.directory),
+		} {
 			if differs != "" {
 				t.Fatalf("turn %d: %s: %s", turn, what, differs)
 			}
 		}
 		if len(full.sources) != len(incremental.sources) || len(full.droppedVersions) != len(incremental.droppedVersions) {
-			t.Fatalf("turn %d: %d sources of %d, %d swept of %d", turn, len(incremental.sources), len(full.sources), len(incremental.droppedVersions), len(full.droppedVersions))
+			t.Fatalf("turn %d: %d sources of %d, %d dropped of %d", turn,
+				len(incremental.sources), len(full.sources), len(incremental.droppedVersions), len(full.droppedVersions))
 		}
 	}
 }
 
+// BenchmarkFold measures the fold of one changed source into a mesh of so many proxies.
 func BenchmarkFold(b *testing.B) {
 	for _, size := range []int{15, 200, 820} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			var all []*schema.Source
 			for i := range size {
-				listed := source(fmt.Sprintf("10.0.%d.%d", i/250, i%250), 1, fmt.Sprintf("w-%d", i))
+				listed := newSource(fmt.Sprintf("10.0.%d.%d", i/250, i%250), 1, fmt.Sprintf("w-%d", i))
 				listed.Workers[0].Service = fmt.Sprint("s", i%150)
 				all = append(all, listed)
 			}
 			state := Fold(EmptyMeshState(), Event{At: 1, Sources: all})
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				state = Fold(state, Event{At: 2, Sources: []*schema.Source{source("10.0.0.1", uint64(n+2), "w-1")}})
+				state = Fold(state, Event{At: 2, Sources: []*schema.Source{newSource("10.0.0.1", uint64(n+2), "w-1")}})
 			}
 		})
 	}
--- a/internal/proxy/options_reload_test.go
+++ b/internal/proxy/options_reload_test.go
@@ -11,15 +11,16 @@
 	"meadowhinge/schema"
 )
 
-// startGatedWorker is a worker that answers a request only once it is let.
-func startGatedWorker(t *testing.T) (address string, came chan struct{}, answer chan struct{}) {
+// startGatedWorker starts a worker that answers requests once the test closes release; arrived gets one value for each
+// request that reaches it.
+func startGatedWorker(t *testing.T) (address string, arrived chan struct{}, release chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
-	came, answer = make(chan struct{}, 16), make(chan struct{})
+	t.Cleanup(func() { _ = listener.Close() }) // ends the goroutine below
+	arrived, release = make(chan struct{}, 16), make(chan struct{})
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -27,7 +28,7 @@
 				return
 			}
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }() // the other side has ended it
 				reader := bufio.NewReader(conn)
 				for {
 					line, err := reader.ReadString('\n')
@@ -37,8 +38,8 @@
 					if line != "\r\n" {
 						continue
 					}
-					came <- struct{}{}
-					<-answer
+					arrived <- struct{}{}
+					<-release
 					if _, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"); err != nil {
 						return
 					}
@@ -46,17 +47,17 @@
 			}()
 		}
 	}()
-	return listener.Addr().String(), came, answer
+	return listener.Addr().String(), arrived, release
 }
 
-// startRequest sends a request on a connection of its own; what it is answered comes later.
+// startRequest sends a request on a connection of its own. The channel gets the status of its response, or the error.
 func startRequest(t *testing.T, address string) chan string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
+	t.Cleanup(func() { _ = conn.Close() }) // ends the goroutine below
 	if _, err := io.WriteString(conn, request); err != nil {
 		t.Fatal(err)
 	}
@@ -71,49 +72,49 @@
 	return answered
 }
 
-// await waits until a request is at the worker.
-func await(t *testing.T, came chan struct{}, answered chan string) {
+// awaitRequest waits until a request has reached the worker.
+func awaitRequest(t *testing.T, arrived chan struct{}, answered chan string) {
 	t.Helper()
 	select {
-	case <-came:
+	case <-arrived:
 	case got := <-answered:
-		t.Fatalf("answered %q before it came to the worker", got)
+		t.Fatalf("answered %q before it reached the worker", got)
 	}
 }
 
-// Settings that change while calls are under way cut none of them; those that come later go by
-// the new ones, and where registries are looked for moves too.
+// Options that change while calls are under way cancel none of them. Later calls go by the new options, and the
+// addresses of the registries change too.
 func TestSettingsChangeUnderCalls(t *testing.T) {
-	worker, came, answer := startGatedWorker(t)
+	worker, arrived, release := startGatedWorker(t)
 	here := startProxyPair(t, worker)
 	first := startRequest(t, here.CallerAddress)
-	await(t, came, first)
-	here.ChangeOptions(func(given *schema.ProxyOptions) { given.Buffer, given.Seeds = 1, "127.0.0.1:9" })
+	awaitRequest(t, arrived, first)
+	here.ChangeOptions(func(opts *schema.ProxyOptions) { opts.Buffer, opts.Seeds = 1, "127.0.0.1:9" })
 	if got := <-startRequest(t, here.CallerAddress); !strings.HasPrefix(got, "503 ") {
-		t.Errorf("the second call of one that may be in flight was answered %q", got)
+		t.Errorf("a second call, where one may be in flight, was answered %q", got)
 	}
-	here.ChangeOptions(func(given *schema.ProxyOptions) { given.Buffer, given.Seeds = 2, "127.0.0.1:9,127.0.0.1:10" })
+	here.ChangeOptions(func(opts *schema.ProxyOptions) { opts.Buffer, opts.Seeds = 2, "127.0.0.1:9,127.0.0.1:10" })
 	second := startRequest(t, here.CallerAddress)
-	await(t, came, second)
-	close(answer)
+	awaitRequest(t, arrived, second)
+	close(release)
 	for _, answered := range []chan string{first, second} {
 		if got := <-answered; got != "200 OK" {
 			t.Errorf("answered %q", got)
 		}
 	}
 	if got := here.Registries(); !slices.Equal(got, []string{"127.0.0.1:9", "127.0.0.1:10"}) {
-		t.Errorf("registries are looked for at %v", got)
+		t.Errorf("addresses of the registries: %v", got)
 	}
 }
 
-// How long a call may take at most follows the settings.
+// The longest deadline of a call follows the options.
 func TestMaxDeadlineFollowsSettings(t *testing.T) {
-	worker, came, answer := startGatedWorker(t)
-	defer close(answer)
+	worker, arrived, release := startGatedWorker(t)
+	defer close(release)
 	here := startProxyPair(t, worker)
-	here.ChangeOptions(func(given *schema.ProxyOptions) { given.HorizonMost = int64(50e6) })
+	here.ChangeOptions(func(opts *schema.ProxyOptions) { opts.HorizonMost = int64(50e6) })
 	late := startRequest(t, here.CallerAddress)
-	await(t, came, late)
+	awaitRequest(t, arrived, late)
 	if got := <-late; !strings.HasPrefix(got, "504 ") {
 		t.Errorf("answered %q", got)
 	}
--- a/internal/proxy/retry_after_test.go
+++ b/internal/proxy/retry_after_test.go
@@ -9,30 +9,73 @@
 	"meadowhinge/schema"
 )
 
-// Every kind of failure either tells when to come back, or is one that asking again won't mend.
+// Every error code is decided on: either a retry makes sense after a time, or no retry helps.
 func TestEveryErrorSaysWhenToRetry(t *testing.T) {
-	opts := &schema.ProxyOptions{Lease: int64(8 * time.Second), Ejection: int64(5 * time.Second), HorizonMost: int64(10 * time.Second), Drain: int64(7 * time.Second)}
+	opts := &schema.ProxyOptions{
+		Lease:       int64(8 * time.Second),
+		Ejection:    int64(5 * time.Second),
+		HorizonMost: int64(10 * time.Second),
+		Drain:       int64(7 * time.Second),
+	}
 	s := &Server{initialOptions: opts, extensions: newExtensions(nil)}
 	s.liveOptions.Store(opts)
-	want := map[errs.Code]string{
-		errs.NoLease: "1", errs.NoWorker: "1", errs.WorkerDraining: "1", errs.WrongInstance: "1", errs.ProxyWarmingUp: "1", errs.StalePlan: "1", errs.VersionNotAllowed: "1",
-		errs.NoQuorum: "1", errs.IdempotencyKeyNotReserved: "1", errs.IdempotencyKeyUnresolved: "2", errs.DeadlineExceeded: "2", errs.QueueFull: "2", errs.DuplicateRequest: "2",
-		errs.PeerConnectionLost: "5", errs.PeerConnectFailed: "5", errs.WorkerConnectionLost: "5", errs.WorkerConnectFailed: "5", errs.InvalidResponse: "5", errs.ProxyDraining: "7",
-		// What stays refused, however often it is asked for.
-		errs.RouteNotFound: "", errs.PolicyDenied: "", errs.CallerDisconnected: "", errs.CallerNotAllowed: "", errs.BodyTooLarge: "", errs.HeaderTooLarge: "", errs.RequestTimeout: "", errs.MalformedRequest: "", errs.IdempotencyKeyReused: "", errs.InvalidOptions: "", errs.InvalidConfig: "",
-		errs.Conflict: "", errs.StaleTerm: "", errs.ChangeNotFound: "", errs.DiskFailed: "", errs.DiskCorrupt: "", errs.Unauthorized: "", errs.Internal: "",
+	want := map[errs.Code]string{ // seconds in Retry-After
+		errs.NoLease:                   "1",
+		errs.NoWorker:                  "1",
+		errs.WorkerDraining:            "1",
+		errs.WrongInstance:             "1",
+		errs.ProxyWarmingUp:            "1",
+		errs.StalePlan:                 "1",
+		errs.VersionNotAllowed:         "1",
+		errs.NoQuorum:                  "1",
+		errs.IdempotencyKeyNotReserved: "1",
+		errs.IdempotencyKeyUnresolved:  "2",
+		errs.DeadlineExceeded:          "2",
+		errs.QueueFull:                 "2",
+		errs.DuplicateRequest:          "2",
+		errs.PeerConnectionLost:        "5",
+		errs.PeerConnectFailed:         "5",
+		errs.WorkerConnectionLost:      "5",
+		errs.WorkerConnectFailed:       "5",
+		errs.InvalidResponse:           "5",
+		errs.ProxyDraining:             "7",
+		// These fail however often the request is sent.
+		errs.RouteNotFound:        "",
+		errs.PolicyDenied:         "",
+		errs.CallerDisconnected:   "",
+		errs.CallerNotAllowed:     "",
+		errs.BodyTooLarge:         "",
+		errs.HeaderTooLarge:       "",
+		errs.RequestTimeout:       "",
+		errs.MalformedRequest:     "",
+		errs.IdempotencyKeyReused: "",
+		errs.InvalidOptions:       "",
+		errs.InvalidConfig:        "",
+		errs.Conflict:             "",
+		errs.StaleTerm:            "",
+		errs.ChangeNotFound:       "",
+		errs.DiskFailed:           "",
+		errs.DiskCorrupt:          "",
+		errs.Unauthorized:         "",
+		errs.Internal:             "",
 	}
 	for _, code := range errs.Codes() {
-		seconds, known := want[code]
-		if !known {
-			t.Errorf("%s: nothing is said of when to come back", code)
-		}
-		for _, forwarded := range []*schema.ForwardResponse{nil, {Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED}, {Outcome: schema.CallOutcome_CALL_OUTCOME_UNKNOWN}} {
-			response := &Response{}
-			s.writeResult(&RequestHeader{}, &dispatch.CallResult{Err: errs.New(code, ""), Response: forwarded}, response)
-			if retryAfter := response.HeaderValue("Retry-After"); retryAfter != seconds {
-				t.Errorf("%s: come back after %q, want %q", code, retryAfter, seconds)
+		t.Run(string(code), func(t *testing.T) {
+			seconds, known := want[code]
+			if !known {
+				t.Error("the test does not say when to retry")
+			}
+			for _, forwarded := range []*schema.ForwardResponse{
+				nil,
+				{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+				{Outcome: schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+			} {
+				response := &Response{}
+				s.writeResult(&RequestHeader{}, &dispatch.CallResult{Err: errs.New(code, ""), Response: forwarded}, response)
+				if retryAfter := response.HeaderValue("Retry-After"); retryAfter != seconds {
+					t.Errorf("Retry-After is %q, want %q", retryAfter, seconds)
+				}
 			}
-		}
+		})
 	}
 }
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Whoever is told to end takes calls until callers must have noticed, and longer if they go on
-// coming; then it brings what it took to its end, but never overstays.
+// A proxy that shuts down accepts calls until callers must have noticed, and longer if they keep coming. Then it lets
+// the calls it accepted end, but never exceeds the drain time.
 func TestShutdownStages(t *testing.T) {
 	const ms = time.Millisecond
 	schedule := newShutdownSchedule(2000*ms, 4000*ms)
@@ -28,36 +28,40 @@
 		"they have not":                    {closing, 4000 * ms, 2980 * ms, 1, terminated},
 		"time ran out":                     {accepting, 4000 * ms, 3980 * ms, 1, terminated},
 	} {
-		if got := schedule.nextStage(test.from, test.at, test.last, test.inFlight); got != test.want {
-			t.Errorf("%s: stage %d, want %d", name, got, test.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got := schedule.nextStage(test.from, test.at, test.last, test.inFlight); got != test.want {
+				t.Errorf("stage %d, want %d", got, test.want)
+			}
+		})
 	}
-	// Callers are let in for the whole notice, so the room of the workers here is needed for a part of it;
-	// what they have at hand then ends before the rest is over.
+	// Calls are accepted during the whole notice, so the workers here are needed for a part of it; what they are
+	// working on ends within the rest.
 	if schedule.drainsWorkers(900*ms) || !schedule.drainsWorkers(1000*ms) {
-		t.Error("workers part too early or too late")
+		t.Error("workers are drained too early or too late")
 	}
 	if (shutdownSchedule{drainTimeout: 4000 * ms}).drainsWorkers(0) != true {
-		t.Error("where nobody has to notice the workers part at once")
+		t.Error("without callers that must notice, workers are not drained at once")
 	}
-	// A notice longer than the time there is does not eat it all up.
+	// A notice longer than the drain time leaves time to close.
 	if short := newShutdownSchedule(5000*ms, 4000*ms); short.nextStage(accepting, 2600*ms, 0, 0) != closing {
 		t.Error("a long notice leaves no time to close")
 	}
 }
 
-// A call that is taken while the proxy ends is answered before its connections are closed.
+// A call that is accepted during a shutdown is answered before its connection is closed.
 func TestBoundDeadline(t *testing.T) {
 	const second = time.Second
-	for name, test := range map[string]struct{ asked, overAt, now, want time.Duration }{
+	for name, test := range map[string]struct{ requested, shutdownDeadline, now, want time.Duration }{
 		"not ending":          {4 * second, 0, 9 * second, 4 * second},
 		"time enough":         {second, 20 * second, 17 * second, second},
 		"too long":            {4 * second, 20 * second, 18 * second, 2*second - 100*time.Millisecond},
 		"says nothing":        {0, 20 * second, 18 * second, 2*second - 100*time.Millisecond},
 		"in the last moments": {4 * second, 20 * second, 20 * second, 1},
 	} {
-		if got := boundDeadline(test.asked, test.overAt, test.now, 3200*time.Millisecond); got != test.want {
-			t.Errorf("%s: %s, want %s", name, got, test.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			if got := boundDeadline(test.requested, test.shutdownDeadline, test.now, 3200*time.Millisecond); got != test.want {
+				t.Errorf("%s, want %s", got, test.want)
+			}
+		})
 	}
 }
