--- a/internal/proxy/request_header_parser.go
+++ b/internal/proxy/request_header_parser.go
@@ -89,7 +89,6 @@
 	case version != "HTTP/1.1" && version != "HTTP/1.0":
 		return malformed("protocol")
 	}
-	h.http10 = version == "HTTP/1.0"
 	h.Method, h.Target = method, target
 	if err := h.splitAbsoluteTarget(); err != nil {
 		return err
@@ -99,6 +98,7 @@
 		return malformed("target")
 	}
 	h.Path, _, _ = strings.Cut(h.Target, "?")
+	h.http10 = version == "HTTP/1.0"
 	return nil
 }
 
--- a/internal/proxy/request_header_test.go
+++ b/internal/proxy/request_header_test.go
@@ -1,6 +1,7 @@
 package proxy
 
 import (
+	"fmt"
 	"io"
 	"net"
 	"strconv"
@@ -41,6 +42,31 @@
 	}
 }
 
+// If several lines are wrong, the first one decides the error that the caller reads; what the lines make together is
+// judged after all of them.
+func TestFirstWrongLineDecidesTheError(t *testing.T) {
+	const requestLine = "GET /a HTTP/1.1\r\n"
+	for name, test := range map[string]struct{ text, want string }{
+		"length before host":       {requestLine + "Content-Length: x\r\nHost: a/b\r\n\r\n", "Content-Length"},
+		"host before length":       {requestLine + "Host: a/b\r\nContent-Length: x\r\n\r\n", "Host"},
+		"encoding before expect":   {requestLine + "Transfer-Encoding: gzip\r\nExpect: x\r\n\r\n", "Transfer-Encoding"},
+		"expect before a bad line": {requestLine + "Expect: x\r\nX\r\n\r\n", "Expect"},
+		"request line before all":  {"GET a HTTP/1.1\r\nX\r\n\r\n", "target"},
+		"a line before the end":    {requestLine + "Host: a/b\r\nX: y", "Host"},
+		"the end before framing":   {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n", "a head that does not end"},
+		"rest before framing":      {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", "head"},
+		"framing before host":      {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", "more than one length"},
+		"HTTP/1.0 before host":     {"GET /a HTTP/1.0\r\nHost: a\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", "Transfer-Encoding in HTTP/1.0"},
+		"no host":                  {requestLine + "\r\n", "Host is needed once"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if got, want := fmt.Sprint(parseRequestHeader(test.text, &RequestHeader{})), malformed(test.want).Error(); got != want {
+				t.Errorf("error %q, want %q", got, want)
+			}
+		})
+	}
+}
+
 // Whatever a caller sends as a header, what the parser accepts of it cannot be understood as two requests.
 func FuzzParseRequestHeader(f *testing.F) {
 	for _, seed := range []string{
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -55,8 +55,8 @@
 	extensions     extensions
 	log            logr.Logger
 
-	// processIncarnation distinguishes this process from earlier ones of the same name. establishIncarnation sets it
-	// before any session begins, and it does not change after that.
+	// processIncarnation distinguishes this process from earlier ones of the same name. newServer chooses one,
+	// establishIncarnation replaces it before any session begins; after that it does not change.
 	processIncarnation uint64
 
 	// State of the mesh and of calls; each guards itself.
@@ -72,9 +72,9 @@
 	callsInFlight     atomic.Int64         // of callers here
 	peerCallsInFlight atomic.Int64         // of other proxies
 	servingGate       servingGate          // whether this proxy may decide calls
-	leaseGate         *session.LeaseGate   // the same while the proxy serves under a lease
+	leaseGate         *session.LeaseGate   // the lease itself; it is the servingGate of a proxy that serves under one
 
-	// lock guards the fields up to the next comment.
+	// lock guards the fields of this block.
 	lock sync.Mutex
 	// sourceIncarnation is the incarnation of localSource: processIncarnation until a registry lists this proxy under
 	// a higher one, then above that one. 0 until establishIncarnation has set it.
