--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -24,7 +24,7 @@
 //
 // When Run returns an error before it serves, listeners it had opened stay open: the process ends with it.
 //
-//nolint:contextcheck // connections and the shutdown outlive ctx, by which the process is told to end
+//nolint:contextcheck // connections and the shutdown outlive ctx, whose end starts the shutdown
 func Run(ctx context.Context, environment *daemon.Environment, opts *schema.ProxyOptions, extensionOptions ...Option) error {
 	callers := options.SplitPairs(opts.Callers)
 	rpcTransport, err := newTransport(opts, callers)
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -103,7 +103,7 @@
 	server          *Server
 	schedule        shutdownSchedule
 	startedAt       time.Duration
-	workersDraining bool // the workers have been told
+	workersDraining bool // DrainAll has been called
 	ticker          *time.Ticker
 }
 
@@ -179,7 +179,7 @@
 	}
 	source := s.localSource()
 	source.Workers, source.ShuttingDown = nil, true
-	// The context that told this proxy to end is over already.
+	// The context of Run has ended already: its end started the shutdown.
 	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
 	defer cancel()
 	if _, err := s.registryClient(bounded, address).Tell(bounded, s.newReport(source)); err != nil {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -16,17 +16,17 @@
 		inFlight int64
 		want     shutdownStage
 	}{
-		"idle from the start":              {accepting, 100 * ms, -10000 * ms, 0, accepting},
-		"idle once noticed":                {accepting, 2000 * ms, 500 * ms, 0, closing},
-		"a call is in flight once noticed": {accepting, 2000 * ms, 500 * ms, 1, accepting},
-		"one came just now":                {accepting, 2000 * ms, 1900 * ms, 0, accepting},
-		"the last came a while ago":        {accepting, 2300 * ms, 2000 * ms, 0, closing},
-		"calls come all the time":          {accepting, 2590 * ms, 2580 * ms, 5, accepting},
-		"and must be stopped":              {accepting, 2600 * ms, 2580 * ms, 5, closing},
-		"those taken are in flight":        {closing, 3500 * ms, 2980 * ms, 1, closing},
-		"they have ended":                  {closing, 3500 * ms, 2980 * ms, 0, terminated},
-		"they have not":                    {closing, 4000 * ms, 2980 * ms, 1, terminated},
-		"time ran out":                     {accepting, 4000 * ms, 3980 * ms, 1, terminated},
+		"idle, notice not over":          {accepting, 100 * ms, -10000 * ms, 0, accepting},
+		"idle, notice over":              {accepting, 2000 * ms, 500 * ms, 0, closing},
+		"notice over, a call in flight":  {accepting, 2000 * ms, 500 * ms, 1, accepting},
+		"notice over, a call just came":  {accepting, 2000 * ms, 1900 * ms, 0, accepting},
+		"quiet after the notice":         {accepting, 2300 * ms, 2000 * ms, 0, closing},
+		"calls keep coming":              {accepting, 2590 * ms, 2580 * ms, 5, accepting},
+		"calls keep coming for too long": {accepting, 2600 * ms, 2580 * ms, 5, closing},
+		"closing, a call in flight":      {closing, 3500 * ms, 2980 * ms, 1, closing},
+		"closing, calls have ended":      {closing, 3500 * ms, 2980 * ms, 0, terminated},
+		"closing, out of time":           {closing, 4000 * ms, 2980 * ms, 1, terminated},
+		"accepting, out of time":         {accepting, 4000 * ms, 3980 * ms, 1, terminated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := schedule.nextStage(test.from, test.at, test.last, test.inFlight); got != test.want {
--- a/internal/proxy/worker_listener.go
+++ b/internal/proxy/worker_listener.go
@@ -53,7 +53,7 @@
 		return
 	}
 	s.extensions.heartbeatHandler.Handle(requestCtx, s.workers)
-	// A worker that is told to close its connection does not find one that was closed under it.
+	// During a shutdown the response announces the close, so that no worker sends its next heartbeat on a closed connection.
 	if s.draining.Load() {
 		requestCtx.SetConnectionClose()
 	}
