--- a/internal/registry/daemon.go
+++ b/internal/registry/daemon.go
@@ -173,7 +173,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if !s.fleetState.GrantsLeases(s.now()) {
-		return daemon.Readiness{Reason: "REGISTRY_YOUNG"}
+		return daemon.Readiness{Reason: reasonRegistryYoung}
 	}
 	return daemon.Readiness{Ready: true}
 }
@@ -712,9 +712,7 @@
 			}
 			if acknowledgement.Record(answer) {
 				s.lock.Lock()
-				if traced := s.fleetState.traces[sequence]; traced != nil && traced.acknowledgedAt == 0 {
-					traced.acknowledgedAt = s.now()
-				}
+				s.fleetState.traceAcknowledged(s.now(), sequence)
 				s.lock.Unlock()
 				return nil
 			}
--- a/internal/registry/operators.go
+++ b/internal/registry/operators.go
@@ -315,32 +315,6 @@
 	return MergeCounts(append(answers, s.localCounts(false)))
 }
 
-// MergeCounts keeps, of each proxy's incarnation, the tellings that counted most.
-func MergeCounts(answers []*schema.CountsReply) []*schema.SourceCounts {
-	byIncarnation := map[proxyIncarnation]*schema.SourceCounts{}
-	var all []*schema.SourceCounts
-	for _, answer := range answers {
-		for _, reported := range answer.Sources {
-			key := proxyIncarnation{reported.Proxy, reported.Incarnation}
-			merged := byIncarnation[key]
-			if merged == nil {
-				merged = &schema.SourceCounts{Proxy: reported.Proxy, Incarnation: reported.Incarnation, AgeNanos: reported.AgeNanos}
-				byIncarnation[key] = merged
-				all = append(all, merged)
-			}
-			if totalCalls(reported) > totalCalls(merged) {
-				merged.Counts = reported.Counts
-			}
-			// Of two tellings that count the same, the later one has what is under way now.
-			if totalWorkCalls(reported) > totalWorkCalls(merged) || (totalWorkCalls(reported) == totalWorkCalls(merged) && reported.AgeNanos <= merged.AgeNanos) {
-				merged.WorkCounts = reported.WorkCounts
-			}
-			merged.Applied, merged.AgeNanos = max(merged.Applied, reported.Applied), min(merged.AgeNanos, reported.AgeNanos)
-		}
-	}
-	return all
-}
-
 // configSnapshot is the stable setup; it is compiled only when somebody asks.
 func (s *Server) configSnapshot() *config.Snapshot {
 	snapshot, _ := s.configSnapshotAndState()
--- a/internal/registry/steer.go
+++ b/internal/registry/steer.go
@@ -191,28 +191,6 @@
 	return WorkerPoolsOf(s.fleetState.SourcesNewerThan(s.now(), nil))
 }
 
-// WorkerPoolsOf counts the workers of sources, by service and version.
-func WorkerPoolsOf(sources []*schema.Source) map[[2]string]release.WorkerPool {
-	pools := map[[2]string]release.WorkerPool{}
-	slotsUnknown := map[[2]string]bool{}
-	for _, source := range sources {
-		for _, worker := range source.Workers {
-			if worker.Draining || worker.Terminated {
-				continue
-			}
-			key := [2]string{worker.Service, worker.Version}
-			slotsUnknown[key] = slotsUnknown[key] || worker.Slots == 0
-			pool := pools[key]
-			pool.Workers, pool.Slots = pool.Workers+1, pool.Slots+int(worker.Slots)
-			if slotsUnknown[key] {
-				pool.Slots = 0
-			}
-			pools[key] = pool
-		}
-	}
-	return pools
-}
-
 // knownFor is how long this registry has known what was stated in a sequence.
 func (s *Server) knownFor(sequence uint64) time.Duration {
 	s.lock.Lock()
