--- a/internal/registry/backoff_test.go
+++ b/internal/registry/backoff_test.go
@@ -13,12 +13,12 @@
 			t.Errorf("the first pause takes %v of a lease", fraction)
 		case fraction < longest:
 			t.Errorf("pause %d is shorter than the one before", failures)
-		case fraction > 1./retryPauseDivisor:
+		case fraction > 1./retryIntervalDivisor:
 			t.Errorf("pause %d takes %v of a lease", failures, fraction)
 		}
 		longest = fraction
 	}
-	if longest != 1./retryPauseDivisor {
-		t.Errorf("pauses grow to %v of a lease, want %v", longest, 1./retryPauseDivisor)
+	if longest != 1./retryIntervalDivisor {
+		t.Errorf("pauses grow to %v of a lease, want %v", longest, 1./retryIntervalDivisor)
 	}
 }
--- /dev/null
+++ b/internal/registry/operator_views.go
@@ -0,0 +1,227 @@
+package registry
+
+import (
+	"context"
+	"encoding/json"
+	"sort"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"meadowhinge/internal/config"
+	"meadowhinge/internal/daemon"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/release"
+	"meadowhinge/internal/statuspage"
+	"meadowhinge/schema"
+)
+
+// ItemView is a configuration item as operators see it.
+type ItemView struct {
+	Kind    string          `json:"kind"`
+	Name    string          `json:"name"`
+	Version uint64          `json:"version"`          // the revision of the change that wrote it
+	Change  string          `json:"change,omitempty"` // the id of that change
+	Body    json.RawMessage `json:"body,omitempty"`
+}
+
+func newItemView(item *schema.Item) ItemView {
+	return ItemView{
+		Kind:    item.Kind,
+		Name:    item.Name,
+		Version: item.Version.GetSequence(),
+		Change:  item.ChangeId,
+		Body:    item.Body,
+	}
+}
+
+// ConfigView is the committed configuration as operators see it.
+type ConfigView struct {
+	Sequence uint64     `json:"sequence"` // its revision
+	Items    []ItemView `json:"items"`
+}
+
+func (o *operatorServer) handleConfig(_ context.Context, call *fasthttp.RequestCtx) {
+	s := o.state
+	s.lock.Lock()
+	view := ConfigView{Sequence: s.fleetState.committedRevision, Items: []ItemView{}}
+	items := s.configCache.state.Items()
+	caughtUp := s.fleetState.caughtUp
+	s.lock.Unlock()
+	// Before it has caught up, the registry might show an older configuration than operators have seen already.
+	if !caughtUp {
+		daemon.WriteError(call, errs.New(errs.NoQuorum, "this registry has not caught up"), "", nil)
+		return
+	}
+	for _, item := range items {
+		if !item.Deleted && item.Kind != config.KindPurged {
+			view.Items = append(view.Items, newItemView(item))
+		}
+	}
+	daemon.WriteJSON(call, fasthttp.StatusOK, view)
+}
+
+// VerdictCount counts the calls of one verdict, route and outcome.
+type VerdictCount struct {
+	Flag      string  `json:"flag"`
+	Service   string  `json:"service"`
+	Variation string  `json:"variation"`
+	Reason    string  `json:"reason"`
+	Rule      string  `json:"rule,omitempty"`
+	Route     string  `json:"route"`
+	Outcome   string  `json:"outcome"`
+	Calls     uint64  `json:"calls"`
+	Failures  uint64  `json:"failures"` // among the calls
+	MeanMS    float64 `json:"meanMs"`   // mean duration of a call, in milliseconds
+}
+
+func (o *operatorServer) handleVerdicts(ctx context.Context, call *fasthttp.RequestCtx) {
+	sums := map[VerdictCount]*schema.VerdictCount{}
+	for _, counts := range o.peers.collectCounts(ctx) {
+		for _, count := range counts.Counts {
+			key := VerdictCount{
+				Flag:      count.Flag,
+				Service:   count.Service,
+				Variation: count.Variation,
+				Reason:    count.Reason,
+				Rule:      count.Rule,
+				Route:     count.Route,
+				Outcome:   count.Outcome,
+			}
+			if sums[key] == nil {
+				sums[key] = &schema.VerdictCount{}
+			}
+			sums[key].Calls += count.Calls
+			sums[key].Failures += count.Failures
+			sums[key].TotalNanos += count.TotalNanos
+		}
+	}
+	views := []VerdictCount{}
+	for view, sum := range sums {
+		view.Calls = sum.Calls
+		view.Failures = sum.Failures
+		if sum.Calls > 0 {
+			view.MeanMS = float64(sum.TotalNanos) / float64(sum.Calls) / float64(time.Millisecond)
+		}
+		views = append(views, view)
+	}
+	sort.Slice(views, func(i, j int) bool { return views[i].sortKey() < views[j].sortKey() })
+	daemon.WriteJSON(call, fasthttp.StatusOK, views)
+}
+
+// sortKey orders the lines of the verdicts page.
+func (v *VerdictCount) sortKey() string {
+	return v.Service + "\x00" + v.Variation + "\x00" + v.Reason + "\x00" + v.Route + "\x00" + v.Outcome
+}
+
+// WorkerView is a worker as operators see it.
+type WorkerView struct {
+	Instance string  `json:"instance"`
+	Service  string  `json:"service"`
+	Version  string  `json:"version"`
+	Zone     string  `json:"area"`
+	Proxy    string  `json:"proxy"` // the proxy that it is registered with
+	Load     float64 `json:"load"`
+	State    string  `json:"state"` // serving or leaving
+}
+
+// States of a WorkerView.
+const (
+	workerServing  = "serving"
+	workerDraining = "leaving"
+)
+
+func (o *operatorServer) handleWorkers(_ context.Context, call *fasthttp.RequestCtx) {
+	views := []WorkerView{}
+	for _, source := range o.state.sources() {
+		for _, worker := range source.Workers {
+			state := workerServing
+			if worker.Draining {
+				state = workerDraining
+			}
+			views = append(views, WorkerView{
+				Instance: worker.Instance,
+				Service:  worker.Service,
+				Version:  worker.Version,
+				Zone:     worker.Zone,
+				Proxy:    source.Name,
+				Load:     worker.Load,
+				State:    state,
+			})
+		}
+	}
+	daemon.WriteJSON(call, fasthttp.StatusOK, views)
+}
+
+// CoreStatus is the core as operators see it.
+type CoreStatus struct {
+	Store       *statuspage.Replica      `json:"store,omitempty"` // of this member; absent if it did not answer
+	Registries  []*statuspage.Registry   `json:"registries"`      // that answered, by member
+	CoreMembers []*statuspage.CoreMember `json:"cores"`
+	LiveProxies int                      `json:"members"`
+}
+
+func (o *operatorServer) handleStatus(ctx context.Context, call *fasthttp.RequestCtx) {
+	bounded, cancel := context.WithTimeout(ctx, o.queryTimeout())
+	defer cancel()
+	statuses := []*schema.RegistryStatus{o.status.current()}
+	statuses = append(statuses, callOtherRegistries(bounded, o.peers, o.queryTimeout(),
+		func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.RegistryStatus, error) {
+			return peer.Look(ctx, &schema.Empty{})
+		})...)
+	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Member < statuses[j].Member })
+	status := &CoreStatus{Registries: statuspage.RegistriesOf(statuses)}
+	if replica, err := o.store.Look(bounded, &schema.Empty{}); err == nil {
+		status.Store = statuspage.ReplicaOf(replica)
+	}
+	o.state.lock.Lock()
+	status.CoreMembers = statuspage.CoreMembersOf(o.state.membership.reachable())
+	status.LiveProxies = o.state.fleetState.LiveProxies(o.state.now())
+	o.state.lock.Unlock()
+	daemon.WriteJSON(call, fasthttp.StatusOK, status)
+}
+
+// ReleaseView is a release plan and its progress. Percentages are of the service's calls, from 0 to 100.
+type ReleaseView struct {
+	Name               string  `json:"name"`
+	Service            string  `json:"service"`
+	Version            string  `json:"version"`
+	Target             float64 `json:"target"`   // the percentage at which the plan is done
+	Duration           string  `json:"over"`     // of the plan, as the operator wrote it
+	Pace               string  `json:"pace"`     // go, hold or back: the operator's control of the plan
+	State              string  `json:"state"`    // of the plan; empty before its first step
+	Reason             string  `json:"reason"`   // of the state
+	Percentage         float64 `json:"share"`    // that the version is given now
+	MeasuredPercentage float64 `json:"measured"` // that it got, of all calls counted
+	ControllerTerm     uint64  `json:"duty"`     // of the controller that wrote the last step
+	Controller         string  `json:"holder"`   // its member
+}
+
+func (o *operatorServer) handleReleases(ctx context.Context, call *fasthttp.RequestCtx) {
+	snapshot, _ := o.state.compiledConfig()
+	counts := o.peers.collectCounts(ctx)
+	views := []ReleaseView{}
+	for name, planned := range snapshot.Releases {
+		fallback := snapshot.FallbackOf(planned.Service)
+		versionCounts := release.GatherVersionCounts(counts, planned.Service, planned.Version, planned.Revision, fallback)
+		view := ReleaseView{
+			Name:               name,
+			Service:            planned.Service,
+			Version:            planned.Version,
+			Target:             planned.Target,
+			Duration:           planned.DurationText,
+			Pace:               planned.Control,
+			MeasuredPercentage: versionCounts.NewPercent(),
+		}
+		if progress := snapshot.Progress[name]; progress != nil {
+			view.State = progress.State
+			view.Reason = progress.Reason
+			view.Percentage = progress.Percentage
+			view.ControllerTerm = progress.ControllerTerm
+			view.Controller = progress.Controller
+		}
+		views = append(views, view)
+	}
+	sort.Slice(views, func(i, j int) bool { return views[i].Name < views[j].Name })
+	daemon.WriteJSON(call, fasthttp.StatusOK, views)
+}
--- a/internal/registry/reservation_table.go
+++ b/internal/registry/reservation_table.go
@@ -26,7 +26,7 @@
 type ReservationTable struct {
 	options           ReservationOptions
 	byKey             map[string]*storedReservation
-	byPosition        []*storedReservation // in the order in which they were added, which is nearly that in which they expire; with removed ones
+	byPosition        []*storedReservation // in the order in which they were added, nearly that in which they expire; with removed ones
 	lastPosition      uint64
 	membersRead       map[string]bool   // other members whose reservations were read to the end while they were authoritative
 	complete          bool              // no reservation granted here, in any incarnation of this registry, can be missing
--- /dev/null
+++ b/internal/registry/rpc_service.go
@@ -0,0 +1,241 @@
+package registry
+
+import (
+	"context"
+	"time"
+
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/transport"
+	"meadowhinge/schema"
+)
+
+// digestBytes is the length of the digests in a key reservation.
+const digestBytes = 32
+
+// rpcService serves the RPCs of proxies and of other registries; the transport admits no other peers. Where a request names the
+// proxy or speaks for a registry, the method checks that the peer is that one, and otherwise fails with errs.Unauthorized. Its
+// fields are set at the start and do not change.
+type rpcService struct {
+	schema.DRPCRegistryUnimplementedServer
+	state     *sharedState
+	transport *transport.Transport
+	sessions  *sessionServer
+	status    *statusReporter
+}
+
+func newRPCService(state *sharedState, rpcTransport *transport.Transport, sessions *sessionServer, status *statusReporter) *rpcService {
+	return &rpcService{state: state, transport: rpcTransport, sessions: sessions, status: status}
+}
+
+// requireProxy fails unless the peer is the proxy of this name.
+func (r *rpcService) requireProxy(ctx context.Context, name string) error {
+	if peer := transport.PeerFromContext(ctx); peer.Role != "proxy" || peer.Name != name {
+		r.transport.RejectedPeers.Add(1)
+		return errs.New(errs.Unauthorized, name)
+	}
+	return nil
+}
+
+// requireRegistry fails unless the peer is a registry.
+func (r *rpcService) requireRegistry(ctx context.Context) error {
+	if peer := transport.PeerFromContext(ctx); peer.Role != "registry" {
+		r.transport.RejectedPeers.Add(1)
+		return errs.New(errs.Unauthorized, peer.Role)
+	}
+	return nil
+}
+
+// Lease renews a proxy's lease at this registry. The reply also says where the other registries are, since a lease needs the
+// grants of a majority.
+func (r *rpcService) Lease(ctx context.Context, request *schema.LeaseRequest) (*schema.LeaseReply, error) {
+	if err := r.requireProxy(ctx, request.Proxy); err != nil {
+		return nil, err
+	}
+	s := r.state
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	reply := s.fleetState.RenewLease(s.now(), request)
+	reply.CoreMembers = s.membership.reachable()
+	reply.CoreSize = uint32(s.membership.count())
+	return reply, nil
+}
+
+// Greet tells a proxy that starts the highest incarnation seen of its name, and the workers of its last report.
+func (r *rpcService) Greet(ctx context.Context, greeting *schema.IncarnationRequest) (*schema.IncarnationReply, error) {
+	if err := r.requireProxy(ctx, greeting.Proxy); err != nil {
+		return nil, err
+	}
+	s := r.state
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return &schema.IncarnationReply{
+		Incarnation: s.fleetState.HighestIncarnation(greeting.Proxy),
+		Workers:     s.fleetState.ReportedWorkers(greeting.Proxy),
+	}, nil
+}
+
+// Feed serves one poll: it waits until there are updates that the node lacks, or until the node's wait, at most a lease, is over.
+// Registries poll with their member and get sources; other nodes also get the configuration.
+func (r *rpcService) Feed(ctx context.Context, request *schema.FeedRequest) (*schema.FeedReply, error) {
+	if request.Member != nil {
+		if err := r.requireRegistry(ctx); err != nil {
+			return nil, err
+		}
+	}
+	r.observePoll(request)
+	deadline := time.NewTimer(min(time.Duration(request.WaitNanos), r.state.config.lease))
+	defer deadline.Stop()
+	for {
+		reply, stateChanged := r.feedReply(request)
+		newConfig := request.Member == nil && reply.Revision > request.Revision
+		if len(reply.Sources) > 0 || newConfig {
+			return reply, nil
+		}
+		select {
+		case <-stateChanged:
+		case <-deadline.C:
+			return reply, nil
+		case <-ctx.Done():
+			return nil, ctx.Err()
+		}
+	}
+}
+
+// observePoll records what a poll says of its node.
+func (r *rpcService) observePoll(request *schema.FeedRequest) {
+	s := r.state
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if request.Member != nil {
+		if s.membership.observe(request.Member) {
+			s.broadcastChangeLocked()
+		}
+		s.compareLeaseLocked(request.Node, request.LeaseNanos)
+		s.fleetState.CompareSetting(request.Node, "order",
+			request.MemberList, s.config.memberOrderText, request.MemberList != "")
+	}
+	s.fleetState.ObserveVector(s.now(), request.Vector)
+}
+
+// feedReply is the reply to a poll as of now. stateChanged is closed when it may have changed.
+func (r *rpcService) feedReply(request *schema.FeedRequest) (reply *schema.FeedReply, stateChanged chan struct{}) {
+	s := r.state
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	reply = &schema.FeedReply{
+		Sources:     s.fleetState.SourcesNewerThan(s.now(), request.Vector),
+		Revision:    s.fleetState.committedRevision,
+		CoreMembers: s.membership.reachable(),
+	}
+	incarnationsOf := request.Node
+	if request.Member != nil {
+		incarnationsOf = "" // a registry gets those of all names
+	}
+	reply.Sources = append(reply.Sources, s.fleetState.IncarnationOnlySources(request.Vector, incarnationsOf)...)
+	if request.Member == nil && s.fleetState.committedRevision > request.Revision {
+		reply.Items, reply.Complete = s.configCache.changesAfter(request.Revision)
+	}
+	return reply, s.stateChanged
+}
+
+// Attend serves a session, the subscription of a node to updates; it returns when the session ends.
+func (r *rpcService) Attend(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
+	ctx := stream.Context()
+	fromRegistry := request.Member != nil
+	if fromRegistry {
+		if err := r.requireRegistry(ctx); err != nil {
+			return err
+		}
+	} else if err := r.requireProxy(ctx, request.Node); err != nil {
+		return err
+	}
+	if (request.Source != nil && request.Source.Name != request.Node) || (request.Tentative && fromRegistry) {
+		return errs.New(errs.Unauthorized, request.Node)
+	}
+	return r.sessions.serve(request, stream)
+}
+
+// Tell takes a proxy's report of its workers and call counts, and replies with the canary grants.
+func (r *rpcService) Tell(ctx context.Context, report *schema.ProxyReport) (*schema.ReportReply, error) {
+	if err := r.requireProxy(ctx, report.Proxy); err != nil {
+		return nil, err
+	}
+	if report.Source != nil && report.Source.Name != report.Proxy {
+		return nil, errs.New(errs.Unauthorized, report.Source.Name)
+	}
+	s := r.state
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	if s.fleetState.ApplyReport(s.now(), report) {
+		s.broadcastChangeLocked()
+	}
+	return &schema.ReportReply{Canaries: s.fleetState.CanaryGrants(s.now())}, nil
+}
+
+// Bar sets a fence for another registry, which waits for a revision to be acknowledged.
+func (r *rpcService) Bar(ctx context.Context, request *schema.FenceRequest) (*schema.FenceReply, error) {
+	if err := r.requireRegistry(ctx); err != nil {
+		return nil, err
+	}
+	s := r.state
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.fleetState.SetFence(s.now(), request.Revision), nil
+}
+
+// Counts gives the call counts held here to another registry. The rollout controller's request also brings its canary grants.
+func (r *rpcService) Counts(ctx context.Context, request *schema.CountsRequest) (*schema.CountsReply, error) {
+	if err := r.requireRegistry(ctx); err != nil {
+		return nil, err
+	}
+	if request.Controller != "" {
+		r.state.setCanaryGrants(request.Canaries)
+	}
+	return r.state.localCounts(request.WorkOnly), nil
+}
+
+// Look gives this registry's status to any peer.
+func (r *rpcService) Look(context.Context, *schema.Empty) (*schema.RegistryStatus, error) {
+	return r.status.current(), nil
+}
+
+// Claim grants or refuses the idempotency keys that a proxy wants to reserve.
+func (r *rpcService) Claim(ctx context.Context, request *schema.ReserveRequest) (*schema.ReserveReply, error) {
+	peer := transport.PeerFromContext(ctx)
+	s := r.state
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	now := s.now()
+	reply := &schema.ReserveReply{Member: s.config.memberID, CoreSize: uint32(s.membership.count())}
+	for _, reservation := range request.Reservations {
+		if !mayReserve(peer, reservation) {
+			s.reservations.Refused++
+			reply.Replies = append(reply.Replies,
+				&schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_UNAUTHORIZED})
+			continue
+		}
+		reply.Replies = append(reply.Replies, s.reservations.Apply(now, reservation))
+	}
+	return reply, nil
+}
+
+// mayReserve tells whether a peer may make a reservation: only the proxy itself, and only for callers that it may call as.
+func mayReserve(peer transport.Peer, reservation *schema.KeyReservation) bool {
+	if peer.Role != "proxy" || peer.Name != reservation.Proxy || !peer.MayCallAs(reservation.Caller) {
+		return false
+	}
+	return len(reservation.Key) == digestBytes && len(reservation.BodyDigest) == digestBytes
+}
+
+// Read gives a page of the reservations held here to another registry, which has restarted.
+func (r *rpcService) Read(ctx context.Context, request *schema.ReservationsRequest) (*schema.ReservationsPage, error) {
+	if err := r.requireRegistry(ctx); err != nil {
+		return nil, err
+	}
+	s := r.state
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	page := s.reservations.Page(s.now(), request.After)
+	page.Member = s.config.memberID
+	return page, nil
+}
