--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -149,17 +149,17 @@
 
 // isLost tells whether the proxy of a source has been without a session for so long that its source is ended.
 func (f *FleetState) isLost(now time.Duration, name string, entry *sourceEntry) bool {
-	home := entry.source.HomeRegistry
+	homeRegistry := entry.source.HomeRegistry
 	switch {
-	case home == "" || entry.source.Version.GetEnded():
+	case homeRegistry == "" || entry.source.Version.GetEnded():
 		return false
-	case home == f.options.MemberID:
+	case homeRegistry == f.options.MemberID:
 		// A source received, or restored from another registry after a restart of this one, has as long to open a session.
 		lastInSession := max(f.directory.disconnectedAt[name], entry.receivedAt)
 		return f.directory.sessions[name] == 0 && now-lastInSession > disconnectedLeases*f.options.Lease
 	default:
 		// A partitioned registry hears none of the others, and so knows nothing of their proxies: they stay listed.
-		lastReached := max(f.directory.reachedAt[home], entry.receivedAt)
+		lastReached := max(f.directory.reachedAt[homeRegistry], entry.receivedAt)
 		return f.hasQuorumContact(now) && now-lastReached > orphanLeases*f.options.Lease
 	}
 }
@@ -194,7 +194,7 @@
 
 // mergeIncarnationOnly stores an incarnation-only source if it is newer than what is known of the name, and tells whether it was.
 func (f *FleetState) mergeIncarnationOnly(now time.Duration, source *schema.Source) bool {
-	if held := f.sources[source.Name]; held != nil && !newerStamp(source.Version, held.source.Version) {
+	if reported := f.sources[source.Name]; reported != nil && !newerStamp(source.Version, reported.source.Version) {
 		return false
 	}
 	existing := f.directory.incarnationOnly[source.Name]
--- a/internal/registry/sources.go
+++ b/internal/registry/sources.go
@@ -142,9 +142,9 @@
 func (f *FleetState) countLiveProxies(now time.Duration) int {
 	count := 0
 	for _, entry := range f.sources {
-		hasHome := entry.source.HomeRegistry != ""
-		leased := !hasHome && now-entry.receivedAt <= f.options.Lease
-		inSession := hasHome && !entry.source.Version.GetEnded()
+		hasHomeRegistry := entry.source.HomeRegistry != ""
+		leased := !hasHomeRegistry && now-entry.receivedAt <= f.options.Lease
+		inSession := hasHomeRegistry && !entry.source.Version.GetEnded()
 		if leased || inSession {
 			count++
 		}
