--- /dev/null
+++ b/internal/registry/testcore_test.go
@@ -0,0 +1,265 @@
+package registry
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/go-logr/logr"
+
+	"meadowhinge/internal/daemon"
+	"meadowhinge/internal/fakebackend"
+	"meadowhinge/internal/session"
+	"meadowhinge/internal/store"
+	"meadowhinge/internal/transport"
+	"meadowhinge/schema"
+)
+
+// testCoreLease is the lease of the daemons that run in tests.
+const testCoreLease = time.Second
+
+// testCore is a core of stores and registries, one of each on every member, at loopback addresses of its own.
+type testCore struct {
+	hosts       []string // of the members
+	memberOrder string   // the option order; empty where the stores agree on the members
+}
+
+// testMembers counts the members that this process has started.
+var testMembers atomic.Int32
+
+// Ports of a testCore.
+const (
+	testStorePort = fakebackend.FirstPort + iota
+	testStoreProbePort
+	testRegistryPort
+	testRegistryProbePort
+	testOperatorPort
+)
+
+// address is where a member listens.
+func (c *testCore) address(member, port int) string { return fmt.Sprint(c.hosts[member], ":", port) }
+
+// seeds are the addresses of all members.
+func (c *testCore) seeds(port int) string {
+	var addresses []string
+	for member := range c.hosts {
+		addresses = append(addresses, c.address(member, port))
+	}
+	return strings.Join(addresses, ",")
+}
+
+func (c *testCore) storeOptions(member int, folder string) *schema.StoreOptions {
+	return &schema.StoreOptions{
+		Seat:        c.hosts[member],
+		Order:       c.memberOrder,
+		Listen:      c.address(member, testStorePort),
+		Seeds:       c.seeds(testStorePort),
+		ProbeListen: c.address(member, testStoreProbePort),
+		Data:        folder,
+		Founding:    c.memberOrder == "",
+		Links:       "plain",
+		Silence:     int64(testCoreLease / 2),
+		Stall:       int64(5 * time.Second),
+		EntriesMost: 64, OutcomesMost: 64, Buffer: 64,
+	}
+}
+
+func (c *testCore) registryOptions(member int) *schema.RegistryOptions {
+	return &schema.RegistryOptions{
+		Seat:           c.hosts[member],
+		Order:          c.memberOrder,
+		Listen:         c.address(member, testRegistryPort),
+		Seeds:          c.seeds(testRegistryPort),
+		Store:          c.address(member, testStorePort),
+		OperatorListen: c.address(member, testOperatorPort),
+		ProbeListen:    c.address(member, testRegistryProbePort),
+		BrakeFailures:  15, BrakeTimes: 2, BrakeExcess: 0.02, BrakeCertain: 5, BrakeSlow: 5, BrakeSure: 12,
+		TrialShare: 0.1, CallsEnough: 30, Steps: 20, FinishAt: 0.6,
+		Links:       "plain",
+		Lease:       int64(testCoreLease),
+		KeyWindow:   int64(minWindowLeases * testCoreLease),
+		Drain:       int64(time.Second),
+		AnswerMost:  int64(20 * time.Second),
+		SourcesMost: 16,
+		CountsMost:  64,
+		ClaimsMost:  64,
+		SetupMost:   1 << 16,
+	}
+}
+
+// runDaemon runs a daemon until the test ends, and then expects it to have ended without an error.
+func runDaemon(t *testing.T, body func(context.Context, *daemon.Environment) error) {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	environment := &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}
+	go func() { ended <- body(ctx, environment) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Errorf("a daemon ended with %v", err)
+		}
+	})
+}
+
+// startTestCore starts a core of so many members, with a static member order or without.
+func startTestCore(t *testing.T, members int, staticOrder bool, runOptions ...Option) *testCore {
+	t.Helper()
+	octet, reservation, err := fakebackend.ReserveLoopbackNet()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = reservation.Close() })
+	core := &testCore{}
+	for range members {
+		// A daemon's probe listener stays open when the daemon ends within the test's process: each member has a new address.
+		core.hosts = append(core.hosts, fmt.Sprintf("127.%d.0.%d", octet, testMembers.Add(1)))
+	}
+	if staticOrder {
+		core.memberOrder = strings.Join(core.hosts, ",")
+	}
+	for member := range members {
+		folder := t.TempDir()
+		runDaemon(t, func(ctx context.Context, environment *daemon.Environment) error {
+			return store.Run(ctx, environment, core.storeOptions(member, folder))
+		})
+		runDaemon(t, func(ctx context.Context, environment *daemon.Environment) error {
+			return Run(ctx, environment, core.registryOptions(member), runOptions...)
+		})
+	}
+	return core
+}
+
+// request sends a request to a member's operator interface, again until there is a response that is accepted.
+func (c *testCore) request(t *testing.T, member int, method, path, body string,
+	accepted func(status int, response string) bool,
+) (int, string) {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
+	defer cancel()
+	retry := time.NewTicker(testCoreLease / session.RenewalsPerLease)
+	defer retry.Stop()
+	for {
+		status, response, err := c.requestOnce(ctx, member, method, path, body)
+		if err == nil && accepted(status, response) {
+			return status, response
+		}
+		select {
+		case <-ctx.Done():
+			t.Fatalf("%s %s: %d, %q, %v", method, path, status, response, err)
+		case <-retry.C:
+		}
+	}
+}
+
+// isDecided accepts any response but that there is no quorum yet.
+func isDecided(status int, _ string) bool { return status != http.StatusServiceUnavailable }
+
+// showing accepts a page that shows a text.
+func showing(text string) func(int, string) bool {
+	return func(status int, response string) bool {
+		return status == http.StatusOK && strings.Contains(response, text)
+	}
+}
+
+func (c *testCore) requestOnce(ctx context.Context, member int, method, path, body string) (status int, response string, err error) {
+	url := "http://" + c.address(member, testOperatorPort) + path
+	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
+	if err != nil {
+		return 0, "", err
+	}
+	reply, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return 0, "", err
+	}
+	defer func() { _ = reply.Body.Close() }() // it has been read, or reading it failed
+	content, err := io.ReadAll(reply.Body)
+	return reply.StatusCode, string(content), err
+}
+
+// testProxy is a proxy in session with a registry, which applies each revision as it comes and says so with its lease.
+type testProxy struct {
+	client  schema.DRPCRegistryClient
+	applied atomic.Uint64
+	items   chan *schema.Item // as the registry pushed them
+	granted chan struct{}     // closed once a registry granted the proxy a lease
+}
+
+const testProxyName = "p"
+
+// startTestProxy opens a session with a member's registry and waits until that registry granted the proxy a lease.
+func startTestProxy(t *testing.T, core *testCore, member int) *testProxy {
+	t.Helper()
+	proxyTransport := transport.NewPlaintext("proxy", testProxyName, nil)
+	t.Cleanup(proxyTransport.Close)
+	// The session ends with the test's context, before the registry is stopped.
+	ctx := t.Context()
+	proxy := &testProxy{
+		client:  schema.NewDRPCRegistryClient(proxyTransport.Conn(ctx, core.address(member, testRegistryPort))),
+		items:   make(chan *schema.Item, 16),
+		granted: make(chan struct{}),
+	}
+	stream, err := proxy.client.Attend(ctx, &schema.SubscribeRequest{
+		Node:           testProxyName,
+		LeaseNanos:     int64(testCoreLease),
+		HeartbeatNanos: int64(testCoreLease / session.HeartbeatsPerLease),
+		Source: &schema.Source{
+			Name:    testProxyName,
+			Version: &schema.SourceVersion{Incarnation: 1, Counter: 1},
+			Workers: []*schema.Worker{{Instance: "w1", Service: "shop", Version: "v1", Slots: 2}},
+		},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	go proxy.applyUpdates(stream)
+	go proxy.renewLeases(ctx)
+	<-proxy.granted
+	return proxy
+}
+
+func (p *testProxy) applyUpdates(stream schema.DRPCRegistry_AttendClient) {
+	for {
+		update, err := stream.Recv()
+		if err != nil {
+			return // the test is over
+		}
+		for _, item := range update.Items {
+			p.items <- item
+		}
+		if update.Revision > p.applied.Load() {
+			p.applied.Store(update.Revision)
+		}
+	}
+}
+
+func (p *testProxy) renewLeases(ctx context.Context) {
+	ticker := time.NewTicker(testCoreLease / session.RenewalsPerLease)
+	defer ticker.Stop()
+	closeGranted := sync.OnceFunc(func() { close(p.granted) })
+	for {
+		applied := p.applied.Load()
+		reply, err := p.client.Lease(ctx, &schema.LeaseRequest{
+			Proxy:       testProxyName,
+			Incarnation: 1,
+			Applied:     applied,
+			Received:    applied,
+			LeaseNanos:  int64(testCoreLease),
+		})
+		// A refused or failed renewal is repeated at the next tick.
+		if err == nil && reply.Granted {
+			closeGranted()
+		}
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+	}
+}
