--- /dev/null
+++ b/internal/registry/acknowledgement_test.go
@@ -0,0 +1,56 @@
+package registry
+
+import (
+	"slices"
+	"testing"
+
+	"meadowhinge/internal/session"
+	"meadowhinge/schema"
+)
+
+// In every order in which a fence reaches three registries and a lagging proxy requests leases of them, no lease below the fence is
+// valid once the fence's revision is acknowledged.
+func TestEveryOrderOfFenceAndLease(t *testing.T) {
+	const steps = 6
+	orders := 0
+	var walk func(done []int)
+	walk = func(done []int) {
+		if len(done) == steps {
+			orders++
+			checkFenceOrder(t, done)
+			return
+		}
+		for step := range steps {
+			if !slices.Contains(done, step) {
+				walk(append(done[:len(done):len(done)], step))
+			}
+		}
+	}
+	walk(nil)
+	if orders != 720 {
+		t.Errorf("%d orders of 720", orders)
+	}
+}
+
+// checkFenceOrder runs one order of steps: 0 to 2 are the proxy, still at revision 8, requesting a lease of each registry, 3 to 5
+// the fence at revision 9 reaching each.
+func checkFenceOrder(t *testing.T, order []int) {
+	t.Helper()
+	states := newFleetStates(8, 8, 8)
+	lease, acknowledgement := session.NewLease(testLease), NewAcknowledgement(3)
+	acknowledged := false
+	for _, step := range order {
+		state := states[step%3]
+		if step < 3 {
+			reply := state.RenewLease(testLease, &schema.LeaseRequest{Proxy: "p", Incarnation: 1, Applied: 8})
+			if reply.Granted {
+				lease.RecordGrant(reply.Member, 3, testLease)
+			}
+		} else {
+			acknowledged = acknowledgement.Record(state.SetFence(testLease, 9)) || acknowledged
+		}
+		if acknowledged && lease.IsValid(testLease) {
+			t.Errorf("order %v: a lease at 8 is valid after 9 was acknowledged", order)
+		}
+	}
+}
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -12,51 +12,63 @@
 	"meadowhinge/schema"
 )
 
-// fakeFleet is registries and proxies in session with them, whose every step is drawn from a seed.
+// fakeFleet is three registries' states and proxies in session with them. Every step and every fault is drawn from a seed.
 type fakeFleet struct {
 	t            *testing.T
 	seed         uint64
 	random       *rand.Rand
 	now          time.Duration
-	tables       []*FleetState
-	incarnations []int
+	states       []*FleetState // of the registries, by index; so are the next two
+	incarnations []int         // how often the registry was started
 	up           []bool
-	partitioned  map[[2]string]bool
+	partitioned  map[[2]string]bool      // pairs of node names that cannot reach each other
 	peerSessions map[[2]int]*fakeSession // the session of the first registry with the second
 	proxies      []*fakeProxy
 }
 
-// fakeSession is a session as the registry has it, and in which life of both.
+// fakeSession is a session as the registry has it, and between which incarnations of both it is.
 type fakeSession struct {
 	cursor       *SessionCursor
 	incarnations [2]int
 }
 
-// fakeProxy is a proxy.
+// fakeProxy is a proxy, with the service directory as it was sent to it.
 type fakeProxy struct {
 	name           string
 	up             bool
 	processCount   int
 	incarnation    uint64
 	counter        uint64
-	contentVersion uint64 // how often what it says has changed
-	registryIndex  int    // registry, -1 for none
+	contentVersion uint64 // how often what it reports has changed
+	registryIndex  int    // of the registry it is in session with, -1 for none
 	session        *fakeSession
 	directory      map[string]*schema.Source
-	steadySince    time.Duration       // in session without a break with a registry that was in touch
-	provisional    *provisionalSession // a session on trial beside it
+	steadySince    time.Duration       // since when it has been in session with registries in quorum contact
+	provisional    *provisionalSession // beside the session
 }
 
-// provisionalSession is a session on trial, with a registry in one of its lives.
+// provisionalSession is a provisional session with one incarnation of a registry.
 type provisionalSession struct{ registryIndex, registryIncarnation, ticksLeft int }
 
 const fleetTick = testLease / session.RenewalsPerLease
 
+// fakeRegistries is the number of registries in a fakeFleet.
+const fakeRegistries = 3
+
 func newFakeFleet(t *testing.T, seed uint64, proxies int) *fakeFleet {
-	f := &fakeFleet{t: t, seed: seed, random: rand.New(rand.NewPCG(seed, 3)), partitioned: map[[2]string]bool{}, peerSessions: map[[2]int]*fakeSession{}}
-	for i := range 3 {
-		f.tables, f.incarnations, f.up = append(f.tables, nil), append(f.incarnations, 0), append(f.up, false)
-		f.startTable(i)
+	t.Helper()
+	f := &fakeFleet{
+		t:            t,
+		seed:         seed,
+		random:       rand.New(rand.NewPCG(seed, 3)),
+		states:       make([]*FleetState, fakeRegistries),
+		incarnations: make([]int, fakeRegistries),
+		up:           make([]bool, fakeRegistries),
+		partitioned:  map[[2]string]bool{},
+		peerSessions: map[[2]int]*fakeSession{},
+	}
+	for i := range fakeRegistries {
+		f.startRegistry(i)
 	}
 	for i := range proxies {
 		f.proxies = append(f.proxies, &fakeProxy{name: fmt.Sprint("p", i), registryIndex: -1})
@@ -67,35 +79,48 @@
 
 func memberIDAt(i int) string { return string(rune('a' + i)) }
 
-func (f *fakeFleet) startTable(i int) {
-	f.tables[i] = NewFleetState(FleetStateOptions{MemberID: memberIDAt(i), Lease: testLease, MaxSources: 32, MaxCounts: 4, WithoutLeases: true})
-	f.tables[i].SetMemberCount(3)
+func (f *fakeFleet) startRegistry(i int) {
+	f.states[i] = NewFleetState(FleetStateOptions{
+		MemberID: memberIDAt(i), Lease: testLease, MaxSources: 32, MaxCounts: 4, WithoutLeases: true,
+	})
+	f.states[i].SetMemberCount(fakeRegistries)
 	f.incarnations[i]++
 	f.up[i] = true
 }
 
 func (f *fakeFleet) startProxy(p *fakeProxy) {
-	if provisional := p.provisional; provisional != nil && f.up[provisional.registryIndex] && f.incarnations[provisional.registryIndex] == provisional.registryIncarnation {
-		f.tables[provisional.registryIndex].CloseSession(f.now, p.name)
+	if provisional := p.provisional; provisional != nil && f.isOpen(provisional) {
+		f.states[provisional.registryIndex].CloseSession(f.now, p.name)
+	}
+	*p = fakeProxy{
+		name:          p.name,
+		up:            true,
+		processCount:  p.processCount + 1,
+		registryIndex: -1,
+		directory:     map[string]*schema.Source{},
 	}
-	*p = fakeProxy{name: p.name, up: true, processCount: p.processCount + 1, registryIndex: -1, directory: map[string]*schema.Source{}}
-	// Half of them ask nobody first: what is seen of them later must do.
+	// It asks each registry with a chance of one half. Where it asked too few, it learns later that its incarnation was exceeded.
 	p.incarnation = session.NextIncarnation(0)
-	for i, table := range f.tables {
+	for i, table := range f.states {
 		if f.up[i] && f.random.IntN(2) == 0 && !f.arePartitioned(p.name, memberIDAt(i)) {
 			p.incarnation = session.NextIncarnation(table.HighestIncarnation(p.name))
 		}
 	}
 }
 
+// isOpen tells whether the registry of a provisional session still has it.
+func (f *fakeFleet) isOpen(provisional *provisionalSession) bool {
+	return f.up[provisional.registryIndex] && f.incarnations[provisional.registryIndex] == provisional.registryIncarnation
+}
+
 func (f *fakeFleet) arePartitioned(a, b string) bool {
 	return f.partitioned[[2]string{a, b}] || f.partitioned[[2]string{b, a}]
 }
 
-// hasQuorumContact tells whether a registry reaches a majority of the core.
+// hasQuorumContact tells whether a registry reaches a majority of them.
 func (f *fakeFleet) hasQuorumContact(i int) bool {
 	reached := 0
-	for j := range f.tables {
+	for j := range f.states {
 		if f.up[j] && (i == j || !f.arePartitioned(memberIDAt(i), memberIDAt(j))) {
 			reached++
 		}
@@ -103,13 +128,17 @@
 	return f.up[i] && reached > 1
 }
 
-// source is what a proxy tells of itself; its worker's name says how new it is.
+// source is what a proxy reports of itself. Its worker's name says of which process and content it is.
 func (p *fakeProxy) source() *schema.Source {
 	p.counter++
-	return &schema.Source{Name: p.name, Version: &schema.SourceVersion{Incarnation: p.incarnation, Counter: p.counter},
-		Workers: []*schema.Worker{{Instance: fmt.Sprintf("%s-%d-%d", p.name, p.processCount, p.contentVersion)}}}
+	return &schema.Source{
+		Name:    p.name,
+		Version: &schema.SourceVersion{Incarnation: p.incarnation, Counter: p.counter},
+		Workers: []*schema.Worker{{Instance: fmt.Sprintf("%s-%d-%d", p.name, p.processCount, p.contentVersion)}},
+	}
 }
 
+// vector is the version of each source that the proxy holds.
 func (p *fakeProxy) vector() map[string]*schema.SourceVersion {
 	vector := map[string]*schema.SourceVersion{}
 	for name, source := range p.directory {
@@ -118,19 +147,21 @@
 	return vector
 }
 
-func (p *fakeProxy) applyUpdates(updates []*schema.Source) (overtaken bool) {
+// applyUpdates applies what a registry sent. It tells whether the proxy took a new incarnation, to exceed an earlier one.
+func (p *fakeProxy) applyUpdates(updates []*schema.Source) (superseded bool) {
 	for _, source := range updates {
 		if source.Name == p.name && session.IsSuperseded(p.incarnation, source.Version.Incarnation, source.Version.Ended) {
-			p.incarnation, overtaken = session.NextIncarnation(source.Version.Incarnation), true
+			p.incarnation, superseded = session.NextIncarnation(source.Version.Incarnation), true
 		}
-		if existing := p.directory[source.Name]; !source.IncarnationOnly && (existing == nil || newerStamp(source.Version, existing.Version)) {
+		existing := p.directory[source.Name]
+		if !source.IncarnationOnly && (existing == nil || newerStamp(source.Version, existing.Version)) {
 			p.directory[source.Name] = source
 		}
 	}
-	return overtaken
+	return superseded
 }
 
-// cloneSources is what comes over a link.
+// cloneSources copies sources, as sending them does.
 func cloneSources(sources ...*schema.Source) []*schema.Source {
 	var copies []*schema.Source
 	for _, source := range sources {
@@ -139,115 +170,150 @@
 	return copies
 }
 
-// report lets a proxy say what is new at its registry.
+// report makes a proxy report a source to its registry.
 func (f *fakeFleet) report(p *fakeProxy, source *schema.Source) {
 	p.directory[p.name] = source
 	if p.registryIndex >= 0 && f.hasIntactSession(p) {
-		f.tables[p.registryIndex].ApplyReport(f.now, &schema.ProxyReport{Proxy: p.name, Incarnation: uint64(p.processCount), Source: cloneSources(source)[0]})
+		report := &schema.ProxyReport{Proxy: p.name, Incarnation: uint64(p.processCount), Source: cloneSources(source)[0]}
+		f.states[p.registryIndex].ApplyReport(f.now, report)
 	}
 }
 
-// stepProvisionalSession opens a session on trial now and then, and after a while takes it or gives it up.
+// stepProvisionalSession opens a provisional session now and then, and after a while moves to its registry or closes it.
 func (f *fakeFleet) stepProvisionalSession(p *fakeProxy) {
-	switch at := f.random.IntN(3); {
-	case p.provisional == nil && p.registryIndex >= 0 && at != p.registryIndex && f.up[at] && !f.arePartitioned(p.name, memberIDAt(at)) && f.random.IntN(8) == 0:
-		f.tables[at].ObserveVector(f.now, p.vector())
-		f.tables[at].OpenProvisionalSession(p.name)
+	at := f.random.IntN(fakeRegistries)
+	mayOpen := p.provisional == nil && p.registryIndex >= 0 && at != p.registryIndex && f.reaches(p, at)
+	switch {
+	case mayOpen && f.random.IntN(8) == 0:
+		f.states[at].ObserveVector(f.now, p.vector())
+		f.states[at].OpenProvisionalSession(p.name)
 		p.provisional = &provisionalSession{at, f.incarnations[at], 1 + f.random.IntN(3)}
 		return
 	case p.provisional == nil:
 		return
 	}
 	provisional := p.provisional
-	stands := f.up[provisional.registryIndex] && f.incarnations[provisional.registryIndex] == provisional.registryIncarnation
-	if provisional.ticksLeft--; stands && provisional.ticksLeft > 0 && p.up {
+	open := f.isOpen(provisional)
+	if provisional.ticksLeft--; open && provisional.ticksLeft > 0 && p.up {
 		return
 	}
 	p.provisional = nil
-	if stands && p.up && f.hasQuorumContact(provisional.registryIndex) && !f.arePartitioned(p.name, memberIDAt(provisional.registryIndex)) && f.random.IntN(2) == 0 {
+	mayMove := open && p.up && f.hasQuorumContact(provisional.registryIndex) && f.reaches(p, provisional.registryIndex)
+	if mayMove && f.random.IntN(2) == 0 {
 		f.closeSession(p)
-		p.registryIndex, p.session = provisional.registryIndex, &fakeSession{NewSessionCursor(p.name, "", p.vector()), [2]int{provisional.registryIncarnation, p.processCount}}
+		p.registryIndex = provisional.registryIndex
+		p.session = &fakeSession{
+			cursor:       NewSessionCursor(p.name, "", p.vector()),
+			incarnations: [2]int{provisional.registryIncarnation, p.processCount},
+		}
 		f.report(p, p.source())
 		return
 	}
-	if stands {
-		f.tables[provisional.registryIndex].CloseSession(f.now, p.name)
+	if open {
+		f.states[provisional.registryIndex].CloseSession(f.now, p.name)
 	}
 }
 
-// closeSession ends a proxy's session, as its registry sees it.
+// reaches tells whether a registry is up and not partitioned from a proxy.
+func (f *fakeFleet) reaches(p *fakeProxy, registryIndex int) bool {
+	return f.up[registryIndex] && !f.arePartitioned(p.name, memberIDAt(registryIndex))
+}
+
+// closeSession ends a proxy's session at its registry, if that has not restarted since, and at the proxy.
 func (f *fakeFleet) closeSession(p *fakeProxy) {
 	if p.registryIndex >= 0 && f.up[p.registryIndex] && p.session.incarnations[0] == f.incarnations[p.registryIndex] {
-		f.tables[p.registryIndex].CloseSession(f.now, p.name)
+		f.states[p.registryIndex].CloseSession(f.now, p.name)
 	}
 	p.registryIndex = -1
 }
 
-// hasIntactSession tells whether a proxy's session is whole.
+// hasIntactSession tells whether neither side of a proxy's session has restarted and they reach each other.
 func (f *fakeFleet) hasIntactSession(p *fakeProxy) bool {
-	return p.up && f.up[p.registryIndex] && p.session.incarnations == [2]int{f.incarnations[p.registryIndex], p.processCount} && !f.arePartitioned(p.name, memberIDAt(p.registryIndex))
+	current := [2]int{f.incarnations[p.registryIndex], p.processCount}
+	return p.up && p.session.incarnations == current && f.reaches(p, p.registryIndex)
 }
 
-// step lets one beat go by.
+// step lets the time between two heartbeats pass.
 func (f *fakeFleet) step() {
 	f.now += fleetTick
-	for i, table := range f.tables {
+	f.syncRegistries()
+	for _, p := range f.proxies {
+		f.stepProxy(p)
+	}
+	f.check()
+}
+
+// syncRegistries makes every registry receive what its peers send it.
+func (f *fakeFleet) syncRegistries() {
+	for i, state := range f.states {
 		if f.hasQuorumContact(i) {
-			table.ConfirmCurrent(f.now)
+			state.ConfirmCurrent(f.now)
 		}
-		for j, other := range f.tables {
+		for j, peer := range f.states {
+			pair := [2]int{i, j}
 			if i == j || !f.up[i] || !f.up[j] || f.arePartitioned(memberIDAt(i), memberIDAt(j)) {
-				delete(f.peerSessions, [2]int{i, j})
+				delete(f.peerSessions, pair)
 				continue
 			}
-			peerSession, incarnations := f.peerSessions[[2]int{i, j}], [2]int{f.incarnations[i], f.incarnations[j]}
+			peerSession, incarnations := f.peerSessions[pair], [2]int{f.incarnations[i], f.incarnations[j]}
 			if peerSession == nil || peerSession.incarnations != incarnations {
-				other.ObserveVector(f.now, table.Vector())
-				peerSession = &fakeSession{NewSessionCursor(memberIDAt(i), memberIDAt(i), table.Vector()), incarnations}
-				f.peerSessions[[2]int{i, j}] = peerSession
+				peer.ObserveVector(f.now, state.Vector())
+				peerSession = &fakeSession{NewSessionCursor(memberIDAt(i), memberIDAt(i), state.Vector()), incarnations}
+				f.peerSessions[pair] = peerSession
 			}
-			for _, source := range cloneSources(other.NextUpdates(f.now, peerSession.cursor)...) {
-				table.MergeSource(f.now, source)
+			for _, source := range cloneSources(peer.NextUpdates(f.now, peerSession.cursor)...) {
+				state.MergeSource(f.now, source)
 			}
-			table.RecordPeerHeard(f.now, memberIDAt(j), other.ReachableRegistries(f.now))
+			state.RecordPeerHeard(f.now, memberIDAt(j), peer.ReachableRegistries(f.now))
 		}
 	}
-	for _, p := range f.proxies {
-		f.stepProvisionalSession(p)
-		if p.registryIndex >= 0 && (!f.hasIntactSession(p) || (!f.hasQuorumContact(p.registryIndex) && f.random.IntN(3) == 0)) {
-			f.closeSession(p)
-		}
-		if !p.up {
-			continue
-		}
-		if p.registryIndex < 0 {
-			at := f.random.IntN(3)
-			for _, better := range f.random.Perm(3) {
-				if f.hasQuorumContact(better) && !f.arePartitioned(p.name, memberIDAt(better)) {
-					at = better
-				}
-			}
-			if f.up[at] && !f.arePartitioned(p.name, memberIDAt(at)) {
-				source := p.source()
-				p.directory[p.name] = source
-				p.registryIndex, p.steadySince = at, f.now
-				p.session = &fakeSession{NewSessionCursor(p.name, "", p.vector()), [2]int{f.incarnations[at], p.processCount}}
-				f.tables[at].ObserveVector(f.now, p.vector())
-				f.tables[at].OpenSession(f.now, cloneSources(source)[0])
-			}
-		}
-		if p.registryIndex >= 0 && p.applyUpdates(cloneSources(f.tables[p.registryIndex].NextUpdates(f.now, p.session.cursor)...)) {
+}
+
+// stepProxy makes a proxy leave a registry that is lost, open a session with another, and receive what its registry sends it.
+func (f *fakeFleet) stepProxy(p *fakeProxy) {
+	f.stepProvisionalSession(p)
+	if p.registryIndex >= 0 && (!f.hasIntactSession(p) || (!f.hasQuorumContact(p.registryIndex) && f.random.IntN(3) == 0)) {
+		f.closeSession(p)
+	}
+	if !p.up {
+		return
+	}
+	if p.registryIndex < 0 {
+		f.openSession(p)
+	}
+	if p.registryIndex >= 0 {
+		updates := f.states[p.registryIndex].NextUpdates(f.now, p.session.cursor)
+		if p.applyUpdates(cloneSources(updates...)) {
 			f.report(p, p.source())
 		}
-		if p.registryIndex < 0 || !f.hasQuorumContact(p.registryIndex) {
-			p.steadySince = f.now
+	}
+	if p.registryIndex < 0 || !f.hasQuorumContact(p.registryIndex) {
+		p.steadySince = f.now
+	}
+}
+
+// openSession opens a session with a registry that has quorum contact, or else with any that the proxy reaches.
+func (f *fakeFleet) openSession(p *fakeProxy) {
+	at := f.random.IntN(fakeRegistries)
+	for _, better := range f.random.Perm(fakeRegistries) {
+		if f.hasQuorumContact(better) && !f.arePartitioned(p.name, memberIDAt(better)) {
+			at = better
 		}
 	}
-	f.check()
+	if !f.reaches(p, at) {
+		return
+	}
+	source := p.source()
+	p.directory[p.name] = source
+	p.registryIndex, p.steadySince = at, f.now
+	p.session = &fakeSession{NewSessionCursor(p.name, "", p.vector()), [2]int{f.incarnations[at], p.processCount}}
+	f.states[at].ObserveVector(f.now, p.vector())
+	f.states[at].OpenSession(f.now, cloneSources(source)[0])
 }
 
-// check holds that no proxy loses another that is in session, whatever becomes of the feeds.
+// check fails the test if a proxy lost another one, both of which have been in session for long enough.
 func (f *fakeFleet) check() {
+	f.t.Helper()
 	for _, p := range f.proxies {
 		for _, other := range f.proxies {
 			steady := p.up && other.up && f.now-other.steadySince > 2*testLease && f.now-p.steadySince > 2*testLease
@@ -258,9 +324,9 @@
 	}
 }
 
-// fault does something to the fleet.
+// fault does one thing to the fleet, drawn at random.
 func (f *fakeFleet) fault() {
-	p, i := f.proxies[f.random.IntN(len(f.proxies))], f.random.IntN(3)
+	p, i := f.proxies[f.random.IntN(len(f.proxies))], f.random.IntN(fakeRegistries)
 	switch f.random.IntN(9) {
 	case 0:
 		if p.up {
@@ -270,7 +336,7 @@
 	case 1:
 		p.up = false
 	case 2:
-		// It ends politely.
+		// It shuts down gracefully.
 		if p.up {
 			last := p.source()
 			last.ShuttingDown, last.Workers = true, nil
@@ -284,10 +350,10 @@
 		f.up[i] = false
 	case 5:
 		if !f.up[i] {
-			f.startTable(i)
+			f.startRegistry(i)
 		}
 	case 6:
-		f.partitioned[[2]string{memberIDAt(i), memberIDAt((i + 1) % 3)}] = true
+		f.partitioned[[2]string{memberIDAt(i), memberIDAt((i + 1) % fakeRegistries)}] = true
 	case 7:
 		f.partitioned[[2]string{p.name, memberIDAt(i)}] = true
 	case 8:
@@ -295,8 +361,8 @@
 	}
 }
 
-// Whatever restarts, dies, moves and is cut off, once all is calm every proxy lists every living
-// one with its last word, and none that is dead.
+// Whatever restarts, dies, moves and is partitioned, once faults have ceased every proxy lists every live proxy with its last report,
+// and no dead one.
 func TestDirectoryConverges(t *testing.T) {
 	for seed := range uint64(300) {
 		f := newFakeFleet(t, seed, 4)
@@ -307,9 +373,9 @@
 			f.step()
 		}
 		clear(f.partitioned)
-		for i := range f.tables {
+		for i := range f.states {
 			if !f.up[i] {
-				f.startTable(i)
+				f.startRegistry(i)
 			}
 		}
 		for range 8 * session.RenewalsPerLease {
@@ -328,8 +394,8 @@
 				}
 			}
 		}
-		if liveProxies := f.tables[0].LiveProxies(f.now); liveProxies != f.upCount() {
-			t.Fatalf("seed %d: %d members, not %d", seed, liveProxies, f.upCount())
+		if liveProxies := f.states[0].LiveProxies(f.now); liveProxies != f.upCount() {
+			t.Fatalf("seed %d: %d live proxies, not %d", seed, liveProxies, f.upCount())
 		}
 	}
 }
@@ -344,21 +410,26 @@
 	return count
 }
 
-// A registry that is cut off from the others keeps their proxies listed; one that is in touch
-// with a majority lets those of a lost one go, unless they have come to it.
+// A registry that is partitioned from the core keeps the proxies of a lost registry listed; one with quorum contact ends them.
 func TestSourcesOfALostRegistry(t *testing.T) {
 	for _, quorumContact := range []bool{true, false} {
-		table := NewFleetState(FleetStateOptions{MemberID: "a", Lease: testLease, MaxSources: 4, MaxCounts: 4, WithoutLeases: true})
-		table.MergeSource(0, &schema.Source{Name: "p", HomeRegistry: "b", Version: &schema.SourceVersion{Incarnation: 1, Counter: 1}})
-		table.RecordPeerHeard(0, "b", nil)
-		for now := time.Duration(0); now <= 3*testLease; now += fleetTick {
-			if quorumContact {
-				table.ConfirmCurrent(now)
+		t.Run(fmt.Sprint("quorum contact ", quorumContact), func(t *testing.T) {
+			state := NewFleetState(FleetStateOptions{
+				MemberID: "a", Lease: testLease, MaxSources: 4, MaxCounts: 4, WithoutLeases: true,
+			})
+			state.MergeSource(0, &schema.Source{
+				Name: "p", HomeRegistry: "b", Version: &schema.SourceVersion{Incarnation: 1, Counter: 1},
+			})
+			state.RecordPeerHeard(0, "b", nil)
+			for now := time.Duration(0); now <= 3*testLease; now += fleetTick {
+				if quorumContact {
+					state.ConfirmCurrent(now)
+				}
+				state.sweep(now)
 			}
-			table.sweep(now)
-		}
-		if ended := table.sources["p"].source.Version.GetEnded(); ended != quorumContact {
-			t.Errorf("in touch %v: listed as ended %v", quorumContact, ended)
-		}
+			if ended := state.sources["p"].source.Version.GetEnded(); ended != quorumContact {
+				t.Errorf("listed as ended %v", ended)
+			}
+		})
 	}
 }
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -10,8 +10,8 @@
 	"meadowhinge/schema"
 )
 
-// TestRulingsGolden compares how each ruling is told to operators with the golden list: its word, its
-// HTTP status and its kind of error. A ruling that is added to the schema shows here at once.
+// TestRulingsGolden compares how each ruling is shown to operators with the golden list: its word, its HTTP status and its error
+// code. A ruling that is added to the schema shows here at once.
 func TestRulingsGolden(t *testing.T) {
 	var listed strings.Builder
 	values := schema.Ruling(0).Descriptor().Values()
