--- a/internal/registry/call_counts.go
+++ b/internal/registry/call_counts.go
@@ -11,7 +11,8 @@
 const maxCountsPerSource = 4
 
 // ApplyReport records what a proxy reports: its call counts, which only grow within an incarnation, and its workers. It tells
-// whether the service directory changed.
+// whether the service directory changed. The report becomes the state's: its source is marked with its home registry and, if the
+// proxy shuts down, as ended.
 func (f *FleetState) ApplyReport(now time.Duration, report *schema.ProxyReport) bool {
 	f.reportedAt[proxyIncarnation{report.Proxy, report.Incarnation}] = now
 	if len(report.Counts)+len(report.WorkCounts) <= f.options.MaxCounts {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -16,9 +16,9 @@
 	"meadowhinge/schema"
 )
 
-// Server is a registry process: one component for each job, around the state that they share. Its fields are set by newServer and
-// do not change; what changes is in state, and in the components as their declarations say.
-type Server struct {
+// server is a registry process: one component for each job, around the state that they share. Its fields are set by newServer and
+// do not change; what changes is in state, and in those components whose declarations say so.
+type server struct {
 	config      *serverConfig
 	options     *liveOptions
 	transport   *transport.Transport
@@ -73,7 +73,7 @@
 // newServer builds a registry that has not started: nothing runs or listens yet.
 func newServer(ctx context.Context, environment *daemon.Environment, cfg *serverConfig, live *liveOptions,
 	rpcTransport *transport.Transport, runOptions []Option,
-) *Server {
+) *server {
 	var extended extensions
 	for _, applyOption := range runOptions {
 		applyOption(&extended)
@@ -87,7 +87,7 @@
 	rollouts := newRolloutDriver(state, live, store, peers, submitter, log)
 	status := newStatusReporter(state, rpcTransport, rollouts)
 	sessions := newSessionServer(state, log)
-	return &Server{
+	return &server{
 		config:      cfg,
 		options:     live,
 		transport:   rpcTransport,
@@ -115,7 +115,7 @@
 }
 
 // run starts the registry and serves until ctx ends or serving fails.
-func (s *Server) run(ctx context.Context) error {
+func (s *server) run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.config.listenAddress)
 	if err != nil {
 		return errs.Wrap(err, errs.InvalidOptions, "listen")
@@ -140,14 +140,14 @@
 }
 
 // addStatusPages adds the registry's pages to those of the probe listener.
-func (s *Server) addStatusPages() {
+func (s *server) addStatusPages() {
 	s.environment.AddPage("/certificate", s.transport.Certificate)
 	s.environment.AddPage("/traffic", func() any { return s.transport.Traffic() })
 	s.environment.AddPage("/status", func() any { return statuspage.RegistryOf(s.status.current()) })
 }
 
 // startLoops starts the goroutines that run until ctx ends, or until their job is done.
-func (s *Server) startLoops(ctx context.Context) {
+func (s *server) startLoops(ctx context.Context) {
 	go s.configSync.followStore(ctx)
 	go s.configSync.catchUp(ctx)
 	go s.rollouts.run(ctx)
@@ -158,7 +158,7 @@
 
 // serveUntilDone waits until ctx ends or serving RPCs fails. After ctx ended it waits until RPCs are no longer served, and gives
 // the operators' calls in flight the drain time.
-func (s *Server) serveUntilDone(ctx context.Context, serveResult <-chan error, operators *fasthttp.Server) error {
+func (s *server) serveUntilDone(ctx context.Context, serveResult <-chan error, operators *fasthttp.Server) error {
 	select {
 	case <-ctx.Done():
 	case err := <-serveResult:
--- a/internal/registry/session_server.go
+++ b/internal/registry/session_server.go
@@ -27,8 +27,8 @@
 
 // runHeartbeats makes all sessions consider a heartbeat at the same moment, so that an idle registry wakes once for all of
 // them, and sweeps the fleet state, until ctx ends.
-func (h *sessionServer) runHeartbeats(ctx context.Context) {
-	ticker := time.NewTicker(h.state.config.lease / session.HeartbeatsPerLease)
+func (srv *sessionServer) runHeartbeats(ctx context.Context) {
+	ticker := time.NewTicker(srv.state.config.lease / session.HeartbeatsPerLease)
 	defer ticker.Stop()
 	for {
 		select {
@@ -36,12 +36,12 @@
 			return
 		case <-ticker.C:
 		}
-		h.tickHeartbeat()
+		srv.tickHeartbeat()
 	}
 }
 
-func (h *sessionServer) tickHeartbeat() {
-	s := h.state
+func (srv *sessionServer) tickHeartbeat() {
+	s := srv.state
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	before := s.fleetState.directory.lastSequence
@@ -55,24 +55,24 @@
 
 // serve serves one session of an authorized node until the stream ends: all that the node lacks first, then updates and
 // heartbeats.
-func (h *sessionServer) serve(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
-	h.open(request)
+func (srv *sessionServer) serve(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
+	srv.open(request)
 	// The session of a registry, or of a proxy that only listens, has no source and no place in the directory.
 	if request.Tentative || request.Source != nil {
-		h.log.V(1).Info("proxy session opened", "proxy", request.Node)
+		srv.log.V(1).Info("proxy session opened", "proxy", request.Node)
 		defer func() {
-			h.state.lock.Lock()
-			h.state.fleetState.CloseSession(h.state.now(), request.Node)
-			h.state.lock.Unlock()
-			h.log.V(1).Info("proxy session closed", "proxy", request.Node)
+			srv.state.lock.Lock()
+			srv.state.fleetState.CloseSession(srv.state.now(), request.Node)
+			srv.state.lock.Unlock()
+			srv.log.V(1).Info("proxy session closed", "proxy", request.Node)
 		}()
 	}
-	return h.push(request, stream)
+	return srv.push(request, stream)
 }
 
 // open records what a subscription says of its node.
-func (h *sessionServer) open(request *schema.SubscribeRequest) {
-	s := h.state
+func (srv *sessionServer) open(request *schema.SubscribeRequest) {
+	s := srv.state
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.compareLeaseLocked(request.Node, request.LeaseNanos)
@@ -90,8 +90,8 @@
 }
 
 // push sends updates and heartbeats until the stream ends, or fails with the stream's error.
-func (h *sessionServer) push(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
-	s := h.state
+func (srv *sessionServer) push(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
+	s := srv.state
 	ctx := stream.Context()
 	progress := &sessionProgress{
 		cursor:     NewSessionCursor(request.Node, request.GetMember().GetId(), request.Vector),
@@ -100,7 +100,7 @@
 	}
 	for onHeartbeat := true; ; {
 		s.lock.Lock()
-		update, hasContent := h.nextUpdateLocked(progress)
+		update, hasContent := srv.nextUpdateLocked(progress)
 		stateChanged, heartbeatTick := s.stateChanged, s.heartbeatTick
 		s.lock.Unlock()
 		promised := time.Duration(request.HeartbeatNanos)
@@ -151,11 +151,11 @@
 
 // nextUpdateLocked makes the update that a node lacks, and tells whether it is more than a heartbeat. The caller holds the lock
 // and sends the update if hasContent is true, for progress counts it as sent.
-func (h *sessionServer) nextUpdateLocked(progress *sessionProgress) (update *schema.Update, hasContent bool) {
-	s := h.state
+func (srv *sessionServer) nextUpdateLocked(progress *sessionProgress) (update *schema.Update, hasContent bool) {
+	s := srv.state
 	now := s.now()
 	update = &schema.Update{Sources: s.fleetState.NextUpdates(now, progress.cursor)}
-	hasContent = h.addConfigLocked(now, update, progress)
+	hasContent = srv.addConfigLocked(now, update, progress)
 	if members := s.membership.reachable(); !sameMembers(members, progress.members) {
 		progress.members = members
 		update.CoreMembers = members
@@ -176,11 +176,11 @@
 
 // addConfigLocked adds the configuration changes that a proxy lacks, and how stale the configuration here may be. It tells
 // whether the update has changes. The caller holds the lock.
-func (h *sessionServer) addConfigLocked(now time.Duration, update *schema.Update, progress *sessionProgress) bool {
-	s := h.state
+func (srv *sessionServer) addConfigLocked(now time.Duration, update *schema.Update, progress *sessionProgress) bool {
+	s := srv.state
 	staleness, confirmed := s.fleetState.Staleness(now)
 	update.StalenessNanos = int64(staleness)
-	if !h.servesConfigLocked(now) {
+	if !srv.servesConfigLocked(now) {
 		return false
 	}
 	update.StalenessKnown = confirmed
@@ -196,6 +196,6 @@
 // servesConfigLocked tells whether this registry may show its configuration. One that has just started may hold an older
 // configuration than it acknowledged in an earlier incarnation, so it finds out first which one is the newest, unless the core
 // cannot tell. The caller holds the lock.
-func (h *sessionServer) servesConfigLocked(now time.Duration) bool {
-	return h.state.fleetState.caughtUp || now >= h.state.config.lease/catchUpTimeoutDivisor
+func (srv *sessionServer) servesConfigLocked(now time.Duration) bool {
+	return srv.state.fleetState.caughtUp || now >= srv.state.config.lease/catchUpTimeoutDivisor
 }
--- a/internal/registry/shared_state.go
+++ b/internal/registry/shared_state.go
@@ -124,7 +124,7 @@
 	return s.membership.count()
 }
 
-// sources lists all sources of the service directory.
+// sources lists all sources of the service directory. They are never changed once they are stored.
 func (s *sharedState) sources() []*schema.Source {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -145,8 +145,8 @@
 	s.fleetState.SetCanaryGrants(s.now(), grants)
 }
 
-// compareLeaseLocked records whether a node is configured with another lease; zero for one that did not say. The caller holds
-// the lock.
+// compareLeaseLocked records whether a node is configured with another lease; leaseNanos is zero if
+// the node did not send its own. The caller holds the lock.
 func (s *sharedState) compareLeaseLocked(node string, leaseNanos int64) {
 	s.fleetState.CompareSetting(node, "lease", time.Duration(leaseNanos).String(), s.config.lease.String(), leaseNanos != 0)
 }
--- a/internal/registry/sources.go
+++ b/internal/registry/sources.go
@@ -30,7 +30,8 @@
 	return a.GetEnded() && !b.GetEnded()
 }
 
-// MergeSource stores an update of a source if it is newer than the stored one, and tells whether it was.
+// MergeSource stores an update of a source if it is newer than the stored one, and tells whether it was. Neither the caller nor the
+// state changes a source after it is stored: sessions send it without the lock.
 func (f *FleetState) MergeSource(now time.Duration, source *schema.Source) bool {
 	if source == nil || source.Version == nil {
 		return false
