--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -21,6 +21,7 @@
 release: r1: {service: "shop", version: "2.0.0", target: 50, over: "10m"}
 `
 
+// stateOf parses CUE text into a state, each item with a sequence of its own.
 func stateOf(t *testing.T, text string) (State, []*schema.FieldError) {
 	t.Helper()
 	items, faults := configsource.Parse([]byte(text))
@@ -42,18 +43,24 @@
 	for _, want := range []struct{ path, method, route string }{
 		{"/shop/buy", "POST", "buy"}, {"/shop/buy", "GET", "look"}, {"/shop/x", "POST", "look"}, {"/other", "GET", ""},
 	} {
-		route, found := snapshot.Match("", want.path, want.method)
-		if got := map[bool]func() string{true: func() string { return route.Name }, false: func() string { return "" }}[found](); got != want.route {
-			t.Errorf("%s %s matched %q, want %q", want.method, want.path, got, want.route)
-		}
+		t.Run(want.method+" "+want.path, func(t *testing.T) {
+			route, found := snapshot.Match("", want.path, want.method)
+			got := ""
+			if found {
+				got = route.Name
+			}
+			if got != want.route {
+				t.Errorf("%s %s matched %q, want %q", want.method, want.path, got, want.route)
+			}
+		})
 	}
 	route, _ := snapshot.Match("", "/shop/buy", "POST")
 	if route.ClassFor("POST") != ClassNonIdempotent || route.ClassFor("GET") != ClassIdempotent {
-		t.Error("only GET and HEAD may be repeated unasked")
+		t.Error("only GET and HEAD may be retried by default")
 	}
 }
 
-// Every fault of a text is named in one answer, by path.
+// Every fault of a text is reported at once, each at its path.
 func TestEveryFaultIsReported(t *testing.T) {
 	_, faults := stateOf(t, `
 service: shop: {versions: [], fallback: "1", callers: [], colour: "red"}
@@ -72,6 +79,7 @@
 	}
 }
 
+// Faults between items are each reported at the path of the item that refers.
 func TestCrossFaults(t *testing.T) {
 	state, faults := stateOf(t, `
 service: shop: {versions: ["1"], fallback: "2", callers: []}
@@ -105,6 +113,7 @@
 	}
 }
 
+// Of two versions of an item the newer stays, in whatever order they are merged.
 func TestMergeKeepsNewer(t *testing.T) {
 	older := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 1, Sequence: 9}, Body: []byte("old")}
 	newer := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 2, Sequence: 1}, Body: []byte("new")}
@@ -128,7 +137,7 @@
 	return State{}.With(items)
 }
 
-// A change to a large setup costs by what changed; what did not is taken over as it was.
+// A change to a large configuration costs by what changed; the rest is reused.
 func BenchmarkCompileIncrementalOneChange(b *testing.B) {
 	state := stateWithRoutes(5000)
 	before, _ := Compile(state, 1)
@@ -138,7 +147,7 @@
 	}
 }
 
-// Compiling after another setup gives the same as compiling anew.
+// Compiling after an earlier snapshot gives the same as compiling from scratch.
 func TestCompileIncremental(t *testing.T) {
 	state := stateWithRoutes(20)
 	before, _ := Compile(state, 1)
@@ -147,30 +156,30 @@
 		{Kind: "route", Name: "r4", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"service":"shop","prefix":"/moved","methods":[],"horizon":"1s","key":"K","attributes":{}}`)},
 	})
 	after, _ := CompileIncremental(before, next, 2)
-	anew, _ := Compile(next, 2)
+	fromScratch, _ := Compile(next, 2)
 	prefixes := func(s *Snapshot) (list []string) {
 		for _, route := range s.Routes {
 			list = append(list, route.Name+route.Prefix)
 		}
 		return list
 	}
-	if diff := cmp.Diff(prefixes(anew), prefixes(after)); diff != "" {
+	if diff := cmp.Diff(prefixes(fromScratch), prefixes(after)); diff != "" {
 		t.Error(diff)
 	}
 	if _, found := after.Match("", "/grown/3", "GET"); found {
 		t.Error("a removed route is still there")
 	}
 	if route, found := after.Match("", "/moved", "GET"); !found || route.KeyHeader != "K" {
-		t.Error("a changed route was taken over as it was")
+		t.Error("a changed route was reused from the earlier snapshot")
 	}
 }
 
-// The brake guards what a flag may give besides the fallback, and under the last of what was
-// stated of it. Stops name themselves after what they stop.
+// The rollback guard watches what a flag may pick besides the fallback. A stop must be named after the service
+// and version that it stops, which must exist and not be the fallback.
 func TestGuardsAndStops(t *testing.T) {
 	base := `service: shop: {versions: ["1", "2", "3"], fallback: "1", callers: []}
 `
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		text   string
 		guards []string
 		faults int
@@ -188,25 +197,24 @@
 		"a stop of the fallback":      {`stop: "shop.1": {service: "shop", version: "1"}`, nil, 1},
 		"a lifted stop, now fallback": {`stop: "shop.1": {service: "shop", version: "1", lifted: true}`, nil, 0},
 	} {
-		items, faults := configsource.Parse([]byte(base + one.text))
-		for i, item := range items {
-			item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
-		}
-		snapshot, cross := Compile(State{}.With(items), 9)
-		if len(faults) > 0 || len(cross) != one.faults {
-			t.Errorf("%s: faults %v, %v", name, faults, cross)
-		}
-		if diff := cmp.Diff(one.guards, snapshot.GuardedVersions["shop"]); diff != "" {
-			t.Errorf("%s: %s", name, diff)
-		}
+		t.Run(name, func(t *testing.T) {
+			state, faults := stateOf(t, base+test.text)
+			snapshot, cross := Compile(state, 9)
+			if len(faults) > 0 || len(cross) != test.faults {
+				t.Errorf("%s: faults %v, %v", name, faults, cross)
+			}
+			if diff := cmp.Diff(test.guards, snapshot.GuardedVersions["shop"]); diff != "" {
+				t.Errorf("%s: %s", name, diff)
+			}
+		})
 	}
 }
 
-// A policy is refused with each fault at its place; one that a route names stays.
+// Each fault of a policy is reported at its path; a policy that compiled is not compiled again.
 func TestPolicies(t *testing.T) {
 	base := `service: shop: {versions: ["1"], fallback: "1", callers: []}
 `
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		text  string
 		paths []string
 	}{
@@ -222,21 +230,20 @@
 route: r: {service: "shop", prefix: "/r", attributes: caller: "X", policy: "p"}`, []string{"route.r.attributes.caller"}},
 		"each by itself": {`policy: {p: expression: "caller", q: expression: "1 +"}`, []string{"policy.p.expression", "policy.q.expression"}},
 	} {
-		items, faults := configsource.Parse([]byte(base + one.text))
-		for i, item := range items {
-			item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
-		}
-		snapshot, cross := Compile(State{}.With(items), 9)
-		var paths []string
-		for _, fault := range append(faults, cross...) {
-			paths = append(paths, fault.Path)
-		}
-		if diff := cmp.Diff(one.paths, paths); diff != "" {
-			t.Errorf("%s: %s", name, diff)
-		}
-		// Compiled once: the next setup takes it over.
-		if next, _ := CompileIncremental(snapshot, State{}.With(items), 10); len(one.paths) == 0 && len(snapshot.Routes) > 0 && next.Routes[0].Policy != snapshot.Routes[0].Policy {
-			t.Errorf("%s: was compiled again", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			state, faults := stateOf(t, base+test.text)
+			snapshot, cross := Compile(state, 9)
+			var paths []string
+			for _, fault := range append(faults, cross...) {
+				paths = append(paths, fault.Path)
+			}
+			if diff := cmp.Diff(test.paths, paths); diff != "" {
+				t.Errorf("%s: %s", name, diff)
+			}
+			// Compiled once: the next snapshot reuses the program.
+			if next, _ := CompileIncremental(snapshot, state, 10); len(test.paths) == 0 && len(snapshot.Routes) > 0 && next.Routes[0].Policy != snapshot.Routes[0].Policy {
+				t.Errorf("%s: was compiled again", name)
+			}
+		})
 	}
 }
