--- a/internal/errs/defect_test.go
+++ b/internal/errs/errs_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-// An error keeps the kind it was first given, however often it is wrapped.
+// An error keeps the code that it was given first, however often it is wrapped.
 func TestWrapKeepsTheFirstCode(t *testing.T) {
 	if Wrap(nil, Internal, "x") != nil {
-		t.Error("no error became one")
+		t.Error("wrapping nil gave an error")
 	}
 	inner := Wrap(io.ErrUnexpectedEOF, InvalidResponse, "body")
 	outer := Wrap(inner, PeerConnectionLost, "hop")
@@ -21,16 +21,16 @@
 		t.Errorf("%v is %s", outer, CodeOf(outer))
 	}
 	if CodeOf(io.EOF) != Internal || HTTPStatus(CodeOf(io.EOF)) != http.StatusInternalServerError {
-		t.Error("a strange error is not internal")
+		t.Error("an error without a code is not internal")
 	}
 	if HTTPStatus(CallerNotAllowed) != http.StatusForbidden || HTTPStatus(BodyTooLarge) != http.StatusRequestEntityTooLarge {
-		t.Error("a kind has the wrong status")
+		t.Error("a code has the wrong status")
 	}
 }
 
-// Every kind that is declared has its status, so that none is left out where kinds are gone through.
+// Every code that is declared has a status, so that Codes lists them all.
 func TestEveryCodeHasAStatus(t *testing.T) {
-	file, err := parser.ParseFile(token.NewFileSet(), "defect.go", nil, 0)
+	file, err := parser.ParseFile(token.NewFileSet(), "codes.go", nil, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,6 +44,6 @@
 		return true
 	})
 	if listed := len(Codes()); declared != listed || declared == 0 {
-		t.Errorf("%d kinds are declared, %d have a status", declared, listed)
+		t.Errorf("%d codes are declared, %d have a status", declared, listed)
 	}
 }
--- a/internal/errs/golden_test.go
+++ b/internal/errs/golden_test.go
@@ -10,8 +10,8 @@
 	"meadowhinge/internal/errs"
 )
 
-// TestCodesGolden compares every kind of failure and its HTTP status with the golden list. Callers
-// and operators decide by these words, so they outlive the names of the constants.
+// TestCodesGolden compares every code and its HTTP status with the golden list. Callers and operators decide
+// by these strings, so they stay when a constant is renamed.
 func TestCodesGolden(t *testing.T) {
 	var listed strings.Builder
 	for _, code := range errs.Codes() {
