--- /dev/null
+++ b/internal/configsource/faults.go
@@ -0,0 +1,80 @@
+package configsource
+
+import (
+	"strconv"
+	"strings"
+
+	"cuelang.org/go/cue"
+	"cuelang.org/go/cue/errors"
+
+	"meadowhinge/schema"
+)
+
+// cueFaults lists every error that CUE found, each once.
+func cueFaults(err error) []*schema.FieldError {
+	var faults []*schema.FieldError
+	seen := map[string]bool{}
+	for _, cueError := range errors.Errors(err) {
+		path := strings.TrimPrefix(strings.Join(cueError.Path(), "."), rootDefinition+".")
+		if path == "" {
+			path = "."
+		}
+		reason := reasonOf(cueError)
+		if !seen[path+reason] {
+			seen[path+reason] = true
+			faults = append(faults, &schema.FieldError{Path: path, Reason: reason})
+		}
+	}
+	return faults
+}
+
+// reasonOf gives the first line of a CUE error's details, which is the one without positions in files.
+func reasonOf(cueError errors.Error) string {
+	format, values := cueError.Msg()
+	details := strings.TrimSpace(errors.Details(errors.Newf(cueError.Position(), format, values...), nil))
+	firstLine, _, _ := strings.Cut(details, "\n")
+	return strings.TrimSuffix(firstLine, ":")
+}
+
+// withUnknownFields adds the unknown fields of the input that faults do not name yet. A bad value in a struct
+// keeps CUE from reporting the struct's unknown fields.
+func withUnknownFields(faults []*schema.FieldError, allowed, input cue.Value) []*schema.FieldError {
+	reported := map[string]bool{}
+	for _, fault := range faults {
+		reported[fault.Path] = true
+	}
+	reportUnknownFields(allowed, input, nil, func(path string) {
+		if !reported[path] {
+			faults = append(faults, &schema.FieldError{Path: path, Reason: "field not allowed"})
+		}
+	})
+	return faults
+}
+
+// reportUnknownFields walks the input alongside the schema and reports each field that the schema does not have.
+func reportUnknownFields(allowed, input cue.Value, path []string, report func(path string)) {
+	if list, err := input.List(); err == nil {
+		elementSchema := allowed.LookupPath(cue.MakePath(cue.AnyIndex))
+		for i := 0; list.Next(); i++ {
+			reportUnknownFields(elementSchema, list.Value(), append(path, strconv.Itoa(i)), report)
+		}
+		return
+	}
+	fields, err := input.Fields()
+	if err != nil || !allowed.Exists() || allowed.IncompleteKind() != cue.StructKind {
+		return
+	}
+	for fields.Next() {
+		selector := fields.Selector()
+		fieldPath := append(path[:len(path):len(path)], selector.String())
+		if !allowed.Allows(selector) {
+			report(strings.Join(fieldPath, "."))
+			continue
+		}
+		fieldSchema := allowed.LookupPath(cue.MakePath(selector.Optional()))
+		if !fieldSchema.Exists() {
+			fieldSchema = allowed.LookupPath(cue.MakePath(cue.AnyString))
+		}
+		reportUnknownFields(fieldSchema, fields.Value(), fieldPath, report)
+	}
+}
--- a/internal/configsource/schema.cue
+++ b/internal/configsource/schema.cue
@@ -1,4 +1,4 @@
-// What an operator may write. Every field is closed: a misspelt one is refused.
+// The configuration that an operator may write. Every struct is closed: an unknown field is refused.
 #Name:    =~"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
 #Text:    =~"^[^\\x00-\\x1f]{0,512}$"
 #Index:   int & >=0 & <=255
@@ -8,7 +8,7 @@
 
 #Host:    =~"^[A-Za-z0-9._-]{1,253}$"
 
-// Left out are versions and fallback together: then they are those that stand by what workers tell.
+// versions and fallback are left out together: they are then discovered from what workers report.
 #Service: {
 	versions?: [...#Name]
 	fallback?: #Name
@@ -95,7 +95,7 @@
 	lifted:  bool | *false
 }
 
-// A stop is named after its service and version, so it may be as long as both.
+// A stop is named after its service and version, so its name may be as long as both together.
 #StopName: =~"^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$"
 
 #Setup: {
