--- a/schema/item.go
+++ b/schema/item.go
@@ -1,9 +1,9 @@
 package schema
 
-// Key joins an item's kind and name.
+// Key is the key of an item in a configuration: its kind and name, joined.
 func Key(kind, name string) string { return kind + "/" + name }
 
-// The one item of limits has a kind and a name of its own.
+// A configuration has one item of limits, whose kind and name these are.
 const (
 	LimitsKind = "limits"
 	LimitsName = "limits"
