--- a/internal/transport/called_off_test.go
+++ b/internal/transport/cancellation_test.go
@@ -12,26 +12,26 @@
 	"meadowhinge/schema"
 )
 
-// blockingServer answers a request named "stays" at once, and any other when its caller is gone.
+// blockingServer answers a request named "completes" at once, and any other only when it is cancelled.
 type blockingServer struct {
 	schema.DRPCHopUnimplementedServer
 	started   chan struct{}
 	cancelled chan struct{}
 }
 
-func (w *blockingServer) Run(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-	if carry.Request != "stays" {
-		w.started <- struct{}{}
+func (s *blockingServer) Run(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+	if request.Request != "completes" {
+		s.started <- struct{}{}
 		<-ctx.Done()
-		w.cancelled <- struct{}{}
+		s.cancelled <- struct{}{}
 	}
-	return &schema.ForwardResponse{Request: carry.Request}, nil
+	return &schema.ForwardResponse{Request: request.Request}, nil
 }
 
-// A call that is called off ends at the other side too, and costs no other call anything: its link is not met
-// by one that comes next, however soon that is.
+// A call that is cancelled ends at the other side too, and affects no other call: none gets its network connection,
+// however soon it follows.
 func TestCancelledCallsDoNotAffectOthers(t *testing.T) {
-	const rounds, beside = 300, 4
+	const rounds, concurrent = 300, 4
 	server := &blockingServer{started: make(chan struct{}, rounds), cancelled: make(chan struct{}, rounds)}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, server); err != nil {
@@ -53,22 +53,22 @@
 	for range rounds {
 		cancelledCtx, cancelCall := context.WithCancel(ctx)
 		ended := make(chan error, 1)
-		go func() { ended <- call(cancelledCtx, "leaves") }()
+		go func() { ended <- call(cancelledCtx, "cancelled") }()
 		<-server.started
 		cancelCall()
 		var others sync.WaitGroup
-		for range beside {
+		for range concurrent {
 			others.Go(func() {
-				if err := call(ctx, "stays"); err != nil {
-					t.Errorf("one that stayed: %v", err)
+				if err := call(ctx, "completes"); err != nil {
+					t.Errorf("a call beside the cancelled one: %v", err)
 				}
 			})
 		}
 		if err := <-ended; err == nil {
-			t.Error("a call that was called off was answered")
+			t.Error("a cancelled call was answered")
 		}
-		if err := call(ctx, "stays"); err != nil {
-			t.Errorf("the next: %v", err)
+		if err := call(ctx, "completes"); err != nil {
+			t.Errorf("the call after the cancelled one: %v", err)
 		}
 		others.Wait()
 		<-server.cancelled
--- a/internal/transport/race.go
+++ b/internal/transport/redial.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// dialsPerTimeout is how many times a link is dialled within the time that it may take to open. A
-// machine without power says nothing to the first packet, and the kernel sends it again only
-// after a second: by then the machine may long be back, and one that came back sooner than
-// the rest would go without its peers for all that time.
+// dialsPerTimeout is how many times an address is dialed within the dial timeout. A machine without power does
+// not answer the first packet, and the kernel repeats that only after a second. The machine may be back long
+// before, and would have to go without its peers until then.
 const dialsPerTimeout = 5
 
-// dialResult is what came of one dial.
+// dialResult is the result of one dial.
 type dialResult struct {
 	conn net.Conn
 	err  error
 }
 
-// dialRepeatedly dials again each gap as long as nobody answers; what is under way stays, so that a peer
-// that is only far away is still reached. The first answer counts, a refusal too.
+// dialRepeatedly starts another dial after each interval until one has a result. Earlier dials go on, so that a
+// peer that is only far away is still reached. The first result counts, also if it is an error: a refusal shows
+// that the machine is there. Connections of later results are closed.
 func dialRepeatedly(ctx context.Context, interval time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -29,9 +29,8 @@
 		select {
 		case results <- dialResult{conn, err}:
 		case <-ctx.Done():
-			// Another was first.
 			if conn != nil {
-				conn.Close()
+				_ = conn.Close() // another dial was first
 			}
 		}
 	}
--- a/internal/transport/traffic.go
+++ b/internal/transport/traffic.go
@@ -6,91 +6,103 @@
 	"sync"
 	"sync/atomic"
 
+	"google.golang.org/protobuf/reflect/protoreflect"
 	"storj.io/drpc"
 
 	"meadowhinge/schema"
 )
 
-// Traffic is what has gone over this process's links since it started.
+// Traffic is what a transport has carried since it was made.
 type Traffic struct {
-	In       uint64            `json:"in"`       // bytes, as the sockets carried them
-	Out      uint64            `json:"out"`      // the same
-	Opened   uint64            `json:"opened"`   // links that this process opened
-	Served   map[string]uint64 `json:"served"`   // calls taken, by what was called
-	Messages map[string]uint64 `json:"messages"` // that went either way in them
+	In       uint64            `json:"in"`       // bytes received from sockets
+	Out      uint64            `json:"out"`      // bytes sent to sockets
+	Opened   uint64            `json:"opened"`   // connections that this process opened
+	Served   map[string]uint64 `json:"served"`   // RPCs served, by name
+	Messages map[string]uint64 `json:"messages"` // messages of the RPCs served, in both directions, by name
 }
 
-// OnSent has whoever wants to know hear of the bytes that go out; it is set before the first link.
+// OnSent sets a function that is called with the number of bytes after each write. It must be set before the
+// first connection.
 func (t *Transport) OnSent(notify func(bytes int)) { t.meter.onSent = notify }
 
-// meter counts what goes over links.
+// meter counts the traffic of a transport.
 type meter struct {
 	in, out, opened atomic.Uint64
-	onSent          func(bytes int) // hears of what goes out; may be nil
+	onSent          func(bytes int) // see OnSent; may be nil
 
-	lock             sync.Mutex
+	lock             sync.Mutex // guards the maps
 	served, messages map[string]uint64
 }
 
-// Traffic tells what has gone over this process's links.
+// Traffic gives a copy of the counts.
 func (t *Transport) Traffic() Traffic {
 	t.meter.lock.Lock()
 	defer t.meter.lock.Unlock()
-	return Traffic{In: t.meter.in.Load(), Out: t.meter.out.Load(), Opened: t.meter.opened.Load(), Served: maps.Clone(t.meter.served), Messages: maps.Clone(t.meter.messages)}
+	return Traffic{
+		In:       t.meter.in.Load(),
+		Out:      t.meter.out.Load(),
+		Opened:   t.meter.opened.Load(),
+		Served:   maps.Clone(t.meter.served),
+		Messages: maps.Clone(t.meter.messages),
+	}
 }
 
-// countingConn counts the bytes of one link.
+// countingConn counts the bytes of one connection.
 type countingConn struct {
 	net.Conn
 	meter *meter
 }
 
-func (m countingConn) Read(into []byte) (int, error) {
-	count, err := m.Conn.Read(into)
-	m.meter.in.Add(uint64(count))
+// Read reads from the connection and counts the bytes.
+func (c countingConn) Read(into []byte) (int, error) {
+	count, err := c.Conn.Read(into)
+	c.meter.in.Add(uint64(count))
 	return count, err
 }
 
-func (m countingConn) Write(from []byte) (int, error) {
-	count, err := m.Conn.Write(from)
-	m.meter.out.Add(uint64(count))
-	if m.meter.onSent != nil {
-		m.meter.onSent(count)
+// Write writes to the connection and counts the bytes.
+func (c countingConn) Write(from []byte) (int, error) {
+	count, err := c.Conn.Write(from)
+	c.meter.out.Add(uint64(count))
+	if c.meter.onSent != nil {
+		c.meter.onSent(count)
 	}
 	return count, err
 }
 
-// unaryRPCs are the calls that have one message each way.
-var unaryRPCs = func() map[string]bool {
+// unaryRPCs are the names of the RPCs with one message in each direction.
+var unaryRPCs = findUnaryRPCs(schema.File_mesh_proto.Services())
+
+func findUnaryRPCs(services protoreflect.ServiceDescriptors) map[string]bool {
 	found := map[string]bool{}
-	services := schema.File_mesh_proto.Services()
 	for i := range services.Len() {
 		methods := services.Get(i).Methods()
 		for j := range methods.Len() {
-			if one := methods.Get(j); !one.IsStreamingClient() && !one.IsStreamingServer() {
-				found["/"+string(services.Get(i).FullName())+"/"+string(one.Name())] = true
+			if method := methods.Get(j); !method.IsStreamingClient() && !method.IsStreamingServer() {
+				found["/"+string(services.Get(i).FullName())+"/"+string(method.Name())] = true
 			}
 		}
 	}
 	return found
-}()
+}
 
-// countingHandler counts the calls that a handler takes.
+// countingHandler counts the RPCs that a handler serves.
 type countingHandler struct {
 	drpc.Handler
 	meter *meter
 }
 
+// HandleRPC counts an RPC and hands it to the handler.
 func (c countingHandler) HandleRPC(stream drpc.Stream, rpc string) error {
 	c.meter.count(&c.meter.served, rpc)
-	// A single answer goes out with the word that nothing follows it, in one write.
+	// Without a flush after the message, a unary RPC's response and the end of the stream are one write.
 	if flusher, isFlusher := stream.(interface{ SetManualFlush(bool) }); isFlusher && unaryRPCs[rpc] {
 		flusher.SetManualFlush(true)
 	}
 	return c.Handler.HandleRPC(countingStream{stream, c.meter, rpc}, rpc)
 }
 
-// count counts one by its name.
+// count adds one to an RPC's count in one of the meter's maps.
 func (m *meter) count(counts *map[string]uint64, rpc string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -100,18 +112,20 @@
 	(*counts)[rpc]++
 }
 
-// countingStream counts the messages of one call.
+// countingStream counts the messages of one RPC.
 type countingStream struct {
 	drpc.Stream
 	meter *meter
 	rpc   string
 }
 
+// MsgSend counts and sends a message.
 func (s countingStream) MsgSend(message drpc.Message, encoding drpc.Encoding) error {
 	s.meter.count(&s.meter.messages, s.rpc)
 	return s.Stream.MsgSend(message, encoding)
 }
 
+// MsgRecv receives a message and counts it unless there is an error.
 func (s countingStream) MsgRecv(message drpc.Message, encoding drpc.Encoding) error {
 	err := s.Stream.MsgRecv(message, encoding)
 	if err == nil {
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -12,7 +12,7 @@
 	"meadowhinge/schema"
 )
 
-// What goes over links is counted at both ends: bytes, links opened, calls by name.
+// Traffic is counted at both ends: bytes, connections opened, RPCs and messages by name.
 func TestTrafficIsCounted(t *testing.T) {
 	const calls, body = 3, 10_000
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,15 +34,15 @@
 			t.Fatal(err)
 		}
 	}
-	sent, taken := client.Traffic(), server.Traffic()
-	// Beyond the bodies there are a greeting and a frame for each call, of a hundred bytes at most.
-	for _, bytes := range []uint64{sent.Out, taken.In} {
+	sent, received := client.Traffic(), server.Traffic()
+	// Besides the bodies there are a greeting, and a frame for each call of less than 100 bytes.
+	for _, bytes := range []uint64{sent.Out, received.In} {
 		if bytes < calls*body || bytes > calls*(body+200) {
 			t.Errorf("%d bytes counted of %d sent in bodies", bytes, calls*body)
 		}
 	}
-	// Each call is a message there and one back.
-	if sent.Opened != 1 || taken.Served["/meadowhinge.Hop/Run"] != calls || taken.Messages["/meadowhinge.Hop/Run"] != 2*calls {
-		t.Errorf("opened %d links, served %v, messages %v", sent.Opened, taken.Served, taken.Messages)
+	// Each call is a request and a response message.
+	if sent.Opened != 1 || received.Served["/meadowhinge.Hop/Run"] != calls || received.Messages["/meadowhinge.Hop/Run"] != 2*calls {
+		t.Errorf("opened %d connections, served %v, messages %v", sent.Opened, received.Served, received.Messages)
 	}
 }
--- a/internal/transport/link_test.go
+++ b/internal/transport/transport_test.go
@@ -18,33 +18,34 @@
 	"meadowhinge/schema"
 )
 
-// peerRecorder answers with who called.
+// peerRecorder records the peer of each RPC.
 type peerRecorder struct {
 	schema.DRPCHopUnimplementedServer
 	seen chan transport.Peer
 }
 
-func (p *peerRecorder) Run(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+func (p *peerRecorder) Run(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	p.seen <- transport.PeerFromContext(ctx)
-	return &schema.ForwardResponse{Request: carry.Request}, nil
+	return &schema.ForwardResponse{Request: request.Request}, nil
 }
 
-func credentials(t *testing.T, authority *testbed.Authority, role, name string, services ...string) *transport.Transport {
+// tlsTransport makes a transport with a certificate that the authority issues for a role and name.
+func tlsTransport(t *testing.T, authority *testbed.Authority, role, name string, services ...string) *transport.Transport {
 	t.Helper()
 	file, err := authority.Issue(role, name, services)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ends, err := transport.NewTLS(file, authority.File())
+	made, err := transport.NewTLS(file, authority.File())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(ends.Close)
-	return ends
+	t.Cleanup(made.Close)
+	return made
 }
 
-// Only a peer with a certificate of this mesh, in a role that is taken here, is served; all
-// else is cut off and counted, and the server goes on.
+// Only a peer with a certificate of this mesh, in a role that is allowed, is served; any other is rejected and
+// counted, and the server goes on.
 func TestOnlyKnownPeersAreServed(t *testing.T) {
 	ours, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
@@ -54,7 +55,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := credentials(t, ours, "proxy", "p")
+	server := tlsTransport(t, ours, "proxy", "p")
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -68,51 +69,51 @@
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx, listener, mux, "proxy") }()
 	address := listener.Addr().String()
-	call := func(ends *transport.Transport) error {
+	call := func(client *transport.Transport) error {
 		bounded, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, address)).Run(bounded, &schema.ForwardRequest{Request: "r"})
+		_, err := schema.NewDRPCHopClient(client.Conn(bounded, address)).Run(bounded, &schema.ForwardRequest{Request: "r"})
 		return err
 	}
-	awaitRefused := func(want uint64) {
+	awaitRejected := func(want uint64) {
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); server.RejectedPeers.Load() < want; {
 			if time.Now().After(deadline) {
-				t.Fatalf("%d peers refused, want %d", server.RejectedPeers.Load(), want)
+				t.Fatalf("%d peers rejected, want %d", server.RejectedPeers.Load(), want)
 			}
 			runtime.Gosched()
 		}
 	}
-	friend := credentials(t, ours, "proxy", "q", "client")
-	if err := call(friend); err != nil {
+	allowedPeer := tlsTransport(t, ours, "proxy", "q", "client")
+	if err := call(allowedPeer); err != nil {
 		t.Fatal(err)
 	}
 	if peer := <-recorder.seen; peer.Name != "q" || !peer.MayCallAs("client") || peer.MayCallAs("shop") {
 		t.Errorf("the server saw %+v", peer)
 	}
-	if err := call(credentials(t, theirs, "proxy", "q", "client")); err == nil {
+	if err := call(tlsTransport(t, theirs, "proxy", "q", "client")); err == nil {
 		t.Error("a certificate of another authority was served")
 	}
-	awaitRefused(1)
-	if err := call(credentials(t, ours, "store", "a")); err == nil {
-		t.Error("a role that has no business here was served")
+	awaitRejected(1)
+	if err := call(tlsTransport(t, ours, "store", "a")); err == nil {
+		t.Error("a role that is not allowed was served")
 	}
-	awaitRefused(2)
+	awaitRejected(2)
 	raw, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, _ = raw.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
-	awaitRefused(3)
-	raw.Close()
-	// Another version of what our processes say is refused at the handshake.
+	awaitRejected(3)
+	_ = raw.Close()
+	// Another protocol version is refused at the handshake.
 	if conn, err := tls.Dial("tcp", address, &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"meadowhinge/0"}}); err == nil {
-		conn.Close()
-		t.Error("another protocol version was taken")
+		_ = conn.Close()
+		t.Error("another protocol version was accepted")
 	}
-	awaitRefused(4)
-	if err := call(friend); err != nil {
-		t.Errorf("after the strangers, a friend got %v", err)
+	awaitRejected(4)
+	if err := call(allowedPeer); err != nil {
+		t.Errorf("after the rejected peers, an allowed one got %v", err)
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -120,7 +121,7 @@
 	}
 }
 
-// A link that never opened says so: that is the proof that nothing was sent.
+// A connection that never opened has an error code of its own: it proves that nothing was sent.
 func TestConnectFailureIsTyped(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
@@ -131,16 +132,16 @@
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
-	listener.Close()
-	ends := credentials(t, authority, "proxy", "q")
-	_, err = schema.NewDRPCHopClient(ends.Conn(t.Context(), address)).Run(t.Context(), &schema.ForwardRequest{})
+	_ = listener.Close()
+	client := tlsTransport(t, authority, "proxy", "q")
+	_, err = schema.NewDRPCHopClient(client.Conn(t.Context(), address)).Run(t.Context(), &schema.ForwardRequest{})
 	if errs.CodeOf(err) != errs.PeerConnectFailed {
 		t.Errorf("got %v", err)
 	}
 }
 
-// A certificate is read again when its file changes; one that could not serve is refused, the
-// old one is kept, and why is shown.
+// A certificate is reloaded when its file changes. One that cannot be used is refused: the previous one stays in
+// use, and the status says why.
 func TestCertificatesAreReloaded(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
@@ -151,15 +152,18 @@
 		t.Fatal(err)
 	}
 	now := time.Now()
-	ends, err := transport.NewTLS(file, authority.File(), transport.WithClock(func() time.Time { now = now.Add(2 * time.Second); return now }))
+	made, err := transport.NewTLS(file, authority.File(), transport.WithClock(func() time.Time { now = now.Add(2 * time.Second); return now }))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ends.Close()
-	shown := func() transport.CertificateStatus { return ends.Certificate().(transport.CertificateStatus) }
-	first := shown()
-	good, _ := os.ReadFile(file)
-	write := func(text []byte, later time.Duration) {
+	defer made.Close()
+	status := func() transport.CertificateStatus { return made.Certificate().(transport.CertificateStatus) }
+	first := status()
+	valid, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	write := func(t *testing.T, text []byte, later time.Duration) {
 		t.Helper()
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
@@ -174,34 +178,39 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		text, _ := os.ReadFile(other)
+		text, err := os.ReadFile(other)
+		if err != nil {
+			t.Fatal(err)
+		}
 		return text
 	}
-	for i, one := range []struct {
+	for i, test := range []struct {
 		name  string
 		text  []byte
 		fault string
-		taken bool
+		inUse bool
 	}{
 		{"unreadable", []byte("x"), "PEM", false},
 		{"expired", issue("proxy", "q", now.Add(-time.Hour)), "good from", false},
 		{"somebody else's", issue("proxy", "r", now.Add(3*time.Hour)), "not proxy", false},
-		{"the first again", good, "", false},
+		{"the first again", valid, "", false},
 		{"a newer one", issue("proxy", "q", now.Add(5*time.Hour)), "", true},
 	} {
-		write(one.text, time.Duration(i+1)*time.Minute)
-		got := shown()
-		if (one.fault == "") != (got.Fault == "") || !strings.Contains(got.Fault, one.fault) || got.NotAfter.Equal(first.NotAfter) == one.taken {
-			t.Errorf("%s: %+v", one.name, got)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			write(t, test.text, time.Duration(i+1)*time.Minute)
+			got := status()
+			if (test.fault == "") != (got.Fault == "") || !strings.Contains(got.Fault, test.fault) || got.NotAfter.Equal(first.NotAfter) == test.inUse {
+				t.Errorf("%s: %+v", test.name, got)
+			}
+		})
 	}
 	if _, err := transport.NewTLS("/nowhere", authority.File()); errs.CodeOf(err) != errs.InvalidOptions {
 		t.Errorf("a file that is not there gave %v", err)
 	}
 }
 
-// A plain link tells who stands at its other end; who speaks another protocol, or in a role that
-// is not taken here, is cut off and counted.
+// The greeting of a plaintext connection identifies its peer; a peer with another protocol, or in a role that is not
+// allowed, is rejected and counted.
 func TestPlaintextHandshake(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -218,11 +227,11 @@
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(ctx, listener, mux, "proxy") }()
 	call := func(role string) error {
-		ends := transport.NewPlaintext(role, "q", []string{"shop", "bag"})
-		defer ends.Close()
+		client := transport.NewPlaintext(role, "q", []string{"shop", "bag"})
+		defer client.Close()
 		bounded, cancel := context.WithTimeout(ctx, 10*time.Second)
 		defer cancel()
-		_, err := schema.NewDRPCHopClient(ends.Conn(bounded, listener.Addr().String())).Run(bounded, &schema.ForwardRequest{Request: "r"})
+		_, err := schema.NewDRPCHopClient(client.Conn(bounded, listener.Addr().String())).Run(bounded, &schema.ForwardRequest{Request: "r"})
 		return err
 	}
 	if err := call("proxy"); err != nil {
@@ -232,7 +241,7 @@
 		t.Fatalf("%+v", peer)
 	}
 	if err := call("store"); err == nil {
-		t.Fatal("a role that is not taken here was served")
+		t.Fatal("a role that is not allowed was served")
 	}
 	raw, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -242,8 +251,8 @@
 	if _, err := raw.Read(make([]byte, 1)); err == nil {
 		t.Fatal("another protocol was answered")
 	}
-	if refused := server.RejectedPeers.Load(); refused != 2 {
-		t.Fatalf("%d refused", refused)
+	if rejected := server.RejectedPeers.Load(); rejected != 2 {
+		t.Fatalf("%d rejected", rejected)
 	}
 	cancel()
 	<-ended
