--- a/internal/config/references.go
+++ b/internal/config/references.go
@@ -53,17 +53,16 @@
 // checkRouteServices reports services that routes name and that do not exist.
 func (s *Snapshot) checkRouteServices(add faultReporter) {
 	for _, route := range s.Routes {
-		path := itemPath(kindRoute, route.Name)
 		switch {
 		case len(route.Split) > 0:
 		case route.Service == "":
-			add(path+".service", "neither a service nor a split is named")
+			add(itemPath(kindRoute, route.Name)+".service", "neither a service nor a split is named")
 		case s.Services[route.Service] == nil:
-			add(path+".service", "service %q does not exist", route.Service)
+			add(itemPath(kindRoute, route.Name)+".service", "service %q does not exist", route.Service)
 		}
 		for i, weighted := range route.Split {
 			if s.Services[weighted.Service] == nil {
-				add(fmt.Sprintf("%s.split[%d].service", path, i), "service %q does not exist", weighted.Service)
+				add(fmt.Sprintf("%s.split[%d].service", itemPath(kindRoute, route.Name), i), "service %q does not exist", weighted.Service)
 			}
 		}
 	}
