--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/run_test.go
@@ -9,14 +9,14 @@
 	"meadowhinge/schema"
 )
 
-// Word that a settings file changed does not end a program.
+// SIGHUP asks for a reload of the settings and does not end the program.
 func TestSIGHUPDoesNotStopProgram(t *testing.T) {
-	given := &schema.StoreOptions{}
+	settings := &schema.StoreOptions{}
 	args := []string{"-links=plain", "-seat=s", "-listen=127.0.0.1:1", "-seeds=127.0.0.1:1", "-probe-listen=127.0.0.1:2", "-data=" + t.TempDir()}
-	code := Run("store", FromArgs(args), given, func() (string, int64) { return "", given.Ring }, func(context.Context, *Environment) error {
+	code := Run("store", FromArgs(args), settings, func() (string, int64) { return "", settings.Ring }, func(context.Context, *Environment) error {
 		return syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	})
 	if code != 0 {
-		t.Fatalf("left with %d", code)
+		t.Fatalf("exit code %d", code)
 	}
 }
--- a/internal/daemon/settings_test.go
+++ b/internal/daemon/settings_watcher_test.go
@@ -16,13 +16,13 @@
 	"meadowhinge/schema"
 )
 
-// settingsFixture is a store's settings file, and what becomes of it.
+// settingsFixture is the settings file of a store, a watcher of it, and what the watcher applied and logged.
 type settingsFixture struct {
 	*testing.T
 	file, data string
 	writes     int
 	recorder   *flightrecorder.Recorder
-	settings   *settings
+	watcher    *settingsWatcher
 	applied    []*schema.StoreOptions
 }
 
@@ -31,16 +31,16 @@
 	f := &settingsFixture{T: t, data: t.TempDir(), recorder: flightrecorder.New(t.TempDir(), "store", 100)}
 	f.file = filepath.Join(f.data, "settings")
 	f.write(lines)
-	started, source := &schema.StoreOptions{}, FromArgs([]string{"-settings=" + f.file})
-	read, err := source.load("store", started, os.Stderr)
+	initial, source := &schema.StoreOptions{}, FromArgs([]string{"-settings=" + f.file})
+	loaded, err := source.load("store", initial, os.Stderr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.settings = newSettings("store", source, started, read, nil, f.recorder.Logger())
+	f.watcher = newSettingsWatcher("store", source, initial, loaded, nil, f.recorder.Logger())
 	return f
 }
 
-// write gives the file other settings, and a time of its own whatever the clock's steps are.
+// write writes the file, with a modification time of its own whatever the resolution of the clock.
 func (f *settingsFixture) write(lines string) {
 	f.Helper()
 	text := "links plain\nseat a\nlisten 127.0.0.1:1\nprobe-listen 127.0.0.1:2\ndata " + f.data + "\n" + lines
@@ -48,8 +48,8 @@
 		f.Fatal(err)
 	}
 	f.writes++
-	at := time.Unix(int64(1000*f.writes), 0)
-	if err := os.Chtimes(f.file, at, at); err != nil {
+	modifiedAt := time.Unix(int64(1000*f.writes), 0)
+	if err := os.Chtimes(f.file, modifiedAt, modifiedAt); err != nil {
 		f.Fatal(err)
 	}
 }
@@ -58,7 +58,7 @@
 	f.applied = append(f.applied, now.(*schema.StoreOptions))
 }
 
-// takeApplied gives what was taken since it was asked last, and what was logged meanwhile.
+// takeApplied gives the last settings applied since it was called last, nil for none, and what was logged meanwhile.
 func (f *settingsFixture) takeApplied() (*schema.StoreOptions, string) {
 	var applied *schema.StoreOptions
 	if len(f.applied) > 0 {
@@ -66,40 +66,40 @@
 	}
 	lines := strings.Join(f.recorder.Lines(), "\n")
 	f.applied, f.recorder = nil, flightrecorder.New(f.TempDir(), "store", 100)
-	f.settings.log = f.recorder.Logger()
+	f.watcher.log = f.recorder.Logger()
 	return applied, lines
 }
 
-// What may change while a program runs does, what may not is named, and stays.
+// Changed live settings are applied; other changed settings are logged and stay as they were at start.
 func TestChangedSettingsAreApplied(t *testing.T) {
 	f := newSettingsFixture(t, "seeds 127.0.0.1:3\nsilence 2s\n")
 	f.write("seeds 127.0.0.1:4\nsilence 3s\nlosses 2\n")
-	f.settings.reload(f.apply)
+	f.watcher.reload(f.apply)
 	now, lines := f.takeApplied()
 	if now == nil || now.Seeds != "127.0.0.1:4" || now.Silence != int64(3*time.Second) || now.Losses != 1 || now.Stall != int64(2*time.Second) {
-		t.Errorf("taken: %v", now)
+		t.Errorf("applied: %v", now)
 	}
 	for _, wanted := range []string{`"changed"=["seeds" "silence"]`, `"settings"=["losses"]`} {
 		if !strings.Contains(strings.ReplaceAll(lines, ",", " "), wanted) {
 			t.Errorf("%s is not in %s", wanted, lines)
 		}
 	}
-	// The same once more changes nothing; a setting left out has its preset again.
-	f.settings.reload(f.apply)
+	// The same settings change nothing; a setting that is left out gets its default again.
+	f.watcher.reload(f.apply)
 	if now, _ := f.takeApplied(); now != nil {
-		t.Errorf("taken though the same: %v", now)
+		t.Errorf("applied though unchanged: %v", now)
 	}
 	f.write("seeds 127.0.0.1:4\n")
-	f.settings.reload(f.apply)
+	f.watcher.reload(f.apply)
 	if now, lines := f.takeApplied(); now == nil || now.Silence != int64(1500*time.Millisecond) || strings.Contains(lines, "losses") {
-		t.Errorf("taken: %v, logged: %s", now, lines)
+		t.Errorf("applied: %v, logged: %s", now, lines)
 	}
 }
 
-// A faulty file is refused as a whole, every bad field is named, and the next good one is taken.
+// If any setting is bad, none is applied and every bad one is logged; the next valid file is applied.
 func TestFaultySettingsChangeNothing(t *testing.T) {
 	f := newSettingsFixture(t, "seeds 127.0.0.1:3\n")
-	for _, one := range []struct {
+	for _, test := range []struct {
 		lines string
 		named []string
 	}{
@@ -108,95 +108,95 @@
 		{"seeds 127.0.0.1:4\ncolour red\n", []string{"colour"}},
 		{"silence 3s\n", []string{"seeds: is required"}},
 	} {
-		f.write(one.lines)
-		f.settings.reload(f.apply)
+		f.write(test.lines)
+		f.watcher.reload(f.apply)
 		now, lines := f.takeApplied()
-		for _, name := range append(one.named, "BAD_OPTIONS") {
+		for _, name := range append(test.named, "BAD_OPTIONS") {
 			if now != nil || !strings.Contains(lines, name) {
-				t.Errorf("%q: taken %v, and %q is not in %s", one.lines, now, name, lines)
+				t.Errorf("%q: applied %v, and %q is not in %s", test.lines, now, name, lines)
 			}
 		}
 	}
 	if err := os.Remove(f.file); err != nil {
 		t.Fatal(err)
 	}
-	f.settings.poll(f.apply)
-	f.settings.poll(f.apply)
+	f.watcher.poll(f.apply)
+	f.watcher.poll(f.apply)
 	if now, lines := f.takeApplied(); now != nil || !strings.Contains(lines, f.file) {
-		t.Errorf("without a file: taken %v, logged %s", now, lines)
+		t.Errorf("without a file: applied %v, logged %s", now, lines)
 	}
-	f.settings.poll(f.apply)
+	f.watcher.poll(f.apply)
 	if _, lines := f.takeApplied(); lines != "" {
-		t.Errorf("the same is said again: %s", lines)
+		t.Errorf("the same faults are logged again: %s", lines)
 	}
 	f.write("seeds 127.0.0.1:5\n")
-	f.settings.poll(f.apply)
-	f.settings.poll(f.apply)
+	f.watcher.poll(f.apply)
+	f.watcher.poll(f.apply)
 	if now, _ := f.takeApplied(); now == nil || now.Seeds != "127.0.0.1:5" {
-		t.Errorf("taken: %v", now)
+		t.Errorf("applied: %v", now)
 	}
 }
 
-// A file is read again only if it is another, and only once it is the same at two looks.
+// A file is reloaded only after it changed, and only once it is the same at two polls.
 func TestSettingsFilePolling(t *testing.T) {
 	f := newSettingsFixture(t, "seeds 127.0.0.1:3\n")
-	read, reads := f.settings.source.Read, 0
-	f.settings.source.Read = func() (SourceSettings, error) {
+	read, reads := f.watcher.source.Read, 0
+	f.watcher.source.Read = func() (SourceSettings, error) {
 		reads++
 		return read()
 	}
-	look := func(wanted int, why string) {
+	poll := func(wanted int, why string) {
 		t.Helper()
-		if f.settings.poll(f.apply); reads != wanted {
+		if f.watcher.poll(f.apply); reads != wanted {
 			t.Fatalf("%s: read %d times, not %d", why, reads, wanted)
 		}
 	}
-	look(0, "nothing has changed")
+	poll(0, "nothing has changed")
 	f.write("seeds 127.0.0.1:4\n")
-	look(0, "it may still be written")
+	poll(0, "it may still be written")
 	f.write("seeds 127.0.0.1:4\nsilence 2s\n")
-	look(0, "it was still being written")
-	look(1, "it is whole")
-	look(1, "it was read")
+	poll(0, "it was still being written")
+	poll(1, "it is complete")
+	poll(1, "it was read")
 	if now, _ := f.takeApplied(); now == nil || now.Silence != int64(2*time.Second) || now.Seeds != "127.0.0.1:4" {
-		t.Errorf("taken: %v", now)
+		t.Errorf("applied: %v", now)
 	}
 }
 
-// What goes past the settings is named once it is another than at the start.
+// A change of what has an effect besides the settings is logged as pending a restart.
 func TestRestartOnlySettingsAreLogged(t *testing.T) {
 	f := newSettingsFixture(t, "seeds 127.0.0.1:3\n")
-	read := f.settings.source.Read
-	f.settings.source.Read = func() (SourceSettings, error) {
-		made, err := read()
-		made.RestartOnly = map[string]string{"beat": "2s"}
-		return made, err
-	}
-	f.settings.initialRestartOnly = map[string]string{"beat": "1s"}
-	f.settings.reload(f.apply)
+	read := f.watcher.source.Read
+	f.watcher.source.Read = func() (SourceSettings, error) {
+		source, err := read()
+		source.RestartOnly = map[string]string{"beat": "2s"}
+		return source, err
+	}
+	f.watcher.initialRestartOnly = map[string]string{"beat": "1s"}
+	f.watcher.reload(f.apply)
 	if now, lines := f.takeApplied(); now != nil || !strings.Contains(lines, `"settings"=["beat"]`) {
-		t.Errorf("taken %v, logged %s", now, lines)
+		t.Errorf("applied %v, logged %s", now, lines)
 	}
 }
 
-// SIGHUP has the file read at once, while the program runs.
+// SIGHUP reloads the file at once, while the program runs.
 func TestSIGHUPReloadsSettings(t *testing.T) {
 	f := newSettingsFixture(t, "seeds 127.0.0.1:3\n")
-	given := &schema.StoreOptions{}
+	settings := &schema.StoreOptions{}
 	var shown []string
-	code := Run("store", FromArgs([]string{"-settings=" + f.file}), given, func() (string, int64) { return given.Data, given.Ring }, func(ctx context.Context, frame *Environment) error {
-		taken := make(chan *schema.StoreOptions)
-		frame.WatchSettings(ctx, time.Hour, func(now proto.Message) { taken <- now.(*schema.StoreOptions) })
+	code := Run("store", FromArgs([]string{"-settings=" + f.file}), settings, func() (string, int64) { return settings.Data, settings.Ring }, func(ctx context.Context, environment *Environment) error {
+		applied := make(chan *schema.StoreOptions)
+		environment.WatchSettings(ctx, time.Hour, func(now proto.Message) { applied <- now.(*schema.StoreOptions) })
 		for _, seeds := range []string{"127.0.0.1:4", "127.0.0.1:5"} {
 			f.write("seeds " + seeds + "\n")
 			if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 				return err
 			}
-			shown = append(shown, (<-taken).Seeds)
+			shown = append(shown, (<-applied).Seeds)
 		}
 		return nil
 	})
-	if code != 0 || !slices.Equal(shown, []string{"127.0.0.1:4", "127.0.0.1:5"}) || given.Seeds != "127.0.0.1:3" {
-		t.Errorf("left with %d, taken %v, at the start %s", code, shown, given.Seeds)
+	if code != 0 || !slices.Equal(shown, []string{"127.0.0.1:4", "127.0.0.1:5"}) || settings.Seeds != "127.0.0.1:3" {
+		t.Errorf("exit code %d, applied %v, at start %s", code, shown, settings.Seeds)
 	}
 }
