--- a/internal/options/golden_test.go
+++ b/internal/options/golden_test.go
@@ -17,8 +17,8 @@
 	"meadowhinge/schema"
 )
 
-// programs are all programs whose settings stand in the schema. The golden lists go by these names, which
-// stay when a program is given another.
+// programs are all programs with settings in the schema. The golden lists have these names, which stay when a
+// program is renamed.
 var programs = map[string]proto.Message{
 	"proxy":           &schema.ProxyOptions{},
 	"registry":        &schema.RegistryOptions{},
@@ -28,8 +28,8 @@
 	"emulator calls":  &schema.CallsOptions{},
 }
 
-// TestSettingsGolden compares the settings of each program with the golden list. Operators have them
-// in files and on command lines, so no renaming of ours may touch a name, default, bound or form.
+// TestSettingsGolden compares the settings of each program with the golden list. Operators have them in files and
+// on command lines, so no name, default, bound or form may change.
 func TestSettingsGolden(t *testing.T) {
 	for program, target := range programs {
 		t.Run(program, func(t *testing.T) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// flagsIn keeps the lines of a help text that name a flag. The words that explain it are not held.
+// flagsIn gives the lines of a help text that name a flag. The explanations are not compared.
 func flagsIn(help string) string {
 	var flags strings.Builder
 	for line := range strings.Lines(help) {
@@ -74,8 +74,8 @@
 	return flags.String()
 }
 
-// settingLine tells everything that the schema says of one setting but the words that explain it. The
-// rule's own fields are listed by reflection, so that a field added to it shows too.
+// settingLine gives everything that the schema says about one setting except its explanation. The rule's own
+// fields are listed by reflection, so that a field added to it is compared too.
 func settingLine(t *testing.T, field protoreflect.FieldDescriptor) string {
 	t.Helper()
 	rule, ok := proto.GetExtension(field.Options(), schema.E_Rule).(proto.Message)
@@ -105,17 +105,17 @@
 	if string(want) == got {
 		return
 	}
-	wanted, had := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(wanted), len(had)) {
-		var left, right string
-		if i < len(wanted) {
-			left = wanted[i]
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
+	for i := range max(len(wantLines), len(gotLines)) {
+		var wantLine, gotLine string
+		if i < len(wantLines) {
+			wantLine = wantLines[i]
 		}
-		if i < len(had) {
-			right = had[i]
+		if i < len(gotLines) {
+			gotLine = gotLines[i]
 		}
-		if left != right {
-			t.Fatalf("%s line %d:\n got %q\nwant %q", file, i+1, right, left)
+		if wantLine != gotLine {
+			t.Fatalf("%s line %d:\n got %q\nwant %q", file, i+1, gotLine, wantLine)
 		}
 	}
 }
--- a/internal/options/live.go
+++ b/internal/options/live_update.go
@@ -5,15 +5,15 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// LiveUpdate are the settings in force once a changed file was read.
+// LiveUpdate is the result of a reload of settings.
 type LiveUpdate struct {
-	Current        proto.Message // what is in force, of the same kind as before
-	Changed        []string      // settings that count at once, and are another than before
-	PendingRestart []string      // settings that are another than at the start, and count from the next start on
+	Current        proto.Message // settings in effect after the reload
+	Changed        []string      // live settings whose value changed, by flag name
+	PendingRestart []string      // other settings that differ from those at start, by flag name
 }
 
-// ApplyLive takes from what was read the settings that may change while a program runs; all others
-// stay as they were at its start.
+// ApplyLive gives the settings in effect after a reload: the live ones (Rule.live) as loaded, all others as they
+// were at the program's start. All messages are of one type; none is written to.
 func ApplyLive(initial, current, loaded proto.Message) LiveUpdate {
 	update := LiveUpdate{Current: proto.Clone(current)}
 	from, to, initialFields := loaded.ProtoReflect(), update.Current.ProtoReflect(), initial.ProtoReflect()
