--- a/internal/flightrecorder/ring_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The ring keeps its last lines, stays silent while all is well, and is written out with an error.
+// The recorder keeps the last lines, writes nothing until an error is logged, and then writes them all.
 func TestRecorder(t *testing.T) {
 	folder := t.TempDir()
 	recorder := New(folder, "proxy", 5)
@@ -21,7 +21,7 @@
 		log.V(1).Info("event", "number", i)
 	}
 	if files, _ := os.ReadDir(folder); len(files) > 0 {
-		t.Error("written out though nothing went wrong")
+		t.Error("lines were written without an error")
 	}
 	if lines := recorder.Lines(); len(lines) != 5 || !strings.Contains(lines[0], `"number"=7`) || !strings.Contains(lines[4], `"number"=11`) {
 		t.Errorf("kept %q", lines)
@@ -31,12 +31,12 @@
 	if err != nil || strings.Count(string(text), "\n") != 5 || !strings.Contains(string(text), "it broke") {
 		t.Errorf("wrote %q, %v", text, err)
 	}
-	// A storm of errors is one dump, until somebody asks for more.
+	// Many errors at once are dumped once, until a dump is forced.
 	for i := range 3 {
 		log.Error(fmt.Errorf("again %d", i), "failed")
 	}
 	if text, _ := os.ReadFile(filepath.Join(folder, "proxy.log")); strings.Contains(string(text), "again") {
-		t.Error("each error of a storm was written out")
+		t.Error("each of many errors at once was dumped")
 	}
 	if err := recorder.Dump(true); err != nil {
 		t.Error(err)
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,7 @@
-// Package socket reads and writes TCP connections with less of the runtime's work around each
-// system call.
+// Package socket reads and writes TCP connections with less of the Go runtime's work around each system call. It
+// owns no state besides that of each Conn.
+//
+// Package transport wraps the connections between processes with it, the proxy those to callers and workers.
 package socket
 
 import (
@@ -11,10 +13,12 @@
 	"syscall"
 )
 
-// Conn is a TCP connection whose reads and writes are plain system calls. The runtime takes any
-// system call for one that may take long: it wakes its watching thread for the first one after a
-// rest, which sleeps and looks about several times before it rests again. A socket that never
-// blocks needs none of that, and in a process that mostly rests this is much of what a call costs.
+// Conn is a TCP connection whose reads and writes are raw system calls. The Go runtime treats every other system
+// call as one that may block: the first one after an idle period wakes its monitor thread (sysmon), which polls
+// several times before it sleeps again. A non-blocking socket needs none of that, and in a process that is mostly
+// idle it is a large part of the cost of a call.
+//
+// As with net.Conn, reads may run beside writes; concurrent reads, or writes, wait for each other.
 type Conn struct {
 	*net.TCPConn
 	raw       syscall.RawConn
@@ -24,14 +28,14 @@
 
 // direction is one direction of a connection.
 type direction struct {
-	lock    sync.Mutex
-	data    []byte
-	count   int
-	err     error
-	onReady func(handle uintptr) bool // made once, so that a call allocates nothing
+	lock    sync.Mutex                // held during a call; guards the fields below
+	data    []byte                    // of the call: to read into, or left to write
+	count   int                       // bytes read or written by the last system call
+	err     error                     // of the last system call
+	onReady func(handle uintptr) bool // calls attempt; made once, so that a call allocates nothing
 }
 
-// Wrap gives a connection the plain calls, if it is one that can have them.
+// Wrap gives a Conn for a TCP connection, and any other connection as it is.
 func Wrap(conn net.Conn) net.Conn {
 	tcp, isTCP := conn.(*net.TCPConn)
 	if !isTCP {
@@ -47,7 +51,8 @@
 	return wrapped
 }
 
-// attempt makes one call for what is left; false waits until the socket is ready for more.
+// attempt makes a system call for data, again if it was interrupted. It gives false if the call would block, upon
+// which syscall.RawConn waits until the socket is ready and calls it again.
 func (d *direction) attempt(handle uintptr, call func(handle uintptr, data []byte) (int, error)) bool {
 	for {
 		count, err := call(handle, d.data)
@@ -62,7 +67,7 @@
 	}
 }
 
-// Read takes what is there, or waits for something.
+// Read reads what has arrived, and waits if nothing has.
 func (c *Conn) Read(into []byte) (int, error) {
 	if len(into) == 0 {
 		return 0, nil
@@ -84,7 +89,7 @@
 	return side.count, nil
 }
 
-// Write sends everything, or tells how much of it went before what error.
+// Write writes all of from, or gives how many bytes it wrote before an error.
 func (c *Conn) Write(from []byte) (int, error) {
 	side := &c.writeSide
 	side.lock.Lock()
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -11,125 +11,129 @@
 	"time"
 )
 
-// connPair gives both ends of a connection, the first of them with plain calls.
-func connPair(t *testing.T) (plain net.Conn, other *net.TCPConn) {
+// connPair gives both ends of a connection, one of them wrapped.
+func connPair(t *testing.T) (wrapped net.Conn, other *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	dialled, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken, err := listener.Accept()
+	accepted, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { dialled.Close(); taken.Close() })
-	plain = Wrap(taken)
-	if _, is := plain.(*Conn); !is {
-		t.Fatalf("a TCP connection became %T", plain)
+	t.Cleanup(func() {
+		_ = dialled.Close()
+		_ = accepted.Close()
+	})
+	wrapped = Wrap(accepted)
+	if _, is := wrapped.(*Conn); !is {
+		t.Fatalf("a TCP connection became %T", wrapped)
 	}
-	return plain, dialled.(*net.TCPConn)
+	return wrapped, dialled.(*net.TCPConn)
 }
 
-// TestFullDuplexTransfer sends more than a socket holds both ways at once.
+// TestFullDuplexTransfer sends more than a socket buffers, in both directions at once.
 func TestFullDuplexTransfer(t *testing.T) {
-	plain, other := connPair(t)
+	wrapped, other := connPair(t)
 	sent := bytes.Repeat([]byte("meadow hinge "), 1<<20)
-	ends := make(chan error, 2)
+	results := make(chan error, 2)
 	go func() {
 		_, err := other.Write(sent)
-		ends <- errors.Join(err, other.CloseWrite())
+		results <- errors.Join(err, other.CloseWrite())
 	}()
 	go func() {
-		count, err := plain.Write(sent)
+		count, err := wrapped.Write(sent)
 		if err == nil && count != len(sent) {
 			err = io.ErrShortWrite
 		}
-		ends <- errors.Join(err, plain.(*Conn).CloseWrite())
+		results <- errors.Join(err, wrapped.(*Conn).CloseWrite())
 	}()
-	back := make(chan []byte, 1)
+	received := make(chan []byte, 1)
 	go func() {
 		got, _ := io.ReadAll(other)
-		back <- got
+		received <- got
 	}()
-	// A small buffer, so that a read finds more than it takes.
+	// A small buffer, so that a read leaves bytes in the socket.
 	var got bytes.Buffer
-	if _, err := io.CopyBuffer(&got, struct{ io.Reader }{plain}, make([]byte, 777)); err != nil {
+	if _, err := io.CopyBuffer(&got, struct{ io.Reader }{wrapped}, make([]byte, 777)); err != nil {
 		t.Fatal(err)
 	}
-	for range cap(ends) {
-		if err := <-ends; err != nil {
+	for range cap(results) {
+		if err := <-results; err != nil {
 			t.Fatal(err)
 		}
 	}
-	if !bytes.Equal(got.Bytes(), sent) || !bytes.Equal(<-back, sent) {
-		t.Fatal("what came is not what was sent")
+	if !bytes.Equal(got.Bytes(), sent) || !bytes.Equal(<-received, sent) {
+		t.Fatal("the bytes received are not those sent")
 	}
 }
 
-// TestErrorsMatchTheStandardLibrary has each way in which a read or a write ends come out as the library's own would.
+// TestErrorsMatchTheStandardLibrary checks that reads and writes end with the errors that the standard library's own
+// connections give.
 func TestErrorsMatchTheStandardLibrary(t *testing.T) {
-	one := make([]byte, 1)
+	octet := make([]byte, 1)
 	for name, test := range map[string]struct {
-		do   func(plain net.Conn, other *net.TCPConn) error
+		do   func(wrapped net.Conn, other *net.TCPConn) error
 		want error
 	}{
-		"the other side closed": {func(plain net.Conn, other *net.TCPConn) error {
-			other.Close()
-			_, err := plain.Read(one)
+		"the other side closed": {func(wrapped net.Conn, other *net.TCPConn) error {
+			_ = other.Close()
+			_, err := wrapped.Read(octet)
 			return err
 		}, io.EOF},
-		"reset": {func(plain net.Conn, other *net.TCPConn) error {
+		"reset": {func(wrapped net.Conn, other *net.TCPConn) error {
 			_ = other.SetLinger(0)
-			other.Close()
-			_, err := plain.Read(one)
+			_ = other.Close()
+			_, err := wrapped.Read(octet)
 			return err
 		}, syscall.ECONNRESET},
-		"closed here": {func(plain net.Conn, _ *net.TCPConn) error {
-			plain.Close()
-			_, err := plain.Read(one)
+		"closed here": {func(wrapped net.Conn, _ *net.TCPConn) error {
+			_ = wrapped.Close()
+			_, err := wrapped.Read(octet)
 			return err
 		}, net.ErrClosed},
-		"closed here while it is read": {func(plain net.Conn, _ *net.TCPConn) error {
+		"closed here during a read": {func(wrapped net.Conn, _ *net.TCPConn) error {
 			ended := make(chan error)
 			go func() {
-				_, err := plain.Read(one)
+				_, err := wrapped.Read(octet)
 				ended <- err
 			}()
-			plain.Close()
+			_ = wrapped.Close()
 			return <-ended
 		}, net.ErrClosed},
-		"past its time for reading": {func(plain net.Conn, _ *net.TCPConn) error {
-			_ = plain.SetReadDeadline(time.Unix(1, 0))
-			_, err := plain.Read(one)
+		"read after its deadline": {func(wrapped net.Conn, _ *net.TCPConn) error {
+			_ = wrapped.SetReadDeadline(time.Unix(1, 0))
+			_, err := wrapped.Read(octet)
 			return err
 		}, os.ErrDeadlineExceeded},
-		"given its time while it is read": {func(plain net.Conn, _ *net.TCPConn) error {
+		"deadline set during a read": {func(wrapped net.Conn, _ *net.TCPConn) error {
 			ended := make(chan error)
 			go func() {
-				_, err := plain.Read(one)
+				_, err := wrapped.Read(octet)
 				ended <- err
 			}()
-			_ = plain.SetReadDeadline(time.Unix(1, 0))
+			_ = wrapped.SetReadDeadline(time.Unix(1, 0))
 			return <-ended
 		}, os.ErrDeadlineExceeded},
-		"nobody reads": {func(plain net.Conn, _ *net.TCPConn) error {
-			_ = plain.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
+		"the other side does not read": {func(wrapped net.Conn, _ *net.TCPConn) error {
+			_ = wrapped.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 			for {
-				if _, err := plain.Write(make([]byte, 1<<20)); err != nil {
+				if _, err := wrapped.Write(make([]byte, 1<<20)); err != nil {
 					return err
 				}
 			}
 		}, os.ErrDeadlineExceeded},
-		"written after a reset": {func(plain net.Conn, other *net.TCPConn) error {
+		"written after a reset": {func(wrapped net.Conn, other *net.TCPConn) error {
 			_ = other.SetLinger(0)
-			other.Close()
+			_ = other.Close()
 			for {
-				if _, err := plain.Write(one); err != nil && !errors.Is(err, syscall.ECONNRESET) {
+				if _, err := wrapped.Write(octet); err != nil && !errors.Is(err, syscall.ECONNRESET) {
 					return err
 				}
 			}
@@ -143,26 +147,26 @@
 	}
 }
 
-// TestNoAllocations holds the calls to what they are for.
+// TestNoAllocations checks that reads and writes allocate nothing.
 func TestNoAllocations(t *testing.T) {
-	plain, other := connPair(t)
-	one := make([]byte, 1)
+	wrapped, other := connPair(t)
+	octet := make([]byte, 1)
 	if count := testing.AllocsPerRun(100, func() {
-		_, _ = plain.Write(one)
-		_, _ = other.Read(one)
-		_, _ = other.Write(one)
-		_, _ = plain.Read(one)
+		_, _ = wrapped.Write(octet)
+		_, _ = other.Read(octet)
+		_, _ = other.Write(octet)
+		_, _ = wrapped.Read(octet)
 	}); count > 0 {
 		t.Fatalf("a write and a read took %v allocations", count)
 	}
 }
 
-// TestOtherConnsAreNotWrapped: what is no TCP connection is given back.
+// TestOtherConnsAreNotWrapped checks that Wrap gives back a connection that is not TCP.
 func TestOtherConnsAreNotWrapped(t *testing.T) {
-	one, other := net.Pipe()
-	defer one.Close()
-	defer other.Close()
-	if Wrap(one) != one {
+	pipe, other := net.Pipe()
+	defer func() { _ = pipe.Close() }()
+	defer func() { _ = other.Close() }()
+	if Wrap(pipe) != pipe {
 		t.Fatal("a pipe was changed")
 	}
 }
