--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
+// A policy is refused at compile time if it has no boolean type, names what does not exist, or could take long.
 func TestCompileFaults(t *testing.T) {
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		text       string
 		attributes []string
-		refused    string
+		reason     string
 	}{
 		"sound":                      {`caller == "client" && country in ["se", "no"]`, []string{"country"}, ""},
 		"an attribute by itself":     {`country`, []string{"country"}, "bool"},
@@ -24,16 +25,19 @@
 		"a function that takes time": {`repeat(caller, 1000000) == ""`, []string{}, "unknown name repeat"},
 		"a function no route has":    {`repeat(caller, 1000000) == ""`, nil, "no helper"},
 	} {
-		_, fault := Compile(one.text, one.attributes)
-		switch {
-		case fault == nil && one.refused != "":
-			t.Errorf("%s: was taken", name)
-		case fault != nil && (one.refused == "" || !strings.Contains(fault.Reason, one.refused) || fault.Line < 1 || fault.Column < 1):
-			t.Errorf("%s: %+v", name, fault)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, fault := Compile(test.text, test.attributes)
+			switch {
+			case fault == nil && test.reason != "":
+				t.Errorf("%s: was accepted", name)
+			case fault != nil && (test.reason == "" || !strings.Contains(fault.Reason, test.reason) || fault.Line < 1 || fault.Column < 1):
+				t.Errorf("%s: %+v", name, fault)
+			}
+		})
 	}
 }
 
+// A policy allows a call only if its expression can be evaluated and is true.
 func TestAllows(t *testing.T) {
 	context := Context{Caller: "client", Zone: "a", Method: "POST", Path: "/shop/buy", Key: "ann", Attributes: map[string]any{"country": "se", "age": 20.0}}
 	for text, want := range map[string]bool{
@@ -43,29 +47,31 @@
 		`path startsWith "/shop" && method == "GET"`: false,
 		`lower(key) matches "^a+n"`:                  true,
 		`vip == true`:                                false, // this call does not have it
-		`country > 4`:                                false, // what cannot be evaluated does not hold
-		`len(1..100000) > 0`:                         false, // nor what takes more than its memory
+		`country > 4`:                                false, // a comparison that cannot be evaluated allows nothing
+		`len(1..100000) > 0`:                         false, // nor does one that exceeds the memory budget
 	} {
-		program, fault := Compile(text, []string{"country", "age", "vip"})
-		if fault != nil {
-			t.Errorf("%s: %+v", text, fault)
-			continue
-		}
-		for range 3 {
-			if got := program.Allows(context); got != want {
-				t.Errorf("%s: %v", text, got)
+		t.Run(text, func(t *testing.T) {
+			program, fault := Compile(text, []string{"country", "age", "vip"})
+			if fault != nil {
+				t.Errorf("%s: %+v", text, fault)
+				return
+			}
+			for range 3 {
+				if got := program.Allows(context); got != want {
+					t.Errorf("%s: %v", text, got)
+				}
 			}
-		}
+		})
 	}
 }
 
-// An attribute cannot pass for what the listener says.
+// An attribute cannot replace a field of the context.
 func TestAttributesDoNotHideTheContext(t *testing.T) {
 	program, fault := Compile(`caller == "client"`, []string{"caller"})
 	if fault != nil {
 		t.Fatal(fault)
 	}
 	if program.Allows(Context{Caller: "stranger", Attributes: map[string]any{"caller": "client"}}) {
-		t.Error("an attribute passed for the caller")
+		t.Error("an attribute replaced the caller")
 	}
 }
