--- a/internal/flag/compile.go
+++ b/internal/flag/compile.go
@@ -9,14 +9,14 @@
 	"github.com/Masterminds/semver/v3"
 )
 
-// Fault is one thing wrong with a definition, at a path inside it.
+// Fault is one thing that is wrong with a definition.
 type Fault struct {
-	Path   string
+	Path   string // such as flag.KEY.rules[0]
 	Reason string
 }
 
-// Compile prepares every definition for evaluation and reports all that is wrong.
-// A set with faults can still be evaluated; its bad parts then match nothing.
+// Compile prepares every definition for evaluation and reports every fault. A set with faults can still be
+// evaluated; its faulty parts then match nothing, or give MalformedFlag.
 func (s *Set) Compile() []Fault {
 	var faults []Fault
 	for _, key := range slices.Sorted(maps.Keys(s.Segments)) {
@@ -28,23 +28,6 @@
 	return append(faults, s.CheckReferences()...)
 }
 
-// CheckReferences reports what is wrong between definitions that are each prepared. Most refer to no
-// other and cost nothing here.
-func (s *Set) CheckReferences() []Fault {
-	var faults []Fault
-	var referring []string
-	for key, definition := range s.Flags {
-		if definition.hasReferences {
-			referring = append(referring, key)
-		}
-	}
-	slices.Sort(referring)
-	for _, key := range referring {
-		faults = append(faults, s.Flags[key].checkReferences(s)...)
-	}
-	return append(faults, s.findCycles(referring)...)
-}
-
 func stringSet(values []string) map[string]bool {
 	set := make(map[string]bool, len(values))
 	for _, value := range values {
@@ -53,91 +36,83 @@
 	return set
 }
 
-// Prepare readies a flag for evaluation and reports what is wrong with it by itself.
+// faultList gathers the faults of a definition, whose path begins each of theirs.
+type faultList struct {
+	path   string
+	faults []Fault
+}
+
+// add records a fault at a path within the definition.
+func (l *faultList) add(at, format string, values ...any) {
+	l.faults = append(l.faults, Fault{l.path + at, fmt.Sprintf(format, values...)})
+}
+
+// Prepare prepares a flag for evaluation, and reports what is wrong with it by itself.
 func (f *Flag) Prepare() []Fault {
-	path := "flag." + f.Key
 	f.hasReferences = len(f.Prerequisites) > 0
-	var faults []Fault
-	add := func(at, format string, values ...any) {
-		faults = append(faults, Fault{path + at, fmt.Sprintf(format, values...)})
-	}
-	checkIndex := func(at string, variation int) {
-		if variation < 0 || variation >= len(f.Variations) {
-			add(at, "variation %d is not one of the %d", variation, len(f.Variations))
-		}
-	}
+	list := &faultList{path: "flag." + f.Key}
 	if len(f.Variations) == 0 {
-		add(".variations", "a flag needs at least one variation")
+		list.add(".variations", "a flag needs at least one variation")
 	}
-	checkIndex(".offVariation", f.OffVariation)
+	f.checkVariation(list, ".offVariation", f.OffVariation)
 	for i := range f.Targets {
-		checkIndex(fmt.Sprintf(".targets[%d]", i), f.Targets[i].Variation)
+		f.checkVariation(list, fmt.Sprintf(".targets[%d]", i), f.Targets[i].Variation)
 		f.Targets[i].keySet = stringSet(f.Targets[i].Values)
 	}
-	checkServe := func(at string, serve Serve) {
-		if (serve.Variation == nil) == (serve.Rollout == nil) {
-			add(at, "needs either a variation or a rollout")
-			return
-		}
-		if serve.Variation != nil {
-			checkIndex(at, *serve.Variation)
-			return
-		}
-		sum := 0
-		for _, weighted := range serve.Rollout.Variations {
-			checkIndex(at+".rollout", weighted.Variation)
-			if weighted.Weight < 0 || weighted.Weight > TotalWeight {
-				add(at+".rollout", "weight %d is outside 0 to %d", weighted.Weight, TotalWeight)
-				return
-			}
-			sum += weighted.Weight
-		}
-		if sum != TotalWeight {
-			add(at+".rollout", "weights add up to %d, not %d", sum, TotalWeight)
-		}
-	}
+	f.prepareRules(list)
+	f.checkServe(list, ".fallthrough", f.Fallthrough)
+	return list.faults
+}
+
+func (f *Flag) prepareRules(list *faultList) {
 	seen := map[string]bool{}
 	for i := range f.Rules {
-		at := fmt.Sprintf(".rules[%d]", i)
-		if f.Rules[i].ID == "" || seen[f.Rules[i].ID] {
-			add(at, "needs an id of its own")
+		rule, at := &f.Rules[i], fmt.Sprintf(".rules[%d]", i)
+		if rule.ID == "" || seen[rule.ID] {
+			list.add(at, "needs an id of its own")
 		}
-		seen[f.Rules[i].ID] = true
-		faults = append(faults, compileClauses(f.Rules[i].Clauses, path+at, true)...)
-		f.hasReferences = f.hasReferences || slices.ContainsFunc(f.Rules[i].Clauses, func(clause Clause) bool { return clause.Operator == segmentMatch })
-		checkServe(at, f.Rules[i].Serve)
+		seen[rule.ID] = true
+		list.faults = append(list.faults, compileClauses(rule.Clauses, list.path+at, true)...)
+		f.hasReferences = f.hasReferences || slices.ContainsFunc(rule.Clauses, refersToSegments)
+		f.checkServe(list, at, rule.Serve)
 	}
-	checkServe(".fallthrough", f.Fallthrough)
-	return faults
 }
 
-// checkReferences reports what a flag names and is not there.
-func (f *Flag) checkReferences(set *Set) []Fault {
-	path := "flag." + f.Key
-	var faults []Fault
-	for i, prerequisite := range f.Prerequisites {
-		at := fmt.Sprintf("%s.prerequisites[%d]", path, i)
-		required, found := set.Flags[prerequisite.Key]
-		if !found {
-			faults = append(faults, Fault{at, fmt.Sprintf("flag %q does not exist", prerequisite.Key)})
-		} else if prerequisite.Variation < 0 || prerequisite.Variation >= len(required.Variations) {
-			faults = append(faults, Fault{at, fmt.Sprintf("flag %q has no variation %d", prerequisite.Key, prerequisite.Variation)})
-		}
+func refersToSegments(clause Clause) bool { return clause.Operator == segmentMatch }
+
+// checkVariation reports an index that is none of the flag's variations.
+func (f *Flag) checkVariation(list *faultList, at string, variation int) {
+	if variation < 0 || variation >= len(f.Variations) {
+		list.add(at, "variation %d is not one of the %d", variation, len(f.Variations))
 	}
-	for i := range f.Rules {
-		for j := range f.Rules[i].Clauses {
-			clause := &f.Rules[i].Clauses[j]
-			for k := range clause.Values {
-				if name, _ := clause.Values[k].(string); clause.Operator == segmentMatch && set.Segments[name] == nil {
-					faults = append(faults, Fault{fmt.Sprintf("%s.rules[%d].clauses[%d].values[%d]", path, i, j, k), fmt.Sprintf("segment %v does not exist", clause.Values[k])})
-				}
-			}
+}
+
+// checkServe reports a serve that is not either a variation or a rollout of TotalWeight.
+func (f *Flag) checkServe(list *faultList, at string, serve Serve) {
+	if (serve.Variation == nil) == (serve.Rollout == nil) {
+		list.add(at, "needs either a variation or a rollout")
+		return
+	}
+	if serve.Variation != nil {
+		f.checkVariation(list, at, *serve.Variation)
+		return
+	}
+	at += ".rollout"
+	sum := 0
+	for _, weighted := range serve.Rollout.Variations {
+		f.checkVariation(list, at, weighted.Variation)
+		if weighted.Weight < 0 || weighted.Weight > TotalWeight {
+			list.add(at, "weight %d is outside 0 to %d", weighted.Weight, TotalWeight)
+			return
 		}
+		sum += weighted.Weight
+	}
+	if sum != TotalWeight {
+		list.add(at, "weights add up to %d, not %d", sum, TotalWeight)
 	}
-	return faults
 }
 
-// Prepare readies a segment for evaluation and reports what is wrong with it.
+// Prepare prepares a segment for evaluation, and reports what is wrong with it.
 func (s *Segment) Prepare() []Fault {
 	s.included, s.excluded = stringSet(s.Included), stringSet(s.Excluded)
 	var faults []Fault
@@ -151,7 +126,8 @@
 	return faults
 }
 
-// compileValue prepares one value of a clause for its operator, or says what is wrong with it.
+// compileValue has, for each operator, the function that prepares the i-th value of a clause, or gives the reason for
+// which it is refused.
 var compileValue = map[string]func(clause *Clause, i int) string{
 	"matches": func(clause *Clause, i int) string {
 		text, isText := clause.Values[i].(string)
@@ -175,10 +151,10 @@
 	"endsWith":           requireText,
 	"contains":           requireText,
 	"in":                 func(*Clause, int) string { return "" },
-	segmentMatch:         func(*Clause, int) string { return "" }, // what it names is checked against the set
+	segmentMatch:         func(*Clause, int) string { return "" }, // CheckReferences checks the names
 }
 
-// segmentMatch is the operator that asks for segments.
+// segmentMatch is the operator that matches contexts in one of the segments that its values name.
 const segmentMatch = "segmentMatch"
 
 func compileSemver(clause *Clause, i int) string {
@@ -214,6 +190,7 @@
 	return ""
 }
 
+// compileClauses prepares clauses at a path, and reports what is wrong with them.
 func compileClauses(clauses []Clause, path string, allowSegments bool) []Fault {
 	var faults []Fault
 	for i := range clauses {
@@ -242,32 +219,3 @@
 	}
 	return faults
 }
-
-// findCycles finds flags that are prerequisites of themselves, among those that have any.
-func (s *Set) findCycles(referring []string) []Fault {
-	var faults []Fault
-	const walking, done = 1, 2
-	state := map[string]int{}
-	var walk func(key string)
-	walk = func(key string) {
-		state[key] = walking
-		for _, prerequisite := range s.Flags[key].Prerequisites {
-			if _, found := s.Flags[prerequisite.Key]; !found {
-				continue
-			}
-			switch state[prerequisite.Key] {
-			case walking:
-				faults = append(faults, Fault{"flag." + key + ".prerequisites", fmt.Sprintf("%q closes a cycle", prerequisite.Key)})
-			case 0:
-				walk(prerequisite.Key)
-			}
-		}
-		state[key] = done
-	}
-	for _, key := range referring {
-		if state[key] == 0 {
-			walk(key)
-		}
-	}
-	return faults
-}
--- a/internal/flag/flag_test.go
+++ b/internal/flag/flag_test.go
@@ -16,17 +16,18 @@
 	return Context{DefaultKind: {Key: key, Attributes: attributes}}
 }
 
-func setOf(t testing.TB, flags []*Flag, segments ...*Segment) *Set {
-	t.Helper()
+// setOf compiles definitions that must have no faults.
+func setOf(tb testing.TB, flags []*Flag, segments ...*Segment) *Set {
+	tb.Helper()
 	set := &Set{Flags: map[string]*Flag{}, Segments: map[string]*Segment{}}
-	for _, one := range flags {
-		set.Flags[one.Key] = one
+	for _, definition := range flags {
+		set.Flags[definition.Key] = definition
 	}
-	for _, one := range segments {
-		set.Segments[one.Key] = one
+	for _, segment := range segments {
+		set.Segments[segment.Key] = segment
 	}
 	if faults := set.Compile(); len(faults) > 0 {
-		t.Fatalf("faults: %v", faults)
+		tb.Fatalf("faults: %v", faults)
 	}
 	return set
 }
@@ -35,10 +36,10 @@
 	return &Flag{Key: key, On: true, Salt: "s", Variations: []string{"v0", "v1", "v2"}, Fallthrough: Serve{Variation: number(2)}}
 }
 
-// The digits were taken with another implementation of SHA1, in another language.
+// The expected digits were computed with another implementation of SHA-1, in another language.
 func TestBucketVectors(t *testing.T) {
 	seed := int64(61)
-	for _, one := range []struct {
+	for _, test := range []struct {
 		key, salt, value string
 		seed             *int64
 		digits           uint64
@@ -51,10 +52,12 @@
 		{"a", "b", "ключ", nil, 0xd3a980592ff9790},
 		{"any", "thing", "userKeyA", &seed, 0x19175196da26483},
 	} {
-		want := float64(one.digits) / float64(0xFFFFFFFFFFFFFFF)
-		if got := Bucket(one.key, one.salt, one.seed, user(one.value, nil), DefaultKind, ""); got != want {
-			t.Errorf("%s.%s.%s: got %v, want %v", one.key, one.salt, one.value, got, want)
-		}
+		t.Run(test.key+"."+test.salt+"."+test.value, func(t *testing.T) {
+			want := float64(test.digits) / float64(0xFFFFFFFFFFFFFFF)
+			if got := Bucket(test.key, test.salt, test.seed, user(test.value, nil), DefaultKind, ""); got != want {
+				t.Errorf("%s.%s.%s: got %v, want %v", test.key, test.salt, test.value, got, want)
+			}
+		})
 	}
 	// A whole number buckets as its digits; what is neither text nor whole number, or absent, gives 0.
 	context := user("k", map[string]any{"whole": 33333.0, "part": 1.5, "list": []any{"x"}, "null": nil})
@@ -68,7 +71,7 @@
 	}
 }
 
-// Each step comes before the next: a flag that would match at every step shows which one decides.
+// The steps of an evaluation have a fixed order: a flag that would match at every step shows which one decides.
 func TestFixedOrder(t *testing.T) {
 	full := func(change func(*Flag)) *Set {
 		needed := plain("needed")
@@ -87,7 +90,7 @@
 		return set
 	}
 	none := func(*Flag) {}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		name    string
 		change  func(*Flag)
 		key     string
@@ -106,13 +109,15 @@
 		{"fallthrough", none, "f", user("cid", nil), Result{Index: 2, Value: "v2", Reason: ReasonFallthrough}},
 		{"bad index", func(f *Flag) { f.Fallthrough.Variation = number(9) }, "f", user("cid", nil), Result{Index: -1, Reason: ReasonError, Error: MalformedFlag}},
 	} {
-		if diff := cmp.Diff(one.want, full(one.change).Evaluate(one.key, one.context)); diff != "" {
-			t.Errorf("%s: %s", one.name, diff)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			if diff := cmp.Diff(test.want, full(test.change).Evaluate(test.key, test.context)); diff != "" {
+				t.Errorf("%s: %s", test.name, diff)
+			}
+		})
 	}
 }
 
-// A prerequisite that is off fails, even where its off variation is the one asked for.
+// A prerequisite that is off is not met, even if its off variation is the one required.
 func TestPrerequisiteOff(t *testing.T) {
 	needed := plain("needed")
 	needed.On, needed.OffVariation = false, 1
@@ -123,9 +128,10 @@
 	}
 }
 
+// Each operator compares values and types as documented, and a negated clause is its opposite.
 func TestOperators(t *testing.T) {
 	attributes := map[string]any{"text": "hello", "number": 5.0, "flag": true, "list": []any{"a", 7.0}, "null": nil, "version": "1.2.3", "when": "2026-01-01T00:00:00Z", "ms": 1767225600000.0, "empty": []any{}}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		attribute, operator string
 		values              []any
 		want                bool
@@ -145,16 +151,18 @@
 		{"version", "semVerGreaterThan", []any{"1.2.3-rc.1"}, true}, {"version", "semVerGreaterThan", []any{"2"}, false}, {"text", "semVerEqual", []any{"1.0.0"}, false},
 		{"key", "in", []any{"ann"}, true}, {"kind", "in", []any{"user"}, true},
 	} {
-		for _, negate := range []bool{false, true} {
-			decided := plain("f")
-			decided.Rules = []Rule{{ID: "r", Clauses: []Clause{{Attribute: one.attribute, Operator: one.operator, Values: one.values, Negate: negate}}, Serve: Serve{Variation: number(0)}}}
-			matched := setOf(t, []*Flag{decided}).Evaluate("f", user("ann", attributes)).Reason == ReasonRule
-			if matched != (one.want != negate) {
-				t.Errorf("%s %s %v, negated %v: got %v", one.attribute, one.operator, one.values, negate, matched)
+		t.Run(fmt.Sprint(test.attribute, " ", test.operator, " ", test.values), func(t *testing.T) {
+			for _, negate := range []bool{false, true} {
+				decided := plain("f")
+				decided.Rules = []Rule{{ID: "r", Clauses: []Clause{{Attribute: test.attribute, Operator: test.operator, Values: test.values, Negate: negate}}, Serve: Serve{Variation: number(0)}}}
+				matched := setOf(t, []*Flag{decided}).Evaluate("f", user("ann", attributes)).Reason == ReasonRule
+				if matched != (test.want != negate) {
+					t.Errorf("%s %s %v, negated %v: got %v", test.attribute, test.operator, test.values, negate, matched)
+				}
 			}
-		}
+		})
 	}
-	// A null or absent attribute skips the rule whichever way the clause is turned.
+	// A null or absent attribute skips the rule, whether the clause is negated or not.
 	for _, attribute := range []string{"null", "absent"} {
 		for _, negate := range []bool{false, true} {
 			decided := plain("f")
@@ -166,6 +174,7 @@
 	}
 }
 
+// Included goes before excluded, and excluded before the rules; a rule with a weight includes by bucket.
 func TestSegments(t *testing.T) {
 	weight := 50000
 	testers := &Segment{Key: "testers", Salt: "z", Included: []string{"ann"}, Excluded: []string{"ann", "ben"}, Rules: []SegmentRule{
@@ -177,12 +186,12 @@
 		decided.Rules = []Rule{{ID: "r", Clauses: []Clause{{Operator: "segmentMatch", Values: []any{"testers"}, Negate: negate}}, Serve: Serve{Variation: number(0)}}}
 		return setOf(t, []*Flag{decided}, testers).Evaluate("f", user(key, map[string]any{"country": country})).Reason == ReasonRule
 	}
-	for _, one := range []struct {
+	for _, test := range []struct {
 		key, country string
 		want         bool
 	}{{"ann", "dk", true}, {"ben", "se", false}, {"cid", "se", true}, {"cid", "dk", false}} {
-		if inside(one.key, one.country, false) != one.want || inside(one.key, one.country, true) == one.want {
-			t.Errorf("%s from %s: want %v", one.key, one.country, one.want)
+		if inside(test.key, test.country, false) != test.want || inside(test.key, test.country, true) == test.want {
+			t.Errorf("%s from %s: want %v", test.key, test.country, test.want)
 		}
 	}
 	for i := range 200 {
@@ -194,23 +203,24 @@
 }
 
 func rollout(weights ...int) *Rollout {
-	made := &Rollout{}
+	result := &Rollout{}
 	for i, weight := range weights {
-		made.Variations = append(made.Variations, WeightedVariation{Variation: i, Weight: weight})
+		result.Variations = append(result.Variations, WeightedVariation{Variation: i, Weight: weight})
 	}
-	return made
+	return result
 }
 
+// Contexts that cannot be bucketed, and buckets at the ends, get a variation with weight.
 func TestRolloutEdges(t *testing.T) {
 	decided := plain("f")
 	decided.Fallthrough = Serve{Rollout: rollout(0, 30000, 70000)}
 	set := setOf(t, []*Flag{decided})
-	// Another kind than the context has: the first variation with any weight.
+	// A kind that the context does not have: the first variation with any weight.
 	decided.Fallthrough.Rollout.ContextKind = "device"
 	if got := set.Evaluate("f", user("ann", nil)); got.Index != 1 {
 		t.Errorf("kind mismatch gave %d", got.Index)
 	}
-	// The kind is there but not the value: bucket 0, so the first with any weight too.
+	// The kind is there but not the attribute: bucket 0, so the first variation with any weight too.
 	decided.Fallthrough.Rollout.ContextKind, decided.Fallthrough.Rollout.BucketBy = "", "absent"
 	if got := set.Evaluate("f", user("ann", nil)); got.Index != 1 {
 		t.Errorf("missing value gave %d", got.Index)
@@ -224,6 +234,7 @@
 	}
 }
 
+// Each fault of a definition is reported, and a definition with faults can be evaluated all the same.
 func TestFaults(t *testing.T) {
 	bad := func(change func(*Flag)) []Fault {
 		decided := plain("f")
@@ -255,25 +266,27 @@
 			f.Rules = []Rule{{ID: "r", Serve: Serve{Variation: number(0)}}, {ID: "r", Serve: Serve{Variation: number(0)}}}
 		},
 	} {
-		if len(bad(change)) == 0 {
-			t.Errorf("%s is not refused", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			if len(bad(change)) == 0 {
+				t.Error("no fault was reported")
+			}
+		})
 	}
-	longer := []*Flag{plain("a"), plain("b"), plain("c")}
-	for i, one := range longer {
-		one.Prerequisites = []Prerequisite{{Key: longer[(i+1)%3].Key}}
+	cycle := []*Flag{plain("a"), plain("b"), plain("c")}
+	for i, member := range cycle {
+		member.Prerequisites = []Prerequisite{{Key: cycle[(i+1)%3].Key}}
 	}
-	set := &Set{Flags: map[string]*Flag{"a": longer[0], "b": longer[1], "c": longer[2]}}
+	set := &Set{Flags: map[string]*Flag{"a": cycle[0], "b": cycle[1], "c": cycle[2]}}
 	if faults := set.Compile(); len(faults) != 1 {
 		t.Errorf("a cycle of three gave %v", faults)
 	}
-	// Even unrefused, a cycle must not hang or panic.
+	// Evaluating a cycle must not recurse without end or panic.
 	if got := set.Evaluate("a", user("ann", nil)); got.Reason != ReasonPrerequisite {
 		t.Errorf("cycle gave %v", got)
 	}
 }
 
-// Shares of a large population are near the weights.
+// The variations' shares of a large population are close to their weights.
 func TestSpread(t *testing.T) {
 	decided := plain("f")
 	decided.Fallthrough = Serve{Rollout: rollout(20000, 30000, 50000)}
@@ -284,20 +297,20 @@
 		counts[set.Evaluate("f", user(fmt.Sprint("user-", i), nil)).Index]++
 	}
 	for i, weight := range []float64{0.2, 0.3, 0.5} {
-		// Five standard deviations: the keys are fixed, so this passes always or never.
+		// Five standard deviations. The keys are fixed, so the test is not flaky.
 		if spread := 5 * math.Sqrt(weight*(1-weight)/population); math.Abs(float64(counts[i])/population-weight) > spread {
 			t.Errorf("variation %d got %d of %d, want about %v", i, counts[i], population, weight)
 		}
 	}
 }
 
-// When one weight grows at the cost of another, contexts only move toward the one that grew.
+// When the weight of one variation grows at the cost of another, contexts move only to the one that grew.
 func TestMonotoneMovement(t *testing.T) {
-	dice := rand.New(rand.NewPCG(7, 7))
+	random := rand.New(rand.NewPCG(7, 7))
 	for range 2000 {
-		before := dice.IntN(TotalWeight + 1)
-		after := before + dice.IntN(TotalWeight+1-before)
-		key := fmt.Sprintf("%x", dice.Uint64())
+		before := random.IntN(TotalWeight + 1)
+		after := before + random.IntN(TotalWeight+1-before)
+		key := fmt.Sprintf("%x", random.Uint64())
 		index := func(weight int) int {
 			decided := plain("f")
 			decided.Fallthrough = Serve{Rollout: &Rollout{Variations: []WeightedVariation{{Variation: 1, Weight: weight}, {Variation: 0, Weight: TotalWeight - weight}}}}
