--- a/internal/linearize/linearize.go
+++ b/internal/linearize/history.go
@@ -1,10 +1,12 @@
-// Package linearize judges a history of operators' calls: whether each of them can have happened
-// at one moment between its begin and its end, on one store that keeps the rule of versions.
+// Package linearize checks whether a history of operators' calls is linearizable: whether each call can have
+// happened at one moment between its begin and its end, on a single store that follows the rule of operator versions.
 //
-// The rule, for each item by itself: a write with a higher version than the one held takes effect;
-// one with a lower version is accepted without effect, and so is one with the version and the
-// content held; one with the version held and another content is refused and has no effect. A read
-// gives what is held.
+// The rule, for each item by itself: a write with a higher version than the stored one takes effect. One with a lower
+// version is accepted without effect, and so is one with the stored version and the stored content. One with the
+// stored version and another content is refused and has no effect. A read gives the stored value.
+//
+// The simulator, and tests of package store and of the platform, check their histories with it. Its only
+// state is a History, which several goroutines may add to.
 package linearize
 
 import (
@@ -17,35 +19,36 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Result is what a caller was told.
+// Result is the result of a call, as its caller knows it.
 type Result int
 
 // The results of a call.
 const (
-	OutcomeUnknown Result = iota // no answer: the call may have taken effect at any time, or never
-	Accepted                     // a write was confirmed, or a read was answered
+	OutcomeUnknown Result = iota // no response: the call may have taken effect at any time since its begin, or never
+	Accepted                     // a write was acknowledged, or a read was answered
 	Conflicted                   // a write was refused because of this item
-	Rejected                     // a write was refused for a reason that this item has no part in
+	Rejected                     // a write was refused for a reason other than this item
 )
 
-// Value is an item as it is written or read. Dropped items, and those that never were, are absent.
+// Value is an item as it is written or read. Items that were removed, or never written, are absent.
 type Value struct {
-	Version uint64 // not known of what is read as absent
+	Version uint64 // operator version; not known of an item that is read as absent
 	Content string
 	Absent  bool
 }
 
 // Operation is one call on one item.
 type Operation struct {
-	Client     int
+	Client     int // calls of one client do not overlap
 	Item       string
-	Read       bool
+	Read       bool  // else a write
 	Value      Value // written, or read
 	Result     Result
-	Begin, End time.Duration
+	Begin, End time.Duration // on one clock for all operations; End counts only if the outcome is known
 }
 
-// ErrUndecided is given where the search took too long to find an order or to rule all out.
+// ErrUndecided is the error of Check where the search took too long to find an order of the calls, or to rule out all
+// orders.
 var ErrUndecided = errors.New("no order of the calls was found or ruled out in time")
 
 // History gathers operations; several goroutines may add to it.
@@ -68,19 +71,11 @@
 	return len(h.operations)
 }
 
-// Check gives an error that names an item for which no order of the calls explains what the
-// callers were told, or ErrUndecided if the search for one takes longer than the bound.
+// Check gives an error that names an item for which no order of the calls explains their results, or else
+// ErrUndecided if the search for one item's order took longer than timeout.
 func (h *History) Check(timeout time.Duration) error {
-	h.lock.Lock()
-	byItem := map[string][]porcupine.Operation{}
-	for _, operation := range h.operations {
-		if converted, informative := toPorcupine(operation); informative {
-			byItem[operation.Item] = append(byItem[operation.Item], converted)
-		}
-	}
-	h.lock.Unlock()
-	undecided := error(nil)
-	for item, operations := range byItem {
+	var undecided error
+	for item, operations := range h.byItem() {
 		switch porcupine.CheckOperationsTimeout(versionedRegister, operations, timeout) {
 		case porcupine.Illegal:
 			return fmt.Errorf("%s: no order of its %d calls explains what the callers were told", item, len(operations))
@@ -91,28 +86,46 @@
 	return undecided
 }
 
-// toPorcupine gives an operation as the checker takes it; one that tells nothing is left out.
+// byItem gives the operations on each item in the checker's form.
+func (h *History) byItem() map[string][]porcupine.Operation {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	byItem := map[string][]porcupine.Operation{}
+	for _, operation := range h.operations {
+		if converted, informative := toPorcupine(operation); informative {
+			byItem[operation.Item] = append(byItem[operation.Item], converted)
+		}
+	}
+	return byItem
+}
+
+// toPorcupine gives an operation in the checker's form. One that cannot contradict any order is not informative.
 func toPorcupine(operation Operation) (converted porcupine.Operation, informative bool) {
 	if operation.Result == Rejected || operation.Read && operation.Result == OutcomeUnknown {
 		return converted, false
 	}
-	converted = porcupine.Operation{ClientId: operation.Client, Input: operation, Call: int64(operation.Begin), Output: operation.Result, Return: int64(operation.End)}
+	converted = porcupine.Operation{
+		ClientId: operation.Client,
+		Input:    operation,
+		Call:     int64(operation.Begin),
+		Output:   operation.Result,
+		Return:   int64(operation.End),
+	}
 	if operation.Result == OutcomeUnknown {
 		converted.Return = math.MaxInt64
 	}
 	return converted, true
 }
 
-// versionedRegister is the rule of versions for one item.
+// versionedRegister is the rule of operator versions for one item, as a model for the checker.
 var versionedRegister = porcupine.Model{
 	Init: func() any { return Value{Absent: true} },
 	Step: func(state, input, _ any) (bool, any) {
-		held, operation := state.(Value), input.(Operation)
-		return step(held, operation)
+		return step(state.(Value), input.(Operation))
 	},
 }
 
-// step tells whether an operation can happen on what is held, and what is held after it.
+// step tells whether an operation can have its result on a stored value, and gives the value stored after it.
 func step(current Value, operation Operation) (possible bool, after Value) {
 	value := operation.Value
 	if operation.Read {
--- a/internal/scheduleexplorer/interleave_test.go
+++ b/internal/scheduleexplorer/explorer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A read and a write apart lose an update in some order, and the checker finds it.
+// A read and a write in separate steps lose an update under some schedule, and the explorer finds it.
 func TestFindsALostUpdate(t *testing.T) {
 	count := func(atomic bool) Outcome {
 		return Explore(t, 1000, func(_ *testing.T, run *Execution) func() error {
@@ -31,12 +31,12 @@
 	if broken := count(false); broken.Failure == "" {
 		t.Error("the lost update was not found")
 	}
-	if sound := count(true); sound.Failure != "" || sound.Schedules != 2 {
-		t.Errorf("two whole steps gave %+v", sound)
+	if correct := count(true); correct.Failure != "" || correct.Schedules != 2 {
+		t.Errorf("two atomic steps gave %+v", correct)
 	}
 }
 
-// Three threads of two steps each, begun in any order: all of their orders are tried.
+// All schedules of three threads of two steps each are tried, each once.
 func TestExploresEverySchedule(t *testing.T) {
 	seen := map[string]bool{}
 	outcome := Explore(t, 1000, func(_ *testing.T, run *Execution) func() error {
@@ -56,8 +56,8 @@
 			return nil
 		}
 	})
-	// 6! / (2! 2! 2!) orders.
+	// There are 6! / (2! 2! 2!) schedules.
 	if len(seen) != 90 || outcome.Schedules != 90 {
-		t.Errorf("%d orders tried, %d seen, of 90", outcome.Schedules, len(seen))
+		t.Errorf("%d schedules tried, %d seen, of 90", outcome.Schedules, len(seen))
 	}
 }
--- a/internal/statuspage/statuspage.go
+++ b/internal/statuspage/statuspage.go
@@ -1,18 +1,19 @@
-// Package statuspage holds the JSON form of the status that our programs show on their probe and operator
-// listeners. Its keys are read by people and scripts, so they stay as they are, whatever the messages
-// between our own processes call the same things: each page is made from such a message here and
-// nowhere else.
+// Package statuspage is the JSON form of the status that programs show on their probe and operator listeners. People
+// and scripts read its keys, so these stay as they are when the messages between processes are renamed: the pages are
+// made from such messages here and nowhere else.
+//
+// The proxy, the registry and the store make their pages with it. It owns no state.
 package statuspage
 
 import "meadowhinge/schema"
 
-// Version is a place in the order of committed changes: the term of the leader that wrote it, then its sequence.
+// Version is a position in the log: the term of the leader that wrote the entry, then its sequence.
 type Version struct {
 	Term     uint64 `json:"epoch,omitempty"`
 	Sequence uint64 `json:"sequence,omitempty"`
 }
 
-// CoreMember tells where a member of the core is reached.
+// CoreMember is a member of the core, and where it is reached.
 type CoreMember struct {
 	ID          string `json:"seat,omitempty"`
 	Address     string `json:"address,omitempty"`
@@ -20,11 +21,11 @@
 	Zone        string `json:"area,omitempty"`
 }
 
-// Membership is the set of replicas that count in a quorum.
+// Membership is the set of members whose stores form the quorum.
 type Membership struct {
 	Members       []*CoreMember `json:"members,omitempty"`
-	TargetSize    uint32        `json:"wanted,omitempty"`
-	EffectiveFrom *Version      `json:"taken,omitempty"`
+	TargetSize    uint32        `json:"wanted,omitempty"` // how many members there should be
+	EffectiveFrom *Version      `json:"taken,omitempty"`  // entry that made these the members
 	Committed     *Version      `json:"committed,omitempty"`
 }
 
@@ -38,14 +39,14 @@
 	Durable        uint64      `json:"durable,omitempty"`   // last on this disk
 	Committed      uint64      `json:"committed,omitempty"` // last known to be committed
 	Member         bool        `json:"member,omitempty"`
-	Unfit          bool        `json:"unfit,omitempty"` // must not lead
-	Heard          []string    `json:"heard,omitempty"` // members whose heartbeats arrive
-	RefusedPeers   uint64      `json:"refused_peers,omitempty"`
-	Membership     *Membership `json:"membership,omitempty"` // the latest appended, committed or not
-	Learners       []string    `json:"waiting,omitempty"`
-	DiskFailed     bool        `json:"refuses,omitempty"`
-	StalenessKnown bool        `json:"vouched,omitempty"`
-	StalenessNanos int64       `json:"majority_age_nanos,omitempty"` // nanoseconds since a majority confirmed what is committed here
+	Unfit          bool        `json:"unfit,omitempty"`              // must not lead
+	Heard          []string    `json:"heard,omitempty"`              // members whose heartbeats arrive
+	RefusedPeers   uint64      `json:"refused_peers,omitempty"`      // rejected for a wrong certificate or protocol, or for malformed messages
+	Membership     *Membership `json:"membership,omitempty"`         // the latest appended, committed or not
+	Learners       []string    `json:"waiting,omitempty"`            // kept up to date here until there is room for them
+	DiskFailed     bool        `json:"refuses,omitempty"`            // the disk refuses writes
+	StalenessKnown bool        `json:"vouched,omitempty"`            // a majority has reported since this store started
+	StalenessNanos int64       `json:"majority_age_nanos,omitempty"` // time since a majority last reported nothing that is not committed here
 }
 
 // Lease is one proxy's lease as a registry has it.
@@ -62,18 +63,18 @@
 	GrantsLeases              bool     `json:"grants,omitempty"`
 	Committed                 uint64   `json:"stable,omitempty"` // newest committed configuration revision known
 	Leases                    []*Lease `json:"leases,omitempty"`
-	StaleSteps                uint64   `json:"stale_steps,omitempty"` // rollout steps refused because another controller has a later term
-	RefusedPeers              uint64   `json:"refused_peers,omitempty"`
-	KeyReservations           uint64   `json:"claims,omitempty"`
-	ReservationsAuthoritative bool     `json:"claims_count,omitempty"`
-	RefusedReservations       uint64   `json:"refused_claims,omitempty"`
-	ConflictingSettings       []string `json:"odd,omitempty"`
-	MayControlRollouts        bool     `json:"steers,omitempty"`
-	Sessions                  uint32   `json:"sessions,omitempty"`
-	FleetSize                 uint32   `json:"members,omitempty"` // proxies known to live
-	StalenessKnown            bool     `json:"vouched,omitempty"`
-	StalenessNanos            int64    `json:"age_nanos,omitempty"` // nanoseconds since its configuration was known to be the newest
-	Reachable                 []string `json:"reached,omitempty"`   // other registries heard from
+	StaleSteps                uint64   `json:"stale_steps,omitempty"`    // rollout steps refused because another controller has a later term
+	RefusedPeers              uint64   `json:"refused_peers,omitempty"`  // rejected for a wrong certificate or protocol, or for malformed messages
+	KeyReservations           uint64   `json:"claims,omitempty"`         // idempotency keys reserved here
+	ReservationsAuthoritative bool     `json:"claims_count,omitempty"`   // counts towards the majority of a reservation
+	RefusedReservations       uint64   `json:"refused_claims,omitempty"` // of unauthorized peers, of old incarnations, or beyond the limit
+	ConflictingSettings       []string `json:"odd,omitempty"`            // settings of other processes that contradict this registry's
+	MayControlRollouts        bool     `json:"steers,omitempty"`         // may be the rollout controller
+	Sessions                  uint32   `json:"sessions,omitempty"`       // of proxies, open here
+	FleetSize                 uint32   `json:"members,omitempty"`        // proxies known to live
+	StalenessKnown            bool     `json:"vouched,omitempty"`        // it knows how old its configuration may be
+	StalenessNanos            int64    `json:"age_nanos,omitempty"`      // nanoseconds since its configuration was known to be the newest
+	Reachable                 []string `json:"reached,omitempty"`        // other registries heard from
 }
 
 // Worker is a worker as the proxy beside it describes it.
@@ -85,16 +86,16 @@
 	Load             float64 `json:"load,omitempty"`
 	Draining         bool    `json:"leaving,omitempty"`
 	Terminated       bool    `json:"gone,omitempty"`
-	UptimeNanos      int64   `json:"sound_since_nanos,omitempty"`
-	Slots            uint32  `json:"slots,omitempty"` // requests it works on at once, 0 if it does not say
-	WarmupLeftNanos  int64   `json:"warm_nanos,omitempty"`
-	Running          uint32  `json:"running,omitempty"`
-	Queued           uint32  `json:"waiting,omitempty"`
-	ServiceTimeNanos int64   `json:"pace_nanos,omitempty"` // moving mean, 0 if not known
+	UptimeNanos      int64   `json:"sound_since_nanos,omitempty"` // when the worker described itself
+	Slots            uint32  `json:"slots,omitempty"`             // requests it works on at once, 0 if it does not say
+	WarmupLeftNanos  int64   `json:"warm_nanos,omitempty"`        // remaining slow start
+	Running          uint32  `json:"running,omitempty"`           // requests it works on
+	Queued           uint32  `json:"waiting,omitempty"`           // requests that wait, at the worker and at its proxy
+	ServiceTimeNanos int64   `json:"pace_nanos,omitempty"`        // moving mean of the execution time of a request, 0 if not known
 }
 
-// each converts a list and keeps a nil list nil, which JSON shows as null.
-func each[From, To any](list []From, convert func(From) To) []To {
+// convertAll converts the elements of a list; a nil list stays nil, which JSON shows as null.
+func convertAll[From, To any](list []From, convert func(From) To) []To {
 	if list == nil {
 		return nil
 	}
@@ -113,11 +114,18 @@
 }
 
 func coreMemberOf(member *schema.CoreMember) *CoreMember {
-	return &CoreMember{ID: member.Id, Address: member.Address, Incarnation: member.Incarnation, Zone: member.Zone}
+	return &CoreMember{
+		ID:          member.Id,
+		Address:     member.Address,
+		Incarnation: member.Incarnation,
+		Zone:        member.Zone,
+	}
 }
 
-// CoreMembersOf shows the members of the core.
-func CoreMembersOf(members []*schema.CoreMember) []*CoreMember { return each(members, coreMemberOf) }
+// CoreMembersOf gives the page's form of members of the core.
+func CoreMembersOf(members []*schema.CoreMember) []*CoreMember {
+	return convertAll(members, coreMemberOf)
+}
 
 func membershipOf(membership *schema.Membership) *Membership {
 	if membership == nil {
@@ -131,7 +139,7 @@
 	}
 }
 
-// ReplicaOf shows the status of a store; nil where it gave none.
+// ReplicaOf gives the page for the status of a store, nil for nil.
 func ReplicaOf(status *schema.ReplicaStatus) *Replica {
 	if status == nil {
 		return nil
@@ -157,10 +165,15 @@
 }
 
 func leaseOf(lease *schema.Laggard) *Lease {
-	return &Lease{Proxy: lease.Proxy, Incarnation: lease.Incarnation, Applied: lease.Applied, LeftNanos: lease.LeaseLeftNanos}
+	return &Lease{
+		Proxy:       lease.Proxy,
+		Incarnation: lease.Incarnation,
+		Applied:     lease.Applied,
+		LeftNanos:   lease.LeaseLeftNanos,
+	}
 }
 
-// RegistryOf shows the status of a registry; nil where it gave none.
+// RegistryOf gives the page for the status of a registry, nil for nil.
 func RegistryOf(status *schema.RegistryStatus) *Registry {
 	if status == nil {
 		return nil
@@ -169,7 +182,7 @@
 		Member:                    status.Member,
 		GrantsLeases:              status.GrantsLeases,
 		Committed:                 status.Committed,
-		Leases:                    each(status.Leases, leaseOf),
+		Leases:                    convertAll(status.Leases, leaseOf),
 		StaleSteps:                status.StaleSteps,
 		RefusedPeers:              status.RefusedPeers,
 		KeyReservations:           status.KeyReservations,
@@ -185,8 +198,10 @@
 	}
 }
 
-// RegistriesOf shows the status of several registries.
-func RegistriesOf(statuses []*schema.RegistryStatus) []*Registry { return each(statuses, RegistryOf) }
+// RegistriesOf gives the pages for the status of several registries.
+func RegistriesOf(statuses []*schema.RegistryStatus) []*Registry {
+	return convertAll(statuses, RegistryOf)
+}
 
 func workerOf(worker *schema.Worker) *Worker {
 	return &Worker{
@@ -206,5 +221,5 @@
 	}
 }
 
-// WorkersOf shows the workers beside a proxy.
-func WorkersOf(workers []*schema.Worker) []*Worker { return each(workers, workerOf) }
+// WorkersOf gives the page's form of the workers beside a proxy.
+func WorkersOf(workers []*schema.Worker) []*Worker { return convertAll(workers, workerOf) }
