--- a/internal/config/finish_route.go
+++ b/internal/config/finish_route.go
@@ -10,7 +10,7 @@
 )
 
 // maxTargetPastDeadline is how far a route's latency target may exceed its deadline: a target past that is
-// taken for a mistake.
+// considered a mistake.
 const maxTargetPastDeadline = time.Minute
 
 // finish fills in what is derived from a route's own item, and reports what is wrong with it.
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -71,7 +71,7 @@
 	if r.Class != "" {
 		return r.Class
 	}
-	// By HTTP's own rules only these change nothing, so only they are retried without an operator's word.
+	// By HTTP's own rules only these change nothing, so only they are retried unless an operator says otherwise.
 	if method == "GET" || method == "HEAD" {
 		return ClassIdempotent
 	}
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -16,7 +16,7 @@
 		t.Error("wrapping nil gave an error")
 	}
 	inner := Wrap(io.ErrUnexpectedEOF, InvalidResponse, "body")
-	outer := Wrap(inner, PeerConnectionLost, "hop")
+	outer := Wrap(inner, PeerConnectionLost, "peer RPC")
 	if CodeOf(outer) != InvalidResponse || !errors.Is(outer, io.ErrUnexpectedEOF) {
 		t.Errorf("%v is %s", outer, CodeOf(outer))
 	}
