--- a/internal/daemon/settings_watcher_test.go
+++ b/internal/daemon/settings_watcher_test.go
@@ -184,7 +184,8 @@
 	f := newSettingsFixture(t, "seeds 127.0.0.1:3\n")
 	settings := &schema.StoreOptions{}
 	var shown []string
-	code := Run("store", FromArgs([]string{"-settings=" + f.file}), settings, func() (string, int64) { return settings.Data, settings.Ring }, func(ctx context.Context, environment *Environment) error {
+	recorderOptions := func() (string, int64) { return settings.Data, settings.Ring }
+	body := func(ctx context.Context, environment *Environment) error {
 		applied := make(chan *schema.StoreOptions)
 		environment.WatchSettings(ctx, time.Hour, func(now proto.Message) { applied <- now.(*schema.StoreOptions) })
 		for _, seeds := range []string{"127.0.0.1:4", "127.0.0.1:5"} {
@@ -195,7 +196,8 @@
 			shown = append(shown, (<-applied).Seeds)
 		}
 		return nil
-	})
+	}
+	code := Run("store", FromArgs([]string{"-settings=" + f.file}), settings, recorderOptions, body)
 	if code != 0 || !slices.Equal(shown, []string{"127.0.0.1:4", "127.0.0.1:5"}) || settings.Seeds != "127.0.0.1:3" {
 		t.Errorf("exit code %d, applied %v, at start %s", code, shown, settings.Seeds)
 	}
--- a/internal/statuspage/statuspage.go
+++ b/internal/statuspage/statuspage.go
@@ -41,12 +41,12 @@
 	Member         bool        `json:"member,omitempty"`
 	Unfit          bool        `json:"unfit,omitempty"`              // must not lead
 	Heard          []string    `json:"heard,omitempty"`              // members whose heartbeats arrive
-	RefusedPeers   uint64      `json:"refused_peers,omitempty"`      // rejected for a wrong certificate or protocol, or for malformed messages
+	RefusedPeers   uint64      `json:"refused_peers,omitempty"`      // wrong certificate or protocol, or malformed messages
 	Membership     *Membership `json:"membership,omitempty"`         // the latest appended, committed or not
 	Learners       []string    `json:"waiting,omitempty"`            // kept up to date here until there is room for them
 	DiskFailed     bool        `json:"refuses,omitempty"`            // the disk refuses writes
 	StalenessKnown bool        `json:"vouched,omitempty"`            // a majority has reported since this store started
-	StalenessNanos int64       `json:"majority_age_nanos,omitempty"` // time since a majority last reported nothing that is not committed here
+	StalenessNanos int64       `json:"majority_age_nanos,omitempty"` // nanoseconds since a majority reported nothing newer
 }
 
 // Lease is one proxy's lease as a registry has it.
@@ -63,8 +63,8 @@
 	GrantsLeases              bool     `json:"grants,omitempty"`
 	Committed                 uint64   `json:"stable,omitempty"` // newest committed configuration revision known
 	Leases                    []*Lease `json:"leases,omitempty"`
-	StaleSteps                uint64   `json:"stale_steps,omitempty"`    // rollout steps refused because another controller has a later term
-	RefusedPeers              uint64   `json:"refused_peers,omitempty"`  // rejected for a wrong certificate or protocol, or for malformed messages
+	StaleSteps                uint64   `json:"stale_steps,omitempty"`    // rollout steps refused for a controller with a later term
+	RefusedPeers              uint64   `json:"refused_peers,omitempty"`  // wrong certificate or protocol, or malformed messages
 	KeyReservations           uint64   `json:"claims,omitempty"`         // idempotency keys reserved here
 	ReservationsAuthoritative bool     `json:"claims_count,omitempty"`   // counts towards the majority of a reservation
 	RefusedReservations       uint64   `json:"refused_claims,omitempty"` // of unauthorized peers, of old incarnations, or beyond the limit
