--- a/schema/golden_test.go
+++ b/schema/golden_test.go
@@ -15,24 +15,23 @@
 	"storj.io/drpc"
 )
 
-// The golden files hold what processes of different versions agree on: messages as bytes, and the
-// paths of calls. They know messages by their place in mesh.proto and fields by their number, never
-// by name, so that a renaming leaves them as they are. They are not written anew: a message may be
-// added after the last, and a row that is there stays.
+// The golden files have what processes of different versions must agree on: messages as bytes, and the paths of
+// RPCs. They identify messages by their position in mesh.proto and fields by their number, never by name, so that
+// renames do not change them. A message may be added after the last one; existing rows never change.
 const (
 	goldenMessages = "testdata/golden/messages.txt"
 	goldenEnums    = "testdata/golden/enums.txt"
 	goldenCalls    = "testdata/golden/calls.txt"
 )
 
-// exampleDepth bounds how deep messages are filled within an example.
+// exampleDepth bounds how deeply the messages within an example are filled.
 const exampleDepth = 4
 
 // goldenRow is one message of the golden file.
 type goldenRow struct {
 	place    int
-	shape    []string // one line for each field, by number
-	examples [][]byte // with each alternative of a oneof once
+	shape    []string // a line for each field, ordered by number
+	examples [][]byte // together they have each alternative of every oneof
 }
 
 // readGoldenRows reads the golden messages.
@@ -74,8 +73,7 @@
 	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
 }
 
-// shapeOf tells how a message stands on the wire: its fields by number, with kind and cardinality,
-// and the numbers that must not be used.
+// shapeOf gives a message's wire format: its fields by number, with kind and cardinality, and the reserved numbers.
 func shapeOf(message protoreflect.MessageDescriptor) []string {
 	var lines []string
 	fields := message.Fields()
@@ -107,7 +105,7 @@
 	return lines
 }
 
-// kindText names a field's kind; messages and enums go by their place in the file.
+// kindText names a field's kind; messages and enums are named by their position in the file.
 func kindText(field protoreflect.FieldDescriptor) string {
 	switch {
 	case field.Message() != nil:
@@ -118,7 +116,7 @@
 	return field.Kind().String()
 }
 
-// messageType gives the generated Go type of a message, as the program itself decodes it.
+// messageType gives the generated Go type of a message, with which programs decode it.
 func messageType(t *testing.T, message protoreflect.MessageDescriptor) protoreflect.MessageType {
 	t.Helper()
 	found, err := protoregistry.GlobalTypes.FindMessageByName(message.FullName())
@@ -128,8 +126,8 @@
 	return found
 }
 
-// fill sets every field of a message, by its number; of each oneof it sets the alternative of the
-// given place, counted round.
+// fill sets every field of a message by its number, and of each oneof the alternative with an index, modulo their
+// number.
 func fill(message protoreflect.Message, alternative, depth int) {
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -168,8 +166,8 @@
 	}
 }
 
-// scalar is the value of a field in the examples. Numbers are such that kinds which differ on the
-// wire give other bytes.
+// scalar gives the value of a field in the examples. Numbers are chosen so that kinds with different encodings give
+// different bytes.
 func scalar(field protoreflect.FieldDescriptor, turn int) protoreflect.Value {
 	number := int64(field.Number())*1000 + int64(turn)
 	switch field.Kind() {
@@ -196,7 +194,7 @@
 	return protoreflect.ValueOfBytes([]byte(fmt.Sprintf("\x00\xffbytes-%d", number)))
 }
 
-// alternatives is how many examples show every alternative of a message's oneofs.
+// alternatives is the number of examples needed to have every alternative of a message's oneofs.
 func alternatives(message protoreflect.MessageDescriptor) int {
 	most := 1
 	for i := range message.Oneofs().Len() {
@@ -205,7 +203,7 @@
 	return most
 }
 
-// unknownIn tells whether a message holds fields that are not in its descriptor, at any depth.
+// unknownIn tells whether a message has fields, at any depth, that are not in its descriptor.
 func unknownIn(message protoreflect.Message) bool {
 	found := len(message.GetUnknown()) > 0
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
@@ -237,8 +235,8 @@
 	return data
 }
 
-// Every message that another version may send or have stored still has its shape, is read without
-// a rest, and is written again as the same bytes.
+// Every message that another version may have sent or stored still has its wire format, is decoded without unknown
+// fields, and is encoded to the same bytes again.
 func TestGoldenMessages(t *testing.T) {
 	messages := File_mesh_proto.Messages()
 	rows := readGoldenRows(t)
@@ -268,7 +266,7 @@
 				if again := marshal(t, read.Interface()); !bytes.Equal(again, data) {
 					t.Errorf("example %d is written as\n%x\nwant\n%x", alternative, again, data)
 				}
-				// The same values, set by numbers alone, are the same bytes.
+				// The same values, set by field number, encode to the same bytes.
 				made := dynamicpb.NewMessage(descriptor)
 				fill(made, alternative, exampleDepth)
 				if got := marshal(t, made); !bytes.Equal(got, data) {
@@ -279,7 +277,7 @@
 	}
 }
 
-// enumLines lists the numbers of each enum, and the extension that settings are described by.
+// enumLines lists the numbers of each enum, and the extension with the rules of settings.
 func enumLines() []string {
 	var lines []string
 	enums := File_mesh_proto.Enums()
@@ -298,14 +296,14 @@
 	return lines
 }
 
-// The numbers of enums stay, and so does the number by which settings are described.
+// The numbers of enums never change, nor does that of the extension with the rules of settings.
 func TestGoldenEnums(t *testing.T) {
 	if got, want := strings.Join(enumLines(), "\n"), strings.Join(goldenLines(t, goldenEnums), "\n"); got != want {
 		t.Errorf("enums are\n%s\nwant\n%s", got, want)
 	}
 }
 
-// callLines lists the calls: path, what streams, and the messages by their place.
+// callLines lists the RPCs: path, which sides stream, and the messages by their position.
 func callLines() []string {
 	var lines []string
 	services := File_mesh_proto.Services()
@@ -327,8 +325,7 @@
 	return lines
 }
 
-// The paths under which processes call each other are part of what versions agree on, so they stay
-// even where Go names change.
+// The paths of RPCs are part of the protocol between versions, so they stay even where Go names change.
 func TestGoldenCalls(t *testing.T) {
 	want := goldenLines(t, goldenCalls)
 	if got := strings.Join(callLines(), "\n"); got != strings.Join(want, "\n") {
