--- /dev/null
+++ b/cmd/operator/errors.go
@@ -0,0 +1,18 @@
+package main
+
+// Exit codes, so that a script can tell the kinds of failure apart.
+const (
+	exitRejected    = 1 // the mesh rejected the request
+	exitUsage       = 2
+	exitUnreachable = 3 // no registry answered, or the outcome is not known
+)
+
+// exitError is an error of a command together with the exit code that it asks for.
+type exitError struct {
+	code int
+	err  error
+}
+
+func (e *exitError) Error() string { return e.err.Error() }
+
+func (e *exitError) Unwrap() error { return e.err }
--- a/cmd/operator/main_test.go
+++ b/cmd/operator/main_test.go
@@ -11,7 +11,8 @@
 	"meadowhinge/internal/registry"
 )
 
-// fakeRegistry is a registry's operators' interface with one answer for each page.
+// fakeRegistry serves the operators' interface of a registry with one fixed response for each page,
+// all under one status if it is not 0, and collects what it was asked.
 func fakeRegistry(t *testing.T, pages map[string]string, status int) (address string, requests *[]string) {
 	t.Helper()
 	requests = &[]string{}
@@ -48,11 +49,12 @@
 	"GET /v1/changes/odd": `{`,
 }
 
-// Each command with good input says what came of it, in words or as JSON, and leaves with 0.
+// TestCommands checks that each subcommand with good input sends its request, prints the result as
+// text and as JSON, and exits with 0.
 func TestCommands(t *testing.T) {
 	address, requests := fakeRegistry(t, goodPages, 0)
 	for _, testCase := range []struct {
-		words       []string
+		args        []string
 		in          string
 		wantOutput  string
 		wantRequest string
@@ -76,29 +78,31 @@
 		{[]string{"lift", "shop", "2"}, "", "accepted", "lifted: true"},
 		{[]string{"-version"}, "", "operator 0", ""},
 	} {
-		var out, errOut bytes.Buffer
-		*requests = nil
-		if code := run(append([]string{"-registries", address}, testCase.words...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !strings.Contains(out.String(), testCase.wantOutput) {
-			t.Errorf("%v: code %d, %q, %q", testCase.words, code, out.String(), errOut.String())
-		}
-		if sent := strings.Join(*requests, "\n"); !strings.Contains(sent, testCase.wantRequest) {
-			t.Errorf("%v: asked %s", testCase.words, sent)
-		}
-		if testCase.words[0] == "-version" || len(testCase.words) > 4 && testCase.words[1] == "-watch" {
-			continue
-		}
-		out.Reset()
-		if code := run(append([]string{"-registries", address, "-json"}, testCase.words...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !json.Valid(out.Bytes()) {
-			t.Errorf("%v as JSON: code %d, %q", testCase.words, code, out.String())
-		}
-		out.Reset()
-		if code := run([]string{testCase.words[0], "-help"}, nil, &out, &errOut); code != 0 || !strings.Contains(errOut.String(), "operator [flags] "+testCase.words[0]) {
-			t.Errorf("%s -help: code %d, %q", testCase.words[0], code, errOut.String())
-		}
+		t.Run(strings.Join(testCase.args, " "), func(t *testing.T) {
+			var out, errOut bytes.Buffer
+			*requests = nil
+			if code := run(append([]string{"-registries", address}, testCase.args...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !strings.Contains(out.String(), testCase.wantOutput) {
+				t.Errorf("%v: code %d, %q, %q", testCase.args, code, out.String(), errOut.String())
+			}
+			if sent := strings.Join(*requests, "\n"); !strings.Contains(sent, testCase.wantRequest) {
+				t.Errorf("%v: asked %s", testCase.args, sent)
+			}
+			if testCase.args[0] == "-version" || len(testCase.args) > 4 && testCase.args[1] == "-watch" {
+				return
+			}
+			out.Reset()
+			if code := run(append([]string{"-registries", address, "-json"}, testCase.args...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !json.Valid(out.Bytes()) {
+				t.Errorf("%v as JSON: code %d, %q", testCase.args, code, out.String())
+			}
+			out.Reset()
+			if code := run([]string{testCase.args[0], "-help"}, nil, &out, &errOut); code != 0 || !strings.Contains(errOut.String(), "operator [flags] "+testCase.args[0]) {
+				t.Errorf("%s -help: code %d, %q", testCase.args[0], code, errOut.String())
+			}
+		})
 	}
 }
 
-// What goes wrong has its exit code: refused 1, misused 2, not known 3.
+// TestExitCodes checks that each kind of failure has its exit code and names its cause.
 func TestExitCodes(t *testing.T) {
 	good, _ := fakeRegistry(t, goodPages, 0)
 	unavailable, _ := fakeRegistry(t, nil, http.StatusServiceUnavailable)
@@ -112,7 +116,7 @@
 		CurrentItems: []registry.ItemView{{Kind: "segment", Name: "s", Version: 9, Change: "ben-4", Body: json.RawMessage(`{"salt":"his"}`)}}})
 	for name, testCase := range map[string]struct {
 		registries string
-		words      []string
+		args       []string
 		in         string
 		code       int
 		wantOutput string
@@ -134,10 +138,12 @@
 		"a conflict tells what stands, whose": {with("POST /v1/changes", string(conflict)), []string{"apply", "-"}, `segment: s: {salt: "mine"}`, exitRejected, `by change ben-4: {"salt":"his"}`},
 		"an answer that is none":              {with("POST /v1/changes", `{`), []string{"apply", "-"}, `segment: t: {salt: ""}`, exitUnreachable, "MALFORMED"},
 	} {
-		var out, errOut bytes.Buffer
-		code := run(append([]string{"-registries", testCase.registries, "-timeout", "2s"}, testCase.words...), strings.NewReader(testCase.in), &out, &errOut)
-		if all := out.String() + errOut.String(); code != testCase.code || !strings.Contains(all, testCase.wantOutput) {
-			t.Errorf("%s: code %d, want %d: %q", name, code, testCase.code, all)
-		}
+		t.Run(name, func(t *testing.T) {
+			var out, errOut bytes.Buffer
+			code := run(append([]string{"-registries", testCase.registries, "-timeout", "2s"}, testCase.args...), strings.NewReader(testCase.in), &out, &errOut)
+			if all := out.String() + errOut.String(); code != testCase.code || !strings.Contains(all, testCase.wantOutput) {
+				t.Errorf("%s: code %d, want %d: %q", name, code, testCase.code, all)
+			}
+		})
 	}
 }
