--- a/cmd/operator/change.go
+++ b/cmd/operator/change.go
@@ -106,7 +106,7 @@
 		exec: func(ctx context.Context, args []string) error {
 			status, body, err := c.request(ctx, http.MethodGet, "/v1/changes/"+args[0], nil)
 			if err != nil {
-				return &exitError{exitUnreachable, err}
+				return asUnreachable(err)
 			}
 			if status != http.StatusOK {
 				return &exitError{exitRejected, errs.New(errs.ChangeNotFound, string(body))}
--- a/cmd/operator/client.go
+++ b/cmd/operator/client.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -50,6 +51,10 @@
 			return 0, nil, errs.New(errs.InvalidOptions, fmt.Sprintf("registries: %q is not IP:port", address))
 		}
 		status, text, err := c.requestFrom(ctx, address, method, path, encoded)
+		var misuse *exitError
+		if errors.As(err, &misuse) {
+			return 0, nil, misuse
+		}
 		if err != nil {
 			unreachable = append(unreachable, address)
 			continue
@@ -68,12 +73,15 @@
 	return 0, nil, errs.New(errs.NoQuorum, "no answer from "+strings.Join(unreachable, ", "))
 }
 
-// requestFrom calls one registry and reads its complete response.
+// requestFrom calls one registry and reads its complete response. A path that is no URL, made of an
+// argument such as the change id "%zz", is an exitError: no other registry can answer it either.
 func (c *client) requestFrom(ctx context.Context, address, method, path string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	// A path that is no URL, such as of the change id "%zz", makes no request: a known fault.
-	request, _ := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
+	if err != nil {
+		return 0, nil, &exitError{exitUsage, errs.Wrap(err, errs.InvalidOptions, path)}
+	}
 	request.Header.Set("Content-Type", "application/json")
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -92,7 +100,7 @@
 func (c *client) get(ctx context.Context, path string, target any) (printed bool, err error) {
 	status, text, err := c.request(ctx, http.MethodGet, path, nil)
 	if err != nil {
-		return false, &exitError{exitUnreachable, err}
+		return false, asUnreachable(err)
 	}
 	if status != http.StatusOK {
 		return false, &exitError{exitRejected, errs.New(errs.NoQuorum, string(text))}
--- a/cmd/operator/errors.go
+++ b/cmd/operator/errors.go
@@ -1,5 +1,7 @@
 package main
 
+import "errors"
+
 // Exit codes, so that a script can tell the kinds of failure apart.
 const (
 	exitRejected    = 1 // the mesh rejected the request
@@ -16,3 +18,13 @@
 func (e *exitError) Error() string { return e.err.Error() }
 
 func (e *exitError) Unwrap() error { return e.err }
+
+// asUnreachable gives an error of client.request the exit code for an unreachable mesh, unless the
+// error asks for an exit code already.
+func asUnreachable(err error) error {
+	var exit *exitError
+	if errors.As(err, &exit) {
+		return err
+	}
+	return &exitError{exitUnreachable, err}
+}
--- a/cmd/operator/explain.go
+++ b/cmd/operator/explain.go
@@ -40,7 +40,7 @@
 func (c *client) explain(ctx context.Context, query registry.ExplainRequest) error {
 	status, body, err := c.request(ctx, http.MethodPost, "/v1/explain", query)
 	if err != nil {
-		return &exitError{exitUnreachable, err}
+		return asUnreachable(err)
 	}
 	if status != http.StatusOK {
 		return &exitError{exitRejected, errs.New(errs.RouteNotFound, string(body))}
--- a/cmd/operator/main_test.go
+++ b/cmd/operator/main_test.go
@@ -133,6 +133,7 @@
 		"no such file":                        {good, []string{"apply", "/nowhere"}, "", exitUsage, "BAD_OPTIONS"},
 		"a setup that breaks the schema":      {good, []string{"apply", "-"}, `route: r: {prefix: 4}`, exitRejected, "route.r.prefix"},
 		"a plan without its version":          {good, []string{"release", "-service", "shop", "new"}, "", exitUsage, "needs -service and -version"},
+		"an outcome of an id that is no URL":  {good, []string{"outcome", "%zz"}, "", exitUsage, "BAD_OPTIONS"},
 		"an outcome nobody knows":             {good, []string{"outcome", "never"}, "", exitRejected, "UNKNOWN_CHANGE"},
 		"not yet acknowledged":                {with("POST /v1/changes", `{"id":"x","ruling":"accepted","acknowledged":false,"waiting":["p"]}`), []string{"apply", "-"}, `segment: t: {salt: ""}`, exitUnreachable, "operator outcome x"},
 		"a conflict tells what stands, whose": {with("POST /v1/changes", string(conflict)), []string{"apply", "-"}, `segment: s: {salt: "mine"}`, exitRejected, `by change ben-4: {"salt":"his"}`},
