--- a/cmd/golden_test.go
+++ b/cmd/golden_test.go
@@ -32,7 +32,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer os.RemoveAll(folder)
+	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder
 	binaries = folder
 	if out, err := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./...").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "go build: %v\n%s", err, out)
@@ -255,7 +255,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer listener.Close()
+		defer func() { _ = listener.Close() }() // its port is all that is needed
 		return listener.Addr().String()
 	}
 	var listed strings.Builder
@@ -292,7 +292,7 @@
 	t.Helper()
 	for range 200 {
 		if connection, err := net.Dial("tcp", address); err == nil {
-			connection.Close()
+			_ = connection.Close() // that it opened is all that is needed
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -311,7 +311,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // nothing of it is read
 	if response.StatusCode == http.StatusNotFound {
 		return "no page"
 	}
--- a/cmd/tracer/main_test.go
+++ b/cmd/tracer/main_test.go
@@ -12,6 +12,7 @@
 	"meadowhinge/internal/registry"
 )
 
+// fakeCoreMember serves one trace as the operators' interface of a core member does.
 func fakeCoreMember(t *testing.T, trace registry.ChangeTrace) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(out).Encode(trace) }))
@@ -19,6 +20,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
+// TestTracer checks the exit code and the text for a change that some nodes have, for a change that no
+// store knows, for nodes that do not answer and for each misuse.
 func TestTracer(t *testing.T) {
 	at := time.Unix(1000, 0)
 	leader := fakeCoreMember(t, registry.ChangeTrace{MemberID: "a", KnownToStore: true, Ruling: "accepted", Sequence: 7, Term: 3, Leader: "a", Appended: at, Durable: at.Add(time.Millisecond),
@@ -45,14 +48,16 @@
 		"help":                {[]string{"-help"}, 0, []string{"usage"}},
 		"JSON":                {[]string{"-json", "-registries", leader, "x"}, 0, []string{`"sequence": 7`}},
 	} {
-		var out bytes.Buffer
-		if code := run(testCase.args, &out, &out); code != testCase.code {
-			t.Errorf("%s: exit %d, want %d: %s", name, code, testCase.code, out.String())
-		}
-		for _, part := range testCase.wantOutput {
-			if !strings.Contains(out.String(), part) {
-				t.Errorf("%s: no %q in\n%s", name, part, out.String())
+		t.Run(name, func(t *testing.T) {
+			var out bytes.Buffer
+			if code := run(testCase.args, &out, &out); code != testCase.code {
+				t.Errorf("%s: exit %d, want %d: %s", name, code, testCase.code, out.String())
 			}
-		}
+			for _, part := range testCase.wantOutput {
+				if !strings.Contains(out.String(), part) {
+					t.Errorf("%s: no %q in\n%s", name, part, out.String())
+				}
+			}
+		})
 	}
 }
--- /dev/null
+++ b/cmd/tracer/timeline.go
@@ -0,0 +1,113 @@
+package main
+
+import (
+	"io"
+	"maps"
+	"slices"
+	"sort"
+	"time"
+
+	"meadowhinge/internal/registry"
+)
+
+// step is something that happened to the change at one node.
+type step struct {
+	at    time.Time
+	event string
+}
+
+// printTimeline prints what happened to a change in the order in which it happened, then which
+// nodes lack it.
+func printTimeline(out io.Writer, id string, traces []registry.ChangeTrace, unreachable []string) {
+	printAdmission(out, id, traces)
+	applied := firstApplied(traces)
+	printSteps(out, collectSteps(traces, applied))
+	printMissing(out, traces, applied)
+	for _, address := range unreachable {
+		printf(out, "missing: no answer from the core machine at %s\n", address)
+	}
+}
+
+// printAdmission prints the ruling on the change as the leader gave it, or as a store tells it that
+// has it from a snapshot.
+func printAdmission(out io.Writer, id string, traces []registry.ChangeTrace) {
+	for i := range traces {
+		entry := &traces[i]
+		if !entry.KnownToStore || entry.Sequence == 0 {
+			continue
+		}
+		if entry.Appended.IsZero() || entry.Leader == entry.MemberID {
+			printf(out, "change %s: %s as %d in epoch %d; the duty is now with %s\n",
+				id, entry.Ruling, entry.Sequence, entry.Term, entry.Leader)
+			return
+		}
+	}
+}
+
+// firstApplied gives for each proxy when it first reported the change as applied, to any registry.
+func firstApplied(traces []registry.ChangeTrace) map[string]time.Time {
+	applied := map[string]time.Time{}
+	for i := range traces {
+		for proxy, at := range traces[i].Applied {
+			if earliest, found := applied[proxy]; !found || at.Before(earliest) {
+				applied[proxy] = at
+			}
+		}
+	}
+	return applied
+}
+
+// collectSteps lists the steps of all nodes in the order of their times.
+func collectSteps(traces []registry.ChangeTrace, applied map[string]time.Time) []step {
+	var steps []step
+	add := func(at time.Time, event string) {
+		if !at.IsZero() {
+			steps = append(steps, step{at, event})
+		}
+	}
+	for i := range traces {
+		entry := &traces[i]
+		add(entry.Appended, "store "+entry.MemberID+" took it")
+		add(entry.Durable, "store "+entry.MemberID+" synced it")
+		add(entry.Committed, "store "+entry.MemberID+" knew it stable")
+		add(entry.Seen, "registry "+entry.MemberID+" had it")
+		add(entry.Acknowledged, "registry "+entry.MemberID+" acknowledged it")
+	}
+	for proxy, at := range applied {
+		steps = append(steps, step{at, "proxy " + proxy + " applied it"})
+	}
+	sort.Slice(steps, func(i, j int) bool { return steps[i].at.Before(steps[j].at) })
+	return steps
+}
+
+// printSteps prints each step with its time and its distance from the first.
+func printSteps(out io.Writer, steps []step) {
+	for _, entry := range steps {
+		sinceFirst := float64(entry.at.Sub(steps[0].at)) / float64(time.Millisecond)
+		printf(out, "%s  %+9.3f ms  %s\n", entry.at.Format("15:04:05.000000"), sinceFirst, entry.event)
+	}
+}
+
+// printMissing prints which stores, and which proxies with a lease, are not known to have the change.
+func printMissing(out io.Writer, traces []registry.ChangeTrace, applied map[string]time.Time) {
+	lagging := map[string]bool{}
+	for i := range traces {
+		entry := &traces[i]
+		for _, proxy := range entry.Laggards {
+			lagging[proxy] = true
+		}
+		switch {
+		case entry.StoreUnreachable:
+			printf(out, "missing: store %s does not answer its registry\n", entry.MemberID)
+		case !entry.KnownToStore:
+			printf(out, "missing: store %s does not know the change\n", entry.MemberID)
+		case entry.Committed.IsZero() && entry.Ruling != "":
+			printf(out, "missing: store %s was told of it in a digest, or does not know it stable yet\n", entry.MemberID)
+		}
+	}
+	for _, proxy := range slices.Sorted(maps.Keys(lagging)) {
+		if _, found := applied[proxy]; !found {
+			printf(out, "missing: proxy %s has a lease and has not applied it\n", proxy)
+		}
+	}
+}
