--- /dev/null
+++ b/cmd/testbed/scenario.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"errors"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"github.com/peterbourgon/ff/v3"
+
+	"meadowhinge/internal/options"
+	"meadowhinge/internal/testbed"
+)
+
+// scenarioSettings are what the command line of a scenario asks for.
+type scenarioSettings struct {
+	run         testbed.Options
+	deployment  string
+	keep        bool
+	showVersion bool
+}
+
+// drainingBound is how long after it left a worker may still get calls, by the rule itself.
+const drainingBound = 2 * time.Second
+
+// runScenario runs one fleet through one scenario and checks it. It exits with 1 if an invariant was
+// violated.
+func runScenario(args []string) int {
+	s := scenarioSettings{run: testbed.Options{DrainingBound: drainingBound, CheckRejections: true, Out: os.Stdout}}
+	if code, exit := s.parse(args); exit {
+		return code
+	}
+	if s.showVersion {
+		fmt.Println("testbed", options.Version)
+		return 0
+	}
+	if code, exit := s.resolve(); exit {
+		return code
+	}
+	report, err := testbed.Run(s.run)
+	if err != nil {
+		fmt.Fprintf(os.Stderr, "testbed: %v (logs in %s)\n", err, s.run.Folder)
+		return 1
+	}
+	if s.keep {
+		return 0
+	}
+	report.Print(os.Stdout)
+	file := filepath.Join(s.run.Folder, "report.json")
+	if err := report.Write(file); err != nil {
+		fmt.Fprintln(os.Stderr, "testbed:", err)
+		return 1
+	}
+	fmt.Println("report in", file)
+	if report.Violations > 0 {
+		return 1
+	}
+	return 0
+}
+
+// parse reads the command line. If exit, there is nothing more to do and code is the exit code.
+func (s *scenarioSettings) parse(args []string) (code int, exit bool) {
+	flags := flag.NewFlagSet("testbed", flag.ContinueOnError)
+	flags.StringVar(&s.deployment, "deployment", "small", "which fleet: small, wroblewski or kithul")
+	flags.DurationVar(&s.run.LoadDuration, "length", 20*time.Second, "how long the load lasts")
+	flags.DurationVar(&s.run.Lease, "lease", 8*time.Second, "the fleet's lease")
+	flags.Uint64Var(&s.run.Seed, "seed", 1, "seed of callers' choices")
+	flags.StringVar(&s.run.Scenario, "play", "standard", "which faults: "+strings.Join(testbed.ScenarioNames(), ", "))
+	flags.BoolVar(&s.keep, "keep", false, "bring the fleet up without load and let it stand until Ctrl-C")
+	flags.DurationVar(&s.run.WorkerDelay, "delay", time.Millisecond, "how long a stand-in worker takes for a request")
+	flags.Float64Var(&s.run.RateFactor, "rate", 1, "multiplies the deployment's rate")
+	flags.StringVar(&s.run.Folder, "folder", "", "where data, logs and the report go (default: a new temporary folder)")
+	flags.StringVar(&s.run.Binaries, "binaries", "", "where proxy, registry and store are (default: beside this program)")
+	flags.BoolVar(&s.showVersion, "version", false, "print the version and leave")
+	if err := ff.Parse(flags, args); err != nil {
+		if errors.Is(err, flag.ErrHelp) {
+			return 0, true
+		}
+		return 2, true
+	}
+	return 0, false
+}
+
+// resolve looks up the deployment, checks the scenario and fills in folders. If exit, something was
+// wrong and code is the exit code.
+func (s *scenarioSettings) resolve() (code int, exit bool) {
+	s.run.Deployment = testbed.Deployments[s.deployment]
+	if s.run.Deployment == nil {
+		fmt.Fprintf(os.Stderr, "testbed: no deployment is called %q; there are small, wroblewski and kithul\n", s.deployment)
+		return 2, true
+	}
+	if testbed.Scenarios[s.run.Scenario] == nil {
+		fmt.Fprintf(os.Stderr, "testbed: no play is called %q; there are %s\n", s.run.Scenario, strings.Join(testbed.ScenarioNames(), ", "))
+		return 2, true
+	}
+	if s.keep {
+		s.run.OnReady = waitForSignal
+	}
+	return resolveFolders("testbed", &s.run.Folder, &s.run.Binaries)
+}
+
+// waitForSignal tells where the fleet can be reached and returns at a signal.
+func waitForSignal(fleet *testbed.Fleet) {
+	ctx, stop := signalContext()
+	defer stop()
+	fmt.Printf("operator interface at %s, clients' listener at %s; Ctrl-C ends it\n", fleet.OperatorAddress(0), fleet.CallerAddress(0, "client"))
+	<-ctx.Done()
+}
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -13,7 +13,8 @@
 	"meadowhinge/internal/testbed"
 )
 
-// runSoak plays many seeds of overlapping faults against real processes.
+// runSoak runs many seeds of overlapping random faults against real processes. It exits with 1 if any
+// seed failed.
 func runSoak(args []string) int {
 	const program = "testbed soak"
 	opts := testbed.SoakOptions{Out: os.Stdout}
@@ -36,7 +37,8 @@
 		}
 		return 2
 	}
-	opts.Deployment, opts.WideDeployment = testbed.Deployments[*deploymentName], testbed.Deployments[*wideName]
+	opts.Deployment = testbed.Deployments[*deploymentName]
+	opts.WideDeployment = testbed.Deployments[*wideName]
 	if code, exit := resolveFolders(program, &opts.Folder, &opts.Binaries); exit {
 		return code
 	}
