--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -1,4 +1,5 @@
-// Command proxy stands beside callers and workers on every edge machine.
+// Command proxy runs beside the callers and workers on each edge machine and forwards requests to
+// workers.
 package main
 
 import (
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,4 @@
-// Command registry serves operators and proxies on a core machine.
+// Command registry runs on each core machine: it serves operators and grants leases to proxies.
 package main
 
 import (
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,4 +1,5 @@
-// Command store keeps the setup on a core machine: admission, majority sync, repair.
+// Command store runs on each core machine and replicates the configuration: it admits changes, makes
+// them durable on a majority, and repairs members that lag.
 package main
 
 import (
