--- /dev/null
+++ b/internal/testbed/cpu.go
@@ -0,0 +1,41 @@
+package testbed
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+)
+
+// cpuSeconds is the processor time each program has used so far, in seconds.
+func (c *testRun) cpuSeconds() map[string]float64 {
+	seconds := map[string]float64{}
+	for _, process := range c.fleet.Processes() {
+		process.lock.Lock()
+		if process.cmd != nil && process.cmd.Process != nil {
+			seconds[filepath.Base(process.program)] += cpuSecondsOf(process.cmd.Process.Pid)
+		}
+		process.lock.Unlock()
+	}
+	return seconds
+}
+
+// cpuSecondsOf reads a process's own processor time from the kernel.
+func cpuSecondsOf(pid int) float64 {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
+	if err != nil {
+		return 0
+	}
+	// Fields 14 and 15 are user and system time in hundredths of a second; the name, in
+	// parentheses, may hold spaces.
+	end := 0
+	for i, char := range text {
+		if char == ')' {
+			end = i
+		}
+	}
+	var state string
+	var skip [10]int64
+	var user, system float64
+	_, _ = fmt.Sscan(string(text[end+1:]), &state, &skip[0], &skip[1], &skip[2], &skip[3], &skip[4], &skip[5], &skip[6], &skip[7], &skip[8], &skip[9], &user, &system)
+	return (user + system) / 100
+}
--- /dev/null
+++ b/internal/testbed/scenario.go
@@ -0,0 +1,77 @@
+package testbed
+
+import (
+	"maps"
+	"slices"
+	"time"
+)
+
+// Scenario is a piece of faults, each at its part of the length of the load.
+type Scenario struct {
+	relayEdges           bool            // links between edges go through relays too, so that they can be cut
+	releasePlans         bool            // flags start with the old version only, and plans move them
+	delayedDisks         bool            // stores run on a disk that can be made slow
+	random               *randomSchedule // faults are drawn by the seed, at a pace
+	disconnectingCallers bool            // some callers leave before they are answered
+	steps                []scenarioStep
+}
+
+type scenarioStep struct {
+	atFraction float64
+	name       string
+	apply      func(*testRun) (on string)
+}
+
+// nonRejecting are the acts that may turn nobody away; after any other somebody may be, for a while.
+var nonRejecting = map[string]bool{"worker drained": true, "worker gone": true, "address reused by another service": true, "worker of a version no setup lists": true,
+	"core machine killed": true, "core machine back": true, "core machine frozen": true, "core machine thawed": true, "core machine stopped": true, "core machine started": true,
+	"core machine back empty at a new address": true, "workers replaced one by one": true, "proxy restarted politely": true, "proxy back": true, "proxies back": true, "mended": true,
+	"setup grows by two thousand routes": true, "release plan stated": true, "release plan cancelled": true, "routes added": true, "routes removed": true, "warm": true, "proxy thawed": true, "a worker warms up slowly": true, "core split 2-1": true,
+	"one-way link loss in the core": true, "a good version, to turn bad late": true, "disk slow": true, "disk stalled": true, "disk whole": true, "storm of changes": true, "storm over": true}
+
+// Scenarios are the pieces by name.
+var Scenarios = map[string]*Scenario{
+	"none":     {},
+	"standard": {steps: standardSteps},
+	"harsh":    {relayEdges: true, steps: harshSteps},
+	"rolling":  {steps: rollingRestartSteps},
+	"herd":     {steps: massKillSteps},
+	"release":  {releasePlans: true, steps: releaseSteps},
+	"brake":    {releasePlans: true, steps: rollbackSteps},
+	"split":    {releasePlans: true, steps: rollbackDuringPartitionSteps},
+	"gone":     {releasePlans: true, steps: rollbackDuringCoreLossSteps},
+	"load":     {releasePlans: true, steps: rollbackUnderLoadSteps},
+	"long":     {steps: longSteps},
+	"random":   {relayEdges: true, delayedDisks: true, random: &randomSchedule{meanInterval: 6 * time.Second, maxDuration: 12 * time.Second, faultFreeTail: 25 * time.Second, maxActive: 8}},
+	"soak":     {relayEdges: true, delayedDisks: true, disconnectingCallers: true, random: &randomSchedule{meanInterval: 800 * time.Millisecond, maxDuration: 4 * time.Second, faultFreeTail: 5 * time.Second, maxActive: 3}},
+}
+
+// ScenarioNames lists the plays.
+func ScenarioNames() []string { return slices.Sorted(maps.Keys(Scenarios)) }
+
+// runScenario goes through a piece and waits for the end of the load's time.
+func (c *testRun) runScenario(scenario *Scenario, length time.Duration, logf func(string, ...any)) {
+	if scenario.random != nil {
+		c.runRandomFaults(scenario.random, length, logf)
+		return
+	}
+	start := c.now()
+	for _, step := range scenario.steps {
+		time.Sleep(time.Duration(step.atFraction*float64(length)) - (c.now() - start))
+		entry := FaultEntry{Name: step.name, At: c.now(), MayReject: !nonRejecting[step.name]}
+		entry.Target = step.apply(c)
+		appendEntry(c.history, &c.history.Faults, entry)
+		logf("%6.1f s: %s: %s", entry.At.Seconds(), entry.Name, entry.Target)
+	}
+	time.Sleep(length - (c.now() - start))
+}
+
+// serviceAt names the i-th service of the deployment.
+func (c *testRun) serviceAt(i int) string {
+	return c.options.Deployment.Services[i%len(c.options.Deployment.Services)].Name
+}
+
+// fractionOfLoad is a part of the load's length.
+func (c *testRun) fractionOfLoad(fraction float64) time.Duration {
+	return (time.Duration(fraction * float64(c.options.LoadDuration))).Round(time.Second)
+}
