--- a/internal/testbed/caller.go
+++ b/internal/testbed/caller.go
@@ -44,7 +44,7 @@
 }
 
 // Run sends until stop is closed, then waits for what is in flight.
-func (c *Caller) Run(stop <-chan struct{}, dice *rand.Rand) {
+func (c *Caller) Run(stop <-chan struct{}, rng *rand.Rand) {
 	var waiting sync.WaitGroup
 	slots := make(chan struct{}, maxInFlight)
 	begin := time.Now()
@@ -56,8 +56,8 @@
 			return
 		case <-time.After(time.Until(due)):
 		}
-		route := c.pickRoute(dice.Float64())
-		user := dice.IntN(10000)
+		route := c.pickRoute(rng.Float64())
+		user := rng.IntN(10000)
 		select {
 		case slots <- struct{}{}:
 		default:
--- a/internal/testbed/cpu.go
+++ b/internal/testbed/cpu.go
@@ -7,9 +7,9 @@
 )
 
 // cpuSeconds is the processor time each program has used so far, in seconds.
-func (c *testRun) cpuSeconds() map[string]float64 {
+func (r *testRun) cpuSeconds() map[string]float64 {
 	seconds := map[string]float64{}
-	for _, process := range c.fleet.Processes() {
+	for _, process := range r.fleet.Processes() {
 		process.lock.Lock()
 		if process.cmd != nil && process.cmd.Process != nil {
 			seconds[filepath.Base(process.program)] += cpuSecondsOf(process.cmd.Process.Pid)
--- a/internal/testbed/disconnecting_caller.go
+++ b/internal/testbed/disconnecting_caller.go
@@ -56,82 +56,82 @@
 }
 
 // Run makes calls until stop is closed.
-func (l *DisconnectingCaller) Run(stop <-chan struct{}, dice *rand.Rand) {
-	defer l.closeConn()
+func (c *DisconnectingCaller) Run(stop <-chan struct{}, rng *rand.Rand) {
+	defer c.closeConn()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(dice.Int64N(int64(2 * meanDisconnectCallPause)))):
+		case <-time.After(time.Duration(rng.Int64N(int64(2 * meanDisconnectCallPause)))):
 		}
-		l.call(l.routes[dice.IntN(len(l.routes))], disconnectMode(dice.IntN(int(disconnectModes))), dice)
+		c.call(c.routes[rng.IntN(len(c.routes))], disconnectMode(rng.IntN(int(disconnectModes))), rng)
 	}
 }
 
 // call makes one call and ends it in a way.
-func (l *DisconnectingCaller) call(route RouteSpec, mode disconnectMode, dice *rand.Rand) {
-	l.serial++
-	entry := CallEntry{Operation: fmt.Sprintf("leaver-%d-%s@%s-%d", l.number, l.name, l.proxy, l.serial), Caller: l.name, Proxy: l.proxy, Service: route.Service, Route: route.Name, NonIdempotent: route.NonIdempotent}
-	work := time.Duration(dice.Int64N(int64(maxDisconnectedWork)))
-	delay := time.Duration(dice.Int64N(int64(2 * meanDisconnectDelay)))
-	entry.Sent = l.now()
-	defer func() { appendEntry(l.history, &l.history.Calls, entry) }()
-	if !l.dial() {
-		entry.Outcome, entry.Received = "unsent", l.now()
+func (c *DisconnectingCaller) call(route RouteSpec, mode disconnectMode, rng *rand.Rand) {
+	c.serial++
+	entry := CallEntry{Operation: fmt.Sprintf("leaver-%d-%s@%s-%d", c.number, c.name, c.proxy, c.serial), Caller: c.name, Proxy: c.proxy, Service: route.Service, Route: route.Name, NonIdempotent: route.NonIdempotent}
+	work := time.Duration(rng.Int64N(int64(maxDisconnectedWork)))
+	delay := time.Duration(rng.Int64N(int64(2 * meanDisconnectDelay)))
+	entry.Sent = c.now()
+	defer func() { appendEntry(c.history, &c.history.Calls, entry) }()
+	if !c.dial() {
+		entry.Outcome, entry.Received = "unsent", c.now()
 		return
 	}
-	if err := l.send(&entry, route, work); err != nil {
-		entry.Outcome, entry.Received = "unknown", l.now()
-		l.closeConn()
+	if err := c.send(&entry, route, work); err != nil {
+		entry.Outcome, entry.Received = "unknown", c.now()
+		c.closeConn()
 		return
 	}
 	switch mode {
 	case modeClose, modeReset:
 		time.Sleep(delay)
-		if tcp, isTCP := l.conn.(*net.TCPConn); isTCP && mode == modeReset {
+		if tcp, isTCP := c.conn.(*net.TCPConn); isTCP && mode == modeReset {
 			_ = tcp.SetLinger(0)
 		}
-		entry.Outcome, entry.Received = outcomeDisconnected, l.now()
-		l.closeConn()
+		entry.Outcome, entry.Received = outcomeDisconnected, c.now()
+		c.closeConn()
 	case modeHalfClose:
-		if tcp, isTCP := l.conn.(*net.TCPConn); isTCP {
+		if tcp, isTCP := c.conn.(*net.TCPConn); isTCP {
 			_ = tcp.CloseWrite()
 		}
-		l.read(&entry)
-		l.closeConn()
+		c.read(&entry)
+		c.closeConn()
 	default:
-		l.read(&entry)
+		c.read(&entry)
 	}
 }
 
 // dial opens a connection where none is left.
-func (l *DisconnectingCaller) dial() bool {
-	if l.conn != nil {
+func (c *DisconnectingCaller) dial() bool {
+	if c.conn != nil {
 		return true
 	}
-	conn, err := net.DialTimeout("tcp", l.address, time.Second)
+	conn, err := net.DialTimeout("tcp", c.address, time.Second)
 	if err != nil {
 		return false
 	}
-	l.conn, l.reader = conn, bufio.NewReader(conn)
+	c.conn, c.reader = conn, bufio.NewReader(conn)
 	return true
 }
 
 // send sends a call on the connection.
-func (l *DisconnectingCaller) send(entry *CallEntry, route RouteSpec, work time.Duration) error {
-	_ = l.conn.SetDeadline(time.Now().Add(disconnectingReadTimeout))
-	_, err := fmt.Fprintf(l.conn, "%s %s?n=1 HTTP/1.1\r\nHost: mesh\r\n%s: %s\r\nX-User: leaver\r\n%s: %d\r\nContent-Length: 2\r\n\r\n{}",
+func (c *DisconnectingCaller) send(entry *CallEntry, route RouteSpec, work time.Duration) error {
+	_ = c.conn.SetDeadline(time.Now().Add(disconnectingReadTimeout))
+	_, err := fmt.Fprintf(c.conn, "%s %s?n=1 HTTP/1.1\r\nHost: mesh\r\n%s: %s\r\nX-User: leaver\r\n%s: %d\r\nContent-Length: 2\r\n\r\n{}",
 		route.Method, route.Prefix, operationHeader, entry.Operation, workDurationHeader, work.Milliseconds())
 	return err
 }
 
 // read reads the final answer, past interim ones.
-func (l *DisconnectingCaller) read(entry *CallEntry) {
+func (c *DisconnectingCaller) read(entry *CallEntry) {
 	for {
-		response, err := http.ReadResponse(l.reader, nil)
+		response, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
-			entry.Outcome, entry.Received = "unknown", l.now()
-			l.closeConn()
+			entry.Outcome, entry.Received = "unknown", c.now()
+			c.closeConn()
 			return
 		}
 		body, err := io.ReadAll(response.Body)
@@ -139,10 +139,10 @@
 		if response.StatusCode < http.StatusOK && err == nil {
 			continue
 		}
-		entry.Received = l.now()
+		entry.Received = c.now()
 		if err != nil {
 			entry.Outcome = "unknown"
-			l.closeConn()
+			c.closeConn()
 			return
 		}
 		entry.readResponse(response.StatusCode, response.Header.Get, body)
@@ -150,9 +150,9 @@
 	}
 }
 
-func (l *DisconnectingCaller) closeConn() {
-	if l.conn != nil {
-		l.conn.Close()
-		l.conn = nil
+func (c *DisconnectingCaller) closeConn() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
--- a/internal/testbed/disconnects.go
+++ b/internal/testbed/disconnects.go
@@ -14,9 +14,9 @@
 const disconnectsInterval = time.Second
 
 // watchDisconnects keeps the last counts of each life of each proxy.
-func (c *testRun) watchDisconnects(stop <-chan struct{}) {
+func (r *testRun) watchDisconnects(stop <-chan struct{}) {
 	for {
-		c.recordDisconnects()
+		r.recordDisconnects()
 		select {
 		case <-stop:
 			return
@@ -26,9 +26,9 @@
 }
 
 // recordDisconnects asks every proxy that can be asked.
-func (c *testRun) recordDisconnects() {
+func (r *testRun) recordDisconnects() {
 	var polling sync.WaitGroup
-	for _, process := range c.fleet.Proxies {
+	for _, process := range r.fleet.Proxies {
 		polling.Go(func() {
 			incarnation := fmt.Sprint(process.Name, " ", process.pid())
 			response, err := probeClient.Get("http://" + process.probeAddress + "/status")
@@ -40,21 +40,21 @@
 			if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&status) != nil {
 				return
 			}
-			c.history.lock.Lock()
-			defer c.history.lock.Unlock()
-			if c.history.Disconnects == nil {
-				c.history.Disconnects = map[string]dispatch.DisconnectCounts{}
+			r.history.lock.Lock()
+			defer r.history.lock.Unlock()
+			if r.history.Disconnects == nil {
+				r.history.Disconnects = map[string]dispatch.DisconnectCounts{}
 			}
-			c.history.Disconnects[incarnation] = status.Departures
+			r.history.Disconnects[incarnation] = status.Departures
 		})
 	}
 	polling.Wait()
 }
 
 // totalDisconnects sums the counts of all lives.
-func (l *History) totalDisconnects() dispatch.DisconnectCounts {
+func (h *History) totalDisconnects() dispatch.DisconnectCounts {
 	var sum dispatch.DisconnectCounts
-	for _, counts := range l.Disconnects {
+	for _, counts := range h.Disconnects {
 		sum.Add(counts)
 	}
 	return sum
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-func (c *testRun) firstWorker() *Worker { return c.workers[0] }
+func (r *testRun) firstWorker() *Worker { return r.workers[0] }
 
-func (c *testRun) middleProxy() *Process { return c.fleet.Proxies[c.options.Deployment.Edges/2] }
+func (r *testRun) middleProxy() *Process { return r.fleet.Proxies[r.options.Deployment.Edges/2] }
 
 // killCore ends a core machine's processes at once; startCore brings them back.
-func (c *testRun) killCore(i int) string {
-	c.fleet.Stores[i].Kill()
-	c.fleet.Registries[i].Kill()
-	return c.fleet.Stores[i].Name
+func (r *testRun) killCore(i int) string {
+	r.fleet.Stores[i].Kill()
+	r.fleet.Registries[i].Kill()
+	return r.fleet.Stores[i].Name
 }
 
-func (c *testRun) startCore(i int) string {
-	return fmt.Sprint(c.fleet.Stores[i].Name, " ", c.fleet.Stores[i].Start(), c.fleet.Registries[i].Start())
+func (r *testRun) startCore(i int) string {
+	return fmt.Sprint(r.fleet.Stores[i].Name, " ", r.fleet.Stores[i].Start(), r.fleet.Registries[i].Start())
 }
 
 // forCoreProcesses does something to every process of a core machine.
-func (c *testRun) forCoreProcesses(i int, apply func(*Process)) string {
-	apply(c.fleet.Stores[i])
-	apply(c.fleet.Registries[i])
-	return c.fleet.Stores[i].Name
+func (r *testRun) forCoreProcesses(i int, apply func(*Process)) string {
+	apply(r.fleet.Stores[i])
+	apply(r.fleet.Registries[i])
+	return r.fleet.Stores[i].Name
 }
 
 // partitionCore sets the ways between core machines for which chosen holds.
-func (c *testRun) partitionCore(chosen func(i, j int) bool) string {
+func (r *testRun) partitionCore(chosen func(i, j int) bool) string {
 	var links []string
-	for i := range c.options.Deployment.CoreMembers {
-		for j := range c.options.Deployment.CoreMembers {
+	for i := range r.options.Deployment.CoreMembers {
+		for j := range r.options.Deployment.CoreMembers {
 			if i != j && chosen(i, j) {
-				c.fleet.LinkFaults.SetPartitioned(c.fleet.coreAddress(i), c.fleet.coreAddress(j), true)
+				r.fleet.LinkFaults.SetPartitioned(r.fleet.coreAddress(i), r.fleet.coreAddress(j), true)
 				links = append(links, fmt.Sprintf("%c>%c", 'a'+i, 'a'+j))
 			}
 		}
@@ -43,66 +43,66 @@
 }
 
 // partitionEdge cuts an edge machine off from everyone, both ways.
-func (c *testRun) partitionEdge(edge int) string {
-	d := c.options.Deployment
+func (r *testRun) partitionEdge(edge int) string {
+	d := r.options.Deployment
 	for i := range d.CoreMembers {
-		c.fleet.LinkFaults.SetPartitioned(c.fleet.coreAddress(i), c.fleet.edgeAddress(edge), true)
-		c.fleet.LinkFaults.SetPartitioned(c.fleet.edgeAddress(edge), c.fleet.coreAddress(i), true)
+		r.fleet.LinkFaults.SetPartitioned(r.fleet.coreAddress(i), r.fleet.edgeAddress(edge), true)
+		r.fleet.LinkFaults.SetPartitioned(r.fleet.edgeAddress(edge), r.fleet.coreAddress(i), true)
 	}
 	for other := range d.Edges {
 		if other != edge {
-			c.fleet.LinkFaults.SetPartitioned(c.fleet.edgeAddress(other), c.fleet.edgeAddress(edge), true)
-			c.fleet.LinkFaults.SetPartitioned(c.fleet.edgeAddress(edge), c.fleet.edgeAddress(other), true)
+			r.fleet.LinkFaults.SetPartitioned(r.fleet.edgeAddress(other), r.fleet.edgeAddress(edge), true)
+			r.fleet.LinkFaults.SetPartitioned(r.fleet.edgeAddress(edge), r.fleet.edgeAddress(other), true)
 		}
 	}
-	return c.fleet.Proxies[edge].Name
+	return r.fleet.Proxies[edge].Name
 }
 
 // partitionCoreFromEdges cuts the core off from every proxy, both ways.
-func (c *testRun) partitionCoreFromEdges() string {
-	for i := range c.options.Deployment.CoreMembers {
-		for edge := range c.options.Deployment.Edges {
-			c.fleet.LinkFaults.SetPartitioned(c.fleet.coreAddress(i), c.fleet.edgeAddress(edge), true)
-			c.fleet.LinkFaults.SetPartitioned(c.fleet.edgeAddress(edge), c.fleet.coreAddress(i), true)
+func (r *testRun) partitionCoreFromEdges() string {
+	for i := range r.options.Deployment.CoreMembers {
+		for edge := range r.options.Deployment.Edges {
+			r.fleet.LinkFaults.SetPartitioned(r.fleet.coreAddress(i), r.fleet.edgeAddress(edge), true)
+			r.fleet.LinkFaults.SetPartitioned(r.fleet.edgeAddress(edge), r.fleet.coreAddress(i), true)
 		}
 	}
 	return "all proxies"
 }
 
-func (c *testRun) healPartitions() string { c.fleet.LinkFaults.Heal(); return "all links" }
+func (r *testRun) healPartitions() string { r.fleet.LinkFaults.Heal(); return "all links" }
 
-func (c *testRun) killThird() string {
+func (r *testRun) killThird() string {
 	var names []string
-	for i := 0; i < len(c.fleet.Proxies); i += 3 {
-		c.fleet.Proxies[i].Kill()
-		names = append(names, c.fleet.Proxies[i].Name)
+	for i := 0; i < len(r.fleet.Proxies); i += 3 {
+		r.fleet.Proxies[i].Kill()
+		names = append(names, r.fleet.Proxies[i].Name)
 	}
 	return strings.Join(names, " ")
 }
 
-func (c *testRun) startThird() string {
-	for i := 0; i < len(c.fleet.Proxies); i += 3 {
-		_ = c.fleet.Proxies[i].Start()
+func (r *testRun) startThird() string {
+	for i := 0; i < len(r.fleet.Proxies); i += 3 {
+		_ = r.fleet.Proxies[i].Start()
 	}
 	return "all"
 }
 
 // replaceWorkerAt starts a successor on the machine of a worker, then drains and ends it; the
 // address it frees goes to a worker of another service.
-func (c *testRun) replaceWorkerAt(i int) string { return c.replaceWorker(c.workers[i]) }
+func (r *testRun) replaceWorkerAt(i int) string { return r.replaceWorker(r.workers[i]) }
 
-func (c *testRun) replaceWorker(old *Worker) string {
-	edge := c.edgeOf(old)
-	_ = c.startWorker(c.newWorkerName(old.description.Service), edge, old.description.Service, old.description.Version)
+func (r *testRun) replaceWorker(old *Worker) string {
+	edge := r.edgeOf(old)
+	_ = r.startWorker(r.newWorkerName(old.description.Service), edge, old.description.Service, old.description.Version)
 	// Its successor is known everywhere before it empties itself.
 	go func() {
 		time.Sleep(replacementOverlap)
 		_ = old.Drain()
 		time.Sleep(replacementOverlap)
 		old.Shutdown()
-		for _, service := range c.options.Deployment.Services {
+		for _, service := range r.options.Deployment.Services {
 			if service.Name != old.description.Service {
-				_ = c.startWorkerAt(c.newWorkerName(service.Name), edge, service.Name, versionOld, old.description.Address)
+				_ = r.startWorkerAt(r.newWorkerName(service.Name), edge, service.Name, versionOld, old.description.Address)
 				return
 			}
 		}
@@ -114,9 +114,9 @@
 const replacementOverlap = time.Second
 
 // makeVersionFaulty makes every worker of a service's new version ill.
-func (c *testRun) makeVersionFaulty(service string, fault *WorkerFault) string {
-	appendEntry(c.history, &c.history.FaultyVersions, FaultyVersionEntry{service, versionNew, c.now()})
-	for _, worker := range c.workers {
+func (r *testRun) makeVersionFaulty(service string, fault *WorkerFault) string {
+	appendEntry(r.history, &r.history.FaultyVersions, FaultyVersionEntry{service, versionNew, r.now()})
+	for _, worker := range r.workers {
 		if worker.description.Service == service && worker.description.Version == versionNew {
 			worker.SetFault(fault)
 		}
@@ -125,7 +125,7 @@
 }
 
 // setLinks cuts links, each way by itself, and gives what mends just those.
-func (c *testRun) setLinks(links [][2]string, set func(from, to string, on bool)) func() {
+func (r *testRun) setLinks(links [][2]string, set func(from, to string, on bool)) func() {
 	for _, link := range links {
 		set(link[0], link[1], true)
 	}
@@ -136,12 +136,12 @@
 	}
 }
 
-func (c *testRun) coreLinks(chosen func(i, j int) bool) [][2]string {
+func (r *testRun) coreLinks(chosen func(i, j int) bool) [][2]string {
 	var links [][2]string
-	for i := range c.options.Deployment.CoreMembers {
-		for j := range c.options.Deployment.CoreMembers {
+	for i := range r.options.Deployment.CoreMembers {
+		for j := range r.options.Deployment.CoreMembers {
 			if i != j && chosen(i, j) {
-				links = append(links, [2]string{c.fleet.coreAddress(i), c.fleet.coreAddress(j)})
+				links = append(links, [2]string{r.fleet.coreAddress(i), r.fleet.coreAddress(j)})
 			}
 		}
 	}
@@ -149,15 +149,15 @@
 }
 
 // linksOfEdge lists every link of an edge machine.
-func (c *testRun) linksOfEdge(edge int) [][2]string {
+func (r *testRun) linksOfEdge(edge int) [][2]string {
 	var links [][2]string
-	here := c.fleet.edgeAddress(edge)
-	for i := range c.options.Deployment.CoreMembers {
-		links = append(links, [2]string{c.fleet.coreAddress(i), here}, [2]string{here, c.fleet.coreAddress(i)})
+	here := r.fleet.edgeAddress(edge)
+	for i := range r.options.Deployment.CoreMembers {
+		links = append(links, [2]string{r.fleet.coreAddress(i), here}, [2]string{here, r.fleet.coreAddress(i)})
 	}
-	for other := range c.options.Deployment.Edges {
+	for other := range r.options.Deployment.Edges {
 		if other != edge {
-			links = append(links, [2]string{c.fleet.edgeAddress(other), here}, [2]string{here, c.fleet.edgeAddress(other)})
+			links = append(links, [2]string{r.fleet.edgeAddress(other), here}, [2]string{here, r.fleet.edgeAddress(other)})
 		}
 	}
 	return links
--- a/internal/testbed/hollow_members.go
+++ b/internal/testbed/hollow_members.go
@@ -67,7 +67,7 @@
 	members []*hollowMember
 	frame   *daemon.Environment
 	now     func() time.Duration
-	dice    *rand.Rand
+	rng     *rand.Rand
 
 	byName        map[string]*hollowMember
 	lock          sync.Mutex // of the histograms
@@ -98,7 +98,7 @@
 
 // newHollowFleet lays out the members; none has joined yet.
 func newHollowFleet(opts *schema.HollowOptions, core *Fleet, now func() time.Duration) (*hollowFleet, error) {
-	f := &hollowFleet{opts: opts, core: core, now: now, dice: rand.New(rand.NewPCG(uint64(opts.Seed), 2)),
+	f := &hollowFleet{opts: opts, core: core, now: now, rng: rand.New(rand.NewPCG(uint64(opts.Seed), 2)),
 		frame: &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}, staleness: newLatencyHistogram(), workerUpdates: newLatencyHistogram(), recoveries: newLatencyHistogram(), failovers: newLatencyHistogram(), byName: map[string]*hollowMember{}}
 	for i := range int(opts.Members) {
 		settings, err := core.hollowSettings(opts, i)
@@ -292,7 +292,7 @@
 			return
 		case <-ticker.C:
 		}
-		m := f.members[f.dice.IntN(len(f.members))]
+		m := f.members[f.rng.IntN(len(f.members))]
 		m.current().End()
 		if f.rejoin(m) == nil {
 			f.restarts++
@@ -409,7 +409,7 @@
 func (f *hollowFleet) measureStaleness(stop <-chan struct{}) {
 	ticker := time.NewTicker(stalenessInterval)
 	defer ticker.Stop()
-	dice := rand.New(rand.NewPCG(uint64(f.opts.Seed), 3))
+	rng := rand.New(rand.NewPCG(uint64(f.opts.Seed), 3))
 	for {
 		select {
 		case <-stop:
@@ -417,7 +417,7 @@
 		case <-ticker.C:
 		}
 		for range stalenessSamples {
-			proxyNow := f.members[dice.IntN(len(f.members))].current()
+			proxyNow := f.members[rng.IntN(len(f.members))].current()
 			if f.opts.Mode == modeOpen {
 				if status := proxyNow.Status(); status.StalenessKnown {
 					f.recordLatency(f.staleness, time.Duration(status.StalenessMS)*time.Millisecond)
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -26,7 +26,7 @@
 	core *Fleet
 	now  func() time.Duration
 	http *http.Client
-	dice *rand.Rand
+	rng  *rand.Rand
 
 	lock            sync.Mutex
 	serial          int
@@ -45,7 +45,7 @@
 
 func newHollowOperator(opts *schema.HollowOptions, core *Fleet, now func() time.Duration) *hollowOperator {
 	return &hollowOperator{opts: opts, core: core, now: now, http: &http.Client{Timeout: 25 * time.Second},
-		dice: rand.New(rand.NewPCG(uint64(opts.Seed), 1)), currentVersions: map[string]uint64{}, rulings: map[string]int{}}
+		rng: rand.New(rand.NewPCG(uint64(opts.Seed), 1)), currentVersions: map[string]uint64{}, rulings: map[string]int{}}
 }
 
 // submitChange states one change at a core machine.
@@ -191,7 +191,7 @@
 			return
 		case <-ticker.C:
 		}
-		text := o.routeText(o.dice.IntN(int(o.opts.Routes)), fmt.Sprintf("%dms", minDeadlineMS+turn))
+		text := o.routeText(o.rng.IntN(int(o.opts.Routes)), fmt.Sprintf("%dms", minDeadlineMS+turn))
 		// In a storm the next is stated before the one before it is acknowledged.
 		stating.Go(func() { _, _ = o.submitChange(turn%int(o.opts.Seats), text) })
 	}
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -23,21 +23,21 @@
 const retransmitTimeout = 250 * time.Millisecond
 
 // SetLoss lets a part of what is sent from one machine to another be lost at first; 0 for none.
-func (c *LinkFaults) SetLoss(from, to string, ratio float64) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
+func (f *LinkFaults) SetLoss(from, to string, ratio float64) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
 	if ratio > 0 {
-		c.lossRatio[[2]string{from, to}] = ratio
+		f.lossRatio[[2]string{from, to}] = ratio
 	} else {
-		delete(c.lossRatio, [2]string{from, to})
+		delete(f.lossRatio, [2]string{from, to})
 	}
 }
 
 // retransmitDelay draws how late something sent comes.
-func (c *LinkFaults) retransmitDelay(from, to string) time.Duration {
-	c.lock.Lock()
-	ratio := c.lossRatio[[2]string{from, to}]
-	c.lock.Unlock()
+func (f *LinkFaults) retransmitDelay(from, to string) time.Duration {
+	f.lock.Lock()
+	ratio := f.lossRatio[[2]string{from, to}]
+	f.lock.Unlock()
 	delay := time.Duration(0)
 	for ratio > 0 && rand.Float64() < ratio && delay < 4*retransmitTimeout {
 		delay += retransmitTimeout
@@ -46,33 +46,33 @@
 }
 
 // SetPartitioned cuts or mends the way from one machine to another.
-func (c *LinkFaults) SetPartitioned(from, to string, partitioned bool) {
-	c.lock.Lock()
-	defer c.lock.Unlock()
+func (f *LinkFaults) SetPartitioned(from, to string, partitioned bool) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
 	if partitioned {
-		c.partitioned[[2]string{from, to}] = true
+		f.partitioned[[2]string{from, to}] = true
 	} else {
-		delete(c.partitioned, [2]string{from, to})
+		delete(f.partitioned, [2]string{from, to})
 	}
-	close(c.changed)
-	c.changed = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
 // Heal makes every link whole.
-func (c *LinkFaults) Heal() {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	c.partitioned, c.lossRatio = map[[2]string]bool{}, map[[2]string]float64{}
-	close(c.changed)
-	c.changed = make(chan struct{})
+func (f *LinkFaults) Heal() {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	f.partitioned, f.lossRatio = map[[2]string]bool{}, map[[2]string]float64{}
+	close(f.changed)
+	f.changed = make(chan struct{})
 }
 
 // awaitOpen returns once the way is open, or false when done closes first.
-func (c *LinkFaults) awaitOpen(from, to string, done <-chan struct{}) bool {
+func (f *LinkFaults) awaitOpen(from, to string, done <-chan struct{}) bool {
 	for {
-		c.lock.Lock()
-		partitioned, changed := c.partitioned[[2]string{from, to}], c.changed
-		c.lock.Unlock()
+		f.lock.Lock()
+		partitioned, changed := f.partitioned[[2]string{from, to}], f.changed
+		f.lock.Unlock()
 		if !partitioned {
 			return true
 		}
--- a/internal/testbed/random_schedule.go
+++ b/internal/testbed/random_schedule.go
@@ -16,8 +16,8 @@
 
 // runRandomFaults draws faults by the seed, lets them come and go in combination, mends all, and
 // measures how long the fleet then takes to be back.
-func (c *testRun) runRandomFaults(schedule *randomSchedule, length time.Duration, logf func(string, ...any)) {
-	dice := rand.New(rand.NewPCG(c.options.Seed, 77))
+func (r *testRun) runRandomFaults(schedule *randomSchedule, length time.Duration, logf func(string, ...any)) {
+	rng := rand.New(rand.NewPCG(r.options.Seed, 77))
 	type pending struct {
 		at    time.Duration
 		entry int
@@ -25,19 +25,19 @@
 		end   func()
 	}
 	var active []pending
-	start, coreFaulty := c.now(), false
-	next := start + time.Duration(dice.Int64N(int64(schedule.meanInterval)))
+	start, coreFaulty := r.now(), false
+	next := start + time.Duration(rng.Int64N(int64(schedule.meanInterval)))
 	endFault := func(fault pending) {
 		fault.end()
-		c.history.lock.Lock()
-		c.history.Faults[fault.entry].End = c.now()
-		c.history.lock.Unlock()
-		logf("%6.1f s:   over: %s", c.now().Seconds(), c.history.Faults[fault.entry].Name)
+		r.history.lock.Lock()
+		r.history.Faults[fault.entry].End = r.now()
+		r.history.lock.Unlock()
+		logf("%6.1f s:   over: %s", r.now().Seconds(), r.history.Faults[fault.entry].Name)
 	}
-	for c.now()-start < length-schedule.faultFreeTail {
+	for r.now()-start < length-schedule.faultFreeTail {
 		time.Sleep(100 * time.Millisecond)
 		for i := 0; i < len(active); i++ {
-			if fault := active[i]; c.now() >= fault.at {
+			if fault := active[i]; r.now() >= fault.at {
 				active = append(active[:i], active[i+1:]...)
 				i--
 				endFault(fault)
@@ -48,48 +48,48 @@
 			for _, fault := range active {
 				stillFaulty = stillFaulty || fault.core
 			}
-			coreFaulty = stillFaulty || !c.coreHealthy()
+			coreFaulty = stillFaulty || !r.coreHealthy()
 		}
-		if c.now() < next {
+		if r.now() < next {
 			continue
 		}
-		next = c.now() + time.Duration(dice.Int64N(int64(2*schedule.meanInterval)))
-		chosen := randomFaults[dice.IntN(len(randomFaults))]
-		duration := time.Duration(dice.Int64N(int64(schedule.maxDuration)))
+		next = r.now() + time.Duration(rng.Int64N(int64(2*schedule.meanInterval)))
+		chosen := randomFaults[rng.IntN(len(randomFaults))]
+		duration := time.Duration(rng.Int64N(int64(schedule.maxDuration)))
 		if len(active) >= schedule.maxActive || (chosen.hitsCore && coreFaulty) {
 			continue
 		}
-		entry := FaultEntry{Name: chosen.name, At: c.now(), MayReject: chosen.mayReject, HitsCore: chosen.hitsCore, DelaysPeerMessages: delaysPeerMessages[chosen.name]}
-		c.history.lock.Lock()
-		c.history.Faults = append(c.history.Faults, entry)
-		index := len(c.history.Faults) - 1
-		c.history.lock.Unlock()
-		on, end := chosen.inject(c, dice)
-		c.history.lock.Lock()
-		c.history.Faults[index].Target = on
-		c.history.lock.Unlock()
+		entry := FaultEntry{Name: chosen.name, At: r.now(), MayReject: chosen.mayReject, HitsCore: chosen.hitsCore, DelaysPeerMessages: delaysPeerMessages[chosen.name]}
+		r.history.lock.Lock()
+		r.history.Faults = append(r.history.Faults, entry)
+		index := len(r.history.Faults) - 1
+		r.history.lock.Unlock()
+		on, end := chosen.inject(r, rng)
+		r.history.lock.Lock()
+		r.history.Faults[index].Target = on
+		r.history.lock.Unlock()
 		logf("%6.1f s: %s: %s", entry.At.Seconds(), entry.Name, on)
-		active = append(active, pending{c.now() + duration, index, chosen.hitsCore, end})
+		active = append(active, pending{r.now() + duration, index, chosen.hitsCore, end})
 		coreFaulty = coreFaulty || chosen.hitsCore
 	}
 	for _, fault := range active {
 		endFault(fault)
 	}
-	c.recoveryTime = c.awaitRecovery()
-	logf("%6.1f s: all mended; back after %.1f s", c.now().Seconds(), c.recoveryTime.Seconds())
-	time.Sleep(length - (c.now() - start))
+	r.recoveryTime = r.awaitRecovery()
+	logf("%6.1f s: all mended; back after %.1f s", r.now().Seconds(), r.recoveryTime.Seconds())
+	time.Sleep(length - (r.now() - start))
 }
 
 // coreHealthy tells whether every core machine is ready and counts the claims of keys.
-func (c *testRun) coreHealthy() bool {
-	for i, store := range c.fleet.Stores {
+func (r *testRun) coreHealthy() bool {
+	for i, store := range r.fleet.Stores {
 		var status struct {
 			ClaimsCount bool `json:"claims_count"`
 		}
-		if !store.Ready() || !c.fleet.Registries[i].Ready() {
+		if !store.Ready() || !r.fleet.Registries[i].Ready() {
 			return false
 		}
-		response, err := probeClient.Get("http://" + c.fleet.Registries[i].probeAddress + "/status")
+		response, err := probeClient.Get("http://" + r.fleet.Registries[i].probeAddress + "/status")
 		if err != nil {
 			return false
 		}
--- a/internal/testbed/rejections.go
+++ b/internal/testbed/rejections.go
@@ -5,22 +5,22 @@
 )
 
 // rejected tells whether a call was turned away with the mesh's own error, or lost with its proxy.
-func (c *CallEntry) rejected() bool {
-	return c.Outcome != "answered" && c.Outcome != "unsent" && c.Outcome != outcomeDisconnected
+func (e *CallEntry) rejected() bool {
+	return e.Outcome != "answered" && e.Outcome != "unsent" && e.Outcome != outcomeDisconnected
 }
 
 // rejectionGraceLeases is how many leases after a fault's end somebody may still be turned away by it.
 const rejectionGraceLeases = 2
 
 // faultBehindRejection names the fault that may have turned a call away; empty if none may.
-func (l *History) faultBehindRejection(call CallEntry) string {
+func (h *History) faultBehindRejection(call CallEntry) string {
 	coreFaults := 0
-	for i, fault := range l.Faults {
+	for i, fault := range h.Faults {
 		end := fault.End
-		if end == 0 && i+1 < len(l.Faults) {
-			end = l.Faults[i+1].At
+		if end == 0 && i+1 < len(h.Faults) {
+			end = h.Faults[i+1].At
 		}
-		if fault.At > call.Received || (end > 0 && call.Sent > end+rejectionGraceLeases*l.Lease) {
+		if fault.At > call.Received || (end > 0 && call.Sent > end+rejectionGraceLeases*h.Lease) {
 			continue
 		}
 		if fault.HitsCore {
@@ -38,8 +38,8 @@
 const peerMessageGrace = 3 * time.Second
 
 // peerMessagesDelayed tells whether word from one proxy to another may have been held up at some time of a span.
-func (l *History) peerMessagesDelayed(from, to time.Duration) bool {
-	for _, fault := range l.Faults {
+func (h *History) peerMessagesDelayed(from, to time.Duration) bool {
+	for _, fault := range h.Faults {
 		if fault.DelaysPeerMessages && fault.At < to && (fault.End == 0 || fault.End+peerMessageGrace > from) {
 			return true
 		}
--- a/internal/testbed/release_changes.go
+++ b/internal/testbed/release_changes.go
@@ -7,18 +7,18 @@
 )
 
 // startRelease states a plan for a service.
-func (c *testRun) startRelease(service string, target float64, over time.Duration) string {
-	operator := NewOperator("release-"+service, c.fleet, c.history, c.now)
+func (r *testRun) startRelease(service string, target float64, over time.Duration) string {
+	operator := NewOperator("release-"+service, r.fleet, r.history, r.now)
 	text := fmt.Sprintf("release: %q: {service: %q, version: %q, target: %v, over: %q}\n", "to-"+service, service, versionNew, target, over)
 	return service + " " + operator.SubmitChange(1, text, "").Ruling
 }
 
 // churnRoutes adds forty routes, or removes them.
-func (c *testRun) churnRoutes(batch int, adds bool) string {
+func (r *testRun) churnRoutes(batch int, adds bool) string {
 	var text strings.Builder
 	for i := range 40 {
 		if adds {
-			fmt.Fprintf(&text, "route: \"churn-%d-%d\": {service: %q, prefix: \"/churn/%d/%d\"}\n", batch, i, c.serviceAt(0), batch, i)
+			fmt.Fprintf(&text, "route: \"churn-%d-%d\": {service: %q, prefix: \"/churn/%d/%d\"}\n", batch, i, r.serviceAt(0), batch, i)
 		} else if i == 0 {
 			text.WriteString("remove: route: [")
 		}
@@ -29,12 +29,12 @@
 	if !adds {
 		text.WriteString("]\n")
 	}
-	return NewOperator(fmt.Sprintf("churn-%d-%v", batch, adds), c.fleet, c.history, c.now).SubmitChange(batch%c.options.Deployment.CoreMembers, text.String(), "").Ruling
+	return NewOperator(fmt.Sprintf("churn-%d-%v", batch, adds), r.fleet, r.history, r.now).SubmitChange(batch%r.options.Deployment.CoreMembers, text.String(), "").Ruling
 }
 
 // watchReleases writes down set point and measured share as time goes on.
-func (c *testRun) watchReleases(stop <-chan struct{}, logf func(string, ...any)) {
-	operator := NewOperator("watcher", c.fleet, c.history, c.now)
+func (r *testRun) watchReleases(stop <-chan struct{}, logf func(string, ...any)) {
+	operator := NewOperator("watcher", r.fleet, r.history, r.now)
 	seen, last := 0, map[string]string{}
 	for turn := 0; ; turn++ {
 		select {
@@ -42,14 +42,14 @@
 			return
 		case <-time.After(2 * time.Second):
 		}
-		shown, err := operator.ReadReleases(turn % c.options.Deployment.CoreMembers)
+		shown, err := operator.ReadReleases(turn % r.options.Deployment.CoreMembers)
 		if err != nil {
 			continue
 		}
-		c.history.lock.Lock()
-		runs := c.history.Executions[seen:]
-		seen = len(c.history.Executions)
-		c.history.lock.Unlock()
+		r.history.lock.Lock()
+		runs := r.history.Executions[seen:]
+		seen = len(r.history.Executions)
+		r.history.lock.Unlock()
 		for _, release := range shown {
 			total, onVersion := 0, 0
 			for _, run := range runs {
@@ -60,8 +60,8 @@
 					}
 				}
 			}
-			entry := ReleaseEntry{At: c.now(), Release: release.Name, State: release.State, Reason: release.Reason, SetPoint: release.Percentage, MeasuredPercentage: 100 * float64(onVersion) / float64(max(1, total))}
-			appendEntry(c.history, &c.history.Releases, entry)
+			entry := ReleaseEntry{At: r.now(), Release: release.Name, State: release.State, Reason: release.Reason, SetPoint: release.Percentage, MeasuredPercentage: 100 * float64(onVersion) / float64(max(1, total))}
+			appendEntry(r.history, &r.history.Releases, entry)
 			if status := release.State + " " + release.Reason; last[release.Name] != status {
 				last[release.Name] = status
 				logf("%6.1f s: plan %s: %s, set point %.1f, measured %.1f", entry.At.Seconds(), release.Name, status, entry.SetPoint, entry.MeasuredPercentage)
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -97,14 +97,14 @@
 	return map[string]float64{"p50": quantile(0.5), "p90": quantile(0.9), "p99": quantile(0.99), "max": quantile(1)}
 }
 
-func (c *testRun) buildReport(loadDuration time.Duration, cpuBefore, cpuAfter map[string]float64) *Report {
-	report := &Report{Deployment: c.options.Deployment.Name, Seed: c.options.Seed, Seconds: loadDuration.Seconds(), Findings: CheckInvariants(c.history, c.options.Deployment),
-		Phases: phasesOf(c.history), Faults: c.history.Faults, Releases: c.history.Releases, Outcomes: map[string]int{}, ErrorCodes: map[string]int{}, Rulings: map[string]int{}, CPU: map[string]float64{}}
+func (r *testRun) buildReport(loadDuration time.Duration, cpuBefore, cpuAfter map[string]float64) *Report {
+	report := &Report{Deployment: r.options.Deployment.Name, Seed: r.options.Seed, Seconds: loadDuration.Seconds(), Findings: CheckInvariants(r.history, r.options.Deployment),
+		Phases: phasesOf(r.history), Faults: r.history.Faults, Releases: r.history.Releases, Outcomes: map[string]int{}, ErrorCodes: map[string]int{}, Rulings: map[string]int{}, CPU: map[string]float64{}}
 	var oneProxy, twoProxies, acknowledgementMS, keyed, unkeyed []float64
 	sampled := map[string]int{}
-	for _, call := range c.history.Calls {
+	for _, call := range r.history.Calls {
 		report.Outcomes[call.Outcome]++
-		phase := sort.Search(len(c.history.Faults), func(i int) bool { return c.history.Faults[i].At > call.Sent })
+		phase := sort.Search(len(r.history.Faults), func(i int) bool { return r.history.Faults[i].At > call.Sent })
 		if key := fmt.Sprint(phase, call.Outcome, call.ErrorCode); call.Outcome != "answered" && sampled[key] < maxUnansweredSamples {
 			sampled[key]++
 			report.Unanswered = append(report.Unanswered, call)
@@ -121,26 +121,26 @@
 					unkeyed = append(unkeyed, latencyMS)
 				}
 			}
-			if edge, found := c.edgeByWorker[call.Worker]; found && c.fleet.Proxies[edge].Name == call.Proxy {
+			if edge, found := r.edgeByWorker[call.Worker]; found && r.fleet.Proxies[edge].Name == call.Proxy {
 				oneProxy = append(oneProxy, latencyMS)
 			} else {
 				twoProxies = append(twoProxies, latencyMS)
 			}
 		}
 	}
-	for _, change := range c.history.Changes {
+	for _, change := range r.history.Changes {
 		report.Rulings[change.Ruling]++
 		report.Acknowledged += map[bool]int{true: 1}[change.Acknowledged]
 		if change.Acknowledged {
 			acknowledgementMS = append(acknowledgementMS, float64(change.Answered-change.Sent)/float64(time.Millisecond))
 		}
 	}
-	report.CallRate = float64(len(c.history.Calls)) / loadDuration.Seconds()
-	report.LatencyMS = map[string]map[string]float64{"direct": quantiles(c.directLatencyMS), "one proxy": quantiles(oneProxy), "two proxies": quantiles(twoProxies),
+	report.CallRate = float64(len(r.history.Calls)) / loadDuration.Seconds()
+	report.LatencyMS = map[string]map[string]float64{"direct": quantiles(r.directLatencyMS), "one proxy": quantiles(oneProxy), "two proxies": quantiles(twoProxies),
 		"once, under a key": quantiles(keyed), "once, without one": quantiles(unkeyed)}
 	report.AcknowledgementMS = quantiles(acknowledgementMS)
 	for program, used := range cpuAfter {
-		report.CPU[program] = (used - cpuBefore[program]) / float64(len(c.history.Calls)) * 1000
+		report.CPU[program] = (used - cpuBefore[program]) / float64(len(r.history.Calls)) * 1000
 	}
 	for _, finding := range report.Findings {
 		report.Violations += finding.Violations
--- a/internal/testbed/resources.go
+++ b/internal/testbed/resources.go
@@ -25,20 +25,20 @@
 // sampleInterval is how often samples are taken.
 const sampleInterval = 5 * time.Second
 
-func (c *testRun) sampleResources(stop <-chan struct{}) {
+func (r *testRun) sampleResources(stop <-chan struct{}) {
 	for {
 		largest := map[string]*Sample{}
-		for _, process := range c.fleet.Processes() {
+		for _, process := range r.fleet.Processes() {
 			program, _, _ := strings.Cut(process.Name, "/")
 			sample := largest[program]
 			if sample == nil {
-				sample = &Sample{At: c.now(), Program: program}
+				sample = &Sample{At: r.now(), Program: program}
 				largest[program] = sample
 			}
 			process.raiseSample(sample)
 		}
 		for _, sample := range largest {
-			c.resources = append(c.resources, *sample)
+			r.resources = append(r.resources, *sample)
 		}
 		select {
 		case <-stop:
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -84,7 +84,7 @@
 	}
 	stopCallers, stopChanges := make(chan struct{}), make(chan struct{})
 	var callersRunning, backgroundTasks sync.WaitGroup
-	dice := rand.New(rand.NewPCG(o.Seed, 1))
+	rng := rand.New(rand.NewPCG(o.Seed, 1))
 	var callers [][]*Caller
 	for edge := range o.Deployment.Edges {
 		callers = append(callers, run.callersOn(edge))
@@ -103,7 +103,7 @@
 	for _, edgeCallers := range callers {
 		for _, caller := range edgeCallers {
 			callersRunning.Add(1)
-			independent := rand.New(rand.NewPCG(o.Seed, dice.Uint64()))
+			independent := rand.New(rand.NewPCG(o.Seed, rng.Uint64()))
 			go func() {
 				defer callersRunning.Done()
 				caller.Run(stopCallers, independent)
@@ -114,7 +114,7 @@
 		for edge, edgeCallers := range callers {
 			for i := range disconnectingCallersPerProxy {
 				disconnecting := NewDisconnectingCaller(edgeCallers[0], fleet.CallerAddress(edge, clientCaller), i)
-				independent := rand.New(rand.NewPCG(o.Seed, dice.Uint64()))
+				independent := rand.New(rand.NewPCG(o.Seed, rng.Uint64()))
 				callersRunning.Go(func() { disconnecting.Run(stopCallers, independent) })
 			}
 		}
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -50,28 +50,28 @@
 func ScenarioNames() []string { return slices.Sorted(maps.Keys(Scenarios)) }
 
 // runScenario goes through a piece and waits for the end of the load's time.
-func (c *testRun) runScenario(scenario *Scenario, length time.Duration, logf func(string, ...any)) {
+func (r *testRun) runScenario(scenario *Scenario, length time.Duration, logf func(string, ...any)) {
 	if scenario.random != nil {
-		c.runRandomFaults(scenario.random, length, logf)
+		r.runRandomFaults(scenario.random, length, logf)
 		return
 	}
-	start := c.now()
+	start := r.now()
 	for _, step := range scenario.steps {
-		time.Sleep(time.Duration(step.atFraction*float64(length)) - (c.now() - start))
-		entry := FaultEntry{Name: step.name, At: c.now(), MayReject: !nonRejecting[step.name]}
-		entry.Target = step.apply(c)
-		appendEntry(c.history, &c.history.Faults, entry)
+		time.Sleep(time.Duration(step.atFraction*float64(length)) - (r.now() - start))
+		entry := FaultEntry{Name: step.name, At: r.now(), MayReject: !nonRejecting[step.name]}
+		entry.Target = step.apply(r)
+		appendEntry(r.history, &r.history.Faults, entry)
 		logf("%6.1f s: %s: %s", entry.At.Seconds(), entry.Name, entry.Target)
 	}
-	time.Sleep(length - (c.now() - start))
+	time.Sleep(length - (r.now() - start))
 }
 
 // serviceAt names the i-th service of the deployment.
-func (c *testRun) serviceAt(i int) string {
-	return c.options.Deployment.Services[i%len(c.options.Deployment.Services)].Name
+func (r *testRun) serviceAt(i int) string {
+	return r.options.Deployment.Services[i%len(r.options.Deployment.Services)].Name
 }
 
 // fractionOfLoad is a part of the load's length.
-func (c *testRun) fractionOfLoad(fraction float64) time.Duration {
-	return (time.Duration(fraction * float64(c.options.LoadDuration))).Round(time.Second)
+func (r *testRun) fractionOfLoad(fraction float64) time.Duration {
+	return (time.Duration(fraction * float64(r.options.LoadDuration))).Round(time.Second)
 }
--- a/internal/testbed/test_run.go
+++ b/internal/testbed/test_run.go
@@ -23,30 +23,30 @@
 	resources []Sample
 }
 
-func (c *testRun) startWorker(name string, edge int, service, version string) error {
-	c.lock.Lock()
-	address := fmt.Sprintf("%s:%d", c.fleet.edgeAddress(edge), portWorker+c.workersStarted[edge])
-	c.workersStarted[edge]++
-	c.lock.Unlock()
-	return c.startWorkerAt(name, edge, service, version, address)
+func (r *testRun) startWorker(name string, edge int, service, version string) error {
+	r.lock.Lock()
+	address := fmt.Sprintf("%s:%d", r.fleet.edgeAddress(edge), portWorker+r.workersStarted[edge])
+	r.workersStarted[edge]++
+	r.lock.Unlock()
+	return r.startWorkerAt(name, edge, service, version, address)
 }
 
-func (c *testRun) startWorkerAt(name string, edge int, service, version, address string) error {
-	worker, err := StartWorker(name, service, version, c.fleet.zone(edge), address, fmt.Sprintf("%s:%d", c.fleet.edgeAddress(edge), portWorkerAPI), c.options.WorkerDelay, c.history, c.now)
+func (r *testRun) startWorkerAt(name string, edge int, service, version, address string) error {
+	worker, err := StartWorker(name, service, version, r.fleet.zone(edge), address, fmt.Sprintf("%s:%d", r.fleet.edgeAddress(edge), portWorkerAPI), r.options.WorkerDelay, r.history, r.now)
 	if err == nil {
-		c.lock.Lock()
-		c.workers = append(c.workers, worker)
-		c.edgeByWorker[name] = edge
-		c.lock.Unlock()
+		r.lock.Lock()
+		r.workers = append(r.workers, worker)
+		r.edgeByWorker[name] = edge
+		r.lock.Unlock()
 	}
 	return err
 }
 
 // callersOn makes the callers of an edge: clients, and each service for its internal calls.
-func (c *testRun) callersOn(edge int) []*Caller {
-	d := c.options.Deployment
-	rate := d.RequestRate * c.options.RateFactor / float64(d.Edges)
-	proxy := c.fleet.Proxies[edge].Name
+func (r *testRun) callersOn(edge int) []*Caller {
+	d := r.options.Deployment
+	rate := d.RequestRate * r.options.RateFactor / float64(d.Edges)
+	proxy := r.fleet.Proxies[edge].Name
 	var clients []RouteSpec
 	internal := map[string][]RouteSpec{}
 	for _, route := range d.Routes {
@@ -60,37 +60,37 @@
 			}
 		}
 	}
-	callers := []*Caller{NewCaller(clientCaller, proxy, c.fleet.CallerAddress(edge, clientCaller), clients, rate, c.history, c.now)}
+	callers := []*Caller{NewCaller(clientCaller, proxy, r.fleet.CallerAddress(edge, clientCaller), clients, rate, r.history, r.now)}
 	// The service whose worker stands on this edge makes this edge's part of the internal calls.
 	for i, placement := range d.placeWorkers() {
 		if placement.edge == edge && len(internal[placement.service]) > 0 && i < d.Edges {
-			callers = append(callers, NewCaller(placement.service, proxy, c.fleet.CallerAddress(edge, placement.service), internal[placement.service], rate*d.InternalRatio, c.history, c.now))
+			callers = append(callers, NewCaller(placement.service, proxy, r.fleet.CallerAddress(edge, placement.service), internal[placement.service], rate*d.InternalRatio, r.history, r.now))
 		}
 	}
 	return callers
 }
 
 // newWorkerName names a worker that comes later.
-func (c *testRun) newWorkerName(service string) string {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	c.namedWorkers++
-	return fmt.Sprintf("n%d-%s", c.namedWorkers, service)
+func (r *testRun) newWorkerName(service string) string {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	r.namedWorkers++
+	return fmt.Sprintf("n%d-%s", r.namedWorkers, service)
 }
 
 // edgeOf is where a worker stands.
-func (c *testRun) edgeOf(worker *Worker) int {
-	c.lock.Lock()
-	defer c.lock.Unlock()
-	return c.edgeByWorker[worker.name]
+func (r *testRun) edgeOf(worker *Worker) int {
+	r.lock.Lock()
+	defer r.lock.Unlock()
+	return r.edgeByWorker[worker.name]
 }
 
 // directInterval is how often a call is sent past the mesh.
 const directInterval = 100 * time.Millisecond
 
-func (c *testRun) measureDirectLatency(stop <-chan struct{}) {
+func (r *testRun) measureDirectLatency(stop <-chan struct{}) {
 	// A worker that no standard fault touches.
-	worker := c.workers[1]
+	worker := r.workers[1]
 	for {
 		select {
 		case <-stop:
@@ -98,7 +98,7 @@
 		case <-time.After(directInterval):
 		}
 		if took, err := worker.CallDirectly(); err == nil {
-			c.directLatencyMS = append(c.directLatencyMS, float64(took)/float64(time.Millisecond))
+			r.directLatencyMS = append(r.directLatencyMS, float64(took)/float64(time.Millisecond))
 		}
 	}
 }
--- a/internal/testbed/verify.go
+++ b/internal/testbed/verify.go
@@ -9,41 +9,41 @@
 )
 
 // awaitRecovery waits until the whole fleet is ready and a change is acknowledged.
-func (c *testRun) awaitRecovery() time.Duration {
-	began := c.now()
-	operator := NewOperator("closing", c.fleet, c.history, c.now)
-	for attempt := 0; c.now()-began < time.Minute; attempt++ {
+func (r *testRun) awaitRecovery() time.Duration {
+	began := r.now()
+	operator := NewOperator("closing", r.fleet, r.history, r.now)
+	for attempt := 0; r.now()-began < time.Minute; attempt++ {
 		ready := true
-		for _, process := range c.fleet.Processes() {
+		for _, process := range r.fleet.Processes() {
 			ready = ready && process.Ready()
 		}
-		if ready && operator.SubmitChange(attempt%c.options.Deployment.CoreMembers, fmt.Sprintf("segment: closing: {salt: \"%d\"}\n", attempt), "").Acknowledged {
-			return c.now() - began
+		if ready && operator.SubmitChange(attempt%r.options.Deployment.CoreMembers, fmt.Sprintf("segment: closing: {salt: \"%d\"}\n", attempt), "").Acknowledged {
+			return r.now() - began
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return c.now() - began
+	return r.now() - began
 }
 
 // verifyAcknowledgedChanges asks what became of each acknowledged change, and notes those that are not there.
-func (c *testRun) verifyAcknowledgedChanges() {
-	operator := NewOperator("auditor", c.fleet, c.history, c.now)
-	c.history.lock.Lock()
-	changes := append([]ChangeEntry(nil), c.history.Changes...)
-	c.history.lock.Unlock()
+func (r *testRun) verifyAcknowledgedChanges() {
+	operator := NewOperator("auditor", r.fleet, r.history, r.now)
+	r.history.lock.Lock()
+	changes := append([]ChangeEntry(nil), r.history.Changes...)
+	r.history.lock.Unlock()
 	for i, change := range changes {
 		if !change.Acknowledged {
 			continue
 		}
-		answer := awaitOutcome(c.options.Deployment.CoreMembers, c.now, func(core int) (answer registry.ChangeResponse, status int, err error) {
-			status, err = operator.call((i+core)%c.options.Deployment.CoreMembers, http.MethodGet, "/v1/changes/"+change.ID, nil, &answer)
+		answer := awaitOutcome(r.options.Deployment.CoreMembers, r.now, func(core int) (answer registry.ChangeResponse, status int, err error) {
+			status, err = operator.call((i+core)%r.options.Deployment.CoreMembers, http.MethodGet, "/v1/changes/"+change.ID, nil, &answer)
 			return answer, status, err
 		})
 		if answer.Ruling == "accepted" && answer.Sequence == change.Sequence {
-			c.history.SurvivedChanges++
+			r.history.SurvivedChanges++
 			continue
 		}
-		c.history.LostChanges = append(c.history.LostChanges, fmt.Sprintf("%s, acknowledged as %d, is now %q %d", change.ID, change.Sequence, answer.Ruling, answer.Sequence))
+		r.history.LostChanges = append(r.history.LostChanges, fmt.Sprintf("%s, acknowledged as %d, is now %q %d", change.ID, change.Sequence, answer.Ruling, answer.Sequence))
 	}
 }
 
