--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -7,11 +7,16 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// validHistory is a ledger without a breach, touching every rule.
+// validHistory is a history that violates no invariant and has something to check for each.
 func validHistory() *History {
 	s := time.Second
 	return &History{
-		DrainingBound: 2 * s, DisconnectBound: s / 2, Lease: 8 * s, CheckRejections: true, SurvivedChanges: 1,
+		DrainingBound:   2 * s,
+		DisconnectBound: s / 2,
+		Lease:           8 * s,
+		CheckRejections: true,
+		SurvivedChanges: 1,
+
 		Faults: []FaultEntry{{Name: "proxy killed", At: 5 * s, End: 6 * s, MayReject: true}},
 		Calls: []CallEntry{
 			{Operation: "1", Caller: "client", Proxy: "p", Service: "shop", NonIdempotent: true, Sent: 10 * s, Received: 11 * s, Outcome: "answered", ConfigRevision: 5, Attempts: 2, Echoed: "1", Intact: true},
@@ -30,46 +35,49 @@
 	}
 }
 
-// Each checker holds on the good ledger, having judged something, and fails on one breach.
+// TestCheckersSeeBreaches checks each invariant on the valid history, where it must check something and hold,
+// and on the same history with one violation, which it must find. Violations are in the invariants' order.
 func TestCheckersSeeBreaches(t *testing.T) {
 	s := time.Second
-	breaches := []func(*History){
-		func(l *History) { l.Executions = append(l.Executions, l.Executions[0]) },
-		func(l *History) { l.Executions[0].Operation = "2" },
-		func(l *History) { l.Calls[0].Echoed = "2" },
-		func(l *History) { l.Executions[0].Caller = "somebody-else" },
-		func(l *History) { l.Executions[0].Version = versionNotAllowed },
-		func(l *History) { l.Executions[0].At = 12 * s },
-		func(l *History) { l.Calls[1].ConfigRevision = 4 },
-		func(l *History) {
-			l.ConfigViews = append(l.ConfigViews, ConfigViewEntry{Node: "registry/a", Requested: 11 * s, Received: 11 * s, ConfigRevision: 4})
+	violations := []func(*History){
+		func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) },
+		func(h *History) { h.Executions[0].Operation = "2" },
+		func(h *History) { h.Calls[0].Echoed = "2" },
+		func(h *History) { h.Executions[0].Caller = "somebody-else" },
+		func(h *History) { h.Executions[0].Version = versionNotAllowed },
+		func(h *History) { h.Executions[0].At = 12 * s },
+		func(h *History) { h.Calls[1].ConfigRevision = 4 },
+		func(h *History) {
+			h.ConfigViews = append(h.ConfigViews, ConfigViewEntry{Node: "registry/a", Requested: 11 * s, Received: 11 * s, ConfigRevision: 4})
 		},
-		func(l *History) { l.ConfigViews[0].Items = append(l.ConfigViews[0].Items, "route/bad") },
-		func(l *History) {
+		func(h *History) { h.ConfigViews[0].Items = append(h.ConfigViews[0].Items, "route/bad") },
+		func(h *History) {
 			for i := range 60 {
-				l.Executions = append(l.Executions, ExecutionEntry{Service: "shop", Version: versionNew, Faulty: true, At: time.Duration(i) * s})
+				h.Executions = append(h.Executions, ExecutionEntry{Service: "shop", Version: versionNew, Faulty: true, At: time.Duration(i) * s})
 			}
 		},
-		func(l *History) { l.Calls[1].Attempts = 100 },
-		func(l *History) { l.LostChanges = []string{"c"} },
-		func(l *History) { l.Faults = nil },
-		func(l *History) { l.ExecutionEnds[0].At = 22 * s },
-		func(l *History) { l.Disconnects["p 1"] = dispatch.DisconnectCounts{Canceled: 1, Overrun: 1} },
-		func(l *History) {
-			l.Faults = []FaultEntry{{Name: "proxy killed", At: 30 * s, MayReject: true}, {Name: "core machine killed", At: 5 * s, HitsCore: true}}
+		func(h *History) { h.Calls[1].Attempts = 100 },
+		func(h *History) { h.LostChanges = []string{"c"} },
+		func(h *History) { h.Faults = nil },
+		func(h *History) { h.ExecutionEnds[0].At = 22 * s },
+		func(h *History) { h.Disconnects["p 1"] = dispatch.DisconnectCounts{Canceled: 1, Overrun: 1} },
+		func(h *History) {
+			h.Faults = []FaultEntry{{Name: "proxy killed", At: 30 * s, MayReject: true}, {Name: "core machine killed", At: 5 * s, HitsCore: true}}
 		},
 	}
-	if len(breaches) != len(invariants) {
-		t.Fatalf("%d breaches for %d checkers", len(breaches), len(invariants))
+	if len(violations) != len(invariants) {
+		t.Fatalf("%d violations for %d invariants", len(violations), len(invariants))
 	}
-	for i, breach := range breaches {
-		ledger := validHistory()
-		if finding := CheckInvariants(ledger, nil)[i]; finding.Violations != 0 || finding.Checked == 0 {
-			t.Errorf("%s: on the good ledger %+v", finding.Rule, finding)
-		}
-		breach(ledger)
-		if finding := CheckInvariants(ledger, nil)[i]; finding.Violations == 0 {
-			t.Errorf("%s: the breach was not seen", finding.Rule)
-		}
+	for i, violate := range violations {
+		t.Run(invariants[i].rule, func(t *testing.T) {
+			history := validHistory()
+			if finding := CheckInvariants(history, nil)[i]; finding.Violations != 0 || finding.Checked == 0 {
+				t.Errorf("%s: on the valid history %+v", finding.Rule, finding)
+			}
+			violate(history)
+			if finding := CheckInvariants(history, nil)[i]; finding.Violations == 0 {
+				t.Errorf("%s: the violation was not found", finding.Rule)
+			}
+		})
 	}
 }
--- a/internal/testbed/rejections.go
+++ b/internal/testbed/rejections.go
@@ -4,15 +4,17 @@
 	"time"
 )
 
-// rejected tells whether a call was turned away with the mesh's own error, or lost with its proxy.
+// rejected tells whether a call got the mesh's own error, or was lost with its proxy. A call that its proxy
+// never took, or that its caller gave up, is not rejected.
 func (e *CallEntry) rejected() bool {
 	return e.Outcome != "answered" && e.Outcome != "unsent" && e.Outcome != outcomeDisconnected
 }
 
-// rejectionGraceLeases is how many leases after a fault's end somebody may still be turned away by it.
+// rejectionGraceLeases is how many leases after its end a fault may still cause rejections.
 const rejectionGraceLeases = 2
 
-// faultBehindRejection names the fault that may have turned a call away; empty if none may.
+// faultBehindRejection names a fault that may have caused the rejection of a call; empty if there is none.
+// A fault without an end lasts until the next one.
 func (h *History) faultBehindRejection(call CallEntry) string {
 	coreFaults := 0
 	for i, fault := range h.Faults {
@@ -26,7 +28,7 @@
 		if fault.HitsCore {
 			coreFaults++
 		}
-		// One core machine gone costs nothing; with another besides, a majority may be.
+		// The loss of one core machine is harmless; that of two may cost the majority.
 		if fault.MayReject || coreFaults > 1 {
 			return fault.Name
 		}
@@ -34,10 +36,11 @@
 	return ""
 }
 
-// peerMessageGrace is how long after the end of a fault that holds up what proxies tell each other its traces last.
+// peerMessageGrace is how long messages between proxies may still be late after the end of a fault that
+// delays them.
 const peerMessageGrace = 3 * time.Second
 
-// peerMessagesDelayed tells whether word from one proxy to another may have been held up at some time of a span.
+// peerMessagesDelayed tells whether messages between proxies may have been delayed at some time of a span.
 func (h *History) peerMessagesDelayed(from, to time.Duration) bool {
 	for _, fault := range h.Faults {
 		if fault.DelaysPeerMessages && fault.At < to && (fault.End == 0 || fault.End+peerMessageGrace > from) {
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -8,8 +8,9 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// A few seeds of the soak, with the race detector: real processes, faults that overlap, callers that leave. How
-// fast the machine is decides nothing here; a long soak by hand judges the bounds in seconds too.
+// TestSoak runs a few seeds of the soak with the race detector: real processes, overlapping faults, callers
+// that disconnect. The speed of the machine decides nothing here; a long soak by hand checks the bounds in
+// seconds too.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
@@ -30,17 +31,18 @@
 	}
 }
 
-// What a soak judges of callers that leave is found where it is broken, and only there.
+// TestDisconnectsAreChecked checks that the invariants about disconnecting callers are found violated where
+// they are, and only there.
 func TestDisconnectsAreChecked(t *testing.T) {
 	const rule = "workers are freed when the callers of repeatable calls leave"
 	left := CallEntry{Operation: "a", Outcome: outcomeDisconnected, Sent: time.Second, Received: 2 * time.Second}
 	nonIdempotent := left
 	nonIdempotent.NonIdempotent = true
 	for name, testCase := range map[string]struct {
-		call     CallEntry
-		end      time.Duration
-		faults   []FaultEntry
-		breaches int
+		call       CallEntry
+		end        time.Duration
+		faults     []FaultEntry
+		violations int
 	}{
 		"freed at once":                      {left, 2 * time.Second, nil, 0},
 		"freed in time":                      {left, 2500 * time.Millisecond, nil, 0},
@@ -51,10 +53,10 @@
 		"may not be repeated, so it goes on": {nonIdempotent, time.Minute, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := &History{DisconnectBound: 500 * time.Millisecond, Calls: []CallEntry{testCase.call}, ExecutionEnds: []ExecutionEndEntry{{Operation: "a", Worker: "w", At: testCase.end}}, Faults: testCase.faults}
-			for _, finding := range CheckInvariants(ledger, Deployments["small"]) {
-				if finding.Rule == rule && finding.Violations != testCase.breaches {
-					t.Errorf("%d breaches, want %d: %v", finding.Violations, testCase.breaches, finding.Examples)
+			history := &History{DisconnectBound: 500 * time.Millisecond, Calls: []CallEntry{testCase.call}, ExecutionEnds: []ExecutionEndEntry{{Operation: "a", Worker: "w", At: testCase.end}}, Faults: testCase.faults}
+			for _, finding := range CheckInvariants(history, Deployments["small"]) {
+				if finding.Rule == rule && finding.Violations != testCase.violations {
+					t.Errorf("%d violations, want %d: %v", finding.Violations, testCase.violations, finding.Examples)
 				}
 			}
 		})
@@ -67,19 +69,20 @@
 	}
 }
 
-// A call that ran and got no answer is a breach where nothing unplanned struck.
+// TestLostAnswersAreJudged checks that an executed call without a response is a violation, unless an
+// unplanned fault was active.
 func TestLostAnswersAreJudged(t *testing.T) {
 	for name, testCase := range map[string]struct {
-		fault    string
-		costs    bool
-		breaches int
+		fault      string
+		mayReject  bool
+		violations int
 	}{"around planned work": {"proxies restarted politely in series", false, 1}, "around a kill": {"proxy killed", true, 0}} {
 		t.Run(name, func(t *testing.T) {
-			ledger := &History{Calls: []CallEntry{{Operation: "a", Outcome: "unknown", Sent: 2 * time.Second, Received: 3 * time.Second}}, Executions: []ExecutionEntry{{Operation: "a"}},
-				Faults: []FaultEntry{{Name: testCase.fault, At: time.Second, MayReject: testCase.costs}}}
-			for _, finding := range CheckInvariants(ledger, Deployments["small"]) {
-				if strings.HasPrefix(finding.Rule, "a call that a worker is at is answered") && finding.Violations != testCase.breaches {
-					t.Errorf("%d breaches, want %d", finding.Violations, testCase.breaches)
+			history := &History{Calls: []CallEntry{{Operation: "a", Outcome: "unknown", Sent: 2 * time.Second, Received: 3 * time.Second}}, Executions: []ExecutionEntry{{Operation: "a"}},
+				Faults: []FaultEntry{{Name: testCase.fault, At: time.Second, MayReject: testCase.mayReject}}}
+			for _, finding := range CheckInvariants(history, Deployments["small"]) {
+				if strings.HasPrefix(finding.Rule, "a call that a worker is at is answered") && finding.Violations != testCase.violations {
+					t.Errorf("%d violations, want %d", finding.Violations, testCase.violations)
 				}
 			}
 		})
