--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -138,3 +138,26 @@
 	defer history.lock.Unlock()
 	*list = append(*list, entry)
 }
+
+// addFault records the beginning of a fault and returns its index.
+func (h *History) addFault(entry FaultEntry) int {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.Faults = append(h.Faults, entry)
+	return len(h.Faults) - 1
+}
+
+// setFaultTarget records which process or link a fault hit.
+func (h *History) setFaultTarget(index int, target string) {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.Faults[index].Target = target
+}
+
+// endFault records the end of a fault and returns its name.
+func (h *History) endFault(index int, at time.Duration) string {
+	h.lock.Lock()
+	defer h.lock.Unlock()
+	h.Faults[index].End = at
+	return h.Faults[index].Name
+}
--- a/internal/testbed/random_schedule.go
+++ b/internal/testbed/random_schedule.go
@@ -3,84 +3,116 @@
 import (
 	"encoding/json"
 	"math/rand/v2"
+	"slices"
 	"time"
 )
 
-// randomSchedule is how densely faults are drawn.
+// randomSchedule is how densely random faults are drawn.
 type randomSchedule struct {
-	meanInterval  time.Duration // mean time between two faults
-	maxDuration   time.Duration // the longest that one lasts
-	faultFreeTail time.Duration // of the length that is left free of new faults
-	maxActive     int           // at once
+	meanInterval  time.Duration // between the beginnings of two faults
+	maxDuration   time.Duration // of one fault
+	faultFreeTail time.Duration // at the end of the load, in which no fault begins
+	maxActive     int           // faults at the same time
 }
 
-// runRandomFaults draws faults by the seed, lets them come and go in combination, mends all, and
-// measures how long the fleet then takes to be back.
-func (r *testRun) runRandomFaults(schedule *randomSchedule, length time.Duration, logf func(string, ...any)) {
-	rng := rand.New(rand.NewPCG(r.options.Seed, 77))
-	type pending struct {
-		at    time.Duration
-		entry int
-		core  bool
-		end   func()
+// schedulerInterval is between two looks of the scheduler at its faults.
+const schedulerInterval = 100 * time.Millisecond
+
+// activeFault is a random fault that has not ended.
+type activeFault struct {
+	until    time.Duration
+	index    int // in the history's faults
+	hitsCore bool
+	end      func()
+}
+
+// faultScheduler begins and ends random faults. All draws come from its generator, in a fixed order, but what
+// is drawn when depends on the speed of the machine.
+type faultScheduler struct {
+	run        *testRun
+	schedule   *randomSchedule
+	rng        *rand.Rand
+	active     []activeFault
+	next       time.Duration // when the next fault is due
+	coreFaulty bool          // a core member is faulty, or has not recovered from its last fault
+}
+
+// runRandomFaults draws faults by the seed, lets them overlap, ends all, measures how long the fleet then takes
+// to recover, and returns at the end of the load's duration.
+func (r *testRun) runRandomFaults(schedule *randomSchedule, duration time.Duration) {
+	s := &faultScheduler{run: r, schedule: schedule, rng: rand.New(rand.NewPCG(r.options.Seed, 77))}
+	start := r.now()
+	s.next = start + time.Duration(s.rng.Int64N(int64(schedule.meanInterval)))
+	for r.now()-start < duration-schedule.faultFreeTail {
+		time.Sleep(schedulerInterval)
+		s.endExpired()
+		s.checkCore()
+		if r.now() >= s.next {
+			s.begin()
+		}
 	}
-	var active []pending
-	start, coreFaulty := r.now(), false
-	next := start + time.Duration(rng.Int64N(int64(schedule.meanInterval)))
-	endFault := func(fault pending) {
-		fault.end()
-		r.history.lock.Lock()
-		r.history.Faults[fault.entry].End = r.now()
-		r.history.lock.Unlock()
-		logf("%6.1f s:   over: %s", r.now().Seconds(), r.history.Faults[fault.entry].Name)
+	for _, fault := range s.active {
+		s.end(fault)
 	}
-	for r.now()-start < length-schedule.faultFreeTail {
-		time.Sleep(100 * time.Millisecond)
-		for i := 0; i < len(active); i++ {
-			if fault := active[i]; r.now() >= fault.at {
-				active = append(active[:i], active[i+1:]...)
-				i--
-				endFault(fault)
-			}
-		}
-		if coreFaulty {
-			stillFaulty := false
-			for _, fault := range active {
-				stillFaulty = stillFaulty || fault.core
-			}
-			coreFaulty = stillFaulty || !r.coreHealthy()
-		}
-		if r.now() < next {
-			continue
-		}
-		next = r.now() + time.Duration(rng.Int64N(int64(2*schedule.meanInterval)))
-		chosen := randomFaults[rng.IntN(len(randomFaults))]
-		duration := time.Duration(rng.Int64N(int64(schedule.maxDuration)))
-		if len(active) >= schedule.maxActive || (chosen.hitsCore && coreFaulty) {
-			continue
+	r.recoveryTime = r.awaitRecovery()
+	r.logf("%6.1f s: all mended; back after %.1f s", r.now().Seconds(), r.recoveryTime.Seconds())
+	time.Sleep(duration - (r.now() - start))
+}
+
+// endExpired ends the faults whose time is over.
+func (s *faultScheduler) endExpired() {
+	for i := 0; i < len(s.active); i++ {
+		if fault := s.active[i]; s.run.now() >= fault.until {
+			s.active = append(s.active[:i], s.active[i+1:]...)
+			i--
+			s.end(fault)
 		}
-		entry := FaultEntry{Name: chosen.name, At: r.now(), MayReject: chosen.mayReject, HitsCore: chosen.hitsCore, DelaysPeerMessages: delaysPeerMessages[chosen.name]}
-		r.history.lock.Lock()
-		r.history.Faults = append(r.history.Faults, entry)
-		index := len(r.history.Faults) - 1
-		r.history.lock.Unlock()
-		on, end := chosen.inject(r, rng)
-		r.history.lock.Lock()
-		r.history.Faults[index].Target = on
-		r.history.lock.Unlock()
-		logf("%6.1f s: %s: %s", entry.At.Seconds(), entry.Name, on)
-		active = append(active, pending{r.now() + duration, index, chosen.hitsCore, end})
-		coreFaulty = coreFaulty || chosen.hitsCore
 	}
-	for _, fault := range active {
-		endFault(fault)
+}
+
+// checkCore finds out whether the core has recovered from its last fault. Only one fault of the core at a time
+// is promised to be survived, so the next waits for that.
+func (s *faultScheduler) checkCore() {
+	if !s.coreFaulty {
+		return
 	}
-	r.recoveryTime = r.awaitRecovery()
-	logf("%6.1f s: all mended; back after %.1f s", r.now().Seconds(), r.recoveryTime.Seconds())
-	time.Sleep(length - (r.now() - start))
+	stillFaulty := slices.ContainsFunc(s.active, func(fault activeFault) bool { return fault.hitsCore })
+	s.coreFaulty = stillFaulty || !s.run.coreHealthy()
+}
+
+// begin draws a fault and, if it may overlap with those that are active, injects it.
+func (s *faultScheduler) begin() {
+	r := s.run
+	s.next = r.now() + time.Duration(s.rng.Int64N(int64(2*s.schedule.meanInterval)))
+	chosen := randomFaults[s.rng.IntN(len(randomFaults))]
+	duration := time.Duration(s.rng.Int64N(int64(s.schedule.maxDuration)))
+	if len(s.active) >= s.schedule.maxActive || (chosen.hitsCore && s.coreFaulty) {
+		return
+	}
+	entry := FaultEntry{
+		Name:               chosen.name,
+		At:                 r.now(),
+		MayReject:          chosen.mayReject,
+		HitsCore:           chosen.hitsCore,
+		DelaysPeerMessages: delaysPeerMessages[chosen.name],
+	}
+	// The entry is there before the fault is: what it causes may be checked against it.
+	index := r.history.addFault(entry)
+	target, end := chosen.inject(r, s.rng)
+	r.history.setFaultTarget(index, target)
+	r.logf("%6.1f s: %s: %s", entry.At.Seconds(), entry.Name, target)
+	s.active = append(s.active, activeFault{r.now() + duration, index, chosen.hitsCore, end})
+	s.coreFaulty = s.coreFaulty || chosen.hitsCore
+}
+
+// end ends a fault and records when.
+func (s *faultScheduler) end(fault activeFault) {
+	fault.end()
+	name := s.run.history.endFault(fault.index, s.run.now())
+	s.run.logf("%6.1f s:   over: %s", s.run.now().Seconds(), name)
 }
 
-// coreHealthy tells whether every core machine is ready and counts the claims of keys.
+// coreHealthy tells whether every core member is ready and its registry counts key reservations again.
 func (r *testRun) coreHealthy() bool {
 	for i, store := range r.fleet.Stores {
 		var status struct {
--- a/internal/testbed/release_changes.go
+++ b/internal/testbed/release_changes.go
@@ -6,66 +6,102 @@
 	"time"
 )
 
-// startRelease states a plan for a service.
+// startRelease submits a release plan for a service's new version and reports the ruling.
 func (r *testRun) startRelease(service string, target float64, over time.Duration) string {
 	operator := NewOperator("release-"+service, r.fleet, r.history, r.now)
 	text := fmt.Sprintf("release: %q: {service: %q, version: %q, target: %v, over: %q}\n", "to-"+service, service, versionNew, target, over)
 	return service + " " + operator.SubmitChange(1, text, "").Ruling
 }
 
-// churnRoutes adds forty routes, or removes them.
+// churnBatch is how many routes are added, or removed, by one change.
+const churnBatch = 40
+
+// churnRoutes adds a batch of routes, or removes it, and reports the ruling.
 func (r *testRun) churnRoutes(batch int, adds bool) string {
+	text := removeRoutesText(batch)
+	if adds {
+		text = addRoutesText(batch, r.serviceAt(0))
+	}
+	operator := NewOperator(fmt.Sprintf("churn-%d-%v", batch, adds), r.fleet, r.history, r.now)
+	return operator.SubmitChange(batch%r.options.Deployment.CoreMembers, text, "").Ruling
+}
+
+func addRoutesText(batch int, service string) string {
 	var text strings.Builder
-	for i := range 40 {
-		if adds {
-			fmt.Fprintf(&text, "route: \"churn-%d-%d\": {service: %q, prefix: \"/churn/%d/%d\"}\n", batch, i, r.serviceAt(0), batch, i)
-		} else if i == 0 {
-			text.WriteString("remove: route: [")
-		}
-		if !adds {
-			fmt.Fprintf(&text, "%q,", fmt.Sprintf("churn-%d-%d", batch, i))
-		}
+	for i := range churnBatch {
+		_, _ = fmt.Fprintf(&text, "route: \"churn-%d-%d\": {service: %q, prefix: \"/churn/%d/%d\"}\n", batch, i, service, batch, i)
 	}
-	if !adds {
-		text.WriteString("]\n")
+	return text.String()
+}
+
+func removeRoutesText(batch int) string {
+	var text strings.Builder
+	text.WriteString("remove: route: [")
+	for i := range churnBatch {
+		_, _ = fmt.Fprintf(&text, "%q,", fmt.Sprintf("churn-%d-%d", batch, i))
 	}
-	return NewOperator(fmt.Sprintf("churn-%d-%v", batch, adds), r.fleet, r.history, r.now).SubmitChange(batch%r.options.Deployment.CoreMembers, text.String(), "").Ruling
+	text.WriteString("]\n")
+	return text.String()
 }
 
-// watchReleases writes down set point and measured share as time goes on.
-func (r *testRun) watchReleases(stop <-chan struct{}, logf func(string, ...any)) {
+// releaseInterval is between two looks at the release plans.
+const releaseInterval = 2 * time.Second
+
+// watchReleases records set point and measured percentage of each release plan until stop closes, and reports
+// each change of a plan's state.
+func (r *testRun) watchReleases(stop <-chan struct{}) {
 	operator := NewOperator("watcher", r.fleet, r.history, r.now)
-	seen, last := 0, map[string]string{}
-	for turn := 0; ; turn++ {
+	seen, lastStatus := 0, map[string]string{}
+	for i := 0; ; i++ {
 		select {
 		case <-stop:
 			return
-		case <-time.After(2 * time.Second):
+		case <-time.After(releaseInterval):
 		}
-		shown, err := operator.ReadReleases(turn % r.options.Deployment.CoreMembers)
+		releases, err := operator.ReadReleases(i % r.options.Deployment.CoreMembers)
 		if err != nil {
 			continue
 		}
-		r.history.lock.Lock()
-		runs := r.history.Executions[seen:]
-		seen = len(r.history.Executions)
-		r.history.lock.Unlock()
-		for _, release := range shown {
-			total, onVersion := 0, 0
-			for _, run := range runs {
-				if run.Service == release.Service {
-					total++
-					if run.Version == release.Version {
-						onVersion++
-					}
-				}
+		executions := r.executionsSince(seen)
+		seen += len(executions)
+		for j := range releases {
+			release := &releases[j]
+			entry := ReleaseEntry{
+				At:                 r.now(),
+				Release:            release.Name,
+				State:              release.State,
+				Reason:             release.Reason,
+				SetPoint:           release.Percentage,
+				MeasuredPercentage: percentageOnVersion(executions, release.Service, release.Version),
 			}
-			entry := ReleaseEntry{At: r.now(), Release: release.Name, State: release.State, Reason: release.Reason, SetPoint: release.Percentage, MeasuredPercentage: 100 * float64(onVersion) / float64(max(1, total))}
 			appendEntry(r.history, &r.history.Releases, entry)
-			if status := release.State + " " + release.Reason; last[release.Name] != status {
-				last[release.Name] = status
-				logf("%6.1f s: plan %s: %s, set point %.1f, measured %.1f", entry.At.Seconds(), release.Name, status, entry.SetPoint, entry.MeasuredPercentage)
+			if status := release.State + " " + release.Reason; lastStatus[release.Name] != status {
+				lastStatus[release.Name] = status
+				r.logf("%6.1f s: plan %s: %s, set point %.1f, measured %.1f", entry.At.Seconds(), release.Name, status, entry.SetPoint, entry.MeasuredPercentage)
 			}
 		}
 	}
 }
+
+// executionsSince gives the executions recorded after the first so many. The history only grows, so they may
+// be read without its lock.
+func (r *testRun) executionsSince(count int) []ExecutionEntry {
+	r.history.lock.Lock()
+	defer r.history.lock.Unlock()
+	return r.history.Executions[count:]
+}
+
+// percentageOnVersion is the percentage of a service's executions that one version had.
+func percentageOnVersion(executions []ExecutionEntry, service, version string) float64 {
+	total, onVersion := 0, 0
+	for _, execution := range executions {
+		if execution.Service != service {
+			continue
+		}
+		total++
+		if execution.Version == version {
+			onVersion++
+		}
+	}
+	return 100 * float64(onVersion) / float64(max(1, total))
+}
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -2,19 +2,47 @@
 
 import (
 	"fmt"
-	"math/rand/v2"
-	"sync"
 	"time"
 
 	"meadowhinge/internal/errs"
 )
 
-// quietPeriod is how long the fleet is left alone at the end, for late runs to show.
+// quietPeriod is how long the fleet is left alone at the end, so that late executions show.
 const quietPeriod = 3 * time.Second
 
-// Run brings the fleet up, plays the load and the faults, and judges.
+// readyTimeout bounds each wait for processes of the fleet.
+const readyTimeout = time.Minute
+
+// Run brings a fleet up, puts load and faults on it, stops it, and checks what was seen.
 func Run(o Options) (*Report, error) {
-	logf := func(format string, values ...any) { fmt.Fprintf(o.Out, format+"\n", values...) }
+	r, err := newTestRun(o)
+	if err != nil {
+		return nil, err
+	}
+	defer r.stopFleet()
+	if err := r.bringUp(); err != nil {
+		return nil, err
+	}
+	if o.OnReady != nil {
+		o.OnReady(r.fleet)
+		return &Report{UncleanExits: r.shutdown()}, nil
+	}
+	load := r.startLoad()
+	cpuBefore, loadStarted := r.cpuSeconds(), r.now()
+	r.runScenario()
+	load.stop()
+	loadDuration := r.now() - loadStarted
+	cpuAfter := r.cpuSeconds()
+	time.Sleep(quietPeriod)
+	r.finalChecks()
+	unclean := r.shutdown()
+	report := r.buildReport(loadDuration, cpuBefore, cpuAfter)
+	report.UncleanExits = unclean
+	return report, nil
+}
+
+// newTestRun lays out the fleet of a run; nothing runs yet.
+func newTestRun(o Options) (*testRun, error) {
 	scenario, found := Scenarios[o.Scenario]
 	if !found {
 		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("no play is called %q", o.Scenario))
@@ -23,148 +51,124 @@
 	if err != nil {
 		return nil, err
 	}
-	stopped := false
-	defer func() {
-		if !stopped {
-			fleet.Stop()
-		}
-	}()
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	history := &History{DrainingBound: o.DrainingBound, DisconnectBound: o.DisconnectBound, CheckRejections: o.CheckRejections, Lease: o.Lease}
-	for _, process := range append(append([]*Process(nil), fleet.Stores...), fleet.Registries...) {
-		if err := process.Start(); err != nil {
-			return nil, err
-		}
-	}
-	if err := AwaitReady(fleet.Stores, time.Minute); err != nil {
-		return nil, err
-	}
-	if err := AwaitReady(fleet.Registries, time.Minute); err != nil {
-		return nil, err
-	}
-	logf("core ready after %.1f s", now().Seconds())
-	operator := NewOperator("first", fleet, history, now)
-	// On a machine too busy for the core to settle, the first setup is stated again.
-	for attempt := 0; ; attempt++ {
-		result := operator.SubmitChange(attempt%o.Deployment.CoreMembers, o.Deployment.ConfigText(map[bool]int{false: 50000}[scenario.releasePlans]), "")
-		if result.Acknowledged {
-			break
-		}
-		if attempt == 2*o.Deployment.CoreMembers {
-			return nil, errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not acknowledged: %+v", result))
+	history := &History{
+		DrainingBound:   o.DrainingBound,
+		DisconnectBound: o.DisconnectBound,
+		CheckRejections: o.CheckRejections,
+		Lease:           o.Lease,
+	}
+	return &testRun{
+		fleet:          fleet,
+		options:        o,
+		scenario:       scenario,
+		history:        history,
+		now:            now,
+		operator:       NewOperator("first", fleet, history, now),
+		workersStarted: map[int]int{},
+		edgeByWorker:   map[string]int{},
+	}, nil
+}
+
+// bringUp starts the core, configures it, starts proxies and workers, and waits until every proxy knows
+// every worker: calls before that are no proper load.
+func (r *testRun) bringUp() error {
+	if err := r.startCoreMembers(); err != nil {
+		return err
+	}
+	if err := r.submitInitialConfig(); err != nil {
+		return err
+	}
+	if err := startAll(r.fleet.Proxies); err != nil {
+		return err
+	}
+	if err := AwaitReady(r.fleet.Proxies, readyTimeout); err != nil {
+		return err
+	}
+	r.logf("proxies ready after %.1f s", r.now().Seconds())
+	for i, placement := range r.options.Deployment.placeWorkers() {
+		name := fmt.Sprintf("w%d-%s", i+1, placement.service)
+		if err := r.startWorker(name, placement.edge, placement.service, placement.version); err != nil {
+			return err
 		}
 	}
-	for _, process := range fleet.Proxies {
-		if err := process.Start(); err != nil {
-			return nil, err
-		}
+	return awaitWorkerDiscovery(r.fleet.Proxies, len(r.workers), readyTimeout)
+}
+
+// startCoreMembers starts all stores and registries and waits until they are ready.
+func (r *testRun) startCoreMembers() error {
+	if err := startAll(r.fleet.Stores); err != nil {
+		return err
 	}
-	if err := AwaitReady(fleet.Proxies, time.Minute); err != nil {
-		return nil, err
+	if err := startAll(r.fleet.Registries); err != nil {
+		return err
 	}
-	logf("proxies ready after %.1f s", now().Seconds())
-	run := &testRun{fleet: fleet, options: o, history: history, now: now, workersStarted: map[int]int{}, edgeByWorker: map[string]int{}}
-	for i, placement := range o.Deployment.placeWorkers() {
-		if err := run.startWorker(fmt.Sprintf("w%d-%s", i+1, placement.service), placement.edge, placement.service, placement.version); err != nil {
-			return nil, err
-		}
+	if err := AwaitReady(r.fleet.Stores, readyTimeout); err != nil {
+		return err
 	}
-	// Calls before every proxy knows every worker are not proper load.
-	if err := awaitWorkerDiscovery(fleet.Proxies, len(run.workers), time.Minute); err != nil {
-		return nil, err
+	if err := AwaitReady(r.fleet.Registries, readyTimeout); err != nil {
+		return err
 	}
-	if o.OnReady != nil {
-		o.OnReady(fleet)
-		for _, worker := range run.workers {
-			worker.Kill()
-		}
-		stopped = true
-		return &Report{UncleanExits: fleet.Stop()}, nil
-	}
-	stopCallers, stopChanges := make(chan struct{}), make(chan struct{})
-	var callersRunning, backgroundTasks sync.WaitGroup
-	rng := rand.New(rand.NewPCG(o.Seed, 1))
-	var callers [][]*Caller
-	for edge := range o.Deployment.Edges {
-		callers = append(callers, run.callersOn(edge))
-	}
-	for edge, edgeCallers := range callers {
-		for _, caller := range edgeCallers {
-			for other, otherCallers := range callers {
-				for _, candidate := range otherCallers {
-					if other != edge && candidate.name == caller.name {
-						caller.alternates = append(caller.alternates, candidate)
-					}
-				}
-			}
+	r.logf("core ready after %.1f s", r.now().Seconds())
+	return nil
+}
+
+func startAll(processes []*Process) error {
+	for _, process := range processes {
+		if err := process.Start(); err != nil {
+			return err
 		}
 	}
-	for _, edgeCallers := range callers {
-		for _, caller := range edgeCallers {
-			callersRunning.Add(1)
-			independent := rand.New(rand.NewPCG(o.Seed, rng.Uint64()))
-			go func() {
-				defer callersRunning.Done()
-				caller.Run(stopCallers, independent)
-			}()
+	return nil
+}
+
+// initialNewWeight is the share of the new versions at the start, in thousandths of a percent, where no
+// release plans move it.
+const initialNewWeight = 50000
+
+// submitInitialConfig submits the first configuration. On a machine too busy for the core to settle it is
+// submitted again, at the next core member.
+func (r *testRun) submitInitialConfig() error {
+	newWeight := initialNewWeight
+	if r.scenario.releasePlans {
+		newWeight = 0
+	}
+	d := r.options.Deployment
+	for attempt := 0; ; attempt++ {
+		result := r.operator.SubmitChange(attempt%d.CoreMembers, d.ConfigText(newWeight), "")
+		if result.Acknowledged {
+			return nil
 		}
-	}
-	if scenario.disconnectingCallers {
-		for edge, edgeCallers := range callers {
-			for i := range disconnectingCallersPerProxy {
-				disconnecting := NewDisconnectingCaller(edgeCallers[0], fleet.CallerAddress(edge, clientCaller), i)
-				independent := rand.New(rand.NewPCG(o.Seed, rng.Uint64()))
-				callersRunning.Go(func() { disconnecting.Run(stopCallers, independent) })
-			}
+		if attempt == 2*d.CoreMembers {
+			return errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not acknowledged: %+v", result))
 		}
 	}
-	for _, name := range []string{"ann", "ben"} {
-		backgroundTasks.Add(1)
-		independent := NewOperator(name, fleet, history, now)
-		go func() {
-			defer backgroundTasks.Done()
-			independent.ChangeLoop(stopChanges, 500*time.Millisecond, scenario.releasePlans)
-		}()
-	}
-	backgroundTasks.Go(func() { run.watchDisconnects(stopChanges) })
-	backgroundTasks.Add(2)
-	go func() {
-		defer backgroundTasks.Done()
-		run.measureDirectLatency(stopChanges)
-	}()
-	go func() {
-		defer backgroundTasks.Done()
-		run.sampleResources(stopChanges)
-	}()
-	if scenario.releasePlans {
-		backgroundTasks.Add(1)
-		go func() {
-			defer backgroundTasks.Done()
-			run.watchReleases(stopChanges, logf)
-		}()
-	}
-	cpuBefore, loadStarted := run.cpuSeconds(), now()
-	run.runScenario(scenario, o.LoadDuration, logf)
-	close(stopChanges)
-	backgroundTasks.Wait()
-	close(stopCallers)
-	callersRunning.Wait()
-	loadDuration := now() - loadStarted
-	cpuAfter := run.cpuSeconds()
-	time.Sleep(quietPeriod)
-	for core := range o.Deployment.CoreMembers {
-		_, _ = operator.ReadConfig(core)
-	}
-	run.verifyAcknowledgedChanges()
-	run.recordDisconnects()
-	for _, worker := range run.workers {
+}
+
+// finalChecks reads the configuration at each core member, the outcome of each acknowledged change, and the
+// counts of disconnected callers.
+func (r *testRun) finalChecks() {
+	for core := range r.options.Deployment.CoreMembers {
+		_, _ = r.operator.ReadConfig(core) // a view that can't be read is one entry less to check
+	}
+	r.verifyAcknowledgedChanges()
+	r.recordDisconnects()
+}
+
+// shutdown ends the workers, then the fleet, and names the processes that did not end cleanly.
+func (r *testRun) shutdown() []string {
+	for _, worker := range r.workers {
 		worker.Kill()
 	}
-	unclean := fleet.Stop()
-	stopped = true
-	report := run.buildReport(loadDuration, cpuBefore, cpuAfter)
-	report.UncleanExits, report.Resources = unclean, run.resources
-	report.RecoverySeconds, report.SurvivedChanges, report.Disconnects = run.recoveryTime.Seconds(), history.SurvivedChanges, history.totalDisconnects()
-	return report, nil
+	return r.stopFleet()
+}
+
+// stopFleet stops the fleet, unless that was done before.
+func (r *testRun) stopFleet() []string {
+	if r.fleetStopped {
+		return nil
+	}
+	r.fleetStopped = true
+	return r.fleet.Stop()
 }
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -6,30 +6,62 @@
 	"time"
 )
 
-// Scenario is a piece of faults, each at its part of the length of the load.
+// Scenario is a series of faults, each at a fraction of the load's duration, or a schedule of random ones.
 type Scenario struct {
-	relayEdges           bool            // links between edges go through relays too, so that they can be cut
-	releasePlans         bool            // flags start with the old version only, and plans move them
-	delayedDisks         bool            // stores run on a disk that can be made slow
-	random               *randomSchedule // faults are drawn by the seed, at a pace
-	disconnectingCallers bool            // some callers leave before they are answered
-	steps                []scenarioStep
+	relayEdges           bool            // links between edges go through relays too, so that they can be partitioned
+	releasePlans         bool            // flags start with the old version only, and release plans move them
+	delayedDisks         bool            // stores run on a disk that can be delayed
+	random               *randomSchedule // faults are drawn by the seed; steps is empty then
+	disconnectingCallers bool            // some callers disconnect before they get a response
+	steps                []scenarioStep  // in the order of their times
 }
 
+// scenarioStep is one fault, or the end of one.
 type scenarioStep struct {
-	atFraction float64
-	name       string
-	apply      func(*testRun) (on string)
+	atFraction float64 // of the load's duration
+	name       string  // as reports show it; see nonRejecting
+	apply      func(*testRun) (target string)
 }
 
-// nonRejecting are the acts that may turn nobody away; after any other somebody may be, for a while.
-var nonRejecting = map[string]bool{"worker drained": true, "worker gone": true, "address reused by another service": true, "worker of a version no setup lists": true,
-	"core machine killed": true, "core machine back": true, "core machine frozen": true, "core machine thawed": true, "core machine stopped": true, "core machine started": true,
-	"core machine back empty at a new address": true, "workers replaced one by one": true, "proxy restarted politely": true, "proxy back": true, "proxies back": true, "mended": true,
-	"setup grows by two thousand routes": true, "release plan stated": true, "release plan cancelled": true, "routes added": true, "routes removed": true, "warm": true, "proxy thawed": true, "a worker warms up slowly": true, "core split 2-1": true,
-	"one-way link loss in the core": true, "a good version, to turn bad late": true, "disk slow": true, "disk stalled": true, "disk whole": true, "storm of changes": true, "storm over": true}
+// nonRejecting are the names of steps that may cause no rejection. After any other step, calls may be
+// rejected for a while. A name that no step has would change nothing, so a change of a step's name belongs here
+// too.
+var nonRejecting = map[string]bool{
+	"worker drained":                           true,
+	"worker gone":                              true,
+	"address reused by another service":        true,
+	"worker of a version no setup lists":       true,
+	"core machine killed":                      true,
+	"core machine back":                        true,
+	"core machine frozen":                      true,
+	"core machine thawed":                      true,
+	"core machine stopped":                     true,
+	"core machine started":                     true,
+	"core machine back empty at a new address": true,
+	"workers replaced one by one":              true,
+	"proxy restarted politely":                 true,
+	"proxy back":                               true,
+	"proxies back":                             true,
+	"mended":                                   true,
+	"setup grows by two thousand routes":       true,
+	"release plan stated":                      true,
+	"release plan cancelled":                   true,
+	"routes added":                             true,
+	"routes removed":                           true,
+	"warm":                                     true,
+	"proxy thawed":                             true,
+	"a worker warms up slowly":                 true,
+	"core split 2-1":                           true,
+	"one-way link loss in the core":            true,
+	"a good version, to turn bad late":         true,
+	"disk slow":                                true,
+	"disk stalled":                             true,
+	"disk whole":                               true,
+	"storm of changes":                         true,
+	"storm over":                               true,
+}
 
-// Scenarios are the pieces by name.
+// Scenarios are all scenarios by name.
 var Scenarios = map[string]*Scenario{
 	"none":     {},
 	"standard": {steps: standardSteps},
@@ -42,36 +74,56 @@
 	"gone":     {releasePlans: true, steps: rollbackDuringCoreLossSteps},
 	"load":     {releasePlans: true, steps: rollbackUnderLoadSteps},
 	"long":     {steps: longSteps},
-	"random":   {relayEdges: true, delayedDisks: true, random: &randomSchedule{meanInterval: 6 * time.Second, maxDuration: 12 * time.Second, faultFreeTail: 25 * time.Second, maxActive: 8}},
-	"soak":     {relayEdges: true, delayedDisks: true, disconnectingCallers: true, random: &randomSchedule{meanInterval: 800 * time.Millisecond, maxDuration: 4 * time.Second, faultFreeTail: 5 * time.Second, maxActive: 3}},
+	"random": {
+		relayEdges:   true,
+		delayedDisks: true,
+		random: &randomSchedule{
+			meanInterval:  6 * time.Second,
+			maxDuration:   12 * time.Second,
+			faultFreeTail: 25 * time.Second,
+			maxActive:     8,
+		},
+	},
+	"soak": {
+		relayEdges:           true,
+		delayedDisks:         true,
+		disconnectingCallers: true,
+		random: &randomSchedule{
+			meanInterval:  800 * time.Millisecond,
+			maxDuration:   4 * time.Second,
+			faultFreeTail: 5 * time.Second,
+			maxActive:     3,
+		},
+	},
 }
 
-// ScenarioNames lists the plays.
+// ScenarioNames lists the scenarios by name.
 func ScenarioNames() []string { return slices.Sorted(maps.Keys(Scenarios)) }
 
-// runScenario goes through a piece and waits for the end of the load's time.
-func (r *testRun) runScenario(scenario *Scenario, length time.Duration, logf func(string, ...any)) {
-	if scenario.random != nil {
-		r.runRandomFaults(scenario.random, length, logf)
+// runScenario goes through the scenario and returns at the end of the load's duration.
+func (r *testRun) runScenario() {
+	duration := r.options.LoadDuration
+	if r.scenario.random != nil {
+		r.runRandomFaults(r.scenario.random, duration)
 		return
 	}
 	start := r.now()
-	for _, step := range scenario.steps {
-		time.Sleep(time.Duration(step.atFraction*float64(length)) - (r.now() - start))
+	for _, step := range r.scenario.steps {
+		time.Sleep(time.Duration(step.atFraction*float64(duration)) - (r.now() - start))
 		entry := FaultEntry{Name: step.name, At: r.now(), MayReject: !nonRejecting[step.name]}
 		entry.Target = step.apply(r)
 		appendEntry(r.history, &r.history.Faults, entry)
-		logf("%6.1f s: %s: %s", entry.At.Seconds(), entry.Name, entry.Target)
+		r.logf("%6.1f s: %s: %s", entry.At.Seconds(), entry.Name, entry.Target)
 	}
-	time.Sleep(length - (r.now() - start))
+	time.Sleep(duration - (r.now() - start))
 }
 
-// serviceAt names the i-th service of the deployment.
+// serviceAt names the i-th service of the deployment, counted round and round.
 func (r *testRun) serviceAt(i int) string {
 	return r.options.Deployment.Services[i%len(r.options.Deployment.Services)].Name
 }
 
-// fractionOfLoad is a part of the load's length.
+// fractionOfLoad is a part of the load's duration, in full seconds.
 func (r *testRun) fractionOfLoad(fraction float64) time.Duration {
 	return (time.Duration(fraction * float64(r.options.LoadDuration))).Round(time.Second)
 }
