--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -143,6 +143,7 @@
 			return c, err
 		}
 	}
+	//nolint:contextcheck // AwaitReady has a timeout of its own; to end it with ctx would change interrupted runs
 	if err := AwaitReady(append(append([]*Process(nil), fleet.Stores...), fleet.Registries...), time.Minute+keyWindowLeases*fleet.lease); err != nil {
 		return c, err
 	}
@@ -152,7 +153,8 @@
 	if err := operator.submitInitialConfig(ctx); err != nil {
 		return c, err
 	}
-	if err := AwaitReady(fleet.Proxies, time.Minute); err != nil {
+	//nolint:contextcheck // as above
+	if err := AwaitReady(fleet.Proxies, readyTimeout); err != nil {
 		return c, err
 	}
 	for i := range length {
@@ -324,7 +326,7 @@
 			point, added := c.measureLoad(rate, depth)
 			point.Run = run + 1
 			report.Points = append(report.Points, point)
-			fmt.Fprintf(out, "%g chains a second of depth %d: %.0f calls a second, %.3g ms of processor each in all proxies, %.2f ms added at p99, %d failed\n",
+			printf(out, "%g chains a second of depth %d: %.0f calls a second, %.3g ms of processor each in all proxies, %.2f ms added at p99, %d failed\n",
 				rate, depth, point.CallRate, point.ProxiesCPU/max(1, point.CallRate), point.AddedLatency.P99, point.Failed)
 			if name := fmt.Sprintf("depth %d, %g a second", depth, rate); report.addedByLoad[name] == nil {
 				report.addedByLoad[name] = added
@@ -379,14 +381,14 @@
 
 // Print shows the runs and the slopes.
 func (r *CallsReport) Print(out io.Writer) {
-	fmt.Fprintf(out, "%s mode, commit %s, %d cores\n\n| chains/s | depth | run | calls/s | failed | proxies cpu ms/s | caller side | worker side | bytes sent/s | added ms p50 / p99 | past the mesh ms p50 / p99 |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", r.Mode, r.Commit, r.Cores)
+	printf(out, "%s mode, commit %s, %d cores\n\n| chains/s | depth | run | calls/s | failed | proxies cpu ms/s | caller side | worker side | bytes sent/s | added ms p50 / p99 | past the mesh ms p50 / p99 |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", r.Mode, r.Commit, r.Cores)
 	for _, p := range r.Points {
-		fmt.Fprintf(out, "| %g | %d | %d | %.0f | %d | %s | %s | %s | %.0f | %.2f / %.2f | %.2f / %.2f |\n", p.Rate, p.Depth, p.Run, p.CallRate, p.Failed, formatShort(p.ProxiesCPU), formatShort(p.CallerSideCPU),
+		printf(out, "| %g | %d | %d | %.0f | %d | %s | %s | %s | %.0f | %.2f / %.2f | %.2f / %.2f |\n", p.Rate, p.Depth, p.Run, p.CallRate, p.Failed, formatShort(p.ProxiesCPU), formatShort(p.CallerSideCPU),
 			formatShort(p.WorkerSideCPU), p.BytesSent, p.AddedLatency.P50, p.AddedLatency.P99, p.DirectLatency.P50, p.DirectLatency.P99)
 	}
-	fmt.Fprintf(out, "\n| cost | by | slope | R² | spread of runs | foretold for the last |\n| --- | --- | --- | --- | --- | --- |\n")
+	printf(out, "\n| cost | by | slope | R² | spread of runs | foretold for the last |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range r.Slopes {
-		fmt.Fprintf(out, "| %s | %s | %s | %.3f | %.0f %% | %s, %+.0f %% |\n", s.Cost, s.Driver, s.Formula(), s.RSquared, 100*s.RelativeSpread, formatShort(s.Predicted), 100*s.RelativeError())
+		printf(out, "| %s | %s | %s | %.3f | %.0f %% | %s, %+.0f %% |\n", s.Cost, s.Driver, s.Formula(), s.RSquared, 100*s.RelativeSpread, formatShort(s.Predicted), 100*s.RelativeError())
 	}
 }
 
--- a/internal/testbed/cpu.go
+++ b/internal/testbed/cpu.go
@@ -10,11 +10,9 @@
 func (r *testRun) cpuSeconds() map[string]float64 {
 	seconds := map[string]float64{}
 	for _, process := range r.fleet.Processes() {
-		process.lock.Lock()
-		if process.cmd != nil && process.cmd.Process != nil {
-			seconds[filepath.Base(process.program)] += cpuSecondsOf(process.cmd.Process.Pid)
+		if pid := process.pid(); pid != 0 {
+			seconds[filepath.Base(process.program)] += cpuSecondsOf(pid)
 		}
-		process.lock.Unlock()
 	}
 	return seconds
 }
--- a/internal/testbed/disconnecting_caller.go
+++ b/internal/testbed/disconnecting_caller.go
@@ -135,7 +135,7 @@
 			return
 		}
 		body, err := io.ReadAll(response.Body)
-		response.Body.Close()
+		_ = response.Body.Close() // read to its end, or its connection is closed
 		if response.StatusCode < http.StatusOK && err == nil {
 			continue
 		}
@@ -152,7 +152,7 @@
 
 func (c *DisconnectingCaller) closeConn() {
 	if c.conn != nil {
-		c.conn.Close()
+		_ = c.conn.Close() // a lost connection is as good as a closed one
 		c.conn = nil
 	}
 }
--- a/internal/testbed/disconnects.go
+++ b/internal/testbed/disconnects.go
@@ -1,9 +1,7 @@
 package testbed
 
 import (
-	"encoding/json"
 	"fmt"
-	"net/http"
 	"sync"
 	"time"
 
@@ -31,13 +29,10 @@
 	for _, process := range r.fleet.Proxies {
 		polling.Go(func() {
 			incarnation := fmt.Sprint(process.Name, " ", process.pid())
-			response, err := probeClient.Get("http://" + process.probeAddress + "/status")
-			if err != nil {
-				return
+			var status struct {
+				Disconnects dispatch.DisconnectCounts `json:"departures"`
 			}
-			defer response.Body.Close()
-			var status struct{ Departures dispatch.DisconnectCounts }
-			if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&status) != nil {
+			if process.getPage("/status", &status) != nil {
 				return
 			}
 			r.history.lock.Lock()
@@ -45,7 +40,7 @@
 			if r.history.Disconnects == nil {
 				r.history.Disconnects = map[string]dispatch.DisconnectCounts{}
 			}
-			r.history.Disconnects[incarnation] = status.Departures
+			r.history.Disconnects[incarnation] = status.Disconnects
 		})
 	}
 	polling.Wait()
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -53,7 +53,7 @@
 	for _, relay := range f.relays {
 		relay.Close()
 	}
-	f.netLock.Close()
+	_ = f.netLock.Close() // frees the net, also if it fails
 	return unclean
 }
 
--- a/internal/testbed/fleet_layout.go
+++ b/internal/testbed/fleet_layout.go
@@ -11,79 +11,133 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// NewFleet lays out a fleet in a folder; nothing runs yet.
+// NewFleet lays out a fleet in a folder: its addresses, certificates, settings files and relays. No process
+// runs yet. With relayEdges, links between edges go through relays too; with delayedDisks, the stores' disks
+// can be delayed.
 func NewFleet(d *Deployment, folder, binaries string, lease time.Duration, relayEdges, delayedDisks bool) (*Fleet, error) {
 	authority, err := NewAuthority(filepath.Join(folder, "certificates"))
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Deployment: d, folder: folder, binaries: binaries, lease: lease, delayedDisks: delayedDisks, authority: authority, LinkFaults: NewLinkFaults()}
+	f := &Fleet{
+		Deployment:   d,
+		folder:       folder,
+		binaries:     binaries,
+		lease:        lease,
+		delayedDisks: delayedDisks,
+		authority:    authority,
+		LinkFaults:   NewLinkFaults(),
+	}
 	if f.netOctet, f.netLock, err = fakebackend.ReserveLoopbackNet(); err != nil {
 		return nil, err
 	}
-	seedList := func(addressOf func(int) string, count, port, except int) string {
-		var parts []string
-		for i := range count {
-			if i != except {
-				parts = append(parts, fmt.Sprintf("%s:%d", addressOf(i), port))
-			}
-		}
-		return strings.Join(parts, ",")
-	}
-	relayAddressOf := func(i int) string { return relayAddress(f.coreAddress(i)) }
-	memberOrder := strings.Join(f.memberIDs(), ",")
 	for i, memberID := range f.memberIDs() {
-		for _, port := range []int{portStore, portRegistry} {
-			relay, err := NewRelay(fmt.Sprintf("%s:%d", relayAddressOf(i), port), fmt.Sprintf("%s:%d", f.coreAddress(i), port), f.coreAddress(i), f.LinkFaults)
-			if err != nil {
-				return nil, err
-			}
-			f.relays = append(f.relays, relay)
-		}
-		store, err := f.newProcess("store", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portStoreProbe), map[string]string{
-			"seat": memberID, "order": memberOrder, "listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore), "advertise": fmt.Sprintf("%s:%d", relayAddressOf(i), portStore),
-			"seeds": seedList(relayAddressOf, d.CoreMembers, portStore, i)})
-		if err != nil {
+		if err := f.layOutMember(i, memberID); err != nil {
 			return nil, err
 		}
-		f.Stores = append(f.Stores, store)
-		registry, err := f.newProcess("registry", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistryProbe), map[string]string{
-			"seat": memberID, "order": memberOrder, "listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistry), "advertise": fmt.Sprintf("%s:%d", relayAddressOf(i), portRegistry),
-			"seeds": seedList(relayAddressOf, d.CoreMembers, portRegistry, i), "store": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore),
-			"operator-listen": f.OperatorAddress(i), "lease": lease.String()})
-		if err != nil {
+	}
+	for i := range d.Edges {
+		if err := f.layOutEdge(i, relayEdges); err != nil {
 			return nil, err
 		}
-		f.Registries = append(f.Registries, registry)
 	}
-	for i := range d.Edges {
-		var callers []string
-		for _, caller := range f.callerNames() {
-			callers = append(callers, caller+"="+f.CallerAddress(i, caller))
+	return f, nil
+}
+
+// relayedSeeds lists a port of all core members, as reached through their relays, but for one; -1 for all.
+func (f *Fleet) relayedSeeds(port, except int) string {
+	var seeds []string
+	for i := range f.Deployment.CoreMembers {
+		if i != except {
+			seeds = append(seeds, fmt.Sprintf("%s:%d", relayAddress(f.coreAddress(i)), port))
 		}
-		name := fmt.Sprintf("edge-%d", i+1)
-		advertised := f.edgeAddress(i)
-		if relayEdges {
-			advertised = relayAddress(advertised)
-			relay, err := NewRelay(fmt.Sprintf("%s:%d", advertised, portPeer), fmt.Sprintf("%s:%d", f.edgeAddress(i), portPeer), f.edgeAddress(i), f.LinkFaults)
-			if err != nil {
-				return nil, err
-			}
-			f.relays = append(f.relays, relay)
+	}
+	return strings.Join(seeds, ",")
+}
+
+// addRelay puts a relay in front of a port of a machine.
+func (f *Fleet) addRelay(machine string, port int) error {
+	listen := fmt.Sprintf("%s:%d", relayAddress(machine), port)
+	target := fmt.Sprintf("%s:%d", machine, port)
+	relay, err := NewRelay(listen, target, machine, f.LinkFaults)
+	if err != nil {
+		return err
+	}
+	f.relays = append(f.relays, relay)
+	return nil
+}
+
+// layOutMember lays out the store and the registry of a core machine, and the relays in front of them.
+func (f *Fleet) layOutMember(i int, memberID string) error {
+	machine := f.coreAddress(i)
+	for _, port := range []int{portStore, portRegistry} {
+		if err := f.addRelay(machine, port); err != nil {
+			return err
 		}
-		proxy, err := f.newProcess("proxy", name, f.callerNames(), fmt.Sprintf("%s:%d", f.edgeAddress(i), portProbe), map[string]string{
-			"advertise": fmt.Sprintf("%s:%d", advertised, portPeer),
-			"name":      name, "area": f.zone(i), "listen": fmt.Sprintf("%s:%d", f.edgeAddress(i), portPeer), "seeds": seedList(relayAddressOf, d.CoreMembers, portRegistry, -1),
-			"callers": strings.Join(callers, ","), "workers-listen": fmt.Sprintf("%s:%d", f.edgeAddress(i), portWorkerAPI), "lease": lease.String()})
-		if err != nil {
-			return nil, err
+	}
+	memberOrder := strings.Join(f.memberIDs(), ",")
+	store, err := f.newProcess("store", memberID, nil, fmt.Sprintf("%s:%d", machine, portStoreProbe), map[string]string{
+		"seat":      memberID,
+		"order":     memberOrder,
+		"listen":    fmt.Sprintf("%s:%d", machine, portStore),
+		"advertise": fmt.Sprintf("%s:%d", relayAddress(machine), portStore),
+		"seeds":     f.relayedSeeds(portStore, i),
+	})
+	if err != nil {
+		return err
+	}
+	f.Stores = append(f.Stores, store)
+	registry, err := f.newProcess("registry", memberID, nil, fmt.Sprintf("%s:%d", machine, portRegistryProbe), map[string]string{
+		"seat":            memberID,
+		"order":           memberOrder,
+		"listen":          fmt.Sprintf("%s:%d", machine, portRegistry),
+		"advertise":       fmt.Sprintf("%s:%d", relayAddress(machine), portRegistry),
+		"seeds":           f.relayedSeeds(portRegistry, i),
+		"store":           fmt.Sprintf("%s:%d", machine, portStore),
+		"operator-listen": f.OperatorAddress(i),
+		"lease":           f.lease.String(),
+	})
+	if err != nil {
+		return err
+	}
+	f.Registries = append(f.Registries, registry)
+	return nil
+}
+
+// layOutEdge lays out the proxy of an edge machine and, if links between edges are relayed, its relay.
+func (f *Fleet) layOutEdge(i int, relayed bool) error {
+	machine := f.edgeAddress(i)
+	var callers []string
+	for _, caller := range f.callerNames() {
+		callers = append(callers, caller+"="+f.CallerAddress(i, caller))
+	}
+	advertised := machine
+	if relayed {
+		advertised = relayAddress(machine)
+		if err := f.addRelay(machine, portPeer); err != nil {
+			return err
 		}
-		f.Proxies = append(f.Proxies, proxy)
 	}
-	return f, nil
+	name := fmt.Sprintf("edge-%d", i+1)
+	proxy, err := f.newProcess("proxy", name, f.callerNames(), fmt.Sprintf("%s:%d", machine, portProbe), map[string]string{
+		"name":           name,
+		"area":           f.zone(i),
+		"listen":         fmt.Sprintf("%s:%d", machine, portPeer),
+		"advertise":      fmt.Sprintf("%s:%d", advertised, portPeer),
+		"seeds":          f.relayedSeeds(portRegistry, -1),
+		"callers":        strings.Join(callers, ","),
+		"workers-listen": fmt.Sprintf("%s:%d", machine, portWorkerAPI),
+		"lease":          f.lease.String(),
+	})
+	if err != nil {
+		return err
+	}
+	f.Proxies = append(f.Proxies, proxy)
+	return nil
 }
 
-// newProcess writes a settings file and makes the process that reads it.
+// newProcess issues a process's certificate, writes its settings file and makes the process, which does not run
+// yet. Services are those that the certificate may speak for.
 func (f *Fleet) newProcess(program, name string, services []string, probeAddress string, settings map[string]string) (*Process, error) {
 	certificate, err := f.authority.Issue(program, name, services)
 	if err != nil {
@@ -93,11 +147,21 @@
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, errs.Wrap(err, errs.DiskFailed, folder)
 	}
-	process := &Process{Name: program + "/" + name, program: filepath.Join(f.binaries, program), args: []string{"-settings", filepath.Join(folder, "settings")},
-		settingsFile: filepath.Join(folder, "settings"),
-		probeAddress: probeAddress, logFile: filepath.Join(folder, "output"), settings: settings}
-	settings["certificate"], settings["authority"], settings["data"], settings["probe-listen"] = certificate, f.authority.File(), filepath.Join(folder, "data"), probeAddress
-	// A store runs on a disk that can be made slow, which only the rehearsal has.
+	settings["certificate"] = certificate
+	settings["authority"] = f.authority.File()
+	settings["data"] = filepath.Join(folder, "data")
+	settings["probe-listen"] = probeAddress
+	settingsFile := filepath.Join(folder, "settings")
+	process := &Process{
+		Name:         program + "/" + name,
+		program:      filepath.Join(f.binaries, program),
+		args:         []string{"-settings", settingsFile},
+		settingsFile: settingsFile,
+		probeAddress: probeAddress,
+		logFile:      filepath.Join(folder, "output"),
+		settings:     settings,
+	}
+	// The store program can't delay its disk. This program can, and runs the same daemon.
 	if program == "store" && f.delayedDisks {
 		process.program = filepath.Join(f.binaries, "testbed")
 		process.args = append([]string{DelayedStoreCommand, filepath.Join(folder, diskDelayFile)}, process.args...)
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -64,7 +64,10 @@
 	}
 }
 
+// checkInputs sends good and bad requests of callers, workers and operators to a running fleet, and checks
+// statuses, bodies, the single execution under an idempotency key, and the count of verdicts.
 func checkInputs(t *testing.T, fleet *Fleet) {
+	t.Helper()
 	// A refusal that may be asked again, as where a machine is too busy for its leases and claims,
 	// is asked again; each call that was planned counts, whatever became of it.
 	repeats := uint64(0)
@@ -78,7 +81,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer response.Body.Close()
+		defer func() { _ = response.Body.Close() }() // the response is only read
 		text, _ := io.ReadAll(response.Body)
 		return response.StatusCode, string(text), response.Header
 	}
--- a/internal/testbed/hollow_core.go
+++ b/internal/testbed/hollow_core.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
 	"os"
@@ -157,12 +156,7 @@
 	counters, sample := processCounters{role: role, name: name}, Sample{}
 	p.raiseSample(&sample)
 	counters.memoryKB, counters.diskKB = sample.MemoryKB, sample.DiskKB
-	p.lock.Lock()
-	pid := 0
-	if p.cmd != nil && p.cmd.Process != nil {
-		pid = p.cmd.Process.Pid
-	}
-	p.lock.Unlock()
+	pid := p.pid()
 	counters.cpuSeconds, counters.bytesWritten = cpuSecondsOf(pid), bytesWrittenBy(pid)
 	var process daemon.Process
 	p.readPage("/process", &process)
@@ -177,12 +171,8 @@
 // readPage reads one of a process's own pages.
 func (p *Process) readPage(path string, target any) {
 	for range pageAttempts {
-		if response, err := probeClient.Get("http://" + p.probeAddress + path); err == nil {
-			err = json.NewDecoder(response.Body).Decode(target)
-			response.Body.Close()
-			if err == nil {
-				return
-			}
+		if p.getPage(path, target) == nil {
+			return
 		}
 	}
 }
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // the response is only read
 	answered, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.PeerConnectionLost, "registry")
@@ -101,6 +101,13 @@
 	return answer, nil
 }
 
+// forgetSubmitted forgets the changes so far, so that they do not count as measured.
+func (o *hollowOperator) forgetSubmitted() {
+	o.lock.Lock()
+	defer o.lock.Unlock()
+	o.submitted = nil
+}
+
 // newestAccepted is the highest sequence of an accepted change.
 func (o *hollowOperator) newestAccepted() uint64 {
 	o.lock.Lock()
@@ -111,52 +118,72 @@
 // routesPerChange is how many routes one change of the first setup brings.
 const routesPerChange = 250
 
-// submitInitialConfig states the first setup, in pieces, until each is acknowledged.
+// submitInitialConfig submits the first configuration, in pieces, until each is accepted.
 func (o *hollowOperator) submitInitialConfig(ctx context.Context) error {
-	var pieces []string
-	var text strings.Builder
-	for i := range int(o.opts.Services) {
-		callers := []string{clientCaller}
-		// Each service is called by a few others, as in a tree of calls.
-		for j := 1; j <= min(callersPerService, int(o.opts.Services)-1); j++ {
-			callers = append(callers, serviceName((i-j+int(o.opts.Services))%int(o.opts.Services)))
-		}
-		fmt.Fprintf(&text, "service: %q: {versions: [%q, %q], fallback: %q, callers: %s}\n", serviceName(i), versionOld, versionNew, versionOld, quoteList(callers))
-		if i < int(o.opts.Releases) {
-			text.WriteString(o.core.Deployment.FlagText(serviceName(i), 0, 0))
+	for _, piece := range o.initialConfig() {
+		if err := o.submitUntilAccepted(ctx, piece); err != nil {
+			return err
 		}
 	}
-	pieces = append(pieces, text.String())
+	return nil
+}
+
+// initialConfig gives the changes that make up the first configuration: services, then routes, then releases.
+func (o *hollowOperator) initialConfig() []string {
+	pieces := []string{o.servicesText()}
 	for from := 0; from < int(o.opts.Routes); from += routesPerChange {
-		text.Reset()
+		var text strings.Builder
 		for i := from; i < min(from+routesPerChange, int(o.opts.Routes)); i++ {
 			text.WriteString(o.routeText(i, "2s"))
 		}
 		pieces = append(pieces, text.String())
 	}
+	// So long that it is still in progress at the end.
+	over := releaseLengthFactor * time.Duration(o.opts.Length+o.opts.Settle)
 	for i := range int(o.opts.Releases) {
-		// So long that it is still under way at the end.
-		pieces = append(pieces, fmt.Sprintf("release: %q: {service: %q, version: %q, target: 50, over: %q}\n", "to-"+serviceName(i), serviceName(i), versionNew,
-			(releaseLengthFactor*time.Duration(o.opts.Length+o.opts.Settle)).String()))
-	}
-	for _, piece := range pieces {
-		for attempt := 0; ; attempt++ {
-			answer, err := o.submitChange(attempt%int(o.opts.Seats), piece)
-			if err == nil && (answer.Ruling == "accepted" || answer.Ruling == "conflict") {
-				break
-			}
-			if err == nil && answer.Ruling == "invalid" {
-				return errs.New(errs.InvalidConfig, fmt.Sprint(answer.Faults))
-			}
-			if attempt == maxInitialAttempts {
-				return errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not taken: %+v, %v", answer, err))
-			}
-			if !sleepContext(ctx, initialRetryPause) {
-				return ctx.Err()
-			}
+		pieces = append(pieces, fmt.Sprintf("release: %q: {service: %q, version: %q, target: 50, over: %q}\n",
+			"to-"+serviceName(i), serviceName(i), versionNew, over.String()))
+	}
+	return pieces
+}
+
+// servicesText states the services, each called by a few others as in a tree of calls, and the flags of those
+// that have a release.
+func (o *hollowOperator) servicesText() string {
+	var text strings.Builder
+	services := int(o.opts.Services)
+	for i := range services {
+		callers := []string{clientCaller}
+		for j := 1; j <= min(callersPerService, services-1); j++ {
+			callers = append(callers, serviceName((i-j+services)%services))
+		}
+		fmt.Fprintf(&text, "service: %q: {versions: [%q, %q], fallback: %q, callers: %s}\n",
+			serviceName(i), versionOld, versionNew, versionOld, quoteList(callers))
+		if i < int(o.opts.Releases) {
+			text.WriteString(o.core.Deployment.FlagText(serviceName(i), 0, 0))
+		}
+	}
+	return text.String()
+}
+
+// submitUntilAccepted submits a change at one core member after another. A conflict counts as accepted: an
+// earlier attempt, whose response was lost, was.
+func (o *hollowOperator) submitUntilAccepted(ctx context.Context, text string) error {
+	for attempt := 0; ; attempt++ {
+		answer, err := o.submitChange(attempt%int(o.opts.Seats), text)
+		if err == nil && (answer.Ruling == "accepted" || answer.Ruling == "conflict") {
+			return nil
+		}
+		if err == nil && answer.Ruling == "invalid" {
+			return errs.New(errs.InvalidConfig, fmt.Sprint(answer.Faults))
+		}
+		if attempt == maxInitialAttempts {
+			return errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not taken: %+v, %v", answer, err))
+		}
+		if !sleepContext(ctx, initialRetryPause) {
+			return ctx.Err()
 		}
 	}
-	return nil
 }
 
 // How a hollow setup looks, and how patiently it is founded.
--- a/internal/testbed/hollow_report.go
+++ b/internal/testbed/hollow_report.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return nil
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // the response is only read
 	var shown struct {
 		Items []json.RawMessage `json:"items"`
 	}
@@ -166,32 +166,32 @@
 // Print shows the report to a person.
 func (r *HollowReport) Print(out io.Writer) {
 	opts := r.Options
-	fmt.Fprintf(out, "%s: %d members, %d workers, %d services, %d routes, %d seats, %g changes and %g restarts a minute, %d releases, %.0f s, commit %s\n",
+	printf(out, "%s: %d members, %d workers, %d services, %d routes, %d seats, %g changes and %g restarts a minute, %d releases, %.0f s, commit %s\n",
 		opts.Mode, opts.Members, max(opts.Workers, opts.Members), opts.Services, opts.Routes, opts.Seats, opts.Changes, opts.Restarts, opts.Releases, r.Seconds, r.Commit)
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(table, "role\tprocesses\tcpu ms/s\tlargest\tbytes in/s\tbytes out/s\tmessages/s\tlinks opened/s\tMB\theap MB\tdisk KB\twritten B/s\t")
+	printLine(table, "role\tprocesses\tcpu ms/s\tlargest\tbytes in/s\tbytes out/s\tmessages/s\tlinks opened/s\tMB\theap MB\tdisk KB\twritten B/s\t")
 	for _, row := range r.Roles {
-		fmt.Fprintf(table, "%s\t%d\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t\n", row.Role, row.Processes, row.CPU, row.CPULargest, row.BytesIn, row.BytesOut, row.Messages,
+		printf(table, "%s\t%d\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t\n", row.Role, row.Processes, row.CPU, row.CPULargest, row.BytesIn, row.BytesOut, row.Messages,
 			row.ConnectionsOpened, row.MemoryMB, row.HeapMB, row.DiskKB, row.BytesWritten)
 	}
-	table.Flush()
+	_ = table.Flush() // fails only with out, as in printf
 	for _, row := range r.Roles {
 		if len(row.MessagesByCall) > 0 {
 			var parts []string
 			for _, call := range slices.Sorted(maps.Keys(row.MessagesByCall)) {
 				parts = append(parts, fmt.Sprintf("%s %.2f", filepath.Base(call), row.MessagesByCall[call]))
 			}
-			fmt.Fprintf(out, "%s, messages a second by call: %s\n", row.Role, strings.Join(parts, ", "))
+			printf(out, "%s, messages a second by call: %s\n", row.Role, strings.Join(parts, ", "))
 		}
 	}
-	fmt.Fprintf(out, "setup: %d items of %d bytes; changes %v, %d not in use everywhere at the end; %d restarts, %d losses\n", r.Items, r.ItemBytes, r.Rulings, r.Unapplied, r.Restarts, r.InjectedLosses)
+	printf(out, "setup: %d items of %d bytes; changes %v, %d not in use everywhere at the end; %d restarts, %d losses\n", r.Items, r.ItemBytes, r.Rulings, r.Unapplied, r.Restarts, r.InjectedLosses)
 	for _, line := range []struct {
 		name  string
 		spans LatencySummary
 	}{{"stated to acknowledged", r.Acknowledge}, {"acknowledged to in use, each member", r.Applied}, {"stated to in use everywhere", r.AppliedEverywhere},
 		{"age of members' pictures", r.Staleness}, {"news of workers, each member", r.WorkerUpdates}, {"restarted to setup in use", r.Recovery}, {"registry lost to another session", r.RegistryFailover},
 		{"this process was woken late by", r.WakeupDelay}} {
-		fmt.Fprintf(out, "%-36s ms: p50 %.1f, p90 %.1f, p99 %.1f, max %.1f (%d)\n", line.name, line.spans.P50, line.spans.P90, line.spans.P99, line.spans.Max, line.spans.Count)
+		printf(out, "%-36s ms: p50 %.1f, p90 %.1f, p99 %.1f, max %.1f (%d)\n", line.name, line.spans.P50, line.spans.P90, line.spans.P99, line.spans.Max, line.spans.Count)
 	}
 }
 
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // the response is only read
 	answer, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		return errs.Wrap(err, errs.DiskFailed, p.logFile)
 	}
-	defer out.Close()
+	defer func() { _ = out.Close() }() // the process has a descriptor of its own
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
@@ -148,19 +148,23 @@
 	return errs.Wrap(os.RemoveAll(folder), errs.DiskFailed, folder)
 }
 
+// probeClient reads pages of processes. Without keep-alives no connection outlasts a process that is killed.
 var probeClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // Ready tells whether the process says it is ready.
 func (p *Process) Ready() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.probeAddress+"/ready", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.probeAddress+"/ready", nil)
+	if err != nil {
+		return false
+	}
 	response, err := probeClient.Do(request)
 	if err != nil {
 		return false
 	}
-	defer response.Body.Close()
-	_, _ = io.Copy(io.Discard, response.Body)
+	defer func() { _ = response.Body.Close() }() // the response is only read
+	_, _ = io.Copy(io.Discard, response.Body)    // only the status counts
 	return response.StatusCode == http.StatusOK
 }
 
@@ -186,10 +190,7 @@
 			var status struct {
 				Known int `json:"knownWorkers"`
 			}
-			if response, err := probeClient.Get("http://" + process.probeAddress + "/status"); err == nil {
-				_ = json.NewDecoder(response.Body).Decode(&status)
-				response.Body.Close()
-			}
+			_ = process.getPage("/status", &status) // asked again below
 			if status.Known >= workers {
 				break
 			}
@@ -201,3 +202,16 @@
 	}
 	return nil
 }
+
+// getPage reads one of the process's own pages, which are JSON.
+func (p *Process) getPage(path string, target any) error {
+	response, err := probeClient.Get("http://" + p.probeAddress + path)
+	if err != nil {
+		return errs.Wrap(err, errs.PeerConnectionLost, p.Name+path)
+	}
+	defer func() { _ = response.Body.Close() }() // the response is only read
+	if response.StatusCode != http.StatusOK {
+		return errs.New(errs.MalformedRequest, fmt.Sprintf("%s%s: status %d", p.Name, path, response.StatusCode))
+	}
+	return errs.Wrap(json.NewDecoder(response.Body).Decode(target), errs.MalformedRequest, p.Name+path)
+}
--- a/internal/testbed/random_faults.go
+++ b/internal/testbed/random_faults.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"strconv"
@@ -112,7 +111,7 @@
 			r.fleet.LinkFaults.SetLoss(from, to, map[bool]float64{true: lossRatio}[on])
 		})
 	}},
-	{"core cut off from the proxies", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
+	{"core cut off from the proxies", true, false, func(r *testRun, _ *rand.Rand) (string, func()) {
 		var list [][2]string
 		for i := range r.options.Deployment.CoreMembers {
 			for edge := range r.options.Deployment.Edges {
@@ -125,7 +124,7 @@
 		lone := r.randomCoreMember(rng)
 		return r.fleet.Stores[lone].Name, r.setLinks(r.coreLinks(func(i, j int) bool { return i == lone || j == lone }), r.fleet.LinkFaults.SetPartitioned)
 	}},
-	{"core split 1-1-1", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
+	{"core split 1-1-1", true, false, func(r *testRun, _ *rand.Rand) (string, func()) {
 		return "all", r.setLinks(r.coreLinks(func(int, int) bool { return true }), r.fleet.LinkFaults.SetPartitioned)
 	}},
 	{"one-way link loss in the core", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
@@ -241,12 +240,9 @@
 func (r *testRun) storeLeader() int {
 	for _, store := range r.fleet.Stores {
 		var status struct{ Leader string }
-		response, err := probeClient.Get("http://" + store.probeAddress + "/status")
-		if err != nil {
+		if store.getPage("/status", &status) != nil {
 			continue
 		}
-		_ = json.NewDecoder(response.Body).Decode(&status)
-		response.Body.Close()
 		for i, memberID := range r.fleet.memberIDs() {
 			if memberID == status.Leader {
 				return i
--- a/internal/testbed/random_schedule.go
+++ b/internal/testbed/random_schedule.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"encoding/json"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -121,13 +120,7 @@
 		if !store.Ready() || !r.fleet.Registries[i].Ready() {
 			return false
 		}
-		response, err := probeClient.Get("http://" + r.fleet.Registries[i].probeAddress + "/status")
-		if err != nil {
-			return false
-		}
-		_ = json.NewDecoder(response.Body).Decode(&status)
-		response.Body.Close()
-		if !status.ClaimsCount {
+		if r.fleet.Registries[i].getPage("/status", &status) != nil || !status.ClaimsCount {
 			return false
 		}
 	}
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -45,14 +45,14 @@
 	var once sync.Once
 	finish := func() { once.Do(func() { close(done) }) }
 	if !r.faults.awaitOpen(from, r.machine, done) {
-		inbound.Close()
+		_ = inbound.Close() // nothing was written to it
 		return
 	}
 	outbound, err := net.Dial("tcp", r.target)
 	if err != nil {
 		// A refused connection must look refused from the other side of the relay too.
-		inbound.(*net.TCPConn).SetLinger(0)
-		inbound.Close()
+		_ = inbound.(*net.TCPConn).SetLinger(0) // reset rather than close; best effort
+		_ = inbound.Close()
 		return
 	}
 	copyBytes := func(source, sink net.Conn, from, to string) {
@@ -78,9 +78,10 @@
 	go copyBytes(inbound, outbound, from, r.machine)
 	go copyBytes(outbound, inbound, r.machine, from)
 	<-done
-	inbound.Close()
-	outbound.Close()
+	// Ends the other copy; what an end lost is for the processes to find out.
+	_ = inbound.Close()
+	_ = outbound.Close()
 }
 
 // Close ends the relay.
-func (r *Relay) Close() { r.listener.Close() }
+func (r *Relay) Close() { _ = r.listener.Close() }
--- a/internal/testbed/release_changes.go
+++ b/internal/testbed/release_changes.go
@@ -29,7 +29,7 @@
 func addRoutesText(batch int, service string) string {
 	var text strings.Builder
 	for i := range churnBatch {
-		_, _ = fmt.Fprintf(&text, "route: \"churn-%d-%d\": {service: %q, prefix: \"/churn/%d/%d\"}\n", batch, i, service, batch, i)
+		fmt.Fprintf(&text, "route: \"churn-%d-%d\": {service: %q, prefix: \"/churn/%d/%d\"}\n", batch, i, service, batch, i)
 	}
 	return text.String()
 }
@@ -38,7 +38,7 @@
 	var text strings.Builder
 	text.WriteString("remove: route: [")
 	for i := range churnBatch {
-		_, _ = fmt.Fprintf(&text, "%q,", fmt.Sprintf("churn-%d-%d", batch, i))
+		fmt.Fprintf(&text, "%q,", fmt.Sprintf("churn-%d-%d", batch, i))
 	}
 	text.WriteString("]\n")
 	return text.String()
--- a/internal/testbed/resources.go
+++ b/internal/testbed/resources.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"encoding/json"
 	"fmt"
 	"io/fs"
 	"os"
@@ -50,12 +49,7 @@
 
 // raiseSample raises a sample to what one process takes now.
 func (p *Process) raiseSample(sample *Sample) {
-	p.lock.Lock()
-	pid := 0
-	if p.cmd != nil && p.cmd.Process != nil {
-		pid = p.cmd.Process.Pid
-	}
-	p.lock.Unlock()
+	pid := p.pid()
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
 		for _, line := range strings.Split(string(text), "\n") {
 			if value, found := strings.CutPrefix(line, "VmRSS:"); found {
@@ -68,10 +62,8 @@
 	if files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
 		sample.Files = max(sample.Files, len(files))
 	}
-	if response, err := probeClient.Get("http://" + p.probeAddress + "/process"); err == nil {
-		var process daemon.Process
-		_ = json.NewDecoder(response.Body).Decode(&process)
-		response.Body.Close()
+	var process daemon.Process
+	if p.getPage("/process", &process) == nil {
 		sample.Goroutines = max(sample.Goroutines, process.Goroutines)
 	}
 	bytes := int64(0)
--- a/internal/testbed/slopes.go
+++ b/internal/testbed/slopes.go
@@ -5,6 +5,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -103,14 +104,25 @@
 	return faults
 }
 
-// boundsFaults holds settings that were put together here against their rules.
+// boundsFaults checks settings that were put together here against their bounds.
 func boundsFaults(opts *schema.HollowOptions) options.Faults {
 	var args []string
-	for name, value := range map[string]any{"members": opts.Members, "services": opts.Services, "routes": opts.Routes, "changes": opts.Changes,
-		"releases": opts.Releases, "restarts": opts.Restarts, "reach": opts.Reach, "seats": opts.Seats} {
+	for name, value := range map[string]any{
+		"members":  opts.Members,
+		"services": opts.Services,
+		"routes":   opts.Routes,
+		"changes":  opts.Changes,
+		"releases": opts.Releases,
+		"restarts": opts.Restarts,
+		"reach":    opts.Reach,
+		"seats":    opts.Seats,
+	} {
 		args = append(args, fmt.Sprintf("-%s=%v", name, value))
 	}
-	faults, _ := options.Parse("hollow", args, &schema.HollowOptions{}, io.Discard).(options.Faults)
+	var faults options.Faults
+	if err := options.Parse("hollow", args, &schema.HollowOptions{}, io.Discard); !errors.As(err, &faults) {
+		return nil
+	}
 	return faults
 }
 
@@ -189,7 +201,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err, errs.DiskFailed, file)
 	}
-	defer pointsLog.Close()
+	defer func() { _ = pointsLog.Close() }() // each write was checked
 	planned := planPoints(opts)
 	for i, point := range planned {
 		if slices.ContainsFunc(points, func(done Point) bool {
@@ -197,7 +209,7 @@
 		}) {
 			continue
 		}
-		fmt.Fprintf(out, "run %d of %d: %s %g, time %d\n", i+1, len(planned), point.Driver, point.Value, point.Run)
+		printf(out, "run %d of %d: %s %g, time %d\n", i+1, len(planned), point.Driver, point.Value, point.Run)
 		run := baseOptions(opts)
 		drivers[point.Driver].set(run, point.Value)
 		run.Seed = int64(point.Run)
@@ -207,7 +219,7 @@
 				return nil, ctx.Err()
 			}
 			// One value that does not come up tells as much as one that does: the series goes on.
-			fmt.Fprintf(out, "  failed: %v\n", err)
+			printf(out, "  failed: %v\n", err)
 			continue
 		}
 		_ = os.RemoveAll(run.Folder)
@@ -280,7 +292,7 @@
 
 // Print shows, for each driver, the mean of each cost at each value and the slope through them.
 func (r *SlopesReport) Print(out io.Writer) {
-	fmt.Fprintf(out, "%s mode, %d runs, commit %s\n", r.Mode, r.Runs, r.Commit)
+	printf(out, "%s mode, %d runs, commit %s\n", r.Mode, r.Runs, r.Commit)
 	driver := ""
 	for _, slope := range r.Slopes {
 		means := map[float64][]float64{}
@@ -296,17 +308,17 @@
 		slices.Sort(values)
 		if slope.Driver != driver {
 			driver = slope.Driver
-			fmt.Fprintf(out, "\n| by %s |", driver)
+			printf(out, "\n| by %s |", driver)
 			for _, value := range values {
-				fmt.Fprintf(out, " %g |", value)
+				printf(out, " %g |", value)
 			}
-			fmt.Fprintf(out, " slope, the last value left out | R² | spread of runs | foretold for the last |\n| --- |%s --- | --- | --- | --- |\n", strings.Repeat(" --- |", len(values)))
+			printf(out, " slope, the last value left out | R² | spread of runs | foretold for the last |\n| --- |%s --- | --- | --- | --- |\n", strings.Repeat(" --- |", len(values)))
 		}
-		fmt.Fprintf(out, "| %s |", slope.Cost)
+		printf(out, "| %s |", slope.Cost)
 		for _, value := range values {
-			fmt.Fprintf(out, " %s |", formatShort(stat.Mean(means[value], nil)))
+			printf(out, " %s |", formatShort(stat.Mean(means[value], nil)))
 		}
-		fmt.Fprintf(out, " %s | %.3f | %.0f %% | %s, %+.0f %% |\n", slope.Formula(), slope.RSquared, 100*slope.RelativeSpread, formatShort(slope.Predicted), 100*slope.RelativeError())
+		printf(out, " %s | %.3f | %.0f %% | %s, %+.0f %% |\n", slope.Formula(), slope.RSquared, 100*slope.RelativeSpread, formatShort(slope.Predicted), 100*slope.RelativeError())
 	}
 }
 
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -101,7 +101,7 @@
 		run.Failure = err.Error()
 		return run
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // progress only: the report is a file of its own
 	report, err := Run(Options{Deployment: deployment, Folder: folder, Binaries: o.Binaries, LoadDuration: o.LoadDuration, Lease: o.Lease, Seed: seed, Scenario: "soak",
 		RateFactor: 1, WorkerDelay: time.Millisecond, DrainingBound: o.DrainingBound, DisconnectBound: o.DisconnectBound, Out: log})
 	if err != nil {
@@ -138,15 +138,15 @@
 	if !r.Passed() {
 		verdict = "BROKEN"
 	}
-	fmt.Fprintf(out, "seed %d: %s; %s, %d processes, %d faults, %d calls %v, departures %+v, back %.1f s\n", r.Seed, verdict, r.Deployment, r.Processes, r.Faults, r.Calls, r.Outcomes, r.Disconnects, r.RecoverySeconds)
+	printf(out, "seed %d: %s; %s, %d processes, %d faults, %d calls %v, departures %+v, back %.1f s\n", r.Seed, verdict, r.Deployment, r.Processes, r.Faults, r.Calls, r.Outcomes, r.Disconnects, r.RecoverySeconds)
 	for _, finding := range r.Violated {
-		fmt.Fprintf(out, "  %s: %d times of %d: %v\n", finding.Rule, finding.Violations, finding.Checked, finding.Examples)
+		printf(out, "  %s: %d times of %d: %v\n", finding.Rule, finding.Violations, finding.Checked, finding.Examples)
 	}
 	if len(r.UncleanExits) > 0 {
-		fmt.Fprintf(out, "  did not end cleanly: %v\n", r.UncleanExits)
+		printf(out, "  did not end cleanly: %v\n", r.UncleanExits)
 	}
 	if r.Failure != "" {
-		fmt.Fprintf(out, "  came to no judgement: %s\n", r.Failure)
+		printf(out, "  came to no judgement: %s\n", r.Failure)
 	}
 }
 
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -253,13 +253,13 @@
 		return
 	}
 	close(w.stopped)
-	w.listener.Close()
+	_ = w.listener.Close() // a second close fails, and changes nothing
 	w.lock.Lock()
 	for conn := range w.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
-			tcp.SetLinger(0)
+			_ = tcp.SetLinger(0) // reset rather than close; best effort
 		}
-		conn.Close()
+		_ = conn.Close()
 	}
 	w.lock.Unlock()
 	if !w.draining.Load() {
