--- a/internal/testbed/addresses.go
+++ b/internal/testbed/addresses.go
@@ -19,7 +19,7 @@
 	portWorker        = 7301
 )
 
-// memberIDs are the core machines' names, in the order in which duties fall.
+// memberIDs names the core members, in the order of the static member list.
 func (f *Fleet) memberIDs() []string {
 	var names []string
 	for i := range f.Deployment.CoreMembers {
@@ -28,11 +28,13 @@
 	return names
 }
 
-// coreAddress and edge are the addresses of machines; gate is where the relay in front of one stands.
+// coreAddress is the IP address of a core machine.
 func (f *Fleet) coreAddress(i int) string { return fmt.Sprintf("127.%d.1.%d", f.netOctet, i+1) }
 
+// edgeAddress is the IP address of an edge machine.
 func (f *Fleet) edgeAddress(i int) string { return fmt.Sprintf("127.%d.2.%d", f.netOctet, i+1) }
 
+// relayAddress is the IP address of the relay in front of a machine.
 func relayAddress(machine string) string {
 	octets := strings.Split(machine, ".")
 	return octets[0] + "." + octets[1] + ".10" + octets[2] + "." + octets[3]
@@ -41,7 +43,7 @@
 // zone is the zone of the i-th machine.
 func (f *Fleet) zone(i int) string { return fmt.Sprintf("area-%d", i%f.Deployment.Zones+1) }
 
-// callerNames are the callers with a listener at an edge: clients and every service.
+// callerNames are the callers that have a listener at each proxy: clients and every service.
 func (f *Fleet) callerNames() []string {
 	callers := []string{clientCaller}
 	for _, service := range f.Deployment.Services {
@@ -50,12 +52,12 @@
 	return callers
 }
 
-// OperatorAddress is the operators' address of a core machine.
+// OperatorAddress is the operators' IP:port at a core machine.
 func (f *Fleet) OperatorAddress(i int) string {
 	return fmt.Sprintf("%s:%d", f.coreAddress(i), portOperator)
 }
 
-// CallerAddress is where a caller reaches the proxy of an edge.
+// CallerAddress is the IP:port at which a caller reaches the proxy of an edge machine; empty for an unknown caller.
 func (f *Fleet) CallerAddress(edge int, caller string) string {
 	for i, name := range f.callerNames() {
 		if name == caller {
--- a/internal/testbed/cpu.go
+++ b/internal/testbed/cpu.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 )
 
-// cpuSeconds is the processor time each program has used so far, in seconds.
+// cpuSeconds is the processor time that the running processes of each program have used, in seconds.
 func (r *testRun) cpuSeconds() map[string]float64 {
 	seconds := map[string]float64{}
 	for _, process := range r.fleet.Processes() {
@@ -17,14 +17,14 @@
 	return seconds
 }
 
-// cpuSecondsOf reads a process's own processor time from the kernel.
+// cpuSecondsOf reads a process's processor time from the kernel, in seconds; 0 if it can't be read.
 func cpuSecondsOf(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
 	}
-	// Fields 14 and 15 are user and system time in hundredths of a second; the name, in
-	// parentheses, may hold spaces.
+	// Fields 14 and 15 are user and system time in hundredths of a second. The name, field 2 in parentheses, may
+	// hold spaces, so fields are counted from its end.
 	end := 0
 	for i, char := range text {
 		if char == ')' {
--- a/internal/testbed/delayed_disk.go
+++ b/internal/testbed/delayed_disk.go
@@ -12,22 +12,25 @@
 	"meadowhinge/schema"
 )
 
-// DelayedStoreCommand is the word by which rehearsal runs the store's own daemon on a disk that can
-// be made slow. The store program itself has no switch for that.
+// DelayedStoreCommand is the argument with which the testbed program runs the store's daemon on a disk that can be
+// delayed. The store program itself has no such switch.
 const DelayedStoreCommand = "stand-in-store"
 
-// diskDelayFile holds how long each sync takes besides, as a duration; no file means nothing.
+// diskDelayFile holds how long each write to the disk takes at least, as a duration; without the file there is
+// no delay.
 const diskDelayFile = "disk"
 
-// diskDelayPoll is how often a stalled disk looks whether it still is.
+// diskDelayPoll is how often a delayed write reads the file again.
 const diskDelayPoll = 10 * time.Millisecond
 
-// delayedDisk delays what is written to the disk below it by what a file says at the time.
+// delayedDisk delays writes to the log below it by what a file says at the time.
 type delayedDisk struct {
 	store.Log
 	delayFile string
 }
 
+// Write delays the write until the time in the file has passed since its call. A delay that is shortened ends
+// earlier.
 func (d delayedDisk) Write(records []*schema.Record, replacesLog bool) error {
 	began := time.Now()
 	for {
@@ -41,7 +44,7 @@
 	}
 }
 
-// RunDelayedStore is the store's daemon on such a disk; it gives the exit code.
+// RunDelayedStore runs the store's daemon on such a disk and returns its exit code.
 func RunDelayedStore(file string, args []string) int {
 	opts := &schema.StoreOptions{}
 	return daemon.Run("store", daemon.FromArgs(args), opts,
@@ -51,7 +54,7 @@
 		})
 }
 
-// setDiskDelay makes every sync of a store take longer; 0 makes its disk whole again.
+// setDiskDelay sets how long each write of a store takes at least; 0 for no delay.
 func (p *Process) setDiskDelay(delay time.Duration) error {
 	file := filepath.Join(filepath.Dir(p.settingsFile), diskDelayFile)
 	return errs.Wrap(os.WriteFile(file, []byte(delay.String()), 0o640), errs.DiskFailed, file)
--- a/internal/testbed/disconnects.go
+++ b/internal/testbed/disconnects.go
@@ -8,10 +8,10 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// disconnectsInterval is how often proxies are asked what they count of departures.
+// disconnectsInterval is between two reads of the proxies' counts of disconnected callers.
 const disconnectsInterval = time.Second
 
-// watchDisconnects keeps the last counts of each life of each proxy.
+// watchDisconnects keeps the last counts of each incarnation of each proxy, until stop closes.
 func (r *testRun) watchDisconnects(stop <-chan struct{}) {
 	for {
 		r.recordDisconnects()
@@ -23,7 +23,7 @@
 	}
 }
 
-// recordDisconnects asks every proxy that can be asked.
+// recordDisconnects reads the counts of every proxy that answers.
 func (r *testRun) recordDisconnects() {
 	var polling sync.WaitGroup
 	for _, process := range r.fleet.Proxies {
@@ -46,7 +46,7 @@
 	polling.Wait()
 }
 
-// totalDisconnects sums the counts of all lives.
+// totalDisconnects sums the counts of all incarnations.
 func (h *History) totalDisconnects() dispatch.DisconnectCounts {
 	var sum dispatch.DisconnectCounts
 	for _, counts := range h.Disconnects {
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -6,71 +6,94 @@
 	"time"
 )
 
+// firstWorker is the worker that the standard scenario drains and ends.
 func (r *testRun) firstWorker() *Worker { return r.workers[0] }
 
+// middleProxy is the proxy that scenarios kill and restart.
 func (r *testRun) middleProxy() *Process { return r.fleet.Proxies[r.options.Deployment.Edges/2] }
 
-// killCore ends a core machine's processes at once; startCore brings them back.
+// killCore kills a core machine's processes; startCore starts them again. Both report the target.
 func (r *testRun) killCore(i int) string {
 	r.fleet.Stores[i].Kill()
 	r.fleet.Registries[i].Kill()
 	return r.fleet.Stores[i].Name
 }
 
+// startCore starts a core machine's processes and reports the target, with the errors.
 func (r *testRun) startCore(i int) string {
 	return fmt.Sprint(r.fleet.Stores[i].Name, " ", r.fleet.Stores[i].Start(), r.fleet.Registries[i].Start())
 }
 
-// forCoreProcesses does something to every process of a core machine.
+// forCoreProcesses applies something to both processes of a core machine.
 func (r *testRun) forCoreProcesses(i int, apply func(*Process)) string {
 	apply(r.fleet.Stores[i])
 	apply(r.fleet.Registries[i])
 	return r.fleet.Stores[i].Name
 }
 
-// partitionCore sets the ways between core machines for which chosen holds.
-func (r *testRun) partitionCore(chosen func(i, j int) bool) string {
-	var links []string
+// corePairs lists the ordered pairs of core members that are chosen.
+func (r *testRun) corePairs(chosen func(i, j int) bool) [][2]int {
+	var pairs [][2]int
 	for i := range r.options.Deployment.CoreMembers {
 		for j := range r.options.Deployment.CoreMembers {
 			if i != j && chosen(i, j) {
-				r.fleet.LinkFaults.SetPartitioned(r.fleet.coreAddress(i), r.fleet.coreAddress(j), true)
-				links = append(links, fmt.Sprintf("%c>%c", 'a'+i, 'a'+j))
+				pairs = append(pairs, [2]int{i, j})
 			}
 		}
 	}
-	return strings.Join(links, " ")
+	return pairs
 }
 
-// partitionEdge cuts an edge machine off from everyone, both ways.
-func (r *testRun) partitionEdge(edge int) string {
-	d := r.options.Deployment
-	for i := range d.CoreMembers {
-		r.fleet.LinkFaults.SetPartitioned(r.fleet.coreAddress(i), r.fleet.edgeAddress(edge), true)
-		r.fleet.LinkFaults.SetPartitioned(r.fleet.edgeAddress(edge), r.fleet.coreAddress(i), true)
+// coreLinks lists the links from one core machine to another that are chosen.
+func (r *testRun) coreLinks(chosen func(i, j int) bool) [][2]string {
+	var links [][2]string
+	for _, pair := range r.corePairs(chosen) {
+		links = append(links, [2]string{r.fleet.coreAddress(pair[0]), r.fleet.coreAddress(pair[1])})
 	}
-	for other := range d.Edges {
-		if other != edge {
-			r.fleet.LinkFaults.SetPartitioned(r.fleet.edgeAddress(other), r.fleet.edgeAddress(edge), true)
-			r.fleet.LinkFaults.SetPartitioned(r.fleet.edgeAddress(edge), r.fleet.edgeAddress(other), true)
-		}
+	return links
+}
+
+// partitionCore cuts the links from one core machine to another that are chosen, and names them.
+func (r *testRun) partitionCore(chosen func(i, j int) bool) string {
+	r.setLinks(r.coreLinks(chosen), r.fleet.LinkFaults.SetPartitioned)
+	var names []string
+	for _, pair := range r.corePairs(chosen) {
+		names = append(names, fmt.Sprintf("%c>%c", 'a'+pair[0], 'a'+pair[1]))
 	}
+	return strings.Join(names, " ")
+}
+
+// partitionEdge cuts every link of an edge machine.
+func (r *testRun) partitionEdge(edge int) string {
+	r.setLinks(r.linksOfEdge(edge), r.fleet.LinkFaults.SetPartitioned)
 	return r.fleet.Proxies[edge].Name
 }
 
-// partitionCoreFromEdges cuts the core off from every proxy, both ways.
-func (r *testRun) partitionCoreFromEdges() string {
+// coreToEdgeLinks lists every link between a core machine and an edge machine, each direction by itself.
+func (r *testRun) coreToEdgeLinks() [][2]string {
+	var links [][2]string
 	for i := range r.options.Deployment.CoreMembers {
 		for edge := range r.options.Deployment.Edges {
-			r.fleet.LinkFaults.SetPartitioned(r.fleet.coreAddress(i), r.fleet.edgeAddress(edge), true)
-			r.fleet.LinkFaults.SetPartitioned(r.fleet.edgeAddress(edge), r.fleet.coreAddress(i), true)
+			core, machine := r.fleet.coreAddress(i), r.fleet.edgeAddress(edge)
+			links = append(links, [2]string{core, machine}, [2]string{machine, core})
 		}
 	}
+	return links
+}
+
+// partitionCoreFromEdges cuts the core off from every proxy.
+func (r *testRun) partitionCoreFromEdges() string {
+	r.setLinks(r.coreToEdgeLinks(), r.fleet.LinkFaults.SetPartitioned)
 	return "all proxies"
 }
 
-func (r *testRun) healPartitions() string { r.fleet.LinkFaults.Heal(); return "all links" }
+// healPartitions ends every fault of a link.
+func (r *testRun) healPartitions() string {
+	r.fleet.LinkFaults.Heal()
+	return "all links"
+}
 
+// killThird kills every third proxy; startThird starts them again.
 func (r *testRun) killThird() string {
 	var names []string
 	for i := 0; i < len(r.fleet.Proxies); i += 3 {
@@ -80,6 +103,7 @@
 	return strings.Join(names, " ")
 }
 
+// startThird starts the proxies that killThird killed.
 func (r *testRun) startThird() string {
 	for i := 0; i < len(r.fleet.Proxies); i += 3 {
 		_ = r.fleet.Proxies[i].Start()
@@ -87,14 +111,16 @@
 	return "all"
 }
 
-// replaceWorkerAt starts a successor on the machine of a worker, then drains and ends it; the
-// address it frees goes to a worker of another service.
+// replaceWorkerAt replaces the i-th worker; see replaceWorker.
 func (r *testRun) replaceWorkerAt(i int) string { return r.replaceWorker(r.workers[i]) }
 
+// replaceWorker starts a replacement on the machine of a worker, then drains and ends the old one. The address
+// that this frees goes to a worker of another service. All but the start of the replacement happens in the
+// background.
 func (r *testRun) replaceWorker(old *Worker) string {
 	edge := r.edgeOf(old)
 	_ = r.startWorker(r.newWorkerName(old.description.Service), edge, old.description.Service, old.description.Version)
-	// Its successor is known everywhere before it empties itself.
+	// Every proxy knows the replacement before the old worker drains.
 	go func() {
 		time.Sleep(replacementOverlap)
 		_ = old.Drain()
@@ -110,10 +136,10 @@
 	return old.name
 }
 
-// replacementOverlap is how long a replaced worker goes on before it ends.
+// replacementOverlap is how long a replacement runs before the old worker drains, and how long that one drains.
 const replacementOverlap = time.Second
 
-// makeVersionFaulty makes every worker of a service's new version ill.
+// makeVersionFaulty makes every worker of a service's new version faulty, and records from when.
 func (r *testRun) makeVersionFaulty(service string, fault *WorkerFault) string {
 	appendEntry(r.history, &r.history.FaultyVersions, FaultyVersionEntry{service, versionNew, r.now()})
 	for _, worker := range r.workers {
@@ -124,7 +150,7 @@
 	return service
 }
 
-// setLinks cuts links, each way by itself, and gives what mends just those.
+// setLinks sets a fault on each of some links, and returns a function that ends it on just those.
 func (r *testRun) setLinks(links [][2]string, set func(from, to string, on bool)) func() {
 	for _, link := range links {
 		set(link[0], link[1], true)
@@ -136,19 +162,7 @@
 	}
 }
 
-func (r *testRun) coreLinks(chosen func(i, j int) bool) [][2]string {
-	var links [][2]string
-	for i := range r.options.Deployment.CoreMembers {
-		for j := range r.options.Deployment.CoreMembers {
-			if i != j && chosen(i, j) {
-				links = append(links, [2]string{r.fleet.coreAddress(i), r.fleet.coreAddress(j)})
-			}
-		}
-	}
-	return links
-}
-
-// linksOfEdge lists every link of an edge machine.
+// linksOfEdge lists every link of an edge machine, each direction by itself.
 func (r *testRun) linksOfEdge(edge int) [][2]string {
 	var links [][2]string
 	here := r.fleet.edgeAddress(edge)
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -8,15 +8,17 @@
 	"time"
 )
 
-// Fleet is a whole mesh on one machine.
+// Fleet is a mesh of real processes on this machine, which stand for as many machines: each has a loopback
+// address of its own, and links between them may run through relays. NewFleet makes it; nothing of it changes
+// after but the processes, and the relays of a core machine that is replaced.
 type Fleet struct {
 	Deployment   *Deployment
 	folder       string
 	binaries     string
-	netOctet     int // second octet of every address, so that fleets do not meet
+	netOctet     int // second octet of every address, reserved so that fleets at the same time differ
 	netLock      io.Closer
 	lease        time.Duration
-	delayedDisks bool // stores run on a stand-in disk
+	delayedDisks bool // stores run on a disk that can be delayed
 	authority    *Authority
 	LinkFaults   *LinkFaults
 	relays       []*Relay
@@ -26,12 +28,12 @@
 	Proxies    []*Process
 }
 
-// Processes lists every process, the core first.
+// Processes lists every process, the core's first.
 func (f *Fleet) Processes() []*Process {
 	return append(append(append([]*Process(nil), f.Stores...), f.Registries...), f.Proxies...)
 }
 
-// Stop ends everything; it names the processes that did not end cleanly.
+// Stop ends every process, frees the addresses, and names the processes that did not end cleanly.
 func (f *Fleet) Stop() []string {
 	f.LinkFaults.Heal()
 	var lock sync.Mutex
@@ -57,8 +59,8 @@
 	return unclean
 }
 
-// ReplaceCoreMember lets a core machine come back at another address, without its disk, as a
-// replacement does. Its old address stays dead; the others learn the new one from it.
+// ReplaceCoreMember brings a core machine back at another address and without its disk, as a replacement. Its old
+// address stays dead; the other members learn the new one from the replacement.
 func (f *Fleet) ReplaceCoreMember(i int) error {
 	newAddress := fmt.Sprintf("127.%d.3.%d", f.netOctet, i+1)
 	for _, component := range []struct {
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// LinkFaults says which links are cut, each way by itself.
+// LinkFaults says which links are faulty. A link goes from one machine to another, one direction by itself, and
+// is named by their IP addresses. Scenarios set faults, relays obey them, at the same time.
 type LinkFaults struct {
-	lock        sync.Mutex
+	lock        sync.Mutex // guards all fields
 	partitioned map[[2]string]bool
-	lossRatio   map[[2]string]float64 // part of what is sent that is lost at first, and comes late
-	changed     chan struct{}
+	lossRatio   map[[2]string]float64 // part of what is sent that is lost at first, and arrives late
+	changed     chan struct{}         // closed and replaced when a partition changes
 }
 
-// NewLinkFaults starts with every link whole.
+// NewLinkFaults starts without faults.
 func NewLinkFaults() *LinkFaults {
 	return &LinkFaults{partitioned: map[[2]string]bool{}, lossRatio: map[[2]string]float64{}, changed: make(chan struct{})}
 }
 
-// retransmitTimeout is how long what a link lost takes to come after all, as TCP sends it again.
+// retransmitTimeout is how late a lost packet arrives after all: TCP sends it again.
 const retransmitTimeout = 250 * time.Millisecond
 
-// SetLoss lets a part of what is sent from one machine to another be lost at first; 0 for none.
+// SetLoss makes a link lose a part of what is sent at first; 0 for none.
 func (f *LinkFaults) SetLoss(from, to string, ratio float64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -33,7 +34,7 @@
 	}
 }
 
-// retransmitDelay draws how late something sent comes.
+// retransmitDelay draws how late the next data arrives.
 func (f *LinkFaults) retransmitDelay(from, to string) time.Duration {
 	f.lock.Lock()
 	ratio := f.lossRatio[[2]string{from, to}]
@@ -45,7 +46,7 @@
 	return delay
 }
 
-// SetPartitioned cuts or mends the way from one machine to another.
+// SetPartitioned cuts a link or heals it.
 func (f *LinkFaults) SetPartitioned(from, to string, partitioned bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -58,7 +59,7 @@
 	f.changed = make(chan struct{})
 }
 
-// Heal makes every link whole.
+// Heal ends every fault.
 func (f *LinkFaults) Heal() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -67,7 +68,7 @@
 	f.changed = make(chan struct{})
 }
 
-// awaitOpen returns once the way is open, or false when done closes first.
+// awaitOpen returns true once the link is not cut, or false when done closes first.
 func (f *LinkFaults) awaitOpen(from, to string, done <-chan struct{}) bool {
 	for {
 		f.lock.Lock()
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -17,23 +17,24 @@
 	"meadowhinge/internal/errs"
 )
 
-// Process is one of the mesh's own processes.
+// Process is one of the mesh's own processes. It may be started and ended many times; a restart is a new
+// incarnation with the same settings file and data folder.
 type Process struct {
 	Name         string
 	program      string
 	args         []string
-	probeAddress string
-	logFile      string
+	probeAddress string // IP:port of its status pages
+	logFile      string // its output, of all incarnations
 
 	settings     map[string]string
 	settingsFile string
 
-	lock   sync.Mutex
-	cmd    *exec.Cmd
-	exited chan struct{}
+	lock   sync.Mutex    // guards cmd and exited
+	cmd    *exec.Cmd     // of the last incarnation; nil before the first
+	exited chan struct{} // closed once that has ended
 }
 
-// Start runs the process, unless it runs already.
+// Start starts the process, unless it runs already.
 func (p *Process) Start() error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -82,7 +83,7 @@
 	return p.cmd.Process.Pid
 }
 
-// Signal sends a signal to the process, and to no other.
+// Signal sends a signal to the process, if it runs.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -91,19 +92,20 @@
 	}
 }
 
-// Freeze and Thaw stop a process and let it go on.
+// Freeze stops the process with SIGSTOP, as a machine that hangs.
 func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
 
 // Thaw lets a frozen process go on.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits for its end.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.awaitExit(5 * time.Second)
 }
 
-// Stop ends the process politely, then not.
+// Stop ends the process with SIGTERM, and kills it after the timeout. It returns whether the process exited with
+// 0 in time.
 func (p *Process) Stop(timeout time.Duration) (clean bool) {
 	p.Signal(syscall.SIGTERM)
 	if p.awaitExit(timeout) {
@@ -115,6 +117,7 @@
 	return false
 }
 
+// awaitExit waits for the end of the process; false if that takes longer than the timeout.
 func (p *Process) awaitExit(timeout time.Duration) bool {
 	p.lock.Lock()
 	exited := p.exited
@@ -130,7 +133,8 @@
 	}
 }
 
-// writeSettings writes the settings file anew, with changes.
+// writeSettings applies changes to the settings and writes the settings file. The process reads it at its start
+// and at SIGHUP.
 func (p *Process) writeSettings(changes map[string]string) error {
 	var text strings.Builder
 	for key, value := range changes {
@@ -142,7 +146,7 @@
 	return errs.Wrap(os.WriteFile(p.settingsFile, []byte(text.String()), 0o640), errs.DiskFailed, p.Name)
 }
 
-// WipeData empties a process's data folder, as a machine that comes back without its disk.
+// WipeData removes the process's data folder, as of a machine that comes back without its disk.
 func (p *Process) WipeData() error {
 	folder := filepath.Join(filepath.Dir(p.logFile), "data")
 	return errs.Wrap(os.RemoveAll(folder), errs.DiskFailed, folder)
@@ -151,7 +155,7 @@
 // probeClient reads pages of processes. Without keep-alives no connection outlasts a process that is killed.
 var probeClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ready tells whether the process says it is ready.
+// Ready tells whether the process reports that it is ready.
 func (p *Process) Ready() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -168,7 +172,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// AwaitReady waits until every process says it is ready.
+// AwaitReady waits until every process reports that it is ready. The timeout is for all together.
 func AwaitReady(processes []*Process, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for _, process := range processes {
@@ -182,7 +186,7 @@
 	return nil
 }
 
-// awaitWorkerDiscovery waits until every proxy knows so many workers.
+// awaitWorkerDiscovery waits until every proxy knows so many workers. The timeout is for all together.
 func awaitWorkerDiscovery(proxies []*Process, workers int, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for _, process := range proxies {
--- a/internal/testbed/random_faults.go
+++ b/internal/testbed/random_faults.go
@@ -10,23 +10,25 @@
 	"time"
 )
 
-// randomFault is a kind of fault that the random play draws by its seed.
+// randomFault is a kind of fault that the random scenarios draw.
 type randomFault struct {
 	name      string
-	mayReject bool // it may turn callers away
-	hitsCore  bool // it takes a core machine or its disk: one at a time is promised to be survived
-	inject    func(r *testRun, rng *rand.Rand) (on string, end func())
+	mayReject bool // it may cause rejections
+	hitsCore  bool // it takes a core machine or its disk: only one at a time is promised to be survived
+	inject    func(r *testRun, rng *rand.Rand) (target string, end func())
 }
 
+// noCleanup is the end of a fault that needs none.
 func noCleanup() {}
 
-// delaysPeerMessages are the faults that hold up what proxies tell each other.
+// delaysPeerMessages are the names of faults that delay messages between proxies.
 var delaysPeerMessages = map[string]bool{"proxy killed": true, "a herd of proxies killed": true, "proxy frozen": true, "edge machine cut off": true,
 	"link between two edges lost one way": true, "lossy links of an edge": true}
 
 // lossRatio is the part of what is sent that a lossy link loses at first.
 const lossRatio = 0.1
 
+// randomFaults are all kinds of random faults. Their order decides what a seed draws.
 var randomFaults = []randomFault{
 	{"worker replaced, its address reused", false, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		return r.replaceWorker(r.randomWorker(rng)), noCleanup
@@ -35,7 +37,8 @@
 		old := r.randomWorker(rng)
 		old.Kill()
 		return old.name, func() {
-			_ = r.startWorkerAt(r.newWorkerName(old.description.Service), r.edgeOf(old), old.description.Service, old.description.Version, old.description.Address)
+			name := r.newWorkerName(old.description.Service)
+			_ = r.startWorkerAt(name, r.edgeOf(old), old.description.Service, old.description.Version, old.description.Address)
 		}
 	}},
 	{"worker loses answers", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
@@ -103,7 +106,8 @@
 	}},
 	{"link between two edges lost one way", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		from, to := r.randomEdge(rng), r.randomEdge(rng)
-		return fmt.Sprint(from+1, ">", to+1), r.setLinks([][2]string{{r.fleet.edgeAddress(from), r.fleet.edgeAddress(to)}}, r.fleet.LinkFaults.SetPartitioned)
+		link := [2]string{r.fleet.edgeAddress(from), r.fleet.edgeAddress(to)}
+		return fmt.Sprint(from+1, ">", to+1), r.setLinks([][2]string{link}, r.fleet.LinkFaults.SetPartitioned)
 	}},
 	{"lossy links of an edge", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		edge := r.randomEdge(rng)
@@ -112,17 +116,12 @@
 		})
 	}},
 	{"core cut off from the proxies", true, false, func(r *testRun, _ *rand.Rand) (string, func()) {
-		var list [][2]string
-		for i := range r.options.Deployment.CoreMembers {
-			for edge := range r.options.Deployment.Edges {
-				list = append(list, [2]string{r.fleet.coreAddress(i), r.fleet.edgeAddress(edge)}, [2]string{r.fleet.edgeAddress(edge), r.fleet.coreAddress(i)})
-			}
-		}
-		return "all proxies", r.setLinks(list, r.fleet.LinkFaults.SetPartitioned)
+		return "all proxies", r.setLinks(r.coreToEdgeLinks(), r.fleet.LinkFaults.SetPartitioned)
 	}},
 	{"core split 2-1", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		lone := r.randomCoreMember(rng)
-		return r.fleet.Stores[lone].Name, r.setLinks(r.coreLinks(func(i, j int) bool { return i == lone || j == lone }), r.fleet.LinkFaults.SetPartitioned)
+		links := r.coreLinks(func(i, j int) bool { return i == lone || j == lone })
+		return r.fleet.Stores[lone].Name, r.setLinks(links, r.fleet.LinkFaults.SetPartitioned)
 	}},
 	{"core split 1-1-1", true, false, func(r *testRun, _ *rand.Rand) (string, func()) {
 		return "all", r.setLinks(r.coreLinks(func(int, int) bool { return true }), r.fleet.LinkFaults.SetPartitioned)
@@ -130,7 +129,8 @@
 	{"one-way link loss in the core", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		from := r.randomCoreMember(rng)
 		to := (from + 1) % r.options.Deployment.CoreMembers
-		return fmt.Sprint(from, ">", to), r.setLinks(r.coreLinks(func(i, j int) bool { return i == from && j == to }), r.fleet.LinkFaults.SetPartitioned)
+		links := r.coreLinks(func(i, j int) bool { return i == from && j == to })
+		return fmt.Sprint(from, ">", to), r.setLinks(links, r.fleet.LinkFaults.SetPartitioned)
 	}},
 	{"core machine killed", false, true, func(r *testRun, rng *rand.Rand) (string, func()) {
 		i := r.randomCoreMember(rng)
@@ -151,8 +151,10 @@
 		return on, func() { r.startCore(i) }
 	}},
 	{"power lost right after a yes, with the disk", false, true, func(r *testRun, rng *rand.Rand) (string, func()) {
-		// The seat that has the duty dies as soon as a yes is out, and its disk with it.
-		entry := NewOperator(fmt.Sprint("last-", rng.IntN(1<<30)), r.fleet, r.history, r.now).SubmitChange(r.randomCoreMember(rng), fmt.Sprintf("segment: last: {salt: \"%d\"}\n", rng.IntN(1<<30)), "")
+		// The leader dies as soon as the acknowledgement is out, and its disk with it.
+		operator := NewOperator(fmt.Sprint("last-", rng.IntN(1<<30)), r.fleet, r.history, r.now)
+		core := r.randomCoreMember(rng)
+		entry := operator.SubmitChange(core, fmt.Sprintf("segment: last: {salt: \"%d\"}\n", rng.IntN(1<<30)), "")
 		i := r.storeLeader()
 		r.fleet.Stores[i].Signal(syscall.SIGKILL)
 		r.fleet.Registries[i].Signal(syscall.SIGKILL)
@@ -181,22 +183,23 @@
 	}},
 	{"setup grows by five hundred routes", false, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		var text strings.Builder
-		mark := rng.IntN(1 << 30)
+		batch := rng.IntN(1 << 30)
 		for i := range 500 {
-			fmt.Fprintf(&text, "route: \"grown-%d-%d\": {service: %q, prefix: \"/grown/%d/%d\"}\n", mark, i, r.serviceAt(0), mark, i)
+			fmt.Fprintf(&text, "route: \"grown-%d-%d\": {service: %q, prefix: \"/grown/%d/%d\"}\n", batch, i, r.serviceAt(0), batch, i)
 		}
-		return NewOperator(fmt.Sprint("grower-", mark), r.fleet, r.history, r.now).SubmitChange(r.randomCoreMember(rng), text.String(), "").Ruling, noCleanup
+		operator := NewOperator(fmt.Sprint("grower-", batch), r.fleet, r.history, r.now)
+		return operator.SubmitChange(r.randomCoreMember(rng), text.String(), "").Ruling, noCleanup
 	}},
 }
 
-// maxSeries is how many processes a series takes at the most, and seriesGap is between two of them.
+// Bounds of a series of faults.
 const (
 	maxSeries = 4
 	seriesGap = 400 * time.Millisecond
 )
 
-// forProxiesInSeries does something to proxies one after the other, without waiting for the one before; the second
-// function waits for all.
+// forProxiesInSeries applies something to several proxies, each seriesGap after the one before, without waiting
+// for that one. The second result waits for all.
 func (r *testRun) forProxiesInSeries(rng *rand.Rand, apply func(*Process)) (string, func()) {
 	first, count := r.randomEdge(rng), 2+rng.IntN(maxSeries-1)
 	var names []string
@@ -212,14 +215,15 @@
 	return strings.Join(names, " "), running.Wait
 }
 
-// randomEdge draws a proxy, and core draws a core machine.
+// randomEdge draws an edge machine.
 func (r *testRun) randomEdge(rng *rand.Rand) int { return rng.IntN(r.options.Deployment.Edges) }
 
+// randomCoreMember draws a core machine.
 func (r *testRun) randomCoreMember(rng *rand.Rand) int {
 	return rng.IntN(r.options.Deployment.CoreMembers)
 }
 
-// randomWorker draws a worker that is up and stays.
+// randomWorker draws a worker that neither drains nor has ended.
 func (r *testRun) randomWorker(rng *rand.Rand) *Worker {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -230,13 +234,13 @@
 	}
 }
 
-// injectWorkerFault makes one worker ill for a while.
+// injectWorkerFault makes one worker faulty; the second result ends that.
 func (r *testRun) injectWorkerFault(worker *Worker, fault *WorkerFault) (string, func()) {
 	worker.SetFault(fault)
 	return worker.name, func() { worker.SetFault(nil) }
 }
 
-// storeLeader is the core machine whose store has the admission duty, as far as it can be asked.
+// storeLeader is the core machine whose store leads, as the first store that answers reports; 0 if none does.
 func (r *testRun) storeLeader() int {
 	for _, store := range r.fleet.Stores {
 		var status struct{ Leader string }
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -8,8 +8,8 @@
 	"meadowhinge/internal/errs"
 )
 
-// Relay stands in front of a machine's port and lets bytes through, or not, by which
-// machine they come from and which way they go. A cut is silent, as a lost link is.
+// Relay stands in front of a machine's port and passes bytes on, unless LinkFaults has the link cut. What is cut
+// disappears without an error, as on a lost link.
 type Relay struct {
 	listener net.Listener
 	target   string
@@ -17,7 +17,7 @@
 	faults   *LinkFaults
 }
 
-// NewRelay listens at address for machine to and passes on to target.
+// NewRelay listens at an address and passes connections on to the target, which is on the given machine.
 func NewRelay(address, target, machine string, faults *LinkFaults) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -28,16 +28,18 @@
 	return r, nil
 }
 
+// acceptLoop serves connections until the relay is closed.
 func (r *Relay) acceptLoop() {
 	for {
-		inward, err := r.listener.Accept()
+		inbound, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		go r.forward(inward)
+		go r.forward(inbound)
 	}
 }
 
+// forward passes one connection on, each direction under the faults of its own link.
 func (r *Relay) forward(inbound net.Conn) {
 	// Machines dial from their own address, so the peer's address names the machine.
 	from := inbound.RemoteAddr().(*net.TCPAddr).IP.String()
@@ -61,7 +63,7 @@
 		for {
 			n, err := source.Read(buffer)
 			if n > 0 {
-				// What is behind it in the stream waits with it.
+				// Data behind it in the stream waits too, as in TCP.
 				time.Sleep(r.faults.retransmitDelay(from, to))
 				if !r.faults.awaitOpen(from, to, done) {
 					return
@@ -83,5 +85,5 @@
 	_ = outbound.Close()
 }
 
-// Close ends the relay.
+// Close ends the listener. Connections end with their processes.
 func (r *Relay) Close() { _ = r.listener.Close() }
--- a/internal/testbed/resources.go
+++ b/internal/testbed/resources.go
@@ -11,7 +11,7 @@
 	"meadowhinge/internal/daemon"
 )
 
-// Sample is what a program's processes took of the machine at a time, the largest of each.
+// Sample is what a program's processes used at a time: each figure is that of the largest process.
 type Sample struct {
 	At         time.Duration `json:"at"`
 	Program    string        `json:"program"`
@@ -21,7 +21,7 @@
 	DiskKB     int           `json:"diskKB"` // in the data folder
 }
 
-// sampleInterval is how often samples are taken.
+// sampleInterval is between two samples.
 const sampleInterval = 5 * time.Second
 
 func (r *testRun) sampleResources(stop <-chan struct{}) {
@@ -47,7 +47,8 @@
 	}
 }
 
-// raiseSample raises a sample to what one process takes now.
+// raiseSample raises each figure of a sample to what this process uses now, if that is more. What can't be read,
+// as of a process that was killed, raises nothing.
 func (p *Process) raiseSample(sample *Sample) {
 	pid := p.pid()
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
@@ -79,7 +80,7 @@
 	sample.DiskKB = max(sample.DiskKB, int(bytes>>10))
 }
 
-// formatGrowth shows how a program grew: a third through the run, two thirds, and at its end.
+// formatGrowth shows how a program grew: a third through the run, after two thirds, and at the end.
 func formatGrowth(samples []Sample, program string) string {
 	var ofProgram []Sample
 	for _, sample := range samples {
--- a/internal/testbed/rollback_scenarios.go
+++ b/internal/testbed/rollback_scenarios.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// releaseSteps brings a good version in while the registry that steers is lost.
+// releaseSteps bring in a healthy version while the registry that controls the rollout is lost.
 var releaseSteps = []scenarioStep{
 	{0.02, "release plan stated", func(r *testRun) string { return r.startRelease(r.serviceAt(0), 50, r.fractionOfLoad(0.5)) }},
 	{0.30, "core machine killed", func(r *testRun) string { return r.killCore(0) }},
@@ -13,7 +13,7 @@
 	{0.70, "core machine back", func(r *testRun) string { return r.startCore(1) }},
 }
 
-// rollbackSteps lets new versions be bad in each way.
+// rollbackSteps bring in versions that are faulty in each way.
 var rollbackSteps = []scenarioStep{
 	{0.00, "a good version, to turn bad late", func(r *testRun) string { return r.startRelease(r.serviceAt(3), 60, r.fractionOfLoad(0.2)) }},
 	{0.05, "bad from the start", func(r *testRun) string {
@@ -40,7 +40,7 @@
 	{0.70, "bad late, at a high share", func(r *testRun) string { return r.makeVersionFaulty(r.serviceAt(3), &WorkerFault{ReturnsError: true}) }},
 }
 
-// rollbackDuringPartitionSteps lets a version turn bad just as the core falls apart.
+// rollbackDuringPartitionSteps make a version faulty just as the core is partitioned.
 var rollbackDuringPartitionSteps = []scenarioStep{
 	{0.00, "a good version, to turn bad late", func(r *testRun) string { return r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.2)) }},
 	{0.60, "core split 1-1-1", func(r *testRun) string { return r.partitionCore(func(int, int) bool { return true }) }},
@@ -48,7 +48,7 @@
 	{0.80, "mended", (*testRun).healPartitions},
 }
 
-// rollbackDuringCoreLossSteps lets a version turn bad just as the whole core dies.
+// rollbackDuringCoreLossSteps make a version faulty just as the whole core is killed.
 var rollbackDuringCoreLossSteps = []scenarioStep{
 	{0.00, "a good version, to turn bad late", func(r *testRun) string { return r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.2)) }},
 	{0.55, "the whole core killed", func(r *testRun) string { r.killCore(0); r.killCore(1); return r.killCore(2) }},
@@ -56,7 +56,7 @@
 	{0.70, "the whole core back", func(r *testRun) string { return r.startCore(0) + r.startCore(1) + r.startCore(2) }},
 }
 
-// rollbackUnderLoadSteps brings in versions that are bad only under load, one by a plan, one by hand.
+// rollbackUnderLoadSteps bring in versions that are faulty only under load, one by a release plan and one by hand.
 var rollbackUnderLoadSteps = []scenarioStep{
 	{0.00, "bad under load", func(r *testRun) string {
 		return r.makeVersionFaulty(r.serviceAt(0), &WorkerFault{AboveInFlight: 2, ExtraDelay: 10 * time.Millisecond, ReturnsError: true}) + ", " + r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.3))
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// standardSteps is what any quick rehearsal goes through.
+// standardSteps are the faults of a quick run.
 var standardSteps = []scenarioStep{
 	{0.10, "worker drained", func(r *testRun) string { _ = r.firstWorker().Drain(); return r.firstWorker().name }},
 	{0.20, "worker gone", func(r *testRun) string { r.firstWorker().Shutdown(); return r.firstWorker().name }},
@@ -34,8 +34,8 @@
 	{0.85, "core machine back", func(r *testRun) string { return r.startCore(0) }},
 }
 
-// harshSteps is every other fault of the brief that processes on one machine can show. It wants
-// two minutes or more, so that each fault has time to close.
+// harshSteps are all other faults of the brief that processes on one machine can show. They need a load of two
+// minutes or more, so that each fault has ended before the next.
 var harshSteps = []scenarioStep{
 	{0.02, "workers replaced one by one", func(r *testRun) string { return r.replaceWorkerAt(0) }},
 	{0.05, "workers replaced one by one", func(r *testRun) string { return r.replaceWorkerAt(1) }},
@@ -93,41 +93,41 @@
 	{0.97, "mended", (*testRun).healPartitions},
 }
 
-// longSteps goes through what grows with time: workers replaced one after another, plans stated,
-// done and cancelled, items added and removed. It wants fifteen minutes or more.
+// longSteps go through what grows with time: workers replaced one after another, release plans submitted, done
+// and cancelled, routes added and removed. They need a load of fifteen minutes or more.
 var longSteps = func() []scenarioStep {
-	var acts []scenarioStep
+	var steps []scenarioStep
 	for i := range 30 {
 		at := float64(i) / 30
-		acts = append(acts, scenarioStep{at + 0.002, "workers replaced one by one", func(r *testRun) string {
+		steps = append(steps, scenarioStep{at + 0.002, "workers replaced one by one", func(r *testRun) string {
 			return r.replaceWorker(r.randomWorker(rand.New(rand.NewPCG(r.options.Seed, uint64(i)))))
 		}}, scenarioStep{at + 0.010, "routes added", func(r *testRun) string { return r.churnRoutes(i, true) }},
 			scenarioStep{at + 0.022, "routes removed", func(r *testRun) string { return r.churnRoutes(i, false) }})
 	}
 	for i := range 6 {
 		at := float64(i) / 6
-		acts = append(acts, scenarioStep{at + 0.02, "release plan stated", func(r *testRun) string { return r.startRelease(r.serviceAt(i), 60, r.fractionOfLoad(0.05)) }},
+		steps = append(steps, scenarioStep{at + 0.02, "release plan stated", func(r *testRun) string { return r.startRelease(r.serviceAt(i), 60, r.fractionOfLoad(0.05)) }},
 			scenarioStep{at + 0.14, "release plan cancelled", func(r *testRun) string {
 				return NewOperator(fmt.Sprint("end-", i), r.fleet, r.history, r.now).SubmitChange(0, fmt.Sprintf("remove: release: [%q]\n", "to-"+r.serviceAt(i)), "").Ruling
 			}})
 	}
-	slices.SortStableFunc(acts, func(a, b scenarioStep) int { return cmp.Compare(a.atFraction, b.atFraction) })
-	return acts
+	slices.SortStableFunc(steps, func(a, b scenarioStep) int { return cmp.Compare(a.atFraction, b.atFraction) })
+	return steps
 }()
 
-// rollingRestartSteps stops the machines in turn, politely, as an upgrade does. A core machine counts
-// again a lease after its start, so the next goes only then: it wants two minutes or more.
+// rollingRestartSteps stop the machines in turn, gracefully, as an upgrade does. A core machine counts again a
+// lease after its start, so the next is stopped only then: they need a load of two minutes or more.
 var rollingRestartSteps = func() []scenarioStep {
-	var acts []scenarioStep
+	var steps []scenarioStep
 	for i := range 3 {
 		at := 0.05 + 0.22*float64(i)
-		acts = append(acts, scenarioStep{at, "core machine stopped", func(r *testRun) string {
+		steps = append(steps, scenarioStep{at, "core machine stopped", func(r *testRun) string {
 			return r.forCoreProcesses(i, func(p *Process) { p.Stop(15 * time.Second) })
 		}}, scenarioStep{at + 0.05, "core machine started", func(r *testRun) string { return r.startCore(i) }})
 	}
-	// As many proxies as there are edges, each given a moment to come back.
+	// The users' largest deployment has 15 edges. Each proxy has a moment to come back.
 	for i := range 15 {
-		acts = append(acts, scenarioStep{0.72 + 0.018*float64(i), "proxy restarted politely", func(r *testRun) string {
+		steps = append(steps, scenarioStep{0.72 + 0.018*float64(i), "proxy restarted politely", func(r *testRun) string {
 			if i >= len(r.fleet.Proxies) {
 				return "left out"
 			}
@@ -139,10 +139,10 @@
 			return proxy.Name
 		}})
 	}
-	return acts
+	return steps
 }()
 
-// massKillSteps kills proxies singly and in herds.
+// massKillSteps kill proxies one by one and many at the same time.
 var massKillSteps = []scenarioStep{
 	{0.10, "proxy killed", func(r *testRun) string { r.middleProxy().Kill(); return r.middleProxy().Name }},
 	{0.25, "proxy back", func(r *testRun) string { _ = r.middleProxy().Start(); return r.middleProxy().Name }},
--- a/internal/testbed/verify.go
+++ b/internal/testbed/verify.go
@@ -8,7 +8,8 @@
 	"meadowhinge/internal/registry"
 )
 
-// awaitRecovery waits until the whole fleet is ready and a change is acknowledged.
+// awaitRecovery waits until every process is ready and a change is acknowledged, for a minute at most, and
+// returns how long that took.
 func (r *testRun) awaitRecovery() time.Duration {
 	began := r.now()
 	operator := NewOperator("closing", r.fleet, r.history, r.now)
@@ -25,7 +26,7 @@
 	return r.now() - began
 }
 
-// verifyAcknowledgedChanges asks what became of each acknowledged change, and notes those that are not there.
+// verifyAcknowledgedChanges asks for the outcome of each acknowledged change, and records those that differ.
 func (r *testRun) verifyAcknowledgedChanges() {
 	operator := NewOperator("auditor", r.fleet, r.history, r.now)
 	r.history.lock.Lock()
@@ -47,11 +48,11 @@
 	}
 }
 
-// maxOutcomeWait is how long it is asked what became of a change that no registry can tell.
+// maxOutcomeWait is for how long registries are asked for the outcome of one change.
 const maxOutcomeWait = time.Minute
 
-// awaitOutcome asks one registry after another what became of a change, until one tells. One that
-// cannot know it now, for want of a majority or because it is behind, does not tell of a loss.
+// awaitOutcome asks one registry after another for the outcome of a change, until one knows it. A registry that
+// cannot know it at the moment, without a majority or because it lags, proves no loss.
 func awaitOutcome(cores int, now func() time.Duration, ask func(core int) (registry.ChangeResponse, int, error)) registry.ChangeResponse {
 	began := now()
 	for {
