--- a/internal/testbed/caller.go
+++ b/internal/testbed/caller.go
@@ -17,33 +17,33 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// maxInFlight bounds the calls of one caller that wait for an answer.
+// maxInFlight bounds the requests in flight of one caller.
 const maxInFlight = 256
 
-// callerTimeout is longer than any horizon, so that the proxy answers first.
+// callerTimeout is longer than any deadline, so that the proxy answers first.
 const callerTimeout = 5 * time.Second
 
-// Caller is a stand-in caller at one listener of a proxy. It sends at a steady rate,
-// whatever the answers, and writes down what it got.
+// Caller is a fake caller at one listener of a proxy. It sends at a steady rate, whatever the responses, and
+// records what it got.
 type Caller struct {
 	name, proxy string
 	client      *fasthttp.HostClient
-	alternates  []*Caller // the same caller at other proxies, to be asked when this one failed
+	alternates  []*Caller // the same caller at other proxies, for retries
 	routes      []RouteSpec
-	rate        float64
+	rate        float64 // requests a second
 	history     *History
 	now         func() time.Duration
 	serial      atomic.Uint64
 }
 
-// NewCaller makes a caller of the routes, each by its share.
+// NewCaller makes a caller of some routes, each by its weight, at a rate in requests a second.
 func NewCaller(name, proxy, address string, routes []RouteSpec, rate float64, history *History, now func() time.Duration) *Caller {
 	return &Caller{name: name, proxy: proxy, routes: routes, rate: rate, history: history, now: now,
 		client: &fasthttp.HostClient{Addr: address, MaxConns: maxInFlight, MaxIdemponentCallAttempts: 1,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}}
 }
 
-// Run sends until stop is closed, then waits for what is in flight.
+// Run sends until stop closes, then waits for the requests in flight.
 func (c *Caller) Run(stop <-chan struct{}, rng *rand.Rand) {
 	var waiting sync.WaitGroup
 	slots := make(chan struct{}, maxInFlight)
@@ -61,7 +61,7 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			continue // a caller has no more than so many calls open at once
+			continue // a caller beyond its bound drops the request
 		}
 		waiting.Add(1)
 		go func() {
@@ -72,6 +72,7 @@
 	}
 }
 
+// pickRoute picks the route at a point from 0 to 1 of the routes' weights.
 func (c *Caller) pickRoute(point float64) RouteSpec {
 	total := 0.0
 	for _, route := range c.routes {
@@ -86,17 +87,18 @@
 	return c.routes[len(c.routes)-1]
 }
 
-// unkeyedOneIn is the part of the once calls that have no idempotency key.
+// unkeyedOneIn is which part of the non-idempotent requests has no idempotency key: one in so many.
 const unkeyedOneIn = 4
 
-// maxCallerRetries is how often a call under a key is asked for; callerRetryPause is between two asks.
+// maxCallerRetries is how often a request under an idempotency key is retried; callerRetryBackoff is between two
+// attempts.
 const (
-	maxCallerRetries = 4
-	callerRetryPause = 300 * time.Millisecond
+	maxCallerRetries   = 4
+	callerRetryBackoff = 300 * time.Millisecond
 )
 
-// call makes one call. One under a key is asked for again, at another proxy each time, for as
-// long as its outcome is not known.
+// call makes one call. One under an idempotency key is retried, at another proxy each time, for as long as its
+// outcome is unknown.
 func (c *Caller) call(route RouteSpec, user int) {
 	serial := c.serial.Add(1)
 	operation := fmt.Sprintf("%s@%s-%d", c.name, c.proxy, serial)
@@ -106,13 +108,23 @@
 		if !keyed || retry == maxCallerRetries || entry.Outcome == "answered" || entry.Outcome == "not-run" || len(c.alternates) == 0 {
 			return
 		}
-		time.Sleep(callerRetryPause)
+		time.Sleep(callerRetryBackoff)
 		target = c.alternates[(int(serial)+retry)%len(c.alternates)]
 	}
 }
 
+// send makes one attempt and records it.
 func (c *Caller) send(route RouteSpec, user int, operation string, keyed bool, retry int) CallEntry {
-	entry := CallEntry{Operation: operation, Caller: c.name, Proxy: c.proxy, Service: route.Service, Route: route.Name, NonIdempotent: route.NonIdempotent, Keyed: keyed, CallerRetry: retry}
+	entry := CallEntry{
+		Operation:     operation,
+		Caller:        c.name,
+		Proxy:         c.proxy,
+		Service:       route.Service,
+		Route:         route.Name,
+		NonIdempotent: route.NonIdempotent,
+		Keyed:         keyed,
+		CallerRetry:   retry,
+	}
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
 	defer fasthttp.ReleaseResponse(response)
@@ -124,7 +136,7 @@
 		request.Header.Set(callerRetryHeader, strconv.Itoa(retry))
 	}
 	request.Header.Set("X-User", "user-"+strconv.Itoa(user))
-	// A false claim of identity, which must never reach a worker.
+	// A forged identity, which must never reach a worker.
 	request.Header.Set(dispatch.HeaderCaller, "somebody-else")
 	if route.Method == fasthttp.MethodPost {
 		request.SetBodyString(`{"op":"` + entry.Operation + `","filler":"0123456789012345678901234567890123456789"}`)
@@ -145,19 +157,28 @@
 	return entry
 }
 
-// readResponse takes the proxy's word for what happened, and checks the answer itself.
+// readResponse takes the outcome from the proxy's headers and, of an answered call, checks the response itself.
 func (e *CallEntry) readResponse(status int, header func(name string) string, body []byte) {
-	e.Status, e.Outcome, e.Version = status, header(dispatch.HeaderOutcome), header(dispatch.HeaderVersion)
+	e.Status = status
+	e.Outcome = header(dispatch.HeaderOutcome)
+	e.Version = header(dispatch.HeaderVersion)
+	// Without one of these headers its field stays 0.
 	e.ConfigRevision, _ = strconv.ParseUint(header(dispatch.HeaderConfigRevision), 10, 64)
 	e.Attempts, _ = strconv.Atoi(header(dispatch.HeaderAttempts))
 	if e.Outcome == "answered" {
 		var reply fakebackend.Reply
 		if json.Unmarshal(body, &reply) == nil {
-			e.Echoed, e.Worker, e.Intact = reply.Operation, reply.Worker, reply.IsIntact()
+			e.Echoed = reply.Operation
+			e.Worker = reply.Worker
+			e.Intact = reply.IsIntact()
 		}
 		return
 	}
-	var refusal struct{ Defect, Outcome string }
-	_ = json.Unmarshal(body, &refusal)
-	e.ErrorCode, e.Outcome = refusal.Defect, refusal.Outcome
+	var rejection struct {
+		ErrorCode string `json:"defect"`
+		Outcome   string `json:"outcome"`
+	}
+	_ = json.Unmarshal(body, &rejection) // a body that is none leaves the outcome empty, which is no known one
+	e.ErrorCode = rejection.ErrorCode
+	e.Outcome = rejection.Outcome
 }
--- a/internal/testbed/certificates.go
+++ b/internal/testbed/certificates.go
@@ -1,5 +1,3 @@
-// Package testbed brings up a whole fleet on one machine, puts load and faults on it, and
-// judges by the ledgers of its stand-in callers and workers what never may happen.
 package testbed
 
 import (
@@ -18,7 +16,7 @@
 	"meadowhinge/internal/errs"
 )
 
-// Authority makes the certificates of one mesh.
+// Authority issues the certificates of one fleet. It is used from one goroutine.
 type Authority struct {
 	folder string
 	key    *ecdsa.PrivateKey
@@ -26,7 +24,7 @@
 	serial int64
 }
 
-// certificateValidity is short: a rehearsal's certificates are of no use after it.
+// certificateValidity is short: after a run its certificates are of no use.
 const certificateValidity = 48 * time.Hour
 
 // NewAuthority makes an authority and writes its certificate to folder.
@@ -48,15 +46,16 @@
 	return a, writePEM(a.File(), []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}})
 }
 
-// File is where the authority's certificate stands.
+// File is the file of the authority's certificate, in PEM.
 func (a *Authority) File() string { return filepath.Join(a.folder, "authority.pem") }
 
-// Issue makes a certificate for role/name that may speak for services.
+// Issue makes a certificate for a process (role/name) that may call as the given services. It returns the file
+// of certificate and key, in PEM.
 func (a *Authority) Issue(role, name string, services []string) (string, error) {
 	return a.IssueUntil(role, name, services, time.Now().Add(certificateValidity))
 }
 
-// IssueUntil makes one that is good until a time.
+// IssueUntil is Issue with an end of validity.
 func (a *Authority) IssueUntil(role, name string, services []string, until time.Time) (string, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -82,6 +81,7 @@
 	return file, writePEM(file, []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}, {Type: "EC PRIVATE KEY", Bytes: private}})
 }
 
+// writePEM writes blocks to a file that only this user may read.
 func writePEM(file string, blocks []*pem.Block) error {
 	var text []byte
 	for _, block := range blocks {
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -44,7 +44,7 @@
 }
 
 func newHollowOperator(opts *schema.HollowOptions, core *Fleet, now func() time.Duration) *hollowOperator {
-	return &hollowOperator{opts: opts, core: core, now: now, http: &http.Client{Timeout: 25 * time.Second},
+	return &hollowOperator{opts: opts, core: core, now: now, http: &http.Client{Timeout: operatorTimeout},
 		rng: rand.New(rand.NewPCG(uint64(opts.Seed), 1)), currentVersions: map[string]uint64{}, rulings: map[string]int{}}
 }
 
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -14,25 +14,36 @@
 	"meadowhinge/internal/registry"
 )
 
-// Operator is a stand-in operator: it states changes and writes down what it was told.
+// Operator is a fake operator: it submits changes one after another and records what it got. It is used from one
+// goroutine.
 type Operator struct {
 	name         string
 	fleet        *Fleet
 	history      *History
 	now          func() time.Duration
 	http         *http.Client
-	changeSerial int
-	textSerial   int
+	changeSerial int // of change ids
+	textSerial   int // makes each change differ
 }
 
-// NewOperator makes an operator.
+// operatorTimeout is longer than a registry takes to answer a change that not every proxy has acknowledged.
+const operatorTimeout = 25 * time.Second
+
+// NewOperator makes an operator. The name is part of the ids of its changes, so no other operator may have it.
 func NewOperator(name string, fleet *Fleet, history *History, now func() time.Duration) *Operator {
-	return &Operator{name: name, fleet: fleet, history: history, now: now, http: &http.Client{Timeout: 25 * time.Second}}
+	return &Operator{name: name, fleet: fleet, history: history, now: now, http: &http.Client{Timeout: operatorTimeout}}
 }
 
+// call sends a request to one registry and decodes the response, whatever its status. A GET has the body null.
 func (o *Operator) call(core int, method, path string, body, target any) (int, error) {
-	text, _ := json.Marshal(body)
-	request, _ := http.NewRequest(method, "http://"+o.fleet.OperatorAddress(core)+path, bytes.NewReader(text))
+	text, err := json.Marshal(body)
+	if err != nil {
+		return 0, errs.Wrap(err, errs.Internal, "request")
+	}
+	request, err := http.NewRequest(method, "http://"+o.fleet.OperatorAddress(core)+path, bytes.NewReader(text))
+	if err != nil {
+		return 0, errs.Wrap(err, errs.Internal, "request")
+	}
 	response, err := o.http.Do(request)
 	if err != nil {
 		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
@@ -45,7 +56,7 @@
 	return response.StatusCode, errs.Wrap(json.Unmarshal(answer, target), errs.MalformedRequest, string(answer))
 }
 
-// ReadConfig reads the setup at a core machine and writes down what it showed.
+// ReadConfig reads the configuration at a core member and records what it showed.
 func (o *Operator) ReadConfig(core int) (*registry.ConfigView, error) {
 	entry := ConfigViewEntry{Node: o.fleet.Registries[core].Name, Requested: o.now()}
 	shown := &registry.ConfigView{}
@@ -53,7 +64,8 @@
 	if err != nil || status != http.StatusOK {
 		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("status %d: %v", status, err))
 	}
-	entry.Received, entry.ConfigRevision = o.now(), shown.Sequence
+	entry.Received = o.now()
+	entry.ConfigRevision = shown.Sequence
 	for _, item := range shown.Items {
 		entry.Items = append(entry.Items, config.Key(item.Kind, item.Name))
 	}
@@ -61,11 +73,12 @@
 	return shown, nil
 }
 
-// SubmitChange states a change at a core machine and writes down what it was told. A marker is
-// an item that only an invalid change names.
-func (o *Operator) SubmitChange(core int, text, marker string) ChangeEntry {
+// SubmitChange submits a change at a core member, on top of the configuration that this member shows, and records
+// the result. The ruling is "unknown" if there was no response. invalidItem is an item that only an invalid change
+// names; empty for a valid one.
+func (o *Operator) SubmitChange(core int, text, invalidItem string) ChangeEntry {
 	o.changeSerial++
-	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.changeSerial), Invalid: marker != "", InvalidItem: marker}
+	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.changeSerial), Invalid: invalidItem != "", InvalidItem: invalidItem}
 	submission := registry.ChangeRequest{ID: entry.ID, Config: text, ExpectedVersions: map[string]uint64{}}
 	if shown, err := o.ReadConfig(core); err == nil {
 		items, _ := configsource.Parse([]byte(text))
@@ -81,7 +94,9 @@
 	var answer registry.ChangeResponse
 	_, err := o.call(core, http.MethodPost, "/v1/changes", submission, &answer)
 	entry.Answered = o.now()
-	entry.Ruling, entry.Sequence, entry.Acknowledged = answer.Ruling, answer.Sequence, answer.Acknowledged
+	entry.Ruling = answer.Ruling
+	entry.Sequence = answer.Sequence
+	entry.Acknowledged = answer.Acknowledged
 	if err != nil || entry.Ruling == "" {
 		entry.Ruling = "unknown"
 	}
@@ -89,8 +104,9 @@
 	return entry
 }
 
-// invalidChange is a change with a good item and a bad one: nothing of it may come into force.
-func (o *Operator) invalidChange() (text, marker string) {
+// invalidChange is a change with a valid item, which is returned too, and an invalid one: a flag that requires
+// itself. Nothing of it may take effect.
+func (o *Operator) invalidChange() (text, invalidItem string) {
 	o.textSerial++
 	name := fmt.Sprintf("bad-%s-%d", o.name, o.textSerial)
 	service := o.fleet.Deployment.Services[0].Name
@@ -99,24 +115,24 @@
 `, name, service, name, name, name), "route/" + name
 }
 
-// ChangeLoop states change after change until stop is closed, an invalid one every so
-// often. With spareFlags the flags are left to the release plans.
+// ChangeLoop submits one change after another until stop closes; every fifth is invalid. With skipFlags it leaves
+// the flags to the release plans.
 func (o *Operator) ChangeLoop(stop <-chan struct{}, interval time.Duration, skipFlags bool) {
-	for round := 0; ; round++ {
+	for turn := 0; ; turn++ {
 		select {
 		case <-stop:
 			return
 		case <-time.After(interval):
 		}
-		core := round % o.fleet.Deployment.CoreMembers
-		if round%5 == 4 {
-			text, marker := o.invalidChange()
-			o.SubmitChange(core, text, marker)
+		core := turn % o.fleet.Deployment.CoreMembers
+		if turn%5 == 4 {
+			text, invalidItem := o.invalidChange()
+			o.SubmitChange(core, text, invalidItem)
 			continue
 		}
-		service := o.fleet.Deployment.Services[round%len(o.fleet.Deployment.Services)].Name
+		service := o.fleet.Deployment.Services[turn%len(o.fleet.Deployment.Services)].Name
 		o.textSerial++
-		text := o.fleet.Deployment.FlagText(service, 30000+round%5*10000, o.textSerial)
+		text := o.fleet.Deployment.FlagText(service, 30000+turn%5*10000, o.textSerial)
 		if skipFlags {
 			text = fmt.Sprintf("segment: %q: {salt: \"%d\"}\n", "storm-"+service, o.textSerial)
 		}
@@ -124,7 +140,7 @@
 	}
 }
 
-// ReadReleases reads the release plans at a core machine.
+// ReadReleases reads the release plans at a core member.
 func (o *Operator) ReadReleases(core int) ([]registry.ReleaseView, error) {
 	var shown []registry.ReleaseView
 	status, err := o.call(core, http.MethodGet, "/v1/releases", nil, &shown)
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -22,22 +22,22 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// operationHeader carries the name of a request from caller to worker.
+// operationHeader carries the name of a request (CallEntry.Operation) from caller to worker.
 const operationHeader = "X-Op"
 
-// callerRetryHeader tells how often the request had been asked for before.
+// callerRetryHeader carries CallEntry.CallerRetry.
 const callerRetryHeader = "X-Ask"
 
-// Worker is a stand-in worker. It runs what bears its token, and writes each run down.
+// Worker is a fake worker. It executes the requests that bear its token, and records each execution.
 type Worker struct {
 	name                string
 	description         dispatch.WorkerDescription
-	registrationAddress string // where the proxy beside it takes descriptions
+	registrationAddress string // IP:port at which its proxy takes registrations
 	history             *History
 	now                 func() time.Duration
-	delay               time.Duration
+	delay               time.Duration // of each request
 
-	lock      sync.Mutex
+	lock      sync.Mutex // guards description and conns
 	conns     map[net.Conn]bool
 	listener  net.Listener
 	stopped   chan struct{}
@@ -45,30 +45,32 @@
 	draining  atomic.Bool
 	inFlight  atomic.Int64
 	fault     atomic.Pointer[WorkerFault]
-	onRequest atomic.Pointer[func(call *fasthttp.RequestCtx)] // what is done for an answer, besides
+	onRequest atomic.Pointer[func(call *fasthttp.RequestCtx)] // called for each request before the response is written
 }
 
-// WorkerFault is how a bad version behaves.
+// WorkerFault is how a worker misbehaves.
 type WorkerFault struct {
-	Prefix          string        // only on paths with it; empty for all
+	Prefix          string        // only on paths that begin with it; empty for all
 	ReturnsError    bool          // answers 500
 	ExtraDelay      time.Duration // takes this much longer
-	DropsResponse   bool          // does the work and loses the answer
-	GarblesResponse bool          // answers what is no JSON
-	AboveInFlight   int64         // ill only while more calls than this are under way at the worker
+	DropsResponse   bool          // executes the request and closes the connection
+	GarblesResponse bool          // answers with a cut JSON body
+	AboveInFlight   int64         // faulty only while more requests than this are in flight; the delay then comes before the execution, in any case
 }
 
-// SetFault makes the worker ill, or well with nil.
+// SetFault makes the worker faulty; nil ends that.
 func (w *Worker) SetFault(fault *WorkerFault) { w.fault.Store(fault) }
 
-// heartbeatInterval is how often stand-in workers describe themselves.
+// heartbeatInterval is between two heartbeats of a worker.
 const heartbeatInterval = time.Second
 
+// trackingListener keeps the connections that it accepted, so that Kill can reset them.
 type trackingListener struct {
 	net.Listener
 	worker *Worker
 }
 
+// Accept accepts a connection and adds it to the worker's.
 func (l trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
@@ -79,15 +81,32 @@
 	return conn, err
 }
 
-// StartWorker begins a worker at an address and keeps describing it to its proxy.
+// StartWorker starts a worker at an address (IP:port) and registers it with the proxy at registrationAddress, at
+// once and with each heartbeat. Each request takes delay.
 func StartWorker(name, service, version, zone, address, registrationAddress string, delay time.Duration, history *History, now func() time.Duration) (*Worker, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "worker")
 	}
-	w := &Worker{name: name, registrationAddress: registrationAddress, history: history, now: now, delay: delay, conns: map[net.Conn]bool{}, listener: listener, stopped: make(chan struct{}),
-		description: dispatch.WorkerDescription{Address: address, Service: service, Version: version, Zone: zone, Token: fmt.Sprintf("%s-%d", name, now()), HeartbeatMS: heartbeatInterval.Milliseconds()}}
-	// That a proxy closed a connection is noted in the ledger where it counts.
+	w := &Worker{
+		name:                name,
+		registrationAddress: registrationAddress,
+		history:             history,
+		now:                 now,
+		delay:               delay,
+		conns:               map[net.Conn]bool{},
+		listener:            listener,
+		stopped:             make(chan struct{}),
+		description: dispatch.WorkerDescription{
+			Address:     address,
+			Service:     service,
+			Version:     version,
+			Zone:        zone,
+			Token:       fmt.Sprintf("%s-%d", name, now()),
+			HeartbeatMS: heartbeatInterval.Milliseconds(),
+		},
+	}
+	// Connections that proxies close are expected; where one matters, the history has it.
 	discard := log.New(io.Discard, "", 0)
 	server := &fasthttp.Server{Handler: w.handle, NoDefaultServerHeader: true, Concurrency: 10000, Logger: discard}
 	go func() { _ = server.Serve(trackingListener{listener, w}) }()
@@ -95,6 +114,7 @@
 	return w, nil
 }
 
+// handle serves one request.
 func (w *Worker) handle(call *fasthttp.RequestCtx) {
 	if w.killed.Load() {
 		call.HijackSetNoResponse(true)
@@ -103,7 +123,7 @@
 	}
 	operation := string(call.Request.Header.Peek(operationHeader))
 	if string(call.Request.Header.Peek(dispatch.HeaderToken)) != w.description.Token {
-		// Not meant for this worker: it says so, and has not run it.
+		// Meant for another worker: it is rejected, and was not executed.
 		appendEntry(w.history, &w.history.MisdirectedRequests, w.name+" refused "+operation)
 		call.Response.Header.Set(dispatch.HeaderRefused, "token")
 		call.SetStatusCode(fasthttp.StatusMisdirectedRequest)
@@ -111,7 +131,7 @@
 	}
 	w.inFlight.Add(1)
 	defer w.inFlight.Add(-1)
-	// What is sent past the mesh, to measure what the mesh adds, is not of its ledger.
+	// Calls past the mesh only measure what the mesh adds.
 	if string(call.Path()) == directPath {
 		w.respond(call, operation)
 		return
@@ -122,8 +142,16 @@
 		time.Sleep(fault.ExtraDelay)
 	}
 	callerRetry, _ := strconv.Atoi(string(call.Request.Header.Peek(callerRetryHeader)))
-	appendEntry(w.history, &w.history.Executions, ExecutionEntry{Operation: operation, CallerRetry: callerRetry, Caller: string(call.Request.Header.Peek(dispatch.HeaderCaller)), Service: w.description.Service,
-		Version: w.description.Version, Worker: w.name, At: w.now(), Faulty: faulty})
+	appendEntry(w.history, &w.history.Executions, ExecutionEntry{
+		Operation:   operation,
+		CallerRetry: callerRetry,
+		Caller:      string(call.Request.Header.Peek(dispatch.HeaderCaller)),
+		Service:     w.description.Service,
+		Version:     w.description.Version,
+		Worker:      w.name,
+		At:          w.now(),
+		Faulty:      faulty,
+	})
 	if faulty && fault.AboveInFlight == 0 {
 		time.Sleep(fault.ExtraDelay)
 	}
@@ -141,7 +169,7 @@
 	}
 }
 
-// simulateWork takes as long as a request asks, or until the connection that it came on ends.
+// simulateWork takes as long as a request asks for, or until its connection ends, and records the end.
 func (w *Worker) simulateWork(call *fasthttp.RequestCtx, operation string) {
 	requestedMS, err := strconv.Atoi(string(call.Request.Header.Peek(workDurationHeader)))
 	if err != nil {
@@ -149,7 +177,8 @@
 	}
 	conn, connEnded := call.Conn(), make(chan bool, 1)
 	go func() {
-		// A proxy sends nothing before it has its answer, so what can be read is the end.
+		// A proxy sends nothing before it has its response, so a read returns only at the end of the connection, or
+		// at the deadline set below.
 		_, err := conn.Read(make([]byte, 1))
 		connEnded <- err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	}()
@@ -164,10 +193,10 @@
 	appendEntry(w.history, &w.history.ExecutionEnds, ExecutionEndEntry{operation, w.name, w.now(), connLost})
 }
 
-// directPath is for calls past the mesh.
+// directPath is the path of calls past the mesh, which are not recorded.
 const directPath = "/direct"
 
-// respond does the work and answers.
+// respond writes the response, once the worker's delay is over.
 func (w *Worker) respond(call *fasthttp.RequestCtx, operation string) {
 	if w.delay > 0 {
 		time.Sleep(w.delay)
@@ -180,6 +209,7 @@
 	call.SetBody(text)
 }
 
+// register sends a heartbeat with the worker's description, once change was applied to it.
 func (w *Worker) register(change func(*dispatch.WorkerDescription)) error {
 	w.lock.Lock()
 	if change != nil {
@@ -205,7 +235,7 @@
 	return nil
 }
 
-// CallDirectly sends one call straight to the worker and tells how long it took.
+// CallDirectly sends one call straight to the worker and returns how long it took.
 func (w *Worker) CallDirectly() (time.Duration, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -217,6 +247,7 @@
 	return time.Since(begin), errs.Wrap(err, errs.WorkerConnectionLost, w.name)
 }
 
+// heartbeatLoop sends heartbeats until the worker is killed. A lost one is made up for by the next.
 func (w *Worker) heartbeatLoop() {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -230,7 +261,7 @@
 	}
 }
 
-// Drain says that the worker is emptying, and goes on serving what it has.
+// Drain reports that the worker drains. It goes on serving.
 func (w *Worker) Drain() error {
 	w.draining.Store(true)
 	err := w.register(func(description *dispatch.WorkerDescription) { description.Draining = true })
@@ -238,7 +269,7 @@
 	return err
 }
 
-// Shutdown says that the worker is gone, waits for what it runs, and ends.
+// Shutdown deregisters the worker, waits for its requests in flight, and ends it.
 func (w *Worker) Shutdown() {
 	_ = w.register(func(description *dispatch.WorkerDescription) { description.Deregistered = true })
 	for w.inFlight.Load() > 0 {
@@ -247,7 +278,7 @@
 	w.Kill()
 }
 
-// Kill ends the worker at once, as a crash does: every connection is reset, nothing said.
+// Kill ends the worker as a crash does: every connection is reset, and nothing is reported.
 func (w *Worker) Kill() {
 	if w.killed.Swap(true) {
 		return
