--- a/internal/testbed/curve_fit.go
+++ b/internal/testbed/curve_fit.go
@@ -16,29 +16,30 @@
 	driverValue, cost float64
 }
 
-// Slope is how a cost grows with a driver: the terms of a polynomial, the constant first.
+// Slope is how a cost grows with a driver, as a polynomial fitted to runs.
 type Slope struct {
 	Driver         string    `json:"driver"`
 	Cost           string    `json:"cost"`
-	Coefficients   []float64 `json:"terms"`
-	RSquared       float64   `json:"fit"`    // R², of the runs that it was fitted to
-	RelativeSpread float64   `json:"spread"` // of runs at one value: deviation as a part of the mean, the largest
-	// HeldOut is the value that was left out of the fit, to hold the slope against it.
+	Coefficients   []float64 `json:"terms"`  // the constant first
+	RSquared       float64   `json:"fit"`    // R² over the runs that it was fitted to
+	RelativeSpread float64   `json:"spread"` // the largest standard deviation of the runs at one value, as a part of their mean
+	// HeldOut is the value that was left out of the fit, for a comparison of Predicted and Measured; 0 for none.
 	HeldOut   float64 `json:"out"`
 	Predicted float64 `json:"predicted"`
 	Measured  float64 `json:"measured"` // the mean of its runs
 }
 
-// Predict is the cost that a slope foretells.
+// Predict is the cost that the slope predicts at a value of its driver.
 func (s Slope) Predict(value float64) float64 {
 	sum, power := 0.0, 1.0
 	for _, term := range s.Coefficients {
-		sum, power = sum+term*power, power*value
+		sum += term * power
+		power *= value
 	}
 	return sum
 }
 
-// RelativeError is how far the slope was from what was left out of it, as a part of that.
+// RelativeError is how far the prediction was from what was measured at the held-out value, as a part of that.
 func (s Slope) RelativeError() float64 {
 	if s.Measured == 0 {
 		return 0
@@ -46,7 +47,7 @@
 	return (s.Predicted - s.Measured) / s.Measured
 }
 
-// Formula is the slope as a formula.
+// Formula writes the polynomial.
 func (s Slope) Formula() string {
 	var parts []string
 	for i, term := range s.Coefficients {
@@ -56,14 +57,14 @@
 	return strings.ReplaceAll(strings.Join(parts, " + "), "+ -", "- ")
 }
 
-// maxDegree bounds a slope's terms: costs here come from loops over members, or over pairs of them.
+// maxDegree bounds the polynomial: costs come from loops over members, or over pairs of them.
 const maxDegree = 2
 
-// minCurveImprovement is how much nearer a curve must come than a line to be taken for what is there.
+// minCurveImprovement is the factor by which a curve's error must be below a line's for the curve to be taken.
 const minCurveImprovement = 0.7
 
-// fitSlope fits a line or, where that foretells left-out values clearly better, a curve. The
-// largest value is left out, for the slope is used to look beyond what was measured.
+// fitSlope fits a line or, where that predicts left-out values clearly better, a curve. The largest value is held
+// out of the fit, because slopes are used to predict beyond what was measured.
 func fitSlope(driver, cost string, runs []costSample) Slope {
 	byValue := map[float64][]float64{}
 	for _, sample := range runs {
@@ -102,7 +103,7 @@
 	for i := range x {
 		predicted[i] = slope.Predict(x[i])
 	}
-	// Runs that all cost the same leave nothing to tell apart.
+	// R² has no value where all runs cost the same; the fit is exact then.
 	if slope.RSquared = stat.RSquaredFrom(predicted, y, nil); math.IsNaN(slope.RSquared) || math.IsInf(slope.RSquared, 0) {
 		slope.RSquared = 1
 	}
@@ -110,18 +111,21 @@
 	return slope
 }
 
+// withoutValue lists the runs at all other values.
 func withoutValue(runs []costSample, value float64) []costSample {
 	return slices.DeleteFunc(slices.Clone(runs), func(sample costSample) bool { return sample.driverValue == value })
 }
 
+// columns lists the runs' values and costs.
 func columns(runs []costSample) (x, y []float64) {
 	for _, sample := range runs {
-		x, y = append(x, sample.driverValue), append(y, sample.cost)
+		x = append(x, sample.driverValue)
+		y = append(y, sample.cost)
 	}
 	return x, y
 }
 
-// fitPolynomial fits by least squares.
+// fitPolynomial fits a polynomial by least squares; the constant is the first coefficient.
 func fitPolynomial(runs []costSample, degree int) []float64 {
 	x, y := columns(runs)
 	switch {
@@ -133,7 +137,7 @@
 		constant, slope := stat.LinearRegression(x, y, nil, false)
 		return []float64{constant, slope}
 	}
-	// Powers of large values differ by many orders, so they are fitted as parts of the largest.
+	// Powers of large values differ by many orders of magnitude, so values are scaled to the largest.
 	scale := slices.Max(x)
 	powers := mat.NewDense(len(x), degree+1, nil)
 	for i, value := range x {
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -5,66 +5,66 @@
 	"strings"
 )
 
-// Deployment is a fleet's size and what its callers do.
+// Deployment is the size of a fleet and the load on it.
 type Deployment struct {
 	Name          string
-	Edges         int
-	CoreMembers   int
+	Edges         int // edge machines, each with a proxy
+	CoreMembers   int // core machines, each with a store and a registry
 	Zones         int
-	RequestRate   float64 // client requests a second
-	InternalRatio float64 // calls between services, as a part of Rate
+	RequestRate   float64 // requests a second of clients, at all proxies together
+	InternalRatio float64 // rate of each service's internal calls, as a part of the clients' at the same proxy
 	Services      []ServiceSpec
 	Routes        []RouteSpec
 }
 
-// ServiceSpec is a service and how many workers of it there are.
+// ServiceSpec is a service and its number of workers.
 type ServiceSpec struct {
 	Name    string
 	Workers int
 }
 
-// RouteSpec is one kind of request.
+// RouteSpec is a kind of request.
 type RouteSpec struct {
 	Name, Service, Prefix, Method string
 	NonIdempotent                 bool
-	Weight                        float64 // of the client requests
+	Weight                        float64 // relative, among the requests of its callers
 	Internal                      bool    // called by other services rather than clients
 }
 
-// smallRoutes are the kinds of request of fleets that stand for no deployment of the users'.
+// smallRoutes are the requests of fleets that stand for none of the users' deployments.
 var smallRoutes = []RouteSpec{
-	{"shop-buy", "shop", "/shop/buy", "POST", true, 0.4, false},
-	{"shop-look", "shop", "/shop/look", "GET", false, 0.3, false},
-	{"save-commit", "saves", "/saves/commit", "POST", true, 0.3, false},
-	{"check-slot", "saves", "/saves/slot", "GET", false, 1, true},
+	{Name: "shop-buy", Service: "shop", Prefix: "/shop/buy", Method: "POST", NonIdempotent: true, Weight: 0.4},
+	{Name: "shop-look", Service: "shop", Prefix: "/shop/look", Method: "GET", Weight: 0.3},
+	{Name: "save-commit", Service: "saves", Prefix: "/saves/commit", Method: "POST", NonIdempotent: true, Weight: 0.3},
+	{Name: "check-slot", Service: "saves", Prefix: "/saves/slot", Method: "GET", Weight: 1, Internal: true},
 }
 
-// Deployments are the fleets of today, and a small one for quick runs.
+// Deployments are all fleets by name: the users' deployments, and others of our own for quick or wide runs.
 var Deployments = map[string]*Deployment{
 	"wroblewski": {Name: "wroblewski", Edges: 15, CoreMembers: 3, Zones: 3, RequestRate: 680, InternalRatio: 0.3,
 		Services: []ServiceSpec{{"saves", 4}, {"shop", 4}, {"items", 4}, {"accounts", 3}},
 		Routes: []RouteSpec{
-			{"login", "accounts", "/accounts/login", "GET", false, 0.25, false},
-			{"save-load", "saves", "/saves/load", "GET", false, 0.2, false},
-			{"save-commit", "saves", "/saves/commit", "POST", true, 0.2, false},
-			{"shop-buy", "shop", "/shop/buy", "POST", true, 0.15, false},
-			{"backpack", "items", "/items/backpack", "GET", false, 0.2, false},
-			{"check-price", "shop", "/shop/price", "GET", false, 0.4, true},
-			{"check-slot", "saves", "/saves/slot", "GET", false, 0.3, true},
-			{"check-item", "items", "/items/definition", "GET", false, 0.3, true},
+			{Name: "login", Service: "accounts", Prefix: "/accounts/login", Method: "GET", Weight: 0.25},
+			{Name: "save-load", Service: "saves", Prefix: "/saves/load", Method: "GET", Weight: 0.2},
+			{Name: "save-commit", Service: "saves", Prefix: "/saves/commit", Method: "POST", NonIdempotent: true, Weight: 0.2},
+			{Name: "shop-buy", Service: "shop", Prefix: "/shop/buy", Method: "POST", NonIdempotent: true, Weight: 0.15},
+			{Name: "backpack", Service: "items", Prefix: "/items/backpack", Method: "GET", Weight: 0.2},
+			{Name: "check-price", Service: "shop", Prefix: "/shop/price", Method: "GET", Weight: 0.4, Internal: true},
+			{Name: "check-slot", Service: "saves", Prefix: "/saves/slot", Method: "GET", Weight: 0.3, Internal: true},
+			{Name: "check-item", Service: "items", Prefix: "/items/definition", Method: "GET", Weight: 0.3, Internal: true},
 		}},
 	"kithul": {Name: "kithul", Edges: 14, CoreMembers: 3, Zones: 3, RequestRate: 900, InternalRatio: 0.3,
 		Services: []ServiceSpec{{"recipes", 4}, {"cookbooks", 4}, {"orders", 3}, {"search", 3}},
 		Routes: []RouteSpec{
-			{"recipe", "recipes", "/recipes/read", "GET", false, 0.4, false},
-			{"cookbook-save", "cookbooks", "/cookbooks/save", "POST", true, 0.15, false},
-			{"kit-order", "orders", "/orders/kit", "POST", true, 0.15, false},
-			{"find", "search", "/search/find", "GET", false, 0.3, false},
-			{"pantry", "recipes", "/recipes/pantry", "GET", false, 0.3, true},
-			{"stock", "orders", "/orders/stock", "GET", false, 0.3, true},
-			{"ranking", "search", "/search/ranking", "GET", false, 0.4, true},
+			{Name: "recipe", Service: "recipes", Prefix: "/recipes/read", Method: "GET", Weight: 0.4},
+			{Name: "cookbook-save", Service: "cookbooks", Prefix: "/cookbooks/save", Method: "POST", NonIdempotent: true, Weight: 0.15},
+			{Name: "kit-order", Service: "orders", Prefix: "/orders/kit", Method: "POST", NonIdempotent: true, Weight: 0.15},
+			{Name: "find", Service: "search", Prefix: "/search/find", Method: "GET", Weight: 0.3},
+			{Name: "pantry", Service: "recipes", Prefix: "/recipes/pantry", Method: "GET", Weight: 0.3, Internal: true},
+			{Name: "stock", Service: "orders", Prefix: "/orders/stock", Method: "GET", Weight: 0.3, Internal: true},
+			{Name: "ranking", Service: "search", Prefix: "/search/ranking", Method: "GET", Weight: 0.4, Internal: true},
 		}},
-	// As many processes as one machine bears beside its other work.
+	// As many processes as one machine can run beside its other work.
 	"wide": {Name: "wide", Edges: 120, CoreMembers: 3, Zones: 4, RequestRate: 240, InternalRatio: 0.2,
 		Services: []ServiceSpec{{"shop", 60}, {"saves", 60}},
 		Routes:   smallRoutes},
@@ -73,10 +73,10 @@
 		Routes:   smallRoutes},
 }
 
-// clientCaller is the caller whom the ingress listeners stand for.
+// clientCaller is the name of the caller that stands for all clients outside the mesh.
 const clientCaller = "client"
 
-// The versions that workers run; no worker of the barred one is in any setup.
+// Versions of workers. The configuration lists the old and the new one of each service.
 const (
 	versionOld        = "1.0.0"
 	versionNew        = "1.1.0"
@@ -94,6 +94,7 @@
 	return callers
 }
 
+// quoteList writes names as a CUE list.
 func quoteList(names []string) string {
 	var parts []string
 	for _, name := range names {
@@ -102,8 +103,8 @@
 	return "[" + strings.Join(parts, ", ") + "]"
 }
 
-// FlagText is the release flag of a service at a share of the new version, in thousandths
-// of a percent; mark changes with each writing, so that each writing is a change.
+// FlagText is the release flag of a service, in CUE, with the new version at a weight in thousandths of a percent.
+// A generation of its own makes each text a change, also where the weight is the same.
 func (d *Deployment) FlagText(service string, newWeight, generation int) string {
 	return fmt.Sprintf(`flag: "release.%s": {on: true, salt: "s", variations: [%q, %q], offVariation: 0,
 	targets: [{variation: 0, values: ["nobody-%d"]}],
@@ -111,11 +112,13 @@
 `, service, versionOld, versionNew, generation, 100000-newWeight, newWeight)
 }
 
-// ConfigText is the first setup of the fleet, in CUE, with the new version at a weight.
+// ConfigText is the first configuration of the fleet, in CUE, with the new versions at a weight in thousandths of a
+// percent.
 func (d *Deployment) ConfigText(newWeight int) string {
 	var text strings.Builder
 	for _, service := range d.Services {
-		fmt.Fprintf(&text, "service: %q: {versions: [%q, %q], fallback: %q, callers: %s}\n", service.Name, versionOld, versionNew, versionOld, quoteList(d.allowedCallers(service.Name)))
+		fmt.Fprintf(&text, "service: %q: {versions: [%q, %q], fallback: %q, callers: %s}\n",
+			service.Name, versionOld, versionNew, versionOld, quoteList(d.allowedCallers(service.Name)))
 		text.WriteString(d.FlagText(service.Name, newWeight, 0))
 	}
 	for _, route := range d.Routes {
@@ -129,14 +132,14 @@
 	return text.String()
 }
 
-// workerPlacement places a worker on an edge machine.
+// workerPlacement is a worker on an edge machine.
 type workerPlacement struct {
 	edge    int
 	service string
 	version string
 }
 
-// placeWorkers puts one worker on each edge; each service runs both versions.
+// placeWorkers assigns workers to the edge machines in turn. Each service runs both versions, in turn too.
 func (d *Deployment) placeWorkers() []workerPlacement {
 	var placements []workerPlacement
 	edge := 0
--- a/internal/testbed/disconnecting_caller.go
+++ b/internal/testbed/disconnecting_caller.go
@@ -13,31 +13,31 @@
 // workDurationHeader asks a worker to take so many milliseconds for a request, or until its connection ends.
 const workDurationHeader = "X-Lasts-Ms"
 
-// Bounds of what leaving callers do.
+// Times of disconnecting callers, and their number.
 const (
-	meanDisconnectCallPause      = 150 * time.Millisecond // mean time between two calls of one leaver
-	meanDisconnectDelay          = 300 * time.Millisecond // mean time for which it waits before it leaves
+	meanDisconnectCallGap        = 150 * time.Millisecond // mean time between two calls of one caller
+	meanDisconnectDelay          = 300 * time.Millisecond // mean time for which it waits before it disconnects
 	maxDisconnectedWork          = 1800 * time.Millisecond
-	disconnectingReadTimeout     = 4 * time.Second // for which it waits for an answer, if it does
+	disconnectingReadTimeout     = 4 * time.Second // for which it waits for a response, if it does
 	disconnectingCallersPerProxy = 3               // at each proxy
 )
 
-// outcomeDisconnected is the outcome of a call whose caller left before it was answered.
+// outcomeDisconnected is the outcome of a call whose caller disconnected before it was answered.
 const outcomeDisconnected = "left"
 
-// disconnectMode is how a leaver ends a call.
+// disconnectMode is how a disconnecting caller ends a call.
 type disconnectMode int
 
 const (
 	modeClose        disconnectMode = iota // closes its connection
 	modeReset                              // resets it
-	modeHalfClose                          // closes its sending side, and reads the answer
-	modeReadResponse                       // reads the answer, and uses the connection for the next call
+	modeHalfClose                          // closes its sending side, and reads the response
+	modeReadResponse                       // reads the response, and uses the connection for the next call
 	disconnectModes
 )
 
-// DisconnectingCaller is a stand-in caller that leaves before it is answered, in all the ways there are. It keeps a
-// connection for as long as that stands, whatever it was told of it.
+// DisconnectingCaller is a fake caller that disconnects before it gets its response, in all the ways there are. It
+// keeps a connection for as long as that lasts. It is used from one goroutine.
 type DisconnectingCaller struct {
 	name, proxy, address string
 	routes               []RouteSpec
@@ -46,32 +46,40 @@
 
 	conn   net.Conn
 	reader *bufio.Reader
-	number int // of the leavers at its proxy
+	number int // among the disconnecting callers at its proxy
 	serial int
 }
 
-// NewDisconnectingCaller makes a leaver that calls the routes of a caller at one proxy.
+// NewDisconnectingCaller makes a disconnecting caller of the routes of a caller, at one proxy. Its number sets it
+// apart from the others there.
 func NewDisconnectingCaller(caller *Caller, address string, number int) *DisconnectingCaller {
 	return &DisconnectingCaller{name: caller.name, number: number, proxy: caller.proxy, address: address, routes: caller.routes, history: caller.history, now: caller.now}
 }
 
-// Run makes calls until stop is closed.
+// Run makes calls until stop closes.
 func (c *DisconnectingCaller) Run(stop <-chan struct{}, rng *rand.Rand) {
 	defer c.closeConn()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(rng.Int64N(int64(2 * meanDisconnectCallPause)))):
+		case <-time.After(time.Duration(rng.Int64N(int64(2 * meanDisconnectCallGap)))):
 		}
 		c.call(c.routes[rng.IntN(len(c.routes))], disconnectMode(rng.IntN(int(disconnectModes))), rng)
 	}
 }
 
-// call makes one call and ends it in a way.
+// call makes one call, ends it in the given mode, and records it.
 func (c *DisconnectingCaller) call(route RouteSpec, mode disconnectMode, rng *rand.Rand) {
 	c.serial++
-	entry := CallEntry{Operation: fmt.Sprintf("leaver-%d-%s@%s-%d", c.number, c.name, c.proxy, c.serial), Caller: c.name, Proxy: c.proxy, Service: route.Service, Route: route.Name, NonIdempotent: route.NonIdempotent}
+	entry := CallEntry{
+		Operation:     fmt.Sprintf("leaver-%d-%s@%s-%d", c.number, c.name, c.proxy, c.serial),
+		Caller:        c.name,
+		Proxy:         c.proxy,
+		Service:       route.Service,
+		Route:         route.Name,
+		NonIdempotent: route.NonIdempotent,
+	}
 	work := time.Duration(rng.Int64N(int64(maxDisconnectedWork)))
 	delay := time.Duration(rng.Int64N(int64(2 * meanDisconnectDelay)))
 	entry.Sent = c.now()
@@ -104,7 +112,7 @@
 	}
 }
 
-// dial opens a connection where none is left.
+// dial opens a connection, unless one is left.
 func (c *DisconnectingCaller) dial() bool {
 	if c.conn != nil {
 		return true
@@ -117,7 +125,7 @@
 	return true
 }
 
-// send sends a call on the connection.
+// send sends a request on the connection.
 func (c *DisconnectingCaller) send(entry *CallEntry, route RouteSpec, work time.Duration) error {
 	_ = c.conn.SetDeadline(time.Now().Add(disconnectingReadTimeout))
 	_, err := fmt.Fprintf(c.conn, "%s %s?n=1 HTTP/1.1\r\nHost: mesh\r\n%s: %s\r\nX-User: leaver\r\n%s: %d\r\nContent-Length: 2\r\n\r\n{}",
@@ -125,7 +133,7 @@
 	return err
 }
 
-// read reads the final answer, past interim ones.
+// read reads the final response, past interim ones, and its outcome.
 func (c *DisconnectingCaller) read(entry *CallEntry) {
 	for {
 		response, err := http.ReadResponse(c.reader, nil)
@@ -150,6 +158,7 @@
 	}
 }
 
+// closeConn closes the connection, if there is one.
 func (c *DisconnectingCaller) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close() // a lost connection is as good as a closed one
--- a/internal/testbed/plots.go
+++ b/internal/testbed/plots.go
@@ -25,16 +25,18 @@
 type plotSeries struct {
 	name    string
 	points  plotter.XYs
-	scatter bool // points alone, not joined
+	scatter bool // points that are not joined
 }
 
-// writePlot writes a plot as a file of the given form; none writes nothing.
+// writePlot writes a plot as a file in a format such as svg; the format "none" writes nothing.
 func writePlot(folder, format, name, title, xLabel, yLabel string, plotted []plotSeries, customize func(*plot.Plot)) error {
 	if format == "none" || format == "" {
 		return nil
 	}
 	chart := plot.New()
-	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, xLabel, yLabel
+	chart.Title.Text = title
+	chart.X.Label.Text = xLabel
+	chart.Y.Label.Text = yLabel
 	chart.Legend.Top = true
 	chart.Add(plotter.NewGrid())
 	if customize != nil {
@@ -49,7 +51,8 @@
 			if err != nil {
 				return errs.Wrap(err, errs.Internal, name)
 			}
-			dots.Color, dots.Shape = plotutil.Color(i), plotutil.Shape(i)
+			dots.Color = plotutil.Color(i)
+			dots.Shape = plotutil.Shape(i)
 			chart.Add(dots)
 			chart.Legend.Add(data.name, dots)
 			continue
@@ -66,7 +69,7 @@
 	return errs.Wrap(chart.Save(plotWidthInches*vg.Inch, plotHeightInches*vg.Inch, file), errs.DiskFailed, file)
 }
 
-// quantileLine is a histogram as a line: what part was done within which time, in milliseconds.
+// quantileLine draws a histogram of microseconds: which percentage is within how many milliseconds.
 func quantileLine(histogram *hdrhistogram.Histogram) plotter.XYs {
 	var points plotter.XYs
 	for _, bracket := range histogram.CumulativeDistribution() {
@@ -77,10 +80,16 @@
 	return points
 }
 
-// WritePlots writes the run's plots beside its report.
+// WritePlots writes the run's plots to a folder.
 func (r *HollowReport) WritePlots(folder, format string) error {
 	var spans []plotSeries
-	for _, name := range []string{"stated to acknowledged", "acknowledged to in use, each member", "stated to in use everywhere", "age of members' pictures", "news of workers, each member"} {
+	for _, name := range []string{
+		"stated to acknowledged",
+		"acknowledged to in use, each member",
+		"stated to in use everywhere",
+		"age of members' pictures",
+		"news of workers, each member",
+	} {
 		if histogram := r.histograms[name]; histogram != nil && histogram.TotalCount() > 0 {
 			spans = append(spans, plotSeries{name: name, points: quantileLine(histogram)})
 		}
@@ -95,7 +104,10 @@
 	for _, figure := range []struct {
 		name, up string
 		of       func(HollowInterval) map[string]float64
-	}{{"processor", "thousandths of a core", func(l HollowInterval) map[string]float64 { return l.CPU }}, {"memory", "MB", func(l HollowInterval) map[string]float64 { return l.Memory }}} {
+	}{
+		{"processor", "thousandths of a core", func(i HollowInterval) map[string]float64 { return i.CPU }},
+		{"memory", "MB", func(i HollowInterval) map[string]float64 { return i.Memory }},
+	} {
 		var lines []plotSeries
 		for _, role := range []string{"proxy", "registry", "store"} {
 			roleSeries := plotSeries{name: role}
@@ -111,5 +123,8 @@
 	return nil
 }
 
-// logScaleX spreads times over their powers of ten.
-func logScaleX(p *plot.Plot) { p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1} }
+// logScaleX makes the horizontal axis logarithmic.
+func logScaleX(p *plot.Plot) {
+	p.X.Scale = plot.LogScale{}
+	p.X.Tick.Marker = plot.LogTicks{Prec: -1}
+}
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -12,20 +12,20 @@
 	"meadowhinge/internal/errs"
 )
 
-// SoakOptions say which seeds to soak, and how. A soak runs real processes of the mesh under faults that are
-// drawn by a seed and overlap in time, with callers that leave, and holds each run against every rule.
+// SoakOptions say which seeds to run, and how. A soak runs real processes under random faults that overlap in time,
+// with callers that disconnect, and checks each run against every invariant.
 type SoakOptions struct {
 	Deployment     *Deployment
-	WideDeployment *Deployment // plays every WideEvery-th seed, if that is not 0
+	WideDeployment *Deployment // for every WideEvery-th seed, if that is not 0
 	WideEvery      uint64
 	Folder         string
 	Binaries       string
 	FirstSeed      uint64
 	SeedCount      uint64
-	ParallelFleets int // fleets beside each other
+	ParallelFleets int // at the same time
 	LoadDuration   time.Duration
 	Lease          time.Duration
-	// DrainingBound and DisconnectBound are those of a Ledger.
+	// DrainingBound and DisconnectBound are those of Options.
 	DrainingBound, DisconnectBound time.Duration
 	Out                            io.Writer
 }
@@ -35,7 +35,7 @@
 	Runs []SoakRun `json:"runs"`
 }
 
-// SoakRun is one seed of a soak.
+// SoakRun is what one seed of a soak gave.
 type SoakRun struct {
 	Seed            uint64                    `json:"seed"`
 	Deployment      string                    `json:"deployment"`
@@ -47,16 +47,16 @@
 	RecoverySeconds float64                   `json:"backSeconds"`
 	Violated        []Finding                 `json:"broken,omitempty"`
 	UncleanExits    []string                  `json:"unclean,omitempty"`
-	Failure         string                    `json:"failure,omitempty"` // why the run came to no judgement
+	Failure         string                    `json:"failure,omitempty"` // why the run could not be checked
 }
 
-// Passed tells whether nothing was broken in a run.
+// Passed tells whether a run violated nothing and ended cleanly.
 func (r *SoakRun) Passed() bool { return len(r.Violated)+len(r.UncleanExits) == 0 && r.Failure == "" }
 
-// maxRecovery is how long a mesh may take to serve again after its last fault.
+// maxRecovery is how long a fleet may take to serve again after the end of its last fault.
 const maxRecovery = 15 * time.Second
 
-// Soak plays every seed and tells what came of it, each in its own folder.
+// Soak runs every seed, each in a folder of its own, ParallelFleets at the same time, and prints each result.
 func Soak(o SoakOptions) (*SoakReport, error) {
 	if o.SeedCount == 0 || o.ParallelFleets < 1 || o.Deployment == nil || (o.WideEvery > 0 && o.WideDeployment == nil) {
 		return nil, errs.New(errs.InvalidOptions, "a soak needs seeds, fleets beside each other and deployments")
@@ -84,7 +84,7 @@
 	return report, nil
 }
 
-// runSeed plays one seed. The folder of a sound run is removed.
+// runSeed runs one seed. The folder of a run that passed is removed.
 func (o *SoakOptions) runSeed(seed uint64) SoakRun {
 	deployment := o.Deployment
 	if o.WideEvery > 0 && seed%o.WideEvery == 0 {
@@ -102,24 +102,40 @@
 		return run
 	}
 	defer func() { _ = log.Close() }() // progress only: the report is a file of its own
-	report, err := Run(Options{Deployment: deployment, Folder: folder, Binaries: o.Binaries, LoadDuration: o.LoadDuration, Lease: o.Lease, Seed: seed, Scenario: "soak",
-		RateFactor: 1, WorkerDelay: time.Millisecond, DrainingBound: o.DrainingBound, DisconnectBound: o.DisconnectBound, Out: log})
+	report, err := Run(Options{
+		Deployment:      deployment,
+		Folder:          folder,
+		Binaries:        o.Binaries,
+		LoadDuration:    o.LoadDuration,
+		Lease:           o.Lease,
+		Seed:            seed,
+		Scenario:        "soak",
+		RateFactor:      1,
+		WorkerDelay:     time.Millisecond,
+		DrainingBound:   o.DrainingBound,
+		DisconnectBound: o.DisconnectBound,
+		Out:             log,
+	})
 	if err != nil {
 		run.Failure = err.Error()
 		return run
 	}
 	report.Print(log)
-	_ = report.Write(filepath.Join(folder, "report.json"))
+	_ = report.Write(filepath.Join(folder, "report.json")) // what counts is in the soak's own report too
 	run.summarize(report)
 	if run.Passed() {
-		_ = os.RemoveAll(folder)
+		_ = os.RemoveAll(folder) // what stays only takes space
 	}
 	return run
 }
 
-// summarize takes what counts from a rehearsal's report.
+// summarize takes over what counts from a run's report.
 func (r *SoakRun) summarize(report *Report) {
-	r.Faults, r.Outcomes, r.Disconnects, r.RecoverySeconds, r.UncleanExits = len(report.Faults), report.Outcomes, report.Disconnects, report.RecoverySeconds, report.UncleanExits
+	r.Faults = len(report.Faults)
+	r.Outcomes = report.Outcomes
+	r.Disconnects = report.Disconnects
+	r.RecoverySeconds = report.RecoverySeconds
+	r.UncleanExits = report.UncleanExits
 	for _, count := range report.Outcomes {
 		r.Calls += count
 	}
@@ -129,16 +145,23 @@
 		}
 	}
 	if report.RecoverySeconds > maxRecovery.Seconds() {
-		r.Violated = append(r.Violated, Finding{Rule: "service is back in time after the last fault", Checked: 1, Violations: 1, Examples: []string{fmt.Sprintf("%.1f s", report.RecoverySeconds)}})
+		r.Violated = append(r.Violated, Finding{
+			Rule:       "service is back in time after the last fault",
+			Checked:    1,
+			Violations: 1,
+			Examples:   []string{fmt.Sprintf("%.1f s", report.RecoverySeconds)},
+		})
 	}
 }
 
+// print prints one line, and one more for each invariant that was violated.
 func (r *SoakRun) print(out io.Writer) {
 	verdict := "sound"
 	if !r.Passed() {
 		verdict = "BROKEN"
 	}
-	printf(out, "seed %d: %s; %s, %d processes, %d faults, %d calls %v, departures %+v, back %.1f s\n", r.Seed, verdict, r.Deployment, r.Processes, r.Faults, r.Calls, r.Outcomes, r.Disconnects, r.RecoverySeconds)
+	printf(out, "seed %d: %s; %s, %d processes, %d faults, %d calls %v, departures %+v, back %.1f s\n",
+		r.Seed, verdict, r.Deployment, r.Processes, r.Faults, r.Calls, r.Outcomes, r.Disconnects, r.RecoverySeconds)
 	for _, finding := range r.Violated {
 		printf(out, "  %s: %d times of %d: %v\n", finding.Rule, finding.Violations, finding.Checked, finding.Examples)
 	}
@@ -150,7 +173,7 @@
 	}
 }
 
-// FailedSeeds lists the seeds of runs in which something was broken.
+// FailedSeeds lists the seeds whose runs did not pass.
 func (r *SoakReport) FailedSeeds() []uint64 {
 	var seeds []uint64
 	for i := range r.Runs {
