--- a/internal/testbed/hollow_core.go
+++ b/internal/testbed/hollow_core.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"os"
 	"path/filepath"
 	"strings"
@@ -15,21 +16,26 @@
 	"meadowhinge/schema"
 )
 
-// modeOpen is the mode without keys and leases; see HollowOptions.mode.
+// modeOpen is the mode without certificates and leases; see HollowOptions.mode.
 const modeOpen = "open"
 
-// maxSeeds is how many seeds a process may be told of.
+// maxSeeds is how many seeds a process gets at most.
 const maxSeeds = 3
 
-// newHollowCore lays out real registries and stores for hollow members. No relay stands
-// before them, for it would be what is measured.
+// newHollowCore lays out a real core for hollow members. It has no relays: their cost would be measured too.
 func newHollowCore(opts *schema.HollowOptions) (*Fleet, error) {
 	authority, err := NewAuthority(filepath.Join(opts.Folder, "certificates"))
 	if err != nil {
 		return nil, err
 	}
-	f := &Fleet{Deployment: &Deployment{Name: "hollow", CoreMembers: int(opts.Seats), Zones: int(opts.Zones)}, folder: opts.Folder, binaries: opts.Binaries,
-		lease: time.Duration(opts.Lease), authority: authority, LinkFaults: NewLinkFaults()}
+	f := &Fleet{
+		Deployment: &Deployment{Name: "hollow", CoreMembers: int(opts.Seats), Zones: int(opts.Zones)},
+		folder:     opts.Folder,
+		binaries:   opts.Binaries,
+		lease:      time.Duration(opts.Lease),
+		authority:  authority,
+		LinkFaults: NewLinkFaults(),
+	}
 	if f.netOctet, f.netLock, err = fakebackend.ReserveLoopbackNet(); err != nil {
 		return nil, err
 	}
@@ -44,22 +50,33 @@
 		if opts.Mode == modeOpen {
 			common["links"] = "plain"
 		}
-		storeSettings := map[string]string{"listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore), "seeds": f.coreSeeds(portStore, -1)}
-		// Without an order the seeds found the core, and further seats join it.
+		storeSettings := map[string]string{
+			"listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore),
+			"seeds":  f.coreSeeds(portStore, -1),
+		}
+		// Without a static member list the seeds found the core, and further members join it.
 		if opts.Mode == modeOpen {
 			storeSettings["founding"] = "true"
 		} else {
-			common["order"], storeSettings["seeds"] = strings.Join(memberIDs, ","), f.coreSeeds(portStore, i)
+			common["order"] = strings.Join(memberIDs, ",")
+			storeSettings["seeds"] = f.coreSeeds(portStore, i)
 		}
-		registrySettings := map[string]string{"listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistry), "seeds": f.coreSeeds(portRegistry, i),
-			"store": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore), "operator-listen": f.OperatorAddress(i), "lease": f.lease.String(),
-			"key-window": (f.lease * keyWindowLeases).String(), "sources-most": fmt.Sprint(max(minSources, 2*opts.Members))}
-		if opts.Mode == modeOpen {
-			registrySettings["acknowledge-after"], registrySettings["area"], registrySettings["seeds"] = "stable", f.zone(i), f.coreSeeds(portRegistry, -1)
+		registrySettings := map[string]string{
+			"listen":          fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistry),
+			"seeds":           f.coreSeeds(portRegistry, i),
+			"store":           fmt.Sprintf("%s:%d", f.coreAddress(i), portStore),
+			"operator-listen": f.OperatorAddress(i),
+			"lease":           f.lease.String(),
+			"key-window":      (f.lease * keyWindowLeases).String(),
+			"sources-most":    fmt.Sprint(max(minSources, 2*opts.Members)),
 		}
-		for key, value := range common {
-			storeSettings[key], registrySettings[key] = value, value
+		if opts.Mode == modeOpen {
+			registrySettings["acknowledge-after"] = "stable"
+			registrySettings["area"] = f.zone(i)
+			registrySettings["seeds"] = f.coreSeeds(portRegistry, -1)
 		}
+		maps.Copy(storeSettings, common)
+		maps.Copy(registrySettings, common)
 		store, err := f.newProcess("store", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portStoreProbe), storeSettings)
 		if err != nil {
 			return nil, err
@@ -68,18 +85,20 @@
 		if err != nil {
 			return nil, err
 		}
-		f.Stores, f.Registries = append(f.Stores, store), append(f.Registries, registry)
+		f.Stores = append(f.Stores, store)
+		f.Registries = append(f.Registries, registry)
 	}
 	return f, nil
 }
 
-// Settings that a large fleet needs beside the presets.
+// Settings that a large fleet needs besides the presets.
 const (
-	keyWindowLeases = 8
-	minSources      = 256
+	keyWindowLeases = 8   // the window of idempotency keys, in leases
+	minSources      = 256 // proxies that a registry accepts, at least
 )
 
-// coreSeeds lists the core machines, but for one, as far as a process may be told.
+// coreSeeds lists a port of the core machines, but for one (-1 for all), as far as a process may have seeds. A single
+// machine is its own seed.
 func (f *Fleet) coreSeeds(port, except int) string {
 	var parts []string
 	for i := range f.Deployment.CoreMembers {
@@ -93,26 +112,36 @@
 	return strings.Join(parts, ",")
 }
 
-// edgeSettings are the settings of a proxy, but for those of its own process.
+// edgeSettings are the settings of the i-th proxy, but for those of its own process.
 func (f *Fleet) edgeSettings(mode string, i int, callers []string, maxMembers int64) (map[string]string, error) {
-	address := fmt.Sprintf("127.%d.%d.%d", f.netOctet, 2+i/edgesPerNet, 1+i%edgesPerNet)
+	address := f.spacedEdgeAddress(i)
 	var listeners []string
 	for at, caller := range callers {
 		listeners = append(listeners, fmt.Sprintf("%s=%s:%d", caller, address, portCallers+at))
 	}
-	settings := map[string]string{"name": address, "area": f.zone(i), "listen": fmt.Sprintf("%s:%d", address, portPeer), "seeds": f.coreSeeds(portRegistry, -1),
-		"callers": strings.Join(listeners, ","), "workers-listen": fmt.Sprintf("%s:%d", address, portWorkerAPI),
-		"probe-listen": fmt.Sprintf("%s:%d", address, portProbe), "lease": f.lease.String(), "members-most": fmt.Sprint(maxMembers)}
+	settings := map[string]string{
+		"name":           address,
+		"area":           f.zone(i),
+		"listen":         fmt.Sprintf("%s:%d", address, portPeer),
+		"seeds":          f.coreSeeds(portRegistry, -1),
+		"callers":        strings.Join(listeners, ","),
+		"workers-listen": fmt.Sprintf("%s:%d", address, portWorkerAPI),
+		"probe-listen":   fmt.Sprintf("%s:%d", address, portProbe),
+		"lease":          f.lease.String(),
+		"members-most":   fmt.Sprint(maxMembers),
+	}
 	if mode == modeOpen {
-		settings["links"], settings["doubt"] = "plain", "serve"
+		settings["links"] = "plain"
+		settings["doubt"] = "serve"
 		return settings, nil
 	}
 	certificate, err := f.authority.Issue("proxy", address, callers)
-	settings["certificate"], settings["authority"] = certificate, f.authority.File()
+	settings["certificate"] = certificate
+	settings["authority"] = f.authority.File()
 	return settings, err
 }
 
-// hollowSettings are a hollow member's settings, checked as the program's own are.
+// hollowSettings are the settings of the i-th hollow member, checked as the proxy program checks its own.
 func (f *Fleet) hollowSettings(opts *schema.HollowOptions, i int) (*schema.ProxyOptions, error) {
 	settings, err := f.edgeSettings(opts.Mode, i, []string{clientCaller}, max(minSources, 2*opts.Members))
 	if err != nil {
@@ -129,25 +158,25 @@
 	return parsed, options.Parse("proxy", args, parsed, io.Discard)
 }
 
-// edgesPerNet is how many members' addresses differ in the last octet alone.
+// edgesPerNet is how many proxies have addresses that differ in the last octet alone.
 const edgesPerNet = 200
 
-// processCounters is what a process of the core says of itself, and what the kernel says of it.
+// processCounters are what a process reports of itself, and what the kernel reports of it.
 type processCounters struct {
 	role         string
 	name         string
-	cpuSeconds   float64 // seconds so far
+	cpuSeconds   float64 // since its start
 	memoryKB     int
 	heapKB       int
 	diskKB       int
-	bytesWritten uint64 // bytes to disk so far
+	bytesWritten uint64 // to disk, since its start
 	traffic      transport.Traffic
 }
 
-// realProxy is the role of proxies that are processes, where hollow ones are the proxies.
+// realProxy is the role of proxies that are processes, in runs in which hollow members are the proxies.
 const realProxy = "real proxy"
 
-// readCounters looks at one process.
+// readCounters reads the counters of a process; what can't be read is 0.
 func (p *Process) readCounters() processCounters {
 	role, name, _ := strings.Cut(p.Name, "/")
 	if role == "proxy" {
@@ -155,9 +184,11 @@
 	}
 	counters, sample := processCounters{role: role, name: name}, Sample{}
 	p.raiseSample(&sample)
-	counters.memoryKB, counters.diskKB = sample.MemoryKB, sample.DiskKB
+	counters.memoryKB = sample.MemoryKB
+	counters.diskKB = sample.DiskKB
 	pid := p.pid()
-	counters.cpuSeconds, counters.bytesWritten = cpuSecondsOf(pid), bytesWrittenBy(pid)
+	counters.cpuSeconds = cpuSecondsOf(pid)
+	counters.bytesWritten = bytesWrittenBy(pid)
 	var process daemon.Process
 	p.readPage("/process", &process)
 	counters.heapKB = int(process.HeapBytes >> 10)
@@ -165,10 +196,10 @@
 	return counters
 }
 
-// pageAttempts is how often a page is asked for: what is not read would count as nothing.
+// pageAttempts is how often a page is requested: a counter that can't be read would count as 0.
 const pageAttempts = 5
 
-// readPage reads one of a process's own pages.
+// readPage reads one of the process's own pages, with retries. What can't be read leaves the target as it is.
 func (p *Process) readPage(path string, target any) {
 	for range pageAttempts {
 		if p.getPage(path, target) == nil {
@@ -177,7 +208,7 @@
 	}
 }
 
-// bytesWrittenBy is what a process has had written to disk, in bytes.
+// bytesWrittenBy is how many bytes a process has had written to disk; 0 if that can't be read.
 func bytesWrittenBy(pid int) uint64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -193,7 +224,7 @@
 	return 0
 }
 
-// addRealProxies lays out real proxies, at the places after the hollow ones.
+// addRealProxies lays out real proxies, at the addresses after those of the hollow members.
 func (f *Fleet) addRealProxies(opts *schema.HollowOptions) error {
 	for i := range int(opts.Real) {
 		callers := []string{clientCaller}
--- a/internal/testbed/hollow_counters.go
+++ b/internal/testbed/hollow_counters.go
@@ -10,14 +10,15 @@
 	"meadowhinge/schema"
 )
 
-// counterSnapshot are all counters at a time.
+// counterSnapshot has the counters of all processes at a time.
 type counterSnapshot struct {
 	at      time.Duration
-	own     float64 // processor seconds of this process
+	own     float64 // processor seconds of this process, which holds the hollow members
 	members processCounters
 	core    []processCounters
 }
 
+// takeCounterSnapshot reads all counters, one process after another.
 func takeCounterSnapshot(core *Fleet, fleet *hollowFleet) counterSnapshot {
 	snapshot := counterSnapshot{at: fleet.now(), own: cpuSecondsOf(os.Getpid())}
 	snapshot.members.traffic = fleet.traffic()
@@ -30,6 +31,7 @@
 	return snapshot
 }
 
+// intervalBetween computes what the roles used between two snapshots.
 func intervalBetween(opts *schema.HollowOptions, began time.Duration, from, to counterSnapshot) HollowInterval {
 	seconds := (to.at - from.at).Seconds()
 	interval := HollowInterval{At: (to.at - began).Seconds(), CPU: map[string]float64{}, Memory: map[string]float64{}}
@@ -42,11 +44,11 @@
 	return interval
 }
 
-// costsBetween makes the table of roles, the members' row first.
+// costsBetween computes the cost of each role between two snapshots, the hollow members' first.
 func costsBetween(opts *schema.HollowOptions, from, to counterSnapshot) []RoleCost {
 	seconds := (to.at - from.at).Seconds()
 	members := float64(opts.Members)
-	// A counter that fell is of a process that could not be read.
+	// A counter that fell is of a process that could not be read, or that was restarted.
 	rate := func(from, to uint64) float64 { return float64(max(to, from)-from) / seconds }
 	rows := []RoleCost{{Role: "proxy", Processes: int(opts.Members), CPU: (to.own - from.own) / seconds * 1000 / members,
 		BytesIn: rate(from.members.traffic.In, to.members.traffic.In) / members, BytesOut: rate(from.members.traffic.Out, to.members.traffic.Out) / members,
@@ -60,7 +62,7 @@
 			row = &RoleCost{Role: after.role, MessagesByCall: RatesByName{}}
 			byRole[after.role] = row
 		}
-		// A process that was killed meanwhile counts from its start.
+		// Of a process that was restarted meanwhile, only what goes beyond its earlier use counts.
 		used := max(after.cpuSeconds-before.cpuSeconds, 0) / seconds * 1000
 		row.Processes++
 		row.CPU += used
@@ -100,15 +102,14 @@
 	return rows
 }
 
-// sessionStartCalls are the calls by which a session begins, be it the first or restated.
+// sessionStartCalls are the RPCs by which a session begins, the first or a later one.
 var sessionStartCalls = []string{"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
 
-// proxyCalls are what proxies ask of registries; of the sessions a few are registries' own.
+// proxyCalls are the RPCs of proxies to registries. A few of the sessions among them are other registries'.
 var proxyCalls = []string{"/meadowhinge.Registry/Lease", "/meadowhinge.Registry/Feed", "/meadowhinge.Registry/Tell", "/meadowhinge.Registry/Claim",
 	"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
 
-// settledMemory is what this process holds on its heap and stacks once garbage is gone, and with it
-// what ended a moment ago.
+// settledMemory is the heap and stacks of this process, in bytes, once garbage collections no longer reduce them.
 func settledMemory() int64 {
 	previous := int64(0)
 	for range maxMemoryReads {
@@ -125,7 +126,8 @@
 	return previous
 }
 
-// How often memory is looked at until it no longer falls, by this part.
+// Bounds of settledMemory: how often memory is read at most, and which part of it a collection must free for
+// another read.
 const (
 	maxMemoryReads = 50
 	settledDivisor = 200
--- a/internal/testbed/hollow_options.go
+++ b/internal/testbed/hollow_options.go
@@ -9,21 +9,21 @@
 	"meadowhinge/schema"
 )
 
-// What members take of memory, from the slopes in docs/CAPACITY.md, and what stands besides.
+// Memory of a run, from the slopes in docs/CAPACITY.md, in bytes.
 const (
-	memberBytes       = 700 << 10 // of a member that knows of nothing
-	memberWorkerBytes = 1200      // of each worker that it knows of
+	memberBytes       = 700 << 10 // of a member without workers or routes
+	memberWorkerBytes = 1200      // of each worker that it knows
 	memberRouteBytes  = 3 << 10   // of each route that it has
 	coreBytes         = 256 << 20 // of a registry and its store
-	memoryDivisor     = 2         // this part of the machine's memory may be taken
+	memoryDivisor     = 2         // one part in so many of the machine's memory may be used
 )
 
-// ValidateHollow lists what in the settings cannot be run here, beyond the bounds of each.
+// ValidateHollow lists what in the settings cannot be run on this machine, beyond the bounds of each setting.
 func ValidateHollow(opts *schema.HollowOptions) options.Faults {
 	return validateHollow(opts, machineMemory(), maxOpenFiles())
 }
 
-// validateHollow is ValidateHollow for a machine of so much memory, and of so many files to a process.
+// validateHollow is ValidateHollow for a machine with so many bytes of memory and open files for a process.
 func validateHollow(opts *schema.HollowOptions, memory int64, files uint64) options.Faults {
 	var faults options.Faults
 	if opts.Releases > opts.Services {
@@ -54,18 +54,19 @@
 	return faults
 }
 
-// Files that a run holds open: links of a member to each seat at once, and all else.
+// Files that a run holds open.
 const (
-	connsPerMember = 2
-	reservedFiles  = 256
+	connsPerMember = 2   // with each core member
+	reservedFiles  = 256 // for all else
 )
 
+// requiredMemory estimates the memory of a run, in bytes.
 func requiredMemory(opts *schema.HollowOptions) int64 {
 	workers := max(opts.Workers, opts.Members)
 	return opts.Members*(memberBytes+workers*memberWorkerBytes+opts.Routes*memberRouteBytes) + opts.Seats*coreBytes
 }
 
-// machineMemory is the machine's memory in bytes, 0 if it is not known.
+// machineMemory is the machine's memory in bytes; 0 if it is not known.
 func machineMemory() int64 {
 	var info syscall.Sysinfo_t
 	if syscall.Sysinfo(&info) != nil {
@@ -74,6 +75,7 @@
 	return int64(info.Totalram) * int64(info.Unit)
 }
 
+// maxOpenFiles is how many files this process may have open; 0 if that is not known.
 func maxOpenFiles() uint64 {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
--- a/internal/testbed/hollow_report.go
+++ b/internal/testbed/hollow_report.go
@@ -18,7 +18,7 @@
 	"meadowhinge/schema"
 )
 
-// RoleCost is what the processes of a role cost: means of one process unless it says largest.
+// RoleCost is what the processes of a role cost: means over the processes, but for CPULargest.
 type RoleCost struct {
 	Role              string      `json:"role"`
 	Processes         int         `json:"processes"`
@@ -26,9 +26,9 @@
 	CPULargest        float64     `json:"cpuMsPerSecondLargest"` // of the processes
 	BytesIn           float64     `json:"bytesInPerSecond"`
 	BytesOut          float64     `json:"bytesOutPerSecond"`
-	SessionsBegun     float64     `json:"begunPerSecond"`    // greetings and sessions begun, of a member; of a registry's row, all that it took
-	Messages          float64     `json:"messagesPerSecond"` // with the core, either way; of the core, with whoever calls it
-	MemoryMB          float64     `json:"memoryMB"`          // resident at the end; of a member, its part of the heap and stacks
+	SessionsBegun     float64     `json:"begunPerSecond"`    // of a registry, sessions that it accepted; of a member, its part of those
+	Messages          float64     `json:"messagesPerSecond"` // in both directions: of a member, with the core; of the core, with all its callers
+	MemoryMB          float64     `json:"memoryMB"`          // resident at the end; of a member, its part of this process's heap and stacks
 	HeapMB            float64     `json:"heapMB"`
 	DiskKB            float64     `json:"diskKB"`
 	BytesWritten      float64     `json:"writtenBytesPerSecond"`
@@ -39,7 +39,7 @@
 // RatesByName are numbers a second by name.
 type RatesByName map[string]float64
 
-// LatencySummary are the quantiles of a histogram, in milliseconds.
+// LatencySummary has quantiles of a histogram, in milliseconds.
 type LatencySummary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -48,9 +48,16 @@
 	Max   float64 `json:"max"`
 }
 
+// summarizeLatency takes the quantiles of a histogram of microseconds.
 func summarizeLatency(from *hdrhistogram.Histogram) LatencySummary {
 	millis := func(micros int64) float64 { return float64(micros) / 1000 }
-	return LatencySummary{from.TotalCount(), millis(from.ValueAtQuantile(50)), millis(from.ValueAtQuantile(90)), millis(from.ValueAtQuantile(99)), millis(from.Max())}
+	return LatencySummary{
+		Count: from.TotalCount(),
+		P50:   millis(from.ValueAtQuantile(50)),
+		P90:   millis(from.ValueAtQuantile(90)),
+		P99:   millis(from.ValueAtQuantile(99)),
+		Max:   millis(from.Max()),
+	}
 }
 
 // HollowReport is what a run of hollow members found.
@@ -61,33 +68,33 @@
 	Seconds float64               `json:"seconds"`
 	Roles   []RoleCost            `json:"roles"`
 
-	Acknowledge       LatencySummary   `json:"acknowledge"` // from stated to acknowledged
-	Applied           LatencySummary   `json:"apply"`       // from acknowledged to in use, at each member
-	AppliedEverywhere LatencySummary   `json:"everywhere"`  // from stated to in use at every member
-	Staleness         LatencySummary   `json:"stale"`       // since a member last knew its picture to be the newest
-	WorkerUpdates     LatencySummary   `json:"news"`        // from a change of a member's workers to its being known, at each other member
-	Recovery          LatencySummary   `json:"back"`        // from a restart to a setup in use
-	RegistryFailover  LatencySummary   `json:"moved"`       // from the loss of a member's registry to a session with another
-	WakeupDelay       LatencySummary   `json:"late"`        // by how much this process itself was woken late: the machine's doing
-	Unapplied         int              `json:"unapplied"`   // changes that some member had not taken into use at the end
+	Acknowledge       LatencySummary   `json:"acknowledge"` // from submission to acknowledgement
+	Applied           LatencySummary   `json:"apply"`       // from acknowledgement until it is applied, at each member
+	AppliedEverywhere LatencySummary   `json:"everywhere"`  // from submission until every member has applied it
+	Staleness         LatencySummary   `json:"stale"`       // of members' views of the fleet
+	WorkerUpdates     LatencySummary   `json:"news"`        // from an update of a member's workers until another member has it, at each
+	Recovery          LatencySummary   `json:"back"`        // from a restart until a configuration is applied
+	RegistryFailover  LatencySummary   `json:"moved"`       // from the loss of a member's registry until it has a session with another
+	WakeupDelay       LatencySummary   `json:"late"`        // by how much this process was woken late, by the load on the machine
+	Unapplied         int              `json:"unapplied"`   // changes that some member had not applied at the end
 	Rulings           map[string]int   `json:"rulings"`
 	Restarts          int              `json:"restarts"`
 	InjectedLosses    int              `json:"losses"`    // of core machines and of zones
-	Items             int              `json:"items"`     // in the setup
+	Items             int              `json:"items"`     // in the configuration
 	ItemBytes         int              `json:"itemBytes"` // of their bodies, names and versions
 	Timeline          []HollowInterval `json:"lines"`
 
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-// HollowInterval is what the roles took in one stretch of a run.
+// HollowInterval is what the roles used in one interval of a run.
 type HollowInterval struct {
 	At     float64            `json:"at"`
 	CPU    map[string]float64 `json:"cpuMsPerSecond"` // by role, of its largest process; of members the mean
 	Memory map[string]float64 `json:"memoryMB"`
 }
 
-// buildCommit is the commit that this program was built from.
+// buildCommit is the commit that this program was built from; empty if that is not known.
 func buildCommit() string {
 	info, found := debug.ReadBuildInfo()
 	if !found {
@@ -104,7 +111,7 @@
 	return commit
 }
 
-// fillChanges fills in what became of the changes.
+// fillChanges fills in the latencies of changes at members, and the fleet's counts.
 func (r *HollowReport) fillChanges(operator *hollowOperator, fleet *hollowFleet) {
 	acknowledge, apply, everywhere := newLatencyHistogram(), newLatencyHistogram(), newLatencyHistogram()
 	operator.lock.Lock()
@@ -118,7 +125,7 @@
 		last, all := time.Duration(0), true
 		for _, member := range fleet.members {
 			member.lock.Lock()
-			// Setups come into use in order, but for those of an earlier life, which were as new then.
+			// Revisions are applied in order, except across a restart; those before it were as new at the time.
 			first := sort.Search(len(member.applied), func(i int) bool { return member.applied[i].revision >= change.revision })
 			if first == len(member.applied) {
 				all = false
@@ -134,16 +141,29 @@
 			r.Unapplied++
 		}
 	}
-	r.Acknowledge, r.Applied, r.AppliedEverywhere = summarizeLatency(acknowledge), summarizeLatency(apply), summarizeLatency(everywhere)
-	r.Staleness, r.WorkerUpdates, r.Recovery, r.RegistryFailover = summarizeLatency(fleet.staleness), summarizeLatency(fleet.workerUpdates), summarizeLatency(fleet.recoveries), summarizeLatency(fleet.failovers)
-	r.Rulings, r.Restarts, r.InjectedLosses = maps.Clone(operator.rulings), fleet.restarts, fleet.losses
-	r.histograms = map[string]*hdrhistogram.Histogram{"stated to acknowledged": acknowledge, "acknowledged to in use, each member": apply,
-		"stated to in use everywhere": everywhere, "age of members' pictures": fleet.staleness, "news of workers, each member": fleet.workerUpdates}
+	r.Acknowledge = summarizeLatency(acknowledge)
+	r.Applied = summarizeLatency(apply)
+	r.AppliedEverywhere = summarizeLatency(everywhere)
+	r.Staleness = summarizeLatency(fleet.staleness)
+	r.WorkerUpdates = summarizeLatency(fleet.workerUpdates)
+	r.Recovery = summarizeLatency(fleet.recoveries)
+	r.RegistryFailover = summarizeLatency(fleet.failovers)
+	r.Rulings = maps.Clone(operator.rulings)
+	r.Restarts = fleet.restarts
+	r.InjectedLosses = fleet.losses
+	r.histograms = map[string]*hdrhistogram.Histogram{
+		"stated to acknowledged":              acknowledge,
+		"acknowledged to in use, each member": apply,
+		"stated to in use everywhere":         everywhere,
+		"age of members' pictures":            fleet.staleness,
+		"news of workers, each member":        fleet.workerUpdates,
+	}
 }
 
+// configSize is the number of items of a configuration, and their bytes as JSON.
 type configSize struct{ items, bytes int }
 
-// configSize counts the items of the setup at the first seat.
+// configSize reads the size of the configuration at the first core member; nil if it can't be read.
 func (f *Fleet) configSize() *configSize {
 	response, err := probeClient.Get("http://" + f.OperatorAddress(0) + "/v1/setup")
 	if err != nil {
@@ -171,8 +191,9 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	printLine(table, "role\tprocesses\tcpu ms/s\tlargest\tbytes in/s\tbytes out/s\tmessages/s\tlinks opened/s\tMB\theap MB\tdisk KB\twritten B/s\t")
 	for _, row := range r.Roles {
-		printf(table, "%s\t%d\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t\n", row.Role, row.Processes, row.CPU, row.CPULargest, row.BytesIn, row.BytesOut, row.Messages,
-			row.ConnectionsOpened, row.MemoryMB, row.HeapMB, row.DiskKB, row.BytesWritten)
+		printf(table, "%s\t%d\t%.2f\t%.2f\t%.0f\t%.0f\t%.2f\t%.2f\t%.2f\t%.2f\t%.0f\t%.0f\t\n",
+			row.Role, row.Processes, row.CPU, row.CPULargest, row.BytesIn, row.BytesOut,
+			row.Messages, row.ConnectionsOpened, row.MemoryMB, row.HeapMB, row.DiskKB, row.BytesWritten)
 	}
 	_ = table.Flush() // fails only with out, as in printf
 	for _, row := range r.Roles {
@@ -184,14 +205,23 @@
 			printf(out, "%s, messages a second by call: %s\n", row.Role, strings.Join(parts, ", "))
 		}
 	}
-	printf(out, "setup: %d items of %d bytes; changes %v, %d not in use everywhere at the end; %d restarts, %d losses\n", r.Items, r.ItemBytes, r.Rulings, r.Unapplied, r.Restarts, r.InjectedLosses)
-	for _, line := range []struct {
-		name  string
-		spans LatencySummary
-	}{{"stated to acknowledged", r.Acknowledge}, {"acknowledged to in use, each member", r.Applied}, {"stated to in use everywhere", r.AppliedEverywhere},
-		{"age of members' pictures", r.Staleness}, {"news of workers, each member", r.WorkerUpdates}, {"restarted to setup in use", r.Recovery}, {"registry lost to another session", r.RegistryFailover},
-		{"this process was woken late by", r.WakeupDelay}} {
-		printf(out, "%-36s ms: p50 %.1f, p90 %.1f, p99 %.1f, max %.1f (%d)\n", line.name, line.spans.P50, line.spans.P90, line.spans.P99, line.spans.Max, line.spans.Count)
+	printf(out, "setup: %d items of %d bytes; changes %v, %d not in use everywhere at the end; %d restarts, %d losses\n",
+		r.Items, r.ItemBytes, r.Rulings, r.Unapplied, r.Restarts, r.InjectedLosses)
+	for _, row := range []struct {
+		name    string
+		latency LatencySummary
+	}{
+		{"stated to acknowledged", r.Acknowledge},
+		{"acknowledged to in use, each member", r.Applied},
+		{"stated to in use everywhere", r.AppliedEverywhere},
+		{"age of members' pictures", r.Staleness},
+		{"news of workers, each member", r.WorkerUpdates},
+		{"restarted to setup in use", r.Recovery},
+		{"registry lost to another session", r.RegistryFailover},
+		{"this process was woken late by", r.WakeupDelay},
+	} {
+		l := row.latency
+		printf(out, "%-36s ms: p50 %.1f, p90 %.1f, p99 %.1f, max %.1f (%d)\n", row.name, l.P50, l.P90, l.P99, l.Max, l.Count)
 	}
 }
 
--- a/internal/testbed/slopes.go
+++ b/internal/testbed/slopes.go
@@ -23,7 +23,7 @@
 	"meadowhinge/schema"
 )
 
-// drivers are what a series may vary, each by itself.
+// drivers are what a series may vary, each by itself: where its values come from, and how a run gets one.
 var drivers = map[string]struct {
 	of  func(*schema.SlopesOptions) string
 	set func(*schema.HollowOptions, float64)
@@ -34,40 +34,60 @@
 	"changes":  {func(g *schema.SlopesOptions) string { return g.Changes }, func(h *schema.HollowOptions, v float64) { h.Changes = v }},
 	"releases": {func(g *schema.SlopesOptions) string { return g.Releases }, func(h *schema.HollowOptions, v float64) { h.Releases = int64(v) }},
 	"restarts": {func(g *schema.SlopesOptions) string { return g.Restarts }, func(h *schema.HollowOptions, v float64) { h.Restarts = v }},
-	// Counts are told while some version is to be judged by them.
-	"reach":  {func(g *schema.SlopesOptions) string { return g.Reach }, func(h *schema.HollowOptions, v float64) { h.Reach, h.Releases = int64(v), 1 }},
-	"judged": {func(g *schema.SlopesOptions) string { return g.Judged }, func(h *schema.HollowOptions, v float64) { h.Members, h.Releases = int64(v), judgedAtOnce }},
+	// Members report counts of calls only while a release is in progress.
+	"reach":  {func(g *schema.SlopesOptions) string { return g.Reach }, setReach},
+	"judged": {func(g *schema.SlopesOptions) string { return g.Judged }, setJudgedMembers},
 	"seats":  {func(g *schema.SlopesOptions) string { return g.Seats }, func(h *schema.HollowOptions, v float64) { h.Seats = int64(v) }},
 }
 
-// judgedAtOnce is how many releases are under way while members are varied under them.
+// judgedAtOnce is how many releases are in progress while the driver "judged" varies the members.
 const judgedAtOnce = 2
 
-// setServiceCount takes as many routes along as there are services, for each has one at least.
+// setServiceCount raises routes and workers with the services: each service has one of each at least.
 func setServiceCount(opts *schema.HollowOptions, value float64) {
-	opts.Services, opts.Routes = int64(value), max(opts.Routes, int64(value))
+	opts.Services = int64(value)
+	opts.Routes = max(opts.Routes, int64(value))
 	opts.Workers = max(opts.Members, opts.Services)
 }
 
-// baseOptions are the settings that stay while a driver is varied.
+// setReach sets how many routes a member's calls use, with a release that makes members report them.
+func setReach(opts *schema.HollowOptions, value float64) {
+	opts.Reach = int64(value)
+	opts.Releases = 1
+}
+
+// setJudgedMembers sets the members, with releases that make members report their calls.
+func setJudgedMembers(opts *schema.HollowOptions, value float64) {
+	opts.Members = int64(value)
+	opts.Releases = judgedAtOnce
+}
+
+// baseOptions are the settings of a run before its driver's value is set.
 func baseOptions(opts *schema.SlopesOptions) *schema.HollowOptions {
 	base := &schema.HollowOptions{}
 	// The presets are checked with each build, so they parse.
 	_ = options.Parse("hollow", nil, base, io.Discard)
-	base.Members, base.Routes = opts.At, max(base.Routes, routesAtBase)
-	base.Releases, base.Changes = 0, changesAtBase
-	base.Length, base.Settle, base.Lease, base.Mode, base.Binaries, base.Plots = opts.Length, opts.Settle, opts.Lease, opts.Mode, opts.Binaries, "none"
+	base.Members = opts.At
+	base.Routes = max(base.Routes, routesAtBase)
+	base.Releases = 0
+	base.Changes = changesAtBase
+	base.Length = opts.Length
+	base.Settle = opts.Settle
+	base.Lease = opts.Lease
+	base.Mode = opts.Mode
+	base.Binaries = opts.Binaries
+	base.Plots = "none"
 	return base
 }
 
-// What the base has besides the presets: enough routes to be reached, few enough changes that
-// they do not hide the rest.
+// What the base has besides the presets: enough routes that members may reach different ones, and so few changes
+// that they do not hide other costs. Changes are by the minute.
 const (
 	routesAtBase  = 64
 	changesAtBase = 6
 )
 
-// driverValues reads a driver's values.
+// driverValues reads the values of a driver.
 func driverValues(opts *schema.SlopesOptions, driver string) ([]float64, error) {
 	var values []float64
 	for _, text := range options.SplitList(drivers[driver].of(opts)) {
@@ -80,7 +100,7 @@
 	return values, nil
 }
 
-// ValidateSlopes lists what cannot be run here, for each run of the series.
+// ValidateSlopes lists what in the settings cannot be run on this machine, for each run of the series.
 func ValidateSlopes(opts *schema.SlopesOptions) options.Faults {
 	var faults options.Faults
 	for _, driver := range options.SplitList(opts.Drivers) {
@@ -126,7 +146,7 @@
 	return faults
 }
 
-// Point is one run of a series.
+// Point is one run of a series. The runs done so far are kept in a file, one a line.
 type Point struct {
 	Driver string        `json:"driver"`
 	Value  float64       `json:"value"`
@@ -134,7 +154,7 @@
 	Report *HollowReport `json:"report"`
 }
 
-// slopeCosts are the costs that slopes are fitted to.
+// slopeCosts are the costs that slopes are fitted to, in the order of reports.
 var slopeCosts = []struct {
 	name string
 	of   func(*HollowReport) float64
@@ -184,7 +204,8 @@
 // pointsFile holds the runs of a series, one a line, so that one that was cut short goes on.
 const pointsFile = "points.jsonl"
 
-// RunSlopes varies each driver by itself and fits what it costs.
+// RunSlopes varies each driver by itself and fits what it costs. Runs that a previous call with the same folder has
+// done are not repeated. A run that fails is reported and left out.
 func RunSlopes(ctx context.Context, opts *schema.SlopesOptions, out io.Writer) (*SlopesReport, error) {
 	if faults := ValidateSlopes(opts); len(faults) > 0 {
 		return nil, faults
@@ -218,11 +239,11 @@
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			// One value that does not come up tells as much as one that does: the series goes on.
+			// That a value cannot be run is a result too, so the series goes on.
 			printf(out, "  failed: %v\n", err)
 			continue
 		}
-		_ = os.RemoveAll(run.Folder)
+		_ = os.RemoveAll(run.Folder) // what stays only takes space
 		text, err := json.Marshal(point)
 		if err != nil {
 			return nil, errs.Wrap(err, errs.Internal, "point")
@@ -236,13 +257,13 @@
 	return fitPoints(opts, points), nil
 }
 
-// planPoints lists the runs. One of each value comes before a second of any, so that what else
-// the machine does is spread over all.
+// planPoints lists the runs of the series. Each value comes once before any comes twice, so that the other load on
+// the machine is spread over all values.
 func planPoints(opts *schema.SlopesOptions) []Point {
 	var planned []Point
 	for run := range int(opts.Runs) {
 		for _, driver := range options.SplitList(opts.Drivers) {
-			values, _ := driverValues(opts, driver)
+			values, _ := driverValues(opts, driver) // ValidateSlopes has checked them
 			for _, value := range values {
 				planned = append(planned, Point{Driver: driver, Value: value, Run: run + 1})
 			}
@@ -290,7 +311,7 @@
 	return report
 }
 
-// Print shows, for each driver, the mean of each cost at each value and the slope through them.
+// Print shows, for each driver, the mean of each cost at each value, and the slope through them.
 func (r *SlopesReport) Print(out io.Writer) {
 	printf(out, "%s mode, %d runs, commit %s\n", r.Mode, r.Runs, r.Commit)
 	driver := ""
@@ -312,13 +333,15 @@
 			for _, value := range values {
 				printf(out, " %g |", value)
 			}
-			printf(out, " slope, the last value left out | R² | spread of runs | foretold for the last |\n| --- |%s --- | --- | --- | --- |\n", strings.Repeat(" --- |", len(values)))
+			printf(out, " slope, the last value left out | R² | spread of runs | foretold for the last |\n| --- |%s --- | --- | --- | --- |\n",
+				strings.Repeat(" --- |", len(values)))
 		}
 		printf(out, "| %s |", slope.Cost)
 		for _, value := range values {
 			printf(out, " %s |", formatShort(stat.Mean(means[value], nil)))
 		}
-		printf(out, " %s | %.3f | %.0f %% | %s, %+.0f %% |\n", slope.Formula(), slope.RSquared, 100*slope.RelativeSpread, formatShort(slope.Predicted), 100*slope.RelativeError())
+		printf(out, " %s | %.3f | %.0f %% | %s, %+.0f %% |\n",
+			slope.Formula(), slope.RSquared, 100*slope.RelativeSpread, formatShort(slope.Predicted), 100*slope.RelativeError())
 	}
 }
 
@@ -331,7 +354,7 @@
 	return func(*HollowReport) float64 { return 0 }
 }
 
-// formatShort writes a number with three places that count.
+// formatShort writes a number with three significant digits, or as a whole number from 1000.
 func formatShort(value float64) string {
 	if value >= 1000 || value <= -1000 {
 		return fmt.Sprintf("%.0f", value)
@@ -347,7 +370,9 @@
 // WritePlots writes a plot of each slope with the runs that it was fitted to.
 func (r *SlopesReport) WritePlots(folder, format string) error {
 	for _, slope := range r.Slopes {
-		runs, heldOut, line := plotSeries{name: "runs", scatter: true}, plotSeries{name: "left out of the fit", scatter: true}, plotSeries{name: slope.Formula()}
+		runs := plotSeries{name: "runs", scatter: true}
+		heldOut := plotSeries{name: "left out of the fit", scatter: true}
+		line := plotSeries{name: slope.Formula()}
 		largest := 0.0
 		for _, point := range r.points {
 			if point.Driver != slope.Driver {
@@ -366,7 +391,8 @@
 			line.points = append(line.points, plotter.XY{X: x, Y: slope.Predict(x)})
 		}
 		name := slope.Cost + " by " + slope.Driver
-		if err := writePlot(folder, format, strings.ReplaceAll(name, "/", " a "), name, slope.Driver, slope.Cost, []plotSeries{line, runs, heldOut}, nil); err != nil {
+		plotted := []plotSeries{line, runs, heldOut}
+		if err := writePlot(folder, format, strings.ReplaceAll(name, "/", " a "), name, slope.Driver, slope.Cost, plotted, nil); err != nil {
 			return err
 		}
 	}
