--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -6,6 +6,7 @@
 	"fmt"
 	"io"
 	"runtime"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -23,9 +24,9 @@
 
 // Headers between the callers and workers of a chain.
 const (
-	remainingDepthHeader = "X-Depth"  // how many calls are still to be made, one inside the other
-	workedNanosHeader    = "X-Work"   // nanoseconds that workers worked, all those inside together
-	directHeader         = "X-Direct" // past the mesh
+	remainingDepthHeader = "X-Depth"  // how many calls are still to be made, each nested in the one before
+	workedNanosHeader    = "X-Work"   // nanoseconds that this worker and all nested ones worked
+	directHeader         = "X-Direct" // set on calls past the mesh
 )
 
 // CallPoint is what calls cost in one run.
@@ -33,7 +34,7 @@
 	Rate     float64 `json:"rate"` // chains begun a second
 	Depth    int     `json:"depth"`
 	Run      int     `json:"run"`
-	CallRate float64 `json:"callsPerSecond"` // hops, as they were answered
+	CallRate float64 `json:"callsPerSecond"` // answered calls, each of a chain counted
 	Failed   int     `json:"failed"`
 	// Processor time in thousandths of a core: of all proxies, of the first caller's, of the first worker's.
 	ProxiesCPU    float64 `json:"proxiesCpuMsPerSecond"`
@@ -45,7 +46,7 @@
 	DirectLatency LatencySummary `json:"directMs"`
 }
 
-// CallsReport is what a series of calls found.
+// CallsReport is what a series of runs found.
 type CallsReport struct {
 	Commit string      `json:"commit"`
 	Mode   string      `json:"mode"`
@@ -53,10 +54,10 @@
 	Points []CallPoint `json:"points"`
 	Slopes []Slope     `json:"slopes"`
 
-	addedByLoad map[string]*hdrhistogram.Histogram
+	addedByLoad map[string]*hdrhistogram.Histogram // by rate and depth
 }
 
-// ValidateCalls lists what cannot be run.
+// ValidateCalls lists what in the settings cannot be run.
 func ValidateCalls(opts *schema.CallsOptions) options.Faults {
 	var faults options.Faults
 	for name, text := range map[string]string{"rates": opts.Rates, "depths": opts.Depths} {
@@ -77,7 +78,7 @@
 // maxDepth bounds a chain; each depth is a service of its own.
 const maxDepth = 64
 
-// parsePositiveInts reads whole numbers above 0, by comma.
+// parsePositiveInts reads whole numbers above 0, separated by commas.
 func parsePositiveInts(text string) ([]int, error) {
 	var values []int
 	for _, field := range options.SplitList(text) {
@@ -90,25 +91,30 @@
 	return values, nil
 }
 
-// callChain is a fleet whose workers call each other in a row: service-0 calls service-1 and so on.
+// callChain is a fleet whose workers call each other in a chain: service-0 calls service-1 and so on.
 type callChain struct {
 	opts          *schema.CallsOptions
 	fleet         *Fleet
 	workers       []*Worker
-	meshClients   []*fasthttp.HostClient // the i-th worker's way to the next, through the mesh
-	directClients []*fasthttp.HostClient // and past it
+	meshClients   []*fasthttp.HostClient // of the i-th caller, through the mesh
+	directClients []*fasthttp.HostClient // of the i-th caller, past the mesh
 	body          []byte
 }
 
+// newChainClient makes a client that never retries.
 func newChainClient(address string) *fasthttp.HostClient {
-	return &fasthttp.HostClient{Addr: address, MaxConns: maxChainConns, MaxIdemponentCallAttempts: 1,
-		RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}
+	return &fasthttp.HostClient{
+		Addr:                      address,
+		MaxConns:                  maxChainConns,
+		MaxIdemponentCallAttempts: 1,
+		RetryIfErr:                func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
+	}
 }
 
-// maxChainConns bounds the calls under way at one place of a chain.
+// maxChainConns bounds the calls in flight of one caller of a chain.
 const maxChainConns = 4096
 
-// chainCallers are the callers with a listener at each proxy.
+// chainCallers are the callers that have a listener at each proxy.
 func chainCallers(length int) []string {
 	callers := []string{clientCaller}
 	for i := range length - 1 {
@@ -117,71 +123,82 @@
 	return callers
 }
 
-// startChain brings up a core, proxies and a worker for each depth, at the proxies in turn.
+// startChain brings up a core, proxies, and a worker for each depth, at the proxies in turn. After an error the chain
+// may be incomplete; it is nil only if nothing was started.
 func startChain(ctx context.Context, opts *schema.CallsOptions, length int) (*callChain, error) {
-	coreOptions := &schema.HollowOptions{Seats: maxSeeds, Zones: opts.Edges, Mode: opts.Mode, Lease: opts.Lease, Folder: opts.Folder, Binaries: opts.Binaries,
-		Members: opts.Edges, Services: int64(length), Routes: int64(length)}
+	coreOptions := &schema.HollowOptions{
+		Seats:    maxSeeds,
+		Zones:    opts.Edges,
+		Mode:     opts.Mode,
+		Lease:    opts.Lease,
+		Folder:   opts.Folder,
+		Binaries: opts.Binaries,
+		Members:  opts.Edges,
+		Services: int64(length),
+		Routes:   int64(length),
+	}
 	fleet, err := newHollowCore(coreOptions)
 	if err != nil {
 		return nil, err
 	}
 	c := &callChain{opts: opts, fleet: fleet, body: bytes.Repeat([]byte("x"), int(opts.Body))}
-	callers := chainCallers(length)
-	for i := range int(opts.Edges) {
-		settings, err := fleet.edgeSettings(opts.Mode, i, callers, minSources)
-		if err != nil {
-			return c, err
-		}
-		process, err := fleet.newProcess("proxy", settings["name"], callers, settings["probe-listen"], settings)
-		if err != nil {
-			return c, err
-		}
-		fleet.Proxies = append(fleet.Proxies, process)
+	if err := fleet.addProxies(opts.Mode, 0, int(opts.Edges), chainCallers(length), minSources); err != nil {
+		return c, err
 	}
-	for _, process := range fleet.Processes() {
-		if err := process.Start(); err != nil {
-			return c, err
-		}
+	if err := startAll(fleet.Processes()); err != nil {
+		return c, err
 	}
+	core := slices.Concat(fleet.Stores, fleet.Registries)
 	//nolint:contextcheck // AwaitReady has a timeout of its own; to end it with ctx would change interrupted runs
-	if err := AwaitReady(append(append([]*Process(nil), fleet.Stores...), fleet.Registries...), time.Minute+keyWindowLeases*fleet.lease); err != nil {
+	if err := AwaitReady(core, readyTimeout+keyWindowLeases*fleet.lease); err != nil {
 		return c, err
 	}
 	began := time.Now()
 	now := func() time.Duration { return time.Since(began) }
-	operator := newHollowOperator(coreOptions, fleet, now)
-	if err := operator.submitInitialConfig(ctx); err != nil {
+	if err := newHollowOperator(coreOptions, fleet, now).submitInitialConfig(ctx); err != nil {
 		return c, err
 	}
 	//nolint:contextcheck // as above
 	if err := AwaitReady(fleet.Proxies, readyTimeout); err != nil {
 		return c, err
 	}
+	if err := c.startWorkers(length, now); err != nil {
+		return c, err
+	}
+	return c, awaitWorkerDiscovery(fleet.Proxies, length, readyTimeout)
+}
+
+// startWorkers starts the workers of a chain and makes the clients of their callers. A worker makes nested calls only
+// once all workers run.
+func (c *callChain) startWorkers(length int, now func() time.Duration) error {
+	edges := int(c.opts.Edges)
 	for i := range length {
-		edge := (i + 1) % int(opts.Edges)
-		worker, err := StartWorker(fmt.Sprintf("w%d", i), serviceName(i), versionOld, fleet.zone(edge), fmt.Sprintf("%s:%d", fleet.spacedEdgeAddress(edge), portWorker+i),
-			fmt.Sprintf("%s:%d", fleet.spacedEdgeAddress(edge), portWorkerAPI), 0, &History{}, now)
+		edge := (i + 1) % edges
+		address := fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(edge), portWorker+i)
+		registrationAddress := fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(edge), portWorkerAPI)
+		worker, err := StartWorker(fmt.Sprintf("w%d", i), serviceName(i), versionOld, c.fleet.zone(edge), address, registrationAddress, 0, &History{}, now)
 		if err != nil {
-			return c, err
+			return err
 		}
 		c.workers = append(c.workers, worker)
-		// The i-th place is that of the caller of the i-th service: a client, then the workers.
-		c.meshClients = append(c.meshClients, newChainClient(fmt.Sprintf("%s:%d", fleet.spacedEdgeAddress(i%int(opts.Edges)), portCallers+i)))
+		// The i-th caller calls the i-th service: first a client, then the worker of the service before.
+		callerAddress := fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(i%edges), portCallers+i)
+		c.meshClients = append(c.meshClients, newChainClient(callerAddress))
 		c.directClients = append(c.directClients, newChainClient(worker.description.Address))
 	}
 	for i, worker := range c.workers {
 		onRequest := func(call *fasthttp.RequestCtx) { c.simulateWork(i, call) }
 		worker.onRequest.Store(&onRequest)
 	}
-	return c, awaitWorkerDiscovery(fleet.Proxies, length, time.Minute)
+	return nil
 }
 
-// spacedEdgeAddress is the address of the i-th proxy as edgeSettings gives it.
+// spacedEdgeAddress is the IP address of the i-th proxy of a fleet that may have more than 254.
 func (f *Fleet) spacedEdgeAddress(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", f.netOctet, 2+i/edgesPerNet, 1+i%edgesPerNet)
 }
 
-// simulateWork is what the i-th worker does for an answer: its own work, then the calls inside.
+// simulateWork is what the i-th worker does for a request: its own work, then the nested call.
 func (c *callChain) simulateWork(i int, call *fasthttp.RequestCtx) {
 	begin := time.Now()
 	time.Sleep(time.Duration(c.opts.Work))
@@ -198,7 +215,7 @@
 	call.Response.Header.Set(workedNanosHeader, strconv.FormatInt(int64(worked), 10))
 }
 
-// call makes the call of the i-th place and tells how long all workers inside it worked.
+// call makes the call of the i-th caller and returns how long all workers nested in it worked.
 func (c *callChain) call(i, depth int, direct bool) (time.Duration, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -224,7 +241,7 @@
 	return time.Duration(worked), errs.Wrap(err, errs.InvalidResponse, "work")
 }
 
-// measureLoad makes chains at a rate for the length of a run.
+// measureLoad makes chains at a rate, in chains a second, for the length of a run.
 func (c *callChain) measureLoad(rate float64, depth int) (CallPoint, *hdrhistogram.Histogram) {
 	point := CallPoint{Rate: rate, Depth: depth}
 	meshLatency, directLatency := newLatencyHistogram(), newLatencyHistogram()
@@ -235,7 +252,7 @@
 	answered := 0
 	for sent := 0; time.Since(begin) < time.Duration(c.opts.Length); sent++ {
 		time.Sleep(time.Until(begin.Add(time.Duration(float64(sent) / rate * float64(time.Second)))))
-		// One in so many goes past the mesh, for what the stand-ins themselves take.
+		// Chains past the mesh show what callers and workers themselves take.
 		direct := sent%directOneIn == 0
 		calling.Go(func() {
 			started := time.Now()
@@ -269,11 +286,12 @@
 			point.WorkerSideCPU = used
 		}
 	}
-	point.AddedLatency, point.DirectLatency = summarizeLatency(meshLatency), summarizeLatency(directLatency)
+	point.AddedLatency = summarizeLatency(meshLatency)
+	point.DirectLatency = summarizeLatency(directLatency)
 	return point, meshLatency
 }
 
-// directOneIn is which part of chains goes past the mesh.
+// directOneIn is which part of the chains goes past the mesh: one in so many.
 const directOneIn = 8
 
 func (c *callChain) readCounters() []processCounters {
@@ -291,11 +309,12 @@
 	c.fleet.Stop()
 }
 
-// RunCalls varies the rate and the depth of calls and fits what one costs.
+// RunCalls varies the rate and the depth of calls and fits what a call costs.
 func RunCalls(ctx context.Context, opts *schema.CallsOptions, out io.Writer) (*CallsReport, error) {
 	if faults := ValidateCalls(opts); len(faults) > 0 {
 		return nil, faults
 	}
+	// ValidateCalls has checked both lists.
 	rates, _ := parsePositiveInts(opts.Rates)
 	depths, _ := parsePositiveInts(opts.Depths)
 	length := 1
@@ -309,7 +328,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The first calls open links and warm the programs up.
+	// The first run opens connections and warms the programs up; it does not count.
 	c.measureLoad(float64(opts.Chains), length)
 	report := &CallsReport{Commit: buildCommit(), Mode: opts.Mode, Cores: runtime.NumCPU(), addedByLoad: map[string]*hdrhistogram.Histogram{}}
 	for run := range int(opts.Runs) {
@@ -339,13 +358,13 @@
 	return report, nil
 }
 
-// fit makes the slopes: what calls of one hop cost by their number, and what a chain costs by
-// its depth.
+// fit computes the slopes: what calls of depth 1 cost by their rate, and what a chain costs by its depth. Points come
+// in rounds of so many rates, then so many depths.
 func (r *CallsReport) fit(rates, depths int) {
 	costs := []struct {
 		name  string
-		adds  bool // up over the calls, so that a chain has its part
-		sided bool // of one side of a call
+		adds  bool // is a sum over all calls, so that it is divided by the chains
+		sided bool // is of one side of a call
 		of    func(CallPoint) float64
 	}{
 		{"proxies cpu ms", true, false, func(p CallPoint) float64 { return p.ProxiesCPU }},
@@ -372,7 +391,7 @@
 		}
 		per := map[bool][2]string{true: {" a second", " a chain"}}[cost.adds]
 		r.Slopes = append(r.Slopes, fitSlope("calls a second", cost.name+per[0], byRate))
-		// In a chain every proxy is on both sides.
+		// In a chain every proxy is on both sides of calls.
 		if !cost.sided {
 			r.Slopes = append(r.Slopes, fitSlope("depth", cost.name+per[1], byDepth))
 		}
@@ -381,14 +400,19 @@
 
 // Print shows the runs and the slopes.
 func (r *CallsReport) Print(out io.Writer) {
-	printf(out, "%s mode, commit %s, %d cores\n\n| chains/s | depth | run | calls/s | failed | proxies cpu ms/s | caller side | worker side | bytes sent/s | added ms p50 / p99 | past the mesh ms p50 / p99 |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", r.Mode, r.Commit, r.Cores)
+	printf(out, "%s mode, commit %s, %d cores\n\n"+
+		"| chains/s | depth | run | calls/s | failed | proxies cpu ms/s | caller side | worker side | bytes sent/s | added ms p50 / p99 | past the mesh ms p50 / p99 |\n"+
+		"| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n", r.Mode, r.Commit, r.Cores)
 	for _, p := range r.Points {
-		printf(out, "| %g | %d | %d | %.0f | %d | %s | %s | %s | %.0f | %.2f / %.2f | %.2f / %.2f |\n", p.Rate, p.Depth, p.Run, p.CallRate, p.Failed, formatShort(p.ProxiesCPU), formatShort(p.CallerSideCPU),
-			formatShort(p.WorkerSideCPU), p.BytesSent, p.AddedLatency.P50, p.AddedLatency.P99, p.DirectLatency.P50, p.DirectLatency.P99)
+		printf(out, "| %g | %d | %d | %.0f | %d | %s | %s | %s | %.0f | %.2f / %.2f | %.2f / %.2f |\n",
+			p.Rate, p.Depth, p.Run, p.CallRate, p.Failed,
+			formatShort(p.ProxiesCPU), formatShort(p.CallerSideCPU), formatShort(p.WorkerSideCPU), p.BytesSent,
+			p.AddedLatency.P50, p.AddedLatency.P99, p.DirectLatency.P50, p.DirectLatency.P99)
 	}
 	printf(out, "\n| cost | by | slope | R² | spread of runs | foretold for the last |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, s := range r.Slopes {
-		printf(out, "| %s | %s | %s | %.3f | %.0f %% | %s, %+.0f %% |\n", s.Cost, s.Driver, s.Formula(), s.RSquared, 100*s.RelativeSpread, formatShort(s.Predicted), 100*s.RelativeError())
+		printf(out, "| %s | %s | %s | %.3f | %.0f %% | %s, %+.0f %% |\n",
+			s.Cost, s.Driver, s.Formula(), s.RSquared, 100*s.RelativeSpread, formatShort(s.Predicted), 100*s.RelativeError())
 	}
 }
 
@@ -397,20 +421,24 @@
 	return writeReport(file, r)
 }
 
-// WritePlots writes plots of the slopes, and of what calls were added.
+// WritePlots writes plots of the slopes, and of the latency that the mesh adds.
 func (r *CallsReport) WritePlots(folder, format string) error {
 	var lines []plotSeries
 	for _, point := range r.Points {
 		name := fmt.Sprintf("depth %d, %g a second", point.Depth, point.Rate)
 		if histogram := r.addedByLoad[name]; histogram != nil && point.Run == 1 && histogram.TotalCount() > 0 {
-			lines = append(lines, plotSeries{name: name, points: quantileLine(histogram)})
+			lines = append(lines, plotSeries{name: name, points: quantileCurve(histogram)})
 		}
 	}
 	if err := writePlot(folder, format, "added", "what the mesh and the stand-ins add", "milliseconds", "per cent done within", lines, logScaleX); err != nil {
 		return err
 	}
 	for _, slope := range r.Slopes {
-		line := plotSeries{name: slope.Formula(), points: plotter.XYs{{X: 0, Y: slope.Predict(0)}, {X: max(1, slope.HeldOut), Y: slope.Predict(max(1, slope.HeldOut))}}}
+		end := max(1, slope.HeldOut)
+		line := plotSeries{
+			name:   slope.Formula(),
+			points: plotter.XYs{{X: 0, Y: slope.Predict(0)}, {X: end, Y: slope.Predict(end)}},
+		}
 		name := slope.Cost + " by " + slope.Driver
 		if err := writePlot(folder, format, strings.ReplaceAll(name, "/", " a "), name, slope.Driver, slope.Cost, []plotSeries{line}, nil); err != nil {
 			return err
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -139,8 +139,8 @@
 	version string
 }
 
-// placeWorkers assigns workers to the edge machines in turn. Each service runs both versions, in turn too.
-func (d *Deployment) placeWorkers() []workerPlacement {
+// assignWorkers assigns workers to the edge machines in turn. Each service runs both versions, in turn too.
+func (d *Deployment) assignWorkers() []workerPlacement {
 	var placements []workerPlacement
 	edge := 0
 	for _, service := range d.Services {
--- a/internal/testbed/hollow_core.go
+++ b/internal/testbed/hollow_core.go
@@ -45,52 +45,56 @@
 			memberIDs[i] = f.coreAddress(i)
 		}
 	}
-	for i, memberID := range memberIDs {
-		common := map[string]string{"seat": memberID}
-		if opts.Mode == modeOpen {
-			common["links"] = "plain"
-		}
-		storeSettings := map[string]string{
-			"listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore),
-			"seeds":  f.coreSeeds(portStore, -1),
-		}
-		// Without a static member list the seeds found the core, and further members join it.
-		if opts.Mode == modeOpen {
-			storeSettings["founding"] = "true"
-		} else {
-			common["order"] = strings.Join(memberIDs, ",")
-			storeSettings["seeds"] = f.coreSeeds(portStore, i)
-		}
-		registrySettings := map[string]string{
-			"listen":          fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistry),
-			"seeds":           f.coreSeeds(portRegistry, i),
-			"store":           fmt.Sprintf("%s:%d", f.coreAddress(i), portStore),
-			"operator-listen": f.OperatorAddress(i),
-			"lease":           f.lease.String(),
-			"key-window":      (f.lease * keyWindowLeases).String(),
-			"sources-most":    fmt.Sprint(max(minSources, 2*opts.Members)),
-		}
-		if opts.Mode == modeOpen {
-			registrySettings["acknowledge-after"] = "stable"
-			registrySettings["area"] = f.zone(i)
-			registrySettings["seeds"] = f.coreSeeds(portRegistry, -1)
-		}
-		maps.Copy(storeSettings, common)
-		maps.Copy(registrySettings, common)
-		store, err := f.newProcess("store", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portStoreProbe), storeSettings)
-		if err != nil {
-			return nil, err
-		}
-		registry, err := f.newProcess("registry", memberID, nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistryProbe), registrySettings)
-		if err != nil {
+	for i := range memberIDs {
+		if err := f.layOutHollowMember(opts, i, memberIDs); err != nil {
 			return nil, err
 		}
-		f.Stores = append(f.Stores, store)
-		f.Registries = append(f.Registries, registry)
 	}
 	return f, nil
 }
 
+// layOutHollowMember lays out the store and the registry of a core machine.
+func (f *Fleet) layOutHollowMember(opts *schema.HollowOptions, i int, memberIDs []string) error {
+	common := map[string]string{"seat": memberIDs[i]}
+	storeSettings := map[string]string{
+		"listen": fmt.Sprintf("%s:%d", f.coreAddress(i), portStore),
+	}
+	registrySettings := map[string]string{
+		"listen":          fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistry),
+		"store":           fmt.Sprintf("%s:%d", f.coreAddress(i), portStore),
+		"operator-listen": f.OperatorAddress(i),
+		"lease":           f.lease.String(),
+		"key-window":      (f.lease * keyWindowLeases).String(),
+		"sources-most":    fmt.Sprint(max(minSources, 2*opts.Members)),
+	}
+	if opts.Mode == modeOpen {
+		// Without a static member list the seeds found the core, and further members join it.
+		common["links"] = "plain"
+		storeSettings["founding"] = "true"
+		storeSettings["seeds"] = f.coreSeeds(portStore, -1)
+		registrySettings["seeds"] = f.coreSeeds(portRegistry, -1)
+		registrySettings["acknowledge-after"] = "stable"
+		registrySettings["area"] = f.zone(i)
+	} else {
+		common["order"] = strings.Join(memberIDs, ",")
+		storeSettings["seeds"] = f.coreSeeds(portStore, i)
+		registrySettings["seeds"] = f.coreSeeds(portRegistry, i)
+	}
+	maps.Copy(storeSettings, common)
+	maps.Copy(registrySettings, common)
+	store, err := f.newProcess("store", memberIDs[i], nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portStoreProbe), storeSettings)
+	if err != nil {
+		return err
+	}
+	f.Stores = append(f.Stores, store)
+	registry, err := f.newProcess("registry", memberIDs[i], nil, fmt.Sprintf("%s:%d", f.coreAddress(i), portRegistryProbe), registrySettings)
+	if err != nil {
+		return err
+	}
+	f.Registries = append(f.Registries, registry)
+	return nil
+}
+
 // Settings that a large fleet needs besides the presets.
 const (
 	keyWindowLeases = 8   // the window of idempotency keys, in leases
@@ -226,9 +230,13 @@
 
 // addRealProxies lays out real proxies, at the addresses after those of the hollow members.
 func (f *Fleet) addRealProxies(opts *schema.HollowOptions) error {
-	for i := range int(opts.Real) {
-		callers := []string{clientCaller}
-		settings, err := f.edgeSettings(opts.Mode, int(opts.Members)+i, callers, max(minSources, 2*opts.Members))
+	return f.addProxies(opts.Mode, int(opts.Members), int(opts.Real), []string{clientCaller}, max(minSources, 2*opts.Members))
+}
+
+// addProxies lays out so many proxies from the first address on, each with a listener for each caller.
+func (f *Fleet) addProxies(mode string, first, count int, callers []string, maxMembers int64) error {
+	for i := first; i < first+count; i++ {
+		settings, err := f.edgeSettings(mode, i, callers, maxMembers)
 		if err != nil {
 			return err
 		}
--- a/internal/testbed/hollow_counters.go
+++ b/internal/testbed/hollow_counters.go
@@ -109,15 +109,15 @@
 var proxyCalls = []string{"/meadowhinge.Registry/Lease", "/meadowhinge.Registry/Feed", "/meadowhinge.Registry/Tell", "/meadowhinge.Registry/Claim",
 	"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
 
-// settledMemory is the heap and stacks of this process, in bytes, once garbage collections no longer reduce them.
-func settledMemory() int64 {
+// stableMemory is the heap and stacks of this process, in bytes, once garbage collections no longer reduce them.
+func stableMemory() int64 {
 	previous := int64(0)
 	for range maxMemoryReads {
 		runtime.GC()
 		var memory runtime.MemStats
 		runtime.ReadMemStats(&memory)
 		current := int64(memory.HeapAlloc + memory.StackInuse)
-		if previous > 0 && current > previous-previous/settledDivisor {
+		if previous > 0 && current > previous-previous/stableDivisor {
 			return current
 		}
 		previous = current
@@ -126,9 +126,9 @@
 	return previous
 }
 
-// Bounds of settledMemory: how often memory is read at most, and which part of it a collection must free for
+// Bounds of stableMemory: how often memory is read at most, and which part of it a collection must free for
 // another read.
 const (
 	maxMemoryReads = 50
-	settledDivisor = 200
+	stableDivisor = 200
 )
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -180,7 +180,7 @@
 		if attempt == maxInitialAttempts {
 			return errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not taken: %+v, %v", answer, err))
 		}
-		if !sleepContext(ctx, initialRetryPause) {
+		if !sleepContext(ctx, initialRetryBackoff) {
 			return ctx.Err()
 		}
 	}
@@ -191,7 +191,7 @@
 	callersPerService   = 3
 	releaseLengthFactor = 10
 	maxInitialAttempts  = 100
-	initialRetryPause   = 200 * time.Millisecond
+	initialRetryBackoff   = 200 * time.Millisecond
 )
 
 func (o *hollowOperator) routeText(i int, deadline string) string {
--- a/internal/testbed/hollow_report.go
+++ b/internal/testbed/hollow_report.go
@@ -39,27 +39,6 @@
 // RatesByName are numbers a second by name.
 type RatesByName map[string]float64
 
-// LatencySummary has quantiles of a histogram, in milliseconds.
-type LatencySummary struct {
-	Count int64   `json:"count"`
-	P50   float64 `json:"p50"`
-	P90   float64 `json:"p90"`
-	P99   float64 `json:"p99"`
-	Max   float64 `json:"max"`
-}
-
-// summarizeLatency takes the quantiles of a histogram of microseconds.
-func summarizeLatency(from *hdrhistogram.Histogram) LatencySummary {
-	millis := func(micros int64) float64 { return float64(micros) / 1000 }
-	return LatencySummary{
-		Count: from.TotalCount(),
-		P50:   millis(from.ValueAtQuantile(50)),
-		P90:   millis(from.ValueAtQuantile(90)),
-		P99:   millis(from.ValueAtQuantile(99)),
-		Max:   millis(from.Max()),
-	}
-}
-
 // HollowReport is what a run of hollow members found.
 type HollowReport struct {
 	Options *schema.HollowOptions `json:"options"`
--- a/internal/testbed/hollow_run.go
+++ b/internal/testbed/hollow_run.go
@@ -111,7 +111,7 @@
 
 // joinMembers makes the hollow members and waits until each has the configuration and knows every worker.
 func (r *hollowRun) joinMembers(ctx context.Context) error {
-	r.memoryBefore = settledMemory()
+	r.memoryBefore = stableMemory()
 	fleet, err := newHollowFleet(r.opts, r.core, r.now)
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 	r.tasks.Wait()
 	r.awaitApplied(ctx)
 	report.Roles = costsBetween(r.opts, first, last)
-	report.Roles[0].MemoryMB = float64(settledMemory()-r.memoryBefore) / float64(r.opts.Members) / (1 << 20)
+	report.Roles[0].MemoryMB = float64(stableMemory()-r.memoryBefore) / float64(r.opts.Members) / (1 << 20)
 	report.Roles[0].HeapMB = report.Roles[0].MemoryMB
 	report.fillChanges(r.operator, r.fleet)
 	report.WakeupDelay = summarizeLatency(r.wakeupDelay)
--- a/internal/testbed/plots.go
+++ b/internal/testbed/plots.go
@@ -69,8 +69,8 @@
 	return errs.Wrap(chart.Save(plotWidthInches*vg.Inch, plotHeightInches*vg.Inch, file), errs.DiskFailed, file)
 }
 
-// quantileLine draws a histogram of microseconds: which percentage is within how many milliseconds.
-func quantileLine(histogram *hdrhistogram.Histogram) plotter.XYs {
+// quantileCurve draws a histogram of microseconds: which percentage is within how many milliseconds.
+func quantileCurve(histogram *hdrhistogram.Histogram) plotter.XYs {
 	var points plotter.XYs
 	for _, bracket := range histogram.CumulativeDistribution() {
 		if bracket.Count > 0 {
@@ -91,7 +91,7 @@
 		"news of workers, each member",
 	} {
 		if histogram := r.histograms[name]; histogram != nil && histogram.TotalCount() > 0 {
-			spans = append(spans, plotSeries{name: name, points: quantileLine(histogram)})
+			spans = append(spans, plotSeries{name: name, points: quantileCurve(histogram)})
 		}
 	}
 	title := fmt.Sprintf("%d members, %d services, %d routes", r.Options.Members, r.Options.Services, r.Options.Routes)
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -57,7 +57,7 @@
 		_ = inbound.Close()
 		return
 	}
-	copyBytes := func(source, sink net.Conn, from, to string) {
+	relayBytes := func(source, sink net.Conn, from, to string) {
 		defer finish()
 		buffer := make([]byte, 32<<10)
 		for {
@@ -77,8 +77,8 @@
 			}
 		}
 	}
-	go copyBytes(inbound, outbound, from, r.machine)
-	go copyBytes(outbound, inbound, r.machine, from)
+	go relayBytes(inbound, outbound, from, r.machine)
+	go relayBytes(outbound, inbound, r.machine, from)
 	<-done
 	// Ends the other copy; what an end lost is for the processes to find out.
 	_ = inbound.Close()
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	r.logf("proxies ready after %.1f s", r.now().Seconds())
-	for i, placement := range r.options.Deployment.placeWorkers() {
+	for i, placement := range r.options.Deployment.assignWorkers() {
 		name := fmt.Sprintf("w%d-%s", i+1, placement.service)
 		if err := r.startWorker(name, placement.edge, placement.service, placement.version); err != nil {
 			return err
--- a/internal/testbed/test_run.go
+++ b/internal/testbed/test_run.go
@@ -67,7 +67,7 @@
 		NewCaller(clientCaller, proxy, r.fleet.CallerAddress(edge, clientCaller), clients, rate, r.history, r.now),
 	}
 	// The service whose worker runs on this edge makes this edge's part of the internal calls.
-	for i, placement := range d.placeWorkers() {
+	for i, placement := range d.assignWorkers() {
 		routes := internal[placement.service]
 		if placement.edge != edge || len(routes) == 0 || i >= d.Edges {
 			continue
