--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -176,7 +176,8 @@
 		edge := (i + 1) % edges
 		address := fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(edge), portWorker+i)
 		registrationAddress := fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(edge), portWorkerAPI)
-		worker, err := StartWorker(fmt.Sprintf("w%d", i), serviceName(i), versionOld, c.fleet.zone(edge), address, registrationAddress, 0, &History{}, now)
+		name, zone := fmt.Sprintf("w%d", i), c.fleet.zone(edge)
+		worker, err := StartWorker(name, serviceName(i), versionOld, zone, address, registrationAddress, 0, &History{}, now)
 		if err != nil {
 			return err
 		}
@@ -430,7 +431,8 @@
 			lines = append(lines, plotSeries{name: name, points: quantileCurve(histogram)})
 		}
 	}
-	if err := writePlot(folder, format, "added", "what the mesh and the stand-ins add", "milliseconds", "per cent done within", lines, logScaleX); err != nil {
+	const title = "what the mesh and the stand-ins add"
+	if err := writePlot(folder, format, "added", title, "milliseconds", "per cent done within", lines, logScaleX); err != nil {
 		return err
 	}
 	for _, slope := range r.Slopes {
--- a/internal/testbed/certificates.go
+++ b/internal/testbed/certificates.go
@@ -37,8 +37,15 @@
 		return nil, errs.Wrap(err, errs.Internal, "key")
 	}
 	a := &Authority{folder: folder, key: key, serial: 1}
-	a.root = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "meadowhinge testbed"}, IsCA: true,
-		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(certificateValidity)}
+	a.root = &x509.Certificate{
+		SerialNumber:          big.NewInt(1),
+		Subject:               pkix.Name{CommonName: "meadowhinge testbed"},
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign,
+		NotBefore:             time.Now().Add(-time.Hour),
+		NotAfter:              time.Now().Add(certificateValidity),
+	}
 	signed, err := x509.CreateCertificate(rand.Reader, a.root, a.root, &key.PublicKey, key)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "authority")
@@ -62,10 +69,15 @@
 		return "", errs.Wrap(err, errs.Internal, "key")
 	}
 	a.serial++
-	request := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: role + "/" + name},
-		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: until, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
-		URIs:        []*url.URL{{Scheme: "mesh", Opaque: role + "/" + name}}}
+	request := &x509.Certificate{
+		SerialNumber: big.NewInt(a.serial),
+		Subject:      pkix.Name{CommonName: role + "/" + name},
+		NotBefore:    time.Now().Add(-2 * time.Hour),
+		NotAfter:     until,
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
+		URIs:         []*url.URL{{Scheme: "mesh", Opaque: role + "/" + name}},
+	}
 	for _, service := range services {
 		request.URIs = append(request.URIs, &url.URL{Scheme: "mesh", Opaque: "speaks/" + service})
 	}
--- a/internal/testbed/cpu.go
+++ b/internal/testbed/cpu.go
@@ -1,9 +1,12 @@
 package testbed
 
 import (
+	"bytes"
 	"fmt"
 	"os"
 	"path/filepath"
+	"strconv"
+	"strings"
 )
 
 // cpuSeconds is the processor time that the running processes of each program have used, in seconds.
@@ -25,15 +28,15 @@
 	}
 	// Fields 14 and 15 are user and system time in hundredths of a second. The name, field 2 in parentheses, may
 	// hold spaces, so fields are counted from its end.
-	end := 0
-	for i, char := range text {
-		if char == ')' {
-			end = i
-		}
+	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
+	const userField, systemField = 14 - 3, 15 - 3 // the first after the name is field 3
+	if len(fields) <= systemField {
+		return 0
+	}
+	user, userErr := strconv.ParseFloat(fields[userField], 64)
+	system, systemErr := strconv.ParseFloat(fields[systemField], 64)
+	if userErr != nil || systemErr != nil {
+		return 0
 	}
-	var state string
-	var skip [10]int64
-	var user, system float64
-	_, _ = fmt.Sscan(string(text[end+1:]), &state, &skip[0], &skip[1], &skip[2], &skip[3], &skip[4], &skip[5], &skip[6], &skip[7], &skip[8], &skip[9], &user, &system)
 	return (user + system) / 100
 }
--- a/internal/testbed/disconnecting_caller.go
+++ b/internal/testbed/disconnecting_caller.go
@@ -53,7 +53,15 @@
 // NewDisconnectingCaller makes a disconnecting caller of the routes of a caller, at one proxy. Its number sets it
 // apart from the others there.
 func NewDisconnectingCaller(caller *Caller, address string, number int) *DisconnectingCaller {
-	return &DisconnectingCaller{name: caller.name, number: number, proxy: caller.proxy, address: address, routes: caller.routes, history: caller.history, now: caller.now}
+	return &DisconnectingCaller{
+		name:    caller.name,
+		number:  number,
+		proxy:   caller.proxy,
+		address: address,
+		routes:  caller.routes,
+		history: caller.history,
+		now:     caller.now,
+	}
 }
 
 // Run makes calls until stop closes.
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"maps"
 	"sync"
 	"syscall"
 	"time"
@@ -62,32 +63,33 @@
 // ReplaceCoreMember brings a core machine back at another address and without its disk, as a replacement. Its old
 // address stays dead; the other members learn the new one from the replacement.
 func (f *Fleet) ReplaceCoreMember(i int) error {
-	newAddress := fmt.Sprintf("127.%d.3.%d", f.netOctet, i+1)
-	for _, component := range []struct {
-		process *Process
-		port    int
-		probe   int
-	}{{f.Stores[i], portStore, portStoreProbe}, {f.Registries[i], portRegistry, portRegistryProbe}} {
-		component.process.Kill()
-		if err := component.process.WipeData(); err != nil {
-			return err
-		}
-		relay, err := NewRelay(fmt.Sprintf("%s:%d", relayAddress(newAddress), component.port), fmt.Sprintf("%s:%d", newAddress, component.port), f.coreAddress(i), f.LinkFaults)
-		if err != nil {
-			return err
-		}
-		f.relays = append(f.relays, relay)
-		component.process.probeAddress = fmt.Sprintf("%s:%d", newAddress, component.probe)
-		changes := map[string]string{"listen": fmt.Sprintf("%s:%d", newAddress, component.port), "advertise": fmt.Sprintf("%s:%d", relayAddress(newAddress), component.port), "probe-listen": component.process.probeAddress}
-		if component.port == portRegistry {
-			changes["store"] = fmt.Sprintf("%s:%d", newAddress, portStore)
-		}
-		if err := component.process.writeSettings(changes); err != nil {
-			return err
-		}
-		if err := component.process.Start(); err != nil {
-			return err
-		}
+	machine := fmt.Sprintf("127.%d.3.%d", f.netOctet, i+1)
+	if err := f.moveProcess(f.Stores[i], f.coreAddress(i), machine, portStore, portStoreProbe, nil); err != nil {
+		return err
 	}
-	return nil
+	store := map[string]string{"store": fmt.Sprintf("%s:%d", machine, portStore)}
+	return f.moveProcess(f.Registries[i], f.coreAddress(i), machine, portRegistry, portRegistryProbe, store)
+}
+
+// moveProcess kills a process of a core machine, wipes its data, and starts it at another address with further
+// changes of its settings. Its relay there keeps the faults of the old machine's links.
+func (f *Fleet) moveProcess(process *Process, oldMachine, machine string, port, probePort int, further map[string]string) error {
+	process.Kill()
+	if err := process.WipeData(); err != nil {
+		return err
+	}
+	listen := fmt.Sprintf("%s:%d", machine, port)
+	advertise := fmt.Sprintf("%s:%d", relayAddress(machine), port)
+	relay, err := NewRelay(advertise, listen, oldMachine, f.LinkFaults)
+	if err != nil {
+		return err
+	}
+	f.relays = append(f.relays, relay)
+	process.probeAddress = fmt.Sprintf("%s:%d", machine, probePort)
+	changes := map[string]string{"listen": listen, "advertise": advertise, "probe-listen": process.probeAddress}
+	maps.Copy(changes, further)
+	if err := process.writeSettings(changes); err != nil {
+		return err
+	}
+	return process.Start()
 }
--- a/internal/testbed/hollow_counters.go
+++ b/internal/testbed/hollow_counters.go
@@ -50,10 +50,17 @@
 	members := float64(opts.Members)
 	// A counter that fell is of a process that could not be read, or that was restarted.
 	rate := func(from, to uint64) float64 { return float64(max(to, from)-from) / seconds }
-	rows := []RoleCost{{Role: "proxy", Processes: int(opts.Members), CPU: (to.own - from.own) / seconds * 1000 / members,
-		BytesIn: rate(from.members.traffic.In, to.members.traffic.In) / members, BytesOut: rate(from.members.traffic.Out, to.members.traffic.Out) / members,
-		ConnectionsOpened: rate(from.members.traffic.Opened, to.members.traffic.Opened) / members}}
-	rows[0].CPULargest = rows[0].CPU
+	before, after := from.members.traffic, to.members.traffic
+	memberCPU := (to.own - from.own) / seconds * 1000 / members
+	rows := []RoleCost{{
+		Role:              "proxy",
+		Processes:         int(opts.Members),
+		CPU:               memberCPU,
+		CPULargest:        memberCPU,
+		BytesIn:           rate(before.In, after.In) / members,
+		BytesOut:          rate(before.Out, after.Out) / members,
+		ConnectionsOpened: rate(before.Opened, after.Opened) / members,
+	}}
 	byRole := map[string]*RoleCost{}
 	for i, after := range to.core {
 		before := from.core[i]
@@ -85,7 +92,17 @@
 	for _, role := range slices.Sorted(maps.Keys(byRole)) {
 		row := byRole[role]
 		processes := float64(row.Processes)
-		for _, figure := range []*float64{&row.CPU, &row.BytesIn, &row.BytesOut, &row.Messages, &row.ConnectionsOpened, &row.BytesWritten, &row.MemoryMB, &row.HeapMB, &row.DiskKB} {
+		for _, figure := range []*float64{
+			&row.CPU,
+			&row.BytesIn,
+			&row.BytesOut,
+			&row.Messages,
+			&row.ConnectionsOpened,
+			&row.BytesWritten,
+			&row.MemoryMB,
+			&row.HeapMB,
+			&row.DiskKB,
+		} {
 			*figure /= processes
 		}
 		for call := range row.MessagesByCall {
@@ -106,8 +123,14 @@
 var sessionStartCalls = []string{"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
 
 // proxyCalls are the RPCs of proxies to registries. A few of the sessions among them are other registries'.
-var proxyCalls = []string{"/meadowhinge.Registry/Lease", "/meadowhinge.Registry/Feed", "/meadowhinge.Registry/Tell", "/meadowhinge.Registry/Claim",
-	"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
+var proxyCalls = []string{
+	"/meadowhinge.Registry/Lease",
+	"/meadowhinge.Registry/Feed",
+	"/meadowhinge.Registry/Tell",
+	"/meadowhinge.Registry/Claim",
+	"/meadowhinge.Registry/Greet",
+	"/meadowhinge.Registry/Attend",
+}
 
 // stableMemory is the heap and stacks of this process, in bytes, once garbage collections no longer reduce them.
 func stableMemory() int64 {
@@ -130,5 +153,5 @@
 // another read.
 const (
 	maxMemoryReads = 50
-	stableDivisor = 200
+	stableDivisor  = 200
 )
--- a/internal/testbed/hollow_members.go
+++ b/internal/testbed/hollow_members.go
@@ -250,7 +250,8 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s has setup %d of %d and knows %d workers of %d", m.settings.Name, status.ConfigRevision, revision, status.KnownWorkers, workers)
+				return fmt.Errorf("%s has setup %d of %d and knows %d workers of %d",
+					m.settings.Name, status.ConfigRevision, revision, status.KnownWorkers, workers)
 			}
 			if !sleepContext(ctx, joinPoll) {
 				return ctx.Err()
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -191,7 +191,7 @@
 	callersPerService   = 3
 	releaseLengthFactor = 10
 	maxInitialAttempts  = 100
-	initialRetryBackoff   = 200 * time.Millisecond
+	initialRetryBackoff = 200 * time.Millisecond
 )
 
 func (o *hollowOperator) routeText(i int, deadline string) string {
--- a/internal/testbed/hollow_options.go
+++ b/internal/testbed/hollow_options.go
@@ -46,7 +46,8 @@
 		faults = append(faults, fmt.Sprintf("cores-lost: of %d seats none can be lost", opts.Seats))
 	}
 	if need, have := requiredMemory(opts), memory/memoryDivisor; memory > 0 && need > have {
-		faults = append(faults, fmt.Sprintf("members: %d with this setup need about %d MB, and half of this machine's memory is %d MB", opts.Members, need>>20, have>>20))
+		faults = append(faults, fmt.Sprintf("members: %d with this setup need about %d MB, and half of this machine's memory is %d MB",
+			opts.Members, need>>20, have>>20))
 	}
 	if need := uint64(opts.Members*(opts.Seats+1)*connsPerMember) + reservedFiles; need > files {
 		faults = append(faults, fmt.Sprintf("members: %d need about %d open files, and %d are allowed", opts.Members, need, files))
--- a/internal/testbed/random_faults.go
+++ b/internal/testbed/random_faults.go
@@ -22,8 +22,14 @@
 func noCleanup() {}
 
 // delaysPeerMessages are the names of faults that delay messages between proxies.
-var delaysPeerMessages = map[string]bool{"proxy killed": true, "a herd of proxies killed": true, "proxy frozen": true, "edge machine cut off": true,
-	"link between two edges lost one way": true, "lossy links of an edge": true}
+var delaysPeerMessages = map[string]bool{
+	"proxy killed":                        true,
+	"a herd of proxies killed":            true,
+	"proxy frozen":                        true,
+	"edge machine cut off":                true,
+	"link between two edges lost one way": true,
+	"lossy links of an edge":              true,
+}
 
 // lossRatio is the part of what is sent that a lossy link loses at first.
 const lossRatio = 0.1
@@ -228,7 +234,8 @@
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	for {
-		if worker := r.workers[rng.IntN(len(r.workers))]; !worker.killed.Load() && !worker.draining.Load() && worker.description.Version != versionNotAllowed {
+		worker := r.workers[rng.IntN(len(r.workers))]
+		if !worker.killed.Load() && !worker.draining.Load() && worker.description.Version != versionNotAllowed {
 			return worker
 		}
 	}
--- a/internal/testbed/release_changes.go
+++ b/internal/testbed/release_changes.go
@@ -77,7 +77,8 @@
 			appendEntry(r.history, &r.history.Releases, entry)
 			if status := release.State + " " + release.Reason; lastStatus[release.Name] != status {
 				lastStatus[release.Name] = status
-				r.logf("%6.1f s: plan %s: %s, set point %.1f, measured %.1f", entry.At.Seconds(), release.Name, status, entry.SetPoint, entry.MeasuredPercentage)
+				r.logf("%6.1f s: plan %s: %s, set point %.1f, measured %.1f",
+					entry.At.Seconds(), release.Name, status, entry.SetPoint, entry.MeasuredPercentage)
 			}
 		}
 	}
--- a/internal/testbed/resources.go
+++ b/internal/testbed/resources.go
@@ -94,7 +94,8 @@
 	var parts []string
 	for _, index := range []int{len(ofProgram) / 3, 2 * len(ofProgram) / 3, len(ofProgram) - 1} {
 		sample := ofProgram[index]
-		parts = append(parts, fmt.Sprintf("%d MB, %d files, %d goroutines, %d KB on disk", sample.MemoryKB>>10, sample.Files, sample.Goroutines, sample.DiskKB))
+		parts = append(parts, fmt.Sprintf("%d MB, %d files, %d goroutines, %d KB on disk",
+			sample.MemoryKB>>10, sample.Files, sample.Goroutines, sample.DiskKB))
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/testbed/rollback_scenarios.go
+++ b/internal/testbed/rollback_scenarios.go
@@ -26,7 +26,8 @@
 		service := r.serviceAt(1)
 		for _, route := range r.options.Deployment.Routes {
 			if route.Service == service && !route.Internal {
-				return r.makeVersionFaulty(service, &WorkerFault{Prefix: route.Prefix, ReturnsError: true}) + ", " + r.startRelease(service, 50, r.fractionOfLoad(0.3))
+				fault := &WorkerFault{Prefix: route.Prefix, ReturnsError: true}
+				return r.makeVersionFaulty(service, fault) + ", " + r.startRelease(service, 50, r.fractionOfLoad(0.3))
 			}
 		}
 		return ""
@@ -35,7 +36,8 @@
 		if len(r.options.Deployment.Services) < 4 {
 			return "left out"
 		}
-		return r.makeVersionFaulty(r.serviceAt(2), &WorkerFault{ExtraDelay: 300 * time.Millisecond}) + ", " + r.startRelease(r.serviceAt(2), 50, r.fractionOfLoad(0.3))
+		fault := &WorkerFault{ExtraDelay: 300 * time.Millisecond}
+		return r.makeVersionFaulty(r.serviceAt(2), fault) + ", " + r.startRelease(r.serviceAt(2), 50, r.fractionOfLoad(0.3))
 	}},
 	{0.70, "bad late, at a high share", func(r *testRun) string { return r.makeVersionFaulty(r.serviceAt(3), &WorkerFault{ReturnsError: true}) }},
 }
@@ -44,7 +46,9 @@
 var rollbackDuringPartitionSteps = []scenarioStep{
 	{0.00, "a good version, to turn bad late", func(r *testRun) string { return r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.2)) }},
 	{0.60, "core split 1-1-1", func(r *testRun) string { return r.partitionCore(func(int, int) bool { return true }) }},
-	{0.60, "bad late, the core being split", func(r *testRun) string { return r.makeVersionFaulty(r.serviceAt(0), &WorkerFault{ReturnsError: true}) }},
+	{0.60, "bad late, the core being split", func(r *testRun) string {
+		return r.makeVersionFaulty(r.serviceAt(0), &WorkerFault{ReturnsError: true})
+	}},
 	{0.80, "mended", (*testRun).healPartitions},
 }
 
@@ -52,14 +56,17 @@
 var rollbackDuringCoreLossSteps = []scenarioStep{
 	{0.00, "a good version, to turn bad late", func(r *testRun) string { return r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.2)) }},
 	{0.55, "the whole core killed", func(r *testRun) string { r.killCore(0); r.killCore(1); return r.killCore(2) }},
-	{0.55, "bad late, the core being gone", func(r *testRun) string { return r.makeVersionFaulty(r.serviceAt(0), &WorkerFault{ReturnsError: true}) }},
+	{0.55, "bad late, the core being gone", func(r *testRun) string {
+		return r.makeVersionFaulty(r.serviceAt(0), &WorkerFault{ReturnsError: true})
+	}},
 	{0.70, "the whole core back", func(r *testRun) string { return r.startCore(0) + r.startCore(1) + r.startCore(2) }},
 }
 
 // rollbackUnderLoadSteps bring in versions that are faulty only under load, one by a release plan and one by hand.
 var rollbackUnderLoadSteps = []scenarioStep{
 	{0.00, "bad under load", func(r *testRun) string {
-		return r.makeVersionFaulty(r.serviceAt(0), &WorkerFault{AboveInFlight: 2, ExtraDelay: 10 * time.Millisecond, ReturnsError: true}) + ", " + r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.3))
+		fault := &WorkerFault{AboveInFlight: 2, ExtraDelay: 10 * time.Millisecond, ReturnsError: true}
+		return r.makeVersionFaulty(r.serviceAt(0), fault) + ", " + r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.3))
 	}},
 	{0.30, "by hand, bad under load", func(r *testRun) string {
 		service := r.serviceAt(1)
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -106,9 +106,13 @@
 	}
 	for i := range 6 {
 		at := float64(i) / 6
-		steps = append(steps, scenarioStep{at + 0.02, "release plan stated", func(r *testRun) string { return r.startRelease(r.serviceAt(i), 60, r.fractionOfLoad(0.05)) }},
+		steps = append(steps,
+			scenarioStep{at + 0.02, "release plan stated", func(r *testRun) string {
+				return r.startRelease(r.serviceAt(i), 60, r.fractionOfLoad(0.05))
+			}},
 			scenarioStep{at + 0.14, "release plan cancelled", func(r *testRun) string {
-				return NewOperator(fmt.Sprint("end-", i), r.fleet, r.history, r.now).SubmitChange(0, fmt.Sprintf("remove: release: [%q]\n", "to-"+r.serviceAt(i)), "").Ruling
+				operator := NewOperator(fmt.Sprint("end-", i), r.fleet, r.history, r.now)
+				return operator.SubmitChange(0, fmt.Sprintf("remove: release: [%q]\n", "to-"+r.serviceAt(i)), "").Ruling
 			}})
 	}
 	slices.SortStableFunc(steps, func(a, b scenarioStep) int { return cmp.Compare(a.atFraction, b.atFraction) })
--- a/internal/testbed/verify.go
+++ b/internal/testbed/verify.go
@@ -18,7 +18,8 @@
 		for _, process := range r.fleet.Processes() {
 			ready = ready && process.Ready()
 		}
-		if ready && operator.SubmitChange(attempt%r.options.Deployment.CoreMembers, fmt.Sprintf("segment: closing: {salt: \"%d\"}\n", attempt), "").Acknowledged {
+		text := fmt.Sprintf("segment: closing: {salt: \"%d\"}\n", attempt)
+		if ready && operator.SubmitChange(attempt%r.options.Deployment.CoreMembers, text, "").Acknowledged {
 			return r.now() - began
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -44,7 +45,8 @@
 			r.history.SurvivedChanges++
 			continue
 		}
-		r.history.LostChanges = append(r.history.LostChanges, fmt.Sprintf("%s, acknowledged as %d, is now %q %d", change.ID, change.Sequence, answer.Ruling, answer.Sequence))
+		lost := fmt.Sprintf("%s, acknowledged as %d, is now %q %d", change.ID, change.Sequence, answer.Ruling, answer.Sequence)
+		r.history.LostChanges = append(r.history.LostChanges, lost)
 	}
 }
 
