--- a/internal/testbed/brief_test.go
+++ b/internal/testbed/brief_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// Every test, scenario and seeded fault that docs/brief.md names exists.
+// TestBriefNamesWhatExists checks that every test, scenario and seeded fault that docs/brief.md names exists.
 func TestBriefNamesWhatExists(t *testing.T) {
 	text, err := os.ReadFile("../../docs/brief.md")
 	if err != nil {
--- a/internal/testbed/calls_test.go
+++ b/internal/testbed/calls_test.go
@@ -9,8 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// Calls through real proxies, alone and in chains, are all answered; what a call sends over the
-// links is its bodies and a bounded rest, however deep it is.
+// TestCallsSmall checks that calls through real proxies, alone and in chains, are all answered, and that a call
+// sends no more over the links than its bodies and a bounded rest, however deep its chain is.
 func TestCallsSmall(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -12,8 +12,7 @@
 	"meadowhinge/internal/registry"
 )
 
-// buildWithRaceDetector makes the daemons with the race detector, which makes them end with an error when
-// it found something.
+// buildWithRaceDetector builds the daemons with the race detector: one that found a race exits with an error.
 func buildWithRaceDetector(t *testing.T) string {
 	t.Helper()
 	binaries := t.TempDir()
@@ -23,15 +22,25 @@
 	return binaries
 }
 
-// A small fleet of real processes, with every standard fault, breaks no rule. What is
-// judged here does not hang on how fast the machine is.
+// TestSmallFleet checks that a small fleet of real processes violates no invariant under the standard scenario.
+// What is checked does not depend on the speed of the machine.
 func TestSmallFleet(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
 	binaries := buildWithRaceDetector(t)
-	report, err := Run(Options{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: binaries, LoadDuration: 20 * time.Second, Lease: 3 * time.Second,
-		Seed: 1, Scenario: "standard", RateFactor: 0.5, DrainingBound: 20 * time.Second, Out: t.Output()})
+	report, err := Run(Options{
+		Deployment:    Deployments["small"],
+		Folder:        t.TempDir(),
+		Binaries:      binaries,
+		LoadDuration:  20 * time.Second,
+		Lease:         3 * time.Second,
+		Seed:          1,
+		Scenario:      "standard",
+		RateFactor:    0.5,
+		DrainingBound: 20 * time.Second,
+		Out:           t.Output(),
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,13 +58,21 @@
 	}
 }
 
-// What bad input gets from a standing fleet, and what good input gets besides.
+// TestWhatInputGets checks the responses of a running fleet to bad input of each kind, and to good input.
 func TestWhatInputGets(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
 	}
-	report, err := Run(Options{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: buildWithRaceDetector(t), Lease: 4 * time.Second, Scenario: "none", RateFactor: 1, Out: t.Output(),
-		OnReady: func(fleet *Fleet) { checkInputs(t, fleet) }})
+	report, err := Run(Options{
+		Deployment: Deployments["small"],
+		Folder:     t.TempDir(),
+		Binaries:   buildWithRaceDetector(t),
+		Lease:      4 * time.Second,
+		Scenario:   "none",
+		RateFactor: 1,
+		Out:        t.Output(),
+		OnReady:    func(fleet *Fleet) { checkInputs(t, fleet) },
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,8 +85,8 @@
 // statuses, bodies, the single execution under an idempotency key, and the count of verdicts.
 func checkInputs(t *testing.T, fleet *Fleet) {
 	t.Helper()
-	// A refusal that may be asked again, as where a machine is too busy for its leases and claims,
-	// is asked again; each call that was planned counts, whatever became of it.
+	// A rejection with Retry-After, as of a machine too busy for its leases, is retried. Each call that got a plan
+	// counts, whatever its outcome.
 	repeats := uint64(0)
 	once := func(method, address, path, body string, headers ...string) (int, string, http.Header) {
 		t.Helper()
@@ -147,7 +164,8 @@
 			}
 		}
 	}
-	// One key, one run: the repeat gets the first answer, another body is refused.
+	// Under one idempotency key a request is executed once: a repeat gets the first response, another body is
+	// rejected.
 	_, first, _ := ask("POST", caller, "/shop/buy", "{}", "X-User", "ann", operationHeader, "k1", "Idempotency-Key", "key")
 	_, repeat, header := ask("POST", caller, "/shop/buy", "{}", "X-User", "ann", operationHeader, "k2", "Idempotency-Key", "key")
 	if first != repeat || header.Get("Meadowhinge-Outcome") != "answered" {
@@ -156,7 +174,7 @@
 	if status, text, _ := ask("POST", caller, "/shop/buy", `{"other":1}`, "X-User", "ann", operationHeader, "k3", "Idempotency-Key", "key"); status != 422 || !strings.Contains(text, "IDEMPOTENCY_KEY_REUSED") {
 		t.Errorf("the key with another body got %d %s", status, text)
 	}
-	// The counts reach the registries, each call once.
+	// The counts of verdicts reach the registries, each call once.
 	var lines []registry.VerdictCount
 	counted := uint64(0)
 	operator := NewOperator("person", fleet, &History{}, func() time.Duration { return 0 })
@@ -169,7 +187,7 @@
 			counted += line.Calls
 		}
 	}
-	// Four calls were planned, the proper one and three under the key; a policy refused one.
+	// Four calls got a plan, the proper one and three under the key; a policy rejected a fifth.
 	if counted != 5+repeats {
 		t.Errorf("%d calls counted, not %d: %v", counted, 5+repeats, lines)
 	}
--- a/internal/testbed/hollow_counters.go
+++ b/internal/testbed/hollow_counters.go
@@ -48,8 +48,6 @@
 func costsBetween(opts *schema.HollowOptions, from, to counterSnapshot) []RoleCost {
 	seconds := (to.at - from.at).Seconds()
 	members := float64(opts.Members)
-	// A counter that fell is of a process that could not be read, or that was restarted.
-	rate := func(from, to uint64) float64 { return float64(max(to, from)-from) / seconds }
 	before, after := from.members.traffic, to.members.traffic
 	memberCPU := (to.own - from.own) / seconds * 1000 / members
 	rows := []RoleCost{{
@@ -57,61 +55,25 @@
 		Processes:         int(opts.Members),
 		CPU:               memberCPU,
 		CPULargest:        memberCPU,
-		BytesIn:           rate(before.In, after.In) / members,
-		BytesOut:          rate(before.Out, after.Out) / members,
-		ConnectionsOpened: rate(before.Opened, after.Opened) / members,
+		BytesIn:           perSecond(before.In, after.In, seconds) / members,
+		BytesOut:          perSecond(before.Out, after.Out, seconds) / members,
+		ConnectionsOpened: perSecond(before.Opened, after.Opened, seconds) / members,
 	}}
 	byRole := map[string]*RoleCost{}
-	for i, after := range to.core {
-		before := from.core[i]
-		row := byRole[after.role]
-		if row == nil {
-			row = &RoleCost{Role: after.role, MessagesByCall: RatesByName{}}
-			byRole[after.role] = row
-		}
-		// Of a process that was restarted meanwhile, only what goes beyond its earlier use counts.
-		used := max(after.cpuSeconds-before.cpuSeconds, 0) / seconds * 1000
-		row.Processes++
-		row.CPU += used
-		row.CPULargest = max(row.CPULargest, used)
-		row.BytesIn += rate(before.traffic.In, after.traffic.In)
-		row.BytesOut += rate(before.traffic.Out, after.traffic.Out)
-		row.ConnectionsOpened += rate(before.traffic.Opened, after.traffic.Opened)
-		row.BytesWritten += rate(before.bytesWritten, after.bytesWritten)
-		row.MemoryMB += float64(after.memoryKB) / 1024
-		row.HeapMB += float64(after.heapKB) / 1024
-		row.DiskKB += float64(after.diskKB)
-		for _, call := range sessionStartCalls {
-			row.SessionsBegun += rate(before.traffic.Served[call], after.traffic.Served[call])
-		}
-		for call, count := range after.traffic.Messages {
-			row.MessagesByCall[call] += rate(before.traffic.Messages[call], count)
-			row.Messages += rate(before.traffic.Messages[call], count)
+	for i := range to.core {
+		role := to.core[i].role
+		if byRole[role] == nil {
+			byRole[role] = &RoleCost{Role: role, MessagesByCall: RatesByName{}}
 		}
+		byRole[role].add(&from.core[i], &to.core[i], seconds)
 	}
 	for _, role := range slices.Sorted(maps.Keys(byRole)) {
 		row := byRole[role]
-		processes := float64(row.Processes)
-		for _, figure := range []*float64{
-			&row.CPU,
-			&row.BytesIn,
-			&row.BytesOut,
-			&row.Messages,
-			&row.ConnectionsOpened,
-			&row.BytesWritten,
-			&row.MemoryMB,
-			&row.HeapMB,
-			&row.DiskKB,
-		} {
-			*figure /= processes
-		}
-		for call := range row.MessagesByCall {
-			row.MessagesByCall[call] /= processes
-		}
+		row.average()
 		rows = append(rows, *row)
 		if role == "registry" {
 			for _, call := range proxyCalls {
-				rows[0].Messages += row.MessagesByCall[call] * processes / members
+				rows[0].Messages += row.MessagesByCall[call] * float64(row.Processes) / members
 			}
 			rows[0].SessionsBegun = row.SessionsBegun / members
 		}
@@ -119,6 +81,57 @@
 	return rows
 }
 
+// perSecond is the rate of a counter. One that fell is of a process that could not be read, or that was restarted,
+// and counts as 0.
+func perSecond(from, to uint64, seconds float64) float64 {
+	return float64(max(to, from)-from) / seconds
+}
+
+// add adds what one process used between two snapshots. Of a process that was restarted meanwhile, only what goes
+// beyond its earlier use counts.
+func (c *RoleCost) add(before, after *processCounters, seconds float64) {
+	used := max(after.cpuSeconds-before.cpuSeconds, 0) / seconds * 1000
+	c.Processes++
+	c.CPU += used
+	c.CPULargest = max(c.CPULargest, used)
+	c.BytesIn += perSecond(before.traffic.In, after.traffic.In, seconds)
+	c.BytesOut += perSecond(before.traffic.Out, after.traffic.Out, seconds)
+	c.ConnectionsOpened += perSecond(before.traffic.Opened, after.traffic.Opened, seconds)
+	c.BytesWritten += perSecond(before.bytesWritten, after.bytesWritten, seconds)
+	c.MemoryMB += float64(after.memoryKB) / 1024
+	c.HeapMB += float64(after.heapKB) / 1024
+	c.DiskKB += float64(after.diskKB)
+	for _, call := range sessionStartCalls {
+		c.SessionsBegun += perSecond(before.traffic.Served[call], after.traffic.Served[call], seconds)
+	}
+	for call, count := range after.traffic.Messages {
+		rate := perSecond(before.traffic.Messages[call], count, seconds)
+		c.MessagesByCall[call] += rate
+		c.Messages += rate
+	}
+}
+
+// average turns sums into means over the processes. SessionsBegun stays a sum.
+func (c *RoleCost) average() {
+	processes := float64(c.Processes)
+	for _, figure := range []*float64{
+		&c.CPU,
+		&c.BytesIn,
+		&c.BytesOut,
+		&c.Messages,
+		&c.ConnectionsOpened,
+		&c.BytesWritten,
+		&c.MemoryMB,
+		&c.HeapMB,
+		&c.DiskKB,
+	} {
+		*figure /= processes
+	}
+	for call := range c.MessagesByCall {
+		c.MessagesByCall[call] /= processes
+	}
+}
+
 // sessionStartCalls are the RPCs by which a session begins, the first or a later one.
 var sessionStartCalls = []string{"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
 
--- a/internal/testbed/hollow_test.go
+++ b/internal/testbed/hollow_test.go
@@ -10,7 +10,7 @@
 	"meadowhinge/schema"
 )
 
-// parseHollowOptions are settings as the command line makes them.
+// parseHollowOptions parses settings as the program does.
 func parseHollowOptions(t *testing.T, args ...string) *schema.HollowOptions {
 	t.Helper()
 	opts := &schema.HollowOptions{}
@@ -20,7 +20,8 @@
 	return opts
 }
 
-// Settings that cannot be run are refused before anything starts, each by its name.
+// TestHollowOptionsAreValidated checks that settings that cannot be run are rejected before anything starts, each
+// by its name.
 func TestHollowOptionsAreValidated(t *testing.T) {
 	for _, testCase := range []struct {
 		args   []string
@@ -33,16 +34,18 @@
 		{[]string{"-cores-lost=1", "-zones-lost=1", "-length=32s"}, nil},
 		{[]string{"-members=5000", "-workers=20000", "-routes=20000"}, []string{"members", "members"}},
 	} {
-		faults := validateHollow(parseHollowOptions(t, testCase.args...), 16<<30, 20000)
-		if len(faults) != len(testCase.faults) {
-			t.Errorf("%v: %v", testCase.args, faults)
-			continue
-		}
-		for i, fault := range faults {
-			if name, _, _ := strings.Cut(fault, ":"); name != testCase.faults[i] {
+		t.Run(strings.Join(testCase.args, " "), func(t *testing.T) {
+			faults := validateHollow(parseHollowOptions(t, testCase.args...), 16<<30, 20000)
+			if len(faults) != len(testCase.faults) {
 				t.Errorf("%v: %v", testCase.args, faults)
+				return
 			}
-		}
+			for i, fault := range faults {
+				if name, _, _ := strings.Cut(fault, ":"); name != testCase.faults[i] {
+					t.Errorf("%v: %v", testCase.args, faults)
+				}
+			}
+		})
 	}
 	err := options.Parse("testbed hollow", []string{"-members=0", "-seats=6", "-length=1ms", "-mode=lax"}, &schema.HollowOptions{}, io.Discard)
 	for _, name := range []string{"members: ", "seats: ", "length: ", "mode: "} {
@@ -52,7 +55,7 @@
 	}
 }
 
-// buildWithoutRaceDetector makes the daemons without the race detector, whose costs would hide theirs.
+// buildWithoutRaceDetector builds the daemons without the race detector, whose cost would hide theirs.
 func buildWithoutRaceDetector(t *testing.T) string {
 	t.Helper()
 	binaries := t.TempDir()
@@ -62,8 +65,8 @@
 	return binaries
 }
 
-// Hollow members live as proxies do: they know every worker, take every change into use, come
-// back after a restart, and what they cost is counted.
+// TestHollowMembers checks that hollow members behave as proxies: they know every worker, apply every change,
+// recover from restarts, and what they cost is counted.
 func TestHollowMembers(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
@@ -97,8 +100,8 @@
 	}
 }
 
-// Members whose registry is lost take a session with another, those of a lost zone come back, and
-// changes come into use everywhere all the same.
+// TestHollowLosses checks that members whose registry is lost get a session with another, that those of a lost zone
+// recover, and that changes are applied everywhere all the same.
 func TestHollowLosses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
--- a/internal/testbed/outcome_test.go
+++ b/internal/testbed/outcome_test.go
@@ -10,8 +10,8 @@
 	"meadowhinge/internal/registry"
 )
 
-// A registry that cannot tell is no proof of a loss; one that tells is believed at once, whatever
-// it tells; and what nobody can tell for long is lost.
+// TestAwaitOutcome checks that a registry that does not know an outcome proves no loss, that one that does is
+// believed at once, whatever the outcome, and that what no registry knows for long counts as lost.
 func TestAwaitOutcome(t *testing.T) {
 	accepted, other := registry.ChangeResponse{Ruling: "accepted", Sequence: 7}, registry.ChangeResponse{Ruling: "conflict", Sequence: 7}
 	for name, testCase := range map[string]struct {
--- a/internal/testbed/slopes_test.go
+++ b/internal/testbed/slopes_test.go
@@ -11,8 +11,8 @@
 	"meadowhinge/schema"
 )
 
-// A fit finds the line or the curve that is there, from noisy runs, and tells how far it is off
-// at the value that was left out.
+// TestFitSlope checks that a fit of noisy runs finds the line or curve behind them, and how far it is off at the
+// value that was held out.
 func TestFitSlope(t *testing.T) {
 	noise := []float64{0.98, 1.02, 1}
 	runsOf := func(law func(float64) float64) (runs []costSample) {
@@ -33,18 +33,20 @@
 		{"line", func(x float64) float64 { return 5 + 3*x }, 2, 0.05},
 		{"pairs", func(x float64) float64 { return 5 + x + 0.2*x*x }, 3, 0.1},
 	} {
-		slope := fitSlope("members", testCase.name, runsOf(testCase.law))
-		if len(slope.Coefficients) != testCase.terms || math.Abs(slope.RelativeError()) > testCase.off || slope.HeldOut != 820 || slope.RelativeSpread < 0.01 || slope.RelativeSpread > 0.05 {
-			t.Errorf("%s: %+v, off %.3f", testCase.name, slope, slope.RelativeError())
-		}
+		t.Run(testCase.name, func(t *testing.T) {
+			slope := fitSlope("members", testCase.name, runsOf(testCase.law))
+			if len(slope.Coefficients) != testCase.terms || math.Abs(slope.RelativeError()) > testCase.off || slope.HeldOut != 820 || slope.RelativeSpread < 0.01 || slope.RelativeSpread > 0.05 {
+				t.Errorf("%s: %+v, off %.3f", testCase.name, slope, slope.RelativeError())
+			}
+		})
 	}
-	// What turns at the end must show as far off, not be smoothed over.
+	// A cost that breaks off its line at the held-out value must show as an error.
 	if slope := fitSlope("members", "breaks", runsOf(func(x float64) float64 { return 5 + x + math.Max(0, x-400)*9 })); slope.RelativeError() > -0.5 {
 		t.Errorf("%+v, off %.3f", slope, slope.RelativeError())
 	}
 }
 
-// A series that holds a run that can't be made is refused as a whole, each such run by name.
+// TestSlopesOptionsAreValidated checks that a series with runs that cannot be made is rejected, and names each.
 func TestSlopesOptionsAreValidated(t *testing.T) {
 	opts := &schema.SlopesOptions{}
 	if err := options.Parse("testbed slopes", []string{"-drivers=members,loads,releases", "-members=10,99999,many", "-releases=1,500"}, opts, io.Discard); err != nil {
@@ -61,9 +63,9 @@
 	}
 }
 
-// The table of docs/CAPACITY.md at a small size: what a member and a change cost in bytes and
-// messages, and what an item of the setup takes, stays within bounds that do not hang on how
-// fast the machine is.
+// TestSlopesSmall checks the table of docs/CAPACITY.md at a small size: what a member and a change cost in bytes and
+// messages, and what an item of the configuration takes, within bounds that do not depend on the speed of the
+// machine.
 func TestSlopesSmall(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
@@ -83,19 +85,18 @@
 	if report.Runs != 9 || len(report.Slopes) != 3*len(slopeCosts) {
 		t.Fatalf("%d runs, %d slopes", report.Runs, len(report.Slopes))
 	}
-	// Bytes of a change: one route's item, some 250, and what stands around it. A session that is begun
-	// anew, as it is where the machine is too busy for its beats, is counted and costs as much again,
-	// and a word of each other member.
-	const changeBytes, wordBytes, itemBytes, beats = 1000.0, 200.0, 1024.0, 4.0
+	// Bytes of a change: one route's item, some 250, and its message. A session that begins again, as on a machine
+	// too busy for its heartbeats, is counted, and costs as much once more, and an update of each other member.
+	const changeBytes, updateBytes, itemBytes, heartbeats = 1000.0, 200.0, 1024.0, 4.0
 	for _, point := range report.points {
 		proxy := point.Report.Roles[0]
 		seconds, changes := point.Report.Seconds, float64(point.Report.Acknowledge.Count)
 		sessionsBegun, others := proxy.SessionsBegun*seconds, float64(proxy.Processes)
-		if most := (changeBytes*(1+changes+sessionsBegun) + wordBytes*sessionsBegun*others) / seconds; proxy.BytesIn > 2*most || proxy.BytesOut > 2*most {
+		if most := (changeBytes*(1+changes+sessionsBegun) + updateBytes*sessionsBegun*others) / seconds; proxy.BytesIn > 2*most || proxy.BytesOut > 2*most {
 			t.Errorf("%s %g: a member took %.0f bytes a second and sent %.0f, with %.0f changes in %.0f s", point.Driver, point.Value, proxy.BytesIn, proxy.BytesOut, changes, seconds)
 		}
-		// A restated session: a greeting, its answer, the beginning, and a word of each other member.
-		if most := beats + (2*(1+changes)+sessionsBegun*(others+3))/seconds; proxy.Messages > most {
+		// A session that begins again: a greeting, its response, the beginning, and an update of each other member.
+		if most := heartbeats + (2*(1+changes)+sessionsBegun*(others+3))/seconds; proxy.Messages > most {
 			t.Errorf("%s %g: %.2f messages a second of a member, more than %.2f", point.Driver, point.Value, proxy.Messages, most)
 		}
 		if point.Report.Unapplied > 0 {
@@ -110,7 +111,7 @@
 	if err := report.WritePlots(t.TempDir(), "svg"); err != nil {
 		t.Error(err)
 	}
-	// A series that was cut short goes on from what it has.
+	// A series that was interrupted continues with what it has.
 	again, err := RunSlopes(t.Context(), opts, t.Output())
 	if err != nil || again.Runs != report.Runs {
 		t.Errorf("%d runs the second time, %v", again.Runs, err)
