--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"math/rand/v2"
 	"net/http"
 	"strings"
@@ -19,8 +20,8 @@
 	"meadowhinge/schema"
 )
 
-// hollowOperator states changes without reading the setup back before each, as a machine does
-// that knows what it wrote.
+// hollowOperator submits changes without reading the configuration back before each, as a machine does that knows
+// what it wrote. Its methods may be called at the same time.
 type hollowOperator struct {
 	opts *schema.HollowOptions
 	core *Fleet
@@ -28,15 +29,15 @@
 	http *http.Client
 	rng  *rand.Rand
 
-	lock            sync.Mutex
+	lock            sync.Mutex // guards the fields below
 	serial          int
-	currentVersions map[string]uint64 // versions of items, as answers told them
+	currentVersions map[string]uint64 // by item key, from the responses so far
 	submitted       []submittedChange
 	rulings         map[string]int
 	newestRevision  uint64
 }
 
-// submittedChange is an accepted change, and when it was what.
+// submittedChange is an accepted change and its times.
 type submittedChange struct {
 	revision       uint64
 	submittedAt    time.Duration
@@ -44,61 +45,91 @@
 }
 
 func newHollowOperator(opts *schema.HollowOptions, core *Fleet, now func() time.Duration) *hollowOperator {
-	return &hollowOperator{opts: opts, core: core, now: now, http: &http.Client{Timeout: operatorTimeout},
-		rng: rand.New(rand.NewPCG(uint64(opts.Seed), 1)), currentVersions: map[string]uint64{}, rulings: map[string]int{}}
+	return &hollowOperator{
+		opts:            opts,
+		core:            core,
+		now:             now,
+		http:            &http.Client{Timeout: operatorTimeout},
+		rng:             rand.New(rand.NewPCG(uint64(opts.Seed), 1)),
+		currentVersions: map[string]uint64{},
+		rulings:         map[string]int{},
+	}
 }
 
-// submitChange states one change at a core machine.
+// submitChange submits one change at a core member, and remembers versions and times of an accepted one.
 func (o *hollowOperator) submitChange(core int, text string) (*registry.ChangeResponse, error) {
 	items, faults := configsource.Parse([]byte(text))
 	if len(faults) > 0 {
 		return nil, errs.New(errs.InvalidConfig, fmt.Sprint(faults[0]))
 	}
+	body, err := json.Marshal(o.newSubmission(text, items))
+	if err != nil {
+		return nil, errs.Wrap(err, errs.Internal, "change")
+	}
+	entry := submittedChange{submittedAt: o.now()}
+	answer, err := o.post(core, body)
+	if err != nil {
+		return nil, err
+	}
+	if answer.Acknowledged {
+		entry.acknowledgedAt = o.now()
+	}
+	entry.revision = answer.Sequence
+	o.record(answer, items, entry)
+	return answer, nil
+}
+
+// newSubmission makes a change on top of the versions that are known of its items.
+func (o *hollowOperator) newSubmission(text string, items []*schema.Item) registry.ChangeRequest {
 	o.lock.Lock()
+	defer o.lock.Unlock()
 	o.serial++
-	submission := registry.ChangeRequest{ID: fmt.Sprintf("hollow-%d", o.serial), Config: text, ExpectedVersions: map[string]uint64{}}
+	submission := registry.ChangeRequest{
+		ID:               fmt.Sprintf("hollow-%d", o.serial),
+		Config:           text,
+		ExpectedVersions: map[string]uint64{},
+	}
 	for _, item := range items {
-		if version := o.currentVersions[config.Key(item.Kind, item.Name)]; version > 0 {
-			submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = version
+		key := config.Key(item.Kind, item.Name)
+		if version := o.currentVersions[key]; version > 0 {
+			submission.ExpectedVersions[key] = version
 		}
 	}
-	o.lock.Unlock()
-	body, err := json.Marshal(submission)
-	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "change")
-	}
-	entry := submittedChange{submittedAt: o.now()}
+	return submission
+}
+
+// post sends a change to a core member and reads the response.
+func (o *hollowOperator) post(core int, body []byte) (*registry.ChangeResponse, error) {
 	response, err := o.http.Post("http://"+o.core.OperatorAddress(core)+"/v1/changes", "application/json", bytes.NewReader(body))
 	if err != nil {
 		return nil, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
 	defer func() { _ = response.Body.Close() }() // the response is only read
-	answered, err := io.ReadAll(response.Body)
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
 	answer := &registry.ChangeResponse{}
-	if err := json.Unmarshal(answered, answer); err != nil {
-		return nil, errs.Wrap(err, errs.MalformedRequest, string(answered))
-	}
-	if answer.Acknowledged {
-		entry.acknowledgedAt = o.now()
+	if err := json.Unmarshal(text, answer); err != nil {
+		return nil, errs.Wrap(err, errs.MalformedRequest, string(text))
 	}
-	entry.revision = answer.Sequence
+	return answer, nil
+}
+
+// record remembers the result of a change.
+func (o *hollowOperator) record(answer *registry.ChangeResponse, items []*schema.Item, entry submittedChange) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.rulings[answer.Ruling]++
-	for key, version := range answer.CurrentVersions {
-		o.currentVersions[key] = version
+	maps.Copy(o.currentVersions, answer.CurrentVersions)
+	if answer.Ruling != "accepted" {
+		return
 	}
-	if answer.Ruling == "accepted" {
-		for _, item := range items {
-			o.currentVersions[config.Key(item.Kind, item.Name)] = answer.Sequence
-		}
-		o.submitted = append(o.submitted, entry)
-		o.newestRevision = max(o.newestRevision, answer.Sequence)
+	for _, item := range items {
+		o.currentVersions[config.Key(item.Kind, item.Name)] = answer.Sequence
 	}
-	return answer, nil
+	o.submitted = append(o.submitted, entry)
+	o.newestRevision = max(o.newestRevision, answer.Sequence)
 }
 
 // forgetSubmitted forgets the changes so far, so that they do not count as measured.
@@ -108,14 +139,14 @@
 	o.submitted = nil
 }
 
-// newestAccepted is the highest sequence of an accepted change.
+// newestAccepted is the newest revision of an accepted change.
 func (o *hollowOperator) newestAccepted() uint64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	return o.newestRevision
 }
 
-// routesPerChange is how many routes one change of the first setup brings.
+// routesPerChange is how many routes each change of the first configuration adds.
 const routesPerChange = 250
 
 // submitInitialConfig submits the first configuration, in pieces, until each is accepted.
@@ -186,7 +217,7 @@
 	}
 }
 
-// How a hollow setup looks, and how patiently it is founded.
+// The first configuration of a hollow fleet, and how often it is submitted.
 const (
 	callersPerService   = 3
 	releaseLengthFactor = 10
@@ -194,6 +225,7 @@
 	initialRetryBackoff = 200 * time.Millisecond
 )
 
+// routeText states the i-th route, in CUE. One route in three is non-idempotent.
 func (o *hollowOperator) routeText(i int, deadline string) string {
 	class := "repeatable"
 	if i%3 == 0 {
@@ -203,15 +235,15 @@
 		routeName(i), serviceName(i%int(o.opts.Services)), serviceName(i%int(o.opts.Services)), routeName(i), class, deadline)
 }
 
-// changeLoop states changes at their pace until stop closes, each of one route.
+// changeLoop submits changes at the settings' rate until stop closes, each of one route.
 func (o *hollowOperator) changeLoop(stop <-chan struct{}) {
 	if o.opts.Changes == 0 {
 		return
 	}
 	ticker := time.NewTicker(time.Duration(float64(time.Minute) / o.opts.Changes))
 	defer ticker.Stop()
-	var stating sync.WaitGroup
-	defer stating.Wait()
+	var submitting sync.WaitGroup
+	defer submitting.Wait()
 	for turn := 0; ; turn++ {
 		select {
 		case <-stop:
@@ -219,9 +251,12 @@
 		case <-ticker.C:
 		}
 		text := o.routeText(o.rng.IntN(int(o.opts.Routes)), fmt.Sprintf("%dms", minDeadlineMS+turn))
-		// In a storm the next is stated before the one before it is acknowledged.
-		stating.Go(func() { _, _ = o.submitChange(turn%int(o.opts.Seats), text) })
+		// At a high rate the next change is submitted before the one before it is acknowledged.
+		submitting.Go(func() {
+			_, _ = o.submitChange(turn%int(o.opts.Seats), text) // what was not accepted is not measured
+		})
 	}
 }
 
+// minDeadlineMS is the deadline that the first change gives its route; each further change gives one more.
 const minDeadlineMS = 2000
--- a/internal/testbed/hollow_run.go
+++ b/internal/testbed/hollow_run.go
@@ -98,11 +98,11 @@
 	if err := AwaitReady(r.core.Processes(), r.coreTimeout()); err != nil {
 		return err
 	}
-	r.logf("core of %d seats is ready", r.opts.Seats)
+	r.logf("core of %d members is ready", r.opts.Seats)
 	if err := r.operator.submitInitialConfig(ctx); err != nil {
 		return err
 	}
-	r.logf("setup of %d services and %d routes is founded", r.opts.Services, r.opts.Routes)
+	r.logf("configuration of %d services and %d routes is accepted", r.opts.Services, r.opts.Routes)
 	if err := r.core.addRealProxies(r.opts); err != nil {
 		return err
 	}
@@ -129,7 +129,7 @@
 	if err := fleet.awaitJoined(ctx, r.operator.newestRevision, workers, timeout); err != nil {
 		return err
 	}
-	r.logf("%d members know the setup and all %d workers", r.opts.Members, workers)
+	r.logf("%d members have the configuration and know all %d workers", r.opts.Members, workers)
 	return nil
 }
 
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -80,6 +80,7 @@
 	o.changeSerial++
 	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.changeSerial), Invalid: invalidItem != "", InvalidItem: invalidItem}
 	submission := registry.ChangeRequest{ID: entry.ID, Config: text, ExpectedVersions: map[string]uint64{}}
+	// Without a view of the configuration the change expects nothing, and may be in conflict.
 	if shown, err := o.ReadConfig(core); err == nil {
 		items, _ := configsource.Parse([]byte(text))
 		for _, item := range items {
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -194,7 +194,7 @@
 			var status struct {
 				Known int `json:"knownWorkers"`
 			}
-			_ = process.getPage("/status", &status) // asked again below
+			_ = process.getPage("/status", &status) // repeated until the deadline
 			if status.Known >= workers {
 				break
 			}
--- a/internal/testbed/random_schedule.go
+++ b/internal/testbed/random_schedule.go
@@ -54,7 +54,7 @@
 		s.end(fault)
 	}
 	r.recoveryTime = r.awaitRecovery()
-	r.logf("%6.1f s: all mended; back after %.1f s", r.now().Seconds(), r.recoveryTime.Seconds())
+	r.logf("%6.1f s: all faults ended; fleet recovered after %.1f s", r.now().Seconds(), r.recoveryTime.Seconds())
 	time.Sleep(duration - (r.now() - start))
 }
 
@@ -108,7 +108,7 @@
 func (s *faultScheduler) end(fault activeFault) {
 	fault.end()
 	name := s.run.history.endFault(fault.index, s.run.now())
-	s.run.logf("%6.1f s:   over: %s", s.run.now().Seconds(), name)
+	s.run.logf("%6.1f s:   ended: %s", s.run.now().Seconds(), name)
 }
 
 // coreHealthy tells whether every core member is ready and its registry counts key reservations again.
