--- a/cmd/operator/errors.go
+++ b/cmd/operator/errors.go
@@ -15,8 +15,10 @@
 	err  error
 }
 
+// Error is the text of the error that the command failed with.
 func (e *exitError) Error() string { return e.err.Error() }
 
+// Unwrap gives the error that the command failed with.
 func (e *exitError) Unwrap() error { return e.err }
 
 // asUnreachable gives an error of client.request the exit code for an unreachable mesh, unless the
--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -174,10 +174,14 @@
 	edges := int(c.opts.Edges)
 	for i := range length {
 		edge := (i + 1) % edges
-		address := fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(edge), portWorker+i)
-		registrationAddress := fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(edge), portWorkerAPI)
-		name, zone := fmt.Sprintf("w%d", i), c.fleet.zone(edge)
-		worker, err := StartWorker(name, serviceName(i), versionOld, zone, address, registrationAddress, 0, &History{}, now)
+		worker, err := StartWorker(WorkerOptions{
+			Name:                fmt.Sprintf("w%d", i),
+			Service:             serviceName(i),
+			Version:             versionOld,
+			Zone:                c.fleet.zone(edge),
+			Address:             fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(edge), portWorker+i),
+			RegistrationAddress: fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(edge), portWorkerAPI),
+		}, &History{}, now)
 		if err != nil {
 			return err
 		}
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -82,7 +82,7 @@
 	submission := registry.ChangeRequest{ID: entry.ID, Config: text, ExpectedVersions: map[string]uint64{}}
 	// Without a view of the configuration the change expects nothing, and may be in conflict.
 	if shown, err := o.ReadConfig(core); err == nil {
-		items, _ := configsource.Parse([]byte(text))
+		items, _ := configsource.Parse([]byte(text)) // the faults of a change that is meant to be invalid are the registry's to find
 		for _, item := range items {
 			for _, current := range shown.Items {
 				if current.Kind == item.Kind && current.Name == item.Name {
--- a/internal/testbed/test_run.go
+++ b/internal/testbed/test_run.go
@@ -44,8 +44,15 @@
 
 // startWorkerAt starts a worker at an address, which may be that of a worker that has ended.
 func (r *testRun) startWorkerAt(name string, edge int, service, version, address string) error {
-	registrationAddress := fmt.Sprintf("%s:%d", r.fleet.edgeAddress(edge), portWorkerAPI)
-	worker, err := StartWorker(name, service, version, r.fleet.zone(edge), address, registrationAddress, r.options.WorkerDelay, r.history, r.now)
+	worker, err := StartWorker(WorkerOptions{
+		Name:                name,
+		Service:             service,
+		Version:             version,
+		Zone:                r.fleet.zone(edge),
+		Address:             address,
+		RegistrationAddress: fmt.Sprintf("%s:%d", r.fleet.edgeAddress(edge), portWorkerAPI),
+		Delay:               r.options.WorkerDelay,
+	}, r.history, r.now)
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -81,28 +81,39 @@
 	return conn, err
 }
 
-// StartWorker starts a worker at an address (IP:port) and registers it with the proxy at registrationAddress, at
-// once and with each heartbeat. Each request takes delay.
-func StartWorker(name, service, version, zone, address, registrationAddress string, delay time.Duration, history *History, now func() time.Duration) (*Worker, error) {
-	listener, err := net.Listen("tcp", address)
+// WorkerOptions say what a worker is and where it runs.
+type WorkerOptions struct {
+	Name                string
+	Service             string
+	Version             string
+	Zone                string
+	Address             string        // IP:port at which it takes requests
+	RegistrationAddress string        // IP:port at which its proxy takes registrations
+	Delay               time.Duration // that each request takes
+}
+
+// StartWorker starts a worker and registers it with its proxy, at once and with each heartbeat. It records what it
+// executes in the history, with times of now.
+func StartWorker(o WorkerOptions, history *History, now func() time.Duration) (*Worker, error) {
+	listener, err := net.Listen("tcp", o.Address)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "worker")
 	}
 	w := &Worker{
-		name:                name,
-		registrationAddress: registrationAddress,
+		name:                o.Name,
+		registrationAddress: o.RegistrationAddress,
 		history:             history,
 		now:                 now,
-		delay:               delay,
+		delay:               o.Delay,
 		conns:               map[net.Conn]bool{},
 		listener:            listener,
 		stopped:             make(chan struct{}),
 		description: dispatch.WorkerDescription{
-			Address:     address,
-			Service:     service,
-			Version:     version,
-			Zone:        zone,
-			Token:       fmt.Sprintf("%s-%d", name, now()),
+			Address:     o.Address,
+			Service:     o.Service,
+			Version:     o.Version,
+			Zone:        o.Zone,
+			Token:       fmt.Sprintf("%s-%d", o.Name, now()),
 			HeartbeatMS: heartbeatInterval.Milliseconds(),
 		},
 	}
