--- a/internal/testbed/certificates.go
+++ b/internal/testbed/certificates.go
@@ -1,5 +1,3 @@
-// Package testbed brings up a whole fleet on one machine, puts load and faults on it, and
-// judges by the ledgers of its stand-in callers and workers what never may happen.
 package testbed
 
 import (
@@ -18,7 +16,7 @@
 	"meadowhinge/internal/errs"
 )
 
-// Authority makes the certificates of one mesh.
+// Authority issues the certificates of one fleet. It is used from one goroutine.
 type Authority struct {
 	folder string
 	key    *ecdsa.PrivateKey
@@ -26,7 +24,7 @@
 	serial int64
 }
 
-// certificateValidity is short: a rehearsal's certificates are of no use after it.
+// certificateValidity is short: after a run its certificates are of no use.
 const certificateValidity = 48 * time.Hour
 
 // NewAuthority makes an authority and writes its certificate to folder.
@@ -39,8 +37,15 @@
 		return nil, errs.Wrap(err, errs.Internal, "key")
 	}
 	a := &Authority{folder: folder, key: key, serial: 1}
-	a.root = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "meadowhinge testbed"}, IsCA: true,
-		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign, NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(certificateValidity)}
+	a.root = &x509.Certificate{
+		SerialNumber:          big.NewInt(1),
+		Subject:               pkix.Name{CommonName: "meadowhinge testbed"},
+		IsCA:                  true,
+		BasicConstraintsValid: true,
+		KeyUsage:              x509.KeyUsageCertSign,
+		NotBefore:             time.Now().Add(-time.Hour),
+		NotAfter:              time.Now().Add(certificateValidity),
+	}
 	signed, err := x509.CreateCertificate(rand.Reader, a.root, a.root, &key.PublicKey, key)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.Internal, "authority")
@@ -48,25 +53,31 @@
 	return a, writePEM(a.File(), []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}})
 }
 
-// File is where the authority's certificate stands.
+// File is the file of the authority's certificate, in PEM.
 func (a *Authority) File() string { return filepath.Join(a.folder, "authority.pem") }
 
-// Issue makes a certificate for role/name that may speak for services.
+// Issue makes a certificate for a process (role/name) that may call as the given services. It returns the file
+// of certificate and key, in PEM.
 func (a *Authority) Issue(role, name string, services []string) (string, error) {
 	return a.IssueUntil(role, name, services, time.Now().Add(certificateValidity))
 }
 
-// IssueUntil makes one that is good until a time.
+// IssueUntil is Issue with an end of validity.
 func (a *Authority) IssueUntil(role, name string, services []string, until time.Time) (string, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return "", errs.Wrap(err, errs.Internal, "key")
 	}
 	a.serial++
-	request := &x509.Certificate{SerialNumber: big.NewInt(a.serial), Subject: pkix.Name{CommonName: role + "/" + name},
-		NotBefore: time.Now().Add(-2 * time.Hour), NotAfter: until, KeyUsage: x509.KeyUsageDigitalSignature,
-		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
-		URIs:        []*url.URL{{Scheme: "mesh", Opaque: role + "/" + name}}}
+	request := &x509.Certificate{
+		SerialNumber: big.NewInt(a.serial),
+		Subject:      pkix.Name{CommonName: role + "/" + name},
+		NotBefore:    time.Now().Add(-2 * time.Hour),
+		NotAfter:     until,
+		KeyUsage:     x509.KeyUsageDigitalSignature,
+		ExtKeyUsage:  []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth},
+		URIs:         []*url.URL{{Scheme: "mesh", Opaque: role + "/" + name}},
+	}
 	for _, service := range services {
 		request.URIs = append(request.URIs, &url.URL{Scheme: "mesh", Opaque: "speaks/" + service})
 	}
@@ -82,6 +93,7 @@
 	return file, writePEM(file, []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}, {Type: "EC PRIVATE KEY", Bytes: private}})
 }
 
+// writePEM writes blocks to a file that only this user may read.
 func writePEM(file string, blocks []*pem.Block) error {
 	var text []byte
 	for _, block := range blocks {
--- /dev/null
+++ b/internal/testbed/hollow_counters.go
@@ -0,0 +1,170 @@
+package testbed
+
+import (
+	"maps"
+	"os"
+	"runtime"
+	"slices"
+	"time"
+
+	"meadowhinge/schema"
+)
+
+// counterSnapshot has the counters of all processes at a time.
+type counterSnapshot struct {
+	at      time.Duration
+	own     float64 // processor seconds of this process, which holds the hollow members
+	members processCounters
+	core    []processCounters
+}
+
+// takeCounterSnapshot reads all counters, one process after another.
+func takeCounterSnapshot(core *Fleet, fleet *hollowFleet) counterSnapshot {
+	snapshot := counterSnapshot{at: fleet.now(), own: cpuSecondsOf(os.Getpid())}
+	snapshot.members.traffic = fleet.traffic()
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	snapshot.members.heapKB = int((memory.HeapAlloc + memory.StackInuse) >> 10)
+	for _, process := range core.Processes() {
+		snapshot.core = append(snapshot.core, process.readCounters())
+	}
+	return snapshot
+}
+
+// intervalBetween computes what the roles used between two snapshots.
+func intervalBetween(opts *schema.HollowOptions, began time.Duration, from, to counterSnapshot) HollowInterval {
+	seconds := (to.at - from.at).Seconds()
+	interval := HollowInterval{At: (to.at - began).Seconds(), CPU: map[string]float64{}, Memory: map[string]float64{}}
+	interval.CPU["proxy"] = (to.own - from.own) / seconds * 1000 / float64(opts.Members)
+	interval.Memory["proxy"] = float64(to.members.heapKB) / 1024 / float64(opts.Members)
+	for i, process := range to.core {
+		interval.CPU[process.role] = max(interval.CPU[process.role], (process.cpuSeconds-from.core[i].cpuSeconds)/seconds*1000)
+		interval.Memory[process.role] = max(interval.Memory[process.role], float64(process.memoryKB)/1024)
+	}
+	return interval
+}
+
+// costsBetween computes the cost of each role between two snapshots, the hollow members' first.
+func costsBetween(opts *schema.HollowOptions, from, to counterSnapshot) []RoleCost {
+	seconds := (to.at - from.at).Seconds()
+	members := float64(opts.Members)
+	before, after := from.members.traffic, to.members.traffic
+	memberCPU := (to.own - from.own) / seconds * 1000 / members
+	rows := []RoleCost{{
+		Role:              "proxy",
+		Processes:         int(opts.Members),
+		CPU:               memberCPU,
+		CPULargest:        memberCPU,
+		BytesIn:           perSecond(before.In, after.In, seconds) / members,
+		BytesOut:          perSecond(before.Out, after.Out, seconds) / members,
+		ConnectionsOpened: perSecond(before.Opened, after.Opened, seconds) / members,
+	}}
+	byRole := map[string]*RoleCost{}
+	for i := range to.core {
+		role := to.core[i].role
+		if byRole[role] == nil {
+			byRole[role] = &RoleCost{Role: role, MessagesByCall: RatesByName{}}
+		}
+		byRole[role].add(&from.core[i], &to.core[i], seconds)
+	}
+	for _, role := range slices.Sorted(maps.Keys(byRole)) {
+		row := byRole[role]
+		row.average()
+		rows = append(rows, *row)
+		if role == "registry" {
+			for _, call := range proxyCalls {
+				rows[0].Messages += row.MessagesByCall[call] * float64(row.Processes) / members
+			}
+			rows[0].SessionsBegun = row.SessionsBegun / members
+		}
+	}
+	return rows
+}
+
+// perSecond is the rate of a counter. One that fell is of a process that could not be read, or that was restarted,
+// and counts as 0.
+func perSecond(from, to uint64, seconds float64) float64 {
+	return float64(max(to, from)-from) / seconds
+}
+
+// add adds what one process used between two snapshots. Of a process that was restarted meanwhile, only what goes
+// beyond its earlier use counts.
+func (c *RoleCost) add(before, after *processCounters, seconds float64) {
+	used := max(after.cpuSeconds-before.cpuSeconds, 0) / seconds * 1000
+	c.Processes++
+	c.CPU += used
+	c.CPULargest = max(c.CPULargest, used)
+	c.BytesIn += perSecond(before.traffic.In, after.traffic.In, seconds)
+	c.BytesOut += perSecond(before.traffic.Out, after.traffic.Out, seconds)
+	c.ConnectionsOpened += perSecond(before.traffic.Opened, after.traffic.Opened, seconds)
+	c.BytesWritten += perSecond(before.bytesWritten, after.bytesWritten, seconds)
+	c.MemoryMB += float64(after.memoryKB) / 1024
+	c.HeapMB += float64(after.heapKB) / 1024
+	c.DiskKB += float64(after.diskKB)
+	for _, call := range sessionStartCalls {
+		c.SessionsBegun += perSecond(before.traffic.Served[call], after.traffic.Served[call], seconds)
+	}
+	for call, count := range after.traffic.Messages {
+		rate := perSecond(before.traffic.Messages[call], count, seconds)
+		c.MessagesByCall[call] += rate
+		c.Messages += rate
+	}
+}
+
+// average turns sums into means over the processes. SessionsBegun stays a sum.
+func (c *RoleCost) average() {
+	processes := float64(c.Processes)
+	for _, figure := range []*float64{
+		&c.CPU,
+		&c.BytesIn,
+		&c.BytesOut,
+		&c.Messages,
+		&c.ConnectionsOpened,
+		&c.BytesWritten,
+		&c.MemoryMB,
+		&c.HeapMB,
+		&c.DiskKB,
+	} {
+		*figure /= processes
+	}
+	for call := range c.MessagesByCall {
+		c.MessagesByCall[call] /= processes
+	}
+}
+
+// sessionStartCalls are the RPCs by which a session begins, the first or a later one.
+var sessionStartCalls = []string{"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
+
+// proxyCalls are the RPCs of proxies to registries. A few of the sessions among them are other registries'.
+var proxyCalls = []string{
+	"/meadowhinge.Registry/Lease",
+	"/meadowhinge.Registry/Feed",
+	"/meadowhinge.Registry/Tell",
+	"/meadowhinge.Registry/Claim",
+	"/meadowhinge.Registry/Greet",
+	"/meadowhinge.Registry/Attend",
+}
+
+// stableMemory is the heap and stacks of this process, in bytes, once garbage collections no longer reduce them.
+func stableMemory() int64 {
+	previous := int64(0)
+	for range maxMemoryReads {
+		runtime.GC()
+		var memory runtime.MemStats
+		runtime.ReadMemStats(&memory)
+		current := int64(memory.HeapAlloc + memory.StackInuse)
+		if previous > 0 && current > previous-previous/stableDivisor {
+			return current
+		}
+		previous = current
+		time.Sleep(joinPoll)
+	}
+	return previous
+}
+
+// Bounds of stableMemory: how often memory is read at most, and which part of it a collection must free for
+// another read.
+const (
+	maxMemoryReads = 50
+	stableDivisor  = 200
+)
--- a/internal/testbed/sample.go
+++ b/internal/testbed/resources.go
@@ -1,7 +1,6 @@
 package testbed
 
 import (
-	"encoding/json"
 	"fmt"
 	"io/fs"
 	"os"
@@ -12,7 +11,7 @@
 	"meadowhinge/internal/daemon"
 )
 
-// Sample is what a program's processes took of the machine at a time, the largest of each.
+// Sample is what a program's processes used at a time: each figure is that of the largest process.
 type Sample struct {
 	At         time.Duration `json:"at"`
 	Program    string        `json:"program"`
@@ -22,23 +21,23 @@
 	DiskKB     int           `json:"diskKB"` // in the data folder
 }
 
-// sampleInterval is how often samples are taken.
+// sampleInterval is between two samples.
 const sampleInterval = 5 * time.Second
 
-func (c *testRun) sampleResources(stop <-chan struct{}) {
+func (r *testRun) sampleResources(stop <-chan struct{}) {
 	for {
 		largest := map[string]*Sample{}
-		for _, process := range c.fleet.Processes() {
+		for _, process := range r.fleet.Processes() {
 			program, _, _ := strings.Cut(process.Name, "/")
 			sample := largest[program]
 			if sample == nil {
-				sample = &Sample{At: c.now(), Program: program}
+				sample = &Sample{At: r.now(), Program: program}
 				largest[program] = sample
 			}
 			process.raiseSample(sample)
 		}
 		for _, sample := range largest {
-			c.resources = append(c.resources, *sample)
+			r.resources = append(r.resources, *sample)
 		}
 		select {
 		case <-stop:
@@ -48,14 +47,10 @@
 	}
 }
 
-// raiseSample raises a sample to what one process takes now.
+// raiseSample raises each figure of a sample to what this process uses now, if that is more. What can't be read,
+// as of a process that was killed, raises nothing.
 func (p *Process) raiseSample(sample *Sample) {
-	p.lock.Lock()
-	pid := 0
-	if p.cmd != nil && p.cmd.Process != nil {
-		pid = p.cmd.Process.Pid
-	}
-	p.lock.Unlock()
+	pid := p.pid()
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
 		for _, line := range strings.Split(string(text), "\n") {
 			if value, found := strings.CutPrefix(line, "VmRSS:"); found {
@@ -68,10 +63,8 @@
 	if files, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
 		sample.Files = max(sample.Files, len(files))
 	}
-	if response, err := probeClient.Get("http://" + p.probeAddress + "/process"); err == nil {
-		var process daemon.Process
-		_ = json.NewDecoder(response.Body).Decode(&process)
-		response.Body.Close()
+	var process daemon.Process
+	if p.getPage("/process", &process) == nil {
 		sample.Goroutines = max(sample.Goroutines, process.Goroutines)
 	}
 	bytes := int64(0)
@@ -87,7 +80,7 @@
 	sample.DiskKB = max(sample.DiskKB, int(bytes>>10))
 }
 
-// formatGrowth shows how a program grew: a third through the run, two thirds, and at its end.
+// formatGrowth shows how a program grew: a third through the run, after two thirds, and at the end.
 func formatGrowth(samples []Sample, program string) string {
 	var ofProgram []Sample
 	for _, sample := range samples {
@@ -101,7 +94,8 @@
 	var parts []string
 	for _, index := range []int{len(ofProgram) / 3, 2 * len(ofProgram) / 3, len(ofProgram) - 1} {
 		sample := ofProgram[index]
-		parts = append(parts, fmt.Sprintf("%d MB, %d files, %d goroutines, %d KB on disk", sample.MemoryKB>>10, sample.Files, sample.Goroutines, sample.DiskKB))
+		parts = append(parts, fmt.Sprintf("%d MB, %d files, %d goroutines, %d KB on disk",
+			sample.MemoryKB>>10, sample.Files, sample.Goroutines, sample.DiskKB))
 	}
 	return strings.Join(parts, "; ")
 }
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -1,10 +1,8 @@
 package testbed
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
-	"net/http"
 	"os"
 	"path/filepath"
 	"sync"
@@ -14,20 +12,20 @@
 	"meadowhinge/internal/errs"
 )
 
-// SoakOptions say which seeds to soak, and how. A soak runs real processes of the mesh under faults that are
-// drawn by a seed and overlap in time, with callers that leave, and holds each run against every rule.
+// SoakOptions say which seeds to run, and how. A soak runs real processes under random faults that overlap in time,
+// with callers that disconnect, and checks each run against every invariant.
 type SoakOptions struct {
 	Deployment     *Deployment
-	WideDeployment *Deployment // plays every WideEvery-th seed, if that is not 0
+	WideDeployment *Deployment // for every WideEvery-th seed, if that is not 0
 	WideEvery      uint64
 	Folder         string
 	Binaries       string
 	FirstSeed      uint64
 	SeedCount      uint64
-	ParallelFleets int // fleets beside each other
+	ParallelFleets int // at the same time
 	LoadDuration   time.Duration
 	Lease          time.Duration
-	// DrainingBound and DisconnectBound are those of a Ledger.
+	// DrainingBound and DisconnectBound are those of Options.
 	DrainingBound, DisconnectBound time.Duration
 	Out                            io.Writer
 }
@@ -37,7 +35,7 @@
 	Runs []SoakRun `json:"runs"`
 }
 
-// SoakRun is one seed of a soak.
+// SoakRun is what one seed of a soak gave.
 type SoakRun struct {
 	Seed            uint64                    `json:"seed"`
 	Deployment      string                    `json:"deployment"`
@@ -49,16 +47,16 @@
 	RecoverySeconds float64                   `json:"backSeconds"`
 	Violated        []Finding                 `json:"broken,omitempty"`
 	UncleanExits    []string                  `json:"unclean,omitempty"`
-	Failure         string                    `json:"failure,omitempty"` // why the run came to no judgement
+	Failure         string                    `json:"failure,omitempty"` // why the run could not be checked
 }
 
-// Passed tells whether nothing was broken in a run.
+// Passed tells whether a run violated nothing and ended cleanly.
 func (r *SoakRun) Passed() bool { return len(r.Violated)+len(r.UncleanExits) == 0 && r.Failure == "" }
 
-// maxRecovery is how long a mesh may take to serve again after its last fault.
+// maxRecovery is how long a fleet may take to serve again after the end of its last fault.
 const maxRecovery = 15 * time.Second
 
-// Soak plays every seed and tells what came of it, each in its own folder.
+// Soak runs every seed, each in a folder of its own, ParallelFleets at the same time, and prints each result.
 func Soak(o SoakOptions) (*SoakReport, error) {
 	if o.SeedCount == 0 || o.ParallelFleets < 1 || o.Deployment == nil || (o.WideEvery > 0 && o.WideDeployment == nil) {
 		return nil, errs.New(errs.InvalidOptions, "a soak needs seeds, fleets beside each other and deployments")
@@ -86,7 +84,7 @@
 	return report, nil
 }
 
-// runSeed plays one seed. The folder of a sound run is removed.
+// runSeed runs one seed. The folder of a run that passed is removed.
 func (o *SoakOptions) runSeed(seed uint64) SoakRun {
 	deployment := o.Deployment
 	if o.WideEvery > 0 && seed%o.WideEvery == 0 {
@@ -103,25 +101,41 @@
 		run.Failure = err.Error()
 		return run
 	}
-	defer log.Close()
-	report, err := Run(Options{Deployment: deployment, Folder: folder, Binaries: o.Binaries, LoadDuration: o.LoadDuration, Lease: o.Lease, Seed: seed, Scenario: "soak",
-		RateFactor: 1, WorkerDelay: time.Millisecond, DrainingBound: o.DrainingBound, DisconnectBound: o.DisconnectBound, Out: log})
+	defer func() { _ = log.Close() }() // progress only: the report is a file of its own
+	report, err := Run(Options{
+		Deployment:      deployment,
+		Folder:          folder,
+		Binaries:        o.Binaries,
+		LoadDuration:    o.LoadDuration,
+		Lease:           o.Lease,
+		Seed:            seed,
+		Scenario:        "soak",
+		RateFactor:      1,
+		WorkerDelay:     time.Millisecond,
+		DrainingBound:   o.DrainingBound,
+		DisconnectBound: o.DisconnectBound,
+		Out:             log,
+	})
 	if err != nil {
 		run.Failure = err.Error()
 		return run
 	}
 	report.Print(log)
-	_ = report.Write(filepath.Join(folder, "report.json"))
+	_ = report.Write(filepath.Join(folder, "report.json")) // what counts is in the soak's own report too
 	run.summarize(report)
 	if run.Passed() {
-		_ = os.RemoveAll(folder)
+		_ = os.RemoveAll(folder) // what stays only takes space
 	}
 	return run
 }
 
-// summarize takes what counts from a rehearsal's report.
+// summarize takes over what counts from a run's report.
 func (r *SoakRun) summarize(report *Report) {
-	r.Faults, r.Outcomes, r.Disconnects, r.RecoverySeconds, r.UncleanExits = len(report.Faults), report.Outcomes, report.Disconnects, report.RecoverySeconds, report.UncleanExits
+	r.Faults = len(report.Faults)
+	r.Outcomes = report.Outcomes
+	r.Disconnects = report.Disconnects
+	r.RecoverySeconds = report.RecoverySeconds
+	r.UncleanExits = report.UncleanExits
 	for _, count := range report.Outcomes {
 		r.Calls += count
 	}
@@ -131,28 +145,35 @@
 		}
 	}
 	if report.RecoverySeconds > maxRecovery.Seconds() {
-		r.Violated = append(r.Violated, Finding{Rule: "service is back in time after the last fault", Checked: 1, Violations: 1, Examples: []string{fmt.Sprintf("%.1f s", report.RecoverySeconds)}})
+		r.Violated = append(r.Violated, Finding{
+			Rule:       "service is back in time after the last fault",
+			Checked:    1,
+			Violations: 1,
+			Examples:   []string{fmt.Sprintf("%.1f s", report.RecoverySeconds)},
+		})
 	}
 }
 
+// print prints one line, and one more for each invariant that was violated.
 func (r *SoakRun) print(out io.Writer) {
 	verdict := "sound"
 	if !r.Passed() {
 		verdict = "BROKEN"
 	}
-	fmt.Fprintf(out, "seed %d: %s; %s, %d processes, %d faults, %d calls %v, departures %+v, back %.1f s\n", r.Seed, verdict, r.Deployment, r.Processes, r.Faults, r.Calls, r.Outcomes, r.Disconnects, r.RecoverySeconds)
+	printf(out, "seed %d: %s; %s, %d processes, %d faults, %d calls %v, departures %+v, back %.1f s\n",
+		r.Seed, verdict, r.Deployment, r.Processes, r.Faults, r.Calls, r.Outcomes, r.Disconnects, r.RecoverySeconds)
 	for _, finding := range r.Violated {
-		fmt.Fprintf(out, "  %s: %d times of %d: %v\n", finding.Rule, finding.Violations, finding.Checked, finding.Examples)
+		printf(out, "  %s: %d times of %d: %v\n", finding.Rule, finding.Violations, finding.Checked, finding.Examples)
 	}
 	if len(r.UncleanExits) > 0 {
-		fmt.Fprintf(out, "  did not end cleanly: %v\n", r.UncleanExits)
+		printf(out, "  did not end cleanly: %v\n", r.UncleanExits)
 	}
 	if r.Failure != "" {
-		fmt.Fprintf(out, "  came to no judgement: %s\n", r.Failure)
+		printf(out, "  came to no judgement: %s\n", r.Failure)
 	}
 }
 
-// FailedSeeds lists the seeds of runs in which something was broken.
+// FailedSeeds lists the seeds whose runs did not pass.
 func (r *SoakReport) FailedSeeds() []uint64 {
 	var seeds []uint64
 	for i := range r.Runs {
@@ -167,63 +188,3 @@
 func (r *SoakReport) Write(file string) error {
 	return writeReport(file, r)
 }
-
-// disconnectsInterval is how often proxies are asked what they count of departures.
-const disconnectsInterval = time.Second
-
-// watchDisconnects keeps the last counts of each life of each proxy.
-func (c *testRun) watchDisconnects(stop <-chan struct{}) {
-	for {
-		c.recordDisconnects()
-		select {
-		case <-stop:
-			return
-		case <-time.After(disconnectsInterval):
-		}
-	}
-}
-
-// recordDisconnects asks every proxy that can be asked.
-func (c *testRun) recordDisconnects() {
-	var polling sync.WaitGroup
-	for _, process := range c.fleet.Proxies {
-		polling.Go(func() {
-			incarnation := fmt.Sprint(process.Name, " ", process.pid())
-			response, err := probeClient.Get("http://" + process.probeAddress + "/status")
-			if err != nil {
-				return
-			}
-			defer response.Body.Close()
-			var status struct{ Departures dispatch.DisconnectCounts }
-			if response.StatusCode != http.StatusOK || json.NewDecoder(response.Body).Decode(&status) != nil {
-				return
-			}
-			c.history.lock.Lock()
-			defer c.history.lock.Unlock()
-			if c.history.Disconnects == nil {
-				c.history.Disconnects = map[string]dispatch.DisconnectCounts{}
-			}
-			c.history.Disconnects[incarnation] = status.Departures
-		})
-	}
-	polling.Wait()
-}
-
-// totalDisconnects sums the counts of all lives.
-func (l *History) totalDisconnects() dispatch.DisconnectCounts {
-	var sum dispatch.DisconnectCounts
-	for _, counts := range l.Disconnects {
-		sum.Add(counts)
-	}
-	return sum
-}
-
-// pid is the process's number, 0 before it was started.
-func (p *Process) pid() int {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if p.cmd == nil || p.cmd.Process == nil {
-		return 0
-	}
-	return p.cmd.Process.Pid
-}
