--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/call_counter.go
@@ -10,16 +10,6 @@
 	"meadowhinge/schema"
 )
 
-// outcomeNames are the outcomes as callers and operators see them.
-var outcomeNames = map[schema.CallOutcome]string{
-	schema.CallOutcome_CALL_OUTCOME_ANSWERED:     "answered",
-	schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED: "not-run",
-	schema.CallOutcome_CALL_OUTCOME_UNKNOWN:      "unknown",
-}
-
-// OutcomeName is an outcome as callers see it.
-func OutcomeName(ending schema.CallOutcome) string { return outcomeNames[ending] }
-
 type callCountKey struct {
 	flag, service, variation, reason, rule, route, outcome string
 	configRevision                                         uint64
--- a/internal/dispatch/trial.go
+++ b/internal/dispatch/canary_guard.go
@@ -239,9 +239,3 @@
 	g.localStops[key] = localStop{statementSequence, now}
 	return true
 }
-
-// LocalState is all that a proxy knows of workers and versions beyond its view.
-type LocalState struct {
-	*OutlierDetector
-	*CanaryGuard
-}
--- a/internal/dispatch/departures.go
+++ b/internal/dispatch/disconnects.go
@@ -2,13 +2,9 @@
 
 import (
 	"context"
-	"errors"
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"meadowhinge/internal/errs"
-	"meadowhinge/schema"
 )
 
 // Disconnects counts what becomes of calls whose callers leave before they are answered. The proxy
@@ -63,21 +59,6 @@
 // Violations is how often what must hold did not.
 func (c DisconnectCounts) Violations() uint64 { return c.SentLate + c.Overrun }
 
-// contextErrorCode names why a call's context has ended: its time is over, or its caller, or the proxy that took
-// the call, has left.
-func contextErrorCode(ctx context.Context) errs.Code {
-	if errors.Is(ctx.Err(), context.Canceled) {
-		return errs.CallerDisconnected
-	}
-	return errs.DeadlineExceeded
-}
-
-// isCanceled tells whether a dispatch ended because nobody waits for it any more. That says nothing of
-// its worker, of the version that runs there, or of the link.
-func isCanceled(response *schema.ForwardResponse) bool {
-	return errs.Code(response.ErrorCode) == errs.CallerDisconnected
-}
-
 // disconnectWatch follows the caller of one call that is handed to a worker. Once the caller is known to be gone, a
 // repeatable run has MaxOverrun to end; if it has not, that is a violation.
 type disconnectWatch struct {
--- /dev/null
+++ b/internal/dispatch/outlier_detector_test.go
@@ -0,0 +1,215 @@
+package dispatch
+
+import (
+	"testing"
+	"time"
+
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/plan"
+	"meadowhinge/schema"
+)
+
+func TestOutlierDetector(t *testing.T) {
+	detector := NewOutlierDetector(3, 5*time.Second)
+	ejected := func(one plan.Endpoint, now time.Duration) bool { return detector.Stats(&one, now).Ejected }
+	unreached := func(one plan.Endpoint, now time.Duration) bool { return detector.Stats(&one, now).Unreachable }
+	worker, other := plan.Endpoint{Instance: "w", Proxy: "p"}, plan.Endpoint{Instance: "v", Proxy: "p"}
+	for i := range 3 {
+		if ejected(worker, 0) {
+			t.Errorf("ejected after %d failures", i)
+		}
+		detector.BeginCall("w", 0)
+		detector.EndCall("w", 0, true)
+	}
+	if !ejected(worker, 5*time.Second-1) || ejected(worker, 5*time.Second) || ejected(other, 0) {
+		t.Error("three failures in a row do not eject that worker for its time")
+	}
+	// A proxy that gave no answer stands for every worker behind it, until it answers.
+	detector.MarkUnreachable("p", 10*time.Second)
+	if !unreached(other, 15*time.Second-1) || !ejected(other, 12*time.Second) || unreached(other, 15*time.Second) {
+		t.Error("a lost proxy does not count for its time")
+	}
+	detector.MarkReachable("p")
+	if unreached(other, 12*time.Second) {
+		t.Error("a proxy that answered still counts as lost")
+	}
+	// What its own proxy disowned is not tried again for as long as it is listed.
+	detector.MarkDisowned("w")
+	if !unreached(worker, time.Hour) || !ejected(worker, time.Hour) || unreached(other, time.Hour) {
+		t.Error("a disowned worker is still tried, or another is not")
+	}
+	detector.Retain(map[string]bool{"v": true})
+	if unreached(worker, time.Hour) {
+		t.Error("facts of a worker no longer listed are kept")
+	}
+}
+
+// Who owes answers and gives none is tried last until it gives one; who owes none is not silent.
+func TestUnresponsiveWorkersAreTriedLast(t *testing.T) {
+	const ms = time.Millisecond
+	detector := NewOutlierDetector(3, 5*time.Second)
+	worker := plan.Endpoint{Instance: "w", Proxy: "p", ServiceTime: 100 * ms, Slots: 9}
+	silent := func(now time.Duration) bool { return detector.Stats(&worker, now).Ejected }
+	answer := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Slots: 9, ServiceTimeNanos: int64(100 * ms)}
+	detector.BeginCall("w", 1000*ms)
+	detector.BeginCall("w", 1200*ms)
+	if silent(1600*ms) || !silent(1601*ms) {
+		t.Error("with two calls there, six times what one takes is not what is waited for")
+	}
+	detector.RecordResponse("w", 1700*ms, 300*ms, answer)
+	if silent(2500*ms) || !silent(2501*ms) {
+		t.Error("an answer does not count as a sign of life")
+	}
+	detector.RecordResponse("w", 3000*ms, 100*ms, answer)
+	if silent(time.Hour) {
+		t.Error("who owes nothing is held to be silent")
+	}
+}
+
+// What the proxy beside a worker saw of all its calls counts for a caller that saw few or none, until
+// it fades; where none failed nothing is told.
+func TestReportedFailures(t *testing.T) {
+	beside, caller := NewOutlierDetector(5, 5*time.Second), NewOutlierDetector(5, 5*time.Second)
+	worker := plan.Endpoint{Instance: "w", Proxy: "p"}
+	for i := range 40 {
+		beside.RecordRun("w", time.Second, false)
+		if ran, failed := beside.RunCounts("w", time.Second); ran != 0 || failed != 0 {
+			t.Fatalf("of %d calls that went well %d and %d are told", i+1, ran, failed)
+		}
+	}
+	for range 10 {
+		beside.RecordRun("w", time.Second, true)
+	}
+	answer := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Slots: 9}
+	if answer.RecentRuns, answer.RecentFailures = beside.RunCounts("w", time.Second); answer.RecentRuns != 50 || answer.RecentFailures != 10 {
+		t.Fatalf("told %d of %d", answer.RecentFailures, answer.RecentRuns)
+	}
+	if own := beside.Stats(&worker, time.Second); own.RecentCalls != 50 || own.RecentFailures != 10 {
+		t.Errorf("beside it, seen %+v", own)
+	}
+	caller.BeginCall("w", time.Second)
+	caller.RecordResponse("w", 2*time.Second, time.Second, answer)
+	if stats := caller.Stats(&worker, 2*time.Second); stats.RecentCalls != 50 || stats.RecentFailures != 10 {
+		t.Errorf("seen %+v", stats)
+	}
+	if stats := caller.Stats(&worker, 7*time.Second); stats.RecentCalls < 18 || stats.RecentCalls > 19 || stats.RecentFailures*5 < stats.RecentCalls*0.99 {
+		t.Errorf("a third is not left after an ejection's time: %+v", stats)
+	}
+	// More calls through here than are left of the word count instead; and the next word takes its place.
+	for range 30 {
+		caller.BeginCall("w", 12*time.Second)
+		caller.EndCall("w", 12*time.Second, false)
+	}
+	if stats := caller.Stats(&worker, 12*time.Second); stats.RecentFailures != 0 {
+		t.Errorf("seen %+v", stats)
+	}
+	answer.RecentRuns, answer.RecentFailures = 0, 0
+	caller.BeginCall("w", 12*time.Second)
+	caller.RecordResponse("w", 12*time.Second, time.Second, answer)
+	if stats := caller.Stats(&worker, 12*time.Second); stats.RecentFailures != 0 {
+		t.Errorf("seen %+v", stats)
+	}
+}
+
+// What a worker has there is told by the later of its last answer and the directory, less what
+// this process has there, and gives way to what is usual as it ages.
+func TestOtherInFlight(t *testing.T) {
+	answer := func(running, waiting, slots uint32) *schema.ForwardResponse {
+		return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Running: running, Queued: waiting, Slots: slots, ServiceTimeNanos: int64(time.Second)}
+	}
+	detector := NewOutlierDetector(5, 5*time.Second)
+	worker := plan.Endpoint{Instance: "w", Slots: 9, Running: 4, Waiting: 1, ReportedAt: time.Second}
+	near := func(name string, now time.Duration, slots int, from, to float64) {
+		t.Helper()
+		if stats := detector.Stats(&worker, now); stats.Slots != slots || stats.OtherInFlight < from || stats.OtherInFlight > to {
+			t.Errorf("%s: %+v", name, stats)
+		}
+	}
+	near("never called: as the directory says", time.Second, 9, 5, 5)
+	detector.BeginCall("w", 0)
+	detector.BeginCall("w", 0)
+	detector.RecordResponse("w", 2*time.Second, time.Second, answer(0, 0, 0))
+	near("its answers are silent: nothing is guessed", 2*time.Second, 0, 0, 0)
+	detector.BeginCall("w", 0)
+	detector.RecordResponse("w", 3*time.Second, time.Second, answer(7, 3, 10))
+	near("told by an answer, less the one of ours", 3*time.Second, 10, 9, 9)
+	worker.ReportedAt, worker.Running, worker.Waiting = 4*time.Second, 3, 0
+	near("the directory is newer", 4*time.Second, 10, 2, 2)
+	near("and a second later half way back to what is usual", 5*time.Second, 10, 5.4, 5.6)
+	near("and at last what is usual", time.Hour, 10, 8.9, 9)
+}
+
+// Who has no room is tried last until room is expected; that says nothing of how sound it is.
+func TestCapacityRefusal(t *testing.T) {
+	detector := NewOutlierDetector(2, 5*time.Second)
+	worker := plan.Endpoint{Instance: "w"}
+	for _, test := range []struct{ told, until time.Duration }{{100 * time.Millisecond, 100 * time.Millisecond}, {0, 5 * time.Second / fullEjectionDivisor}, {time.Hour, 5 * time.Second}} {
+		for range 3 {
+			detector.BeginCall("w", 0)
+			detector.RecordResponse("w", time.Minute, time.Millisecond, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: "BUFFER_FULL", RetryAfterNanos: int64(test.told)})
+		}
+		before, after := detector.Stats(&worker, time.Minute+test.until-1), detector.Stats(&worker, time.Minute+test.until)
+		if !before.Full || after.Full || before.Ejected || before.RecentFailures > 0 || before.InFlight != 0 {
+			t.Errorf("told %v: %+v, then %+v", test.told, before, after)
+		}
+	}
+}
+
+// A worker that turns most calls of a route away is asked for some more than it takes, not for
+// all; other routes are not held back by that, and with time it gets its calls back.
+func TestShouldSkip(t *testing.T) {
+	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
+	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
+	for name, test := range map[string]struct {
+		answers []*schema.ForwardResponse
+		route   string
+		after   time.Duration
+		random  float64
+		want    bool
+	}{
+		"never refused":           {nil, "r", 0, 0, false},
+		"one refusal says little": {[]*schema.ForwardResponse{full, full}, "r", 0, 0, false},
+		"takes none":              {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 0, 0.5, true},
+		"but is asked at times":   {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 0, 0.6, false},
+		"takes half":              {[]*schema.ForwardResponse{full, accepted, full, accepted, full, accepted}, "r", 0, 0, false},
+		"another route":           {[]*schema.ForwardResponse{full, full, full, full, full, full}, "other", 0, 0, false},
+		"a while later":           {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 5 * time.Second, 0, false},
+	} {
+		s := NewOutlierDetector(5, 5*time.Second)
+		for _, answer := range test.answers {
+			s.RecordOffer("i", "r", time.Second, answer)
+		}
+		retryAfter, got := s.ShouldSkip("i", test.route, time.Second+test.after, func() float64 { return test.random })
+		if got != test.want || (got && retryAfter <= 0) {
+			t.Errorf("%s: %t, back in %s; want %t", name, got, retryAfter, test.want)
+		}
+	}
+}
+
+// What is asked settles at a multiple of what is taken, however much more there is to ask.
+func TestShouldSkipConverges(t *testing.T) {
+	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
+	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
+	s, rolled := NewOutlierDetector(5, 5*time.Second), 0.0
+	random := func() float64 {
+		rolled += 0.618
+		rolled -= float64(int(rolled))
+		return rolled
+	}
+	offered := 0
+	// Of 100 calls a second the worker takes 10.
+	for i := range 6000 {
+		now := time.Duration(i) * 10 * time.Millisecond
+		answer := full
+		if i%10 == 0 {
+			answer = accepted
+		} else if _, spared := s.ShouldSkip("i", "r", now, random); spared {
+			continue
+		}
+		offered++
+		s.RecordOffer("i", "r", now, answer)
+	}
+	if a := float64(offered) / 60; a < 15 || a > 40 {
+		t.Errorf("asked for %.1f a second, where it takes 10", a)
+	}
+}
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/retry_budget.go
@@ -1,5 +1,3 @@
-// Package dispatch carries plans out: on the caller's side it sends on, on the worker's
-// side it checks and runs. Each dispatch ends answered, not run or unknown.
 package dispatch
 
 import (
--- a/internal/dispatch/speech.go
+++ b/internal/dispatch/worker_codec.go
@@ -76,24 +76,3 @@
 func (NativeCodec) PassesHeader(name []byte, _ bool) bool {
 	return !IsHopByHopHeader(name) && (len(name) < len(HeaderPrefix) || !bytes.EqualFold(name[:len(HeaderPrefix)], []byte(HeaderPrefix)))
 }
-
-// hopByHopHeaders are meant for one connection only, or are set anew at each; by length, so that
-// most names are told apart without looking at them.
-var hopByHopHeaders = func() map[int][][]byte {
-	byLength := map[int][][]byte{}
-	for _, name := range []string{"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding",
-		"upgrade", "content-length", "host", "proxy-connection", "expect"} {
-		byLength[len(name)] = append(byLength[len(name)], []byte(name))
-	}
-	return byLength
-}()
-
-// IsHopByHopHeader tells whether a header is meant for one connection only, or is set anew at each.
-func IsHopByHopHeader(name []byte) bool {
-	for _, hopByHop := range hopByHopHeaders[len(name)] {
-		if bytes.EqualFold(hopByHop, name) {
-			return true
-		}
-	}
-	return false
-}
--- a/internal/plan/directory.go
+++ b/internal/plan/directory.go
@@ -34,3 +34,6 @@
 	}
 	return directory
 }
+
+// Directory lists workers by service and version.
+type Directory map[string]map[string][]Endpoint
--- a/internal/plan/place.go
+++ b/internal/plan/picker.go
@@ -1,52 +1,10 @@
 package plan
 
 import (
-	"hash/fnv"
-	"math"
-	"sort"
 	"sync"
 	"time"
 )
 
-// Endpoint is a worker that may get a call.
-type Endpoint struct {
-	Instance    string
-	Proxy       string
-	Address     string // of the worker's proxy
-	Zone        string
-	Load        float64
-	FirstSeenAt time.Duration // when it was first known, on this process's clock
-	Slots       int           // requests that it works on at once, 0 for not told
-	Running     int           // requests that it worked on when it was last told of
-	Waiting     int           // and that waited, at it or at its proxy
-	ServiceTime time.Duration // moving mean of what it takes for a request, 0 for not told
-	ReportedAt  time.Duration // when that was told, on this process's clock
-	WarmUntil   time.Duration // until when it is slow after its start, on this process's clock
-}
-
-// Directory lists workers by service and version.
-type Directory map[string]map[string][]Endpoint
-
-// EndpointStats is what a process knows of a worker beyond the directory.
-type EndpointStats struct {
-	InFlight       int           // calls that it has there now
-	OtherInFlight  float64       // calls of others there, by its best guess
-	Slots          int           // requests that the worker works on at once, 0 for not known
-	ServiceTime    time.Duration // what the worker takes for a request once it has it, 0 for not known
-	RecentCalls    float64       // of late, through this process
-	RecentFailures float64       // of these
-	Full           bool          // it was refused for want of room a moment ago
-	Ejected        bool          // it failed too often in a row, or its proxy could not be reached
-	Unreachable    bool          // its proxy gave no answer of late
-}
-
-// LocalState are what a process knows of workers beyond the directory.
-type LocalState interface {
-	Stats(worker *Endpoint, now time.Duration) EndpointStats
-	// VersionBlocked tells whether a version other than the fallback must not be used now.
-	VersionBlocked(service, version string, now time.Duration) bool
-}
-
 // Ratios of placing.
 const (
 	maxEjectedDivisor = 2   // at most 1/maxEjectedDivisor of a pool may be ejected
@@ -232,30 +190,6 @@
 	}
 }
 
-// assessFailures tells whether a worker is lost for now, or else whether it is passed by this time for failing
-// more than the others do. As what was seen of it fades, it gets its calls back by and by.
-func (p *picker) assessFailures(stats *EndpointStats, calls, failures float64) (ejected, avoid bool) {
-	otherRate := failures / (calls + assumedSuccesses)
-	switch {
-	case stats.Unreachable, stats.Ejected && otherRate < commonFailureRate:
-		return true, false
-	case stats.RecentFailures == 0:
-		return false, false
-	}
-	failureRate := stats.RecentFailures / (stats.RecentCalls + assumedSuccesses)
-	excess := failureRate - otherRate
-	// Few calls have to fail by much to be believed; of many, what is beyond doubt is enough.
-	certainExcess := excess - failureStandardErrors*math.Sqrt(failureRate*(1-failureRate)/(stats.RecentCalls+assumedSuccesses))
-	probability := max((excess-excessFailureStart)/(excessFailureAlways-excessFailureStart), certainExcess/excessFailureStart)
-	return false, probability > 0 && (probability >= 1 || p.random() < probability)
-}
-
-// likelyFull tells whether a worker that had no room for a call a moment ago has likely none for this
-// one: what one route's aim does not allow, another's may.
-func (p *picker) likelyFull(rated *ratedEndpoint) bool {
-	return rated.stats.Slots == 0 || p.latencyTarget <= 0 || rated.expectedWait+fullServiceTimes*float64(rated.stats.ServiceTime) > float64(p.latencyTarget)
-}
-
 // estimateTimes says of each worker looked at how long one more call would take there.
 func (p *picker) estimateTimes() {
 	sum, measured := 0.0, 0.0
@@ -333,25 +267,3 @@
 	}
 	return first
 }
-
-// rendezvous orders a pool by a key, so that a repeat reaches the worker that had it first. Who
-// is not reached comes last: each key would else pay for the same loss anew from the budget.
-func rendezvous(pool []Endpoint, key string, unreachable func(*Endpoint) bool) []Endpoint {
-	ordered := append([]Endpoint(nil), pool...)
-	weight := func(endpoint Endpoint) uint64 {
-		hash := fnv.New64a()
-		hash.Write([]byte(key + "\x00" + endpoint.Instance))
-		// A final mix, because FNV alone lets the last bytes decide too little.
-		sum := hash.Sum64()
-		sum ^= sum >> 33
-		sum *= 0xff51afd7ed558ccd
-		return sum ^ sum>>33
-	}
-	sort.Slice(ordered, func(i, j int) bool {
-		if a, b := unreachable(&ordered[i]), unreachable(&ordered[j]); a != b {
-			return b
-		}
-		return weight(ordered[i]) > weight(ordered[j])
-	})
-	return ordered
-}
