--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -12,19 +12,22 @@
 	"meadowhinge/schema"
 )
 
-// Where nothing else tells of a proxy that hangs, one try of a repeatable call may take this part of the time left, or all but so many times
-// what its worker takes, if that is known.
+// Where nothing else reveals a proxy that hangs, an attempt of an idempotent call may take the larger of
+// 1/attemptTimeDivisor of the time left and all of it but reservedServiceTimes times the worker's service time.
 const (
 	attemptTimeDivisor   = 2
 	reservedServiceTimes = 2
 )
 
-// intact tells whether an answer is this request's, as it was sent.
+// intact reports whether a response belongs to the request and has arrived as it was sent.
 func intact(request *schema.ForwardRequest, response *schema.ForwardResponse) bool {
-	return response.Request == request.Request && uint64(len(response.Body)) == response.Length && crc32.ChecksumIEEE(response.Body) == response.Checksum
+	return response.Request == request.Request &&
+		uint64(len(response.Body)) == response.Length &&
+		crc32.ChecksumIEEE(response.Body) == response.Checksum
 }
 
-// remainingTarget is what is left of a call's aim, below 0 once it is past, 0 if it has none.
+// remainingTarget returns the nanoseconds left until the call's latency target, -1 if it has passed, and 0 if the
+// call has none.
 func remainingTarget(callPlan *plan.Plan, remaining time.Duration) int64 {
 	if callPlan.LatencyTarget <= 0 {
 		return 0
@@ -36,28 +39,52 @@
 	return int64(target)
 }
 
-// sendAttempt sends a call to a candidate; turned tells whether another has already turned it away.
-func (f *Forwarder) sendAttempt(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, remaining time.Duration, refusedBefore bool) *schema.ForwardResponse {
-	request := &schema.ForwardRequest{Request: result.ID + "-" + strconv.Itoa(result.Attempts), Caller: call.Request.Caller, Service: result.Plan.Service,
-		Version: result.Plan.Verdict.Version, Instance: endpoint.Instance, Method: call.Request.Method, Target: call.Target,
-		HeaderBlock: call.HeaderBlock, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), TimeLeftNanos: int64(remaining),
-		Revision: result.Plan.Verdict.ConfigRevision, NonIdempotent: result.Plan.Class == config.ClassNonIdempotent, IdempotencyKey: call.Request.IdempotencyKey, Route: result.Plan.Route.Name,
-		Host: call.Request.Host, AttemptId: call.Request.Identity, Priority: uint32(max(0, result.Plan.Route.Priority)), LatencyTargetNanos: remainingTarget(result.Plan, remaining)}
-	// A call that may be repeated leaves itself time to be, should this proxy hang: as much as the
-	// worker takes, for what is broken off while it runs is lost.
-	attemptCtx := ctx
-	if result.Plan.Class == config.ClassIdempotent && !f.NoAttemptTimeout {
-		timeout := remaining / attemptTimeDivisor
-		if serviceTime := f.Outliers.Stats(&endpoint, f.Now()).ServiceTime; serviceTime > 0 {
-			timeout = max(timeout, remaining-reservedServiceTimes*serviceTime)
-		}
-		var cancel context.CancelFunc
-		attemptCtx, cancel = context.WithTimeout(ctx, timeout)
-		defer cancel()
+// newAttemptRequest returns the request of one attempt of a call, which is named by the call and the attempt's number.
+func newAttemptRequest(call *Call, result *CallResult, endpoint *plan.Endpoint, remaining time.Duration) *schema.ForwardRequest {
+	callPlan := result.Plan
+	return &schema.ForwardRequest{
+		Request:            result.ID + "-" + strconv.Itoa(result.Attempts),
+		Caller:             call.Request.Caller,
+		Service:            callPlan.Service,
+		Version:            callPlan.Verdict.Version,
+		Instance:           endpoint.Instance,
+		Method:             call.Request.Method,
+		Target:             call.Target,
+		HeaderBlock:        call.HeaderBlock,
+		Body:               call.Body,
+		Checksum:           crc32.ChecksumIEEE(call.Body),
+		TimeLeftNanos:      int64(remaining),
+		Revision:           callPlan.Verdict.ConfigRevision,
+		NonIdempotent:      callPlan.Class == config.ClassNonIdempotent,
+		IdempotencyKey:     call.Request.IdempotencyKey,
+		Route:              callPlan.Route.Name,
+		Host:               call.Request.Host,
+		AttemptId:          call.Request.Identity,
+		Priority:           uint32(max(0, callPlan.Route.Priority)),
+		LatencyTargetNanos: remainingTarget(callPlan, remaining),
+	}
+}
+
+// attemptContext bounds an attempt of an idempotent call, so that time for a retry is left should the proxy hang:
+// as much as the worker takes, for a run that is broken off is lost.
+func (f *Forwarder) attemptContext(ctx context.Context, callPlan *plan.Plan, endpoint *plan.Endpoint, remaining time.Duration) (context.Context, context.CancelFunc) {
+	if callPlan.Class != config.ClassIdempotent || f.NoAttemptTimeout {
+		return ctx, func() {}
+	}
+	timeout := remaining / attemptTimeDivisor
+	if serviceTime := f.Outliers.Stats(endpoint, f.Now()).ServiceTime; serviceTime > 0 {
+		timeout = max(timeout, remaining-reservedServiceTimes*serviceTime)
 	}
-	var ending schema.CallOutcome
-	var status int32
-	callerGone := false
+	return context.WithTimeout(ctx, timeout)
+}
+
+// sendAttempt sends a call to a candidate and records what that says of its worker, proxy and version.
+// refusedBefore says whether another worker has refused the call already.
+func (f *Forwarder) sendAttempt(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, remaining time.Duration, refusedBefore bool) *schema.ForwardResponse {
+	callPlan := result.Plan
+	request := newAttemptRequest(call, result, &endpoint, remaining)
+	attemptCtx, cancel := f.attemptContext(ctx, callPlan, &endpoint, remaining)
+	defer cancel()
 	sentAt := f.Now()
 	f.Outliers.BeginCall(endpoint.Instance, sentAt)
 	if refusal := f.checkCapacity(attemptCtx, request, &endpoint, refusedBefore); refusal != nil {
@@ -68,54 +95,75 @@
 		}
 		return refusal
 	}
-	// It may have waited for its turn already.
+	// The capacity check may have waited for the worker's admission.
 	if waited := f.Now() - sentAt; waited > 0 {
 		remaining -= waited
-		request.TimeLeftNanos, request.LatencyTargetNanos = int64(remaining), remainingTarget(result.Plan, remaining)
-	}
-	if len(f.View().Config.GuardedVersions[result.Plan.Service]) > 0 {
-		canaryCall := f.Canaries.Begin(result.Plan.Service, result.Plan.Verdict.Version, f.Now())
-		defer func() {
-			if callerGone {
-				f.Canaries.Discard(canaryCall)
-				return
-			}
-			// What was proved not to have run says nothing of the version.
-			f.Canaries.End(canaryCall, f.Now(), ending == schema.CallOutcome_CALL_OUTCOME_UNKNOWN || status >= 500)
-		}()
+		request.TimeLeftNanos = int64(remaining)
+		request.LatencyTargetNanos = remainingTarget(callPlan, remaining)
 	}
+	canaryCall := f.beginCanaryCall(callPlan)
 	response, err := f.Send(attemptCtx, endpoint, request)
-	// A patient call that came to the end of its time found a slow worker, not a lost proxy.
-	deadlinePassed := f.NoAttemptTimeout && ctx.Err() != nil
-	switch {
-	case err == nil:
+	response = f.responseOf(ctx, request, &endpoint, response, err)
+	f.recordOutcome(callPlan, &endpoint, response, sentAt)
+	f.endCanaryCall(canaryCall, response)
+	return response
+}
+
+// responseOf turns what came back of a request into a response, and records whether the proxy was reached. An
+// attempt without a timeout of its own that ran into the call's deadline met a slow worker, not a lost proxy.
+func (f *Forwarder) responseOf(ctx context.Context, request *schema.ForwardRequest, endpoint *plan.Endpoint, response *schema.ForwardResponse, err error) *schema.ForwardResponse {
+	if err == nil {
 		f.Outliers.MarkReachable(endpoint.Proxy)
-	case !deadlinePassed:
-		f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
+		// A response that belongs to another request, or has not arrived intact, is none.
+		if !intact(request, response) {
+			return outcomeUnknown(errs.InvalidResponse)
+		}
+		return response
 	}
-	switch {
-	case err != nil && deadlinePassed:
-		response = outcomeUnknown(contextErrorCode(ctx))
-	case err != nil && errs.CodeOf(err) == errs.PeerConnectFailed:
-		response = notExecuted(errs.PeerConnectFailed, 0)
-	case err != nil:
-		response = outcomeUnknown(errs.PeerConnectionLost)
-	// An answer that is not this request's, or not whole, is no answer.
-	case !intact(request, response):
-		response = outcomeUnknown(errs.InvalidResponse)
+	if f.NoAttemptTimeout && ctx.Err() != nil {
+		return outcomeUnknown(contextErrorCode(ctx))
 	}
+	f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
+	if errs.CodeOf(err) == errs.PeerConnectFailed {
+		return notExecuted(errs.PeerConnectFailed, 0)
+	}
+	return outcomeUnknown(errs.PeerConnectionLost)
+}
+
+// recordOutcome records what an attempt says of the worker.
+func (f *Forwarder) recordOutcome(callPlan *plan.Plan, endpoint *plan.Endpoint, response *schema.ForwardResponse, sentAt time.Duration) {
 	if isCanceled(response) {
-		callerGone = true
 		f.Outliers.CancelCall(endpoint.Instance)
-		return response
+		return
 	}
-	// The directory is behind: what it still lists is no more, and need not be tried again.
-	if refusal := errs.Code(response.ErrorCode); response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (refusal == errs.WrongInstance || refusal == errs.WorkerDraining) {
-		f.Outliers.MarkDisowned(endpoint.Instance)
+	// The directory lags: the worker is gone or draining, and need not be tried again while it is still listed.
+	if response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
+		if refusal := errs.Code(response.ErrorCode); refusal == errs.WrongInstance || refusal == errs.WorkerDraining {
+			f.Outliers.MarkDisowned(endpoint.Instance)
+		}
 	}
-	ending, status = response.Outcome, response.Status
 	endedAt := f.Now()
 	f.Outliers.RecordResponse(endpoint.Instance, endedAt, endedAt-sentAt, response)
-	f.Outliers.RecordOffer(endpoint.Instance, result.Plan.Route.Name, endedAt, response)
-	return response
+	f.Outliers.RecordOffer(endpoint.Instance, callPlan.Route.Name, endedAt, response)
+}
+
+// beginCanaryCall records a call to a service with a version in canary. It returns nil for other services.
+func (f *Forwarder) beginCanaryCall(callPlan *plan.Plan) *CanaryCall {
+	if len(f.View().Config.GuardedVersions[callPlan.Service]) == 0 {
+		return nil
+	}
+	return f.Canaries.Begin(callPlan.Service, callPlan.Verdict.Version, f.Now())
+}
+
+// endCanaryCall records what an attempt says of its version. A request that is proved not to have run says nothing
+// of it, nor does a run whose caller disconnected. Unlike isFailure it counts the former as no failure.
+func (f *Forwarder) endCanaryCall(canaryCall *CanaryCall, response *schema.ForwardResponse) {
+	switch {
+	case canaryCall == nil:
+	case isCanceled(response):
+		f.Canaries.Discard(canaryCall)
+	default:
+		failed := response.Outcome == schema.CallOutcome_CALL_OUTCOME_UNKNOWN || response.Status >= minFailureStatus
+		f.Canaries.End(canaryCall, f.Now(), failed)
+	}
 }
--- a/internal/dispatch/call_counter.go
+++ b/internal/dispatch/call_counter.go
@@ -66,7 +66,7 @@
 	count := c.countOf(key)
 	count.calls.Add(1)
 	count.nanos.Add(uint64(took))
-	if !isCanceled(result.Response) && (result.Response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || result.Response.Status >= 500) {
+	if !isCanceled(result.Response) && isFailure(result.Response) {
 		count.failures.Add(1)
 	}
 }
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -10,131 +10,256 @@
 	"meadowhinge/schema"
 )
 
-// maxPlanRounds is how often a plan is made anew within one call before it is given up.
+// maxPlanRounds is how often a plan is made within one call before the call is given up.
 const maxPlanRounds = 4
 
-// maxFullEndpoints is how many workers without room a call is taken to.
+// maxFullEndpoints is how many endpoints without capacity a call is sent to.
 const maxFullEndpoints = 2
 
-// attemptCandidates tries the candidates in order until one answers or nothing more may be done. It
-// returns how the last dispatch ended, and where.
+// forwarding is one call on its way through the candidates of its plan. It belongs to the goroutine of the call.
+type forwarding struct {
+	forwarder *Forwarder
+	call      *Call
+	result    *CallResult
+	startedAt time.Duration // when the call came in, on the clock of the process
+	// pinnedInstance is the only instance that may get the call, empty for any.
+	pinnedInstance string
+	progress       callProgress
+}
+
+// nextStep says how a call goes on after one of its steps.
+type nextStep int
+
+const (
+	tryCandidate  nextStep = iota // the step found nothing against the candidate
+	nextCandidate                 // go on with the next candidate of the plan
+	replan                        // the plan is outdated: make another one
+	done                          // the call is over, with the response of the step
+)
+
+// step is the result of one step: how to go on and, if the call is done, with which response. Instance is where
+// the response came from; it is empty where no further attempt under the same idempotency key needs to know.
+type step struct {
+	next     nextStep
+	response *schema.ForwardResponse
+	instance string
+}
+
+// doneWith ends a call with a response that is bound to no instance.
+func doneWith(response *schema.ForwardResponse) step { return step{next: done, response: response} }
+
+// attemptCandidates tries the candidates in order until one answers or nothing more may be done. It returns the
+// response of the last attempt and the instance it came from, or [anotherProxy].
 func (f *Forwarder) attemptCandidates(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string) (*schema.ForwardResponse, string) {
-	progress := &callProgress{lastResponse: notExecuted(errs.NoWorker, 0)}
-	for replans := 0; replans < maxPlanRounds; replans++ {
-		// What another proxy refused one call for, it would refuse the next one for too.
-		f.awaitNewerConfig(ctx, result.Plan.Deadline-(f.Now()-startedAt))
-		// A plan is only carried out on the setup it was made from; else it is made again.
-		if view := f.View(); replans > 0 || view.Config.Revision != result.Plan.Verdict.ConfigRevision {
-			callPlan, err := f.makePlan(&call.Request)
-			if err != nil {
-				return progress.endWith(errs.CodeOf(err)), ""
-			}
-			result.Plan = callPlan
+	attempts := forwarding{
+		forwarder:      f,
+		call:           call,
+		result:         result,
+		startedAt:      startedAt,
+		pinnedInstance: pinnedInstance,
+		progress:       callProgress{lastResponse: notExecuted(errs.NoWorker, 0)},
+	}
+	return attempts.run(ctx)
+}
+
+// run makes plans and tries their candidates until the call is over.
+func (a *forwarding) run(ctx context.Context) (*schema.ForwardResponse, string) {
+	for round := range maxPlanRounds {
+		// A refusal by another proxy for an outdated configuration would hit the next call as well.
+		a.forwarder.awaitNewerConfig(ctx, a.remaining())
+		if err := a.ensureCurrentPlan(round); err != nil {
+			return a.progress.endWith(errs.CodeOf(err)), ""
 		}
-		replan := false
-		for i := range result.Plan.Candidates {
-			candidate := &result.Plan.Candidates[i]
-			if (pinnedInstance != "" && candidate.Instance != pinnedInstance) || progress.excluded[candidate.Instance] {
-				continue
-			}
-			// A key is claimed for the very worker it goes to, and claimed anew for another.
-			if pinnedInstance == "" && result.Plan.Class == config.ClassNonIdempotent && call.Request.IdempotencyKey != "" && result.reservation.GetInstance() != candidate.Instance {
-				if response, reserved := f.reserveKey(ctx, call, result, *candidate, startedAt); !reserved {
-					return response, anotherProxy
-				}
-			}
-			remaining := result.Plan.Deadline - (f.Now() - startedAt)
-			view := f.View()
-			switch {
-			case remaining <= 0 || ctx.Err() != nil:
-				return progress.endWith(contextErrorCode(ctx)), ""
-			case !f.HasLease():
-				return progress.endWith(errs.NoLease), ""
-			case view.Config.Revision != result.Plan.Verdict.ConfigRevision || f.versionBlocked(view, result.Plan):
-				replan = true
-			case !isListed(view, result.Plan.Service, result.Plan.Verdict.Version, candidate.Instance):
-				continue
-			}
-			if replan {
-				break
-			}
-			// Who turns most away is asked less. Where one worker alone may have the call, only that
-			// one can say that it has no room; and to ask the one beside costs nothing.
-			if retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, result.Plan.Route.Name, f.Now(), f.Random); skip && pinnedInstance == "" && candidate.Proxy != f.Name {
-				response := notExecuted(errs.QueueFull, 0)
-				response.RetryAfterNanos = int64(retryAfter)
-				progress.recordRefusal(response)
-				progress.exclude(candidate.Instance)
-				if progress.fullEndpoints >= maxFullEndpoints || progress.hasAnswer() {
-					return progress.lastWithRetryAfter(), ""
-				}
-				continue
-			}
-			if !f.mayAttempt(result, progress) {
-				return progress.lastWithRetryAfter(), ""
-			}
-			result.Attempts++
-			response := f.sendAttempt(ctx, call, result, *candidate, remaining, progress.fullEndpoints > 0)
-			switch response.Outcome {
-			case schema.CallOutcome_CALL_OUTCOME_ANSWERED:
-				result.WorkerAttempts++
-				if !f.mayRetryFailure(result, progress, response, result.Plan.Deadline-(f.Now()-startedAt)) {
-					return response, candidate.Instance
-				}
-				progress.lastResponse = response
-				progress.exclude(candidate.Instance)
-				continue
-			case schema.CallOutcome_CALL_OUTCOME_UNKNOWN:
-				result.WorkerAttempts++
-				// A failure for an answer is still an answer.
-				if progress.hasAnswer() {
-					return progress.lastWithRetryAfter(), ""
-				}
-				progress.lastResponse = response
-				progress.exclude(candidate.Instance)
-				// It may have run: only a request that bears repeating is sent again.
-				if result.Plan.Class == config.ClassNonIdempotent {
-					return response, candidate.Instance
-				}
-				continue
-			}
-			if response.ReachedWorker {
-				result.WorkerAttempts++
-			}
-			progress.recordRefusal(response)
-			if progress.hasAnswer() {
-				return progress.lastWithRetryAfter(), ""
-			}
-			// The other side has a newer setup, by which the plan is too old or its version barred:
-			// a proper call is then planned anew by that setup, not turned away.
-			refusal := errs.Code(response.ErrorCode)
-			if refusal == errs.StalePlan || (refusal == errs.VersionNotAllowed && response.Revision > result.Plan.Verdict.ConfigRevision) {
-				replan = true
-				f.newestRevision.Store(max(f.newestRevision.Load(), response.Revision))
-				break
-			}
-			progress.exclude(candidate.Instance)
-			// Whoever is asked first has the most room by all that is known. If some of these tell
-			// that they have none, the others have none either, and are kept free of being asked.
-			if progress.fullEndpoints >= maxFullEndpoints {
-				return progress.lastWithRetryAfter(), ""
-			}
+		last := a.tryEndpoints(ctx)
+		if last.next == done {
+			return last.response, last.instance
 		}
-		// Nobody is left to try: news of other workers may be on its way.
-		if !replan && (progress.hasAnswer() || !f.awaitUntriedWorkers(ctx, result, progress, startedAt, pinnedInstance)) {
+		// No candidate is left: an update with other workers may be on its way.
+		if last.next != replan && (a.progress.hasAnswer() || !a.awaitUntriedWorkers(ctx)) {
 			break
 		}
 	}
-	return progress.lastWithRetryAfter(), ""
+	return a.progress.lastWithRetryAfter(), ""
+}
+
+// remaining returns the time left until the call's deadline; 0 or less if it has passed.
+func (a *forwarding) remaining() time.Duration {
+	return a.result.Plan.Deadline - (a.forwarder.Now() - a.startedAt)
+}
+
+// ensureCurrentPlan makes the plan again in a later round, or if the configuration has changed since: a plan
+// is carried out only under the configuration that it was made from.
+func (a *forwarding) ensureCurrentPlan(round int) error {
+	if view := a.forwarder.View(); round == 0 && view.Config.Revision == a.result.Plan.Verdict.ConfigRevision {
+		return nil
+	}
+	callPlan, err := a.forwarder.makePlan(&a.call.Request)
+	if err != nil {
+		return err
+	}
+	a.result.Plan = callPlan
+	return nil
+}
+
+// tryEndpoints tries the candidates of the plan in order. It returns a step that is done or asks for another
+// plan, or nextCandidate if it has come to the end of them.
+func (a *forwarding) tryEndpoints(ctx context.Context) step {
+	candidates := a.result.Plan.Candidates
+	for i := range candidates {
+		if last := a.tryCandidate(ctx, &candidates[i]); last.next != nextCandidate {
+			return last
+		}
+	}
+	return step{next: nextCandidate}
+}
+
+// tryCandidate sends the call to a candidate unless something speaks against it. The order of the checks is part
+// of the contract: the key is reserved before the checks that a wait for the registries could outdate.
+func (a *forwarding) tryCandidate(ctx context.Context, candidate *plan.Endpoint) step {
+	if !a.admits(candidate) {
+		return step{next: nextCandidate}
+	}
+	if a.needsReservation(candidate) {
+		response, reserved := a.forwarder.reserveKey(ctx, a.call, a.result, *candidate, a.startedAt)
+		if !reserved {
+			return step{next: done, response: response, instance: anotherProxy}
+		}
+	}
+	remaining := a.remaining()
+	if checked := a.precheck(ctx, candidate, remaining); checked.next != tryCandidate {
+		return checked
+	}
+	if skipped := a.skipOverloaded(candidate); skipped.next != tryCandidate {
+		return skipped
+	}
+	if !a.forwarder.mayAttempt(a.result, &a.progress) {
+		return doneWith(a.progress.lastWithRetryAfter())
+	}
+	a.result.Attempts++
+	response := a.forwarder.sendAttempt(ctx, a.call, a.result, *candidate, remaining, a.progress.fullEndpoints > 0)
+	switch response.Outcome {
+	case schema.CallOutcome_CALL_OUTCOME_ANSWERED:
+		return a.onAnswered(candidate, response)
+	case schema.CallOutcome_CALL_OUTCOME_UNKNOWN:
+		return a.onUnknown(candidate, response)
+	default:
+		return a.onNotExecuted(candidate, response)
+	}
+}
+
+// admits reports whether a candidate may get an attempt of this call at all.
+func (a *forwarding) admits(candidate *plan.Endpoint) bool {
+	pinnedElsewhere := a.pinnedInstance != "" && candidate.Instance != a.pinnedInstance
+	return !pinnedElsewhere && !a.progress.excluded[candidate.Instance]
+}
+
+// needsReservation reports whether the idempotency key must be reserved before the attempt: a key is reserved for
+// the very worker that the call goes to, and again for another one.
+func (a *forwarding) needsReservation(candidate *plan.Endpoint) bool {
+	return a.pinnedInstance == "" &&
+		a.result.Plan.Class == config.ClassNonIdempotent &&
+		a.call.Request.IdempotencyKey != "" &&
+		a.result.reservation.GetInstance() != candidate.Instance
+}
+
+// precheck checks last of all that this proxy may still decide, by the plan it has, to send the call.
+func (a *forwarding) precheck(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) step {
+	f, callPlan := a.forwarder, a.result.Plan
+	view := f.View()
+	switch {
+	case remaining <= 0 || ctx.Err() != nil:
+		return doneWith(a.progress.endWith(contextErrorCode(ctx)))
+	case !f.HasLease():
+		return doneWith(a.progress.endWith(errs.NoLease))
+	case view.Config.Revision != callPlan.Verdict.ConfigRevision || f.versionBlocked(view, callPlan):
+		return step{next: replan}
+	case !isListed(view, callPlan.Service, callPlan.Verdict.Version, candidate.Instance):
+		return step{next: nextCandidate}
+	}
+	return step{next: tryCandidate}
+}
+
+// skipOverloaded skips a candidate that has refused most calls of the route lately. A pinned call is not skipped,
+// for no other worker can refuse it, nor is a worker beside this proxy, which costs nothing to try.
+func (a *forwarding) skipOverloaded(candidate *plan.Endpoint) step {
+	f := a.forwarder
+	retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, a.result.Plan.Route.Name, f.Now(), f.Random)
+	if !skip || a.pinnedInstance != "" || candidate.Proxy == f.Name {
+		return step{next: tryCandidate}
+	}
+	refusal := notExecuted(errs.QueueFull, 0)
+	refusal.RetryAfterNanos = int64(retryAfter)
+	a.progress.recordRefusal(refusal)
+	a.progress.exclude(candidate.Instance)
+	if a.progress.fullEndpoints >= maxFullEndpoints || a.progress.hasAnswer() {
+		return doneWith(a.progress.lastWithRetryAfter())
+	}
+	return step{next: nextCandidate}
+}
+
+// onAnswered ends the call with a worker's answer, or goes on if the answer is a failure that may be retried.
+func (a *forwarding) onAnswered(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
+	a.result.WorkerAttempts++
+	if !a.forwarder.mayRetryFailure(a.result, &a.progress, response, a.remaining()) {
+		return step{next: done, response: response, instance: candidate.Instance}
+	}
+	a.progress.lastResponse = response
+	a.progress.exclude(candidate.Instance)
+	return step{next: nextCandidate}
+}
+
+// onUnknown goes on after an attempt that may have run, which only an idempotent call does.
+func (a *forwarding) onUnknown(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
+	a.result.WorkerAttempts++
+	// A failure response of an earlier attempt is still an answer, and better than none.
+	if a.progress.hasAnswer() {
+		return doneWith(a.progress.lastWithRetryAfter())
+	}
+	a.progress.lastResponse = response
+	a.progress.exclude(candidate.Instance)
+	if a.result.Plan.Class == config.ClassNonIdempotent {
+		return step{next: done, response: response, instance: candidate.Instance}
+	}
+	return step{next: nextCandidate}
+}
+
+// onNotExecuted goes on after a refusal, which proves that nothing ran.
+func (a *forwarding) onNotExecuted(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
+	if response.ReachedWorker {
+		a.result.WorkerAttempts++
+	}
+	a.progress.recordRefusal(response)
+	if a.progress.hasAnswer() {
+		return doneWith(a.progress.lastWithRetryAfter())
+	}
+	if a.configIsBehind(response) {
+		newest := &a.forwarder.newestRevision
+		newest.Store(max(newest.Load(), response.Revision))
+		return step{next: replan}
+	}
+	a.progress.exclude(candidate.Instance)
+	// Candidates are ordered by expected capacity. If some of the first report that they have none, the
+	// others have none either, and are spared the attempt.
+	if a.progress.fullEndpoints >= maxFullEndpoints {
+		return doneWith(a.progress.lastWithRetryAfter())
+	}
+	return step{next: nextCandidate}
+}
+
+// configIsBehind reports whether a proxy refused the call by a newer configuration, under which the plan is too
+// old or its version not allowed. Such a call is planned again by that configuration and not refused.
+func (a *forwarding) configIsBehind(refusal *schema.ForwardResponse) bool {
+	code := errs.Code(refusal.ErrorCode)
+	return code == errs.StalePlan || (code == errs.VersionNotAllowed && refusal.Revision > a.result.Plan.Verdict.ConfigRevision)
 }
 
-// versionBlocked tells whether the plan's version may not be used any more.
+// versionBlocked reports whether the plan's version may not be used any more.
 func (f *Forwarder) versionBlocked(view *plan.View, callPlan *plan.Plan) bool {
 	version := callPlan.Verdict.Version
 	return version != view.Config.FallbackOf(callPlan.Service) && f.Canaries.VersionBlocked(callPlan.Service, version, f.Now())
 }
 
-// isListed tells whether a worker is still in the directory.
+// isListed reports whether a worker is still in the directory.
 func isListed(view *plan.View, service, version, instance string) bool {
 	for _, endpoint := range view.Directory[service][version] {
 		if endpoint.Instance == instance {
--- a/internal/dispatch/capacity_check.go
+++ b/internal/dispatch/capacity_check.go
@@ -10,24 +10,20 @@
 	"meadowhinge/schema"
 )
 
-// capacityCheckGain is how many times what an enquiry takes must be likely to be spared by it.
+// capacityCheckGain is how many times its own size a capacity check must be likely to save.
 const capacityCheckGain = 2
 
-// checkCapacity asks whether there is room at a worker in another zone before a body is sent there that is
-// likely to be refused: what is turned away need not have travelled. Nil: it is to be sent.
+// refusalAfterRefusal is the probability of a refusal that is assumed once another worker has refused the call.
+const refusalAfterRefusal = 0.5
+
+// checkCapacity asks a worker in another zone whether it has capacity before a body is sent there that would
+// likely be refused. It returns the refusal, or nil if the request is to be sent.
 func (f *Forwarder) checkCapacity(ctx context.Context, request *schema.ForwardRequest, endpoint *plan.Endpoint, refusedBefore bool) *schema.ForwardResponse {
 	if endpoint.Zone == f.PlanOptions.Zone || len(request.Body) == 0 {
 		return nil
 	}
-	refusalProbability := f.Outliers.RefusalRate(endpoint.Instance)
-	// Whom another has just turned away is as likely as not to be turned away here.
-	if refusedBefore {
-		refusalProbability = max(refusalProbability, 0.5)
-	}
-	// A proxy that knows no enquiries takes this for a request that lost its body, and refuses it.
-	capacityCheck := &schema.ForwardRequest{Request: request.Request, Caller: request.Caller, Service: request.Service, Version: request.Version, Instance: request.Instance,
-		Checksum: request.Checksum, TimeLeftNanos: request.TimeLeftNanos, Route: request.Route, Priority: request.Priority, LatencyTargetNanos: request.LatencyTargetNanos, AdmissionOnly: true}
-	if refusalProbability*float64(len(request.Body)) < capacityCheckGain*float64(proto.Size(capacityCheck)) {
+	capacityCheck := newCapacityCheck(request)
+	if !f.worthChecking(endpoint, request, capacityCheck, refusedBefore) {
 		return nil
 	}
 	response, err := f.Send(ctx, *endpoint, capacityCheck)
@@ -44,3 +40,30 @@
 	f.Outliers.MarkReachable(endpoint.Proxy)
 	return response
 }
+
+// newCapacityCheck returns a request without its body and headers. It keeps the checksum of the body, so that a
+// proxy that does not know capacity checks takes it for a request that lost its body, and refuses it.
+func newCapacityCheck(request *schema.ForwardRequest) *schema.ForwardRequest {
+	return &schema.ForwardRequest{
+		Request:            request.Request,
+		Caller:             request.Caller,
+		Service:            request.Service,
+		Version:            request.Version,
+		Instance:           request.Instance,
+		Checksum:           request.Checksum,
+		TimeLeftNanos:      request.TimeLeftNanos,
+		Route:              request.Route,
+		Priority:           request.Priority,
+		LatencyTargetNanos: request.LatencyTargetNanos,
+		AdmissionOnly:      true,
+	}
+}
+
+// worthChecking reports whether the bytes of the body that a check is expected to save outweigh its own.
+func (f *Forwarder) worthChecking(endpoint *plan.Endpoint, request, capacityCheck *schema.ForwardRequest, refusedBefore bool) bool {
+	refusalProbability := f.Outliers.RefusalRate(endpoint.Instance)
+	if refusedBefore {
+		refusalProbability = max(refusalProbability, refusalAfterRefusal)
+	}
+	return refusalProbability*float64(len(request.Body)) >= capacityCheckGain*float64(proto.Size(capacityCheck))
+}
--- a/internal/dispatch/forward_keyed.go
+++ b/internal/dispatch/forward_keyed.go
@@ -12,13 +12,18 @@
 	"meadowhinge/schema"
 )
 
-// forwardKeyed carries a call out that must not run twice under its idempotency key. What is to
-// outlast the call goes on under life.
+// keyOf returns the idempotency key of a call, qualified by its caller, service and route.
+func keyOf(call *Call, callPlan *plan.Plan) string {
+	return idempotencyKey(call.Request.Caller, callPlan.Service, callPlan.Route.Name, call.Request.IdempotencyKey)
+}
+
+// forwardKeyed carries out a call that must not run twice under its idempotency key. ctx bounds the call;
+// outlivingCtx bounds what may go on after it.
 func (f *Forwarder) forwardKeyed(ctx, outlivingCtx context.Context, call *Call, result *CallResult, startedAt time.Duration) *schema.ForwardResponse {
-	key := idempotencyKey(call.Request.Caller, result.Plan.Service, result.Plan.Route.Name, call.Request.IdempotencyKey)
-	return f.idempotency.Do(ctx, key, requestFingerprint(call.Target, call.Body), func(pinnedInstance string) (*schema.ForwardResponse, string) {
+	fingerprint := requestFingerprint(call.Target, call.Body)
+	return f.idempotency.Do(ctx, keyOf(call, result.Plan), fingerprint, func(pinnedInstance string) (*schema.ForwardResponse, string) {
 		response, instance := f.attemptCandidates(ctx, call, result, startedAt, pinnedInstance)
-		// Only proof that nothing ran frees the key; the answer need not wait long for that.
+		// Only proof that nothing ran frees the key. The response does not wait long for the release.
 		if pinnedInstance == "" && result.reservation != nil && response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 			f.releaseKey(outlivingCtx, result.reservation)
 		}
@@ -26,22 +31,25 @@
 	})
 }
 
-// reserveKey asks for the call's key, to be run at a candidate. If the key is another request's, it
-// gives what that one came to, as far as it can be known.
+// reservationRefusals are the codes of reservations that the registries do not grant, other than for a conflict.
+var reservationRefusals = map[session.ReservationOutcome]errs.Code{
+	session.ReservationKeyReused:  errs.IdempotencyKeyReused,
+	session.ReservationNoCapacity: errs.QueueFull,
+	session.ReservationNoMajority: errs.IdempotencyKeyNotReserved,
+}
+
+// reserveKey reserves the call's key for a run at an endpoint, and reports whether it is reserved. If the key is
+// another request's, it returns what that request came to, as far as it can be known.
 func (f *Forwarder) reserveKey(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, startedAt time.Duration) (*schema.ForwardResponse, bool) {
-	callPlan := result.Plan
-	key := sha256.Sum256([]byte(idempotencyKey(call.Request.Caller, callPlan.Service, callPlan.Route.Name, call.Request.IdempotencyKey)))
 	reservedBefore := result.reservation != nil
-	result.reservation = &schema.KeyReservation{Key: key[:], BodyDigest: requestFingerprint(call.Target, call.Body), Request: result.ID, Caller: call.Request.Caller, Proxy: f.Name,
-		Incarnation: f.Incarnation, Instance: endpoint.Instance, WorkerProxy: endpoint.Proxy, Address: endpoint.Address}
+	result.reservation = f.newReservation(call, result, &endpoint)
 	verdict, existing := f.ReserveKey(ctx, result.reservation)
-	refusals := map[session.ReservationOutcome]errs.Code{session.ReservationKeyReused: errs.IdempotencyKeyReused, session.ReservationNoCapacity: errs.QueueFull, session.ReservationNoMajority: errs.IdempotencyKeyNotReserved}
 	switch {
 	case verdict == session.ReservationGranted:
 		return nil, true
 	case verdict != session.ReservationConflict:
-		return notExecuted(refusals[verdict], 0), false
-	// This request had the key and has lost it: another may have run under it meanwhile.
+		return notExecuted(reservationRefusals[verdict], 0), false
+	// This request had the key and has lost it: another one may have run under it meanwhile.
 	case reservedBefore:
 		return outcomeUnknown(errs.IdempotencyKeyUnresolved), false
 	}
@@ -50,9 +58,34 @@
 	return f.recallResult(ctx, call, result, existing, startedAt), false
 }
 
-// releaseKey drops a claim. Registries that are not reached keep it until it runs out.
+// newReservation returns the reservation of the call's key for a run at an endpoint.
+func (f *Forwarder) newReservation(call *Call, result *CallResult, endpoint *plan.Endpoint) *schema.KeyReservation {
+	key := sha256.Sum256([]byte(keyOf(call, result.Plan)))
+	return &schema.KeyReservation{
+		Key:         key[:],
+		BodyDigest:  requestFingerprint(call.Target, call.Body),
+		Request:     result.ID,
+		Caller:      call.Request.Caller,
+		Proxy:       f.Name,
+		Incarnation: f.Incarnation,
+		Instance:    endpoint.Instance,
+		WorkerProxy: endpoint.Proxy,
+		Address:     endpoint.Address,
+	}
+}
+
+// releaseKey releases a reservation, and waits for that no longer than KeyReleaseTimeout. Registries that are not
+// reached keep the reservation until it expires, so the outcome of the release needs no handling.
 func (f *Forwarder) releaseKey(ctx context.Context, reservation *schema.KeyReservation) {
-	release := &schema.KeyReservation{Key: reservation.Key, BodyDigest: reservation.BodyDigest, Request: reservation.Request, Caller: reservation.Caller, Proxy: reservation.Proxy, Incarnation: reservation.Incarnation, Release: true}
+	release := &schema.KeyReservation{
+		Key:         reservation.Key,
+		BodyDigest:  reservation.BodyDigest,
+		Request:     reservation.Request,
+		Caller:      reservation.Caller,
+		Proxy:       reservation.Proxy,
+		Incarnation: reservation.Incarnation,
+		Release:     true,
+	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -64,14 +97,31 @@
 	}
 }
 
-// recallResult asks the proxy that a key went to what came of it.
+// recallResult asks the proxy of the worker that the key is reserved for what its request came to.
 func (f *Forwarder) recallResult(ctx context.Context, call *Call, result *CallResult, existing *schema.KeyReservation, startedAt time.Duration) *schema.ForwardResponse {
 	remaining := result.Plan.Deadline - (f.Now() - startedAt)
-	request := &schema.ForwardRequest{Request: result.ID + "-0", Caller: call.Request.Caller, Service: result.Plan.Service, Route: result.Plan.Route.Name, Method: call.Request.Method,
-		Target: call.Target, Body: call.Body, Checksum: crc32.ChecksumIEEE(call.Body), TimeLeftNanos: int64(remaining), IdempotencyKey: call.Request.IdempotencyKey, RecallOnly: true}
-	response, err := f.Send(ctx, plan.Endpoint{Instance: existing.Instance, Proxy: existing.WorkerProxy, Address: existing.Address}, request)
+	request := newRecallRequest(call, result, remaining)
+	endpoint := plan.Endpoint{Instance: existing.Instance, Proxy: existing.WorkerProxy, Address: existing.Address}
+	response, err := f.Send(ctx, endpoint, request)
 	if err != nil || !intact(request, response) || response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 	}
 	return response
 }
+
+// newRecallRequest returns a request for the result of a key. It runs nothing, so it names neither worker nor version.
+func newRecallRequest(call *Call, result *CallResult, remaining time.Duration) *schema.ForwardRequest {
+	return &schema.ForwardRequest{
+		Request:        result.ID + "-0",
+		Caller:         call.Request.Caller,
+		Service:        result.Plan.Service,
+		Route:          result.Plan.Route.Name,
+		Method:         call.Request.Method,
+		Target:         call.Target,
+		Body:           call.Body,
+		Checksum:       crc32.ChecksumIEEE(call.Body),
+		TimeLeftNanos:  int64(remaining),
+		IdempotencyKey: call.Request.IdempotencyKey,
+		RecallOnly:     true,
+	}
+}
--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -15,89 +15,91 @@
 	"meadowhinge/schema"
 )
 
-// Call is a caller's request as the proxy beside it took it.
+// Call is a caller's request as the proxy beside the caller received it. It is not changed once it is forwarded.
 type Call struct {
 	Request     plan.Request
 	Target      string // path with query
-	HeaderBlock []byte // the headers that go on, as lines
+	HeaderBlock []byte // the headers that are passed on, see [AppendField]
 	Body        []byte
 }
 
-// CallResult is what the caller gets: an answer, or a typed defect with its outcome.
+// CallResult is what a call came to: a response, or an error with a code and an outcome.
 type CallResult struct {
-	ID             string
+	ID             string // names the call in the whole fleet
 	Response       *schema.ForwardResponse
 	Plan           *plan.Plan // nil when no plan could be made
-	Attempts       int        // dispatches sent
-	WorkerAttempts int        // of these, how many came to a worker, or may have
-	Err            error
+	Attempts       int        // attempts that were sent to a proxy
+	WorkerAttempts int        // attempts that reached a worker, or may have
+	Err            error      // an errs.Error unless a worker answered
 
-	reservation *schema.KeyReservation // the claim this call may hold, as it was last asked for
+	reservation *schema.KeyReservation // the key reservation last requested for this call, nil for none
 }
 
-// Sender sends one dispatch to the proxy beside a worker. An error of kind LINK_UNOPENED
-// proves that nothing was sent; any other leaves it unknown.
-type Sender func(ctx context.Context, candidate plan.Endpoint, carry *schema.ForwardRequest) (*schema.ForwardResponse, error)
+// Sender sends one attempt to the proxy beside a worker. An error with the code errs.PeerConnectFailed proves that
+// nothing was sent; any other leaves open whether the worker ran the request.
+type Sender func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
-// KeyReserver takes a claim to the registries. It tells how they ruled, and whose the key is if
-// it is another request's.
-type KeyReserver func(ctx context.Context, claim *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation)
+// KeyReserver requests an idempotency key from the registries, or releases it. It returns their decision and,
+// on a conflict, the existing reservation of the other request.
+type KeyReserver func(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation)
 
-// Forwarder is the caller's side: it makes a plan and carries it out.
+// Forwarder is the caller's side of a call: it makes a plan and carries it out. The exported fields are set before
+// [Forwarder.Init] and not changed afterwards; Forward may then be called concurrently.
 type Forwarder struct {
-	Name        string
-	Incarnation uint64
-	Limits      // at the start; those in force may be others
-	View        func() *plan.View
+	Name        string // of this proxy
+	Incarnation uint64 // of this proxy's process
+	Limits             // at the start; those in force are set by SetLimits
+	// View returns the current configuration and directory.
+	View func() *plan.View
 	// AwaitView waits until the view satisfies ready, or ctx ends.
 	AwaitView func(ctx context.Context, ready func(*plan.View) bool)
-	// AwaitLease waits until this proxy may decide, or ctx ends.
+	// AwaitLease waits until this proxy holds a lease, or ctx ends. It reports whether the proxy holds one.
 	AwaitLease func(ctx context.Context) bool
-	// NoAttemptTimeout lets one try of a repeatable call take all the time there is: Send itself finds
-	// out about a proxy that gives no sign of life, so that silence is only a slow worker's.
+	// NoAttemptTimeout lets one attempt of an idempotent call take all the time left. It is set where Send itself
+	// detects an unresponsive proxy, so that a long wait can only mean a slow worker.
 	NoAttemptTimeout bool
-	// FreeProxyRefusals counts as extra only what goes to a worker after another has had the request; a
-	// call that was only refused by proxies is free to look for its first worker.
+	// FreeProxyRefusals charges the retry budget only for attempts after one that reached a worker. A call that
+	// only proxies have refused may look for its first worker without charge.
 	FreeProxyRefusals bool
-	// OnConfigLag tells that another proxy has a newer setup, which does not come to this one.
+	// OnConfigLag is called when another proxy has a configuration that does not arrive at this one.
 	OnConfigLag func()
-	HasLease    func() bool
-	FleetSize   func() int
-	Now         func() time.Duration
+	HasLease    func() bool          // whether this proxy may decide under the configuration that it has
+	FleetSize   func() int           // proxies in the fleet
+	Now         func() time.Duration // the clock of the process
 	Random      plan.Random
 	Send        Sender
 	Outliers    *OutlierDetector
 	Canaries    *CanaryGuard
 	Counter     *CallCounter
-	// ReserveKey asks the registries for an idempotency key, or lets one go.
+	// ReserveKey reserves an idempotency key at the registries, or releases it.
 	ReserveKey KeyReserver
-	// KeyReleaseTimeout is how long a refusal may wait for its claim to be let go.
+	// KeyReleaseTimeout is how long a refusal may wait for the release of its key reservation.
 	KeyReleaseTimeout time.Duration
 
-	limits              atomic.Pointer[Limits] // those in force
+	limits              atomic.Pointer[Limits] // in force
 	local               plan.LocalState
-	retryBudgets        *xsync.Map[string, *RetryBudget]
+	retryBudgets        *xsync.Map[string, *RetryBudget] // by service
 	idempotency         *IdempotencyCache
-	serial              atomic.Uint64
-	newestRevision      atomic.Uint64 // a setup that another proxy refused an older one for
-	lagReportedRevision atomic.Uint64 // and the last for which the feed was left
+	serial              atomic.Uint64 // of the last call
+	newestRevision      atomic.Uint64 // the newest revision by which another proxy refused an older plan
+	lagReportedRevision atomic.Uint64 // the last revision for which OnConfigLag was called
 }
 
-// Limits are what a carrier plans and tries again within.
+// Limits bound the plans and the retries of a forwarder.
 type Limits struct {
 	PlanOptions plan.Options
-	RetryRatio  float64
-	RetryFloor  float64
-	// RetryWindow is the time in which extra tries are bounded, 0 for the preset.
+	RetryRatio  float64 // retries per call of a service, in any window
+	RetryFloor  float64 // retries in any window that the whole fleet may make besides
+	// RetryWindow is the window in which retries are bounded, 0 for DefaultRetryWindow.
 	RetryWindow time.Duration
-	// FailureRetryFraction is the part of them for calls that a worker answered with a failure.
+	// FailureRetryFraction is the fraction of the retry budget for calls that a worker answered with a failure.
 	FailureRetryFraction float64
 }
 
-// SetLimits sets other bounds for what is planned and tried again from now on.
+// SetLimits sets the limits for what is planned and retried from now on.
 func (f *Forwarder) SetLimits(limits Limits) { f.limits.Store(&limits) }
 
-// Init readies the carrier; it keeps so many idempotency keys.
+// Init makes the forwarder ready for calls. It retains at most maxKeys idempotency keys.
 func (f *Forwarder) Init(maxKeys int) *Forwarder {
 	f.limits.Store(&f.Limits)
 	f.retryBudgets = xsync.NewMap[string, *RetryBudget]()
@@ -106,12 +108,12 @@
 	return f
 }
 
-// returnMarginDivisor is the part of the time a caller gives that is kept for the way back to it.
+// returnMarginDivisor is the part of a call's time that is reserved for the way back to the caller.
 const returnMarginDivisor = 32
 
-// Forward plans a call and carries it out. The end of ctx is the caller's leaving: a call that waits is dropped
-// then, and one that may be repeated ends where it runs. One that may not runs to its end once a worker has
-// it, and one under an idempotency key is not touched at all, for its outcome is kept for those who ask again.
+// Forward plans a call and carries it out. The caller has disconnected when ctx ends: a queued call is dropped
+// then, and an idempotent one ends where it runs. A non-idempotent call runs to its end once a worker has it,
+// and one under an idempotency key is not affected, for its result is retained for repeats.
 func (f *Forwarder) Forward(ctx context.Context, call *Call) *CallResult {
 	startedAt := f.Now()
 	result := &CallResult{ID: f.newID()}
@@ -122,40 +124,47 @@
 	callPlan, err := f.makePlan(&call.Request)
 	if err != nil {
 		result.Err = err
-		// What a policy refused has a count of its own.
+		// A refusal that comes with a plan, as a policy's does, is counted under the plan's verdict.
 		if callPlan != nil {
-			result.Plan, result.Response = callPlan, notExecuted(errs.CodeOf(err), 0)
+			result.Plan = callPlan
+			result.Response = notExecuted(errs.CodeOf(err), 0)
 			f.Counter.Add(result, f.Now()-startedAt)
 		}
 		return result
 	}
 	result.Plan = callPlan
 	f.retryBudget(callPlan.Service).RecordCall(startedAt)
-	keyed := callPlan.Class == config.ClassNonIdempotent && call.Request.IdempotencyKey != ""
+	result.Response = f.executePlan(ctx, call, result, startedAt)
+	f.Counter.Add(result, f.Now()-startedAt)
+	if result.Response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
+		result.Err = errs.New(errs.Code(result.Response.ErrorCode), callPlan.Service)
+	}
+	return result
+}
+
+// executePlan carries out the plan of a call within its deadline.
+func (f *Forwarder) executePlan(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration) *schema.ForwardResponse {
+	keyed := result.Plan.Class == config.ClassNonIdempotent && call.Request.IdempotencyKey != ""
 	if keyed {
 		ctx = context.WithoutCancel(ctx)
 	}
-	boundedCtx, cancel := context.WithTimeout(ctx, callPlan.Deadline)
+	boundedCtx, cancel := context.WithTimeout(ctx, result.Plan.Deadline)
 	defer cancel()
 	if keyed {
-		result.Response = f.forwardKeyed(boundedCtx, ctx, call, result, startedAt)
-	} else {
-		result.Response, _ = f.attemptCandidates(boundedCtx, call, result, startedAt, "")
-	}
-	f.Counter.Add(result, f.Now()-startedAt)
-	if result.Response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
-		result.Err = errs.New(errs.Code(result.Response.ErrorCode), callPlan.Service)
+		return f.forwardKeyed(boundedCtx, ctx, call, result, startedAt)
 	}
-	return result
+	response, _ := f.attemptCandidates(boundedCtx, call, result, startedAt, "")
+	return response
 }
 
-// newID names a request as no other proxy and no other life of this one does.
+// newID returns an id that no other proxy, and no other incarnation of this one, gives to a call.
 func (f *Forwarder) newID() string {
 	id := append(make([]byte, 0, 64), f.Name...)
 	id = strconv.AppendUint(append(id, '-'), f.Incarnation, 16)
 	return string(strconv.AppendUint(append(id, '-'), f.serial.Add(1), 16))
 }
 
+// makePlan makes a plan whose deadline leaves time for the way back to the caller.
 func (f *Forwarder) makePlan(request *plan.Request) (*plan.Plan, error) {
 	callPlan, err := plan.Make(f.View(), request, f.limits.Load().PlanOptions, f.local, f.Now(), f.Random)
 	if callPlan != nil {
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -58,7 +58,7 @@
 }
 
 // newScriptedForwarder makes a carrier with so many workers of a service, and a route of a class to it.
-func newScriptedForwarder(t *testing.T, workers int, route string, floor float64, script ...attemptScript) *scriptedForwarder {
+func newScriptedForwarder(t testing.TB, workers int, route string, floor float64, script ...attemptScript) *scriptedForwarder {
 	t.Helper()
 	item := func(kind, name, body string) *schema.Item {
 		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
@@ -265,3 +265,20 @@
 		}
 	})
 }
+
+// BenchmarkForward is a call whose first candidate answers: what a forwarder itself takes, without the network.
+func BenchmarkForward(b *testing.B) {
+	for _, class := range []string{"repeatable", "once"} {
+		b.Run(class, func(b *testing.B) {
+			forwarder := newScriptedForwarder(b, 5, `"class":"`+class+`"`, 9, answering)
+			call := &Call{Request: plan.Request{Caller: "c", Method: "GET", Path: "/x", Header: func(string) (string, bool) { return "", false }}, Target: "/x"}
+			b.ReportAllocs()
+			for b.Loop() {
+				forwarder.sent = forwarder.sent[:0]
+				if result := forwarder.Forward(context.Background(), call); result.Err != nil {
+					b.Fatal(result.Err)
+				}
+			}
+		})
+	}
+}
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -8,13 +8,8 @@
 	"meadowhinge/schema"
 )
 
-func notExecuted(code errs.Code, configRevision uint64) *schema.ForwardResponse {
-	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), Revision: configRevision}
-}
-
-func outcomeUnknown(code errs.Code) *schema.ForwardResponse {
-	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_UNKNOWN, ErrorCode: string(code)}
-}
+// minFailureStatus is the lowest HTTP status that counts as a worker's failure.
+const minFailureStatus = 500
 
 // outcomeNames are the outcomes as callers and operators see them.
 var outcomeNames = map[schema.CallOutcome]string{
@@ -23,32 +18,48 @@
 	schema.CallOutcome_CALL_OUTCOME_UNKNOWN:      "unknown",
 }
 
-// OutcomeName is an outcome as callers see it.
+// OutcomeName returns the name of an outcome as callers see it, empty for no known outcome.
 func OutcomeName(ending schema.CallOutcome) string { return outcomeNames[ending] }
 
-// withReachedWorker says of a refusal that it is a worker's own: the request came to it all the same.
+// notExecuted returns a refusal, which proves that nothing ran. A configRevision other than 0 tells the other side
+// by which configuration it was refused.
+func notExecuted(code errs.Code, configRevision uint64) *schema.ForwardResponse {
+	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), Revision: configRevision}
+}
+
+// outcomeUnknown returns the response to a request that may have run.
+func outcomeUnknown(code errs.Code) *schema.ForwardResponse {
+	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_UNKNOWN, ErrorCode: string(code)}
+}
+
+// withReachedWorker records in a refusal that it is the worker's own, so that it counts as an attempt there.
 func withReachedWorker(response *schema.ForwardResponse) *schema.ForwardResponse {
 	response.ReachedWorker = true
 	return response
 }
 
-// contextErrorCode names why a call's context has ended: its time is over, or its caller, or the proxy that took
-// the call, has left.
-func contextErrorCode(ctx context.Context) errs.Code {
-	if errors.Is(ctx.Err(), context.Canceled) {
-		return errs.CallerDisconnected
-	}
-	return errs.DeadlineExceeded
+// isFailure reports whether a request did not succeed: it was not answered, or with a failure status.
+func isFailure(response *schema.ForwardResponse) bool {
+	return response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || response.Status >= minFailureStatus
 }
 
-// isCanceled tells whether a dispatch ended because nobody waits for it any more. That says nothing of
-// its worker, of the version that runs there, or of the link.
+// isCanceled reports whether an attempt ended because its caller disconnected. That says nothing of the worker,
+// of the version that runs there, or of the network.
 func isCanceled(response *schema.ForwardResponse) bool {
 	return errs.Code(response.ErrorCode) == errs.CallerDisconnected
 }
 
-// isCapacityRefusal tells whether a call was refused for want of room or time, by who knows the worker best.
+// isCapacityRefusal reports whether a call was refused for lack of capacity or time by the worker or its proxy.
 func isCapacityRefusal(response *schema.ForwardResponse) bool {
 	code := errs.Code(response.ErrorCode)
 	return response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (code == errs.QueueFull || code == errs.DeadlineExceeded)
 }
+
+// contextErrorCode returns why a call's context has ended: its deadline has passed, or its caller, or the proxy
+// that received the call, has disconnected.
+func contextErrorCode(ctx context.Context) errs.Code {
+	if errors.Is(ctx.Err(), context.Canceled) {
+		return errs.CallerDisconnected
+	}
+	return errs.DeadlineExceeded
+}
--- a/internal/dispatch/outlier_detector.go
+++ b/internal/dispatch/outlier_detector.go
@@ -204,7 +204,7 @@
 		}
 		state.fullUntil.Store(int64(now + min(retryAfter, d.ejection())))
 	} else {
-		d.EndCall(instance, now, response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || response.Status >= 500)
+		d.EndCall(instance, now, isFailure(response))
 	}
 	state := d.stateOf(instance)
 	if response.Slots > 0 || response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED {
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -41,9 +41,6 @@
 // maxWorkCounts is how many lines of work a runner keeps.
 const maxWorkCounts = 1024
 
-// minFailureStatus is the least status with which a worker says that it failed.
-const minFailureStatus = 500
-
 // A call has run out of time where less than this part of what it was given is left, and far longer than
 // calls take where it ran for so many times its worker's pace.
 const (
--- a/internal/dispatch/update_waits.go
+++ b/internal/dispatch/update_waits.go
@@ -6,14 +6,13 @@
 
 	"meadowhinge/internal/config"
 	"meadowhinge/internal/plan"
-	"meadowhinge/schema"
 )
 
-// targetWaitDivisor is the part of the aim for which a call may wait for news of workers: refused
-// sooner than a fourth of it, a caller still has time to ask again.
+// targetWaitDivisor is the part of the latency target for which a call may wait for updates of the directory: a
+// caller refused within a fourth of it still has time to call again.
 const targetWaitDivisor = 8
 
-// configWaitDivisor is the part of the time left for which a setup is awaited that another proxy has.
+// configWaitDivisor is the part of the time left for which a call waits for a configuration that another proxy has.
 const configWaitDivisor = 2
 
 // awaitLease holds a call back for a moment: most gaps between leases are shorter than that.
@@ -23,15 +22,17 @@
 	return f.AwaitLease(waitCtx)
 }
 
+// assumedDeadline returns the time that a call likely has, where no plan can be made that would say so.
 func (f *Forwarder) assumedDeadline(request *plan.Request) time.Duration {
+	maxDeadline := f.limits.Load().PlanOptions.MaxDeadline
 	if request.CallerDeadline > 0 {
-		return min(request.CallerDeadline, f.limits.Load().PlanOptions.MaxDeadline)
+		return min(request.CallerDeadline, maxDeadline)
 	}
-	return f.limits.Load().PlanOptions.MaxDeadline / updateWaitDivisor
+	return maxDeadline / updateWaitDivisor
 }
 
-// awaitNewerConfig waits for a setup that another proxy is known to have: a proxy under a lease lags
-// only so far, so it is as good as here. If it does not come, its feed is to blame.
+// awaitNewerConfig waits for a configuration that another proxy is known to have. A proxy under a lease lags
+// only so far behind, so the configuration is about to arrive; if it does not, this proxy's stream is at fault.
 func (f *Forwarder) awaitNewerConfig(ctx context.Context, remaining time.Duration) {
 	newestRevision := f.newestRevision.Load()
 	if f.View().Config.Revision >= newestRevision {
@@ -43,7 +44,7 @@
 	shortCtx, cancelShort := context.WithTimeout(waitCtx, remaining/updateWaitDivisor)
 	f.AwaitView(shortCtx, isCurrent)
 	cancelShort()
-	// Others have had it for a while; of all calls that wait, one is enough to leave the feed.
+	// Others have had the revision for a while. Of all calls that wait for it, one reports the lag.
 	if !isCurrent(f.View()) && f.lagReportedRevision.Swap(newestRevision) != newestRevision {
 		f.OnConfigLag()
 	}
@@ -52,34 +53,23 @@
 	}
 }
 
-// awaitUntriedWorkers waits a moment for a worker not yet tried. Workers that are known and have no room
-// are no news: a caller turned away by them is told at once.
-func (f *Forwarder) awaitUntriedWorkers(ctx context.Context, result *CallResult, progress *callProgress, startedAt time.Duration, pinnedInstance string) bool {
-	if pinnedInstance != "" {
-		return false
-	}
-	hasUntried := func(view *plan.View) bool {
-		if view.Config.Revision != result.Plan.Verdict.ConfigRevision {
-			return true
-		}
-		service := view.Config.Services[result.Plan.Service]
-		for _, version := range [2]string{result.Plan.Verdict.Version, fallbackOf(service)} {
-			for i := range view.Directory[result.Plan.Service][version] {
-				if !progress.excluded[view.Directory[result.Plan.Service][version][i].Instance] {
-					return true
-				}
-			}
-		}
+// awaitUntriedWorkers waits a moment for a worker that the call has not tried, and reports whether there is one.
+// It does not wait where known workers refused for lack of capacity: their caller is refused at once.
+func (a *forwarding) awaitUntriedWorkers(ctx context.Context) bool {
+	if a.pinnedInstance != "" {
 		return false
 	}
+	// The condition holds only what it needs, so that the forwarding itself stays on the stack.
+	f, callPlan, excluded := a.forwarder, a.result.Plan, a.progress.excluded
+	hasUntried := func(view *plan.View) bool { return hasUntriedWorker(view, callPlan, excluded) }
 	if hasUntried(f.View()) {
 		return true
 	}
-	wait := (result.Plan.Deadline - (f.Now() - startedAt)) / updateWaitDivisor
-	if result.Plan.LatencyTarget > 0 {
-		wait = min(wait, result.Plan.LatencyTarget/targetWaitDivisor)
+	wait := a.remaining() / updateWaitDivisor
+	if callPlan.LatencyTarget > 0 {
+		wait = min(wait, callPlan.LatencyTarget/targetWaitDivisor)
 	}
-	if wait <= 0 || (progress.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && isCapacityRefusal(progress.lastResponse)) {
+	if wait <= 0 || isCapacityRefusal(a.progress.lastResponse) {
 		return false
 	}
 	waitCtx, cancel := context.WithTimeout(ctx, wait)
@@ -88,6 +78,24 @@
 	return hasUntried(f.View())
 }
 
+// hasUntriedWorker reports whether another plan by a view could have a candidate that is not excluded.
+func hasUntriedWorker(view *plan.View, callPlan *plan.Plan, excluded map[string]bool) bool {
+	if view.Config.Revision != callPlan.Verdict.ConfigRevision {
+		return true
+	}
+	service := view.Config.Services[callPlan.Service]
+	for _, version := range [2]string{callPlan.Verdict.Version, fallbackOf(service)} {
+		pool := view.Directory[callPlan.Service][version]
+		for i := range pool {
+			if !excluded[pool[i].Instance] {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// fallbackOf returns a service's fallback version, empty for a service that is not configured.
 func fallbackOf(service *config.Service) string {
 	if service == nil {
 		return ""
--- a/internal/dispatch/work_counts.go
+++ b/internal/dispatch/work_counts.go
@@ -69,7 +69,7 @@
 		}
 	}
 	c.totalNanos.Add(uint64(took))
-	if response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || response.Status >= 500 {
+	if isFailure(response) {
 		c.failures.Add(1)
 	} else {
 		c.histogram[release.LatencyBucket(took)].Add(1)
