--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -11,52 +11,57 @@
 	"meadowhinge/schema"
 )
 
-// Runner is the worker's side of a dispatch.
+// Runner is the worker's side of a call: it checks forward requests and runs them on the workers beside this proxy.
+// The exported fields are set before [NewRunner] and not changed afterwards; Run may then be called concurrently.
 type Runner struct {
 	Workers *Workers
-	View    func() *plan.View
-	// AwaitConfig waits a little for this proxy's setup to reach a sequence.
-	AwaitConfig func(ctx context.Context, sequence uint64)
-	// RevisionOutdated tells whether a setup was replaced here so long ago that no caller under a
-	// lease may still plan by it.
-	RevisionOutdated func(sequence uint64) bool
-	HasLease         func() bool
-	// ServeStale goes on by what is known here, however old: what is allowed here is not held up
-	// for a newer setup.
+	View    func() *plan.View // the current configuration and directory
+	// AwaitConfig waits until this proxy's configuration has reached a revision, or ctx ends.
+	AwaitConfig func(ctx context.Context, revision uint64)
+	// RevisionOutdated reports whether a configuration was replaced here so long ago that no proxy under a lease
+	// may still plan by it.
+	RevisionOutdated func(revision uint64) bool
+	HasLease         func() bool // whether this proxy may decide under the configuration that it has
+	// ServeStale serves by the configuration that is present, however old: a request that it allows does not wait
+	// for a newer one.
 	ServeStale bool
-	Now        func() time.Duration
-	WorkCounts *WorkCounts
-	// Outliers keeps what workers here came to, to be told with each answer; nil for not at all.
+	Now        func() time.Duration // the clock of the process
+	WorkCounts *WorkCounts          // nil for counts of the runner's own
+	// Outliers records the results of the workers here, which each response reports; nil for not at all.
 	Outliers *OutlierDetector
-	// Disconnects counts calls whose callers left; nil for not at all. A repeatable run may go on for
-	// MaxOverrun after that was known.
+	// Disconnects counts calls whose callers disconnect; nil for counts of the runner's own.
 	Disconnects *Disconnects
-	MaxOverrun  time.Duration
-	Codec       WorkerCodec // nil for our own
-	recentIDs   *RecentIDs
-	idempotency *IdempotencyCache
+	// MaxOverrun is how long an idempotent run may go on after its caller is known to have disconnected.
+	MaxOverrun time.Duration
+	Codec      WorkerCodec // nil for NativeCodec
+
+	recentIDs   *RecentIDs        // ids of requests that were checked here
+	idempotency *IdempotencyCache // results of non-idempotent requests under a key
 	reserved    *reservedAdmissions
 }
 
-// maxWorkCounts is how many lines of work a runner keeps.
+// maxWorkCounts is how many work counts a runner retains.
 const maxWorkCounts = 1024
 
-// A call has run out of time where less than this part of what it was given is left, and far longer than
-// calls take where it ran for so many times its worker's pace.
+// A run was truncated if it ended with less than 1/truncatedRunDivisor of its time left, unless it took
+// overdueFactor times its worker's service time.
 const (
 	truncatedRunDivisor = workerMarginDivisor / 2
 	overdueFactor       = 3
 )
 
-// updateWaitDivisor is the part of the time left that a dispatch may wait for news before it is refused.
+// updateWaitDivisor is the part of the time left that a request may wait for an update before it is refused.
 const updateWaitDivisor = 8
 
-// NewRunner keeps so many request ids and keys.
+// NewRunner returns a runner with the exported fields of another one. It retains as many request ids, and as many
+// idempotency keys, as maxRemembered says.
 func NewRunner(runner Runner, maxRemembered int) *Runner {
+	runner.recentIDs = NewRecentIDs(maxRemembered)
+	runner.idempotency = NewIdempotencyCache(maxRemembered)
+	runner.reserved = &reservedAdmissions{byRequest: map[string]*reservedAdmission{}}
 	if runner.Codec == nil {
 		runner.Codec = NativeCodec{}
 	}
-	runner.recentIDs, runner.idempotency, runner.reserved = NewRecentIDs(maxRemembered), NewIdempotencyCache(maxRemembered), &reservedAdmissions{byRequest: map[string]*reservedAdmission{}}
 	if runner.WorkCounts == nil {
 		runner.WorkCounts = NewWorkCounts(maxWorkCounts)
 	}
@@ -66,20 +71,22 @@
 	return &runner
 }
 
-// Run checks a dispatch and runs it once; every refusal here is proof that it was not run.
+// Run checks a request and runs it at most once. A response with the outcome "not executed" proves that it did not
+// run. Every response reports the worker's load, by which the caller's proxy picks endpoints for later calls.
 func (r *Runner) Run(ctx context.Context, peer transport.Peer, request *schema.ForwardRequest) *schema.ForwardResponse {
 	arrivedAt := r.Now()
 	response := r.checkAndRun(ctx, peer, request, arrivedAt)
 	response.Request = request.Request
-	// Whoever calls next does well to know how full the worker is.
 	running, waiting, slots, serviceTime := r.Workers.Load(request.Instance)
-	response.Running, response.Queued, response.Slots, response.ServiceTimeNanos = running, waiting, slots, int64(serviceTime)
+	response.Running, response.Queued, response.Slots = running, waiting, slots
+	response.ServiceTimeNanos = int64(serviceTime)
 	if r.Outliers != nil && slots > 0 {
 		response.RecentRuns, response.RecentFailures = r.Outliers.RunCounts(request.Instance, r.Now())
 	}
 	return response
 }
 
+// checkAndRun handles a request by its kind. The order of the checks is part of the contract.
 func (r *Runner) checkAndRun(ctx context.Context, peer transport.Peer, request *schema.ForwardRequest, arrivedAt time.Duration) *schema.ForwardResponse {
 	remaining := func() time.Duration { return time.Duration(request.TimeLeftNanos) - (r.Now() - arrivedAt) }
 	if !peer.MayCallAs(request.Caller) {
@@ -92,16 +99,30 @@
 		return notExecuted(errs.MalformedRequest, 0)
 	}
 	if request.RecallOnly {
-		// Nothing is run, so neither lease nor worker matters, only who asks.
-		boundedCtx, cancel := context.WithTimeout(ctx, remaining())
-		defer cancel()
-		return cloneResponse(r.idempotency.Recall(boundedCtx, idempotencyKey(request.Caller, request.Service, request.Route, request.IdempotencyKey), requestFingerprint(request.Target, request.Body)))
+		return r.recall(ctx, request, remaining())
 	}
-	// Noted before anything can refuse it: what is refused here as not run must not run when it
-	// comes a second time, by then perhaps under a lease again.
+	// The id is recorded before anything can refuse the request: a request that was refused as not executed must
+	// not run when it arrives a second time, by then perhaps under a lease again.
 	if !r.recentIDs.AddIfNew(request.Request) {
 		return outcomeUnknown(errs.DuplicateRequest)
 	}
+	if refusal := r.refuseBeforeRun(ctx, request, remaining); refusal != nil {
+		return refusal
+	}
+	return r.runOnce(ctx, request, arrivedAt, remaining)
+}
+
+// recall returns the result of a request under an idempotency key. Nothing is run, so neither the lease nor the
+// worker matters.
+func (r *Runner) recall(ctx context.Context, request *schema.ForwardRequest, remaining time.Duration) *schema.ForwardResponse {
+	boundedCtx, cancel := context.WithTimeout(ctx, remaining)
+	defer cancel()
+	fingerprint := requestFingerprint(request.Target, request.Body)
+	return cloneResponse(r.idempotency.Recall(boundedCtx, idempotencyKeyOf(request), fingerprint))
+}
+
+// refuseBeforeRun checks lease, configuration and worker. It returns the refusal, or nil if the request may run.
+func (r *Runner) refuseBeforeRun(ctx context.Context, request *schema.ForwardRequest, remaining func() time.Duration) *schema.ForwardResponse {
 	if !r.ServeStale {
 		r.awaitConfig(ctx, request, remaining())
 	}
@@ -114,7 +135,7 @@
 		return notExecuted(errs.StalePlan, view.Config.Revision)
 	}
 	if !isAllowed(view, request) {
-		// The setup that the plan was made from may be on its way here.
+		// The configuration that the plan was made from may be about to arrive.
 		r.awaitConfig(ctx, request, remaining())
 		if view = r.View(); !isAllowed(view, request) {
 			return notExecuted(errs.VersionNotAllowed, view.Config.Revision)
@@ -123,21 +144,33 @@
 	if _, _, refusal := r.Workers.find(request); refusal != "" {
 		return notExecuted(refusal, view.Config.Revision)
 	}
-	if request.NonIdempotent && request.IdempotencyKey != "" {
-		key := idempotencyKey(request.Caller, request.Service, request.Route, request.IdempotencyKey)
-		return cloneResponse(r.idempotency.Do(ctx, key, requestFingerprint(request.Target, request.Body), func(string) (*schema.ForwardResponse, string) {
-			return r.runOnWorker(ctx, request, arrivedAt, remaining), ""
-		}))
+	return nil
+}
+
+// runOnce runs a request, and one under an idempotency key only if the key has no result yet.
+func (r *Runner) runOnce(ctx context.Context, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
+	if !request.NonIdempotent || request.IdempotencyKey == "" {
+		return r.runOnWorker(ctx, request, arrivedAt, remaining)
 	}
-	return r.runOnWorker(ctx, request, arrivedAt, remaining)
+	fingerprint := requestFingerprint(request.Target, request.Body)
+	response := r.idempotency.Do(ctx, idempotencyKeyOf(request), fingerprint, func(string) (*schema.ForwardResponse, string) {
+		return r.runOnWorker(ctx, request, arrivedAt, remaining), ""
+	})
+	return cloneResponse(response)
+}
+
+// idempotencyKeyOf returns the idempotency key of a request, qualified by its caller, service and route.
+func idempotencyKeyOf(request *schema.ForwardRequest) string {
+	return idempotencyKey(request.Caller, request.Service, request.Route, request.IdempotencyKey)
 }
 
+// isAllowed reports whether the configuration allows the request's version and caller.
 func isAllowed(view *plan.View, request *schema.ForwardRequest) bool {
 	service := view.Config.Services[request.Service]
 	return service != nil && service.AllowsVersion(request.Version) && service.AllowsCaller(request.Caller)
 }
 
-// awaitConfig waits a little for the setup that a plan was made from, if it is not here yet.
+// awaitConfig waits a little for the configuration that a plan was made from, if it is not present yet.
 func (r *Runner) awaitConfig(ctx context.Context, request *schema.ForwardRequest, remaining time.Duration) {
 	if r.View().Config.Revision >= request.Revision {
 		return
@@ -147,22 +180,34 @@
 	r.AwaitConfig(boundedCtx, request.Revision)
 }
 
-// cloneResponse lets an answer from memory carry the id of the request it now answers.
+// cloneResponse copies a retained response, so that the copy can carry the id of the request that it answers.
 func cloneResponse(response *schema.ForwardResponse) *schema.ForwardResponse {
-	return &schema.ForwardResponse{Outcome: response.Outcome, ErrorCode: response.ErrorCode, Status: response.Status, HeaderBlock: response.HeaderBlock,
-		Body: response.Body, Length: response.Length, Checksum: response.Checksum, Revision: response.Revision}
+	return &schema.ForwardResponse{
+		Outcome:     response.Outcome,
+		ErrorCode:   response.ErrorCode,
+		Status:      response.Status,
+		HeaderBlock: response.HeaderBlock,
+		Body:        response.Body,
+		Length:      response.Length,
+		Checksum:    response.Checksum,
+		Revision:    response.Revision,
+	}
 }
 
-// admissionRequestOf is what a dispatch asks of the buffer before its worker.
+// admissionRequestOf returns what a forward request requires of its worker's queue.
 func admissionRequestOf(request *schema.ForwardRequest, arrivedAt time.Duration) AdmissionRequest {
-	admission := AdmissionRequest{Route: request.Route, Priority: request.Priority, Deadline: arrivedAt + time.Duration(request.TimeLeftNanos)}
+	admission := AdmissionRequest{
+		Route:    request.Route,
+		Priority: request.Priority,
+		Deadline: arrivedAt + time.Duration(request.TimeLeftNanos),
+	}
 	if request.LatencyTargetNanos != 0 {
 		admission.TargetAt = arrivedAt + time.Duration(request.LatencyTargetNanos)
 	}
 	return admission
 }
 
-// awaitAdmission lets a request wait for its turn; nil: it has it.
+// awaitAdmission waits until the worker's queue admits a request. It returns the refusal, or nil once admitted.
 func (r *Runner) awaitAdmission(ctx context.Context, worker *localWorker, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
 	admission, queued := worker.queue.Admit(r.Now(), admissionRequestOf(request, arrivedAt))
 	if queued != nil {
@@ -179,8 +224,8 @@
 	return response
 }
 
-// reserveAdmission answers an enquiry: it waits as the request would, and its turn is then kept for the request
-// for a part of the time left, so that no body comes which is then refused. Nothing is run.
+// reserveAdmission answers a capacity check. It waits for admission as the request itself would, and reserves the
+// admission for the request for a part of the time left, so that no body is sent only to be refused.
 func (r *Runner) reserveAdmission(ctx context.Context, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
 	worker, _, refusal := r.Workers.find(request)
 	if refusal != "" {
@@ -189,7 +234,7 @@
 	if refused := r.awaitAdmission(ctx, worker, request, arrivedAt, remaining); refused != nil {
 		return refused
 	}
-	// Nobody comes for a turn whose caller has left meanwhile.
+	// No request will follow if the caller has disconnected meanwhile.
 	if ctx.Err() != nil {
 		worker.queue.Release(r.Now(), "", ResultNotRun, 0)
 		return notExecuted(contextErrorCode(ctx), 0)
@@ -198,7 +243,7 @@
 	return notExecuted("", 0)
 }
 
-// runOnWorker lets a request wait for its turn, and gives it to the worker.
+// runOnWorker waits until a request is admitted, and sends it to the worker.
 func (r *Runner) runOnWorker(ctx context.Context, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
 	worker, _, refusal := r.Workers.find(request)
 	if refusal != "" {
@@ -211,8 +256,9 @@
 	}
 	startedAt, timeAllowed := r.Now(), remaining()
 	delivery := handover{result: ResultNotRun}
-	// From here on it is the worker's time, and its version's doing.
-	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, r.View().Config.VersionRevision(request.Service, request.Version))
+	// From here on the worker takes the time, and its version is accountable for the result.
+	revision := r.View().Config.VersionRevision(request.Service, request.Version)
+	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, revision)
 	caller := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
 	response := r.sendToWorker(ctx, worker, request, remaining, &delivery)
 	now := r.Now()
@@ -220,9 +266,11 @@
 	if delivery.result == ResultAnswered && response.Status >= minFailureStatus {
 		delivery.result = ResultFailed
 	}
-	// How a call would have ended that had not the time calls take is not known.
-	truncated := delivery.result != ResultAnswered && remaining() < timeAllowed/truncatedRunDivisor && now-startedAt < overdueFactor*worker.queue.ServiceTime()
-	if ran := response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED; ran && r.Outliers != nil && !truncated && !isCanceled(response) {
+	// How a call would have ended that lacked the time which calls take is not known.
+	truncated := delivery.result != ResultAnswered &&
+		remaining() < timeAllowed/truncatedRunDivisor &&
+		now-startedAt < overdueFactor*worker.queue.ServiceTime()
+	if r.Outliers != nil && mayHaveRun(response) && !truncated && !isCanceled(response) {
 		r.Outliers.RecordRun(request.Instance, now, delivery.result != ResultAnswered)
 	}
 	worker.queue.RecordAnswerSize(len(response.HeaderBlock) + len(response.Body))
@@ -231,7 +279,12 @@
 	return response
 }
 
-// recordDisconnect counts what became of a call whose caller left while it was handed over or run.
+// mayHaveRun reports whether a worker ran the request, or may have.
+func mayHaveRun(response *schema.ForwardResponse) bool {
+	return response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
+}
+
+// recordDisconnect counts what became of a call whose caller disconnected while it was sent to a worker or ran.
 func (r *Runner) recordDisconnect(watch *disconnectWatch, request *schema.ForwardRequest, response *schema.ForwardResponse, sentAt, now time.Duration) {
 	disconnectedAt, disconnected := watch.finish()
 	if disconnected && sentAt > disconnectedAt+r.MaxOverrun {
@@ -239,7 +292,7 @@
 	}
 	switch {
 	case !disconnected:
-	case response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED:
+	case !mayHaveRun(response):
 		r.Disconnects.Dequeued.Add(1)
 	case request.NonIdempotent:
 		r.Disconnects.RanToEnd.Add(1)
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -13,21 +13,62 @@
 	"meadowhinge/schema"
 )
 
-// workerMarginDivisor is the part of the time left that a worker is not given: its word that time ran
-// out for it then still comes, and the connection stays.
+// workerMarginDivisor is the part of the time left that a worker is not given, so that its own timeout response
+// still arrives and the connection can be used again.
 const workerMarginDivisor = 64
 
-// handover is how a request was handed to a worker.
+// handover is how a request was handed over to a worker.
 type handover struct {
 	result RunResult
 	sentAt time.Duration // when its first byte was sent, 0 for not at all
 }
 
-// sendToWorker gives a request to the worker; from the first byte on, it may have run.
+// sendToWorker sends a request to the worker. From its first byte on, the request may have run.
 func (r *Runner) sendToWorker(ctx context.Context, worker *localWorker, request *schema.ForwardRequest, remaining func() time.Duration, delivery *handover) *schema.ForwardResponse {
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	defer fasthttp.ReleaseResponse(httpResponse)
+	buildRequest(httpRequest, request)
+	hasLease, timeLeft := r.HasLease(), remaining()
+	token, refusal := r.revalidate(ctx, worker, request, hasLease, timeLeft)
+	if refusal != nil {
+		return refusal
+	}
+	registration := WorkerRegistration{
+		Instance: worker.instance,
+		Address:  worker.address,
+		Token:    token,
+		Service:  request.Service,
+		Version:  request.Version,
+	}
+	r.Codec.WriteHeaders(httpRequest, request, registration, timeLeft-timeLeft/workerMarginDivisor)
+	httpResponse.Header.DisableNormalizing()
+	httpResponse.Header.SetNoDefaultContentType(true)
+	x := exchange{
+		request:      httpRequest,
+		response:     httpResponse,
+		codec:        r.Codec,
+		forward:      request,
+		deadline:     time.Now().Add(timeLeft),
+		maxBodyBytes: r.Workers.options.MaxBodyBytes,
+		bodyMemory:   r.Workers.bodyMemory,
+		ctx:          ctx,
+	}
+	defer x.releaseMemory()
+	// A non-idempotent request runs to its end, whether or not its caller still waits.
+	if request.NonIdempotent {
+		x.ctx = context.WithoutCancel(ctx)
+	}
+	err := worker.conns.roundTrip(ctx, &x)
+	delivery.sentAt = x.sentAt
+	if err != nil {
+		return r.responseToError(ctx, worker, &x, err, timeLeft, remaining)
+	}
+	return r.responseOf(worker, &x, delivery)
+}
+
+// buildRequest fills in what is passed on to the worker as it came from the caller.
+func buildRequest(httpRequest *fasthttp.Request, request *schema.ForwardRequest) {
 	httpRequest.Header.DisableNormalizing()
 	httpRequest.Header.SetMethod(request.Method)
 	httpRequest.SetRequestURI(request.Target)
@@ -35,68 +76,68 @@
 		httpRequest.Header.AddBytesKV(name, value)
 	}
 	httpRequest.SetBodyRaw(request.Body)
-	hasLease, timeLeft := r.HasLease(), remaining()
-	// The registration is looked up last of all, so that a worker that left meanwhile gets nothing.
+}
+
+// revalidate looks the registration up last of all, so that a worker which deregistered meanwhile gets nothing. It
+// returns the worker's token, or the refusal. The order of the checks decides which refusal a caller sees.
+func (r *Runner) revalidate(ctx context.Context, worker *localWorker, request *schema.ForwardRequest, hasLease bool, timeLeft time.Duration) (string, *schema.ForwardResponse) {
 	current, token, refusal := r.Workers.find(request)
 	switch {
 	case refusal != "":
-		return notExecuted(refusal, 0)
+		return "", notExecuted(refusal, 0)
 	case current != worker:
-		return notExecuted(errs.WrongInstance, 0)
+		return "", notExecuted(errs.WrongInstance, 0)
 	case timeLeft <= 0 || ctx.Err() != nil:
-		return notExecuted(contextErrorCode(ctx), 0)
+		return "", notExecuted(contextErrorCode(ctx), 0)
 	case !hasLease:
-		return notExecuted(errs.NoLease, 0)
+		return "", notExecuted(errs.NoLease, 0)
 	}
-	r.Codec.WriteHeaders(httpRequest, request, WorkerRegistration{Instance: worker.instance, Address: worker.address, Token: token, Service: request.Service, Version: request.Version}, timeLeft-timeLeft/workerMarginDivisor)
-	httpResponse.Header.DisableNormalizing()
-	httpResponse.Header.SetNoDefaultContentType(true)
-	x := exchange{request: httpRequest, response: httpResponse, deadline: time.Now().Add(timeLeft), maxBodyBytes: r.Workers.options.MaxBodyBytes, bodyMemory: r.Workers.bodyMemory,
-		hasNoBody:  func(status int) bool { return hasNoBody(request.Method, status) },
-		readHeader: func(header *fasthttp.ResponseHeader) ResponseInfo { return r.Codec.ReadHeader(header, request) }}
-	defer x.releaseMemory()
-	x.ctx = ctx
-	// What may not be repeated runs to its end, whoever waits for it.
-	if request.NonIdempotent {
-		x.ctx = context.WithoutCancel(ctx)
-	}
-	err := worker.conns.roundTrip(ctx, &x)
-	delivery.sentAt = x.sentAt
-	switch code := errs.CodeOf(err); {
-	case err != nil && x.sentAt == 0 && ctx.Err() != nil:
+	return token, nil
+}
+
+// responseToError returns the response to a request whose exchange with the worker failed.
+func (r *Runner) responseToError(ctx context.Context, worker *localWorker, x *exchange, err error, timeLeft time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
+	code := errs.CodeOf(err)
+	switch {
+	case x.sentAt == 0 && ctx.Err() != nil:
 		return notExecuted(contextErrorCode(ctx), 0)
-	// A call that is given up as its time ends has run out of time, and that says something of its worker.
+	// A call that its caller gives up as its time ends has run out of time, and that does say something of the worker.
 	case code == errs.CallerDisconnected && remaining() <= timeLeft/truncatedRunDivisor:
 		return outcomeUnknown(errs.DeadlineExceeded)
-	case err != nil && code == errs.WorkerConnectFailed:
-		// Where nobody listens there is no worker any more; should there be, its next word tells.
+	case code == errs.WorkerConnectFailed:
+		// Where nobody listens there is no worker any more; should there be one, its next heartbeat registers it.
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			r.Workers.removeDisowned(worker)
 		}
 		return notExecuted(code, 0)
-	case err != nil:
-		return outcomeUnknown(code)
+	}
+	return outcomeUnknown(code)
+}
+
+// responseOf returns the response to a request that the worker answered or refused.
+func (r *Runner) responseOf(worker *localWorker, x *exchange, delivery *handover) *schema.ForwardResponse {
+	switch {
 	case x.info.WrongWorker:
 		r.Workers.removeDisowned(worker)
 		return withReachedWorker(notExecuted(errs.WrongInstance, 0))
 	case x.info.NotExecuted:
 		delivery.result = ResultRejected
 		return withReachedWorker(notExecuted(errs.QueueFull, 0))
-	case !r.Codec.ValidBody(&httpResponse.Header, x.body):
+	case !r.Codec.ValidBody(&x.response.Header, x.body):
 		return outcomeUnknown(errs.InvalidResponse)
 	}
 	delivery.result = ResultAnswered
-	response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: int32(httpResponse.StatusCode()), Body: x.body,
-		Length: uint64(len(x.body)), Checksum: crc32.ChecksumIEEE(x.body)}
-	for name, value := range httpResponse.Header.All() {
+	response := &schema.ForwardResponse{
+		Outcome:  schema.CallOutcome_CALL_OUTCOME_ANSWERED,
+		Status:   int32(x.response.StatusCode()),
+		Body:     x.body,
+		Length:   uint64(len(x.body)),
+		Checksum: crc32.ChecksumIEEE(x.body),
+	}
+	for name, value := range x.response.Header.All() {
 		if r.Codec.PassesHeader(name, true) {
 			response.HeaderBlock = AppendField(response.HeaderBlock, name, value)
 		}
 	}
 	return response
 }
-
-// hasNoBody answers have no body, whatever their headers say.
-func hasNoBody(method string, status int) bool {
-	return method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
-}
--- a/internal/dispatch/worker_exchange.go
+++ b/internal/dispatch/worker_exchange.go
@@ -17,42 +17,46 @@
 	"golang.org/x/sync/semaphore"
 
 	"meadowhinge/internal/errs"
+	"meadowhinge/schema"
 )
 
-// Bounds on what a worker sends beside the answer.
+// Bounds on what a worker sends besides the response.
 const (
-	maxInterimResponses = 16 // interim answers before the final one
-	maxStrayResponses   = 4  // whole answers to other requests
-	bodyChunkSize       = 1 << 16
-	maxHeaderBytes      = 16 << 10
+	maxInterimResponses = 16       // interim responses before the final one
+	maxStrayResponses   = 4        // complete responses to other requests
+	bodyChunkSize       = 1 << 16  // bytes; a larger body counts against bodyMemory
+	maxHeaderBytes      = 16 << 10 // bytes of a response header
 )
 
-// Buffers are borrowed for the time of an exchange, so that idle connections hold none.
+// Buffers are borrowed for the duration of an exchange, so that idle connections hold none.
 var (
 	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHeaderBytes) }}
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, 4<<10) }}
 )
 
-// exchange is one request to a worker and what became of it.
+// exchange is one request to a worker and what became of it. It belongs to the goroutine of the request.
 type exchange struct {
 	request      *fasthttp.Request
-	response     *fasthttp.Response
+	response     *fasthttp.Response // its header is valid once the exchange has succeeded; its body is not used
+	codec        WorkerCodec
+	forward      *schema.ForwardRequest // the request as it came from the caller's proxy
 	deadline     time.Time
-	maxBodyBytes int // bytes of a body
-	hasNoBody    func(status int) bool
-	readHeader   func(header *fasthttp.ResponseHeader) ResponseInfo
+	maxBodyBytes int                 // bytes of a body
+	bodyMemory   *semaphore.Weighted // for large bodies of all workers
 
-	bodyMemory *semaphore.Weighted // for large bodies
-
-	ctx           context.Context // ends when the run is to end
+	ctx           context.Context // ends when the run is to end, which may be later than the call
 	sentAt        time.Duration   // when the first byte of the request was sent, 0 for not at all
 	info          ResponseInfo
 	body          []byte
-	reservedBytes int64 // of the room
+	reservedBytes int64 // acquired from bodyMemory
+}
+
+// hasNoBody reports whether a response has no body, whatever its headers say.
+func (x *exchange) hasNoBody(status int) bool {
+	return x.forward.Method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// exchange sends a request and reads up to its answer; clean tells that the connection is as
-// good as new.
+// exchange sends a request and reads its response. reusable reports whether the connection can carry another request.
 func (c *workerConn) exchange(x *exchange) (reusable bool, err error) {
 	c.bytesSent = 0
 	writer := writerPool.Get().(*bufio.Writer)
@@ -66,7 +70,7 @@
 	if writeErr != nil && c.bytesSent == 0 {
 		return false, errs.Wrap(writeErr, transferErrorCode(writeErr), "sending")
 	}
-	// A worker that does not take a request to its end may have answered it all the same.
+	// A worker that does not read a request to its end may have answered it all the same.
 	reader := readerPool.Get().(*bufio.Reader)
 	reader.Reset(c.Conn)
 	defer func() {
@@ -77,25 +81,25 @@
 		if err := x.readFinalHeader(reader); err != nil {
 			return false, err
 		}
-		x.info = x.readHeader(&x.response.Header)
+		x.info = x.codec.ReadHeader(&x.response.Header, x.forward)
 		err := x.readBody(reader)
-		// An answer to another request, which came late, is passed over as a whole.
+		// A late response to another request is skipped.
 		if x.info.WrongRequest && err == nil && strays < maxStrayResponses {
 			continue
 		}
 		if x.info.WrongRequest {
 			return false, errs.New(errs.InvalidResponse, "answers another request")
 		}
-		// That it did not run holds, however little comes after that word.
+		// A header that says that the request did not run is enough, whatever becomes of the body.
 		if err != nil && !x.info.NotExecuted && !x.info.WrongWorker {
 			return false, err
 		}
-		// Bytes after a whole answer belong to no request, so the connection goes with them.
+		// Bytes after a complete response belong to no request, so the connection is closed.
 		return err == nil && writeErr == nil && strays == 0 && !x.info.ClosesConnection && reader.Buffered() == 0, nil
 	}
 }
 
-// readFinalHeader reads the head of a final answer.
+// readFinalHeader reads the header of the final response, past interim ones.
 func (x *exchange) readFinalHeader(reader *bufio.Reader) error {
 	for range maxInterimResponses {
 		if err := x.response.Header.Read(reader); err != nil {
@@ -112,13 +116,13 @@
 	return errs.New(errs.InvalidResponse, "no final answer")
 }
 
-// readBody reads the body that belongs to a head.
+// readBody reads the body that belongs to the header.
 func (x *exchange) readBody(reader *bufio.Reader) error {
 	x.body = nil
 	header := &x.response.Header
 	const (
 		inChunks = -1
-		toTheEnd = -2 // of its connection
+		toTheEnd = -2 // up to the end of the connection
 	)
 	length := header.ContentLength()
 	switch {
@@ -134,8 +138,8 @@
 	return x.readMore(reader, length, length)
 }
 
-// readToClose reads a body that ends when its connection does. It is whole if the worker closed the
-// connection, and cut short if the connection was reset or time ran out.
+// readToClose reads a body that ends with its connection. It is complete if the worker closed the connection, and
+// truncated if the connection was reset or time ran out.
 func (x *exchange) readToClose(reader *bufio.Reader) error {
 	for {
 		_, err := reader.Peek(1)
@@ -153,14 +157,14 @@
 	}
 }
 
-// readChunks reads a body that comes in chunks, up to the end of its tail.
+// readChunks reads a body in chunked encoding, with its trailer.
 func (x *exchange) readChunks(reader *bufio.Reader, header *fasthttp.ResponseHeader) error {
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
 			return errs.Wrap(err, transferErrorCode(err), "size of a chunk")
 		}
-		// Extensions of a chunk mean nothing to us.
+		// Chunk extensions are ignored.
 		digits, _, _ := bytes.Cut(bytes.TrimSuffix(bytes.TrimSuffix(line, []byte{'\n'}), []byte{'\r'}), []byte{';'})
 		size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 31)
 		switch {
@@ -176,13 +180,13 @@
 		if end, err := reader.Peek(2); err != nil || end[0] != '\r' || end[1] != '\n' {
 			return errs.Wrap(errors.Join(err, io.ErrUnexpectedEOF), errs.InvalidResponse, "end of a chunk")
 		}
-		_, _ = reader.Discard(2)
+		_, _ = reader.Discard(2) // cannot fail: Peek has buffered both bytes
 	}
 }
 
-// readMore reads so much more of a body that may come to all in all. Large ones take memory only as
-// they come in, for that they are said to be large proves nothing; and only as far as there is
-// room for what all workers here answer at once, or they wait where they are.
+// readMore reads length more bytes of a body of at most limit bytes. The buffer grows as bytes arrive, because an
+// announced length proves nothing. A large body first acquires its limit from bodyMemory, and waits, unread, while
+// the bodies of all workers together take up too much.
 func (x *exchange) readMore(reader *bufio.Reader, length, limit int) error {
 	for target := len(x.body) + length; len(x.body) < target; {
 		if len(x.body) == cap(x.body) {
@@ -206,7 +210,7 @@
 	return nil
 }
 
-// releaseMemory gives back the room that a body took.
+// releaseMemory returns what the body acquired from bodyMemory.
 func (x *exchange) releaseMemory() {
 	if x.reservedBytes > 0 {
 		x.bodyMemory.Release(x.reservedBytes)
@@ -214,8 +218,8 @@
 	}
 }
 
-// transferErrorCode tells of what is left open whether time ran out, the connection ended, or what came
-// was no answer.
+// transferErrorCode returns why a request or response was not transferred completely: the time ran out, the
+// connection ended, or what arrived is no valid response.
 func transferErrorCode(err error) errs.Code {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, fasthttp.ErrTimeout):
