--- a/internal/dispatch/worker_description.go
+++ b/internal/dispatch/worker_description.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// WorkerDescription is what a worker says of itself, every few seconds and when it leaves.
+// WorkerDescription is what a worker reports of itself, with every heartbeat and when it deregisters.
 type WorkerDescription struct {
-	Address      string  `json:"address"` // where it takes requests
+	Address      string  `json:"address"` // IP:port where the worker takes requests
 	Service      string  `json:"service"`
 	Version      string  `json:"version"`
-	Zone         string  `json:"area,omitempty"`
-	Load         float64 `json:"load"`
-	Draining     bool    `json:"leaving"`
+	Zone         string  `json:"area,omitempty"` // empty for the zone of its proxy
+	Load         float64 `json:"load"`           // additional load, by which a worker without slots gets fewer calls
+	Draining     bool    `json:"leaving"`        // the worker takes no new requests
 	Deregistered bool    `json:"gone"`
-	Token        string  `json:"token"`  // handed back with each request, so that the worker knows it was meant
-	HeartbeatMS  int64   `json:"beatMs"` // how often it describes itself
+	Token        string  `json:"token"`  // passed back with each request, so that the worker knows that it is meant
+	HeartbeatMS  int64   `json:"beatMs"` // heartbeat interval
 
-	// ID is the worker's own, another for each of its lives. With it the registration is the
-	// same wherever and however often it is told, and it stands in place of the token.
+	// ID is the worker's own, another one for each of its incarnations. It makes the registration the same at
+	// whichever proxy and however often the worker registers, and takes the place of the token.
 	ID       string `json:"id,omitempty"`
-	Serial   uint64 `json:"serial,omitempty"` // grows with every description; one that comes late changes nothing
-	Slots    uint32 `json:"slots,omitempty"`  // requests it works on at once
-	WarmupMS int64  `json:"warmMs,omitempty"` // how long it is still slow after its start
+	Serial   uint64 `json:"serial,omitempty"` // grows with every description, so that a late one is recognized
+	Slots    uint32 `json:"slots,omitempty"`  // requests that the worker runs at once, 0 for not reported
+	WarmupMS int64  `json:"warmMs,omitempty"` // remaining slow start
 }
 
-// token is what the worker knows a request by that is meant for it.
+// token returns what a request to the worker carries, by which the worker knows that it is meant.
 func (d *WorkerDescription) token() string {
 	if d.ID != "" {
 		return d.ID
@@ -35,17 +35,17 @@
 	return d.Token
 }
 
-// Bounds on a description.
+// Bounds on descriptions, and on what is retained of them.
 const (
 	maxNameBytes         = 64
 	maxTokenBytes        = 128
 	maxSlots             = 1 << 16
 	maxHeartbeatInterval = time.Minute
-	deregisteredRetained = 1024
-	minBodyMemory        = 64 << 20
+	deregisteredRetained = 1024     // ids of workers that have deregistered
+	minBodyMemory        = 64 << 20 // bytes
 )
 
-// Validate lists all that is wrong with a description.
+// Validate returns all that is wrong with a description, sorted; nil if it is valid.
 func (d *WorkerDescription) Validate() []string {
 	var faults []string
 	if address, err := netip.ParseAddrPort(d.Address); err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
