--- a/internal/dispatch/service_time_estimate.go
+++ b/internal/dispatch/service_time_estimate.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// serviceTimeEstimate is how long requests take, of late, and which part of the worker's time is theirs.
+// serviceTimeEstimate is how long requests take, and which part of the worker's time they use. The lock of the
+// WorkerQueue guards it.
 type serviceTimeEstimate struct {
-	mean         time.Duration
-	deviation    time.Duration // how far from the mean they commonly are
-	known        bool
-	priority     uint32
-	timeFraction float64
-	updatedAt    time.Duration // as of when
+	mean         time.Duration // moving mean
+	deviation    time.Duration // moving mean of the distance from it
+	known        bool          // at least one request was measured
+	priority     uint32        // of the route's last request
+	timeFraction float64       // of the worker's time, as of updatedAt
+	updatedAt    time.Duration
 }
 
-// timeFractionAt is the part of the worker's time at a moment; it fades over a span.
+// timeFractionAt returns the part of the worker's time at a moment. It decays to 1/e in a window.
 func (e *serviceTimeEstimate) timeFractionAt(now, window time.Duration) float64 {
 	if window <= 0 || now <= e.updatedAt {
 		return e.timeFraction
@@ -23,7 +24,7 @@
 	return e.timeFraction * math.Exp(-float64(now-e.updatedAt)/float64(window))
 }
 
-// expectedServiceTime is how long a request of a route takes, and by how much it may well be longer.
+// expectedServiceTime returns how long a request of a route takes, and by how much it may well take longer.
 func (q *WorkerQueue) expectedServiceTime(route string) (mean, deviation time.Duration) {
 	if estimate := q.byRoute[route]; estimate != nil {
 		return estimate.mean, estimate.deviation
@@ -31,6 +32,7 @@
 	return q.overall.mean, q.overall.deviation
 }
 
+// recordServiceTime updates the estimates with a request that has run. The caller holds the lock.
 func (q *WorkerQueue) recordServiceTime(now time.Duration, route string, took time.Duration) {
 	if len(q.byRoute) >= maxRoutes {
 		clear(q.byRoute)
@@ -48,5 +50,6 @@
 		estimate.mean += (took - estimate.mean) / averagingDivisor
 	}
 	window := fractionWindowFactor * q.overall.mean
-	routeEstimate.timeFraction, routeEstimate.updatedAt = routeEstimate.timeFractionAt(now, window)+float64(took)/float64(q.limit())/float64(window), now
+	routeEstimate.timeFraction = routeEstimate.timeFractionAt(now, window) + float64(took)/float64(q.limit())/float64(window)
+	routeEstimate.updatedAt = now
 }
--- a/internal/dispatch/worker_queue.go
+++ b/internal/dispatch/worker_queue.go
@@ -3,101 +3,104 @@
 import (
 	"context"
 	"math"
+	"slices"
 	"sync"
 	"time"
 
 	"meadowhinge/internal/errs"
 )
 
-// WorkerQueue is what waits for one worker at the proxy beside it. That proxy is the only way to the
-// worker, so it knows exactly how much the worker has at hand: it gives it no more than it can
-// work on, lets the rest wait in an order, and refuses at once what would be answered too late.
-// What it refuses was never handed over.
+// WorkerQueue queues the requests for one worker at the proxy beside it. That proxy is the only way to the worker,
+// so it knows how much work the worker has: it sends the worker no more than it can work on, keeps the rest in
+// order, and refuses at once what would be answered too late. A refused request was never sent to the worker.
 type WorkerQueue struct {
-	lock                sync.Mutex
-	maxRunning          int // handed over at once, whatever the worker says
-	slots               int // that the worker works on at once, 0 for not told
-	reducedLimit        int // handed over at once since the worker turned something away, 0 for no such bound
-	answersSinceReduced int // answers since then
-	running             int
-	lastProgressAt      time.Duration    // when something was handed over or ended last
-	waiting             []*QueuedRequest // by rank, then by when each must start
-	closedReason        errs.Code
+	maxRunning int     // requests sent to the worker at once, whatever the worker reports
+	uplink     *Uplink // that responses leave by, nil if its bandwidth is not known
+
+	lock                sync.Mutex // guards the fields below
+	slots               int        // requests that the worker works on at once, 0 for not reported
+	reducedLimit        int        // bound on running since the worker rejected a request, 0 for none
+	answersSinceReduced int        // answers since the bound last changed
+	running             int        // admitted and not released
+	lastProgressAt      time.Duration
+	waiting             []*QueuedRequest // in the order of goesBefore
+	closedReason        errs.Code        // refuses all requests, empty while the queue is open
 	overall             serviceTimeEstimate
 	byRoute             map[string]*serviceTimeEstimate
-	uplink              *Uplink       // that answers leave by
-	answerTransferTime  time.Duration // that one takes on it, of late
+	answerTransferTime  time.Duration // moving mean of the time that an answer takes on the uplink
 }
 
-// AdmissionRequest is a request that wants to be handed over.
+// AdmissionRequest is a request that waits to be sent to the worker. Times are on the clock of the process.
 type AdmissionRequest struct {
 	Route    string
-	Priority uint32        // 0 goes first
-	TargetAt time.Duration // until when an answer is worth most, 0 for no such time
-	Deadline time.Duration // until when it is worth anything
+	Priority uint32        // 0 is the highest
+	TargetAt time.Duration // latency target: an answer is worth most until then, 0 for none
+	Deadline time.Duration // an answer is worth nothing after it
 }
 
-// Admission is what a request is told: to go, or why not and when to come back.
+// Admission is the queue's decision on a request.
 type Admission struct {
-	Refusal    errs.Code // empty: it is its turn
-	RetryAfter time.Duration
+	Refusal    errs.Code     // empty: the request is admitted
+	RetryAfter time.Duration // when capacity is expected, from now; 0 for not known
 }
 
-// QueuedRequest is a request that waits for its turn.
+// QueuedRequest is a request that waits for admission.
 type QueuedRequest struct {
-	Admission   chan Admission // has room, so that nobody waits to tell it
+	Admission   chan Admission // buffered, so that the queue never blocks on it
 	request     AdmissionRequest
 	arrivedAt   time.Duration
-	serviceTime time.Duration // that it is likely to take
+	serviceTime time.Duration // that the request is expected to take
 	deviation   time.Duration // by which it may well take longer
-	latestStart time.Duration // when it must start at the latest to be answered in time
+	latestStart time.Duration // when it must start to be answered in time
 }
 
-// cost is the worker's time that a request takes, against what its rank is worth.
+// cost is the worker's time that a request takes, weighted by its priority.
 func (q *QueuedRequest) cost() float64 { return priorityCost(q.serviceTime, q.request.Priority) }
 
 func priorityCost(serviceTime time.Duration, priority uint32) float64 {
 	return float64(serviceTime) * math.Pow(priorityFactor, float64(priority))
 }
 
-// goesBefore tells who goes first: whoever costs less of the worker's time for its rank, so that where
-// not all can be served the most are, and what other work waits for is not turned away; of a
-// kind, whoever must start earlier.
+// goesBefore reports whether a request goes before another one. First is the one that costs less of the worker's
+// time for its priority: so as many as possible are served where not all can be, and a route that other work waits
+// for is not refused. Of the same route and priority, first is the one that must start earlier.
 func (q *QueuedRequest) goesBefore(other *QueuedRequest) bool {
-	if ownCost, otherCost := q.cost(), other.cost(); ownCost != otherCost && (q.request.Route != other.request.Route || q.request.Priority != other.request.Priority) {
+	sameKind := q.request.Route == other.request.Route && q.request.Priority == other.request.Priority
+	if ownCost, otherCost := q.cost(), other.cost(); ownCost != otherCost && !sameKind {
 		return ownCost < otherCost
 	}
 	return q.latestStart <= other.latestStart
 }
 
-// Ratios of the buffer.
+// Ratios of the queue.
 const (
-	overlapDivisor        = 16   // besides one, this part of the slots is handed over ahead, to hide the way there
-	averagingDivisor      = 8    // each answer moves the mean by this part
-	displaceDivisor       = 4    // of the time to its aim, after which a request that waits is not sent elsewhere any more
-	increaseAfterFactor   = 2    // answers, as a multiple of what is handed over, after which one more is tried
-	unmeasuredQueueFactor = 2    // requests that may wait for each that runs, while it is not known how long they take
-	shortRequestFactor    = 2    // a request is short that takes this part of the mean
-	priorityFactor        = 2    // a rank is worth this many times the one below it
-	fractionWindowFactor  = 32   // the mean, over which it is reckoned whose the worker's time is
-	maxPrecedingFraction  = 0.95 // of its time that those who go first are reckoned with at the most
-	maxWaitNumerator      = 3    // parts of the time left, out of the next number, that a request waits at the most
+	overlapDivisor        = 16   // besides one, this part of the slots is sent ahead, to hide the network's latency
+	averagingDivisor      = 8    // each answer moves a mean by this part
+	displaceDivisor       = 4    // after this part of the time to its target, a waiting request is not refused any more
+	increaseAfterFactor   = 2    // a reduced limit grows by one after this many answers for each request in it
+	unmeasuredQueueFactor = 2    // requests that may wait for each that runs, while service times are not known
+	shortRequestFactor    = 2    // a request is short if it takes this part of the mean
+	priorityFactor        = 2    // a priority is worth this many times the next lower one
+	fractionWindowFactor  = 32   // mean service times in the window over which a route's part of the worker's time is measured
+	maxPrecedingFraction  = 0.95 // upper bound on the part of the worker's time that goes to routes that precede
+	maxWaitNumerator      = 3    // a request waits for at most 3/8 of its time left, so that another worker can still serve it
 	maxWaitDenominator    = 8
-	maxRoutes             = 1024
+	maxRoutes             = 1024 // routes with an estimate of their own
 )
 
-// NewWorkerQueue hands over at most so many at once.
+// NewWorkerQueue returns the queue of a worker that gets at most maxRunning requests at once and has reported the
+// given slots, 0 for not reported.
 func NewWorkerQueue(maxRunning, slots int) *WorkerQueue {
 	return &WorkerQueue{maxRunning: maxRunning, slots: slots, byRoute: map[string]*serviceTimeEstimate{}}
 }
 
-// withUplink has the answers leave by a link.
+// withUplink limits running requests by the bandwidth that their answers need. It is called before the queue is used.
 func (q *WorkerQueue) withUplink(uplink *Uplink) *WorkerQueue {
 	q.uplink = uplink
 	return q
 }
 
-// limit is how many are handed over at once.
+// limit returns how many requests may run at once. The caller holds the lock.
 func (q *WorkerQueue) limit() int {
 	limit := q.maxRunning
 	if q.slots > 0 {
@@ -106,21 +109,21 @@
 	if q.reducedLimit > 0 {
 		limit = min(limit, q.reducedLimit)
 	}
-	// More answers than the link carries away would only wait there, where none goes before another.
+	// More answers than the uplink can send would only wait there, in no order of priority.
 	if q.answerTransferTime > 0 && q.overall.known {
 		limit = min(limit, 1+int(q.uplinkBacklogTarget()/q.answerTransferTime))
 	}
 	return max(1, limit)
 }
 
-// uplinkBacklogTarget is how much of the link's time answers that are under way may take: what keeps it busy
-// while the next ones are worked on.
+// uplinkBacklogTarget is how much of the uplink's time the answers under way may take: enough to keep it busy while
+// the next requests run.
 func (q *WorkerQueue) uplinkBacklogTarget() time.Duration {
 	return q.overall.mean + q.overall.mean/overlapDivisor
 }
 
-// hasCapacity tells whether one more may be handed over. What is on the link already leaves so much less
-// for answers; but one is always under way, whose end gives the next their turn.
+// hasCapacity reports whether one more request may run. The uplink's backlog counts against the answers, but one
+// request may always run, because its end admits the next. The caller holds the lock.
 func (q *WorkerQueue) hasCapacity() bool {
 	switch {
 	case q.running == 0:
@@ -131,14 +134,14 @@
 	return q.answerTransferTime == 0 || q.uplink.Backlog()+time.Duration(q.running)*q.answerTransferTime <= q.uplinkBacklogTarget()
 }
 
-// expectedWait is how long a request has to wait before which there is so much work. A worker that is
-// full and ends nothing may go on so for as long as it has already.
+// expectedWait returns how long a request waits behind work that takes the worker so long. A worker that is full and
+// completes nothing is assumed to go on like this for as long as it has already.
 func (q *WorkerQueue) expectedWait(now, workAhead time.Duration) time.Duration {
 	return max((q.overall.mean+workAhead)/time.Duration(q.limit()), now-q.lastProgressAt)
 }
 
-// expectedWaitBehind is how long a request has to wait that goes behind so much work, and behind whoever
-// comes meanwhile and goes first.
+// expectedWaitBehind returns how long a request waits behind the work ahead, and behind requests of other routes that
+// arrive meanwhile and go before it.
 func (q *WorkerQueue) expectedWaitBehind(now time.Duration, queued *QueuedRequest, workAhead time.Duration) time.Duration {
 	precedingFraction, cost := 0.0, queued.cost()
 	for route, estimate := range q.byRoute {
@@ -149,7 +152,7 @@
 	return time.Duration(float64(q.expectedWait(now, workAhead)) / (1 - min(precedingFraction, maxPrecedingFraction)))
 }
 
-// answerBy is when a request should be answered.
+// answerBy returns when a request should be answered.
 func (r *AdmissionRequest) answerBy() time.Duration {
 	if r.TargetAt != 0 {
 		return min(r.TargetAt, r.Deadline)
@@ -157,8 +160,8 @@
 	return r.Deadline
 }
 
-// lateness is how much too late a request would be answered that had to wait so long. What is short
-// by the measure of the others is better served late: little room is won by turning it away.
+// lateness returns by how much a request would be answered too late after a wait, 0 or less for in time. A request
+// that is short compared to the others may use its whole deadline: refusing it would free little capacity.
 func (q *WorkerQueue) lateness(now time.Duration, queued *QueuedRequest, wait time.Duration) time.Duration {
 	answerBy := queued.request.answerBy()
 	if queued.serviceTime*shortRequestFactor <= q.overall.mean {
@@ -167,7 +170,8 @@
 	return now + wait + queued.serviceTime + queued.deviation + q.uplink.Backlog() - answerBy
 }
 
-// Admit gives a request its turn, lets it wait, or refuses it.
+// Admit admits a request, queues it, or refuses it. If it is queued, the decision comes over the returned
+// request's Admission, and the caller must [WorkerQueue.Wait] for it. Each admitted request must be released.
 func (q *WorkerQueue) Admit(now time.Duration, request AdmissionRequest) (Admission, *QueuedRequest) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -177,53 +181,69 @@
 	case now >= request.Deadline:
 		return Admission{Refusal: errs.DeadlineExceeded}, nil
 	case q.hasCapacity() && len(q.waiting) == 0:
-		q.running, q.lastProgressAt = q.running+1, now
+		q.running++
+		q.lastProgressAt = now
 		return Admission{}, nil
 	}
+	queued := q.newQueuedRequest(now, request)
+	position, workAhead := q.position(queued)
+	if !q.overall.known {
+		if q.slots == 0 || position >= unmeasuredQueueFactor*q.limit() {
+			return Admission{Refusal: errs.QueueFull}, nil
+		}
+	} else if lateness := q.lateness(now, queued, q.expectedWaitBehind(now, queued, workAhead)); lateness > 0 || q.slots == 0 {
+		return q.refuseFull(now, lateness), nil
+	}
+	queued.Admission = make(chan Admission, 1)
+	q.waiting = slices.Insert(q.waiting, position, queued)
+	q.displace(now, position+1, workAhead+queued.serviceTime)
+	return Admission{}, queued
+}
+
+// newQueuedRequest returns a request with what its route's estimates say of it.
+func (q *WorkerQueue) newQueuedRequest(now time.Duration, request AdmissionRequest) *QueuedRequest {
 	queued := &QueuedRequest{request: request, arrivedAt: now}
 	queued.serviceTime, queued.deviation = q.expectedServiceTime(request.Route)
 	if estimate := q.byRoute[request.Route]; estimate != nil {
 		estimate.priority = request.Priority
 	}
 	queued.latestStart = request.answerBy() - (queued.serviceTime + queued.deviation)
-	position, workAhead := 0, time.Duration(0)
+	return queued
+}
+
+// position returns where a request goes in the queue, and the worker's time that the requests before it take.
+func (q *WorkerQueue) position(queued *QueuedRequest) (position int, workAhead time.Duration) {
 	for position < len(q.waiting) && q.waiting[position].goesBefore(queued) {
 		workAhead += q.waiting[position].serviceTime
 		position++
 	}
-	if !q.overall.known {
-		if q.slots == 0 || position >= unmeasuredQueueFactor*q.limit() {
-			return Admission{Refusal: errs.QueueFull}, nil
-		}
-	} else if lateness := q.lateness(now, queued, q.expectedWaitBehind(now, queued, workAhead)); lateness > 0 || q.slots == 0 {
-		return Admission{Refusal: errs.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}, nil
-	}
-	queued.Admission = make(chan Admission, 1)
-	q.waiting = append(q.waiting, nil)
-	copy(q.waiting[position+1:], q.waiting[position:])
-	q.waiting[position] = queued
-	q.displace(now, position+1, workAhead+queued.serviceTime)
-	return Admission{}, queued
+	return position, workAhead
 }
 
-// displace refuses those from a place on that now would come too late, for as long as they can
-// well go elsewhere: who has waited long is better served late than not at all.
+// refuseFull refuses a request that would be late, until its lateness, and the work that is running, are over.
+func (q *WorkerQueue) refuseFull(now, lateness time.Duration) Admission {
+	return Admission{Refusal: errs.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}
+}
+
+// displace refuses the requests from an index on that would now be late, for as long as they have good prospects at
+// another worker: a request that has waited long is better served late than not at all.
 func (q *WorkerQueue) displace(now time.Duration, from int, workAhead time.Duration) {
 	retained := q.waiting[:from]
 	for _, queued := range q.waiting[from:] {
 		lateness := q.lateness(now, queued, q.expectedWaitBehind(now, queued, workAhead))
 		if lateness > 0 && now-queued.arrivedAt <= (queued.request.answerBy()-queued.arrivedAt)/displaceDivisor {
-			queued.Admission <- Admission{Refusal: errs.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}
+			queued.Admission <- q.refuseFull(now, lateness)
 			continue
 		}
-		retained, workAhead = append(retained, queued), workAhead+queued.serviceTime
+		retained = append(retained, queued)
+		workAhead += queued.serviceTime
 	}
 	clear(q.waiting[len(retained):])
 	q.waiting = retained
 }
 
-// Remove takes out a request that need not wait any more. False if it was told meanwhile: then
-// what it was told waits for it.
+// Remove removes a request that does not wait any more. It returns false if the request is not queued, because the
+// decision has been made: then the decision is in its Admission.
 func (q *WorkerQueue) Remove(queued *QueuedRequest) bool {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -236,8 +256,8 @@
 	return false
 }
 
-// Wait waits for a request's turn, but not for so much of the time left that nobody else could
-// do anything with the rest.
+// Wait waits for the decision on a queued request, but only for a part of the time left, so that another worker can
+// still serve the request in the rest.
 func (q *WorkerQueue) Wait(ctx context.Context, queued *QueuedRequest, remaining time.Duration) Admission {
 	timer := time.NewTimer(remaining * maxWaitNumerator / maxWaitDenominator)
 	defer timer.Stop()
@@ -255,42 +275,52 @@
 	return <-queued.Admission
 }
 
-// RunResult is what became of a request that had its turn.
+// RunResult is what became of a request that was admitted.
 type RunResult int
 
-// The results that count.
+// The results that the queue distinguishes.
 const (
-	ResultNotRun   RunResult = iota // it was not handed over, or not to its end
+	ResultNotRun   RunResult = iota // it was not sent to the worker, or did not complete
 	ResultAnswered                  // it ran to its end
-	ResultRejected                  // the worker turned it away
+	ResultRejected                  // the worker rejected it
 	ResultFailed                    // it ran, and its answer is a failure
 )
 
-// Release notes that a request which had its turn is over, and gives the next ones theirs.
+// Release ends an admission after the time that it took, and admits the next requests. The route may be empty if the
+// result is ResultNotRun.
 func (q *WorkerQueue) Release(now time.Duration, route string, result RunResult, took time.Duration) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
-	q.running, q.lastProgressAt = q.running-1, now
+	q.running--
+	q.lastProgressAt = now
 	switch result {
 	case ResultAnswered, ResultFailed:
-		// A quick failure says nothing of how long calls take: by it, who fails would look the quickest.
+		// A quick failure says nothing of how long requests take: it would make a failing worker look fast.
 		if mean, _ := q.expectedServiceTime(route); result == ResultAnswered || took >= mean {
 			q.recordServiceTime(now, route, took)
 		}
-		// After it turned something away, the worker gets one more at a time until it is full again.
-		if q.answersSinceReduced++; q.reducedLimit > 0 && q.answersSinceReduced >= increaseAfterFactor*q.reducedLimit {
-			q.answersSinceReduced = 0
-			if q.reducedLimit++; q.reducedLimit > q.slots {
-				q.reducedLimit = 0
-			}
-		}
+		q.raiseReducedLimit()
 	case ResultRejected:
 		q.reducedLimit, q.answersSinceReduced = max(1, q.running), 0
 	}
 	q.admitNext(now)
 }
 
-// RecordAnswerSize notes how many bytes an answer had.
+// raiseReducedLimit lets one more request run after enough answers: since it rejected a request, the worker gets its
+// slots back one by one.
+func (q *WorkerQueue) raiseReducedLimit() {
+	q.answersSinceReduced++
+	if q.reducedLimit == 0 || q.answersSinceReduced < increaseAfterFactor*q.reducedLimit {
+		return
+	}
+	q.answersSinceReduced = 0
+	q.reducedLimit++
+	if q.reducedLimit > q.slots {
+		q.reducedLimit = 0
+	}
+}
+
+// RecordAnswerSize records how many bytes an answer had.
 func (q *WorkerQueue) RecordAnswerSize(bytes int) {
 	if transferTime := q.uplink.TransferTime(bytes); transferTime > 0 {
 		q.lock.Lock()
@@ -302,7 +332,7 @@
 	}
 }
 
-// admitNext gives turns as far as there is room.
+// admitNext admits requests from the head of the queue while there is capacity. The caller holds the lock.
 func (q *WorkerQueue) admitNext(now time.Duration) {
 	for len(q.waiting) > 0 && q.hasCapacity() {
 		first := q.waiting[0]
@@ -312,12 +342,13 @@
 			first.Admission <- Admission{Refusal: errs.DeadlineExceeded}
 			continue
 		}
-		q.running, q.lastProgressAt = q.running+1, now
+		q.running++
+		q.lastProgressAt = now
 		first.Admission <- Admission{}
 	}
 }
 
-// Close refuses all that waits and all that comes; what was handed over goes on to its end.
+// Close refuses all queued and all later requests, with the reason as code. Requests that are running go on.
 func (q *WorkerQueue) Close(reason errs.Code) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -328,7 +359,7 @@
 	q.waiting = nil
 }
 
-// SetSlots takes note of how many requests the worker works on at once.
+// SetSlots sets how many requests the worker works on at once, 0 for not reported.
 func (q *WorkerQueue) SetSlots(now time.Duration, slots int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -336,14 +367,14 @@
 	q.admitNext(now)
 }
 
-// ServiceTime is how long the worker takes for a request, of late; 0 for not known.
+// ServiceTime returns the moving mean of the time that the worker takes for a request, 0 for not known.
 func (q *WorkerQueue) ServiceTime() time.Duration {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return q.overall.mean
 }
 
-// Load is how much the worker has at hand, how much waits for it, and how many it works on at once.
+// Load returns how many requests are running and waiting, and how many the worker can work on at once.
 func (q *WorkerQueue) Load() (running, waiting, slots uint32) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
