--- a/internal/dispatch/call_counter.go
+++ b/internal/dispatch/call_counter.go
@@ -10,34 +10,39 @@
 	"meadowhinge/schema"
 )
 
+// callCountKey is what calls have in common that are counted together.
 type callCountKey struct {
 	flag, service, variation, reason, rule, route, outcome string
 	configRevision                                         uint64
 }
 
+// callCount is one line of the counter; nanos is the total time that the calls took.
 type callCount struct{ calls, failures, nanos atomic.Uint64 }
 
-// CallCounter counts verdicts; counts only grow while the process lives. Counts of the last setups
-// are kept apart; those of older ones are added up under setup 0.
+// CallCounter counts calls by verdict and outcome. Counts only grow while the process lives. Counts of recent
+// configuration revisions are kept apart; those of older ones are added up under revision 0. It is safe for concurrent
+// use.
 type CallCounter struct {
 	counts    *xsync.Map[callCountKey, *callCount]
 	maxCounts int
 
-	// foldLock is held shared while a line is added to, so that none is taken out meanwhile.
+	// foldLock is held shared while a count is added to, and exclusively while Counts folds old revisions, so that no
+	// count is removed between its lookup and its increment.
 	foldLock sync.RWMutex
 }
 
-// separateRevisions is for how many of the last setups counts are kept apart.
+// separateRevisions is how many revisions before the current one have counts of their own.
 const separateRevisions = 4
 
-// NewCallCounter keeps at most so many lines; setups beyond that are counted together as 0.
+// NewCallCounter returns a counter with at most maxCounts lines; calls beyond them count under revision 0.
 func NewCallCounter(maxCounts int) *CallCounter {
 	return &CallCounter{counts: xsync.NewMap[callCountKey, *callCount](), maxCounts: maxCounts}
 }
 
-// outcomeCanceled is the outcome, in counts, of calls that ended with their caller.
+// outcomeCanceled is the outcome, in counts only, of calls whose callers disconnected.
 const outcomeCanceled = "called-off"
 
+// outcomeLabel returns the outcome under which a call is counted.
 func outcomeLabel(response *schema.ForwardResponse) string {
 	if isCanceled(response) {
 		return outcomeCanceled
@@ -45,22 +50,38 @@
 	return outcomeNames[response.Outcome]
 }
 
-// Add counts one call by its verdict and outcome.
+// Add counts one call, which took so long, by its verdict and outcome. The result must have a plan and a response.
 func (c *CallCounter) Add(result *CallResult, took time.Duration) {
 	c.foldLock.RLock()
 	defer c.foldLock.RUnlock()
 	verdict, outcome := &result.Plan.Verdict, outcomeLabel(result.Response)
-	c.add(callCountKey{flag: verdict.Flag, service: result.Plan.Service, variation: verdict.Version, reason: string(verdict.Reason), rule: verdict.RuleID,
-		route: result.Plan.Route.Name, outcome: outcome, configRevision: verdict.ConfigRevision}, result, took)
-	// A split's verdict is of no service's versions, so its line names none.
+	c.add(callCountKey{
+		flag:           verdict.Flag,
+		service:        result.Plan.Service,
+		variation:      verdict.Version,
+		reason:         string(verdict.Reason),
+		rule:           verdict.RuleID,
+		route:          result.Plan.Route.Name,
+		outcome:        outcome,
+		configRevision: verdict.ConfigRevision,
+	}, result, took)
+	// The variation of a split is a service and not a version of one, so its count names no service.
 	if split := &result.Plan.Split; split.Flag != "" {
-		c.add(callCountKey{flag: split.Flag, variation: split.Version, reason: string(split.Reason), route: result.Plan.Route.Name, outcome: outcome, configRevision: split.ConfigRevision}, result, took)
+		c.add(callCountKey{
+			flag:           split.Flag,
+			variation:      split.Version,
+			reason:         string(split.Reason),
+			route:          result.Plan.Route.Name,
+			outcome:        outcome,
+			configRevision: split.ConfigRevision,
+		}, result, took)
 	}
 }
 
+// add counts a call under a key. The caller holds foldLock shared.
 func (c *CallCounter) add(key callCountKey, result *CallResult, took time.Duration) {
-	// Old setups would pile up lines without end; beyond the bound they share one line.
-	if _, known := c.counts.Load(key); !known && c.counts.Size() >= c.maxCounts {
+	// Old revisions would add lines without end; beyond the bound they share one line.
+	if _, found := c.counts.Load(key); !found && c.counts.Size() >= c.maxCounts {
 		key.configRevision = 0
 	}
 	count := c.countOf(key)
@@ -71,7 +92,7 @@
 	}
 }
 
-// Counts lists all lines as they stand, current being the setup in use.
+// Counts returns all counts, with those of revisions long before the current one folded into revision 0.
 func (c *CallCounter) Counts(currentRevision uint64) []*schema.VerdictCount {
 	c.foldLock.Lock()
 	defer c.foldLock.Unlock()
@@ -88,13 +109,25 @@
 	})
 	var counts []*schema.VerdictCount
 	c.counts.Range(func(key callCountKey, count *callCount) bool {
-		counts = append(counts, &schema.VerdictCount{Flag: key.flag, Service: key.service, Variation: key.variation, Reason: key.reason, Rule: key.rule,
-			Route: key.route, Outcome: key.outcome, Revision: key.configRevision, Calls: count.calls.Load(), Failures: count.failures.Load(), TotalNanos: count.nanos.Load()})
+		counts = append(counts, &schema.VerdictCount{
+			Flag:       key.flag,
+			Service:    key.service,
+			Variation:  key.variation,
+			Reason:     key.reason,
+			Rule:       key.rule,
+			Route:      key.route,
+			Outcome:    key.outcome,
+			Revision:   key.configRevision,
+			Calls:      count.calls.Load(),
+			Failures:   count.failures.Load(),
+			TotalNanos: count.nanos.Load(),
+		})
 		return true
 	})
 	return counts
 }
 
+// countOf returns the count of a key, added if there is none.
 func (c *CallCounter) countOf(key callCountKey) *callCount {
 	count, _ := c.counts.LoadOrCompute(key, func() (*callCount, bool) { return &callCount{}, false })
 	return count
--- a/internal/dispatch/call_record.go
+++ b/internal/dispatch/call_record.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// callRecord is how many calls a worker had of late, and how many of them failed. Both fade, to a
-// third in a span: so who failed gets calls back by and by, not all at once.
+// callRecord counts the recent calls of a worker and how many of them failed. Both counts decay to 1/e in a window, so
+// that a worker that has failed gets its calls back gradually. The lock of the workerState guards it.
 type callRecord struct {
 	calls, failed float64
-	updatedAt     time.Duration
+	updatedAt     time.Duration // as of when the counts are
 }
 
-// decayed is what is left of both at a moment.
+// decayed returns both counts as of a moment.
 func (r *callRecord) decayed(now, window time.Duration) (calls, failed float64) {
 	if now <= r.updatedAt || r.calls == 0 {
 		return r.calls, r.failed
@@ -21,7 +21,7 @@
 	return r.calls * decay, r.failed * decay
 }
 
-// add adds a call.
+// add counts a call.
 func (r *callRecord) add(now, window time.Duration, failed bool) {
 	r.calls, r.failed = r.decayed(now, window)
 	r.updatedAt = max(r.updatedAt, now)
--- a/internal/dispatch/canary_guard.go
+++ b/internal/dispatch/canary_guard.go
@@ -8,113 +8,134 @@
 	"meadowhinge/schema"
 )
 
-// minSlowTime is what no call is too slow below.
+// minSlowTime is the time below which no call counts as too slow.
 const minSlowTime = 50 * time.Millisecond
 
-// CanaryOptions bound one proxy's part of the brake.
+// CanaryOptions bound one proxy's part of the rollback guard.
 type CanaryOptions struct {
-	GrantDuration time.Duration // how long a grant lasts
-	MaxFailures   int64         // that the whole fleet may take
-	FailureRatio  float64       // a version's failures as a multiple of the fallback version's
-	FailureExcess float64       // and above them, as a part of calls
-	SlowFactor    float64       // a call this many times as long as the fallback version's mean has failed
+	GrantDuration time.Duration // how long a grant is valid
+	MaxFailures   int64         // failures of a version that the whole fleet may take
+	FailureRatio  float64       // a version may fail this many times as often as the fallback version
+	FailureExcess float64       // and in this part of its calls more than that
+	SlowFactor    float64       // a call that takes this many times the fallback version's mean counts as failed
 }
 
-// DefaultCanaryOptions are the settings' presets.
+// DefaultCanaryOptions are the defaults of the settings.
 var DefaultCanaryOptions = CanaryOptions{GrantDuration: time.Second, MaxFailures: 40, FailureRatio: 2, FailureExcess: 0.02, SlowFactor: 10}
 
-// CanaryGuard is one proxy's part of the brake: a version other than its service's fallback is used
-// only under a short grant, and only until this proxy has taken its own part of the failures
-// allowed.
+// CanaryGuard is one proxy's part of the rollback guard. A version other than its service's fallback is used only
+// under a short grant from the registries, and only until this proxy has taken its own part of the allowed
+// failures; so a failing version loses its calls even while the registries cannot be reached.
 type CanaryGuard struct {
-	lock       sync.Mutex
+	fleetSize func() int // proxies in the fleet
+	guards    func() VersionGuards
+
+	lock       sync.Mutex // guards the fields below
 	options    CanaryOptions
-	fleetSize  func() int
-	guards     func() VersionGuards
-	grants     map[[2]string]canaryGrant // by service and version
-	localStops map[[2]string]localStop   // where this proxy has taken its part
-	windows    map[[2]string]*canaryWindow
+	grants     map[[2]string]canaryGrant   // by service and version
+	localStops map[[2]string]localStop     // versions of which this proxy has taken its part of the failures
+	windows    map[[2]string]*canaryWindow // what this proxy saw of versions
 }
 
-// VersionGuards is what the setup in use says of versions; setup.Snapshot has it.
+// VersionGuards is what the configuration in use says of versions; config.Snapshot implements it.
 type VersionGuards interface {
-	// GuardedRevision tells whether a version is guarded, and under what that was stated of it.
-	GuardedRevision(service, version string) (sequence uint64, guarded bool)
-	// FallbackOf names the version that others are held against.
+	// GuardedRevision reports whether a version is guarded, and the revision at which its guard was configured.
+	GuardedRevision(service, version string) (revision uint64, guarded bool)
+	// FallbackOf returns the version that the service's other versions are compared with.
 	FallbackOf(service string) string
 }
 
-// canaryGrant and tripped hold only under the statement they were learned under.
+// canaryGrant is the registries' grant of a version. Like a localStop it is valid only under the guard for which it was
+// given, not under a later configuration.
 type canaryGrant struct {
-	statementSequence uint64
-	expiresAt         time.Duration
-	stopped           bool
+	guardedRevision uint64
+	expiresAt       time.Duration // on the clock of the process
+	stopped         bool          // the registries have stopped the version
 }
 
-// localStop is this proxy's own stop: it stands until the duty, knowing of the failures that
-// led to it, finds the version fine, or something else is stated of it.
+// localStop is this proxy's own stop of a version. It is valid until the rollout controller, knowing of the failures
+// that led to it, finds the version healthy, or until the version's guard is configured again.
 type localStop struct {
-	statementSequence uint64
-	stoppedAt         time.Duration
+	guardedRevision uint64
+	stoppedAt       time.Duration
 }
 
-// judgementGrants is how many lengths of a grant it takes, at most, until what this proxy told
-// has been judged and the judgement has come back.
+// judgementGrants is how many grant durations it takes, at most, until the failures that this proxy reported have been
+// evaluated and the result has come back.
 const judgementGrants = 2
 
-// canaryWindow is what this proxy saw of a version of late, in slots as a budget has.
+// canaryWindow is what this proxy saw of a version in the last DefaultRetryWindow.
 type canaryWindow struct {
-	slots [windowSlots]struct {
-		number          int64
-		calls, failures float64
-		spent           time.Duration
-	}
+	slots    [windowSlots]canarySlot // a ring, by number modulo its length
 	inFlight map[*CanaryCall]bool
 }
 
-// CanaryCall is one call under way to a service with a version on trial.
+// canarySlot counts what ended in one slot of the window.
+type canarySlot struct {
+	number          int64 // of the slot since the clock began
+	calls, failures float64
+	spent           time.Duration // total time that the calls took
+}
+
+// canarySlotLength is the length of one slot of a window.
+const canarySlotLength = DefaultRetryWindow / windowSlots
+
+// CanaryCall is one call under way to a service with a version in canary.
 type CanaryCall struct {
-	key       [2]string
+	key       [2]string // service and version
 	startedAt time.Duration
 	window    *canaryWindow
 }
 
-// NewCanaryGuard begins without any grant.
+// NewCanaryGuard returns a guard without any grant: all versions but the fallbacks are blocked.
 func NewCanaryGuard(options CanaryOptions, fleetSize func() int, guards func() VersionGuards) *CanaryGuard {
-	return &CanaryGuard{options: options, fleetSize: fleetSize, guards: guards,
-		grants: map[[2]string]canaryGrant{}, localStops: map[[2]string]localStop{}, windows: map[[2]string]*canaryWindow{}}
+	return &CanaryGuard{
+		fleetSize:  fleetSize,
+		guards:     guards,
+		options:    options,
+		grants:     map[[2]string]canaryGrant{},
+		localStops: map[[2]string]localStop{},
+		windows:    map[[2]string]*canaryWindow{},
+	}
 }
 
-// SetOptions sets other bounds; grants and stops stay.
+// SetOptions sets other bounds. Grants and stops are kept.
 func (g *CanaryGuard) SetOptions(options CanaryOptions) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.options = options
 }
 
-// ApplyGrants takes a registry's answer; the grant counts from when it was asked for.
+// ApplyGrants applies a registry's grants. They count from when they were requested, so that no delay extends them.
 func (g *CanaryGuard) ApplyGrants(requestedAt time.Duration, grants []*schema.Canary) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	guards := g.guards()
 	for _, granted := range grants {
 		key := [2]string{granted.Service, granted.Version}
-		// What was told under another statement is of the past, or of a setup not here yet.
-		if statementSequence, guarded := guards.GuardedRevision(granted.Service, granted.Version); !guarded || statementSequence != granted.PlanSequence {
+		// A grant for another guard is outdated, or belongs to a configuration that has not arrived here yet.
+		guardedRevision, guarded := guards.GuardedRevision(granted.Service, granted.Version)
+		if !guarded || guardedRevision != granted.PlanSequence {
 			continue
 		}
 		current := g.grants[key]
-		if current.statementSequence != granted.PlanSequence {
-			current = canaryGrant{statementSequence: granted.PlanSequence}
+		if current.guardedRevision != granted.PlanSequence {
+			current = canaryGrant{guardedRevision: granted.PlanSequence}
 			delete(g.localStops, key)
 			delete(g.windows, key)
 		}
-		if stop, stopped := g.localStops[key]; stopped && granted.Healthy && requestedAt >= stop.stoppedAt+judgementGrants*g.options.GrantDuration {
+		stop, stopped := g.localStops[key]
+		judged := requestedAt >= stop.stoppedAt+judgementGrants*g.options.GrantDuration
+		if stopped && granted.Healthy && judged {
 			delete(g.localStops, key)
 			delete(g.windows, key)
 		}
-		// A stop stands until something else is stated, whoever grants later.
-		g.grants[key] = canaryGrant{granted.PlanSequence, max(current.expiresAt, requestedAt+g.options.GrantDuration), current.stopped || granted.Blocked}
+		// The registries' stop is valid until the guard is configured again, whatever is granted later.
+		g.grants[key] = canaryGrant{
+			guardedRevision: granted.PlanSequence,
+			expiresAt:       max(current.expiresAt, requestedAt+g.options.GrantDuration),
+			stopped:         current.stopped || granted.Blocked,
+		}
 	}
 }
 
@@ -134,6 +155,7 @@
 	})
 }
 
+// window returns the window of a version. The caller holds the lock.
 func (g *CanaryGuard) window(key [2]string) *canaryWindow {
 	window := g.windows[key]
 	if window == nil {
@@ -143,18 +165,20 @@
 	return window
 }
 
-// sum adds up the slots that are not too old.
+// sum adds up the slots within the window.
 func (w *canaryWindow) sum(now time.Duration) (calls, failures float64, spent time.Duration) {
-	number := int64(now / (DefaultRetryWindow / windowSlots))
+	number := int64(now / canarySlotLength)
 	for _, slot := range w.slots {
 		if number-slot.number < windowSlots {
-			calls, failures, spent = calls+slot.calls, failures+slot.failures, spent+slot.spent
+			calls += slot.calls
+			failures += slot.failures
+			spent += slot.spent
 		}
 	}
 	return calls, failures, spent
 }
 
-// fallbackStats sums what was seen of the service's fallback version.
+// fallbackStats sums what was seen of the service's fallback version. The caller holds the lock.
 func (g *CanaryGuard) fallbackStats(service string, now time.Duration) (calls, failures float64, mean time.Duration) {
 	window := g.windows[[2]string{service, g.guards().FallbackOf(service)}]
 	if window == nil {
@@ -167,7 +191,7 @@
 	return calls, failures, mean
 }
 
-// Begin notes a call sent to a version.
+// Begin records a call to a version. It must be passed to [CanaryGuard.End] or [CanaryGuard.Discard].
 func (g *CanaryGuard) Begin(service, version string, now time.Duration) *CanaryCall {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -177,16 +201,16 @@
 	return call
 }
 
-// End notes how it ended.
+// End records how a call ended. One that took far longer than the fallback version's calls counts as failed.
 func (g *CanaryGuard) End(call *CanaryCall, now time.Duration, failed bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	window := call.window
 	delete(window.inFlight, call)
-	number := int64(now / (DefaultRetryWindow / windowSlots))
+	number := int64(now / canarySlotLength)
 	slot := &window.slots[number%windowSlots]
 	if slot.number != number {
-		slot.number, slot.calls, slot.failures, slot.spent = number, 0, 0, 0
+		*slot = canarySlot{number: number}
 	}
 	slot.calls++
 	slot.spent += now - call.startedAt
@@ -195,47 +219,60 @@
 	}
 }
 
-// Discard forgets a call whose caller left: how it would have ended is not known.
+// Discard forgets a call whose caller disconnected: how it would have ended is not known.
 func (g *CanaryGuard) Discard(call *CanaryCall) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	delete(call.window.inFlight, call)
 }
 
-// isTooSlow tells whether a call takes far longer than the old version's do.
+// isTooSlow reports whether a call takes far longer than the fallback version's calls. The caller holds the lock.
 func (g *CanaryGuard) isTooSlow(call *CanaryCall, now time.Duration) bool {
 	calls, _, mean := g.fallbackStats(call.key[0], now)
-	return call.key[1] != g.guards().FallbackOf(call.key[0]) && calls > 0 && now-call.startedAt > max(minSlowTime, time.Duration(g.options.SlowFactor*float64(mean)))
+	slowTime := max(minSlowTime, time.Duration(g.options.SlowFactor*float64(mean)))
+	return call.key[1] != g.guards().FallbackOf(call.key[0]) && calls > 0 && now-call.startedAt > slowTime
 }
 
-// VersionBlocked tells whether a version other than the fallback must not be used now.
+// VersionBlocked reports whether a version other than the fallback must not be used now: it has no valid grant, or
+// this proxy has taken its part of the allowed failures, and they are more than the fallback version would have had.
+// In the second case the version is stopped here.
 func (g *CanaryGuard) VersionBlocked(service, version string, now time.Duration) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	key := [2]string{service, version}
-	statementSequence, _ := g.guards().GuardedRevision(service, version)
-	grant, found := g.grants[key]
-	stop, stopped := g.localStops[key]
-	if !found || grant.statementSequence != statementSequence || grant.stopped || now >= grant.expiresAt || (stopped && stop.statementSequence == statementSequence) {
+	guardedRevision, _ := g.guards().GuardedRevision(service, version)
+	if !g.hasValidGrant(key, guardedRevision, now) {
 		return true
 	}
 	window := g.window(key)
 	calls, failures, _ := window.sum(now)
-	// A call that hangs is a failure already; waiting for its end would let many more follow.
+	// A call that hangs counts as failed now: until its end many more would follow it.
 	for open := range window.inFlight {
 		if g.isTooSlow(open, now) {
-			calls, failures = calls+1, failures+1
+			calls++
+			failures++
 		}
 	}
 	failureAllowance := max(1, float64(g.options.MaxFailures)/float64(max(1, g.fleetSize())))
-	oldCalls, oldFailures, _ := g.fallbackStats(service, now)
-	oldRate := 0.0
-	if oldCalls > 0 {
-		oldRate = oldFailures / oldCalls
+	fallbackCalls, fallbackFailures, _ := g.fallbackStats(service, now)
+	fallbackRate := 0.0
+	if fallbackCalls > 0 {
+		fallbackRate = fallbackFailures / fallbackCalls
 	}
-	if failures+1 <= failureAllowance || failures/calls <= g.options.FailureRatio*oldRate+g.options.FailureExcess {
+	if failures+1 <= failureAllowance || failures/calls <= g.options.FailureRatio*fallbackRate+g.options.FailureExcess {
 		return false
 	}
-	g.localStops[key] = localStop{statementSequence, now}
+	g.localStops[key] = localStop{guardedRevision: guardedRevision, stoppedAt: now}
 	return true
 }
+
+// hasValidGrant reports whether a version is granted under its present guard and not stopped. The caller holds the
+// lock.
+func (g *CanaryGuard) hasValidGrant(key [2]string, guardedRevision uint64, now time.Duration) bool {
+	grant, found := g.grants[key]
+	if !found || grant.guardedRevision != guardedRevision || grant.stopped || now >= grant.expiresAt {
+		return false
+	}
+	stop, stopped := g.localStops[key]
+	return !stopped || stop.guardedRevision != guardedRevision
+}
--- a/internal/dispatch/disconnects.go
+++ b/internal/dispatch/disconnects.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Disconnects counts what becomes of calls whose callers leave before they are answered. The proxy
-// that took a call counts Noticed and HalfClosed; the proxy beside the worker counts the rest.
+// Disconnects counts what becomes of calls whose callers disconnect before they are answered. The proxy that received a
+// call counts Detected and HalfClosed; the proxy beside the worker counts the rest.
 type Disconnects struct {
-	Detected   atomic.Uint64 // callers found gone while their call was under way
-	HalfClosed atomic.Uint64 // callers that ended only their sending side, and still read
-	Propagated atomic.Uint64 // callers known to be gone at the worker's proxy, while it was handing their call over or it ran
-	Dequeued   atomic.Uint64 // calls taken out of a worker's queue, unrun
-	Canceled   atomic.Uint64 // runs of repeatable calls that were ended for it
-	RanToEnd   atomic.Uint64 // runs of calls that may not be repeated, which went on to their end
-
-	// The next two are violations of what must hold, so they stay 0.
-	SentLate atomic.Uint64 // calls handed to a worker though their caller was known to be gone
-	Overrun  atomic.Uint64 // runs of repeatable calls that went on for longer than is allowed after it
-
-	longestOverrun atomic.Int64 // that a repeatable run went on, after its caller was known to be gone
+	Detected   atomic.Uint64 // callers that were found to have disconnected while their call was under way
+	HalfClosed atomic.Uint64 // callers that closed only their sending side, and still read
+	Propagated atomic.Uint64 // disconnects known at the worker's proxy while the call was sent to the worker or ran
+	Dequeued   atomic.Uint64 // calls removed from a worker's queue without having run
+	Canceled   atomic.Uint64 // runs of idempotent calls that were ended for it
+	RanToEnd   atomic.Uint64 // runs of non-idempotent calls, which went on to their end
+
+	// The next two count violations of invariants, so they stay 0.
+	SentLate atomic.Uint64 // calls sent to a worker although their caller was known to have disconnected
+	Overrun  atomic.Uint64 // runs of idempotent calls that went on for longer than is allowed after it
+
+	longestOverrun atomic.Int64 // nanoseconds that an idempotent run went on after the disconnect was known
 }
 
-// DisconnectCounts are the counts of Departures at one moment.
+// DisconnectCounts are the counts of Disconnects at one moment. The JSON keys are older than the fields' names.
 type DisconnectCounts struct {
 	Detected   uint64 `json:"noticed"`
 	HalfClosed uint64 `json:"halfClosed"`
@@ -34,16 +34,25 @@
 	RanToEnd   uint64 `json:"kept"`
 	SentLate   uint64 `json:"handedLate"`
 	Overrun    uint64 `json:"overrun"`
-	LongestMS  int64  `json:"longestMs"`
+	LongestMS  int64  `json:"longestMs"` // longest overrun of an idempotent run, in milliseconds
 }
 
-// Counts gives the counts as they are now.
+// Counts returns the current counts.
 func (d *Disconnects) Counts() DisconnectCounts {
-	return DisconnectCounts{Detected: d.Detected.Load(), HalfClosed: d.HalfClosed.Load(), Propagated: d.Propagated.Load(), Dequeued: d.Dequeued.Load(), Canceled: d.Canceled.Load(),
-		RanToEnd: d.RanToEnd.Load(), SentLate: d.SentLate.Load(), Overrun: d.Overrun.Load(), LongestMS: time.Duration(d.longestOverrun.Load()).Milliseconds()}
+	return DisconnectCounts{
+		Detected:   d.Detected.Load(),
+		HalfClosed: d.HalfClosed.Load(),
+		Propagated: d.Propagated.Load(),
+		Dequeued:   d.Dequeued.Load(),
+		Canceled:   d.Canceled.Load(),
+		RanToEnd:   d.RanToEnd.Load(),
+		SentLate:   d.SentLate.Load(),
+		Overrun:    d.Overrun.Load(),
+		LongestMS:  time.Duration(d.longestOverrun.Load()).Milliseconds(),
+	}
 }
 
-// Add adds other counts; of the longest run the longer counts.
+// Add adds other counts. Of the longest overruns it keeps the longer one.
 func (c *DisconnectCounts) Add(other DisconnectCounts) {
 	c.Detected += other.Detected
 	c.HalfClosed += other.HalfClosed
@@ -56,36 +65,36 @@
 	c.LongestMS = max(c.LongestMS, other.LongestMS)
 }
 
-// Violations is how often what must hold did not.
+// Violations returns how often an invariant was violated.
 func (c DisconnectCounts) Violations() uint64 { return c.SentLate + c.Overrun }
 
-// disconnectWatch follows the caller of one call that is handed to a worker. Once the caller is known to be gone, a
-// repeatable run has MaxOverrun to end; if it has not, that is a violation.
+// disconnectWatch watches the caller of one call that is sent to a worker. Once the caller is known to have
+// disconnected, an idempotent run has maxOverrun to end; a longer one is a violation.
 type disconnectWatch struct {
 	counts     *Disconnects
 	now        func() time.Duration
-	stop       func() bool
+	stop       func() bool // stops the watch of the context
 	maxOverrun time.Duration
-	mustStop   bool // the run must end with its caller
+	mustStop   bool // the run must end when its caller disconnects
 
-	lock           sync.Mutex
-	disconnectedAt time.Duration // when the caller was known to be gone, 0 while it is not
-	timer          *time.Timer
-	finished       bool // the run has ended
+	lock           sync.Mutex    // guards the fields below
+	disconnectedAt time.Duration // when the disconnect was known, 0 for not yet
+	timer          *time.Timer   // counts an overrun unless the run ends first
+	finished       bool          // the run has ended
 }
 
-// graceDivisor is the part of the time allowed that a run gets besides, so that a process which was stopped
-// in the meantime can still end it.
+// graceDivisor is the part of maxOverrun that a run gets in addition, so that a process which was suspended meanwhile
+// can still end it.
 const graceDivisor = 4
 
-// watchCaller follows the caller whose leaving ends ctx, until end is called.
+// watchCaller watches the caller whose disconnect ends ctx, until finish is called.
 func (d *Disconnects) watchCaller(ctx context.Context, mustStop bool, maxOverrun time.Duration, now func() time.Duration) *disconnectWatch {
 	watch := &disconnectWatch{counts: d, now: now, maxOverrun: maxOverrun, mustStop: mustStop}
 	watch.stop = context.AfterFunc(ctx, watch.onDisconnect)
 	return watch
 }
 
-// onDisconnect notes that the caller is gone.
+// onDisconnect records the disconnect.
 func (w *disconnectWatch) onDisconnect() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -99,7 +108,7 @@
 	}
 }
 
-// extendGrace gives a run that is over its time the rest of it.
+// extendGrace gives a run that has overrun the grace besides.
 func (w *disconnectWatch) extendGrace() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -117,7 +126,7 @@
 	}
 }
 
-// finish ends the following with the run. It tells when the caller left, if it has.
+// finish ends the watch together with the run. It returns when the caller disconnected, if it has.
 func (w *disconnectWatch) finish() (disconnectedAt time.Duration, disconnected bool) {
 	w.stop()
 	w.lock.Lock()
@@ -129,7 +138,7 @@
 	return w.disconnectedAt, w.disconnectedAt > 0
 }
 
-// recordOverrunTime notes for how long a repeatable run went on after its caller was known to be gone.
+// recordOverrunTime records for how long an idempotent run went on after the disconnect was known.
 func (d *Disconnects) recordOverrunTime(overrun time.Duration) {
 	for {
 		longest := d.longestOverrun.Load()
--- a/internal/dispatch/header_block.go
+++ b/internal/dispatch/header_block.go
@@ -6,15 +6,17 @@
 	"strings"
 )
 
-// A head is the headers that go on, as lines: they are handed from connection to connection as
-// they came, and nobody on the way needs to take them apart.
+// A header block is a request's or response's headers as lines. The lines are passed from connection to connection as
+// they arrived, and no process on the way has to parse them.
 
+// Separators within a header block.
 const (
-	fieldMiddle = ": "
+	fieldMiddle = ": " // between name and value
 	fieldEnd    = "\r\n"
 )
 
-// AppendField adds a header to a head. What would end its line early is taken out.
+// AppendField appends a header to a header block. Line breaks in the value, which would end the header early, become
+// spaces.
 func AppendField[Text string | []byte](block []byte, name, value Text) []byte {
 	block = append(append(block, name...), fieldMiddle...)
 	from := len(block)
@@ -27,7 +29,7 @@
 	return append(block, fieldEnd...)
 }
 
-// Fields are the headers of a head, in order.
+// Fields iterates over the headers of a header block, in order.
 func Fields(block []byte) iter.Seq2[[]byte, []byte] {
 	return func(yield func(name, value []byte) bool) {
 		for len(block) > 0 {
@@ -41,7 +43,7 @@
 	}
 }
 
-// FieldOf is the first header of a name in a head.
+// FieldOf returns the value of the first header of a name in a header block, empty for none.
 func FieldOf(block []byte, name string) string {
 	for fieldName, value := range Fields(block) {
 		if strings.EqualFold(string(fieldName), name) {
--- a/internal/dispatch/headers.go
+++ b/internal/dispatch/headers.go
@@ -1,9 +1,10 @@
 package dispatch
 
-// HeaderPrefix is the prefix of our own headers; none of them is taken from outside.
+// HeaderPrefix is the prefix of this project's own headers. The native codec passes none of them on, neither from
+// callers nor from workers.
 const HeaderPrefix = "Meadowhinge-"
 
-// Headers between a proxy, its workers and its callers.
+// Headers between a proxy, its workers and its callers. The names on the wire are older than the constants' names.
 const (
 	HeaderToken          = HeaderPrefix + "Token"
 	HeaderCaller         = HeaderPrefix + "Caller"
@@ -13,6 +14,6 @@
 	HeaderOutcome        = HeaderPrefix + "Outcome"
 	HeaderConfigRevision = HeaderPrefix + "Setup"
 	HeaderAttempts       = HeaderPrefix + "Tries"
-	HeaderRefused        = HeaderPrefix + "Refused" // a worker's word that it did not run what was not meant for it
+	HeaderRefused        = HeaderPrefix + "Refused" // set by a worker on a request that was not meant for it and did not run
 	HeaderDeadline       = HeaderPrefix + "Horizon-Ms"
 )
--- a/internal/dispatch/hop_by_hop_headers.go
+++ b/internal/dispatch/hop_by_hop_headers.go
@@ -4,8 +4,8 @@
 	"bytes"
 )
 
-// hopByHopHeaders are meant for one connection only, or are set anew at each; by length, so that
-// most names are told apart without looking at them.
+// hopByHopHeaders are headers that are meant for one connection only, or are set anew for each. They are grouped by
+// length, so that most names are ruled out without a comparison.
 var hopByHopHeaders = func() map[int][][]byte {
 	byLength := map[int][][]byte{}
 	for _, name := range []string{"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding",
@@ -15,7 +15,7 @@
 	return byLength
 }()
 
-// IsHopByHopHeader tells whether a header is meant for one connection only, or is set anew at each.
+// IsHopByHopHeader reports whether a header is meant for one connection only, or is set anew for each.
 func IsHopByHopHeader(name []byte) bool {
 	for _, hopByHop := range hopByHopHeaders[len(name)] {
 		if bytes.EqualFold(hopByHop, name) {
--- a/internal/dispatch/local_state.go
+++ b/internal/dispatch/local_state.go
@@ -1,6 +1,6 @@
 package dispatch
 
-// LocalState is all that a proxy knows of workers and versions beyond its view.
+// LocalState is all that a proxy knows of workers and versions besides its view. It implements plan.LocalState.
 type LocalState struct {
 	*OutlierDetector
 	*CanaryGuard
--- a/internal/dispatch/outlier_detector.go
+++ b/internal/dispatch/outlier_detector.go
@@ -13,42 +13,46 @@
 
 // Ratios of what is known of workers.
 const (
-	fullEjectionDivisor         = 64   // the part of an ejection for which a worker without room is tried last, if not told
-	refusalAveragingDivisor     = 8    // the part of news that goes into how many are refused
-	baselineAveragingDivisor    = 16.0 // the part of news that goes into the usual load
-	serviceTimeAveragingDivisor = 8    // the part of news that goes into the pace
+	fullEjectionDivisor         = 64   // a worker without capacity comes last for this part of an ejection, unless it reports a time
+	refusalAveragingDivisor     = 8    // each response moves the refusal rate by this part
+	baselineAveragingDivisor    = 16.0 // each report moves the baseline load by this part
+	serviceTimeAveragingDivisor = 8    // each report moves the service time by this part
 
-	// A proxy that owes answers and gives none for so many times what its worker takes, and so
-	// long a part of an ejection, is tried last until it gives one; twice as many if it owes one
-	// alone, for one call may just take long.
-	// Where a worker takes few calls of a route, it is asked this many times as many as it takes, as
-	// seen over this part of an ejection: what it would turn away costs it and its link as much
-	// as what it tells of it, and the caller is told sooner.
+	// A worker that accepts few calls of a route is offered maxOffersPerAccept times as many as it accepts, as seen over
+	// 1/offerWindowDivisor of an ejection: each refusal costs the worker and its network as much as it costs the
+	// caller, who learns of it sooner here.
 	maxOffersPerAccept = 2
 	offerWindowDivisor = 2
-	assumedAccepts     = 1 // calls that it is taken to have taken besides
+	assumedAccepts     = 1 // calls that a worker is assumed to have accepted in addition
 
+	// A proxy that owes responses and sends none for unresponsiveServiceTimes times the worker's service time, and
+	// for 1/unresponsiveEjectionDivisor of an ejection, comes last until it sends one. If it owes only one response it
+	// gets twice the time, because a single call may just take long.
 	unresponsiveServiceTimes    = 4
 	unresponsiveEjectionDivisor = 25
 )
 
-// OutlierDetector keeps facts of workers by instance; it implements plan.LocalState.
+// OutlierDetector records what this process sees of workers, by instance, and ejects those that fail. It implements the
+// part of plan.LocalState that is about workers. It is safe for concurrent use.
 type OutlierDetector struct {
-	workers            *xsync.Map[string, *workerState]
-	unreachableProxies *xsync.Map[string, time.Duration] // proxies that were not reached, and until when that counts
-	unreachableCount   atomic.Int64                      // how many these are, about
-	maxFailures        atomic.Int64
-	ejectionNanos      atomic.Int64 // for how long
+	workers            *xsync.Map[string, *workerState]  // by instance
+	unreachableProxies *xsync.Map[string, time.Duration] // until when a proxy that was not reached counts as unreachable
+	unreachableCount   atomic.Int64                      // approximate size of unreachableProxies, so that it is rarely looked into
+	maxFailures        atomic.Int64                      // consecutive failures that eject a worker
+	ejectionNanos      atomic.Int64                      // how long an ejection lasts
 }
 
-// NewOutlierDetector ejects a worker for a time after so many failures in a row.
+// NewOutlierDetector returns a detector that ejects a worker for a time after maxFailures consecutive failures.
 func NewOutlierDetector(maxFailures int64, ejection time.Duration) *OutlierDetector {
-	d := &OutlierDetector{workers: xsync.NewMap[string, *workerState](), unreachableProxies: xsync.NewMap[string, time.Duration]()}
+	d := &OutlierDetector{
+		workers:            xsync.NewMap[string, *workerState](),
+		unreachableProxies: xsync.NewMap[string, time.Duration](),
+	}
 	d.SetLimits(maxFailures, ejection)
 	return d
 }
 
-// SetLimits sets other bounds; what is known of workers stays.
+// SetLimits sets other limits. What is known of workers is kept.
 func (d *OutlierDetector) SetLimits(maxFailures int64, ejection time.Duration) {
 	d.maxFailures.Store(maxFailures)
 	d.ejectionNanos.Store(int64(ejection))
@@ -56,6 +60,7 @@
 
 func (d *OutlierDetector) ejection() time.Duration { return time.Duration(d.ejectionNanos.Load()) }
 
+// stateOf returns the state of a worker, added if there is none.
 func (d *OutlierDetector) stateOf(instance string) *workerState {
 	if state, found := d.workers.Load(instance); found {
 		return state
@@ -64,7 +69,7 @@
 	return state
 }
 
-// Stats gives what this process knows of a worker.
+// Stats returns what this process knows of a worker.
 func (d *OutlierDetector) Stats(worker *plan.Endpoint, now time.Duration) plan.EndpointStats {
 	stats := plan.EndpointStats{Slots: worker.Slots, ServiceTime: worker.ServiceTime}
 	unreachable := d.unreachableCount.Load() > 0 && d.isProxyUnreachable(worker.Proxy, now)
@@ -85,32 +90,23 @@
 	if state.serviceTime > 0 {
 		stats.ServiceTime = state.serviceTime
 	}
-	if stats.InFlight > 0 && stats.ServiceTime > 0 && sinceResponse > max(unresponsiveServiceTimes*(stats.ServiceTime+stats.ServiceTime/time.Duration(stats.InFlight)), d.ejection()/unresponsiveEjectionDivisor) {
+	if isUnresponsive(&stats, sinceResponse, d.ejection()) {
 		stats.Ejected = true
 	}
-	if !state.hasLoad {
-		if state.ownCalls.calls > 0 {
-			// Its answers tell no load, and what the directory says is older than most calls last: by it
-			// all would go to the same worker at once. Only what this process has there is sure.
-			stats.Slots, stats.OtherInFlight = 0, 0
-		} else {
-			stats.OtherInFlight = float64(worker.Running + worker.Waiting)
-		}
-		return stats
-	}
-	// Of what the last answer and the directory told, the later counts; and the older it is, the
-	// more it gives way to what is usual, for the calls it counted are over by then.
-	stats.Slots = state.slots
-	otherInFlight, reportedAt := state.otherInFlight, state.loadReportedAt
-	if worker.ReportedAt > reportedAt {
-		otherInFlight, reportedAt = max(0, float64(worker.Running+worker.Waiting-stats.InFlight)), worker.ReportedAt
-	}
-	age := float64(now-reportedAt) / float64(max(stats.ServiceTime, time.Millisecond))
-	stats.OtherInFlight = state.baselineInFlight + (otherInFlight-state.baselineInFlight)/(1+max(0, age))
+	state.estimateOtherLoad(&stats, worker, now)
 	return stats
 }
 
-// RecordRun notes how a call ended that a worker beside this process ran, whoever's it was.
+// isUnresponsive reports whether a worker owes responses and has sent none for too long.
+func isUnresponsive(stats *plan.EndpointStats, sinceResponse, ejection time.Duration) bool {
+	if stats.InFlight <= 0 || stats.ServiceTime <= 0 {
+		return false
+	}
+	expected := stats.ServiceTime + stats.ServiceTime/time.Duration(stats.InFlight)
+	return sinceResponse > max(unresponsiveServiceTimes*expected, ejection/unresponsiveEjectionDivisor)
+}
+
+// RecordRun records how a call ended that a worker beside this process ran, whichever proxy forwarded it.
 func (d *OutlierDetector) RecordRun(instance string, now time.Duration, failed bool) {
 	state := d.stateOf(instance)
 	state.lock.Lock()
@@ -118,8 +114,8 @@
 	state.lock.Unlock()
 }
 
-// RunCounts is what others are to be told of the calls that a worker beside this process ran of late;
-// nothing where none failed.
+// RunCounts returns what is reported to other proxies of the calls that a worker beside this process ran recently; zeros
+// if none failed.
 func (d *OutlierDetector) RunCounts(instance string, now time.Duration) (ran, failed uint32) {
 	state, found := d.workers.Load(instance)
 	if !found {
@@ -134,25 +130,25 @@
 	return uint32(math.Round(calls)), failed
 }
 
-// isProxyUnreachable tells whether a proxy gave no answer of late.
+// isProxyUnreachable reports whether a proxy was recently not reached.
 func (d *OutlierDetector) isProxyUnreachable(proxy string, now time.Duration) bool {
 	until, unreachable := d.unreachableProxies.Load(proxy)
 	return unreachable && now < until
 }
 
-// MarkDisowned notes that a worker's own proxy refused for it. An instance is never used again, so
-// this holds until the directory drops it.
+// MarkDisowned records that a worker's own proxy refused calls for it. Instances are not reused, so this is valid until
+// the directory drops the worker.
 func (d *OutlierDetector) MarkDisowned(instance string) { d.stateOf(instance).disowned.Store(true) }
 
-// MarkUnreachable notes that a proxy gave no answer. One miss is enough: unlike a worker's error
-// it says the same of every worker behind it, and each further try would hang as long.
+// MarkUnreachable records that a proxy was not reached. Once is enough: unlike a worker's failure it affects every
+// worker behind that proxy, and each further attempt would hang as long.
 func (d *OutlierDetector) MarkUnreachable(proxy string, now time.Duration) {
 	if _, wasUnreachable := d.unreachableProxies.LoadAndStore(proxy, now+d.ejection()); !wasUnreachable {
 		d.unreachableCount.Add(1)
 	}
 }
 
-// MarkReachable notes that a proxy answered.
+// MarkReachable records that a proxy responded.
 func (d *OutlierDetector) MarkReachable(proxy string) {
 	if d.unreachableCount.Load() == 0 {
 		return
@@ -162,7 +158,7 @@
 	}
 }
 
-// BeginCall notes a call sent to a worker.
+// BeginCall records a call sent to a worker. EndCall, CancelCall or RecordResponse must follow.
 func (d *OutlierDetector) BeginCall(instance string, now time.Duration) {
 	state := d.stateOf(instance)
 	if state.inFlight.Add(1) == 1 {
@@ -170,7 +166,7 @@
 	}
 }
 
-// EndCall notes how a call ended.
+// EndCall records how a call ended, and ejects the worker after too many consecutive failures.
 func (d *OutlierDetector) EndCall(instance string, now time.Duration, failed bool) {
 	state := d.stateOf(instance)
 	state.inFlight.Add(-1)
@@ -189,14 +185,14 @@
 	}
 }
 
-// CancelCall notes that a call sent to a worker ended with its caller, which says nothing of the worker.
+// CancelCall records that a call ended because its caller disconnected, which says nothing of the worker.
 func (d *OutlierDetector) CancelCall(instance string) { d.stateOf(instance).inFlight.Add(-1) }
 
-// RecordResponse takes what came back of a call sent to a worker, took being how long that was: how it
-// ended, the load that the worker's proxy told with it, and whether there was room.
+// RecordResponse records the response to a call sent to a worker, which arrived after elapsed: how the call ended, the load
+// that the worker's proxy reported, and whether there was capacity.
 func (d *OutlierDetector) RecordResponse(instance string, now, elapsed time.Duration, response *schema.ForwardResponse) {
 	if state := d.stateOf(instance); isCapacityRefusal(response) {
-		// It says nothing of how sound the worker is, only that it is tried last until there is room.
+		// It says nothing of the worker's health: the worker only comes last until it has capacity.
 		state.inFlight.Add(-1)
 		retryAfter := time.Duration(response.RetryAfterNanos)
 		if retryAfter <= 0 {
@@ -206,6 +202,7 @@
 	} else {
 		d.EndCall(instance, now, isFailure(response))
 	}
+	// Looked up again, because Retain may have dropped the state as soon as no call was in flight.
 	state := d.stateOf(instance)
 	if response.Slots > 0 || response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 		state.lastResponseAt.Store(int64(now))
@@ -213,7 +210,7 @@
 	state.observeLoad(now, elapsed, response)
 }
 
-// RefusalRate is the part of the calls sent to a worker of late that were refused for want of room.
+// RefusalRate returns the part of the recent calls to a worker that were refused for lack of capacity.
 func (d *OutlierDetector) RefusalRate(instance string) float64 {
 	state := d.stateOf(instance)
 	state.lock.Lock()
@@ -221,7 +218,7 @@
 	return state.refusalRate
 }
 
-// RecordOffer notes whether a worker that was asked took a call of a route.
+// RecordOffer records whether a worker accepted a call of a route.
 func (d *OutlierDetector) RecordOffer(instance, route string, now time.Duration, response *schema.ForwardResponse) {
 	state, full := d.stateOf(instance), isCapacityRefusal(response)
 	state.lock.Lock()
@@ -243,8 +240,8 @@
 	}
 }
 
-// ShouldSkip tells whether a worker is better not asked for a call this time, as it turned so many of
-// its route away, and when there may be room. What it is spared counts as asked.
+// ShouldSkip reports whether a worker gets no offer of a call this time, because it refused so many of the route, and
+// when capacity is expected. A skipped offer counts as made, so that offers settle at a multiple of what is accepted.
 func (d *OutlierDetector) ShouldSkip(instance, route string, now time.Duration, random plan.Random) (retryAfter time.Duration, skip bool) {
 	state, found := d.workers.Load(instance)
 	if !found {
@@ -257,14 +254,16 @@
 		return 0, false
 	}
 	acceptance.fade(now, d.ejection()/offerWindowDivisor)
-	if excess := acceptance.offered - maxOffersPerAccept*(acceptance.accepted+assumedAccepts); excess <= 0 || random() >= excess/(acceptance.offered+1) {
+	excess := acceptance.offered - maxOffersPerAccept*(acceptance.accepted+assumedAccepts)
+	if excess <= 0 || random() >= excess/(acceptance.offered+1) {
 		return 0, false
 	}
 	acceptance.offered++
 	return max(time.Duration(state.fullUntil.Load())-now, d.ejection()/fullEjectionDivisor), true
 }
 
-// Retain forgets workers that are no longer listed, so that memory does not grow with replacements.
+// Retain forgets workers that are not listed any more, so that memory does not grow with replacements. Workers with calls
+// in flight are kept until a later call.
 func (d *OutlierDetector) Retain(listed map[string]bool) {
 	d.workers.Range(func(instance string, state *workerState) bool {
 		if !listed[instance] && state.inFlight.Load() == 0 {
--- a/internal/dispatch/recent_ids.go
+++ b/internal/dispatch/recent_ids.go
@@ -4,20 +4,20 @@
 	"sync"
 )
 
-// RecentIDs is a bounded set of request ids.
+// RecentIDs is a set of the last ids that were added, of bounded size. It is safe for concurrent use.
 type RecentIDs struct {
-	lock sync.Mutex
+	lock sync.Mutex // guards the fields below
 	ids  map[string]struct{}
-	ring []string
-	next int
+	ring []string // the ids in the order in which they were added
+	next int      // where in the ring the next id goes, in place of the oldest
 }
 
-// NewRecentIDs keeps the last so many ids.
+// NewRecentIDs returns a set that retains the last limit ids.
 func NewRecentIDs(limit int) *RecentIDs {
 	return &RecentIDs{ids: map[string]struct{}{}, ring: make([]string, limit)}
 }
 
-// AddIfNew tells whether an id is new, and keeps it.
+// AddIfNew adds an id and reports whether it was new.
 func (r *RecentIDs) AddIfNew(id string) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Contains tells whether an id was kept.
+// Contains reports whether an id is retained.
 func (r *RecentIDs) Contains(id string) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/dispatch/reserved_admissions.go
+++ b/internal/dispatch/reserved_admissions.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// reservationDivisor is the part of the time left for which a turn is kept for a request that was enquired for.
+// reservationDivisor is the part of the time left for which an admission is reserved after a capacity check.
 const reservationDivisor = 16
 
-// reservedAdmissions are kept for requests that were enquired for and are on their way.
+// reservedAdmissions are admissions that were granted to capacity checks, for the requests that follow them.
 type reservedAdmissions struct {
-	lock      sync.Mutex
-	byRequest map[string]*reservedAdmission
+	lock      sync.Mutex                    // guards byRequest
+	byRequest map[string]*reservedAdmission // by request id
 }
 
+// reservedAdmission is an admission of a worker's queue that a request has yet to use.
 type reservedAdmission struct {
 	queue *WorkerQueue
 	now   func() time.Duration
-	timer *time.Timer
+	timer *time.Timer // releases the admission if the request does not arrive
 }
 
-// release gives the turn to who waits.
+// release returns the admission to the queue, which admits the next request.
 func (r *reservedAdmission) release() { r.queue.Release(r.now(), "", ResultNotRun, 0) }
 
-// reserve keeps a turn at a buffer for a request, for a time.
+// reserve reserves an admission, which the queue has granted already, for a request.
 func (r *reservedAdmissions) reserve(request string, queue *WorkerQueue, now func() time.Duration, lifetime time.Duration) {
 	reservation := &reservedAdmission{queue: queue, now: now}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	// An enquiry that came twice waited twice; one turn is enough.
+	// A capacity check that arrived twice was admitted twice; one admission is enough.
 	if earlier := r.byRequest[request]; earlier != nil {
 		earlier.timer.Stop()
 		earlier.release()
@@ -44,7 +45,7 @@
 	})
 }
 
-// take tells whether a turn at a buffer is kept for a request, and hands it over.
+// take reports whether an admission of the queue is reserved for a request, and passes it to the caller.
 func (r *reservedAdmissions) take(request string, queue *WorkerQueue) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -54,7 +55,7 @@
 	}
 	reservation.timer.Stop()
 	delete(r.byRequest, request)
-	// It was kept at a worker that has been replaced meanwhile.
+	// It was reserved at a worker that has been replaced meanwhile.
 	if reservation.queue != queue {
 		reservation.release()
 		return false
--- a/internal/dispatch/retry_budget.go
+++ b/internal/dispatch/retry_budget.go
@@ -6,31 +6,37 @@
 	"time"
 )
 
-// DefaultRetryWindow is the preset of the window in which extra tries are bounded.
+// DefaultRetryWindow is the window in which retries are bounded unless the limits say otherwise.
 const DefaultRetryWindow = 10 * time.Second
 
-// How finely the window is kept. One slot more than it has is counted, so that no window
-// anywhere exceeds the bound.
+// windowSlots is how many slots a window is divided into. One slot more is counted, so that no window, wherever it
+// begins, exceeds the bound.
 const windowSlots = 10
 
-// RetryBudget bounds extra tries against a service's own calls in any window.
+// RetryBudget bounds the retries for one service, in any window, to a ratio of the service's own calls. It is safe for
+// concurrent use.
 type RetryBudget struct {
-	limits     atomic.Pointer[Limits] // that it was last set by
-	lock       sync.Mutex
-	ratio      float64
-	slotLength time.Duration // length of one slot
-	slots      [windowSlots + 1]struct {
-		number int64
-		calls  float64
-		extras float64
-	}
+	limits atomic.Pointer[Limits] // last applied by setLimits; nil before
+
+	lock       sync.Mutex // guards the fields below
+	ratio      float64    // retries per call
+	slotLength time.Duration
+	slots      [windowSlots + 1]budgetSlot // a ring, by number modulo its length
+}
+
+// budgetSlot counts what happened in one slot of the window.
+type budgetSlot struct {
+	number  int64 // of the slot since the clock began
+	calls   float64
+	retries float64
 }
 
-// NewRetryBudget makes a budget of a ratio of calls in any window; 0 for the preset.
+// NewRetryBudget returns a budget of ratio retries per call in any window, 0 for DefaultRetryWindow.
 func NewRetryBudget(ratio float64, window time.Duration) *RetryBudget {
 	return &RetryBudget{ratio: ratio, slotLength: slotLengthOf(window)}
 }
 
+// slotLengthOf returns the length of one slot of a window.
 func slotLengthOf(window time.Duration) time.Duration {
 	if window <= 0 {
 		window = DefaultRetryWindow
@@ -38,8 +44,8 @@
 	return window / windowSlots
 }
 
-// setLimits sets another ratio, and another window. Extra tries of the window before count in the
-// new one as if they were made now; its calls earn nothing more, so that no bound is exceeded.
+// setLimits sets another ratio and window. Retries of the window before count in the new one as if they were made now,
+// and its calls earn nothing more, so that no bound is exceeded.
 func (b *RetryBudget) setLimits(now time.Duration, limits *Limits) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -49,18 +55,18 @@
 		retries, _ := b.sum(b.slot(now).number)
 		b.slotLength = slotLength
 		for i := range b.slots {
-			b.slots[i].number, b.slots[i].calls, b.slots[i].extras = -windowSlots, 0, 0
+			b.slots[i] = budgetSlot{number: -windowSlots}
 		}
-		b.slot(now).extras = retries
+		b.slot(now).retries = retries
 	}
 }
 
-// sum adds up what the window before a slot holds; calls of the oldest slot may lie outside of
-// it, so they earn nothing.
+// sum returns the retries and calls in the window that ends with the slot until. Calls of the oldest slot may lie
+// outside the window, so they earn nothing. The caller holds the lock.
 func (b *RetryBudget) sum(until int64) (retries, calls float64) {
 	for i := range b.slots {
 		if age := until - b.slots[i].number; age >= 0 && age <= windowSlots {
-			retries += b.slots[i].extras
+			retries += b.slots[i].retries
 			if age < windowSlots {
 				calls += b.slots[i].calls
 			}
@@ -69,28 +75,25 @@
 	return retries, calls
 }
 
-// RecordCall notes a call of a caller.
+// RecordCall records a call of a caller, which earns a part of a retry.
 func (b *RetryBudget) RecordCall(now time.Duration) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.slot(now).calls++
 }
 
-func (b *RetryBudget) slot(now time.Duration) *struct {
-	number int64
-	calls  float64
-	extras float64
-} {
+// slot returns the slot of a moment, cleared if it was last used for an earlier one. The caller holds the lock.
+func (b *RetryBudget) slot(now time.Duration) *budgetSlot {
 	number := int64(now / b.slotLength)
 	slot := &b.slots[number%int64(len(b.slots))]
 	if slot.number != number {
-		slot.number, slot.calls, slot.extras = number, 0, 0
+		*slot = budgetSlot{number: number}
 	}
 	return slot
 }
 
-// Allow takes one extra try if so much of the budget allows it; floor is this process's part of the
-// tries allowed besides the ratio.
+// Allow takes one retry from the budget and reports whether it could. Floor is this process's part of the retries in
+// a window that are allowed besides the ratio; only the given fraction of the budget may be used.
 func (b *RetryBudget) Allow(now time.Duration, floor, fraction float64) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -99,6 +102,6 @@
 	if retries+1 > fraction*(b.ratio*calls+floor) {
 		return false
 	}
-	current.extras++
+	current.retries++
 	return true
 }
--- a/internal/dispatch/uplink.go
+++ b/internal/dispatch/uplink.go
@@ -5,25 +5,24 @@
 	"time"
 )
 
-// Uplink is the link that a machine has to the others, as far as this process fills it. What is
-// written to a socket only joins a queue there, in which everything waits behind everything
-// else; so how long that is, is reckoned from what was written and from the link's rate. Nil is
-// a link that need not be thought of.
+// Uplink models the network link that this machine's responses and requests leave by, as far as this process fills it.
+// What is written to a socket only joins a queue in the kernel, so the wait there is calculated from the bytes
+// written and the link's bandwidth. A nil Uplink is a link without limit. It is safe for concurrent use.
 type Uplink struct {
-	now            func() time.Duration
-	bytesPerSecond float64 // bytes a second
+	now            func() time.Duration // the clock of the process
+	bytesPerSecond float64
 
-	lock      sync.Mutex
+	lock      sync.Mutex    // guards drainedAt
 	drainedAt time.Duration // when all that was written has left
 }
 
-// What a link carries besides what is written, in bytes.
+// Packets of the link, in bytes.
 const (
-	segmentPayload  = 1460 // of what is written goes into one packet
-	segmentOverhead = 40   // that each packet has before it
+	segmentPayload  = 1460 // data in one packet
+	segmentOverhead = 40   // headers of one packet
 )
 
-// NewUplink is a link of so many bytes a second; none where the rate is not known.
+// NewUplink returns a link of a bandwidth, or nil if the bandwidth is not known (0 or less).
 func NewUplink(bytesPerSecond int64, now func() time.Duration) *Uplink {
 	if bytesPerSecond <= 0 {
 		return nil
@@ -31,7 +30,7 @@
 	return &Uplink{now: now, bytesPerSecond: float64(bytesPerSecond)}
 }
 
-// TransferTime is how long the link takes for so many bytes that are written at once.
+// TransferTime returns how long the link takes to send so many bytes.
 func (u *Uplink) TransferTime(bytes int) time.Duration {
 	if u == nil || bytes <= 0 {
 		return 0
@@ -40,7 +39,7 @@
 	return time.Duration(float64(bytes+packets*segmentOverhead) / u.bytesPerSecond * float64(time.Second))
 }
 
-// RecordWrite notes that so many bytes were written.
+// RecordWrite records that so many bytes were written.
 func (u *Uplink) RecordWrite(bytes int) {
 	if u == nil || bytes <= 0 {
 		return
@@ -51,7 +50,7 @@
 	u.lock.Unlock()
 }
 
-// Backlog is how long what is written now waits before it leaves.
+// Backlog returns how long bytes that are written now wait before they leave.
 func (u *Uplink) Backlog() time.Duration {
 	if u == nil {
 		return 0
--- a/internal/dispatch/work_counts.go
+++ b/internal/dispatch/work_counts.go
@@ -11,34 +11,36 @@
 	"meadowhinge/schema"
 )
 
-// WorkCounts counts how requests ended that this proxy handed to the workers beside it. It is what
-// versions are judged by: no link between proxies, and no death of one, is in it.
+// WorkCounts counts how requests ended that this proxy sent to the workers beside it. Versions are judged by these
+// counts, because no connection between proxies, and no failure of one, affects them. It is safe for concurrent use.
 type WorkCounts struct {
 	counts    *xsync.Map[workCountKey, *WorkCount]
 	maxCounts int
 }
 
+// workCountKey is what requests have in common that are counted together. versionRevision is the revision at which
+// the version was configured, so that what happened before does not count against it once it is configured again.
 type workCountKey struct {
 	service, version, route string
-	statementSequence       uint64
+	versionRevision         uint64
 }
 
-// WorkCount is one line of the count; it only grows while the process lives.
+// WorkCount counts the requests of one version and route. It only grows while the process lives.
 type WorkCount struct {
 	calls, failures, totalNanos atomic.Uint64
-	histogram                   [release.LatencyBucketCount]atomic.Uint32
+	histogram                   [release.LatencyBucketCount]atomic.Uint32 // of the calls that did not fail
 	inFlight                    atomic.Int32
-	connectionLostAt            atomic.Int64
+	connectionLostAt            atomic.Int64 // when the worker last broke a connection, 0 for never
 }
 
-// NewWorkCounts keeps at most so many lines; what comes beyond them is not counted.
+// NewWorkCounts returns counts of at most maxCounts versions and routes. Requests beyond them are not counted.
 func NewWorkCounts(maxCounts int) *WorkCounts {
 	return &WorkCounts{counts: xsync.NewMap[workCountKey, *WorkCount](), maxCounts: maxCounts}
 }
 
-// Begin notes that a request is handed to a worker of a version; plan is what was stated of it.
-func (w *WorkCounts) Begin(service, version, route string, statementSequence uint64) *WorkCount {
-	key := workCountKey{service, version, route, statementSequence}
+// Begin records that a request is sent to a worker of a version. It returns nil if it is not counted.
+func (w *WorkCounts) Begin(service, version, route string, versionRevision uint64) *WorkCount {
+	key := workCountKey{service, version, route, versionRevision}
 	count, found := w.counts.Load(key)
 	if !found {
 		if w.counts.Size() >= w.maxCounts {
@@ -50,11 +52,11 @@
 	return count
 }
 
-// connectionLossWindow is within what time connections that a worker breaks are one failure: its end,
-// which says no more of its version than a single one does.
+// connectionLossWindow is the time within which broken connections count as one failure: a worker that ends breaks all
+// of its connections, which says no more of its version than one does.
 const connectionLossWindow = 100 * time.Millisecond
 
-// End notes how it ended, so long after it was handed over.
+// End records how a request ended, and how long it took since Begin. c may be nil.
 func (c *WorkCount) End(now, took time.Duration, response *schema.ForwardResponse) {
 	if c == nil {
 		return
@@ -77,25 +79,40 @@
 	c.calls.Add(1)
 }
 
-// Report lists the lines of the services that are asked for.
+// Report returns the counts of the services for which include is true.
 func (w *WorkCounts) Report(include func(service string) bool) []*schema.WorkCount {
 	var reported []*schema.WorkCount
 	w.counts.Range(func(key workCountKey, workCount *WorkCount) bool {
 		if !include(key.service) {
 			return true
 		}
-		work := &schema.WorkCount{Service: key.service, Version: key.version, Route: key.route, PlanSequence: key.statementSequence, Calls: workCount.calls.Load(),
-			Failures: workCount.failures.Load(), TotalNanos: workCount.totalNanos.Load(), InFlight: uint32(max(0, workCount.inFlight.Load()))}
-		for step := range workCount.histogram {
-			if count := workCount.histogram[step].Load(); count > 0 {
-				for len(work.LatencyHistogram) < step {
-					work.LatencyHistogram = append(work.LatencyHistogram, 0)
-				}
-				work.LatencyHistogram = append(work.LatencyHistogram, count)
-			}
-		}
-		reported = append(reported, work)
+		reported = append(reported, workCount.report(key))
 		return true
 	})
 	return reported
 }
+
+// report returns the count as it is reported, with a histogram that ends at its last bucket in use.
+func (c *WorkCount) report(key workCountKey) *schema.WorkCount {
+	reported := &schema.WorkCount{
+		Service:      key.service,
+		Version:      key.version,
+		Route:        key.route,
+		PlanSequence: key.versionRevision,
+		Calls:        c.calls.Load(),
+		Failures:     c.failures.Load(),
+		TotalNanos:   c.totalNanos.Load(),
+		InFlight:     uint32(max(0, c.inFlight.Load())),
+	}
+	for bucket := range c.histogram {
+		count := c.histogram[bucket].Load()
+		if count == 0 {
+			continue
+		}
+		for len(reported.LatencyHistogram) < bucket {
+			reported.LatencyHistogram = append(reported.LatencyHistogram, 0)
+		}
+		reported.LatencyHistogram = append(reported.LatencyHistogram, count)
+	}
+	return reported
+}
--- a/internal/dispatch/worker_codec.go
+++ b/internal/dispatch/worker_codec.go
@@ -11,47 +11,48 @@
 	"meadowhinge/schema"
 )
 
-// WorkerRegistration is the worker that a request is handed to, as it stands registered.
+// WorkerRegistration identifies the worker that a request is sent to, as it is registered.
 type WorkerRegistration struct {
 	Instance string
-	Address  string
-	Token    string
+	Address  string // IP:port
+	Token    string // by which the worker knows that a request is meant for it
 	Service  string
 	Version  string
 }
 
-// ResponseInfo is what an answer of a worker says beside its status and its body.
+// ResponseInfo is what the header of a worker's response says besides its status.
 type ResponseInfo struct {
-	NotExecuted      bool // the worker's word that it did not run the request
-	WrongWorker      bool // another worker stands at this address, and did not run it either
-	WrongRequest     bool // it answers another request than ours
-	ClosesConnection bool // the worker gives the connection back with this answer
-	// EndsAtClose lets an answer that tells no length end where the worker closes its connection. Where
-	// it is not set, such an answer is not whole, for it cannot be told from one cut short.
+	NotExecuted      bool // the worker did not run the request
+	WrongWorker      bool // another worker is at this address, and did not run the request either
+	WrongRequest     bool // the response belongs to another request
+	ClosesConnection bool // the worker closes the connection after this response
+	// EndsAtClose lets a response without a length end where the worker closes its connection. Where it is not set,
+	// such a response is invalid, because it cannot be told from a truncated one.
 	EndsAtClose bool
-	// IdleTimeout is how long the worker keeps a connection that nothing comes on, 0 for not told.
+	// IdleTimeout is how long the worker keeps an idle connection open, 0 for not reported.
 	IdleTimeout time.Duration
-	// The worker's load, by its own word; slots 0 for not told.
+	// The worker's load as it reports it, in requests. Slots 0 means not reported.
 	Running, Waiting, Slots uint32
 }
 
-// WorkerCodec is how a proxy and the workers beside it make themselves understood over
-// HTTP: it reads and writes headers, and decides nothing.
+// WorkerCodec translates between a proxy and the workers beside it: it writes and reads HTTP headers, and makes no
+// decisions. Its methods are called concurrently.
 type WorkerCodec interface {
-	// WriteHeaders sets what a request says to its worker beside method, target, body and the headers passed on.
-	WriteHeaders(request *fasthttp.Request, carry *schema.ForwardRequest, worker WorkerRegistration, left time.Duration)
-	// ReadHeader tells what the head of an answer says.
-	ReadHeader(header *fasthttp.ResponseHeader, carry *schema.ForwardRequest) ResponseInfo
-	// ValidBody tells whether a body that came whole can be what the worker meant to answer.
+	// WriteHeaders sets what a request says to its worker besides method, target, body and the headers passed on. left
+	// is the time that the worker has to answer.
+	WriteHeaders(httpRequest *fasthttp.Request, request *schema.ForwardRequest, worker WorkerRegistration, left time.Duration)
+	// ReadHeader returns what the header of a response to the request says.
+	ReadHeader(header *fasthttp.ResponseHeader, request *schema.ForwardRequest) ResponseInfo
+	// ValidBody reports whether a body that arrived completely can be what the worker meant to answer.
 	ValidBody(header *fasthttp.ResponseHeader, body []byte) bool
-	// PassesHeader tells whether a header is passed on, from a caller or, with answer, to it.
-	PassesHeader(name []byte, answer bool) bool
+	// PassesHeader reports whether a header is passed on: to a caller if response is set, else to a worker.
+	PassesHeader(name []byte, response bool) bool
 }
 
-// NativeCodec is how workers are spoken to by this project's own interface.
+// NativeCodec is the codec of the native worker API.
 type NativeCodec struct{}
 
-// WriteHeaders hands a worker the token it registered with, who calls, and what for.
+// WriteHeaders sets the worker's token, the caller, the request id and the version.
 func (NativeCodec) WriteHeaders(httpRequest *fasthttp.Request, request *schema.ForwardRequest, worker WorkerRegistration, _ time.Duration) {
 	httpRequest.Header.SetHost(worker.Address)
 	httpRequest.Header.Set(HeaderToken, worker.Token)
@@ -60,19 +61,21 @@
 	httpRequest.Header.Set(HeaderVersion, request.Version)
 }
 
-// ReadHeader finds the one thing that workers say: that the request was not meant for them.
+// ReadHeader recognizes the one thing that workers report: that the request was not meant for them.
 func (NativeCodec) ReadHeader(header *fasthttp.ResponseHeader, _ *schema.ForwardRequest) ResponseInfo {
-	return ResponseInfo{WrongWorker: header.StatusCode() == fasthttp.StatusMisdirectedRequest && len(header.Peek(HeaderRefused)) > 0,
-		ClosesConnection: header.ConnectionClose()}
+	return ResponseInfo{
+		WrongWorker:      header.StatusCode() == fasthttp.StatusMisdirectedRequest && len(header.Peek(HeaderRefused)) > 0,
+		ClosesConnection: header.ConnectionClose(),
+	}
 }
 
-// ValidBody refuses what calls itself JSON and is not.
+// ValidBody rejects a body that is declared as JSON and is not.
 func (NativeCodec) ValidBody(header *fasthttp.ResponseHeader, body []byte) bool {
 	mediaType, _, _ := strings.Cut(string(header.ContentType()), ";")
 	return len(body) == 0 || strings.TrimSpace(strings.ToLower(mediaType)) != "application/json" || json.Valid(body)
 }
 
-// PassesHeader keeps headers of our own namespace from coming in or out.
+// PassesHeader keeps this project's own headers from being passed on.
 func (NativeCodec) PassesHeader(name []byte, _ bool) bool {
 	return !IsHopByHopHeader(name) && (len(name) < len(HeaderPrefix) || !bytes.EqualFold(name[:len(HeaderPrefix)], []byte(HeaderPrefix)))
 }
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -6,36 +6,38 @@
 	"sync/atomic"
 	"time"
 
+	"meadowhinge/internal/plan"
 	"meadowhinge/schema"
 )
 
-// workerState is what this process has seen of a worker.
+// workerState is what this process has seen of a worker. Times are on the clock of the process, in nanoseconds.
 type workerState struct {
-	inFlight            atomic.Int64
-	consecutiveFailures atomic.Int64 // in a row
-	ejectedUntil        atomic.Int64 // ejected until
-	fullUntil           atomic.Int64 // without room until
-	lastResponseAt      atomic.Int64 // when its proxy answered last, or when calls began to wait there
-	disowned            atomic.Bool  // its proxy knows it no more, or it is leaving: it never comes back
+	inFlight            atomic.Int64 // calls from this process
+	consecutiveFailures atomic.Int64
+	ejectedUntil        atomic.Int64
+	fullUntil           atomic.Int64 // without capacity until then
+	lastResponseAt      atomic.Int64 // when its proxy last responded, or when the first of the calls in flight was sent
+	disowned            atomic.Bool  // its proxy does not know it any more, or it is draining: it never comes back
 
-	lock sync.Mutex
-	// Calls through this process; calls of all, as the worker's proxy told of them; and as this
-	// process saw them, where it is that proxy.
+	lock sync.Mutex // guards the fields below
+	// The calls of this process; those of all callers as the worker's proxy reported them; and those of all callers
+	// as this process saw them, where it is that proxy.
 	ownCalls, reportedCalls, localCalls callRecord
-	// Its load as its proxy told it last, less what this process has there.
+	// The load that the worker's proxy last reported, less the calls of this process.
 	loadReportedAt   time.Duration
-	hasLoad          bool
+	hasLoad          bool // a load was reported
 	slots            int
-	otherInFlight    float64       // at that time
-	baselineInFlight float64       // moving mean of others
-	serviceTime      time.Duration // as told, or else as seen from here; 0 for not known
-	refusalRate      float64       // part of the calls of late that were refused for want of room
-	// acceptance is by route, for those of which it turned calls away of late.
+	otherInFlight    float64       // calls of others, as of loadReportedAt
+	baselineInFlight float64       // moving mean of otherInFlight
+	serviceTime      time.Duration // as reported, or else as measured from here; 0 for not known
+	refusalRate      float64       // part of the recent calls that were refused for lack of capacity
+	// acceptance is by route, for routes of which the worker has refused calls recently.
 	acceptance map[string]*routeAcceptance
 }
 
-// recentCalls is how many calls a worker had of late and how many of them failed, by who saw the most of it:
-// each caller's proxy alone sees few. What is lost on the way is the proxy's beside it, see Lost.
+// recentCalls returns how many calls the worker had recently and how many of them failed, from the record with the most
+// calls: each caller's proxy alone sees few. Calls that are lost on the way to the worker's proxy are counted against
+// that proxy, see MarkUnreachable. The caller holds the lock.
 func (s *workerState) recentCalls(now, window time.Duration) (calls, failed float64) {
 	calls, failed = s.ownCalls.decayed(now, window)
 	for _, other := range [2]*callRecord{&s.reportedCalls, &s.localCalls} {
@@ -46,7 +48,7 @@
 	return calls, failed
 }
 
-// observeLoad takes the load that was told with an answer or a refusal.
+// observeLoad records the load that was reported with a response.
 func (s *workerState) observeLoad(now, took time.Duration, response *schema.ForwardResponse) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -54,7 +56,7 @@
 	if isCapacityRefusal(response) {
 		s.refusalRate += 1.0 / refusalAveragingDivisor
 	}
-	// Its proxy knows best how long the worker takes; from here, the way and the wait are in it too.
+	// The worker's proxy knows best how long the worker takes: what is measured here includes network and queue.
 	reported := time.Duration(response.ServiceTimeNanos)
 	if reported == 0 && response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 		reported = took
@@ -68,7 +70,11 @@
 	if response.Slots == 0 {
 		return
 	}
-	s.reportedCalls = callRecord{float64(response.RecentRuns), float64(min(response.RecentFailures, response.RecentRuns)), now}
+	s.reportedCalls = callRecord{
+		calls:     float64(response.RecentRuns),
+		failed:    float64(min(response.RecentFailures, response.RecentRuns)),
+		updatedAt: now,
+	}
 	s.slots = int(response.Slots)
 	s.otherInFlight = max(0, float64(int64(response.Running)+int64(response.Queued)-s.inFlight.Load()))
 	if !s.hasLoad {
@@ -78,15 +84,42 @@
 	s.loadReportedAt, s.hasLoad = now, true
 }
 
-// routeAcceptance is of how many calls a worker was asked of late, and how many it took.
+// routeAcceptance counts how many calls of a route were recently offered to a worker, and how many it accepted.
 type routeAcceptance struct {
 	offered, accepted float64
 	updatedAt         time.Duration
 }
 
+// fade decays the counts to a moment, to 1/e in a window.
 func (a *routeAcceptance) fade(now, window time.Duration) {
 	if now > a.updatedAt {
 		decay := math.Exp(-float64(now-a.updatedAt) / float64(window))
-		a.offered, a.accepted, a.updatedAt = a.offered*decay, a.accepted*decay, now
+		a.offered *= decay
+		a.accepted *= decay
+		a.updatedAt = now
+	}
+}
+
+// estimateOtherLoad fills in the worker's slots and the calls of others there. Of the last response and the directory,
+// the later report counts. The older the report is, the more it gives way to the baseline, because the calls that it
+// counted are over by now. The caller holds the lock.
+func (s *workerState) estimateOtherLoad(stats *plan.EndpointStats, worker *plan.Endpoint, now time.Duration) {
+	switch {
+	case !s.hasLoad && s.ownCalls.calls > 0:
+		// The worker's responses report no load, and the directory's report is older than most calls last: by it,
+		// all proxies would pick the same worker at once. Only the calls of this process are certain.
+		stats.Slots, stats.OtherInFlight = 0, 0
+		return
+	case !s.hasLoad:
+		stats.OtherInFlight = float64(worker.Running + worker.Waiting)
+		return
+	}
+	stats.Slots = s.slots
+	otherInFlight, reportedAt := s.otherInFlight, s.loadReportedAt
+	if worker.ReportedAt > reportedAt {
+		otherInFlight = max(0, float64(worker.Running+worker.Waiting-stats.InFlight))
+		reportedAt = worker.ReportedAt
 	}
+	age := float64(now-reportedAt) / float64(max(stats.ServiceTime, time.Millisecond))
+	stats.OtherInFlight = s.baselineInFlight + (otherInFlight-s.baselineInFlight)/(1+max(0, age))
 }
