--- a/internal/plan/directory.go
+++ b/internal/plan/directory.go
@@ -6,8 +6,12 @@
 	"meadowhinge/schema"
 )
 
-// DirectoryOf folds sources into a directory; since tells when each worker was first known, and
-// told when a source was heard.
+// Directory lists the workers that may get calls by service and version. It is immutable once it is part of a View.
+type Directory map[string]map[string][]Endpoint
+
+// DirectoryOf returns the directory of the workers that proxies report, without those that are draining or terminated.
+// firstSeenAt returns when a worker, by instance, was first known, and reportedAt when a proxy, by name, last
+// reported; both are on the clock of the process, and either may be nil for a directory without times.
 func DirectoryOf(sources []*schema.Source, firstSeenAt, reportedAt func(name string) time.Duration) Directory {
 	directory := Directory{}
 	for _, source := range sources {
@@ -15,13 +19,7 @@
 			if worker.Draining || worker.Terminated {
 				continue
 			}
-			byVersion := directory[worker.Service]
-			if byVersion == nil {
-				byVersion = map[string][]Endpoint{}
-				directory[worker.Service] = byVersion
-			}
-			endpoint := Endpoint{Instance: worker.Instance, Proxy: source.Name, Address: source.Address, Zone: worker.Zone, Load: worker.Load,
-				Slots: int(worker.Slots), Running: int(worker.Running), Waiting: int(worker.Queued), ServiceTime: time.Duration(worker.ServiceTimeNanos)}
+			endpoint := newEndpoint(source, worker)
 			if firstSeenAt != nil {
 				endpoint.FirstSeenAt = firstSeenAt(worker.Instance)
 			}
@@ -29,11 +27,28 @@
 				endpoint.ReportedAt = reportedAt(source.Name)
 				endpoint.WarmUntil = endpoint.ReportedAt + time.Duration(worker.WarmupLeftNanos)
 			}
+			byVersion := directory[worker.Service]
+			if byVersion == nil {
+				byVersion = map[string][]Endpoint{}
+				directory[worker.Service] = byVersion
+			}
 			byVersion[worker.Version] = append(byVersion[worker.Version], endpoint)
 		}
 	}
 	return directory
 }
 
-// Directory lists workers by service and version.
-type Directory map[string]map[string][]Endpoint
+// newEndpoint returns a worker as the proxy beside it reports it.
+func newEndpoint(source *schema.Source, worker *schema.Worker) Endpoint {
+	return Endpoint{
+		Instance:    worker.Instance,
+		Proxy:       source.Name,
+		Address:     source.Address,
+		Zone:        worker.Zone,
+		Load:        worker.Load,
+		Slots:       int(worker.Slots),
+		Running:     int(worker.Running),
+		Waiting:     int(worker.Queued),
+		ServiceTime: time.Duration(worker.ServiceTimeNanos),
+	}
+}
--- a/internal/plan/evaluation_context.go
+++ b/internal/plan/evaluation_context.go
@@ -9,29 +9,29 @@
 	"meadowhinge/internal/policy"
 )
 
-// CallerKind is the context kind that tells which service calls, and from where.
+// CallerKind is the context kind whose key is the calling service and whose attributes describe the caller.
 const CallerKind = "caller"
 
-// evaluationContext is what flags are evaluated for: the user as the route says, and the caller. It reads
-// the request where it is asked, for most flags ask for nothing but the key.
+// evaluationContext is what flags are evaluated for: the user, as the route identifies users, and the caller. It reads the
+// request lazily, because most flags need only the key. It implements flag.EvaluationContext.
 type evaluationContext struct {
 	route   *config.Route
 	request *Request
-	zone    string
-	key     string
+	zone    string // of the caller
+	key     string // of the user
 }
 
-// newEvaluationContext is the context of a request.
+// newEvaluationContext returns the context of a request. Where the route names no header for the key, the request's own
+// identity is the key.
 func newEvaluationContext(route *config.Route, request *Request, zone string) evaluationContext {
 	evaluation := evaluationContext{route: route, request: request, zone: zone, key: request.Identity}
-	// Where the route names no header, the request's own identity is the key.
 	if route.KeyHeader != "" {
 		evaluation.key, _ = request.Header(route.KeyHeader)
 	}
 	return evaluation
 }
 
-// KeyOf gives the user's key, or the calling service.
+// KeyOf returns the user's key, or the calling service.
 func (e *evaluationContext) KeyOf(kind string) (string, bool) {
 	switch kind {
 	case flag.DefaultKind:
@@ -42,15 +42,15 @@
 	return "", false
 }
 
-// HasAllKeys tells whether both are known.
+// HasAllKeys reports whether both keys are known.
 func (e *evaluationContext) HasAllKeys() bool { return e.key != "" && e.request.Caller != "" }
 
-// Attribute gives what the route takes from headers, method and path; of the caller, its zone.
+// Attribute returns what the route takes from headers, method and path; of the caller, its zone.
 func (e *evaluationContext) Attribute(kind, name string) (any, bool) {
 	if kind == CallerKind {
 		return e.zone, name == "area"
 	}
-	// A route's own attribute goes before what every request has.
+	// An attribute that the route declares takes precedence over the method and the path.
 	if header, listed := e.route.Attributes[name]; listed && kind == flag.DefaultKind {
 		if value, present := e.request.Header(header); present {
 			return parseAttribute(value), true
@@ -66,7 +66,7 @@
 	return nil, false
 }
 
-// parseAttribute reads a header's value: plain numbers and true or false are taken as such.
+// parseAttribute parses a header's value: plain decimal numbers and booleans are taken as such, all else as text.
 func parseAttribute(text string) any {
 	if number, err := strconv.ParseFloat(text, 64); err == nil && !strings.ContainsAny(text, "xXpP_nN") {
 		return number
@@ -80,10 +80,17 @@
 	return text
 }
 
-// policyContext is what a policy sees: what the flag's context holds, by names of its own.
+// policyContext returns what a policy sees: what the flags' context holds, under the names of package policy.
 func policyContext(evaluation *evaluationContext) policy.Context {
 	request := evaluation.request
-	input := policy.Context{Caller: request.Caller, Zone: evaluation.zone, Method: request.Method, Path: request.Path, Key: evaluation.key, Attributes: map[string]any{}}
+	input := policy.Context{
+		Caller:     request.Caller,
+		Zone:       evaluation.zone,
+		Method:     request.Method,
+		Path:       request.Path,
+		Key:        evaluation.key,
+		Attributes: map[string]any{},
+	}
 	for name := range evaluation.route.Attributes {
 		if value, present := evaluation.Attribute(flag.DefaultKind, name); present {
 			input.Attributes[name] = value
--- a/internal/plan/failure_assessment.go
+++ b/internal/plan/failure_assessment.go
@@ -4,8 +4,9 @@
 	"math"
 )
 
-// assessFailures tells whether a worker is lost for now, or else whether it is passed by this time for failing
-// more than the others do. As what was seen of it fades, it gets its calls back by and by.
+// assessFailures reports whether a worker is ejected for now, or else whether it is avoided this time for failing more
+// than the others do. calls and failures are those of the others. Recorded failures decay, so the worker gets its calls
+// back gradually.
 func (p *picker) assessFailures(stats *EndpointStats, calls, failures float64) (ejected, avoid bool) {
 	otherRate := failures / (calls + assumedSuccesses)
 	switch {
@@ -16,14 +17,17 @@
 	}
 	failureRate := stats.RecentFailures / (stats.RecentCalls + assumedSuccesses)
 	excess := failureRate - otherRate
-	// Few calls have to fail by much to be believed; of many, what is beyond doubt is enough.
+	// Of few calls many must fail to be significant; of many, the excess beyond the standard error is enough.
 	certainExcess := excess - failureStandardErrors*math.Sqrt(failureRate*(1-failureRate)/(stats.RecentCalls+assumedSuccesses))
 	probability := max((excess-excessFailureStart)/(excessFailureAlways-excessFailureStart), certainExcess/excessFailureStart)
 	return false, probability > 0 && (probability >= 1 || p.random() < probability)
 }
 
-// likelyFull tells whether a worker that had no room for a call a moment ago has likely none for this
-// one: what one route's aim does not allow, another's may.
+// likelyFull reports whether a worker that recently had no capacity for a call likely has none for this one: a request
+// that is too late for one route's latency target may be in time for another's.
 func (p *picker) likelyFull(rated *ratedEndpoint) bool {
-	return rated.stats.Slots == 0 || p.latencyTarget <= 0 || rated.expectedWait+fullServiceTimes*float64(rated.stats.ServiceTime) > float64(p.latencyTarget)
+	if rated.stats.Slots == 0 || p.latencyTarget <= 0 {
+		return true
+	}
+	return rated.expectedWait+fullServiceTimes*float64(rated.stats.ServiceTime) > float64(p.latencyTarget)
 }
--- a/internal/plan/picker.go
+++ b/internal/plan/picker.go
@@ -5,62 +5,62 @@
 	"time"
 )
 
-// Ratios of placing.
+// Ratios of picking endpoints.
 const (
 	maxEjectedDivisor = 2   // at most 1/maxEjectedDivisor of a pool may be ejected
-	slowStartFloor    = 0.1 // share a worker starts with, where it does not tell how long it is slow
-	slowStartFactor   = 2.0 // how much longer a worker takes that is slow after its start
-	lastSlotSlowdown  = 0.1 // how much longer it takes with its last slot than with its first
+	slowStartFloor    = 0.1 // part of the calls that a worker begins with, where it does not report its slow start
+	slowStartFactor   = 2.0 // how many times longer a worker takes in the slow start that it reports
+	lastSlotSlowdown  = 0.1 // how much longer a worker takes with its last slot in use than with its first
 
-	// Another zone is as good as the own one but for the bytes between. It is used in so far as the
-	// wait in the own one eats up what the aim leaves beside the work: from the first part on more
-	// and more, from the second always. In between, zones settle where one is as short as they are.
+	// Calls spill to other zones in so far as the wait in the own zone uses up what the latency target leaves besides
+	// the service time: increasingly from spillStart of it, and always from spillAlways. In between, the zones
+	// settle where the wait in both is alike.
 	spillStart             = 0.15
 	spillAlways            = 0.4
 	spillMaxTimeRatio      = 0.8 // and only to where a call takes less than this part of the time
 	spillUnknownSlotsRatio = 3.0 // where slots are not known: only from this many times the load
-	spillTargetDivisor     = 2   // and only where calls take longer than this part of the aim
+	spillTargetDivisor     = 2   // and only where calls take longer than this part of the latency target
 
-	// A worker is passed by in so far as it fails more than the others do: from the first part of
-	// its calls on more and more, from the second always.
+	// A worker is avoided in so far as it fails more than the others: increasingly from excessFailureStart of its
+	// calls, and always from excessFailureAlways.
 	excessFailureStart    = 0.15
 	excessFailureAlways   = 0.5
-	commonFailureRate     = 0.25 // where the others fail in this part of their calls, a row of failures says nothing
-	assumedSuccesses      = 4.0  // calls that it is taken to have served well before any was seen
-	failureStandardErrors = 2.0  // and it is given the benefit of so many standard errors of what was seen
+	commonFailureRate     = 0.25 // where the others fail in this part of their calls, consecutive failures mean nothing
+	assumedSuccesses      = 4.0  // calls that a worker is assumed to have served before any was seen
+	failureStandardErrors = 2.0  // excess that is explained by chance, in standard errors
 
-	maxPackedUtilization = 0.8 // of its slots that a worker is given where calls are packed
+	maxPackedUtilization = 0.8 // of the slots of a worker that gets the calls where they are packed
 
-	fullServiceTimes = 2.0 // a worker that was full is for calls that have this many times its pace left beside the wait
+	fullServiceTimes = 2.0 // a worker that was full gets calls that have this many service times left besides the wait
 
-	maxCandidates     = 8 // a plan has no more; who is through with them makes another
-	sameZoneSampled   = 6 // of a larger pool only so many are looked at
+	maxCandidates     = 8 // of one plan; a call that has tried all of them gets another plan
+	sameZoneSampled   = 6 // workers of a larger pool that are rated
 	otherZonesSampled = 4
 )
 
-// ratedEndpoint is a worker of a pool that was looked at.
+// ratedEndpoint is a worker of the sample with what a call is expected to take there.
 type ratedEndpoint struct {
 	poolIndex    int
-	expectedTime float64 // that one more call is expected to take, in nanoseconds, or in calls where nothing is known
-	expectedWait float64 // of that, before the worker begins on it
+	expectedTime float64 // nanoseconds that one more call takes; where no service time is known, calls
+	expectedWait float64 // the part of expectedTime before the worker begins with the call
 	group        int
 	stats        EndpointStats
 }
 
 // The groups of workers, in the order in which they are tried.
 const (
-	sameZone = iota // of the own zone
-	otherZones
-	suspect    // that fail more than others: who has room may still answer well
-	atCapacity // without room
-	unusable   // that are not reached, or fail all there is
+	sameZone   = iota // in this proxy's zone
+	otherZones        // in other zones
+	suspect           // fail more than others; those with capacity may still answer well
+	atCapacity        // without capacity
+	unusable          // not reached, or fail all calls
 	groupCount
 )
 
-// maxSampled is how many workers are looked at, of a larger pool.
+// maxSampled is the size of the sample of a larger pool.
 const maxSampled = sameZoneSampled + otherZonesSampled
 
-// picker is one choice among a pool. It is used over and over, for its space.
+// picker is one pick of endpoints from a pool. Pickers are reused for their memory; one is used by one goroutine at a time.
 type picker struct {
 	pool          []Endpoint
 	options       Options
@@ -69,17 +69,18 @@
 	random        Random
 	latencyTarget time.Duration
 	sampled       []ratedEndpoint
-	groups        [groupCount][]int // of places among those looked at
+	groups        [groupCount][]int // indexes into sampled
 }
 
+// pickers are the pickers that are not in use.
 var pickers = sync.Pool{New: func() any { return &picker{} }}
 
-// pickEndpoints picks workers for a call, in the order in which to try them: of the own zone first unless
-// that would make the call late, the likely quickest in front; then those without room, then
-// those that fail.
+// pickEndpoints picks workers for a call, in the order in which to try them: first those of this zone, unless that would
+// make the call late, with the one that is likely the fastest in front; then those without capacity, then those
+// that fail.
 //
-// Packed, the calls of all proxies go to as few workers as have room for them: so each of these shows
-// what it does under load, though there is less to do than the pool has room for.
+// If packed is set, the calls of all proxies go to as few workers as have capacity for them. So each of these shows
+// how it performs under load, though there are fewer calls than the pool has capacity for.
 func pickEndpoints(pool []Endpoint, packed bool, latencyTarget time.Duration, options Options, local LocalState, now time.Duration, random Random) []Endpoint {
 	if len(pool) == 0 {
 		return nil
@@ -90,15 +91,7 @@
 		p.pool, p.local, p.random = nil, nil, nil
 		pickers.Put(p)
 	}()
-	if len(pool) <= maxSampled {
-		p.sample(0, len(pool), len(pool))
-	} else {
-		p.sample(min(int(random()*float64(len(pool))), len(pool)-1), sameZoneSampled, otherZonesSampled)
-		// Where nobody of those is any good, all are looked at.
-		if len(p.groups[sameZone])+len(p.groups[otherZones]) == 0 && len(p.sampled) < len(pool) {
-			p.sample(0, len(pool), len(pool))
-		}
-	}
+	p.rate()
 	if len(p.groups[sameZone]) > 0 && len(p.groups[otherZones]) > 0 && p.shouldSpill() {
 		p.groups[sameZone], p.groups[otherZones] = p.groups[otherZones], p.groups[sameZone]
 	}
@@ -119,9 +112,24 @@
 	return chosen
 }
 
-// takeFirstWithCapacity takes, of the workers that tell their slots and have room by the bound for
-// packing, the first by name, so that all proxies take the same; it gives its place in the pool, -1 for
-// none.
+// rate rates the whole pool if it is small, and else a random sample of it.
+func (p *picker) rate() {
+	poolSize := len(p.pool)
+	if poolSize <= maxSampled {
+		p.rateSample(0, poolSize, poolSize)
+		return
+	}
+	start := min(int(p.random()*float64(poolSize)), poolSize-1)
+	p.rateSample(start, sameZoneSampled, otherZonesSampled)
+	// Where no worker of the sample is good, all are rated.
+	if len(p.groups[sameZone])+len(p.groups[otherZones]) == 0 && len(p.sampled) < poolSize {
+		p.rateSample(0, poolSize, poolSize)
+	}
+}
+
+// takeFirstWithCapacity removes from the groups the first worker by name that reports its slots and has capacity within
+// the bound for packing; by name, so that all proxies take the same one. It returns the worker's index in the pool,
+// -1 for none.
 func (p *picker) takeFirstWithCapacity() int {
 	best, fromGroup, position := -1, 0, 0
 	for _, group := range []int{sameZone, otherZones} {
@@ -141,13 +149,17 @@
 	return best
 }
 
-// sample rates workers from a place in the pool on, at most so many near and far ones, and sorts
-// them into groups.
-func (p *picker) sample(start, sameZoneLimit, otherZonesLimit int) {
+// rateSample samples at most so many workers of this zone and of others, from an index of the pool on, and sorts them
+// into groups.
+func (p *picker) rateSample(start, sameZoneLimit, otherZonesLimit int) {
+	p.drawSample(start, sameZoneLimit, otherZonesLimit)
+	p.estimateTimes()
+	p.groupSample()
+}
+
+// drawSample takes workers in the order of the pool, from an index on and around, until both limits are reached.
+func (p *picker) drawSample(start, sameZoneLimit, otherZonesLimit int) {
 	p.sampled = p.sampled[:0]
-	for i := range p.groups {
-		p.groups[i] = p.groups[i][:0]
-	}
 	remaining := [2]int{sameZone: sameZoneLimit, otherZones: otherZonesLimit}
 	for i := range p.pool {
 		poolIndex := start + i
@@ -160,16 +172,25 @@
 		}
 		if remaining[group] > 0 {
 			remaining[group]--
-			p.sampled = append(p.sampled, ratedEndpoint{poolIndex: poolIndex, group: group, stats: p.local.Stats(&p.pool[poolIndex], p.now)})
+			stats := p.local.Stats(&p.pool[poolIndex], p.now)
+			p.sampled = append(p.sampled, ratedEndpoint{poolIndex: poolIndex, group: group, stats: stats})
 		}
 		if remaining[sameZone]+remaining[otherZones] == 0 {
 			break
 		}
 	}
-	p.estimateTimes()
+}
+
+// groupSample sorts the sample into groups: its workers begin in the group of their zone, and are moved to another if
+// they lack capacity or fail.
+func (p *picker) groupSample() {
+	for i := range p.groups {
+		p.groups[i] = p.groups[i][:0]
+	}
 	calls, failures := 0.0, 0.0
 	for i := range p.sampled {
-		calls, failures = calls+p.sampled[i].stats.RecentCalls, failures+p.sampled[i].stats.RecentFailures
+		calls += p.sampled[i].stats.RecentCalls
+		failures += p.sampled[i].stats.RecentFailures
 	}
 	for i := range p.sampled {
 		rated := &p.sampled[i]
@@ -177,9 +198,10 @@
 		if lacksCapacity {
 			rated.group = atCapacity
 		}
-		// Beyond the ratio nobody more is passed by: when all fail alike, none is the outlier.
+		// Beyond this part of the sample no more workers are avoided: when all fail alike, none is the outlier.
 		if len(p.groups[unusable])+len(p.groups[suspect]) < len(p.sampled)/maxEjectedDivisor {
-			switch ejected, avoid := p.assessFailures(&rated.stats, calls-rated.stats.RecentCalls, failures-rated.stats.RecentFailures); {
+			othersCalls, othersFailures := calls-rated.stats.RecentCalls, failures-rated.stats.RecentFailures
+			switch ejected, avoid := p.assessFailures(&rated.stats, othersCalls, othersFailures); {
 			case ejected:
 				rated.group = unusable
 			case avoid && !lacksCapacity:
@@ -190,27 +212,15 @@
 	}
 }
 
-// estimateTimes says of each worker looked at how long one more call would take there.
+// estimateTimes estimates how long one more call would take at each worker of the sample.
 func (p *picker) estimateTimes() {
-	sum, measured := 0.0, 0.0
+	baseline := p.meanServiceTime()
 	for i := range p.sampled {
-		if stats := &p.sampled[i].stats; stats.ServiceTime > 0 && stats.Slots > 0 {
-			sum, measured = sum+float64(stats.ServiceTime), measured+1
-		}
-	}
-	baseline := 1.0
-	if measured > 0 {
-		baseline = sum / measured
-	}
-	for i := range p.sampled {
-		rated, endpoint := &p.sampled[i], &p.pool[p.sampled[i].poolIndex]
+		rated := &p.sampled[i]
+		endpoint := &p.pool[rated.poolIndex]
 		calls := float64(rated.stats.InFlight) + rated.stats.OtherInFlight + 1
 		if rated.stats.Slots == 0 {
-			slowStartFraction := 1.0
-			if age := p.now - endpoint.FirstSeenAt; p.options.Warmup > 0 && age < p.options.Warmup {
-				slowStartFraction = max(slowStartFloor, float64(age)/float64(p.options.Warmup))
-			}
-			rated.expectedTime = baseline * calls * (1 + endpoint.Load) / slowStartFraction
+			rated.expectedTime = baseline * calls * (1 + endpoint.Load) / p.slowStartFraction(endpoint)
 			continue
 		}
 		serviceTime := float64(rated.stats.ServiceTime)
@@ -226,10 +236,35 @@
 	}
 }
 
-// shouldSpill tells whether another zone is tried first this time. The more the wait here would make
-// calls late, the more of them go: by chance, so that proxies don't change over all at once.
+// meanServiceTime returns the mean service time of the sample, in nanoseconds, or 1 where none is known.
+func (p *picker) meanServiceTime() float64 {
+	sum, measured := 0.0, 0.0
+	for i := range p.sampled {
+		if stats := &p.sampled[i].stats; stats.ServiceTime > 0 && stats.Slots > 0 {
+			sum += float64(stats.ServiceTime)
+			measured++
+		}
+	}
+	if measured == 0 {
+		return 1
+	}
+	return sum / measured
+}
+
+// slowStartFraction returns the part of its calls that a worker gets in its slow start, 1 once that is over.
+func (p *picker) slowStartFraction(endpoint *Endpoint) float64 {
+	age := p.now - endpoint.FirstSeenAt
+	if p.options.Warmup <= 0 || age >= p.options.Warmup {
+		return 1
+	}
+	return max(slowStartFloor, float64(age)/float64(p.options.Warmup))
+}
+
+// shouldSpill reports whether another zone is tried first this time. The more the wait in this zone would make calls
+// late, the more of them spill; at random, so that proxies do not switch all at once.
 func (p *picker) shouldSpill() bool {
-	best, slotsUnknown := &p.sampled[p.groups[sameZone][0]], false
+	best := &p.sampled[p.groups[sameZone][0]]
+	slotsUnknown := false
 	for _, i := range p.groups[sameZone] {
 		rated := &p.sampled[i]
 		slotsUnknown = slotsUnknown || rated.stats.Slots == 0
@@ -239,7 +274,7 @@
 	}
 	remote := &p.sampled[p.groups[otherZones][p.pickOfTwo(p.groups[otherZones])]]
 	if slotsUnknown {
-		// Where it is known at least how long calls take, and that is soon enough, they stay.
+		// Where at least the service time is known, and is short enough, calls stay.
 		fastEnough := p.latencyTarget > 0 && best.stats.ServiceTime > 0 && best.stats.ServiceTime < p.latencyTarget/spillTargetDivisor
 		return !fastEnough && best.expectedTime > spillUnknownSlotsRatio*remote.expectedTime
 	}
@@ -252,7 +287,8 @@
 	return waitFraction > spillStart && p.random() < (waitFraction-spillStart)/(spillAlways-spillStart)
 }
 
-// pickOfTwo picks the better of two of a group, drawn at random.
+// pickOfTwo draws two workers of a group at random and returns the index, in the group, of the one with the shorter
+// expected time.
 func (p *picker) pickOfTwo(group []int) int {
 	if len(group) == 1 {
 		return 0
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -9,134 +9,179 @@
 	"meadowhinge/internal/flag"
 )
 
-// Exceptions to the flag's verdict; each is counted under its own reason.
+// Exceptions to the flag's verdict. Each is counted under a reason of its own.
 const (
+	// ReasonPoolEmpty: the version has no worker that is reachable, so the fallback version serves.
 	ReasonPoolEmpty flag.Reason = "POOL_EMPTY"
-	// ReasonVersionBlocked: the version is not the fallback, and this proxy may not use it just now.
+	// ReasonVersionBlocked: the version is not the fallback, and this proxy must not use it now.
 	ReasonVersionBlocked flag.Reason = "HELD"
-	// ReasonPolicy: the route's policy refused the call, so no version was asked for.
+	// ReasonPolicy: the route's policy refused the call, so no version was decided.
 	ReasonPolicy flag.Reason = "POLICY"
-	// ReasonSplitEmpty: the split's service has no worker, and another of the split has.
+	// ReasonSplitEmpty: the split's service has no worker, and another one of the split has.
 	ReasonSplitEmpty flag.Reason = "SPLIT_EMPTY"
-	// ReasonNoVersion: no version of the service is stated, and no worker has told one yet.
+	// ReasonNoVersion: no version of the service is configured, and no worker has reported one yet.
 	ReasonNoVersion flag.Reason = "NO_VERSION"
 )
 
-// View is one immutable picture of the world; a plan is made from one view only.
+// View is an immutable snapshot of what a plan is made from. A plan is made from one view only.
 type View struct {
 	Config    *config.Snapshot
 	Directory Directory
 }
 
-// Request is what a plan needs to know of a request.
+// Request is what a plan needs to know of a request. Package proxy fills it in from the caller's HTTP request.
 type Request struct {
-	Caller            string
+	Caller            string // the authenticated calling service or client kind
 	Host              string // as the caller named it
-	Identity          string // the caller's own id of this try: the context's key where the route names no header
+	Identity          string // the caller's own id of this attempt: the context's key where the route names no header
 	Method            string
 	Path              string
-	Header            func(name string) (string, bool)
-	HasIdempotencyKey bool          // an Idempotency-Key came with it
-	IdempotencyKey    string        // its value
-	CallerDeadline    time.Duration // the caller's own deadline, 0 for none
+	Header            func(name string) (string, bool) // value of a header, and whether it is present
+	HasIdempotencyKey bool                             // an Idempotency-Key header is present
+	IdempotencyKey    string                           // its value
+	CallerDeadline    time.Duration                    // time that the caller gives, 0 for no bound
 }
 
-// Verdict is which version pool gets the call, and the plain reason why.
+// Verdict is the version whose workers get the call, and the reason. The JSON keys are the operators' API.
 type Verdict struct {
-	Flag           string         `json:"flag"`
-	Version        string         `json:"version"`
-	Reason         flag.Reason    `json:"reason"`
-	RuleID         string         `json:"rule,omitempty"`
+	Flag           string         `json:"flag"`           // key of the flag that decided
+	Version        string         `json:"version"`        // of a split: the service
+	Reason         flag.Reason    `json:"reason"`         // the flag's, or an exception
+	RuleID         string         `json:"rule,omitempty"` // the flag's rule that matched
 	Error          flag.ErrorCode `json:"error,omitempty"`
 	ConfigRevision uint64         `json:"setup"`
 	Evaluated      string         `json:"evaluated,omitempty"` // what the flag said, where an exception changed it
 }
 
-// Plan is what will be carried out.
+// Plan is what is to happen to a request.
 type Plan struct {
 	Route         *config.Route
 	Service       string
-	Split         Verdict // of a route that is split: the service, in place of a version; else without a flag
+	Split         Verdict // of a route that is split: its Version is the service; without a flag if the route is not
 	Verdict       Verdict
 	Class         config.Class
-	Deadline      time.Duration
+	Deadline      time.Duration // for the whole call, from its start
 	LatencyTarget time.Duration // the time within which an answer is worth most, 0 for none
 	Candidates    []Endpoint    // in the order in which to try them
 
 	context evaluationContext // of its request
 }
 
-// maxIdempotencyKeyBytes is the longest idempotency key, in bytes.
+// maxIdempotencyKeyBytes is the length of the longest idempotency key, in bytes.
 const maxIdempotencyKeyBytes = 256
 
-// Options are the planner's bounds.
+// Options are the planner's settings.
 type Options struct {
-	Zone        string
-	MaxDeadline time.Duration
-	Warmup      time.Duration // a new worker's share rises over this time
+	Zone        string        // of this proxy
+	MaxDeadline time.Duration // upper bound on the deadline of any call
+	Warmup      time.Duration // slow start of a new worker that does not report its own, 0 for none
 }
 
-// Random gives numbers in [0,1).
+// Random returns numbers in [0,1).
 type Random func() float64
 
-// Make makes the plan of a request. Beside a refusal it gives what there is of the plan, if any,
-// so that the refusal can be counted and shown.
+// Make makes the plan of a request. The error has the code errs.RouteNotFound, CallerNotAllowed, MalformedRequest,
+// PolicyDenied or NoWorker. With the last two it comes with the plan as far as it was made, so that the refusal can
+// be counted and shown.
 func Make(view *View, request *Request, options Options, local LocalState, now time.Duration, random Random) (*Plan, error) {
 	route, found := view.Config.Match(request.Host, request.Path, request.Method)
 	if !found {
 		return nil, errs.New(errs.RouteNotFound, request.Method+" "+request.Path)
 	}
-	plan := &Plan{Route: route, Class: route.ClassFor(request.Method), Deadline: options.MaxDeadline}
-	if route.Deadline > 0 {
-		plan.Deadline = min(plan.Deadline, route.Deadline)
-	}
-	// A caller may ask for less time than the route gives, never for more.
-	if request.CallerDeadline > 0 {
-		plan.Deadline = min(plan.Deadline, request.CallerDeadline)
-	}
-	plan.LatencyTarget = min(route.LatencyTarget, plan.Deadline)
-	plan.context = newEvaluationContext(route, request, options.Zone)
-	subject := &plan.context
-	plan.Service = route.Service
+	plan := newPlan(route, request, options)
 	if len(route.Split) > 0 {
-		plan.Split = decideSplit(view, route, subject)
+		plan.Split = decideSplit(view, route, &plan.context)
 		plan.Service = plan.Split.Version
 	}
-	service := view.Config.Services[plan.Service]
-	if service == nil {
-		return nil, errs.New(errs.RouteNotFound, plan.Service)
+	if err := plan.checkRequest(view, request); err != nil {
+		return nil, err
 	}
-	if !service.AllowsCaller(request.Caller) {
-		return nil, errs.New(errs.CallerNotAllowed, request.Caller+" may not call "+plan.Service)
-	}
-	// A key that can't be kept would protect nothing, so its sender is told. Where requests may
-	// be repeated anyway, a key says nothing and is left alone.
-	if plan.Class == config.ClassNonIdempotent && request.HasIdempotencyKey && (request.IdempotencyKey == "" || len(request.IdempotencyKey) > maxIdempotencyKeyBytes) {
-		return nil, errs.New(errs.MalformedRequest, fmt.Sprintf("Idempotency-Key needs 1 to %d bytes", maxIdempotencyKeyBytes))
-	}
-	// A policy says whether there is to be a call at all; only then the flag decides its version.
-	if route.Policy != nil && !route.Policy.Allows(policyContext(subject)) {
-		plan.Verdict = Verdict{Flag: config.VersionFlagKey(plan.Service), Reason: ReasonPolicy, ConfigRevision: view.Config.Revision}
-		return plan, errs.New(errs.PolicyDenied, route.PolicyName)
-	}
-	verdict, pool := decideVersion(view, plan.Service, subject, local, now)
-	// Of a split, any service with weight may serve: where the one that was decided has nobody,
-	// those that have somebody share its calls by their weights.
-	if len(pool) == 0 && len(route.Split) > 0 {
-		if otherService := pickOtherService(view, route, plan.Service, request.Caller, subject, local, now); otherService != "" {
-			plan.Split.Evaluated, plan.Split.Version, plan.Split.Reason = plan.Service, otherService, ReasonSplitEmpty
-			plan.Service = otherService
-			verdict, pool = decideVersion(view, otherService, subject, local, now)
+	// The policy decides whether the call is made at all; only then the flag decides its version.
+	if route.Policy != nil && !route.Policy.Allows(policyContext(&plan.context)) {
+		plan.Verdict = Verdict{
+			Flag:           config.VersionFlagKey(plan.Service),
+			Reason:         ReasonPolicy,
+			ConfigRevision: view.Config.Revision,
 		}
+		return plan, errs.New(errs.PolicyDenied, route.PolicyName)
 	}
-	plan.Verdict = verdict
-	if verdict.Version == "" {
+	pool := plan.decide(view, request, local, now)
+	if plan.Verdict.Version == "" {
 		return plan, errs.New(errs.NoWorker, plan.Service+" has no version yet")
 	}
-	if request.IdempotencyKey != "" && plan.Class == config.ClassNonIdempotent {
-		plan.Candidates = rendezvous(pool, request.Caller+"\x00"+request.IdempotencyKey, func(endpoint *Endpoint) bool { return local.Stats(endpoint, now).Unreachable })
+	if plan.usesKey(request) {
+		plan.Candidates = rendezvous(pool, request.Caller+"\x00"+request.IdempotencyKey, func(endpoint *Endpoint) bool {
+			return local.Stats(endpoint, now).Unreachable
+		})
 	} else {
-		plan.Candidates = pickEndpoints(pool, view.Config.RampingByDeadline(plan.Service, verdict.Version), plan.LatencyTarget, options, local, now, random)
+		packed := view.Config.RampingByDeadline(plan.Service, plan.Verdict.Version)
+		plan.Candidates = pickEndpoints(pool, packed, plan.LatencyTarget, options, local, now, random)
 	}
 	return plan, nil
 }
+
+// newPlan returns a plan with what the route alone decides.
+func newPlan(route *config.Route, request *Request, options Options) *Plan {
+	deadline := deadlineOf(route, request, options)
+	return &Plan{
+		Route:         route,
+		Service:       route.Service,
+		Class:         route.ClassFor(request.Method),
+		Deadline:      deadline,
+		LatencyTarget: min(route.LatencyTarget, deadline),
+		context:       newEvaluationContext(route, request, options.Zone),
+	}
+}
+
+// deadlineOf returns the time that a call has. A caller may ask for less time than the route gives, never for more.
+func deadlineOf(route *config.Route, request *Request, options Options) time.Duration {
+	deadline := options.MaxDeadline
+	if route.Deadline > 0 {
+		deadline = min(deadline, route.Deadline)
+	}
+	if request.CallerDeadline > 0 {
+		deadline = min(deadline, request.CallerDeadline)
+	}
+	return deadline
+}
+
+// checkRequest checks that the service exists and the caller may call it, and the form of its idempotency key.
+func (p *Plan) checkRequest(view *View, request *Request) error {
+	service := view.Config.Services[p.Service]
+	if service == nil {
+		return errs.New(errs.RouteNotFound, p.Service)
+	}
+	if !service.AllowsCaller(request.Caller) {
+		return errs.New(errs.CallerNotAllowed, request.Caller+" may not call "+p.Service)
+	}
+	// A key that cannot be retained would protect nothing, so it is refused. An idempotent request needs no key, so
+	// a key that comes with it is ignored.
+	keyLength := len(request.IdempotencyKey)
+	if p.Class == config.ClassNonIdempotent && request.HasIdempotencyKey && (keyLength == 0 || keyLength > maxIdempotencyKeyBytes) {
+		return errs.New(errs.MalformedRequest, fmt.Sprintf("Idempotency-Key needs 1 to %d bytes", maxIdempotencyKeyBytes))
+	}
+	return nil
+}
+
+// usesKey reports whether the call goes by its idempotency key.
+func (p *Plan) usesKey(request *Request) bool {
+	return request.IdempotencyKey != "" && p.Class == config.ClassNonIdempotent
+}
+
+// decide decides the version, and for a split whose service has no workers another service. It returns the pool that
+// is to serve.
+func (p *Plan) decide(view *View, request *Request, local LocalState, now time.Duration) []Endpoint {
+	verdict, pool := decideVersion(view, p.Service, &p.context, local, now)
+	// Any service of a split with a weight may serve: the services that have workers share the calls of one that
+	// has none, by their weights.
+	if len(pool) == 0 && len(p.Route.Split) > 0 {
+		otherService := pickOtherService(view, p.Route, p.Service, request.Caller, &p.context, local, now)
+		if otherService != "" {
+			p.Split.Evaluated, p.Split.Version, p.Split.Reason = p.Service, otherService, ReasonSplitEmpty
+			p.Service = otherService
+			verdict, pool = decideVersion(view, otherService, &p.context, local, now)
+		}
+	}
+	p.Verdict = verdict
+	return pool
+}
--- a/internal/plan/rendezvous.go
+++ b/internal/plan/rendezvous.go
@@ -5,17 +5,20 @@
 	"sort"
 )
 
-// rendezvous orders a pool by a key, so that a repeat reaches the worker that had it first. Who
-// is not reached comes last: each key would else pay for the same loss anew from the budget.
+// murmurMultiplier is the multiplier of the final mix of MurmurHash3.
+const murmurMultiplier = 0xff51afd7ed558ccd
+
+// rendezvous orders a pool by a key, so that a repeat reaches the worker that had the key first. Unreachable workers come
+// last: otherwise each key of such a worker would be charged to the retry budget.
 func rendezvous(pool []Endpoint, key string, unreachable func(*Endpoint) bool) []Endpoint {
 	ordered := append([]Endpoint(nil), pool...)
 	weight := func(endpoint Endpoint) uint64 {
 		hash := fnv.New64a()
-		hash.Write([]byte(key + "\x00" + endpoint.Instance))
-		// A final mix, because FNV alone lets the last bytes decide too little.
+		_, _ = hash.Write([]byte(key + "\x00" + endpoint.Instance)) // a hash never fails to write
+		// A final mix (of MurmurHash), because in FNV alone the last bytes have too little effect.
 		sum := hash.Sum64()
 		sum ^= sum >> 33
-		sum *= 0xff51afd7ed558ccd
+		sum *= murmurMultiplier
 		return sum ^ sum>>33
 	}
 	sort.Slice(ordered, func(i, j int) bool {
--- a/internal/plan/version.go
+++ b/internal/plan/version.go
@@ -11,9 +11,15 @@
 func decideSplit(view *View, route *config.Route, subject flag.EvaluationContext) Verdict {
 	decider := view.Config.ServiceDecider(route)
 	result := view.Config.Flags.Decide(decider.Flag, subject)
-	verdict := Verdict{Flag: decider.Key, Version: result.Value, Reason: result.Reason, Error: result.Error, ConfigRevision: view.Config.Revision}
+	verdict := Verdict{
+		Flag:           decider.Key,
+		Version:        result.Value,
+		Reason:         result.Reason,
+		Error:          result.Error,
+		ConfigRevision: view.Config.Revision,
+	}
 	if result.Index < 0 {
-		// The fallback of a split is the first that has any weight.
+		// The fallback of a split is its first service with a weight.
 		verdict.Reason = flag.ReasonError
 		if services := route.Services(); len(services) > 0 {
 			verdict.Version = services[0]
@@ -22,12 +28,27 @@
 	return verdict
 }
 
-// pickOtherService picks, for a split whose service has nobody, one that has, by weight. A key stays with
-// its service for as long as that is so; its bucket is another than the split's, for all keys of
-// the service that has nobody are alike in that one.
+// pickOtherService picks a service with workers, by weight, for a split whose decided service has none. It returns an
+// empty string if no other service has any. A key keeps its service as long as the same services have workers. The
+// bucket differs from the split's, because there all keys of the decided service fall into one range.
 func pickOtherService(view *View, route *config.Route, decided, caller string, subject flag.EvaluationContext, local LocalState, now time.Duration) string {
-	var available []config.WeightedService
-	totalWeight := 0.0
+	available, totalWeight := availableServices(view, route, caller, subject, local, now)
+	bucket := flag.Bucket(route.SplitFlagKey(), route.Name+"."+decided, nil, subject, flag.DefaultKind, "")
+	cumulative := 0.0
+	for _, target := range available {
+		cumulative += target.Weight
+		if bucket < cumulative/totalWeight {
+			return target.Service
+		}
+	}
+	if len(available) > 0 {
+		return available[len(available)-1].Service
+	}
+	return ""
+}
+
+// availableServices returns the services of a split that may serve the caller and have workers, and their total weight.
+func availableServices(view *View, route *config.Route, caller string, subject flag.EvaluationContext, local LocalState, now time.Duration) (available []config.WeightedService, totalWeight float64) {
 	for _, target := range route.Split {
 		service := view.Config.Services[target.Service]
 		if target.Weight <= 0 || service == nil || !service.AllowsCaller(caller) {
@@ -38,37 +59,28 @@
 			totalWeight += target.Weight
 		}
 	}
-	bucket, cumulative := flag.Bucket(route.SplitFlagKey(), route.Name+"."+decided, nil, subject, flag.DefaultKind, ""), 0.0
-	for _, target := range available {
-		if cumulative += target.Weight; bucket < cumulative/totalWeight {
-			return target.Service
-		}
-	}
-	if len(available) > 0 {
-		return available[len(available)-1].Service
-	}
-	return ""
+	return available, totalWeight
 }
 
-// decideVersion gives the verdict on the version of a service, and the pool that is to serve.
+// decideVersion returns the verdict on the version of a service, and the pool that is to serve. The verdict is the
+// flag's unless one of two exceptions applies, and then names what the flag said in Evaluated.
 func decideVersion(view *View, serviceName string, subject flag.EvaluationContext, local LocalState, now time.Duration) (Verdict, []Endpoint) {
 	service := view.Config.Services[serviceName]
 	verdict := evaluateVersion(view, service, serviceName, subject)
 	if verdict.Version == "" {
 		return verdict, nil
 	}
-	// The brake: a version other than the fallback gets no call that it may not have just now.
-	if verdict.Version != service.Fallback && (view.Config.ActiveStop(serviceName, verdict.Version) != nil || local.VersionBlocked(serviceName, verdict.Version, now)) {
+	// The rollback guard: a version other than the fallback gets no call while it is stopped or blocked.
+	if verdict.Version != service.Fallback && isBlocked(view, serviceName, verdict.Version, local, now) {
 		verdict.Evaluated = verdict.Version
 		verdict.Version, verdict.Reason = service.Fallback, ReasonVersionBlocked
 	}
 	pool := view.Directory[serviceName][verdict.Version]
-	// An empty pool would turn proper callers away; the fallback version is allowed to serve
-	// them. A pool of which nobody can be reached is as good as empty, while the other's can.
+	// The fallback version serves in place of an empty pool, which would refuse valid callers. A pool without any
+	// reachable worker counts as empty while the fallback's pool has one.
 	fallbackPool := view.Directory[serviceName][service.Fallback]
 	empty := len(pool) == 0 || (!anyReachable(pool, local, now) && anyReachable(fallbackPool, local, now))
 	if empty && verdict.Version != service.Fallback {
-		// What an exception changed before was not what the flag said.
 		if verdict.Evaluated == "" {
 			verdict.Evaluated = verdict.Version
 		}
@@ -78,12 +90,24 @@
 	return verdict, pool
 }
 
-// evaluateVersion asks the flag for the version of a service.
+// isBlocked reports whether the configuration has stopped a version, or this process must not use it now.
+func isBlocked(view *View, service, version string, local LocalState, now time.Duration) bool {
+	return view.Config.ActiveStop(service, version) != nil || local.VersionBlocked(service, version, now)
+}
+
+// evaluateVersion evaluates the version flag of a service.
 func evaluateVersion(view *View, service *config.Service, serviceName string, subject flag.EvaluationContext) Verdict {
 	decider := view.Config.VersionDecider(serviceName)
 	result := view.Config.Flags.Decide(decider.Flag, subject)
-	verdict := Verdict{Flag: decider.Key, Version: result.Value, Reason: result.Reason, RuleID: result.RuleID, Error: result.Error, ConfigRevision: view.Config.Revision}
-	// The fallback stands in for an error. A version the setup does not list is never called.
+	verdict := Verdict{
+		Flag:           decider.Key,
+		Version:        result.Value,
+		Reason:         result.Reason,
+		RuleID:         result.RuleID,
+		Error:          result.Error,
+		ConfigRevision: view.Config.Revision,
+	}
+	// The fallback takes the place of an error. A version that the configuration does not list is never called.
 	if result.Index < 0 || !service.AllowsVersion(result.Value) {
 		verdict.Version, verdict.Reason = service.Fallback, flag.ReasonError
 	}
@@ -93,7 +117,7 @@
 	return verdict
 }
 
-// anyReachable tells whether any worker of a pool stands at a proxy that answers.
+// anyReachable reports whether the proxy of any worker of a pool is reachable.
 func anyReachable(pool []Endpoint, local LocalState, now time.Duration) bool {
 	for i := range pool {
 		if !local.Stats(&pool[i], now).Unreachable {
