--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -67,7 +67,9 @@
 
 // attemptContext bounds an attempt of an idempotent call, so that time for a retry is left should the proxy hang:
 // as much as the worker takes, for a run that is broken off is lost.
-func (f *Forwarder) attemptContext(ctx context.Context, callPlan *plan.Plan, endpoint *plan.Endpoint, remaining time.Duration) (context.Context, context.CancelFunc) {
+func (f *Forwarder) attemptContext(
+	ctx context.Context, callPlan *plan.Plan, endpoint *plan.Endpoint, remaining time.Duration,
+) (context.Context, context.CancelFunc) {
 	if callPlan.Class != config.ClassIdempotent || f.NoAttemptTimeout {
 		return ctx, func() {}
 	}
@@ -78,20 +80,20 @@
 	return context.WithTimeout(ctx, timeout)
 }
 
-// sendAttempt sends a call to a candidate and records what that says of its worker, proxy and version.
-// refusedBefore says whether another worker has refused the call already.
-func (f *Forwarder) sendAttempt(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, remaining time.Duration, refusedBefore bool) *schema.ForwardResponse {
-	callPlan := result.Plan
-	request := newAttemptRequest(call, result, &endpoint, remaining)
-	attemptCtx, cancel := f.attemptContext(ctx, callPlan, &endpoint, remaining)
+// sendAttempt sends the call to a candidate and records what that says of its worker, proxy and version.
+func (a *forwarding) sendAttempt(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) *schema.ForwardResponse {
+	f, callPlan := a.forwarder, a.result.Plan
+	request := newAttemptRequest(a.call, a.result, candidate, remaining)
+	attemptCtx, cancel := f.attemptContext(ctx, callPlan, candidate, remaining)
 	defer cancel()
 	sentAt := f.Now()
-	f.Outliers.BeginCall(endpoint.Instance, sentAt)
-	if refusal := f.checkCapacity(attemptCtx, request, &endpoint, refusedBefore); refusal != nil {
+	f.Outliers.BeginCall(candidate.Instance, sentAt)
+	refusedBefore := a.progress.fullEndpoints > 0
+	if refusal := f.checkCapacity(attemptCtx, request, candidate, refusedBefore); refusal != nil {
 		if isCanceled(refusal) {
-			f.Outliers.CancelCall(endpoint.Instance)
+			f.Outliers.CancelCall(candidate.Instance)
 		} else {
-			f.Outliers.RecordResponse(endpoint.Instance, f.Now(), f.Now()-sentAt, refusal)
+			f.Outliers.RecordResponse(candidate.Instance, f.Now(), f.Now()-sentAt, refusal)
 		}
 		return refusal
 	}
@@ -102,18 +104,20 @@
 		request.LatencyTargetNanos = remainingTarget(callPlan, remaining)
 	}
 	canaryCall := f.beginCanaryCall(callPlan)
-	response, err := f.Send(attemptCtx, endpoint, request)
-	response = f.responseOf(ctx, request, &endpoint, response, err)
-	f.recordOutcome(callPlan, &endpoint, response, sentAt)
+	received, err := f.Send(attemptCtx, *candidate, request)
+	response := f.responseOf(ctx, request, received, err, candidate.Proxy)
+	f.recordOutcome(callPlan, candidate, response, sentAt)
 	f.endCanaryCall(canaryCall, response)
 	return response
 }
 
 // responseOf turns what came back of a request into a response, and records whether the proxy was reached. An
 // attempt without a timeout of its own that ran into the call's deadline met a slow worker, not a lost proxy.
-func (f *Forwarder) responseOf(ctx context.Context, request *schema.ForwardRequest, endpoint *plan.Endpoint, response *schema.ForwardResponse, err error) *schema.ForwardResponse {
+func (f *Forwarder) responseOf(
+	ctx context.Context, request *schema.ForwardRequest, response *schema.ForwardResponse, err error, proxy string,
+) *schema.ForwardResponse {
 	if err == nil {
-		f.Outliers.MarkReachable(endpoint.Proxy)
+		f.Outliers.MarkReachable(proxy)
 		// A response that belongs to another request, or has not arrived intact, is none.
 		if !intact(request, response) {
 			return outcomeUnknown(errs.InvalidResponse)
@@ -123,7 +127,7 @@
 	if f.NoAttemptTimeout && ctx.Err() != nil {
 		return outcomeUnknown(contextErrorCode(ctx))
 	}
-	f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
+	f.Outliers.MarkUnreachable(proxy, f.Now())
 	if errs.CodeOf(err) == errs.PeerConnectFailed {
 		return notExecuted(errs.PeerConnectFailed, 0)
 	}
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -31,10 +31,10 @@
 type nextStep int
 
 const (
-	tryCandidate  nextStep = iota // the step found nothing against the candidate
-	nextCandidate                 // go on with the next candidate of the plan
-	replan                        // the plan is outdated: make another one
-	done                          // the call is over, with the response of the step
+	stepProceed nextStep = iota // the step found nothing against the candidate
+	stepNext                    // go on with the next candidate of the plan
+	stepReplan                  // the plan is outdated: make another one
+	stepDone                    // the call is over, with the response of the step
 )
 
 // step is the result of one step: how to go on and, if the call is done, with which response. Instance is where
@@ -46,11 +46,13 @@
 }
 
 // doneWith ends a call with a response that is bound to no instance.
-func doneWith(response *schema.ForwardResponse) step { return step{next: done, response: response} }
+func doneWith(response *schema.ForwardResponse) step { return step{next: stepDone, response: response} }
 
 // attemptCandidates tries the candidates in order until one answers or nothing more may be done. It returns the
 // response of the last attempt and the instance it came from, or [anotherProxy].
-func (f *Forwarder) attemptCandidates(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string) (*schema.ForwardResponse, string) {
+func (f *Forwarder) attemptCandidates(
+	ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string,
+) (*schema.ForwardResponse, string) {
 	attempts := forwarding{
 		forwarder:      f,
 		call:           call,
@@ -64,18 +66,18 @@
 
 // run makes plans and tries their candidates until the call is over.
 func (a *forwarding) run(ctx context.Context) (*schema.ForwardResponse, string) {
-	for round := range maxPlanRounds {
+	for replans := range maxPlanRounds {
 		// A refusal by another proxy for an outdated configuration would hit the next call as well.
 		a.forwarder.awaitNewerConfig(ctx, a.remaining())
-		if err := a.ensureCurrentPlan(round); err != nil {
+		if err := a.ensureCurrentPlan(replans); err != nil {
 			return a.progress.endWith(errs.CodeOf(err)), ""
 		}
 		last := a.tryEndpoints(ctx)
-		if last.next == done {
+		if last.next == stepDone {
 			return last.response, last.instance
 		}
 		// No candidate is left: an update with other workers may be on its way.
-		if last.next != replan && (a.progress.hasAnswer() || !a.awaitUntriedWorkers(ctx)) {
+		if last.next != stepReplan && (a.progress.hasAnswer() || !a.awaitUntriedWorkers(ctx)) {
 			break
 		}
 	}
@@ -87,10 +89,10 @@
 	return a.result.Plan.Deadline - (a.forwarder.Now() - a.startedAt)
 }
 
-// ensureCurrentPlan makes the plan again in a later round, or if the configuration has changed since: a plan
+// ensureCurrentPlan makes the plan again after the first time, or if the configuration has changed since: a plan
 // is carried out only under the configuration that it was made from.
-func (a *forwarding) ensureCurrentPlan(round int) error {
-	if view := a.forwarder.View(); round == 0 && view.Config.Revision == a.result.Plan.Verdict.ConfigRevision {
+func (a *forwarding) ensureCurrentPlan(replans int) error {
+	if view := a.forwarder.View(); replans == 0 && view.Config.Revision == a.result.Plan.Verdict.ConfigRevision {
 		return nil
 	}
 	callPlan, err := a.forwarder.makePlan(&a.call.Request)
@@ -102,41 +104,41 @@
 }
 
 // tryEndpoints tries the candidates of the plan in order. It returns a step that is done or asks for another
-// plan, or nextCandidate if it has come to the end of them.
+// plan, or stepNext if it has come to the end of them.
 func (a *forwarding) tryEndpoints(ctx context.Context) step {
 	candidates := a.result.Plan.Candidates
 	for i := range candidates {
-		if last := a.tryCandidate(ctx, &candidates[i]); last.next != nextCandidate {
+		if last := a.attemptCandidate(ctx, &candidates[i]); last.next != stepNext {
 			return last
 		}
 	}
-	return step{next: nextCandidate}
+	return step{next: stepNext}
 }
 
-// tryCandidate sends the call to a candidate unless something speaks against it. The order of the checks is part
+// attemptCandidate sends the call to a candidate unless something speaks against it. The order of the checks is part
 // of the contract: the key is reserved before the checks that a wait for the registries could outdate.
-func (a *forwarding) tryCandidate(ctx context.Context, candidate *plan.Endpoint) step {
+func (a *forwarding) attemptCandidate(ctx context.Context, candidate *plan.Endpoint) step {
 	if !a.admits(candidate) {
-		return step{next: nextCandidate}
+		return step{next: stepNext}
 	}
 	if a.needsReservation(candidate) {
-		response, reserved := a.forwarder.reserveKey(ctx, a.call, a.result, *candidate, a.startedAt)
+		response, reserved := a.reserveKey(ctx, candidate)
 		if !reserved {
-			return step{next: done, response: response, instance: anotherProxy}
+			return step{next: stepDone, response: response, instance: anotherProxy}
 		}
 	}
 	remaining := a.remaining()
-	if checked := a.precheck(ctx, candidate, remaining); checked.next != tryCandidate {
+	if checked := a.precheck(ctx, candidate, remaining); checked.next != stepProceed {
 		return checked
 	}
-	if skipped := a.skipOverloaded(candidate); skipped.next != tryCandidate {
+	if skipped := a.skipOverloaded(candidate); skipped.next != stepProceed {
 		return skipped
 	}
 	if !a.forwarder.mayAttempt(a.result, &a.progress) {
 		return doneWith(a.progress.lastWithRetryAfter())
 	}
 	a.result.Attempts++
-	response := a.forwarder.sendAttempt(ctx, a.call, a.result, *candidate, remaining, a.progress.fullEndpoints > 0)
+	response := a.sendAttempt(ctx, candidate, remaining)
 	switch response.Outcome {
 	case schema.CallOutcome_CALL_OUTCOME_ANSWERED:
 		return a.onAnswered(candidate, response)
@@ -172,11 +174,11 @@
 	case !f.HasLease():
 		return doneWith(a.progress.endWith(errs.NoLease))
 	case view.Config.Revision != callPlan.Verdict.ConfigRevision || f.versionBlocked(view, callPlan):
-		return step{next: replan}
+		return step{next: stepReplan}
 	case !isListed(view, callPlan.Service, callPlan.Verdict.Version, candidate.Instance):
-		return step{next: nextCandidate}
+		return step{next: stepNext}
 	}
-	return step{next: tryCandidate}
+	return step{next: stepProceed}
 }
 
 // skipOverloaded skips a candidate that has refused most calls of the route lately. A pinned call is not skipped,
@@ -185,7 +187,7 @@
 	f := a.forwarder
 	retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, a.result.Plan.Route.Name, f.Now(), f.Random)
 	if !skip || a.pinnedInstance != "" || candidate.Proxy == f.Name {
-		return step{next: tryCandidate}
+		return step{next: stepProceed}
 	}
 	refusal := notExecuted(errs.QueueFull, 0)
 	refusal.RetryAfterNanos = int64(retryAfter)
@@ -194,18 +196,18 @@
 	if a.progress.fullEndpoints >= maxFullEndpoints || a.progress.hasAnswer() {
 		return doneWith(a.progress.lastWithRetryAfter())
 	}
-	return step{next: nextCandidate}
+	return step{next: stepNext}
 }
 
 // onAnswered ends the call with a worker's answer, or goes on if the answer is a failure that may be retried.
 func (a *forwarding) onAnswered(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
 	a.result.WorkerAttempts++
 	if !a.forwarder.mayRetryFailure(a.result, &a.progress, response, a.remaining()) {
-		return step{next: done, response: response, instance: candidate.Instance}
+		return step{next: stepDone, response: response, instance: candidate.Instance}
 	}
 	a.progress.lastResponse = response
 	a.progress.exclude(candidate.Instance)
-	return step{next: nextCandidate}
+	return step{next: stepNext}
 }
 
 // onUnknown goes on after an attempt that may have run, which only an idempotent call does.
@@ -218,9 +220,9 @@
 	a.progress.lastResponse = response
 	a.progress.exclude(candidate.Instance)
 	if a.result.Plan.Class == config.ClassNonIdempotent {
-		return step{next: done, response: response, instance: candidate.Instance}
+		return step{next: stepDone, response: response, instance: candidate.Instance}
 	}
-	return step{next: nextCandidate}
+	return step{next: stepNext}
 }
 
 // onNotExecuted goes on after a refusal, which proves that nothing ran.
@@ -235,7 +237,7 @@
 	if a.configIsBehind(response) {
 		newest := &a.forwarder.newestRevision
 		newest.Store(max(newest.Load(), response.Revision))
-		return step{next: replan}
+		return step{next: stepReplan}
 	}
 	a.progress.exclude(candidate.Instance)
 	// Candidates are ordered by expected capacity. If some of the first report that they have none, the
@@ -243,7 +245,7 @@
 	if a.progress.fullEndpoints >= maxFullEndpoints {
 		return doneWith(a.progress.lastWithRetryAfter())
 	}
-	return step{next: nextCandidate}
+	return step{next: stepNext}
 }
 
 // configIsBehind reports whether a proxy refused the call by a newer configuration, under which the plan is too
--- a/internal/dispatch/capacity_check.go
+++ b/internal/dispatch/capacity_check.go
@@ -18,7 +18,9 @@
 
 // checkCapacity asks a worker in another zone whether it has capacity before a body is sent there that would
 // likely be refused. It returns the refusal, or nil if the request is to be sent.
-func (f *Forwarder) checkCapacity(ctx context.Context, request *schema.ForwardRequest, endpoint *plan.Endpoint, refusedBefore bool) *schema.ForwardResponse {
+func (f *Forwarder) checkCapacity(
+	ctx context.Context, request *schema.ForwardRequest, endpoint *plan.Endpoint, refusedBefore bool,
+) *schema.ForwardResponse {
 	if endpoint.Zone == f.PlanOptions.Zone || len(request.Body) == 0 {
 		return nil
 	}
--- a/internal/dispatch/forward_keyed.go
+++ b/internal/dispatch/forward_keyed.go
@@ -19,7 +19,9 @@
 
 // forwardKeyed carries out a call that must not run twice under its idempotency key. ctx bounds the call;
 // outlivingCtx bounds what may go on after it.
-func (f *Forwarder) forwardKeyed(ctx, outlivingCtx context.Context, call *Call, result *CallResult, startedAt time.Duration) *schema.ForwardResponse {
+func (f *Forwarder) forwardKeyed(
+	ctx, outlivingCtx context.Context, call *Call, result *CallResult, startedAt time.Duration,
+) *schema.ForwardResponse {
 	fingerprint := requestFingerprint(call.Target, call.Body)
 	return f.idempotency.Do(ctx, keyOf(call, result.Plan), fingerprint, func(pinnedInstance string) (*schema.ForwardResponse, string) {
 		response, instance := f.attemptCandidates(ctx, call, result, startedAt, pinnedInstance)
@@ -38,11 +40,12 @@
 	session.ReservationNoMajority: errs.IdempotencyKeyNotReserved,
 }
 
-// reserveKey reserves the call's key for a run at an endpoint, and reports whether it is reserved. If the key is
-// another request's, it returns what that request came to, as far as it can be known.
-func (f *Forwarder) reserveKey(ctx context.Context, call *Call, result *CallResult, endpoint plan.Endpoint, startedAt time.Duration) (*schema.ForwardResponse, bool) {
+// reserveKey reserves the call's key for a run at a candidate, and reports whether it is reserved. If the key is another
+// request's, it returns what that request came to, as far as it can be known.
+func (a *forwarding) reserveKey(ctx context.Context, candidate *plan.Endpoint) (*schema.ForwardResponse, bool) {
+	f, result := a.forwarder, a.result
 	reservedBefore := result.reservation != nil
-	result.reservation = f.newReservation(call, result, &endpoint)
+	result.reservation = f.newReservation(a.call, result, candidate)
 	verdict, existing := f.ReserveKey(ctx, result.reservation)
 	switch {
 	case verdict == session.ReservationGranted:
@@ -55,7 +58,7 @@
 	}
 	f.releaseKey(ctx, result.reservation)
 	result.reservation = nil
-	return f.recallResult(ctx, call, result, existing, startedAt), false
+	return a.recallResult(ctx, existing), false
 }
 
 // newReservation returns the reservation of the call's key for a run at an endpoint.
@@ -98,11 +101,10 @@
 }
 
 // recallResult asks the proxy of the worker that the key is reserved for what its request came to.
-func (f *Forwarder) recallResult(ctx context.Context, call *Call, result *CallResult, existing *schema.KeyReservation, startedAt time.Duration) *schema.ForwardResponse {
-	remaining := result.Plan.Deadline - (f.Now() - startedAt)
-	request := newRecallRequest(call, result, remaining)
+func (a *forwarding) recallResult(ctx context.Context, existing *schema.KeyReservation) *schema.ForwardResponse {
+	request := newRecallRequest(a.call, a.result, a.remaining())
 	endpoint := plan.Endpoint{Instance: existing.Instance, Proxy: existing.WorkerProxy, Address: existing.Address}
-	response, err := f.Send(ctx, endpoint, request)
+	response, err := a.forwarder.Send(ctx, endpoint, request)
 	if err != nil || !intact(request, response) || response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 	}
--- a/internal/dispatch/idempotency_cache.go
+++ b/internal/dispatch/idempotency_cache.go
@@ -64,11 +64,14 @@
 // nothing ran; the same key with another request is refused. run returns the result and the instance that was tried.
 // A repeat of an attempt with an unknown outcome is pinned to that instance, because only there it is known
 // whether the request ran.
-func (c *IdempotencyCache) Do(ctx context.Context, key string, fingerprint []byte, run func(pinnedInstance string) (*schema.ForwardResponse, string)) *schema.ForwardResponse {
+func (c *IdempotencyCache) Do(
+	ctx context.Context, key string, fingerprint []byte,
+	run func(pinnedInstance string) (*schema.ForwardResponse, string),
+) *schema.ForwardResponse {
 	checksum := crc64.Checksum(fingerprint, crcTable)
-	entry, pinnedInstance, settled := c.begin(ctx, key, checksum)
-	if settled != nil {
-		return settled
+	entry, pinnedInstance, response := c.begin(ctx, key, checksum)
+	if response != nil {
+		return response
 	}
 	result, instance := run(pinnedInstance)
 	// That this attempt did not run says nothing of the one before it.
@@ -86,7 +89,9 @@
 
 // begin adds an entry in flight for a key, after it has waited for an earlier one. If the key is settled, or cannot be
 // used, it returns the response instead.
-func (c *IdempotencyCache) begin(ctx context.Context, key string, checksum uint64) (entry *idempotencyEntry, pinnedInstance string, settled *schema.ForwardResponse) {
+func (c *IdempotencyCache) begin(ctx context.Context, key string, checksum uint64) (
+	entry *idempotencyEntry, pinnedInstance string, response *schema.ForwardResponse,
+) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
 	for {
