--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -40,6 +40,18 @@
 	reserved    *reservedAdmissions
 }
 
+// incomingRequest is a request on its way through the runner.
+type incomingRequest struct {
+	*schema.ForwardRequest
+	arrivedAt time.Duration // on the clock of the process
+	now       func() time.Duration
+}
+
+// remaining returns the time left until the request's deadline; 0 or less if it has passed.
+func (i *incomingRequest) remaining() time.Duration {
+	return time.Duration(i.TimeLeftNanos) - (i.now() - i.arrivedAt)
+}
+
 // maxWorkCounts is how many work counts a runner retains.
 const maxWorkCounts = 1024
 
@@ -74,8 +86,8 @@
 // Run checks a request and runs it at most once. A response with the outcome "not executed" proves that it did not
 // run. Every response reports the worker's load, by which the caller's proxy picks endpoints for later calls.
 func (r *Runner) Run(ctx context.Context, peer transport.Peer, request *schema.ForwardRequest) *schema.ForwardResponse {
-	arrivedAt := r.Now()
-	response := r.checkAndRun(ctx, peer, request, arrivedAt)
+	incoming := &incomingRequest{ForwardRequest: request, arrivedAt: r.Now(), now: r.Now}
+	response := r.checkAndRun(ctx, peer, incoming)
 	response.Request = request.Request
 	running, waiting, slots, serviceTime := r.Workers.Load(request.Instance)
 	response.Running, response.Queued, response.Slots = running, waiting, slots
@@ -87,44 +99,43 @@
 }
 
 // checkAndRun handles a request by its kind. The order of the checks is part of the contract.
-func (r *Runner) checkAndRun(ctx context.Context, peer transport.Peer, request *schema.ForwardRequest, arrivedAt time.Duration) *schema.ForwardResponse {
-	remaining := func() time.Duration { return time.Duration(request.TimeLeftNanos) - (r.Now() - arrivedAt) }
+func (r *Runner) checkAndRun(ctx context.Context, peer transport.Peer, request *incomingRequest) *schema.ForwardResponse {
 	if !peer.MayCallAs(request.Caller) {
 		return notExecuted(errs.CallerNotAllowed, 0)
 	}
 	if request.AdmissionOnly {
-		return r.reserveAdmission(ctx, request, arrivedAt, remaining)
+		return r.reserveAdmission(ctx, request)
 	}
 	if crc32.ChecksumIEEE(request.Body) != request.Checksum {
 		return notExecuted(errs.MalformedRequest, 0)
 	}
 	if request.RecallOnly {
-		return r.recall(ctx, request, remaining())
+		return r.recall(ctx, request)
 	}
 	// The id is recorded before anything can refuse the request: a request that was refused as not executed must
 	// not run when it arrives a second time, by then perhaps under a lease again.
 	if !r.recentIDs.AddIfNew(request.Request) {
 		return outcomeUnknown(errs.DuplicateRequest)
 	}
-	if refusal := r.refuseBeforeRun(ctx, request, remaining); refusal != nil {
+	if refusal := r.refuseBeforeRun(ctx, request); refusal != nil {
 		return refusal
 	}
-	return r.runOnce(ctx, request, arrivedAt, remaining)
+	return r.runOnce(ctx, request)
 }
 
 // recall returns the result of a request under an idempotency key. Nothing is run, so neither the lease nor the
 // worker matters.
-func (r *Runner) recall(ctx context.Context, request *schema.ForwardRequest, remaining time.Duration) *schema.ForwardResponse {
-	boundedCtx, cancel := context.WithTimeout(ctx, remaining)
+func (r *Runner) recall(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
+	boundedCtx, cancel := context.WithTimeout(ctx, request.remaining())
 	defer cancel()
 	fingerprint := requestFingerprint(request.Target, request.Body)
 	return cloneResponse(r.idempotency.Recall(boundedCtx, idempotencyKeyOf(request), fingerprint))
 }
 
 // refuseBeforeRun checks lease, configuration and worker. It returns the refusal, or nil if the request may run.
-func (r *Runner) refuseBeforeRun(ctx context.Context, request *schema.ForwardRequest, remaining func() time.Duration) *schema.ForwardResponse {
+func (r *Runner) refuseBeforeRun(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
 	if !r.ServeStale {
-		r.awaitConfig(ctx, request, remaining())
+		r.awaitConfig(ctx, request)
 	}
 	// Without a lease this proxy cannot know whether the version is still allowed.
 	if !r.HasLease() {
@@ -136,46 +147,46 @@
 	}
 	if !isAllowed(view, request) {
 		// The configuration that the plan was made from may be about to arrive.
-		r.awaitConfig(ctx, request, remaining())
+		r.awaitConfig(ctx, request)
 		if view = r.View(); !isAllowed(view, request) {
 			return notExecuted(errs.VersionNotAllowed, view.Config.Revision)
 		}
 	}
-	if _, _, refusal := r.Workers.find(request); refusal != "" {
+	if _, _, refusal := r.Workers.find(request.ForwardRequest); refusal != "" {
 		return notExecuted(refusal, view.Config.Revision)
 	}
 	return nil
 }
 
 // runOnce runs a request, and one under an idempotency key only if the key has no result yet.
-func (r *Runner) runOnce(ctx context.Context, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
+func (r *Runner) runOnce(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
 	if !request.NonIdempotent || request.IdempotencyKey == "" {
-		return r.runOnWorker(ctx, request, arrivedAt, remaining)
+		return r.runOnWorker(ctx, request)
 	}
 	fingerprint := requestFingerprint(request.Target, request.Body)
 	response := r.idempotency.Do(ctx, idempotencyKeyOf(request), fingerprint, func(string) (*schema.ForwardResponse, string) {
-		return r.runOnWorker(ctx, request, arrivedAt, remaining), ""
+		return r.runOnWorker(ctx, request), ""
 	})
 	return cloneResponse(response)
 }
 
 // idempotencyKeyOf returns the idempotency key of a request, qualified by its caller, service and route.
-func idempotencyKeyOf(request *schema.ForwardRequest) string {
+func idempotencyKeyOf(request *incomingRequest) string {
 	return idempotencyKey(request.Caller, request.Service, request.Route, request.IdempotencyKey)
 }
 
 // isAllowed reports whether the configuration allows the request's version and caller.
-func isAllowed(view *plan.View, request *schema.ForwardRequest) bool {
+func isAllowed(view *plan.View, request *incomingRequest) bool {
 	service := view.Config.Services[request.Service]
 	return service != nil && service.AllowsVersion(request.Version) && service.AllowsCaller(request.Caller)
 }
 
 // awaitConfig waits a little for the configuration that a plan was made from, if it is not present yet.
-func (r *Runner) awaitConfig(ctx context.Context, request *schema.ForwardRequest, remaining time.Duration) {
+func (r *Runner) awaitConfig(ctx context.Context, request *incomingRequest) {
 	if r.View().Config.Revision >= request.Revision {
 		return
 	}
-	boundedCtx, cancel := context.WithTimeout(ctx, remaining/updateWaitDivisor)
+	boundedCtx, cancel := context.WithTimeout(ctx, request.remaining()/updateWaitDivisor)
 	defer cancel()
 	r.AwaitConfig(boundedCtx, request.Revision)
 }
@@ -195,23 +206,23 @@
 }
 
 // admissionRequestOf returns what a forward request requires of its worker's queue.
-func admissionRequestOf(request *schema.ForwardRequest, arrivedAt time.Duration) AdmissionRequest {
+func admissionRequestOf(request *incomingRequest) AdmissionRequest {
 	admission := AdmissionRequest{
 		Route:    request.Route,
 		Priority: request.Priority,
-		Deadline: arrivedAt + time.Duration(request.TimeLeftNanos),
+		Deadline: request.arrivedAt + time.Duration(request.TimeLeftNanos),
 	}
 	if request.LatencyTargetNanos != 0 {
-		admission.TargetAt = arrivedAt + time.Duration(request.LatencyTargetNanos)
+		admission.TargetAt = request.arrivedAt + time.Duration(request.LatencyTargetNanos)
 	}
 	return admission
 }
 
 // awaitAdmission waits until the worker's queue admits a request. It returns the refusal, or nil once admitted.
-func (r *Runner) awaitAdmission(ctx context.Context, worker *localWorker, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
-	admission, queued := worker.queue.Admit(r.Now(), admissionRequestOf(request, arrivedAt))
+func (r *Runner) awaitAdmission(ctx context.Context, worker *localWorker, request *incomingRequest) *schema.ForwardResponse {
+	admission, queued := worker.queue.Admit(r.Now(), admissionRequestOf(request))
 	if queued != nil {
-		admission = worker.queue.Wait(ctx, queued, remaining())
+		admission = worker.queue.Wait(ctx, queued, request.remaining())
 	}
 	if admission.Refusal == "" {
 		return nil
@@ -226,12 +237,12 @@
 
 // reserveAdmission answers a capacity check. It waits for admission as the request itself would, and reserves the
 // admission for the request for a part of the time left, so that no body is sent only to be refused.
-func (r *Runner) reserveAdmission(ctx context.Context, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
-	worker, _, refusal := r.Workers.find(request)
+func (r *Runner) reserveAdmission(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
+	worker, _, refusal := r.Workers.find(request.ForwardRequest)
 	if refusal != "" {
 		return notExecuted(refusal, r.View().Config.Revision)
 	}
-	if refused := r.awaitAdmission(ctx, worker, request, arrivedAt, remaining); refused != nil {
+	if refused := r.awaitAdmission(ctx, worker, request); refused != nil {
 		return refused
 	}
 	// No request will follow if the caller has disconnected meanwhile.
@@ -239,28 +250,28 @@
 		worker.queue.Release(r.Now(), "", ResultNotRun, 0)
 		return notExecuted(contextErrorCode(ctx), 0)
 	}
-	r.reserved.reserve(request.Request, worker.queue, r.Now, remaining()/reservationDivisor)
+	r.reserved.reserve(request.Request, worker.queue, r.Now, request.remaining()/reservationDivisor)
 	return notExecuted("", 0)
 }
 
 // runOnWorker waits until a request is admitted, and sends it to the worker.
-func (r *Runner) runOnWorker(ctx context.Context, request *schema.ForwardRequest, arrivedAt time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
-	worker, _, refusal := r.Workers.find(request)
+func (r *Runner) runOnWorker(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
+	worker, _, refusal := r.Workers.find(request.ForwardRequest)
 	if refusal != "" {
 		return notExecuted(refusal, 0)
 	}
 	if !r.reserved.take(request.Request, worker.queue) {
-		if refusal := r.awaitAdmission(ctx, worker, request, arrivedAt, remaining); refusal != nil {
+		if refusal := r.awaitAdmission(ctx, worker, request); refusal != nil {
 			return refusal
 		}
 	}
-	startedAt, timeAllowed := r.Now(), remaining()
+	startedAt, timeAllowed := r.Now(), request.remaining()
 	delivery := handover{result: ResultNotRun}
 	// From here on the worker takes the time, and its version is accountable for the result.
 	revision := r.View().Config.VersionRevision(request.Service, request.Version)
 	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, revision)
 	caller := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
-	response := r.sendToWorker(ctx, worker, request, remaining, &delivery)
+	response := r.sendToWorker(ctx, worker, request, &delivery)
 	now := r.Now()
 	r.recordDisconnect(caller, request, response, delivery.sentAt, now)
 	if delivery.result == ResultAnswered && response.Status >= minFailureStatus {
@@ -268,7 +279,7 @@
 	}
 	// How a call would have ended that lacked the time which calls take is not known.
 	truncated := delivery.result != ResultAnswered &&
-		remaining() < timeAllowed/truncatedRunDivisor &&
+		request.remaining() < timeAllowed/truncatedRunDivisor &&
 		now-startedAt < overdueFactor*worker.queue.ServiceTime()
 	if r.Outliers != nil && mayHaveRun(response) && !truncated && !isCanceled(response) {
 		r.Outliers.RecordRun(request.Instance, now, delivery.result != ResultAnswered)
@@ -285,7 +296,9 @@
 }
 
 // recordDisconnect counts what became of a call whose caller disconnected while it was sent to a worker or ran.
-func (r *Runner) recordDisconnect(watch *disconnectWatch, request *schema.ForwardRequest, response *schema.ForwardResponse, sentAt, now time.Duration) {
+func (r *Runner) recordDisconnect(
+	watch *disconnectWatch, request *incomingRequest, response *schema.ForwardResponse, sentAt, now time.Duration,
+) {
 	disconnectedAt, disconnected := watch.finish()
 	if disconnected && sentAt > disconnectedAt+r.MaxOverrun {
 		r.Disconnects.SentLate.Add(1)
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -24,13 +24,15 @@
 }
 
 // sendToWorker sends a request to the worker. From its first byte on, the request may have run.
-func (r *Runner) sendToWorker(ctx context.Context, worker *localWorker, request *schema.ForwardRequest, remaining func() time.Duration, delivery *handover) *schema.ForwardResponse {
+func (r *Runner) sendToWorker(
+	ctx context.Context, worker *localWorker, request *incomingRequest, delivery *handover,
+) *schema.ForwardResponse {
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
 	defer fasthttp.ReleaseResponse(httpResponse)
-	buildRequest(httpRequest, request)
-	hasLease, timeLeft := r.HasLease(), remaining()
-	token, refusal := r.revalidate(ctx, worker, request, hasLease, timeLeft)
+	buildRequest(httpRequest, request.ForwardRequest)
+	hasLease, timeLeft := r.HasLease(), request.remaining()
+	token, refusal := r.revalidate(ctx, worker, request.ForwardRequest, hasLease, timeLeft)
 	if refusal != nil {
 		return refusal
 	}
@@ -41,14 +43,14 @@
 		Service:  request.Service,
 		Version:  request.Version,
 	}
-	r.Codec.WriteHeaders(httpRequest, request, registration, timeLeft-timeLeft/workerMarginDivisor)
+	r.Codec.WriteHeaders(httpRequest, request.ForwardRequest, registration, timeLeft-timeLeft/workerMarginDivisor)
 	httpResponse.Header.DisableNormalizing()
 	httpResponse.Header.SetNoDefaultContentType(true)
 	x := exchange{
 		request:      httpRequest,
 		response:     httpResponse,
 		codec:        r.Codec,
-		forward:      request,
+		forward:      request.ForwardRequest,
 		deadline:     time.Now().Add(timeLeft),
 		maxBodyBytes: r.Workers.options.MaxBodyBytes,
 		bodyMemory:   r.Workers.bodyMemory,
@@ -62,7 +64,9 @@
 	err := worker.conns.roundTrip(ctx, &x)
 	delivery.sentAt = x.sentAt
 	if err != nil {
-		return r.responseToError(ctx, worker, &x, err, timeLeft, remaining)
+		// A call that its caller gives up as its time ends has run out of time, and that does say something of the worker.
+		outOfTime := func() bool { return request.remaining() <= timeLeft/truncatedRunDivisor }
+		return r.responseToError(ctx, worker, err, x.sentAt > 0, outOfTime)
 	}
 	return r.responseOf(worker, &x, delivery)
 }
@@ -80,7 +84,9 @@
 
 // revalidate looks the registration up last of all, so that a worker which deregistered meanwhile gets nothing. It
 // returns the worker's token, or the refusal. The order of the checks decides which refusal a caller sees.
-func (r *Runner) revalidate(ctx context.Context, worker *localWorker, request *schema.ForwardRequest, hasLease bool, timeLeft time.Duration) (string, *schema.ForwardResponse) {
+func (r *Runner) revalidate(
+	ctx context.Context, worker *localWorker, request *schema.ForwardRequest, hasLease bool, timeLeft time.Duration,
+) (string, *schema.ForwardResponse) {
 	current, token, refusal := r.Workers.find(request)
 	switch {
 	case refusal != "":
@@ -96,13 +102,14 @@
 }
 
 // responseToError returns the response to a request whose exchange with the worker failed.
-func (r *Runner) responseToError(ctx context.Context, worker *localWorker, x *exchange, err error, timeLeft time.Duration, remaining func() time.Duration) *schema.ForwardResponse {
+func (r *Runner) responseToError(
+	ctx context.Context, worker *localWorker, err error, sent bool, outOfTime func() bool,
+) *schema.ForwardResponse {
 	code := errs.CodeOf(err)
 	switch {
-	case x.sentAt == 0 && ctx.Err() != nil:
+	case !sent && ctx.Err() != nil:
 		return notExecuted(contextErrorCode(ctx), 0)
-	// A call that its caller gives up as its time ends has run out of time, and that does say something of the worker.
-	case code == errs.CallerDisconnected && remaining() <= timeLeft/truncatedRunDivisor:
+	case code == errs.CallerDisconnected && outOfTime():
 		return outcomeUnknown(errs.DeadlineExceeded)
 	case code == errs.WorkerConnectFailed:
 		// Where nobody listens there is no worker any more; should there be one, its next heartbeat registers it.
