--- a/internal/plan/picker.go
+++ b/internal/plan/picker.go
@@ -81,12 +81,15 @@
 //
 // If packed is set, the calls of all proxies go to as few workers as have capacity for them. So each of these shows
 // how it performs under load, though there are fewer calls than the pool has capacity for.
-func pickEndpoints(pool []Endpoint, packed bool, latencyTarget time.Duration, options Options, local LocalState, now time.Duration, random Random) []Endpoint {
+func pickEndpoints(
+	pool []Endpoint, packed bool, latencyTarget time.Duration, options Options, local LocalState, now time.Duration, random Random,
+) []Endpoint {
 	if len(pool) == 0 {
 		return nil
 	}
 	p := pickers.Get().(*picker)
-	p.pool, p.options, p.local, p.now, p.random, p.latencyTarget = pool, options, local, now, random, latencyTarget
+	p.pool, p.options, p.latencyTarget = pool, options, latencyTarget
+	p.local, p.now, p.random = local, now, random
 	defer func() {
 		p.pool, p.local, p.random = nil, nil, nil
 		pickers.Put(p)
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -89,8 +89,9 @@
 		return nil, errs.New(errs.RouteNotFound, request.Method+" "+request.Path)
 	}
 	plan := newPlan(route, request, options)
+	decision := decision{view: view, subject: &plan.context, caller: request.Caller, local: local, now: now}
 	if len(route.Split) > 0 {
-		plan.Split = decideSplit(view, route, &plan.context)
+		plan.Split = decision.decideSplit(route)
 		plan.Service = plan.Split.Version
 	}
 	if err := plan.checkRequest(view, request); err != nil {
@@ -105,7 +106,7 @@
 		}
 		return plan, errs.New(errs.PolicyDenied, route.PolicyName)
 	}
-	pool := plan.decide(view, request, local, now)
+	pool := plan.decide(&decision)
 	if plan.Verdict.Version == "" {
 		return plan, errs.New(errs.NoWorker, plan.Service+" has no version yet")
 	}
@@ -170,16 +171,16 @@
 
 // decide decides the version, and for a split whose service has no workers another service. It returns the pool that
 // is to serve.
-func (p *Plan) decide(view *View, request *Request, local LocalState, now time.Duration) []Endpoint {
-	verdict, pool := decideVersion(view, p.Service, &p.context, local, now)
+func (p *Plan) decide(decision *decision) []Endpoint {
+	verdict, pool := decision.decideVersion(p.Service)
 	// Any service of a split with a weight may serve: the services that have workers share the calls of one that
 	// has none, by their weights.
 	if len(pool) == 0 && len(p.Route.Split) > 0 {
-		otherService := pickOtherService(view, p.Route, p.Service, request.Caller, &p.context, local, now)
+		otherService := decision.pickOtherService(p.Route, p.Service)
 		if otherService != "" {
 			p.Split.Evaluated, p.Split.Version, p.Split.Reason = p.Service, otherService, ReasonSplitEmpty
 			p.Service = otherService
-			verdict, pool = decideVersion(view, otherService, &p.context, local, now)
+			verdict, pool = decision.decideVersion(otherService)
 		}
 	}
 	p.Verdict = verdict
--- a/internal/plan/version.go
+++ b/internal/plan/version.go
@@ -7,16 +7,25 @@
 	"meadowhinge/internal/flag"
 )
 
+// decision is what the decisions on one request's service and version are made from. It is only read.
+type decision struct {
+	view    *View
+	subject flag.EvaluationContext // of the request
+	caller  string
+	local   LocalState
+	now     time.Duration
+}
+
 // decideSplit decides the service of a route that is split.
-func decideSplit(view *View, route *config.Route, subject flag.EvaluationContext) Verdict {
-	decider := view.Config.ServiceDecider(route)
-	result := view.Config.Flags.Decide(decider.Flag, subject)
+func (d *decision) decideSplit(route *config.Route) Verdict {
+	decider := d.view.Config.ServiceDecider(route)
+	result := d.view.Config.Flags.Decide(decider.Flag, d.subject)
 	verdict := Verdict{
 		Flag:           decider.Key,
 		Version:        result.Value,
 		Reason:         result.Reason,
 		Error:          result.Error,
-		ConfigRevision: view.Config.Revision,
+		ConfigRevision: d.view.Config.Revision,
 	}
 	if result.Index < 0 {
 		// The fallback of a split is its first service with a weight.
@@ -31,9 +40,9 @@
 // pickOtherService picks a service with workers, by weight, for a split whose decided service has none. It returns an
 // empty string if no other service has any. A key keeps its service as long as the same services have workers. The
 // bucket differs from the split's, because there all keys of the decided service fall into one range.
-func pickOtherService(view *View, route *config.Route, decided, caller string, subject flag.EvaluationContext, local LocalState, now time.Duration) string {
-	available, totalWeight := availableServices(view, route, caller, subject, local, now)
-	bucket := flag.Bucket(route.SplitFlagKey(), route.Name+"."+decided, nil, subject, flag.DefaultKind, "")
+func (d *decision) pickOtherService(route *config.Route, decided string) string {
+	available, totalWeight := d.availableServices(route)
+	bucket := flag.Bucket(route.SplitFlagKey(), route.Name+"."+decided, nil, d.subject, flag.DefaultKind, "")
 	cumulative := 0.0
 	for _, target := range available {
 		cumulative += target.Weight
@@ -48,13 +57,13 @@
 }
 
 // availableServices returns the services of a split that may serve the caller and have workers, and their total weight.
-func availableServices(view *View, route *config.Route, caller string, subject flag.EvaluationContext, local LocalState, now time.Duration) (available []config.WeightedService, totalWeight float64) {
+func (d *decision) availableServices(route *config.Route) (available []config.WeightedService, totalWeight float64) {
 	for _, target := range route.Split {
-		service := view.Config.Services[target.Service]
-		if target.Weight <= 0 || service == nil || !service.AllowsCaller(caller) {
+		service := d.view.Config.Services[target.Service]
+		if target.Weight <= 0 || service == nil || !service.AllowsCaller(d.caller) {
 			continue
 		}
-		if _, pool := decideVersion(view, target.Service, subject, local, now); len(pool) > 0 {
+		if _, pool := d.decideVersion(target.Service); len(pool) > 0 {
 			available = append(available, target)
 			totalWeight += target.Weight
 		}
@@ -64,22 +73,22 @@
 
 // decideVersion returns the verdict on the version of a service, and the pool that is to serve. The verdict is the
 // flag's unless one of two exceptions applies, and then names what the flag said in Evaluated.
-func decideVersion(view *View, serviceName string, subject flag.EvaluationContext, local LocalState, now time.Duration) (Verdict, []Endpoint) {
-	service := view.Config.Services[serviceName]
-	verdict := evaluateVersion(view, service, serviceName, subject)
+func (d *decision) decideVersion(serviceName string) (Verdict, []Endpoint) {
+	service := d.view.Config.Services[serviceName]
+	verdict := d.evaluateVersion(service, serviceName)
 	if verdict.Version == "" {
 		return verdict, nil
 	}
 	// The rollback guard: a version other than the fallback gets no call while it is stopped or blocked.
-	if verdict.Version != service.Fallback && isBlocked(view, serviceName, verdict.Version, local, now) {
+	if verdict.Version != service.Fallback && d.isBlocked(serviceName, verdict.Version) {
 		verdict.Evaluated = verdict.Version
 		verdict.Version, verdict.Reason = service.Fallback, ReasonVersionBlocked
 	}
-	pool := view.Directory[serviceName][verdict.Version]
+	pool := d.view.Directory[serviceName][verdict.Version]
 	// The fallback version serves in place of an empty pool, which would refuse valid callers. A pool without any
 	// reachable worker counts as empty while the fallback's pool has one.
-	fallbackPool := view.Directory[serviceName][service.Fallback]
-	empty := len(pool) == 0 || (!anyReachable(pool, local, now) && anyReachable(fallbackPool, local, now))
+	fallbackPool := d.view.Directory[serviceName][service.Fallback]
+	empty := len(pool) == 0 || (!d.anyReachable(pool) && d.anyReachable(fallbackPool))
 	if empty && verdict.Version != service.Fallback {
 		if verdict.Evaluated == "" {
 			verdict.Evaluated = verdict.Version
@@ -91,21 +100,21 @@
 }
 
 // isBlocked reports whether the configuration has stopped a version, or this process must not use it now.
-func isBlocked(view *View, service, version string, local LocalState, now time.Duration) bool {
-	return view.Config.ActiveStop(service, version) != nil || local.VersionBlocked(service, version, now)
+func (d *decision) isBlocked(service, version string) bool {
+	return d.view.Config.ActiveStop(service, version) != nil || d.local.VersionBlocked(service, version, d.now)
 }
 
 // evaluateVersion evaluates the version flag of a service.
-func evaluateVersion(view *View, service *config.Service, serviceName string, subject flag.EvaluationContext) Verdict {
-	decider := view.Config.VersionDecider(serviceName)
-	result := view.Config.Flags.Decide(decider.Flag, subject)
+func (d *decision) evaluateVersion(service *config.Service, serviceName string) Verdict {
+	decider := d.view.Config.VersionDecider(serviceName)
+	result := d.view.Config.Flags.Decide(decider.Flag, d.subject)
 	verdict := Verdict{
 		Flag:           decider.Key,
 		Version:        result.Value,
 		Reason:         result.Reason,
 		RuleID:         result.RuleID,
 		Error:          result.Error,
-		ConfigRevision: view.Config.Revision,
+		ConfigRevision: d.view.Config.Revision,
 	}
 	// The fallback takes the place of an error. A version that the configuration does not list is never called.
 	if result.Index < 0 || !service.AllowsVersion(result.Value) {
@@ -118,9 +127,9 @@
 }
 
 // anyReachable reports whether the proxy of any worker of a pool is reachable.
-func anyReachable(pool []Endpoint, local LocalState, now time.Duration) bool {
+func (d *decision) anyReachable(pool []Endpoint) bool {
 	for i := range pool {
-		if !local.Stats(&pool[i], now).Unreachable {
+		if !d.local.Stats(&pool[i], d.now).Unreachable {
 			return true
 		}
 	}
