--- a/internal/dispatch/canary_guard_test.go
+++ b/internal/dispatch/canary_guard_test.go
@@ -24,12 +24,12 @@
 	return guard
 }
 
-func newTestGuard(setup fakeGuards) *CanaryGuard {
-	return NewCanaryGuard(DefaultCanaryOptions, func() int { return 10 }, func() VersionGuards { return setup })
+func newTestGuard(guards fakeGuards) *CanaryGuard {
+	return NewCanaryGuard(DefaultCanaryOptions, func() int { return 10 }, func() VersionGuards { return guards })
 }
 
-func recordCanaryCall(t *CanaryGuard, version string, now time.Duration, failed bool) {
-	t.End(t.Begin("shop", version, now), now+time.Millisecond, failed)
+func recordCanaryCall(guard *CanaryGuard, version string, now time.Duration, failed bool) {
+	guard.End(guard.Begin("shop", version, now), now+time.Millisecond, failed)
 }
 
 func TestCanaryNeedsAGrant(t *testing.T) {
@@ -45,10 +45,10 @@
 	}
 	// A stop outlasts any later grant, until something else is stated of the version; what was
 	// told under the older statement then counts no more.
-	setup := fakeGuards{"2": 4, "3": 0}
-	guard = newTestGuard(setup)
-	grant := func(statement uint64, stopped bool) {
-		guard.ApplyGrants(0, []*schema.Canary{{Service: "shop", Version: "2", PlanSequence: statement, Blocked: stopped}})
+	guards := fakeGuards{"2": 4, "3": 0}
+	guard = newTestGuard(guards)
+	grant := func(revision uint64, stopped bool) {
+		guard.ApplyGrants(0, []*schema.Canary{{Service: "shop", Version: "2", PlanSequence: revision, Blocked: stopped}})
 	}
 	for i, test := range []struct {
 		do   func()
@@ -57,13 +57,13 @@
 		{func() { grant(4, false) }, false},
 		{func() { grant(4, true) }, true},
 		{func() { grant(4, false) }, true},
-		{func() { setup["2"] = 9 }, true},
+		{func() { guards["2"] = 9 }, true},
 		{func() { grant(4, false) }, true},
 		{func() { grant(9, false) }, false},
-		{func() { setup["2"] = 5 }, true}, // a stop that was removed leaves an older statement
+		{func() { guards["2"] = 5 }, true}, // a stop that was removed leaves an older statement
 		{func() { grant(9, false) }, true},
 		{func() { grant(5, false) }, false},
-		{func() { delete(setup, "2"); guard.ForgetUnguarded(); setup["2"] = 5 }, true},
+		{func() { delete(guards, "2"); guard.ForgetUnguarded(); guards["2"] = 5 }, true},
 	} {
 		if test.do(); guard.VersionBlocked("shop", "2", 0) != test.held {
 			t.Errorf("step %d: held %v", i, !test.held)
--- a/internal/dispatch/disconnects_test.go
+++ b/internal/dispatch/disconnects_test.go
@@ -16,36 +16,36 @@
 // What must hold of runs whose callers left is counted where it does not: only of runs that must end, and only when
 // they had time to.
 func TestOverrunsAreCounted(t *testing.T) {
-	const most = 100 * time.Millisecond
+	const maxOverrun = 100 * time.Millisecond
 	for name, test := range map[string]struct {
 		limited bool
 		lasts   time.Duration // from the caller's leaving to the run's end
 		want    uint64
 	}{
 		"ends at once":               {true, 0, 0},
-		"ends in time":               {true, most, 0},
-		"ends within the grace":      {true, most + most/graceDivisor - 1, 0},
-		"goes on":                    {true, most + most/graceDivisor + 1, 1},
+		"ends in time":               {true, maxOverrun, 0},
+		"ends within the grace":      {true, maxOverrun + maxOverrun/graceDivisor - 1, 0},
+		"goes on":                    {true, maxOverrun + maxOverrun/graceDivisor + 1, 1},
 		"may go on":                  {false, time.Hour, 0},
 		"its caller does not leave":  {true, -1, 0},
 		"goes on for a long time":    {true, time.Hour, 1},
 		"may go on, and ends soon":   {false, 1, 0},
-		"ends before it is too late": {true, most / 2, 0},
+		"ends before it is too late": {true, maxOverrun / 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				startedAt, counts := time.Now(), &Disconnects{}
-				ctx, leave := context.WithCancel(t.Context())
-				defer leave()
-				caller := counts.watchCaller(ctx, test.limited, most, func() time.Duration { return time.Since(startedAt) })
+				ctx, disconnect := context.WithCancel(t.Context())
+				defer disconnect()
+				caller := counts.watchCaller(ctx, test.limited, maxOverrun, func() time.Duration { return time.Since(startedAt) })
 				time.Sleep(time.Second)
 				if test.lasts >= 0 {
-					leave()
+					disconnect()
 					synctest.Wait()
 					time.Sleep(test.lasts)
 				}
-				if _, left := caller.finish(); left != (test.lasts >= 0) {
-					t.Errorf("left: %t", left)
+				if _, disconnected := caller.finish(); disconnected != (test.lasts >= 0) {
+					t.Errorf("left: %t", disconnected)
 				}
 				time.Sleep(time.Hour)
 				if got := counts.Counts().Overrun; got != test.want {
@@ -110,9 +110,9 @@
 // A call that its caller's proxy gives up as time runs out has run out of time: that is held against its worker.
 func TestGivenUpInTheEndIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newWorkerFixture(t)
-		s.runner.Outliers = NewOutlierDetector(1, time.Minute)
-		instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+		fixture := newWorkerFixture(t)
+		fixture.runner.Outliers = NewOutlierDetector(1, time.Minute)
+		instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 		worker.answer = func(string) string {
 			time.Sleep(5 * time.Second)
 			return jsonAnswer(`{}`)
@@ -120,9 +120,9 @@
 		request := newForwardRequest("r1", instance)
 		request.NonIdempotent = false
 		left := time.Duration(request.TimeLeftNanos)
-		ctx, leave := context.WithCancel(t.Context())
-		time.AfterFunc(left-left/truncatedRunDivisor/2, leave)
-		if got := s.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(errs.DeadlineExceeded) {
+		ctx, disconnect := context.WithCancel(t.Context())
+		time.AfterFunc(left-left/truncatedRunDivisor/2, disconnect)
+		if got := fixture.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(errs.DeadlineExceeded) {
 			t.Errorf("ended %v with %q", got.Outcome, got.ErrorCode)
 		}
 	})
@@ -150,29 +150,29 @@
 						return answering(ctx, request)
 					}
 				}
-				c := newScriptedForwarder(t, 3, test.route, 9, answersAfter)
-				c.ReserveKey = func(context.Context, *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
+				forwarder := newScriptedForwarder(t, 3, test.route, 9, answersAfter)
+				forwarder.ReserveKey = func(context.Context, *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 					return session.ReservationGranted, nil
 				}
-				ctx, leave := context.WithCancel(t.Context())
-				time.AfterFunc(300*time.Millisecond, leave)
+				ctx, disconnect := context.WithCancel(t.Context())
+				time.AfterFunc(300*time.Millisecond, disconnect)
 				startedAt := time.Now()
-				result := c.Forward(ctx, &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", IdempotencyKey: test.key, Header: func(string) (string, bool) { return "", false }}})
-				if result.Response.Outcome != test.ending || result.Response.ErrorCode != string(test.kind) || len(c.sent) != 1 {
-					t.Errorf("ended %v with %q after %d tries", result.Response.Outcome, result.Response.ErrorCode, len(c.sent))
+				result := forwarder.Forward(ctx, &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", IdempotencyKey: test.key, Header: func(string) (string, bool) { return "", false }}})
+				if result.Response.Outcome != test.ending || result.Response.ErrorCode != string(test.kind) || len(forwarder.sent) != 1 {
+					t.Errorf("ended %v with %q after %d tries", result.Response.Outcome, result.Response.ErrorCode, len(forwarder.sent))
 				}
 				if test.key == "" && time.Since(startedAt) != 300*time.Millisecond {
 					t.Errorf("it ended after %v", time.Since(startedAt))
 				}
-				for _, line := range c.Counter.Counts(1) {
-					if line.Failures != 0 {
-						t.Errorf("counted as a failure: %v", line)
+				for _, count := range forwarder.Counter.Counts(1) {
+					if count.Failures != 0 {
+						t.Errorf("counted as a failure: %v", count)
 					}
-					if test.key == "" && line.Outcome != outcomeCanceled {
-						t.Errorf("counted as %q", line.Outcome)
+					if test.key == "" && count.Outcome != outcomeCanceled {
+						t.Errorf("counted as %q", count.Outcome)
 					}
 				}
-				stats := c.Outliers.Stats(&plan.Endpoint{Instance: c.sent[0]}, c.Now())
+				stats := forwarder.Outliers.Stats(&plan.Endpoint{Instance: forwarder.sent[0]}, forwarder.Now())
 				if stats.InFlight != 0 || stats.RecentFailures != 0 || stats.Ejected {
 					t.Errorf("of the worker is kept %+v", stats)
 				}
@@ -184,18 +184,18 @@
 // What is called off before it was sent proves that nothing ran, at whichever wait it is.
 func TestCanceledBeforeItIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newWorkerFixture(t)
-		instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
-		ctx, leave := context.WithCancel(t.Context())
-		leave()
+		fixture := newWorkerFixture(t)
+		instance, _ := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+		ctx, disconnect := context.WithCancel(t.Context())
+		disconnect()
 		for _, once := range []bool{false, true} {
 			request := newForwardRequest("r-"+map[bool]string{true: "once"}[once], instance)
 			request.NonIdempotent = once
-			if got := s.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(errs.CallerDisconnected) {
+			if got := fixture.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(errs.CallerDisconnected) {
 				t.Errorf("once %t: ended %v with %q", once, got.Outcome, got.ErrorCode)
 			}
 		}
-		if runs := s.recordedRuns(); len(runs) > 0 {
+		if runs := fixture.recordedRuns(); len(runs) > 0 {
 			t.Errorf("it ran: %v", runs)
 		}
 		if !errors.Is(ctx.Err(), context.Canceled) || contextErrorCode(ctx) != errs.CallerDisconnected {
@@ -206,33 +206,33 @@
 
 // A caller leaves at the very moment of its answer: whichever comes first, the next call on the same worker gets an
 // answer of its own, and no connection is left that a call was cut off on.
-func TestDeparturesCrossAnswers(t *testing.T) {
+func TestDisconnectsCrossAnswers(t *testing.T) {
 	const rounds, took = 300, 100 * time.Millisecond
-	result := map[schema.CallOutcome]int{}
+	outcomes := map[schema.CallOutcome]int{}
 	for range rounds {
 		synctest.Test(t, func(t *testing.T) {
-			s := newWorkerFixture(t)
-			instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+			fixture := newWorkerFixture(t)
+			instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 			worker.answer = func(request string) string {
 				time.Sleep(took)
 				return jsonAnswer(`{"request":"` + request + `"}`)
 			}
-			ctx, leave := context.WithCancel(t.Context())
-			time.AfterFunc(took, leave)
+			ctx, disconnect := context.WithCancel(t.Context())
+			time.AfterFunc(took, disconnect)
 			first, second := newForwardRequest("r1", instance), newForwardRequest("r2", instance)
 			first.NonIdempotent, second.NonIdempotent = false, false
-			got := s.runner.Run(ctx, client, first)
-			result[got.Outcome]++
+			got := fixture.runner.Run(ctx, client, first)
+			outcomes[got.Outcome]++
 			if got.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && string(got.Body) != `{"request":"r1"}` {
 				t.Errorf("the first got %q", got.Body)
 			}
-			if got = s.runner.Run(t.Context(), client, second); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || string(got.Body) != `{"request":"r2"}` {
+			if got = fixture.runner.Run(t.Context(), client, second); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || string(got.Body) != `{"request":"r2"}` {
 				t.Errorf("the second ended %v with %q: %q", got.Outcome, got.ErrorCode, got.Body)
 			}
-			if counts := s.runner.Disconnects.Counts(); counts.Violations() > 0 {
+			if counts := fixture.runner.Disconnects.Counts(); counts.Violations() > 0 {
 				t.Errorf("counted %+v", counts)
 			}
 		})
 	}
-	t.Logf("the first ended %v", result)
+	t.Logf("the first ended %v", outcomes)
 }
--- a/internal/dispatch/endpoint_picks_test.go
+++ b/internal/dispatch/endpoint_picks_test.go
@@ -20,40 +20,40 @@
 		{zones: []int{2, 2, 1}, speeds: []float64{1.4, 1.0, 1.4, 1.0, 0.6}},
 		{zones: []int{1, 1, 1}, speeds: []float64{0.7, 0.7, 1.6}},
 		{zones: []int{4, 4, 4}, speeds: []float64{0.6, 1.0, 1.0, 1.5}},
-		{zones: []int{2, 2, 1}, speeds: []float64{0.6, 1.0, 1.4}, silent: true},
+		{zones: []int{2, 2, 1}, speeds: []float64{0.6, 1.0, 1.4}, noLoadReports: true},
 		{zones: []int{2, 2, 1}, speeds: []float64{0.6, 1.0, 1.4}, restarted: 2},
 		{zones: []int{9, 11, 9}, speeds: []float64{0.7, 0.7, 1.6}, times: 3},
 	}
-	for at, layout := range layouts {
-		for _, use := range []float64{0.5, 0.7, 0.95} {
-			t.Run(fmt.Sprintf("%d, used %.2f", at, use), func(t *testing.T) {
+	for index, layout := range layouts {
+		for _, utilization := range []float64{0.5, 0.7, 0.95} {
+			t.Run(fmt.Sprintf("%d, used %.2f", index, utilization), func(t *testing.T) {
 				t.Parallel()
-				placedBest(t, layout, use)
+				expectBestPicks(t, layout, utilization)
 			})
 		}
 	}
 }
 
-func placedBest(t *testing.T, layout simOptions, use float64) {
-	played := map[string]*simWorld{}
-	text := fmt.Sprintf("%v %v used %.2f, silent %v, cold %d, times %d:", layout.zones, layout.speeds, use, layout.silent, layout.restarted, layout.times)
+func expectBestPicks(t *testing.T, layout simOptions, utilization float64) {
+	worlds := map[string]*simWorld{}
+	text := fmt.Sprintf("%v %v used %.2f, silent %v, cold %d, times %d:", layout.zones, layout.speeds, utilization, layout.noLoadReports, layout.restarted, layout.times)
 	for _, name := range []string{"planned", "random", "own zone", "least in flight"} {
 		options := layout
-		options.utilization, options.place, options.length, options.shares, options.swing = use, simPlacers[name], 20*time.Second, []float64{.31, .36, .33}, 0.15
-		played[name] = simulate(options)
-		text += fmt.Sprintf("  %s %.3f late %.3f across", name, played[name].shareLate(), played[name].shareCrossed())
+		options.utilization, options.pick, options.length, options.shares, options.swing = utilization, simPickers[name], 20*time.Second, []float64{.31, .36, .33}, 0.15
+		worlds[name] = simulate(options)
+		text += fmt.Sprintf("  %s %.3f late %.3f across", name, worlds[name].lateFraction(), worlds[name].crossedFraction())
 	}
 	t.Log(text)
-	planned := played["planned"]
-	for name, other := range played {
+	planned := worlds["planned"]
+	for name, other := range worlds {
 		if name != "planned" && planned.cost() >= other.cost() {
 			t.Errorf("%s loses less: %s", name, text)
 		}
 	}
-	if planned.shareLate() > played["own zone"].shareLate() || planned.shareLate() > 1.2*played["random"].shareLate() {
+	if planned.lateFraction() > worlds["own zone"].lateFraction() || planned.lateFraction() > 1.2*worlds["random"].lateFraction() {
 		t.Errorf("late more often: %s", text)
 	}
-	if planned.shareCrossed() > 0.5*played["least in flight"].shareCrossed() {
+	if planned.crossedFraction() > 0.5*worlds["least in flight"].crossedFraction() {
 		t.Errorf("crosses too much: %s", text)
 	}
 }
@@ -61,11 +61,11 @@
 // Where zones hold their own, next to nothing crosses; where one cannot, what it lacks crosses
 // evenly over time, not by turns.
 func TestSpillIsSmooth(t *testing.T) {
-	even := simulate(simOptions{zones: []int{4, 4, 4}, speeds: []float64{1}, shares: []float64{1. / 3, 1. / 3, 1. / 3}, utilization: 0.6, place: simPlacers["planned"], length: 20 * time.Second})
-	if even.shareCrossed() > 0.01 {
-		t.Errorf("%.3f cross though every zone holds its own", even.shareCrossed())
+	even := simulate(simOptions{zones: []int{4, 4, 4}, speeds: []float64{1}, shares: []float64{1. / 3, 1. / 3, 1. / 3}, utilization: 0.6, pick: simPickers["planned"], length: 20 * time.Second})
+	if even.crossedFraction() > 0.01 {
+		t.Errorf("%.3f cross though every zone holds its own", even.crossedFraction())
 	}
-	short := simulate(simOptions{zones: []int{2, 2, 1}, speeds: []float64{1}, shares: []float64{.31, .36, .33}, utilization: 0.8, place: simPlacers["planned"], length: 30 * time.Second})
+	short := simulate(simOptions{zones: []int{2, 2, 1}, speeds: []float64{1}, shares: []float64{.31, .36, .33}, utilization: 0.8, pick: simPickers["planned"], length: 30 * time.Second})
 	seconds := short.zoneCrossed[2][6:29]
 	sum, squares := 0.0, 0.0
 	for _, count := range seconds {
@@ -73,7 +73,7 @@
 	}
 	mean := sum / float64(len(seconds))
 	spread := math.Sqrt(squares/float64(len(seconds))-mean*mean) / mean
-	t.Logf("a second %.1f cross from the short zone, spread %.2f; late %.3f", mean, spread, short.shareLate())
+	t.Logf("a second %.1f cross from the short zone, spread %.2f; late %.3f", mean, spread, short.lateFraction())
 	if mean < 20 || spread > 0.5 || slices.Min(seconds) == 0 {
 		t.Errorf("crossings by second: %v", seconds)
 	}
@@ -102,26 +102,26 @@
 		detector := NewOutlierDetector(5, 5*time.Second)
 		view := &plan.View{Config: compiled, Directory: plan.Directory{"s": {"1": {{Instance: "w0", Proxy: "p0"}, {Instance: "w1", Proxy: "p1"}, {Instance: "w2", Proxy: "p2"}}}}}
 		now := time.Duration(0)
-		play := func(calls int, failing [3]float64) (got [3]float64) {
+		simulateCalls := func(calls int, failing [3]float64) (got [3]float64) {
 			for range calls {
 				now += 10 * time.Millisecond
 				made, err := plan.Make(view, &plan.Request{Method: "GET", Path: "/", Header: func(string) (string, bool) { return "", false }}, plan.Options{MaxDeadline: time.Minute}, LocalState{detector, nil}, now, random.Float64)
 				if err != nil {
 					t.Fatal(err)
 				}
-				at := int(made.Candidates[0].Instance[1] - '0')
-				got[at] += 1 / float64(calls)
+				worker := int(made.Candidates[0].Instance[1] - '0')
+				got[worker] += 1 / float64(calls)
 				detector.BeginCall(made.Candidates[0].Instance, now)
-				detector.EndCall(made.Candidates[0].Instance, now, random.Float64() < failing[at])
+				detector.EndCall(made.Candidates[0].Instance, now, random.Float64() < failing[worker])
 			}
 			return got
 		}
-		play(200, test.failing)
-		if got := play(1000, test.failing); got[0] < test.fromPart || got[0] > test.toPart {
+		simulateCalls(200, test.failing)
+		if got := simulateCalls(1000, test.failing); got[0] < test.fromPart || got[0] > test.toPart {
 			t.Errorf("%s: the parts are %.2f", name, got)
 		}
-		play(1500, [3]float64{})
-		if got := play(500, [3]float64{}); got[0] < 0.25 {
+		simulateCalls(1500, [3]float64{})
+		if got := simulateCalls(500, [3]float64{}); got[0] < 0.25 {
 			t.Errorf("%s: sound again, the parts are %.2f", name, got)
 		}
 	}
@@ -129,9 +129,9 @@
 
 // The ways of judging workers that the product's own is held against.
 const (
-	wayNone = "not at all"
-	wayRow  = "failures in a row"       // five, as a caller's proxy sees them
-	wayOwn  = "its own callers' record" // and the part that fails, as it sees it: the product's way before
+	judgedNotAtAll      = "not at all"
+	judgedByConsecutive = "failures in a row"       // five, as a caller's proxy sees them
+	judgedByOwnRecord   = "its own callers' record" // and the part that fails, as it sees it: the product's way before
 )
 
 // judgedState is facts as another way of judging has them.
@@ -143,9 +143,9 @@
 func (j judgedState) Stats(worker *plan.Endpoint, now time.Duration) plan.EndpointStats {
 	stats := j.LocalState.Stats(worker, now)
 	switch j.judgedBy {
-	case wayNone:
+	case judgedNotAtAll:
 		stats.Ejected, stats.RecentCalls, stats.RecentFailures = stats.Unreachable, 0, 0
-	case wayRow:
+	case judgedByConsecutive:
 		stats.RecentCalls, stats.RecentFailures = 0, 0
 	}
 	return stats
@@ -153,7 +153,7 @@
 
 // simulateGrownFleet is a service of a grown fleet, of which every so manyth worker fails part of its calls.
 func simulateGrownFleet(judgedBy string, failingEvery int, failing float64) *simWorld {
-	return simulate(simOptions{zones: []int{9, 11, 9}, speeds: []float64{0.7, 0.7, 1.6}, times: 3, utilization: 0.6, place: simPlacers["planned"], length: 40 * time.Second,
+	return simulate(simOptions{zones: []int{9, 11, 9}, speeds: []float64{0.7, 0.7, 1.6}, times: 3, utilization: 0.6, pick: simPickers["planned"], length: 40 * time.Second,
 		shares: []float64{.31, .36, .33}, seed: 7, failingEvery: failingEvery, failing: failing, judgedBy: judgedBy})
 }
 
@@ -192,7 +192,7 @@
 // fails; and who fails quickly looks idle. What the proxy beside tells of all calls finds it out: by
 // size of fault, how much is called at those who fail, and how many calls fail.
 func TestGreyWorkersOfAFleet(t *testing.T) {
-	const every = 4
+	const failingEvery = 4
 	for _, test := range []struct {
 		failing  float64
 		partMost float64 // of the calls that a worker gets by its number, that one who fails may get
@@ -201,16 +201,16 @@
 		t.Run(fmt.Sprint(test.failing), func(t *testing.T) {
 			t.Parallel()
 			failed, text := map[string]float64{}, ""
-			for _, way := range []string{wayNone, wayRow, wayOwn, ""} {
-				w := simulateGrownFleet(way, every, test.failing)
-				failed[way] = float64(w.failed) / float64(w.calls)
-				text += fmt.Sprintf(" %q: failed %.4f, late %.4f, part %.2f;", way, failed[way], w.shareLate(), w.relativeCalls(every))
-				if way == "" && w.relativeCalls(every) > test.partMost {
-					t.Errorf("who fails gets %.2f of its part", w.relativeCalls(every))
+			for _, judgedBy := range []string{judgedNotAtAll, judgedByConsecutive, judgedByOwnRecord, ""} {
+				world := simulateGrownFleet(judgedBy, failingEvery, test.failing)
+				failed[judgedBy] = float64(world.failed) / float64(world.calls)
+				text += fmt.Sprintf(" %q: failed %.4f, late %.4f, part %.2f;", judgedBy, failed[judgedBy], world.lateFraction(), world.relativeCalls(failingEvery))
+				if judgedBy == "" && world.relativeCalls(failingEvery) > test.partMost {
+					t.Errorf("who fails gets %.2f of its part", world.relativeCalls(failingEvery))
 				}
 			}
 			t.Log(text)
-			if failed[""] > test.ownMost*failed[wayOwn] {
+			if failed[""] > test.ownMost*failed[judgedByOwnRecord] {
 				t.Errorf("too many fail:%s", text)
 			}
 		})
@@ -220,14 +220,14 @@
 // Where all fail alike nobody is the outlier: chance convicts hardly anybody, so calls stay as evenly
 // spread over workers that are alike as where none fails.
 func TestNobodyIsConvictedByChance(t *testing.T) {
-	sound := simulateGrownFleet("", 1, 0).spread()
+	healthySpread := simulateGrownFleet("", 1, 0).spread()
 	for failing, most := range map[float64]float64{0.02: 0.05, 0.1: 0.05, 0.3: 0.1} {
 		t.Run(fmt.Sprint(failing), func(t *testing.T) {
 			t.Parallel()
-			w := simulateGrownFleet("", 1, failing)
-			t.Logf("spread %.3f, where none fails %.3f; late %.4f", w.spread(), sound, w.shareLate())
-			if w.spread() > sound+most {
-				t.Errorf("calls are spread by %.3f, where none fails by %.3f", w.spread(), sound)
+			world := simulateGrownFleet("", 1, failing)
+			t.Logf("spread %.3f, where none fails %.3f; late %.4f", world.spread(), healthySpread, world.lateFraction())
+			if world.spread() > healthySpread+most {
+				t.Errorf("calls are spread by %.3f, where none fails by %.3f", world.spread(), healthySpread)
 			}
 		})
 	}
--- a/internal/dispatch/endpoint_sim_test.go
+++ b/internal/dispatch/endpoint_sim_test.go
@@ -18,13 +18,13 @@
 // it has seen itself and by a directory that is old. Workers differ in speed.
 
 type queuedCall struct {
-	from  int // proxy
-	began time.Duration
-	work  time.Duration
-	sent  time.Duration
-	to    int
-	tried int
-	order []int
+	proxy     int // proxy
+	startedAt time.Duration
+	work      time.Duration
+	sentAt    time.Duration
+	worker    int
+	attempts  int
+	order     []int
 }
 
 type simWorker struct {
@@ -60,20 +60,20 @@
 func (e *simEvents) Pop() any { old := *e; last := old[len(old)-1]; *e = old[:len(old)-1]; return last }
 
 type simOptions struct {
-	zones        []int     // workers of each zone
-	shares       []float64 // of the traffic of each zone
-	speeds       []float64
-	utilization  float64 // of what all workers can do
-	place        func(w *simWorld, from int) []int
-	length       time.Duration
-	seed         uint64
-	restarted    int     // so many workers start anew in the middle
-	swing        float64 // of the traffic, as a part of it
-	times        int     // proxies, as a multiple of the usual number, and how much longer calls take
-	silent       bool    // workers tell no load with their answers
-	failingEvery int     // every so manyth worker fails, 0 for none
-	failing      float64 // this part of its calls, in a tenth of the time
-	judgedBy     string  // by which workers are judged, empty for the product's own
+	zones         []int     // workers of each zone
+	shares        []float64 // of the traffic of each zone
+	speeds        []float64
+	utilization   float64 // of what all workers can do
+	pick          func(w *simWorld, from int) []int
+	length        time.Duration
+	seed          uint64
+	restarted     int     // so many workers start anew in the middle
+	swing         float64 // of the traffic, as a part of it
+	times         int     // proxies, as a multiple of the usual number, and how much longer calls take
+	noLoadReports bool    // workers tell no load with their answers
+	failingEvery  int     // every so manyth worker fails, 0 for none
+	failing       float64 // this part of its calls, in a tenth of the time
+	judgedBy      string  // by which workers are judged, empty for the product's own
 }
 
 type simWorld struct {
@@ -81,7 +81,7 @@
 	now           time.Duration
 	events        simEvents
 	seq           int
-	dice          *rand.Rand
+	random        *rand.Rand
 	workers       []*simWorker
 	detectors     []*OutlierDetector
 	views         []*plan.View
@@ -114,7 +114,7 @@
 func zoneOf(proxy int) int { return proxy % 3 }
 
 func simulate(options simOptions) *simWorld {
-	w := &simWorld{simOptions: options, dice: rand.New(rand.NewPCG(options.seed, 1)), latencyTarget: simLatencyTarget * time.Duration(max(1, options.times))}
+	w := &simWorld{simOptions: options, random: rand.New(rand.NewPCG(options.seed, 1)), latencyTarget: simLatencyTarget * time.Duration(max(1, options.times))}
 	for zone, count := range options.zones {
 		for range count {
 			worker := &simWorker{zone: zone, slots: simSlots, speed: options.speeds[len(w.workers)%len(options.speeds)]}
@@ -136,8 +136,8 @@
 		w.detectors = append(w.detectors, NewOutlierDetector(5, simEjection))
 		w.views = append(w.views, &plan.View{Config: compiled, Directory: plan.Directory{"s": {"1": make([]plan.Endpoint, len(w.workers))}}})
 	}
-	var beat func(i int)
-	beat = func(i int) {
+	var reportLoad func(i int)
+	reportLoad = func(i int) {
 		worker := w.workers[i]
 		reported := plan.Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Zone: fmt.Sprint("z", worker.zone), Slots: worker.slots, Running: worker.running,
 			Waiting: len(worker.queue), ServiceTime: worker.serviceTime, ReportedAt: w.now, WarmUntil: worker.slowUntil}
@@ -146,7 +146,7 @@
 				view.Directory["s"]["1"][i] = reported
 			}
 		})
-		w.after(1500*time.Millisecond, func() { beat(i) })
+		w.after(1500*time.Millisecond, func() { reportLoad(i) })
 	}
 	for i := range w.workers {
 		w.now = 0
@@ -154,16 +154,16 @@
 		for _, view := range w.views {
 			view.Directory["s"]["1"][i] = reported
 		}
-		w.after(time.Duration(w.dice.Int64N(int64(1500*time.Millisecond))), func() { beat(i) })
+		w.after(time.Duration(w.random.Int64N(int64(1500*time.Millisecond))), func() { reportLoad(i) })
 	}
 	for zone := range 3 {
 		rate := options.utilization * capacity * options.shares[zone]
 		var arrive func()
 		arrive = func() {
 			// Traffic swings, each zone by itself.
-			swung := rate * (1 + options.swing*math.Sin(2*math.Pi*(w.now.Seconds()/11+float64(zone)/3)))
-			w.after(time.Duration(w.dice.ExpFloat64()/swung*1e9), arrive)
-			w.startCall(zone + 3*w.dice.IntN(options.proxies()/3))
+			currentRate := rate * (1 + options.swing*math.Sin(2*math.Pi*(w.now.Seconds()/11+float64(zone)/3)))
+			w.after(time.Duration(w.random.ExpFloat64()/currentRate*1e9), arrive)
+			w.startCall(zone + 3*w.random.IntN(options.proxies()/3))
 		}
 		w.after(0, arrive)
 	}
@@ -185,54 +185,54 @@
 // startCall begins a call at a proxy.
 func (w *simWorld) startCall(from int) {
 	const spread = 0.8
-	work := math.Exp(w.dice.NormFloat64()*spread-spread*spread/2) * float64(w.work())
-	call := &queuedCall{from: from, began: w.now, work: time.Duration(min(work, 6*float64(w.work())))}
+	work := math.Exp(w.random.NormFloat64()*spread-spread*spread/2) * float64(w.work())
+	call := &queuedCall{proxy: from, startedAt: w.now, work: time.Duration(min(work, 6*float64(w.work())))}
 	w.send(call)
 }
 
 // send tries the next worker.
 func (w *simWorld) send(call *queuedCall) {
-	if call.tried >= 4 || w.now-call.began > w.latencyTarget {
+	if call.attempts >= 4 || w.now-call.startedAt > w.latencyTarget {
 		w.end(call, false)
 		return
 	}
 	if call.order == nil {
-		call.order = w.place(w, call.from)
+		call.order = w.pick(w, call.proxy)
 	}
-	if call.tried >= len(call.order) {
+	if call.attempts >= len(call.order) {
 		w.end(call, false)
 		return
 	}
-	call.to = call.order[call.tried]
-	call.tried++
-	call.sent = w.now
-	w.detectors[call.from].BeginCall(fmt.Sprint("w", call.to), w.now)
-	hop := 300 * time.Microsecond
-	if w.workers[call.to].zone != zoneOf(call.from) {
-		hop += 700 * time.Microsecond
+	call.worker = call.order[call.attempts]
+	call.attempts++
+	call.sentAt = w.now
+	w.detectors[call.proxy].BeginCall(fmt.Sprint("w", call.worker), w.now)
+	latency := 300 * time.Microsecond
+	if w.workers[call.worker].zone != zoneOf(call.proxy) {
+		latency += 700 * time.Microsecond
 	}
-	w.after(hop, func() { w.arrive(call, hop) })
+	w.after(latency, func() { w.arrive(call, latency) })
 }
 
 // arrive queues a call at a worker, or refuses it where its answer would be late.
-func (w *simWorld) arrive(call *queuedCall, hop time.Duration) {
-	worker := w.workers[call.to]
+func (w *simWorld) arrive(call *queuedCall, latency time.Duration) {
+	worker := w.workers[call.worker]
 	if wait := float64(len(worker.queue)+1) * float64(worker.serviceTime) / float64(worker.slots); worker.running >= worker.slots && wait > float64(w.latencyTarget) {
 		w.refused++
 		response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull), RetryAfterNanos: int64(50 * time.Millisecond)}
 		w.fillLoad(worker, response)
-		w.after(hop, func() {
-			w.detectors[call.from].RecordResponse(fmt.Sprint("w", call.to), w.now, w.now-call.sent, response)
+		w.after(latency, func() {
+			w.detectors[call.proxy].RecordResponse(fmt.Sprint("w", call.worker), w.now, w.now-call.sentAt, response)
 			w.send(call)
 		})
 		return
 	}
 	worker.queue = append(worker.queue, call)
-	w.begin(worker, hop)
+	w.begin(worker, latency)
 }
 
 func (w *simWorld) fillLoad(worker *simWorker, response *schema.ForwardResponse) {
-	if w.silent {
+	if w.noLoadReports {
 		return
 	}
 	response.Running, response.Queued, response.Slots, response.ServiceTimeNanos = uint32(worker.running), uint32(len(worker.queue)), uint32(worker.slots), int64(worker.serviceTime)
@@ -242,7 +242,7 @@
 }
 
 // begin lets a worker work on what waits.
-func (w *simWorld) begin(worker *simWorker, hop time.Duration) {
+func (w *simWorld) begin(worker *simWorker, latency time.Duration) {
 	for worker.running < worker.slots && len(worker.queue) > 0 {
 		call := worker.queue[0]
 		worker.queue = worker.queue[1:]
@@ -251,28 +251,28 @@
 		if w.now < worker.slowUntil {
 			took *= 2
 		}
-		status, learns := int32(200), true
-		if worker.failing > 0 && w.dice.Float64() < worker.failing {
+		status, measured := int32(200), true
+		if worker.failing > 0 && w.random.Float64() < worker.failing {
 			status, took = 500, took/10
-			learns = w.judgedBy != "" || took >= worker.serviceTime
+			measured = w.judgedBy != "" || took >= worker.serviceTime
 		}
 		w.after(took, func() {
 			worker.running--
 			if worker.serviceTime == 0 {
 				worker.serviceTime = took
 			}
-			if learns {
+			if measured {
 				worker.serviceTime += (took - worker.serviceTime) / 32
 			}
 			worker.calls.add(w.now, simEjection, status != 200)
-			w.begin(worker, hop)
+			w.begin(worker, latency)
 			response := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: status}
 			if status != 200 && w.now >= simWarmup {
 				w.failed++
 			}
 			w.fillLoad(worker, response)
-			w.after(hop, func() {
-				w.detectors[call.from].RecordResponse(fmt.Sprint("w", call.to), w.now, w.now-call.sent, response)
+			w.after(latency, func() {
+				w.detectors[call.proxy].RecordResponse(fmt.Sprint("w", call.worker), w.now, w.now-call.sentAt, response)
 				w.end(call, true)
 			})
 		})
@@ -283,8 +283,8 @@
 	if w.now < simWarmup {
 		return
 	}
-	zone, crossed := zoneOf(call.from), 0
-	if w.workers[call.to].zone != zone {
+	zone, crossed := zoneOf(call.proxy), 0
+	if w.workers[call.worker].zone != zone {
 		crossed = 1
 	}
 	second := int(w.now / time.Second)
@@ -294,28 +294,28 @@
 	w.zoneCrossed[zone][second] += crossed
 	w.calls++
 	w.crossed += crossed
-	w.byWorker[call.to]++
+	w.byWorker[call.worker]++
 	if !served {
 		w.lost++
 	}
-	if !served || w.now-call.began > w.latencyTarget {
+	if !served || w.now-call.startedAt > w.latencyTarget {
 		w.late++
 	}
 }
 
-func (w *simWorld) shareLate() float64 { return float64(w.late) / float64(w.calls) }
+func (w *simWorld) lateFraction() float64 { return float64(w.late) / float64(w.calls) }
 
-func (w *simWorld) shareCrossed() float64 { return float64(w.crossed) / float64(w.calls) }
+func (w *simWorld) crossedFraction() float64 { return float64(w.crossed) / float64(w.calls) }
 
 // cost is what a call loses by being late, and by its bytes between zones.
-func (w *simWorld) cost() float64 { return 0.7*w.shareLate() + 0.2*w.shareCrossed() }
+func (w *simWorld) cost() float64 { return 0.7*w.lateFraction() + 0.2*w.crossedFraction() }
 
 // The ways of placing that are compared.
-var simPlacers = map[string]func(w *simWorld, from int) []int{
+var simPickers = map[string]func(w *simWorld, from int) []int{
 	"planned": func(w *simWorld, from int) []int {
 		options := plan.Options{Zone: fmt.Sprint("z", zoneOf(from)), MaxDeadline: time.Minute}
 		made, err := plan.Make(w.views[from], &plan.Request{Caller: "c", Method: "GET", Path: "/", Header: func(string) (string, bool) { return "", false }, Identity: "i"}, options,
-			judgedState{LocalState{w.detectors[from], nil}, w.judgedBy}, w.now, w.dice.Float64)
+			judgedState{LocalState{w.detectors[from], nil}, w.judgedBy}, w.now, w.random.Float64)
 		if err != nil {
 			panic(err)
 		}
@@ -327,12 +327,12 @@
 		}
 		return order
 	},
-	"random": func(w *simWorld, _ int) []int { return w.dice.Perm(len(w.workers)) },
+	"random": func(w *simWorld, _ int) []int { return w.random.Perm(len(w.workers)) },
 	"own zone": func(w *simWorld, from int) []int {
-		return slices.DeleteFunc(w.dice.Perm(len(w.workers)), func(at int) bool { return w.workers[at].zone != zoneOf(from) })
+		return slices.DeleteFunc(w.random.Perm(len(w.workers)), func(at int) bool { return w.workers[at].zone != zoneOf(from) })
 	},
 	"least in flight": func(w *simWorld, from int) []int {
-		order := w.dice.Perm(len(w.workers))
+		order := w.random.Perm(len(w.workers))
 		slices.SortStableFunc(order, func(a, b int) int {
 			seen := func(at int) int {
 				return w.detectors[from].Stats(&plan.Endpoint{Instance: fmt.Sprint("w", at)}, w.now).InFlight
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -23,9 +23,9 @@
 // attemptScript makes a dispatch end in a way.
 type attemptScript func(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
-func refusing(kind errs.Code, back time.Duration, met bool) attemptScript {
+func refusing(code errs.Code, retryAfter time.Duration, reachedWorker bool) attemptScript {
 	return func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(kind), RetryAfterNanos: int64(back), ReachedWorker: met}, nil
+		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), RetryAfterNanos: int64(retryAfter), ReachedWorker: reachedWorker}, nil
 	}
 }
 
@@ -58,8 +58,8 @@
 }
 
 // newScriptedForwarder makes a carrier with so many workers of a service, and a route of a class to it.
-func newScriptedForwarder(t testing.TB, workers int, route string, floor float64, script ...attemptScript) *scriptedForwarder {
-	t.Helper()
+func newScriptedForwarder(tb testing.TB, workers int, route string, floor float64, script ...attemptScript) *scriptedForwarder {
+	tb.Helper()
 	item := func(kind, name, body string) *schema.Item {
 		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
 	}
@@ -67,25 +67,25 @@
 		item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+route+`}`)})
 	compiled, faults := config.Compile(state, 1)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		tb.Fatal(faults)
 	}
 	view := &plan.View{Config: compiled, Directory: plan.Directory{"shop": {"1": {}}}}
 	for i := range workers {
 		view.Directory["shop"]["1"] = append(view.Directory["shop"]["1"], plan.Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Address: "127.0.0.1:1"})
 	}
 	startedAt := time.Now()
-	c := &scriptedForwarder{}
-	c.Forwarder = (&Forwarder{Name: "q", Incarnation: 1, Limits: Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: floor}, View: func() *plan.View { return view },
-		AwaitView:  func(ctx context.Context, _ func(*plan.View) bool) { c.waited++; <-ctx.Done() },
+	scripted := &scriptedForwarder{}
+	scripted.Forwarder = (&Forwarder{Name: "q", Incarnation: 1, Limits: Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: floor}, View: func() *plan.View { return view },
+		AwaitView:  func(ctx context.Context, _ func(*plan.View) bool) { scripted.waited++; <-ctx.Done() },
 		AwaitLease: func(context.Context) bool { return true }, OnConfigLag: func() {}, HasLease: func() bool { return true }, FleetSize: func() int { return 1 },
 		Now: func() time.Duration { return time.Since(startedAt) }, Random: func() float64 { return 0 }, Outliers: NewOutlierDetector(5, 5*time.Second),
 		Canaries: NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }), Counter: NewCallCounter(64), NoAttemptTimeout: true, FreeProxyRefusals: true,
 		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-			at := len(c.sent)
-			c.sent = append(c.sent, candidate.Instance)
+			at := len(scripted.sent)
+			scripted.sent = append(scripted.sent, candidate.Instance)
 			return script[min(at, len(script)-1)](ctx, request)
 		}}).Init(16)
-	return c
+	return scripted
 }
 
 // Looking for a first worker is free; going to a second costs of the fleet's budget, and a once
@@ -126,13 +126,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
-				result := c.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
-				if len(c.sent) != test.sent || result.Response.Outcome != test.ending || (test.kind != "" && result.Response.ErrorCode != string(test.kind)) {
-					t.Errorf("sent to %v, ended %v %s; want %d, %v %s", c.sent, result.Response.Outcome, result.Response.ErrorCode, test.sent, test.ending, test.kind)
+				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
+				result := forwarder.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+				if len(forwarder.sent) != test.sent || result.Response.Outcome != test.ending || (test.kind != "" && result.Response.ErrorCode != string(test.kind)) {
+					t.Errorf("sent to %v, ended %v %s; want %d, %v %s", forwarder.sent, result.Response.Outcome, result.Response.ErrorCode, test.sent, test.ending, test.kind)
 				}
 				seen := map[string]bool{}
-				for _, instance := range c.sent {
+				for _, instance := range forwarder.sent {
 					if seen[instance] {
 						t.Errorf("sent to %s twice", instance)
 					}
@@ -148,15 +148,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		const lost = 300 * time.Millisecond
 		var sent []time.Duration
-		note := func(then attemptScript) attemptScript {
+		recording := func(then attemptScript) attemptScript {
 			return func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 				sent = append(sent, time.Duration(request.TimeLeftNanos))
 				time.Sleep(lost)
 				return then(ctx, request)
 			}
 		}
-		c := newScriptedForwarder(t, 6, `"class":"repeatable"`, 9, note(breaking), note(breaking), note(answering))
-		c.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+		forwarder := newScriptedForwarder(t, 6, `"class":"repeatable"`, 9, recording(breaking), recording(breaking), recording(answering))
+		forwarder.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
 		if len(sent) != 3 {
 			t.Fatalf("sent with %v left", sent)
 		}
@@ -202,33 +202,33 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
-				c.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: test.floor, FailureRetryFraction: test.part})
-				result := c.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
-				if len(c.sent) != test.sent || result.Err != nil || result.Response.Status != test.status || c.waited > 0 {
-					t.Errorf("sent to %v, ended %v %d, waited for news %d times; want %d, %d", c.sent, result.Err, result.Response.Status, c.waited, test.sent, test.status)
+				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
+				forwarder.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: test.floor, FailureRetryFraction: test.part})
+				result := forwarder.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+				if len(forwarder.sent) != test.sent || result.Err != nil || result.Response.Status != test.status || forwarder.waited > 0 {
+					t.Errorf("sent to %v, ended %v %d, waited for news %d times; want %d, %d", forwarder.sent, result.Err, result.Response.Status, forwarder.waited, test.sent, test.status)
 				}
 			})
 		})
 	}
 	// A version on trial answers for its own failures.
 	synctest.Test(t, func(t *testing.T) {
-		c := newScriptedForwarder(t, 6, repeatable, 9, failing, answering)
-		c.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: 9, FailureRetryFraction: 1})
+		forwarder := newScriptedForwarder(t, 6, repeatable, 9, failing, answering)
+		forwarder.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: 9, FailureRetryFraction: 1})
 		item := func(kind, name, body string) *schema.Item {
 			return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
 		}
-		trying, faults := config.Compile(config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
+		snapshot, faults := config.Compile(config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
 			item("flag", "release.shop", `{"on":true,"salt":"","variations":["0","1"],"offVariation":0,"fallthrough":{"variation":1}}`)}), 1)
 		if len(faults) > 0 {
 			t.Fatal(faults)
 		}
-		view := &plan.View{Config: trying, Directory: c.View().Directory}
-		c.View = func() *plan.View { return view }
+		view := &plan.View{Config: snapshot, Directory: forwarder.View().Directory}
+		forwarder.View = func() *plan.View { return view }
 		failed, _ := failing(t.Context(), &schema.ForwardRequest{})
 		for version, want := range map[string]bool{"0": true, "1": false} {
 			callPlan := &plan.Plan{Route: &config.Route{}, Service: "shop", Verdict: plan.Verdict{Version: version}, Class: config.ClassIdempotent}
-			if got := c.mayRetryFailure(&CallResult{Plan: callPlan}, &callProgress{lastResponse: notExecuted(errs.NoWorker, 0)}, failed, time.Second); got != want {
+			if got := forwarder.mayRetryFailure(&CallResult{Plan: callPlan}, &callProgress{lastResponse: notExecuted(errs.NoWorker, 0)}, failed, time.Second); got != want {
 				t.Errorf("version %s: asked of another %v", version, got)
 			}
 		}
@@ -238,11 +238,11 @@
 // Where every try counts, looking for a first worker is paid for too.
 func TestEveryAttemptCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(errs.QueueFull, 0, false))
-		c.FreeProxyRefusals = false
-		c.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
-		if len(c.sent) != 3 {
-			t.Errorf("sent to %v, want the first and two paid for", c.sent)
+		forwarder := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(errs.QueueFull, 0, false))
+		forwarder.FreeProxyRefusals = false
+		forwarder.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+		if len(forwarder.sent) != 3 {
+			t.Errorf("sent to %v, want the first and two paid for", forwarder.sent)
 		}
 	})
 }
@@ -253,14 +253,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		const route = `"class":"once","aim":"800ms"`
 		call := &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}}
-		c := newScriptedForwarder(t, 3, route, 0, refusing(errs.QueueFull, 300*time.Millisecond, false), refusing(errs.DeadlineExceeded, 100*time.Millisecond, false), refusing(errs.QueueFull, 0, false))
+		forwarder := newScriptedForwarder(t, 3, route, 0, refusing(errs.QueueFull, 300*time.Millisecond, false), refusing(errs.DeadlineExceeded, 100*time.Millisecond, false), refusing(errs.QueueFull, 0, false))
 		startedAt := time.Now()
-		if result := c.Forward(t.Context(), call); len(c.sent) != 2 || time.Since(startedAt) > 0 || time.Duration(result.Response.RetryAfterNanos) != 100*time.Millisecond {
-			t.Errorf("%d tries, %v, back after %v", len(c.sent), time.Since(startedAt), time.Duration(result.Response.RetryAfterNanos))
+		if result := forwarder.Forward(t.Context(), call); len(forwarder.sent) != 2 || time.Since(startedAt) > 0 || time.Duration(result.Response.RetryAfterNanos) != 100*time.Millisecond {
+			t.Errorf("%d tries, %v, back after %v", len(forwarder.sent), time.Since(startedAt), time.Duration(result.Response.RetryAfterNanos))
 		}
-		c = newScriptedForwarder(t, 0, route, 0, answering)
+		forwarder = newScriptedForwarder(t, 0, route, 0, answering)
 		startedAt = time.Now()
-		if result := c.Forward(t.Context(), call); result.Response.ErrorCode != string(errs.NoWorker) || time.Since(startedAt) > 200*time.Millisecond {
+		if result := forwarder.Forward(t.Context(), call); result.Response.ErrorCode != string(errs.NoWorker) || time.Since(startedAt) > 200*time.Millisecond {
 			t.Errorf("%s after %v", result.Response.ErrorCode, time.Since(startedAt))
 		}
 	})
--- a/internal/dispatch/key_reservation_test.go
+++ b/internal/dispatch/key_reservation_test.go
@@ -25,80 +25,80 @@
 type keyFixture struct {
 	fixtures             [2]*workerFixture
 	lock                 sync.Mutex // of claims: a key is let go beside the thread that had it
-	claims               [3]*registry.ReservationTable
+	registries           [3]*registry.ReservationTable
 	unresponsive         [3]bool // a registry that does not answer
-	began                time.Time
+	startedAt            time.Time
 	seededSingleRegistry bool // planted: one registry's word is enough
 	lost                 [2]func(order int) bool
 	results              [2][]*CallResult
 }
 
-func newKeyFixture(t testing.TB) *keyFixture {
-	d := &keyFixture{fixtures: [2]*workerFixture{newWorkerFixture(t), newWorkerFixture(t)}, began: time.Now()}
-	for i := range d.claims {
-		d.claims[i] = d.newReservations()
-		d.claims[i].MarkNeverUsed()
+func newKeyFixture(tb testing.TB) *keyFixture {
+	fixture := &keyFixture{fixtures: [2]*workerFixture{newWorkerFixture(tb), newWorkerFixture(tb)}, startedAt: time.Now()}
+	for i := range fixture.registries {
+		fixture.registries[i] = fixture.newReservationTable()
+		fixture.registries[i].MarkNeverUsed()
 	}
-	return d
+	return fixture
 }
 
-func (f *keyFixture) newReservations() *registry.ReservationTable {
+func (f *keyFixture) newReservationTable() *registry.ReservationTable {
 	return registry.NewReservationTable(registry.ReservationOptions{Lease: reservationLease, Window: 4 * reservationLease, MaxReservations: 64, MemberCount: 3})
 }
 
-func (f *keyFixture) now() time.Duration { return time.Since(f.began) }
+func (f *keyFixture) now() time.Duration { return time.Since(f.startedAt) }
 
 // restartRegistry lets a registry begin anew and, if it is sound, read the others before it counts.
-func (f *keyFixture) restartRegistry(i int, way string) {
-	reservations := f.newReservations()
-	if way == countsAtOnce {
-		reservations.MarkNeverUsed()
+func (f *keyFixture) restartRegistry(i int, recovery string) {
+	table := f.newReservationTable()
+	if recovery == skipRecovery {
+		table.MarkNeverUsed()
 	}
 	f.lock.Lock()
-	f.claims[i] = reservations
+	f.registries[i] = table
 	f.lock.Unlock()
-	switch way {
-	case countsAtOnce:
+	switch recovery {
+	case skipRecovery:
 		return
-	case readsLater:
-		time.Sleep(reservations.RecoveryStartsAt())
+	case recoverAfterRounds:
+		time.Sleep(table.RecoveryStartsAt())
 	}
 	f.refillRegistry(i)
 }
 
 // Ways in which a registry begins anew; only the first is sound.
 const (
-	readsLater   = "reads the others once no round of its earlier life can go on"
-	readsAtOnce  = "reads the others at once"
-	countsAtOnce = "counts at once"
+	recoverAfterRounds = "reads the others once no round of its earlier life can go on"
+	recoverAtOnce      = "reads the others at once"
+	skipRecovery       = "counts at once"
 )
 
 func (f *keyFixture) refillRegistry(i int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
-	for other := range f.claims {
+	for other := range f.registries {
 		if other != i {
-			f.claims[i].MergePage(f.now(), fmt.Sprint(other), f.claims[other].Page(f.now(), 0))
+			f.registries[i].MergePage(f.now(), fmt.Sprint(other), f.registries[other].Page(f.now(), 0))
 		}
 	}
 }
 
 // newReserver takes claims to the registries one after another, yielding before each.
 func (f *keyFixture) newReserver(from int, yield func()) KeyReserver {
-	return func(_ context.Context, claim *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
-		seats := 3
+	return func(_ context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
+		members := 3
 		if f.seededSingleRegistry {
-			seats = 1
+			members = 1
 		}
-		round := session.NewReservationRound(claim, seats, f.now(), session.ReservationRoundTimeout(reservationLease))
+		round := session.NewReservationRound(reservation, members, f.now(), session.ReservationRoundTimeout(reservationLease))
 		for i := range 3 {
-			seat := (from + i) % 3
+			member := (from + i) % 3
 			yield()
-			if !f.unresponsive[seat] {
+			if !f.unresponsive[member] {
 				f.lock.Lock()
-				claimed := f.claims[seat].Apply(f.now(), claim)
+				reply := f.registries[member].Apply(f.now(), reservation)
 				f.lock.Unlock()
-				round.Record(f.now(), fmt.Sprint(seat), claimed)
+				round.Record(f.now(), fmt.Sprint(member), reply)
 			}
 			if verdict := round.Outcome(i == 2); verdict != session.ReservationPending {
 				return verdict, round.Conflicting
@@ -175,20 +175,20 @@
 func TestEveryOrderOfOneKeyAtTwoProxies(t *testing.T) {
 	explore := func(single bool, restart string) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 200000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
-			d := newKeyFixture(t)
-			d.seededSingleRegistry = single
-			for i, s := range d.fixtures {
-				s.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+			fixture := newKeyFixture(t)
+			fixture.seededSingleRegistry = single
+			for i, workers := range fixture.fixtures {
+				workers.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
 			}
 			for which := range 2 {
 				run.Go(fmt.Sprint("caller-", which), func(yield func()) {
-					d.results[which] = append(d.results[which], d.newForwarder(t, which, yield).Forward(t.Context(), d.newCall("key", "{}")))
+					fixture.results[which] = append(fixture.results[which], fixture.newForwarder(t, which, yield).Forward(t.Context(), fixture.newCall("key", "{}")))
 				})
 			}
 			if restart != "" {
-				run.Go("restart", func(func()) { d.restartRegistry(1, restart) })
+				run.Go("restart", func(func()) { fixture.restartRegistry(1, restart) })
 			}
-			return d.check
+			return fixture.check
 		})
 	}
 	for name, test := range map[string]struct {
@@ -197,10 +197,10 @@
 		broken  bool
 	}{
 		"sound":                           {},
-		"a registry restarts":             {restart: readsLater},
+		"a registry restarts":             {restart: recoverAfterRounds},
 		"planted: one registry is enough": {single: true, broken: true},
-		"planted: counts at once":         {restart: countsAtOnce, broken: true},
-		"planted: reads at once":          {restart: readsAtOnce, broken: true},
+		"planted: counts at once":         {restart: skipRecovery, broken: true},
+		"planted: reads at once":          {restart: recoverAtOnce, broken: true},
 	} {
 		outcome := explore(test.single, test.restart)
 		if (outcome.Failure != "") != test.broken {
@@ -215,8 +215,8 @@
 func TestRepeatElsewhere(t *testing.T) {
 	answered, unknownEnding, notRunEnding := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
 	for name, test := range map[string]struct {
-		before func(d *keyFixture)           // the first try
-		after  func(d *keyFixture)           // it
+		before func(fixture *keyFixture)     // the first try
+		after  func(fixture *keyFixture)     // it
 		body   string                        // of the repeat, where another
 		first  schema.CallOutcome            //
 		again  schema.CallOutcome            //
@@ -226,67 +226,67 @@
 	}{
 		"the first was answered":        {first: answered, again: answered, runs: 1},
 		"the first's answer was lost":   {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }},
-		"the worker's proxy is lost":    {first: unknownEnding, again: unknownEnding, runs: 1, lost: func(int) bool { return true }, after: func(d *keyFixture) { d.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
-		"a core machine is lost after":  {first: answered, again: answered, runs: 1, after: func(d *keyFixture) { d.unresponsive[1] = true }},
-		"a core machine is lost before": {first: answered, again: answered, runs: 1, before: func(d *keyFixture) { d.unresponsive[2] = true }},
-		"one core machine after another comes back empty": {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(d *keyFixture) {
+		"the worker's proxy is lost":    {first: unknownEnding, again: unknownEnding, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) { fixture.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
+		"a core machine is lost after":  {first: answered, again: answered, runs: 1, after: func(fixture *keyFixture) { fixture.unresponsive[1] = true }},
+		"a core machine is lost before": {first: answered, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[2] = true }},
+		"one core machine after another comes back empty": {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) {
 			for i := range 3 {
-				d.restartRegistry(i, readsLater)
+				fixture.restartRegistry(i, recoverAfterRounds)
 			}
 		}},
-		"two core machines are lost at once": {first: answered, again: notRunEnding, runs: 1, after: func(d *keyFixture) {
-			d.claims[0], d.claims[1] = d.newReservations(), d.newReservations()
+		"two core machines are lost at once": {first: answered, again: notRunEnding, runs: 1, after: func(fixture *keyFixture) {
+			fixture.registries[0], fixture.registries[1] = fixture.newReservationTable(), fixture.newReservationTable()
 			time.Sleep(reservationLease)
-			d.refillRegistry(0)
-			d.refillRegistry(1)
+			fixture.refillRegistry(0)
+			fixture.refillRegistry(1)
 			// The third still has the key, but its word alone would not keep another from running.
-			d.claims[2] = d.newReservations()
+			fixture.registries[2] = fixture.newReservationTable()
 		}},
-		"no majority of registries": {first: notRunEnding, again: answered, runs: 1, before: func(d *keyFixture) { d.unresponsive[0], d.unresponsive[1] = true, true }, after: func(d *keyFixture) {
-			d.unresponsive[0], d.unresponsive[1] = false, false
+		"no majority of registries": {first: notRunEnding, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[0], fixture.unresponsive[1] = true, true }, after: func(fixture *keyFixture) {
+			fixture.unresponsive[0], fixture.unresponsive[1] = false, false
 		}},
 		"another body under the key": {first: answered, again: notRunEnding, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
 			if result.Response.ErrorCode != "IDEMPOTENCY_KEY_REUSED" {
 				t.Error(result.Response.ErrorCode)
 			}
 		}},
-		"the first never ran": {first: notRunEnding, again: answered, runs: 1, before: func(d *keyFixture) {
-			said := d.fixtures[0].describe("127.0.0.1:1", d.fixtures[0].workersByAddress["127.0.0.1:1"])
-			said.Draining = true
-			_, _ = d.fixtures[0].workers.Register(said)
+		"the first never ran": {first: notRunEnding, again: answered, runs: 1, before: func(fixture *keyFixture) {
+			description := fixture.fixtures[0].describe("127.0.0.1:1", fixture.fixtures[0].workersByAddress["127.0.0.1:1"])
+			description.Draining = true
+			_, _ = fixture.fixtures[0].workers.Register(description)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := newKeyFixture(t)
-				for i, s := range d.fixtures {
-					s.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+				fixture := newKeyFixture(t)
+				for i, workers := range fixture.fixtures {
+					workers.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
 				}
-				first, second := d.newForwarder(t, 0, func() {}), d.newForwarder(t, 1, func() {})
+				first, second := fixture.newForwarder(t, 0, func() {}), fixture.newForwarder(t, 1, func() {})
 				if test.before != nil {
-					test.before(d)
+					test.before(fixture)
 				}
-				d.lost[0] = test.lost
-				d.results[0] = append(d.results[0], first.Forward(t.Context(), d.newCall("key", "{}")))
+				fixture.lost[0] = test.lost
+				fixture.results[0] = append(fixture.results[0], first.Forward(t.Context(), fixture.newCall("key", "{}")))
 				if test.after != nil {
-					test.after(d)
+					test.after(fixture)
 				}
 				body := "{}"
 				if test.body != "" {
 					body = test.body
 				}
-				again := second.Forward(t.Context(), d.newCall("key", body))
-				d.results[1] = append(d.results[1], again)
-				if got := d.results[0][0].Response; got.Outcome != test.first {
+				again := second.Forward(t.Context(), fixture.newCall("key", body))
+				fixture.results[1] = append(fixture.results[1], again)
+				if got := fixture.results[0][0].Response; got.Outcome != test.first {
 					t.Errorf("the first ended %v with %s, want %v", got.Outcome, got.ErrorCode, test.first)
 				}
 				if again.Response.Outcome != test.again {
 					t.Errorf("the repeat ended %v with %s, want %v", again.Response.Outcome, again.Response.ErrorCode, test.again)
 				}
-				if d.countRuns() != test.runs {
-					t.Errorf("%d runs, want %d", d.countRuns(), test.runs)
+				if fixture.countRuns() != test.runs {
+					t.Errorf("%d runs, want %d", fixture.countRuns(), test.runs)
 				}
-				if err := d.check(); err != nil {
+				if err := fixture.check(); err != nil {
 					t.Error(err)
 				}
 				if test.check != nil {
@@ -299,30 +299,30 @@
 
 // A worker's proxy that has a newer setup may refuse what the older one allowed: the call is
 // planned anew by the newer one as soon as it is here, and answered.
-func TestNewerSetupElsewhere(t *testing.T) {
+func TestNewerConfigElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newKeyFixture(t)
-		for i, s := range d.fixtures {
-			s.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+		fixture := newKeyFixture(t)
+		for i, workers := range fixture.fixtures {
+			workers.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
 		}
-		carrier := d.newForwarder(t, 0, func() {})
-		older, arrives := carrier.View(), time.Now().Add(700*time.Millisecond)
+		forwarder := fixture.newForwarder(t, 0, func() {})
+		older, arrives := forwarder.View(), time.Now().Add(700*time.Millisecond)
 		newer := &plan.View{Config: compileConfig(t, 6), Directory: older.Directory}
-		carrier.View = func() *plan.View {
+		forwarder.View = func() *plan.View {
 			if time.Now().Before(arrives) {
 				return older
 			}
 			return newer
 		}
-		carrier.AwaitView = func(ctx context.Context, ready func(*plan.View) bool) {
+		forwarder.AwaitView = func(ctx context.Context, ready func(*plan.View) bool) {
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Until(arrives)):
 			}
 		}
-		send := carrier.Send
+		send := forwarder.Send
 		refused := 0
-		carrier.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		forwarder.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			if request.Revision < 6 {
 				refused++
 				response := notExecuted("VERSION_NOT_ALLOWED", 6)
@@ -331,7 +331,7 @@
 			}
 			return send(ctx, candidate, request)
 		}
-		result := carrier.Forward(t.Context(), d.newCall("key", "{}"))
+		result := forwarder.Forward(t.Context(), fixture.newCall("key", "{}"))
 		if result.Err != nil || refused != 1 || result.Plan.Verdict.ConfigRevision != 6 {
 			t.Errorf("ended %v after %d refusals, by setup %d", result.Err, refused, result.Plan.Verdict.ConfigRevision)
 		}
--- a/internal/dispatch/outlier_detector_test.go
+++ b/internal/dispatch/outlier_detector_test.go
@@ -175,11 +175,11 @@
 		"another route":           {[]*schema.ForwardResponse{full, full, full, full, full, full}, "other", 0, 0, false},
 		"a while later":           {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 5 * time.Second, 0, false},
 	} {
-		s := NewOutlierDetector(5, 5*time.Second)
+		detector := NewOutlierDetector(5, 5*time.Second)
 		for _, answer := range test.answers {
-			s.RecordOffer("i", "r", time.Second, answer)
+			detector.RecordOffer("i", "r", time.Second, answer)
 		}
-		retryAfter, got := s.ShouldSkip("i", test.route, time.Second+test.after, func() float64 { return test.random })
+		retryAfter, got := detector.ShouldSkip("i", test.route, time.Second+test.after, func() float64 { return test.random })
 		if got != test.want || (got && retryAfter <= 0) {
 			t.Errorf("%s: %t, back in %s; want %t", name, got, retryAfter, test.want)
 		}
@@ -190,7 +190,7 @@
 func TestShouldSkipConverges(t *testing.T) {
 	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
 	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
-	s, rolled := NewOutlierDetector(5, 5*time.Second), 0.0
+	detector, rolled := NewOutlierDetector(5, 5*time.Second), 0.0
 	random := func() float64 {
 		rolled += 0.618
 		rolled -= float64(int(rolled))
@@ -203,11 +203,11 @@
 		answer := full
 		if i%10 == 0 {
 			answer = accepted
-		} else if _, spared := s.ShouldSkip("i", "r", now, random); spared {
+		} else if _, spared := detector.ShouldSkip("i", "r", now, random); spared {
 			continue
 		}
 		offered++
-		s.RecordOffer("i", "r", now, answer)
+		detector.RecordOffer("i", "r", now, answer)
 	}
 	if a := float64(offered) / 60; a < 15 || a > 40 {
 		t.Errorf("asked for %.1f a second, where it takes 10", a)
--- a/internal/dispatch/reserved_admissions_test.go
+++ b/internal/dispatch/reserved_admissions_test.go
@@ -16,7 +16,7 @@
 // A body goes to another zone only once there is a turn for it, where it is likely to be refused.
 func TestCapacityCheckBeforeABodyIsSent(t *testing.T) {
 	full := refusing(errs.QueueFull, 9*time.Millisecond, false)
-	room := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+	withCapacity := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		time.Sleep(20 * time.Millisecond) // it waits for its turn
 		return refusing("", 0, false)(ctx, request)
 	}
@@ -32,25 +32,25 @@
 		"of the own zone":                                     {body, false, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
 		"elsewhere, with room so far":                         {body, true, 0, []attemptScript{answering}, "s", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
 		"elsewhere, after another refused":                    {body, true, 0, []attemptScript{full, full}, "se", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
-		"elsewhere, after another refused, and there is room": {body, true, 0, []attemptScript{full, room, answering}, "ses", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, after another refused, and there is room": {body, true, 0, []attemptScript{full, withCapacity, answering}, "ses", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
 		"elsewhere, that refused of late":                     {body, true, 9, []attemptScript{full, full}, "ee", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
-		"elsewhere, that refused of late and has room":        {body, true, 9, []attemptScript{room, answering}, "es", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, not reached by the enquiry":               {body, true, 9, []attemptScript{breaking, unopened, room, answering}, "eees", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, that refused of late and has room":        {body, true, 9, []attemptScript{withCapacity, answering}, "es", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, not reached by the enquiry":               {body, true, 9, []attemptScript{breaking, unopened, withCapacity, answering}, "eees", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
 		"elsewhere, with hardly a body":                       {"x", true, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newScriptedForwarder(t, 6, `"class":"once"`, 0, test.script...)
-				directory := c.View().Directory["shop"]["1"]
+				forwarder := newScriptedForwarder(t, 6, `"class":"once"`, 0, test.script...)
+				directory := forwarder.View().Directory["shop"]["1"]
 				for i := range directory {
 					directory[i].Zone = map[bool]string{true: "elsewhere"}[test.far]
 					for range test.rejected {
-						c.Outliers.BeginCall(directory[i].Instance, 0)
-						c.Outliers.RecordResponse(directory[i].Instance, 0, 0, notExecuted(errs.QueueFull, 0))
+						forwarder.Outliers.BeginCall(directory[i].Instance, 0)
+						forwarder.Outliers.RecordResponse(directory[i].Instance, 0, 0, notExecuted(errs.QueueFull, 0))
 					}
 				}
-				kinds, plain, startedAt, made := "", c.Send, time.Now(), 3100*time.Millisecond
-				c.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+				kinds, send, startedAt, deadline := "", forwarder.Send, time.Now(), 3100*time.Millisecond
+				forwarder.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 					kind := "s"
 					if request.AdmissionOnly {
 						kind = "e"
@@ -59,12 +59,12 @@
 						t.Error("an enquiry with its body, or a request without")
 					}
 					kinds += kind
-					if left := made - time.Since(startedAt); request.TimeLeftNanos != int64(left) {
+					if left := deadline - time.Since(startedAt); request.TimeLeftNanos != int64(left) {
 						t.Errorf("%v is told to be left, not %v", time.Duration(request.TimeLeftNanos), left)
 					}
-					return plain(ctx, candidate, request)
+					return send(ctx, candidate, request)
 				}
-				result := c.Forward(t.Context(), &Call{Target: "/a", Body: []byte(test.body), Request: plan.Request{Caller: "client", Method: "PUT", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+				result := forwarder.Forward(t.Context(), &Call{Target: "/a", Body: []byte(test.body), Request: plan.Request{Caller: "client", Method: "PUT", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
 				if kinds != test.want || result.Response.Outcome != test.ending {
 					t.Errorf("sent %q, ended %v; want %q, %v", kinds, result.Response.Outcome, test.want, test.ending)
 				}
@@ -93,9 +93,9 @@
 				startedAt := time.Now()
 				now := func() time.Duration { return time.Since(startedAt) }
 				reservations, queue := &reservedAdmissions{byRequest: map[string]*reservedAdmission{}}, NewWorkerQueue(1, 1)
-				askedQueue := queue
+				queueOfRequest := queue
 				if test.replaced {
-					askedQueue = NewWorkerQueue(1, 1)
+					queueOfRequest = NewWorkerQueue(1, 1)
 				}
 				for range test.enquiries {
 					reservations.lock.Lock()
@@ -115,10 +115,10 @@
 				}
 				time.Sleep(test.late)
 				synctest.Wait()
-				if got := reservations.take("r", askedQueue); got != test.taken {
+				if got := reservations.take("r", queueOfRequest); got != test.taken {
 					t.Errorf("taken: %v, want %v", got, test.taken)
 				}
-				if reservations.take("r", askedQueue) {
+				if reservations.take("r", queueOfRequest) {
 					t.Error("one turn was taken twice")
 				}
 				want := uint32(0)
@@ -136,33 +136,33 @@
 // The worker's side runs nothing for an enquiry, keeps the turn, and refuses when there is none.
 func TestCapacityChecksRunNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newWorkerFixture(t)
-		instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+		fixture := newWorkerFixture(t)
+		instance, _ := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 		newCapacityCheck := func(id string) *schema.ForwardRequest {
 			request := newForwardRequest(id, instance)
 			request.AdmissionOnly, request.Body = true, nil
 			return request
 		}
-		worker, _, _ := s.workers.find(newForwardRequest("r1", instance))
+		worker, _, _ := fixture.workers.find(newForwardRequest("r1", instance))
 		worker.queue.maxRunning, worker.queue.slots = 1, 0
-		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r1")); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != "" || len(s.recordedRuns()) > 0 {
-			t.Errorf("the enquiry ended %v with %s, runs %v", got.Outcome, got.ErrorCode, s.recordedRuns())
+		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r1")); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != "" || len(fixture.recordedRuns()) > 0 {
+			t.Errorf("the enquiry ended %v with %s, runs %v", got.Outcome, got.ErrorCode, fixture.recordedRuns())
 		}
-		if got := s.runner.Run(t.Context(), transport.Peer{}, newCapacityCheck("r1")); got.ErrorCode != string(errs.CallerNotAllowed) {
+		if got := fixture.runner.Run(t.Context(), transport.Peer{}, newCapacityCheck("r1")); got.ErrorCode != string(errs.CallerNotAllowed) {
 			t.Errorf("a stranger's enquiry ended with %s", got.ErrorCode)
 		}
-		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r2")); got.ErrorCode != string(errs.QueueFull) {
+		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r2")); got.ErrorCode != string(errs.QueueFull) {
 			t.Errorf("an enquiry without room ended with %q", got.ErrorCode)
 		}
-		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(s.recordedRuns()) != 1 {
-			t.Errorf("the request ended %v with %s, runs %v", got.Outcome, got.ErrorCode, s.recordedRuns())
+		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(fixture.recordedRuns()) != 1 {
+			t.Errorf("the request ended %v with %s, runs %v", got.Outcome, got.ErrorCode, fixture.recordedRuns())
 		}
-		if got := s.runner.Run(t.Context(), client, newCapacityCheck("r3")); got.ErrorCode != "" {
+		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r3")); got.ErrorCode != "" {
 			t.Errorf("the turn did not come back: %s", got.ErrorCode)
 		}
 		unknown := newCapacityCheck("r4")
 		unknown.Instance = "p/old/1"
-		if got := s.runner.Run(t.Context(), client, unknown); got.ErrorCode != string(errs.WrongInstance) {
+		if got := fixture.runner.Run(t.Context(), client, unknown); got.ErrorCode != string(errs.WrongInstance) {
 			t.Errorf("an enquiry for a worker that is no more ended with %q", got.ErrorCode)
 		}
 	})
--- a/internal/dispatch/retry_budget_test.go
+++ b/internal/dispatch/retry_budget_test.go
@@ -12,14 +12,14 @@
 	for round := range 200 {
 		window := []time.Duration{DefaultRetryWindow, 8 * time.Second, 3 * time.Second}[round%3]
 		budget, floor := NewRetryBudget(0.2, window), float64(random.IntN(20))
-		var calls, extras []time.Duration
+		var calls, retries []time.Duration
 		for now := time.Duration(0); now < 40*time.Second; now += time.Duration(random.Int64N(int64(200 * time.Millisecond))) {
 			if random.IntN(2) == 0 {
 				budget.RecordCall(now)
 				calls = append(calls, now)
 			}
 			for budget.Allow(now, floor, 1) {
-				if extras = append(extras, now); random.IntN(3) == 0 {
+				if retries = append(retries, now); random.IntN(3) == 0 {
 					break
 				}
 			}
@@ -32,8 +32,8 @@
 			}
 			return inside
 		}
-		for _, end := range extras {
-			if got, most := count(extras, end-window), 0.2*float64(count(calls, end-window))+floor; float64(got) > most {
+		for _, end := range retries {
+			if got, most := count(retries, end-window), 0.2*float64(count(calls, end-window))+floor; float64(got) > most {
 				t.Fatalf("%d extra tries in the %v before %v, at most %v", got, window, end, most)
 			}
 		}
@@ -48,7 +48,7 @@
 		windows := []time.Duration{DefaultRetryWindow, 8 * time.Second, 4 * time.Second}
 		window, ratio, floor := windows[round%3], 0.3, float64(5+random.IntN(20))
 		budget := NewRetryBudget(ratio, window)
-		var calls, extras []time.Duration
+		var calls, retries []time.Duration
 		changed := 15 * time.Second
 		for now := time.Duration(0); now < 40*time.Second; now += time.Duration(random.Int64N(int64(200 * time.Millisecond))) {
 			if now >= changed && ratio > 0.1 {
@@ -61,7 +61,7 @@
 				calls = append(calls, now)
 			}
 			for budget.Allow(now, floor, 1) {
-				if extras = append(extras, now); random.IntN(3) == 0 {
+				if retries = append(retries, now); random.IntN(3) == 0 {
 					break
 				}
 			}
@@ -75,17 +75,17 @@
 			return inside
 		}
 		spent := 0
-		for _, end := range extras {
+		for _, end := range retries {
 			if end < changed {
 				continue
 			}
 			spent++
-			if got, most := count(extras, end-window, end), ratio*float64(count(calls, end-window, end))+floor; float64(got) > most && end-window > changed {
+			if got, most := count(retries, end-window, end), ratio*float64(count(calls, end-window, end))+floor; float64(got) > most && end-window > changed {
 				t.Fatalf("%d extra tries in the %v before %v, at most %v", got, window, end, most)
 			}
 			// In a window over the change, each of its extra tries after the change was allowed by the new bounds.
 			most := ratio*float64(count(calls, end-window, end)) + floor
-			if after := count(extras, changed, end); end-window <= changed && float64(after) > most {
+			if after := count(retries, changed, end); end-window <= changed && float64(after) > most {
 				t.Fatalf("%d extra tries from the change until %v, at most %v", after, end, most)
 			}
 		}
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -18,49 +18,51 @@
 // Every refusal of the worker's side is not-run, and is true.
 func TestRefusalsRunNothing(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(s *workerFixture, c *schema.ForwardRequest)
+		change func(fixture *workerFixture, request *schema.ForwardRequest)
 		peer   transport.Peer
 		want   errs.Code
 	}{
-		"a caller the peer may not speak for": {func(_ *workerFixture, c *schema.ForwardRequest) { c.Caller = "saves" }, client, errs.CallerNotAllowed},
+		"a caller the peer may not speak for": {func(_ *workerFixture, request *schema.ForwardRequest) { request.Caller = "saves" }, client, errs.CallerNotAllowed},
 		"a peer without a certificate":        {func(*workerFixture, *schema.ForwardRequest) {}, transport.Peer{}, errs.CallerNotAllowed},
-		"an altered body":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Body = []byte("x") }, client, errs.MalformedRequest},
-		"an instance that is no more":         {func(_ *workerFixture, c *schema.ForwardRequest) { c.Instance = "p/old/1" }, client, errs.WrongInstance},
-		"another version":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Version = "2" }, client, errs.WrongInstance},
-		"another service":                     {func(_ *workerFixture, c *schema.ForwardRequest) { c.Service = "saves" }, client, errs.WrongInstance},
-		"a version no setup lists":            {func(_ *workerFixture, c *schema.ForwardRequest) { c.Version = "9" }, client, errs.VersionNotAllowed},
-		"a service no setup lists":            {func(_ *workerFixture, c *schema.ForwardRequest) { c.Service = "nowhere" }, client, errs.VersionNotAllowed},
-		"a plan by rules long replaced":       {func(_ *workerFixture, c *schema.ForwardRequest) { c.Revision = 3 }, client, errs.StalePlan},
-		"no time left":                        {func(_ *workerFixture, c *schema.ForwardRequest) { c.TimeLeftNanos = 0 }, client, errs.DeadlineExceeded},
-		"a proxy without a lease":             {func(s *workerFixture, _ *schema.ForwardRequest) { s.runner.HasLease = func() bool { return false } }, client, errs.NoLease},
-		"a worker that is leaving": {func(s *workerFixture, _ *schema.ForwardRequest) {
-			description := s.describe("127.0.0.1:1", s.workersByAddress["127.0.0.1:1"])
+		"an altered body":                     {func(_ *workerFixture, request *schema.ForwardRequest) { request.Body = []byte("x") }, client, errs.MalformedRequest},
+		"an instance that is no more":         {func(_ *workerFixture, request *schema.ForwardRequest) { request.Instance = "p/old/1" }, client, errs.WrongInstance},
+		"another version":                     {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "2" }, client, errs.WrongInstance},
+		"another service":                     {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "saves" }, client, errs.WrongInstance},
+		"a version no setup lists":            {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "9" }, client, errs.VersionNotAllowed},
+		"a service no setup lists":            {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "nowhere" }, client, errs.VersionNotAllowed},
+		"a plan by rules long replaced":       {func(_ *workerFixture, request *schema.ForwardRequest) { request.Revision = 3 }, client, errs.StalePlan},
+		"no time left":                        {func(_ *workerFixture, request *schema.ForwardRequest) { request.TimeLeftNanos = 0 }, client, errs.DeadlineExceeded},
+		"a proxy without a lease": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+			fixture.runner.HasLease = func() bool { return false }
+		}, client, errs.NoLease},
+		"a worker that is leaving": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+			description := fixture.describe("127.0.0.1:1", fixture.workersByAddress["127.0.0.1:1"])
 			description.Draining = true
-			_, _ = s.workers.Register(description)
+			_, _ = fixture.workers.Register(description)
 		}, client, errs.WorkerDraining},
-		"a worker that fell silent": {func(s *workerFixture, _ *schema.ForwardRequest) {
+		"a worker that fell silent": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			time.Sleep(4 * time.Second)
-			s.workers.DropUnresponsive()
+			fixture.workers.DropUnresponsive()
 		}, client, errs.WrongInstance},
-		"an address now another's, told": {func(s *workerFixture, _ *schema.ForwardRequest) {
-			s.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
-			_, _ = s.workers.Register(s.describe("127.0.0.1:1", s.workersByAddress["127.0.0.1:1"]))
+		"an address now another's, told": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+			fixture.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
+			_, _ = fixture.workers.Register(fixture.describe("127.0.0.1:1", fixture.workersByAddress["127.0.0.1:1"]))
 		}, client, errs.WrongInstance},
-		"an address now another's, not yet told": {func(s *workerFixture, _ *schema.ForwardRequest) {
-			s.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
+		"an address now another's, not yet told": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+			fixture.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 		}, client, errs.WrongInstance},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWorkerFixture(t)
-				instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
-				c := newForwardRequest("r1", instance)
-				test.change(s, c)
-				got := s.runner.Run(t.Context(), test.peer, c)
+				fixture := newWorkerFixture(t)
+				instance, _ := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+				request := newForwardRequest("r1", instance)
+				test.change(fixture, request)
+				got := fixture.runner.Run(t.Context(), test.peer, request)
 				if got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(test.want) {
 					t.Errorf("ended %v with %s, want not run with %s", got.Outcome, got.ErrorCode, test.want)
 				}
-				if runs := s.recordedRuns(); len(runs) > 0 {
+				if runs := fixture.recordedRuns(); len(runs) > 0 {
 					t.Errorf("it ran: %v", runs)
 				}
 			})
@@ -88,23 +90,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWorkerFixture(t)
-				instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+				fixture := newWorkerFixture(t)
+				instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 				worker.answer = func(string) string {
 					// A cut answer is followed by the end of the connection.
 					if test.want == schema.CallOutcome_CALL_OUTCOME_UNKNOWN {
 						go func() {
 							time.Sleep(time.Millisecond)
-							s.lock.Lock()
-							defer s.lock.Unlock()
-							for _, conn := range s.conns["127.0.0.1:1"][2:] {
+							fixture.lock.Lock()
+							defer fixture.lock.Unlock()
+							for _, conn := range fixture.conns["127.0.0.1:1"][2:] {
 								conn.Close()
 							}
 						}()
 					}
 					return test.answer
 				}
-				if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != test.want {
+				if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != test.want {
 					t.Errorf("ended %v with %s, want %v", got.Outcome, got.ErrorCode, test.want)
 				}
 			})
@@ -117,12 +119,12 @@
 func TestEveryOrderOfDeliveryAndLeaving(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
-			s := newWorkerFixture(t)
-			instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
-			var leftAt int
+			fixture := newWorkerFixture(t)
+			instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+			var runsAtDraining int
 			for _, name := range []string{"first", "again"} {
 				run.Go(name, func(yield func()) {
-					runner := *s.runner
+					runner := *fixture.runner
 					runner.HasLease = func() bool { yield(); return true }
 					if seeded {
 						runner.recentIDs = NewRecentIDs(8) // each delivery with a memory of its own
@@ -131,18 +133,18 @@
 				})
 			}
 			run.Go("leaving", func(yield func()) {
-				description := s.describe("127.0.0.1:1", worker)
+				description := fixture.describe("127.0.0.1:1", worker)
 				description.Draining = true
 				yield()
-				_, _ = s.workers.Register(description)
-				leftAt = len(s.recordedRuns()) + 1
+				_, _ = fixture.workers.Register(description)
+				runsAtDraining = len(fixture.recordedRuns()) + 1
 			})
 			return func() error {
-				runs := s.recordedRuns()
+				runs := fixture.recordedRuns()
 				if len(runs) > 1 {
 					return fmt.Errorf("ran %d times", len(runs))
 				}
-				if leftAt > 0 && len(runs) >= leftAt {
+				if runsAtDraining > 0 && len(runs) >= runsAtDraining {
 					return fmt.Errorf("ran after the worker left")
 				}
 				return nil
@@ -204,17 +206,17 @@
 func TestIdempotencyCache(t *testing.T) {
 	cache := NewIdempotencyCache(2)
 	runs := 0
-	try := func(key, body string, ending schema.CallOutcome, at string) *schema.ForwardResponse {
+	attempt := func(key, body string, ending schema.CallOutcome, instance string) *schema.ForwardResponse {
 		return cache.Do(context.Background(), key, []byte(body), func(string) (*schema.ForwardResponse, string) {
 			runs++
-			return &schema.ForwardResponse{Outcome: ending}, at
+			return &schema.ForwardResponse{Outcome: ending}, instance
 		})
 	}
 	unknownEnding, notRunEnding, answered := schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_ANSWERED
 	for i, test := range []struct {
 		key, body string
 		ending    schema.CallOutcome
-		at        string
+		instance  string
 		want      schema.CallOutcome
 		ran       int
 	}{
@@ -228,7 +230,7 @@
 		{"u", "b", answered, "", unknownEnding, 5},       // stays unknown, and is not run
 		{"v", "b", answered, "", answered, 6},            // makes room: the oldest goes
 	} {
-		if got := try(test.key, test.body, test.ending, test.at); got.Outcome != test.want || runs != test.ran {
+		if got := attempt(test.key, test.body, test.ending, test.instance); got.Outcome != test.want || runs != test.ran {
 			t.Errorf("step %d: ended %v after %d runs, want %v after %d", i, got.Outcome, runs, test.want, test.ran)
 		}
 	}
@@ -261,18 +263,18 @@
 // What was refused as not run stays so when it is delivered again, though nothing refuses it then.
 func TestWhatWasRefusedNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newWorkerFixture(t)
-		instance, _ := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+		fixture := newWorkerFixture(t)
+		instance, _ := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 		leased := false
-		s.runner.HasLease = func() bool { return leased }
-		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
+		fixture.runner.HasLease = func() bool { return leased }
+		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 			t.Fatalf("ended %v", got.Outcome)
 		}
 		leased = true
-		if got := s.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || len(s.recordedRuns()) > 0 {
-			t.Errorf("delivered again it ended %v, with runs %v", got.Outcome, s.recordedRuns())
+		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || len(fixture.recordedRuns()) > 0 {
+			t.Errorf("delivered again it ended %v, with runs %v", got.Outcome, fixture.recordedRuns())
 		}
-		if got := s.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
+		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 			t.Errorf("another request ended %v", got.Outcome)
 		}
 	})
@@ -283,9 +285,9 @@
 func TestReportedWorkerRecord(t *testing.T) {
 	const answers = 20
 	for name, test := range map[string]struct {
-		answer string        // of the calls after those; empty for none
-		given  time.Duration // that calls have
-		failed uint32        // told of so many
+		answer   string        // of the calls after those; empty for none
+		timeLeft time.Duration // that calls have
+		failed   uint32        // told of so many
 	}{
 		"answers":                {jsonAnswer(`{"a":1}`), time.Minute, 0},
 		"fails":                  {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", time.Minute, 5},
@@ -296,34 +298,34 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWorkerFixture(t)
-				s.runner.Outliers = NewOutlierDetector(5, time.Hour)
-				instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+				fixture := newWorkerFixture(t)
+				fixture.runner.Outliers = NewOutlierDetector(5, time.Hour)
+				instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 				hung := make(chan struct{})
 				defer close(hung)
-				said := jsonAnswer(`{"a":1}`)
+				answer := jsonAnswer(`{"a":1}`)
 				worker.answer = func(string) string {
 					time.Sleep(100 * time.Millisecond)
-					if said == "" || strings.Contains(said, "10\r\n\r\nabc") {
+					if answer == "" || strings.Contains(answer, "10\r\n\r\nabc") {
 						<-hung
 					}
-					return said
+					return answer
 				}
-				run := func(turn int, given time.Duration) *schema.ForwardResponse {
-					test := newForwardRequest(fmt.Sprint("r", turn), instance)
-					test.TimeLeftNanos = int64(given)
-					return s.runner.Run(t.Context(), client, test)
+				run := func(number int, timeLeft time.Duration) *schema.ForwardResponse {
+					test := newForwardRequest(fmt.Sprint("r", number), instance)
+					test.TimeLeftNanos = int64(timeLeft)
+					return fixture.runner.Run(t.Context(), client, test)
 				}
-				for turn := range answers {
-					if got := run(turn, time.Minute); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || got.RecentFailures != 0 || got.RecentRuns != 0 {
+				for number := range answers {
+					if got := run(number, time.Minute); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || got.RecentFailures != 0 || got.RecentRuns != 0 {
 						t.Fatal(got)
 					}
 				}
-				said = test.answer
-				for turn := range 5 {
-					run(answers+turn, test.given)
+				answer = test.answer
+				for number := range 5 {
+					run(answers+number, test.timeLeft)
 				}
-				if ran, failed := s.runner.Outliers.RunCounts(instance, s.now()); failed != test.failed || (failed > 0 && ran != answers+failed) {
+				if ran, failed := fixture.runner.Outliers.RunCounts(instance, fixture.now()); failed != test.failed || (failed > 0 && ran != answers+failed) {
 					t.Errorf("told: %d of %d failed", failed, ran)
 				}
 			})
--- a/internal/dispatch/uplink_test.go
+++ b/internal/dispatch/uplink_test.go
@@ -42,45 +42,45 @@
 func TestWorkerQueueOverUplink(t *testing.T) {
 	for name, test := range map[string]struct {
 		rate  int64
-		steps func(p *queueScript, uplink *Uplink)
+		steps func(script *queueScript, uplink *Uplink)
 		want  string
 	}{
 		// An answer takes 5 ms on the link and the work 10: two keep it busy, one more hides the way.
-		"link short": {200_000, func(p *queueScript, _ *Uplink) {
+		"link short": {200_000, func(script *queueScript, _ *Uplink) {
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
-				p.admit(name, 0, 0, time.Second)
+				script.admit(name, 0, 0, time.Second)
 			}
-			p.release(ResultAnswered)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, c goes, d goes"},
-		"by rank": {200_000, func(p *queueScript, _ *Uplink) {
+		"by rank": {200_000, func(script *queueScript, _ *Uplink) {
 			for _, name := range []string{"a", "b", "c"} {
-				p.admit(name, 0, 0, time.Second)
+				script.admit(name, 0, 0, time.Second)
 			}
-			p.admit("d", 2, 0, time.Second)
-			p.admit("e", 0, 0, time.Second)
-			p.release(ResultAnswered)
+			script.admit("d", 2, 0, time.Second)
+			script.admit("e", 0, 0, time.Second)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, c goes, e goes"},
-		"link wide": {200_000_000, func(p *queueScript, _ *Uplink) {
+		"link wide": {200_000_000, func(script *queueScript, _ *Uplink) {
 			for _, name := range []string{"a", "b", "c", "d", "e", "f"} {
-				p.admit(name, 0, 0, time.Second)
+				script.admit(name, 0, 0, time.Second)
 			}
 		}, "a goes, b goes, c goes, d goes, e goes, f goes"},
 		// 50 ms of other bytes are on the link already; one goes all the same, to give the next their turn.
-		"link filled by others": {200_000, func(p *queueScript, uplink *Uplink) {
+		"link filled by others": {200_000, func(script *queueScript, uplink *Uplink) {
 			uplink.RecordWrite(9720)
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 0, 60*ms, time.Second)
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 0, 60*ms, time.Second)
 		}, "a goes, c BUFFER_FULL 3.333333ms"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newQueueScript(t)
-			uplink := NewUplink(test.rate, func() time.Duration { return p.now })
-			p.queue = NewWorkerQueue(8, 8).withUplink(uplink)
-			p.queue.recordServiceTime(p.now, "r", 10*ms)
-			p.queue.RecordAnswerSize(960)
-			test.steps(p, uplink)
-			if got := strings.Join(p.log, ", "); got != test.want {
+			script := newQueueScript(t)
+			uplink := NewUplink(test.rate, func() time.Duration { return script.now })
+			script.queue = NewWorkerQueue(8, 8).withUplink(uplink)
+			script.queue.recordServiceTime(script.now, "r", 10*ms)
+			script.queue.RecordAnswerSize(960)
+			test.steps(script, uplink)
+			if got := strings.Join(script.log, ", "); got != test.want {
 				t.Errorf("%s, want %s", got, test.want)
 			}
 		})
--- a/internal/dispatch/work_counts_test.go
+++ b/internal/dispatch/work_counts_test.go
@@ -9,17 +9,17 @@
 	"meadowhinge/schema"
 )
 
-func TestTimeStepsDouble(t *testing.T) {
+func TestLatencyBucketsDouble(t *testing.T) {
 	last := 0
 	for took := 100 * time.Microsecond; took < time.Minute; took += took / 16 {
-		step := release.LatencyBucket(took)
-		if step < last || step > last+1 {
-			t.Errorf("%v is in step %d after %d", took, step, last)
+		bucket := release.LatencyBucket(took)
+		if bucket < last || bucket > last+1 {
+			t.Errorf("%v is in step %d after %d", took, bucket, last)
 		}
-		if took > time.Millisecond && took < 10*time.Second && release.LatencyBucket(2*took) != step+2 {
-			t.Errorf("twice %v is %d steps on", took, release.LatencyBucket(2*took)-step)
+		if took > time.Millisecond && took < 10*time.Second && release.LatencyBucket(2*took) != bucket+2 {
+			t.Errorf("twice %v is %d steps on", took, release.LatencyBucket(2*took)-bucket)
 		}
-		last = step
+		last = bucket
 	}
 }
 
--- a/internal/dispatch/worker_conns_test.go
+++ b/internal/dispatch/worker_conns_test.go
@@ -45,21 +45,21 @@
 }
 
 // newSocketFixture lets serve answer on each connection, of which it is told the how manieth it is.
-func newSocketFixture(t testing.TB, serve func(conn *net.TCPConn, reader *bufio.Reader, connNumber int)) *socketFixture {
-	t.Helper()
+func newSocketFixture(tb testing.TB, serve func(conn *net.TCPConn, reader *bufio.Reader, connNumber int)) *socketFixture {
+	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { listener.Close() })
-	s := &socketFixture{address: listener.Addr().String()}
+	tb.Cleanup(func() { listener.Close() })
+	fixture := &socketFixture{address: listener.Addr().String()}
 	go func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			connNumber := int(s.opened.Add(1))
+			connNumber := int(fixture.opened.Add(1))
 			go func() {
 				defer conn.Close()
 				serve(conn.(*net.TCPConn), bufio.NewReader(conn), connNumber)
@@ -68,26 +68,28 @@
 	}()
 	startedAt := time.Now()
 	now := func() time.Duration { return time.Since(startedAt) }
-	s.workers = NewWorkers(WorkersOptions{Proxy: "p", MaxMissedHeartbeats: 3, MaxWorkers: 4, MaxConns: 64, MaxBodyBytes: 1 << 20, Now: now, NoLivenessConn: true,
+	fixture.workers = NewWorkers(WorkersOptions{Proxy: "p", MaxMissedHeartbeats: 3, MaxWorkers: 4, MaxConns: 64, MaxBodyBytes: 1 << 20, Now: now, NoLivenessConn: true,
 		Dial: func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }}, func() {})
-	view := &plan.View{Config: compileConfig(t, 5)}
-	s.runner = NewRunner(Runner{Workers: s.workers, Codec: testCodec{}, View: func() *plan.View { return view }, AwaitConfig: func(context.Context, uint64) {},
+	view := &plan.View{Config: compileConfig(tb, 5)}
+	fixture.runner = NewRunner(Runner{Workers: fixture.workers, Codec: testCodec{}, View: func() *plan.View { return view }, AwaitConfig: func(context.Context, uint64) {},
 		RevisionOutdated: func(uint64) bool { return false }, HasLease: func() bool { return true }, Now: now}, 1<<16)
-	if _, err := s.workers.Register(WorkerDescription{ID: "w", Address: s.address, Service: "shop", Version: "1", HeartbeatMS: 60000, Slots: 64}); err != nil {
-		t.Fatal(err)
+	if _, err := fixture.workers.Register(WorkerDescription{ID: "w", Address: fixture.address, Service: "shop", Version: "1", HeartbeatMS: 60000, Slots: 64}); err != nil {
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() { _, _ = s.workers.Register(WorkerDescription{ID: "w", Address: s.address, Deregistered: true}) })
-	return s
+	tb.Cleanup(func() {
+		_, _ = fixture.workers.Register(WorkerDescription{ID: "w", Address: fixture.address, Deregistered: true})
+	})
+	return fixture
 }
 
-func (f *socketFixture) run(t testing.TB, id string, change func(*schema.ForwardRequest)) *schema.ForwardResponse {
+func (f *socketFixture) run(tb testing.TB, id string, change func(*schema.ForwardRequest)) *schema.ForwardResponse {
 	request := newForwardRequest(id, "w")
 	request.Host = "shop.example"
 	request.TimeLeftNanos = int64(10 * time.Second)
 	if change != nil {
 		change(request)
 	}
-	return f.runner.Run(t.Context(), client, request)
+	return f.runner.Run(tb.Context(), client, request)
 }
 
 // idOf reads a request and gives its id, empty at the end.
@@ -107,8 +109,8 @@
 // Whatever a worker sends, two requests after each other end as they should, and each answer
 // is that of its own request.
 func TestOddWorkers(t *testing.T) {
-	whole, notRunEnding, lost := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN
-	say := func(text string) func(string) string { return func(string) string { return text } }
+	answeredEnding, notRunEnding, unknownEnding := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN
+	always := func(text string) func(string) string { return func(string) string { return text } }
 	for name, test := range map[string]struct {
 		first  func(id string) string // the answer to the first request
 		ends   bool                   // the worker then closes
@@ -119,47 +121,47 @@
 		kind   errs.Code // of the first
 		opened int32
 	}{
-		"plain":             {want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"an empty body":     {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"in chunks":         {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"in chunks, a tail": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
+		"plain":             {want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"an empty body":     {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"in chunks":         {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"in chunks, a tail": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
 		"interim answers": {first: func(id string) string {
 			return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answered(id, "one")
-		}, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"no content":           {first: say("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"not modified":         {first: say("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"the head alone":       {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"gives it back":        {first: say("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{whole, whole}, opened: 2},
-		"closes while idle":    {ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
-		"says more":            {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
-		"says a second answer": {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
-		"says it late":         {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"only says it late":    {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{whole, lost}, opened: 1},
-		"refuses":              {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, whole}, kind: errs.QueueFull, opened: 1},
-		"refuses, and is cut":  {first: say("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, whole}, kind: errs.QueueFull, opened: 2},
-		"is another":           {first: say("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, kind: errs.WrongInstance, opened: 1},
-		"an error of its own":  {first: say("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"closes for an answer": {first: say(""), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: errs.WorkerConnectionLost, opened: 2},
-		"cut in the head":      {first: say("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
-		"cut in the body":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: errs.WorkerConnectionLost, opened: 2},
-		"cut in a chunk":       {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
-		"cut before the tail":  {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{lost, whole}, opened: 2},
-		"chunks named oddly":   {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{whole, whole}, opened: 1},
-		"a chunk with no size": {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
-		"a chunk too long":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
-		"chunks too large":     {first: say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
-		"to the end":           {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
-		"nothing to the end":   {first: say("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
-		"much to the end":      {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{whole, whole}, opened: 2},
-		"too much to the end":  {first: say("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
-		"reset before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{lost, whole}, kind: errs.WorkerConnectionLost, opened: 2},
-		"silent before the end": {first: say("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{lost, whole},
+		}, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"no content":           {first: always("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"not modified":         {first: always("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"the head alone":       {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"gives it back":        {first: always("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"closes while idle":    {ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"says more":            {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"says a second answer": {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"says it late":         {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"only says it late":    {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{answeredEnding, unknownEnding}, opened: 1},
+		"refuses":              {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, kind: errs.QueueFull, opened: 1},
+		"refuses, and is cut":  {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, kind: errs.QueueFull, opened: 2},
+		"is another":           {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, kind: errs.WrongInstance, opened: 1},
+		"an error of its own":  {first: always("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"closes for an answer": {first: always(""), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"cut in the head":      {first: always("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
+		"cut in the body":      {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"cut in a chunk":       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
+		"cut before the tail":  {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
+		"chunks named oddly":   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"a chunk with no size": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"a chunk too long":     {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"chunks too large":     {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"to the end":           {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"nothing to the end":   {first: always("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"much to the end":      {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"too much to the end":  {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"reset before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"silent before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
 			kind: errs.DeadlineExceeded, opened: 2},
-		"two lengths":      {first: say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
-		"no answer":        {first: say("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
-		"changes protocol": {first: say("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
-		"too much":         {first: say("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{lost, whole}, kind: errs.InvalidResponse, opened: 2},
-		"silent": {first: say("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{lost, whole},
+		"two lengths":      {first: always("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"no answer":        {first: always("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"changes protocol": {first: always("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"too much":         {first: always("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"silent": {first: always("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
 			kind: errs.DeadlineExceeded, opened: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -171,7 +173,7 @@
 				test.second = plain
 			}
 			result := make(chan bool, 1)
-			s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
+			fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
 				for {
 					id := idOf(reader)
 					text := test.second(id)
@@ -191,29 +193,29 @@
 						return
 					}
 					// No more than the one late answer is to be waited for.
-					if id == "second" && test.want[1] == lost {
+					if id == "second" && test.want[1] == unknownEnding {
 						return
 					}
 				}
 			})
-			first := s.run(t, "first", test.change)
+			first := fixture.run(t, "first", test.change)
 			if first.Outcome != test.want[0] || (test.kind != "" && first.ErrorCode != string(test.kind)) {
 				t.Errorf("the first ended %v with %s, want %v with %s", first.Outcome, first.ErrorCode, test.want[0], test.kind)
 			}
 			if test.ends {
 				<-result
 			}
-			second := s.run(t, "second", nil)
-			if second.Outcome != test.want[1] || (test.want[1] == whole && string(second.Body) != "second") {
+			second := fixture.run(t, "second", nil)
+			if second.Outcome != test.want[1] || (test.want[1] == answeredEnding && string(second.Body) != "second") {
 				t.Errorf("the second ended %v with %s and %q, want %v", second.Outcome, second.ErrorCode, second.Body, test.want[1])
 			}
-			if first.Outcome == whole && strings.HasSuffix(name, "to the end") {
+			if first.Outcome == answeredEnding && strings.HasSuffix(name, "to the end") {
 				sent := test.first("first")
 				if want := sent[strings.Index(sent, "\r\n\r\n")+4:]; string(first.Body) != want {
 					t.Errorf("%d bytes came of %d", len(first.Body), len(want))
 				}
 			}
-			if got := s.opened.Load(); got != test.opened {
+			if got := fixture.opened.Load(); got != test.opened {
 				t.Errorf("%d connections, want %d", got, test.opened)
 			}
 		})
@@ -222,7 +224,7 @@
 
 // Bytes that come while nothing was asked make a connection useless.
 func TestUnaskedBytesEndAConnection(t *testing.T) {
-	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
+	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
 		for id := idOf(reader); id != ""; id = idOf(reader) {
 			_, _ = conn.Write([]byte(answered(id, id)))
 			if connNumber == 1 {
@@ -230,8 +232,8 @@
 			}
 		}
 	})
-	s.run(t, "first", nil)
-	conns := s.workers.byInstance["w"].conns
+	fixture.run(t, "first", nil)
+	conns := fixture.workers.byInstance["w"].conns
 	if len(conns.idle) > 0 {
 		for conns.idle[0].alive() {
 			runtime.Gosched()
@@ -239,38 +241,38 @@
 		// What was read to find out is gone, so it must be found again by its mark.
 		conns.idle[0].Close()
 	}
-	if got := s.run(t, "second", nil); string(got.Body) != "second" || s.opened.Load() != 2 {
-		t.Errorf("ended %v with %q over %d connections", got.Outcome, got.Body, s.opened.Load())
+	if got := fixture.run(t, "second", nil); string(got.Body) != "second" || fixture.opened.Load() != 2 {
+		t.Errorf("ended %v with %q over %d connections", got.Outcome, got.Body, fixture.opened.Load())
 	}
 }
 
 // A worker that resets when it is full may have run what it was sent; one that is no more has not.
 func TestResetAndDeadWorkers(t *testing.T) {
-	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		idOf(reader)
 		_ = conn.SetLinger(0)
 	})
-	if got := s.run(t, "first", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(errs.WorkerConnectionLost) {
+	if got := fixture.run(t, "first", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(errs.WorkerConnectionLost) {
 		t.Errorf("ended %v with %s", got.Outcome, got.ErrorCode)
 	}
-	s.workers.byInstance["w"].conns.address = "127.0.0.1:1"
+	fixture.workers.byInstance["w"].conns.address = "127.0.0.1:1"
 	for _, want := range []errs.Code{errs.WorkerConnectFailed, errs.WrongInstance} {
-		if got := s.run(t, string(want), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(want) {
+		if got := fixture.run(t, string(want), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(want) {
 			t.Errorf("ended %v with %s, want %s", got.Outcome, got.ErrorCode, want)
 		}
 	}
 	// A worker that speaks again is there again.
-	if _, err := s.workers.Register(WorkerDescription{ID: "w", Address: s.address, Service: "shop", Version: "1", HeartbeatMS: 60000}); err != nil {
+	if _, err := fixture.workers.Register(WorkerDescription{ID: "w", Address: fixture.address, Service: "shop", Version: "1", HeartbeatMS: 60000}); err != nil {
 		t.Fatal(err)
 	}
-	if got := s.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN {
+	if got := fixture.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN {
 		t.Errorf("ended %v with %s", got.Outcome, got.ErrorCode)
 	}
 }
 
 // Requests and answers pass as they are, whatever their size.
 func TestBodiesPassUnchanged(t *testing.T) {
-	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		for {
 			request, err := http.ReadRequest(reader)
 			if err != nil {
@@ -282,7 +284,7 @@
 	})
 	for _, size := range []int{0, 1, 4095, 65536, 65537, 1 << 20} {
 		body := strings.Repeat("x", size)
-		got := s.run(t, fmt.Sprint(size), func(c *schema.ForwardRequest) {
+		got := fixture.run(t, fmt.Sprint(size), func(c *schema.ForwardRequest) {
 			c.Method, c.Target, c.Body = "PUT", "/a//b/../%7e?x=%20y&&z", []byte(body)
 			c.Checksum = crc32.ChecksumIEEE(c.Body)
 		})
@@ -291,8 +293,8 @@
 			t.Errorf("%d bytes came back as %d, of %q", size, len(got.Body), line)
 		}
 	}
-	if s.opened.Load() != 1 {
-		t.Errorf("%d connections", s.opened.Load())
+	if fixture.opened.Load() != 1 {
+		t.Errorf("%d connections", fixture.opened.Load())
 	}
 }
 
@@ -301,7 +303,7 @@
 func TestAnsweredBeforeTheBodyIsRead(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 1<<16)
 	read := make(chan string, 2)
-	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		for {
 			request, err := http.ReadRequest(reader)
 			if err != nil {
@@ -317,7 +319,7 @@
 		}
 	})
 	for _, id := range []string{"first", "second"} {
-		got := s.run(t, id, func(c *schema.ForwardRequest) {
+		got := fixture.run(t, id, func(c *schema.ForwardRequest) {
 			c.Method, c.Body = "PUT", []byte(body)
 			c.Checksum = crc32.ChecksumIEEE(c.Body)
 		})
@@ -333,44 +335,44 @@
 // Large answers take turns where there is no room for them at once.
 func TestLargeAnswersTakeTurns(t *testing.T) {
 	const size = 1 << 20
-	body, begun, goOn := strings.Repeat("x", size), make(chan bool), make(chan bool)
-	s := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	body, begun, resume := strings.Repeat("x", size), make(chan bool), make(chan bool)
+	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		for id := idOf(reader); id != ""; id = idOf(reader) {
 			text := answered(id, body)
 			if id == "first" {
 				_, _ = conn.Write([]byte(text[:size/2]))
 				begun <- true
-				<-goOn
+				<-resume
 				text = text[size/2:]
 			}
 			_, _ = conn.Write([]byte(text))
 		}
 	})
-	s.workers.bodyMemory = semaphore.NewWeighted(size)
+	fixture.workers.bodyMemory = semaphore.NewWeighted(size)
 	first := make(chan *schema.ForwardResponse)
-	go func() { first <- s.run(t, "first", nil) }()
+	go func() { first <- fixture.run(t, "first", nil) }()
 	<-begun
 	// The first has its room once it has read more than a piece: the second then finds none.
-	for s.workers.bodyMemory.TryAcquire(size) {
-		s.workers.bodyMemory.Release(size)
+	for fixture.workers.bodyMemory.TryAcquire(size) {
+		fixture.workers.bodyMemory.Release(size)
 		runtime.Gosched()
 	}
-	hasty := s.run(t, "hasty", func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(50 * time.Millisecond) })
+	hasty := fixture.run(t, "hasty", func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(50 * time.Millisecond) })
 	if hasty.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || hasty.ErrorCode != string(errs.DeadlineExceeded) {
 		t.Errorf("ended %v with %s beside another", hasty.Outcome, hasty.ErrorCode)
 	}
-	close(goOn)
+	close(resume)
 	if got := <-first; got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(got.Body) != size {
 		t.Errorf("the first ended %v with %d bytes", got.Outcome, len(got.Body))
 	}
-	if got := s.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(got.Body) != size || !s.workers.bodyMemory.TryAcquire(size) {
+	if got := fixture.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(got.Body) != size || !fixture.workers.bodyMemory.TryAcquire(size) {
 		t.Errorf("the third ended %v with %d bytes, or room is not given back", got.Outcome, len(got.Body))
 	}
 }
 
 // BenchmarkHop is the worker's side of a hop; most of it are the sockets.
 func BenchmarkHop(b *testing.B) {
-	s := newSocketFixture(b, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
+	fixture := newSocketFixture(b, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		text, request := []byte(answered("", strings.Repeat("x", 400))), make([]byte, 4096)
 		for {
 			if _, err := reader.Read(request); err != nil {
@@ -381,7 +383,7 @@
 	})
 	b.ReportAllocs()
 	for i := range b.N {
-		if got := s.run(b, fmt.Sprint(i), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
+		if got := fixture.run(b, fmt.Sprint(i), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 			b.Fatal(got)
 		}
 	}
--- a/internal/dispatch/worker_fixture_test.go
+++ b/internal/dispatch/worker_fixture_test.go
@@ -30,17 +30,17 @@
 // fixtureItems is read once: reading CUE takes longer than most of what is tried with it.
 var fixtureItems, fixtureFaults = configsource.Parse([]byte(fixtureConfig))
 
-func compileConfig(t testing.TB, sequence uint64) *config.Snapshot {
-	t.Helper()
+func compileConfig(tb testing.TB, sequence uint64) *config.Snapshot {
+	tb.Helper()
 	items, faults := fixtureItems, fixtureFaults
 	for _, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: 1}
 	}
-	config, more := config.Compile(config.State{}.With(items), sequence)
+	snapshot, more := config.Compile(config.State{}.With(items), sequence)
 	if len(faults)+len(more) > 0 {
-		t.Fatal(faults, more)
+		tb.Fatal(faults, more)
 	}
-	return config
+	return snapshot
 }
 
 // workerRun is one request as a worker ran it.
@@ -68,18 +68,18 @@
 	view               *plan.View
 }
 
-func newWorkerFixture(t testing.TB) *workerFixture {
-	s := &workerFixture{startedAt: time.Now(), workersByAddress: map[string]*fakeWorker{}, conns: map[string][]net.Conn{}}
-	s.view = &plan.View{Config: compileConfig(t, 5), Directory: plan.Directory{}}
-	s.workers = NewWorkers(WorkersOptions{Proxy: "p", Incarnation: 1, MaxMissedHeartbeats: 3, MaxWorkers: 16, MaxConns: 64, MaxBodyBytes: 4096, Now: s.now, Dial: s.dial}, func() {})
-	s.runner = NewRunner(Runner{Workers: s.workers, View: func() *plan.View { return s.view }, AwaitConfig: func(context.Context, uint64) {},
-		RevisionOutdated: func(sequence uint64) bool { return sequence < 4 }, HasLease: func() bool { return true }, Now: s.now}, 1024)
-	t.Cleanup(func() {
-		s.close()
+func newWorkerFixture(tb testing.TB) *workerFixture {
+	fixture := &workerFixture{startedAt: time.Now(), workersByAddress: map[string]*fakeWorker{}, conns: map[string][]net.Conn{}}
+	fixture.view = &plan.View{Config: compileConfig(tb, 5), Directory: plan.Directory{}}
+	fixture.workers = NewWorkers(WorkersOptions{Proxy: "p", Incarnation: 1, MaxMissedHeartbeats: 3, MaxWorkers: 16, MaxConns: 64, MaxBodyBytes: 4096, Now: fixture.now, Dial: fixture.dial}, func() {})
+	fixture.runner = NewRunner(Runner{Workers: fixture.workers, View: func() *plan.View { return fixture.view }, AwaitConfig: func(context.Context, uint64) {},
+		RevisionOutdated: func(sequence uint64) bool { return sequence < 4 }, HasLease: func() bool { return true }, Now: fixture.now}, 1024)
+	tb.Cleanup(func() {
+		fixture.close()
 		// The client's own housekeeping ends once its connections have: on the virtual clock.
 		time.Sleep(time.Minute)
 	})
-	return s
+	return fixture
 }
 
 func (f *workerFixture) now() time.Duration { return time.Since(f.startedAt) }
@@ -146,15 +146,15 @@
 }
 
 // addWorker puts an actor at an address and describes it to the proxy; it gives the instance.
-func (f *workerFixture) addWorker(t testing.TB, address, service, version, token string) (string, *fakeWorker) {
-	t.Helper()
+func (f *workerFixture) addWorker(tb testing.TB, address, service, version, token string) (string, *fakeWorker) {
+	tb.Helper()
 	worker := &fakeWorker{token: token, service: service, version: version}
 	f.lock.Lock()
 	f.workersByAddress[address] = worker
 	f.lock.Unlock()
 	instance, err := f.workers.Register(f.describe(address, worker))
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return instance, worker
 }
@@ -174,9 +174,9 @@
 	}
 	f.lock.Unlock()
 	for address, worker := range addresses {
-		gone := f.describe(address, worker)
-		gone.Deregistered = true
-		_, _ = f.workers.Register(gone)
+		deregistration := f.describe(address, worker)
+		deregistration.Deregistered = true
+		_, _ = f.workers.Register(deregistration)
 	}
 	for _, conn := range open {
 		conn.Close()
--- a/internal/dispatch/worker_queue_test.go
+++ b/internal/dispatch/worker_queue_test.go
@@ -28,9 +28,9 @@
 }
 
 func newQueueScript(t *testing.T) *queueScript {
-	p := &queueScript{t: t, queue: NewWorkerQueue(2, 8), waiters: map[string]*QueuedRequest{}, route: "r"}
-	p.queue.recordServiceTime(p.now, "r", 10*ms)
-	return p
+	script := &queueScript{t: t, queue: NewWorkerQueue(2, 8), waiters: map[string]*QueuedRequest{}, route: "r"}
+	script.queue.recordServiceTime(script.now, "r", 10*ms)
+	return script
 }
 
 func (s *queueScript) record(name string, admission Admission) {
@@ -72,168 +72,168 @@
 // Who goes, who waits, who is refused, and when there is room again.
 func TestWorkerQueue(t *testing.T) {
 	for name, test := range map[string]struct {
-		steps func(p *queueScript)
+		steps func(script *queueScript)
 		want  string
 	}{
-		"in the order of arrival": {func(p *queueScript) {
+		"in the order of arrival": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c", "d"} {
-				p.admit(name, 0, 0, time.Second)
+				script.admit(name, 0, 0, time.Second)
 			}
-			p.release(ResultAnswered)
-			p.release(ResultAnswered)
+			script.release(ResultAnswered)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, c goes, d goes"},
-		"by rank": {func(p *queueScript) {
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 2, 0, time.Second)
-			p.admit("d", 1, 0, time.Second)
-			p.release(ResultAnswered)
-			p.release(ResultAnswered)
+		"by rank": {func(script *queueScript) {
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 2, 0, time.Second)
+			script.admit("d", 1, 0, time.Second)
+			script.release(ResultAnswered)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, d goes, c goes"},
 		// Two run, so each who waits waits 5 ms longer, and takes 10 itself.
-		"beyond its aim": {func(p *queueScript) {
+		"beyond its aim": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
-				p.admit(name, 0, 20*ms, time.Second)
+				script.admit(name, 0, 20*ms, time.Second)
 			}
 		}, "a goes, b goes, e BUFFER_FULL 5ms"},
-		"beyond its horizon": {func(p *queueScript) {
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 0, 0, 14*ms)
-			p.admit("d", 0, 0, 15*ms)
+		"beyond its horizon": {func(script *queueScript) {
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 0, 0, 14*ms)
+			script.admit("d", 0, 0, 15*ms)
 		}, "a goes, b goes, c BUFFER_FULL 5ms"},
-		"who must start earlier, of a kind": {func(p *queueScript) {
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 0, 100*ms, time.Second)
-			p.admit("d", 0, 60*ms, time.Second)
-			p.release(ResultAnswered)
-			p.release(ResultAnswered)
+		"who must start earlier, of a kind": {func(script *queueScript) {
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 0, 100*ms, time.Second)
+			script.admit("d", 0, 60*ms, time.Second)
+			script.release(ResultAnswered)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, d goes, c goes"},
-		"who takes less of the worker's time": {func(p *queueScript) {
-			p.queue.recordServiceTime(p.now, "short", 2*ms)
-			p.queue.recordServiceTime(p.now, "r", 10*ms)
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 0, 100*ms, time.Second)
-			p.admit("d", 0, 30*ms, time.Second) // must start earlier than e
-			p.route = "short"
-			p.admit("e", 1, 70*ms, time.Second) // is of a lower rank, yet takes less for it
-			p.admit("f", 0, 1*ms, time.Second)  // too late, but soon over
-			p.release(ResultAnswered)
-			p.release(ResultAnswered)
-			p.release(ResultAnswered)
-			p.release(ResultAnswered)
+		"who takes less of the worker's time": {func(script *queueScript) {
+			script.queue.recordServiceTime(script.now, "short", 2*ms)
+			script.queue.recordServiceTime(script.now, "r", 10*ms)
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 0, 100*ms, time.Second)
+			script.admit("d", 0, 30*ms, time.Second) // must start earlier than e
+			script.route = "short"
+			script.admit("e", 1, 70*ms, time.Second) // is of a lower rank, yet takes less for it
+			script.admit("f", 0, 1*ms, time.Second)  // too late, but soon over
+			script.release(ResultAnswered)
+			script.release(ResultAnswered)
+			script.release(ResultAnswered)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, f goes, e goes, d goes, c goes"},
-		"but not for a rank far below": {func(p *queueScript) {
-			p.queue.recordServiceTime(p.now, "short", 2*ms)
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 0, 0, time.Second)
-			p.route = "short"
-			p.admit("d", 3, 0, time.Second)
-			p.release(ResultAnswered)
-			p.release(ResultAnswered)
+		"but not for a rank far below": {func(script *queueScript) {
+			script.queue.recordServiceTime(script.now, "short", 2*ms)
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 0, 0, time.Second)
+			script.route = "short"
+			script.admit("d", 3, 0, time.Second)
+			script.release(ResultAnswered)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, c goes, d goes"},
-		"who would be passed by others meanwhile": {func(p *queueScript) {
+		"who would be passed by others meanwhile": {func(script *queueScript) {
 			// Half of the worker's time goes to what takes less of it.
 			for range 200 {
-				p.now += 2 * ms
-				p.queue.recordServiceTime(p.now, "short", 2*ms)
+				script.now += 2 * ms
+				script.queue.recordServiceTime(script.now, "short", 2*ms)
 			}
-			p.admit("a", 0, 0, 2*time.Second)
-			p.admit("b", 0, 0, 2*time.Second)
-			p.admit("c", 0, p.now+11*ms, 2*time.Second) // it would do, had nobody else a claim
-			p.route = "short"
-			p.admit("d", 0, p.now+11*ms, 2*time.Second)
+			script.admit("a", 0, 0, 2*time.Second)
+			script.admit("b", 0, 0, 2*time.Second)
+			script.admit("c", 0, script.now+11*ms, 2*time.Second) // it would do, had nobody else a claim
+			script.route = "short"
+			script.admit("d", 0, script.now+11*ms, 2*time.Second)
 		}, "a goes, b goes, c BUFFER_FULL 1.026088ms"},
-		"free slots are for all": {func(p *queueScript) {
-			p.admit("a", 0, -1, time.Second)
-			p.admit("b", 0, 1*ms, 2*ms)
-			p.admit("c", 0, -1, time.Second)
+		"free slots are for all": {func(script *queueScript) {
+			script.admit("a", 0, -1, time.Second)
+			script.admit("b", 0, 1*ms, 2*ms)
+			script.admit("c", 0, -1, time.Second)
 		}, "a goes, b goes, c BUFFER_FULL 15.000001ms"},
-		"a horizon that is past": {func(p *queueScript) {
-			p.now = time.Second
-			p.admit("a", 0, 0, time.Second)
+		"a horizon that is past": {func(script *queueScript) {
+			script.now = time.Second
+			script.admit("a", 0, 0, time.Second)
 		}, "a HORIZON_PAST 0s"},
-		"a higher rank displaces who came just now": {func(p *queueScript) {
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 1, 15*ms, time.Second)
-			p.admit("d", 0, 15*ms, time.Second)
-			p.release(ResultAnswered)
+		"a higher rank displaces who came just now": {func(script *queueScript) {
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 1, 15*ms, time.Second)
+			script.admit("d", 0, 15*ms, time.Second)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, c BUFFER_FULL 5ms, d goes"},
-		"and not who has waited long": {func(p *queueScript) {
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 1, 15*ms, time.Second)
-			p.now = 4 * ms
-			p.admit("d", 0, 25*ms, time.Second)
-			p.release(ResultAnswered)
-			p.release(ResultAnswered)
+		"and not who has waited long": {func(script *queueScript) {
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 1, 15*ms, time.Second)
+			script.now = 4 * ms
+			script.admit("d", 0, 25*ms, time.Second)
+			script.release(ResultAnswered)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, d goes, c goes"},
-		"a horizon that passes": {func(p *queueScript) {
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.admit("c", 0, 0, 30*ms)
-			p.admit("d", 0, 0, time.Second)
-			p.now = 30 * ms
-			p.release(ResultAnswered)
+		"a horizon that passes": {func(script *queueScript) {
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.admit("c", 0, 0, 30*ms)
+			script.admit("d", 0, 0, time.Second)
+			script.now = 30 * ms
+			script.release(ResultAnswered)
 		}, "a goes, b goes, c HORIZON_PAST 0s, d goes"},
-		"a worker that ends nothing": {func(p *queueScript) {
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
-			p.now = 15 * ms
-			p.admit("c", 0, 45*ms, time.Second)
-			p.now = 30 * ms
-			p.admit("d", 0, 65*ms, time.Second)
-			p.release(ResultAnswered)
-			p.admit("e", 0, 65*ms, time.Second)
-			p.release(ResultAnswered)
+		"a worker that ends nothing": {func(script *queueScript) {
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
+			script.now = 15 * ms
+			script.admit("c", 0, 45*ms, time.Second)
+			script.now = 30 * ms
+			script.admit("d", 0, 65*ms, time.Second)
+			script.release(ResultAnswered)
+			script.admit("e", 0, 65*ms, time.Second)
+			script.release(ResultAnswered)
 		}, "a goes, b goes, d BUFFER_FULL 30ms, c goes, e goes"},
-		"the worker leaves": {func(p *queueScript) {
+		"the worker leaves": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c"} {
-				p.admit(name, 0, 0, time.Second)
+				script.admit(name, 0, 0, time.Second)
 			}
-			p.queue.Close(errs.WorkerDraining)
-			p.collect()
-			p.release(ResultAnswered)
-			p.admit("d", 0, 0, time.Second)
+			script.queue.Close(errs.WorkerDraining)
+			script.collect()
+			script.release(ResultAnswered)
+			script.admit("d", 0, 0, time.Second)
 		}, "a goes, b goes, c WORKER_LEAVING 0s, d WORKER_LEAVING 0s"},
-		"the worker turns away": {func(p *queueScript) {
+		"the worker turns away": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c", "d"} {
-				p.admit(name, 0, 0, time.Second)
+				script.admit(name, 0, 0, time.Second)
 			}
-			p.admit("e", 0, 0, time.Second)
-			p.release(ResultRejected) // with one left that runs, no more than one runs
-			p.log = append(p.log, "then")
-			p.release(ResultAnswered)
-			p.log = append(p.log, "then")
-			p.release(ResultAnswered) // and after two answers two again
+			script.admit("e", 0, 0, time.Second)
+			script.release(ResultRejected) // with one left that runs, no more than one runs
+			script.log = append(script.log, "then")
+			script.release(ResultAnswered)
+			script.log = append(script.log, "then")
+			script.release(ResultAnswered) // and after two answers two again
 		}, "a goes, b goes, then, c goes, then, d goes, e goes"},
-		"nobody knows how long it takes": {func(p *queueScript) {
-			p.queue = NewWorkerQueue(1, 8)
+		"nobody knows how long it takes": {func(script *queueScript) {
+			script.queue = NewWorkerQueue(1, 8)
 			for _, name := range []string{"a", "b", "c", "d"} {
-				p.admit(name, 0, 0, time.Second)
+				script.admit(name, 0, 0, time.Second)
 			}
 		}, "a goes, d BUFFER_FULL 0s"},
-		"nobody knows how much it takes": {func(p *queueScript) {
-			p.queue = NewWorkerQueue(1, 0)
-			p.admit("a", 0, 0, time.Second)
-			p.admit("b", 0, 0, time.Second)
+		"nobody knows how much it takes": {func(script *queueScript) {
+			script.queue = NewWorkerQueue(1, 0)
+			script.admit("a", 0, 0, time.Second)
+			script.admit("b", 0, 0, time.Second)
 		}, "a goes, b BUFFER_FULL 0s"},
-		"more slots": {func(p *queueScript) {
-			p.queue = NewWorkerQueue(9, 1)
+		"more slots": {func(script *queueScript) {
+			script.queue = NewWorkerQueue(9, 1)
 			for _, name := range []string{"a", "b", "c", "d"} {
-				p.admit(name, 0, 0, time.Second)
+				script.admit(name, 0, 0, time.Second)
 			}
-			p.queue.SetSlots(p.now, 2)
-			p.collect()
+			script.queue.SetSlots(script.now, 2)
+			script.collect()
 		}, "a goes, b goes, c goes"},
 	} {
-		p := newQueueScript(t)
-		test.steps(p)
-		if got := strings.Join(p.log, ", "); got != test.want {
+		script := newQueueScript(t)
+		test.steps(script)
+		if got := strings.Join(script.log, ", "); got != test.want {
 			t.Errorf("%s: %s, want %s", name, got, test.want)
 		}
 	}
@@ -301,9 +301,9 @@
 			return func() error {
 				lock.Lock()
 				defer lock.Unlock()
-				at, waiting, _ := queue.Load()
-				if broken == nil && len(fate) == 3 && fate["low"] != "" && fate["high"] != "" && fate["givenUp"] != "" && at+waiting > 0 {
-					broken = fmt.Errorf("all are over, and %d run and %d wait", at, waiting)
+				running, waiting, _ := queue.Load()
+				if broken == nil && len(fate) == 3 && fate["low"] != "" && fate["high"] != "" && fate["givenUp"] != "" && running+waiting > 0 {
+					broken = fmt.Errorf("all are over, and %d run and %d wait", running, waiting)
 				}
 				return broken
 			}
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -19,10 +19,10 @@
 			request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
 			random := rand.New(rand.NewPCG(1, 1))
 			var local LocalState = fakeLocalState{}
-			roll := random.Float64
+			randomFloat := random.Float64
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Make(view, request, options, local, 0, roll); err != nil {
+				if _, err := Make(view, request, options, local, 0, randomFloat); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -41,8 +41,8 @@
 	request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
 	random := rand.New(rand.NewPCG(1, 1))
 	var local LocalState = fakeLocalState{}
-	roll := random.Float64
-	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, local, 0, roll) })
+	randomFloat := random.Float64
+	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, local, 0, randomFloat) })
 	if allocations > 2 && !underRace {
 		t.Errorf("%v allocations", allocations)
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -39,11 +39,11 @@
 	for i, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 	}
-	config, found := config.Compile(config.State{}.With(items), 9)
+	snapshot, found := config.Compile(config.State{}.With(items), 9)
 	if len(faults)+len(found) > 0 {
 		t.Fatal(faults, found)
 	}
-	return &View{Config: config, Directory: directory}
+	return &View{Config: snapshot, Directory: directory}
 }
 
 func newRequest(method, path string, headers map[string]string) *Request {
@@ -55,18 +55,18 @@
 func workers(names ...string) []Endpoint {
 	var pool []Endpoint
 	for _, name := range names {
-		area := "near"
+		zone := "near"
 		if strings.HasPrefix(name, "far") {
-			area = "far"
+			zone = "far"
 		}
-		pool = append(pool, Endpoint{Instance: name, Zone: area, FirstSeenAt: -time.Hour})
+		pool = append(pool, Endpoint{Instance: name, Zone: zone, FirstSeenAt: -time.Hour})
 	}
 	return pool
 }
 
 func TestVerdicts(t *testing.T) {
 	full := Directory{"shop": {"1": workers("old"), "2": workers("new")}}
-	trial := `release: r: {service: "shop", version: "2", target: 50, over: "1m"}`
+	canary := `release: r: {service: "shop", version: "2", target: 50, over: "1m"}`
 	user := map[string]string{"X-User": "ann"}
 	for name, test := range map[string]struct {
 		directory Directory
@@ -81,8 +81,8 @@
 		"a rule":                        {full, "", false, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
 		"no key":                        {full, "", false, nil, "1", flag.ReasonError, ""},
 		"an empty pool":                 {Directory{"shop": {"1": workers("old")}}, "", false, user, "1", ReasonPoolEmpty, "2"},
-		"on trial, and allowed":         {full, trial, false, user, "2", flag.ReasonFallthrough, ""},
-		"on trial, and held":            {full, trial, true, user, "1", ReasonVersionBlocked, "2"},
+		"on trial, and allowed":         {full, canary, false, user, "2", flag.ReasonFallthrough, ""},
+		"on trial, and held":            {full, canary, true, user, "1", ReasonVersionBlocked, "2"},
 		"nobody of the pool is reached": {full, "", false, user, "1", ReasonPoolEmpty, "2"},
 		"held without any plan":         {full, "", true, user, "1", ReasonVersionBlocked, "2"},
 		"the fallback is never held":    {full, "", true, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
@@ -104,19 +104,19 @@
 
 func TestRefusalsAndDeadlines(t *testing.T) {
 	view := viewOf(t, nil, "")
-	dice := rand.New(rand.NewPCG(1, 1)).Float64
-	if _, err := Make(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, dice); errs.CodeOf(err) != errs.RouteNotFound {
+	random := rand.New(rand.NewPCG(1, 1)).Float64
+	if _, err := Make(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.RouteNotFound {
 		t.Errorf("no route gave %v", err)
 	}
-	stranger := newRequest("GET", "/shop", nil)
-	stranger.Caller = "saves"
-	if _, err := Make(view, stranger, options, fakeLocalState{}, 0, dice); errs.CodeOf(err) != errs.CallerNotAllowed {
+	unauthorized := newRequest("GET", "/shop", nil)
+	unauthorized.Caller = "saves"
+	if _, err := Make(view, unauthorized, options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.CallerNotAllowed {
 		t.Errorf("a stranger gave %v", err)
 	}
 	for callerDeadline, want := range map[time.Duration]time.Duration{0: 2 * time.Second, time.Second: time.Second, time.Minute: 2 * time.Second} {
 		request := newRequest("POST", "/shop/buy", nil)
 		request.CallerDeadline = callerDeadline
-		if callPlan, err := Make(view, request, options, fakeLocalState{}, 0, dice); err != nil || callPlan.Deadline != want || callPlan.Class != config.ClassNonIdempotent {
+		if callPlan, err := Make(view, request, options, fakeLocalState{}, 0, random); err != nil || callPlan.Deadline != want || callPlan.Class != config.ClassNonIdempotent {
 			t.Errorf("asked %v: %v, %v", callerDeadline, callPlan, err)
 		}
 	}
@@ -213,7 +213,7 @@
 func TestKeysStay(t *testing.T) {
 	pool := workers("a", "b", "c", "d")
 	lost := map[string]bool{}
-	place := func(pool []Endpoint, key string) string {
+	pickFor := func(pool []Endpoint, key string) string {
 		request := newRequest("POST", "/shop/buy", map[string]string{"X-User": "ann"})
 		request.IdempotencyKey = key
 		callPlan, err := Make(viewOf(t, Directory{"shop": {"2": pool}}, ""), request, options, fakeLocalState{unreachable: lost}, 0, rand.Float64)
@@ -225,19 +225,19 @@
 	used := map[string]bool{}
 	for i := range 40 {
 		key := strings.Repeat("k", i+1)
-		before := place(pool, key)
+		before := pickFor(pool, key)
 		used[before] = true
-		if again := place(pool, key); again != before {
+		if again := pickFor(pool, key); again != before {
 			t.Errorf("%s moved from %s to %s", key, before, again)
 		}
-		if after := place(pool[:3], key); before != "d" && after != before {
+		if after := pickFor(pool[:3], key); before != "d" && after != before {
 			t.Errorf("%s moved from %s to %s when d went", key, before, after)
 		}
 	}
 	// While a worker's proxy is not reached, no key goes there first.
 	lost["a"] = true
 	for i := range 40 {
-		if got := place(pool, strings.Repeat("k", i+1)); got == "a" {
+		if got := pickFor(pool, strings.Repeat("k", i+1)); got == "a" {
 			t.Error("a key goes first where nobody is reached")
 		}
 	}
@@ -265,18 +265,18 @@
 	}
 }
 
-func compiledOf(t testing.TB, bodies map[string]string, directory Directory) *View {
-	t.Helper()
+func compiledOf(tb testing.TB, bodies map[string]string, directory Directory) *View {
+	tb.Helper()
 	var items []*schema.Item
 	for key, body := range bodies {
 		kind, name, _ := strings.Cut(key, "/")
 		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}})
 	}
-	config, faults := config.Compile(config.State{}.With(items), 9)
+	snapshot, faults := config.Compile(config.State{}.With(items), 9)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		tb.Fatal(faults)
 	}
-	return &View{Config: config, Directory: directory}
+	return &View{Config: snapshot, Directory: directory}
 }
 
 // A split decides the service by weight and key, then the service's own flag decides its
@@ -366,7 +366,7 @@
 	for i := range pool {
 		pool[i].Slots, pool[i].ServiceTime = 10, 10*time.Millisecond
 	}
-	dice := rand.New(rand.NewPCG(1, 2)).Float64
+	random := rand.New(rand.NewPCG(1, 2)).Float64
 	for name, test := range map[string]struct {
 		facts fakeLocalState
 		want  string
@@ -378,11 +378,11 @@
 		"one is not reached":         {fakeLocalState{unreachable: map[string]bool{"far1": true}}, "w1"},
 		"all are beyond their parts": {fakeLocalState{inFlight: map[string]int{"far1": 9, "w1": 9, "w2": 9}}, ""},
 	} {
-		for _, area := range []string{"near", "far"} {
+		for _, zone := range []string{"near", "far"} {
 			for range 50 {
-				got := pickEndpoints(pool, true, 0, Options{Zone: area, MaxDeadline: time.Second}, test.facts, time.Second, dice)
+				got := pickEndpoints(pool, true, 0, Options{Zone: zone, MaxDeadline: time.Second}, test.facts, time.Second, random)
 				if len(got) != len(pool) || test.want != "" && got[0].Instance != test.want {
-					t.Fatalf("%s, from %s: %v first of %d, want %s", name, area, got[0].Instance, len(got), test.want)
+					t.Fatalf("%s, from %s: %v first of %d, want %s", name, zone, got[0].Instance, len(got), test.want)
 				}
 			}
 		}
