--- a/internal/dispatch/call_counter_test.go
+++ b/internal/dispatch/call_counter_test.go
@@ -11,13 +11,19 @@
 	"meadowhinge/schema"
 )
 
-// Lines do not grow with the number of setups, and no call is counted twice or lost, while
-// others count.
+// The number of lines does not grow with the number of revisions, and no call is lost or counted twice while others are
+// counted at the same time.
 func TestCallCounterFoldsOldRevisions(t *testing.T) {
 	counter := NewCallCounter(1000)
 	result := func(revision uint64) *CallResult {
-		return &CallResult{Plan: &plan.Plan{Route: &config.Route{Name: "r"}, Service: "shop", Verdict: plan.Verdict{Flag: "f", Version: "1", Reason: flag.ReasonFallthrough, ConfigRevision: revision}},
-			Response: &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}}
+		return &CallResult{
+			Plan: &plan.Plan{
+				Route:   &config.Route{Name: "r"},
+				Service: "shop",
+				Verdict: plan.Verdict{Flag: "f", Version: "1", Reason: flag.ReasonFallthrough, ConfigRevision: revision},
+			},
+			Response: &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200},
+		}
 	}
 	const goroutines, revisions, calls = 4, 200, 5
 	var counting sync.WaitGroup
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -13,16 +13,17 @@
 	"meadowhinge/schema"
 )
 
-// scriptedForwarder is a carrier whose dispatches end as a test says, one after the other.
+// scriptedForwarder is a forwarder whose attempts end as a script says, one after the other.
 type scriptedForwarder struct {
 	*Forwarder
-	sent   []string // instances, in the order in which they were tried
-	waited int      // how often news was waited for
+	sent   []string // instances, in the order of the attempts
+	waited int      // how often the call waited for an update
 }
 
-// attemptScript makes a dispatch end in a way.
-type attemptScript func(ctx context.Context, carry *schema.ForwardRequest) (*schema.ForwardResponse, error)
+// attemptScript decides how an attempt ends.
+type attemptScript func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
+// refusing proves that nothing ran; reachedWorker says that the worker itself refused.
 func refusing(code errs.Code, retryAfter time.Duration, reachedWorker bool) attemptScript {
 	return func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), RetryAfterNanos: int64(retryAfter), ReachedWorker: reachedWorker}, nil
@@ -33,7 +34,7 @@
 	return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500}, nil
 }
 
-// failingOf tells of how many calls the worker failed how many.
+// failingOf fails, and reports how many recent calls the worker ran and how many of them failed.
 func failingOf(ran, failed uint32) attemptScript {
 	return func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500, Slots: 9, RecentRuns: ran, RecentFailures: failed}, nil
@@ -57,7 +58,18 @@
 	return nil, ctx.Err()
 }
 
-// newScriptedForwarder makes a carrier with so many workers of a service, and a route of a class to it.
+// newScriptedCall returns a call that the route of a scripted forwarder takes.
+func newScriptedCall() *Call {
+	return &Call{Target: "/a", Request: plan.Request{
+		Caller: "client",
+		Method: "GET",
+		Path:   "/a",
+		Header: func(string) (string, bool) { return "", false },
+	}}
+}
+
+// newScriptedForwarder returns a forwarder with one service, a number of workers, and a route to it. Route is a part of the
+// route's configuration; after the end of the script its last entry repeats.
 func newScriptedForwarder(tb testing.TB, workers int, route string, floor float64, script ...attemptScript) *scriptedForwarder {
 	tb.Helper()
 	item := func(kind, name, body string) *schema.Item {
@@ -73,23 +85,41 @@
 	for i := range workers {
 		view.Directory["shop"]["1"] = append(view.Directory["shop"]["1"], plan.Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Address: "127.0.0.1:1"})
 	}
-	startedAt := time.Now()
 	scripted := &scriptedForwarder{}
-	scripted.Forwarder = (&Forwarder{Name: "q", Incarnation: 1, Limits: Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: floor}, View: func() *plan.View { return view },
-		AwaitView:  func(ctx context.Context, _ func(*plan.View) bool) { scripted.waited++; <-ctx.Done() },
-		AwaitLease: func(context.Context) bool { return true }, OnConfigLag: func() {}, HasLease: func() bool { return true }, FleetSize: func() int { return 1 },
-		Now: func() time.Duration { return time.Since(startedAt) }, Random: func() float64 { return 0 }, Outliers: NewOutlierDetector(5, 5*time.Second),
-		Canaries: NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }), Counter: NewCallCounter(64), NoAttemptTimeout: true, FreeProxyRefusals: true,
+	startedAt := time.Now()
+	scripted.Forwarder = &Forwarder{
+		Name:        "q",
+		Incarnation: 1,
+		Limits:      Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: floor},
+		View:        func() *plan.View { return view },
+		AwaitView: func(ctx context.Context, _ func(*plan.View) bool) {
+			scripted.waited++
+			<-ctx.Done()
+		},
+		AwaitLease:  func(context.Context) bool { return true },
+		OnConfigLag: func() {},
+		HasLease:    func() bool { return true },
+		FleetSize:   func() int { return 1 },
+		Now:         func() time.Duration { return time.Since(startedAt) },
+		Random:      func() float64 { return 0 },
+		Outliers:    NewOutlierDetector(5, 5*time.Second),
+		Canaries:    NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }),
+		Counter:     NewCallCounter(64),
+
+		NoAttemptTimeout:  true,
+		FreeProxyRefusals: true,
 		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-			at := len(scripted.sent)
+			attempt := len(scripted.sent)
 			scripted.sent = append(scripted.sent, candidate.Instance)
-			return script[min(at, len(script)-1)](ctx, request)
-		}}).Init(16)
+			return script[min(attempt, len(script)-1)](ctx, request)
+		},
+	}
+	scripted.Init(16)
 	return scripted
 }
 
-// Looking for a first worker is free; going to a second costs of the fleet's budget, and a once
-// request goes to none after it may have run.
+// Looking for a first worker is free; each further worker is charged to the retry budget, and a non-idempotent request
+// goes to no other worker after it may have run.
 func TestNextCandidate(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
 	full := refusing(errs.QueueFull, 0, false)
@@ -127,7 +157,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
-				result := forwarder.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+				result := forwarder.Forward(t.Context(), newScriptedCall())
 				if len(forwarder.sent) != test.sent || result.Response.Outcome != test.ending || (test.kind != "" && result.Response.ErrorCode != string(test.kind)) {
 					t.Errorf("sent to %v, ended %v %s; want %d, %v %s", forwarder.sent, result.Response.Outcome, result.Response.ErrorCode, test.sent, test.ending, test.kind)
 				}
@@ -143,7 +173,7 @@
 	}
 }
 
-// Each worker is told how much time is left as the call goes to it, not as it came.
+// Each attempt carries the time that is left when it is sent, not the time that the call came with.
 func TestRemainingTimeIsSentAnew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lost = 300 * time.Millisecond
@@ -156,7 +186,7 @@
 			}
 		}
 		forwarder := newScriptedForwarder(t, 6, `"class":"repeatable"`, 9, recording(breaking), recording(breaking), recording(answering))
-		forwarder.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+		forwarder.Forward(t.Context(), newScriptedCall())
 		if len(sent) != 3 {
 			t.Fatalf("sent with %v left", sent)
 		}
@@ -168,8 +198,8 @@
 	})
 }
 
-// A failure for an answer goes to one other worker, where the call may run again, in time and for a part
-// of the budget; whatever comes of that, the caller gets a worker's answer.
+// A failure response is retried on one other worker if the call is idempotent, in time, and within a fraction of the
+// retry budget. Whatever the retry comes to, the caller gets a worker's answer.
 func TestFailedAnswerIsRetriedElsewhere(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
 	slow := func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
@@ -204,14 +234,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
 				forwarder.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: test.floor, FailureRetryFraction: test.part})
-				result := forwarder.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+				result := forwarder.Forward(t.Context(), newScriptedCall())
 				if len(forwarder.sent) != test.sent || result.Err != nil || result.Response.Status != test.status || forwarder.waited > 0 {
-					t.Errorf("sent to %v, ended %v %d, waited for news %d times; want %d, %d", forwarder.sent, result.Err, result.Response.Status, forwarder.waited, test.sent, test.status)
+					t.Errorf("sent to %v, ended %v %d, waited for updates %d times; want %d, %d", forwarder.sent, result.Err, result.Response.Status, forwarder.waited, test.sent, test.status)
 				}
 			})
 		})
 	}
-	// A version on trial answers for its own failures.
+	// The failures of a version in canary are not retried.
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := newScriptedForwarder(t, 6, repeatable, 9, failing, answering)
 		forwarder.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: 9, FailureRetryFraction: 1})
@@ -229,30 +259,30 @@
 		for version, want := range map[string]bool{"0": true, "1": false} {
 			callPlan := &plan.Plan{Route: &config.Route{}, Service: "shop", Verdict: plan.Verdict{Version: version}, Class: config.ClassIdempotent}
 			if got := forwarder.mayRetryFailure(&CallResult{Plan: callPlan}, &callProgress{lastResponse: notExecuted(errs.NoWorker, 0)}, failed, time.Second); got != want {
-				t.Errorf("version %s: asked of another %v", version, got)
+				t.Errorf("version %s: retried %v", version, got)
 			}
 		}
 	})
 }
 
-// Where every try counts, looking for a first worker is paid for too.
+// Without FreeProxyRefusals every attempt but the first is charged, also while the call looks for its first worker.
 func TestEveryAttemptCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(errs.QueueFull, 0, false))
 		forwarder.FreeProxyRefusals = false
-		forwarder.Forward(t.Context(), &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
+		forwarder.Forward(t.Context(), newScriptedCall())
 		if len(forwarder.sent) != 3 {
 			t.Errorf("sent to %v, want the first and two paid for", forwarder.sent)
 		}
 	})
 }
 
-// Where nobody has room, a caller is told at once, and when there will be; where workers are not
-// known, it is told before it is too late to ask again.
+// A caller is refused at once where no worker has capacity, with the time when one will. Where no worker is known, it is
+// refused in time to call again.
 func TestRefusalsComeAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const route = `"class":"once","aim":"800ms"`
-		call := &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", Header: func(string) (string, bool) { return "", false }}}
+		call := newScriptedCall()
 		forwarder := newScriptedForwarder(t, 3, route, 0, refusing(errs.QueueFull, 300*time.Millisecond, false), refusing(errs.DeadlineExceeded, 100*time.Millisecond, false), refusing(errs.QueueFull, 0, false))
 		startedAt := time.Now()
 		if result := forwarder.Forward(t.Context(), call); len(forwarder.sent) != 2 || time.Since(startedAt) > 0 || time.Duration(result.Response.RetryAfterNanos) != 100*time.Millisecond {
@@ -266,12 +296,12 @@
 	})
 }
 
-// BenchmarkForward is a call whose first candidate answers: what a forwarder itself takes, without the network.
+// BenchmarkForward measures what a forwarder itself costs for a call whose first candidate answers, without the network.
 func BenchmarkForward(b *testing.B) {
 	for _, class := range []string{"repeatable", "once"} {
 		b.Run(class, func(b *testing.B) {
 			forwarder := newScriptedForwarder(b, 5, `"class":"`+class+`"`, 9, answering)
-			call := &Call{Request: plan.Request{Caller: "c", Method: "GET", Path: "/x", Header: func(string) (string, bool) { return "", false }}, Target: "/x"}
+			call := newScriptedCall()
 			b.ReportAllocs()
 			for b.Loop() {
 				forwarder.sent = forwarder.sent[:0]
--- a/internal/dispatch/reserved_admissions_test.go
+++ b/internal/dispatch/reserved_admissions_test.go
@@ -13,20 +13,20 @@
 	"meadowhinge/schema"
 )
 
-// A body goes to another zone only once there is a turn for it, where it is likely to be refused.
+// A body that is likely to be refused goes to another zone only once the worker's queue has admitted the request.
 func TestCapacityCheckBeforeABodyIsSent(t *testing.T) {
 	full := refusing(errs.QueueFull, 9*time.Millisecond, false)
 	withCapacity := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-		time.Sleep(20 * time.Millisecond) // it waits for its turn
+		time.Sleep(20 * time.Millisecond) // it waits for admission
 		return refusing("", 0, false)(ctx, request)
 	}
 	body := strings.Repeat("x", 4000)
 	for name, test := range map[string]struct {
 		body     string
 		far      bool
-		rejected int // calls that the worker turned away before
+		rejected int // calls that the worker refused before
 		script   []attemptScript
-		want     string // a letter a dispatch: e for an enquiry, s for one with all its body
+		want     string // a letter an attempt: e for a capacity check, s for the request with its body
 		ending   schema.CallOutcome
 	}{
 		"of the own zone":                                     {body, false, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
@@ -35,7 +35,7 @@
 		"elsewhere, after another refused, and there is room": {body, true, 0, []attemptScript{full, withCapacity, answering}, "ses", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
 		"elsewhere, that refused of late":                     {body, true, 9, []attemptScript{full, full}, "ee", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
 		"elsewhere, that refused of late and has room":        {body, true, 9, []attemptScript{withCapacity, answering}, "es", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, not reached by the enquiry":               {body, true, 9, []attemptScript{breaking, unopened, withCapacity, answering}, "eees", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, not reached by the capacity check":        {body, true, 9, []attemptScript{breaking, unopened, withCapacity, answering}, "eees", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
 		"elsewhere, with hardly a body":                       {"x", true, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -56,11 +56,11 @@
 						kind = "e"
 					}
 					if request.AdmissionOnly == (len(request.Body) > 0) {
-						t.Error("an enquiry with its body, or a request without")
+						t.Error("a capacity check with a body, or a request without")
 					}
 					kinds += kind
 					if left := deadline - time.Since(startedAt); request.TimeLeftNanos != int64(left) {
-						t.Errorf("%v is told to be left, not %v", time.Duration(request.TimeLeftNanos), left)
+						t.Errorf("time left is %v, not %v", time.Duration(request.TimeLeftNanos), left)
 					}
 					return send(ctx, candidate, request)
 				}
@@ -73,20 +73,20 @@
 	}
 }
 
-// A turn that is kept for a request is there for it alone, for a while; nothing runs by an enquiry.
+// An admission that is reserved for a request can be used by that request alone, once, and for a limited time.
 func TestReservedAdmissions(t *testing.T) {
 	for name, test := range map[string]struct {
-		enquiries int           // that come
-		late      time.Duration // after which the request comes
-		replaced  bool          // the turn was kept at another worker
-		taken     bool
+		checks   int           // capacity checks that arrive
+		late     time.Duration // after which the request comes
+		replaced bool          // the admission was reserved at another worker
+		taken    bool
 	}{
-		"the request comes":                   {1, time.Millisecond, false, true},
-		"the enquiry came twice":              {2, time.Millisecond, false, true},
-		"the request comes late":              {1, time.Second, false, false},
-		"the worker was replaced":             {1, time.Millisecond, true, false},
-		"a request that nobody enquired for":  {0, 0, false, false},
-		"one that comes when the turn is due": {1, 101 * time.Millisecond, false, false},
+		"the request comes":                            {1, time.Millisecond, false, true},
+		"the capacity check arrives twice":             {2, time.Millisecond, false, true},
+		"the request comes late":                       {1, time.Second, false, false},
+		"the worker was replaced":                      {1, time.Millisecond, true, false},
+		"a request without a capacity check":           {0, 0, false, false},
+		"the request comes just after the reservation": {1, 101 * time.Millisecond, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -97,21 +97,21 @@
 				if test.replaced {
 					queueOfRequest = NewWorkerQueue(1, 1)
 				}
-				for range test.enquiries {
+				for range test.checks {
 					reservations.lock.Lock()
 					earlier := reservations.byRequest["r"]
 					reservations.lock.Unlock()
 					if earlier == nil {
 						if admission, queued := queue.Admit(now(), AdmissionRequest{Deadline: time.Hour}); admission.Refusal != "" || queued != nil {
-							t.Fatal("no turn for the first")
+							t.Fatal("the first is not admitted")
 						}
 					} else {
 						queue.running++
 					}
 					reservations.reserve("r", queue, now, 100*time.Millisecond)
 				}
-				if running, _, _ := queue.Load(); running != uint32(min(1, test.enquiries)) {
-					t.Errorf("%d turns are kept", running)
+				if running, _, _ := queue.Load(); running != uint32(min(1, test.checks)) {
+					t.Errorf("%d admissions are reserved", running)
 				}
 				time.Sleep(test.late)
 				synctest.Wait()
@@ -119,21 +119,21 @@
 					t.Errorf("taken: %v, want %v", got, test.taken)
 				}
 				if reservations.take("r", queueOfRequest) {
-					t.Error("one turn was taken twice")
+					t.Error("one admission was taken twice")
 				}
 				want := uint32(0)
 				if test.taken {
 					want = 1
 				}
 				if running, _, _ := queue.Load(); running != want {
-					t.Errorf("%d have a turn, want %d", running, want)
+					t.Errorf("%d are admitted, want %d", running, want)
 				}
 			})
 		})
 	}
 }
 
-// The worker's side runs nothing for an enquiry, keeps the turn, and refuses when there is none.
+// On the worker's side a capacity check runs nothing, reserves the admission, and is refused where there is no capacity.
 func TestCapacityChecksRunNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
@@ -146,24 +146,24 @@
 		worker, _, _ := fixture.workers.find(newForwardRequest("r1", instance))
 		worker.queue.maxRunning, worker.queue.slots = 1, 0
 		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r1")); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != "" || len(fixture.recordedRuns()) > 0 {
-			t.Errorf("the enquiry ended %v with %s, runs %v", got.Outcome, got.ErrorCode, fixture.recordedRuns())
+			t.Errorf("the capacity check ended %v with %s, runs %v", got.Outcome, got.ErrorCode, fixture.recordedRuns())
 		}
 		if got := fixture.runner.Run(t.Context(), transport.Peer{}, newCapacityCheck("r1")); got.ErrorCode != string(errs.CallerNotAllowed) {
-			t.Errorf("a stranger's enquiry ended with %s", got.ErrorCode)
+			t.Errorf("an unauthenticated peer's capacity check ended with %s", got.ErrorCode)
 		}
 		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r2")); got.ErrorCode != string(errs.QueueFull) {
-			t.Errorf("an enquiry without room ended with %q", got.ErrorCode)
+			t.Errorf("a capacity check without capacity ended with %q", got.ErrorCode)
 		}
 		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(fixture.recordedRuns()) != 1 {
 			t.Errorf("the request ended %v with %s, runs %v", got.Outcome, got.ErrorCode, fixture.recordedRuns())
 		}
 		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r3")); got.ErrorCode != "" {
-			t.Errorf("the turn did not come back: %s", got.ErrorCode)
+			t.Errorf("the admission was not returned: %s", got.ErrorCode)
 		}
 		unknown := newCapacityCheck("r4")
 		unknown.Instance = "p/old/1"
 		if got := fixture.runner.Run(t.Context(), client, unknown); got.ErrorCode != string(errs.WrongInstance) {
-			t.Errorf("an enquiry for a worker that is no more ended with %q", got.ErrorCode)
+			t.Errorf("a capacity check for a worker that is no longer registered ended with %q", got.ErrorCode)
 		}
 	})
 }
--- a/internal/dispatch/retry_budget_test.go
+++ b/internal/dispatch/retry_budget_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// In any window, extra tries stay within the ratio of the calls in them, and the floor.
+// In any window, wherever it begins, retries stay within the ratio of the calls in it, plus the floor.
 func TestBudgetInAnyWindow(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	for round := range 200 {
@@ -34,14 +34,14 @@
 		}
 		for _, end := range retries {
 			if got, most := count(retries, end-window), 0.2*float64(count(calls, end-window))+floor; float64(got) > most {
-				t.Fatalf("%d extra tries in the %v before %v, at most %v", got, window, end, most)
+				t.Fatalf("%d retries in the %v before %v, at most %v", got, window, end, most)
 			}
 		}
 	}
 }
 
-// Bounds that change while calls are under way hold from then on, for a window that ends after the
-// change as well as the extra tries of before count: nobody gets a second budget by a change.
+// New limits apply at once. In a window that ends after the change the retries of before count as well, so that a change
+// grants no second budget.
 func TestBudgetThatChanges(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	for round := range 200 {
@@ -81,16 +81,16 @@
 			}
 			spent++
 			if got, most := count(retries, end-window, end), ratio*float64(count(calls, end-window, end))+floor; float64(got) > most && end-window > changed {
-				t.Fatalf("%d extra tries in the %v before %v, at most %v", got, window, end, most)
+				t.Fatalf("%d retries in the %v before %v, at most %v", got, window, end, most)
 			}
-			// In a window over the change, each of its extra tries after the change was allowed by the new bounds.
+			// In a window over the change, each of its retries after the change was allowed by the new limits.
 			most := ratio*float64(count(calls, end-window, end)) + floor
 			if after := count(retries, changed, end); end-window <= changed && float64(after) > most {
-				t.Fatalf("%d extra tries from the change until %v, at most %v", after, end, most)
+				t.Fatalf("%d retries from the change until %v, at most %v", after, end, most)
 			}
 		}
 		if spent == 0 {
-			t.Fatal("none was spent after the change")
+			t.Fatal("no retry was allowed after the change")
 		}
 	}
 }
--- a/internal/dispatch/uplink_test.go
+++ b/internal/dispatch/uplink_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What is written waits behind what was written before, and leaves at the link's rate.
+// Bytes wait behind those written before, and leave at the bandwidth of the link.
 func TestUplink(t *testing.T) {
 	now := time.Duration(0)
 	uplink := NewUplink(1000, func() time.Duration { return now })
@@ -20,7 +20,7 @@
 		{0, 460, time.Second},
 		{400 * ms, 0, 600 * ms},
 		{2 * time.Second, 0, 0},
-		// Two packets, each with its head.
+		// Two packets, each with its own headers.
 		{2 * time.Second, 1920, 2 * time.Second},
 	} {
 		now = test.at
@@ -32,27 +32,27 @@
 	for _, none := range []*Uplink{NewUplink(0, nil), nil} {
 		none.RecordWrite(1 << 30)
 		if none.Backlog() != 0 || none.TransferTime(1<<30) != 0 {
-			t.Error("a link of unknown rate is full")
+			t.Error("a link of unknown bandwidth has a backlog")
 		}
 	}
 }
 
-// A buffer hands over no more than its machine's link carries answers away: what waits, waits
-// where who is worth more goes first, and who would come too late is told at once.
+// A queue runs no more requests than the uplink can send answers for. The others wait in the queue, where the order of
+// priority holds, and a request that would be late is refused at once.
 func TestWorkerQueueOverUplink(t *testing.T) {
 	for name, test := range map[string]struct {
 		rate  int64
 		steps func(script *queueScript, uplink *Uplink)
 		want  string
 	}{
-		// An answer takes 5 ms on the link and the work 10: two keep it busy, one more hides the way.
+		// An answer takes 5 ms on the uplink and the work 10: two keep it busy, one more hides the latency.
 		"link short": {200_000, func(script *queueScript, _ *Uplink) {
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
 				script.admit(name, 0, 0, time.Second)
 			}
 			script.release(ResultAnswered)
 		}, "a goes, b goes, c goes, d goes"},
-		"by rank": {200_000, func(script *queueScript, _ *Uplink) {
+		"by priority": {200_000, func(script *queueScript, _ *Uplink) {
 			for _, name := range []string{"a", "b", "c"} {
 				script.admit(name, 0, 0, time.Second)
 			}
@@ -65,7 +65,7 @@
 				script.admit(name, 0, 0, time.Second)
 			}
 		}, "a goes, b goes, c goes, d goes, e goes, f goes"},
-		// 50 ms of other bytes are on the link already; one goes all the same, to give the next their turn.
+		// 50 ms of other bytes are on the uplink already; one request runs all the same, because its end admits the next.
 		"link filled by others": {200_000, func(script *queueScript, uplink *Uplink) {
 			uplink.RecordWrite(9720)
 			script.admit("a", 0, 0, time.Second)
--- a/internal/dispatch/worker_fixture_test.go
+++ b/internal/dispatch/worker_fixture_test.go
@@ -8,6 +8,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strings"
 	"sync"
 	"testing"
 	"time"
@@ -27,7 +28,7 @@
 route: look: {service: "shop", prefix: "/shop/look", class: "repeatable"}
 `
 
-// fixtureItems is read once: reading CUE takes longer than most of what is tried with it.
+// fixtureItems is parsed once: parsing CUE takes longer than most tests that use it.
 var fixtureItems, fixtureFaults = configsource.Parse([]byte(fixtureConfig))
 
 func compileConfig(tb testing.TB, sequence uint64) *config.Snapshot {
@@ -49,34 +50,50 @@
 	at                                       time.Duration
 }
 
-// fakeWorker is a worker behind pipes: what it runs is written down before it answers.
+// fakeWorker is a worker behind pipes. Each request that it runs is recorded before it answers.
 type fakeWorker struct {
 	token, service, version string
 	answer                  func(request string) string // raw HTTP; empty closes the connection
 }
 
-// workerFixture is one proxy's worker side with its workers, on the clock it is given.
+// workerFixture is the runner of one proxy and the workers beside it.
 type workerFixture struct {
 	lock               sync.Mutex
 	startedAt          time.Time
-	workersByAddress   map[string]*fakeWorker // by address
+	workersByAddress   map[string]*fakeWorker
 	conns              map[string][]net.Conn
 	runs               []workerRun
-	seededNoTokenCheck bool // planted: workers run what does not bear their token
+	seededNoTokenCheck bool // seeded fault: workers run requests without their token
 	workers            *Workers
 	runner             *Runner
 	view               *plan.View
 }
 
 func newWorkerFixture(tb testing.TB) *workerFixture {
+	tb.Helper()
 	fixture := &workerFixture{startedAt: time.Now(), workersByAddress: map[string]*fakeWorker{}, conns: map[string][]net.Conn{}}
 	fixture.view = &plan.View{Config: compileConfig(tb, 5), Directory: plan.Directory{}}
-	fixture.workers = NewWorkers(WorkersOptions{Proxy: "p", Incarnation: 1, MaxMissedHeartbeats: 3, MaxWorkers: 16, MaxConns: 64, MaxBodyBytes: 4096, Now: fixture.now, Dial: fixture.dial}, func() {})
-	fixture.runner = NewRunner(Runner{Workers: fixture.workers, View: func() *plan.View { return fixture.view }, AwaitConfig: func(context.Context, uint64) {},
-		RevisionOutdated: func(sequence uint64) bool { return sequence < 4 }, HasLease: func() bool { return true }, Now: fixture.now}, 1024)
+	fixture.workers = NewWorkers(WorkersOptions{
+		Proxy:               "p",
+		Incarnation:         1,
+		MaxMissedHeartbeats: 3,
+		MaxWorkers:          16,
+		MaxConns:            64,
+		MaxBodyBytes:        4096,
+		Now:                 fixture.now,
+		Dial:                fixture.dial,
+	}, func() {})
+	fixture.runner = NewRunner(Runner{
+		Workers:          fixture.workers,
+		View:             func() *plan.View { return fixture.view },
+		AwaitConfig:      func(context.Context, uint64) {},
+		RevisionOutdated: func(revision uint64) bool { return revision < 4 },
+		HasLease:         func() bool { return true },
+		Now:              fixture.now,
+	}, 1024)
 	tb.Cleanup(func() {
 		fixture.close()
-		// The client's own housekeeping ends once its connections have: on the virtual clock.
+		// Timers of the connections run out on the virtual clock, so that no goroutine outlives the test.
 		time.Sleep(time.Minute)
 	})
 	return fixture
@@ -101,7 +118,7 @@
 }
 
 func (f *workerFixture) serve(address string, conn net.Conn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // the reader has ended, or nothing more is to be sent
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -113,7 +130,14 @@
 		worker := f.workersByAddress[address]
 		meant := worker != nil && (f.seededNoTokenCheck || request.Header.Get(HeaderToken) == worker.token)
 		if meant {
-			f.runs = append(f.runs, workerRun{request.Header.Get(HeaderRequest), request.Header.Get(HeaderCaller), worker.service, worker.version, worker.token, f.now()})
+			f.runs = append(f.runs, workerRun{
+				request: request.Header.Get(HeaderRequest),
+				caller:  request.Header.Get(HeaderCaller),
+				service: worker.service,
+				version: worker.version,
+				token:   worker.token,
+				at:      f.now(),
+			})
 		}
 		f.lock.Unlock()
 		answer := "HTTP/1.1 421 Misdirected\r\n" + HeaderRefused + ": token\r\nContent-Length: 0\r\n\r\n"
@@ -129,23 +153,14 @@
 		if _, err := conn.Write([]byte(answer)); err != nil || len(answer) < 15 || request.Close {
 			return
 		}
-		// An answer without a length ends with its connection.
-		if meant && worker.answer != nil && !contains(answer, "Content-Length") {
+		// A response without a length ends with its connection.
+		if meant && worker.answer != nil && !strings.Contains(answer, "Content-Length") {
 			return
 		}
 	}
 }
 
-func contains(text, part string) bool {
-	for i := 0; i+len(part) <= len(text); i++ {
-		if text[i:i+len(part)] == part {
-			return true
-		}
-	}
-	return false
-}
-
-// addWorker puts an actor at an address and describes it to the proxy; it gives the instance.
+// addWorker adds a worker at an address and registers it. It returns the instance.
 func (f *workerFixture) addWorker(tb testing.TB, address, service, version, token string) (string, *fakeWorker) {
 	tb.Helper()
 	worker := &fakeWorker{token: token, service: service, version: version}
@@ -163,7 +178,7 @@
 	return WorkerDescription{Address: address, Service: worker.service, Version: worker.version, Token: worker.token, HeartbeatMS: 1000}
 }
 
-// close ends every connection, so that no goroutine outlives the test.
+// close closes every connection, so that no goroutine outlives the test.
 func (f *workerFixture) close() {
 	f.lock.Lock()
 	addresses := f.workersByAddress
@@ -179,7 +194,7 @@
 		_, _ = f.workers.Register(deregistration)
 	}
 	for _, conn := range open {
-		conn.Close()
+		_ = conn.Close() // a pipe cannot fail to close
 	}
 }
 
@@ -189,10 +204,25 @@
 	return append([]workerRun(nil), f.runs...)
 }
 
+// client is a proxy that may call as the service kind "client".
 var client = transport.LocalPeer("proxy", "q", map[string]bool{"client": true})
 
+// newForwardRequest returns a non-idempotent request that the fixture's configuration allows.
 func newForwardRequest(request, instance string) *schema.ForwardRequest {
 	body := []byte(`{"a":1}`)
-	return &schema.ForwardRequest{Request: request, Caller: "client", Service: "shop", Version: "1", Instance: instance, Method: "POST", Target: "/shop/buy?n=1",
-		Body: body, Checksum: crc32.ChecksumIEEE(body), TimeLeftNanos: int64(time.Second), Revision: 5, NonIdempotent: true, Route: "buy"}
+	return &schema.ForwardRequest{
+		Request:       request,
+		Caller:        "client",
+		Service:       "shop",
+		Version:       "1",
+		Instance:      instance,
+		Method:        "POST",
+		Target:        "/shop/buy?n=1",
+		Body:          body,
+		Checksum:      crc32.ChecksumIEEE(body),
+		TimeLeftNanos: int64(time.Second),
+		Revision:      5,
+		NonIdempotent: true,
+		Route:         "buy",
+	}
 }
