--- a/internal/dispatch/disconnects_test.go
+++ b/internal/dispatch/disconnects_test.go
@@ -13,13 +13,12 @@
 	"meadowhinge/schema"
 )
 
-// What must hold of runs whose callers left is counted where it does not: only of runs that must end, and only when
-// they had time to.
+// A run that goes on after its caller has disconnected is counted as a violation, if it must end and had the time to.
 func TestOverrunsAreCounted(t *testing.T) {
 	const maxOverrun = 100 * time.Millisecond
 	for name, test := range map[string]struct {
 		limited bool
-		lasts   time.Duration // from the caller's leaving to the run's end
+		lasts   time.Duration // from the disconnect to the end of the run
 		want    uint64
 	}{
 		"ends at once":               {true, 0, 0},
@@ -45,7 +44,7 @@
 					time.Sleep(test.lasts)
 				}
 				if _, disconnected := caller.finish(); disconnected != (test.lasts >= 0) {
-					t.Errorf("left: %t", disconnected)
+					t.Errorf("disconnected: %t", disconnected)
 				}
 				time.Sleep(time.Hour)
 				if got := counts.Counts().Overrun; got != test.want {
@@ -56,8 +55,8 @@
 	}
 }
 
-// A run ends when its context does: the worker sees its connection end, the call is said to be called off, and
-// nothing is held against the worker. One that may not be repeated goes on.
+// A run ends when its context does: the worker sees its connection end, the call has the outcome of a disconnect, and
+// nothing counts against the worker. A non-idempotent run goes on.
 func TestRunsEndWithTheirCallers(t *testing.T) {
 	for name, test := range map[string]struct {
 		once   bool
@@ -93,7 +92,7 @@
 					t.Errorf("counted %+v", counts)
 				}
 				if _, failed := s.runner.Outliers.RunCounts(instance, s.now()); failed != 0 {
-					t.Error("the call is held against its worker")
+					t.Error("the call counts against its worker")
 				}
 				if running, waiting, _, _ := s.workers.Load(instance); running+waiting != 0 {
 					t.Errorf("%d running, %d waiting", running, waiting)
@@ -107,7 +106,7 @@
 	}
 }
 
-// A call that its caller's proxy gives up as time runs out has run out of time: that is held against its worker.
+// A call that its caller's proxy gives up as its time ends has run out of time, and that counts against its worker.
 func TestGivenUpInTheEndIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
@@ -128,8 +127,8 @@
 	})
 }
 
-// The caller's side: a call that is called off ends at once, is tried nowhere else, and is no failure of the worker
-// or of its version; one under an idempotency key is not called off.
+// On the caller's side a canceled call ends at once, is tried nowhere else, and is no failure of the worker or of its
+// version. A call under an idempotency key is not canceled.
 func TestCarryingEndsWithTheCaller(t *testing.T) {
 	for name, test := range map[string]struct {
 		route, key string
@@ -156,10 +155,12 @@
 				}
 				ctx, disconnect := context.WithCancel(t.Context())
 				time.AfterFunc(300*time.Millisecond, disconnect)
+				call := newScriptedCall()
+				call.Request.IdempotencyKey = test.key
 				startedAt := time.Now()
-				result := forwarder.Forward(ctx, &Call{Target: "/a", Request: plan.Request{Caller: "client", Method: "GET", Path: "/a", IdempotencyKey: test.key, Header: func(string) (string, bool) { return "", false }}})
+				result := forwarder.Forward(ctx, call)
 				if result.Response.Outcome != test.ending || result.Response.ErrorCode != string(test.kind) || len(forwarder.sent) != 1 {
-					t.Errorf("ended %v with %q after %d tries", result.Response.Outcome, result.Response.ErrorCode, len(forwarder.sent))
+					t.Errorf("ended %v with %q after %d attempts", result.Response.Outcome, result.Response.ErrorCode, len(forwarder.sent))
 				}
 				if test.key == "" && time.Since(startedAt) != 300*time.Millisecond {
 					t.Errorf("it ended after %v", time.Since(startedAt))
@@ -174,14 +175,14 @@
 				}
 				stats := forwarder.Outliers.Stats(&plan.Endpoint{Instance: forwarder.sent[0]}, forwarder.Now())
 				if stats.InFlight != 0 || stats.RecentFailures != 0 || stats.Ejected {
-					t.Errorf("of the worker is kept %+v", stats)
+					t.Errorf("the worker has %+v", stats)
 				}
 			})
 		})
 	}
 }
 
-// What is called off before it was sent proves that nothing ran, at whichever wait it is.
+// The cancellation of a call before it was sent proves that nothing ran, whatever the call was waiting for.
 func TestCanceledBeforeItIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
@@ -199,13 +200,13 @@
 			t.Errorf("it ran: %v", runs)
 		}
 		if !errors.Is(ctx.Err(), context.Canceled) || contextErrorCode(ctx) != errs.CallerDisconnected {
-			t.Error("a caller's leaving is told as something else")
+			t.Error("a caller's disconnect has another code")
 		}
 	})
 }
 
-// A caller leaves at the very moment of its answer: whichever comes first, the next call on the same worker gets an
-// answer of its own, and no connection is left that a call was cut off on.
+// A caller disconnects at the very moment of its answer. Whichever comes first, the next call on the same worker gets its own
+// answer, and no connection is reused that a call was interrupted on.
 func TestDisconnectsCrossAnswers(t *testing.T) {
 	const rounds, took = 300, 100 * time.Millisecond
 	outcomes := map[schema.CallOutcome]int{}
--- a/internal/dispatch/key_reservation_test.go
+++ b/internal/dispatch/key_reservation_test.go
@@ -19,21 +19,21 @@
 
 const reservationLease = 8 * time.Second
 
-// keyFixture is three registries' claims, and two proxies whose callers have one key between them.
-// Each proxy sees another worker, behind another proxy, so that only the claims keep the
-// request from running twice.
+// keyFixture is three registries' reservation tables, and two proxies whose callers share one key. Each proxy sees another
+// worker, behind another proxy, so that only the reservations keep the request from running twice.
 type keyFixture struct {
 	fixtures             [2]*workerFixture
-	lock                 sync.Mutex // of claims: a key is let go beside the thread that had it
+	lock                 sync.Mutex // guards registries: a key is released in a goroutine of its own
 	registries           [3]*registry.ReservationTable
-	unresponsive         [3]bool // a registry that does not answer
+	unresponsive         [3]bool // registries that do not respond
 	startedAt            time.Time
-	seededSingleRegistry bool // planted: one registry's word is enough
+	seededSingleRegistry bool // seeded fault: one registry is taken for a majority
 	lost                 [2]func(order int) bool
 	results              [2][]*CallResult
 }
 
 func newKeyFixture(tb testing.TB) *keyFixture {
+	tb.Helper()
 	fixture := &keyFixture{fixtures: [2]*workerFixture{newWorkerFixture(tb), newWorkerFixture(tb)}, startedAt: time.Now()}
 	for i := range fixture.registries {
 		fixture.registries[i] = fixture.newReservationTable()
@@ -48,7 +48,7 @@
 
 func (f *keyFixture) now() time.Duration { return time.Since(f.startedAt) }
 
-// restartRegistry lets a registry begin anew and, if it is sound, read the others before it counts.
+// restartRegistry restarts a registry with an empty table, which then recovers in one of the ways below.
 func (f *keyFixture) restartRegistry(i int, recovery string) {
 	table := f.newReservationTable()
 	if recovery == skipRecovery {
@@ -66,13 +66,14 @@
 	f.refillRegistry(i)
 }
 
-// Ways in which a registry begins anew; only the first is sound.
+// Ways in which a restarted registry recovers; only the first is correct.
 const (
-	recoverAfterRounds = "reads the others once no round of its earlier life can go on"
+	recoverAfterRounds = "reads the others once no round of its earlier incarnation can go on"
 	recoverAtOnce      = "reads the others at once"
 	skipRecovery       = "counts at once"
 )
 
+// refillRegistry copies the reservations of the other registries to a registry.
 func (f *keyFixture) refillRegistry(i int) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// newReserver takes claims to the registries one after another, yielding before each.
+// newReserver requests reservations from the registries one after another, yielding before each.
 func (f *keyFixture) newReserver(from int, yield func()) KeyReserver {
 	return func(_ context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 		members := 3
@@ -108,19 +109,32 @@
 	}
 }
 
-// newForwarder is one of the two proxies.
-func (f *keyFixture) newForwarder(t testing.TB, caller int, yield func()) *Forwarder {
+// newForwarder returns the forwarder of one of the two proxies.
+func (f *keyFixture) newForwarder(caller int, yield func()) *Forwarder {
 	fixture := f.fixtures[caller]
 	view := &plan.View{Config: fixture.view.Config, Directory: plan.Directory{"shop": {"1": {}}}}
 	for _, worker := range fixture.workers.List() {
 		view.Directory["shop"]["1"] = append(view.Directory["shop"]["1"], plan.Endpoint{Instance: worker.Instance, Proxy: fmt.Sprint("beside-", caller)})
 	}
 	sent := 0
-	return (&Forwarder{Name: fmt.Sprint("q", caller), Incarnation: 1, Limits: Limits{PlanOptions: plan.Options{MaxDeadline: 2 * time.Second}, RetryFloor: 10}, View: func() *plan.View { return view },
-		AwaitView:  func(context.Context, func(*plan.View) bool) {},
-		AwaitLease: func(context.Context) bool { return true }, OnConfigLag: func() {}, HasLease: func() bool { return true }, FleetSize: func() int { return 1 },
-		Now: f.now, Random: func() float64 { return 0 }, Outliers: NewOutlierDetector(5, time.Second), Canaries: NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }), Counter: NewCallCounter(64),
-		ReserveKey: f.newReserver(caller, yield), KeyReleaseTimeout: time.Hour,
+	forwarder := &Forwarder{
+		Name:        fmt.Sprint("q", caller),
+		Incarnation: 1,
+		Limits:      Limits{PlanOptions: plan.Options{MaxDeadline: 2 * time.Second}, RetryFloor: 10},
+		View:        func() *plan.View { return view },
+		AwaitView:   func(context.Context, func(*plan.View) bool) {},
+		AwaitLease:  func(context.Context) bool { return true },
+		OnConfigLag: func() {},
+		HasLease:    func() bool { return true },
+		FleetSize:   func() int { return 1 },
+		Now:         f.now,
+		Random:      func() float64 { return 0 },
+		Outliers:    NewOutlierDetector(5, time.Second),
+		Canaries:    NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }),
+		Counter:     NewCallCounter(64),
+		ReserveKey:  f.newReserver(caller, yield),
+
+		KeyReleaseTimeout: time.Hour,
 		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			yield()
 			sent++
@@ -133,48 +147,59 @@
 				return outcomeUnknown("LINK_LOST"), nil
 			}
 			return response, nil
-		}}).Init(16)
+		},
+	}
+	return forwarder.Init(16)
 }
 
 func (f *keyFixture) newCall(key, body string) *Call {
-	return &Call{Target: "/shop/buy", Body: []byte(body), Request: plan.Request{Caller: "client", Method: "POST", Path: "/shop/buy", HasIdempotencyKey: true, IdempotencyKey: key,
-		Header: func(string) (string, bool) { return "ann", true }}}
+	return &Call{Target: "/shop/buy", Body: []byte(body), Request: plan.Request{
+		Caller:            "client",
+		Method:            "POST",
+		Path:              "/shop/buy",
+		HasIdempotencyKey: true,
+		IdempotencyKey:    key,
+		Header:            func(string) (string, bool) { return "ann", true },
+	}}
 }
 
 func (f *keyFixture) countRuns() int {
 	return len(f.fixtures[0].recordedRuns()) + len(f.fixtures[1].recordedRuns())
 }
 
-// check holds what was told against what ran: one run at most, and none of what was told so.
+// check compares what callers were told with what ran: at most one run, and none of a request that was reported as not
+// executed.
 func (f *keyFixture) check() error {
 	ran := map[string]bool{}
 	for _, fixture := range f.fixtures {
-		for _, one := range fixture.recordedRuns() {
-			ran[one.request[:strings.LastIndex(one.request, "-")]] = true
+		for _, run := range fixture.recordedRuns() {
+			ran[run.request[:strings.LastIndex(run.request, "-")]] = true
 		}
 	}
 	if count := f.countRuns(); count > 1 {
 		return fmt.Errorf("ran %d times: %v", count, ran)
 	}
 	for _, results := range f.results {
-		for _, one := range results {
-			if one.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && ran[one.ID] {
-				return fmt.Errorf("%s was told not run, and ran", one.ID)
+		for _, result := range results {
+			if result.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && ran[result.ID] {
+				return fmt.Errorf("%s was reported as not executed, and ran", result.ID)
 			}
-			if one.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && len(ran) == 0 {
-				return fmt.Errorf("%s was answered, and nothing ran", one.ID)
+			if result.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && len(ran) == 0 {
+				return fmt.Errorf("%s was answered, and nothing ran", result.ID)
 			}
 		}
 	}
 	return nil
 }
 
-// Two callers ask under one key at two proxies, in every order of their claims, a registry's
-// restart and their dispatches: one run. It fails where one registry's word is enough, and
-// where a registry that restarted counts before it has read the others.
+// Two callers use one key at two proxies, in every order of their reservations, a registry's restart and their attempts:
+// one run. The exploration finds the seeded faults: one registry taken for a majority, and a restarted registry that
+// votes before it has recovered.
 func TestEveryOrderOfOneKeyAtTwoProxies(t *testing.T) {
-	explore := func(single bool, restart string) scheduleexplorer.Outcome {
+	explore := func(t *testing.T, single bool, restart string) scheduleexplorer.Outcome {
+		t.Helper()
 		return scheduleexplorer.Explore(t, 200000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
+			t.Helper()
 			fixture := newKeyFixture(t)
 			fixture.seededSingleRegistry = single
 			for i, workers := range fixture.fixtures {
@@ -182,7 +207,7 @@
 			}
 			for which := range 2 {
 				run.Go(fmt.Sprint("caller-", which), func(yield func()) {
-					fixture.results[which] = append(fixture.results[which], fixture.newForwarder(t, which, yield).Forward(t.Context(), fixture.newCall("key", "{}")))
+					fixture.results[which] = append(fixture.results[which], fixture.newForwarder(which, yield).Forward(t.Context(), fixture.newCall("key", "{}")))
 				})
 			}
 			if restart != "" {
@@ -196,56 +221,59 @@
 		restart string
 		broken  bool
 	}{
-		"sound":                           {},
-		"a registry restarts":             {restart: recoverAfterRounds},
-		"planted: one registry is enough": {single: true, broken: true},
-		"planted: counts at once":         {restart: skipRecovery, broken: true},
-		"planted: reads at once":          {restart: recoverAtOnce, broken: true},
+		"correct":                              {},
+		"a registry restarts":                  {restart: recoverAfterRounds},
+		"seeded fault: one registry is enough": {single: true, broken: true},
+		"seeded fault: votes at once":          {restart: skipRecovery, broken: true},
+		"seeded fault: recovers at once":       {restart: recoverAtOnce, broken: true},
 	} {
-		outcome := explore(test.single, test.restart)
-		if (outcome.Failure != "") != test.broken {
-			t.Errorf("%s: %q after %d orders", name, outcome.Failure, outcome.Schedules)
-		}
-		t.Logf("%s: %d orders", name, outcome.Schedules)
+		t.Run(name, func(t *testing.T) {
+			outcome := explore(t, test.single, test.restart)
+			if (outcome.Failure != "") != test.broken {
+				t.Errorf("%q after %d orders", outcome.Failure, outcome.Schedules)
+			}
+			t.Logf("%d orders", outcome.Schedules)
+		})
 	}
 }
 
-// A key asked for again elsewhere, after each single loss, runs once; the repeat gets the
-// first answer where that can still be known.
+// A request that is repeated at another proxy, after each single fault, runs once. The repeat gets the first answer where
+// that can still be known.
 func TestRepeatElsewhere(t *testing.T) {
 	answered, unknownEnding, notRunEnding := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
 	for name, test := range map[string]struct {
-		before func(fixture *keyFixture)     // the first try
-		after  func(fixture *keyFixture)     // it
-		body   string                        // of the repeat, where another
-		first  schema.CallOutcome            //
-		again  schema.CallOutcome            //
-		runs   int                           //
-		lost   func(order int) bool          // answers of the first try that are lost
+		before func(fixture *keyFixture)     // done before the first request
+		after  func(fixture *keyFixture)     // done after it
+		body   string                        // of the repeat, empty for the same
+		first  schema.CallOutcome            // of the first request
+		again  schema.CallOutcome            // of the repeat
+		runs   int                           // of both together
+		lost   func(order int) bool          // whether the response to an attempt of the first request is lost
 		check  func(*testing.T, *CallResult) // of the repeat
 	}{
-		"the first was answered":        {first: answered, again: answered, runs: 1},
-		"the first's answer was lost":   {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }},
-		"the worker's proxy is lost":    {first: unknownEnding, again: unknownEnding, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) { fixture.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
-		"a core machine is lost after":  {first: answered, again: answered, runs: 1, after: func(fixture *keyFixture) { fixture.unresponsive[1] = true }},
-		"a core machine is lost before": {first: answered, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[2] = true }},
-		"one core machine after another comes back empty": {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) {
+		"the first was answered":       {first: answered, again: answered, runs: 1},
+		"the first's answer was lost":  {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }},
+		"the worker's proxy is lost":   {first: unknownEnding, again: unknownEnding, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) { fixture.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
+		"a core member is lost after":  {first: answered, again: answered, runs: 1, after: func(fixture *keyFixture) { fixture.unresponsive[1] = true }},
+		"a core member is lost before": {first: answered, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[2] = true }},
+		"one core member after another comes back empty": {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) {
 			for i := range 3 {
 				fixture.restartRegistry(i, recoverAfterRounds)
 			}
 		}},
-		"two core machines are lost at once": {first: answered, again: notRunEnding, runs: 1, after: func(fixture *keyFixture) {
+		"two core members are lost at once": {first: answered, again: notRunEnding, runs: 1, after: func(fixture *keyFixture) {
 			fixture.registries[0], fixture.registries[1] = fixture.newReservationTable(), fixture.newReservationTable()
 			time.Sleep(reservationLease)
 			fixture.refillRegistry(0)
 			fixture.refillRegistry(1)
-			// The third still has the key, but its word alone would not keep another from running.
+			// The third still has the reservation, but one alone would not keep another request from running.
 			fixture.registries[2] = fixture.newReservationTable()
 		}},
 		"no majority of registries": {first: notRunEnding, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[0], fixture.unresponsive[1] = true, true }, after: func(fixture *keyFixture) {
 			fixture.unresponsive[0], fixture.unresponsive[1] = false, false
 		}},
 		"another body under the key": {first: answered, again: notRunEnding, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
+			t.Helper()
 			if result.Response.ErrorCode != "IDEMPOTENCY_KEY_REUSED" {
 				t.Error(result.Response.ErrorCode)
 			}
@@ -262,7 +290,7 @@
 				for i, workers := range fixture.fixtures {
 					workers.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
 				}
-				first, second := fixture.newForwarder(t, 0, func() {}), fixture.newForwarder(t, 1, func() {})
+				first, second := fixture.newForwarder(0, func() {}), fixture.newForwarder(1, func() {})
 				if test.before != nil {
 					test.before(fixture)
 				}
@@ -297,15 +325,15 @@
 	}
 }
 
-// A worker's proxy that has a newer setup may refuse what the older one allowed: the call is
-// planned anew by the newer one as soon as it is here, and answered.
+// A worker's proxy with a newer configuration may refuse what the older one allowed. The call is planned again by the
+// newer one as soon as it arrives here, and answered.
 func TestNewerConfigElsewhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newKeyFixture(t)
 		for i, workers := range fixture.fixtures {
 			workers.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
 		}
-		forwarder := fixture.newForwarder(t, 0, func() {})
+		forwarder := fixture.newForwarder(0, func() {})
 		older, arrives := forwarder.View(), time.Now().Add(700*time.Millisecond)
 		newer := &plan.View{Config: compileConfig(t, 6), Directory: older.Directory}
 		forwarder.View = func() *plan.View {
@@ -314,7 +342,7 @@
 			}
 			return newer
 		}
-		forwarder.AwaitView = func(ctx context.Context, ready func(*plan.View) bool) {
+		forwarder.AwaitView = func(ctx context.Context, _ func(*plan.View) bool) {
 			select {
 			case <-ctx.Done():
 			case <-time.After(time.Until(arrives)):
@@ -333,7 +361,7 @@
 		}
 		result := forwarder.Forward(t.Context(), fixture.newCall("key", "{}"))
 		if result.Err != nil || refused != 1 || result.Plan.Verdict.ConfigRevision != 6 {
-			t.Errorf("ended %v after %d refusals, by setup %d", result.Err, refused, result.Plan.Verdict.ConfigRevision)
+			t.Errorf("ended %v after %d refusals, by revision %d", result.Err, refused, result.Plan.Verdict.ConfigRevision)
 		}
 	})
 }
--- a/internal/dispatch/outlier_detector_test.go
+++ b/internal/dispatch/outlier_detector_test.go
@@ -9,10 +9,13 @@
 	"meadowhinge/schema"
 )
 
+// Consecutive failures eject a worker for a time; an unreachable proxy ejects all workers behind it until it responds.
 func TestOutlierDetector(t *testing.T) {
 	detector := NewOutlierDetector(3, 5*time.Second)
-	ejected := func(one plan.Endpoint, now time.Duration) bool { return detector.Stats(&one, now).Ejected }
-	unreached := func(one plan.Endpoint, now time.Duration) bool { return detector.Stats(&one, now).Unreachable }
+	ejected := func(endpoint plan.Endpoint, now time.Duration) bool { return detector.Stats(&endpoint, now).Ejected }
+	unreached := func(endpoint plan.Endpoint, now time.Duration) bool {
+		return detector.Stats(&endpoint, now).Unreachable
+	}
 	worker, other := plan.Endpoint{Instance: "w", Proxy: "p"}, plan.Endpoint{Instance: "v", Proxy: "p"}
 	for i := range 3 {
 		if ejected(worker, 0) {
@@ -24,57 +27,57 @@
 	if !ejected(worker, 5*time.Second-1) || ejected(worker, 5*time.Second) || ejected(other, 0) {
 		t.Error("three failures in a row do not eject that worker for its time")
 	}
-	// A proxy that gave no answer stands for every worker behind it, until it answers.
+	// An unreachable proxy counts for every worker behind it, until it responds.
 	detector.MarkUnreachable("p", 10*time.Second)
 	if !unreached(other, 15*time.Second-1) || !ejected(other, 12*time.Second) || unreached(other, 15*time.Second) {
-		t.Error("a lost proxy does not count for its time")
+		t.Error("an unreachable proxy does not count for its time")
 	}
 	detector.MarkReachable("p")
 	if unreached(other, 12*time.Second) {
-		t.Error("a proxy that answered still counts as lost")
+		t.Error("a proxy that responded still counts as unreachable")
 	}
-	// What its own proxy disowned is not tried again for as long as it is listed.
+	// A worker that its own proxy disowned is not tried again for as long as it is listed.
 	detector.MarkDisowned("w")
 	if !unreached(worker, time.Hour) || !ejected(worker, time.Hour) || unreached(other, time.Hour) {
 		t.Error("a disowned worker is still tried, or another is not")
 	}
 	detector.Retain(map[string]bool{"v": true})
 	if unreached(worker, time.Hour) {
-		t.Error("facts of a worker no longer listed are kept")
+		t.Error("the state of a worker that is no longer listed is retained")
 	}
 }
 
-// Who owes answers and gives none is tried last until it gives one; who owes none is not silent.
+// A worker that owes responses and sends none is tried last until it sends one. One that owes none is not unresponsive.
 func TestUnresponsiveWorkersAreTriedLast(t *testing.T) {
 	const ms = time.Millisecond
 	detector := NewOutlierDetector(3, 5*time.Second)
 	worker := plan.Endpoint{Instance: "w", Proxy: "p", ServiceTime: 100 * ms, Slots: 9}
-	silent := func(now time.Duration) bool { return detector.Stats(&worker, now).Ejected }
+	unresponsive := func(now time.Duration) bool { return detector.Stats(&worker, now).Ejected }
 	answer := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Slots: 9, ServiceTimeNanos: int64(100 * ms)}
 	detector.BeginCall("w", 1000*ms)
 	detector.BeginCall("w", 1200*ms)
-	if silent(1600*ms) || !silent(1601*ms) {
+	if unresponsive(1600*ms) || !unresponsive(1601*ms) {
 		t.Error("with two calls there, six times what one takes is not what is waited for")
 	}
 	detector.RecordResponse("w", 1700*ms, 300*ms, answer)
-	if silent(2500*ms) || !silent(2501*ms) {
-		t.Error("an answer does not count as a sign of life")
+	if unresponsive(2500*ms) || !unresponsive(2501*ms) {
+		t.Error("a response does not end it")
 	}
 	detector.RecordResponse("w", 3000*ms, 100*ms, answer)
-	if silent(time.Hour) {
-		t.Error("who owes nothing is held to be silent")
+	if unresponsive(time.Hour) {
+		t.Error("a worker that owes nothing counts as unresponsive")
 	}
 }
 
-// What the proxy beside a worker saw of all its calls counts for a caller that saw few or none, until
-// it fades; where none failed nothing is told.
+// What the proxy beside a worker saw of all its calls counts for a caller that saw few or none, until it decays. Nothing is
+// reported where no call failed.
 func TestReportedFailures(t *testing.T) {
 	beside, caller := NewOutlierDetector(5, 5*time.Second), NewOutlierDetector(5, 5*time.Second)
 	worker := plan.Endpoint{Instance: "w", Proxy: "p"}
 	for i := range 40 {
 		beside.RecordRun("w", time.Second, false)
 		if ran, failed := beside.RunCounts("w", time.Second); ran != 0 || failed != 0 {
-			t.Fatalf("of %d calls that went well %d and %d are told", i+1, ran, failed)
+			t.Fatalf("of %d successful calls %d and %d are reported", i+1, ran, failed)
 		}
 	}
 	for range 10 {
@@ -82,7 +85,7 @@
 	}
 	answer := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Slots: 9}
 	if answer.RecentRuns, answer.RecentFailures = beside.RunCounts("w", time.Second); answer.RecentRuns != 50 || answer.RecentFailures != 10 {
-		t.Fatalf("told %d of %d", answer.RecentFailures, answer.RecentRuns)
+		t.Fatalf("reported %d of %d", answer.RecentFailures, answer.RecentRuns)
 	}
 	if own := beside.Stats(&worker, time.Second); own.RecentCalls != 50 || own.RecentFailures != 10 {
 		t.Errorf("beside it, seen %+v", own)
@@ -95,7 +98,7 @@
 	if stats := caller.Stats(&worker, 7*time.Second); stats.RecentCalls < 18 || stats.RecentCalls > 19 || stats.RecentFailures*5 < stats.RecentCalls*0.99 {
 		t.Errorf("a third is not left after an ejection's time: %+v", stats)
 	}
-	// More calls through here than are left of the word count instead; and the next word takes its place.
+	// Once this process has had more calls than are left of the report, its own count; the next report replaces the last.
 	for range 30 {
 		caller.BeginCall("w", 12*time.Second)
 		caller.EndCall("w", 12*time.Second, false)
@@ -111,8 +114,8 @@
 	}
 }
 
-// What a worker has there is told by the later of its last answer and the directory, less what
-// this process has there, and gives way to what is usual as it ages.
+// The calls of others at a worker are estimated by the later of its last response and the directory, less the calls of this
+// process, and by the baseline as that report ages.
 func TestOtherInFlight(t *testing.T) {
 	answer := func(running, waiting, slots uint32) *schema.ForwardResponse {
 		return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Running: running, Queued: waiting, Slots: slots, ServiceTimeNanos: int64(time.Second)}
@@ -129,34 +132,34 @@
 	detector.BeginCall("w", 0)
 	detector.BeginCall("w", 0)
 	detector.RecordResponse("w", 2*time.Second, time.Second, answer(0, 0, 0))
-	near("its answers are silent: nothing is guessed", 2*time.Second, 0, 0, 0)
+	near("its responses report no load: nothing is assumed", 2*time.Second, 0, 0, 0)
 	detector.BeginCall("w", 0)
 	detector.RecordResponse("w", 3*time.Second, time.Second, answer(7, 3, 10))
-	near("told by an answer, less the one of ours", 3*time.Second, 10, 9, 9)
+	near("reported by a response, less our own call", 3*time.Second, 10, 9, 9)
 	worker.ReportedAt, worker.Running, worker.Waiting = 4*time.Second, 3, 0
 	near("the directory is newer", 4*time.Second, 10, 2, 2)
-	near("and a second later half way back to what is usual", 5*time.Second, 10, 5.4, 5.6)
-	near("and at last what is usual", time.Hour, 10, 8.9, 9)
+	near("and a second later half way back to the baseline", 5*time.Second, 10, 5.4, 5.6)
+	near("and at last the baseline", time.Hour, 10, 8.9, 9)
 }
 
-// Who has no room is tried last until room is expected; that says nothing of how sound it is.
+// A worker without capacity is tried last until capacity is expected; that says nothing of its health.
 func TestCapacityRefusal(t *testing.T) {
 	detector := NewOutlierDetector(2, 5*time.Second)
 	worker := plan.Endpoint{Instance: "w"}
-	for _, test := range []struct{ told, until time.Duration }{{100 * time.Millisecond, 100 * time.Millisecond}, {0, 5 * time.Second / fullEjectionDivisor}, {time.Hour, 5 * time.Second}} {
+	for _, test := range []struct{ reported, until time.Duration }{{100 * time.Millisecond, 100 * time.Millisecond}, {0, 5 * time.Second / fullEjectionDivisor}, {time.Hour, 5 * time.Second}} {
 		for range 3 {
 			detector.BeginCall("w", 0)
-			detector.RecordResponse("w", time.Minute, time.Millisecond, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: "BUFFER_FULL", RetryAfterNanos: int64(test.told)})
+			detector.RecordResponse("w", time.Minute, time.Millisecond, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: "BUFFER_FULL", RetryAfterNanos: int64(test.reported)})
 		}
 		before, after := detector.Stats(&worker, time.Minute+test.until-1), detector.Stats(&worker, time.Minute+test.until)
 		if !before.Full || after.Full || before.Ejected || before.RecentFailures > 0 || before.InFlight != 0 {
-			t.Errorf("told %v: %+v, then %+v", test.told, before, after)
+			t.Errorf("reported %v: %+v, then %+v", test.reported, before, after)
 		}
 	}
 }
 
-// A worker that turns most calls of a route away is asked for some more than it takes, not for
-// all; other routes are not held back by that, and with time it gets its calls back.
+// A worker that refuses most calls of a route is offered some more than it accepts, and not all. Other routes are not affected,
+// and with time it gets its calls back.
 func TestShouldSkip(t *testing.T) {
 	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
 	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
@@ -175,18 +178,20 @@
 		"another route":           {[]*schema.ForwardResponse{full, full, full, full, full, full}, "other", 0, 0, false},
 		"a while later":           {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 5 * time.Second, 0, false},
 	} {
-		detector := NewOutlierDetector(5, 5*time.Second)
-		for _, answer := range test.answers {
-			detector.RecordOffer("i", "r", time.Second, answer)
-		}
-		retryAfter, got := detector.ShouldSkip("i", test.route, time.Second+test.after, func() float64 { return test.random })
-		if got != test.want || (got && retryAfter <= 0) {
-			t.Errorf("%s: %t, back in %s; want %t", name, got, retryAfter, test.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			detector := NewOutlierDetector(5, 5*time.Second)
+			for _, answer := range test.answers {
+				detector.RecordOffer("i", "r", time.Second, answer)
+			}
+			retryAfter, got := detector.ShouldSkip("i", test.route, time.Second+test.after, func() float64 { return test.random })
+			if got != test.want || (got && retryAfter <= 0) {
+				t.Errorf("%t, retry after %s; want %t", got, retryAfter, test.want)
+			}
+		})
 	}
 }
 
-// What is asked settles at a multiple of what is taken, however much more there is to ask.
+// Offers settle at a multiple of what is accepted, however many more calls there are.
 func TestShouldSkipConverges(t *testing.T) {
 	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
 	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
@@ -210,6 +215,6 @@
 		detector.RecordOffer("i", "r", now, answer)
 	}
 	if a := float64(offered) / 60; a < 15 || a > 40 {
-		t.Errorf("asked for %.1f a second, where it takes 10", a)
+		t.Errorf("%.1f offers a second, where it accepts 10", a)
 	}
 }
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"strings"
 	"sync/atomic"
@@ -15,40 +16,40 @@
 	"meadowhinge/schema"
 )
 
-// Every refusal of the worker's side is not-run, and is true.
+// Every refusal on the worker's side has the outcome "not executed", and nothing has run.
 func TestRefusalsRunNothing(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(fixture *workerFixture, request *schema.ForwardRequest)
 		peer   transport.Peer
 		want   errs.Code
 	}{
-		"a caller the peer may not speak for": {func(_ *workerFixture, request *schema.ForwardRequest) { request.Caller = "saves" }, client, errs.CallerNotAllowed},
-		"a peer without a certificate":        {func(*workerFixture, *schema.ForwardRequest) {}, transport.Peer{}, errs.CallerNotAllowed},
-		"an altered body":                     {func(_ *workerFixture, request *schema.ForwardRequest) { request.Body = []byte("x") }, client, errs.MalformedRequest},
-		"an instance that is no more":         {func(_ *workerFixture, request *schema.ForwardRequest) { request.Instance = "p/old/1" }, client, errs.WrongInstance},
-		"another version":                     {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "2" }, client, errs.WrongInstance},
-		"another service":                     {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "saves" }, client, errs.WrongInstance},
-		"a version no setup lists":            {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "9" }, client, errs.VersionNotAllowed},
-		"a service no setup lists":            {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "nowhere" }, client, errs.VersionNotAllowed},
-		"a plan by rules long replaced":       {func(_ *workerFixture, request *schema.ForwardRequest) { request.Revision = 3 }, client, errs.StalePlan},
-		"no time left":                        {func(_ *workerFixture, request *schema.ForwardRequest) { request.TimeLeftNanos = 0 }, client, errs.DeadlineExceeded},
+		"a caller the peer may not call as":        {func(_ *workerFixture, request *schema.ForwardRequest) { request.Caller = "saves" }, client, errs.CallerNotAllowed},
+		"a peer without a certificate":             {func(*workerFixture, *schema.ForwardRequest) {}, transport.Peer{}, errs.CallerNotAllowed},
+		"an altered body":                          {func(_ *workerFixture, request *schema.ForwardRequest) { request.Body = []byte("x") }, client, errs.MalformedRequest},
+		"an instance that is no longer registered": {func(_ *workerFixture, request *schema.ForwardRequest) { request.Instance = "p/old/1" }, client, errs.WrongInstance},
+		"another version":                          {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "2" }, client, errs.WrongInstance},
+		"another service":                          {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "saves" }, client, errs.WrongInstance},
+		"a version no configuration lists":         {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "9" }, client, errs.VersionNotAllowed},
+		"a service no configuration lists":         {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "nowhere" }, client, errs.VersionNotAllowed},
+		"a plan by a revision replaced long ago":   {func(_ *workerFixture, request *schema.ForwardRequest) { request.Revision = 3 }, client, errs.StalePlan},
+		"no time left":                             {func(_ *workerFixture, request *schema.ForwardRequest) { request.TimeLeftNanos = 0 }, client, errs.DeadlineExceeded},
 		"a proxy without a lease": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			fixture.runner.HasLease = func() bool { return false }
 		}, client, errs.NoLease},
-		"a worker that is leaving": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"a worker that is draining": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			description := fixture.describe("127.0.0.1:1", fixture.workersByAddress["127.0.0.1:1"])
 			description.Draining = true
 			_, _ = fixture.workers.Register(description)
 		}, client, errs.WorkerDraining},
-		"a worker that fell silent": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"a worker whose heartbeats are overdue": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			time.Sleep(4 * time.Second)
 			fixture.workers.DropUnresponsive()
 		}, client, errs.WrongInstance},
-		"an address now another's, told": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"an address now another's, registered": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			fixture.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 			_, _ = fixture.workers.Register(fixture.describe("127.0.0.1:1", fixture.workersByAddress["127.0.0.1:1"]))
 		}, client, errs.WrongInstance},
-		"an address now another's, not yet told": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"an address now another's, not yet registered": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			fixture.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 		}, client, errs.WrongInstance},
 	} {
@@ -70,7 +71,7 @@
 	}
 }
 
-// What a worker answers is passed on only if it is certainly whole.
+// A worker's response is passed on only if it is certainly complete.
 func TestAnswersMustBeWhole(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
@@ -93,14 +94,14 @@
 				fixture := newWorkerFixture(t)
 				instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 				worker.answer = func(string) string {
-					// A cut answer is followed by the end of the connection.
+					// A truncated response is followed by the end of the connection.
 					if test.want == schema.CallOutcome_CALL_OUTCOME_UNKNOWN {
 						go func() {
 							time.Sleep(time.Millisecond)
 							fixture.lock.Lock()
 							defer fixture.lock.Unlock()
 							for _, conn := range fixture.conns["127.0.0.1:1"][2:] {
-								conn.Close()
+								_ = conn.Close() // a pipe cannot fail to close
 							}
 						}()
 					}
@@ -114,11 +115,12 @@
 	}
 }
 
-// A worker gets no call after it said it is leaving, and a request runs once however often
-// it is delivered: in every order of two deliveries and the worker's word.
+// A worker gets no call after it has reported that it is draining, and a request runs once however often it is delivered:
+// in every order of two deliveries and the report.
 func TestEveryOrderOfDeliveryAndLeaving(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
+			t.Helper()
 			fixture := newWorkerFixture(t)
 			instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 			var runsAtDraining int
@@ -127,12 +129,12 @@
 					runner := *fixture.runner
 					runner.HasLease = func() bool { yield(); return true }
 					if seeded {
-						runner.recentIDs = NewRecentIDs(8) // each delivery with a memory of its own
+						runner.recentIDs = NewRecentIDs(8) // each delivery with a set of ids of its own
 					}
 					runner.Run(t.Context(), client, newForwardRequest("r1", instance))
 				})
 			}
-			run.Go("leaving", func(yield func()) {
+			run.Go("draining", func(yield func()) {
 				description := fixture.describe("127.0.0.1:1", worker)
 				description.Draining = true
 				yield()
@@ -145,14 +147,14 @@
 					return fmt.Errorf("ran %d times", len(runs))
 				}
 				if runsAtDraining > 0 && len(runs) >= runsAtDraining {
-					return fmt.Errorf("ran after the worker left")
+					return errors.New("ran after the worker was draining")
 				}
 				return nil
 			}
 		})
 	}
 	if broken := explore(true); broken.Failure == "" {
-		t.Error("the planted fault was not found")
+		t.Error("the seeded fault was not found")
 	}
 	correct := explore(false)
 	if correct.Failure != "" {
@@ -161,10 +163,11 @@
 	t.Logf("%d orders", correct.Schedules)
 }
 
-// Of three callers with one key, one runs; the others get its answer, in every order.
+// Of three callers with one key one runs, and the others get its answer, in every order.
 func TestEveryOrderOfOneKey(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
+			t.Helper()
 			cache := NewIdempotencyCache(8)
 			var runs, answered atomic.Int32
 			for _, name := range []string{"a", "b", "c"} {
@@ -188,21 +191,21 @@
 					return fmt.Errorf("ran %d times", runs.Load())
 				}
 				if answered.Load() > 0 && runs.Load() == 0 {
-					return fmt.Errorf("answered and never ran")
+					return errors.New("answered and never ran")
 				}
 				return nil
 			}
 		})
 	}
 	if explore(true).Failure == "" {
-		t.Error("the planted fault was not found")
+		t.Error("the seeded fault was not found")
 	}
 	if correct := explore(false); correct.Failure != "" {
 		t.Error(correct.Failure)
 	}
 }
 
-// The memory's other answers.
+// The results of repeats, by the result of the first request and where it was tried.
 func TestIdempotencyCache(t *testing.T) {
 	cache := NewIdempotencyCache(2)
 	runs := 0
@@ -220,15 +223,15 @@
 		want      schema.CallOutcome
 		ran       int
 	}{
-		{"k", "b", notRunEnding, "", notRunEnding, 1},    // not run: the key is free again
-		{"k", "b", unknownEnding, "w", unknownEnding, 2}, // unknown at a place
+		{"k", "b", notRunEnding, "", notRunEnding, 1},    // not executed: the key is free again
+		{"k", "b", unknownEnding, "w", unknownEnding, 2}, // unknown at an instance
 		{"k", "b", notRunEnding, "w", unknownEnding, 3},  // a repeat there that did not run leaves the first unknown
 		{"k", "x", answered, "w", notRunEnding, 3},       // the key with another body
-		{"k", "b", answered, "w", answered, 4},           // the place can tell after all
-		{"k", "b", answered, "w", answered, 4},           // from memory
+		{"k", "b", answered, "w", answered, 4},           // the instance can tell after all
+		{"k", "b", answered, "w", answered, 4},           // from the cache
 		{"u", "b", unknownEnding, "", unknownEnding, 5},  // unknown where nobody can tell
 		{"u", "b", answered, "", unknownEnding, 5},       // stays unknown, and is not run
-		{"v", "b", answered, "", answered, 6},            // makes room: the oldest goes
+		{"v", "b", answered, "", answered, 6},            // makes room: the oldest is dropped
 	} {
 		if got := attempt(test.key, test.body, test.ending, test.instance); got.Outcome != test.want || runs != test.ran {
 			t.Errorf("step %d: ended %v after %d runs, want %v after %d", i, got.Outcome, runs, test.want, test.ran)
@@ -236,7 +239,7 @@
 	}
 }
 
-// Large answers push older ones out, so that keys never take more memory than settings allow.
+// Large answers push older ones out, so that keys never take more memory than the settings allow.
 func TestIdempotencyCacheIsBoundedInBytes(t *testing.T) {
 	cache := NewIdempotencyCache(100)
 	large := make([]byte, 10*bytesPerKey)
@@ -260,7 +263,7 @@
 	}
 }
 
-// What was refused as not run stays so when it is delivered again, though nothing refuses it then.
+// A request that was refused as not executed does not run when it is delivered again, though nothing refuses it then.
 func TestWhatWasRefusedNeverRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
@@ -280,14 +283,14 @@
 	})
 }
 
-// What came of a worker's calls is told with each answer: failures, broken answers, and calls that were
-// given up after far longer than calls take; not those that had not the time that calls take.
+// Each response reports how the worker's calls ended: failures, truncated responses, and calls that were given up after far
+// longer than calls take; not those that had less time than calls take.
 func TestReportedWorkerRecord(t *testing.T) {
 	const answers = 20
 	for name, test := range map[string]struct {
-		answer   string        // of the calls after those; empty for none
+		answer   string        // of the last five calls; empty for none
 		timeLeft time.Duration // that calls have
-		failed   uint32        // told of so many
+		failed   uint32        // reported failures
 	}{
 		"answers":                {jsonAnswer(`{"a":1}`), time.Minute, 0},
 		"fails":                  {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", time.Minute, 5},
@@ -326,7 +329,7 @@
 					run(answers+number, test.timeLeft)
 				}
 				if ran, failed := fixture.runner.Outliers.RunCounts(instance, fixture.now()); failed != test.failed || (failed > 0 && ran != answers+failed) {
-					t.Errorf("told: %d of %d failed", failed, ran)
+					t.Errorf("reported: %d of %d failed", failed, ran)
 				}
 			})
 		})
