--- a/internal/dispatch/endpoint_picks_test.go
+++ b/internal/dispatch/endpoint_picks_test.go
@@ -13,8 +13,8 @@
 	"meadowhinge/schema"
 )
 
-// Placing beats the simple ways by what calls lose together, late or between zones; and it is
-// late less often than whoever looks at nothing or stays in the own zone.
+// The planner's picks lose less to late calls and calls between zones, taken together, than simple strategies do. They are
+// late less often than picks by zone alone, and hardly more often than random ones.
 func TestEndpointPicks(t *testing.T) {
 	layouts := []simOptions{
 		{zones: []int{2, 2, 1}, speeds: []float64{1.4, 1.0, 1.4, 1.0, 0.6}},
@@ -34,12 +34,15 @@
 	}
 }
 
+// expectBestPicks compares the planner's picks with the other strategies in one layout.
 func expectBestPicks(t *testing.T, layout simOptions, utilization float64) {
+	t.Helper()
 	worlds := map[string]*simWorld{}
 	text := fmt.Sprintf("%v %v used %.2f, silent %v, cold %d, times %d:", layout.zones, layout.speeds, utilization, layout.noLoadReports, layout.restarted, layout.times)
 	for _, name := range []string{"planned", "random", "own zone", "least in flight"} {
 		options := layout
-		options.utilization, options.pick, options.length, options.shares, options.swing = utilization, simPickers[name], 20*time.Second, []float64{.31, .36, .33}, 0.15
+		options.utilization, options.pick, options.length = utilization, simPickers[name], 20*time.Second
+		options.shares, options.swing = []float64{.31, .36, .33}, 0.15
 		worlds[name] = simulate(options)
 		text += fmt.Sprintf("  %s %.3f late %.3f across", name, worlds[name].lateFraction(), worlds[name].crossedFraction())
 	}
@@ -58,18 +61,33 @@
 	}
 }
 
-// Where zones hold their own, next to nothing crosses; where one cannot, what it lacks crosses
-// evenly over time, not by turns.
+// Hardly any call crosses while each zone has capacity for its own. Where one lacks it, its excess crosses evenly over time, and
+// not in bursts.
 func TestSpillIsSmooth(t *testing.T) {
-	even := simulate(simOptions{zones: []int{4, 4, 4}, speeds: []float64{1}, shares: []float64{1. / 3, 1. / 3, 1. / 3}, utilization: 0.6, pick: simPickers["planned"], length: 20 * time.Second})
+	even := simulate(simOptions{
+		zones:       []int{4, 4, 4},
+		speeds:      []float64{1},
+		shares:      []float64{1. / 3, 1. / 3, 1. / 3},
+		utilization: 0.6,
+		pick:        simPickers["planned"],
+		length:      20 * time.Second,
+	})
 	if even.crossedFraction() > 0.01 {
-		t.Errorf("%.3f cross though every zone holds its own", even.crossedFraction())
+		t.Errorf("%.3f cross though every zone has capacity for its own", even.crossedFraction())
 	}
-	short := simulate(simOptions{zones: []int{2, 2, 1}, speeds: []float64{1}, shares: []float64{.31, .36, .33}, utilization: 0.8, pick: simPickers["planned"], length: 30 * time.Second})
+	short := simulate(simOptions{
+		zones:       []int{2, 2, 1},
+		speeds:      []float64{1},
+		shares:      []float64{.31, .36, .33},
+		utilization: 0.8,
+		pick:        simPickers["planned"],
+		length:      30 * time.Second,
+	})
 	seconds := short.zoneCrossed[2][6:29]
 	sum, squares := 0.0, 0.0
 	for _, count := range seconds {
-		sum, squares = sum+float64(count), squares+float64(count*count)
+		sum += float64(count)
+		squares += float64(count * count)
 	}
 	mean := sum / float64(len(seconds))
 	spread := math.Sqrt(squares/float64(len(seconds))-mean*mean) / mean
@@ -82,15 +100,15 @@
 	}
 }
 
-// A worker that fails is passed by, by the others' measure, and gets its calls back by and by.
+// A worker that fails more than the others is avoided, and gets its calls back gradually once it is healthy.
 func TestFailingWorkersArePassedBy(t *testing.T) {
 	compiled, _ := config.Compile(config.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "s", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"versions":["1"],"fallback":"1"}`)},
 		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"service":"s","prefix":"/"}`)}}), 1)
 	random := rand.New(rand.NewPCG(1, 2))
 	for name, test := range map[string]struct {
-		failing          [3]float64 // part of each worker's calls
-		fromPart, toPart float64    // of calls that worker 0 may get while it fails
+		failing          [3]float64 // fraction of each worker's calls that fail
+		fromPart, toPart float64    // bounds on the fraction of calls that worker 0 gets while it fails
 	}{
 		"none":               {[3]float64{}, 0.25, 0.42},
 		"a few":              {[3]float64{0.02, 0, 0}, 0.25, 0.42},
@@ -99,42 +117,49 @@
 		"all alike":          {[3]float64{0.3, 0.3, 0.3}, 0.25, 0.42},
 		"two of three, half": {[3]float64{0.5, 0.5, 0}, 0, 0.4},
 	} {
-		detector := NewOutlierDetector(5, 5*time.Second)
-		view := &plan.View{Config: compiled, Directory: plan.Directory{"s": {"1": {{Instance: "w0", Proxy: "p0"}, {Instance: "w1", Proxy: "p1"}, {Instance: "w2", Proxy: "p2"}}}}}
-		now := time.Duration(0)
-		simulateCalls := func(calls int, failing [3]float64) (got [3]float64) {
-			for range calls {
-				now += 10 * time.Millisecond
-				made, err := plan.Make(view, &plan.Request{Method: "GET", Path: "/", Header: func(string) (string, bool) { return "", false }}, plan.Options{MaxDeadline: time.Minute}, LocalState{detector, nil}, now, random.Float64)
-				if err != nil {
-					t.Fatal(err)
+		t.Run(name, func(t *testing.T) {
+			detector := NewOutlierDetector(5, 5*time.Second)
+			view := &plan.View{Config: compiled, Directory: plan.Directory{"s": {"1": {
+				{Instance: "w0", Proxy: "p0"},
+				{Instance: "w1", Proxy: "p1"},
+				{Instance: "w2", Proxy: "p2"},
+			}}}}
+			request := &plan.Request{Method: "GET", Path: "/", Header: func(string) (string, bool) { return "", false }}
+			now := time.Duration(0)
+			simulateCalls := func(calls int, failing [3]float64) (got [3]float64) {
+				for range calls {
+					now += 10 * time.Millisecond
+					made, err := plan.Make(view, request, plan.Options{MaxDeadline: time.Minute}, LocalState{detector, nil}, now, random.Float64)
+					if err != nil {
+						t.Fatal(err)
+					}
+					worker := int(made.Candidates[0].Instance[1] - '0')
+					got[worker] += 1 / float64(calls)
+					detector.BeginCall(made.Candidates[0].Instance, now)
+					detector.EndCall(made.Candidates[0].Instance, now, random.Float64() < failing[worker])
 				}
-				worker := int(made.Candidates[0].Instance[1] - '0')
-				got[worker] += 1 / float64(calls)
-				detector.BeginCall(made.Candidates[0].Instance, now)
-				detector.EndCall(made.Candidates[0].Instance, now, random.Float64() < failing[worker])
+				return got
 			}
-			return got
-		}
-		simulateCalls(200, test.failing)
-		if got := simulateCalls(1000, test.failing); got[0] < test.fromPart || got[0] > test.toPart {
-			t.Errorf("%s: the parts are %.2f", name, got)
-		}
-		simulateCalls(1500, [3]float64{})
-		if got := simulateCalls(500, [3]float64{}); got[0] < 0.25 {
-			t.Errorf("%s: sound again, the parts are %.2f", name, got)
-		}
+			simulateCalls(200, test.failing)
+			if got := simulateCalls(1000, test.failing); got[0] < test.fromPart || got[0] > test.toPart {
+				t.Errorf("the fractions are %.2f", got)
+			}
+			simulateCalls(1500, [3]float64{})
+			if got := simulateCalls(500, [3]float64{}); got[0] < 0.25 {
+				t.Errorf("healthy again, the fractions are %.2f", got)
+			}
+		})
 	}
 }
 
-// The ways of judging workers that the product's own is held against.
+// Strategies of judging workers that the detector's own is compared with.
 const (
 	judgedNotAtAll      = "not at all"
-	judgedByConsecutive = "failures in a row"       // five, as a caller's proxy sees them
-	judgedByOwnRecord   = "its own callers' record" // and the part that fails, as it sees it: the product's way before
+	judgedByConsecutive = "failures in a row"       // five consecutive ones, as a caller's proxy sees them
+	judgedByOwnRecord   = "its own callers' record" // and the failure ratio as a caller's proxy sees it, without the worker's proxy's report
 )
 
-// judgedState is facts as another way of judging has them.
+// judgedState is what another strategy knows of workers.
 type judgedState struct {
 	plan.LocalState
 	judgedBy string
@@ -151,13 +176,24 @@
 	return stats
 }
 
-// simulateGrownFleet is a service of a grown fleet, of which every so manyth worker fails part of its calls.
+// simulateGrownFleet simulates a service in a large fleet. Every failingEvery-th worker fails a fraction of its calls.
 func simulateGrownFleet(judgedBy string, failingEvery int, failing float64) *simWorld {
-	return simulate(simOptions{zones: []int{9, 11, 9}, speeds: []float64{0.7, 0.7, 1.6}, times: 3, utilization: 0.6, pick: simPickers["planned"], length: 40 * time.Second,
-		shares: []float64{.31, .36, .33}, seed: 7, failingEvery: failingEvery, failing: failing, judgedBy: judgedBy})
+	return simulate(simOptions{
+		zones:        []int{9, 11, 9},
+		speeds:       []float64{0.7, 0.7, 1.6},
+		times:        3,
+		utilization:  0.6,
+		pick:         simPickers["planned"],
+		length:       40 * time.Second,
+		shares:       []float64{.31, .36, .33},
+		seed:         7,
+		failingEvery: failingEvery,
+		failing:      failing,
+		judgedBy:     judgedBy,
+	})
 }
 
-// relativeCalls is how many calls every so manyth worker got, of what all alike would get.
+// relativeCalls returns how many calls every failingEvery-th worker got, relative to an equal share.
 func (w *simWorld) relativeCalls(failingEvery int) float64 {
 	calls, workers := 0, 0
 	for i, count := range w.byWorker {
@@ -168,35 +204,36 @@
 	return float64(calls) / float64(w.calls) * float64(len(w.workers)) / float64(workers)
 }
 
-// spread is by how much calls differ between workers that are alike, as a part of their mean.
+// spread returns the mean deviation of calls between workers of the same zone and speed, as a fraction of their mean.
 func (w *simWorld) spread() float64 {
 	alike := map[[2]float64][]float64{}
-	for i, one := range w.workers {
-		key := [2]float64{float64(one.zone), one.speed}
+	for i, worker := range w.workers {
+		key := [2]float64{float64(worker.zone), worker.speed}
 		alike[key] = append(alike[key], float64(w.byWorker[i]))
 	}
 	sum, count := 0.0, 0.0
 	for _, calls := range alike {
 		mean := 0.0
-		for _, one := range calls {
-			mean += one / float64(len(calls))
+		for _, count := range calls {
+			mean += count / float64(len(calls))
 		}
-		for _, one := range calls {
-			sum, count = sum+math.Abs(one-mean)/mean, count+1
+		for _, workerCalls := range calls {
+			sum += math.Abs(workerCalls-mean) / mean
+			count++
 		}
 	}
 	return sum / count
 }
 
-// In a fleet each proxy calls a worker seldom, so that by what it sees alone it finds out late who
-// fails; and who fails quickly looks idle. What the proxy beside tells of all calls finds it out: by
-// size of fault, how much is called at those who fail, and how many calls fail.
+// In a large fleet each proxy rarely calls a given worker, so that by its own record it detects a failing one late; and a worker
+// that fails quickly looks idle. The report of the worker's proxy detects it. Bounds are given by failure ratio: how much a failing
+// worker is called, and how many calls fail.
 func TestGreyWorkersOfAFleet(t *testing.T) {
 	const failingEvery = 4
 	for _, test := range []struct {
 		failing  float64
-		partMost float64 // of the calls that a worker gets by its number, that one who fails may get
-		ownMost  float64 // failures, as a part of those by the callers' own record
+		partMost float64 // a failing worker's calls, relative to an equal share
+		ownMost  float64 // failures, relative to those by the callers' own record
 	}{{0, 1.1, 1}, {0.02, 1.15, 1.1}, {0.1, 1, 0.85}, {0.2, 0.75, 0.7}, {0.4, 0.55, 0.65}, {0.8, 0.4, 0.65}} {
 		t.Run(fmt.Sprint(test.failing), func(t *testing.T) {
 			t.Parallel()
@@ -206,7 +243,7 @@
 				failed[judgedBy] = float64(world.failed) / float64(world.calls)
 				text += fmt.Sprintf(" %q: failed %.4f, late %.4f, part %.2f;", judgedBy, failed[judgedBy], world.lateFraction(), world.relativeCalls(failingEvery))
 				if judgedBy == "" && world.relativeCalls(failingEvery) > test.partMost {
-					t.Errorf("who fails gets %.2f of its part", world.relativeCalls(failingEvery))
+					t.Errorf("a failing worker gets %.2f of an equal share", world.relativeCalls(failingEvery))
 				}
 			}
 			t.Log(text)
@@ -217,8 +254,8 @@
 	}
 }
 
-// Where all fail alike nobody is the outlier: chance convicts hardly anybody, so calls stay as evenly
-// spread over workers that are alike as where none fails.
+// Where all workers fail alike none is an outlier: hardly any is avoided by chance, so calls stay as evenly spread over equal workers
+// as where none fails.
 func TestNobodyIsConvictedByChance(t *testing.T) {
 	healthySpread := simulateGrownFleet("", 1, 0).spread()
 	for failing, most := range map[float64]float64{0.02: 0.05, 0.1: 0.05, 0.3: 0.1} {
--- a/internal/dispatch/endpoint_sim_test.go
+++ b/internal/dispatch/endpoint_sim_test.go
@@ -14,9 +14,10 @@
 	"meadowhinge/schema"
 )
 
-// A service under load, on a virtual clock: proxies in three zones place its calls, each by what
-// it has seen itself and by a directory that is old. Workers differ in speed.
+// This file simulates a service under load on a virtual clock: proxies in three zones pick endpoints for its calls, each by what it
+// has seen itself and by a directory that lags. Workers differ in speed.
 
+// queuedCall is one call on its way.
 type queuedCall struct {
 	proxy     int // proxy
 	startedAt time.Duration
@@ -27,6 +28,7 @@
 	order     []int
 }
 
+// simWorker is a worker with its queue.
 type simWorker struct {
 	zone        int
 	speed       float64
@@ -35,16 +37,18 @@
 	queue       []*queuedCall
 	serviceTime time.Duration
 	slowUntil   time.Duration
-	failing     float64 // part of its calls
+	failing     float64 // fraction of its calls that fail
 	calls       callRecord
 }
 
+// simEvent is something that happens at a moment; seq orders events of the same moment.
 type simEvent struct {
 	at  time.Duration
 	run func()
 	seq int
 }
 
+// simEvents is a heap of events, the next one first.
 type simEvents []simEvent
 
 func (e simEvents) Len() int { return len(e) }
@@ -57,25 +61,32 @@
 
 func (e *simEvents) Push(x any) { *e = append(*e, x.(simEvent)) }
 
-func (e *simEvents) Pop() any { old := *e; last := old[len(old)-1]; *e = old[:len(old)-1]; return last }
+func (e *simEvents) Pop() any {
+	old := *e
+	last := old[len(old)-1]
+	*e = old[:len(old)-1]
+	return last
+}
 
+// simOptions describe a fleet, its traffic and its faults.
 type simOptions struct {
-	zones         []int     // workers of each zone
-	shares        []float64 // of the traffic of each zone
+	zones         []int     // workers in each zone
+	shares        []float64 // fraction of the traffic that comes from each zone
 	speeds        []float64
-	utilization   float64 // of what all workers can do
+	utilization   float64 // of the capacity of all workers
 	pick          func(w *simWorld, from int) []int
 	length        time.Duration
 	seed          uint64
-	restarted     int     // so many workers start anew in the middle
-	swing         float64 // of the traffic, as a part of it
-	times         int     // proxies, as a multiple of the usual number, and how much longer calls take
-	noLoadReports bool    // workers tell no load with their answers
-	failingEvery  int     // every so manyth worker fails, 0 for none
-	failing       float64 // this part of its calls, in a tenth of the time
-	judgedBy      string  // by which workers are judged, empty for the product's own
+	restarted     int     // workers that restart in the middle, and are slow for a while
+	swing         float64 // amplitude of the traffic, as a fraction of it
+	times         int     // multiple of the default number of proxies, and of the default duration of calls
+	noLoadReports bool    // responses report no load
+	failingEvery  int     // every failingEvery-th worker fails, 0 for none
+	failing       float64 // fraction of its calls, each in a tenth of the time
+	judgedBy      string  // strategy by which workers are judged, empty for the detector's own
 }
 
+// simWorld is a simulation under way, and its counts since the end of its warm-up.
 type simWorld struct {
 	simOptions
 	now           time.Duration
@@ -88,7 +99,7 @@
 	latencyTarget time.Duration
 
 	calls, late, crossed, refused, lost, failed int
-	zoneCrossed                                 [3][]int // by second
+	zoneCrossed                                 [3][]int // calls that crossed, by zone of origin and second
 	byWorker                                    []int
 }
 
@@ -101,11 +112,13 @@
 	simEjection      = 5 * time.Second
 )
 
-// proxies and work are how many proxies there are, and how long a call takes in the mean.
+// proxies returns how many proxies there are.
 func (o *simOptions) proxies() int { return simProxies * max(1, o.times) }
 
+// work returns how long a call takes in the mean, at speed 1.
 func (o *simOptions) work() time.Duration { return simWork * time.Duration(max(1, o.times)) }
 
+// after schedules an event.
 func (w *simWorld) after(span time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.events, simEvent{w.now + span, run, w.seq})
@@ -113,6 +126,7 @@
 
 func zoneOf(proxy int) int { return proxy % 3 }
 
+// simulate runs a simulation to its end.
 func simulate(options simOptions) *simWorld {
 	w := &simWorld{simOptions: options, random: rand.New(rand.NewPCG(options.seed, 1)), latencyTarget: simLatencyTarget * time.Duration(max(1, options.times))}
 	for zone, count := range options.zones {
@@ -160,7 +174,7 @@
 		rate := options.utilization * capacity * options.shares[zone]
 		var arrive func()
 		arrive = func() {
-			// Traffic swings, each zone by itself.
+			// The traffic of each zone swings at its own phase.
 			currentRate := rate * (1 + options.swing*math.Sin(2*math.Pi*(w.now.Seconds()/11+float64(zone)/3)))
 			w.after(time.Duration(w.random.ExpFloat64()/currentRate*1e9), arrive)
 			w.startCall(zone + 3*w.random.IntN(options.proxies()/3))
@@ -182,7 +196,7 @@
 	return w
 }
 
-// startCall begins a call at a proxy.
+// startCall starts a call at a proxy. The duration is distributed log-normally.
 func (w *simWorld) startCall(from int) {
 	const spread = 0.8
 	work := math.Exp(w.random.NormFloat64()*spread-spread*spread/2) * float64(w.work())
@@ -190,7 +204,7 @@
 	w.send(call)
 }
 
-// send tries the next worker.
+// send makes the next attempt of a call.
 func (w *simWorld) send(call *queuedCall) {
 	if call.attempts >= 4 || w.now-call.startedAt > w.latencyTarget {
 		w.end(call, false)
@@ -231,17 +245,21 @@
 	w.begin(worker, latency)
 }
 
+// fillLoad reports a worker's load and record in a response.
 func (w *simWorld) fillLoad(worker *simWorker, response *schema.ForwardResponse) {
 	if w.noLoadReports {
 		return
 	}
-	response.Running, response.Queued, response.Slots, response.ServiceTimeNanos = uint32(worker.running), uint32(len(worker.queue)), uint32(worker.slots), int64(worker.serviceTime)
+	response.Running = uint32(worker.running)
+	response.Queued = uint32(len(worker.queue))
+	response.Slots = uint32(worker.slots)
+	response.ServiceTimeNanos = int64(worker.serviceTime)
 	if ran, failed := worker.calls.decayed(w.now, simEjection); w.judgedBy == "" && math.Round(failed) > 0 {
 		response.RecentRuns, response.RecentFailures = uint32(math.Round(ran)), uint32(math.Round(failed))
 	}
 }
 
-// begin lets a worker work on what waits.
+// begin starts queued calls while the worker has free slots.
 func (w *simWorld) begin(worker *simWorker, latency time.Duration) {
 	for worker.running < worker.slots && len(worker.queue) > 0 {
 		call := worker.queue[0]
@@ -279,6 +297,7 @@
 	}
 }
 
+// end counts a call that is over.
 func (w *simWorld) end(call *queuedCall, served bool) {
 	if w.now < simWarmup {
 		return
@@ -307,23 +326,32 @@
 
 func (w *simWorld) crossedFraction() float64 { return float64(w.crossed) / float64(w.calls) }
 
-// cost is what a call loses by being late, and by its bytes between zones.
+// cost weighs what a call loses by being late, and by its bytes between zones.
 func (w *simWorld) cost() float64 { return 0.7*w.lateFraction() + 0.2*w.crossedFraction() }
 
-// The ways of placing that are compared.
+// simPickers are the strategies of picking endpoints that are compared. Each returns indexes of workers, in order.
 var simPickers = map[string]func(w *simWorld, from int) []int{
 	"planned": func(w *simWorld, from int) []int {
 		options := plan.Options{Zone: fmt.Sprint("z", zoneOf(from)), MaxDeadline: time.Minute}
-		made, err := plan.Make(w.views[from], &plan.Request{Caller: "c", Method: "GET", Path: "/", Header: func(string) (string, bool) { return "", false }, Identity: "i"}, options,
-			judgedState{LocalState{w.detectors[from], nil}, w.judgedBy}, w.now, w.random.Float64)
+		request := &plan.Request{
+			Caller:   "c",
+			Method:   "GET",
+			Path:     "/",
+			Header:   func(string) (string, bool) { return "", false },
+			Identity: "i",
+		}
+		local := judgedState{LocalState{w.detectors[from], nil}, w.judgedBy}
+		callPlan, err := plan.Make(w.views[from], request, options, local, w.now, w.random.Float64)
 		if err != nil {
 			panic(err)
 		}
 		var order []int
-		for _, one := range made.Candidates {
-			at := 0
-			fmt.Sscanf(one.Instance, "w%d", &at)
-			order = append(order, at)
+		for _, candidate := range callPlan.Candidates {
+			index := 0
+			if _, err := fmt.Sscanf(candidate.Instance, "w%d", &index); err != nil {
+				panic(err)
+			}
+			order = append(order, index)
 		}
 		return order
 	},
--- a/internal/dispatch/worker_conns_fuzz_test.go
+++ b/internal/dispatch/worker_conns_fuzz_test.go
@@ -12,14 +12,13 @@
 	"meadowhinge/schema"
 )
 
-// Whatever a worker sends, an answer is taken whole, within the bound and with a final status, or
-// it is no answer.
+// Whatever a worker sends, a response is accepted only if it is complete, within the size limit and with a final status.
 func FuzzAnswers(f *testing.F) {
 	for _, seed := range []string{answered("r", "one"), "HTTP/1.1 200 OK\r\n\r\none", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n",
 		"HTTP/1.1 100 Continue\r\n\r\n" + answered("r", ""), "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n"} {
 		f.Add([]byte(seed))
 	}
-	const most = 1 << 12
+	const maxBodyBytes = 1 << 12
 	f.Fuzz(func(t *testing.T, text []byte) {
 		response := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseResponse(response)
@@ -28,8 +27,8 @@
 			codec:        testCodec{},
 			forward:      &schema.ForwardRequest{Request: "r"},
 			deadline:     time.Now().Add(time.Minute),
-			maxBodyBytes: most,
-			bodyMemory:   semaphore.NewWeighted(most),
+			maxBodyBytes: maxBodyBytes,
+			bodyMemory:   semaphore.NewWeighted(maxBodyBytes),
 		}
 		defer x.releaseMemory()
 		reader := bufio.NewReader(bytes.NewReader(text))
@@ -38,14 +37,14 @@
 		}
 		x.info = x.codec.ReadHeader(&response.Header, x.forward)
 		err := x.readBody(reader)
-		if len(x.body) > most {
-			t.Fatalf("%d bytes were kept", len(x.body))
+		if len(x.body) > maxBodyBytes {
+			t.Fatalf("%d bytes were accepted", len(x.body))
 		}
 		if status := response.StatusCode(); err == nil && (status < 200 || status > 599) {
-			t.Fatalf("status %d was taken", status)
+			t.Fatalf("status %d was accepted", status)
 		}
 		if length := response.Header.ContentLength(); err == nil && length > 0 && !x.hasNoBody(response.StatusCode()) && len(x.body) != length {
-			t.Fatalf("%d bytes of %d were taken for whole", len(x.body), length)
+			t.Fatalf("%d bytes of %d were accepted as complete", len(x.body), length)
 		}
 	})
 }
--- a/internal/dispatch/worker_conns_test.go
+++ b/internal/dispatch/worker_conns_test.go
@@ -22,7 +22,7 @@
 	"meadowhinge/schema"
 )
 
-// testCodec is a speech with a word for everything that a worker may say.
+// testCodec is a codec with a header for everything that a worker may report.
 type testCodec struct{ NativeCodec }
 
 func (testCodec) WriteHeaders(request *fasthttp.Request, forward *schema.ForwardRequest, _ WorkerRegistration, _ time.Duration) {
@@ -32,26 +32,31 @@
 
 func (testCodec) ReadHeader(header *fasthttp.ResponseHeader, request *schema.ForwardRequest) ResponseInfo {
 	id := string(header.Peek("X-Id"))
-	return ResponseInfo{WrongRequest: id != "" && id != request.Request, NotExecuted: len(header.Peek("X-Unrun")) > 0, WrongWorker: header.StatusCode() == 421,
-		ClosesConnection: header.ConnectionClose(), EndsAtClose: true}
+	return ResponseInfo{
+		WrongRequest:     id != "" && id != request.Request,
+		NotExecuted:      len(header.Peek("X-Unrun")) > 0,
+		WrongWorker:      header.StatusCode() == http.StatusMisdirectedRequest,
+		ClosesConnection: header.ConnectionClose(),
+		EndsAtClose:      true,
+	}
 }
 
-// socketFixture is a proxy's worker side with a worker on a loopback socket.
+// socketFixture is a runner with one worker on a loopback socket.
 type socketFixture struct {
 	runner  *Runner
 	workers *Workers
-	opened  atomic.Int32
+	opened  atomic.Int32 // connections that the worker accepted
 	address string
 }
 
-// newSocketFixture lets serve answer on each connection, of which it is told the how manieth it is.
+// newSocketFixture returns a fixture whose worker serves each connection by serve. connNumber is 1 for the first one.
 func newSocketFixture(tb testing.TB, serve func(conn *net.TCPConn, reader *bufio.Reader, connNumber int)) *socketFixture {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { listener.Close() })
+	tb.Cleanup(func() { _ = listener.Close() }) // the test is over
 	fixture := &socketFixture{address: listener.Addr().String()}
 	go func() {
 		for {
@@ -61,18 +66,33 @@
 			}
 			connNumber := int(fixture.opened.Add(1))
 			go func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }() // the test has reset or closed it already where that matters
 				serve(conn.(*net.TCPConn), bufio.NewReader(conn), connNumber)
 			}()
 		}
 	}()
 	startedAt := time.Now()
 	now := func() time.Duration { return time.Since(startedAt) }
-	fixture.workers = NewWorkers(WorkersOptions{Proxy: "p", MaxMissedHeartbeats: 3, MaxWorkers: 4, MaxConns: 64, MaxBodyBytes: 1 << 20, Now: now, NoLivenessConn: true,
-		Dial: func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) }}, func() {})
+	fixture.workers = NewWorkers(WorkersOptions{
+		Proxy:               "p",
+		MaxMissedHeartbeats: 3,
+		MaxWorkers:          4,
+		MaxConns:            64,
+		MaxBodyBytes:        1 << 20,
+		Now:                 now,
+		NoLivenessConn:      true,
+		Dial:                func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, time.Second) },
+	}, func() {})
 	view := &plan.View{Config: compileConfig(tb, 5)}
-	fixture.runner = NewRunner(Runner{Workers: fixture.workers, Codec: testCodec{}, View: func() *plan.View { return view }, AwaitConfig: func(context.Context, uint64) {},
-		RevisionOutdated: func(uint64) bool { return false }, HasLease: func() bool { return true }, Now: now}, 1<<16)
+	fixture.runner = NewRunner(Runner{
+		Workers:          fixture.workers,
+		Codec:            testCodec{},
+		View:             func() *plan.View { return view },
+		AwaitConfig:      func(context.Context, uint64) {},
+		RevisionOutdated: func(uint64) bool { return false },
+		HasLease:         func() bool { return true },
+		Now:              now,
+	}, 1<<16)
 	if _, err := fixture.workers.Register(WorkerDescription{ID: "w", Address: fixture.address, Service: "shop", Version: "1", HeartbeatMS: 60000, Slots: 64}); err != nil {
 		tb.Fatal(err)
 	}
@@ -82,7 +102,9 @@
 	return fixture
 }
 
+// run runs a request on the worker, after change if it is not nil.
 func (f *socketFixture) run(tb testing.TB, id string, change func(*schema.ForwardRequest)) *schema.ForwardResponse {
+	tb.Helper()
 	request := newForwardRequest(id, "w")
 	request.Host = "shop.example"
 	request.TimeLeftNanos = int64(10 * time.Second)
@@ -92,7 +114,7 @@
 	return f.runner.Run(tb.Context(), client, request)
 }
 
-// idOf reads a request and gives its id, empty at the end.
+// idOf reads a request and returns its id, empty at the end of the connection.
 func idOf(reader *bufio.Reader) string {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -102,12 +124,12 @@
 	return request.Header.Get("X-Id")
 }
 
+// answered returns a complete response to a request.
 func answered(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// Whatever a worker sends, two requests after each other end as they should, and each answer
-// is that of its own request.
+// Whatever a worker sends, two successive requests end as they should, and each answer belongs to its own request.
 func TestOddWorkers(t *testing.T) {
 	answeredEnding, notRunEnding, unknownEnding := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN
 	always := func(text string) func(string) string { return func(string) string { return text } }
@@ -121,47 +143,47 @@
 		kind   errs.Code // of the first
 		opened int32
 	}{
-		"plain":             {want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"an empty body":     {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"in chunks":         {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"in chunks, a tail": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"plain":                     {want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"an empty body":             {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"in chunks":                 {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"in chunks, with a trailer": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
 		"interim answers": {first: func(id string) string {
 			return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answered(id, "one")
 		}, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"no content":           {first: always("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"not modified":         {first: always("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"the head alone":       {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"gives it back":        {first: always("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"closes while idle":    {ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"says more":            {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"says a second answer": {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"says it late":         {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"only says it late":    {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{answeredEnding, unknownEnding}, opened: 1},
-		"refuses":              {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, kind: errs.QueueFull, opened: 1},
-		"refuses, and is cut":  {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, kind: errs.QueueFull, opened: 2},
-		"is another":           {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, kind: errs.WrongInstance, opened: 1},
-		"an error of its own":  {first: always("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"closes for an answer": {first: always(""), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
-		"cut in the head":      {first: always("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
-		"cut in the body":      {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
-		"cut in a chunk":       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
-		"cut before the tail":  {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
-		"chunks named oddly":   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"a chunk with no size": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"a chunk too long":     {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"chunks too large":     {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"to the end":           {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"nothing to the end":   {first: always("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"much to the end":      {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"too much to the end":  {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"reset before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
-		"silent before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
+		"no content":                         {first: always("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"not modified":                       {first: always("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"the header alone":                   {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"closes the connection":              {first: always("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"closes while idle":                  {ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"sends more":                         {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"sends a second response":            {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"sends a response late":              {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"sends only a late response":         {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{answeredEnding, unknownEnding}, opened: 1},
+		"refuses":                            {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, kind: errs.QueueFull, opened: 1},
+		"refuses, truncated":                 {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, kind: errs.QueueFull, opened: 2},
+		"is another worker":                  {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, kind: errs.WrongInstance, opened: 1},
+		"an error of its own":                {first: always("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"closes instead of a response":       {first: always(""), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"truncated in the header":            {first: always("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
+		"truncated in the body":              {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"truncated in a chunk":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
+		"truncated before the trailer":       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
+		"chunks with extensions and padding": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
+		"a chunk with no size":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"a chunk too long":                   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"chunks too large":                   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"to the end":                         {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"nothing to the end":                 {first: always("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"much to the end":                    {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
+		"too much to the end":                {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"reset before the end":               {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"unresponsive before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
 			kind: errs.DeadlineExceeded, opened: 2},
 		"two lengths":      {first: always("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
 		"no answer":        {first: always("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
 		"changes protocol": {first: always("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
 		"too much":         {first: always("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"silent": {first: always("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
+		"unresponsive": {first: always("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
 			kind: errs.DeadlineExceeded, opened: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -188,11 +210,11 @@
 						_ = conn.SetLinger(0)
 					}
 					if connNumber == 1 && test.ends {
-						conn.Close()
+						_ = conn.Close() // the second request finds out
 						result <- true
 						return
 					}
-					// No more than the one late answer is to be waited for.
+					// The runner reads no more than the one late response.
 					if id == "second" && test.want[1] == unknownEnding {
 						return
 					}
@@ -222,7 +244,7 @@
 	}
 }
 
-// Bytes that come while nothing was asked make a connection useless.
+// A connection on which bytes arrive while no request is under way is not used again.
 func TestUnaskedBytesEndAConnection(t *testing.T) {
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
 		for id := idOf(reader); id != ""; id = idOf(reader) {
@@ -238,15 +260,15 @@
 		for conns.idle[0].alive() {
 			runtime.Gosched()
 		}
-		// What was read to find out is gone, so it must be found again by its mark.
-		conns.idle[0].Close()
+		// The peek has consumed the bytes, so the connection is closed for takeIdle to find it unusable.
+		_ = conns.idle[0].Close() // it is open until now
 	}
 	if got := fixture.run(t, "second", nil); string(got.Body) != "second" || fixture.opened.Load() != 2 {
 		t.Errorf("ended %v with %q over %d connections", got.Outcome, got.Body, fixture.opened.Load())
 	}
 }
 
-// A worker that resets when it is full may have run what it was sent; one that is no more has not.
+// A worker that resets a connection may have run the request; one that does not listen any more has not.
 func TestResetAndDeadWorkers(t *testing.T) {
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		idOf(reader)
@@ -261,7 +283,7 @@
 			t.Errorf("ended %v with %s, want %s", got.Outcome, got.ErrorCode, want)
 		}
 	}
-	// A worker that speaks again is there again.
+	// A worker that registers again gets requests again.
 	if _, err := fixture.workers.Register(WorkerDescription{ID: "w", Address: fixture.address, Service: "shop", Version: "1", HeartbeatMS: 60000}); err != nil {
 		t.Fatal(err)
 	}
@@ -270,7 +292,7 @@
 	}
 }
 
-// Requests and answers pass as they are, whatever their size.
+// Requests and responses pass unchanged, whatever their size.
 func TestBodiesPassUnchanged(t *testing.T) {
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		for {
@@ -279,7 +301,7 @@
 				return
 			}
 			body, _ := io.ReadAll(request.Body)
-			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Line: %s %s %s\r\nContent-Length: %d\r\n\r\n%s", request.Method, request.RequestURI, request.Host, len(body), body)
+			_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nX-Line: %s %s %s\r\nContent-Length: %d\r\n\r\n%s", request.Method, request.RequestURI, request.Host, len(body), body)
 		}
 	})
 	for _, size := range []int{0, 1, 4095, 65536, 65537, 1 << 20} {
@@ -298,8 +320,8 @@
 	}
 }
 
-// A worker may answer before it has read a body, keep the connection and read on later: it then finds
-// the rest of that body, and after it the next request.
+// A worker may answer before it has read a body, keep the connection and read on later: it then finds the rest of that body
+// and, after it, the next request.
 func TestAnsweredBeforeTheBodyIsRead(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 1<<16)
 	read := make(chan string, 2)
@@ -332,7 +354,7 @@
 	}
 }
 
-// Large answers take turns where there is no room for them at once.
+// Large bodies wait for each other where their memory does not suffice for all at once.
 func TestLargeAnswersTakeTurns(t *testing.T) {
 	const size = 1 << 20
 	body, begun, resume := strings.Repeat("x", size), make(chan bool), make(chan bool)
@@ -352,7 +374,7 @@
 	first := make(chan *schema.ForwardResponse)
 	go func() { first <- fixture.run(t, "first", nil) }()
 	<-begun
-	// The first has its room once it has read more than a piece: the second then finds none.
+	// The first has acquired its memory once it has read more than one chunk: the second then finds none.
 	for fixture.workers.bodyMemory.TryAcquire(size) {
 		fixture.workers.bodyMemory.Release(size)
 		runtime.Gosched()
@@ -366,11 +388,11 @@
 		t.Errorf("the first ended %v with %d bytes", got.Outcome, len(got.Body))
 	}
 	if got := fixture.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(got.Body) != size || !fixture.workers.bodyMemory.TryAcquire(size) {
-		t.Errorf("the third ended %v with %d bytes, or room is not given back", got.Outcome, len(got.Body))
+		t.Errorf("the third ended %v with %d bytes, or its memory is not released", got.Outcome, len(got.Body))
 	}
 }
 
-// BenchmarkHop is the worker's side of a hop; most of it are the sockets.
+// BenchmarkHop measures the worker's side of a call. Most of it is the sockets.
 func BenchmarkHop(b *testing.B) {
 	fixture := newSocketFixture(b, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		text, request := []byte(answered("", strings.Repeat("x", 400))), make([]byte, 4096)
--- a/internal/dispatch/worker_queue_test.go
+++ b/internal/dispatch/worker_queue_test.go
@@ -16,18 +16,18 @@
 
 const ms = time.Millisecond
 
-// queueScript carries out steps on a buffer for two at once, whose work takes 10 ms, and tells what
-// became of each request.
+// queueScript carries out steps on a queue that runs two requests at once, each for 10 ms, and records what became of each.
 type queueScript struct {
 	t       *testing.T
 	queue   *WorkerQueue
-	waiters map[string]*QueuedRequest
-	log     []string
+	waiters map[string]*QueuedRequest // by the request's name
+	log     []string                  // decisions, in order
 	now     time.Duration
 	route   string
 }
 
 func newQueueScript(t *testing.T) *queueScript {
+	t.Helper()
 	script := &queueScript{t: t, queue: NewWorkerQueue(2, 8), waiters: map[string]*QueuedRequest{}, route: "r"}
 	script.queue.recordServiceTime(script.now, "r", 10*ms)
 	return script
@@ -69,7 +69,7 @@
 	}
 }
 
-// Who goes, who waits, who is refused, and when there is room again.
+// Which requests are admitted, which wait, which are refused, and when capacity is expected.
 func TestWorkerQueue(t *testing.T) {
 	for name, test := range map[string]struct {
 		steps func(script *queueScript)
@@ -82,7 +82,7 @@
 			script.release(ResultAnswered)
 			script.release(ResultAnswered)
 		}, "a goes, b goes, c goes, d goes"},
-		"by rank": {func(script *queueScript) {
+		"by priority": {func(script *queueScript) {
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
 			script.admit("c", 2, 0, time.Second)
@@ -90,19 +90,19 @@
 			script.release(ResultAnswered)
 			script.release(ResultAnswered)
 		}, "a goes, b goes, d goes, c goes"},
-		// Two run, so each who waits waits 5 ms longer, and takes 10 itself.
-		"beyond its aim": {func(script *queueScript) {
+		// Two run, so each waiting request waits 5 ms longer than the one before, and takes 10 itself.
+		"beyond its latency target": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c", "d", "e"} {
 				script.admit(name, 0, 20*ms, time.Second)
 			}
 		}, "a goes, b goes, e BUFFER_FULL 5ms"},
-		"beyond its horizon": {func(script *queueScript) {
+		"beyond its deadline": {func(script *queueScript) {
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
 			script.admit("c", 0, 0, 14*ms)
 			script.admit("d", 0, 0, 15*ms)
 		}, "a goes, b goes, c BUFFER_FULL 5ms"},
-		"who must start earlier, of a kind": {func(script *queueScript) {
+		"the one that must start earlier, of the same route and priority": {func(script *queueScript) {
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
 			script.admit("c", 0, 100*ms, time.Second)
@@ -110,7 +110,7 @@
 			script.release(ResultAnswered)
 			script.release(ResultAnswered)
 		}, "a goes, b goes, d goes, c goes"},
-		"who takes less of the worker's time": {func(script *queueScript) {
+		"the one that takes less of the worker's time": {func(script *queueScript) {
 			script.queue.recordServiceTime(script.now, "short", 2*ms)
 			script.queue.recordServiceTime(script.now, "r", 10*ms)
 			script.admit("a", 0, 0, time.Second)
@@ -118,14 +118,14 @@
 			script.admit("c", 0, 100*ms, time.Second)
 			script.admit("d", 0, 30*ms, time.Second) // must start earlier than e
 			script.route = "short"
-			script.admit("e", 1, 70*ms, time.Second) // is of a lower rank, yet takes less for it
+			script.admit("e", 1, 70*ms, time.Second) // has a lower priority, yet takes less of the worker's time for it
 			script.admit("f", 0, 1*ms, time.Second)  // too late, but soon over
 			script.release(ResultAnswered)
 			script.release(ResultAnswered)
 			script.release(ResultAnswered)
 			script.release(ResultAnswered)
 		}, "a goes, b goes, f goes, e goes, d goes, c goes"},
-		"but not for a rank far below": {func(script *queueScript) {
+		"but not for a priority far below": {func(script *queueScript) {
 			script.queue.recordServiceTime(script.now, "short", 2*ms)
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
@@ -135,15 +135,15 @@
 			script.release(ResultAnswered)
 			script.release(ResultAnswered)
 		}, "a goes, b goes, c goes, d goes"},
-		"who would be passed by others meanwhile": {func(script *queueScript) {
-			// Half of the worker's time goes to what takes less of it.
+		"one that others would go before meanwhile": {func(script *queueScript) {
+			// Half of the worker's time goes to a route that takes less of it.
 			for range 200 {
 				script.now += 2 * ms
 				script.queue.recordServiceTime(script.now, "short", 2*ms)
 			}
 			script.admit("a", 0, 0, 2*time.Second)
 			script.admit("b", 0, 0, 2*time.Second)
-			script.admit("c", 0, script.now+11*ms, 2*time.Second) // it would do, had nobody else a claim
+			script.admit("c", 0, script.now+11*ms, 2*time.Second) // it would be in time if no other route went before it
 			script.route = "short"
 			script.admit("d", 0, script.now+11*ms, 2*time.Second)
 		}, "a goes, b goes, c BUFFER_FULL 1.026088ms"},
@@ -152,18 +152,18 @@
 			script.admit("b", 0, 1*ms, 2*ms)
 			script.admit("c", 0, -1, time.Second)
 		}, "a goes, b goes, c BUFFER_FULL 15.000001ms"},
-		"a horizon that is past": {func(script *queueScript) {
+		"a deadline that has passed": {func(script *queueScript) {
 			script.now = time.Second
 			script.admit("a", 0, 0, time.Second)
 		}, "a HORIZON_PAST 0s"},
-		"a higher rank displaces who came just now": {func(script *queueScript) {
+		"a higher priority displaces a request that has just arrived": {func(script *queueScript) {
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
 			script.admit("c", 1, 15*ms, time.Second)
 			script.admit("d", 0, 15*ms, time.Second)
 			script.release(ResultAnswered)
 		}, "a goes, b goes, c BUFFER_FULL 5ms, d goes"},
-		"and not who has waited long": {func(script *queueScript) {
+		"and not one that has waited long": {func(script *queueScript) {
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
 			script.admit("c", 1, 15*ms, time.Second)
@@ -172,7 +172,7 @@
 			script.release(ResultAnswered)
 			script.release(ResultAnswered)
 		}, "a goes, b goes, d goes, c goes"},
-		"a horizon that passes": {func(script *queueScript) {
+		"a deadline that passes": {func(script *queueScript) {
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
 			script.admit("c", 0, 0, 30*ms)
@@ -180,7 +180,7 @@
 			script.now = 30 * ms
 			script.release(ResultAnswered)
 		}, "a goes, b goes, c HORIZON_PAST 0s, d goes"},
-		"a worker that ends nothing": {func(script *queueScript) {
+		"a worker that completes nothing": {func(script *queueScript) {
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
 			script.now = 15 * ms
@@ -191,7 +191,7 @@
 			script.admit("e", 0, 65*ms, time.Second)
 			script.release(ResultAnswered)
 		}, "a goes, b goes, d BUFFER_FULL 30ms, c goes, e goes"},
-		"the worker leaves": {func(script *queueScript) {
+		"the worker drains": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c"} {
 				script.admit(name, 0, 0, time.Second)
 			}
@@ -200,7 +200,7 @@
 			script.release(ResultAnswered)
 			script.admit("d", 0, 0, time.Second)
 		}, "a goes, b goes, c WORKER_LEAVING 0s, d WORKER_LEAVING 0s"},
-		"the worker turns away": {func(script *queueScript) {
+		"the worker rejects a request": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c", "d"} {
 				script.admit(name, 0, 0, time.Second)
 			}
@@ -211,13 +211,13 @@
 			script.log = append(script.log, "then")
 			script.release(ResultAnswered) // and after two answers two again
 		}, "a goes, b goes, then, c goes, then, d goes, e goes"},
-		"nobody knows how long it takes": {func(script *queueScript) {
+		"service times are not known": {func(script *queueScript) {
 			script.queue = NewWorkerQueue(1, 8)
 			for _, name := range []string{"a", "b", "c", "d"} {
 				script.admit(name, 0, 0, time.Second)
 			}
 		}, "a goes, d BUFFER_FULL 0s"},
-		"nobody knows how much it takes": {func(script *queueScript) {
+		"slots are not known": {func(script *queueScript) {
 			script.queue = NewWorkerQueue(1, 0)
 			script.admit("a", 0, 0, time.Second)
 			script.admit("b", 0, 0, time.Second)
@@ -231,22 +231,25 @@
 			script.collect()
 		}, "a goes, b goes, c goes"},
 	} {
-		script := newQueueScript(t)
-		test.steps(script)
-		if got := strings.Join(script.log, ", "); got != test.want {
-			t.Errorf("%s: %s, want %s", name, got, test.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			script := newQueueScript(t)
+			test.steps(script)
+			if got := strings.Join(script.log, ", "); got != test.want {
+				t.Errorf("%s, want %s", got, test.want)
+			}
+		})
 	}
 }
 
-// In every order of requests, one that is given up, and the worker's leaving: no more run at
-// once than may, none both runs and is refused, and none is forgotten.
+// In every order of requests, one that is given up, and the draining of the worker: no more requests run at once than may, none
+// both runs and is refused, and none is forgotten.
 func TestEveryOrderAtTheWorkerQueue(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 400000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
+			t.Helper()
 			queue := NewWorkerQueue(1, 1)
 			queue.recordServiceTime(0, "", ms)
-			// A thread that a turn wakes goes on beside the one that gave it.
+			// A goroutine that an admission wakes goes on beside the one that released it.
 			var lock sync.Mutex
 			running, shut := 0, false
 			fate := map[string]string{}
@@ -265,7 +268,7 @@
 					yield()
 					switch {
 					case queued != nil && seeded && callerCtx.Err() != nil:
-						// Planted: whoever gives up does not look whether it was told to go.
+						// Seeded fault: a request that is given up ignores whether it was admitted.
 						queue.Remove(queued)
 						admission.Refusal = errs.DeadlineExceeded
 					case queued != nil:
@@ -303,14 +306,14 @@
 				defer lock.Unlock()
 				running, waiting, _ := queue.Load()
 				if broken == nil && len(fate) == 3 && fate["low"] != "" && fate["high"] != "" && fate["givenUp"] != "" && running+waiting > 0 {
-					broken = fmt.Errorf("all are over, and %d run and %d wait", running, waiting)
+					broken = fmt.Errorf("all are over, and %d still run and %d wait", running, waiting)
 				}
 				return broken
 			}
 		})
 	}
 	if explore(true).Failure == "" {
-		t.Error("the planted fault was not found")
+		t.Error("the seeded fault was not found")
 	}
 	correct := explore(false)
 	if correct.Failure != "" {
@@ -319,7 +322,7 @@
 	t.Logf("%d orders", correct.Schedules)
 }
 
-// Nobody waits for so long that the rest of the time is of no use to anybody else.
+// No request waits for so long that another worker could not serve it in the time left.
 func TestNobodyWaitsToTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		queue, startedAt := NewWorkerQueue(1, 8), time.Now()
@@ -328,7 +331,7 @@
 		_, queued := queue.Admit(0, AdmissionRequest{Deadline: time.Second})
 		admission := queue.Wait(t.Context(), queued, time.Second)
 		if took := time.Since(startedAt); admission.Refusal != errs.QueueFull || took > time.Second/2 {
-			t.Errorf("told %s after %v", admission.Refusal, took)
+			t.Errorf("refused with %s after %v", admission.Refusal, took)
 		}
 		if running, waiting, _ := queue.Load(); running != 1 || waiting != 0 {
 			t.Errorf("%d run and %d wait", running, waiting)
@@ -336,27 +339,27 @@
 	})
 }
 
-// By a quick failure a worker would look the quicker the more of its calls fail; a slow one is as good
-// a measure as an answer that is none.
+// Quick failures do not count as service time: by them a worker would look the faster the more it fails. A slow failure counts
+// as an answer does.
 func TestQuickFailuresLeaveServiceTimeUnchanged(t *testing.T) {
 	const ms = time.Millisecond
 	queue := NewWorkerQueue(8, 8)
 	run := func(now time.Duration, result RunResult, took time.Duration) time.Duration {
 		if admission, queued := queue.Admit(now, AdmissionRequest{Route: "r", Deadline: now + time.Second}); admission.Refusal != "" || queued != nil {
-			t.Fatal("no turn")
+			t.Fatal("not admitted")
 		}
 		queue.Release(now+took, "r", result, took)
 		return queue.ServiceTime()
 	}
 	if serviceTime := run(0, ResultAnswered, 100*ms); serviceTime != 100*ms {
-		t.Errorf("a pace of %v", serviceTime)
+		t.Errorf("a service time of %v", serviceTime)
 	}
 	for i := range 20 {
 		if serviceTime := run(time.Duration(i+1)*time.Second, ResultFailed, 2*ms); serviceTime != 100*ms {
-			t.Fatalf("after quick failures a pace of %v", serviceTime)
+			t.Fatalf("after quick failures a service time of %v", serviceTime)
 		}
 	}
 	if serviceTime := run(30*time.Second, ResultFailed, 900*ms); serviceTime != 200*ms {
-		t.Errorf("after a slow failure a pace of %v", serviceTime)
+		t.Errorf("after a slow failure a service time of %v", serviceTime)
 	}
 }
