--- a/internal/dispatch/retry_decision.go
+++ b/internal/dispatch/retry_decision.go
@@ -55,7 +55,9 @@
 // and no refusal so far: without spare capacity a second run takes it from other callers.
 // Two kinds of failure are not retried. A version in canary answers for its own failures. And where a worker
 // hardly ever fails, the failure is likely the call's own, so that another worker would fail too.
-func (f *Forwarder) mayRetryFailure(result *CallResult, progress *callProgress, response *schema.ForwardResponse, remaining time.Duration) bool {
+func (f *Forwarder) mayRetryFailure(
+	result *CallResult, progress *callProgress, response *schema.ForwardResponse, remaining time.Duration,
+) bool {
 	callPlan, limits := result.Plan, f.limits.Load()
 	switch {
 	case limits.FailureRetryFraction <= 0 || callPlan.Class != config.ClassIdempotent:
--- a/internal/dispatch/worker_conns.go
+++ b/internal/dispatch/worker_conns.go
@@ -100,7 +100,7 @@
 		if err != nil {
 			return err
 		}
-		err = c.exchangeOn(conn, x)
+		err = c.exchangeOn(conn, x) //nolint:contextcheck // the run's own context, x.ctx, may outlive the call's
 		switch {
 		case err == nil || conn.bytesSent > 0:
 			return err
--- a/internal/plan/race_on_test.go
+++ b/internal/plan/race_on_test.go
@@ -2,5 +2,5 @@
 
 package plan
 
-// underRace: the race detector lets pools drop what they keep at random, so allocations say nothing.
+// underRace is true with the race detector: it lets pools drop what they hold at random, so allocations say nothing.
 const underRace = true
