--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -140,7 +140,7 @@
 		f.Outliers.CancelCall(endpoint.Instance)
 		return
 	}
-	// The directory lags: the worker is gone or draining, and need not be tried again while it is still listed.
+	// The directory lags: the worker is deregistered or draining, and is not tried again while it is still listed.
 	if response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		if refusal := errs.Code(response.ErrorCode); refusal == errs.WrongInstance || refusal == errs.WorkerDraining {
 			f.Outliers.MarkDisowned(endpoint.Instance)
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -14,7 +14,7 @@
 // State kept here is in memory only and belongs to one process: retry budgets by service, what is known of
 // workers ([OutlierDetector]), canary grants ([CanaryGuard]), idempotency keys and their results
 // ([IdempotencyCache]), the registrations of local workers ([Workers]), and counters ([CallCounter], [WorkCounts],
-// [Disconnects]). Package proxy constructs all of it; package simulator does so in tests.
+// [Disconnects]). Package proxy constructs all of it, and package simulator does so for its simulated proxies.
 //
 // All exported types are safe for concurrent use unless their comment says otherwise. Each guards its own
 // state with its own lock or with atomics, and no lock is held while a request is sent or waited for. Time is
--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -25,7 +25,7 @@
 
 // CallResult is what a call came to: a response, or an error with a code and an outcome.
 type CallResult struct {
-	ID             string // names the call in the whole fleet
+	ID             string // unique in the fleet
 	Response       *schema.ForwardResponse
 	Plan           *plan.Plan // nil when no plan could be made
 	Attempts       int        // attempts that were sent to a proxy
@@ -89,7 +89,7 @@
 type Limits struct {
 	PlanOptions plan.Options
 	RetryRatio  float64 // retries per call of a service, in any window
-	RetryFloor  float64 // retries in any window that the whole fleet may make besides
+	RetryFloor  float64 // retries in any window that the fleet may make in addition
 	// RetryWindow is the window in which retries are bounded, 0 for DefaultRetryWindow.
 	RetryWindow time.Duration
 	// FailureRetryFraction is the fraction of the retry budget for calls that a worker answered with a failure.
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -46,11 +46,11 @@
 }
 
 func breaking(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-	return nil, errs.New(errs.PeerConnectionLost, "cut")
+	return nil, errs.New(errs.PeerConnectionLost, "connection reset")
 }
 
 func unopened(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-	return nil, errs.New(errs.PeerConnectFailed, "nobody there")
+	return nil, errs.New(errs.PeerConnectFailed, "connection refused")
 }
 
 func hanging(ctx context.Context, _ *schema.ForwardRequest) (*schema.ForwardResponse, error) {
@@ -131,26 +131,26 @@
 		script []attemptScript
 		sent   int
 		ending schema.CallOutcome
-		kind   errs.Code
+		code   errs.Code
 	}{
 		"refused by proxies, then answered":           {once, 0, []attemptScript{full, refusing(errs.DeadlineExceeded, 0, false), unopened, refusing(errs.WorkerDraining, 0, false), answering}, 5, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"no room at two, by their own word":           {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"turned away by a worker, with no budget":     {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"turned away by a worker, with a budget":      {once, 1, []attemptScript{rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"turned away by two, with a budget of one":    {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"turned away by as many as the route lets":    {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"broken off, once":                            {once, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"broken off, repeatable":                      {repeatable, 1, []attemptScript{breaking, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"broken off, repeatable, with no budget":      {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"broken off, repeatable, one try":             {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"broken off, then refused everywhere":         {repeatable, 9, []attemptScript{breaking, full}, 6, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"two report that they have no capacity":       {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by a worker, with no budget":        {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by a worker, with a budget":         {once, 1, []attemptScript{rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"rejected by two, with a budget of one":       {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by as many as the route allows":     {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"connection lost, non-idempotent":             {once, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"connection lost, idempotent":                 {repeatable, 1, []attemptScript{breaking, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"connection lost, idempotent, with no budget": {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"connection lost, idempotent, one attempt":    {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"connection lost, then refused everywhere":    {repeatable, 9, []attemptScript{breaking, full}, 6, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
 		"no answer in all the time there is":          {repeatable, 9, []attemptScript{hanging}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
-		"refused, then no answer, once":               {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
+		"refused, then no answer, non-idempotent":     {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
 		"an answer that is a failure is the worker's": {repeatable, 9, []attemptScript{failing, answering}, 1, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
 		"an answer to another request is no answer": {once, 9, []attemptScript{func(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			return &schema.ForwardResponse{Request: "other", Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}, nil
 		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.InvalidResponse},
-		"an answer that is not whole is no answer": {once, 9, []attemptScript{func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		"an incomplete answer is no answer": {once, 9, []attemptScript{func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Body: []byte("a"), Length: 2}, nil
 		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.InvalidResponse},
 	} {
@@ -158,8 +158,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
 				result := forwarder.Forward(t.Context(), newScriptedCall())
-				if len(forwarder.sent) != test.sent || result.Response.Outcome != test.ending || (test.kind != "" && result.Response.ErrorCode != string(test.kind)) {
-					t.Errorf("sent to %v, ended %v %s; want %d, %v %s", forwarder.sent, result.Response.Outcome, result.Response.ErrorCode, test.sent, test.ending, test.kind)
+				if len(forwarder.sent) != test.sent || result.Response.Outcome != test.ending || (test.code != "" && result.Response.ErrorCode != string(test.code)) {
+					t.Errorf("sent to %v, ended %v %s; want %d, %v %s", forwarder.sent, result.Response.Outcome, result.Response.ErrorCode, test.sent, test.ending, test.code)
 				}
 				seen := map[string]bool{}
 				for _, instance := range forwarder.sent {
@@ -207,33 +207,33 @@
 		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500, ServiceTimeNanos: int64(300 * time.Millisecond)}, nil
 	}
 	for name, test := range map[string]struct {
-		route  string
-		floor  float64
-		part   float64
-		script []attemptScript
-		sent   int
-		status int32
+		route    string
+		floor    float64
+		fraction float64
+		script   []attemptScript
+		sent     int
+		status   int32
 	}{
-		"answered by another":              {repeatable, 2, 0.5, []attemptScript{failing, answering}, 2, 200},
-		"not once":                         {once, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"not where nothing is set aside":   {repeatable, 9, 0, []attemptScript{failing, answering}, 1, 500},
-		"not beyond its part":              {repeatable, 1, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"not beyond the route's tries":     {repeatable + `,"tries":1`, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"not who hardly ever fails":        {repeatable, 9, 0.5, []attemptScript{failingOf(100, 4), answering}, 1, 500},
-		"who fails some":                   {repeatable, 9, 0.5, []attemptScript{failingOf(100, 5), answering}, 2, 200},
-		"one other only":                   {repeatable, 9, 0.5, []attemptScript{failing, failing, answering}, 2, 500},
-		"the other has no room":            {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.QueueFull, 9, false), answering}, 2, 500},
-		"the other's answer is lost":       {repeatable, 9, 0.5, []attemptScript{failing, breaking, answering}, 2, 500},
-		"the other has a newer setup":      {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.StalePlan, 0, false), answering}, 2, 500},
-		"after a lost answer":              {repeatable, 9, 0.5, []attemptScript{breaking, failing, answering}, 3, 200},
-		"not after a refusal for room":     {repeatable, 9, 0.5, []attemptScript{refusing(errs.QueueFull, 9, false), failing, answering}, 2, 500},
-		"in time":                          {repeatable + `,"aim":"700ms"`, 9, 0.5, []attemptScript{slow, answering}, 2, 200},
-		"not where it would come too late": {repeatable + `,"aim":"500ms"`, 9, 0.5, []attemptScript{slow, answering}, 1, 500},
+		"answered by another":                    {repeatable, 2, 0.5, []attemptScript{failing, answering}, 2, 200},
+		"not a non-idempotent call":              {once, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"not without a fraction of the budget":   {repeatable, 9, 0, []attemptScript{failing, answering}, 1, 500},
+		"not beyond its fraction":                {repeatable, 1, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"not beyond the route's maximum":         {repeatable + `,"tries":1`, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"not of a worker that hardly ever fails": {repeatable, 9, 0.5, []attemptScript{failingOf(100, 4), answering}, 1, 500},
+		"of a worker that fails some":            {repeatable, 9, 0.5, []attemptScript{failingOf(100, 5), answering}, 2, 200},
+		"one other only":                         {repeatable, 9, 0.5, []attemptScript{failing, failing, answering}, 2, 500},
+		"the other has no capacity":              {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.QueueFull, 9, false), answering}, 2, 500},
+		"the other's answer is lost":             {repeatable, 9, 0.5, []attemptScript{failing, breaking, answering}, 2, 500},
+		"the other has a newer configuration":    {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.StalePlan, 0, false), answering}, 2, 500},
+		"after a lost answer":                    {repeatable, 9, 0.5, []attemptScript{breaking, failing, answering}, 3, 200},
+		"not after a refusal for capacity":       {repeatable, 9, 0.5, []attemptScript{refusing(errs.QueueFull, 9, false), failing, answering}, 2, 500},
+		"in time":                                {repeatable + `,"aim":"700ms"`, 9, 0.5, []attemptScript{slow, answering}, 2, 200},
+		"not where it would come too late":       {repeatable + `,"aim":"500ms"`, 9, 0.5, []attemptScript{slow, answering}, 1, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
-				forwarder.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: test.floor, FailureRetryFraction: test.part})
+				forwarder.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: test.floor, FailureRetryFraction: test.fraction})
 				result := forwarder.Forward(t.Context(), newScriptedCall())
 				if len(forwarder.sent) != test.sent || result.Err != nil || result.Response.Status != test.status || forwarder.waited > 0 {
 					t.Errorf("sent to %v, ended %v %d, waited for updates %d times; want %d, %d", forwarder.sent, result.Err, result.Response.Status, forwarder.waited, test.sent, test.status)
--- a/internal/dispatch/hop_by_hop_headers.go
+++ b/internal/dispatch/hop_by_hop_headers.go
@@ -4,18 +4,20 @@
 	"bytes"
 )
 
-// hopByHopHeaders are headers that are meant for one connection only, or are set anew for each. They are grouped by
+// hopByHopHeaders are headers that are meant for one connection only, or are set again for each. They are grouped by
 // length, so that most names are ruled out without a comparison.
 var hopByHopHeaders = func() map[int][][]byte {
 	byLength := map[int][][]byte{}
-	for _, name := range []string{"connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "te", "trailer", "transfer-encoding",
-		"upgrade", "content-length", "host", "proxy-connection", "expect"} {
+	for _, name := range []string{
+		"connection", "content-length", "expect", "host", "keep-alive", "proxy-authenticate", "proxy-authorization",
+		"proxy-connection", "te", "trailer", "transfer-encoding", "upgrade",
+	} {
 		byLength[len(name)] = append(byLength[len(name)], []byte(name))
 	}
 	return byLength
 }()
 
-// IsHopByHopHeader reports whether a header is meant for one connection only, or is set anew for each.
+// IsHopByHopHeader reports whether a header is meant for one connection only, or is set again for each.
 func IsHopByHopHeader(name []byte) bool {
 	for _, hopByHop := range hopByHopHeaders[len(name)] {
 		if bytes.EqualFold(hopByHop, name) {
--- a/internal/dispatch/idempotency_cache.go
+++ b/internal/dispatch/idempotency_cache.go
@@ -37,7 +37,7 @@
 type idempotencyEntry struct {
 	fingerprint uint64 // checksum of the request's fingerprint
 	done        chan struct{}
-	instance    string // where the request was tried, empty for nowhere that can still tell, or anotherProxy
+	instance    string // where the request was tried; empty if no instance can report on it; or anotherProxy
 	result      *schema.ForwardResponse
 }
 
@@ -139,7 +139,7 @@
 }
 
 // isFinal reports whether a settled entry's result is every repeat's result. It is not if nothing ran, or if the
-// outcome is unknown and the instance can still tell.
+// outcome is unknown and the instance can still report on it.
 func (e *idempotencyEntry) isFinal() bool {
 	switch e.result.Outcome {
 	case schema.CallOutcome_CALL_OUTCOME_ANSWERED:
--- a/internal/dispatch/key_reservation_test.go
+++ b/internal/dispatch/key_reservation_test.go
@@ -167,7 +167,7 @@
 	return len(f.fixtures[0].recordedRuns()) + len(f.fixtures[1].recordedRuns())
 }
 
-// check compares what callers were told with what ran: at most one run, and none of a request that was reported as not
+// check compares the reported outcomes with what ran: at most one run, and none of a request that was reported as not
 // executed.
 func (f *keyFixture) check() error {
 	ran := map[string]bool{}
--- a/internal/dispatch/outlier_detector.go
+++ b/internal/dispatch/outlier_detector.go
@@ -240,7 +240,7 @@
 	}
 }
 
-// ShouldSkip reports whether a worker gets no offer of a call this time, because it refused so many of the route, and
+// ShouldSkip reports whether a worker gets no offer of a call this time, because it refused many of the route, and
 // when capacity is expected. A skipped offer counts as made, so that offers settle at a multiple of what is accepted.
 func (d *OutlierDetector) ShouldSkip(instance, route string, now time.Duration, random plan.Random) (retryAfter time.Duration, skip bool) {
 	state, found := d.workers.Load(instance)
--- a/internal/dispatch/reserved_admissions_test.go
+++ b/internal/dispatch/reserved_admissions_test.go
@@ -26,17 +26,17 @@
 		far      bool
 		rejected int // calls that the worker refused before
 		script   []attemptScript
-		want     string // a letter an attempt: e for a capacity check, s for the request with its body
+		want     string // one letter for each attempt: e for a capacity check, s for the request with its body
 		ending   schema.CallOutcome
 	}{
-		"of the own zone":                                     {body, false, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
-		"elsewhere, with room so far":                         {body, true, 0, []attemptScript{answering}, "s", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, after another refused":                    {body, true, 0, []attemptScript{full, full}, "se", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
-		"elsewhere, after another refused, and there is room": {body, true, 0, []attemptScript{full, withCapacity, answering}, "ses", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, that refused of late":                     {body, true, 9, []attemptScript{full, full}, "ee", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
-		"elsewhere, that refused of late and has room":        {body, true, 9, []attemptScript{withCapacity, answering}, "es", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, not reached by the capacity check":        {body, true, 9, []attemptScript{breaking, unopened, withCapacity, answering}, "eees", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, with hardly a body":                       {"x", true, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"of the own zone":                                         {body, false, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"elsewhere, with capacity so far":                         {body, true, 0, []attemptScript{answering}, "s", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, after another refused":                        {body, true, 0, []attemptScript{full, full}, "se", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"elsewhere, after another refused, and there is capacity": {body, true, 0, []attemptScript{full, withCapacity, answering}, "ses", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, that refused recently":                        {body, true, 9, []attemptScript{full, full}, "ee", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"elsewhere, that refused recently and has capacity":       {body, true, 9, []attemptScript{withCapacity, answering}, "es", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, not reached by the capacity check":            {body, true, 9, []attemptScript{breaking, unopened, withCapacity, answering}, "eees", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"elsewhere, with hardly a body":                           {"x", true, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -227,9 +227,9 @@
 		{"k", "b", unknownEnding, "w", unknownEnding, 2}, // unknown at an instance
 		{"k", "b", notRunEnding, "w", unknownEnding, 3},  // a repeat there that did not run leaves the first unknown
 		{"k", "x", answered, "w", notRunEnding, 3},       // the key with another body
-		{"k", "b", answered, "w", answered, 4},           // the instance can tell after all
+		{"k", "b", answered, "w", answered, 4},           // the instance can report on it after all
 		{"k", "b", answered, "w", answered, 4},           // from the cache
-		{"u", "b", unknownEnding, "", unknownEnding, 5},  // unknown where nobody can tell
+		{"u", "b", unknownEnding, "", unknownEnding, 5},  // unknown, and no instance can report on it
 		{"u", "b", answered, "", unknownEnding, 5},       // stays unknown, and is not run
 		{"v", "b", answered, "", answered, 6},            // makes room: the oldest is dropped
 	} {
--- a/internal/dispatch/uplink.go
+++ b/internal/dispatch/uplink.go
@@ -30,7 +30,7 @@
 	return &Uplink{now: now, bytesPerSecond: float64(bytesPerSecond)}
 }
 
-// TransferTime returns how long the link takes to send so many bytes.
+// TransferTime returns how long the link takes to send a number of bytes.
 func (u *Uplink) TransferTime(bytes int) time.Duration {
 	if u == nil || bytes <= 0 {
 		return 0
@@ -39,7 +39,7 @@
 	return time.Duration(float64(bytes+packets*segmentOverhead) / u.bytesPerSecond * float64(time.Second))
 }
 
-// RecordWrite records that so many bytes were written.
+// RecordWrite records a number of bytes that were written.
 func (u *Uplink) RecordWrite(bytes int) {
 	if u == nil || bytes <= 0 {
 		return
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -112,7 +112,7 @@
 	case code == errs.CallerDisconnected && outOfTime():
 		return outcomeUnknown(errs.DeadlineExceeded)
 	case code == errs.WorkerConnectFailed:
-		// Where nobody listens there is no worker any more; should there be one, its next heartbeat registers it.
+		// If nothing listens the worker has ended; if it has not, its next heartbeat registers it again.
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			r.Workers.removeDisowned(worker)
 		}
--- a/internal/dispatch/worker_codec.go
+++ b/internal/dispatch/worker_codec.go
@@ -27,7 +27,7 @@
 	WrongRequest     bool // the response belongs to another request
 	ClosesConnection bool // the worker closes the connection after this response
 	// EndsAtClose lets a response without a length end where the worker closes its connection. Where it is not set,
-	// such a response is invalid, because it cannot be told from a truncated one.
+	// such a response is invalid, because it cannot be distinguished from a truncated one.
 	EndsAtClose bool
 	// IdleTimeout is how long the worker keeps an idle connection open, 0 for not reported.
 	IdleTimeout time.Duration
--- a/internal/dispatch/worker_conns_test.go
+++ b/internal/dispatch/worker_conns_test.go
@@ -140,7 +140,7 @@
 		second func(id string) string // the answer to the second, on the same connection
 		change func(*schema.ForwardRequest)
 		want   [2]schema.CallOutcome
-		kind   errs.Code // of the first
+		code   errs.Code // of the first
 		opened int32
 	}{
 		"plain":                     {want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
@@ -159,32 +159,32 @@
 		"sends a second response":            {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
 		"sends a response late":              {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
 		"sends only a late response":         {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{answeredEnding, unknownEnding}, opened: 1},
-		"refuses":                            {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, kind: errs.QueueFull, opened: 1},
-		"refuses, truncated":                 {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, kind: errs.QueueFull, opened: 2},
-		"is another worker":                  {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, kind: errs.WrongInstance, opened: 1},
+		"refuses":                            {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, code: errs.QueueFull, opened: 1},
+		"refuses, truncated":                 {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, code: errs.QueueFull, opened: 2},
+		"is another worker":                  {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, code: errs.WrongInstance, opened: 1},
 		"an error of its own":                {first: always("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"closes instead of a response":       {first: always(""), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"closes instead of a response":       {first: always(""), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.WorkerConnectionLost, opened: 2},
 		"truncated in the header":            {first: always("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
-		"truncated in the body":              {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"truncated in the body":              {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.WorkerConnectionLost, opened: 2},
 		"truncated in a chunk":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
 		"truncated before the trailer":       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
 		"chunks with extensions and padding": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"a chunk with no size":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"a chunk too long":                   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"chunks too large":                   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+		"a chunk with no size":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
+		"a chunk too long":                   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
+		"chunks too large":                   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
 		"to the end":                         {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
 		"nothing to the end":                 {first: always("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
 		"much to the end":                    {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"too much to the end":                {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"reset before the end":               {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.WorkerConnectionLost, opened: 2},
+		"too much to the end":                {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
+		"reset before the end":               {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.WorkerConnectionLost, opened: 2},
 		"unresponsive before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
-			kind: errs.DeadlineExceeded, opened: 2},
-		"two lengths":      {first: always("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"no answer":        {first: always("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"changes protocol": {first: always("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
-		"too much":         {first: always("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, kind: errs.InvalidResponse, opened: 2},
+			code: errs.DeadlineExceeded, opened: 2},
+		"two lengths":      {first: always("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
+		"no answer":        {first: always("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
+		"changes protocol": {first: always("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
+		"too much":         {first: always("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
 		"unresponsive": {first: always("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
-			kind: errs.DeadlineExceeded, opened: 2},
+			code: errs.DeadlineExceeded, opened: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			plain := func(id string) string { return answered(id, id) }
@@ -221,8 +221,8 @@
 				}
 			})
 			first := fixture.run(t, "first", test.change)
-			if first.Outcome != test.want[0] || (test.kind != "" && first.ErrorCode != string(test.kind)) {
-				t.Errorf("the first ended %v with %s, want %v with %s", first.Outcome, first.ErrorCode, test.want[0], test.kind)
+			if first.Outcome != test.want[0] || (test.code != "" && first.ErrorCode != string(test.code)) {
+				t.Errorf("the first ended %v with %s, want %v with %s", first.Outcome, first.ErrorCode, test.want[0], test.code)
 			}
 			if test.ends {
 				<-result
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -388,7 +388,7 @@
 	return running, waiting, slots, worker.queue.ServiceTime()
 }
 
-// removeDisowned ends a registration whose address turned out to be another worker's, or nobody's.
+// removeDisowned ends a registration at whose address there is another worker, or none.
 func (w *Workers) removeDisowned(worker *localWorker) {
 	w.lock.Lock()
 	w.remove(worker)
