--- /dev/null
+++ b/internal/dispatch/key_reservation_test.go
@@ -0,0 +1,367 @@
+package dispatch
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"meadowhinge/internal/plan"
+	"meadowhinge/internal/registry"
+	"meadowhinge/internal/scheduleexplorer"
+	"meadowhinge/internal/session"
+	"meadowhinge/internal/transport"
+	"meadowhinge/schema"
+)
+
+const reservationLease = 8 * time.Second
+
+// keyFixture is three registries' reservation tables, and two proxies whose callers share one key. Each proxy sees another
+// worker, behind another proxy, so that only the reservations keep the request from running twice.
+type keyFixture struct {
+	fixtures             [2]*workerFixture
+	lock                 sync.Mutex // guards registries: a key is released in a goroutine of its own
+	registries           [3]*registry.ReservationTable
+	unresponsive         [3]bool // registries that do not respond
+	startedAt            time.Time
+	seededSingleRegistry bool // seeded fault: one registry is taken for a majority
+	lost                 [2]func(order int) bool
+	results              [2][]*CallResult
+}
+
+func newKeyFixture(tb testing.TB) *keyFixture {
+	tb.Helper()
+	fixture := &keyFixture{fixtures: [2]*workerFixture{newWorkerFixture(tb), newWorkerFixture(tb)}, startedAt: time.Now()}
+	for i := range fixture.registries {
+		fixture.registries[i] = fixture.newReservationTable()
+		fixture.registries[i].MarkNeverUsed()
+	}
+	return fixture
+}
+
+func (f *keyFixture) newReservationTable() *registry.ReservationTable {
+	return registry.NewReservationTable(registry.ReservationOptions{Lease: reservationLease, Window: 4 * reservationLease, MaxReservations: 64, MemberCount: 3})
+}
+
+func (f *keyFixture) now() time.Duration { return time.Since(f.startedAt) }
+
+// restartRegistry restarts a registry with an empty table, which then recovers in one of the ways below.
+func (f *keyFixture) restartRegistry(i int, recovery string) {
+	table := f.newReservationTable()
+	if recovery == skipRecovery {
+		table.MarkNeverUsed()
+	}
+	f.lock.Lock()
+	f.registries[i] = table
+	f.lock.Unlock()
+	switch recovery {
+	case skipRecovery:
+		return
+	case recoverAfterRounds:
+		time.Sleep(table.RecoveryStartsAt())
+	}
+	f.refillRegistry(i)
+}
+
+// Ways in which a restarted registry recovers; only the first is correct.
+const (
+	recoverAfterRounds = "reads the others once no round of its earlier incarnation can go on"
+	recoverAtOnce      = "reads the others at once"
+	skipRecovery       = "counts at once"
+)
+
+// refillRegistry copies the reservations of the other registries to a registry.
+func (f *keyFixture) refillRegistry(i int) {
+	f.lock.Lock()
+	defer f.lock.Unlock()
+	for other := range f.registries {
+		if other != i {
+			f.registries[i].MergePage(f.now(), fmt.Sprint(other), f.registries[other].Page(f.now(), 0))
+		}
+	}
+}
+
+// newReserver requests reservations from the registries one after another, yielding before each.
+func (f *keyFixture) newReserver(from int, yield func()) KeyReserver {
+	return func(_ context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
+		members := 3
+		if f.seededSingleRegistry {
+			members = 1
+		}
+		round := session.NewReservationRound(reservation, members, f.now(), session.ReservationRoundTimeout(reservationLease))
+		for i := range 3 {
+			member := (from + i) % 3
+			yield()
+			if !f.unresponsive[member] {
+				f.lock.Lock()
+				reply := f.registries[member].Apply(f.now(), reservation)
+				f.lock.Unlock()
+				round.Record(f.now(), fmt.Sprint(member), reply)
+			}
+			if verdict := round.Outcome(i == 2); verdict != session.ReservationPending {
+				return verdict, round.Conflicting
+			}
+		}
+		return round.Outcome(true), round.Conflicting
+	}
+}
+
+// newForwarder returns the forwarder of one of the two proxies.
+func (f *keyFixture) newForwarder(caller int, yield func()) *Forwarder {
+	fixture := f.fixtures[caller]
+	view := &plan.View{Config: fixture.view.Config, Directory: plan.Directory{"shop": {"1": {}}}}
+	for _, worker := range fixture.workers.List() {
+		view.Directory["shop"]["1"] = append(view.Directory["shop"]["1"], plan.Endpoint{Instance: worker.Instance, Proxy: fmt.Sprint("beside-", caller)})
+	}
+	sent := 0
+	forwarder := &Forwarder{
+		Name:        fmt.Sprint("q", caller),
+		Incarnation: 1,
+		Limits:      Limits{PlanOptions: plan.Options{MaxDeadline: 2 * time.Second}, RetryFloor: 10},
+		View:        func() *plan.View { return view },
+		AwaitView:   func(context.Context, func(*plan.View) bool) {},
+		AwaitLease:  func(context.Context) bool { return true },
+		OnConfigLag: func() {},
+		HasLease:    func() bool { return true },
+		FleetSize:   func() int { return 1 },
+		Now:         f.now,
+		Random:      func() float64 { return 0 },
+		Outliers:    NewOutlierDetector(5, time.Second),
+		Canaries:    NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }),
+		Counter:     NewCallCounter(64),
+		ReserveKey:  f.newReserver(caller, yield),
+
+		KeyReleaseTimeout: time.Hour,
+		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+			yield()
+			sent++
+			target := f.fixtures[0]
+			if candidate.Proxy == "beside-1" {
+				target = f.fixtures[1]
+			}
+			response := target.runner.Run(ctx, transport.LocalPeer("proxy", "q", map[string]bool{"client": true}), request)
+			if answerLost := f.lost[caller]; answerLost != nil && answerLost(sent) {
+				return outcomeUnknown("LINK_LOST"), nil
+			}
+			return response, nil
+		},
+	}
+	return forwarder.Init(16)
+}
+
+func (f *keyFixture) newCall(key, body string) *Call {
+	return &Call{Target: "/shop/buy", Body: []byte(body), Request: plan.Request{
+		Caller:            "client",
+		Method:            "POST",
+		Path:              "/shop/buy",
+		HasIdempotencyKey: true,
+		IdempotencyKey:    key,
+		Header:            func(string) (string, bool) { return "ann", true },
+	}}
+}
+
+func (f *keyFixture) countRuns() int {
+	return len(f.fixtures[0].recordedRuns()) + len(f.fixtures[1].recordedRuns())
+}
+
+// check compares the reported outcomes with what ran: at most one run, and none of a request that was reported as not
+// executed.
+func (f *keyFixture) check() error {
+	ran := map[string]bool{}
+	for _, fixture := range f.fixtures {
+		for _, run := range fixture.recordedRuns() {
+			ran[run.request[:strings.LastIndex(run.request, "-")]] = true
+		}
+	}
+	if count := f.countRuns(); count > 1 {
+		return fmt.Errorf("ran %d times: %v", count, ran)
+	}
+	for _, results := range f.results {
+		for _, result := range results {
+			if result.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && ran[result.ID] {
+				return fmt.Errorf("%s was reported as not executed, and ran", result.ID)
+			}
+			if result.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && len(ran) == 0 {
+				return fmt.Errorf("%s was answered, and nothing ran", result.ID)
+			}
+		}
+	}
+	return nil
+}
+
+// Two callers use one key at two proxies, in every order of their reservations, a registry's restart and their attempts:
+// one run. The exploration finds the seeded faults: one registry taken for a majority, and a restarted registry that
+// votes before it has recovered.
+func TestEveryOrderOfOneKeyAtTwoProxies(t *testing.T) {
+	explore := func(t *testing.T, single bool, restart string) scheduleexplorer.Outcome {
+		t.Helper()
+		return scheduleexplorer.Explore(t, 200000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
+			t.Helper()
+			fixture := newKeyFixture(t)
+			fixture.seededSingleRegistry = single
+			for i, workers := range fixture.fixtures {
+				workers.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+			}
+			for which := range 2 {
+				run.Go(fmt.Sprint("caller-", which), func(yield func()) {
+					fixture.results[which] = append(fixture.results[which], fixture.newForwarder(which, yield).Forward(t.Context(), fixture.newCall("key", "{}")))
+				})
+			}
+			if restart != "" {
+				run.Go("restart", func(func()) { fixture.restartRegistry(1, restart) })
+			}
+			return fixture.check
+		})
+	}
+	for name, test := range map[string]struct {
+		single  bool
+		restart string
+		broken  bool
+	}{
+		"correct":                              {},
+		"a registry restarts":                  {restart: recoverAfterRounds},
+		"seeded fault: one registry is enough": {single: true, broken: true},
+		"seeded fault: votes at once":          {restart: skipRecovery, broken: true},
+		"seeded fault: recovers at once":       {restart: recoverAtOnce, broken: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			outcome := explore(t, test.single, test.restart)
+			if (outcome.Failure != "") != test.broken {
+				t.Errorf("%q after %d orders", outcome.Failure, outcome.Schedules)
+			}
+			t.Logf("%d orders", outcome.Schedules)
+		})
+	}
+}
+
+// A request that is repeated at another proxy, after each single fault, runs once. The repeat gets the first answer where
+// that can still be known.
+func TestRepeatElsewhere(t *testing.T) {
+	answered, unknownEnding, notRunEnding := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
+	for name, test := range map[string]struct {
+		before func(fixture *keyFixture)     // done before the first request
+		after  func(fixture *keyFixture)     // done after it
+		body   string                        // of the repeat, empty for the same
+		first  schema.CallOutcome            // of the first request
+		again  schema.CallOutcome            // of the repeat
+		runs   int                           // of both together
+		lost   func(order int) bool          // whether the response to an attempt of the first request is lost
+		check  func(*testing.T, *CallResult) // of the repeat
+	}{
+		"the first was answered":       {first: answered, again: answered, runs: 1},
+		"the first's answer was lost":  {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }},
+		"the worker's proxy is lost":   {first: unknownEnding, again: unknownEnding, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) { fixture.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
+		"a core member is lost after":  {first: answered, again: answered, runs: 1, after: func(fixture *keyFixture) { fixture.unresponsive[1] = true }},
+		"a core member is lost before": {first: answered, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[2] = true }},
+		"one core member after another comes back empty": {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) {
+			for i := range 3 {
+				fixture.restartRegistry(i, recoverAfterRounds)
+			}
+		}},
+		"two core members are lost at once": {first: answered, again: notRunEnding, runs: 1, after: func(fixture *keyFixture) {
+			fixture.registries[0], fixture.registries[1] = fixture.newReservationTable(), fixture.newReservationTable()
+			time.Sleep(reservationLease)
+			fixture.refillRegistry(0)
+			fixture.refillRegistry(1)
+			// The third still has the reservation, but one alone would not keep another request from running.
+			fixture.registries[2] = fixture.newReservationTable()
+		}},
+		"no majority of registries": {first: notRunEnding, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[0], fixture.unresponsive[1] = true, true }, after: func(fixture *keyFixture) {
+			fixture.unresponsive[0], fixture.unresponsive[1] = false, false
+		}},
+		"another body under the key": {first: answered, again: notRunEnding, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
+			t.Helper()
+			if result.Response.ErrorCode != "IDEMPOTENCY_KEY_REUSED" {
+				t.Error(result.Response.ErrorCode)
+			}
+		}},
+		"the first never ran": {first: notRunEnding, again: answered, runs: 1, before: func(fixture *keyFixture) {
+			description := fixture.fixtures[0].describe("127.0.0.1:1", fixture.fixtures[0].workersByAddress["127.0.0.1:1"])
+			description.Draining = true
+			_, _ = fixture.fixtures[0].workers.Register(description)
+		}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				fixture := newKeyFixture(t)
+				for i, workers := range fixture.fixtures {
+					workers.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+				}
+				first, second := fixture.newForwarder(0, func() {}), fixture.newForwarder(1, func() {})
+				if test.before != nil {
+					test.before(fixture)
+				}
+				fixture.lost[0] = test.lost
+				fixture.results[0] = append(fixture.results[0], first.Forward(t.Context(), fixture.newCall("key", "{}")))
+				if test.after != nil {
+					test.after(fixture)
+				}
+				body := "{}"
+				if test.body != "" {
+					body = test.body
+				}
+				again := second.Forward(t.Context(), fixture.newCall("key", body))
+				fixture.results[1] = append(fixture.results[1], again)
+				if got := fixture.results[0][0].Response; got.Outcome != test.first {
+					t.Errorf("the first ended %v with %s, want %v", got.Outcome, got.ErrorCode, test.first)
+				}
+				if again.Response.Outcome != test.again {
+					t.Errorf("the repeat ended %v with %s, want %v", again.Response.Outcome, again.Response.ErrorCode, test.again)
+				}
+				if fixture.countRuns() != test.runs {
+					t.Errorf("%d runs, want %d", fixture.countRuns(), test.runs)
+				}
+				if err := fixture.check(); err != nil {
+					t.Error(err)
+				}
+				if test.check != nil {
+					test.check(t, again)
+				}
+			})
+		})
+	}
+}
+
+// A worker's proxy with a newer configuration may refuse what the older one allowed. The call is planned again by the
+// newer one as soon as it arrives here, and answered.
+func TestNewerConfigElsewhere(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		fixture := newKeyFixture(t)
+		for i, workers := range fixture.fixtures {
+			workers.addWorker(t, "127.0.0.1:1", "shop", "1", fmt.Sprint("token-", i))
+		}
+		forwarder := fixture.newForwarder(0, func() {})
+		older, arrives := forwarder.View(), time.Now().Add(700*time.Millisecond)
+		newer := &plan.View{Config: compileConfig(t, 6), Directory: older.Directory}
+		forwarder.View = func() *plan.View {
+			if time.Now().Before(arrives) {
+				return older
+			}
+			return newer
+		}
+		forwarder.AwaitView = func(ctx context.Context, _ func(*plan.View) bool) {
+			select {
+			case <-ctx.Done():
+			case <-time.After(time.Until(arrives)):
+			}
+		}
+		send := forwarder.Send
+		refused := 0
+		forwarder.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+			if request.Revision < 6 {
+				refused++
+				response := notExecuted("VERSION_NOT_ALLOWED", 6)
+				response.Request = request.Request
+				return response, nil
+			}
+			return send(ctx, candidate, request)
+		}
+		result := forwarder.Forward(t.Context(), fixture.newCall("key", "{}"))
+		if result.Err != nil || refused != 1 || result.Plan.Verdict.ConfigRevision != 6 {
+			t.Errorf("ended %v after %d refusals, by revision %d", result.Err, refused, result.Plan.Verdict.ConfigRevision)
+		}
+	})
+}
--- /dev/null
+++ b/internal/dispatch/worker_call.go
@@ -0,0 +1,150 @@
+package dispatch
+
+import (
+	"context"
+	"errors"
+	"hash/crc32"
+	"syscall"
+	"time"
+
+	"github.com/valyala/fasthttp"
+
+	"meadowhinge/internal/errs"
+	"meadowhinge/schema"
+)
+
+// workerMarginDivisor is the part of the time left that a worker is not given, so that its own timeout response
+// still arrives and the connection can be used again.
+const workerMarginDivisor = 64
+
+// handover is how a request was handed over to a worker.
+type handover struct {
+	result RunResult
+	sentAt time.Duration // when its first byte was sent, 0 for not at all
+}
+
+// sendToWorker sends a request to the worker. From its first byte on, the request may have run.
+func (r *Runner) sendToWorker(
+	ctx context.Context, worker *localWorker, request *incomingRequest, delivery *handover,
+) *schema.ForwardResponse {
+	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
+	defer fasthttp.ReleaseRequest(httpRequest)
+	defer fasthttp.ReleaseResponse(httpResponse)
+	buildRequest(httpRequest, request.ForwardRequest)
+	hasLease, timeLeft := r.HasLease(), request.remaining()
+	token, refusal := r.revalidate(ctx, worker, request.ForwardRequest, hasLease, timeLeft)
+	if refusal != nil {
+		return refusal
+	}
+	registration := WorkerRegistration{
+		Instance: worker.instance,
+		Address:  worker.address,
+		Token:    token,
+		Service:  request.Service,
+		Version:  request.Version,
+	}
+	r.Codec.WriteHeaders(httpRequest, request.ForwardRequest, registration, timeLeft-timeLeft/workerMarginDivisor)
+	httpResponse.Header.DisableNormalizing()
+	httpResponse.Header.SetNoDefaultContentType(true)
+	x := exchange{
+		request:      httpRequest,
+		response:     httpResponse,
+		codec:        r.Codec,
+		forward:      request.ForwardRequest,
+		deadline:     time.Now().Add(timeLeft),
+		maxBodyBytes: r.Workers.options.MaxBodyBytes,
+		bodyMemory:   r.Workers.bodyMemory,
+		ctx:          ctx,
+	}
+	defer x.releaseMemory()
+	// A non-idempotent request runs to its end, whether or not its caller still waits.
+	if request.NonIdempotent {
+		x.ctx = context.WithoutCancel(ctx)
+	}
+	err := worker.conns.roundTrip(ctx, &x)
+	delivery.sentAt = x.sentAt
+	if err != nil {
+		// A call that its caller gives up as its time ends has run out of time, and that does say something of the worker.
+		outOfTime := func() bool { return request.remaining() <= timeLeft/truncatedRunDivisor }
+		return r.responseToError(ctx, worker, err, x.sentAt > 0, outOfTime)
+	}
+	return r.responseOf(worker, &x, delivery)
+}
+
+// buildRequest fills in what is passed on to the worker as it came from the caller.
+func buildRequest(httpRequest *fasthttp.Request, request *schema.ForwardRequest) {
+	httpRequest.Header.DisableNormalizing()
+	httpRequest.Header.SetMethod(request.Method)
+	httpRequest.SetRequestURI(request.Target)
+	for name, value := range Fields(request.HeaderBlock) {
+		httpRequest.Header.AddBytesKV(name, value)
+	}
+	httpRequest.SetBodyRaw(request.Body)
+}
+
+// revalidate looks the registration up last of all, so that a worker which deregistered meanwhile gets nothing. It
+// returns the worker's token, or the refusal. The order of the checks decides which refusal a caller sees.
+func (r *Runner) revalidate(
+	ctx context.Context, worker *localWorker, request *schema.ForwardRequest, hasLease bool, timeLeft time.Duration,
+) (string, *schema.ForwardResponse) {
+	current, token, refusal := r.Workers.find(request)
+	switch {
+	case refusal != "":
+		return "", notExecuted(refusal, 0)
+	case current != worker:
+		return "", notExecuted(errs.WrongInstance, 0)
+	case timeLeft <= 0 || ctx.Err() != nil:
+		return "", notExecuted(contextErrorCode(ctx), 0)
+	case !hasLease:
+		return "", notExecuted(errs.NoLease, 0)
+	}
+	return token, nil
+}
+
+// responseToError returns the response to a request whose exchange with the worker failed.
+func (r *Runner) responseToError(
+	ctx context.Context, worker *localWorker, err error, sent bool, outOfTime func() bool,
+) *schema.ForwardResponse {
+	code := errs.CodeOf(err)
+	switch {
+	case !sent && ctx.Err() != nil:
+		return notExecuted(contextErrorCode(ctx), 0)
+	case code == errs.CallerDisconnected && outOfTime():
+		return outcomeUnknown(errs.DeadlineExceeded)
+	case code == errs.WorkerConnectFailed:
+		// If nothing listens the worker has ended; if it has not, its next heartbeat registers it again.
+		if errors.Is(err, syscall.ECONNREFUSED) {
+			r.Workers.removeDisowned(worker)
+		}
+		return notExecuted(code, 0)
+	}
+	return outcomeUnknown(code)
+}
+
+// responseOf returns the response to a request that the worker answered or refused.
+func (r *Runner) responseOf(worker *localWorker, x *exchange, delivery *handover) *schema.ForwardResponse {
+	switch {
+	case x.info.WrongWorker:
+		r.Workers.removeDisowned(worker)
+		return withReachedWorker(notExecuted(errs.WrongInstance, 0))
+	case x.info.NotExecuted:
+		delivery.result = ResultRejected
+		return withReachedWorker(notExecuted(errs.QueueFull, 0))
+	case !r.Codec.ValidBody(&x.response.Header, x.body):
+		return outcomeUnknown(errs.InvalidResponse)
+	}
+	delivery.result = ResultAnswered
+	response := &schema.ForwardResponse{
+		Outcome:  schema.CallOutcome_CALL_OUTCOME_ANSWERED,
+		Status:   int32(x.response.StatusCode()),
+		Body:     x.body,
+		Length:   uint64(len(x.body)),
+		Checksum: crc32.ChecksumIEEE(x.body),
+	}
+	for name, value := range x.response.Header.All() {
+		if r.Codec.PassesHeader(name, true) {
+			response.HeaderBlock = AppendField(response.HeaderBlock, name, value)
+		}
+	}
+	return response
+}
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -6,23 +6,30 @@
 	"testing"
 )
 
-// BenchmarkMake is a route without split, and a version flag with a rollout.
+// BenchmarkMake measures a plan of a route without split, and a version flag with a rollout.
 func BenchmarkMake(b *testing.B) {
 	for _, pool := range []int{5, 40} {
 		b.Run(fmt.Sprint(pool, " workers"), func(b *testing.B) {
 			var workers []Endpoint
 			for i := range pool {
-				workers = append(workers, Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Zone: []string{"near", "far", "away"}[i%3], Slots: 18, Running: i % 7, ServiceTime: 1e8})
+				workers = append(workers, Endpoint{
+					Instance:    fmt.Sprint("w", i),
+					Proxy:       fmt.Sprint("p", i),
+					Zone:        []string{"near", "far", "away"}[i%3],
+					Slots:       18,
+					Running:     i % 7,
+					ServiceTime: 1e8,
+				})
 			}
 			view := compiledOf(b, benchBodies, Directory{"shop": {"1": workers, "2": workers}})
 			request := newRequest("GET", "/a/x", nil)
 			request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
 			random := rand.New(rand.NewPCG(1, 1))
 			var local LocalState = fakeLocalState{}
-			roll := random.Float64
+			randomFloat := random.Float64
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Make(view, request, options, local, 0, roll); err != nil {
+				if _, err := Make(view, request, options, local, 0, randomFloat); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -30,19 +37,20 @@
 	}
 }
 
+// benchBodies is a configuration by kind and name.
 var benchBodies = map[string]string{"service/shop": `{"versions":["1","2"],"fallback":"1"}`,
 	"route/r":           `{"service":"shop","host":"a.example","prefix":"/a/","aim":"200ms","horizon":"800ms"}`,
 	"flag/release.shop": `{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":{"variations":[{"variation":0,"weight":90000},{"variation":1,"weight":10000}]}}}`}
 
-// A plan allocates itself and its candidates, and no more, whatever its flag takes to decide.
+// A plan allocates itself and its candidates and nothing else, whatever its flag takes to decide.
 func TestMakeAllocatesLittle(t *testing.T) {
 	view := compiledOf(t, benchBodies, Directory{"shop": {"1": workers("a", "b", "far1"), "2": workers("c")}})
 	request := newRequest("GET", "/a/x", nil)
 	request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
 	random := rand.New(rand.NewPCG(1, 1))
 	var local LocalState = fakeLocalState{}
-	roll := random.Float64
-	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, local, 0, roll) })
+	randomFloat := random.Float64
+	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, local, 0, randomFloat) })
 	if allocations > 2 && !underRace {
 		t.Errorf("%v allocations", allocations)
 	}
