--- a/internal/store/admission.go
+++ b/internal/store/admission.go
@@ -10,81 +10,81 @@
 )
 
 // Propose takes a change from this machine's registry.
-func (s *Replica) Propose(now time.Duration, proposal *schema.Proposal) []Action {
-	s.beginStep(now)
-	if outcome, committed := s.CommittedOutcome(proposal.Change.Id); committed {
-		s.actions = append(s.actions, Reply{&schema.ProposalReply{Ticket: proposal.Ticket, Outcome: outcome}})
-		return s.actions
+func (r *Replica) Propose(now time.Duration, proposal *schema.Proposal) []Action {
+	r.beginStep(now)
+	if outcome, committed := r.CommittedOutcome(proposal.Change.Id); committed {
+		r.actions = append(r.actions, Reply{&schema.ProposalReply{Ticket: proposal.Ticket, Outcome: outcome}})
+		return r.actions
 	}
-	leader := s.leader()
+	leader := r.leader()
 	switch leader {
-	case s.config.Name:
-		s.propose(proposal, requester{ticket: proposal.Ticket})
+	case r.config.Name:
+		r.propose(proposal, requester{ticket: proposal.Ticket})
 	case "":
-		s.actions = append(s.actions, Reply{&schema.ProposalReply{Ticket: proposal.Ticket, Undecided: true}})
+		r.actions = append(r.actions, Reply{&schema.ProposalReply{Ticket: proposal.Ticket, Undecided: true}})
 	default:
-		s.forwardedRequests[proposal.Ticket] = forwardedRequest{leader: leader, sentAt: now}
-		s.send(leader, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Proposal{Proposal: proposal}})
+		r.forwardedRequests[proposal.Ticket] = forwardedRequest{leader: leader, sentAt: now}
+		r.send(leader, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Proposal{Proposal: proposal}})
 	}
-	return s.actions
+	return r.actions
 }
 
 // ReadIndex asks for the committed sequence that no later yes can lie below.
-func (s *Replica) ReadIndex(now time.Duration, ticket string) []Action {
-	s.beginStep(now)
-	leader := s.leader()
+func (r *Replica) ReadIndex(now time.Duration, ticket string) []Action {
+	r.beginStep(now)
+	leader := r.leader()
 	switch leader {
-	case s.config.Name:
-		s.readIndex(requester{ticket: ticket})
+	case r.config.Name:
+		r.readIndex(requester{ticket: ticket})
 	case "":
-		s.actions = append(s.actions, ReadIndexReady{&schema.ReadIndexReply{Ticket: ticket, Undecided: true}})
+		r.actions = append(r.actions, ReadIndexReady{&schema.ReadIndexReply{Ticket: ticket, Undecided: true}})
 	default:
-		s.forwardedRequests[ticket] = forwardedRequest{leader: leader, sentAt: now, isRead: true}
-		s.send(leader, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ReadIndex{ReadIndex: &schema.ReadIndex{Ticket: ticket}}})
+		r.forwardedRequests[ticket] = forwardedRequest{leader: leader, sentAt: now, isRead: true}
+		r.send(leader, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ReadIndex{ReadIndex: &schema.ReadIndex{Ticket: ticket}}})
 	}
-	return s.actions
+	return r.actions
 }
 
-func (s *Replica) answerProposal(to requester, reply *schema.ProposalReply) {
+func (r *Replica) answerProposal(to requester, reply *schema.ProposalReply) {
 	if to.replica == "" {
-		s.actions = append(s.actions, Reply{reply})
+		r.actions = append(r.actions, Reply{reply})
 		return
 	}
-	s.send(to.replica, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ProposalReply{ProposalReply: reply}})
+	r.send(to.replica, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ProposalReply{ProposalReply: reply}})
 }
 
-func (s *Replica) answerRead(to requester, reply *schema.ReadIndexReply) {
+func (r *Replica) answerRead(to requester, reply *schema.ReadIndexReply) {
 	if to.replica == "" {
-		s.actions = append(s.actions, ReadIndexReady{reply})
+		r.actions = append(r.actions, ReadIndexReady{reply})
 		return
 	}
-	s.send(to.replica, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ReadIndexReply{ReadIndexReply: reply}})
+	r.send(to.replica, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ReadIndexReply{ReadIndexReply: reply}})
 }
 
 // propose admits a change, as the leader.
-func (s *Replica) propose(proposal *schema.Proposal, from requester) {
-	uncommitted := int(s.sequence - s.committedSequence)
+func (r *Replica) propose(proposal *schema.Proposal, from requester) {
+	uncommitted := int(r.sequence - r.committedSequence)
 	// Refused before it is admitted, so nothing of it can come into force later.
-	if s.role != roleLeader || s.unfit() || uncommitted >= s.config.MaxUncommittedEntries {
-		s.answerProposal(from, &schema.ProposalReply{Ticket: proposal.Ticket, Undecided: true})
+	if r.role != roleLeader || r.unfit() || uncommitted >= r.config.MaxUncommittedEntries {
+		r.answerProposal(from, &schema.ProposalReply{Ticket: proposal.Ticket, Undecided: true})
 		return
 	}
-	if outcome, committed := s.CommittedOutcome(proposal.Change.Id); committed {
-		s.answerProposal(from, &schema.ProposalReply{Ticket: proposal.Ticket, Outcome: outcome})
+	if outcome, committed := r.CommittedOutcome(proposal.Change.Id); committed {
+		r.answerProposal(from, &schema.ProposalReply{Ticket: proposal.Ticket, Outcome: outcome})
 		return
 	}
-	s.pendingProposals[proposal.Change.Id] = append(s.pendingProposals[proposal.Change.Id], from)
-	if _, appended := s.outcomes[proposal.Change.Id]; appended {
+	r.pendingProposals[proposal.Change.Id] = append(r.pendingProposals[proposal.Change.Id], from)
+	if _, appended := r.outcomes[proposal.Change.Id]; appended {
 		return
 	}
-	s.admit(proposal.Change)
+	r.admit(proposal.Change)
 }
 
 // admit gives a change the next sequence and hands it to the others.
-func (s *Replica) admit(change *schema.Change) {
+func (r *Replica) admit(change *schema.Change) {
 	var entry *schema.Entry
-	entry, s.compiledConfig = Decide(s.state, s.compiledConfig, change, &schema.Version{Term: s.term, Sequence: s.sequence + 1})
-	s.appendAsLeader(entry)
+	entry, r.compiledConfig = Decide(r.state, r.compiledConfig, change, &schema.Version{Term: r.term, Sequence: r.sequence + 1})
+	r.appendAsLeader(entry)
 }
 
 // purgeDivisor is the part of the entries kept in which the leader looks for tombstones once, and
@@ -94,91 +94,91 @@
 // purgeTombstones lets tombstones go that every replica has on disk. Whoever is further behind is told the
 // whole state, so nothing that was removed comes back. Those that bear an operator's version go
 // only once there are too many: without them an older order would be taken for a new one.
-func (s *Replica) purgeTombstones() {
-	threshold := uint64(max(1, s.config.MaxEntries/purgeDivisor))
-	if s.role != roleLeader || s.committedSequence < s.nextPurgeSequence {
+func (r *Replica) purgeTombstones() {
+	threshold := uint64(max(1, r.config.MaxEntries/purgeDivisor))
+	if r.role != roleLeader || r.committedSequence < r.nextPurgeSequence {
 		return
 	}
-	s.nextPurgeSequence = s.committedSequence + threshold
-	purgeTo := s.committedSequence
-	for _, name := range s.otherMembers {
-		peer := s.peers[name]
-		if peer.term != s.term {
+	r.nextPurgeSequence = r.committedSequence + threshold
+	purgeTo := r.committedSequence
+	for _, name := range r.otherMembers {
+		peer := r.peers[name]
+		if peer.term != r.term {
 			return
 		}
 		purgeTo = min(purgeTo, peer.acked)
 	}
-	count, dropped := s.committedState.Tombstones()
-	operatorVersion := s.committedState.OperatorVersionedPurgedUpTo()
-	if len(dropped) > s.config.MaxOperatorTombstones {
+	count, dropped := r.committedState.Tombstones()
+	operatorVersion := r.committedState.OperatorVersionedPurgedUpTo()
+	if len(dropped) > r.config.MaxOperatorTombstones {
 		// The oldest go, a part of the bound more than they must, so that it is not done each time.
-		operatorVersion = max(operatorVersion, dropped[min(len(dropped)-s.config.MaxOperatorTombstones+s.config.MaxOperatorTombstones/purgeDivisor, len(dropped))-1])
+		operatorVersion = max(operatorVersion, dropped[min(len(dropped)-r.config.MaxOperatorTombstones+r.config.MaxOperatorTombstones/purgeDivisor, len(dropped))-1])
 	}
 	operatorVersion = min(operatorVersion, purgeTo)
-	if (uint64(count) < threshold || purgeTo <= s.committedState.PurgedUpTo()) && operatorVersion <= s.committedState.OperatorVersionedPurgedUpTo() {
+	if (uint64(count) < threshold || purgeTo <= r.committedState.PurgedUpTo()) && operatorVersion <= r.committedState.OperatorVersionedPurgedUpTo() {
 		return
 	}
 	item := config.NewPurgeItem(purgeTo, operatorVersion)
-	change := &schema.Change{Id: "purge-" + versionText(&schema.Version{Term: s.term, Sequence: s.sequence + 1}), Items: []*schema.Item{item}}
-	if existing := s.state[config.Key(item.Kind, item.Name)]; existing != nil {
+	change := &schema.Change{Id: "purge-" + versionText(&schema.Version{Term: r.term, Sequence: r.sequence + 1}), Items: []*schema.Item{item}}
+	if existing := r.state[config.Key(item.Kind, item.Name)]; existing != nil {
 		change.Expected = []*schema.ExpectedVersion{{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.Sequence}}
 	}
-	s.admit(change)
+	r.admit(change)
 }
 
-func (s *Replica) answerCommittedProposals() {
-	for _, id := range slices.Sorted(maps.Keys(s.pendingProposals)) {
-		requesters := s.pendingProposals[id]
-		outcome, committed := s.CommittedOutcome(id)
+func (r *Replica) answerCommittedProposals() {
+	for _, id := range slices.Sorted(maps.Keys(r.pendingProposals)) {
+		requesters := r.pendingProposals[id]
+		outcome, committed := r.CommittedOutcome(id)
 		if !committed {
 			continue
 		}
 		for _, request := range requesters {
-			s.answerProposal(request, &schema.ProposalReply{Ticket: request.ticket, Outcome: outcome})
+			r.answerProposal(request, &schema.ProposalReply{Ticket: request.ticket, Outcome: outcome})
 		}
-		delete(s.pendingProposals, id)
+		delete(r.pendingProposals, id)
 	}
 }
 
-func (s *Replica) readIndex(from requester) {
-	if s.role != roleLeader {
-		s.answerRead(from, &schema.ReadIndexReply{Ticket: from.ticket, Undecided: true})
+func (r *Replica) readIndex(from requester) {
+	if r.role != roleLeader {
+		r.answerRead(from, &schema.ReadIndexReply{Ticket: from.ticket, Undecided: true})
 		return
 	}
-	if s.hasFault(faultLocalRead) {
-		s.answerRead(from, &schema.ReadIndexReply{Ticket: from.ticket, Committed: s.committedSequence})
+	if r.hasFault(faultLocalRead) {
+		r.answerRead(from, &schema.ReadIndexReply{Ticket: from.ticket, Committed: r.committedSequence})
 		return
 	}
-	s.readIndexRound++
-	s.pendingReads = append(s.pendingReads, pendingRead{from, s.readIndexRound})
-	s.sendConfirm()
+	r.readIndexRound++
+	r.pendingReads = append(r.pendingReads, pendingRead{from, r.readIndexRound})
+	r.sendConfirm()
 	// A replica without others is a majority by itself, and no confirmation will come.
-	s.resolveReads()
+	r.resolveReads()
 }
 
-func (s *Replica) sendConfirm() {
-	for _, name := range s.otherMembers {
-		s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ConfirmLeadership{ConfirmLeadership: &schema.ConfirmLeadership{Term: s.term, Round: s.readIndexRound}}})
+func (r *Replica) sendConfirm() {
+	for _, name := range r.otherMembers {
+		r.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ConfirmLeadership{ConfirmLeadership: &schema.ConfirmLeadership{Term: r.term, Round: r.readIndexRound}}})
 	}
 }
 
-func (s *Replica) resolveReads() {
+func (r *Replica) resolveReads() {
 	var remaining []pendingRead
-	for _, read := range s.pendingReads {
+	for _, read := range r.pendingReads {
 		confirmed := 1
-		for _, name := range s.otherMembers {
-			peer := s.peers[name]
+		for _, name := range r.otherMembers {
+			peer := r.peers[name]
 			if peer.confirmedRound >= read.round {
 				confirmed++
 			}
 		}
-		if confirmed >= s.majority() {
-			s.answerRead(read.requester, &schema.ReadIndexReply{Ticket: read.ticket, Committed: s.committedSequence, Empty: len(s.committedState) == 0})
+		if confirmed >= r.majority() {
+			r.answerRead(read.requester, &schema.ReadIndexReply{Ticket: read.ticket, Committed: r.committedSequence, Empty: len(r.committedState) == 0})
 		} else {
 			remaining = append(remaining, read)
 		}
 	}
-	s.pendingReads = remaining
+	r.pendingReads = remaining
 }
 
 // maxReportedFaults bounds the reasons that are kept with a refusal: an operator mends them in turn.
--- a/internal/store/freshness.go
+++ b/internal/store/freshness.go
@@ -68,12 +68,12 @@
 
 // CommittedAge tells how long ago this replica last knew its committed setup to be the newest that anyone
 // was promised; false if it never has.
-func (s *Replica) CommittedAge(now time.Duration) (age time.Duration, known bool) {
+func (r *Replica) CommittedAge(now time.Duration) (age time.Duration, known bool) {
 	// An empty replica's word counts for nothing, not even to itself.
-	if !s.isMember() {
+	if !r.isMember() {
 		return 0, false
 	}
-	s.freshness.observe(s.config.Name, now, s.sequence, s.committedSequence)
-	at, known := s.freshness.majorityTime(append([]string{s.config.Name}, s.otherMembers...), s.majority())
+	r.freshness.observe(r.config.Name, now, r.sequence, r.committedSequence)
+	at, known := r.freshness.majorityTime(append([]string{r.config.Name}, r.otherMembers...), r.majority())
 	return now - at, known
 }
--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -11,54 +11,54 @@
 
 // Heartbeats tell the other replicas whom this one hears and how far it is, in short where nothing has changed.
 
-func (s *Replica) recentlyHeard(peer *peerState) bool {
-	return peer.heard && s.now-peer.heardAt <= s.config.HeartbeatTimeout
+func (r *Replica) recentlyHeard(peer *peerState) bool {
+	return peer.heard && r.now-peer.heardAt <= r.config.HeartbeatTimeout
 }
 
 // heartbeatInterval is the time from one round of heartbeats to the next.
-func (s *Replica) heartbeatInterval() time.Duration {
-	if !s.reachesMajority(s.config.Name) {
-		return s.config.HeartbeatTimeout / isolatedHeartbeatsPerTimeout
+func (r *Replica) heartbeatInterval() time.Duration {
+	if !r.reachesMajority(r.config.Name) {
+		return r.config.HeartbeatTimeout / isolatedHeartbeatsPerTimeout
 	}
-	return s.config.HeartbeatTimeout / heartbeatsPerTimeout
+	return r.config.HeartbeatTimeout / heartbeatsPerTimeout
 }
 
-func (s *Replica) sendHeartbeats() {
-	s.heartbeatSent, s.heartbeatSentAt, s.lastUrgentState = true, s.now, s.urgentState()
-	for _, name := range s.otherMembers {
-		s.sendHeartbeat(name, s.peers[name])
+func (r *Replica) sendHeartbeats() {
+	r.heartbeatSent, r.heartbeatSentAt, r.lastUrgentState = true, r.now, r.urgentState()
+	for _, name := range r.otherMembers {
+		r.sendHeartbeat(name, r.peers[name])
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.outsiders)) {
-		if outsider := s.outsiders[name]; s.recentlyHeard(outsider) {
-			s.sendHeartbeat(name, outsider)
+	for _, name := range slices.Sorted(maps.Keys(r.outsiders)) {
+		if outsider := r.outsiders[name]; r.recentlyHeard(outsider) {
+			r.sendHeartbeat(name, outsider)
 		}
 	}
 }
 
 // sendUrgentHeartbeats sends heartbeats at once when who hears whom, who is fit or who holds leadership has changed.
-func (s *Replica) sendUrgentHeartbeats() {
-	if s.isMember() && s.heartbeatSent && s.now-s.heartbeatSentAt >= s.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout && s.urgentState() != s.lastUrgentState {
-		s.sendHeartbeats()
+func (r *Replica) sendUrgentHeartbeats() {
+	if r.isMember() && r.heartbeatSent && r.now-r.heartbeatSentAt >= r.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout && r.urgentState() != r.lastUrgentState {
+		r.sendHeartbeats()
 	}
 }
 
 // news is what a heartbeat tells that must not wait for the next round.
-func (s *Replica) urgentState() string {
-	heartbeat := s.heartbeat()
+func (r *Replica) urgentState() string {
+	heartbeat := r.heartbeat()
 	return fmt.Sprint(heartbeat.Heard, heartbeat.Mutual, heartbeat.Unfit, heartbeat.MembershipBehind, heartbeat.Leader)
 }
 
-func (s *Replica) heartbeat() *schema.Heartbeat {
-	heartbeat := &schema.Heartbeat{Mutual: s.mutualPeers(), Unfit: s.unfit(), VotedTerm: s.votedTerm, Term: s.term, Sequence: s.sequence,
-		Committed: s.committedSequence, CommittedTerm: s.committedTerm, Membership: s.membership.EffectiveFrom, MembershipBehind: len(s.newerMembers()) > 0}
-	for _, name := range s.otherMembers {
-		if s.recentlyHeard(s.peers[name]) {
+func (r *Replica) heartbeat() *schema.Heartbeat {
+	heartbeat := &schema.Heartbeat{Mutual: r.mutualPeers(), Unfit: r.unfit(), VotedTerm: r.votedTerm, Term: r.term, Sequence: r.sequence,
+		Committed: r.committedSequence, CommittedTerm: r.committedTerm, Membership: r.membership.EffectiveFrom, MembershipBehind: len(r.newerMembers()) > 0}
+	for _, name := range r.otherMembers {
+		if r.recentlyHeard(r.peers[name]) {
 			heartbeat.Heard = append(heartbeat.Heard, name)
 		}
 	}
-	heartbeat.Heard = append(heartbeat.Heard, s.newerMembers()...)
-	if s.role == roleLeader {
-		heartbeat.Leader = s.config.Name
+	heartbeat.Heard = append(heartbeat.Heard, r.newerMembers()...)
+	if r.role == roleLeader {
+		heartbeat.Leader = r.config.Name
 	}
 	return heartbeat
 }
@@ -67,19 +67,19 @@
 const maxAbbreviatedHeartbeats = 8
 
 // sendHeartbeat tells another replica how things stand here, in short if they stand as they did.
-func (s *Replica) sendHeartbeat(to string, peer *peerState) {
-	heartbeat := s.heartbeat()
+func (r *Replica) sendHeartbeat(to string, peer *peerState) {
+	heartbeat := r.heartbeat()
 	if peer.lastFullHeartbeat != nil {
 		heartbeat.Serial = peer.lastFullHeartbeat.Serial
 	}
 	if peer.lastFullHeartbeat != nil && peer.abbreviatedCount < maxAbbreviatedHeartbeats && equalHeartbeats(heartbeat, peer.lastFullHeartbeat) {
 		peer.abbreviatedCount++
-		s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{Serial: heartbeat.Serial}}})
+		r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{Serial: heartbeat.Serial}}})
 		return
 	}
-	s.heartbeatSerial++
-	heartbeat.Serial, peer.lastFullHeartbeat, peer.abbreviatedCount = s.heartbeatSerial, heartbeat, 0
-	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: heartbeat}})
+	r.heartbeatSerial++
+	heartbeat.Serial, peer.lastFullHeartbeat, peer.abbreviatedCount = r.heartbeatSerial, heartbeat, 0
+	r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: heartbeat}})
 }
 
 func equalHeartbeats(a, b *schema.Heartbeat) bool {
@@ -93,33 +93,33 @@
 	return heartbeat.Membership == nil && heartbeat.Serial != 0
 }
 
-func (s *Replica) onHeartbeat(from string, peer *peerState, heartbeat *schema.Heartbeat) {
+func (r *Replica) onHeartbeat(from string, peer *peerState, heartbeat *schema.Heartbeat) {
 	if heartbeat.ResendFull {
-		if peer.lastFullHeartbeat = nil; s.isMember() {
-			s.sendHeartbeat(from, peer)
+		if peer.lastFullHeartbeat = nil; r.isMember() {
+			r.sendHeartbeat(from, peer)
 		}
 		return
 	}
 	if isAbbreviated(heartbeat) {
 		if peer.receivedHeartbeat.GetSerial() != heartbeat.Serial {
-			s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{ResendFull: true}}})
+			r.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{ResendFull: true}}})
 			return
 		}
 		heartbeat = peer.receivedHeartbeat
 	}
 	peer.receivedHeartbeat = heartbeat
 	if !heartbeat.Unfit {
-		s.freshness.observe(from, s.now, heartbeat.Sequence, s.committedSequence)
+		r.freshness.observe(from, r.now, heartbeat.Sequence, r.committedSequence)
 	}
 	peer.lastKnownVersion = &schema.Version{Term: heartbeat.Term, Sequence: heartbeat.Sequence}
-	s.highestTerm = max(s.highestTerm, heartbeat.VotedTerm)
-	if heartbeat.CommittedTerm == s.term {
-		s.commitTo(heartbeat.Committed)
+	r.highestTerm = max(r.highestTerm, heartbeat.VotedTerm)
+	if heartbeat.CommittedTerm == r.term {
+		r.commitTo(heartbeat.Committed)
 	}
 	// A replica the leader cannot reach learns what is committed from any other that has it.
-	behind := heartbeat.CommittedTerm > s.term || (heartbeat.CommittedTerm == s.term && heartbeat.Committed > s.sequence)
-	if s.isMember() && behind && s.role == roleFollower && !slices.Contains(s.mutualPeers(), s.leader()) {
-		s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_SnapshotRequest{SnapshotRequest: &schema.SnapshotRequest{}}})
+	behind := heartbeat.CommittedTerm > r.term || (heartbeat.CommittedTerm == r.term && heartbeat.Committed > r.sequence)
+	if r.isMember() && behind && r.role == roleFollower && !slices.Contains(r.mutualPeers(), r.leader()) {
+		r.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_SnapshotRequest{SnapshotRequest: &schema.SnapshotRequest{}}})
 	}
-	s.sendUrgentHeartbeats()
+	r.sendUrgentHeartbeats()
 }
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -68,11 +68,11 @@
 }
 
 // isMember tells whether this folder is one of the members.
-func (s *Replica) isMember() bool {
-	return !s.isExcluded() && containsMember(s.membership, s.config.Name, s.incarnation, s.founder)
+func (r *Replica) isMember() bool {
+	return !r.isExcluded() && containsMember(r.membership, r.config.Name, r.incarnation, r.founder)
 }
 
-func (s *Replica) majority() int { return len(s.membership.Members)/2 + 1 }
+func (r *Replica) majority() int { return len(r.membership.Members)/2 + 1 }
 
 // commitQuorum is how many durable copies make a change committed: a majority, and one more than may be lost.
 func commitQuorum(members *schema.Membership, losses int) int {
@@ -80,200 +80,200 @@
 }
 
 // applyMembership lets the peers be those of the members taken.
-func (s *Replica) applyMembership() {
+func (r *Replica) applyMembership() {
 	peers := map[string]*peerState{}
-	s.otherMembers = nil
-	for _, member := range s.membership.Members {
-		if member.Address != "" && member.Id != s.config.Name {
-			s.addresses[member.Id] = member.Address
+	r.otherMembers = nil
+	for _, member := range r.membership.Members {
+		if member.Address != "" && member.Id != r.config.Name {
+			r.addresses[member.Id] = member.Address
 		}
-		if member.Id == s.config.Name {
+		if member.Id == r.config.Name {
 			continue
 		}
-		s.otherMembers = append(s.otherMembers, member.Id)
-		peer := s.peers[member.Id]
-		if outsider := s.outsiders[member.Id]; outsider != nil && member.Incarnation == outsider.incarnation {
+		r.otherMembers = append(r.otherMembers, member.Id)
+		peer := r.peers[member.Id]
+		if outsider := r.outsiders[member.Id]; outsider != nil && member.Incarnation == outsider.incarnation {
 			peer = outsider
-			delete(s.outsiders, member.Id)
+			delete(r.outsiders, member.Id)
 		}
 		if peer == nil || member.Incarnation != 0 && peer.incarnation != member.Incarnation {
 			peer = &peerState{incarnation: member.Incarnation}
 		}
 		peers[member.Id] = peer
 	}
-	s.peers = peers
+	r.peers = peers
 	// Whoever has a place no longer asks for one.
-	if s.expandsMembership && containsMember(s.membership, s.config.Name, s.incarnation, s.founder) {
-		s.expandsMembership = false
+	if r.expandsMembership && containsMember(r.membership, r.config.Name, r.incarnation, r.founder) {
+		r.expandsMembership = false
 	}
 }
 
 // requestState lets an empty replica of an order learn whether there is a setup already. Only if every
 // other replica has none, these are the first members.
-func (s *Replica) requestState() {
-	if s.stateRequestRound != 0 && s.now-s.stateRequestedAt < s.config.HeartbeatTimeout/heartbeatsPerTimeout {
+func (r *Replica) requestState() {
+	if r.stateRequestRound != 0 && r.now-r.stateRequestedAt < r.config.HeartbeatTimeout/heartbeatsPerTimeout {
 		return
 	}
-	s.stateRequestRound++
-	s.stateRequestedAt = s.now
-	for _, name := range s.config.StaticMembers {
-		if name != s.config.Name {
-			s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_StateRequest{StateRequest: &schema.StateRequest{Round: s.stateRequestRound}}})
+	r.stateRequestRound++
+	r.stateRequestedAt = r.now
+	for _, name := range r.config.StaticMembers {
+		if name != r.config.Name {
+			r.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_StateRequest{StateRequest: &schema.StateRequest{Round: r.stateRequestRound}}})
 		}
 	}
-	s.bootstrapIfAllEmpty()
+	r.bootstrapIfAllEmpty()
 }
 
-func (s *Replica) onStateReply(from string, incarnation uint64, reply *schema.StateReply) {
-	if s.joinsExisting || s.membership.EffectiveFrom != nil || reply.Round != s.stateRequestRound {
+func (r *Replica) onStateReply(from string, incarnation uint64, reply *schema.StateReply) {
+	if r.joinsExisting || r.membership.EffectiveFrom != nil || reply.Round != r.stateRequestRound {
 		return
 	}
 	if reply.VotedTerm > 0 || reply.Snapshot.Term > 0 || reply.Snapshot.Sequence > 0 {
-		s.joinsExisting = true
+		r.joinsExisting = true
 		return
 	}
-	if s.outsiders[from] == nil {
-		s.outsiders[from] = &peerState{}
+	if r.outsiders[from] == nil {
+		r.outsiders[from] = &peerState{}
 	}
-	s.outsiders[from].incarnation, s.outsiders[from].stateReply = incarnation, reply
-	s.bootstrapIfAllEmpty()
+	r.outsiders[from].incarnation, r.outsiders[from].stateReply = incarnation, reply
+	r.bootstrapIfAllEmpty()
 }
 
-func (s *Replica) bootstrapIfAllEmpty() {
-	for _, name := range s.config.StaticMembers {
-		if peer := s.outsiders[name]; name != s.config.Name && (peer == nil || peer.stateReply == nil || peer.stateReply.Round != s.stateRequestRound) {
+func (r *Replica) bootstrapIfAllEmpty() {
+	for _, name := range r.config.StaticMembers {
+		if peer := r.outsiders[name]; name != r.config.Name && (peer == nil || peer.stateReply == nil || peer.stateReply.Round != r.stateRequestRound) {
 			return
 		}
 	}
-	s.founder, s.roleSince = true, 0
-	s.outsiders = map[string]*peerState{}
-	s.restoreSnapshot(&schema.Snapshot{Membership: foundingMembership(s.config.StaticMembers)})
-	s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
+	r.founder, r.roleSince = true, 0
+	r.outsiders = map[string]*peerState{}
+	r.restoreSnapshot(&schema.Snapshot{Membership: foundingMembership(r.config.StaticMembers)})
+	r.persist(&schema.Record{Snapshot: r.snapshot()}, pendingWrite{})
 }
 
 // requestJoin asks to become a member: at the leader once it is known, else at everybody who may know it.
-func (s *Replica) requestJoin() {
-	if s.joinRequestedAt != 0 && s.now-s.joinRequestedAt < s.config.HeartbeatTimeout/heartbeatsPerTimeout {
+func (r *Replica) requestJoin() {
+	if r.joinRequestedAt != 0 && r.now-r.joinRequestedAt < r.config.HeartbeatTimeout/heartbeatsPerTimeout {
 		return
 	}
-	s.joinRequestedAt = s.now
+	r.joinRequestedAt = r.now
 	targets := map[string]bool{}
-	if leader := s.leader(); leader != "" {
+	if leader := r.leader(); leader != "" {
 		targets[leader] = true
 	} else {
-		for _, name := range slices.Concat(s.config.Seeds, s.config.StaticMembers) {
+		for _, name := range slices.Concat(r.config.Seeds, r.config.StaticMembers) {
 			targets[name] = true
 		}
-		for _, members := range []*schema.Membership{s.membership, s.reportedMembership} {
+		for _, members := range []*schema.Membership{r.membership, r.reportedMembership} {
 			for _, member := range members.GetMembers() {
 				targets[member.Id] = true
 			}
 		}
 	}
-	delete(targets, s.config.Name)
-	knownVersion := s.membership.EffectiveFrom
-	if s.reportedMembership != nil && config.Newer(s.reportedMembership.Committed, s.lastVersion()) {
-		knownVersion = s.reportedMembership.EffectiveFrom
+	delete(targets, r.config.Name)
+	knownVersion := r.membership.EffectiveFrom
+	if r.reportedMembership != nil && config.Newer(r.reportedMembership.Committed, r.lastVersion()) {
+		knownVersion = r.reportedMembership.EffectiveFrom
 	}
 	for _, name := range slices.Sorted(maps.Keys(targets)) {
-		s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Join{Join: &schema.Join{RaiseTargetSize: s.expandsMembership, KnownMembership: knownVersion}}})
+		r.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Join{Join: &schema.Join{RaiseTargetSize: r.expandsMembership, KnownMembership: knownVersion}}})
 	}
 }
 
 // sendMembership answers whoever knows other members than the committed ones here, if those are older, or
 // were taken under an older epoch and so came to nothing.
-func (s *Replica) sendMembership(to string, knownVersion *schema.Version) {
-	if s.committedTerm == 0 || len(s.committedMembership.Members) == 0 || knownVersion.GetTerm() > s.committedTerm || proto.Equal(knownVersion, s.committedMembership.EffectiveFrom) {
+func (r *Replica) sendMembership(to string, knownVersion *schema.Version) {
+	if r.committedTerm == 0 || len(r.committedMembership.Members) == 0 || knownVersion.GetTerm() > r.committedTerm || proto.Equal(knownVersion, r.committedMembership.EffectiveFrom) {
 		return
 	}
-	if config.Newer(s.committedMembership.EffectiveFrom, knownVersion) || knownVersion.GetTerm() < s.committedTerm {
-		membership := proto.Clone(s.committedMembership).(*schema.Membership)
-		membership.Committed = &schema.Version{Term: s.committedTerm, Sequence: s.committedSequence}
-		s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Membership{Membership: membership}})
+	if config.Newer(r.committedMembership.EffectiveFrom, knownVersion) || knownVersion.GetTerm() < r.committedTerm {
+		membership := proto.Clone(r.committedMembership).(*schema.Membership)
+		membership.Committed = &schema.Version{Term: r.committedTerm, Sequence: r.committedSequence}
+		r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Membership{Membership: membership}})
 	}
 }
 
-func (s *Replica) onMembership(membership *schema.Membership) {
-	if s.reportedMembership != nil && !config.Newer(membership.Committed, s.reportedMembership.Committed) {
+func (r *Replica) onMembership(membership *schema.Membership) {
+	if r.reportedMembership != nil && !config.Newer(membership.Committed, r.reportedMembership.Committed) {
 		return
 	}
-	wasMember := s.isMember()
-	s.reportedMembership = membership
+	wasMember := r.isMember()
+	r.reportedMembership = membership
 	for _, member := range membership.Members {
-		if member.Address != "" && member.Id != s.config.Name {
-			s.addresses[member.Id] = member.Address
+		if member.Address != "" && member.Id != r.config.Name {
+			r.addresses[member.Id] = member.Address
 		}
 	}
-	if wasMember && !s.isMember() {
-		s.becomeFollower()
+	if wasMember && !r.isMember() {
+		r.becomeFollower()
 	}
-	if !s.isMember() {
-		s.joinRequestedAt = 0
-		s.requestJoin()
+	if !r.isMember() {
+		r.joinRequestedAt = 0
+		r.requestJoin()
 	}
 }
 
-func (s *Replica) onJoin(message *schema.ReplicaMessage, join *schema.Join) {
-	s.sendMembership(message.From, join.KnownMembership)
-	if s.role != roleLeader {
+func (r *Replica) onJoin(message *schema.ReplicaMessage, join *schema.Join) {
+	r.sendMembership(message.From, join.KnownMembership)
+	if r.role != roleLeader {
 		return
 	}
-	if containsMember(s.membership, message.From, message.Incarnation, message.Founder) {
+	if containsMember(r.membership, message.From, message.Incarnation, message.Founder) {
 		// It has a place but does not know it yet.
-		peer := s.peers[message.From]
+		peer := r.peers[message.From]
 		peer.sent = peer.acked
-		s.replicate(message.From, peer)
+		r.replicate(message.From, peer)
 		return
 	}
-	outsider := s.outsiders[message.From]
+	outsider := r.outsiders[message.From]
 	if outsider == nil || outsider.incarnation != message.Incarnation {
 		outsider = &peerState{incarnation: message.Incarnation, lastKnownVersion: &schema.Version{}}
-		s.outsiders[message.From] = outsider
+		r.outsiders[message.From] = outsider
 	}
-	outsider.isLearner, outsider.expandsMembership, outsider.heard, outsider.heardAt = true, join.RaiseTargetSize, true, s.now
-	if outsider.term != s.term || outsider.acked < s.sequence {
+	outsider.isLearner, outsider.expandsMembership, outsider.heard, outsider.heardAt = true, join.RaiseTargetSize, true, r.now
+	if outsider.term != r.term || outsider.acked < r.sequence {
 		outsider.sent = outsider.acked
-		s.replicate(message.From, outsider)
+		r.replicate(message.From, outsider)
 	}
-	s.sendHeartbeat(message.From, outsider)
-	s.reconcileMembership()
+	r.sendHeartbeat(message.From, outsider)
+	r.reconcileMembership()
 }
 
 // restartAsNewIncarnation lets this replica be another one, empty, of the same name. It is for a replica that was taken
 // out while it was away and has since voted for an epoch that no leader has: it could never be
 // kept up to date again, and a vote must not be taken back. What it has said of before stays with
 // its old incarnation, which counts for nothing: it was taken out after all that it holds.
-func (s *Replica) restartAsNewIncarnation() {
-	cfg := s.config
+func (r *Replica) restartAsNewIncarnation() {
+	cfg := r.config
 	cfg.Founders, cfg.ExpandsMembership = nil, false
 	record := InitialRecord(cfg, cfg.NewIncarnation())
 	successor := NewReplica(cfg, 0, []*schema.Record{record})
-	successor.addresses, successor.reportedMembership, successor.joinsExisting = s.addresses, s.reportedMembership, true
-	successor.clockStarted, successor.clockStartedAt, successor.now, successor.actions = true, s.clockStartedAt, s.now, s.actions
+	successor.addresses, successor.reportedMembership, successor.joinsExisting = r.addresses, r.reportedMembership, true
+	successor.clockStarted, successor.clockStartedAt, successor.now, successor.actions = true, r.clockStartedAt, r.now, r.actions
 	// Nothing is said any more of what the old one still had to sync.
-	successor.lastWriteID, successor.forwardedRequests = s.lastWriteID, s.forwardedRequests
-	*s = *successor
-	s.lastWriteID++
-	s.pendingWrites = append(s.pendingWrites, pendingWrite{writeID: s.lastWriteID, startedAt: s.now})
-	s.actions = append(s.actions, Persist{WriteID: s.lastWriteID, Record: record, ReplacesLog: true})
-	s.requestJoin()
+	successor.lastWriteID, successor.forwardedRequests = r.lastWriteID, r.forwardedRequests
+	*r = *successor
+	r.lastWriteID++
+	r.pendingWrites = append(r.pendingWrites, pendingWrite{writeID: r.lastWriteID, startedAt: r.now})
+	r.actions = append(r.actions, Persist{WriteID: r.lastWriteID, Record: record, ReplacesLog: true})
+	r.requestJoin()
 }
 
 // isExcluded tells whether this replica is not among the members of a committed state that is newer than all
 // it holds. Either it was taken out while it was away, or it was put in by an entry that only it and
 // too few others took, and that came to nothing: in both cases what it takes for the members is void.
-func (s *Replica) isExcluded() bool {
-	if s.hasFault(faultIgnoresExclusion) && s.reportedMembership != nil && !config.Newer(s.reportedMembership.EffectiveFrom, s.membership.EffectiveFrom) {
+func (r *Replica) isExcluded() bool {
+	if r.hasFault(faultIgnoresExclusion) && r.reportedMembership != nil && !config.Newer(r.reportedMembership.EffectiveFrom, r.membership.EffectiveFrom) {
 		return false
 	}
-	return s.reportedMembership != nil && config.Newer(s.reportedMembership.Committed, s.lastVersion()) && !containsMember(s.reportedMembership, s.config.Name, s.incarnation, s.founder)
+	return r.reportedMembership != nil && config.Newer(r.reportedMembership.Committed, r.lastVersion()) && !containsMember(r.reportedMembership, r.config.Name, r.incarnation, r.founder)
 }
 
 // learners are those that are kept up to date by the leader though they are no members.
-func (s *Replica) learners() []string {
+func (r *Replica) learners() []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(s.outsiders)) {
-		if outsider := s.outsiders[name]; outsider.isLearner && s.recentlyHeard(outsider) {
+	for _, name := range slices.Sorted(maps.Keys(r.outsiders)) {
+		if outsider := r.outsiders[name]; outsider.isLearner && r.recentlyHeard(outsider) {
 			names = append(names, name)
 		}
 	}
@@ -282,35 +282,35 @@
 
 // reconcileMembership makes the next change of the members that is due, as the leader. One is made only once the
 // members before it are committed under this epoch.
-func (s *Replica) reconcileMembership() {
-	if s.role != roleLeader || s.unfit() || s.committedTerm != s.term || s.committedSequence < s.membership.EffectiveFrom.GetSequence() {
+func (r *Replica) reconcileMembership() {
+	if r.role != roleLeader || r.unfit() || r.committedTerm != r.term || r.committedSequence < r.membership.EffectiveFrom.GetSequence() {
 		return
 	}
-	for _, member := range s.membership.Members {
-		if peer := s.peers[member.Id]; member.Incarnation == 0 && peer != nil && s.recentlyHeard(peer) && peer.founder {
-			s.proposeMembership(withMember(s.membership, &schema.CoreMember{Id: member.Id, Address: s.memberAddress(member.Id), Incarnation: peer.incarnation}))
+	for _, member := range r.membership.Members {
+		if peer := r.peers[member.Id]; member.Incarnation == 0 && peer != nil && r.recentlyHeard(peer) && peer.founder {
+			r.proposeMembership(withMember(r.membership, &schema.CoreMember{Id: member.Id, Address: r.memberAddress(member.Id), Incarnation: peer.incarnation}))
 			return
 		}
 	}
-	for _, name := range s.learners() {
-		outsider := s.outsiders[name]
-		if outsider.term != s.term || outsider.acked+uint64(s.config.MaxEntries/maxLagDivisor) < s.sequence {
+	for _, name := range r.learners() {
+		outsider := r.outsiders[name]
+		if outsider.term != r.term || outsider.acked+uint64(r.config.MaxEntries/maxLagDivisor) < r.sequence {
 			continue
 		}
-		member := &schema.CoreMember{Id: name, Address: s.memberAddress(name), Incarnation: outsider.incarnation}
+		member := &schema.CoreMember{Id: name, Address: r.memberAddress(name), Incarnation: outsider.incarnation}
 		switch {
-		case memberIndex(s.membership, name) >= 0:
+		case memberIndex(r.membership, name) >= 0:
 			// Its folder of before is gone: it no longer counts for what was on it.
-			s.removeMember(name)
+			r.removeMember(name)
 		case outsider.expandsMembership:
-			expanded := withMember(s.membership, member)
+			expanded := withMember(r.membership, member)
 			expanded.TargetSize++
-			s.proposeMembership(expanded)
-		case len(s.membership.Members) < int(s.membership.TargetSize):
-			s.proposeMembership(withMember(s.membership, member))
+			r.proposeMembership(expanded)
+		case len(r.membership.Members) < int(r.membership.TargetSize):
+			r.proposeMembership(withMember(r.membership, member))
 		default:
-			if longestSilent := s.longestUnresponsive(); longestSilent != "" {
-				s.removeMember(longestSilent)
+			if longestSilent := r.longestUnresponsive(); longestSilent != "" {
+				r.removeMember(longestSilent)
 			}
 		}
 		return
@@ -319,39 +319,39 @@
 
 // removeMember lets a replica count no more, if as many of the others as are then needed were heard just
 // now: fewer members need each other more, so it is not done while another is being lost.
-func (s *Replica) removeMember(name string) {
-	remaining := withoutMember(s.membership, name)
+func (r *Replica) removeMember(name string) {
+	remaining := withoutMember(r.membership, name)
 	heard := 1
-	for _, other := range s.otherMembers {
-		if peer := s.peers[other]; other != name && peer.heard && s.now-peer.heardAt <= s.config.HeartbeatTimeout/recentTimeoutDivisor {
+	for _, other := range r.otherMembers {
+		if peer := r.peers[other]; other != name && peer.heard && r.now-peer.heardAt <= r.config.HeartbeatTimeout/recentTimeoutDivisor {
 			heard++
 		}
 	}
-	if heard >= commitQuorum(remaining, s.config.ToleratedLosses) {
-		s.proposeMembership(remaining)
+	if heard >= commitQuorum(remaining, r.config.ToleratedLosses) {
+		r.proposeMembership(remaining)
 	}
 }
 
 // memberAddress is where a replica is reached, if members are found by that and not by an order.
-func (s *Replica) memberAddress(name string) string {
-	if len(s.config.StaticMembers) > 0 {
+func (r *Replica) memberAddress(name string) string {
+	if len(r.config.StaticMembers) > 0 {
 		return ""
 	}
-	if name == s.config.Name {
-		return s.config.Address
+	if name == r.config.Name {
+		return r.config.Address
 	}
-	return s.addresses[name]
+	return r.addresses[name]
 }
 
 // longestUnresponsive names the replica that has not been heard for longest, if for too long.
-func (s *Replica) longestUnresponsive() (name string) {
-	longest := removeAfterTimeouts * s.config.HeartbeatTimeout
-	for _, other := range s.otherMembers {
-		since := s.clockStartedAt
-		if peer := s.peers[other]; peer.heard {
+func (r *Replica) longestUnresponsive() (name string) {
+	longest := removeAfterTimeouts * r.config.HeartbeatTimeout
+	for _, other := range r.otherMembers {
+		since := r.clockStartedAt
+		if peer := r.peers[other]; peer.heard {
 			since = peer.heardAt
 		}
-		if unheard := s.now - since; unheard > longest {
+		if unheard := r.now - since; unheard > longest {
 			name, longest = other, unheard
 		}
 	}
@@ -359,45 +359,45 @@
 }
 
 // proposeMembership lets other members count from the next place in the order on.
-func (s *Replica) proposeMembership(members *schema.Membership) {
-	version := &schema.Version{Term: s.term, Sequence: s.sequence + 1}
+func (r *Replica) proposeMembership(members *schema.Membership) {
+	version := &schema.Version{Term: r.term, Sequence: r.sequence + 1}
 	members.EffectiveFrom = version
 	id := "members-" + versionText(version)
-	s.appendAsLeader(&schema.Entry{Version: version, ChangeId: id, Membership: members,
+	r.appendAsLeader(&schema.Entry{Version: version, ChangeId: id, Membership: members,
 		Outcome: &schema.ChangeOutcome{ChangeId: id, Version: version, Ruling: schema.Ruling_RULING_ACCEPTED}})
 }
 
 // NextTickAt tells when Tick is next needed, if nothing else happens.
-func (s *Replica) NextTickAt() time.Duration {
-	next := s.heartbeatSentAt + s.heartbeatInterval()
+func (r *Replica) NextTickAt() time.Duration {
+	next := r.heartbeatSentAt + r.heartbeatInterval()
 	earlier := func(at time.Duration) {
-		if at > s.now {
+		if at > r.now {
 			next = min(next, at)
 		}
 	}
-	if !s.isMember() {
-		next = s.joinRequestedAt + s.config.HeartbeatTimeout/heartbeatsPerTimeout
-		if len(s.config.StaticMembers) > 0 && s.membership.EffectiveFrom == nil && !s.joinsExisting {
-			next = s.stateRequestedAt + s.config.HeartbeatTimeout/heartbeatsPerTimeout
+	if !r.isMember() {
+		next = r.joinRequestedAt + r.config.HeartbeatTimeout/heartbeatsPerTimeout
+		if len(r.config.StaticMembers) > 0 && r.membership.EffectiveFrom == nil && !r.joinsExisting {
+			next = r.stateRequestedAt + r.config.HeartbeatTimeout/heartbeatsPerTimeout
 		}
 	}
-	for _, peer := range s.peers {
-		if s.recentlyHeard(peer) {
-			earlier(peer.heardAt + s.config.HeartbeatTimeout + 1)
+	for _, peer := range r.peers {
+		if r.recentlyHeard(peer) {
+			earlier(peer.heardAt + r.config.HeartbeatTimeout + 1)
 		}
 	}
-	if s.urgentState() != s.lastUrgentState {
-		earlier(s.heartbeatSentAt + s.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout)
+	if r.urgentState() != r.lastUrgentState {
+		earlier(r.heartbeatSentAt + r.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout)
 	}
-	if s.role == roleFollower || s.role == roleCandidate || s.role == roleLeaderElect {
-		earlier(s.roleSince + s.config.HeartbeatTimeout + 1)
-		earlier(s.roleSince + s.config.StallTimeout/campaignsPerStallTimeout + 1)
+	if r.role == roleFollower || r.role == roleCandidate || r.role == roleLeaderElect {
+		earlier(r.roleSince + r.config.HeartbeatTimeout + 1)
+		earlier(r.roleSince + r.config.StallTimeout/campaignsPerStallTimeout + 1)
 	}
-	if len(s.pendingWrites) > 0 {
-		earlier(s.pendingWrites[0].startedAt + s.config.StallTimeout + 1)
+	if len(r.pendingWrites) > 0 {
+		earlier(r.pendingWrites[0].startedAt + r.config.StallTimeout + 1)
 	}
-	for _, request := range s.forwardedRequests {
-		earlier(request.sentAt + s.config.HeartbeatTimeout + 1)
+	for _, request := range r.forwardedRequests {
+		earlier(request.sentAt + r.config.HeartbeatTimeout + 1)
 	}
-	return max(next, s.now+1)
+	return max(next, r.now+1)
 }
--- a/internal/store/planted.go
+++ b/internal/store/planted.go
@@ -23,4 +23,4 @@
 const faultFounderCount = 3
 
 // hasFault tells whether a fault is planted in this replica.
-func (s *Replica) hasFault(fault seededFault) bool { return s.config.seededFault == fault }
+func (r *Replica) hasFault(fault seededFault) bool { return r.config.seededFault == fault }
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -194,13 +194,13 @@
 
 // SetLimits sets other bounds, and whom to ask. Who this replica is, with whom, and how many copies a
 // change needs stay as they were at its start.
-func (s *Replica) SetLimits(now time.Duration, cfg Config) []Action {
-	s.beginStep(now)
-	current := &s.config
+func (r *Replica) SetLimits(now time.Duration, cfg Config) []Action {
+	r.beginStep(now)
+	current := &r.config
 	current.Seeds, current.HeartbeatTimeout, current.StallTimeout = cfg.Seeds, cfg.HeartbeatTimeout, cfg.StallTimeout
 	current.MaxEntries, current.MaxOutcomes, current.MaxOperatorTombstones = cfg.MaxEntries, cfg.MaxOutcomes, cfg.MaxOperatorTombstones
-	s.tick()
-	return s.actions
+	r.tick()
+	return r.actions
 }
 
 // NewReplica makes a replica from what its disk held; records nil and a new incarnation make an empty one.
@@ -228,82 +228,82 @@
 }
 
 // replayRecord applies a record read back from disk.
-func (s *Replica) replayRecord(record *schema.Record) {
+func (r *Replica) replayRecord(record *schema.Record) {
 	if record.Incarnation != 0 {
-		s.incarnation = record.Incarnation
+		r.incarnation = record.Incarnation
 	}
-	if record.VotedTerm > s.votedTerm {
-		s.votedTerm, s.votedFor = record.VotedTerm, record.VotedFor
+	if record.VotedTerm > r.votedTerm {
+		r.votedTerm, r.votedFor = record.VotedTerm, record.VotedFor
 	}
-	s.founder = s.founder || record.Founder
-	s.expandsMembership = s.expandsMembership || record.RaiseTargetSize
+	r.founder = r.founder || record.Founder
+	r.expandsMembership = r.expandsMembership || record.RaiseTargetSize
 	if record.Snapshot != nil {
-		s.expandsMembership = record.RaiseTargetSize
-		s.restoreSnapshot(record.Snapshot)
+		r.expandsMembership = record.RaiseTargetSize
+		r.restoreSnapshot(record.Snapshot)
 	}
 	for _, entry := range record.Entries {
-		if entry.Version.Sequence == s.sequence+1 {
-			s.appendEntry(entry)
+		if entry.Version.Sequence == r.sequence+1 {
+			r.appendEntry(entry)
 		}
 	}
-	s.term = max(s.term, record.Term)
+	r.term = max(r.term, record.Term)
 }
 
 // restoreSnapshot takes a snapshot as the whole working state.
-func (s *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
-	s.term, s.sequence = snapshot.Term, snapshot.Sequence
-	s.state = config.State{}.With(snapshot.Items)
-	if s.membership = snapshot.Membership; s.membership == nil {
-		s.membership = &schema.Membership{}
+func (r *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
+	r.term, r.sequence = snapshot.Term, snapshot.Sequence
+	r.state = config.State{}.With(snapshot.Items)
+	if r.membership = snapshot.Membership; r.membership == nil {
+		r.membership = &schema.Membership{}
 	}
-	s.baseState, s.baseSequence, s.baseMembership, s.entries = s.state, s.sequence, s.membership, nil
-	s.outcomes, s.outcomeOrder = map[string]*schema.ChangeOutcome{}, nil
+	r.baseState, r.baseSequence, r.baseMembership, r.entries = r.state, r.sequence, r.membership, nil
+	r.outcomes, r.outcomeOrder = map[string]*schema.ChangeOutcome{}, nil
 	for _, outcome := range snapshot.Outcomes {
-		s.recordOutcome(outcome)
+		r.recordOutcome(outcome)
 	}
-	s.applyMembership()
+	r.applyMembership()
 }
 
-func (s *Replica) recordOutcome(outcome *schema.ChangeOutcome) {
-	if _, known := s.outcomes[outcome.ChangeId]; !known {
-		s.outcomeOrder = append(s.outcomeOrder, outcome.ChangeId)
+func (r *Replica) recordOutcome(outcome *schema.ChangeOutcome) {
+	if _, known := r.outcomes[outcome.ChangeId]; !known {
+		r.outcomeOrder = append(r.outcomeOrder, outcome.ChangeId)
 	}
-	s.outcomes[outcome.ChangeId] = outcome
+	r.outcomes[outcome.ChangeId] = outcome
 	// The memory of outcomes is bounded; the oldest ids are forgotten first.
-	for len(s.outcomeOrder) > s.config.MaxOutcomes {
-		delete(s.outcomes, s.outcomeOrder[0])
-		s.outcomeOrder = s.outcomeOrder[1:]
+	for len(r.outcomeOrder) > r.config.MaxOutcomes {
+		delete(r.outcomes, r.outcomeOrder[0])
+		r.outcomeOrder = r.outcomeOrder[1:]
 	}
 }
 
-func (s *Replica) appendEntry(entry *schema.Entry) {
-	s.entries = append(s.entries, entry)
-	s.sequence = entry.Version.Sequence
+func (r *Replica) appendEntry(entry *schema.Entry) {
+	r.entries = append(r.entries, entry)
+	r.sequence = entry.Version.Sequence
 	if len(entry.Items) > 0 {
-		s.state = s.state.With(entry.Items)
+		r.state = r.state.With(entry.Items)
 	}
 	if entry.Membership != nil {
-		s.membership = entry.Membership
-		s.applyMembership()
+		r.membership = entry.Membership
+		r.applyMembership()
 	}
-	s.recordOutcome(entry.Outcome)
-	s.entriesSinceSnapshot++
-	s.bytesSinceSnapshot += proto.Size(entry)
+	r.recordOutcome(entry.Outcome)
+	r.entriesSinceSnapshot++
+	r.bytesSinceSnapshot += proto.Size(entry)
 }
 
-func (s *Replica) snapshot() *schema.Snapshot {
-	snapshot := &schema.Snapshot{Term: s.term, Sequence: s.sequence, Items: s.state.Items(), Membership: s.membership}
-	for _, id := range s.outcomeOrder {
-		snapshot.Outcomes = append(snapshot.Outcomes, s.outcomes[id])
+func (r *Replica) snapshot() *schema.Snapshot {
+	snapshot := &schema.Snapshot{Term: r.term, Sequence: r.sequence, Items: r.state.Items(), Membership: r.membership}
+	for _, id := range r.outcomeOrder {
+		snapshot.Outcomes = append(snapshot.Outcomes, r.outcomes[id])
 	}
 	return snapshot
 }
 
 // committedSnapshot is the state as shown outside; outcomes later than it are left out.
-func (s *Replica) committedSnapshot() *schema.Snapshot {
-	snapshot := &schema.Snapshot{Term: s.committedTerm, Sequence: s.committedSequence, Items: s.committedState.Items(), Membership: s.committedMembership}
-	for _, id := range s.outcomeOrder {
-		if outcome := s.outcomes[id]; outcome.Version.Sequence <= s.committedSequence {
+func (r *Replica) committedSnapshot() *schema.Snapshot {
+	snapshot := &schema.Snapshot{Term: r.committedTerm, Sequence: r.committedSequence, Items: r.committedState.Items(), Membership: r.committedMembership}
+	for _, id := range r.outcomeOrder {
+		if outcome := r.outcomes[id]; outcome.Version.Sequence <= r.committedSequence {
 			snapshot.Outcomes = append(snapshot.Outcomes, outcome)
 		}
 	}
@@ -311,18 +311,18 @@
 }
 
 // commitTo moves the committed mark; seq must be committed under the epoch this replica is in.
-func (s *Replica) commitTo(sequence uint64) {
-	sequence = min(sequence, s.sequence)
+func (r *Replica) commitTo(sequence uint64) {
+	sequence = min(sequence, r.sequence)
 	// A snapshot newer than the mark hides the states between: wait until the mark reaches it.
-	if sequence < s.baseSequence || (sequence <= s.committedSequence && s.committedTerm == s.term) || sequence < s.committedSequence {
+	if sequence < r.baseSequence || (sequence <= r.committedSequence && r.committedTerm == r.term) || sequence < r.committedSequence {
 		return
 	}
-	state, membership, from := s.committedState, s.committedMembership, s.committedSequence
-	if from < s.baseSequence || s.committedTerm != s.term {
-		state, membership, from = s.baseState, s.baseMembership, s.baseSequence
+	state, membership, from := r.committedState, r.committedMembership, r.committedSequence
+	if from < r.baseSequence || r.committedTerm != r.term {
+		state, membership, from = r.baseState, r.baseMembership, r.baseSequence
 	}
 	var items []*schema.Item
-	for _, entry := range s.entries {
+	for _, entry := range r.entries {
 		if entry.Version.Sequence > from && entry.Version.Sequence <= sequence {
 			items = append(items, entry.Items...)
 			if entry.Membership != nil {
@@ -333,75 +333,75 @@
 	if len(items) > 0 {
 		state = state.With(items)
 	}
-	s.committedState, s.committedMembership, s.committedSequence, s.committedTerm = state, membership, sequence, s.term
-	s.compactEntries()
-	s.answerCommittedProposals()
+	r.committedState, r.committedMembership, r.committedSequence, r.committedTerm = state, membership, sequence, r.term
+	r.compactEntries()
+	r.answerCommittedProposals()
 }
 
 // compactEntries lets go of entries that are committed and beyond the bound.
-func (s *Replica) compactEntries() {
-	if len(s.entries) < 2*s.config.MaxEntries {
+func (r *Replica) compactEntries() {
+	if len(r.entries) < 2*r.config.MaxEntries {
 		return
 	}
-	compactTo := min(s.committedSequence, s.sequence-uint64(s.config.MaxEntries))
+	compactTo := min(r.committedSequence, r.sequence-uint64(r.config.MaxEntries))
 	count := 0
 	var items []*schema.Item
-	for count < len(s.entries) && s.entries[count].Version.Sequence <= compactTo {
-		items = append(items, s.entries[count].Items...)
-		if s.entries[count].Membership != nil {
-			s.baseMembership = s.entries[count].Membership
+	for count < len(r.entries) && r.entries[count].Version.Sequence <= compactTo {
+		items = append(items, r.entries[count].Items...)
+		if r.entries[count].Membership != nil {
+			r.baseMembership = r.entries[count].Membership
 		}
 		count++
 	}
 	if count == 0 {
 		return
 	}
-	s.baseState, s.baseSequence = s.baseState.With(items), s.entries[count-1].Version.Sequence
-	s.entries = append([]*schema.Entry(nil), s.entries[count:]...)
+	r.baseState, r.baseSequence = r.baseState.With(items), r.entries[count-1].Version.Sequence
+	r.entries = append([]*schema.Entry(nil), r.entries[count:]...)
 }
 
 // Committed gives the state that may be shown outside.
-func (s *Replica) Committed() (uint64, config.State) { return s.committedSequence, s.committedState }
+func (r *Replica) Committed() (uint64, config.State) { return r.committedSequence, r.committedState }
 
 // Members lists the members as far as they are committed, where they agree on them themselves.
-func (s *Replica) Members() []*schema.CoreMember {
-	if len(s.config.StaticMembers) > 0 {
+func (r *Replica) Members() []*schema.CoreMember {
+	if len(r.config.StaticMembers) > 0 {
 		return nil
 	}
-	return s.committedMembership.Members
+	return r.committedMembership.Members
 }
 
 // CommittedOutcome tells what became of a change, if it is settled here.
-func (s *Replica) CommittedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
-	outcome, found := s.outcomes[changeID]
-	if !found || outcome.Version.Sequence > s.committedSequence {
+func (r *Replica) CommittedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
+	outcome, found := r.outcomes[changeID]
+	if !found || outcome.Version.Sequence > r.committedSequence {
 		return nil, false
 	}
 	return outcome, true
 }
 
 // AppendedOutcome tells what was decided of a change, whether or not that is committed yet.
-func (s *Replica) AppendedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
-	outcome, found := s.outcomes[changeID]
+func (r *Replica) AppendedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
+	outcome, found := r.outcomes[changeID]
 	return outcome, found
 }
 
 // Progress is how far this replica has come: appended, durable and committed sequences.
-func (s *Replica) Progress() [3]uint64 {
-	return [3]uint64{s.sequence, s.durableSequence, s.committedSequence}
+func (r *Replica) Progress() [3]uint64 {
+	return [3]uint64{r.sequence, r.durableSequence, r.committedSequence}
 }
 
 // Status is what an operator sees of the replica.
-func (s *Replica) Status() *schema.ReplicaStatus {
-	status := &schema.ReplicaStatus{Replica: s.config.Name, Leader: s.leader(), Term: s.term, VotedTerm: s.votedTerm, Sequence: s.sequence,
-		Durable: s.durableSequence, Committed: s.committedSequence, Member: s.isMember(), Unfit: s.unfit(), Membership: s.membership, DiskFailed: s.diskFailed}
-	for _, name := range s.otherMembers {
-		if s.recentlyHeard(s.peers[name]) {
+func (r *Replica) Status() *schema.ReplicaStatus {
+	status := &schema.ReplicaStatus{Replica: r.config.Name, Leader: r.leader(), Term: r.term, VotedTerm: r.votedTerm, Sequence: r.sequence,
+		Durable: r.durableSequence, Committed: r.committedSequence, Member: r.isMember(), Unfit: r.unfit(), Membership: r.membership, DiskFailed: r.diskFailed}
+	for _, name := range r.otherMembers {
+		if r.recentlyHeard(r.peers[name]) {
 			status.Heard = append(status.Heard, name)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.outsiders)) {
-		if outsider := s.outsiders[name]; outsider.isLearner && s.recentlyHeard(outsider) {
+	for _, name := range slices.Sorted(maps.Keys(r.outsiders)) {
+		if outsider := r.outsiders[name]; outsider.isLearner && r.recentlyHeard(outsider) {
 			status.Learners = append(status.Learners, name)
 		}
 	}
@@ -409,83 +409,83 @@
 }
 
 // Addresses tells where each other replica was last heard from, or is said to stand.
-func (s *Replica) Addresses() map[string]string { return s.addresses }
+func (r *Replica) Addresses() map[string]string { return r.addresses }
 
-func (s *Replica) beginStep(now time.Duration) {
-	if !s.clockStarted {
-		s.clockStarted, s.clockStartedAt = true, now
+func (r *Replica) beginStep(now time.Duration) {
+	if !r.clockStarted {
+		r.clockStarted, r.clockStartedAt = true, now
 	}
-	s.now, s.actions = now, nil
+	r.now, r.actions = now, nil
 }
 
-func (s *Replica) send(to string, message *schema.ReplicaMessage) {
-	message.From, message.To, message.Address, message.Incarnation, message.Founder = s.config.Name, to, s.config.Address, s.incarnation, s.founder
-	s.actions = append(s.actions, Send{message})
+func (r *Replica) send(to string, message *schema.ReplicaMessage) {
+	message.From, message.To, message.Address, message.Incarnation, message.Founder = r.config.Name, to, r.config.Address, r.incarnation, r.founder
+	r.actions = append(r.actions, Send{message})
 }
 
 // persist asks for a sync and keeps what must wait for it.
-func (s *Replica) persist(record *schema.Record, write pendingWrite) {
-	s.lastWriteID++
+func (r *Replica) persist(record *schema.Record, write pendingWrite) {
+	r.lastWriteID++
 	replacesLog := record.Snapshot != nil
 	// Every so many entries or bytes the whole state is written, so that the log in front can go.
-	if !replacesLog && (s.entriesSinceSnapshot >= s.config.MaxEntries || s.bytesSinceSnapshot >= max(minSnapshotLogBytes, snapshotLogFactor*s.snapshotBytes)) {
-		record, replacesLog = &schema.Record{Snapshot: s.snapshot()}, true
+	if !replacesLog && (r.entriesSinceSnapshot >= r.config.MaxEntries || r.bytesSinceSnapshot >= max(minSnapshotLogBytes, snapshotLogFactor*r.snapshotBytes)) {
+		record, replacesLog = &schema.Record{Snapshot: r.snapshot()}, true
 	}
 	if replacesLog {
-		s.completeSnapshotRecord(record)
+		r.completeSnapshotRecord(record)
 	}
-	write.writeID, write.startedAt, write.term, write.sequence = s.lastWriteID, s.now, s.term, s.sequence
-	s.pendingWrites = append(s.pendingWrites, write)
-	s.actions = append(s.actions, Persist{WriteID: s.lastWriteID, Record: record, ReplacesLog: replacesLog})
+	write.writeID, write.startedAt, write.term, write.sequence = r.lastWriteID, r.now, r.term, r.sequence
+	r.pendingWrites = append(r.pendingWrites, write)
+	r.actions = append(r.actions, Persist{WriteID: r.lastWriteID, Record: record, ReplacesLog: replacesLog})
 }
 
 // completeSnapshotRecord adds to the whole state what else a folder must hold once everything before it may go.
-func (s *Replica) completeSnapshotRecord(record *schema.Record) {
-	record.Incarnation, record.VotedTerm, record.VotedFor, record.Founder, record.RaiseTargetSize = s.incarnation, s.votedTerm, s.votedFor, s.founder, s.expandsMembership
-	s.entriesSinceSnapshot, s.bytesSinceSnapshot, s.snapshotBytes = 0, 0, proto.Size(record)
+func (r *Replica) completeSnapshotRecord(record *schema.Record) {
+	record.Incarnation, record.VotedTerm, record.VotedFor, record.Founder, record.RaiseTargetSize = r.incarnation, r.votedTerm, r.votedFor, r.founder, r.expandsMembership
+	r.entriesSinceSnapshot, r.bytesSinceSnapshot, r.snapshotBytes = 0, 0, proto.Size(record)
 }
 
 // Persisted tells that every record up to mark is on disk.
-func (s *Replica) Persisted(now time.Duration, writeID uint64) []Action {
-	s.beginStep(now)
-	s.diskFailed = false
-	for len(s.pendingWrites) > 0 && s.pendingWrites[0].writeID <= writeID {
-		done := s.pendingWrites[0]
-		s.pendingWrites = s.pendingWrites[1:]
-		if done.term == s.term {
+func (r *Replica) Persisted(now time.Duration, writeID uint64) []Action {
+	r.beginStep(now)
+	r.diskFailed = false
+	for len(r.pendingWrites) > 0 && r.pendingWrites[0].writeID <= writeID {
+		done := r.pendingWrites[0]
+		r.pendingWrites = r.pendingWrites[1:]
+		if done.term == r.term {
 			// Within an epoch the synced mark only grows; a new epoch starts it afresh.
-			if s.durableTerm != done.term || done.sequence > s.durableSequence {
-				s.durableTerm, s.durableSequence = done.term, done.sequence
+			if r.durableTerm != done.term || done.sequence > r.durableSequence {
+				r.durableTerm, r.durableSequence = done.term, done.sequence
 			}
 		}
 		for _, message := range done.messages {
-			s.send(message.To, message)
+			r.send(message.To, message)
 		}
-		if done.voteRequest != nil && s.votedTerm == done.votedTerm {
-			s.sendVote(done.candidate, done.voteRequest)
+		if done.voteRequest != nil && r.votedTerm == done.votedTerm {
+			r.sendVote(done.candidate, done.voteRequest)
 		}
-		if s.role == roleCandidate {
-			s.countVotes()
+		if r.role == roleCandidate {
+			r.countVotes()
 		}
-		s.advanceCommit()
+		r.advanceCommit()
 	}
-	s.reconcileMembership()
-	return s.actions
+	r.reconcileMembership()
+	return r.actions
 }
 
 // DiskFailed tells that the disk refused a write. Nothing that waits for it is said, and leadership
 // goes to another replica, until Rewrite has succeeded.
-func (s *Replica) DiskFailed(now time.Duration) []Action {
-	s.beginStep(now)
-	s.diskFailed = true
-	s.becomeFollower()
-	return s.actions
+func (r *Replica) DiskFailed(now time.Duration) []Action {
+	r.beginStep(now)
+	r.diskFailed = true
+	r.becomeFollower()
+	return r.actions
 }
 
 // RewriteSnapshot asks for the whole state to be written in place of all that the disk has refused.
-func (s *Replica) RewriteSnapshot(now time.Duration) []Action {
-	s.beginStep(now)
-	record := &schema.Record{Snapshot: s.snapshot()}
-	s.completeSnapshotRecord(record)
-	return append(s.actions, Persist{WriteID: s.lastWriteID, Record: record, ReplacesLog: true})
+func (r *Replica) RewriteSnapshot(now time.Duration) []Action {
+	r.beginStep(now)
+	record := &schema.Record{Snapshot: r.snapshot()}
+	r.completeSnapshotRecord(record)
+	return append(r.actions, Persist{WriteID: r.lastWriteID, Record: record, ReplacesLog: true})
 }
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -10,34 +10,34 @@
 // How the leader hands entries to the others, and when what enough of them have on disk is committed.
 
 // resendUnacknowledged repeats whatever a lost message may have held up.
-func (s *Replica) resendUnacknowledged() {
-	for _, name := range s.otherMembers {
-		peer := s.peers[name]
-		if !s.recentlyHeard(peer) {
+func (r *Replica) resendUnacknowledged() {
+	for _, name := range r.otherMembers {
+		peer := r.peers[name]
+		if !r.recentlyHeard(peer) {
 			continue
 		}
-		switch s.role {
+		switch r.role {
 		case roleCandidate:
-			if peer.vote == nil && s.durableVotedTerm() >= s.votedTerm {
-				s.requestVote(name)
+			if peer.vote == nil && r.durableVotedTerm() >= r.votedTerm {
+				r.requestVote(name)
 			}
 		case roleLeaderElect, roleLeader:
-			if peer.term != s.term || peer.acked < s.sequence {
+			if peer.term != r.term || peer.acked < r.sequence {
 				peer.sent = peer.acked
-				s.replicate(name, peer)
+				r.replicate(name, peer)
 			}
 		}
 	}
-	if s.role == roleLeader && len(s.pendingReads) > 0 {
-		s.sendConfirm()
+	if r.role == roleLeader && len(r.pendingReads) > 0 {
+		r.sendConfirm()
 	}
 }
 
 // appendContiguous takes entries that follow what is held.
-func (s *Replica) appendContiguous(entries []*schema.Entry) (appended []*schema.Entry) {
+func (r *Replica) appendContiguous(entries []*schema.Entry) (appended []*schema.Entry) {
 	for _, entry := range entries {
-		if entry.Version.Sequence == s.sequence+1 {
-			s.appendEntry(entry)
+		if entry.Version.Sequence == r.sequence+1 {
+			r.appendEntry(entry)
 			appended = append(appended, entry)
 		}
 	}
@@ -45,210 +45,210 @@
 }
 
 // replicate sends a peer what it lacks under this epoch: its beginning first, then entries.
-func (s *Replica) replicate(name string, peer *peerState) {
-	if peer.term != s.term || peer.acked < s.baseSequence {
-		s.sendBeginTerm(name, peer)
+func (r *Replica) replicate(name string, peer *peerState) {
+	if peer.term != r.term || peer.acked < r.baseSequence {
+		r.sendBeginTerm(name, peer)
 		return
 	}
 	if peer.sent < peer.acked {
 		peer.sent = peer.acked
 	}
 	var entries []*schema.Entry
-	if peer.sent < s.sequence {
-		entries = s.entries[peer.sent-s.baseSequence:]
+	if peer.sent < r.sequence {
+		entries = r.entries[peer.sent-r.baseSequence:]
 	}
-	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Term: s.term, PreviousSequence: peer.sent, Entries: entries, Committed: s.committedSequence}}})
-	peer.sent = s.sequence
+	r.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Term: r.term, PreviousSequence: peer.sent, Entries: entries, Committed: r.committedSequence}}})
+	peer.sent = r.sequence
 }
 
 // sendBeginTerm begins this replica's epoch at another: upon the state that it holds, if that is a part of
 // what the epoch began with here, else with the whole state, which may be large.
-func (s *Replica) sendBeginTerm(name string, peer *peerState) {
-	begin := &schema.BeginTerm{Term: s.term}
+func (r *Replica) sendBeginTerm(name string, peer *peerState) {
+	begin := &schema.BeginTerm{Term: r.term}
 	reported := peer.lastKnownVersion
-	isPrefix := reported != nil && s.termStartVersion.Term != s.term && reported.Term == s.termStartVersion.Term && reported.Sequence <= s.termStartVersion.Sequence && reported.Sequence >= s.baseSequence
+	isPrefix := reported != nil && r.termStartVersion.Term != r.term && reported.Term == r.termStartVersion.Term && reported.Sequence <= r.termStartVersion.Sequence && reported.Sequence >= r.baseSequence
 	switch {
 	case isPrefix:
-		begin.Base, begin.Entries = reported, s.entries[reported.Sequence-s.baseSequence:]
-	case !peer.versionReported && s.termStartVersion.Term != s.term && s.termStartVersion.Sequence >= s.baseSequence:
+		begin.Base, begin.Entries = reported, r.entries[reported.Sequence-r.baseSequence:]
+	case !peer.versionReported && r.termStartVersion.Term != r.term && r.termStartVersion.Sequence >= r.baseSequence:
 		// What it held may be long ago: it is asked by trying, before much is sent.
-		begin.Base, begin.Entries = s.termStartVersion, s.entries[s.termStartVersion.Sequence-s.baseSequence:]
-	case peer.snapshotSentAt != 0 && s.now-peer.snapshotSentAt < s.config.HeartbeatTimeout && peer.sent != 0:
+		begin.Base, begin.Entries = r.termStartVersion, r.entries[r.termStartVersion.Sequence-r.baseSequence:]
+	case peer.snapshotSentAt != 0 && r.now-peer.snapshotSentAt < r.config.HeartbeatTimeout && peer.sent != 0:
 		return // it may be under way still
 	default:
-		begin.Snapshot, peer.snapshotSentAt = s.snapshot(), s.now
+		begin.Snapshot, peer.snapshotSentAt = r.snapshot(), r.now
 	}
-	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginTerm{BeginTerm: begin}})
-	peer.sent = s.sequence
+	r.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginTerm{BeginTerm: begin}})
+	peer.sent = r.sequence
 }
 
-func (s *Replica) refuseAppend(from string) {
-	s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, HigherTerm: s.votedTerm}}})
+func (r *Replica) refuseAppend(from string) {
+	r.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, HigherTerm: r.votedTerm}}})
 }
 
-func (s *Replica) ackMessage(to string) *schema.ReplicaMessage {
-	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: s.term, Sequence: s.sequence}}}
+func (r *Replica) ackMessage(to string) *schema.ReplicaMessage {
+	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: r.term, Sequence: r.sequence}}}
 }
 
 // ackDurable acknowledges what is on disk now, for messages that brought nothing new.
-func (s *Replica) ackDurable(to string) {
-	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: s.durableTerm, Sequence: s.durableSequence, Appended: s.lastVersion()}}})
+func (r *Replica) ackDurable(to string) {
+	r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: r.durableTerm, Sequence: r.durableSequence, Appended: r.lastVersion()}}})
 }
 
-func (s *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
-	if begin.Term < s.votedTerm && s.isExcluded() {
-		s.restartAsNewIncarnation()
+func (r *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
+	if begin.Term < r.votedTerm && r.isExcluded() {
+		r.restartAsNewIncarnation()
 		return
 	}
-	if begin.Term < s.votedTerm {
-		s.refuseAppend(from)
+	if begin.Term < r.votedTerm {
+		r.refuseAppend(from)
 		return
 	}
-	if begin.Term == s.term && (begin.Snapshot == nil || s.sequence >= begin.Snapshot.Sequence) {
-		s.ackDurable(from)
+	if begin.Term == r.term && (begin.Snapshot == nil || r.sequence >= begin.Snapshot.Sequence) {
+		r.ackDurable(from)
 		return
 	}
-	if upon := begin.Base; begin.Snapshot == nil && (upon.GetTerm() != s.term || upon.GetSequence() != s.sequence) {
-		s.ackDurable(from)
+	if upon := begin.Base; begin.Snapshot == nil && (upon.GetTerm() != r.term || upon.GetSequence() != r.sequence) {
+		r.ackDurable(from)
 		return
 	}
-	if s.role != roleFollower {
-		s.becomeFollower()
+	if r.role != roleFollower {
+		r.becomeFollower()
 	}
-	s.recordVote(begin.Term, from)
+	r.recordVote(begin.Term, from)
 	if begin.Snapshot != nil {
-		s.restoreSnapshot(begin.Snapshot)
-		s.term = begin.Term
-		s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+		r.restoreSnapshot(begin.Snapshot)
+		r.term = begin.Term
+		r.persist(&schema.Record{Snapshot: r.snapshot()}, pendingWrite{messages: []*schema.ReplicaMessage{r.ackMessage(from)}})
 		return
 	}
-	appended := s.appendContiguous(begin.Entries)
-	s.term = begin.Term
-	s.persist(&schema.Record{Entries: appended, Term: s.term, VotedTerm: s.votedTerm, VotedFor: from}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+	appended := r.appendContiguous(begin.Entries)
+	r.term = begin.Term
+	r.persist(&schema.Record{Entries: appended, Term: r.term, VotedTerm: r.votedTerm, VotedFor: from}, pendingWrite{messages: []*schema.ReplicaMessage{r.ackMessage(from)}})
 }
 
-func (s *Replica) onAppendEntries(from string, request *schema.AppendEntries) {
-	if request.Term < s.votedTerm {
-		s.refuseAppend(from)
+func (r *Replica) onAppendEntries(from string, request *schema.AppendEntries) {
+	if request.Term < r.votedTerm {
+		r.refuseAppend(from)
 		return
 	}
-	if request.Term != s.term || request.PreviousSequence > s.sequence {
-		s.ackDurable(from)
+	if request.Term != r.term || request.PreviousSequence > r.sequence {
+		r.ackDurable(from)
 		return
 	}
-	if appended := s.appendContiguous(request.Entries); len(appended) > 0 {
-		if s.hasFault(faultEarlyAcknowledgement) {
-			s.send(from, s.ackMessage(from))
+	if appended := r.appendContiguous(request.Entries); len(appended) > 0 {
+		if r.hasFault(faultEarlyAcknowledgement) {
+			r.send(from, r.ackMessage(from))
 		}
-		s.persist(&schema.Record{Entries: appended}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+		r.persist(&schema.Record{Entries: appended}, pendingWrite{messages: []*schema.ReplicaMessage{r.ackMessage(from)}})
 	} else if len(request.Entries) > 0 {
-		s.ackDurable(from)
+		r.ackDurable(from)
 	}
-	s.commitTo(request.Committed)
+	r.commitTo(request.Committed)
 }
 
-func (s *Replica) onAppendReply(from string, peer *peerState, counted bool, reply *schema.AppendReply) {
+func (r *Replica) onAppendReply(from string, peer *peerState, counted bool, reply *schema.AppendReply) {
 	if reply.Refused {
-		s.highestTerm = max(s.highestTerm, reply.HigherTerm)
+		r.highestTerm = max(r.highestTerm, reply.HigherTerm)
 		// Who is no member disturbs nobody, unless there is a place for it.
-		mayJoin := counted || len(s.membership.Members) < int(s.membership.TargetSize)
-		if (s.role == roleLeader || s.role == roleLeaderElect) && reply.HigherTerm > s.term && mayJoin {
-			s.becomeFollower()
+		mayJoin := counted || len(r.membership.Members) < int(r.membership.TargetSize)
+		if (r.role == roleLeader || r.role == roleLeaderElect) && reply.HigherTerm > r.term && mayJoin {
+			r.becomeFollower()
 		}
 		return
 	}
-	if s.role != roleLeaderElect && s.role != roleLeader {
+	if r.role != roleLeaderElect && r.role != roleLeader {
 		return
 	}
-	if reply.Term != s.term {
+	if reply.Term != r.term {
 		// It lacks this epoch's beginning, and gets it upon what it says that it holds.
-		if reported := reply.Appended; reported != nil && reported.Term != s.term {
+		if reported := reply.Appended; reported != nil && reported.Term != r.term {
 			repeated := peer.versionReported && peer.lastKnownVersion.GetTerm() == reported.Term && peer.lastKnownVersion.GetSequence() == reported.Sequence
 			if peer.versionReported, peer.lastKnownVersion = true, reported; !repeated {
-				s.replicate(from, peer)
+				r.replicate(from, peer)
 			}
 		}
 		return
 	}
-	first := peer.term != s.term
-	peer.term, peer.acked = s.term, max(peer.acked, reply.Sequence)
-	s.advanceCommit()
-	if first && peer.acked < s.sequence && s.role == roleLeader {
+	first := peer.term != r.term
+	peer.term, peer.acked = r.term, max(peer.acked, reply.Sequence)
+	r.advanceCommit()
+	if first && peer.acked < r.sequence && r.role == roleLeader {
 		peer.sent = peer.acked
-		s.replicate(from, peer)
+		r.replicate(from, peer)
 	}
-	s.reconcileMembership()
+	r.reconcileMembership()
 }
 
 // advanceCommit finds what enough members have on disk under this epoch; that much is committed.
-func (s *Replica) advanceCommit() {
-	if (s.role != roleLeaderElect && s.role != roleLeader) || s.durableTerm != s.term {
+func (r *Replica) advanceCommit() {
+	if (r.role != roleLeaderElect && r.role != roleLeader) || r.durableTerm != r.term {
 		return
 	}
-	durable := []uint64{s.durableSequence}
-	for _, member := range s.membership.Members {
+	durable := []uint64{r.durableSequence}
+	for _, member := range r.membership.Members {
 		// A founder counts only once it is bound to its folder.
-		if peer := s.peers[member.Id]; peer != nil && member.Incarnation != 0 && peer.term == s.term {
+		if peer := r.peers[member.Id]; peer != nil && member.Incarnation != 0 && peer.term == r.term {
 			durable = append(durable, peer.acked)
 		}
 	}
-	needed := commitQuorum(s.membership, s.config.ToleratedLosses)
-	if s.hasFault(faultCountLearners) {
-		for _, name := range s.learners() {
-			if learner := s.outsiders[name]; learner.term == s.term {
+	needed := commitQuorum(r.membership, r.config.ToleratedLosses)
+	if r.hasFault(faultCountLearners) {
+		for _, name := range r.learners() {
+			if learner := r.outsiders[name]; learner.term == r.term {
 				durable = append(durable, learner.acked)
 			}
 		}
 	}
-	if s.hasFault(faultFoundersQuorum) {
+	if r.hasFault(faultFoundersQuorum) {
 		needed = min(needed, faultFounderCount/2+1)
 	}
 	if len(durable) < needed {
 		return
 	}
 	slices.Sort(durable)
-	s.role = roleLeader
-	before, beforeTerm := s.committedSequence, s.committedTerm
-	s.commitTo(durable[len(durable)-needed])
+	r.role = roleLeader
+	before, beforeTerm := r.committedSequence, r.committedTerm
+	r.commitTo(durable[len(durable)-needed])
 	// Followers show a change only once they know it is committed, so they are told at once.
-	if s.committedSequence != before || s.committedTerm != beforeTerm {
-		s.replicateAll()
-		s.sendUrgentHeartbeats()
+	if r.committedSequence != before || r.committedTerm != beforeTerm {
+		r.replicateAll()
+		r.sendUrgentHeartbeats()
 	}
 }
 
 // replicateAll sends everybody who has this epoch's beginning what is new. Whoever lacks it gets it by
 // resend; entries before it would be wasted.
-func (s *Replica) replicateAll() {
-	for _, name := range s.otherMembers {
-		if peer := s.peers[name]; peer.term == s.term {
-			s.replicate(name, peer)
+func (r *Replica) replicateAll() {
+	for _, name := range r.otherMembers {
+		if peer := r.peers[name]; peer.term == r.term {
+			r.replicate(name, peer)
 		}
 	}
-	for _, name := range s.learners() {
-		if peer := s.outsiders[name]; peer.term == s.term {
-			s.replicate(name, peer)
+	for _, name := range r.learners() {
+		if peer := r.outsiders[name]; peer.term == r.term {
+			r.replicate(name, peer)
 		}
 	}
 }
 
 // appendAsLeader appends an entry of the leader's own and hands it to the others.
-func (s *Replica) appendAsLeader(entry *schema.Entry) {
-	s.appendEntry(entry)
-	s.persist(&schema.Record{Entries: []*schema.Entry{entry}}, pendingWrite{})
-	s.replicateAll()
+func (r *Replica) appendAsLeader(entry *schema.Entry) {
+	r.appendEntry(entry)
+	r.persist(&schema.Record{Entries: []*schema.Entry{entry}}, pendingWrite{})
+	r.replicateAll()
 }
 
-func (s *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
-	if !s.isMember() || s.role != roleFollower || !config.Newer(&schema.Version{Term: snapshot.Term, Sequence: snapshot.Sequence}, s.lastVersion()) {
+func (r *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
+	if !r.isMember() || r.role != roleFollower || !config.Newer(&schema.Version{Term: snapshot.Term, Sequence: snapshot.Sequence}, r.lastVersion()) {
 		return
 	}
 	// Committed state may be taken even under a later vote: a majority has it already, so
 	// whoever was voted for will read it too.
-	if snapshot.Term > s.votedTerm {
-		s.recordVote(snapshot.Term, "")
+	if snapshot.Term > r.votedTerm {
+		r.recordVote(snapshot.Term, "")
 	}
-	s.restoreSnapshot(snapshot)
-	s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
-	s.commitTo(snapshot.Sequence)
+	r.restoreSnapshot(snapshot)
+	r.persist(&schema.Record{Snapshot: r.snapshot()}, pendingWrite{})
+	r.commitTo(snapshot.Sequence)
 }
