--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -9,12 +9,6 @@
 	"meadowhinge/schema"
 )
 
-// Heartbeats tell the other replicas whom this one hears and how far it is, in short where nothing has changed.
-
-func (r *Replica) recentlyHeard(peer *peerState) bool {
-	return peer.heard && r.now-peer.heardAt <= r.config.HeartbeatTimeout
-}
-
 // heartbeatInterval is the time from one round of heartbeats to the next.
 func (r *Replica) heartbeatInterval() time.Duration {
 	if !r.reachesMajority(r.config.Name) {
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -4,82 +4,9 @@
 	"testing"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"meadowhinge/schema"
 )
 
-// trio is three members on one clock, with links that lose nothing and disks that take no time.
-type trio struct {
-	now           time.Duration
-	replicas      map[string]*Replica
-	down          map[string]bool
-	replies       map[string]*schema.ProposalReply // by ticket
-	stalled       string                           // the replica whose disk does not come back
-	stalledWrites []Persist                        // on it
-	order         []string                         // in which they tick
-	disks         map[string][]*schema.Record
-	bytesSent     int // bytes of messages
-	snapshotsSent int // messages with a whole state in them
-}
-
-var trioMembers = []string{"a", "b", "c"}
-
-func trioConfig(name string) Config {
-	return Config{Name: name, StaticMembers: trioMembers, Address: name, HeartbeatTimeout: 1500 * time.Millisecond, StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
-}
-
-func newTrio() *trio {
-	trioCore := &trio{replicas: map[string]*Replica{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}, order: trioMembers, disks: map[string][]*schema.Record{}}
-	for i, name := range trioMembers {
-		trioCore.replicas[name] = NewReplica(trioConfig(name), uint64(i+1), nil)
-	}
-	return trioCore
-}
-
-func (w *trio) act(from string, actions []Action) {
-	for _, action := range actions {
-		switch typed := action.(type) {
-		case Send:
-			w.bytesSent += proto.Size(typed.Message)
-			if typed.Message.GetBeginTerm().GetSnapshot() != nil || typed.Message.GetVote().GetSnapshot() != nil {
-				w.snapshotsSent++
-			}
-			if to := typed.Message.To; w.replicas[to] != nil && !w.down[to] && !w.down[from] {
-				w.act(to, w.replicas[to].Step(w.now, proto.Clone(typed.Message).(*schema.ReplicaMessage)))
-			}
-		case Persist:
-			if from == w.stalled {
-				w.stalledWrites = append(w.stalledWrites, typed)
-			} else {
-				if typed.ReplacesLog {
-					w.disks[from] = nil
-				}
-				w.disks[from] = append(w.disks[from], typed.Record)
-				w.act(from, w.replicas[from].Persisted(w.now, typed.WriteID))
-			}
-		case Reply:
-			w.replies[typed.Result.Ticket] = typed.Result
-		}
-	}
-}
-
-// advance lets time go by, each replica ticking as often as its daemon lets it.
-func (w *trio) advance(span time.Duration) {
-	for end := w.now + span; w.now < end; w.now += 75 * time.Millisecond {
-		for _, name := range w.order {
-			if !w.down[name] {
-				w.act(name, w.replicas[name].Tick(w.now))
-			}
-		}
-	}
-}
-
-func (w *trio) propose(at, ticket, id string) {
-	w.act(at, w.replicas[at].Propose(w.now, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id,
-		Items: []*schema.Item{{Kind: "segment", Name: id, Body: []byte(`{"salt":""}`)}}}}))
-}
-
 func TestLeadershipFollowsMemberOrder(t *testing.T) {
 	w := newTrio()
 	w.advance(5 * time.Second)
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -7,41 +7,26 @@
 	"meadowhinge/schema"
 )
 
-// How the leader hands entries to the others, and when what enough of them have on disk is committed.
+// appendAsLeader appends an entry of the leader's own and hands it to the others.
+func (r *Replica) appendAsLeader(entry *schema.Entry) {
+	r.appendEntry(entry)
+	r.persist(&schema.Record{Entries: []*schema.Entry{entry}}, pendingWrite{})
+	r.replicateAll()
+}
 
-// resendUnacknowledged repeats whatever a lost message may have held up.
-func (r *Replica) resendUnacknowledged() {
+// replicateAll sends everybody who has this epoch's beginning what is new. Whoever lacks it gets it by
+// resend; entries before it would be wasted.
+func (r *Replica) replicateAll() {
 	for _, name := range r.otherMembers {
-		peer := r.peers[name]
-		if !r.recentlyHeard(peer) {
-			continue
-		}
-		switch r.role {
-		case roleCandidate:
-			if peer.vote == nil && r.durableVotedTerm() >= r.votedTerm {
-				r.requestVote(name)
-			}
-		case roleLeaderElect, roleLeader:
-			if peer.term != r.term || peer.acked < r.sequence {
-				peer.sent = peer.acked
-				r.replicate(name, peer)
-			}
+		if peer := r.peers[name]; peer.term == r.term {
+			r.replicate(name, peer)
 		}
 	}
-	if r.role == roleLeader && len(r.pendingReads) > 0 {
-		r.sendConfirm()
-	}
-}
-
-// appendContiguous takes entries that follow what is held.
-func (r *Replica) appendContiguous(entries []*schema.Entry) (appended []*schema.Entry) {
-	for _, entry := range entries {
-		if entry.Version.Sequence == r.sequence+1 {
-			r.appendEntry(entry)
-			appended = append(appended, entry)
+	for _, name := range r.learners() {
+		if peer := r.outsiders[name]; peer.term == r.term {
+			r.replicate(name, peer)
 		}
 	}
-	return appended
 }
 
 // replicate sends a peer what it lacks under this epoch: its beginning first, then entries.
@@ -82,19 +67,6 @@
 	peer.sent = r.sequence
 }
 
-func (r *Replica) refuseAppend(from string) {
-	r.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, HigherTerm: r.votedTerm}}})
-}
-
-func (r *Replica) ackMessage(to string) *schema.ReplicaMessage {
-	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: r.term, Sequence: r.sequence}}}
-}
-
-// ackDurable acknowledges what is on disk now, for messages that brought nothing new.
-func (r *Replica) ackDurable(to string) {
-	r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: r.durableTerm, Sequence: r.durableSequence, Appended: r.lastVersion()}}})
-}
-
 func (r *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
 	if begin.Term < r.votedTerm && r.isExcluded() {
 		r.restartAsNewIncarnation()
@@ -147,6 +119,19 @@
 	r.commitTo(request.Committed)
 }
 
+func (r *Replica) refuseAppend(from string) {
+	r.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, HigherTerm: r.votedTerm}}})
+}
+
+func (r *Replica) ackMessage(to string) *schema.ReplicaMessage {
+	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: r.term, Sequence: r.sequence}}}
+}
+
+// ackDurable acknowledges what is on disk now, for messages that brought nothing new.
+func (r *Replica) ackDurable(to string) {
+	r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: r.durableTerm, Sequence: r.durableSequence, Appended: r.lastVersion()}}})
+}
+
 func (r *Replica) onAppendReply(from string, peer *peerState, counted bool, reply *schema.AppendReply) {
 	if reply.Refused {
 		r.highestTerm = max(r.highestTerm, reply.HigherTerm)
@@ -217,26 +202,28 @@
 	}
 }
 
-// replicateAll sends everybody who has this epoch's beginning what is new. Whoever lacks it gets it by
-// resend; entries before it would be wasted.
-func (r *Replica) replicateAll() {
+// resendUnacknowledged repeats whatever a lost message may have held up.
+func (r *Replica) resendUnacknowledged() {
 	for _, name := range r.otherMembers {
-		if peer := r.peers[name]; peer.term == r.term {
-			r.replicate(name, peer)
+		peer := r.peers[name]
+		if !r.recentlyHeard(peer) {
+			continue
 		}
-	}
-	for _, name := range r.learners() {
-		if peer := r.outsiders[name]; peer.term == r.term {
-			r.replicate(name, peer)
+		switch r.role {
+		case roleCandidate:
+			if peer.vote == nil && r.durableVotedTerm() >= r.votedTerm {
+				r.requestVote(name)
+			}
+		case roleLeaderElect, roleLeader:
+			if peer.term != r.term || peer.acked < r.sequence {
+				peer.sent = peer.acked
+				r.replicate(name, peer)
+			}
 		}
 	}
-}
-
-// appendAsLeader appends an entry of the leader's own and hands it to the others.
-func (r *Replica) appendAsLeader(entry *schema.Entry) {
-	r.appendEntry(entry)
-	r.persist(&schema.Record{Entries: []*schema.Entry{entry}}, pendingWrite{})
-	r.replicateAll()
+	if r.role == roleLeader && len(r.pendingReads) > 0 {
+		r.sendConfirm()
+	}
 }
 
 func (r *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
--- /dev/null
+++ b/internal/store/tombstones_test.go
@@ -0,0 +1,52 @@
+package store
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"meadowhinge/internal/config"
+	"meadowhinge/schema"
+)
+
+// Given versions never go down: tombstones that bear one stay until there are too many.
+func TestOperatorVersionTombstones(t *testing.T) {
+	w := newCore(1)
+	serial := 0
+	propose := func(name string, version uint64, deleted bool) {
+		t.Helper()
+		serial++
+		id := fmt.Sprint("given-", serial)
+		item := &schema.Item{Kind: "segment", Name: name, OperatorVersion: version, Deleted: deleted}
+		if !deleted {
+			item.Body = []byte(`{"salt":""}`)
+		}
+		w.act("b", w.replicas["b"].Propose(w.now, &schema.Proposal{Ticket: id, Change: &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}}))
+		if got := w.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
+			t.Fatalf("%s: %v", id, got)
+		}
+	}
+	maxTombstones := trioConfig("a").MaxOperatorTombstones
+	for i := range maxTombstones {
+		propose(fmt.Sprint("s", i), 5, false)
+		propose(fmt.Sprint("s", i), 7, true)
+		w.advance(100 * time.Millisecond)
+	}
+	for i := range maxTombstones {
+		propose(fmt.Sprint("s", i), 6, false)
+	}
+	_, state := w.replicas["c"].Committed()
+	for i := range maxTombstones {
+		if item := state[config.Key("segment", fmt.Sprint("s", i))]; item == nil || !item.Deleted || item.OperatorVersion != 7 {
+			t.Errorf("s%d: %v", i, item)
+		}
+	}
+	for i := range 2 * maxTombstones {
+		propose(fmt.Sprint("more", i), 1, true)
+		w.advance(100 * time.Millisecond)
+	}
+	_, state = w.replicas["c"].Committed()
+	if _, dropped := state.Tombstones(); len(dropped) > maxTombstones+maxTombstones/2 {
+		t.Errorf("%d tombstones are kept", len(dropped))
+	}
+}
