--- a/internal/store/config.go
+++ b/internal/store/config.go
@@ -1,40 +1,65 @@
 package store
 
-import (
-	"time"
-)
+import "time"
 
-// Config are the bounds a replica works within.
+// Config is what a replica is started with. Server derives it from the store's settings; SetLimits replaces
+// the part that may change while the replica runs.
 type Config struct {
-	Name                  string
-	Address               string
-	StaticMembers         []string      // all members, where an operator orders them
-	Founders              []string      // the first members, at the first start of all without an order
-	Seeds                 []string      // whom a replica asks that has no place among the members
-	ExpandsMembership     bool          // first start of all, and not a founder: one replica more is wanted
-	ToleratedLosses       int           // disks that may be lost at once
-	NewIncarnation        func() uint64 // an incarnation that no other folder has
-	HeartbeatTimeout      time.Duration
-	StallTimeout          time.Duration
-	MaxEntries            int
-	MaxOutcomes           int
+	// Name is this replica's member id, unique among the replicas of the core.
+	Name string
+	// Address is the host:port at which the other replicas reach this one; it is sent with every message.
+	Address string
+	// StaticMembers lists every member in the order of preference for leadership, where an operator fixes
+	// it. Empty means that the members agree on the list themselves.
+	StaticMembers []string
+	// Founders are the members of the first membership, where all of them start for the first time and there
+	// is no static list; nil on every other replica.
+	Founders []string
+	// Seeds are the replicas that one outside the membership sends its Join to. May change at run time.
+	Seeds []string
+	// ExpandsMembership is set on a replica that starts for the first time and is no founder: its joining
+	// raises the target size by one, rather than replacing a lost member.
+	ExpandsMembership bool
+	// ToleratedLosses is the number of disks that may be lost at once without losing a committed change.
+	ToleratedLosses int
+	// NewIncarnation draws an incarnation that no other data folder has. It must not be nil unless the
+	// replica can never be excluded.
+	NewIncarnation func() uint64
+	// HeartbeatTimeout is how long a replica that is not heard counts as alive. Other intervals are
+	// fractions of it. May change at run time.
+	HeartbeatTimeout time.Duration
+	// StallTimeout is how long a write may take before the replica counts as unfit to lead, and how long a
+	// campaign may take before it starts again. May change at run time.
+	StallTimeout time.Duration
+	// MaxEntries is both the number of entries between two snapshots on disk and the number of committed
+	// entries retained in memory for followers that lag. May change at run time.
+	MaxEntries int
+	// MaxOutcomes is the number of change ids whose outcome is remembered. May change at run time.
+	MaxOutcomes int
+	// MaxUncommittedEntries is the number of appended but uncommitted entries at which a leader
+	// refuses new proposals.
 	MaxUncommittedEntries int
-	MaxOperatorTombstones int // tombstones that bear an operator's version and are kept
+	// MaxOperatorTombstones is the number of retained tombstones that bear an operator version. May change at
+	// run time.
+	MaxOperatorTombstones int
 
-	seededFault seededFault // by tests of the checks
+	seededFault seededFault // set only by tests that show that a check detects the fault
 }
 
-// Ratios to the bounds in Options.
+// Divisors of Config.HeartbeatTimeout, but for the last.
 const (
-	heartbeatsPerTimeout         = 3  // heartbeats that fit into the silence bound, so that one late one does not count
-	isolatedHeartbeatsPerTimeout = 15 // the same, for a replica that does not reach a majority
-	urgentHeartbeatsPerTimeout   = 30 // least pause between heartbeats that tell something new
-	campaignsPerStallTimeout     = 1  // a campaign that takes longer than the stall bound starts again
+	// heartbeatsPerTimeout leaves room for one late heartbeat before the sender counts as lost.
+	heartbeatsPerTimeout = 3
+	// isolatedHeartbeatsPerTimeout is the same for a replica that reaches no majority, to be found sooner.
+	isolatedHeartbeatsPerTimeout = 15
+	// urgentHeartbeatsPerTimeout bounds how soon a heartbeat that reports a change follows the one before.
+	urgentHeartbeatsPerTimeout = 30
+	// campaignsPerStallTimeout divides Config.StallTimeout: a campaign that takes longer starts again.
+	campaignsPerStallTimeout = 1
 )
 
-// minSnapshotLogBytes is what entries may take on disk, at the least, before the whole state is written in
-// their place; a larger state is written once they take as much as it several times.
+// A snapshot replaces the log also when the entries since the last one take more bytes than both of these.
 const (
-	minSnapshotLogBytes = 1 << 20
-	snapshotLogFactor   = 2
+	minSnapshotLogBytes = 1 << 20 // bytes
+	snapshotLogFactor   = 2       // times the size of the last snapshot
 )
--- a/internal/store/decide.go
+++ b/internal/store/decide.go
@@ -5,61 +5,76 @@
 	"meadowhinge/schema"
 )
 
-// maxReportedFaults bounds the reasons that are kept with a refusal: an operator mends them in turn.
+// maxReportedFaults bounds the reasons listed in a refusal; an operator works them off in turns.
 const maxReportedFaults = 32
 
-// Decide decides a change against a state: taken whole, or refused whole with every reason.
-// It compiles after an earlier setup, nil for none, and gives the one that it made of a change it took.
+// progressKind is the item kind written by rollout controllers.
+const progressKind = "progress"
+
+// Decide rules on a change against a state, as the entry of a version: the change is accepted with all its items
+// or refused with none, and with up to maxReportedFaults reasons. It is a pure function, so any replica that
+// leads comes to the same ruling.
+//
+// previous is the compiled configuration of the state if the caller has one, else nil; it makes compiling cheaper
+// and does not affect the ruling. Decide returns the one to pass with the next change.
 func Decide(state config.State, previous *config.Snapshot, change *schema.Change, version *schema.Version) (*schema.Entry, *config.Snapshot) {
-	entry := &schema.Entry{Version: version, ChangeId: change.Id, Outcome: &schema.ChangeOutcome{ChangeId: change.Id, Version: version}}
-	written := change.Items
-	if change.ByOperatorVersion {
-		var conflicts []*schema.ExpectedVersion
-		written, conflicts = byOperatorVersion(state, change.Items)
-		// What can never be right is refused also where a newer version stands in its place.
-		if len(written) < len(change.Items) {
-			if faults := config.Check(change.Items); len(faults) > 0 {
-				entry.Outcome.Ruling, entry.Outcome.Faults = schema.Ruling_RULING_INVALID, faults[:min(len(faults), maxReportedFaults)]
-				return entry, previous
-			}
-		}
-		if len(conflicts) > 0 {
-			entry.Outcome.Ruling, entry.Outcome.Current = schema.Ruling_RULING_CONFLICT, conflicts[:min(len(conflicts), maxReportedFaults)]
-			return entry, previous
-		}
-	} else if entry.Outcome.Current = conflictingItems(state, change); len(entry.Outcome.Current) > 0 {
-		entry.Outcome.Ruling = schema.Ruling_RULING_CONFLICT
+	outcome := &schema.ChangeOutcome{ChangeId: change.Id, Version: version}
+	entry := &schema.Entry{Version: version, ChangeId: change.Id, Outcome: outcome}
+	written := itemsToWrite(state, change, outcome)
+	if outcome.Ruling != schema.Ruling_RULING_UNKNOWN {
 		return entry, previous
 	}
-	// A release duty that has passed on may not write what its successor has written under a later epoch.
-	for _, item := range written {
-		if existing := state[config.Key(item.Kind, item.Name)]; item.Kind == "progress" && !item.Deleted && existing != nil && !existing.Deleted && config.ControllerTermOf(item) < config.ControllerTermOf(existing) {
-			entry.Outcome.Ruling = schema.Ruling_RULING_STALE
-			return entry, previous
-		}
-	}
-	var items []*schema.Item
-	for _, item := range written {
-		// Whoever writes an item without a version of an operator's leaves the one that it had: it
-		// must not go down, or an older order could take the item back.
-		operatorVersion := max(item.OperatorVersion, state[config.Key(item.Kind, item.Name)].GetOperatorVersion())
-		items = append(items, &schema.Item{Kind: item.Kind, Name: item.Name, Body: item.Body, Deleted: item.Deleted, Version: version, ChangeId: change.Id, OperatorVersion: operatorVersion, OperatorBody: item.OperatorBody})
+	if fromStaleController(state, written) {
+		outcome.Ruling = schema.Ruling_RULING_STALE
+		return entry, previous
 	}
-	// What brings nothing new leaves the state as it was, which was valid.
+	items := stampItems(state, change.Id, written, version)
+	// A change without effect leaves the state as it was, which is valid.
 	if len(items) == 0 {
-		entry.Outcome.Ruling = schema.Ruling_RULING_ACCEPTED
+		outcome.Ruling = schema.Ruling_RULING_ACCEPTED
 		return entry, previous
 	}
 	compiled, faults := config.CompileIncremental(previous, state.With(items), version.Sequence)
 	if len(faults) > 0 {
-		entry.Outcome.Ruling, entry.Outcome.Faults = schema.Ruling_RULING_INVALID, faults[:min(len(faults), maxReportedFaults)]
+		outcome.Ruling = schema.Ruling_RULING_INVALID
+		outcome.Faults = faults[:min(len(faults), maxReportedFaults)]
 		return entry, previous
 	}
-	entry.Items, entry.Outcome.Ruling = items, schema.Ruling_RULING_ACCEPTED
+	entry.Items = items
+	outcome.Ruling = schema.Ruling_RULING_ACCEPTED
 	return entry, compiled
 }
 
-// conflictingItems lists the items of a change that do not stand as the writer expected.
+// itemsToWrite lists the items of a change that are to be written. If the change conflicts with the state, or is
+// invalid by itself, it sets the refusal in outcome instead.
+func itemsToWrite(state config.State, change *schema.Change, outcome *schema.ChangeOutcome) []*schema.Item {
+	if !change.ByOperatorVersion {
+		outcome.Current = conflictingItems(state, change)
+		if len(outcome.Current) > 0 {
+			outcome.Ruling = schema.Ruling_RULING_CONFLICT
+		}
+		return change.Items
+	}
+	written, conflicts := byOperatorVersion(state, change.Items)
+	// Items that are not written are not compiled, so what is invalid by itself must be refused here: an invalid
+	// item must not be accepted only because a newer version of it exists.
+	if len(written) < len(change.Items) {
+		if faults := config.Check(change.Items); len(faults) > 0 {
+			outcome.Ruling = schema.Ruling_RULING_INVALID
+			outcome.Faults = faults[:min(len(faults), maxReportedFaults)]
+			return nil
+		}
+	}
+	if len(conflicts) > 0 {
+		outcome.Ruling = schema.Ruling_RULING_CONFLICT
+		outcome.Current = conflicts[:min(len(conflicts), maxReportedFaults)]
+		return nil
+	}
+	return written
+}
+
+// conflictingItems lists, for the items of a change whose stored sequence is not the one that the writer
+// expected, the stored one (0 for none or a tombstone).
 func conflictingItems(state config.State, change *schema.Change) (current []*schema.ExpectedVersion) {
 	expected := map[string]uint64{}
 	for _, expectation := range change.Expected {
@@ -77,3 +92,38 @@
 	}
 	return current
 }
+
+// fromStaleController reports whether an item was written by a rollout controller that has lost control since:
+// another one has written the item under a later controller term. This fences off the old controller.
+func fromStaleController(state config.State, items []*schema.Item) bool {
+	for _, item := range items {
+		existing := state[config.Key(item.Kind, item.Name)]
+		if item.Kind != progressKind || item.Deleted || existing == nil || existing.Deleted {
+			continue
+		}
+		if config.ControllerTermOf(item) < config.ControllerTermOf(existing) {
+			return true
+		}
+	}
+	return false
+}
+
+// stampItems returns the items as they are stored: with the version and id of their change, and with an operator
+// version that never falls, so that a delayed older order cannot take an item back.
+func stampItems(state config.State, changeID string, items []*schema.Item, version *schema.Version) []*schema.Item {
+	var stamped []*schema.Item
+	for _, item := range items {
+		existing := state[config.Key(item.Kind, item.Name)]
+		stamped = append(stamped, &schema.Item{
+			Kind:            item.Kind,
+			Name:            item.Name,
+			Body:            item.Body,
+			Deleted:         item.Deleted,
+			Version:         version,
+			ChangeId:        changeID,
+			OperatorVersion: max(item.OperatorVersion, existing.GetOperatorVersion()),
+			OperatorBody:    item.OperatorBody,
+		})
+	}
+	return stamped
+}
--- a/internal/store/election.go
+++ b/internal/store/election.go
@@ -5,63 +5,89 @@
 	"meadowhinge/schema"
 )
 
-func (r *Replica) voteRequest(to string) *schema.ReplicaMessage {
-	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Term: r.votedTerm, Last: r.lastVersion(), Membership: r.membership.EffectiveFrom}}}
+// How a candidate gets the votes of a majority and, with them, the newest content among the voters. Everything
+// committed is on the disks of a majority, and so on that of at least one voter.
+
+// campaign persists the vote that becomeCandidate cast, and requests the others' votes once it is durable.
+func (r *Replica) campaign() {
+	write := pendingWrite{votedTerm: r.votedTerm}
+	for _, name := range r.otherMembers {
+		write.messages = append(write.messages, r.voteRequest(name))
+	}
+	r.persist(&schema.Record{VotedTerm: r.votedTerm, VotedFor: r.config.Name}, write)
 }
 
-func (r *Replica) requestVote(name string) { r.send(name, r.voteRequest(name)) }
+// voteRequest is a request for a vote, addressed so that it can wait in a pendingWrite.
+func (r *Replica) voteRequest(to string) *schema.ReplicaMessage {
+	message := voteRequestMessage(&schema.VoteRequest{
+		Term:       r.votedTerm,
+		Last:       r.lastVersion(),
+		Membership: r.membership.EffectiveFrom,
+	})
+	message.To = to
+	return message
+}
 
+// onVoteRequest votes for a candidate, unless this replica has voted for another one or a higher term.
 func (r *Replica) onVoteRequest(from string, request *schema.VoteRequest) {
 	if !r.isMember() {
 		return
 	}
 	if request.Term < r.votedTerm || request.Term == r.votedTerm && r.votedFor != from {
-		r.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Vote{Vote: &schema.Vote{Term: request.Term, Refused: true, HigherTerm: r.votedTerm}}})
+		r.send(from, voteMessage(&schema.Vote{Term: request.Term, Refused: true, HigherTerm: r.votedTerm}))
 		return
 	}
 	if request.Term == r.votedTerm && r.durableVotedTerm() >= r.votedTerm {
-		r.sendVote(from, request)
+		r.sendVote(from, request) // a repeated request; the vote before it may have been lost
 		return
 	}
 	if request.Term > r.votedTerm {
 		r.becomeFollower()
 	}
 	r.recordVote(request.Term, from)
-	r.persist(&schema.Record{VotedTerm: request.Term, VotedFor: from}, pendingWrite{votedTerm: request.Term, voteRequest: request, candidate: from})
+	record := &schema.Record{VotedTerm: request.Term, VotedFor: from}
+	r.persist(record, pendingWrite{votedTerm: request.Term, voteRequest: request, candidate: from})
 }
 
-// sendVote tells a candidate that it has this replica's vote, and what it lacks of the state here.
+// sendVote sends a durable vote, with whatever of this replica's content the candidate lacks.
 func (r *Replica) sendVote(to string, request *schema.VoteRequest) {
 	vote := &schema.Vote{Term: request.Term, Last: r.lastVersion()}
 	switch {
 	case !config.Newer(vote.Last, request.Last):
+		// The candidate lacks nothing.
 	case request.Last.GetTerm() == r.term && request.Last.GetSequence() >= r.baseSequence:
 		vote.Entries = r.entries[request.Last.GetSequence()-r.baseSequence:]
 	default:
 		vote.Snapshot = r.snapshot()
 	}
-	r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Vote{Vote: vote}})
+	r.send(to, voteMessage(vote))
 }
 
+// onVote handles the answer of a member to this replica's VoteRequest.
 func (r *Replica) onVote(peer *peerState, vote *schema.Vote) {
 	if vote.Refused {
 		r.highestTerm = max(r.highestTerm, vote.HigherTerm)
 		return
 	}
-	if r.role == roleCandidate && vote.Term == r.votedTerm {
-		peer.vote, peer.lastKnownVersion, peer.versionReported = vote, vote.Last, true
-		r.countVotes()
+	if r.role != roleCandidate || vote.Term != r.votedTerm {
+		return
 	}
+	peer.vote = vote
+	peer.lastKnownVersion, peer.versionReported = vote.Last, true
+	r.countVotes()
 }
 
-// countVotes counts the votes. The newest state among them is taken whole, and with it who the members
-// are; with the votes of a majority of those, this replica's epoch begins upon that state.
+// countVotes adopts the newest content among the votes and, with the votes of a majority of the members in that
+// content, begins this replica's term. It runs at each vote and each finished write of a candidate; the
+// candidate's own vote counts only once it is durable.
 func (r *Replica) countVotes() {
 	if r.durableVotedTerm() < r.votedTerm {
 		return
 	}
 	for _, name := range r.otherMembers {
-		if peer := r.peers[name]; peer != nil && peer.vote != nil && config.Newer(peer.vote.Last, r.lastVersion()) && !r.hasFault(faultStaleLeader) {
+		// Adopting a vote may change the members, so a name may have gone meanwhile.
+		peer := r.peers[name]
+		if peer != nil && peer.vote != nil && config.Newer(peer.vote.Last, r.lastVersion()) && !r.hasFault(faultStaleLeader) {
 			r.adoptVote(peer.vote)
 		}
 	}
@@ -78,24 +104,14 @@
 	if votes < r.majority() {
 		return
 	}
-	r.role, r.roleSince, r.termStartVersion = roleLeaderElect, r.now, r.lastVersion()
-	r.term = r.votedTerm
-	if members := r.bindFounders(); members == r.membership {
-		r.persist(&schema.Record{Term: r.term}, pendingWrite{})
-	} else {
-		members.EffectiveFrom = r.lastVersion()
-		snapshot := r.snapshot()
-		snapshot.Membership = members
-		r.restoreSnapshot(snapshot)
-		r.termStartVersion = &schema.Version{Term: r.term, Sequence: r.sequence}
-		r.persist(&schema.Record{Snapshot: r.snapshot()}, pendingWrite{})
-	}
+	r.becomeLeaderElect()
+	r.persistTermStart()
 	for _, name := range r.otherMembers {
 		r.replicate(name, r.peers[name])
 	}
 }
 
-// adoptVote takes from a vote what this replica lacks.
+// adoptVote takes over from a vote the content that this replica lacks.
 func (r *Replica) adoptVote(vote *schema.Vote) {
 	if vote.Snapshot != nil {
 		r.restoreSnapshot(vote.Snapshot)
@@ -107,10 +123,28 @@
 	}
 }
 
-// bindFounders is the members with every founder that is known bound to its folder; those that were
-// counted must be.
+// persistTermStart persists the beginning of a term that this replica was elected in. Founders that become bound
+// by it change the membership, which takes a snapshot: there is no entry to carry it.
+func (r *Replica) persistTermStart() {
+	bound := r.bindFounders()
+	if bound == r.membership {
+		r.persist(&schema.Record{Term: r.term}, pendingWrite{})
+		return
+	}
+	bound.EffectiveFrom = r.lastVersion()
+	snapshot := r.snapshot()
+	snapshot.Membership = bound
+	r.restoreSnapshot(snapshot)
+	// The others' content is no prefix of this one any more: they get the snapshot.
+	r.termStartVersion = r.lastVersion()
+	r.persist(&schema.Record{Snapshot: r.snapshot()}, pendingWrite{})
+}
+
+// bindFounders returns the membership with every founder heard so far bound to the incarnation of its data
+// folder, or the membership itself if nothing changes. A founder whose vote counted must be bound, so that its
+// folder, once lost, does not come back empty as the same member.
 func (r *Replica) bindFounders() *schema.Membership {
-	members := r.membership
+	bound := r.membership
 	for _, member := range r.membership.Members {
 		incarnation := r.incarnation
 		if member.Id != r.config.Name {
@@ -121,8 +155,8 @@
 			incarnation = peer.incarnation
 		}
 		if member.Incarnation == 0 {
-			members = withMember(members, &schema.CoreMember{Id: member.Id, Address: r.memberAddress(member.Id), Incarnation: incarnation})
+			bound = withMember(bound, r.newMember(member.Id, incarnation))
 		}
 	}
-	return members
+	return bound
 }
--- a/internal/store/freshness.go
+++ b/internal/store/freshness.go
@@ -1,28 +1,35 @@
 package store
 
 import (
+	"cmp"
 	"slices"
 	"time"
 )
 
-// freshness tells when this replica last knew its committed setup to be the newest that anyone was
-// promised. What was promised is durable at a majority; so once each of a majority has told how
-// far it is, and all of that is committed here, nothing promised before they told is missing here.
-// It is a step function of what members tell and how far this one is.
+// freshness knows up to what time this replica's committed state includes every acknowledged change, for readers
+// that may read it without a read index if it is not too old.
+//
+// An acknowledged change is durable at a majority. So once each member of some majority has reported how far
+// its content reaches, and all of that is committed here, nothing acknowledged before the earliest of those reports
+// is missing here.
 type freshness struct {
-	reports map[string]*peerReport
+	reports map[string]*peerReport // by replica name
 }
 
-// peerReport is what one replica's word is worth.
+// peerReport is what one replica's reports prove.
 type peerReport struct {
-	everFresh       bool
-	freshAt         time.Duration // when it last told of nothing that is not committed here
-	reportedAt      time.Duration // when it told of something that is not committed here yet
-	awaitedSequence uint64        // that: a sequence, 0 for nothing
+	everFresh bool
+	freshAt   time.Duration // of its latest report that is committed here completely; valid if everFresh
+	// awaitedSequence is a reported sequence that is not committed here yet, 0 for none, and reportedAt the time
+	// of that report.
+	awaitedSequence uint64
+	reportedAt      time.Duration
 }
 
-// observe notes how far a replica says it is. The first word that goes beyond what is committed here is
-// kept until that is committed: under a stream of changes the last one never would be.
+// observe records that a replica's content reached a sequence at a time, while committed was committed here.
+//
+// Of the reports beyond what is committed here, the first is kept until it is committed, not the last: under a
+// steady stream of changes the last one never would be, and the replica would seem stale forever.
 func (f *freshness) observe(replica string, now time.Duration, sequence, committed uint64) {
 	if f.reports == nil {
 		f.reports = map[string]*peerReport{}
@@ -36,13 +43,13 @@
 	switch {
 	case sequence <= committed:
 		report.everFresh, report.freshAt, report.awaitedSequence = true, now, 0
-	// A replica that was repaired has let go of what it told of before.
 	case report.awaitedSequence == 0 || sequence < report.awaitedSequence:
+		// A lower sequence than before: entries that were not committed were dropped in a later term.
 		report.reportedAt, report.awaitedSequence = now, sequence
 	}
 }
 
-// advance notes that more is committed here.
+// advance records that everything up to a sequence is committed here.
 func (f *freshness) advance(committed uint64) {
 	for _, report := range f.reports {
 		if report.awaitedSequence != 0 && report.awaitedSequence <= committed {
@@ -51,7 +58,7 @@
 	}
 }
 
-// majorityTime is the latest time of which a majority has vouched; false if none ever has.
+// majorityTime is the latest time that the reports of a majority of the members prove; false if there is none.
 func (f *freshness) majorityTime(members []string, majority int) (time.Duration, bool) {
 	var times []time.Duration
 	for _, replica := range members {
@@ -62,18 +69,18 @@
 	if len(times) < majority {
 		return 0, false
 	}
-	slices.SortFunc(times, func(a, b time.Duration) int { return int(b - a) })
+	slices.SortFunc(times, func(a, b time.Duration) int { return cmp.Compare(b, a) }) // latest first
 	return times[majority-1], true
 }
 
-// CommittedAge tells how long ago this replica last knew its committed setup to be the newest that anyone
-// was promised; false if it never has.
+// CommittedAge returns how long ago this replica's committed state was known to include every acknowledged change;
+// false if it never was. A replica that is no member never knows: its own report proves nothing.
 func (r *Replica) CommittedAge(now time.Duration) (age time.Duration, known bool) {
-	// An empty replica's word counts for nothing, not even to itself.
 	if !r.isMember() {
 		return 0, false
 	}
 	r.freshness.observe(r.config.Name, now, r.sequence, r.committedSequence)
-	at, known := r.freshness.majorityTime(append([]string{r.config.Name}, r.otherMembers...), r.majority())
+	members := append([]string{r.config.Name}, r.otherMembers...)
+	at, known := r.freshness.majorityTime(members, r.majority())
 	return now - at, known
 }
--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -9,7 +9,13 @@
 	"meadowhinge/schema"
 )
 
-// heartbeatInterval is the time from one round of heartbeats to the next.
+// Heartbeats report whom this replica hears, whether it may lead and how far it is. One that is equal to the last
+// complete one is abbreviated to its serial: heartbeats are most of what is sent.
+
+// maxAbbreviatedHeartbeats is how many abbreviated heartbeats are sent before a complete one again.
+const maxAbbreviatedHeartbeats = 8
+
+// heartbeatInterval is the time between two rounds of heartbeats.
 func (r *Replica) heartbeatInterval() time.Duration {
 	if !r.reachesMajority(r.config.Name) {
 		return r.config.HeartbeatTimeout / isolatedHeartbeatsPerTimeout
@@ -17,8 +23,10 @@
 	return r.config.HeartbeatTimeout / heartbeatsPerTimeout
 }
 
+// sendHeartbeats sends a round of heartbeats: to every member, and to the outsiders that are alive.
 func (r *Replica) sendHeartbeats() {
-	r.heartbeatSent, r.heartbeatSentAt, r.lastUrgentState = true, r.now, r.urgentState()
+	r.heartbeatSent, r.heartbeatSentAt = true, r.now
+	r.lastUrgentState = r.urgentState()
 	for _, name := range r.otherMembers {
 		r.sendHeartbeat(name, r.peers[name])
 	}
@@ -29,74 +37,96 @@
 	}
 }
 
-// sendUrgentHeartbeats sends heartbeats at once when who hears whom, who is fit or who holds leadership has changed.
+// sendUrgentHeartbeats sends a round before it is due if the urgent state has changed since the last one.
 func (r *Replica) sendUrgentHeartbeats() {
-	if r.isMember() && r.heartbeatSent && r.now-r.heartbeatSentAt >= r.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout && r.urgentState() != r.lastUrgentState {
+	if !r.isMember() || !r.heartbeatSent {
+		return
+	}
+	if r.now-r.heartbeatSentAt < r.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout {
+		return
+	}
+	if r.urgentState() != r.lastUrgentState {
 		r.sendHeartbeats()
 	}
 }
 
-// news is what a heartbeat tells that must not wait for the next round.
+// urgentState is the part of a heartbeat, as text to compare, whose change must not wait for the next round: who
+// hears whom, who is fit and who leads.
 func (r *Replica) urgentState() string {
 	heartbeat := r.heartbeat()
 	return fmt.Sprint(heartbeat.Heard, heartbeat.Mutual, heartbeat.Unfit, heartbeat.MembershipBehind, heartbeat.Leader)
 }
 
+// heartbeat is a complete heartbeat, without its serial.
 func (r *Replica) heartbeat() *schema.Heartbeat {
-	heartbeat := &schema.Heartbeat{Mutual: r.mutualPeers(), Unfit: r.unfit(), VotedTerm: r.votedTerm, Term: r.term, Sequence: r.sequence,
-		Committed: r.committedSequence, CommittedTerm: r.committedTerm, Membership: r.membership.EffectiveFrom, MembershipBehind: len(r.newerMembers()) > 0}
-	for _, name := range r.otherMembers {
-		if r.recentlyHeard(r.peers[name]) {
-			heartbeat.Heard = append(heartbeat.Heard, name)
-		}
+	newerMembers := r.newerMembers()
+	heartbeat := &schema.Heartbeat{
+		Mutual:           r.mutualPeers(),
+		Heard:            append(r.heardMembers(), newerMembers...),
+		Unfit:            r.unfit(),
+		VotedTerm:        r.votedTerm,
+		Term:             r.term,
+		Sequence:         r.sequence,
+		Committed:        r.committedSequence,
+		CommittedTerm:    r.committedTerm,
+		Membership:       r.membership.EffectiveFrom,
+		MembershipBehind: len(newerMembers) > 0,
 	}
-	heartbeat.Heard = append(heartbeat.Heard, r.newerMembers()...)
 	if r.role == roleLeader {
 		heartbeat.Leader = r.config.Name
 	}
 	return heartbeat
 }
 
-// maxAbbreviatedHeartbeats is how often a heartbeat is said in short before it is said in full again.
-const maxAbbreviatedHeartbeats = 8
-
-// sendHeartbeat tells another replica how things stand here, in short if they stand as they did.
+// sendHeartbeat sends a heartbeat to one replica, abbreviated if it has the same content already.
 func (r *Replica) sendHeartbeat(to string, peer *peerState) {
 	heartbeat := r.heartbeat()
-	if peer.lastFullHeartbeat != nil {
-		heartbeat.Serial = peer.lastFullHeartbeat.Serial
-	}
-	if peer.lastFullHeartbeat != nil && peer.abbreviatedCount < maxAbbreviatedHeartbeats && equalHeartbeats(heartbeat, peer.lastFullHeartbeat) {
+	last := peer.lastFullHeartbeat
+	if last != nil && peer.abbreviatedCount < maxAbbreviatedHeartbeats && equalHeartbeats(heartbeat, last) {
 		peer.abbreviatedCount++
-		r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{Serial: heartbeat.Serial}}})
+		r.send(to, heartbeatMessage(&schema.Heartbeat{Serial: last.Serial}))
 		return
 	}
 	r.heartbeatSerial++
-	heartbeat.Serial, peer.lastFullHeartbeat, peer.abbreviatedCount = r.heartbeatSerial, heartbeat, 0
-	r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: heartbeat}})
+	heartbeat.Serial = r.heartbeatSerial
+	peer.lastFullHeartbeat, peer.abbreviatedCount = heartbeat, 0
+	r.send(to, heartbeatMessage(heartbeat))
 }
 
+// equalHeartbeats reports whether two complete heartbeats of this replica differ in nothing but the serial.
+// Membership versions are compared by pointer: r.membership is replaced, never changed, so equal pointers mean
+// the same membership, and a needless difference costs only a complete heartbeat.
 func equalHeartbeats(a, b *schema.Heartbeat) bool {
-	return slices.Equal(a.Mutual, b.Mutual) && slices.Equal(a.Heard, b.Heard) && a.Unfit == b.Unfit && a.VotedTerm == b.VotedTerm &&
-		a.Term == b.Term && a.Sequence == b.Sequence && a.Committed == b.Committed && a.CommittedTerm == b.CommittedTerm && a.Leader == b.Leader &&
-		a.MembershipBehind == b.MembershipBehind && a.Membership == b.Membership
+	return slices.Equal(a.Mutual, b.Mutual) &&
+		slices.Equal(a.Heard, b.Heard) &&
+		a.Unfit == b.Unfit &&
+		a.VotedTerm == b.VotedTerm &&
+		a.Term == b.Term &&
+		a.Sequence == b.Sequence &&
+		a.Committed == b.Committed &&
+		a.CommittedTerm == b.CommittedTerm &&
+		a.Leader == b.Leader &&
+		a.MembershipBehind == b.MembershipBehind &&
+		a.Membership == b.Membership
 }
 
-// isAbbreviated tells that a heartbeat says no more than that nothing has changed.
+// isAbbreviated reports whether a heartbeat stands for the last complete one with its serial.
 func isAbbreviated(heartbeat *schema.Heartbeat) bool {
 	return heartbeat.Membership == nil && heartbeat.Serial != 0
 }
 
+// onHeartbeat handles a heartbeat of a member or an outsider.
 func (r *Replica) onHeartbeat(from string, peer *peerState, heartbeat *schema.Heartbeat) {
 	if heartbeat.ResendFull {
-		if peer.lastFullHeartbeat = nil; r.isMember() {
+		peer.lastFullHeartbeat = nil
+		if r.isMember() {
 			r.sendHeartbeat(from, peer)
 		}
 		return
 	}
 	if isAbbreviated(heartbeat) {
 		if peer.receivedHeartbeat.GetSerial() != heartbeat.Serial {
-			r.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{ResendFull: true}}})
+			r.send(from, heartbeatMessage(&schema.Heartbeat{ResendFull: true}))
 			return
 		}
 		heartbeat = peer.receivedHeartbeat
@@ -107,13 +137,19 @@
 	}
 	peer.lastKnownVersion = &schema.Version{Term: heartbeat.Term, Sequence: heartbeat.Sequence}
 	r.highestTerm = max(r.highestTerm, heartbeat.VotedTerm)
+	// The same term and sequence mean the same content, so what is committed there is committed here.
 	if heartbeat.CommittedTerm == r.term {
 		r.commitTo(heartbeat.Committed)
 	}
-	// A replica the leader cannot reach learns what is committed from any other that has it.
-	behind := heartbeat.CommittedTerm > r.term || (heartbeat.CommittedTerm == r.term && heartbeat.Committed > r.sequence)
-	if r.isMember() && behind && r.role == roleFollower && !slices.Contains(r.mutualPeers(), r.leader()) {
-		r.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_SnapshotRequest{SnapshotRequest: &schema.SnapshotRequest{}}})
+	if r.needsSnapshotFrom(heartbeat) {
+		r.send(from, snapshotRequestMessage(&schema.SnapshotRequest{}))
 	}
 	r.sendUrgentHeartbeats()
 }
+
+// needsSnapshotFrom reports whether this replica lags behind a peer's committed content and cannot be reached by
+// the leader, so that it must get that content from whichever peer has it.
+func (r *Replica) needsSnapshotFrom(heartbeat *schema.Heartbeat) bool {
+	behind := heartbeat.CommittedTerm > r.term || (heartbeat.CommittedTerm == r.term && heartbeat.Committed > r.sequence)
+	return r.isMember() && behind && r.role == roleFollower && !slices.Contains(r.mutualPeers(), r.leader())
+}
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -10,12 +10,29 @@
 	"meadowhinge/schema"
 )
 
-// requestJoin asks to become a member: at the leader once it is known, else at everybody who may know it.
+// How a replica outside the membership asks to join, and how replicas report newer memberships to each other.
+
+// requestJoin asks to become a member: the leader if it is known, else everyone who may know it. It is limited to
+// one round in a third of the heartbeat timeout.
 func (r *Replica) requestJoin() {
 	if r.joinRequestedAt != 0 && r.now-r.joinRequestedAt < r.config.HeartbeatTimeout/heartbeatsPerTimeout {
 		return
 	}
 	r.joinRequestedAt = r.now
+	knownVersion := r.membership.EffectiveFrom
+	if r.reportedMembership != nil && config.Newer(r.reportedMembership.Committed, r.lastVersion()) {
+		knownVersion = r.reportedMembership.EffectiveFrom
+	}
+	for _, name := range r.joinTargets() {
+		r.send(name, joinMessage(&schema.Join{
+			RaiseTargetSize: r.expandsMembership,
+			KnownMembership: knownVersion,
+		}))
+	}
+}
+
+// joinTargets lists whom a Join is sent to, in the order of their names.
+func (r *Replica) joinTargets() []string {
 	targets := map[string]bool{}
 	if leader := r.leader(); leader != "" {
 		targets[leader] = true
@@ -23,72 +40,72 @@
 		for _, name := range slices.Concat(r.config.Seeds, r.config.StaticMembers) {
 			targets[name] = true
 		}
-		for _, members := range []*schema.Membership{r.membership, r.reportedMembership} {
-			for _, member := range members.GetMembers() {
+		for _, membership := range []*schema.Membership{r.membership, r.reportedMembership} {
+			for _, member := range membership.GetMembers() {
 				targets[member.Id] = true
 			}
 		}
 	}
 	delete(targets, r.config.Name)
-	knownVersion := r.membership.EffectiveFrom
-	if r.reportedMembership != nil && config.Newer(r.reportedMembership.Committed, r.lastVersion()) {
-		knownVersion = r.reportedMembership.EffectiveFrom
-	}
-	for _, name := range slices.Sorted(maps.Keys(targets)) {
-		r.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Join{Join: &schema.Join{RaiseTargetSize: r.expandsMembership, KnownMembership: knownVersion}}})
-	}
+	return slices.Sorted(maps.Keys(targets))
 }
 
+// onJoin handles a replica that asks to become a member. Every replica reports a newer committed membership; the
+// leader also makes the sender a learner and replicates to it.
 func (r *Replica) onJoin(message *schema.ReplicaMessage, join *schema.Join) {
 	r.sendMembership(message.From, join.KnownMembership)
 	if r.role != roleLeader {
 		return
 	}
 	if containsMember(r.membership, message.From, message.Incarnation, message.Founder) {
-		// It has a place but does not know it yet.
+		// It is a member already, but has not received the entry that says so.
 		peer := r.peers[message.From]
 		peer.sent = peer.acked
 		r.replicate(message.From, peer)
 		return
 	}
-	outsider := r.outsiders[message.From]
-	if outsider == nil || outsider.incarnation != message.Incarnation {
-		outsider = &peerState{incarnation: message.Incarnation, lastKnownVersion: &schema.Version{}}
-		r.outsiders[message.From] = outsider
+	learner := r.outsiders[message.From]
+	if learner == nil || learner.incarnation != message.Incarnation {
+		learner = &peerState{incarnation: message.Incarnation, lastKnownVersion: &schema.Version{}}
+		r.outsiders[message.From] = learner
 	}
-	outsider.isLearner, outsider.expandsMembership, outsider.heard, outsider.heardAt = true, join.RaiseTargetSize, true, r.now
-	if outsider.term != r.term || outsider.acked < r.sequence {
-		outsider.sent = outsider.acked
-		r.replicate(message.From, outsider)
+	learner.isLearner = true
+	learner.expandsMembership = join.RaiseTargetSize
+	learner.heard, learner.heardAt = true, r.now
+	if learner.term != r.term || learner.acked < r.sequence {
+		learner.sent = learner.acked
+		r.replicate(message.From, learner)
 	}
-	r.sendHeartbeat(message.From, outsider)
+	r.sendHeartbeat(message.From, learner)
 	r.reconcileMembership()
 }
 
-// sendMembership answers whoever knows other members than the committed ones here, if those are older, or
-// were taken under an older epoch and so came to nothing.
+// sendMembership reports the committed membership to a replica that goes by another one, if that is older or was
+// appended under an earlier term and so came to nothing.
 func (r *Replica) sendMembership(to string, knownVersion *schema.Version) {
-	if r.committedTerm == 0 || len(r.committedMembership.Members) == 0 || knownVersion.GetTerm() > r.committedTerm || proto.Equal(knownVersion, r.committedMembership.EffectiveFrom) {
+	committed := r.committedMembership
+	if r.committedTerm == 0 || len(committed.Members) == 0 {
 		return
 	}
-	if config.Newer(r.committedMembership.EffectiveFrom, knownVersion) || knownVersion.GetTerm() < r.committedTerm {
-		membership := proto.Clone(r.committedMembership).(*schema.Membership)
-		membership.Committed = &schema.Version{Term: r.committedTerm, Sequence: r.committedSequence}
-		r.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Membership{Membership: membership}})
+	if knownVersion.GetTerm() > r.committedTerm || proto.Equal(knownVersion, committed.EffectiveFrom) {
+		return
+	}
+	if config.Newer(committed.EffectiveFrom, knownVersion) || knownVersion.GetTerm() < r.committedTerm {
+		report := proto.Clone(committed).(*schema.Membership)
+		report.Committed = &schema.Version{Term: r.committedTerm, Sequence: r.committedSequence}
+		r.send(to, membershipMessage(report))
 	}
 }
 
+// onMembership takes note of a committed membership that another replica reports. A member that is missing
+// from it steps down and asks to join.
 func (r *Replica) onMembership(membership *schema.Membership) {
 	if r.reportedMembership != nil && !config.Newer(membership.Committed, r.reportedMembership.Committed) {
 		return
 	}
 	wasMember := r.isMember()
 	r.reportedMembership = membership
-	for _, member := range membership.Members {
-		if member.Address != "" && member.Id != r.config.Name {
-			r.addresses[member.Id] = member.Address
-		}
-	}
+	r.learnAddresses(membership)
 	if wasMember && !r.isMember() {
 		r.becomeFollower()
 	}
@@ -98,22 +115,28 @@
 	}
 }
 
-// restartAsNewIncarnation lets this replica be another one, empty, of the same name. It is for a replica that was taken
-// out while it was away and has since voted for an epoch that no leader has: it could never be
-// kept up to date again, and a vote must not be taken back. What it has said of before stays with
-// its old incarnation, which counts for nothing: it was taken out after all that it holds.
+// restartAsNewIncarnation turns this replica into an empty one of the same name and a new incarnation.
+//
+// It is for a replica that was removed while it was away and has voted for a term that no leader has: the leader's
+// terms are below that vote, and a vote must not be taken back, so it could never catch up. What it acknowledged
+// stays with its old incarnation, which counts for nothing: it was removed after all of its content.
 func (r *Replica) restartAsNewIncarnation() {
 	cfg := r.config
 	cfg.Founders, cfg.ExpandsMembership = nil, false
 	record := InitialRecord(cfg, cfg.NewIncarnation())
-	successor := NewReplica(cfg, 0, []*schema.Record{record})
-	successor.addresses, successor.reportedMembership, successor.joinsExisting = r.addresses, r.reportedMembership, true
-	successor.clockStarted, successor.clockStartedAt, successor.now, successor.actions = true, r.clockStartedAt, r.now, r.actions
-	// Nothing is said any more of what the old one still had to sync.
-	successor.lastWriteID, successor.forwardedRequests = r.lastWriteID, r.forwardedRequests
-	*r = *successor
+	replacement := NewReplica(cfg, 0, []*schema.Record{record})
+	replacement.addresses = r.addresses
+	replacement.reportedMembership = r.reportedMembership
+	replacement.joinsExisting = true
+	replacement.clockStarted, replacement.clockStartedAt = true, r.clockStartedAt
+	replacement.now, replacement.actions = r.now, r.actions
+	// Pending writes are dropped with what waits for them: the old incarnation sends nothing any more. Write ids
+	// go on, so that a late Persisted of theirs is not taken for the new record's.
+	replacement.lastWriteID = r.lastWriteID
+	replacement.forwardedRequests = r.forwardedRequests
+	*r = *replacement
 	r.lastWriteID++
 	r.pendingWrites = append(r.pendingWrites, pendingWrite{writeID: r.lastWriteID, startedAt: r.now})
-	r.actions = append(r.actions, Persist{WriteID: r.lastWriteID, Record: record, ReplacesLog: true})
+	r.emit(Persist{WriteID: r.lastWriteID, Record: record, ReplacesLog: true})
 	r.requestJoin()
 }
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -2,44 +2,60 @@
 
 import (
 	"slices"
+
+	"meadowhinge/schema"
 )
 
-// unfit tells that this replica must not hold leadership, nor be counted upon for now.
+// Who should lead: the first member, in their order, that is fit and reaches a majority in both directions. All
+// members judge by the heartbeats that they exchange, so they seldom disagree; where they do, votes decide.
+
+// shouldCampaign reports whether this member is the one to campaign now.
+func (r *Replica) shouldCampaign() bool {
+	campaigning := r.role == roleCandidate || r.role == roleLeaderElect
+	stuck := campaigning && r.now-r.roleSince > r.config.StallTimeout/campaignsPerStallTimeout
+	// One campaign in each heartbeat timeout keeps two members that see the links differently from deposing each
+	// other in turn.
+	rested := r.role == roleFollower && (r.now-r.roleSince > r.config.HeartbeatTimeout || r.roleSince == 0)
+	return (stuck || rested) &&
+		len(r.newerMembers()) == 0 &&
+		r.preferredLeader() == r.config.Name &&
+		(stuck || r.caughtUp()) &&
+		!r.awaitsFounders()
+}
+
+// unfit reports whether this replica must not lead: it is no member, or its disk stalls or fails.
 func (r *Replica) unfit() bool {
 	stalled := len(r.pendingWrites) > 0 && r.now-r.pendingWrites[0].startedAt > r.config.StallTimeout
 	return !r.isMember() || stalled || r.diskFailed
 }
 
-// reachesMajority tells whether a replica has links in both directions to a majority, itself included.
-// One-way links do not count, so a replica that can only speak or only listen gets no leadership.
+// preferredLeader names the member that should lead: the first in their order that reaches a majority;
+// empty if none does.
+func (r *Replica) preferredLeader() string {
+	for _, member := range r.membership.Members {
+		if r.reachesMajority(member.Id) {
+			return member.Id
+		}
+	}
+	return ""
+}
+
+// reachesMajority reports whether a member is fit and has links in both directions to a majority, itself
+// included. One-way links do not count: a member that can only send or only receive must not lead.
 func (r *Replica) reachesMajority(name string) bool {
 	linked := map[string]bool{}
-	ownLinks := r.mutualPeers()
-	switch {
-	case name == r.config.Name && r.unfit():
-		return false
-	case name == r.config.Name:
-		for _, other := range ownLinks {
+	if name == r.config.Name {
+		if r.unfit() {
+			return false
+		}
+		for _, other := range r.mutualPeers() {
 			linked[other] = true
 		}
-	default:
-		linked[r.config.Name] = slices.Contains(ownLinks, name)
-		for _, other := range r.otherMembers {
-			peer := r.peers[other]
-			if !r.recentlyHeard(peer) || peer.receivedHeartbeat == nil {
-				continue
-			}
-			if other == name {
-				if peer.receivedHeartbeat.Unfit || peer.receivedHeartbeat.MembershipBehind {
-					return false
-				}
-				for _, linkedName := range peer.receivedHeartbeat.Mutual {
-					linked[linkedName] = true
-				}
-			} else if slices.Contains(peer.receivedHeartbeat.Mutual, name) {
-				linked[other] = true
-			}
+	} else {
+		if r.reportsInability(name) {
+			return false
 		}
+		r.collectLinksOf(name, linked)
 	}
 	links := 0
 	for _, member := range r.membership.Members {
@@ -50,25 +66,49 @@
 	return links+1 >= r.majority()
 }
 
-// preferredLeader names the replica that should lead: the first in the order that reaches a majority.
-func (r *Replica) preferredLeader() string {
-	for _, member := range r.membership.Members {
-		if r.reachesMajority(member.Id) {
-			return member.Id
+// lastHeartbeatOf is the last complete heartbeat of another member that counts as alive, else nil.
+func (r *Replica) lastHeartbeatOf(name string) *schema.Heartbeat {
+	if peer := r.peers[name]; peer != nil && r.recentlyHeard(peer) {
+		return peer.receivedHeartbeat
+	}
+	return nil
+}
+
+// reportsInability reports whether a live member says that it must not lead.
+func (r *Replica) reportsInability(name string) bool {
+	heartbeat := r.lastHeartbeatOf(name)
+	return heartbeat != nil && (heartbeat.Unfit || heartbeat.MembershipBehind)
+}
+
+// collectLinksOf adds to linked the members that have a link in both directions to another member: by that
+// member's own report, by this replica's view, and by the reports of the others.
+func (r *Replica) collectLinksOf(name string, linked map[string]bool) {
+	linked[r.config.Name] = slices.Contains(r.mutualPeers(), name)
+	for _, other := range r.otherMembers {
+		heartbeat := r.lastHeartbeatOf(other)
+		switch {
+		case heartbeat == nil:
+		case other == name:
+			for _, linkedName := range heartbeat.Mutual {
+				linked[linkedName] = true
+			}
+		case slices.Contains(heartbeat.Mutual, name):
+			linked[other] = true
 		}
 	}
-	return ""
 }
 
-// leader names the replica that does hold it, as far as is known here.
+// leader names the replica that does lead, as far as is known here: the one of the highest term that
+// reports its own leadership; empty if there is none.
 func (r *Replica) leader() string {
 	name, term := "", uint64(0)
 	if r.role == roleLeader {
 		name, term = r.config.Name, r.term
 	}
 	consider := func(other string, peer *peerState) {
-		if r.recentlyHeard(peer) && peer.receivedHeartbeat != nil && peer.receivedHeartbeat.Leader == other && peer.receivedHeartbeat.Term > term {
-			name, term = other, peer.receivedHeartbeat.Term
+		heartbeat := peer.receivedHeartbeat
+		if r.recentlyHeard(peer) && heartbeat != nil && heartbeat.Leader == other && heartbeat.Term > term {
+			name, term = other, heartbeat.Term
 		}
 	}
 	for _, other := range r.otherMembers {
@@ -80,8 +120,18 @@
 	return name
 }
 
-// awaitsFounders tells whether, at the first start of all, founders may yet come: those that are
-// there as the first epoch begins need no change of the members of their own.
+// caughtUp reports whether this replica has everything that the current leader has committed, so that it takes
+// over without copying state first. It is true where no other member leads.
+func (r *Replica) caughtUp() bool {
+	peer := r.peers[r.leader()]
+	if peer == nil {
+		return true
+	}
+	return peer.receivedHeartbeat.Term == r.term && r.sequence >= peer.receivedHeartbeat.Committed
+}
+
+// awaitsFounders reports whether, at the first start of a core, a founder may still appear. Founders that are
+// heard when the first term begins are bound to their data folders by it; a later one needs a membership change.
 func (r *Replica) awaitsFounders() bool {
 	if r.highestTerm > 0 || r.now-r.clockStartedAt > r.config.HeartbeatTimeout {
 		return false
@@ -93,11 +143,3 @@
 	}
 	return false
 }
-
-// caughtUp tells whether this replica has what another leader has committed, so that it takes over
-// without a gap.
-func (r *Replica) caughtUp() bool {
-	name := r.leader()
-	peer := r.peers[name]
-	return peer == nil || peer.receivedHeartbeat.Term == r.term && r.sequence >= peer.receivedHeartbeat.Committed
-}
--- a/internal/store/membership_change.go
+++ b/internal/store/membership_change.go
@@ -1,60 +1,87 @@
 package store
 
-import (
-	"meadowhinge/schema"
-)
+import "meadowhinge/schema"
+
+// How the leader changes the membership.
 
-// Ratios to the silence bound and to the entries kept.
 const (
-	removeAfterTimeouts  = 2 // a replica unheard for so long gives its place to one that stands ready
-	recentTimeoutDivisor = 2 // of the silence bound within which those must have been heard that are needed
-	maxLagDivisor        = 8 // of the entries kept that one may lack and yet be ready
+	// removeAfterTimeouts is how many heartbeat timeouts a member may be unheard before a learner that is ready
+	// may replace it.
+	removeAfterTimeouts = 2
+	// recentTimeoutDivisor divides the heartbeat timeout into the time within which the members that remain
+	// must have been heard for one to be removed.
+	recentTimeoutDivisor = 2
+	// maxLagDivisor divides MaxEntries into the number of entries that a learner may lack and yet be added.
+	maxLagDivisor = 8
 )
 
-// reconcileMembership makes the next change of the members that is due, as the leader. One is made only once the
-// members before it are committed under this epoch.
+// reconcileMembership proposes the next membership change that is due, if there is one. It binds founders to their
+// data folders first; then it makes room for, or adds, the first learner that has caught up.
+//
+// Invariant (thesis, section 4.1, and the erratum of 2015): a change is proposed only once the membership before it
+// is committed and the leader has committed in its own term.
 func (r *Replica) reconcileMembership() {
-	if r.role != roleLeader || r.unfit() || r.committedTerm != r.term || r.committedSequence < r.membership.EffectiveFrom.GetSequence() {
+	if r.role != roleLeader || r.unfit() {
 		return
 	}
-	for _, member := range r.membership.Members {
-		if peer := r.peers[member.Id]; member.Incarnation == 0 && peer != nil && r.recentlyHeard(peer) && peer.founder {
-			r.proposeMembership(withMember(r.membership, &schema.CoreMember{Id: member.Id, Address: r.memberAddress(member.Id), Incarnation: peer.incarnation}))
+	if r.committedTerm != r.term || r.committedSequence < r.membership.EffectiveFrom.GetSequence() {
+		return
+	}
+	if bound := r.bindFounderHeard(); bound != nil {
+		r.proposeMembership(bound)
+		return
+	}
+	for _, name := range r.learners() {
+		if learner := r.outsiders[name]; r.hasCaughtUp(learner) {
+			r.reconcileLearner(name, learner)
 			return
 		}
 	}
-	for _, name := range r.learners() {
-		outsider := r.outsiders[name]
-		if outsider.term != r.term || outsider.acked+uint64(r.config.MaxEntries/maxLagDivisor) < r.sequence {
-			continue
+}
+
+// bindFounderHeard is the membership with one more founder bound to its data folder, or nil.
+func (r *Replica) bindFounderHeard() *schema.Membership {
+	for _, member := range r.membership.Members {
+		peer := r.peers[member.Id]
+		if member.Incarnation == 0 && peer != nil && r.recentlyHeard(peer) && peer.founder {
+			return withMember(r.membership, r.newMember(member.Id, peer.incarnation))
 		}
-		member := &schema.CoreMember{Id: name, Address: r.memberAddress(name), Incarnation: outsider.incarnation}
-		switch {
-		case memberIndex(r.membership, name) >= 0:
-			// Its folder of before is gone: it no longer counts for what was on it.
-			r.removeMember(name)
-		case outsider.expandsMembership:
-			expanded := withMember(r.membership, member)
-			expanded.TargetSize++
-			r.proposeMembership(expanded)
-		case len(r.membership.Members) < int(r.membership.TargetSize):
-			r.proposeMembership(withMember(r.membership, member))
-		default:
-			if longestSilent := r.longestUnresponsive(); longestSilent != "" {
-				r.removeMember(longestSilent)
-			}
+	}
+	return nil
+}
+
+// hasCaughtUp reports whether a learner has this term's beginning, and nearly all entries, on disk.
+func (r *Replica) hasCaughtUp(learner *peerState) bool {
+	return learner.term == r.term && learner.acked+uint64(r.config.MaxEntries/maxLagDivisor) >= r.sequence
+}
+
+// reconcileLearner makes one step towards adding a learner that has caught up.
+func (r *Replica) reconcileLearner(name string, learner *peerState) {
+	switch {
+	case memberIndex(r.membership, name) >= 0:
+		// The data folder that the member of this name had is gone, so it no longer counts for what was on it.
+		r.removeMember(name)
+	case learner.expandsMembership:
+		expanded := withMember(r.membership, r.newMember(name, learner.incarnation))
+		expanded.TargetSize++
+		r.proposeMembership(expanded)
+	case len(r.membership.Members) < int(r.membership.TargetSize):
+		r.proposeMembership(withMember(r.membership, r.newMember(name, learner.incarnation)))
+	default:
+		if unresponsive := r.longestUnresponsive(); unresponsive != "" {
+			r.removeMember(unresponsive)
 		}
-		return
 	}
 }
 
-// removeMember lets a replica count no more, if as many of the others as are then needed were heard just
-// now: fewer members need each other more, so it is not done while another is being lost.
+// removeMember proposes a membership without a member, if a commit quorum of the remaining ones was heard just now:
+// with fewer members each of them is needed more, so none is removed while another is being lost.
 func (r *Replica) removeMember(name string) {
 	remaining := withoutMember(r.membership, name)
 	heard := 1
 	for _, other := range r.otherMembers {
-		if peer := r.peers[other]; other != name && peer.heard && r.now-peer.heardAt <= r.config.HeartbeatTimeout/recentTimeoutDivisor {
+		peer := r.peers[other]
+		if other != name && peer.heard && r.now-peer.heardAt <= r.config.HeartbeatTimeout/recentTimeoutDivisor {
 			heard++
 		}
 	}
@@ -63,7 +90,8 @@
 	}
 }
 
-// longestUnresponsive names the replica that has not been heard for longest, if for too long.
+// longestUnresponsive names the member that has been unheard for longest, and for more than
+// removeAfterTimeouts; empty if there is none.
 func (r *Replica) longestUnresponsive() (name string) {
 	longest := removeAfterTimeouts * r.config.HeartbeatTimeout
 	for _, other := range r.otherMembers {
@@ -78,11 +106,15 @@
 	return name
 }
 
-// proposeMembership lets other members count from the next place in the order on.
-func (r *Replica) proposeMembership(members *schema.Membership) {
-	version := &schema.Version{Term: r.term, Sequence: r.sequence + 1}
-	members.EffectiveFrom = version
+// proposeMembership appends a membership, a copy of the caller's own, which counts from this entry on.
+func (r *Replica) proposeMembership(membership *schema.Membership) {
+	version := r.nextVersion()
+	membership.EffectiveFrom = version
 	id := "members-" + versionText(version)
-	r.appendAsLeader(&schema.Entry{Version: version, ChangeId: id, Membership: members,
-		Outcome: &schema.ChangeOutcome{ChangeId: id, Version: version, Ruling: schema.Ruling_RULING_ACCEPTED}})
+	r.appendAsLeader(&schema.Entry{
+		Version:    version,
+		ChangeId:   id,
+		Membership: membership,
+		Outcome:    &schema.ChangeOutcome{ChangeId: id, Version: version, Ruling: schema.Ruling_RULING_ACCEPTED},
+	})
 }
--- a/internal/store/operator_version.go
+++ b/internal/store/operator_version.go
@@ -9,14 +9,14 @@
 	"meadowhinge/schema"
 )
 
-// byOperatorVersion compares the items of a change with the state by the versions that operators gave them.
+// byOperatorVersion compares the items of a change with the state by their operator versions, which the operator's
+// own system numbers. It returns the items to write and, for those in conflict, what is stored.
 //
-// An item with a higher version than the one held, tombstones included, is written. One with a
-// lower version was overtaken and changes nothing. Under one version an item has one content: the
-// same content again is a repeat and changes nothing, another content is a clash, by which the
-// whole change must be refused.
+// An item with a higher version than the stored one, tombstones included, is written. One with a lower version
+// was overtaken and changes nothing. Under one version an item has one content: the same content again is a
+// repeat and changes nothing; another content is a conflict, for which the whole change must be refused.
 func byOperatorVersion(state config.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.ExpectedVersion) {
-	latest := map[string]*schema.Item{}
+	latest := map[string]*schema.Item{} // by key, of the change's items that are newer than the stored ones
 	for _, item := range items {
 		key := config.Key(item.Kind, item.Name)
 		existing, seen := latest[key]
@@ -27,7 +27,12 @@
 		case existing == nil || existing.OperatorVersion < item.OperatorVersion:
 			latest[key] = item
 		case existing.OperatorVersion == item.OperatorVersion && !sameContent(existing, item):
-			conflicts = append(conflicts, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.GetSequence(), OperatorVersion: existing.OperatorVersion})
+			conflicts = append(conflicts, &schema.ExpectedVersion{
+				Kind:            item.Kind,
+				Name:            item.Name,
+				Sequence:        existing.Version.GetSequence(),
+				OperatorVersion: existing.OperatorVersion,
+			})
 		}
 	}
 	for _, item := range items {
@@ -38,8 +43,8 @@
 	return written, conflicts
 }
 
-// sameContent tells whether two items say the same. What the operator said counts where both
-// items have it: the body holds only what the product makes use of.
+// sameContent reports whether two items have the same content. What the operator wrote is compared where both
+// items have it, since the body holds only the fields that the mesh uses.
 func sameContent(a, b *schema.Item) bool {
 	if a.Deleted || b.Deleted {
 		return a.Deleted == b.Deleted
@@ -50,8 +55,8 @@
 	return sameJSON(a.Body, b.Body)
 }
 
-// sameJSON compares two texts as JSON: spaces and the order of fields do not count, but numbers
-// count as they were written.
+// sameJSON compares two texts as JSON: white space and the order of fields do not matter, but numbers are equal
+// only as they were written (1 is not 1.0).
 func sameJSON(a, b []byte) bool {
 	if bytes.Equal(a, b) {
 		return true
@@ -61,6 +66,7 @@
 	return firstValid && secondValid && reflect.DeepEqual(first, second)
 }
 
+// decodeJSON decodes the first JSON value of a text, numbers as json.Number.
 func decodeJSON(text []byte) (value any, valid bool) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -9,35 +9,64 @@
 	"meadowhinge/schema"
 )
 
-// peerState is another replica, as far as it is known here.
+// peerState is what this replica knows of one other replica: whether it is alive, and, while this one is
+// candidate or leader, how far it has come under the current term. It is reset when the peer's
+// incarnation changes.
 type peerState struct {
-	incarnation       uint64
-	founder           bool
-	heardAt           time.Duration
+	// Identity, from the headers of its messages.
+	incarnation uint64
+	founder     bool // its data folder has existed since the first membership
+
+	// Liveness.
 	heard             bool
-	receivedHeartbeat *schema.Heartbeat
-	lastFullHeartbeat *schema.Heartbeat // the last heartbeat in full to it, and how often it was said in short since
-	abbreviatedCount  int
-	// what a candidate or the leader knows of it under its epoch
-	term, acked, sent            uint64
-	lastKnownVersion             *schema.Version // what it held when it was last told of; a hint
-	versionReported              bool            // it told so itself under this epoch
-	snapshotSentAt               time.Duration   // when the whole state was last sent to it
-	vote                         *schema.Vote
-	confirmedRound               uint64
-	stateReply                   *schema.StateReply
-	isLearner, expandsMembership bool // asks to become a member
+	heardAt           time.Duration
+	receivedHeartbeat *schema.Heartbeat // the last complete one
+
+	// Heartbeats to it: an unchanged one is abbreviated to the serial of the last complete one.
+	lastFullHeartbeat *schema.Heartbeat
+	abbreviatedCount  int // abbreviated heartbeats since lastFullHeartbeat
+
+	// Replication progress, set by a candidate or leader and cleared by resetForTerm (etcd: Progress).
+	term  uint64 // the last term whose beginning it acknowledged; acked counts only if it is r.term
+	acked uint64 // the highest sequence that it has on disk under term
+	sent  uint64 // the highest sequence sent optimistically; falls back to acked when messages may be lost
+	// lastKnownVersion is its content as last reported; a hint, so a wrong one costs only a refusal.
+	lastKnownVersion *schema.Version
+	versionReported  bool          // it reported lastKnownVersion itself under the current term
+	snapshotSentAt   time.Duration // when the last complete snapshot was sent to it
+
+	// Votes and reads.
+	vote           *schema.Vote // its vote for this replica's current campaign
+	confirmedRound uint64       // the highest read-index round that it confirmed
+
+	// A replica that is no member.
+	stateReply        *schema.StateReply // its answer to the last StateRequest, at bootstrap
+	isLearner         bool               // it asked to join; false for one that knows a newer membership
+	expandsMembership bool               // its joining raises the target size
 }
 
+// resetForTerm forgets votes and progress, which count only under the term they were made in.
+func (p *peerState) resetForTerm() {
+	p.vote = nil
+	p.versionReported = false
+	p.term = 0
+	p.acked = 0
+	p.sent = 0
+	p.confirmedRound = 0
+}
+
+// recentlyHeard reports whether a peer counts as alive.
 func (r *Replica) recentlyHeard(peer *peerState) bool {
 	return peer.heard && r.now-peer.heardAt <= r.config.HeartbeatTimeout
 }
 
+// mutuallyReachable reports whether a peer is heard here, hears this replica and is fit to lead.
 func (r *Replica) mutuallyReachable(peer *peerState) bool {
-	return r.recentlyHeard(peer) && peer.receivedHeartbeat != nil && !peer.receivedHeartbeat.Unfit && slices.Contains(peer.receivedHeartbeat.Heard, r.config.Name)
+	heartbeat := peer.receivedHeartbeat
+	return r.recentlyHeard(peer) && heartbeat != nil && !heartbeat.Unfit && slices.Contains(heartbeat.Heard, r.config.Name)
 }
 
-// mutualPeers lists the members that are heard here, hear this one and are fit.
+// mutualPeers lists the members and newer members that are mutually reachable.
 func (r *Replica) mutualPeers() []string {
 	var names []string
 	for _, name := range r.otherMembers {
@@ -53,59 +82,90 @@
 	return names
 }
 
-// newerMembers are replicas that know a newer membership than this one has.
-func (r *Replica) newerMembers() []string {
+// heardMembers lists the members that count as alive, but for this one.
+func (r *Replica) heardMembers() []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(r.outsiders)) {
-		if outsider := r.outsiders[name]; !outsider.isLearner && r.recentlyHeard(outsider) {
+	for _, name := range r.otherMembers {
+		if r.recentlyHeard(r.peers[name]) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// learners are those that are kept up to date by the leader though they are no members.
-func (r *Replica) learners() []string {
+// newerMembers lists the live replicas outside the membership here that know a newer membership.
+func (r *Replica) newerMembers() []string { return r.liveOutsiders(false) }
+
+// learners lists the live replicas that asked to join: the leader keeps them up to date, but they
+// count neither for votes nor for commits.
+func (r *Replica) learners() []string { return r.liveOutsiders(true) }
+
+func (r *Replica) liveOutsiders(learners bool) []string {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(r.outsiders)) {
-		if outsider := r.outsiders[name]; outsider.isLearner && r.recentlyHeard(outsider) {
+		if outsider := r.outsiders[name]; outsider.isLearner == learners && r.recentlyHeard(outsider) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// sender finds who sent a message: one of the members, whose word is counted; or one that asks to
-// become a member or knows newer ones, whose is not; or nobody known.
-func (r *Replica) sender(message *schema.ReplicaMessage) (peer *peerState, counted bool) {
+// senderOf finds the state kept of a message's sender and marks it as heard. It is nil for a replica that is
+// neither a member nor one of the outsiders; only a member's votes and confirmations count.
+func (r *Replica) senderOf(message *schema.ReplicaMessage) (peer *peerState, isMember bool) {
 	if containsMember(r.membership, message.From, message.Incarnation, message.Founder) {
 		peer = r.peers[message.From]
 		if peer.incarnation != message.Incarnation {
 			*peer = peerState{incarnation: message.Incarnation}
 		}
-		peer.founder, peer.heard, peer.heardAt = message.Founder, true, r.now
+		peer.founder = message.Founder
+		peer.heard, peer.heardAt = true, r.now
 		return peer, true
 	}
-	var membershipVersion *schema.Version
-	switch body := message.Body.(type) {
-	case *schema.ReplicaMessage_Heartbeat:
-		membershipVersion = body.Heartbeat.Membership
-	case *schema.ReplicaMessage_VoteRequest:
-		membershipVersion = body.VoteRequest.Membership
+	peer = r.outsiderOf(message)
+	if peer != nil {
+		peer.heard, peer.heardAt = true, r.now
 	}
-	peer = r.outsiders[message.From]
-	// What was not taken into the state that this replica has under a later epoch came to nothing.
-	if membershipVersion != nil && membershipVersion.Term >= r.term && config.Newer(membershipVersion, r.membership.EffectiveFrom) && r.membership.EffectiveFrom != nil {
-		if peer == nil || peer.isLearner || peer.incarnation != message.Incarnation {
-			peer = &peerState{incarnation: message.Incarnation}
-			r.outsiders[message.From] = peer
+	return peer, false
+}
+
+// outsiderOf finds, adds or drops the state kept of a sender that is no member here. A sender with a
+// newer membership is added; one that is known as such but no longer has a newer one is dropped.
+func (r *Replica) outsiderOf(message *schema.ReplicaMessage) *peerState {
+	membershipVersion := membershipVersionIn(message)
+	outsider := r.outsiders[message.From]
+	known := outsider != nil && outsider.incarnation == message.Incarnation
+	if r.isNewerMembership(membershipVersion) {
+		if !known || outsider.isLearner {
+			outsider = &peerState{incarnation: message.Incarnation}
+			r.outsiders[message.From] = outsider
 		}
-	} else if peer == nil || peer.incarnation != message.Incarnation {
-		return nil, false
-	} else if !peer.isLearner && membershipVersion != nil {
+		return outsider
+	}
+	if !known {
+		return nil
+	}
+	if !outsider.isLearner && membershipVersion != nil {
 		delete(r.outsiders, message.From)
-		return nil, false
+		return nil
 	}
-	peer.heard, peer.heardAt = true, r.now
-	return peer, false
+	return outsider
+}
+
+// membershipVersionIn is the version of the sender's membership, nil if the message does not carry it.
+func membershipVersionIn(message *schema.ReplicaMessage) *schema.Version {
+	switch body := message.Body.(type) {
+	case *schema.ReplicaMessage_Heartbeat:
+		return body.Heartbeat.Membership
+	case *schema.ReplicaMessage_VoteRequest:
+		return body.VoteRequest.Membership
+	}
+	return nil
+}
+
+// isNewerMembership reports whether a membership version is newer than the one here. One of a term below this
+// replica's is not: its entry did not get into the content that this later term began with, so it is void.
+func (r *Replica) isNewerMembership(version *schema.Version) bool {
+	current := r.membership.EffectiveFrom
+	return version != nil && current != nil && version.Term >= r.term && config.Newer(version, current)
 }
--- a/internal/store/read_index.go
+++ b/internal/store/read_index.go
@@ -6,30 +6,37 @@
 	"meadowhinge/schema"
 )
 
+// Read index (thesis, section 6.4): the leader notes its committed sequence, has a majority confirm that it
+// still leads, and only then answers. A reader that waits until its own replica has committed that
+// sequence sees everything that was acknowledged before the read began. A leader has committed in its own term
+// (advanceCommit), so its committed sequence is not behind what an earlier leader acknowledged.
+
+// pendingRead is a read at the leader that waits for a majority to confirm a round.
 type pendingRead struct {
 	requester
 	round uint64
 }
 
-// ReadIndex asks for the committed sequence that no later yes can lie below.
+// ReadIndex asks for a committed sequence at least as high as that of any change acknowledged so far. A
+// ReadIndexReady with the ticket follows, undecided if no leader confirms it.
 func (r *Replica) ReadIndex(now time.Duration, ticket string) []Action {
 	r.beginStep(now)
-	leader := r.leader()
-	switch leader {
+	switch leader := r.leader(); leader {
 	case r.config.Name:
 		r.readIndex(requester{ticket: ticket})
 	case "":
-		r.actions = append(r.actions, ReadIndexReady{&schema.ReadIndexReply{Ticket: ticket, Undecided: true}})
+		r.emit(ReadIndexReady{undecidedRead(ticket)})
 	default:
 		r.forwardedRequests[ticket] = forwardedRequest{leader: leader, sentAt: now, isRead: true}
-		r.send(leader, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ReadIndex{ReadIndex: &schema.ReadIndex{Ticket: ticket}}})
+		r.send(leader, readIndexMessage(&schema.ReadIndex{Ticket: ticket}))
 	}
 	return r.actions
 }
 
+// readIndex begins a round of confirmations for a read at the leader.
 func (r *Replica) readIndex(from requester) {
 	if r.role != roleLeader {
-		r.answerRead(from, &schema.ReadIndexReply{Ticket: from.ticket, Undecided: true})
+		r.answerRead(from, undecidedRead(from.ticket))
 		return
 	}
 	if r.hasFault(faultLocalRead) {
@@ -39,39 +46,71 @@
 	r.readIndexRound++
 	r.pendingReads = append(r.pendingReads, pendingRead{from, r.readIndexRound})
 	r.sendConfirm()
-	// A replica without others is a majority by itself, and no confirmation will come.
+	// A leader without other members is a majority by itself, and no confirmation will come.
 	r.resolveReads()
 }
 
+// sendConfirm asks the other members to confirm that this replica still leads. A confirmation of the latest
+// round confirms all rounds before it.
 func (r *Replica) sendConfirm() {
 	for _, name := range r.otherMembers {
-		r.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ConfirmLeadership{ConfirmLeadership: &schema.ConfirmLeadership{Term: r.term, Round: r.readIndexRound}}})
+		r.send(name, confirmLeadershipMessage(&schema.ConfirmLeadership{Term: r.term, Round: r.readIndexRound}))
+	}
+}
+
+// onConfirmLeadership confirms a leader, unless this replica has voted in a later term.
+func (r *Replica) onConfirmLeadership(from string, request *schema.ConfirmLeadership) {
+	r.send(from, confirmLeadershipReplyMessage(&schema.ConfirmLeadershipReply{
+		Term:    request.Term,
+		Round:   request.Round,
+		Refused: request.Term != r.votedTerm || !r.isMember(),
+	}))
+}
+
+// onConfirmLeadershipReply counts a member's confirmation.
+func (r *Replica) onConfirmLeadershipReply(peer *peerState, reply *schema.ConfirmLeadershipReply) {
+	if r.role != roleLeader || reply.Term != r.term || reply.Refused {
+		return
 	}
+	peer.confirmedRound = max(peer.confirmedRound, reply.Round)
+	r.resolveReads()
 }
 
+// resolveReads answers the reads whose round a majority has confirmed. The committed sequence is that of
+// now, which is at least the one at the time of the read.
 func (r *Replica) resolveReads() {
 	var remaining []pendingRead
 	for _, read := range r.pendingReads {
 		confirmed := 1
 		for _, name := range r.otherMembers {
-			peer := r.peers[name]
-			if peer.confirmedRound >= read.round {
+			if r.peers[name].confirmedRound >= read.round {
 				confirmed++
 			}
 		}
-		if confirmed >= r.majority() {
-			r.answerRead(read.requester, &schema.ReadIndexReply{Ticket: read.ticket, Committed: r.committedSequence, Empty: len(r.committedState) == 0})
-		} else {
+		if confirmed < r.majority() {
 			remaining = append(remaining, read)
+			continue
 		}
+		r.answerRead(read.requester, &schema.ReadIndexReply{
+			Ticket:    read.ticket,
+			Committed: r.committedSequence,
+			Empty:     len(r.committedState) == 0,
+		})
 	}
 	r.pendingReads = remaining
 }
 
+// answerRead answers a requester here or at the replica that forwarded the read.
 func (r *Replica) answerRead(to requester, reply *schema.ReadIndexReply) {
 	if to.replica == "" {
-		r.actions = append(r.actions, ReadIndexReady{reply})
+		r.emit(ReadIndexReady{reply})
 		return
 	}
-	r.send(to.replica, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ReadIndexReply{ReadIndexReply: reply}})
+	r.send(to.replica, readIndexReplyMessage(reply))
+}
+
+// onReadIndexReply passes the leader's answer to a forwarded read on to this process.
+func (r *Replica) onReadIndexReply(reply *schema.ReadIndexReply) {
+	delete(r.forwardedRequests, reply.Ticket)
+	r.emit(ReadIndexReady{reply})
 }
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -8,105 +8,151 @@
 	"meadowhinge/schema"
 )
 
-// Replica is one copy of the setup.
+// Replica is the consensus state machine of one member. Its methods must be called one at a time, with a
+// time that never goes back, on a clock of the owner's choice (Server: since the process started).
+//
+// Invariants: committedSequence never exceeds sequence; a vote, a term's beginning or an entry is sent or
+// acknowledged only once it is durable here (pendingWrite holds what waits for that); baseSequence +
+// len(entries) is sequence.
 type Replica struct {
+	// Identity. The data folder, not the name, is what counts as a member: see membership.go.
 	config            Config
-	incarnation       uint64
-	founder           bool // its folder has been there since the first members were
-	expandsMembership bool
-
-	votedTerm      uint64
-	votedFor       string
-	term           uint64
-	sequence       uint64
-	state          config.State
-	membership     *schema.Membership // the latest taken, committed or not: it counts
+	incarnation       uint64 // of the data folder
+	founder           bool   // the data folder has existed since the first membership
+	expandsMembership bool   // joining raises the target size; cleared once this replica is a member
+
+	// Votes (Raft: currentTerm and votedFor). Durable before they are sent.
+	votedTerm   uint64 // no leader of a lower term is accepted
+	votedFor    string // empty after a snapshot of a later term, which votes for nobody
+	highestTerm uint64 // the highest term seen anywhere, to campaign above it
+
+	// Content: what was appended, durable or not. (term, sequence) names it; equal versions, equal contents.
+	term         uint64
+	sequence     uint64 // of the last entry (Raft: last log index)
+	state        config.State
+	membership   *schema.Membership // counts from when it is appended, committed or not (thesis, section 4.1)
+	outcomes     map[string]*schema.ChangeOutcome
+	outcomeOrder []string // the keys of outcomes, oldest first
+
+	// The retained tail of the log, and the state just before it.
 	baseSequence   uint64
 	baseState      config.State
 	baseMembership *schema.Membership
-	entries        []*schema.Entry // from baseSequence+1 to seq
-	outcomes       map[string]*schema.ChangeOutcome
-	outcomeOrder   []string // change ids, oldest first
-
-	durableTerm, durableSequence uint64
-	committedSequence            uint64
-	committedTerm                uint64
-	committedState               config.State
-	committedMembership          *schema.Membership
-	entriesSinceSnapshot         int
-	bytesSinceSnapshot           int
-	snapshotBytes                int
-	nextPurgeSequence            uint64           // committed sequence from which the leader looks for tombstones again
-	compiledConfig               *config.Snapshot // of the last change taken here, to compile the next one after
-
-	lastWriteID   uint64
-	pendingWrites []pendingWrite
-
-	peers              map[string]*peerState // the other members of the set
-	otherMembers       []string              // their names in the agreed order, so that a run can be replayed
-	outsiders          map[string]*peerState // who asks to become a member, and who knows of newer members than this one
-	addresses          map[string]string
-	reportedMembership *schema.Membership // committed members that another told of
-	role               role
-	roleSince          time.Duration
-	termStartVersion   *schema.Version // what the leader held when its epoch began
-	clockStarted       bool
-	clockStartedAt     time.Duration // the first time that was told
-	heartbeatSentAt    time.Duration
-	heartbeatSent      bool
-	lastUrgentState    string // what is new in a heartbeat, as it was last sent
-	heartbeatSerial    uint32
-	joinRequestedAt    time.Duration
-	highestTerm        uint64 // highest epoch seen anywhere
-	readIndexRound     uint64
-	stateRequestRound  uint64
-	stateRequestedAt   time.Duration
-	joinsExisting      bool                   // reading showed that there are members already
-	pendingProposals   map[string][]requester // by change id, at the leader
-	pendingReads       []pendingRead
-	forwardedRequests  map[string]forwardedRequest
-	freshness          freshness
-	diskFailed         bool // the disk refuses writes
-
-	actions []Action
-	now     time.Duration
+	entries        []*schema.Entry // sequences baseSequence+1 to sequence
+
+	// Committed content: the only one shown outside. It is of committedTerm, 0 if none is known.
+	committedTerm       uint64
+	committedSequence   uint64
+	committedState      config.State
+	committedMembership *schema.Membership
+
+	// Disk.
+	durableTerm          uint64 // the term that durableSequence was written under
+	durableSequence      uint64
+	lastWriteID          uint64
+	pendingWrites        []pendingWrite // not reported by Persisted yet, in order
+	diskFailed           bool           // from DiskFailed until the next Persisted
+	entriesSinceSnapshot int            // in the log on disk
+	bytesSinceSnapshot   int            // in the log on disk
+	snapshotBytes        int            // size of the last snapshot record
+
+	// Other replicas.
+	peers              map[string]*peerState // the other members
+	otherMembers       []string              // the keys of peers in member order: iterated so that a run can be replayed
+	outsiders          map[string]*peerState // learners, and replicas that know a newer membership
+	addresses          map[string]string     // where each replica was last heard from, or is reported to be
+	reportedMembership *schema.Membership    // the newest committed membership that another replica reported
+
+	// Role and election.
+	role             role
+	roleSince        time.Duration
+	termStartVersion *schema.Version // the content that this replica's term began with, while it leads
+
+	// Heartbeats.
+	heartbeatSent   bool
+	heartbeatSentAt time.Duration
+	heartbeatSerial uint32 // of the last complete heartbeat
+	lastUrgentState string // urgentState as of the last heartbeats
+
+	// Bootstrap and joining.
+	stateRequestRound uint64 // numbers the rounds of StateRequests at bootstrap
+	stateRequestedAt  time.Duration
+	joinsExisting     bool // a StateReply showed that a core exists already
+	joinRequestedAt   time.Duration
+
+	// Requests. Tickets are drawn by the owner.
+	pendingProposals  map[string][]requester      // at the leader, by change id
+	pendingReads      []pendingRead               // at the leader
+	readIndexRound    uint64                      // numbers the confirmations of leadership
+	forwardedRequests map[string]forwardedRequest // at a follower, by ticket
+
+	// At the leader.
+	nextPurgeSequence uint64           // the committed sequence from which tombstones are looked at again
+	compiledConfig    *config.Snapshot // of the last change admitted here; the next one is compiled after it
+
+	freshness freshness
+
+	// The current step.
+	clockStarted   bool
+	clockStartedAt time.Duration // of the first step
+	now            time.Duration
+	actions        []Action // emitted so far
 }
 
-// NewReplica makes a replica from what its disk held; records nil and a new incarnation make an empty one.
+// NewReplica restores a replica from the records of its log, in the order they were written. Without records
+// it is empty and of the incarnation given, else the records tell the incarnation.
 func NewReplica(cfg Config, incarnation uint64, records []*schema.Record) *Replica {
-	s := &Replica{config: cfg, incarnation: incarnation, state: config.State{}, baseState: config.State{}, committedState: config.State{},
-		membership: &schema.Membership{}, baseMembership: &schema.Membership{}, committedMembership: &schema.Membership{}, outcomes: map[string]*schema.ChangeOutcome{}, peers: map[string]*peerState{},
-		outsiders: map[string]*peerState{}, addresses: map[string]string{}, pendingProposals: map[string][]requester{}, forwardedRequests: map[string]forwardedRequest{}}
+	r := &Replica{
+		config:              cfg,
+		incarnation:         incarnation,
+		state:               config.State{},
+		membership:          &schema.Membership{},
+		outcomes:            map[string]*schema.ChangeOutcome{},
+		baseState:           config.State{},
+		baseMembership:      &schema.Membership{},
+		committedState:      config.State{},
+		committedMembership: &schema.Membership{},
+		peers:               map[string]*peerState{},
+		outsiders:           map[string]*peerState{},
+		addresses:           map[string]string{},
+		pendingProposals:    map[string][]requester{},
+		forwardedRequests:   map[string]forwardedRequest{},
+	}
 	for _, record := range records {
-		s.replayRecord(record)
+		r.replayRecord(record)
 	}
-	s.applyMembership()
-	s.durableTerm, s.durableSequence = s.term, s.sequence
-	s.highestTerm = s.votedTerm
-	return s
+	r.applyMembership()
+	r.durableTerm, r.durableSequence = r.term, r.sequence
+	r.highestTerm = r.votedTerm
+	return r
 }
 
-// InitialRecord is the first record of an empty folder. It must be synced before the replica says anything,
-// so that no incarnation ever stands for two folders.
+// InitialRecord is the first record of an empty data folder. The owner makes it durable before the replica
+// takes its first step, so that no incarnation ever stands for two folders.
 func InitialRecord(cfg Config, incarnation uint64) *schema.Record {
 	record := &schema.Record{Incarnation: incarnation, RaiseTargetSize: cfg.ExpandsMembership}
 	if slices.Contains(cfg.Founders, cfg.Name) {
-		record.Founder, record.Snapshot = true, &schema.Snapshot{Membership: foundingMembership(cfg.Founders)}
+		record.Founder = true
+		record.Snapshot = &schema.Snapshot{Membership: foundingMembership(cfg.Founders)}
 	}
 	return record
 }
 
-// SetLimits sets other bounds, and whom to ask. Who this replica is, with whom, and how many copies a
-// change needs stay as they were at its start.
+// SetLimits takes over the limits, timeouts and seeds of cfg. Name, members and tolerated losses stay as
+// they were at the start: they decide what is committed.
 func (r *Replica) SetLimits(now time.Duration, cfg Config) []Action {
 	r.beginStep(now)
-	current := &r.config
-	current.Seeds, current.HeartbeatTimeout, current.StallTimeout = cfg.Seeds, cfg.HeartbeatTimeout, cfg.StallTimeout
-	current.MaxEntries, current.MaxOutcomes, current.MaxOperatorTombstones = cfg.MaxEntries, cfg.MaxOutcomes, cfg.MaxOperatorTombstones
+	r.config.Seeds = cfg.Seeds
+	r.config.HeartbeatTimeout = cfg.HeartbeatTimeout
+	r.config.StallTimeout = cfg.StallTimeout
+	r.config.MaxEntries = cfg.MaxEntries
+	r.config.MaxOutcomes = cfg.MaxOutcomes
+	r.config.MaxOperatorTombstones = cfg.MaxOperatorTombstones
 	r.tick()
 	return r.actions
 }
 
+// beginStep starts an exported event method: it sets the time and an empty list of actions.
 func (r *Replica) beginStep(now time.Duration) {
 	if !r.clockStarted {
 		r.clockStarted, r.clockStartedAt = true, now
--- a/internal/store/seeded_fault.go
+++ b/internal/store/seeded_fault.go
@@ -1,26 +1,26 @@
 package store
 
-// seededFault is a deliberate fault in a replica. Tests switch one on to show that their checks see
-// it; in a program none ever is.
+// seededFault is a deliberate fault in a replica (a mutation). Tests switch one on to show that their checks detect
+// it; the programs leave it at 0, none.
 type seededFault int
 
 const (
-	// faultLocalRead lets the leader tell where it stands without asking a majority.
+	// faultLocalRead lets the leader answer a read index without confirmation by a majority.
 	faultLocalRead seededFault = iota + 1
-	// faultFoundersQuorum lets as many copies make a change committed as the founders alone needed.
+	// faultFoundersQuorum commits with the quorum of the founders alone, however many members there are.
 	faultFoundersQuorum
-	// faultCountLearners lets the copies of members that are not members yet make a change committed.
+	// faultCountLearners counts learners' copies for a commit.
 	faultCountLearners
-	// faultStaleLeader lets a candidate begin its epoch without the newer state that it was told of.
+	// faultStaleLeader lets a candidate begin its term without the newer content that a voter sent it.
 	faultStaleLeader
-	// faultEarlyAcknowledgement lets entries be acknowledged to the leader before they are on disk.
+	// faultEarlyAcknowledgement acknowledges entries to the leader before they are durable.
 	faultEarlyAcknowledgement
-	// faultIgnoresExclusion lets a replica take itself for a member by an entry that came to nothing.
+	// faultIgnoresExclusion lets a replica count itself as a member by an entry that came to nothing.
 	faultIgnoresExclusion
 )
 
-// faultFounderCount is how many members the founders of such a core are.
+// faultFounderCount is the number of founders that faultFoundersQuorum goes by.
 const faultFounderCount = 3
 
-// hasFault tells whether a fault is planted in this replica.
+// hasFault reports whether a fault is seeded in this replica.
 func (r *Replica) hasFault(fault seededFault) bool { return r.config.seededFault == fault }
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"strings"
 
 	"google.golang.org/protobuf/proto"
 
@@ -10,7 +9,9 @@
 	"meadowhinge/schema"
 )
 
-// replayRecord applies a record read back from disk.
+// The replicated content: replay, append, snapshot and commit.
+
+// replayRecord applies a record read back from the log.
 func (r *Replica) replayRecord(record *schema.Record) {
 	if record.Incarnation != 0 {
 		r.incarnation = record.Incarnation
@@ -24,22 +25,19 @@
 		r.expandsMembership = record.RaiseTargetSize
 		r.restoreSnapshot(record.Snapshot)
 	}
-	for _, entry := range record.Entries {
-		if entry.Version.Sequence == r.sequence+1 {
-			r.appendEntry(entry)
-		}
-	}
+	r.appendContiguous(record.Entries)
 	r.term = max(r.term, record.Term)
 }
 
-// restoreSnapshot takes a snapshot as the whole working state.
+// restoreSnapshot replaces the content by that of a snapshot.
 func (r *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
 	r.term, r.sequence = snapshot.Term, snapshot.Sequence
 	r.state = config.State{}.With(snapshot.Items)
 	if r.membership = snapshot.Membership; r.membership == nil {
 		r.membership = &schema.Membership{}
 	}
-	r.baseState, r.baseSequence, r.baseMembership, r.entries = r.state, r.sequence, r.membership, nil
+	r.baseState, r.baseSequence, r.baseMembership = r.state, r.sequence, r.membership
+	r.entries = nil
 	r.outcomes, r.outcomeOrder = map[string]*schema.ChangeOutcome{}, nil
 	for _, outcome := range snapshot.Outcomes {
 		r.recordOutcome(outcome)
@@ -47,18 +45,21 @@
 	r.applyMembership()
 }
 
+// recordOutcome remembers the outcome of a change id, so that a repeat of it gets the same answer; beyond
+// MaxOutcomes the oldest ids are forgotten.
 func (r *Replica) recordOutcome(outcome *schema.ChangeOutcome) {
-	if _, known := r.outcomes[outcome.ChangeId]; !known {
+	if _, exists := r.outcomes[outcome.ChangeId]; !exists {
 		r.outcomeOrder = append(r.outcomeOrder, outcome.ChangeId)
 	}
 	r.outcomes[outcome.ChangeId] = outcome
-	// The memory of outcomes is bounded; the oldest ids are forgotten first.
 	for len(r.outcomeOrder) > r.config.MaxOutcomes {
 		delete(r.outcomes, r.outcomeOrder[0])
 		r.outcomeOrder = r.outcomeOrder[1:]
 	}
 }
 
+// appendEntry appends the entry that follows sequence, and applies it at once: the content is what is
+// appended, the committed content is kept apart.
 func (r *Replica) appendEntry(entry *schema.Entry) {
 	r.entries = append(r.entries, entry)
 	r.sequence = entry.Version.Sequence
@@ -74,7 +75,7 @@
 	r.bytesSinceSnapshot += proto.Size(entry)
 }
 
-// appendContiguous takes entries that follow what is held.
+// appendContiguous appends those entries that follow the content without a gap, and returns them.
 func (r *Replica) appendContiguous(entries []*schema.Entry) (appended []*schema.Entry) {
 	for _, entry := range entries {
 		if entry.Version.Sequence == r.sequence+1 {
@@ -85,26 +86,43 @@
 	return appended
 }
 
-// lastVersion is what this replica has taken.
+// lastVersion names the content of this replica.
 func (r *Replica) lastVersion() *schema.Version {
 	return &schema.Version{Term: r.term, Sequence: r.sequence}
 }
 
+// nextVersion is the version of the leader's next entry.
+func (r *Replica) nextVersion() *schema.Version {
+	return &schema.Version{Term: r.term, Sequence: r.sequence + 1}
+}
+
+// versionText is a version as part of the ids of the leader's own changes.
 func versionText(version *schema.Version) string {
-	return strings.Join([]string{fmt.Sprint(version.Term), fmt.Sprint(version.Sequence)}, "-")
+	return fmt.Sprintf("%d-%d", version.Term, version.Sequence)
 }
 
+// snapshot is the content of this replica, committed or not.
 func (r *Replica) snapshot() *schema.Snapshot {
-	snapshot := &schema.Snapshot{Term: r.term, Sequence: r.sequence, Items: r.state.Items(), Membership: r.membership}
+	snapshot := &schema.Snapshot{
+		Term:       r.term,
+		Sequence:   r.sequence,
+		Items:      r.state.Items(),
+		Membership: r.membership,
+	}
 	for _, id := range r.outcomeOrder {
 		snapshot.Outcomes = append(snapshot.Outcomes, r.outcomes[id])
 	}
 	return snapshot
 }
 
-// committedSnapshot is the state as shown outside; outcomes later than it are left out.
+// committedSnapshot is the committed content, without outcomes of later sequences.
 func (r *Replica) committedSnapshot() *schema.Snapshot {
-	snapshot := &schema.Snapshot{Term: r.committedTerm, Sequence: r.committedSequence, Items: r.committedState.Items(), Membership: r.committedMembership}
+	snapshot := &schema.Snapshot{
+		Term:       r.committedTerm,
+		Sequence:   r.committedSequence,
+		Items:      r.committedState.Items(),
+		Membership: r.committedMembership,
+	}
 	for _, id := range r.outcomeOrder {
 		if outcome := r.outcomes[id]; outcome.Version.Sequence <= r.committedSequence {
 			snapshot.Outcomes = append(snapshot.Outcomes, outcome)
@@ -113,11 +131,14 @@
 	return snapshot
 }
 
-// commitTo moves the committed mark; seq must be committed under the epoch this replica is in.
+// commitTo advances the committed content. The caller guarantees that everything up to sequence is committed
+// under this replica's term; a sequence beyond the content is cut down to it.
 func (r *Replica) commitTo(sequence uint64) {
 	sequence = min(sequence, r.sequence)
-	// A snapshot newer than the mark hides the states between: wait until the mark reaches it.
-	if sequence < r.baseSequence || (sequence <= r.committedSequence && r.committedTerm == r.term) || sequence < r.committedSequence {
+	alreadyCommitted := sequence <= r.committedSequence && r.committedTerm == r.term
+	// The states between an installed snapshot's start and its end are not known here, so nothing below
+	// baseSequence can be shown: the commit waits until it reaches the base.
+	if sequence < r.baseSequence || alreadyCommitted || sequence < r.committedSequence {
 		return
 	}
 	state, membership, from := r.committedState, r.committedMembership, r.committedSequence
@@ -136,12 +157,14 @@
 	if len(items) > 0 {
 		state = state.With(items)
 	}
-	r.committedState, r.committedMembership, r.committedSequence, r.committedTerm = state, membership, sequence, r.term
+	r.committedState, r.committedMembership = state, membership
+	r.committedSequence, r.committedTerm = sequence, r.term
 	r.compactEntries()
 	r.answerCommittedProposals()
 }
 
-// compactEntries lets go of entries that are committed and beyond the bound.
+// compactEntries moves committed entries beyond MaxEntries into the base state. It acts only once twice as many
+// are retained, so that the cost of copying is spread over MaxEntries appends.
 func (r *Replica) compactEntries() {
 	if len(r.entries) < 2*r.config.MaxEntries {
 		return
--- a/internal/store/step.go
+++ b/internal/store/step.go
@@ -6,50 +6,56 @@
 	"meadowhinge/schema"
 )
 
-// Step takes a message from another replica.
+// Step handles a message from another replica. The owner has authenticated message.From. A message for
+// another replica, as may come where replicas look for each other at every seed, is ignored.
 func (r *Replica) Step(now time.Duration, message *schema.ReplicaMessage) []Action {
 	r.beginStep(now)
 	if message.To != r.config.Name || message.From == r.config.Name {
 		return nil
 	}
+	// The address is learned of any authenticated replica, member or not: a learner must be answered too.
 	if message.Address != "" {
 		r.addresses[message.From] = message.Address
 	}
-	peer, counted := r.sender(message)
+	peer, isMember := r.senderOf(message)
+	r.dispatchMessage(message, peer, isMember)
+	return r.actions
+}
+
+// dispatchMessage calls the handler of a message's type. peer and isMember are those of senderOf.
+func (r *Replica) dispatchMessage(message *schema.ReplicaMessage, peer *peerState, isMember bool) {
+	from := message.From
 	switch body := message.Body.(type) {
 	case *schema.ReplicaMessage_Heartbeat:
 		if peer == nil {
-			r.sendMembership(message.From, body.Heartbeat.Membership)
-		} else {
-			r.onHeartbeat(message.From, peer, body.Heartbeat)
+			r.sendMembership(from, body.Heartbeat.Membership)
+			return
 		}
+		r.onHeartbeat(from, peer, body.Heartbeat)
 	case *schema.ReplicaMessage_VoteRequest:
 		if peer == nil {
-			r.sendMembership(message.From, body.VoteRequest.Membership)
-		} else {
-			r.onVoteRequest(message.From, body.VoteRequest)
+			r.sendMembership(from, body.VoteRequest.Membership)
+			return
 		}
+		r.onVoteRequest(from, body.VoteRequest)
 	case *schema.ReplicaMessage_Vote:
-		if counted {
+		if isMember {
 			r.onVote(peer, body.Vote)
 		}
 	case *schema.ReplicaMessage_BeginTerm:
-		r.onBeginTerm(message.From, body.BeginTerm)
+		r.onBeginTerm(from, body.BeginTerm)
 	case *schema.ReplicaMessage_AppendEntries:
-		r.onAppendEntries(message.From, body.AppendEntries)
+		r.onAppendEntries(from, body.AppendEntries)
 	case *schema.ReplicaMessage_AppendReply:
 		if peer != nil {
-			r.onAppendReply(message.From, peer, counted, body.AppendReply)
+			r.onAppendReply(from, peer, isMember, body.AppendReply)
 		}
 	case *schema.ReplicaMessage_StateRequest:
-		r.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_StateReply{StateReply: &schema.StateReply{
-			Round: body.StateRequest.Round, VotedTerm: r.votedTerm, Snapshot: &schema.Snapshot{Term: r.term, Sequence: r.sequence}}}})
+		r.onStateRequest(from, body.StateRequest)
 	case *schema.ReplicaMessage_StateReply:
-		r.onStateReply(message.From, message.Incarnation, body.StateReply)
+		r.onStateReply(from, message.Incarnation, body.StateReply)
 	case *schema.ReplicaMessage_SnapshotRequest:
-		if r.committedTerm != 0 {
-			r.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_SnapshotReply{SnapshotReply: &schema.SnapshotReply{Snapshot: r.committedSnapshot()}}})
-		}
+		r.onSnapshotRequest(from)
 	case *schema.ReplicaMessage_SnapshotReply:
 		r.onSnapshotReply(body.SnapshotReply.Snapshot)
 	case *schema.ReplicaMessage_Join:
@@ -57,24 +63,18 @@
 	case *schema.ReplicaMessage_Membership:
 		r.onMembership(body.Membership)
 	case *schema.ReplicaMessage_Proposal:
-		r.propose(body.Proposal, requester{ticket: body.Proposal.Ticket, replica: message.From})
+		r.propose(body.Proposal, requester{ticket: body.Proposal.Ticket, replica: from})
 	case *schema.ReplicaMessage_ProposalReply:
-		delete(r.forwardedRequests, body.ProposalReply.Ticket)
-		r.actions = append(r.actions, Reply{body.ProposalReply})
+		r.onProposalReply(body.ProposalReply)
 	case *schema.ReplicaMessage_ReadIndex:
-		r.readIndex(requester{ticket: body.ReadIndex.Ticket, replica: message.From})
+		r.readIndex(requester{ticket: body.ReadIndex.Ticket, replica: from})
 	case *schema.ReplicaMessage_ReadIndexReply:
-		delete(r.forwardedRequests, body.ReadIndexReply.Ticket)
-		r.actions = append(r.actions, ReadIndexReady{body.ReadIndexReply})
+		r.onReadIndexReply(body.ReadIndexReply)
 	case *schema.ReplicaMessage_ConfirmLeadership:
-		refused := body.ConfirmLeadership.Term != r.votedTerm || !r.isMember()
-		r.send(message.From, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_ConfirmLeadershipReply{ConfirmLeadershipReply: &schema.ConfirmLeadershipReply{
-			Term: body.ConfirmLeadership.Term, Round: body.ConfirmLeadership.Round, Refused: refused}}})
+		r.onConfirmLeadership(from, body.ConfirmLeadership)
 	case *schema.ReplicaMessage_ConfirmLeadershipReply:
-		if counted && r.role == roleLeader && body.ConfirmLeadershipReply.Term == r.term && !body.ConfirmLeadershipReply.Refused {
-			peer.confirmedRound = max(peer.confirmedRound, body.ConfirmLeadershipReply.Round)
-			r.resolveReads()
+		if isMember {
+			r.onConfirmLeadershipReply(peer, body.ConfirmLeadershipReply)
 		}
 	}
-	return r.actions
 }
--- a/internal/store/tick.go
+++ b/internal/store/tick.go
@@ -4,11 +4,9 @@
 	"maps"
 	"slices"
 	"time"
-
-	"meadowhinge/schema"
 )
 
-// Tick lets time pass.
+// Tick lets time pass. The owner calls it at NextTickAt at the latest; calling it sooner does no harm.
 func (r *Replica) Tick(now time.Duration) []Action {
 	r.beginStep(now)
 	r.tick()
@@ -18,25 +16,16 @@
 func (r *Replica) tick() {
 	r.expireForwarded()
 	if !r.isMember() {
-		if r.role != roleFollower {
-			r.becomeFollower()
-		}
-		if len(r.config.StaticMembers) > 0 && r.membership.EffectiveFrom == nil && !r.joinsExisting {
-			r.requestState()
-		} else {
-			r.requestJoin()
-		}
+		r.tickOutsider()
 		return
 	}
-	// A leader that cannot reach a majority, or whose disk stalls, lets leadership go.
+	// A leader that reaches no majority, or whose disk stalls, gives up leadership.
 	if r.role != roleFollower && !r.reachesMajority(r.config.Name) {
 		r.becomeFollower()
 	}
-	stuck := (r.role == roleCandidate || r.role == roleLeaderElect) && r.now-r.roleSince > r.config.StallTimeout/campaignsPerStallTimeout
-	// One try a silence bound keeps two members that see the links differently from racing.
-	due := stuck || r.role == roleFollower && (r.now-r.roleSince > r.config.HeartbeatTimeout || r.roleSince == 0)
-	if due && len(r.newerMembers()) == 0 && r.preferredLeader() == r.config.Name && (stuck || r.caughtUp()) && !r.awaitsFounders() {
+	if r.shouldCampaign() {
 		r.becomeCandidate()
+		r.campaign()
 	}
 	r.purgeTombstones()
 	r.reconcileMembership()
@@ -45,14 +34,26 @@
 		r.resendUnacknowledged()
 	}
 	r.sendUrgentHeartbeats()
-	// Whoever reaches no majority may have missed who the members are now.
+	// A replica that reaches no majority may have missed a membership change.
 	if !r.reachesMajority(r.config.Name) && r.now-r.clockStartedAt > r.config.HeartbeatTimeout {
 		r.requestJoin()
 	}
 }
 
-// expireForwarded gives up tickets whose leader is no longer the leader, or stays silent: the
-// registry asks again under the same change id, which is safe.
+// tickOutsider lets a replica that is no member bootstrap a core or ask to join one.
+func (r *Replica) tickOutsider() {
+	if r.role != roleFollower {
+		r.becomeFollower()
+	}
+	if r.mayBootstrap() {
+		r.requestState()
+	} else {
+		r.requestJoin()
+	}
+}
+
+// expireForwarded answers forwarded requests as undecided whose leader has lost leadership or has not
+// answered within the heartbeat timeout. The registry retries under the same change id, which is safe.
 func (r *Replica) expireForwarded() {
 	leader := r.leader()
 	for _, ticket := range slices.Sorted(maps.Keys(r.forwardedRequests)) {
@@ -62,44 +63,46 @@
 		}
 		delete(r.forwardedRequests, ticket)
 		if request.isRead {
-			r.actions = append(r.actions, ReadIndexReady{&schema.ReadIndexReply{Ticket: ticket, Undecided: true}})
+			r.emit(ReadIndexReady{undecidedRead(ticket)})
 		} else {
-			r.actions = append(r.actions, Reply{&schema.ProposalReply{Ticket: ticket, Undecided: true}})
+			r.emit(Reply{undecidedProposal(ticket)})
 		}
 	}
 }
 
-// NextTickAt tells when Tick is next needed, if nothing else happens.
+// NextTickAt returns when Tick is next needed if no other event comes before. It has one line for each
+// deadline that tick acts upon; a deadline added there must be added here.
 func (r *Replica) NextTickAt() time.Duration {
+	timeout := r.config.HeartbeatTimeout
 	next := r.heartbeatSentAt + r.heartbeatInterval()
-	earlier := func(at time.Duration) {
-		if at > r.now {
-			next = min(next, at)
+	if !r.isMember() {
+		next = r.joinRequestedAt + timeout/heartbeatsPerTimeout
+		if r.mayBootstrap() {
+			next = r.stateRequestedAt + timeout/heartbeatsPerTimeout
 		}
 	}
-	if !r.isMember() {
-		next = r.joinRequestedAt + r.config.HeartbeatTimeout/heartbeatsPerTimeout
-		if len(r.config.StaticMembers) > 0 && r.membership.EffectiveFrom == nil && !r.joinsExisting {
-			next = r.stateRequestedAt + r.config.HeartbeatTimeout/heartbeatsPerTimeout
+	consider := func(at time.Duration) {
+		if at > r.now {
+			next = min(next, at)
 		}
 	}
 	for _, peer := range r.peers {
 		if r.recentlyHeard(peer) {
-			earlier(peer.heardAt + r.config.HeartbeatTimeout + 1)
+			consider(peer.heardAt + timeout + 1)
 		}
 	}
 	if r.urgentState() != r.lastUrgentState {
-		earlier(r.heartbeatSentAt + r.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout)
+		consider(r.heartbeatSentAt + timeout/urgentHeartbeatsPerTimeout)
 	}
-	if r.role == roleFollower || r.role == roleCandidate || r.role == roleLeaderElect {
-		earlier(r.roleSince + r.config.HeartbeatTimeout + 1)
-		earlier(r.roleSince + r.config.StallTimeout/campaignsPerStallTimeout + 1)
+	if r.role != roleLeader {
+		consider(r.roleSince + timeout + 1)
+		consider(r.roleSince + r.config.StallTimeout/campaignsPerStallTimeout + 1)
 	}
 	if len(r.pendingWrites) > 0 {
-		earlier(r.pendingWrites[0].startedAt + r.config.StallTimeout + 1)
+		consider(r.pendingWrites[0].startedAt + r.config.StallTimeout + 1)
 	}
 	for _, request := range r.forwardedRequests {
-		earlier(request.sentAt + r.config.HeartbeatTimeout + 1)
+		consider(request.sentAt + timeout + 1)
 	}
 	return max(next, r.now+1)
 }
