--- a/internal/store/disk_writer.go
+++ b/internal/store/disk_writer.go
@@ -10,37 +10,42 @@
 	"meadowhinge/schema"
 )
 
-// Log is a disk as the daemon uses it: what Write returned for is synced.
+// retriesPerStallTimeout divides the stall timeout into the pause between two attempts at a disk that fails.
+const retriesPerStallTimeout = 8
+
+// Log is a write-ahead log as the server uses it; FileLog is the one of the programs. Only one goroutine uses it at
+// a time.
 type Log interface {
-	Write(records []*schema.Record, whole bool) error
+	// Write returns once the records are durable. With replacesLog the last of them is complete by itself,
+	// and those before it may be dropped. After an error only a Write with replacesLog can succeed.
+	Write(records []*schema.Record, replacesLog bool) error
 	Close() error
 }
 
-// retriesPerStallTimeout is how often, in a stall bound, a disk that refuses is asked again.
-const retriesPerStallTimeout = 8
-
-// openLogWithRetry opens the log, and writes the first record of an empty one. A disk that refuses is
-// asked again until ctx ends; then it gives nil.
-func openLogWithRetry(ctx context.Context, log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log) (Log, []*schema.Record) {
+// openLogWithRetry opens the log and returns its records, at least one. It retries until the disk lets it; its only
+// error is that of ctx.
+func openLogWithRetry(ctx context.Context, log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log) (Log, []*schema.Record, error) {
 	for {
-		recordLog, records, err := tryOpenLog(log, opts, cfg, wrapLog)
+		recordLog, records, err := openOrCreateLog(log, opts, cfg, wrapLog)
 		if err == nil {
-			return recordLog, records
+			return recordLog, records, nil
 		}
-		log.Error(err, "the disk refuses; asking it again")
+		retryAfter := cfg.StallTimeout / retriesPerStallTimeout
+		log.Error(err, "opening the replica log failed, retrying", "dataDir", opts.Data, "retryAfter", retryAfter.String())
 		select {
 		case <-ctx.Done():
-			return nil, nil
-		case <-time.After(cfg.StallTimeout / retriesPerStallTimeout):
+			return nil, nil, ctx.Err()
+		case <-time.After(retryAfter):
 		}
 	}
 }
 
-func tryOpenLog(log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log) (Log, []*schema.Record, error) {
+// openOrCreateLog opens the log, and writes the initial record of an empty data folder under a new incarnation. A
+// corrupt log is moved aside first: the replica then starts empty and is restored from the other members.
+func openOrCreateLog(log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log) (Log, []*schema.Record, error) {
 	opened, records, err := Open(opts.Data)
 	if err != nil && errs.CodeOf(err) == errs.DiskCorrupt {
-		// Rot: the replica starts empty and is refilled by the others.
-		log.Error(err, "log is corrupt and set aside; refilling from the other members")
+		log.Error(err, "replica log is corrupt, moving it aside and restoring from the other members", "dataDir", opts.Data)
 		if err = SetAside(opts.Data); err == nil {
 			opened, records, err = Open(opts.Data)
 		}
@@ -52,14 +57,15 @@
 	if len(records) == 0 {
 		records = []*schema.Record{InitialRecord(cfg, randomIncarnation())}
 		if err := recordLog.Write(records, true); err != nil {
-			recordLog.Close()
+			_ = recordLog.Close() // the write's error is the one to report
 			return nil, nil, err
 		}
 	}
 	return recordLog, records, nil
 }
 
-// writeLoop syncs records in order; whatever piled up during one sync goes into the next.
+// writeLoop is the disk writer: it makes records durable in order until ctx ends. Records that gather during one
+// write go into the next together, so the rate of syncs does not limit the rate of changes.
 func (s *Server) writeLoop(ctx context.Context, recordLog Log) {
 	for {
 		select {
@@ -71,45 +77,59 @@
 		batch := s.pendingWrites
 		s.pendingWrites = nil
 		s.lock.Unlock()
-		// Records before a whole one can go, so each whole one closes its group.
-		var records []*schema.Record
-		for i, write := range batch {
-			records = append(records, write.Record)
-			if !write.ReplacesLog && i < len(batch)-1 {
-				continue
-			}
-			if err := recordLog.Write(records, write.ReplacesLog); err != nil {
-				s.log.Error(err, "the disk refuses a write; the whole state is written again until it takes it")
-				if !s.rewriteSnapshot(ctx, recordLog) {
-					return
-				}
-				break // what is left of the batch is in what was written
-			}
-			records = nil
-			s.step(func(now time.Duration) []Action { return s.replica.Persisted(now, write.WriteID) })
+		if !s.writeBatch(ctx, recordLog, batch) {
+			return
+		}
+	}
+}
+
+// writeBatch writes a batch and reports to the replica what is durable. A write that replaces the log makes those
+// before it superfluous, so each such write ends a group that is written at once. It returns false if ctx ended.
+func (s *Server) writeBatch(ctx context.Context, recordLog Log, batch []Persist) bool {
+	var records []*schema.Record
+	for i, write := range batch {
+		records = append(records, write.Record)
+		if !write.ReplacesLog && i < len(batch)-1 {
+			continue
+		}
+		if err := recordLog.Write(records, write.ReplacesLog); err != nil {
+			s.log.Error(err, "replica log write failed, rewriting snapshot until it succeeds", "records", len(records))
+			return s.rewriteSnapshot(ctx, recordLog) // the snapshot includes the rest of the batch
 		}
+		records = nil
+		s.step(func(now time.Duration) []Action { return s.replica.Persisted(now, write.WriteID) })
 	}
+	return true
 }
 
-// rewriteSnapshot writes the whole state, again and again, to a disk that refused a write.
+// rewriteSnapshot writes a complete snapshot to a log whose last write failed, and tries until it succeeds. It
+// returns false if ctx ended.
 func (s *Server) rewriteSnapshot(ctx context.Context, recordLog Log) bool {
 	for {
-		s.step(func(now time.Duration) []Action { return s.replica.DiskFailed(now) })
+		s.step(s.diskFailed)
 		select {
 		case <-ctx.Done():
 			return false
 		case <-time.After(time.Duration(s.currentOptions().Stall) / retriesPerStallTimeout):
 		}
-		s.lock.Lock()
-		// It stands for everything that waits to be written.
-		s.pendingWrites = nil
-		s.dispatchActions(s.replica.RewriteSnapshot(time.Since(s.started)))
-		snapshot := s.pendingWrites[0]
-		s.pendingWrites = s.pendingWrites[1:]
-		s.lock.Unlock()
+		snapshot := s.takeSnapshotWrite()
 		if recordLog.Write([]*schema.Record{snapshot.Record}, true) == nil {
 			s.step(func(now time.Duration) []Action { return s.replica.Persisted(now, snapshot.WriteID) })
 			return true
 		}
 	}
 }
+
+func (s *Server) diskFailed(now time.Duration) []Action { return s.replica.DiskFailed(now) }
+
+// takeSnapshotWrite has the replica write a snapshot in place of everything that waits to be written, and takes that
+// write out of the queue.
+func (s *Server) takeSnapshotWrite() Persist {
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	s.pendingWrites = nil
+	s.dispatchActions(s.replica.RewriteSnapshot(time.Since(s.started)))
+	snapshot := s.pendingWrites[0]
+	s.pendingWrites = s.pendingWrites[1:]
+	return snapshot
+}
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -21,42 +21,52 @@
 	"meadowhinge/schema"
 )
 
-// Server runs a replica: its clock, its disk, its links.
+// Server is a store process: one Replica with its clock, write-ahead log, streams to other members and RPC API.
+//
+// Goroutines: Run's own (the replica's timer), the disk writer, one sender for each peer and one for each RPC. All of
+// them run events through step.
 type Server struct {
 	schema.DRPCStoreUnimplementedServer
-	initialOptions     *schema.StoreOptions // as they were at the start
+
+	// Set by newServer and not changed afterwards.
+	initialOptions     *schema.StoreOptions // as of the start; for settings that may change use currentOptions
 	transport          *transport.Transport
 	log                logr.Logger
-	ctx                context.Context
-	started            time.Time
-	processIncarnation uint64 // tells this process's tickets from those of others
+	started            time.Time       // the origin of the replica's clock
+	processIncarnation uint64          // makes this process's tickets differ from those of others
+	ctx                context.Context // of Run; ends the senders, which any event may start
+	writeSignal        chan struct{}   // wakes the disk writer; holds one signal
 
+	// lock guards everything below, and every call of the replica. It is not held while waiting for disk or network.
 	lock             sync.Mutex
-	liveOptions      *schema.StoreOptions // as they are now, where they may change
 	replica          *Replica
-	tickets          map[string]chan any
+	liveOptions      *schema.StoreOptions         // as of the last change of the settings file
+	tickets          map[string]chan ticketResult // requests that wait for a Reply or ReadIndexReady
 	lastTicketID     uint64
-	committedChanged chan struct{} // closed and replaced when the committed state moves
+	committedChanged chan struct{} // closed and replaced when the committed sequence changes
 	lastCommitted    uint64
-	progress         [3]uint64
-	stageTimes       map[uint64]*[3]int64 // by sequence: when it was taken, synced, committed
-	outboxes         map[string]chan *schema.ReplicaMessage
-	pendingWrites    []Persist     // waiting to be synced; bounded by what the replica admits
-	writeSignal      chan struct{} // tells the writer that there is something to do
-	timer            *time.Timer   // of the replica's next tick
-	nextTickAt       time.Duration
+	progress         [stageCount]uint64                     // as of the last step
+	stageTimes       map[uint64]*[stageCount]int64          // by sequence: Unix nanoseconds of each stage, 0 for not yet
+	outboxes         map[string]chan *schema.ReplicaMessage // by peer name
+	pendingWrites    []Persist                              // not taken by the disk writer yet; bounded by what the replica admits
+	timer            *time.Timer                            // fires at nextTickAt
+	nextTickAt       time.Duration                          // on the replica's clock; 0 if the timer is not set
 }
 
-// Option changes how a store runs.
+// Option changes how Run runs a store.
 type Option func(*runOptions)
 
 type runOptions struct{ wrapLog func(Log) Log }
 
-// WithLogWrapper puts something between the daemon and its disk, as rehearsals do to make it slow.
-func WithLogWrapper(wrapLog func(Log) Log) Option { return func(r *runOptions) { r.wrapLog = wrapLog } }
+// WithLogWrapper puts something between the server and its log, as the testbed does to make a disk slow.
+func WithLogWrapper(wrapLog func(Log) Log) Option {
+	return func(options *runOptions) { options.wrapLog = wrapLog }
+}
 
-// Run serves a store until ctx ends.
-func Run(ctx context.Context, frame *daemon.Environment, opts *schema.StoreOptions, runOpts ...Option) error {
+// Run serves a store until ctx ends, and then returns nil. Errors have the code errs.InvalidOptions for settings
+// that do not fit together or an address that cannot be listened on, or the code of what failed later. A disk that
+// fails is not an error of Run: it is tried again for as long as ctx lasts.
+func Run(ctx context.Context, environment *daemon.Environment, opts *schema.StoreOptions, runOpts ...Option) error {
 	run := &runOptions{wrapLog: func(recordLog Log) Log { return recordLog }}
 	for _, apply := range runOpts {
 		apply(run)
@@ -66,49 +76,88 @@
 		return err
 	}
 	defer rpcTransport.Close()
-	staticMembers := options.SplitList(opts.Order)
-	if self := rpcTransport.Self(); self.Role != "store" || self.Name != opts.Seat {
-		return errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not store %q", self.Role, self.Name, opts.Seat))
-	}
-	if len(staticMembers) > 0 && !slices.Contains(staticMembers, opts.Seat) {
-		return errs.New(errs.InvalidOptions, "seat: is not in order")
+	if err := validateIdentity(rpcTransport, opts); err != nil {
+		return err
 	}
-	replicaCfg := replicaConfig(opts)
-	recordLog, records := openLogWithRetry(ctx, frame.Log, opts, replicaCfg, run.wrapLog)
-	if recordLog == nil {
-		return nil
+	cfg := replicaConfig(opts)
+	recordLog, records, err := openLogWithRetry(ctx, environment.Log, opts, cfg, run.wrapLog)
+	if err != nil {
+		return nil // ctx ended before the disk let the log be opened: an ordinary shutdown
 	}
-	defer recordLog.Close()
+	defer func() { _ = recordLog.Close() }() // what was acknowledged is durable already
 	listener, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
 		return errs.Wrap(err, errs.InvalidOptions, "listen")
 	}
-	s := &Server{initialOptions: opts, liveOptions: opts, transport: rpcTransport, log: frame.Log, started: time.Now(), processIncarnation: rand.Uint64(), ctx: ctx, tickets: map[string]chan any{}, stageTimes: map[uint64]*[3]int64{},
-		committedChanged: make(chan struct{}), outboxes: map[string]chan *schema.ReplicaMessage{}, writeSignal: make(chan struct{}, 1), timer: time.NewTimer(0)}
-	s.replica = NewReplica(replicaCfg, 0, records)
-	frame.WatchSettings(ctx, optionsPollTimeouts*replicaCfg.HeartbeatTimeout, func(now proto.Message) { s.applyOptions(now.(*schema.StoreOptions)) })
+	s := newServer(ctx, environment.Log, opts, rpcTransport)
+	s.replica = NewReplica(cfg, 0, records)
+	environment.WatchSettings(ctx, optionsPollTimeouts*cfg.HeartbeatTimeout, func(updated proto.Message) {
+		s.applyOptions(updated.(*schema.StoreOptions))
+	})
 	go s.writeLoop(ctx, recordLog)
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterStore(mux, s); err != nil {
 		return errs.Wrap(err, errs.Internal, "mux")
 	}
-	frame.AddPage("/certificate", rpcTransport.Certificate)
-	frame.AddPage("/traffic", func() any { return rpcTransport.Traffic() })
-	frame.AddPage("/status", func() any { return statuspage.ReplicaOf(s.status()) })
-	if opts.ProbeListen != "" {
-		if err := frame.ServeProbes(opts.ProbeListen, s.readiness); err != nil {
-			return err
-		}
+	if err := s.addPages(environment); err != nil {
+		return err
 	}
 	served := make(chan error, 1)
 	go func() { served <- rpcTransport.Serve(ctx, listener, mux, "store", "registry") }()
-	frame.Log.V(1).Info("store up", "replica", opts.Seat, "listen", opts.Listen, "records", len(records))
+	environment.Log.V(1).Info("store serving", "member", opts.Seat, "listen", opts.Listen, "records", len(records))
+	return s.runTimer(ctx, environment, served)
+}
 
+// validateIdentity checks that the certificate is this store's, and that a static member list has it.
+func validateIdentity(rpcTransport *transport.Transport, opts *schema.StoreOptions) error {
+	if self := rpcTransport.Self(); self.Role != "store" || self.Name != opts.Seat {
+		return errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not store %q", self.Role, self.Name, opts.Seat))
+	}
+	staticMembers := options.SplitList(opts.Order)
+	if len(staticMembers) > 0 && !slices.Contains(staticMembers, opts.Seat) {
+		return errs.New(errs.InvalidOptions, "seat: is not in order")
+	}
+	return nil
+}
+
+// newServer makes a server whose replica the caller sets before anything else runs. Its timer fires at once, for
+// the first tick.
+func newServer(ctx context.Context, log logr.Logger, opts *schema.StoreOptions, rpcTransport *transport.Transport) *Server {
+	return &Server{
+		initialOptions:     opts,
+		transport:          rpcTransport,
+		log:                log,
+		started:            time.Now(),
+		processIncarnation: rand.Uint64(),
+		ctx:                ctx,
+		writeSignal:        make(chan struct{}, 1),
+		liveOptions:        opts,
+		tickets:            map[string]chan ticketResult{},
+		committedChanged:   make(chan struct{}),
+		stageTimes:         map[uint64]*[stageCount]int64{},
+		outboxes:           map[string]chan *schema.ReplicaMessage{},
+		timer:              time.NewTimer(0),
+	}
+}
+
+// addPages adds the store's status pages and, if the settings ask for them, its probes.
+func (s *Server) addPages(environment *daemon.Environment) error {
+	environment.AddPage("/certificate", s.transport.Certificate)
+	environment.AddPage("/traffic", func() any { return s.transport.Traffic() })
+	environment.AddPage("/status", func() any { return statuspage.ReplicaOf(s.status()) })
+	if s.initialOptions.ProbeListen == "" {
+		return nil
+	}
+	return environment.ServeProbes(s.initialOptions.ProbeListen, s.readiness)
+}
+
+// runTimer ticks the replica until ctx ends or serving RPCs does.
+func (s *Server) runTimer(ctx context.Context, environment *daemon.Environment, served <-chan error) error {
 	defer s.timer.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			frame.Draining.Store(true)
+			environment.Draining.Store(true)
 			return nil
 		case err := <-served:
 			return err
@@ -121,19 +170,20 @@
 	}
 }
 
-// step runs one event through the replica and hands out its actions.
+// step runs one event through the replica, under the lock, and dispatches its actions.
 func (s *Server) step(event func(now time.Duration) []Action) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.dispatchActions(event(time.Since(s.started)))
 }
 
-// dispatchActions hands actions out; the caller holds the lock.
+// dispatchActions hands the actions of one step to the senders, the disk writer and the requests that wait, and sets
+// the timer. The caller holds the lock.
 func (s *Server) dispatchActions(actions []Action) {
 	for _, action := range actions {
 		switch typed := action.(type) {
 		case Send:
-			// A full buffer means the peer is slow or gone; what is lost is sent again.
+			// A full outbox means that the peer is slow or gone; the replica repeats what matters.
 			select {
 			case s.outbox(typed.Message.To) <- typed.Message:
 			default:
@@ -145,23 +195,37 @@
 			default:
 			}
 		case Reply:
-			s.completeTicket(typed.Result.Ticket, typed.Result)
+			s.completeTicket(typed.Result.Ticket, ticketResult{proposal: typed.Result})
 		case ReadIndexReady:
-			s.completeTicket(typed.Result.Ticket, typed.Result)
+			s.completeTicket(typed.Result.Ticket, ticketResult{readIndex: typed.Result})
 		}
 	}
+	s.resetTimer()
+	s.recordStageTimes()
+	s.notifyCommitted()
+}
+
+// resetTimer makes the timer fire when the replica next needs a tick, if that is sooner than it would. The caller
+// holds the lock.
+func (s *Server) resetTimer() {
 	if next := s.replica.NextTickAt(); s.nextTickAt == 0 || next < s.nextTickAt {
 		s.nextTickAt = next
 		s.timer.Reset(next - time.Since(s.started))
 	}
-	s.recordStageTimes()
-	if committed, _ := s.replica.Committed(); committed != s.lastCommitted {
-		s.lastCommitted = committed
-		close(s.committedChanged)
-		s.committedChanged = make(chan struct{})
+}
+
+// notifyCommitted wakes the Follow calls that wait for a new committed sequence. The caller holds the lock.
+func (s *Server) notifyCommitted() {
+	committed, _ := s.replica.Committed()
+	if committed == s.lastCommitted {
+		return
 	}
+	s.lastCommitted = committed
+	close(s.committedChanged)
+	s.committedChanged = make(chan struct{})
 }
 
+// status is the replica's status, with what only the server knows of it.
 func (s *Server) status() *schema.ReplicaStatus {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -172,6 +236,7 @@
 	return status
 }
 
+// readiness is the answer to the readiness probe: ready while this store is a fit member that knows a leader.
 func (s *Server) readiness() daemon.Readiness {
 	status := s.status()
 	if status.Leader == "" || !status.Member || status.Unfit {
--- a/internal/store/server_settings.go
+++ b/internal/store/server_settings.go
@@ -12,25 +12,28 @@
 	"meadowhinge/schema"
 )
 
-// optionsPollTimeouts is how many silence bounds lie between two looks at the settings file.
+// optionsPollTimeouts is how many heartbeat timeouts lie between two looks at the settings file.
 const optionsPollTimeouts = 4
 
-// applyOptions goes on by settings that have changed.
+// plaintextLinks is the value of the setting "links" for a network that is trusted.
+const plaintextLinks = "plain"
+
+// applyOptions takes over settings that changed while the store runs.
 func (s *Server) applyOptions(updated *schema.StoreOptions) {
-	s.step(func(at time.Duration) []Action {
+	s.step(func(now time.Duration) []Action {
 		s.liveOptions = updated
-		return s.replica.SetLimits(at, replicaConfig(updated))
+		return s.replica.SetLimits(now, replicaConfig(updated))
 	})
 }
 
-// currentOptions are the settings in force, as far as they may change.
+// currentOptions returns the settings with their latest changes.
 func (s *Server) currentOptions() *schema.StoreOptions {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.liveOptions
 }
 
-// newTransport makes the links' ends: with keys, or plain ones that need none.
+// newTransport makes the RPC transport: mutual TLS, or plaintext with the name taken from the settings.
 func newTransport(opts *schema.StoreOptions) (*transport.Transport, error) {
 	if opts.Links == plaintextLinks {
 		return transport.NewPlaintext("store", opts.Seat, nil, transport.WithLocalAddress(opts.Listen)), nil
@@ -38,14 +41,22 @@
 	return transport.NewTLS(opts.Certificate, opts.Authority, transport.WithLocalAddress(opts.Listen))
 }
 
-const plaintextLinks = "plain"
-
-// replicaConfig makes a replica's options. Without an order members are named by their IPs, and the
-// seeds are the first members where all of them start for the first time.
+// replicaConfig derives the replica's configuration from the settings. Without a static member list, members are
+// named by their IPs, and the seeds are the founders where all of them start for the first time.
 func replicaConfig(opts *schema.StoreOptions) Config {
-	cfg := Config{Name: opts.Seat, StaticMembers: options.SplitList(opts.Order), Address: opts.Advertise, ToleratedLosses: int(opts.Losses), NewIncarnation: randomIncarnation,
-		HeartbeatTimeout: time.Duration(opts.Silence), StallTimeout: time.Duration(opts.Stall), MaxEntries: int(opts.EntriesMost),
-		MaxOutcomes: int(opts.OutcomesMost), MaxUncommittedEntries: int(opts.Buffer), MaxOperatorTombstones: int(opts.DroppedMost)}
+	cfg := Config{
+		Name:                  opts.Seat,
+		Address:               opts.Advertise,
+		StaticMembers:         options.SplitList(opts.Order),
+		ToleratedLosses:       int(opts.Losses),
+		NewIncarnation:        randomIncarnation,
+		HeartbeatTimeout:      time.Duration(opts.Silence),
+		StallTimeout:          time.Duration(opts.Stall),
+		MaxEntries:            int(opts.EntriesMost),
+		MaxOutcomes:           int(opts.OutcomesMost),
+		MaxUncommittedEntries: int(opts.Buffer),
+		MaxOperatorTombstones: int(opts.DroppedMost),
+	}
 	if cfg.Address == "" {
 		cfg.Address = opts.Listen
 	}
@@ -66,10 +77,12 @@
 	return cfg
 }
 
-// randomIncarnation draws an incarnation: there is nobody to ask, and only whether two are equal matters.
+// randomIncarnation draws an incarnation other than 0, which means none. It is only ever compared for equality, and
+// there is nobody to hand out numbers.
 func randomIncarnation() uint64 { return 1 + rand.Uint64N(math.MaxUint64-1) }
 
-// storeAddress is where a replica named by its IP stands: every store has the same port.
+// storeAddress is the address of a replica that is named by its IP: all stores listen on the same port. It is empty
+// if the name is no IP.
 func storeAddress(opts *schema.StoreOptions, name string) string {
 	own, err := netip.ParseAddrPort(opts.Listen)
 	address, nameErr := netip.ParseAddr(name)
--- a/internal/store/trace.go
+++ b/internal/store/trace.go
@@ -7,41 +7,45 @@
 	"meadowhinge/schema"
 )
 
-// maxStageTimes is how many sequences the tracer can still be told of.
+// maxStageTimes is the number of sequences, up to the last one of a stage, whose times are retained.
 const maxStageTimes = 4096
 
-// recordStageTimes writes down when sequences were first appended, durable and committed here; the caller
-// holds the lock.
+// recordStageTimes records when sequences were first appended, durable and committed here. The caller holds the
+// lock.
 func (s *Server) recordStageTimes() {
-	reached := s.replica.Progress()
-	if reached == s.progress {
+	progress := s.replica.Progress()
+	if progress == s.progress {
 		return
 	}
-	nanos := time.Now().UnixNano()
-	for stage := range reached {
-		// A snapshot can bring many sequences at once; only the last of them were ever asked about.
-		from := max(s.progress[stage]+1, reached[stage]-min(reached[stage], maxStageTimes)+1)
-		for sequence := from; sequence <= reached[stage]; sequence++ {
+	now := time.Now().UnixNano()
+	for stage := range progress {
+		// A snapshot can bring many sequences at once; only the last ones are retained in any case.
+		first := max(s.progress[stage]+1, progress[stage]-min(progress[stage], maxStageTimes)+1)
+		for sequence := first; sequence <= progress[stage]; sequence++ {
 			if s.stageTimes[sequence] == nil {
-				s.stageTimes[sequence] = &[3]int64{}
+				s.stageTimes[sequence] = &[stageCount]int64{}
 			}
-			s.stageTimes[sequence][stage] = nanos
+			s.stageTimes[sequence][stage] = now
 			delete(s.stageTimes, sequence-min(sequence, maxStageTimes))
 		}
 	}
-	s.progress = reached
+	s.progress = progress
 }
 
-// Trace tells when a change was where in this store.
+// Trace answers with the times, in Unix nanoseconds, at which a change reached each stage in this store; 0 for a
+// stage that it has not reached or whose time is not retained. It returns no error.
 func (s *Server) Trace(_ context.Context, request *schema.ChangeQuery) (*schema.ReplicaTrace, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	trace := &schema.ReplicaTrace{Replica: s.initialOptions.Seat, Leader: s.replica.Status().Leader}
 	trace.Outcome, trace.Known = s.replica.AppendedOutcome(request.ChangeId)
-	if trace.Known {
-		if times := s.stageTimes[trace.Outcome.Version.Sequence]; times != nil {
-			trace.Appended, trace.Durable, trace.Committed = times[0], times[1], times[2]
-		}
+	if !trace.Known {
+		return trace, nil
+	}
+	if times := s.stageTimes[trace.Outcome.Version.Sequence]; times != nil {
+		trace.Appended = times[stageAppended]
+		trace.Durable = times[stageDurable]
+		trace.Committed = times[stageCommitted]
 	}
 	return trace, nil
 }
--- a/internal/store/wal.go
+++ b/internal/store/wal.go
@@ -11,25 +11,37 @@
 	"meadowhinge/schema"
 )
 
+// The write-ahead log of a replica is one file in its data folder: a record that is complete by itself (a
+// snapshot, or the initial record), and the records after it. A record that replaces the log begins the next file,
+// and only once that is durable is the file before it removed.
+//
+// So no file is ever renamed over another, and none is shortened but for a torn tail. Whatever of these operations
+// a power loss undoes, the newest file that begins with a valid frame is the log.
+
 const (
-	frameMagic       = "mhw1"
-	frameHeaderBytes = 4 + 4 + 8 + 4 // mark, length, place, checksum
-	logPrefix        = "setup-"
-	logSuffix        = ".log"
-	corruptPrefix    = "aside-"
+	logPrefix     = "setup-" // then the number of the file
+	logSuffix     = ".log"
+	corruptPrefix = "aside-" // before the name of a log file that SetAside moved
 )
 
-// FileLog is a replica's log of records; what Write returned for is synced.
+// errEarlierWriteFailed refuses a write after a failed one: what is on disk is not known.
+var errEarlierWriteFailed = errs.New(errs.DiskFailed, "an earlier write was refused")
+
+// FileLog is the write-ahead log of a replica in a data folder. It is not safe for concurrent use; the disk writer
+// owns it.
 type FileLog struct {
 	fileSystem  fileSystem
-	fileNumber  uint64 // of the log's file
-	file        logFile
-	frameNumber uint64 // of the last frame
-	failed      bool   // a write was refused: what is in the file is not known
+	fileNumber  uint64  // of the newest file
+	file        logFile // nil until the first write to an empty folder
+	frameNumber uint64  // of the last frame in file
+	failed      bool    // a write failed since the last one that replaced the log
 }
 
-// Open reads the log in a folder. A torn end, which no yes was ever given for, is dropped.
-// Rot is refused with DISK_CORRUPT: the folder must then be set aside and refilled.
+// Open opens the log in a data folder, which it creates if need be, and returns its records in the order of
+// writing. A torn tail is cut off: its write never returned, so nothing of it was acknowledged.
+//
+// Its errors have the codes errs.DiskFailed and, where the log is corrupt, errs.DiskCorrupt: the caller then moves
+// the log away by SetAside and has the replica restored from the other members.
 func Open(folder string) (*FileLog, []*schema.Record, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, nil, errs.Wrap(err, errs.DiskFailed, "folder")
@@ -37,15 +49,16 @@
 	return openLog(osFileSystem(folder))
 }
 
+// openLog reads the newest log file that begins with a valid frame, and removes all others.
 func openLog(files fileSystem) (*FileLog, []*schema.Record, error) {
 	numbers, err := logNumbers(files)
 	if err != nil {
 		return nil, nil, err
 	}
-	disk := &FileLog{fileSystem: files}
+	log := &FileLog{fileSystem: files}
 	var records []*schema.Record
 	for _, number := range numbers {
-		disk.fileNumber = max(disk.fileNumber, number)
+		log.fileNumber = max(log.fileNumber, number)
 		data, err := files.read(logName(number))
 		if err != nil {
 			return nil, nil, errs.Wrap(err, errs.DiskFailed, logName(number))
@@ -54,103 +67,104 @@
 		if corrupt {
 			return nil, nil, errs.New(errs.DiskCorrupt, logName(number))
 		}
-		// A file that does not begin well was never synced: the one before it stands.
+		// A file without a valid first frame never became durable, so the one before it was not removed.
 		if len(groups) == 0 {
 			continue
 		}
 		for _, group := range groups {
 			records = append(records, group.Records...)
 		}
-		if err := disk.resume(number, uint64(len(groups)), validSize, len(data)); err != nil {
+		if err := log.resume(number, uint64(len(groups)), validSize, len(data)); err != nil {
 			return nil, nil, err
 		}
 		break
 	}
-	return disk, records, disk.removeOthers(disk.fileNumber, disk.file != nil)
+	return log, records, log.removeOthers(log.fileNumber, log.file != nil)
 }
 
-// resume opens a log for more, without its torn end.
-func (d *FileLog) resume(number, frameNumber uint64, validSize, size int) error {
-	opened, err := d.fileSystem.open(logName(number))
+// resume opens a log file for appending and cuts off its torn tail. Sizes are in bytes.
+func (l *FileLog) resume(number, frameNumber uint64, validSize, size int) error {
+	opened, err := l.fileSystem.open(logName(number))
 	if err != nil {
 		return errs.Wrap(err, errs.DiskFailed, logName(number))
 	}
 	if validSize < size {
 		err = opened.truncate(int64(validSize))
 	}
-	// What was read may not have been synced by whoever wrote it.
+	// The process that wrote the last frame may have ended before it was synced: it was read from the page cache.
 	if err == nil {
 		err = opened.sync()
 	}
 	if err != nil {
-		opened.close()
+		_ = opened.close() // the earlier error is the one to report
 		return errs.Wrap(err, errs.DiskFailed, logName(number))
 	}
-	d.file, d.fileNumber, d.frameNumber = opened, number, frameNumber
+	l.file, l.fileNumber, l.frameNumber = opened, number, frameNumber
 	return nil
 }
 
-// Write appends records and syncs them, all at once or none. Whole means that the last is the
-// whole state: with it a new file begins, and what was before goes.
+// Write appends records and returns once they are durable, all or none of them. With replacesLog the last record is
+// complete by itself: it begins a new file, and everything before it is removed.
 //
-// After an error it is not known what is on the disk, so that nothing may follow it: only a whole
-// state is taken from then on.
-func (d *FileLog) Write(records []*schema.Record, replacesLog bool) error {
+// After an error (errs.DiskFailed) it is not known what is on disk, so Write fails until one with replacesLog
+// succeeds.
+func (l *FileLog) Write(records []*schema.Record, replacesLog bool) error {
 	if replacesLog {
-		return d.beginFile(records[len(records)-1])
+		return l.beginFile(records[len(records)-1])
 	}
-	if d.failed {
-		return errs.New(errs.DiskFailed, "an earlier write was refused")
+	if l.failed {
+		return errEarlierWriteFailed
 	}
-	if d.file == nil {
-		return d.beginFile(records...)
+	if l.file == nil {
+		return l.beginFile(records...)
 	}
-	err := d.writeFrame(records)
-	d.failed = err != nil
+	err := l.writeFrame(records)
+	l.failed = err != nil
 	return err
 }
 
-// writeFrame writes one frame and syncs it.
-func (d *FileLog) writeFrame(records []*schema.Record) error {
-	data, err := encodeFrame(records, d.frameNumber+1)
+// writeFrame appends one frame and syncs the file.
+func (l *FileLog) writeFrame(records []*schema.Record) error {
+	data, err := encodeFrame(records, l.frameNumber+1)
 	if err != nil {
 		return err
 	}
-	if err = d.file.write(data); err == nil {
-		err = d.file.sync()
+	if err = l.file.write(data); err == nil {
+		err = l.file.sync()
 	}
 	if err != nil {
 		return errs.Wrap(err, errs.DiskFailed, "write")
 	}
-	d.frameNumber++
+	l.frameNumber++
 	return nil
 }
 
-// beginFile lets the next file be the log.
-func (d *FileLog) beginFile(records ...*schema.Record) error {
-	if d.file != nil {
-		d.file.close()
-	}
-	d.file, d.failed = nil, true
-	d.fileNumber++
-	created, err := d.fileSystem.create(logName(d.fileNumber))
+// beginFile makes a new file, with these records as its first frame, the log.
+func (l *FileLog) beginFile(records ...*schema.Record) error {
+	if l.file != nil {
+		_ = l.file.close() // nothing more is written to it, and the new file replaces what is in it
+	}
+	l.file, l.failed = nil, true
+	l.fileNumber++
+	created, err := l.fileSystem.create(logName(l.fileNumber))
 	if err != nil {
-		return errs.Wrap(err, errs.DiskFailed, logName(d.fileNumber))
+		return errs.Wrap(err, errs.DiskFailed, logName(l.fileNumber))
 	}
-	d.file, d.frameNumber = created, 0
-	if err := d.writeFrame(records); err != nil {
+	l.file, l.frameNumber = created, 0
+	if err := l.writeFrame(records); err != nil {
 		return err
 	}
-	if err := d.removeOthers(d.fileNumber, true); err != nil {
+	if err := l.removeOthers(l.fileNumber, true); err != nil {
 		return err
 	}
-	d.failed = false
+	l.failed = false
 	return nil
 }
 
-// removeOthers lets the other logs go, for good.
-func (d *FileLog) removeOthers(number uint64, keepNumber bool) error {
-	numbers, err := logNumbers(d.fileSystem)
+// removeOthers removes the log files but for one number, that one too unless keepNumber, and makes the removals
+// durable. The new file's entry in the folder becomes durable with them.
+func (l *FileLog) removeOthers(number uint64, keepNumber bool) error {
+	numbers, err := logNumbers(l.fileSystem)
 	if err != nil {
 		return err
 	}
@@ -159,7 +173,7 @@
 		if keepNumber && other == number {
 			continue
 		}
-		if err := d.fileSystem.remove(logName(other)); err != nil {
+		if err := l.fileSystem.remove(logName(other)); err != nil {
 			return errs.Wrap(err, errs.DiskFailed, logName(other))
 		}
 		removed = true
@@ -167,19 +181,19 @@
 	if !removed {
 		return nil
 	}
-	return errs.Wrap(d.fileSystem.syncDirectory(), errs.DiskFailed, "folder")
+	return errs.Wrap(l.fileSystem.syncDirectory(), errs.DiskFailed, "folder")
 }
 
-// Close lets go of the file.
-func (d *FileLog) Close() error {
-	if d.file == nil {
+// Close closes the log file. Everything that Write returned for is durable already.
+func (l *FileLog) Close() error {
+	if l.file == nil {
 		return nil
 	}
-	return errs.Wrap(d.file.close(), errs.DiskFailed, "close")
+	return errs.Wrap(l.file.close(), errs.DiskFailed, "close")
 }
 
-// SetAside moves corrupt logs out of the way, kept for whoever wants to look at them; of earlier
-// ones none is kept.
+// SetAside renames the log files of a data folder, so that the folder counts as empty and the corrupt log can be
+// examined. Files that were set aside earlier are removed. Its errors have the code errs.DiskFailed.
 func SetAside(folder string) error {
 	files := osFileSystem(folder)
 	names, err := files.list()
@@ -205,9 +219,10 @@
 	return errs.Wrap(files.syncDirectory(), errs.DiskFailed, "folder")
 }
 
+// logName is the name of a log file.
 func logName(number uint64) string { return fmt.Sprintf("%s%012d%s", logPrefix, number, logSuffix) }
 
-// logNumbers lists the numbers of a drive's logs, newest first.
+// logNumbers lists the numbers of the log files in a folder, newest first.
 func logNumbers(files fileSystem) ([]uint64, error) {
 	names, err := files.list()
 	if err != nil {
--- a/internal/store/wal_fs.go
+++ b/internal/store/wal_fs.go
@@ -6,28 +6,31 @@
 	"path/filepath"
 )
 
-// fileSystem is a folder of files as a log needs it, so that a test can lose its power.
+// fileSystem is a folder of files, as the log uses it. Tests substitute one that loses power or refuses writes.
 type fileSystem interface {
 	list() ([]string, error)
 	read(name string) ([]byte, error)
-	// create begins an empty file, in place of one that may be there.
+	// create opens an empty file for appending, in place of one that may exist.
 	create(name string) (logFile, error)
+	// open opens an existing file for appending.
 	open(name string) (logFile, error)
 	remove(name string) error
 	rename(from, to string) error
-	// syncDirectory lets removals and renames last.
+	// syncDirectory makes creations, removals and renames durable.
 	syncDirectory() error
 }
 
-// logFile is written at its end.
+// logFile is a file open for appending.
 type logFile interface {
+	// write appends data, which becomes durable by sync.
 	write(data []byte) error
+	// truncate cuts the file to a size in bytes and goes on appending there.
 	truncate(size int64) error
 	sync() error
 	close() error
 }
 
-// osFileSystem is a folder of the machine's own files.
+// osFileSystem is a folder of the operating system, by its path.
 type osFileSystem string
 
 func (f osFileSystem) path(name string) string { return filepath.Join(string(f), name) }
@@ -44,16 +47,23 @@
 func (f osFileSystem) read(name string) ([]byte, error) { return os.ReadFile(f.path(name)) }
 
 func (f osFileSystem) create(name string) (logFile, error) {
-	opened, err := os.OpenFile(f.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
-	return osFile{opened}, err
+	created, err := os.OpenFile(f.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o640)
+	if err != nil {
+		return nil, err
+	}
+	return osFile{created}, nil
 }
 
 func (f osFileSystem) open(name string) (logFile, error) {
 	opened, err := os.OpenFile(f.path(name), os.O_WRONLY, 0)
-	if err == nil {
-		_, err = opened.Seek(0, io.SeekEnd)
+	if err != nil {
+		return nil, err
 	}
-	return osFile{opened}, err
+	if _, err := opened.Seek(0, io.SeekEnd); err != nil {
+		_ = opened.Close() // the earlier error is the one to report
+		return nil, err
+	}
+	return osFile{opened}, nil
 }
 
 func (f osFileSystem) remove(name string) error { return os.Remove(f.path(name)) }
@@ -61,29 +71,31 @@
 func (f osFileSystem) rename(from, to string) error { return os.Rename(f.path(from), f.path(to)) }
 
 func (f osFileSystem) syncDirectory() error {
-	handle, err := os.Open(string(f))
+	directory, err := os.Open(string(f))
 	if err != nil {
 		return err
 	}
-	defer handle.Close()
-	return handle.Sync()
+	err = directory.Sync()
+	_ = directory.Close() // opened for reading: closing it writes nothing
+	return err
 }
 
-type osFile struct{ *os.File }
+// osFile is a file of the operating system.
+type osFile struct{ file *os.File }
 
-func (p osFile) write(data []byte) error {
-	_, err := p.File.Write(data)
+func (f osFile) write(data []byte) error {
+	_, err := f.file.Write(data)
 	return err
 }
 
-func (p osFile) truncate(size int64) error {
-	if err := p.File.Truncate(size); err != nil {
+func (f osFile) truncate(size int64) error {
+	if err := f.file.Truncate(size); err != nil {
 		return err
 	}
-	_, err := p.File.Seek(size, io.SeekStart)
+	_, err := f.file.Seek(size, io.SeekStart)
 	return err
 }
 
-func (p osFile) sync() error { return p.File.Sync() }
+func (f osFile) sync() error { return f.file.Sync() }
 
-func (p osFile) close() error { return p.File.Close() }
+func (f osFile) close() error { return f.file.Close() }
