--- a/internal/store/disk_failure_test.go
+++ b/internal/store/disk_failure_test.go
@@ -8,22 +8,22 @@
 // A replica whose disk refuses gives leadership away, says yes to nothing, and takes part again once
 // its disk has taken the whole state.
 func TestRefusingDisk(t *testing.T) {
-	w := newCore(1)
-	w.stalled = "a" // its disk takes nothing
-	w.propose("a", "one", "one")
-	w.act("a", w.replicas["a"].DiskFailed(w.now))
-	w.advance(time.Second)
-	if now := w.replicas["c"].Status().Leader; now != "b" {
+	c := newFoundedCore(1)
+	c.stalled = "a" // its disk takes nothing
+	c.propose("a", "one", "one")
+	c.act("a", c.replicas["a"].DiskFailed(c.now))
+	c.advance(time.Second)
+	if now := c.replicas["c"].Status().Leader; now != "b" {
 		t.Errorf("%q holds leadership though the disk of a refuses", now)
 	}
-	w.expectAccepted(t, "b", "two")
-	w.stalled, w.stalledWrites = "", nil
-	w.act("a", w.replicas["a"].RewriteSnapshot(w.now))
-	w.advance(3 * time.Second)
-	w.down["b"] = true
-	w.advance(4 * time.Second)
-	w.expectAccepted(t, "a", "three")
-	if _, state := w.replicas["a"].Committed(); state["segment/two"] == nil {
+	c.expectAccepted(t, "b", "two")
+	c.stalled, c.stalledWrites = "", nil
+	c.act("a", c.replicas["a"].RewriteSnapshot(c.now))
+	c.advance(3 * time.Second)
+	c.down["b"] = true
+	c.advance(4 * time.Second)
+	c.expectAccepted(t, "a", "three")
+	if _, state := c.replicas["a"].Committed(); state["segment/two"] == nil {
 		t.Error("what was acknowledged meanwhile is missing")
 	}
 }
--- a/internal/store/durability_test.go
+++ b/internal/store/durability_test.go
@@ -25,7 +25,7 @@
 // A vote, the beginning of an epoch and entries are told of only once they are on disk.
 func TestNothingIsSentBeforeItIsDurable(t *testing.T) {
 	founders := []string{"a", "b", "c"}
-	cfg := trioConfig("b")
+	cfg := testConfig("b")
 	cfg.StaticMembers, cfg.Seeds, cfg.Founders = nil, founders, founders
 	replica := NewReplica(cfg, 0, []*schema.Record{InitialRecord(cfg, 2)})
 	now := time.Second
@@ -36,9 +36,9 @@
 	entry := &schema.Entry{Version: &schema.Version{Term: 3, Sequence: 1}, ChangeId: "one",
 		Outcome: &schema.ChangeOutcome{ChangeId: "one", Version: &schema.Version{Term: 3, Sequence: 1}, Ruling: schema.Ruling_RULING_ACCEPTED}}
 	for _, step := range []struct {
-		name    string
-		message *schema.ReplicaMessage
-		says    func(*schema.ReplicaMessage) bool
+		name       string
+		message    *schema.ReplicaMessage
+		isExpected func(*schema.ReplicaMessage) bool
 	}{
 		{"a vote", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Term: 3, Membership: &schema.Version{}}}},
 			func(message *schema.ReplicaMessage) bool { return message.GetVote().GetTerm() == 3 }},
@@ -52,7 +52,7 @@
 			t.Fatalf("%s: %v was told with %d records not yet on disk", step.name, messages, len(writeIDs))
 		}
 		messages, _ = nonHeartbeatMessages(replica.Persisted(now, writeIDs[0]))
-		if len(messages) != 1 || !step.says(messages[0]) {
+		if len(messages) != 1 || !step.isExpected(messages[0]) {
 			t.Fatalf("%s: once it is on disk, %v is told", step.name, messages)
 		}
 	}
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -12,8 +12,8 @@
 	"meadowhinge/schema"
 )
 
-// trio is three members on one clock, with links that lose nothing and disks that take no time.
-type trio struct {
+// testCore is three members on one clock, with links that lose nothing and disks that take no time.
+type testCore struct {
 	now           time.Duration
 	replicas      map[string]*Replica
 	down          map[string]bool
@@ -26,60 +26,60 @@
 	snapshotsSent int // messages with a whole state in them
 }
 
-var trioMembers = []string{"a", "b", "c"}
+var founderNames = []string{"a", "b", "c"}
 
-func trioConfig(name string) Config {
-	return Config{Name: name, StaticMembers: trioMembers, Address: name, HeartbeatTimeout: 1500 * time.Millisecond, StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
+func testConfig(name string) Config {
+	return Config{Name: name, StaticMembers: founderNames, Address: name, HeartbeatTimeout: 1500 * time.Millisecond, StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
 }
 
-func newTrio() *trio {
-	trioCore := &trio{replicas: map[string]*Replica{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}, order: trioMembers, disks: map[string][]*schema.Record{}}
-	for i, name := range trioMembers {
-		trioCore.replicas[name] = NewReplica(trioConfig(name), uint64(i+1), nil)
+func newStaticCore() *testCore {
+	core := &testCore{replicas: map[string]*Replica{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}, order: founderNames, disks: map[string][]*schema.Record{}}
+	for i, name := range founderNames {
+		core.replicas[name] = NewReplica(testConfig(name), uint64(i+1), nil)
 	}
-	return trioCore
+	return core
 }
 
-func (w *trio) act(from string, actions []Action) {
+func (c *testCore) act(from string, actions []Action) {
 	for _, action := range actions {
 		switch typed := action.(type) {
 		case Send:
-			w.bytesSent += proto.Size(typed.Message)
+			c.bytesSent += proto.Size(typed.Message)
 			if typed.Message.GetBeginTerm().GetSnapshot() != nil || typed.Message.GetVote().GetSnapshot() != nil {
-				w.snapshotsSent++
+				c.snapshotsSent++
 			}
-			if to := typed.Message.To; w.replicas[to] != nil && !w.down[to] && !w.down[from] {
-				w.act(to, w.replicas[to].Step(w.now, proto.Clone(typed.Message).(*schema.ReplicaMessage)))
+			if to := typed.Message.To; c.replicas[to] != nil && !c.down[to] && !c.down[from] {
+				c.act(to, c.replicas[to].Step(c.now, proto.Clone(typed.Message).(*schema.ReplicaMessage)))
 			}
 		case Persist:
-			if from == w.stalled {
-				w.stalledWrites = append(w.stalledWrites, typed)
+			if from == c.stalled {
+				c.stalledWrites = append(c.stalledWrites, typed)
 			} else {
 				if typed.ReplacesLog {
-					w.disks[from] = nil
+					c.disks[from] = nil
 				}
-				w.disks[from] = append(w.disks[from], typed.Record)
-				w.act(from, w.replicas[from].Persisted(w.now, typed.WriteID))
+				c.disks[from] = append(c.disks[from], typed.Record)
+				c.act(from, c.replicas[from].Persisted(c.now, typed.WriteID))
 			}
 		case Reply:
-			w.replies[typed.Result.Ticket] = typed.Result
+			c.replies[typed.Result.Ticket] = typed.Result
 		}
 	}
 }
 
 // advance lets time go by, each replica ticking as often as its daemon lets it.
-func (w *trio) advance(span time.Duration) {
-	for end := w.now + span; w.now < end; w.now += 75 * time.Millisecond {
-		for _, name := range w.order {
-			if !w.down[name] {
-				w.act(name, w.replicas[name].Tick(w.now))
+func (c *testCore) advance(span time.Duration) {
+	for end := c.now + span; c.now < end; c.now += 75 * time.Millisecond {
+		for _, name := range c.order {
+			if !c.down[name] {
+				c.act(name, c.replicas[name].Tick(c.now))
 			}
 		}
 	}
 }
 
-func (w *trio) propose(at, ticket, id string) {
-	w.act(at, w.replicas[at].Propose(w.now, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id,
+func (c *testCore) propose(at, ticket, id string) {
+	c.act(at, c.replicas[at].Propose(c.now, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id,
 		Items: []*schema.Item{{Kind: "segment", Name: id, Body: []byte(`{"salt":""}`)}}}}))
 }
 
@@ -87,57 +87,57 @@
 var lastIncarnation uint64 = 100
 
 // start starts a replica that is found by its name, with the disk that it had or an empty one.
-func (w *trio) start(name string, founding bool, losses int) {
-	cfg := trioConfig(name)
-	cfg.StaticMembers, cfg.Seeds, cfg.ToleratedLosses = nil, trioMembers, losses
-	if founding && slices.Contains(trioMembers, name) {
-		cfg.Founders = trioMembers
+func (c *testCore) start(name string, founding bool, losses int) {
+	cfg := testConfig(name)
+	cfg.StaticMembers, cfg.Seeds, cfg.ToleratedLosses = nil, founderNames, losses
+	if founding && slices.Contains(founderNames, name) {
+		cfg.Founders = founderNames
 	}
 	cfg.ExpandsMembership = founding && cfg.Founders == nil
-	if len(w.disks[name]) == 0 {
+	if len(c.disks[name]) == 0 {
 		lastIncarnation++
-		w.disks[name] = []*schema.Record{InitialRecord(cfg, lastIncarnation)}
+		c.disks[name] = []*schema.Record{InitialRecord(cfg, lastIncarnation)}
 	}
-	w.replicas[name] = NewReplica(cfg, 0, w.disks[name])
-	w.down[name] = false
-	if !slices.Contains(w.order, name) {
-		w.order = append(slices.Clone(w.order), name)
+	c.replicas[name] = NewReplica(cfg, 0, c.disks[name])
+	c.down[name] = false
+	if !slices.Contains(c.order, name) {
+		c.order = append(slices.Clone(c.order), name)
 	}
 }
 
-// newCore is a core founded from three seeds, and of more members that want one.
-func newCore(losses int, more ...string) *trio {
-	w := newTrio()
-	for _, name := range append(slices.Clone(trioMembers), more...) {
-		w.start(name, true, losses)
+// newFoundedCore is a core founded from three seeds, and of more members that want one.
+func newFoundedCore(losses int, more ...string) *testCore {
+	c := newStaticCore()
+	for _, name := range append(slices.Clone(founderNames), more...) {
+		c.start(name, true, losses)
 	}
-	w.advance(5 * time.Second)
-	return w
+	c.advance(5 * time.Second)
+	return c
 }
 
 // memberNames tells the members as one of them knows them, and how many there should be.
-func (w *trio) memberNames(at string) string {
+func (c *testCore) memberNames(at string) string {
 	var names []string
-	status := w.replicas[at].Status()
+	status := c.replicas[at].Status()
 	for _, member := range status.Membership.GetMembers() {
 		names = append(names, member.Id)
 	}
 	return fmt.Sprint(strings.Join(names, " "), " of ", status.Membership.GetTargetSize())
 }
 
-func (w *trio) expectMembers(t *testing.T, want string, names ...string) {
+func (c *testCore) expectMembers(t *testing.T, want string, names ...string) {
 	t.Helper()
 	for _, at := range names {
-		if got := w.memberNames(at); got != want {
+		if got := c.memberNames(at); got != want {
 			t.Errorf("%s takes the members to be %q, want %q", at, got, want)
 		}
 	}
 }
 
-func (w *trio) expectAccepted(t *testing.T, at, id string) {
+func (c *testCore) expectAccepted(t *testing.T, at, id string) {
 	t.Helper()
-	w.propose(at, id, id)
-	if got := w.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
+	c.propose(at, id, id)
+	if got := c.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
 		t.Errorf("%s at %s: %v", id, at, got)
 	}
 }
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -312,11 +312,11 @@
 	m.act(replica, replica.Persisted(m.now-replica.started, done.WriteID))
 }
 
-func (s *modelReplica) storeRecord(write Persist) {
+func (r *modelReplica) storeRecord(write Persist) {
 	if write.ReplacesLog {
-		s.disk = nil
+		r.disk = nil
 	}
-	s.disk = append(s.disk, write.Record)
+	r.disk = append(r.disk, write.Record)
 }
 
 // observe judges what no two members may ever disagree on.
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -230,7 +230,7 @@
 	if !r.leads() || r.durableTerm != r.term {
 		return
 	}
-	durable := r.durableCopies()
+	durable := r.durableSequences()
 	needed := commitQuorum(r.membership, r.config.ToleratedLosses)
 	if r.hasFault(faultFoundersQuorum) {
 		needed = min(needed, faultFounderCount/2+1)
@@ -251,9 +251,9 @@
 	}
 }
 
-// durableCopies lists, for each member that has the term's beginning on disk, the highest sequence that it has
+// durableSequences lists, for each member that has the term's beginning on disk, the highest sequence that it has
 // there; this replica's own comes first. A founder counts only once it is bound to its data folder.
-func (r *Replica) durableCopies() []uint64 {
+func (r *Replica) durableSequences() []uint64 {
 	durable := []uint64{r.durableSequence}
 	for _, member := range r.membership.Members {
 		if peer := r.peers[member.Id]; peer != nil && member.Incarnation != 0 && peer.term == r.term {
--- a/internal/store/tombstones_test.go
+++ b/internal/store/tombstones_test.go
@@ -11,7 +11,7 @@
 
 // Given versions never go down: tombstones that bear one stay until there are too many.
 func TestOperatorVersionTombstones(t *testing.T) {
-	w := newCore(1)
+	c := newFoundedCore(1)
 	serial := 0
 	propose := func(name string, version uint64, deleted bool) {
 		t.Helper()
@@ -21,21 +21,21 @@
 		if !deleted {
 			item.Body = []byte(`{"salt":""}`)
 		}
-		w.act("b", w.replicas["b"].Propose(w.now, &schema.Proposal{Ticket: id, Change: &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}}))
-		if got := w.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
+		c.act("b", c.replicas["b"].Propose(c.now, &schema.Proposal{Ticket: id, Change: &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}}))
+		if got := c.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
 			t.Fatalf("%s: %v", id, got)
 		}
 	}
-	maxTombstones := trioConfig("a").MaxOperatorTombstones
+	maxTombstones := testConfig("a").MaxOperatorTombstones
 	for i := range maxTombstones {
 		propose(fmt.Sprint("s", i), 5, false)
 		propose(fmt.Sprint("s", i), 7, true)
-		w.advance(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 	}
 	for i := range maxTombstones {
 		propose(fmt.Sprint("s", i), 6, false)
 	}
-	_, state := w.replicas["c"].Committed()
+	_, state := c.replicas["c"].Committed()
 	for i := range maxTombstones {
 		if item := state[config.Key("segment", fmt.Sprint("s", i))]; item == nil || !item.Deleted || item.OperatorVersion != 7 {
 			t.Errorf("s%d: %v", i, item)
@@ -43,9 +43,9 @@
 	}
 	for i := range 2 * maxTombstones {
 		propose(fmt.Sprint("more", i), 1, true)
-		w.advance(100 * time.Millisecond)
+		c.advance(100 * time.Millisecond)
 	}
-	_, state = w.replicas["c"].Committed()
+	_, state = c.replicas["c"].Committed()
 	if _, dropped := state.Tombstones(); len(dropped) > maxTombstones+maxTombstones/2 {
 		t.Errorf("%d tombstones are kept", len(dropped))
 	}
--- a/internal/store/wal_test.go
+++ b/internal/store/wal_test.go
@@ -14,14 +14,14 @@
 	"meadowhinge/schema"
 )
 
-func voteRecord(number int) *schema.Record {
-	return &schema.Record{VotedTerm: uint64(number), VotedFor: fmt.Sprint("replica-", number)}
+func voteRecord(term int) *schema.Record {
+	return &schema.Record{VotedTerm: uint64(term), VotedFor: fmt.Sprint("replica-", term)}
 }
 
 // writeUntilPowerLoss opens a drive's log and writes groups of records to it until power is lost. It gives
 // what it read, what was synced for certain beyond that, and the group that was under way.
 func writeUntilPowerLoss(files *faultyFileSystem, from int, snapshots bool) (read, synced, inFlight []*schema.Record, err error) {
-	disk, read, err := openLog(files)
+	log, read, err := openLog(files)
 	if err != nil {
 		return nil, nil, nil, err
 	}
@@ -33,7 +33,7 @@
 			group = group[1:]
 			group[0].Snapshot = &schema.Snapshot{Sequence: group[0].VotedTerm}
 		}
-		if err := disk.Write(group, replacesLog); err != nil {
+		if err := log.Write(group, replacesLog); err != nil {
 			return read, synced, group, nil
 		}
 		if replacesLog {
@@ -52,7 +52,7 @@
 // is read again, in order; what was under way is read whole or not at all; and the log goes on
 // from there, through a second loss.
 func TestPowerLost(t *testing.T) {
-	tried := 0
+	cases := 0
 	for _, snapshots := range []bool{false, true} {
 		for first := 1; ; first++ {
 			files := newFaultyFileSystem()
@@ -79,7 +79,7 @@
 					}
 					for _, secondState := range twice.statesAfterPowerLoss() {
 						_, read, err := openLog(secondState)
-						tried++
+						cases++
 						if !readsExpected(read, before, synced, inFlight) || err != nil {
 							t.Fatalf("wholes %v, stopped at %d and %d: read %v, before %v, synced %v, under way %v: %v", snapshots, first, second, read, before, synced, inFlight, err)
 						}
@@ -94,10 +94,10 @@
 			}
 		}
 	}
-	if tried < 1000 {
-		t.Errorf("only %d ways were tried", tried)
+	if cases < 1000 {
+		t.Errorf("only %d ways were tried", cases)
 	}
-	t.Logf("%d ways", tried)
+	t.Logf("%d ways", cases)
 }
 
 // readsExpected tells whether a log holds what it must: all before and synced, and perhaps what was under way.
@@ -115,18 +115,18 @@
 // A disk that has refused a write takes nothing but the whole state, and then goes on.
 func TestRefusedWrite(t *testing.T) {
 	files := newFaultyFileSystem()
-	disk, _, err := openLog(files)
+	log, _, err := openLog(files)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := &schema.Record{VotedTerm: 1, Snapshot: &schema.Snapshot{}}
-	if err := disk.Write([]*schema.Record{first}, true); err != nil {
+	if err := log.Write([]*schema.Record{first}, true); err != nil {
 		t.Fatal(err)
 	}
 	files.refusesWrites = true
 	refused := func(number int) {
 		t.Helper()
-		if err := disk.Write([]*schema.Record{voteRecord(number)}, false); errs.CodeOf(err) != errs.DiskFailed {
+		if err := log.Write([]*schema.Record{voteRecord(number)}, false); errs.CodeOf(err) != errs.DiskFailed {
 			t.Errorf("%d was written after one that may be missing: %v", number, err)
 		}
 	}
@@ -134,16 +134,16 @@
 	files.refusesWrites = false
 	refused(2)
 	files.refusesWrites = true
-	if err := disk.Write([]*schema.Record{first}, true); errs.CodeOf(err) != errs.DiskFailed {
+	if err := log.Write([]*schema.Record{first}, true); errs.CodeOf(err) != errs.DiskFailed {
 		t.Fatal(err)
 	}
 	files.refusesWrites = false
 	refused(3)
 	snapshot := &schema.Record{VotedTerm: 4, Snapshot: &schema.Snapshot{}}
-	if err := disk.Write([]*schema.Record{snapshot}, true); err != nil {
+	if err := log.Write([]*schema.Record{snapshot}, true); err != nil {
 		t.Fatal(err)
 	}
-	if err := disk.Write([]*schema.Record{voteRecord(5)}, false); err != nil {
+	if err := log.Write([]*schema.Record{voteRecord(5)}, false); err != nil {
 		t.Fatal(err)
 	}
 	for _, state := range files.statesAfterPowerLoss() {
@@ -182,17 +182,17 @@
 func filledLog(t *testing.T, count int) (folder string, written []*schema.Record) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "data")
-	disk, _, err := Open(folder)
+	log, _, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range count {
 		written = append(written, voteRecord(i+1))
-		if err := disk.Write(written[i:i+1], false); err != nil {
+		if err := log.Write(written[i:i+1], false); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := disk.Close(); err != nil {
+	if err := log.Close(); err != nil {
 		t.Fatal(err)
 	}
 	return folder, written
@@ -200,16 +200,16 @@
 
 func expectRecords(t *testing.T, folder string, want []*schema.Record) {
 	t.Helper()
-	disk, records, err := Open(folder)
+	log, records, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer disk.Close()
+	defer log.Close()
 	if !equalRecords(want, records) {
 		t.Errorf("read %v, want %v", records, want)
 	}
 	// What follows a repair must be writable and readable again.
-	if err := disk.Write([]*schema.Record{voteRecord(99)}, false); err != nil {
+	if err := log.Write([]*schema.Record{voteRecord(99)}, false); err != nil {
 		t.Error(err)
 	}
 }
@@ -254,15 +254,15 @@
 // A whole record lets everything before it go.
 func TestSnapshotRecordTruncates(t *testing.T) {
 	folder, _ := filledLog(t, 3)
-	disk, _, err := Open(folder)
+	log, _, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	snapshot := &schema.Record{Snapshot: &schema.Snapshot{Term: 4, Sequence: 7}}
-	if err := disk.Write([]*schema.Record{snapshot}, true); err != nil {
+	if err := log.Write([]*schema.Record{snapshot}, true); err != nil {
 		t.Fatal(err)
 	}
-	disk.Close()
+	log.Close()
 	if names, _ := osFileSystem(folder).list(); len(names) != 1 {
 		t.Errorf("left: %v", names)
 	}
