--- a/internal/store/catch_up_test.go
+++ b/internal/store/catch_up_test.go
@@ -8,16 +8,16 @@
 	"meadowhinge/schema"
 )
 
-// Two thousand changes in a row, and how they are spread.
+// The load of TestCatchingUpUnderManyChanges.
 const (
 	manyChanges  = 2000
 	changeEvery  = 8 * time.Millisecond
-	goneInChange = 150 // changes between two losses
+	goneInChange = 150 // half the number of changes between two losses
 )
 
-// While changes go on by the thousand, a replica is in turn wiped, off for long and replaced. Each
-// time it has, within the time to catch up, all that was committed as it came back, by a snapshot
-// and the entries after it; and it does not lead before.
+// While thousands of changes go on, members in turn lose their disks, are down for long and are replaced. Within the
+// time to catch up after its return each has, by a snapshot and the entries after it, nearly all that is committed; and
+// the model's checks hold.
 func TestCatchingUpUnderManyChanges(t *testing.T) {
 	m := newModel(3, 1, nil)
 	for i := range manyChanges {
@@ -33,9 +33,16 @@
 		m.at(time.Duration(i)*changeEvery, nil, ordinaryEvent, func() {
 			standing := m.standing()
 			lost := standing[losses%len(standing)]
-			fault := []func(){func() { wipeMember(m, lost) }, func() { m.powerLoss(lost, 0); m.restartAfter(lost, goneInChange/2*changeEvery) }, func() { replaceMember(m, lost) }}[losses%3]
+			switch losses % 3 {
+			case 0:
+				wipeMember(m, lost)
+			case 1:
+				m.powerLoss(lost, 0)
+				m.restartAfter(lost, goneInChange/2*changeEvery)
+			case 2:
+				replaceMember(m, lost)
+			}
 			losses++
-			fault()
 			m.at(goneInChange/2*changeEvery+modelCatchUp, nil, ordinaryEvent, func() { m.mustHaveCaughtUp(t, i) })
 		})
 	}
@@ -45,20 +52,21 @@
 	}
 	committed, _ := m.standing()[0].Committed()
 	if committed < manyChanges || losses < 6 {
-		t.Errorf("only %d were committed, with %d losses", committed, losses)
+		t.Errorf("only %d entries were committed, with %d losses", committed, losses)
 	}
 	t.Logf("%d entries committed, %d losses", committed, losses)
 }
 
-// mustHaveCaughtUp looks whether every replica is a member and close behind the others.
+// mustHaveCaughtUp checks that every replica is a member and at most MaxEntries behind the others.
 func (m *model) mustHaveCaughtUp(t *testing.T, change int) {
+	t.Helper()
 	var highest uint64
 	for _, replica := range m.standing() {
 		highest = max(highest, replica.committedSequence)
 	}
 	for _, replica := range m.standing() {
 		if !replica.up || !replica.isMember() || replica.committedSequence+uint64(replica.config.MaxEntries) < highest {
-			t.Errorf("at change %d: %s, up %t, member %t, is at %d of %d", change, replica.name, replica.up, replica.Replica.isMember(), replica.committedSequence, highest)
+			t.Errorf("at change %d: %s, up %t, member %t, is at %d of %d", change, replica.name, replica.up, replica.isMember(), replica.committedSequence, highest)
 		}
 	}
 }
--- a/internal/store/decide_test.go
+++ b/internal/store/decide_test.go
@@ -7,7 +7,7 @@
 	"meadowhinge/schema"
 )
 
-// Each ruling on a change, against one state.
+// Each ruling on a change by expected sequences, against one state.
 func TestDecide(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
 	state := config.State{}.With([]*schema.Item{
@@ -25,28 +25,30 @@
 		change *schema.Change
 		want   schema.Ruling
 	}{
-		"a new item":                       {&schema.Change{Items: []*schema.Item{item("segment", "s", `{"salt":""}`)}}, schema.Ruling_RULING_ACCEPTED},
-		"an item again that was removed":   {&schema.Change{Items: []*schema.Item{item("segment", "old", `{"salt":""}`)}}, schema.Ruling_RULING_ACCEPTED},
-		"an item that stands, as if new":   {&schema.Change{Items: []*schema.Item{item("service", "shop", `{}`)}}, schema.Ruling_RULING_CONFLICT},
-		"an item by an older version":      {&schema.Change{Items: []*schema.Item{item("service", "shop", `{}`)}, Expected: []*schema.ExpectedVersion{expect("service", "shop", 9)}}, schema.Ruling_RULING_CONFLICT},
-		"one that the rest does not allow": {&schema.Change{Items: []*schema.Item{item("segment", "s", `{"salt":""}`), item("route", "x", `{"service":"gone","prefix":"/","horizon":"1s"}`)}}, schema.Ruling_RULING_INVALID},
-		"a removal that is needed":         {&schema.Change{Items: []*schema.Item{item("service", "shop", ""), item("route", "x", `{"service":"shop","prefix":"/","horizon":"1s"}`)}, Expected: []*schema.ExpectedVersion{expect("service", "shop", 1)}}, schema.Ruling_RULING_INVALID},
-		"a kind that does not exist":       {&schema.Change{Items: []*schema.Item{item("thing", "x", `{}`)}}, schema.Ruling_RULING_INVALID},
-		"a duty under a passed epoch":      {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":4}`)}, Expected: []*schema.ExpectedVersion{expect("progress", "r", 2)}}, schema.Ruling_RULING_STALE},
-		"a duty under its own epoch":       {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":5}`)}, Expected: []*schema.ExpectedVersion{expect("progress", "r", 2)}}, schema.Ruling_RULING_ACCEPTED},
+		"a new item":                   {&schema.Change{Items: []*schema.Item{item("segment", "s", `{"salt":""}`)}}, schema.Ruling_RULING_ACCEPTED},
+		"a removed item anew":          {&schema.Change{Items: []*schema.Item{item("segment", "old", `{"salt":""}`)}}, schema.Ruling_RULING_ACCEPTED},
+		"an existing item, as if new":  {&schema.Change{Items: []*schema.Item{item("service", "shop", `{}`)}}, schema.Ruling_RULING_CONFLICT},
+		"an item by an older version":  {&schema.Change{Items: []*schema.Item{item("service", "shop", `{}`)}, Expected: []*schema.ExpectedVersion{expect("service", "shop", 9)}}, schema.Ruling_RULING_CONFLICT},
+		"one that the others rule out": {&schema.Change{Items: []*schema.Item{item("segment", "s", `{"salt":""}`), item("route", "x", `{"service":"gone","prefix":"/","horizon":"1s"}`)}}, schema.Ruling_RULING_INVALID},
+		"a removal that is needed":     {&schema.Change{Items: []*schema.Item{item("service", "shop", ""), item("route", "x", `{"service":"shop","prefix":"/","horizon":"1s"}`)}, Expected: []*schema.ExpectedVersion{expect("service", "shop", 1)}}, schema.Ruling_RULING_INVALID},
+		"a kind that does not exist":   {&schema.Change{Items: []*schema.Item{item("thing", "x", `{}`)}}, schema.Ruling_RULING_INVALID},
+		"a controller of a past term":  {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":4}`)}, Expected: []*schema.ExpectedVersion{expect("progress", "r", 2)}}, schema.Ruling_RULING_STALE},
+		"the controller of this term":  {&schema.Change{Items: []*schema.Item{item("progress", "r", `{"duty":5}`)}, Expected: []*schema.ExpectedVersion{expect("progress", "r", 2)}}, schema.Ruling_RULING_ACCEPTED},
 	} {
-		entry, _ := Decide(state, nil, test.change, at(10))
-		if entry.Outcome.Ruling != test.want {
-			t.Errorf("%s: %v, want %v (%v)", name, entry.Outcome.Ruling, test.want, entry.Outcome.Faults)
-		}
-		// Whole or nothing: a refusal carries no item.
-		if (len(entry.Items) > 0) != (test.want == schema.Ruling_RULING_ACCEPTED) {
-			t.Errorf("%s: ruled %v with %d items", name, test.want, len(entry.Items))
-		}
+		t.Run(name, func(t *testing.T) {
+			entry, _ := Decide(state, nil, test.change, at(10))
+			if entry.Outcome.Ruling != test.want {
+				t.Errorf("%v, want %v (%v)", entry.Outcome.Ruling, test.want, entry.Outcome.Faults)
+			}
+			// All or nothing: a refusal carries no item.
+			if (len(entry.Items) > 0) != (test.want == schema.Ruling_RULING_ACCEPTED) {
+				t.Errorf("ruled %v with %d items", test.want, len(entry.Items))
+			}
+		})
 	}
 }
 
-// Which items of a change by given versions are taken, against one state.
+// The ruling on a change by operator versions, and the items that it writes, against one state.
 func TestDecideByOperatorVersion(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
 	item := func(name string, version uint64, body string) *schema.Item {
@@ -62,7 +64,7 @@
 	for name, test := range map[string]struct {
 		items   []*schema.Item
 		want    schema.Ruling
-		written map[string]uint64 // given version by name
+		written map[string]uint64 // operator version by name
 	}{
 		"higher":                            {[]*schema.Item{item("stands", 8, body)}, schema.Ruling_RULING_ACCEPTED, map[string]uint64{"stands": 8}},
 		"equal, the same":                   {[]*schema.Item{item("stands", 7, `{"salt":""}`)}, schema.Ruling_RULING_ACCEPTED, nil},
@@ -87,27 +89,29 @@
 		"one newer that is invalid":         {[]*schema.Item{item("stands", 9, body), route("r", 9)}, schema.Ruling_RULING_INVALID, nil},
 		"one newer beside a broken kind":    {[]*schema.Item{item("stands", 9, body), {Kind: "thing", Name: "x", OperatorVersion: 9}}, schema.Ruling_RULING_INVALID, nil},
 	} {
-		entry, _ := Decide(state, nil, &schema.Change{Items: test.items, ByOperatorVersion: true}, at(10))
-		if entry.Outcome.Ruling != test.want || len(entry.Items) != len(test.written) {
-			t.Errorf("%s: %v with %d items (%v)", name, entry.Outcome.Ruling, len(entry.Items), entry.Outcome.Faults)
-		}
-		if test.want == schema.Ruling_RULING_CONFLICT && len(entry.Outcome.Current) == 0 {
-			t.Errorf("%s: the refusal names no item", name)
-		}
-		for _, written := range entry.Items {
-			if written.OperatorVersion != test.written[written.Name] {
-				t.Errorf("%s: %s is taken under %d", name, written.Name, written.OperatorVersion)
+		t.Run(name, func(t *testing.T) {
+			entry, _ := Decide(state, nil, &schema.Change{Items: test.items, ByOperatorVersion: true}, at(10))
+			if entry.Outcome.Ruling != test.want || len(entry.Items) != len(test.written) {
+				t.Errorf("%v with %d items (%v)", entry.Outcome.Ruling, len(entry.Items), entry.Outcome.Faults)
+			}
+			if test.want == schema.Ruling_RULING_CONFLICT && len(entry.Outcome.Current) == 0 {
+				t.Error("the refusal names no item")
 			}
-		}
+			for _, written := range entry.Items {
+				if written.OperatorVersion != test.written[written.Name] {
+					t.Errorf("%s is written under %d", written.Name, written.OperatorVersion)
+				}
+			}
+		})
 	}
-	// Whoever writes without a given version leaves the one that stands.
+	// A write without an operator version leaves the stored one.
 	entry, _ := Decide(state, nil, &schema.Change{Items: []*schema.Item{item("stands", 0, body)}, Expected: []*schema.ExpectedVersion{{Kind: "segment", Name: "stands", Sequence: 1}}}, at(10))
 	if len(entry.Items) != 1 || entry.Items[0].OperatorVersion != 7 {
 		t.Errorf("written without a version: %v", entry)
 	}
 }
 
-// What the operator said counts, also where the product makes no use of it.
+// Under one operator version, the content is what the operator wrote, including fields that the mesh does not use.
 func TestContentIsWhatTheOperatorWrote(t *testing.T) {
 	service := func(source string) *schema.Item {
 		return &schema.Item{Kind: "service", Name: "shop", OperatorVersion: 7, Body: []byte(`{}`), OperatorBody: []byte(source)}
@@ -120,9 +124,12 @@
 		`{"MaxConns":21,"Name":"shop"}`:  schema.Ruling_RULING_CONFLICT,
 		`{"Name":"shop"}`:                schema.Ruling_RULING_CONFLICT,
 	} {
-		entry, _ := Decide(state, nil, &schema.Change{Items: []*schema.Item{service(source)}, ByOperatorVersion: true}, &schema.Version{Term: 1, Sequence: 9})
-		if entry.Outcome.Ruling != want || len(entry.Items) > 0 {
-			t.Errorf("%s: %v", source, entry.Outcome)
-		}
+		t.Run(source, func(t *testing.T) {
+			change := &schema.Change{Items: []*schema.Item{service(source)}, ByOperatorVersion: true}
+			entry, _ := Decide(state, nil, change, &schema.Version{Term: 1, Sequence: 9})
+			if entry.Outcome.Ruling != want || len(entry.Items) > 0 {
+				t.Errorf("%v", entry.Outcome)
+			}
+		})
 	}
 }
--- a/internal/store/disk_failure_test.go
+++ b/internal/store/disk_failure_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// A replica whose disk refuses gives leadership away, says yes to nothing, and takes part again once
-// its disk has taken the whole state.
+// A replica whose disk fails gives up leadership, acknowledges nothing, and takes part again once a complete snapshot is
+// on its disk.
 func TestRefusingDisk(t *testing.T) {
 	c := newFoundedCore(1)
-	c.stalled = "a" // its disk takes nothing
+	c.stalled = "a" // its writes do not complete
 	c.propose("a", "one", "one")
 	c.act("a", c.replicas["a"].DiskFailed(c.now))
 	c.advance(time.Second)
 	if now := c.replicas["c"].Status().Leader; now != "b" {
-		t.Errorf("%q holds leadership though the disk of a refuses", now)
+		t.Errorf("%q leads though the disk of a fails", now)
 	}
 	c.expectAccepted(t, "b", "two")
 	c.stalled, c.stalledWrites = "", nil
--- a/internal/store/durability_test.go
+++ b/internal/store/durability_test.go
@@ -7,7 +7,7 @@
 	"meadowhinge/schema"
 )
 
-// nonHeartbeatMessages lists what a replica says in answer to an event, but for heartbeats.
+// nonHeartbeatMessages lists the messages among actions but for heartbeats, and the ids of the writes.
 func nonHeartbeatMessages(actions []Action) (messages []*schema.ReplicaMessage, writeIDs []uint64) {
 	for _, action := range actions {
 		switch typed := action.(type) {
@@ -22,7 +22,8 @@
 	return messages, writeIDs
 }
 
-// A vote, the beginning of an epoch and entries are told of only once they are on disk.
+// A vote, the beginning of a term and an entry are acknowledged only once they are durable. Each case goes on from the
+// one before.
 func TestNothingIsSentBeforeItIsDurable(t *testing.T) {
 	founders := []string{"a", "b", "c"}
 	cfg := testConfig("b")
@@ -42,18 +43,18 @@
 	}{
 		{"a vote", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Term: 3, Membership: &schema.Version{}}}},
 			func(message *schema.ReplicaMessage) bool { return message.GetVote().GetTerm() == 3 }},
-		{"the beginning of an epoch", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginTerm{BeginTerm: &schema.BeginTerm{Term: 3, Base: &schema.Version{}}}},
+		{"the beginning of a term", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginTerm{BeginTerm: &schema.BeginTerm{Term: 3, Base: &schema.Version{}}}},
 			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetTerm() == 3 }},
 		{"an entry", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Term: 3, Entries: []*schema.Entry{entry}}}},
 			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetSequence() == 1 }},
 	} {
 		messages, writeIDs := nonHeartbeatMessages(replica.Step(now, from(step.message)))
 		if len(messages) > 0 || len(writeIDs) != 1 {
-			t.Fatalf("%s: %v was told with %d records not yet on disk", step.name, messages, len(writeIDs))
+			t.Fatalf("%s: %v was sent with %d records not durable yet", step.name, messages, len(writeIDs))
 		}
 		messages, _ = nonHeartbeatMessages(replica.Persisted(now, writeIDs[0]))
 		if len(messages) != 1 || !step.isExpected(messages[0]) {
-			t.Fatalf("%s: once it is on disk, %v is told", step.name, messages)
+			t.Fatalf("%s: once it is durable, %v is sent", step.name, messages)
 		}
 	}
 }
--- a/internal/store/fault_exploration_test.go
+++ b/internal/store/fault_exploration_test.go
@@ -14,8 +14,8 @@
 
 var modelSeeds = flag.Int("model-seeds", 800, "how many drawn sets of faults to play on each size of core")
 
-// modelSize is a core that is explored. Stride says before which steps a fault strikes where not
-// every one is asked for.
+// modelSize is a core to explore: its members, the tolerated losses, the writes of a run, and the stride between the
+// steps before which a fault strikes, unless every one is asked for.
 type modelSize struct{ members, losses, writes, stride int }
 
 var (
@@ -23,11 +23,10 @@
 	five  = modelSize{members: 5, losses: 2, writes: 3, stride: 19}
 )
 
-// modelStrike is a fault as it strikes before a step; it may let the step's message be lost.
+// modelStrike is a fault that strikes before a step; drop means that the step's message is lost.
 type modelStrike func(m *model, event *modelEvent) (drop bool)
 
-// modelRun plays a core with faults, given by the step before which each strikes, and tells what is
-// wrong with what came of it.
+// modelRun runs a core with faults, by the step before which each strikes, and returns the verdict.
 func modelRun(size modelSize, prepare func(*model), faults map[int]modelStrike) []string {
 	m := newModel(size.members, size.losses, prepare)
 	from := m.steps
@@ -39,7 +38,7 @@
 	return m.verdict()
 }
 
-// modelSteps counts the steps of a run without faults until its calls are decided.
+// modelSteps counts the steps of a run without faults, up to the end of its writes.
 func modelSteps(t *testing.T, size modelSize) int {
 	t.Helper()
 	m := newModel(size.members, size.losses, nil)
@@ -53,7 +52,7 @@
 	return steps
 }
 
-// strikeMember lets a fault strike one replica.
+// strikeMember is a fault that strikes one replica.
 func strikeMember(fault modelFault, index int) modelStrike {
 	return func(m *model, _ *modelEvent) bool {
 		fault.strike(m, m.members[index])
@@ -61,7 +60,7 @@
 	}
 }
 
-// strikes lists all faults that can strike before a step, by name.
+// strikes are all faults that can strike before a step, by name.
 func strikes(size modelSize) map[string]modelStrike {
 	all := map[string]modelStrike{
 		"all lose power":      allLosePower,
@@ -75,7 +74,7 @@
 	return all
 }
 
-// modelStride is how many steps lie between two that are explored.
+// modelStride is the distance between two steps that are explored.
 func modelStride(size modelSize) int {
 	if *everyStep {
 		return 1
@@ -83,9 +82,8 @@
 	return size.stride
 }
 
-// Whatever happens to whichever replica, before whichever message or sync: what operators are told has
-// an order, no two members lead under one epoch or hold unlike states under one sequence, and soon
-// after the fault the core decides again and is whole.
+// Any fault of any replica, before any message or write: the operators' history is linearizable, no two members lead in
+// one term or have different states at one sequence, and soon after the fault the core decides again and is healthy.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	for _, size := range []modelSize{three, five} {
 		steps := modelSteps(t, size)
@@ -102,11 +100,11 @@
 	}
 }
 
-// secondLosses are what may come as soon as a replica that was lost counts again.
+// secondLosses are the faults that a core tolerates again as soon as a lost replica has caught up.
 var secondLosses = []modelFault{{"loses its disk", wipeMember}, {"is replaced", replaceMember}}
 
-// A replica is lost for good or with its disk, is repaired, and after the time to catch up another one
-// is lost, whichever that is; and once more.
+// A replica is lost for good or with its disk and is repaired; after the time to catch up any other one may be lost, and
+// then a third.
 func TestLossAfterRepair(t *testing.T) {
 	for _, size := range []modelSize{three, five} {
 		for _, first := range secondLosses {
@@ -126,8 +124,8 @@
 	}
 }
 
-// lossAfterRepair lets a first replica be lost, as many as may be at once, and then others, each as
-// soon as those before count again.
+// lossAfterRepair loses as many replicas as are tolerated at once, and then others, twice, each time as soon as those
+// before have had the time to catch up.
 func lossAfterRepair(first modelFault, index int, second modelFault, other int) modelStrike {
 	return func(m *model, _ *modelEvent) bool {
 		lose := func(fault modelFault, from int) {
@@ -151,17 +149,17 @@
 	}
 }
 
-// The step before which a repair is made needful, and how many steps after it are looked at.
+// The step before which a fault makes a repair necessary, and the number of steps after it that are explored.
 const (
 	repairFrom  = 15
 	repairSteps = 120
 )
 
-// While a replica is being repaired, all may lose power at any step: only disks that are lost count.
+// While a replica is being repaired, all may lose power at any step: nothing but lost disks counts as a loss.
 func TestPowerLossDuringRepair(t *testing.T) {
 	for _, size := range []modelSize{three, five} {
 		for _, fault := range modelFaults {
-			if fault.name != "loses its disk" && fault.name != "is replaced" && fault.name != "is replaced by plan" {
+			if fault.name != "loses its disk" && fault.name != "is replaced" && fault.name != "is replaced as planned" {
 				continue
 			}
 			t.Run(fmt.Sprintf("%d members, one %s", size.members, fault.name), func(t *testing.T) {
@@ -179,8 +177,8 @@
 	}
 }
 
-// What takes no disk may strike any members, any number of times: nothing is lost by it, and once all
-// of it has ended the core decides again.
+// Faults that lose no disk may strike any members, any number of times: nothing is lost by them, and once they have
+// ended the core decides again.
 func TestFaultsWithoutLoss(t *testing.T) {
 	for _, size := range []modelSize{three, five} {
 		for part := range randomParts {
@@ -199,7 +197,7 @@
 
 const randomParts = 8
 
-// withoutLoss draws faults that take no disk.
+// withoutLoss draws faults that lose no disk.
 func withoutLoss(size modelSize, seed uint64) map[int]modelStrike {
 	const maxFaults, lastStep = 8, 300
 	dice := rand.New(rand.NewPCG(seed, uint64(size.members)))
@@ -235,8 +233,8 @@
 	return faults
 }
 
-// copiesLost lets so many members hear nothing for a while, and the others, whose copies are then all
-// there are of what is sent meanwhile, lose their disks.
+// copiesLost lets all but the given members receive nothing for a while, and then the given ones, which alone have what
+// is written meanwhile, lose their disks.
 func copiesLost(wiped ...int) modelStrike {
 	return func(m *model, _ *modelEvent) bool {
 		for index, replica := range m.members[:min(len(m.members), m.founded)] {
@@ -254,8 +252,8 @@
 	}
 }
 
-// A change whose only copies are on disks that are then lost was not acknowledged: neither by too
-// few members, nor by one that waits for a replica beside one member.
+// A change whose only copies are on disks that are then lost was not acknowledged: neither by too few members, nor by
+// counting a learner beside one member.
 func TestCopiesLost(t *testing.T) {
 	for step := 1; step < 60; step += modelStride(three) {
 		for index := range three.members {
@@ -276,8 +274,8 @@
 	}
 }
 
-// withLearner lets a machine join for which there is no replica, and then a fault strike; the machine
-// is taken away at the end, when the others have recovered.
+// withLearner lets a machine join for which there is no place, so that it stays a learner, and then a fault strike. The
+// machine is removed once the others have recovered.
 func withLearner(strike modelStrike) modelStrike {
 	return func(m *model, event *modelEvent) bool {
 		learner := m.add(modelName(len(m.members)), false)
@@ -290,8 +288,8 @@
 	}
 }
 
-// lagWipeOff lets one replica lag, another lose its disk, and the third be off while the first two are
-// back: only the third holds what was acknowledged meanwhile.
+// lagWipeOff lets one replica lag, another lose its disk, and the third be down while the first two are back: only the
+// third has what was acknowledged meanwhile.
 func lagWipeOff(lagging, wiped, off int) modelStrike {
 	return func(m *model, _ *modelEvent) bool {
 		m.isolate(m.members[lagging], true, true)
@@ -304,7 +302,7 @@
 	}
 }
 
-// The checks see each planted fault, in a run that passes without it.
+// The model's checks detect each seeded fault, in a run that passes without it.
 func TestModelDetectsSeededFaults(t *testing.T) {
 	for _, test := range []struct {
 		name    string
@@ -315,10 +313,10 @@
 		{"a read without a majority", three, withSeededFault(faultLocalRead), eachFault(three)},
 		{"commit by the founders' majority", five, withSeededFault(faultFoundersQuorum), eachLossOfCopies(five)},
 		{"learners are counted", three, withSeededFault(faultCountLearners), eachLossOfCopies(three)},
-		{"a stale state is led from", three, withSeededFault(faultStaleLeader), eachFault(three)},
-		{"entries are acknowledged before they are on disk", three, withSeededFault(faultEarlyAcknowledgement), eachFault(three)},
+		{"a leader with a stale state", three, withSeededFault(faultStaleLeader), eachFault(three)},
+		{"entries are acknowledged before they are durable", three, withSeededFault(faultEarlyAcknowledgement), eachFault(three)},
 		{"an empty folder counts as the one before", three, func(m *model) { m.amnesia = true }, eachLagWipeOff(three)},
-		{"a replica put in by an entry that came to nothing insists", three, withSeededFault(faultIgnoresExclusion), eachPowerLossDuringRepair(three)},
+		{"a replica added by a void entry counts itself a member", three, withSeededFault(faultIgnoresExclusion), eachPowerLossDuringRepair(three)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -329,23 +327,24 @@
 				if len(breaches) == 0 {
 					continue
 				}
-				t.Logf("seen in run %d: %s: %s", runs, name, breaches[0])
+				t.Logf("detected in run %d: %s: %s", runs, name, breaches[0])
 				if withoutFault := modelRun(test.size, nil, faults); len(withoutFault) > 0 {
-					t.Errorf("the same run without it: %v", withoutFault)
+					t.Errorf("the same run without the fault: %v", withoutFault)
 				}
 				return
 			}
-			t.Errorf("not seen in %d runs", runs)
+			t.Errorf("not detected in %d runs", runs)
 		})
 	}
 }
 
+// withSeededFault prepares a model whose replicas have a fault.
 func withSeededFault(fault seededFault) func(*model) { return func(m *model) { m.seededFault = fault } }
 
-// seededFaultSteps is how many steps are looked at for a planted fault.
+// seededFaultSteps is the number of steps that are explored for a seeded fault.
 const seededFaultSteps = 100
 
-// eachFault gives every fault before every step.
+// eachFault yields every fault before every step.
 func eachFault(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
 	return func(yield func(string, map[int]modelStrike) bool) {
 		all := strikes(size)
@@ -359,7 +358,7 @@
 	}
 }
 
-// eachLossOfCopies gives every loss of as many disks as may be lost, with a learner and without.
+// eachLossOfCopies yields losses of as many disks as are tolerated, without a learner and with one.
 func eachLossOfCopies(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
 	return func(yield func(string, map[int]modelStrike) bool) {
 		for step := 1; step < seededFaultSteps; step++ {
@@ -374,7 +373,7 @@
 	}
 }
 
-// eachLagWipeOff gives every order of three members.
+// eachLagWipeOff yields lagWipeOff for every order of three members.
 func eachLagWipeOff(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
 	return func(yield func(string, map[int]modelStrike) bool) {
 		for step := 1; step < seededFaultSteps; step++ {
@@ -390,7 +389,7 @@
 	}
 }
 
-// eachPowerLossDuringRepair gives what TestPowerLossDuringRepair looks at.
+// eachPowerLossDuringRepair yields the runs of TestPowerLossDuringRepair with a lost disk.
 func eachPowerLossDuringRepair(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
 	return func(yield func(string, map[int]modelStrike) bool) {
 		for index := range size.members {
@@ -404,6 +403,7 @@
 	}
 }
 
+// allLosePower is model.allLosePower as a fault.
 func allLosePower(m *model, _ *modelEvent) bool {
 	m.allLosePower()
 	return false
--- a/internal/store/golden_core_test.go
+++ b/internal/store/golden_core_test.go
@@ -15,7 +15,7 @@
 	"meadowhinge/schema"
 )
 
-// goldenCore runs the real members of a core on one clock, each with a log of its own.
+// goldenCore runs the replicas of a core on one clock, each with a FileLog.
 type goldenCore struct {
 	t          *testing.T
 	root       string
@@ -41,7 +41,7 @@
 		StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
 }
 
-// start starts a member upon its folder; an empty one gets a birth with the incarnation given.
+// start starts a member from its data folder; an empty one gets an initial record with the incarnation given.
 func (c *goldenCore) start(name string, incarnation uint64, founders ...string) {
 	c.t.Helper()
 	cfg := goldenConfig(name)
@@ -92,7 +92,7 @@
 	}
 }
 
-// write writes what was asked for as one group, and tells that it is synced.
+// write writes a member's pending records as one group and reports that they are durable.
 func (c *goldenCore) write(at string, writes ...Persist) {
 	c.t.Helper()
 	var records []*schema.Record
@@ -122,7 +122,7 @@
 	c.act(at, c.members[at].Propose(c.now, &schema.Proposal{Ticket: change.Id, Change: change}))
 }
 
-// expectRuling proposes a change and wants it to be ruled so.
+// expectRuling proposes a change and checks its ruling.
 func (c *goldenCore) expectRuling(at string, want schema.Ruling, change *schema.Change) {
 	c.t.Helper()
 	c.propose(at, change)
@@ -145,7 +145,7 @@
 		duty, state, weight/1000, weight, elapsed))
 }
 
-// expecting is a change of items that were last written in the sequences given, 0 for never.
+// expecting is a change of items whose stored sequences are the ones given, 0 for none.
 func expecting(id string, items []*schema.Item, sequences ...uint64) *schema.Change {
 	change := &schema.Change{Id: id, Items: items}
 	for i, sequence := range sequences {
@@ -154,13 +154,13 @@
 	return change
 }
 
-// sequenceOf is in which sequence an item was last written.
+// sequenceOf is the sequence at which an item was last written.
 func (c *goldenCore) sequenceOf(at, kind, name string) uint64 {
 	_, state := c.members[at].Committed()
 	return state[config.Key(kind, name)].GetVersion().GetSequence()
 }
 
-// writeGoldenCore writes the folders of the members by the real steps.
+// writeGoldenCore writes the members' folders by running the replicas through the recorded steps.
 func writeGoldenCore(t *testing.T, root string) {
 	t.Helper()
 	const accepted = schema.Ruling_RULING_ACCEPTED
@@ -178,7 +178,7 @@
 	c.expectRuling("a", accepted, &schema.Change{Id: "dropped-given", ByOperatorVersion: true, Items: []*schema.Item{{Kind: "segment", Name: "old", OperatorVersion: 8, Deleted: true}}})
 	c.expectRuling("a", schema.Ruling_RULING_INVALID, expecting("wrong", []*schema.Item{goldenItem("segment", "wrong", 0, `{"colour":"red"}`)}))
 	c.expectRuling("b", schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"q"}`)}))
-	// c is gone for good; d takes its place.
+	// c is removed for good; d replaces it.
 	c.down["c"] = true
 	c.start("d", 14)
 	c.advance(6 * time.Second)
@@ -186,7 +186,7 @@
 	c.expectRuling("a", accepted, expecting("trial", []*schema.Item{goldenFlag(10000), goldenProgress(2, "trial", 10000, 0)}, c.sequenceOf("a", "flag", "release.shop"), 0))
 	c.expectRuling("a", accepted, expecting("dropped-plain", []*schema.Item{{Kind: "segment", Name: "plain", Deleted: true}}, c.sequenceOf("a", "segment", "plain")))
 	c.expectRuling("a", schema.Ruling_RULING_STALE, expecting("stale", []*schema.Item{goldenProgress(1, "ramp", 20000, 0)}, c.sequenceOf("a", "progress", "shop")))
-	// Leadership goes to b and comes back, so that votes and epochs come after the whole state.
+	// Leadership moves to b and back, so that votes and terms follow the snapshot.
 	c.down["a"] = true
 	c.advance(4 * time.Second)
 	c.down["a"] = false
@@ -200,7 +200,7 @@
 	}
 }
 
-// writeGoldenLone writes the folder of a lone founder, as it was born and later with a torn end.
+// writeGoldenLone writes the folders of a single founder: as it starts, and later with a torn last frame.
 func writeGoldenLone(t *testing.T, root string) {
 	t.Helper()
 	c := newGoldenCore(t, root)
--- a/internal/store/golden_model_test.go
+++ b/internal/store/golden_model_test.go
@@ -16,11 +16,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// modelGoldenFile holds one line for each run of the model: its name, its digest, and totals that make
-// a difference easier to read.
+// modelGoldenFile has a line for each run of the model: its name, the digest of its trace, and totals that make a
+// difference easier to read.
 const modelGoldenFile = "testdata/golden/model.txt"
 
-// The codes of what a replica does, whatever these are called in Go.
+// The codes of actions in a trace, independent of their Go names.
 const (
 	modelCodeSend = iota + 1
 	modelCodePersist
@@ -29,9 +29,8 @@
 	modelCodeEnd
 )
 
-// modelTrace takes in all that the replicas of a run ask for, in its order, as numbers and
-// length-prefixed bytes. Names of Go types, functions and fields never go in, so that renaming them
-// changes no digest.
+// modelTrace is a digest of all actions of the replicas in a run, in order, as numbers and length-prefixed bytes. Names of
+// Go types, functions and fields are not part of it, so renaming them changes no digest.
 type modelTrace struct {
 	sum                             hash.Hash
 	sends, persists, replies, reads int
@@ -50,7 +49,7 @@
 	}
 }
 
-// message takes in a message by its field numbers, not by its names.
+// message adds a message by its field numbers.
 func (d *modelTrace) message(t *testing.T, message proto.Message) {
 	t.Helper()
 	bytes, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
@@ -60,7 +59,7 @@
 	d.text(string(bytes))
 }
 
-// action takes in what a replica asks for.
+// action adds an action of a replica.
 func (d *modelTrace) action(t *testing.T, m *model, replica *modelReplica, action Action) {
 	t.Helper()
 	d.number(uint64(m.now), uint64(replica.processRun))
@@ -92,7 +91,7 @@
 	}
 }
 
-// end takes in where every machine stands when the run is over.
+// end adds the state of every machine at the end of the run.
 func (d *modelTrace) end(t *testing.T, m *model) {
 	t.Helper()
 	d.number(modelCodeEnd, uint64(m.now), uint64(m.steps), uint64(m.serial))
@@ -114,8 +113,8 @@
 	d.text(m.breaches...)
 }
 
-// modelGoldenRuns are the runs held fast: faults that take no disk, drawn from a seed, and beside
-// them losses of disks and machines, with the repairs of membership that these call for.
+// modelGoldenRuns are the recorded runs: drawn faults that lose no disk, and losses of disks and machines with the
+// membership changes that repair them.
 var modelGoldenRuns = []struct {
 	name   string
 	size   modelSize
@@ -145,7 +144,7 @@
 	}},
 }
 
-// modelGoldenRun plays a run and gives its line.
+// modelGoldenRun runs a run and returns its line.
 func modelGoldenRun(t *testing.T, size modelSize, faults map[int]modelStrike) string {
 	t.Helper()
 	trace := &modelTrace{sum: sha256.New()}
@@ -164,9 +163,8 @@
 		hex.EncodeToString(trace.sum.Sum(nil)), trace.sends, trace.persists, trace.replies, trace.reads, len(played.leaders), committed, played.steps, played.now.Round(time.Millisecond), len(played.breaches))
 }
 
-// A change that should alter no behaviour alters no run of the model: the replicas send, write and
-// answer the same at the same times as when the file was written. A refactoring leaves the file as it
-// is.
+// A change without effect on behaviour alters no run of the model: the replicas send, write and answer the same at the
+// same times as when the file was written. A refactoring leaves the file unchanged.
 func TestGoldenModel(t *testing.T) {
 	golden := modelGoldenLines(t)
 	if len(golden) != len(modelGoldenRuns) {
@@ -186,7 +184,7 @@
 	}
 }
 
-// modelGoldenLines reads the file, by the names of the runs.
+// modelGoldenLines reads the file's lines, by the names of the runs.
 func modelGoldenLines(t *testing.T) map[string]string {
 	t.Helper()
 	content, err := os.ReadFile(modelGoldenFile)
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -20,20 +20,20 @@
 	"meadowhinge/schema"
 )
 
-// The golden folders are logs as members wrote them before names in the code were changed. A
-// version that is installed over another must go on from such a folder, and the other way round.
-// They are never written anew. Under git their files end in .golden, as *.log is ignored there.
+// The golden folders are the data folders of members as an earlier release wrote them. A release must go on from the
+// folder of the one before, and the other way round, so they are never written anew. Under git their files end in .golden,
+// as *.log is ignored there.
 //
-//   - member-a, member-b, member-d: a core of founders a, b and c, where d came in c's place. It has
-//     a release on its way, and of a the whole state, entries upon it, votes and a later epoch.
-//   - born: a lone founder that has said nothing yet.
-//   - torn: that founder later, with two records in one frame and a last frame that is torn.
+//   - member-a, member-b, member-d: a core of founders a, b and c, where d replaced c. It has a rollout under way, and
+//     the log of a has a snapshot, entries after it, votes and a later term.
+//   - born: a single founder with its initial record only.
+//   - torn: that founder later, with two records in one frame and a torn last frame.
 const (
 	goldenFolder = "testdata/golden"
 	goldenSuffix = ".golden"
 )
 
-// dump writes a message by the numbers of its fields, so that no renaming shows in it.
+// dump writes a message by its field numbers, so that no renaming shows in it.
 func dump(to *strings.Builder, indent string, message protoreflect.Message) {
 	fields := message.Descriptor().Fields()
 	var numbers []int
@@ -81,7 +81,7 @@
 	return text.String()
 }
 
-// Every record of the golden logs is read, and says what it said when it was written.
+// Every record of the golden logs is read with the contents that it was written with.
 func TestGoldenRecords(t *testing.T) {
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 	}
 }
 
-// goldenFrames takes a log apart by its bytes alone, without the code that is tested.
+// goldenFrames parses a log file by its bytes alone, without the code under test.
 func goldenFrames(t *testing.T, data []byte) (bodies [][]byte, rest []byte) {
 	t.Helper()
 	for len(data) >= 20 {
@@ -120,8 +120,7 @@
 	return bodies, data
 }
 
-// The same records are written as the same bytes, so that the version before reads what this one
-// writes.
+// The same records are written as the same bytes, so that the release before can read what this one writes.
 func TestGoldenFrames(t *testing.T) {
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
@@ -156,8 +155,8 @@
 	}
 }
 
-// The same steps write the same files. Whoever changes on purpose what a member does may replace the
-// steps here; the golden folders stay, for there are members that have such folders.
+// The same steps write the same files. A change that alters on purpose what a member does may replace the steps here; the
+// golden folders stay, since members in use have such folders.
 func TestGoldenSteps(t *testing.T) {
 	root := t.TempDir()
 	writeGoldenCore(t, root)
@@ -172,8 +171,8 @@
 	}
 }
 
-// What the records of a member come to: its term and vote, who the members are, every item with its
-// versions, the tombstones, and how far the release is.
+// The state that a member's records restore: its term and vote, the membership, every item with its versions, the
+// tombstones, and the progress of the rollout.
 func TestGoldenReplica(t *testing.T) {
 	const items = "flag/release.shop 9.13 given 0 by ramp; progress/shop 9.13 given 0 by ramp; release/shop 3.9 given 0 by release; route/buy 3.1 given 0 by shop; " +
 		"segment/old 3.4 given 8 by dropped-given deleted; segment/plain 3.11 given 0 by dropped-plain deleted; segment/testers 3.2 given 5 by given; service/shop 3.1 given 0 by shop"
@@ -187,7 +186,7 @@
 	}{
 		{"member-a", 11, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
 		{"member-b", 12, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
-		// It took committed state of a later epoch, which it had no vote in.
+		// It installed committed state of a later term, in which it had not voted.
 		{"member-d", 14, false, 9, 9, 13, "", "a/11 b/12 d/14 of 3 since 3.8", items},
 		{"born", 21, true, 0, 0, 0, "", "l/0 of 1 since 0.0", ""},
 		{"torn", 21, true, 1, 1, 2, "l", "l/21 of 1 since 1.0", "segment/one 1.1 given 0 by one; segment/two 1.2 given 0 by two"},
@@ -228,7 +227,7 @@
 	}
 }
 
-// checkGoldenRelease checks that the release on its way is read as it was steered.
+// checkGoldenRelease checks the state of the rollout that is under way.
 func checkGoldenRelease(t *testing.T, state config.State) {
 	t.Helper()
 	compiled, faults := config.Compile(state, 13)
@@ -249,7 +248,7 @@
 	}
 }
 
-// checkGoldenOutcomes checks what became of every change, refused ones included.
+// checkGoldenOutcomes checks the outcome of every change, refused ones included.
 func checkGoldenOutcomes(t *testing.T, s *Replica) {
 	t.Helper()
 	for id, want := range map[string]string{
@@ -277,14 +276,14 @@
 	}
 }
 
-// Members go on from the golden folders: they elect a leader under a later epoch, know what they
-// know, take changes on top, and can be started again from what is then on disk.
+// Members go on from the golden folders: they elect a leader in a later term, have the committed state, accept further
+// changes, and can be restarted from what is then on disk.
 func TestGoldenFoldersContinue(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		folders      map[string]string // by member
 		leader       string
-		after        uint64 // least epoch of the first leader
+		after        uint64 // lowest term of the first leader
 		committedKey string // an item that was committed
 	}{
 		{"core", map[string]string{"a": "member-a", "b": "member-b", "d": "member-d"}, "a", 10, "progress/shop"},
@@ -332,8 +331,8 @@
 	}
 }
 
-// goldenCoreContinues checks that versions of before still rule what comes: a tombstone bars older
-// orders, an id has its first outcome, and the release's duty stays with the later epoch.
+// goldenCoreContinues checks that the restored state still governs changes: a tombstone bars older orders, a change id has
+// its first outcome, and a rollout controller of an earlier term is refused.
 func goldenCoreContinues(c *goldenCore, leader string, run int) {
 	c.t.Helper()
 	older := fmt.Sprint("older-", run)
@@ -346,7 +345,7 @@
 	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, expecting(fmt.Sprint("on-", run), []*schema.Item{goldenProgress(3+run, "ramp", 30000, 200*time.Second)}, c.sequenceOf(leader, "progress", "shop")))
 }
 
-// copyGolden copies a golden folder to where a log may be opened, for that may change it.
+// copyGolden copies a golden folder, as opening a log may change it.
 func copyGolden(t *testing.T, name, to string) {
 	t.Helper()
 	if err := os.MkdirAll(to, 0o750); err != nil {
@@ -367,13 +366,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { disk.Close() })
+	t.Cleanup(func() { _ = disk.Close() }) // a test that writes has synced by then
 	return disk, records, folder
 }
 
 var goldenFolders = []string{"member-a", "member-b", "member-d", "born", "torn"}
 
-// readFolder reads a folder's files, without a suffix of their names.
+// readFolder reads a folder's files, by their names without a suffix.
 func readFolder(t *testing.T, folder, suffix string) map[string][]byte {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -12,34 +12,54 @@
 	"meadowhinge/schema"
 )
 
-// testCore is three members on one clock, with links that lose nothing and disks that take no time.
+// testCore is a core of replicas on one clock, with links that lose nothing and disks that take no time, but for the
+// faults that a test sets.
 type testCore struct {
 	now           time.Duration
 	replicas      map[string]*Replica
-	down          map[string]bool
+	down          map[string]bool                  // neither ticks nor sends nor receives
 	replies       map[string]*schema.ProposalReply // by ticket
-	stalled       string                           // the replica whose disk does not come back
-	stalledWrites []Persist                        // on it
-	order         []string                         // in which they tick
+	stalled       string                           // the replica whose writes do not complete
+	stalledWrites []Persist                        // its writes
+	order         []string                         // of ticks
 	disks         map[string][]*schema.Record
-	bytesSent     int // bytes of messages
-	snapshotsSent int // messages with a whole state in them
+	bytesSent     int // in messages
+	snapshotsSent int // messages with a complete snapshot
 }
 
 var founderNames = []string{"a", "b", "c"}
 
+// testConfig is the configuration of a member of a static list.
 func testConfig(name string) Config {
-	return Config{Name: name, StaticMembers: founderNames, Address: name, HeartbeatTimeout: 1500 * time.Millisecond, StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
+	return Config{
+		Name:                  name,
+		Address:               name,
+		StaticMembers:         founderNames,
+		HeartbeatTimeout:      1500 * time.Millisecond,
+		StallTimeout:          2 * time.Second,
+		MaxEntries:            8,
+		MaxOutcomes:           64,
+		MaxUncommittedEntries: 16,
+		MaxOperatorTombstones: 12,
+	}
 }
 
+// newStaticCore is a core of three empty members with a static member list.
 func newStaticCore() *testCore {
-	core := &testCore{replicas: map[string]*Replica{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}, order: founderNames, disks: map[string][]*schema.Record{}}
+	core := &testCore{
+		replicas: map[string]*Replica{},
+		down:     map[string]bool{},
+		replies:  map[string]*schema.ProposalReply{},
+		order:    founderNames,
+		disks:    map[string][]*schema.Record{},
+	}
 	for i, name := range founderNames {
 		core.replicas[name] = NewReplica(testConfig(name), uint64(i+1), nil)
 	}
 	return core
 }
 
+// act carries out a replica's actions, and at once those that follow from them.
 func (c *testCore) act(from string, actions []Action) {
 	for _, action := range actions {
 		switch typed := action.(type) {
@@ -67,7 +87,7 @@
 	}
 }
 
-// advance lets time go by, each replica ticking as often as its daemon lets it.
+// advance lets time pass, with a tick of each replica every 75 ms.
 func (c *testCore) advance(span time.Duration) {
 	for end := c.now + span; c.now < end; c.now += 75 * time.Millisecond {
 		for _, name := range c.order {
@@ -78,15 +98,16 @@
 	}
 }
 
+// propose proposes a change that creates a segment of the change's id; the reply is found by the ticket.
 func (c *testCore) propose(at, ticket, id string) {
-	c.act(at, c.replicas[at].Propose(c.now, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id,
-		Items: []*schema.Item{{Kind: "segment", Name: id, Body: []byte(`{"salt":""}`)}}}}))
+	change := &schema.Change{Id: id, Items: []*schema.Item{{Kind: "segment", Name: id, Body: []byte(`{"salt":""}`)}}}
+	c.act(at, c.replicas[at].Propose(c.now, &schema.Proposal{Ticket: ticket, Change: change}))
 }
 
-// lastIncarnation hands out incarnations.
+// lastIncarnation is the last incarnation that start drew.
 var lastIncarnation uint64 = 100
 
-// start starts a replica that is found by its name, with the disk that it had or an empty one.
+// start starts a replica without a static member list, with the disk that it had or an empty one.
 func (c *testCore) start(name string, founding bool, losses int) {
 	cfg := testConfig(name)
 	cfg.StaticMembers, cfg.Seeds, cfg.ToleratedLosses = nil, founderNames, losses
@@ -105,7 +126,8 @@
 	}
 }
 
-// newFoundedCore is a core founded from three seeds, and of more members that want one.
+// newFoundedCore is a core of three founders without a static member list, and of more members that join at the first
+// start.
 func newFoundedCore(losses int, more ...string) *testCore {
 	c := newStaticCore()
 	for _, name := range append(slices.Clone(founderNames), more...) {
@@ -115,7 +137,7 @@
 	return c
 }
 
-// memberNames tells the members as one of them knows them, and how many there should be.
+// memberNames is the membership as one member has it, with the target size.
 func (c *testCore) memberNames(at string) string {
 	var names []string
 	status := c.replicas[at].Status()
@@ -125,6 +147,7 @@
 	return fmt.Sprint(strings.Join(names, " "), " of ", status.Membership.GetTargetSize())
 }
 
+// expectMembers checks the membership at some replicas, in the form of memberNames.
 func (c *testCore) expectMembers(t *testing.T, want string, names ...string) {
 	t.Helper()
 	for _, at := range names {
@@ -134,6 +157,7 @@
 	}
 }
 
+// expectAccepted proposes a change at a replica and checks that it is accepted.
 func (c *testCore) expectAccepted(t *testing.T, at, id string) {
 	t.Helper()
 	c.propose(at, id, id)
--- a/internal/store/heartbeat_test.go
+++ b/internal/store/heartbeat_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A change of the leader sends the whole state to nobody who has it, and an idle core says little.
+// A change of leader sends no snapshot to a member that has the state, and an idle core sends little.
 func TestMessageVolume(t *testing.T) {
 	c := newFoundedCore(1)
 	for i := range 40 {
@@ -19,11 +19,11 @@
 	c.down["a"] = false
 	c.advance(5 * time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "a" || c.snapshotsSent > 0 {
-		t.Errorf("%q holds leadership; the whole state was sent %d times", leader, c.snapshotsSent)
+		t.Errorf("%q leads; a snapshot was sent %d times", leader, c.snapshotsSent)
 	}
 	c.bytesSent = 0
 	c.advance(10 * time.Second)
-	// Names, address and incarnation of a message go once over a wire, and are most of these bytes.
+	// These bytes are mostly headers, of which a stream sends only the first (peerStream.compressHeaders).
 	if c.bytesSent > 10*1000 {
 		t.Errorf("an idle core sends %d bytes in ten seconds", c.bytesSent)
 	}
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// A replica that is alone is a majority by itself: it decides, and it answers where it stands.
+// A single member is a majority by itself: it decides changes and answers a read index.
 func TestSingleMember(t *testing.T) {
 	c := newStaticCore()
 	clear(c.replicas)
@@ -24,10 +24,10 @@
 			return
 		}
 	}
-	t.Error("the replica does not tell where it stands")
+	t.Error("the read index is not answered")
 }
 
-// Seats beyond the seeds raise the number that is wanted; a yes then needs three copies.
+// Members beyond the founders raise the target size; with two tolerated losses a commit then needs three copies.
 func TestMembersBeyondTheSeeds(t *testing.T) {
 	c := newFoundedCore(2, "d", "e")
 	c.expectMembers(t, "a b c d e of 5", "a", "b", "c", "d", "e")
@@ -36,9 +36,9 @@
 	c.down["c"] = true
 	c.propose("a", "t2", "two")
 	if got := c.replies["t2"]; got != nil && !got.Undecided {
-		t.Errorf("two of five gave a yes: %v", got)
+		t.Errorf("two of five committed a change: %v", got)
 	}
-	// Two disks are lost at once; the three that are left refill them.
+	// Two disks are lost at once; the three remaining members restore them.
 	c.disks["d"], c.disks["e"] = nil, nil
 	c.down["c"] = false
 	c.advance(3 * time.Second)
@@ -47,13 +47,13 @@
 	c.advance(4 * time.Second)
 	c.expectMembers(t, "a b c d e of 5", "a", "c")
 	if !c.replicas["d"].isMember() || !c.replicas["e"].isMember() {
-		t.Error("refilled members do not count")
+		t.Error("restored replicas are no members")
 	}
 	c.expectAccepted(t, "e", "three")
 }
 
-// A machine that is gone for good gives its replica to the one that comes in its place, soon; should
-// it come back after all, it is kept up to date and disturbs nobody.
+// A member that is lost is soon replaced by a machine that joins. If it comes back after all, it becomes a learner that
+// is kept up to date, deposes nobody, and replaces the next member that is lost.
 func TestReplacementMember(t *testing.T) {
 	for _, gone := range founderNames {
 		t.Run(gone, func(t *testing.T) {
@@ -72,12 +72,12 @@
 			c.expectMembers(t, want, append(remaining, "d")...)
 			status := c.replicas[gone].Status()
 			if now := c.replicas["d"].Status().Term; now != term || status.Member {
-				t.Errorf("%s came back: epoch %d after %d, counted %t", gone, now, term, status.Member)
+				t.Errorf("%s came back: term %d after %d, member %t", gone, now, term, status.Member)
 			}
 			if status.Committed != c.replicas["d"].Status().Committed {
 				t.Errorf("%s is not kept up to date: %d", gone, status.Committed)
 			}
-			// It stands ready for the next that is lost, and changes go on with it.
+			// It replaces the next member that is lost.
 			c.down[remaining[1]] = true
 			c.advance(6 * time.Second)
 			c.expectAccepted(t, remaining[0], "three")
@@ -88,12 +88,12 @@
 	}
 }
 
-// A replica that comes back empty under its name never counts with what its lost folder had said.
+// A replica that comes back with an empty folder under its old name never counts for what the lost folder acknowledged.
 func TestEmptyFolderIsAnotherMember(t *testing.T) {
 	c := newFoundedCore(1)
 	c.down["c"] = true
 	c.expectAccepted(t, "a", "one")
-	// Only a and b hold it. a loses its disk, and b is away: nobody may make a majority.
+	// Only a and b have the change. a loses its disk, and b is down: a and c must not form a majority.
 	c.down["b"] = true
 	c.disks["a"] = nil
 	c.start("a", false, 1)
@@ -101,7 +101,7 @@
 	c.advance(10 * time.Second)
 	for _, at := range []string{"a", "c"} {
 		if leader := c.replicas[at].Status().Leader; leader != "" {
-			t.Errorf("%s takes %q for the leader", at, leader)
+			t.Errorf("%s knows %q as the leader", at, leader)
 		}
 	}
 	c.down["b"] = false
--- a/internal/store/model_faults_test.go
+++ b/internal/store/model_faults_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// powerLoss ends a replica's process and what it had not synced; kept says how many of the writes
-// under way reached the disk all the same.
+// powerLoss ends a replica's process. Of its writes that are not durable the first writesKept reach the disk all the same.
 func (m *model) powerLoss(replica *modelReplica, writesKept int) {
 	for _, write := range replica.writing[:min(writesKept, len(replica.writing))] {
 		replica.storeRecord(write)
@@ -14,10 +13,10 @@
 	replica.up = false
 }
 
-// extendFaults notes that a fault goes on for a while.
+// extendFaults records that a fault lasts for a while, for the verdict to wait.
 func (m *model) extendFaults(outage time.Duration) { m.faultsEndAt = max(m.faultsEndAt, m.now+outage) }
 
-// restartAfter starts a replica again after a while.
+// restartAfter starts a replica's process again after a while.
 func (m *model) restartAfter(replica *modelReplica, after time.Duration) {
 	m.extendFaults(after)
 	m.at(after, nil, ordinaryEvent, func() {
@@ -27,11 +26,12 @@
 	})
 }
 
-// isolate cuts a replica's links for a while.
+// isolate partitions a replica's links for the usual time of a fault.
 func (m *model) isolate(replica *modelReplica, inward, outward bool) {
 	m.isolateFor(modelOutage, replica, inward, outward)
 }
 
+// isolateFor partitions a replica's incoming or outgoing links, or both, for a while.
 func (m *model) isolateFor(outage time.Duration, replica *modelReplica, inward, outward bool) {
 	cut := func(is bool) {
 		for _, other := range m.members {
@@ -64,33 +64,35 @@
 		m.restartAfter(replica, modelLinkDelay)
 	}},
 	{"loses its disk", wipeMember},
-	{"is cut off", func(m *model, replica *modelReplica) { m.isolate(replica, true, true) }},
+	{"is partitioned", func(m *model, replica *modelReplica) { m.isolate(replica, true, true) }},
 	{"hears nothing", func(m *model, replica *modelReplica) { m.isolate(replica, true, false) }},
 	{"is not heard", func(m *model, replica *modelReplica) { m.isolate(replica, false, true) }},
-	{"freezes, and is asked as it thaws", func(m *model, replica *modelReplica) {
+	{"freezes, and gets a read as it thaws", func(m *model, replica *modelReplica) {
 		replica.frozenUntil = m.now + modelOutage
 		m.extendFaults(modelOutage)
 		m.at(modelOutage, nil, ordinaryEvent, func() { m.read(slices.Index(m.members, replica)) })
 	}},
 	{"is replaced", replaceMember},
-	{"is replaced by plan", func(m *model, replica *modelReplica) {
+	{"is replaced as planned", func(m *model, replica *modelReplica) {
 		m.add(modelName(len(m.members)), false)
 		m.at(modelCatchUp, nil, ordinaryEvent, func() { m.remove(replica) })
 	}},
 }
 
+// wipeMember loses a replica's disk; the machine comes back with an empty one.
 func wipeMember(m *model, replica *modelReplica) {
 	m.powerLoss(replica, 0)
 	replica.disk = nil
 	m.restartAfter(replica, modelHeartbeatTimeout)
 }
 
+// replaceMember removes a machine for good; soon another one joins.
 func replaceMember(m *model, replica *modelReplica) {
 	m.remove(replica)
 	m.at(modelHeartbeatTimeout, nil, ordinaryEvent, func() { m.add(modelName(len(m.members)), false) })
 }
 
-// remove takes a machine away for good.
+// remove removes a machine for good.
 func (m *model) remove(replica *modelReplica) {
 	if replica.up {
 		m.powerLoss(replica, 0)
@@ -98,7 +100,7 @@
 	replica.removed = true
 }
 
-// allLosePower ends every process at one moment.
+// allLosePower ends every process at one moment and restarts them one after the other.
 func (m *model) allLosePower() {
 	for index, replica := range m.members {
 		if replica.removed {
--- a/internal/store/model_operators_test.go
+++ b/internal/store/model_operators_test.go
@@ -10,8 +10,7 @@
 	"meadowhinge/schema"
 )
 
-// write lets an operator send an item until it is decided: at the same replica, or at the next one
-// where that is down or does not decide.
+// write lets an operator propose an item until it is decided, under one change id at one replica after the other.
 func (m *model) write(index int, item *schema.Item) {
 	client, began := m.next(), m.now
 	record := func(result linearize.Result) {
@@ -22,7 +21,7 @@
 	id := fmt.Sprint("change-", client)
 	m.call(client, index, func(replica *modelReplica, ticket string) {
 		m.act(replica, replica.Propose(m.now-replica.started, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}}))
-	}, func(replica *modelReplica, result any) bool {
+	}, func(_ *modelReplica, result any) bool {
 		reply := result.(*schema.ProposalReply)
 		switch {
 		case reply.Undecided:
@@ -36,7 +35,7 @@
 	})
 }
 
-// read lets an operator read all items.
+// read lets an operator read all items, after a read index.
 func (m *model) read(index int) {
 	client, began := m.next(), m.now
 	m.openCalls[client] = func() {}
@@ -47,14 +46,14 @@
 		if reply.Undecided {
 			return false
 		}
-		// If the replica's life ends before it has that, the read is left without an answer.
+		// If the replica's process ends before it has committed that much, the read has no answer.
 		delete(m.openCalls, client)
 		m.readBack(client, began, replica, reply.Committed)
 		return true
 	})
 }
 
-// readBack reads at a replica once that has what the isRead told of.
+// readBack reads at a replica once it has committed what the read index returned.
 func (m *model) readBack(client int, began time.Duration, replica *modelReplica, committed uint64) {
 	reached, state := replica.Committed()
 	if reached < committed {
@@ -68,7 +67,7 @@
 	}
 }
 
-// call asks members until one has decided.
+// call sends a request until it is decided: twice to one replica, then to the next.
 func (m *model) call(client, index int, ask func(replica *modelReplica, ticket string), decided func(replica *modelReplica, result any) bool) {
 	done := false
 	var attempt func(attempts int)
@@ -76,7 +75,6 @@
 		if done || m.openCalls[client] == nil {
 			return
 		}
-		// Two tries at a replica, then the next one.
 		replica := m.members[(index+attempts/2)%len(m.members)]
 		if replica.up {
 			ticket := fmt.Sprint("ticket-", m.next())
@@ -99,7 +97,7 @@
 	return linearize.Value{Version: item.OperatorVersion, Content: string(item.Body)}
 }
 
-// operate lets operators send so many writes, a rival of every third, and a read after each.
+// operate schedules writes, at every third a rival one of the same operator version, and a read after each.
 func (m *model) operate(writes int) {
 	for i := range writes {
 		m.at(time.Duration(i)*modelCallInterval, nil, ordinaryEvent, func() {
@@ -116,7 +114,8 @@
 	}
 }
 
-// verdict lets the core settle, so that no fault strikes any more, and tells what is wrong with the run.
+// verdict lets the core recover from the last fault and lists what is wrong with the run: calls that are not decided,
+// an unhealthy core, a history that is not linearizable, and what observe found.
 func (m *model) verdict() []string {
 	m.runTo(max(m.now+modelCatchUp, m.faultsEndAt))
 	clear(m.faultAt)
@@ -144,7 +143,7 @@
 	return m.breaches
 }
 
-// unhealthyReason tells what the core lacks.
+// unhealthyReason is what keeps a core from being healthy; empty if nothing does.
 func (m *model) unhealthyReason() string {
 	standing := m.standing()
 	for _, replica := range standing {
@@ -154,9 +153,9 @@
 		case !replica.isMember():
 			return replica.name + " is no member"
 		case replica.committedSequence != standing[0].committedSequence:
-			return fmt.Sprintf("%s is at %d, %s at %d", replica.name, replica.committedSequence, standing[0].name, standing[0].committedSequence)
+			return fmt.Sprintf("%s has committed %d, %s %d", replica.name, replica.committedSequence, standing[0].name, standing[0].committedSequence)
 		case len(replica.membership.Members) != len(standing):
-			return fmt.Sprintf("%s knows %d members for %d machines", replica.name, len(replica.membership.Members), len(standing))
+			return fmt.Sprintf("%s has %d members for %d machines", replica.name, len(replica.membership.Members), len(standing))
 		}
 	}
 	return ""
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -15,9 +15,10 @@
 	"meadowhinge/schema"
 )
 
-// A model of a core: the real step functions of members under one clock, with links and disks that
-// take a fixed time, so that a run is decided by its faults alone. A test counts the steps of a run
-// without faults, and then runs it again with each fault at each step.
+// A model of a core: real replicas under one simulated clock, with links and disks that take a fixed time, so that its
+// faults alone determine a run. A test counts the steps of a run without faults, and then repeats it with each fault
+// before each step. This file has the core and its events, model_operators_test.go the load and the verdict,
+// model_faults_test.go the faults, fault_exploration_test.go the runs.
 
 // Times of the model. Only their ratios matter.
 const (
@@ -25,32 +26,32 @@
 	modelStallTimeout     = 600 * time.Millisecond
 	modelLinkDelay        = 2 * time.Millisecond
 	modelSyncDelay        = 3 * time.Millisecond
-	modelCatchUp          = 3 * modelHeartbeatTimeout // after its return a replica counts as lost for so long
-	modelOutage           = 4 * modelHeartbeatTimeout // how long a replica is away
+	modelCatchUp          = 3 * modelHeartbeatTimeout // how long after its return a replica still counts as lost
+	modelOutage           = 4 * modelHeartbeatTimeout // how long a fault lasts
 	modelRetry            = 100 * time.Millisecond
-	modelCallInterval     = 40 * time.Millisecond // two calls
+	modelCallInterval     = 40 * time.Millisecond // between two calls
 	modelFounding         = time.Second
 	modelSettling         = 3 * time.Second // after the last fault has ended
 )
 
-// modelEvent is something that happens at a replica at a time.
+// modelEvent is something that happens at a replica at a time. Events of one time happen by their serials.
 type modelEvent struct {
 	at         time.Duration
 	serial     int
-	replica    *modelReplica // nil for what happens at no replica
-	processRun int
+	replica    *modelReplica // nil for an event of the model itself, which always happens
+	processRun int           // of the replica; the event is void in a later one
 	kind       modelKind
 	run        func()
 }
 
-// modelKind says what faults an event can meet.
+// modelKind is the kind of an event, by the faults that it can meet.
 type modelKind int
 
 const (
 	ordinaryEvent modelKind = iota
-	timerEvent              // late where its replica was frozen: what waits in sockets is read first
-	syncEvent               // faults may strike before it
-	messageEvent            // that too, and it may be lost
+	timerEvent              // after a freeze it comes last: what waits in sockets is read first
+	syncEvent               // a step: faults may strike before it
+	messageEvent            // a step too, and the message may be lost
 )
 
 type modelQueue []*modelEvent
@@ -73,49 +74,56 @@
 	return last
 }
 
-// modelReplica is a machine with a replica on it.
+// modelReplica is a machine with a replica on it; it keeps its disk when the process ends.
 type modelReplica struct {
 	*Replica
 	name        string
 	config      Config
 	incarnation uint64
 	disk        []*schema.Record
-	writing     []Persist
+	writing     []Persist // not durable yet; one after the other
 	up, removed bool
-	processRun  int
+	processRun  int // counts the starts of its process
 	started     time.Duration
 	frozenUntil time.Duration
 	nextTickAt  time.Duration
-	tickets     map[string]func(any)
+	tickets     map[string]func(any) // the operators that wait for an answer here
 }
 
-// model is a core, and what operators were told.
+// model is a core, its operators' calls and what is wrong with them.
 type model struct {
 	now         time.Duration
 	serial      int
 	queue       modelQueue
 	members     []*modelReplica
-	losses      int
-	founded     int // how many members there were at first
+	losses      int // tolerated
+	founded     int // the number of machines at the first start
 	seededFault seededFault
-	amnesia     bool               // planted: a wiped folder passes for the one that was lost
-	partitioned map[[2]string]bool // by sender and receiver
-	faultAt     map[int][]func(event *modelEvent) (drop bool)
-	steps       int
+	amnesia     bool                                          // a seeded fault: an empty folder passes for the one that was lost
+	partitioned map[[2]string]bool                            // by sender and receiver
+	faultAt     map[int][]func(event *modelEvent) (drop bool) // by the step that they strike before
+	steps       int                                           // so far, of the kinds syncEvent and messageEvent
 	calls       linearize.History
-	faultsEndAt time.Duration  // of the last fault
-	openCalls   map[int]func() // by client: notes its call as one without an answer
-	breaches    []string       // breaches
-	leaders     map[uint64]string
+	faultsEndAt time.Duration  // when the last fault ends
+	openCalls   map[int]func() // by client: records its call as one of unknown outcome
+	breaches    []string
+	leaders     map[uint64]string           // by term
 	states      map[uint64]string           // by committed sequence
-	onAction    func(*modelReplica, Action) // told of each action before it is carried out, if set
+	onAction    func(*modelReplica, Action) // called with each action before it is carried out, if set
 }
 
-// newModel founds a core of three members, and of more that join at the first start. Prepare may
-// plant a fault in it.
+// newModel founds a core of three members, and of more that join at the first start. prepare, if not nil, may seed a
+// fault.
 func newModel(members, losses int, prepare func(*model)) *model {
-	m := &model{losses: losses, founded: members, partitioned: map[[2]string]bool{}, faultAt: map[int][]func(*modelEvent) bool{},
-		openCalls: map[int]func(){}, leaders: map[uint64]string{}, states: map[uint64]string{}}
+	m := &model{
+		losses:      losses,
+		founded:     members,
+		partitioned: map[[2]string]bool{},
+		faultAt:     map[int][]func(*modelEvent) bool{},
+		openCalls:   map[int]func(){},
+		leaders:     map[uint64]string{},
+		states:      map[uint64]string{},
+	}
 	if prepare != nil {
 		prepare(m)
 	}
@@ -131,18 +139,31 @@
 func modelFounders() []string { return []string{modelName(0), modelName(1), modelName(2)} }
 
 func (m *model) replicaConfig(name string) Config {
-	return Config{Name: name, Address: name, Seeds: modelFounders(), ToleratedLosses: m.losses, NewIncarnation: m.newIncarnation, HeartbeatTimeout: modelHeartbeatTimeout, StallTimeout: modelStallTimeout,
-		MaxEntries: 8, MaxOutcomes: 512, MaxUncommittedEntries: 64, MaxOperatorTombstones: 64, seededFault: m.seededFault}
+	return Config{
+		Name:                  name,
+		Address:               name,
+		Seeds:                 modelFounders(),
+		ToleratedLosses:       m.losses,
+		NewIncarnation:        m.newIncarnation,
+		HeartbeatTimeout:      modelHeartbeatTimeout,
+		StallTimeout:          modelStallTimeout,
+		MaxEntries:            8,
+		MaxOutcomes:           512,
+		MaxUncommittedEntries: 64,
+		MaxOperatorTombstones: 64,
+		seededFault:           m.seededFault,
+	}
 }
 
 func (m *model) newIncarnation() uint64 { return uint64(m.next()) }
 
+// next draws a serial, for events, incarnations, clients and tickets alike.
 func (m *model) next() int {
 	m.serial++
 	return m.serial
 }
 
-// add starts a machine that has never been there.
+// add starts a new machine; founding means that this is the first start of the core.
 func (m *model) add(name string, founding bool) *modelReplica {
 	replica := &modelReplica{name: name, config: m.replicaConfig(name)}
 	if founding && slices.Contains(modelFounders(), name) {
@@ -154,8 +175,8 @@
 	return replica
 }
 
-// start starts a machine. Its seeds are machines of that moment: at the first start the founders,
-// later three that stand.
+// start starts a machine's process. Its seeds are machines of that moment: at the first start the founders, later three
+// that have not been removed.
 func (m *model) start(replica *modelReplica) {
 	if m.now > 0 {
 		replica.config.Seeds = nil
@@ -174,12 +195,15 @@
 		replica.config.Founders, replica.config.ExpandsMembership = nil, false
 	}
 	replica.Replica = NewReplica(cfg, replica.incarnation, replica.disk)
-	replica.up, replica.processRun, replica.started, replica.frozenUntil, replica.nextTickAt = true, replica.processRun+1, m.now, 0, 0
+	replica.up = true
+	replica.processRun++
+	replica.started = m.now
+	replica.frozenUntil, replica.nextTickAt = 0, 0
 	replica.writing, replica.tickets = nil, map[string]func(any){}
 	m.at(0, replica, ordinaryEvent, func() { m.tick(replica) })
 }
 
-// at lets something happen at a replica after a while, unless that life of it has ended by then.
+// at schedules an event at a replica, unless its process has ended by then.
 func (m *model) at(after time.Duration, replica *modelReplica, kind modelKind, run func()) {
 	event := &modelEvent{at: m.now + after, serial: m.next(), replica: replica, kind: kind, run: run}
 	if replica != nil {
@@ -188,7 +212,7 @@
 	heap.Push(&m.queue, event)
 }
 
-// runTo lets everything happen up to a time.
+// runTo lets all events up to a time happen.
 func (m *model) runTo(until time.Duration) {
 	for len(m.queue) > 0 && m.queue[0].at <= until {
 		event := heap.Pop(&m.queue).(*modelEvent)
@@ -205,7 +229,7 @@
 		if event.kind >= syncEvent && m.strike(event) {
 			continue
 		}
-		// A fault may have ended that replica's life just now.
+		// A fault may have just ended or frozen that replica's process.
 		if replica := event.replica; replica == nil || replica.up && replica.processRun == event.processRun && replica.frozenUntil <= m.now {
 			event.run()
 		} else if replica.up && replica.processRun == event.processRun {
@@ -215,8 +239,8 @@
 	m.now = until
 }
 
-// postpone lets an event at a frozen replica happen once that goes on: what an operator asks then
-// comes first, then messages, then timers.
+// postpone schedules an event at a frozen replica for when it goes on: operators' requests of that moment come first,
+// then messages, then timers.
 func (m *model) postpone(event *modelEvent) {
 	event.at = event.replica.frozenUntil + modelLinkDelay/2
 	if event.kind == timerEvent {
@@ -225,7 +249,7 @@
 	heap.Push(&m.queue, event)
 }
 
-// strike counts a step and lets the faults strike that are to come before it.
+// strike counts a step and lets the faults strike that are set before it.
 func (m *model) strike(event *modelEvent) (dropped bool) {
 	m.steps++
 	for _, fault := range m.faultAt[m.steps] {
@@ -243,7 +267,7 @@
 	return nil
 }
 
-// standing lists the machines that are not gone for good.
+// standing lists the machines that have not been removed, up or not.
 func (m *model) standing() []*modelReplica {
 	return slices.DeleteFunc(slices.Clone(m.members), func(replica *modelReplica) bool { return replica.removed })
 }
@@ -253,6 +277,7 @@
 	m.act(replica, replica.Tick(m.now-replica.started))
 }
 
+// act carries out a replica's actions, schedules its next tick and checks what it shows.
 func (m *model) act(replica *modelReplica, actions []Action) {
 	for _, action := range actions {
 		if m.onAction != nil {
@@ -283,6 +308,7 @@
 	m.observe(replica)
 }
 
+// answer gives a result to the operator that waits for it.
 func (m *model) answer(replica *modelReplica, ticket string, result any) {
 	if deliver := replica.tickets[ticket]; deliver != nil {
 		delete(replica.tickets, ticket)
@@ -290,6 +316,8 @@
 	}
 }
 
+// post sends a message, unless the link is partitioned when it is sent. Heartbeats are no steps: faults that strike
+// before other messages cover them.
 func (m *model) post(from *modelReplica, message *schema.ReplicaMessage) {
 	to := m.replica(message.To)
 	if to == nil || m.partitioned[[2]string{from.name, to.name}] {
@@ -302,6 +330,7 @@
 	m.at(modelLinkDelay, to, kind, func() { m.act(to, to.Step(m.now-to.started, message)) })
 }
 
+// persisted completes the first of a replica's writes and begins the next.
 func (m *model) persisted(replica *modelReplica) {
 	done := replica.writing[0]
 	replica.writing = replica.writing[1:]
@@ -312,6 +341,7 @@
 	m.act(replica, replica.Persisted(m.now-replica.started, done.WriteID))
 }
 
+// storeRecord makes a record durable.
 func (r *modelReplica) storeRecord(write Persist) {
 	if write.ReplacesLog {
 		r.disk = nil
@@ -319,22 +349,23 @@
 	r.disk = append(r.disk, write.Record)
 }
 
-// observe judges what no two members may ever disagree on.
+// observe checks what no two replicas may ever disagree on: who leads in a term, and the state of a committed sequence.
 func (m *model) observe(replica *modelReplica) {
 	if replica.role == roleLeader {
 		if previous := m.leaders[replica.term]; previous != "" && previous != replica.name {
-			m.breach("%s and %s both lead under epoch %d", previous, replica.name, replica.term)
+			m.breach("%s and %s both lead in term %d", previous, replica.name, replica.term)
 		}
 		m.leaders[replica.term] = replica.name
 	}
 	committed, state := replica.Committed()
 	text := stateText(state)
 	if previous, known := m.states[committed]; known && previous != text {
-		m.breach("under sequence %d %s holds %q; another held %q", committed, replica.name, text, previous)
+		m.breach("at sequence %d %s has %q; another had %q", committed, replica.name, text, previous)
 	}
 	m.states[committed] = text
 }
 
+// stateText is a state as text to compare, without the versions that the core gave.
 func stateText(state config.State) string {
 	var texts []string
 	for _, item := range state.Items() {
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -7,12 +7,14 @@
 	"meadowhinge/schema"
 )
 
+// The first member that reaches a majority leads, every member forwards changes to it, and a change id keeps its first
+// outcome whichever member is asked.
 func TestLeadershipFollowsMemberOrder(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
 	for _, name := range founderNames {
 		if leader := c.replicas[name].Status().Leader; leader != "a" {
-			t.Errorf("%s takes %q for the leader", name, leader)
+			t.Errorf("%s knows %q as the leader", name, leader)
 		}
 	}
 	c.propose("b", "t1", "one")
@@ -22,7 +24,7 @@
 	c.down["a"] = true
 	c.advance(5 * time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("after a is lost, %q holds leadership", leader)
+		t.Errorf("after a is lost, %q leads", leader)
 	}
 	c.propose("c", "t2", "two")
 	if committed, state := c.replicas["c"].Committed(); committed != 2 || state["segment/one"] == nil || state["segment/two"] == nil {
@@ -34,7 +36,7 @@
 	if got := c.replies["t3"]; !got.GetUndecided() {
 		t.Errorf("without a majority: %v", got)
 	}
-	// An id that was decided gets its first outcome, whoever is asked and however often.
+	// A change id that was decided gets its first outcome at every member.
 	c.down["a"], c.down["b"] = false, false
 	c.advance(5 * time.Second)
 	c.propose("a", "t4", "one")
@@ -43,8 +45,8 @@
 	}
 }
 
-// A change passed to a leader that dies is given back as undecided, once it stays silent, so
-// that the registry can ask again; it is not waited for until the operator gives up.
+// A change forwarded to a leader that dies is answered as undecided after the heartbeat timeout, so that the registry
+// retries it rather than wait until the operator gives up.
 func TestForwardedChangeExpires(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
@@ -55,16 +57,16 @@
 	}
 	c.advance(2 * time.Second)
 	if got := c.replies["t1"]; !got.GetUndecided() {
-		t.Errorf("after the silence bound: %v", got)
+		t.Errorf("after the heartbeat timeout: %v", got)
 	}
 	c.advance(3 * time.Second)
 	c.propose("b", "t2", "one")
 	if got := c.replies["t2"]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
-		t.Errorf("asked again: %v", got)
+		t.Errorf("proposed again: %v", got)
 	}
 }
 
-// A replica that comes back empty counts only when it has read both others.
+// An empty replica of a static list becomes a member only once both others have reported whether they have state.
 func TestEmptyMemberReadsBothOthers(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
@@ -73,20 +75,20 @@
 	c.down["b"] = true
 	c.advance(5 * time.Second)
 	if c.replicas["c"].Status().Member {
-		t.Error("counted after reading one of two")
+		t.Error("became a member after the state of one of two")
 	}
 	c.propose("a", "t2", "two")
 	if got := c.replies["t2"]; got != nil && !got.GetUndecided() {
-		t.Errorf("a majority was made with an empty replica: %v", got)
+		t.Errorf("an empty replica counted for a majority: %v", got)
 	}
 	c.down["b"] = false
 	c.advance(5 * time.Second)
 	if committed, _ := c.replicas["c"].Committed(); !c.replicas["c"].Status().Member || committed == 0 {
-		t.Errorf("not refilled: %+v", c.replicas["c"].Status())
+		t.Errorf("not restored: %+v", c.replicas["c"].Status())
 	}
 }
 
-// A leader whose disk stalls lets leadership go, and takes it again when the disk is back.
+// A leader whose disk stalls gives up leadership, and leads again once the disk has recovered.
 func TestStalledDiskLosesLeadership(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
@@ -94,7 +96,7 @@
 	c.propose("a", "t", "one")
 	c.advance(6 * time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("%q holds leadership while the disk of a stalls", leader)
+		t.Errorf("%q leads while the disk of a stalls", leader)
 	}
 	c.stalled = ""
 	for _, write := range c.stalledWrites {
@@ -102,12 +104,12 @@
 	}
 	c.advance(6 * time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "a" {
-		t.Errorf("%q holds leadership after the disk of a came back", leader)
+		t.Errorf("%q leads after the disk of a has recovered", leader)
 	}
 }
 
-// Bounds that are changed while a replica runs count from then on: a replica unheard for the new bound is
-// dead, and who the members are and how many copies a change needs is as it was.
+// Limits that are changed while a replica runs take effect at once: a leader unheard for the new heartbeat timeout is
+// replaced. Name, members and tolerated losses stay as they were.
 func TestSetLimits(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
@@ -116,12 +118,12 @@
 		cfg.HeartbeatTimeout, cfg.StaticMembers, cfg.ToleratedLosses, cfg.Name = 300*time.Millisecond, []string{"x"}, 2, "x"
 		c.act(name, c.replicas[name].SetLimits(c.now, cfg))
 		if current := c.replicas[name].config; current.Name != name || len(current.StaticMembers) != 3 || current.ToleratedLosses != 0 || current.HeartbeatTimeout != cfg.HeartbeatTimeout {
-			t.Errorf("%s goes by %v", name, current)
+			t.Errorf("%s has the configuration %v", name, current)
 		}
 	}
 	c.down["a"] = true
 	c.advance(time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("a second after a is lost, %q holds leadership", leader)
+		t.Errorf("a second after a is lost, %q leads", leader)
 	}
 }
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -15,6 +15,7 @@
 	"meadowhinge/schema"
 )
 
+// start runs a store until the returned function is called, which checks that it ended without an error.
 func start(t *testing.T, opts *schema.StoreOptions) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -29,16 +30,16 @@
 	}
 }
 
-// Three stores that know nothing but each other's seeds found a core and take a change.
+// Three stores that know only each other as seeds found a core over plaintext links and commit a change.
 func TestFoundedFromSeeds(t *testing.T) {
 	octet, reservation, err := fakebackend.ReserveLoopbackNet()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer reservation.Close()
+	defer func() { _ = reservation.Close() }() // the reservation of ports ends with the test in any case
 	net24, port := fmt.Sprintf("127.%d.0", octet), fakebackend.FirstPort
 	hosts := []string{net24 + ".91", net24 + ".92", net24 + ".93"}
-	seeds := fmt.Sprintf("%[1]s.93:9,%[1]s.91:9,%[1]s.92:9", net24) // of the operators' interface: only the IPs count
+	seeds := fmt.Sprintf("%[1]s.93:9,%[1]s.91:9,%[1]s.92:9", net24) // the port is not the stores': only the IPs count
 	for _, host := range hosts {
 		defer start(t, &schema.StoreOptions{Seat: host, Listen: fmt.Sprint(host, ":", port), Seeds: seeds, Data: t.TempDir(), Founding: true, Links: "plain",
 			Losses: 1, Silence: int64(300 * time.Millisecond), Stall: int64(time.Second), EntriesMost: 64, OutcomesMost: 64, Buffer: 64})()
--- a/internal/store/tombstones_test.go
+++ b/internal/store/tombstones_test.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// Given versions never go down: tombstones that bear one stay until there are too many.
+// Operator versions never fall: tombstones that bear one stay, and bar older orders, until there are too many.
 func TestOperatorVersionTombstones(t *testing.T) {
 	c := newFoundedCore(1)
 	serial := 0
@@ -47,6 +47,6 @@
 	}
 	_, state = c.replicas["c"].Committed()
 	if _, dropped := state.Tombstones(); len(dropped) > maxTombstones+maxTombstones/2 {
-		t.Errorf("%d tombstones are kept", len(dropped))
+		t.Errorf("%d tombstones are retained", len(dropped))
 	}
 }
--- a/internal/store/wal_fault_fs_test.go
+++ b/internal/store/wal_fault_fs_test.go
@@ -6,25 +6,26 @@
 	"slices"
 )
 
-// faultyFileSystem is a drive whose power can be lost at any moment. Of a file it keeps what its last sync
-// covered; each later write may be there, missing or torn. A new file lasts once it is synced
-// itself; a removal or a change of name lasts once the names are synced.
+// faultyFileSystem is a file system whose power can be lost at any operation, or whose writes can fail. After a power
+// loss a file has what its last sync covered; each later write may be there, missing or torn. A new file is durable once
+// it is synced itself; a removal once the directory is synced.
 type faultyFileSystem struct {
 	visible       map[string]*faultyFile // as a process sees it
-	durable       map[string]*faultyFile // by the names that last; the files are the same ones
+	durable       map[string]*faultyFile // the names that survive a power loss; the files are the same
 	refusesWrites bool
-	operations    int // operations so far
-	powerLossAt   int // power is lost once so many have begun; 0 for never
+	operations    int // so far
+	powerLossAt   int // the operation after which power is lost; 0 for never
 }
 
+// faultyFile is a file with the changes that are not durable.
 type faultyFile struct {
 	fileSystem  *faultyFileSystem
 	synced      []byte
-	unsynced    []fileChange // not covered by a sync
-	nameDurable bool         // a sync has made its name last
+	unsynced    []fileChange // in order
+	nameDurable bool         // a sync has made its name durable
 }
 
-// fileChange is a write at the end or, with cut not negative, a new length.
+// fileChange is data written at the end or, unless newSize is -1, a truncation.
 type fileChange struct {
 	data    []byte
 	newSize int
@@ -36,7 +37,7 @@
 	return &faultyFileSystem{visible: map[string]*faultyFile{}, durable: map[string]*faultyFile{}}
 }
 
-// operation is a point at which power may be lost: whatever is begun there is in doubt.
+// operation counts an operation; its error means that the operation may or may not have taken effect.
 func (f *faultyFileSystem) operation() error {
 	f.operations++
 	if f.powerLossAt > 0 && f.operations > f.powerLossAt {
@@ -96,6 +97,7 @@
 	return nil
 }
 
+// faultyHandle is a faultyFile open for appending.
 type faultyHandle struct {
 	*faultyFile
 	name string
@@ -123,7 +125,7 @@
 
 func (h *faultyHandle) close() error { return nil }
 
-// contentsAfterPowerLoss are all the ways in which one file may be found after power was lost.
+// contentsAfterPowerLoss lists the contents that the file may have after a power loss; nil for a file that is gone.
 func (f *faultyFile) contentsAfterPowerLoss() (contents [][]byte) {
 	contents = [][]byte{slices.Clone(f.synced)}
 	if !f.nameDurable {
@@ -143,7 +145,7 @@
 			clear(hole[size/3 : 2*size/3])
 			head := slices.Clone(later.data)
 			clear(head[:size/2])
-			// Whole, cut at several places, with a hole, without its beginning, and only its length.
+			// Complete, cut at several places, with a hole, with its first half zero, and all zero.
 			for _, data := range [][]byte{later.data, later.data[:1], later.data[:min(frameHeaderBytes, size)], later.data[:size/2], later.data[:size-1], hole, head, make([]byte, size)} {
 				contents = append(contents, slices.Concat(content, data))
 			}
@@ -152,8 +154,8 @@
 	return contents
 }
 
-// statesAfterPowerLoss gives the drives that may be found after power was lost: each file in each of its ways,
-// each removal that does not last yet done or undone.
+// statesAfterPowerLoss lists the file systems that may be found after a power loss: every combination of the files'
+// contents, with each removal that is not durable done or undone.
 func (f *faultyFileSystem) statesAfterPowerLoss() (states []*faultyFileSystem) {
 	states = []*faultyFileSystem{newFaultyFileSystem()}
 	names := map[string]bool{}
--- a/internal/store/wal_fuzz_test.go
+++ b/internal/store/wal_fuzz_test.go
@@ -6,8 +6,8 @@
 	"meadowhinge/schema"
 )
 
-// Whatever a file holds after a loss of power, reading it gives whole groups in their order or says
-// that it is rotten; what was read, written again, is read alike.
+// Whatever a log file contains, reading it returns complete groups in order or reports corruption; and what was read,
+// when written again, reads the same.
 func FuzzReadFrames(f *testing.F) {
 	first, err := encodeFrame([]*schema.Record{{VotedTerm: 3, VotedFor: "a"}}, 1)
 	if err != nil {
@@ -24,7 +24,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		groups, size, corrupt := readFrames(data)
 		if corrupt && len(groups) > 0 || size > len(data) {
-			t.Fatalf("rotten %t with %d groups in %d of %d bytes", corrupt, len(groups), size, len(data))
+			t.Fatalf("corrupt %t with %d groups in %d of %d bytes", corrupt, len(groups), size, len(data))
 		}
 		var again []byte
 		for index, group := range groups {
@@ -35,7 +35,7 @@
 			again = append(again, written...)
 		}
 		if read, _, _ := readFrames(again); len(read) != len(groups) {
-			t.Fatalf("%d groups were written again, %d read", len(groups), len(read))
+			t.Fatalf("%d groups were rewritten, %d read", len(groups), len(read))
 		}
 	})
 }
--- a/internal/store/wal_test.go
+++ b/internal/store/wal_test.go
@@ -14,19 +14,20 @@
 	"meadowhinge/schema"
 )
 
+// voteRecord is a record that its term identifies.
 func voteRecord(term int) *schema.Record {
 	return &schema.Record{VotedTerm: uint64(term), VotedFor: fmt.Sprint("replica-", term)}
 }
 
-// writeUntilPowerLoss opens a drive's log and writes groups of records to it until power is lost. It gives
-// what it read, what was synced for certain beyond that, and the group that was under way.
+// writeUntilPowerLoss opens a log and writes groups of records to it until power is lost. It returns what it read on
+// opening, what is durable for certain beyond that, and the group that was being written.
 func writeUntilPowerLoss(files *faultyFileSystem, from int, snapshots bool) (read, synced, inFlight []*schema.Record, err error) {
 	log, read, err := openLog(files)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	for step := range 4 {
-		// The whole state stands for all before it: here it tells the number of the last.
+		// A snapshot replaces all records before it.
 		replacesLog := snapshots && step == 2 || len(read)+len(synced) == 0
 		group := []*schema.Record{voteRecord(from + 2*step), voteRecord(from + 2*step + 1)}
 		if replacesLog {
@@ -48,9 +49,8 @@
 	return slices.EqualFunc(a, b, func(a, b *schema.Record) bool { return proto.Equal(a, b) })
 }
 
-// Wherever power is lost, and whatever of what was not synced is found then, all that was synced
-// is read again, in order; what was under way is read whole or not at all; and the log goes on
-// from there, through a second loss.
+// Wherever power is lost, and whatever is then found of what was not synced: everything durable is read again, in order;
+// what was being written is read completely or not at all; and the log goes on from there, through a second loss.
 func TestPowerLost(t *testing.T) {
 	cases := 0
 	for _, snapshots := range []bool{false, true} {
@@ -65,7 +65,7 @@
 				again := state.statesAfterPowerLoss()[0]
 				_, read, err := openLog(again)
 				if !readsExpected(read, nil, synced, inFlight) || err != nil {
-					t.Fatalf("wholes %v, stopped at %d: read %v, synced %v, under way %v: %v", snapshots, first, read, synced, inFlight, err)
+					t.Fatalf("snapshots %v, power lost at %d: read %v, durable %v, in flight %v: %v", snapshots, first, read, synced, inFlight, err)
 				}
 				for second := 1; ; second++ {
 					twice := state.statesAfterPowerLoss()[0]
@@ -73,7 +73,7 @@
 					before, synced, inFlight, err := writeUntilPowerLoss(twice, 100, snapshots)
 					if err != nil {
 						if errors.Is(err, errPower) || errs.CodeOf(err) == errs.DiskFailed {
-							continue // lost while it was opened
+							continue // power was lost while the log was opened
 						}
 						t.Fatal(err)
 					}
@@ -81,7 +81,7 @@
 						_, read, err := openLog(secondState)
 						cases++
 						if !readsExpected(read, before, synced, inFlight) || err != nil {
-							t.Fatalf("wholes %v, stopped at %d and %d: read %v, before %v, synced %v, under way %v: %v", snapshots, first, second, read, before, synced, inFlight, err)
+							t.Fatalf("snapshots %v, power lost at %d and %d: read %v, before %v, durable %v, in flight %v: %v", snapshots, first, second, read, before, synced, inFlight, err)
 						}
 					}
 					if twice.operations < second {
@@ -95,12 +95,12 @@
 		}
 	}
 	if cases < 1000 {
-		t.Errorf("only %d ways were tried", cases)
+		t.Errorf("only %d cases were run", cases)
 	}
-	t.Logf("%d ways", cases)
+	t.Logf("%d cases", cases)
 }
 
-// readsExpected tells whether a log holds what it must: all before and synced, and perhaps what was under way.
+// readsExpected reports whether a log has what it must: all before and synced, and possibly what was in flight.
 func readsExpected(read, before, synced, inFlight []*schema.Record) bool {
 	durable := slices.Concat(before, synced)
 	if equalRecords(read, durable) {
@@ -112,7 +112,7 @@
 	return equalRecords(read, slices.Concat(durable, inFlight))
 }
 
-// A disk that has refused a write takes nothing but the whole state, and then goes on.
+// After a failed write the log accepts nothing but a record that replaces it, and then goes on.
 func TestRefusedWrite(t *testing.T) {
 	files := newFaultyFileSystem()
 	log, _, err := openLog(files)
@@ -127,7 +127,7 @@
 	refused := func(number int) {
 		t.Helper()
 		if err := log.Write([]*schema.Record{voteRecord(number)}, false); errs.CodeOf(err) != errs.DiskFailed {
-			t.Errorf("%d was written after one that may be missing: %v", number, err)
+			t.Errorf("%d was written after a write that may be missing: %v", number, err)
 		}
 	}
 	refused(2)
@@ -153,8 +153,8 @@
 	}
 }
 
-// What a process has read it may act upon, so it lasts even if the process before was killed in
-// the middle of a write, and power is lost then.
+// A process acts upon what it has read, so that is durable even if the process before it was killed in the middle of a
+// write and power is lost afterwards.
 func TestReadLasts(t *testing.T) {
 	for first := 1; ; first++ {
 		files := newFaultyFileSystem()
@@ -170,7 +170,7 @@
 		}
 		for _, state := range files.statesAfterPowerLoss() {
 			if _, again, err := openLog(state); err != nil || !equalRecords(read, again) {
-				t.Fatalf("stopped at %d: read %v, then %v: %v", first, read, again, err)
+				t.Fatalf("killed at %d: read %v, then %v: %v", first, read, again, err)
 			}
 		}
 		if ended {
@@ -179,6 +179,7 @@
 	}
 }
 
+// filledLog writes a log of that many records, a frame each.
 func filledLog(t *testing.T, count int) (folder string, written []*schema.Record) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "data")
@@ -198,23 +199,24 @@
 	return folder, written
 }
 
+// expectRecords checks the records of a log, and that it can be appended to.
 func expectRecords(t *testing.T, folder string, want []*schema.Record) {
 	t.Helper()
 	log, records, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // what it wrote is durable already
 	if !equalRecords(want, records) {
 		t.Errorf("read %v, want %v", records, want)
 	}
-	// What follows a repair must be writable and readable again.
+	// The log must take writes after a repair.
 	if err := log.Write([]*schema.Record{voteRecord(99)}, false); err != nil {
 		t.Error(err)
 	}
 }
 
-// Wherever the last record is cut on a real disk, the records before it are all there.
+// Wherever the last frame is torn, the records before it are read; on a real disk.
 func TestTornTailIsDropped(t *testing.T) {
 	folder, written := filledLog(t, 3)
 	file := filepath.Join(folder, logName(1))
@@ -226,7 +228,7 @@
 		}
 		expectRecords(t, folder, written[:2])
 	}
-	// A tail whose length was written but whose bytes were not.
+	// A tail whose length reached the disk, but not its bytes.
 	zeroed := append([]byte(nil), intact...)
 	for i := len(zeroed) - last + 3; i < len(zeroed); i++ {
 		zeroed[i] = 0
@@ -235,7 +237,7 @@
 	expectRecords(t, folder, written[:2])
 }
 
-// Rot before the tail is refused, not skipped: a promise might be in it.
+// Corruption before the tail is refused, not skipped: a vote may be in what is lost.
 func TestCorruptionInTheMiddleIsRefused(t *testing.T) {
 	folder, _ := filledLog(t, 3)
 	file := filepath.Join(folder, logName(1))
@@ -251,7 +253,7 @@
 	expectRecords(t, folder, nil)
 }
 
-// A whole record lets everything before it go.
+// A record that replaces the log removes everything before it.
 func TestSnapshotRecordTruncates(t *testing.T) {
 	folder, _ := filledLog(t, 3)
 	log, _, err := Open(folder)
@@ -262,9 +264,11 @@
 	if err := log.Write([]*schema.Record{snapshot}, true); err != nil {
 		t.Fatal(err)
 	}
-	log.Close()
+	if err := log.Close(); err != nil {
+		t.Error(err)
+	}
 	if names, _ := osFileSystem(folder).list(); len(names) != 1 {
-		t.Errorf("left: %v", names)
+		t.Errorf("files left: %v", names)
 	}
 	expectRecords(t, folder, []*schema.Record{snapshot})
 }
