--- a/internal/store/catch_up_test.go
+++ b/internal/store/catch_up_test.go
@@ -22,7 +22,12 @@
 	m := newModel(3, 1, nil)
 	for i := range manyChanges {
 		m.at(time.Duration(i)*changeEvery, nil, ordinaryEvent, func() {
-			m.write(i, &schema.Item{Kind: "segment", Name: modelItem(i % modelItems), OperatorVersion: uint64(i + 1), Body: []byte(fmt.Sprintf(`{"salt":"%d"}`, i))})
+			m.write(i, &schema.Item{
+				Kind:            "segment",
+				Name:            modelItem(i % modelItems),
+				OperatorVersion: uint64(i + 1),
+				Body:            []byte(fmt.Sprintf(`{"salt":"%d"}`, i)),
+			})
 			if i%20 == 0 {
 				m.read(i)
 			}
@@ -66,7 +71,8 @@
 	}
 	for _, replica := range m.standing() {
 		if !replica.up || !replica.isMember() || replica.committedSequence+uint64(replica.config.MaxEntries) < highest {
-			t.Errorf("at change %d: %s, up %t, member %t, is at %d of %d", change, replica.name, replica.up, replica.isMember(), replica.committedSequence, highest)
+			t.Errorf("at change %d: %s, up %t, member %t, has committed %d of %d",
+				change, replica.name, replica.up, replica.isMember(), replica.committedSequence, highest)
 		}
 	}
 }
--- a/internal/store/config.go
+++ b/internal/store/config.go
@@ -31,8 +31,8 @@
 	// StallTimeout is how long a write may take before the replica counts as unfit to lead, and how long a
 	// campaign may take before it starts again. May change at run time.
 	StallTimeout time.Duration
-	// MaxEntries is both the number of entries between two snapshots on disk and the number of committed
-	// entries retained in memory for followers that lag. May change at run time.
+	// MaxEntries is both the number of entries between two snapshots on disk and the least number of entries
+	// retained in memory for followers that lag (the most is twice that, plus what is uncommitted). May change at run time.
 	MaxEntries int
 	// MaxOutcomes is the number of change ids whose outcome is remembered. May change at run time.
 	MaxOutcomes int
--- a/internal/store/decide.go
+++ b/internal/store/decide.go
@@ -17,7 +17,9 @@
 //
 // previous is the compiled configuration of the state if the caller has one, else nil; it makes compiling cheaper
 // and does not affect the ruling. Decide returns the one to pass with the next change.
-func Decide(state config.State, previous *config.Snapshot, change *schema.Change, version *schema.Version) (*schema.Entry, *config.Snapshot) {
+func Decide(
+	state config.State, previous *config.Snapshot, change *schema.Change, version *schema.Version,
+) (*schema.Entry, *config.Snapshot) {
 	outcome := &schema.ChangeOutcome{ChangeId: change.Id, Version: version}
 	entry := &schema.Entry{Version: version, ChangeId: change.Id, Outcome: outcome}
 	written := itemsToWrite(state, change, outcome)
--- a/internal/store/disk_writer.go
+++ b/internal/store/disk_writer.go
@@ -24,7 +24,9 @@
 
 // openLogWithRetry opens the log and returns its records, at least one. It retries until the disk lets it; its only
 // error is that of ctx.
-func openLogWithRetry(ctx context.Context, log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log) (Log, []*schema.Record, error) {
+func openLogWithRetry(
+	ctx context.Context, log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log,
+) (Log, []*schema.Record, error) {
 	for {
 		recordLog, records, err := openOrCreateLog(log, opts, cfg, wrapLog)
 		if err == nil {
--- a/internal/store/durability_test.go
+++ b/internal/store/durability_test.go
@@ -41,11 +41,11 @@
 		message    *schema.ReplicaMessage
 		isExpected func(*schema.ReplicaMessage) bool
 	}{
-		{"a vote", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_VoteRequest{VoteRequest: &schema.VoteRequest{Term: 3, Membership: &schema.Version{}}}},
+		{"a vote", voteRequestMessage(&schema.VoteRequest{Term: 3, Membership: &schema.Version{}}),
 			func(message *schema.ReplicaMessage) bool { return message.GetVote().GetTerm() == 3 }},
-		{"the beginning of a term", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginTerm{BeginTerm: &schema.BeginTerm{Term: 3, Base: &schema.Version{}}}},
+		{"the beginning of a term", beginTermMessage(&schema.BeginTerm{Term: 3, Base: &schema.Version{}}),
 			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetTerm() == 3 }},
-		{"an entry", &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Term: 3, Entries: []*schema.Entry{entry}}}},
+		{"an entry", appendEntriesMessage(&schema.AppendEntries{Term: 3, Entries: []*schema.Entry{entry}}),
 			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetSequence() == 1 }},
 	} {
 		messages, writeIDs := nonHeartbeatMessages(replica.Step(now, from(step.message)))
--- a/internal/store/fault_exploration_test.go
+++ b/internal/store/fault_exploration_test.go
@@ -316,7 +316,7 @@
 		{"a leader with a stale state", three, withSeededFault(faultStaleLeader), eachFault(three)},
 		{"entries are acknowledged before they are durable", three, withSeededFault(faultEarlyAcknowledgement), eachFault(three)},
 		{"an empty folder counts as the one before", three, func(m *model) { m.amnesia = true }, eachLagWipeOff(three)},
-		{"a replica added by a void entry counts itself a member", three, withSeededFault(faultIgnoresExclusion), eachPowerLossDuringRepair(three)},
+		{"a void entry makes a member", three, withSeededFault(faultIgnoresExclusion), eachPowerLossDuringRepair(three)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
@@ -380,7 +380,11 @@
 			for lagging := range size.members {
 				for wiped := range size.members {
 					off := size.members - lagging - wiped
-					if lagging != wiped && !yield(fmt.Sprint(lagging, wiped, off, " before step ", step), map[int]modelStrike{step: lagWipeOff(lagging, wiped, off)}) {
+					if lagging == wiped {
+						continue
+					}
+					faults := map[int]modelStrike{step: lagWipeOff(lagging, wiped, off)}
+					if !yield(fmt.Sprint(lagging, wiped, off, " before step ", step), faults) {
 						return
 					}
 				}
--- a/internal/store/freshness_test.go
+++ b/internal/store/freshness_test.go
@@ -20,13 +20,15 @@
 		at        time.Duration
 		known     bool
 	}{
-		"nobody yet":                   {nil, 9, 0, false},
-		"this replica alone":           {[]report{{"a", 10, 5, 5}}, 5, 0, false},
-		"two level":                    {[]report{{"a", 10, 5, 5}, {"b", 8, 5, 5}}, 5, 8, true},
-		"the latest majority":          {[]report{{"a", 10, 5, 5}, {"b", 8, 5, 5}, {"c", 9, 4, 5}}, 5, 9, true},
-		"one has more":                 {[]report{{"a", 10, 5, 5}, {"b", 8, 5, 5}, {"b", 9, 6, 5}}, 5, 8, true},
-		"more became committed here":   {[]report{{"a", 10, 5, 5}, {"b", 8, 5, 5}, {"b", 9, 6, 5}}, 6, 9, true},
-		"a stream of changes":          {[]report{{"a", 20, 9, 8}, {"b", 11, 7, 6}, {"b", 12, 8, 6}, {"b", 13, 9, 6}, {"a", 21, 9, 9}}, 7, 11, true},
+		"nobody yet":                 {nil, 9, 0, false},
+		"this replica alone":         {[]report{{"a", 10, 5, 5}}, 5, 0, false},
+		"two level":                  {[]report{{"a", 10, 5, 5}, {"b", 8, 5, 5}}, 5, 8, true},
+		"the latest majority":        {[]report{{"a", 10, 5, 5}, {"b", 8, 5, 5}, {"c", 9, 4, 5}}, 5, 9, true},
+		"one has more":               {[]report{{"a", 10, 5, 5}, {"b", 8, 5, 5}, {"b", 9, 6, 5}}, 5, 8, true},
+		"more became committed here": {[]report{{"a", 10, 5, 5}, {"b", 8, 5, 5}, {"b", 9, 6, 5}}, 6, 9, true},
+		"a stream of changes": {
+			[]report{{"a", 20, 9, 8}, {"b", 11, 7, 6}, {"b", 12, 8, 6}, {"b", 13, 9, 6}, {"a", 21, 9, 9}}, 7, 11, true,
+		},
 		"this replica has more":        {[]report{{"a", 10, 5, 5}, {"b", 10, 5, 5}, {"a", 20, 6, 5}, {"b", 20, 5, 5}}, 5, 10, true},
 		"two others make it up":        {[]report{{"a", 10, 6, 5}, {"b", 11, 5, 5}, {"c", 12, 5, 5}}, 5, 11, true},
 		"reported entries are dropped": {[]report{{"a", 10, 5, 5}, {"b", 10, 9, 5}, {"b", 11, 4, 5}}, 5, 10, true},
--- a/internal/store/golden_core_test.go
+++ b/internal/store/golden_core_test.go
@@ -20,7 +20,7 @@
 	t          *testing.T
 	root       string
 	now        time.Duration
-	names      []string // in which they tick
+	names      []string // in the order of ticks
 	members    map[string]*Replica
 	disks      map[string]*FileLog
 	down       map[string]bool
@@ -29,16 +29,35 @@
 	replies    map[string]*schema.ProposalReply
 }
 
+// newGoldenCore makes a core without members whose data folders are under root.
 func newGoldenCore(t *testing.T, root string) *goldenCore {
 	t.Helper()
-	core := &goldenCore{t: t, root: root, members: map[string]*Replica{}, disks: map[string]*FileLog{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}}
+	core := &goldenCore{
+		t:       t,
+		root:    root,
+		members: map[string]*Replica{},
+		disks:   map[string]*FileLog{},
+		down:    map[string]bool{},
+		replies: map[string]*schema.ProposalReply{},
+	}
 	t.Cleanup(core.close)
 	return core
 }
 
 func goldenConfig(name string) Config {
-	return Config{Name: name, Address: "10.0.0." + name, Seeds: []string{"a", "b", "c"}, NewIncarnation: func() uint64 { return 99 }, ToleratedLosses: 0, HeartbeatTimeout: 1500 * time.Millisecond,
-		StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
+	return Config{
+		Name:                  name,
+		Address:               "10.0.0." + name,
+		Seeds:                 []string{"a", "b", "c"},
+		ToleratedLosses:       0,
+		NewIncarnation:        func() uint64 { return 99 },
+		HeartbeatTimeout:      1500 * time.Millisecond,
+		StallTimeout:          2 * time.Second,
+		MaxEntries:            8,
+		MaxOutcomes:           64,
+		MaxUncommittedEntries: 16,
+		MaxOperatorTombstones: 12,
+	}
 }
 
 // start starts a member from its data folder; an empty one gets an initial record with the incarnation given.
@@ -63,6 +82,7 @@
 	}
 }
 
+// close closes the members' logs; their folders can then be read or opened by another core.
 func (c *goldenCore) close() {
 	for _, name := range slices.Sorted(maps.Keys(c.disks)) {
 		if err := c.disks[name].Close(); err != nil {
--- a/internal/store/golden_model_test.go
+++ b/internal/store/golden_model_test.go
@@ -160,7 +160,8 @@
 		committed = max(committed, reached)
 	}
 	return fmt.Sprintf("%s: %d messages, %d records, %d replies, %d reads, %d elections, committed %d, %d steps, %v, %d breaches",
-		hex.EncodeToString(trace.sum.Sum(nil)), trace.sends, trace.persists, trace.replies, trace.reads, len(played.leaders), committed, played.steps, played.now.Round(time.Millisecond), len(played.breaches))
+		hex.EncodeToString(trace.sum.Sum(nil)), trace.sends, trace.persists, trace.replies, trace.reads,
+		len(played.leaders), committed, played.steps, played.now.Round(time.Millisecond), len(played.breaches))
 }
 
 // A change without effect on behaviour alters no run of the model: the replicas send, write and answer the same at the
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -109,7 +109,7 @@
 			break
 		}
 		if frameNumber := binary.LittleEndian.Uint64(data[8:]); frameNumber != uint64(len(bodies)+1) {
-			t.Fatalf("frame %d is of place %d", len(bodies)+1, frameNumber)
+			t.Fatalf("frame %d has the number %d", len(bodies)+1, frameNumber)
 		}
 		sum := crc32.Update(crc32.ChecksumIEEE(data[4:16]), crc32.IEEETable, data[20:20+length])
 		if sum != binary.LittleEndian.Uint32(data[16:]) {
@@ -148,7 +148,8 @@
 				}
 				written := readFolder(t, folder, "")
 				if got := written["setup-000000000001.log"]; len(written) != 1 || !bytes.Equal(got, data[:len(data)-len(rest)]) {
-					t.Errorf("%s is written again as %d bytes in %v, not as the %d it has", file, len(got), slices.Collect(maps.Keys(written)), len(data)-len(rest))
+					t.Errorf("%s is rewritten as %d bytes in %v, want %d",
+						file, len(got), slices.Collect(maps.Keys(written)), len(data)-len(rest))
 				}
 			}
 		})
@@ -163,7 +164,8 @@
 	writeGoldenLone(t, root)
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
-			got, want := readFolder(t, filepath.Join(root, name), ""), readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix)
+			got := readFolder(t, filepath.Join(root, name), "")
+			want := readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix)
 			if !maps.EqualFunc(got, want, bytes.Equal) {
 				t.Errorf("%v are written, and differ from the golden %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
 			}
@@ -198,7 +200,7 @@
 				t.Errorf("incarnation %d, founder %t", s.incarnation, s.founder)
 			}
 			if s.term != want.term || s.votedTerm != want.voted || s.votedFor != want.votedFor || s.sequence != want.length {
-				t.Errorf("epoch %d, voted for %q in %d, sequence %d", s.term, s.votedFor, s.votedTerm, s.sequence)
+				t.Errorf("term %d, voted for %q in %d, sequence %d", s.term, s.votedFor, s.votedTerm, s.sequence)
 			}
 			var members, stateItems []string
 			for _, member := range s.membership.Members {
@@ -257,7 +259,7 @@
 	} {
 		outcome, known := s.AppendedOutcome(id)
 		if !known {
-			t.Errorf("%s is forgotten", id)
+			t.Errorf("%s has no outcome", id)
 			continue
 		}
 		got := fmt.Sprintf("%d at %d", outcome.Ruling, outcome.Version.Sequence)
@@ -268,7 +270,7 @@
 			got += fmt.Sprintf(" %s/%s %d", current.Kind, current.Name, current.Sequence)
 		}
 		if got != want {
-			t.Errorf("%s came to %q, want %q", id, got, want)
+			t.Errorf("%s has the outcome %q, want %q", id, got, want)
 		}
 	}
 	if len(s.outcomes) != 13 {
@@ -296,7 +298,7 @@
 			for name, folder := range test.folders {
 				copyGolden(t, folder, filepath.Join(root, "member-"+name))
 			}
-			// Whoever starts it again finds what the life before has added.
+			// The second run goes on from what the first has added.
 			for run := 1; run <= 2; run++ {
 				c := newGoldenCore(t, root)
 				for _, name := range slices.Sorted(maps.Keys(test.folders)) {
@@ -305,7 +307,7 @@
 				c.advance(8 * time.Second)
 				for name, member := range c.members {
 					if status := member.Status(); status.Leader != test.leader || status.Term < test.after {
-						t.Fatalf("life %d: %s takes %q for the leader, in epoch %d", run, name, status.Leader, status.Term)
+						t.Fatalf("run %d: %s knows %q as the leader, in term %d", run, name, status.Leader, status.Term)
 					}
 				}
 				added := fmt.Sprint("added-", run)
@@ -315,11 +317,11 @@
 					_, state := member.Committed()
 					for _, key := range []string{test.committedKey, "segment/added-1", "segment/" + added} {
 						if key != "" && state[key] == nil {
-							t.Errorf("life %d: %s has lost %s", run, name, key)
+							t.Errorf("run %d: %s has lost %s", run, name, key)
 						}
 					}
 					if state["segment/torn"] != nil {
-						t.Errorf("life %d: what was torn is held", run)
+						t.Errorf("run %d: the torn record is in the state", run)
 					}
 				}
 				if test.committedKey == "progress/shop" {
--- a/internal/store/model_operators_test.go
+++ b/internal/store/model_operators_test.go
@@ -20,7 +20,8 @@
 	m.openCalls[client] = func() { record(linearize.OutcomeUnknown) }
 	id := fmt.Sprint("change-", client)
 	m.call(client, index, func(replica *modelReplica, ticket string) {
-		m.act(replica, replica.Propose(m.now-replica.started, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}}))
+		change := &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}
+		m.act(replica, replica.Propose(m.now-replica.started, &schema.Proposal{Ticket: ticket, Change: change}))
 	}, func(_ *modelReplica, result any) bool {
 		reply := result.(*schema.ProposalReply)
 		switch {
@@ -68,7 +69,11 @@
 }
 
 // call sends a request until it is decided: twice to one replica, then to the next.
-func (m *model) call(client, index int, ask func(replica *modelReplica, ticket string), decided func(replica *modelReplica, result any) bool) {
+func (m *model) call(
+	client, index int,
+	ask func(replica *modelReplica, ticket string),
+	decided func(replica *modelReplica, result any) bool,
+) {
 	done := false
 	var attempt func(attempts int)
 	attempt = func(attempts int) {
@@ -103,7 +108,13 @@
 		m.at(time.Duration(i)*modelCallInterval, nil, ordinaryEvent, func() {
 			name, version := modelItem(i%modelItems), uint64(i+1)
 			item := func(content string) *schema.Item {
-				return &schema.Item{Kind: "segment", Name: name, OperatorVersion: version, Body: []byte(fmt.Sprintf(`{"salt":"%s"}`, content)), Deleted: i%5 == 4}
+				return &schema.Item{
+					Kind:            "segment",
+					Name:            name,
+					OperatorVersion: version,
+					Body:            []byte(fmt.Sprintf(`{"salt":"%s"}`, content)),
+					Deleted:         i%5 == 4,
+				}
 			}
 			m.write(i, item("first"))
 			if i%3 == 2 {
@@ -126,7 +137,12 @@
 			m.read(index)
 		}
 	}
-	m.write(slices.Index(m.members, m.standing()[0]), &schema.Item{Kind: "segment", Name: modelItem(0), OperatorVersion: 1 << 30, Body: []byte(`{"salt":"last"}`)})
+	m.write(slices.Index(m.members, m.standing()[0]), &schema.Item{
+		Kind:            "segment",
+		Name:            modelItem(0),
+		OperatorVersion: 1 << 30,
+		Body:            []byte(`{"salt":"last"}`),
+	})
 	m.runTo(m.now + modelHeartbeatTimeout)
 	if len(m.openCalls) > 0 {
 		m.breach("%d calls were not decided before and %d at the end", before, len(m.openCalls))
@@ -153,7 +169,8 @@
 		case !replica.isMember():
 			return replica.name + " is no member"
 		case replica.committedSequence != standing[0].committedSequence:
-			return fmt.Sprintf("%s has committed %d, %s %d", replica.name, replica.committedSequence, standing[0].name, standing[0].committedSequence)
+			first := standing[0]
+			return fmt.Sprintf("%s has committed %d, %s %d", replica.name, replica.committedSequence, first.name, first.committedSequence)
 		case len(replica.membership.Members) != len(standing):
 			return fmt.Sprintf("%s has %d members for %d machines", replica.name, len(replica.membership.Members), len(standing))
 		}
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -117,7 +117,8 @@
 		cfg := testConfig(name)
 		cfg.HeartbeatTimeout, cfg.StaticMembers, cfg.ToleratedLosses, cfg.Name = 300*time.Millisecond, []string{"x"}, 2, "x"
 		c.act(name, c.replicas[name].SetLimits(c.now, cfg))
-		if current := c.replicas[name].config; current.Name != name || len(current.StaticMembers) != 3 || current.ToleratedLosses != 0 || current.HeartbeatTimeout != cfg.HeartbeatTimeout {
+		current := c.replicas[name].config
+		if current.Name != name || len(current.StaticMembers) != 3 || current.ToleratedLosses != 0 || current.HeartbeatTimeout != cfg.HeartbeatTimeout {
 			t.Errorf("%s has the configuration %v", name, current)
 		}
 	}
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -41,8 +41,21 @@
 	hosts := []string{net24 + ".91", net24 + ".92", net24 + ".93"}
 	seeds := fmt.Sprintf("%[1]s.93:9,%[1]s.91:9,%[1]s.92:9", net24) // the port is not the stores': only the IPs count
 	for _, host := range hosts {
-		defer start(t, &schema.StoreOptions{Seat: host, Listen: fmt.Sprint(host, ":", port), Seeds: seeds, Data: t.TempDir(), Founding: true, Links: "plain",
-			Losses: 1, Silence: int64(300 * time.Millisecond), Stall: int64(time.Second), EntriesMost: 64, OutcomesMost: 64, Buffer: 64})()
+		stop := start(t, &schema.StoreOptions{
+			Seat:         host,
+			Listen:       fmt.Sprint(host, ":", port),
+			Seeds:        seeds,
+			Data:         t.TempDir(),
+			Founding:     true,
+			Links:        plaintextLinks,
+			Losses:       1,
+			Silence:      int64(300 * time.Millisecond),
+			Stall:        int64(time.Second),
+			EntriesMost:  64,
+			OutcomesMost: 64,
+			Buffer:       64,
+		})
+		defer stop()
 	}
 	clientTransport := transport.NewPlaintext("registry", hosts[2], nil)
 	defer clientTransport.Close()
--- a/internal/store/tombstones_test.go
+++ b/internal/store/tombstones_test.go
@@ -21,7 +21,8 @@
 		if !deleted {
 			item.Body = []byte(`{"salt":""}`)
 		}
-		c.act("b", c.replicas["b"].Propose(c.now, &schema.Proposal{Ticket: id, Change: &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}}))
+		change := &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}
+		c.act("b", c.replicas["b"].Propose(c.now, &schema.Proposal{Ticket: id, Change: change}))
 		if got := c.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
 			t.Fatalf("%s: %v", id, got)
 		}
--- a/internal/store/wal_fault_fs_test.go
+++ b/internal/store/wal_fault_fs_test.go
@@ -146,7 +146,16 @@
 			head := slices.Clone(later.data)
 			clear(head[:size/2])
 			// Complete, cut at several places, with a hole, with its first half zero, and all zero.
-			for _, data := range [][]byte{later.data, later.data[:1], later.data[:min(frameHeaderBytes, size)], later.data[:size/2], later.data[:size-1], hole, head, make([]byte, size)} {
+			for _, data := range [][]byte{
+				later.data,
+				later.data[:1],
+				later.data[:min(frameHeaderBytes, size)],
+				later.data[:size/2],
+				later.data[:size-1],
+				hole,
+				head,
+				make([]byte, size),
+			} {
 				contents = append(contents, slices.Concat(content, data))
 			}
 		}
--- a/internal/store/wal_fuzz_test.go
+++ b/internal/store/wal_fuzz_test.go
@@ -18,7 +18,8 @@
 		f.Fatal(err)
 	}
 	both := append(append([]byte{}, first...), second...)
-	for _, seed := range [][]byte{nil, first, both, both[:len(both)-3], append(append([]byte{}, both...), first...), second, []byte(frameMagic)} {
+	bothAndFirst := append(append([]byte{}, both...), first...)
+	for _, seed := range [][]byte{nil, first, both, both[:len(both)-3], bothAndFirst, second, []byte(frameMagic)} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/store/wal_test.go
+++ b/internal/store/wal_test.go
@@ -81,7 +81,8 @@
 						_, read, err := openLog(secondState)
 						cases++
 						if !readsExpected(read, before, synced, inFlight) || err != nil {
-							t.Fatalf("snapshots %v, power lost at %d and %d: read %v, before %v, durable %v, in flight %v: %v", snapshots, first, second, read, before, synced, inFlight, err)
+							t.Fatalf("snapshots %v, power lost at %d and %d: read %v, before %v, durable %v, in flight %v: %v",
+								snapshots, first, second, read, before, synced, inFlight, err)
 						}
 					}
 					if twice.operations < second {
