--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,4 +1,5 @@
-// Package store replicates the configuration of the mesh: a consensus core in the manner of Raft.
+// Package store replicates the configuration of the mesh: a consensus core in the manner of Raft. Comments cite "the
+// thesis": D. Ongaro, Consensus: Bridging Theory and Practice, Stanford 2014.
 //
 // # Layers
 //
@@ -18,8 +19,9 @@
 // # What differs from Raft
 //
 //   - Configurations are small, so log and state are kept together: a replica's content is named by one Version
-//     (term, sequence). Two replicas with the same version hold the same state, members and outcomes.
-//     Beginning a term restamps the whole content with that term, where Raft appends a no-op entry.
+//     (term, sequence). Two replicas with the same version have the same state, members and outcomes, and contents
+//     of one term are prefixes of one another. Beginning a term gives the complete content that term, where
+//     Raft appends a no-op entry.
 //   - A vote carries what the candidate lacks. A candidate therefore need not have the newest log to
 //     win; it adopts the newest one among its votes (Raft's voters refuse instead).
 //   - Leadership follows the order of members, not a race of random timeouts: the first member that
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -368,7 +368,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = disk.Close() }) // a test that writes has synced by then
+	t.Cleanup(func() { _ = disk.Close() }) // what the test wrote is durable already
 	return disk, records, folder
 }
 
--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -137,7 +137,7 @@
 	}
 	peer.lastKnownVersion = &schema.Version{Term: heartbeat.Term, Sequence: heartbeat.Sequence}
 	r.highestTerm = max(r.highestTerm, heartbeat.VotedTerm)
-	// The same term and sequence mean the same content, so what is committed there is committed here.
+	// Contents of one term are prefixes of one another, so what is committed there is committed here too.
 	if heartbeat.CommittedTerm == r.term {
 		r.commitTo(heartbeat.Committed)
 	}
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -11,9 +11,9 @@
 // Replica is the consensus state machine of one member. Its methods must be called one at a time, with a
 // time that never goes back, on a clock of the owner's choice (Server: since the process started).
 //
-// Invariants: committedSequence never exceeds sequence; a vote, a term's beginning or an entry is sent or
-// acknowledged only once it is durable here (pendingWrite holds what waits for that); baseSequence +
-// len(entries) is sequence.
+// Invariants: committedSequence never exceeds sequence; baseSequence + len(entries) is sequence; a vote, and the
+// acknowledgement of a term's beginning or of an entry, is sent only once that is durable here (pendingWrite holds what
+// waits); the leader's own copy of an entry counts for the commit only then too.
 type Replica struct {
 	// Identity. The data folder, not the name, is what counts as a member: see membership.go.
 	config            Config
@@ -87,7 +87,7 @@
 	forwardedRequests map[string]forwardedRequest // at a follower, by ticket
 
 	// At the leader.
-	nextPurgeSequence uint64           // the committed sequence from which tombstones are looked at again
+	nextPurgeSequence uint64           // the committed sequence at which purgeTombstones next acts
 	compiledConfig    *config.Snapshot // of the last change admitted here; the next one is compiled after it
 
 	freshness freshness
@@ -100,7 +100,7 @@
 }
 
 // NewReplica restores a replica from the records of its log, in the order they were written. Without records
-// it is empty and of the incarnation given, else the records tell the incarnation.
+// it is empty and of the incarnation that is passed; otherwise the records have the incarnation.
 func NewReplica(cfg Config, incarnation uint64, records []*schema.Record) *Replica {
 	r := &Replica{
 		config:              cfg,
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -48,7 +48,7 @@
 	progress         [stageCount]uint64                     // as of the last step
 	stageTimes       map[uint64]*[stageCount]int64          // by sequence: Unix nanoseconds of each stage, 0 for not yet
 	outboxes         map[string]chan *schema.ReplicaMessage // by peer name
-	pendingWrites    []Persist                              // not taken by the disk writer yet; bounded by what the replica admits
+	pendingWrites    []Persist                              // for the disk writer; bounded by what the replica admits
 	timer            *time.Timer                            // fires at nextTickAt
 	nextTickAt       time.Duration                          // on the replica's clock; 0 if the timer is not set
 }
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -136,8 +136,8 @@
 func (r *Replica) commitTo(sequence uint64) {
 	sequence = min(sequence, r.sequence)
 	alreadyCommitted := sequence <= r.committedSequence && r.committedTerm == r.term
-	// The states between an installed snapshot's start and its end are not known here, so nothing below
-	// baseSequence can be shown: the commit waits until it reaches the base.
+	// States below baseSequence are not retained, so after a snapshot was installed nothing can be shown until the
+	// committed sequence reaches the snapshot's.
 	if sequence < r.baseSequence || alreadyCommitted || sequence < r.committedSequence {
 		return
 	}
--- a/internal/store/wal.go
+++ b/internal/store/wal.go
@@ -162,7 +162,8 @@
 }
 
 // removeOthers removes the log files but for one number, that one too unless keepNumber, and makes the removals
-// durable. The new file's entry in the folder becomes durable with them.
+// durable. With nothing to remove the folder is not synced: the log relies on a file's own sync to make its name durable
+// too, as ext4 and XFS do.
 func (l *FileLog) removeOthers(number uint64, keepNumber bool) error {
 	numbers, err := logNumbers(l.fileSystem)
 	if err != nil {
