--- /dev/null
+++ b/internal/store/decide.go
@@ -0,0 +1,131 @@
+package store
+
+import (
+	"meadowhinge/internal/config"
+	"meadowhinge/schema"
+)
+
+// maxReportedFaults bounds the reasons listed in a refusal; an operator works them off in turns.
+const maxReportedFaults = 32
+
+// progressKind is the item kind written by rollout controllers.
+const progressKind = "progress"
+
+// Decide rules on a change against a state, as the entry of a version: the change is accepted with all its items
+// or refused with none, and with up to maxReportedFaults reasons. It is a pure function, so any replica that
+// leads comes to the same ruling.
+//
+// previous is the compiled configuration of the state if the caller has one, else nil; it makes compiling cheaper
+// and does not affect the ruling. Decide returns the one to pass with the next change.
+func Decide(
+	state config.State, previous *config.Snapshot, change *schema.Change, version *schema.Version,
+) (*schema.Entry, *config.Snapshot) {
+	outcome := &schema.ChangeOutcome{ChangeId: change.Id, Version: version}
+	entry := &schema.Entry{Version: version, ChangeId: change.Id, Outcome: outcome}
+	written := itemsToWrite(state, change, outcome)
+	if outcome.Ruling != schema.Ruling_RULING_UNKNOWN {
+		return entry, previous
+	}
+	if fromStaleController(state, written) {
+		outcome.Ruling = schema.Ruling_RULING_STALE
+		return entry, previous
+	}
+	items := stampItems(state, change.Id, written, version)
+	// A change without effect leaves the state as it was, which is valid.
+	if len(items) == 0 {
+		outcome.Ruling = schema.Ruling_RULING_ACCEPTED
+		return entry, previous
+	}
+	compiled, faults := config.CompileIncremental(previous, state.With(items), version.Sequence)
+	if len(faults) > 0 {
+		outcome.Ruling = schema.Ruling_RULING_INVALID
+		outcome.Faults = faults[:min(len(faults), maxReportedFaults)]
+		return entry, previous
+	}
+	entry.Items = items
+	outcome.Ruling = schema.Ruling_RULING_ACCEPTED
+	return entry, compiled
+}
+
+// itemsToWrite lists the items of a change that are to be written. If the change conflicts with the state, or is
+// invalid by itself, it sets the refusal in outcome instead.
+func itemsToWrite(state config.State, change *schema.Change, outcome *schema.ChangeOutcome) []*schema.Item {
+	if !change.ByOperatorVersion {
+		outcome.Current = conflictingItems(state, change)
+		if len(outcome.Current) > 0 {
+			outcome.Ruling = schema.Ruling_RULING_CONFLICT
+		}
+		return change.Items
+	}
+	written, conflicts := byOperatorVersion(state, change.Items)
+	// Items that are not written are not compiled, so what is invalid by itself must be refused here: an invalid
+	// item must not be accepted only because a newer version of it exists.
+	if len(written) < len(change.Items) {
+		if faults := config.Check(change.Items); len(faults) > 0 {
+			outcome.Ruling = schema.Ruling_RULING_INVALID
+			outcome.Faults = faults[:min(len(faults), maxReportedFaults)]
+			return nil
+		}
+	}
+	if len(conflicts) > 0 {
+		outcome.Ruling = schema.Ruling_RULING_CONFLICT
+		outcome.Current = conflicts[:min(len(conflicts), maxReportedFaults)]
+		return nil
+	}
+	return written
+}
+
+// conflictingItems lists, for the items of a change whose stored sequence is not the one that the writer
+// expected, the stored one (0 for none or a tombstone).
+func conflictingItems(state config.State, change *schema.Change) (current []*schema.ExpectedVersion) {
+	expected := map[string]uint64{}
+	for _, expectation := range change.Expected {
+		expected[config.Key(expectation.Kind, expectation.Name)] = expectation.Sequence
+	}
+	for _, item := range change.Items {
+		key := config.Key(item.Kind, item.Name)
+		sequence := uint64(0)
+		if existing := state[key]; existing != nil && !existing.Deleted {
+			sequence = existing.Version.Sequence
+		}
+		if expected[key] != sequence {
+			current = append(current, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: sequence})
+		}
+	}
+	return current
+}
+
+// fromStaleController reports whether an item was written by a rollout controller that has lost control since:
+// another one has written the item under a later controller term. This fences off the old controller.
+func fromStaleController(state config.State, items []*schema.Item) bool {
+	for _, item := range items {
+		existing := state[config.Key(item.Kind, item.Name)]
+		if item.Kind != progressKind || item.Deleted || existing == nil || existing.Deleted {
+			continue
+		}
+		if config.ControllerTermOf(item) < config.ControllerTermOf(existing) {
+			return true
+		}
+	}
+	return false
+}
+
+// stampItems returns the items as they are stored: with the version and id of their change, and with an operator
+// version that never falls, so that a delayed older order cannot take an item back.
+func stampItems(state config.State, changeID string, items []*schema.Item, version *schema.Version) []*schema.Item {
+	var stamped []*schema.Item
+	for _, item := range items {
+		existing := state[config.Key(item.Kind, item.Name)]
+		stamped = append(stamped, &schema.Item{
+			Kind:            item.Kind,
+			Name:            item.Name,
+			Body:            item.Body,
+			Deleted:         item.Deleted,
+			Version:         version,
+			ChangeId:        changeID,
+			OperatorVersion: max(item.OperatorVersion, existing.GetOperatorVersion()),
+			OperatorBody:    item.OperatorBody,
+		})
+	}
+	return stamped
+}
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -20,285 +20,20 @@
 	"meadowhinge/schema"
 )
 
-// The golden folders are logs as members wrote them before names in the code were changed. A
-// version that is installed over another must go on from such a folder, and the other way round.
-// They are never written anew. Under git their files end in .golden, as *.log is ignored there.
+// The golden folders are the data folders of members as an earlier release wrote them. A release must go on from the
+// folder of the one before, and the other way round, so they are never written anew. Under git their files end in .golden,
+// as *.log is ignored there.
 //
-//   - member-a, member-b, member-d: a core of founders a, b and c, where d came in c's place. It has
-//     a release on its way, and of a the whole state, entries upon it, votes and a later epoch.
-//   - born: a lone founder that has said nothing yet.
-//   - torn: that founder later, with two records in one frame and a last frame that is torn.
+//   - member-a, member-b, member-d: a core of founders a, b and c, where d replaced c. It has a rollout under way, and
+//     the log of a has a snapshot, entries after it, votes and a later term.
+//   - born: a single founder with its initial record only.
+//   - torn: that founder later, with two records in one frame and a torn last frame.
 const (
 	goldenFolder = "testdata/golden"
 	goldenSuffix = ".golden"
 )
 
-// goldenCore runs the real members of a core on one clock, each with a log of its own.
-type goldenCore struct {
-	t          *testing.T
-	root       string
-	now        time.Duration
-	names      []string // in which they tick
-	members    map[string]*Replica
-	disks      map[string]*FileLog
-	down       map[string]bool
-	holdWrites bool // records wait, to be written as one group
-	heldWrites []Persist
-	replies    map[string]*schema.ProposalReply
-}
-
-func newGoldenCore(t *testing.T, root string) *goldenCore {
-	t.Helper()
-	core := &goldenCore{t: t, root: root, members: map[string]*Replica{}, disks: map[string]*FileLog{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}}
-	t.Cleanup(core.close)
-	return core
-}
-
-func goldenConfig(name string) Config {
-	return Config{Name: name, Address: "10.0.0." + name, Seeds: []string{"a", "b", "c"}, NewIncarnation: func() uint64 { return 99 }, ToleratedLosses: 0, HeartbeatTimeout: 1500 * time.Millisecond,
-		StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
-}
-
-// start starts a member upon its folder; an empty one gets a birth with the incarnation given.
-func (c *goldenCore) start(name string, incarnation uint64, founders ...string) {
-	c.t.Helper()
-	cfg := goldenConfig(name)
-	cfg.Founders = founders
-	disk, records, err := Open(filepath.Join(c.root, "member-"+name))
-	if err != nil {
-		c.t.Fatal(err)
-	}
-	if len(records) == 0 {
-		records = []*schema.Record{InitialRecord(cfg, incarnation)}
-		if err := disk.Write(records, true); err != nil {
-			c.t.Fatal(err)
-		}
-	}
-	cfg.Founders = nil
-	c.members[name], c.disks[name] = NewReplica(cfg, 0, records), disk
-	if !slices.Contains(c.names, name) {
-		c.names = append(c.names, name)
-	}
-}
-
-func (c *goldenCore) close() {
-	for _, name := range slices.Sorted(maps.Keys(c.disks)) {
-		if err := c.disks[name].Close(); err != nil {
-			c.t.Error(err)
-		}
-	}
-	c.disks = map[string]*FileLog{}
-}
-
-func (c *goldenCore) act(from string, actions []Action) {
-	c.t.Helper()
-	for _, action := range actions {
-		switch typed := action.(type) {
-		case Send:
-			if to := typed.Message.To; c.members[to] != nil && !c.down[to] && !c.down[from] {
-				c.act(to, c.members[to].Step(c.now, proto.Clone(typed.Message).(*schema.ReplicaMessage)))
-			}
-		case Persist:
-			if c.holdWrites {
-				c.heldWrites = append(c.heldWrites, typed)
-				continue
-			}
-			c.write(from, typed)
-		case Reply:
-			c.replies[typed.Result.Ticket] = typed.Result
-		}
-	}
-}
-
-// write writes what was asked for as one group, and tells that it is synced.
-func (c *goldenCore) write(at string, writes ...Persist) {
-	c.t.Helper()
-	var records []*schema.Record
-	for _, write := range writes {
-		records = append(records, write.Record)
-	}
-	last := writes[len(writes)-1]
-	if err := c.disks[at].Write(records, last.ReplacesLog); err != nil {
-		c.t.Fatal(err)
-	}
-	c.act(at, c.members[at].Persisted(c.now, last.WriteID))
-}
-
-func (c *goldenCore) advance(span time.Duration) {
-	c.t.Helper()
-	for end := c.now + span; c.now < end; c.now += 75 * time.Millisecond {
-		for _, name := range c.names {
-			if !c.down[name] {
-				c.act(name, c.members[name].Tick(c.now))
-			}
-		}
-	}
-}
-
-func (c *goldenCore) propose(at string, change *schema.Change) {
-	c.t.Helper()
-	c.act(at, c.members[at].Propose(c.now, &schema.Proposal{Ticket: change.Id, Change: change}))
-}
-
-// expectRuling proposes a change and wants it to be ruled so.
-func (c *goldenCore) expectRuling(at string, want schema.Ruling, change *schema.Change) {
-	c.t.Helper()
-	c.propose(at, change)
-	if got := c.replies[change.Id].GetOutcome(); got.GetRuling() != want {
-		c.t.Fatalf("%s: %v, want %v", change.Id, c.replies[change.Id], want)
-	}
-}
-
-func goldenItem(kind, name string, operatorVersion uint64, body string) *schema.Item {
-	return &schema.Item{Kind: kind, Name: name, OperatorVersion: operatorVersion, Body: []byte(body)}
-}
-
-func goldenFlag(weight int) *schema.Item {
-	return goldenItem("flag", "release.shop", 0, fmt.Sprintf(`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,`+
-		`"fallthrough":{"rollout":{"variations":[{"variation":1,"weight":%d},{"variation":0,"weight":%d}]}}}`, weight, 100000-weight))
-}
-
-func goldenProgress(duty int, state string, weight int, elapsed time.Duration) *schema.Item {
-	return goldenItem("progress", "shop", 0, fmt.Sprintf(`{"duty":%d,"holder":"a","set":"shop 3","state":%q,"reason":"the version is known","share":%d,"weight":%d,"elapsed":%d,"from":"1","since":7}`,
-		duty, state, weight/1000, weight, elapsed))
-}
-
-// expecting is a change of items that were last written in the sequences given, 0 for never.
-func expecting(id string, items []*schema.Item, sequences ...uint64) *schema.Change {
-	change := &schema.Change{Id: id, Items: items}
-	for i, sequence := range sequences {
-		change.Expected = append(change.Expected, &schema.ExpectedVersion{Kind: items[i].Kind, Name: items[i].Name, Sequence: sequence})
-	}
-	return change
-}
-
-// sequenceOf is in which sequence an item was last written.
-func (c *goldenCore) sequenceOf(at, kind, name string) uint64 {
-	_, state := c.members[at].Committed()
-	return state[config.Key(kind, name)].GetVersion().GetSequence()
-}
-
-// writeGoldenCore writes the folders of the members by the real steps.
-func writeGoldenCore(t *testing.T, root string) {
-	t.Helper()
-	const accepted = schema.Ruling_RULING_ACCEPTED
-	c := newGoldenCore(t, root)
-	for i, name := range []string{"a", "b", "c"} {
-		c.start(name, uint64(11+i), "a", "b", "c")
-	}
-	c.advance(5 * time.Second)
-	c.expectRuling("a", accepted, expecting("shop", []*schema.Item{
-		goldenItem("service", "shop", 0, `{"versions":["1","2"],"fallback":"1"}`), goldenFlag(0), goldenItem("route", "buy", 0, `{"service":"shop","prefix":"/buy"}`)}))
-	c.expectRuling("b", accepted, &schema.Change{Id: "given", ByOperatorVersion: true, Items: []*schema.Item{
-		{Kind: "segment", Name: "testers", OperatorVersion: 5, Body: []byte(`{"salt":"t","included":["ann"]}`), OperatorBody: []byte(`{"spec":{"salt":"t"}}`)},
-		goldenItem("segment", "old", 6, `{"salt":"o"}`)}})
-	c.expectRuling("a", accepted, expecting("plain", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"p"}`)}))
-	c.expectRuling("a", accepted, &schema.Change{Id: "dropped-given", ByOperatorVersion: true, Items: []*schema.Item{{Kind: "segment", Name: "old", OperatorVersion: 8, Deleted: true}}})
-	c.expectRuling("a", schema.Ruling_RULING_INVALID, expecting("wrong", []*schema.Item{goldenItem("segment", "wrong", 0, `{"colour":"red"}`)}))
-	c.expectRuling("b", schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"q"}`)}))
-	// c is gone for good; d takes its place.
-	c.down["c"] = true
-	c.start("d", 14)
-	c.advance(6 * time.Second)
-	c.expectRuling("d", accepted, expecting("release", []*schema.Item{goldenItem("release", "shop", 0, `{"service":"shop","version":"2","target":50,"over":"10m","pace":"go"}`)}))
-	c.expectRuling("a", accepted, expecting("trial", []*schema.Item{goldenFlag(10000), goldenProgress(2, "trial", 10000, 0)}, c.sequenceOf("a", "flag", "release.shop"), 0))
-	c.expectRuling("a", accepted, expecting("dropped-plain", []*schema.Item{{Kind: "segment", Name: "plain", Deleted: true}}, c.sequenceOf("a", "segment", "plain")))
-	c.expectRuling("a", schema.Ruling_RULING_STALE, expecting("stale", []*schema.Item{goldenProgress(1, "ramp", 20000, 0)}, c.sequenceOf("a", "progress", "shop")))
-	// Leadership goes to b and comes back, so that votes and epochs come after the whole state.
-	c.down["a"] = true
-	c.advance(4 * time.Second)
-	c.down["a"] = false
-	c.advance(5 * time.Second)
-	c.expectRuling("b", accepted, expecting("ramp", []*schema.Item{goldenFlag(25000), goldenProgress(3, "ramp", 25000, 150*time.Second)},
-		c.sequenceOf("b", "flag", "release.shop"), c.sequenceOf("b", "progress", "shop")))
-	c.advance(time.Second)
-	c.close()
-	if err := os.RemoveAll(filepath.Join(root, "member-c")); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// writeGoldenLone writes the folder of a lone founder, as it was born and later with a torn end.
-func writeGoldenLone(t *testing.T, root string) {
-	t.Helper()
-	c := newGoldenCore(t, root)
-	c.start("l", 21, "l")
-	move := func(name string) {
-		t.Helper()
-		for file, data := range readFolder(t, filepath.Join(root, "member-l"), "") {
-			if err := os.MkdirAll(filepath.Join(root, name), 0o750); err != nil {
-				t.Fatal(err)
-			}
-			if name == "torn" {
-				data = data[:len(data)-9]
-			}
-			if err := os.WriteFile(filepath.Join(root, name, file), data, 0o600); err != nil {
-				t.Fatal(err)
-			}
-		}
-	}
-	move("born")
-	c.advance(5 * time.Second)
-	c.holdWrites = true
-	for _, id := range []string{"one", "two"} {
-		c.propose("l", expecting(id, []*schema.Item{goldenItem("segment", id, 0, `{"salt":""}`)}))
-	}
-	c.holdWrites = false
-	c.write("l", c.heldWrites...)
-	c.expectRuling("l", schema.Ruling_RULING_ACCEPTED, expecting("torn", []*schema.Item{goldenItem("segment", "torn", 0, `{"salt":""}`)}))
-	c.close()
-	move("torn")
-	if err := os.RemoveAll(filepath.Join(root, "member-l")); err != nil {
-		t.Fatal(err)
-	}
-}
-
-// readFolder reads a folder's files, without a suffix of their names.
-func readFolder(t *testing.T, folder, suffix string) map[string][]byte {
-	t.Helper()
-	entries, err := os.ReadDir(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	files := map[string][]byte{}
-	for _, entry := range entries {
-		data, err := os.ReadFile(filepath.Join(folder, entry.Name()))
-		if err != nil {
-			t.Fatal(err)
-		}
-		files[strings.TrimSuffix(entry.Name(), suffix)] = data
-	}
-	return files
-}
-
-// copyGolden copies a golden folder to where a log may be opened, for that may change it.
-func copyGolden(t *testing.T, name, to string) {
-	t.Helper()
-	if err := os.MkdirAll(to, 0o750); err != nil {
-		t.Fatal(err)
-	}
-	for file, data := range readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix) {
-		if err := os.WriteFile(filepath.Join(to, file), data, 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-}
-
-func openGolden(t *testing.T, name string) (*FileLog, []*schema.Record, string) {
-	t.Helper()
-	folder := filepath.Join(t.TempDir(), name)
-	copyGolden(t, name, folder)
-	disk, records, err := Open(folder)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { disk.Close() })
-	return disk, records, folder
-}
-
-var goldenFolders = []string{"member-a", "member-b", "member-d", "born", "torn"}
-
-// dump writes a message by the numbers of its fields, so that no renaming shows in it.
+// dump writes a message by its field numbers, so that no renaming shows in it.
 func dump(to *strings.Builder, indent string, message protoreflect.Message) {
 	fields := message.Descriptor().Fields()
 	var numbers []int
@@ -346,7 +81,7 @@
 	return text.String()
 }
 
-// Every record of the golden logs is read, and says what it said when it was written.
+// Every record of the golden logs is read with the contents that it was written with.
 func TestGoldenRecords(t *testing.T) {
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
@@ -362,7 +97,7 @@
 	}
 }
 
-// goldenFrames takes a log apart by its bytes alone, without the code that is tested.
+// goldenFrames parses a log file by its bytes alone, without the code under test.
 func goldenFrames(t *testing.T, data []byte) (bodies [][]byte, rest []byte) {
 	t.Helper()
 	for len(data) >= 20 {
@@ -374,7 +109,7 @@
 			break
 		}
 		if frameNumber := binary.LittleEndian.Uint64(data[8:]); frameNumber != uint64(len(bodies)+1) {
-			t.Fatalf("frame %d is of place %d", len(bodies)+1, frameNumber)
+			t.Fatalf("frame %d has the number %d", len(bodies)+1, frameNumber)
 		}
 		sum := crc32.Update(crc32.ChecksumIEEE(data[4:16]), crc32.IEEETable, data[20:20+length])
 		if sum != binary.LittleEndian.Uint32(data[16:]) {
@@ -385,8 +120,7 @@
 	return bodies, data
 }
 
-// The same records are written as the same bytes, so that the version before reads what this one
-// writes.
+// The same records are written as the same bytes, so that the release before can read what this one writes.
 func TestGoldenFrames(t *testing.T) {
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
@@ -414,22 +148,24 @@
 				}
 				written := readFolder(t, folder, "")
 				if got := written["setup-000000000001.log"]; len(written) != 1 || !bytes.Equal(got, data[:len(data)-len(rest)]) {
-					t.Errorf("%s is written again as %d bytes in %v, not as the %d it has", file, len(got), slices.Collect(maps.Keys(written)), len(data)-len(rest))
+					t.Errorf("%s is rewritten as %d bytes in %v, want %d",
+						file, len(got), slices.Collect(maps.Keys(written)), len(data)-len(rest))
 				}
 			}
 		})
 	}
 }
 
-// The same steps write the same files. Whoever changes on purpose what a member does may replace the
-// steps here; the golden folders stay, for there are members that have such folders.
+// The same steps write the same files. A change that alters on purpose what a member does may replace the steps here; the
+// golden folders stay, since members in use have such folders.
 func TestGoldenSteps(t *testing.T) {
 	root := t.TempDir()
 	writeGoldenCore(t, root)
 	writeGoldenLone(t, root)
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
-			got, want := readFolder(t, filepath.Join(root, name), ""), readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix)
+			got := readFolder(t, filepath.Join(root, name), "")
+			want := readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix)
 			if !maps.EqualFunc(got, want, bytes.Equal) {
 				t.Errorf("%v are written, and differ from the golden %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
 			}
@@ -437,8 +173,8 @@
 	}
 }
 
-// What the records of a member come to: its term and vote, who the members are, every item with its
-// versions, the tombstones, and how far the release is.
+// The state that a member's records restore: its term and vote, the membership, every item with its versions, the
+// tombstones, and the progress of the rollout.
 func TestGoldenReplica(t *testing.T) {
 	const items = "flag/release.shop 9.13 given 0 by ramp; progress/shop 9.13 given 0 by ramp; release/shop 3.9 given 0 by release; route/buy 3.1 given 0 by shop; " +
 		"segment/old 3.4 given 8 by dropped-given deleted; segment/plain 3.11 given 0 by dropped-plain deleted; segment/testers 3.2 given 5 by given; service/shop 3.1 given 0 by shop"
@@ -452,7 +188,7 @@
 	}{
 		{"member-a", 11, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
 		{"member-b", 12, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
-		// It took committed state of a later epoch, which it had no vote in.
+		// It installed committed state of a later term, in which it had not voted.
 		{"member-d", 14, false, 9, 9, 13, "", "a/11 b/12 d/14 of 3 since 3.8", items},
 		{"born", 21, true, 0, 0, 0, "", "l/0 of 1 since 0.0", ""},
 		{"torn", 21, true, 1, 1, 2, "l", "l/21 of 1 since 1.0", "segment/one 1.1 given 0 by one; segment/two 1.2 given 0 by two"},
@@ -464,7 +200,7 @@
 				t.Errorf("incarnation %d, founder %t", s.incarnation, s.founder)
 			}
 			if s.term != want.term || s.votedTerm != want.voted || s.votedFor != want.votedFor || s.sequence != want.length {
-				t.Errorf("epoch %d, voted for %q in %d, sequence %d", s.term, s.votedFor, s.votedTerm, s.sequence)
+				t.Errorf("term %d, voted for %q in %d, sequence %d", s.term, s.votedFor, s.votedTerm, s.sequence)
 			}
 			var members, stateItems []string
 			for _, member := range s.membership.Members {
@@ -493,7 +229,7 @@
 	}
 }
 
-// checkGoldenRelease checks that the release on its way is read as it was steered.
+// checkGoldenRelease checks the state of the rollout that is under way.
 func checkGoldenRelease(t *testing.T, state config.State) {
 	t.Helper()
 	compiled, faults := config.Compile(state, 13)
@@ -514,7 +250,7 @@
 	}
 }
 
-// checkGoldenOutcomes checks what became of every change, refused ones included.
+// checkGoldenOutcomes checks the outcome of every change, refused ones included.
 func checkGoldenOutcomes(t *testing.T, s *Replica) {
 	t.Helper()
 	for id, want := range map[string]string{
@@ -523,7 +259,7 @@
 	} {
 		outcome, known := s.AppendedOutcome(id)
 		if !known {
-			t.Errorf("%s is forgotten", id)
+			t.Errorf("%s has no outcome", id)
 			continue
 		}
 		got := fmt.Sprintf("%d at %d", outcome.Ruling, outcome.Version.Sequence)
@@ -534,7 +270,7 @@
 			got += fmt.Sprintf(" %s/%s %d", current.Kind, current.Name, current.Sequence)
 		}
 		if got != want {
-			t.Errorf("%s came to %q, want %q", id, got, want)
+			t.Errorf("%s has the outcome %q, want %q", id, got, want)
 		}
 	}
 	if len(s.outcomes) != 13 {
@@ -542,14 +278,14 @@
 	}
 }
 
-// Members go on from the golden folders: they elect a leader under a later epoch, know what they
-// know, take changes on top, and can be started again from what is then on disk.
+// Members go on from the golden folders: they elect a leader in a later term, have the committed state, accept further
+// changes, and can be restarted from what is then on disk.
 func TestGoldenFoldersContinue(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		folders      map[string]string // by member
 		leader       string
-		after        uint64 // least epoch of the first leader
+		after        uint64 // lowest term of the first leader
 		committedKey string // an item that was committed
 	}{
 		{"core", map[string]string{"a": "member-a", "b": "member-b", "d": "member-d"}, "a", 10, "progress/shop"},
@@ -562,7 +298,7 @@
 			for name, folder := range test.folders {
 				copyGolden(t, folder, filepath.Join(root, "member-"+name))
 			}
-			// Whoever starts it again finds what the life before has added.
+			// The second run goes on from what the first has added.
 			for run := 1; run <= 2; run++ {
 				c := newGoldenCore(t, root)
 				for _, name := range slices.Sorted(maps.Keys(test.folders)) {
@@ -571,7 +307,7 @@
 				c.advance(8 * time.Second)
 				for name, member := range c.members {
 					if status := member.Status(); status.Leader != test.leader || status.Term < test.after {
-						t.Fatalf("life %d: %s takes %q for the leader, in epoch %d", run, name, status.Leader, status.Term)
+						t.Fatalf("run %d: %s knows %q as the leader, in term %d", run, name, status.Leader, status.Term)
 					}
 				}
 				added := fmt.Sprint("added-", run)
@@ -581,11 +317,11 @@
 					_, state := member.Committed()
 					for _, key := range []string{test.committedKey, "segment/added-1", "segment/" + added} {
 						if key != "" && state[key] == nil {
-							t.Errorf("life %d: %s has lost %s", run, name, key)
+							t.Errorf("run %d: %s has lost %s", run, name, key)
 						}
 					}
 					if state["segment/torn"] != nil {
-						t.Errorf("life %d: what was torn is held", run)
+						t.Errorf("run %d: the torn record is in the state", run)
 					}
 				}
 				if test.committedKey == "progress/shop" {
@@ -597,8 +333,8 @@
 	}
 }
 
-// goldenCoreContinues checks that versions of before still rule what comes: a tombstone bars older
-// orders, an id has its first outcome, and the release's duty stays with the later epoch.
+// goldenCoreContinues checks that the restored state still governs changes: a tombstone bars older orders, a change id has
+// its first outcome, and a rollout controller of an earlier term is refused.
 func goldenCoreContinues(c *goldenCore, leader string, run int) {
 	c.t.Helper()
 	older := fmt.Sprint("older-", run)
@@ -610,3 +346,48 @@
 	c.expectRuling(leader, schema.Ruling_RULING_STALE, expecting(fmt.Sprint("stale-", run), []*schema.Item{goldenProgress(2, "back", 0, 0)}, c.sequenceOf(leader, "progress", "shop")))
 	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, expecting(fmt.Sprint("on-", run), []*schema.Item{goldenProgress(3+run, "ramp", 30000, 200*time.Second)}, c.sequenceOf(leader, "progress", "shop")))
 }
+
+// copyGolden copies a golden folder, as opening a log may change it.
+func copyGolden(t *testing.T, name, to string) {
+	t.Helper()
+	if err := os.MkdirAll(to, 0o750); err != nil {
+		t.Fatal(err)
+	}
+	for file, data := range readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix) {
+		if err := os.WriteFile(filepath.Join(to, file), data, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+func openGolden(t *testing.T, name string) (*FileLog, []*schema.Record, string) {
+	t.Helper()
+	folder := filepath.Join(t.TempDir(), name)
+	copyGolden(t, name, folder)
+	disk, records, err := Open(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { _ = disk.Close() }) // what the test wrote is durable already
+	return disk, records, folder
+}
+
+var goldenFolders = []string{"member-a", "member-b", "member-d", "born", "torn"}
+
+// readFolder reads a folder's files, by their names without a suffix.
+func readFolder(t *testing.T, folder, suffix string) map[string][]byte {
+	t.Helper()
+	entries, err := os.ReadDir(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	files := map[string][]byte{}
+	for _, entry := range entries {
+		data, err := os.ReadFile(filepath.Join(folder, entry.Name()))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files[strings.TrimSuffix(entry.Name(), suffix)] = data
+	}
+	return files
+}
--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -9,117 +9,147 @@
 	"meadowhinge/schema"
 )
 
-// Heartbeats tell the other replicas whom this one hears and how far it is, in short where nothing has changed.
+// Heartbeats report whom this replica hears, whether it may lead and how far it is. One that is equal to the last
+// complete one is abbreviated to its serial: heartbeats are most of what is sent.
 
-func (s *Replica) recentlyHeard(peer *peerState) bool {
-	return peer.heard && s.now-peer.heardAt <= s.config.HeartbeatTimeout
-}
+// maxAbbreviatedHeartbeats is how many abbreviated heartbeats are sent before a complete one again.
+const maxAbbreviatedHeartbeats = 8
 
-// heartbeatInterval is the time from one round of heartbeats to the next.
-func (s *Replica) heartbeatInterval() time.Duration {
-	if !s.reachesMajority(s.config.Name) {
-		return s.config.HeartbeatTimeout / isolatedHeartbeatsPerTimeout
+// heartbeatInterval is the time between two rounds of heartbeats.
+func (r *Replica) heartbeatInterval() time.Duration {
+	if !r.reachesMajority(r.config.Name) {
+		return r.config.HeartbeatTimeout / isolatedHeartbeatsPerTimeout
 	}
-	return s.config.HeartbeatTimeout / heartbeatsPerTimeout
+	return r.config.HeartbeatTimeout / heartbeatsPerTimeout
 }
 
-func (s *Replica) sendHeartbeats() {
-	s.heartbeatSent, s.heartbeatSentAt, s.lastUrgentState = true, s.now, s.urgentState()
-	for _, name := range s.otherMembers {
-		s.sendHeartbeat(name, s.peers[name])
+// sendHeartbeats sends a round of heartbeats: to every member, and to the outsiders that are alive.
+func (r *Replica) sendHeartbeats() {
+	r.heartbeatSent, r.heartbeatSentAt = true, r.now
+	r.lastUrgentState = r.urgentState()
+	for _, name := range r.otherMembers {
+		r.sendHeartbeat(name, r.peers[name])
 	}
-	for _, name := range slices.Sorted(maps.Keys(s.outsiders)) {
-		if outsider := s.outsiders[name]; s.recentlyHeard(outsider) {
-			s.sendHeartbeat(name, outsider)
+	for _, name := range slices.Sorted(maps.Keys(r.outsiders)) {
+		if outsider := r.outsiders[name]; r.recentlyHeard(outsider) {
+			r.sendHeartbeat(name, outsider)
 		}
 	}
 }
 
-// sendUrgentHeartbeats sends heartbeats at once when who hears whom, who is fit or who holds leadership has changed.
-func (s *Replica) sendUrgentHeartbeats() {
-	if s.isMember() && s.heartbeatSent && s.now-s.heartbeatSentAt >= s.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout && s.urgentState() != s.lastUrgentState {
-		s.sendHeartbeats()
+// sendUrgentHeartbeats sends a round before it is due if the urgent state has changed since the last one.
+func (r *Replica) sendUrgentHeartbeats() {
+	if !r.isMember() || !r.heartbeatSent {
+		return
+	}
+	if r.now-r.heartbeatSentAt < r.config.HeartbeatTimeout/urgentHeartbeatsPerTimeout {
+		return
+	}
+	if r.urgentState() != r.lastUrgentState {
+		r.sendHeartbeats()
 	}
 }
 
-// news is what a heartbeat tells that must not wait for the next round.
-func (s *Replica) urgentState() string {
-	heartbeat := s.heartbeat()
+// urgentState is the part of a heartbeat, as text to compare, whose change must not wait for the next round: who
+// hears whom, who is fit and who leads.
+func (r *Replica) urgentState() string {
+	heartbeat := r.heartbeat()
 	return fmt.Sprint(heartbeat.Heard, heartbeat.Mutual, heartbeat.Unfit, heartbeat.MembershipBehind, heartbeat.Leader)
 }
 
-func (s *Replica) heartbeat() *schema.Heartbeat {
-	heartbeat := &schema.Heartbeat{Mutual: s.mutualPeers(), Unfit: s.unfit(), VotedTerm: s.votedTerm, Term: s.term, Sequence: s.sequence,
-		Committed: s.committedSequence, CommittedTerm: s.committedTerm, Membership: s.membership.EffectiveFrom, MembershipBehind: len(s.newerMembers()) > 0}
-	for _, name := range s.otherMembers {
-		if s.recentlyHeard(s.peers[name]) {
-			heartbeat.Heard = append(heartbeat.Heard, name)
-		}
+// heartbeat is a complete heartbeat, without its serial.
+func (r *Replica) heartbeat() *schema.Heartbeat {
+	newerMembers := r.newerMembers()
+	heartbeat := &schema.Heartbeat{
+		Mutual:           r.mutualPeers(),
+		Heard:            append(r.heardMembers(), newerMembers...),
+		Unfit:            r.unfit(),
+		VotedTerm:        r.votedTerm,
+		Term:             r.term,
+		Sequence:         r.sequence,
+		Committed:        r.committedSequence,
+		CommittedTerm:    r.committedTerm,
+		Membership:       r.membership.EffectiveFrom,
+		MembershipBehind: len(newerMembers) > 0,
 	}
-	heartbeat.Heard = append(heartbeat.Heard, s.newerMembers()...)
-	if s.role == roleLeader {
-		heartbeat.Leader = s.config.Name
+	if r.role == roleLeader {
+		heartbeat.Leader = r.config.Name
 	}
 	return heartbeat
 }
 
-// maxAbbreviatedHeartbeats is how often a heartbeat is said in short before it is said in full again.
-const maxAbbreviatedHeartbeats = 8
-
-// sendHeartbeat tells another replica how things stand here, in short if they stand as they did.
-func (s *Replica) sendHeartbeat(to string, peer *peerState) {
-	heartbeat := s.heartbeat()
-	if peer.lastFullHeartbeat != nil {
-		heartbeat.Serial = peer.lastFullHeartbeat.Serial
-	}
-	if peer.lastFullHeartbeat != nil && peer.abbreviatedCount < maxAbbreviatedHeartbeats && equalHeartbeats(heartbeat, peer.lastFullHeartbeat) {
+// sendHeartbeat sends a heartbeat to one replica, abbreviated if it has the same content already.
+func (r *Replica) sendHeartbeat(to string, peer *peerState) {
+	heartbeat := r.heartbeat()
+	last := peer.lastFullHeartbeat
+	if last != nil && peer.abbreviatedCount < maxAbbreviatedHeartbeats && equalHeartbeats(heartbeat, last) {
 		peer.abbreviatedCount++
-		s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{Serial: heartbeat.Serial}}})
+		r.send(to, heartbeatMessage(&schema.Heartbeat{Serial: last.Serial}))
 		return
 	}
-	s.heartbeatSerial++
-	heartbeat.Serial, peer.lastFullHeartbeat, peer.abbreviatedCount = s.heartbeatSerial, heartbeat, 0
-	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: heartbeat}})
+	r.heartbeatSerial++
+	heartbeat.Serial = r.heartbeatSerial
+	peer.lastFullHeartbeat, peer.abbreviatedCount = heartbeat, 0
+	r.send(to, heartbeatMessage(heartbeat))
 }
 
+// equalHeartbeats reports whether two complete heartbeats of this replica differ in nothing but the serial.
+// Membership versions are compared by pointer: r.membership is replaced, never changed, so equal pointers mean
+// the same membership, and a needless difference costs only a complete heartbeat.
 func equalHeartbeats(a, b *schema.Heartbeat) bool {
-	return slices.Equal(a.Mutual, b.Mutual) && slices.Equal(a.Heard, b.Heard) && a.Unfit == b.Unfit && a.VotedTerm == b.VotedTerm &&
-		a.Term == b.Term && a.Sequence == b.Sequence && a.Committed == b.Committed && a.CommittedTerm == b.CommittedTerm && a.Leader == b.Leader &&
-		a.MembershipBehind == b.MembershipBehind && a.Membership == b.Membership
+	return slices.Equal(a.Mutual, b.Mutual) &&
+		slices.Equal(a.Heard, b.Heard) &&
+		a.Unfit == b.Unfit &&
+		a.VotedTerm == b.VotedTerm &&
+		a.Term == b.Term &&
+		a.Sequence == b.Sequence &&
+		a.Committed == b.Committed &&
+		a.CommittedTerm == b.CommittedTerm &&
+		a.Leader == b.Leader &&
+		a.MembershipBehind == b.MembershipBehind &&
+		a.Membership == b.Membership
 }
 
-// isAbbreviated tells that a heartbeat says no more than that nothing has changed.
+// isAbbreviated reports whether a heartbeat stands for the last complete one with its serial.
 func isAbbreviated(heartbeat *schema.Heartbeat) bool {
 	return heartbeat.Membership == nil && heartbeat.Serial != 0
 }
 
-func (s *Replica) onHeartbeat(from string, peer *peerState, heartbeat *schema.Heartbeat) {
+// onHeartbeat handles a heartbeat of a member or an outsider.
+func (r *Replica) onHeartbeat(from string, peer *peerState, heartbeat *schema.Heartbeat) {
 	if heartbeat.ResendFull {
-		if peer.lastFullHeartbeat = nil; s.isMember() {
-			s.sendHeartbeat(from, peer)
+		peer.lastFullHeartbeat = nil
+		if r.isMember() {
+			r.sendHeartbeat(from, peer)
 		}
 		return
 	}
 	if isAbbreviated(heartbeat) {
 		if peer.receivedHeartbeat.GetSerial() != heartbeat.Serial {
-			s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: &schema.Heartbeat{ResendFull: true}}})
+			r.send(from, heartbeatMessage(&schema.Heartbeat{ResendFull: true}))
 			return
 		}
 		heartbeat = peer.receivedHeartbeat
 	}
 	peer.receivedHeartbeat = heartbeat
 	if !heartbeat.Unfit {
-		s.freshness.observe(from, s.now, heartbeat.Sequence, s.committedSequence)
+		r.freshness.observe(from, r.now, heartbeat.Sequence, r.committedSequence)
 	}
 	peer.lastKnownVersion = &schema.Version{Term: heartbeat.Term, Sequence: heartbeat.Sequence}
-	s.highestTerm = max(s.highestTerm, heartbeat.VotedTerm)
-	if heartbeat.CommittedTerm == s.term {
-		s.commitTo(heartbeat.Committed)
+	r.highestTerm = max(r.highestTerm, heartbeat.VotedTerm)
+	// Contents of one term are prefixes of one another, so what is committed there is committed here too.
+	if heartbeat.CommittedTerm == r.term {
+		r.commitTo(heartbeat.Committed)
 	}
-	// A replica the leader cannot reach learns what is committed from any other that has it.
-	behind := heartbeat.CommittedTerm > s.term || (heartbeat.CommittedTerm == s.term && heartbeat.Committed > s.sequence)
-	if s.isMember() && behind && s.role == roleFollower && !slices.Contains(s.mutualPeers(), s.leader()) {
-		s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_SnapshotRequest{SnapshotRequest: &schema.SnapshotRequest{}}})
+	if r.needsSnapshotFrom(heartbeat) {
+		r.send(from, snapshotRequestMessage(&schema.SnapshotRequest{}))
 	}
-	s.sendUrgentHeartbeats()
+	r.sendUrgentHeartbeats()
+}
+
+// needsSnapshotFrom reports whether this replica lags behind a peer's committed content and cannot be reached by
+// the leader, so that it must get that content from whichever peer has it.
+func (r *Replica) needsSnapshotFrom(heartbeat *schema.Heartbeat) bool {
+	behind := heartbeat.CommittedTerm > r.term || (heartbeat.CommittedTerm == r.term && heartbeat.Committed > r.sequence)
+	return r.isMember() && behind && r.role == roleFollower && !slices.Contains(r.mutualPeers(), r.leader())
 }
--- /dev/null
+++ b/internal/store/heartbeat_test.go
@@ -0,0 +1,30 @@
+package store
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// A change of leader sends no snapshot to a member that has the state, and an idle core sends little.
+func TestMessageVolume(t *testing.T) {
+	c := newFoundedCore(1)
+	for i := range 40 {
+		c.expectAccepted(t, "c", fmt.Sprint("change-", i))
+	}
+	c.snapshotsSent = 0
+	c.down["a"] = true
+	c.advance(3 * time.Second)
+	c.expectAccepted(t, "c", "more")
+	c.down["a"] = false
+	c.advance(5 * time.Second)
+	if leader := c.replicas["c"].Status().Leader; leader != "a" || c.snapshotsSent > 0 {
+		t.Errorf("%q leads; a snapshot was sent %d times", leader, c.snapshotsSent)
+	}
+	c.bytesSent = 0
+	c.advance(10 * time.Second)
+	// These bytes are mostly headers, of which a stream sends only the first (peerStream.compressHeaders).
+	if c.bytesSent > 10*1000 {
+		t.Errorf("an idle core sends %d bytes in ten seconds", c.bytesSent)
+	}
+}
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -4,197 +4,127 @@
 	"testing"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"meadowhinge/schema"
 )
 
-// trio is three members on one clock, with links that lose nothing and disks that take no time.
-type trio struct {
-	now           time.Duration
-	replicas      map[string]*Replica
-	down          map[string]bool
-	replies       map[string]*schema.ProposalReply // by ticket
-	stalled       string                           // the replica whose disk does not come back
-	stalledWrites []Persist                        // on it
-	order         []string                         // in which they tick
-	disks         map[string][]*schema.Record
-	bytesSent     int // bytes of messages
-	snapshotsSent int // messages with a whole state in them
-}
-
-var trioMembers = []string{"a", "b", "c"}
-
-func trioConfig(name string) Config {
-	return Config{Name: name, StaticMembers: trioMembers, Address: name, HeartbeatTimeout: 1500 * time.Millisecond, StallTimeout: 2 * time.Second, MaxEntries: 8, MaxOutcomes: 64, MaxUncommittedEntries: 16, MaxOperatorTombstones: 12}
-}
-
-func newTrio() *trio {
-	trioCore := &trio{replicas: map[string]*Replica{}, down: map[string]bool{}, replies: map[string]*schema.ProposalReply{}, order: trioMembers, disks: map[string][]*schema.Record{}}
-	for i, name := range trioMembers {
-		trioCore.replicas[name] = NewReplica(trioConfig(name), uint64(i+1), nil)
-	}
-	return trioCore
-}
-
-func (w *trio) act(from string, actions []Action) {
-	for _, action := range actions {
-		switch typed := action.(type) {
-		case Send:
-			w.bytesSent += proto.Size(typed.Message)
-			if typed.Message.GetBeginTerm().GetSnapshot() != nil || typed.Message.GetVote().GetSnapshot() != nil {
-				w.snapshotsSent++
-			}
-			if to := typed.Message.To; w.replicas[to] != nil && !w.down[to] && !w.down[from] {
-				w.act(to, w.replicas[to].Step(w.now, proto.Clone(typed.Message).(*schema.ReplicaMessage)))
-			}
-		case Persist:
-			if from == w.stalled {
-				w.stalledWrites = append(w.stalledWrites, typed)
-			} else {
-				if typed.ReplacesLog {
-					w.disks[from] = nil
-				}
-				w.disks[from] = append(w.disks[from], typed.Record)
-				w.act(from, w.replicas[from].Persisted(w.now, typed.WriteID))
-			}
-		case Reply:
-			w.replies[typed.Result.Ticket] = typed.Result
-		}
-	}
-}
-
-// advance lets time go by, each replica ticking as often as its daemon lets it.
-func (w *trio) advance(span time.Duration) {
-	for end := w.now + span; w.now < end; w.now += 75 * time.Millisecond {
-		for _, name := range w.order {
-			if !w.down[name] {
-				w.act(name, w.replicas[name].Tick(w.now))
-			}
-		}
-	}
-}
-
-func (w *trio) propose(at, ticket, id string) {
-	w.act(at, w.replicas[at].Propose(w.now, &schema.Proposal{Ticket: ticket, Change: &schema.Change{Id: id,
-		Items: []*schema.Item{{Kind: "segment", Name: id, Body: []byte(`{"salt":""}`)}}}}))
-}
-
+// The first member that reaches a majority leads, every member forwards changes to it, and a change id keeps its first
+// outcome whichever member is asked.
 func TestLeadershipFollowsMemberOrder(t *testing.T) {
-	w := newTrio()
-	w.advance(5 * time.Second)
-	for _, name := range trioMembers {
-		if leader := w.replicas[name].Status().Leader; leader != "a" {
-			t.Errorf("%s takes %q for the leader", name, leader)
+	c := newStaticCore()
+	c.advance(5 * time.Second)
+	for _, name := range founderNames {
+		if leader := c.replicas[name].Status().Leader; leader != "a" {
+			t.Errorf("%s knows %q as the leader", name, leader)
 		}
 	}
-	w.propose("b", "t1", "one")
-	if got := w.replies["t1"]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
+	c.propose("b", "t1", "one")
+	if got := c.replies["t1"]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
 		t.Fatalf("a change at another replica: %v", got)
 	}
-	w.down["a"] = true
-	w.advance(5 * time.Second)
-	if leader := w.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("after a is lost, %q holds leadership", leader)
+	c.down["a"] = true
+	c.advance(5 * time.Second)
+	if leader := c.replicas["c"].Status().Leader; leader != "b" {
+		t.Errorf("after a is lost, %q leads", leader)
 	}
-	w.propose("c", "t2", "two")
-	if committed, state := w.replicas["c"].Committed(); committed != 2 || state["segment/one"] == nil || state["segment/two"] == nil {
+	c.propose("c", "t2", "two")
+	if committed, state := c.replicas["c"].Committed(); committed != 2 || state["segment/one"] == nil || state["segment/two"] == nil {
 		t.Errorf("committed %d with %d items", committed, len(state))
 	}
-	w.down["b"] = true
-	w.advance(5 * time.Second)
-	w.propose("c", "t3", "three")
-	if got := w.replies["t3"]; !got.GetUndecided() {
+	c.down["b"] = true
+	c.advance(5 * time.Second)
+	c.propose("c", "t3", "three")
+	if got := c.replies["t3"]; !got.GetUndecided() {
 		t.Errorf("without a majority: %v", got)
 	}
-	// An id that was decided gets its first outcome, whoever is asked and however often.
-	w.down["a"], w.down["b"] = false, false
-	w.advance(5 * time.Second)
-	w.propose("a", "t4", "one")
-	if got := w.replies["t4"]; got.GetOutcome().GetVersion().GetSequence() != 1 {
+	// A change id that was decided gets its first outcome at every member.
+	c.down["a"], c.down["b"] = false, false
+	c.advance(5 * time.Second)
+	c.propose("a", "t4", "one")
+	if got := c.replies["t4"]; got.GetOutcome().GetVersion().GetSequence() != 1 {
 		t.Errorf("the first id again: %v", got)
 	}
 }
 
-// A change passed to a leader that dies is given back as undecided, once it stays silent, so
-// that the registry can ask again; it is not waited for until the operator gives up.
+// A change forwarded to a leader that dies is answered as undecided after the heartbeat timeout, so that the registry
+// retries it rather than wait until the operator gives up.
 func TestForwardedChangeExpires(t *testing.T) {
-	w := newTrio()
-	w.advance(5 * time.Second)
-	w.down["a"] = true
-	w.propose("b", "t1", "one")
-	if w.replies["t1"] != nil {
+	c := newStaticCore()
+	c.advance(5 * time.Second)
+	c.down["a"] = true
+	c.propose("b", "t1", "one")
+	if c.replies["t1"] != nil {
 		t.Fatal("answered though the leader is dead")
 	}
-	w.advance(2 * time.Second)
-	if got := w.replies["t1"]; !got.GetUndecided() {
-		t.Errorf("after the silence bound: %v", got)
+	c.advance(2 * time.Second)
+	if got := c.replies["t1"]; !got.GetUndecided() {
+		t.Errorf("after the heartbeat timeout: %v", got)
 	}
-	w.advance(3 * time.Second)
-	w.propose("b", "t2", "one")
-	if got := w.replies["t2"]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
-		t.Errorf("asked again: %v", got)
+	c.advance(3 * time.Second)
+	c.propose("b", "t2", "one")
+	if got := c.replies["t2"]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
+		t.Errorf("proposed again: %v", got)
 	}
 }
 
-// A replica that comes back empty counts only when it has read both others.
+// An empty replica of a static list becomes a member only once both others have reported whether they have state.
 func TestEmptyMemberReadsBothOthers(t *testing.T) {
-	w := newTrio()
-	w.advance(5 * time.Second)
-	w.propose("a", "t1", "one")
-	w.replicas["c"] = NewReplica(trioConfig("c"), 99, nil)
-	w.down["b"] = true
-	w.advance(5 * time.Second)
-	if w.replicas["c"].Status().Member {
-		t.Error("counted after reading one of two")
-	}
-	w.propose("a", "t2", "two")
-	if got := w.replies["t2"]; got != nil && !got.GetUndecided() {
-		t.Errorf("a majority was made with an empty replica: %v", got)
-	}
-	w.down["b"] = false
-	w.advance(5 * time.Second)
-	if committed, _ := w.replicas["c"].Committed(); !w.replicas["c"].Status().Member || committed == 0 {
-		t.Errorf("not refilled: %+v", w.replicas["c"].Status())
+	c := newStaticCore()
+	c.advance(5 * time.Second)
+	c.propose("a", "t1", "one")
+	c.replicas["c"] = NewReplica(testConfig("c"), 99, nil)
+	c.down["b"] = true
+	c.advance(5 * time.Second)
+	if c.replicas["c"].Status().Member {
+		t.Error("became a member after the state of one of two")
+	}
+	c.propose("a", "t2", "two")
+	if got := c.replies["t2"]; got != nil && !got.GetUndecided() {
+		t.Errorf("an empty replica counted for a majority: %v", got)
+	}
+	c.down["b"] = false
+	c.advance(5 * time.Second)
+	if committed, _ := c.replicas["c"].Committed(); !c.replicas["c"].Status().Member || committed == 0 {
+		t.Errorf("not restored: %+v", c.replicas["c"].Status())
 	}
 }
 
-// A leader whose disk stalls lets leadership go, and takes it again when the disk is back.
+// A leader whose disk stalls gives up leadership, and leads again once the disk has recovered.
 func TestStalledDiskLosesLeadership(t *testing.T) {
-	w := newTrio()
-	w.advance(5 * time.Second)
-	w.stalled = "a"
-	w.propose("a", "t", "one")
-	w.advance(6 * time.Second)
-	if leader := w.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("%q holds leadership while the disk of a stalls", leader)
-	}
-	w.stalled = ""
-	for _, write := range w.stalledWrites {
-		w.act("a", w.replicas["a"].Persisted(w.now, write.WriteID))
-	}
-	w.advance(6 * time.Second)
-	if leader := w.replicas["c"].Status().Leader; leader != "a" {
-		t.Errorf("%q holds leadership after the disk of a came back", leader)
+	c := newStaticCore()
+	c.advance(5 * time.Second)
+	c.stalled = "a"
+	c.propose("a", "t", "one")
+	c.advance(6 * time.Second)
+	if leader := c.replicas["c"].Status().Leader; leader != "b" {
+		t.Errorf("%q leads while the disk of a stalls", leader)
+	}
+	c.stalled = ""
+	for _, write := range c.stalledWrites {
+		c.act("a", c.replicas["a"].Persisted(c.now, write.WriteID))
+	}
+	c.advance(6 * time.Second)
+	if leader := c.replicas["c"].Status().Leader; leader != "a" {
+		t.Errorf("%q leads after the disk of a has recovered", leader)
 	}
 }
 
-// Bounds that are changed while a replica runs count from then on: a replica unheard for the new bound is
-// dead, and who the members are and how many copies a change needs is as it was.
+// Limits that are changed while a replica runs take effect at once: a leader unheard for the new heartbeat timeout is
+// replaced. Name, members and tolerated losses stay as they were.
 func TestSetLimits(t *testing.T) {
-	w := newTrio()
-	w.advance(5 * time.Second)
-	for _, name := range trioMembers {
-		cfg := trioConfig(name)
+	c := newStaticCore()
+	c.advance(5 * time.Second)
+	for _, name := range founderNames {
+		cfg := testConfig(name)
 		cfg.HeartbeatTimeout, cfg.StaticMembers, cfg.ToleratedLosses, cfg.Name = 300*time.Millisecond, []string{"x"}, 2, "x"
-		w.act(name, w.replicas[name].SetLimits(w.now, cfg))
-		if current := w.replicas[name].config; current.Name != name || len(current.StaticMembers) != 3 || current.ToleratedLosses != 0 || current.HeartbeatTimeout != cfg.HeartbeatTimeout {
-			t.Errorf("%s goes by %v", name, current)
+		c.act(name, c.replicas[name].SetLimits(c.now, cfg))
+		current := c.replicas[name].config
+		if current.Name != name || len(current.StaticMembers) != 3 || current.ToleratedLosses != 0 || current.HeartbeatTimeout != cfg.HeartbeatTimeout {
+			t.Errorf("%s has the configuration %v", name, current)
 		}
 	}
-	w.down["a"] = true
-	w.advance(time.Second)
-	if leader := w.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("a second after a is lost, %q holds leadership", leader)
+	c.down["a"] = true
+	c.advance(time.Second)
+	if leader := c.replicas["c"].Status().Leader; leader != "b" {
+		t.Errorf("a second after a is lost, %q leads", leader)
 	}
 }
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -7,248 +7,314 @@
 	"meadowhinge/schema"
 )
 
-// How the leader hands entries to the others, and when what enough of them have on disk is committed.
+// How a leader brings its content to the others, and commits what enough of them have on disk.
+//
+// A peer first gets the beginning of the term (BeginTerm): from then on its content is a prefix of the leader's,
+// and AppendEntries extends it. Both are acknowledged by AppendReply with what is durable at the peer.
 
-// resendUnacknowledged repeats whatever a lost message may have held up.
-func (s *Replica) resendUnacknowledged() {
-	for _, name := range s.otherMembers {
-		peer := s.peers[name]
-		if !s.recentlyHeard(peer) {
-			continue
-		}
-		switch s.role {
-		case roleCandidate:
-			if peer.vote == nil && s.durableVotedTerm() >= s.votedTerm {
-				s.requestVote(name)
-			}
-		case roleLeaderElect, roleLeader:
-			if peer.term != s.term || peer.acked < s.sequence {
-				peer.sent = peer.acked
-				s.replicate(name, peer)
-			}
-		}
-	}
-	if s.role == roleLeader && len(s.pendingReads) > 0 {
-		s.sendConfirm()
-	}
+// appendAsLeader appends an entry of the leader's own and replicates it. The leader's copy counts for the
+// commit once Persisted reports it, as any other's does.
+func (r *Replica) appendAsLeader(entry *schema.Entry) {
+	r.appendEntry(entry)
+	r.persist(&schema.Record{Entries: []*schema.Entry{entry}}, pendingWrite{})
+	r.replicateAll()
 }
 
-// appendContiguous takes entries that follow what is held.
-func (s *Replica) appendContiguous(entries []*schema.Entry) (appended []*schema.Entry) {
-	for _, entry := range entries {
-		if entry.Version.Sequence == s.sequence+1 {
-			s.appendEntry(entry)
-			appended = append(appended, entry)
+// replicateAll sends new entries, and the committed sequence, to every peer that has acknowledged the
+// term's beginning. resendUnacknowledged sends the beginning to the rest; entries sent before it would be refused.
+func (r *Replica) replicateAll() {
+	for _, name := range r.otherMembers {
+		if peer := r.peers[name]; peer.term == r.term {
+			r.replicate(name, peer)
+		}
+	}
+	for _, name := range r.learners() {
+		if peer := r.outsiders[name]; peer.term == r.term {
+			r.replicate(name, peer)
 		}
 	}
-	return appended
 }
 
-// replicate sends a peer what it lacks under this epoch: its beginning first, then entries.
-func (s *Replica) replicate(name string, peer *peerState) {
-	if peer.term != s.term || peer.acked < s.baseSequence {
-		s.sendBeginTerm(name, peer)
+// replicate sends a peer what it lacks: the term's beginning first, then entries (without any, as a bare notice
+// of the committed sequence).
+func (r *Replica) replicate(name string, peer *peerState) {
+	if peer.term != r.term || peer.acked < r.baseSequence {
+		r.sendBeginTerm(name, peer)
 		return
 	}
-	if peer.sent < peer.acked {
-		peer.sent = peer.acked
-	}
+	peer.sent = max(peer.sent, peer.acked)
 	var entries []*schema.Entry
-	if peer.sent < s.sequence {
-		entries = s.entries[peer.sent-s.baseSequence:]
+	if peer.sent < r.sequence {
+		entries = r.entries[peer.sent-r.baseSequence:]
 	}
-	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendEntries{AppendEntries: &schema.AppendEntries{Term: s.term, PreviousSequence: peer.sent, Entries: entries, Committed: s.committedSequence}}})
-	peer.sent = s.sequence
+	r.send(name, appendEntriesMessage(&schema.AppendEntries{
+		Term:             r.term,
+		PreviousSequence: peer.sent,
+		Entries:          entries,
+		Committed:        r.committedSequence,
+	}))
+	peer.sent = r.sequence
 }
 
-// sendBeginTerm begins this replica's epoch at another: upon the state that it holds, if that is a part of
-// what the epoch began with here, else with the whole state, which may be large.
-func (s *Replica) sendBeginTerm(name string, peer *peerState) {
-	begin := &schema.BeginTerm{Term: s.term}
-	reported := peer.lastKnownVersion
-	isPrefix := reported != nil && s.termStartVersion.Term != s.term && reported.Term == s.termStartVersion.Term && reported.Sequence <= s.termStartVersion.Sequence && reported.Sequence >= s.baseSequence
+// sendBeginTerm sends the beginning of this replica's term. A peer whose content is a prefix of the one that
+// the term began with gets the entries after it, any other a snapshot, which may be large.
+func (r *Replica) sendBeginTerm(name string, peer *peerState) {
+	begin := &schema.BeginTerm{Term: r.term}
 	switch {
-	case isPrefix:
-		begin.Base, begin.Entries = reported, s.entries[reported.Sequence-s.baseSequence:]
-	case !peer.versionReported && s.termStartVersion.Term != s.term && s.termStartVersion.Sequence >= s.baseSequence:
-		// What it held may be long ago: it is asked by trying, before much is sent.
-		begin.Base, begin.Entries = s.termStartVersion, s.entries[s.termStartVersion.Sequence-s.baseSequence:]
-	case peer.snapshotSentAt != 0 && s.now-peer.snapshotSentAt < s.config.HeartbeatTimeout && peer.sent != 0:
-		return // it may be under way still
+	case r.isTermStartPrefix(peer.lastKnownVersion):
+		begin.Base = peer.lastKnownVersion
+		begin.Entries = r.entries[begin.Base.Sequence-r.baseSequence:]
+	case !peer.versionReported && r.termStartVersion.Term != r.term && r.termStartVersion.Sequence >= r.baseSequence:
+		// A probe (etcd: StateProbe): what is known of the peer may be outdated. It either has the
+		// content that the term began with, or refuses and reports what it has, before a snapshot is sent.
+		begin.Base = r.termStartVersion
+		begin.Entries = r.entries[begin.Base.Sequence-r.baseSequence:]
+	case peer.snapshotSentAt != 0 && r.now-peer.snapshotSentAt < r.config.HeartbeatTimeout && peer.sent != 0:
+		return // a snapshot may still be on its way
 	default:
-		begin.Snapshot, peer.snapshotSentAt = s.snapshot(), s.now
+		begin.Snapshot = r.snapshot()
+		peer.snapshotSentAt = r.now
 	}
-	s.send(name, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_BeginTerm{BeginTerm: begin}})
-	peer.sent = s.sequence
-}
-
-func (s *Replica) refuseAppend(from string) {
-	s.send(from, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Refused: true, HigherTerm: s.votedTerm}}})
+	r.send(name, beginTermMessage(begin))
+	peer.sent = r.sequence
 }
 
-func (s *Replica) ackMessage(to string) *schema.ReplicaMessage {
-	return &schema.ReplicaMessage{To: to, Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: s.term, Sequence: s.sequence}}}
+// isTermStartPrefix reports whether content of a version is a prefix of the content that this replica's term
+// began with, with the entries after it still retained. termStartVersion is of the leader's own term only after
+// the founders were bound, when nobody else has a prefix of it.
+func (r *Replica) isTermStartPrefix(version *schema.Version) bool {
+	start := r.termStartVersion
+	return version != nil &&
+		start.Term != r.term &&
+		version.Term == start.Term &&
+		version.Sequence <= start.Sequence &&
+		version.Sequence >= r.baseSequence
 }
 
-// ackDurable acknowledges what is on disk now, for messages that brought nothing new.
-func (s *Replica) ackDurable(to string) {
-	s.send(to, &schema.ReplicaMessage{Body: &schema.ReplicaMessage_AppendReply{AppendReply: &schema.AppendReply{Term: s.durableTerm, Sequence: s.durableSequence, Appended: s.lastVersion()}}})
-}
-
-func (s *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
-	if begin.Term < s.votedTerm && s.isExcluded() {
-		s.restartAsNewIncarnation()
-		return
-	}
-	if begin.Term < s.votedTerm {
-		s.refuseAppend(from)
+// onBeginTerm accepts the beginning of a leader's term, unless this replica voted in a higher one.
+func (r *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
+	if begin.Term < r.votedTerm {
+		if r.isExcluded() {
+			r.restartAsNewIncarnation()
+		} else {
+			r.refuseAppend(from)
+		}
 		return
 	}
-	if begin.Term == s.term && (begin.Snapshot == nil || s.sequence >= begin.Snapshot.Sequence) {
-		s.ackDurable(from)
+	if begin.Term == r.term && (begin.Snapshot == nil || r.sequence >= begin.Snapshot.Sequence) {
+		r.ackDurable(from) // it has begun here already
 		return
 	}
-	if upon := begin.Base; begin.Snapshot == nil && (upon.GetTerm() != s.term || upon.GetSequence() != s.sequence) {
-		s.ackDurable(from)
+	if begin.Snapshot == nil && (begin.Base.GetTerm() != r.term || begin.Base.GetSequence() != r.sequence) {
+		r.ackDurable(from) // the leader's guess was wrong: the reply reports the content here
 		return
 	}
-	if s.role != roleFollower {
-		s.becomeFollower()
+	if r.role != roleFollower {
+		r.becomeFollower()
 	}
-	s.recordVote(begin.Term, from)
+	r.recordVote(begin.Term, from)
+	record := &schema.Record{}
 	if begin.Snapshot != nil {
-		s.restoreSnapshot(begin.Snapshot)
-		s.term = begin.Term
-		s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
-		return
+		r.restoreSnapshot(begin.Snapshot)
+		r.term = begin.Term
+		record.Snapshot = r.snapshot()
+	} else {
+		record.Entries = r.appendContiguous(begin.Entries)
+		r.term = begin.Term
+		record.Term, record.VotedTerm, record.VotedFor = r.term, r.votedTerm, from
 	}
-	appended := s.appendContiguous(begin.Entries)
-	s.term = begin.Term
-	s.persist(&schema.Record{Entries: appended, Term: s.term, VotedTerm: s.votedTerm, VotedFor: from}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+	r.persist(record, r.ackOnceDurable(from))
 }
 
-func (s *Replica) onAppendEntries(from string, request *schema.AppendEntries) {
-	if request.Term < s.votedTerm {
-		s.refuseAppend(from)
+// onAppendEntries appends entries that follow the content here, and advances the commit.
+func (r *Replica) onAppendEntries(from string, request *schema.AppendEntries) {
+	if request.Term < r.votedTerm {
+		r.refuseAppend(from)
 		return
 	}
-	if request.Term != s.term || request.PreviousSequence > s.sequence {
-		s.ackDurable(from)
+	if request.Term != r.term || request.PreviousSequence > r.sequence {
+		r.ackDurable(from)
 		return
 	}
-	if appended := s.appendContiguous(request.Entries); len(appended) > 0 {
-		if s.hasFault(faultEarlyAcknowledgement) {
-			s.send(from, s.ackMessage(from))
+	if appended := r.appendContiguous(request.Entries); len(appended) > 0 {
+		if r.hasFault(faultEarlyAcknowledgement) {
+			r.send(from, r.ackMessage(from))
 		}
-		s.persist(&schema.Record{Entries: appended}, pendingWrite{messages: []*schema.ReplicaMessage{s.ackMessage(from)}})
+		r.persist(&schema.Record{Entries: appended}, r.ackOnceDurable(from))
 	} else if len(request.Entries) > 0 {
-		s.ackDurable(from)
+		r.ackDurable(from)
 	}
-	s.commitTo(request.Committed)
+	r.commitTo(request.Committed)
+}
+
+// refuseAppend refuses a leader of a term below this replica's vote.
+func (r *Replica) refuseAppend(from string) {
+	r.send(from, appendReplyMessage(&schema.AppendReply{Refused: true, HigherTerm: r.votedTerm}))
 }
 
-func (s *Replica) onAppendReply(from string, peer *peerState, counted bool, reply *schema.AppendReply) {
+// ackMessage acknowledges the whole content. It must not be sent before that is durable.
+func (r *Replica) ackMessage(to string) *schema.ReplicaMessage {
+	message := appendReplyMessage(&schema.AppendReply{Term: r.term, Sequence: r.sequence})
+	message.To = to
+	return message
+}
+
+// ackOnceDurable is a write whose completion acknowledges the content as it is now.
+func (r *Replica) ackOnceDurable(to string) pendingWrite {
+	return pendingWrite{messages: []*schema.ReplicaMessage{r.ackMessage(to)}}
+}
+
+// ackDurable acknowledges what is durable already and reports what is appended, in answer to a message that
+// brought nothing new or did not fit.
+func (r *Replica) ackDurable(to string) {
+	r.send(to, appendReplyMessage(&schema.AppendReply{
+		Term:     r.durableTerm,
+		Sequence: r.durableSequence,
+		Appended: r.lastVersion(),
+	}))
+}
+
+// onAppendReply handles a peer's answer to BeginTerm or AppendEntries.
+func (r *Replica) onAppendReply(from string, peer *peerState, isMember bool, reply *schema.AppendReply) {
 	if reply.Refused {
-		s.highestTerm = max(s.highestTerm, reply.HigherTerm)
-		// Who is no member disturbs nobody, unless there is a place for it.
-		mayJoin := counted || len(s.membership.Members) < int(s.membership.TargetSize)
-		if (s.role == roleLeader || s.role == roleLeaderElect) && reply.HigherTerm > s.term && mayJoin {
-			s.becomeFollower()
-		}
+		r.onAppendRefused(isMember, reply)
 		return
 	}
-	if s.role != roleLeaderElect && s.role != roleLeader {
+	if !r.leads() {
 		return
 	}
-	if reply.Term != s.term {
-		// It lacks this epoch's beginning, and gets it upon what it says that it holds.
-		if reported := reply.Appended; reported != nil && reported.Term != s.term {
-			repeated := peer.versionReported && peer.lastKnownVersion.GetTerm() == reported.Term && peer.lastKnownVersion.GetSequence() == reported.Sequence
-			if peer.versionReported, peer.lastKnownVersion = true, reported; !repeated {
-				s.replicate(from, peer)
-			}
-		}
+	if reply.Term != r.term {
+		r.onTermNotBegun(from, peer, reply.Appended)
 		return
 	}
-	first := peer.term != s.term
-	peer.term, peer.acked = s.term, max(peer.acked, reply.Sequence)
-	s.advanceCommit()
-	if first && peer.acked < s.sequence && s.role == roleLeader {
+	first := peer.term != r.term
+	peer.term, peer.acked = r.term, max(peer.acked, reply.Sequence)
+	r.advanceCommit()
+	if first && peer.acked < r.sequence && r.role == roleLeader {
 		peer.sent = peer.acked
-		s.replicate(from, peer)
+		r.replicate(from, peer)
+	}
+	r.reconcileMembership()
+}
+
+// onAppendRefused gives up a term that a peer has voted above. A replica that is no member, and for which there
+// is no place, cannot depose the leader.
+func (r *Replica) onAppendRefused(isMember bool, reply *schema.AppendReply) {
+	r.highestTerm = max(r.highestTerm, reply.HigherTerm)
+	mayJoin := isMember || len(r.membership.Members) < int(r.membership.TargetSize)
+	if r.leads() && reply.HigherTerm > r.term && mayJoin {
+		r.becomeFollower()
 	}
-	s.reconcileMembership()
 }
 
-// advanceCommit finds what enough members have on disk under this epoch; that much is committed.
-func (s *Replica) advanceCommit() {
-	if (s.role != roleLeaderElect && s.role != roleLeader) || s.durableTerm != s.term {
+// onTermNotBegun handles the reply of a peer at which the term has not begun: it gets the beginning again, upon
+// the content that it reports. A repeated report changes nothing: that beginning is on its way.
+func (r *Replica) onTermNotBegun(from string, peer *peerState, reported *schema.Version) {
+	if reported == nil || reported.Term == r.term {
 		return
 	}
-	durable := []uint64{s.durableSequence}
-	for _, member := range s.membership.Members {
-		// A founder counts only once it is bound to its folder.
-		if peer := s.peers[member.Id]; peer != nil && member.Incarnation != 0 && peer.term == s.term {
-			durable = append(durable, peer.acked)
-		}
+	known := peer.lastKnownVersion
+	repeated := peer.versionReported && known.GetTerm() == reported.Term && known.GetSequence() == reported.Sequence
+	peer.lastKnownVersion, peer.versionReported = reported, true
+	if !repeated {
+		r.replicate(from, peer)
 	}
-	needed := commitQuorum(s.membership, s.config.ToleratedLosses)
-	if s.hasFault(faultCountLearners) {
-		for _, name := range s.learners() {
-			if learner := s.outsiders[name]; learner.term == s.term {
-				durable = append(durable, learner.acked)
-			}
-		}
+}
+
+// advanceCommit commits what a commit quorum has on disk under this replica's term, and completes the election
+// the first time that there is one.
+//
+// Invariant (thesis, section 3.6.2): only copies under the leader's own term are counted. Content of earlier
+// terms is committed with the beginning of this one, which includes it.
+func (r *Replica) advanceCommit() {
+	if !r.leads() || r.durableTerm != r.term {
+		return
 	}
-	if s.hasFault(faultFoundersQuorum) {
+	durable := r.durableSequences()
+	needed := commitQuorum(r.membership, r.config.ToleratedLosses)
+	if r.hasFault(faultFoundersQuorum) {
 		needed = min(needed, faultFounderCount/2+1)
 	}
 	if len(durable) < needed {
 		return
 	}
+	if r.role == roleLeaderElect {
+		r.becomeLeader()
+	}
 	slices.Sort(durable)
-	s.role = roleLeader
-	before, beforeTerm := s.committedSequence, s.committedTerm
-	s.commitTo(durable[len(durable)-needed])
-	// Followers show a change only once they know it is committed, so they are told at once.
-	if s.committedSequence != before || s.committedTerm != beforeTerm {
-		s.replicateAll()
-		s.sendUrgentHeartbeats()
-	}
-}
-
-// replicateAll sends everybody who has this epoch's beginning what is new. Whoever lacks it gets it by
-// resend; entries before it would be wasted.
-func (s *Replica) replicateAll() {
-	for _, name := range s.otherMembers {
-		if peer := s.peers[name]; peer.term == s.term {
-			s.replicate(name, peer)
+	sequence, term := r.committedSequence, r.committedTerm
+	r.commitTo(durable[len(durable)-needed])
+	// Followers show a change only once they know that it is committed, so they are notified at once.
+	if r.committedSequence != sequence || r.committedTerm != term {
+		r.replicateAll()
+		r.sendUrgentHeartbeats()
+	}
+}
+
+// durableSequences lists, for each member that has the term's beginning on disk, the highest sequence that it has
+// there; this replica's own comes first. A founder counts only once it is bound to its data folder.
+func (r *Replica) durableSequences() []uint64 {
+	durable := []uint64{r.durableSequence}
+	for _, member := range r.membership.Members {
+		if peer := r.peers[member.Id]; peer != nil && member.Incarnation != 0 && peer.term == r.term {
+			durable = append(durable, peer.acked)
+		}
+	}
+	if r.hasFault(faultCountLearners) {
+		for _, name := range r.learners() {
+			if learner := r.outsiders[name]; learner.term == r.term {
+				durable = append(durable, learner.acked)
+			}
 		}
 	}
-	for _, name := range s.learners() {
-		if peer := s.outsiders[name]; peer.term == s.term {
-			s.replicate(name, peer)
+	return durable
+}
+
+// resendUnacknowledged repeats, with each round of heartbeats, whatever a lost message may have held up.
+func (r *Replica) resendUnacknowledged() {
+	for _, name := range r.otherMembers {
+		peer := r.peers[name]
+		if !r.recentlyHeard(peer) {
+			continue
+		}
+		switch r.role {
+		case roleFollower:
+			// A follower has nothing under way.
+		case roleCandidate:
+			if peer.vote == nil && r.durableVotedTerm() >= r.votedTerm {
+				r.send(name, r.voteRequest(name))
+			}
+		case roleLeaderElect, roleLeader:
+			if peer.term != r.term || peer.acked < r.sequence {
+				peer.sent = peer.acked
+				r.replicate(name, peer)
+			}
 		}
 	}
+	if r.role == roleLeader && len(r.pendingReads) > 0 {
+		r.sendConfirm()
+	}
 }
 
-// appendAsLeader appends an entry of the leader's own and hands it to the others.
-func (s *Replica) appendAsLeader(entry *schema.Entry) {
-	s.appendEntry(entry)
-	s.persist(&schema.Record{Entries: []*schema.Entry{entry}}, pendingWrite{})
-	s.replicateAll()
+// onSnapshotRequest sends the committed content to a member that the leader does not reach.
+func (r *Replica) onSnapshotRequest(from string) {
+	if r.committedTerm != 0 {
+		r.send(from, snapshotReplyMessage(&schema.SnapshotReply{Snapshot: r.committedSnapshot()}))
+	}
 }
 
-func (s *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
-	if !s.isMember() || s.role != roleFollower || !config.Newer(&schema.Version{Term: snapshot.Term, Sequence: snapshot.Sequence}, s.lastVersion()) {
+// onSnapshotReply installs committed content that is newer than the content here.
+func (r *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
+	version := &schema.Version{Term: snapshot.Term, Sequence: snapshot.Sequence}
+	if !r.isMember() || r.role != roleFollower || !config.Newer(version, r.lastVersion()) {
 		return
 	}
-	// Committed state may be taken even under a later vote: a majority has it already, so
-	// whoever was voted for will read it too.
-	if snapshot.Term > s.votedTerm {
-		s.recordVote(snapshot.Term, "")
+	// Committed content is accepted even under a vote for a later term: a majority has it already, so that
+	// term's leader will read it too.
+	if snapshot.Term > r.votedTerm {
+		r.recordVote(snapshot.Term, "")
 	}
-	s.restoreSnapshot(snapshot)
-	s.persist(&schema.Record{Snapshot: s.snapshot()}, pendingWrite{})
-	s.commitTo(snapshot.Sequence)
+	r.restoreSnapshot(snapshot)
+	r.persist(&schema.Record{Snapshot: r.snapshot()}, pendingWrite{})
+	r.commitTo(snapshot.Sequence)
 }
--- /dev/null
+++ b/internal/store/state.go
@@ -0,0 +1,187 @@
+package store
+
+import (
+	"fmt"
+
+	"google.golang.org/protobuf/proto"
+
+	"meadowhinge/internal/config"
+	"meadowhinge/schema"
+)
+
+// The replicated content: replay, append, snapshot and commit.
+
+// replayRecord applies a record read back from the log.
+func (r *Replica) replayRecord(record *schema.Record) {
+	if record.Incarnation != 0 {
+		r.incarnation = record.Incarnation
+	}
+	if record.VotedTerm > r.votedTerm {
+		r.votedTerm, r.votedFor = record.VotedTerm, record.VotedFor
+	}
+	r.founder = r.founder || record.Founder
+	r.expandsMembership = r.expandsMembership || record.RaiseTargetSize
+	if record.Snapshot != nil {
+		r.expandsMembership = record.RaiseTargetSize
+		r.restoreSnapshot(record.Snapshot)
+	}
+	r.appendContiguous(record.Entries)
+	r.term = max(r.term, record.Term)
+}
+
+// restoreSnapshot replaces the content by that of a snapshot.
+func (r *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
+	r.term, r.sequence = snapshot.Term, snapshot.Sequence
+	r.state = config.State{}.With(snapshot.Items)
+	if r.membership = snapshot.Membership; r.membership == nil {
+		r.membership = &schema.Membership{}
+	}
+	r.baseState, r.baseSequence, r.baseMembership = r.state, r.sequence, r.membership
+	r.entries = nil
+	r.outcomes, r.outcomeOrder = map[string]*schema.ChangeOutcome{}, nil
+	for _, outcome := range snapshot.Outcomes {
+		r.recordOutcome(outcome)
+	}
+	r.applyMembership()
+}
+
+// recordOutcome remembers the outcome of a change id, so that a repeat of it gets the same answer; beyond
+// MaxOutcomes the oldest ids are forgotten.
+func (r *Replica) recordOutcome(outcome *schema.ChangeOutcome) {
+	if _, exists := r.outcomes[outcome.ChangeId]; !exists {
+		r.outcomeOrder = append(r.outcomeOrder, outcome.ChangeId)
+	}
+	r.outcomes[outcome.ChangeId] = outcome
+	for len(r.outcomeOrder) > r.config.MaxOutcomes {
+		delete(r.outcomes, r.outcomeOrder[0])
+		r.outcomeOrder = r.outcomeOrder[1:]
+	}
+}
+
+// appendEntry appends the entry that follows sequence, and applies it at once: the content is what is
+// appended, the committed content is kept apart.
+func (r *Replica) appendEntry(entry *schema.Entry) {
+	r.entries = append(r.entries, entry)
+	r.sequence = entry.Version.Sequence
+	if len(entry.Items) > 0 {
+		r.state = r.state.With(entry.Items)
+	}
+	if entry.Membership != nil {
+		r.membership = entry.Membership
+		r.applyMembership()
+	}
+	r.recordOutcome(entry.Outcome)
+	r.entriesSinceSnapshot++
+	r.bytesSinceSnapshot += proto.Size(entry)
+}
+
+// appendContiguous appends those entries that follow the content without a gap, and returns them.
+func (r *Replica) appendContiguous(entries []*schema.Entry) (appended []*schema.Entry) {
+	for _, entry := range entries {
+		if entry.Version.Sequence == r.sequence+1 {
+			r.appendEntry(entry)
+			appended = append(appended, entry)
+		}
+	}
+	return appended
+}
+
+// lastVersion names the content of this replica.
+func (r *Replica) lastVersion() *schema.Version {
+	return &schema.Version{Term: r.term, Sequence: r.sequence}
+}
+
+// nextVersion is the version of the leader's next entry.
+func (r *Replica) nextVersion() *schema.Version {
+	return &schema.Version{Term: r.term, Sequence: r.sequence + 1}
+}
+
+// versionText is a version as part of the ids of the leader's own changes.
+func versionText(version *schema.Version) string {
+	return fmt.Sprintf("%d-%d", version.Term, version.Sequence)
+}
+
+// snapshot is the content of this replica, committed or not.
+func (r *Replica) snapshot() *schema.Snapshot {
+	snapshot := &schema.Snapshot{
+		Term:       r.term,
+		Sequence:   r.sequence,
+		Items:      r.state.Items(),
+		Membership: r.membership,
+	}
+	for _, id := range r.outcomeOrder {
+		snapshot.Outcomes = append(snapshot.Outcomes, r.outcomes[id])
+	}
+	return snapshot
+}
+
+// committedSnapshot is the committed content, without outcomes of later sequences.
+func (r *Replica) committedSnapshot() *schema.Snapshot {
+	snapshot := &schema.Snapshot{
+		Term:       r.committedTerm,
+		Sequence:   r.committedSequence,
+		Items:      r.committedState.Items(),
+		Membership: r.committedMembership,
+	}
+	for _, id := range r.outcomeOrder {
+		if outcome := r.outcomes[id]; outcome.Version.Sequence <= r.committedSequence {
+			snapshot.Outcomes = append(snapshot.Outcomes, outcome)
+		}
+	}
+	return snapshot
+}
+
+// commitTo advances the committed content. The caller guarantees that everything up to sequence is committed
+// under this replica's term; a sequence beyond the content is cut down to it.
+func (r *Replica) commitTo(sequence uint64) {
+	sequence = min(sequence, r.sequence)
+	alreadyCommitted := sequence <= r.committedSequence && r.committedTerm == r.term
+	// States below baseSequence are not retained, so after a snapshot was installed nothing can be shown until the
+	// committed sequence reaches the snapshot's.
+	if sequence < r.baseSequence || alreadyCommitted || sequence < r.committedSequence {
+		return
+	}
+	state, membership, from := r.committedState, r.committedMembership, r.committedSequence
+	if from < r.baseSequence || r.committedTerm != r.term {
+		state, membership, from = r.baseState, r.baseMembership, r.baseSequence
+	}
+	var items []*schema.Item
+	for _, entry := range r.entries {
+		if entry.Version.Sequence > from && entry.Version.Sequence <= sequence {
+			items = append(items, entry.Items...)
+			if entry.Membership != nil {
+				membership = entry.Membership
+			}
+		}
+	}
+	if len(items) > 0 {
+		state = state.With(items)
+	}
+	r.committedState, r.committedMembership = state, membership
+	r.committedSequence, r.committedTerm = sequence, r.term
+	r.compactEntries()
+	r.answerCommittedProposals()
+}
+
+// compactEntries moves committed entries beyond MaxEntries into the base state. It acts only once twice as many
+// are retained, so that the cost of copying is spread over MaxEntries appends.
+func (r *Replica) compactEntries() {
+	if len(r.entries) < 2*r.config.MaxEntries {
+		return
+	}
+	compactTo := min(r.committedSequence, r.sequence-uint64(r.config.MaxEntries))
+	count := 0
+	var items []*schema.Item
+	for count < len(r.entries) && r.entries[count].Version.Sequence <= compactTo {
+		items = append(items, r.entries[count].Items...)
+		if r.entries[count].Membership != nil {
+			r.baseMembership = r.entries[count].Membership
+		}
+		count++
+	}
+	if count == 0 {
+		return
+	}
+	r.baseState, r.baseSequence = r.baseState.With(items), r.entries[count-1].Version.Sequence
+	r.entries = append([]*schema.Entry(nil), r.entries[count:]...)
+}
--- a/internal/store/log_fuzz_test.go
+++ b/internal/store/wal_fuzz_test.go
@@ -6,8 +6,8 @@
 	"meadowhinge/schema"
 )
 
-// Whatever a file holds after a loss of power, reading it gives whole groups in their order or says
-// that it is rotten; what was read, written again, is read alike.
+// Whatever a log file contains, reading it returns complete groups in order or reports corruption; and what was read,
+// when written again, reads the same.
 func FuzzReadFrames(f *testing.F) {
 	first, err := encodeFrame([]*schema.Record{{VotedTerm: 3, VotedFor: "a"}}, 1)
 	if err != nil {
@@ -18,13 +18,14 @@
 		f.Fatal(err)
 	}
 	both := append(append([]byte{}, first...), second...)
-	for _, seed := range [][]byte{nil, first, both, both[:len(both)-3], append(append([]byte{}, both...), first...), second, []byte(frameMagic)} {
+	bothAndFirst := append(append([]byte{}, both...), first...)
+	for _, seed := range [][]byte{nil, first, both, both[:len(both)-3], bothAndFirst, second, []byte(frameMagic)} {
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		groups, size, corrupt := readFrames(data)
 		if corrupt && len(groups) > 0 || size > len(data) {
-			t.Fatalf("rotten %t with %d groups in %d of %d bytes", corrupt, len(groups), size, len(data))
+			t.Fatalf("corrupt %t with %d groups in %d of %d bytes", corrupt, len(groups), size, len(data))
 		}
 		var again []byte
 		for index, group := range groups {
@@ -35,7 +36,7 @@
 			again = append(again, written...)
 		}
 		if read, _, _ := readFrames(again); len(read) != len(groups) {
-			t.Fatalf("%d groups were written again, %d read", len(groups), len(read))
+			t.Fatalf("%d groups were rewritten, %d read", len(groups), len(read))
 		}
 	})
 }
