--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -203,7 +203,7 @@
 // so each cause has a test of its own besides.
 //
 // 10404: a call was turned away as VERSION_NOT_ALLOWED, for its proxy waited too short a while
-// for the setup that the worker's proxy already had (TestNewerSetupElsewhere).
+// for the setup that the worker's proxy already had (TestNewerConfigElsewhere).
 // 10080, 10167, 10209: what was left of a killed proxy's calls still counted (the world's own fault).
 // 10609: two proxies were stopped politely at once, and with them every worker of a service.
 func TestFoundBefore(t *testing.T) {
