--- a/cmd/golden_test.go
+++ b/cmd/golden_test.go
@@ -290,14 +290,20 @@
 // awaitListener waits until an address takes connections.
 func awaitListener(t *testing.T, address string) {
 	t.Helper()
-	for range 200 {
+	deadline := time.After(4 * time.Second)
+	poll := time.NewTicker(20 * time.Millisecond)
+	defer poll.Stop()
+	for {
 		if connection, err := net.Dial("tcp", address); err == nil {
-			_ = connection.Close() // that it opened is all that is needed
+			_ = connection.Close() // nothing was sent on it
 			return
 		}
-		time.Sleep(20 * time.Millisecond)
+		select {
+		case <-poll.C:
+		case <-deadline:
+			t.Fatalf("nobody listens at %s", address)
+		}
 	}
-	t.Fatalf("nobody listens at %s", address)
 }
 
 // servedOrNot tells whether there is a page, whatever it says.
