--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -13,7 +13,7 @@
 func main() {
 	opts := &schema.RegistryOptions{}
 	os.Exit(daemon.Run("registry", daemon.FromArgs(os.Args[1:]), opts,
-		func() (string, int64) { return opts.Data, opts.Ring },
+		func() (directory string, lines int64) { return opts.Data, opts.Ring }, // of the flight recorder
 		func(ctx context.Context, environment *daemon.Environment) error {
 			return registry.Run(ctx, environment, opts)
 		}))
--- a/internal/registry/call_counts.go
+++ b/internal/registry/call_counts.go
@@ -95,7 +95,7 @@
 }
 
 // MergeCounts joins the counts that several registries hold: for each incarnation of a proxy, the counts of the registry that
-// counted the most calls, for one that moved between registries is held by both.
+// counted the most calls, for one that moved between registries is counted by both.
 //
 // It resembles recordCounts but differs in ties: there the later report wins, here the one of the lesser age.
 func MergeCounts(replies []*schema.CountsReply) []*schema.SourceCounts {
--- a/internal/registry/change_submitter.go
+++ b/internal/registry/change_submitter.go
@@ -23,13 +23,13 @@
 }
 
 func newChangeSubmitter(state *sharedState, live *liveOptions, store schema.DRPCStoreClient,
-	acknowledgements *acknowledger,
+	changeAcknowledger *acknowledger,
 ) *changeSubmitter {
 	return &changeSubmitter{
 		state:          state,
 		options:        live,
 		store:          store,
-		acknowledger:   acknowledgements,
+		acknowledger:   changeAcknowledger,
 		pendingChanges: map[string]*pendingChange{},
 	}
 }
@@ -113,11 +113,12 @@
 	defer cancel()
 	reply := c.propose(bounded, change)
 	if outcome := reply.GetOutcome(); outcome != nil {
-		acknowledged := true
+		settled := true // a refused change has nothing to be acknowledged
 		if outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
-			_, acknowledged = c.acknowledger.await(bounded, outcome.Version.GetSequence())
+			_, settled = c.acknowledger.await(bounded, outcome.Version.GetSequence())
 		}
-		if acknowledged {
+		// Without acknowledgement the outcome stays nil, for unknown: the change is committed, but may not be in force.
+		if settled {
 			pending.outcome = outcome
 		}
 	}
--- a/internal/registry/change_traces.go
+++ b/internal/registry/change_traces.go
@@ -7,12 +7,12 @@
 
 // trace is when a revision reached which stage, as far as this registry observed it. Zero stands for not observed.
 type trace struct {
-	seenAt         time.Duration            // first held here
+	seenAt         time.Duration            // first committed here
 	acknowledgedAt time.Duration            // to the operator, by this registry
 	appliedAt      map[string]time.Duration // first reported as applied, by proxy
 }
 
-// startTraces starts the traces of all revisions up to one that is held here now, and drops the oldest beyond maxTraces.
+// startTraces starts the traces of all revisions up to one that is committed here now, and drops the oldest beyond maxTraces.
 func (f *FleetState) startTraces(now time.Duration, revision uint64) {
 	first := max(f.lastTraced+1, revision-min(revision, maxTraces)+1)
 	for sequence := first; sequence <= revision; sequence++ {
@@ -39,7 +39,7 @@
 	}
 }
 
-// KnownFor is for how long a revision has been held here; zero if it is not held yet, or its trace is dropped.
+// KnownFor is for how long this registry has had a committed revision; zero if it does not have it yet, or dropped its trace.
 func (f *FleetState) KnownFor(now time.Duration, revision uint64) time.Duration {
 	if traced := f.traces[revision]; traced != nil {
 		return now - traced.seenAt
--- a/internal/registry/config_cache.go
+++ b/internal/registry/config_cache.go
@@ -19,7 +19,7 @@
 	return &configCache{state: state, snapshot: snapshot}
 }
 
-// apply applies committed items; complete tells that they are the whole configuration rather than changes.
+// apply applies committed items; complete tells that they replace the state rather than change it.
 func (c *configCache) apply(items []*schema.Item, complete bool) {
 	c.state = c.state.Apply(items, complete)
 	c.fresh = false // compiled at the next read
@@ -35,7 +35,7 @@
 	return c.snapshot
 }
 
-// changesAfter gives a proxy the items that changed after its revision; complete tells that they are the whole configuration.
+// changesAfter gives a proxy the items that changed after its revision; complete tells that they replace what it has.
 // The text in which operators wrote the items is left out: it is large, and proxies have no use for it.
 func (c *configCache) changesAfter(revision uint64) (items []*schema.Item, complete bool) {
 	items, complete = c.state.ChangesAfter(revision)
--- a/internal/registry/config_sync.go
+++ b/internal/registry/config_sync.go
@@ -44,7 +44,7 @@
 }
 
 // applyCommitted applies a reply of the store and wakes the sessions, which push it to proxies. A revision that is not newer, as
-// from a store that was refilled, changes nothing.
+// from a store that lost its log and is being filled again, changes nothing.
 func (c *configSync) applyCommitted(reply *schema.FollowReply) {
 	s := c.state
 	s.lock.Lock()
@@ -65,7 +65,7 @@
 	s.broadcastChangeLocked()
 }
 
-// catchUp waits until the revision that was committed when this registry started is held here. Until then the registry grants
+// catchUp waits until this registry has the revision that was committed when it started. Until then the registry grants
 // no leases and shows operators no configuration.
 func (c *configSync) catchUp(ctx context.Context) {
 	s := c.state
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -15,8 +15,8 @@
 	sweepDivisor            = 64 // fraction within which sessions need not look again for what has expired
 )
 
-// directory is the part of the service directory that is about sessions. A proxy in session need not repeat that it lives, for
-// its registry, the home registry of its source, sees the session. The source stays listed until the home registry finds that
+// directory is the part of the service directory that is about sessions. A proxy in session need not repeat that it is alive,
+// since the registry of that session, the home registry of its source, sees it. The source stays listed until the home registry finds that
 // the session ended and did not come back, or until the home registry itself is lost.
 type directory struct {
 	lastSequence uint64           // of the newest update
@@ -137,7 +137,7 @@
 			f.endSource(now, entry.source)
 		}
 	}
-	// Another node still lists a proxy that no registry holds: had it been alive, it would have opened a session. That is certain
+	// Another node still lists a proxy of which no registry has an update: had it been alive, it would have opened a session. That is certain
 	// only while all registries are heard from here.
 	for _, entry := range f.directory.incarnationOnly {
 		allHeard := f.hasQuorumContact(now) && len(f.ReachableRegistries(now)) >= f.directory.otherRegistries
@@ -194,11 +194,11 @@
 
 // mergeIncarnationOnly stores an incarnation-only source if it is newer than what is known of the name, and tells whether it was.
 func (f *FleetState) mergeIncarnationOnly(now time.Duration, source *schema.Source) bool {
-	if reported := f.sources[source.Name]; reported != nil && !newerStamp(source.Version, reported.source.Version) {
+	if reported := f.sources[source.Name]; reported != nil && !isNewerVersion(source.Version, reported.source.Version) {
 		return false
 	}
 	existing := f.directory.incarnationOnly[source.Name]
-	if existing != nil && !newerStamp(source.Version, existing.source.Version) {
+	if existing != nil && !isNewerVersion(source.Version, existing.source.Version) {
 		return false
 	}
 	if existing == nil && len(f.directory.incarnationOnly) >= f.options.MaxSources {
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -154,7 +154,7 @@
 			p.incarnation, superseded = session.NextIncarnation(source.Version.Incarnation), true
 		}
 		existing := p.directory[source.Name]
-		if !source.IncarnationOnly && (existing == nil || newerStamp(source.Version, existing.Version)) {
+		if !source.IncarnationOnly && (existing == nil || isNewerVersion(source.Version, existing.Version)) {
 			p.directory[source.Name] = source
 		}
 	}
--- a/internal/registry/fleet_state.go
+++ b/internal/registry/fleet_state.go
@@ -31,11 +31,11 @@
 type FleetState struct {
 	options  FleetStateOptions
 	caughtUp bool          // the revision that was committed when this registry started is known here
-	sweptAt  time.Duration // of the last sweep
+	sweptAt  time.Duration // when sweep last ran
 
 	// Revisions. All three only grow.
-	committedRevision   uint64           // of the configuration held here
-	newestKnownRevision uint64           // the newest held here or reported by a proxy, as of the last lease request; committed somewhere
+	committedRevision   uint64           // of the configuration that this registry has
+	newestKnownRevision uint64           // the newest that this registry has or a proxy reported, as of the last lease request
 	requiredRevision    uint64           // no lease is granted to a proxy that applied less, ever again
 	recentCommits       []revisionCommit // oldest first; each becomes required once proxies have had time to apply it
 
@@ -79,10 +79,10 @@
 // MarkCaughtUp records that the registry holds at least the revision that was committed when it started.
 func (f *FleetState) MarkCaughtUp() { f.caughtUp = true }
 
-// CommittedRevision is the revision of the configuration held here.
+// CommittedRevision is the revision of the configuration that this registry has.
 func (f *FleetState) CommittedRevision() uint64 { return f.committedRevision }
 
-// SetCommitted records that the configuration of a revision is held here. An older revision changes nothing.
+// SetCommitted records that this registry has the configuration of a revision. An older revision changes nothing.
 func (f *FleetState) SetCommitted(now time.Duration, revision uint64) {
 	if revision <= f.committedRevision {
 		return
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -12,7 +12,7 @@
 	reasonLeaseDiffers  = "LEASE_DIFFERS"  // the proxy is configured with another lease duration
 	reasonRegistryYoung = "REGISTRY_YOUNG" // this registry grants no leases yet; also its reason for not being ready
 	reasonLags          = "LAGS"           // the proxy has not applied the revision that is required
-	reasonBufferFull    = "BUFFER_FULL"    // as many leases as this registry keeps
+	reasonBufferFull    = "BUFFER_FULL"    // this registry has as many leases as it keeps at most
 )
 
 // maxLeasesPerSource is how many leases, of a proxy's old and new incarnations, are kept for each source.
@@ -24,7 +24,7 @@
 	expiresAt       time.Duration
 }
 
-// revisionCommit is when a revision was first held here.
+// revisionCommit is when this registry first had a committed revision.
 type revisionCommit struct {
 	revision    uint64
 	committedAt time.Duration
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -38,7 +38,7 @@
 func (m *membership) own() *schema.CoreMember { return m.observed[m.config.memberID] }
 
 // list lists the core members in the order of leadership, each with its registry's address if that is known. Without a static
-// order they are those that the stores agreed on, by id; until the store has reported them, the seeds stand for them.
+// order they are those that the stores agreed on, by id; until the store has reported them, the seeds are listed instead.
 func (m *membership) list() []*schema.CoreMember {
 	var listed []*schema.CoreMember
 	for _, name := range m.config.memberOrder {
@@ -84,7 +84,7 @@
 	for _, member := range m.reachable() {
 		addresses[member.Address] = true
 	}
-	// Once the stores have reported the members, the seeds count no more.
+	// Once the store has reported the members, the seeds are not used any more.
 	if m.agreed == nil {
 		for _, seed := range m.options.seeds() {
 			addresses[seed] = true
--- a/internal/registry/operator_explain.go
+++ b/internal/registry/operator_explain.go
@@ -42,7 +42,7 @@
 	Split *plan.Verdict `json:"split,omitempty"` // which service, of a route that is split
 }
 
-// noFacts stands for a proxy's own measurements, of which the registry has none.
+// noFacts takes the place of a proxy's own measurements, of which the registry has none.
 type noFacts struct{}
 
 // Stats gives what the worker reports of itself.
--- a/internal/registry/peer_sync.go
+++ b/internal/registry/peer_sync.go
@@ -14,10 +14,10 @@
 // Fractions and multiples of times.
 const (
 	pollWaitDivisor    = 2 // fraction of a lease that one poll of a peer may wait for updates
-	peerHeartbeatTicks = 4 // heartbeat ticks between heartbeats of a session between registries: traffic between zones is dear
+	peerHeartbeatTicks = 4 // heartbeat ticks between heartbeats of a session between registries: traffic between zones is expensive
 )
 
-// peerSync keeps this registry's service directory and member addresses level with those of the other registries: by a
+// peerSync keeps this registry's service directory and member addresses in step with those of the other registries: by a
 // subscription to each, or by polls where a static member order is set. Its fields are set at the start and do not change.
 type peerSync struct {
 	state *sharedState
@@ -130,7 +130,7 @@
 	lease := p.state.config.lease
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A registry that has sent nothing for a lease counts as lost, though its connection may be open.
+	// A registry that has sent nothing for a lease counts as lost, even if its connection is open.
 	watchdog := time.AfterFunc(lease, cancel)
 	defer watchdog.Stop()
 	stream, err := p.peers.at(bounded, address).Attend(bounded, p.subscribeRequest())
--- a/internal/registry/rollout_driver.go
+++ b/internal/registry/rollout_driver.go
@@ -15,17 +15,17 @@
 
 // Fractions of a lease.
 const (
-	rolloutTickDivisor        = 4 * session.RenewalsPerLease // between two ticks: counts are gathered and canaries granted at each
+	rolloutTickDivisor        = 4 * session.RenewalsPerLease // between two ticks, and the bound on each RPC of a tick
 	rolloutStepDivisor        = session.RenewalsPerLease     // the shortest time between two steps of a plan
 	quorumContactDivisor      = session.RenewalsPerLease / 2 // the age of a store's quorum contact up to which its registry may control
-	predecessorTimeoutDivisor = session.RenewalsPerLease     // after which a predecessor that is not heard from counts as gone
+	predecessorTimeoutDivisor = session.RenewalsPerLease     // after which a predecessor that does not say it may control is passed over
 	predecessorQueryDivisor   = 2 * session.RenewalsPerLease // bound on one query of a predecessor
 	stepWriteDivisor          = session.RenewalsPerLease / 4 // bound on writing one step
 )
 
-// rolloutDriver runs the rollout controller while it falls on this registry: the first member in the order of leadership that is
-// in contact with a quorum. It observes, decides by release.Controller, and writes each step as an ordinary change; a controller
-// that was replaced meanwhile has its steps refused by the store as stale.
+// rolloutDriver runs the rollout controller while this registry is in control of rollouts: while its member is the first, in the
+// order of leadership, that is in contact with a quorum. It observes, decides by release.Controller, and writes each step as an
+// ordinary change; a controller that was replaced meanwhile has its steps refused by the store as stale.
 type rolloutDriver struct {
 	// Set at the start.
 	state     *sharedState
@@ -38,24 +38,25 @@
 	staleSteps atomic.Uint64 // steps that the store refused because a later term had a controller
 
 	// Used by run's goroutine only.
-	controller *release.Controller // nil while this registry is not in control
+	controller *release.Controller // nil while this registry is not in control, so that each term begins with a new one
 	fleetSize  *session.FleetSize  // how many proxies there are, to tell how many of them the counts come from
 
 	// Guarded by sharedState.lock.
 	hadQuorumContact bool                    // the store here has ever known that a majority was in contact with it
 	quorumContactAt  time.Duration           // when it last did
 	predecessors     map[string]*predecessor // the members before this one, by id
-	stepsInFlight    map[stepKey]bool        // being written
+	stepsInFlight    map[inFlightStep]bool   // being written
 }
 
-// predecessor is a registry that controls rollouts before this one, as long as it may.
+// predecessor is a registry that comes before this one in the order of leadership: while it may control rollouts, this one does
+// not. Its fields are guarded by sharedState.lock.
 type predecessor struct {
-	lastActiveAt  time.Duration // when it last said that it may, or was first to be queried
+	lastActiveAt  time.Duration // when it last said that it may control, or when the first query of it began
 	queryInFlight bool
 }
 
-// stepKey tells the steps in flight apart. A rollback is written beside the plan's step before it.
-type stepKey struct {
+// inFlightStep tells the steps in flight apart. A rollback is written beside the plan's step before it.
+type inFlightStep struct {
 	name   string
 	urgent bool
 }
@@ -72,7 +73,7 @@
 		log:           log,
 		fleetSize:     session.NewFleetSize(state.config.maxSources, state.config.lease),
 		predecessors:  map[string]*predecessor{},
-		stepsInFlight: map[stepKey]bool{},
+		stepsInFlight: map[inFlightStep]bool{},
 	}
 }
 
@@ -90,8 +91,8 @@
 	}
 }
 
-// tick gathers counts, judges versions and moves plans once, if this registry is in control. serial makes the ids of the tick's
-// changes.
+// tick gathers counts, judges versions and moves plans once, if this registry is in control. All changes of one tick have the
+// same serial; their ids differ by the name of the step.
 func (d *rolloutDriver) tick(ctx context.Context, serial uint64) {
 	snapshot, state := d.state.compiledConfig()
 	workers := WorkerPoolsOf(d.state.sources())
@@ -139,14 +140,14 @@
 	return now-d.quorumContactAt <= d.state.config.lease/quorumContactDivisor
 }
 
-// refreshQuorumContact requests from the store whether it is in contact with a majority.
+// refreshQuorumContact asks the store how long ago it knew that a majority was in contact with it.
 func (d *rolloutDriver) refreshQuorumContact(ctx context.Context) {
 	after := d.state.committedRevision()
 	bounded, cancel := context.WithTimeout(ctx, d.state.config.lease/rolloutTickDivisor)
 	defer cancel()
 	reply, err := d.store.Follow(bounded, &schema.FollowRequest{AfterSequence: after, WaitNanos: 0})
 	if err != nil || !reply.StalenessKnown {
-		return // the contact before it grows old
+		return // quorumContactAt stays, and with time becomes too old to control
 	}
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
@@ -168,34 +169,35 @@
 		if member.Address == "" {
 			continue
 		}
-		earlier := d.predecessors[member.Id]
-		if earlier == nil {
-			earlier = &predecessor{lastActiveAt: now}
-			d.predecessors[member.Id] = earlier
+		earlierMember := d.predecessors[member.Id]
+		if earlierMember == nil {
+			earlierMember = &predecessor{lastActiveAt: now}
+			d.predecessors[member.Id] = earlierMember
 		}
-		inControl = inControl && now-earlier.lastActiveAt > d.state.config.lease/predecessorTimeoutDivisor
-		if !earlier.queryInFlight {
-			earlier.queryInFlight = true
-			go d.queryPredecessor(ctx, earlier, member.Address)
+		inControl = inControl && now-earlierMember.lastActiveAt > d.state.config.lease/predecessorTimeoutDivisor
+		if !earlierMember.queryInFlight {
+			earlierMember.queryInFlight = true
+			go d.queryPredecessor(ctx, earlierMember, member.Address)
 		}
 	}
 	return inControl
 }
 
-// queryPredecessor requests whether a predecessor may control rollouts.
-func (d *rolloutDriver) queryPredecessor(ctx context.Context, earlier *predecessor, address string) {
+// queryPredecessor asks a predecessor whether it may control rollouts.
+func (d *rolloutDriver) queryPredecessor(ctx context.Context, queried *predecessor, address string) {
 	bounded, cancel := context.WithTimeout(ctx, d.state.config.lease/predecessorQueryDivisor)
 	defer cancel()
 	status, err := d.peers.at(bounded, address).Look(bounded, &schema.Empty{})
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
-	earlier.queryInFlight = false
+	queried.queryInFlight = false
 	if err == nil && status.MayControlRollouts {
-		earlier.lastActiveAt = d.state.now()
+		queried.lastActiveAt = d.state.now()
 	}
 }
 
-// forgetPredecessors forgets who was in control: there is nothing to control.
+// forgetPredecessors forgets who was in control, since there is nothing to control. Once there is, each predecessor counts as in
+// control again for the time of predecessorTimeoutDivisor.
 func (d *rolloutDriver) forgetPredecessors() {
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
@@ -232,7 +234,7 @@
 // writeStepAsync writes a step in a goroutine of its own, unless the same plan's step before it is still being written. A
 // rollback waits only for a rollback. state is the one that the step was decided from.
 func (d *rolloutDriver) writeStepAsync(ctx context.Context, step release.Step, serial uint64, state config.State) {
-	key := stepKey{step.Name, step.Urgent}
+	key := inFlightStep{step.Name, step.Urgent}
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
 	if d.stepsInFlight[key] {
@@ -251,8 +253,8 @@
 	}()
 }
 
-// writeStep proposes a step as an ordinary change, and waits until the change is held here, so that the plan's next step is
-// decided from its result.
+// writeStep proposes a step as an ordinary change, and waits until this registry has the committed change, so that the plan's next
+// step is decided from its result. A step that is refused or undecided is dropped: the next ticks decide anew.
 func (d *rolloutDriver) writeStep(ctx context.Context, change *schema.Change) {
 	bounded, cancel := context.WithTimeout(ctx, d.state.config.lease/stepWriteDivisor)
 	defer cancel()
--- a/internal/registry/rpc_service.go
+++ b/internal/registry/rpc_service.go
@@ -183,7 +183,7 @@
 	return s.fleetState.SetFence(s.now(), request.Revision), nil
 }
 
-// Counts gives the call counts held here to another registry. The rollout controller's request also brings its canary grants.
+// Counts gives another registry the call counts that proxies reported here. The rollout controller's request also brings its canary grants.
 func (r *rpcService) Counts(ctx context.Context, request *schema.CountsRequest) (*schema.CountsReply, error) {
 	if err := r.requireRegistry(ctx); err != nil {
 		return nil, err
@@ -227,7 +227,7 @@
 	return len(reservation.Key) == digestBytes && len(reservation.BodyDigest) == digestBytes
 }
 
-// Read gives a page of the reservations held here to another registry, which has restarted.
+// Read gives a page of this registry's reservations to another registry, which has restarted.
 func (r *rpcService) Read(ctx context.Context, request *schema.ReservationsRequest) (*schema.ReservationsPage, error) {
 	if err := r.requireRegistry(ctx); err != nil {
 		return nil, err
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -82,8 +82,8 @@
 	state := newSharedState(cfg, live, session.NextIncarnation(0))
 	store := schema.NewDRPCStoreClient(rpcTransport.Conn(ctx, cfg.storeAddress))
 	peers := newPeerClients(state, rpcTransport)
-	acknowledgements := newAcknowledger(state, peers)
-	submitter := newChangeSubmitter(state, live, store, acknowledgements)
+	changeAcknowledger := newAcknowledger(state, peers)
+	submitter := newChangeSubmitter(state, live, store, changeAcknowledger)
 	rollouts := newRolloutDriver(state, live, store, peers, submitter, log)
 	status := newStatusReporter(state, rpcTransport, rollouts)
 	sessions := newSessionServer(state, log)
@@ -106,7 +106,7 @@
 			options:      live,
 			store:        store,
 			peers:        peers,
-			acknowledger: acknowledgements,
+			acknowledger: changeAcknowledger,
 			backend:      newOperatorBackend(submitter),
 			status:       status,
 			dialect:      extended.operatorAPI,
--- a/internal/registry/session_server.go
+++ b/internal/registry/session_server.go
@@ -25,8 +25,8 @@
 	return &sessionServer{state: state, log: log}
 }
 
-// runHeartbeats makes all sessions consider a heartbeat at the same moment, so that an idle registry wakes once for all of
-// them, and sweeps the fleet state, until ctx ends.
+// runHeartbeats ticks until ctx ends. All sessions consider a heartbeat at the same tick, so that an idle registry wakes once for
+// all of them.
 func (srv *sessionServer) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(srv.state.config.lease / session.HeartbeatsPerLease)
 	defer ticker.Stop()
@@ -40,6 +40,7 @@
 	}
 }
 
+// tickHeartbeat sweeps the fleet state and makes all sessions consider a heartbeat.
 func (srv *sessionServer) tickHeartbeat() {
 	s := srv.state
 	s.lock.Lock()
@@ -57,7 +58,7 @@
 // heartbeats.
 func (srv *sessionServer) serve(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
 	srv.open(request)
-	// The session of a registry, or of a proxy that only listens, has no source and no place in the directory.
+	// Only a session that open counted is closed: that of a registry, or of a proxy that only listens, has no source.
 	if request.Tentative || request.Source != nil {
 		srv.log.V(1).Info("proxy session opened", "proxy", request.Node)
 		defer func() {
@@ -98,54 +99,60 @@
 		toRegistry: request.Member != nil,
 		revision:   request.Revision,
 	}
-	for onHeartbeat := true; ; {
+	for onHeartbeat, ended := true, false; !ended; {
 		s.lock.Lock()
 		update, hasContent := srv.nextUpdateLocked(progress)
 		stateChanged, heartbeatTick := s.stateChanged, s.heartbeatTick
 		s.lock.Unlock()
-		promised := time.Duration(request.HeartbeatNanos)
-		if hasContent || onHeartbeat && heartbeatDue(s.now()-progress.lastSentAt, promised, s.config.lease) {
+		promisedInterval := time.Duration(request.HeartbeatNanos)
+		if hasContent || onHeartbeat && heartbeatDue(s.now()-progress.lastSentAt, promisedInterval, s.config.lease) {
 			if err := stream.Send(update); err != nil {
 				return err
 			}
 			progress.lastSentAt = s.now()
 		}
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-heartbeatTick:
-			onHeartbeat = true
-			continue
-		case <-stateChanged:
-		}
-		// Changes come in bursts: those of a moment are sent together.
-		s.waitLeaseFraction(ctx, batchDivisor)
-		select {
-		case <-heartbeatTick:
-			onHeartbeat = true
-		default:
-			onHeartbeat = false
-		}
+		onHeartbeat, ended = srv.awaitNextUpdate(ctx, stateChanged, heartbeatTick)
+	}
+	return nil
+}
+
+// awaitNextUpdate waits until a session has to look for an update again, and tells whether a heartbeat tick came meanwhile. ended
+// tells that the stream ended first. The channels are those of the instant at which the update before was made.
+func (srv *sessionServer) awaitNextUpdate(ctx context.Context, stateChanged, heartbeatTick <-chan struct{}) (onHeartbeat, ended bool) {
+	select {
+	case <-ctx.Done():
+		return false, true
+	case <-heartbeatTick:
+		return true, false
+	case <-stateChanged:
+	}
+	// Changes come in bursts: those of a moment are sent together.
+	srv.state.waitLeaseFraction(ctx, batchDivisor)
+	select {
+	case <-heartbeatTick:
+		return true, false
+	default:
+		return false, false
 	}
 }
 
 // heartbeatDue tells, at a heartbeat tick, whether a session's node is due a heartbeat: whether at the next tick it would have
 // waited longer, since something was last sent, than it was promised. A tick may be a little early or late, hence the tolerance. An
-// update between two ticks does not put the heartbeat off by a whole interval, or the node would take this registry for dead.
+// update between two ticks does not put the heartbeat off by a whole interval, or the node would count this registry as unresponsive.
 func heartbeatDue(sinceLastSend, promisedInterval, lease time.Duration) bool {
 	untilNextTick := lease / session.HeartbeatsPerLease
 	tolerance := lease / batchDivisor
 	return sinceLastSend+untilNextTick > promisedInterval+tolerance
 }
 
-// sessionProgress is what a session's node has been sent. Only the session's goroutine uses it.
+// sessionProgress is what a session's node has been sent. Only the session's goroutine uses it, and needs no lock for it.
 type sessionProgress struct {
 	cursor      *SessionCursor // for sources
 	toRegistry  bool
 	revision    uint64 // of the configuration
 	members     []*schema.CoreMember
-	liveProxies uint32
-	started     bool
+	liveProxies uint32 // the fleet's size, for proxies only
+	started     bool   // the first update, which is sent even if it has nothing new, has been made
 	lastSentAt  time.Duration
 }
 
@@ -180,6 +187,7 @@
 	s := srv.state
 	staleness, confirmed := s.fleetState.Staleness(now)
 	update.StalenessNanos = int64(staleness)
+	// Without StalenessKnown a proxy takes this registry for stale.
 	if !srv.servesConfigLocked(now) {
 		return false
 	}
--- a/internal/registry/shared_state.go
+++ b/internal/registry/shared_state.go
@@ -81,7 +81,7 @@
 	s.stateChanged = make(chan struct{})
 }
 
-// awaitCommitted waits until a revision is held here, and tells whether it came before ctx ended. onReached, if not nil, is
+// awaitCommitted waits until this registry has a revision, and tells whether it came before ctx ended. onReached, if not nil, is
 // called with the lock held, at the instant at which the revision was found.
 func (s *sharedState) awaitCommitted(ctx context.Context, revision uint64, onReached func()) bool {
 	for ctx.Err() == nil {
@@ -103,7 +103,7 @@
 	return false
 }
 
-// committedRevision is the revision of the configuration held here.
+// committedRevision is the revision of the configuration that this registry has.
 func (s *sharedState) committedRevision() uint64 {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/registry/sources.go
+++ b/internal/registry/sources.go
@@ -18,9 +18,9 @@
 	proxyUpdateSequence uint64
 }
 
-// newerStamp tells whether version a of a source is newer than version b: by incarnation, then by counter; of equal ones, an
+// isNewerVersion tells whether version a of a source is newer than version b: by incarnation, then by counter; of equal ones, an
 // ended source is newer. A nil version is older than any.
-func newerStamp(a, b *schema.SourceVersion) bool {
+func isNewerVersion(a, b *schema.SourceVersion) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
 	}
@@ -40,7 +40,7 @@
 		return f.mergeIncarnationOnly(now, source)
 	}
 	existing := f.sources[source.Name]
-	if existing != nil && !newerStamp(source.Version, existing.source.Version) {
+	if existing != nil && !isNewerVersion(source.Version, existing.source.Version) {
 		return false
 	}
 	if existing == nil && len(f.sources) >= f.options.MaxSources && !f.evictEndedSource() {
@@ -50,7 +50,7 @@
 	return true
 }
 
-// evictEndedSource drops the ended source whose update is the oldest; false if none has ended.
+// evictEndedSource makes room for another source: it drops the ended source whose update is the oldest; false if none has ended.
 func (f *FleetState) evictEndedSource() bool {
 	oldest := ""
 	for name, entry := range f.sources {
@@ -78,7 +78,7 @@
 	f.sources[source.Name] = stored
 	f.appendUpdate(source.Name, stored.updateSequence)
 	incarnationOnly := f.directory.incarnationOnly[source.Name]
-	if incarnationOnly != nil && !newerStamp(incarnationOnly.source.Version, source.Version) {
+	if incarnationOnly != nil && !isNewerVersion(incarnationOnly.source.Version, source.Version) {
 		delete(f.directory.incarnationOnly, source.Name)
 	}
 }
@@ -103,7 +103,7 @@
 	f.sweep(now)
 	var newer []*schema.Source
 	for name, entry := range f.sources {
-		if newerStamp(entry.source.Version, vector[name]) {
+		if isNewerVersion(entry.source.Version, vector[name]) {
 			newer = append(newer, entry.source)
 		}
 	}
@@ -111,23 +111,23 @@
 	return newer
 }
 
-// Vector is the version of each source that is held here.
+// Vector is the version of each source that this registry has.
 func (f *FleetState) Vector() map[string]*schema.SourceVersion {
 	vector := map[string]*schema.SourceVersion{}
 	for name, entry := range f.sources {
 		vector[name] = entry.source.Version
 	}
-	// Of a source known by its incarnation only, no update of that incarnation is held: its counter is zero.
+	// Of a source known by its incarnation only, there is no update of that incarnation: its counter is zero.
 	for name, entry := range f.directory.incarnationOnly {
 		observed := &schema.SourceVersion{Incarnation: entry.source.Version.Incarnation}
-		if newerStamp(observed, vector[name]) {
+		if isNewerVersion(observed, vector[name]) {
 			vector[name] = observed
 		}
 	}
 	return vector
 }
 
-// LiveProxies counts the proxies that have a session with any registry, or reported here within a lease. All sessions request
+// LiveProxies counts the proxies that have a session with any registry, or reported here within a lease. All sessions ask for
 // it at each update, so the result is kept until an update or the next sweep is due.
 func (f *FleetState) LiveProxies(now time.Duration) int {
 	directory := &f.directory
@@ -144,9 +144,9 @@
 	count := 0
 	for _, entry := range f.sources {
 		hasHomeRegistry := entry.source.HomeRegistry != ""
-		leased := !hasHomeRegistry && now-entry.receivedAt <= f.options.Lease
+		reportedRecently := !hasHomeRegistry && now-entry.receivedAt <= f.options.Lease
 		inSession := hasHomeRegistry && !entry.source.Version.GetEnded()
-		if leased || inSession {
+		if reportedRecently || inSession {
 			count++
 		}
 	}
--- a/internal/registry/update_log.go
+++ b/internal/registry/update_log.go
@@ -59,7 +59,7 @@
 
 // isUnsent tells whether a session lacks an update that has this sequence for it.
 func (f *FleetState) isUnsent(cursor *SessionCursor, sequence uint64, source *schema.Source) bool {
-	return sequence > cursor.sentSequence && newerStamp(source.Version, cursor.vector[source.Name]) &&
+	return sequence > cursor.sentSequence && isNewerVersion(source.Version, cursor.vector[source.Name]) &&
 		f.relaysTo(cursor, source.HomeRegistry)
 }
 
--- a/internal/registry/update_log_test.go
+++ b/internal/registry/update_log_test.go
@@ -23,7 +23,7 @@
 		return toProxy || !started || home == "a" || (home != cursor.peerMemberID && !slices.Contains(reaches, home))
 	}
 	lacks := func(name string, entry *sourceEntry, sequence uint64) bool {
-		return sequence > from && newerStamp(entry.source.Version, cursor.vector[name]) && relays(entry.source.HomeRegistry)
+		return sequence > from && isNewerVersion(entry.source.Version, cursor.vector[name]) && relays(entry.source.HomeRegistry)
 	}
 	var names []string
 	for name, entry := range f.sources {
