--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -33,7 +33,7 @@
 	ControllerTerm  uint64  `json:"duty"`            // term of the controller that wrote it; it never goes down
 	Controller      string  `json:"holder"`          // member that was the controller
 	PlanID          string  `json:"set"`             // identifies the plan as it was written
-	State           string  `json:"state"`           // trial, ramp, hold, done, back
+	State           string  `json:"state"`           // trial, ramp, hold, settle, done, back: see the states of package release
 	Reason          string  `json:"reason"`          // why the plan is in that state
 	Percentage      float64 `json:"share"`           // current set point, in percent
 	Weight          int     `json:"weight"`          // of the new version, as written to the flag: of flag.TotalWeight
@@ -43,7 +43,7 @@
 }
 
 // progressStateRamp is the Progress.State of a plan whose version is getting more calls. Package release
-// names all the states; this one stands here too, since release imports this package.
+// names all the states; this one is repeated here, since release imports this package.
 const progressStateRamp = "ramp"
 
 // ControllerTermOf is the term of the rollout controller that wrote a progress item, 0 for a body that
--- a/internal/daemon/response.go
+++ b/internal/daemon/response.go
@@ -8,7 +8,7 @@
 	"meadowhinge/internal/errs"
 )
 
-// WriteJSON writes a body as JSON in place of whatever the response held. A body that cannot be encoded gives an
+// WriteJSON writes a body as JSON in place of whatever the response had. A body that cannot be encoded gives an
 // INTERNAL error instead.
 func WriteJSON(call *fasthttp.RequestCtx, status int, body any) {
 	encoded, err := json.Marshal(body)
--- a/internal/daemon/settings_source.go
+++ b/internal/daemon/settings_source.go
@@ -62,7 +62,8 @@
 	return loaded, nil
 }
 
-// maxParses is how often settings are parsed at most, to have their file's info from before it was read.
+// maxParses is how often settings are parsed at most: once to learn which file the command line names, and once with
+// that file's info taken before.
 const maxParses = 2
 
 // parse parses the command line into target. Which settings file it names is known only once it was parsed. So
--- a/internal/daemon/settings_watcher.go
+++ b/internal/daemon/settings_watcher.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// recordLoaded remembers which files were loaded, so that files that were rejected are not loaded again before
-// they change.
+// recordLoaded remembers which files were loaded, valid or not, so that files that were rejected are not loaded
+// again before they change.
 func (w *settingsWatcher) recordLoaded(loaded *loadedSettings, err error) {
 	previousFiles := w.lastLoaded.files
 	w.lastLoaded = loaded
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -35,7 +35,7 @@
 	failureEvidence  FailureEvidence
 	evidenceStrength float64 // of the latest round
 	evidenceVerdict  string  // of the latest round
-	stopVerdict      string  // why the version must be stopped; empty if not, and never cleared
+	stopVerdict      string  // why the version must be stopped; empty if not. Once set, it stays
 	recovered        bool    // as of the latest round
 }
 
@@ -51,15 +51,15 @@
 	// Of a plan by deadline:
 	rateWindowCounts    VersionCounts // at the start of the window in which rates are measured
 	rateWindowStartedAt time.Duration
-	stepKey             stepKey
-	logOddsAtStep       float64 // of the failure evidence when stepKey changed
+	moveKey             moveKey // of the last move that this controller observed
+	logOddsAtMove       float64 // of the failure evidence when moveKey changed
 	meanInFlight        float64 // calls in flight at all the service's workers, in the last window
 	callsPerSecond      float64 // of all the service's versions, in the last window
 }
 
-// stepKey identifies a move of a plan by deadline. A progress is also written without a move, and then
+// moveKey identifies a move of a plan by deadline. A progress is also written without a move, and then
 // the key stays.
-type stepKey struct{ stateSince, weight int64 }
+type moveKey struct{ stateSince, weight int64 }
 
 // NewController makes the controller of the registry with the given member id. A plan makes at most one
 // step in minStepInterval.
@@ -144,8 +144,8 @@
 }
 
 // Reconcile judges every guarded version and advances every plan by one round's observation. The steps
-// are to be written in any order. If some can't be made, the others are returned with the last error;
-// the next round tries again.
+// are to be written, in any order. If some can't be made, the others are returned with the last error. A
+// step that could not be made or written is not kept: the next round decides anew.
 func (c *Controller) Reconcile(now time.Duration, compiled *config.Snapshot, state config.State,
 	observation FleetObservation) ([]Step, error) {
 	steps := initialVersionSteps(compiled, observation.Workers)
@@ -284,7 +284,7 @@
 }
 
 // stamp marks a progress as written by this controller. A controller that takes another member's plan over
-// raises the term, and with it the store refuses steps that the other member still has in flight.
+// raises the term, and the store then refuses as stale the steps that the other member still has in flight.
 func (c *Controller) stamp(plan *config.Release, before, after config.Progress) config.Progress {
 	after.PlanID = planIdentity(plan)
 	after.Controller = c.memberID
--- a/internal/release/counts.go
+++ b/internal/release/counts.go
@@ -151,7 +151,7 @@
 }
 
 // callStatsOf converts a proxy's count. Calls in flight count only if the proxy reported them lately:
-// a proxy that is gone has none.
+// a proxy that has ended has none.
 func callStatsOf(work *schema.WorkCount, current bool) CallStats {
 	stats := CallStats{
 		Calls:        work.Calls,
--- a/internal/release/deadline.go
+++ b/internal/release/deadline.go
@@ -55,7 +55,7 @@
 // of the plan's time, then a quarter of the calls, then all, and done before the time is over. That
 // bounds the calls that a version can get which turns bad, however late it does.
 func (o Options) NextDeadlineProgress(plan *config.Release, before config.Progress, inputs DeadlineInputs) config.Progress {
-	resumes := before.State == StateRolledBack && before.Reason == reasonOperatorRollback && plan.Control != controlRollBack
+	resumes := operatorResumes(plan, before)
 	if before.State == StateDone || before.State == StateRolledBack && !resumes {
 		return before
 	}
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -22,6 +22,7 @@
 	}
 	recorded := recordedDeadlineProgress(compiled, state, plan, observation)
 	before := recorded.progress
+	// The first step records the fallback; a draining plan has replaced it in the configuration.
 	if before.PreviousVersion == "" {
 		before.PreviousVersion = service.Fallback
 	}
@@ -41,7 +42,7 @@
 		c.judgeVersion(guarded, counts, observation.HeardFraction, planGivesAllCalls(compiled, plan.Service, plan.Version))
 	}
 	tracked := c.trackedPlanFor(now, plan, counts)
-	tracked.beginStep(before, guarded.failureEvidence.LogOdds())
+	tracked.recordMove(before, guarded.failureEvidence.LogOdds())
 	tracked.measureRates(now, counts)
 	pool := observation.Workers[[2]string{plan.Service, plan.Version}]
 	inputs := DeadlineInputs{
@@ -49,7 +50,7 @@
 		MinStepInterval:    c.minStepInterval,
 		EvidenceStrength:   guarded.evidenceStrength,
 		EvidenceReason:     guarded.evidenceVerdict,
-		HealthLogOdds:      tracked.logOddsAtStep - guarded.failureEvidence.LogOdds(),
+		HealthLogOdds:      tracked.logOddsAtMove - guarded.failureEvidence.LogOdds(),
 		NewCalls:           total(counts.New).Calls,
 		CallsPerSecond:     tracked.callsPerSecond,
 		MeanInFlight:       tracked.meanInFlight,
@@ -84,12 +85,12 @@
 	return record
 }
 
-// beginStep notes the failure evidence as it was when the plan's last move took effect, so that the
+// recordMove records the failure evidence as it was when the plan's last move took effect, so that the
 // evidence of the calls since then can be told apart.
-func (t *trackedPlan) beginStep(before config.Progress, logOdds float64) {
-	if key := (stepKey{before.StateSince, int64(before.Weight)}); t.stepKey != key {
-		t.stepKey = key
-		t.logOddsAtStep = logOdds
+func (t *trackedPlan) recordMove(before config.Progress, logOdds float64) {
+	if key := (moveKey{before.StateSince, int64(before.Weight)}); t.moveKey != key {
+		t.moveKey = key
+		t.logOddsAtMove = logOdds
 	}
 }
 
--- a/internal/release/doc.go
+++ b/internal/release/doc.go
@@ -14,6 +14,9 @@
 // calls Reconcile and writes the steps; the simulator drives the same code. Nothing here is safe for
 // concurrent use: a controller belongs to one goroutine.
 //
+// A guarded version is one that the version flag of a service may pick besides the fallback
+// (config.Snapshot.GuardedVersions). A canary grant tells proxies whether they may use it.
+//
 // Units: a percentage runs from 0 to 100, a flag's weight from 0 to 100000 (flag.TotalWeight), a rate
 // is a fraction from 0 to 1, and Elapsed in a progress is in nanoseconds.
 package release
--- a/internal/release/ramp.go
+++ b/internal/release/ramp.go
@@ -26,6 +26,12 @@
 	return progress
 }
 
+// operatorResumes reports whether the operator lets a plan continue that the operator rolled back. A plan
+// that was rolled back as bad stays so.
+func operatorResumes(plan *config.Release, before config.Progress) bool {
+	return before.State == StateRolledBack && before.Reason == reasonOperatorRollback && plan.Control != controlRollBack
+}
+
 // NextRampProgress decides the next progress of a plan by ramp: the percentage rises in proportion to the
 // time in which the new version proved no worse. The counts are those since the plan began and those
 // since the last step; elapsed is the time since the last step.
@@ -33,16 +39,16 @@
 	elapsed time.Duration) config.Progress {
 	after := before
 	switch {
-	// A plan rolled back as bad stays so. The operator may resume a plan that the operator rolled back.
-	case before.State == StateRolledBack && (before.Reason != reasonOperatorRollback || plan.Control == controlRollBack):
-		return after
-	case before.State == StateRolledBack:
+	case operatorResumes(plan, before):
+		// The plan begins anew, without its progress.
 		before.State = ""
 		after = config.Progress{
 			ControllerTerm: before.ControllerTerm,
 			Controller:     before.Controller,
 			PlanID:         before.PlanID,
 		}
+	case before.State == StateRolledBack:
+		return after
 	case plan.Control == controlRollBack:
 		return rolledBack(after, reasonOperatorRollback)
 	}
--- a/internal/release/ramp_step.go
+++ b/internal/release/ramp_step.go
@@ -40,12 +40,13 @@
 }
 
 // isRampStepDue reports whether a plan by ramp decides now: after its step interval, or at once when it is
-// new, must be rolled back, or the operator rolls it back or resumes it.
+// new, must be rolled back, or the operator rolls it back or resumes it. The last also holds in every round
+// for a plan that was rolled back as bad; it then decides to stay so.
 func (c *Controller) isRampStepDue(now time.Duration, plan *config.Release, tracked *trackedPlan, before config.Progress,
 	stopVerdict string) bool {
 	stepInterval := max(plan.Duration/time.Duration(c.options.RampSteps), c.minStepInterval)
 	isRolledBack := before.State == StateRolledBack
 	mustRollBack := stopVerdict != "" && !isRolledBack
-	operatorChanged := (plan.Control == controlRollBack) != isRolledBack
-	return now-tracked.steppedAt >= stepInterval || before.State == "" || mustRollBack || operatorChanged
+	controlDiffers := (plan.Control == controlRollBack) != isRolledBack
+	return now-tracked.steppedAt >= stepInterval || before.State == "" || mustRollBack || controlDiffers
 }
--- a/internal/release/rollback_guard.go
+++ b/internal/release/rollback_guard.go
@@ -19,7 +19,7 @@
 // whether the version must be stopped. The zero value is ready to use. It is not safe for concurrent use.
 type RollbackGuard struct {
 	recentSamples []VersionCounts // the last longWindow+1
-	sparseSamples []VersionCounts // the last sparseLongWindow of every sparseSampleEvery-th
+	sparseSamples []VersionCounts // every sparseSampleEvery-th sample, the last sparseLongWindow of those
 	sampleCount   int             // samples taken so far
 }
 
@@ -61,10 +61,10 @@
 	return samples[max(0, len(samples)-1-window)]
 }
 
-// An old version that hardly gets calls is no measure of the new one.
+// Bounds from which an old version gets too few calls for the new one to be compared with it.
 const (
 	sparseBaselineRatio    = 50  // the old version must have at least one call to this many of the new one's
-	sparseBaselineMinCalls = 200 // calls of the new version that a window needs to tell
+	sparseBaselineMinCalls = 200 // calls of the new version that a window must have to decide that
 )
 
 // baseline is all that was ever counted of the old version if that hardly gets calls any more, or nil if
--- a/internal/release/verdict.go
+++ b/internal/release/verdict.go
@@ -26,8 +26,8 @@
 const baselineWeightLimit = 10
 
 // IsFailing reports whether the new version fails or is slow compared with the old one, on all routes
-// together or on one of them, and in what way. A fault that hits both versions alike is not held
-// against the new one. The baseline, by route, is what was counted of an old version that no longer
+// together or on one of them, and in what way. A fault that hits both versions alike does not
+// count against the new one. The baseline, by route, is what was counted of an old version that no longer
 // gets enough calls to be compared with; it is nil otherwise.
 func (o Options) IsFailing(counts VersionCounts, baseline map[string]CallStats) (verdict string, failing bool) {
 	if verdict, failing = o.compareVersions(total(counts.Old), total(counts.New), total(baseline), onAllRoutes); failing {
--- a/internal/session/endpoint_class.go
+++ b/internal/session/endpoint_class.go
@@ -19,7 +19,7 @@
 	classSuspect
 	// classDegraded is a registry that has a stale configuration, was stale a moment ago, or misses
 	// heartbeats. It ranks below classSuspect: a registry that failed longer ago may be well again, so it
-	// is tried before a session with a degraded one is kept.
+	// is tried rather than stay with a degraded one.
 	classDegraded
 	// classFailed is a registry that failed within the last heartbeat interval.
 	classFailed
--- a/internal/session/lease_gate.go
+++ b/internal/session/lease_gate.go
@@ -11,9 +11,9 @@
 // wait for a renewal.
 const renewalGraceDivisor = 8
 
-// LeaseGate admits calls while the lease is valid. After expiry it holds calls for a short grace
-// period, because most gaps between leases are shorter than that. After the grace period nothing
-// tells when the lease comes back, so calls are no longer held.
+// LeaseGate admits calls while the lease is valid. After expiry it lets calls wait for a short
+// grace period, because most gaps between leases are shorter than that. After the grace period nothing
+// tells when the lease comes back, so calls no longer wait.
 //
 // A LeaseGate is safe for concurrent use. Open does not take the lock: every call passes through it.
 type LeaseGate struct {
