--- a/internal/registry/operator_changes.go
+++ b/internal/registry/operator_changes.go
@@ -82,6 +82,7 @@
 			&ChangeResponse{ID: request.ID, Ruling: "invalid", ErrorCode: errs.InvalidConfig, Faults: faults})
 		return
 	}
+	// One timeout for both waits: for the store's decision, and for the acknowledgement.
 	bounded, cancel := context.WithTimeout(ctx, o.options.changeTimeout())
 	defer cancel()
 	reply := o.backend.propose(bounded, newChange(request, items))
@@ -143,7 +144,7 @@
 	return views
 }
 
-// awaitAcknowledgement waits until an accepted change is acknowledged, or ctx ends, and puts the result into the response.
+// awaitAcknowledgement puts into the response of an accepted change whether it is acknowledged before ctx ends.
 func (o *operatorServer) awaitAcknowledgement(ctx context.Context, response *ChangeResponse) {
 	response.LaggingProxies, response.Acknowledged = o.acknowledger.await(ctx, response.Sequence)
 }
--- a/internal/registry/rollout_driver.go
+++ b/internal/registry/rollout_driver.go
@@ -106,11 +106,7 @@
 		d.controller = nil
 		return
 	}
-	if d.controller == nil {
-		minStepInterval := d.state.config.lease / rolloutStepDivisor
-		d.controller = release.NewController(d.options.rolloutOptions(), d.state.config.memberID, minStepInterval)
-	}
-	d.controller.SetOptions(d.options.rolloutOptions())
+	d.ensureController()
 	canaryGrants := d.controller.CanaryGrants(snapshot)
 	d.state.setCanaryGrants(canaryGrants)
 	counts, reportingFraction := d.gatherCounts(ctx, canaryGrants)
@@ -130,6 +126,15 @@
 	}
 }
 
+// ensureController makes a controller if there is none, and puts the current options into force.
+func (d *rolloutDriver) ensureController() {
+	if d.controller == nil {
+		minStepInterval := d.state.config.lease / rolloutStepDivisor
+		d.controller = release.NewController(d.options.rolloutOptions(), d.state.config.memberID, minStepInterval)
+	}
+	d.controller.SetOptions(d.options.rolloutOptions())
+}
+
 // mayControlLocked tells whether this registry may be the rollout controller. One that is partitioned from the core may not: it
 // has too few counts to stop a bad version in time, and could not write that it did. The caller holds the lock.
 func (d *rolloutDriver) mayControlLocked() bool {
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -35,6 +35,14 @@
 		after.State, after.Reason, after.Percentage = StateDone, reasonAllCalls, plan.Target
 		return c.deadlineStep(plan, compiled, state, before, after)
 	}
+	inputs := c.deadlineInputs(now, compiled, plan, before, recorded, observation)
+	return c.deadlineStep(plan, compiled, state, before, c.options.NextDeadlineProgress(plan, before, inputs))
+}
+
+// deadlineInputs gathers what a plan's next progress depends on. It takes the round's counts into what is known
+// of the plan and, unless that was done before in this round, of its version.
+func (c *Controller) deadlineInputs(now time.Duration, compiled *config.Snapshot, plan *config.Release,
+	before config.Progress, recorded deadlineRecord, observation FleetObservation) DeadlineInputs {
 	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, before.PreviousVersion)
 	guarded := c.guardedVersionFor(versionKey{plan.Service, plan.Version}, plan.Revision)
 	// Guarded versions were judged before the plans advance; one that is draining is judged here.
@@ -62,7 +70,7 @@
 	if guarded.stopVerdict != "" {
 		inputs.EvidenceStrength, inputs.EvidenceReason = 1, guarded.stopVerdict
 	}
-	return c.deadlineStep(plan, compiled, state, before, c.options.NextDeadlineProgress(plan, before, inputs))
+	return inputs
 }
 
 // deadlineRecord is what is recorded of a plan by deadline.
--- a/internal/release/ramp.go
+++ b/internal/release/ramp.go
@@ -61,6 +61,15 @@
 		after.State, after.Reason = StateHolding, reasonOperatorHold
 		return after
 	}
+	after = o.raisePercentage(plan, before, after, sinceStart, sinceLastStep, elapsed)
+	after.Weight = o.flagWeight(before, after, sinceLastStep.NewPercent())
+	return after
+}
+
+// raisePercentage decides the state and the percentage of a plan by ramp that neither the operator nor a
+// failure keeps from rising.
+func (o Options) raisePercentage(plan *config.Release, before, after config.Progress, sinceStart, sinceLastStep VersionCounts,
+	elapsed time.Duration) config.Progress {
 	canaryPercent := min(o.CanaryPercent, plan.Target)
 	switch {
 	case !o.isProven(sinceStart):
@@ -76,7 +85,6 @@
 			after.State, after.Reason = StateDone, reasonTargetReached
 		}
 	}
-	after.Weight = o.flagWeight(before, after, sinceLastStep.NewPercent())
 	return after
 }
 
