--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -22,6 +22,7 @@
 	}
 	recorded := recordedDeadlineProgress(compiled, state, plan, observation)
 	before := recorded.progress
+	// The first step records the fallback; a draining plan has replaced it in the configuration.
 	if before.PreviousVersion == "" {
 		before.PreviousVersion = service.Fallback
 	}
@@ -34,6 +35,14 @@
 		after.State, after.Reason, after.Percentage = StateDone, reasonAllCalls, plan.Target
 		return c.deadlineStep(plan, compiled, state, before, after)
 	}
+	inputs := c.deadlineInputs(now, compiled, plan, before, recorded, observation)
+	return c.deadlineStep(plan, compiled, state, before, c.options.NextDeadlineProgress(plan, before, inputs))
+}
+
+// deadlineInputs gathers what a plan's next progress depends on. It takes the round's counts into what is known
+// of the plan and, unless that was done before in this round, of its version.
+func (c *Controller) deadlineInputs(now time.Duration, compiled *config.Snapshot, plan *config.Release,
+	before config.Progress, recorded deadlineRecord, observation FleetObservation) DeadlineInputs {
 	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, before.PreviousVersion)
 	guarded := c.guardedVersionFor(versionKey{plan.Service, plan.Version}, plan.Revision)
 	// Guarded versions were judged before the plans advance; one that is draining is judged here.
@@ -41,7 +50,7 @@
 		c.judgeVersion(guarded, counts, observation.HeardFraction, planGivesAllCalls(compiled, plan.Service, plan.Version))
 	}
 	tracked := c.trackedPlanFor(now, plan, counts)
-	tracked.beginStep(before, guarded.failureEvidence.LogOdds())
+	tracked.recordMove(before, guarded.failureEvidence.LogOdds())
 	tracked.measureRates(now, counts)
 	pool := observation.Workers[[2]string{plan.Service, plan.Version}]
 	inputs := DeadlineInputs{
@@ -49,7 +58,7 @@
 		MinStepInterval:    c.minStepInterval,
 		EvidenceStrength:   guarded.evidenceStrength,
 		EvidenceReason:     guarded.evidenceVerdict,
-		HealthLogOdds:      tracked.logOddsAtStep - guarded.failureEvidence.LogOdds(),
+		HealthLogOdds:      tracked.logOddsAtMove - guarded.failureEvidence.LogOdds(),
 		NewCalls:           total(counts.New).Calls,
 		CallsPerSecond:     tracked.callsPerSecond,
 		MeanInFlight:       tracked.meanInFlight,
@@ -61,7 +70,7 @@
 	if guarded.stopVerdict != "" {
 		inputs.EvidenceStrength, inputs.EvidenceReason = 1, guarded.stopVerdict
 	}
-	return c.deadlineStep(plan, compiled, state, before, c.options.NextDeadlineProgress(plan, before, inputs))
+	return inputs
 }
 
 // deadlineRecord is what is recorded of a plan by deadline.
@@ -84,12 +93,12 @@
 	return record
 }
 
-// beginStep notes the failure evidence as it was when the plan's last move took effect, so that the
+// recordMove records the failure evidence as it was when the plan's last move took effect, so that the
 // evidence of the calls since then can be told apart.
-func (t *trackedPlan) beginStep(before config.Progress, logOdds float64) {
-	if key := (stepKey{before.StateSince, int64(before.Weight)}); t.stepKey != key {
-		t.stepKey = key
-		t.logOddsAtStep = logOdds
+func (t *trackedPlan) recordMove(before config.Progress, logOdds float64) {
+	if key := (moveKey{before.StateSince, int64(before.Weight)}); t.moveKey != key {
+		t.moveKey = key
+		t.logOddsAtMove = logOdds
 	}
 }
 
