--- a/internal/simulator/leaving.go
+++ b/internal/simulator/caller_cancel.go
@@ -1,7 +1,6 @@
 package simulator
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"sync"
@@ -82,27 +81,6 @@
 	delete(l.cancels, request)
 }
 
-// simulateWork works for a time, or until the connection ends; it tells whether the work was done. A proxy sends nothing
-// more before it has its answer.
-func simulateWork(reader *bufio.Reader, serviceTime time.Duration) (done bool, connReadable chan struct{}) {
-	closed := make(chan struct{})
-	connReadable = make(chan struct{})
-	go func() {
-		defer close(connReadable)
-		if _, err := reader.Peek(1); err != nil {
-			close(closed)
-		}
-	}()
-	timer := time.NewTimer(serviceTime)
-	defer timer.Stop()
-	select {
-	case <-timer.C:
-		return true, connReadable
-	case <-closed:
-		return false, connReadable
-	}
-}
-
 // recordRunEnd notes when a worker was done with a call, or was freed of it.
 func (h *History) recordRunEnd(now time.Duration, id, requestID string) {
 	h.lock.Lock()
--- /dev/null
+++ b/internal/simulator/change.go
@@ -0,0 +1,68 @@
+package simulator
+
+import (
+	"fmt"
+
+	"meadowhinge/internal/registry"
+	"meadowhinge/schema"
+)
+
+// submitChange states a change at a registry and waits for its yes, as the registry's daemon does.
+func (w *World) submitChange(node *registryNode, change *schema.Change, onRuling func(ruling schema.Ruling, sequence uint64)) {
+	if !w.isResponsive(&node.process) || !w.isResponsive(&node.member.process) {
+		return
+	}
+	ticket := fmt.Sprint("offer-", w.nextID())
+	node.member.pendingReplies[ticket] = func(result any) {
+		reply := result.(*schema.ProposalReply)
+		if reply.Undecided {
+			return
+		}
+		w.scheduleOn(&node.process, 0, func() {
+			ruling, sequence := reply.Outcome.Ruling, reply.Outcome.Version.Sequence
+			w.History.recordRuling(w.now, change.Id, ruling)
+			if ruling != schema.Ruling_RULING_ACCEPTED {
+				onRuling(ruling, sequence)
+				return
+			}
+			if w.seededFault == SeededEarlyAcknowledgement || w.Options.ServeStale {
+				w.History.recordAcknowledgement(w.now, sequence)
+				onRuling(ruling, sequence)
+				return
+			}
+			w.acknowledge(node, sequence, func() { onRuling(ruling, sequence) })
+		})
+	}
+	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), &schema.Proposal{Ticket: ticket, Change: change}))
+}
+
+// acknowledge fences the registries until a majority has no laggard left.
+func (w *World) acknowledge(node *registryNode, sequence uint64, onAcknowledged func()) {
+	acknowledgement := registry.NewAcknowledgement(memberCount)
+	done := false
+	deadline := w.now + 3*leaseDuration
+	addReply := func(fenceReply *schema.FenceReply) {
+		if !done && acknowledgement.Record(fenceReply) {
+			done = true
+			w.History.recordAcknowledgement(w.now, sequence)
+			onAcknowledged()
+		}
+	}
+	var sendFences func()
+	sendFences = func() {
+		if done || w.now > deadline {
+			return
+		}
+		addReply(node.table.SetFence(w.uptime(node), sequence))
+		for _, other := range w.registries {
+			if other != node {
+				w.send(&node.process, &other.process, func() {
+					fenceReply := other.table.SetFence(w.uptime(other), sequence)
+					w.send(&other.process, &node.process, func() { addReply(fenceReply) })
+				})
+			}
+		}
+		w.scheduleOn(&node.process, pollInterval, sendFences)
+	}
+	sendFences()
+}
--- a/internal/simulator/judge.go
+++ b/internal/simulator/checks_end.go
@@ -7,7 +7,6 @@
 	"strings"
 	"time"
 
-	"meadowhinge/internal/errs"
 	"meadowhinge/internal/fakebackend"
 )
 
@@ -59,25 +58,3 @@
 		}
 	}
 }
-
-// outcomes lists what the callers of an op were told.
-func (o *operation) outcomes() string {
-	var parts []string
-	for _, attempt := range o.attempts {
-		kind := ""
-		if attempt.result != nil && attempt.result.Err != nil {
-			kind = string(errs.CodeOf(attempt.result.Err))
-		}
-		parts = append(parts, fmt.Sprintf("%s@%v:%s %s", attempt.proxy.name, attempt.sentAt, attempt.outcome, kind))
-	}
-	return strings.Join(parts, ", ")
-}
-
-func sortedOperationIDs(operations map[string]*operation) []string {
-	ids := make([]string, 0, len(operations))
-	for id := range operations {
-		ids = append(ids, id)
-	}
-	sort.Strings(ids)
-	return ids
-}
--- a/internal/simulator/hop.go
+++ b/internal/simulator/peer_rpc.go
@@ -48,6 +48,18 @@
 	}
 }
 
+// forwardResult is what comes back of a dispatch.
+type forwardResult struct {
+	response *schema.ForwardResponse
+	err      error
+}
+
+// peerOf is how a proxy stands before another: it may speak for its own callers.
+func (w *World) peerOf(node *proxyNode) transport.Peer {
+	callers := map[string]bool{"client": true, "saves": true}
+	return transport.LocalPeer("proxy", node.name, callers)
+}
+
 func (w *World) forwardToPeer(node *proxyNode, name string, peer transport.Peer, request *schema.ForwardRequest, results chan forwardResult) {
 	random := w.derivedRandom(request.Request)
 	var target *proxyNode
--- a/internal/simulator/brake.go
+++ b/internal/simulator/rollback_scenario.go
@@ -1,10 +1,8 @@
 package simulator
 
 import (
-	"fmt"
 	"time"
 
-	"meadowhinge/internal/config"
 	"meadowhinge/internal/release"
 	"meadowhinge/schema"
 )
@@ -162,16 +160,3 @@
 	result.Breaches = w.History.Breaches
 	return result
 }
-
-// targetedFlagItem is a flag that gives version 2 to so many in a thousand of the callers' users.
-func targetedFlagItem(service string, users int) *schema.Item {
-	names := ""
-	for i := range users {
-		if i > 0 {
-			names += ","
-		}
-		names += fmt.Sprintf("%q", fmt.Sprint("user-", i))
-	}
-	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
-		`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"variation":0},"targets":[{"variation":1,"values":[%s]}]}`, names))}
-}
