--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -36,7 +36,8 @@
 			if closed {
 				return
 			}
-			id, callRandom := w.nextID(), rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
+			id := w.nextID()
+			callRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 			go w.makeCall(node, id, callRandom)
 			w.schedule(time.Duration(random.ExpFloat64()*float64(time.Second)*float64(len(w.proxies))/w.Options.CallRate), startCall)
 		}
@@ -57,7 +58,8 @@
 		}
 		sample -= route.share
 	}
-	operation := w.History.startOperation(fmt.Sprint("op-", id), chosen.caller, chosen.service, chosen.path, chosen.once, chosen.once && random.IntN(4) > 0)
+	operation := w.History.startOperation(fmt.Sprint("op-", id), chosen.caller, chosen.service, chosen.path, chosen.once,
+		chosen.once && random.IntN(4) > 0)
 	user := fmt.Sprint("user-", random.IntN(1000))
 	for attemptNumber := 0; ; attemptNumber++ {
 		outcome := w.attemptCall(node, operation, attemptNumber, chosen.method, user)
@@ -80,9 +82,16 @@
 		w.History.recordOutcome(w.time(), operation, attempt)
 		return attempt.outcome
 	}
-	header := dispatch.AppendField(dispatch.AppendField(dispatch.AppendField(nil, "X-Op", operation.id), "X-Ask", strconv.Itoa(attemptNumber)), "X-User", user)
-	call := &dispatch.Call{Target: operation.path, HeaderBlock: header, Body: []byte(operation.id), Request: plan.Request{Caller: operation.caller, Method: method, Path: operation.path,
-		Header: func(string) (string, bool) { return user, true }}}
+	header := dispatch.AppendField(dispatch.AppendField(dispatch.AppendField(nil, "X-Op", operation.id), "X-Ask",
+		strconv.Itoa(attemptNumber)),
+		"X-User", user)
+	call := &dispatch.Call{
+		Target:      operation.path,
+		HeaderBlock: header,
+		Body:        []byte(operation.id),
+		Request: plan.Request{Caller: operation.caller, Method: method, Path: operation.path,
+			Header: func(string) (string, bool) { return user, true }},
+	}
 	if method == "GET" {
 		call.Body = nil
 	}
--- a/internal/simulator/caller_cancel.go
+++ b/internal/simulator/caller_cancel.go
@@ -44,7 +44,8 @@
 		return ctx
 	}
 	if w.cancellations.cancels == nil {
-		w.cancellations.cancels, w.cancellations.cancelled = map[string][]context.CancelFunc{}, map[string]bool{}
+		w.cancellations.cancels = map[string][]context.CancelFunc{}
+		w.cancellations.cancelled = map[string]bool{}
 	}
 	w.cancellations.cancels[request] = append(w.cancellations.cancels[request], cancel)
 	return ctx
@@ -108,7 +109,8 @@
 		}
 		for _, run := range operation.runs {
 			if run.attemptNumber == attemptNumber && run.endedAt > attempt.finishedAt+maxRunAfterCancel {
-				h.recordBreach(RuleRunAfterCancel, "%s ran at %s from %v to %v, its caller left at %v", operation.id, run.worker.name, run.at, run.endedAt, attempt.finishedAt)
+				h.recordBreach(RuleRunAfterCancel, "%s ran at %s from %v to %v, its caller left at %v", operation.id,
+					run.worker.name, run.at, run.endedAt, attempt.finishedAt)
 			}
 		}
 	}
--- a/internal/simulator/change.go
+++ b/internal/simulator/change.go
@@ -33,7 +33,10 @@
 			w.acknowledge(node, sequence, func() { onRuling(ruling, sequence) })
 		})
 	}
-	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), &schema.Proposal{Ticket: ticket, Change: change}))
+	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), &schema.Proposal{
+		Ticket: ticket,
+		Change: change,
+	}))
 }
 
 // acknowledge fences the registries until a majority has no laggard left.
--- a/internal/simulator/checks_call.go
+++ b/internal/simulator/checks_call.go
@@ -21,17 +21,20 @@
 			h.InTouchDecisions++
 		}
 		if inTouch && request.Revision < minRevision {
-			h.recordBreach(RuleStaleConfig, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name, request.Request, request.Revision, minRevision, fakebackend.ConfigPropagationBound)
+			h.recordBreach(RuleStaleConfig, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name,
+				request.Request, request.Revision, minRevision, fakebackend.ConfigPropagationBound)
 		}
 	} else if request.Revision < h.lastAcknowledged {
-		h.recordBreach(RuleStaleConfig, "%v: %s sent %s by %d; %d was acknowledged", now, node.name, request.Request, request.Revision, h.lastAcknowledged)
+		h.recordBreach(RuleStaleConfig, "%v: %s sent %s by %d; %d was acknowledged", now, node.name, request.Request,
+			request.Revision, h.lastAcknowledged)
 	}
 	// In doubt a proxy serves by what it knows, so only within one life it knows never less.
 	if h.processRuns[node.name] != node.processRun && h.world.Options.ServeStale {
 		h.lastUsedRevision[node.name], h.processRuns[node.name] = 0, node.processRun
 	}
 	if request.Revision < h.lastUsedRevision[node.name] {
-		h.recordBreach(RuleRevisionDecreased, "%v: %s sent %s by %d after %d", now, node.name, request.Request, request.Revision, h.lastUsedRevision[node.name])
+		h.recordBreach(RuleRevisionDecreased, "%v: %s sent %s by %d after %d", now, node.name, request.Request,
+			request.Revision, h.lastUsedRevision[node.name])
 	}
 	h.lastUsedRevision[node.name] = max(h.lastUsedRevision[node.name], request.Revision)
 	for marker := range h.invalidItems {
@@ -69,7 +72,8 @@
 	if attemptNumber < len(requested.attempts) {
 		sent = requested.attempts[attemptNumber].sentAt
 	}
-	minRevision, allowed := h.acknowledgedAt(sent-fakebackend.ConfigPropagationBound), false
+	minRevision := h.acknowledgedAt(sent - fakebackend.ConfigPropagationBound)
+	allowed := false
 	// A proxy that is out of touch may go by any setup there ever was.
 	if h.world.Options.ServeStale {
 		minRevision = 0
@@ -84,7 +88,8 @@
 		}
 	}
 	if !allowed {
-		h.recordBreach(RuleDisallowedCall, "%v: %s of version %s ran %s from %s; no setup since %d allows it", now, worker.name, worker.version, id, caller, minRevision)
+		h.recordBreach(RuleDisallowedCall, "%v: %s of version %s ran %s from %s; no setup since %d allows it", now,
+			worker.name, worker.version, id, caller, minRevision)
 	}
 	for _, bad := range h.badVersions {
 		if bad.service != worker.service {
@@ -136,7 +141,8 @@
 	}
 	if callPlan := attempt.result.Plan; callPlan != nil {
 		if minRevision := h.acknowledgedAt(attempt.sentAt - fakebackend.ConfigPropagationBound); !h.world.Options.ServeStale && callPlan.Verdict.ConfigRevision < minRevision {
-			h.recordBreach(RuleStaleConfig, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged", now, operation.id, attempt.sentAt, callPlan.Verdict.ConfigRevision, minRevision)
+			h.recordBreach(RuleStaleConfig, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged", now,
+				operation.id, attempt.sentAt, callPlan.Verdict.ConfigRevision, minRevision)
 		}
 		if callPlan.Verdict.Reason == "HELD" {
 			h.BlockedCalls++
--- a/internal/simulator/checks_end.go
+++ b/internal/simulator/checks_end.go
@@ -22,7 +22,8 @@
 			for _, run := range operation.runs {
 				runs = append(runs, fmt.Sprintf("%s at %s (%s) at %v", run.requestID, run.worker.name, run.worker.proxy.name, run.at))
 			}
-			h.recordBreach(RuleRanTwice, "%s (keyed %v) ran %d times: %s; asked %s", id, operation.keyed, len(operation.runs), strings.Join(runs, ", "), operation.outcomes())
+			h.recordBreach(RuleRanTwice, "%s (keyed %v) ran %d times: %s; asked %s", id, operation.keyed, len(operation.runs),
+				strings.Join(runs, ", "), operation.outcomes())
 		}
 		h.checkCancelled(operation)
 		for attemptNumber, attempt := range operation.attempts {
@@ -45,16 +46,19 @@
 			}
 			callsInWindow := sort.Search(len(callTimes), func(i int) bool { return callTimes[i] > at }) - sort.Search(len(callTimes), func(i int) bool { return callTimes[i] >= at-fakebackend.RetryBudgetWindow })
 			if float64(i-from+1) > fakebackend.RetryBudgetRatio*float64(callsInWindow)+h.world.Options.RetryFloor {
-				h.recordBreach(RuleRetryBudget, "%v: %s had %d extra tries on %d calls in ten seconds", at, service, i-from+1, callsInWindow)
+				h.recordBreach(RuleRetryBudget, "%v: %s had %d extra tries on %d calls in ten seconds", at, service, i-from+1,
+					callsInWindow)
 			}
 		}
 	}
 	for _, bad := range h.badVersions {
 		if float64(bad.versionCalls) > fakebackend.FaultyVersionRatio*float64(bad.serviceCalls)+fakebackend.FaultyVersionFloor {
-			h.recordBreach(RuleBadVersionExposure, "%s %s got %d of %d calls since it was bad, %d of them failures", bad.service, bad.version, bad.versionCalls, bad.serviceCalls, bad.failures)
+			h.recordBreach(RuleBadVersionExposure, "%s %s got %d of %d calls since it was bad, %d of them failures", bad.service,
+				bad.version, bad.versionCalls, bad.serviceCalls, bad.failures)
 		}
 		if bad.lateCallAt > 0 {
-			h.recordBreach(RuleBadVersionExposure, "%s %s got a call %v after its fiftieth failure", bad.service, bad.version, bad.lateCallAt-bad.failureLimitAt)
+			h.recordBreach(RuleBadVersionExposure, "%s %s got a call %v after its fiftieth failure", bad.service, bad.version,
+				bad.lateCallAt-bad.failureLimitAt)
 		}
 	}
 }
--- a/internal/simulator/core_checks.go
+++ b/internal/simulator/core_checks.go
@@ -68,12 +68,14 @@
 	for name, operatorVersion := range acknowledged {
 		item := state[config.Key("segment", name)]
 		if item.GetOperatorVersion() < operatorVersion {
-			w.History.recordBreach(RuleOperatorVersionLost, "%v: %s shows %s under %d; %d was acknowledged", w.now, node.name, name, item.GetOperatorVersion(), operatorVersion)
+			w.History.recordBreach(RuleOperatorVersionLost, "%v: %s shows %s under %d; %d was acknowledged", w.now, node.name,
+				name, item.GetOperatorVersion(), operatorVersion)
 		}
 	}
 	for _, item := range state {
 		if item.Kind == "segment" && !slices.Contains(w.sentContents[item.Name][item.OperatorVersion], string(item.Body)) {
-			w.History.recordBreach(RuleContentMismatch, "%v: %s shows %s under %d as %q", w.now, node.name, item.Name, item.OperatorVersion, item.Body)
+			w.History.recordBreach(RuleContentMismatch, "%v: %s shows %s under %d as %q", w.now, node.name, item.Name,
+				item.OperatorVersion, item.Body)
 		}
 		if w.History.invalidItems[config.Key(item.Kind, item.Name)] {
 			w.History.recordBreach(RuleInvalidConfig, "%v: %s holds %s", w.now, node.name, item.Name)
--- a/internal/simulator/core_operators.go
+++ b/internal/simulator/core_operators.go
@@ -29,7 +29,12 @@
 	case kind == 1:
 		name := fmt.Sprint("bad", w.nextID())
 		w.History.markInvalid("route/" + name)
-		change.Items = append(w.nextItems(1), &schema.Item{Kind: "route", Name: name, OperatorVersion: 1, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)})
+		change.Items = append(w.nextItems(1), &schema.Item{
+			Kind:            "route",
+			Name:            name,
+			OperatorVersion: 1,
+			Body:            []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`),
+		})
 	default:
 		change.Items = w.nextItems(1 + w.randomInt(3))
 		w.sentChanges = append(w.sentChanges, change)
@@ -87,7 +92,12 @@
 
 // conflictingItem is another content under the version of an item.
 func (w *coreWorld) conflictingItem(of *schema.Item) *schema.Item {
-	item := &schema.Item{Kind: of.Kind, Name: of.Name, OperatorVersion: of.OperatorVersion, Body: []byte(fmt.Sprintf(`{"salt":"rival %d"}`, w.nextID()))}
+	item := &schema.Item{
+		Kind:            of.Kind,
+		Name:            of.Name,
+		OperatorVersion: of.OperatorVersion,
+		Body:            []byte(fmt.Sprintf(`{"salt":"rival %d"}`, w.nextID())),
+	}
 	w.recordContent(item)
 	return item
 }
@@ -100,7 +110,14 @@
 	recordCall := func(result linearize.Result) {
 		for _, item := range change.Items {
 			if item.Kind == "segment" {
-				w.calls.Add(linearize.Operation{Client: int(client), Item: item.Name, Value: valueOf(item), Result: result, Begin: began, End: w.now})
+				w.calls.Add(linearize.Operation{
+					Client: int(client),
+					Item:   item.Name,
+					Value:  valueOf(item),
+					Result: result,
+					Begin:  began,
+					End:    w.now,
+				})
 			}
 		}
 	}
@@ -164,7 +181,11 @@
 		_, state := node.replica.Committed()
 		for _, item := range change.Items {
 			if existing := state[config.Key(item.Kind, item.Name)]; existing != nil && !existing.Deleted {
-				change.Expected = append(change.Expected, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.Sequence})
+				change.Expected = append(change.Expected, &schema.ExpectedVersion{
+					Kind:     item.Kind,
+					Name:     item.Name,
+					Sequence: existing.Version.Sequence,
+				})
 			}
 		}
 	}
@@ -225,7 +246,15 @@
 		for index := range coreItemCount {
 			name := coreItem(index)
 			value := valueOf(state[config.Key("segment", name)])
-			w.calls.Add(linearize.Operation{Client: client, Item: name, Read: true, Value: value, Result: linearize.Accepted, Begin: began, End: w.now})
+			w.calls.Add(linearize.Operation{
+				Client: client,
+				Item:   name,
+				Read:   true,
+				Value:  value,
+				Result: linearize.Accepted,
+				Begin:  began,
+				End:    w.now,
+			})
 		}
 	}
 	if w.seededFault == SeededStaleRead {
--- a/internal/simulator/core_scenario.go
+++ b/internal/simulator/core_scenario.go
@@ -50,7 +50,14 @@
 	if options.FaultyDuration == 0 {
 		options.FaultyDuration = 90 * time.Second
 	}
-	w := &coreWorld{World: NewWorld(seed, seededFault, Options{Empty: true}), options: options, issuedVersions: map[string]uint64{}, unanswered: map[int]func(){}, sentContents: map[string]map[uint64][]string{}, acknowledgedVersions: map[string]uint64{}}
+	w := &coreWorld{
+		World:                NewWorld(seed, seededFault, Options{Empty: true}),
+		options:              options,
+		issuedVersions:       map[string]uint64{},
+		unanswered:           map[int]func(){},
+		sentContents:         map[string]map[uint64][]string{},
+		acknowledgedVersions: map[string]uint64{},
+	}
 	for i := range options.Members {
 		w.addMember(memberName(i), true)
 	}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -139,7 +139,8 @@
 		return w.cutLinks(ways)
 	}},
 	{"link between two edges lost one way", true, false, func(w *World) func() {
-		a, b := w.proxies[w.randomInt(len(w.proxies))], w.proxies[w.randomInt(len(w.proxies))]
+		a := w.proxies[w.randomInt(len(w.proxies))]
+		b := w.proxies[w.randomInt(len(w.proxies))]
 		return w.cutLinks([][2]string{{a.name, b.name}})
 	}},
 	{"disk stalls", false, true, func(w *World) func() {
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -116,7 +116,8 @@
 				}
 				if callPlan := result.Plan; callPlan != nil {
 					d.number(historyPlan, callPlan.Verdict.ConfigRevision, uint64(len(callPlan.Candidates)))
-					d.text(callPlan.Service, callPlan.Verdict.Flag, callPlan.Verdict.Version, string(callPlan.Verdict.Reason), callPlan.Verdict.RuleID, string(callPlan.Verdict.Error), callPlan.Verdict.Evaluated)
+					d.text(callPlan.Service, callPlan.Verdict.Flag, callPlan.Verdict.Version, string(callPlan.Verdict.Reason),
+						callPlan.Verdict.RuleID, string(callPlan.Verdict.Error), callPlan.Verdict.Evaluated)
 					d.times(callPlan.Deadline, callPlan.LatencyTarget)
 				}
 			}
@@ -305,7 +306,11 @@
 		w.Run(w.now + 5*time.Second)
 		w.faults = append(w.faults, &faultRecord{name: "a version goes wrong", startedAt: w.now, mayReject: true})
 		if ordered {
-			w.submitUntilAccepted(func() {}, &schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"callers":["client","saves"]}`)},
+			w.submitUntilAccepted(func() {}, &schema.Item{
+				Kind: "service",
+				Name: "shop",
+				Body: []byte(`{"callers":["client","saves"]}`),
+			},
 				&schema.Item{Kind: "flag", Name: "release.shop", Deleted: true})
 			w.Run(w.now + 4*time.Second)
 			w.placeOrder(release.RolloutOrder{Service: "shop", Version: "2", Within: 12 * time.Second}, func() {})
@@ -331,14 +336,30 @@
 	{"mesh 3, nothing that costs", historyMesh(3, Options{FaultyDuration: 25 * time.Second, HarmlessFaultsOnly: true})},
 	{"serving 1", historyMesh(1, Options{FaultyDuration: 25 * time.Second, ServeStale: true})},
 	{"serving 4, with a bad version", historyMesh(4, Options{FaultyDuration: 25 * time.Second, ServeStale: true})},
-	{"leaving 1, calm", historyMesh(1, Options{NoFaults: true, CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 15 * time.Second})},
-	{"leaving 2, faults", historyMesh(2, Options{CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 15 * time.Second})},
+	{"leaving 1, calm", historyMesh(1, Options{
+		NoFaults:         true,
+		CallerCancelRate: 0.3,
+		MeanServiceTime:  100 * time.Millisecond,
+		FaultyDuration:   15 * time.Second,
+	})},
+	{"leaving 2, faults", historyMesh(2, Options{
+		CallerCancelRate: 0.3,
+		MeanServiceTime:  100 * time.Millisecond,
+		FaultyDuration:   15 * time.Second,
+	})},
 	{"core 1, 3 seats", historyCore(1, CoreOptions{Members: 3, MaxLosses: 1})},
 	{"core 2, 3 seats", historyCore(2, CoreOptions{Members: 3, MaxLosses: 1})},
 	{"core 1, 5 seats", historyCore(1, CoreOptions{Members: 5, MaxLosses: 2})},
 	{"core 2, 5 seats", historyCore(2, CoreOptions{Members: 5, MaxLosses: 2})},
 	{"release 1, planned", historyRelease(1, Options{Proxies: 5, CallRate: 60, NoFaults: true}, false)},
-	{"release 2, ordered", historyRelease(2, Options{Proxies: 5, CallRate: 60, NoFaults: true, ServeStale: true, BoundExposure: true, MeanServiceTime: 20 * time.Millisecond}, true)},
+	{"release 2, ordered", historyRelease(2, Options{
+		Proxies:         5,
+		CallRate:        60,
+		NoFaults:        true,
+		ServeStale:      true,
+		BoundExposure:   true,
+		MeanServiceTime: 20 * time.Millisecond,
+	}, true)},
 	{"brake 1, planned", historyRollback(1, "bad late, at a high share")},
 	{"brake 1, by hand, core split", historyRollback(1, "by hand at 100 %, bad late, the core split")},
 	{"term 1, errors, duty killed", historyVersionOrder(1, "errors, duty killed")},
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -100,7 +100,15 @@
 func (h *History) startOperation(id, caller, service, path string, nonIdempotent, keyed bool) *operation {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	operation := &operation{id: id, caller: caller, service: service, path: path, nonIdempotent: nonIdempotent, keyed: keyed, startedAt: h.world.time()}
+	operation := &operation{
+		id:            id,
+		caller:        caller,
+		service:       service,
+		path:          path,
+		nonIdempotent: nonIdempotent,
+		keyed:         keyed,
+		startedAt:     h.world.time(),
+	}
 	h.operations[id] = operation
 	return operation
 }
--- a/internal/simulator/key_reserver.go
+++ b/internal/simulator/key_reserver.go
@@ -28,9 +28,15 @@
 		reservationRound := session.NewReservationRound(reservation, memberCount, now(), timeout)
 		for _, registryNode := range w.registries {
 			request := proto.Clone(reservation).(*schema.KeyReservation)
-			w.sendWith(w.derivedRandom(fmt.Sprint(reservation.Request, reservation.Instance, reservation.Release, registryNode.name)), &node.process, &registryNode.process, func() {
+			w.sendWith(w.derivedRandom(fmt.Sprint(reservation.Request, reservation.Instance, reservation.Release,
+				registryNode.name)), &node.process, &registryNode.process, func() {
 				reply := registryNode.reservations.Apply(w.uptime(registryNode), request)
-				w.send(&registryNode.process, &node.process, func() { replies <- session.ReservationAnswer{MemberID: registryNode.name, Response: reply} })
+				w.send(&registryNode.process, &node.process, func() {
+					replies <- session.ReservationAnswer{
+						MemberID: registryNode.name,
+						Response: reply,
+					}
+				})
 			})
 		}
 		verdict, holder := reservationRound.AwaitOutcome(boundedCtx, memberCount, replies, now)
--- a/internal/simulator/member.go
+++ b/internal/simulator/member.go
@@ -28,13 +28,26 @@
 func memberName(i int) string { return string(rune('a' + i)) }
 
 func newReplicaConfig(name string, order []string, losses int) store.Config {
-	return store.Config{Name: name, StaticMembers: order, Address: name, ToleratedLosses: losses, HeartbeatTimeout: heartbeatTimeout, StallTimeout: stallTimeout,
-		MaxEntries: 16, MaxOutcomes: 4096, MaxUncommittedEntries: 64, MaxOperatorTombstones: 64}
+	return store.Config{
+		Name:             name,
+		StaticMembers:    order,
+		Address:          name,
+		ToleratedLosses:  losses,
+		HeartbeatTimeout: heartbeatTimeout,
+		StallTimeout:     stallTimeout,
+
+		MaxEntries:            16,
+		MaxOutcomes:           4096,
+		MaxUncommittedEntries: 64,
+		MaxOperatorTombstones: 64,
+	}
 }
 
 func (w *World) startMember(node *memberNode) {
 	w.startProcess(&node.process)
-	node.pendingWrites, node.pendingReplies, node.nextTickAt = nil, map[string]func(any){}, 0
+	node.pendingWrites = nil
+	node.pendingReplies = map[string]func(any){}
+	node.nextTickAt = 0
 	node.replicaConfig.NewIncarnation = func() uint64 { return uint64(w.nextID()) }
 	replicaConfig := node.replicaConfig
 	if len(node.disk) == 0 {
@@ -42,7 +55,8 @@
 		if w.seededFault != SeededWipedMemberCounts || node.incarnation == 0 {
 			node.incarnation = uint64(w.nextID())
 		} else {
-			replicaConfig.Founders, replicaConfig.ExpandsMembership = memberNames(node.replica), false
+			replicaConfig.Founders = memberNames(node.replica)
+			replicaConfig.ExpandsMembership = false
 		}
 		node.disk = []*schema.Record{store.InitialRecord(replicaConfig, node.incarnation)}
 		// Only the first start of all founds anything.
@@ -98,7 +112,8 @@
 				continue
 			}
 			message := proto.Clone(action.Message).(*schema.ReplicaMessage)
-			w.send(&node.process, &receiver.process, func() { w.execute(receiver, receiver.replica.Step(receiver.clock.at(w.now), message)) })
+			w.send(&node.process, &receiver.process,
+				func() { w.execute(receiver, receiver.replica.Step(receiver.clock.at(w.now), message)) })
 		case store.Persist:
 			action.Record = proto.Clone(action.Record).(*schema.Record)
 			node.pendingWrites = append(node.pendingWrites, action)
--- a/internal/simulator/operators.go
+++ b/internal/simulator/operators.go
@@ -102,7 +102,11 @@
 		}
 		node := w.registries[w.randomInt(len(w.registries))]
 		if node.state["service/shop"] != nil || items[0].Kind == "service" || items[0].Kind == "flag" {
-			w.submitChange(node, &schema.Change{Id: fmt.Sprint("insist-", w.nextID()), Items: items, Expected: expectedVersions(node.state, items)}, func(ruling schema.Ruling, _ uint64) {
+			w.submitChange(node, &schema.Change{
+				Id:       fmt.Sprint("insist-", w.nextID()),
+				Items:    items,
+				Expected: expectedVersions(node.state, items),
+			}, func(ruling schema.Ruling, _ uint64) {
 				if ruling == schema.Ruling_RULING_ACCEPTED && !accepted {
 					accepted = true
 					onAccepted()
@@ -126,7 +130,12 @@
 }
 
 func routeItem(name string, variant int) *schema.Item {
-	return &schema.Item{Kind: "route", Name: name, Body: []byte(fmt.Sprintf(`{"service":"shop","prefix":"/%s/%d","methods":[],"horizon":"2s","key":"X","attributes":{}}`, name, variant))}
+	return &schema.Item{
+		Kind: "route",
+		Name: name,
+		Body: []byte(fmt.Sprintf(`{"service":"shop","prefix":"/%s/%d","methods":[],"horizon":"2s","key":"X","attributes":{}}`,
+			name, variant)),
+	}
 }
 
 // weightedFlagItem is a release flag with a share of version 2, in thousandths of a percent.
@@ -157,13 +166,25 @@
 	if admitsSaves {
 		callers += `,"saves"`
 	}
-	return &schema.Item{Kind: "service", Name: service, Body: []byte(fmt.Sprintf(`{"versions":[%s],"fallback":"1","callers":[%s]}`, versions, callers))}
+	return &schema.Item{
+		Kind: "service",
+		Name: service,
+		Body: []byte(fmt.Sprintf(`{"versions":[%s],"fallback":"1","callers":[%s]}`, versions, callers)),
+	}
 }
 
 func singleVersionFlagItem(service string) *schema.Item {
-	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(`{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`)}
+	return &schema.Item{
+		Kind: "flag",
+		Name: config.VersionFlagKey(service),
+		Body: []byte(`{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`),
+	}
 }
 
 func releasePlanItem(service string, target float64, over time.Duration) *schema.Item {
-	return &schema.Item{Kind: "release", Name: "to-" + service, Body: []byte(fmt.Sprintf(`{"service":%q,"version":"2","target":%v,"over":%q,"pace":"go"}`, service, target, over.String()))}
+	return &schema.Item{
+		Kind: "release",
+		Name: "to-" + service,
+		Body: []byte(fmt.Sprintf(`{"service":%q,"version":"2","target":%v,"over":%q,"pace":"go"}`, service, target, over.String())),
+	}
 }
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -62,7 +62,15 @@
 
 // RunOrder orders a version and tells what came of it. It must run inside a bubble.
 func RunOrder(seed uint64, scenario OrderScenario) OrderResult {
-	w := NewWorld(seed, SeededNone, Options{Proxies: 14, CallRate: scenario.CallRate, NoFaults: true, ServeStale: true, BoundExposure: true, MeanServiceTime: scenario.ServiceTime, ErrorRate: 0.004})
+	w := NewWorld(seed, SeededNone, Options{
+		Proxies:         14,
+		CallRate:        scenario.CallRate,
+		NoFaults:        true,
+		ServeStale:      true,
+		BoundExposure:   true,
+		MeanServiceTime: scenario.ServiceTime,
+		ErrorRate:       0.004,
+	})
 	w.bootFleet()
 	// The service leaves its versions out; what its workers tell stands.
 	for _, worker := range w.activeWorkers() {
@@ -82,7 +90,11 @@
 	w.Run(w.now + 4*time.Second)
 
 	result, orderedAt := OrderResult{}, time.Duration(0)
-	w.placeOrder(release.RolloutOrder{Service: "shop", Version: "2", Within: scenario.RolloutDuration}, func() { orderedAt = w.now })
+	w.placeOrder(release.RolloutOrder{
+		Service: "shop",
+		Version: "2",
+		Within:  scenario.RolloutDuration,
+	}, func() { orderedAt = w.now })
 	for orderedAt == 0 {
 		w.Run(w.now + 50*time.Millisecond)
 	}
@@ -229,8 +241,16 @@
 	}
 	good := []OrderScenario{
 		{Name: "good"},
-		{Name: "good, 5 % lost at all workers", Degradation: Degradation{FailureRate: 0.05, From: 3 * time.Second}, OldVersionToo: true},
-		{Name: "good, 5 % lost at half of the new", Degradation: Degradation{FailureRate: 0.05, From: 3 * time.Second}, HalfOfWorkers: true},
+		{
+			Name:          "good, 5 % lost at all workers",
+			Degradation:   Degradation{FailureRate: 0.05, From: 3 * time.Second},
+			OldVersionToo: true,
+		},
+		{
+			Name:          "good, 5 % lost at half of the new",
+			Degradation:   Degradation{FailureRate: 0.05, From: 3 * time.Second},
+			HalfOfWorkers: true,
+		},
 		{Name: "good, duty killed", CoreFault: "killed"},
 		{Name: "good, duty cut off", CoreFault: "cut"},
 		{Name: "good, herd killed", KillProxies: true},
@@ -243,7 +263,10 @@
 		over    time.Duration
 	}{{143, 60 * time.Millisecond, 3, 12 * time.Second}, {320, 120 * time.Millisecond, 5, 16 * time.Second}, {660, 60 * time.Millisecond, 5, 14 * time.Second}} {
 		for _, one := range append(append([]OrderScenario{}, bad...), good...) {
-			one.CallRate, one.ServiceTime, one.Workers, one.RolloutDuration = load.rate, load.work, load.workers, load.over
+			one.CallRate = load.rate
+			one.ServiceTime = load.work
+			one.Workers = load.workers
+			one.RolloutDuration = load.over
 			if one.Degradation.LoadThreshold < 0 {
 				// Half of what is under way with all calls.
 				one.Degradation.LoadThreshold = int(0.35 * load.rate * load.work.Seconds())
--- a/internal/simulator/order_test.go
+++ b/internal/simulator/order_test.go
@@ -26,7 +26,9 @@
 		}
 		t.Run(kind.Name, func(t *testing.T) {
 			t.Parallel()
-			wrong, exposed, lost := 0, 0, 0
+			wrong := 0
+			exposed := 0
+			lost := 0
 			share, latest := 0.0, time.Duration(0)
 			for seed := *orderFirstSeed; seed < *orderFirstSeed+uint64(*orderSeedCount); seed++ {
 				var got OrderResult
@@ -48,7 +50,8 @@
 				}
 				share, latest, lost = max(share, float64(got.VersionCalls)/float64(got.ServiceCalls)), max(latest, got.ReachedAfter), lost+got.LostCalls
 			}
-			t.Logf("%d seeds: wrong or too late %d, exposed %d, largest share %.3f, latest %v, calls lost at the end %d", *orderSeedCount, wrong, exposed, share, latest.Round(10*time.Millisecond), lost)
+			t.Logf("%d seeds: wrong or too late %d, exposed %d, largest share %.3f, latest %v, calls lost at the end %d",
+				*orderSeedCount, wrong, exposed, share, latest.Round(10*time.Millisecond), lost)
 			if wrong*10 > *orderSeedCount {
 				t.Errorf("%d of %d went wrong", wrong, *orderSeedCount)
 			}
--- a/internal/simulator/peer_rpc.go
+++ b/internal/simulator/peer_rpc.go
@@ -60,7 +60,8 @@
 	return transport.LocalPeer("proxy", node.name, callers)
 }
 
-func (w *World) forwardToPeer(node *proxyNode, name string, peer transport.Peer, request *schema.ForwardRequest, results chan forwardResult) {
+func (w *World) forwardToPeer(node *proxyNode, name string, peer transport.Peer, request *schema.ForwardRequest,
+	results chan forwardResult) {
 	random := w.derivedRandom(request.Request)
 	var target *proxyNode
 	for _, candidate := range w.proxies {
@@ -90,7 +91,8 @@
 		if random.IntN(2) == 0 {
 			w.schedule(time.Duration(random.Int64N(int64(12*time.Second))), func() {
 				if !w.isPartitioned(&node.process, &target.process) {
-					w.scheduleOn(&target.process, 0, func() { w.serveForward(target, peer, request, func(*schema.ForwardResponse) {}, func() {}) })
+					w.scheduleOn(&target.process, 0,
+						func() { w.serveForward(target, peer, request, func(*schema.ForwardResponse) {}, func() {}) })
 				}
 			})
 		}
@@ -147,13 +149,16 @@
 }
 
 // serveForward runs a dispatch at the proxy that it came to. Should that proxy die, the link is lost.
-func (w *World) serveForward(target *proxyNode, peer transport.Peer, request *schema.ForwardRequest, answer func(*schema.ForwardResponse), lost func()) {
+func (w *World) serveForward(target *proxyNode, peer transport.Peer, request *schema.ForwardRequest,
+	answer func(*schema.ForwardResponse), lost func()) {
 	processRun, exited, _ := w.processRunOf(&target.process)
 	runner := target.runner
 	// Somebody else now and then sends under a name that is not its own.
 	if request.Caller == "client" && w.derivedRandom("stranger "+request.Request).IntN(100) == 0 {
 		forged := proto.Clone(request).(*schema.ForwardRequest)
-		forged.Request, forged.Caller, forged.RecallOnly = "forged-"+request.Request, "saves", false
+		forged.Request = "forged-" + request.Request
+		forged.Caller = "saves"
+		forged.RecallOnly = false
 		impostor := transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
 		if w.seededFault == SeededAnyCallerAccepted {
 			impostor = transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -66,7 +66,9 @@
 	} else if until <= w.time() && m.thaw != nil {
 		// Who is thawed early does at once what it was held up in.
 		close(m.thaw)
-		deferred, m.deferred, m.thaw = m.deferred, nil, nil
+		deferred = m.deferred
+		m.deferred = nil
+		m.thaw = nil
 	}
 	w.lock.Unlock()
 	for _, task := range deferred {
--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -60,7 +60,9 @@
 // startProxy begins a proxy's life, as its daemon's assembly does.
 func (w *World) startProxy(node *proxyNode) {
 	w.startProcess(&node.process)
-	node.incarnation, node.startedAt, node.sourceCounter = uint64(w.nextID()), w.now, 0
+	node.incarnation = uint64(w.nextID())
+	node.startedAt = w.now
+	node.sourceCounter = 0
 	processRun, startedAt, clock, name := node.processRun, node.startedAt, node.clock, node.name
 	now := func() time.Duration { return clock.at(w.time()) - clock.at(startedAt) }
 	node.acceptsCallers.Store(false)
@@ -68,7 +70,8 @@
 	node.lagging.Store(false)
 	node.conns = &connections{}
 	leaseGate := session.NewLeaseGate(leaseDuration, now)
-	node.leaseGate, node.fleetEstimate = leaseGate, session.NewFleetSize(64, leaseDuration)
+	node.leaseGate = leaseGate
+	node.fleetEstimate = session.NewFleetSize(64, leaseDuration)
 	node.fleetSize.Store(64)
 	proxyJournal := journal.New(proxy.EmptyMeshState(), 8, proxy.Fold)
 	node.journal = proxyJournal
@@ -90,28 +93,52 @@
 	if w.Options.BoundExposure {
 		canaryOptions.MaxFailures = orderMaxFailures
 	}
-	node.canaries = dispatch.NewCanaryGuard(canaryOptions, func() int { return int(node.fleetSize.Load()) }, func() dispatch.VersionGuards { return view().Config })
+	node.canaries = dispatch.NewCanaryGuard(canaryOptions, func() int { return int(node.fleetSize.Load()) },
+		func() dispatch.VersionGuards { return view().Config })
 	node.callCounter = dispatch.NewCallCounter(512)
 	node.outliers = dispatch.NewOutlierDetector(5, 5*time.Second)
 	conns := node.conns
-	node.workers = dispatch.NewWorkers(dispatch.WorkersOptions{Proxy: name, Incarnation: node.incarnation, Zone: w.zoneOf(node.index), MaxMissedHeartbeats: 3, MaxWorkers: 64, MaxConns: 256,
-		MaxBodyBytes: 1 << 16, Now: now, Dial: func(address string) (net.Conn, error) { return w.dial(address, conns) }}, func() { w.onWorkersChanged(node, processRun) })
-	node.runner = dispatch.NewRunner(dispatch.Runner{Workers: node.workers, Outliers: node.outliers, View: view, HasLease: hasLease, Now: now, MaxOverrun: leaseDuration / 16,
+	node.workers = dispatch.NewWorkers(dispatch.WorkersOptions{
+		Proxy:               name,
+		Incarnation:         node.incarnation,
+		Zone:                w.zoneOf(node.index),
+		MaxMissedHeartbeats: 3,
+		MaxWorkers:          64,
+		MaxConns:            256,
+
+		MaxBodyBytes: 1 << 16,
+		Now:          now,
+		Dial:         func(address string) (net.Conn, error) { return w.dial(address, conns) },
+	}, func() { w.onWorkersChanged(node, processRun) })
+	node.runner = dispatch.NewRunner(dispatch.Runner{
+		Workers:    node.workers,
+		Outliers:   node.outliers,
+		View:       view,
+		HasLease:   hasLease,
+		Now:        now,
+		MaxOverrun: leaseDuration / 16,
+
 		AwaitConfig: func(ctx context.Context, sequence uint64) {
 			if proxyJournal.View().ConfigRevision() < sequence && !w.Options.ServeStale {
 				proxyJournal.Wait(ctx, func(picture proxy.MeshState) bool { return picture.ConfigRevision() >= sequence })
 				w.stagger(ctx)
 			}
 		},
+
 		RevisionOutdated: func(sequence uint64) bool {
 			return !w.Options.ServeStale && proxyJournal.View().Outdated(sequence, now(), leaseDuration/session.RenewalsPerLease)
-		}}, map[bool]int{true: 1, false: maxRememberedRequests}[w.seededFault == SeededNoDuplicateDetection])
+		},
+	}, map[bool]int{true: 1, false: maxRememberedRequests}[w.seededFault == SeededNoDuplicateDetection])
 	floor := w.Options.RetryFloor
 	if w.seededFault == SeededNoRetryBudget {
 		floor = 1e9
 	}
 	node.forwarder = (&dispatch.Forwarder{Name: name, Incarnation: node.incarnation,
-		Limits: dispatch.Limits{PlanOptions: plan.Options{Zone: w.zoneOf(node.index), MaxDeadline: maxDeadline, Warmup: 5 * time.Second}, RetryRatio: retryRatio, RetryFloor: floor}, View: view,
+		Limits: dispatch.Limits{
+			PlanOptions: plan.Options{Zone: w.zoneOf(node.index), MaxDeadline: maxDeadline, Warmup: 5 * time.Second},
+			RetryRatio:  retryRatio,
+			RetryFloor:  floor,
+		}, View: view,
 		AwaitView: func(ctx context.Context, ready func(*plan.View) bool) {
 			proxyJournal.Wait(ctx, func(picture proxy.MeshState) bool { return ready(picture.View()) })
 			w.stagger(ctx)
@@ -127,7 +154,8 @@
 			return leaseGate.Await(ctx)
 		}, OnConfigLag: func() { node.lagging.Store(true) },
 		HasLease: hasLease, FleetSize: func() int { return int(node.fleetSize.Load()) }, Now: now, Random: func() float64 { return w.derivedRandom(name).Float64() }, Send: w.attemptSender(node, processRun), Outliers: node.outliers,
-		NoAttemptTimeout: w.Options.CallerCancelRate > 0, Canaries: node.canaries, Counter: node.callCounter, ReserveKey: w.keyReserver(node, processRun, now), KeyReleaseTimeout: leaseDuration / 64}).Init(maxRememberedRequests)
+		NoAttemptTimeout: w.Options.CallerCancelRate > 0, Canaries: node.canaries, Counter: node.callCounter, ReserveKey: w.keyReserver(node,
+			processRun, now), KeyReleaseTimeout: leaseDuration / 64}).Init(maxRememberedRequests)
 	if w.Options.ServeStale {
 		w.startProxySubscriptions(node)
 	} else {
--- a/internal/simulator/proxy_feed.go
+++ b/internal/simulator/proxy_feed.go
@@ -92,7 +92,13 @@
 	target := w.registries[i]
 	sentAt := node.localTime(w.now)
 	applied := node.journal.View().ConfigRevision()
-	request := &schema.LeaseRequest{Proxy: node.name, Incarnation: node.incarnation, Applied: applied, Received: received, LeaseNanos: int64(leaseDuration)}
+	request := &schema.LeaseRequest{
+		Proxy:       node.name,
+		Incarnation: node.incarnation,
+		Applied:     applied,
+		Received:    received,
+		LeaseNanos:  int64(leaseDuration),
+	}
 	leaseGate := node.leaseGate
 	w.send(&node.process, &target.process, func() {
 		reply := target.table.RenewLease(w.uptime(target), request)
--- a/internal/simulator/proxy_report.go
+++ b/internal/simulator/proxy_report.go
@@ -11,7 +11,13 @@
 // nextSource is what a proxy tells of itself, under a new stamp each time.
 func (node *proxyNode) nextSource(zone string) *schema.Source {
 	node.sourceCounter++
-	return &schema.Source{Name: node.name, Version: &schema.SourceVersion{Incarnation: node.incarnation, Counter: node.sourceCounter}, Address: node.name, Zone: zone, Workers: node.workers.List()}
+	return &schema.Source{
+		Name:    node.name,
+		Version: &schema.SourceVersion{Incarnation: node.incarnation, Counter: node.sourceCounter},
+		Address: node.name,
+		Zone:    zone,
+		Workers: node.workers.List(),
+	}
 }
 
 // onWorkersChanged lets the mesh know, this proxy first. It may be called by a goroutine, as when
@@ -39,7 +45,8 @@
 	}
 	snapshot := node.journal.View().View().Config
 	guarded, _ := release.JudgedServices(snapshot)
-	report.WorkCounts, report.Applied = node.runner.WorkCounts.Report(guarded), snapshot.Revision
+	report.WorkCounts = node.runner.WorkCounts.Report(guarded)
+	report.Applied = snapshot.Revision
 	if withSource {
 		for _, count := range node.callCounter.Counts(snapshot.Revision) {
 			report.Counts = append(report.Counts, proto.Clone(count).(*schema.VerdictCount))
--- a/internal/simulator/registry.go
+++ b/internal/simulator/registry.go
@@ -28,10 +28,24 @@
 
 func (w *World) startRegistry(node *registryNode) {
 	w.startProcess(&node.process)
-	node.incarnation, node.startedAt, node.state, node.controller = uint64(w.nextID()), w.now, config.State{}, nil
+	node.incarnation = uint64(w.nextID())
+	node.startedAt = w.now
+	node.state = config.State{}
+	node.controller = nil
 	node.snapshot, _ = config.Compile(node.state, 0)
-	node.table = registry.NewFleetState(registry.FleetStateOptions{MemberID: node.name[len("registry-"):], Lease: w.registryLease(), MaxSources: 64, MaxCounts: 256, WithoutLeases: w.Options.ServeStale})
-	node.reservations = registry.NewReservationTable(registry.ReservationOptions{Lease: leaseDuration, Window: keyReservationWindow, MaxReservations: 1 << 16, MemberCount: memberCount})
+	node.table = registry.NewFleetState(registry.FleetStateOptions{
+		MemberID:      node.name[len("registry-"):],
+		Lease:         w.registryLease(),
+		MaxSources:    64,
+		MaxCounts:     256,
+		WithoutLeases: w.Options.ServeStale,
+	})
+	node.reservations = registry.NewReservationTable(registry.ReservationOptions{
+		Lease:           leaseDuration,
+		Window:          keyReservationWindow,
+		MaxReservations: 1 << 16,
+		MemberCount:     memberCount,
+	})
 	if w.seededFault == SeededReservationsForgotten {
 		node.reservations.MarkNeverUsed()
 	}
--- a/internal/simulator/rollback_test.go
+++ b/internal/simulator/rollback_test.go
@@ -49,7 +49,9 @@
 					back++
 				}
 			}
-			t.Logf("%d seeds: turned back %d; calls to it at most %d, failures %d; last call %v after; held %d", *rollbackSeedCount, back, slices.Max(its), slices.Max(failed), slices.Max(took).Round(time.Millisecond), slices.Max(held))
+			t.Logf("%d seeds: turned back %d; calls to it at most %d, failures %d; last call %v after; held %d",
+				*rollbackSeedCount, back, slices.Max(its), slices.Max(failed), slices.Max(took).Round(time.Millisecond),
+				slices.Max(held))
 		})
 	}
 }
--- a/internal/simulator/rollout_control.go
+++ b/internal/simulator/rollout_control.go
@@ -47,13 +47,20 @@
 	if node.controller == nil {
 		options := release.Defaults
 		if w.seededFault == SeededFailuresIgnored {
-			options.FailureThreshold, options.LatencyMultiple, options.RollbackLogOdds = 1<<40, 1e9, 1e9
+			options.FailureThreshold = 1 << 40
+			options.LatencyMultiple = 1e9
+			options.RollbackLogOdds = 1e9
 		}
 		if w.seededFault == SeededHairTrigger {
-			options.FailureThreshold, options.FailureRateMargin, options.MinStandardErrors = 2, 0, 0
+			options.FailureThreshold = 2
+			options.FailureRateMargin = 0
+			options.MinStandardErrors = 0
 		}
 		if w.Options.BoundExposure {
-			options.CanaryPercent, options.MaxBadFraction, options.BadCallsMargin, options.FailureRateMargin = orderCanaryPercent, orderBadShare, orderBadMargin, orderFailureExcess
+			options.CanaryPercent = orderCanaryPercent
+			options.MaxBadFraction = orderBadShare
+			options.BadCallsMargin = orderBadMargin
+			options.FailureRateMargin = orderFailureExcess
 		}
 		node.controller = release.NewController(options, node.table.MemberID(), w.registryLease()/session.RenewalsPerLease)
 	}
@@ -85,8 +92,13 @@
 		for _, reply := range replies {
 			reporting += int(reply.Reporting)
 		}
-		steps, err := controller.Reconcile(w.uptime(node), snapshot, state, release.FleetObservation{Counts: registry.MergeCounts(replies), HeardFraction: float64(reporting) / float64(len(w.proxies)), Workers: workers,
-			KnownFor: func(sequence uint64) time.Duration { return node.table.KnownFor(w.uptime(node), sequence) }})
+		steps, err := controller.Reconcile(w.uptime(node), snapshot, state, release.FleetObservation{
+			Counts:        registry.MergeCounts(replies),
+			HeardFraction: float64(reporting) / float64(len(w.proxies)),
+			Workers:       workers,
+
+			KnownFor: func(sequence uint64) time.Duration { return node.table.KnownFor(w.uptime(node), sequence) },
+		})
 		if err != nil {
 			w.History.recordBreach(RuleRecoveryTime, "%v: a step could not be made: %v", w.now, err)
 		}
--- a/internal/simulator/serve_stale.go
+++ b/internal/simulator/serve_stale.go
@@ -74,8 +74,15 @@
 	for _, registryNode := range w.registries {
 		seeds = append(seeds, registryNode.name)
 	}
-	node.selector = session.NewRegistrySelector(session.SelectorOptions{ProxyName: node.name, Zone: w.zoneOf(node.index), HeartbeatInterval: servingLease / session.HeartbeatsPerLease,
-		HeartbeatTimeout: servingLease / session.HeartbeatTimeoutDivisor, MaxStaleness: time.Duration(lag), FailureCooldown: servingLease}, seeds)
+	node.selector = session.NewRegistrySelector(session.SelectorOptions{
+		ProxyName:         node.name,
+		Zone:              w.zoneOf(node.index),
+		HeartbeatInterval: servingLease / session.HeartbeatsPerLease,
+
+		HeartbeatTimeout: servingLease / session.HeartbeatTimeoutDivisor,
+		MaxStaleness:     time.Duration(lag),
+		FailureCooldown:  servingLease,
+	}, seeds)
 	node.subscriptions, node.reportPending = map[string]*subscription{}, false
 	w.scheduleEvery(&node.process, pollInterval, func() {
 		now := node.localTime(w.now)
@@ -106,14 +113,21 @@
 		if !action.Open {
 			continue
 		}
-		registryNode, picture, sentSource := w.registryNamed(action.Address), node.journal.View(), (*schema.Source)(nil)
+		registryNode := w.registryNamed(action.Address)
+		picture := node.journal.View()
+		sentSource := (*schema.Source)(nil)
 		if !action.Candidate {
 			source := node.nextSource(w.zoneOf(node.index))
 			picture = node.journal.Append(proxy.Event{At: node.localTime(w.now), Sources: []*schema.Source{source}})
 			sentSource = proto.Clone(source).(*schema.Source)
 		}
 		vector := picture.Vector()
-		sub := &subscription{server: registryNode, client: &node.process, revision: picture.ConfigRevision(), tentative: action.Candidate}
+		sub := &subscription{
+			server:    registryNode,
+			client:    &node.process,
+			revision:  picture.ConfigRevision(),
+			tentative: action.Candidate,
+		}
 		sub.handle = func(update *schema.Update) { w.applySubscriptionUpdate(node, action.Address, update) }
 		node.subscriptions[action.Address] = sub
 		w.openSubscription(sub, func() {
@@ -138,7 +152,13 @@
 	now := node.localTime(w.now)
 	before := node.journal.View().ConfigRevision()
 	if update.Revision > before || len(update.Sources) > 0 {
-		event := proxy.Event{At: now, ConfigRevision: update.Revision, Items: update.Items, Complete: update.Complete, Sources: update.Sources}
+		event := proxy.Event{
+			At:             now,
+			ConfigRevision: update.Revision,
+			Items:          update.Items,
+			Complete:       update.Complete,
+			Sources:        update.Sources,
+		}
 		if w.seededFault == SeededDeltaAfterPurge {
 			event.Complete = false
 		}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -99,7 +99,8 @@
 		}
 	})
 	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount || sum.InTouchDecisions < sum.Decisions/10 {
-		t.Errorf("only %d answered, %d yeses, %d of %d decisions in touch in %d seeds", sum.Answered, sum.Acknowledgements, sum.InTouchDecisions, sum.Decisions, *seedCount)
+		t.Errorf("only %d answered, %d yeses, %d of %d decisions in touch in %d seeds", sum.Answered, sum.Acknowledgements,
+			sum.InTouchDecisions, sum.Decisions, *seedCount)
 	}
 	t.Logf("%d seeds, %d of %d decisions in touch: %s", *seedCount, sum.InTouchDecisions, sum.Decisions, sum.summary())
 }
@@ -108,7 +109,12 @@
 // every other rule holds besides.
 func TestLeavingCallers(t *testing.T) {
 	for name, options := range map[string]Options{
-		"calm":   {NoFaults: true, CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 20 * time.Second},
+		"calm": {
+			NoFaults:         true,
+			CallerCancelRate: 0.3,
+			MeanServiceTime:  100 * time.Millisecond,
+			FaultyDuration:   20 * time.Second,
+		},
 		"faults": {CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 30 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -218,7 +224,8 @@
 // A seed replays to the same events at the same times.
 func TestReplay(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		first, second := runMeshSeed(t, seed, SeededNone, Options{}), runMeshSeed(t, seed, SeededNone, Options{})
+		first := runMeshSeed(t, seed, SeededNone, Options{})
+		second := runMeshSeed(t, seed, SeededNone, Options{})
 		if first.EventHash != second.EventHash || first.summary() != second.summary() {
 			t.Errorf("seed %d gave two runs: %x %s and %x %s", seed, first.EventHash, first.summary(), second.EventHash, second.summary())
 		}
@@ -239,27 +246,59 @@
 	}{
 		{SeededEarlyAcknowledgement, []string{RuleStaleConfig}, Options{}},
 		{SeededEternalLease, []string{RuleStaleConfig}, Options{}},
-		{SeededLyingDisk, []string{RuleAcknowledgedLost, RuleDivergedState, RuleStaleConfig}, Options{OnlyFaults: []string{"the whole core loses power"}, CallRate: 1, ChangeInterval: 300 * time.Millisecond}},
-		{SeededWipedMemberCounts, []string{RuleAcknowledgedLost, RuleDivergedState, RuleStaleConfig}, Options{OnlyFaults: lossOfDisk, CallRate: 1, FaultyDuration: 3 * time.Minute, ChangeInterval: 300 * time.Millisecond}},
+		{SeededLyingDisk, []string{RuleAcknowledgedLost, RuleDivergedState, RuleStaleConfig}, Options{
+			OnlyFaults:     []string{"the whole core loses power"},
+			CallRate:       1,
+			ChangeInterval: 300 * time.Millisecond,
+		}},
+		{SeededWipedMemberCounts, []string{RuleAcknowledgedLost, RuleDivergedState, RuleStaleConfig}, Options{
+			OnlyFaults:     lossOfDisk,
+			CallRate:       1,
+			FaultyDuration: 3 * time.Minute,
+			ChangeInterval: 300 * time.Millisecond,
+		}},
 		{SeededPartialChange, []string{RuleInvalidConfig}, Options{}},
-		{SeededYoungRegistryGrants, []string{RuleStaleConfig, RuleRevisionDecreased}, Options{OnlyFaults: []string{"registry restarts", "core cut off from some proxies"}, ChangeInterval: 200 * time.Millisecond, FaultyDuration: 2 * time.Minute}},
+		{SeededYoungRegistryGrants, []string{RuleStaleConfig, RuleRevisionDecreased}, Options{
+			OnlyFaults:     []string{"registry restarts", "core cut off from some proxies"},
+			ChangeInterval: 200 * time.Millisecond,
+			FaultyDuration: 2 * time.Minute,
+		}},
 		{SeededDecidesBeforeLease, []string{RuleRevisionDecreased, RuleStaleConfig}, Options{}},
 		{SeededNoRecovery, []string{RuleRecoveryTime}, Options{}},
 		{SeededNoKeyReservation, []string{RuleRanTwice}, Options{OnlyFaults: edges}},
-		{SeededReservationsForgotten, []string{RuleRanTwice}, Options{OnlyFaults: append([]string{"registry restarts"}, edges...), CallRate: 60, FaultyDuration: 3 * time.Minute}},
+		{SeededReservationsForgotten, []string{RuleRanTwice}, Options{
+			OnlyFaults:     append([]string{"registry restarts"}, edges...),
+			CallRate:       60,
+			FaultyDuration: 3 * time.Minute,
+		}},
 		{SeededLostLinkAsUnopened, []string{RuleNotExecutedRan}, Options{OnlyFaults: edges}},
 		{SeededNoDuplicateDetection, []string{RuleRanTwice}, Options{OnlyFaults: []string{"links that repeat"}}},
-		{SeededDeltaAfterPurge, []string{RuleDivergedState}, Options{OnlyFaults: []string{"edge machine frozen", "edge machine cut off", "core cut off from some proxies"}, ChangeInterval: 300 * time.Millisecond}},
-		{SeededStaleFeedReply, []string{RuleDivergedState}, Options{OnlyFaults: []string{"proxy killed", "a herd of proxies killed", "proxy restarted politely", "slow links"}, ChangeInterval: 300 * time.Millisecond, CallRate: 1}},
+		{SeededDeltaAfterPurge, []string{RuleDivergedState}, Options{
+			OnlyFaults:     []string{"edge machine frozen", "edge machine cut off", "core cut off from some proxies"},
+			ChangeInterval: 300 * time.Millisecond,
+		}},
+		{SeededStaleFeedReply, []string{RuleDivergedState}, Options{
+			OnlyFaults:     []string{"proxy killed", "a herd of proxies killed", "proxy restarted politely", "slow links"},
+			ChangeInterval: 300 * time.Millisecond,
+			CallRate:       1,
+		}},
 		{SeededTokenIgnored, []string{RuleUnauthorizedRun}, Options{OnlyFaults: []string{"worker killed, its address another's"}}},
 		{SeededDrainIgnored, []string{RuleCallAfterDrain}, Options{OnlyFaults: []string{"worker drained, and goes later"}}},
 		{SeededAnyCallerAccepted, []string{RuleUnauthorizedRun}, Options{NoFaults: true}},
-		{SeededCancelNotPropagated, []string{RuleRunAfterCancel}, Options{NoFaults: true, CallerCancelRate: 0.3, MeanServiceTime: 300 * time.Millisecond}},
+		{SeededCancelNotPropagated, []string{RuleRunAfterCancel}, Options{
+			NoFaults:         true,
+			CallerCancelRate: 0.3,
+			MeanServiceTime:  300 * time.Millisecond,
+		}},
 		{SeededForgedChecksum, []string{RuleWrongAnswer}, Options{OnlyFaults: []string{"links that alter"}}},
 		{SeededNoRetryBudget, []string{RuleRetryBudget}, Options{OnlyFaults: edges, RetryFloor: 5}},
 		{SeededNoAuthorization, []string{RuleDisallowedCall}, Options{NoFaults: true}},
 		{SeededSpuriousUnopened, []string{RuleCauselessRejection}, Options{HarmlessFaultsOnly: true}},
-		{SeededNoRegistryFailover, []string{RuleStaleConfig}, Options{ServeStale: true, OnlyFaults: []string{"core split one from two", "a core machine cut off one way"}, ChangeInterval: 300 * time.Millisecond}},
+		{SeededNoRegistryFailover, []string{RuleStaleConfig}, Options{
+			ServeStale:     true,
+			OnlyFaults:     []string{"core split one from two", "a core machine cut off one way"},
+			ChangeInterval: 300 * time.Millisecond,
+		}},
 	} {
 		t.Run(string(test.seededFault), func(t *testing.T) {
 			t.Parallel()
@@ -275,7 +314,11 @@
 			t.Errorf("none of %v was seen", test.rules)
 		})
 	}
-	for seededFault, kind := range map[SeededFault]string{SeededFailuresIgnored: "bad late, at a high share", SeededAlwaysHealthy: "by hand at 100 %, bad late, the core split", SeededHairTrigger: "a few failures"} {
+	for seededFault, kind := range map[SeededFault]string{
+		SeededFailuresIgnored: "bad late, at a high share",
+		SeededAlwaysHealthy:   "by hand at 100 %, bad late, the core split",
+		SeededHairTrigger:     "a few failures",
+	} {
 		t.Run(string(seededFault), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
--- a/internal/simulator/subscription.go
+++ b/internal/simulator/subscription.go
@@ -128,10 +128,14 @@
 		update.StalenessKnown = false
 	}
 	if !sub.sentCoreMembers {
-		sub.sentCoreMembers, update.CoreMembers, isDue = true, w.coreMembers(), true
+		sub.sentCoreMembers = true
+		update.CoreMembers = w.coreMembers()
+		isDue = true
 	}
 	if fleetSize := uint32(node.table.LiveProxies(now)); !sub.peer && fleetSize != sub.fleetSize {
-		sub.fleetSize, update.FleetSize, isDue = fleetSize, fleetSize, true
+		sub.fleetSize = fleetSize
+		update.FleetSize = fleetSize
+		isDue = true
 	}
 	if sub.peer {
 		update.Reachable = node.table.ReachableRegistries(now)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -48,7 +48,16 @@
 		address = fmt.Sprintf("127.0.0.1:%d", 10000+w.addressesUsed)
 	}
 	id := w.nextID()
-	worker := &workerNode{name: fmt.Sprintf("w%d-%s", id, service), address: address, service: service, version: version, token: fmt.Sprint("token-", id), proxy: proxy, up: true, startedAt: w.now}
+	worker := &workerNode{
+		name:      fmt.Sprintf("w%d-%s", id, service),
+		address:   address,
+		service:   service,
+		version:   version,
+		token:     fmt.Sprint("token-", id),
+		proxy:     proxy,
+		up:        true,
+		startedAt: w.now,
+	}
 	w.lock.Lock()
 	w.workersByAddress[address] = worker
 	w.workers = append(w.workers, worker)
@@ -71,7 +80,15 @@
 	if !proxy.up {
 		return
 	}
-	description := dispatch.WorkerDescription{Address: worker.address, Service: worker.service, Version: worker.version, Token: worker.token, HeartbeatMS: heartbeatInterval.Milliseconds(), Draining: worker.draining, Deregistered: terminated}
+	description := dispatch.WorkerDescription{
+		Address:      worker.address,
+		Service:      worker.service,
+		Version:      worker.version,
+		Token:        worker.token,
+		HeartbeatMS:  heartbeatInterval.Milliseconds(),
+		Draining:     worker.draining,
+		Deregistered: terminated,
+	}
 	if w.seededFault == SeededDrainIgnored {
 		description.Draining = false
 	}
--- a/internal/simulator/worker_serve.go
+++ b/internal/simulator/worker_serve.go
@@ -55,7 +55,8 @@
 			return
 		}
 		if request.Header.Get(dispatch.HeaderToken) != worker.token && w.seededFault != SeededTokenIgnored {
-			if _, err := fmt.Fprintf(conn, "HTTP/1.1 421 Misdirected\r\n%s: token\r\nContent-Length: 0\r\n\r\n", dispatch.HeaderRefused); err != nil {
+			if _, err := fmt.Fprintf(conn, "HTTP/1.1 421 Misdirected\r\n%s: token\r\nContent-Length: 0\r\n\r\n",
+				dispatch.HeaderRefused); err != nil {
 				return
 			}
 			continue
@@ -63,7 +64,8 @@
 		attemptNumber, _ := strconv.Atoi(request.Header.Get("X-Ask"))
 		operationID := request.Header.Get("X-Op")
 		fails, serviceTime := w.sampleWorkerCall(worker, request.URL.Path, w.derivedRandom(request.Header.Get(dispatch.HeaderRequest)))
-		w.History.recordRun(w.time(), worker, operationID, attemptNumber, request.Header.Get(dispatch.HeaderCaller), request.Header.Get(dispatch.HeaderRequest), fails || serviceTime > 200*time.Millisecond)
+		w.History.recordRun(w.time(), worker, operationID, attemptNumber, request.Header.Get(dispatch.HeaderCaller),
+			request.Header.Get(dispatch.HeaderRequest), fails || serviceTime > 200*time.Millisecond)
 		if w.onWorkerCall != nil {
 			w.lock.Lock()
 			w.onWorkerCall(worker, fails)
@@ -94,7 +96,8 @@
 		case worker.truncatesResponses:
 			body = body[:len(body)/2]
 		}
-		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body); err != nil {
+		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
+			status, len(body), body); err != nil {
 			return
 		}
 		<-connReadable
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -68,15 +68,41 @@
 	if options.RetryFloor == 0 {
 		options.RetryFloor = retryFloor
 	}
-	w := &World{seed: seed, random: rand.New(rand.NewPCG(seed, 17)), seededFault: seededFault, partitionedLinks: map[[2]string]bool{}, disturbedAt: map[string]time.Duration{}, startTime: time.Now(), eventAdded: make(chan struct{}, 1),
-		workersByAddress: map[string]*workerNode{}, degradations: map[[2]string]*Degradation{}, Options: options}
-	w.History = &History{shownRevisions: map[string][]revisionAt{}, contentBySequence: map[uint64]string{}, invalidItems: map[string]bool{}, rulings: map[string]schema.Ruling{}, lastUsedRevision: map[string]uint64{}, processRuns: map[string]int{},
-		operations: map[string]*operation{}, departedAt: map[string]time.Duration{}, snapshots: map[uint64]*config.Snapshot{}, Rejections: map[string]int{}, world: w}
+	w := &World{
+		seed:             seed,
+		random:           rand.New(rand.NewPCG(seed, 17)),
+		seededFault:      seededFault,
+		partitionedLinks: map[[2]string]bool{},
+		disturbedAt:      map[string]time.Duration{},
+		startTime:        time.Now(),
+		eventAdded:       make(chan struct{}, 1),
+
+		workersByAddress: map[string]*workerNode{},
+		degradations:     map[[2]string]*Degradation{},
+		Options:          options,
+	}
+	w.History = &History{
+		shownRevisions:    map[string][]revisionAt{},
+		contentBySequence: map[uint64]string{},
+		invalidItems:      map[string]bool{},
+		rulings:           map[string]schema.Ruling{},
+		lastUsedRevision:  map[string]uint64{},
+		processRuns:       map[string]int{},
+
+		operations: map[string]*operation{},
+		departedAt: map[string]time.Duration{},
+		snapshots:  map[uint64]*config.Snapshot{},
+		Rejections: map[string]int{},
+		world:      w,
+	}
 	if options.Empty {
 		return w
 	}
 	for i := range memberCount {
-		w.members = append(w.members, &memberNode{process: w.newProcess("store-" + memberName(i)), replicaConfig: newReplicaConfig(memberName(i), []string{"a", "b", "c"}, 1)})
+		w.members = append(w.members, &memberNode{
+			process:       w.newProcess("store-" + memberName(i)),
+			replicaConfig: newReplicaConfig(memberName(i), []string{"a", "b", "c"}, 1),
+		})
 	}
 	for i := range memberCount {
 		w.registries = append(w.registries, &registryNode{process: w.newProcess("registry-" + memberName(i)), member: w.members[i]})
@@ -99,7 +125,10 @@
 
 func (w *World) newProcess(name string) process {
 	// Clocks that differ by up to half a percent are within what the lease's slack allows.
-	return process{name: name, clock: clock{offset: time.Duration(w.random.Int64N(int64(time.Hour))), rate: 0.995 + 0.01*w.random.Float64()}}
+	return process{
+		name:  name,
+		clock: clock{offset: time.Duration(w.random.Int64N(int64(time.Hour))), rate: 0.995 + 0.01*w.random.Float64()},
+	}
 }
 
 func (w *World) withLock(change func()) {
