--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -11,12 +11,15 @@
 	"meadowhinge/internal/plan"
 )
 
-// routes that callers use: caller, method, path, once, share.
-var routes = []struct {
+// callKind is one kind of call that callers make.
+type callKind struct {
 	caller, method, path, service string
-	once                          bool
-	share                         float64
-}{
+	nonIdempotent                 bool
+	weight                        float64 // fraction of all calls; the weights of callKinds add up to one
+}
+
+// callKinds are all kinds of call. They match the routes of initialConfig.
+var callKinds = []callKind{
 	{"client", "POST", "/shop/buy", "shop", true, 0.25},
 	{"client", "GET", "/shop/look", "shop", false, 0.3},
 	{"client", "POST", "/saves/commit", "saves", true, 0.2},
@@ -24,7 +27,27 @@
 	{"saves", "GET", "/shop/look", "shop", false, 0.15},
 }
 
-// startCallers send at a steady rate from every edge, whatever the answers.
+// drawCallKind draws a kind of call by weight.
+func drawCallKind(random *rand.Rand) callKind {
+	sample := random.Float64()
+	chosen := callKinds[0]
+	for _, kind := range callKinds {
+		if chosen = kind; sample < kind.weight {
+			break
+		}
+		sample -= kind.weight
+	}
+	return chosen
+}
+
+// Outcomes of an attempt as its caller sees them; outcomeCancelled is another. Golden digests hold these strings.
+const (
+	outcomeUnsent      = "unsent"  // the proxy was down or admitted no callers
+	outcomeNotExecuted = "not-run" // the proxy answered with an error
+	outcomeUnknown     = "unknown" // the connection was lost or the caller timed out
+)
+
+// startCallers makes the callers of each proxy send at a steady rate, independent of the responses.
 func (w *World) startCallers() {
 	for _, node := range w.proxies {
 		random := rand.New(rand.NewPCG(uint64(w.randomInt(1<<30)), uint64(node.index)))
@@ -39,31 +62,26 @@
 			id := w.nextID()
 			callRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 			go w.makeCall(node, id, callRandom)
-			w.schedule(time.Duration(random.ExpFloat64()*float64(time.Second)*float64(len(w.proxies))/w.Options.CallRate), startCall)
+			pause := random.ExpFloat64() * float64(time.Second) * float64(len(w.proxies)) / w.Options.CallRate
+			w.schedule(time.Duration(pause), startCall)
 		}
 		w.schedule(w.randomDuration(time.Second), startCall)
 	}
 }
 
-// maxCallerRetries is how often a call under a key is asked for.
+// maxCallerRetries is how often a caller retries a call under an idempotency key.
 const maxCallerRetries = 4
 
-// makeCall makes one call. One under a key is asked for again elsewhere while its outcome is unknown.
+// makeCall makes one call through a proxy. A call under an idempotency key is retried through random proxies while its
+// outcome is unknown.
 func (w *World) makeCall(node *proxyNode, id int, random *rand.Rand) {
-	sample := random.Float64()
-	chosen := routes[0]
-	for _, route := range routes {
-		if chosen = route; sample < route.share {
-			break
-		}
-		sample -= route.share
-	}
-	operation := w.History.startOperation(fmt.Sprint("op-", id), chosen.caller, chosen.service, chosen.path, chosen.once,
-		chosen.once && random.IntN(4) > 0)
+	kind := drawCallKind(random)
+	keyed := kind.nonIdempotent && random.IntN(4) > 0
+	operation := w.History.startOperation(fmt.Sprint("op-", id), kind, keyed)
 	user := fmt.Sprint("user-", random.IntN(1000))
 	for attemptNumber := 0; ; attemptNumber++ {
-		outcome := w.attemptCall(node, operation, attemptNumber, chosen.method, user)
-		if !operation.keyed || attemptNumber == maxCallerRetries || (outcome != "unknown" && outcome != "unsent") {
+		outcome := w.attemptCall(node, operation, attemptNumber, kind.method, user)
+		if !operation.keyed || attemptNumber == maxCallerRetries || (outcome != outcomeUnknown && outcome != outcomeUnsent) {
 			return
 		}
 		time.Sleep(time.Duration(random.Int64N(int64(3 * time.Second))))
@@ -71,37 +89,23 @@
 	}
 }
 
-// callerTimeout is longer than any horizon, so that the proxy answers first.
+// callerTimeout is how long a caller waits. It is longer than the deadline of any route, so a live proxy answers first.
 const callerTimeout = 5 * time.Second
 
+// attemptCall makes one attempt of a call through a proxy, records it, and returns its outcome.
 func (w *World) attemptCall(node *proxyNode, operation *operation, attemptNumber int, method, user string) string {
 	attempt := &callerAttempt{proxy: node, sentAt: w.time()}
 	processRun, exited, up := w.processRunOf(&node.process)
 	if !up || !node.acceptsCallers.Load() || node.draining.Load() {
-		attempt.outcome = "unsent"
+		attempt.outcome = outcomeUnsent
 		w.History.recordOutcome(w.time(), operation, attempt)
 		return attempt.outcome
 	}
-	header := dispatch.AppendField(dispatch.AppendField(dispatch.AppendField(nil, "X-Op", operation.id), "X-Ask",
-		strconv.Itoa(attemptNumber)),
-		"X-User", user)
-	call := &dispatch.Call{
-		Target:      operation.path,
-		HeaderBlock: header,
-		Body:        []byte(operation.id),
-		Request: plan.Request{Caller: operation.caller, Method: method, Path: operation.path,
-			Header: func(string) (string, bool) { return user, true }},
-	}
-	if method == "GET" {
-		call.Body = nil
-	}
-	if operation.keyed {
-		call.Request.HasIdempotencyKey, call.Request.IdempotencyKey = true, operation.id
-	}
+	call := newCall(operation, attemptNumber, method, user)
 	done := make(chan *dispatch.CallResult, 1)
 	forwarder := node.forwarder
 	ctx, cancel := context.WithCancel(callContext(fmt.Sprint(operation.id, "/", attemptNumber)))
-	// Elsewhere what a caller gave up goes on, as its proxy cannot tell.
+	// In a world without cancelling callers a call that was given up on goes on, as its proxy does not learn of it.
 	defer func() {
 		if w.Options.CallerCancelRate > 0 {
 			cancel()
@@ -114,7 +118,7 @@
 		callerLeaves = timer.C
 	}
 	go func() {
-		// What comes to a frozen machine waits there, and so does what it would answer.
+		// A request that reaches a frozen process waits there, and so does its response.
 		if !w.awaitThaw(&node.process, processRun) {
 			return
 		}
@@ -126,23 +130,57 @@
 			done <- result
 		}
 	}()
+	attempt.awaitOutcome(done, callerLeaves, exited, cancel)
+	w.History.recordOutcome(w.time(), operation, attempt)
+	return attempt.outcome
+}
+
+// newCall builds one attempt of an operation as the proxy's listener hands it to the forwarder. The fake worker reads
+// the operation and the attempt back from X-Op and X-Ask.
+func newCall(operation *operation, attemptNumber int, method, user string) *dispatch.Call {
+	header := dispatch.AppendField(nil, "X-Op", operation.id)
+	header = dispatch.AppendField(header, "X-Ask", strconv.Itoa(attemptNumber))
+	header = dispatch.AppendField(header, "X-User", user)
+	call := &dispatch.Call{
+		Target:      operation.path,
+		HeaderBlock: header,
+		Request: plan.Request{
+			Caller: operation.caller,
+			Method: method,
+			Path:   operation.path,
+			Header: func(string) (string, bool) { return user, true },
+		},
+	}
+	if method != "GET" {
+		call.Body = []byte(operation.id)
+	}
+	if operation.keyed {
+		call.Request.HasIdempotencyKey = true
+		call.Request.IdempotencyKey = operation.id
+	}
+	return call
+}
+
+// awaitOutcome waits for the first of: the result, the caller's own cancellation, the end of the proxy's run, and the
+// caller's timeout.
+func (a *callerAttempt) awaitOutcome(
+	done <-chan *dispatch.CallResult, callerLeaves <-chan time.Time, exited <-chan struct{}, cancel func(),
+) {
 	timeout := time.NewTimer(callerTimeout)
 	defer timeout.Stop()
 	select {
 	case result := <-done:
-		attempt.result = result
-		attempt.outcome = "not-run"
+		a.result = result
+		a.outcome = outcomeNotExecuted
 		if result.Response != nil {
-			attempt.outcome = dispatch.OutcomeName(result.Response.Outcome)
+			a.outcome = dispatch.OutcomeName(result.Response.Outcome)
 		}
 	case <-callerLeaves:
 		cancel()
-		attempt.outcome = outcomeCancelled
+		a.outcome = outcomeCancelled
 	case <-exited:
-		attempt.outcome = "unknown"
+		a.outcome = outcomeUnknown
 	case <-timeout.C:
-		attempt.outcome = "unknown"
+		a.outcome = outcomeUnknown
 	}
-	w.History.recordOutcome(w.time(), operation, attempt)
-	return attempt.outcome
 }
--- a/internal/simulator/caller_cancel.go
+++ b/internal/simulator/caller_cancel.go
@@ -7,82 +7,94 @@
 	"time"
 )
 
-// outcomeCancelled is the outcome of an asking whose caller left before it was answered.
+// outcomeCancelled is the outcome of an attempt that its caller cancelled before it had the response.
 const outcomeCancelled = "left"
 
-// maxRunAfterCancel is how long a worker may go on with a repeatable call after its caller left.
+// maxRunAfterCancel is how long a worker may go on with an idempotent call after the caller cancelled.
 const maxRunAfterCancel = 500 * time.Millisecond
 
-// cancelDelayFactor is how long a leaving caller waits at most, as a multiple of what calls take.
+// cancelDelayFactor bounds when a caller cancels, as a multiple of the mean service time.
 const cancelDelayFactor = 2
 
-// cancellations are the calls between proxies that can be called off, by dispatch.
+// cancellations are the peer RPCs that can be cancelled, by request. They have a lock of their own because contexts are
+// cancelled with it held.
 type cancellations struct {
 	lock      sync.Mutex
 	cancels   map[string][]context.CancelFunc
-	cancelled map[string]bool // called off, also where the call has not come yet
+	cancelled map[string]bool // requests cancelled, including those that have not arrived yet
 }
 
-// sampleCancel draws whether the caller of an asking leaves, and after how long. A call under a key is asked for
-// again instead.
+// sampleCancel draws whether the caller of an attempt cancels, and after how long. Calls under an idempotency key are
+// retried instead.
 func (w *World) sampleCancel(operation *operation, attemptNumber int) (time.Duration, bool) {
 	if w.Options.CallerCancelRate == 0 || operation.keyed {
 		return 0, false
 	}
 	random := w.derivedRandom(fmt.Sprint("leaves ", operation.id, "/", attemptNumber))
 	cancels := random.Float64() < w.Options.CallerCancelRate
-	return time.Duration(random.Int64N(int64(cancelDelayFactor * max(time.Millisecond, w.Options.MeanServiceTime)))), cancels
+	maxDelay := cancelDelayFactor * max(time.Millisecond, w.Options.MeanServiceTime)
+	return time.Duration(random.Int64N(int64(maxDelay))), cancels
 }
 
-// cancellableContext is the context of a dispatch at the proxy that it came to: it ends when the proxy that sent it hangs up.
+// cancellableContext returns the context of a request at the proxy that received it. propagateCancel cancels it.
 func (w *World) cancellableContext(request string) context.Context {
 	ctx, cancel := context.WithCancel(callContext(request))
-	w.cancellations.lock.Lock()
-	defer w.cancellations.lock.Unlock()
-	if w.cancellations.cancelled[request] {
-		cancel()
-		return ctx
-	}
-	if w.cancellations.cancels == nil {
-		w.cancellations.cancels = map[string][]context.CancelFunc{}
-		w.cancellations.cancelled = map[string]bool{}
-	}
-	w.cancellations.cancels[request] = append(w.cancellations.cancels[request], cancel)
+	w.cancellations.add(request, cancel)
 	return ctx
 }
 
-// propagateCancel tells the proxy that a dispatch went to that nobody waits for it any more; the word may be lost with the
-// link, and may overtake the dispatch.
+// propagateCancel notifies the proxy that a request went to that nobody waits for the response any more. The
+// notification may be lost with the link, and may overtake the request.
 func (w *World) propagateCancel(node *proxyNode, name, request string) {
 	if w.Options.CallerCancelRate == 0 || w.seededFault == SeededCancelNotPropagated {
 		return
 	}
-	for _, target := range w.proxies {
-		if target.name != name {
-			continue
-		}
-		delay, dropped := w.sampleLink(&node.process, &target.process, w.derivedRandom("hang up "+request))
-		if dropped {
-			return
-		}
-		w.schedule(delay, func() { w.scheduleOn(&target.process, 0, func() { w.cancellations.cancel(request) }) })
+	target := w.proxyNamed(name)
+	if target == nil {
+		return
+	}
+	delay, dropped := w.sampleLink(&node.process, &target.process, w.derivedRandom("hang up "+request))
+	if dropped {
+		return
 	}
+	w.schedule(delay, func() {
+		w.scheduleOn(&target.process, 0, func() { w.cancellations.cancel(request) })
+	})
 }
 
-func (l *cancellations) cancel(request string) {
-	l.lock.Lock()
-	defer l.lock.Unlock()
-	if l.cancelled == nil {
-		l.cancels, l.cancelled = map[string][]context.CancelFunc{}, map[string]bool{}
+// add registers the cancel function of a request; it is called at once if the request is cancelled already.
+func (c *cancellations) add(request string, cancel context.CancelFunc) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	if c.cancelled[request] {
+		cancel()
+		return
 	}
-	l.cancelled[request] = true
-	for _, cancel := range l.cancels[request] {
+	c.init()
+	c.cancels[request] = append(c.cancels[request], cancel)
+}
+
+// cancel cancels a request, now or when it arrives.
+func (c *cancellations) cancel(request string) {
+	c.lock.Lock()
+	defer c.lock.Unlock()
+	c.init()
+	c.cancelled[request] = true
+	for _, cancel := range c.cancels[request] {
 		cancel()
 	}
-	delete(l.cancels, request)
+	delete(c.cancels, request)
+}
+
+// init creates the maps on first use. The caller holds the lock.
+func (c *cancellations) init() {
+	if c.cancelled == nil {
+		c.cancels = map[string][]context.CancelFunc{}
+		c.cancelled = map[string]bool{}
+	}
 }
 
-// recordRunEnd notes when a worker was done with a call, or was freed of it.
+// recordRunEnd records when a worker finished a call, or stopped because of its cancellation.
 func (h *History) recordRunEnd(now time.Duration, id, requestID string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -97,8 +109,8 @@
 	}
 }
 
-// checkCancelled holds the runs of a call against the time when its caller left. Only a world without faults says how long
-// word of it may take.
+// checkCancelled checks how long the runs of an operation went on after its caller cancelled. Only a world without
+// faults bounds how long the notification takes. The caller holds the lock.
 func (h *History) checkCancelled(operation *operation) {
 	if operation.nonIdempotent || !h.world.Options.NoFaults {
 		return
@@ -109,14 +121,14 @@
 		}
 		for _, run := range operation.runs {
 			if run.attemptNumber == attemptNumber && run.endedAt > attempt.finishedAt+maxRunAfterCancel {
-				h.recordBreach(RuleRunAfterCancel, "%s ran at %s from %v to %v, its caller left at %v", operation.id,
-					run.worker.name, run.at, run.endedAt, attempt.finishedAt)
+				h.recordBreach(RuleRunAfterCancel, "%s ran at %s from %v to %v, its caller left at %v",
+					operation.id, run.worker.name, run.at, run.endedAt, attempt.finishedAt)
 			}
 		}
 	}
 }
 
-// collectDisconnects takes a proxy's own counts at the end of its life.
+// collectDisconnects adds a proxy's counts of disconnected callers at the end of its run.
 func (h *History) collectDisconnects(node *proxyNode) {
 	if node.runner == nil {
 		return
--- a/internal/simulator/change.go
+++ b/internal/simulator/change.go
@@ -7,14 +7,14 @@
 	"meadowhinge/schema"
 )
 
-// submitChange states a change at a registry and waits for its yes, as the registry's daemon does.
+// submitChange proposes a change at a registry and, once it is acknowledged, reports the ruling, as the registry's
+// daemon does. If the registry or its member does not respond, or the proposal stays undecided, onRuling is never called.
 func (w *World) submitChange(node *registryNode, change *schema.Change, onRuling func(ruling schema.Ruling, sequence uint64)) {
 	if !w.isResponsive(&node.process) || !w.isResponsive(&node.member.process) {
 		return
 	}
 	ticket := fmt.Sprint("offer-", w.nextID())
-	node.member.pendingReplies[ticket] = func(result any) {
-		reply := result.(*schema.ProposalReply)
+	node.member.pendingRulings[ticket] = func(reply *schema.ProposalReply) {
 		if reply.Undecided {
 			return
 		}
@@ -33,19 +33,18 @@
 			w.acknowledge(node, sequence, func() { onRuling(ruling, sequence) })
 		})
 	}
-	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), &schema.Proposal{
-		Ticket: ticket,
-		Change: change,
-	}))
+	proposal := &schema.Proposal{Ticket: ticket, Change: change}
+	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), proposal))
 }
 
-// acknowledge fences the registries until a majority has no laggard left.
+// acknowledge sets a fence for a committed change at all registries, again and again, until at a majority no proxy holds
+// a lease under an older configuration. It gives up after three leases.
 func (w *World) acknowledge(node *registryNode, sequence uint64, onAcknowledged func()) {
 	acknowledgement := registry.NewAcknowledgement(memberCount)
 	done := false
 	deadline := w.now + 3*leaseDuration
-	addReply := func(fenceReply *schema.FenceReply) {
-		if !done && acknowledgement.Record(fenceReply) {
+	addReply := func(reply *schema.FenceReply) {
+		if !done && acknowledgement.Record(reply) {
 			done = true
 			w.History.recordAcknowledgement(w.now, sequence)
 			onAcknowledged()
@@ -60,8 +59,8 @@
 		for _, other := range w.registries {
 			if other != node {
 				w.send(&node.process, &other.process, func() {
-					fenceReply := other.table.SetFence(w.uptime(other), sequence)
-					w.send(&other.process, &node.process, func() { addReply(fenceReply) })
+					reply := other.table.SetFence(w.uptime(other), sequence)
+					w.send(&other.process, &node.process, func() { addReply(reply) })
 				})
 			}
 		}
--- a/internal/simulator/checks_call.go
+++ b/internal/simulator/checks_call.go
@@ -10,50 +10,64 @@
 	"meadowhinge/schema"
 )
 
-// recordDispatch judges one call as it is sent: no bound of seconds is needed, for time is exact.
+// recordDispatch records a dispatch by a proxy and checks the configuration that it was decided by.
 func (h *History) recordDispatch(now time.Duration, node *proxyNode, request *schema.ForwardRequest) {
 	inTouch := !h.world.Options.ServeStale || h.world.inTouch(node)
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.Decisions++
-	if minRevision := h.acknowledgedAt(now - fakebackend.ConfigPropagationBound); h.world.Options.ServeStale {
-		if inTouch {
-			h.InTouchDecisions++
+	h.checkFreshness(now, node, request, inTouch)
+	h.checkRevisionIncreases(now, node, request)
+	for key := range h.invalidItems {
+		if item := node.journal.View().Items()[key]; item != nil {
+			h.recordBreach(RuleInvalidConfig, "%v: %s holds %s", now, node.name, key)
 		}
-		if inTouch && request.Revision < minRevision {
-			h.recordBreach(RuleStaleConfig, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before", now, node.name,
-				request.Request, request.Revision, minRevision, fakebackend.ConfigPropagationBound)
+	}
+	if isRetry := !strings.HasSuffix(request.Request, "-1"); isRetry {
+		h.retryTimes[request.Service] = append(h.retryTimes[request.Service], now)
+	}
+}
+
+// checkFreshness checks that a dispatch was not decided by a revision older than an acknowledged one. Under leases this
+// binds every proxy at once; where proxies serve stale, only those in touch, after the propagation bound.
+func (h *History) checkFreshness(now time.Duration, node *proxyNode, request *schema.ForwardRequest, inTouch bool) {
+	if !h.world.Options.ServeStale {
+		if request.Revision < h.lastAcknowledged {
+			h.recordBreach(RuleStaleConfig, "%v: %s sent %s by %d; %d was acknowledged",
+				now, node.name, request.Request, request.Revision, h.lastAcknowledged)
 		}
-	} else if request.Revision < h.lastAcknowledged {
-		h.recordBreach(RuleStaleConfig, "%v: %s sent %s by %d; %d was acknowledged", now, node.name, request.Request,
-			request.Revision, h.lastAcknowledged)
+		return
 	}
-	// In doubt a proxy serves by what it knows, so only within one life it knows never less.
+	if !inTouch {
+		return
+	}
+	h.InTouchDecisions++
+	if minRevision := h.acknowledgedAt(now - fakebackend.ConfigPropagationBound); request.Revision < minRevision {
+		h.recordBreach(RuleStaleConfig, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before",
+			now, node.name, request.Request, request.Revision, minRevision, fakebackend.ConfigPropagationBound)
+	}
+}
+
+// checkRevisionIncreases checks that a proxy never goes back to an older revision. A proxy that serves stale knows its
+// configuration only within one run of its process.
+func (h *History) checkRevisionIncreases(now time.Duration, node *proxyNode, request *schema.ForwardRequest) {
 	if h.processRuns[node.name] != node.processRun && h.world.Options.ServeStale {
-		h.lastUsedRevision[node.name], h.processRuns[node.name] = 0, node.processRun
+		h.lastUsedRevision[node.name] = 0
+		h.processRuns[node.name] = node.processRun
 	}
 	if request.Revision < h.lastUsedRevision[node.name] {
-		h.recordBreach(RuleRevisionDecreased, "%v: %s sent %s by %d after %d", now, node.name, request.Request,
-			request.Revision, h.lastUsedRevision[node.name])
+		h.recordBreach(RuleRevisionDecreased, "%v: %s sent %s by %d after %d",
+			now, node.name, request.Request, request.Revision, h.lastUsedRevision[node.name])
 	}
 	h.lastUsedRevision[node.name] = max(h.lastUsedRevision[node.name], request.Revision)
-	for marker := range h.invalidItems {
-		if item := node.journal.View().Items()[marker]; item != nil {
-			h.recordBreach(RuleInvalidConfig, "%v: %s holds %s", now, node.name, marker)
-		}
-	}
-	if !strings.HasSuffix(request.Request, "-1") {
-		if h.retryTimes == nil {
-			h.retryTimes = map[string][]time.Duration{}
-		}
-		h.retryTimes[request.Service] = append(h.retryTimes[request.Service], now)
-	}
 }
 
-// recordRun judges a run by a worker.
-func (h *History) recordRun(now time.Duration, worker *workerNode, id string, attemptNumber int, caller, requestID string, failed bool) {
-	// A proxy that was frozen between its last look and the handing over is bound by its lease, or
-	// where there is none by what binds machines in touch.
+// recordRun records that a worker runs a request and checks that it may.
+func (h *History) recordRun(
+	now time.Duration, worker *workerNode, id string, attemptNumber int, caller, requestID string, failed bool,
+) {
+	// A proxy that froze between its last check and the dispatch is bound by its lease or, where there is none,
+	// only while it is in touch.
 	bound := !h.world.Options.ServeStale || h.world.isUndisturbed(worker.proxy)
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -64,63 +78,71 @@
 		return
 	}
 	requested.runs = append(requested.runs, workerRun{worker, now, attemptNumber, requestID, 0})
-	if at, left := h.departedAt[worker.token]; left && bound && now > at+fakebackend.DrainingBound {
+	if at, departed := h.departedAt[worker.token]; departed && bound && now > at+fakebackend.DrainingBound {
 		h.recordBreach(RuleCallAfterDrain, "%v: %s ran %s %v after it left", now, worker.name, id, now-at)
 	}
-	// What was in force when it was asked for, or came into force since, may have allowed it.
-	sent := requested.startedAt
+	h.checkAllowed(now, worker, requested, attemptNumber)
+	for _, bad := range h.badVersions {
+		h.countBadVersionCall(now, bad, worker, failed)
+	}
+}
+
+// checkAllowed checks that a configuration allows the run: one that was in force when the attempt was sent, or came
+// into force later. The attempt is recorded only when it ends; until then the start of the operation stands for it.
+func (h *History) checkAllowed(now time.Duration, worker *workerNode, requested *operation, attemptNumber int) {
+	sentAt := requested.startedAt
 	if attemptNumber < len(requested.attempts) {
-		sent = requested.attempts[attemptNumber].sentAt
+		sentAt = requested.attempts[attemptNumber].sentAt
 	}
-	minRevision := h.acknowledgedAt(sent - fakebackend.ConfigPropagationBound)
-	allowed := false
-	// A proxy that is out of touch may go by any setup there ever was.
+	minRevision := h.acknowledgedAt(sentAt - fakebackend.ConfigPropagationBound)
+	// A proxy out of touch may serve by any configuration that ever existed.
 	if h.world.Options.ServeStale {
 		minRevision = 0
 	}
-	for sequence, snapshot := range h.snapshots {
-		if sequence < minRevision {
+	for revision, snapshot := range h.snapshots {
+		if revision < minRevision {
 			continue
 		}
-		if service := snapshot.Services[worker.service]; service != nil && service.AllowsVersion(worker.version) && service.AllowsCaller(caller) {
-			allowed = true
-			break
+		service := snapshot.Services[worker.service]
+		if service != nil && service.AllowsVersion(worker.version) && service.AllowsCaller(requested.caller) {
+			return
 		}
 	}
-	if !allowed {
-		h.recordBreach(RuleDisallowedCall, "%v: %s of version %s ran %s from %s; no setup since %d allows it", now,
-			worker.name, worker.version, id, caller, minRevision)
+	h.recordBreach(RuleDisallowedCall, "%v: %s of version %s ran %s from %s; no setup since %d allows it",
+		now, worker.name, worker.version, requested.id, requested.caller, minRevision)
+}
+
+// countBadVersionCall counts a run for a bad version while the version is unhealthy.
+func (h *History) countBadVersionCall(now time.Duration, bad *badVersion, worker *workerNode, failed bool) {
+	if bad.service != worker.service {
+		return
 	}
-	for _, bad := range h.badVersions {
-		if bad.service != worker.service {
-			continue
-		}
-		degradation := h.world.degradations[[2]string{bad.service, bad.version}]
-		if degradation == nil || now < degradation.From || (degradation.Until > 0 && now >= degradation.Until) {
-			continue
-		}
-		bad.serviceCalls++
-		if worker.version != bad.version {
-			continue
-		}
-		bad.versionCalls++
-		bad.lastCallAt = now
-		if bad.failures >= fakebackend.FaultyVersionFailures && now > bad.failureLimitAt+fakebackend.FaultyVersionBound && bad.lateCallAt == 0 {
-			bad.lateCallAt = now
-		}
-		if failed {
-			if bad.failures++; bad.failures == fakebackend.FaultyVersionFailures {
-				bad.failureLimitAt = now
-			}
+	degradation := h.world.degradations[[2]string{bad.service, bad.version}]
+	if degradation == nil || !degradation.activeAt(now) {
+		return
+	}
+	bad.serviceCalls++
+	if worker.version != bad.version {
+		return
+	}
+	bad.versionCalls++
+	bad.lastCallAt = now
+	isOverLimit := bad.failures >= fakebackend.FaultyVersionFailures && now > bad.failureLimitAt+fakebackend.FaultyVersionBound
+	if isOverLimit && bad.lateCallAt == 0 {
+		bad.lateCallAt = now
+	}
+	if failed {
+		if bad.failures++; bad.failures == fakebackend.FaultyVersionFailures {
+			bad.failureLimitAt = now
 		}
 	}
 }
 
-// recordOutcome judges what a caller was told.
+// recordOutcome records how an attempt ended for its caller and checks the result.
 func (h *History) recordOutcome(now time.Duration, operation *operation, attempt *callerAttempt) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	// What is under way when the run ends has no outcome.
+	// Attempts in flight when the run ends have no outcome.
 	if h.closed {
 		return
 	}
@@ -128,7 +150,7 @@
 	operation.attempts = append(operation.attempts, attempt)
 	h.Attempts++
 	switch attempt.outcome {
-	case "unsent":
+	case outcomeUnsent:
 		h.Unsent++
 		return
 	case outcomeCancelled:
@@ -139,17 +161,9 @@
 		h.recordRejection(attempt, "connection lost")
 		return
 	}
-	if callPlan := attempt.result.Plan; callPlan != nil {
-		if minRevision := h.acknowledgedAt(attempt.sentAt - fakebackend.ConfigPropagationBound); !h.world.Options.ServeStale && callPlan.Verdict.ConfigRevision < minRevision {
-			h.recordBreach(RuleStaleConfig, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged", now,
-				operation.id, attempt.sentAt, callPlan.Verdict.ConfigRevision, minRevision)
-		}
-		if callPlan.Verdict.Reason == "HELD" {
-			h.BlockedCalls++
-		}
-	}
+	h.checkPlan(now, operation, attempt)
 	if attempt.result.Err != nil {
-		// A caller that was withdrawn is refused rightly.
+		// A caller whose permission was withdrawn is rejected rightly.
 		if errs.CodeOf(attempt.result.Err) != errs.CallerNotAllowed {
 			h.recordRejection(attempt, string(errs.CodeOf(attempt.result.Err)))
 		}
@@ -159,8 +173,28 @@
 	if len(operation.attempts) > 1 {
 		h.AnsweredRetries++
 	}
+	h.checkResponse(now, operation, attempt.result.Response)
+}
+
+// checkPlan checks the configuration revision that an attempt was planned by.
+func (h *History) checkPlan(now time.Duration, operation *operation, attempt *callerAttempt) {
+	callPlan := attempt.result.Plan
+	if callPlan == nil {
+		return
+	}
+	minRevision := h.acknowledgedAt(attempt.sentAt - fakebackend.ConfigPropagationBound)
+	if !h.world.Options.ServeStale && callPlan.Verdict.ConfigRevision < minRevision {
+		h.recordBreach(RuleStaleConfig, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged",
+			now, operation.id, attempt.sentAt, callPlan.Verdict.ConfigRevision, minRevision)
+	}
+	if callPlan.Verdict.Reason == "HELD" {
+		h.BlockedCalls++
+	}
+}
+
+// checkResponse checks that a response belongs to the operation and is intact, and that a worker ran the operation.
+func (h *History) checkResponse(now time.Duration, operation *operation, response *schema.ForwardResponse) {
 	var got fakebackend.Reply
-	response := attempt.result.Response
 	if json.Unmarshal(response.Body, &got) != nil || got.Operation != operation.id || !got.IsIntact() {
 		h.recordBreach(RuleWrongAnswer, "%v: %s got %q", now, operation.id, response.Body)
 	}
@@ -169,29 +203,31 @@
 	}
 }
 
-// recordRejection counts a proper call that was turned away under the fault that may have caused it.
+// recordRejection counts a valid call that was rejected under the fault that may have caused it. A rejection without
+// such a fault is a breach.
 func (h *History) recordRejection(attempt *callerAttempt, cause string) {
-	w := h.world
-	blamed := ""
-	touches := func(record *faultRecord) bool {
-		return record.startedAt <= attempt.finishedAt && (record.endedAt == 0 || attempt.sentAt <= record.endedAt+2*leaseDuration)
+	overlaps := func(record *faultRecord) bool {
+		return record.startedAt <= attempt.finishedAt &&
+			(record.endedAt == 0 || attempt.sentAt <= record.endedAt+2*leaseDuration)
 	}
+	blamed := ""
 	coreFaults := 0
-	for _, record := range w.faults {
-		if !touches(record) {
+	for _, record := range h.world.faults {
+		if !overlaps(record) {
 			continue
 		}
 		if record.hitsCore {
 			coreFaults++
 		}
-		// One core machine gone costs nothing; with another besides, a majority may be.
+		// The loss of one core host costs nothing; together with another fault of the core it may cost a majority.
 		if record.mayReject || coreFaults > 1 {
 			blamed = record.name
 			break
 		}
 	}
 	if blamed == "" {
-		h.recordBreach(RuleCauselessRejection, "%v: asked at %v at %s: %s", attempt.finishedAt, attempt.sentAt, attempt.proxy.name, cause)
+		h.recordBreach(RuleCauselessRejection, "%v: asked at %v at %s: %s",
+			attempt.finishedAt, attempt.sentAt, attempt.proxy.name, cause)
 		blamed = "no fault"
 	}
 	h.Rejections[blamed+": "+cause]++
--- a/internal/simulator/checks_config.go
+++ b/internal/simulator/checks_config.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// observeMember holds what a seat shows against what anyone ever showed.
+// observeMember records the committed revision that a member shows and checks its content.
 func (w *World) observeMember(node *memberNode) {
 	committed, state := node.replica.Committed()
 	h := w.History
@@ -25,7 +25,7 @@
 	}
 }
 
-// observeProxy holds what a proxy uses against what anyone ever showed.
+// observeProxy checks the content of the configuration that a proxy uses.
 func (h *History) observeProxy(now time.Duration, node *proxyNode) {
 	view := node.journal.View()
 	if h.world.seededFault != SeededNoAuthorization {
@@ -33,13 +33,13 @@
 	}
 }
 
-// checkContent compares what stands at a sequence: each item by the change that took it. Removed
-// items count as absent, for copies let go of their tombstones at different times.
+// checkContent checks that every process shows the same content at a sequence. Items are compared by the sequence of
+// the change that set them; deleted items count as absent, because copies purge their tombstones at different times.
 func (h *History) checkContent(now time.Duration, name string, sequence uint64, state config.State) {
 	sum := fnv.New64a()
 	for _, item := range state.Items() {
 		if !item.Deleted {
-			fmt.Fprintf(sum, "%s/%s@%d ", item.Kind, item.Name, item.Version.Sequence)
+			_, _ = fmt.Fprintf(sum, "%s/%s@%d ", item.Kind, item.Name, item.Version.Sequence) // a hash never fails
 		}
 	}
 	fingerprint := fmt.Sprint(sequence, ":", sum.Sum64())
@@ -58,7 +58,7 @@
 	}
 }
 
-// recordRuling notes what an operator was told of a change; it may never be told otherwise later.
+// recordRuling records the ruling on a change and checks that a change never gets another ruling later.
 func (h *History) recordRuling(now time.Duration, id string, ruling schema.Ruling) {
 	if ruling == schema.Ruling_RULING_UNKNOWN {
 		return
--- a/internal/simulator/core_checks.go
+++ b/internal/simulator/core_checks.go
@@ -8,10 +8,10 @@
 	"meadowhinge/internal/config"
 )
 
-// incompleteReason tells what the core lacks: as many seats as there should be, all up, each holding what is
-// acknowledged. A machine that was away for good and is back may have taken a seat that was free.
-func (w *coreWorld) incompleteReason() string {
-	// What was acknowledged this moment may still be under way to some.
+// incompleteReason returns what the core lacks, or "" if it has as many members as it should and all of them are up and
+// hold what is acknowledged. A removed member that came back may have taken a free place.
+func (w *CoreWorld) incompleteReason() string {
+	// What was acknowledged within the last second may still be in flight to some members.
 	w.History.lock.Lock()
 	acknowledged := w.History.acknowledgedAt(w.now - time.Second)
 	w.History.lock.Unlock()
@@ -42,40 +42,40 @@
 	return ""
 }
 
-// requireComplete breaches unless the core is whole within a bound, if nothing else goes wrong.
-func (w *coreWorld) requireComplete(bound time.Duration) {
+// requireComplete checks that the core is complete within a bound. Another fault ends the check.
+func (w *CoreWorld) requireComplete(bound time.Duration) {
 	from := w.now
-	var check func()
-	check = func() {
+	w.retryEvery(100*time.Millisecond, func() bool {
 		if w.lastFaultAt > from || w.activeFaults > 0 {
-			return // something else has gone wrong
+			return true
 		}
 		reason := w.incompleteReason()
 		if reason == "" {
-			return
+			return true
 		}
 		if w.now-from >= bound {
 			w.History.recordBreach(RuleCoreIncomplete, "%v: %s, %v after the last trouble", w.now, reason, w.now-from)
-			return
+			return true
 		}
-		w.schedule(100*time.Millisecond, check)
-	}
-	check()
+		return false
+	})
 }
 
-// checkRead holds what was read against what had been acknowledged before it was asked for.
-func (w *coreWorld) checkRead(node *memberNode, state config.State, acknowledged map[string]uint64) {
+// checkRead checks a configuration that was read against what had been acknowledged before the read began, and against
+// what operators sent.
+func (w *CoreWorld) checkRead(node *memberNode, state config.State, acknowledged map[string]uint64) {
 	for name, operatorVersion := range acknowledged {
 		item := state[config.Key("segment", name)]
 		if item.GetOperatorVersion() < operatorVersion {
-			w.History.recordBreach(RuleOperatorVersionLost, "%v: %s shows %s under %d; %d was acknowledged", w.now, node.name,
-				name, item.GetOperatorVersion(), operatorVersion)
+			w.History.recordBreach(RuleOperatorVersionLost, "%v: %s shows %s under %d; %d was acknowledged",
+				w.now, node.name, name, item.GetOperatorVersion(), operatorVersion)
 		}
 	}
 	for _, item := range state {
-		if item.Kind == "segment" && !slices.Contains(w.sentContents[item.Name][item.OperatorVersion], string(item.Body)) {
-			w.History.recordBreach(RuleContentMismatch, "%v: %s shows %s under %d as %q", w.now, node.name, item.Name,
-				item.OperatorVersion, item.Body)
+		sent := w.sentContents[item.Name][item.OperatorVersion]
+		if item.Kind == "segment" && !slices.Contains(sent, string(item.Body)) {
+			w.History.recordBreach(RuleContentMismatch, "%v: %s shows %s under %d as %q",
+				w.now, node.name, item.Name, item.OperatorVersion, item.Body)
 		}
 		if w.History.invalidItems[config.Key(item.Kind, item.Name)] {
 			w.History.recordBreach(RuleInvalidConfig, "%v: %s holds %s", w.now, node.name, item.Name)
@@ -83,8 +83,8 @@
 	}
 }
 
-// checkLinearizable looks for an order of all calls that explains what the operators were told.
-func (w *coreWorld) checkLinearizable() {
+// checkLinearizable checks that some order of all calls explains what the operators learned.
+func (w *CoreWorld) checkLinearizable() {
 	for _, recordUnanswered := range w.unanswered {
 		recordUnanswered()
 	}
@@ -93,8 +93,8 @@
 	}
 }
 
-// checkAtEnd reads everything back at every seat.
-func (w *coreWorld) checkAtEnd() {
+// checkAtEnd checks that the core is complete and that every member can be read.
+func (w *CoreWorld) checkAtEnd() {
 	if reason := w.incompleteReason(); reason != "" {
 		w.History.recordBreach(RuleCoreIncomplete, "%v: at the end %s", w.now, reason)
 	}
@@ -104,6 +104,7 @@
 	}
 	w.Run(w.now + time.Second)
 	if w.Reads < reads+len(w.activeMembers()) {
-		w.History.recordBreach(RuleAcknowledgedLost, "only %d of %d seats could be read at the end", w.Reads-reads, len(w.activeMembers()))
+		w.History.recordBreach(RuleAcknowledgedLost, "only %d of %d seats could be read at the end",
+			w.Reads-reads, len(w.activeMembers()))
 	}
 }
--- a/internal/simulator/core_faults.go
+++ b/internal/simulator/core_faults.go
@@ -2,92 +2,112 @@
 
 import (
 	"slices"
+	"strings"
 	"time"
 )
 
-// What a fault of a core alone does. A machine that is cut off counts as lost: none goes for good
-// meanwhile.
+// lossKind says what a fault of a CoreWorld does to members. While members are removed no links are cut, and the other
+// way round: a partitioned member counts as lost, and the core must not lose members for good meanwhile.
+type lossKind int
+
 const (
-	lossTemporary = iota
-	lossPermanent
-	lossPartition
+	lossTemporary lossKind = iota // members or disks are back soon
+	lossPermanent                 // a member is removed for good and replaced
+	lossPartition                 // links are cut
+	lossKindCount
 )
 
-// CoreFaults are the kinds of fault of a core alone. Lost says how many machines are lost by it;
-// act gives what ends it.
-var CoreFaults = []struct {
-	name string
-	lost int
-	kind int
-	act  func(w *coreWorld) (mend func())
-}{
-	{"power lost", 1, lossTemporary, func(w *coreWorld) func() { return w.crashAndRestart(w.loseRandomMember(), false) }},
-	{"disk lost", 1, lossTemporary, func(w *coreWorld) func() { return w.crashAndRestart(w.loseRandomMember(), true) }},
-	{"power lost right after a yes", 1, lossTemporary, func(w *coreWorld) func() { return w.crashLeaderAfterAcknowledgement(false) }},
-	{"disk lost right after a yes", 1, lossTemporary, func(w *coreWorld) func() { return w.crashLeaderAfterAcknowledgement(true) }},
-	{"machine replaced", 1, lossPermanent, func(w *coreWorld) func() { return w.replaceMember(false) }},
-	{"machine replaced, and back later", 1, lossPermanent, func(w *coreWorld) func() { return w.replaceMember(true) }},
-	{"machine frozen", 1, lossTemporary, func(w *coreWorld) func() {
-		node := w.loseRandomMember()
-		w.freeze(&node.process, w.now+w.randomDuration(12*time.Second))
-		return func() { w.freeze(&node.process, 0) }
-	}},
-	{"disk stalls", 1, lossTemporary, func(w *coreWorld) func() {
-		node := w.loseRandomMember()
-		node.stalledUntil = w.now + 3*time.Second + w.randomDuration(3*time.Second)
-		return func() { w.endDiskStall(node) }
-	}},
-	{"disk refuses", 1, lossTemporary, func(w *coreWorld) func() {
-		node := w.loseRandomMember()
-		node.failsUntil = w.now + w.randomDuration(6*time.Second)
-		return func() { node.failsUntil = 0 }
-	}},
-	{"disk slow", 1, lossTemporary, func(w *coreWorld) func() {
-		node := w.loseRandomMember()
-		node.maxExtraSyncDelay = 50 * time.Millisecond
-		return func() { node.maxExtraSyncDelay = 0 }
-	}},
-	{"all lose power", 0, lossTemporary, func(w *coreWorld) func() { return w.crashAll(0) }},
-	{"all lose power, and some their disks", 0, lossTemporary, func(w *coreWorld) func() { return w.crashAll(w.options.MaxLosses) }},
-	{"one cut off", 0, lossPartition, func(w *coreWorld) func() {
-		lone := w.randomMember().host()
-		return w.partition(func(a, b string) bool { return a == lone || b == lone })
-	}},
-	{"one cut off one way", 0, lossPartition, func(w *coreWorld) func() {
-		lone, inward := w.randomMember().host(), w.randomInt(2) == 0
-		return w.partition(func(a, b string) bool { return inward && b == lone || !inward && a == lone })
-	}},
-	{"split in two", 0, lossPartition, func(w *coreWorld) func() {
-		side := map[string]bool{}
-		for _, node := range w.activeMembers() {
-			side[node.host()] = w.randomInt(2) == 0
-		}
-		return w.partition(func(a, b string) bool { return side[a] != side[b] })
-	}},
-	{"each alone", 0, lossPartition, func(w *coreWorld) func() { return w.partition(func(string, string) bool { return true }) }},
-	{"one link one way", 0, lossPartition, func(w *coreWorld) func() {
-		from, to := w.randomMember().host(), w.randomMember().host()
-		return w.partition(func(a, b string) bool { return a == from && b == to })
-	}},
-	{"lossy links", 0, lossTemporary, func(w *coreWorld) func() {
-		w.withLock(func() { w.lossRate = 0.3 * w.random.Float64() })
-		return func() { w.withLock(func() { w.lossRate = 0 }) }
-	}},
-	{"slow links", 0, lossTemporary, func(w *coreWorld) func() {
-		w.withLock(func() { w.maxExtraDelay = time.Duration(w.random.Int64N(int64(400 * time.Millisecond))) })
-		return func() { w.withLock(func() { w.maxExtraDelay = 0 }) }
-	}},
-}
-
-// lossRecord is a fault and the machines that are lost by it.
+// coreFault is a kind of fault of a core without a mesh.
+type coreFault struct {
+	name        string
+	membersLost int // members lost while it lasts
+	kind        lossKind
+	// inject begins the fault and returns what ends it.
+	inject func(w *CoreWorld) (repair func())
+}
+
+// hitsAll reports whether the fault hits all members at once.
+func (f coreFault) hitsAll() bool { return strings.HasPrefix(f.name, "all") }
+
+// CoreFaults are all kinds of fault that RunCore injects. Seeds draw them by index, and tests hold the names.
+var CoreFaults = []coreFault{
+	{"power lost", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashAndRestart(w.loseRandomMember(), false) }},
+	{"disk lost", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashAndRestart(w.loseRandomMember(), true) }},
+	{"power lost right after a yes", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashLeaderAfterAcknowledgement(false) }},
+	{"disk lost right after a yes", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashLeaderAfterAcknowledgement(true) }},
+	{"machine replaced", 1, lossPermanent, func(w *CoreWorld) func() { return w.replaceMember(false) }},
+	{"machine replaced, and back later", 1, lossPermanent, func(w *CoreWorld) func() { return w.replaceMember(true) }},
+	{"machine frozen", 1, lossTemporary, (*CoreWorld).freezeRandom},
+	{"disk stalls", 1, lossTemporary, (*CoreWorld).stallRandom},
+	{"disk refuses", 1, lossTemporary, (*CoreWorld).failRandomDisk},
+	{"disk slow", 1, lossTemporary, (*CoreWorld).slowRandom},
+	{"all lose power", 0, lossTemporary, func(w *CoreWorld) func() { return w.crashAll(0) }},
+	{"all lose power, and some their disks", 0, lossTemporary, func(w *CoreWorld) func() { return w.crashAll(w.options.MaxLosses) }},
+	{"one cut off", 0, lossPartition, (*CoreWorld).isolateRandom},
+	{"one cut off one way", 0, lossPartition, (*CoreWorld).isolateRandomOneWay},
+	{"split in two", 0, lossPartition, (*CoreWorld).splitInTwo},
+	{"each alone", 0, lossPartition, func(w *CoreWorld) func() { return w.partition(func(string, string) bool { return true }) }},
+	{"one link one way", 0, lossPartition, (*CoreWorld).cutRandomLink},
+	{"lossy links", 0, lossTemporary, func(w *CoreWorld) func() { return w.loseMessages() }},
+	{"slow links", 0, lossTemporary, func(w *CoreWorld) func() { return w.delayMessages() }},
+}
+
+func (w *CoreWorld) freezeRandom() func() {
+	node := w.loseRandomMember()
+	w.freeze(&node.process, w.now+w.randomDuration(12*time.Second))
+	return func() { w.freeze(&node.process, 0) }
+}
+
+func (w *CoreWorld) stallRandom() func() {
+	node := w.loseRandomMember()
+	node.stalledUntil = w.now + 3*time.Second + w.randomDuration(3*time.Second)
+	return func() { w.endDiskStall(node) }
+}
+
+func (w *CoreWorld) failRandomDisk() func() {
+	node := w.loseRandomMember()
+	node.failsUntil = w.now + w.randomDuration(6*time.Second)
+	return func() { node.failsUntil = 0 }
+}
+
+func (w *CoreWorld) slowRandom() func() {
+	node := w.loseRandomMember()
+	node.maxExtraSyncDelay = 50 * time.Millisecond
+	return func() { node.maxExtraSyncDelay = 0 }
+}
+
+func (w *CoreWorld) isolateRandom() func() {
+	isolated := w.randomMember().host()
+	return w.partition(func(a, b string) bool { return a == isolated || b == isolated })
+}
+
+func (w *CoreWorld) isolateRandomOneWay() func() {
+	isolated, inward := w.randomMember().host(), w.randomInt(2) == 0
+	return w.partition(func(a, b string) bool { return (inward && b == isolated) || (!inward && a == isolated) })
+}
+
+func (w *CoreWorld) splitInTwo() func() {
+	side := map[string]bool{}
+	for _, node := range w.activeMembers() {
+		side[node.host()] = w.randomInt(2) == 0
+	}
+	return w.partition(func(a, b string) bool { return side[a] != side[b] })
+}
+
+func (w *CoreWorld) cutRandomLink() func() {
+	from, to := w.randomMember().host(), w.randomMember().host()
+	return w.partition(func(a, b string) bool { return a == from && b == to })
+}
+
+// lossRecord is an active fault and the members that are lost by it.
 type lossRecord struct {
-	kind  int
-	count int
+	kind  lossKind
+	count int // members that count as lost
 	nodes []*memberNode
 }
 
-// loseRandomMember draws a machine that is not lost already.
-func (w *coreWorld) loseRandomMember() *memberNode {
+// loseRandomMember draws a member that is not lost already and assigns it to the current fault.
+func (w *CoreWorld) loseRandomMember() *memberNode {
 	for {
 		if node := w.randomMember(); !node.lost {
 			node.lost = true
@@ -97,8 +117,8 @@
 	}
 }
 
-// crashAndRestart takes the power of a machine, and perhaps its disk; it comes back where it was.
-func (w *coreWorld) crashAndRestart(node *memberNode, loseDisk bool) func() {
+// crashAndRestart cuts the power of a member and may wipe its disk; it starts again under the same id.
+func (w *CoreWorld) crashAndRestart(node *memberNode, loseDisk bool) (restart func()) {
 	w.crashMember(node)
 	if loseDisk {
 		node.disk = nil
@@ -106,28 +126,30 @@
 	return func() { w.startWithSeeds(node) }
 }
 
-// crashLeaderAfterAcknowledgement waits for the next yes and takes the holder then.
-func (w *coreWorld) crashLeaderAfterAcknowledgement(loseDisk bool) func() {
-	var repair func()
+// crashLeaderAfterAcknowledgement waits for the next acknowledgement and crashes the leader at that moment.
+func (w *CoreWorld) crashLeaderAfterAcknowledgement(loseDisk bool) (restart func()) {
+	var restartLeader func()
 	ended, loss := false, w.currentLoss
 	w.onAcknowledged = append(w.onAcknowledged, func() {
 		for _, node := range w.activeMembers() {
-			if !ended && repair == nil && node.up && !node.lost && "store-"+node.replica.Status().Leader == node.name {
+			isLeader := "store-"+node.replica.Status().Leader == node.name
+			if !ended && restartLeader == nil && node.up && !node.lost && isLeader {
 				node.lost = true
 				loss.nodes = append(loss.nodes, node)
-				repair = w.crashAndRestart(node, loseDisk)
+				restartLeader = w.crashAndRestart(node, loseDisk)
 			}
 		}
 	})
 	return func() {
-		if ended = true; repair != nil {
-			repair()
+		if ended = true; restartLeader != nil {
+			restartLeader()
 		}
 	}
 }
 
-// replaceMember takes a machine away for good and lets another come, empty, under another name.
-func (w *coreWorld) replaceMember(oldReturns bool) func() {
+// replaceMember removes a member for good; an empty replacement under another id starts when the fault ends. The old
+// member may come back later, when its place is taken.
+func (w *CoreWorld) replaceMember(oldReturns bool) (startReplacement func()) {
 	node, loss := w.loseRandomMember(), w.currentLoss
 	w.crashMember(node)
 	node.removed = true
@@ -145,8 +167,9 @@
 	}
 }
 
-// crashAll takes the power of every machine at once, and the disks of a few; all are back within a second.
-func (w *coreWorld) crashAll(lostDisks int) func() {
+// crashAll cuts the power of every member at once and wipes the given number of disks; all members start again within
+// a second.
+func (w *CoreWorld) crashAll(lostDisks int) func() {
 	for i, node := range w.activeMembers() {
 		if node.up {
 			w.crashMember(node)
@@ -160,62 +183,83 @@
 			}
 		})
 	}
-	return func() {}
+	return nothingToRepair
 }
 
-// partition cuts the links between machines.
-func (w *coreWorld) partition(isCut func(a, b string) bool) func() {
+// partition cuts the links between active members for whose hosts isPartitioned is true, and returns what heals them.
+func (w *CoreWorld) partition(isPartitioned func(a, b string) bool) (heal func()) {
 	var links [][2]string
 	for _, a := range w.activeMembers() {
 		for _, b := range w.activeMembers() {
-			if a != b && isCut(a.host(), b.host()) {
+			if a != b && isPartitioned(a.host(), b.host()) {
 				links = append(links, [2]string{a.host(), b.host()})
 			}
 		}
 	}
-	return w.cutLinks(links)
+	return w.partitionLinks(links)
 }
 
-// injectCoreFaults lets faults come and go; no more machines are lost at once than is promised to be survived.
-func (w *coreWorld) injectCoreFaults(until time.Duration) {
+// injectCoreFaults injects faults until a point in virtual time. No more members are lost at once than the core
+// promises to survive.
+func (w *CoreWorld) injectCoreFaults(until time.Duration) {
 	var injectNext func()
 	injectNext = func() {
 		if w.now > until {
 			return
 		}
 		chosen := CoreFaults[w.randomInt(len(CoreFaults))]
-		pause := w.randomDuration(6 * time.Second)
-		all := chosen.name[:3] == "all"
-		if len(w.options.OnlyFaults) > 0 && !slices.Contains(w.options.OnlyFaults, chosen.name) || w.lostCount+chosen.lost > w.options.MaxLosses || all && w.lostCount > 0 ||
-			chosen.kind == lossPermanent && w.activeFaultsByKind[lossPartition] > 0 || chosen.kind == lossPartition && w.activeFaultsByKind[lossPermanent] > 0 {
+		interval := w.randomDuration(6 * time.Second)
+		if !w.allowsFault(chosen) {
 			w.schedule(w.randomDuration(time.Second), injectNext)
 			return
 		}
-		loss := &lossRecord{count: chosen.lost}
-		if all {
-			loss.count = w.options.MaxLosses
-		}
-		loss.kind = chosen.kind
-		w.currentLoss = loss
-		w.lostCount += loss.count
-		w.activeFaultsByKind[loss.kind]++
-		w.activeFaults++
-		w.lastFaultAt = w.now
-		repair := chosen.act(w)
-		w.schedule(w.randomDuration(8*time.Second), func() {
-			repair()
-			w.activeFaults--
-			w.lastFaultAt = w.now
-			w.requireComplete(catchUpTime)
-			w.schedule(catchUpTime, func() { w.releaseLoss(loss) })
-		})
-		w.schedule(pause, injectNext)
+		w.injectCoreFault(chosen)
+		w.schedule(interval, injectNext)
 	}
 	injectNext()
 }
 
-// releaseLoss lets what was lost count as back, once it is: a loss more than is promised may come no sooner.
-func (w *coreWorld) releaseLoss(loss *lossRecord) {
+// allowsFault reports whether a fault may begin now.
+func (w *CoreWorld) allowsFault(chosen coreFault) bool {
+	switch {
+	case len(w.options.OnlyFaults) > 0 && !slices.Contains(w.options.OnlyFaults, chosen.name):
+		return false
+	case w.lostCount+chosen.membersLost > w.options.MaxLosses:
+		return false
+	case chosen.hitsAll() && w.lostCount > 0:
+		return false
+	case chosen.kind == lossPermanent && w.activeFaultsByKind[lossPartition] > 0:
+		return false
+	case chosen.kind == lossPartition && w.activeFaultsByKind[lossPermanent] > 0:
+		return false
+	}
+	return true
+}
+
+// injectCoreFault begins a fault and schedules its end.
+func (w *CoreWorld) injectCoreFault(chosen coreFault) {
+	loss := &lossRecord{kind: chosen.kind, count: chosen.membersLost}
+	if chosen.hitsAll() {
+		loss.count = w.options.MaxLosses
+	}
+	w.currentLoss = loss
+	w.lostCount += loss.count
+	w.activeFaultsByKind[loss.kind]++
+	w.activeFaults++
+	w.lastFaultAt = w.now
+	repair := chosen.inject(w)
+	w.schedule(w.randomDuration(8*time.Second), func() {
+		repair()
+		w.activeFaults--
+		w.lastFaultAt = w.now
+		w.requireComplete(catchUpTime)
+		w.schedule(catchUpTime, func() { w.releaseLoss(loss) })
+	})
+}
+
+// releaseLoss makes the members of an ended fault count as recovered once the core is complete again, so that the core
+// never loses more than it promises to survive.
+func (w *CoreWorld) releaseLoss(loss *lossRecord) {
 	if loss.count > 0 && w.incompleteReason() != "" {
 		w.schedule(500*time.Millisecond, func() { w.releaseLoss(loss) })
 		return
--- a/internal/simulator/core_operators.go
+++ b/internal/simulator/core_operators.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"maps"
 	"time"
 
 	"meadowhinge/internal/config"
@@ -9,18 +10,30 @@
 	"meadowhinge/schema"
 )
 
-// submitPeriodically sends changes at random times.
-func (w *coreWorld) submitPeriodically() {
+// submitPeriodically submits changes at random intervals.
+func (w *CoreWorld) submitPeriodically() {
 	w.submitCoreChange()
 	w.schedule(w.randomDuration(600*time.Millisecond), w.submitPeriodically)
 }
 
-func (w *coreWorld) submitCoreChange() {
-	change := &schema.Change{Id: fmt.Sprint("change-", w.nextID()), ByOperatorVersion: true}
-	resent := false // a call sent once more under its own id
+// submitCoreChange submits a change at a random member, and in a third of the cases a competing change of another
+// operator at a random member.
+func (w *CoreWorld) submitCoreChange() {
+	change, resent := w.randomCoreChange()
+	w.submitUntilDecided(w.randomMember(), change, resent)
+	if w.randomInt(3) == 0 {
+		other := w.competingChange(change)
+		w.sentChanges = append(w.sentChanges, other)
+		w.submitUntilDecided(w.randomMember(), other, false)
+	}
+}
+
+// randomCoreChange draws a valid change, an invalid one, or an older one that is sent again as a new call or, if resent,
+// under its own id.
+func (w *CoreWorld) randomCoreChange() (change *schema.Change, resent bool) {
+	change = &schema.Change{Id: fmt.Sprint("change-", w.nextID()), ByOperatorVersion: true}
 	switch kind := w.randomInt(10); {
 	case kind == 0 && len(w.sentChanges) > 0:
-		// An older change arrives again, under its own id or as a new call.
 		old := w.sentChanges[w.randomInt(len(w.sentChanges))]
 		w.Resends++
 		if change.Items = old.Items; w.randomInt(2) == 0 {
@@ -28,7 +41,7 @@
 		}
 	case kind == 1:
 		name := fmt.Sprint("bad", w.nextID())
-		w.History.markInvalid("route/" + name)
+		w.History.addInvalidItem("route/" + name)
 		change.Items = append(w.nextItems(1), &schema.Item{
 			Kind:            "route",
 			Name:            name,
@@ -42,39 +55,44 @@
 	if w.seededFault == SeededOperatorVersionsIgnored {
 		change.ByOperatorVersion = false
 	}
-	at := w.randomMember()
-	w.submitUntilDecided(at, change, resent)
-	// Two operators at once, at two seats.
-	if w.randomInt(3) == 0 {
-		other := &schema.Change{Id: fmt.Sprint("change-", w.nextID()), ByOperatorVersion: change.ByOperatorVersion}
-		sameVersions := w.randomInt(2) == 0
-		for _, item := range change.Items {
-			switch {
-			case item.Kind == "segment" && sameVersions:
-				other.Items = append(other.Items, w.conflictingItem(item))
-			case item.Kind == "segment":
-				other.Items = append(other.Items, w.nextItem(item.Name))
-			}
+	return change, resent
+}
+
+// competingChange returns a change of another operator to the same items, under the same versions or under the next.
+func (w *CoreWorld) competingChange(change *schema.Change) *schema.Change {
+	other := &schema.Change{Id: fmt.Sprint("change-", w.nextID()), ByOperatorVersion: change.ByOperatorVersion}
+	sameVersions := w.randomInt(2) == 0
+	for _, item := range change.Items {
+		switch {
+		case item.Kind == "segment" && sameVersions:
+			other.Items = append(other.Items, w.conflictingItem(item))
+		case item.Kind == "segment":
+			other.Items = append(other.Items, w.nextItem(item.Name))
 		}
-		w.sentChanges = append(w.sentChanges, other)
-		w.submitUntilDecided(w.randomMember(), other, false)
 	}
+	return other
 }
 
-// coreItem names one of the items that the operators change.
+// coreItem returns the name of one of the items that the operators change.
 func coreItem(index int) string { return fmt.Sprint("s", index) }
 
-func (w *coreWorld) nextItems(count int) (items []*schema.Item) {
+// nextItems returns the next versions of random items.
+func (w *CoreWorld) nextItems(count int) (items []*schema.Item) {
 	for range count {
 		items = append(items, w.nextItem(coreItem(w.randomInt(coreItemCount))))
 	}
 	return items
 }
 
-// nextItem is the next version of an item, by an uneven step; now and then it is dropped.
-func (w *coreWorld) nextItem(name string) *schema.Item {
+// nextItem returns the next version of an item. Versions increase by random steps; a quarter of them delete the item.
+func (w *CoreWorld) nextItem(name string) *schema.Item {
 	w.issuedVersions[name] += uint64(1 + w.randomInt(3))
-	item := &schema.Item{Kind: "segment", Name: name, OperatorVersion: w.issuedVersions[name], Deleted: w.randomInt(4) == 0}
+	item := &schema.Item{
+		Kind:            "segment",
+		Name:            name,
+		OperatorVersion: w.issuedVersions[name],
+		Deleted:         w.randomInt(4) == 0,
+	}
 	if !item.Deleted {
 		item.Body = []byte(fmt.Sprintf(`{"salt":"%d"}`, item.OperatorVersion))
 	}
@@ -82,16 +100,17 @@
 	return item
 }
 
-// recordContent notes a content that an operator sends.
-func (w *coreWorld) recordContent(item *schema.Item) {
+// recordContent records a content that an operator sends under a version.
+func (w *CoreWorld) recordContent(item *schema.Item) {
 	if w.sentContents[item.Name] == nil {
 		w.sentContents[item.Name] = map[uint64][]string{}
 	}
-	w.sentContents[item.Name][item.OperatorVersion] = append(w.sentContents[item.Name][item.OperatorVersion], string(item.Body))
+	versions := w.sentContents[item.Name]
+	versions[item.OperatorVersion] = append(versions[item.OperatorVersion], string(item.Body))
 }
 
-// conflictingItem is another content under the version of an item.
-func (w *coreWorld) conflictingItem(of *schema.Item) *schema.Item {
+// conflictingItem returns another content under the version of an item.
+func (w *CoreWorld) conflictingItem(of *schema.Item) *schema.Item {
 	item := &schema.Item{
 		Kind:            of.Kind,
 		Name:            of.Name,
@@ -102,60 +121,63 @@
 	return item
 }
 
-// submitUntilDecided hands a change to a store until it is decided, as a registry does, or moves on to another.
-func (w *coreWorld) submitUntilDecided(node *memberNode, change *schema.Change, resent bool) {
+// submitUntilDecided proposes a change at a member until it is decided, and moves on to a random member whenever that
+// one does not respond, as a registry does. It gives up after a minute. resent says that the change was sent before
+// under the same id.
+func (w *CoreWorld) submitUntilDecided(node *memberNode, change *schema.Change, resent bool) {
 	began, quietSince := w.now, w.now
 	decided := false
 	client := w.nextID()
-	recordCall := func(result linearize.Result) {
-		for _, item := range change.Items {
-			if item.Kind == "segment" {
-				w.calls.Add(linearize.Operation{
-					Client: int(client),
-					Item:   item.Name,
-					Value:  valueOf(item),
-					Result: result,
-					Begin:  began,
-					End:    w.now,
-				})
-			}
-		}
-	}
+	recordCall := func(result linearize.Result) { w.recordCall(client, change, result, began) }
 	w.unanswered[client] = func() { recordCall(linearize.OutcomeUnknown) }
-	var attempt func()
-	attempt = func() {
+	w.retryEvery(200*time.Millisecond, func() bool {
 		if decided {
-			return
+			return true
 		}
-		// The bound runs only while nothing is wrong, and has not been for a while.
+		// The time counts only while no fault is active or was active shortly before.
 		if w.activeFaults > 0 || w.now-w.lastFaultAt < quietPeriod {
 			quietSince = w.now
 		}
 		if w.now-quietSince > acknowledgementBound {
 			w.History.recordBreach(RuleSlowAcknowledgement, "%v: %s, sent at %v, has no answer", w.now, change.Id, began)
-			return
+			return true
 		}
 		if w.now-began > time.Minute {
-			return
+			return true
 		}
-		if !w.World.isResponsive(&node.process) {
+		if !w.isResponsive(&node.process) {
 			node = w.randomMember()
-		} else {
-			w.propose(node, change, func(ruling schema.Ruling) {
-				if decided {
-					return
-				}
-				decided = true
-				delete(w.unanswered, client)
-				recordCall(resultOf(ruling, resent, len(change.Items)))
+			return false
+		}
+		w.propose(node, change, func(ruling schema.Ruling) {
+			if decided {
+				return
+			}
+			decided = true
+			delete(w.unanswered, client)
+			recordCall(resultOf(ruling, resent, len(change.Items)))
+		})
+		return false
+	})
+}
+
+// recordCall records a call that changes items for the linearizability check.
+func (w *CoreWorld) recordCall(client int, change *schema.Change, result linearize.Result, began time.Duration) {
+	for _, item := range change.Items {
+		if item.Kind == "segment" {
+			w.calls.Add(linearize.Operation{
+				Client: client,
+				Item:   item.Name,
+				Value:  valueOf(item),
+				Result: result,
+				Begin:  began,
+				End:    w.now,
 			})
 		}
-		w.schedule(200*time.Millisecond, attempt)
 	}
-	attempt()
 }
 
-// valueOf is an item as the checker of calls takes it.
+// valueOf returns the value of an item for the linearizability check; a missing item is absent.
 func valueOf(item *schema.Item) linearize.Value {
 	if item == nil || item.Deleted {
 		return linearize.Value{Version: item.GetOperatorVersion(), Absent: true}
@@ -163,8 +185,8 @@
 	return linearize.Value{Version: item.OperatorVersion, Content: string(item.Body)}
 }
 
-// resultOf is what a ruling says of each item of a change. Where there are several, which of them
-// clashed is not looked at; and one that is sent again under its own id is told its first ruling.
+// resultOf returns the result that a ruling implies for each item of a change. A conflict of several items does not say
+// which of them conflicted, and a change that is sent again under its own id gets its first ruling.
 func resultOf(ruling schema.Ruling, resent bool, items int) linearize.Result {
 	switch {
 	case ruling == schema.Ruling_RULING_ACCEPTED:
@@ -175,23 +197,14 @@
 	return linearize.Rejected
 }
 
-func (w *coreWorld) propose(node *memberNode, change *schema.Change, decided func(schema.Ruling)) {
+// propose proposes a change at a member and calls decided with the ruling that the operator gets.
+func (w *CoreWorld) propose(node *memberNode, change *schema.Change, decided func(schema.Ruling)) {
 	if w.seededFault == SeededOperatorVersionsIgnored {
-		change = &schema.Change{Id: change.Id, Items: change.Items}
 		_, state := node.replica.Committed()
-		for _, item := range change.Items {
-			if existing := state[config.Key(item.Kind, item.Name)]; existing != nil && !existing.Deleted {
-				change.Expected = append(change.Expected, &schema.ExpectedVersion{
-					Kind:     item.Kind,
-					Name:     item.Name,
-					Sequence: existing.Version.Sequence,
-				})
-			}
-		}
+		change = &schema.Change{Id: change.Id, Items: change.Items, Expected: expectedVersions(state, change.Items)}
 	}
 	ticket := fmt.Sprint("offer-", w.nextID())
-	node.pendingReplies[ticket] = func(result any) {
-		reply := result.(*schema.ProposalReply)
+	node.pendingRulings[ticket] = func(reply *schema.ProposalReply) {
 		if reply.Undecided {
 			return
 		}
@@ -207,13 +220,16 @@
 			w.recordAcknowledged(change, reply.Outcome.Version.Sequence)
 		}
 	}
-	w.execute(node, node.replica.Propose(node.clock.at(w.now), &schema.Proposal{Ticket: ticket, Change: change}))
-	if outcome, appended := node.replica.AppendedOutcome(change.Id); w.seededFault == SeededUncommittedAcknowledgement && appended && outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
+	proposal := &schema.Proposal{Ticket: ticket, Change: change}
+	w.execute(node, node.replica.Propose(node.clock.at(w.now), proposal))
+	outcome, appended := node.replica.AppendedOutcome(change.Id)
+	if w.seededFault == SeededUncommittedAcknowledgement && appended && outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
 		w.recordAcknowledged(change, 0)
 	}
 }
 
-func (w *coreWorld) recordAcknowledged(change *schema.Change, sequence uint64) {
+// recordAcknowledged records an acknowledged change and triggers the faults that wait for one.
+func (w *CoreWorld) recordAcknowledged(change *schema.Change, sequence uint64) {
 	w.Acknowledgements++
 	w.History.recordAcknowledgement(w.now, sequence)
 	for _, item := range change.Items {
@@ -225,32 +241,29 @@
 	w.onAcknowledged = nil
 }
 
-// readPeriodically reads the whole setup back at some seat, again and again, as a registry does.
-func (w *coreWorld) readPeriodically() {
+// readPeriodically reads the configuration at a random member at random intervals.
+func (w *CoreWorld) readPeriodically() {
 	w.readAt(w.randomMember())
 	w.schedule(w.randomDuration(2*time.Second), w.readPeriodically)
 }
 
-func (w *coreWorld) readAt(node *memberNode) {
-	if !w.World.isResponsive(&node.process) {
+// readAt reads the whole configuration at a member through a read index, as a registry does, and checks it.
+func (w *CoreWorld) readAt(node *memberNode) {
+	if !w.isResponsive(&node.process) {
 		return
 	}
-	acknowledged := map[string]uint64{}
-	for name, given := range w.acknowledgedVersions {
-		acknowledged[name] = given
-	}
-	began, client := w.now, int(w.nextID())
+	acknowledged := maps.Clone(w.acknowledgedVersions)
+	began, client := w.now, w.nextID()
 	recordRead := func(state config.State) {
 		w.Reads++
 		w.checkRead(node, state, acknowledged)
 		for index := range coreItemCount {
 			name := coreItem(index)
-			value := valueOf(state[config.Key("segment", name)])
 			w.calls.Add(linearize.Operation{
 				Client: client,
 				Item:   name,
 				Read:   true,
-				Value:  value,
+				Value:  valueOf(state[config.Key("segment", name)]),
 				Result: linearize.Accepted,
 				Begin:  began,
 				End:    w.now,
@@ -263,8 +276,7 @@
 		return
 	}
 	ticket := fmt.Sprint("stand-", w.nextID())
-	node.pendingReplies[ticket] = func(result any) {
-		reply := result.(*schema.ReadIndexReply)
+	node.pendingReadIndexes[ticket] = func(reply *schema.ReadIndexReply) {
 		if reply.Undecided {
 			return
 		}
--- a/internal/simulator/core_scenario.go
+++ b/internal/simulator/core_scenario.go
@@ -8,49 +8,57 @@
 	"meadowhinge/schema"
 )
 
-// Bounds of the core alone.
+// Timing and size of a core scenario.
 const (
-	catchUpTime          = 4 * time.Second // after a machine is back it counts as lost for so long
-	acknowledgementBound = 4 * time.Second // for a change, once nothing has been wrong for calm
+	catchUpTime          = 4 * time.Second // for which a member still counts as lost after it is back
+	acknowledgementBound = 4 * time.Second // of a change, while no fault is active or was within quietPeriod
 	quietPeriod          = 3 * time.Second
-	coreItemCount        = 6
+	coreItemCount        = 6 // items that the operators change
 
-	linearizabilityTimeout = time.Minute // for an order of the calls on one item
+	linearizabilityTimeout = time.Minute // of real time, for the check of one item
 )
 
-// CoreOptions say what kind of core it is.
+// CoreOptions describe a core without a mesh.
 type CoreOptions struct {
-	Members        int // 3 or 5
-	MaxLosses      int // that are survived at once
-	OnlyFaults     []string
-	FaultyDuration time.Duration
+	Members        int           // 3 or 5
+	MaxLosses      int           // members that may be lost at once
+	OnlyFaults     []string      // restricts fault injection to faults of these names; empty allows all
+	FaultyDuration time.Duration // how long faults are injected; 0 for 90 seconds
 }
 
-// coreWorld is a world of stores, and what operators were told.
-type coreWorld struct {
+// CoreWorld is a world of members without registries and proxies: the core founds itself from seeds, members join, are
+// replaced and lose their disks, while operators change items under operator versions. More members and more faults fit
+// into a run than with a mesh. Only events use its fields.
+type CoreWorld struct {
 	*World
-	options                                        CoreOptions
-	lostCount                                      int                            // machines that are lost now, or were until a moment ago
-	lastFaultAt                                    time.Duration                  // when something was last wrong
-	activeFaults                                   int                            // going on
-	issuedVersions                                 map[string]uint64              // the highest version of each name that was ever sent
-	sentContents                                   map[string]map[uint64][]string // contents sent, by name and version
-	calls                                          linearize.History
-	acknowledgedVersions                           map[string]uint64 // the highest version acknowledged
-	sentChanges                                    []*schema.Change
-	currentLoss                                    *lossRecord
-	activeFaultsByKind                             [3]int // faults by what they do
-	onAcknowledged                                 []func()
-	unanswered                                     map[int]func() // by client: notes the call as one without an answer
+	options CoreOptions
+
+	// Faults.
+	lastFaultAt        time.Duration // when a fault last began or ended
+	activeFaults       int
+	activeFaultsByKind [lossKindCount]int
+	lostCount          int         // members that count as lost
+	currentLoss        *lossRecord // of the fault that was injected last
+	onAcknowledged     []func()    // called once with the next acknowledgement
+
+	// What operators sent and learned.
+	issuedVersions       map[string]uint64              // by item: the highest version ever sent
+	acknowledgedVersions map[string]uint64              // by item: the highest version acknowledged
+	sentContents         map[string]map[uint64][]string // by item and version
+	sentChanges          []*schema.Change
+	calls                linearize.History
+	unanswered           map[int]func() // by client: records the call as one with an unknown outcome
+
+	// Totals.
 	Acknowledgements, Reads, Replacements, Resends int
 }
 
-// RunCore runs one seed of a core alone.
-func RunCore(seed uint64, seededFault SeededFault, options CoreOptions) *coreWorld {
+// RunCore runs one seed of a core without a mesh. It must run inside a synctest bubble.
+func RunCore(seed uint64, seededFault SeededFault, options CoreOptions) *CoreWorld {
 	if options.FaultyDuration == 0 {
 		options.FaultyDuration = 90 * time.Second
 	}
-	w := &coreWorld{
+	w := &CoreWorld{
 		World:                NewWorld(seed, seededFault, Options{Empty: true}),
 		options:              options,
 		issuedVersions:       map[string]uint64{},
@@ -67,19 +75,20 @@
 	w.readPeriodically()
 	until := w.now + options.FaultyDuration
 	w.injectCoreFaults(until)
-	// What is lost is back soon, or the last check says so.
+	// What is lost recovers soon; otherwise the check at the end reports it.
 	for w.Run(until); (w.activeFaults > 0 || w.lostCount > 0) && w.now < until+time.Minute; {
 		w.Run(w.now + time.Second)
 	}
 	w.Run(w.now + catchUpTime + quietPeriod)
 	w.checkAtEnd()
 	w.checkLinearizable()
-	w.World.Close()
+	w.Close()
 	return w
 }
 
-// addMember starts a machine that has never been there.
-func (w *coreWorld) addMember(name string, isFounder bool) *memberNode {
+// addMember starts a new member. A founder is one of the first members of the core; those beyond the first three
+// expand it.
+func (w *CoreWorld) addMember(name string, isFounder bool) *memberNode {
 	replicaConfig := newReplicaConfig(name, nil, w.options.MaxLosses)
 	if w.seededFault == SeededNoTombstones {
 		replicaConfig.MaxOperatorTombstones = 1
@@ -95,9 +104,9 @@
 	return node
 }
 
-// startWithSeeds starts a machine with the seeds of that moment: up to three of the core, itself perhaps
-// among them, and any of them may be down.
-func (w *coreWorld) startWithSeeds(node *memberNode) {
+// startWithSeeds starts a member with up to three active members as its seeds. The member itself may be among them, and
+// any of them may be down.
+func (w *CoreWorld) startWithSeeds(node *memberNode) {
 	node.replicaConfig.Seeds = []string{"a", "b", "c"}
 	if w.now > 0 {
 		node.replicaConfig.Seeds = nil
@@ -109,8 +118,8 @@
 	w.startMember(node)
 }
 
-// standing lists the machines of the core that are not gone for good.
-func (w *coreWorld) activeMembers() []*memberNode {
+// activeMembers returns the members that are not removed.
+func (w *CoreWorld) activeMembers() []*memberNode {
 	var all []*memberNode
 	for _, node := range w.members {
 		if !node.removed {
@@ -120,7 +129,8 @@
 	return all
 }
 
-func (w *coreWorld) randomMember() *memberNode {
+// randomMember draws an active member.
+func (w *CoreWorld) randomMember() *memberNode {
 	all := w.activeMembers()
 	return all[w.randomInt(len(all))]
 }
--- a/internal/simulator/core_test.go
+++ b/internal/simulator/core_test.go
@@ -9,9 +9,9 @@
 
 var coreSeedCount = flag.Int("core-seeds", 20, "how many seeds of a core alone to run, of each size")
 
-func runCoreSeed(t *testing.T, seed uint64, seededFault SeededFault, options CoreOptions) *coreWorld {
+func runCoreSeed(t *testing.T, seed uint64, seededFault SeededFault, options CoreOptions) *CoreWorld {
 	t.Helper()
-	var w *coreWorld
+	var w *CoreWorld
 	synctest.Test(t, func(*testing.T) { w = RunCore(seed, seededFault, options) })
 	return w
 }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -5,24 +5,31 @@
 	"time"
 )
 
+// event is a function to run at a point in virtual time.
 type event struct {
 	at       time.Duration
-	sequence uint64
+	sequence uint64 // order of scheduling; it decides between events due at the same time
 	run      func()
 }
 
+// eventQueue is the heap of scheduled events, the earliest first. Its methods implement heap.Interface.
 type eventQueue []event
 
+// Len returns the number of scheduled events.
 func (q eventQueue) Len() int { return len(q) }
 
+// Less orders events by due time, then by the order in which they were scheduled.
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].sequence < q[j].sequence)
 }
 
+// Swap exchanges two events.
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
+// Push appends an event for heap.Push.
 func (q *eventQueue) Push(x any) { *q = append(*q, x.(event)) }
 
+// Pop removes the last event for heap.Pop.
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
@@ -30,7 +37,7 @@
 	return last
 }
 
-// schedule lets something happen later; events and goroutines may call it.
+// schedule runs a function after a delay as an event. Events and goroutines may call it.
 func (w *World) schedule(delay time.Duration, run func()) {
 	w.lock.Lock()
 	w.lastEventSequence++
@@ -42,7 +49,9 @@
 	}
 }
 
-// scheduleOn runs something on a machine, in this life only; a frozen machine does it when it thaws.
+// scheduleOn runs a function on a process after a delay, unless the current run of the process ends before. On a
+// frozen process the task is both kept in deferred and queued for the planned end of the freeze: whichever comes
+// first runs it, and done drops the other.
 func (w *World) scheduleOn(m *process, delay time.Duration, run func()) {
 	processRun, _, _ := w.processRunOf(m)
 	var task func()
@@ -62,6 +71,8 @@
 	w.schedule(delay, task)
 }
 
+// scheduleEvery runs a function on a process at an interval while its current run lasts. The first
+// execution comes after a random part of the interval, so that loops of several processes do not run in step.
 func (w *World) scheduleEvery(m *process, interval time.Duration, run func()) {
 	var runAndReschedule func()
 	runAndReschedule = func() {
@@ -70,3 +81,14 @@
 	}
 	w.scheduleOn(m, w.randomDuration(interval), runAndReschedule)
 }
+
+// retryEvery calls attempt at once and then at an interval until it returns true.
+func (w *World) retryEvery(interval time.Duration, attempt func() (done bool)) {
+	var retry func()
+	retry = func() {
+		if !attempt() {
+			w.schedule(interval, retry)
+		}
+	}
+	retry()
+}
--- a/internal/simulator/fault_injection.go
+++ b/internal/simulator/fault_injection.go
@@ -5,78 +5,88 @@
 	"time"
 )
 
-// drawFault picks a fault by the dice, among those that the options allow.
+// drawFault draws a fault among those that the options allow.
 func (w *World) drawFault() *fault {
 	for {
 		chosen := &Faults[w.randomInt(len(Faults))]
-		// It ends the claims of a whole window, and with them most of what a seed could show.
+		// It voids the key reservations of a whole window, and with them most of what a seed could show; so it is rare.
 		if chosen.name == wholeCorePowerLoss && len(w.Options.OnlyFaults) == 0 && w.randomInt(8) > 0 {
 			continue
 		}
-		if (len(w.Options.OnlyFaults) == 0 || slices.Contains(w.Options.OnlyFaults, chosen.name)) && (!w.Options.HarmlessFaultsOnly || !chosen.mayReject) {
+		isAllowed := len(w.Options.OnlyFaults) == 0 || slices.Contains(w.Options.OnlyFaults, chosen.name)
+		if isAllowed && (!w.Options.HarmlessFaultsOnly || !chosen.mayReject) {
 			return chosen
 		}
 	}
 }
 
-// injectFaults lets faults come and go. In a free world they come one at a time.
+// faultInjection lets faults come and go until a point in virtual time.
+type faultInjection struct {
+	*World
+	until    time.Duration
+	coreDown bool // a fault has hit the core, and the core has not fully recovered
+	drawn    int  // faults drawn so far: the index for Options.SkipFaults
+}
+
+// injectFaults injects faults until a point in virtual time: several at once or, with Options.HarmlessFaultsOnly, one
+// at a time.
 func (w *World) injectFaults(until time.Duration) {
-	coreDown, faultIndex := false, 0
-	var injectNext func()
-	injectNext = func() {
-		if w.now > until {
-			return
-		}
-		chosen := w.drawFault()
-		skipped := w.Options.SkipFaults[faultIndex]
-		faultIndex++
-		pause := w.randomDuration(5 * time.Second)
-		// One core machine at a time may lose its process or its disk; links may fail besides.
-		if (chosen.hitsCore && coreDown) || skipped {
-			w.schedule(pause, injectNext)
-			return
+	injection := &faultInjection{World: w, until: until}
+	injection.injectNext()
+}
+
+// injectNext draws a fault, begins it if it is allowed now, and schedules its end and the next fault.
+func (f *faultInjection) injectNext() {
+	if f.now > f.until {
+		return
+	}
+	chosen := f.drawFault()
+	skipped := f.Options.SkipFaults[f.drawn]
+	f.drawn++
+	interval := f.randomDuration(5 * time.Second)
+	// Only one core host at a time may lose a process or its disk; links may fail in addition.
+	if (chosen.hitsCore && f.coreDown) || skipped {
+		f.schedule(interval, f.injectNext)
+		return
+	}
+	record := &faultRecord{name: chosen.name, startedAt: f.now, mayReject: chosen.mayReject, hitsCore: chosen.hitsCore}
+	f.withLock(func() { f.faults = append(f.faults, record) })
+	repair := chosen.inject(f.World)
+	f.coreDown = f.coreDown || chosen.hitsCore
+	f.schedule(f.randomDuration(maxFaultDuration), func() { f.end(chosen, record, repair) })
+	if !f.Options.HarmlessFaultsOnly {
+		f.schedule(interval, f.injectNext)
+	}
+}
+
+// end repairs a fault. A fault of the core lasts until the other members have brought the lost one up to date.
+func (f *faultInjection) end(chosen *fault, record *faultRecord, repair func()) {
+	repair()
+	if chosen.hitsCore && f.seededFault == SeededNoRecovery && f.now > f.until/2 {
+		for _, node := range f.members[:2] {
+			f.crashMember(node)
 		}
-		record := &faultRecord{name: chosen.name, startedAt: w.now, mayReject: chosen.mayReject, hitsCore: chosen.hitsCore}
-		w.lock.Lock()
-		w.faults = append(w.faults, record)
-		w.lock.Unlock()
-		repair := chosen.inject(w)
-		coreDown = coreDown || chosen.hitsCore
-		w.schedule(w.randomDuration(maxFaultDuration), func() {
-			repair()
-			if chosen.hitsCore && w.seededFault == SeededNoRecovery && w.now > until/2 {
-				for _, node := range w.members[:2] {
-					w.crashMember(node)
-				}
-			}
-			recordEnd := func() {
-				w.lock.Lock()
-				record.endedAt = w.now
-				w.lock.Unlock()
-				if w.Options.HarmlessFaultsOnly {
-					w.schedule(2*leaseDuration, injectNext)
-				}
-			}
-			if !chosen.hitsCore {
-				recordEnd()
-				return
-			}
-			// Only one core machine's loss at a time is promised to be survived, so the next goes
-			// only once this one has been refilled by the others.
-			var awaitCoreRecovery func()
-			awaitCoreRecovery = func() {
-				if w.isCoreRecovered() {
-					coreDown = false
-					recordEnd()
-					return
-				}
-				w.schedule(time.Second, awaitCoreRecovery)
+	}
+	if !chosen.hitsCore {
+		f.recordEnd(record)
+		return
+	}
+	f.schedule(time.Second, func() {
+		f.retryEvery(time.Second, func() bool {
+			if !f.isCoreRecovered() {
+				return false
 			}
-			w.schedule(time.Second, awaitCoreRecovery)
+			f.coreDown = false
+			f.recordEnd(record)
+			return true
 		})
-		if !w.Options.HarmlessFaultsOnly {
-			w.schedule(pause, injectNext)
-		}
+	})
+}
+
+// recordEnd records the end of a fault; where faults come one at a time, it schedules the next.
+func (f *faultInjection) recordEnd(record *faultRecord) {
+	f.withLock(func() { record.endedAt = f.now })
+	if f.Options.HarmlessFaultsOnly {
+		f.schedule(2*leaseDuration, f.injectNext)
 	}
-	injectNext()
 }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -1,268 +1,342 @@
 package simulator
 
 import (
-	"fmt"
 	"time"
-
-	"meadowhinge/schema"
 )
 
-// fault is a kind of fault; act begins it and gives what ends it, or nil if it ends by itself.
+// fault is a kind of fault of the environment. Faults of the mesh's own logic are SeededFaults.
 type fault struct {
 	name      string
-	mayReject bool // it may turn callers away
-	hitsCore  bool // it takes a core machine or its disk: one at a time is promised to be survived
-	inject    func(w *World) (mend func())
+	mayReject bool // it may cause rejected calls
+	hitsCore  bool // it takes a core host or its disk: the mesh promises to survive one of these at a time
+	// inject begins the fault and returns what ends it.
+	inject func(w *World) (repair func())
 }
 
-// wholeCorePowerLoss is more than is promised to be survived without cost: nothing acknowledged is lost,
-// but what was claimed is, so keys are refused until whatever was forgotten has run out.
+// wholeCorePowerLoss goes beyond what the mesh survives without cost: nothing acknowledged is lost, but key reservations
+// are, so keys are refused until all forgotten ones have expired.
 const wholeCorePowerLoss = "the whole core loses power"
 
-// Faults are all kinds of fault; each ends after a while.
+// Faults are all kinds of fault that RunMesh injects. Seeds draw them by index, and golden digests and tests hold the
+// names.
 var Faults = []fault{
-	{"seat loses power", false, true, func(w *World) func() {
-		node := w.members[w.randomInt(memberCount)]
-		w.crashMember(node)
-		return func() { w.startMember(node) }
-	}},
-	{"core machine loses power", false, true, func(w *World) func() {
-		i := w.randomInt(memberCount)
-		w.crashMember(w.members[i])
-		w.stopProcess(&w.registries[i].process)
-		return func() { w.startMember(w.members[i]); w.startRegistry(w.registries[i]) }
-	}},
-	{"core machine comes back empty", false, true, func(w *World) func() {
-		i := w.randomInt(memberCount)
-		w.crashMember(w.members[i])
-		w.members[i].disk = nil
-		w.stopProcess(&w.registries[i].process)
-		return func() { w.startMember(w.members[i]); w.startRegistry(w.registries[i]) }
-	}},
-	{"seat loses its disk", false, true, func(w *World) func() {
-		node := w.members[w.randomInt(memberCount)]
-		w.crashMember(node)
-		node.disk = nil
-		return func() { w.startMember(node) }
-	}},
-	{"power lost right after a yes, with the disk", false, true, func(w *World) func() {
-		lost := false
-		var mend func()
-		// It waits for the next yes, and then takes the seat that has the duty.
-		yeses := w.History.Acknowledgements
-		var watch func()
-		watch = func() {
-			if lost {
-				return
-			}
-			if w.History.Acknowledgements == yeses {
-				w.schedule(time.Millisecond, watch)
-				return
-			}
-			for i, node := range w.members {
-				if status := node.replica.Status(); !lost && node.up && status.Leader == memberName(i) {
-					lost = true
-					w.crashMember(node)
-					node.disk = nil
-					w.stopProcess(&w.registries[i].process)
-					mend = func() { w.startMember(node); w.startRegistry(w.registries[i]) }
-				}
-			}
+	{"seat loses power", false, true, (*World).crashRandomMember},
+	{"core machine loses power", false, true, (*World).crashRandomCoreHost},
+	{"core machine comes back empty", false, true, (*World).wipeRandomCoreHost},
+	{"seat loses its disk", false, true, (*World).wipeRandomMember},
+	{"power lost right after a yes, with the disk", false, true, (*World).wipeLeaderAfterAcknowledgement},
+	{wholeCorePowerLoss, true, true, (*World).crashWholeCore},
+	{"registry restarts", false, true, (*World).restartRandomRegistry},
+	{"core machine frozen", false, true, (*World).freezeRandomCoreHost},
+	{"core split one from two", true, false, (*World).isolateRandomMember},
+	{"core split each alone", true, false, (*World).isolateAllMembers},
+	{"one link one way", true, false, (*World).cutRandomCoreLink},
+	{"a core machine cut off one way", true, false, (*World).isolateRandomMemberOneWay},
+	{"core cut off from some proxies", true, false, (*World).partitionSomeProxies},
+	{"edge machine cut off", true, false, (*World).isolateRandomProxy},
+	{"link between two edges lost one way", true, false, (*World).cutRandomProxyLink},
+	{"disk stalls", false, true, (*World).stallRandomDisk},
+	{"disk slow", false, true, (*World).slowRandomDisk},
+	{"edge machine frozen", true, false, (*World).freezeRandomProxy},
+	{"proxy killed", true, false, (*World).killRandomProxy},
+	{"a herd of proxies killed", true, false, (*World).killHalfOfProxies},
+	{"lossy links", true, false, (*World).loseMessages},
+	{"slow links", true, false, (*World).delayMessages},
+	{"links that alter", true, false, (*World).corruptResponses},
+	{"links that repeat", true, false, (*World).duplicateRequests},
+	{"worker killed", true, false, (*World).killRandomWorker},
+	{"worker killed, its address another's", true, false, (*World).killRandomWorkerAndReuseAddress},
+	{"worker loses answers", true, false, (*World).dropResponsesOfRandomWorker},
+	{"worker babbles", true, false, (*World).truncateResponsesOfRandomWorker},
+	{"worker warms up slowly", false, false, (*World).startSlowWorker},
+	{"worker replaced, its address reused", false, false, (*World).replaceRandomWorker},
+	{"worker drained, and goes later", false, false, (*World).drainRandomWorker},
+	{"every worker replaced in turn", false, false, (*World).replaceAllWorkers},
+	{"proxy restarted politely", false, false, (*World).restartRandomProxy},
+	{"storm of changes", false, false, (*World).submitManyChanges},
+	{"setup grows", false, false, (*World).growConfig},
+}
+
+// nothingToRepair ends a fault that ends by itself.
+func nothingToRepair() {}
+
+func (w *World) crashRandomMember() func() {
+	node := w.members[w.randomInt(memberCount)]
+	w.crashMember(node)
+	return func() { w.startMember(node) }
+}
+
+func (w *World) crashRandomCoreHost() func() {
+	i := w.randomInt(memberCount)
+	w.crashCoreHost(i)
+	return func() { w.startCoreHost(i) }
+}
+
+func (w *World) wipeRandomCoreHost() func() {
+	i := w.randomInt(memberCount)
+	w.crashCoreHost(i)
+	w.members[i].disk = nil
+	return func() { w.startCoreHost(i) }
+}
+
+func (w *World) wipeRandomMember() func() {
+	node := w.members[w.randomInt(memberCount)]
+	w.crashMember(node)
+	node.disk = nil
+	return func() { w.startMember(node) }
+}
+
+// wipeLeaderAfterAcknowledgement waits for the next acknowledgement, then takes the power and the disk of the leader.
+func (w *World) wipeLeaderAfterAcknowledgement() func() {
+	lost := false
+	var restart func()
+	before := w.History.Acknowledgements
+	w.retryEvery(time.Millisecond, func() bool {
+		if lost {
+			return true
 		}
-		watch()
-		return func() {
-			lost = true
-			if mend != nil {
-				mend()
+		if w.History.Acknowledgements == before {
+			return false
+		}
+		for i, node := range w.members {
+			if status := node.replica.Status(); !lost && node.up && status.Leader == memberName(i) {
+				lost = true
+				w.crashCoreHost(i)
+				node.disk = nil
+				restart = func() { w.startCoreHost(i) }
 			}
 		}
-	}},
-	{wholeCorePowerLoss, true, true, func(w *World) func() {
-		for i := range memberCount {
-			w.crashMember(w.members[i])
-			w.stopProcess(&w.registries[i].process)
+		return true
+	})
+	return func() {
+		lost = true
+		if restart != nil {
+			restart()
 		}
-		return func() {
-			for i := range memberCount {
-				w.startMember(w.members[i])
-				w.startRegistry(w.registries[i])
-			}
+	}
+}
+
+func (w *World) crashWholeCore() func() {
+	for i := range memberCount {
+		w.crashCoreHost(i)
+	}
+	return func() {
+		for i := range memberCount {
+			w.startCoreHost(i)
 		}
-	}},
-	{"registry restarts", false, true, func(w *World) func() {
-		node := w.registries[w.randomInt(memberCount)]
-		w.stopProcess(&node.process)
-		return func() { w.startRegistry(node) }
-	}},
-	{"core machine frozen", false, true, func(w *World) func() {
-		i := w.randomInt(memberCount)
-		until := w.now + w.randomDuration(12*time.Second)
+	}
+}
+
+func (w *World) restartRandomRegistry() func() {
+	node := w.registries[w.randomInt(memberCount)]
+	w.stopProcess(&node.process)
+	return func() { w.startRegistry(node) }
+}
+
+func (w *World) freezeRandomCoreHost() func() {
+	i := w.randomInt(memberCount)
+	freeze := func(until time.Duration) {
 		w.freeze(&w.members[i].process, until)
 		w.freeze(&w.registries[i].process, until)
-		return func() { w.freeze(&w.members[i].process, 0); w.freeze(&w.registries[i].process, 0) }
-	}},
-	{"core split one from two", true, false, func(w *World) func() {
-		lone := w.randomInt(memberCount)
-		return w.partitionCore(func(i, j int) bool { return i == lone || j == lone })
-	}},
-	{"core split each alone", true, false, func(w *World) func() {
-		return w.partitionCore(func(i, j int) bool { return true })
-	}},
-	{"one link one way", true, false, func(w *World) func() {
-		i, j := w.randomInt(memberCount), w.randomInt(memberCount)
-		return w.partitionCore(func(a, b int) bool { return a == i && b == j })
-	}},
-	{"a core machine cut off one way", true, false, func(w *World) func() {
-		lone, inward := w.randomInt(memberCount), w.randomInt(2) == 0
-		return w.partitionCore(func(a, b int) bool { return (inward && b == lone) || (!inward && a == lone) })
-	}},
-	{"core cut off from some proxies", true, false, func(w *World) func() {
-		var ways [][2]string
-		for _, node := range w.proxies[:1+w.randomInt(len(w.proxies))] {
-			for i := range memberCount {
-				if w.randomInt(4) > 0 {
-					ways = append(ways, [2]string{"core-" + memberName(i), node.name}, [2]string{node.name, "core-" + memberName(i)})
-				}
-			}
-		}
-		return w.cutLinks(ways)
-	}},
-	{"edge machine cut off", true, false, func(w *World) func() {
-		node := w.proxies[w.randomInt(len(w.proxies))]
-		var ways [][2]string
+	}
+	freeze(w.now + w.randomDuration(12*time.Second))
+	return func() { freeze(0) }
+}
+
+func (w *World) isolateRandomMember() func() {
+	isolated := w.randomInt(memberCount)
+	return w.partitionCore(func(i, j int) bool { return i == isolated || j == isolated })
+}
+
+func (w *World) isolateAllMembers() func() {
+	return w.partitionCore(func(int, int) bool { return true })
+}
+
+func (w *World) cutRandomCoreLink() func() {
+	from, to := w.randomInt(memberCount), w.randomInt(memberCount)
+	return w.partitionCore(func(i, j int) bool { return i == from && j == to })
+}
+
+func (w *World) isolateRandomMemberOneWay() func() {
+	isolated, inward := w.randomInt(memberCount), w.randomInt(2) == 0
+	return w.partitionCore(func(i, j int) bool { return (inward && j == isolated) || (!inward && i == isolated) })
+}
+
+func (w *World) partitionSomeProxies() func() {
+	var links [][2]string
+	for _, node := range w.proxies[:1+w.randomInt(len(w.proxies))] {
 		for i := range memberCount {
-			ways = append(ways, [2]string{"core-" + memberName(i), node.name}, [2]string{node.name, "core-" + memberName(i)})
-		}
-		for _, other := range w.proxies {
-			ways = append(ways, [2]string{other.name, node.name}, [2]string{node.name, other.name})
-		}
-		return w.cutLinks(ways)
-	}},
-	{"link between two edges lost one way", true, false, func(w *World) func() {
-		a := w.proxies[w.randomInt(len(w.proxies))]
-		b := w.proxies[w.randomInt(len(w.proxies))]
-		return w.cutLinks([][2]string{{a.name, b.name}})
-	}},
-	{"disk stalls", false, true, func(w *World) func() {
-		node := w.members[w.randomInt(memberCount)]
-		node.stalledUntil = w.now + w.randomDuration(8*time.Second)
-		return func() { w.endDiskStall(node) }
-	}},
-	{"disk slow", false, true, func(w *World) func() {
-		node := w.members[w.randomInt(memberCount)]
-		node.maxExtraSyncDelay = w.randomDuration(500 * time.Millisecond)
-		return func() {
-			node.maxExtraSyncDelay = 0
-			w.withLock(func() { w.markDisturbed(w.time(), hostOf(node.name)) })
-		}
-	}},
-	{"edge machine frozen", true, false, func(w *World) func() {
-		m := &w.proxies[w.randomInt(len(w.proxies))].process
-		w.freeze(m, w.now+w.randomDuration(15*time.Second))
-		return func() { w.freeze(m, 0) }
-	}},
-	{"proxy killed", true, false, func(w *World) func() { return w.killProxies(w.proxies[w.randomInt(len(w.proxies)):][:1]) }},
-	{"a herd of proxies killed", true, false, func(w *World) func() {
-		var herd []*proxyNode
-		for _, node := range w.proxies {
-			if w.randomInt(2) == 0 {
-				herd = append(herd, node)
+			if w.randomInt(4) > 0 {
+				links = append(links, linksBetween(coreHost(i), node.name)...)
 			}
 		}
-		return w.killProxies(herd)
-	}},
-	{"lossy links", true, false, func(w *World) func() {
-		w.withLock(func() { w.lossRate = 0.3 * w.random.Float64() })
-		return func() { w.withLock(func() { w.lossRate = 0; w.markDisturbed(w.time(), everyHost) }) }
-	}},
-	{"slow links", true, false, func(w *World) func() {
-		w.withLock(func() { w.maxExtraDelay = time.Duration(w.random.Int64N(int64(400 * time.Millisecond))) })
-		return func() { w.withLock(func() { w.maxExtraDelay = 0; w.markDisturbed(w.time(), everyHost) }) }
-	}},
-	{"links that alter", true, false, func(w *World) func() {
-		w.withLock(func() { w.corruptionRate = 0.2 * w.random.Float64() })
-		return func() { w.withLock(func() { w.corruptionRate = 0 }) }
-	}},
-	{"links that repeat", true, false, func(w *World) func() {
-		w.withLock(func() { w.duplicationRate = 0.3 * w.random.Float64() })
-		return func() { w.withLock(func() { w.duplicationRate = 0 }) }
-	}},
-	{"worker killed", true, false, func(w *World) func() {
-		old := w.randomWorker()
+	}
+	return w.partitionLinks(links)
+}
+
+func (w *World) isolateRandomProxy() func() {
+	node := w.proxies[w.randomInt(len(w.proxies))]
+	var links [][2]string
+	for i := range memberCount {
+		links = append(links, linksBetween(coreHost(i), node.name)...)
+	}
+	for _, other := range w.proxies {
+		links = append(links, linksBetween(other.name, node.name)...)
+	}
+	return w.partitionLinks(links)
+}
+
+func (w *World) cutRandomProxyLink() func() {
+	from, to := w.proxies[w.randomInt(len(w.proxies))], w.proxies[w.randomInt(len(w.proxies))]
+	return w.partitionLinks([][2]string{{from.name, to.name}})
+}
+
+func (w *World) stallRandomDisk() func() {
+	node := w.members[w.randomInt(memberCount)]
+	node.stalledUntil = w.now + w.randomDuration(8*time.Second)
+	return func() { w.endDiskStall(node) }
+}
+
+func (w *World) slowRandomDisk() func() {
+	node := w.members[w.randomInt(memberCount)]
+	node.maxExtraSyncDelay = w.randomDuration(500 * time.Millisecond)
+	return func() {
+		node.maxExtraSyncDelay = 0
+		w.withLock(func() { w.markDisturbed(w.time(), hostOf(node.name)) })
+	}
+}
+
+func (w *World) freezeRandomProxy() func() {
+	m := &w.proxies[w.randomInt(len(w.proxies))].process
+	w.freeze(m, w.now+w.randomDuration(15*time.Second))
+	return func() { w.freeze(m, 0) }
+}
+
+func (w *World) killRandomProxy() func() {
+	return w.killProxies(w.proxies[w.randomInt(len(w.proxies)):][:1])
+}
+
+func (w *World) killHalfOfProxies() func() { return w.killProxies(w.drawHalfOfProxies()) }
+
+func (w *World) loseMessages() func() {
+	w.withLock(func() { w.lossRate = 0.3 * w.random.Float64() })
+	return func() {
+		w.withLock(func() {
+			w.lossRate = 0
+			w.markDisturbed(w.time(), everyHost)
+		})
+	}
+}
+
+func (w *World) delayMessages() func() {
+	w.withLock(func() { w.maxExtraDelay = time.Duration(w.random.Int64N(int64(400 * time.Millisecond))) })
+	return func() {
+		w.withLock(func() {
+			w.maxExtraDelay = 0
+			w.markDisturbed(w.time(), everyHost)
+		})
+	}
+}
+
+func (w *World) corruptResponses() func() {
+	w.withLock(func() { w.corruptionRate = 0.2 * w.random.Float64() })
+	return func() { w.withLock(func() { w.corruptionRate = 0 }) }
+}
+
+func (w *World) duplicateRequests() func() {
+	w.withLock(func() { w.duplicationRate = 0.3 * w.random.Float64() })
+	return func() { w.withLock(func() { w.duplicationRate = 0 }) }
+}
+
+func (w *World) killRandomWorker() func() {
+	old := w.randomWorker()
+	w.killWorker(old)
+	return func() { w.startWorker(old.proxy, old.service, old.version, old.address) }
+}
+
+// killRandomWorkerAndReuseAddress gives the address of a worker to one of the other service, in half of the cases with
+// its open connections.
+func (w *World) killRandomWorkerAndReuseAddress() func() {
+	old := w.randomWorker()
+	other := otherService(old.service)
+	var reuser *workerNode
+	if w.randomInt(2) == 0 {
+		reuser = w.takeOverConnections(old, other)
+	} else {
 		w.killWorker(old)
-		return func() { w.startWorker(old.proxy, old.service, old.version, old.address) }
-	}},
-	{"worker killed, its address another's", true, false, func(w *World) func() {
-		old := w.randomWorker()
-		other := "shop"
-		if old.service == other {
-			other = "saves"
+		reuser = w.startWorker(old.proxy, other, "1", old.address)
+	}
+	return func() {
+		w.killWorker(reuser)
+		w.startWorker(old.proxy, old.service, old.version, "")
+	}
+}
+
+func (w *World) dropResponsesOfRandomWorker() func() {
+	worker := w.randomWorker()
+	worker.dropsResponses = true
+	return func() { worker.dropsResponses = false }
+}
+
+func (w *World) truncateResponsesOfRandomWorker() func() {
+	worker := w.randomWorker()
+	worker.truncatesResponses = true
+	return func() { worker.truncatesResponses = false }
+}
+
+func (w *World) startSlowWorker() func() {
+	old := w.randomWorker()
+	w.startWorker(old.proxy, old.service, old.version, "").warmup = 5 * time.Second
+	return nothingToRepair
+}
+
+func (w *World) replaceRandomWorker() func() {
+	w.replaceWorker(w.randomWorker())
+	return nothingToRepair
+}
+
+// drainRandomWorker drains a worker that has a replacement, and ends it only after a while.
+func (w *World) drainRandomWorker() func() {
+	old := w.randomWorker()
+	w.startWorker(old.proxy, old.service, old.version, "")
+	w.schedule(500*time.Millisecond, func() {
+		if old.up {
+			w.drainWorker(old)
 		}
-		var reuser *workerNode
-		if w.randomInt(2) == 0 {
-			reuser = w.takeOverConnections(old, other)
-		} else {
+	})
+	return func() {
+		w.schedule(6*time.Second, func() {
+			w.describeWorker(old, true)
 			w.killWorker(old)
-			reuser = w.startWorker(old.proxy, other, "1", old.address)
-		}
-		return func() { w.killWorker(reuser); w.startWorker(old.proxy, old.service, old.version, "") }
-	}},
-	{"worker loses answers", true, false, func(w *World) func() {
-		one := w.randomWorker()
-		one.dropsResponses = true
-		return func() { one.dropsResponses = false }
-	}},
-	{"worker babbles", true, false, func(w *World) func() {
-		one := w.randomWorker()
-		one.truncatesResponses = true
-		return func() { one.truncatesResponses = false }
-	}},
-	{"worker warms up slowly", false, false, func(w *World) func() {
-		old := w.randomWorker()
-		w.startWorker(old.proxy, old.service, old.version, "").warmup = 5 * time.Second
-		return func() {}
-	}},
-	{"worker replaced, its address reused", false, false, func(w *World) func() {
-		w.replaceWorker(w.randomWorker())
-		return func() {}
-	}},
-	{"worker drained, and goes later", false, false, func(w *World) func() {
-		old := w.randomWorker()
-		w.startWorker(old.proxy, old.service, old.version, "")
-		w.schedule(500*time.Millisecond, func() {
-			if old.up {
-				w.drainWorker(old)
+		})
+	}
+}
+
+func (w *World) replaceAllWorkers() func() {
+	for i, worker := range w.activeWorkers() {
+		w.schedule(time.Duration(i)*1200*time.Millisecond, func() {
+			if worker.up && !worker.draining {
+				w.replaceWorker(worker)
 			}
 		})
-		return func() { w.schedule(6*time.Second, func() { w.describeWorker(old, true); w.killWorker(old) }) }
-	}},
-	{"every worker replaced in turn", false, false, func(w *World) func() {
-		for i, one := range w.activeWorkers() {
-			w.schedule(time.Duration(i)*1200*time.Millisecond, func() {
-				if one.up && !one.draining {
-					w.replaceWorker(one)
-				}
-			})
-		}
-		return func() {}
-	}},
-	{"proxy restarted politely", false, false, func(w *World) func() {
-		w.restartGracefully(w.proxies[w.randomInt(len(w.proxies))])
-		return func() {}
-	}},
-	{"storm of changes", false, false, func(w *World) func() {
-		for i := range 100 {
-			w.schedule(time.Duration(i)*20*time.Millisecond, w.submitRandomChange)
-		}
-		return func() {}
-	}},
-	{"setup grows", false, false, func(w *World) func() {
-		var items []*schema.Item
-		for range 300 {
-			serial := w.nextID()
-			items = append(items, routeItem(fmt.Sprint("grown", serial), serial))
-		}
-		w.submitItems(w.registries[w.randomInt(memberCount)], items...)
-		return func() {}
-	}},
+	}
+	return nothingToRepair
+}
+
+func (w *World) restartRandomProxy() func() {
+	w.restartGracefully(w.proxies[w.randomInt(len(w.proxies))])
+	return nothingToRepair
+}
+
+func (w *World) submitManyChanges() func() {
+	for i := range 100 {
+		w.schedule(time.Duration(i)*20*time.Millisecond, w.submitRandomChange)
+	}
+	return nothingToRepair
+}
+
+func (w *World) growConfig() func() {
+	items := w.newRouteItems("grown", 300)
+	w.submitItems(w.registries[w.randomInt(memberCount)], items...)
+	return nothingToRepair
 }
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -313,7 +313,7 @@
 			},
 				&schema.Item{Kind: "flag", Name: "release.shop", Deleted: true})
 			w.Run(w.now + 4*time.Second)
-			w.placeOrder(release.RolloutOrder{Service: "shop", Version: "2", Within: 12 * time.Second}, func() {})
+			w.submitOrder(release.RolloutOrder{Service: "shop", Version: "2", Within: 12 * time.Second}, func() {})
 		} else {
 			w.submitUntilAccepted(func() {}, releasePlanItem("shop", 60, 20*time.Second))
 		}
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -13,115 +13,150 @@
 	"meadowhinge/schema"
 )
 
-// History is what happened, and every breach of a never-rule found in it.
+// History records what happens in a world, and every breach of a never-rule found in it.
 type History struct {
-	lock              sync.Mutex
-	Decisions         int
-	InTouchDecisions  int // of them at proxies in touch
-	Attempts          int
-	Answered          int
-	WorkerRuns        int
-	AnsweredRetries   int // asks under a key that had been asked for before, and were answered
-	Acknowledgements  int
-	RefusedChanges    int
-	Breaches          map[string][]string
-	EventHash         uint64         // of all events and their times: equal prints are equal runs
-	Rejections        map[string]int // proper calls turned away, by fault and cause
-	Unsent            int
-	MaxTombstones     int // the most that any copy held
-	Purges            int // how often tombstones were let go
+	world *World
+	lock  sync.Mutex // guards all fields below, except those with another rule
+	// closed is set by World.Close: outcomes are not recorded any more.
+	closed bool
+
+	// Totals for reports and golden digests.
+	Decisions        int                       // dispatches of calls by proxies
+	InTouchDecisions int                       // of these, by proxies in touch; counted only with Options.ServeStale
+	Attempts         int                       // attempts by callers
+	Answered         int                       // attempts with a response from a worker
+	WorkerRuns       int                       // requests that workers ran
+	AnsweredRetries  int                       // answered attempts of calls that had been attempted before
+	Acknowledgements int                       // changes acknowledged to operators
+	RefusedChanges   int                       // rulings other than accepted
+	Unsent           int                       // attempts that no proxy admitted
+	BlockedCalls     int                       // calls withheld from a version in canary
+	CancelledCalls   int                       // attempts that the caller cancelled
+	MaxTombstones    int                       // the most that any copy of the configuration held
+	Purges           int                       // purges of tombstones
+	Rejections       map[string]int            // rejected calls by the fault blamed and the cause
+	Disconnects      dispatch.DisconnectCounts // of all runs of all proxies
+	EventHash        uint64                    // over the due times of all events; World.lock guards it
+	Breaches         map[string][]string       // descriptions by rule, at most maxBreachesShown of each
+
+	// What callers, workers and operators did and saw.
+	operations       map[string]*operation
+	acknowledgements []revisionAt // by time, with increasing revisions
+	lastAcknowledged uint64
+	rulings          map[string]schema.Ruling   // by change
+	departedAt       map[string]time.Duration   // by token: when the worker began to drain or ended
+	retryTimes       map[string][]time.Duration // by service: dispatches after the first of their call
+	badVersions      []*badVersion
+	inFlight         map[versionKey]int // calls in flight at workers; World.lock guards it
+
+	// What configurations are known and shown.
+	snapshots         map[uint64]*config.Snapshot // by revision, as compiled by the first registry
+	contentBySequence map[uint64]string           // fingerprint of the configuration at each sequence
+	shownRevisions    map[string][]revisionAt     // by member
+	invalidItems      map[string]bool             // keys of items that only invalid changes contain
 	purgedUpTo        uint64
-	BlockedCalls      int
-	CancelledCalls    int                       // callers that left before they were answered
-	Disconnects       dispatch.DisconnectCounts // of all lives of proxies
-	world             *World
-	acknowledgements  []revisionAt // by time, the highest acknowledged setup
-	lastAcknowledged  uint64
-	shownRevisions    map[string][]revisionAt
-	lastUsedRevision  map[string]uint64
-	processRuns       map[string]int    // of proxies, that last belongs to
-	contentBySequence map[uint64]string // what each stable sequence is: the change that took it
-	invalidItems      map[string]bool   // items that only invalid changes name
-	rulings           map[string]schema.Ruling
-	operations        map[string]*operation
-	departedAt        map[string]time.Duration // by token: when its worker said that it leaves, or ended
-	snapshots         map[uint64]*config.Snapshot
-	retryTimes        map[string][]time.Duration // by service: dispatches after the first of their call
-	inFlight          map[string]int             // calls under way, by service and version
-	badVersions       []*badVersion
-	closed            bool
+	lastUsedRevision  map[string]uint64 // by proxy
+	processRuns       map[string]int    // by proxy: the run that lastUsedRevision belongs to
+}
+
+// versionKey names a version of a service.
+type versionKey struct{ service, version string }
+
+// newHistory creates the empty history of a world.
+func newHistory(w *World) *History {
+	return &History{
+		world:             w,
+		Rejections:        map[string]int{},
+		operations:        map[string]*operation{},
+		rulings:           map[string]schema.Ruling{},
+		departedAt:        map[string]time.Duration{},
+		retryTimes:        map[string][]time.Duration{},
+		inFlight:          map[versionKey]int{},
+		snapshots:         map[uint64]*config.Snapshot{},
+		contentBySequence: map[uint64]string{},
+		shownRevisions:    map[string][]revisionAt{},
+		invalidItems:      map[string]bool{},
+		lastUsedRevision:  map[string]uint64{},
+		processRuns:       map[string]int{},
+	}
 }
 
+// revisionAt is a revision and the time from which it was known.
 type revisionAt struct {
 	at       time.Duration
 	revision uint64
 }
 
-// operation is one thing a caller wants done, however often it asks for it.
+// operation is one call that a caller wants executed, with all its attempts and runs.
 type operation struct {
 	id, caller, service, path string
-	nonIdempotent, keyed      bool
+	nonIdempotent, keyed      bool // keyed: under an idempotency key
 	attempts                  []*callerAttempt
 	runs                      []workerRun
 	startedAt                 time.Duration
 }
 
-// callerAttempt is one asking, as the caller saw it.
+// callerAttempt is one attempt of an operation as its caller saw it.
 type callerAttempt struct {
 	proxy              *proxyNode
 	sentAt, finishedAt time.Duration
-	outcome            string
+	outcome            string               // one of the constants outcomeX
 	result             *dispatch.CallResult // nil if the connection was lost or never opened
 }
 
+// workerRun is one execution of an operation by a worker.
 type workerRun struct {
 	worker        *workerNode
 	at            time.Duration
 	attemptNumber int
-	requestID     string // the dispatch
-	endedAt       time.Duration
+	requestID     string        // of the dispatch
+	endedAt       time.Duration // recorded only in worlds whose callers cancel
 }
 
-// faultRecord is a fault and how long it went on.
+// faultRecord is a fault that was injected and how long it lasted.
 type faultRecord struct {
 	name               string
-	startedAt, endedAt time.Duration
-	mayReject          bool // it may turn callers away
-	hitsCore           bool // it takes a core machine, which costs nothing while the others stand
+	startedAt, endedAt time.Duration // endedAt is zero while the fault is active
+	mayReject          bool          // the fault may cause rejected calls
+	hitsCore           bool          // the fault takes a core host, which must cost nothing while the others run
 }
 
-// badVersion is what a version that is not sound got of its service's calls since it was so.
+// badVersion counts the calls of an unhealthy version and its service since the version became unhealthy.
 type badVersion struct {
-	service, version                       string
-	serviceCalls, versionCalls, failures   int
-	failureLimitAt, lastCallAt, lateCallAt time.Duration
+	service, version                     string
+	serviceCalls, versionCalls, failures int
+
+	failureLimitAt time.Duration // of the failure that reached the limit
+	lastCallAt     time.Duration
+	lateCallAt     time.Duration // of the first call after the bound that follows failureLimitAt, 0 for none
 }
 
-func (h *History) startOperation(id, caller, service, path string, nonIdempotent, keyed bool) *operation {
+// startOperation records a new operation of a caller.
+func (h *History) startOperation(id string, kind callKind, keyed bool) *operation {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	operation := &operation{
+	started := &operation{
 		id:            id,
-		caller:        caller,
-		service:       service,
-		path:          path,
-		nonIdempotent: nonIdempotent,
+		caller:        kind.caller,
+		service:       kind.service,
+		path:          kind.path,
+		nonIdempotent: kind.nonIdempotent,
 		keyed:         keyed,
 		startedAt:     h.world.time(),
 	}
-	h.operations[id] = operation
-	return operation
+	h.operations[id] = started
+	return started
 }
 
-// beginWorkerCall counts a call that a worker of a version has begun; the world's lock is held.
+// beginWorkerCall counts a call that a worker begins, and returns the calls in flight at its version. The caller holds
+// World.lock.
 func (h *History) beginWorkerCall(worker *workerNode) int {
-	if h.inFlight == nil {
-		h.inFlight = map[string]int{}
-	}
-	h.inFlight[worker.service+worker.version]++
-	return h.inFlight[worker.service+worker.version]
+	key := versionKey{worker.service, worker.version}
+	h.inFlight[key]++
+	return h.inFlight[key]
 }
 
+// recordDeparture records when a worker began to drain or ended, whichever came first.
 func (h *History) recordDeparture(token string, at time.Duration) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -130,7 +165,7 @@
 	}
 }
 
-// recordSnapshot notes a setup that a registry gives out.
+// recordSnapshot records a configuration that a registry serves.
 func (h *History) recordSnapshot(snapshot *config.Snapshot) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -139,7 +174,7 @@
 	}
 }
 
-// recordAcknowledgement notes an acknowledgement.
+// recordAcknowledgement records that a change was acknowledged to its operator.
 func (h *History) recordAcknowledgement(now time.Duration, sequence uint64) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -150,7 +185,7 @@
 	}
 }
 
-// acknowledgedAt is the highest setup that had been acknowledged at a time; the caller holds the lock.
+// acknowledgedAt returns the highest revision that had been acknowledged at a time. The caller holds the lock.
 func (h *History) acknowledgedAt(at time.Duration) uint64 {
 	index := sort.Search(len(h.acknowledgements), func(i int) bool { return h.acknowledgements[i].at > at }) - 1
 	if index < 0 {
@@ -159,25 +194,27 @@
 	return h.acknowledgements[index].revision
 }
 
-func (h *History) markInvalid(item string) {
+// addInvalidItem records the key of an item that must never be in force.
+func (h *History) addInvalidItem(key string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	h.invalidItems[item] = true
+	h.invalidItems[key] = true
 }
 
-// outcomes lists what the callers of an op were told.
+// outcomes lists what the callers of an operation saw, for breach texts.
 func (o *operation) outcomes() string {
 	var parts []string
 	for _, attempt := range o.attempts {
-		kind := ""
+		code := ""
 		if attempt.result != nil && attempt.result.Err != nil {
-			kind = string(errs.CodeOf(attempt.result.Err))
+			code = string(errs.CodeOf(attempt.result.Err))
 		}
-		parts = append(parts, fmt.Sprintf("%s@%v:%s %s", attempt.proxy.name, attempt.sentAt, attempt.outcome, kind))
+		parts = append(parts, fmt.Sprintf("%s@%v:%s %s", attempt.proxy.name, attempt.sentAt, attempt.outcome, code))
 	}
 	return strings.Join(parts, ", ")
 }
 
+// sortedOperationIDs returns the ids of operations in a fixed order.
 func sortedOperationIDs(operations map[string]*operation) []string {
 	ids := make([]string, 0, len(operations))
 	for id := range operations {
--- a/internal/simulator/initial_config.go
+++ b/internal/simulator/initial_config.go
@@ -1,11 +1,13 @@
 package simulator
 
 import (
+	"fmt"
 	"time"
 
 	"meadowhinge/internal/configsource"
 )
 
+// initialConfig is the configuration that every mesh begins with, in the operators' source format.
 const initialConfig = `
 service: shop: {versions: ["1", "2"], fallback: "1", callers: ["client", "saves"]}
 service: saves: {versions: ["1", "2"], fallback: "1", callers: ["client"]}
@@ -17,10 +19,13 @@
 flag: "release.saves": {on: true, salt: "s", variations: ["1", "2"], offVariation: 0, fallthrough: rollout: variations: [{variation: 0, weight: 70000}, {variation: 1, weight: 30000}]}
 `
 
-// bootFleet waits until the fleet serves its first setup.
+// bootFleet runs the world until the fleet serves its initial configuration, and starts the callers.
 func (w *World) bootFleet() {
 	w.Run(leaseDuration + 2*time.Second)
-	items, _ := configsource.Parse([]byte(initialConfig))
+	items, err := configsource.Parse([]byte(initialConfig))
+	if err != nil {
+		panic(fmt.Sprintf("simulator: the initial configuration is invalid: %v", err))
+	}
 	w.submitUntilAccepted(func() {}, items...)
 	w.Run(settlingTime)
 	w.startCallers()
--- a/internal/simulator/member.go
+++ b/internal/simulator/member.go
@@ -9,33 +9,45 @@
 	"meadowhinge/schema"
 )
 
+// memberNode is one member of the core: a replica of the store with its disk. Only events use it; World.inTouch also
+// reads its disk faults, from goroutines that events wait for.
 type memberNode struct {
 	process
-	replica           *store.Replica
-	replicaConfig     store.Config
-	incarnation       uint64
-	disk              []*schema.Record // synced
-	pendingWrites     []store.Persist
-	stalledUntil      time.Duration
-	syncsStarted      int // begun
-	failsUntil        time.Duration
-	maxExtraSyncDelay time.Duration // added to every sync at most
-	nextTickAt        time.Duration // by its own clock
-	pendingReplies    map[string]func(any)
-	lost, removed     bool // of a core alone: taken by a fault, or away for good
+	replica       *store.Replica
+	replicaConfig store.Config
+	incarnation   uint64
+	disk          []*schema.Record // durable records; they survive a crash
+	pendingWrites []store.Persist  // records not yet durable, in order
+	syncsStarted  int              // numbers the syncs, so that a superseded one has no effect
+	nextTickAt    time.Duration    // of the tick scheduled next, by the local clock; 0 for none
+
+	// Faults of the disk.
+	stalledUntil      time.Duration // syncs do not finish before
+	failsUntil        time.Duration // syncs fail before
+	maxExtraSyncDelay time.Duration // bound of the latency added to each sync
+
+	// Callbacks by ticket; a crash drops them.
+	pendingRulings     map[string]func(*schema.ProposalReply)
+	pendingReadIndexes map[string]func(*schema.ReadIndexReply)
+
+	// The fields below are used only by RunCore.
+	lost    bool // a fault has taken the member, and it has not fully recovered
+	removed bool // the member is gone for good
 }
 
+// memberName returns the id of the i-th member: "a", "b" and so on.
 func memberName(i int) string { return string(rune('a' + i)) }
 
-func newReplicaConfig(name string, order []string, losses int) store.Config {
+// newReplicaConfig returns the configuration of a replica. A nil list of static members makes it find the core from
+// its seeds.
+func newReplicaConfig(name string, staticMembers []string, toleratedLosses int) store.Config {
 	return store.Config{
-		Name:             name,
-		StaticMembers:    order,
-		Address:          name,
-		ToleratedLosses:  losses,
-		HeartbeatTimeout: heartbeatTimeout,
-		StallTimeout:     stallTimeout,
-
+		Name:                  name,
+		StaticMembers:         staticMembers,
+		Address:               name,
+		ToleratedLosses:       toleratedLosses,
+		HeartbeatTimeout:      heartbeatTimeout,
+		StallTimeout:          stallTimeout,
 		MaxEntries:            16,
 		MaxOutcomes:           4096,
 		MaxUncommittedEntries: 64,
@@ -43,15 +55,17 @@
 	}
 }
 
+// startMember begins a run of a member with what its disk holds. An empty disk gets a new incarnation.
 func (w *World) startMember(node *memberNode) {
 	w.startProcess(&node.process)
 	node.pendingWrites = nil
-	node.pendingReplies = map[string]func(any){}
+	node.pendingRulings = map[string]func(*schema.ProposalReply){}
+	node.pendingReadIndexes = map[string]func(*schema.ReadIndexReply){}
 	node.nextTickAt = 0
 	node.replicaConfig.NewIncarnation = func() uint64 { return uint64(w.nextID()) }
 	replicaConfig := node.replicaConfig
 	if len(node.disk) == 0 {
-		// The planted fault lets an empty folder pass for the one that was lost.
+		// The seeded fault makes an empty disk pass for the one that was lost.
 		if w.seededFault != SeededWipedMemberCounts || node.incarnation == 0 {
 			node.incarnation = uint64(w.nextID())
 		} else {
@@ -59,14 +73,15 @@
 			replicaConfig.ExpandsMembership = false
 		}
 		node.disk = []*schema.Record{store.InitialRecord(replicaConfig, node.incarnation)}
-		// Only the first start of all founds anything.
-		node.replicaConfig.Founders, node.replicaConfig.ExpandsMembership = nil, false
+		// Only the first start of all may found or expand the core.
+		node.replicaConfig.Founders = nil
+		node.replicaConfig.ExpandsMembership = false
 	}
 	node.replica = store.NewReplica(replicaConfig, node.incarnation, node.disk)
 	w.scheduleOn(&node.process, 0, func() { w.tick(node) })
 }
 
-// memberNames names the seats as one of them knows them.
+// memberNames returns the ids of the members as a replica knows them.
 func memberNames(replica *store.Replica) (names []string) {
 	for _, member := range replica.Status().Membership.GetMembers() {
 		names = append(names, member.Id)
@@ -74,12 +89,14 @@
 	return names
 }
 
+// tick advances a replica to its local time.
 func (w *World) tick(node *memberNode) {
 	node.nextTickAt = 0
 	w.execute(node, node.replica.Tick(node.clock.at(w.now)))
 }
 
-// scheduleTick lets a seat tick when it wants to, as its daemon does.
+// scheduleTick schedules the next tick that a replica asks for, as its daemon does. A tick scheduled earlier for a
+// later time is superseded.
 func (w *World) scheduleTick(node *memberNode) {
 	at := node.replica.NextTickAt()
 	if node.nextTickAt != 0 && at >= node.nextTickAt {
@@ -94,26 +111,22 @@
 	})
 }
 
-func (w *World) memberNamed(name string) *memberNode {
+// memberNamed returns the member of an id, or nil.
+func (w *World) memberNamed(id string) *memberNode {
 	for _, node := range w.members {
-		if node.name == "store-"+name {
+		if node.name == "store-"+id {
 			return node
 		}
 	}
 	return nil
 }
 
+// execute carries out the actions that a step of a replica returned.
 func (w *World) execute(node *memberNode, actions []store.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
 		case store.Send:
-			receiver := w.memberNamed(action.Message.To)
-			if receiver == nil {
-				continue
-			}
-			message := proto.Clone(action.Message).(*schema.ReplicaMessage)
-			w.send(&node.process, &receiver.process,
-				func() { w.execute(receiver, receiver.replica.Step(receiver.clock.at(w.now), message)) })
+			w.sendToMember(node, action.Message)
 		case store.Persist:
 			action.Record = proto.Clone(action.Record).(*schema.Record)
 			node.pendingWrites = append(node.pendingWrites, action)
@@ -121,23 +134,36 @@
 				w.syncNext(node)
 			}
 		case store.Reply:
-			w.resolveReply(node, action.Result.Ticket, action.Result)
+			resolveReply(node.pendingRulings, action.Result.Ticket, action.Result)
 		case store.ReadIndexReady:
-			w.resolveReply(node, action.Result.Ticket, action.Result)
+			resolveReply(node.pendingReadIndexes, action.Result.Ticket, action.Result)
 		}
 	}
 	w.scheduleTick(node)
 	w.observeMember(node)
 }
 
-func (w *World) resolveReply(node *memberNode, ticket string, result any) {
-	if onReply := node.pendingReplies[ticket]; onReply != nil {
-		delete(node.pendingReplies, ticket)
-		onReply(result)
+// sendToMember sends a message of a replica to another, if there is one of that id.
+func (w *World) sendToMember(node *memberNode, message *schema.ReplicaMessage) {
+	receiver := w.memberNamed(message.To)
+	if receiver == nil {
+		return
+	}
+	message = proto.Clone(message).(*schema.ReplicaMessage)
+	w.send(&node.process, &receiver.process, func() {
+		w.execute(receiver, receiver.replica.Step(receiver.clock.at(w.now), message))
+	})
+}
+
+// resolveReply calls the callback of a ticket with its reply, once. Tickets of an earlier run have none.
+func resolveReply[Reply any](pending map[string]func(Reply), ticket string, reply Reply) {
+	if onReply := pending[ticket]; onReply != nil {
+		delete(pending, ticket)
+		onReply(reply)
 	}
 }
 
-// syncNext finishes the first write after the disk's delay, then takes the next.
+// syncNext makes the first pending write durable after the disk's latency, then goes on with the next.
 func (w *World) syncNext(node *memberNode) {
 	node.syncsStarted++
 	syncID := node.syncsStarted
@@ -147,7 +173,7 @@
 	}
 	w.scheduleOn(&node.process, delay, func() {
 		if syncID != node.syncsStarted {
-			return // the stall that it waited for ended before
+			return // the stall ended early, and another sync has begun
 		}
 		if node.stalledUntil > w.now {
 			w.syncNext(node)
@@ -167,7 +193,7 @@
 	})
 }
 
-// endDiskStall ends a disk's stall, and it goes on at once with what it was writing.
+// endDiskStall ends the stall of a disk; a sync that waits for its end starts again at once.
 func (w *World) endDiskStall(node *memberNode) {
 	if node.stalledUntil > w.now && len(node.pendingWrites) > 0 && node.up {
 		node.stalledUntil = 0
@@ -176,7 +202,7 @@
 	node.stalledUntil = 0
 }
 
-// failWrites is what the daemon does of a disk that refuses a write.
+// failWrites reports a failed disk to the replica and rewrites the snapshot later, as the daemon does.
 func (w *World) failWrites(node *memberNode) {
 	w.execute(node, node.replica.DiskFailed(node.clock.at(w.now)))
 	w.scheduleOn(&node.process, stallTimeout/8, func() {
@@ -185,7 +211,7 @@
 	})
 }
 
-// persist puts a record on the disk for good.
+// persist makes a record durable.
 func (w *World) persist(node *memberNode, write store.Persist) {
 	if write.ReplacesLog {
 		node.disk = nil
@@ -193,13 +219,16 @@
 	node.disk = append(node.disk, write.Record)
 }
 
-// crashMember is a loss of power: what was not synced is gone, but for a part that happened
-// to reach the disk.
+// crashMember cuts the power of a member. Pending writes are lost, except for a random prefix that reached the disk.
 func (w *World) crashMember(node *memberNode) {
-	// The planted disk said "synced" of records that power loss now takes away.
+	// The seeded fault also takes records that the disk had reported as durable.
 	if w.seededFault == SeededLyingDisk {
-		for remaining := 1 + w.randomInt(3); remaining > 0 && len(node.disk) > 1 && node.disk[len(node.disk)-1].Snapshot == nil; remaining-- {
-			node.disk = node.disk[:len(node.disk)-1]
+		for remaining := 1 + w.randomInt(3); remaining > 0 && len(node.disk) > 1; remaining-- {
+			last := len(node.disk) - 1
+			if node.disk[last].Snapshot != nil {
+				break
+			}
+			node.disk = node.disk[:last]
 		}
 	}
 	if node.up {
@@ -211,4 +240,5 @@
 	w.stopProcess(&node.process)
 }
 
+// host returns the host that the member runs on.
 func (n *memberNode) host() string { return hostOf(n.name) }
--- a/internal/simulator/mesh_scenario.go
+++ b/internal/simulator/mesh_scenario.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// Lengths of a play.
+// Timing of a mesh scenario.
 const (
-	settlingTime          = 3 * leaseDuration
+	settlingTime          = 3 * leaseDuration // from the start until the callers start
 	defaultFaultyDuration = 60 * time.Second
 	maxFaultDuration      = 12 * time.Second
-	registryRestartTime   = 2 * leaseDuration // registries that restarted last count again only after a lease
+	registryRestartTime   = 2 * leaseDuration // until a registry that restarted last grants leases again
 )
 
-// RunMesh runs one seed: a fleet comes up, callers call, operators state changes and a release
-// plan, faults come and go in combination, all are mended, and the fleet must be back. It must
-// run inside a bubble.
+// RunMesh runs one seed of a whole mesh: the fleet boots, callers send calls, operators submit changes and in every
+// second seed a release plan, faults come and go in combination, all are repaired, and service must be back. It must run
+// inside a synctest bubble.
 func RunMesh(seed uint64, seededFault SeededFault, options Options) *World {
 	if options.Proxies == 0 {
 		options.Proxies = 5
@@ -38,7 +38,7 @@
 	if !options.NoFaults {
 		w.injectFaults(until)
 	}
-	// By then the last fault has been mended; the registries may have restarted just before.
+	// By then the last fault is repaired; the registries may have restarted just before.
 	w.Run(until + maxFaultDuration + time.Second)
 	w.checkRecovery()
 	w.Close()
@@ -46,7 +46,7 @@
 	return w
 }
 
-// startRelease states a plan for the shop in the midst of it all; in some seeds the version is bad.
+// startRelease submits a release plan for the shop; in every second seed that has one the version becomes unhealthy.
 func (w *World) startRelease(seed uint64) {
 	w.submitUntilAccepted(func() {}, releasePlanItem("shop", 60, 20*time.Second))
 	if seed%4 == 0 {
@@ -54,31 +54,24 @@
 	}
 }
 
-// degradeVersion makes a version ill from a time on, and has it watched.
+// degradeVersion degrades a version and makes the history watch its exposure.
 func (w *World) degradeVersion(service, version string, degradation *Degradation) {
-	w.lock.Lock()
-	w.degradations[[2]string{service, version}] = degradation
-	w.lock.Unlock()
+	w.withLock(func() { w.degradations[[2]string{service, version}] = degradation })
 	w.History.lock.Lock()
 	w.History.badVersions = append(w.History.badVersions, &badVersion{service: service, version: version})
 	w.History.lock.Unlock()
 }
 
-// checkRecovery checks that after the last fault service is back and what was acknowledged stands.
+// checkRecovery checks that after the last fault service is back within the bound, and that nothing acknowledged is lost.
 func (w *World) checkRecovery() {
-	recoveredAfter := time.Duration(0)
 	start := w.now
 	acknowledgedBefore := w.History.lastAcknowledged
-	// A registry that restarted with the last fault counts again after a lease: that is the bound's bulk.
+	recoveredAfter := time.Duration(0)
+	// A registry that restarted with the last fault grants leases again only after a lease, so the loop goes on beyond the
+	// bound to report how long it took.
 	for w.now < start+recoveryBound+registryRestartTime {
 		w.Run(w.now + 250*time.Millisecond)
-		leased := 0
-		for _, node := range w.proxies {
-			if node.up && (w.Options.ServeStale || node.leaseGate.Open()) && node.acceptsCallers.Load() {
-				leased++
-			}
-		}
-		if leased == len(w.proxies) && w.History.lastAcknowledged > acknowledgedBefore {
+		if w.isServing() && w.History.lastAcknowledged > acknowledgedBefore {
 			recoveredAfter = w.now - start
 			break
 		}
@@ -91,7 +84,18 @@
 			continue
 		}
 		if committed, _ := node.replica.Committed(); committed < acknowledgedBefore {
-			w.History.recordBreach(RuleAcknowledgedLost, "%s shows %d; %d had been acknowledged", node.name, committed, acknowledgedBefore)
+			w.History.recordBreach(RuleAcknowledgedLost, "%s shows %d; %d had been acknowledged",
+				node.name, committed, acknowledgedBefore)
+		}
+	}
+}
+
+// isServing reports whether every proxy is up, may decide and admits callers.
+func (w *World) isServing() bool {
+	for _, node := range w.proxies {
+		if !node.up || (!w.Options.ServeStale && !node.leaseGate.Open()) || !node.acceptsCallers.Load() {
+			return false
 		}
 	}
+	return true
 }
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -2,37 +2,46 @@
 
 import (
 	"math/rand/v2"
+	"strings"
 	"time"
 )
 
-// hostOf is the machine a process stands on: a store and a registry share one.
+// hostOf returns the host that a process runs on. A replica and a registry of one member share a core host; every
+// proxy has a host of its own.
 func hostOf(name string) string {
-	if len(name) > 6 && name[:6] == "store-" {
-		return "core-" + name[6:]
+	if member, found := strings.CutPrefix(name, "store-"); found && member != "" {
+		return "core-" + member
 	}
-	if len(name) > 9 && name[:9] == "registry-" {
-		return "core-" + name[9:]
+	if member, found := strings.CutPrefix(name, "registry-"); found && member != "" {
+		return "core-" + member
 	}
 	return name
 }
 
+// coreHost returns the name of the host of the i-th member.
+func coreHost(i int) string { return "core-" + memberName(i) }
+
+// linksBetween returns the links of two hosts in both directions.
+func linksBetween(a, b string) [][2]string { return [][2]string{{a, b}, {b, a}} }
+
+// isPartitioned reports whether the link from one process to another is cut in this direction.
 func (w *World) isPartitioned(from, to *process) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.partitionedLinks[[2]string{hostOf(from.name), hostOf(to.name)}]
 }
 
-// isPartitionedEitherWay tells whether a link is cut in one direction or the other: no session stands on it.
+// isPartitionedEitherWay reports whether a link is cut in either direction; no session survives on such a link.
 func (w *World) isPartitionedEitherWay(a, b *process) bool {
 	return w.isPartitioned(a, b) || w.isPartitioned(b, a)
 }
 
-// canReach tells whether one machine can call another just now.
+// canReach reports whether one process can call another at this moment.
 func (w *World) canReach(from, to *process) bool {
-	return w.isResponsive(to) && !w.isPartitioned(from, to) && !w.isPartitioned(to, from)
+	return w.isResponsive(to) && !w.isPartitionedEitherWay(from, to)
 }
 
-// sampleLink draws whether a link lets a message through, and how long it takes.
+// sampleLink draws whether a link loses a message, and the latency of the message.
 func (w *World) sampleLink(from, to *process, random *rand.Rand) (delay time.Duration, lost bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -40,19 +49,22 @@
 	if fromHost != toHost && (w.partitionedLinks[[2]string{fromHost, toHost}] || random.Float64() < w.lossRate) {
 		lost = true
 	}
-	return time.Millisecond + time.Duration(random.Int64N(int64(4*time.Millisecond)+int64(w.maxExtraDelay))), lost
+	maxDelay := 4*time.Millisecond + w.maxExtraDelay
+	return time.Millisecond + time.Duration(random.Int64N(int64(maxDelay))), lost
 }
 
-// send carries an event's message from one machine to another, if the links let it.
+// send delivers a message of an event from one process to another, if the links let it through; run is its
+// effect at the receiver.
 func (w *World) send(from, to *process, run func()) { w.sendWith(w.random, from, to, run) }
 
+// sendWith is send with a random stream of the caller's, for goroutines.
 func (w *World) sendWith(random *rand.Rand, from, to *process, run func()) {
 	delay, lost := w.sampleLink(from, to, random)
 	if lost {
 		return
 	}
 	w.schedule(delay, func() {
-		// The link may be cut while the message is under way.
+		// The link may be cut while the message is in flight.
 		if w.isPartitioned(from, to) {
 			return
 		}
@@ -60,19 +72,21 @@
 	})
 }
 
-func (w *World) partitionCore(isCut func(i, j int) bool) func() {
+// partitionCore cuts the links between members for which isPartitioned is true, and returns what heals them.
+func (w *World) partitionCore(isPartitioned func(i, j int) bool) (heal func()) {
 	var links [][2]string
 	for i := range memberCount {
 		for j := range memberCount {
-			if i != j && isCut(i, j) {
-				links = append(links, [2]string{"core-" + memberName(i), "core-" + memberName(j)})
+			if i != j && isPartitioned(i, j) {
+				links = append(links, [2]string{coreHost(i), coreHost(j)})
 			}
 		}
 	}
-	return w.cutLinks(links)
+	return w.partitionLinks(links)
 }
 
-func (w *World) cutLinks(links [][2]string) func() {
+// partitionLinks cuts links, each from its first host to its second, and returns what heals them.
+func (w *World) partitionLinks(links [][2]string) (heal func()) {
 	w.withLock(func() {
 		for _, link := range links {
 			w.partitionedLinks[link] = true
--- a/internal/simulator/operators.go
+++ b/internal/simulator/operators.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// startOperators state changes at random times.
+// startOperators submits changes at random intervals.
 func (w *World) startOperators() {
 	interval := w.Options.ChangeInterval
 	if interval == 0 {
@@ -23,168 +23,202 @@
 	submitAndReschedule()
 }
 
-// submitRandomChange states changes: good ones, ones that race for the same item, and invalid ones.
+// submitRandomChange submits a random change: a valid one, one that may race for an item with another, or an invalid
+// one. A quarter are submitted again at another registry, as by an operator who got no response.
 func (w *World) submitRandomChange() {
 	id := w.nextID()
 	node := w.registries[w.randomInt(len(w.registries))]
 	if node.state["service/shop"] == nil {
 		return
 	}
-	var items []*schema.Item
+	items := w.randomItems(node, id)
+	if len(items) == 0 {
+		return
+	}
+	change := w.submitItems(node, items...)
+	if w.randomInt(4) == 0 {
+		other := w.registries[w.randomInt(len(w.registries))]
+		w.schedule(w.randomDuration(3*time.Second), func() {
+			w.submitChange(other, change, func(schema.Ruling, uint64) {})
+		})
+	}
+}
+
+// randomItems draws the items of a change to the configuration that a registry shows; none if the kind of change that
+// was drawn has nothing to do.
+func (w *World) randomItems(node *registryNode, id int) []*schema.Item {
 	listsBoth := func(service string) bool {
 		listed := node.snapshot.Services[service]
 		return listed != nil && listed.AllowsVersion("2")
 	}
 	switch kind := w.randomInt(12); {
 	case kind < 4:
-		items = []*schema.Item{routeItem(fmt.Sprint("r", w.randomInt(3)), id)}
+		return []*schema.Item{routeItem(fmt.Sprint("r", w.randomInt(3)), id)}
 	case kind < 6:
-		for range 3 {
-			id = w.nextID()
-			items = append(items, routeItem(fmt.Sprint("many", id), id))
-		}
+		return w.newRouteItems("many", 3)
 	case kind < 7 && w.randomInt(2) == 0:
-		// What was added goes again, so that tombstones pile up and are let go.
-		for _, item := range node.state.Items() {
-			if item.Kind == "route" && !item.Deleted && len(items) < 4 && (strings.HasPrefix(item.Name, "many") || strings.HasPrefix(item.Name, "grown")) {
-				items = append(items, &schema.Item{Kind: "route", Name: item.Name, Deleted: true})
-			}
-		}
-		if len(items) == 0 {
-			return
-		}
+		return deletedRouteItems(node.state)
 	case kind < 7 && node.state["route/r0"] != nil:
-		items = []*schema.Item{{Kind: "route", Name: "r0", Deleted: true}}
+		return []*schema.Item{{Kind: "route", Name: "r0", Deleted: true}}
 	case kind < 8 && listsBoth("saves"):
-		items = []*schema.Item{weightedFlagItem("saves", 1000*w.randomInt(60))}
+		return []*schema.Item{weightedFlagItem("saves", 1000*w.randomInt(60))}
 	case kind < 9 && len(w.degradations) == 0 && node.snapshot.Releases["to-shop"] == nil:
 		// A version is delisted, or listed again; its workers stay and go on describing themselves.
-		if listed := listsBoth("saves"); listed {
-			items = []*schema.Item{serviceItem("saves", false, false), singleVersionFlagItem("saves")}
-		} else {
-			items = []*schema.Item{serviceItem("saves", true, false), weightedFlagItem("saves", 30000)}
+		if listsBoth("saves") {
+			return []*schema.Item{serviceItem("saves", `"1"`, `"client"`), singleVersionFlagItem("saves")}
 		}
+		return []*schema.Item{serviceItem("saves", `"1","2"`, `"client"`), weightedFlagItem("saves", 30000)}
 	case kind < 10:
-		// A caller is withdrawn, or let in again.
-		items = []*schema.Item{serviceItem("shop", true, !node.snapshot.Services["shop"].AllowsCaller("saves"))}
-	default:
-		// A good route beside a flag that closes a cycle: whole, it is invalid.
-		name := fmt.Sprint("bad", id)
-		w.History.markInvalid("route/" + name)
-		items = []*schema.Item{routeItem(name, id), {Kind: "flag", Name: name,
-			Body: []byte(fmt.Sprintf(`{"on":true,"salt":"","variations":["x"],"offVariation":0,"fallthrough":{"variation":0},"prerequisites":[{"key":"%s","variation":0}]}`, name))}}
-		if w.seededFault == SeededPartialChange {
-			items = items[:1]
+		// The permission of a caller is withdrawn, or granted again.
+		if node.snapshot.Services["shop"].AllowsCaller("saves") {
+			return []*schema.Item{serviceItem("shop", `"1","2"`, `"client"`)}
 		}
+		return []*schema.Item{serviceItem("shop", `"1","2"`, `"client","saves"`)}
+	default:
+		return w.invalidItems(id)
 	}
-	change := w.submitItems(node, items...)
-	// The same change is sometimes stated again elsewhere, as an operator does who got no answer.
-	if w.randomInt(4) == 0 {
-		other := w.registries[w.randomInt(len(w.registries))]
-		w.schedule(w.randomDuration(3*time.Second), func() { w.submitChange(other, change, func(schema.Ruling, uint64) {}) })
+}
+
+// invalidItems returns a valid route together with a flag that is its own prerequisite: the change as a whole is invalid.
+func (w *World) invalidItems(id int) []*schema.Item {
+	name := fmt.Sprint("bad", id)
+	w.History.addInvalidItem("route/" + name)
+	const format = `{"on":true,"salt":"","variations":["x"],"offVariation":0,"fallthrough":{"variation":0},` +
+		`"prerequisites":[{"key":"%s","variation":0}]}`
+	cyclicFlag := &schema.Item{Kind: "flag", Name: name, Body: []byte(fmt.Sprintf(format, name))}
+	items := []*schema.Item{routeItem(name, id), cyclicFlag}
+	if w.seededFault == SeededPartialChange {
+		items = items[:1]
+	}
+	return items
+}
+
+// newRouteItems returns new routes whose names begin with a prefix.
+func (w *World) newRouteItems(prefix string, count int) []*schema.Item {
+	var items []*schema.Item
+	for range count {
+		id := w.nextID()
+		items = append(items, routeItem(fmt.Sprint(prefix, id), id))
+	}
+	return items
+}
+
+// deletedRouteItems deletes up to four of the routes that newRouteItems added, so that tombstones accumulate and are
+// purged.
+func deletedRouteItems(state config.State) []*schema.Item {
+	var items []*schema.Item
+	for _, item := range state.Items() {
+		wasAdded := strings.HasPrefix(item.Name, "many") || strings.HasPrefix(item.Name, "grown")
+		if item.Kind == "route" && !item.Deleted && len(items) < 4 && wasAdded {
+			items = append(items, &schema.Item{Kind: "route", Name: item.Name, Deleted: true})
+		}
 	}
+	return items
 }
 
-// submitItems states items at a registry, as an operator who read the setup there.
+// submitItems submits items at a registry, as an operator does who has read the configuration there.
 func (w *World) submitItems(node *registryNode, items ...*schema.Item) *schema.Change {
-	change := &schema.Change{Id: fmt.Sprint("change-", w.nextID()), Items: items, Expected: expectedVersions(node.state, items)}
+	change := &schema.Change{
+		Id:       fmt.Sprint("change-", w.nextID()),
+		Items:    items,
+		Expected: expectedVersions(node.state, items),
+	}
 	w.submitChange(node, change, func(schema.Ruling, uint64) {})
 	return change
 }
 
-// submitUntilAccepted states items until they are accepted, now at one registry and then at another.
+// submitUntilAccepted submits items at random registries until they are accepted. A registry that does not know the
+// service yet is passed over, unless the items bring it.
 func (w *World) submitUntilAccepted(onAccepted func(), items ...*schema.Item) {
 	accepted := false
-	var attempt func()
-	attempt = func() {
+	w.retryEvery(500*time.Millisecond, func() bool {
 		if accepted {
-			return
+			return true
 		}
 		node := w.registries[w.randomInt(len(w.registries))]
-		if node.state["service/shop"] != nil || items[0].Kind == "service" || items[0].Kind == "flag" {
-			w.submitChange(node, &schema.Change{
-				Id:       fmt.Sprint("insist-", w.nextID()),
-				Items:    items,
-				Expected: expectedVersions(node.state, items),
-			}, func(ruling schema.Ruling, _ uint64) {
-				if ruling == schema.Ruling_RULING_ACCEPTED && !accepted {
-					accepted = true
-					onAccepted()
-				}
-			})
+		if node.state["service/shop"] == nil && items[0].Kind != "service" && items[0].Kind != "flag" {
+			return false
 		}
-		w.schedule(500*time.Millisecond, attempt)
-	}
-	attempt()
+		change := &schema.Change{
+			Id:       fmt.Sprint("insist-", w.nextID()),
+			Items:    items,
+			Expected: expectedVersions(node.state, items),
+		}
+		w.submitChange(node, change, func(ruling schema.Ruling, _ uint64) {
+			if ruling == schema.Ruling_RULING_ACCEPTED && !accepted {
+				accepted = true
+				onAccepted()
+			}
+		})
+		return false
+	})
 }
 
-// expectedVersions is what the registry's setup says of the items of a change.
+// expectedVersions returns the versions that a registry's configuration has of the items of a change.
 func expectedVersions(state config.State, items []*schema.Item) []*schema.ExpectedVersion {
 	var list []*schema.ExpectedVersion
 	for _, item := range items {
 		if existing := state[config.Key(item.Kind, item.Name)]; existing != nil && !existing.Deleted {
-			list = append(list, &schema.ExpectedVersion{Kind: item.Kind, Name: item.Name, Sequence: existing.Version.Sequence})
+			list = append(list, &schema.ExpectedVersion{
+				Kind:     item.Kind,
+				Name:     item.Name,
+				Sequence: existing.Version.Sequence,
+			})
 		}
 	}
 	return list
 }
 
+// routeItem returns a route of the shop; a variant differs from another in its path.
 func routeItem(name string, variant int) *schema.Item {
-	return &schema.Item{
-		Kind: "route",
-		Name: name,
-		Body: []byte(fmt.Sprintf(`{"service":"shop","prefix":"/%s/%d","methods":[],"horizon":"2s","key":"X","attributes":{}}`,
-			name, variant)),
-	}
+	const format = `{"service":"shop","prefix":"/%s/%d","methods":[],"horizon":"2s","key":"X","attributes":{}}`
+	return &schema.Item{Kind: "route", Name: name, Body: []byte(fmt.Sprintf(format, name, variant))}
+}
+
+// versionFlagItem returns the flag that chooses the version of a service.
+func versionFlagItem(service, body string) *schema.Item {
+	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(body)}
 }
 
-// weightedFlagItem is a release flag with a share of version 2, in thousandths of a percent.
+// weightedFlagItem returns a version flag that gives version 2 a weight, in thousandths of a percent.
 func weightedFlagItem(service string, weight int) *schema.Item {
-	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
-		`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":{"variations":[{"variation":0,"weight":%d},{"variation":1,"weight":%d}]}}}`, 100000-weight, weight))}
+	const format = `{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":` +
+		`{"variations":[{"variation":0,"weight":%d},{"variation":1,"weight":%d}]}}}`
+	return versionFlagItem(service, fmt.Sprintf(format, 100000-weight, weight))
 }
 
-// targetedFlagItem is a flag that gives version 2 to so many in a thousand of the callers' users.
+// targetedFlagItem returns a version flag that gives version 2 to the first users, of a thousand.
 func targetedFlagItem(service string, users int) *schema.Item {
-	names := ""
+	var names []string
 	for i := range users {
-		if i > 0 {
-			names += ","
-		}
-		names += fmt.Sprintf("%q", fmt.Sprint("user-", i))
+		names = append(names, fmt.Sprintf("%q", fmt.Sprint("user-", i)))
 	}
-	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(fmt.Sprintf(
-		`{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"variation":0},"targets":[{"variation":1,"values":[%s]}]}`, names))}
+	const format = `{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"variation":0},` +
+		`"targets":[{"variation":1,"values":[%s]}]}`
+	return versionFlagItem(service, fmt.Sprintf(format, strings.Join(names, ",")))
 }
 
-// serviceItem is a service that lists version 2 or not, and lets "saves" call or not.
-func serviceItem(service string, listsBoth, admitsSaves bool) *schema.Item {
-	versions, callers := `"1"`, `"client"`
-	if listsBoth {
-		versions += `,"2"`
-	}
-	if admitsSaves {
-		callers += `,"saves"`
-	}
-	return &schema.Item{
-		Kind: "service",
-		Name: service,
-		Body: []byte(fmt.Sprintf(`{"versions":[%s],"fallback":"1","callers":[%s]}`, versions, callers)),
-	}
+// serviceItem returns a service with version 1 as its fallback. The versions and the callers are JSON lists without
+// their brackets.
+func serviceItem(service, versions, callers string) *schema.Item {
+	const format = `{"versions":[%s],"fallback":"1","callers":[%s]}`
+	return &schema.Item{Kind: "service", Name: service, Body: []byte(fmt.Sprintf(format, versions, callers))}
+}
+
+// unlistedServiceItem returns the shop without a list of versions: the versions of its workers are allowed.
+func unlistedServiceItem() *schema.Item {
+	return &schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"callers":["client","saves"]}`)}
 }
 
+// singleVersionFlagItem returns a version flag that knows only version 1.
 func singleVersionFlagItem(service string) *schema.Item {
-	return &schema.Item{
-		Kind: "flag",
-		Name: config.VersionFlagKey(service),
-		Body: []byte(`{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`),
-	}
+	const body = `{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`
+	return versionFlagItem(service, body)
 }
 
+// releasePlanItem returns a release plan that takes version 2 of a service to a percentage of the calls.
 func releasePlanItem(service string, target float64, over time.Duration) *schema.Item {
-	return &schema.Item{
-		Kind: "release",
-		Name: "to-" + service,
-		Body: []byte(fmt.Sprintf(`{"service":%q,"version":"2","target":%v,"over":%q,"pace":"go"}`, service, target, over.String())),
-	}
+	const format = `{"service":%q,"version":"2","target":%v,"over":%q,"pace":"go"}`
+	body := fmt.Sprintf(format, service, target, over.String())
+	return &schema.Item{Kind: "release", Name: "to-" + service, Body: []byte(body)}
 }
--- a/internal/simulator/options.go
+++ b/internal/simulator/options.go
@@ -4,33 +4,37 @@
 	"time"
 )
 
-// Options say what kind of world it is.
+// Options describe a world. The zero value of a field means its default.
 type Options struct {
-	Proxies    int
-	CallRate   float64 // calls a second of the whole fleet
+	// Proxies is the number of proxies. RunMesh defaults to 5, or 14 for each eighth seed.
+	Proxies int
+	// CallRate is the calls per second of the whole fleet. RunMesh defaults to 30.
+	CallRate float64
+	// OnlyFaults restricts fault injection to faults of these names; empty allows all.
 	OnlyFaults []string
-	// SkipFaults leaves out faults by their place in the order drawn, for shrinking.
+	// SkipFaults leaves out faults by their index in the order drawn; shrinking a failing seed uses it.
 	SkipFaults map[int]bool
-	// HarmlessFaultsOnly draws only faults that may turn nobody away, one at a time.
+	// HarmlessFaultsOnly injects only faults that must not cause any rejected call, one at a time.
 	HarmlessFaultsOnly bool
-	// Empty has no machines to begin with.
+	// Empty creates a world without processes.
 	Empty bool
-	// NoFaults has no faults at all.
+	// NoFaults disables fault injection.
 	NoFaults bool
-	// ChangeInterval is the mean pause between two changes of operators; 0 for the usual half second.
+	// ChangeInterval is twice the mean interval between two operator changes; the default is one second.
 	ChangeInterval time.Duration
-	// FaultyDuration of the faulty part; 0 for the usual.
+	// FaultyDuration is how long faults are injected; the default is a minute.
 	FaultyDuration time.Duration
-	// ServeStale has proxies that serve in doubt: see serving.go.
+	// ServeStale runs proxies that serve stale configuration: they hold sessions instead of leases.
 	ServeStale bool
-	// BoundExposure has the release duty keep a bad version within a share of its plan's time.
+	// BoundExposure makes rollout control bound the fraction of a plan's calls that a bad version gets.
 	BoundExposure bool
-	// MeanServiceTime is how long calls take at workers on average, 0 for a few milliseconds.
+	// MeanServiceTime is the mean time of a call at a worker; the default is a few milliseconds.
 	MeanServiceTime time.Duration
-	// ErrorRate is the part of its calls that any worker answers with 500.
+	// ErrorRate is the fraction of calls that any worker answers with status 500.
 	ErrorRate float64
-	// CallerCancelRate is the part of the calls without a key whose callers leave before they are answered.
+	// CallerCancelRate is the fraction of calls without an idempotency key that the caller cancels before it has the
+	// response. Goroutines race for which side cancels first, so such a world does not replay exactly.
 	CallerCancelRate float64
-	// RetryFloor of the retry budget; 0 for the preset.
+	// RetryFloor is the fixed part of the retry budget, in retries; the default is retryFloor.
 	RetryFloor float64
 }
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -8,189 +8,240 @@
 	"meadowhinge/schema"
 )
 
-// OrderScenario is a way in which a version that is ordered goes, and what troubles the mesh meanwhile.
+// OrderScenario is a rollout order for version 2 of "shop", with how that version behaves and what fails meanwhile.
 type OrderScenario struct {
 	Name        string
-	Degradation Degradation // From counts from when the version's workers start; unset for a sound one
-	// OldVersionToo hits the old version in the same way, Half only every other worker of the new one: these
-	// are troubles that say nothing of a version.
+	Degradation Degradation // From counts from the start of the version's workers; the zero value is a healthy version
+	// OldVersionToo degrades the old version in the same way, HalfOfWorkers only half of the new version's workers.
+	// Neither says anything about the new version.
 	OldVersionToo, HalfOfWorkers bool
-	CallRate                     float64       // calls a second of the whole fleet; seven in ten are the service's
-	ServiceTime                  time.Duration // that a call takes
-	Workers                      int           // of either version
-	RolloutDuration              time.Duration
-	CoreFault                    string // what befalls the core machine with the duty: "killed" or "cut"
-	KillProxies                  bool   // half of the proxies are killed at once
+	CallRate                     float64       // calls per second of the whole fleet; seven in ten go to the service
+	ServiceTime                  time.Duration // mean time of a call at a worker
+	Workers                      int           // of each version
+	RolloutDuration              time.Duration // within which the rollout is ordered to be done
+	CoreFault                    string        // what hits the host of the rollout controller: CoreHostX, or empty
+	KillProxies                  bool          // half of the proxies crash at once
 }
 
-// IsHealthy tells whether the version is sound.
-func (k OrderScenario) IsHealthy() bool {
-	return k.Degradation.FailureRate == 0 || k.OldVersionToo || k.HalfOfWorkers
+// The faults of a core host in an OrderScenario.
+const (
+	CoreHostKilled      = "killed"
+	CoreHostPartitioned = "cut"
+)
+
+// IsHealthy reports whether the ordered version must not be rolled back.
+func (s OrderScenario) IsHealthy() bool {
+	return s.Degradation.FailureRate == 0 || s.OldVersionToo || s.HalfOfWorkers
 }
 
-// Bounds of what a bad version may get.
+// faultAfter draws when faults are injected, counted from the order. They come when they hurt most: at the end of the
+// canary of a healthy version, or when a bad version becomes unhealthy.
+func (s OrderScenario) faultAfter(w *World) time.Duration {
+	after := time.Duration(float64(s.RolloutDuration)*release.Defaults.CanaryEndFraction) + w.randomDuration(1500*time.Millisecond)
+	if !s.IsHealthy() {
+		after = orderWorkerDelay + s.Degradation.From + w.randomDuration(1500*time.Millisecond)
+	}
+	return after
+}
+
+// Bounds of the exposure to a bad version, and timing of an OrderScenario.
 const (
-	orderCanaryPercent = 8 // percent on trial at the most
-	orderBadShare      = 0.1
-	orderBadMargin     = 50
-	orderFailureExcess = 0.06 // of failures that any version may have
-	orderMaxFailures   = 400
-	orderRollbackBound = 5 * time.Second
-	orderFailureLimit  = 50
-	orderWorkerDelay   = 1300 * time.Millisecond // the version's workers come so long after the order
-	orderWatchTime     = 8 * time.Second         // what is watched beyond the term
-	orderCoreDowntime  = 3 * time.Second         // that a core machine is away
-	orderPartitionTime = 4800 * time.Millisecond
-	orderFaultDuration = 5 * time.Second
+	orderCanaryPercent = 8                       // percent of the calls in canary at most
+	orderBadShare      = 0.1                     // fraction of the service's calls that a bad version may get
+	orderBadMargin     = 50                      // calls that it may get in addition
+	orderFailureExcess = 0.06                    // failure rate above the old version's that any version may have
+	orderMaxFailures   = 400                     // failures after which a proxy blocks a version in canary by itself
+	orderFailureLimit  = 50                      // failures after which a bad version must be rolled back
+	orderRollbackBound = 5 * time.Second         // after the failure limit, without another call
+	orderWorkerDelay   = 1300 * time.Millisecond // from the order to the start of the version's workers
+	orderWatchTime     = 8 * time.Second         // watched beyond the deadline
+	orderCoreDowntime  = 3 * time.Second         // of a killed core host
+	orderPartitionTime = 4800 * time.Millisecond // of a partitioned core host
+	orderFaultDuration = 5 * time.Second         // of a degradation that is not the version's
 )
 
-// OrderResult is what came of an order.
+// OrderResult is the result of an OrderScenario. Calls are counted from the order to the deadline of the rollout.
 type OrderResult struct {
-	State                      string        // of the plan when its term was over
-	ReachedAfter               time.Duration // when it came to that
-	VersionCalls, ServiceCalls int           // calls that reached the version, and the service, until the term
-	BadCalls                   int           // of its calls that ended badly
-	HasLateCall                bool          // it got a call later after its fiftieth bad one than may be
-	LostCalls                  int           // calls under way at the old version when its workers ended
+	State                      string        // final state of the rollout, done or rolled back; empty for neither
+	ReachedAfter               time.Duration // from the order to that state
+	VersionCalls, ServiceCalls int           // calls that workers of the version, and of the service, got
+	BadCalls                   int           // failed calls of the version, also after the deadline
+	HasLateCall                bool          // the version got a call after orderRollbackBound
+	LostCalls                  int           // calls in flight at the old version when its workers ended
 	Breaches                   map[string][]string
 }
 
-// Exposed tells whether a bad version got more than it may.
-func (r OrderResult) Exposed(k OrderScenario) bool {
-	return !k.IsHealthy() && (r.HasLateCall || float64(r.VersionCalls) > orderBadShare*float64(r.ServiceCalls)+orderBadMargin)
+// Exposed reports whether a bad version got more calls than it may.
+func (r OrderResult) Exposed(s OrderScenario) bool {
+	limit := orderBadShare*float64(r.ServiceCalls) + orderBadMargin
+	return !s.IsHealthy() && (r.HasLateCall || float64(r.VersionCalls) > limit)
+}
+
+// orderRun is the state of a running OrderScenario.
+type orderRun struct {
+	*World
+	scenario  OrderScenario
+	orderedAt time.Duration // when the order was accepted, 0 before
+	deadline  time.Duration // of the rollout
+	result    OrderResult   // World.lock guards what countCall writes
+
+	failureLimitAt time.Duration // of the failure that reached orderFailureLimit, 0 before; World.lock guards it
 }
 
-// RunOrder orders a version and tells what came of it. It must run inside a bubble.
+// RunOrder orders the rollout of a version and returns what the mesh did. It must run inside a synctest bubble.
 func RunOrder(seed uint64, scenario OrderScenario) OrderResult {
-	w := NewWorld(seed, SeededNone, Options{
-		Proxies:         14,
-		CallRate:        scenario.CallRate,
-		NoFaults:        true,
-		ServeStale:      true,
-		BoundExposure:   true,
-		MeanServiceTime: scenario.ServiceTime,
-		ErrorRate:       0.004,
-	})
-	w.bootFleet()
-	// The service leaves its versions out; what its workers tell stands.
-	for _, worker := range w.activeWorkers() {
-		if worker.service == "shop" && worker.version == "2" {
-			w.killWorker(worker)
+	run := &orderRun{
+		World: NewWorld(seed, SeededNone, Options{
+			Proxies:         14,
+			CallRate:        scenario.CallRate,
+			NoFaults:        true,
+			ServeStale:      true,
+			BoundExposure:   true,
+			MeanServiceTime: scenario.ServiceTime,
+			ErrorRate:       0.004,
+		}),
+		scenario: scenario,
+	}
+	run.bootFleet()
+	run.prepareFleet()
+	run.order()
+	run.schedule(scenario.faultAfter(run.World), func() { run.injectScenarioFault(scenario) })
+	for run.now < run.deadline+orderWatchTime {
+		run.Run(run.now + 50*time.Millisecond)
+		if !isFinal(run.result.State) {
+			run.observeState()
 		}
 	}
-	startWorkers := func(version string) {
-		for i := range scenario.Workers {
-			w.startWorker(w.proxies[(i*3+len(version)+int(version[0]))%len(w.proxies)], "shop", version, "")
+	run.Close()
+	run.History.checkAtEnd()
+	run.result.Breaches = run.History.Breaches
+	return run.result
+}
+
+// prepareFleet replaces the workers of version 2 by those of the scenario's old version, and lets the service's workers
+// decide which versions there are.
+func (run *orderRun) prepareFleet() {
+	for _, worker := range run.activeWorkers() {
+		if worker.service == "shop" && worker.version == "2" {
+			run.killWorker(worker)
 		}
 	}
-	startWorkers("1")
-	w.faults = append(w.faults, &faultRecord{name: "a version is ordered", startedAt: w.now, mayReject: true})
-	w.submitUntilAccepted(func() {}, &schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"callers":["client","saves"]}`)},
-		&schema.Item{Kind: "flag", Name: "release.shop", Deleted: true})
-	w.Run(w.now + 4*time.Second)
+	run.startWorkers("1")
+	run.faults = append(run.faults, &faultRecord{name: "a version is ordered", startedAt: run.now, mayReject: true})
+	run.submitUntilAccepted(func() {}, unlistedServiceItem(), &schema.Item{Kind: "flag", Name: "release.shop", Deleted: true})
+	run.Run(run.now + 4*time.Second)
+}
+
+// startWorkers starts the scenario's workers of a version, spread over the proxies.
+func (run *orderRun) startWorkers(version string) {
+	for i := range run.scenario.Workers {
+		index := (i*3 + len(version) + int(version[0])) % len(run.proxies)
+		run.startWorker(run.proxies[index], "shop", version, "")
+	}
+}
 
-	result, orderedAt := OrderResult{}, time.Duration(0)
-	w.placeOrder(release.RolloutOrder{
-		Service: "shop",
-		Version: "2",
-		Within:  scenario.RolloutDuration,
-	}, func() { orderedAt = w.now })
-	for orderedAt == 0 {
-		w.Run(w.now + 50*time.Millisecond)
+// order places the order, waits until it is accepted, and schedules the version's workers and their degradation.
+func (run *orderRun) order() {
+	order := release.RolloutOrder{Service: "shop", Version: "2", Within: run.scenario.RolloutDuration}
+	run.submitOrder(order, func() { run.orderedAt = run.now })
+	for run.orderedAt == 0 {
+		run.Run(run.now + 50*time.Millisecond)
 	}
-	w.schedule(orderWorkerDelay, func() { startWorkers("2") })
-	if scenario.Degradation.FailureRate > 0 {
-		w.degradeForScenario(scenario, orderedAt+orderWorkerDelay)
+	run.schedule(orderWorkerDelay, func() { run.startWorkers("2") })
+	if run.scenario.Degradation.FailureRate > 0 {
+		run.degradeForScenario(run.scenario, run.orderedAt+orderWorkerDelay)
 	}
-	deadline, failureLimitAt := orderedAt+scenario.RolloutDuration, time.Duration(0)
-	w.withLock(func() {
-		w.onWorkerCall = func(worker *workerNode, bad bool) {
-			now := w.time()
-			if worker.service != "shop" || now < orderedAt {
-				return
-			}
-			if now < deadline {
-				result.ServiceCalls++
-			}
-			if worker.version != "2" {
-				return
-			}
-			if now < deadline {
-				result.VersionCalls++
-			}
-			result.HasLateCall = result.HasLateCall || failureLimitAt > 0 && now > failureLimitAt+orderRollbackBound
-			if bad {
-				if result.BadCalls++; result.BadCalls == orderFailureLimit {
-					failureLimitAt = now
-				}
-			}
+	run.deadline = run.orderedAt + run.scenario.RolloutDuration
+	run.withLock(func() { run.onWorkerCall = run.countCall })
+}
+
+// countCall counts a call that a worker begins. The caller holds World.lock.
+func (run *orderRun) countCall(worker *workerNode, bad bool) {
+	now := run.time()
+	if worker.service != "shop" || now < run.orderedAt {
+		return
+	}
+	inTime := now < run.deadline
+	if inTime {
+		run.result.ServiceCalls++
+	}
+	if worker.version != "2" {
+		return
+	}
+	if inTime {
+		run.result.VersionCalls++
+	}
+	if run.failureLimitAt > 0 && now > run.failureLimitAt+orderRollbackBound {
+		run.result.HasLateCall = true
+	}
+	if bad {
+		if run.result.BadCalls++; run.result.BadCalls == orderFailureLimit {
+			run.failureLimitAt = now
 		}
-	})
-	// Trouble comes when it hurts most: while the version leaves its trial.
-	faultAfter := time.Duration(float64(scenario.RolloutDuration)*release.Defaults.CanaryEndFraction) + w.randomDuration(1500*time.Millisecond)
-	if !scenario.IsHealthy() {
-		faultAfter = orderWorkerDelay + scenario.Degradation.From + w.randomDuration(1500*time.Millisecond)
 	}
-	w.schedule(faultAfter, func() { w.injectScenarioFault(scenario) })
-	for w.now < deadline+orderWatchTime {
-		w.Run(w.now + 50*time.Millisecond)
-		if result.State != release.StateDone && result.State != release.StateRolledBack {
-			for _, node := range w.registries {
-				if !node.up || node.snapshot == nil {
-					continue
-				}
-				if _, state := release.RolloutState(node.snapshot, "shop"); state == release.StateDone || state == release.StateRolledBack {
-					result.State, result.ReachedAfter = state, w.now-orderedAt
-				}
-			}
-			// The old workers end at once.
-			if result.State == release.StateDone {
-				result.LostCalls = w.History.inFlight["shop1"]
-				for _, worker := range w.activeWorkers() {
-					if worker.service == "shop" && worker.version == "1" {
-						w.killWorker(worker)
-					}
-				}
-			}
+}
+
+// isFinal reports whether a rollout in a state goes no further.
+func isFinal(state string) bool {
+	return state == release.StateDone || state == release.StateRolledBack
+}
+
+// observeState looks for the final state of the rollout at the registries. When the rollout is done, the old version's
+// workers end at once.
+func (run *orderRun) observeState() {
+	for _, node := range run.registries {
+		if !node.up || node.snapshot == nil {
+			continue
+		}
+		if _, state := release.RolloutState(node.snapshot, "shop"); isFinal(state) {
+			run.result.State = state
+			run.result.ReachedAfter = run.now - run.orderedAt
+		}
+	}
+	if run.result.State != release.StateDone {
+		return
+	}
+	run.result.LostCalls = run.History.inFlight[versionKey{"shop", "1"}]
+	for _, worker := range run.activeWorkers() {
+		if worker.service == "shop" && worker.version == "1" {
+			run.killWorker(worker)
 		}
 	}
-	w.Close()
-	w.History.checkAtEnd()
-	result.Breaches = w.History.Breaches
-	return result
 }
 
-// placeOrder states an order at some registry until it is taken.
-func (w *World) placeOrder(order release.RolloutOrder, onPlaced func()) {
-	placed := false
-	var attempt func()
-	attempt = func() {
-		if placed {
-			return
+// submitOrder submits an order at random registries until it is accepted.
+func (w *World) submitOrder(order release.RolloutOrder, onAccepted func()) {
+	accepted := false
+	w.retryEvery(300*time.Millisecond, func() bool {
+		if accepted {
+			return true
 		}
 		node := w.registries[w.randomInt(len(w.registries))]
-		if node.snapshot != nil {
-			if step, err := release.PlanRollout(node.snapshot, node.state, order); err == nil && step != nil {
-				node.stepsSubmitted++
-				w.submitChange(node, step.Change(node.name+"-order", node.incarnation, node.stepsSubmitted, node.state), func(ruling schema.Ruling, _ uint64) {
-					if ruling == schema.Ruling_RULING_ACCEPTED && !placed {
-						placed = true
-						onPlaced()
-					}
-				})
-			}
+		if node.snapshot == nil {
+			return false
 		}
-		w.schedule(300*time.Millisecond, attempt)
-	}
-	attempt()
+		step, err := release.PlanRollout(node.snapshot, node.state, order)
+		if err != nil || step == nil {
+			return false // the registry does not know the service yet
+		}
+		node.stepsSubmitted++
+		change := step.Change(node.name+"-order", node.incarnation, node.stepsSubmitted, node.state)
+		w.submitChange(node, change, func(ruling schema.Ruling, _ uint64) {
+			if ruling == schema.Ruling_RULING_ACCEPTED && !accepted {
+				accepted = true
+				onAccepted()
+			}
+		})
+		return false
+	})
 }
 
-// degradeForScenario lets versions or workers go wrong as the kind says.
+// degradeForScenario degrades the versions or workers that a scenario names.
 func (w *World) degradeForScenario(scenario OrderScenario, startsAt time.Duration) {
 	degradation := scenario.Degradation
 	degradation.From += startsAt
 	if scenario.OldVersionToo || scenario.HalfOfWorkers {
-		// Troubles that come to any workers last for a while only.
+		// A degradation that is not the new version's fault is temporary.
 		degradation.Until = degradation.From + orderFaultDuration
 	}
 	w.lock.Lock()
@@ -206,74 +257,81 @@
 	}
 }
 
-// injectScenarioFault troubles the core machine that has the duty, or the proxies.
+// injectScenarioFault hits the first core host, which the rollout controller runs on while it is up, or the proxies.
 func (w *World) injectScenarioFault(scenario OrderScenario) {
 	switch scenario.CoreFault {
-	case "killed":
-		w.crashMember(w.members[0])
-		w.stopProcess(&w.registries[0].process)
-		w.schedule(orderCoreDowntime, func() { w.startMember(w.members[0]); w.startRegistry(w.registries[0]) })
-	case "cut":
+	case CoreHostKilled:
+		w.crashCoreHost(0)
+		w.schedule(orderCoreDowntime, func() { w.startCoreHost(0) })
+	case CoreHostPartitioned:
 		w.schedule(orderPartitionTime, w.partitionCore(func(i, j int) bool { return i == 0 || j == 0 }))
 	}
 	if scenario.KillProxies {
-		var killed []*proxyNode
-		for _, node := range w.proxies {
-			if w.randomInt(2) == 0 {
-				killed = append(killed, node)
-			}
-		}
-		w.schedule(1100*time.Millisecond, w.killProxies(killed))
+		w.schedule(1100*time.Millisecond, w.killProxies(w.drawHalfOfProxies()))
 	}
 }
 
-// OrderScenarios are all that orders are tried with.
+// OrderScenarios are all scenarios that orders are tested with: each behavior under each load.
 var OrderScenarios = func() []OrderScenario {
-	bad := []OrderScenario{
-		{Name: "errors", Degradation: Degradation{FailureRate: 0.35}},
-		{Name: "slow", Degradation: Degradation{FailureRate: 0.35, SlowdownFactor: 8}},
-		{Name: "late", Degradation: Degradation{FailureRate: 0.35, From: 3 * time.Second}},
-		{Name: "one route", Degradation: Degradation{FailureRate: 0.45, Route: "/shop/buy"}},
-		{Name: "under load", Degradation: Degradation{FailureRate: 0.35, LoadThreshold: -1}},
-		{Name: "errors, duty killed", Degradation: Degradation{FailureRate: 0.35}, CoreFault: "killed"},
-		{Name: "errors, duty cut off", Degradation: Degradation{FailureRate: 0.35}, CoreFault: "cut"},
-		{Name: "late, herd killed", Degradation: Degradation{FailureRate: 0.35, From: 3 * time.Second}, KillProxies: true},
-	}
-	good := []OrderScenario{
-		{Name: "good"},
-		{
-			Name:          "good, 5 % lost at all workers",
-			Degradation:   Degradation{FailureRate: 0.05, From: 3 * time.Second},
-			OldVersionToo: true,
-		},
-		{
-			Name:          "good, 5 % lost at half of the new",
-			Degradation:   Degradation{FailureRate: 0.05, From: 3 * time.Second},
-			HalfOfWorkers: true,
-		},
-		{Name: "good, duty killed", CoreFault: "killed"},
-		{Name: "good, duty cut off", CoreFault: "cut"},
-		{Name: "good, herd killed", KillProxies: true},
-	}
 	var all []OrderScenario
-	for _, load := range []struct {
-		rate    float64
-		work    time.Duration
-		workers int
-		over    time.Duration
-	}{{143, 60 * time.Millisecond, 3, 12 * time.Second}, {320, 120 * time.Millisecond, 5, 16 * time.Second}, {660, 60 * time.Millisecond, 5, 14 * time.Second}} {
-		for _, one := range append(append([]OrderScenario{}, bad...), good...) {
-			one.CallRate = load.rate
-			one.ServiceTime = load.work
-			one.Workers = load.workers
-			one.RolloutDuration = load.over
-			if one.Degradation.LoadThreshold < 0 {
-				// Half of what is under way with all calls.
-				one.Degradation.LoadThreshold = int(0.35 * load.rate * load.work.Seconds())
-			}
-			one.Name = fmt.Sprintf("%s, %.0f a second, over %v", one.Name, 0.7*load.rate, load.over)
-			all = append(all, one)
+	for _, load := range orderLoads {
+		for _, scenario := range orderBehaviors() {
+			all = append(all, scenario.withLoad(load))
 		}
 	}
 	return all
 }()
+
+// orderLoad is a load under which a rollout is ordered.
+type orderLoad struct {
+	callRate        float64 // calls per second of the whole fleet
+	serviceTime     time.Duration
+	workers         int // of each version
+	rolloutDuration time.Duration
+}
+
+var orderLoads = []orderLoad{
+	{143, 60 * time.Millisecond, 3, 12 * time.Second},
+	{320, 120 * time.Millisecond, 5, 16 * time.Second},
+	{660, 60 * time.Millisecond, 5, 14 * time.Second},
+}
+
+// relativeLoadThreshold stands for a Degradation.LoadThreshold that withLoad computes.
+const relativeLoadThreshold = -1
+
+// withLoad returns a scenario under a load.
+func (s OrderScenario) withLoad(load orderLoad) OrderScenario {
+	s.CallRate = load.callRate
+	s.ServiceTime = load.serviceTime
+	s.Workers = load.workers
+	s.RolloutDuration = load.rolloutDuration
+	if s.Degradation.LoadThreshold == relativeLoadThreshold {
+		// Half of the calls in flight at the version when it gets all calls of the service.
+		s.Degradation.LoadThreshold = int(0.35 * load.callRate * load.serviceTime.Seconds())
+	}
+	s.Name = fmt.Sprintf("%s, %.0f a second, over %v", s.Name, 0.7*load.callRate, load.rolloutDuration)
+	return s
+}
+
+// orderBehaviors are the scenarios without a load: bad versions first, then healthy ones.
+func orderBehaviors() []OrderScenario {
+	failing := Degradation{FailureRate: 0.35}
+	failingLate := Degradation{FailureRate: 0.35, From: 3 * time.Second}
+	fewFailures := Degradation{FailureRate: 0.05, From: 3 * time.Second}
+	return []OrderScenario{
+		{Name: "errors", Degradation: failing},
+		{Name: "slow", Degradation: Degradation{FailureRate: 0.35, SlowdownFactor: 8}},
+		{Name: "late", Degradation: failingLate},
+		{Name: "one route", Degradation: Degradation{FailureRate: 0.45, Route: "/shop/buy"}},
+		{Name: "under load", Degradation: Degradation{FailureRate: 0.35, LoadThreshold: relativeLoadThreshold}},
+		{Name: "errors, duty killed", Degradation: failing, CoreFault: CoreHostKilled},
+		{Name: "errors, duty cut off", Degradation: failing, CoreFault: CoreHostPartitioned},
+		{Name: "late, herd killed", Degradation: failingLate, KillProxies: true},
+		{Name: "good"},
+		{Name: "good, 5 % lost at all workers", Degradation: fewFailures, OldVersionToo: true},
+		{Name: "good, 5 % lost at half of the new", Degradation: fewFailures, HalfOfWorkers: true},
+		{Name: "good, duty killed", CoreFault: CoreHostKilled},
+		{Name: "good, duty cut off", CoreFault: CoreHostPartitioned},
+		{Name: "good, herd killed", KillProxies: true},
+	}
+}
--- a/internal/simulator/peer_rpc.go
+++ b/internal/simulator/peer_rpc.go
@@ -15,12 +15,12 @@
 	"meadowhinge/schema"
 )
 
-// attemptSender is a proxy's way to the worker's side: its own, or another proxy's over a link that
-// may be cut, slow, lossy, or end in a dead or frozen machine.
+// attemptSender returns how a proxy sends an attempt to the proxy of a worker: itself, or another one over a link
+// that may be cut, slow or lossy, and whose far end may be down or frozen.
 func (w *World) attemptSender(node *proxyNode, processRun int) dispatch.Sender {
-	peer := w.peerOf(node)
+	peer := peerOf(node)
 	return func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-		// What is left of an earlier life does nothing any more.
+		// Goroutines that are left of an earlier run have no effect any more.
 		if currentRun, _, up := w.processRunOf(&node.process); !up || currentRun != processRun {
 			<-ctx.Done()
 			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
@@ -35,11 +35,17 @@
 		if candidate.Proxy == node.name {
 			return node.runner.Run(ctx, peer, request), nil
 		}
-		forwarded := proto.Clone(request).(*schema.ForwardRequest)
-		results := make(chan forwardResult, 1)
-		w.forwardToPeer(node, candidate.Proxy, peer, forwarded, results)
+		call := &peerCall{
+			world:   w,
+			from:    node,
+			to:      w.proxyNamed(candidate.Proxy),
+			peer:    peer,
+			request: proto.Clone(request).(*schema.ForwardRequest),
+			results: make(chan forwardResult, 1),
+		}
+		call.start() //nolint:contextcheck // the far proxy learns of a cancelled context only by propagateCancel, as over a real link
 		select {
-		case result := <-results:
+		case result := <-call.results:
 			return result.response, result.err
 		case <-ctx.Done():
 			w.propagateCancel(node, candidate.Proxy, request.Request)
@@ -48,82 +54,110 @@
 	}
 }
 
-// forwardResult is what comes back of a dispatch.
+// forwardResult is the result of a peer RPC as the sending proxy sees it.
 type forwardResult struct {
 	response *schema.ForwardResponse
 	err      error
 }
 
-// peerOf is how a proxy stands before another: it may speak for its own callers.
-func (w *World) peerOf(node *proxyNode) transport.Peer {
+// peerCall is one peer RPC from a proxy to another.
+type peerCall struct {
+	world    *World
+	from, to *proxyNode
+	peer     transport.Peer // the sender as the receiver sees it
+	request  *schema.ForwardRequest
+	results  chan forwardResult // has room for one; the sender takes the first result
+}
+
+// peerOf returns a proxy as another one sees it: it may call as its own callers.
+func peerOf(node *proxyNode) transport.Peer {
 	callers := map[string]bool{"client": true, "saves": true}
 	return transport.LocalPeer("proxy", node.name, callers)
 }
 
-func (w *World) forwardToPeer(node *proxyNode, name string, peer transport.Peer, request *schema.ForwardRequest,
-	results chan forwardResult) {
-	random := w.derivedRandom(request.Request)
-	var target *proxyNode
-	for _, candidate := range w.proxies {
-		if candidate.name == name {
-			target = candidate
-		}
-	}
-	lost := func() { results <- forwardResult{nil, w.lostLinkError()} }
-	unopened := func(after time.Duration) {
-		w.schedule(after, func() { results <- forwardResult{nil, errs.New(errs.PeerConnectFailed, name)} })
-	}
-	delay, dropped := w.sampleLink(&node.process, &target.process, random)
-	_, _, up := w.processRunOf(&target.process)
+// start draws the fate of the call and schedules it. The order of the draws is fixed by the golden histories.
+func (c *peerCall) start() {
+	w := c.world
+	random := w.derivedRandom(c.request.Request)
+	delay, dropped := w.sampleLink(&c.from.process, &c.to.process, random)
+	_, _, up := w.processRunOf(&c.to.process)
 	switch {
 	case !up:
-		unopened(delay)
+		c.failToConnect(delay)
 		return
 	case w.seededFault == SeededSpuriousUnopened && random.IntN(8) == 0:
-		unopened(delay)
+		c.failToConnect(delay)
 		return
-	// A link that does not open is known for it after a while; one that was open says nothing.
-	case (dropped || w.isPartitioned(&target.process, &node.process)) && random.IntN(2) == 0:
-		unopened(dialTimeout)
+	// Half of the broken links refuse to open, which the sender learns after the dial timeout; the others were open
+	// already, and the sender learns nothing.
+	case (dropped || w.isPartitioned(&c.to.process, &c.from.process)) && random.IntN(2) == 0:
+		c.failToConnect(dialTimeout)
 		return
 	case dropped:
-		// What was sent may still arrive, once the link is whole, long after it was given up on.
-		if random.IntN(2) == 0 {
-			w.schedule(time.Duration(random.Int64N(int64(12*time.Second))), func() {
-				if !w.isPartitioned(&node.process, &target.process) {
-					w.scheduleOn(&target.process, 0,
-						func() { w.serveForward(target, peer, request, func(*schema.ForwardResponse) {}, func() {}) })
-				}
-			})
-		}
-		if w.seededFault == SeededLostLinkAsUnopened {
-			w.schedule(dialTimeout, lost)
-		}
+		c.lose(random)
 		return
 	}
+	c.maybeDuplicate(delay, random)
+	w.schedule(delay, func() {
+		w.scheduleOn(&c.to.process, 0, func() { w.serveForward(c.to, c.peer, c.request, c.respond, c.reportLost) })
+	})
+}
+
+// failToConnect reports after a delay that the connection never opened, so nothing was executed.
+func (c *peerCall) failToConnect(delay time.Duration) {
+	c.world.schedule(delay, func() {
+		c.results <- forwardResult{nil, errs.New(errs.PeerConnectFailed, c.to.name)}
+	})
+}
+
+// lose loses the request on an open connection. It may still arrive once the link is back, long after the sender
+// has given up.
+func (c *peerCall) lose(random *rand.Rand) {
+	w := c.world
+	if random.IntN(2) == 0 {
+		w.schedule(time.Duration(random.Int64N(int64(12*time.Second))), func() {
+			if !w.isPartitioned(&c.from.process, &c.to.process) {
+				w.scheduleOn(&c.to.process, 0, func() { c.serveUnheard(c.request) })
+			}
+		})
+	}
+	if w.seededFault == SeededLostLinkAsUnopened {
+		w.schedule(dialTimeout, c.reportLost)
+	}
+}
+
+// maybeDuplicate draws whether the request arrives a second time, and when.
+func (c *peerCall) maybeDuplicate(delay time.Duration, random *rand.Rand) {
+	w := c.world
 	w.lock.Lock()
 	duplicated := random.Float64() < w.duplicationRate
 	w.lock.Unlock()
 	if duplicated {
 		w.schedule(delay+time.Duration(random.Int64N(int64(time.Second))), func() {
-			w.scheduleOn(&target.process, 0, func() {
-				w.serveForward(target, peer, proto.Clone(request).(*schema.ForwardRequest), func(*schema.ForwardResponse) {}, func() {})
-			})
+			w.scheduleOn(&c.to.process, 0, func() { c.serveUnheard(proto.Clone(c.request).(*schema.ForwardRequest)) })
 		})
 	}
-	w.schedule(delay, func() {
-		w.scheduleOn(&target.process, 0, func() {
-			w.serveForward(target, peer, request, func(response *schema.ForwardResponse) {
-				returnRandom := w.derivedRandom("back " + request.Request)
-				delay, dropped := w.sampleLink(&target.process, &node.process, returnRandom)
-				if !dropped {
-					w.schedule(delay, func() { results <- forwardResult{w.maybeCorrupt(response, returnRandom), nil} })
-				}
-			}, lost)
-		})
-	})
 }
 
+// serveUnheard serves a request whose response reaches nobody.
+func (c *peerCall) serveUnheard(request *schema.ForwardRequest) {
+	c.world.serveForward(c.to, c.peer, request, func(*schema.ForwardResponse) {}, func() {})
+}
+
+// respond sends the response back over the link.
+func (c *peerCall) respond(response *schema.ForwardResponse) {
+	w := c.world
+	random := w.derivedRandom("back " + c.request.Request)
+	delay, dropped := w.sampleLink(&c.to.process, &c.from.process, random)
+	if !dropped {
+		w.schedule(delay, func() { c.results <- forwardResult{w.maybeCorrupt(response, random), nil} })
+	}
+}
+
+// reportLost reports that an open connection was lost, so the outcome is unknown.
+func (c *peerCall) reportLost() { c.results <- forwardResult{nil, c.world.lostLinkError()} }
+
+// lostLinkError is the error for a connection that was lost after it opened.
 func (w *World) lostLinkError() error {
 	if w.seededFault == SeededLostLinkAsUnopened {
 		return errs.New(errs.PeerConnectFailed, "lost")
@@ -131,7 +165,8 @@
 	return errs.New(errs.PeerConnectionLost, "lost")
 }
 
-// maybeCorrupt alters an answer now and then on the way; a checksum that fits would be a forgery.
+// maybeCorrupt returns a response as it arrives: at the corruption rate, with one bit of its body flipped. The checksum
+// stays as it was, except with a seeded fault.
 func (w *World) maybeCorrupt(response *schema.ForwardResponse, random *rand.Rand) *schema.ForwardResponse {
 	received := proto.Clone(response).(*schema.ForwardResponse)
 	w.lock.Lock()
@@ -148,23 +183,15 @@
 	return received
 }
 
-// serveForward runs a dispatch at the proxy that it came to. Should that proxy die, the link is lost.
-func (w *World) serveForward(target *proxyNode, peer transport.Peer, request *schema.ForwardRequest,
-	answer func(*schema.ForwardResponse), lost func()) {
+// serveForward runs a forwarded request at the proxy that received it. It calls respond with the response, or lost if
+// the run of that proxy ends before.
+func (w *World) serveForward(
+	target *proxyNode, peer transport.Peer, request *schema.ForwardRequest,
+	respond func(*schema.ForwardResponse), lost func(),
+) {
 	processRun, exited, _ := w.processRunOf(&target.process)
 	runner := target.runner
-	// Somebody else now and then sends under a name that is not its own.
-	if request.Caller == "client" && w.derivedRandom("stranger "+request.Request).IntN(100) == 0 {
-		forged := proto.Clone(request).(*schema.ForwardRequest)
-		forged.Request = "forged-" + request.Request
-		forged.Caller = "saves"
-		forged.RecallOnly = false
-		impostor := transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
-		if w.seededFault == SeededAnyCallerAccepted {
-			impostor = transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
-		}
-		go runner.Run(context.Background(), impostor, forged)
-	}
+	w.maybeForgeCaller(runner, request)
 	done := make(chan *schema.ForwardResponse, 1)
 	ctx := callContext(request.Request)
 	if w.Options.CallerCancelRate > 0 {
@@ -175,7 +202,7 @@
 		select {
 		case response := <-done:
 			if w.awaitThaw(&target.process, processRun) {
-				answer(response)
+				respond(response)
 				return
 			}
 			lost()
@@ -184,3 +211,20 @@
 		}
 	}()
 }
+
+// maybeForgeCaller runs, for one in a hundred requests of the client, a copy that an unauthorized peer sends under
+// the name of another caller. The runner must refuse it.
+func (w *World) maybeForgeCaller(runner *dispatch.Runner, request *schema.ForwardRequest) {
+	if request.Caller != "client" || w.derivedRandom("stranger "+request.Request).IntN(100) != 0 {
+		return
+	}
+	forged := proto.Clone(request).(*schema.ForwardRequest)
+	forged.Request = "forged-" + request.Request
+	forged.Caller = "saves"
+	forged.RecallOnly = false
+	impostor := transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
+	if w.seededFault == SeededAnyCallerAccepted {
+		impostor = transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
+	}
+	go runner.Run(context.Background(), impostor, forged)
+}
