--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -23,8 +23,11 @@
 	retryFloor            = fakebackend.RetryBudgetFloor
 	dialTimeout           = leaseDuration / 16
 	maxRememberedRequests = 1 << 14
+	initialFleetSize      = 64 // proxies that a proxy assumes before it learns the size of the fleet
 )
 
+// proxyNode is one proxy. startProxy sets the fields anew for each run of the process; events read and write them, and
+// goroutines use only the atomic ones and what is safe for concurrent use itself.
 type proxyNode struct {
 	process
 	index          int
@@ -41,148 +44,246 @@
 	callCounter    *dispatch.CallCounter
 	outliers       *dispatch.OutlierDetector
 	sourceCounter  uint64
-	feedIndex      int
-	lagging        atomic.Bool
-	acceptsCallers atomic.Bool // callers are let in
-	draining       atomic.Bool // it is ending, and takes no new callers
+	feedIndex      int         // of the registry that feeds this proxy
+	lagging        atomic.Bool // a call found that the configuration here lags behind
+	acceptsCallers atomic.Bool // the proxy has been ready to decide in this run
+	draining       atomic.Bool // the proxy is shutting down and takes no new callers
 	conns          *connections
 
-	// of a serving world
+	// The fields below are used only with Options.ServeStale.
 	selector          *session.RegistrySelector
-	subscriptions     map[string]*subscription
+	subscriptions     map[string]*subscription // by registry
 	reportedFleetSize int64
-	reportPending     bool
+	reportPending     bool // the registry has not acknowledged the last report
 	reportedAt        time.Duration
 }
 
+// proxyRuntime is what one run of a proxy is assembled from. Its fields are fixed for the run: closures that outlive
+// a crash keep the journal and the lease gate of their own run.
+type proxyRuntime struct {
+	world       *World
+	node        *proxyNode
+	name        string
+	incarnation uint64 // at the start of the run
+	processRun  int
+	now         func() time.Duration // local time since the start of the run
+	journal     *journal.Journal[proxy.Event, proxy.MeshState]
+	leaseGate   *session.LeaseGate
+	conns       *connections
+}
+
+// zoneOf returns the zone of the i-th proxy or member.
 func (w *World) zoneOf(index int) string { return fmt.Sprint("area-", index%3) }
 
-// startProxy begins a proxy's life, as its daemon's assembly does.
+// startProxy begins a run of a proxy and assembles its parts as the daemon does.
 func (w *World) startProxy(node *proxyNode) {
 	w.startProcess(&node.process)
+	run := w.newProxyRuntime(node)
+	node.canaries = run.newCanaryGuard()
+	node.callCounter = dispatch.NewCallCounter(512)
+	node.outliers = dispatch.NewOutlierDetector(5, 5*time.Second)
+	node.workers = run.newWorkers()
+	node.runner = run.newRunner()
+	node.forwarder = run.newForwarder()
+	if w.Options.ServeStale {
+		w.startProxySubscriptions(node)
+	} else {
+		w.startProxyLeases(node)
+	}
+	w.scheduleEvery(&node.process, w.registryLease()/(4*session.RenewalsPerLease), func() {
+		if _, hasJudged := release.JudgedServices(run.view().Config); hasJudged {
+			w.sendReport(node, false)
+		}
+	})
+	w.scheduleEvery(&node.process, pollInterval, func() {
+		// Callers are admitted once the proxy can decide.
+		if run.hasLease() || w.seededFault == SeededDecidesBeforeLease {
+			node.acceptsCallers.Store(true)
+		}
+	})
+}
+
+// newProxyRuntime resets the state of a proxy for a new run.
+func (w *World) newProxyRuntime(node *proxyNode) *proxyRuntime {
 	node.incarnation = uint64(w.nextID())
 	node.startedAt = w.now
 	node.sourceCounter = 0
-	processRun, startedAt, clock, name := node.processRun, node.startedAt, node.clock, node.name
+	startedAt, clock := node.startedAt, node.clock
 	now := func() time.Duration { return clock.at(w.time()) - clock.at(startedAt) }
 	node.acceptsCallers.Store(false)
 	node.draining.Store(false)
 	node.lagging.Store(false)
 	node.conns = &connections{}
-	leaseGate := session.NewLeaseGate(leaseDuration, now)
-	node.leaseGate = leaseGate
-	node.fleetEstimate = session.NewFleetSize(64, leaseDuration)
-	node.fleetSize.Store(64)
-	proxyJournal := journal.New(proxy.EmptyMeshState(), 8, proxy.Fold)
-	node.journal = proxyJournal
-	view := func() *plan.View { return proxyJournal.View().View() }
-	hasLease := func() bool {
-		switch {
-		case w.Options.ServeStale:
-			return proxyJournal.View().ConfigRevision() > 0
-		case w.seededFault == SeededEternalLease && leaseGate.ExpiresAt() > 0, w.seededFault == SeededDecidesBeforeLease && proxyJournal.View().ConfigRevision() > 0:
-			return true
-		}
-		return leaseGate.Open()
+	node.leaseGate = session.NewLeaseGate(leaseDuration, now)
+	node.fleetEstimate = session.NewFleetSize(initialFleetSize, leaseDuration)
+	node.fleetSize.Store(initialFleetSize)
+	node.journal = journal.New(proxy.EmptyMeshState(), 8, proxy.Fold)
+	return &proxyRuntime{
+		world:       w,
+		node:        node,
+		name:        node.name,
+		incarnation: node.incarnation,
+		processRun:  node.processRun,
+		now:         now,
+		journal:     node.journal,
+		leaseGate:   node.leaseGate,
+		conns:       node.conns,
 	}
-	canaryOptions := dispatch.DefaultCanaryOptions
-	if w.seededFault == SeededFailuresIgnored {
-		canaryOptions.MaxFailures = 1 << 40
+}
+
+// startProxyLeases starts the loops of a proxy that decides under leases.
+func (w *World) startProxyLeases(node *proxyNode) {
+	const interval = leaseDuration / session.RenewalsPerLease
+	for i := range w.registries {
+		w.scheduleEvery(&node.process, interval, func() { w.renewLease(node, i, 0, nil) })
 	}
-	// Where the duty keeps the bound, proxies do not take the evidence from it.
-	if w.Options.BoundExposure {
-		canaryOptions.MaxFailures = orderMaxFailures
+	w.startFeed(node)
+	w.scheduleEvery(&node.process, interval, func() { w.sendReport(node, true) })
+}
+
+// view returns what the proxy decides by at this moment.
+func (r *proxyRuntime) view() *plan.View { return r.journal.View().View() }
+
+// hasLease reports whether the proxy may decide: with a lease, or with any configuration where it serves stale.
+func (r *proxyRuntime) hasLease() bool {
+	w := r.world
+	hasConfig := r.journal.View().ConfigRevision() > 0
+	switch {
+	case w.Options.ServeStale:
+		return hasConfig
+	case w.seededFault == SeededEternalLease && r.leaseGate.ExpiresAt() > 0,
+		w.seededFault == SeededDecidesBeforeLease && hasConfig:
+		return true
 	}
-	node.canaries = dispatch.NewCanaryGuard(canaryOptions, func() int { return int(node.fleetSize.Load()) },
-		func() dispatch.VersionGuards { return view().Config })
-	node.callCounter = dispatch.NewCallCounter(512)
-	node.outliers = dispatch.NewOutlierDetector(5, 5*time.Second)
-	conns := node.conns
-	node.workers = dispatch.NewWorkers(dispatch.WorkersOptions{
-		Proxy:               name,
-		Incarnation:         node.incarnation,
-		Zone:                w.zoneOf(node.index),
+	return r.leaseGate.Open()
+}
+
+func (r *proxyRuntime) fleetSize() int { return int(r.node.fleetSize.Load()) }
+
+func (r *proxyRuntime) newCanaryGuard() *dispatch.CanaryGuard {
+	options := dispatch.DefaultCanaryOptions
+	if r.world.seededFault == SeededFailuresIgnored {
+		options.MaxFailures = 1 << 40
+	}
+	// Where rollout control bounds the exposure, proxies must not hide the evidence from it.
+	if r.world.Options.BoundExposure {
+		options.MaxFailures = orderMaxFailures
+	}
+	return dispatch.NewCanaryGuard(options, r.fleetSize, func() dispatch.VersionGuards { return r.view().Config })
+}
+
+func (r *proxyRuntime) newWorkers() *dispatch.Workers {
+	options := dispatch.WorkersOptions{
+		Proxy:               r.name,
+		Incarnation:         r.incarnation,
+		Zone:                r.world.zoneOf(r.node.index),
 		MaxMissedHeartbeats: 3,
 		MaxWorkers:          64,
 		MaxConns:            256,
+		MaxBodyBytes:        1 << 16,
+		Now:                 r.now,
+		Dial:                func(address string) (net.Conn, error) { return r.world.dial(address, r.conns) },
+	}
+	return dispatch.NewWorkers(options, func() { r.world.onWorkersChanged(r.node, r.processRun) })
+}
 
-		MaxBodyBytes: 1 << 16,
-		Now:          now,
-		Dial:         func(address string) (net.Conn, error) { return w.dial(address, conns) },
-	}, func() { w.onWorkersChanged(node, processRun) })
-	node.runner = dispatch.NewRunner(dispatch.Runner{
-		Workers:    node.workers,
-		Outliers:   node.outliers,
-		View:       view,
-		HasLease:   hasLease,
-		Now:        now,
-		MaxOverrun: leaseDuration / 16,
-
-		AwaitConfig: func(ctx context.Context, sequence uint64) {
-			if proxyJournal.View().ConfigRevision() < sequence && !w.Options.ServeStale {
-				proxyJournal.Wait(ctx, func(picture proxy.MeshState) bool { return picture.ConfigRevision() >= sequence })
-				w.stagger(ctx)
-			}
-		},
+func (r *proxyRuntime) newRunner() *dispatch.Runner {
+	remembered := maxRememberedRequests
+	if r.world.seededFault == SeededNoDuplicateDetection {
+		remembered = 1
+	}
+	return dispatch.NewRunner(dispatch.Runner{
+		Workers:          r.node.workers,
+		Outliers:         r.node.outliers,
+		View:             r.view,
+		HasLease:         r.hasLease,
+		Now:              r.now,
+		MaxOverrun:       leaseDuration / 16,
+		AwaitConfig:      r.awaitConfig,
+		RevisionOutdated: r.revisionOutdated,
+	}, remembered)
+}
 
-		RevisionOutdated: func(sequence uint64) bool {
-			return !w.Options.ServeStale && proxyJournal.View().Outdated(sequence, now(), leaseDuration/session.RenewalsPerLease)
-		},
-	}, map[bool]int{true: 1, false: maxRememberedRequests}[w.seededFault == SeededNoDuplicateDetection])
-	floor := w.Options.RetryFloor
+// awaitConfig waits until the proxy has at least a revision. A proxy that serves stale does not wait.
+func (r *proxyRuntime) awaitConfig(ctx context.Context, revision uint64) {
+	if r.journal.View().ConfigRevision() < revision && !r.world.Options.ServeStale {
+		r.journal.Wait(ctx, func(state proxy.MeshState) bool { return state.ConfigRevision() >= revision })
+		r.world.stagger(ctx)
+	}
+}
+
+func (r *proxyRuntime) revisionOutdated(revision uint64) bool {
+	return !r.world.Options.ServeStale &&
+		r.journal.View().Outdated(revision, r.now(), leaseDuration/session.RenewalsPerLease)
+}
+
+func (r *proxyRuntime) newForwarder() *dispatch.Forwarder {
+	w, node := r.world, r.node
+	retryFloor := w.Options.RetryFloor
 	if w.seededFault == SeededNoRetryBudget {
-		floor = 1e9
+		retryFloor = 1e9
 	}
-	node.forwarder = (&dispatch.Forwarder{Name: name, Incarnation: node.incarnation,
+	forwarder := &dispatch.Forwarder{
+		Name:        r.name,
+		Incarnation: r.incarnation,
 		Limits: dispatch.Limits{
 			PlanOptions: plan.Options{Zone: w.zoneOf(node.index), MaxDeadline: maxDeadline, Warmup: 5 * time.Second},
 			RetryRatio:  retryRatio,
-			RetryFloor:  floor,
-		}, View: view,
-		AwaitView: func(ctx context.Context, ready func(*plan.View) bool) {
-			proxyJournal.Wait(ctx, func(picture proxy.MeshState) bool { return ready(picture.View()) })
-			w.stagger(ctx)
+			RetryFloor:  retryFloor,
 		},
-		AwaitLease: func(ctx context.Context) bool {
-			if hasLease() {
-				return true
-			}
-			if w.Options.ServeStale {
-				return false
-			}
-			defer w.stagger(ctx)
-			return leaseGate.Await(ctx)
-		}, OnConfigLag: func() { node.lagging.Store(true) },
-		HasLease: hasLease, FleetSize: func() int { return int(node.fleetSize.Load()) }, Now: now, Random: func() float64 { return w.derivedRandom(name).Float64() }, Send: w.attemptSender(node, processRun), Outliers: node.outliers,
-		NoAttemptTimeout: w.Options.CallerCancelRate > 0, Canaries: node.canaries, Counter: node.callCounter, ReserveKey: w.keyReserver(node,
-			processRun, now), KeyReleaseTimeout: leaseDuration / 64}).Init(maxRememberedRequests)
-	if w.Options.ServeStale {
-		w.startProxySubscriptions(node)
-	} else {
-		for i := range w.registries {
-			w.scheduleEvery(&node.process, leaseDuration/session.RenewalsPerLease, func() { w.renewLease(node, i, 0, nil) })
-		}
-		w.startFeed(node)
-		w.scheduleEvery(&node.process, leaseDuration/session.RenewalsPerLease, func() { w.sendReport(node, true) })
+		View:              r.view,
+		AwaitView:         r.awaitView,
+		AwaitLease:        r.awaitLease,
+		OnConfigLag:       func() { node.lagging.Store(true) },
+		HasLease:          r.hasLease,
+		FleetSize:         r.fleetSize,
+		Now:               r.now,
+		Random:            func() float64 { return w.derivedRandom(r.name).Float64() },
+		Send:              w.attemptSender(node, r.processRun),
+		Outliers:          node.outliers,
+		NoAttemptTimeout:  w.Options.CallerCancelRate > 0,
+		Canaries:          node.canaries,
+		Counter:           node.callCounter,
+		ReserveKey:        w.keyReserver(node, r.processRun, r.now),
+		KeyReleaseTimeout: leaseDuration / 64,
 	}
-	w.scheduleEvery(&node.process, w.registryLease()/(4*session.RenewalsPerLease), func() {
-		if _, any := release.JudgedServices(view().Config); any {
-			w.sendReport(node, false)
-		}
-	})
-	w.scheduleEvery(&node.process, pollInterval, func() {
-		// Callers are let in once the proxy can decide.
-		if hasLease() || w.seededFault == SeededDecidesBeforeLease {
-			node.acceptsCallers.Store(true)
+	return forwarder.Init(maxRememberedRequests)
+}
+
+// awaitView waits until the view fulfills a condition.
+func (r *proxyRuntime) awaitView(ctx context.Context, ready func(*plan.View) bool) {
+	r.journal.Wait(ctx, func(state proxy.MeshState) bool { return ready(state.View()) })
+	r.world.stagger(ctx)
+}
+
+// awaitLease waits until the proxy may decide. A proxy that serves stale has no lease to wait for.
+func (r *proxyRuntime) awaitLease(ctx context.Context) bool {
+	if r.hasLease() {
+		return true
+	}
+	if r.world.Options.ServeStale {
+		return false
+	}
+	defer r.world.stagger(ctx)
+	return r.leaseGate.Await(ctx)
+}
+
+// proxyNamed returns the proxy of a name, or nil.
+func (w *World) proxyNamed(name string) *proxyNode {
+	for _, node := range w.proxies {
+		if node.name == name {
+			return node
 		}
-	})
+	}
+	return nil
 }
 
-// localTime is a proxy's own time since it started.
+// localTime converts virtual time to the proxy's local time since the start of its run.
 func (node *proxyNode) localTime(now time.Duration) time.Duration {
 	return node.clock.at(now) - node.clock.at(node.startedAt)
 }
 
+// stopProxy crashes a proxy: its connections break, its workers stay.
 func (w *World) stopProxy(node *proxyNode) {
 	w.History.collectDisconnects(node)
 	w.stopProcess(&node.process)
@@ -190,8 +291,8 @@
 	node.conns.close()
 }
 
-// killProxies ends proxies at once; what gives back starts them again. Their workers stay.
-func (w *World) killProxies(nodes []*proxyNode) func() {
+// killProxies crashes proxies at once and returns what starts them again. Their workers stay.
+func (w *World) killProxies(nodes []*proxyNode) (restart func()) {
 	var killed []*proxyNode
 	for _, node := range nodes {
 		if node.up {
@@ -206,15 +307,29 @@
 	}
 }
 
-// restartGracefully ends a proxy as SIGTERM does: its workers are told as leaving, callers are turned to
-// other proxies, what is under way ends, and then it starts anew.
+// drawHalfOfProxies draws for each proxy whether it belongs to the half.
+func (w *World) drawHalfOfProxies() []*proxyNode {
+	var half []*proxyNode
+	for _, node := range w.proxies {
+		if w.randomInt(2) == 0 {
+			half = append(half, node)
+		}
+	}
+	return half
+}
+
+// restartGracefully shuts a proxy down as SIGTERM does and starts it again: its workers are reported as draining, new
+// callers go to other proxies, calls in flight end, and then the process exits.
 func (w *World) restartGracefully(node *proxyNode) {
-	// Machines are stopped in turn: the next one goes when the last is back.
-	if !node.up || w.lastRestarted != nil && (w.lastRestarted.processRun == w.lastRestartedRun || !w.lastRestarted.acceptsCallers.Load()) {
+	// Proxies are restarted in turn: the next one only when the last is back and admits callers.
+	isLastRestarting := w.lastRestarted != nil &&
+		(w.lastRestarted.processRun == w.lastRestartedRun || !w.lastRestarted.acceptsCallers.Load())
+	if !node.up || isLastRestarting {
 		return
 	}
 	processRun := node.processRun
-	w.lastRestarted, w.lastRestartedRun = node, processRun
+	w.lastRestarted = node
+	w.lastRestartedRun = processRun
 	node.workers.DrainAll()
 	w.scheduleOn(&node.process, time.Second, func() {
 		node.draining.Store(true)
--- a/internal/simulator/rollback_scenario.go
+++ b/internal/simulator/rollback_scenario.go
@@ -3,165 +3,157 @@
 import (
 	"time"
 
+	"meadowhinge/internal/config"
 	"meadowhinge/internal/release"
 	"meadowhinge/schema"
 )
 
-// RollbackScenario is a way in which a new version comes in and goes wrong, or doesn't.
+// RollbackScenario is a way in which a new version is introduced and does or does not become unhealthy.
 type RollbackScenario struct {
-	Name string
-	// Method of bringing it in: a plan to a share, or a flag written by hand.
-	Method      string
-	Percent     float64     // in percent
-	Degradation Degradation // From counts from when the version was brought in; unset for a sound one
-	FallbackToo bool        // the fallback version is ill in the same way
-	TwoServices bool        // another service's new version is as bad at the same time
-	CoreFault   string      // "split" or "gone" when it turns ill
-	Healthy     bool        // a few failures that must not turn it back
-	Passes      bool        // too small a fault to be found within the bound: see docs/limits.md
+	Name        string
+	Method      string      // how the version is introduced: one of the constants MethodX
+	Percent     float64     // of the calls that the version gets in the end
+	Degradation Degradation // From counts from the introduction; the zero value is a healthy version
+	FallbackToo bool        // the fallback version is unhealthy in the same way
+	TwoServices bool        // the new version of another service is as unhealthy at the same time
+	CoreFault   string      // injected when the version becomes unhealthy: one of the constants CoreX, or empty
+	Healthy     bool        // the version must not be rolled back
 }
 
-// The ways.
+// isUnhealthy reports whether the scenario degrades any version.
+func (s RollbackScenario) isUnhealthy() bool {
+	return s.Degradation.FailureRate != 0 || s.Degradation.ExtraLatency != 0
+}
+
+// The faults of the core in a RollbackScenario. The words are part of the scenarios' names.
+const (
+	CoreSplit = "split" // each member is partitioned from the others
+	CoreGone  = "gone"  // all members and registries crash
+)
+
+// How a RollbackScenario introduces a version.
 const (
-	MethodPlan         = "plan"
-	MethodWeightedFlag = "hand"
-	MethodTargetedFlag = "target"
-	MethodFinishedPlan = "plan, done and cancelled"
-	rollbackCallRate   = 150
-	rollbackRunTime    = 60 * time.Second
+	MethodPlan         = "plan"                     // by a release plan
+	MethodWeightedFlag = "hand"                     // by an operator who sets weights in the version flag
+	MethodTargetedFlag = "target"                   // by a version flag that targets users
+	MethodFinishedPlan = "plan, done and cancelled" // by a release plan that is deleted when it is done
+
+	rollbackCallRate = 150 // calls per second of the whole fleet
+	rollbackRunTime  = 60 * time.Second
 )
 
-// RollbackScenarios are all ways that the brake is tried with.
-var RollbackScenarios = func() []RollbackScenario {
-	all := []RollbackScenario{
+// RollbackScenarios are all scenarios that the rollback guard is tested with.
+var RollbackScenarios = append(rollbackScenarios(), rollbackScenariosWithCoreFaults()...)
+
+// rollbackScenarios are the scenarios without a fault of the core.
+func rollbackScenarios() []RollbackScenario {
+	failing := func(rate float64) Degradation { return Degradation{FailureRate: rate} }
+	failingFrom := func(from time.Duration, rate float64) Degradation {
+		return Degradation{From: from, FailureRate: rate}
+	}
+	slow := Degradation{ExtraLatency: 300 * time.Millisecond}
+	slowLate := Degradation{From: 30 * time.Second, ExtraLatency: 300 * time.Millisecond}
+	onOneRoute := Degradation{FailureRate: 1, Route: "/shop/buy"}
+	underLoad := Degradation{FailureRate: 0.5, LoadThreshold: 1}
+	const late = 20 * time.Second
+	return []RollbackScenario{
 		{Name: "good", Method: MethodPlan, Percent: 60, Healthy: true},
-		{Name: "a few failures", Method: MethodPlan, Percent: 60, Degradation: Degradation{FailureRate: 0.005}, Healthy: true},
-		{
-			Name:        "one in a hundred fails",
-			Method:      MethodWeightedFlag,
-			Percent:     50,
-			Degradation: Degradation{FailureRate: 0.01},
-			Healthy:     true,
-		},
-		{
-			Name:        "both fail alike",
-			Method:      MethodPlan,
-			Percent:     60,
-			Degradation: Degradation{FailureRate: 0.33},
-			FallbackToo: true,
-			Healthy:     true,
-		},
+		{Name: "a few failures", Method: MethodPlan, Percent: 60, Degradation: failing(0.005), Healthy: true},
+		{Name: "one in a hundred fails", Method: MethodWeightedFlag, Percent: 50, Degradation: failing(0.01), Healthy: true},
+		{Name: "both fail alike", Method: MethodPlan, Percent: 60, Degradation: failing(0.33), FallbackToo: true, Healthy: true},
 		{
 			Name:        "both fail alike of late, at 90 %",
 			Method:      MethodWeightedFlag,
 			Percent:     90,
-			Degradation: Degradation{From: 20 * time.Second, FailureRate: 0.33},
+			Degradation: failingFrom(late, 0.33),
 			FallbackToo: true,
 			Healthy:     true,
 		},
-		{Name: "bad from the start", Method: MethodPlan, Percent: 60, Degradation: Degradation{FailureRate: 1}},
-		{Name: "bad on one route", Method: MethodPlan, Percent: 60, Degradation: Degradation{FailureRate: 1, Route: "/shop/buy"}},
-		{
-			Name:        "bad late, at a high share",
-			Method:      MethodPlan,
-			Percent:     60,
-			Degradation: Degradation{From: 35 * time.Second, FailureRate: 1},
-		},
-		{Name: "bad under load", Method: MethodPlan, Percent: 60, Degradation: Degradation{FailureRate: 0.5, LoadThreshold: 1}},
-		{Name: "slow", Method: MethodPlan, Percent: 60, Degradation: Degradation{ExtraLatency: 300 * time.Millisecond}},
-		{Name: "a fifth fails", Method: MethodPlan, Percent: 60, Degradation: Degradation{FailureRate: 0.2}},
-		{Name: "by hand, bad from the start", Method: MethodWeightedFlag, Percent: 50, Degradation: Degradation{FailureRate: 1}},
-		{
-			Name:        "by hand at 100 %, bad late",
-			Method:      MethodWeightedFlag,
-			Percent:     100,
-			Degradation: Degradation{From: 20 * time.Second, FailureRate: 1},
-		},
-		{
-			Name:        "by hand at 100 %, half fails late",
-			Method:      MethodWeightedFlag,
-			Percent:     100,
-			Degradation: Degradation{From: 20 * time.Second, FailureRate: 0.5},
-		},
-		{
-			Name:        "by hand, a tenth fails late",
-			Method:      MethodWeightedFlag,
-			Percent:     50,
-			Degradation: Degradation{From: 20 * time.Second, FailureRate: 0.1},
-		},
-		{Name: "a target's calls, bad", Method: MethodTargetedFlag, Percent: 20, Degradation: Degradation{FailureRate: 1}},
+		{Name: "bad from the start", Method: MethodPlan, Percent: 60, Degradation: failing(1)},
+		{Name: "bad on one route", Method: MethodPlan, Percent: 60, Degradation: onOneRoute},
+		{Name: "bad late, at a high share", Method: MethodPlan, Percent: 60, Degradation: failingFrom(35*time.Second, 1)},
+		{Name: "bad under load", Method: MethodPlan, Percent: 60, Degradation: underLoad},
+		{Name: "slow", Method: MethodPlan, Percent: 60, Degradation: slow},
+		{Name: "a fifth fails", Method: MethodPlan, Percent: 60, Degradation: failing(0.2)},
+		{Name: "by hand, bad from the start", Method: MethodWeightedFlag, Percent: 50, Degradation: failing(1)},
+		{Name: "by hand at 100 %, bad late", Method: MethodWeightedFlag, Percent: 100, Degradation: failingFrom(late, 1)},
+		{Name: "by hand at 100 %, half fails late", Method: MethodWeightedFlag, Percent: 100, Degradation: failingFrom(late, 0.5)},
+		{Name: "by hand, a tenth fails late", Method: MethodWeightedFlag, Percent: 50, Degradation: failingFrom(late, 0.1)},
+		{Name: "a target's calls, bad", Method: MethodTargetedFlag, Percent: 20, Degradation: failing(1)},
 		{
 			Name:        "bad after its plan was done and cancelled",
 			Method:      MethodFinishedPlan,
 			Percent:     60,
-			Degradation: Degradation{From: 40 * time.Second, FailureRate: 1},
+			Degradation: failingFrom(40*time.Second, 1),
 		},
 		{
 			Name:        "two services bad at once",
 			Method:      MethodWeightedFlag,
 			Percent:     50,
-			Degradation: Degradation{From: 20 * time.Second, FailureRate: 1},
+			Degradation: failingFrom(late, 1),
 			TwoServices: true,
 		},
-		{
-			Name:        "slow late at 100 %",
-			Method:      MethodWeightedFlag,
-			Percent:     100,
-			Degradation: Degradation{From: 30 * time.Second, ExtraLatency: 300 * time.Millisecond},
-		},
+		{Name: "slow late at 100 %", Method: MethodWeightedFlag, Percent: 100, Degradation: slowLate},
 	}
-	for _, core := range []string{"split", "gone"} {
+}
+
+// rollbackScenariosWithCoreFaults are the scenarios in which the core fails when the version becomes unhealthy.
+func rollbackScenariosWithCoreFaults() []RollbackScenario {
+	var all []RollbackScenario
+	for _, fault := range []string{CoreSplit, CoreGone} {
 		all = append(all,
 			RollbackScenario{
-				Name:        "bad late, the core " + core,
+				Name:        "bad late, the core " + fault,
 				Method:      MethodPlan,
 				Percent:     60,
 				Degradation: Degradation{From: 35 * time.Second, FailureRate: 1},
-				CoreFault:   core,
+				CoreFault:   fault,
 			},
 			RollbackScenario{
-				Name:        "by hand at 100 %, bad late, the core " + core,
+				Name:        "by hand at 100 %, bad late, the core " + fault,
 				Method:      MethodWeightedFlag,
 				Percent:     100,
 				Degradation: Degradation{From: 20 * time.Second, FailureRate: 1},
-				CoreFault:   core,
+				CoreFault:   fault,
 			},
 			RollbackScenario{
-				Name:        "by hand, a tenth fails late, the core " + core,
+				Name:        "by hand, a tenth fails late, the core " + fault,
 				Method:      MethodWeightedFlag,
 				Percent:     50,
 				Degradation: Degradation{From: 20 * time.Second, FailureRate: 0.1},
-				CoreFault:   core,
+				CoreFault:   fault,
 			},
 			RollbackScenario{
-				Name:        "two services bad at once, the core " + core,
+				Name:        "two services bad at once, the core " + fault,
 				Method:      MethodWeightedFlag,
 				Percent:     50,
 				Degradation: Degradation{From: 20 * time.Second, FailureRate: 1},
 				TwoServices: true,
-				CoreFault:   core,
+				CoreFault:   fault,
 			})
 	}
 	return all
-}()
+}
 
-// RollbackResult is what came of one kind.
+// RollbackResult is the result of a RollbackScenario.
 type RollbackResult struct {
-	Scenario                                RollbackScenario
-	ServiceCalls, VersionCalls, FailedCalls int           // calls of the service since the version was ill, its part, and those of them that failed
-	ExposureTime                            time.Duration // from its first call since it was ill to its last
-	RolledBack                              bool          // it was turned back or stopped
-	BlockedCalls                            int
+	Scenario RollbackScenario
+	// ServiceCalls are the calls of the service since the version was unhealthy, VersionCalls those of them that the
+	// version got, FailedCalls those that failed there. Of two services each number is the larger one.
+	ServiceCalls, VersionCalls, FailedCalls int
+	ExposureTime                            time.Duration // from when the version became unhealthy to its last call
+	RolledBack                              bool          // the version was rolled back or stopped
+	BlockedCalls                            int           // calls withheld from the version
 	Breaches                                map[string][]string
-	State, StopReason                       string
+	State, StopReason                       string // of the last progress or stop seen at a registry
 }
 
-// RunRollback brings a new version in, in one way, lets it go wrong, and tells what came of it. It
-// must run inside a bubble.
+// RunRollback introduces a new version, lets it become unhealthy, and returns what the mesh did about it. It must run
+// inside a synctest bubble.
 func RunRollback(seed uint64, scenario RollbackScenario, seededFault SeededFault, proxies int) RollbackResult {
 	w := NewWorld(seed, seededFault, Options{Proxies: proxies, CallRate: rollbackCallRate, NoFaults: true})
 	w.bootFleet()
-	// Callers know the old version for a while before anything is tried out.
+	// The callers use the old version for a while before the new one is introduced.
 	w.Run(w.now + 5*time.Second)
 	services := []string{"shop"}
 	if scenario.TwoServices {
@@ -169,75 +161,102 @@
 	}
 	startedAt := w.now
 	for _, service := range services {
-		switch scenario.Method {
-		case MethodWeightedFlag:
-			w.submitUntilAccepted(func() {}, weightedFlagItem(service, int(scenario.Percent*1000)))
-		case MethodTargetedFlag:
-			w.submitUntilAccepted(func() {}, targetedFlagItem(service, int(scenario.Percent*10)))
-		default:
-			w.submitUntilAccepted(func() {}, releasePlanItem(service, scenario.Percent, 20*time.Second))
+		w.introduceVersion(scenario, service)
+		if scenario.isUnhealthy() {
+			w.degradeIntroduced(scenario, service, startedAt)
 		}
-		if scenario.Method == MethodFinishedPlan {
-			w.schedule(35*time.Second, func() {
-				w.submitUntilAccepted(func() {}, &schema.Item{Kind: "release", Name: "to-" + service, Deleted: true})
-			})
-		}
-		if scenario.Degradation.FailureRate == 0 && scenario.Degradation.ExtraLatency == 0 {
-			continue
-		}
-		degradation := scenario.Degradation
-		degradation.From += startedAt
-		if scenario.Healthy {
-			w.lock.Lock()
-			w.degradations[[2]string{service, "2"}] = &degradation
-			if scenario.FallbackToo {
-				w.degradations[[2]string{service, "1"}] = &degradation
-			}
-			w.lock.Unlock()
-			continue
-		}
-		w.degradeVersion(service, "2", &degradation)
 	}
 	if scenario.CoreFault != "" {
-		w.schedule(scenario.Degradation.From, func() {
-			if scenario.CoreFault == "split" {
-				w.partitionCore(func(int, int) bool { return true })
-				return
-			}
-			for _, node := range w.members {
-				w.crashMember(node)
-			}
-			for _, node := range w.registries {
-				w.stopProcess(&node.process)
-			}
-		})
+		w.schedule(scenario.Degradation.From, func() { w.failCore(scenario.CoreFault) })
 	}
 	w.faults = append(w.faults, &faultRecord{name: "a version goes wrong", startedAt: startedAt, mayReject: true})
 	w.Run(startedAt + rollbackRunTime)
 	result := RollbackResult{Scenario: scenario, BlockedCalls: w.History.BlockedCalls}
 	for _, node := range w.registries {
-		if node.snapshot == nil {
-			continue
-		}
-		for name, progress := range node.snapshot.Progress {
-			result.State, result.StopReason = progress.State, progress.Reason
-			result.RolledBack = result.RolledBack || (progress.State == release.StateRolledBack && name != "")
-		}
-		for _, service := range services {
-			if stop := node.snapshot.ActiveStop(service, "2"); stop != nil {
-				result.RolledBack, result.StopReason = true, stop.Reason
-			}
-		}
+		result.addProgress(node.snapshot, services)
 	}
 	w.Close()
 	w.History.checkAtEnd()
-	for _, bad := range w.History.badVersions {
-		result.ServiceCalls, result.VersionCalls, result.FailedCalls = max(result.ServiceCalls, bad.serviceCalls), max(result.VersionCalls, bad.versionCalls), max(result.FailedCalls, bad.failures)
-		result.ExposureTime = max(result.ExposureTime, bad.lastCallAt-startedAt-scenario.Degradation.From)
-	}
+	result.addExposure(w.History.badVersions, startedAt+scenario.Degradation.From)
 	if scenario.Healthy && result.RolledBack {
 		w.History.recordBreach(RuleHealthyRolledBack, "%s: %s", scenario.Name, result.StopReason)
 	}
 	result.Breaches = w.History.Breaches
 	return result
 }
+
+// introduceVersion introduces version 2 of a service by the method of a scenario.
+func (w *World) introduceVersion(scenario RollbackScenario, service string) {
+	switch scenario.Method {
+	case MethodWeightedFlag:
+		w.submitUntilAccepted(func() {}, weightedFlagItem(service, int(scenario.Percent*1000)))
+	case MethodTargetedFlag:
+		w.submitUntilAccepted(func() {}, targetedFlagItem(service, int(scenario.Percent*10)))
+	default:
+		w.submitUntilAccepted(func() {}, releasePlanItem(service, scenario.Percent, 20*time.Second))
+	}
+	if scenario.Method == MethodFinishedPlan {
+		w.schedule(35*time.Second, func() {
+			w.submitUntilAccepted(func() {}, &schema.Item{Kind: "release", Name: "to-" + service, Deleted: true})
+		})
+	}
+}
+
+// degradeIntroduced schedules the degradation of a scenario. The history watches the exposure of a version only if
+// the version should be rolled back.
+func (w *World) degradeIntroduced(scenario RollbackScenario, service string, startedAt time.Duration) {
+	degradation := scenario.Degradation
+	degradation.From += startedAt
+	if !scenario.Healthy {
+		w.degradeVersion(service, "2", &degradation)
+		return
+	}
+	w.withLock(func() {
+		w.degradations[[2]string{service, "2"}] = &degradation
+		if scenario.FallbackToo {
+			w.degradations[[2]string{service, "1"}] = &degradation
+		}
+	})
+}
+
+// failCore takes the core away until the end of the run.
+func (w *World) failCore(fault string) {
+	if fault == CoreSplit {
+		w.partitionCore(func(int, int) bool { return true })
+		return
+	}
+	for _, node := range w.members {
+		w.crashMember(node)
+	}
+	for _, node := range w.registries {
+		w.stopProcess(&node.process)
+	}
+}
+
+// addProgress adds what the configuration of a registry shows of the rollout.
+func (r *RollbackResult) addProgress(snapshot *config.Snapshot, services []string) {
+	if snapshot == nil {
+		return
+	}
+	for name, progress := range snapshot.Progress {
+		r.State = progress.State
+		r.StopReason = progress.Reason
+		r.RolledBack = r.RolledBack || (progress.State == release.StateRolledBack && name != "")
+	}
+	for _, service := range services {
+		if stop := snapshot.ActiveStop(service, "2"); stop != nil {
+			r.RolledBack = true
+			r.StopReason = stop.Reason
+		}
+	}
+}
+
+// addExposure adds the calls that bad versions got.
+func (r *RollbackResult) addExposure(badVersions []*badVersion, unhealthyFrom time.Duration) {
+	for _, bad := range badVersions {
+		r.ServiceCalls = max(r.ServiceCalls, bad.serviceCalls)
+		r.VersionCalls = max(r.VersionCalls, bad.versionCalls)
+		r.FailedCalls = max(r.FailedCalls, bad.failures)
+		r.ExposureTime = max(r.ExposureTime, bad.lastCallAt-unhealthyFrom)
+	}
+}
--- a/internal/simulator/rollout_control.go
+++ b/internal/simulator/rollout_control.go
@@ -9,7 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// isController tells whether no registry before this one in the order can have the release duty.
+// isController reports whether a registry controls rollouts: the first in the static order that can, as far as this
+// registry reaches the others.
 func (w *World) isController(node *registryNode) bool {
 	for _, other := range w.registries {
 		if other == node {
@@ -22,13 +23,14 @@
 	return w.mayControlRollouts(node)
 }
 
-// mayControlRollouts tells whether a registry may have the release duty at all.
+// mayControlRollouts reports whether a registry is able to control rollouts: it grants leases and its member has a
+// recent committed state.
 func (w *World) mayControlRollouts(node *registryNode) bool {
 	member := node.member
 	if !node.table.GrantsLeases(w.uptime(node)) || !w.isResponsive(&member.process) {
 		return false
 	}
-	// A planted fault lets each part of a split core have a duty, whose word can then do harm.
+	// The seeded fault lets each part of a split core have a controller, whose decisions can do harm.
 	if w.seededFault == SeededAlwaysHealthy {
 		return true
 	}
@@ -36,7 +38,8 @@
 	return known && staleness <= w.registryLease()/4
 }
 
-// runController does the release duty whenever it falls on a registry.
+// runController runs one round of rollout control if this registry is the controller: it distributes canary grants,
+// gathers the counts of calls from all registries, and submits the resulting steps.
 func (w *World) runController(node *registryNode) {
 	snapshot, state := node.snapshot, node.state
 	workers := registry.WorkerPoolsOf(node.table.SourcesNewerThan(w.uptime(node), nil))
@@ -45,24 +48,8 @@
 		return
 	}
 	if node.controller == nil {
-		options := release.Defaults
-		if w.seededFault == SeededFailuresIgnored {
-			options.FailureThreshold = 1 << 40
-			options.LatencyMultiple = 1e9
-			options.RollbackLogOdds = 1e9
-		}
-		if w.seededFault == SeededHairTrigger {
-			options.FailureThreshold = 2
-			options.FailureRateMargin = 0
-			options.MinStandardErrors = 0
-		}
-		if w.Options.BoundExposure {
-			options.CanaryPercent = orderCanaryPercent
-			options.MaxBadFraction = orderBadShare
-			options.BadCallsMargin = orderBadMargin
-			options.FailureRateMargin = orderFailureExcess
-		}
-		node.controller = release.NewController(options, node.table.MemberID(), w.registryLease()/session.RenewalsPerLease)
+		interval := w.registryLease() / session.RenewalsPerLease
+		node.controller = release.NewController(w.controllerOptions(), node.table.MemberID(), interval)
 	}
 	controller := node.controller
 	canaries := controller.CanaryGrants(snapshot)
@@ -72,33 +59,14 @@
 		}
 	}
 	node.table.SetCanaryGrants(w.uptime(node), canaries)
-	replies := []*schema.CountsReply{}
-	for _, other := range w.registries {
-		if other != node {
-			w.send(&node.process, &other.process, func() {
-				other.table.SetCanaryGrants(w.uptime(other), canaries)
-				reply := other.table.ReportedCounts(w.uptime(other), true)
-				w.send(&other.process, &node.process, func() { replies = append(replies, reply) })
-			})
-		}
-	}
-	// Whoever has not answered by then is not heard this time.
+	replies := w.gatherCounts(node, canaries)
+	// Registries that have not replied by then are left out of this round.
 	w.scheduleOn(&node.process, w.registryLease()/(8*session.RenewalsPerLease), func() {
 		if node.controller != controller {
 			return
 		}
-		replies = append(replies, node.table.ReportedCounts(w.uptime(node), true))
-		reporting := 0
-		for _, reply := range replies {
-			reporting += int(reply.Reporting)
-		}
-		steps, err := controller.Reconcile(w.uptime(node), snapshot, state, release.FleetObservation{
-			Counts:        registry.MergeCounts(replies),
-			HeardFraction: float64(reporting) / float64(len(w.proxies)),
-			Workers:       workers,
-
-			KnownFor: func(sequence uint64) time.Duration { return node.table.KnownFor(w.uptime(node), sequence) },
-		})
+		allReplies := append(*replies, node.table.ReportedCounts(w.uptime(node), true))
+		steps, err := controller.Reconcile(w.uptime(node), snapshot, state, w.fleetObservation(node, allReplies, workers))
 		if err != nil {
 			w.History.recordBreach(RuleRecoveryTime, "%v: a step could not be made: %v", w.now, err)
 		}
@@ -107,7 +75,63 @@
 		}
 		for _, step := range steps {
 			node.stepsSubmitted++
-			w.submitChange(node, step.Change(node.name, node.incarnation, node.stepsSubmitted, state), func(schema.Ruling, uint64) {})
+			change := step.Change(node.name, node.incarnation, node.stepsSubmitted, state)
+			w.submitChange(node, change, func(schema.Ruling, uint64) {})
 		}
 	})
 }
+
+// controllerOptions returns the options of the rollout controller in this world.
+func (w *World) controllerOptions() release.Options {
+	options := release.Defaults
+	if w.seededFault == SeededFailuresIgnored {
+		options.FailureThreshold = 1 << 40
+		options.LatencyMultiple = 1e9
+		options.RollbackLogOdds = 1e9
+	}
+	if w.seededFault == SeededHairTrigger {
+		options.FailureThreshold = 2
+		options.FailureRateMargin = 0
+		options.MinStandardErrors = 0
+	}
+	if w.Options.BoundExposure {
+		options.CanaryPercent = orderCanaryPercent
+		options.MaxBadFraction = orderBadShare
+		options.BadCallsMargin = orderBadMargin
+		options.FailureRateMargin = orderFailureExcess
+	}
+	return options
+}
+
+// gatherCounts distributes canary grants to the other registries and collects their counts of calls. Replies are
+// appended to the returned list as they arrive.
+func (w *World) gatherCounts(node *registryNode, canaries []*schema.Canary) *[]*schema.CountsReply {
+	replies := &[]*schema.CountsReply{}
+	for _, other := range w.registries {
+		if other == node {
+			continue
+		}
+		w.send(&node.process, &other.process, func() {
+			other.table.SetCanaryGrants(w.uptime(other), canaries)
+			reply := other.table.ReportedCounts(w.uptime(other), true)
+			w.send(&other.process, &node.process, func() { *replies = append(*replies, reply) })
+		})
+	}
+	return replies
+}
+
+// fleetObservation returns what the controller decides by.
+func (w *World) fleetObservation(
+	node *registryNode, replies []*schema.CountsReply, workers map[[2]string]release.WorkerPool,
+) release.FleetObservation {
+	reporting := 0
+	for _, reply := range replies {
+		reporting += int(reply.Reporting)
+	}
+	return release.FleetObservation{
+		Counts:        registry.MergeCounts(replies),
+		HeardFraction: float64(reporting) / float64(len(w.proxies)),
+		Workers:       workers,
+		KnownFor:      func(sequence uint64) time.Duration { return node.table.KnownFor(w.uptime(node), sequence) },
+	}
+}
--- a/internal/simulator/rules.go
+++ b/internal/simulator/rules.go
@@ -4,7 +4,8 @@
 	"fmt"
 )
 
-// The rules that are judged exactly, in virtual time.
+// The never-rules that every world checks, exactly in virtual time. Each constant is the text under which breaches are
+// reported; golden digests hold these texts.
 const (
 	RuleRanTwice           = "a once request ran twice"
 	RuleNotExecutedRan     = "a request refused as not run ran"
@@ -24,14 +25,11 @@
 	RuleRecoveryTime       = "not back within the bound"
 	RuleHealthyRolledBack  = "a good version was turned back"
 	RuleRunAfterCancel     = "a worker went on for a caller that had left"
-	maxBreachesShown       = 5
-)
 
-// The core alone, without an order: seats that found from seeds, join, are replaced and lose
-// their disks, under changes whose items bear versions of operators'. More seats and more faults
-// fit into a run than where the whole mesh is played.
+	maxBreachesShown = 5 // of each rule
+)
 
-// Rules on given versions and on the seats.
+// The never-rules on operator versions and on the core, which only RunCore checks.
 const (
 	RuleOperatorVersionLost = "an acknowledged given version was lost or went down"
 	RuleContentMismatch     = "an item differs from what was given under its version"
@@ -40,6 +38,7 @@
 	RuleNotLinearizable     = "no order of the calls explains what the operators were told"
 )
 
+// recordBreach records a breach of a rule. The caller holds the lock or is an event, during which no goroutine runs.
 func (h *History) recordBreach(rule, format string, values ...any) {
 	if h.Breaches == nil {
 		h.Breaches = map[string][]string{}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -7,41 +7,55 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// workerNode is a stand-in worker.
+// workerNode is a fake worker beside a proxy.
 type workerNode struct {
 	name, address, service, version, token string
 	proxy                                  *proxyNode
-	up, draining                           bool // up is guarded by the world's lock
+	up                                     bool // World.lock guards it
+	draining                               bool
 	conns                                  connections
 	startedAt                              time.Duration
-	warmup                                 time.Duration // it is slow for so long after it began
-	predecessor                            *workerNode   // whose connections it took over
-	dropsResponses, truncatesResponses     bool          // does the work and loses the answer, or garbles it
+	warmup                                 time.Duration // for which it is slow after its start
+	predecessor                            *workerNode   // whose connections it took over, or nil
+	dropsResponses                         bool          // it executes calls and closes the connection
+	truncatesResponses                     bool          // it sends half of the body
 }
 
-// Degradation is how a version behaves that is not sound.
+// Degradation is how an unhealthy version behaves.
 type Degradation struct {
-	From           time.Duration
-	Until          time.Duration // 0 for ever
-	Route          string        // on one route only
-	FailureRate    float64       // part of its calls that it answers with 500
+	From           time.Duration // start in virtual time
+	Until          time.Duration // end in virtual time; 0 for no end
+	Route          string        // path prefix that it is limited to; empty for all
+	FailureRate    float64       // fraction of its calls that it answers with status 500
 	ExtraLatency   time.Duration // added to each call
-	SlowdownFactor float64       // what would fail takes so many times as long instead, 0 for not
-	LoadThreshold  int           // it is ill only while more calls than this are under way at it, which take ten times as long
+	SlowdownFactor float64       // if positive, calls that would fail take so many times as long instead
+	// LoadThreshold limits it to times when more calls than this are in flight at the version. With the default service
+	// time a positive threshold also makes calls take ten times as long, or the load would never be reached.
+	LoadThreshold int
 }
 
+// activeAt reports whether the degradation covers a point in virtual time.
+func (d *Degradation) activeAt(now time.Duration) bool {
+	return now >= d.From && (d.Until <= 0 || now < d.Until)
+}
+
+// heartbeatInterval is how often a worker describes itself to its proxy.
 const heartbeatInterval = time.Second
 
-// initialWorkers is how the workers are spread: service, version.
-var initialWorkers = [][2]string{{"shop", "1"}, {"shop", "2"}, {"saves", "1"}, {"shop", "1"}, {"saves", "2"}, {"shop", "2"}, {"saves", "1"}, {"saves", "2"}}
+// initialWorkers are the service and version of each worker at the start, spread over the proxies in turn.
+var initialWorkers = [][2]string{
+	{"shop", "1"}, {"shop", "2"}, {"saves", "1"}, {"shop", "1"},
+	{"saves", "2"}, {"shop", "2"}, {"saves", "1"}, {"saves", "2"},
+}
 
+// startInitialWorkers starts the workers that a fleet begins with.
 func (w *World) startInitialWorkers() {
 	for i, worker := range initialWorkers {
 		w.startWorker(w.proxies[i%len(w.proxies)], worker[0], worker[1], "")
 	}
 }
 
-// startWorker begins a worker beside a proxy, at a new address or at one that was freed.
+// startWorker starts a worker beside a proxy, at the given address or, if that is empty, at a new one.
 func (w *World) startWorker(proxy *proxyNode, service, version, address string) *workerNode {
 	if address == "" {
 		w.addressesUsed++
@@ -74,7 +88,7 @@
 	return worker
 }
 
-// describeWorker lets a worker say to its proxy what it is; a dead proxy does not hear it.
+// describeWorker sends the description of a worker to its proxy; a proxy that is down does not receive it.
 func (w *World) describeWorker(worker *workerNode, terminated bool) {
 	proxy := worker.proxy
 	if !proxy.up {
@@ -93,17 +107,21 @@
 		description.Draining = false
 	}
 	workers := proxy.workers
-	w.scheduleOn(&proxy.process, time.Millisecond, func() { _, _ = workers.Register(description) })
+	w.scheduleOn(&proxy.process, time.Millisecond, func() {
+		// The proxy may refuse the registration, for example of a worker whose address another has taken; the worker
+		// then tries again with its next heartbeat.
+		_, _ = workers.Register(description)
+	})
 }
 
-// drainWorker lets a worker say that it is emptying.
+// drainWorker makes a worker report that it is draining.
 func (w *World) drainWorker(worker *workerNode) {
 	worker.draining = true
 	w.History.recordDeparture(worker.token, w.now)
 	w.describeWorker(worker, false)
 }
 
-// killWorker ends a worker at once: every connection breaks.
+// killWorker ends a worker at once: every connection breaks, those that it took over too.
 func (w *World) killWorker(worker *workerNode) {
 	w.lock.Lock()
 	wasUp := worker.up
@@ -120,8 +138,8 @@
 	}
 }
 
-// takeOverConnections puts another worker at an address in a way that no connection to it shows, as where
-// something in front of the workers keeps connections open.
+// takeOverConnections replaces a worker by one of another service at the same address without breaking a connection, as
+// a load balancer in front of the workers does that keeps connections open.
 func (w *World) takeOverConnections(old *workerNode, service string) *workerNode {
 	w.lock.Lock()
 	old.up = false
@@ -132,8 +150,16 @@
 	return replacement
 }
 
-// replaceWorker starts a successor, drains a worker and ends it, and gives its address to a worker of
-// another service.
+// otherService returns the other one of the two services.
+func otherService(service string) string {
+	if service == "saves" {
+		return "shop"
+	}
+	return "saves"
+}
+
+// replaceWorker starts a replacement, drains the old worker and ends it, and lets a worker of the other service reuse
+// its address for a while.
 func (w *World) replaceWorker(old *workerNode) {
 	w.startWorker(old.proxy, old.service, old.version, "")
 	w.schedule(300*time.Millisecond, func() {
@@ -145,31 +171,31 @@
 			w.describeWorker(old, true)
 			w.schedule(100*time.Millisecond, func() {
 				w.killWorker(old)
-				other := "saves"
-				if old.service == other {
-					other = "shop"
-				}
-				w.schedule(w.randomDuration(time.Second), func() {
-					addressReuser := w.startWorker(old.proxy, other, "1", old.address)
-					// It goes again, so that the fleet does not grow with every replacement.
-					w.schedule(10*time.Second, func() {
-						if addressReuser.up {
-							w.drainWorker(addressReuser)
-							w.schedule(2*time.Second, func() { w.killWorker(addressReuser) })
-						}
-					})
-				})
+				w.schedule(w.randomDuration(time.Second), func() { w.reuseAddress(old) })
 			})
 		})
 	})
 }
 
-// randomWorker draws a worker that is up and stays.
+// reuseAddress starts a worker of the other service at the address of an ended one. The new worker ends too, so that
+// the fleet does not grow with every replacement.
+func (w *World) reuseAddress(old *workerNode) {
+	reuser := w.startWorker(old.proxy, otherService(old.service), "1", old.address)
+	w.schedule(10*time.Second, func() {
+		if reuser.up {
+			w.drainWorker(reuser)
+			w.schedule(2*time.Second, func() { w.killWorker(reuser) })
+		}
+	})
+}
+
+// randomWorker draws an active worker.
 func (w *World) randomWorker() *workerNode {
 	all := w.activeWorkers()
 	return all[w.randomInt(len(all))]
 }
 
+// activeWorkers returns the workers that are up and not draining.
 func (w *World) activeWorkers() []*workerNode {
 	var all []*workerNode
 	for _, worker := range w.workers {
--- a/internal/simulator/worker_serve.go
+++ b/internal/simulator/worker_serve.go
@@ -18,7 +18,7 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// dial opens a connection from a proxy to whoever stands at an address now.
+// dial opens a connection from a proxy to the worker that listens at an address now.
 func (w *World) dial(address string, conns *connections) (net.Conn, error) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -33,79 +33,93 @@
 	return near, nil
 }
 
-// workerAt is the worker that stands at an address now.
+// workerAt returns the worker that listens at an address now, or nil.
 func (w *World) workerAt(address string) *workerNode {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.workersByAddress[address]
 }
 
-// serveConn answers the requests that come over one connection to an address.
+// serveConn answers the requests that arrive over one connection to an address, until the connection ends.
 func (w *World) serveConn(address string, conn net.Conn) {
-	defer conn.Close()
+	defer func() { _ = conn.Close() }() // closing a pipe never fails
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		_, _ = io.Copy(io.Discard, request.Body)
+		_, _ = io.Copy(io.Discard, request.Body) // a broken connection shows at the next read or write
 		worker := w.workerAt(address)
-		if worker == nil {
+		if worker == nil || !w.serveRequest(worker, request, reader, conn) {
 			return
 		}
-		if request.Header.Get(dispatch.HeaderToken) != worker.token && w.seededFault != SeededTokenIgnored {
-			if _, err := fmt.Fprintf(conn, "HTTP/1.1 421 Misdirected\r\n%s: token\r\nContent-Length: 0\r\n\r\n",
-				dispatch.HeaderRefused); err != nil {
-				return
-			}
-			continue
-		}
-		attemptNumber, _ := strconv.Atoi(request.Header.Get("X-Ask"))
-		operationID := request.Header.Get("X-Op")
-		fails, serviceTime := w.sampleWorkerCall(worker, request.URL.Path, w.derivedRandom(request.Header.Get(dispatch.HeaderRequest)))
-		w.History.recordRun(w.time(), worker, operationID, attemptNumber, request.Header.Get(dispatch.HeaderCaller),
-			request.Header.Get(dispatch.HeaderRequest), fails || serviceTime > 200*time.Millisecond)
-		if w.onWorkerCall != nil {
-			w.lock.Lock()
-			w.onWorkerCall(worker, fails)
-			w.lock.Unlock()
-		}
-		connReadable := make(chan struct{})
-		if w.Options.CallerCancelRate > 0 {
-			done := false
-			done, connReadable = simulateWork(reader, serviceTime)
-			w.History.recordRunEnd(w.time(), operationID, request.Header.Get(dispatch.HeaderRequest))
-			if !done {
-				w.endWorkerCall(worker)
-				return
-			}
-		} else {
-			close(connReadable)
-			time.Sleep(serviceTime)
-		}
-		w.endWorkerCall(worker)
-		body, _ := json.Marshal(fakebackend.NewReply(operationID, worker.name, "xxxxxxxxxxxxxxxxxxxx"))
-		status := "200 OK"
-		if fails {
-			status = "500 Ill"
-		}
-		switch {
-		case worker.dropsResponses:
-			return
-		case worker.truncatesResponses:
-			body = body[:len(body)/2]
-		}
-		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s",
-			status, len(body), body); err != nil {
-			return
-		}
-		<-connReadable
 	}
 }
 
-// simulateWork works for a time, or until the connection ends; it tells whether the work was done. A proxy sends nothing
-// more before it has its answer.
+// serveRequest runs one request at a worker and writes the response. It returns false if the connection must close.
+func (w *World) serveRequest(worker *workerNode, request *http.Request, reader *bufio.Reader, conn net.Conn) bool {
+	if request.Header.Get(dispatch.HeaderToken) != worker.token && w.seededFault != SeededTokenIgnored {
+		_, err := fmt.Fprintf(conn, "HTTP/1.1 421 Misdirected\r\n%s: token\r\nContent-Length: 0\r\n\r\n", dispatch.HeaderRefused)
+		return err == nil
+	}
+	requestID := request.Header.Get(dispatch.HeaderRequest)
+	operationID := request.Header.Get("X-Op")
+	attemptNumber, _ := strconv.Atoi(request.Header.Get("X-Ask")) // newCall writes a number
+	fails, serviceTime := w.sampleWorkerCall(worker, request.URL.Path, w.derivedRandom(requestID))
+	isBad := fails || serviceTime > 200*time.Millisecond
+	w.History.recordRun(w.time(), worker, operationID, attemptNumber, request.Header.Get(dispatch.HeaderCaller), requestID, isBad)
+	if w.onWorkerCall != nil {
+		w.withLock(func() { w.onWorkerCall(worker, fails) })
+	}
+	connReadable, done := w.runWorkerCall(reader, operationID, requestID, serviceTime)
+	w.endWorkerCall(worker)
+	if !done || worker.dropsResponses {
+		return false
+	}
+	if err := writeReply(conn, worker, operationID, fails); err != nil {
+		return false
+	}
+	<-connReadable
+	return true
+}
+
+// runWorkerCall spends the service time of a call. In a world whose callers cancel, the end of the connection cuts it
+// short; done is then false. connReadable closes when reader may be used again.
+func (w *World) runWorkerCall(
+	reader *bufio.Reader, operationID, requestID string, serviceTime time.Duration,
+) (connReadable chan struct{}, done bool) {
+	if w.Options.CallerCancelRate == 0 {
+		connReadable = make(chan struct{})
+		close(connReadable)
+		time.Sleep(serviceTime)
+		return connReadable, true
+	}
+	done, connReadable = simulateWork(reader, serviceTime)
+	w.History.recordRunEnd(w.time(), operationID, requestID)
+	return connReadable, done
+}
+
+// writeReply writes the response of a worker to a call.
+func writeReply(conn net.Conn, worker *workerNode, operationID string, fails bool) error {
+	body, err := json.Marshal(fakebackend.NewReply(operationID, worker.name, "xxxxxxxxxxxxxxxxxxxx"))
+	if err != nil {
+		return err
+	}
+	status := "200 OK"
+	if fails {
+		status = "500 Ill"
+	}
+	if worker.truncatesResponses {
+		body = body[:len(body)/2]
+	}
+	const format = "HTTP/1.1 %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
+	_, err = fmt.Fprintf(conn, format, status, len(body), body)
+	return err
+}
+
+// simulateWork spends the service time, or less if the connection ends before, and reports whether the work was done.
+// It detects the end by reading ahead, which is safe because a proxy sends nothing before it has the response.
 func simulateWork(reader *bufio.Reader, serviceTime time.Duration) (done bool, connReadable chan struct{}) {
 	closed := make(chan struct{})
 	connReadable = make(chan struct{})
@@ -125,31 +139,34 @@
 	}
 }
 
-// serviceTimeSigma is the spread of the logarithm of how long calls take.
+// serviceTimeSigma is the standard deviation of the logarithm of service times, which are log-normal.
 const serviceTimeSigma = 0.7
 
-// sampleWorkerCall draws how a call goes at a worker.
+// sampleWorkerCall draws whether a call fails at a worker, and how long it takes there. It counts the call as in flight
+// until endWorkerCall.
 func (w *World) sampleWorkerCall(worker *workerNode, path string, random *rand.Rand) (fails bool, serviceTime time.Duration) {
 	now := w.time()
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	serviceTime = time.Millisecond + time.Duration(random.Int64N(int64(4*time.Millisecond)))
 	if w.Options.MeanServiceTime > 0 {
-		serviceTime = time.Duration(float64(w.Options.MeanServiceTime) * math.Exp(serviceTimeSigma*random.NormFloat64()-serviceTimeSigma*serviceTimeSigma/2))
+		exponent := serviceTimeSigma*random.NormFloat64() - serviceTimeSigma*serviceTimeSigma/2
+		serviceTime = time.Duration(float64(w.Options.MeanServiceTime) * math.Exp(exponent))
 	}
 	fails = random.Float64() < w.Options.ErrorRate
 	if now-worker.startedAt < worker.warmup {
 		serviceTime += 200 * time.Millisecond
 	}
 	inFlight := w.History.beginWorkerCall(worker)
-	degradation := w.degradations[[2]string{worker.service, worker.version}]
-	if w.halfDegradation != nil && worker.service == "shop" && worker.version == "2" && len(worker.name)%2 == int(worker.name[1])%2 {
-		degradation = w.halfDegradation
+	degradation := w.degradationOf(worker)
+	if degradation == nil {
+		return fails, serviceTime
 	}
-	if degradation != nil && degradation.LoadThreshold > 0 && w.Options.MeanServiceTime == 0 {
+	if degradation.LoadThreshold > 0 && w.Options.MeanServiceTime == 0 {
 		serviceTime *= 10
 	}
-	if degradation == nil || now < degradation.From || (degradation.Until > 0 && now >= degradation.Until) || (degradation.Route != "" && !strings.HasPrefix(path, degradation.Route)) || inFlight <= degradation.LoadThreshold {
+	onRoute := degradation.Route == "" || strings.HasPrefix(path, degradation.Route)
+	if !degradation.activeAt(now) || !onRoute || inFlight <= degradation.LoadThreshold {
 		return fails, serviceTime
 	}
 	serviceTime += degradation.ExtraLatency
@@ -162,8 +179,20 @@
 	return true, serviceTime
 }
 
+// degradationOf returns the degradation of a worker, or nil. The caller holds the lock.
+func (w *World) degradationOf(worker *workerNode) *Degradation {
+	if w.halfDegradation != nil && worker.service == "shop" && worker.version == "2" && worker.isInDegradedHalf() {
+		return w.halfDegradation
+	}
+	return w.degradations[[2]string{worker.service, worker.version}]
+}
+
+// isInDegradedHalf reports whether halfDegradation affects the worker: an arbitrary but fixed half of all names.
+func (worker *workerNode) isInDegradedHalf() bool { return len(worker.name)%2 == int(worker.name[1])%2 }
+
+// endWorkerCall counts a call as not in flight any more.
 func (w *World) endWorkerCall(worker *workerNode) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	w.History.inFlight[worker.service+worker.version]--
+	w.History.inFlight[versionKey{worker.service, worker.version}]--
 }
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -17,53 +17,53 @@
 	"sync"
 	"testing/synctest"
 	"time"
-
-	"meadowhinge/internal/config"
-	"meadowhinge/schema"
 )
 
-// World is one simulated fleet.
+// World is one simulated fleet. A scenario creates it, runs it and closes it within one synctest bubble.
 type World struct {
 	seed        uint64
 	seededFault SeededFault
 	startTime   time.Time
-	now         time.Duration // of the event that runs; goroutines ask time()
+	now         time.Duration // of the running event; goroutines call time()
 
-	lock              sync.Mutex // of all below it here: events and goroutines share them
-	random            *rand.Rand
+	// lock guards the fields from here to closed, which events and goroutines share.
+	lock              sync.Mutex
+	random            *rand.Rand // the random stream of the events
 	lastEventSequence uint64
 	lastID            int
 	events            eventQueue
-	eventAdded        chan struct{} // a goroutine added an event
+	eventAdded        chan struct{} // wakes Run when a goroutine has scheduled an event
 	partitionedLinks  map[[2]string]bool
-	// disturbedAt is when something was last done to a site.
-	disturbedAt      map[string]time.Duration
-	lossRate         float64
-	maxExtraDelay    time.Duration // added to every delivery at most
-	corruptionRate   float64       // part of the answers between proxies that is altered on the way
-	duplicationRate  float64       // part of the requests between proxies that arrives twice
-	workersByAddress map[string]*workerNode
-	cancellations    cancellations
-	closed           bool // the run is over: nothing is called any more
+	disturbedAt       map[string]time.Duration // by host: when a fault last touched it
+	lossRate          float64                  // fraction of messages lost
+	maxExtraDelay     time.Duration            // bound of the latency added to each message
+	corruptionRate    float64                  // fraction of responses between proxies that are altered in transit
+	duplicationRate   float64                  // fraction of requests between proxies that arrive twice
+	workersByAddress  map[string]*workerNode
+	cancellations     cancellations // has a lock of its own
+	closed            bool          // the run is over: no call starts any more
+
+	members    []*memberNode
+	registries []*registryNode
+	proxies    []*proxyNode
+	workers    []*workerNode // lock guards appending
 
-	members         []*memberNode
-	registries      []*registryNode
-	proxies         []*proxyNode
-	workers         []*workerNode
 	degradations    map[[2]string]*Degradation // by service and version
-	halfDegradation *Degradation               // of every other worker of a version that is ordered
-	faults          []*faultRecord
-	addressesUsed   int // addresses used so far
-	// lastRestarted is the proxy that was last stopped politely, and in which life.
+	halfDegradation *Degradation               // of half of the workers of an ordered version
+	faults          []*faultRecord             // in the order of their starts
+	addressesUsed   int                        // worker addresses handed out
+
+	// lastRestarted is the proxy that was last shut down gracefully, lastRestartedRun the run that ended.
 	lastRestarted    *proxyNode
 	lastRestartedRun int
-	Options          Options
-	onWorkerCall     func(one *workerNode, bad bool) // told of each call that a worker begins, if set
-	History          *History
+
+	Options      Options
+	onWorkerCall func(worker *workerNode, bad bool) // if set, called with lock held for each call that a worker begins
+	History      *History
 }
 
-// NewWorld makes a fleet from a seed; everything in it is up. It must be made, run and closed
-// inside a bubble.
+// NewWorld creates a fleet from a seed and starts all its processes, except for Options.Empty. The world must be
+// created, run and closed inside one synctest bubble.
 func NewWorld(seed uint64, seededFault SeededFault, options Options) *World {
 	if options.RetryFloor == 0 {
 		options.RetryFloor = retryFloor
@@ -76,40 +76,15 @@
 		disturbedAt:      map[string]time.Duration{},
 		startTime:        time.Now(),
 		eventAdded:       make(chan struct{}, 1),
-
 		workersByAddress: map[string]*workerNode{},
 		degradations:     map[[2]string]*Degradation{},
 		Options:          options,
 	}
-	w.History = &History{
-		shownRevisions:    map[string][]revisionAt{},
-		contentBySequence: map[uint64]string{},
-		invalidItems:      map[string]bool{},
-		rulings:           map[string]schema.Ruling{},
-		lastUsedRevision:  map[string]uint64{},
-		processRuns:       map[string]int{},
-
-		operations: map[string]*operation{},
-		departedAt: map[string]time.Duration{},
-		snapshots:  map[uint64]*config.Snapshot{},
-		Rejections: map[string]int{},
-		world:      w,
-	}
+	w.History = newHistory(w)
 	if options.Empty {
 		return w
 	}
-	for i := range memberCount {
-		w.members = append(w.members, &memberNode{
-			process:       w.newProcess("store-" + memberName(i)),
-			replicaConfig: newReplicaConfig(memberName(i), []string{"a", "b", "c"}, 1),
-		})
-	}
-	for i := range memberCount {
-		w.registries = append(w.registries, &registryNode{process: w.newProcess("registry-" + memberName(i)), member: w.members[i]})
-	}
-	for i := range options.Proxies {
-		w.proxies = append(w.proxies, &proxyNode{process: w.newProcess(fmt.Sprintf("proxy-%d", i)), index: i, feedIndex: i})
-	}
+	w.createNodes()
 	for _, node := range w.members {
 		w.startMember(node)
 	}
@@ -123,21 +98,49 @@
 	return w
 }
 
+// createNodes creates the members, registries and proxies of a mesh; none of them is up yet.
+func (w *World) createNodes() {
+	for i := range memberCount {
+		w.members = append(w.members, &memberNode{
+			process:       w.newProcess("store-" + memberName(i)),
+			replicaConfig: newReplicaConfig(memberName(i), []string{"a", "b", "c"}, 1),
+		})
+	}
+	for i := range memberCount {
+		w.registries = append(w.registries, &registryNode{
+			process: w.newProcess("registry-" + memberName(i)),
+			member:  w.members[i],
+		})
+	}
+	for i := range w.Options.Proxies {
+		w.proxies = append(w.proxies, &proxyNode{
+			process:   w.newProcess(fmt.Sprintf("proxy-%d", i)),
+			index:     i,
+			feedIndex: i,
+		})
+	}
+}
+
+// newProcess creates a process that is down, with a clock of its own.
 func (w *World) newProcess(name string) process {
-	// Clocks that differ by up to half a percent are within what the lease's slack allows.
 	return process{
-		name:  name,
-		clock: clock{offset: time.Duration(w.random.Int64N(int64(time.Hour))), rate: 0.995 + 0.01*w.random.Float64()},
+		name: name,
+		clock: clock{
+			offset: time.Duration(w.random.Int64N(int64(time.Hour))),
+			rate:   0.995 + 0.01*w.random.Float64(), // within the clock drift that the slack of a lease allows for
+		},
 	}
 }
 
+// withLock runs a change of shared state with the lock held.
 func (w *World) withLock(change func()) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	change()
 }
 
-// Run lets the world go on until a time.
+// Run executes events in the order of their due times until virtual time reaches until. It waits for all goroutines
+// of the bubble to block before each event.
 func (w *World) Run(until time.Duration) {
 	for {
 		synctest.Wait()
@@ -150,6 +153,7 @@
 		if due <= now && len(w.events) > 0 && w.events[0].at <= until {
 			next := heap.Pop(&w.events).(event)
 			w.now = now
+			// One step of an FNV-1a hash over the due times.
 			w.History.EventHash = (w.History.EventHash ^ uint64(next.at)) * 1099511628211
 			w.lock.Unlock()
 			next.run()
@@ -169,7 +173,8 @@
 	}
 }
 
-// Close ends every life, so that no goroutine outlives the bubble.
+// Close drops all scheduled events and stops every worker and process, so that no goroutine outlives the bubble. The
+// history records nothing after it. Close must be called once, after the last Run.
 func (w *World) Close() {
 	w.History.lock.Lock()
 	w.History.closed = true
@@ -190,6 +195,6 @@
 	for _, node := range w.registries {
 		w.stopProcess(&node.process)
 	}
-	// Callers give up, and the HTTP client's own housekeeping ends, within a minute.
+	// Callers time out, and the goroutines of the HTTP client end, within a minute.
 	time.Sleep(2 * time.Minute)
 }
