--- a/internal/simulator/in_touch.go
+++ b/internal/simulator/in_touch.go
@@ -4,60 +4,82 @@
 	"time"
 )
 
-// inTouchAfter is how long nothing may have troubled a machine, or the core, for it to be in touch.
+// inTouchAfter is how long a host must have been free of faults for its processes to be in touch.
 const inTouchAfter = 3 * time.Second
 
-// everyHost is disturbed when all links are.
+// everyHost is the name under which markDisturbed records faults of all links.
 const everyHost = "every site"
 
-// markDisturbed notes that something was done to a site.
+// markDisturbed records that a fault touches hosts until a point in virtual time. The caller holds the lock.
 func (w *World) markDisturbed(until time.Duration, hosts ...string) {
 	for _, host := range hosts {
 		w.disturbedAt[host] = max(w.disturbedAt[host], until)
 	}
 }
 
-// isUndisturbed tells whether nothing troubled a proxy's own machine for a while.
+// isUndisturbed reports whether no fault touched the host of a proxy for a while.
 func (w *World) isUndisturbed(node *proxyNode) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	at, known := w.disturbedAt[node.name]
+	return w.isHostUndisturbed(node.name)
+}
+
+// isHostUndisturbed reports whether no fault touched a host for a while. The caller holds the lock.
+func (w *World) isHostUndisturbed(host string) bool {
+	at, known := w.disturbedAt[host]
 	return !known || w.time()-at >= inTouchAfter
 }
 
-// inTouch tells whether what is promised binds a proxy: nothing troubled it for a while, the core
-// is settled, and it reaches every core machine that itself reaches most of the core.
+// inTouch reports whether a proxy is in touch, so that what the mesh promises about fresh configuration binds it: no
+// fault touched it, the links or the core for a while, and it reaches every core host that itself reaches a majority.
 func (w *World) inTouch(node *proxyNode) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	now := w.time()
-	isUndisturbed := func(host string) bool { at, known := w.disturbedAt[host]; return !known || now-at >= inTouchAfter }
-	if w.lossRate > 0 || w.maxExtraDelay > 0 || !isUndisturbed(everyHost) || !isUndisturbed(node.name) || !node.up {
+	if w.lossRate > 0 || w.maxExtraDelay > 0 || !node.up {
 		return false
 	}
-	isUp, reachable := [memberCount]bool{}, [memberCount]int{}
-	for i, member := range w.members {
-		if !isUndisturbed(hostOf(member.name)) || member.maxExtraSyncDelay > 0 || now-member.stalledUntil < inTouchAfter {
-			return false
-		}
-		isUp[i] = member.up && w.registries[i].up
-	}
-	isConnected := func(a, b string) bool {
-		return !w.partitionedLinks[[2]string{a, b}] && !w.partitionedLinks[[2]string{b, a}]
+	if !w.isHostUndisturbed(everyHost) || !w.isHostUndisturbed(node.name) || !w.isCoreUndisturbed() {
+		return false
 	}
 	hasMajority := false
 	for i := range memberCount {
-		for j := range memberCount {
-			if isUp[i] && isUp[j] && isConnected("core-"+memberName(i), "core-"+memberName(j)) {
-				reachable[i]++
-			}
+		if w.reachableMembers(i) <= memberCount/2 {
+			continue
 		}
-		if reachable[i] > memberCount/2 {
-			hasMajority = true
-			if !isConnected("core-"+memberName(i), node.name) {
-				return false
-			}
+		hasMajority = true
+		if !w.isConnected(coreHost(i), node.name) {
+			return false
 		}
 	}
 	return hasMajority
 }
+
+// isCoreUndisturbed reports whether no fault touched a core host or its disk for a while. The caller holds the lock.
+func (w *World) isCoreUndisturbed() bool {
+	now := w.time()
+	for _, member := range w.members {
+		hasDiskFault := member.maxExtraSyncDelay > 0 || now-member.stalledUntil < inTouchAfter
+		if hasDiskFault || !w.isHostUndisturbed(member.host()) {
+			return false
+		}
+	}
+	return true
+}
+
+// reachableMembers returns how many core hosts that are up the i-th reaches, itself included; none if it is down. The
+// caller holds the lock.
+func (w *World) reachableMembers(i int) int {
+	isUp := func(i int) bool { return w.members[i].up && w.registries[i].up }
+	reachable := 0
+	for j := range memberCount {
+		if isUp(i) && isUp(j) && w.isConnected(coreHost(i), coreHost(j)) {
+			reachable++
+		}
+	}
+	return reachable
+}
+
+// isConnected reports whether the link between two hosts is whole in both directions. The caller holds the lock.
+func (w *World) isConnected(a, b string) bool {
+	return !w.partitionedLinks[[2]string{a, b}] && !w.partitionedLinks[[2]string{b, a}]
+}
--- a/internal/simulator/initial_config.go
+++ b/internal/simulator/initial_config.go
@@ -15,8 +15,14 @@
 route: look: {service: "shop", prefix: "/shop/look", class: "repeatable", key: "X-User"}
 route: commit: {service: "saves", prefix: "/saves/commit", methods: ["POST"], class: "once", key: "X-User"}
 route: load: {service: "saves", prefix: "/saves/load", class: "repeatable", key: "X-User"}
-flag: "release.shop": {on: true, salt: "s", variations: ["1", "2"], offVariation: 0, fallthrough: rollout: variations: [{variation: 0, weight: 100000}, {variation: 1, weight: 0}]}
-flag: "release.saves": {on: true, salt: "s", variations: ["1", "2"], offVariation: 0, fallthrough: rollout: variations: [{variation: 0, weight: 70000}, {variation: 1, weight: 30000}]}
+flag: "release.shop": {
+	on: true, salt: "s", variations: ["1", "2"], offVariation: 0
+	fallthrough: rollout: variations: [{variation: 0, weight: 100000}, {variation: 1, weight: 0}]
+}
+flag: "release.saves": {
+	on: true, salt: "s", variations: ["1", "2"], offVariation: 0
+	fallthrough: rollout: variations: [{variation: 0, weight: 70000}, {variation: 1, weight: 30000}]
+}
 `
 
 // bootFleet runs the world until the fleet serves its initial configuration, and starts the callers.
--- a/internal/simulator/key_reserver.go
+++ b/internal/simulator/key_reserver.go
@@ -12,7 +12,8 @@
 	"meadowhinge/schema"
 )
 
-// keyReserver takes a key to the registries.
+// keyReserver returns how a proxy reserves an idempotency key at the registries: it requests the reservation from all of
+// them and waits for a majority or the round's timeout.
 func (w *World) keyReserver(node *proxyNode, processRun int, now func() time.Duration) dispatch.KeyReserver {
 	return func(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 		if w.seededFault == SeededNoKeyReservation {
@@ -27,23 +28,27 @@
 		replies := make(chan session.ReservationAnswer, memberCount)
 		reservationRound := session.NewReservationRound(reservation, memberCount, now(), timeout)
 		for _, registryNode := range w.registries {
-			request := proto.Clone(reservation).(*schema.KeyReservation)
-			w.sendWith(w.derivedRandom(fmt.Sprint(reservation.Request, reservation.Instance, reservation.Release,
-				registryNode.name)), &node.process, &registryNode.process, func() {
-				reply := registryNode.reservations.Apply(w.uptime(registryNode), request)
-				w.send(&registryNode.process, &node.process, func() {
-					replies <- session.ReservationAnswer{
-						MemberID: registryNode.name,
-						Response: reply,
-					}
-				})
-			})
+			w.requestReservation(node, registryNode, reservation, replies)
 		}
-		verdict, holder := reservationRound.AwaitOutcome(boundedCtx, memberCount, replies, now)
-		// A proxy that was frozen meanwhile goes on when it thaws.
+		verdict, owner := reservationRound.AwaitOutcome(boundedCtx, memberCount, replies, now)
+		// A proxy that froze meanwhile continues when it thaws.
 		if !w.awaitThaw(&node.process, processRun) {
 			return session.ReservationNoMajority, nil
 		}
-		return verdict, holder
+		return verdict, owner
 	}
 }
+
+// requestReservation requests a reservation from one registry; the answer goes to replies, which has room for it.
+func (w *World) requestReservation(
+	node *proxyNode, target *registryNode, reservation *schema.KeyReservation, replies chan<- session.ReservationAnswer,
+) {
+	request := proto.Clone(reservation).(*schema.KeyReservation)
+	random := w.derivedRandom(fmt.Sprint(reservation.Request, reservation.Instance, reservation.Release, target.name))
+	w.sendWith(random, &node.process, &target.process, func() {
+		response := target.reservations.Apply(w.uptime(target), request)
+		w.send(&target.process, &node.process, func() {
+			replies <- session.ReservationAnswer{MemberID: target.name, Response: response}
+		})
+	})
+}
--- a/internal/simulator/proxy_feed.go
+++ b/internal/simulator/proxy_feed.go
@@ -10,9 +10,10 @@
 	"meadowhinge/schema"
 )
 
-// startFeed pulls what a proxy lacks, by its vector.
+// startFeed starts the loop in which a proxy fetches updates from one registry at a time. It moves on to the next
+// registry when that one does not respond in time, or when a call has found that the configuration here lags behind.
 func (w *World) startFeed(node *proxyNode) {
-	busyUntil := time.Duration(0)
+	busyUntil := time.Duration(0) // while a request is in flight: when it times out
 	w.scheduleEvery(&node.process, pollInterval, func() {
 		if node.lagging.Swap(false) {
 			node.feedIndex++
@@ -20,27 +21,20 @@
 		if busyUntil > w.now {
 			return
 		}
-		// A feed that stays silent is left after a while.
-		if busyUntil != 0 {
+		if timedOut := busyUntil != 0; timedOut {
 			node.feedIndex++
 		}
 		busyUntil = w.now + leaseDuration/(2*session.RenewalsPerLease)
 		target := w.registries[node.feedIndex%len(w.registries)]
 		proxyJournal := node.journal
 		view := proxyJournal.View()
-		vector, sequence := view.Vector(), view.ConfigRevision()
+		vector, revision := view.Vector(), view.ConfigRevision()
 		w.send(&node.process, &target.process, func() {
-			event := proxy.Event{Sources: target.table.SourcesNewerThan(w.uptime(target), vector)}
-			if committed := target.table.CommittedRevision(); committed > sequence {
-				event.ConfigRevision = committed
-				event.Items, event.Complete = target.state.ChangesAfter(sequence)
-				if w.seededFault == SeededDeltaAfterPurge {
-					event.Complete = false
-				}
-			}
+			event := w.feedUpdate(target, vector, revision)
 			w.send(&target.process, &node.process, func() {
-				// An answer to what a proxy asked before it was killed reaches nobody: the links went with it.
-				if busyUntil = 0; node.journal == proxyJournal || w.seededFault == SeededStaleFeedReply {
+				busyUntil = 0
+				// A response to a request of an earlier run reaches nobody: its connection broke with that run.
+				if node.journal == proxyJournal || w.seededFault == SeededStaleFeedReply {
 					w.applyUpdate(node, event)
 				}
 			})
@@ -48,31 +42,37 @@
 	})
 }
 
-// applyUpdate takes news; a setup is used once a majority of registries knows of it. The first needs
-// no telling, for without a lease nothing is shown by it yet.
+// feedUpdate returns what a registry knows beyond a proxy's vector of sources and its configuration revision.
+func (w *World) feedUpdate(target *registryNode, vector map[string]*schema.SourceVersion, revision uint64) proxy.Event {
+	event := proxy.Event{Sources: target.table.SourcesNewerThan(w.uptime(target), vector)}
+	if committed := target.table.CommittedRevision(); committed > revision {
+		event.ConfigRevision = committed
+		event.Items, event.Complete = target.state.ChangesAfter(revision)
+		if w.seededFault == SeededDeltaAfterPurge {
+			event.Complete = false
+		}
+	}
+	return event
+}
+
+// applyUpdate applies an update at a proxy that decides under leases. A newer configuration is applied only after a
+// majority of registries has recorded, with a lease renewal, that the proxy received it. The first configuration needs no
+// majority: the proxy has no lease yet, so it decides nothing by it.
 func (w *World) applyUpdate(node *proxyNode, event proxy.Event) {
-	if current := node.journal.View().Items(); w.seededFault == SeededNoAuthorization {
+	if w.seededFault == SeededNoAuthorization {
+		current := node.journal.View().Items()
 		event.Items = slices.DeleteFunc(event.Items, func(item *schema.Item) bool {
 			return item.Kind == "service" && current[config.Key(item.Kind, item.Name)] != nil
 		})
 	}
 	proxyJournal := node.journal
 	applyNow := func() {
-		if node.journal != proxyJournal {
-			return // the proxy was killed meanwhile, and what it knew is gone
-		}
-		if node.journal.View().ConfigRevision() < event.ConfigRevision || len(event.Sources) > 0 {
-			event.At = node.localTime(w.now)
-			before := node.journal.View().ConfigRevision()
-			if after := node.journal.Append(event).ConfigRevision(); after > before {
-				w.History.observeProxy(w.now, node)
-				for i := range w.registries {
-					w.renewLease(node, i, 0, nil)
-				}
-			}
+		if node.journal == proxyJournal { // otherwise the run that received the update has ended
+			w.appendUpdate(node, event)
 		}
 	}
-	if event.ConfigRevision <= node.journal.View().ConfigRevision() || node.journal.View().ConfigRevision() == 0 {
+	current := node.journal.View().ConfigRevision()
+	if event.ConfigRevision <= current || current == 0 {
 		applyNow()
 		return
 	}
@@ -88,14 +88,31 @@
 	}
 }
 
+// appendUpdate appends an update to a proxy's journal, if it brings anything new, and reports a new configuration to
+// all registries with lease renewals.
+func (w *World) appendUpdate(node *proxyNode, event proxy.Event) {
+	before := node.journal.View().ConfigRevision()
+	if before >= event.ConfigRevision && len(event.Sources) == 0 {
+		return
+	}
+	event.At = node.localTime(w.now)
+	if after := node.journal.Append(event).ConfigRevision(); after > before {
+		w.History.observeProxy(w.now, node)
+		for i := range w.registries {
+			w.renewLease(node, i, 0, nil)
+		}
+	}
+}
+
+// renewLease requests a lease from the i-th registry and reports the configuration revisions that the proxy has applied
+// and received. onReply, if not nil, is called with the id of the member that replied.
 func (w *World) renewLease(node *proxyNode, i int, received uint64, onReply func(memberID string)) {
 	target := w.registries[i]
 	sentAt := node.localTime(w.now)
-	applied := node.journal.View().ConfigRevision()
 	request := &schema.LeaseRequest{
 		Proxy:       node.name,
 		Incarnation: node.incarnation,
-		Applied:     applied,
+		Applied:     node.journal.View().ConfigRevision(),
 		Received:    received,
 		LeaseNanos:  int64(leaseDuration),
 	}
@@ -113,8 +130,9 @@
 			if reply.Granted {
 				leaseGate.RecordGrant(reply.Member, memberCount, sentAt)
 			}
-			// Another registry knows more than the one that feeds this proxy.
-			if reply.Committed > node.journal.View().ConfigRevision() && node.feedIndex%len(w.registries) != i && w.randomInt(4) == 0 {
+			// If another registry knows more than the one that feeds this proxy, it sometimes becomes the feed.
+			isAhead := reply.Committed > node.journal.View().ConfigRevision()
+			if isAhead && node.feedIndex%len(w.registries) != i && w.randomInt(4) == 0 {
 				node.feedIndex = i
 			}
 		})
--- a/internal/simulator/proxy_report.go
+++ b/internal/simulator/proxy_report.go
@@ -8,7 +8,7 @@
 	"meadowhinge/schema"
 )
 
-// nextSource is what a proxy tells of itself, under a new stamp each time.
+// nextSource returns the proxy's own source of the service directory, its workers, under a new version.
 func (node *proxyNode) nextSource(zone string) *schema.Source {
 	node.sourceCounter++
 	return &schema.Source{
@@ -20,8 +20,8 @@
 	}
 }
 
-// onWorkersChanged lets the mesh know, this proxy first. It may be called by a goroutine, as when
-// a worker's connection ends, so it is done as an event.
+// onWorkersChanged reports the workers of a proxy after a change. It is called by goroutines too, for example when the
+// connection of a worker ends, so it schedules an event.
 func (w *World) onWorkersChanged(node *proxyNode, processRun int) {
 	w.schedule(0, func() {
 		if node.up && node.processRun == processRun {
@@ -30,18 +30,12 @@
 	})
 }
 
-// sendReport reports counts, and with whole the proxy's workers too.
+// sendReport reports a proxy's work counts to its registry and takes the canary grants from the reply. withSource also
+// applies and reports the proxy's workers, and the counts of calls by version.
 func (w *World) sendReport(node *proxyNode, withSource bool) {
 	report := &schema.ProxyReport{Proxy: node.name, Incarnation: node.incarnation}
 	if withSource {
-		node.workers.DropUnresponsive()
-		report.Source = node.nextSource(w.zoneOf(node.index))
-		event := proxy.Event{At: node.localTime(w.now), Sources: []*schema.Source{report.Source}}
-		if !w.Options.ServeStale {
-			event.SourceTimeout = leaseDuration / 4
-		}
-		picture := node.journal.Append(event)
-		node.outliers.Retain(picture.KnownWorkers())
+		report.Source = w.applyOwnSource(node)
 	}
 	snapshot := node.journal.View().View().Config
 	guarded, _ := release.JudgedServices(snapshot)
@@ -53,30 +47,50 @@
 		}
 	}
 	sentAt := node.localTime(w.now)
-	target := w.registries[node.feedIndex%len(w.registries)]
 	canaries := node.canaries
+	applyGrants := func(grants []*schema.Canary) { canaries.ApplyGrants(sentAt, grants) }
 	if w.Options.ServeStale {
-		w.sendHomeReport(node, report, func(grants []*schema.Canary) { canaries.ApplyGrants(sentAt, grants) })
-		canaries.ForgetUnguarded()
-		return
+		w.sendHomeReport(node, report, applyGrants)
+	} else {
+		w.sendFeedReport(node, report, applyGrants)
+	}
+	canaries.ForgetUnguarded()
+}
+
+// applyOwnSource applies a new version of a proxy's own source to its view and returns the source.
+func (w *World) applyOwnSource(node *proxyNode) *schema.Source {
+	node.workers.DropUnresponsive()
+	source := node.nextSource(w.zoneOf(node.index))
+	event := proxy.Event{At: node.localTime(w.now), Sources: []*schema.Source{source}}
+	if !w.Options.ServeStale {
+		event.SourceTimeout = leaseDuration / 4
 	}
+	state := node.journal.Append(event)
+	node.outliers.Retain(state.KnownWorkers())
+	return source
+}
+
+// sendFeedReport sends a report to the registry that feeds a proxy. Nothing repeats it: the next report is due soon.
+func (w *World) sendFeedReport(node *proxyNode, report *schema.ProxyReport, onReply func(grants []*schema.Canary)) {
+	target := w.registries[node.feedIndex%len(w.registries)]
 	w.send(&node.process, &target.process, func() {
 		target.table.ApplyReport(w.uptime(target), report)
 		grants := target.table.CanaryGrants(w.uptime(target))
 		w.send(&target.process, &node.process, func() {
 			if node.incarnation == report.Incarnation {
-				canaries.ApplyGrants(sentAt, grants)
+				onReply(grants)
 			}
 		})
 	})
-	canaries.ForgetUnguarded()
 }
 
-// sendHomeReport tells a registry in session what is new; it is told again if no word of it comes.
-func (w *World) sendHomeReport(node *proxyNode, report *schema.ProxyReport, onReply func(canaries []*schema.Canary)) {
+// sendHomeReport sends a report to the registry that a proxy has its session with. A report of workers stays pending
+// until a reply arrives, and is sent again meanwhile.
+func (w *World) sendHomeReport(node *proxyNode, report *schema.ProxyReport, onReply func(grants []*schema.Canary)) {
 	target := w.registryNamed(node.selector.Current())
 	if report.Source != nil {
-		node.reportPending, node.reportedAt = true, w.now
+		node.reportPending = true
+		node.reportedAt = w.now
 	}
 	if target == nil {
 		return
@@ -85,14 +99,16 @@
 	sent := proto.Clone(report).(*schema.ProxyReport)
 	w.send(&node.process, &target.process, func() {
 		target.table.ApplyReport(w.uptime(target), sent)
-		canaries := target.table.CanaryGrants(w.uptime(target))
+		grants := target.table.CanaryGrants(w.uptime(target))
 		w.send(&target.process, &node.process, func() {
-			if node.processRun == processRun {
-				if node.sourceCounter == counter && report.Source != nil {
-					node.reportPending = false
-				}
-				onReply(canaries)
+			if node.processRun != processRun {
+				return
+			}
+			// A reply to an older report does not acknowledge the newest one.
+			if node.sourceCounter == counter && report.Source != nil {
+				node.reportPending = false
 			}
+			onReply(grants)
 		})
 	})
 }
--- a/internal/simulator/serve_stale.go
+++ b/internal/simulator/serve_stale.go
@@ -11,143 +11,180 @@
 	"meadowhinge/schema"
 )
 
-// startRegistrySubscriptions starts the part of a registry's life that is about sessions.
+// Where proxies serve stale, they hold sessions with registries instead of leases, and a change is acknowledged as soon
+// as it is committed. What the mesh promises then binds only proxies in touch; see World.inTouch.
+
+// startRegistrySubscriptions starts the loops of a registry that serves sessions.
 func (w *World) startRegistrySubscriptions(node *registryNode) {
 	node.table.SetMemberCount(memberCount)
 	node.subscriptions = map[string]*subscription{}
-	w.scheduleEvery(&node.process, pollInterval, func() {
-		if member := node.member; w.isResponsive(&member.process) {
-			if committed, _ := member.replica.Committed(); committed >= node.table.CommittedRevision() {
-				if staleness, known := member.replica.CommittedAge(member.clock.at(w.now)); known {
-					node.table.ConfirmCurrent(w.uptime(node) - staleness)
-				}
-			}
-		}
-	})
+	w.scheduleEvery(&node.process, pollInterval, func() { w.confirmCurrent(node) })
 	for _, other := range w.registries {
-		if other == node {
-			continue
+		if other != node {
+			w.subscribeToPeer(node, other)
 		}
-		heardAt := time.Duration(0)
-		w.scheduleEvery(&node.process, pollInterval, func() {
-			current := node.subscriptions[other.name]
+	}
+}
+
+// confirmCurrent records how recently the registry's member confirmed its committed state.
+func (w *World) confirmCurrent(node *registryNode) {
+	member := node.member
+	if !w.isResponsive(&member.process) {
+		return
+	}
+	if committed, _ := member.replica.Committed(); committed < node.table.CommittedRevision() {
+		return
+	}
+	if staleness, known := member.replica.CommittedAge(member.clock.at(w.now)); known {
+		node.table.ConfirmCurrent(w.uptime(node) - staleness)
+	}
+}
+
+// subscribeToPeer keeps a registry subscribed to another: it subscribes again when the subscription has ended, when the
+// other restarted, and when nothing was heard for a lease.
+func (w *World) subscribeToPeer(node, other *registryNode) {
+	heardAt := time.Duration(0)
+	w.scheduleEvery(&node.process, pollInterval, func() {
+		current := node.subscriptions[other.name]
+		if current != nil {
 			timedOut := w.now-heardAt > servingLease
-			if current != nil && !current.closed && !timedOut && (other.processRun == current.serverRun || current.serverRun == 0) {
+			isSameRun := other.processRun == current.serverRun || current.serverRun == 0
+			if !current.closed && !timedOut && isSameRun {
 				return
 			}
-			if current != nil {
-				current.closed = true
-			}
+			current.closed = true
+		}
+		heardAt = w.now
+		vector, memberID := node.table.Vector(), node.table.MemberID()
+		sub := &subscription{server: other, client: &node.process, peer: true}
+		sub.handle = func(update *schema.Update) {
 			heardAt = w.now
-			vector, memberID := node.table.Vector(), node.table.MemberID()
-			sub := &subscription{server: other, client: &node.process, peer: true}
-			sub.handle = func(update *schema.Update) {
-				heardAt = w.now
-				for _, source := range update.Sources {
-					node.table.MergeSource(w.uptime(node), source)
-				}
-				node.table.RecordPeerHeard(w.uptime(node), other.table.MemberID(), update.Reachable)
+			for _, source := range update.Sources {
+				node.table.MergeSource(w.uptime(node), source)
 			}
-			node.subscriptions[other.name] = sub
-			w.openSubscription(sub, func() {
-				other.table.ObserveVector(w.uptime(other), vector)
-				sub.position = registry.NewSessionCursor(node.name, memberID, vector)
-			})
+			node.table.RecordPeerHeard(w.uptime(node), other.table.MemberID(), update.Reachable)
+		}
+		node.subscriptions[other.name] = sub
+		w.openSubscription(sub, func() {
+			other.table.ObserveVector(w.uptime(other), vector)
+			sub.position = registry.NewSessionCursor(node.name, memberID, vector)
 		})
-	}
+	})
 }
 
-// nextIncarnation is one above all seen, with bits of the world's own.
+// nextIncarnation returns an incarnation above one that was seen: the upper half counts up, the lower half is unique in
+// the world.
 func (w *World) nextIncarnation(seen uint64) uint64 {
 	const shift = 32
 	return (seen>>shift+1)<<shift | uint64(w.nextID())
 }
 
-// startProxySubscriptions starts the part of a proxy's life that is about sessions.
+// startProxySubscriptions starts the loops of a proxy that holds sessions with registries.
 func (w *World) startProxySubscriptions(node *proxyNode) {
-	node.incarnation, node.reportedFleetSize = w.nextIncarnation(0), 0
-	lag := float64(servingLease) / session.MaxStalenessDivisor
+	node.incarnation = w.nextIncarnation(0)
+	node.reportedFleetSize = 0
+	node.selector = w.newSelector(node)
+	node.subscriptions = map[string]*subscription{}
+	node.reportPending = false
+	w.scheduleEvery(&node.process, pollInterval, func() {
+		w.dropBrokenSubscriptions(node)
+		w.applySelectorActions(node, node.selector.Tick(node.localTime(w.now)))
+		isOverdue := w.now-node.reportedAt > servingLease/session.RenewalsPerLease
+		if node.reportPending && node.selector.Current() != "" && isOverdue {
+			w.sendReport(node, true)
+		}
+	})
+	w.scheduleEvery(&node.process, servingLease/session.HeartbeatsPerLease, node.workers.DropUnresponsive)
+}
+
+// newSelector returns what selects the registry of a proxy, with all registries as seeds.
+func (w *World) newSelector(node *proxyNode) *session.RegistrySelector {
+	maxStaleness := float64(servingLease) / session.MaxStalenessDivisor
 	if w.seededFault == SeededNoRegistryFailover {
-		lag = float64(time.Hour)
+		maxStaleness = float64(time.Hour)
 	}
 	var seeds []string
 	for _, registryNode := range w.registries {
 		seeds = append(seeds, registryNode.name)
 	}
-	node.selector = session.NewRegistrySelector(session.SelectorOptions{
+	return session.NewRegistrySelector(session.SelectorOptions{
 		ProxyName:         node.name,
 		Zone:              w.zoneOf(node.index),
 		HeartbeatInterval: servingLease / session.HeartbeatsPerLease,
-
-		HeartbeatTimeout: servingLease / session.HeartbeatTimeoutDivisor,
-		MaxStaleness:     time.Duration(lag),
-		FailureCooldown:  servingLease,
+		HeartbeatTimeout:  servingLease / session.HeartbeatTimeoutDivisor,
+		MaxStaleness:      time.Duration(maxStaleness),
+		FailureCooldown:   servingLease,
 	}, seeds)
-	node.subscriptions, node.reportPending = map[string]*subscription{}, false
-	w.scheduleEvery(&node.process, pollInterval, func() {
-		now := node.localTime(w.now)
-		for _, registryNode := range w.registries {
-			current := node.subscriptions[registryNode.name]
-			// A dead process's links are reset, as soon as that gets through.
-			if current != nil && (current.closed || !registryNode.up || (current.serverRun != 0 && registryNode.processRun != current.serverRun)) && !w.isPartitionedEitherWay(&node.process, &registryNode.process) {
-				current.closed = true
-				delete(node.subscriptions, registryNode.name)
-				w.applySelectorActions(node, node.selector.RecordSessionEnd(now, registryNode.name))
-			}
+}
+
+// dropBrokenSubscriptions drops the subscriptions of a proxy that have ended. A crashed registry's connections are reset
+// as soon as the reset gets through.
+func (w *World) dropBrokenSubscriptions(node *proxyNode) {
+	for _, registryNode := range w.registries {
+		current := node.subscriptions[registryNode.name]
+		if current == nil {
+			continue
 		}
-		w.applySelectorActions(node, node.selector.Tick(now))
-		if node.reportPending && node.selector.Current() != "" && w.now-node.reportedAt > servingLease/session.RenewalsPerLease {
-			w.sendReport(node, true)
+		hasRestarted := current.serverRun != 0 && registryNode.processRun != current.serverRun
+		isEnded := current.closed || !registryNode.up || hasRestarted
+		if isEnded && !w.isPartitionedEitherWay(&node.process, &registryNode.process) {
+			current.closed = true
+			delete(node.subscriptions, registryNode.name)
+			w.applySelectorActions(node, node.selector.RecordSessionEnd(node.localTime(w.now), registryNode.name))
 		}
-	})
-	w.scheduleEvery(&node.process, servingLease/session.HeartbeatsPerLease, node.workers.DropUnresponsive)
+	}
 }
 
-// applySelectorActions carries out what a proxy's tie wants.
+// applySelectorActions closes and opens the sessions that a proxy's selector decides on.
 func (w *World) applySelectorActions(node *proxyNode, actions []session.Action) {
 	for _, action := range actions {
-		if picture := node.subscriptions[action.Address]; picture != nil {
-			picture.closed = true
+		if existing := node.subscriptions[action.Address]; existing != nil {
+			existing.closed = true
 			delete(node.subscriptions, action.Address)
 		}
-		if !action.Open {
-			continue
-		}
-		registryNode := w.registryNamed(action.Address)
-		picture := node.journal.View()
-		sentSource := (*schema.Source)(nil)
-		if !action.Candidate {
-			source := node.nextSource(w.zoneOf(node.index))
-			picture = node.journal.Append(proxy.Event{At: node.localTime(w.now), Sources: []*schema.Source{source}})
-			sentSource = proto.Clone(source).(*schema.Source)
-		}
-		vector := picture.Vector()
-		sub := &subscription{
-			server:    registryNode,
-			client:    &node.process,
-			revision:  picture.ConfigRevision(),
-			tentative: action.Candidate,
+		if action.Open {
+			w.openProxySession(node, action)
 		}
-		sub.handle = func(update *schema.Update) { w.applySubscriptionUpdate(node, action.Address, update) }
-		node.subscriptions[action.Address] = sub
-		w.openSubscription(sub, func() {
-			registryNode.table.ObserveVector(w.uptime(registryNode), vector)
-			sub.position = registry.NewSessionCursor(node.name, "", vector)
-			if action.Candidate {
-				registryNode.table.OpenProvisionalSession(node.name)
-			} else {
-				registryNode.table.OpenSession(w.uptime(registryNode), sentSource)
-			}
-		})
 	}
-	// A session on trial that is taken makes its registry the one to mind this proxy.
+	// A probed session that the selector has chosen becomes the proxy's session.
 	if current := node.subscriptions[node.selector.Current()]; current != nil && current.tentative {
 		current.tentative = false
 		w.sendReport(node, true)
 	}
 }
 
-// applySubscriptionUpdate does what a proxy's daemon does with what a session brings.
+// openProxySession opens a session of a proxy with a registry. Only a candidate session, which the proxy probes beside
+// its current one, does not bring the proxy's own source.
+func (w *World) openProxySession(node *proxyNode, action session.Action) {
+	registryNode := w.registryNamed(action.Address)
+	state := node.journal.View()
+	var sentSource *schema.Source
+	if !action.Candidate {
+		source := node.nextSource(w.zoneOf(node.index))
+		state = node.journal.Append(proxy.Event{At: node.localTime(w.now), Sources: []*schema.Source{source}})
+		sentSource = proto.Clone(source).(*schema.Source)
+	}
+	vector := state.Vector()
+	sub := &subscription{
+		server:    registryNode,
+		client:    &node.process,
+		revision:  state.ConfigRevision(),
+		tentative: action.Candidate,
+	}
+	sub.handle = func(update *schema.Update) { w.applySubscriptionUpdate(node, action.Address, update) }
+	node.subscriptions[action.Address] = sub
+	w.openSubscription(sub, func() {
+		registryNode.table.ObserveVector(w.uptime(registryNode), vector)
+		sub.position = registry.NewSessionCursor(node.name, "", vector)
+		if action.Candidate {
+			registryNode.table.OpenProvisionalSession(node.name)
+		} else {
+			registryNode.table.OpenSession(w.uptime(registryNode), sentSource)
+		}
+	})
+}
+
+// applySubscriptionUpdate applies an update from a session as the proxy's daemon does.
 func (w *World) applySubscriptionUpdate(node *proxyNode, address string, update *schema.Update) {
 	now := node.localTime(w.now)
 	before := node.journal.View().ConfigRevision()
@@ -162,15 +199,17 @@
 		if w.seededFault == SeededDeltaAfterPurge {
 			event.Complete = false
 		}
-		picture := node.journal.Append(event)
-		node.outliers.Retain(picture.KnownWorkers())
-		if picture.ConfigRevision() > before {
+		state := node.journal.Append(event)
+		node.outliers.Retain(state.KnownWorkers())
+		if state.ConfigRevision() > before {
 			w.History.observeProxy(w.now, node)
 		}
 	}
 	for _, source := range update.Sources {
-		if source.Name == node.name && session.IsSuperseded(node.incarnation, source.Version.GetIncarnation(), source.Version.GetEnded()) {
-			node.incarnation = w.nextIncarnation(source.Version.GetIncarnation())
+		version := source.Version
+		// The directory holds the proxy's own source of an incarnation that ended or is newer: go beyond it.
+		if source.Name == node.name && session.IsSuperseded(node.incarnation, version.GetIncarnation(), version.GetEnded()) {
+			node.incarnation = w.nextIncarnation(version.GetIncarnation())
 			w.sendReport(node, true)
 		}
 	}
@@ -179,5 +218,6 @@
 	}
 	node.fleetSize.Store(node.fleetEstimate.Observe(now, node.reportedFleetSize))
 	node.selector.SetCoreMembers(update.CoreMembers)
-	w.applySelectorActions(node, node.selector.RecordHeartbeat(now, address, update.StalenessKnown, time.Duration(update.StalenessNanos)))
+	staleness := time.Duration(update.StalenessNanos)
+	w.applySelectorActions(node, node.selector.RecordHeartbeat(now, address, update.StalenessKnown, staleness))
 }
--- a/internal/simulator/subscription.go
+++ b/internal/simulator/subscription.go
@@ -10,37 +10,37 @@
 	"meadowhinge/schema"
 )
 
-// A serving world is one whose proxies serve in doubt: they hold sessions in place of leases, and
-// a change is acknowledged once it is stable. What is promised then binds machines in touch.
-
-// servingLease is what the ratios of sessions refer to.
+// servingLease is the duration that the intervals and timeouts of sessions are fractions of, where proxies serve stale.
 const servingLease = 4 * time.Second
 
-// subscription is a session with a registry as the world carries it: what the registry sends comes in
-// order, or not at all any more.
+// subscription is a session of a proxy or another registry (the client) with a registry (the server). Updates arrive in
+// order; a lost one ends the subscription. Only events use it.
 type subscription struct {
-	server          *registryNode
-	serverRun       int
-	client          *process
-	clientRun       int
-	position        *registry.SessionCursor
-	peer            bool
-	tentative       bool // the client has another session
-	revision        uint64
+	server     *registryNode
+	serverRun  int // run of the server that serves it; 0 until the request has reached the server
+	client     *process
+	clientRun  int
+	peer       bool // the client is a registry
+	tentative  bool // the client has another session and only probes this one
+	closed     bool // no update is sent or handled any more
+	handle     func(*schema.Update)
+	inbox      []*schema.Update // updates that arrived and are not handled yet, for example by a frozen client
+	lastSentAt time.Duration
+	// lastArrivalAt is when the last update sent arrives; the next arrives later, which keeps the order.
+	lastArrivalAt time.Duration
+
+	// What the server has sent already.
+	position        *registry.SessionCursor // of the sources
+	revision        uint64                  // of the configuration
 	fleetSize       uint32
-	started         bool
 	sentCoreMembers bool
-	lastSentAt      time.Duration    // last
-	lastArrivalAt   time.Duration    // what was sent last
-	inbox           []*schema.Update // and not taken yet, as by a frozen client
-	closed          bool             // nothing goes through it any more
-	handle          func(*schema.Update)
+	started         bool // the first update is sent
 }
 
-// zoneOfMember is where a core machine stands.
+// zoneOfMember returns the zone of the i-th member.
 func (w *World) zoneOfMember(i int) string { return w.zoneOf(i) }
 
-// coreMembers is what registries tell of themselves.
+// coreMembers returns the members of the core as registries announce them.
 func (w *World) coreMembers() []*schema.CoreMember {
 	var members []*schema.CoreMember
 	for i, node := range w.registries {
@@ -49,7 +49,7 @@
 	return members
 }
 
-// openSubscription opens a session; asked runs at the registry once it is reached.
+// openSubscription opens a subscription. onReached runs at the server when the request arrives.
 func (w *World) openSubscription(sub *subscription, onReached func()) {
 	sub.clientRun = sub.client.processRun
 	w.send(sub.client, &sub.server.process, func() {
@@ -62,12 +62,12 @@
 	})
 }
 
-// isBroken tells whether the registry's side of a session finds it ended.
+// isBroken reports whether the server finds the subscription ended.
 func (s *subscription) isBroken() bool {
 	return s.closed || !s.client.up || s.client.processRun != s.clientRun
 }
 
-// serveSubscription sends what is new, and a sign of life now and then.
+// serveSubscription sends a due update or heartbeat to the client and schedules itself again, until the subscription ends.
 func (w *World) serveSubscription(sub *subscription) {
 	server := sub.server
 	if sub.isBroken() {
@@ -78,38 +78,52 @@
 		return
 	}
 	update, isDue := w.nextUpdate(sub)
-	heartbeats := time.Duration(1)
+	const heartbeatsPerPeerUpdate = 4 // registries send each other fewer heartbeats than they send proxies
+	interval := servingLease / session.HeartbeatsPerLease
 	if sub.peer {
-		heartbeats = 4
+		interval = heartbeatsPerPeerUpdate * servingLease / session.HeartbeatsPerLease
 	}
-	if isDue || w.now-sub.lastSentAt >= heartbeats*servingLease/session.HeartbeatsPerLease {
+	if isDue || w.now-sub.lastSentAt >= interval {
 		sub.lastSentAt = w.now
-		delay, lost := w.sampleLink(&server.process, sub.client, w.random)
-		if lost || w.isPartitionedEitherWay(&server.process, sub.client) {
-			// A link on which nothing is acknowledged is ended after a while.
-			w.scheduleOn(&server.process, servingLease/8, func() { sub.closed = true; w.serveSubscription(sub) })
+		if !w.sendUpdate(sub, update) {
+			// The transport ends a connection on which nothing is acknowledged for a while.
+			w.scheduleOn(&server.process, servingLease/8, func() {
+				sub.closed = true
+				w.serveSubscription(sub)
+			})
 			return
 		}
-		sub.lastArrivalAt = max(sub.lastArrivalAt+1, w.now+delay)
-		w.schedule(sub.lastArrivalAt-w.now, func() {
-			if !w.isPartitioned(&server.process, sub.client) && sub.client.processRun == sub.clientRun {
-				sub.inbox = append(sub.inbox, update)
-				w.scheduleOn(sub.client, 0, func() {
-					first := sub.inbox[0]
-					sub.inbox = sub.inbox[1:]
-					if !sub.closed {
-						sub.handle(first)
-					}
-				})
-			} else {
-				sub.closed = true
-			}
-		})
 	}
 	w.scheduleOn(&server.process, pollInterval, func() { w.serveSubscription(sub) })
 }
 
-// nextUpdate is what a registry's daemon makes for a session.
+// sendUpdate sends an update to the client. It returns false if the link loses it.
+func (w *World) sendUpdate(sub *subscription, update *schema.Update) bool {
+	server := &sub.server.process
+	delay, lost := w.sampleLink(server, sub.client, w.random)
+	if lost || w.isPartitionedEitherWay(server, sub.client) {
+		return false
+	}
+	sub.lastArrivalAt = max(sub.lastArrivalAt+1, w.now+delay)
+	w.schedule(sub.lastArrivalAt-w.now, func() {
+		if w.isPartitioned(server, sub.client) || sub.client.processRun != sub.clientRun {
+			sub.closed = true
+			return
+		}
+		sub.inbox = append(sub.inbox, update)
+		w.scheduleOn(sub.client, 0, func() {
+			first := sub.inbox[0]
+			sub.inbox = sub.inbox[1:]
+			if !sub.closed {
+				sub.handle(first)
+			}
+		})
+	})
+	return true
+}
+
+// nextUpdate returns the next update of a subscription as the server's daemon builds it, and whether it must be sent
+// before the next heartbeat.
 func (w *World) nextUpdate(sub *subscription) (update *schema.Update, isDue bool) {
 	node := sub.server
 	now := w.uptime(node)
@@ -118,11 +132,13 @@
 		update.Sources = append(update.Sources, proto.Clone(source).(*schema.Source))
 	}
 	staleness, known := node.table.Staleness(now)
-	update.StalenessKnown, update.StalenessNanos = known, int64(staleness)
+	update.StalenessKnown = known
+	update.StalenessNanos = int64(staleness)
 	if node.table.GrantsLeases(now) || now >= servingLease/2 {
 		if update.Revision = node.table.CommittedRevision(); !sub.peer && update.Revision > sub.revision {
 			update.Items, update.Complete = node.state.ChangesAfter(sub.revision)
-			sub.revision, isDue = update.Revision, true
+			sub.revision = update.Revision
+			isDue = true
 		}
 	} else {
 		update.StalenessKnown = false
