--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -62,8 +62,8 @@
 			id := w.nextID()
 			callRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
 			go w.makeCall(node, id, callRandom)
-			pause := random.ExpFloat64() * float64(time.Second) * float64(len(w.proxies)) / w.Options.CallRate
-			w.schedule(time.Duration(pause), startCall)
+			untilNext := random.ExpFloat64() * float64(time.Second) * float64(len(w.proxies)) / w.Options.CallRate
+			w.schedule(time.Duration(untilNext), startCall)
 		}
 		w.schedule(w.randomDuration(time.Second), startCall)
 	}
--- a/internal/simulator/core_faults.go
+++ b/internal/simulator/core_faults.go
@@ -47,7 +47,7 @@
 	{"one cut off one way", 0, lossPartition, (*CoreWorld).isolateRandomOneWay},
 	{"split in two", 0, lossPartition, (*CoreWorld).splitInTwo},
 	{"each alone", 0, lossPartition, func(w *CoreWorld) func() { return w.partition(func(string, string) bool { return true }) }},
-	{"one link one way", 0, lossPartition, (*CoreWorld).cutRandomLink},
+	{"one link one way", 0, lossPartition, (*CoreWorld).partitionRandomLink},
 	{"lossy links", 0, lossTemporary, func(w *CoreWorld) func() { return w.loseMessages() }},
 	{"slow links", 0, lossTemporary, func(w *CoreWorld) func() { return w.delayMessages() }},
 }
@@ -94,7 +94,7 @@
 	return w.partition(func(a, b string) bool { return side[a] != side[b] })
 }
 
-func (w *CoreWorld) cutRandomLink() func() {
+func (w *CoreWorld) partitionRandomLink() func() {
 	from, to := w.randomMember().host(), w.randomMember().host()
 	return w.partition(func(a, b string) bool { return a == from && b == to })
 }
--- a/internal/simulator/fault_injection.go
+++ b/internal/simulator/fault_injection.go
@@ -10,7 +10,7 @@
 	for {
 		chosen := &Faults[w.randomInt(len(Faults))]
 		// It voids the key reservations of a whole window, and with them most of what a seed could show; so it is rare.
-		if chosen.name == wholeCorePowerLoss && len(w.Options.OnlyFaults) == 0 && w.randomInt(8) > 0 {
+		if chosen.name == corePowerLoss && len(w.Options.OnlyFaults) == 0 && w.randomInt(8) > 0 {
 			continue
 		}
 		isAllowed := len(w.Options.OnlyFaults) == 0 || slices.Contains(w.Options.OnlyFaults, chosen.name)
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -13,9 +13,9 @@
 	inject func(w *World) (repair func())
 }
 
-// wholeCorePowerLoss goes beyond what the mesh survives without cost: nothing acknowledged is lost, but key reservations
+// corePowerLoss goes beyond what the mesh survives without cost: nothing acknowledged is lost, but key reservations
 // are, so keys are refused until all forgotten ones have expired.
-const wholeCorePowerLoss = "the whole core loses power"
+const corePowerLoss = "the whole core loses power"
 
 // Faults are all kinds of fault that RunMesh injects. Seeds draw them by index, and golden digests and tests hold the
 // names.
@@ -25,16 +25,16 @@
 	{"core machine comes back empty", false, true, (*World).wipeRandomCoreHost},
 	{"seat loses its disk", false, true, (*World).wipeRandomMember},
 	{"power lost right after a yes, with the disk", false, true, (*World).wipeLeaderAfterAcknowledgement},
-	{wholeCorePowerLoss, true, true, (*World).crashWholeCore},
+	{corePowerLoss, true, true, (*World).crashAllCoreHosts},
 	{"registry restarts", false, true, (*World).restartRandomRegistry},
 	{"core machine frozen", false, true, (*World).freezeRandomCoreHost},
 	{"core split one from two", true, false, (*World).isolateRandomMember},
 	{"core split each alone", true, false, (*World).isolateAllMembers},
-	{"one link one way", true, false, (*World).cutRandomCoreLink},
+	{"one link one way", true, false, (*World).partitionRandomCoreLink},
 	{"a core machine cut off one way", true, false, (*World).isolateRandomMemberOneWay},
 	{"core cut off from some proxies", true, false, (*World).partitionSomeProxies},
 	{"edge machine cut off", true, false, (*World).isolateRandomProxy},
-	{"link between two edges lost one way", true, false, (*World).cutRandomProxyLink},
+	{"link between two edges lost one way", true, false, (*World).partitionRandomProxyLink},
 	{"disk stalls", false, true, (*World).stallRandomDisk},
 	{"disk slow", false, true, (*World).slowRandomDisk},
 	{"edge machine frozen", true, false, (*World).freezeRandomProxy},
@@ -116,7 +116,7 @@
 	}
 }
 
-func (w *World) crashWholeCore() func() {
+func (w *World) crashAllCoreHosts() func() {
 	for i := range memberCount {
 		w.crashCoreHost(i)
 	}
@@ -152,7 +152,7 @@
 	return w.partitionCore(func(int, int) bool { return true })
 }
 
-func (w *World) cutRandomCoreLink() func() {
+func (w *World) partitionRandomCoreLink() func() {
 	from, to := w.randomInt(memberCount), w.randomInt(memberCount)
 	return w.partitionCore(func(i, j int) bool { return i == from && j == to })
 }
@@ -186,7 +186,7 @@
 	return w.partitionLinks(links)
 }
 
-func (w *World) cutRandomProxyLink() func() {
+func (w *World) partitionRandomProxyLink() func() {
 	from, to := w.proxies[w.randomInt(len(w.proxies))], w.proxies[w.randomInt(len(w.proxies))]
 	return w.partitionLinks([][2]string{{from.name, to.name}})
 }
@@ -202,7 +202,7 @@
 	node.maxExtraSyncDelay = w.randomDuration(500 * time.Millisecond)
 	return func() {
 		node.maxExtraSyncDelay = 0
-		w.withLock(func() { w.markDisturbed(w.time(), hostOf(node.name)) })
+		w.withLock(func() { w.recordDisturbance(w.time(), hostOf(node.name)) })
 	}
 }
 
@@ -223,7 +223,7 @@
 	return func() {
 		w.withLock(func() {
 			w.lossRate = 0
-			w.markDisturbed(w.time(), everyHost)
+			w.recordDisturbance(w.time(), everyHost)
 		})
 	}
 }
@@ -233,7 +233,7 @@
 	return func() {
 		w.withLock(func() {
 			w.maxExtraDelay = 0
-			w.markDisturbed(w.time(), everyHost)
+			w.recordDisturbance(w.time(), everyHost)
 		})
 	}
 }
--- a/internal/simulator/in_touch.go
+++ b/internal/simulator/in_touch.go
@@ -7,11 +7,11 @@
 // inTouchAfter is how long a host must have been free of faults for its processes to be in touch.
 const inTouchAfter = 3 * time.Second
 
-// everyHost is the name under which markDisturbed records faults of all links.
+// everyHost is the name under which recordDisturbance records faults of all links.
 const everyHost = "every site"
 
-// markDisturbed records that a fault touches hosts until a point in virtual time. The caller holds the lock.
-func (w *World) markDisturbed(until time.Duration, hosts ...string) {
+// recordDisturbance records that a fault touches hosts until a point in virtual time. The caller holds the lock.
+func (w *World) recordDisturbance(until time.Duration, hosts ...string) {
 	for _, host := range hosts {
 		w.disturbedAt[host] = max(w.disturbedAt[host], until)
 	}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -90,14 +90,14 @@
 	w.withLock(func() {
 		for _, link := range links {
 			w.partitionedLinks[link] = true
-			w.markDisturbed(w.time(), link[0], link[1])
+			w.recordDisturbance(w.time(), link[0], link[1])
 		}
 	})
 	return func() {
 		w.withLock(func() {
 			for _, link := range links {
 				delete(w.partitionedLinks, link)
-				w.markDisturbed(w.time(), link[0], link[1])
+				w.recordDisturbance(w.time(), link[0], link[1])
 			}
 		})
 	}
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -47,7 +47,7 @@
 // Bounds of the exposure to a bad version, and timing of an OrderScenario.
 const (
 	orderCanaryPercent = 8                       // percent of the calls in canary at most
-	orderBadShare      = 0.1                     // fraction of the service's calls that a bad version may get
+	orderBadFraction   = 0.1                     // fraction of the service's calls that a bad version may get
 	orderBadMargin     = 50                      // calls that it may get in addition
 	orderFailureExcess = 0.06                    // failure rate above the old version's that any version may have
 	orderMaxFailures   = 400                     // failures after which a proxy blocks a version in canary by itself
@@ -73,7 +73,7 @@
 
 // Exposed reports whether a bad version got more calls than it may.
 func (r OrderResult) Exposed(s OrderScenario) bool {
-	limit := orderBadShare*float64(r.ServiceCalls) + orderBadMargin
+	limit := orderBadFraction*float64(r.ServiceCalls) + orderBadMargin
 	return !s.IsHealthy() && (r.HasLateCall || float64(r.VersionCalls) > limit)
 }
 
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -47,7 +47,7 @@
 	m.up = true
 	m.processRun++
 	m.exited = make(chan struct{})
-	w.markDisturbed(w.time(), hostOf(m.name))
+	w.recordDisturbance(w.time(), hostOf(m.name))
 }
 
 // stopProcess ends the current run of a process; it does nothing if the process is down.
@@ -56,7 +56,7 @@
 	defer w.lock.Unlock()
 	if m.up {
 		m.up = false
-		w.markDisturbed(w.time(), hostOf(m.name))
+		w.recordDisturbance(w.time(), hostOf(m.name))
 		close(m.exited)
 	}
 }
@@ -65,7 +65,7 @@
 func (w *World) freeze(m *process, until time.Duration) {
 	w.lock.Lock()
 	m.thawAt = until
-	w.markDisturbed(max(until, w.time()), hostOf(m.name))
+	w.recordDisturbance(max(until, w.time()), hostOf(m.name))
 	var deferred []func()
 	if until > w.time() && m.thaw == nil {
 		m.thaw = make(chan struct{})
--- a/internal/simulator/proxy_report.go
+++ b/internal/simulator/proxy_report.go
@@ -50,7 +50,7 @@
 	canaries := node.canaries
 	applyGrants := func(grants []*schema.Canary) { canaries.ApplyGrants(sentAt, grants) }
 	if w.Options.ServeStale {
-		w.sendHomeReport(node, report, applyGrants)
+		w.sendSessionReport(node, report, applyGrants)
 	} else {
 		w.sendFeedReport(node, report, applyGrants)
 	}
@@ -84,9 +84,9 @@
 	})
 }
 
-// sendHomeReport sends a report to the registry that a proxy has its session with. A report of workers stays pending
+// sendSessionReport sends a report to the registry that a proxy has its session with. A report of workers stays pending
 // until a reply arrives, and is sent again meanwhile.
-func (w *World) sendHomeReport(node *proxyNode, report *schema.ProxyReport, onReply func(grants []*schema.Canary)) {
+func (w *World) sendSessionReport(node *proxyNode, report *schema.ProxyReport, onReply func(grants []*schema.Canary)) {
 	target := w.registryNamed(node.selector.Current())
 	if report.Source != nil {
 		node.reportPending = true
--- a/internal/simulator/rollback_scenario.go
+++ b/internal/simulator/rollback_scenario.go
@@ -28,7 +28,7 @@
 // The faults of the core in a RollbackScenario. The words are part of the scenarios' names.
 const (
 	CoreSplit = "split" // each member is partitioned from the others
-	CoreGone  = "gone"  // all members and registries crash
+	CoreDown  = "gone"  // all members and registries crash
 )
 
 // How a RollbackScenario introduces a version.
@@ -100,7 +100,7 @@
 // rollbackScenariosWithCoreFaults are the scenarios in which the core fails when the version becomes unhealthy.
 func rollbackScenariosWithCoreFaults() []RollbackScenario {
 	var all []RollbackScenario
-	for _, fault := range []string{CoreSplit, CoreGone} {
+	for _, fault := range []string{CoreSplit, CoreDown} {
 		all = append(all,
 			RollbackScenario{
 				Name:        "bad late, the core " + fault,
--- a/internal/simulator/rollout_control.go
+++ b/internal/simulator/rollout_control.go
@@ -96,7 +96,7 @@
 	}
 	if w.Options.BoundExposure {
 		options.CanaryPercent = orderCanaryPercent
-		options.MaxBadFraction = orderBadShare
+		options.MaxBadFraction = orderBadFraction
 		options.BadCallsMargin = orderBadMargin
 		options.FailureRateMargin = orderFailureExcess
 	}
--- a/internal/simulator/subscription.go
+++ b/internal/simulator/subscription.go
@@ -37,14 +37,11 @@
 	started         bool // the first update is sent
 }
 
-// zoneOfMember returns the zone of the i-th member.
-func (w *World) zoneOfMember(i int) string { return w.zoneOf(i) }
-
 // coreMembers returns the members of the core as registries announce them.
 func (w *World) coreMembers() []*schema.CoreMember {
 	var members []*schema.CoreMember
 	for i, node := range w.registries {
-		members = append(members, &schema.CoreMember{Id: memberName(i), Address: node.name, Zone: w.zoneOfMember(i)})
+		members = append(members, &schema.CoreMember{Id: memberName(i), Address: node.name, Zone: w.zoneOf(i)})
 	}
 	return members
 }
