--- a/internal/simulator/core_test.go
+++ b/internal/simulator/core_test.go
@@ -9,6 +9,7 @@
 
 var coreSeedCount = flag.Int("core-seeds", 20, "how many seeds of a core alone to run, of each size")
 
+// runCoreSeed runs a seed of a core in a bubble of its own.
 func runCoreSeed(t *testing.T, seed uint64, seededFault SeededFault, options CoreOptions) *CoreWorld {
 	t.Helper()
 	var w *CoreWorld
@@ -16,11 +17,11 @@
 	return w
 }
 
-// coreSizes are the cores that there are, and how many machines of each may be lost at once.
+// coreSizes are the sizes of core that the product supports, and how many members of each may be lost at once.
 var coreSizes = []CoreOptions{{Members: 3, MaxLosses: 1}, {Members: 5, MaxLosses: 2}}
 
-// Whatever is lost, as long as it is no more at once than is promised to be survived, nothing
-// acknowledged is lost, no given version goes down, and the core is whole again in time.
+// TestCores checks that while no more members are lost at once than the core promises to survive, nothing acknowledged is
+// lost, no operator version decreases, and the core is complete again in time.
 func TestCores(t *testing.T) {
 	for _, options := range coreSizes {
 		t.Run(fmt.Sprint(options.Members, " seats"), func(t *testing.T) {
@@ -32,7 +33,7 @@
 						t.Errorf("seed %d: %s: %v", seed, rule, breaches)
 					}
 					if w.Acknowledgements < 20 || w.Reads < 5 {
-						t.Errorf("only %d yeses and %d reads", w.Acknowledgements, w.Reads)
+						t.Errorf("only %d acknowledged and %d reads", w.Acknowledgements, w.Reads)
 					}
 				})
 			}
@@ -40,7 +41,7 @@
 	}
 }
 
-// Each checker sees the fault that it is there for.
+// TestCoreSeededFaults checks that each check of a core detects the fault that it is there for, in one of a few seeds.
 func TestCoreSeededFaults(t *testing.T) {
 	for _, test := range []struct {
 		seededFault SeededFault
@@ -48,8 +49,18 @@
 		onlyFaults  []string
 		options     CoreOptions
 	}{
-		{SeededWipedMemberCounts, []string{RuleOperatorVersionLost, RuleDivergedState}, []string{"disk lost right after a yes", "one cut off"}, coreSizes[0]},
-		{SeededLyingDisk, []string{RuleOperatorVersionLost, RuleDivergedState}, []string{"all lose power", "all lose power, and some their disks"}, coreSizes[0]},
+		{
+			SeededWipedMemberCounts,
+			[]string{RuleOperatorVersionLost, RuleDivergedState},
+			[]string{"disk lost right after a yes", "one cut off"},
+			coreSizes[0],
+		},
+		{
+			SeededLyingDisk,
+			[]string{RuleOperatorVersionLost, RuleDivergedState},
+			[]string{"all lose power", "all lose power, and some their disks"},
+			coreSizes[0],
+		},
 		{SeededUncommittedAcknowledgement, []string{RuleOperatorVersionLost}, []string{"power lost", "disk lost", "one cut off"}, coreSizes[0]},
 		{SeededOperatorVersionsIgnored, []string{RuleOperatorVersionLost, RuleContentMismatch}, nil, coreSizes[0]},
 		{SeededNoTombstones, []string{RuleOperatorVersionLost, RuleContentMismatch}, nil, coreSizes[0]},
@@ -70,7 +81,7 @@
 					}
 				}
 			}
-			t.Errorf("none of %v was seen", test.rules)
+			t.Errorf("no seed breaches any of %v", test.rules)
 		})
 	}
 }
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -21,28 +21,31 @@
 	"meadowhinge/schema"
 )
 
-// historyFile holds one line for each run: its name, the digest of its history, and totals that make
-// a difference easier to read.
+// historyFile holds one line for each run: its name, the digest of its history, and totals that make a difference easier to
+// interpret.
 const historyFile = "testdata/golden/histories.txt"
 
-// historyDigest takes in what happened, as numbers and length-prefixed strings. Names of Go types,
-// functions and fields never go in, so that renaming them changes no digest.
+// historyDigest hashes what happened, as numbers and length-prefixed strings. Names of Go types, functions and fields are
+// never hashed, so that renaming them changes no digest.
 type historyDigest struct{ sum hash.Hash }
 
 func newHistoryDigest() historyDigest { return historyDigest{sha256.New()} }
 
+// number hashes numbers.
 func (d historyDigest) number(values ...uint64) {
 	for _, value := range values {
 		d.sum.Write(binary.LittleEndian.AppendUint64(nil, value))
 	}
 }
 
+// times hashes durations.
 func (d historyDigest) times(values ...time.Duration) {
 	for _, value := range values {
 		d.number(uint64(value))
 	}
 }
 
+// flags hashes booleans.
 func (d historyDigest) flags(values ...bool) {
 	for _, value := range values {
 		bit := uint64(0)
@@ -53,6 +56,7 @@
 	}
 }
 
+// text hashes strings, each with its length.
 func (d historyDigest) text(values ...string) {
 	for _, value := range values {
 		d.number(uint64(len(value)))
@@ -60,7 +64,7 @@
 	}
 }
 
-// message takes in a message by its field numbers, not by its names.
+// message hashes a message by its field numbers, not by their names.
 func (d historyDigest) message(t *testing.T, message proto.Message) {
 	t.Helper()
 	bytes, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
@@ -72,7 +76,7 @@
 
 func (d historyDigest) String() string { return hex.EncodeToString(d.sum.Sum(nil)) }
 
-// The codes of what is taken in: they stand for kinds of event, whatever these are called in Go.
+// The codes that are hashed for kinds of event, whatever these are called in Go.
 const (
 	historyCall = iota + 1
 	historyAttempt
@@ -94,8 +98,7 @@
 	historyOutcome
 )
 
-// calls takes in every call with every asking for it, as its caller saw it, and every run of it, as
-// its worker did.
+// calls hashes every call with its attempts, as the caller saw them, and its runs, as the workers saw them.
 func (d historyDigest) calls(t *testing.T, h *History) {
 	t.Helper()
 	for _, id := range sortedOperationIDs(h.operations) {
@@ -115,9 +118,10 @@
 					d.message(t, result.Response)
 				}
 				if callPlan := result.Plan; callPlan != nil {
-					d.number(historyPlan, callPlan.Verdict.ConfigRevision, uint64(len(callPlan.Candidates)))
-					d.text(callPlan.Service, callPlan.Verdict.Flag, callPlan.Verdict.Version, string(callPlan.Verdict.Reason),
-						callPlan.Verdict.RuleID, string(callPlan.Verdict.Error), callPlan.Verdict.Evaluated)
+					verdict := callPlan.Verdict
+					d.number(historyPlan, verdict.ConfigRevision, uint64(len(callPlan.Candidates)))
+					d.text(callPlan.Service, verdict.Flag, verdict.Version, string(verdict.Reason), verdict.RuleID,
+						string(verdict.Error), verdict.Evaluated)
 					d.times(callPlan.Deadline, callPlan.LatencyTarget)
 				}
 			}
@@ -130,8 +134,8 @@
 	}
 }
 
-// world takes in what is left of a world when its run is over: what was decided, what was shown by
-// whom, what disks hold, and where the dice and the counters stand.
+// world hashes what a world holds when its run is over: what was decided, what each process showed, what the disks hold,
+// and the state of the random stream and the counters.
 func (d historyDigest) world(t *testing.T, w *World) {
 	t.Helper()
 	h := w.History
@@ -186,15 +190,32 @@
 			d.message(t, record)
 		}
 	}
-	d.number(historyEnd, uint64(h.Decisions), uint64(h.InTouchDecisions), uint64(h.Attempts), uint64(h.Answered), uint64(h.WorkerRuns), uint64(h.AnsweredRetries), uint64(h.Acknowledgements), uint64(h.RefusedChanges),
-		uint64(h.Unsent), uint64(h.MaxTombstones), uint64(h.Purges), uint64(h.BlockedCalls), uint64(h.CancelledCalls))
-	// Where callers leave, goroutines that wake at one moment race for who hangs up first: which events
-	// the world has for it, and what proxies count of it, is not the same in each run.
+	d.number(historyEnd)
+	for _, total := range []int{
+		h.Decisions,
+		h.InTouchDecisions,
+		h.Attempts,
+		h.Answered,
+		h.WorkerRuns,
+		h.AnsweredRetries,
+		h.Acknowledgements,
+		h.RefusedChanges,
+		h.Unsent,
+		h.MaxTombstones,
+		h.Purges,
+		h.BlockedCalls,
+		h.CancelledCalls,
+	} {
+		d.number(uint64(total))
+	}
+	// Where callers cancel, goroutines that wake at the same moment race for which side cancels first: the resulting events,
+	// and what proxies count of them, differ between runs. So they are left out.
 	if w.Options.CallerCancelRate == 0 {
 		d.number(h.EventHash, w.lastEventSequence, uint64(w.lastID), w.random.Uint64())
 	}
 }
 
+// breaches hashes the breaches of each rule, in order.
 func (d historyDigest) breaches(breaches map[string][]string) {
 	for _, rule := range slices.Sorted(maps.Keys(breaches)) {
 		d.number(historyBreach)
@@ -203,7 +224,7 @@
 	}
 }
 
-// historyOfWorld gives the line of a run of a whole mesh.
+// historyOfWorld returns the line of a run of a mesh.
 func historyOfWorld(t *testing.T, w *World) string {
 	t.Helper()
 	calls, rest := newHistoryDigest(), newHistoryDigest()
@@ -214,11 +235,13 @@
 	if w.Options.CallerCancelRate == 0 {
 		events = fmt.Sprintf("%d events, ", w.lastEventSequence)
 	}
-	return fmt.Sprintf("calls %s rest %s: %s%d asked, %d answered, %d runs, %d acknowledged, %d refused, %d held, %d left, epoch %d, %d faults, %d breaches",
-		calls, rest, events, h.Attempts, h.Answered, h.WorkerRuns, h.Acknowledgements, h.RefusedChanges, h.BlockedCalls, h.CancelledCalls, historyHighestTerm(w), len(w.faults), len(h.Breaches))
+	return fmt.Sprintf("calls %s rest %s: %s%d asked, %d answered, %d runs, %d acknowledged, %d refused, "+
+		"%d held, %d left, epoch %d, %d faults, %d breaches",
+		calls, rest, events, h.Attempts, h.Answered, h.WorkerRuns, h.Acknowledgements, h.RefusedChanges,
+		h.BlockedCalls, h.CancelledCalls, historyHighestTerm(w), len(w.faults), len(h.Breaches))
 }
 
-// historyHighestTerm is the highest epoch under which anything was led: how many elections there were.
+// historyHighestTerm returns the highest term of any member: about how many elections there were.
 func historyHighestTerm(w *World) (highest uint64) {
 	for _, node := range w.members {
 		highest = max(highest, node.replica.Status().Term)
@@ -226,7 +249,7 @@
 	return highest
 }
 
-// historyMesh plays a seed as TestSeeds and its kin do.
+// historyMesh runs a seed as TestSeeds and TestServing do.
 func historyMesh(seed uint64, options Options) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
@@ -234,7 +257,7 @@
 	}
 }
 
-// historyCore plays a core alone: founding, joining, replacing, losing of disks.
+// historyCore runs a core without a mesh: members found it, join, are replaced and lose their disks.
 func historyCore(seed uint64, options CoreOptions) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
@@ -250,21 +273,19 @@
 			d.text(name)
 		}
 		d.number(historyEnd, uint64(w.Acknowledgements), uint64(w.Reads), uint64(w.Replacements), uint64(w.Resends))
-		return fmt.Sprintf("core %s: %d events, %d changes sent, %d acknowledged, %d refused, %d reads, %d replaced, %d repeats, epoch %d, %d breaches",
-			d, w.lastEventSequence, len(w.sentChanges), w.Acknowledgements, w.History.RefusedChanges, w.Reads, w.Replacements, w.Resends, historyHighestTerm(w.World), len(w.History.Breaches))
+		return fmt.Sprintf("core %s: %d events, %d changes sent, %d acknowledged, %d refused, "+
+			"%d reads, %d replaced, %d repeats, epoch %d, %d breaches",
+			d, w.lastEventSequence, len(w.sentChanges), w.Acknowledgements, w.History.RefusedChanges,
+			w.Reads, w.Replacements, w.Resends, historyHighestTerm(w.World), len(w.History.Breaches))
 	}
 }
 
-// historyRollback plays a version that comes in one of the ways that the brake is tried with. Only what
-// came of it is told by the play; historyRelease looks at a whole history.
+// historyRollback runs a scenario of the rollback guard. Only its result is hashed, as RunRollback returns no world;
+// historyRelease hashes a complete history.
 func historyRollback(seed uint64, name string) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
-		index := slices.IndexFunc(RollbackScenarios, func(kind RollbackScenario) bool { return kind.Name == name })
-		if index < 0 {
-			t.Fatalf("there is no kind %q", name)
-		}
-		got := RunRollback(seed, RollbackScenarios[index], SeededNone, 5)
+		got := RunRollback(seed, rollbackScenarioNamed(t, name), SeededNone, 5)
 		d := newHistoryDigest()
 		d.number(historyOutcome, uint64(got.ServiceCalls), uint64(got.VersionCalls), uint64(got.FailedCalls), uint64(got.BlockedCalls))
 		d.times(got.ExposureTime)
@@ -272,17 +293,18 @@
 		d.text(got.State, got.StopReason)
 		d.breaches(got.Breaches)
 		return fmt.Sprintf("outcome %s: %d calls, %d of them its, %d failed, took %d ns, back %t, %d held, state %q, %q, %d breaches",
-			d, got.ServiceCalls, got.VersionCalls, got.FailedCalls, got.ExposureTime, got.RolledBack, got.BlockedCalls, got.State, got.StopReason, len(got.Breaches))
+			d, got.ServiceCalls, got.VersionCalls, got.FailedCalls, got.ExposureTime, got.RolledBack,
+			got.BlockedCalls, got.State, got.StopReason, len(got.Breaches))
 	}
 }
 
-// historyVersionOrder plays the order of a version with a term.
+// historyVersionOrder runs the first scenario of a rollout order whose name begins with a string.
 func historyVersionOrder(seed uint64, start string) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
-		index := slices.IndexFunc(OrderScenarios, func(kind OrderScenario) bool { return strings.HasPrefix(kind.Name, start) })
+		index := slices.IndexFunc(OrderScenarios, func(scenario OrderScenario) bool { return strings.HasPrefix(scenario.Name, start) })
 		if index < 0 {
-			t.Fatalf("there is no kind that starts with %q", start)
+			t.Fatalf("no scenario name begins with %q", start)
 		}
 		got := RunOrder(seed, OrderScenarios[index])
 		d := newHistoryDigest()
@@ -296,8 +318,8 @@
 	}
 }
 
-// historyRelease brings a bad version in, by a plan or by an order in a serving world, and looks at
-// the whole history, which the plays of the brake and of terms keep to themselves.
+// historyRelease introduces a bad version, by a release plan or by a rollout order, and hashes the complete history, which
+// RunRollback and RunOrder do not return.
 func historyRelease(seed uint64, options Options, ordered bool) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
@@ -325,10 +347,10 @@
 	}
 }
 
-// historyRuns are the runs whose histories are held fast: each kind of world and of play.
+// historyRuns are the runs whose histories are fixed: each kind of world and of scenario.
 var historyRuns = []struct {
 	name string
-	play func(t *testing.T) string
+	run  func(t *testing.T) string
 }{
 	{"mesh 1", historyMesh(1, Options{FaultyDuration: 25 * time.Second})},
 	{"mesh 2, with a plan", historyMesh(2, Options{FaultyDuration: 25 * time.Second})},
@@ -366,30 +388,30 @@
 	{"term 1, good, herd killed", historyVersionOrder(1, "good, herd killed")},
 }
 
-// A change that should alter no behaviour alters no history: each run gives the very events, times,
-// answers and disks that it gave when the file was written. A refactoring leaves the file as it is.
+// TestGoldenHistories checks that each run gives exactly the events, times, responses and disks that it gave when the file
+// was written. A refactoring must leave the file unchanged.
 func TestGoldenHistories(t *testing.T) {
 	golden := historyLines(t)
 	if len(golden) != len(historyRuns) {
 		t.Errorf("%s has %d lines for %d runs", historyFile, len(golden), len(historyRuns))
 	}
-	for _, run := range historyRuns {
-		t.Run(run.name, func(t *testing.T) {
+	for _, test := range historyRuns {
+		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
-			want, known := golden[run.name]
+			want, known := golden[test.name]
 			if !known {
-				t.Fatalf("%s has no line for it", historyFile)
+				t.Fatalf("%s has no line for this run", historyFile)
 			}
 			var got string
-			synctest.Test(t, func(t *testing.T) { got = run.play(t) })
+			synctest.Test(t, func(t *testing.T) { got = test.run(t) })
 			if got != want {
-				t.Errorf("its history differs:\n got %s\nwant %s", got, want)
+				t.Errorf("the history differs:\n got %s\nwant %s", got, want)
 			}
 		})
 	}
 }
 
-// historyLines reads the file, by the names of the runs.
+// historyLines reads the file into a map from the name of a run to its line.
 func historyLines(t *testing.T) map[string]string {
 	t.Helper()
 	content, err := os.ReadFile(historyFile)
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -19,7 +19,7 @@
 	harmlessOnly    = flag.Bool("free", false, "only faults that may turn nobody away, one at a time")
 )
 
-// runMeshSeed plays a seed in a bubble of its own.
+// runMeshSeed runs a seed of a mesh in a bubble of its own.
 func runMeshSeed(t *testing.T, seed uint64, seededFault SeededFault, options Options) *History {
 	t.Helper()
 	var history *History
@@ -27,7 +27,7 @@
 	return history
 }
 
-// breachedRules lists what was breached.
+// breachedRules returns the rules that were breached, sorted.
 func (h *History) breachedRules() []string {
 	var names []string
 	for rule := range h.Breaches {
@@ -37,11 +37,12 @@
 	return names
 }
 
-// maxShrunkFaults is how many faults of a seed are tried to be left out.
+// maxShrunkFaults is how many faults of a seed shrink tries to leave out.
 const maxShrunkFaults = 48
 
-// shrink leaves faults out, one after another, while the seed still breaks the same rule.
+// shrink returns options that leave out every fault without which the seed still breaks the same rule.
 func shrink(t *testing.T, seed uint64, seededFault SeededFault, options Options, rule string) Options {
+	t.Helper()
 	for index := range maxShrunkFaults {
 		without := options
 		without.SkipFaults = map[int]bool{index: true}
@@ -55,58 +56,53 @@
 	return options
 }
 
-// No never-rule breaks under any of the seeds' faults.
-func TestSeeds(t *testing.T) {
+// runMeshSeeds runs consecutive seeds in parallel, as subtests of "all", reports their breaches and returns the sum of
+// their totals.
+func runMeshSeeds(t *testing.T, first uint64, count int, options Options) *History {
+	t.Helper()
 	sum := &History{Rejections: map[string]int{}}
 	var lock sync.Mutex
 	t.Run("all", func(t *testing.T) {
-		for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
+		for seed := first; seed < first+uint64(count); seed++ {
 			t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 				t.Parallel()
-				h := runMeshSeed(t, seed, SeededNone, Options{HarmlessFaultsOnly: *harmlessOnly})
+				h := runMeshSeed(t, seed, SeededNone, options)
 				lock.Lock()
 				sum.add(h)
 				lock.Unlock()
-				h.report(t, seed, Options{HarmlessFaultsOnly: *harmlessOnly})
+				h.report(t, seed, options)
 			})
 		}
 	})
-	// A run in which nothing happens proves nothing.
+	return sum
+}
+
+// TestSeeds checks that no never-rule breaks under the faults of any seed.
+func TestSeeds(t *testing.T) {
+	sum := runMeshSeeds(t, *firstSeed, *seedCount, Options{HarmlessFaultsOnly: *harmlessOnly})
+	// Runs in which little happens prove nothing.
 	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount {
-		t.Errorf("only %d answered and %d yeses in %d seeds", sum.Answered, sum.Acknowledgements, *seedCount)
+		t.Errorf("only %d answered and %d acknowledged in %d seeds", sum.Answered, sum.Acknowledgements, *seedCount)
 	}
 	if sum.Purges == 0 {
-		t.Error("no tombstone was ever let go")
+		t.Error("no tombstone was ever purged")
 	}
 	t.Logf("%d seeds: %s", *seedCount, sum.summary())
 }
 
-// No never-rule breaks where proxies serve in doubt and a change is acknowledged once stable, as
-// far as these bind machines in touch.
+// TestServing checks that no never-rule breaks where proxies serve stale configuration and a change is acknowledged once
+// it is committed. The rules on fresh configuration bind only proxies in touch there, so enough decisions must be theirs.
 func TestServing(t *testing.T) {
-	sum := &History{Rejections: map[string]int{}}
-	var lock sync.Mutex
-	t.Run("all", func(t *testing.T) {
-		for seed := *firstSeed; seed < *firstSeed+uint64(*seedCount); seed++ {
-			t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
-				t.Parallel()
-				h := runMeshSeed(t, seed, SeededNone, Options{ServeStale: true, HarmlessFaultsOnly: *harmlessOnly})
-				lock.Lock()
-				sum.add(h)
-				lock.Unlock()
-				h.report(t, seed, Options{ServeStale: true, HarmlessFaultsOnly: *harmlessOnly})
-			})
-		}
-	})
+	sum := runMeshSeeds(t, *firstSeed, *seedCount, Options{ServeStale: true, HarmlessFaultsOnly: *harmlessOnly})
 	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount || sum.InTouchDecisions < sum.Decisions/10 {
-		t.Errorf("only %d answered, %d yeses, %d of %d decisions in touch in %d seeds", sum.Answered, sum.Acknowledgements,
-			sum.InTouchDecisions, sum.Decisions, *seedCount)
+		t.Errorf("only %d answered, %d acknowledged, %d of %d decisions in touch in %d seeds",
+			sum.Answered, sum.Acknowledgements, sum.InTouchDecisions, sum.Decisions, *seedCount)
 	}
 	t.Logf("%d seeds, %d of %d decisions in touch: %s", *seedCount, sum.InTouchDecisions, sum.Decisions, sum.summary())
 }
 
-// Callers that leave while their calls wait or run: in a calm world each worker is freed in time, and with all faults
-// every other rule holds besides.
+// TestLeavingCallers checks callers that cancel while their calls wait or run: in a world without faults each worker stops
+// in time, and under all faults every other rule holds too.
 func TestLeavingCallers(t *testing.T) {
 	for name, options := range map[string]Options{
 		"calm": {
@@ -135,7 +131,7 @@
 	}
 }
 
-// report fails a test with what was breached. A failing seed is cut down to the faults it needs.
+// report fails a test with the breaches of a seed, and logs how to replay it and the faults without which it passes.
 func (h *History) report(t *testing.T, seed uint64, options Options) {
 	t.Helper()
 	for _, rule := range h.breachedRules() {
@@ -147,10 +143,11 @@
 	test := map[bool]string{false: "TestSeeds", true: "TestServing"}[options.ServeStale]
 	t.Logf("replay: go test ./internal/simulator -run '%s$' -seeds 1 -first %d -free=%v -v", test, seed, options.HarmlessFaultsOnly)
 	least := shrink(t, seed, SeededNone, options, h.breachedRules()[0])
-	left := runMeshSeed(t, seed, SeededNone, least)
-	t.Logf("%s needs these faults: %s", h.breachedRules()[0], left.faultNames())
+	shrunk := runMeshSeed(t, seed, SeededNone, least)
+	t.Logf("%s needs these faults: %s", h.breachedRules()[0], shrunk.faultNames())
 }
 
+// faultNames lists the faults of a run with their times.
 func (h *History) faultNames() string {
 	var names []string
 	for _, record := range h.world.faults {
@@ -159,59 +156,58 @@
 	return strings.Join(names, "; ")
 }
 
+// add adds the totals of another run.
 func (h *History) add(other *History) {
-	h.Attempts, h.Answered, h.WorkerRuns, h.AnsweredRetries, h.Acknowledgements, h.RefusedChanges = h.Attempts+other.Attempts, h.Answered+other.Answered, h.WorkerRuns+other.WorkerRuns, h.AnsweredRetries+other.AnsweredRetries, h.Acknowledgements+other.Acknowledgements, h.RefusedChanges+other.RefusedChanges
-	h.Decisions, h.InTouchDecisions = h.Decisions+other.Decisions, h.InTouchDecisions+other.InTouchDecisions
-	h.Unsent, h.BlockedCalls = h.Unsent+other.Unsent, h.BlockedCalls+other.BlockedCalls
-	h.MaxTombstones, h.Purges = max(h.MaxTombstones, other.MaxTombstones), h.Purges+other.Purges
+	h.Attempts += other.Attempts
+	h.Answered += other.Answered
+	h.WorkerRuns += other.WorkerRuns
+	h.AnsweredRetries += other.AnsweredRetries
+	h.Acknowledgements += other.Acknowledgements
+	h.RefusedChanges += other.RefusedChanges
+	h.Decisions += other.Decisions
+	h.InTouchDecisions += other.InTouchDecisions
+	h.Unsent += other.Unsent
+	h.BlockedCalls += other.BlockedCalls
+	h.MaxTombstones = max(h.MaxTombstones, other.MaxTombstones)
+	h.Purges += other.Purges
 	for cause, count := range other.Rejections {
 		h.Rejections[cause] += count
 	}
 }
 
+// summary describes the totals of a run.
 func (h *History) summary() string {
-	var away []string
+	var rejections []string
 	for cause, count := range h.Rejections {
-		away = append(away, fmt.Sprintf("%s %d", cause, count))
+		rejections = append(rejections, fmt.Sprintf("%s %d", cause, count))
 	}
-	slices.Sort(away)
-	return fmt.Sprintf("%d asked, %d answered, %d of them asked for again, %d unsent, %d held, %d yeses, %d refusals, at most %d tombstones, let go %d times; turned away:\n\t%s",
-		h.Attempts, h.Answered, h.AnsweredRetries, h.Unsent, h.BlockedCalls, h.Acknowledgements, h.RefusedChanges, h.MaxTombstones, h.Purges, strings.Join(away, "\n\t"))
+	slices.Sort(rejections)
+	const format = "%d attempts, %d answered, %d of them retries, %d unsent, %d blocked, %d acknowledged, %d refused, " +
+		"at most %d tombstones, %d purges; rejected:\n\t%s"
+	return fmt.Sprintf(format, h.Attempts, h.Answered, h.AnsweredRetries, h.Unsent, h.BlockedCalls, h.Acknowledgements,
+		h.RefusedChanges, h.MaxTombstones, h.Purges, strings.Join(rejections, "\n\t"))
 }
 
-// Nobody is turned away, in any seed, by what must cost nothing: a drain, workers replaced, polite
-// restarts, one core machine lost, frozen, slow or back empty, storms and growth of the setup,
-// invalid and racing changes.
+// TestHarmlessFaults checks that no call is rejected, in any seed, by what must cost nothing: draining and replacing
+// workers, graceful restarts, one core host that is lost, frozen, slow or back empty, many changes, a growing
+// configuration, invalid and racing changes.
 func TestHarmlessFaults(t *testing.T) {
-	var lock sync.Mutex
-	sum := &History{Rejections: map[string]int{}}
-	t.Run("all", func(t *testing.T) {
-		for seed := uint64(1); seed <= harmlessSeedCount; seed++ {
-			t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
-				t.Parallel()
-				h := runMeshSeed(t, seed, SeededNone, Options{HarmlessFaultsOnly: true})
-				lock.Lock()
-				sum.add(h)
-				lock.Unlock()
-				h.report(t, seed, Options{HarmlessFaultsOnly: true})
-			})
-		}
-	})
+	sum := runMeshSeeds(t, 1, harmlessSeedCount, Options{HarmlessFaultsOnly: true})
 	if len(sum.Rejections) > 0 || sum.Answered < 500*harmlessSeedCount {
 		t.Errorf("%s", sum.summary())
 	}
 }
 
-// harmlessSeedCount run in CI.
+// harmlessSeedCount is how many seeds TestHarmlessFaults runs.
 const harmlessSeedCount = 16
 
-// Seeds that found something once. What a seed draws changes with the kinds of fault there are,
-// so each cause has a test of its own besides.
+// TestFoundBefore runs seeds that found a fault once. What a seed draws changes with the list of Faults, so each cause also
+// has a test of its own:
 //
-// 10404: a call was turned away as VERSION_NOT_ALLOWED, for its proxy waited too short a while
-// for the setup that the worker's proxy already had (TestNewerSetupElsewhere).
-// 10080, 10167, 10209: what was left of a killed proxy's calls still counted (the world's own fault).
-// 10609: two proxies were stopped politely at once, and with them every worker of a service.
+//   - 10404: a call was rejected as VERSION_NOT_ALLOWED, because its proxy did not wait long enough for the configuration
+//     that the worker's proxy already had (TestNewerSetupElsewhere).
+//   - 10080, 10167, 10209: goroutines left of a killed proxy's calls still counted (a fault of the simulator).
+//   - 10609: two proxies were restarted gracefully at once, and with them every worker of a service.
 func TestFoundBefore(t *testing.T) {
 	for _, seed := range []uint64{10080, 10167, 10209, 10404, 10609} {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
@@ -221,21 +217,23 @@
 	}
 }
 
-// A seed replays to the same events at the same times.
+// TestReplay checks that a seed replays to the same events at the same times.
 func TestReplay(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
-		first := runMeshSeed(t, seed, SeededNone, Options{})
-		second := runMeshSeed(t, seed, SeededNone, Options{})
-		if first.EventHash != second.EventHash || first.summary() != second.summary() {
-			t.Errorf("seed %d gave two runs: %x %s and %x %s", seed, first.EventHash, first.summary(), second.EventHash, second.summary())
-		}
+		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
+			first := runMeshSeed(t, seed, SeededNone, Options{})
+			second := runMeshSeed(t, seed, SeededNone, Options{})
+			if first.EventHash != second.EventHash || first.summary() != second.summary() {
+				t.Errorf("two runs differ: %x %s and %x %s", first.EventHash, first.summary(), second.EventHash, second.summary())
+			}
+		})
 	}
 }
 
-// seededFaultSeedCount is how many seeds a checker gets to see a planted fault.
+// seededFaultSeedCount is how many seeds a check gets to detect a seeded fault.
 const seededFaultSeedCount = 40
 
-// Each checker sees the fault it is there for, in one of a few seeds.
+// TestSeededFaults checks that each check detects the fault that it is there for, in one of a few seeds.
 func TestSeededFaults(t *testing.T) {
 	lossOfDisk := []string{"seat loses its disk", "core split one from two", "a core machine cut off one way", "slow links"}
 	edges := []string{"proxy killed", "a herd of proxies killed", "lossy links", "edge machine frozen"}
@@ -311,10 +309,10 @@
 					}
 				}
 			}
-			t.Errorf("none of %v was seen", test.rules)
+			t.Errorf("no seed breaches any of %v", test.rules)
 		})
 	}
-	for seededFault, kind := range map[SeededFault]string{
+	for seededFault, name := range map[SeededFault]string{
 		SeededFailuresIgnored: "bad late, at a high share",
 		SeededAlwaysHealthy:   "by hand at 100 %, bad late, the core split",
 		SeededHairTrigger:     "a few failures",
@@ -322,20 +320,15 @@
 		t.Run(string(seededFault), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
-				for _, test := range RollbackScenarios {
-					if test.Name != kind {
-						continue
-					}
-					got := runRollbackSeed(t, seed, test, seededFault)
-					for _, rule := range []string{RuleBadVersionExposure, RuleHealthyRolledBack} {
-						if len(got.Breaches[rule]) > 0 {
-							t.Logf("seed %d: %s: %s", seed, rule, got.Breaches[rule][0])
-							return
-						}
+				got := runRollbackSeed(t, seed, rollbackScenarioNamed(t, name), seededFault)
+				for _, rule := range []string{RuleBadVersionExposure, RuleHealthyRolledBack} {
+					if len(got.Breaches[rule]) > 0 {
+						t.Logf("seed %d: %s: %s", seed, rule, got.Breaches[rule][0])
+						return
 					}
 				}
 			}
-			t.Error("not seen")
+			t.Error("no seed breaches a rule")
 		})
 	}
 }
