--- a/internal/simulator/checks_call.go
+++ b/internal/simulator/checks_call.go
@@ -7,6 +7,7 @@
 
 	"meadowhinge/internal/errs"
 	"meadowhinge/internal/fakebackend"
+	"meadowhinge/internal/plan"
 	"meadowhinge/schema"
 )
 
@@ -187,7 +188,7 @@
 		h.recordBreach(RuleStaleConfig, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged",
 			now, operation.id, attempt.sentAt, callPlan.Verdict.ConfigRevision, minRevision)
 	}
-	if callPlan.Verdict.Reason == "HELD" {
+	if callPlan.Verdict.Reason == plan.ReasonVersionBlocked {
 		h.BlockedCalls++
 	}
 }
--- a/internal/simulator/core_faults.go
+++ b/internal/simulator/core_faults.go
@@ -52,6 +52,7 @@
 	{"slow links", 0, lossTemporary, func(w *CoreWorld) func() { return w.delayMessages() }},
 }
 
+// freezeRandom and the methods up to partitionRandomLink begin the fault that their name says and return what ends it.
 func (w *CoreWorld) freezeRandom() func() {
 	node := w.loseRandomMember()
 	w.freeze(&node.process, w.now+w.randomDuration(12*time.Second))
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -1,13 +1,13 @@
-// Package simulator runs the code of the whole mesh in one process under a virtual clock, injects faults
+// Package simulator runs the code of a complete mesh in one process under a virtual clock, injects faults
 // drawn from a seed, and checks everything that happens against the never-rules of the product.
 //
 // The replicas, fleet tables, key reservations, leases, views, both sides of a forwarded call, rollout control and
 // the rollback guard are the production code that the daemons run. The simulator replaces what surrounds them in a
-// daemon: the network, the disks, the clocks and the loops that drive the code; it also plays the callers, the
+// daemon: the network, the disks, the clocks and the loops that drive the code; it also stands for the callers, the
 // workers and the operators.
 //
 // A World is one simulated fleet. It owns every process, the queue of events, the random stream and the History in
-// which calls, configurations and breaches are recorded. Tests call one of the four entry points: RunMesh runs a whole
+// which calls, configurations and breaches are recorded. Tests call one of the four entry points: RunMesh runs a
 // mesh under faults, RunCore a core of members alone, RunRollback a rollout that the rollback guard has to judge, and
 // RunOrder a rollout order with a deadline. Nothing outside the tests imports the package.
 //
@@ -21,7 +21,8 @@
 //
 // # Determinism
 //
-// A seed replays to the same events at the same times (an exception is a world whose callers cancel, see
-// Options.CallerCancelRate). The order of draws from World.random, the ids and the names that derive other random
-// streams are therefore part of the behavior: testdata/golden holds digests that any change of them breaks.
+// A seed replays to the same events at the same times, except where goroutines that wake at the same moment race: in
+// worlds whose callers cancel (see Options.CallerCancelRate), and rarely in others. The order of draws from
+// World.random, the ids and the names that derive other random streams are part of the behavior: testdata/golden holds
+// digests that any change of them breaks.
 package simulator
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -57,6 +57,9 @@
 	{"setup grows", false, false, (*World).growConfig},
 }
 
+// Each method below that the table names begins the fault that its name says, at whatever the random stream draws, and
+// returns what ends it. The order of their draws is fixed by the golden histories.
+
 // nothingToRepair ends a fault that ends by itself.
 func nothingToRepair() {}
 
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -30,7 +30,7 @@
 	Acknowledgements int                       // changes acknowledged to operators
 	RefusedChanges   int                       // rulings other than accepted
 	Unsent           int                       // attempts that no proxy admitted
-	BlockedCalls     int                       // calls withheld from a version in canary
+	BlockedCalls     int                       // calls that a blocked version would have got
 	CancelledCalls   int                       // attempts that the caller cancelled
 	MaxTombstones    int                       // the most that any copy of the configuration held
 	Purges           int                       // purges of tombstones
--- a/internal/simulator/in_touch.go
+++ b/internal/simulator/in_touch.go
@@ -79,7 +79,7 @@
 	return reachable
 }
 
-// isConnected reports whether the link between two hosts is whole in both directions. The caller holds the lock.
+// isConnected reports whether the link between two hosts is up in both directions. The caller holds the lock.
 func (w *World) isConnected(a, b string) bool {
 	return !w.partitionedLinks[[2]string{a, b}] && !w.partitionedLinks[[2]string{b, a}]
 }
--- a/internal/simulator/mesh_scenario.go
+++ b/internal/simulator/mesh_scenario.go
@@ -12,7 +12,7 @@
 	registryRestartTime   = 2 * leaseDuration // until a registry that restarted last grants leases again
 )
 
-// RunMesh runs one seed of a whole mesh: the fleet boots, callers send calls, operators submit changes and in every
+// RunMesh runs one seed of a mesh: the fleet boots, callers send calls, operators submit changes and in every
 // second seed a release plan, faults come and go in combination, all are repaired, and service must be back. It must run
 // inside a synctest bubble.
 func RunMesh(seed uint64, seededFault SeededFault, options Options) *World {
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -50,7 +50,7 @@
 	orderBadFraction   = 0.1                     // fraction of the service's calls that a bad version may get
 	orderBadMargin     = 50                      // calls that it may get in addition
 	orderFailureExcess = 0.06                    // failure rate above the old version's that any version may have
-	orderMaxFailures   = 400                     // failures after which a proxy blocks a version in canary by itself
+	orderMaxFailures   = 400                     // failures in canary that the proxies of the fleet together allow a version
 	orderFailureLimit  = 50                      // failures after which a bad version must be rolled back
 	orderRollbackBound = 5 * time.Second         // after the failure limit, without another call
 	orderWorkerDelay   = 1300 * time.Millisecond // from the order to the start of the version's workers
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -9,8 +9,8 @@
 	leaseDuration        = 8 * time.Second    // of a proxy's lease and of a key reservation
 	keyReservationWindow = 12 * leaseDuration // for which registries remember a reserved key
 	heartbeatTimeout     = 1500 * time.Millisecond
-	stallTimeout         = 2 * time.Second       // after which a replica gives up on a disk
-	pollInterval         = 50 * time.Millisecond // of the loops that a daemon wakes by notification
+	stallTimeout         = 2 * time.Second       // after which a replica treats a pending write as stalled
+	pollInterval         = 50 * time.Millisecond // of the loops that follow the state of another part
 	recoveryBound        = 15 * time.Second      // within which service is back after the last fault
 	memberCount          = 3                     // of the core in a mesh
 )
--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -158,8 +158,10 @@
 	return r.leaseGate.Open()
 }
 
+// fleetSize returns how many proxies the proxy believes there are.
 func (r *proxyRuntime) fleetSize() int { return int(r.node.fleetSize.Load()) }
 
+// newCanaryGuard returns what limits the calls to versions in canary.
 func (r *proxyRuntime) newCanaryGuard() *dispatch.CanaryGuard {
 	options := dispatch.DefaultCanaryOptions
 	if r.world.seededFault == SeededFailuresIgnored {
@@ -172,6 +174,7 @@
 	return dispatch.NewCanaryGuard(options, r.fleetSize, func() dispatch.VersionGuards { return r.view().Config })
 }
 
+// newWorkers returns the registry of the workers beside the proxy.
 func (r *proxyRuntime) newWorkers() *dispatch.Workers {
 	options := dispatch.WorkersOptions{
 		Proxy:               r.name,
@@ -187,6 +190,7 @@
 	return dispatch.NewWorkers(options, func() { r.world.onWorkersChanged(r.node, r.processRun) })
 }
 
+// newRunner returns what runs forwarded requests at the proxy's workers.
 func (r *proxyRuntime) newRunner() *dispatch.Runner {
 	remembered := maxRememberedRequests
 	if r.world.seededFault == SeededNoDuplicateDetection {
@@ -212,16 +216,18 @@
 	}
 }
 
+// revisionOutdated reports whether a revision was replaced here longer ago than a proxy under leases may lag behind.
 func (r *proxyRuntime) revisionOutdated(revision uint64) bool {
 	return !r.world.Options.ServeStale &&
 		r.journal.View().Outdated(revision, r.now(), leaseDuration/session.RenewalsPerLease)
 }
 
+// newForwarder returns what plans the calls of the proxy's callers and sends their attempts.
 func (r *proxyRuntime) newForwarder() *dispatch.Forwarder {
 	w, node := r.world, r.node
-	retryFloor := w.Options.RetryFloor
+	floor := w.Options.RetryFloor
 	if w.seededFault == SeededNoRetryBudget {
-		retryFloor = 1e9
+		floor = 1e9
 	}
 	forwarder := &dispatch.Forwarder{
 		Name:        r.name,
@@ -229,7 +235,7 @@
 		Limits: dispatch.Limits{
 			PlanOptions: plan.Options{Zone: w.zoneOf(node.index), MaxDeadline: maxDeadline, Warmup: 5 * time.Second},
 			RetryRatio:  retryRatio,
-			RetryFloor:  retryFloor,
+			RetryFloor:  floor,
 		},
 		View:              r.view,
 		AwaitView:         r.awaitView,
--- a/internal/simulator/rollback_scenario.go
+++ b/internal/simulator/rollback_scenario.go
@@ -143,7 +143,7 @@
 	ServiceCalls, VersionCalls, FailedCalls int
 	ExposureTime                            time.Duration // from when the version became unhealthy to its last call
 	RolledBack                              bool          // the version was rolled back or stopped
-	BlockedCalls                            int           // calls withheld from the version
+	BlockedCalls                            int           // calls that the version would have got, had it not been blocked
 	Breaches                                map[string][]string
 	State, StopReason                       string // of the last progress or stop seen at a registry
 }
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -1,13 +1,3 @@
-// Package simulator runs the whole mesh's own code in one process under a virtual clock, with
-// faults drawn from a seed, and holds what happened against the never-rules.
-//
-// The seats, tables, claims, leases, views, both sides of a dispatch, the steering and the
-// brake are those that the daemons run. What stands in for the daemons here is the network,
-// the disks, the clocks, the loops that drive them, and the callers, workers and operators.
-//
-// Everything runs inside a testing/synctest bubble: what is a step function is driven by events
-// in the order of their times; what blocks (a call, a hop, a worker) has goroutines of its own
-// on the same clock. An event runs only while every goroutine waits.
 package simulator
 
 import (
