--- /dev/null
+++ b/internal/simulator/caller.go
@@ -0,0 +1,186 @@
+package simulator
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"strconv"
+	"time"
+
+	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/plan"
+)
+
+// callKind is one kind of call that callers make.
+type callKind struct {
+	caller, method, path, service string
+	nonIdempotent                 bool
+	weight                        float64 // fraction of all calls; the weights of callKinds add up to one
+}
+
+// callKinds are all kinds of call. They match the routes of initialConfig.
+var callKinds = []callKind{
+	{"client", "POST", "/shop/buy", "shop", true, 0.25},
+	{"client", "GET", "/shop/look", "shop", false, 0.3},
+	{"client", "POST", "/saves/commit", "saves", true, 0.2},
+	{"client", "GET", "/saves/load", "saves", false, 0.1},
+	{"saves", "GET", "/shop/look", "shop", false, 0.15},
+}
+
+// drawCallKind draws a kind of call by weight.
+func drawCallKind(random *rand.Rand) callKind {
+	sample := random.Float64()
+	chosen := callKinds[0]
+	for _, kind := range callKinds {
+		if chosen = kind; sample < kind.weight {
+			break
+		}
+		sample -= kind.weight
+	}
+	return chosen
+}
+
+// Outcomes of an attempt as its caller sees them; outcomeCancelled is another. Golden digests hold these strings.
+const (
+	outcomeUnsent      = "unsent"  // the proxy was down or admitted no callers
+	outcomeNotExecuted = "not-run" // the proxy answered with an error
+	outcomeUnknown     = "unknown" // the connection was lost or the caller timed out
+)
+
+// startCallers makes the callers of each proxy send at a steady rate, independent of the responses.
+func (w *World) startCallers() {
+	for _, node := range w.proxies {
+		random := rand.New(rand.NewPCG(uint64(w.randomInt(1<<30)), uint64(node.index)))
+		var startCall func()
+		startCall = func() {
+			w.lock.Lock()
+			closed := w.closed
+			w.lock.Unlock()
+			if closed {
+				return
+			}
+			id := w.nextID()
+			callRandom := rand.New(rand.NewPCG(random.Uint64(), random.Uint64()))
+			go w.makeCall(node, id, callRandom)
+			untilNext := random.ExpFloat64() * float64(time.Second) * float64(len(w.proxies)) / w.Options.CallRate
+			w.schedule(time.Duration(untilNext), startCall)
+		}
+		w.schedule(w.randomDuration(time.Second), startCall)
+	}
+}
+
+// maxCallerRetries is how often a caller retries a call under an idempotency key.
+const maxCallerRetries = 4
+
+// makeCall makes one call through a proxy. A call under an idempotency key is retried through random proxies while its
+// outcome is unknown.
+func (w *World) makeCall(node *proxyNode, id int, random *rand.Rand) {
+	kind := drawCallKind(random)
+	keyed := kind.nonIdempotent && random.IntN(4) > 0
+	operation := w.History.startOperation(fmt.Sprint("op-", id), kind, keyed)
+	user := fmt.Sprint("user-", random.IntN(1000))
+	for attemptNumber := 0; ; attemptNumber++ {
+		outcome := w.attemptCall(node, operation, attemptNumber, kind.method, user)
+		if !operation.keyed || attemptNumber == maxCallerRetries || (outcome != outcomeUnknown && outcome != outcomeUnsent) {
+			return
+		}
+		time.Sleep(time.Duration(random.Int64N(int64(3 * time.Second))))
+		node = w.proxies[random.IntN(len(w.proxies))]
+	}
+}
+
+// callerTimeout is how long a caller waits. It is longer than the deadline of any route, so a live proxy answers first.
+const callerTimeout = 5 * time.Second
+
+// attemptCall makes one attempt of a call through a proxy, records it, and returns its outcome.
+func (w *World) attemptCall(node *proxyNode, operation *operation, attemptNumber int, method, user string) string {
+	attempt := &callerAttempt{proxy: node, sentAt: w.time()}
+	processRun, exited, up := w.processRunOf(&node.process)
+	if !up || !node.acceptsCallers.Load() || node.draining.Load() {
+		attempt.outcome = outcomeUnsent
+		w.History.recordOutcome(w.time(), operation, attempt)
+		return attempt.outcome
+	}
+	call := newCall(operation, attemptNumber, method, user)
+	done := make(chan *dispatch.CallResult, 1)
+	forwarder := node.forwarder
+	ctx, cancel := context.WithCancel(callContext(fmt.Sprint(operation.id, "/", attemptNumber)))
+	// In a world without cancelling callers a call that was given up on goes on, as its proxy does not learn of it.
+	defer func() {
+		if w.Options.CallerCancelRate > 0 {
+			cancel()
+		}
+	}()
+	var callerLeaves <-chan time.Time
+	if delay, cancels := w.sampleCancel(operation, attemptNumber); cancels {
+		timer := time.NewTimer(delay)
+		defer timer.Stop()
+		callerLeaves = timer.C
+	}
+	go func() {
+		// A request that reaches a frozen process waits there, and so does its response.
+		if !w.awaitThaw(&node.process, processRun) {
+			return
+		}
+		if w.time() > attempt.sentAt {
+			w.stagger(ctx)
+		}
+		result := forwarder.Forward(ctx, call)
+		if w.awaitThaw(&node.process, processRun) {
+			done <- result
+		}
+	}()
+	attempt.awaitOutcome(done, callerLeaves, exited, cancel)
+	w.History.recordOutcome(w.time(), operation, attempt)
+	return attempt.outcome
+}
+
+// newCall builds one attempt of an operation as the proxy's listener hands it to the forwarder. The fake worker reads
+// the operation and the attempt back from X-Op and X-Ask.
+func newCall(operation *operation, attemptNumber int, method, user string) *dispatch.Call {
+	header := dispatch.AppendField(nil, "X-Op", operation.id)
+	header = dispatch.AppendField(header, "X-Ask", strconv.Itoa(attemptNumber))
+	header = dispatch.AppendField(header, "X-User", user)
+	call := &dispatch.Call{
+		Target:      operation.path,
+		HeaderBlock: header,
+		Request: plan.Request{
+			Caller: operation.caller,
+			Method: method,
+			Path:   operation.path,
+			Header: func(string) (string, bool) { return user, true },
+		},
+	}
+	if method != "GET" {
+		call.Body = []byte(operation.id)
+	}
+	if operation.keyed {
+		call.Request.HasIdempotencyKey = true
+		call.Request.IdempotencyKey = operation.id
+	}
+	return call
+}
+
+// awaitOutcome waits for the first of: the result, the caller's own cancellation, the end of the proxy's run, and the
+// caller's timeout.
+func (a *callerAttempt) awaitOutcome(
+	done <-chan *dispatch.CallResult, callerLeaves <-chan time.Time, exited <-chan struct{}, cancel func(),
+) {
+	timeout := time.NewTimer(callerTimeout)
+	defer timeout.Stop()
+	select {
+	case result := <-done:
+		a.result = result
+		a.outcome = outcomeNotExecuted
+		if result.Response != nil {
+			a.outcome = dispatch.OutcomeName(result.Response.Outcome)
+		}
+	case <-callerLeaves:
+		cancel()
+		a.outcome = outcomeCancelled
+	case <-exited:
+		a.outcome = outcomeUnknown
+	case <-timeout.C:
+		a.outcome = outcomeUnknown
+	}
+}
--- /dev/null
+++ b/internal/simulator/in_touch.go
@@ -0,0 +1,85 @@
+package simulator
+
+import (
+	"time"
+)
+
+// inTouchAfter is how long a host must have been free of faults for its processes to be in touch.
+const inTouchAfter = 3 * time.Second
+
+// everyHost is the name under which recordDisturbance records faults of all links.
+const everyHost = "every site"
+
+// recordDisturbance records that a fault touches hosts until a point in virtual time. The caller holds the lock.
+func (w *World) recordDisturbance(until time.Duration, hosts ...string) {
+	for _, host := range hosts {
+		w.disturbedAt[host] = max(w.disturbedAt[host], until)
+	}
+}
+
+// isUndisturbed reports whether no fault touched the host of a proxy for a while.
+func (w *World) isUndisturbed(node *proxyNode) bool {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	return w.isHostUndisturbed(node.name)
+}
+
+// isHostUndisturbed reports whether no fault touched a host for a while. The caller holds the lock.
+func (w *World) isHostUndisturbed(host string) bool {
+	at, known := w.disturbedAt[host]
+	return !known || w.time()-at >= inTouchAfter
+}
+
+// inTouch reports whether a proxy is in touch, so that what the mesh promises about fresh configuration binds it: no
+// fault touched it, the links or the core for a while, and it reaches every core host that itself reaches a majority.
+func (w *World) inTouch(node *proxyNode) bool {
+	w.lock.Lock()
+	defer w.lock.Unlock()
+	if w.lossRate > 0 || w.maxExtraDelay > 0 || !node.up {
+		return false
+	}
+	if !w.isHostUndisturbed(everyHost) || !w.isHostUndisturbed(node.name) || !w.isCoreUndisturbed() {
+		return false
+	}
+	hasMajority := false
+	for i := range memberCount {
+		if w.reachableMembers(i) <= memberCount/2 {
+			continue
+		}
+		hasMajority = true
+		if !w.isConnected(coreHost(i), node.name) {
+			return false
+		}
+	}
+	return hasMajority
+}
+
+// isCoreUndisturbed reports whether no fault touched a core host or its disk for a while. The caller holds the lock.
+func (w *World) isCoreUndisturbed() bool {
+	now := w.time()
+	for _, member := range w.members {
+		hasDiskFault := member.maxExtraSyncDelay > 0 || now-member.stalledUntil < inTouchAfter
+		if hasDiskFault || !w.isHostUndisturbed(member.host()) {
+			return false
+		}
+	}
+	return true
+}
+
+// reachableMembers returns how many core hosts that are up the i-th reaches, itself included; none if it is down. The
+// caller holds the lock.
+func (w *World) reachableMembers(i int) int {
+	isUp := func(i int) bool { return w.members[i].up && w.registries[i].up }
+	reachable := 0
+	for j := range memberCount {
+		if isUp(i) && isUp(j) && w.isConnected(coreHost(i), coreHost(j)) {
+			reachable++
+		}
+	}
+	return reachable
+}
+
+// isConnected reports whether the link between two hosts is up in both directions. The caller holds the lock.
+func (w *World) isConnected(a, b string) bool {
+	return !w.partitionedLinks[[2]string{a, b}] && !w.partitionedLinks[[2]string{b, a}]
+}
--- /dev/null
+++ b/internal/simulator/mesh_scenario.go
@@ -0,0 +1,101 @@
+package simulator
+
+import (
+	"time"
+)
+
+// Timing of a mesh scenario.
+const (
+	settlingTime          = 3 * leaseDuration // from the start until the callers start
+	defaultFaultyDuration = 60 * time.Second
+	maxFaultDuration      = 12 * time.Second
+	registryRestartTime   = 2 * leaseDuration // until a registry that restarted last grants leases again
+)
+
+// RunMesh runs one seed of a mesh: the fleet boots, callers send calls, operators submit changes and in every
+// second seed a release plan, faults come and go in combination, all are repaired, and service must be back. It must run
+// inside a synctest bubble.
+func RunMesh(seed uint64, seededFault SeededFault, options Options) *World {
+	if options.Proxies == 0 {
+		options.Proxies = 5
+		if seed%8 == 0 {
+			options.Proxies = 14
+		}
+	}
+	if options.CallRate == 0 {
+		options.CallRate = 30
+	}
+	if options.FaultyDuration == 0 {
+		options.FaultyDuration = defaultFaultyDuration
+	}
+	w := NewWorld(seed, seededFault, options)
+	w.bootFleet()
+	w.startOperators()
+	until := w.now + options.FaultyDuration
+	if seed%2 == 0 {
+		w.startRelease(seed)
+	}
+	if !options.NoFaults {
+		w.injectFaults(until)
+	}
+	// By then the last fault is repaired; the registries may have restarted just before.
+	w.Run(until + maxFaultDuration + time.Second)
+	w.checkRecovery()
+	w.Close()
+	w.History.checkAtEnd()
+	return w
+}
+
+// startRelease submits a release plan for the shop; in every second seed that has one the version becomes unhealthy.
+func (w *World) startRelease(seed uint64) {
+	w.submitUntilAccepted(func() {}, releasePlanItem("shop", 60, 20*time.Second))
+	if seed%4 == 0 {
+		w.degradeVersion("shop", "2", &Degradation{From: w.now + w.randomDuration(40*time.Second), FailureRate: 1})
+	}
+}
+
+// degradeVersion degrades a version and makes the history watch its exposure.
+func (w *World) degradeVersion(service, version string, degradation *Degradation) {
+	w.withLock(func() { w.degradations[[2]string{service, version}] = degradation })
+	w.History.lock.Lock()
+	w.History.badVersions = append(w.History.badVersions, &badVersion{service: service, version: version})
+	w.History.lock.Unlock()
+}
+
+// checkRecovery checks that after the last fault service is back within the bound, and that nothing acknowledged is lost.
+func (w *World) checkRecovery() {
+	start := w.now
+	acknowledgedBefore := w.History.lastAcknowledged
+	recoveredAfter := time.Duration(0)
+	// A registry that restarted with the last fault grants leases again only after a lease, so the loop goes on beyond the
+	// bound to report how long it took.
+	for w.now < start+recoveryBound+registryRestartTime {
+		w.Run(w.now + 250*time.Millisecond)
+		if w.isServing() && w.History.lastAcknowledged > acknowledgedBefore {
+			recoveredAfter = w.now - start
+			break
+		}
+	}
+	if recoveredAfter == 0 || recoveredAfter > recoveryBound {
+		w.History.recordBreach(RuleRecoveryTime, "service back after %v (0: never)", recoveredAfter)
+	}
+	for _, node := range w.members {
+		if !node.up {
+			continue
+		}
+		if committed, _ := node.replica.Committed(); committed < acknowledgedBefore {
+			w.History.recordBreach(RuleAcknowledgedLost, "%s shows %d; %d had been acknowledged",
+				node.name, committed, acknowledgedBefore)
+		}
+	}
+}
+
+// isServing reports whether every proxy is up, may decide and admits callers.
+func (w *World) isServing() bool {
+	for _, node := range w.proxies {
+		if !node.up || (!w.Options.ServeStale && !node.leaseGate.Open()) || !node.acceptsCallers.Load() {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/simulator/peer_rpc.go
@@ -0,0 +1,230 @@
+package simulator
+
+import (
+	"context"
+	"hash/crc32"
+	"math/rand/v2"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"meadowhinge/internal/dispatch"
+	"meadowhinge/internal/errs"
+	"meadowhinge/internal/plan"
+	"meadowhinge/internal/transport"
+	"meadowhinge/schema"
+)
+
+// attemptSender returns how a proxy sends an attempt to the proxy of a worker: itself, or another one over a link
+// that may be cut, slow or lossy, and whose far end may be down or frozen.
+func (w *World) attemptSender(node *proxyNode, processRun int) dispatch.Sender {
+	peer := peerOf(node)
+	return func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		// Goroutines that are left of an earlier run have no effect any more.
+		if currentRun, _, up := w.processRunOf(&node.process); !up || currentRun != processRun {
+			<-ctx.Done()
+			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
+		}
+		if !request.RecallOnly && !request.AdmissionOnly {
+			w.History.recordDispatch(w.time(), node, request)
+		}
+		if !w.awaitThaw(&node.process, processRun) {
+			<-ctx.Done()
+			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
+		}
+		if candidate.Proxy == node.name {
+			return node.runner.Run(ctx, peer, request), nil
+		}
+		call := &peerCall{
+			world:   w,
+			from:    node,
+			to:      w.proxyNamed(candidate.Proxy),
+			peer:    peer,
+			request: proto.Clone(request).(*schema.ForwardRequest),
+			results: make(chan forwardResult, 1),
+		}
+		call.start() //nolint:contextcheck // the far proxy learns of a cancelled context only by propagateCancel, as over a real link
+		select {
+		case result := <-call.results:
+			return result.response, result.err
+		case <-ctx.Done():
+			w.propagateCancel(node, candidate.Proxy, request.Request)
+			return nil, errs.New(errs.PeerConnectionLost, "no answer in time")
+		}
+	}
+}
+
+// forwardResult is the result of a peer RPC as the sending proxy sees it.
+type forwardResult struct {
+	response *schema.ForwardResponse
+	err      error
+}
+
+// peerCall is one peer RPC from a proxy to another.
+type peerCall struct {
+	world    *World
+	from, to *proxyNode
+	peer     transport.Peer // the sender as the receiver sees it
+	request  *schema.ForwardRequest
+	results  chan forwardResult // has room for one; the sender takes the first result
+}
+
+// peerOf returns a proxy as another one sees it: it may call as its own callers.
+func peerOf(node *proxyNode) transport.Peer {
+	callers := map[string]bool{"client": true, "saves": true}
+	return transport.LocalPeer("proxy", node.name, callers)
+}
+
+// start draws the fate of the call and schedules it. The order of the draws is fixed by the golden histories.
+func (c *peerCall) start() {
+	w := c.world
+	random := w.derivedRandom(c.request.Request)
+	delay, dropped := w.sampleLink(&c.from.process, &c.to.process, random)
+	_, _, up := w.processRunOf(&c.to.process)
+	switch {
+	case !up:
+		c.failToConnect(delay)
+		return
+	case w.seededFault == SeededSpuriousUnopened && random.IntN(8) == 0:
+		c.failToConnect(delay)
+		return
+	// Half of the broken links refuse to open, which the sender learns after the dial timeout; the others were open
+	// already, and the sender learns nothing.
+	case (dropped || w.isPartitioned(&c.to.process, &c.from.process)) && random.IntN(2) == 0:
+		c.failToConnect(dialTimeout)
+		return
+	case dropped:
+		c.lose(random)
+		return
+	}
+	c.maybeDuplicate(delay, random)
+	w.schedule(delay, func() {
+		w.scheduleOn(&c.to.process, 0, func() { w.serveForward(c.to, c.peer, c.request, c.respond, c.reportLost) })
+	})
+}
+
+// failToConnect reports after a delay that the connection never opened, so nothing was executed.
+func (c *peerCall) failToConnect(delay time.Duration) {
+	c.world.schedule(delay, func() {
+		c.results <- forwardResult{nil, errs.New(errs.PeerConnectFailed, c.to.name)}
+	})
+}
+
+// lose loses the request on an open connection. It may still arrive once the link is back, long after the sender
+// has given up.
+func (c *peerCall) lose(random *rand.Rand) {
+	w := c.world
+	if random.IntN(2) == 0 {
+		w.schedule(time.Duration(random.Int64N(int64(12*time.Second))), func() {
+			if !w.isPartitioned(&c.from.process, &c.to.process) {
+				w.scheduleOn(&c.to.process, 0, func() { c.serveUnheard(c.request) })
+			}
+		})
+	}
+	if w.seededFault == SeededLostLinkAsUnopened {
+		w.schedule(dialTimeout, c.reportLost)
+	}
+}
+
+// maybeDuplicate draws whether the request arrives a second time, and when.
+func (c *peerCall) maybeDuplicate(delay time.Duration, random *rand.Rand) {
+	w := c.world
+	w.lock.Lock()
+	duplicated := random.Float64() < w.duplicationRate
+	w.lock.Unlock()
+	if duplicated {
+		w.schedule(delay+time.Duration(random.Int64N(int64(time.Second))), func() {
+			w.scheduleOn(&c.to.process, 0, func() { c.serveUnheard(proto.Clone(c.request).(*schema.ForwardRequest)) })
+		})
+	}
+}
+
+// serveUnheard serves a request whose response reaches nobody.
+func (c *peerCall) serveUnheard(request *schema.ForwardRequest) {
+	c.world.serveForward(c.to, c.peer, request, func(*schema.ForwardResponse) {}, func() {})
+}
+
+// respond sends the response back over the link.
+func (c *peerCall) respond(response *schema.ForwardResponse) {
+	w := c.world
+	random := w.derivedRandom("back " + c.request.Request)
+	delay, dropped := w.sampleLink(&c.to.process, &c.from.process, random)
+	if !dropped {
+		w.schedule(delay, func() { c.results <- forwardResult{w.maybeCorrupt(response, random), nil} })
+	}
+}
+
+// reportLost reports that an open connection was lost, so the outcome is unknown.
+func (c *peerCall) reportLost() { c.results <- forwardResult{nil, c.world.lostLinkError()} }
+
+// lostLinkError is the error for a connection that was lost after it opened.
+func (w *World) lostLinkError() error {
+	if w.seededFault == SeededLostLinkAsUnopened {
+		return errs.New(errs.PeerConnectFailed, "lost")
+	}
+	return errs.New(errs.PeerConnectionLost, "lost")
+}
+
+// maybeCorrupt returns a response as it arrives: at the corruption rate, with one bit of its body flipped. The checksum
+// stays as it was, except with a seeded fault.
+func (w *World) maybeCorrupt(response *schema.ForwardResponse, random *rand.Rand) *schema.ForwardResponse {
+	received := proto.Clone(response).(*schema.ForwardResponse)
+	w.lock.Lock()
+	rate := w.corruptionRate
+	w.lock.Unlock()
+	if rate == 0 || random.Float64() >= rate || len(received.Body) == 0 {
+		return received
+	}
+	received.Body = append([]byte(nil), received.Body...)
+	received.Body[random.IntN(len(received.Body))] ^= 1
+	if w.seededFault == SeededForgedChecksum {
+		received.Checksum = crc32.ChecksumIEEE(received.Body)
+	}
+	return received
+}
+
+// serveForward runs a forwarded request at the proxy that received it. It calls respond with the response, or lost if
+// the run of that proxy ends before.
+func (w *World) serveForward(
+	target *proxyNode, peer transport.Peer, request *schema.ForwardRequest,
+	respond func(*schema.ForwardResponse), lost func(),
+) {
+	processRun, exited, _ := w.processRunOf(&target.process)
+	runner := target.runner
+	w.maybeForgeCaller(runner, request)
+	done := make(chan *schema.ForwardResponse, 1)
+	ctx := callContext(request.Request)
+	if w.Options.CallerCancelRate > 0 {
+		ctx = w.cancellableContext(request.Request)
+	}
+	go func() { done <- runner.Run(ctx, peer, request) }()
+	go func() {
+		select {
+		case response := <-done:
+			if w.awaitThaw(&target.process, processRun) {
+				respond(response)
+				return
+			}
+			lost()
+		case <-exited:
+			lost()
+		}
+	}()
+}
+
+// maybeForgeCaller runs, for one in a hundred requests of the client, a copy that an unauthorized peer sends under
+// the name of another caller. The runner must refuse it.
+func (w *World) maybeForgeCaller(runner *dispatch.Runner, request *schema.ForwardRequest) {
+	if request.Caller != "client" || w.derivedRandom("stranger "+request.Request).IntN(100) != 0 {
+		return
+	}
+	forged := proto.Clone(request).(*schema.ForwardRequest)
+	forged.Request = "forged-" + request.Request
+	forged.Caller = "saves"
+	forged.RecallOnly = false
+	impostor := transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true})
+	if w.seededFault == SeededAnyCallerAccepted {
+		impostor = transport.LocalPeer("proxy", "stranger", map[string]bool{"client": true, "saves": true})
+	}
+	go runner.Run(context.Background(), impostor, forged)
+}
