--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -141,22 +141,19 @@
 	if sequence < r.baseSequence || alreadyCommitted || sequence < r.committedSequence {
 		return
 	}
+	// The committed content grows by the entries since. Where the retained ones do not follow it, or it is of another
+	// term, it is made anew from the base content, up to which all is committed too.
 	state, membership, from := r.committedState, r.committedMembership, r.committedSequence
 	if from < r.baseSequence || r.committedTerm != r.term {
 		state, membership, from = r.baseState, r.baseMembership, r.baseSequence
 	}
-	var items []*schema.Item
-	for _, entry := range r.entries {
-		if entry.Version.Sequence > from && entry.Version.Sequence <= sequence {
-			items = append(items, entry.Items...)
-			if entry.Membership != nil {
-				membership = entry.Membership
-			}
-		}
-	}
+	items, changed := r.effectBetween(from, sequence)
 	if len(items) > 0 {
 		state = state.With(items)
 	}
+	if changed != nil {
+		membership = changed
+	}
 	r.committedState, r.committedMembership = state, membership
 	r.committedSequence, r.committedTerm = sequence, r.term
 	r.compactEntries()
@@ -170,18 +167,28 @@
 		return
 	}
 	compactTo := min(r.committedSequence, r.sequence-uint64(r.config.MaxEntries))
-	count := 0
-	var items []*schema.Item
-	for count < len(r.entries) && r.entries[count].Version.Sequence <= compactTo {
-		items = append(items, r.entries[count].Items...)
-		if r.entries[count].Membership != nil {
-			r.baseMembership = r.entries[count].Membership
-		}
-		count++
-	}
-	if count == 0 {
+	if compactTo <= r.baseSequence {
 		return
 	}
-	r.baseState, r.baseSequence = r.baseState.With(items), r.entries[count-1].Version.Sequence
-	r.entries = append([]*schema.Entry(nil), r.entries[count:]...)
+	items, changed := r.effectBetween(r.baseSequence, compactTo)
+	if changed != nil {
+		r.baseMembership = changed
+	}
+	r.entries = append([]*schema.Entry(nil), r.entries[compactTo-r.baseSequence:]...)
+	r.baseState, r.baseSequence = r.baseState.With(items), compactTo
+}
+
+// effectBetween returns what the retained entries above one sequence and up to another write: their items, and the
+// last membership, nil if they do not change it.
+func (r *Replica) effectBetween(above, upTo uint64) (items []*schema.Item, membership *schema.Membership) {
+	for _, entry := range r.entries {
+		if entry.Version.Sequence <= above || entry.Version.Sequence > upTo {
+			continue
+		}
+		items = append(items, entry.Items...)
+		if entry.Membership != nil {
+			membership = entry.Membership
+		}
+	}
+	return items, membership
 }
