--- a/internal/errs/codes.go
+++ b/internal/errs/codes.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Code tells what kind of failure an error is. Callers, metrics and logs show the string, and other
+// Code is the kind of failure that an error is. Callers, metrics and logs show the string, and other
 // processes decide by it, so a code's string never changes.
 type Code string
 
--- a/internal/errs/error.go
+++ b/internal/errs/error.go
@@ -13,7 +13,7 @@
 	cause  error
 }
 
-// Error gives the code first, so that a log line can be searched by it.
+// Error puts the code first, so that a log line can be searched by it.
 func (e *Error) Error() string {
 	message := string(e.Code)
 	if e.Detail != "" {
@@ -25,13 +25,13 @@
 	return message
 }
 
-// Unwrap gives errors.Is and errors.As the cause, nil for none.
+// Unwrap returns the cause, nil for none, for errors.Is and errors.As.
 func (e *Error) Unwrap() error { return e.cause }
 
 // New makes an error that has no other error as its cause.
 func New(code Code, detail string) *Error { return &Error{Code: code, Detail: detail} }
 
-// Wrap gives an error a code and a detail. A nil error stays nil, and an error that has a code already keeps it.
+// Wrap adds a code and a detail to an error. A nil error stays nil, and an error that has a code already keeps it.
 func Wrap(err error, code Code, detail string) error {
 	if err == nil {
 		return nil
@@ -44,7 +44,7 @@
 	return &Error{Code: code, Detail: detail, cause: pkgerrors.WithStack(err)}
 }
 
-// CodeOf gives the code of an error, found anywhere in its chain; Internal if it has none.
+// CodeOf returns the code of an error, found anywhere in its chain; Internal if it has none.
 func CodeOf(err error) Code {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -41,7 +41,7 @@
 	lines     []string   // ring buffer
 	next      int        // index for the next line
 	wrapped   bool       // the buffer is full, so its oldest line is at next
-	unwritten int        // lines added since the last dump to standard error
+	unwritten int        // recorded lines that no dump has written to standard error yet
 	lastDump  time.Time
 }
 
@@ -55,7 +55,7 @@
 	return &Recorder{lines: make([]string, size), file: file, now: time.Now}
 }
 
-// Logger gives a logger whose lines are recorded. Its Error method also dumps the recorder.
+// Logger returns a logger whose lines are recorded. Its Error method also dumps the recorder.
 func (r *Recorder) Logger() logr.Logger {
 	record := func(prefix, args string) {
 		r.add(strings.TrimSpace(prefix + " " + args))
@@ -77,7 +77,7 @@
 	}
 }
 
-// Lines gives the recorded lines, oldest first.
+// Lines returns the recorded lines, oldest first.
 func (r *Recorder) Lines() []string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -100,7 +100,7 @@
 	return r.replaceFile()
 }
 
-// beginDump tells whether a dump is due, and if so records its time.
+// beginDump reports whether a dump is due, and if so records its time.
 func (r *Recorder) beginDump(forced bool) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/linearize/history.go
+++ b/internal/linearize/history.go
@@ -3,7 +3,7 @@
 //
 // The rule, for each item by itself: a write with a higher version than the stored one takes effect. One with a lower
 // version is accepted without effect, and so is one with the stored version and the stored content. One with the
-// stored version and another content is refused and has no effect. A read gives the stored value.
+// stored version and another content is refused and has no effect. A read returns the stored value.
 //
 // The simulator, and tests of package store and of the platform, check their histories with it. Its only
 // state is a History, which several goroutines may add to.
@@ -71,7 +71,7 @@
 	return len(h.operations)
 }
 
-// Check gives an error that names an item for which no order of the calls explains their results, or else
+// Check returns an error that names an item for which no order of the calls explains their results, or else
 // ErrUndecided if the search for one item's order took longer than timeout.
 func (h *History) Check(timeout time.Duration) error {
 	var undecided error
@@ -86,7 +86,7 @@
 	return undecided
 }
 
-// byItem gives the operations on each item in the checker's form.
+// byItem returns the operations on each item in the checker's form.
 func (h *History) byItem() map[string][]porcupine.Operation {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -99,7 +99,7 @@
 	return byItem
 }
 
-// toPorcupine gives an operation in the checker's form. One that cannot contradict any order is not informative.
+// toPorcupine converts an operation to the checker's form. One that cannot contradict any order is not informative.
 func toPorcupine(operation Operation) (converted porcupine.Operation, informative bool) {
 	if operation.Result == Rejected || operation.Read && operation.Result == OutcomeUnknown {
 		return converted, false
@@ -125,7 +125,7 @@
 	},
 }
 
-// step tells whether an operation can have its result on a stored value, and gives the value stored after it.
+// step reports whether an operation can have its result on a stored value, and returns the value stored after it.
 func step(current Value, operation Operation) (possible bool, after Value) {
 	value := operation.Value
 	if operation.Read {
--- a/internal/statuspage/statuspage.go
+++ b/internal/statuspage/statuspage.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// CoreMembersOf gives the page's form of members of the core.
+// CoreMembersOf returns the page's form of members of the core.
 func CoreMembersOf(members []*schema.CoreMember) []*CoreMember {
 	return convertAll(members, coreMemberOf)
 }
@@ -139,7 +139,7 @@
 	}
 }
 
-// ReplicaOf gives the page for the status of a store, nil for nil.
+// ReplicaOf returns the page for the status of a store, nil for nil.
 func ReplicaOf(status *schema.ReplicaStatus) *Replica {
 	if status == nil {
 		return nil
@@ -164,6 +164,7 @@
 	}
 }
 
+// leaseOf makes the page's form of a lease. In a RegistryStatus a Laggard is any lease, lagging or not.
 func leaseOf(lease *schema.Laggard) *Lease {
 	return &Lease{
 		Proxy:       lease.Proxy,
@@ -173,7 +174,7 @@
 	}
 }
 
-// RegistryOf gives the page for the status of a registry, nil for nil.
+// RegistryOf returns the page for the status of a registry, nil for nil.
 func RegistryOf(status *schema.RegistryStatus) *Registry {
 	if status == nil {
 		return nil
@@ -198,7 +199,7 @@
 	}
 }
 
-// RegistriesOf gives the pages for the status of several registries.
+// RegistriesOf returns the pages for the status of several registries.
 func RegistriesOf(statuses []*schema.RegistryStatus) []*Registry {
 	return convertAll(statuses, RegistryOf)
 }
@@ -221,5 +222,5 @@
 	}
 }
 
-// WorkersOf gives the page's form of the workers beside a proxy.
+// WorkersOf returns the page's form of the workers beside a proxy.
 func WorkersOf(workers []*schema.Worker) []*Worker { return convertAll(workers, workerOf) }
