--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -20,8 +20,8 @@
 //
 //   - Configurations are small, so log and state are kept together: a replica's content is named by one Version
 //     (term, sequence). Two replicas with the same version have the same state, members and outcomes, and contents
-//     of one term are prefixes of one another. Beginning a term gives the complete content that term, where
-//     Raft appends a no-op entry.
+//     of one term are prefixes of one another. Where a Raft leader appends a no-op entry, BeginTerm makes its term
+//     that of the complete content; the entries retain the versions under which they were admitted.
 //   - A vote carries what the candidate lacks. A candidate therefore need not have the newest log to
 //     win; it adopts the newest one among its votes (Raft's voters refuse instead).
 //   - Leadership follows the order of members, not a race of random timeouts: the first member that
@@ -35,10 +35,10 @@
 //   - An election: shouldCampaign (leadership.go) -> becomeCandidate (role.go) -> campaign, onVoteRequest,
 //     onVote, countVotes (election.go) -> becomeLeaderElect -> onBeginTerm, onAppendReply,
 //     advanceCommit (replication.go) -> becomeLeader.
-//   - An append: Server.Propose (rpc.go) -> Replica.Propose, propose, admit (proposal.go) -> Decide (decide.go) ->
+//   - An append: Server.Propose (rpc.go) -> Replica.Propose, proposeAsLeader, admit (proposal.go) -> Decide (decide.go) ->
 //     appendAsLeader, replicate (replication.go) -> persist (persist.go) -> Server.writeLoop
 //     (disk_writer.go) -> Persisted -> advanceCommit -> commitTo (state.go) -> answerCommittedProposals.
-//   - A read index: Server.ReadIndex (rpc.go) -> Replica.ReadIndex, sendConfirm, resolveReads (read_index.go).
+//   - A read index: Server.ReadIndex (rpc.go) -> Replica.ReadIndex, readIndexAsLeader, sendConfirm, resolveReads (read_index.go).
 //   - A membership change: onJoin (join.go) -> reconcileMembership, proposeMembership
 //     (membership_change.go) -> applyMembership (membership.go). First start: bootstrap.go.
 //   - A snapshot: persist and completeSnapshotRecord (persist.go) write it, FileLog.Write (wal.go) begins a new
--- a/internal/store/election.go
+++ b/internal/store/election.go
@@ -126,7 +126,7 @@
 // persistTermStart persists the beginning of a term that this replica was elected in. Founders that become bound
 // by it change the membership, which takes a snapshot: there is no entry to carry it.
 func (r *Replica) persistTermStart() {
-	bound := r.bindFounders()
+	bound := r.withFoundersBound()
 	if bound == r.membership {
 		r.persist(&schema.Record{Term: r.term}, pendingWrite{})
 		return
@@ -140,10 +140,10 @@
 	r.persist(&schema.Record{Snapshot: r.snapshot()}, pendingWrite{})
 }
 
-// bindFounders returns the membership with every founder heard so far bound to the incarnation of its data
+// withFoundersBound returns the membership with every founder heard so far bound to the incarnation of its data
 // folder, or the membership itself if nothing changes. A founder whose vote counted must be bound, so that its
 // folder, once lost, does not come back empty as the same member.
-func (r *Replica) bindFounders() *schema.Membership {
+func (r *Replica) withFoundersBound() *schema.Membership {
 	bound := r.membership
 	for _, member := range r.membership.Members {
 		incarnation := r.incarnation
--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -59,10 +59,10 @@
 
 // heartbeat is a complete heartbeat, without its serial.
 func (r *Replica) heartbeat() *schema.Heartbeat {
-	newerMembers := r.newerMembers()
+	withNewerMembership := r.peersWithNewerMembership()
 	heartbeat := &schema.Heartbeat{
 		Mutual:           r.mutualPeers(),
-		Heard:            append(r.heardMembers(), newerMembers...),
+		Heard:            append(r.heardMembers(), withNewerMembership...),
 		Unfit:            r.unfit(),
 		VotedTerm:        r.votedTerm,
 		Term:             r.term,
@@ -70,7 +70,7 @@
 		Committed:        r.committedSequence,
 		CommittedTerm:    r.committedTerm,
 		Membership:       r.membership.EffectiveFrom,
-		MembershipBehind: len(newerMembers) > 0,
+		MembershipBehind: len(withNewerMembership) > 0,
 	}
 	if r.role == roleLeader {
 		heartbeat.Leader = r.config.Name
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -12,14 +12,14 @@
 // shouldCampaign reports whether this member is the one to campaign now.
 func (r *Replica) shouldCampaign() bool {
 	campaigning := r.role == roleCandidate || r.role == roleLeaderElect
-	stuck := campaigning && r.now-r.roleSince > r.config.StallTimeout/campaignsPerStallTimeout
+	campaignTimedOut := campaigning && r.now-r.roleSince > r.config.StallTimeout/campaignsPerStallTimeout
 	// One campaign in each heartbeat timeout keeps two members that see the links differently from deposing each
-	// other in turn.
-	rested := r.role == roleFollower && (r.now-r.roleSince > r.config.HeartbeatTimeout || r.roleSince == 0)
-	return (stuck || rested) &&
-		len(r.newerMembers()) == 0 &&
+	// other in turn. Where roleSince is 0 there was none yet to wait after.
+	backoffElapsed := r.role == roleFollower && (r.now-r.roleSince > r.config.HeartbeatTimeout || r.roleSince == 0)
+	return (campaignTimedOut || backoffElapsed) &&
+		len(r.peersWithNewerMembership()) == 0 &&
 		r.preferredLeader() == r.config.Name &&
-		(stuck || r.caughtUp()) &&
+		(campaignTimedOut || r.caughtUp()) &&
 		!r.awaitsFounders()
 }
 
@@ -114,7 +114,7 @@
 	for _, other := range r.otherMembers {
 		consider(other, r.peers[other])
 	}
-	for _, other := range r.newerMembers() {
+	for _, other := range r.peersWithNewerMembership() {
 		consider(other, r.outsiders[other])
 	}
 	return name
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -19,7 +19,7 @@
 //
 // Invariant: a Membership is never changed once it is in the content; with and withoutMember return copies.
 
-// foundingMembership is the first membership. Its members are not bound to incarnations yet; see bindFounders.
+// foundingMembership is the first membership. Its members are not bound to incarnations yet; see withFoundersBound.
 func foundingMembership(names []string) *schema.Membership {
 	membership := &schema.Membership{TargetSize: uint32(len(names)), EffectiveFrom: &schema.Version{}}
 	for _, name := range names {
@@ -40,8 +40,8 @@
 	if index < 0 {
 		return false
 	}
-	bound := membership.Members[index].Incarnation
-	return bound == incarnation || bound == 0 && founder
+	memberIncarnation := membership.Members[index].Incarnation
+	return memberIncarnation == incarnation || memberIncarnation == 0 && founder
 }
 
 // withoutMember is a copy of a membership without a member.
--- a/internal/store/membership_change.go
+++ b/internal/store/membership_change.go
@@ -27,7 +27,7 @@
 	if r.committedTerm != r.term || r.committedSequence < r.membership.EffectiveFrom.GetSequence() {
 		return
 	}
-	if bound := r.bindFounderHeard(); bound != nil {
+	if bound := r.withOneFounderBound(); bound != nil {
 		r.proposeMembership(bound)
 		return
 	}
@@ -39,8 +39,8 @@
 	}
 }
 
-// bindFounderHeard is the membership with one more founder bound to its data folder, or nil.
-func (r *Replica) bindFounderHeard() *schema.Membership {
+// withOneFounderBound is the membership with one more founder bound to its data folder, or nil.
+func (r *Replica) withOneFounderBound() *schema.Membership {
 	for _, member := range r.membership.Members {
 		peer := r.peers[member.Id]
 		if member.Incarnation == 0 && peer != nil && r.recentlyHeard(peer) && peer.founder {
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -32,7 +32,7 @@
 	sent  uint64 // the highest sequence sent optimistically; falls back to acked when messages may be lost
 	// lastKnownVersion is its content as last reported; a hint, so a wrong one costs only a refusal.
 	lastKnownVersion *schema.Version
-	versionReported  bool          // it reported lastKnownVersion itself under the current term
+	versionReported  bool          // it reported lastKnownVersion itself since resetForTerm, so no probe is needed
 	snapshotSentAt   time.Duration // when the last complete snapshot was sent to it
 
 	// Votes and reads.
@@ -74,7 +74,7 @@
 			names = append(names, name)
 		}
 	}
-	for _, name := range r.newerMembers() {
+	for _, name := range r.peersWithNewerMembership() {
 		if r.mutuallyReachable(r.outsiders[name]) {
 			names = append(names, name)
 		}
@@ -93,8 +93,8 @@
 	return names
 }
 
-// newerMembers lists the live replicas outside the membership here that know a newer membership.
-func (r *Replica) newerMembers() []string { return r.liveOutsiders(false) }
+// peersWithNewerMembership lists the live replicas outside the membership here that know a newer membership.
+func (r *Replica) peersWithNewerMembership() []string { return r.liveOutsiders(false) }
 
 // learners lists the live replicas that asked to join: the leader keeps them up to date, but they
 // count neither for votes nor for commits.
@@ -110,9 +110,9 @@
 	return names
 }
 
-// senderOf finds the state kept of a message's sender and marks it as heard. It is nil for a replica that is
+// trackSender returns the state kept of a message's sender, after it has marked it as heard. It is nil for a replica that is
 // neither a member nor one of the outsiders; only a member's votes and confirmations count.
-func (r *Replica) senderOf(message *schema.ReplicaMessage) (peer *peerState, isMember bool) {
+func (r *Replica) trackSender(message *schema.ReplicaMessage) (peer *peerState, isMember bool) {
 	if containsMember(r.membership, message.From, message.Incarnation, message.Founder) {
 		peer = r.peers[message.From]
 		if peer.incarnation != message.Incarnation {
@@ -122,16 +122,16 @@
 		peer.heard, peer.heardAt = true, r.now
 		return peer, true
 	}
-	peer = r.outsiderOf(message)
+	peer = r.trackOutsider(message)
 	if peer != nil {
 		peer.heard, peer.heardAt = true, r.now
 	}
 	return peer, false
 }
 
-// outsiderOf finds, adds or drops the state kept of a sender that is no member here. A sender with a
+// trackOutsider returns the state kept of a sender that is no member here, after it has added or dropped it if need be. A sender with a
 // newer membership is added; one that is known as such but no longer has a newer one is dropped.
-func (r *Replica) outsiderOf(message *schema.ReplicaMessage) *peerState {
+func (r *Replica) trackOutsider(message *schema.ReplicaMessage) *peerState {
 	membershipVersion := membershipVersionIn(message)
 	outsider := r.outsiders[message.From]
 	known := outsider != nil && outsider.incarnation == message.Incarnation
--- a/internal/store/proposal.go
+++ b/internal/store/proposal.go
@@ -34,7 +34,7 @@
 	}
 	switch leader := r.leader(); leader {
 	case r.config.Name:
-		r.propose(proposal, requester{ticket: proposal.Ticket})
+		r.proposeAsLeader(proposal, requester{ticket: proposal.Ticket})
 	case "":
 		r.emit(Reply{undecidedProposal(proposal.Ticket)})
 	default:
@@ -44,8 +44,9 @@
 	return r.actions
 }
 
-// propose admits a change at the leader, if it may be.
-func (r *Replica) propose(proposal *schema.Proposal, from requester) {
+// proposeAsLeader handles a proposal of this process or a forwarded one: it admits the change and records who waits for
+// the outcome. It answers undecided where this replica does not lead or must not admit more.
+func (r *Replica) proposeAsLeader(proposal *schema.Proposal, from requester) {
 	uncommitted := int(r.sequence - r.committedSequence)
 	// Refused before it is admitted, so nothing of it can come into force later.
 	if r.role != roleLeader || r.unfit() || uncommitted >= r.config.MaxUncommittedEntries {
@@ -100,3 +101,8 @@
 	delete(r.forwardedRequests, reply.Ticket)
 	r.emit(Reply{reply})
 }
+
+// undecidedProposal answers a proposal whose outcome is not known here.
+func undecidedProposal(ticket string) *schema.ProposalReply {
+	return &schema.ProposalReply{Ticket: ticket, Undecided: true}
+}
--- a/internal/store/read_index.go
+++ b/internal/store/read_index.go
@@ -23,7 +23,7 @@
 	r.beginStep(now)
 	switch leader := r.leader(); leader {
 	case r.config.Name:
-		r.readIndex(requester{ticket: ticket})
+		r.readIndexAsLeader(requester{ticket: ticket})
 	case "":
 		r.emit(ReadIndexReady{undecidedRead(ticket)})
 	default:
@@ -33,8 +33,9 @@
 	return r.actions
 }
 
-// readIndex begins a round of confirmations for a read at the leader.
-func (r *Replica) readIndex(from requester) {
+// readIndexAsLeader handles a read of this process or a forwarded one: it begins a round of confirmations, or answers
+// undecided where this replica does not lead.
+func (r *Replica) readIndexAsLeader(from requester) {
 	if r.role != roleLeader {
 		r.answerRead(from, undecidedRead(from.ticket))
 		return
@@ -114,3 +115,8 @@
 	delete(r.forwardedRequests, reply.Ticket)
 	r.emit(ReadIndexReady{reply})
 }
+
+// undecidedRead answers a read for which no leader confirmed a committed sequence.
+func undecidedRead(ticket string) *schema.ReadIndexReply {
+	return &schema.ReadIndexReply{Ticket: ticket, Undecided: true}
+}
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -59,17 +59,17 @@
 	// Other replicas.
 	peers              map[string]*peerState // the other members
 	otherMembers       []string              // the keys of peers in member order: iterated so that a run can be replayed
-	outsiders          map[string]*peerState // learners, and replicas that know a newer membership
+	outsiders          map[string]*peerState // learners, replicas that know a newer membership, and at bootstrap all others
 	addresses          map[string]string     // where each replica was last heard from, or is reported to be
 	reportedMembership *schema.Membership    // the newest committed membership that another replica reported
 
 	// Role and election.
 	role             role
-	roleSince        time.Duration
+	roleSince        time.Duration   // set by the become functions, but for becomeLeader; 0 lets this replica campaign at once
 	termStartVersion *schema.Version // the content that this replica's term began with, while it leads
 
 	// Heartbeats.
-	heartbeatSent   bool
+	heartbeatSent   bool // since this replica started; heartbeatSentAt is valid if so
 	heartbeatSentAt time.Duration
 	heartbeatSerial uint32 // of the last complete heartbeat
 	lastUrgentState string // urgentState as of the last heartbeats
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -91,7 +91,8 @@
 		version.Sequence >= r.baseSequence
 }
 
-// onBeginTerm accepts the beginning of a leader's term, unless this replica voted in a higher one.
+// onBeginTerm accepts the beginning of a leader's term, unless this replica voted in a higher one. A repeated message, or
+// one whose base is not the content here, is answered with what is here.
 func (r *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
 	if begin.Term < r.votedTerm {
 		if r.isExcluded() {
@@ -109,6 +110,12 @@
 		r.ackDurable(from) // the leader's guess was wrong: the reply reports the content here
 		return
 	}
+	r.installTermStart(from, begin)
+}
+
+// installTermStart follows the leader of a new term, whose base is the content here unless it sent a snapshot. The
+// leader gets its acknowledgement once the vote and the content are durable.
+func (r *Replica) installTermStart(from string, begin *schema.BeginTerm) {
 	if r.role != roleFollower {
 		r.becomeFollower()
 	}
@@ -117,7 +124,7 @@
 	if begin.Snapshot != nil {
 		r.restoreSnapshot(begin.Snapshot)
 		r.term = begin.Term
-		record.Snapshot = r.snapshot()
+		record.Snapshot = r.snapshot() // persist adds the vote
 	} else {
 		record.Entries = r.appendContiguous(begin.Entries)
 		r.term = begin.Term
@@ -187,10 +194,11 @@
 		r.onTermNotBegun(from, peer, reply.Appended)
 		return
 	}
-	first := peer.term != r.term
+	firstUnderTerm := peer.term != r.term // it has just acknowledged the term's beginning
 	peer.term, peer.acked = r.term, max(peer.acked, reply.Sequence)
 	r.advanceCommit()
-	if first && peer.acked < r.sequence && r.role == roleLeader {
+	// A new learner's or member's first entries need not wait for the next heartbeats.
+	if firstUnderTerm && peer.acked < r.sequence && r.role == roleLeader {
 		peer.sent = peer.acked
 		r.replicate(from, peer)
 	}
--- a/internal/store/role.go
+++ b/internal/store/role.go
@@ -3,8 +3,6 @@
 import (
 	"maps"
 	"slices"
-
-	"meadowhinge/schema"
 )
 
 // role is what a replica does in the current term. Only the become functions of this file set it.
@@ -92,13 +90,3 @@
 	}
 	return r.votedTerm
 }
-
-// undecidedProposal answers a proposal whose outcome is not known here.
-func undecidedProposal(ticket string) *schema.ProposalReply {
-	return &schema.ProposalReply{Ticket: ticket, Undecided: true}
-}
-
-// undecidedRead answers a read for which no leader confirmed a committed sequence.
-func undecidedRead(ticket string) *schema.ReadIndexReply {
-	return &schema.ReadIndexReply{Ticket: ticket, Undecided: true}
-}
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -43,13 +43,13 @@
 	liveOptions      *schema.StoreOptions         // as of the last change of the settings file
 	tickets          map[string]chan ticketResult // requests that wait for a Reply or ReadIndexReady
 	lastTicketID     uint64
-	committedChanged chan struct{} // closed and replaced when the committed sequence changes
-	lastCommitted    uint64
+	committedChanged chan struct{}                          // closed and replaced when the committed sequence changes
+	lastCommitted    uint64                                 // the committed sequence of which Follow calls were last notified
 	progress         [stageCount]uint64                     // as of the last step
 	stageTimes       map[uint64]*[stageCount]int64          // by sequence: Unix nanoseconds of each stage, 0 for not yet
 	outboxes         map[string]chan *schema.ReplicaMessage // by peer name
 	pendingWrites    []Persist                              // for the disk writer; bounded by what the replica admits
-	timer            *time.Timer                            // fires at nextTickAt
+	timer            *time.Timer                            // fires at nextTickAt; runTimer receives from it without the lock
 	nextTickAt       time.Duration                          // on the replica's clock; 0 if the timer is not set
 }
 
--- a/internal/store/step.go
+++ b/internal/store/step.go
@@ -17,12 +17,12 @@
 	if message.Address != "" {
 		r.addresses[message.From] = message.Address
 	}
-	peer, isMember := r.senderOf(message)
+	peer, isMember := r.trackSender(message)
 	r.dispatchMessage(message, peer, isMember)
 	return r.actions
 }
 
-// dispatchMessage calls the handler of a message's type. peer and isMember are those of senderOf.
+// dispatchMessage calls the handler of a message's type. peer and isMember are those of trackSender.
 func (r *Replica) dispatchMessage(message *schema.ReplicaMessage, peer *peerState, isMember bool) {
 	from := message.From
 	switch body := message.Body.(type) {
@@ -63,11 +63,11 @@
 	case *schema.ReplicaMessage_Membership:
 		r.onMembership(body.Membership)
 	case *schema.ReplicaMessage_Proposal:
-		r.propose(body.Proposal, requester{ticket: body.Proposal.Ticket, replica: from})
+		r.proposeAsLeader(body.Proposal, requester{ticket: body.Proposal.Ticket, replica: from})
 	case *schema.ReplicaMessage_ProposalReply:
 		r.onProposalReply(body.ProposalReply)
 	case *schema.ReplicaMessage_ReadIndex:
-		r.readIndex(requester{ticket: body.ReadIndex.Ticket, replica: from})
+		r.readIndexAsLeader(requester{ticket: body.ReadIndex.Ticket, replica: from})
 	case *schema.ReplicaMessage_ReadIndexReply:
 		r.onReadIndexReply(body.ReadIndexReply)
 	case *schema.ReplicaMessage_ConfirmLeadership:
--- a/internal/store/wal.go
+++ b/internal/store/wal.go
@@ -19,9 +19,9 @@
 // a power loss undoes, the newest file that begins with a valid frame is the log.
 
 const (
-	logPrefix     = "setup-" // then the number of the file
+	logPrefix     = "setup-" // before the number of the file; as existing data folders have it
 	logSuffix     = ".log"
-	corruptPrefix = "aside-" // before the name of a log file that SetAside moved
+	corruptPrefix = "aside-" // before the name of a log file that SetAside renamed
 )
 
 // errEarlierWriteFailed refuses a write after a failed one: what is on disk is not known.
