--- a/internal/store/election.go
+++ b/internal/store/election.go
@@ -85,7 +85,7 @@
 		return
 	}
 	for _, name := range r.otherMembers {
-		// Adopting a vote may change the members, so a name may have gone meanwhile.
+		// Adopting a vote may change the members, so a name may have no peer any more.
 		peer := r.peers[name]
 		if peer != nil && peer.vote != nil && config.Newer(peer.vote.Last, r.lastVersion()) && !r.hasFault(faultStaleLeader) {
 			r.adoptVote(peer.vote)
--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -110,7 +110,7 @@
 		a.Membership == b.Membership
 }
 
-// isAbbreviated reports whether a heartbeat stands for the last complete one with its serial.
+// isAbbreviated reports whether a heartbeat has a serial alone, and so means the last complete one with that serial.
 func isAbbreviated(heartbeat *schema.Heartbeat) bool {
 	return heartbeat.Membership == nil && heartbeat.Serial != 0
 }
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if containsMember(r.membership, message.From, message.Incarnation, message.Founder) {
-		// It is a member already, but has not received the entry that says so.
+		// It is a member already, but has not received the entry that made it one.
 		peer := r.peers[message.From]
 		peer.sent = peer.acked
 		r.replicate(message.From, peer)
@@ -80,8 +80,8 @@
 	r.reconcileMembership()
 }
 
-// sendMembership reports the committed membership to a replica that goes by another one, if that is older or was
-// appended under an earlier term and so came to nothing.
+// sendMembership reports the committed membership to a replica that has another one, if that is older or was
+// appended under an earlier term and never committed.
 func (r *Replica) sendMembership(to string, knownVersion *schema.Version) {
 	committed := r.committedMembership
 	if r.committedTerm == 0 || len(committed.Members) == 0 {
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -74,7 +74,7 @@
 	return nil
 }
 
-// reportsInability reports whether a live member says that it must not lead.
+// reportsInability reports whether a live member must not lead, by its last heartbeat.
 func (r *Replica) reportsInability(name string) bool {
 	heartbeat := r.lastHeartbeatOf(name)
 	return heartbeat != nil && (heartbeat.Unfit || heartbeat.MembershipBehind)
--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -81,7 +81,7 @@
 
 // isExcluded reports whether this replica is missing from a committed membership that is newer than all its
 // content. Either it was removed while it was away, or it was added by an entry that too few members appended and
-// that came to nothing; in both cases the membership here is void.
+// that a later leader discarded; in both cases the membership here is not valid any more.
 func (r *Replica) isExcluded() bool {
 	reported := r.reportedMembership
 	if reported == nil {
--- a/internal/store/membership_change.go
+++ b/internal/store/membership_change.go
@@ -59,7 +59,7 @@
 func (r *Replica) reconcileLearner(name string, learner *peerState) {
 	switch {
 	case memberIndex(r.membership, name) >= 0:
-		// The data folder that the member of this name had is gone, so it no longer counts for what was on it.
+		// The member of this name came back with another data folder, so it no longer counts for what the old one held.
 		r.removeMember(name)
 	case learner.expandsMembership:
 		expanded := withMember(r.membership, r.newMember(name, learner.incarnation))
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -39,7 +39,7 @@
 	at         time.Duration
 	serial     int
 	replica    *modelReplica // nil for an event of the model itself, which always happens
-	processRun int           // of the replica; the event is void in a later one
+	processRun int           // of the replica; the event is dropped in a later one
 	kind       modelKind
 	run        func()
 }
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -164,7 +164,7 @@
 }
 
 // isNewerMembership reports whether a membership version is newer than the one here. One of a term below this
-// replica's is not: its entry did not get into the content that this later term began with, so it is void.
+// replica's is not: its entry did not get into the content that this later term began with, so it was discarded.
 func (r *Replica) isNewerMembership(version *schema.Version) bool {
 	current := r.membership.EffectiveFrom
 	return version != nil && current != nil && version.Term >= r.term && config.Newer(version, current)
--- a/internal/store/persist.go
+++ b/internal/store/persist.go
@@ -77,7 +77,7 @@
 
 // completeWrite does what waited for a write.
 func (r *Replica) completeWrite(done pendingWrite) {
-	// Within a term the durable sequence only grows. A write of an earlier term says nothing of this
+	// Within a term the durable sequence only grows. A write of an earlier term proves nothing of this
 	// term's content, and the first one of a new term starts the durable sequence afresh.
 	if done.term == r.term && (r.durableTerm != done.term || done.sequence > r.durableSequence) {
 		r.durableTerm, r.durableSequence = done.term, done.sequence
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -128,7 +128,7 @@
 }
 
 // InitialRecord is the first record of an empty data folder. The owner makes it durable before the replica
-// takes its first step, so that no incarnation ever stands for two folders.
+// takes its first step, so that no two folders ever have the same incarnation.
 func InitialRecord(cfg Config, incarnation uint64) *schema.Record {
 	record := &schema.Record{Incarnation: incarnation, RaiseTargetSize: cfg.ExpandsMembership}
 	if slices.Contains(cfg.Founders, cfg.Name) {
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -278,7 +278,7 @@
 	return durable
 }
 
-// resendUnacknowledged repeats, with each round of heartbeats, whatever a lost message may have held up.
+// resendUnacknowledged repeats, with each round of heartbeats, whatever a lost message may have delayed.
 func (r *Replica) resendUnacknowledged() {
 	for _, name := range r.otherMembers {
 		peer := r.peers[name]
--- a/internal/store/seeded_fault.go
+++ b/internal/store/seeded_fault.go
@@ -15,11 +15,11 @@
 	faultStaleLeader
 	// faultEarlyAcknowledgement acknowledges entries to the leader before they are durable.
 	faultEarlyAcknowledgement
-	// faultIgnoresExclusion lets a replica count itself as a member by an entry that came to nothing.
+	// faultIgnoresExclusion lets a replica count itself as a member by an entry that a later leader discarded.
 	faultIgnoresExclusion
 )
 
-// faultFounderCount is the number of founders that faultFoundersQuorum goes by.
+// faultFounderCount is the number of founders that faultFoundersQuorum counts with.
 const faultFounderCount = 3
 
 // hasFault reports whether a fault is seeded in this replica.
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -27,7 +27,7 @@
 }
 
 // AppendedOutcome returns the outcome of a change id whether or not it is committed; an uncommitted one
-// may still come to nothing.
+// may still be discarded by a later leader.
 func (r *Replica) AppendedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
 	outcome, found := r.outcomes[changeID]
 	return outcome, found
--- a/internal/store/tick.go
+++ b/internal/store/tick.go
@@ -71,7 +71,8 @@
 }
 
 // NextTickAt returns when Tick is next needed if no other event comes before. It has one line for each
-// deadline that tick acts upon; a deadline added there must be added here.
+// deadline that tick acts upon; a deadline added there must be added here, unless it may wait for the next
+// round of heartbeats (as the removal of an unresponsive member does).
 func (r *Replica) NextTickAt() time.Duration {
 	timeout := r.config.HeartbeatTimeout
 	next := r.heartbeatSentAt + r.heartbeatInterval()
--- a/internal/store/wal_frame.go
+++ b/internal/store/wal_frame.go
@@ -51,8 +51,8 @@
 	return groups, validSize, false
 }
 
-// readFrame reads the frame at the start of data and its size in bytes; nil unless it is valid and of the
-// number wanted.
+// readFrame reads the frame at the start of data and its size in bytes; nil unless it is valid and has the
+// number want.
 func readFrame(data []byte, want uint64) (*schema.RecordGroup, int) {
 	body, frameNumber := decodeFrame(data)
 	if body == nil || frameNumber != want {
