--- a/internal/store/membership.go
+++ b/internal/store/membership.go
@@ -19,7 +19,7 @@
 //
 // Invariant: a Membership is never changed once it is in the content; with and withoutMember return copies.
 
-// foundingMembership is the first membership. Its members are not bound to incarnations yet; see bindFounders.
+// foundingMembership is the first membership. Its members are not bound to incarnations yet; see withFoundersBound.
 func foundingMembership(names []string) *schema.Membership {
 	membership := &schema.Membership{TargetSize: uint32(len(names)), EffectiveFrom: &schema.Version{}}
 	for _, name := range names {
@@ -40,8 +40,8 @@
 	if index < 0 {
 		return false
 	}
-	bound := membership.Members[index].Incarnation
-	return bound == incarnation || bound == 0 && founder
+	memberIncarnation := membership.Members[index].Incarnation
+	return memberIncarnation == incarnation || memberIncarnation == 0 && founder
 }
 
 // withoutMember is a copy of a membership without a member.
@@ -81,7 +81,7 @@
 
 // isExcluded reports whether this replica is missing from a committed membership that is newer than all its
 // content. Either it was removed while it was away, or it was added by an entry that too few members appended and
-// that came to nothing; in both cases the membership here is void.
+// that a later leader discarded; in both cases the membership here is not valid any more.
 func (r *Replica) isExcluded() bool {
 	reported := r.reportedMembership
 	if reported == nil {
