--- a/internal/transport/keepalive.go
+++ b/internal/transport/keepalive.go
@@ -10,7 +10,7 @@
 	"meadowhinge/internal/errs"
 )
 
-// Multiples of the dial timeout after which a silent peer is considered dead. A machine that lost power closes no
+// Multiples of the dial timeout after which an unresponsive peer is considered dead. A machine that lost power closes no
 // connection, so without these its connections would hang.
 const (
 	handshakeTimeoutFactor      = 5 // for a peer to identify itself
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -63,7 +63,7 @@
 // handshake identifies the peer of a connection that it opened, within a bound. The connection that it gives is
 // never nil.
 func (t *Transport) handshake(ctx context.Context, raw net.Conn) (net.Conn, Peer, error) {
-	t.detectSilentPeer(raw)
+	t.enableKeepAlive(raw)
 	timeout := t.dialTimeout * handshakeTimeoutFactor
 	counted := countingConn{socket.Wrap(raw), &t.meter}
 	if t.tlsConfig == nil {
@@ -81,15 +81,15 @@
 	return secured, peerFromCertificate(secured.ConnectionState().PeerCertificates[0]), nil
 }
 
-// detectSilentPeer sets an accepted connection's keep-alive and user timeout, as dialing sets them. An error
+// enableKeepAlive sets an accepted connection's keep-alive and user timeout, as dialing sets them. An error
 // would only make a lost peer be noticed later, so it is not reported.
-func (t *Transport) detectSilentPeer(raw net.Conn) {
+func (t *Transport) enableKeepAlive(raw net.Conn) {
 	tcp, isTCP := raw.(*net.TCPConn)
 	if !isTCP {
 		return
 	}
-	_ = tcp.SetKeepAliveConfig(t.keepAliveConfig()) // see above
+	_ = tcp.SetKeepAliveConfig(t.keepAliveConfig()) // not reported, see above
 	if inner, err := tcp.SyscallConn(); err == nil {
-		_ = t.setUserTimeout("", "", inner) // see above
+		_ = t.setUserTimeout("", "", inner) // not reported, see above
 	}
 }
