--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -81,7 +81,7 @@
 }
 
 // sendAttempt sends the call to a candidate and records what that says of its worker, proxy and version.
-func (a *forwarding) sendAttempt(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) *schema.ForwardResponse {
+func (a *attemptSequence) sendAttempt(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) *schema.ForwardResponse {
 	f, callPlan := a.forwarder, a.result.Plan
 	request := newAttemptRequest(a.call, a.result, candidate, remaining)
 	attemptCtx, cancel := f.attemptContext(ctx, callPlan, candidate, remaining)
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -16,8 +16,9 @@
 // maxFullEndpoints is how many endpoints without capacity a call is sent to.
 const maxFullEndpoints = 2
 
-// forwarding is one call on its way through the candidates of its plan. It belongs to the goroutine of the call.
-type forwarding struct {
+// attemptSequence is the attempts of one call: it goes through the candidates of its plan, and of plans made later. It
+// belongs to the goroutine of the call.
+type attemptSequence struct {
 	forwarder *Forwarder
 	call      *Call
 	result    *CallResult
@@ -53,7 +54,7 @@
 func (f *Forwarder) attemptCandidates(
 	ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string,
 ) (*schema.ForwardResponse, string) {
-	attempts := forwarding{
+	attempts := attemptSequence{
 		forwarder:      f,
 		call:           call,
 		result:         result,
@@ -65,7 +66,7 @@
 }
 
 // run makes plans and tries their candidates until the call is over.
-func (a *forwarding) run(ctx context.Context) (*schema.ForwardResponse, string) {
+func (a *attemptSequence) run(ctx context.Context) (*schema.ForwardResponse, string) {
 	for replans := range maxPlanRounds {
 		// A refusal by another proxy for an outdated configuration would hit the next call as well.
 		a.forwarder.awaitNewerConfig(ctx, a.remaining())
@@ -85,13 +86,13 @@
 }
 
 // remaining returns the time left until the call's deadline; 0 or less if it has passed.
-func (a *forwarding) remaining() time.Duration {
+func (a *attemptSequence) remaining() time.Duration {
 	return a.result.Plan.Deadline - (a.forwarder.Now() - a.startedAt)
 }
 
 // ensureCurrentPlan makes the plan again after the first time, or if the configuration has changed since: a plan
 // is carried out only under the configuration that it was made from.
-func (a *forwarding) ensureCurrentPlan(replans int) error {
+func (a *attemptSequence) ensureCurrentPlan(replans int) error {
 	if view := a.forwarder.View(); replans == 0 && view.Config.Revision == a.result.Plan.Verdict.ConfigRevision {
 		return nil
 	}
@@ -105,7 +106,7 @@
 
 // tryEndpoints tries the candidates of the plan in order. It returns a step that is done or asks for another
 // plan, or stepNext if it has come to the end of them.
-func (a *forwarding) tryEndpoints(ctx context.Context) step {
+func (a *attemptSequence) tryEndpoints(ctx context.Context) step {
 	candidates := a.result.Plan.Candidates
 	for i := range candidates {
 		if last := a.attemptCandidate(ctx, &candidates[i]); last.next != stepNext {
@@ -117,7 +118,7 @@
 
 // attemptCandidate sends the call to a candidate unless something speaks against it. The order of the checks is part
 // of the contract: the key is reserved before the checks that a wait for the registries could outdate.
-func (a *forwarding) attemptCandidate(ctx context.Context, candidate *plan.Endpoint) step {
+func (a *attemptSequence) attemptCandidate(ctx context.Context, candidate *plan.Endpoint) step {
 	if !a.admits(candidate) {
 		return step{next: stepNext}
 	}
@@ -150,22 +151,21 @@
 }
 
 // admits reports whether a candidate may get an attempt of this call at all.
-func (a *forwarding) admits(candidate *plan.Endpoint) bool {
+func (a *attemptSequence) admits(candidate *plan.Endpoint) bool {
 	pinnedElsewhere := a.pinnedInstance != "" && candidate.Instance != a.pinnedInstance
 	return !pinnedElsewhere && !a.progress.excluded[candidate.Instance]
 }
 
 // needsReservation reports whether the idempotency key must be reserved before the attempt: a key is reserved for
 // the very worker that the call goes to, and again for another one.
-func (a *forwarding) needsReservation(candidate *plan.Endpoint) bool {
+func (a *attemptSequence) needsReservation(candidate *plan.Endpoint) bool {
 	return a.pinnedInstance == "" &&
-		a.result.Plan.Class == config.ClassNonIdempotent &&
-		a.call.Request.IdempotencyKey != "" &&
+		a.result.Plan.UsesIdempotencyKey(&a.call.Request) &&
 		a.result.reservation.GetInstance() != candidate.Instance
 }
 
 // precheck checks last of all that this proxy may still decide, by the plan it has, to send the call.
-func (a *forwarding) precheck(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) step {
+func (a *attemptSequence) precheck(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) step {
 	f, callPlan := a.forwarder, a.result.Plan
 	view := f.View()
 	switch {
@@ -183,7 +183,7 @@
 
 // skipOverloaded skips a candidate that has refused most calls of the route lately. A pinned call is not skipped,
 // for no other worker can refuse it, nor is a worker beside this proxy, which costs nothing to try.
-func (a *forwarding) skipOverloaded(candidate *plan.Endpoint) step {
+func (a *attemptSequence) skipOverloaded(candidate *plan.Endpoint) step {
 	f := a.forwarder
 	retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, a.result.Plan.Route.Name, f.Now(), f.Random)
 	if !skip || a.pinnedInstance != "" || candidate.Proxy == f.Name {
@@ -200,7 +200,7 @@
 }
 
 // onAnswered ends the call with a worker's answer, or goes on if the answer is a failure that may be retried.
-func (a *forwarding) onAnswered(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
+func (a *attemptSequence) onAnswered(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
 	a.result.WorkerAttempts++
 	if !a.forwarder.mayRetryFailure(a.result, &a.progress, response, a.remaining()) {
 		return step{next: stepDone, response: response, instance: candidate.Instance}
@@ -211,7 +211,7 @@
 }
 
 // onUnknown goes on after an attempt that may have run, which only an idempotent call does.
-func (a *forwarding) onUnknown(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
+func (a *attemptSequence) onUnknown(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
 	a.result.WorkerAttempts++
 	// A failure response of an earlier attempt is still an answer, and better than none.
 	if a.progress.hasAnswer() {
@@ -226,7 +226,7 @@
 }
 
 // onNotExecuted goes on after a refusal, which proves that nothing ran.
-func (a *forwarding) onNotExecuted(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
+func (a *attemptSequence) onNotExecuted(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
 	if response.ReachedWorker {
 		a.result.WorkerAttempts++
 	}
@@ -250,7 +250,7 @@
 
 // configIsBehind reports whether a proxy refused the call by a newer configuration, under which the plan is too
 // old or its version not allowed. Such a call is planned again by that configuration and not refused.
-func (a *forwarding) configIsBehind(refusal *schema.ForwardResponse) bool {
+func (a *attemptSequence) configIsBehind(refusal *schema.ForwardResponse) bool {
 	code := errs.Code(refusal.ErrorCode)
 	return code == errs.StalePlan || (code == errs.VersionNotAllowed && refusal.Revision > a.result.Plan.Verdict.ConfigRevision)
 }
--- a/internal/dispatch/disconnects.go
+++ b/internal/dispatch/disconnects.go
@@ -104,12 +104,12 @@
 	w.disconnectedAt = max(1, w.now())
 	w.counts.Propagated.Add(1)
 	if w.mustStop && w.maxOverrun > 0 {
-		w.timer = time.AfterFunc(w.maxOverrun, w.extendGrace)
+		w.timer = time.AfterFunc(w.maxOverrun, w.startGrace)
 	}
 }
 
-// extendGrace gives a run that has overrun the grace besides.
-func (w *disconnectWatch) extendGrace() {
+// startGrace starts the grace period of a run that has used up maxOverrun; recordOverrun ends it.
+func (w *disconnectWatch) startGrace() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if !w.finished {
--- a/internal/dispatch/forward_keyed.go
+++ b/internal/dispatch/forward_keyed.go
@@ -42,7 +42,7 @@
 
 // reserveKey reserves the call's key for a run at a candidate, and reports whether it is reserved. If the key is another
 // request's, it returns what that request came to, as far as it can be known.
-func (a *forwarding) reserveKey(ctx context.Context, candidate *plan.Endpoint) (*schema.ForwardResponse, bool) {
+func (a *attemptSequence) reserveKey(ctx context.Context, candidate *plan.Endpoint) (*schema.ForwardResponse, bool) {
 	f, result := a.forwarder, a.result
 	reservedBefore := result.reservation != nil
 	result.reservation = f.newReservation(a.call, result, candidate)
@@ -101,7 +101,7 @@
 }
 
 // recallResult asks the proxy of the worker that the key is reserved for what its request came to.
-func (a *forwarding) recallResult(ctx context.Context, existing *schema.KeyReservation) *schema.ForwardResponse {
+func (a *attemptSequence) recallResult(ctx context.Context, existing *schema.KeyReservation) *schema.ForwardResponse {
 	request := newRecallRequest(a.call, a.result, a.remaining())
 	endpoint := plan.Endpoint{Instance: existing.Instance, Proxy: existing.WorkerProxy, Address: existing.Address}
 	response, err := a.forwarder.Send(ctx, endpoint, request)
--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -8,7 +8,6 @@
 
 	"github.com/puzpuzpuz/xsync/v4"
 
-	"meadowhinge/internal/config"
 	"meadowhinge/internal/errs"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/session"
@@ -44,11 +43,12 @@
 type KeyReserver func(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation)
 
 // Forwarder is the caller's side of a call: it makes a plan and carries it out. The exported fields are set before
-// [Forwarder.Init] and not changed afterwards; Forward may then be called concurrently.
+// [Forwarder.Init] and not changed afterwards, except that Incarnation may be replaced until the first call; Forward may
+// then be called concurrently.
 type Forwarder struct {
 	Name        string // of this proxy
 	Incarnation uint64 // of this proxy's process
-	Limits             // at the start; those in force are set by SetLimits
+	Limits             // at the start; those in force are in limits, set by SetLimits
 	// View returns the current configuration and directory.
 	View func() *plan.View
 	// AwaitView waits until the view satisfies ready, or ctx ends.
@@ -144,7 +144,7 @@
 
 // executePlan carries out the plan of a call within its deadline.
 func (f *Forwarder) executePlan(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration) *schema.ForwardResponse {
-	keyed := result.Plan.Class == config.ClassNonIdempotent && call.Request.IdempotencyKey != ""
+	keyed := result.Plan.UsesIdempotencyKey(&call.Request)
 	if keyed {
 		ctx = context.WithoutCancel(ctx)
 	}
--- a/internal/dispatch/reserved_admissions.go
+++ b/internal/dispatch/reserved_admissions.go
@@ -10,7 +10,7 @@
 
 // reservedAdmissions are admissions that were granted to capacity checks, for the requests that follow them.
 type reservedAdmissions struct {
-	lock      sync.Mutex                    // guards byRequest
+	lock      sync.Mutex                    // guards byRequest; held while an admission is released to its WorkerQueue
 	byRequest map[string]*reservedAdmission // by request id
 }
 
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -62,9 +62,6 @@
 	overdueFactor       = 3
 )
 
-// updateWaitDivisor is the part of the time left that a request may wait for an update before it is refused.
-const updateWaitDivisor = 8
-
 // NewRunner returns a runner with the exported fields of another one. It retains as many request ids, and as many
 // idempotency keys, as maxRemembered says.
 func NewRunner(runner Runner, maxRemembered int) *Runner {
@@ -266,7 +263,7 @@
 		}
 	}
 	startedAt, timeAllowed := r.Now(), request.remaining()
-	delivery := handover{result: ResultNotRun}
+	delivery := workerDelivery{result: ResultNotRun}
 	// From here on the worker takes the time, and its version is accountable for the result.
 	revision := r.View().Config.VersionRevision(request.Service, request.Version)
 	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, revision)
@@ -277,10 +274,7 @@
 	if delivery.result == ResultAnswered && response.Status >= minFailureStatus {
 		delivery.result = ResultFailed
 	}
-	// How a call would have ended that lacked the time which calls take is not known.
-	truncated := delivery.result != ResultAnswered &&
-		request.remaining() < timeAllowed/truncatedRunDivisor &&
-		now-startedAt < overdueFactor*worker.queue.ServiceTime()
+	truncated := wasTruncated(worker, request, delivery.result, timeAllowed, now-startedAt)
 	if r.Outliers != nil && mayHaveRun(response) && !truncated && !isCanceled(response) {
 		r.Outliers.RecordRun(request.Instance, now, delivery.result != ResultAnswered)
 	}
@@ -290,6 +284,14 @@
 	return response
 }
 
+// wasTruncated reports whether a run ended for lack of the time that calls take at its worker. How it would have ended
+// otherwise is not known, so it says nothing of the worker. timeAllowed was left when the run began; took is its duration.
+func wasTruncated(worker *localWorker, request *incomingRequest, result RunResult, timeAllowed, took time.Duration) bool {
+	return result != ResultAnswered &&
+		request.remaining() < timeAllowed/truncatedRunDivisor &&
+		took < overdueFactor*worker.queue.ServiceTime()
+}
+
 // mayHaveRun reports whether a worker ran the request, or may have.
 func mayHaveRun(response *schema.ForwardResponse) bool {
 	return response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
--- a/internal/dispatch/service_time_estimate.go
+++ b/internal/dispatch/service_time_estimate.go
@@ -24,7 +24,8 @@
 	return e.timeFraction * math.Exp(-float64(now-e.updatedAt)/float64(window))
 }
 
-// expectedServiceTime returns how long a request of a route takes, and by how much it may well take longer.
+// expectedServiceTime returns how long a request of a route takes, and by how much it may well take longer. The caller
+// holds the lock.
 func (q *WorkerQueue) expectedServiceTime(route string) (mean, deviation time.Duration) {
 	if estimate := q.byRoute[route]; estimate != nil {
 		return estimate.mean, estimate.deviation
--- a/internal/dispatch/update_waits.go
+++ b/internal/dispatch/update_waits.go
@@ -8,6 +8,13 @@
 	"meadowhinge/internal/plan"
 )
 
+// updateWaitDivisor is the part of the time left for which a call waits, at either proxy, for an update of the lease, the
+// configuration or the directory before it is refused.
+const updateWaitDivisor = 8
+
+// assumedDeadlineDivisor is the part of the longest deadline that a call whose caller gives none is assumed to have.
+const assumedDeadlineDivisor = 8
+
 // targetWaitDivisor is the part of the latency target for which a call may wait for updates of the directory: a
 // caller refused within a fourth of it still has time to call again.
 const targetWaitDivisor = 8
@@ -28,7 +35,7 @@
 	if request.CallerDeadline > 0 {
 		return min(request.CallerDeadline, maxDeadline)
 	}
-	return maxDeadline / updateWaitDivisor
+	return maxDeadline / assumedDeadlineDivisor
 }
 
 // awaitNewerConfig waits for a configuration that another proxy is known to have. A proxy under a lease lags
@@ -55,11 +62,11 @@
 
 // awaitUntriedWorkers waits a moment for a worker that the call has not tried, and reports whether there is one.
 // It does not wait where known workers refused for lack of capacity: their caller is refused at once.
-func (a *forwarding) awaitUntriedWorkers(ctx context.Context) bool {
+func (a *attemptSequence) awaitUntriedWorkers(ctx context.Context) bool {
 	if a.pinnedInstance != "" {
 		return false
 	}
-	// The condition holds only what it needs, so that the forwarding itself stays on the stack.
+	// The condition holds only what it needs, so that the attemptSequence itself stays on the stack.
 	f, callPlan, excluded := a.forwarder, a.result.Plan, a.progress.excluded
 	hasUntried := func(view *plan.View) bool { return hasUntriedWorker(view, callPlan, excluded) }
 	if hasUntried(f.View()) {
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -17,15 +17,15 @@
 // still arrives and the connection can be used again.
 const workerMarginDivisor = 64
 
-// handover is how a request was handed over to a worker.
-type handover struct {
+// workerDelivery is what became of the delivery of a request to a worker.
+type workerDelivery struct {
 	result RunResult
 	sentAt time.Duration // when its first byte was sent, 0 for not at all
 }
 
 // sendToWorker sends a request to the worker. From its first byte on, the request may have run.
 func (r *Runner) sendToWorker(
-	ctx context.Context, worker *localWorker, request *incomingRequest, delivery *handover,
+	ctx context.Context, worker *localWorker, request *incomingRequest, delivery *workerDelivery,
 ) *schema.ForwardResponse {
 	httpRequest, httpResponse := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(httpRequest)
@@ -101,7 +101,8 @@
 	return token, nil
 }
 
-// responseToError returns the response to a request whose exchange with the worker failed.
+// responseToError returns the response to a request whose exchange with the worker failed. outOfTime reports whether
+// the call has hardly any time left; it reads the clock only if the answer matters.
 func (r *Runner) responseToError(
 	ctx context.Context, worker *localWorker, err error, sent bool, outOfTime func() bool,
 ) *schema.ForwardResponse {
@@ -122,7 +123,7 @@
 }
 
 // responseOf returns the response to a request that the worker answered or refused.
-func (r *Runner) responseOf(worker *localWorker, x *exchange, delivery *handover) *schema.ForwardResponse {
+func (r *Runner) responseOf(worker *localWorker, x *exchange, delivery *workerDelivery) *schema.ForwardResponse {
 	switch {
 	case x.info.WrongWorker:
 		r.Workers.removeDisowned(worker)
--- a/internal/dispatch/worker_conns.go
+++ b/internal/dispatch/worker_conns.go
@@ -20,7 +20,7 @@
 	dial    func(address string) (net.Conn, error)
 	now     func() time.Duration // the clock of the process
 
-	lock   sync.Mutex    // guards the fields below
+	lock   sync.Mutex    // guards the fields below; may be taken while the lock of Workers is held
 	idle   []*workerConn // the one idle the longest first
 	closed bool
 	// idleTimeout is after how long the worker closes an idle connection: as it reported, or as was observed; 0
@@ -37,11 +37,11 @@
 // workerConn is one connection to a worker. It belongs to the goroutine that took it from the pool.
 type workerConn struct {
 	net.Conn
-	bytesSent int             // bytes of the request that left this process
-	idleSince time.Duration   // on the clock of the process
-	rawConn   syscall.RawConn // nil for what is no socket
-	peek      func(handle uintptr) bool
-	noData    bool // the last peek found neither data nor the end of the connection
+	bytesSent int                       // bytes of the request that left this process
+	idleSince time.Duration             // on the clock of the process
+	rawConn   syscall.RawConn           // nil for what is no socket
+	probe     func(handle uintptr) bool // for rawConn.Read: sets noData; made once, so that alive allocates nothing
+	noData    bool                      // the last probe found neither data nor the end of the connection
 }
 
 // Write counts the bytes that left this process.
@@ -63,7 +63,7 @@
 	}
 	conn.rawConn = rawConn
 	var buffer [1]byte
-	conn.peek = func(handle uintptr) bool {
+	conn.probe = func(handle uintptr) bool {
 		_, err := socket.Read(handle, buffer[:])
 		conn.noData = errors.Is(err, syscall.EAGAIN)
 		return true
@@ -72,12 +72,12 @@
 }
 
 // alive reports whether nothing arrived on an idle connection: neither its end, nor bytes, which could only belong
-// to a request that is over.
+// to a request that is over. The probe consumes a byte that did arrive: the connection is then not used again.
 func (c *workerConn) alive() bool {
 	if c.rawConn == nil {
 		return true
 	}
-	return c.rawConn.Read(c.peek) == nil && c.noData
+	return c.rawConn.Read(c.probe) == nil && c.noData
 }
 
 // interrupt ends every read and write on a connection at once.
@@ -104,7 +104,8 @@
 		switch {
 		case err == nil || conn.bytesSent > 0:
 			return err
-		// Nothing left this process, so another connection may be tried; a second fresh one would do no better.
+		// Nothing left this process, so another connection may be tried; a second fresh one would do no better. Once ctx
+		// has ended, acquire gives up in the next round.
 		case fresh && ctx.Err() == nil:
 			return errs.New(errs.WorkerConnectFailed, c.address)
 		}
--- a/internal/dispatch/worker_exchange.go
+++ b/internal/dispatch/worker_exchange.go
@@ -120,6 +120,7 @@
 func (x *exchange) readBody(reader *bufio.Reader) error {
 	x.body = nil
 	header := &x.response.Header
+	// Values of ContentLength for a body without one.
 	const (
 		inChunks = -1
 		toTheEnd = -2 // up to the end of the connection
--- a/internal/dispatch/worker_queue.go
+++ b/internal/dispatch/worker_queue.go
@@ -17,12 +17,12 @@
 	maxRunning int     // requests sent to the worker at once, whatever the worker reports
 	uplink     *Uplink // that responses leave by, nil if its bandwidth is not known
 
-	lock                sync.Mutex // guards the fields below
-	slots               int        // requests that the worker works on at once, 0 for not reported
-	reducedLimit        int        // bound on running since the worker rejected a request, 0 for none
-	answersSinceReduced int        // answers since the bound last changed
-	running             int        // admitted and not released
-	lastProgressAt      time.Duration
+	lock                sync.Mutex       // guards the fields below; may be taken while the lock of Workers or reservedAdmissions is held
+	slots               int              // requests that the worker works on at once, 0 for not reported
+	reducedLimit        int              // bound on running since the worker rejected a request, 0 for none
+	answersSinceReduced int              // answers since the bound last changed
+	running             int              // admitted and not released
+	lastProgressAt      time.Duration    // when a request was last admitted or released
 	waiting             []*QueuedRequest // in the order of goesBefore
 	closedReason        errs.Code        // refuses all requests, empty while the queue is open
 	overall             serviceTimeEstimate
@@ -117,7 +117,7 @@
 }
 
 // uplinkBacklogTarget is how much of the uplink's time the answers under way may take: enough to keep it busy while
-// the next requests run.
+// the next requests run. The caller holds the lock.
 func (q *WorkerQueue) uplinkBacklogTarget() time.Duration {
 	return q.overall.mean + q.overall.mean/overlapDivisor
 }
@@ -135,13 +135,13 @@
 }
 
 // expectedWait returns how long a request waits behind work that takes the worker so long. A worker that is full and
-// completes nothing is assumed to go on like this for as long as it has already.
+// completes nothing is assumed to go on like this for as long as it has already. The caller holds the lock.
 func (q *WorkerQueue) expectedWait(now, workAhead time.Duration) time.Duration {
 	return max((q.overall.mean+workAhead)/time.Duration(q.limit()), now-q.lastProgressAt)
 }
 
 // expectedWaitBehind returns how long a request waits behind the work ahead, and behind requests of other routes that
-// arrive meanwhile and go before it.
+// arrive meanwhile and go before it. The caller holds the lock.
 func (q *WorkerQueue) expectedWaitBehind(now time.Duration, queued *QueuedRequest, workAhead time.Duration) time.Duration {
 	precedingFraction, cost := 0.0, queued.cost()
 	for route, estimate := range q.byRoute {
@@ -161,7 +161,8 @@
 }
 
 // lateness returns by how much a request would be answered too late after a wait, 0 or less for in time. A request
-// that is short compared to the others may use its whole deadline: refusing it would free little capacity.
+// that is short compared to the others may use its whole deadline: refusing it would free little capacity. The caller
+// holds the lock.
 func (q *WorkerQueue) lateness(now time.Duration, queued *QueuedRequest, wait time.Duration) time.Duration {
 	answerBy := queued.request.answerBy()
 	if queued.serviceTime*shortRequestFactor <= q.overall.mean {
@@ -200,7 +201,7 @@
 	return Admission{}, queued
 }
 
-// newQueuedRequest returns a request with what its route's estimates say of it.
+// newQueuedRequest returns a request with what its route's estimates say of it. The caller holds the lock.
 func (q *WorkerQueue) newQueuedRequest(now time.Duration, request AdmissionRequest) *QueuedRequest {
 	queued := &QueuedRequest{request: request, arrivedAt: now}
 	queued.serviceTime, queued.deviation = q.expectedServiceTime(request.Route)
@@ -211,7 +212,8 @@
 	return queued
 }
 
-// position returns where a request goes in the queue, and the worker's time that the requests before it take.
+// position returns where a request goes in the queue, and the worker's time that the requests before it take. The caller
+// holds the lock.
 func (q *WorkerQueue) position(queued *QueuedRequest) (position int, workAhead time.Duration) {
 	for position < len(q.waiting) && q.waiting[position].goesBefore(queued) {
 		workAhead += q.waiting[position].serviceTime
@@ -220,13 +222,14 @@
 	return position, workAhead
 }
 
-// refuseFull refuses a request that would be late, until its lateness, and the work that is running, are over.
+// refuseFull returns the refusal of a request that would be late. It may be sent again once its lateness, and the work
+// that is running, are over. The caller holds the lock.
 func (q *WorkerQueue) refuseFull(now, lateness time.Duration) Admission {
 	return Admission{Refusal: errs.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}
 }
 
 // displace refuses the requests from an index on that would now be late, for as long as they have good prospects at
-// another worker: a request that has waited long is better served late than not at all.
+// another worker: a request that has waited long is better served late than not at all. The caller holds the lock.
 func (q *WorkerQueue) displace(now time.Duration, from int, workAhead time.Duration) {
 	retained := q.waiting[:from]
 	for _, queued := range q.waiting[from:] {
@@ -307,7 +310,7 @@
 }
 
 // raiseReducedLimit lets one more request run after enough answers: since it rejected a request, the worker gets its
-// slots back one by one.
+// slots back one by one. The caller holds the lock.
 func (q *WorkerQueue) raiseReducedLimit() {
 	q.answersSinceReduced++
 	if q.reducedLimit == 0 || q.answersSinceReduced < increaseAfterFactor*q.reducedLimit {
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -31,7 +31,7 @@
 	bodyMemory *semaphore.Weighted // in bytes, for large bodies of responses that are read at the same time
 	onChange   func()              // called without the lock
 
-	lock            sync.Mutex              // guards the fields below
+	lock            sync.Mutex              // guards the fields below; the locks of queues and connPools may be taken under it
 	byAddress       map[string]*localWorker // an address is one worker's at a time
 	byInstance      map[string]*localWorker
 	deregisteredIDs *RecentIDs // ids of workers that deregistered: they never come back
@@ -142,10 +142,10 @@
 
 // descriptionChanges are the changes of a description that matter to others than the worker.
 type descriptionChanges struct {
-	draining bool   // the worker is draining now
-	slots    bool   // its slots have changed
-	newSlots uint32 // to these
-	visible  bool   // other proxies should see the change
+	draining     bool // the worker is draining now
+	slotsChanged bool
+	newSlots     uint32 // valid if slotsChanged
+	visible      bool   // other proxies should see the change
 }
 
 // refresh applies a heartbeat to a registration. The caller holds the lock of Workers.
@@ -153,11 +153,11 @@
 	// A worker that has reported that it is draining does not come back under the same token.
 	description.Draining = description.Draining || l.description.Draining
 	changes := descriptionChanges{
-		draining: description.Draining,
-		slots:    description.Slots != l.description.Slots,
-		newSlots: description.Slots,
+		draining:     description.Draining,
+		slotsChanged: description.Slots != l.description.Slots,
+		newSlots:     description.Slots,
 	}
-	changes.visible = changes.slots || description.Draining != l.description.Draining || description.Zone != l.description.Zone
+	changes.visible = changes.slotsChanged || description.Draining != l.description.Draining || description.Zone != l.description.Zone
 	l.description, l.lastHeartbeatAt = description, now
 	return changes
 }
@@ -168,7 +168,7 @@
 	if changes.draining {
 		worker.queue.Close(errs.WorkerDraining)
 	}
-	if changes.slots {
+	if changes.slotsChanged {
 		worker.queue.SetSlots(now, int(changes.newSlots))
 	}
 	if changes.visible {
--- a/internal/plan/evaluation_context.go
+++ b/internal/plan/evaluation_context.go
@@ -17,7 +17,7 @@
 type evaluationContext struct {
 	route   *config.Route
 	request *Request
-	zone    string // of the caller
+	zone    string // of this proxy, and thereby of the caller beside it
 	key     string // of the user
 }
 
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -42,7 +42,8 @@
 	CallerDeadline    time.Duration                    // time that the caller gives, 0 for no bound
 }
 
-// Verdict is the version whose workers get the call, and the reason. The JSON keys are the operators' API.
+// Verdict is the result of one decision, and its reason: of a service, the version whose workers get the call; of a
+// split route, the service. The JSON keys are the operators' API.
 type Verdict struct {
 	Flag           string         `json:"flag"`           // key of the flag that decided
 	Version        string         `json:"version"`        // of a split: the service
@@ -64,7 +65,7 @@
 	LatencyTarget time.Duration // the time within which an answer is worth most, 0 for none
 	Candidates    []Endpoint    // in the order in which to try them
 
-	context evaluationContext // of its request
+	evaluation evaluationContext // of its request
 }
 
 // maxIdempotencyKeyBytes is the length of the longest idempotency key, in bytes.
@@ -89,7 +90,7 @@
 		return nil, errs.New(errs.RouteNotFound, request.Method+" "+request.Path)
 	}
 	plan := newPlan(route, request, options)
-	decision := decision{view: view, subject: &plan.context, caller: request.Caller, local: local, now: now}
+	decision := decision{view: view, subject: &plan.evaluation, caller: request.Caller, local: local, now: now}
 	if len(route.Split) > 0 {
 		plan.Split = decision.decideSplit(route)
 		plan.Service = plan.Split.Version
@@ -98,7 +99,7 @@
 		return nil, err
 	}
 	// The policy decides whether the call is made at all; only then the flag decides its version.
-	if route.Policy != nil && !route.Policy.Allows(policyContext(&plan.context)) {
+	if route.Policy != nil && !route.Policy.Allows(policyContext(&plan.evaluation)) {
 		plan.Verdict = Verdict{
 			Flag:           config.VersionFlagKey(plan.Service),
 			Reason:         ReasonPolicy,
@@ -110,7 +111,7 @@
 	if plan.Verdict.Version == "" {
 		return plan, errs.New(errs.NoWorker, plan.Service+" has no version yet")
 	}
-	if plan.usesKey(request) {
+	if plan.UsesIdempotencyKey(request) {
 		plan.Candidates = rendezvous(pool, request.Caller+"\x00"+request.IdempotencyKey, func(endpoint *Endpoint) bool {
 			return local.Stats(endpoint, now).Unreachable
 		})
@@ -130,7 +131,7 @@
 		Class:         route.ClassFor(request.Method),
 		Deadline:      deadline,
 		LatencyTarget: min(route.LatencyTarget, deadline),
-		context:       newEvaluationContext(route, request, options.Zone),
+		evaluation:    newEvaluationContext(route, request, options.Zone),
 	}
 }
 
@@ -164,8 +165,9 @@
 	return nil
 }
 
-// usesKey reports whether the call goes by its idempotency key.
-func (p *Plan) usesKey(request *Request) bool {
+// UsesIdempotencyKey reports whether the call must not run twice under its idempotency key. A key that comes with an
+// idempotent request is ignored.
+func (p *Plan) UsesIdempotencyKey(request *Request) bool {
 	return request.IdempotencyKey != "" && p.Class == config.ClassNonIdempotent
 }
 
