--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -74,8 +74,9 @@
 	}
 	s.boundCallerDeadline(call, receivedAt)
 	s.recordArrival()
+	inFlight := s.callsInFlight.Add(1)
 	defer s.callsInFlight.Add(-1)
-	if s.callsInFlight.Add(1) > s.currentOptions().Buffer {
+	if inFlight > s.currentOptions().Buffer {
 		s.writeError(header, errs.New(errs.QueueFull, "too many calls in flight"), notExecuted, response)
 		return
 	}
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -180,7 +180,7 @@
 	if c.listener.isClosed() {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, c.conn, int64(limits.bodyBytes)*rejectedBodyDiscardFactor) // any end of it will do
+	_, _ = io.CopyN(io.Discard, c.conn, int64(limits.bodyBytes)*rejectedBodyDiscardFactor) // best effort: the connection is closed next
 }
 
 // isLocalCaller reports whether the caller is on this machine: its responses do not use the machine's uplink.
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -72,7 +72,7 @@
 }
 
 // Source is the proxy as a source, as it reports itself.
-func (p *StandaloneProxy) Source() *schema.Source { return p.localSource() }
+func (p *StandaloneProxy) Source() *schema.Source { return p.newLocalSource() }
 
 // Workers are those beside the proxy.
 func (p *StandaloneProxy) Workers() *dispatch.Workers { return p.workers }
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -45,8 +45,8 @@
 	}
 	// A simulated worker's connection stays open until the proxy closes it.
 	dial := func(string) (net.Conn, error) {
-		here, _ := net.Pipe()
-		return here, nil
+		proxySide, _ := net.Pipe()
+		return proxySide, nil
 	}
 	server := newServer(rpcTransport, environment, opts, func(target *extensions) {
 		target.foldEvent, target.dialWorker = fold, dial
--- a/internal/proxy/mesh_directory.go
+++ b/internal/proxy/mesh_directory.go
@@ -10,8 +10,8 @@
 	"meadowhinge/schema"
 )
 
-// minHeardRatio is the part of the sources that must be heard from for the others to be dropped.
-const minHeardRatio = 0.8
+// minLiveRatio: sources are dropped only while more than this part of all sources is still heard from.
+const minLiveRatio = 0.8
 
 // applySources applies an event's sources. Only what they change is computed again: in a large mesh every change of
 // one proxy's workers reaches all others.
@@ -19,10 +19,10 @@
 	m.sources, m.droppedVersions = maps.Clone(before.sources), maps.Clone(before.droppedVersions)
 	changed := map[string]bool{} // names of the sources that are new, changed or dropped
 	if event.SourceTimeout > 0 {
-		m.dropSilentSources(before, event, changed)
+		m.dropTimedOutSources(before, event, changed)
 	}
 	for _, source := range event.Sources {
-		// It says only that the source was seen.
+		// Of such a source only the incarnation is known, not its workers.
 		if source.IncarnationOnly {
 			continue
 		}
@@ -41,21 +41,21 @@
 	}
 }
 
-// dropSilentSources drops the sources that have not been heard from for the event's timeout. If many are silent at
-// once it is the path to them that failed, as in a partitioned core: then all are retained, and calls find out which
-// of them are dead.
-func (m *MeshState) dropSilentSources(before MeshState, event Event, changed map[string]bool) {
-	var silent []string
+// dropTimedOutSources drops the sources that have not been heard from for the event's timeout. If many have
+// timed out at once it is the path to them that failed, as in a partitioned core: then all are retained, and calls find
+// out which of them are dead.
+func (m *MeshState) dropTimedOutSources(before MeshState, event Event, changed map[string]bool) {
+	var timedOut []string
 	for name, record := range before.sources {
 		if event.At-record.receivedAt > event.SourceTimeout {
-			silent = append(silent, name)
+			timedOut = append(timedOut, name)
 		}
 	}
-	heardCount := len(before.sources) - len(silent)
-	if float64(heardCount) <= minHeardRatio*float64(len(before.sources)) {
+	liveCount := len(before.sources) - len(timedOut)
+	if float64(liveCount) <= minLiveRatio*float64(len(before.sources)) {
 		return
 	}
-	for _, name := range silent {
+	for _, name := range timedOut {
 		m.droppedVersions[name] = m.sources[name].source.Version
 		delete(m.sources, name)
 		changed[name] = true
@@ -67,8 +67,8 @@
 	m.workers, m.directory = maps.Clone(before.workers), maps.Clone(before.directory)
 	var updatedSources []*schema.Source
 	changedServices := map[string]bool{}
-	// What is listed now is counted before what was: a worker that moves from one source to another keeps the time
-	// since when it is known.
+	// The new lists are counted before the old ones are taken back: so a worker that moves from one source to another
+	// is never without a count, and keeps its firstSeenAt.
 	for _, name := range changed {
 		if record, found := m.sources[name]; found {
 			updatedSources = append(updatedSources, record.source)
--- a/internal/proxy/mesh_state.go
+++ b/internal/proxy/mesh_state.go
@@ -16,7 +16,7 @@
 	Items          []*schema.Item
 	Complete       bool // Items are the complete configuration, otherwise those that changed
 	Sources        []*schema.Source
-	SourceTimeout  time.Duration // drop sources not heard from for so long while others are; 0 for not
+	SourceTimeout  time.Duration // drop sources not heard from for so long while others are; 0 to drop none
 }
 
 // sourceRecord is the newest version of a source, and when it arrived.
--- a/internal/proxy/mesh_state_fold_test.go
+++ b/internal/proxy/mesh_state_fold_test.go
@@ -31,15 +31,15 @@
 		firstSeenAt:     map[string]time.Duration{},
 	}
 	maps.Copy(after.droppedVersions, before.droppedVersions)
-	heardCount := 0
+	liveCount := 0
 	for _, record := range before.sources {
 		if event.At-record.receivedAt <= event.SourceTimeout {
-			heardCount++
+			liveCount++
 		}
 	}
-	dropsSilent := event.SourceTimeout > 0 && float64(heardCount) > minHeardRatio*float64(len(before.sources))
+	dropsTimedOut := event.SourceTimeout > 0 && float64(liveCount) > minLiveRatio*float64(len(before.sources))
 	for name, record := range before.sources {
-		if !dropsSilent || event.At-record.receivedAt <= event.SourceTimeout {
+		if !dropsTimedOut || event.At-record.receivedAt <= event.SourceTimeout {
 			after.sources[name] = record
 		} else {
 			after.droppedVersions[name] = record.source.Version
--- a/internal/proxy/peer_service.go
+++ b/internal/proxy/peer_service.go
@@ -21,8 +21,9 @@
 // proxy cancels the call or its connection ends.
 func (s *Server) Run(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	s.recordArrival()
+	inFlight := s.peerCallsInFlight.Add(1)
 	defer s.peerCallsInFlight.Add(-1)
-	switch inFlight := s.peerCallsInFlight.Add(1); {
+	switch {
 	case inFlight > s.currentOptions().Buffer:
 		return rejectedUnexecuted(request, errs.QueueFull), nil
 	case s.rejectsPeerCalls.Load():
--- a/internal/proxy/registries.go
+++ b/internal/proxy/registries.go
@@ -9,22 +9,6 @@
 	"meadowhinge/schema"
 )
 
-// wake wakes the loop that waits on signal, without waiting for it.
-func wake(signal chan struct{}) {
-	select {
-	case signal <- struct{}{}:
-	default:
-	}
-}
-
-// sleepLeaseFraction sleeps for the lease's duration divided by divisor, or until ctx ends.
-func (s *Server) sleepLeaseFraction(ctx context.Context, divisor time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(s.leaseDuration / divisor):
-	}
-}
-
 // registryClient is the RPC client of the registry at an address.
 func (s *Server) registryClient(ctx context.Context, address string) schema.DRPCRegistryClient {
 	return schema.NewDRPCRegistryClient(s.transport.Conn(ctx, address))
@@ -84,14 +68,19 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	// Names spread the proxies over the registries; the rotation moves on when a registry fails.
-	preferred := 0
-	for _, char := range s.initialOptions.Name {
-		preferred = preferred*nameHashFactor + int(char)
+	return addresses[(nameHash(s.initialOptions.Name)+s.registryRotation)%len(addresses)], s.registryRotation
+}
+
+// nameHash is the hash of a proxy's name, not negative.
+func nameHash(name string) int {
+	hash := 0
+	for _, char := range name {
+		hash = hash*nameHashFactor + int(char)
 	}
-	if preferred < 0 {
-		preferred = -preferred
+	if hash < 0 {
+		return -hash
 	}
-	return addresses[(preferred+s.registryRotation)%len(addresses)], s.registryRotation
+	return hash
 }
 
 // switchRegistry moves on to the next registry, unless another goroutine has left the one of rotation already.
@@ -108,3 +97,19 @@
 	_, rotation := s.currentRegistry()
 	s.switchRegistry(rotation)
 }
+
+// wake wakes the loop that waits on signal, without waiting for it.
+func wake(signal chan struct{}) {
+	select {
+	case signal <- struct{}{}:
+	default:
+	}
+}
+
+// sleepLeaseFraction sleeps for the lease's duration divided by divisor, or until ctx ends.
+func (s *Server) sleepLeaseFraction(ctx context.Context, divisor time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(s.leaseDuration / divisor):
+	}
+}
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -12,12 +12,12 @@
 // publishWorkers applies the workers beside this proxy to its own state and wakes the report to a registry. Package
 // dispatch calls it whenever they change.
 func (s *Server) publishWorkers() {
-	s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{s.localSource()}})
+	s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{s.newLocalSource()}})
 	wake(s.reportNow)
 }
 
-// localSource is this proxy as a source of the directory, under a new version each time.
-func (s *Server) localSource() *schema.Source {
+// newLocalSource returns this proxy as a source of the directory, under a version above that of each one returned before.
+func (s *Server) newLocalSource() *schema.Source {
 	workers := s.workers.List()
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -158,14 +158,14 @@
 	return &schema.ProxyReport{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source}
 }
 
-// refreshSource is localSource for a report. Under a lease it also drops workers and sources that are no longer heard
-// from; without one maintainSession drops the workers, and the registry tells which sources end.
+// refreshSource returns a newLocalSource for a report. Under a lease it first drops workers and sources that are no longer heard
+// from; without one maintainSession drops the workers, and the registry lists which sources have ended.
 func (s *Server) refreshSource() *schema.Source {
 	if s.servesStale() {
-		return s.localSource()
+		return s.newLocalSource()
 	}
 	s.workers.DropUnresponsive()
-	source := s.localSource()
+	source := s.newLocalSource()
 	state := s.journal.Append(Event{
 		At:            s.now(),
 		Sources:       []*schema.Source{source},
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -76,10 +76,10 @@
 
 	// lock guards the fields of this block.
 	lock sync.Mutex
-	// sourceIncarnation is the incarnation of localSource: processIncarnation until a registry lists this proxy under
+	// sourceIncarnation is the incarnation of newLocalSource: processIncarnation until a registry lists this proxy under
 	// a higher one, then above that one. 0 until establishIncarnation has set it.
 	sourceIncarnation uint64
-	sourceCounter     uint64                        // of localSource, up by one each time
+	sourceCounter     uint64                        // of newLocalSource, up by one each time
 	coreMembers       map[string]*schema.CoreMember // the registries that made themselves known, by member ID
 	coreSize          int                           // members of the core; 0 for not known yet
 	behindSince       time.Duration                 // since when some registry has a newer configuration than the one applied here; 0 for none
@@ -95,14 +95,15 @@
 	reportNow     chan struct{} // wakes reportLoop: the workers here have changed
 	configChanged chan struct{} // wakes reportLoop: the configuration has changed
 	// linkContext ends when this proxy closes its connections to registries and proxies. It is a field because
-	// the goroutines of reservation queues outlive the calls that start them.
+	// the goroutines of reservation queues outlive the calls that start them. startSessions sets it before callers'
+	// listeners open; after that it does not change.
 	linkContext context.Context
 
 	// Graceful shutdown.
 	draining         *atomic.Bool // set by Run when its context ends
-	lastCallAt       atomic.Int64 // time.Duration of the last call since draining was set
-	shutdownDeadline atomic.Int64 // time.Duration at which the process must have ended; 0 before the shutdown
-	rejectsPeerCalls atomic.Bool  // calls of other proxies are rejected
+	lastCallAt       atomic.Int64 // time, as now counts it, of the last call since draining was set; 0 for none
+	shutdownDeadline atomic.Int64 // time, as now counts it, by which the process must have ended; 0 before the shutdown
+	rejectsPeerCalls atomic.Bool  // calls of other proxies are rejected; set once the shutdown no longer accepts calls
 }
 
 // newServer makes a proxy that has no listeners and no sessions yet.
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -14,7 +14,8 @@
 type registrySession struct {
 	address string
 	cancel  context.CancelFunc
-	// candidate is set while another session is the current one: this one replaces it if it proves better.
+	// candidate is set while another session is the current one: this one replaces it if it proves better. It belongs to
+	// the goroutine of maintainSession; the session's own goroutine gets the value at the start as an argument.
 	candidate bool
 }
 
@@ -66,8 +67,8 @@
 		}
 		manager.applyActions(ctx, actions)
 		s.workers.DropUnresponsive()
-		nextTickAt := manager.promoteCandidate()
-		timer.Reset(nextTickAt - s.now())
+		manager.reportToNewCurrent()
+		timer.Reset(manager.nextTickAt() - s.now())
 	}
 }
 
@@ -105,18 +106,25 @@
 	}
 }
 
-// promoteCandidate lets a candidate that the selector has made the current session report this proxy. It returns when
-// the selector must be called next.
-func (m *sessionManager) promoteCandidate() time.Duration {
+// reportToNewCurrent wakes the report of this proxy if the selector has made a candidate the current session: a candidate
+// has not published this proxy's workers.
+func (m *sessionManager) reportToNewCurrent() {
 	s := m.server
 	s.lock.Lock()
-	nextTickAt, current := s.registrySelector.NextTick(s.now()), m.sessions[s.registrySelector.Current()]
+	current := m.sessions[s.registrySelector.Current()]
 	s.lock.Unlock()
 	if current != nil && current.candidate {
 		current.candidate = false
 		wake(s.reportNow)
 	}
-	return nextTickAt
+}
+
+// nextTickAt is when the selector must be called next if no event comes before.
+func (m *sessionManager) nextTickAt() time.Duration {
+	s := m.server
+	s.lock.Lock()
+	defer s.lock.Unlock()
+	return s.registrySelector.NextTick(s.now())
 }
 
 // recordSessionEvent records an update or the end of a session with the registry selector.
@@ -164,7 +172,7 @@
 	}
 	state := s.journal.View()
 	if !candidate {
-		request.Source = s.localSource()
+		request.Source = s.newLocalSource()
 		state = s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{request.Source}})
 	}
 	request.Vector, request.Revision = state.Vector(), state.config.Revision
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -117,6 +117,7 @@
 		schedule:  newShutdownSchedule(time.Duration(opts.Notice), time.Duration(opts.Drain)),
 	}
 	s.shutdownDeadline.Store(int64(run.startedAt + run.schedule.drainTimeout))
+	// Without callers there is nobody to give notice to.
 	if len(callerListeners) == 0 {
 		run.schedule.notice, run.schedule.workerDrainAfter, run.schedule.quietPeriod = 0, 0, 0
 	}
@@ -170,14 +171,15 @@
 	return firstErr
 }
 
-// announceShutdown tells the registry of the session that this proxy ends, so that nobody waits for it to come back.
+// announceShutdown reports to the registry of the session that this proxy ends, so that nobody waits for it to come
+// back.
 // Under a lease nothing is announced: the lease is not renewed.
 func (s *Server) announceShutdown() {
 	address, _ := s.currentRegistry()
 	if !s.servesStale() || address == "" {
 		return
 	}
-	source := s.localSource()
+	source := s.newLocalSource()
 	source.Workers, source.ShuttingDown = nil, true
 	// The context of Run has ended already: its end started the shutdown.
 	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
--- a/internal/proxy/worker_listener.go
+++ b/internal/proxy/worker_listener.go
@@ -85,7 +85,7 @@
 		return errs.Wrap(err, errs.MalformedRequest, "body")
 	}
 	if len(body) > maxBytes {
-		_, _ = io.CopyN(io.Discard, stream, int64(maxBytes)*rejectedBodyDiscardFactor) // any end of it will do
+		_, _ = io.CopyN(io.Discard, stream, int64(maxBytes)*rejectedBodyDiscardFactor) // best effort: the connection is closed next
 		return errs.New(errs.BodyTooLarge, fmt.Sprintf("more than %d bytes", maxBytes))
 	}
 	requestCtx.Request.SetBody(body)
