--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,8 +19,8 @@
 	reservedServiceTimes = 2
 )
 
-// intact reports whether a response belongs to the request and has arrived as it was sent.
-func intact(request *schema.ForwardRequest, response *schema.ForwardResponse) bool {
+// isIntact reports whether a response belongs to the request and has arrived as it was sent.
+func isIntact(request *schema.ForwardRequest, response *schema.ForwardResponse) bool {
 	return response.Request == request.Request &&
 		uint64(len(response.Body)) == response.Length &&
 		crc32.ChecksumIEEE(response.Body) == response.Checksum
@@ -119,7 +119,7 @@
 	if err == nil {
 		f.Outliers.MarkReachable(proxy)
 		// A response that belongs to another request, or has not arrived intact, is none.
-		if !intact(request, response) {
+		if !isIntact(request, response) {
 			return outcomeUnknown(errs.InvalidResponse)
 		}
 		return response
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -32,10 +32,10 @@
 type nextStep int
 
 const (
-	stepProceed nextStep = iota // the step found nothing against the candidate
-	stepNext                    // go on with the next candidate of the plan
-	stepReplan                  // the plan is outdated: make another one
-	stepDone                    // the call is over, with the response of the step
+	stepProceed       nextStep = iota // the step found nothing against the candidate
+	stepNextCandidate                 // go on with the next candidate of the plan
+	stepReplan                        // the plan is outdated: make another one
+	stepDone                          // the call is over, with the response of the step
 )
 
 // step is the result of one step: how to go on and, if the call is done, with which response. Instance is where
@@ -105,22 +105,22 @@
 }
 
 // tryEndpoints tries the candidates of the plan in order. It returns a step that is done or asks for another
-// plan, or stepNext if it has come to the end of them.
+// plan, or stepNextCandidate if it has come to the end of them.
 func (a *attemptSequence) tryEndpoints(ctx context.Context) step {
 	candidates := a.result.Plan.Candidates
 	for i := range candidates {
-		if last := a.attemptCandidate(ctx, &candidates[i]); last.next != stepNext {
+		if last := a.attemptCandidate(ctx, &candidates[i]); last.next != stepNextCandidate {
 			return last
 		}
 	}
-	return step{next: stepNext}
+	return step{next: stepNextCandidate}
 }
 
 // attemptCandidate sends the call to a candidate unless something speaks against it. The order of the checks is part
 // of the contract: the key is reserved before the checks that a wait for the registries could outdate.
 func (a *attemptSequence) attemptCandidate(ctx context.Context, candidate *plan.Endpoint) step {
 	if !a.admits(candidate) {
-		return step{next: stepNext}
+		return step{next: stepNextCandidate}
 	}
 	if a.needsReservation(candidate) {
 		response, reserved := a.reserveKey(ctx, candidate)
@@ -176,7 +176,7 @@
 	case view.Config.Revision != callPlan.Verdict.ConfigRevision || f.versionBlocked(view, callPlan):
 		return step{next: stepReplan}
 	case !isListed(view, callPlan.Service, callPlan.Verdict.Version, candidate.Instance):
-		return step{next: stepNext}
+		return step{next: stepNextCandidate}
 	}
 	return step{next: stepProceed}
 }
@@ -196,7 +196,7 @@
 	if a.progress.fullEndpoints >= maxFullEndpoints || a.progress.hasAnswer() {
 		return doneWith(a.progress.lastWithRetryAfter())
 	}
-	return step{next: stepNext}
+	return step{next: stepNextCandidate}
 }
 
 // onAnswered ends the call with a worker's answer, or goes on if the answer is a failure that may be retried.
@@ -207,7 +207,7 @@
 	}
 	a.progress.lastResponse = response
 	a.progress.exclude(candidate.Instance)
-	return step{next: stepNext}
+	return step{next: stepNextCandidate}
 }
 
 // onUnknown goes on after an attempt that may have run, which only an idempotent call does.
@@ -222,7 +222,7 @@
 	if a.result.Plan.Class == config.ClassNonIdempotent {
 		return step{next: stepDone, response: response, instance: candidate.Instance}
 	}
-	return step{next: stepNext}
+	return step{next: stepNextCandidate}
 }
 
 // onNotExecuted goes on after a refusal, which proves that nothing ran.
@@ -245,7 +245,7 @@
 	if a.progress.fullEndpoints >= maxFullEndpoints {
 		return doneWith(a.progress.lastWithRetryAfter())
 	}
-	return step{next: stepNext}
+	return step{next: stepNextCandidate}
 }
 
 // configIsBehind reports whether a proxy refused the call by a newer configuration, under which the plan is too
--- a/internal/dispatch/worker_conns_fuzz_test.go
+++ b/internal/dispatch/worker_conns_fuzz_test.go
@@ -43,7 +43,7 @@
 		if status := response.StatusCode(); err == nil && (status < 200 || status > 599) {
 			t.Fatalf("status %d was accepted", status)
 		}
-		if length := response.Header.ContentLength(); err == nil && length > 0 && !x.hasNoBody(response.StatusCode()) && len(x.body) != length {
+		if length := response.Header.ContentLength(); err == nil && length > 0 && !HasNoBody(x.forward.Method, response.StatusCode()) && len(x.body) != length {
 			t.Fatalf("%d bytes of %d were accepted as complete", len(x.body), length)
 		}
 	})
--- a/internal/dispatch/worker_exchange.go
+++ b/internal/dispatch/worker_exchange.go
@@ -51,9 +51,9 @@
 	reservedBytes int64 // acquired from bodyMemory
 }
 
-// hasNoBody reports whether a response has no body, whatever its headers say.
-func (x *exchange) hasNoBody(status int) bool {
-	return x.forward.Method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
+// HasNoBody reports whether the final response to a request has no body, whatever its headers say (RFC 9112, section 6.3).
+func HasNoBody(method string, status int) bool {
+	return method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
 // exchange sends a request and reads its response. reusable reports whether the connection can carry another request.
@@ -127,7 +127,7 @@
 	)
 	length := header.ContentLength()
 	switch {
-	case x.hasNoBody(header.StatusCode()):
+	case HasNoBody(x.forward.Method, header.StatusCode()):
 		return nil
 	case length == inChunks:
 		return x.readChunks(reader, header)
--- a/internal/plan/picker.go
+++ b/internal/plan/picker.go
@@ -72,8 +72,8 @@
 	groups        [groupCount][]int // indexes into sampled
 }
 
-// pickers are the pickers that are not in use.
-var pickers = sync.Pool{New: func() any { return &picker{} }}
+// pickerPool has the pickers that are not in use.
+var pickerPool = sync.Pool{New: func() any { return &picker{} }}
 
 // pickEndpoints picks workers for a call, in the order in which to try them: first those of this zone, unless that would
 // make the call late, with the one that is likely the fastest in front; then those without capacity, then those
@@ -87,12 +87,12 @@
 	if len(pool) == 0 {
 		return nil
 	}
-	p := pickers.Get().(*picker)
+	p := pickerPool.Get().(*picker)
 	p.pool, p.options, p.latencyTarget = pool, options, latencyTarget
 	p.local, p.now, p.random = local, now, random
 	defer func() {
 		p.pool, p.local, p.random = nil, nil, nil
-		pickers.Put(p)
+		pickerPool.Put(p)
 	}()
 	p.rate()
 	if len(p.groups[sameZone]) > 0 && len(p.groups[otherZones]) > 0 && p.shouldSpill() {
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -11,8 +11,8 @@
 	"meadowhinge/schema"
 )
 
-// notExecuted is the outcome's name of a request that was rejected before anything was sent to a worker.
-var notExecuted = dispatch.OutcomeName(schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED)
+// outcomeNotExecuted is the outcome's name of a request that was rejected before anything was sent to a worker.
+var outcomeNotExecuted = dispatch.OutcomeName(schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED)
 
 // openCallerListeners opens the entry points of all callers, addresses by caller.
 func (s *Server) openCallerListeners(callers map[string]string) ([]*callerListener, error) {
@@ -37,7 +37,7 @@
 	opened.onWritten = s.uplink.RecordWrite
 	opened.disconnects = &s.disconnects
 	opened.writeError = func(header *RequestHeader, err error, response *Response) {
-		s.writeError(header, err, notExecuted, response)
+		s.writeError(header, err, outcomeNotExecuted, response)
 	}
 	opened.handle = func(ctx context.Context, header *RequestHeader, body []byte, receivedAt time.Time, response *Response) {
 		s.serveCall(ctx, caller, header, body, receivedAt, response)
@@ -69,7 +69,7 @@
 ) {
 	call, err := s.newCall(caller, header, body)
 	if err != nil {
-		s.writeError(header, err, notExecuted, response)
+		s.writeError(header, err, outcomeNotExecuted, response)
 		return
 	}
 	s.boundCallerDeadline(call, receivedAt)
@@ -77,7 +77,7 @@
 	inFlight := s.callsInFlight.Add(1)
 	defer s.callsInFlight.Add(-1)
 	if inFlight > s.currentOptions().Buffer {
-		s.writeError(header, errs.New(errs.QueueFull, "too many calls in flight"), notExecuted, response)
+		s.writeError(header, errs.New(errs.QueueFull, "too many calls in flight"), outcomeNotExecuted, response)
 		return
 	}
 	s.writeResult(header, s.forwarder.Forward(ctx, call), response)
@@ -117,7 +117,7 @@
 // writeResult fills the response with a call's result.
 func (s *Server) writeResult(header *RequestHeader, result *dispatch.CallResult, response *Response) {
 	if result.Err != nil {
-		outcome := notExecuted
+		outcome := outcomeNotExecuted
 		if result.Response != nil {
 			outcome = dispatch.OutcomeName(result.Response.Outcome)
 		}
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -52,7 +52,9 @@
 	inputClosed  atomic.Bool // set by the watch: the caller sends nothing more on this connection
 
 	// writeLock guards responseStarted, callerDisconnected and deadlineExtended, and with them the right to
-	// write: the watch may write until the response has started, then only serve may.
+	// write: the watch may write until the response has started, then only serve may. Without the lock serve sets
+	// responseStarted back before a watch starts, and reads callerDisconnected after beginResponse, from when on it
+	// does not change.
 	writeLock          sync.Mutex
 	responseStarted    bool
 	callerDisconnected bool // the caller disconnected while its call was under way
--- a/internal/proxy/dispatch_wiring.go
+++ b/internal/proxy/dispatch_wiring.go
@@ -96,7 +96,7 @@
 			s.journal.Wait(ctx, func(state MeshState) bool { return ready(state.view) })
 		},
 		AwaitLease:        s.servingGate.Await,
-		Send:              s.forward,
+		Send:              s.sendAttempt,
 		NoAttemptTimeout:  true,
 		FreeProxyRefusals: opts.ExtraCounts == freeRejectionsMode,
 		OnConfigLag:       s.leaveLaggingRegistry,
--- a/internal/proxy/peer_service.go
+++ b/internal/proxy/peer_service.go
@@ -9,8 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// forward sends an attempt of a call to the proxy beside the worker, in process if that is this one.
-func (s *Server) forward(ctx context.Context, endpoint plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+// sendAttempt sends an attempt of a call to the proxy beside the worker, in process if that is this one.
+func (s *Server) sendAttempt(ctx context.Context, endpoint plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	if endpoint.Proxy == s.initialOptions.Name {
 		return s.runner.Run(ctx, s.localPeer, request), nil
 	}
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -25,15 +25,10 @@
 	r.headerBlock = dispatch.AppendField(r.headerBlock, name, value)
 }
 
-// hasNoBody reports whether a response has no body whatever its handler gave (RFC 9112, section 6.3).
-func hasNoBody(method string, status int) bool {
-	return method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
-}
-
 // writeResponse writes the response to the caller; closeAfter announces that the connection ends with it.
 func (c *connection) writeResponse(closeAfter bool) error {
 	body := c.response.Body
-	if hasNoBody(c.header.Method, c.response.Status) {
+	if dispatch.HasNoBody(c.header.Method, c.response.Status) {
 		body = nil
 	}
 	out := c.appendResponseHeader(c.writeBuffer[:0], len(body), closeAfter)
@@ -68,7 +63,7 @@
 	out = append(out, fasthttp.StatusMessage(response.Status)...)
 	out = append(out, "\r\n"...)
 	out = append(out, response.headerBlock...)
-	if !hasNoBody(c.header.Method, response.Status) {
+	if !dispatch.HasNoBody(c.header.Method, response.Status) {
 		out = append(out, "Content-Length: "...)
 		out = strconv.AppendInt(out, int64(bodyBytes), 10)
 		out = append(out, "\r\n"...)
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -23,9 +23,9 @@
 type shutdownStage int
 
 const (
-	accepting  shutdownStage = iota // calls are accepted as before, but each response ends its connection
-	closing                         // no call is accepted; those accepted run to their end
-	terminated                      // nothing is in flight, or the time is over
+	stageAccepting  shutdownStage = iota // calls are accepted as before, but each response ends its connection
+	stageClosing                         // no call is accepted; those accepted run to their end
+	stageTerminated                      // nothing is in flight, or the time is over
 )
 
 // shutdownSchedule says when a graceful shutdown enters its next stage. All times count from its start.
@@ -53,11 +53,11 @@
 func (s shutdownSchedule) nextStage(current shutdownStage, elapsed, lastCallAt time.Duration, inFlight int64) shutdownStage {
 	switch {
 	case elapsed >= s.drainTimeout:
-		return terminated
-	case current == closing && inFlight == 0:
-		return terminated
-	case current == accepting && (s.mustClose(elapsed) || s.isQuiet(elapsed, lastCallAt, inFlight)):
-		return closing
+		return stageTerminated
+	case current == stageClosing && inFlight == 0:
+		return stageTerminated
+	case current == stageAccepting && (s.mustClose(elapsed) || s.isQuiet(elapsed, lastCallAt, inFlight)):
+		return stageClosing
 	}
 	return current
 }
@@ -123,12 +123,12 @@
 	}
 	run.ticker = time.NewTicker(max(time.Millisecond, time.Duration(opts.Drain)/shutdownTicks))
 	defer run.ticker.Stop()
-	stage := run.awaitStageAfter(accepting)
+	stage := run.awaitStageAfter(stageAccepting)
 	s.announceShutdown()
 	s.rejectsPeerCalls.Store(true)
 	err := run.closeCallerListeners(callerListeners)
-	if stage == closing {
-		run.awaitStageAfter(closing)
+	if stage == stageClosing {
+		run.awaitStageAfter(stageClosing)
 		// The last responses may still be on their way out.
 		<-run.ticker.C
 	}
@@ -136,17 +136,12 @@
 	return err
 }
 
-// awaitStageAfter waits until the shutdown leaves a stage and returns the next one.
-//
-// Workers here are announced as draining while there is still time for other proxies to send their calls elsewhere,
-// but not before: callers are accepted all that time, and the capacity of the workers would be missed.
+// awaitStageAfter waits until the shutdown leaves a stage and returns the next one. Meanwhile it drains the workers here
+// when that is due.
 func (r *shutdownRun) awaitStageAfter(from shutdownStage) shutdownStage {
 	s := r.server
 	for {
-		if !r.workersDraining && r.schedule.drainsWorkers(s.now()-r.startedAt) {
-			r.workersDraining = true
-			s.workers.DrainAll()
-		}
+		r.drainWorkersIfDue()
 		inFlight := s.callsInFlight.Load() + s.peerCallsInFlight.Load()
 		lastCallAt := time.Duration(s.lastCallAt.Load()) - r.startedAt
 		if next := r.schedule.nextStage(from, s.now()-r.startedAt, lastCallAt, inFlight); next != from {
@@ -156,6 +151,17 @@
 	}
 }
 
+// drainWorkersIfDue announces the workers here as draining, once. It does so while there is still time for other proxies
+// to send their calls elsewhere, but not before: callers are accepted all that time, and the capacity of the workers would
+// be missed.
+func (r *shutdownRun) drainWorkersIfDue() {
+	if r.workersDraining || !r.schedule.drainsWorkers(r.server.now()-r.startedAt) {
+		return
+	}
+	r.workersDraining = true
+	r.server.workers.DrainAll()
+}
+
 // closeCallerListeners closes the entry points, one after the other, and waits for their calls until the drain time
 // is over. It returns an error if calls were cut short.
 func (r *shutdownRun) closeCallerListeners(callerListeners []*callerListener) error {
--- a/internal/proxy/shutdown_test.go
+++ b/internal/proxy/shutdown_test.go
@@ -16,17 +16,17 @@
 		inFlight int64
 		want     shutdownStage
 	}{
-		"idle, notice not over":          {accepting, 100 * ms, -10000 * ms, 0, accepting},
-		"idle, notice over":              {accepting, 2000 * ms, 500 * ms, 0, closing},
-		"notice over, a call in flight":  {accepting, 2000 * ms, 500 * ms, 1, accepting},
-		"notice over, a call just came":  {accepting, 2000 * ms, 1900 * ms, 0, accepting},
-		"quiet after the notice":         {accepting, 2300 * ms, 2000 * ms, 0, closing},
-		"calls keep coming":              {accepting, 2590 * ms, 2580 * ms, 5, accepting},
-		"calls keep coming for too long": {accepting, 2600 * ms, 2580 * ms, 5, closing},
-		"closing, a call in flight":      {closing, 3500 * ms, 2980 * ms, 1, closing},
-		"closing, calls have ended":      {closing, 3500 * ms, 2980 * ms, 0, terminated},
-		"closing, out of time":           {closing, 4000 * ms, 2980 * ms, 1, terminated},
-		"accepting, out of time":         {accepting, 4000 * ms, 3980 * ms, 1, terminated},
+		"idle, notice not over":          {stageAccepting, 100 * ms, -10000 * ms, 0, stageAccepting},
+		"idle, notice over":              {stageAccepting, 2000 * ms, 500 * ms, 0, stageClosing},
+		"notice over, a call in flight":  {stageAccepting, 2000 * ms, 500 * ms, 1, stageAccepting},
+		"notice over, a call just came":  {stageAccepting, 2000 * ms, 1900 * ms, 0, stageAccepting},
+		"quiet after the notice":         {stageAccepting, 2300 * ms, 2000 * ms, 0, stageClosing},
+		"calls keep coming":              {stageAccepting, 2590 * ms, 2580 * ms, 5, stageAccepting},
+		"calls keep coming for too long": {stageAccepting, 2600 * ms, 2580 * ms, 5, stageClosing},
+		"closing, a call in flight":      {stageClosing, 3500 * ms, 2980 * ms, 1, stageClosing},
+		"closing, calls have ended":      {stageClosing, 3500 * ms, 2980 * ms, 0, stageTerminated},
+		"closing, out of time":           {stageClosing, 4000 * ms, 2980 * ms, 1, stageTerminated},
+		"accepting, out of time":         {stageAccepting, 4000 * ms, 3980 * ms, 1, stageTerminated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := schedule.nextStage(test.from, test.at, test.last, test.inFlight); got != test.want {
@@ -43,7 +43,7 @@
 		t.Error("without callers that must notice, workers are not drained at once")
 	}
 	// A notice longer than the drain time leaves time to close.
-	if short := newShutdownSchedule(5000*ms, 4000*ms); short.nextStage(accepting, 2600*ms, 0, 0) != closing {
+	if short := newShutdownSchedule(5000*ms, 4000*ms); short.nextStage(stageAccepting, 2600*ms, 0, 0) != stageClosing {
 		t.Error("a long notice leaves no time to close")
 	}
 }
--- a/internal/proxy/worker_listener.go
+++ b/internal/proxy/worker_listener.go
@@ -70,7 +70,7 @@
 
 // rejectHeartbeat answers with an error and closes the connection.
 func rejectHeartbeat(requestCtx *fasthttp.RequestCtx, err error) {
-	daemon.WriteError(requestCtx, err, notExecuted, nil)
+	daemon.WriteError(requestCtx, err, outcomeNotExecuted, nil)
 	requestCtx.SetConnectionClose()
 }
 
