--- a/internal/dispatch/canary_guard.go
+++ b/internal/dispatch/canary_guard.go
@@ -32,11 +32,14 @@
 
 	lock       sync.Mutex // guards the fields below
 	options    CanaryOptions
-	grants     map[[2]string]canaryGrant   // by service and version
-	localStops map[[2]string]localStop     // versions of which this proxy has taken its part of the failures
-	windows    map[[2]string]*canaryWindow // what this proxy saw of versions
+	grants     map[versionKey]canaryGrant
+	localStops map[versionKey]localStop     // versions of which this proxy has taken its part of the failures
+	windows    map[versionKey]*canaryWindow // what this proxy saw of versions
 }
 
+// versionKey identifies a version of a service.
+type versionKey struct{ service, version string }
+
 // VersionGuards is what the configuration in use says of versions; config.Snapshot implements it.
 type VersionGuards interface {
 	// GuardedRevision reports whether a version is guarded, and the revision at which its guard was configured.
@@ -82,7 +85,7 @@
 
 // CanaryCall is one call under way to a service with a version in canary.
 type CanaryCall struct {
-	key       [2]string // service and version
+	key       versionKey
 	startedAt time.Duration
 	window    *canaryWindow
 }
@@ -93,9 +96,9 @@
 		fleetSize:  fleetSize,
 		guards:     guards,
 		options:    options,
-		grants:     map[[2]string]canaryGrant{},
-		localStops: map[[2]string]localStop{},
-		windows:    map[[2]string]*canaryWindow{},
+		grants:     map[versionKey]canaryGrant{},
+		localStops: map[versionKey]localStop{},
+		windows:    map[versionKey]*canaryWindow{},
 	}
 }
 
@@ -112,7 +115,7 @@
 	defer g.lock.Unlock()
 	guards := g.guards()
 	for _, granted := range grants {
-		key := [2]string{granted.Service, granted.Version}
+		key := versionKey{granted.Service, granted.Version}
 		// A grant for another guard is outdated, or belongs to a configuration that has not arrived here yet.
 		guardedRevision, guarded := guards.GuardedRevision(granted.Service, granted.Version)
 		if !guarded || guardedRevision != granted.PlanSequence {
@@ -144,19 +147,19 @@
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	guards := g.guards()
-	unguarded := func(key [2]string) bool {
-		_, guarded := guards.GuardedRevision(key[0], key[1])
+	unguarded := func(key versionKey) bool {
+		_, guarded := guards.GuardedRevision(key.service, key.version)
 		return !guarded
 	}
-	maps.DeleteFunc(g.grants, func(key [2]string, _ canaryGrant) bool { return unguarded(key) })
-	maps.DeleteFunc(g.localStops, func(key [2]string, _ localStop) bool { return unguarded(key) })
-	maps.DeleteFunc(g.windows, func(key [2]string, _ *canaryWindow) bool {
-		return unguarded(key) && guards.FallbackOf(key[0]) != key[1]
+	maps.DeleteFunc(g.grants, func(key versionKey, _ canaryGrant) bool { return unguarded(key) })
+	maps.DeleteFunc(g.localStops, func(key versionKey, _ localStop) bool { return unguarded(key) })
+	maps.DeleteFunc(g.windows, func(key versionKey, _ *canaryWindow) bool {
+		return unguarded(key) && guards.FallbackOf(key.service) != key.version
 	})
 }
 
 // window returns the window of a version. The caller holds the lock.
-func (g *CanaryGuard) window(key [2]string) *canaryWindow {
+func (g *CanaryGuard) window(key versionKey) *canaryWindow {
 	window := g.windows[key]
 	if window == nil {
 		window = &canaryWindow{inFlight: map[*CanaryCall]bool{}}
@@ -180,7 +183,7 @@
 
 // fallbackStats sums what was seen of the service's fallback version. The caller holds the lock.
 func (g *CanaryGuard) fallbackStats(service string, now time.Duration) (calls, failures float64, mean time.Duration) {
-	window := g.windows[[2]string{service, g.guards().FallbackOf(service)}]
+	window := g.windows[versionKey{service, g.guards().FallbackOf(service)}]
 	if window == nil {
 		return 0, 0, 0
 	}
@@ -195,7 +198,7 @@
 func (g *CanaryGuard) Begin(service, version string, now time.Duration) *CanaryCall {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	call := &CanaryCall{key: [2]string{service, version}, startedAt: now}
+	call := &CanaryCall{key: versionKey{service, version}, startedAt: now}
 	call.window = g.window(call.key)
 	call.window.inFlight[call] = true
 	return call
@@ -228,9 +231,9 @@
 
 // isTooSlow reports whether a call takes far longer than the fallback version's calls. The caller holds the lock.
 func (g *CanaryGuard) isTooSlow(call *CanaryCall, now time.Duration) bool {
-	calls, _, mean := g.fallbackStats(call.key[0], now)
+	calls, _, mean := g.fallbackStats(call.key.service, now)
 	slowTime := max(minSlowTime, time.Duration(g.options.SlowFactor*float64(mean)))
-	return call.key[1] != g.guards().FallbackOf(call.key[0]) && calls > 0 && now-call.startedAt > slowTime
+	return call.key.version != g.guards().FallbackOf(call.key.service) && calls > 0 && now-call.startedAt > slowTime
 }
 
 // VersionBlocked reports whether a version other than the fallback must not be used now: it has no valid grant, or
@@ -239,7 +242,7 @@
 func (g *CanaryGuard) VersionBlocked(service, version string, now time.Duration) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
-	key := [2]string{service, version}
+	key := versionKey{service, version}
 	guardedRevision, _ := g.guards().GuardedRevision(service, version)
 	if !g.hasValidGrant(key, guardedRevision, now) {
 		return true
@@ -268,7 +271,7 @@
 
 // hasValidGrant reports whether a version is granted under its present guard and not stopped. The caller holds the
 // lock.
-func (g *CanaryGuard) hasValidGrant(key [2]string, guardedRevision uint64, now time.Duration) bool {
+func (g *CanaryGuard) hasValidGrant(key versionKey, guardedRevision uint64, now time.Duration) bool {
 	grant, found := g.grants[key]
 	if !found || grant.guardedRevision != guardedRevision || grant.stopped || now >= grant.expiresAt {
 		return false
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -56,7 +56,8 @@
 	log            logr.Logger
 
 	// processIncarnation distinguishes this process from earlier ones of the same name. newServer chooses one,
-	// establishIncarnation replaces it before any session begins; after that it does not change.
+	// establishIncarnation replaces it before any session begins; after that it does not change. The instances of workers
+	// are named by the first one.
 	processIncarnation uint64
 
 	// State of the mesh and of calls; each guards itself.
