--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -19,8 +19,8 @@
 	reservedServiceTimes = 2
 )
 
-// intact reports whether a response belongs to the request and has arrived as it was sent.
-func intact(request *schema.ForwardRequest, response *schema.ForwardResponse) bool {
+// isIntact reports whether a response belongs to the request and has arrived as it was sent.
+func isIntact(request *schema.ForwardRequest, response *schema.ForwardResponse) bool {
 	return response.Request == request.Request &&
 		uint64(len(response.Body)) == response.Length &&
 		crc32.ChecksumIEEE(response.Body) == response.Checksum
@@ -81,7 +81,7 @@
 }
 
 // sendAttempt sends the call to a candidate and records what that says of its worker, proxy and version.
-func (a *forwarding) sendAttempt(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) *schema.ForwardResponse {
+func (a *attemptSequence) sendAttempt(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) *schema.ForwardResponse {
 	f, callPlan := a.forwarder, a.result.Plan
 	request := newAttemptRequest(a.call, a.result, candidate, remaining)
 	attemptCtx, cancel := f.attemptContext(ctx, callPlan, candidate, remaining)
@@ -119,7 +119,7 @@
 	if err == nil {
 		f.Outliers.MarkReachable(proxy)
 		// A response that belongs to another request, or has not arrived intact, is none.
-		if !intact(request, response) {
+		if !isIntact(request, response) {
 			return outcomeUnknown(errs.InvalidResponse)
 		}
 		return response
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -52,7 +52,9 @@
 	inputClosed  atomic.Bool // set by the watch: the caller sends nothing more on this connection
 
 	// writeLock guards responseStarted, callerDisconnected and deadlineExtended, and with them the right to
-	// write: the watch may write until the response has started, then only serve may.
+	// write: the watch may write until the response has started, then only serve may. Without the lock serve sets
+	// responseStarted back before a watch starts, and reads callerDisconnected after beginResponse, from when on it
+	// does not change.
 	writeLock          sync.Mutex
 	responseStarted    bool
 	callerDisconnected bool // the caller disconnected while its call was under way
@@ -180,7 +182,7 @@
 	if c.listener.isClosed() {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, c.conn, int64(limits.bodyBytes)*rejectedBodyDiscardFactor) // any end of it will do
+	_, _ = io.CopyN(io.Discard, c.conn, int64(limits.bodyBytes)*rejectedBodyDiscardFactor) // best effort: the connection is closed next
 }
 
 // isLocalCaller reports whether the caller is on this machine: its responses do not use the machine's uplink.
