--- a/cmd/operator/release.go
+++ b/cmd/operator/release.go
@@ -18,7 +18,7 @@
 	flags.StringVar(&plan.Version, "version", "", "the version to bring in")
 	flags.Float64Var(&plan.Target, "target", 100, "the share it should end with, in percent")
 	flags.StringVar(&plan.Duration, "over", "10m", "the time to get there")
-	flags.StringVar(&plan.Pace, "pace", "go", "go, hold, or back (turn back to the fallback version)")
+	flags.StringVar(&plan.Control, "pace", "go", "go, hold, or back (turn back to the fallback version)")
 	return newCommand(c, subcommand{
 		usage:    "release [-service S] [-version V] [-target PERCENT] [-over TIME] [-pace go|hold|back] NAME",
 		help:     "state a release plan, or change what flags give of one",
@@ -48,7 +48,7 @@
 		return &exitError{exitUsage, errs.New(errs.InvalidOptions, "release: a new plan needs -service and -version")}
 	}
 	return c.submitChange(ctx, "", fmt.Appendf(nil, "release: %q: {service: %q, version: %q, target: %v, over: %q, pace: %q}\n",
-		name, plan.Service, plan.Version, plan.Target, plan.Duration, plan.Pace))
+		name, plan.Service, plan.Version, plan.Target, plan.Duration, plan.Control))
 }
 
 // keepUnsetFields copies from the existing plan each field whose flag was not set.
@@ -58,7 +58,7 @@
 		"version": func() { plan.Version = existing.Version },
 		"target":  func() { plan.Target = existing.Target },
 		"over":    func() { plan.Duration = existing.Duration },
-		"pace":    func() { plan.Pace = existing.Pace },
+		"pace":    func() { plan.Control = existing.Control },
 	} {
 		if !setFlags[flagName] {
 			keepExisting()
@@ -101,7 +101,7 @@
 			entry.Version,
 			entry.Target,
 			entry.Duration,
-			entry.Pace,
+			entry.Control,
 			entry.State,
 			fmt.Sprintf("%.1f", entry.Percentage),
 			fmt.Sprintf("%.1f", entry.MeasuredPercentage),
--- a/internal/dispatch/key_reservation_test.go
+++ b/internal/dispatch/key_reservation_test.go
@@ -37,7 +37,7 @@
 	fixture := &keyFixture{fixtures: [2]*workerFixture{newWorkerFixture(tb), newWorkerFixture(tb)}, startedAt: time.Now()}
 	for i := range fixture.registries {
 		fixture.registries[i] = fixture.newReservationTable()
-		fixture.registries[i].MarkNeverUsed()
+		fixture.registries[i].SetNeverUsed()
 	}
 	return fixture
 }
@@ -52,7 +52,7 @@
 func (f *keyFixture) restartRegistry(i int, recovery string) {
 	table := f.newReservationTable()
 	if recovery == skipRecovery {
-		table.MarkNeverUsed()
+		table.SetNeverUsed()
 	}
 	f.lock.Lock()
 	f.registries[i] = table
@@ -91,7 +91,7 @@
 		if f.seededSingleRegistry {
 			members = 1
 		}
-		round := session.NewReservationRound(reservation, members, f.now(), session.ReservationRoundTimeout(reservationLease))
+		round := session.NewReservationAttempt(reservation, members, f.now(), session.ReservationAttemptTimeout(reservationLease))
 		for i := range 3 {
 			member := (from + i) % 3
 			yield()
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -101,7 +101,9 @@
 		t.Fatal(err)
 	}
 	address := held.Addr().String()
-	held.Close()
+	if err := held.Close(); err != nil {
+		t.Fatal(err)
+	}
 	ready := atomic.Bool{}
 	frame := &daemon.Environment{Recorder: flightrecorder.New("", "golden", 4), Draining: &atomic.Bool{}}
 	frame.AddPage("/page", func() any { return map[string]int{"own": 1} })
@@ -131,7 +133,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }() // its error says nothing once the body is read
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/proxy/dispatch_wiring.go
+++ b/internal/proxy/dispatch_wiring.go
@@ -65,7 +65,7 @@
 		Disconnects: &s.disconnects,
 		MaxOverrun:  s.leaseDuration / overrunDivisor,
 		View:        s.view,
-		HasLease:    s.servingGate.Open,
+		HasLease:    s.servingGate.IsOpen,
 		Now:         s.now,
 		ServeStale:  s.servesStale(),
 		AwaitConfig: func(ctx context.Context, revision uint64) {
@@ -85,7 +85,7 @@
 		Incarnation: s.processIncarnation,
 		Limits:      forwarderLimits(opts),
 		View:        s.view,
-		HasLease:    s.servingGate.Open,
+		HasLease:    s.servingGate.IsOpen,
 		Now:         s.now,
 		Random:      rand.Float64,
 		Outliers:    s.outliers,
@@ -95,7 +95,7 @@
 		AwaitView: func(ctx context.Context, ready func(*plan.View) bool) {
 			s.journal.Wait(ctx, func(state MeshState) bool { return ready(state.view) })
 		},
-		AwaitLease:        s.servingGate.Await,
+		AwaitLease:        s.servingGate.AwaitWithinGrace,
 		Send:              s.sendAttempt,
 		NoAttemptTimeout:  true,
 		FreeProxyRefusals: opts.ExtraCounts == freeRejectionsMode,
--- a/internal/proxy/reservations.go
+++ b/internal/proxy/reservations.go
@@ -20,12 +20,12 @@
 // reserveKey sends a reservation to every registry and returns as soon as it is granted or refused, with the
 // conflicting reservation if there is one.
 func (s *Server) reserveKey(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
-	timeout := session.ReservationRoundTimeout(s.leaseDuration)
+	timeout := session.ReservationAttemptTimeout(s.leaseDuration)
 	bounded, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	addresses := s.registryAddresses()
 	s.lock.Lock()
-	round := session.NewReservationRound(reservation, s.coreSize, s.now(), timeout)
+	round := session.NewReservationAttempt(reservation, s.coreSize, s.now(), timeout)
 	s.lock.Unlock()
 	answers := make(chan session.ReservationAnswer, len(addresses))
 	for _, address := range addresses {
@@ -103,7 +103,7 @@
 	for _, pending := range batch {
 		request.Reservations = append(request.Reservations, pending.reservation)
 	}
-	bounded, cancel := context.WithTimeout(ctx, session.ReservationRoundTimeout(s.leaseDuration))
+	bounded, cancel := context.WithTimeout(ctx, session.ReservationAttemptTimeout(s.leaseDuration))
 	reply, err := s.registryClient(bounded, address).Claim(bounded, request)
 	cancel()
 	for i, pending := range batch {
--- a/internal/proxy/retry_after.go
+++ b/internal/proxy/retry_after.go
@@ -46,7 +46,7 @@
 
 // reservationTime is the timeout of a round in which an idempotency key is reserved.
 func reservationTime(opts *schema.ProxyOptions) time.Duration {
-	return session.ReservationRoundTimeout(time.Duration(opts.Lease))
+	return session.ReservationAttemptTimeout(time.Duration(opts.Lease))
 }
 
 // typicalCallTime is the time within which nearly all calls end.
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -59,7 +59,7 @@
 	}
 	// Callers' listeners open once this proxy may decide calls: until then a refused connection sends callers
 	// to another proxy, where an accepted one would bring them an error.
-	if !s.servingGate.AwaitFirst(ctx) {
+	if !s.servingGate.AwaitOpen(ctx) {
 		environment.Draining.Store(true)
 		return s.shutDown(nil, workerServer)
 	}
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	s.log.V(1).Info("proxy started", "proxy", opts.Name, "listen", opts.Listen)
+	s.log.V(1).Info("proxy serving", "proxy", opts.Name, "listen", opts.Listen)
 	select {
 	case <-ctx.Done():
 	case err := <-serveErrors:
--- a/internal/proxy/serving_gate.go
+++ b/internal/proxy/serving_gate.go
@@ -8,12 +8,12 @@
 
 // servingGate is open while this proxy may decide calls: session.LeaseGate under a lease, configGate without one.
 type servingGate interface {
-	// Open reports whether the gate is open now.
-	Open() bool
-	// Await waits a short while, at most until ctx ends, for the gate to open, and reports whether it is open.
-	Await(ctx context.Context) bool
-	// AwaitFirst waits until the gate opens for the first time or ctx ends, and reports whether it is open.
-	AwaitFirst(ctx context.Context) bool
+	// IsOpen reports whether the gate is open now.
+	IsOpen() bool
+	// AwaitWithinGrace waits a short while, at most until ctx ends, for the gate to open, and reports whether it is open.
+	AwaitWithinGrace(ctx context.Context) bool
+	// AwaitOpen waits until the gate opens for the first time or ctx ends, and reports whether it is open.
+	AwaitOpen(ctx context.Context) bool
 }
 
 // configGate opens with the first configuration and never closes: a proxy that serves stale needs no lease, because
@@ -25,14 +25,14 @@
 // hasConfig reports whether a state has a configuration.
 func (g configGate) hasConfig(state MeshState) bool { return state.config.Revision > 0 }
 
-// Open reports whether a configuration has arrived.
-func (g configGate) Open() bool { return g.hasConfig(g.journal.View()) }
+// IsOpen reports whether a configuration has arrived.
+func (g configGate) IsOpen() bool { return g.hasConfig(g.journal.View()) }
 
-// Await does not wait: calls are not held for a first configuration.
-func (g configGate) Await(context.Context) bool { return g.Open() }
+// AwaitWithinGrace does not wait: calls are not held for a first configuration.
+func (g configGate) AwaitWithinGrace(context.Context) bool { return g.IsOpen() }
 
-// AwaitFirst waits until a configuration arrives or ctx ends.
-func (g configGate) AwaitFirst(ctx context.Context) bool {
+// AwaitOpen waits until a configuration arrives or ctx ends.
+func (g configGate) AwaitOpen(ctx context.Context) bool {
 	g.journal.Wait(ctx, g.hasConfig)
-	return g.Open()
+	return g.IsOpen()
 }
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -132,7 +132,7 @@
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	if event.update == nil {
-		s.log.V(1).Info("registry session ended", "registry", event.session.address, "error_code", errs.CodeOf(event.err))
+		s.log.V(1).Info("registry session ended", "registry", event.session.address, "code", errs.CodeOf(event.err))
 		return s.registrySelector.RecordSessionEnd(s.now(), event.session.address)
 	}
 	s.registrySelector.SetCoreMembers(event.update.CoreMembers)
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -191,6 +191,6 @@
 	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
 	defer cancel()
 	if _, err := s.registryClient(bounded, address).Tell(bounded, s.newReport(source)); err != nil {
-		s.log.V(1).Info("shutdown was not announced", "registry", address, "error_code", errs.CodeOf(err))
+		s.log.V(1).Info("shutdown was not announced", "registry", address, "code", errs.CodeOf(err))
 	}
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -20,7 +20,7 @@
 
 // readiness reports whether this proxy may decide calls.
 func (s *Server) readiness() daemon.Readiness {
-	if !s.servingGate.Open() {
+	if !s.servingGate.IsOpen() {
 		return daemon.Readiness{Reason: string(errs.NoLease)}
 	}
 	return daemon.Readiness{Ready: true}
@@ -59,7 +59,7 @@
 	return Status{
 		Name:              s.initialOptions.Name,
 		ConfigRevision:    state.config.Revision,
-		HasLease:          s.servingGate.Open(),
+		HasLease:          s.servingGate.IsOpen(),
 		LeaseMS:           (s.leaseGate.ExpiresAt() - s.now()).Milliseconds(),
 		FleetSize:         s.fleetSize.Load(),
 		Registry:          registry,
--- a/internal/registry/config_sync.go
+++ b/internal/registry/config_sync.go
@@ -76,11 +76,11 @@
 		if err == nil && !readIndex.Undecided {
 			if readIndex.Empty {
 				s.lock.Lock()
-				s.reservations.MarkNeverUsed()
+				s.reservations.SetNeverUsed()
 				s.lock.Unlock()
 			}
 			caughtUp := s.awaitCommitted(ctx, readIndex.Committed, func() {
-				s.fleetState.MarkCaughtUp()
+				s.fleetState.SetCaughtUp()
 				s.broadcastChangeLocked()
 			})
 			if caughtUp {
--- a/internal/registry/fleet_state.go
+++ b/internal/registry/fleet_state.go
@@ -76,8 +76,8 @@
 // MemberID is the core member whose registry this is.
 func (f *FleetState) MemberID() string { return f.options.MemberID }
 
-// MarkCaughtUp records that the registry holds at least the revision that was committed when it started.
-func (f *FleetState) MarkCaughtUp() { f.caughtUp = true }
+// SetCaughtUp records that the registry holds at least the revision that was committed when it started.
+func (f *FleetState) SetCaughtUp() { f.caughtUp = true }
 
 // CommittedRevision is the revision of the configuration that this registry has.
 func (f *FleetState) CommittedRevision() uint64 { return f.committedRevision }
--- a/internal/registry/fleet_state_test.go
+++ b/internal/registry/fleet_state_test.go
@@ -15,7 +15,7 @@
 			MaxSources: 4,
 			MaxCounts:  4,
 		})
-		state.MarkCaughtUp()
+		state.SetCaughtUp()
 		state.SetCommitted(0, revision)
 		states = append(states, state)
 	}
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -53,7 +53,7 @@
 	if young.RenewLease(testLease, renew).Granted {
 		t.Error("a registry that has not caught up granted a lease")
 	}
-	young.MarkCaughtUp()
+	young.SetCaughtUp()
 	if !young.RenewLease(testLease, renew).Granted {
 		t.Error("a registry that is old enough and has caught up refused a lease")
 	}
--- a/internal/registry/operator_views.go
+++ b/internal/registry/operator_views.go
@@ -188,7 +188,7 @@
 	Version            string  `json:"version"`
 	Target             float64 `json:"target"`   // the percentage at which the plan is done
 	Duration           string  `json:"over"`     // of the plan, as the operator wrote it
-	Pace               string  `json:"pace"`     // go, hold or back: the operator's control of the plan
+	Control            string  `json:"pace"`     // go, hold or back: the operator's control of the plan
 	State              string  `json:"state"`    // of the plan; empty before its first step
 	Reason             string  `json:"reason"`   // of the state
 	Percentage         float64 `json:"share"`    // that the version is given now
@@ -210,7 +210,7 @@
 			Version:            planned.Version,
 			Target:             planned.Target,
 			Duration:           planned.DurationText,
-			Pace:               planned.Control,
+			Control:            planned.Control,
 			MeasuredPercentage: versionCounts.NewPercent(),
 		}
 		if progress := snapshot.Progress[name]; progress != nil {
--- a/internal/registry/reservation_table.go
+++ b/internal/registry/reservation_table.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// MarkNeverUsed records that no configuration was ever committed, so no call was ever planned and no key reserved.
-func (r *ReservationTable) MarkNeverUsed() { r.complete = true }
+// SetNeverUsed records that no configuration was ever committed, so no call was ever planned and no key reserved.
+func (r *ReservationTable) SetNeverUsed() { r.complete = true }
 
 // IsAuthoritative tells whether this registry's replies count. After a restart it may have granted reservations that it lost:
 // it counts once it has read the reservations of all other members, or once all that it lost have expired.
@@ -90,7 +90,7 @@
 // RecoveryStartsAt is when the other registries' tables may be read. By then every reservation round has ended in which a grant
 // of this registry's earlier incarnation may still have been counted.
 func (r *ReservationTable) RecoveryStartsAt() time.Duration {
-	roundTimeout := session.ReservationRoundTimeout(r.options.Lease)
+	roundTimeout := session.ReservationAttemptTimeout(r.options.Lease)
 	return roundTimeout + roundTimeout/session.RenewalsPerLease
 }
 
--- a/internal/registry/reservation_table_test.go
+++ b/internal/registry/reservation_table_test.go
@@ -31,7 +31,7 @@
 // The results of one reservation after another at a table with room for two, and which of them count as refused.
 func TestReservationTable(t *testing.T) {
 	table := newTestReservations(2)
-	table.MarkNeverUsed()
+	table.SetNeverUsed()
 	release := reservationFor("k", "r1", 5)
 	release.Release = true
 	foreignRelease := reservationFor("k", "r9", 5)
@@ -79,7 +79,7 @@
 // once all that it lost has expired; and it then knows what they knew.
 func TestReservationsAreRecovered(t *testing.T) {
 	full := newTestReservations(3 * reservationsPerPage)
-	full.MarkNeverUsed()
+	full.SetNeverUsed()
 	for i := range reservationsPerPage + 7 {
 		full.Apply(testLease, reservationFor(fmt.Sprint(i), fmt.Sprint("r", i), 1))
 	}
@@ -106,7 +106,7 @@
 		t.Error("a member that is not authoritative was counted")
 	}
 	third := newTestReservations(8)
-	third.MarkNeverUsed()
+	third.SetNeverUsed()
 	if read("c", third); !restarted.IsAuthoritative(0) || restarted.Len() != reservationsPerPage+7 {
 		t.Errorf("authoritative is %v with %d reservations", restarted.IsAuthoritative(0), restarted.Len())
 	}
@@ -125,7 +125,7 @@
 }
 
 // A grant counts only if its reply came in time, and only the grants of a majority of members own the key.
-func TestReservationRound(t *testing.T) {
+func TestReservationAttempt(t *testing.T) {
 	granted := &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_GRANTED}
 	full := &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_FULL}
 	held := &schema.ReservationReply{
@@ -141,7 +141,7 @@
 		memberID string
 		reply    *schema.ReservationReply
 	}
-	timeout := session.ReservationRoundTimeout(testLease)
+	timeout := session.ReservationAttemptTimeout(testLease)
 	for name, test := range map[string]struct {
 		answers []answer
 		ended   bool
@@ -158,7 +158,7 @@
 		"full":                              {[]answer{{0, "a", full}, {0, "b", full}}, false, session.ReservationNoCapacity},
 	} {
 		t.Run(name, func(t *testing.T) {
-			round := session.NewReservationRound(reservationFor("k", "mine", 1), 3, 0, timeout)
+			round := session.NewReservationAttempt(reservationFor("k", "mine", 1), 3, 0, timeout)
 			for _, answer := range test.answers {
 				round.Record(answer.at, answer.memberID, answer.reply)
 			}
--- a/internal/registry/rollout_driver.go
+++ b/internal/registry/rollout_driver.go
@@ -111,10 +111,10 @@
 	d.state.setCanaryGrants(canaryGrants)
 	counts, reportingFraction := d.gatherCounts(ctx, canaryGrants)
 	steps, err := d.controller.Reconcile(d.state.now(), snapshot, state, release.FleetObservation{
-		Counts:        counts,
-		HeardFraction: reportingFraction,
-		Workers:       workers,
-		KnownFor:      d.knownFor,
+		Counts:            counts,
+		ReportingFraction: reportingFraction,
+		Workers:           workers,
+		KnownFor:          d.knownFor,
 	})
 	if err != nil {
 		d.log.Error(err, "computing rollout steps failed")
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -184,7 +184,7 @@
 			revision, _ := compiled.GuardedRevision(service, version)
 			guarded := c.guardedVersionFor(versionKey{service, version}, revision)
 			counts := GatherVersionCounts(observation.Counts, service, version, revision, compiled.FallbackOf(service))
-			c.judgeVersion(guarded, counts, observation.HeardFraction, planGivesAllCalls(compiled, service, version))
+			c.judgeVersion(guarded, counts, observation.ReportingFraction, planGivesAllCalls(compiled, service, version))
 			if guarded.stopVerdict == "" || planFor(compiled, service, version) != nil || compiled.ActiveStop(service, version) != nil {
 				continue
 			}
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -47,7 +47,7 @@
 	guarded := c.guardedVersionFor(versionKey{plan.Service, plan.Version}, plan.Revision)
 	// Guarded versions were judged before the plans advance; one that is draining is judged here.
 	if _, isGuarded := compiled.GuardedRevision(plan.Service, plan.Version); !isGuarded {
-		c.judgeVersion(guarded, counts, observation.HeardFraction, planGivesAllCalls(compiled, plan.Service, plan.Version))
+		c.judgeVersion(guarded, counts, observation.ReportingFraction, planGivesAllCalls(compiled, plan.Service, plan.Version))
 	}
 	tracked := c.trackedPlanFor(now, plan, counts)
 	tracked.recordMove(before, guarded.failureEvidence.LogOdds())
--- a/internal/release/harness_test.go
+++ b/internal/release/harness_test.go
@@ -142,10 +142,10 @@
 		source.WorkCounts = append(source.WorkCounts, work)
 	}
 	steps, err := h.controller.Reconcile(h.now, h.compiled(), h.state, FleetObservation{
-		Counts:        []*schema.SourceCounts{source},
-		HeardFraction: 1,
-		Workers:       h.workers,
-		KnownFor:      func(sequence uint64) time.Duration { return h.now - h.firstSeenAt[sequence] },
+		Counts:            []*schema.SourceCounts{source},
+		ReportingFraction: 1,
+		Workers:           h.workers,
+		KnownFor:          func(sequence uint64) time.Duration { return h.now - h.firstSeenAt[sequence] },
 	})
 	if err != nil {
 		h.t.Fatal(err)
--- a/internal/release/observation.go
+++ b/internal/release/observation.go
@@ -12,9 +12,9 @@
 	// Counts are the proxies' counts since they started. Reconcile may replace elements of the slice, and
 	// keeps them; it does not change what they point to.
 	Counts []*schema.SourceCounts
-	// HeardFraction is the fraction of the fleet, 0 to 1, whose proxies reported lately. It may exceed 1
+	// ReportingFraction is the fraction of the fleet, 0 to 1, whose proxies reported lately. It may exceed 1
 	// where a proxy reported to two registries.
-	HeardFraction float64
+	ReportingFraction float64
 	// Workers are the registered workers, by service and version.
 	Workers map[[2]string]WorkerPool
 	// KnownFor is how long this registry has known a configuration revision.
--- a/internal/session/doc.go
+++ b/internal/session/doc.go
@@ -3,7 +3,7 @@
 //   - May this proxy decide calls now? [Lease] counts the grants of the core members, [LeaseGate] lets
 //     calls wait for a renewal, and [NextIncarnation] tells successive processes of one name apart.
 //   - Which registry does this proxy subscribe to? [RegistrySelector] opens and closes sessions.
-//   - What do the registries answer together? [ReservationRound] counts the replies to a reservation of an
+//   - What do the registries answer together? [ReservationAttempt] counts the replies to a reservation of an
 //     idempotency key, [FleetSize] remembers how many proxies share a fleet-wide limit.
 //
 // The package does no I/O and starts no goroutine: times and events go in, decisions come out. The
--- a/internal/session/lease_gate.go
+++ b/internal/session/lease_gate.go
@@ -53,31 +53,31 @@
 // ExpiresAt is when the lease runs out; 0 if there was no lease yet.
 func (g *LeaseGate) ExpiresAt() time.Duration { return time.Duration(g.expiresAt.Load()) }
 
-// Open reports whether the lease is valid now.
-func (g *LeaseGate) Open() bool { return g.now() < g.ExpiresAt() }
+// IsOpen reports whether the lease is valid now.
+func (g *LeaseGate) IsOpen() bool { return g.now() < g.ExpiresAt() }
 
-// AwaitFirst waits until the lease is valid, and reports false if ctx ends before that.
-func (g *LeaseGate) AwaitFirst(ctx context.Context) bool {
+// AwaitOpen waits until the lease is valid, and reports false if ctx ends before that.
+func (g *LeaseGate) AwaitOpen(ctx context.Context) bool {
 	for {
 		// The channel is taken before the check, so a renewal between the two is not missed.
 		g.lock.Lock()
 		renewed := g.renewed
 		g.lock.Unlock()
-		if g.Open() {
+		if g.IsOpen() {
 			return true
 		}
 		select {
 		case <-renewed:
 		case <-ctx.Done():
-			return g.Open()
+			return g.IsOpen()
 		}
 	}
 }
 
-// Await waits until the lease is valid, but no longer than the grace period after its expiry. It
+// AwaitWithinGrace waits until the lease is valid, but no longer than the grace period after its expiry. It
 // reports whether the lease is valid.
-func (g *LeaseGate) Await(ctx context.Context) bool {
-	if g.Open() {
+func (g *LeaseGate) AwaitWithinGrace(ctx context.Context) bool {
+	if g.IsOpen() {
 		return true
 	}
 	remaining := g.ExpiresAt() + g.duration/renewalGraceDivisor - g.now()
@@ -86,5 +86,5 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, remaining)
 	defer cancel()
-	return g.AwaitFirst(bounded)
+	return g.AwaitOpen(bounded)
 }
--- a/internal/session/lease_gate_test.go
+++ b/internal/session/lease_gate_test.go
@@ -27,7 +27,7 @@
 				processStart := time.Now()
 				now := func() time.Duration { return time.Since(processStart) }
 				gate := NewLeaseGate(duration, now)
-				if gate.Open() || gate.Await(t.Context()) {
+				if gate.IsOpen() || gate.AwaitWithinGrace(t.Context()) {
 					t.Error("open before there was a lease")
 				}
 				grant := func(requestedAt time.Duration) {
@@ -43,7 +43,7 @@
 					}()
 				}
 				startedAt := now()
-				if got := gate.Await(t.Context()); got != test.wantOpen || now()-startedAt > test.maxWait {
+				if got := gate.AwaitWithinGrace(t.Context()); got != test.wantOpen || now()-startedAt > test.maxWait {
 					t.Errorf("open %v after %v, want %v within %v", got, now()-startedAt, test.wantOpen, test.maxWait)
 				}
 				time.Sleep(duration)
--- a/internal/session/reservation_round.go
+++ b/internal/session/reservation_attempt.go
@@ -8,20 +8,20 @@
 	"meadowhinge/schema"
 )
 
-// reservationRoundDivisor is the fraction of a lease within which a reservation round must end.
-const reservationRoundDivisor = 8
+// reservationAttemptDivisor is the fraction of a lease within which a reservation attempt must end.
+const reservationAttemptDivisor = 8
 
-// ReservationRoundTimeout is how long after its start a reservation round accepts grants. A registry
-// that restarts waits this long before it reads the reservations of the others, so no round counts
+// ReservationAttemptTimeout is how long after its start a reservation attempt accepts grants. A registry
+// that restarts waits this long before it reads the reservations of the others, so no attempt counts
 // grants from two incarnations of one registry.
-func ReservationRoundTimeout(lease time.Duration) time.Duration {
-	return lease / reservationRoundDivisor
+func ReservationAttemptTimeout(lease time.Duration) time.Duration {
+	return lease / reservationAttemptDivisor
 }
 
-// ReservationOutcome is the result of a reservation round.
+// ReservationOutcome is the result of a reservation attempt.
 type ReservationOutcome int
 
-// The outcomes of a round.
+// The outcomes of an attempt.
 const (
 	ReservationPending    ReservationOutcome = iota // replies that can still decide are outstanding
 	ReservationGranted                              // a majority reserved the key for this request
@@ -31,15 +31,15 @@
 	ReservationNoMajority                           // no majority, and no more specific cause was reported
 )
 
-// ReservationRound counts the core members' replies to one reservation of an idempotency key. A majority
-// of grants within the timeout wins the round; the round is over as soon as that is no longer possible.
+// ReservationAttempt counts the core members' replies to one reservation of an idempotency key. A majority
+// of grants within the timeout wins; the attempt is over as soon as that is no longer possible.
 //
-// A ReservationRound belongs to the goroutine of the call that started it.
-type ReservationRound struct {
+// A ReservationAttempt belongs to the goroutine of the call that started it.
+type ReservationAttempt struct {
 	reservation *schema.KeyReservation
 	startedAt   time.Duration
 	timeout     time.Duration
-	memberCount int                                 // of the core; 0 while it is unknown, and then no round can be won
+	memberCount int                                 // of the core; 0 while it is unknown, and then no attempt can succeed
 	results     map[string]schema.ReservationResult // by member id: the first result, a late grant counted as none
 	grants      int
 	rejections  int // for want of capacity
@@ -48,9 +48,9 @@
 	Conflicting *schema.KeyReservation
 }
 
-// NewReservationRound starts a round among memberCount core members.
-func NewReservationRound(reservation *schema.KeyReservation, memberCount int, startedAt, timeout time.Duration) *ReservationRound {
-	return &ReservationRound{
+// NewReservationAttempt starts an attempt among memberCount core members.
+func NewReservationAttempt(reservation *schema.KeyReservation, memberCount int, startedAt, timeout time.Duration) *ReservationAttempt {
+	return &ReservationAttempt{
 		reservation: reservation,
 		startedAt:   startedAt,
 		timeout:     timeout,
@@ -61,7 +61,7 @@
 
 // Record counts a member's reply; nil stands for a member that could not be reached. Only the first
 // reply of each member counts.
-func (r *ReservationRound) Record(now time.Duration, memberID string, response *schema.ReservationReply) {
+func (r *ReservationAttempt) Record(now time.Duration, memberID string, response *schema.ReservationReply) {
 	if _, answered := r.results[memberID]; answered {
 		return
 	}
@@ -87,10 +87,10 @@
 	Response *schema.ReservationReply
 }
 
-// AwaitOutcome records answers until the round is over, all outstanding ones came, or ctx ends. It
+// AwaitOutcome records answers until the attempt is over, all outstanding ones came, or ctx ends. It
 // returns the outcome and the conflicting reservation, if a member reported one. The function now
 // reads the clock that startedAt comes from.
-func (r *ReservationRound) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer,
+func (r *ReservationAttempt) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer,
 	now func() time.Duration) (ReservationOutcome, *schema.KeyReservation) {
 	for ; ; outstanding-- {
 		if outcome := r.Outcome(outstanding == 0); outcome != ReservationPending {
@@ -107,9 +107,9 @@
 	}
 }
 
-// Outcome is the state of the round. With complete set, no further reply will come, and the outcome is
+// Outcome is the state of the attempt. With complete set, no further reply will come, and the outcome is
 // never ReservationPending.
-func (r *ReservationRound) Outcome(complete bool) ReservationOutcome {
+func (r *ReservationAttempt) Outcome(complete bool) ReservationOutcome {
 	majority := quorumSize(r.memberCount)
 	if r.memberCount > 0 && r.grants >= majority {
 		return ReservationGranted
--- a/internal/simulator/key_reserver.go
+++ b/internal/simulator/key_reserver.go
@@ -22,11 +22,11 @@
 		if !w.awaitThaw(&node.process, processRun) {
 			return session.ReservationNoMajority, nil
 		}
-		timeout := session.ReservationRoundTimeout(leaseDuration)
+		timeout := session.ReservationAttemptTimeout(leaseDuration)
 		boundedCtx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		replies := make(chan session.ReservationAnswer, memberCount)
-		reservationRound := session.NewReservationRound(reservation, memberCount, now(), timeout)
+		reservationRound := session.NewReservationAttempt(reservation, memberCount, now(), timeout)
 		for _, registryNode := range w.registries {
 			w.requestReservation(node, registryNode, reservation, replies)
 		}
--- a/internal/simulator/mesh_scenario.go
+++ b/internal/simulator/mesh_scenario.go
@@ -93,7 +93,7 @@
 // isServing reports whether every proxy is up, may decide and admits callers.
 func (w *World) isServing() bool {
 	for _, node := range w.proxies {
-		if !node.up || (!w.Options.ServeStale && !node.leaseGate.Open()) || !node.acceptsCallers.Load() {
+		if !node.up || (!w.Options.ServeStale && !node.leaseGate.IsOpen()) || !node.acceptsCallers.Load() {
 			return false
 		}
 	}
--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -155,7 +155,7 @@
 		w.seededFault == SeededDecidesBeforeLease && hasConfig:
 		return true
 	}
-	return r.leaseGate.Open()
+	return r.leaseGate.IsOpen()
 }
 
 // fleetSize returns how many proxies the proxy believes there are.
@@ -271,7 +271,7 @@
 		return false
 	}
 	defer r.world.stagger(ctx)
-	return r.leaseGate.Await(ctx)
+	return r.leaseGate.AwaitWithinGrace(ctx)
 }
 
 // proxyNamed returns the proxy of a name, or nil.
--- a/internal/simulator/registry.go
+++ b/internal/simulator/registry.go
@@ -70,7 +70,7 @@
 		MemberCount:     memberCount,
 	})
 	if w.seededFault == SeededReservationsForgotten {
-		node.reservations.MarkNeverUsed()
+		node.reservations.SetNeverUsed()
 	}
 }
 
@@ -101,7 +101,7 @@
 			return
 		}
 		if w.seededFault == SeededYoungRegistryGrants {
-			node.table.MarkCaughtUp()
+			node.table.SetCaughtUp()
 			return
 		}
 		ticket := fmt.Sprint("stand-", w.nextID())
@@ -111,11 +111,11 @@
 			}
 			readIndexKnown = true
 			if reply.Empty {
-				node.reservations.MarkNeverUsed()
+				node.reservations.SetNeverUsed()
 			}
 			w.scheduleEvery(&node.process, pollInterval, func() {
 				if node.table.CommittedRevision() >= reply.Committed {
-					node.table.MarkCaughtUp()
+					node.table.SetCaughtUp()
 				}
 			})
 		}
--- a/internal/simulator/rollout_control.go
+++ b/internal/simulator/rollout_control.go
@@ -129,9 +129,9 @@
 		reporting += int(reply.Reporting)
 	}
 	return release.FleetObservation{
-		Counts:        registry.MergeCounts(replies),
-		HeardFraction: float64(reporting) / float64(len(w.proxies)),
-		Workers:       workers,
-		KnownFor:      func(sequence uint64) time.Duration { return node.table.KnownFor(w.uptime(node), sequence) },
+		Counts:            registry.MergeCounts(replies),
+		ReportingFraction: float64(reporting) / float64(len(w.proxies)),
+		Workers:           workers,
+		KnownFor:          func(sequence uint64) time.Duration { return node.table.KnownFor(w.uptime(node), sequence) },
 	}
 }
--- a/internal/store/bootstrap.go
+++ b/internal/store/bootstrap.go
@@ -14,14 +14,14 @@
 // requestState begins a round of StateRequests. Only answers to the latest round count, so that all of them are of
 // about the same time.
 func (r *Replica) requestState() {
-	if r.stateRequestRound != 0 && r.now-r.stateRequestedAt < r.config.HeartbeatTimeout/heartbeatsPerTimeout {
+	if r.stateRequestID != 0 && r.now-r.stateRequestedAt < r.config.HeartbeatTimeout/heartbeatsPerTimeout {
 		return
 	}
-	r.stateRequestRound++
+	r.stateRequestID++
 	r.stateRequestedAt = r.now
 	for _, name := range r.config.StaticMembers {
 		if name != r.config.Name {
-			r.send(name, stateRequestMessage(&schema.StateRequest{Round: r.stateRequestRound}))
+			r.send(name, stateRequestMessage(&schema.StateRequest{Round: r.stateRequestID}))
 		}
 	}
 	r.bootstrapIfAllEmpty()
@@ -38,7 +38,7 @@
 
 // onStateReply counts a replica that is empty too, or finds that a core exists.
 func (r *Replica) onStateReply(from string, incarnation uint64, reply *schema.StateReply) {
-	if r.joinsExisting || r.membership.EffectiveFrom != nil || reply.Round != r.stateRequestRound {
+	if r.joinsExisting || r.membership.EffectiveFrom != nil || reply.Round != r.stateRequestID {
 		return
 	}
 	if reply.VotedTerm > 0 || reply.Snapshot.Term > 0 || reply.Snapshot.Sequence > 0 {
@@ -61,7 +61,7 @@
 			continue
 		}
 		peer := r.outsiders[name]
-		if peer == nil || peer.stateReply == nil || peer.stateReply.Round != r.stateRequestRound {
+		if peer == nil || peer.stateReply == nil || peer.stateReply.Round != r.stateRequestID {
 			return
 		}
 	}
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -36,8 +36,8 @@
 	snapshotSentAt   time.Duration // when the last complete snapshot was sent to it
 
 	// Votes and reads.
-	vote           *schema.Vote // its vote for this replica's current campaign
-	confirmedRound uint64       // the highest read-index round that it confirmed
+	vote                 *schema.Vote // its vote for this replica's current campaign
+	confirmedReadIndexID uint64       // the highest read-index id that it confirmed
 
 	// A replica that is no member.
 	stateReply        *schema.StateReply // its answer to the last StateRequest, at bootstrap
@@ -52,7 +52,7 @@
 	p.term = 0
 	p.acked = 0
 	p.sent = 0
-	p.confirmedRound = 0
+	p.confirmedReadIndexID = 0
 }
 
 // recentlyHeard reports whether a peer counts as alive.
--- a/internal/store/read_index.go
+++ b/internal/store/read_index.go
@@ -11,10 +11,10 @@
 // sequence sees everything that was acknowledged before the read began. A leader has committed in its own term
 // (advanceCommit), so its committed sequence is not behind what an earlier leader acknowledged.
 
-// pendingRead is a read at the leader that waits for a majority to confirm a round.
+// pendingRead is a read at the leader that waits for a majority to confirm its id.
 type pendingRead struct {
 	requester
-	round uint64
+	id uint64
 }
 
 // ReadIndex asks for a committed sequence at least as high as that of any change acknowledged so far. A
@@ -33,7 +33,7 @@
 	return r.actions
 }
 
-// readIndexAsLeader handles a read of this process or a forwarded one: it begins a round of confirmations, or answers
+// readIndexAsLeader handles a read of this process or a forwarded one: it requests confirmations under a new id, or answers
 // undecided where this replica does not lead.
 func (r *Replica) readIndexAsLeader(from requester) {
 	if r.role != roleLeader {
@@ -44,18 +44,18 @@
 		r.answerRead(from, &schema.ReadIndexReply{Ticket: from.ticket, Committed: r.committedSequence})
 		return
 	}
-	r.readIndexRound++
-	r.pendingReads = append(r.pendingReads, pendingRead{from, r.readIndexRound})
+	r.readIndexID++
+	r.pendingReads = append(r.pendingReads, pendingRead{from, r.readIndexID})
 	r.sendConfirm()
 	// A leader without other members is a majority by itself, and no confirmation will come.
 	r.resolveReads()
 }
 
 // sendConfirm asks the other members to confirm that this replica still leads. A confirmation of the latest
-// round confirms all rounds before it.
+// id confirms all ids before it.
 func (r *Replica) sendConfirm() {
 	for _, name := range r.otherMembers {
-		r.send(name, confirmLeadershipMessage(&schema.ConfirmLeadership{Term: r.term, Round: r.readIndexRound}))
+		r.send(name, confirmLeadershipMessage(&schema.ConfirmLeadership{Term: r.term, Round: r.readIndexID}))
 	}
 }
 
@@ -73,18 +73,18 @@
 	if r.role != roleLeader || reply.Term != r.term || reply.Refused {
 		return
 	}
-	peer.confirmedRound = max(peer.confirmedRound, reply.Round)
+	peer.confirmedReadIndexID = max(peer.confirmedReadIndexID, reply.Round)
 	r.resolveReads()
 }
 
-// resolveReads answers the reads whose round a majority has confirmed. The committed sequence is that of
+// resolveReads answers the reads whose id a majority has confirmed. The committed sequence is that of
 // now, which is at least the one at the time of the read.
 func (r *Replica) resolveReads() {
 	var remaining []pendingRead
 	for _, read := range r.pendingReads {
 		confirmed := 1
 		for _, name := range r.otherMembers {
-			if r.peers[name].confirmedRound >= read.round {
+			if r.peers[name].confirmedReadIndexID >= read.id {
 				confirmed++
 			}
 		}
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -75,15 +75,15 @@
 	lastUrgentState string // urgentState as of the last heartbeats
 
 	// Bootstrap and joining.
-	stateRequestRound uint64 // numbers the rounds of StateRequests at bootstrap
-	stateRequestedAt  time.Duration
-	joinsExisting     bool // a StateReply showed that a core exists already
-	joinRequestedAt   time.Duration
+	stateRequestID   uint64 // numbers the rounds of StateRequests at bootstrap
+	stateRequestedAt time.Duration
+	joinsExisting    bool // a StateReply showed that a core exists already
+	joinRequestedAt  time.Duration
 
 	// Requests. Tickets are drawn by the owner.
 	pendingProposals  map[string][]requester      // at the leader, by change id
 	pendingReads      []pendingRead               // at the leader
-	readIndexRound    uint64                      // numbers the confirmations of leadership
+	readIndexID       uint64                      // numbers the confirmations of leadership
 	forwardedRequests map[string]forwardedRequest // at a follower, by ticket
 
 	// At the leader.
