--- a/cmd/golden_test.go
+++ b/cmd/golden_test.go
@@ -6,6 +6,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"meadowhinge/internal/goldenfile"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -188,7 +189,7 @@
 		lines = append(lines, fmt.Sprintf("%s: %s: %d", labelOf(testCase.program), testCase.name, exit.code))
 	}
 	slices.Sort(lines)
-	compareGolden(t, "exit-codes.txt", strings.Join(lines, "\n")+"\n")
+	goldenfile.Compare(t, "exit-codes.txt", strings.Join(lines, "\n")+"\n")
 }
 
 // emulator is the program that brings up fleets. It may be given another name; the golden lists go by
@@ -245,7 +246,7 @@
 		exit := runProgram(t, nil, commandLine[0], "", append(commandLine[1:], "-help")...)
 		fmt.Fprintf(&listed, "== %s -help\n%s", strings.Join(append([]string{labelOf(commandLine[0])}, commandLine[1:]...), " "), outlineOf(exit.out+exit.errors))
 	}
-	compareGolden(t, "help.txt", listed.String())
+	goldenfile.Compare(t, "help.txt", listed.String())
 }
 
 // TestPagesServedGolden starts each of the three programs by itself and holds which paths it serves.
@@ -284,7 +285,7 @@
 			}
 		}
 	}
-	compareGolden(t, "pages.txt", listed.String())
+	goldenfile.Compare(t, "pages.txt", listed.String())
 }
 
 // awaitListener waits until an address takes connections.
@@ -323,28 +324,3 @@
 	}
 	return "served"
 }
-
-// compareGolden compares text with a golden file, and tells the lines that only one of them has.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", "golden", name)
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == got {
-		return
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for _, line := range gotLines {
-		if !slices.Contains(wantLines, line) {
-			t.Errorf("%s has not: %s", file, line)
-		}
-	}
-	for _, line := range wantLines {
-		if !slices.Contains(gotLines, line) {
-			t.Errorf("%s has, and it is gone: %s", file, line)
-		}
-	}
-	t.Errorf("%s differs", file)
-}
--- a/internal/errs/golden_test.go
+++ b/internal/errs/golden_test.go
@@ -2,12 +2,11 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"meadowhinge/internal/errs"
+	"meadowhinge/internal/goldenfile"
 )
 
 // TestCodesGolden compares every code and its HTTP status with the golden list. Callers and operators decide
@@ -18,11 +17,5 @@
 		fmt.Fprintf(&listed, "%s %d\n", code, errs.HTTPStatus(code))
 	}
 	fmt.Fprintf(&listed, "(any other) %d\n", errs.HTTPStatus("NO_SUCH_KIND"))
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", "kinds.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if listed.String() != string(want) {
-		t.Errorf("got\n%s\nwant\n%s", listed.String(), want)
-	}
+	goldenfile.Compare(t, "kinds.txt", listed.String())
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -8,8 +8,6 @@
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"reflect"
 	"slices"
 	"strings"
@@ -23,6 +21,7 @@
 	"meadowhinge/internal/errs"
 	"meadowhinge/internal/flag"
 	"meadowhinge/internal/flightrecorder"
+	"meadowhinge/internal/goldenfile"
 	"meadowhinge/internal/plan"
 	"meadowhinge/internal/proxy"
 	"meadowhinge/internal/registry"
@@ -67,7 +66,7 @@
 		"item-segment":            flag.Segment{},
 	} {
 		t.Run(name, func(t *testing.T) {
-			compareGolden(t, name+".txt", strings.Join(keysOf(t, page), "\n")+"\n")
+			goldenfile.Compare(t, name+".txt", strings.Join(keysOf(t, page), "\n")+"\n")
 		})
 	}
 }
@@ -90,7 +89,7 @@
 	}
 	section("headers", dispatch.HeaderRequest, dispatch.HeaderDeadline, dispatch.HeaderOutcome, dispatch.HeaderVersion, dispatch.HeaderReason, dispatch.HeaderConfigRevision,
 		dispatch.HeaderAttempts, dispatch.HeaderCaller, dispatch.HeaderToken, dispatch.HeaderRefused)
-	compareGolden(t, "words.txt", listed.String())
+	goldenfile.Compare(t, "words.txt", listed.String())
 }
 
 // TestProbeGolden asks the probe listener itself, so that paths, statuses and the keys of pages without
@@ -122,7 +121,7 @@
 	ask("ready", "/ready", "/elsewhere")
 	frame.Draining.Store(true)
 	ask("draining", "/ready", "/elsewhere", "/live")
-	compareGolden(t, "probe.txt", listed.String())
+	goldenfile.Compare(t, "probe.txt", listed.String())
 }
 
 // asked gives a page's status, form and keys; of readiness also what it says.
@@ -165,7 +164,7 @@
 		}
 		fmt.Fprintf(&listed, "%d %s\n", status, text)
 	}
-	compareGolden(t, "refusals.txt", listed.String())
+	goldenfile.Compare(t, "refusals.txt", listed.String())
 }
 
 func textsOf[T ~string](words []T) []string {
@@ -277,28 +276,3 @@
 	slices.Sort(paths)
 	return paths
 }
-
-// compareGolden compares text with a golden file, and tells the lines that only one of them has.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", "golden", name)
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == got {
-		return
-	}
-	had, wanted := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for _, line := range had {
-		if !slices.Contains(wanted, line) {
-			t.Errorf("%s has not: %s", file, line)
-		}
-	}
-	for _, line := range wanted {
-		if !slices.Contains(had, line) {
-			t.Errorf("%s has, and it is gone: %s", file, line)
-		}
-	}
-	t.Errorf("%s differs", file)
-}
--- a/internal/options/golden_test.go
+++ b/internal/options/golden_test.go
@@ -5,14 +5,13 @@
 	"errors"
 	"flag"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/reflect/protoreflect"
 
+	"meadowhinge/internal/goldenfile"
 	"meadowhinge/internal/options"
 	"meadowhinge/schema"
 )
@@ -42,7 +41,7 @@
 			if err := options.Parse(program, []string{"-help"}, target, &help); !errors.Is(err, flag.ErrHelp) {
 				t.Fatalf("-help gave %v", err)
 			}
-			compareGolden(t, strings.ReplaceAll(program, " ", "-")+".txt", listed.String()+"\n"+flagsIn(help.String()))
+			goldenfile.Compare(t, strings.ReplaceAll(program, " ", "-")+".txt", listed.String()+"\n"+flagsIn(help.String()))
 		})
 	}
 }
@@ -93,29 +92,3 @@
 	}
 	return line + "\n"
 }
-
-// compareGolden compares text with a golden file and names the lines that differ.
-func compareGolden(t *testing.T, name, got string) {
-	t.Helper()
-	file := filepath.Join("testdata", "golden", name)
-	want, err := os.ReadFile(file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if string(want) == got {
-		return
-	}
-	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(got, "\n")
-	for i := range max(len(wantLines), len(gotLines)) {
-		var wantLine, gotLine string
-		if i < len(wantLines) {
-			wantLine = wantLines[i]
-		}
-		if i < len(gotLines) {
-			gotLine = gotLines[i]
-		}
-		if wantLine != gotLine {
-			t.Fatalf("%s line %d:\n got %q\nwant %q", file, i+1, gotLine, wantLine)
-		}
-	}
-}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -2,11 +2,10 @@
 
 import (
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
+	"meadowhinge/internal/goldenfile"
 	"meadowhinge/schema"
 )
 
@@ -19,11 +18,5 @@
 		status, answer := newChangeResponse("id", &schema.ChangeOutcome{Ruling: schema.Ruling(values.Get(i).Number())})
 		fmt.Fprintf(&listed, "%d: word=%q status=%d defect=%q\n", values.Get(i).Number(), answer.Ruling, status, answer.ErrorCode)
 	}
-	want, err := os.ReadFile(filepath.Join("testdata", "golden", "rulings.txt"))
-	if err != nil {
-		t.Fatal(err)
-	}
-	if listed.String() != string(want) {
-		t.Errorf("got\n%s\nwant\n%s", listed.String(), want)
-	}
+	goldenfile.Compare(t, "rulings.txt", listed.String())
 }
