--- a/internal/testbed/hollow_members.go
+++ b/internal/testbed/hollow_members.go
@@ -273,11 +273,18 @@
 func (f *hollowFleet) traffic() transport.Traffic {
 	var sum transport.Traffic
 	for _, m := range f.members {
-		sum = sumTraffic(sum, sumTraffic(m.priorTraffic, m.current().Traffic()))
+		sum = sumTraffic(sum, sumTraffic(m.endedTraffic(), m.current().Traffic()))
 	}
 	return sum
 }
 
+// endedTraffic is the traffic of the incarnations that have ended.
+func (m *hollowMember) endedTraffic() transport.Traffic {
+	m.lock.Lock()
+	defer m.lock.Unlock()
+	return m.priorTraffic
+}
+
 func sumTraffic(a, b transport.Traffic) transport.Traffic {
 	return transport.Traffic{In: a.In + b.In, Out: a.Out + b.Out, Opened: a.Opened + b.Opened}
 }
