--- a/internal/proxy/mesh_directory.go
+++ b/internal/proxy/mesh_directory.go
@@ -10,19 +10,20 @@
 	"meadowhinge/schema"
 )
 
-// minLiveRatio: sources are dropped only while more than this part of all sources is still heard from.
+// minLiveRatio is the fraction of all sources that must be exceeded by the live ones before timed-out sources are
+// dropped.
 const minLiveRatio = 0.8
 
-// applySources applies an event's sources. Only what they change is computed again: in a large mesh every change of
-// one proxy's workers reaches all others.
+// applySources applies the sources of an event. It recomputes only the affected services, because in a large mesh each
+// change of one proxy's workers reaches every other proxy.
 func (m *MeshState) applySources(before MeshState, event Event) {
 	m.sources, m.droppedVersions = maps.Clone(before.sources), maps.Clone(before.droppedVersions)
-	changed := map[string]bool{} // names of the sources that are new, changed or dropped
+	changed := map[string]bool{} // names of new, changed and dropped sources
 	if event.SourceTimeout > 0 {
 		m.dropTimedOutSources(before, event, changed)
 	}
 	for _, source := range event.Sources {
-		// Of such a source only the incarnation is known, not its workers.
+		// Such an entry carries only the incarnation of the source, not its workers.
 		if source.IncarnationOnly {
 			continue
 		}
@@ -41,9 +42,9 @@
 	}
 }
 
-// dropTimedOutSources drops the sources that have not been heard from for the event's timeout. If many have
-// timed out at once it is the path to them that failed, as in a partitioned core: then all are retained, and calls find
-// out which of them are dead.
+// dropTimedOutSources drops the sources that sent no update for longer than the event's timeout. If many time out at
+// once, the likely cause is a failed path to them, as in a partitioned core. In that case all are retained, and outlier
+// detection finds the dead ones as calls fail.
 func (m *MeshState) dropTimedOutSources(before MeshState, event Event, changed map[string]bool) {
 	var timedOut []string
 	for name, record := range before.sources {
@@ -62,13 +63,13 @@
 	}
 }
 
-// updateDirectory brings workers and directory up to the changed sources, whose names are sorted.
+// updateDirectory updates workers and directory from the changed sources, whose names are sorted.
 func (m *MeshState) updateDirectory(before MeshState, now time.Duration, changed []string) {
 	m.workers, m.directory = maps.Clone(before.workers), maps.Clone(before.directory)
 	var updatedSources []*schema.Source
 	changedServices := map[string]bool{}
-	// The new lists are counted before the old ones are taken back: so a worker that moves from one source to another
-	// is never without a count, and keeps its firstSeenAt.
+	// New lists are counted before old ones are subtracted. The count of a worker that moves from one source to another
+	// therefore never reaches zero, and the worker keeps its firstSeenAt.
 	for _, name := range changed {
 		if record, found := m.sources[name]; found {
 			updatedSources = append(updatedSources, record.source)
@@ -90,7 +91,8 @@
 	}
 }
 
-// countListed counts the workers that a source lists now, and collects their services.
+// countListed adds one to the source count of each worker that source lists, and adds their services to
+// changedServices.
 func (m *MeshState) countListed(source *schema.Source, now time.Duration, changedServices map[string]bool) {
 	for _, worker := range source.Workers {
 		changedServices[worker.Service] = true
@@ -103,8 +105,8 @@
 	}
 }
 
-// uncountListed takes back the counts of the workers that a source listed before, and collects their services. A
-// worker that no source lists any more is removed.
+// uncountListed reverses countListed for a replaced or dropped version of a source. A worker that no source lists any
+// more is removed.
 func (m *MeshState) uncountListed(source *schema.Source, changedServices map[string]bool) {
 	for _, worker := range source.Workers {
 		changedServices[worker.Service] = true
@@ -117,8 +119,8 @@
 	}
 }
 
-// rebuildPools makes a service's pools, by version, of the endpoints that did not change and those that are added. A
-// pool is sorted by the endpoints' proxies.
+// rebuildPools rebuilds the endpoint pools of a service, one pool for each version. It keeps the endpoints of unchanged
+// sources and merges the added ones. Each pool is sorted by proxy name.
 func (m *MeshState) rebuildPools(service string, previous, added map[string][]plan.Endpoint, changed []string) {
 	pools := map[string][]plan.Endpoint{}
 	for version, pool := range previous {
@@ -139,7 +141,8 @@
 	m.directory[service] = pools
 }
 
-// isNewer reports whether version a of a source replaces version b. A nil version is older than any other.
+// isNewer reports whether version a of a source supersedes version b. Incarnations are compared first, then counters;
+// with both equal, an ended version supersedes one that has not ended. A nil version is older than any other.
 func isNewer(a, b *schema.SourceVersion) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
--- a/internal/proxy/mesh_state_fold_test.go
+++ b/internal/proxy/mesh_state_fold_test.go
@@ -15,7 +15,7 @@
 	"meadowhinge/schema"
 )
 
-// fullState is the state of foldFromScratch.
+// fullState is the state of foldFromScratch, the reference implementation of Fold for sources.
 type fullState struct {
 	sources         map[string]sourceRecord
 	droppedVersions map[string]*schema.SourceVersion
@@ -23,7 +23,7 @@
 	directory       plan.Directory
 }
 
-// foldFromScratch computes everything from all sources with each event.
+// foldFromScratch returns the state after an event, recomputed from all sources.
 func foldFromScratch(before fullState, event Event) fullState {
 	after := fullState{
 		sources:         map[string]sourceRecord{},
@@ -73,17 +73,17 @@
 	return after
 }
 
-// randomEvent makes an event of a few sources, some of them older than the ones before.
-func randomEvent(random *rand.Rand, turn int) Event {
-	event := Event{At: time.Duration(turn) * time.Second}
+// randomEvent returns the event number step with a few sources, some of them older than earlier ones.
+func randomEvent(random *rand.Rand, step int) Event {
+	event := Event{At: time.Duration(step) * time.Second}
 	for range random.IntN(4) {
 		source := &schema.Source{
 			Name:            fmt.Sprint("p", random.IntN(12)),
 			Address:         "127.0.0.1:1",
-			Version:         &schema.SourceVersion{Incarnation: uint64(1 + turn/1000), Counter: uint64(turn - random.IntN(3))},
+			Version:         &schema.SourceVersion{Incarnation: uint64(1 + step/1000), Counter: uint64(step - random.IntN(3))},
 			IncarnationOnly: random.IntN(20) == 0,
 		}
-		// Few instances, so that they move from one source to another and are listed twice.
+		// There are few instances, so that some move from one source to another and some are listed twice.
 		for range random.IntN(4) {
 			source.Workers = append(source.Workers, &schema.Worker{
 				Instance: fmt.Sprint("w", random.IntN(20)),
@@ -101,42 +101,42 @@
 	return event
 }
 
-// Fold, which computes only what an event changes, gives what computing everything gives, and leaves the state before
-// the event as it was.
+// Fold, which is incremental, returns the same state as a full recomputation and does not modify the state before the
+// event.
 func TestIncrementalFoldEqualsFullFold(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	incremental, full := EmptyMeshState(), fullState{}
-	for turn := range 3000 {
-		event := randomEvent(random, turn)
-		before, directory := incremental, plan.DirectoryOf(nil, nil, nil)
+	for step := range 3000 {
+		event := randomEvent(random, step)
+		before, directoryBefore := incremental, plan.DirectoryOf(nil, nil, nil)
 		for service, pools := range incremental.directory {
-			directory[service] = map[string][]plan.Endpoint{}
+			directoryBefore[service] = map[string][]plan.Endpoint{}
 			for version, pool := range pools {
-				directory[service][version] = append([]plan.Endpoint(nil), pool...)
+				directoryBefore[service][version] = append([]plan.Endpoint(nil), pool...)
 			}
 		}
 		incremental, full = Fold(incremental, event), foldFromScratch(full, event)
-		first := map[string]time.Duration{}
+		firstSeenAt := map[string]time.Duration{}
 		for instance, entry := range incremental.workers {
-			first[instance] = entry.firstSeenAt
+			firstSeenAt[instance] = entry.firstSeenAt
 		}
-		for what, differs := range map[string]string{
+		for subject, diff := range map[string]string{
 			"directory":        cmp.Diff(full.directory, incremental.view.Directory),
-			"workers":          cmp.Diff(full.firstSeenAt, first),
-			"the state before": cmp.Diff(directory, before.directory),
+			"workers":          cmp.Diff(full.firstSeenAt, firstSeenAt),
+			"directory before": cmp.Diff(directoryBefore, before.directory),
 		} {
-			if differs != "" {
-				t.Fatalf("turn %d: %s: %s", turn, what, differs)
+			if diff != "" {
+				t.Fatalf("event %d: %s differs (-want +got):\n%s", step, subject, diff)
 			}
 		}
 		if len(full.sources) != len(incremental.sources) || len(full.droppedVersions) != len(incremental.droppedVersions) {
-			t.Fatalf("turn %d: %d sources of %d, %d dropped of %d", turn,
+			t.Fatalf("event %d: %d sources, want %d; %d dropped sources, want %d", step,
 				len(incremental.sources), len(full.sources), len(incremental.droppedVersions), len(full.droppedVersions))
 		}
 	}
 }
 
-// BenchmarkFold measures the fold of one changed source into a mesh of so many proxies.
+// BenchmarkFold measures Fold of one changed source into a mesh of the given number of proxies.
 func BenchmarkFold(b *testing.B) {
 	for _, size := range []int{15, 200, 820} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/proxy/mesh_state_test.go
+++ b/internal/proxy/mesh_state_test.go
@@ -8,7 +8,7 @@
 	"meadowhinge/schema"
 )
 
-// newSource is a version of a source that lists workers of the service "shop".
+// newSource returns a version of a source that lists workers of the service "shop".
 func newSource(name string, counter uint64, workers ...string) *schema.Source {
 	version := &schema.SourceVersion{Incarnation: 1, Counter: counter}
 	source := &schema.Source{Name: name, Address: "127.0.0.1:1", Version: version}
@@ -18,14 +18,14 @@
 	return source
 }
 
-// newSegment is a configuration item of a kind that refers to no other.
+// newSegment returns a configuration item of a kind that refers to no other item.
 func newSegment(name string, sequence uint64) *schema.Item {
 	version := &schema.Version{Term: 1, Sequence: sequence}
 	return &schema.Item{Kind: "segment", Name: name, Body: []byte(`{"salt":""}`), Version: version}
 }
 
-// An older configuration or version of a source changes nothing, whoever sends it.
-func TestStateNeverGoesBack(t *testing.T) {
+// Fold ignores an older configuration and an older version of a source, and does not modify earlier states.
+func TestFoldIgnoresOlderVersions(t *testing.T) {
 	initial := Fold(EmptyMeshState(), Event{
 		ConfigRevision: 5,
 		Items:          []*schema.Item{newSegment("a", 5)},
@@ -37,38 +37,40 @@
 		Sources:        []*schema.Source{newSource("p", 2)},
 	})
 	if after.config.Revision != 5 || after.items["segment/b"] != nil || len(after.view.Directory["shop"]["1"]) != 1 {
-		t.Errorf("fell back to %d, %v", after.config.Revision, after.view.Directory)
+		t.Errorf("state after older versions: revision %d, items %v, directory %v; want revision 5 without segment/b and one worker",
+			after.config.Revision, after.items, after.view.Directory)
 	}
-	// A later event does not change the state before it.
+	// A later event does not modify the state before it.
 	later := Fold(initial, Event{ConfigRevision: 6, Items: []*schema.Item{newSegment("b", 6)}})
 	if initial.items["segment/b"] != nil || later.items["segment/b"] == nil || later.items["segment/a"] == nil {
-		t.Error("a state changed after it was made")
+		t.Errorf("items of the state before the event: %v, want only segment/a; after it: %v, want segment/a and segment/b",
+			initial.items, later.items)
 	}
 }
 
-// A source that is not heard from is dropped while the others are, and retained if many are not heard from.
-func TestSilentSourcesAreDropped(t *testing.T) {
+// A timed-out source is dropped while more than minLiveRatio of the sources are live, and retained otherwise.
+func TestTimedOutSourcesAreDropped(t *testing.T) {
 	var all []*schema.Source
 	for i := range 10 {
 		all = append(all, newSource(fmt.Sprint("p", i), 1, fmt.Sprint("w", i)))
 	}
 	initial := Fold(EmptyMeshState(), Event{Sources: all})
-	for heard, want := range map[int]int{10: 10, 9: 9, 8: 10, 5: 10, 1: 10} {
-		t.Run(fmt.Sprint(heard, " of 10 heard"), func(t *testing.T) {
+	for live, want := range map[int]int{10: 10, 9: 9, 8: 10, 5: 10, 1: 10} {
+		t.Run(fmt.Sprint(live, " of 10 live"), func(t *testing.T) {
 			var updates []*schema.Source
-			for i := range heard {
+			for i := range live {
 				updates = append(updates, newSource(fmt.Sprint("p", i), 2, fmt.Sprint("w", i)))
 			}
 			later := Fold(initial, Event{At: 10 * time.Second, Sources: updates})
 			later = Fold(later, Event{At: 10 * time.Second, SourceTimeout: time.Second})
 			if got := len(later.view.Directory["shop"]["1"]); got != want {
-				t.Errorf("%d workers left, want %d", got, want)
+				t.Errorf("workers in the directory after the timeout: %d, want %d", got, want)
 			}
 		})
 	}
 }
 
-// A configuration is outdated once a newer one has been in use for longer than the grace time.
+// A configuration is outdated once a newer one has been applied for longer than the grace time.
 func TestOutdated(t *testing.T) {
 	state := Fold(EmptyMeshState(), Event{At: 0, ConfigRevision: 5})
 	state = Fold(state, Event{At: 10 * time.Second, ConfigRevision: 6})
@@ -79,36 +81,38 @@
 	}{
 		"in use":                         {6, time.Hour, false},
 		"replaced within the grace time": {5, 11 * time.Second, false},
-		"replaced before it":             {5, 11*time.Second + 1, true},
-		"replaced long ago":              {4, 10 * time.Second, true},
+		"replaced longer ago than the grace time": {5, 11*time.Second + 1, true},
+		"older than the first known revision":     {4, 10 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := state.Outdated(test.revision, test.now, time.Second); got != test.want {
-				t.Errorf("revision %d at %v: outdated %t", test.revision, test.now, got)
+				t.Errorf("Outdated(%d, %s, 1s) = %t, want %t", test.revision, test.now, got, test.want)
 			}
 		})
 	}
 }
 
-// A dropped source comes back with a newer version only: otherwise a registry that still has the old one would bring it
-// back again and again.
-func TestDroppedSourceStaysDropped(t *testing.T) {
+// Only a newer version restores a dropped source. Otherwise a registry that still lists the old version would restore
+// the source again and again.
+func TestOnlyNewerVersionRestoresDroppedSource(t *testing.T) {
 	all := []*schema.Source{newSource("p", 2, "w")}
-	var heard []*schema.Source
+	var updates []*schema.Source
 	for i := range 9 {
 		all = append(all, newSource(fmt.Sprint("q", i), 1))
-		heard = append(heard, newSource(fmt.Sprint("q", i), 2))
+		updates = append(updates, newSource(fmt.Sprint("q", i), 2))
 	}
 	state := Fold(EmptyMeshState(), Event{Sources: all})
-	state = Fold(state, Event{At: 10 * time.Second, Sources: heard})
+	state = Fold(state, Event{At: 10 * time.Second, Sources: updates})
 	state = Fold(state, Event{At: 10 * time.Second, SourceTimeout: time.Second})
 	if version := state.Vector()["p"]; len(state.sources) != 9 || version.GetCounter() != 2 {
-		t.Fatalf("%d sources, and version %v of the dropped one", len(state.sources), version)
+		t.Fatalf("after the timeout: %d sources, version %v of the dropped source; want 9 sources, counter 2",
+			len(state.sources), version)
 	}
 	if again := Fold(state, Event{At: 10 * time.Second, Sources: all[:1]}); len(again.sources) != 9 {
-		t.Error("the old version brought it back")
+		t.Errorf("after the old version of the dropped source: %d sources, want 9", len(again.sources))
 	}
-	if back := Fold(state, Event{At: 10 * time.Second, Sources: []*schema.Source{newSource("p", 3, "w")}}); len(back.sources) != 10 {
-		t.Error("a newer version did not bring it back")
+	restored := Fold(state, Event{At: 10 * time.Second, Sources: []*schema.Source{newSource("p", 3, "w")}})
+	if len(restored.sources) != 10 {
+		t.Errorf("after a newer version of the dropped source: %d sources, want 10", len(restored.sources))
 	}
 }
