--- a/internal/proxy/dispatch_wiring.go
+++ b/internal/proxy/dispatch_wiring.go
@@ -10,12 +10,12 @@
 	"meadowhinge/internal/transport"
 )
 
-// freeRejectionsMode is the value of the option "extra_counts" with which a further attempt counts against the retry
-// budget only if the call has reached a worker; by default every attempt after the first counts.
-const freeRejectionsMode = "arrivals"
+// retryCountArrivals is the value of the option "extra_counts" with which a retry counts against the retry budget only
+// if the call has reached a worker. By default every attempt after the first one counts.
+const retryCountArrivals = "arrivals"
 
-// wireDispatch connects both sides of a call to this process: the forwarder at the caller's proxy and the runner at
-// the worker's. The order matters: each uses what was made before it.
+// wireDispatch creates both sides of a call: the forwarder, which runs at the caller's proxy, and the runner, which runs
+// at the worker's proxy. The order of creation matters, because each component uses earlier ones.
 func (s *Server) wireDispatch() {
 	opts := s.initialOptions
 	mayCallAs := map[string]bool{}
@@ -33,10 +33,10 @@
 	s.forwarder = s.newForwarder()
 }
 
-// currentFleetSize is how many proxies share limits that hold for the whole mesh.
+// currentFleetSize returns the number of proxies that share mesh-wide limits.
 func (s *Server) currentFleetSize() int { return int(s.fleetSize.Load()) }
 
-// newWorkers makes the registry of the workers beside this proxy.
+// newWorkers creates the table of local workers.
 func (s *Server) newWorkers() *dispatch.Workers {
 	opts := s.initialOptions
 	return dispatch.NewWorkers(dispatch.WorkersOptions{
@@ -55,7 +55,7 @@
 	}, s.publishWorkers)
 }
 
-// newRunner makes the runner, which hands calls to the workers beside this proxy.
+// newRunner creates the runner, which sends calls to local workers.
 func (s *Server) newRunner() *dispatch.Runner {
 	opts := s.initialOptions
 	return dispatch.NewRunner(dispatch.Runner{
@@ -77,7 +77,7 @@
 	}, int(opts.Remembered))
 }
 
-// newForwarder makes the forwarder, which plans the calls of callers here and sends them to the workers' proxies.
+// newForwarder creates the forwarder, which plans the calls of local callers and sends them to the workers' proxies.
 func (s *Server) newForwarder() *dispatch.Forwarder {
 	opts := s.initialOptions
 	forwarder := &dispatch.Forwarder{
@@ -98,7 +98,7 @@
 		AwaitLease:        s.servingGate.AwaitWithinGrace,
 		Send:              s.sendAttempt,
 		NoAttemptTimeout:  true,
-		FreeProxyRefusals: opts.ExtraCounts == freeRejectionsMode,
+		FreeProxyRefusals: opts.ExtraCounts == retryCountArrivals,
 		OnConfigLag:       s.leaveLaggingRegistry,
 		ReserveKey:        s.reserveKey,
 		KeyReleaseTimeout: s.leaseDuration / keyReleaseTimeoutDivisor,
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -16,15 +16,15 @@
 	"meadowhinge/schema"
 )
 
-// StandaloneProxy is a proxy without registries: tests apply its mesh state.
+// StandaloneProxy is a proxy without registries, whose mesh state the test supplies.
 type StandaloneProxy struct {
 	*Server
-	CallerAddress string // of its caller's listener
+	CallerAddress string // address of the caller's listener
 
 	stop func()
 }
 
-// StartStandaloneProxy starts a proxy on the loopback interface, with a listener for one caller.
+// StartStandaloneProxy starts a proxy on the loopback interface with a listener for one caller. It ends with the test.
 func StartStandaloneProxy(
 	tb testing.TB,
 	opts *schema.ProxyOptions,
@@ -40,7 +40,7 @@
 	rpcTransport := transport.NewPlaintext("proxy", opts.Name, []string{caller})
 	server := newServer(rpcTransport, &daemon.Environment{Draining: &atomic.Bool{}}, opts, extensionOptions...)
 	ctx, cancel := context.WithCancel(context.Background())
-	server.linkContext = ctx
+	server.rpcContext = ctx
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, server); err != nil {
 		tb.Fatal(err)
@@ -59,7 +59,7 @@
 	return &StandaloneProxy{Server: server, CallerAddress: opened.listener.Addr().String(), stop: stop}
 }
 
-// closedChannel is a deadline that has passed.
+// closedChannel is a deadline of shutDown that has already passed.
 var closedChannel = func() chan struct{} {
 	done := make(chan struct{})
 	close(done)
@@ -71,29 +71,29 @@
 	p.journal.Append(Event{At: p.now(), ConfigRevision: revision, Items: items, Complete: true, Sources: sources})
 }
 
-// Source is the proxy as a source, as it reports itself.
+// Source returns the proxy and its local workers as a source, as the proxy reports it.
 func (p *StandaloneProxy) Source() *schema.Source { return p.newLocalSource() }
 
-// Workers are those beside the proxy.
+// Workers returns the table of local workers.
 func (p *StandaloneProxy) Workers() *dispatch.Workers { return p.workers }
 
-// ChangeOptions changes the proxy's options while it runs.
+// ChangeOptions applies change to the options of the running proxy.
 func (p *StandaloneProxy) ChangeOptions(change func(*schema.ProxyOptions)) {
 	opts := proto.Clone(p.currentOptions()).(*schema.ProxyOptions)
 	change(opts)
 	p.applyOptions(opts)
 }
 
-// Registries are the addresses at which it looks for registries.
+// Registries returns the addresses at which the proxy contacts registries.
 func (p *StandaloneProxy) Registries() []string { return p.registryAddresses() }
 
-// Stop ends the proxy at once, as the end of its process does.
+// Stop ends the proxy at once, without a graceful shutdown.
 func (p *StandaloneProxy) Stop() { p.stop() }
 
-// Disconnects are the proxy's counts of callers that disconnected.
+// Disconnects returns the counts of callers that disconnected.
 func (p *StandaloneProxy) Disconnects() dispatch.DisconnectCounts { return p.disconnects.Counts() }
 
-// QueuedCalls is how many calls wait for the worker beside the proxy.
+// QueuedCalls returns the number of calls that wait for the local worker.
 func (p *StandaloneProxy) QueuedCalls() uint32 {
 	queued := uint32(0)
 	for _, worker := range p.workers.List() {
@@ -102,7 +102,7 @@
 	return queued
 }
 
-// HeaderValue returns the first field of a name in the response.
+// HeaderValue returns the value of the first response field called name, empty if there is none.
 func (r *Response) HeaderValue(name string) string {
 	return dispatch.FieldOf(r.headerBlock, name)
 }
--- a/internal/proxy/extensions.go
+++ b/internal/proxy/extensions.go
@@ -7,54 +7,55 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// extensions are what a program adds to a proxy beside its options: the dialects of callers and workers.
+// extensions holds the parts of a proxy that the program may replace in code: the wire formats of callers and workers,
+// and hooks for simulated workers.
 type extensions struct {
 	callerCodec       CallerCodec
 	workerCodec       dispatch.WorkerCodec
 	heartbeatHandler  HeartbeatHandler
-	readinessPaths    []string
-	dialWorker        func(address string) (net.Conn, error)
-	foldEvent         func(MeshState, Event) MeshState
-	workerIDHeartbeat time.Duration // heartbeat interval of workers with IDs of their own; 0 for workers without
+	readinessPaths    []string                               // additional paths of the readiness probe
+	dialWorker        func(address string) (net.Conn, error) // opens a connection to a local worker
+	foldEvent         func(MeshState, Event) MeshState       // computes the next mesh state; Fold by default
+	workerIDHeartbeat time.Duration                          // heartbeat interval of workers with their own IDs; 0 for others
 }
 
-// Option changes a dialect of a proxy; without any it is the mesh's own.
+// Option replaces a part of a proxy. Without options a proxy uses the mesh's native wire formats.
 type Option func(*extensions)
 
-// WithCallerCodec sets the dialect between callers and the proxy.
+// WithCallerCodec sets the wire format between callers and the proxy.
 func WithCallerCodec(codec CallerCodec) Option {
 	return func(target *extensions) { target.callerCodec = codec }
 }
 
-// WithWorkerCodec sets the dialect between the proxy and its workers.
+// WithWorkerCodec sets the wire format between the proxy and its workers.
 func WithWorkerCodec(codec dispatch.WorkerCodec) Option {
 	return func(target *extensions) { target.workerCodec = codec }
 }
 
-// WithHeartbeatHandler sets the way in which workers describe themselves.
+// WithHeartbeatHandler sets the handler of the requests with which workers register and send heartbeats.
 func WithHeartbeatHandler(handler HeartbeatHandler) Option {
 	return func(target *extensions) { target.heartbeatHandler = handler }
 }
 
-// WithWorkerIDs is for workers that have IDs of their own and send heartbeats at the given interval. The IDs identify
-// them before and after a restart of this proxy, and no connection to each is kept only to detect its end.
+// WithWorkerIDs declares that workers supply their own IDs and send heartbeats at the given interval. The IDs identify
+// workers across restarts of this proxy. The proxy then keeps no connection to each worker merely to detect its end.
 func WithWorkerIDs(heartbeatInterval time.Duration) Option {
 	return func(target *extensions) { target.workerIDHeartbeat = heartbeatInterval }
 }
 
-// discoveryGraceHeartbeats is the time, in heartbeat intervals, that a proxy which has just started waits for
-// workers with IDs of their own before it takes their absence for real.
+// discoveryGraceHeartbeats is the number of heartbeat intervals that a newly started proxy waits for workers that supply
+// their IDs before it treats unregistered ones as absent.
 const discoveryGraceHeartbeats = 3
 
-// workerDialTimeout bounds the dialing of a worker, which is on the same machine.
+// workerDialTimeout is the timeout for dialing a worker, which runs on the same machine.
 const workerDialTimeout = time.Second
 
-// WithReadinessPath answers readiness at another path of the probe listener too.
+// WithReadinessPath adds a path at which the probe listener serves the readiness probe.
 func WithReadinessPath(path string) Option {
 	return func(target *extensions) { target.readinessPaths = append(target.readinessPaths, path) }
 }
 
-// newExtensions applies options to the mesh's own dialects.
+// newExtensions returns the native wire formats with the given options applied.
 func newExtensions(extensionOptions []Option) extensions {
 	result := extensions{
 		callerCodec:      nativeCallerCodec{},
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -12,23 +12,26 @@
 	"meadowhinge/schema"
 )
 
-// Hollow is a proxy without listeners: its sessions, its mesh state and its workers' heartbeats are those of a proxy,
-// but no call goes through it. The testbed holds many of them in one process.
+// Hollow is a proxy without listeners, like a hollow node of Kubernetes' kubemark. Sessions, mesh state and worker
+// heartbeats are those of a real proxy, but no call passes through it. The testbed runs many of them in one process.
+// The methods are safe for concurrent use.
 type Hollow struct {
 	server    *Server
 	cancel    context.CancelFunc
 	transport *transport.Transport
 }
 
-// Seen is what a hollow proxy applied to its mesh state, and when.
+// Seen describes one event that a hollow proxy applied to its mesh state.
 type Seen struct {
-	At             time.Time
-	ConfigRevision uint64 // of a configuration that is newly in use; 0 if it did not change
-	Sources        []*schema.Source
+	At             time.Time        // wall-clock time of the application
+	ConfigRevision uint64           // revision of the newly applied configuration; 0 if the configuration did not change
+	Sources        []*schema.Source // all sources of the event, also those that were not newer than the known ones
 }
 
-// JoinHollow makes a hollow proxy join the mesh. Workers beside it are simulated and have no socket. seen is called
-// with everything that is applied to its mesh state, while the journal is locked, and must be quick.
+// JoinHollow starts a hollow proxy, which joins the mesh through the registries in opts. Its workers are simulated and
+// have no socket. seen is called for each event applied to the mesh state. It runs while the journal is locked, so it
+// must return quickly. JoinHollow fails if the RPC transport cannot be created, for example for an unusable
+// certificate.
 func JoinHollow(environment *daemon.Environment, opts *schema.ProxyOptions, seen func(Seen)) (*Hollow, error) {
 	rpcTransport, err := newTransport(opts, options.SplitPairs(opts.Callers))
 	if err != nil {
@@ -43,7 +46,7 @@
 		seen(applied)
 		return after
 	}
-	// A simulated worker's connection stays open until the proxy closes it.
+	// The connection to a simulated worker stays open until the proxy closes it.
 	dial := func(string) (net.Conn, error) {
 		proxySide, _ := net.Pipe()
 		return proxySide, nil
@@ -56,38 +59,39 @@
 	return &Hollow{server: server, cancel: cancel, transport: rpcTransport}, nil
 }
 
-// End disconnects the proxy without a graceful shutdown, as when its process is killed.
+// End closes all connections of the proxy without a graceful shutdown, like a killed process.
 func (h *Hollow) End() {
 	h.cancel()
 	h.transport.Close()
 }
 
-// Heartbeat registers a worker or renews its registration, as the workers' listener does.
+// Heartbeat registers a worker or renews its registration, as a request to the workers' listener does. It fails if the
+// registration is rejected.
 func (h *Hollow) Heartbeat(description dispatch.WorkerDescription) error {
 	_, err := h.server.workers.Register(description)
 	return err
 }
 
-// Count adds a call's result and duration to the counts.
+// Count adds the result and duration of a call of a local caller to the verdict counts.
 func (h *Hollow) Count(result *dispatch.CallResult, duration time.Duration) {
 	h.server.callCounter.Add(result, duration)
 }
 
-// Work counts a call as if a worker beside the proxy had answered it after duration.
+// Work adds a call to the work counts as if a local worker had answered it with status 200 after duration.
 func (h *Hollow) Work(service, version, route string, duration time.Duration) {
 	revision := h.server.view().Config.VersionRevision(service, version)
 	work := h.server.runner.WorkCounts.Begin(service, version, route, revision)
 	work.End(h.server.now(), duration, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200})
 }
 
-// ConfigRevision is the revision of the configuration in use.
+// ConfigRevision returns the revision of the configuration in use, 0 for none.
 func (h *Hollow) ConfigRevision() uint64 { return h.server.journal.View().ConfigRevision() }
 
-// Traffic counts what went over the proxy's RPC transport.
+// Traffic returns the traffic counters of the proxy's RPC transport.
 func (h *Hollow) Traffic() transport.Traffic { return h.transport.Traffic() }
 
-// Status is what the proxy's page /status shows.
+// Status returns the content of the proxy's page /status.
 func (h *Hollow) Status() Status { return h.server.status() }
 
-// Vector is the version of each source that the proxy has.
+// Vector returns the version of each source in the proxy's directory, see [MeshState.Vector].
 func (h *Hollow) Vector() map[string]*schema.SourceVersion { return h.server.journal.View().Vector() }
--- a/internal/proxy/incarnation.go
+++ b/internal/proxy/incarnation.go
@@ -9,23 +9,25 @@
 	"meadowhinge/schema"
 )
 
-// establishIncarnation chooses an incarnation above every one that a registry has seen of this proxy's name. It tries
-// until the first registry answers or ctx ends; a higher one that is seen later is handled by checkSuperseded.
+// establishIncarnation chooses an incarnation above the one that a registry has recorded for this proxy's name. It
+// retries until the first registry answers or ctx ends. If a higher incarnation shows up later, checkSuperseded handles
+// it.
 //
-// The loops that read processIncarnation and the forwarder's incarnation start only after it, or, as calls do, pass
-// the serving gate first, which opens by what those loops receive.
+// The write of processIncarnation and of the forwarder's incarnation does not race with their readers. The loops that
+// read them start after this function returns. Calls pass the serving gate first, which opens only on data that these
+// loops receive.
 func (s *Server) establishIncarnation(ctx context.Context) {
 	for ctx.Err() == nil {
 		addresses := s.registryAddresses()
 		replies := make(chan *schema.IncarnationReply, len(addresses))
-		bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
+		requestCtx, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
 		for _, address := range addresses {
-			go func() { replies <- s.requestIncarnation(bounded, address) }()
+			go func() { replies <- s.requestIncarnation(requestCtx, address) }()
 		}
 		for range addresses {
 			if reply := <-replies; reply != nil {
 				s.adoptIncarnation(reply)
-				// Cancelling a call that is under way would close its connection; the timeout ends it soon.
+				// Cancelling the remaining requests now would close their connections; they end by the timeout.
 				time.AfterFunc(s.leaseDuration/renewalsPerLease, cancel)
 				return
 			}
@@ -35,17 +37,18 @@
 	}
 }
 
-// requestIncarnation requests from one registry what it has seen of this proxy's name; nil if it does not answer.
+// requestIncarnation asks one registry for the incarnation and the workers recorded under this proxy's name. It returns
+// nil if the request fails.
 func (s *Server) requestIncarnation(ctx context.Context, address string) *schema.IncarnationReply {
 	reply, err := s.registryClient(ctx, address).Greet(ctx, &schema.IncarnationRequest{Proxy: s.initialOptions.Name})
 	if err != nil {
-		return nil // another registry may answer, and the next round asks this one again
+		return nil // another registry may answer, and the next round retries this one
 	}
 	return reply
 }
 
-// adoptIncarnation sets this process's incarnation above the one that a registry has seen, and restores the worker
-// that the registry still lists.
+// adoptIncarnation sets the incarnation of this process above the one in reply, and restores the worker that the
+// registry still lists.
 func (s *Server) adoptIncarnation(reply *schema.IncarnationReply) {
 	s.lock.Lock()
 	s.processIncarnation = session.NextIncarnation(reply.Incarnation)
@@ -55,9 +58,9 @@
 	s.restoreWorker(reply.Workers)
 }
 
-// restoreWorker registers the worker beside this proxy that an earlier process of this name reported, so that calls
-// reach it before its next heartbeat. It needs workers with IDs of their own and the option that says where the
-// worker is.
+// restoreWorker registers the local worker that an earlier process of this proxy reported, so that calls reach the
+// worker before its next heartbeat. It does so only for exactly one reported worker, with worker IDs enabled
+// ([WithWorkerIDs]) and the address of the worker set by the option "beside".
 func (s *Server) restoreWorker(reported []*schema.Worker) {
 	if s.initialOptions.Beside == "" || s.extensions.workerIDHeartbeat == 0 || len(reported) != 1 {
 		return
@@ -75,8 +78,9 @@
 	})
 }
 
-// checkSuperseded looks for this proxy itself among received sources. If it is listed under a higher incarnation, or
-// its own is listed as ended, it publishes its workers again under an incarnation above the listed one.
+// checkSuperseded looks for this proxy among received sources. If the proxy is listed under a higher incarnation, or
+// its own incarnation is listed as ended, the function republishes the local workers under an incarnation above the
+// listed one.
 func (s *Server) checkSuperseded(sources []*schema.Source) {
 	for _, source := range sources {
 		if source.Name != s.initialOptions.Name {
--- a/internal/proxy/incarnation_test.go
+++ b/internal/proxy/incarnation_test.go
@@ -13,12 +13,12 @@
 	"meadowhinge/schema"
 )
 
-// Workers that register before the proxy's incarnation is established do not keep its own mesh state from what it
-// publishes afterwards, whatever that incarnation is.
-func TestHeartbeatsBeforeIncarnationIsEstablished(t *testing.T) {
+// Workers may register before the proxy has established its incarnation. If such a source were published under a random
+// incarnation, it could supersede what the proxy publishes afterwards, and its own mesh state would stay outdated.
+func TestSourceBeforeEstablishedIncarnationIsSuperseded(t *testing.T) {
 	rpcTransport := transport.NewPlaintext("proxy", "p", nil)
 	t.Cleanup(rpcTransport.Close)
-	// Incarnations are random, so that every second attempt would hide the fault.
+	// Incarnations are random, so a single attempt would miss the fault with a probability of one half.
 	for range 32 {
 		environment := &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}
 		opts := &schema.ProxyOptions{Name: "p", Seeds: "127.0.0.1:9", Lease: int64(time.Second)}
@@ -27,7 +27,7 @@
 		s.sourceIncarnation = session.NextIncarnation(0)
 		s.publishWorkers()
 		if source := s.journal.View().Vector()["p"]; source.GetIncarnation() != s.sourceIncarnation {
-			t.Fatalf("the mesh state has incarnation %d, not %d", source.GetIncarnation(), s.sourceIncarnation)
+			t.Fatalf("incarnation of the proxy in its mesh state: %d, want %d", source.GetIncarnation(), s.sourceIncarnation)
 		}
 	}
 }
--- a/internal/proxy/lease.go
+++ b/internal/proxy/lease.go
@@ -8,8 +8,8 @@
 	"meadowhinge/schema"
 )
 
-// renewLoop renews the lease with every loopCount-th registry, from the loopIndex-th on. The loops run side by side, so
-// that one registry that does not answer delays only its own loop.
+// renewLoop renews the lease renewalsPerLease times per lease with every loopCount-th registry, starting with number
+// loopIndex, until ctx ends. The loops run concurrently, so that an unresponsive registry delays only its own loop.
 func (s *Server) renewLoop(ctx context.Context, loopIndex, loopCount int) {
 	ticker := time.NewTicker(s.leaseDuration / renewalsPerLease)
 	defer ticker.Stop()
@@ -27,18 +27,18 @@
 	}
 }
 
-// announceRevision announces a configuration revision to a majority of registries before this proxy uses it, and
-// reports whether a majority answered. If this proxy is restarted after that, every majority holds a registry that
-// refuses it a lease below the revision.
+// announceRevision announces a configuration revision to the registries before this proxy applies it, and reports
+// whether a majority of the core answered. After that, any majority contains a registry that refuses a lease below the
+// revision, so that this proxy cannot return to an older configuration after a restart.
 func (s *Server) announceRevision(ctx context.Context, revision uint64) bool {
 	addresses := s.registryAddresses()
 	memberIDs := make(chan string, len(addresses))
-	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
+	requestCtx, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
 	var requests sync.WaitGroup
 	for _, address := range addresses {
-		requests.Go(func() { memberIDs <- s.renewLease(bounded, address, revision) })
+		requests.Go(func() { memberIDs <- s.renewLease(requestCtx, address, revision) })
 	}
-	// A majority suffices, but cancelling the calls that are still under way would close their connections.
+	// A majority suffices, but cancelling the remaining requests would close their connections.
 	go func() {
 		requests.Wait()
 		cancel()
@@ -55,22 +55,26 @@
 	return false
 }
 
-// isCoreMajority reports whether count members are a majority of the core; false while its size is not known.
+// isCoreMajority reports whether count members form a majority of the core. It is false while the size of the core is
+// unknown.
 func (s *Server) isCoreMajority(count int) bool {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.coreSize > 0 && count > s.coreSize/2
 }
 
-// renewLease requests a lease from one registry; the grant counts from before the request was sent. receivedRevision
-// is the configuration revision that this proxy has received and is about to use, 0 for none. It returns the ID of the
-// member that answered, whether it granted the lease or not, and "" if none did.
+// renewLease requests a lease from one registry. A grant is counted from the time before the request was sent, so that
+// it never ends later here than at the registry. receivedRevision is the configuration revision that this proxy has
+// received and is about to apply, 0 for none.
+//
+// It returns the ID of the member that answered, whether or not that member granted the lease, and "" if the request
+// failed.
 func (s *Server) renewLease(ctx context.Context, address string, receivedRevision uint64) string {
-	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
+	requestCtx, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
 	defer cancel()
 	requestedAt := s.now()
 	appliedRevision := s.journal.View().config.Revision
-	reply, err := s.registryClient(bounded, address).Lease(bounded, &schema.LeaseRequest{
+	reply, err := s.registryClient(requestCtx, address).Lease(requestCtx, &schema.LeaseRequest{
 		Proxy:       s.initialOptions.Name,
 		Incarnation: s.processIncarnation,
 		Applied:     appliedRevision,
@@ -78,7 +82,7 @@
 		LeaseNanos:  int64(s.leaseDuration),
 	})
 	if err != nil {
-		return "" // the next renewal tries again; a lease that ends closes the serving gate
+		return "" // the next renewal tries again, and the serving gate closes when the lease expires
 	}
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -92,8 +96,9 @@
 	return reply.Member
 }
 
-// switchLaggingRegistry moves on to the next registry once some other one has had a newer configuration than the one
-// applied here for too long: then the one that this proxy polls lags behind. The caller holds s.lock.
+// switchLaggingRegistry moves on to the next registry if the polled one lags behind. That is the case once some registry
+// has had a newer configuration than the applied one for longer than a feedLagDivisor-th of the lease. upToDate reports
+// that the registry which just answered has nothing newer. The caller holds s.lock.
 func (s *Server) switchLaggingRegistry(now time.Duration, upToDate bool) {
 	switch {
 	case upToDate:
--- a/internal/proxy/options_reload_test.go
+++ b/internal/proxy/options_reload_test.go
@@ -11,8 +11,8 @@
 	"meadowhinge/schema"
 )
 
-// startGatedWorker starts a worker that answers requests once the test closes release; arrived gets one value for each
-// request that reaches it.
+// startGatedWorker starts a worker that answers requests only after the test closes release. arrived receives one value
+// for each request that reaches the worker.
 func startGatedWorker(t *testing.T) (address string, arrived chan struct{}, release chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 				return
 			}
 			go func() {
-				defer func() { _ = conn.Close() }() // the other side has ended it
+				defer func() { _ = conn.Close() }() // the peer has closed it
 				reader := bufio.NewReader(conn)
 				for {
 					line, err := reader.ReadString('\n')
@@ -50,7 +50,8 @@
 	return listener.Addr().String(), arrived, release
 }
 
-// startRequest sends a request on a connection of its own. The channel gets the status of its response, or the error.
+// startRequest sends a request on a new connection. The returned channel receives the status of the response, or the
+// text of the read error.
 func startRequest(t *testing.T, address string) chan string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -72,50 +73,50 @@
 	return answered
 }
 
-// awaitRequest waits until a request has reached the worker.
+// awaitRequest waits until a request has reached the worker. It fails the test if the request is answered before.
 func awaitRequest(t *testing.T, arrived chan struct{}, answered chan string) {
 	t.Helper()
 	select {
 	case <-arrived:
 	case got := <-answered:
-		t.Fatalf("answered %q before it reached the worker", got)
+		t.Fatalf("request was answered with %q before it reached the worker", got)
 	}
 }
 
-// Options that change while calls are under way cancel none of them. Later calls go by the new options, and the
-// addresses of the registries change too.
-func TestSettingsChangeUnderCalls(t *testing.T) {
+// A change of options cancels no call in flight. It applies to later calls, and to the addresses of the registries.
+func TestOptionChangeKeepsCallsInFlight(t *testing.T) {
 	worker, arrived, release := startGatedWorker(t)
-	here := startProxyPair(t, worker)
-	first := startRequest(t, here.CallerAddress)
+	callerProxy := startProxyPair(t, worker)
+	first := startRequest(t, callerProxy.CallerAddress)
 	awaitRequest(t, arrived, first)
-	here.ChangeOptions(func(opts *schema.ProxyOptions) { opts.Buffer, opts.Seeds = 1, "127.0.0.1:9" })
-	if got := <-startRequest(t, here.CallerAddress); !strings.HasPrefix(got, "503 ") {
-		t.Errorf("a second call, where one may be in flight, was answered %q", got)
+	callerProxy.ChangeOptions(func(opts *schema.ProxyOptions) { opts.Buffer, opts.Seeds = 1, "127.0.0.1:9" })
+	if got := <-startRequest(t, callerProxy.CallerAddress); !strings.HasPrefix(got, "503 ") {
+		t.Errorf("second call with a limit of one call in flight: status %q, want 503", got)
 	}
-	here.ChangeOptions(func(opts *schema.ProxyOptions) { opts.Buffer, opts.Seeds = 2, "127.0.0.1:9,127.0.0.1:10" })
-	second := startRequest(t, here.CallerAddress)
+	callerProxy.ChangeOptions(func(opts *schema.ProxyOptions) { opts.Buffer, opts.Seeds = 2, "127.0.0.1:9,127.0.0.1:10" })
+	second := startRequest(t, callerProxy.CallerAddress)
 	awaitRequest(t, arrived, second)
 	close(release)
-	for _, answered := range []chan string{first, second} {
+	for i, answered := range []chan string{first, second} {
 		if got := <-answered; got != "200 OK" {
-			t.Errorf("answered %q", got)
+			t.Errorf("call %d: status %q, want \"200 OK\"", i+1, got)
 		}
 	}
-	if got := here.Registries(); !slices.Equal(got, []string{"127.0.0.1:9", "127.0.0.1:10"}) {
-		t.Errorf("addresses of the registries: %v", got)
+	want := []string{"127.0.0.1:9", "127.0.0.1:10"}
+	if got := callerProxy.Registries(); !slices.Equal(got, want) {
+		t.Errorf("addresses of the registries: %v, want %v", got, want)
 	}
 }
 
-// The longest deadline of a call follows the options.
-func TestMaxDeadlineFollowsSettings(t *testing.T) {
+// The maximum deadline of a call follows a change of options.
+func TestMaxDeadlineFollowsOptions(t *testing.T) {
 	worker, arrived, release := startGatedWorker(t)
 	defer close(release)
-	here := startProxyPair(t, worker)
-	here.ChangeOptions(func(opts *schema.ProxyOptions) { opts.HorizonMost = int64(50e6) })
-	late := startRequest(t, here.CallerAddress)
+	callerProxy := startProxyPair(t, worker)
+	callerProxy.ChangeOptions(func(opts *schema.ProxyOptions) { opts.HorizonMost = int64(50e6) })
+	late := startRequest(t, callerProxy.CallerAddress)
 	awaitRequest(t, arrived, late)
 	if got := <-late; !strings.HasPrefix(got, "504 ") {
-		t.Errorf("answered %q", got)
+		t.Errorf("call beyond the maximum deadline of 50ms: status %q, want 504", got)
 	}
 }
--- a/internal/proxy/proxy_options.go
+++ b/internal/proxy/proxy_options.go
@@ -9,17 +9,19 @@
 	"meadowhinge/schema"
 )
 
-// staleModeServe is the value of the option "doubt" with which a proxy serves whatever it knows, however old that is.
+// staleModeServe is the value of the option "doubt" with which a proxy serves the configuration that it has, however
+// stale.
 const staleModeServe = "serve"
 
-// servesStale reports whether this proxy serves whatever it knows, without a lease. It does not change while the
-// proxy runs.
+// servesStale reports whether this proxy serves stale configuration without a lease. The result does not change while
+// the proxy runs.
 func (s *Server) servesStale() bool { return s.initialOptions.Doubt == staleModeServe }
 
-// currentOptions are the options in force.
+// currentOptions returns the options in effect. The caller must not modify them.
 func (s *Server) currentOptions() *schema.ProxyOptions { return s.liveOptions.Load() }
 
-// applyOptions puts changed options in force. Calls under way go on by the old ones.
+// applyOptions puts changed options into effect. Calls in flight keep the old ones. Options that are read from
+// initialOptions change only with a restart.
 func (s *Server) applyOptions(opts *schema.ProxyOptions) {
 	s.liveOptions.Store(opts)
 	s.outliers.SetLimits(opts.FailuresMost, time.Duration(opts.Ejection))
@@ -30,7 +32,7 @@
 	s.registrySelector.SetSeeds(options.SplitList(opts.Seeds))
 }
 
-// canaryOptions are the options of the canary guard.
+// canaryOptions returns the options of the canary guard.
 func canaryOptions(opts *schema.ProxyOptions) dispatch.CanaryOptions {
 	return dispatch.CanaryOptions{
 		GrantDuration: time.Duration(opts.Trial),
@@ -41,7 +43,7 @@
 	}
 }
 
-// forwarderLimits are the options by which calls are planned and retried.
+// forwarderLimits returns the options by which calls are planned and retried.
 func forwarderLimits(opts *schema.ProxyOptions) dispatch.Limits {
 	return dispatch.Limits{
 		PlanOptions: plan.Options{
--- a/internal/proxy/pull.go
+++ b/internal/proxy/pull.go
@@ -7,8 +7,8 @@
 	"meadowhinge/schema"
 )
 
-// pullLoop receives configuration and sources under a lease: it long-polls the current registry for whatever this
-// proxy's versions of them lack, until ctx ends.
+// pullLoop receives configuration and sources under a lease. It long-polls the current registry for newer versions
+// until ctx ends.
 func (s *Server) pullLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		address, rotation := s.currentRegistry()
@@ -29,13 +29,13 @@
 	}
 }
 
-// pollUpdate requests what state lacks; the registry answers when it has something, or after the poll's time. The
-// poll is cancelled when this proxy leaves the registry of rotation.
+// pollUpdate requests everything newer than state. The registry answers as soon as it has an update, or with an empty
+// reply after the poll time. The poll is cancelled when this proxy leaves the registry of rotation.
 func (s *Server) pollUpdate(ctx context.Context, address string, rotation int, state MeshState) (*schema.FeedReply, error) {
-	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/longPollDivisor+s.leaseDuration/renewalsPerLease)
+	requestCtx, cancel := context.WithTimeout(ctx, s.leaseDuration/longPollDivisor+s.leaseDuration/renewalsPerLease)
 	defer cancel()
-	go s.cancelOnSwitch(bounded, cancel, rotation)
-	return s.registryClient(bounded, address).Feed(bounded, &schema.FeedRequest{
+	go s.cancelOnSwitch(requestCtx, cancel, rotation)
+	return s.registryClient(requestCtx, address).Feed(requestCtx, &schema.FeedRequest{
 		Node:      s.initialOptions.Name,
 		Vector:    state.Vector(),
 		Revision:  state.config.Revision,
@@ -43,17 +43,18 @@
 	})
 }
 
-// applyPulledUpdate applies an update to a state of the given revision. It reports false if the update brings a new
-// configuration that cannot be announced yet; the update is then pulled again.
+// applyPulledUpdate applies an update that was pulled with a state of revision previousRevision. It returns false if the
+// update brings a new configuration that could not be announced to a majority of registries. The update is then dropped
+// and pulled again.
 //
-// It does less than applyUpdate, its counterpart without a lease: the outlier detector is pruned by the next report,
-// which comes within reportsPerLease, and reportLoop is not woken.
+// It does less than applyUpdate, its counterpart without a lease. The outlier detector is pruned by the next report of
+// workers, and reportLoop is not woken, because its next turn follows within a reportsPerLease-th of the lease.
 func (s *Server) applyPulledUpdate(ctx context.Context, update *schema.FeedReply, previousRevision uint64) bool {
 	isNewConfig := update.Revision > previousRevision
 	if len(update.Sources) == 0 && !isNewConfig {
 		return true
 	}
-	// The first configuration need not be announced: without a lease no caller has been served by it yet.
+	// The first configuration need not be announced, because no call is served by it before a lease is granted.
 	if isNewConfig && previousRevision > 0 && !s.announceRevision(ctx, update.Revision) {
 		return false
 	}
@@ -64,7 +65,7 @@
 		Complete:       update.Complete,
 		Sources:        update.Sources,
 	})
-	// The registries learn of the applied configuration at once: its acknowledgement may wait for this proxy.
+	// Report the applied revision at once: the acknowledgement of the change may wait for this proxy.
 	if isNewConfig {
 		for _, address := range s.registryAddresses() {
 			go s.renewLease(ctx, address, 0)
@@ -73,7 +74,7 @@
 	return true
 }
 
-// cancelOnSwitch cancels a poll when this proxy has left the registry of rotation. It ends with ctx.
+// cancelOnSwitch calls cancel once this proxy has left the registry of rotation. It returns when ctx ends.
 func (s *Server) cancelOnSwitch(ctx context.Context, cancel context.CancelFunc, rotation int) {
 	for {
 		select {
--- a/internal/proxy/registries.go
+++ b/internal/proxy/registries.go
@@ -9,17 +9,18 @@
 	"meadowhinge/schema"
 )
 
-// registryClient is the RPC client of the registry at an address.
+// registryClient returns an RPC client for the registry at address.
 func (s *Server) registryClient(ctx context.Context, address string) schema.DRPCRegistryClient {
 	return schema.NewDRPCRegistryClient(s.transport.Conn(ctx, address))
 }
 
-// registryAddresses lists where registries may be reached: the addresses that they announced, in the order of
-// their member IDs, then the seeds.
+// registryAddresses returns the distinct addresses of registries: first the announced ones in the order of their member
+// IDs, then the seeds.
 func (s *Server) registryAddresses() []string {
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	// Calls that reserve a key come here, hence no iterator or closure: either would allocate.
+	// This runs for each call that reserves an idempotency key. Iterators and closures are avoided because they
+	// allocate.
 	var memberIDs []string
 	for memberID := range s.coreMembers {
 		memberIDs = append(memberIDs, memberID)
@@ -42,8 +43,8 @@
 	return addresses
 }
 
-// recordCoreMembers records the registries that an answer lists; a later incarnation replaces an earlier one. The
-// caller holds s.lock.
+// recordCoreMembers records the registries that a reply lists. A higher incarnation of a member replaces a lower one.
+// The caller holds s.lock.
 func (s *Server) recordCoreMembers(members []*schema.CoreMember) {
 	for _, member := range members {
 		if existing := s.coreMembers[member.Id]; existing == nil || member.Incarnation > existing.Incarnation {
@@ -52,12 +53,12 @@
 	}
 }
 
-// nameHashFactor is the factor of the hash by which a proxy's name selects its registry. Another factor would move
-// proxies between registries during an update.
+// nameHashFactor is the multiplier of nameHash. Another value would assign proxies to different registries in the middle
+// of a rolling update.
 const nameHashFactor = 31
 
-// currentRegistry is the address of the registry that this proxy polls and reports to, empty if there is none, and
-// the rotation that selected it. Without a lease there is no rotation, and 0 is returned for it.
+// currentRegistry returns the address of the registry that this proxy polls and reports to, empty if there is none, and
+// the rotation that selected it. Without a lease there is no rotation, and the second result is 0.
 func (s *Server) currentRegistry() (string, int) {
 	if s.servesStale() {
 		s.lock.Lock()
@@ -67,11 +68,11 @@
 	addresses := s.registryAddresses()
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	// Names spread the proxies over the registries; the rotation moves on when a registry fails.
+	// The hash of the name spreads the proxies over the registries. The rotation skips registries that failed.
 	return addresses[(nameHash(s.initialOptions.Name)+s.registryRotation)%len(addresses)], s.registryRotation
 }
 
-// nameHash is the hash of a proxy's name, not negative.
+// nameHash returns the polynomial hash of a proxy name. The result is not negative.
 func nameHash(name string) int {
 	hash := 0
 	for _, char := range name {
@@ -83,7 +84,7 @@
 	return hash
 }
 
-// switchRegistry moves on to the next registry, unless another goroutine has left the one of rotation already.
+// switchRegistry moves on to the next registry, unless another goroutine has already left the registry of rotation.
 func (s *Server) switchRegistry(rotation int) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -92,13 +93,14 @@
 	}
 }
 
-// leaveLaggingRegistry leaves a registry that has not sent a configuration which another proxy already uses.
+// leaveLaggingRegistry leaves the current registry after another proxy was found to use a configuration that this
+// registry has not sent yet.
 func (s *Server) leaveLaggingRegistry() {
 	_, rotation := s.currentRegistry()
 	s.switchRegistry(rotation)
 }
 
-// wake wakes the loop that waits on signal, without waiting for it.
+// wake signals the loop that waits on signal. It does not block; a pending signal absorbs further ones.
 func wake(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -106,7 +108,7 @@
 	}
 }
 
-// sleepLeaseFraction sleeps for the lease's duration divided by divisor, or until ctx ends.
+// sleepLeaseFraction sleeps for the lease duration divided by divisor, or until ctx ends.
 func (s *Server) sleepLeaseFraction(ctx context.Context, divisor time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -9,14 +9,15 @@
 	"meadowhinge/schema"
 )
 
-// publishWorkers applies the workers beside this proxy to its own state and wakes the report to a registry. Package
-// dispatch calls it whenever they change.
+// publishWorkers applies the local workers to the mesh state and wakes reportLoop. Package dispatch calls it whenever
+// they change.
 func (s *Server) publishWorkers() {
 	s.journal.Append(Event{At: s.now(), Sources: []*schema.Source{s.newLocalSource()}})
 	wake(s.reportNow)
 }
 
-// newLocalSource returns this proxy as a source of the directory, under a version above that of each one returned before.
+// newLocalSource returns this proxy and its local workers as a source of the directory. Each call returns a higher
+// version than the call before.
 func (s *Server) newLocalSource() *schema.Source {
 	workers := s.workers.List()
 	s.lock.Lock()
@@ -31,28 +32,33 @@
 	}
 }
 
-// reportSchedule decides when reportLoop reports, and what.
+// reportSchedule decides when reportLoop sends a report and what the report includes.
 //
-// Workers, with their load and liveness, are reported renewalsPerLease times per lease and at once when they change.
-// Work counts are reported reportsPerLease times per lease, but only while some version is judged by them. Counts of
-// verdicts, which nothing waits for, are reported seldom. Without a lease the session shows the registry that this
-// proxy is alive, and hardly anything is reported while nothing changes.
+//   - Workers, with their load and liveness, are reported renewalsPerLease times per lease, and at once when they change.
+//   - Work counts are reported reportsPerLease times per lease, but only while some service is judged, which
+//     means that the release controller judges one of its versions by these counts.
+//   - Verdict counts are reported rarely, because nothing waits for them.
+//
+// Without a lease the session itself shows the registry that this proxy is alive. Workers are then reported only when
+// they change or their last report failed.
+//
+// A reportSchedule is confined to the goroutine of reportLoop.
 type reportSchedule struct {
-	servesStale   bool
+	servesStale   bool // whether the proxy serves without a lease
 	leaseDuration time.Duration
 
-	turn          int  // counts the turns of reportLoop
-	reportWorkers bool // in the next turn: the workers changed, or their last report without a lease failed
+	turn          int  // number of completed turns of reportLoop
+	reportWorkers bool // whether the next turn reports workers: after a change or, without a lease, a failed report
 
-	verdictInterval    time.Duration
-	verdictsReportedAt time.Duration
+	verdictInterval    time.Duration // time between two reports of verdict counts
+	verdictsReportedAt time.Duration // time of the last such report, counted from the start of the proxy; 0 for none
 
-	judgedRevision uint64 // of the configuration that the next two come from
-	isJudged       func(service string) bool
-	anyJudged      bool
+	judgedRevision uint64                    // configuration revision from which isJudged and anyJudged are derived
+	isJudged       func(service string) bool // whether work counts of a service are reported
+	anyJudged      bool                      // whether there is any judged service
 }
 
-// newReportSchedule makes a schedule whose first turn reports the workers.
+// newReportSchedule returns a schedule whose first turn reports the workers.
 func newReportSchedule(servesStale bool, leaseDuration time.Duration) *reportSchedule {
 	schedule := &reportSchedule{
 		servesStale:     servesStale,
@@ -67,7 +73,7 @@
 	return schedule
 }
 
-// updateJudged brings the judged services up to the configuration in use.
+// updateJudged derives the judged services from snapshot if its revision has changed.
 func (r *reportSchedule) updateJudged(snapshot *config.Snapshot) {
 	if snapshot.Revision != r.judgedRevision {
 		r.isJudged, r.anyJudged = release.JudgedServices(snapshot)
@@ -75,14 +81,15 @@
 	}
 }
 
-// due reports what this turn's report includes; without any of them and without judged services there is none.
+// due returns what the report of this turn includes. If both results are false and no service is judged, the turn sends
+// no report.
 func (r *reportSchedule) due(now time.Duration) (includeWorkers, includeVerdicts bool) {
 	isWorkersTurn := !r.servesStale && r.turn%(reportsPerLease/renewalsPerLease) == 0
 	return r.reportWorkers || isWorkersTurn, now-r.verdictsReportedAt >= r.verdictInterval
 }
 
-// nextTurn is the time until the next turn if nothing wakes the loop; retry is set if this turn's report is to be
-// repeated.
+// nextTurn returns the time until the next turn if nothing wakes reportLoop earlier. retry requests a repetition of this
+// turn's failed report.
 func (r *reportSchedule) nextTurn(retry bool) time.Duration {
 	switch {
 	case retry:
@@ -106,7 +113,7 @@
 				schedule.verdictsReportedAt = s.now()
 			}
 		}
-		// Under a lease the workers' next turn repeats them anyway.
+		// Under a lease no retry is needed, because workers are reported periodically.
 		retry := !reported && includeWorkers && schedule.servesStale
 		select {
 		case <-ctx.Done():
@@ -121,8 +128,9 @@
 	}
 }
 
-// report sends one report to the current registry: the work counts of judged services, the workers beside this proxy
-// and the counts of verdicts if they are included. It reports whether the registry acknowledged it.
+// report sends one report to the current registry and returns whether the registry acknowledged it. The report holds
+// the work counts of judged services, and, if requested, the local workers and the verdict counts. If the request fails
+// under a lease, this proxy moves on to the next registry.
 func (s *Server) report(ctx context.Context, includeWorkers, includeVerdicts bool, isJudged func(service string) bool) bool {
 	defer s.canaries.ForgetUnguarded()
 	address, rotation := s.currentRegistry()
@@ -133,7 +141,7 @@
 	if includeWorkers {
 		source = s.refreshSource()
 	}
-	bounded, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
+	requestCtx, cancel := context.WithTimeout(ctx, s.leaseDuration/renewalsPerLease)
 	defer cancel()
 	requestedAt, snapshot := s.now(), s.view().Config
 	report := s.newReport(source)
@@ -142,7 +150,7 @@
 	if includeVerdicts {
 		report.Counts = s.callCounter.Counts(snapshot.Revision)
 	}
-	reply, err := s.registryClient(bounded, address).Tell(bounded, report)
+	reply, err := s.registryClient(requestCtx, address).Tell(requestCtx, report)
 	if err != nil {
 		if ctx.Err() == nil && !s.servesStale() {
 			s.switchRegistry(rotation)
@@ -153,13 +161,14 @@
 	return true
 }
 
-// newReport is a report with this proxy's identity; source may be nil.
+// newReport returns a report that carries the identity of this proxy. source may be nil.
 func (s *Server) newReport(source *schema.Source) *schema.ProxyReport {
 	return &schema.ProxyReport{Proxy: s.initialOptions.Name, Incarnation: s.processIncarnation, Source: source}
 }
 
-// refreshSource returns a newLocalSource for a report. Under a lease it first drops workers and sources that are no longer heard
-// from; without one maintainSession drops the workers, and the registry lists which sources have ended.
+// refreshSource returns the source for a report of workers. Under a lease it first drops unresponsive local workers and
+// timed-out sources. Without a lease maintainSession drops the workers, and the registry announces which sources have
+// ended.
 func (s *Server) refreshSource() *schema.Source {
 	if s.servesStale() {
 		return s.newLocalSource()
--- a/internal/proxy/reservations.go
+++ b/internal/proxy/reservations.go
@@ -7,38 +7,40 @@
 	"meadowhinge/schema"
 )
 
-// pendingReservation is a reservation, or release, of an idempotency key on its way to one registry.
+// pendingReservation is a reservation of an idempotency key, or its release, that waits to be sent to one registry.
 type pendingReservation struct {
-	ctx         context.Context // of the call that reserves; the request lives no longer than it
-	reservation *schema.KeyReservation
-	answers     chan session.ReservationAnswer // has room for the answers of all registries, so that sending never blocks
+	ctx         context.Context                // context of the attempt; ends when reserveKey returns
+	reservation *schema.KeyReservation         // reservation or release to send
+	answers     chan session.ReservationAnswer // receives one answer per registry; buffered for all of them
 }
 
-// maxReservationBatch bounds the reservations that wait for one registry and those that are sent at once.
+// maxReservationBatch is the capacity of the queue to one registry, and the maximum number of reservations in one
+// request.
 const maxReservationBatch = 1024
 
-// reserveKey sends a reservation to every registry and returns as soon as it is granted or refused, with the
-// conflicting reservation if there is one.
+// reserveKey sends a reservation to every registry and returns as soon as the outcome is decided, at the latest when ctx
+// ends or the attempt times out. The second result is the conflicting reservation, nil if there is none.
 func (s *Server) reserveKey(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 	timeout := session.ReservationAttemptTimeout(s.leaseDuration)
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	attemptCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	addresses := s.registryAddresses()
 	s.lock.Lock()
-	round := session.NewReservationAttempt(reservation, s.coreSize, s.now(), timeout)
+	attempt := session.NewReservationAttempt(reservation, s.coreSize, s.now(), timeout)
 	s.lock.Unlock()
 	answers := make(chan session.ReservationAnswer, len(addresses))
 	for _, address := range addresses {
 		select {
-		case s.reservationQueue(address) <- &pendingReservation{bounded, reservation, answers}:
+		case s.reservationQueue(address) <- &pendingReservation{attemptCtx, reservation, answers}:
 		default:
-			answers <- session.ReservationAnswer{} // the queue is full, so this registry gives no answer
+			answers <- session.ReservationAnswer{} // the queue is full: count this registry as not answering
 		}
 	}
-	return round.AwaitOutcome(bounded, len(addresses), answers, s.now)
+	return attempt.AwaitOutcome(attemptCtx, len(addresses), answers, s.now)
 }
 
-// reservationQueue is the queue to one registry; the first reservation starts the goroutine that sends it.
+// reservationQueue returns the queue to the registry at address. The first use of an address creates the queue and
+// starts the goroutine that sends its reservations.
 func (s *Server) reservationQueue(address string) chan *pendingReservation {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -46,15 +48,15 @@
 	if queue == nil {
 		queue = make(chan *pendingReservation, maxReservationBatch)
 		s.reservationQueues[address] = queue
-		go s.sendReservations(s.linkContext, address, queue)
+		go s.sendReservations(s.rpcContext, address, queue)
 	}
 	return queue
 }
 
-// sendReservations sends the reservations of a queue to one registry until ctx ends. What arrives while one batch is
-// under way is sent with the next, so that many calls at once cost few messages.
+// sendReservations sends the reservations of a queue to one registry until ctx ends. Reservations that arrive while a
+// batch is in flight form the next batch, so that many concurrent calls cost few messages.
 func (s *Server) sendReservations(ctx context.Context, address string, queue chan *pendingReservation) {
-	var batch []*pendingReservation // its memory is reused
+	var batch []*pendingReservation // the backing array is reused
 	for {
 		select {
 		case <-ctx.Done():
@@ -69,7 +71,7 @@
 	}
 }
 
-// collectBatch appends what waits in the queue to a batch, up to maxReservationBatch.
+// collectBatch appends the queued reservations to batch, up to maxReservationBatch in total. It does not block.
 func collectBatch(batch []*pendingReservation, queue chan *pendingReservation) []*pendingReservation {
 	for len(batch) < maxReservationBatch {
 		select {
@@ -82,8 +84,8 @@
 	return batch
 }
 
-// dropAbandoned removes, in place, the reservations whose calls have ended while they waited. A release is sent in any
-// case.
+// dropAbandoned removes, in place, the reservations whose context ended while they were queued, and gives them an empty
+// answer. Releases are kept in any case.
 func dropAbandoned(batch []*pendingReservation) []*pendingReservation {
 	remaining := batch[:0]
 	for _, pending := range batch {
@@ -96,15 +98,15 @@
 	return remaining
 }
 
-// sendReservationBatch sends a batch to one registry and distributes its replies, which come in the order of the
-// batch. A reservation without a reply gets an empty answer.
+// sendReservationBatch sends a batch to one registry and distributes the replies, which are in the order of the batch. A
+// reservation without a reply gets an empty answer.
 func (s *Server) sendReservationBatch(ctx context.Context, address string, batch []*pendingReservation) {
 	request := &schema.ReserveRequest{}
 	for _, pending := range batch {
 		request.Reservations = append(request.Reservations, pending.reservation)
 	}
-	bounded, cancel := context.WithTimeout(ctx, session.ReservationAttemptTimeout(s.leaseDuration))
-	reply, err := s.registryClient(bounded, address).Claim(bounded, request)
+	requestCtx, cancel := context.WithTimeout(ctx, session.ReservationAttemptTimeout(s.leaseDuration))
+	reply, err := s.registryClient(requestCtx, address).Claim(requestCtx, request)
 	cancel()
 	for i, pending := range batch {
 		if err != nil || i >= len(reply.Replies) {
--- a/internal/proxy/retry_after.go
+++ b/internal/proxy/retry_after.go
@@ -8,10 +8,10 @@
 	"meadowhinge/schema"
 )
 
-// retryDelays gives, for each error after which a retry makes sense, how long its cause is likely to last as far as
-// this proxy knows. A request that fails by an error outside this table fails however often it is sent.
+// retryDelays maps each retryable error code to the time for which its cause is likely to last, as far as this proxy can
+// tell. A request that fails with any other code would fail again on each retry.
 var retryDelays = map[errs.Code]func(opts *schema.ProxyOptions) time.Duration{
-	// The lease is renewed, and workers and configurations are reported, at this interval.
+	// Leases are renewed, and workers and applied configurations are reported, at this interval.
 	errs.NoLease:           renewalInterval,
 	errs.NoWorker:          renewalInterval,
 	errs.WorkerDraining:    renewalInterval,
@@ -20,14 +20,14 @@
 	errs.StalePlan:         renewalInterval,
 	errs.VersionNotAllowed: renewalInterval,
 	errs.NoQuorum:          renewalInterval,
-	// A reservation round, after which the registries may answer again.
+	// After one reservation attempt the registries may answer again.
 	errs.IdempotencyKeyNotReserved: reservationTime,
-	// The call that holds the key or the room ends by its own deadline.
+	// The call that holds the key or the capacity ends by its own deadline.
 	errs.IdempotencyKeyUnresolved: typicalCallTime,
 	errs.DeadlineExceeded:         typicalCallTime,
 	errs.QueueFull:                typicalCallTime,
 	errs.DuplicateRequest:         typicalCallTime,
-	// Outlier detection ejects a worker or proxy that failed for this time.
+	// Outlier detection ejects a failed endpoint for this time.
 	errs.PeerConnectionLost:   ejectionTime,
 	errs.PeerConnectFailed:    ejectionTime,
 	errs.WorkerConnectionLost: ejectionTime,
@@ -36,31 +36,31 @@
 	errs.ProxyDraining:        drainTime,
 }
 
-// typicalCallDivisor is the part of the longest deadline within which nearly all calls end.
+// typicalCallDivisor divides the longest deadline, the option "horizon_most": nearly all calls end within the quotient.
 const typicalCallDivisor = 8
 
-// renewalInterval is the time between two renewals of the lease.
+// renewalInterval returns the time between two renewals of the lease.
 func renewalInterval(opts *schema.ProxyOptions) time.Duration {
 	return time.Duration(opts.Lease) / renewalsPerLease
 }
 
-// reservationTime is the timeout of a round in which an idempotency key is reserved.
+// reservationTime returns the timeout of one attempt to reserve an idempotency key.
 func reservationTime(opts *schema.ProxyOptions) time.Duration {
 	return session.ReservationAttemptTimeout(time.Duration(opts.Lease))
 }
 
-// typicalCallTime is the time within which nearly all calls end.
+// typicalCallTime returns the time within which nearly all calls end.
 func typicalCallTime(opts *schema.ProxyOptions) time.Duration {
 	return time.Duration(opts.HorizonMost) / typicalCallDivisor
 }
 
-// ejectionTime is how long outlier detection ejects an endpoint.
+// ejectionTime returns the time for which outlier detection ejects an endpoint.
 func ejectionTime(opts *schema.ProxyOptions) time.Duration { return time.Duration(opts.Ejection) }
 
-// drainTime is how long a graceful shutdown takes.
+// drainTime returns the maximum duration of a graceful shutdown.
 func drainTime(opts *schema.ProxyOptions) time.Duration { return time.Duration(opts.Drain) }
 
-// retryAfter is the time after which a retry makes sense, 0 if it makes none.
+// retryAfter returns the time after which a retry may succeed, 0 if no retry can.
 func (s *Server) retryAfter(err error) time.Duration {
 	if delay := retryDelays[errs.CodeOf(err)]; delay != nil {
 		return delay(s.currentOptions())
--- a/internal/proxy/retry_after_test.go
+++ b/internal/proxy/retry_after_test.go
@@ -9,8 +9,9 @@
 	"meadowhinge/schema"
 )
 
-// Every error code is decided on: either a retry makes sense after a time, or no retry helps.
-func TestEveryErrorSaysWhenToRetry(t *testing.T) {
+// Every error code has a defined Retry-After: a number of seconds, or none if no retry can succeed. A new error code
+// fails this test until it is added to the table.
+func TestRetryAfterOfEveryErrorCode(t *testing.T) {
 	opts := &schema.ProxyOptions{
 		Lease:       int64(8 * time.Second),
 		Ejection:    int64(5 * time.Second),
@@ -19,7 +20,7 @@
 	}
 	s := &Server{initialOptions: opts, extensions: newExtensions(nil)}
 	s.liveOptions.Store(opts)
-	want := map[errs.Code]string{ // seconds in Retry-After
+	want := map[errs.Code]string{ // expected Retry-After in seconds; empty for none
 		errs.NoLease:                   "1",
 		errs.NoWorker:                  "1",
 		errs.WorkerDraining:            "1",
@@ -39,7 +40,7 @@
 		errs.WorkerConnectFailed:       "5",
 		errs.InvalidResponse:           "5",
 		errs.ProxyDraining:             "7",
-		// These fail however often the request is sent.
+		// A retry of these would fail again.
 		errs.RouteNotFound:        "",
 		errs.PolicyDenied:         "",
 		errs.CallerDisconnected:   "",
@@ -63,7 +64,7 @@
 		t.Run(string(code), func(t *testing.T) {
 			seconds, known := want[code]
 			if !known {
-				t.Error("the test does not say when to retry")
+				t.Errorf("error code %s has no expected Retry-After in the table of this test", code)
 			}
 			for _, forwarded := range []*schema.ForwardResponse{
 				nil,
@@ -73,7 +74,7 @@
 				response := &Response{}
 				s.writeResult(&RequestHeader{}, &dispatch.CallResult{Err: errs.New(code, ""), Response: forwarded}, response)
 				if retryAfter := response.HeaderValue("Retry-After"); retryAfter != seconds {
-					t.Errorf("Retry-After is %q, want %q", retryAfter, seconds)
+					t.Errorf("writeResult with error %s and response %v: Retry-After %q, want %q", code, forwarded, retryAfter, seconds)
 				}
 			}
 		})
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -16,13 +16,14 @@
 	"meadowhinge/schema"
 )
 
-// linkModePlaintext is the value of the option "links" with which processes talk to each other without certificates.
+// linkModePlaintext is the value of the option "links" that makes RPC connections plaintext, without certificates.
 const linkModePlaintext = "plain"
 
-// Run serves a proxy until ctx ends and its graceful shutdown is over. An error of listeners or of the certificate
-// is an errs.InvalidOptions; errs.ProxyDraining means that calls were cut short at the end of the shutdown.
+// Run serves a proxy until ctx ends and the graceful shutdown is over. It fails with errs.InvalidOptions if a listener
+// cannot be opened or the certificate is not usable, with errs.ProxyDraining if calls were cut off at the end of the
+// drain time, and with the error of the peer listener if that fails while serving.
 //
-// When Run returns an error before it serves, listeners it had opened stay open: the process ends with it.
+// If Run fails before it serves, listeners that it has opened stay open. The process is expected to exit.
 //
 //nolint:contextcheck // connections and the shutdown outlive ctx, whose end starts the shutdown
 func Run(ctx context.Context, environment *daemon.Environment, opts *schema.ProxyOptions, extensionOptions ...Option) error {
@@ -43,22 +44,22 @@
 		return err
 	}
 	s.registerPages(environment)
-	// The probe listener comes before the sessions: it reports what the proxy waits for.
+	// The probe listener opens before the sessions start, because it reports what the proxy waits for.
 	if err := environment.ServeProbes(opts.ProbeListen, s.readiness); err != nil {
 		return err
 	}
-	// Connections to registries and proxies outlive ctx until the calls in flight have ended.
-	linkContext, closeLinks := context.WithCancel(context.Background())
-	defer closeLinks()
-	s.startSessions(linkContext)
+	// Connections to registries and other proxies outlive ctx until the calls in flight have ended.
+	rpcContext, closeConnections := context.WithCancel(context.Background())
+	defer closeConnections()
+	s.startSessions(rpcContext)
 	serveErrors := make(chan error, 1)
-	go func() { serveErrors <- rpcTransport.Serve(linkContext, listener, mux, "proxy") }()
+	go func() { serveErrors <- rpcTransport.Serve(rpcContext, listener, mux, "proxy") }()
 	workerServer, err := s.listenForWorkers(opts.WorkersListen)
 	if err != nil {
 		return err
 	}
-	// Callers' listeners open once this proxy may decide calls: until then a refused connection sends callers
-	// to another proxy, where an accepted one would bring them an error.
+	// Callers' listeners open once this proxy may serve calls. Until then a refused connection sends callers to another
+	// proxy, whereas an accepted one would end in an error.
 	if !s.servingGate.AwaitOpen(ctx) {
 		environment.Draining.Store(true)
 		return s.shutDown(nil, workerServer)
@@ -77,7 +78,8 @@
 	return s.shutDown(callerListeners, workerServer)
 }
 
-// newTransport makes this process's side of the RPC transport; callers are the names it may call as.
+// newTransport creates the RPC transport of this process. The keys of callers are the callers on whose behalf a
+// plaintext transport may call; with certificates, the certificate names them.
 func newTransport(opts *schema.ProxyOptions, callers map[string]string) (*transport.Transport, error) {
 	transportOptions := []transport.Option{
 		transport.WithLocalAddress(opts.Listen),
@@ -93,7 +95,8 @@
 	return transport.NewPlaintext("proxy", opts.Name, callerNames, transportOptions...), nil
 }
 
-// checkIdentity checks that the certificate is this proxy's and allows it to call as each of its callers.
+// checkIdentity checks that the certificate was issued for the proxy called name and permits calls on behalf of each of
+// callers. It fails with errs.InvalidOptions.
 func checkIdentity(rpcTransport *transport.Transport, name string, callers map[string]string) error {
 	self := rpcTransport.Self()
 	if self.Role != "proxy" || self.Name != name {
@@ -101,21 +104,23 @@
 	}
 	for caller := range callers {
 		if !self.MayCallAs(caller) {
-			return errs.New(errs.InvalidOptions, fmt.Sprintf("callers: the certificate may not speak for %q", caller))
+			detail := fmt.Sprintf("callers: the certificate of proxy %q does not permit calls on behalf of %q", name, caller)
+			return errs.New(errs.InvalidOptions, detail)
 		}
 	}
 	return nil
 }
 
-// openPeerListener opens the listener for other proxies and the mux that serves the peer RPC on it.
+// openPeerListener opens the listener for other proxies and creates the mux that serves the peer RPC on it. It fails
+// with errs.InvalidOptions if the address cannot be listened on.
 func (s *Server) openPeerListener() (net.Listener, *drpcmux.Mux, error) {
 	listener, err := net.Listen("tcp", s.initialOptions.Listen)
 	if err != nil {
-		return nil, nil, errs.Wrap(err, errs.InvalidOptions, "listen")
+		return nil, nil, errs.Wrap(err, errs.InvalidOptions, "open peer listener")
 	}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterHop(mux, s); err != nil {
-		return nil, nil, errs.Wrap(err, errs.Internal, "mux")
+		return nil, nil, errs.Wrap(err, errs.Internal, "register peer RPC")
 	}
 	return listener, mux, nil
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -18,96 +18,99 @@
 	"meadowhinge/schema"
 )
 
-// Intervals and timeouts as parts ("per lease", divisors) or multiples of the lease's duration.
+// Intervals and timeouts derived from the lease duration: "per lease" is a number of times within one lease, a divisor
+// gives a fraction of the lease, and "leases" is a number of leases.
 const (
 	renewalsPerLease         = session.RenewalsPerLease
-	reportsPerLease          = 4 * session.RenewalsPerLease // work counts must arrive before a bad version has done much harm
-	verdictReportsPerLease   = 2                            // counts of verdicts are for operators to read
-	staleVerdictReportLeases = 2                            // leases between them if the proxy serves without a lease
-	longPollDivisor          = 2                            // how long a registry may hold a poll
-	sourceTimeoutDivisor     = 4                            // a proxy not heard from for this long, while others are, is dropped
-	dialTimeoutDivisor       = 16
-	retryBackoffDivisor      = 40                           // pause after a failed request to a registry
-	feedLagDivisor           = 2 * session.RenewalsPerLease // a registry this far behind is left for another
-	keyReleaseTimeoutDivisor = 64                           // how long a rejection waits for the release of its key reservation
-	overrunDivisor           = 16                           // how long an idempotent call may run on after its caller disconnected
+	reportsPerLease          = 4 * session.RenewalsPerLease // frequent, to detect a faulty version before it does much harm
+	verdictReportsPerLease   = 2                            // verdict counts only inform operators
+	staleVerdictReportLeases = 2                            // between reports of verdict counts without a lease
+	longPollDivisor          = 2                            // time that a registry may hold a poll
+	sourceTimeoutDivisor     = 4                            // age after which a source is dropped while others are live
+	dialTimeoutDivisor       = 16                           // timeout for dialing registries and proxies
+	retryBackoffDivisor      = 40                           // pause before a retry of a request to a registry
+	feedLagDivisor           = 2 * session.RenewalsPerLease // lag after which a registry is left; also the check interval
+	keyReleaseTimeoutDivisor = 64                           // time a rejection waits for its key to be released
+	overrunDivisor           = 16                           // time an idempotent call may outlive its caller
 )
 
-// Bounds of what is retained in memory.
+// Bounds on the entries retained in memory.
 const (
-	maxCallCounts     = 4096
-	maxRetainedEvents = 256
-	maxLocalWorkers   = 256
+	maxCallCounts     = 4096 // verdict counters
+	maxRetainedEvents = 256  // journal events on the page /events
+	maxLocalWorkers   = 256  // registered local workers
 )
 
-// Server is a running proxy.
+// Server is the state of a running proxy. It serves the peer RPC by its method [Server.Run]. [Run] creates one for a
+// process.
 type Server struct {
 	schema.DRPCHopUnimplementedServer
 
-	// Identity and settings. They do not change after newServer, except liveOptions.
-	initialOptions *schema.ProxyOptions                // the options at the start
-	liveOptions    atomic.Pointer[schema.ProxyOptions] // the options in force; applyOptions replaces them
-	address        string                              // at which other proxies reach this one
-	leaseDuration  time.Duration
-	startedAt      time.Time
-	transport      *transport.Transport
-	localPeer      transport.Peer // this proxy as the peer of its own runner
-	extensions     extensions
+	// Identity and options. They do not change after newServer, except liveOptions.
+	initialOptions *schema.ProxyOptions                // options at the start
+	liveOptions    atomic.Pointer[schema.ProxyOptions] // options in effect; replaced by applyOptions
+	address        string                              // address at which other proxies reach this one
+	leaseDuration  time.Duration                       // the option "lease"; also set when serving without a lease
+	startedAt      time.Time                           // zero point of now
+	transport      *transport.Transport                // RPC connections to registries and other proxies
+	localPeer      transport.Peer                      // identity of this proxy as the peer of its own runner
+	extensions     extensions                          // wire formats and hooks added by the program
 	log            logr.Logger
 
-	// processIncarnation distinguishes this process from earlier ones of the same name. newServer chooses one,
-	// establishIncarnation replaces it before any session begins; after that it does not change. The instances of workers
-	// are named by the first one.
+	// processIncarnation distinguishes this process from earlier ones with the same name. newServer chooses one, and
+	// establishIncarnation replaces it before any session begins; after that it does not change. Instance names of local
+	// workers contain the one chosen by newServer.
 	processIncarnation uint64
 
-	// State of the mesh and of calls; each guards itself.
-	journal           *journal.Journal[Event, MeshState]
-	workers           *dispatch.Workers
-	runner            *dispatch.Runner
-	forwarder         *dispatch.Forwarder
-	callCounter       *dispatch.CallCounter
-	outliers          *dispatch.OutlierDetector
-	canaries          *dispatch.CanaryGuard
-	uplink            *dispatch.Uplink     // model of this machine's link; nil if its bandwidth is not known
-	disconnects       dispatch.Disconnects // counts of callers that disconnected during their calls
-	callsInFlight     atomic.Int64         // of callers here
-	peerCallsInFlight atomic.Int64         // of other proxies
-	servingGate       servingGate          // whether this proxy may decide calls
-	leaseGate         *session.LeaseGate   // the lease itself; it is the servingGate of a proxy that serves under one
-
-	// lock guards the fields of this block.
+	// State of the mesh and of calls. Each field is safe for concurrent use.
+	journal           *journal.Journal[Event, MeshState] // mesh state and recent events
+	workers           *dispatch.Workers                  // local workers
+	runner            *dispatch.Runner                   // worker side of calls
+	forwarder         *dispatch.Forwarder                // caller side of calls
+	callCounter       *dispatch.CallCounter              // verdict counts
+	outliers          *dispatch.OutlierDetector          // ejected endpoints
+	canaries          *dispatch.CanaryGuard              // grants for calls to new versions
+	uplink            *dispatch.Uplink                   // model of this machine's uplink; nil if its bandwidth is unknown
+	disconnects       dispatch.Disconnects               // counts of callers that disconnected during their calls
+	callsInFlight     atomic.Int64                       // calls of local callers
+	peerCallsInFlight atomic.Int64                       // calls forwarded by other proxies
+	servingGate       servingGate                        // open while this proxy may serve calls
+	leaseGate         *session.LeaseGate                 // lease of this proxy; also the servingGate under a lease
+
+	// lock guards the fields of this block. It is never held during an RPC.
 	lock sync.Mutex
-	// sourceIncarnation is the incarnation of newLocalSource: processIncarnation until a registry lists this proxy under
-	// a higher one, then above that one. 0 until establishIncarnation has set it.
+	// sourceIncarnation is the incarnation in the versions of newLocalSource. It is 0 until establishIncarnation sets
+	// it to processIncarnation. checkSuperseded raises it if a registry lists this proxy under a higher one.
 	sourceIncarnation uint64
-	sourceCounter     uint64                        // of newLocalSource, up by one each time
-	coreMembers       map[string]*schema.CoreMember // the registries that made themselves known, by member ID
-	coreSize          int                           // members of the core; 0 for not known yet
-	behindSince       time.Duration                 // since when some registry has a newer configuration than the one applied here; 0 for none
-	registryRotation  int                           // under a lease: counts the changes from one registry to the next
-	registrySelector  *session.RegistrySelector     // without a lease: with which registry this proxy has its session
-	freshAsOf         time.Duration                 // the configuration here was the newest one at this time; 0 for not known
-	reportedFleetSize int64                         // live proxies as a registry counts them
-	fleetSizeEstimate *session.FleetSize            // smooths the above
+	sourceCounter     uint64                        // counter in the version that newLocalSource returned last
+	coreMembers       map[string]*schema.CoreMember // announced registries by member ID
+	coreSize          int                           // number of core members; 0 while unknown
+	behindSince       time.Duration                 // since when a registry has had a newer configuration; 0 for none
+	registryRotation  int                           // number of switches to the next registry; not used without a lease
+	registrySelector  *session.RegistrySelector     // selects the registry of the current session; used only without a lease
+	freshAsOf         time.Duration                 // when the configuration was last known to be the newest; 0 for never
+	reportedFleetSize int64                         // live proxies by the last update of a session
+	fleetSizeEstimate *session.FleetSize            // smooths the fleet sizes that registries report
+	// reservationQueues holds the reservations to be sent to each registry, by registry address.
 	reservationQueues map[string]chan *pendingReservation
 
-	// Signals and values between loops.
-	fleetSize     atomic.Int64  // how many proxies share limits that hold for the whole mesh
-	reportNow     chan struct{} // wakes reportLoop: the workers here have changed
-	configChanged chan struct{} // wakes reportLoop: the configuration has changed
-	// linkContext ends when this proxy closes its connections to registries and proxies. It is a field because
-	// the goroutines of reservation queues outlive the calls that start them. startSessions sets it before callers'
+	// Signals and values shared between loops.
+	fleetSize     atomic.Int64  // number of proxies that share mesh-wide limits
+	reportNow     chan struct{} // wakes reportLoop to report workers; buffered for one signal
+	configChanged chan struct{} // wakes reportLoop after a change of configuration; buffered for one signal
+	// rpcContext ends when this proxy closes its connections to registries and proxies. It is a field because the
+	// goroutines of the reservation queues outlive the calls that start them. startSessions sets it before the callers'
 	// listeners open; after that it does not change.
-	linkContext context.Context
+	rpcContext context.Context
 
 	// Graceful shutdown.
-	draining         *atomic.Bool // set by Run when its context ends
-	lastCallAt       atomic.Int64 // time, as now counts it, of the last call since draining was set; 0 for none
-	shutdownDeadline atomic.Int64 // time, as now counts it, by which the process must have ended; 0 before the shutdown
-	rejectsPeerCalls atomic.Bool  // calls of other proxies are rejected; set once the shutdown no longer accepts calls
+	draining         *atomic.Bool // whether the shutdown has begun; set by Run when its context ends
+	lastCallAt       atomic.Int64 // nanoseconds on the clock of now at which the last call of the shutdown arrived; 0 for none
+	shutdownDeadline atomic.Int64 // nanoseconds on the clock of now by which the process must have ended; 0 before the shutdown
+	rejectsPeerCalls atomic.Bool  // whether calls of other proxies are rejected; set when stageAccepting ends
 }
 
-// newServer makes a proxy that has no listeners and no sessions yet.
+// newServer creates a proxy without listeners and sessions. Run and startSessions add them.
 func newServer(
 	rpcTransport *transport.Transport,
 	environment *daemon.Environment,
@@ -151,9 +154,9 @@
 	return s
 }
 
-// startSessions starts this proxy's sessions with the registries; they end with ctx.
+// startSessions starts the loops that exchange state with the registries. They end with ctx.
 func (s *Server) startSessions(ctx context.Context) {
-	s.linkContext = ctx
+	s.rpcContext = ctx
 	go func() {
 		s.establishIncarnation(ctx)
 		if s.servesStale() {
@@ -169,8 +172,9 @@
 	}()
 }
 
-// now is the time since this proxy started; every time.Duration that stands for a point in time is counted so.
+// now returns the time since this proxy started, on the monotonic clock. Every time.Duration in this package that
+// denotes a point in time is on this clock unless its comment says otherwise.
 func (s *Server) now() time.Duration { return time.Since(s.startedAt) }
 
-// view is the configuration and directory by which calls are planned.
+// view returns the configuration and the directory by which calls are planned.
 func (s *Server) view() *plan.View { return s.journal.View().view }
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -10,23 +10,24 @@
 	"meadowhinge/schema"
 )
 
-// registrySession is one subscription with a registry while a proxy serves without a lease.
+// registrySession is one subscription with a registry. A proxy that serves without a lease uses sessions instead of
+// polling.
 type registrySession struct {
-	address string
-	cancel  context.CancelFunc
-	// candidate is set while another session is the current one: this one replaces it if it proves better. It belongs to
-	// the goroutine of maintainSession; the session's own goroutine gets the value at the start as an argument.
+	address string             // registry address
+	cancel  context.CancelFunc // ends the subscription
+	// candidate reports that another session is the current one, which this session may replace. Only the goroutine of
+	// maintainSession accesses the field; the goroutine of the session gets the initial value as an argument.
 	candidate bool
 }
 
-// sessionEvent is an update that a session received, or its end.
+// sessionEvent is an update received in a session, or the end of the session.
 type sessionEvent struct {
 	session *registrySession
-	update  *schema.Update // nil for the end
-	err     error          // why it ended
+	update  *schema.Update // nil for the end of the session
+	err     error          // cause of the end; nil for an update
 }
 
-// newRegistrySelector makes the state machine that selects the registry, by this proxy's options.
+// newRegistrySelector creates the state machine that selects the registry of this proxy.
 func (s *Server) newRegistrySelector() *session.RegistrySelector {
 	return session.NewRegistrySelector(session.SelectorOptions{
 		ProxyName:         s.initialOptions.Name,
@@ -38,15 +39,15 @@
 	}, options.SplitList(s.initialOptions.Seeds))
 }
 
-// sessionManager opens and closes sessions as the registry selector decides. It belongs to the goroutine of
-// maintainSession; only events is shared, with the goroutines of the sessions.
+// sessionManager opens and closes sessions as the registry selector decides. It is confined to the goroutine of
+// maintainSession, except that the goroutines of the sessions send on events.
 type sessionManager struct {
 	server   *Server
-	sessions map[string]*registrySession // open ones, by address
-	events   chan sessionEvent
+	sessions map[string]*registrySession // open sessions by registry address
+	events   chan sessionEvent           // updates and ends of sessions; unbuffered
 }
 
-// maintainSession keeps a session with a registry until ctx ends.
+// maintainSession keeps a session with a registry open until ctx ends, and drops unresponsive local workers.
 func (s *Server) maintainSession(ctx context.Context) {
 	manager := &sessionManager{server: s, sessions: map[string]*registrySession{}, events: make(chan sessionEvent)}
 	timer := time.NewTimer(0)
@@ -57,7 +58,7 @@
 		case <-ctx.Done():
 			return
 		case event := <-manager.events:
-			// An event that a session sent before it was closed says nothing of the session that replaced it.
+			// An event of a closed session does not apply to its replacement at the same address.
 			if manager.sessions[event.session.address] != event.session {
 				continue
 			}
@@ -72,7 +73,7 @@
 	}
 }
 
-// handleEvent hands an event to the registry selector and removes a session that has ended.
+// handleEvent passes an event to the registry selector and removes an ended session. It returns the selector's actions.
 func (m *sessionManager) handleEvent(event sessionEvent) []session.Action {
 	actions := m.server.recordSessionEvent(event)
 	if event.update == nil {
@@ -82,14 +83,14 @@
 	return actions
 }
 
-// tick lets the registry selector act on the time that has passed.
+// tick runs the timers of the registry selector and returns its actions.
 func (m *sessionManager) tick() []session.Action {
 	m.server.lock.Lock()
 	defer m.server.lock.Unlock()
 	return m.server.registrySelector.Tick(m.server.now())
 }
 
-// applyActions closes and opens sessions; they end with ctx.
+// applyActions closes and opens sessions. Opened sessions end with ctx.
 func (m *sessionManager) applyActions(ctx context.Context, actions []session.Action) {
 	for _, action := range actions {
 		m.server.log.V(1).Info("registry session changed", "registry", action.Address, "open", action.Open, "reason", action.Reason)
@@ -98,16 +99,16 @@
 			delete(m.sessions, action.Address)
 		}
 		if action.Open {
-			bounded, cancel := context.WithCancel(ctx)
+			sessionCtx, cancel := context.WithCancel(ctx)
 			opened := &registrySession{address: action.Address, cancel: cancel, candidate: action.Candidate}
 			m.sessions[action.Address] = opened
-			go m.server.subscribe(bounded, opened, action.Candidate, m.events)
+			go m.server.subscribe(sessionCtx, opened, action.Candidate, m.events)
 		}
 	}
 }
 
-// reportToNewCurrent wakes the report of this proxy if the selector has made a candidate the current session: a candidate
-// has not published this proxy's workers.
+// reportToNewCurrent wakes reportLoop if the selector has promoted a candidate to the current session. A candidate does
+// not publish the local workers, so the registry still lacks them.
 func (m *sessionManager) reportToNewCurrent() {
 	s := m.server
 	s.lock.Lock()
@@ -119,7 +120,7 @@
 	}
 }
 
-// nextTickAt is when the selector must be called next if no event comes before.
+// nextTickAt returns the time, counted from the start of the proxy, of the selector's next tick if no event precedes it.
 func (m *sessionManager) nextTickAt() time.Duration {
 	s := m.server
 	s.lock.Lock()
@@ -127,7 +128,8 @@
 	return s.registrySelector.NextTick(s.now())
 }
 
-// recordSessionEvent records an update or the end of a session with the registry selector.
+// recordSessionEvent passes an update or the end of a session to the registry selector and returns the selector's
+// actions.
 func (s *Server) recordSessionEvent(event sessionEvent) []session.Action {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -140,9 +142,11 @@
 	return s.registrySelector.RecordHeartbeat(s.now(), event.session.address, event.update.StalenessKnown, staleness)
 }
 
-// subscribe runs one session with a registry until it or ctx ends: it applies each update and sends it as an event,
-// and then its end. A candidate does not publish this proxy's workers: if it were closed again, its registry would
-// list the proxy as ended, although it has a session elsewhere.
+// subscribe runs one session with a registry until the stream fails or ctx ends. It applies each update, sends it as an
+// event, and sends a last event for the end.
+//
+// A candidate does not publish the local workers. If a candidate that had published them were closed, its registry
+// would list this proxy as ended although the proxy has a session with another registry.
 func (s *Server) subscribe(ctx context.Context, registry *registrySession, candidate bool, events chan<- sessionEvent) {
 	send := func(event sessionEvent) {
 		select {
@@ -162,7 +166,8 @@
 	send(sessionEvent{session: registry, err: err})
 }
 
-// newSubscribeRequest says what this proxy has, so that the registry sends what it lacks.
+// newSubscribeRequest builds the request that opens a session. It carries the versions that this proxy has, so that the
+// registry sends only newer ones.
 func (s *Server) newSubscribeRequest(candidate bool) *schema.SubscribeRequest {
 	request := &schema.SubscribeRequest{
 		Node:           s.initialOptions.Name,
@@ -179,8 +184,8 @@
 	return request
 }
 
-// applyUpdate applies what a registry sent in a session to the mesh state, and records what it says of the core and
-// of its own staleness. Under a lease applyPulledUpdate is its counterpart.
+// applyUpdate applies an update received in a session to the mesh state. It also records the core members, the fleet
+// size and the staleness of the registry. Its counterpart under a lease is applyPulledUpdate.
 func (s *Server) applyUpdate(update *schema.Update) {
 	now := s.now()
 	previousRevision := s.journal.View().config.Revision
@@ -209,14 +214,14 @@
 		s.reportedFleetSize = int64(update.FleetSize)
 	}
 	s.fleetSize.Store(s.fleetSizeEstimate.Observe(now, s.reportedFleetSize))
-	// Whatever the registry had at that time is in the mesh state now.
+	// The mesh state now includes everything that was committed up to this time.
 	if freshAsOf := now - time.Duration(update.StalenessNanos); update.StalenessKnown && freshAsOf > s.freshAsOf {
 		s.freshAsOf = freshAsOf
 	}
 }
 
-// sessionState returns the address of the registry of the current session, empty for none, and how old the
-// configuration here may be, if that is known.
+// sessionState returns the registry address of the current session, empty if there is none, and an upper bound on the
+// staleness of this proxy's configuration. The bound is valid only if known is true.
 func (s *Server) sessionState() (address string, staleness time.Duration, known bool) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/proxy/session_test.go
+++ b/internal/proxy/session_test.go
@@ -21,25 +21,25 @@
 	"meadowhinge/schema"
 )
 
-// coreLease is the lease's duration in these tests; all other times are parts of it.
+// coreLease is the lease duration in these tests, from which the other times are derived.
 const coreLease = 2 * time.Second
 
-// testCore is a core of three members, each with a store and a registry on an address of its own, without
-// certificates.
+// testCore is a core of three members without certificates. Each member has a store and a registry on its own loopback
+// address.
 type testCore struct {
 	t          *testing.T
-	subnet     string // the part of the loopback net that this run has reserved
-	hosts      []string
-	port       int      // of the registries; the stores use the next one, the operators' API the one after it
-	registries []func() // stop a registry
+	subnet     string   // first three octets of the loopback addresses reserved for this test
+	hosts      []string // address of each member
+	port       int      // port of the registries; the stores use the next one, the operators' API the one after it
+	registries []func() // functions that stop the registry of each member
 }
 
-// quietEnvironment is the environment of a process without a log.
+// quietEnvironment returns the environment of a process that discards its log.
 func quietEnvironment() *daemon.Environment {
 	return &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}
 }
 
-// runUntilStopped runs a server until stop is called, and fails the test if it ends with an error.
+// runUntilStopped runs a server until stop is called. stop waits for the server and reports its error to the test.
 func runUntilStopped(t *testing.T, run func(ctx context.Context) error) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,19 +48,19 @@
 	return sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("server stopped with error: %v", err)
 		}
 	})
 }
 
-// newTestCore starts a core; it ends with the test.
+// newTestCore starts a core. It ends with the test.
 func newTestCore(t *testing.T) *testCore {
 	t.Helper()
 	octet, reservation, err := fakebackend.ReserveLoopbackNet()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = reservation.Close() }) // the reservation ends with the process at the latest
+	t.Cleanup(func() { _ = reservation.Close() }) // the end of the process releases it otherwise
 	c := &testCore{t: t, port: fakebackend.FirstPort, subnet: fmt.Sprintf("127.%d.0", octet)}
 	for i := range 3 {
 		c.hosts = append(c.hosts, fmt.Sprint(c.subnet, ".10", i))
@@ -85,7 +85,7 @@
 		})
 		t.Cleanup(stop)
 		c.registries = append(c.registries, nil)
-		c.start(i)
+		c.startRegistry(i)
 	}
 	t.Cleanup(func() {
 		for _, stop := range c.registries {
@@ -95,19 +95,19 @@
 	return c
 }
 
-// addressOf is the address of a server of the i-th member; portOffset is 0 for the registry, 1 for the store, 2 for the
+// addressOf returns the address of a server of member i. portOffset is 0 for the registry, 1 for the store and 2 for the
 // operators' API.
 func (c *testCore) addressOf(i, portOffset int) string {
 	return fmt.Sprintf("%s:%d", c.hosts[i], c.port+portOffset)
 }
 
-// seeds are the addresses of one kind of server at all members.
+// seeds returns the addresses of one kind of server at all members, as an option value. portOffset is that of addressOf.
 func (c *testCore) seeds(portOffset int) string {
 	return c.addressOf(0, portOffset) + "," + c.addressOf(1, portOffset) + "," + c.addressOf(2, portOffset)
 }
 
-// start starts the registry of the i-th member.
-func (c *testCore) start(i int) {
+// startRegistry starts the registry of member i.
+func (c *testCore) startRegistry(i int) {
 	c.registries[i] = runUntilStopped(c.t, func(ctx context.Context) error {
 		return registry.Run(ctx, quietEnvironment(), &schema.RegistryOptions{
 			Seat:             c.hosts[i],
@@ -133,8 +133,8 @@
 	})
 }
 
-// change proposes a change to the store of the i-th member until it is decided.
-func (c *testCore) change(i int, change *schema.Change) {
+// propose proposes a change to the store of member i and retries until the change is accepted, at most 20 seconds.
+func (c *testCore) propose(i int, change *schema.Change) {
 	c.t.Helper()
 	rpcTransport := transport.NewPlaintext("registry", "operator", nil)
 	defer rpcTransport.Close()
@@ -144,30 +144,30 @@
 		reply, err := schema.NewDRPCStoreClient(rpcTransport.Conn(ctx, c.addressOf(i, 1))).Propose(ctx, &schema.Proposal{Change: change})
 		if err == nil && !reply.Undecided {
 			if reply.Outcome.Ruling != schema.Ruling_RULING_ACCEPTED {
-				c.t.Fatal(reply.Outcome)
+				c.t.Fatalf("outcome of change %s: %v, want RULING_ACCEPTED", change.Id, reply.Outcome)
 			}
 			return
 		}
 	}
-	c.t.Fatal("the change was not decided")
+	c.t.Fatalf("change %s proposed to member %d was not decided within 20s", change.Id, i)
 }
 
-// testProxy is a proxy without listeners.
+// testProxy is a hollow proxy that signals changes of its mesh state.
 type testProxy struct {
 	*proxy.Hollow
 	name    string
-	changed chan struct{} // gets a value when the mesh state has changed; has room for one
+	changed chan struct{} // signaled when the mesh state has changed; buffered for one signal
 }
 
-// join starts the proxy with number i, in the zone of the i-th member.
-func (c *testCore) join(i int) *testProxy {
+// startProxy starts hollow proxy number i in the zone of member i.
+func (c *testCore) startProxy(i int) *testProxy {
 	c.t.Helper()
-	m := &testProxy{name: fmt.Sprint(c.subnet, ".11", i), changed: make(chan struct{}, 1)}
+	p := &testProxy{name: fmt.Sprint(c.subnet, ".11", i), changed: make(chan struct{}, 1)}
 	var err error
 	opts := &schema.ProxyOptions{
-		Name:         m.name,
+		Name:         p.name,
 		Area:         fmt.Sprint("area-", i),
-		Listen:       m.name + ":9",
+		Listen:       p.name + ":9",
 		Seeds:        c.seeds(0),
 		Callers:      "shop=" + c.subnet + ".1:9",
 		Links:        "plain",
@@ -181,19 +181,19 @@
 		FailuresMost: 5,
 		HorizonMost:  int64(time.Second),
 	}
-	m.Hollow, err = proxy.JoinHollow(quietEnvironment(), opts, func(proxy.Seen) {
+	p.Hollow, err = proxy.JoinHollow(quietEnvironment(), opts, func(proxy.Seen) {
 		select {
-		case m.changed <- struct{}{}:
+		case p.changed <- struct{}{}:
 		default:
 		}
 	})
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	return m
+	return p
 }
 
-// heartbeat sends the heartbeat of a worker beside the proxy.
+// heartbeat sends a heartbeat of the proxy's local worker.
 func (p *testProxy) heartbeat(t *testing.T, service string) {
 	t.Helper()
 	description := dispatch.WorkerDescription{
@@ -209,12 +209,13 @@
 	}
 }
 
-// await waits until a proxy's status is ready, at most 20 seconds; what names the state waited for.
-func (p *testProxy) await(t *testing.T, what string, ready func(proxy.Status) bool) {
+// await waits until ready accepts the status of the proxy, at most 20 seconds. want describes the status in the failure
+// message.
+func (p *testProxy) await(t *testing.T, want string, ready func(proxy.Status) bool) {
 	t.Helper()
 	timeout := time.NewTimer(20 * time.Second)
 	defer timeout.Stop()
-	// What a status shows beside the mesh state changes with the registry's heartbeats.
+	// The parts of the status that are not in the mesh state change with the heartbeats of the registry.
 	ticker := time.NewTicker(coreLease / session.HeartbeatsPerLease)
 	defer ticker.Stop()
 	for !ready(p.Status()) {
@@ -222,85 +223,88 @@
 		case <-p.changed:
 		case <-ticker.C:
 		case <-timeout.C:
-			t.Fatalf("%s: not %s: %+v", p.name, what, p.Status())
+			t.Fatalf("proxy %s after 20s: want %s, got status %+v", p.name, want, p.Status())
 		}
 	}
 }
 
-// segment is a change that creates one item.
-func segment(name string) *schema.Change {
+// segmentChange returns a change that creates one configuration item.
+func segmentChange(name string) *schema.Change {
 	return &schema.Change{Id: name, Items: []*schema.Item{{Kind: "segment", Name: name, Body: []byte(`{"salt":""}`)}}}
 }
 
-// Proxies learn of each other's workers and of every configuration through whichever registry they have a session with,
-// also when registries or proxies end and come back.
-func TestSessionsThroughRestarts(t *testing.T) {
+// Each proxy learns of the workers of all others and of every configuration through the registry of its session, even if
+// registries or proxies restart.
+func TestSessionsSurviveRestarts(t *testing.T) {
 	c := newTestCore(t)
-	var members []*testProxy
+	var proxies []*testProxy
 	for i := range c.hosts {
-		members = append(members, c.join(i))
-		members[i].heartbeat(t, "shop")
+		proxies = append(proxies, c.startProxy(i))
+		proxies[i].heartbeat(t, "shop")
 	}
 	defer func() {
-		for _, m := range members {
-			m.End()
+		for _, p := range proxies {
+			p.End()
 		}
 	}()
-	c.change(0, segment("one"))
-	everywhere := func(revision uint64, workers int) {
+	c.propose(0, segmentChange("one"))
+	awaitAll := func(revision uint64, workers int) {
 		t.Helper()
-		for _, m := range members {
-			m.await(t, fmt.Sprintf("at configuration %d with %d workers", revision, workers), func(status proxy.Status) bool {
+		for _, p := range proxies {
+			p.await(t, fmt.Sprintf("configuration revision %d and %d workers", revision, workers), func(status proxy.Status) bool {
 				return status.ConfigRevision >= revision && status.KnownWorkers == workers
 			})
 		}
 	}
-	revision := func() uint64 { return members[0].ConfigRevision() }
-	everywhere(1, 3)
-	for i, m := range members {
-		m.await(t, "in session with the registry of its zone, with a known staleness", func(status proxy.Status) bool {
+	revision := func() uint64 { return proxies[0].ConfigRevision() }
+	awaitAll(1, 3)
+	for i, p := range proxies {
+		p.await(t, "a session with the registry of its zone, a staleness below the lease and a fleet of 3", func(status proxy.Status) bool {
 			isFresh := status.StalenessKnown && status.StalenessMS < coreLease.Milliseconds()
 			return status.Registry == c.addressOf(i, 0) && isFresh && status.FleetSize == 3
 		})
 	}
 
-	// A registry ends: its proxy changes to another, and a change made meanwhile reaches all.
+	// A registry stops. Its proxy switches to another one, and a change made meanwhile reaches all proxies.
 	previous := revision()
 	c.registries[0]()
-	c.change(1, segment("two"))
-	everywhere(previous+1, 3)
-	members[0].await(t, "with another registry", func(status proxy.Status) bool {
+	c.propose(1, segmentChange("two"))
+	awaitAll(previous+1, 3)
+	proxies[0].await(t, "a session with the registry of another zone", func(status proxy.Status) bool {
 		return status.Registry != "" && status.Registry != c.addressOf(0, 0)
 	})
-	c.start(0)
-	members[0].await(t, "back in its zone", func(status proxy.Status) bool { return status.Registry == c.addressOf(0, 0) })
+	c.startRegistry(0)
+	proxies[0].await(t, "a session with the restarted registry of its zone", func(status proxy.Status) bool {
+		return status.Registry == c.addressOf(0, 0)
+	})
 
-	// A proxy is restarted: the others accept its sources although their counter starts again, for the new incarnation.
-	members[2].End()
-	members[2] = c.join(2)
-	members[2].heartbeat(t, "shop")
-	members[2].heartbeat(t, "shop")
+	// A proxy restarts. The counter of its source starts again, but the others accept the source because of its new
+	// incarnation.
+	proxies[2].End()
+	proxies[2] = c.startProxy(2)
+	proxies[2].heartbeat(t, "shop")
+	proxies[2].heartbeat(t, "shop")
 	previous = revision()
-	c.change(2, segment("three"))
-	everywhere(previous+1, 3)
-	for _, m := range members {
-		m.await(t, "informed of the new incarnation", func(proxy.Status) bool {
-			return m.Vector()[members[2].name].GetIncarnation() == members[2].Vector()[members[2].name].GetIncarnation()
+	c.propose(2, segmentChange("three"))
+	awaitAll(previous+1, 3)
+	for _, p := range proxies {
+		p.await(t, "the new incarnation of the restarted proxy", func(proxy.Status) bool {
+			return p.Vector()[proxies[2].name].GetIncarnation() == proxies[2].Vector()[proxies[2].name].GetIncarnation()
 		})
 	}
 
-	// All registries end at once and lose the directory; the proxies' sessions restore it.
+	// All registries stop at once and lose the directory. The sessions of the proxies restore it.
 	for _, stop := range c.registries {
 		stop()
 	}
 	for i := range c.hosts {
-		c.start(i)
+		c.startRegistry(i)
 	}
 	previous = revision()
-	c.change(0, segment("four"))
-	everywhere(previous+1, 3)
-	// A proxy that does not come back is no longer listed.
-	members[1].End()
-	members = append(members[:1], members[2])
-	everywhere(previous+1, 2)
+	c.propose(0, segmentChange("four"))
+	awaitAll(previous+1, 3)
+	// A proxy that ends without a restart is removed from the directory.
+	proxies[1].End()
+	proxies = append(proxies[:1], proxies[2])
+	awaitAll(previous+1, 2)
 }
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -9,35 +9,36 @@
 	"meadowhinge/internal/errs"
 )
 
-// Parts of the time that a shutdown may take (the option "drain"), or of the notice that callers need (the option
-// "notice").
+// Fractions of the drain time (option "drain"), which bounds the whole shutdown, and of the notice (option "notice"),
+// which is the time that callers need to notice the shutdown.
 const (
-	acceptFraction        = 0.65 // of the drain time: after it no call is accepted, also if calls keep coming
-	quietDivisor          = 8    // of the notice: after so long without a call none is expected
-	workerDrainFraction   = 0.5  // of the notice: after it workers here get no more work, and finish theirs in the rest
-	shutdownTicks         = 64   // of the drain time: how often the stage is evaluated
-	responseMarginDivisor = 32   // of the drain time: every call is answered by this much before its end
+	acceptFraction        = 0.65 // fraction of the drain time after which no call is accepted, even if calls keep arriving
+	quietDivisor          = 8    // notice / quietDivisor without a call means that no further call is expected
+	workerDrainFraction   = 0.5  // fraction of the notice after which local workers are drained; they use the rest to finish
+	shutdownTicks         = 64   // evaluations of the stage per drain time
+	responseMarginDivisor = 32   // drain time / responseMarginDivisor is the margin between the last responses and the end
 )
 
-// shutdownStage is a stage of a graceful shutdown. Stages only advance.
+// shutdownStage is a stage of a graceful shutdown. Stages only move forward.
 type shutdownStage int
 
 const (
-	stageAccepting  shutdownStage = iota // calls are accepted as before, but each response ends its connection
-	stageClosing                         // no call is accepted; those accepted run to their end
-	stageTerminated                      // nothing is in flight, or the time is over
+	stageAccepting  shutdownStage = iota // calls are accepted as before, but each response closes its connection
+	stageClosing                         // no new call is accepted; accepted calls run to their end
+	stageTerminated                      // no call is in flight, or the drain time is over
 )
 
-// shutdownSchedule says when a graceful shutdown enters its next stage. All times count from its start.
+// shutdownSchedule determines when a graceful shutdown enters its next stage. Points in time count from the start of the
+// shutdown.
 type shutdownSchedule struct {
-	notice           time.Duration // by which callers have noticed the shutdown
-	workerDrainAfter time.Duration // when the workers here get no more work
-	drainTimeout     time.Duration // by which the process has ended
-	quietPeriod      time.Duration // after so long without a call none is expected
+	notice           time.Duration // when callers have noticed the shutdown
+	workerDrainAfter time.Duration // when local workers stop getting new calls
+	drainTimeout     time.Duration // when the process must have ended
+	quietPeriod      time.Duration // time without a call after which no further call is expected
 }
 
-// newShutdownSchedule makes a schedule from the options "notice" and "drain". A notice too long for the drain time is
-// shortened.
+// newShutdownSchedule creates a schedule from the options "notice" and "drain". A notice longer than acceptFraction of
+// the drain time is shortened to it.
 func newShutdownSchedule(notice, drain time.Duration) shutdownSchedule {
 	effectiveNotice := min(notice, time.Duration(acceptFraction*float64(drain)))
 	return shutdownSchedule{
@@ -48,8 +49,8 @@
 	}
 }
 
-// nextStage returns the stage after current, or current itself if it goes on. lastCallAt is when the last call came,
-// negative if that was before the shutdown.
+// nextStage returns the stage that follows current at time elapsed, or current itself if that stage is not over.
+// lastCallAt is the time of the last call, negative if it arrived before the shutdown.
 func (s shutdownSchedule) nextStage(current shutdownStage, elapsed, lastCallAt time.Duration, inFlight int64) shutdownStage {
 	switch {
 	case elapsed >= s.drainTimeout:
@@ -62,31 +63,33 @@
 	return current
 }
 
-// mustClose reports whether the time to accept calls is over, even if they keep coming.
+// mustClose reports whether calls are no longer accepted even if they keep arriving.
 func (s shutdownSchedule) mustClose(elapsed time.Duration) bool {
 	return elapsed >= time.Duration(acceptFraction*float64(s.drainTimeout))
 }
 
-// isQuiet reports whether callers have noticed the shutdown and no call is expected any more.
+// isQuiet reports whether callers have noticed the shutdown and no further call is expected.
 func (s shutdownSchedule) isQuiet(elapsed, lastCallAt time.Duration, inFlight int64) bool {
 	return elapsed >= s.notice && inFlight == 0 && elapsed-lastCallAt >= s.quietPeriod
 }
 
-// drainsWorkers reports whether the workers here get no more work.
+// drainsWorkers reports whether local workers get no new calls.
 func (s shutdownSchedule) drainsWorkers(elapsed time.Duration) bool {
 	return elapsed >= s.workerDrainAfter
 }
 
-// recordArrival records the time of a call during a shutdown, for nextStage.
+// recordArrival records the arrival time of a call during a shutdown; shutdownSchedule.nextStage uses it.
 func (s *Server) recordArrival() {
 	if s.draining.Load() {
 		s.lastCallAt.Store(int64(s.now()))
 	}
 }
 
-// boundDeadline shortens the time that a call may take during a shutdown, so that it is answered, with whatever
-// result, before its connection is closed. 0 as requested stands for a caller that gives no deadline; 0 as
-// shutdownDeadline means that there is no shutdown, and the result is the time requested.
+// boundDeadline limits the time that a call may take during a shutdown, so that the call is answered, if only with an
+// error, before its connection is closed. It returns the time left for the call.
+//
+// requested is the time that the caller allows, 0 for no limit. shutdownDeadline and now count from the start of the
+// proxy. A shutdownDeadline of 0 means that there is no shutdown; the result is then requested.
 func boundDeadline(requested, shutdownDeadline, now, drain time.Duration) time.Duration {
 	if shutdownDeadline <= 0 {
 		return requested
@@ -98,17 +101,17 @@
 	return min(requested, remaining)
 }
 
-// shutdownRun is a graceful shutdown under way. It belongs to the goroutine of shutDown.
+// shutdownRun is a graceful shutdown in progress. It is confined to the goroutine of Server.shutDown.
 type shutdownRun struct {
 	server          *Server
 	schedule        shutdownSchedule
-	startedAt       time.Duration
-	workersDraining bool // DrainAll has been called
-	ticker          *time.Ticker
+	startedAt       time.Duration // start of the shutdown, counted from the start of the proxy
+	workersDraining bool          // whether the local workers have been announced as draining
+	ticker          *time.Ticker  // paces the evaluation of the stage
 }
 
-// shutDown ends this proxy gracefully within the time of the option "drain". It returns errs.ProxyDraining if calls
-// of callers were cut short at the end of that time.
+// shutDown ends this proxy gracefully within the drain time. It returns an errs.ProxyDraining error if calls of callers
+// were still in flight at the end of that time and were cut off.
 func (s *Server) shutDown(callerListeners []*callerListener, workerServer *fasthttp.Server) error {
 	opts := s.currentOptions()
 	run := &shutdownRun{
@@ -117,7 +120,7 @@
 		schedule:  newShutdownSchedule(time.Duration(opts.Notice), time.Duration(opts.Drain)),
 	}
 	s.shutdownDeadline.Store(int64(run.startedAt + run.schedule.drainTimeout))
-	// Without callers there is nobody to give notice to.
+	// Without callers' listeners no caller needs to notice the shutdown.
 	if len(callerListeners) == 0 {
 		run.schedule.notice, run.schedule.workerDrainAfter, run.schedule.quietPeriod = 0, 0, 0
 	}
@@ -129,15 +132,15 @@
 	err := run.closeCallerListeners(callerListeners)
 	if stage == stageClosing {
 		run.awaitStageAfter(stageClosing)
-		// The last responses may still be on their way out.
+		// A tick gives the last responses time to be written.
 		<-run.ticker.C
 	}
-	_ = workerServer.Shutdown() // the process ends now, whatever is left on these connections
+	_ = workerServer.Shutdown() // the process ends next, even with connections left open
 	return err
 }
 
-// awaitStageAfter waits until the shutdown leaves a stage and returns the next one. Meanwhile it drains the workers here
-// when that is due.
+// awaitStageAfter waits until the shutdown leaves the stage from and returns the stage that follows. Meanwhile it drains
+// the local workers when that is due.
 func (r *shutdownRun) awaitStageAfter(from shutdownStage) shutdownStage {
 	s := r.server
 	for {
@@ -151,9 +154,9 @@
 	}
 }
 
-// drainWorkersIfDue announces the workers here as draining, once. It does so while there is still time for other proxies
-// to send their calls elsewhere, but not before: callers are accepted all that time, and the capacity of the workers would
-// be missed.
+// drainWorkersIfDue announces the local workers as draining, once. The announcement leaves other proxies enough time to
+// send their calls elsewhere. It is not made earlier, because calls are still accepted and the capacity of these workers
+// would be missing.
 func (r *shutdownRun) drainWorkersIfDue() {
 	if r.workersDraining || !r.schedule.drainsWorkers(r.server.now()-r.startedAt) {
 		return
@@ -162,8 +165,8 @@
 	r.server.workers.DrainAll()
 }
 
-// closeCallerListeners closes the entry points, one after the other, and waits for their calls until the drain time
-// is over. It returns an error if calls were cut short.
+// closeCallerListeners closes the callers' listeners, one after the other, and waits for their calls until the drain
+// time is over. It returns an errs.ProxyDraining error if calls were cut off.
 func (r *shutdownRun) closeCallerListeners(callerListeners []*callerListener) error {
 	deadline := make(chan struct{})
 	timeLeft := r.schedule.drainTimeout - (r.server.now() - r.startedAt)
@@ -171,15 +174,14 @@
 	var firstErr error
 	for _, listener := range callerListeners {
 		if !listener.shutDown(deadline) && firstErr == nil {
-			firstErr = errs.New(errs.ProxyDraining, "calls still in flight at the end of the drain time")
+			firstErr = errs.New(errs.ProxyDraining, "calls still in flight at the end of the drain time were cut off")
 		}
 	}
 	return firstErr
 }
 
-// announceShutdown reports to the registry of the session that this proxy ends, so that nobody waits for it to come
-// back.
-// Under a lease nothing is announced: the lease is not renewed.
+// announceShutdown reports to the registry of the current session that this proxy is shutting down, so that the registry
+// does not wait for it to reconnect. Under a lease nothing is announced, because the lease simply is not renewed.
 func (s *Server) announceShutdown() {
 	address, _ := s.currentRegistry()
 	if !s.servesStale() || address == "" {
@@ -187,10 +189,10 @@
 	}
 	source := s.newLocalSource()
 	source.Workers, source.ShuttingDown = nil, true
-	// The context of Run has ended already: its end started the shutdown.
-	bounded, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
+	// The context of Run cannot be used: its end started the shutdown.
+	requestCtx, cancel := context.WithTimeout(context.Background(), s.leaseDuration/renewalsPerLease)
 	defer cancel()
-	if _, err := s.registryClient(bounded, address).Tell(bounded, s.newReport(source)); err != nil {
-		s.log.V(1).Info("shutdown was not announced", "registry", address, "code", errs.CodeOf(err))
+	if _, err := s.registryClient(requestCtx, address).Tell(requestCtx, s.newReport(source)); err != nil {
+		s.log.V(1).Info("announcing the shutdown to the registry failed", "registry", address, "code", errs.CodeOf(err))
 	}
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -7,7 +7,7 @@
 	"meadowhinge/internal/statuspage"
 )
 
-// registerPages adds this proxy's pages to the probe listener.
+// registerPages adds the pages of this proxy to the probe listener.
 func (s *Server) registerPages(environment *daemon.Environment) {
 	environment.AddPage("/status", func() any { return s.status() })
 	environment.AddPage("/certificate", s.transport.Certificate)
@@ -18,7 +18,7 @@
 	}
 }
 
-// readiness reports whether this proxy may decide calls.
+// readiness reports whether this proxy may serve calls, for the readiness probe.
 func (s *Server) readiness() daemon.Readiness {
 	if !s.servingGate.IsOpen() {
 		return daemon.Readiness{Reason: string(errs.NoLease)}
@@ -26,27 +26,29 @@
 	return daemon.Readiness{Ready: true}
 }
 
-// Status is the page /status. The JSON keys are older than the names of the fields and stay.
+// Status is the content of the page /status. The JSON keys are a stable interface for operators, so they differ from the
+// names of the fields. Durations are in milliseconds.
 type Status struct {
-	Name              string               `json:"name"`
-	ConfigRevision    uint64               `json:"setup"`
-	HasLease          bool                 `json:"leased"`             // whether it may decide calls
-	LeaseMS           int64                `json:"leaseMs"`            // until the lease ends; negative since it has ended
-	FleetSize         int64                `json:"members"`            // proxies that share limits of the whole mesh
-	Registry          string               `json:"registry,omitempty"` // address of the registry of its session; empty under a lease
-	StalenessKnown    bool                 `json:"vouched"`            // whether StalenessMS is known
-	StalenessMS       int64                `json:"ageMs"`              // since its configuration was last known to be the newest
-	Sources           int                  `json:"sources"`            // proxies in the directory, this one included
-	KnownWorkers      int                  `json:"knownWorkers"`       // in the whole mesh
-	Workers           []*statuspage.Worker `json:"workers"`            // beside this proxy
-	RejectedPeers     uint64               `json:"refusedPeers"`       // peers rejected for a wrong certificate, protocol or garbage
-	CallsInFlight     int                  `json:"callsInFlight"`
-	PeerCallsInFlight int                  `json:"hopsInFlight"`
+	Name           string               `json:"name"`               // name of the proxy
+	ConfigRevision uint64               `json:"setup"`              // revision of the configuration in use; 0 for none
+	HasLease       bool                 `json:"leased"`             // whether the proxy may serve calls
+	LeaseMS        int64                `json:"leaseMs"`            // time until the lease expires; negative after that
+	FleetSize      int64                `json:"members"`            // estimated number of proxies, which share mesh-wide limits
+	Registry       string               `json:"registry,omitempty"` // registry of the current session; empty under a lease
+	StalenessKnown bool                 `json:"vouched"`            // whether StalenessMS is known
+	StalenessMS    int64                `json:"ageMs"`              // time since the configuration was known to be newest
+	Sources        int                  `json:"sources"`            // proxies in the directory, including this one
+	KnownWorkers   int                  `json:"knownWorkers"`       // number of workers in the directory
+	Workers        []*statuspage.Worker `json:"workers"`            // local workers
+	// RejectedPeers counts peers rejected for a wrong certificate, a wrong protocol or malformed data.
+	RejectedPeers     uint64 `json:"refusedPeers"`
+	CallsInFlight     int    `json:"callsInFlight"` // calls of local callers in flight
+	PeerCallsInFlight int    `json:"hopsInFlight"`  // calls forwarded by other proxies in flight
 
-	Disconnects dispatch.DisconnectCounts `json:"departures"` // callers that disconnected during their calls
+	Disconnects dispatch.DisconnectCounts `json:"departures"` // counts of callers that disconnected during their calls
 }
 
-// status is the current content of the page /status.
+// status returns the current content of the page /status.
 func (s *Server) status() Status {
 	state := s.journal.View()
 	knownWorkers := 0
@@ -75,15 +77,15 @@
 	}
 }
 
-// EventSummary is one event on the page /events.
+// EventSummary is one journal event on the page /events.
 type EventSummary struct {
-	At             string   `json:"at"` // time since the proxy started, as time.Duration prints it
-	ConfigRevision uint64   `json:"setup,omitempty"`
-	Items          int      `json:"items,omitempty"`   // how many configuration items the event carried
-	Sources        []string `json:"sources,omitempty"` // names of the proxies it told of
+	At             string   `json:"at"`                // time since the start of the proxy, as time.Duration prints it
+	ConfigRevision uint64   `json:"setup,omitempty"`   // revision of the configuration; 0 for an event without one
+	Items          int      `json:"items,omitempty"`   // number of configuration items in the event
+	Sources        []string `json:"sources,omitempty"` // names of the proxies whose sources the event carried
 }
 
-// events summarizes the last events that the mesh state was folded from, the oldest first.
+// events returns summaries of the most recent journal events, oldest first.
 func (s *Server) events() []EventSummary {
 	summaries := []EventSummary{}
 	for _, event := range s.journal.Recent() {
--- a/internal/proxy/worker_listener.go
+++ b/internal/proxy/worker_listener.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	maxHeartbeatBodyBytes    = 64 << 10 // of one worker description
-	workerConcurrencyFactor  = 4        // heartbeats served at the same time, as a multiple of the option "buffer"
-	workerConnectionIdleTime = time.Minute
+	maxHeartbeatBodyBytes    = 64 << 10    // maximum size of one worker description
+	workerConcurrencyFactor  = 4           // maximum number of concurrent connections, as a multiple of the option "buffer"
+	workerConnectionIdleTime = time.Minute // time without a request after which a connection is closed
 )
 
-// listenForWorkers opens the listener at which workers register and send heartbeats.
+// listenForWorkers opens the listener at which workers register and send heartbeats, and starts to serve it. It fails
+// with errs.InvalidOptions if the address cannot be listened on.
 func (s *Server) listenForWorkers(address string) (*fasthttp.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.InvalidOptions, address)
+		return nil, errs.Wrap(err, errs.InvalidOptions, "open workers' listener at "+address)
 	}
 	server := &fasthttp.Server{
 		Name:                         "meadowhinge",
@@ -41,25 +42,26 @@
 		ErrorHandler:                 rejectUnreadHeartbeat,
 	}
 	go func() {
-		_ = server.Serve(listener) // it ends with Shutdown; a listener that fails earlier shows as missing heartbeats
+		_ = server.Serve(listener) // returns on Shutdown; an earlier failure shows as missing heartbeats
 	}()
 	return server, nil
 }
 
-// handleHeartbeat serves one request of a worker.
+// handleHeartbeat serves one request of a worker with the configured HeartbeatHandler.
 func (s *Server) handleHeartbeat(requestCtx *fasthttp.RequestCtx) {
 	if err := bufferBody(requestCtx, maxHeartbeatBodyBytes); err != nil {
 		rejectHeartbeat(requestCtx, err)
 		return
 	}
 	s.extensions.heartbeatHandler.Handle(requestCtx, s.workers)
-	// During a shutdown the response announces the close, so that no worker sends its next heartbeat on a closed connection.
+	// During a shutdown the response announces the close. Otherwise a worker might send its next heartbeat on a closed
+	// connection.
 	if s.draining.Load() {
 		requestCtx.SetConnectionClose()
 	}
 }
 
-// rejectUnreadHeartbeat answers a request that the HTTP server could not read.
+// rejectUnreadHeartbeat answers a request that the HTTP server failed to read with err.
 func rejectUnreadHeartbeat(requestCtx *fasthttp.RequestCtx, err error) {
 	code := errs.MalformedRequest
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
@@ -68,13 +70,14 @@
 	rejectHeartbeat(requestCtx, errs.Wrap(err, code, "request"))
 }
 
-// rejectHeartbeat answers with an error and closes the connection.
+// rejectHeartbeat answers a request with err and closes the connection.
 func rejectHeartbeat(requestCtx *fasthttp.RequestCtx, err error) {
 	daemon.WriteError(requestCtx, err, outcomeNotExecuted, nil)
 	requestCtx.SetConnectionClose()
 }
 
-// bufferBody reads a request's body into memory if it is at most maxBytes long.
+// bufferBody reads a streamed request body into memory. It fails with errs.BodyTooLarge if the body is longer than
+// maxBytes, and with errs.MalformedRequest if the body cannot be read.
 func bufferBody(requestCtx *fasthttp.RequestCtx, maxBytes int) error {
 	if !requestCtx.Request.IsBodyStream() {
 		return nil
