--- a/internal/proxy/call_bench_test.go
+++ b/internal/proxy/call_bench_test.go
@@ -16,7 +16,8 @@
 	"meadowhinge/schema"
 )
 
-// startFakeWorker starts a worker that answers every request with the given header lines and body, at small cost.
+// startFakeWorker starts a worker that answers every request with the given header lines and body, with little overhead.
+// It returns the address of the worker.
 func startFakeWorker(tb testing.TB, fields, body string) string {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,9 +38,9 @@
 	return listener.Addr().String()
 }
 
-// answerRequests answers each request without a body on a connection, until it ends.
+// answerRequests answers each request on a connection until the connection ends. Requests must not have a body.
 func answerRequests(conn net.Conn, response []byte) {
-	defer func() { _ = conn.Close() }() // the other side has ended it
+	defer func() { _ = conn.Close() }() // the peer has closed it
 	buffer, received := make([]byte, 16<<10), 0
 	for {
 		count, err := conn.Read(buffer[received:])
@@ -55,7 +56,7 @@
 	}
 }
 
-// standaloneOptions are the options of a standalone proxy in these tests.
+// standaloneOptions returns the options of a standalone proxy in these tests.
 func standaloneOptions(name string) *schema.ProxyOptions {
 	return &schema.ProxyOptions{
 		Name:          name,
@@ -80,13 +81,13 @@
 	}
 }
 
-// newItem is a configuration item of the first revision.
+// newItem returns a configuration item of the first revision.
 func newItem(kind, name, body string) *schema.Item {
 	return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}}
 }
 
-// startProxyPair starts two proxies. It returns the callers' one; the worker of the service that they call is beside
-// the other.
+// startProxyPair starts a proxy for callers and a proxy for the worker at the address worker, which it registers there.
+// It returns the proxy for callers.
 func startProxyPair(tb testing.TB, worker string) *proxy.StandaloneProxy {
 	tb.Helper()
 	callerProxy := proxy.StartStandaloneProxy(tb, standaloneOptions("here"), "shop")
@@ -105,22 +106,22 @@
 }
 
 const (
-	// request is the request that sendRequests sends.
+	// request is a GET request of the caller "shop" without a body.
 	request = "GET /saves/2f HTTP/1.1\r\nHost: saves.example\r\nMeadowhinge-Horizon-Ms: 9000\r\n" +
 		"X-Player: 9c41d07be2a35f68\r\nAccept: */*\r\nUser-Agent: client\r\n\r\n"
 	// fields are the header lines of the worker's response.
 	fields = "X-Player: 9c41d07be2a35f68\r\nEtag: 3e1b.07.5a2.600.0.c9f2a4d1\r\nX-Load: 3,0,18\r\nContent-Type: text/plain\r\n"
 )
 
-// processCPUTime is the processor time that this process has used.
+// processCPUTime returns the user and system CPU time that this process has used.
 func processCPUTime() time.Duration {
 	var used syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used) // it fails for wrong arguments only
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &used) // fails only for invalid arguments
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
 }
 
-// sendRequests sends requests on one connection, one after the other.
-func sendRequests(tb testing.TB, address string, times int) {
+// sendRequests sends the given number of requests on one connection, one after the other, and reads their responses.
+func sendRequests(tb testing.TB, address string, count int) {
 	tb.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -128,7 +129,7 @@
 	}
 	defer func() { _ = conn.Close() }() // every response has been read
 	reader := bufio.NewReader(conn)
-	for range times {
+	for range count {
 		if _, err := io.WriteString(conn, request); err != nil {
 			tb.Fatal(err)
 		}
@@ -137,7 +138,7 @@
 			line, err := reader.ReadString('\n')
 			if err != nil || (first && line != "HTTP/1.1 200 OK\r\n") {
 				rest, _ := reader.Peek(min(300, reader.Buffered()))
-				tb.Fatalf("%q, %v, %s", line, err, rest)
+				tb.Fatalf("response line %q, error %v, next bytes %q; want a response with status 200", line, err, rest)
 			}
 			if line == "\r\n" {
 				break
@@ -152,8 +153,8 @@
 	}
 }
 
-// BenchmarkCall measures the processor time of a call from a caller through two proxies to a worker, all in this
-// process; /direct is the part of caller and worker. Run it with -cpu 1, which is what an edge machine has.
+// BenchmarkCall measures the CPU time of a call from a caller through two proxies to a worker, all in this process. The
+// case direct measures caller and worker alone. Run it with -cpu 1, because edge machines have one CPU.
 func BenchmarkCall(b *testing.B) {
 	worker := startFakeWorker(b, fields, strings.Repeat("x", 600))
 	for name, address := range map[string]string{"proxies": startProxyPair(b, worker).CallerAddress, "direct": worker} {
--- a/internal/proxy/caller_listener.go
+++ b/internal/proxy/caller_listener.go
@@ -13,65 +13,66 @@
 	"meadowhinge/internal/socket"
 )
 
-// requestLimits are the limits of one request, from the configuration in use.
+// requestLimits holds the limits of one request, from the configuration in use.
 type requestLimits struct {
-	headerBytes   int           // bytes of the request line, and bytes of the header lines after it
-	bodyBytes     int           // bytes of a body
-	headerTimeout time.Duration // from the first byte of a header to its last
-	idleTimeout   time.Duration // without a byte, between requests or within a body
+	maxHeaderBytes int           // maximum size of the request line, and separately of the header lines after it
+	maxBodyBytes   int           // maximum size of the body
+	headerTimeout  time.Duration // time from the first byte of a header to its last
+	idleTimeout    time.Duration // time without a byte received, between requests or within a body; also bounds writes
 }
 
-// callerListener is the entry point of one caller: it accepts connections and serves the requests on them.
+// callerListener is the HTTP/1 entry point of one caller. It accepts connections and serves the requests on them.
 //
-// A library's server does not fit: the limits change with the configuration, a request that two readers could
-// understand differently is rejected and not repaired, target and headers are forwarded as they came, and
-// new connections are accepted until the process ends.
+// It replaces a library's server for these reasons:
+//   - The limits change with the configuration.
+//   - An ambiguous request, which two parsers could read differently, is rejected instead of repaired.
+//   - Target and header fields are forwarded byte by byte.
+//   - New connections are still accepted in the first stage of a graceful shutdown.
 type callerListener struct {
 	listener       net.Listener
-	limits         func() requestLimits // called for each request
-	maxConnections int                  // open at the same time
-	// draining is set during a graceful shutdown: each response then ends its connection.
+	limits         func() requestLimits // returns the limits in effect; called for each request
+	maxConnections int                  // maximum number of open connections
+	// draining is set during a graceful shutdown; each response then closes its connection.
 	draining *atomic.Bool
-	// onWritten observes the bytes of each response to a caller on another machine; may be nil.
+	// onWritten is called with the number of bytes of each response to a caller on another machine; may be nil.
 	onWritten func(bytes int)
-	// disconnects counts callers that disconnect while a call of theirs is under way.
+	// disconnects counts callers that disconnect while a call of theirs is in flight.
 	disconnects *dispatch.Disconnects
-	// handle serves a request and fills the response; ctx ends when the caller disconnects.
+	// handle serves a request and fills the response. ctx ends when the caller disconnects.
 	handle func(ctx context.Context, header *RequestHeader, body []byte, receivedAt time.Time, response *Response)
-	// writeError fills the response to a request that could not be read.
-	writeError func(header *RequestHeader, err error, response *Response)
-	// largeBodyCapacity bounds largeBodyBytes, the bytes of all large bodies in memory.
-	largeBodyCapacity int64
-	largeBodyBytes    atomic.Int64
+	// writeError fills the response to a request that could not be read or parsed.
+	writeError        func(header *RequestHeader, err error, response *Response)
+	largeBodyCapacity int64        // maximum of largeBodyBytes
+	largeBodyBytes    atomic.Int64 // bytes of all bodies in memory that are larger than smallBodyBytes
 
 	lock        sync.Mutex               // guards connections, closed and the closing of allClosed
-	connections map[*connection]struct{} // open ones
-	closed      bool                     // set by shutDown
+	connections map[*connection]struct{} // open connections
+	closed      bool                     // whether shutDown has begun
 	allClosed   chan struct{}            // closed when the last connection has ended after shutDown
 }
 
 // Sizes in bytes, and factors.
 const (
-	initialBufferSize      = 4 << 10  // of a connection's buffer; it grows for larger headers
-	smallBodyBytes         = 64 << 10 // a larger body counts against largeBodyCapacity; also the first allocation for a body
-	bodyGrowthFactor       = 4        // by which the memory of a body grows while its bytes arrive
-	maxCombinedWriteBytes  = 16 << 10 // a body up to this size is written together with its header
-	maxChunkLineBytes      = 256      // of the line with a chunk's size
-	deadlineRefreshDivisor = 4        // a connection's deadline is moved only after this part of the timeout has passed
-
-	// rejectedBodyDiscardFactor is how many times the body limit is read and dropped after a body was rejected
-	// as too large: a connection that is closed with unread bytes is reset, and the caller never sees the response.
+	initialBufferSize      = 4 << 10  // initial size of a connection's buffer, which grows for larger headers
+	smallBodyBytes         = 64 << 10 // larger bodies count against largeBodyCapacity; also bounds the first allocation
+	bodyGrowthFactor       = 4        // growth factor of the memory of a body while its bytes arrive
+	maxCombinedWriteBytes  = 16 << 10 // largest body that is written together with its header
+	maxChunkLineBytes      = 256      // maximum size of a line with a chunk size
+	deadlineRefreshDivisor = 4        // a read deadline is moved only after timeout / deadlineRefreshDivisor has passed
+
+	// rejectedBodyDiscardFactor is the multiple of the body limit that is read and discarded after a rejection. Closing
+	// a connection with unread bytes resets it, and the caller would never see the response.
 	rejectedBodyDiscardFactor = 16
 )
 
-// acceptRetryDelay is the pause after a failed accept.
+// acceptRetryDelay is the pause after a failed Accept.
 const acceptRetryDelay = 10 * time.Millisecond
 
-// pastDeadline is a deadline that has passed: a read that waits under it returns at once.
+// pastDeadline is a deadline in the past. Setting it makes a blocked read return at once.
 var pastDeadline = time.Unix(1, 0)
 
-// newCallerListener makes an entry point on listener. The caller of this function sets handle and writeError
-// before it starts acceptLoop; largeBodyCapacity is in bytes.
+// newCallerListener creates a callerListener on listener. handle and writeError must be set before acceptLoop starts.
+// largeBodyCapacity is in bytes.
 func newCallerListener(
 	listener net.Listener,
 	maxConnections int,
@@ -96,7 +97,7 @@
 	for {
 		conn, err := l.listener.Accept()
 		if err != nil {
-			// File descriptors may run out for a moment; only a closed listener never accepts again.
+			// Errors such as a lack of file descriptors are temporary; only a closed listener is permanent.
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
@@ -105,14 +106,15 @@
 		}
 		accepted := &connection{listener: l, conn: socket.Wrap(conn)}
 		if !l.admit(accepted) {
-			_ = conn.Close() // nothing was sent on it
+			_ = conn.Close() // nothing was sent on this connection
 			continue
 		}
 		go accepted.serve()
 	}
 }
 
-// admit adds a connection if there is room for it or an idle connection can be closed in its place.
+// admit adds a connection if the limit permits or an idle connection can be closed in exchange. It reports whether the
+// connection was added.
 func (l *callerListener) admit(accepted *connection) bool {
 	l.lock.Lock()
 	defer l.lock.Unlock()
@@ -123,11 +125,12 @@
 	return admitted
 }
 
-// closeLongestIdle closes the connection that has been idle the longest, and reports whether there was one:
-// callers that were rejected come back on new connections and keep the old ones open. The caller holds l.lock.
+// closeLongestIdle closes the connection that has been idle for the longest time, and reports whether there was one.
+// Idle connections must make room because rejected callers reconnect without closing their old connections. The caller
+// holds l.lock.
 //
-// Setting idleSince from its time to 0 claims the connection: its own goroutine does the same when a request
-// arrives, so exactly one of the two wins.
+// Changing idleSince from its time to 0 claims the connection. The goroutine of the connection does the same when a
+// request arrives, so exactly one of the two succeeds.
 func (l *callerListener) closeLongestIdle() bool {
 	var oldest *connection
 	oldestIdleSince := int64(0)
@@ -139,14 +142,14 @@
 	if oldest == nil || !oldest.idleSince.CompareAndSwap(oldestIdleSince, 0) {
 		return false
 	}
-	_ = oldest.conn.SetReadDeadline(pastDeadline) // fails only on a connection that has ended by itself
+	_ = oldest.conn.SetReadDeadline(pastDeadline) // fails only on a closed connection
 	return true
 }
 
-// shutDown stops accepting, closes idle connections and waits for the others to finish their request, until
-// deadline is closed; then it closes these too. It reports whether all connections finished in time.
+// shutDown stops accepting connections, closes idle ones and waits for the others to finish their request. When deadline
+// is closed, it closes the remaining connections. It reports whether all connections finished before.
 func (l *callerListener) shutDown(deadline <-chan struct{}) bool {
-	_ = l.listener.Close() // the listener is not used again
+	_ = l.listener.Close() // not used again
 	l.lock.Lock()
 	l.closed = true
 	if len(l.connections) == 0 {
@@ -155,7 +158,7 @@
 	}
 	for remaining := range l.connections {
 		if remaining.idleSince.Load() != 0 {
-			_ = remaining.conn.SetReadDeadline(pastDeadline) // fails only on a connection that has ended by itself
+			_ = remaining.conn.SetReadDeadline(pastDeadline) // fails only on a closed connection
 		}
 	}
 	l.lock.Unlock()
@@ -167,7 +170,7 @@
 	l.lock.Lock()
 	defer l.lock.Unlock()
 	for remaining := range l.connections {
-		_ = remaining.conn.Close() // the caller sees its call cut short
+		_ = remaining.conn.Close() // cuts off the call in flight
 	}
 	return false
 }
@@ -179,7 +182,7 @@
 	return l.closed
 }
 
-// removeConnection forgets a connection that has ended.
+// removeConnection removes a closed connection, and signals allClosed if it was the last one after shutDown.
 func (l *callerListener) removeConnection(finished *connection) {
 	l.lock.Lock()
 	defer l.lock.Unlock()
--- a/internal/proxy/caller_listener_test.go
+++ b/internal/proxy/caller_listener_test.go
@@ -19,26 +19,27 @@
 	"meadowhinge/internal/errs"
 )
 
-// receivedRequest is a request as the listener handed it to its handler.
+// receivedRequest is a request as the handler of the listener received it.
 type receivedRequest struct {
 	Method, Host, Target, Body string
-	Fields                     []HeaderField
+	Fields                     []HeaderField // forwarded fields
 }
 
-// listenerHarness is a caller listener whose handler shows each request to the test and answers with its target.
+// listenerHarness is a caller listener whose handler passes each request to the test and answers with the target.
 type listenerHarness struct {
 	listener    *callerListener
 	address     string
 	draining    atomic.Bool
-	received    chan receivedRequest
-	release     chan struct{} // a request of /held waits until the test closes this
-	uplinkBytes atomic.Int64  // bytes of responses that used the machine's uplink
-	canceled    atomic.Int64  // requests of /held whose context ended while they waited
+	received    chan receivedRequest // requests in the order of arrival
+	release     chan struct{}        // closed by the test to answer requests for /held
+	uplinkBytes atomic.Int64         // bytes of responses counted against the machine's uplink
+	canceled    atomic.Int64         // requests for /held whose context ended before release
 }
 
-// testTimeout bounds every wait of these tests. It is far longer than any takes, also on an overloaded machine.
+// testTimeout bounds every wait in these tests. It is far longer than any of them takes, even on an overloaded machine.
 const testTimeout = time.Minute
 
+// startListener starts a caller listener on the loopback interface. It ends with the test.
 func startListener(t *testing.T, limits requestLimits) *listenerHarness {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -50,7 +51,7 @@
 		received: make(chan receivedRequest, 64),
 		release:  make(chan struct{}),
 	}
-	harness.listener = newCallerListener(listener, 64, int64(limits.bodyBytes), &harness.draining, func() requestLimits { return limits })
+	harness.listener = newCallerListener(listener, 64, int64(limits.maxBodyBytes), &harness.draining, func() requestLimits { return limits })
 	harness.listener.writeError = func(_ *RequestHeader, err error, response *Response) {
 		response.Status, response.Body = errs.HTTPStatus(errs.CodeOf(err)), []byte(errs.CodeOf(err))
 	}
@@ -83,6 +84,7 @@
 	return harness
 }
 
+// dial opens a connection to the listener with a deadline of testTimeout.
 func (h *listenerHarness) dial(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", h.address)
@@ -96,7 +98,7 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// writeText writes a text to a connection, all of it.
+// writeText writes text to a connection and fails the test on an error.
 func writeText(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -104,7 +106,7 @@
 	}
 }
 
-// closeConn closes a connection that the test has not closed yet.
+// closeConn closes a connection that is still open and reports an error to the test.
 func closeConn(t *testing.T, conn net.Conn) {
 	t.Helper()
 	if err := conn.Close(); err != nil {
@@ -112,41 +114,43 @@
 	}
 }
 
-// readResponse reads one response: its status, its body, and whether the connection ends with it.
+// readResponse reads one response. It returns the status, the body, and whether the response announces the close of the
+// connection.
 func readResponse(t *testing.T, reader *bufio.Reader, method string) (status int, body string, closeAfter bool) {
 	t.Helper()
 	response, err := http.ReadResponse(reader, &http.Request{Method: method})
 	if err != nil {
-		t.Fatalf("no response: %v", err)
+		t.Fatalf("read response header: %v", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it is read to its end
+	defer func() { _ = response.Body.Close() }() // read to its end
 	read, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.Fatalf("response cut short: %v", err)
+		t.Fatalf("read response body: %v", err)
 	}
 	return response.StatusCode, string(read), response.Close
 }
 
-// requireInterimResponse reads the interim response with which the proxy probes a caller that sends nothing more.
+// requireInterimResponse reads the interim response with which the proxy probes a caller that closed its sending side.
 func requireInterimResponse(t *testing.T, reader *bufio.Reader) {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
-		t.Fatalf("%v instead of an interim response", err)
+		t.Fatalf("read interim response: %v", err)
 	}
-	defer func() { _ = response.Body.Close() }() // it is empty
+	defer func() { _ = response.Body.Close() }() // an interim response has no body
 	if response.StatusCode != http.StatusContinue {
-		t.Fatalf("status %d instead of an interim response", response.StatusCode)
+		t.Fatalf("status %d, want interim response %d", response.StatusCode, http.StatusContinue)
 	}
 }
 
-var defaultLimits = requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 16, headerTimeout: testTimeout, idleTimeout: testTimeout}
+// defaultLimits are the limits of tests that do not wait for a timeout.
+var defaultLimits = requestLimits{maxHeaderBytes: 1 << 10, maxBodyBytes: 1 << 16, headerTimeout: testTimeout, idleTimeout: testTimeout}
 
-// A request that two readers could understand differently, or that exceeds a limit, is rejected, and nothing after it
-// on the connection is taken for a request: otherwise a caller could smuggle a request past the checks of the first.
-func TestAmbiguousRequestsAreRejected(t *testing.T) {
+// A request that two parsers could interpret differently, or that exceeds a limit, is rejected. The bytes that follow
+// are not parsed as a request; otherwise a caller could smuggle a second request past the checks of the first one.
+func TestAmbiguousAndOversizedRequestsAreRejected(t *testing.T) {
 	const smuggled = "GET /smuggled HTTP/1.1\r\nHost: b\r\n\r\n"
-	largeTrailer := "0\r\nX: " + strings.Repeat("x", defaultLimits.headerBytes) + "\r\n\r\n"
+	largeTrailer := "0\r\nX: " + strings.Repeat("x", defaultLimits.maxHeaderBytes) + "\r\n\r\n"
 	post := func(fields, body string) string {
 		return "POST /a HTTP/1.1\r\nHost: a\r\n" + fields + "\r\n" + body
 	}
@@ -154,55 +158,55 @@
 		text string
 		want int
 	}{
-		"length and chunks":            {post("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400},
-		"chunks and length":            {post("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n", "0\r\n\r\n"), 400},
-		"two lengths":                  {post("Content-Length: 4\r\nContent-Length: 5\r\n", "abcde"), 400},
-		"the same length twice":        {post("Content-Length: 4\r\nContent-Length: 4\r\n", "abcd"), 400},
-		"a list of lengths":            {post("Content-Length: 4, 4\r\n", "abcd"), 400},
-		"a signed length":              {post("Content-Length: +4\r\n", "abcd"), 400},
-		"a hexadecimal length":         {post("Content-Length: 0x4\r\n", "abcd"), 400},
-		"a negative length":            {post("Content-Length: -4\r\n", "abcd"), 400},
-		"a length beyond all numbers":  {post("Content-Length: 99999999999999999999\r\n", "abcd"), 400},
-		"an empty length":              {post("Content-Length:\r\n", "abcd"), 400},
-		"an encoding not known":        {post("Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"), 400},
-		"an encoding spelled oddly":    {post("Transfer-Encoding: \x0bchunked\r\n", "0\r\n\r\n"), 400},
-		"two encodings":                {post("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400},
-		"identity":                     {post("Transfer-Encoding: identity\r\n", ""), 400},
-		"chunks in the old protocol":   {"POST /a HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
-		"a chunk size that is none":    {post("Transfer-Encoding: chunked\r\n", "zz\r\n"), 400},
-		"a chunk size with a sign":     {post("Transfer-Encoding: chunked\r\n", "+4\r\nabcd\r\n0\r\n\r\n"), 400},
-		"a chunk size with a prefix":   {post("Transfer-Encoding: chunked\r\n", "0x4\r\nabcd\r\n0\r\n\r\n"), 400},
-		"a chunk size after a space":   {post("Transfer-Encoding: chunked\r\n", " 4\r\nabcd\r\n0\r\n\r\n"), 400},
-		"a chunk size beyond numbers":  {post("Transfer-Encoding: chunked\r\n", "10000000000000004\r\nabcd\r\n0\r\n\r\n"), 400},
-		"an empty chunk size":          {post("Transfer-Encoding: chunked\r\n", "\r\nabcd\r\n0\r\n\r\n"), 400},
-		"a chunk longer than its size": {post("Transfer-Encoding: chunked\r\n", "4\r\nabcdef\r\n0\r\n\r\n"), 400},
-		"a bare end of a chunk":        {post("Transfer-Encoding: chunked\r\n", "4\nabcd\r\n0\r\n\r\n"), 400},
-		"a bare end in an extension":   {post("Transfer-Encoding: chunked\r\n", "4;a\nabcd\r\n0\r\n\r\n"), 400},
-		"a bare line end":              {"GET /a HTTP/1.1\r\nHost: a\nX: y\r\n\r\n", 400},
-		"bare line ends alone":         {"GET /a HTTP/1.1\nHost: a\n\n", 400},
-		"a bare carriage return":       {"GET /a HTTP/1.1\r\nHost: a\r\nX: a\rb\r\n\r\n", 400},
-		"a space before the colon":     {"GET /a HTTP/1.1\r\nHost: a\r\nContent-Length : 4\r\n\r\n", 400},
-		"a folded line":                {"GET /a HTTP/1.1\r\nHost: a\r\nX: a\r\n b\r\n\r\n", 400},
-		"a first line that is folded":  {"GET /a HTTP/1.1\r\n Host: a\r\n\r\n", 400},
-		"a line without a colon":       {"GET /a HTTP/1.1\r\nHost: a\r\nX\r\n\r\n", 400},
-		"a nameless line":              {"GET /a HTTP/1.1\r\nHost: a\r\n: x\r\n\r\n", 400},
-		"a zero byte":                  {"GET /a HTTP/1.1\r\nHost: a\r\nX: a\x00b\r\n\r\n", 400},
-		"no host":                      {"GET /a HTTP/1.1\r\n\r\n", 400},
-		"two hosts":                    {"GET /a HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n", 400},
-		"a host that is none":          {"GET /a HTTP/1.1\r\nHost: a/b\r\n\r\n", 400},
-		"a space in the target":        {"GET /a b HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"two spaces":                   {"GET  /a HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"a target that is none":        {"GET a HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"an authority":                 {"CONNECT a:80 HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"another protocol":             {"GET /a HTTP/2.0\r\nHost: a\r\n\r\n", 400},
-		"a method that is none":        {"G(T /a HTTP/1.1\r\nHost: a\r\n\r\n", 400},
-		"an expectation not known":     {post("Expect: 200-ok\r\nContent-Length: 4\r\n", "abcd"), 400},
-		"a body that is too large":     {post(fmt.Sprintf("Content-Length: %d\r\n", defaultLimits.bodyBytes+1), ""), 413},
-		"chunks that are too large":    {post("Transfer-Encoding: chunked\r\n", fmt.Sprintf("%x\r\n", defaultLimits.bodyBytes+1)), 413},
-		"a head that is too large":     {"GET /a HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", defaultLimits.headerBytes) + "\r\n\r\n", 431},
-		"a target that is too long":    {"GET /" + strings.Repeat("x", defaultLimits.headerBytes) + " HTTP/1.1\r\nHost: a\r\n\r\n", 431},
-		"a head without an end":        {"GET /a HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 4*defaultLimits.headerBytes), 431},
-		"a trailer that is too large":  {post("Transfer-Encoding: chunked\r\n", largeTrailer), 431},
+		"Content-Length before Transfer-Encoding": {post("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400},
+		"Transfer-Encoding before Content-Length": {post("Transfer-Encoding: chunked\r\nContent-Length: 4\r\n", "0\r\n\r\n"), 400},
+		"two different lengths":                   {post("Content-Length: 4\r\nContent-Length: 5\r\n", "abcde"), 400},
+		"the same length twice":                   {post("Content-Length: 4\r\nContent-Length: 4\r\n", "abcd"), 400},
+		"list of lengths":                         {post("Content-Length: 4, 4\r\n", "abcd"), 400},
+		"length with plus sign":                   {post("Content-Length: +4\r\n", "abcd"), 400},
+		"hexadecimal length":                      {post("Content-Length: 0x4\r\n", "abcd"), 400},
+		"negative length":                         {post("Content-Length: -4\r\n", "abcd"), 400},
+		"length overflow":                         {post("Content-Length: 99999999999999999999\r\n", "abcd"), 400},
+		"empty length":                            {post("Content-Length:\r\n", "abcd"), 400},
+		"unsupported transfer encoding":           {post("Transfer-Encoding: gzip, chunked\r\n", "0\r\n\r\n"), 400},
+		"control character in transfer encoding":  {post("Transfer-Encoding: \x0bchunked\r\n", "0\r\n\r\n"), 400},
+		"two transfer encodings":                  {post("Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"), 400},
+		"identity transfer encoding":              {post("Transfer-Encoding: identity\r\n", ""), 400},
+		"chunked body in HTTP/1.0":                {"POST /a HTTP/1.0\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400},
+		"chunk size not hexadecimal":              {post("Transfer-Encoding: chunked\r\n", "zz\r\n"), 400},
+		"chunk size with plus sign":               {post("Transfer-Encoding: chunked\r\n", "+4\r\nabcd\r\n0\r\n\r\n"), 400},
+		"chunk size with 0x prefix":               {post("Transfer-Encoding: chunked\r\n", "0x4\r\nabcd\r\n0\r\n\r\n"), 400},
+		"chunk size after space":                  {post("Transfer-Encoding: chunked\r\n", " 4\r\nabcd\r\n0\r\n\r\n"), 400},
+		"chunk size overflow":                     {post("Transfer-Encoding: chunked\r\n", "10000000000000004\r\nabcd\r\n0\r\n\r\n"), 400},
+		"empty chunk size":                        {post("Transfer-Encoding: chunked\r\n", "\r\nabcd\r\n0\r\n\r\n"), 400},
+		"chunk longer than its size":              {post("Transfer-Encoding: chunked\r\n", "4\r\nabcdef\r\n0\r\n\r\n"), 400},
+		"bare LF after chunk size":                {post("Transfer-Encoding: chunked\r\n", "4\nabcd\r\n0\r\n\r\n"), 400},
+		"bare LF in chunk extension":              {post("Transfer-Encoding: chunked\r\n", "4;a\nabcd\r\n0\r\n\r\n"), 400},
+		"bare LF after header line":               {"GET /a HTTP/1.1\r\nHost: a\nX: y\r\n\r\n", 400},
+		"bare LF after all lines":                 {"GET /a HTTP/1.1\nHost: a\n\n", 400},
+		"bare CR in header value":                 {"GET /a HTTP/1.1\r\nHost: a\r\nX: a\rb\r\n\r\n", 400},
+		"space before colon":                      {"GET /a HTTP/1.1\r\nHost: a\r\nContent-Length : 4\r\n\r\n", 400},
+		"folded header line":                      {"GET /a HTTP/1.1\r\nHost: a\r\nX: a\r\n b\r\n\r\n", 400},
+		"folded first header line":                {"GET /a HTTP/1.1\r\n Host: a\r\n\r\n", 400},
+		"header line without colon":               {"GET /a HTTP/1.1\r\nHost: a\r\nX\r\n\r\n", 400},
+		"header line without name":                {"GET /a HTTP/1.1\r\nHost: a\r\n: x\r\n\r\n", 400},
+		"NUL in header value":                     {"GET /a HTTP/1.1\r\nHost: a\r\nX: a\x00b\r\n\r\n", 400},
+		"no Host":                                 {"GET /a HTTP/1.1\r\n\r\n", 400},
+		"two Hosts":                               {"GET /a HTTP/1.1\r\nHost: a\r\nHost: a\r\n\r\n", 400},
+		"invalid Host":                            {"GET /a HTTP/1.1\r\nHost: a/b\r\n\r\n", 400},
+		"space in target":                         {"GET /a b HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+		"two spaces before target":                {"GET  /a HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+		"target without slash":                    {"GET a HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+		"target in authority form":                {"CONNECT a:80 HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+		"unsupported protocol version":            {"GET /a HTTP/2.0\r\nHost: a\r\n\r\n", 400},
+		"invalid method":                          {"G(T /a HTTP/1.1\r\nHost: a\r\n\r\n", 400},
+		"unsupported expectation":                 {post("Expect: 200-ok\r\nContent-Length: 4\r\n", "abcd"), 400},
+		"Content-Length above the limit":          {post(fmt.Sprintf("Content-Length: %d\r\n", defaultLimits.maxBodyBytes+1), ""), 413},
+		"chunk size above the limit":              {post("Transfer-Encoding: chunked\r\n", fmt.Sprintf("%x\r\n", defaultLimits.maxBodyBytes+1)), 413},
+		"header lines above the limit":            {"GET /a HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", defaultLimits.maxHeaderBytes) + "\r\n\r\n", 431},
+		"request line above the limit":            {"GET /" + strings.Repeat("x", defaultLimits.maxHeaderBytes) + " HTTP/1.1\r\nHost: a\r\n\r\n", 431},
+		"unterminated header above the limit":     {"GET /a HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 4*defaultLimits.maxHeaderBytes), 431},
+		"trailer above the limit":                 {post("Transfer-Encoding: chunked\r\n", largeTrailer), 431},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -212,120 +216,120 @@
 				t.Fatal(err)
 			}
 			if status, _, closes := readResponse(t, reader, "GET"); status != test.want || !closes {
-				t.Errorf("status %d, closes %t; want %d and true", status, closes, test.want)
+				t.Errorf("status %d, close announced %t; want %d, true", status, closes, test.want)
 			}
 			if rest, err := io.ReadAll(reader); len(rest) > 0 || err != nil {
-				t.Errorf("then %q, %v", rest, err)
+				t.Errorf("after the response: %q, error %v; want the end of the connection", rest, err)
 			}
 			select {
 			case got := <-harness.received:
-				t.Errorf("the handler received %+v", got)
+				t.Errorf("handler received %+v, want no request", got)
 			default:
 			}
 		})
 	}
 }
 
-// A valid request reaches the handler as it was sent: target, names and order of header fields, and body, however its
-// bytes are split into writes.
+// The target, the names and order of the header fields, and the body of a valid request reach the handler unchanged, no
+// matter how the bytes are split into writes.
 func TestValidRequestsAreForwardedUnchanged(t *testing.T) {
 	sentField := HeaderField{"X", "1"}
 	largeBody := strings.Repeat("0123456789abcdef", 4096)
-	longValue := strings.Repeat("x", defaultLimits.headerBytes-len("Host: a\r\nX: \r\n\r\n"))
+	longValue := strings.Repeat("x", defaultLimits.maxHeaderBytes-len("Host: a\r\nX: \r\n\r\n"))
 	for name, test := range map[string]struct {
 		text string
 		want receivedRequest
 	}{
-		"plain": {
+		"no body": {
 			"GET /a HTTP/1.1\r\nHost: a.b:80\r\nX: 1\r\n\r\n",
 			receivedRequest{"GET", "a.b:80", "/a", "", []HeaderField{sentField}},
 		},
-		"a target": {
+		"target with dot segments and escapes": {
 			"GET /a/../b//%2e%2F/%61?x=/../%20+&y HTTP/1.1\r\nHost: a\r\n\r\n",
 			receivedRequest{"GET", "a", "/a/../b//%2e%2F/%61?x=/../%20+&y", "", nil},
 		},
-		"an absolute one": {
+		"absolute target": {
 			"GET HTTP://b.c/a?d HTTP/1.1\r\nHost: a\r\n\r\n",
 			receivedRequest{"GET", "b.c", "/a?d", "", nil},
 		},
-		"a bare host": {
+		"absolute target without path": {
 			"GET http://b.c?d HTTP/1.1\r\nHost: a\r\n\r\n",
 			receivedRequest{"GET", "b.c", "/?d", "", nil},
 		},
-		"a star": {
+		"asterisk target": {
 			"OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n",
 			receivedRequest{"OPTIONS", "a", "*", "", nil},
 		},
-		"names and order": {
+		"names and order of fields": {
 			"GET /a HTTP/1.1\r\nhOsT: a\r\nx-B: 1\r\nX-a:2\r\nX-B: \t3 \r\nx-c:\r\n\r\n",
 			receivedRequest{"GET", "a", "/a", "", []HeaderField{{"x-B", "1"}, {"X-a", "2"}, {"X-B", "3"}, {"x-c", ""}}},
 		},
-		"of one connection": {
+		"hop-by-hop fields dropped": {
 			"GET /a HTTP/1.1\r\nHost: a\r\nConnection: x-b , keep-alive\r\nX-B: 1\r\nKeep-Alive: 3\r\nTE: trailers\r\nUpgrade: x\r\nX: 1\r\n\r\n",
 			receivedRequest{"GET", "a", "/a", "", []HeaderField{sentField}},
 		},
-		"our own namespace": {
+		"reserved Meadowhinge- field dropped": {
 			"GET /a HTTP/1.1\r\nHost: a\r\nMeadowhinge-Caller: b\r\nX: 1\r\n\r\n",
 			receivedRequest{"GET", "a", "/a", "", []HeaderField{sentField}},
 		},
-		"a length": {
+		"body with Content-Length": {
 			"PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\na\r\n\x00",
 			receivedRequest{"PUT", "a", "/a", "a\r\n\x00", nil},
 		},
-		"chunks": {
+		"chunked body": {
 			"PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: Chunked\r\n\r\n1\r\na\r\n0A;b=\"c\"\r\n0123456789\r\n000\r\nX: 1\r\n\r\n",
 			receivedRequest{"PUT", "a", "/a", "a0123456789", nil},
 		},
-		"empty chunks": {
+		"empty chunked body": {
 			"PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
 			receivedRequest{"PUT", "a", "/a", "", nil},
 		},
-		"ends before": {
+		"empty line before request line": {
 			"\r\nGET /a HTTP/1.1\r\nHost: a\r\n\r\n",
 			receivedRequest{"GET", "a", "/a", "", nil},
 		},
-		"the old protocol": {
+		"HTTP/1.0 without Host": {
 			"GET /a HTTP/1.0\r\n\r\n",
 			receivedRequest{"GET", "", "/a", "", nil},
 		},
-		"a large body": {
+		"body at the limit": {
 			"PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 65536\r\n\r\n" + largeBody,
 			receivedRequest{"PUT", "a", "/a", largeBody, nil},
 		},
-		"a head at a bound": {
+		"header at the limit": {
 			"GET /a HTTP/1.1\r\nHost: a\r\nX: " + longValue + "\r\n\r\n",
 			receivedRequest{"GET", "a", "/a", "", []HeaderField{{"X", longValue}}},
 		},
 	} {
-		for _, step := range []int{1 << 20, 1, 7} {
-			t.Run(fmt.Sprint(name, " by ", step), func(t *testing.T) {
+		for _, writeSize := range []int{1 << 20, 1, 7} {
+			t.Run(fmt.Sprint(name, " in writes of ", writeSize), func(t *testing.T) {
 				t.Parallel()
-				if step == 1 && len(test.text) > 1<<12 {
-					step = 100
+				if writeSize == 1 && len(test.text) > 1<<12 {
+					writeSize = 100
 				}
 				harness := startListener(t, defaultLimits)
 				conn, reader := harness.dial(t)
 				for rest := test.text; rest != ""; {
-					part := rest[:min(step, len(rest))]
+					part := rest[:min(writeSize, len(rest))]
 					if _, err := io.WriteString(conn, part); err != nil {
 						t.Fatal(err)
 					}
 					rest = rest[len(part):]
 				}
 				if status, body, _ := readResponse(t, reader, test.want.Method); status != 200 || body != test.want.Target {
-					t.Fatalf("status %d, body %q", status, body)
+					t.Fatalf("response: status %d, body %q; want 200, %q", status, body, test.want.Target)
 				}
 				if diff := cmp.Diff(test.want, <-harness.received); diff != "" {
-					t.Error(diff)
+					t.Errorf("request at the handler differs (-want +got):\n%s", diff)
 				}
 			})
 		}
 	}
 }
 
-// Requests on one connection are answered in the order in which they arrive, also if the caller sends the next before
-// it has the response to the last. A request with Connection: close ends the connection.
-func TestConnectionsAreReused(t *testing.T) {
+// Requests on one connection are answered in the order of arrival, even if they are pipelined. A request with
+// Connection: close ends the connection.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	conn, reader := harness.dial(t)
 	text := "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n" +
@@ -341,29 +345,30 @@
 	}{{"GET", "/1", 2}, {"HEAD", "", 0}, {"PUT", "/3", 2}, {"GET", "", 4 * maxCombinedWriteBytes}} {
 		status, body, closes := readResponse(t, reader, want.method)
 		if status != 200 || len(body) != want.length || (want.body != "" && body != want.body) || closes {
-			t.Fatalf("%s: %d, %d bytes, closes %t", want.method, status, len(body), closes)
+			t.Fatalf("%s: status %d, body of %d bytes, close announced %t; want 200, %d bytes %q, false",
+				want.method, status, len(body), closes, want.length, want.body)
 		}
 	}
-	// A caller that expects an interim response before it sends the body gets one.
+	// A caller that sends Expect: 100-continue gets an interim response before it sends the body.
 	writeText(t, conn, "PUT /4 HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\nExpect: 100-continue\r\nConnection: close\r\n\r\n")
 	if line, _ := reader.ReadString('\n'); line != "HTTP/1.1 100 Continue\r\n" {
-		t.Fatalf("interim response %q", line)
+		t.Fatalf("status line of the interim response: %q, want 100 Continue", line)
 	}
 	if line, err := reader.ReadString('\n'); line != "\r\n" {
-		t.Fatalf("interim response ends with %q, %v", line, err)
+		t.Fatalf("line after the interim status line: %q, error %v; want an empty line", line, err)
 	}
 	writeText(t, conn, "abc")
 	if status, body, closes := readResponse(t, reader, "PUT"); status != 200 || body != "/4" || !closes {
-		t.Errorf("%d %q %t", status, body, closes)
+		t.Errorf("PUT /4: status %d, body %q, close announced %t; want 200, \"/4\", true", status, body, closes)
 	}
 	if rest, err := io.ReadAll(reader); len(rest) > 0 || err != nil {
-		t.Errorf("then %q, %v", rest, err)
+		t.Errorf("after the last response: %q, error %v; want the end of the connection", rest, err)
 	}
 }
 
-// Callers keep connections that they do not use again. A new connection replaces the one that has been idle the
-// longest, never one with a call under way.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
+// Callers may keep connections open without using them again. At the connection limit a new connection evicts the one
+// that has been idle for the longest time, never one with a call in flight.
+func TestLongestIdleConnectionIsEvicted(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	harness.listener.lock.Lock()
 	harness.listener.maxConnections = 3
@@ -382,7 +387,7 @@
 		t.Helper()
 		writeText(t, conn, fmt.Sprintf("GET %s HTTP/1.1\r\nHost: a\r\n\r\n", path))
 		if status, body, _ := readResponse(t, reader, "GET"); status != 200 || body != path {
-			t.Fatalf("%s: %d %q", path, status, body)
+			t.Fatalf("GET %s: status %d, body %q; want 200, %q", path, status, body, path)
 		}
 	}
 	busy, busyReader := harness.dial(t)
@@ -401,17 +406,17 @@
 	third, thirdReader := harness.dial(t)
 	call(third, thirdReader, "/third")
 	if got, err := io.ReadAll(firstReader); len(got) > 0 || err != nil {
-		t.Errorf("the connection idle for the longest time got %q, %v", got, err)
+		t.Errorf("longest idle connection: read %q, error %v; want its end", got, err)
 	}
 	call(second, secondReader, "/again")
 	close(harness.release)
 	if status, body, _ := readResponse(t, busyReader, "GET"); status != 200 || body != "/held" {
-		t.Errorf("the connection with a call got %d %q", status, body)
+		t.Errorf("connection with a call in flight: status %d, body %q; want 200, \"/held\"", status, body)
 	}
 }
 
-// If every connection has a call under way, a new connection is closed at once.
-func TestBusyConnectionsMakeNoRoom(t *testing.T) {
+// If all connections have a call in flight at the connection limit, a new connection is closed at once.
+func TestConnectionsWithCallsAreNotEvicted(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	harness.listener.lock.Lock()
 	harness.listener.maxConnections = 1
@@ -421,28 +426,29 @@
 	<-harness.received
 	_, reader := harness.dial(t)
 	if got, _ := io.ReadAll(reader); len(got) > 0 {
-		t.Errorf("got %q", got)
+		t.Errorf("connection above the limit: read %q, want its end", got)
 	}
 	close(harness.release)
 	if status, _, _ := readResponse(t, busyReader, "GET"); status != 200 {
-		t.Errorf("the connection with a call got %d", status)
+		t.Errorf("connection with a call in flight: status %d, want 200", status)
 	}
 }
 
-// A header or body that does not arrive in time is rejected; an idle connection ends without a response.
-func TestSlowCallersTimeOut(t *testing.T) {
-	const soon = 30 * time.Millisecond
-	shortHeaderTimeout := requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 10, headerTimeout: soon, idleTimeout: testTimeout}
-	shortIdleTimeout := requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 10, headerTimeout: testTimeout, idleTimeout: soon}
+// A request whose header or body does not arrive in time is answered with 408. An idle connection is closed without a
+// response.
+func TestSlowRequestsTimeOut(t *testing.T) {
+	const shortTimeout = 30 * time.Millisecond
+	shortHeaderTimeout := requestLimits{maxHeaderBytes: 1 << 10, maxBodyBytes: 1 << 10, headerTimeout: shortTimeout, idleTimeout: testTimeout}
+	shortIdleTimeout := requestLimits{maxHeaderBytes: 1 << 10, maxBodyBytes: 1 << 10, headerTimeout: testTimeout, idleTimeout: shortTimeout}
 	for name, test := range map[string]struct {
 		limits requestLimits
 		text   string
 		want   string
 	}{
-		"head":  {shortHeaderTimeout, "GET /a HTTP/1.1\r\nHo", "HTTP/1.1 408 "},
-		"body":  {shortIdleTimeout, "PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\na", "HTTP/1.1 408 "},
-		"chunk": {shortIdleTimeout, "PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1", "HTTP/1.1 408 "},
-		"quiet": {shortIdleTimeout, "", ""},
+		"incomplete header":     {shortHeaderTimeout, "GET /a HTTP/1.1\r\nHo", "HTTP/1.1 408 "},
+		"incomplete body":       {shortIdleTimeout, "PUT /a HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\na", "HTTP/1.1 408 "},
+		"incomplete chunk size": {shortIdleTimeout, "PUT /a HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1", "HTTP/1.1 408 "},
+		"idle connection":       {shortIdleTimeout, "", ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -451,19 +457,19 @@
 			writeText(t, conn, test.text)
 			got, err := io.ReadAll(reader)
 			if err != nil || !strings.HasPrefix(string(got), test.want) || (test.want == "") != (len(got) == 0) {
-				t.Errorf("got %q, %v", got, err)
+				t.Errorf("read %q, error %v; want a response that starts with %q", got, err, test.want)
 			}
 			if len(harness.received) > 0 {
-				t.Error("the handler received it")
+				t.Error("handler received the request, want none")
 			}
 		})
 	}
 }
 
-// Large bodies share a bounded capacity: a body that exceeds it is rejected, and the capacity of a body is free again
-// once its request is answered.
+// Large bodies share a bounded capacity. A body that exceeds it is rejected, and the capacity of a body is released once
+// its request is answered.
 func TestLargeBodiesShareCapacity(t *testing.T) {
-	harness := startListener(t, requestLimits{headerBytes: 1 << 10, bodyBytes: 1 << 20, headerTimeout: testTimeout, idleTimeout: testTimeout})
+	harness := startListener(t, requestLimits{maxHeaderBytes: 1 << 10, maxBodyBytes: 1 << 20, headerTimeout: testTimeout, idleTimeout: testTimeout})
 	put := func(path string, size int) string {
 		return fmt.Sprintf("PUT %s HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", path, size, strings.Repeat("x", size))
 	}
@@ -473,41 +479,41 @@
 	second, secondReader := harness.dial(t)
 	writeText(t, second, put("/small", smallBodyBytes))
 	if status, _, _ := readResponse(t, secondReader, "PUT"); status != 200 {
-		t.Errorf("a small body got %d", status)
+		t.Errorf("small body: status %d, want 200", status)
 	}
-	// The rejection may cut the write short.
+	// The write may fail because the connection is closed after the rejection.
 	go func() { _, _ = io.WriteString(second, put("/large", smallBodyBytes+1)) }()
 	if status, _, closes := readResponse(t, secondReader, "PUT"); status != 503 || !closes {
-		t.Errorf("a large body beyond the capacity got %d, closes %t", status, closes)
+		t.Errorf("large body above the capacity: status %d, close announced %t; want 503, true", status, closes)
 	}
 	close(harness.release)
 	readResponse(t, firstReader, "PUT")
 	writeText(t, first, put("/large", 1<<20))
 	if status, _, _ := readResponse(t, firstReader, "PUT"); status != 200 {
-		t.Errorf("a large body with free capacity got %d", status)
+		t.Errorf("large body within the released capacity: status %d, want 200", status)
 	}
 }
 
-// A caller that disconnects ends its request's context. The handler decides what that means, and shutDown waits until
-// it has returned.
-func TestRequestsOutliveTheirConnection(t *testing.T) {
+// A disconnect of the caller cancels the context of its request. The handler may continue, and shutDown waits until it
+// has returned.
+func TestDisconnectCancelsContextAndShutDownWaits(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	conn, _ := harness.dial(t)
 	writeText(t, conn, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-harness.received
 	closeConn(t, conn)
-	waitFor(t, "the end of the request's context", func() bool { return harness.canceled.Load() == 1 })
+	waitFor(t, "context of the request canceled", func() bool { return harness.canceled.Load() == 1 })
 	close(harness.release)
 	until, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	if !harness.listener.shutDown(until.Done()) {
-		t.Error("the request did not end")
+		t.Errorf("shutDown = false, want true once the handler has returned (timeout %s)", testTimeout)
 	}
 }
 
-// While draining is set each response ends its connection, but new connections are accepted. shutDown closes idle
-// connections and lets requests that were read be answered.
-func TestCallerListenerShutsDownInOrder(t *testing.T) {
+// While draining is set, each response closes its connection, but new connections are accepted. shutDown closes idle
+// connections and waits until received requests are answered.
+func TestCallerListenerShutsDownGracefully(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	idle, idleReader := harness.dial(t)
 	writeText(t, idle, "GET /1 HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -516,7 +522,7 @@
 	fresh, freshReader := harness.dial(t)
 	writeText(t, fresh, "GET /2 HTTP/1.1\r\nHost: a\r\n\r\n")
 	if status, _, closes := readResponse(t, freshReader, "GET"); status != 200 || !closes {
-		t.Errorf("%d, closes %t", status, closes)
+		t.Errorf("response while draining: status %d, close announced %t; want 200, true", status, closes)
 	}
 	busy, busyReader := harness.dial(t)
 	writeText(t, busy, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -528,22 +534,22 @@
 	ended := make(chan bool, 1)
 	go func() { ended <- harness.listener.shutDown(nil) }()
 	if rest, err := io.ReadAll(idleReader); len(rest) > 0 || err != nil {
-		t.Errorf("an idle connection ended with %q, %v", rest, err)
+		t.Errorf("idle connection during shutDown: read %q, error %v; want its end", rest, err)
 	}
 	close(harness.release)
 	if status, _, _ := readResponse(t, busyReader, "GET"); status != 200 {
-		t.Errorf("the last request got %d", status)
+		t.Errorf("request in flight during shutDown: status %d, want 200", status)
 	}
 	if !<-ended {
-		t.Error("not all connections finished")
+		t.Error("shutDown = false, want true: all connections finished")
 	}
 	if _, err := net.Dial("tcp", harness.address); err == nil {
-		t.Error("connections are still accepted")
+		t.Error("dial after shutDown succeeded, want an error")
 	}
 }
 
 // Only responses to callers on other machines count against the machine's uplink.
-func TestOnlyResponsesThatLeaveTheMachineUseItsUplink(t *testing.T) {
+func TestOnlyResponsesToOtherMachinesUseUplink(t *testing.T) {
 	for from, usesUplink := range map[string]bool{"127.0.0.1": false, "127.0.0.2": true} {
 		t.Run(from, func(t *testing.T) {
 			harness := startListener(t, defaultLimits)
@@ -570,11 +576,12 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				_ = response.Body.Close() // it is read to its end
+				_ = response.Body.Close() // read to its end
 				sent += len(body)
 			}
 			if got := harness.uplinkBytes.Load(); got > 0 != usesUplink || usesUplink && got < int64(sent/2) {
-				t.Errorf("responses to %s used %d bytes of the uplink", from, got)
+				t.Errorf("uplink bytes of responses to %s: %d; want use of the uplink %t, with at least %d bytes if true",
+					from, got, usesUplink, sent/2)
 			}
 		})
 	}
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -11,10 +11,11 @@
 	"meadowhinge/schema"
 )
 
-// outcomeNotExecuted is the outcome's name of a request that was rejected before anything was sent to a worker.
+// outcomeNotExecuted is the outcome name of a request that was rejected before it was sent to a worker.
 var outcomeNotExecuted = dispatch.OutcomeName(schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED)
 
-// openCallerListeners opens the entry points of all callers, addresses by caller.
+// openCallerListeners opens one listener for each caller. callers maps caller names to addresses. It fails with
+// errs.InvalidOptions; listeners opened before the failure stay open.
 func (s *Server) openCallerListeners(callers map[string]string) ([]*callerListener, error) {
 	var listeners []*callerListener
 	for caller, address := range callers {
@@ -27,11 +28,12 @@
 	return listeners, nil
 }
 
-// openCallerListener opens the entry point of one caller. The listener, never a header, identifies the caller.
+// openCallerListener opens the listener of one caller and starts to accept connections. The listener, never a header,
+// identifies the caller. It fails with errs.InvalidOptions if the address cannot be listened on.
 func (s *Server) openCallerListener(caller, address string) (*callerListener, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.InvalidOptions, address)
+		return nil, errs.Wrap(err, errs.InvalidOptions, "open listener of caller "+caller+" at "+address)
 	}
 	opened := newCallerListener(listener, int(s.initialOptions.CallersMost), s.initialOptions.BodyMost, s.draining, s.requestLimits)
 	opened.onWritten = s.uplink.RecordWrite
@@ -46,19 +48,19 @@
 	return opened, nil
 }
 
-// requestLimits are the limits of a request by the configuration in use.
+// requestLimits returns the limits of a request from the configuration in use.
 func (s *Server) requestLimits() requestLimits {
 	configured := &s.view().Config.Limits
 	return requestLimits{
-		headerBytes:   configured.MaxHeaderBytes,
-		bodyBytes:     int(min(configured.MaxBodyBytes, s.initialOptions.BodyMost)),
-		headerTimeout: configured.HeaderTimeout,
-		idleTimeout:   configured.IdleTimeout,
+		maxHeaderBytes: configured.MaxHeaderBytes,
+		maxBodyBytes:   int(min(configured.MaxBodyBytes, s.initialOptions.BodyMost)),
+		headerTimeout:  configured.HeaderTimeout,
+		idleTimeout:    configured.IdleTimeout,
 	}
 }
 
-// serveCall serves one call on its connection's goroutine. ctx ends when the caller disconnects; receivedAt is when
-// the first byte of the request was seen.
+// serveCall serves one call on the goroutine of its connection and fills response. ctx ends when the caller disconnects.
+// receivedAt is the time at which the first byte of the request was read.
 func (s *Server) serveCall(
 	ctx context.Context,
 	caller string,
@@ -83,8 +85,8 @@
 	s.writeResult(header, s.forwarder.Forward(ctx, call), response)
 }
 
-// boundCallerDeadline shortens the time that the caller gives by the time that reading the request took, and by the
-// shutdown of this proxy. 0 stands for a caller that gives none, before and after it.
+// boundCallerDeadline reduces the caller's deadline by the time taken to read the request, and limits it by the shutdown
+// of this proxy. A deadline of 0 means none; it stays 0 unless a shutdown limits it.
 func (s *Server) boundCallerDeadline(call *dispatch.Call, receivedAt time.Time) {
 	requested := call.Request.CallerDeadline
 	if requested > 0 {
@@ -94,7 +96,7 @@
 	call.Request.CallerDeadline = boundDeadline(requested, shutdownDeadline, s.now(), time.Duration(s.initialOptions.Drain))
 }
 
-// newCall makes a call of a request. An error means that the caller's codec cannot understand the request.
+// newCall builds a call from a request. It fails if the caller codec rejects the request.
 func (s *Server) newCall(caller string, header *RequestHeader, body []byte) (*dispatch.Call, error) {
 	call := &dispatch.Call{Target: header.Target, Body: body}
 	header.selectForwarded(func(name string) bool { return s.extensions.workerCodec.PassesHeader([]byte(name), false) })
@@ -114,7 +116,7 @@
 	return call, nil
 }
 
-// writeResult fills the response with a call's result.
+// writeResult fills the response from the result of a call.
 func (s *Server) writeResult(header *RequestHeader, result *dispatch.CallResult, response *Response) {
 	if result.Err != nil {
 		outcome := outcomeNotExecuted
@@ -122,7 +124,7 @@
 			outcome = dispatch.OutcomeName(result.Response.Outcome)
 		}
 		retryAfter := s.retryAfter(result.Err)
-		// A proxy that rejected the call for lack of room estimated itself when there is room again.
+		// A proxy that rejected the call for lack of capacity supplied its own estimate of when capacity is free again.
 		if overloadRetryAfter := time.Duration(result.Response.GetRetryAfterNanos()); overloadRetryAfter > 0 {
 			retryAfter = overloadRetryAfter
 		}
@@ -134,8 +136,8 @@
 	s.extensions.callerCodec.AddMetadata(result, response)
 }
 
-// writeError fills the final response to a request that did not become a call, with the time to retry after if a
-// retry makes sense.
+// writeError fills the error response to a request that did not become a call, with a time to retry after if a retry may
+// succeed.
 func (s *Server) writeError(header *RequestHeader, err error, outcome string, response *Response) {
 	s.extensions.callerCodec.WriteError(header, err, outcome, s.retryAfter(err), response)
 }
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -14,57 +14,56 @@
 	"meadowhinge/internal/errs"
 )
 
-// connection is one connection of a caller. Its requests are served one after the other, in the order in
-// which they arrive, by the goroutine that runs serve. While a call is under way a second goroutine, the
-// disconnect watch, reads the connection (disconnect_watch.go).
+// connection is one connection of a caller. The goroutine that runs serve handles its requests one after the other, in
+// the order of arrival. While a call is in flight, a second goroutine, the disconnect watch, reads from the connection
+// (disconnect_watch.go). Fields belong to the goroutine of serve unless their comment says otherwise.
 type connection struct {
 	listener *callerListener
 	conn     net.Conn
 
-	// buffer[bufferStart:bufferEnd] are the bytes that have arrived and are not used yet. While watching is
-	// set the buffer belongs to the disconnect watch; fillBuffer takes it back.
+	// buffer[bufferStart:bufferEnd] holds received bytes that are not consumed yet. While watching is set, the
+	// disconnect watch owns the buffer; fillBuffer takes it back.
 	buffer      []byte
 	bufferStart int
 	bufferEnd   int
 
-	// readDeadline and writeDeadline are the ones set on conn, so that they are not moved for each request.
+	// readDeadline and writeDeadline are copies of the deadlines of conn, kept to avoid setting them for each request.
 	readDeadline  time.Time
 	writeDeadline time.Time
 
-	// idleSince is the Unix time in nanoseconds since which no response is owed on this connection, 0 while one
-	// is. Setting it to 0 claims the connection, see callerListener.closeLongestIdle.
+	// idleSince is the Unix time in nanoseconds since which the connection has been idle, 0 while a request is pending.
+	// Changing it to 0 claims the connection, see callerListener.closeLongestIdle.
 	idleSince atomic.Int64
 
-	header      RequestHeader
-	response    Response
-	writeBuffer []byte // reused for the header of each response
-	// reservedBytes of the current body count against the listener's largeBodyCapacity.
-	reservedBytes int64
+	header        RequestHeader // header of the current request
+	response      Response      // response to the current request
+	writeBuffer   []byte        // reused for the header of each response
+	reservedBytes int64         // bytes of the current body that count against the listener's largeBodyCapacity
 
-	// callerContext ends when the caller disconnects; it lives as long as the connection and is the parent of
-	// each of its calls.
+	// callerContext is the context of each call on the connection. It ends when the caller disconnects or the connection
+	// is closed.
 	callerContext context.Context
 	cancelCaller  context.CancelFunc
 
-	// watching is set while the disconnect watch owns the buffer; its result comes through watchResults.
-	watching     bool
-	watchResults chan watchResult
-	inputClosed  atomic.Bool // set by the watch: the caller sends nothing more on this connection
+	watching     bool             // whether the disconnect watch owns the buffer
+	watchResults chan watchResult // delivers the result of the watch's read; buffered for one
+	inputClosed  atomic.Bool      // whether the caller has closed its sending side; set by the watch
 
-	// writeLock guards responseStarted, callerDisconnected and deadlineExtended, and with them the right to
-	// write: the watch may write until the response has started, then only serve may. Without the lock serve sets
-	// responseStarted back before a watch starts, and reads callerDisconnected after beginResponse, from when on it
-	// does not change.
+	// writeLock guards responseStarted, callerDisconnected and deadlineExtended, and thereby the right to write to conn.
+	// The watch may write until the response has started; after that only serve may.
+	//
+	// Two accesses of serve need no lock. It resets responseStarted before a watch starts, and it reads
+	// callerDisconnected after beginResponse, when the field no longer changes.
 	writeLock          sync.Mutex
-	responseStarted    bool
-	callerDisconnected bool // the caller disconnected while its call was under way
-	deadlineExtended   bool // the watch moved the read deadline
+	responseStarted    bool // whether serve may write the response
+	callerDisconnected bool // whether the caller disconnected while its call was in flight
+	deadlineExtended   bool // whether the watch moved the read deadline, which makes readDeadline outdated
 }
 
-// serve serves the requests of a connection until it ends.
+// serve serves the requests of a connection until the connection ends.
 func (c *connection) serve() {
 	defer c.listener.removeConnection(c)
-	defer func() { _ = c.conn.Close() }() // all that was owed has been written
+	defer func() { _ = c.conn.Close() }() // all responses have been written
 	c.callerContext, c.cancelCaller = context.WithCancel(context.Background())
 	defer c.cancelCaller()
 	c.buffer = make([]byte, initialBufferSize)
@@ -73,7 +72,7 @@
 	}
 }
 
-// serveRequest reads one request and answers it; false ends the connection.
+// serveRequest reads one request and answers it. It reports whether the connection can be used for another request.
 func (c *connection) serveRequest() bool {
 	limits := c.listener.limits()
 	c.response.reset()
@@ -100,10 +99,10 @@
 	return c.writeResponse(closeAfter) == nil && !closeAfter
 }
 
-// rejectRequest answers a request that could not be read. The connection ends after it: what follows on it
-// must not be taken for a request.
+// rejectRequest answers a request that could not be read or parsed. The connection must be closed afterwards, because
+// the bytes that follow must not be interpreted as a request.
 func (c *connection) rejectRequest(err error, limits requestLimits) {
-	// A caller that closed the connection in the middle of its own request reads no response.
+	// A caller that closed the connection in the middle of a request does not read a response.
 	if errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, net.ErrClosed) {
 		return
 	}
@@ -113,27 +112,29 @@
 	}
 }
 
-// errIdle is the end of a connection between two requests.
-var errIdle = errors.New("idle connection")
+// errIdle reports that the connection ended between two requests, so that no response is due.
+var errIdle = errors.New("connection ended while idle")
 
-// setReadTimeout moves the read deadline to now plus timeout; one that is near enough is left as it is, which
-// saves work for each request.
+// setReadTimeout sets the read deadline to now plus timeout. A deadline that is close enough is kept, which saves work
+// for each request.
 func (c *connection) setReadTimeout(now time.Time, timeout time.Duration) {
 	if left := c.readDeadline.Sub(now); left <= timeout && left >= timeout-timeout/deadlineRefreshDivisor {
 		return
 	}
 	c.readDeadline = now.Add(timeout)
-	_ = c.conn.SetReadDeadline(c.readDeadline) // a connection that has ended fails at the next read
+	_ = c.conn.SetReadDeadline(c.readDeadline) // a closed connection fails at the next read
 }
 
-// fillBuffer reads what has arrived into the buffer, which has room for at least one byte.
+// fillBuffer reads available bytes into the buffer, which must have room for at least one byte. It blocks until a byte
+// arrives, and fails with errs.RequestTimeout at the read deadline. If the disconnect watch has the buffer, its result
+// is used first.
 func (c *connection) fillBuffer() error {
 	var count int
 	var err error
 	if c.watching {
 		count, err = c.awaitWatchResult()
 	}
-	// A deadline that the watch ran into may have been moved since.
+	// The deadline that ended the watch may have been moved since.
 	if count == 0 && (err == nil || errors.Is(err, os.ErrDeadlineExceeded)) {
 		count, err = c.conn.Read(c.buffer[c.bufferEnd:])
 	}
@@ -142,13 +143,13 @@
 		return nil
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return errs.Wrap(err, errs.RequestTimeout, "request")
+		return errs.Wrap(err, errs.RequestTimeout, "read request")
 	}
 	return err
 }
 
-// resetBuffer makes room for the next request where no unused byte is left. A buffer that grew for one large
-// header is not retained for the small ones after it.
+// resetBuffer empties the buffer, in which no unconsumed byte may be left. A buffer that grew for a large header is
+// replaced by one of the initial size.
 func (c *connection) resetBuffer() {
 	c.bufferStart, c.bufferEnd = 0, 0
 	if len(c.buffer) > initialBufferSize {
@@ -156,8 +157,8 @@
 	}
 }
 
-// growBuffer makes room for at least one more byte: unused bytes move to the start, and a full buffer doubles, up
-// to a little more than maxBytes.
+// growBuffer makes room for at least one more byte. Unconsumed bytes move to the start, and a full buffer doubles, up to
+// maxBytes plus initialBufferSize.
 func (c *connection) growBuffer(maxBytes int) {
 	if c.bufferStart > 0 {
 		copy(c.buffer, c.buffer[c.bufferStart:c.bufferEnd])
@@ -170,22 +171,22 @@
 	}
 }
 
-// lingeringClose reads on for a while after a rejection: a connection that is closed with unread bytes is
-// reset, and the caller never sees the response.
+// lingeringClose reads and discards input for a while after a rejection, at most for headerTimeout. Closing a connection
+// with unread bytes resets it, and the caller would never see the response.
 func (c *connection) lingeringClose(limits requestLimits) {
 	if halfCloser, canHalfClose := c.conn.(interface{ CloseWrite() error }); canHalfClose {
 		_ = halfCloser.CloseWrite() // the connection is closed soon in any case
 	}
-	_ = c.conn.SetReadDeadline(time.Now().Add(limits.headerTimeout)) // a connection that has ended fails at the read
-	// No response is owed any more, so that the process need not wait for this connection when it ends.
+	_ = c.conn.SetReadDeadline(time.Now().Add(limits.headerTimeout)) // a closed connection fails at the read
+	// The connection counts as idle now, so that a shutdown does not wait for it.
 	c.idleSince.Store(time.Now().UnixNano())
 	if c.listener.isClosed() {
 		return
 	}
-	_, _ = io.CopyN(io.Discard, c.conn, int64(limits.bodyBytes)*rejectedBodyDiscardFactor) // best effort: the connection is closed next
+	_, _ = io.CopyN(io.Discard, c.conn, int64(limits.maxBodyBytes)*rejectedBodyDiscardFactor) // best effort: the connection is closed next
 }
 
-// isLocalCaller reports whether the caller is on this machine: its responses do not use the machine's uplink.
+// isLocalCaller reports whether the caller runs on this machine. Responses to it do not use the machine's uplink.
 func (c *connection) isLocalCaller() bool {
 	remote, remoteIsTCP := c.conn.RemoteAddr().(*net.TCPAddr)
 	local, localIsTCP := c.conn.LocalAddr().(*net.TCPAddr)
--- a/internal/proxy/connection_header.go
+++ b/internal/proxy/connection_header.go
@@ -9,8 +9,9 @@
 	"meadowhinge/internal/errs"
 )
 
-// readHeader reads and parses the next request's header. It returns when the first byte of it was seen, or
-// errIdle if the connection ended before one arrived.
+// readHeader reads and parses the header of the next request into c.header. It returns the time at which the first byte
+// was read. It fails with errIdle if the connection ended before a byte arrived, with errs.HeaderTooLarge,
+// errs.MalformedRequest or errs.RequestTimeout for a request to be rejected, and else with the read error.
 func (c *connection) readHeader(limits requestLimits) (time.Time, error) {
 	c.header = RequestHeader{Fields: c.header.Fields[:0], forwarded: c.header.forwarded[:0]}
 	if c.bufferStart == c.bufferEnd {
@@ -24,20 +25,20 @@
 			c.skipLeadingLineEnds()
 		}
 		if headerLength := headerEnd(c.buffer[c.bufferStart:c.bufferEnd], searchedBytes); headerLength > 0 {
-			return receivedAt, c.takeHeader(headerLength, limits)
+			return receivedAt, c.consumeHeader(headerLength, limits)
 		}
-		// The first half of a line end before the request line is not yet part of a header.
+		// A lone CR may be the first half of a line end before the request line, which is not part of the header.
 		if searchedBytes = c.bufferEnd - c.bufferStart; searchedBytes == 1 && c.buffer[c.bufferStart] == '\r' {
 			searchedBytes = 0
 		}
 		if err := c.checkPartialHeader(searchedBytes, limits); err != nil {
 			return receivedAt, err
 		}
-		c.growBuffer(2 * limits.headerBytes)
-		// The deadline is set once: a caller that sends byte after byte gets no more time.
+		c.growBuffer(2 * limits.maxHeaderBytes)
+		// The deadline is set once, so that a caller that sends single bytes gets no more time.
 		if !partial {
 			c.readDeadline = receivedAt.Add(limits.headerTimeout)
-			_ = c.conn.SetReadDeadline(c.readDeadline) // a connection that has ended fails at the next read
+			_ = c.conn.SetReadDeadline(c.readDeadline) // a closed connection fails at the next read
 		}
 		if err := c.fillBuffer(); err != nil {
 			return receivedAt, err
@@ -45,22 +46,23 @@
 	}
 }
 
-// awaitFirstByte waits, as an idle connection, for the first bytes of a request. It returns errIdle if the
-// connection ends or the listener shuts down first.
+// awaitFirstByte marks the connection as idle and waits for the first bytes of a request. It fails with errIdle if the
+// connection ends, the idle timeout passes or the listener shuts down first.
 func (c *connection) awaitFirstByte(limits requestLimits) error {
 	if !c.watching {
 		c.resetBuffer()
 	}
 	now := time.Now()
 	c.setReadTimeout(now, limits.idleTimeout)
-	// The connection is marked idle before isClosed is read, so that shutDown sees the mark or this sees the shutdown.
+	// The order matters: the connection is marked as idle before isClosed is read. Either shutDown sees the mark, or
+	// this goroutine sees the shutdown.
 	c.idleSince.Store(now.UnixNano())
 	if c.listener.isClosed() {
 		return errIdle
 	}
 	err := c.fillBuffer()
-	// closeLongestIdle claimed the connection, but a request had already been sent: it is answered all the same.
-	// The deadline that closeLongestIdle set must be replaced.
+	// If closeLongestIdle claimed the connection although a request had already arrived, the request is still answered.
+	// The deadline that closeLongestIdle set must then be replaced.
 	if c.idleSince.Swap(0) == 0 {
 		c.readDeadline = time.Time{}
 	}
@@ -70,37 +72,40 @@
 	return nil
 }
 
-// skipLeadingLineEnds skips line ends before the request line (RFC 9112, section 2.2).
+// skipLeadingLineEnds skips empty lines before the request line (RFC 9112, section 2.2).
 func (c *connection) skipLeadingLineEnds() {
 	for c.bufferEnd-c.bufferStart >= 2 && c.buffer[c.bufferStart] == '\r' && c.buffer[c.bufferStart+1] == '\n' {
 		c.bufferStart += 2
 	}
 }
 
-// takeHeader parses the header that the next headerLength bytes of the buffer hold, and uses them up.
-func (c *connection) takeHeader(headerLength int, limits requestLimits) error {
+// consumeHeader consumes the next headerLength bytes of the buffer, which hold a complete header, and parses them into
+// c.header. It fails with errs.HeaderTooLarge or errs.MalformedRequest.
+func (c *connection) consumeHeader(headerLength int, limits requestLimits) error {
 	text := string(c.buffer[c.bufferStart : c.bufferStart+headerLength])
-	// The limit holds for the request line and, apart from it, for the header lines.
+	// The limit applies separately to the request line and to the header lines.
 	lineLength := strings.IndexByte(text, '\n') + 1
-	if lineLength > limits.headerBytes || headerLength-lineLength > limits.headerBytes {
-		return errs.New(errs.HeaderTooLarge, strconv.Itoa(headerLength)+" bytes")
+	if lineLength > limits.maxHeaderBytes || headerLength-lineLength > limits.maxHeaderBytes {
+		return errs.New(errs.HeaderTooLarge, "header of "+strconv.Itoa(headerLength)+" bytes")
 	}
 	c.bufferStart += headerLength
 	return parseRequestHeader(text, &c.header)
 }
 
-// checkPartialHeader rejects a header that has not ended yet but is too large or can never end.
-func (c *connection) checkPartialHeader(searchedBytes int, limits requestLimits) error {
+// checkPartialHeader rejects an incomplete header that is already too large or can never end. receivedBytes is the
+// number of bytes received so far.
+func (c *connection) checkPartialHeader(receivedBytes int, limits requestLimits) error {
 	switch {
-	case searchedBytes > 2*limits.headerBytes:
-		return errs.New(errs.HeaderTooLarge, "more than "+strconv.Itoa(limits.headerBytes)+" bytes")
+	case receivedBytes > 2*limits.maxHeaderBytes:
+		return errs.New(errs.HeaderTooLarge, "header of more than "+strconv.Itoa(limits.maxHeaderBytes)+" bytes")
 	case hasBareLineFeed(c.buffer[c.bufferStart:c.bufferEnd]):
-		return malformed("a bare line end")
+		return malformed("header line ends without carriage return")
 	}
 	return nil
 }
 
-// hasBareLineFeed reports whether a line ends without a carriage return: such a header might never end.
+// hasBareLineFeed reports whether received contains a line feed without a preceding carriage return. A header with such
+// a line might never be terminated.
 func hasBareLineFeed(received []byte) bool {
 	for offset := 0; ; {
 		lineFeed := bytes.IndexByte(received[offset:], '\n')
@@ -114,10 +119,11 @@
 	}
 }
 
+// headerTerminator ends the header: a line end followed by an empty line.
 var headerTerminator = []byte("\r\n\r\n")
 
-// headerEnd returns the length of the header at the start of received, 0 if its end has not arrived. The first
-// searchedBytes were searched before.
+// headerEnd returns the length of the header at the start of received, 0 if its end has not arrived. An earlier call has
+// searched the first searchedBytes bytes.
 func headerEnd(received []byte, searchedBytes int) int {
 	start := max(0, searchedBytes-len(headerTerminator)+1)
 	if index := bytes.Index(received[start:], headerTerminator); index >= 0 {
--- a/internal/proxy/disconnect_mesh_test.go
+++ b/internal/proxy/disconnect_mesh_test.go
@@ -14,24 +14,26 @@
 	"meadowhinge/schema"
 )
 
-// eventualTimeout is longer than the half second that the rule gives a worker after its caller disconnected, so that a
-// busy machine does not fail these tests. The proxies' own counts judge how long it took.
+// eventualTimeout bounds every wait in these tests. The proxies must free a worker within half a second after its
+// caller disconnected; the timeout is longer, so that the tests pass on a busy machine. The proxies' own counts verify
+// the limit.
 const eventualTimeout = 10 * time.Second
 
-// blockingWorker accepts requests and holds each until the test releases it or its connection ends.
+// blockingWorker is a worker that holds each request until the test releases it or its connection ends.
 type blockingWorker struct {
 	address  string
-	requests chan *blockedRequest
+	requests chan *blockedRequest // requests in the order of arrival
 }
 
 // blockedRequest is a request that a blockingWorker holds.
 type blockedRequest struct {
 	path         string
-	release      chan struct{} // the test closes it to have the request answered
-	disconnected chan struct{} // closed if the connection ends before that
+	release      chan struct{} // closed by the test to let the worker answer
+	disconnected chan struct{} // closed when the connection ends
 	answered     chan struct{} // closed once the response is written
 }
 
+// startBlockingWorker starts a blockingWorker. It ends with the test.
 func startBlockingWorker(t *testing.T) *blockingWorker {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -52,8 +54,9 @@
 	return worker
 }
 
+// serve serves the single request of a connection.
 func (w *blockingWorker) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // all that was owed has been written
+	defer func() { _ = conn.Close() }() // the response has been written
 	reader := bufio.NewReader(conn)
 	request, err := http.ReadRequest(reader)
 	if err != nil {
@@ -81,13 +84,15 @@
 	}
 }
 
-// twoProxyMesh is two proxies: the callers of the tests are beside callerProxy, workers of the service "saves" are
-// beside either.
+// twoProxyMesh is a mesh of two proxies. Callers connect to callerProxy; either proxy may have a local worker of the
+// service "saves".
 type twoProxyMesh struct {
 	callerProxy, workerProxy *proxy.StandaloneProxy
 }
 
-func startMesh(t *testing.T, workerHere, workerThere string, slots uint32) *twoProxyMesh {
+// startMesh starts two proxies and registers a worker at each whose worker address is not empty. slots is the number of
+// calls that a worker serves concurrently.
+func startMesh(t *testing.T, callerSideWorker, workerSideWorker string, slots uint32) *twoProxyMesh {
 	t.Helper()
 	newOptions := func(name string) *schema.ProxyOptions {
 		opts := standaloneOptions(name)
@@ -96,8 +101,8 @@
 		return opts
 	}
 	m := &twoProxyMesh{
-		callerProxy: proxy.StartStandaloneProxy(t, newOptions("here"), "shop"),
-		workerProxy: proxy.StartStandaloneProxy(t, newOptions("there"), "saves"),
+		callerProxy: proxy.StartStandaloneProxy(t, newOptions("caller-proxy"), "shop"),
+		workerProxy: proxy.StartStandaloneProxy(t, newOptions("worker-proxy"), "saves"),
 	}
 	register := func(standalone *proxy.StandaloneProxy, worker string) {
 		if worker == "" {
@@ -115,8 +120,8 @@
 			t.Fatal(err)
 		}
 	}
-	register(m.callerProxy, workerHere)
-	register(m.workerProxy, workerThere)
+	register(m.callerProxy, callerSideWorker)
+	register(m.workerProxy, workerSideWorker)
 	items := []*schema.Item{
 		newItem("service", "saves", `{"versions":["v1"],"fallback":"v1"}`),
 		newItem("route", "load", `{"service":"saves","prefix":"/load/","class":"repeatable","horizon":"50s"}`),
@@ -127,7 +132,7 @@
 	return m
 }
 
-// send sends a request to callerProxy, on a connection of its own.
+// send sends a request to callerProxy on a new connection. fields holds additional header lines with their line ends.
 func (m *twoProxyMesh) send(t *testing.T, path, fields string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp", m.callerProxy.CallerAddress)
@@ -148,13 +153,13 @@
 	case blocked := <-w.requests:
 		return blocked
 	case <-time.After(eventualTimeout):
-		t.Fatal("no request reached the worker")
+		t.Fatalf("no request reached the worker within %s", eventualTimeout)
 		return nil
 	}
 }
 
-// closesInTime waits until a channel is closed, at most eventualTimeout, and reports whether it was.
-func closesInTime(done <-chan struct{}) bool {
+// closedWithinTimeout waits until a channel is closed, at most eventualTimeout, and reports whether it was.
+func closedWithinTimeout(done <-chan struct{}) bool {
 	select {
 	case <-done:
 		return true
@@ -163,7 +168,7 @@
 	}
 }
 
-// readStatus reads a response and returns its status.
+// readStatus reads a response and returns its status code.
 func readStatus(reader *bufio.Reader) (int, error) {
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -172,20 +177,20 @@
 	return response.StatusCode, response.Body.Close()
 }
 
-// disconnectWays are the ways in which a caller disconnects.
-var disconnectWays = map[string]func(net.Conn){
-	"closes": func(conn net.Conn) { _ = conn.Close() }, // the tests find out what the proxy sees of it
+// disconnectMethods maps the ways in which a caller disconnects to functions that do so.
+var disconnectMethods = map[string]func(net.Conn){
+	"closes": func(conn net.Conn) { _ = conn.Close() }, // the test checks the effect at the proxy
 	"resets": func(conn net.Conn) {
-		_ = conn.(*net.TCPConn).SetLinger(0) // without it the caller closes, which the other way tests
+		_ = conn.(*net.TCPConn).SetLinger(0) // on an error the connection closes without a reset, like "closes"
 		_ = conn.Close()                     // as above
 	},
 }
 
-// A worker's request of the idempotent class is cancelled when its caller disconnects, also through a second proxy.
-func TestWorkersAreFreedOfDisconnectedCallers(t *testing.T) {
-	for way, disconnect := range disconnectWays {
+// The request of an idempotent call is cancelled at the worker when its caller disconnects, also through a second proxy.
+func TestDisconnectCancelsIdempotentCall(t *testing.T) {
+	for method, disconnect := range disconnectMethods {
 		for _, workerIsLocal := range []bool{false, true} {
-			t.Run(fmt.Sprintf("caller %s, worker beside it %t", way, workerIsLocal), func(t *testing.T) {
+			t.Run(fmt.Sprintf("caller %s, worker at the same proxy %t", method, workerIsLocal), func(t *testing.T) {
 				t.Parallel()
 				worker := startBlockingWorker(t)
 				var m *twoProxyMesh
@@ -197,8 +202,8 @@
 				conn := m.send(t, "/load/1", "")
 				blocked := worker.nextRequest(t)
 				disconnect(conn)
-				if !closesInTime(blocked.disconnected) {
-					t.Error("the worker goes on for a caller that has disconnected")
+				if !closedWithinTimeout(blocked.disconnected) {
+					t.Errorf("request at the worker not cancelled within %s after the disconnect of its caller", eventualTimeout)
 				}
 				close(blocked.release)
 			})
@@ -206,69 +211,71 @@
 	}
 }
 
-// checkInvariants checks, at the end of a test, that neither proxy counted a violation of the rules for disconnects.
+// checkInvariants checks at the end of a test that neither proxy counted a violation of the invariants for disconnects.
 func (m *twoProxyMesh) checkInvariants(t *testing.T) {
 	t.Helper()
-	for name, standalone := range map[string]*proxy.StandaloneProxy{"here": m.callerProxy, "there": m.workerProxy} {
+	for name, standalone := range map[string]*proxy.StandaloneProxy{"caller-proxy": m.callerProxy, "worker-proxy": m.workerProxy} {
 		if counts := standalone.Disconnects(); counts.Violations() > 0 {
-			t.Errorf("%s: %+v", name, counts)
+			t.Errorf("%s counted %d violations of the invariants for disconnects, want 0: %+v", name, counts.Violations(), counts)
 		}
 	}
 }
 
-// A call of the non-idempotent class runs to its end once a worker has it, also if its caller disconnects.
-func TestNonIdempotentCallsOutliveTheirCallers(t *testing.T) {
-	for way, disconnect := range disconnectWays {
-		t.Run(way, func(t *testing.T) {
+// A non-idempotent call runs to its end once it has reached a worker, even if its caller disconnects.
+func TestNonIdempotentCallSurvivesDisconnect(t *testing.T) {
+	for method, disconnect := range disconnectMethods {
+		t.Run(method, func(t *testing.T) {
 			worker := startBlockingWorker(t)
 			m := startMesh(t, "", worker.address, 4)
 			conn := m.send(t, "/commit/1", "")
 			blocked := worker.nextRequest(t)
 			disconnect(conn)
-			requireEventually(t, "the disconnect is detected", func() bool { return m.callerProxy.Disconnects().Detected == 1 })
-			requireEventually(t, "the disconnect reaches the worker's proxy", func() bool { return m.workerProxy.Disconnects().Propagated == 1 })
+			requireEventually(t, "disconnect detected", func() bool { return m.callerProxy.Disconnects().Detected == 1 })
+			requireEventually(t, "disconnect propagated to the worker's proxy", func() bool {
+				return m.workerProxy.Disconnects().Propagated == 1
+			})
 			close(blocked.release)
-			if !closesInTime(blocked.answered) {
-				t.Error("the call was cancelled")
+			if !closedWithinTimeout(blocked.answered) {
+				t.Errorf("worker did not answer the call within %s, want the call to run to its end", eventualTimeout)
 			}
-			requireEventually(t, "the call is counted as run to its end", func() bool { return m.workerProxy.Disconnects().RanToEnd == 1 })
+			requireEventually(t, "call counted as run to its end", func() bool { return m.workerProxy.Disconnects().RanToEnd == 1 })
 			m.checkInvariants(t)
 		})
 	}
 }
 
-// A call of either class that waits for a worker is dropped when its caller disconnects, and never reaches the worker.
-func TestQueuedCallsAreDroppedWithTheirCallers(t *testing.T) {
+// A queued call, idempotent or not, is dropped when its caller disconnects, and never reaches the worker.
+func TestDisconnectDropsQueuedCalls(t *testing.T) {
 	worker := startBlockingWorker(t)
 	m := startMesh(t, "", worker.address, 1)
-	// A worker with one slot gets two calls, so that it does not wait for the next one to be sent.
-	first := []*blockedRequest{}
+	// A worker with one slot gets two calls at once, so that it need not wait for the next one to be sent.
+	running := []*blockedRequest{}
 	for _, path := range []string{"/load/1", "/load/2"} {
 		m.send(t, path, "")
-		first = append(first, worker.nextRequest(t))
+		running = append(running, worker.nextRequest(t))
 	}
 	load, commit := m.send(t, "/load/3", ""), m.send(t, "/commit/4", "")
-	requireEventually(t, "both wait", func() bool { return m.workerProxy.QueuedCalls() == 2 })
+	requireEventually(t, "both calls queued", func() bool { return m.workerProxy.QueuedCalls() == 2 })
 	for _, conn := range []net.Conn{load, commit} {
 		if err := conn.Close(); err != nil {
 			t.Error(err)
 		}
 	}
-	requireEventually(t, "both are dropped", func() bool {
+	requireEventually(t, "both calls dropped from the queue", func() bool {
 		return m.workerProxy.Disconnects().Dequeued == 2 && m.workerProxy.QueuedCalls() == 0
 	})
 	m.send(t, "/load/5", "")
-	for _, running := range first {
-		close(running.release)
+	for _, blocked := range running {
+		close(blocked.release)
 	}
 	if next := worker.nextRequest(t); next.path != "/load/5" {
-		t.Errorf("%s reached the worker", next.path)
+		t.Errorf("next request at the worker: %s, want /load/5", next.path)
 	}
 	m.checkInvariants(t)
 }
 
-// A caller that closes only its sending side is answered through both proxies.
-func TestHalfClosedCallersAreAnsweredThroughTheMesh(t *testing.T) {
+// A caller that closes only its sending side gets its response through both proxies.
+func TestHalfClosedCallerIsAnsweredThroughMesh(t *testing.T) {
 	worker := startBlockingWorker(t)
 	m := startMesh(t, "", worker.address, 4)
 	conn := m.send(t, "/load/1", "")
@@ -278,26 +285,26 @@
 	}
 	reader := bufio.NewReader(conn)
 	if status, err := readStatus(reader); err != nil || status != http.StatusContinue {
-		t.Fatalf("%d, %v", status, err)
+		t.Fatalf("interim response: status %d, error %v; want 100", status, err)
 	}
 	close(blocked.release)
 	if status, err := readStatus(reader); err != nil || status != http.StatusOK {
-		t.Errorf("%d, %v", status, err)
+		t.Errorf("final response: status %d, error %v; want 200", status, err)
 	}
 	m.checkInvariants(t)
 }
 
-// Many callers that disconnect at once do no harm to those that stay, and are no evidence against the worker: it is not
-// ejected and its version is not stopped.
-func TestDisconnectingCallersHarmNobodyElse(t *testing.T) {
+// Many callers that disconnect at once do not affect the remaining callers. Disconnects do not count as failures of the
+// worker: it is not ejected, and its version is not blocked.
+func TestDisconnectsDoNotAffectOtherCallers(t *testing.T) {
 	worker := startBlockingWorker(t)
 	m := startMesh(t, "", worker.address, 64)
 	const disconnecting, staying = 40, 20
-	var leaving, remaining []net.Conn
+	var disconnectingConns, stayingConns []net.Conn
 	for i := range disconnecting + staying {
-		path, conns := "/load/leaves", &leaving
+		path, conns := "/load/disconnects", &disconnectingConns
 		if i%3 == 0 {
-			path, conns = "/load/stays", &remaining
+			path, conns = "/load/stays", &stayingConns
 		}
 		*conns = append(*conns, m.send(t, path, ""))
 	}
@@ -305,14 +312,14 @@
 	for range disconnecting + staying {
 		blocked = append(blocked, worker.nextRequest(t))
 	}
-	for _, conn := range leaving {
+	for _, conn := range disconnectingConns {
 		if err := conn.Close(); err != nil {
 			t.Error(err)
 		}
 	}
 	for _, request := range blocked {
-		if request.path == "/load/leaves" && !closesInTime(request.disconnected) {
-			t.Fatal("the worker goes on for a caller that has disconnected")
+		if request.path == "/load/disconnects" && !closedWithinTimeout(request.disconnected) {
+			t.Fatalf("request at the worker not cancelled within %s after the disconnect of its caller", eventualTimeout)
 		}
 	}
 	for _, request := range blocked {
@@ -320,36 +327,37 @@
 			close(request.release)
 		}
 	}
-	for _, conn := range remaining {
+	for _, conn := range stayingConns {
 		if status, err := readStatus(bufio.NewReader(conn)); err != nil || status != http.StatusOK {
-			t.Errorf("a caller that stayed got %d, %v", status, err)
+			t.Errorf("caller that stayed: status %d, error %v; want 200", status, err)
 		}
 	}
-	// The worker gets calls as before.
+	// The worker still gets calls.
 	last := m.send(t, "/load/last", "")
 	close(worker.nextRequest(t).release)
 	if status, err := readStatus(bufio.NewReader(last)); err != nil || status != http.StatusOK {
-		t.Errorf("the last call got %d, %v", status, err)
+		t.Errorf("call after the disconnects: status %d, error %v; want 200", status, err)
 	}
 	m.checkInvariants(t)
 }
 
-// If the callers' proxy ends while a call is under way, the worker's request is cancelled as if the caller had
+// If the caller's proxy ends while a call is in flight, the request at the worker is cancelled as if the caller had
 // disconnected.
-func TestWorkersAreFreedWhenTheCallersProxyEnds(t *testing.T) {
+func TestEndOfCallerProxyCancelsCall(t *testing.T) {
 	worker := startBlockingWorker(t)
 	m := startMesh(t, "", worker.address, 4)
 	m.send(t, "/load/1", "")
 	blocked := worker.nextRequest(t)
 	m.callerProxy.Stop()
-	if !closesInTime(blocked.disconnected) {
-		t.Error("the worker goes on for a proxy that has ended")
+	if !closedWithinTimeout(blocked.disconnected) {
+		t.Errorf("request at the worker not cancelled within %s after the end of the caller's proxy", eventualTimeout)
 	}
 	m.checkInvariants(t)
 }
 
-// A call that a worker makes in the course of another ends with it, through three calls with two proxies each.
-func TestCallsOfCallsEndWithTheFirstCaller(t *testing.T) {
+// A disconnect cancels nested calls, which workers make while they serve a call: here a chain of three calls, each
+// through two proxies.
+func TestDisconnectCancelsNestedCalls(t *testing.T) {
 	leaf := startBlockingWorker(t)
 	meshes := []*twoProxyMesh{startMesh(t, "", leaf.address, 4)}
 	for range 2 {
@@ -362,16 +370,16 @@
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
-	if !closesInTime(blocked.disconnected) {
-		t.Error("the last worker of the chain goes on")
+	if !closedWithinTimeout(blocked.disconnected) {
+		t.Errorf("request at the last worker of the chain not cancelled within %s after the disconnect", eventualTimeout)
 	}
 	for _, mesh := range meshes {
 		mesh.checkInvariants(t)
 	}
 }
 
-// startCallingWorker starts a worker that makes a call of its own to next for each request, and cancels it when its own
-// caller disconnects.
+// startCallingWorker starts a worker that makes a nested call to next for each request, and cancels that call when its
+// own caller disconnects. It returns the address of the worker.
 func startCallingWorker(t *testing.T, next string) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -388,7 +396,7 @@
 			writer.WriteHeader(http.StatusInternalServerError)
 			return
 		}
-		_ = response.Body.Close() // only the status matters
+		_ = response.Body.Close() // only the status is passed on
 		writer.WriteHeader(response.StatusCode)
 	})}
 	go func() { _ = server.Serve(listener) }()
@@ -396,12 +404,13 @@
 	return listener.Addr().String()
 }
 
-// requireEventually waits until a condition holds, at most eventualTimeout.
-func requireEventually(t *testing.T, what string, holds func() bool) {
+// requireEventually waits until a condition holds, at most eventualTimeout. condition describes it in the failure
+// message.
+func requireEventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(eventualTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %s", what, eventualTimeout)
+			t.Fatalf("condition %q does not hold after %s", condition, eventualTimeout)
 		}
 	}
 }
--- a/internal/proxy/disconnect_watch.go
+++ b/internal/proxy/disconnect_watch.go
@@ -10,29 +10,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// While a call is under way a goroutine of its own reads the caller's connection, so that a disconnect is detected
-// when it happens and not when the response is written. It is the same read that otherwise waits for the next
-// request: a watched connection costs no additional system call while nothing happens.
+// The disconnect watch is a goroutine that reads the caller's connection while a call is in flight. It detects a
+// disconnect when that happens instead of when the response is written. The read is the same one that otherwise waits
+// for the next request, so a watched connection costs no additional system call while nothing happens.
 //
-// What the read can find:
-//   - bytes: they belong to the next request, so the caller is there; the watch ends;
-//   - a reset: the caller has disconnected;
-//   - the end of the stream: the caller has closed the connection, or only its sending side and still reads. The
-//     two look alike until something is sent, so the watch sends an interim response: a closed connection answers
-//     it with a reset, an open one ignores it (RFC 9110, section 15.2).
-
-// continueResponse asks for the body of a request that expects it, and probes whether a caller that sends nothing
-// more still reads. 100 is the one interim status that every client of HTTP/1.1 passes over.
+// The read has one of these results:
+//   - Bytes arrive. They belong to the next request, so the caller is connected, and the watch ends.
+//   - The connection is reset. The caller has disconnected.
+//   - The stream ends. The caller has closed either the connection or only its sending side, and in the second case still
+//     reads. The two cannot be distinguished until something is sent, so the watch sends an interim response. A closed
+//     connection answers it with a reset; a caller that still reads ignores it (RFC 9110, section 15.2).
+
+// continueResponse is the interim response that requests the body after Expect: 100-continue. It also probes whether a
+// caller that closed its sending side still reads. 100 is the only interim status that every HTTP/1.1 client accepts and
+// skips.
 const continueResponse = "HTTP/1.1 100 Continue\r\n\r\n"
 
-// watchResult is the result of the watch's read.
+// watchResult is the result of the read of a disconnect watch.
 type watchResult struct {
-	count int
-	err   error
+	count int   // number of bytes read to the start of the connection's buffer
+	err   error // read error; nil if bytes were read without one
 }
 
-// startWatch starts to watch the connection. It is not needed if bytes of a next request have arrived already: their
-// caller waits for the response to it.
+// startWatch starts the disconnect watch, unless bytes of the next request have already arrived. The caller of a
+// pipelined request is taken to be waiting for its response.
 func (c *connection) startWatch() {
 	if c.bufferStart < c.bufferEnd {
 		return
@@ -43,11 +44,12 @@
 	go c.watchInput(c.buffer, c.header.http10)
 }
 
-// watchInput reads into the connection's empty buffer until something arrives or the connection ends.
+// watchInput reads into the connection's empty buffer until bytes arrive or the connection ends, and sends the result to
+// watchResults.
 func (c *connection) watchInput(buffer []byte, http10 bool) {
 	for {
 		count, err := c.conn.Read(buffer)
-		// The deadline was meant for reading requests; a call may take longer.
+		// The deadline applies to reading requests; a call may take longer.
 		if count == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.extendReadDeadline() {
 			continue
 		}
@@ -59,21 +61,21 @@
 	}
 }
 
-// extendReadDeadline moves the read deadline while a call is under way; false once its response has started.
+// extendReadDeadline moves the read deadline while a call is in flight. It returns false once the response has started.
 func (c *connection) extendReadDeadline() bool {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
 	if c.responseStarted {
 		return false
 	}
-	// A connection that has ended fails at the next read.
+	// Setting the deadline fails only on a closed connection, which fails at the next read.
 	_ = c.conn.SetReadDeadline(time.Now().Add(c.listener.limits().idleTimeout))
 	c.deadlineExtended = true
 	return true
 }
 
-// handleInputEnd finds out what the end of the input means for the call under way. Callers of HTTP/1.0 do not know
-// interim responses, and hardly any of them closes only its sending side.
+// handleInputEnd determines whether the end of the input is a disconnect, and cancels the call in flight if so. HTTP/1.0
+// callers are not probed: they do not know interim responses, and hardly any of them closes only its sending side.
 func (c *connection) handleInputEnd(err error, http10 bool) {
 	if errors.Is(err, io.EOF) && !http10 {
 		c.inputClosed.Store(true)
@@ -84,7 +86,7 @@
 	c.cancelDisconnected()
 }
 
-// cancelDisconnected cancels the call under way because its caller has disconnected, unless its response has started.
+// cancelDisconnected cancels the call in flight because its caller has disconnected, unless the response has started.
 func (c *connection) cancelDisconnected() {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
@@ -95,8 +97,8 @@
 	}
 }
 
-// callerStillReads reports whether a caller that sends nothing more still reads: it is sent an interim response and
-// has not reset the connection by the time its call is answered.
+// callerStillReads reports whether a caller that closed its sending side still reads. It sends an interim response and
+// waits until the caller resets the connection or the final response starts.
 func (c *connection) callerStillReads() bool {
 	sent, err := c.sendContinue()
 	if err != nil {
@@ -105,7 +107,7 @@
 	return !sent || !c.awaitReset()
 }
 
-// sendContinue sends the interim response, unless the final one has started.
+// sendContinue sends the interim response, unless the final response has started. It reports whether it was sent.
 func (c *connection) sendContinue() (sent bool, err error) {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
@@ -117,8 +119,8 @@
 	return true, err
 }
 
-// awaitReset waits until the caller resets the connection; false if the response starts first, or if the connection
-// is not a socket.
+// awaitReset waits until the caller resets the connection and reports whether it did. It returns false if the response
+// starts first or the connection is not a socket.
 func (c *connection) awaitReset() bool {
 	syscallConn, supported := c.conn.(syscall.Conn)
 	if !supported {
@@ -140,20 +142,21 @@
 	}
 }
 
-// hasSocketError reports whether a socket's connection has failed.
+// hasSocketError reports whether the socket has a pending error, such as a reset.
 func hasSocketError(descriptor uintptr) bool {
 	socketError, err := unix.GetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_ERROR)
 	return err == nil && socketError != 0
 }
 
-// awaitWatchResult waits for the watch's read to end and takes the buffer back from it.
+// awaitWatchResult waits for the read of the disconnect watch, takes back the buffer and returns the result of the read.
 func (c *connection) awaitWatchResult() (int, error) {
 	result := <-c.watchResults
 	c.watching = false
 	return result.count, result.err
 }
 
-// beginResponse ends the watch's right to write and to move the read deadline.
+// beginResponse passes the right to write from the disconnect watch to serve. The watch no longer moves the read
+// deadline or cancels the call.
 func (c *connection) beginResponse() {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
--- a/internal/proxy/disconnect_watch_test.go
+++ b/internal/proxy/disconnect_watch_test.go
@@ -9,48 +9,48 @@
 	"time"
 )
 
-// reset closes a connection so that the other side receives a reset.
+// reset closes a connection so that the peer receives a reset.
 func reset(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // without it the test would not see a reset
-	_ = conn.Close()                     // the tests find out what the proxy sees of it
+	_ = conn.(*net.TCPConn).SetLinger(0) // on an error the connection closes without a reset
+	_ = conn.Close()                     // the test checks the effect at the proxy
 }
 
 // closeBoth closes a connection in both directions.
 func closeBoth(conn net.Conn) {
-	_ = conn.Close() // the tests find out what the proxy sees of it
+	_ = conn.Close() // the test checks the effect at the proxy
 }
 
-// closeInTurn closes first the sending side and then the whole connection.
-func closeInTurn(conn net.Conn) {
-	_ = conn.(*net.TCPConn).CloseWrite() // closed in any case by the next line
+// closeSendingSideFirst closes first the sending side and then the whole connection.
+func closeSendingSideFirst(conn net.Conn) {
+	_ = conn.(*net.TCPConn).CloseWrite() // the next line closes it in any case
 	closeBoth(conn)
 }
 
-// waitFor waits until a condition holds, at most testTimeout.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor waits until a condition holds, at most testTimeout. condition describes it in the failure message.
+func waitFor(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for until := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
-		if time.Now().After(until) {
-			t.Fatalf("%s: not within %s", what, testTimeout)
+	for deadline := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition %q does not hold after %s", condition, testTimeout)
 		}
 	}
 }
 
-// A caller that closes or resets its connection while its call is under way is detected before the call ends, whatever
-// the request looks like.
+// A caller that closes or resets its connection while its call is in flight is detected before the call ends, for every
+// form of request.
 func TestDisconnectedCallersAreDetected(t *testing.T) {
 	for name, test := range map[string]struct {
-		text string
-		end  func(net.Conn)
+		text       string
+		disconnect func(net.Conn)
 	}{
-		"closed":                  {"GET /held HTTP/1.1\r\nHost: a\r\n\r\n", closeBoth},
-		"reset":                   {"GET /held HTTP/1.1\r\nHost: a\r\n\r\n", reset},
-		"closed, with a body":     {"POST /held HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", closeBoth},
-		"closed, chunked":         {"POST /held HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", closeBoth},
-		"closed, HTTP/1.0":        {"GET /held HTTP/1.0\r\n\r\n", closeBoth},
-		"closed in halves":        {"GET /held HTTP/1.1\r\nHost: a\r\n\r\n", closeInTurn},
-		"the last of many":        {"GET /first HTTP/1.1\r\nHost: a\r\n\r\nGET /held HTTP/1.1\r\nHost: a\r\n\r\n", closeBoth},
-		"reset after the request": {"PUT /held HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", reset},
+		"closed":                           {"GET /held HTTP/1.1\r\nHost: a\r\n\r\n", closeBoth},
+		"reset":                            {"GET /held HTTP/1.1\r\nHost: a\r\n\r\n", reset},
+		"closed, body with Content-Length": {"POST /held HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc", closeBoth},
+		"closed, chunked body":             {"POST /held HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", closeBoth},
+		"closed, HTTP/1.0":                 {"GET /held HTTP/1.0\r\n\r\n", closeBoth},
+		"sending side closed first":        {"GET /held HTTP/1.1\r\nHost: a\r\n\r\n", closeSendingSideFirst},
+		"closed, second of two pipelined requests": {"GET /first HTTP/1.1\r\nHost: a\r\n\r\nGET /held HTTP/1.1\r\nHost: a\r\n\r\n", closeBoth},
+		"reset, PUT with an empty body":            {"PUT /held HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n", reset},
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness := startListener(t, defaultLimits)
@@ -61,15 +61,15 @@
 					break
 				}
 			}
-			test.end(conn)
-			waitFor(t, "the disconnect is detected", func() bool { return harness.listener.disconnects.Detected.Load() == 1 })
+			test.disconnect(conn)
+			waitFor(t, "disconnect detected", func() bool { return harness.listener.disconnects.Detected.Load() == 1 })
 			close(harness.release)
 		})
 	}
 }
 
-// A caller that has closed only its sending side gets an interim response and then the final one; then the connection
-// ends. It counts as half closed, not as disconnected.
+// A caller that closed only its sending side gets an interim response and the final response, after which the connection
+// ends. It is counted as half-closed, not as disconnected.
 func TestHalfClosedCallersAreAnswered(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	conn, reader := harness.dial(t)
@@ -81,18 +81,19 @@
 	requireInterimResponse(t, reader)
 	close(harness.release)
 	if status, body, closes := readResponse(t, reader, "GET"); status != 200 || body != "/held" || !closes {
-		t.Errorf("answered %d %q, closes %t", status, body, closes)
+		t.Errorf("final response: status %d, body %q, close announced %t; want 200, \"/held\", true", status, body, closes)
 	}
 	if rest, err := io.ReadAll(reader); len(rest) > 0 || err != nil {
-		t.Errorf("after the response: %q, %v", rest, err)
+		t.Errorf("after the final response: read %q, error %v; want the end of the connection", rest, err)
 	}
 	if counts := harness.listener.disconnects.Counts(); counts.Detected != 0 || counts.HalfClosed != 1 {
-		t.Errorf("counted %+v", counts)
+		t.Errorf("counts %+v, want Detected 0, HalfClosed 1", counts)
 	}
 }
 
-// A caller that sends its next request while one is under way has not disconnected, and gets both responses in order.
-func TestNextRequestIsNoDisconnect(t *testing.T) {
+// A caller that sends its next request while one is in flight is not taken to be disconnected, and gets both responses
+// in order.
+func TestPipelinedRequestIsNoDisconnect(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	conn, reader := harness.dial(t)
 	writeText(t, conn, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -100,18 +101,18 @@
 	writeText(t, conn, "GET /next HTTP/1.1\r\nHost: a\r\n")
 	close(harness.release)
 	if _, body, _ := readResponse(t, reader, "GET"); body != "/held" {
-		t.Errorf("first came %q", body)
+		t.Errorf("first response: body %q, want \"/held\"", body)
 	}
 	writeText(t, conn, "\r\n")
 	if _, body, _ := readResponse(t, reader, "GET"); body != "/next" {
-		t.Errorf("second came %q", body)
+		t.Errorf("second response: body %q, want \"/next\"", body)
 	}
 	if counts := harness.listener.disconnects.Counts(); counts.Detected != 0 || counts.HalfClosed != 0 {
-		t.Errorf("counted %+v", counts)
+		t.Errorf("counts %+v, want Detected 0, HalfClosed 0", counts)
 	}
 }
 
-// A call may take longer than the idle timeout: the watch goes on, and the timeout for the next request begins with
+// A call may take longer than the idle timeout. The watch continues, and the timeout for the next request starts with
 // the response.
 func TestCallsOutlastTheIdleTimeout(t *testing.T) {
 	limits := defaultLimits
@@ -120,23 +121,23 @@
 	conn, reader := harness.dial(t)
 	writeText(t, conn, "GET /held HTTP/1.1\r\nHost: a\r\n\r\n")
 	<-harness.received
-	// The interim response to a half close proves that the watch outlived the timeout.
-	// Without the half close the wait below fails.
+	// The interim response after the half-close proves that the watch outlived the timeout. If the half-close fails, the
+	// wait below fails.
 	time.AfterFunc(5*limits.idleTimeout, func() { _ = conn.(*net.TCPConn).CloseWrite() })
 	requireInterimResponse(t, reader)
 	close(harness.release)
 	if status, _, _ := readResponse(t, reader, "GET"); status != 200 {
-		t.Errorf("answered %d", status)
+		t.Errorf("call longer than the idle timeout: status %d, want 200", status)
 	}
 }
 
-// Callers that close their sending side just as they are answered, in every order that chance gives, get exactly one
-// final response and no interim one after it, and an open connection goes on.
-func TestResponsesCrossDisconnects(t *testing.T) {
+// A half-close may race with the response. The caller then gets exactly one final response and no interim response after
+// it. Connections without a half-close stay open.
+func TestHalfCloseDuringResponse(t *testing.T) {
 	harness := startListener(t, defaultLimits)
 	close(harness.release)
 	go func() {
-		for range harness.received { //nolint:revive // draining the channel is all there is to do
+		for range harness.received { //nolint:revive // the loop only drains the channel
 		}
 	}()
 	for attempt := range 200 {
@@ -151,29 +152,29 @@
 		for range attempt % 3 {
 			writeText(t, conn, "GET /kept HTTP/1.1\r\nHost: a\r\n\r\n")
 			if status, _, closes := readResponse(t, reader, "GET"); status != 200 || closes {
-				t.Fatalf("attempt %d: answered %d, closes %t", attempt, status, closes)
+				t.Fatalf("attempt %d: status %d, close announced %t; want 200, false", attempt, status, closes)
 			}
 		}
 		writeText(t, conn, "GET /last HTTP/1.1\r\nHost: a\r\n\r\n")
-		_ = conn.(*net.TCPConn).CloseWrite() // what follows holds without it too
+		_ = conn.(*net.TCPConn).CloseWrite() // the checks below hold without it too
 		finalResponses := 0
 		for {
 			response, err := http.ReadResponse(reader, nil)
 			if err != nil {
 				break
 			}
-			_, _ = io.Copy(io.Discard, response.Body) // a connection cut short fails at the next read
+			_, _ = io.Copy(io.Discard, response.Body) // a truncated response fails at the next read
 			_ = response.Body.Close()
 			if response.StatusCode == http.StatusContinue {
 				if finalResponses > 0 {
-					t.Fatalf("attempt %d: an interim response after the final one", attempt)
+					t.Fatalf("attempt %d: interim response after the final response", attempt)
 				}
 				continue
 			}
 			finalResponses++
 		}
 		if finalResponses != 1 {
-			t.Fatalf("attempt %d: %d final responses", attempt, finalResponses)
+			t.Fatalf("attempt %d: %d final responses, want 1", attempt, finalResponses)
 		}
 		closeConn(t, conn)
 	}
--- a/internal/proxy/request_body.go
+++ b/internal/proxy/request_body.go
@@ -12,11 +12,13 @@
 	"meadowhinge/internal/errs"
 )
 
-// readBody reads the body that the header announces.
+// readBody reads the body that the header announces. It returns nil for a request without a body. It fails with
+// errs.BodyTooLarge, errs.QueueFull, errs.RequestTimeout, errs.MalformedRequest or, for the trailer,
+// errs.HeaderTooLarge, and with io.ErrUnexpectedEOF if the caller closed the connection.
 func (c *connection) readBody(limits requestLimits) ([]byte, error) {
 	switch {
-	case c.header.contentLength > int64(limits.bodyBytes):
-		return nil, errs.New(errs.BodyTooLarge, strconv.FormatInt(c.header.contentLength, 10)+" bytes")
+	case c.header.contentLength > int64(limits.maxBodyBytes):
+		return nil, errs.New(errs.BodyTooLarge, "body of "+strconv.FormatInt(c.header.contentLength, 10)+" bytes")
 	case c.header.contentLength == 0 && !c.header.chunked:
 		return nil, nil
 	case c.header.expectsContinue && c.bufferStart == c.bufferEnd:
@@ -30,8 +32,8 @@
 	return c.appendBody(nil, int(c.header.contentLength), limits)
 }
 
-// appendBody appends the next count bytes of the request to body. Memory grows as bytes arrive, not as they are
-// announced.
+// appendBody reads the next count bytes of the request and appends them to body. Memory grows as bytes arrive, not by
+// the announced length.
 func (c *connection) appendBody(body []byte, count int, limits requestLimits) ([]byte, error) {
 	buffered := min(count, c.bufferEnd-c.bufferStart)
 	if err := c.reserveBody(int64(len(body) + count)); err != nil {
@@ -59,8 +61,9 @@
 	return body, nil
 }
 
-// reserveBody counts a large body of size bytes against the capacity that all connections of the listener share,
-// and rejects it if there is no room: a process that exceeds its memory limit loses all its calls.
+// reserveBody reserves memory for a body of size bytes if the body is large. All connections of the listener share the
+// capacity for large bodies. It fails with errs.QueueFull if the capacity is exceeded, because a process that exceeds
+// its memory limit is killed and loses all its calls.
 func (c *connection) reserveBody(size int64) error {
 	if size <= smallBodyBytes {
 		return nil
@@ -68,13 +71,13 @@
 	additional := size - c.reservedBytes
 	if c.listener.largeBodyBytes.Add(additional) > c.listener.largeBodyCapacity {
 		c.listener.largeBodyBytes.Add(-additional)
-		return errs.New(errs.QueueFull, "too many large bodies at once")
+		return errs.New(errs.QueueFull, "large request bodies exceed the capacity of the listener")
 	}
 	c.reservedBytes = size
 	return nil
 }
 
-// releaseBody gives back what reserveBody counted.
+// releaseBody releases the memory reserved by reserveBody.
 func (c *connection) releaseBody() {
 	if c.reservedBytes > 0 {
 		c.listener.largeBodyBytes.Add(-c.reservedBytes)
@@ -82,16 +85,16 @@
 	}
 }
 
-// bodyReadError is the error of a request whose body could not be read: a timeout is answered, a caller that
-// ended the connection is not.
+// bodyReadError converts an error of reading a body. A timeout becomes errs.RequestTimeout, which is answered. Any other
+// error becomes io.ErrUnexpectedEOF, which is not, because the caller has closed the connection.
 func bodyReadError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return errs.Wrap(err, errs.RequestTimeout, "body")
+		return errs.Wrap(err, errs.RequestTimeout, "read body")
 	}
 	return io.ErrUnexpectedEOF
 }
 
-// readChunkedBody reads a chunked body; its trailer is dropped.
+// readChunkedBody reads a chunked body (RFC 9112, section 7.1) and discards its trailer.
 func (c *connection) readChunkedBody(limits requestLimits) ([]byte, error) {
 	body := []byte{}
 	for {
@@ -99,8 +102,8 @@
 		if err != nil {
 			return nil, err
 		}
-		if size > uint64(limits.bodyBytes-len(body)) {
-			return nil, errs.New(errs.BodyTooLarge, "more than "+strconv.Itoa(limits.bodyBytes)+" bytes")
+		if size > uint64(limits.maxBodyBytes-len(body)) {
+			return nil, errs.New(errs.BodyTooLarge, "chunked body of more than "+strconv.Itoa(limits.maxBodyBytes)+" bytes")
 		}
 		if size == 0 {
 			return body, c.skipTrailer(limits)
@@ -113,12 +116,12 @@
 			return nil, err
 		}
 		if len(terminator) > 0 {
-			return nil, malformed("a chunk's end")
+			return nil, malformed("missing line end after chunk data")
 		}
 	}
 }
 
-// readChunkSize reads the line before a chunk and returns the chunk's size in bytes, 0 for the end of the body.
+// readChunkSize reads the line before a chunk and returns the size of the chunk in bytes, 0 for the last chunk.
 func (c *connection) readChunkSize(limits requestLimits) (uint64, error) {
 	line, err := c.readChunkLine(maxChunkLineBytes, limits)
 	if err != nil {
@@ -127,38 +130,39 @@
 	digits, extension, _ := bytes.Cut(line, []byte(";"))
 	size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 62)
 	if err != nil || len(digits) == 0 || !isHexDigit(digits[0]) || !isPrintable(string(extension), ' ') {
-		return 0, malformed("a chunk's size")
+		return 0, malformed("invalid chunk size")
 	}
 	return size, nil
 }
 
-// skipTrailer reads and drops the header lines after the last chunk, up to the limit of a header.
+// skipTrailer reads and discards the trailer after the last chunk. It fails with errs.HeaderTooLarge if the trailer
+// exceeds the limit of a header.
 func (c *connection) skipTrailer(limits requestLimits) error {
-	for bytesLeft := limits.headerBytes; ; {
+	for bytesLeft := limits.maxHeaderBytes; ; {
 		line, err := c.readChunkLine(bytesLeft, limits)
 		if err != nil || len(line) == 0 {
 			return err
 		}
 		if bytesLeft -= len(line); bytesLeft <= 0 {
-			return errs.New(errs.HeaderTooLarge, "trailer")
+			return errs.New(errs.HeaderTooLarge, "trailer of more than "+strconv.Itoa(limits.maxHeaderBytes)+" bytes")
 		}
 	}
 }
 
-// readChunkLine reads a line of at most maxBytes within a chunked body and returns it without its line end. It is
-// valid until the next read.
+// readChunkLine reads a line of at most maxBytes within a chunked body and returns it without its line end. The result
+// is valid until the next read.
 func (c *connection) readChunkLine(maxBytes int, limits requestLimits) ([]byte, error) {
 	for searched := 0; ; {
 		if lineFeed := bytes.IndexByte(c.buffer[c.bufferStart+searched:c.bufferEnd], '\n'); lineFeed >= 0 {
 			line := c.buffer[c.bufferStart : c.bufferStart+searched+lineFeed]
 			c.bufferStart += len(line) + 1
 			if len(line) == 0 || line[len(line)-1] != '\r' {
-				return nil, malformed("a bare line end")
+				return nil, malformed("line in chunked body ends without carriage return")
 			}
 			return line[:len(line)-1], nil
 		}
 		if searched = c.bufferEnd - c.bufferStart; searched > maxBytes {
-			return nil, malformed("a long line between chunks")
+			return nil, malformed("line in chunked body is too long")
 		}
 		c.growBuffer(maxBytes)
 		c.setReadTimeout(time.Now(), limits.idleTimeout)
@@ -168,6 +172,7 @@
 	}
 }
 
+// isHexDigit reports whether char is a hexadecimal digit.
 func isHexDigit(char byte) bool {
 	return (char >= '0' && char <= '9') || (char|0x20 >= 'a' && char|0x20 <= 'f')
 }
--- a/internal/proxy/request_header_parser.go
+++ b/internal/proxy/request_header_parser.go
@@ -7,7 +7,7 @@
 	"meadowhinge/internal/errs"
 )
 
-// tokenBytes are the bytes that header names and methods consist of (RFC 9110, section 5.6.2).
+// tokenBytes is the set of bytes permitted in header names and methods (RFC 9110, section 5.6.2).
 var tokenBytes = func() (table [256]bool) {
 	for _, char := range "!#$%&'*+-.^_`|~0123456789abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ" {
 		table[char] = true
@@ -15,7 +15,7 @@
 	return table
 }()
 
-// isToken reports whether a text is a name or method.
+// isToken reports whether text is a valid header name or method.
 func isToken(text string) bool {
 	for i := 0; i < len(text); i++ {
 		if !tokenBytes[text[i]] {
@@ -25,7 +25,7 @@
 	return text != ""
 }
 
-// isPrintable reports whether every byte is minByte or higher and none is DEL; tabs are allowed.
+// isPrintable reports whether every byte of text is at least minByte and none is DEL. Tabs are permitted.
 func isPrintable(text string, minByte byte) bool {
 	for i := 0; i < len(text); i++ {
 		if char := text[i]; (char < minByte && char != '\t') || char == 0x7f {
@@ -35,25 +35,26 @@
 	return true
 }
 
-// malformed is the error of a request that cannot be understood; the caller reads detail in the response.
+// malformed returns the error of a request that violates the protocol. The error response to the caller contains detail.
 func malformed(detail string) error { return errs.New(errs.MalformedRequest, detail) }
 
-// framingLines counts the header lines that decide where the request ends and for which host it is.
+// framingLines counts the header lines that determine the end of the request and its host.
 type framingLines struct {
-	contentLengths    int
-	transferEncodings int
-	hosts             int
+	contentLengths    int // Content-Length lines
+	transferEncodings int // Transfer-Encoding lines
+	hosts             int // Host lines
 }
 
-// parseRequestHeader parses a complete header into header. It repairs nothing: what another reader could understand
-// differently (a bare line end, a folded line, two lengths) is rejected.
+// parseRequestHeader parses the text of a complete header into header (RFC 9112). It repairs nothing: a header that
+// another parser could interpret differently, with a bare line feed, a folded line or two lengths, is rejected with
+// errs.MalformedRequest.
 //
-// The first wrong line decides the error. A line is counted before its value is checked.
+// The first invalid line determines the error. A line is counted before its value is checked.
 func parseRequestHeader(text string, header *RequestHeader) error {
 	*header = RequestHeader{Fields: header.Fields[:0], forwarded: header.forwarded[:0]}
 	line, rest, found := strings.Cut(text, "\r\n")
 	if !found {
-		return malformed("request line")
+		return malformed("invalid request line")
 	}
 	if err := header.parseRequestLine(line); err != nil {
 		return err
@@ -62,7 +63,7 @@
 	for {
 		line, rest, found = strings.Cut(rest, "\r\n")
 		if !found {
-			return malformed("a head that does not end")
+			return malformed("header is not terminated")
 		}
 		if line == "" {
 			break
@@ -79,15 +80,15 @@
 	return nil
 }
 
-// parseRequestLine parses method, target and protocol version.
+// parseRequestLine parses the method, the target and the protocol version.
 func (h *RequestHeader) parseRequestLine(line string) error {
 	method, rest, hasTarget := strings.Cut(line, " ")
 	target, version, hasVersion := strings.Cut(rest, " ")
 	switch {
 	case !hasTarget || !hasVersion || !isToken(method) || target == "" || strings.ContainsRune(target, '\t') || !isPrintable(target, '!'):
-		return malformed("request line")
+		return malformed("invalid request line")
 	case version != "HTTP/1.1" && version != "HTTP/1.0":
-		return malformed("protocol")
+		return malformed("unsupported protocol version")
 	}
 	h.Method, h.Target = method, target
 	if err := h.splitAbsoluteTarget(); err != nil {
@@ -95,15 +96,15 @@
 	}
 	isStar := h.Target == "*" && method == "OPTIONS"
 	if h.Target[0] != '/' && !isStar {
-		return malformed("target")
+		return malformed("invalid target")
 	}
 	h.Path, _, _ = strings.Cut(h.Target, "?")
 	h.http10 = version == "HTTP/1.0"
 	return nil
 }
 
-// splitAbsoluteTarget splits a target in absolute form into host and target. It names the host itself, so that the
-// value of the Host line is not used (RFC 9112, section 3.2.2). Other targets stay as they are.
+// splitAbsoluteTarget splits a target in absolute form into host and origin form. The host of such a target takes
+// precedence over the Host field (RFC 9112, section 3.2.2). Other targets are left unchanged.
 func (h *RequestHeader) splitAbsoluteTarget() error {
 	scheme, authorityAndPath, absolute := strings.Cut(h.Target, "://")
 	if !absolute || !strings.EqualFold(scheme, "http") {
@@ -115,7 +116,7 @@
 	}
 	h.Host, h.Target = authorityAndPath[:pathStart], authorityAndPath[pathStart:]
 	if h.Host == "" || !validHost(h.Host) {
-		return malformed("target")
+		return malformed("invalid host in target")
 	}
 	if h.Target == "" || h.Target[0] == '?' {
 		h.Target = "/" + h.Target
@@ -123,12 +124,12 @@
 	return nil
 }
 
-// parseHeaderLine adds one header line to the fields and applies those that concern the connection itself.
+// parseHeaderLine appends one header line to Fields, and applies the fields that concern framing or the connection.
 func (h *RequestHeader) parseHeaderLine(line string, lines *framingLines) error {
 	name, value, hasColon := strings.Cut(line, ":")
 	value = strings.Trim(value, " \t")
 	if !hasColon || !isToken(name) || !isPrintable(value, ' ') {
-		return malformed("header line")
+		return malformed("invalid header line")
 	}
 	h.Fields = append(h.Fields, HeaderField{name, value})
 	switch {
@@ -146,49 +147,50 @@
 	return nil
 }
 
-// applyHost takes the host of a Host line, unless the target or an earlier line gave one.
+// applyHost sets the host from a Host line, unless the target or an earlier line has set it.
 func (h *RequestHeader) applyHost(value string, lines *framingLines) error {
 	lines.hosts++
 	if h.Host == "" {
 		h.Host = value
 	}
 	if !validHost(value) {
-		return malformed("Host")
+		return malformed("invalid Host")
 	}
 	return nil
 }
 
-// applyContentLength takes the length of the body in bytes.
+// applyContentLength sets the length of the body from a Content-Length line. Only decimal digits are accepted.
 func (h *RequestHeader) applyContentLength(value string, lines *framingLines) error {
 	lines.contentLengths++
 	length, err := strconv.ParseUint(value, 10, 62)
 	if err != nil || value[0] == '+' {
-		return malformed("Content-Length")
+		return malformed("invalid Content-Length")
 	}
 	h.contentLength = int64(length)
 	return nil
 }
 
-// applyTransferEncoding accepts chunks alone: no other encoding is decoded here.
+// applyTransferEncoding applies a Transfer-Encoding line. It accepts only "chunked", because the proxy decodes no other
+// encoding.
 func (h *RequestHeader) applyTransferEncoding(value string, lines *framingLines) error {
 	lines.transferEncodings++
 	if !strings.EqualFold(value, "chunked") {
-		return malformed("Transfer-Encoding")
+		return malformed("unsupported Transfer-Encoding")
 	}
 	h.chunked = true
 	return nil
 }
 
-// applyExpect accepts the only expectation that is defined.
+// applyExpect applies an Expect line. It accepts only "100-continue", the only defined expectation.
 func (h *RequestHeader) applyExpect(value string) error {
 	if !strings.EqualFold(value, "100-continue") {
-		return malformed("Expect")
+		return malformed("unsupported Expect")
 	}
 	h.expectsContinue = true
 	return nil
 }
 
-// applyConnection takes the options of a Connection line.
+// applyConnection applies the options of a Connection line.
 func (h *RequestHeader) applyConnection(value string) {
 	for _, option := range strings.Split(value, ",") {
 		switch option = strings.Trim(option, " \t"); {
@@ -200,23 +202,23 @@
 	}
 }
 
-// checkFraming rejects a header whose lines together leave it open where the request ends or for which host it is.
-// afterHeader is what the text holds after the header's end.
+// checkFraming rejects a header whose lines together leave the end or the host of the request ambiguous. afterHeader is
+// the text that follows the header, which must be empty.
 func (h *RequestHeader) checkFraming(lines *framingLines, afterHeader string) error {
 	switch {
 	case afterHeader != "":
-		return malformed("head")
+		return malformed("data after the end of the header")
 	case lines.contentLengths+lines.transferEncodings > 1:
-		return malformed("more than one length")
+		return malformed("more than one Content-Length or Transfer-Encoding")
 	case h.http10 && lines.transferEncodings > 0:
 		return malformed("Transfer-Encoding in HTTP/1.0")
 	case lines.hosts > 1, lines.hosts == 0 && !h.http10:
-		return malformed("Host is needed once")
+		return malformed("missing or repeated Host")
 	}
 	return nil
 }
 
-// validHost reports whether a text can be a host with or without a port.
+// validHost reports whether text can be a host with or without a port. An empty text is valid.
 func validHost(text string) bool {
 	return isPrintable(text, '!') && !strings.ContainsAny(text, "/?#@\\, \t")
 }
--- a/internal/proxy/request_header_test.go
+++ b/internal/proxy/request_header_test.go
@@ -13,9 +13,10 @@
 // oneByteConn is a connection whose reads return one byte each.
 type oneByteConn struct {
 	net.Conn
-	text string
+	text string // bytes not read yet
 }
 
+// Read returns the next byte of the text, or io.EOF after the last one.
 func (c *oneByteConn) Read(into []byte) (int, error) {
 	if c.text == "" {
 		return 0, io.EOF
@@ -24,10 +25,11 @@
 	return 1, nil
 }
 
+// SetReadDeadline does nothing, because Read never blocks.
 func (c *oneByteConn) SetReadDeadline(time.Time) error { return nil }
 
-// Line ends before a request line are skipped, also if their two bytes arrive apart.
-func TestSplitLineEndBeforeRequestLine(t *testing.T) {
+// Empty lines before the request line are skipped even if CR and LF arrive in separate reads.
+func TestEmptyLinesBeforeRequestLineAreSkipped(t *testing.T) {
 	for _, before := range []string{"", "\r\n", "\r\n\r\n"} {
 		t.Run(strconv.Quote(before), func(t *testing.T) {
 			conn := &connection{
@@ -36,38 +38,38 @@
 				buffer:   make([]byte, initialBufferSize),
 			}
 			if _, err := conn.readHeader(defaultLimits); err != nil || conn.header.Target != "/a" {
-				t.Errorf("target %q, %v", conn.header.Target, err)
+				t.Errorf("readHeader: target %q, error %v; want %q and no error", conn.header.Target, err, "/a")
 			}
 		})
 	}
 }
 
-// If several lines are wrong, the first one decides the error that the caller reads; what the lines make together is
-// judged after all of them.
-func TestFirstWrongLineDecidesTheError(t *testing.T) {
+// If several lines are invalid, the first one determines the error in the response to the caller. Rules on all lines
+// together are checked last.
+func TestFirstInvalidLineDeterminesError(t *testing.T) {
 	const requestLine = "GET /a HTTP/1.1\r\n"
 	for name, test := range map[string]struct{ text, want string }{
-		"length before host":       {requestLine + "Content-Length: x\r\nHost: a/b\r\n\r\n", "Content-Length"},
-		"host before length":       {requestLine + "Host: a/b\r\nContent-Length: x\r\n\r\n", "Host"},
-		"encoding before expect":   {requestLine + "Transfer-Encoding: gzip\r\nExpect: x\r\n\r\n", "Transfer-Encoding"},
-		"expect before a bad line": {requestLine + "Expect: x\r\nX\r\n\r\n", "Expect"},
-		"request line before all":  {"GET a HTTP/1.1\r\nX\r\n\r\n", "target"},
-		"a line before the end":    {requestLine + "Host: a/b\r\nX: y", "Host"},
-		"the end before framing":   {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n", "a head that does not end"},
-		"rest before framing":      {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", "head"},
-		"framing before host":      {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", "more than one length"},
-		"HTTP/1.0 before host":     {"GET /a HTTP/1.0\r\nHost: a\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", "Transfer-Encoding in HTTP/1.0"},
-		"no host":                  {requestLine + "\r\n", "Host is needed once"},
+		"length before host":         {requestLine + "Content-Length: x\r\nHost: a/b\r\n\r\n", "invalid Content-Length"},
+		"host before length":         {requestLine + "Host: a/b\r\nContent-Length: x\r\n\r\n", "invalid Host"},
+		"encoding before expect":     {requestLine + "Transfer-Encoding: gzip\r\nExpect: x\r\n\r\n", "unsupported Transfer-Encoding"},
+		"expect before invalid line": {requestLine + "Expect: x\r\nX\r\n\r\n", "unsupported Expect"},
+		"request line before others": {"GET a HTTP/1.1\r\nX\r\n\r\n", "invalid target"},
+		"line before missing end":    {requestLine + "Host: a/b\r\nX: y", "invalid Host"},
+		"missing end before framing": {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n", "header is not terminated"},
+		"trailing data first":        {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", "data after the end of the header"},
+		"framing before host":        {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", "more than one Content-Length or Transfer-Encoding"},
+		"HTTP/1.0 before hosts":      {"GET /a HTTP/1.0\r\nHost: a\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", "Transfer-Encoding in HTTP/1.0"},
+		"no host":                    {requestLine + "\r\n", "missing or repeated Host"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, want := fmt.Sprint(parseRequestHeader(test.text, &RequestHeader{})), malformed(test.want).Error(); got != want {
-				t.Errorf("error %q, want %q", got, want)
+				t.Errorf("parseRequestHeader(%q): error %q, want %q", test.text, got, want)
 			}
 		})
 	}
 }
 
-// Whatever a caller sends as a header, what the parser accepts of it cannot be understood as two requests.
+// A header that the parser accepts cannot be interpreted as two requests, whatever the input.
 func FuzzParseRequestHeader(f *testing.F) {
 	for _, seed := range []string{
 		"GET /a HTTP/1.1\r\nHost: a\r\n\r\n",
@@ -84,10 +86,11 @@
 			return
 		}
 		if header.Method == "" || header.Target == "" || header.contentLength < 0 || header.chunked && header.contentLength > 0 {
-			t.Fatalf("accepted: %+v", header)
+			t.Fatalf("parseRequestHeader(%q) accepted an incomplete or ambiguous header: %+v", text, header)
 		}
 		if strings.ContainsAny(header.Target+header.Host, "\r\n \x00") {
-			t.Fatalf("accepted: target %q, host %q", header.Target, header.Host)
+			t.Fatalf("parseRequestHeader(%q) accepted target %q and host %q, want an error for white space or NUL",
+				text, header.Target, header.Host)
 		}
 	})
 }
--- a/internal/proxy/response.go
+++ b/internal/proxy/response.go
@@ -10,22 +10,22 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// Response is the response to a caller. Each connection has one and reuses it.
+// Response is the response to a caller. Each connection has one and reuses it, so it must not be retained.
 type Response struct {
 	Status      int    // HTTP status code
-	Body        []byte // dropped where the method or the status allows none
-	headerBlock []byte // header lines as they are written, each with its line end
+	Body        []byte // response body; not sent if the method or the status permits none
+	headerBlock []byte // header lines in wire format, each with its line end
 }
 
-// reset empties the response for the next request.
+// reset clears the response for the next request.
 func (r *Response) reset() { r.Status, r.Body, r.headerBlock = 0, nil, r.headerBlock[:0] }
 
-// AddHeader adds a header line. Content-Length and Connection are added by the connection.
+// AddHeader adds a header field. The connection adds Content-Length and Connection itself.
 func (r *Response) AddHeader(name, value string) {
 	r.headerBlock = dispatch.AppendField(r.headerBlock, name, value)
 }
 
-// writeResponse writes the response to the caller; closeAfter announces that the connection ends with it.
+// writeResponse writes the response to the caller and returns the error of the write. closeAfter adds Connection: close.
 func (c *connection) writeResponse(closeAfter bool) error {
 	body := c.response.Body
 	if dispatch.HasNoBody(c.header.Method, c.response.Status) {
@@ -54,7 +54,7 @@
 	return err
 }
 
-// appendResponseHeader appends the status line and all header lines to out.
+// appendResponseHeader appends the status line and all header lines to out, with the empty line that ends them.
 func (c *connection) appendResponseHeader(out []byte, bodyBytes int, closeAfter bool) []byte {
 	response := &c.response
 	out = append(out, "HTTP/1.1 "...)
@@ -74,12 +74,12 @@
 	return append(out, "\r\n"...)
 }
 
-// setWriteTimeout bounds how long a write may take: the proxy does not wait for a caller that reads nothing. The
-// timeout is the one between requests.
+// setWriteTimeout bounds the duration of a write, so that the proxy does not wait for a caller that stopped reading. The
+// limit is the idle timeout, of which at least half remains for each write.
 func (c *connection) setWriteTimeout() {
 	timeout := c.listener.limits().idleTimeout
 	if now := time.Now(); c.writeDeadline.Sub(now) < timeout/2 {
 		c.writeDeadline = now.Add(timeout)
-		_ = c.conn.SetWriteDeadline(c.writeDeadline) // a connection that has ended fails at the write
+		_ = c.conn.SetWriteDeadline(c.writeDeadline) // a closed connection fails at the write
 	}
 }
