--- a/internal/store/actions.go
+++ b/internal/store/actions.go
@@ -2,29 +2,29 @@
 
 import "meadowhinge/schema"
 
-// Action is one output of a Replica, to be carried out by its owner in the order given:
-// Send, Persist, Reply or ReadIndexReady.
+// Action is one output of a Replica: Send, Persist, Reply or ReadIndexReady. The owner carries out the actions of a
+// step in the order given.
 type Action interface{ isAction() }
 
-// Send asks for a message to be delivered to the replica named in Message.To. It may be lost, delayed or
-// overtaken: what matters is sent again at a later heartbeat interval.
+// Send asks for a message to be delivered to the replica named in Message.To. The message may be lost, delayed or
+// reordered: the replica resends whatever must arrive, with a later round of heartbeats.
 type Send struct{ Message *schema.ReplicaMessage }
 
 // Persist asks for a record to be made durable. Once it is, the owner calls Replica.Persisted with WriteID.
 // Records are written, and reported, in the order in which they were asked for.
 type Persist struct {
-	WriteID uint64 // ascending; names this write and all before it
-	Record  *schema.Record
-	// ReplacesLog means that Record is complete by itself, so that records before it may be dropped: a
-	// snapshot, or the initial record of a replica that starts empty.
+	WriteID uint64         // increases with each write; passed to Persisted it also covers all earlier writes
+	Record  *schema.Record // the record to append to the log
+	// ReplacesLog means that Record is complete by itself, so that earlier records may be dropped. It is set for a
+	// snapshot and for the initial record of a replica that starts empty.
 	ReplacesLog bool
 }
 
-// Reply answers the ticket of a Propose call. An undecided result means only that the outcome is not
-// known here: the change may still be committed, and is safely proposed again under the same change id.
+// Reply answers the Propose call whose ticket Result has. An undecided result means only that the outcome is not
+// known here. The change may still be committed, and it is safe to propose it again under the same change id.
 type Reply struct{ Result *schema.ProposalReply }
 
-// ReadIndexReady answers the ticket of a ReadIndex call.
+// ReadIndexReady answers the ReadIndex call whose ticket Result has.
 type ReadIndexReady struct{ Result *schema.ReadIndexReply }
 
 func (Send) isAction()           {}
@@ -35,7 +35,7 @@
 // emit adds an action to those that the current step returns.
 func (r *Replica) emit(action Action) { r.actions = append(r.actions, action) }
 
-// send addresses a message, stamps it with this replica's identity and emits it.
+// send fills in the header of a message, which is the receiver and this replica's identity, and emits it.
 func (r *Replica) send(to string, message *schema.ReplicaMessage) {
 	message.From = r.config.Name
 	message.To = to
--- a/internal/store/config.go
+++ b/internal/store/config.go
@@ -2,64 +2,69 @@
 
 import "time"
 
-// Config is what a replica is started with. Server derives it from the store's settings; SetLimits replaces
-// the part that may change while the replica runs.
+// Config holds the parameters of a replica. Server derives it from the store's settings. SetLimits replaces the
+// fields that may change while the replica runs.
 type Config struct {
 	// Name is this replica's member id, unique among the replicas of the core.
 	Name string
 	// Address is the host:port at which the other replicas reach this one; it is sent with every message.
 	Address string
-	// StaticMembers lists every member in the order of preference for leadership, where an operator fixes
-	// it. Empty means that the members agree on the list themselves.
+	// StaticMembers lists every member, in the order of preference for leadership, if the operator fixes the list.
+	// Empty means that the members agree on the list themselves.
 	StaticMembers []string
-	// Founders are the members of the first membership, where all of them start for the first time and there
-	// is no static list; nil on every other replica.
+	// Founders lists the members of the first membership, if all of them start for the first time and there is no
+	// static member list. It is nil on every other replica.
 	Founders []string
-	// Seeds are the replicas that one outside the membership sends its Join to. May change at run time.
+	// Seeds lists the replicas to which a replica that is no member sends its Join. May change at run time.
 	Seeds []string
-	// ExpandsMembership is set on a replica that starts for the first time and is no founder: its joining
-	// raises the target size by one, rather than replacing a lost member.
+	// ExpandsMembership is set on a replica that takes part in the first start of the core without being a founder.
+	// When it joins, it raises the target size by one instead of replacing a lost member.
 	ExpandsMembership bool
 	// ToleratedLosses is the number of disks that may be lost at once without losing a committed change.
 	ToleratedLosses int
-	// NewIncarnation draws an incarnation that no other data folder has. It must not be nil unless the
-	// replica can never be excluded.
+	// NewIncarnation returns an incarnation that no other data folder has. It may be nil only if the replica can
+	// never be excluded from the membership.
 	NewIncarnation func() uint64
-	// HeartbeatTimeout is how long a replica that is not heard counts as alive. Other intervals are
-	// fractions of it. May change at run time.
+	// HeartbeatTimeout is how long a replica counts as alive after the last message from it. The other intervals
+	// are fractions of HeartbeatTimeout. May change at run time.
 	HeartbeatTimeout time.Duration
-	// StallTimeout is how long a write may take before the replica counts as unfit to lead, and how long a
+	// StallTimeout is how long a write may take before the replica counts as unfit to lead. It is also how long a
 	// campaign may take before it starts again. May change at run time.
 	StallTimeout time.Duration
-	// MaxEntries is both the number of entries between two snapshots on disk and the least number of entries
-	// retained in memory for followers that lag (the most is twice that, plus what is uncommitted). May change at run time.
+	// MaxEntries is the number of entries after which a snapshot replaces the log on disk. It is also the minimum
+	// number of entries retained in memory for followers that lag; the maximum is twice that, plus the uncommitted
+	// entries. May change at run time.
 	MaxEntries int
-	// MaxOutcomes is the number of change ids whose outcome is remembered. May change at run time.
+	// MaxOutcomes is the maximum number of change ids whose outcome is retained. May change at run time.
 	MaxOutcomes int
-	// MaxUncommittedEntries is the number of appended but uncommitted entries at which a leader
-	// refuses new proposals.
+	// MaxUncommittedEntries is the number of appended but uncommitted entries at which the leader answers new
+	// proposals as undecided.
 	MaxUncommittedEntries int
-	// MaxOperatorTombstones is the number of retained tombstones that bear an operator version. May change at
-	// run time.
+	// MaxOperatorTombstones is the number of tombstones with an operator version above which the oldest of them are
+	// purged. May change at run time.
 	MaxOperatorTombstones int
 
-	seededFault seededFault // set only by tests that show that a check detects the fault
+	seededFault seededFault // set only by tests that verify that a check detects the fault; 0 for none
 }
 
-// Divisors of Config.HeartbeatTimeout, but for the last.
+// These constants divide Config.HeartbeatTimeout or Config.StallTimeout into shorter intervals.
 const (
-	// heartbeatsPerTimeout leaves room for one late heartbeat before the sender counts as lost.
+	// heartbeatsPerTimeout divides HeartbeatTimeout into the heartbeat interval. One heartbeat may be late before its
+	// sender counts as lost.
 	heartbeatsPerTimeout = 3
-	// isolatedHeartbeatsPerTimeout is the same for a replica that reaches no majority, to be found sooner.
+	// isolatedHeartbeatsPerTimeout replaces heartbeatsPerTimeout on a replica that reaches no majority, so that the
+	// others hear it sooner.
 	isolatedHeartbeatsPerTimeout = 15
-	// urgentHeartbeatsPerTimeout bounds how soon a heartbeat that reports a change follows the one before.
+	// urgentHeartbeatsPerTimeout divides HeartbeatTimeout into the minimum time between a round of heartbeats and a
+	// following one that is sent early because it reports a change.
 	urgentHeartbeatsPerTimeout = 30
-	// campaignsPerStallTimeout divides Config.StallTimeout: a campaign that takes longer starts again.
+	// campaignsPerStallTimeout divides StallTimeout into the time after which an unfinished campaign starts again.
 	campaignsPerStallTimeout = 1
 )
 
-// A snapshot replaces the log also when the entries since the last one take more bytes than both of these.
+// A snapshot replaces the log on disk, regardless of the number of entries, once the entries since the last snapshot
+// reach the larger of these two sizes.
 const (
-	minSnapshotLogBytes = 1 << 20 // bytes
-	snapshotLogFactor   = 2       // times the size of the last snapshot
+	minSnapshotLogBytes = 1 << 20 // in bytes
+	snapshotLogFactor   = 2       // as a multiple of the size of the last snapshot
 )
--- a/internal/store/decide.go
+++ b/internal/store/decide.go
@@ -5,18 +5,19 @@
 	"meadowhinge/schema"
 )
 
-// maxReportedFaults bounds the reasons listed in a refusal; an operator works them off in turns.
+// maxReportedFaults is the maximum number of reasons listed in a refusal. An operator who has mended these gets the
+// remaining ones at the next attempt.
 const maxReportedFaults = 32
 
-// progressKind is the item kind written by rollout controllers.
+// progressKind is the kind of the items in which rollout controllers store their progress.
 const progressKind = "progress"
 
-// Decide rules on a change against a state, as the entry of a version: the change is accepted with all its items
-// or refused with none, and with up to maxReportedFaults reasons. It is a pure function, so any replica that
-// leads comes to the same ruling.
+// Decide rules on a change against a state and returns the entry to append under a version. The change is either
+// accepted with all its items, or refused with none of them and with up to maxReportedFaults reasons. Decide is a pure
+// function, so every replica that leads comes to the same ruling.
 //
-// previous is the compiled configuration of the state if the caller has one, else nil; it makes compiling cheaper
-// and does not affect the ruling. Decide returns the one to pass with the next change.
+// previous is the compiled configuration of the state, or nil if the caller has none. It makes compiling cheaper and
+// does not affect the ruling. The returned snapshot is the one to pass with the next change.
 func Decide(
 	state config.State, previous *config.Snapshot, change *schema.Change, version *schema.Version,
 ) (*schema.Entry, *config.Snapshot) {
@@ -31,7 +32,7 @@
 		return entry, previous
 	}
 	items := stampItems(state, change.Id, written, version)
-	// A change without effect leaves the state as it was, which is valid.
+	// A change without effect leaves the state as it is, which is valid.
 	if len(items) == 0 {
 		outcome.Ruling = schema.Ruling_RULING_ACCEPTED
 		return entry, previous
@@ -47,8 +48,8 @@
 	return entry, compiled
 }
 
-// itemsToWrite lists the items of a change that are to be written. If the change conflicts with the state, or is
-// invalid by itself, it sets the refusal in outcome instead.
+// itemsToWrite returns the items of a change that are to be written. If the change conflicts with the state, or is
+// found to be invalid by itself, it sets the refusal in outcome instead.
 func itemsToWrite(state config.State, change *schema.Change, outcome *schema.ChangeOutcome) []*schema.Item {
 	if !change.ByOperatorVersion {
 		outcome.Current = conflictingItems(state, change)
@@ -57,9 +58,9 @@
 		}
 		return change.Items
 	}
-	written, conflicts := byOperatorVersion(state, change.Items)
-	// Items that are not written are not compiled, so what is invalid by itself must be refused here: an invalid
-	// item must not be accepted only because a newer version of it exists.
+	written, conflicts := selectByOperatorVersion(state, change.Items)
+	// Items that are not written are not compiled, so they are checked here: an invalid item must not be accepted
+	// merely because a newer version of it exists.
 	if len(written) < len(change.Items) {
 		if faults := config.Check(change.Items); len(faults) > 0 {
 			outcome.Ruling = schema.Ruling_RULING_INVALID
@@ -75,8 +76,8 @@
 	return written
 }
 
-// conflictingItems lists, for the items of a change whose stored sequence is not the one that the writer
-// expected, the stored one (0 for none or a tombstone).
+// conflictingItems returns the stored sequence of each item of a change for which the writer expected another one. The
+// sequence of an item that does not exist, or is a tombstone, is 0.
 func conflictingItems(state config.State, change *schema.Change) (current []*schema.ExpectedVersion) {
 	expected := map[string]uint64{}
 	for _, expectation := range change.Expected {
@@ -95,8 +96,8 @@
 	return current
 }
 
-// fromStaleController reports whether an item was written by a rollout controller that has lost control since:
-// another one has written the item under a later controller term. This fences off the old controller.
+// fromStaleController reports whether an item comes from a rollout controller that another one has since replaced: the
+// item is already stored under a later controller term. Refusing such items fences off the old controller.
 func fromStaleController(state config.State, items []*schema.Item) bool {
 	for _, item := range items {
 		existing := state[config.Key(item.Kind, item.Name)]
@@ -110,8 +111,8 @@
 	return false
 }
 
-// stampItems returns the items as they are stored: with the version and id of their change, and with an operator
-// version that never falls, so that a delayed older order cannot take an item back.
+// stampItems returns copies of the items as they are stored, with the version and the id of their change. The operator
+// version of an item never decreases, so that a delayed older change cannot revert the item.
 func stampItems(state config.State, changeID string, items []*schema.Item, version *schema.Version) []*schema.Item {
 	var stamped []*schema.Item
 	for _, item := range items {
--- a/internal/store/decide_test.go
+++ b/internal/store/decide_test.go
@@ -7,7 +7,7 @@
 	"meadowhinge/schema"
 )
 
-// Each ruling on a change by expected sequences, against one state.
+// Decide gives each of its rulings on changes with expected sequences, against one state.
 func TestDecide(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
 	state := config.State{}.With([]*schema.Item{
@@ -28,50 +28,51 @@
 		change *schema.Change
 		want   schema.Ruling
 	}{
-		"a new item": {
+		"accepts a new item": {
 			change(item("segment", "s", `{"salt":""}`)), accepted,
 		},
-		"a removed item anew": {
+		"accepts a deleted item as new": {
 			change(item("segment", "old", `{"salt":""}`)), accepted,
 		},
-		"an existing item, as if new": {
+		"reports a conflict for an existing item written as new": {
 			change(item("service", "shop", `{}`)), schema.Ruling_RULING_CONFLICT,
 		},
-		"an item by an older version": {
+		"reports a conflict for another expected sequence": {
 			withExpected(change(item("service", "shop", `{}`)), "service", "shop", 9), schema.Ruling_RULING_CONFLICT,
 		},
-		"one that the others rule out": {
+		"refuses a change with one invalid item": {
 			change(item("segment", "s", `{"salt":""}`), item("route", "x", `{"service":"gone","prefix":"/","horizon":"1s"}`)),
 			schema.Ruling_RULING_INVALID,
 		},
-		"a removal that is needed": {
+		"refuses to delete an item that another one needs": {
 			withExpected(change(item("service", "shop", ""), item("route", "x", `{"service":"shop","prefix":"/","horizon":"1s"}`)), "service", "shop", 1),
 			schema.Ruling_RULING_INVALID,
 		},
-		"a kind that does not exist": {
+		"refuses an unknown kind": {
 			change(item("thing", "x", `{}`)), schema.Ruling_RULING_INVALID,
 		},
-		"a controller of a past term": {
+		"refuses a rollout controller of an earlier term": {
 			withExpected(change(item("progress", "r", `{"duty":4}`)), "progress", "r", 2), schema.Ruling_RULING_STALE,
 		},
-		"the controller of this term": {
+		"accepts the rollout controller of the current term": {
 			withExpected(change(item("progress", "r", `{"duty":5}`)), "progress", "r", 2), accepted,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			entry, _ := Decide(state, nil, test.change, at(10))
 			if entry.Outcome.Ruling != test.want {
-				t.Errorf("%v, want %v (%v)", entry.Outcome.Ruling, test.want, entry.Outcome.Faults)
+				t.Errorf("Decide ruled %v, want %v (faults: %v)", entry.Outcome.Ruling, test.want, entry.Outcome.Faults)
 			}
-			// All or nothing: a refusal carries no item.
-			if (len(entry.Items) > 0) != (test.want == schema.Ruling_RULING_ACCEPTED) {
-				t.Errorf("ruled %v with %d items", test.want, len(entry.Items))
+			// A refused change writes no item.
+			if wantItems := test.want == schema.Ruling_RULING_ACCEPTED; (len(entry.Items) > 0) != wantItems {
+				t.Errorf("Decide returned %d items, want any: %t", len(entry.Items), wantItems)
 			}
 		})
 	}
 }
 
-// The ruling on a change by operator versions, and the items that it writes, against one state.
+// Decide compares operator versions with the stored ones: it writes the newer items, ignores outdated and repeated ones
+// and reports a conflict for another content under the same version.
 func TestDecideByOperatorVersion(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
 	item := func(name string, version uint64, body string) *schema.Item {
@@ -85,9 +86,9 @@
 		invalid  = schema.Ruling_RULING_INVALID
 	)
 	state := config.State{}.With([]*schema.Item{
-		stored(1, item("stands", 7, `{"salt":""}`)),
-		stored(2, item("dropped", 7, "")),
-		stored(3, item("ours", 0, `{"salt":""}`)),
+		stored(1, item("present", 7, `{"salt":""}`)),
+		stored(2, item("deleted", 7, "")),
+		stored(3, item("unversioned", 0, `{"salt":""}`)),
 	})
 	route := func(name string, version uint64) *schema.Item {
 		return &schema.Item{Kind: "route", Name: name, OperatorVersion: version, Body: []byte(`{"service":"gone","prefix":"/","horizon":"1s"}`)}
@@ -97,57 +98,58 @@
 		want    schema.Ruling
 		written map[string]uint64 // operator version by name
 	}{
-		"higher":                            {[]*schema.Item{item("stands", 8, body)}, accepted, map[string]uint64{"stands": 8}},
-		"equal, the same":                   {[]*schema.Item{item("stands", 7, `{"salt":""}`)}, accepted, nil},
-		"equal, the same with spaces":       {[]*schema.Item{item("stands", 7, `{ "salt" : "" }`)}, accepted, nil},
-		"equal, another content":            {[]*schema.Item{item("stands", 7, body)}, conflict, nil},
-		"equal, a drop":                     {[]*schema.Item{item("stands", 7, "")}, conflict, nil},
-		"equal, a drop again":               {[]*schema.Item{item("dropped", 7, "")}, accepted, nil},
-		"equal, beside one newer":           {[]*schema.Item{item("stands", 7, body), item("more", 2, body)}, conflict, nil},
-		"equal, never right":                {[]*schema.Item{item("stands", 7, `{"salt":5}`)}, invalid, nil},
-		"equal, over what no operator gave": {[]*schema.Item{item("ours", 0, body)}, conflict, nil},
-		"lower, a drop":                     {[]*schema.Item{item("stands", 6, "")}, accepted, nil},
-		"lower, never right":                {[]*schema.Item{item("stands", 6, `{"salt":5}`)}, invalid, nil},
-		"older than a drop":                 {[]*schema.Item{item("dropped", 6, body)}, accepted, nil},
-		"set under a drop's own version":    {[]*schema.Item{item("dropped", 7, body)}, conflict, nil},
-		"newer than a drop":                 {[]*schema.Item{item("dropped", 9, body)}, accepted, map[string]uint64{"dropped": 9}},
-		"a drop of what never was":          {[]*schema.Item{item("never", 3, "")}, accepted, map[string]uint64{"never": 3}},
-		"over what no operator gave":        {[]*schema.Item{item("ours", 1, body)}, accepted, map[string]uint64{"ours": 1}},
-		"some newer":                        {[]*schema.Item{item("stands", 6, body), item("more", 2, body)}, accepted, map[string]uint64{"more": 2}},
-		"one name twice":                    {[]*schema.Item{item("stands", 9, body), item("stands", 8, "")}, accepted, map[string]uint64{"stands": 9}},
-		"one name twice, two contents":      {[]*schema.Item{item("stands", 9, body), item("stands", 9, "")}, conflict, nil},
-		"one name twice, the same":          {[]*schema.Item{item("stands", 9, body), item("stands", 9, body)}, accepted, map[string]uint64{"stands": 9}},
-		"one newer that is invalid":         {[]*schema.Item{item("stands", 9, body), route("r", 9)}, invalid, nil},
-		"one newer beside a broken kind":    {[]*schema.Item{item("stands", 9, body), {Kind: "thing", Name: "x", OperatorVersion: 9}}, invalid, nil},
+		"a higher version is written":                            {[]*schema.Item{item("present", 8, body)}, accepted, map[string]uint64{"present": 8}},
+		"the same version and content changes nothing":           {[]*schema.Item{item("present", 7, `{"salt":""}`)}, accepted, nil},
+		"the same content with other white space":                {[]*schema.Item{item("present", 7, `{ "salt" : "" }`)}, accepted, nil},
+		"the same version with another content conflicts":        {[]*schema.Item{item("present", 7, body)}, conflict, nil},
+		"a deletion under the same version conflicts":            {[]*schema.Item{item("present", 7, "")}, conflict, nil},
+		"a repeated deletion changes nothing":                    {[]*schema.Item{item("deleted", 7, "")}, accepted, nil},
+		"one conflict refuses the newer items too":               {[]*schema.Item{item("present", 7, body), item("more", 2, body)}, conflict, nil},
+		"invalid content under the same version is invalid":      {[]*schema.Item{item("present", 7, `{"salt":5}`)}, invalid, nil},
+		"version 0 over an unversioned item conflicts":           {[]*schema.Item{item("unversioned", 0, body)}, conflict, nil},
+		"a deletion under a lower version changes nothing":       {[]*schema.Item{item("present", 6, "")}, accepted, nil},
+		"invalid content under a lower version is invalid":       {[]*schema.Item{item("present", 6, `{"salt":5}`)}, invalid, nil},
+		"a version lower than a tombstone's changes nothing":     {[]*schema.Item{item("deleted", 6, body)}, accepted, nil},
+		"a write under a tombstone's version conflicts":          {[]*schema.Item{item("deleted", 7, body)}, conflict, nil},
+		"a version higher than a tombstone's is written":         {[]*schema.Item{item("deleted", 9, body)}, accepted, map[string]uint64{"deleted": 9}},
+		"a deletion of an unknown item is written":               {[]*schema.Item{item("unknown", 3, "")}, accepted, map[string]uint64{"unknown": 3}},
+		"a version over an unversioned item is written":          {[]*schema.Item{item("unversioned", 1, body)}, accepted, map[string]uint64{"unversioned": 1}},
+		"only the newer items are written":                       {[]*schema.Item{item("present", 6, body), item("more", 2, body)}, accepted, map[string]uint64{"more": 2}},
+		"the newest of two items of one name is written":         {[]*schema.Item{item("present", 9, body), item("present", 8, "")}, accepted, map[string]uint64{"present": 9}},
+		"two contents of one name under one version conflict":    {[]*schema.Item{item("present", 9, body), item("present", 9, "")}, conflict, nil},
+		"the same item twice is written once":                    {[]*schema.Item{item("present", 9, body), item("present", 9, body)}, accepted, map[string]uint64{"present": 9}},
+		"an invalid item refuses the newer items too":            {[]*schema.Item{item("present", 9, body), route("r", 9)}, invalid, nil},
+		"an item of an unknown kind refuses the newer items too": {[]*schema.Item{item("present", 9, body), {Kind: "thing", Name: "x", OperatorVersion: 9}}, invalid, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			entry, _ := Decide(state, nil, &schema.Change{Items: test.items, ByOperatorVersion: true}, at(10))
 			if entry.Outcome.Ruling != test.want || len(entry.Items) != len(test.written) {
-				t.Errorf("%v with %d items (%v)", entry.Outcome.Ruling, len(entry.Items), entry.Outcome.Faults)
+				t.Errorf("Decide ruled %v with %d items (faults: %v), want %v with %d",
+					entry.Outcome.Ruling, len(entry.Items), entry.Outcome.Faults, test.want, len(test.written))
 			}
 			if test.want == conflict && len(entry.Outcome.Current) == 0 {
-				t.Error("the refusal names no item")
+				t.Error("the outcome of a conflict has no current versions, want those of the items in conflict")
 			}
 			for _, written := range entry.Items {
-				if written.OperatorVersion != test.written[written.Name] {
-					t.Errorf("%s is written under %d", written.Name, written.OperatorVersion)
+				if want := test.written[written.Name]; written.OperatorVersion != want {
+					t.Errorf("%s is written under operator version %d, want %d", written.Name, written.OperatorVersion, want)
 				}
 			}
 		})
 	}
-	// A write without an operator version leaves the stored one.
+	// A write without an operator version keeps the stored operator version.
 	change := &schema.Change{
-		Items:    []*schema.Item{item("stands", 0, body)},
-		Expected: []*schema.ExpectedVersion{{Kind: "segment", Name: "stands", Sequence: 1}},
+		Items:    []*schema.Item{item("present", 0, body)},
+		Expected: []*schema.ExpectedVersion{{Kind: "segment", Name: "present", Sequence: 1}},
 	}
 	entry, _ := Decide(state, nil, change, at(10))
 	if len(entry.Items) != 1 || entry.Items[0].OperatorVersion != 7 {
-		t.Errorf("written without a version: %v", entry)
+		t.Errorf("Decide on a write without an operator version returned %v, want one item under operator version 7", entry)
 	}
 }
 
-// Under one operator version, the content is what the operator wrote, including fields that the mesh does not use.
-func TestContentIsWhatTheOperatorWrote(t *testing.T) {
+// Items of one operator version are compared by what the operator wrote, including fields that the mesh does not use.
+func TestOperatorContentIsCompared(t *testing.T) {
 	service := func(source string) *schema.Item {
 		return &schema.Item{Kind: "service", Name: "shop", OperatorVersion: 7, Body: []byte(`{}`), OperatorBody: []byte(source)}
 	}
@@ -163,7 +165,7 @@
 			change := &schema.Change{Items: []*schema.Item{service(source)}, ByOperatorVersion: true}
 			entry, _ := Decide(state, nil, change, &schema.Version{Term: 1, Sequence: 9})
 			if entry.Outcome.Ruling != want || len(entry.Items) > 0 {
-				t.Errorf("%v", entry.Outcome)
+				t.Errorf("Decide returned the outcome %v with %d items, want %v without items", entry.Outcome, len(entry.Items), want)
 			}
 		})
 	}
--- a/internal/store/doc.go
+++ b/internal/store/doc.go
@@ -1,11 +1,26 @@
-// Package store replicates the configuration of the mesh: a consensus core in the manner of Raft. Comments cite "the
-// thesis": D. Ongaro, Consensus: Bridging Theory and Practice, Stanford 2014.
+// Package store replicates the configuration of the mesh by a consensus algorithm derived from Raft. Comments cite
+// "the thesis": D. Ongaro, Consensus: Bridging Theory and Practice, Stanford 2014.
+//
+// # Terms
+//
+//   - core: the group of replicas that replicate one configuration (Raft: the cluster).
+//   - content: the state (the configuration items), the membership and the outcomes that a replica has.
+//   - beginning of a term: the content with which a leader's term starts. The leader sends it as a BeginTerm.
+//   - member: a replica that the current membership lists. Only members count for votes and commits.
+//   - incarnation: a random number that identifies one data folder. A folder that was lost and comes back empty gets
+//     another one, and is thereby another replica.
+//   - founder: a member of the first membership of the core.
+//   - learner: a replica that has asked to join. The leader replicates to it, but it does not count yet.
+//   - change: a write of configuration items, accepted as a whole or refused as a whole, under an id of its writer.
+//   - outcome: the leader's ruling on a change. It is replicated in the change's entry.
+//   - operator version: a version number that the operator gives an item; see selectByOperatorVersion.
+//   - tombstone: what is stored in place of a deleted item.
 //
 // # Layers
 //
-// Replica is the consensus core, a pure state machine. Events (a message, a tick, a finished write) and the
-// time go in; a list of Actions (send, persist, reply) comes out. It does no I/O, reads no clock and starts
-// no goroutine, so the daemon, the simulator and the tests' model run the same code.
+// Replica is the consensus algorithm as a deterministic state machine. Each call passes it an event (a message, a tick,
+// a finished write) and the time, and returns a list of Actions (send, persist, reply). It does no I/O, reads no clock
+// and starts no goroutine, so the daemon, the simulator and the tests' model run the same code.
 //
 // Server is the process around one Replica. It owns the write-ahead log (FileLog), the streams to the other
 // members (peerStream) and the RPC API, on which the registry of the same machine is the only client.
@@ -18,16 +33,18 @@
 //
 // # What differs from Raft
 //
-//   - Configurations are small, so log and state are kept together: a replica's content is named by one Version
-//     (term, sequence). Two replicas with the same version have the same state, members and outcomes, and contents
-//     of one term are prefixes of one another. Where a Raft leader appends a no-op entry, BeginTerm makes its term
-//     that of the complete content; the entries retain the versions under which they were admitted.
-//   - A vote carries what the candidate lacks. A candidate therefore need not have the newest log to
-//     win; it adopts the newest one among its votes (Raft's voters refuse instead).
-//   - Leadership follows the order of members, not a race of random timeouts: the first member that
-//     reaches a majority in both directions campaigns, and a later one gives way to it.
-//   - A leader has the intermediate role leader-elect until enough members have its term's beginning on disk.
-//   - Commit needs commitQuorum durable copies: a majority, and one more than the tolerated disk losses.
+//   - Configurations are small, so log and state are kept together: one Version (term, sequence) identifies the
+//     whole content of a replica. Two replicas with the same version have the same state, members and outcomes.
+//     Of two contents of one term, one is a prefix of the other.
+//   - A Raft leader appends a no-op entry under its new term. Here BeginTerm sets the term of the complete content
+//     instead; the entries retain the versions under which they were admitted.
+//   - A vote carries the entries or the snapshot that the candidate lacks. A candidate therefore need not have the
+//     newest log to win; it adopts the newest one among its votes (Raft's voters refuse instead).
+//   - Leadership follows the order of members instead of random election timeouts: the first member that
+//     reaches a majority in both directions campaigns, and any later member steps down for it.
+//   - A new leader has the intermediate role leader-elect until a commit quorum has the beginning of its term on disk.
+//   - A commit needs commitQuorum durable copies: at least a majority, and at least one more than the tolerated disk
+//     losses.
 //
 // # Where to read
 //
--- a/internal/store/durability_test.go
+++ b/internal/store/durability_test.go
@@ -7,7 +7,7 @@
 	"meadowhinge/schema"
 )
 
-// nonHeartbeatMessages lists the messages among actions but for heartbeats, and the ids of the writes.
+// nonHeartbeatMessages returns the messages among actions that are not heartbeats, and the ids of the writes.
 func nonHeartbeatMessages(actions []Action) (messages []*schema.ReplicaMessage, writeIDs []uint64) {
 	for _, action := range actions {
 		switch typed := action.(type) {
@@ -22,9 +22,9 @@
 	return messages, writeIDs
 }
 
-// A vote, the beginning of a term and an entry are acknowledged only once they are durable. Each case goes on from the
-// one before.
-func TestNothingIsSentBeforeItIsDurable(t *testing.T) {
+// A vote is sent, and the beginning of a term and an entry are acknowledged, only once they are durable. Each case
+// continues from the previous one.
+func TestAcknowledgementsAwaitDurability(t *testing.T) {
 	founders := []string{"a", "b", "c"}
 	cfg := testConfig("b")
 	cfg.StaticMembers, cfg.Seeds, cfg.Founders = nil, founders, founders
@@ -41,7 +41,7 @@
 		message    *schema.ReplicaMessage
 		isExpected func(*schema.ReplicaMessage) bool
 	}{
-		{"a vote", voteRequestMessage(&schema.VoteRequest{Term: 3, Membership: &schema.Version{}}),
+		{"a vote request", voteRequestMessage(&schema.VoteRequest{Term: 3, Membership: &schema.Version{}}),
 			func(message *schema.ReplicaMessage) bool { return message.GetVote().GetTerm() == 3 }},
 		{"the beginning of a term", beginTermMessage(&schema.BeginTerm{Term: 3, Base: &schema.Version{}}),
 			func(message *schema.ReplicaMessage) bool { return message.GetAppendReply().GetTerm() == 3 }},
@@ -50,11 +50,11 @@
 	} {
 		messages, writeIDs := nonHeartbeatMessages(replica.Step(now, from(step.message)))
 		if len(messages) > 0 || len(writeIDs) != 1 {
-			t.Fatalf("%s: %v was sent with %d records not durable yet", step.name, messages, len(writeIDs))
+			t.Fatalf("Step with %s sent %v and wrote %d records; want no message and 1 record", step.name, messages, len(writeIDs))
 		}
 		messages, _ = nonHeartbeatMessages(replica.Persisted(now, writeIDs[0]))
 		if len(messages) != 1 || !step.isExpected(messages[0]) {
-			t.Fatalf("%s: once it is durable, %v is sent", step.name, messages)
+			t.Fatalf("Persisted after %s sent %v; want one acknowledgement of it", step.name, messages)
 		}
 	}
 }
--- a/internal/store/election.go
+++ b/internal/store/election.go
@@ -5,10 +5,10 @@
 	"meadowhinge/schema"
 )
 
-// How a candidate gets the votes of a majority and, with them, the newest content among the voters. Everything
-// committed is on the disks of a majority, and so on that of at least one voter.
+// This file collects the votes of a majority for a candidate and, with them, the newest content among the voters.
+// Everything committed is on the disks of a majority, and therefore on the disk of at least one voter.
 
-// campaign persists the vote that becomeCandidate cast, and requests the others' votes once it is durable.
+// campaign persists the vote that becomeCandidate cast, and requests the votes of the other members once it is durable.
 func (r *Replica) campaign() {
 	write := pendingWrite{votedTerm: r.votedTerm}
 	for _, name := range r.otherMembers {
@@ -17,7 +17,7 @@
 	r.persist(&schema.Record{VotedTerm: r.votedTerm, VotedFor: r.config.Name}, write)
 }
 
-// voteRequest is a request for a vote, addressed so that it can wait in a pendingWrite.
+// voteRequest returns a request for a member's vote. Its receiver is set, so that it can wait in a pendingWrite.
 func (r *Replica) voteRequest(to string) *schema.ReplicaMessage {
 	message := voteRequestMessage(&schema.VoteRequest{
 		Term:       r.votedTerm,
@@ -28,7 +28,8 @@
 	return message
 }
 
-// onVoteRequest votes for a candidate, unless this replica has voted for another one or a higher term.
+// onVoteRequest votes for a candidate, unless this replica has already voted for another one in that term, or in a
+// higher term.
 func (r *Replica) onVoteRequest(from string, request *schema.VoteRequest) {
 	if !r.isMember() {
 		return
@@ -38,7 +39,7 @@
 		return
 	}
 	if request.Term == r.votedTerm && r.durableVotedTerm() >= r.votedTerm {
-		r.sendVote(from, request) // a repeated request; the vote before it may have been lost
+		r.sendVote(from, request) // a repeated request: the earlier answer may have been lost
 		return
 	}
 	if request.Term > r.votedTerm {
@@ -49,7 +50,7 @@
 	r.persist(record, pendingWrite{votedTerm: request.Term, voteRequest: request, candidate: from})
 }
 
-// sendVote sends a durable vote, with whatever of this replica's content the candidate lacks.
+// sendVote sends a vote that is durable, with the part of this replica's content that the candidate lacks.
 func (r *Replica) sendVote(to string, request *schema.VoteRequest) {
 	vote := &schema.Vote{Term: request.Term, Last: r.lastVersion()}
 	switch {
@@ -63,7 +64,7 @@
 	r.send(to, voteMessage(vote))
 }
 
-// onVote handles the answer of a member to this replica's VoteRequest.
+// onVote handles a member's answer to a VoteRequest of this replica.
 func (r *Replica) onVote(peer *peerState, vote *schema.Vote) {
 	if vote.Refused {
 		r.highestTerm = max(r.highestTerm, vote.HigherTerm)
@@ -77,15 +78,15 @@
 	r.countVotes()
 }
 
-// countVotes adopts the newest content among the votes and, with the votes of a majority of the members in that
-// content, begins this replica's term. It runs at each vote and each finished write of a candidate; the
-// candidate's own vote counts only once it is durable.
+// countVotes adopts the newest content among the votes. If it then has the votes of a majority, by the membership in
+// that content, it begins this replica's term. A candidate calls it after each vote and each finished write. Its own
+// vote counts only once it is durable.
 func (r *Replica) countVotes() {
 	if r.durableVotedTerm() < r.votedTerm {
 		return
 	}
 	for _, name := range r.otherMembers {
-		// Adopting a vote may change the members, so a name may have no peer any more.
+		// Adopting a vote may have changed the membership, so a name may no longer have a peer.
 		peer := r.peers[name]
 		if peer != nil && peer.vote != nil && config.Newer(peer.vote.Last, r.lastVersion()) && !r.hasFault(faultStaleLeader) {
 			r.adoptVote(peer.vote)
@@ -111,7 +112,7 @@
 	}
 }
 
-// adoptVote takes over from a vote the content that this replica lacks.
+// adoptVote installs the content from a vote that this replica lacks.
 func (r *Replica) adoptVote(vote *schema.Vote) {
 	if vote.Snapshot != nil {
 		r.restoreSnapshot(vote.Snapshot)
@@ -123,8 +124,8 @@
 	}
 }
 
-// persistTermStart persists the beginning of a term that this replica was elected in. Founders that become bound
-// by it change the membership, which takes a snapshot: there is no entry to carry it.
+// persistTermStart persists the beginning of the term in which this replica was elected. If that binds founders to
+// their data folders, the membership changes, and a snapshot is written because no entry carries the new membership.
 func (r *Replica) persistTermStart() {
 	bound := r.withFoundersBound()
 	if bound == r.membership {
@@ -135,14 +136,14 @@
 	snapshot := r.snapshot()
 	snapshot.Membership = bound
 	r.restoreSnapshot(snapshot)
-	// The others' content is no prefix of this one any more: they get the snapshot.
+	// The content of the others is no longer a prefix of this one, so they get the snapshot.
 	r.termStartVersion = r.lastVersion()
 	r.persist(&schema.Record{Snapshot: r.snapshot()}, pendingWrite{})
 }
 
-// withFoundersBound returns the membership with every founder heard so far bound to the incarnation of its data
-// folder, or the membership itself if nothing changes. A founder whose vote counted must be bound, so that its
-// folder, once lost, does not come back empty as the same member.
+// withFoundersBound returns a copy of the membership in which every founder heard so far is bound to the incarnation of
+// its data folder, or the membership itself if nothing changes. A founder whose vote counted must be bound: otherwise
+// its folder could be lost and come back empty as the same member.
 func (r *Replica) withFoundersBound() *schema.Membership {
 	bound := r.membership
 	for _, member := range r.membership.Members {
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -12,24 +12,24 @@
 	"meadowhinge/schema"
 )
 
-// testCore is a core of replicas on one clock, with links that lose nothing and disks that take no time, but for the
-// faults that a test sets.
+// testCore runs the replicas of a core on one clock. Messages and writes take no time and are never lost, except for
+// the faults that a test sets.
 type testCore struct {
 	now           time.Duration
-	replicas      map[string]*Replica
-	down          map[string]bool                  // neither ticks nor sends nor receives
+	replicas      map[string]*Replica              // by name
+	down          map[string]bool                  // replicas that neither tick nor send nor receive, by name
 	replies       map[string]*schema.ProposalReply // by ticket
-	stalled       string                           // the replica whose writes do not complete
-	stalledWrites []Persist                        // its writes
-	order         []string                         // of ticks
-	disks         map[string][]*schema.Record
-	bytesSent     int // in messages
-	snapshotsSent int // messages with a complete snapshot
+	stalled       string                           // name of the replica whose writes do not complete; empty for none
+	stalledWrites []Persist                        // writes of the stalled replica
+	order         []string                         // names of the replicas, in the order of their ticks
+	disks         map[string][]*schema.Record      // log records, by replica name
+	bytesSent     int                              // total encoded size of the messages sent
+	snapshotsSent int                              // number of messages sent with a complete snapshot
 }
 
 var founderNames = []string{"a", "b", "c"}
 
-// testConfig is the configuration of a member of a static list.
+// testConfig returns the configuration of a member of a static list.
 func testConfig(name string) Config {
 	return Config{
 		Name:                  name,
@@ -44,7 +44,7 @@
 	}
 }
 
-// newStaticCore is a core of three empty members with a static member list.
+// newStaticCore returns a core of three empty replicas with a static member list.
 func newStaticCore() *testCore {
 	core := &testCore{
 		replicas: map[string]*Replica{},
@@ -59,8 +59,8 @@
 	return core
 }
 
-// act carries out a replica's actions, and at once those that follow from them.
-func (c *testCore) act(from string, actions []Action) {
+// execute carries out the actions of a replica, and recursively those that result from them.
+func (c *testCore) execute(from string, actions []Action) {
 	for _, action := range actions {
 		switch typed := action.(type) {
 		case Send:
@@ -69,7 +69,7 @@
 				c.snapshotsSent++
 			}
 			if to := typed.Message.To; c.replicas[to] != nil && !c.down[to] && !c.down[from] {
-				c.act(to, c.replicas[to].Step(c.now, proto.Clone(typed.Message).(*schema.ReplicaMessage)))
+				c.execute(to, c.replicas[to].Step(c.now, proto.Clone(typed.Message).(*schema.ReplicaMessage)))
 			}
 		case Persist:
 			if from == c.stalled {
@@ -79,7 +79,7 @@
 					c.disks[from] = nil
 				}
 				c.disks[from] = append(c.disks[from], typed.Record)
-				c.act(from, c.replicas[from].Persisted(c.now, typed.WriteID))
+				c.execute(from, c.replicas[from].Persisted(c.now, typed.WriteID))
 			}
 		case Reply:
 			c.replies[typed.Result.Ticket] = typed.Result
@@ -87,27 +87,28 @@
 	}
 }
 
-// advance lets time pass, with a tick of each replica every 75 ms.
+// advance runs the core for a time span, with a tick of each replica every 75 ms.
 func (c *testCore) advance(span time.Duration) {
 	for end := c.now + span; c.now < end; c.now += 75 * time.Millisecond {
 		for _, name := range c.order {
 			if !c.down[name] {
-				c.act(name, c.replicas[name].Tick(c.now))
+				c.execute(name, c.replicas[name].Tick(c.now))
 			}
 		}
 	}
 }
 
-// propose proposes a change that creates a segment of the change's id; the reply is found by the ticket.
+// propose proposes a change that creates a segment with the change's id as its name. The reply is stored under the
+// ticket.
 func (c *testCore) propose(at, ticket, id string) {
 	change := &schema.Change{Id: id, Items: []*schema.Item{{Kind: "segment", Name: id, Body: []byte(`{"salt":""}`)}}}
-	c.act(at, c.replicas[at].Propose(c.now, &schema.Proposal{Ticket: ticket, Change: change}))
+	c.execute(at, c.replicas[at].Propose(c.now, &schema.Proposal{Ticket: ticket, Change: change}))
 }
 
-// lastIncarnation is the last incarnation that start drew.
+// lastIncarnation is the last incarnation that start assigned.
 var lastIncarnation uint64 = 100
 
-// start starts a replica without a static member list, with the disk that it had or an empty one.
+// start starts a replica without a static member list, from its disk if that has records.
 func (c *testCore) start(name string, founding bool, losses int) {
 	cfg := testConfig(name)
 	cfg.StaticMembers, cfg.Seeds, cfg.ToleratedLosses = nil, founderNames, losses
@@ -126,8 +127,8 @@
 	}
 }
 
-// newFoundedCore is a core of three founders without a static member list, and of more members that join at the first
-// start.
+// newFoundedCore returns a core of three founders without a static member list, and of more members that join at the
+// first start.
 func newFoundedCore(losses int, more ...string) *testCore {
 	c := newStaticCore()
 	for _, name := range append(slices.Clone(founderNames), more...) {
@@ -137,7 +138,7 @@
 	return c
 }
 
-// memberNames is the membership as one member has it, with the target size.
+// memberNames returns the membership according to one replica, as in "a b c of 3", where 3 is the target size.
 func (c *testCore) memberNames(at string) string {
 	var names []string
 	status := c.replicas[at].Status()
@@ -147,21 +148,21 @@
 	return fmt.Sprint(strings.Join(names, " "), " of ", status.Membership.GetTargetSize())
 }
 
-// expectMembers checks the membership at some replicas, in the form of memberNames.
+// expectMembers checks the membership according to the named replicas, in the form of memberNames.
 func (c *testCore) expectMembers(t *testing.T, want string, names ...string) {
 	t.Helper()
 	for _, at := range names {
 		if got := c.memberNames(at); got != want {
-			t.Errorf("%s takes the members to be %q, want %q", at, got, want)
+			t.Errorf("membership at %s = %q, want %q", at, got, want)
 		}
 	}
 }
 
-// expectAccepted proposes a change at a replica and checks that it is accepted.
+// expectAccepted proposes a change at a replica and checks that it is accepted at once.
 func (c *testCore) expectAccepted(t *testing.T, at, id string) {
 	t.Helper()
 	c.propose(at, id, id)
 	if got := c.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
-		t.Errorf("%s at %s: %v", id, at, got)
+		t.Errorf("Propose(%q) at %s got reply %v, want it accepted", id, at, got)
 	}
 }
--- a/internal/store/heartbeat.go
+++ b/internal/store/heartbeat.go
@@ -9,13 +9,14 @@
 	"meadowhinge/schema"
 )
 
-// Heartbeats report whom this replica hears, whether it may lead and how far it is. One that is equal to the last
-// complete one is abbreviated to its serial: heartbeats are most of what is sent.
+// This file sends and handles heartbeats. They report which replicas a replica hears, whether it is fit to lead, and the
+// versions of its content. Most of the messages sent are heartbeats, so a heartbeat that equals the last complete one is
+// abbreviated to its serial.
 
-// maxAbbreviatedHeartbeats is how many abbreviated heartbeats are sent before a complete one again.
+// maxAbbreviatedHeartbeats is the number of abbreviated heartbeats after which a complete one is sent again.
 const maxAbbreviatedHeartbeats = 8
 
-// heartbeatInterval is the time between two rounds of heartbeats.
+// heartbeatInterval returns the time between two rounds of heartbeats.
 func (r *Replica) heartbeatInterval() time.Duration {
 	if !r.reachesMajority(r.config.Name) {
 		return r.config.HeartbeatTimeout / isolatedHeartbeatsPerTimeout
@@ -23,21 +24,21 @@
 	return r.config.HeartbeatTimeout / heartbeatsPerTimeout
 }
 
-// sendHeartbeats sends a round of heartbeats: to every member, and to the outsiders that are alive.
+// sendHeartbeats sends a round of heartbeats: to every other member, and to the nonMembers that count as alive.
 func (r *Replica) sendHeartbeats() {
 	r.heartbeatSent, r.heartbeatSentAt = true, r.now
 	r.lastUrgentState = r.urgentState()
 	for _, name := range r.otherMembers {
 		r.sendHeartbeat(name, r.peers[name])
 	}
-	for _, name := range slices.Sorted(maps.Keys(r.outsiders)) {
-		if outsider := r.outsiders[name]; r.recentlyHeard(outsider) {
-			r.sendHeartbeat(name, outsider)
+	for _, name := range slices.Sorted(maps.Keys(r.nonMembers)) {
+		if nonMember := r.nonMembers[name]; r.recentlyHeard(nonMember) {
+			r.sendHeartbeat(name, nonMember)
 		}
 	}
 }
 
-// sendUrgentHeartbeats sends a round before it is due if the urgent state has changed since the last one.
+// sendUrgentHeartbeats sends a round of heartbeats before it is due, if the urgent state has changed since the last one.
 func (r *Replica) sendUrgentHeartbeats() {
 	if !r.isMember() || !r.heartbeatSent {
 		return
@@ -50,14 +51,14 @@
 	}
 }
 
-// urgentState is the part of a heartbeat, as text to compare, whose change must not wait for the next round: who
-// hears whom, who is fit and who leads.
+// urgentState returns, as text to compare, the part of a heartbeat whose change must not wait for the next round: the
+// links, the fitness to lead and the leader.
 func (r *Replica) urgentState() string {
 	heartbeat := r.heartbeat()
 	return fmt.Sprint(heartbeat.Heard, heartbeat.Mutual, heartbeat.Unfit, heartbeat.MembershipBehind, heartbeat.Leader)
 }
 
-// heartbeat is a complete heartbeat, without its serial.
+// heartbeat returns a complete heartbeat, without a serial.
 func (r *Replica) heartbeat() *schema.Heartbeat {
 	withNewerMembership := r.peersWithNewerMembership()
 	heartbeat := &schema.Heartbeat{
@@ -78,7 +79,7 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to one replica, abbreviated if it has the same content already.
+// sendHeartbeat sends a heartbeat to one replica. It is abbreviated if it equals the last complete one sent there.
 func (r *Replica) sendHeartbeat(to string, peer *peerState) {
 	heartbeat := r.heartbeat()
 	last := peer.lastFullHeartbeat
@@ -93,9 +94,9 @@
 	r.send(to, heartbeatMessage(heartbeat))
 }
 
-// equalHeartbeats reports whether two complete heartbeats of this replica differ in nothing but the serial.
-// Membership versions are compared by pointer: r.membership is replaced, never changed, so equal pointers mean
-// the same membership, and a needless difference costs only a complete heartbeat.
+// equalHeartbeats reports whether two complete heartbeats of this replica are equal except for the serial. Membership
+// versions are compared by pointer: r.membership is replaced, never modified, so equal pointers mean the same
+// membership. A pointer that differs needlessly costs only a complete heartbeat.
 func equalHeartbeats(a, b *schema.Heartbeat) bool {
 	return slices.Equal(a.Mutual, b.Mutual) &&
 		slices.Equal(a.Heard, b.Heard) &&
@@ -110,12 +111,12 @@
 		a.Membership == b.Membership
 }
 
-// isAbbreviated reports whether a heartbeat has a serial alone, and so means the last complete one with that serial.
+// isAbbreviated reports whether a heartbeat has only a serial, and so stands for the complete one with that serial.
 func isAbbreviated(heartbeat *schema.Heartbeat) bool {
 	return heartbeat.Membership == nil && heartbeat.Serial != 0
 }
 
-// onHeartbeat handles a heartbeat of a member or an outsider.
+// onHeartbeat handles a heartbeat from a member, or from one of the nonMembers.
 func (r *Replica) onHeartbeat(from string, peer *peerState, heartbeat *schema.Heartbeat) {
 	if heartbeat.ResendFull {
 		peer.lastFullHeartbeat = nil
@@ -133,11 +134,11 @@
 	}
 	peer.receivedHeartbeat = heartbeat
 	if !heartbeat.Unfit {
-		r.freshness.observe(from, r.now, heartbeat.Sequence, r.committedSequence)
+		r.freshness.recordReport(from, r.now, heartbeat.Sequence, r.committedSequence)
 	}
 	peer.lastKnownVersion = &schema.Version{Term: heartbeat.Term, Sequence: heartbeat.Sequence}
 	r.highestTerm = max(r.highestTerm, heartbeat.VotedTerm)
-	// Contents of one term are prefixes of one another, so what is committed there is committed here too.
+	// Of two contents of one term, one is a prefix of the other, so what is committed there is committed here too.
 	if heartbeat.CommittedTerm == r.term {
 		r.commitTo(heartbeat.Committed)
 	}
@@ -147,8 +148,8 @@
 	r.sendUrgentHeartbeats()
 }
 
-// needsSnapshotFrom reports whether this replica lags behind a peer's committed content and cannot be reached by
-// the leader, so that it must get that content from whichever peer has it.
+// needsSnapshotFrom reports whether this replica lags behind the committed content of a peer and has no link in both
+// directions to the leader, so that it must get that content from the peer.
 func (r *Replica) needsSnapshotFrom(heartbeat *schema.Heartbeat) bool {
 	behind := heartbeat.CommittedTerm > r.term || (heartbeat.CommittedTerm == r.term && heartbeat.Committed > r.sequence)
 	return r.isMember() && behind && r.role == roleFollower && !slices.Contains(r.mutualPeers(), r.leader())
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -10,10 +10,10 @@
 	"meadowhinge/schema"
 )
 
-// How a replica outside the membership asks to join, and how replicas report newer memberships to each other.
+// This file lets a replica that is not a member ask to join, and lets replicas report newer memberships to each other.
 
-// requestJoin asks to become a member: the leader if it is known, else everyone who may know it. It is limited to
-// one round in a third of the heartbeat timeout.
+// requestJoin asks to become a member. It sends a Join to the leader if that is known, else to every replica that may
+// know the leader, at most once per third of the heartbeat timeout (heartbeatsPerTimeout).
 func (r *Replica) requestJoin() {
 	if r.joinRequestedAt != 0 && r.now-r.joinRequestedAt < r.config.HeartbeatTimeout/heartbeatsPerTimeout {
 		return
@@ -31,7 +31,7 @@
 	}
 }
 
-// joinTargets lists whom a Join is sent to, in the order of their names.
+// joinTargets returns the replicas that a Join is sent to, in the order of their names.
 func (r *Replica) joinTargets() []string {
 	targets := map[string]bool{}
 	if leader := r.leader(); leader != "" {
@@ -50,24 +50,24 @@
 	return slices.Sorted(maps.Keys(targets))
 }
 
-// onJoin handles a replica that asks to become a member. Every replica reports a newer committed membership; the
-// leader also makes the sender a learner and replicates to it.
+// onJoin handles the request of a replica to become a member. Any replica answers with its committed membership if the
+// sender has an outdated one. The leader also makes the sender a learner and replicates to it.
 func (r *Replica) onJoin(message *schema.ReplicaMessage, join *schema.Join) {
 	r.sendMembership(message.From, join.KnownMembership)
 	if r.role != roleLeader {
 		return
 	}
 	if containsMember(r.membership, message.From, message.Incarnation, message.Founder) {
-		// It is a member already, but has not received the entry that made it one.
+		// The sender is a member already, but has not received the entry that made it one.
 		peer := r.peers[message.From]
 		peer.sent = peer.acked
 		r.replicate(message.From, peer)
 		return
 	}
-	learner := r.outsiders[message.From]
+	learner := r.nonMembers[message.From]
 	if learner == nil || learner.incarnation != message.Incarnation {
 		learner = &peerState{incarnation: message.Incarnation, lastKnownVersion: &schema.Version{}}
-		r.outsiders[message.From] = learner
+		r.nonMembers[message.From] = learner
 	}
 	learner.isLearner = true
 	learner.expandsMembership = join.RaiseTargetSize
@@ -80,8 +80,8 @@
 	r.reconcileMembership()
 }
 
-// sendMembership reports the committed membership to a replica that has another one, if that is older or was
-// appended under an earlier term and never committed.
+// sendMembership reports the committed membership to a replica whose membership has the version knownVersion, if that
+// one is older, or was appended under an earlier term and never committed.
 func (r *Replica) sendMembership(to string, knownVersion *schema.Version) {
 	committed := r.committedMembership
 	if r.committedTerm == 0 || len(committed.Members) == 0 {
@@ -97,8 +97,8 @@
 	}
 }
 
-// onMembership takes note of a committed membership that another replica reports. A member that is missing
-// from it steps down and asks to join.
+// onMembership stores a committed membership that another replica reports, if it is the newest so far. A member that is
+// missing from it steps down and asks to join.
 func (r *Replica) onMembership(membership *schema.Membership) {
 	if r.reportedMembership != nil && !config.Newer(membership.Committed, r.reportedMembership.Committed) {
 		return
@@ -115,11 +115,12 @@
 	}
 }
 
-// restartAsNewIncarnation turns this replica into an empty one of the same name and a new incarnation.
+// restartAsNewIncarnation turns this replica into an empty one with the same name and a new incarnation.
 //
-// It is for a replica that was removed while it was away and has voted for a term that no leader has: the leader's
-// terms are below that vote, and a vote must not be taken back, so it could never catch up. What it acknowledged
-// stays with its old incarnation, which counts for nothing: it was removed after all of its content.
+// It serves a replica that was removed while it was unreachable and has voted in a term higher than the leader's. A vote
+// must not be taken back, so the replica would refuse the leader and could never catch up. What it acknowledged was
+// acknowledged by its old incarnation. That no longer counts, as it was removed by a membership newer than all of its
+// content.
 func (r *Replica) restartAsNewIncarnation() {
 	cfg := r.config
 	cfg.Founders, cfg.ExpandsMembership = nil, false
@@ -127,11 +128,11 @@
 	replacement := NewReplica(cfg, 0, []*schema.Record{record})
 	replacement.addresses = r.addresses
 	replacement.reportedMembership = r.reportedMembership
-	replacement.joinsExisting = true
+	replacement.coreExists = true
 	replacement.clockStarted, replacement.clockStartedAt = true, r.clockStartedAt
 	replacement.now, replacement.actions = r.now, r.actions
-	// Pending writes are dropped with what waits for them: the old incarnation sends nothing any more. Write ids
-	// go on, so that a late Persisted of theirs is not taken for the new record's.
+	// Pending writes are dropped with the messages that wait for them: the old incarnation sends nothing any more. Write
+	// ids continue, so that a late Persisted for one of those writes is not taken for the new record's.
 	replacement.lastWriteID = r.lastWriteID
 	replacement.forwardedRequests = r.forwardedRequests
 	*r = *replacement
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -6,15 +6,16 @@
 	"meadowhinge/schema"
 )
 
-// Who should lead: the first member, in their order, that is fit and reaches a majority in both directions. All
-// members judge by the heartbeats that they exchange, so they seldom disagree; where they do, votes decide.
+// This file determines which member should lead: the first in member order that is fit to lead and reaches a majority
+// in both directions. All members decide from the heartbeats that they exchange, so they seldom disagree. If they do,
+// the votes decide.
 
-// shouldCampaign reports whether this member is the one to campaign now.
+// shouldCampaign reports whether this member should campaign now.
 func (r *Replica) shouldCampaign() bool {
 	campaigning := r.role == roleCandidate || r.role == roleLeaderElect
 	campaignTimedOut := campaigning && r.now-r.roleSince > r.config.StallTimeout/campaignsPerStallTimeout
-	// One campaign in each heartbeat timeout keeps two members that see the links differently from deposing each
-	// other in turn. Where roleSince is 0 there was none yet to wait after.
+	// At most one campaign per heartbeat timeout prevents two members that see the links differently from deposing
+	// each other in turn. If roleSince is 0, there is no earlier campaign to wait for.
 	backoffElapsed := r.role == roleFollower && (r.now-r.roleSince > r.config.HeartbeatTimeout || r.roleSince == 0)
 	return (campaignTimedOut || backoffElapsed) &&
 		len(r.peersWithNewerMembership()) == 0 &&
@@ -23,14 +24,14 @@
 		!r.awaitsFounders()
 }
 
-// unfit reports whether this replica must not lead: it is no member, or its disk stalls or fails.
+// unfit reports whether this replica must not lead, because it is not a member or its disk stalls or fails.
 func (r *Replica) unfit() bool {
 	stalled := len(r.pendingWrites) > 0 && r.now-r.pendingWrites[0].startedAt > r.config.StallTimeout
 	return !r.isMember() || stalled || r.diskFailed
 }
 
-// preferredLeader names the member that should lead: the first in their order that reaches a majority;
-// empty if none does.
+// preferredLeader returns the name of the member that should lead, which is the first in member order that reaches a
+// majority; empty if none does.
 func (r *Replica) preferredLeader() string {
 	for _, member := range r.membership.Members {
 		if r.reachesMajority(member.Id) {
@@ -40,8 +41,8 @@
 	return ""
 }
 
-// reachesMajority reports whether a member is fit and has links in both directions to a majority, itself
-// included. One-way links do not count: a member that can only send or only receive must not lead.
+// reachesMajority reports whether a member is fit to lead and has links in both directions to a majority, counting
+// itself. One-way links do not count: a member that can only send or only receive must not lead.
 func (r *Replica) reachesMajority(name string) bool {
 	linked := map[string]bool{}
 	if name == r.config.Name {
@@ -52,7 +53,7 @@
 			linked[other] = true
 		}
 	} else {
-		if r.reportsInability(name) {
+		if r.reportsUnfit(name) {
 			return false
 		}
 		r.collectLinksOf(name, linked)
@@ -66,7 +67,7 @@
 	return links+1 >= r.majority()
 }
 
-// lastHeartbeatOf is the last complete heartbeat of another member that counts as alive, else nil.
+// lastHeartbeatOf returns the last complete heartbeat of another member, or nil if that member does not count as alive.
 func (r *Replica) lastHeartbeatOf(name string) *schema.Heartbeat {
 	if peer := r.peers[name]; peer != nil && r.recentlyHeard(peer) {
 		return peer.receivedHeartbeat
@@ -74,14 +75,14 @@
 	return nil
 }
 
-// reportsInability reports whether a live member must not lead, by its last heartbeat.
-func (r *Replica) reportsInability(name string) bool {
+// reportsUnfit reports whether the last heartbeat of a live member says that it must not lead.
+func (r *Replica) reportsUnfit(name string) bool {
 	heartbeat := r.lastHeartbeatOf(name)
 	return heartbeat != nil && (heartbeat.Unfit || heartbeat.MembershipBehind)
 }
 
-// collectLinksOf adds to linked the members that have a link in both directions to another member: by that
-// member's own report, by this replica's view, and by the reports of the others.
+// collectLinksOf adds to linked every member that has a link in both directions to the named member, according to that
+// member, to this replica or to the member at the other end.
 func (r *Replica) collectLinksOf(name string, linked map[string]bool) {
 	linked[r.config.Name] = slices.Contains(r.mutualPeers(), name)
 	for _, other := range r.otherMembers {
@@ -98,8 +99,8 @@
 	}
 }
 
-// leader names the replica that does lead, as far as is known here: the one of the highest term that
-// reports its own leadership; empty if there is none.
+// leader returns the name of the replica that leads, as far as this replica knows: of those that report their own
+// leadership, the one with the highest term. It is empty if there is none.
 func (r *Replica) leader() string {
 	name, term := "", uint64(0)
 	if r.role == roleLeader {
@@ -115,13 +116,13 @@
 		consider(other, r.peers[other])
 	}
 	for _, other := range r.peersWithNewerMembership() {
-		consider(other, r.outsiders[other])
+		consider(other, r.nonMembers[other])
 	}
 	return name
 }
 
-// caughtUp reports whether this replica has everything that the current leader has committed, so that it takes
-// over without copying state first. It is true where no other member leads.
+// caughtUp reports whether this replica has everything that the current leader has committed, so that it can take over
+// without copying state first. It is true if no other member leads.
 func (r *Replica) caughtUp() bool {
 	peer := r.peers[r.leader()]
 	if peer == nil {
@@ -130,8 +131,8 @@
 	return peer.receivedHeartbeat.Term == r.term && r.sequence >= peer.receivedHeartbeat.Committed
 }
 
-// awaitsFounders reports whether, at the first start of a core, a founder may still appear. Founders that are
-// heard when the first term begins are bound to their data folders by it; a later one needs a membership change.
+// awaitsFounders reports whether to delay the first campaign of a core because a founder may still appear. The first
+// term binds the founders heard so far to their data folders; binding a later one takes a membership change.
 func (r *Replica) awaitsFounders() bool {
 	if r.highestTerm > 0 || r.now-r.clockStartedAt > r.config.HeartbeatTimeout {
 		return false
--- a/internal/store/membership_change.go
+++ b/internal/store/membership_change.go
@@ -2,24 +2,24 @@
 
 import "meadowhinge/schema"
 
-// How the leader changes the membership.
+// This file changes the membership, which only the leader does.
 
 const (
-	// removeAfterTimeouts is how many heartbeat timeouts a member may be unheard before a learner that is ready
-	// may replace it.
+	// removeAfterTimeouts is the number of heartbeat timeouts after which a learner that has caught up may replace a
+	// member that is not heard.
 	removeAfterTimeouts = 2
-	// recentTimeoutDivisor divides the heartbeat timeout into the time within which the members that remain
-	// must have been heard for one to be removed.
+	// recentTimeoutDivisor divides the heartbeat timeout into the time within which the remaining members must have
+	// been heard before one is removed.
 	recentTimeoutDivisor = 2
-	// maxLagDivisor divides MaxEntries into the number of entries that a learner may lack and yet be added.
+	// maxLagDivisor divides MaxEntries into the number of entries that a learner may lack when it is added.
 	maxLagDivisor = 8
 )
 
-// reconcileMembership proposes the next membership change that is due, if there is one. It binds founders to their
-// data folders first; then it makes room for, or adds, the first learner that has caught up.
+// reconcileMembership proposes the next membership change that is due, if any. It first binds founders to their data
+// folders. Then it adds the first learner that has caught up, or removes a member to make room for it.
 //
-// Invariant (thesis, section 4.1, and the erratum of 2015): a change is proposed only once the membership before it
-// is committed and the leader has committed in its own term.
+// Invariant (thesis, section 4.1, and the erratum of 2015): a change is proposed only once the previous membership is
+// committed and the leader has committed in its own term.
 func (r *Replica) reconcileMembership() {
 	if r.role != roleLeader || r.unfit() {
 		return
@@ -32,14 +32,15 @@
 		return
 	}
 	for _, name := range r.learners() {
-		if learner := r.outsiders[name]; r.hasCaughtUp(learner) {
+		if learner := r.nonMembers[name]; r.hasCaughtUp(learner) {
 			r.reconcileLearner(name, learner)
 			return
 		}
 	}
 }
 
-// withOneFounderBound is the membership with one more founder bound to its data folder, or nil.
+// withOneFounderBound returns a copy of the membership with one more founder bound to its data folder, or nil if no
+// unbound founder is heard.
 func (r *Replica) withOneFounderBound() *schema.Membership {
 	for _, member := range r.membership.Members {
 		peer := r.peers[member.Id]
@@ -50,16 +51,17 @@
 	return nil
 }
 
-// hasCaughtUp reports whether a learner has this term's beginning, and nearly all entries, on disk.
+// hasCaughtUp reports whether a learner has the beginning of this term and nearly all entries on disk; see
+// maxLagDivisor.
 func (r *Replica) hasCaughtUp(learner *peerState) bool {
 	return learner.term == r.term && learner.acked+uint64(r.config.MaxEntries/maxLagDivisor) >= r.sequence
 }
 
-// reconcileLearner makes one step towards adding a learner that has caught up.
+// reconcileLearner takes one step towards adding a learner that has caught up.
 func (r *Replica) reconcileLearner(name string, learner *peerState) {
 	switch {
 	case memberIndex(r.membership, name) >= 0:
-		// The member of this name came back with another data folder, so it no longer counts for what the old one held.
+		// The member of this name came back with another data folder, so it must not count for what the old one held.
 		r.removeMember(name)
 	case learner.expandsMembership:
 		expanded := withMember(r.membership, r.newMember(name, learner.incarnation))
@@ -74,8 +76,8 @@
 	}
 }
 
-// removeMember proposes a membership without a member, if a commit quorum of the remaining ones was heard just now:
-// with fewer members each of them is needed more, so none is removed while another is being lost.
+// removeMember proposes a membership without a member, if a commit quorum of the remaining members has been heard
+// recently. With fewer members the core depends more on each of them, so none is removed while another may be failing.
 func (r *Replica) removeMember(name string) {
 	remaining := withoutMember(r.membership, name)
 	heard := 1
@@ -90,8 +92,8 @@
 	}
 }
 
-// longestUnresponsive names the member that has been unheard for longest, and for more than
-// removeAfterTimeouts; empty if there is none.
+// longestUnresponsive returns the name of the member that has not been heard for the longest time, if that is more than
+// removeAfterTimeouts heartbeat timeouts; empty if there is none.
 func (r *Replica) longestUnresponsive() (name string) {
 	longest := removeAfterTimeouts * r.config.HeartbeatTimeout
 	for _, other := range r.otherMembers {
@@ -106,7 +108,8 @@
 	return name
 }
 
-// proposeMembership appends a membership, a copy of the caller's own, which counts from this entry on.
+// proposeMembership appends an entry with a new membership, which is in force from this entry on. The membership must
+// not be part of the content yet: proposeMembership modifies it.
 func (r *Replica) proposeMembership(membership *schema.Membership) {
 	version := r.nextVersion()
 	membership.EffectiveFrom = version
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// A single member is a majority by itself: it decides changes and answers a read index.
+// A single member is a majority by itself: it decides changes and answers a read index at once.
 func TestSingleMember(t *testing.T) {
 	c := newStaticCore()
 	clear(c.replicas)
@@ -19,16 +19,16 @@
 	c.replicas["a"], c.order = NewReplica(cfg, 0, []*schema.Record{InitialRecord(cfg, 1)}), []string{"a"}
 	c.advance(5 * time.Second)
 	c.expectAccepted(t, "a", "one")
-	for _, action := range c.replicas["a"].ReadIndex(c.now, "stand") {
+	for _, action := range c.replicas["a"].ReadIndex(c.now, "read") {
 		if reply, answered := action.(ReadIndexReady); answered && !reply.Result.Undecided && reply.Result.Committed == 1 {
 			return
 		}
 	}
-	t.Error("the read index is not answered")
+	t.Error("ReadIndex of a single member returned no ReadIndexReady with the committed sequence 1")
 }
 
-// Members beyond the founders raise the target size; with two tolerated losses a commit then needs three copies.
-func TestMembersBeyondTheSeeds(t *testing.T) {
+// Members that join at the first start raise the target size. With two tolerated losses a commit then needs three copies.
+func TestMembersBeyondTheFoundersRaiseTargetSize(t *testing.T) {
 	c := newFoundedCore(2, "d", "e")
 	c.expectMembers(t, "a b c d e of 5", "a", "b", "c", "d", "e")
 	c.down["d"], c.down["e"] = true, true
@@ -36,7 +36,7 @@
 	c.down["c"] = true
 	c.propose("a", "t2", "two")
 	if got := c.replies["t2"]; got != nil && !got.Undecided {
-		t.Errorf("two of five committed a change: %v", got)
+		t.Errorf("Propose with two of five members up got reply %v, want none or undecided", got)
 	}
 	// Two disks are lost at once; the three remaining members restore them.
 	c.disks["d"], c.disks["e"] = nil, nil
@@ -47,14 +47,15 @@
 	c.advance(4 * time.Second)
 	c.expectMembers(t, "a b c d e of 5", "a", "c")
 	if !c.replicas["d"].isMember() || !c.replicas["e"].isMember() {
-		t.Error("restored replicas are no members")
+		t.Errorf("members after d and e came back with empty disks: d %t, e %t; want both",
+			c.replicas["d"].isMember(), c.replicas["e"].isMember())
 	}
 	c.expectAccepted(t, "e", "three")
 }
 
-// A member that is lost is soon replaced by a machine that joins. If it comes back after all, it becomes a learner that
-// is kept up to date, deposes nobody, and replaces the next member that is lost.
-func TestReplacementMember(t *testing.T) {
+// A lost member is replaced by a replica that joins. If the lost one comes back, it becomes a learner that is kept up to
+// date, does not depose the leader, and replaces the next member that is lost.
+func TestLostMemberIsReplaced(t *testing.T) {
 	for _, gone := range founderNames {
 		t.Run(gone, func(t *testing.T) {
 			c := newFoundedCore(1)
@@ -71,29 +72,30 @@
 			c.advance(10 * time.Second)
 			c.expectMembers(t, want, append(remaining, "d")...)
 			status := c.replicas[gone].Status()
-			if now := c.replicas["d"].Status().Term; now != term || status.Member {
-				t.Errorf("%s came back: term %d after %d, member %t", gone, now, term, status.Member)
+			if current := c.replicas["d"].Status().Term; current != term || status.Member {
+				t.Errorf("after %s came back: term %d, member %t; want term %d and no member", gone, current, status.Member, term)
 			}
-			if status.Committed != c.replicas["d"].Status().Committed {
-				t.Errorf("%s is not kept up to date: %d", gone, status.Committed)
+			if want := c.replicas["d"].Status().Committed; status.Committed != want {
+				t.Errorf("learner %s has committed %d, want %d", gone, status.Committed, want)
 			}
-			// It replaces the next member that is lost.
+			// The learner replaces the next member that is lost.
 			c.down[remaining[1]] = true
 			c.advance(6 * time.Second)
 			c.expectAccepted(t, remaining[0], "three")
 			if !c.replicas[gone].isMember() {
-				t.Errorf("%s did not become a member: %s", gone, c.memberNames(remaining[0]))
+				t.Errorf("learner %s is not a member after the loss of %s: %s", gone, remaining[1], c.memberNames(remaining[0]))
 			}
 		})
 	}
 }
 
-// A replica that comes back with an empty folder under its old name never counts for what the lost folder acknowledged.
+// A replica that comes back with an empty data folder under its old name never counts for what the lost folder
+// acknowledged.
 func TestEmptyFolderIsAnotherMember(t *testing.T) {
 	c := newFoundedCore(1)
 	c.down["c"] = true
 	c.expectAccepted(t, "a", "one")
-	// Only a and b have the change. a loses its disk, and b is down: a and c must not form a majority.
+	// Only a and b have the change. After a has lost its disk, and while b is down, a and c must not form a majority.
 	c.down["b"] = true
 	c.disks["a"] = nil
 	c.start("a", false, 1)
@@ -101,7 +103,7 @@
 	c.advance(10 * time.Second)
 	for _, at := range []string{"a", "c"} {
 		if leader := c.replicas[at].Status().Leader; leader != "" {
-			t.Errorf("%s knows %q as the leader", at, leader)
+			t.Errorf("leader at %s = %q, want none while b is down", at, leader)
 		}
 	}
 	c.down["b"] = false
@@ -109,6 +111,6 @@
 	c.expectMembers(t, "b c a of 3", "a", "b", "c")
 	c.expectAccepted(t, "a", "two")
 	if _, state := c.replicas["c"].Committed(); state["segment/one"] == nil {
-		t.Error("what was acknowledged is lost")
+		t.Error("the committed state of c lacks segment one, which was acknowledged")
 	}
 }
--- a/internal/store/messages.go
+++ b/internal/store/messages.go
@@ -2,7 +2,7 @@
 
 import "meadowhinge/schema"
 
-// One constructor for each body of a ReplicaMessage; Replica.send fills in the header.
+// This file has one constructor for each kind of ReplicaMessage body. Replica.send fills in the header.
 
 func heartbeatMessage(body *schema.Heartbeat) *schema.ReplicaMessage {
 	return &schema.ReplicaMessage{Body: &schema.ReplicaMessage_Heartbeat{Heartbeat: body}}
--- a/internal/store/operator_version.go
+++ b/internal/store/operator_version.go
@@ -9,14 +9,15 @@
 	"meadowhinge/schema"
 )
 
-// byOperatorVersion compares the items of a change with the state by their operator versions, which the operator's
-// own system numbers. It returns the items to write and, for those in conflict, what is stored.
+// selectByOperatorVersion compares the items of a change with the state by their operator versions, which the
+// operator's own system assigns. It returns the items to write and, for the items in conflict, the stored versions.
 //
-// An item with a higher version than the stored one, tombstones included, is written. One with a lower version
-// was overtaken and changes nothing. Under one version an item has one content: the same content again is a
-// repeat and changes nothing; another content is a conflict, for which the whole change must be refused.
-func byOperatorVersion(state config.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.ExpectedVersion) {
-	latest := map[string]*schema.Item{} // by key, of the change's items that are newer than the stored ones
+//   - An item with a higher version than the stored one is written, also over a tombstone.
+//   - An item with a lower version is outdated and changes nothing.
+//   - An item with the stored version and the stored content is a repetition and changes nothing.
+//   - An item with the stored version and another content is a conflict: the whole change must be refused.
+func selectByOperatorVersion(state config.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.ExpectedVersion) {
+	latest := map[string]*schema.Item{} // by key: the newest of the change's items that are newer than the stored one
 	for _, item := range items {
 		key := config.Key(item.Kind, item.Name)
 		existing, seen := latest[key]
@@ -43,8 +44,8 @@
 	return written, conflicts
 }
 
-// sameContent reports whether two items have the same content. What the operator wrote is compared where both
-// items have it, since the body holds only the fields that the mesh uses.
+// sameContent reports whether two items have the same content. It compares the operator's original texts if both items
+// have one, since the body holds only the fields that the mesh uses.
 func sameContent(a, b *schema.Item) bool {
 	if a.Deleted || b.Deleted {
 		return a.Deleted == b.Deleted
@@ -55,8 +56,8 @@
 	return sameJSON(a.Body, b.Body)
 }
 
-// sameJSON compares two texts as JSON: white space and the order of fields do not matter, but numbers are equal
-// only as they were written (1 is not 1.0).
+// sameJSON reports whether two texts are equal as JSON: white space and the order of fields do not matter. Numbers are
+// equal only if they are written the same way: 1 is not equal to 1.0.
 func sameJSON(a, b []byte) bool {
 	if bytes.Equal(a, b) {
 		return true
@@ -66,7 +67,7 @@
 	return firstValid && secondValid && reflect.DeepEqual(first, second)
 }
 
-// decodeJSON decodes the first JSON value of a text, numbers as json.Number.
+// decodeJSON decodes the first JSON value of a text, with numbers as json.Number. valid is false if there is none.
 func decodeJSON(text []byte) (value any, valid bool) {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -9,43 +9,41 @@
 	"meadowhinge/schema"
 )
 
-// peerState is what this replica knows of one other replica: whether it is alive, and, while this one is
-// candidate or leader, how far it has come under the current term. It is reset when the peer's
-// incarnation changes.
+// peerState holds what this replica knows of one other replica, the peer: whether it is alive and, while this replica is
+// a candidate or leader, its replication progress in the current term. It is reset when the peer's incarnation changes.
 type peerState struct {
-	// Identity, from the headers of its messages.
-	incarnation uint64
-	founder     bool // its data folder has existed since the first membership
+	// Identity, from the headers of the peer's messages.
+	incarnation uint64 // identifies the peer's data folder; 0 for a founder that has not been heard yet
+	founder     bool   // the peer's data folder has existed since the first membership
 
 	// Liveness.
-	heard             bool
-	heardAt           time.Duration
-	receivedHeartbeat *schema.Heartbeat // the last complete one
-
-	// Heartbeats to it: an unchanged one is abbreviated to the serial of the last complete one.
-	lastFullHeartbeat *schema.Heartbeat
-	abbreviatedCount  int // abbreviated heartbeats since lastFullHeartbeat
-
-	// Replication progress, set by a candidate or leader and cleared by resetForTerm (etcd: Progress).
-	term  uint64 // the last term whose beginning it acknowledged; acked counts only if it is r.term
-	acked uint64 // the highest sequence that it has on disk under term
-	sent  uint64 // the highest sequence sent optimistically; falls back to acked when messages may be lost
-	// lastKnownVersion is its content as last reported; a hint, so a wrong one costs only a refusal.
-	lastKnownVersion *schema.Version
-	versionReported  bool          // it reported lastKnownVersion itself since resetForTerm, so no probe is needed
-	snapshotSentAt   time.Duration // when the last complete snapshot was sent to it
+	heard             bool              // a message has come from the peer; heardAt is valid
+	heardAt           time.Duration     // when the last message came from the peer
+	receivedHeartbeat *schema.Heartbeat // the last complete heartbeat from the peer; nil for none
+
+	// Heartbeats sent to the peer. One that equals lastFullHeartbeat is abbreviated to its serial.
+	lastFullHeartbeat *schema.Heartbeat // the last complete one; nil makes the next one complete
+	abbreviatedCount  int               // number of abbreviated ones sent since lastFullHeartbeat
+
+	// Replication progress, set by a candidate or leader (etcd: Progress).
+	term             uint64          // the last term whose beginning the peer acknowledged; acked is valid only in it
+	acked            uint64          // the highest sequence that the peer has acknowledged as durable
+	sent             uint64          // the highest sequence sent, acknowledged or not; reset to acked before a resend
+	lastKnownVersion *schema.Version // the peer's content as last reported; a hint: a wrong one costs only a refusal
+	versionReported  bool            // the peer reported lastKnownVersion since resetForTerm, so no probe is needed
+	snapshotSentAt   time.Duration   // when the last complete snapshot was sent to the peer; 0 for never
 
 	// Votes and reads.
-	vote                 *schema.Vote // its vote for this replica's current campaign
-	confirmedReadIndexID uint64       // the highest read-index id that it confirmed
+	vote                 *schema.Vote // the peer's vote in this replica's current campaign; nil for none
+	confirmedReadIndexID uint64       // the highest read-index id that the peer has confirmed
 
-	// A replica that is no member.
-	stateReply        *schema.StateReply // its answer to the last StateRequest, at bootstrap
-	isLearner         bool               // it asked to join; false for one that knows a newer membership
-	expandsMembership bool               // its joining raises the target size
+	// Fields of a replica that is not a member.
+	stateReply        *schema.StateReply // the peer's last reply to a StateRequest, at bootstrap
+	isLearner         bool               // the peer asked to join; false for a peer with a newer membership
+	expandsMembership bool               // the peer's joining raises the target size
 }
 
-// resetForTerm forgets votes and progress, which count only under the term they were made in.
+// resetForTerm clears votes, confirmations and progress, which are valid only in the term they were made in.
 func (p *peerState) resetForTerm() {
 	p.vote = nil
 	p.versionReported = false
@@ -55,18 +53,18 @@
 	p.confirmedReadIndexID = 0
 }
 
-// recentlyHeard reports whether a peer counts as alive.
+// recentlyHeard reports whether a peer counts as alive, which means heard within the heartbeat timeout.
 func (r *Replica) recentlyHeard(peer *peerState) bool {
 	return peer.heard && r.now-peer.heardAt <= r.config.HeartbeatTimeout
 }
 
-// mutuallyReachable reports whether a peer is heard here, hears this replica and is fit to lead.
+// mutuallyReachable reports whether this replica hears a peer, and the peer hears this replica and is fit to lead.
 func (r *Replica) mutuallyReachable(peer *peerState) bool {
 	heartbeat := peer.receivedHeartbeat
 	return r.recentlyHeard(peer) && heartbeat != nil && !heartbeat.Unfit && slices.Contains(heartbeat.Heard, r.config.Name)
 }
 
-// mutualPeers lists the members and newer members that are mutually reachable.
+// mutualPeers returns the other members, and the peers with a newer membership, that are mutually reachable.
 func (r *Replica) mutualPeers() []string {
 	var names []string
 	for _, name := range r.otherMembers {
@@ -75,14 +73,14 @@
 		}
 	}
 	for _, name := range r.peersWithNewerMembership() {
-		if r.mutuallyReachable(r.outsiders[name]) {
+		if r.mutuallyReachable(r.nonMembers[name]) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// heardMembers lists the members that count as alive, but for this one.
+// heardMembers returns the other members that count as alive.
 func (r *Replica) heardMembers() []string {
 	var names []string
 	for _, name := range r.otherMembers {
@@ -93,25 +91,27 @@
 	return names
 }
 
-// peersWithNewerMembership lists the live replicas outside the membership here that know a newer membership.
-func (r *Replica) peersWithNewerMembership() []string { return r.liveOutsiders(false) }
+// peersWithNewerMembership returns the live replicas that are not in this replica's membership and have a newer one.
+func (r *Replica) peersWithNewerMembership() []string { return r.liveNonMembers(false) }
 
-// learners lists the live replicas that asked to join: the leader keeps them up to date, but they
-// count neither for votes nor for commits.
-func (r *Replica) learners() []string { return r.liveOutsiders(true) }
+// learners returns the live replicas that asked to join. The leader keeps them up to date, but they count neither for
+// votes nor for commits.
+func (r *Replica) learners() []string { return r.liveNonMembers(true) }
 
-func (r *Replica) liveOutsiders(learners bool) []string {
+// liveNonMembers returns the live nonMembers that are learners, or those that are not, in the order of their names.
+func (r *Replica) liveNonMembers(learners bool) []string {
 	var names []string
-	for _, name := range slices.Sorted(maps.Keys(r.outsiders)) {
-		if outsider := r.outsiders[name]; outsider.isLearner == learners && r.recentlyHeard(outsider) {
+	for _, name := range slices.Sorted(maps.Keys(r.nonMembers)) {
+		if nonMember := r.nonMembers[name]; nonMember.isLearner == learners && r.recentlyHeard(nonMember) {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// trackSender returns the state kept of a message's sender, after it has marked it as heard. It is nil for a replica that is
-// neither a member nor one of the outsiders; only a member's votes and confirmations count.
+// trackSender marks the sender of a message as heard and returns its peerState, which is nil for a replica that is
+// neither in peers nor in nonMembers. isMember reports whether the sender is a member: only a member's votes and
+// confirmations count.
 func (r *Replica) trackSender(message *schema.ReplicaMessage) (peer *peerState, isMember bool) {
 	if containsMember(r.membership, message.From, message.Incarnation, message.Founder) {
 		peer = r.peers[message.From]
@@ -122,37 +122,38 @@
 		peer.heard, peer.heardAt = true, r.now
 		return peer, true
 	}
-	peer = r.trackOutsider(message)
+	peer = r.trackNonMember(message)
 	if peer != nil {
 		peer.heard, peer.heardAt = true, r.now
 	}
 	return peer, false
 }
 
-// trackOutsider returns the state kept of a sender that is no member here, after it has added or dropped it if need be. A sender with a
-// newer membership is added; one that is known as such but no longer has a newer one is dropped.
-func (r *Replica) trackOutsider(message *schema.ReplicaMessage) *peerState {
+// trackNonMember returns the peerState of a sender that is not a member here, nil if it is not in nonMembers. A sender
+// with a newer membership is added to nonMembers. One that was added for that reason, and reports a membership that is
+// no longer newer, is removed.
+func (r *Replica) trackNonMember(message *schema.ReplicaMessage) *peerState {
 	membershipVersion := membershipVersionIn(message)
-	outsider := r.outsiders[message.From]
-	known := outsider != nil && outsider.incarnation == message.Incarnation
+	nonMember := r.nonMembers[message.From]
+	known := nonMember != nil && nonMember.incarnation == message.Incarnation
 	if r.isNewerMembership(membershipVersion) {
-		if !known || outsider.isLearner {
-			outsider = &peerState{incarnation: message.Incarnation}
-			r.outsiders[message.From] = outsider
+		if !known || nonMember.isLearner {
+			nonMember = &peerState{incarnation: message.Incarnation}
+			r.nonMembers[message.From] = nonMember
 		}
-		return outsider
+		return nonMember
 	}
 	if !known {
 		return nil
 	}
-	if !outsider.isLearner && membershipVersion != nil {
-		delete(r.outsiders, message.From)
+	if !nonMember.isLearner && membershipVersion != nil {
+		delete(r.nonMembers, message.From)
 		return nil
 	}
-	return outsider
+	return nonMember
 }
 
-// membershipVersionIn is the version of the sender's membership, nil if the message does not carry it.
+// membershipVersionIn returns the version of the sender's membership, or nil if the message does not carry one.
 func membershipVersionIn(message *schema.ReplicaMessage) *schema.Version {
 	switch body := message.Body.(type) {
 	case *schema.ReplicaMessage_Heartbeat:
@@ -163,8 +164,9 @@
 	return nil
 }
 
-// isNewerMembership reports whether a membership version is newer than the one here. One of a term below this
-// replica's is not: its entry did not get into the content that this later term began with, so it was discarded.
+// isNewerMembership reports whether a membership version is newer than that of this replica's membership. A version of a
+// term before this replica's never is: its entry is not in the content that this replica's term began with, so it was
+// discarded.
 func (r *Replica) isNewerMembership(version *schema.Version) bool {
 	current := r.membership.EffectiveFrom
 	return version != nil && current != nil && version.Term >= r.term && config.Newer(version, current)
--- a/internal/store/persist.go
+++ b/internal/store/persist.go
@@ -8,27 +8,25 @@
 	"meadowhinge/schema"
 )
 
-// What must be on disk before it is acted upon or sent.
+// This file writes records to disk, and holds back whatever may only be sent once they are durable.
 
-// pendingWrite is a record handed to the owner as a Persist, with what waits for it to be durable.
+// pendingWrite is a record handed to the owner as a Persist, with the messages that wait until it is durable.
 type pendingWrite struct {
-	writeID   uint64
-	startedAt time.Duration
-	// The content with which the record was written; durable once the write is.
-	term     uint64
-	sequence uint64
-	// messages are sent once the write is durable.
-	messages []*schema.ReplicaMessage
-	// votedTerm is the term of the vote in the record, 0 if it has none. If another replica requested that
-	// vote, voteRequest is its request and candidate its name, to be answered once the write is durable.
-	votedTerm   uint64
-	voteRequest *schema.VoteRequest
-	candidate   string
+	writeID     uint64                   // the id in the Persist
+	startedAt   time.Duration            // when the Persist was emitted; see Config.StallTimeout
+	term        uint64                   // term of the content that is durable once the write is
+	sequence    uint64                   // last sequence of that content
+	messages    []*schema.ReplicaMessage // sent once the write is durable
+	votedTerm   uint64                   // term of the vote in the record; 0 if it has none
+	voteRequest *schema.VoteRequest      // answered by the vote once the write is durable; nil if there is none to answer
+	candidate   string                   // name of the replica that sent voteRequest
 }
 
-// persist emits a record to be written and keeps what must wait for it; the caller leaves writeID, startedAt, term
-// and sequence of write unset. Where a snapshot is due, a complete one is written in place of the record, which it
-// includes: the content already has the record's entries, and the snapshot record has the latest vote.
+// persist emits a record to be written, and stores write until the record is durable. The caller leaves the fields
+// writeID, startedAt, term and sequence of write unset.
+//
+// If a snapshot is due, a complete one is written instead of the record and includes it: the content already has the
+// record's entries, and the snapshot record has the latest vote.
 func (r *Replica) persist(record *schema.Record, write pendingWrite) {
 	r.lastWriteID++
 	replacesLog := record.Snapshot != nil
@@ -44,14 +42,14 @@
 	r.emit(Persist{WriteID: r.lastWriteID, Record: record, ReplacesLog: replacesLog})
 }
 
-// snapshotDue reports whether the log on disk has grown enough to be replaced by a snapshot.
+// snapshotDue reports whether the log on disk has grown so large that a snapshot is to replace it.
 func (r *Replica) snapshotDue() bool {
 	maxBytes := max(minSnapshotLogBytes, snapshotLogFactor*r.snapshotBytes)
 	return r.entriesSinceSnapshot >= r.config.MaxEntries || r.bytesSinceSnapshot >= maxBytes
 }
 
-// completeSnapshotRecord adds to a snapshot's record the identity and the vote, as the records that held
-// them before may be dropped.
+// completeSnapshotRecord adds this replica's identity and vote to the record of a snapshot, since the earlier records
+// that hold them may be dropped.
 func (r *Replica) completeSnapshotRecord(record *schema.Record) {
 	record.Incarnation = r.incarnation
 	record.VotedTerm = r.votedTerm
@@ -62,7 +60,7 @@
 	r.snapshotBytes = proto.Size(record)
 }
 
-// Persisted reports that every record up to writeID is durable.
+// Persisted handles the owner's report that every record up to writeID is durable, and returns the actions that follow.
 func (r *Replica) Persisted(now time.Duration, writeID uint64) []Action {
 	r.beginStep(now)
 	r.diskFailed = false
@@ -75,10 +73,10 @@
 	return r.actions
 }
 
-// completeWrite does what waited for a write.
+// completeWrite sends what has waited for a write, and counts the write for the election or the commit.
 func (r *Replica) completeWrite(done pendingWrite) {
-	// Within a term the durable sequence only grows. A write of an earlier term proves nothing of this
-	// term's content, and the first one of a new term starts the durable sequence afresh.
+	// Within a term the durable sequence only grows. A write of an earlier term proves nothing about the content of
+	// this term, and the first write of a new term resets the durable sequence.
 	if done.term == r.term && (r.durableTerm != done.term || done.sequence > r.durableSequence) {
 		r.durableTerm, r.durableSequence = done.term, done.sequence
 	}
@@ -94,8 +92,8 @@
 	r.advanceCommit()
 }
 
-// DiskFailed reports that a write failed. What waits for it stays unsent, and this replica is unfit to
-// lead until a RewriteSnapshot is durable.
+// DiskFailed handles the owner's report that a write failed, and returns the actions that follow. Messages that wait
+// for the write stay unsent, and this replica is unfit to lead until the record of a RewriteSnapshot is durable.
 func (r *Replica) DiskFailed(now time.Duration) []Action {
 	r.beginStep(now)
 	r.diskFailed = true
@@ -103,8 +101,8 @@
 	return r.actions
 }
 
-// RewriteSnapshot asks for a complete snapshot in place of every record whose write has failed or is still
-// waiting. It repeats the last write id, so its Persisted completes all pending writes.
+// RewriteSnapshot returns a Persist of a complete snapshot, which replaces every record whose write has failed or is
+// still pending. It reuses the last write id, so that its Persisted completes all pending writes.
 func (r *Replica) RewriteSnapshot(now time.Duration) []Action {
 	r.beginStep(now)
 	record := &schema.Record{Snapshot: r.snapshot()}
--- a/internal/store/proposal.go
+++ b/internal/store/proposal.go
@@ -8,24 +8,24 @@
 	"meadowhinge/schema"
 )
 
-// How a change is proposed, forwarded to the leader, admitted and answered.
+// This file proposes a change, forwards it to the leader, admits it there and answers it.
 
-// requester is who waits for the answer to a proposal or read at the leader.
+// requester identifies the request that waits at the leader for the answer to a proposal or read.
 type requester struct {
-	ticket  string
-	replica string // the replica that forwarded the request; empty for this process
+	ticket  string // identifies the request at the process that made it
+	replica string // the replica that forwarded the request; empty for a request of this process
 }
 
-// forwardedRequest is a request of this process that waits for the leader's answer.
+// forwardedRequest is a request of this process that has been forwarded to the leader and waits for its answer.
 type forwardedRequest struct {
-	leader string
-	sentAt time.Duration
-	isRead bool // a ReadIndex rather than a Proposal
+	leader string        // the replica that the request was sent to
+	sentAt time.Duration // on the replica's clock
+	isRead bool          // true for a ReadIndex, false for a Proposal
 }
 
-// Propose proposes a change on behalf of this process. A Reply with the proposal's ticket follows, in this step
-// or a later one, as soon as the outcome is committed, or undecided if no leader can tell. A change id that
-// was decided before gets that outcome again.
+// Propose proposes a change on behalf of this process. A Reply with the proposal's ticket follows, in this step or a
+// later one: with the outcome once that is committed, or undecided if no leader answers. A change id that has been
+// decided before gets the same outcome again.
 func (r *Replica) Propose(now time.Duration, proposal *schema.Proposal) []Action {
 	r.beginStep(now)
 	if outcome, committed := r.CommittedOutcome(proposal.Change.Id); committed {
@@ -44,11 +44,12 @@
 	return r.actions
 }
 
-// proposeAsLeader handles a proposal of this process or a forwarded one: it admits the change and records who waits for
-// the outcome. It answers undecided where this replica does not lead or must not admit more.
+// proposeAsLeader handles a proposal of this process or a forwarded one: it admits the change and stores the requester
+// that waits for the outcome. It answers undecided if this replica does not lead, is unfit to lead, or has too many
+// uncommitted entries.
 func (r *Replica) proposeAsLeader(proposal *schema.Proposal, from requester) {
 	uncommitted := int(r.sequence - r.committedSequence)
-	// Refused before it is admitted, so nothing of it can come into force later.
+	// The change is turned away before it is admitted, so it cannot take effect later.
 	if r.role != roleLeader || r.unfit() || uncommitted >= r.config.MaxUncommittedEntries {
 		r.answerProposal(from, undecidedProposal(proposal.Ticket))
 		return
@@ -60,20 +61,20 @@
 	}
 	r.pendingProposals[id] = append(r.pendingProposals[id], from)
 	if _, appended := r.outcomes[id]; appended {
-		return // decided already; every requester is answered once that is committed
+		return // it is decided already; every requester is answered once that outcome is committed
 	}
 	r.admit(proposal.Change)
 }
 
-// admit decides a change against the leader's content and appends the outcome, a refusal too: a repeat of
-// the change id must get the same answer.
+// admit decides a change against the leader's content and appends the entry with its outcome. A refusal is appended
+// too, so that a repeat of the change id gets the same answer.
 func (r *Replica) admit(change *schema.Change) {
 	entry, compiled := Decide(r.state, r.compiledConfig, change, r.nextVersion())
 	r.compiledConfig = compiled
 	r.appendAsLeader(entry)
 }
 
-// answerCommittedProposals answers the proposals whose outcome is committed by now.
+// answerCommittedProposals answers the pending proposals whose outcome is committed.
 func (r *Replica) answerCommittedProposals() {
 	for _, id := range slices.Sorted(maps.Keys(r.pendingProposals)) {
 		outcome, committed := r.CommittedOutcome(id)
@@ -87,7 +88,7 @@
 	}
 }
 
-// answerProposal answers a requester here or at the replica that forwarded the proposal.
+// answerProposal answers a requester of this process, or sends the answer to the replica that forwarded the proposal.
 func (r *Replica) answerProposal(to requester, reply *schema.ProposalReply) {
 	if to.replica == "" {
 		r.emit(Reply{reply})
@@ -96,13 +97,13 @@
 	r.send(to.replica, proposalReplyMessage(reply))
 }
 
-// onProposalReply passes the leader's answer to a forwarded proposal on to this process.
+// onProposalReply passes the leader's answer to a forwarded proposal to the requester in this process.
 func (r *Replica) onProposalReply(reply *schema.ProposalReply) {
 	delete(r.forwardedRequests, reply.Ticket)
 	r.emit(Reply{reply})
 }
 
-// undecidedProposal answers a proposal whose outcome is not known here.
+// undecidedProposal returns the answer to a proposal whose outcome is not known here.
 func undecidedProposal(ticket string) *schema.ProposalReply {
 	return &schema.ProposalReply{Ticket: ticket, Undecided: true}
 }
--- a/internal/store/read_index.go
+++ b/internal/store/read_index.go
@@ -6,19 +6,20 @@
 	"meadowhinge/schema"
 )
 
-// Read index (thesis, section 6.4): the leader notes its committed sequence, has a majority confirm that it
-// still leads, and only then answers. A reader that waits until its own replica has committed that
-// sequence sees everything that was acknowledged before the read began. A leader has committed in its own term
-// (advanceCommit), so its committed sequence is not behind what an earlier leader acknowledged.
+// This file implements the read index (thesis, section 6.4). The leader has a majority confirm that it still leads, and
+// then answers with its committed sequence. A reader that waits until its own replica has committed that sequence sees
+// everything that was acknowledged before the read began. A leader has committed in its own term (advanceCommit), so
+// its committed sequence is never behind what an earlier leader acknowledged.
 
-// pendingRead is a read at the leader that waits for a majority to confirm its id.
+// pendingRead is a read at the leader that waits until a majority has confirmed its id.
 type pendingRead struct {
 	requester
-	id uint64
+	id uint64 // the readIndexID of the read
 }
 
-// ReadIndex asks for a committed sequence at least as high as that of any change acknowledged so far. A
-// ReadIndexReady with the ticket follows, undecided if no leader confirms it.
+// ReadIndex asks, on behalf of this process, for a committed sequence at least as high as that of any change
+// acknowledged so far. A ReadIndexReady with the ticket follows, in this step or a later one; it is undecided if no
+// leader answers.
 func (r *Replica) ReadIndex(now time.Duration, ticket string) []Action {
 	r.beginStep(now)
 	switch leader := r.leader(); leader {
@@ -33,8 +34,8 @@
 	return r.actions
 }
 
-// readIndexAsLeader handles a read of this process or a forwarded one: it requests confirmations under a new id, or answers
-// undecided where this replica does not lead.
+// readIndexAsLeader handles a read of this process or a forwarded one: it requests confirmations under a new id, or
+// answers undecided if this replica does not lead.
 func (r *Replica) readIndexAsLeader(from requester) {
 	if r.role != roleLeader {
 		r.answerRead(from, undecidedRead(from.ticket))
@@ -47,19 +48,19 @@
 	r.readIndexID++
 	r.pendingReads = append(r.pendingReads, pendingRead{from, r.readIndexID})
 	r.sendConfirm()
-	// A leader without other members is a majority by itself, and no confirmation will come.
+	// A leader without other members is a majority by itself and gets no confirmations.
 	r.resolveReads()
 }
 
-// sendConfirm asks the other members to confirm that this replica still leads. A confirmation of the latest
-// id confirms all ids before it.
+// sendConfirm asks the other members to confirm that this replica still leads. A confirmation of the latest id covers
+// all earlier ids.
 func (r *Replica) sendConfirm() {
 	for _, name := range r.otherMembers {
 		r.send(name, confirmLeadershipMessage(&schema.ConfirmLeadership{Term: r.term, Round: r.readIndexID}))
 	}
 }
 
-// onConfirmLeadership confirms a leader, unless this replica has voted in a later term.
+// onConfirmLeadership confirms a leader, unless this replica is not a member or last voted in another term.
 func (r *Replica) onConfirmLeadership(from string, request *schema.ConfirmLeadership) {
 	r.send(from, confirmLeadershipReplyMessage(&schema.ConfirmLeadershipReply{
 		Term:    request.Term,
@@ -68,7 +69,7 @@
 	}))
 }
 
-// onConfirmLeadershipReply counts a member's confirmation.
+// onConfirmLeadershipReply records a member's confirmation and answers the reads that it completes.
 func (r *Replica) onConfirmLeadershipReply(peer *peerState, reply *schema.ConfirmLeadershipReply) {
 	if r.role != roleLeader || reply.Term != r.term || reply.Refused {
 		return
@@ -77,8 +78,8 @@
 	r.resolveReads()
 }
 
-// resolveReads answers the reads whose id a majority has confirmed. The committed sequence is that of
-// now, which is at least the one at the time of the read.
+// resolveReads answers the reads whose id a majority has confirmed. It answers with the current committed sequence,
+// which is at least the one at the time of the read.
 func (r *Replica) resolveReads() {
 	var remaining []pendingRead
 	for _, read := range r.pendingReads {
@@ -101,7 +102,7 @@
 	r.pendingReads = remaining
 }
 
-// answerRead answers a requester here or at the replica that forwarded the read.
+// answerRead answers a requester of this process, or sends the answer to the replica that forwarded the read.
 func (r *Replica) answerRead(to requester, reply *schema.ReadIndexReply) {
 	if to.replica == "" {
 		r.emit(ReadIndexReady{reply})
@@ -110,13 +111,13 @@
 	r.send(to.replica, readIndexReplyMessage(reply))
 }
 
-// onReadIndexReply passes the leader's answer to a forwarded read on to this process.
+// onReadIndexReply passes the leader's answer to a forwarded read to the requester in this process.
 func (r *Replica) onReadIndexReply(reply *schema.ReadIndexReply) {
 	delete(r.forwardedRequests, reply.Ticket)
 	r.emit(ReadIndexReady{reply})
 }
 
-// undecidedRead answers a read for which no leader confirmed a committed sequence.
+// undecidedRead returns the answer to a read for which no leader has confirmed a committed sequence.
 func undecidedRead(ticket string) *schema.ReadIndexReply {
 	return &schema.ReadIndexReply{Ticket: ticket, Undecided: true}
 }
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -8,99 +8,102 @@
 	"meadowhinge/schema"
 )
 
-// Replica is the consensus state machine of one member. Its methods must be called one at a time, with a
-// time that never goes back, on a clock of the owner's choice (Server: since the process started).
+// Replica is the consensus state machine of one replica. It is not safe for concurrent use. Times are passed in by the
+// owner, never decrease, and count from an origin of the owner's choice (Server: the start of the process).
 //
-// Invariants: committedSequence never exceeds sequence; baseSequence + len(entries) is sequence; a vote, and the
-// acknowledgement of a term's beginning or of an entry, is sent only once that is durable here (pendingWrite holds what
-// waits); the leader's own copy of an entry counts for the commit only then too.
+// Invariants:
+//   - committedSequence never exceeds sequence.
+//   - baseSequence + len(entries) equals sequence.
+//   - A vote is sent only once it is durable here. The beginning of a term and an entry are acknowledged only once they
+//     are durable here. Until then the message waits in a pendingWrite.
+//   - The leader's own copy of an entry counts for the commit only once it is durable.
 type Replica struct {
-	// Identity. The data folder, not the name, is what counts as a member: see membership.go.
+	// Identity. A member is identified by its data folder, not by its name alone; see membership.go.
 	config            Config
-	incarnation       uint64 // of the data folder
+	incarnation       uint64 // identifies the data folder
 	founder           bool   // the data folder has existed since the first membership
 	expandsMembership bool   // joining raises the target size; cleared once this replica is a member
 
-	// Votes (Raft: currentTerm and votedFor). Durable before they are sent.
-	votedTerm   uint64 // no leader of a lower term is accepted
-	votedFor    string // empty after a snapshot of a later term, which votes for nobody
-	highestTerm uint64 // the highest term seen anywhere, to campaign above it
-
-	// Content: what was appended, durable or not. (term, sequence) names it; equal versions, equal contents.
-	term         uint64
-	sequence     uint64 // of the last entry (Raft: last log index)
-	state        config.State
-	membership   *schema.Membership // counts from when it is appended, committed or not (thesis, section 4.1)
-	outcomes     map[string]*schema.ChangeOutcome
-	outcomeOrder []string // the keys of outcomes, oldest first
-
-	// The retained tail of the log, and the state just before it.
-	baseSequence   uint64
-	baseState      config.State
-	baseMembership *schema.Membership
-	entries        []*schema.Entry // sequences baseSequence+1 to sequence
-
-	// Committed content: the only one shown outside. It is of committedTerm, 0 if none is known.
-	committedTerm       uint64
-	committedSequence   uint64
-	committedState      config.State
-	committedMembership *schema.Membership
+	// Votes (Raft: currentTerm and votedFor). They are durable before they are sent.
+	votedTerm   uint64 // the last term voted in; leaders of lower terms are refused
+	votedFor    string // empty if a snapshot of a later term was installed, which votes for nobody
+	highestTerm uint64 // the highest term seen anywhere; the next campaign is in a higher one
+
+	// Content: everything appended, durable or not. (term, sequence) identifies it: equal versions mean equal contents.
+	term         uint64                           // the term whose beginning the content includes
+	sequence     uint64                           // sequence of the last entry (Raft: last log index)
+	state        config.State                     // the items, as of sequence
+	membership   *schema.Membership               // in force once appended, committed or not (thesis, section 4.1)
+	outcomes     map[string]*schema.ChangeOutcome // by change id; at most MaxOutcomes
+	outcomeOrder []string                         // the keys of outcomes, oldest first
+
+	// The retained tail of the log, and the base content, which is the content just before that tail.
+	baseSequence   uint64             // sequence of the base content
+	baseState      config.State       // the items, as of baseSequence
+	baseMembership *schema.Membership // the membership, as of baseSequence
+	entries        []*schema.Entry    // the entries with the sequences baseSequence+1 to sequence
+
+	// Committed content, the only content shown outside.
+	committedTerm       uint64             // the term under which the content was committed; 0 if none is known to be committed
+	committedSequence   uint64             // sequence of the last entry known to be committed
+	committedState      config.State       // the items, as of committedSequence
+	committedMembership *schema.Membership // the membership, as of committedSequence
 
 	// Disk.
-	durableTerm          uint64 // the term that durableSequence was written under
-	durableSequence      uint64
-	lastWriteID          uint64
-	pendingWrites        []pendingWrite // not reported by Persisted yet, in order
-	diskFailed           bool           // from DiskFailed until the next Persisted
-	entriesSinceSnapshot int            // in the log on disk
-	bytesSinceSnapshot   int            // in the log on disk
-	snapshotBytes        int            // size of the last snapshot record
+	durableTerm          uint64         // the term under which durableSequence was written
+	durableSequence      uint64         // the content up to this sequence is on disk
+	lastWriteID          uint64         // the write id of the last Persist
+	pendingWrites        []pendingWrite // writes that Persisted has not reported yet, in order
+	diskFailed           bool           // set by DiskFailed, cleared by the next Persisted
+	entriesSinceSnapshot int            // number of entries after the last snapshot in the log on disk
+	bytesSinceSnapshot   int            // total encoded size of those entries
+	snapshotBytes        int            // encoded size of the last snapshot record
 
 	// Other replicas.
-	peers              map[string]*peerState // the other members
-	otherMembers       []string              // the keys of peers in member order: iterated so that a run can be replayed
-	outsiders          map[string]*peerState // learners, replicas that know a newer membership, and at bootstrap all others
-	addresses          map[string]string     // where each replica was last heard from, or is reported to be
-	reportedMembership *schema.Membership    // the newest committed membership that another replica reported
+	peers              map[string]*peerState // the other members, by name
+	otherMembers       []string              // the keys of peers in member order; iterated for deterministic runs
+	nonMembers         map[string]*peerState // learners, replicas with a newer membership and, at bootstrap, all others
+	addresses          map[string]string     // host:port last seen or reported, by replica name
+	reportedMembership *schema.Membership    // the newest committed membership that another replica reported; nil for none
 
 	// Role and election.
 	role             role
-	roleSince        time.Duration   // set by the become functions, but for becomeLeader; 0 lets this replica campaign at once
-	termStartVersion *schema.Version // the content that this replica's term began with, while it leads
+	roleSince        time.Duration   // when role was last set, except by becomeLeader; 0 lets this replica campaign at once
+	termStartVersion *schema.Version // the content that the leader's term began with; valid while this replica leads
 
 	// Heartbeats.
-	heartbeatSent   bool // since this replica started; heartbeatSentAt is valid if so
-	heartbeatSentAt time.Duration
-	heartbeatSerial uint32 // of the last complete heartbeat
-	lastUrgentState string // urgentState as of the last heartbeats
+	heartbeatSent   bool          // a round of heartbeats was sent since the start; heartbeatSentAt is valid
+	heartbeatSentAt time.Duration // when the last round of heartbeats was sent
+	heartbeatSerial uint32        // serial of the last complete heartbeat
+	lastUrgentState string        // the urgentState that the last round of heartbeats reported
 
 	// Bootstrap and joining.
-	stateRequestID   uint64 // numbers the rounds of StateRequests at bootstrap
-	stateRequestedAt time.Duration
-	joinsExisting    bool // a StateReply showed that a core exists already
-	joinRequestedAt  time.Duration
+	stateRequestID   uint64        // number of the last round of StateRequests; 0 before the first
+	stateRequestedAt time.Duration // when that round was sent
+	coreExists       bool          // a StateReply showed that a core exists already
+	joinRequestedAt  time.Duration // when the last Join was sent; 0 lets the next one be sent at once
 
-	// Requests. Tickets are drawn by the owner.
-	pendingProposals  map[string][]requester      // at the leader, by change id
-	pendingReads      []pendingRead               // at the leader
-	readIndexID       uint64                      // numbers the confirmations of leadership
-	forwardedRequests map[string]forwardedRequest // at a follower, by ticket
+	// Requests. The owner chooses the tickets.
+	pendingProposals  map[string][]requester      // used by a leader: requesters that wait for an outcome, by change id
+	pendingReads      []pendingRead               // used by a leader: reads that wait for confirmation
+	readIndexID       uint64                      // id of the last pending read; confirmations name it
+	forwardedRequests map[string]forwardedRequest // used by a follower: requests sent to the leader, by ticket
 
-	// At the leader.
-	nextPurgeSequence uint64           // the committed sequence at which purgeTombstones next acts
-	compiledConfig    *config.Snapshot // of the last change admitted here; the next one is compiled after it
+	// Used by a leader.
+	nextPurgeSequence uint64           // the committed sequence at which purgeTombstones acts next
+	compiledConfig    *config.Snapshot // the configuration after the last admitted change; speeds up compiling the next one
 
-	freshness freshness
+	freshness freshness // how recent the committed state is
 
 	// The current step.
-	clockStarted   bool
-	clockStartedAt time.Duration // of the first step
-	now            time.Duration
-	actions        []Action // emitted so far
+	clockStarted   bool          // set by the first step
+	clockStartedAt time.Duration // the time of the first step
+	now            time.Duration // the time of the current step
+	actions        []Action      // the actions emitted by the current step
 }
 
-// NewReplica restores a replica from the records of its log, in the order they were written. Without records
-// it is empty and of the incarnation that is passed; otherwise the records have the incarnation.
+// NewReplica returns a replica restored from the records of its log, given in the order in which they were written. The
+// records determine its incarnation; without records the replica is empty and has the incarnation passed.
 func NewReplica(cfg Config, incarnation uint64, records []*schema.Record) *Replica {
 	r := &Replica{
 		config:              cfg,
@@ -113,7 +116,7 @@
 		committedState:      config.State{},
 		committedMembership: &schema.Membership{},
 		peers:               map[string]*peerState{},
-		outsiders:           map[string]*peerState{},
+		nonMembers:          map[string]*peerState{},
 		addresses:           map[string]string{},
 		pendingProposals:    map[string][]requester{},
 		forwardedRequests:   map[string]forwardedRequest{},
@@ -127,8 +130,8 @@
 	return r
 }
 
-// InitialRecord is the first record of an empty data folder. The owner makes it durable before the replica
-// takes its first step, so that no two folders ever have the same incarnation.
+// InitialRecord returns the first record for an empty data folder. The owner makes it durable before the replica
+// takes its first step, so that a folder keeps its incarnation over restarts and no two folders ever have the same one.
 func InitialRecord(cfg Config, incarnation uint64) *schema.Record {
 	record := &schema.Record{Incarnation: incarnation, RaiseTargetSize: cfg.ExpandsMembership}
 	if slices.Contains(cfg.Founders, cfg.Name) {
@@ -138,8 +141,9 @@
 	return record
 }
 
-// SetLimits takes over the limits, timeouts and seeds of cfg. Name, members and tolerated losses stay as
-// they were at the start: they decide what is committed.
+// SetLimits replaces the seeds, the timeouts and those limits that may change while the replica runs, and returns the
+// actions that follow. Name, member lists and tolerated losses stay as they were at the start, as they decide what is
+// committed.
 func (r *Replica) SetLimits(now time.Duration, cfg Config) []Action {
 	r.beginStep(now)
 	r.config.Seeds = cfg.Seeds
@@ -152,7 +156,7 @@
 	return r.actions
 }
 
-// beginStep starts an exported event method: it sets the time and an empty list of actions.
+// beginStep begins an exported event method: it sets the time and clears the list of actions.
 func (r *Replica) beginStep(now time.Duration) {
 	if !r.clockStarted {
 		r.clockStarted, r.clockStartedAt = true, now
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -8,66 +8,67 @@
 )
 
 // The first member that reaches a majority leads, every member forwards changes to it, and a change id keeps its first
-// outcome whichever member is asked.
+// outcome at whichever member it is proposed again.
 func TestLeadershipFollowsMemberOrder(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
 	for _, name := range founderNames {
 		if leader := c.replicas[name].Status().Leader; leader != "a" {
-			t.Errorf("%s knows %q as the leader", name, leader)
+			t.Errorf("leader at %s = %q, want a", name, leader)
 		}
 	}
 	c.propose("b", "t1", "one")
 	if got := c.replies["t1"]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
-		t.Fatalf("a change at another replica: %v", got)
+		t.Fatalf("Propose at follower b got reply %v, want it accepted", got)
 	}
 	c.down["a"] = true
 	c.advance(5 * time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("after a is lost, %q leads", leader)
+		t.Errorf("leader after the loss of a = %q, want b", leader)
 	}
 	c.propose("c", "t2", "two")
 	if committed, state := c.replicas["c"].Committed(); committed != 2 || state["segment/one"] == nil || state["segment/two"] == nil {
-		t.Errorf("committed %d with %d items", committed, len(state))
+		t.Errorf("committed sequence = %d with %d items, want 2 with segments one and two", committed, len(state))
 	}
 	c.down["b"] = true
 	c.advance(5 * time.Second)
 	c.propose("c", "t3", "three")
 	if got := c.replies["t3"]; !got.GetUndecided() {
-		t.Errorf("without a majority: %v", got)
+		t.Errorf("Propose without a majority got reply %v, want undecided", got)
 	}
-	// A change id that was decided gets its first outcome at every member.
+	// A change id that has been decided gets its first outcome again.
 	c.down["a"], c.down["b"] = false, false
 	c.advance(5 * time.Second)
 	c.propose("a", "t4", "one")
 	if got := c.replies["t4"]; got.GetOutcome().GetVersion().GetSequence() != 1 {
-		t.Errorf("the first id again: %v", got)
+		t.Errorf("Propose with a decided change id got reply %v, want the outcome of sequence 1", got)
 	}
 }
 
-// A change forwarded to a leader that dies is answered as undecided after the heartbeat timeout, so that the registry
-// retries it rather than wait until the operator gives up.
+// A change forwarded to a leader that fails is answered as undecided after the heartbeat timeout, so that the registry
+// retries it instead of waiting until the operator gives up.
 func TestForwardedChangeExpires(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
 	c.down["a"] = true
 	c.propose("b", "t1", "one")
 	if c.replies["t1"] != nil {
-		t.Fatal("answered though the leader is dead")
+		t.Fatalf("Propose forwarded to a failed leader got reply %v before the heartbeat timeout, want none", c.replies["t1"])
 	}
 	c.advance(2 * time.Second)
 	if got := c.replies["t1"]; !got.GetUndecided() {
-		t.Errorf("after the heartbeat timeout: %v", got)
+		t.Errorf("Propose forwarded to a failed leader got reply %v after the heartbeat timeout, want undecided", got)
 	}
 	c.advance(3 * time.Second)
 	c.propose("b", "t2", "one")
 	if got := c.replies["t2"]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
-		t.Errorf("proposed again: %v", got)
+		t.Errorf("Propose under the new leader got reply %v, want it accepted", got)
 	}
 }
 
-// An empty replica of a static list becomes a member only once both others have reported whether they have state.
-func TestEmptyMemberReadsBothOthers(t *testing.T) {
+// An empty replica of a static list becomes a member only once both other replicas have reported whether they have
+// state. One of two is not enough: it may lack what the other one has committed.
+func TestEmptyStaticMemberNeedsStateOfAllOthers(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
 	c.propose("a", "t1", "one")
@@ -75,20 +76,20 @@
 	c.down["b"] = true
 	c.advance(5 * time.Second)
 	if c.replicas["c"].Status().Member {
-		t.Error("became a member after the state of one of two")
+		t.Error("empty replica c is a member though b has not reported its state")
 	}
 	c.propose("a", "t2", "two")
 	if got := c.replies["t2"]; got != nil && !got.GetUndecided() {
-		t.Errorf("an empty replica counted for a majority: %v", got)
+		t.Errorf("Propose with a and the empty replica c got reply %v, want none or undecided", got)
 	}
 	c.down["b"] = false
 	c.advance(5 * time.Second)
 	if committed, _ := c.replicas["c"].Committed(); !c.replicas["c"].Status().Member || committed == 0 {
-		t.Errorf("not restored: %+v", c.replicas["c"].Status())
+		t.Errorf("status of c after b is back = %+v, want a member with committed content", c.replicas["c"].Status())
 	}
 }
 
-// A leader whose disk stalls gives up leadership, and leads again once the disk has recovered.
+// A leader whose disk stalls loses leadership, and leads again once the disk has recovered.
 func TestStalledDiskLosesLeadership(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
@@ -96,35 +97,36 @@
 	c.propose("a", "t", "one")
 	c.advance(6 * time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("%q leads while the disk of a stalls", leader)
+		t.Errorf("leader while the disk of a stalls = %q, want b", leader)
 	}
 	c.stalled = ""
 	for _, write := range c.stalledWrites {
-		c.act("a", c.replicas["a"].Persisted(c.now, write.WriteID))
+		c.execute("a", c.replicas["a"].Persisted(c.now, write.WriteID))
 	}
 	c.advance(6 * time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "a" {
-		t.Errorf("%q leads after the disk of a has recovered", leader)
+		t.Errorf("leader after the disk of a has recovered = %q, want a", leader)
 	}
 }
 
-// Limits that are changed while a replica runs take effect at once: a leader unheard for the new heartbeat timeout is
-// replaced. Name, members and tolerated losses stay as they were.
-func TestSetLimits(t *testing.T) {
+// Limits that are changed while a replica runs take effect at once: a leader that is not heard for the new heartbeat
+// timeout is replaced. Name, member list and tolerated losses stay as they were.
+func TestSetLimitsTakesEffectAtOnce(t *testing.T) {
 	c := newStaticCore()
 	c.advance(5 * time.Second)
 	for _, name := range founderNames {
 		cfg := testConfig(name)
 		cfg.HeartbeatTimeout, cfg.StaticMembers, cfg.ToleratedLosses, cfg.Name = 300*time.Millisecond, []string{"x"}, 2, "x"
-		c.act(name, c.replicas[name].SetLimits(c.now, cfg))
+		c.execute(name, c.replicas[name].SetLimits(c.now, cfg))
 		current := c.replicas[name].config
 		if current.Name != name || len(current.StaticMembers) != 3 || current.ToleratedLosses != 0 || current.HeartbeatTimeout != cfg.HeartbeatTimeout {
-			t.Errorf("%s has the configuration %v", name, current)
+			t.Errorf("configuration of %s after SetLimits = %+v, want only the heartbeat timeout changed, to %v",
+				name, current, cfg.HeartbeatTimeout)
 		}
 	}
 	c.down["a"] = true
 	c.advance(time.Second)
 	if leader := c.replicas["c"].Status().Leader; leader != "b" {
-		t.Errorf("a second after a is lost, %q leads", leader)
+		t.Errorf("leader one second after the loss of a = %q, want b", leader)
 	}
 }
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -7,21 +7,21 @@
 	"meadowhinge/schema"
 )
 
-// How a leader brings its content to the others, and commits what enough of them have on disk.
+// This file replicates the leader's content to the other replicas, and commits what a commit quorum has on disk.
 //
-// A peer first gets the beginning of the term (BeginTerm): from then on its content is a prefix of the leader's,
-// and AppendEntries extends it. Both are acknowledged by AppendReply with what is durable at the peer.
+// A peer first gets the beginning of the term (BeginTerm). From then on its content is a prefix of the leader's, and
+// AppendEntries extends it. The peer acknowledges both by an AppendReply with the version that is durable there.
 
-// appendAsLeader appends an entry of the leader's own and replicates it. The leader's copy counts for the
-// commit once Persisted reports it, as any other's does.
+// appendAsLeader appends an entry at the leader and replicates it. The leader's copy counts for the commit only once
+// Persisted has reported it durable, like the copy of any other member.
 func (r *Replica) appendAsLeader(entry *schema.Entry) {
 	r.appendEntry(entry)
 	r.persist(&schema.Record{Entries: []*schema.Entry{entry}}, pendingWrite{})
 	r.replicateAll()
 }
 
-// replicateAll sends new entries, and the committed sequence, to every peer that has acknowledged the
-// term's beginning. resendUnacknowledged sends the beginning to the rest; entries sent before it would be refused.
+// replicateAll sends new entries and the committed sequence to every peer that has acknowledged the beginning of the
+// term. The others would refuse entries; resendUnacknowledged sends them the beginning of the term.
 func (r *Replica) replicateAll() {
 	for _, name := range r.otherMembers {
 		if peer := r.peers[name]; peer.term == r.term {
@@ -29,14 +29,14 @@
 		}
 	}
 	for _, name := range r.learners() {
-		if peer := r.outsiders[name]; peer.term == r.term {
+		if peer := r.nonMembers[name]; peer.term == r.term {
 			r.replicate(name, peer)
 		}
 	}
 }
 
-// replicate sends a peer what it lacks: the term's beginning first, then entries (without any, as a bare notice
-// of the committed sequence).
+// replicate sends a peer the beginning of the term if it lacks that, else the entries that were not sent yet. If there
+// are none, the message only reports the committed sequence.
 func (r *Replica) replicate(name string, peer *peerState) {
 	if peer.term != r.term || peer.acked < r.baseSequence {
 		r.sendBeginTerm(name, peer)
@@ -56,8 +56,8 @@
 	peer.sent = r.sequence
 }
 
-// sendBeginTerm sends the beginning of this replica's term. A peer whose content is a prefix of the one that
-// the term began with gets the entries after it, any other a snapshot, which may be large.
+// sendBeginTerm sends the beginning of this replica's term. A peer whose content is a prefix of the content that the
+// term began with gets the entries after that prefix. Any other peer gets a snapshot, which may be large.
 func (r *Replica) sendBeginTerm(name string, peer *peerState) {
 	begin := &schema.BeginTerm{Term: r.term}
 	switch {
@@ -65,12 +65,12 @@
 		begin.Base = peer.lastKnownVersion
 		begin.Entries = r.entries[begin.Base.Sequence-r.baseSequence:]
 	case !peer.versionReported && r.termStartVersion.Term != r.term && r.termStartVersion.Sequence >= r.baseSequence:
-		// A probe (etcd: StateProbe): what is known of the peer may be outdated. It either has the
-		// content that the term began with, or refuses and reports what it has, before a snapshot is sent.
+		// A probe (etcd: StateProbe), as what is known of the peer may be outdated: either the peer has the content
+		// that the term began with, or it refuses and reports its own version. That may make a snapshot unnecessary.
 		begin.Base = r.termStartVersion
 		begin.Entries = r.entries[begin.Base.Sequence-r.baseSequence:]
 	case peer.snapshotSentAt != 0 && r.now-peer.snapshotSentAt < r.config.HeartbeatTimeout && peer.sent != 0:
-		return // a snapshot may still be on its way
+		return // a snapshot may still be in flight
 	default:
 		begin.Snapshot = r.snapshot()
 		peer.snapshotSentAt = r.now
@@ -79,9 +79,9 @@
 	peer.sent = r.sequence
 }
 
-// isTermStartPrefix reports whether content of a version is a prefix of the content that this replica's term
-// began with, with the entries after it still retained. termStartVersion is of the leader's own term only after
-// the founders were bound, when nobody else has a prefix of it.
+// isTermStartPrefix reports whether the content with a version is a prefix of the content that this replica's term
+// began with, and the entries after that prefix are still retained. termStartVersion has the leader's own term only if
+// persistTermStart has bound founders; no other replica has a prefix of that content.
 func (r *Replica) isTermStartPrefix(version *schema.Version) bool {
 	start := r.termStartVersion
 	return version != nil &&
@@ -91,8 +91,8 @@
 		version.Sequence >= r.baseSequence
 }
 
-// onBeginTerm accepts the beginning of a leader's term, unless this replica voted in a higher one. A repeated message, or
-// one whose base is not the content here, is answered with what is here.
+// onBeginTerm accepts the beginning of a leader's term, unless this replica has voted in a higher one. If the message is
+// a repetition, or its base is not the content of this replica, the reply reports that content.
 func (r *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
 	if begin.Term < r.votedTerm {
 		if r.isExcluded() {
@@ -103,18 +103,19 @@
 		return
 	}
 	if begin.Term == r.term && (begin.Snapshot == nil || r.sequence >= begin.Snapshot.Sequence) {
-		r.ackDurable(from) // it has begun here already
+		r.ackDurable(from) // the term has already begun here
 		return
 	}
 	if begin.Snapshot == nil && (begin.Base.GetTerm() != r.term || begin.Base.GetSequence() != r.sequence) {
-		r.ackDurable(from) // the leader's guess was wrong: the reply reports the content here
+		r.ackDurable(from) // the leader assumed another base; the reply reports the content of this replica
 		return
 	}
 	r.installTermStart(from, begin)
 }
 
-// installTermStart follows the leader of a new term, whose base is the content here unless it sent a snapshot. The
-// leader gets its acknowledgement once the vote and the content are durable.
+// installTermStart makes this replica follow the leader of a new term. Unless the leader sent a snapshot, the base of
+// its message is the content of this replica. The leader gets the acknowledgement once the vote and the content are
+// durable.
 func (r *Replica) installTermStart(from string, begin *schema.BeginTerm) {
 	if r.role != roleFollower {
 		r.becomeFollower()
@@ -133,7 +134,7 @@
 	r.persist(record, r.ackOnceDurable(from))
 }
 
-// onAppendEntries appends entries that follow the content here, and advances the commit.
+// onAppendEntries appends the entries that follow the content of this replica, and advances the committed content.
 func (r *Replica) onAppendEntries(from string, request *schema.AppendEntries) {
 	if request.Term < r.votedTerm {
 		r.refuseAppend(from)
@@ -154,25 +155,25 @@
 	r.commitTo(request.Committed)
 }
 
-// refuseAppend refuses a leader of a term below this replica's vote.
+// refuseAppend refuses a leader whose term is lower than the term that this replica last voted in.
 func (r *Replica) refuseAppend(from string) {
 	r.send(from, appendReplyMessage(&schema.AppendReply{Refused: true, HigherTerm: r.votedTerm}))
 }
 
-// ackMessage acknowledges the whole content. It must not be sent before that is durable.
+// ackMessage returns an acknowledgement of the whole content. It must not be sent before that content is durable.
 func (r *Replica) ackMessage(to string) *schema.ReplicaMessage {
 	message := appendReplyMessage(&schema.AppendReply{Term: r.term, Sequence: r.sequence})
 	message.To = to
 	return message
 }
 
-// ackOnceDurable is a write whose completion acknowledges the content as it is now.
+// ackOnceDurable returns a pendingWrite that acknowledges the current content once the write is durable.
 func (r *Replica) ackOnceDurable(to string) pendingWrite {
 	return pendingWrite{messages: []*schema.ReplicaMessage{r.ackMessage(to)}}
 }
 
-// ackDurable acknowledges what is durable already and reports what is appended, in answer to a message that
-// brought nothing new or did not fit.
+// ackDurable acknowledges the content that is already durable and reports what is appended. It answers a message with
+// nothing new, or one that does not follow the content of this replica.
 func (r *Replica) ackDurable(to string) {
 	r.send(to, appendReplyMessage(&schema.AppendReply{
 		Term:     r.durableTerm,
@@ -181,7 +182,7 @@
 	}))
 }
 
-// onAppendReply handles a peer's answer to BeginTerm or AppendEntries.
+// onAppendReply handles a peer's reply to BeginTerm or AppendEntries.
 func (r *Replica) onAppendReply(from string, peer *peerState, isMember bool, reply *schema.AppendReply) {
 	if reply.Refused {
 		r.onAppendRefused(isMember, reply)
@@ -194,10 +195,10 @@
 		r.onTermNotBegun(from, peer, reply.Appended)
 		return
 	}
-	firstUnderTerm := peer.term != r.term // it has just acknowledged the term's beginning
+	firstUnderTerm := peer.term != r.term // this reply acknowledges the beginning of the term
 	peer.term, peer.acked = r.term, max(peer.acked, reply.Sequence)
 	r.advanceCommit()
-	// A new learner's or member's first entries need not wait for the next heartbeats.
+	// The first entries for a new learner or member need not wait for the next round of heartbeats.
 	if firstUnderTerm && peer.acked < r.sequence && r.role == roleLeader {
 		peer.sent = peer.acked
 		r.replicate(from, peer)
@@ -205,8 +206,8 @@
 	r.reconcileMembership()
 }
 
-// onAppendRefused gives up a term that a peer has voted above. A replica that is no member, and for which there
-// is no place, cannot depose the leader.
+// onAppendRefused makes a leader step down if a peer has voted in a higher term. A replica that is not a member cannot
+// depose the leader if the membership has no place for it.
 func (r *Replica) onAppendRefused(isMember bool, reply *schema.AppendReply) {
 	r.highestTerm = max(r.highestTerm, reply.HigherTerm)
 	mayJoin := isMember || len(r.membership.Members) < int(r.membership.TargetSize)
@@ -215,8 +216,8 @@
 	}
 }
 
-// onTermNotBegun handles the reply of a peer at which the term has not begun: it gets the beginning again, upon
-// the content that it reports. A repeated report changes nothing: that beginning is on its way.
+// onTermNotBegun handles the reply of a peer that lacks the beginning of the term: the leader sends it again, based on
+// the content that the peer reports. A repeated report is ignored, since that beginning has been sent already.
 func (r *Replica) onTermNotBegun(from string, peer *peerState, reported *schema.Version) {
 	if reported == nil || reported.Term == r.term {
 		return
@@ -229,11 +230,11 @@
 	}
 }
 
-// advanceCommit commits what a commit quorum has on disk under this replica's term, and completes the election
-// the first time that there is one.
+// advanceCommit commits what a commit quorum has on disk under this replica's term. The first commit of a term
+// completes the election.
 //
-// Invariant (thesis, section 3.6.2): only copies under the leader's own term are counted. Content of earlier
-// terms is committed with the beginning of this one, which includes it.
+// Invariant (thesis, section 3.6.2): only copies under the leader's own term are counted. Content of earlier terms is
+// committed together with the beginning of this term, which includes it.
 func (r *Replica) advanceCommit() {
 	if !r.leads() || r.durableTerm != r.term {
 		return
@@ -252,15 +253,15 @@
 	slices.Sort(durable)
 	sequence, term := r.committedSequence, r.committedTerm
 	r.commitTo(durable[len(durable)-needed])
-	// Followers show a change only once they know that it is committed, so they are notified at once.
+	// Followers make a change visible only once they know that it is committed, so they are notified at once.
 	if r.committedSequence != sequence || r.committedTerm != term {
 		r.replicateAll()
 		r.sendUrgentHeartbeats()
 	}
 }
 
-// durableSequences lists, for each member that has the term's beginning on disk, the highest sequence that it has
-// there; this replica's own comes first. A founder counts only once it is bound to its data folder.
+// durableSequences returns the highest sequence on disk for each member that has the beginning of the term on disk, this
+// replica first. A founder counts only once it is bound to its data folder.
 func (r *Replica) durableSequences() []uint64 {
 	durable := []uint64{r.durableSequence}
 	for _, member := range r.membership.Members {
@@ -270,7 +271,7 @@
 	}
 	if r.hasFault(faultCountLearners) {
 		for _, name := range r.learners() {
-			if learner := r.outsiders[name]; learner.term == r.term {
+			if learner := r.nonMembers[name]; learner.term == r.term {
 				durable = append(durable, learner.acked)
 			}
 		}
@@ -278,7 +279,8 @@
 	return durable
 }
 
-// resendUnacknowledged repeats, with each round of heartbeats, whatever a lost message may have delayed.
+// resendUnacknowledged resends, with each round of heartbeats, whatever has not been acknowledged: the messages that
+// carried it may have been lost.
 func (r *Replica) resendUnacknowledged() {
 	for _, name := range r.otherMembers {
 		peer := r.peers[name]
@@ -287,7 +289,7 @@
 		}
 		switch r.role {
 		case roleFollower:
-			// A follower has nothing under way.
+			// A follower waits for no acknowledgement.
 		case roleCandidate:
 			if peer.vote == nil && r.durableVotedTerm() >= r.votedTerm {
 				r.send(name, r.voteRequest(name))
@@ -304,21 +306,21 @@
 	}
 }
 
-// onSnapshotRequest sends the committed content to a member that the leader does not reach.
+// onSnapshotRequest sends the committed content to a member that the leader cannot reach.
 func (r *Replica) onSnapshotRequest(from string) {
 	if r.committedTerm != 0 {
 		r.send(from, snapshotReplyMessage(&schema.SnapshotReply{Snapshot: r.committedSnapshot()}))
 	}
 }
 
-// onSnapshotReply installs committed content that is newer than the content here.
+// onSnapshotReply installs committed content that is newer than the content of this replica.
 func (r *Replica) onSnapshotReply(snapshot *schema.Snapshot) {
 	version := &schema.Version{Term: snapshot.Term, Sequence: snapshot.Sequence}
 	if !r.isMember() || r.role != roleFollower || !config.Newer(version, r.lastVersion()) {
 		return
 	}
-	// Committed content is accepted even under a vote for a later term: a majority has it already, so that
-	// term's leader will read it too.
+	// Committed content is accepted even if this replica has voted in a later term: a majority has it, so the leader
+	// of that term will adopt it too.
 	if snapshot.Term > r.votedTerm {
 		r.recordVote(snapshot.Term, "")
 	}
--- a/internal/store/role.go
+++ b/internal/store/role.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// role is what a replica does in the current term. Only the become functions of this file set it.
+// role is the part that a replica plays in the current term. Only the become functions of this file change it.
 type role int
 
 const (
-	// roleFollower accepts entries of whoever leads. A replica that is no member is a follower too.
+	// roleFollower accepts entries from the leader. A replica that is no member is a follower too.
 	roleFollower role = iota
-	// roleCandidate asks a majority for votes for a term of its own.
+	// roleCandidate requests votes for a new term of its own.
 	roleCandidate
-	// roleLeaderElect has the votes and replicates its term's beginning, but decides nothing yet: the
-	// beginning is not on enough disks (in Raft: a leader before the first entry of its term commits).
+	// roleLeaderElect has the votes of a majority and replicates the beginning of its term. It admits no changes
+	// until a commit quorum has that beginning on disk (Raft: a leader before the first entry of its term commits).
 	roleLeaderElect
 	// roleLeader admits changes and answers reads.
 	roleLeader
 )
 
-// leads reports whether this replica replicates a term of its own.
+// leads reports whether this replica was elected in its term, and so replicates its content to the others.
 func (r *Replica) leads() bool { return r.role == roleLeaderElect || r.role == roleLeader }
 
-// becomeFollower gives up a campaign or leadership. Proposals and reads that wait are answered as
-// undecided: a later leader may still commit the proposals.
+// becomeFollower ends a campaign or leadership. Pending proposals and reads are answered as undecided: a later
+// leader may still commit the proposals.
 func (r *Replica) becomeFollower() {
 	r.role, r.roleSince = roleFollower, r.now
 	for _, id := range slices.Sorted(maps.Keys(r.pendingProposals)) {
@@ -39,49 +39,50 @@
 	r.pendingReads = nil
 }
 
-// becomeCandidate votes for this replica itself under a term of its own. The caller then campaigns.
+// becomeCandidate makes this replica vote for itself in a new term. The caller then calls campaign.
 func (r *Replica) becomeCandidate() {
 	r.becomeFollower()
 	r.role, r.roleSince = roleCandidate, r.now
-	r.recordVote(r.nextOwnTerm(), r.config.Name)
+	r.recordVote(r.nextCampaignTerm(), r.config.Name)
 	for _, peer := range r.peers {
 		peer.resetForTerm()
 	}
-	for _, outsider := range r.outsiders {
-		outsider.resetForTerm()
+	for _, nonMember := range r.nonMembers {
+		nonMember.resetForTerm()
 	}
 }
 
-// nextOwnTerm is the lowest term above all seen whose remainder by the number of members is this
-// member's index, so that two members seldom campaign for the same one.
-func (r *Replica) nextOwnTerm() uint64 {
+// nextCampaignTerm returns the term for this replica's next campaign, which is above every term seen. The term modulo
+// the number of members is this member's index, so that two members seldom campaign in the same term.
+func (r *Replica) nextCampaignTerm() uint64 {
 	members := uint64(len(r.membership.Members))
 	index := uint64(max(0, memberIndex(r.membership, r.config.Name)))
 	return (max(r.highestTerm, r.votedTerm)/members+1)*members + index
 }
 
-// becomeLeaderElect begins the term that a majority voted for, upon the content that this replica holds
-// now. The caller has adopted the newest content among the votes.
+// becomeLeaderElect begins the term that a majority voted for, with the current content of this replica. The caller
+// has adopted the newest content among the votes.
 func (r *Replica) becomeLeaderElect() {
 	r.role, r.roleSince = roleLeaderElect, r.now
 	r.termStartVersion = r.lastVersion()
 	r.term = r.votedTerm
 }
 
-// becomeLeader completes an election: the term's beginning is durable at a commit quorum. roleSince
-// stays at the time of the election; no deadline of a leader depends on it.
+// becomeLeader completes an election once the beginning of the term is durable at a commit quorum. roleSince remains
+// the time of the election; no deadline of a leader depends on it.
 func (r *Replica) becomeLeader() { r.role = roleLeader }
 
-// recordVote votes for a candidate in a term. Invariant: votedTerm never falls, and within one term votedFor
-// changes at most to the replica that was elected in it. The caller persists the vote before it is sent.
+// recordVote votes for a candidate in a term. The caller persists the vote before it is sent.
+//
+// Invariant: votedTerm never decreases, and within one term votedFor changes at most to the replica that was elected
+// in that term.
 func (r *Replica) recordVote(term uint64, candidate string) {
 	r.votedTerm, r.votedFor = term, candidate
 	r.highestTerm = max(r.highestTerm, term)
 }
 
-// durableVotedTerm is a bound on the terms that this replica's votes on disk exclude: every vote up to it is
-// durable. Votes are cast in ascending terms and written in order, so all below the first that still
-// waits to be written are on disk.
+// durableVotedTerm returns a term such that every vote of this replica in that term or an earlier one is durable. Votes
+// are cast in ascending terms and written in order, so all votes before the first pending one are on disk.
 func (r *Replica) durableVotedTerm() uint64 {
 	for _, write := range r.pendingWrites {
 		if write.votedTerm != 0 {
--- a/internal/store/seeded_fault.go
+++ b/internal/store/seeded_fault.go
@@ -1,25 +1,25 @@
 package store
 
-// seededFault is a deliberate fault in a replica (a mutation). Tests switch one on to show that their checks detect
-// it; the programs leave it at 0, none.
+// seededFault is a deliberate fault in a replica, as in mutation testing. Tests enable one to verify that their checks
+// detect it. In the programs it is always 0, which means none.
 type seededFault int
 
 const (
-	// faultLocalRead lets the leader answer a read index without confirmation by a majority.
+	// faultLocalRead makes the leader answer a read index without confirmation by a majority.
 	faultLocalRead seededFault = iota + 1
-	// faultFoundersQuorum commits with the quorum of the founders alone, however many members there are.
+	// faultFoundersQuorum makes a leader commit with a majority of faultFounderCount, regardless of the number of members.
 	faultFoundersQuorum
-	// faultCountLearners counts learners' copies for a commit.
+	// faultCountLearners makes a leader count the copies at learners for the commit.
 	faultCountLearners
-	// faultStaleLeader lets a candidate begin its term without the newer content that a voter sent it.
+	// faultStaleLeader makes a candidate begin its term without adopting the newer content that a voter sent.
 	faultStaleLeader
-	// faultEarlyAcknowledgement acknowledges entries to the leader before they are durable.
+	// faultEarlyAcknowledgement makes a follower acknowledge entries to the leader before they are durable.
 	faultEarlyAcknowledgement
-	// faultIgnoresExclusion lets a replica count itself as a member by an entry that a later leader discarded.
+	// faultIgnoresExclusion makes a replica count itself as a member by an entry that a later leader discarded.
 	faultIgnoresExclusion
 )
 
-// faultFounderCount is the number of founders that faultFoundersQuorum counts with.
+// faultFounderCount is the number of founders that faultFoundersQuorum assumes.
 const faultFounderCount = 3
 
 // hasFault reports whether a fault is seeded in this replica.
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// The replicated content: replay, append, snapshot and commit.
+// This file holds the replicated content: replay, append, snapshot and commit.
 
 // replayRecord applies a record read back from the log.
 func (r *Replica) replayRecord(record *schema.Record) {
@@ -29,7 +29,7 @@
 	r.term = max(r.term, record.Term)
 }
 
-// restoreSnapshot replaces the content by that of a snapshot.
+// restoreSnapshot replaces the content with that of a snapshot, which becomes the base content too.
 func (r *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
 	r.term, r.sequence = snapshot.Term, snapshot.Sequence
 	r.state = config.State{}.With(snapshot.Items)
@@ -45,8 +45,8 @@
 	r.applyMembership()
 }
 
-// recordOutcome remembers the outcome of a change id, so that a repeat of it gets the same answer; beyond
-// MaxOutcomes the oldest ids are forgotten.
+// recordOutcome stores the outcome of a change id, so that a repeated proposal gets the same answer. Beyond
+// MaxOutcomes the oldest ids are dropped.
 func (r *Replica) recordOutcome(outcome *schema.ChangeOutcome) {
 	if _, exists := r.outcomes[outcome.ChangeId]; !exists {
 		r.outcomeOrder = append(r.outcomeOrder, outcome.ChangeId)
@@ -58,8 +58,8 @@
 	}
 }
 
-// appendEntry appends the entry that follows sequence, and applies it at once: the content is what is
-// appended, the committed content is kept apart.
+// appendEntry appends the entry after the last sequence and applies it to the content at once. The committed
+// content is kept separately; see commitTo.
 func (r *Replica) appendEntry(entry *schema.Entry) {
 	r.entries = append(r.entries, entry)
 	r.sequence = entry.Version.Sequence
@@ -86,22 +86,22 @@
 	return appended
 }
 
-// lastVersion names the content of this replica.
+// lastVersion returns the version that identifies the content of this replica.
 func (r *Replica) lastVersion() *schema.Version {
 	return &schema.Version{Term: r.term, Sequence: r.sequence}
 }
 
-// nextVersion is the version of the leader's next entry.
+// nextVersion returns the version of the leader's next entry.
 func (r *Replica) nextVersion() *schema.Version {
 	return &schema.Version{Term: r.term, Sequence: r.sequence + 1}
 }
 
-// versionText is a version as part of the ids of the leader's own changes.
+// versionText formats a version for the ids of changes that the leader itself proposes.
 func versionText(version *schema.Version) string {
 	return fmt.Sprintf("%d-%d", version.Term, version.Sequence)
 }
 
-// snapshot is the content of this replica, committed or not.
+// snapshot returns the whole content of this replica, committed or not.
 func (r *Replica) snapshot() *schema.Snapshot {
 	snapshot := &schema.Snapshot{
 		Term:       r.term,
@@ -115,7 +115,7 @@
 	return snapshot
 }
 
-// committedSnapshot is the committed content, without outcomes of later sequences.
+// committedSnapshot returns the committed content; it leaves out the outcomes of later sequences.
 func (r *Replica) committedSnapshot() *schema.Snapshot {
 	snapshot := &schema.Snapshot{
 		Term:       r.committedTerm,
@@ -131,18 +131,18 @@
 	return snapshot
 }
 
-// commitTo advances the committed content. The caller guarantees that everything up to sequence is committed
-// under this replica's term; a sequence beyond the content is cut down to it.
+// commitTo advances the committed content to a sequence, at most to the end of the content. The caller guarantees
+// that everything up to that sequence is committed under this replica's term.
 func (r *Replica) commitTo(sequence uint64) {
 	sequence = min(sequence, r.sequence)
 	alreadyCommitted := sequence <= r.committedSequence && r.committedTerm == r.term
-	// States below baseSequence are not retained, so after a snapshot was installed nothing can be shown until the
-	// committed sequence reaches the snapshot's.
+	// States below baseSequence are not retained. So after a snapshot is installed, the committed content cannot
+	// advance until the committed sequence reaches the snapshot's.
 	if sequence < r.baseSequence || alreadyCommitted || sequence < r.committedSequence {
 		return
 	}
-	// The committed content grows by the entries since. Where the retained ones do not follow it, or it is of another
-	// term, it is made anew from the base content, up to which all is committed too.
+	// The entries after the committed content are applied to it. If some of them are no longer retained, or the
+	// committed content is of another term, it is rebuilt from the base content, all of which is committed by now.
 	state, membership, from := r.committedState, r.committedMembership, r.committedSequence
 	if from < r.baseSequence || r.committedTerm != r.term {
 		state, membership, from = r.baseState, r.baseMembership, r.baseSequence
@@ -160,8 +160,8 @@
 	r.answerCommittedProposals()
 }
 
-// compactEntries moves committed entries beyond MaxEntries into the base state. It acts only once twice as many
-// are retained, so that the cost of copying is spread over MaxEntries appends.
+// compactEntries moves committed entries into the base content, except for the last MaxEntries entries. It acts only
+// once 2*MaxEntries are retained, which spreads the cost of copying over MaxEntries appends.
 func (r *Replica) compactEntries() {
 	if len(r.entries) < 2*r.config.MaxEntries {
 		return
@@ -178,8 +178,8 @@
 	r.baseState, r.baseSequence = r.baseState.With(items), compactTo
 }
 
-// effectBetween returns what the retained entries above one sequence and up to another write: their items, and the
-// last membership, nil if they do not change it.
+// effectBetween returns what the retained entries after the sequence above, up to and including upTo, write: their
+// items in order, and their last membership, or nil if none of them changes it.
 func (r *Replica) effectBetween(above, upTo uint64) (items []*schema.Item, membership *schema.Membership) {
 	for _, entry := range r.entries {
 		if entry.Version.Sequence <= above || entry.Version.Sequence > upTo {
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -5,7 +5,7 @@
 	"meadowhinge/schema"
 )
 
-// Stages of an entry at one replica, as indices of Progress.
+// These are the stages that an entry goes through at one replica, as indices into the result of Progress.
 const (
 	stageAppended = iota
 	stageDurable
@@ -13,11 +13,11 @@
 	stageCount
 )
 
-// Committed returns the committed sequence and state, the only ones that may be shown outside. The state is
-// never changed afterwards.
+// Committed returns the committed sequence and state, the only ones that may be shown outside. The returned state is
+// never modified.
 func (r *Replica) Committed() (uint64, config.State) { return r.committedSequence, r.committedState }
 
-// CommittedOutcome returns the outcome of a change id, if it is committed as far as this replica knows.
+// CommittedOutcome returns the outcome of a change id, and whether this replica has it and knows that it is committed.
 func (r *Replica) CommittedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
 	outcome, found := r.outcomes[changeID]
 	if !found || outcome.Version.Sequence > r.committedSequence {
@@ -26,15 +26,15 @@
 	return outcome, true
 }
 
-// AppendedOutcome returns the outcome of a change id whether or not it is committed; an uncommitted one
-// may still be discarded by a later leader.
+// AppendedOutcome returns the outcome of a change id, committed or not, and whether this replica has one. A later leader
+// may still discard an uncommitted outcome.
 func (r *Replica) AppendedOutcome(changeID string) (*schema.ChangeOutcome, bool) {
 	outcome, found := r.outcomes[changeID]
 	return outcome, found
 }
 
-// Members lists the committed members, with the addresses by which others find them; nil where an operator
-// fixes the list (Config.StaticMembers), since everyone then has it already. The result is read-only.
+// Members returns the committed members with their addresses. It returns nil if the operator fixes the list
+// (Config.StaticMembers), as every replica then has the list from its settings. The result is read-only.
 func (r *Replica) Members() []*schema.CoreMember {
 	if len(r.config.StaticMembers) > 0 {
 		return nil
@@ -42,7 +42,7 @@
 	return r.committedMembership.Members
 }
 
-// Progress returns the last sequence in each stage, in this order: appended, durable, committed.
+// Progress returns the last sequence that has reached each stage, in this order: appended, durable, committed.
 func (r *Replica) Progress() [stageCount]uint64 {
 	return [stageCount]uint64{
 		stageAppended:  r.sequence,
@@ -51,8 +51,7 @@
 	}
 }
 
-// Status is the replica as shown to operators. StalenessKnown, StalenessNanos and RefusedPeers are the
-// Server's to fill in.
+// Status returns the status shown to operators. Server sets StalenessKnown, StalenessNanos and RefusedPeers.
 func (r *Replica) Status() *schema.ReplicaStatus {
 	return &schema.ReplicaStatus{
 		Replica:    r.config.Name,
@@ -71,6 +70,6 @@
 	}
 }
 
-// Addresses returns where each other replica was last heard from, or is reported to be, by name. It is the
-// replica's own map: the caller reads it before the next step and does not change it.
+// Addresses returns, by replica name, the address that each other replica last sent or that a membership lists for it.
+// The caller must not modify the map or use it after the next step.
 func (r *Replica) Addresses() map[string]string { return r.addresses }
--- a/internal/store/step.go
+++ b/internal/store/step.go
@@ -6,14 +6,15 @@
 	"meadowhinge/schema"
 )
 
-// Step handles a message from another replica. The owner has authenticated message.From. A message for
-// another replica, as may come where replicas look for each other at every seed, is ignored.
+// Step handles a message from another replica and returns the actions that follow. The owner has authenticated
+// message.From. A message addressed to another replica is ignored: a sender that does not know where a replica runs
+// sends to every seed.
 func (r *Replica) Step(now time.Duration, message *schema.ReplicaMessage) []Action {
 	r.beginStep(now)
 	if message.To != r.config.Name || message.From == r.config.Name {
 		return nil
 	}
-	// The address is learned of any authenticated replica, member or not: a learner must be answered too.
+	// The address of every authenticated replica is stored, member or not: a learner must be answered too.
 	if message.Address != "" {
 		r.addresses[message.From] = message.Address
 	}
@@ -22,7 +23,7 @@
 	return r.actions
 }
 
-// dispatchMessage calls the handler of a message's type. peer and isMember are those of trackSender.
+// dispatchMessage calls the handler for the kind of a message. peer and isMember are the results of trackSender.
 func (r *Replica) dispatchMessage(message *schema.ReplicaMessage, peer *peerState, isMember bool) {
 	from := message.From
 	switch body := message.Body.(type) {
--- a/internal/store/tick.go
+++ b/internal/store/tick.go
@@ -6,20 +6,22 @@
 	"time"
 )
 
-// Tick lets time pass. The owner calls it at NextTickAt at the latest; calling it sooner does no harm.
+// Tick acts on the deadlines that have passed and returns the actions that follow. The owner calls it at NextTickAt at
+// the latest; an earlier call is harmless.
 func (r *Replica) Tick(now time.Duration) []Action {
 	r.beginStep(now)
 	r.tick()
 	return r.actions
 }
 
+// tick is Tick within a step that has begun.
 func (r *Replica) tick() {
 	r.expireForwarded()
 	if !r.isMember() {
-		r.tickOutsider()
+		r.tickNonMember()
 		return
 	}
-	// A leader that reaches no majority, or whose disk stalls, gives up leadership.
+	// A candidate or leader that reaches no majority, or whose disk stalls, steps down.
 	if r.role != roleFollower && !r.reachesMajority(r.config.Name) {
 		r.becomeFollower()
 	}
@@ -40,8 +42,8 @@
 	}
 }
 
-// tickOutsider lets a replica that is no member bootstrap a core or ask to join one.
-func (r *Replica) tickOutsider() {
+// tickNonMember is the tick of a replica that is no member: it bootstraps a core or asks to join one.
+func (r *Replica) tickNonMember() {
 	if r.role != roleFollower {
 		r.becomeFollower()
 	}
@@ -52,8 +54,8 @@
 	}
 }
 
-// expireForwarded answers forwarded requests as undecided whose leader has lost leadership or has not
-// answered within the heartbeat timeout. The registry retries under the same change id, which is safe.
+// expireForwarded answers a forwarded request as undecided if its leader has lost leadership or has not answered
+// within the heartbeat timeout. The registry retries under the same change id, which is safe.
 func (r *Replica) expireForwarded() {
 	leader := r.leader()
 	for _, ticket := range slices.Sorted(maps.Keys(r.forwardedRequests)) {
@@ -70,9 +72,9 @@
 	}
 }
 
-// NextTickAt returns when Tick is next needed if no other event comes before. It has one line for each
-// deadline that tick acts upon; a deadline added there must be added here, unless it may wait for the next
-// round of heartbeats (as the removal of an unresponsive member does).
+// NextTickAt returns the time, on the replica's clock, at which Tick is next needed if no other event comes before.
+// It considers every deadline that tick acts on. A deadline added there must be added here too, unless it may wait for
+// the next round of heartbeats, as the removal of an unresponsive member does.
 func (r *Replica) NextTickAt() time.Duration {
 	timeout := r.config.HeartbeatTimeout
 	next := r.heartbeatSentAt + r.heartbeatInterval()
--- a/internal/store/tombstones.go
+++ b/internal/store/tombstones.go
@@ -5,23 +5,26 @@
 	"meadowhinge/schema"
 )
 
-// Tombstones of deleted items are purged by a change of the leader's own, once every member has them on disk.
+// This file purges the tombstones of deleted items. The leader proposes a purge as a change of its own, and only for
+// tombstones that every member has on disk.
 
-// purgeDivisor makes, of MaxEntries, the number of commits between two looks for tombstones and the number of
-// plain tombstones that may stay; and, of MaxOperatorTombstones, the number purged beyond the excess, so that not
-// every new tombstone takes a purge.
+// purgeDivisor divides two limits:
+//   - MaxEntries, into the number of commits between two checks for tombstones. It is also the number of tombstones
+//     without an operator version at which these are purged.
+//   - MaxOperatorTombstones, into the number of tombstones with an operator version that a purge removes beyond the
+//     excess, so that not every new tombstone causes a purge.
 const purgeDivisor = 4
 
-// purgeTombstones proposes a purge if enough tombstones have gathered. A replica that lags behind the purge gets a
-// snapshot, so no deleted item comes back. Tombstones that bear an operator version stay until there are too many:
-// without them an older order for the same item would pass for a new one.
+// purgeTombstones proposes a purge if there are enough tombstones. A replica that lags behind the purge gets a snapshot,
+// so no deleted item comes back. Tombstones with an operator version are kept until there are too many of them: without
+// its tombstone, an outdated change of an item would be taken for a new one.
 func (r *Replica) purgeTombstones() {
 	threshold := uint64(max(1, r.config.MaxEntries/purgeDivisor))
 	if r.role != roleLeader || r.committedSequence < r.nextPurgeSequence {
 		return
 	}
 	r.nextPurgeSequence = r.committedSequence + threshold
-	purgeTo, allBegun := r.durableEverywhere()
+	purgeTo, allBegun := r.durableAtAllMembers()
 	if !allBegun {
 		return
 	}
@@ -35,9 +38,9 @@
 	r.admit(r.purgeChange(config.NewPurgeItem(purgeTo, operatorPurgeTo)))
 }
 
-// durableEverywhere is the highest committed sequence that every member has on disk; false while a member has not
-// acknowledged the beginning of this term.
-func (r *Replica) durableEverywhere() (sequence uint64, allBegun bool) {
+// durableAtAllMembers returns the highest committed sequence that every member has on disk. allBegun is false while a
+// member has not acknowledged the beginning of this term; the sequence is then not known.
+func (r *Replica) durableAtAllMembers() (sequence uint64, allBegun bool) {
 	sequence = r.committedSequence
 	for _, name := range r.otherMembers {
 		peer := r.peers[name]
@@ -49,8 +52,8 @@
 	return sequence, true
 }
 
-// operatorPurgeTarget is the sequence up to which tombstones with an operator version should go, given their
-// sequences in ascending order: as far as purged before, or far enough that MaxOperatorTombstones hold.
+// operatorPurgeTarget returns the sequence up to which tombstones with an operator version should be purged, given their
+// sequences in ascending order. It is the last purged sequence if at most MaxOperatorTombstones are retained.
 func (r *Replica) operatorPurgeTarget(sequences []uint64) uint64 {
 	purged := r.committedState.OperatorVersionedPurgedUpTo()
 	limit := r.config.MaxOperatorTombstones
@@ -61,7 +64,7 @@
 	return max(purged, sequences[excess-1])
 }
 
-// purgeChange is the change that writes a purge item, with an id that no other change has.
+// purgeChange returns a change that writes a purge item, under an id that no other change has.
 func (r *Replica) purgeChange(item *schema.Item) *schema.Change {
 	change := &schema.Change{Id: "purge-" + versionText(r.nextVersion()), Items: []*schema.Item{item}}
 	if existing := r.state[config.Key(item.Kind, item.Name)]; existing != nil {
--- a/internal/store/tombstones_test.go
+++ b/internal/store/tombstones_test.go
@@ -9,8 +9,9 @@
 	"meadowhinge/schema"
 )
 
-// Operator versions never fall: tombstones that bear one stay, and bar older orders, until there are too many.
-func TestOperatorVersionTombstones(t *testing.T) {
+// An operator version never decreases: tombstones with one are retained, and block outdated changes, until there are too
+// many of them.
+func TestOperatorVersionTombstonesAreRetained(t *testing.T) {
 	c := newFoundedCore(1)
 	serial := 0
 	propose := func(name string, version uint64, deleted bool) {
@@ -22,9 +23,9 @@
 			item.Body = []byte(`{"salt":""}`)
 		}
 		change := &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}
-		c.act("b", c.replicas["b"].Propose(c.now, &schema.Proposal{Ticket: id, Change: change}))
+		c.execute("b", c.replicas["b"].Propose(c.now, &schema.Proposal{Ticket: id, Change: change}))
 		if got := c.replies[id]; got.GetOutcome().GetRuling() != schema.Ruling_RULING_ACCEPTED {
-			t.Fatalf("%s: %v", id, got)
+			t.Fatalf("Propose(%q) of %s under operator version %d got reply %v, want it accepted", id, name, version, got)
 		}
 	}
 	maxTombstones := testConfig("a").MaxOperatorTombstones
@@ -39,7 +40,7 @@
 	_, state := c.replicas["c"].Committed()
 	for i := range maxTombstones {
 		if item := state[config.Key("segment", fmt.Sprint("s", i))]; item == nil || !item.Deleted || item.OperatorVersion != 7 {
-			t.Errorf("s%d: %v", i, item)
+			t.Errorf("s%d after an outdated change = %v, want a tombstone of operator version 7", i, item)
 		}
 	}
 	for i := range 2 * maxTombstones {
@@ -47,7 +48,7 @@
 		c.advance(100 * time.Millisecond)
 	}
 	_, state = c.replicas["c"].Committed()
-	if _, dropped := state.Tombstones(); len(dropped) > maxTombstones+maxTombstones/2 {
-		t.Errorf("%d tombstones are retained", len(dropped))
+	if _, tombstones := state.Tombstones(); len(tombstones) > maxTombstones+maxTombstones/2 {
+		t.Errorf("%d tombstones with an operator version are retained, want at most %d", len(tombstones), maxTombstones+maxTombstones/2)
 	}
 }
