--- a/internal/store/disk_writer.go
+++ b/internal/store/disk_writer.go
@@ -10,20 +10,21 @@
 	"meadowhinge/schema"
 )
 
-// retriesPerStallTimeout divides the stall timeout into the pause between two attempts at a disk that fails.
+// retriesPerStallTimeout divides the stall timeout into the delay before each retry on a failing disk.
 const retriesPerStallTimeout = 8
 
-// Log is a write-ahead log as the server uses it; FileLog is the one of the programs. Only one goroutine uses it at
-// a time.
+// Log is the write-ahead log that the server uses; FileLog is the implementation in the programs. It is used by one
+// goroutine at a time.
 type Log interface {
-	// Write returns once the records are durable. With replacesLog the last of them is complete by itself,
-	// and those before it may be dropped. After an error only a Write with replacesLog can succeed.
+	// Write appends records and returns once they are durable. With replacesLog the last of them is complete by
+	// itself, and earlier ones may be dropped. After an error only a Write with replacesLog can succeed.
 	Write(records []*schema.Record, replacesLog bool) error
+	// Close releases the log. Records that were written stay durable.
 	Close() error
 }
 
-// openLogWithRetry opens the log and returns its records, at least one. It retries until the disk lets it; its only
-// error is that of ctx.
+// openLogWithRetry opens the log and returns its records, of which there is at least one. It retries until it succeeds
+// or ctx ends; the only error is that of ctx.
 func openLogWithRetry(
 	ctx context.Context, log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log,
 ) (Log, []*schema.Record, error) {
@@ -42,13 +43,13 @@
 	}
 }
 
-// openOrCreateLog opens the log, and writes the initial record of an empty data folder under a new incarnation. A
-// corrupt log is moved aside first: the replica then starts empty and is restored from the other members.
+// openOrCreateLog opens the log. If the data folder is empty, it writes the initial record with a new incarnation. A
+// corrupt log is first moved aside: the replica then starts empty and is restored from the other members.
 func openOrCreateLog(log logr.Logger, opts *schema.StoreOptions, cfg Config, wrapLog func(Log) Log) (Log, []*schema.Record, error) {
 	opened, records, err := Open(opts.Data)
 	if err != nil && errs.CodeOf(err) == errs.DiskCorrupt {
 		log.Error(err, "replica log is corrupt, moving it aside and restoring from the other members", "dataDir", opts.Data)
-		if err = SetAside(opts.Data); err == nil {
+		if err = QuarantineLog(opts.Data); err == nil {
 			opened, records, err = Open(opts.Data)
 		}
 	}
@@ -66,8 +67,8 @@
 	return recordLog, records, nil
 }
 
-// writeLoop is the disk writer: it makes records durable in order until ctx ends. Records that gather during one
-// write go into the next together, so the rate of syncs does not limit the rate of changes.
+// writeLoop is the disk writer: it makes records durable in order until ctx ends. Records that arrive during one write
+// are written together by the next (group commit), so the rate of syncs does not limit the rate of changes.
 func (s *Server) writeLoop(ctx context.Context, recordLog Log) {
 	for {
 		select {
@@ -85,8 +86,8 @@
 	}
 }
 
-// writeBatch writes a batch and reports to the replica what is durable. A write that replaces the log makes those
-// before it superfluous, so each such write ends a group that is written at once. It returns false if ctx ended.
+// writeBatch writes a batch and reports to the replica what is durable. The batch is split after each record that
+// replaces the log, as only the last record of a Log.Write can do so. It returns false if ctx ended.
 func (s *Server) writeBatch(ctx context.Context, recordLog Log, batch []Persist) bool {
 	var records []*schema.Record
 	for i, write := range batch {
@@ -104,8 +105,8 @@
 	return true
 }
 
-// rewriteSnapshot writes a complete snapshot to a log whose last write failed, and tries until it succeeds. It
-// returns false if ctx ended.
+// rewriteSnapshot writes a complete snapshot to a log whose last write failed. It retries until it succeeds, or returns
+// false if ctx ended.
 func (s *Server) rewriteSnapshot(ctx context.Context, recordLog Log) bool {
 	for {
 		s.step(s.diskFailed)
@@ -122,10 +123,11 @@
 	}
 }
 
+// diskFailed is the event that reports a failed write to the replica.
 func (s *Server) diskFailed(now time.Duration) []Action { return s.replica.DiskFailed(now) }
 
-// takeSnapshotWrite has the replica write a snapshot in place of everything that waits to be written, and takes that
-// write out of the queue.
+// takeSnapshotWrite replaces the queue of pending writes with a snapshot of the replica, and takes that write out of the
+// queue.
 func (s *Server) takeSnapshotWrite() Persist {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -20,20 +20,20 @@
 	"meadowhinge/schema"
 )
 
-// The golden folders are the data folders of members as an earlier release wrote them. A release must go on from the
-// folder of the one before, and the other way round, so they are never written anew. Under git their files end in .golden,
-// as *.log is ignored there.
+// The golden folders are data folders of members as an earlier release wrote them. Each release must be able to continue
+// from the folders of the previous one, and the previous one from those of the new one, so the golden folders are never
+// regenerated. In git their files end in .golden, since *.log is ignored.
 //
-//   - member-a, member-b, member-d: a core of founders a, b and c, where d replaced c. It has a rollout under way, and
-//     the log of a has a snapshot, entries after it, votes and a later term.
-//   - born: a single founder with its initial record only.
-//   - torn: that founder later, with two records in one frame and a torn last frame.
+//   - member-a, member-b, member-d: a core of the founders a, b and c, in which d has replaced c, during a rollout. The
+//     log of a has a snapshot, entries after it, votes and a later term.
+//   - born: a single founder with only its initial record.
+//   - torn: the same founder later, with two records in one frame and a torn last frame.
 const (
 	goldenFolder = "testdata/golden"
 	goldenSuffix = ".golden"
 )
 
-// dump writes a message by its field numbers, so that no renaming shows in it.
+// dump writes a message as text by its field numbers, so that renaming a field does not change the text.
 func dump(to *strings.Builder, indent string, message protoreflect.Message) {
 	fields := message.Descriptor().Fields()
 	var numbers []int
@@ -72,6 +72,7 @@
 	}
 }
 
+// dumpRecords returns the text of records as in the golden .txt files.
 func dumpRecords(records []*schema.Record) string {
 	text := &strings.Builder{}
 	for _, record := range records {
@@ -81,7 +82,7 @@
 	return text.String()
 }
 
-// Every record of the golden logs is read with the contents that it was written with.
+// Every record of the golden logs is read with the content that was written.
 func TestGoldenRecords(t *testing.T) {
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
@@ -91,46 +92,49 @@
 				t.Fatal(err)
 			}
 			if got := dumpRecords(records); got != string(want) {
-				t.Errorf("records are\n%s\nwant\n%s", got, want)
+				t.Errorf("records of %s are\n%s\nwant\n%s", name, got, want)
 			}
 		})
 	}
 }
 
-// goldenFrames parses a log file by its bytes alone, without the code under test.
+// goldenFrames parses a log file independently of the code under test. It returns the bodies of the frames, and the bytes
+// after the last complete one.
 func goldenFrames(t *testing.T, data []byte) (bodies [][]byte, rest []byte) {
 	t.Helper()
 	for len(data) >= 20 {
 		if string(data[:4]) != "mhw1" {
-			t.Fatalf("a frame begins with %q", data[:4])
+			t.Fatalf("frame %d begins with %q, want \"mhw1\"", len(bodies)+1, data[:4])
 		}
 		length := int(binary.LittleEndian.Uint32(data[4:]))
 		if len(data)-20 < length {
 			break
 		}
 		if frameNumber := binary.LittleEndian.Uint64(data[8:]); frameNumber != uint64(len(bodies)+1) {
-			t.Fatalf("frame %d has the number %d", len(bodies)+1, frameNumber)
+			t.Fatalf("frame has the number %d, want %d", frameNumber, len(bodies)+1)
 		}
 		sum := crc32.Update(crc32.ChecksumIEEE(data[4:16]), crc32.IEEETable, data[20:20+length])
 		if sum != binary.LittleEndian.Uint32(data[16:]) {
-			t.Fatalf("frame %d has another checksum", len(bodies)+1)
+			t.Fatalf("frame %d has the checksum %#x, want %#x", len(bodies)+1, binary.LittleEndian.Uint32(data[16:]), sum)
 		}
 		bodies, data = append(bodies, data[20:20+length]), data[20+length:]
 	}
 	return bodies, data
 }
 
-// The same records are written as the same bytes, so that the release before can read what this one writes.
+// The records of the golden logs are written as the same bytes again, so that the previous release can read what this
+// one writes.
 func TestGoldenFrames(t *testing.T) {
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
 			for file, data := range readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix) {
 				bodies, rest := goldenFrames(t, data)
 				if torn := name == "torn"; torn != (len(rest) > 0) || len(bodies) == 0 {
-					t.Fatalf("%s has %d frames and %d bytes more", file, len(bodies), len(rest))
+					t.Fatalf("%s has %d frames and %d bytes after them; want a frame or more, and bytes after them: %t",
+						file, len(bodies), len(rest), torn)
 				}
 				folder := t.TempDir()
-				disk, _, err := Open(folder)
+				log, _, err := Open(folder)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -139,16 +143,16 @@
 					if err := proto.Unmarshal(body, group); err != nil {
 						t.Fatal(err)
 					}
-					if err := disk.Write(group.Records, false); err != nil {
+					if err := log.Write(group.Records, false); err != nil {
 						t.Fatal(err)
 					}
 				}
-				if err := disk.Close(); err != nil {
+				if err := log.Close(); err != nil {
 					t.Fatal(err)
 				}
 				written := readFolder(t, folder, "")
 				if got := written["setup-000000000001.log"]; len(written) != 1 || !bytes.Equal(got, data[:len(data)-len(rest)]) {
-					t.Errorf("%s is rewritten as %d bytes in %v, want %d",
+					t.Errorf("%s is rewritten as %d bytes in the files %v, want the same %d bytes in one file",
 						file, len(got), slices.Collect(maps.Keys(written)), len(data)-len(rest))
 				}
 			}
@@ -156,26 +160,27 @@
 	}
 }
 
-// The same steps write the same files. A change that alters on purpose what a member does may replace the steps here; the
-// golden folders stay, since members in use have such folders.
-func TestGoldenSteps(t *testing.T) {
+// The recorded steps write the files of the golden folders. A change that alters the behaviour of a member on purpose may
+// replace this test's steps. The golden folders stay, since members in production have such folders.
+func TestGoldenStepsWriteSameFiles(t *testing.T) {
 	root := t.TempDir()
 	writeGoldenCore(t, root)
-	writeGoldenLone(t, root)
+	writeGoldenSingle(t, root)
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
 			got := readFolder(t, filepath.Join(root, name), "")
 			want := readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix)
 			if !maps.EqualFunc(got, want, bytes.Equal) {
-				t.Errorf("%v are written, and differ from the golden %v", slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
+				t.Errorf("the files written, %v, differ from the golden ones, %v, in name or content",
+					slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
 			}
 		})
 	}
 }
 
-// The state that a member's records restore: its term and vote, the membership, every item with its versions, the
-// tombstones, and the progress of the rollout.
-func TestGoldenReplica(t *testing.T) {
+// The records of a golden log restore the state of the member: its term and vote, the membership, every item with its
+// versions, the tombstones, and the progress of the rollout.
+func TestGoldenRecordsRestoreState(t *testing.T) {
 	const items = "flag/release.shop 9.13 given 0 by ramp; progress/shop 9.13 given 0 by ramp; release/shop 3.9 given 0 by release; route/buy 3.1 given 0 by shop; " +
 		"segment/old 3.4 given 8 by dropped-given deleted; segment/plain 3.11 given 0 by dropped-plain deleted; segment/testers 3.2 given 5 by given; service/shop 3.1 given 0 by shop"
 	for _, want := range []struct {
@@ -188,30 +193,31 @@
 	}{
 		{"member-a", 11, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
 		{"member-b", 12, true, 9, 9, 13, "a", "a/11 b/12 d/14 of 3 since 3.8", items},
-		// It installed committed state of a later term, in which it had not voted.
+		// This member installed a committed snapshot of a later term, in which it had not voted.
 		{"member-d", 14, false, 9, 9, 13, "", "a/11 b/12 d/14 of 3 since 3.8", items},
 		{"born", 21, true, 0, 0, 0, "", "l/0 of 1 since 0.0", ""},
 		{"torn", 21, true, 1, 1, 2, "l", "l/21 of 1 since 1.0", "segment/one 1.1 given 0 by one; segment/two 1.2 given 0 by two"},
 	} {
 		t.Run(want.name, func(t *testing.T) {
 			_, records, _ := openGolden(t, want.name)
-			s := NewReplica(goldenConfig(strings.TrimPrefix(want.name, "member-")), 0, records)
-			if s.incarnation != want.incarnation || s.founder != want.founder {
-				t.Errorf("incarnation %d, founder %t", s.incarnation, s.founder)
+			replica := NewReplica(goldenConfig(strings.TrimPrefix(want.name, "member-")), 0, records)
+			if replica.incarnation != want.incarnation || replica.founder != want.founder {
+				t.Errorf("incarnation %d, founder %t; want %d, %t", replica.incarnation, replica.founder, want.incarnation, want.founder)
 			}
-			if s.term != want.term || s.votedTerm != want.voted || s.votedFor != want.votedFor || s.sequence != want.length {
-				t.Errorf("term %d, voted for %q in %d, sequence %d", s.term, s.votedFor, s.votedTerm, s.sequence)
+			if replica.term != want.term || replica.votedTerm != want.voted || replica.votedFor != want.votedFor || replica.sequence != want.length {
+				t.Errorf("term %d, vote for %q in term %d, sequence %d; want %d, %q, %d, %d",
+					replica.term, replica.votedFor, replica.votedTerm, replica.sequence, want.term, want.votedFor, want.voted, want.length)
 			}
 			var members, stateItems []string
-			for _, member := range s.membership.Members {
+			for _, member := range replica.membership.Members {
 				members = append(members, fmt.Sprintf("%s/%d", member.Id, member.Incarnation))
 			}
-			since := s.membership.EffectiveFrom
-			if got := fmt.Sprintf("%s of %d since %d.%d", strings.Join(members, " "), s.membership.TargetSize, since.GetTerm(), since.GetSequence()); got != want.members {
-				t.Errorf("members are %q, want %q", got, want.members)
+			since := replica.membership.EffectiveFrom
+			if got := fmt.Sprintf("%s of %d since %d.%d", strings.Join(members, " "), replica.membership.TargetSize, since.GetTerm(), since.GetSequence()); got != want.members {
+				t.Errorf("membership = %q, want %q", got, want.members)
 			}
-			for _, key := range slices.Sorted(maps.Keys(s.state)) {
-				item := s.state[key]
+			for _, key := range slices.Sorted(maps.Keys(replica.state)) {
+				item := replica.state[key]
 				text := fmt.Sprintf("%s/%s %d.%d given %d by %s", item.Kind, item.Name, item.Version.Term, item.Version.Sequence, item.OperatorVersion, item.ChangeId)
 				if item.Deleted {
 					text += " deleted"
@@ -219,17 +225,17 @@
 				stateItems = append(stateItems, text)
 			}
 			if got := strings.Join(stateItems, "; "); got != want.items {
-				t.Errorf("items are\n%s\nwant\n%s", got, want.items)
+				t.Errorf("items of the state are\n%s\nwant\n%s", got, want.items)
 			}
 			if strings.HasPrefix(want.name, "member-") {
-				checkGoldenRelease(t, s.state)
-				checkGoldenOutcomes(t, s)
+				checkGoldenRelease(t, replica.state)
+				checkGoldenOutcomes(t, replica)
 			}
 		})
 	}
 }
 
-// checkGoldenRelease checks the state of the rollout that is under way.
+// checkGoldenRelease checks the plan, the progress and the flag of the rollout in the golden core.
 func checkGoldenRelease(t *testing.T, state config.State) {
 	t.Helper()
 	compiled, faults := config.Compile(state, 13)
@@ -238,28 +244,28 @@
 	}
 	plan, progress := compiled.Releases["shop"], compiled.Progress["shop"]
 	if plan == nil || plan.Service != "shop" || plan.Version != "2" || plan.Target != 50 || plan.Duration != 10*time.Minute || plan.Control != "go" || plan.Revision != 9 {
-		t.Errorf("the plan is %+v", plan)
+		t.Errorf("release plan = %+v, want service shop to version 2, target 50, duration 10m, control go, revision 9", plan)
 	}
 	want := config.Progress{ControllerTerm: 3, Controller: "a", PlanID: "shop 3", State: "ramp", Reason: "the version is known", Percentage: 25, Weight: 25000, Elapsed: int64(150 * time.Second), PreviousVersion: "1", StateSince: 7}
 	if progress == nil || *progress != want {
-		t.Errorf("the progress is %+v, want %+v", progress, want)
+		t.Errorf("rollout progress = %+v, want %+v", progress, want)
 	}
-	decider := compiled.Flags.Flags["release.shop"]
-	if decider == nil || decider.Fallthrough.Rollout == nil || decider.Fallthrough.Rollout.Variations[0].Weight != 25000 {
-		t.Errorf("the flag is %+v", decider)
+	flag := compiled.Flags.Flags["release.shop"]
+	if flag == nil || flag.Fallthrough.Rollout == nil || flag.Fallthrough.Rollout.Variations[0].Weight != 25000 {
+		t.Errorf("flag release.shop = %+v, want a rollout with weight 25000 on the first variation", flag)
 	}
 }
 
-// checkGoldenOutcomes checks the outcome of every change, refused ones included.
-func checkGoldenOutcomes(t *testing.T, s *Replica) {
+// checkGoldenOutcomes checks the outcome of every change in the golden core, refused ones included.
+func checkGoldenOutcomes(t *testing.T, replica *Replica) {
 	t.Helper()
 	for id, want := range map[string]string{
 		"shop": "1 at 1", "given": "1 at 2", "plain": "1 at 3", "dropped-given": "1 at 4", "wrong": "2 at 5 segment.wrong", "late": "3 at 6 segment/plain 3",
 		"members-3-7": "1 at 7", "members-3-8": "1 at 8", "release": "1 at 9", "trial": "1 at 10", "dropped-plain": "1 at 11", "stale": "4 at 12", "ramp": "1 at 13",
 	} {
-		outcome, known := s.AppendedOutcome(id)
+		outcome, known := replica.AppendedOutcome(id)
 		if !known {
-			t.Errorf("%s has no outcome", id)
+			t.Errorf("change %s has no outcome, want %q", id, want)
 			continue
 		}
 		got := fmt.Sprintf("%d at %d", outcome.Ruling, outcome.Version.Sequence)
@@ -270,35 +276,35 @@
 			got += fmt.Sprintf(" %s/%s %d", current.Kind, current.Name, current.Sequence)
 		}
 		if got != want {
-			t.Errorf("%s has the outcome %q, want %q", id, got, want)
+			t.Errorf("outcome of change %s = %q, want %q", id, got, want)
 		}
 	}
-	if len(s.outcomes) != 13 {
-		t.Errorf("%d outcomes are known, want 13", len(s.outcomes))
+	if len(replica.outcomes) != 13 {
+		t.Errorf("the replica has %d outcomes, want 13", len(replica.outcomes))
 	}
 }
 
-// Members go on from the golden folders: they elect a leader in a later term, have the committed state, accept further
-// changes, and can be restarted from what is then on disk.
+// Members continue from the golden folders: they elect a leader in a later term, have the committed state, accept further
+// changes, and can be restarted from what is on disk then.
 func TestGoldenFoldersContinue(t *testing.T) {
 	for _, test := range []struct {
 		name         string
 		folders      map[string]string // by member
 		leader       string
-		after        uint64 // lowest term of the first leader
-		committedKey string // an item that was committed
+		after        uint64 // lowest possible term of the first leader
+		committedKey string // key of an item that was committed; empty for none
 	}{
-		{"core", map[string]string{"a": "member-a", "b": "member-b", "d": "member-d"}, "a", 10, "progress/shop"},
-		{"without a", map[string]string{"b": "member-b", "d": "member-d"}, "b", 10, "progress/shop"},
-		{"born", map[string]string{"l": "born"}, "l", 1, ""},
-		{"torn", map[string]string{"l": "torn"}, "l", 2, "segment/two"},
+		{"all members", map[string]string{"a": "member-a", "b": "member-b", "d": "member-d"}, "a", 10, "progress/shop"},
+		{"members without the first one", map[string]string{"b": "member-b", "d": "member-d"}, "b", 10, "progress/shop"},
+		{"single founder after its first start", map[string]string{"l": "born"}, "l", 1, ""},
+		{"single founder with a torn frame", map[string]string{"l": "torn"}, "l", 2, "segment/two"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			root := t.TempDir()
 			for name, folder := range test.folders {
 				copyGolden(t, folder, filepath.Join(root, "member-"+name))
 			}
-			// The second run goes on from what the first has added.
+			// The second run continues from the folders that the first one has written to.
 			for run := 1; run <= 2; run++ {
 				c := newGoldenCore(t, root)
 				for _, name := range slices.Sorted(maps.Keys(test.folders)) {
@@ -307,21 +313,22 @@
 				c.advance(8 * time.Second)
 				for name, member := range c.members {
 					if status := member.Status(); status.Leader != test.leader || status.Term < test.after {
-						t.Fatalf("run %d: %s knows %q as the leader, in term %d", run, name, status.Leader, status.Term)
+						t.Fatalf("run %d: %s has leader %q in term %d, want %q in term %d or later",
+							run, name, status.Leader, status.Term, test.leader, test.after)
 					}
 				}
 				added := fmt.Sprint("added-", run)
-				c.expectRuling(test.leader, schema.Ruling_RULING_ACCEPTED, expecting(added, []*schema.Item{goldenItem("segment", added, 0, `{"salt":""}`)}))
+				c.expectRuling(test.leader, schema.Ruling_RULING_ACCEPTED, changeExpecting(added, []*schema.Item{goldenItem("segment", added, 0, `{"salt":""}`)}))
 				c.advance(time.Second)
 				for name, member := range c.members {
 					_, state := member.Committed()
 					for _, key := range []string{test.committedKey, "segment/added-1", "segment/" + added} {
 						if key != "" && state[key] == nil {
-							t.Errorf("run %d: %s has lost %s", run, name, key)
+							t.Errorf("run %d: the committed state of %s lacks %s", run, name, key)
 						}
 					}
 					if state["segment/torn"] != nil {
-						t.Errorf("run %d: the torn record is in the state", run)
+						t.Errorf("run %d: the committed state of %s has segment/torn, whose frame is torn", run, name)
 					}
 				}
 				if test.committedKey == "progress/shop" {
@@ -333,21 +340,21 @@
 	}
 }
 
-// goldenCoreContinues checks that the restored state still governs changes: a tombstone bars older orders, a change id has
-// its first outcome, and a rollout controller of an earlier term is refused.
+// goldenCoreContinues checks that changes are decided by the restored state: a tombstone blocks an outdated change, a
+// change id keeps its first outcome, and a rollout controller of an earlier term is refused.
 func goldenCoreContinues(c *goldenCore, leader string, run int) {
 	c.t.Helper()
 	older := fmt.Sprint("older-", run)
 	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, &schema.Change{Id: older, ByOperatorVersion: true, Items: []*schema.Item{goldenItem("segment", "old", 7, `{"salt":"o"}`)}})
 	if _, state := c.members[leader].Committed(); !state["segment/old"].GetDeleted() || state["segment/old"].GetOperatorVersion() != 8 {
-		c.t.Errorf("an older order brought back %v", state["segment/old"])
+		c.t.Errorf("segment/old after an outdated change = %v, want a tombstone of operator version 8", state["segment/old"])
 	}
-	c.expectRuling(leader, schema.Ruling_RULING_CONFLICT, expecting("late", []*schema.Item{goldenItem("segment", "late", 0, `{"salt":""}`)}))
-	c.expectRuling(leader, schema.Ruling_RULING_STALE, expecting(fmt.Sprint("stale-", run), []*schema.Item{goldenProgress(2, "back", 0, 0)}, c.sequenceOf(leader, "progress", "shop")))
-	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, expecting(fmt.Sprint("on-", run), []*schema.Item{goldenProgress(3+run, "ramp", 30000, 200*time.Second)}, c.sequenceOf(leader, "progress", "shop")))
+	c.expectRuling(leader, schema.Ruling_RULING_CONFLICT, changeExpecting("late", []*schema.Item{goldenItem("segment", "late", 0, `{"salt":""}`)}))
+	c.expectRuling(leader, schema.Ruling_RULING_STALE, changeExpecting(fmt.Sprint("stale-", run), []*schema.Item{goldenProgress(2, "back", 0, 0)}, c.sequenceOf(leader, "progress", "shop")))
+	c.expectRuling(leader, schema.Ruling_RULING_ACCEPTED, changeExpecting(fmt.Sprint("on-", run), []*schema.Item{goldenProgress(3+run, "ramp", 30000, 200*time.Second)}, c.sequenceOf(leader, "progress", "shop")))
 }
 
-// copyGolden copies a golden folder, as opening a log may change it.
+// copyGolden copies the files of a golden folder without their suffix, since opening a log may change it.
 func copyGolden(t *testing.T, name, to string) {
 	t.Helper()
 	if err := os.MkdirAll(to, 0o750); err != nil {
@@ -360,21 +367,22 @@
 	}
 }
 
+// openGolden opens the log in a copy of a golden folder. It returns the log, its records and the path of the copy.
 func openGolden(t *testing.T, name string) (*FileLog, []*schema.Record, string) {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), name)
 	copyGolden(t, name, folder)
-	disk, records, err := Open(folder)
+	log, records, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = disk.Close() }) // what the test wrote is durable already
-	return disk, records, folder
+	t.Cleanup(func() { _ = log.Close() }) // records that the test wrote are durable already
+	return log, records, folder
 }
 
 var goldenFolders = []string{"member-a", "member-b", "member-d", "born", "torn"}
 
-// readFolder reads a folder's files, by their names without a suffix.
+// readFolder returns the contents of the files in a folder, by their names without the suffix.
 func readFolder(t *testing.T, folder, suffix string) map[string][]byte {
 	t.Helper()
 	entries, err := os.ReadDir(folder)
--- a/internal/store/peer_stream.go
+++ b/internal/store/peer_stream.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"slices"
 	"time"
 
@@ -11,18 +12,19 @@
 	"meadowhinge/schema"
 )
 
-// Messages to other replicas: each has an outbox and a sender, which keeps a stream open to each of the replica's
-// possible addresses. Sending is best effort; the replica repeats what matters.
+// This file sends and receives the messages between replicas. Each other replica has an outbox and a goroutine that
+// sends from it, the sender, which keeps a stream open to each possible address of that replica. Sending is best effort:
+// the state machine resends whatever must arrive.
 
-// peerStream is an open Deliver stream to one address. Only its sender uses it.
+// peerStream is an open Deliver stream to one address. Only the sender that opened it uses it.
 type peerStream struct {
 	schema.DRPCStore_DeliverClient
-	cancel context.CancelFunc     // closes the stream
-	header *schema.ReplicaMessage // the header of the last message that was sent with one; its body is nil
+	cancel context.CancelFunc     // ends the stream
+	header *schema.ReplicaMessage // header of the last message sent with one; the body is nil
 }
 
-// outbox returns the queue of messages for a replica; it starts the sender with the first. The caller holds the
-// lock.
+// outbox returns the queue of messages for a replica. The first call for a replica starts its sender. The caller holds
+// s.lock.
 func (s *Server) outbox(name string) chan *schema.ReplicaMessage {
 	if s.outboxes[name] == nil {
 		s.outboxes[name] = make(chan *schema.ReplicaMessage, s.initialOptions.Buffer)
@@ -31,7 +33,8 @@
 	return s.outboxes[name]
 }
 
-// sendLoop is the sender for one replica: it sends messages in order, as many at once as wait, until ctx ends.
+// sendLoop is the sender for one replica. It sends the messages of the outbox in order until ctx ends, all that are
+// waiting in one batch.
 func (s *Server) sendLoop(ctx context.Context, name string, outbox chan *schema.ReplicaMessage) {
 	streams := map[string]*peerStream{} // by address
 	for {
@@ -45,8 +48,8 @@
 		case first := <-outbox:
 			messages = s.drainOutbox(first, outbox)
 		}
-		// A replica with a static member list may be at any seed, or have come back elsewhere. Messages name the
-		// replica that they are for, and any other one ignores them.
+		// With a static member list, a replica may run at any seed or may have come back at another one. Every message
+		// names its receiver, and other replicas ignore it.
 		addresses, known := s.addressesOf(name)
 		for _, address := range addresses {
 			if s.sendTo(ctx, streams, address, messages) && known {
@@ -62,7 +65,7 @@
 	}
 }
 
-// drainOutbox returns a message and those that wait behind it, up to the outbox's bound.
+// drainOutbox returns a message and those waiting behind it, at most as many as the outbox holds.
 func (s *Server) drainOutbox(first *schema.ReplicaMessage, outbox <-chan *schema.ReplicaMessage) []*schema.ReplicaMessage {
 	messages := []*schema.ReplicaMessage{first}
 	for len(messages) < int(s.initialOptions.Buffer) {
@@ -76,8 +79,8 @@
 	return messages
 }
 
-// addressesOf lists the addresses to try for a replica. known means that one that takes the messages is enough;
-// otherwise they go to all, as any may be the replica.
+// addressesOf returns the addresses to try for a replica, in order. If known, it is enough that the messages are written
+// to one of them. Otherwise they must go to all, since the replica may run at any of them.
 func (s *Server) addressesOf(name string) (addresses []string, known bool) {
 	s.lock.Lock()
 	address := s.replica.Addresses()[name]
@@ -95,8 +98,8 @@
 	return append([]string{address}, seeds...), true
 }
 
-// sendTo sends messages to an address. A stream that was open may have broken since, which shows only now, so it is
-// then opened anew, once. It returns whether the messages were written.
+// sendTo writes messages to the stream for an address, which it opens if needed, and reports whether it succeeded. A
+// stream from an earlier call may have broken since, which shows only when it is written to. It is then reopened once.
 func (s *Server) sendTo(ctx context.Context, streams map[string]*peerStream, address string, messages []*schema.ReplicaMessage) bool {
 	for {
 		current, existed := streams[address]
@@ -120,7 +123,7 @@
 	}
 }
 
-// openStream opens a Deliver stream to an address; the caller ends it by its cancel.
+// openStream opens a Deliver stream to an address. The caller closes it by its cancel function.
 func (s *Server) openStream(ctx context.Context, address string) (*peerStream, error) {
 	streamCtx, cancel := context.WithCancel(ctx)
 	stream, err := schema.NewDRPCStoreClient(s.transport.Conn(streamCtx, address)).Deliver(streamCtx)
@@ -131,8 +134,8 @@
 	return &peerStream{stream, cancel, &schema.ReplicaMessage{}}, nil
 }
 
-// compressHeaders leaves out the headers of messages that equal the one before in the stream, since most messages
-// are small heartbeats. Deliver puts them back.
+// compressHeaders returns the messages without those headers that equal the previous one in the stream: most messages
+// are heartbeats, which are small compared with the header. Deliver restores the headers.
 func (p *peerStream) compressHeaders(messages []*schema.ReplicaMessage) (compressed []*schema.ReplicaMessage) {
 	for _, message := range messages {
 		if equalHeaders(message, p.header) {
@@ -146,7 +149,7 @@
 	return compressed
 }
 
-// equalHeaders reports whether two messages agree in all but the body.
+// equalHeaders reports whether two messages are equal in all fields except the body.
 func equalHeaders(a, b *schema.ReplicaMessage) bool {
 	return a.From == b.From &&
 		a.To == b.To &&
@@ -155,7 +158,7 @@
 		a.Founder == b.Founder
 }
 
-// setHeader makes the header of a message, all but its body, that of another.
+// setHeader copies the header of one message, which is every field except the body, to another message.
 func setHeader(message, header *schema.ReplicaMessage) {
 	message.From = header.From
 	message.To = header.To
@@ -164,15 +167,15 @@
 	message.Founder = header.Founder
 }
 
-// Deliver receives messages from another replica until the stream ends. A message in another replica's name than
-// that of the certificate ends it with errs.Unauthorized.
+// Deliver receives messages from another replica until the stream ends. It fails with errs.Unauthorized if the sender
+// named in a message is not the authenticated peer, or the peer is not a store.
 func (s *Server) Deliver(stream schema.DRPCStore_DeliverStream) error {
 	peer := transport.PeerFromContext(stream.Context())
 	header := &schema.ReplicaMessage{}
 	for {
 		messages, err := stream.Recv()
 		if err != nil {
-			return nil // the sender closed the stream or its connection broke; it opens another one
+			return nil // the sender closed the stream, or the connection broke; the sender opens another one
 		}
 		for _, message := range messages.Messages {
 			if message.From == "" {
@@ -183,7 +186,7 @@
 			}
 			if peer.Role != "store" || peer.Name != message.From {
 				s.transport.RejectedPeers.Add(1)
-				return errs.New(errs.Unauthorized, message.From)
+				return errs.New(errs.Unauthorized, fmt.Sprintf("message from %q on a stream of %s %q", message.From, peer.Role, peer.Name))
 			}
 			s.step(func(now time.Duration) []Action { return s.replica.Step(now, message) })
 		}
--- a/internal/store/rpc.go
+++ b/internal/store/rpc.go
@@ -9,18 +9,19 @@
 	"meadowhinge/schema"
 )
 
-// The RPC API, for the registry of the same machine. "Not decided" is an answer, not an error: it is the field
-// Undecided of a reply.
+// This file implements the RPC API for the registry on the same machine. An undecided result is not an error: the reply
+// has the field Undecided set.
 
-// ticketResult is what a request waits for: the result that its kind asks for, the other one nil.
+// ticketResult is the result of a request. Only the field for the kind of the request is set; both are nil if the
+// request got no result.
 type ticketResult struct {
 	proposal  *schema.ProposalReply
 	readIndex *schema.ReadIndexReply
 }
 
-// Propose proposes a change and answers once its outcome is committed. It answers undecided if ctx ends first, too
-// many requests wait or no leader can tell; the change may then still be committed, and the caller proposes it again
-// under the same change id. It returns no error.
+// Propose proposes a change and returns its outcome once that is committed. The reply is undecided if ctx ends first,
+// too many requests are waiting or no leader answers. The change may then still be committed, and the caller may propose
+// it again under the same change id. The error is always nil.
 func (s *Server) Propose(ctx context.Context, proposal *schema.Proposal) (*schema.ProposalReply, error) {
 	result := s.awaitResult(ctx, func(now time.Duration, ticket string) []Action {
 		return s.replica.Propose(now, &schema.Proposal{
@@ -35,8 +36,8 @@
 	return result, nil
 }
 
-// ReadIndex answers with a committed sequence at least as high as that of any change acknowledged before the call,
-// or undecided as Propose does. It returns no error.
+// ReadIndex returns a committed sequence at least as high as that of any change acknowledged before the call. The reply
+// is undecided in the same cases as that of Propose. The error is always nil.
 func (s *Server) ReadIndex(ctx context.Context, _ *schema.Empty) (*schema.ReadIndexReply, error) {
 	result := s.awaitResult(ctx, func(now time.Duration, ticket string) []Action {
 		return s.replica.ReadIndex(now, ticket)
@@ -47,8 +48,8 @@
 	return result, nil
 }
 
-// awaitResult runs an event under a new ticket and waits for the ticket's result. The result is empty if ctx ends
-// first or too many requests wait already.
+// awaitResult runs an event with a new ticket and waits for the result of that ticket. The result is empty if ctx ends
+// first or too many requests are waiting already.
 func (s *Server) awaitResult(ctx context.Context, event func(now time.Duration, ticket string) []Action) ticketResult {
 	ticket, results := s.newTicket()
 	if results == nil {
@@ -66,7 +67,8 @@
 	}
 }
 
-// newTicket draws a ticket that no other process or request has; results is nil if too many wait already.
+// newTicket returns a ticket that no other request of any process has, and the channel for its result. results is nil if
+// too many requests are waiting already.
 func (s *Server) newTicket() (ticket string, results chan ticketResult) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -75,12 +77,12 @@
 	}
 	s.lastTicketID++
 	ticket = fmt.Sprintf("%s-%x-%d", s.initialOptions.Seat, s.processIncarnation, s.lastTicketID)
-	results = make(chan ticketResult, 1) // so that completeTicket, which sends at most one, never waits
+	results = make(chan ticketResult, 1) // buffered so that completeTicket, which sends at most one result, never blocks
 	s.tickets[ticket] = results
 	return ticket, results
 }
 
-// completeTicket passes a result on to the request that waits for it, if it still does. The caller holds the lock.
+// completeTicket passes a result to the request that waits for it, if it still does. The caller holds s.lock.
 func (s *Server) completeTicket(ticket string, result ticketResult) {
 	if results, found := s.tickets[ticket]; found {
 		delete(s.tickets, ticket)
@@ -88,8 +90,8 @@
 	}
 }
 
-// Inquire answers with the outcome of a change id, undecided if none is committed as far as this replica knows. It
-// returns no error.
+// Inquire returns the outcome of a change id. The reply is undecided if this replica knows of no committed outcome. The
+// error is always nil.
 func (s *Server) Inquire(_ context.Context, request *schema.ChangeQuery) (*schema.ProposalReply, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -97,8 +99,8 @@
 	return &schema.ProposalReply{Outcome: outcome, Undecided: !committed}, nil
 }
 
-// Follow answers with the changes of the committed state beyond a sequence as soon as there are any, or without
-// changes once request.WaitNanos have passed. Its only error is that of ctx.
+// Follow returns the changes of the committed state after request.AfterSequence as soon as there are any, or a reply
+// without changes after request.WaitNanos. The only error is that of ctx.
 func (s *Server) Follow(ctx context.Context, request *schema.FollowRequest) (*schema.FollowReply, error) {
 	deadline := time.NewTimer(time.Duration(request.WaitNanos))
 	defer deadline.Stop()
@@ -120,7 +122,7 @@
 	}
 }
 
-// withFreshness adds to a reply how fresh the committed state is, and the members.
+// withFreshness adds the staleness of the committed state, and the members, to a reply.
 func (s *Server) withFreshness(reply *schema.FollowReply) *schema.FollowReply {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -130,15 +132,15 @@
 	return reply
 }
 
-// ItemsAfter is the part of a state that is newer than a sequence, or all of it where that sequence is too old to
-// know what was deleted since (Complete is then set). committed is the state's own sequence.
+// ItemsAfter returns the items of a state that were written after a sequence. If that sequence is so old that later
+// deletions are no longer known, it returns all items and sets Complete. committed is the sequence of the state itself.
 func ItemsAfter(state config.State, committed, after uint64) *schema.FollowReply {
 	reply := &schema.FollowReply{Committed: committed}
 	reply.Items, reply.Complete = state.ChangesAfter(after)
 	return reply
 }
 
-// Look answers with the replica's status. It returns no error.
+// Look returns the replica's status. The error is always nil.
 func (s *Server) Look(context.Context, *schema.Empty) (*schema.ReplicaStatus, error) {
 	return s.status(), nil
 }
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -21,51 +21,53 @@
 	"meadowhinge/schema"
 )
 
-// Server is a store process: one Replica with its clock, write-ahead log, streams to other members and RPC API.
+// Server is a store process: one Replica with its clock, write-ahead log, streams to other replicas and RPC API.
 //
-// Goroutines: Run's own (the replica's timer), the disk writer, one sender for each peer and one for each RPC. All of
-// them run events through step.
+// The goroutines are that of Run, which runs the replica's timer, the disk writer, one sender for each other replica,
+// and one for each RPC. They pass events to the replica through step.
 type Server struct {
 	schema.DRPCStoreUnimplementedServer
 
-	// Set by newServer and not changed afterwards.
-	initialOptions     *schema.StoreOptions // as of the start; for settings that may change use currentOptions
+	// These fields are set by newServer and never modified.
+	initialOptions     *schema.StoreOptions // the settings at the start; for settings that may change use currentOptions
 	transport          *transport.Transport
 	log                logr.Logger
 	started            time.Time       // the origin of the replica's clock
-	processIncarnation uint64          // makes this process's tickets differ from those of others
-	ctx                context.Context // of Run; ends the senders, which any event may start
-	writeSignal        chan struct{}   // wakes the disk writer; holds one signal
+	processIncarnation uint64          // random number that distinguishes this process's tickets from those of others
+	ctx                context.Context // the context of Run; ends the senders, which any event may start
+	writeSignal        chan struct{}   // wakes the disk writer; buffers one signal
 
-	// lock guards everything below, and every call of the replica. It is not held while waiting for disk or network.
+	// lock guards the fields below and every call of the replica. It is not held while waiting for disk or network.
 	lock             sync.Mutex
 	replica          *Replica
-	liveOptions      *schema.StoreOptions         // as of the last change of the settings file
-	tickets          map[string]chan ticketResult // requests that wait for a Reply or ReadIndexReady
-	lastTicketID     uint64
+	liveOptions      *schema.StoreOptions                   // the settings after the last change of the settings file
+	tickets          map[string]chan ticketResult           // requests that wait for a Reply or ReadIndexReady, by ticket
+	lastTicketID     uint64                                 // number of the last ticket
 	committedChanged chan struct{}                          // closed and replaced when the committed sequence changes
-	lastCommitted    uint64                                 // the committed sequence of which Follow calls were last notified
-	progress         [stageCount]uint64                     // as of the last step
-	stageTimes       map[uint64]*[stageCount]int64          // by sequence: Unix nanoseconds of each stage, 0 for not yet
-	outboxes         map[string]chan *schema.ReplicaMessage // by peer name
-	pendingWrites    []Persist                              // for the disk writer; bounded by what the replica admits
-	timer            *time.Timer                            // fires at nextTickAt; runTimer receives from it without the lock
+	lastCommitted    uint64                                 // the committed sequence at the last close of committedChanged
+	progress         [stageCount]uint64                     // Replica.Progress after the last step
+	stageTimes       map[uint64]*[stageCount]int64          // by sequence: Unix nanoseconds of each stage, 0 for not reached
+	outboxes         map[string]chan *schema.ReplicaMessage // by replica name
+	pendingWrites    []Persist                              // queue of the disk writer; bounded by what the replica admits
+	timer            *time.Timer                            // fires at nextTickAt; runTimer receives from it without lock
 	nextTickAt       time.Duration                          // on the replica's clock; 0 if the timer is not set
 }
 
-// Option changes how Run runs a store.
+// Option modifies how Run runs a store.
 type Option func(*runOptions)
 
+// runOptions holds what the Options of a Run call set.
 type runOptions struct{ wrapLog func(Log) Log }
 
-// WithLogWrapper puts something between the server and its log, as the testbed does to make a disk slow.
+// WithLogWrapper makes the server use the log that wrapLog returns for its own one. The testbed uses it to slow the disk
+// down.
 func WithLogWrapper(wrapLog func(Log) Log) Option {
 	return func(options *runOptions) { options.wrapLog = wrapLog }
 }
 
-// Run serves a store until ctx ends, and then returns nil. Errors have the code errs.InvalidOptions for settings
-// that do not fit together or an address that cannot be listened on, or the code of what failed later. A disk that
-// fails is not an error of Run: it is tried again for as long as ctx lasts.
+// Run serves a store until ctx ends, and then returns nil. It fails with errs.InvalidOptions if the settings contradict
+// each other or the certificate, or if the address cannot be listened on; later errors have the code of what failed. A
+// disk that fails is not an error of Run: the server retries until ctx ends.
 func Run(ctx context.Context, environment *daemon.Environment, opts *schema.StoreOptions, runOpts ...Option) error {
 	run := &runOptions{wrapLog: func(recordLog Log) Log { return recordLog }}
 	for _, apply := range runOpts {
@@ -82,12 +84,12 @@
 	cfg := replicaConfig(opts)
 	recordLog, records, err := openLogWithRetry(ctx, environment.Log, opts, cfg, run.wrapLog)
 	if err != nil {
-		return nil // ctx ended before the disk let the log be opened: an ordinary shutdown
+		return nil // ctx ended before the log could be opened: an ordinary shutdown
 	}
-	defer func() { _ = recordLog.Close() }() // what was acknowledged is durable already
+	defer func() { _ = recordLog.Close() }() // everything acknowledged is durable already
 	listener, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
-		return errs.Wrap(err, errs.InvalidOptions, "listen")
+		return errs.Wrap(err, errs.InvalidOptions, fmt.Sprintf("listen on %q", opts.Listen))
 	}
 	s := newServer(ctx, environment.Log, opts, rpcTransport)
 	s.replica = NewReplica(cfg, 0, records)
@@ -97,7 +99,7 @@
 	go s.writeLoop(ctx, recordLog)
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterStore(mux, s); err != nil {
-		return errs.Wrap(err, errs.Internal, "mux")
+		return errs.Wrap(err, errs.Internal, "register the store's RPC handlers")
 	}
 	if err := s.addPages(environment); err != nil {
 		return err
@@ -108,20 +110,20 @@
 	return s.runTimer(ctx, environment, served)
 }
 
-// validateIdentity checks that the certificate is this store's, and that a static member list has it.
+// validateIdentity checks that the certificate is that of this store, and that a static member list includes the store.
 func validateIdentity(rpcTransport *transport.Transport, opts *schema.StoreOptions) error {
 	if self := rpcTransport.Self(); self.Role != "store" || self.Name != opts.Seat {
 		return errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is for %s %q, not store %q", self.Role, self.Name, opts.Seat))
 	}
 	staticMembers := options.SplitList(opts.Order)
 	if len(staticMembers) > 0 && !slices.Contains(staticMembers, opts.Seat) {
-		return errs.New(errs.InvalidOptions, "seat: is not in order")
+		return errs.New(errs.InvalidOptions, fmt.Sprintf("seat: %q is not listed in order %q", opts.Seat, opts.Order))
 	}
 	return nil
 }
 
-// newServer makes a server whose replica the caller sets before anything else runs. Its timer fires at once, for
-// the first tick.
+// newServer returns a server without a replica, which the caller sets before it calls anything else. The timer fires at
+// once, for the first tick.
 func newServer(ctx context.Context, log logr.Logger, opts *schema.StoreOptions, rpcTransport *transport.Transport) *Server {
 	return &Server{
 		initialOptions:     opts,
@@ -140,7 +142,7 @@
 	}
 }
 
-// addPages adds the store's status pages and, if the settings ask for them, its probes.
+// addPages adds the store's status pages and, if the settings have an address for it, the readiness probe.
 func (s *Server) addPages(environment *daemon.Environment) error {
 	environment.AddPage("/certificate", s.transport.Certificate)
 	environment.AddPage("/traffic", func() any { return s.transport.Traffic() })
@@ -151,7 +153,7 @@
 	return environment.ServeProbes(s.initialOptions.ProbeListen, s.readiness)
 }
 
-// runTimer ticks the replica until ctx ends or serving RPCs does.
+// runTimer ticks the replica until ctx ends, which is no error, or RPC serving ends, whose error it returns.
 func (s *Server) runTimer(ctx context.Context, environment *daemon.Environment, served <-chan error) error {
 	defer s.timer.Stop()
 	for {
@@ -170,20 +172,21 @@
 	}
 }
 
-// step runs one event through the replica, under the lock, and dispatches its actions.
+// step passes one event to the replica, under s.lock, and dispatches the resulting actions.
 func (s *Server) step(event func(now time.Duration) []Action) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.dispatchActions(event(time.Since(s.started)))
 }
 
-// dispatchActions hands the actions of one step to the senders, the disk writer and the requests that wait, and sets
-// the timer. The caller holds the lock.
+// dispatchActions passes the actions of one step to the senders, the disk writer and the waiting requests, and sets the
+// timer. The caller holds s.lock.
 func (s *Server) dispatchActions(actions []Action) {
 	for _, action := range actions {
 		switch typed := action.(type) {
 		case Send:
-			// A full outbox means that the peer is slow or gone; the replica repeats what matters.
+			// A full outbox means that the peer is slow or unreachable. The message is dropped; the replica resends
+			// whatever must arrive.
 			select {
 			case s.outbox(typed.Message.To) <- typed.Message:
 			default:
@@ -205,8 +208,8 @@
 	s.notifyCommitted()
 }
 
-// resetTimer makes the timer fire when the replica next needs a tick, if that is sooner than it would. The caller
-// holds the lock.
+// resetTimer brings the timer forward if the replica needs its next tick sooner than the timer fires. The caller holds
+// s.lock.
 func (s *Server) resetTimer() {
 	if next := s.replica.NextTickAt(); s.nextTickAt == 0 || next < s.nextTickAt {
 		s.nextTickAt = next
@@ -214,7 +217,7 @@
 	}
 }
 
-// notifyCommitted wakes the Follow calls that wait for a new committed sequence. The caller holds the lock.
+// notifyCommitted wakes the Follow calls that wait for a new committed sequence. The caller holds s.lock.
 func (s *Server) notifyCommitted() {
 	committed, _ := s.replica.Committed()
 	if committed == s.lastCommitted {
@@ -225,7 +228,7 @@
 	s.committedChanged = make(chan struct{})
 }
 
-// status is the replica's status, with what only the server knows of it.
+// status returns the replica's status, completed by the fields that only the server knows.
 func (s *Server) status() *schema.ReplicaStatus {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -236,7 +239,8 @@
 	return status
 }
 
-// readiness is the answer to the readiness probe: ready while this store is a fit member that knows a leader.
+// readiness returns the answer to the readiness probe: ready while this store is a member, fit to lead, and knows a
+// leader.
 func (s *Server) readiness() daemon.Readiness {
 	status := s.status()
 	if status.Leader == "" || !status.Member || status.Unfit {
--- a/internal/store/server_settings.go
+++ b/internal/store/server_settings.go
@@ -12,13 +12,13 @@
 	"meadowhinge/schema"
 )
 
-// optionsPollTimeouts is how many heartbeat timeouts lie between two looks at the settings file.
+// optionsPollTimeouts is the number of heartbeat timeouts between two checks of the settings file for changes.
 const optionsPollTimeouts = 4
 
-// plaintextLinks is the value of the setting "links" for a network that is trusted.
+// plaintextLinks is the value of the setting "links" for connections without TLS, on a trusted network.
 const plaintextLinks = "plain"
 
-// applyOptions takes over settings that changed while the store runs.
+// applyOptions applies settings that were changed while the store runs; see Replica.SetLimits.
 func (s *Server) applyOptions(updated *schema.StoreOptions) {
 	s.step(func(now time.Duration) []Action {
 		s.liveOptions = updated
@@ -26,14 +26,14 @@
 	})
 }
 
-// currentOptions returns the settings with their latest changes.
+// currentOptions returns the settings after their last change.
 func (s *Server) currentOptions() *schema.StoreOptions {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	return s.liveOptions
 }
 
-// newTransport makes the RPC transport: mutual TLS, or plaintext with the name taken from the settings.
+// newTransport returns the RPC transport: mutual TLS, or plaintext under the name in the settings.
 func newTransport(opts *schema.StoreOptions) (*transport.Transport, error) {
 	if opts.Links == plaintextLinks {
 		return transport.NewPlaintext("store", opts.Seat, nil, transport.WithLocalAddress(opts.Listen)), nil
@@ -41,8 +41,8 @@
 	return transport.NewTLS(opts.Certificate, opts.Authority, transport.WithLocalAddress(opts.Listen))
 }
 
-// replicaConfig derives the replica's configuration from the settings. Without a static member list, members are
-// named by their IPs, and the seeds are the founders where all of them start for the first time.
+// replicaConfig derives the replica's configuration from the settings. Without a static member list, members are named
+// by their IP addresses, and the seeds are the founders if the settings say that the core starts for the first time.
 func replicaConfig(opts *schema.StoreOptions) Config {
 	cfg := Config{
 		Name:                  opts.Seat,
@@ -77,12 +77,12 @@
 	return cfg
 }
 
-// randomIncarnation draws an incarnation other than 0, which means none. It is only ever compared for equality, and
-// there is nobody to hand out numbers.
+// randomIncarnation returns a random incarnation other than 0, which means none. Incarnations are only compared for
+// equality, and there is no authority that could assign numbers.
 func randomIncarnation() uint64 { return 1 + rand.Uint64N(math.MaxUint64-1) }
 
-// storeAddress is the address of a replica that is named by its IP: all stores listen on the same port. It is empty
-// if the name is no IP.
+// storeAddress returns the host:port of a replica that is named by its IP address: all stores listen on the same port.
+// It is empty if the name is not an IP address or this store's own listen address is invalid.
 func storeAddress(opts *schema.StoreOptions, name string) string {
 	own, err := netip.ParseAddrPort(opts.Listen)
 	address, nameErr := netip.ParseAddr(name)
--- a/internal/store/server_test.go
+++ b/internal/store/server_test.go
@@ -15,33 +15,33 @@
 	"meadowhinge/schema"
 )
 
-// start runs a store until the returned function is called, which checks that it ended without an error.
-func start(t *testing.T, opts *schema.StoreOptions) (stop func()) {
+// startStore runs a store until the returned function is called, which checks that Run returned no error.
+func startStore(t *testing.T, opts *schema.StoreOptions) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	frame := &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}
-	go func() { ended <- Run(ctx, frame, opts) }()
+	environment := &daemon.Environment{Log: logr.Discard(), Draining: &atomic.Bool{}}
+	go func() { ended <- Run(ctx, environment, opts) }()
 	return func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Error(err)
+			t.Errorf("Run of store %s = %v, want nil", opts.Seat, err)
 		}
 	}
 }
 
 // Three stores that know only each other as seeds found a core over plaintext links and commit a change.
-func TestFoundedFromSeeds(t *testing.T) {
+func TestStoresFoundCoreFromSeeds(t *testing.T) {
 	octet, reservation, err := fakebackend.ReserveLoopbackNet()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = reservation.Close() }() // the reservation of ports ends with the test in any case
+	defer func() { _ = reservation.Close() }() // the reservation ends with the test process in any case
 	net24, port := fmt.Sprintf("127.%d.0", octet), fakebackend.FirstPort
 	hosts := []string{net24 + ".91", net24 + ".92", net24 + ".93"}
-	seeds := fmt.Sprintf("%[1]s.93:9,%[1]s.91:9,%[1]s.92:9", net24) // the port is not the stores': only the IPs count
+	seeds := fmt.Sprintf("%[1]s.93:9,%[1]s.91:9,%[1]s.92:9", net24) // only the IP addresses count, not the port
 	for _, host := range hosts {
-		stop := start(t, &schema.StoreOptions{
+		stop := startStore(t, &schema.StoreOptions{
 			Seat:         host,
 			Listen:       fmt.Sprint(host, ":", port),
 			Seeds:        seeds,
@@ -69,11 +69,11 @@
 			break
 		}
 		if ctx.Err() != nil {
-			t.Fatal(reply, err)
+			t.Fatalf("Propose = %v, %v until the deadline; want it accepted", reply, err)
 		}
 	}
 	follow, err := store.Follow(ctx, &schema.FollowRequest{WaitNanos: int64(5 * time.Second)})
 	if err != nil || len(follow.Items) != 1 {
-		t.Fatal(follow, err)
+		t.Fatalf("Follow = %v, %v; want 1 item", follow, err)
 	}
 }
--- a/internal/store/trace.go
+++ b/internal/store/trace.go
@@ -7,11 +7,11 @@
 	"meadowhinge/schema"
 )
 
-// maxStageTimes is the number of sequences, up to the last one of a stage, whose times are retained.
+// maxStageTimes is the number of most recent sequences whose stage times are retained.
 const maxStageTimes = 4096
 
-// recordStageTimes records when sequences were first appended, durable and committed here. The caller holds the
-// lock.
+// recordStageTimes records when each sequence reached the stages appended, durable and committed here. The caller
+// holds s.lock.
 func (s *Server) recordStageTimes() {
 	progress := s.replica.Progress()
 	if progress == s.progress {
@@ -19,7 +19,7 @@
 	}
 	now := time.Now().UnixNano()
 	for stage := range progress {
-		// A snapshot can bring many sequences at once; only the last ones are retained in any case.
+		// A snapshot can add many sequences at once, of which only the last maxStageTimes would be retained anyway.
 		first := max(s.progress[stage]+1, progress[stage]-min(progress[stage], maxStageTimes)+1)
 		for sequence := first; sequence <= progress[stage]; sequence++ {
 			if s.stageTimes[sequence] == nil {
@@ -32,8 +32,8 @@
 	s.progress = progress
 }
 
-// Trace answers with the times, in Unix nanoseconds, at which a change reached each stage in this store; 0 for a
-// stage that it has not reached or whose time is not retained. It returns no error.
+// Trace returns the times, in Unix nanoseconds, at which a change reached each stage in this store. A time is 0 if the
+// change has not reached the stage or the time is no longer retained. The error is always nil.
 func (s *Server) Trace(_ context.Context, request *schema.ChangeQuery) (*schema.ReplicaTrace, error) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
--- a/internal/store/wal.go
+++ b/internal/store/wal.go
@@ -11,45 +11,45 @@
 	"meadowhinge/schema"
 )
 
-// The write-ahead log of a replica is one file in its data folder: a record that is complete by itself (a
-// snapshot, or the initial record), and the records after it. A record that replaces the log begins the next file,
-// and only once that is durable is the file before it removed.
+// The write-ahead log of a replica is one file in its data folder. The file begins with a record that is complete by
+// itself (a snapshot, or the initial record), and the later records follow. A record that replaces the log begins the
+// next file, and the previous file is removed only once the new one is durable.
 //
-// So no file is ever renamed over another, and none is shortened but for a torn tail. Whatever of these operations
-// a power loss undoes, the newest file that begins with a valid frame is the log.
+// So no file is ever renamed over another, and none is truncated except to cut off a torn tail. Whichever of these
+// operations a power loss undoes, the newest file that begins with a valid frame is the log.
 
 const (
-	logPrefix     = "setup-" // before the number of the file; as existing data folders have it
-	logSuffix     = ".log"
-	corruptPrefix = "aside-" // before the name of a log file that SetAside renamed
+	logPrefix        = "setup-" // precedes the number of a log file; fixed by existing data folders
+	logSuffix        = ".log"
+	quarantinePrefix = "aside-" // precedes the name of a log file that QuarantineLog renamed
 )
 
-// errEarlierWriteFailed refuses a write after a failed one: what is on disk is not known.
-var errEarlierWriteFailed = errs.New(errs.DiskFailed, "an earlier write was refused")
+// errEarlierWriteFailed is returned for a write after a failed one, when it is not known what is on disk.
+var errEarlierWriteFailed = errs.New(errs.DiskFailed, "an earlier write failed, and the log has not been replaced since")
 
 // FileLog is the write-ahead log of a replica in a data folder. It is not safe for concurrent use; the disk writer
 // owns it.
 type FileLog struct {
 	fileSystem  fileSystem
-	fileNumber  uint64  // of the newest file
-	file        logFile // nil until the first write to an empty folder
-	frameNumber uint64  // of the last frame in file
-	failed      bool    // a write failed since the last one that replaced the log
+	fileNumber  uint64  // number of the newest file; 0 if there has been none
+	file        logFile // the newest file; nil until the first write to an empty folder
+	frameNumber uint64  // number of the last frame in file; 0 if it has none
+	failed      bool    // a write has failed since the last one that replaced the log
 }
 
-// Open opens the log in a data folder, which it creates if need be, and returns its records in the order of
-// writing. A torn tail is cut off: its write never returned, so nothing of it was acknowledged.
+// Open opens the log in a data folder and returns its records in the order in which they were written. It creates the
+// folder if it does not exist. A torn tail is cut off: its write never returned, so nothing in it was acknowledged.
 //
-// Its errors have the codes errs.DiskFailed and, where the log is corrupt, errs.DiskCorrupt: the caller then moves
-// the log away by SetAside and has the replica restored from the other members.
+// Open fails with errs.DiskCorrupt if the log is corrupt, and with errs.DiskFailed otherwise. The caller moves a corrupt
+// log aside by QuarantineLog, and the replica is restored from the other members.
 func Open(folder string) (*FileLog, []*schema.Record, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
-		return nil, nil, errs.Wrap(err, errs.DiskFailed, "folder")
+		return nil, nil, errs.Wrap(err, errs.DiskFailed, fmt.Sprintf("create data folder %q", folder))
 	}
 	return openLog(osFileSystem(folder))
 }
 
-// openLog reads the newest log file that begins with a valid frame, and removes all others.
+// openLog reads the newest log file that begins with a valid frame, and removes all other log files.
 func openLog(files fileSystem) (*FileLog, []*schema.Record, error) {
 	numbers, err := logNumbers(files)
 	if err != nil {
@@ -61,13 +61,13 @@
 		log.fileNumber = max(log.fileNumber, number)
 		data, err := files.read(logName(number))
 		if err != nil {
-			return nil, nil, errs.Wrap(err, errs.DiskFailed, logName(number))
+			return nil, nil, errs.Wrap(err, errs.DiskFailed, "read "+logName(number))
 		}
 		groups, validSize, corrupt := readFrames(data)
 		if corrupt {
-			return nil, nil, errs.New(errs.DiskCorrupt, logName(number))
+			return nil, nil, errs.New(errs.DiskCorrupt, logName(number)+" has a valid frame after an invalid one")
 		}
-		// A file without a valid first frame never became durable, so the one before it was not removed.
+		// A file without a valid first frame never became durable, so the previous file was not removed.
 		if len(groups) == 0 {
 			continue
 		}
@@ -82,32 +82,34 @@
 	return log, records, log.removeOthers(log.fileNumber, log.file != nil)
 }
 
-// resume opens a log file for appending and cuts off its torn tail. Sizes are in bytes.
+// resume opens a log file for appending and truncates it from size to validSize, both in bytes, if it has a torn tail.
+// frameNumber is the number of its last frame.
 func (l *FileLog) resume(number, frameNumber uint64, validSize, size int) error {
 	opened, err := l.fileSystem.open(logName(number))
 	if err != nil {
-		return errs.Wrap(err, errs.DiskFailed, logName(number))
+		return errs.Wrap(err, errs.DiskFailed, "open "+logName(number))
 	}
 	if validSize < size {
 		err = opened.truncate(int64(validSize))
 	}
-	// The process that wrote the last frame may have ended before it was synced: it was read from the page cache.
+	// The process that wrote the last frame may have ended before the sync, so the frame may have been read from the
+	// page cache.
 	if err == nil {
 		err = opened.sync()
 	}
 	if err != nil {
 		_ = opened.close() // the earlier error is the one to report
-		return errs.Wrap(err, errs.DiskFailed, logName(number))
+		return errs.Wrap(err, errs.DiskFailed, "repair "+logName(number))
 	}
 	l.file, l.fileNumber, l.frameNumber = opened, number, frameNumber
 	return nil
 }
 
-// Write appends records and returns once they are durable, all or none of them. With replacesLog the last record is
-// complete by itself: it begins a new file, and everything before it is removed.
+// Write appends records and returns once they are durable. After a power loss either all of them or none are found.
+// With replacesLog the last record is complete by itself: it begins a new file, and everything before it is removed.
 //
-// After an error (errs.DiskFailed) it is not known what is on disk, so Write fails until one with replacesLog
-// succeeds.
+// Write fails with errs.DiskFailed, or with errs.Internal if the records cannot be encoded. After an error it is not
+// known what is on disk, so every later Write fails until one with replacesLog succeeds.
 func (l *FileLog) Write(records []*schema.Record, replacesLog bool) error {
 	if replacesLog {
 		return l.beginFile(records[len(records)-1])
@@ -133,22 +135,22 @@
 		err = l.file.sync()
 	}
 	if err != nil {
-		return errs.Wrap(err, errs.DiskFailed, "write")
+		return errs.Wrap(err, errs.DiskFailed, "append to "+logName(l.fileNumber))
 	}
 	l.frameNumber++
 	return nil
 }
 
-// beginFile makes a new file, with these records as its first frame, the log.
+// beginFile creates a new log file, with the records as its first frame, and removes the others.
 func (l *FileLog) beginFile(records ...*schema.Record) error {
 	if l.file != nil {
-		_ = l.file.close() // nothing more is written to it, and the new file replaces what is in it
+		_ = l.file.close() // the file is not written any more, and the new one replaces its content
 	}
 	l.file, l.failed = nil, true
 	l.fileNumber++
 	created, err := l.fileSystem.create(logName(l.fileNumber))
 	if err != nil {
-		return errs.Wrap(err, errs.DiskFailed, logName(l.fileNumber))
+		return errs.Wrap(err, errs.DiskFailed, "create "+logName(l.fileNumber))
 	}
 	l.file, l.frameNumber = created, 0
 	if err := l.writeFrame(records); err != nil {
@@ -161,9 +163,9 @@
 	return nil
 }
 
-// removeOthers removes the log files but for one number, that one too unless keepNumber, and makes the removals
-// durable. With nothing to remove the folder is not synced: the log relies on a file's own sync to make its name durable
-// too, as ext4 and XFS do.
+// removeOthers removes all log files, except the one with the given number if keepNumber is set, and makes the removals
+// durable. If there is nothing to remove, the folder is not synced: the log relies on a file's own sync to make its name
+// durable too, as ext4 and XFS do.
 func (l *FileLog) removeOthers(number uint64, keepNumber bool) error {
 	numbers, err := logNumbers(l.fileSystem)
 	if err != nil {
@@ -175,36 +177,36 @@
 			continue
 		}
 		if err := l.fileSystem.remove(logName(other)); err != nil {
-			return errs.Wrap(err, errs.DiskFailed, logName(other))
+			return errs.Wrap(err, errs.DiskFailed, "remove "+logName(other))
 		}
 		removed = true
 	}
 	if !removed {
 		return nil
 	}
-	return errs.Wrap(l.fileSystem.syncDirectory(), errs.DiskFailed, "folder")
+	return errs.Wrap(l.fileSystem.syncDirectory(), errs.DiskFailed, "sync the data folder")
 }
 
-// Close closes the log file. Everything that Write returned for is durable already.
+// Close closes the log file. Records for which Write has returned are durable already.
 func (l *FileLog) Close() error {
 	if l.file == nil {
 		return nil
 	}
-	return errs.Wrap(l.file.close(), errs.DiskFailed, "close")
+	return errs.Wrap(l.file.close(), errs.DiskFailed, "close "+logName(l.fileNumber))
 }
 
-// SetAside renames the log files of a data folder, so that the folder counts as empty and the corrupt log can be
-// examined. Files that were set aside earlier are removed. Its errors have the code errs.DiskFailed.
-func SetAside(folder string) error {
+// QuarantineLog renames the log files of a data folder, so that the folder counts as empty and the corrupt log can still
+// be examined. Files from an earlier QuarantineLog are removed. It fails with errs.DiskFailed.
+func QuarantineLog(folder string) error {
 	files := osFileSystem(folder)
 	names, err := files.list()
 	if err != nil {
-		return errs.Wrap(err, errs.DiskFailed, "list")
+		return errs.Wrap(err, errs.DiskFailed, "list the data folder")
 	}
 	for _, name := range names {
-		if strings.HasPrefix(name, corruptPrefix) {
+		if strings.HasPrefix(name, quarantinePrefix) {
 			if err := files.remove(name); err != nil {
-				return errs.Wrap(err, errs.DiskFailed, name)
+				return errs.Wrap(err, errs.DiskFailed, "remove "+name)
 			}
 		}
 	}
@@ -213,21 +215,21 @@
 		return err
 	}
 	for _, number := range numbers {
-		if err := files.rename(logName(number), corruptPrefix+logName(number)); err != nil {
-			return errs.Wrap(err, errs.DiskFailed, logName(number))
+		if err := files.rename(logName(number), quarantinePrefix+logName(number)); err != nil {
+			return errs.Wrap(err, errs.DiskFailed, "rename "+logName(number))
 		}
 	}
-	return errs.Wrap(files.syncDirectory(), errs.DiskFailed, "folder")
+	return errs.Wrap(files.syncDirectory(), errs.DiskFailed, "sync the data folder")
 }
 
-// logName is the name of a log file.
+// logName returns the name of the log file with a number.
 func logName(number uint64) string { return fmt.Sprintf("%s%012d%s", logPrefix, number, logSuffix) }
 
-// logNumbers lists the numbers of the log files in a folder, newest first.
+// logNumbers returns the numbers of the log files in a folder, newest first.
 func logNumbers(files fileSystem) ([]uint64, error) {
 	names, err := files.list()
 	if err != nil {
-		return nil, errs.Wrap(err, errs.DiskFailed, "list")
+		return nil, errs.Wrap(err, errs.DiskFailed, "list the data folder")
 	}
 	var numbers []uint64
 	for _, name := range names {
--- a/internal/store/wal_fault_fs_test.go
+++ b/internal/store/wal_fault_fs_test.go
@@ -6,45 +6,46 @@
 	"slices"
 )
 
-// faultyFileSystem is a file system whose power can be lost at any operation, or whose writes can fail. After a power
-// loss a file has what its last sync covered; each later write may be there, missing or torn. A new file is durable once
-// it is synced itself; a removal once the directory is synced.
+// faultyFileSystem simulates a file system on which power can be lost at any operation, or writes can fail. After a
+// power loss a file has the content of its last sync. Each later write may be present, missing or torn. The name of a
+// new file is durable once the file is synced, and a removal once the directory is synced.
 type faultyFileSystem struct {
-	visible       map[string]*faultyFile // as a process sees it
-	durable       map[string]*faultyFile // the names that survive a power loss; the files are the same
-	refusesWrites bool
-	operations    int // so far
-	powerLossAt   int // the operation after which power is lost; 0 for never
+	visible     map[string]*faultyFile // the files that a process sees, by name
+	durable     map[string]*faultyFile // the files whose names survive a power loss; shares the files of visible
+	failWrites  bool                   // every operation fails
+	operations  int                    // number of operations so far
+	powerLossAt int                    // the last operation before power is lost; 0 for never
 }
 
-// faultyFile is a file with the changes that are not durable.
+// faultyFile is a file together with its changes that are not durable yet.
 type faultyFile struct {
 	fileSystem  *faultyFileSystem
-	synced      []byte
-	unsynced    []fileChange // in order
-	nameDurable bool         // a sync has made its name durable
+	synced      []byte       // the content at the last sync
+	unsynced    []fileChange // the changes since then, in order
+	nameDurable bool         // a sync has made the name durable
 }
 
-// fileChange is data written at the end or, unless newSize is -1, a truncation.
+// fileChange is a truncation of a file to newSize bytes, or an append of data if newSize is -1.
 type fileChange struct {
 	data    []byte
 	newSize int
 }
 
-var errPower = errors.New("power is lost")
+// errPowerLost is the error of every operation after the power loss.
+var errPowerLost = errors.New("simulated power loss")
 
 func newFaultyFileSystem() *faultyFileSystem {
 	return &faultyFileSystem{visible: map[string]*faultyFile{}, durable: map[string]*faultyFile{}}
 }
 
-// operation counts an operation; its error means that the operation may or may not have taken effect.
+// operation counts an operation that may fail. If it returns an error, the operation may or may not have taken effect.
 func (f *faultyFileSystem) operation() error {
 	f.operations++
 	if f.powerLossAt > 0 && f.operations > f.powerLossAt {
-		return errPower
+		return errPowerLost
 	}
-	if f.refusesWrites {
-		return errors.New("refused")
+	if f.failWrites {
+		return errors.New("simulated write failure")
 	}
 	return nil
 }
@@ -54,11 +55,11 @@
 func (f *faultyFileSystem) read(name string) ([]byte, error) {
 	stored := f.visible[name]
 	data := slices.Clone(stored.synced)
-	for _, later := range stored.unsynced {
-		if later.newSize >= 0 {
-			data = data[:later.newSize]
+	for _, change := range stored.unsynced {
+		if change.newSize >= 0 {
+			data = data[:change.newSize]
 		}
-		data = append(data, later.data...)
+		data = append(data, change.data...)
 	}
 	return data, nil
 }
@@ -125,35 +126,35 @@
 
 func (h *faultyHandle) close() error { return nil }
 
-// contentsAfterPowerLoss lists the contents that the file may have after a power loss; nil for a file that is gone.
+// contentsAfterPowerLoss returns the contents that the file may have after a power loss; nil stands for a missing file.
 func (f *faultyFile) contentsAfterPowerLoss() (contents [][]byte) {
 	contents = [][]byte{slices.Clone(f.synced)}
 	if !f.nameDurable {
 		contents = append(contents, nil)
 	}
-	for _, later := range f.unsynced {
+	for _, change := range f.unsynced {
 		for _, content := range slices.Clone(contents) {
 			if content == nil {
 				content = []byte{}
 			}
-			if later.newSize >= 0 {
-				contents = append(contents, slices.Clone(content[:min(len(content), later.newSize)]))
+			if change.newSize >= 0 {
+				contents = append(contents, slices.Clone(content[:min(len(content), change.newSize)]))
 				continue
 			}
-			size := len(later.data)
-			hole := slices.Clone(later.data)
-			clear(hole[size/3 : 2*size/3])
-			head := slices.Clone(later.data)
-			clear(head[:size/2])
-			// Complete, cut at several places, with a hole, with its first half zero, and all zero.
+			size := len(change.data)
+			middleZeroed := slices.Clone(change.data)
+			clear(middleZeroed[size/3 : 2*size/3])
+			firstHalfZeroed := slices.Clone(change.data)
+			clear(firstHalfZeroed[:size/2])
+			// The data may be complete, truncated at several places, zeroed in part, or all zero.
 			for _, data := range [][]byte{
-				later.data,
-				later.data[:1],
-				later.data[:min(frameHeaderBytes, size)],
-				later.data[:size/2],
-				later.data[:size-1],
-				hole,
-				head,
+				change.data,
+				change.data[:1],
+				change.data[:min(frameHeaderBytes, size)],
+				change.data[:size/2],
+				change.data[:size-1],
+				middleZeroed,
+				firstHalfZeroed,
 				make([]byte, size),
 			} {
 				contents = append(contents, slices.Concat(content, data))
@@ -163,8 +164,8 @@
 	return contents
 }
 
-// statesAfterPowerLoss lists the file systems that may be found after a power loss: every combination of the files'
-// contents, with each removal that is not durable done or undone.
+// statesAfterPowerLoss returns the file systems that may be found after a power loss: every combination of the contents
+// of the files, with each removal that is not durable either done or undone.
 func (f *faultyFileSystem) statesAfterPowerLoss() (states []*faultyFileSystem) {
 	states = []*faultyFileSystem{newFaultyFileSystem()}
 	names := map[string]bool{}
@@ -179,14 +180,14 @@
 		contents := [][]byte{}
 		if current == nil {
 			current = f.durable[name]
-			contents = append(contents, nil) // removed, if the removal lasted
+			contents = append(contents, nil) // the removal has become durable
 		}
 		contents = append(contents, current.contentsAfterPowerLoss()...)
 		var next []*faultyFileSystem
-		for _, drive := range states {
+		for _, partial := range states {
 			for _, content := range contents {
 				candidate := newFaultyFileSystem()
-				for other, existing := range drive.visible {
+				for other, existing := range partial.visible {
 					candidate.visible[other] = &faultyFile{fileSystem: candidate, synced: existing.synced, nameDurable: true}
 					candidate.durable[other] = candidate.visible[other]
 				}
--- a/internal/store/wal_frame.go
+++ b/internal/store/wal_frame.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"fmt"
 	"hash/crc32"
 
 	"google.golang.org/protobuf/proto"
@@ -11,7 +12,7 @@
 	"meadowhinge/schema"
 )
 
-// A log file is a sequence of frames, one for each write. A frame is a header and a body, numbers little-endian:
+// A log file is a sequence of frames, one for each write. A frame is a header and a body. Numbers are little-endian:
 //
 //	offset  bytes
 //	 0      4     magic
@@ -20,15 +21,15 @@
 //	16      4     CRC-32 (IEEE) of length, number and body
 //	20            body: a schema.RecordGroup
 //
-// A frame is written only once the one before it is durable, so a power loss can tear the last frame alone. A valid
-// frame after an invalid one therefore means corruption.
+// A frame is written only once the previous one is durable, so a power loss can tear only the last frame. A valid frame
+// after an invalid one therefore means corruption.
 const (
 	frameMagic       = "mhw1"
 	frameHeaderBytes = 4 + 4 + 8 + 4
 )
 
-// readFrames reads the frames of a log file, up to a torn tail. validSize is the length in bytes of the valid
-// frames; corrupt means that a valid frame follows an invalid one, and that nothing must be used.
+// readFrames reads the frames of a log file up to a torn tail. validSize is the total size of the valid frames in bytes.
+// corrupt means that a valid frame follows an invalid one; no frames are then returned, as none must be used.
 func readFrames(data []byte) (groups []*schema.RecordGroup, validSize int, corrupt bool) {
 	for {
 		group, size := readFrame(data[validSize:], uint64(len(groups)+1))
@@ -51,8 +52,8 @@
 	return groups, validSize, false
 }
 
-// readFrame reads the frame at the start of data and its size in bytes; nil unless it is valid and has the
-// number want.
+// readFrame returns the records of the frame at the start of data, and the frame's size in bytes. It returns nil if the
+// frame is invalid or does not have the number want.
 func readFrame(data []byte, want uint64) (*schema.RecordGroup, int) {
 	body, frameNumber := decodeFrame(data)
 	if body == nil || frameNumber != want {
@@ -65,8 +66,8 @@
 	return group, frameHeaderBytes + len(body)
 }
 
-// decodeFrame returns the body and the number of the frame at the start of data, nil unless its length and
-// checksum are valid.
+// decodeFrame returns the body and the number of the frame at the start of data. The body is nil if the frame's magic,
+// length or checksum is invalid.
 func decodeFrame(data []byte) (body []byte, frameNumber uint64) {
 	if len(data) < frameHeaderBytes || string(data[:4]) != frameMagic {
 		return nil, 0
@@ -82,11 +83,11 @@
 	return body, binary.LittleEndian.Uint64(data[8:])
 }
 
-// encodeFrame is a frame of records.
+// encodeFrame returns a frame with records as its body. It fails with errs.Internal if they cannot be encoded.
 func encodeFrame(records []*schema.Record, frameNumber uint64) ([]byte, error) {
 	data, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, frameHeaderBytes), &schema.RecordGroup{Records: records})
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "record")
+		return nil, errs.Wrap(err, errs.Internal, fmt.Sprintf("encode frame %d of %d records", frameNumber, len(records)))
 	}
 	copy(data, frameMagic)
 	binary.LittleEndian.PutUint32(data[4:], uint32(len(data)-frameHeaderBytes))
@@ -95,7 +96,7 @@
 	return data, nil
 }
 
-// checksum is that of a frame, over its header's length and number, and its body.
+// checksum returns the checksum of a frame, which covers the length and the number in its header, and its body.
 func checksum(header, body []byte) uint32 {
 	return crc32.Update(crc32.ChecksumIEEE(header), crc32.IEEETable, body)
 }
--- a/internal/store/wal_fs.go
+++ b/internal/store/wal_fs.go
@@ -6,11 +6,11 @@
 	"path/filepath"
 )
 
-// fileSystem is a folder of files, as the log uses it. Tests substitute one that loses power or refuses writes.
+// fileSystem is the folder that holds the log files. Tests substitute one that simulates power losses and failed writes.
 type fileSystem interface {
 	list() ([]string, error)
 	read(name string) ([]byte, error)
-	// create opens an empty file for appending, in place of one that may exist.
+	// create opens an empty file for appending. It replaces an existing file of that name.
 	create(name string) (logFile, error)
 	// open opens an existing file for appending.
 	open(name string) (logFile, error)
@@ -22,15 +22,17 @@
 
 // logFile is a file open for appending.
 type logFile interface {
-	// write appends data, which becomes durable by sync.
+	// write appends data, which is durable only after a sync.
 	write(data []byte) error
-	// truncate cuts the file to a size in bytes and goes on appending there.
+	// truncate shortens the file to a size in bytes; later writes append there.
 	truncate(size int64) error
+	// sync makes the content of the file durable. The log relies on it to make the name of a new file durable too; see
+	// FileLog.removeOthers.
 	sync() error
 	close() error
 }
 
-// osFileSystem is a folder of the operating system, by its path.
+// osFileSystem is a folder of the operating system; its value is the path.
 type osFileSystem string
 
 func (f osFileSystem) path(name string) string { return filepath.Join(string(f), name) }
--- a/internal/store/wal_fuzz_test.go
+++ b/internal/store/wal_fuzz_test.go
@@ -6,8 +6,8 @@
 	"meadowhinge/schema"
 )
 
-// Whatever a log file contains, reading it returns complete groups in order or reports corruption; and what was read,
-// when written again, reads the same.
+// Whatever a log file contains, readFrames returns complete groups in order or reports corruption. Groups that were read
+// are read again after they are rewritten.
 func FuzzReadFrames(f *testing.F) {
 	first, err := encodeFrame([]*schema.Record{{VotedTerm: 3, VotedFor: "a"}}, 1)
 	if err != nil {
@@ -25,18 +25,19 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		groups, size, corrupt := readFrames(data)
 		if corrupt && len(groups) > 0 || size > len(data) {
-			t.Fatalf("corrupt %t with %d groups in %d of %d bytes", corrupt, len(groups), size, len(data))
+			t.Fatalf("readFrames returned %d groups in %d of %d bytes, corrupt: %t; want no groups if corrupt, and no more bytes than there are",
+				len(groups), size, len(data), corrupt)
 		}
-		var again []byte
+		var rewritten []byte
 		for index, group := range groups {
 			written, err := encodeFrame(group.Records, uint64(index+1))
 			if err != nil {
 				t.Fatal(err)
 			}
-			again = append(again, written...)
+			rewritten = append(rewritten, written...)
 		}
-		if read, _, _ := readFrames(again); len(read) != len(groups) {
-			t.Fatalf("%d groups were rewritten, %d read", len(groups), len(read))
+		if read, _, _ := readFrames(rewritten); len(read) != len(groups) {
+			t.Fatalf("readFrames returned %d groups of the rewritten file, want %d", len(read), len(groups))
 		}
 	})
 }
--- a/internal/store/wal_test.go
+++ b/internal/store/wal_test.go
@@ -14,21 +14,21 @@
 	"meadowhinge/schema"
 )
 
-// voteRecord is a record that its term identifies.
+// voteRecord returns a record that is identified by its term.
 func voteRecord(term int) *schema.Record {
 	return &schema.Record{VotedTerm: uint64(term), VotedFor: fmt.Sprint("replica-", term)}
 }
 
-// writeUntilPowerLoss opens a log and writes groups of records to it until power is lost. It returns what it read on
-// opening, what is durable for certain beyond that, and the group that was being written.
+// writeUntilPowerLoss opens a log and writes four groups of records to it, the first with the term from, until power is
+// lost. It returns the records read on opening that are still in the log, the records written after them that are
+// certainly durable, and the group whose write failed, nil if none did. With snapshots the third group replaces the log.
 func writeUntilPowerLoss(files *faultyFileSystem, from int, snapshots bool) (read, synced, inFlight []*schema.Record, err error) {
 	log, read, err := openLog(files)
 	if err != nil {
 		return nil, nil, nil, err
 	}
 	for step := range 4 {
-		// A snapshot replaces all records before it.
-		replacesLog := snapshots && step == 2 || len(read)+len(synced) == 0
+		replacesLog := snapshots && step == 2 || len(read)+len(synced) == 0 // an empty log begins with a complete record
 		group := []*schema.Record{voteRecord(from + 2*step), voteRecord(from + 2*step + 1)}
 		if replacesLog {
 			group = group[1:]
@@ -45,13 +45,15 @@
 	return read, synced, nil, nil
 }
 
+// equalRecords reports whether two lists have equal records in the same order.
 func equalRecords(a, b []*schema.Record) bool {
 	return slices.EqualFunc(a, b, func(a, b *schema.Record) bool { return proto.Equal(a, b) })
 }
 
-// Wherever power is lost, and whatever is then found of what was not synced: everything durable is read again, in order;
-// what was being written is read completely or not at all; and the log goes on from there, through a second loss.
-func TestPowerLost(t *testing.T) {
+// Power is lost at each operation, and the unsynced writes are then found in each possible state. All durable records are
+// read again in order, the group in flight is read completely or not at all, and the log can be continued, through a
+// second power loss too.
+func TestDurableRecordsSurvivePowerLoss(t *testing.T) {
 	cases := 0
 	for _, snapshots := range []bool{false, true} {
 		for first := 1; ; first++ {
@@ -62,30 +64,31 @@
 				t.Fatal(err)
 			}
 			for _, state := range files.statesAfterPowerLoss() {
-				again := state.statesAfterPowerLoss()[0]
-				_, read, err := openLog(again)
+				found := state.statesAfterPowerLoss()[0]
+				_, read, err := openLog(found)
 				if !readsExpected(read, nil, synced, inFlight) || err != nil {
-					t.Fatalf("snapshots %v, power lost at %d: read %v, durable %v, in flight %v: %v", snapshots, first, read, synced, inFlight, err)
+					t.Fatalf("snapshots %v, power lost at operation %d: read %v, want the durable %v and none or all of %v in flight; error %v, want nil",
+						snapshots, first, read, synced, inFlight, err)
 				}
 				for second := 1; ; second++ {
-					twice := state.statesAfterPowerLoss()[0]
-					twice.powerLossAt = second
-					before, synced, inFlight, err := writeUntilPowerLoss(twice, 100, snapshots)
+					continued := state.statesAfterPowerLoss()[0]
+					continued.powerLossAt = second
+					before, synced, inFlight, err := writeUntilPowerLoss(continued, 100, snapshots)
 					if err != nil {
-						if errors.Is(err, errPower) || errs.CodeOf(err) == errs.DiskFailed {
+						if errors.Is(err, errPowerLost) || errs.CodeOf(err) == errs.DiskFailed {
 							continue // power was lost while the log was opened
 						}
 						t.Fatal(err)
 					}
-					for _, secondState := range twice.statesAfterPowerLoss() {
+					for _, secondState := range continued.statesAfterPowerLoss() {
 						_, read, err := openLog(secondState)
 						cases++
 						if !readsExpected(read, before, synced, inFlight) || err != nil {
-							t.Fatalf("snapshots %v, power lost at %d and %d: read %v, before %v, durable %v, in flight %v: %v",
+							t.Fatalf("snapshots %v, power lost at operations %d and %d: read %v, want the earlier %v, the durable %v and none or all of %v in flight; error %v, want nil",
 								snapshots, first, second, read, before, synced, inFlight, err)
 						}
 					}
-					if twice.operations < second {
+					if continued.operations < second {
 						break
 					}
 				}
@@ -96,12 +99,13 @@
 		}
 	}
 	if cases < 1000 {
-		t.Errorf("only %d cases were run", cases)
+		t.Errorf("%d states after a second power loss were checked, want at least 1000", cases)
 	}
-	t.Logf("%d cases", cases)
+	t.Logf("%d states after a second power loss were checked", cases)
 }
 
-// readsExpected reports whether a log has what it must: all before and synced, and possibly what was in flight.
+// readsExpected reports whether the records read from a log are all those in before and synced, or these followed by the
+// group in flight. A group in flight with a snapshot replaces the others instead.
 func readsExpected(read, before, synced, inFlight []*schema.Record) bool {
 	durable := slices.Concat(before, synced)
 	if equalRecords(read, durable) {
@@ -113,8 +117,9 @@
 	return equalRecords(read, slices.Concat(durable, inFlight))
 }
 
-// After a failed write the log accepts nothing but a record that replaces it, and then goes on.
-func TestRefusedWrite(t *testing.T) {
+// After a failed write the log refuses every write until one that replaces the log succeeds. It then accepts others
+// again.
+func TestLogRefusesWritesAfterFailure(t *testing.T) {
 	files := newFaultyFileSystem()
 	log, _, err := openLog(files)
 	if err != nil {
@@ -124,22 +129,22 @@
 	if err := log.Write([]*schema.Record{first}, true); err != nil {
 		t.Fatal(err)
 	}
-	files.refusesWrites = true
-	refused := func(number int) {
+	files.failWrites = true
+	expectRefused := func(term int) {
 		t.Helper()
-		if err := log.Write([]*schema.Record{voteRecord(number)}, false); errs.CodeOf(err) != errs.DiskFailed {
-			t.Errorf("%d was written after a write that may be missing: %v", number, err)
+		if err := log.Write([]*schema.Record{voteRecord(term)}, false); errs.CodeOf(err) != errs.DiskFailed {
+			t.Errorf("Write of term %d after a failed write = %v, want code %s", term, err, errs.DiskFailed)
 		}
 	}
-	refused(2)
-	files.refusesWrites = false
-	refused(2)
-	files.refusesWrites = true
+	expectRefused(2)
+	files.failWrites = false
+	expectRefused(2)
+	files.failWrites = true
 	if err := log.Write([]*schema.Record{first}, true); errs.CodeOf(err) != errs.DiskFailed {
-		t.Fatal(err)
+		t.Fatalf("Write of a snapshot to a failing disk = %v, want code %s", err, errs.DiskFailed)
 	}
-	files.refusesWrites = false
-	refused(3)
+	files.failWrites = false
+	expectRefused(3)
 	snapshot := &schema.Record{VotedTerm: 4, Snapshot: &schema.Snapshot{}}
 	if err := log.Write([]*schema.Record{snapshot}, true); err != nil {
 		t.Fatal(err)
@@ -149,14 +154,14 @@
 	}
 	for _, state := range files.statesAfterPowerLoss() {
 		if _, read, err := openLog(state); err != nil || !equalRecords(read, []*schema.Record{snapshot, voteRecord(5)}) {
-			t.Errorf("read %v: %v", read, err)
+			t.Errorf("openLog after a power loss returned %v, %v; want the snapshot and the vote of term 5", read, err)
 		}
 	}
 }
 
-// A process acts upon what it has read, so that is durable even if the process before it was killed in the middle of a
-// write and power is lost afterwards.
-func TestReadLasts(t *testing.T) {
+// A process acts on the records that it has read from the log, so these are durable. That holds even if the previous
+// process was killed during a write, and power is lost later.
+func TestReadRecordsAreDurable(t *testing.T) {
 	for first := 1; ; first++ {
 		files := newFaultyFileSystem()
 		files.powerLossAt = first
@@ -170,8 +175,9 @@
 			t.Fatal(err)
 		}
 		for _, state := range files.statesAfterPowerLoss() {
-			if _, again, err := openLog(state); err != nil || !equalRecords(read, again) {
-				t.Fatalf("killed at %d: read %v, then %v: %v", first, read, again, err)
+			if _, readAgain, err := openLog(state); err != nil || !equalRecords(read, readAgain) {
+				t.Fatalf("process killed at operation %d: after a power loss openLog returned %v, %v; want the records read before, %v",
+					first, readAgain, err, read)
 			}
 		}
 		if ended {
@@ -180,7 +186,7 @@
 	}
 }
 
-// filledLog writes a log of that many records, a frame each.
+// filledLog writes a log of count records, each in a frame of its own, and returns its data folder and the records.
 func filledLog(t *testing.T, count int) (folder string, written []*schema.Record) {
 	t.Helper()
 	folder = filepath.Join(t.TempDir(), "data")
@@ -200,24 +206,23 @@
 	return folder, written
 }
 
-// expectRecords checks the records of a log, and that it can be appended to.
+// expectRecords checks the records of a log, and that the log accepts a further record.
 func expectRecords(t *testing.T, folder string, want []*schema.Record) {
 	t.Helper()
 	log, records, err := Open(folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = log.Close() }() // what it wrote is durable already
+	defer func() { _ = log.Close() }() // the record is durable already
 	if !equalRecords(want, records) {
-		t.Errorf("read %v, want %v", records, want)
+		t.Errorf("Open returned the records %v, want %v", records, want)
 	}
-	// The log must take writes after a repair.
 	if err := log.Write([]*schema.Record{voteRecord(99)}, false); err != nil {
-		t.Error(err)
+		t.Errorf("Write after Open = %v, want nil", err)
 	}
 }
 
-// Wherever the last frame is torn, the records before it are read; on a real disk.
+// If the last frame of a file on a real file system is torn at any byte, the records before it are read.
 func TestTornTailIsDropped(t *testing.T) {
 	folder, written := filledLog(t, 3)
 	file := filepath.Join(folder, logName(1))
@@ -229,7 +234,7 @@
 		}
 		expectRecords(t, folder, written[:2])
 	}
-	// A tail whose length reached the disk, but not its bytes.
+	// The length of the tail has reached the disk, but most of its bytes are zero.
 	zeroed := append([]byte(nil), intact...)
 	for i := len(zeroed) - last + 3; i < len(zeroed); i++ {
 		zeroed[i] = 0
@@ -238,7 +243,7 @@
 	expectRecords(t, folder, written[:2])
 }
 
-// Corruption before the tail is refused, not skipped: a vote may be in what is lost.
+// Corruption before the tail is refused, not skipped: the lost records may include a vote.
 func TestCorruptionInTheMiddleIsRefused(t *testing.T) {
 	folder, _ := filledLog(t, 3)
 	file := filepath.Join(folder, logName(1))
@@ -246,16 +251,16 @@
 	content[len(content)/2] ^= 0x40
 	_ = os.WriteFile(file, content, 0o640)
 	if _, _, err := Open(folder); err == nil || errs.CodeOf(err) != errs.DiskCorrupt {
-		t.Errorf("got %v", err)
+		t.Errorf("Open of a corrupt log = %v, want code %s", err, errs.DiskCorrupt)
 	}
-	if err := SetAside(folder); err != nil {
+	if err := QuarantineLog(folder); err != nil {
 		t.Fatal(err)
 	}
 	expectRecords(t, folder, nil)
 }
 
-// A record that replaces the log removes everything before it.
-func TestSnapshotRecordTruncates(t *testing.T) {
+// A record that replaces the log removes all earlier records and their file.
+func TestReplacingRecordRemovesEarlierFiles(t *testing.T) {
 	folder, _ := filledLog(t, 3)
 	log, _, err := Open(folder)
 	if err != nil {
@@ -269,7 +274,7 @@
 		t.Error(err)
 	}
 	if names, _ := osFileSystem(folder).list(); len(names) != 1 {
-		t.Errorf("files left: %v", names)
+		t.Errorf("files after a record that replaces the log = %v, want 1 file", names)
 	}
 	expectRecords(t, folder, []*schema.Record{snapshot})
 }
