--- a/internal/store/fault_exploration_test.go
+++ b/internal/store/fault_exploration_test.go
@@ -10,71 +10,76 @@
 	"time"
 )
 
-var everyStep = flag.Bool("every-step", false, "explore a fault before every step of the model, not before some of them")
+var everyStep = flag.Bool("every-step", false, "inject faults before every step of the model instead of every few steps")
 
-var modelSeeds = flag.Int("model-seeds", 800, "how many drawn sets of faults to play on each size of core")
+var modelSeeds = flag.Int("model-seeds", 800, "number of random sets of faults to run on each size of core")
 
-// modelSize is a core to explore: its members, the tolerated losses, the writes of a run, and the stride between the
-// steps before which a fault strikes, unless every one is asked for.
-type modelSize struct{ members, losses, writes, stride int }
+// modelSize is the size of a model run.
+type modelSize struct {
+	members int // number of machines at the first start
+	losses  int // number of tolerated disk losses
+	writes  int // number of writes scheduled
+	stride  int // distance between two steps before which faults are injected, unless -every-step is set
+}
 
 var (
-	three = modelSize{members: 3, losses: 1, writes: 6, stride: 5}
-	five  = modelSize{members: 5, losses: 2, writes: 3, stride: 19}
+	threeMembers = modelSize{members: 3, losses: 1, writes: 6, stride: 5}
+	fiveMembers  = modelSize{members: 5, losses: 2, writes: 3, stride: 19}
 )
 
-// modelStrike is a fault that strikes before a step; drop means that the step's message is lost.
-type modelStrike func(m *model, event *modelEvent) (drop bool)
+// modelInjection injects a fault before a step. drop means that the message of this step is lost.
+type modelInjection func(m *model, event *modelEvent) (drop bool)
 
-// modelRun runs a core with faults, by the step before which each strikes, and returns the verdict.
-func modelRun(size modelSize, prepare func(*model), faults map[int]modelStrike) []string {
+// runModel runs a core with faults, given by the step before which each is injected, and returns the violations. Steps
+// count from 1, which is the first one after the core has been founded.
+func runModel(size modelSize, prepare func(*model), faults map[int]modelInjection) []string {
 	m := newModel(size.members, size.losses, prepare)
 	from := m.steps
 	for step, fault := range faults {
 		m.faultAt[from+step] = append(m.faultAt[from+step], func(event *modelEvent) bool { return fault(m, event) })
 	}
-	m.operate(size.writes)
+	m.scheduleCalls(size.writes)
 	m.runTo(m.now + time.Duration(size.writes)*modelCallInterval)
-	return m.verdict()
+	return m.recoverAndCheck()
 }
 
-// modelSteps counts the steps of a run without faults, up to the end of its writes.
-func modelSteps(t *testing.T, size modelSize) int {
+// countModelSteps returns the number of steps of a run without faults, up to the end of its writes.
+func countModelSteps(t *testing.T, size modelSize) int {
 	t.Helper()
 	m := newModel(size.members, size.losses, nil)
 	from := m.steps
-	m.operate(size.writes)
+	m.scheduleCalls(size.writes)
 	m.runTo(m.now + time.Duration(size.writes)*modelCallInterval)
 	steps := m.steps - from
-	if breaches := m.verdict(); len(breaches) > 0 {
-		t.Fatalf("without a fault: %v", breaches)
+	if violations := m.recoverAndCheck(); len(violations) > 0 {
+		t.Fatalf("violations in a run without faults: %v, want none", violations)
 	}
 	return steps
 }
 
-// strikeMember is a fault that strikes one replica.
-func strikeMember(fault modelFault, index int) modelStrike {
+// injectInto returns the injection of a fault into the replica with an index.
+func injectInto(fault modelFault, index int) modelInjection {
 	return func(m *model, _ *modelEvent) bool {
-		fault.strike(m, m.members[index])
+		fault.inject(m, m.members[index])
 		return false
 	}
 }
 
-// strikes are all faults that can strike before a step, by name.
-func strikes(size modelSize) map[string]modelStrike {
-	all := map[string]modelStrike{
+// allInjections returns all faults that can be injected before a step, by name.
+func allInjections(size modelSize) map[string]modelInjection {
+	all := map[string]modelInjection{
 		"all lose power":      allLosePower,
 		"the message is lost": func(_ *model, event *modelEvent) bool { return event.kind == messageEvent },
 	}
 	for _, fault := range modelFaults {
 		for index := range size.members {
-			all[modelName(index)+" "+fault.name] = strikeMember(fault, index)
+			all[modelName(index)+" "+fault.name] = injectInto(fault, index)
 		}
 	}
 	return all
 }
 
-// modelStride is the distance between two steps that are explored.
+// modelStride returns the distance between two steps before which faults are injected.
 func modelStride(size modelSize) int {
 	if *everyStep {
 		return 1
@@ -82,17 +87,18 @@
 	return size.stride
 }
 
-// Any fault of any replica, before any message or write: the operators' history is linearizable, no two members lead in
-// one term or have different states at one sequence, and soon after the fault the core decides again and is healthy.
+// Each fault of each replica is injected before messages and writes. In every run the operators' history is linearizable,
+// no two members lead in one term or have different states at one sequence, and soon after the fault the core decides
+// again and is healthy.
 func TestEveryFaultAtEveryStep(t *testing.T) {
-	for _, size := range []modelSize{three, five} {
-		steps := modelSteps(t, size)
+	for _, size := range []modelSize{threeMembers, fiveMembers} {
+		steps := countModelSteps(t, size)
 		for step := 1; step <= steps; step += modelStride(size) {
 			t.Run(fmt.Sprintf("%d members, step %d of %d", size.members, step, steps), func(t *testing.T) {
 				t.Parallel()
-				for name, strike := range strikes(size) {
-					if breaches := modelRun(size, nil, map[int]modelStrike{step: strike}); len(breaches) > 0 {
-						t.Errorf("%s: %v", name, breaches)
+				for name, inject := range allInjections(size) {
+					if violations := runModel(size, nil, map[int]modelInjection{step: inject}); len(violations) > 0 {
+						t.Errorf("violations after %s: %v, want none", name, violations)
 					}
 				}
 			})
@@ -100,21 +106,20 @@
 	}
 }
 
-// secondLosses are the faults that a core tolerates again as soon as a lost replica has caught up.
-var secondLosses = []modelFault{{"loses its disk", wipeMember}, {"is replaced", replaceMember}}
+// diskLosses are the faults that destroy a disk. A core tolerates another one as soon as the lost replica has caught up.
+var diskLosses = []modelFault{{"loses its disk", wipeMember}, {"is replaced", replaceMember}}
 
-// A replica is lost for good or with its disk and is repaired; after the time to catch up any other one may be lost, and
-// then a third.
+// A replica loses its disk or is replaced. After the time to catch up any other one may be lost, and then a third.
 func TestLossAfterRepair(t *testing.T) {
-	for _, size := range []modelSize{three, five} {
-		for _, first := range secondLosses {
-			for _, second := range secondLosses {
+	for _, size := range []modelSize{threeMembers, fiveMembers} {
+		for _, first := range diskLosses {
+			for _, second := range diskLosses {
 				t.Run(fmt.Sprintf("%d members, one %s, then one %s", size.members, first.name, second.name), func(t *testing.T) {
 					t.Parallel()
 					for index := range size.members {
 						for other := range size.members {
-							if breaches := modelRun(size, nil, map[int]modelStrike{20: lossAfterRepair(first, index, second, other)}); len(breaches) > 0 {
-								t.Errorf("%s, then %s: %v", modelName(index), modelName(other), breaches)
+							if violations := runModel(size, nil, map[int]modelInjection{20: lossAfterRepair(first, index, second, other)}); len(violations) > 0 {
+								t.Errorf("violations after the loss of %s, then %s: %v, want none", modelName(index), modelName(other), violations)
 							}
 						}
 					}
@@ -124,40 +129,39 @@
 	}
 }
 
-// lossAfterRepair loses as many replicas as are tolerated at once, and then others, twice, each time as soon as those
-// before have had the time to catch up.
-func lossAfterRepair(first modelFault, index int, second modelFault, other int) modelStrike {
+// lossAfterRepair loses as many replicas at once as are tolerated, three times. Each time the replicas lost before have
+// had the time to catch up.
+func lossAfterRepair(first modelFault, index int, second modelFault, other int) modelInjection {
 	return func(m *model, _ *modelEvent) bool {
 		lose := func(fault modelFault, from int) {
 			for loss := range m.losses {
-				if members := m.standing(); len(members) > 0 {
-					fault.strike(m, members[(from+loss)%len(members)])
+				if members := m.remaining(); len(members) > 0 {
+					fault.inject(m, members[(from+loss)%len(members)])
 				}
 			}
 		}
-		m.faultsEndAt = m.now + 3*(modelHeartbeatTimeout+modelCatchUp)
+		m.faultsEndAt = m.now + 3*(modelHeartbeatTimeout+modelCatchUpTime)
 		lose(first, index)
-		m.at(modelHeartbeatTimeout+modelCatchUp, nil, ordinaryEvent, func() {
-			m.operate(1)
+		m.at(modelHeartbeatTimeout+modelCatchUpTime, nil, ordinaryEvent, func() {
+			m.scheduleCalls(1)
 			lose(second, other)
 		})
-		m.at(2*(modelHeartbeatTimeout+modelCatchUp), nil, ordinaryEvent, func() {
-			m.operate(1)
+		m.at(2*(modelHeartbeatTimeout+modelCatchUpTime), nil, ordinaryEvent, func() {
+			m.scheduleCalls(1)
 			lose(first, index+1)
 		})
 		return false
 	}
 }
 
-// The step before which a fault makes a repair necessary, and the number of steps after it that are explored.
 const (
-	repairFrom  = 15
-	repairSteps = 120
+	repairFrom  = 15  // the step before which a fault makes a repair necessary
+	repairSteps = 120 // the steps below repairFrom + repairSteps are tried for the power loss of all
 )
 
-// While a replica is being repaired, all may lose power at any step: nothing but lost disks counts as a loss.
-func TestPowerLossDuringRepair(t *testing.T) {
-	for _, size := range []modelSize{three, five} {
+// While a replica is being repaired, all replicas may lose power at any step: that loses no disk, so it is tolerated.
+func TestPowerLossOfAllDuringRepair(t *testing.T) {
+	for _, size := range []modelSize{threeMembers, fiveMembers} {
 		for _, fault := range modelFaults {
 			if fault.name != "loses its disk" && fault.name != "is replaced" && fault.name != "is replaced as planned" {
 				continue
@@ -166,9 +170,10 @@
 				t.Parallel()
 				for index := range size.members {
 					for step := repairFrom + 1; step < repairFrom+repairSteps; step += modelStride(size) {
-						faults := map[int]modelStrike{repairFrom: strikeMember(fault, index), step: allLosePower}
-						if breaches := modelRun(size, nil, faults); len(breaches) > 0 {
-							t.Errorf("%s, then the power of all before step %d: %v", modelName(index), step, breaches)
+						faults := map[int]modelInjection{repairFrom: injectInto(fault, index), step: allLosePower}
+						if violations := runModel(size, nil, faults); len(violations) > 0 {
+							t.Errorf("violations after the fault at %s and a power loss of all before step %d: %v, want none",
+								modelName(index), step, violations)
 						}
 					}
 				}
@@ -177,17 +182,17 @@
 	}
 }
 
-// Faults that lose no disk may strike any members, any number of times: nothing is lost by them, and once they have
-// ended the core decides again.
-func TestFaultsWithoutLoss(t *testing.T) {
-	for _, size := range []modelSize{three, five} {
-		for part := range randomParts {
+// Any number of faults may occur at any members, if none of them loses a disk: no acknowledged change is lost, and once
+// the faults have ended the core decides again.
+func TestRandomFaultsWithoutDiskLoss(t *testing.T) {
+	for _, size := range []modelSize{threeMembers, fiveMembers} {
+		for part := range randomFaultParts {
 			t.Run(fmt.Sprintf("%d members, part %d", size.members, part), func(t *testing.T) {
 				t.Parallel()
-				for seed := range uint64(*modelSeeds / randomParts) {
-					faults := withoutLoss(size, seed*randomParts+uint64(part))
-					if breaches := modelRun(size, nil, faults); len(breaches) > 0 {
-						t.Errorf("seed %d: %v", seed*randomParts+uint64(part), breaches)
+				for seed := range uint64(*modelSeeds / randomFaultParts) {
+					faults := randomFaultsWithoutLoss(size, seed*randomFaultParts+uint64(part))
+					if violations := runModel(size, nil, faults); len(violations) > 0 {
+						t.Errorf("violations with the random faults of seed %d: %v, want none", seed*randomFaultParts+uint64(part), violations)
 					}
 				}
 			})
@@ -195,16 +200,18 @@
 	}
 }
 
-const randomParts = 8
+// randomFaultParts is the number of parallel subtests that the seeds are divided among.
+const randomFaultParts = 8
 
-// withoutLoss draws faults that lose no disk.
-func withoutLoss(size modelSize, seed uint64) map[int]modelStrike {
+// randomFaultsWithoutLoss returns up to 8 faults before random steps, none of which loses a disk. They depend only on the
+// seed and the number of members.
+func randomFaultsWithoutLoss(size modelSize, seed uint64) map[int]modelInjection {
 	const maxFaults, lastStep = 8, 300
-	dice := rand.New(rand.NewPCG(seed, uint64(size.members)))
-	faults := map[int]modelStrike{}
-	for range 2 + dice.IntN(maxFaults-1) {
-		kind, index, outage := dice.IntN(6), dice.IntN(size.members), time.Duration(dice.Int64N(int64(modelOutage)))
-		faults[1+dice.IntN(lastStep)] = func(m *model, event *modelEvent) bool {
+	rng := rand.New(rand.NewPCG(seed, uint64(size.members)))
+	faults := map[int]modelInjection{}
+	for range 2 + rng.IntN(maxFaults-1) {
+		kind, index, outage := rng.IntN(6), rng.IntN(size.members), time.Duration(rng.Int64N(int64(modelOutage)))
+		faults[1+rng.IntN(lastStep)] = func(m *model, event *modelEvent) bool {
 			replica := m.members[index]
 			m.extendFaults(outage)
 			switch kind {
@@ -233,16 +240,16 @@
 	return faults
 }
 
-// copiesLost lets all but the given members receive nothing for a while, and then the given ones, which alone have what
-// is written meanwhile, lose their disks.
-func copiesLost(wiped ...int) modelStrike {
+// copiesLost keeps all but the given members from receiving anything for a while. Then the given members, which alone
+// have what is written meanwhile, lose their disks.
+func copiesLost(wiped ...int) modelInjection {
 	return func(m *model, _ *modelEvent) bool {
-		for index, replica := range m.members[:min(len(m.members), m.founded)] {
+		for index, replica := range m.members[:min(len(m.members), m.initialMachines)] {
 			if !slices.Contains(wiped, index) {
 				m.isolate(replica, true, false)
 			}
 		}
-		m.operate(4)
+		m.scheduleCalls(4)
 		m.at(4*modelCallInterval, nil, ordinaryEvent, func() {
 			for _, index := range wiped {
 				wipeMember(m, m.members[index])
@@ -252,35 +259,37 @@
 	}
 }
 
-// A change whose only copies are on disks that are then lost was not acknowledged: neither by too few members, nor by
-// counting a learner beside one member.
-func TestCopiesLost(t *testing.T) {
-	for step := 1; step < 60; step += modelStride(three) {
-		for index := range three.members {
-			if breaches := modelRun(three, nil, map[int]modelStrike{step: copiesLost(index)}); len(breaches) > 0 {
-				t.Errorf("step %d, %s: %v", step, modelName(index), breaches)
+// If all copies of a change are on disks that are then lost, the change was not acknowledged. A commit quorum that is too
+// small, or counts a learner as a member, would acknowledge it.
+func TestChangeOnLostDisksWasNotAcknowledged(t *testing.T) {
+	for step := 1; step < 60; step += modelStride(threeMembers) {
+		for index := range threeMembers.members {
+			if violations := runModel(threeMembers, nil, map[int]modelInjection{step: copiesLost(index)}); len(violations) > 0 {
+				t.Errorf("violations after the loss of the copies at %s from step %d: %v, want none", modelName(index), step, violations)
 			}
-			if breaches := modelRun(three, nil, map[int]modelStrike{step: withLearner(copiesLost(index))}); len(breaches) > 0 {
-				t.Errorf("step %d, %s and a learner: %v", step, modelName(index), breaches)
+			if violations := runModel(threeMembers, nil, map[int]modelInjection{step: withLearner(copiesLost(index))}); len(violations) > 0 {
+				t.Errorf("violations after the loss of the copies at %s, beside a learner, from step %d: %v, want none",
+					modelName(index), step, violations)
 			}
 		}
-		for index := range five.members {
+		for index := range fiveMembers.members {
 			for other := range index {
-				if breaches := modelRun(five, nil, map[int]modelStrike{step: copiesLost(other, index)}); len(breaches) > 0 {
-					t.Errorf("step %d, %s and %s: %v", step, modelName(other), modelName(index), breaches)
+				if violations := runModel(fiveMembers, nil, map[int]modelInjection{step: copiesLost(other, index)}); len(violations) > 0 {
+					t.Errorf("violations after the loss of the copies at %s and %s from step %d: %v, want none",
+						modelName(other), modelName(index), step, violations)
 				}
 			}
 		}
 	}
 }
 
-// withLearner lets a machine join for which there is no place, so that it stays a learner, and then a fault strike. The
-// machine is removed once the others have recovered.
-func withLearner(strike modelStrike) modelStrike {
+// withLearner adds a machine for which the membership has no place, so that it stays a learner, and then injects a fault.
+// The machine is removed once the others have recovered.
+func withLearner(inject modelInjection) modelInjection {
 	return func(m *model, event *modelEvent) bool {
 		learner := m.add(modelName(len(m.members)), false)
 		m.at(2*modelHeartbeatTimeout, nil, ordinaryEvent, func() {
-			strike(m, event)
+			inject(m, event)
 		})
 		m.at(2*modelHeartbeatTimeout+2*modelOutage, nil, ordinaryEvent, func() { m.remove(learner) })
 		m.extendFaults(2*modelHeartbeatTimeout + 3*modelOutage)
@@ -288,69 +297,69 @@
 	}
 }
 
-// lagWipeOff lets one replica lag, another lose its disk, and the third be down while the first two are back: only the
-// third has what was acknowledged meanwhile.
-func lagWipeOff(lagging, wiped, off int) modelStrike {
+// lagWipeDown makes one of three replicas lag and another lose its disk, and keeps the third one down while the first
+// two are back. Only the third one has what was acknowledged meanwhile.
+func lagWipeDown(lagging, wiped, down int) modelInjection {
 	return func(m *model, _ *modelEvent) bool {
 		m.isolate(m.members[lagging], true, true)
 		m.at(2*modelCallInterval, nil, ordinaryEvent, func() { wipeMember(m, m.members[wiped]) })
 		m.at(2*modelCallInterval+modelHeartbeatTimeout/2, nil, ordinaryEvent, func() {
-			m.powerLoss(m.members[off], 0)
-			m.restartAfter(m.members[off], 2*modelOutage)
+			m.powerLoss(m.members[down], 0)
+			m.restartAfter(m.members[down], 2*modelOutage)
 		})
 		return false
 	}
 }
 
-// The model's checks detect each seeded fault, in a run that passes without it.
+// The checks of the model detect each seeded fault in some run, and the same run without that fault has no violation.
 func TestModelDetectsSeededFaults(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		size    modelSize
 		prepare func(*model)
-		runs    func(yield func(string, map[int]modelStrike) bool)
+		runs    func(yield func(string, map[int]modelInjection) bool)
 	}{
-		{"a read without a majority", three, withSeededFault(faultLocalRead), eachFault(three)},
-		{"commit by the founders' majority", five, withSeededFault(faultFoundersQuorum), eachLossOfCopies(five)},
-		{"learners are counted", three, withSeededFault(faultCountLearners), eachLossOfCopies(three)},
-		{"a leader with a stale state", three, withSeededFault(faultStaleLeader), eachFault(three)},
-		{"entries are acknowledged before they are durable", three, withSeededFault(faultEarlyAcknowledgement), eachFault(three)},
-		{"an empty folder counts as the one before", three, func(m *model) { m.amnesia = true }, eachLagWipeOff(three)},
-		{"a void entry makes a member", three, withSeededFault(faultIgnoresExclusion), eachPowerLossDuringRepair(three)},
+		{"a read without a majority", threeMembers, withSeededFault(faultLocalRead), eachFault(threeMembers)},
+		{"commit by the founders' majority", fiveMembers, withSeededFault(faultFoundersQuorum), eachLossOfCopies(fiveMembers)},
+		{"learners are counted", threeMembers, withSeededFault(faultCountLearners), eachLossOfCopies(threeMembers)},
+		{"a leader with a stale state", threeMembers, withSeededFault(faultStaleLeader), eachFault(threeMembers)},
+		{"entries are acknowledged before they are durable", threeMembers, withSeededFault(faultEarlyAcknowledgement), eachFault(threeMembers)},
+		{"an empty folder counts as the lost one", threeMembers, func(m *model) { m.reusesIncarnation = true }, eachLagWipeDown(threeMembers)},
+		{"a discarded entry makes a member", threeMembers, withSeededFault(faultIgnoresExclusion), eachPowerLossDuringRepair(threeMembers)},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			runs := 0
 			for name, faults := range test.runs {
 				runs++
-				breaches := modelRun(test.size, test.prepare, faults)
-				if len(breaches) == 0 {
+				violations := runModel(test.size, test.prepare, faults)
+				if len(violations) == 0 {
 					continue
 				}
-				t.Logf("detected in run %d: %s: %s", runs, name, breaches[0])
-				if withoutFault := modelRun(test.size, nil, faults); len(withoutFault) > 0 {
-					t.Errorf("the same run without the fault: %v", withoutFault)
+				t.Logf("the seeded fault is detected in run %d, %s: %s", runs, name, violations[0])
+				if withoutFault := runModel(test.size, nil, faults); len(withoutFault) > 0 {
+					t.Errorf("violations in run %s without the seeded fault: %v, want none", name, withoutFault)
 				}
 				return
 			}
-			t.Errorf("not detected in %d runs", runs)
+			t.Errorf("the seeded fault is not detected in %d runs, want a violation in one", runs)
 		})
 	}
 }
 
-// withSeededFault prepares a model whose replicas have a fault.
+// withSeededFault returns a prepare function for newModel that seeds a fault in every replica.
 func withSeededFault(fault seededFault) func(*model) { return func(m *model) { m.seededFault = fault } }
 
-// seededFaultSteps is the number of steps that are explored for a seeded fault.
+// seededFaultSteps is the number of steps before which faults are injected to detect a seeded fault.
 const seededFaultSteps = 100
 
-// eachFault yields every fault before every step.
-func eachFault(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
-	return func(yield func(string, map[int]modelStrike) bool) {
-		all := strikes(size)
+// eachFault yields runs with every fault before every step, with their names.
+func eachFault(size modelSize) func(yield func(string, map[int]modelInjection) bool) {
+	return func(yield func(string, map[int]modelInjection) bool) {
+		all := allInjections(size)
 		for step := range seededFaultSteps {
 			for _, name := range slices.Sorted(maps.Keys(all)) {
-				if !yield(fmt.Sprint(name, " before step ", step+1), map[int]modelStrike{step + 1: all[name]}) {
+				if !yield(fmt.Sprint(name, " before step ", step+1), map[int]modelInjection{step + 1: all[name]}) {
 					return
 				}
 			}
@@ -358,14 +367,15 @@
 	}
 }
 
-// eachLossOfCopies yields losses of as many disks as are tolerated, without a learner and with one.
-func eachLossOfCopies(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
-	return func(yield func(string, map[int]modelStrike) bool) {
+// eachLossOfCopies yields runs of copiesLost with as many members as losses are tolerated, without a learner and with
+// one.
+func eachLossOfCopies(size modelSize) func(yield func(string, map[int]modelInjection) bool) {
+	return func(yield func(string, map[int]modelInjection) bool) {
 		for step := 1; step < seededFaultSteps; step++ {
 			for index := range size.members {
 				wiped := []int{index, (index + 1) % size.members}[:size.losses]
-				if !yield(fmt.Sprint(wiped, " before step ", step), map[int]modelStrike{step: copiesLost(wiped...)}) ||
-					!yield(fmt.Sprint(wiped, " and a learner, before step ", step), map[int]modelStrike{step: withLearner(copiesLost(wiped...))}) {
+				if !yield(fmt.Sprint(wiped, " before step ", step), map[int]modelInjection{step: copiesLost(wiped...)}) ||
+					!yield(fmt.Sprint(wiped, " and a learner, before step ", step), map[int]modelInjection{step: withLearner(copiesLost(wiped...))}) {
 					return
 				}
 			}
@@ -373,18 +383,18 @@
 	}
 }
 
-// eachLagWipeOff yields lagWipeOff for every order of three members.
-func eachLagWipeOff(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
-	return func(yield func(string, map[int]modelStrike) bool) {
+// eachLagWipeDown yields runs of lagWipeDown with every order of three members.
+func eachLagWipeDown(size modelSize) func(yield func(string, map[int]modelInjection) bool) {
+	return func(yield func(string, map[int]modelInjection) bool) {
 		for step := 1; step < seededFaultSteps; step++ {
 			for lagging := range size.members {
 				for wiped := range size.members {
-					off := size.members - lagging - wiped
+					down := size.members - lagging - wiped
 					if lagging == wiped {
 						continue
 					}
-					faults := map[int]modelStrike{step: lagWipeOff(lagging, wiped, off)}
-					if !yield(fmt.Sprint(lagging, wiped, off, " before step ", step), faults) {
+					faults := map[int]modelInjection{step: lagWipeDown(lagging, wiped, down)}
+					if !yield(fmt.Sprint(lagging, wiped, down, " before step ", step), faults) {
 						return
 					}
 				}
@@ -393,12 +403,12 @@
 	}
 }
 
-// eachPowerLossDuringRepair yields the runs of TestPowerLossDuringRepair with a lost disk.
-func eachPowerLossDuringRepair(size modelSize) func(yield func(string, map[int]modelStrike) bool) {
-	return func(yield func(string, map[int]modelStrike) bool) {
+// eachPowerLossDuringRepair yields the runs of TestPowerLossOfAllDuringRepair with a lost disk, at every step.
+func eachPowerLossDuringRepair(size modelSize) func(yield func(string, map[int]modelInjection) bool) {
+	return func(yield func(string, map[int]modelInjection) bool) {
 		for index := range size.members {
 			for step := repairFrom + 1; step < repairFrom+repairSteps; step++ {
-				faults := map[int]modelStrike{repairFrom: strikeMember(modelFault{strike: wipeMember}, index), step: allLosePower}
+				faults := map[int]modelInjection{repairFrom: injectInto(modelFault{inject: wipeMember}, index), step: allLosePower}
 				if !yield(fmt.Sprint(modelName(index), ", all lose power before step ", step), faults) {
 					return
 				}
@@ -407,7 +417,7 @@
 	}
 }
 
-// allLosePower is model.allLosePower as a fault.
+// allLosePower is model.allLosePower as a modelInjection.
 func allLosePower(m *model, _ *modelEvent) bool {
 	m.allLosePower()
 	return false
--- a/internal/store/golden_model_test.go
+++ b/internal/store/golden_model_test.go
@@ -16,11 +16,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// modelGoldenFile has a line for each run of the model: its name, the digest of its trace, and totals that make a
-// difference easier to read.
+// modelGoldenFile has a line for each run of the model: the name, the digest of the trace, and totals that make a
+// difference easier to understand.
 const modelGoldenFile = "testdata/golden/model.txt"
 
-// The codes of actions in a trace, independent of their Go names.
+// These codes identify the kinds of actions in a trace. They do not depend on the Go names.
 const (
 	modelCodeSend = iota + 1
 	modelCodePersist
@@ -29,19 +29,21 @@
 	modelCodeEnd
 )
 
-// modelTrace is a digest of all actions of the replicas in a run, in order, as numbers and length-prefixed bytes. Names of
-// Go types, functions and fields are not part of it, so renaming them changes no digest.
+// modelTrace computes a digest of all actions of the replicas in a run, in order, as numbers and length-prefixed bytes.
+// Names of Go types, functions and fields are not part of it, so renaming them changes no digest.
 type modelTrace struct {
 	sum                             hash.Hash
-	sends, persists, replies, reads int
+	sends, persists, replies, reads int // number of actions of each kind
 }
 
+// number adds numbers.
 func (d *modelTrace) number(values ...uint64) {
 	for _, value := range values {
 		d.sum.Write(binary.LittleEndian.AppendUint64(nil, value))
 	}
 }
 
+// text adds strings, each after its length.
 func (d *modelTrace) text(values ...string) {
 	for _, value := range values {
 		d.number(uint64(len(value)))
@@ -49,7 +51,7 @@
 	}
 }
 
-// message adds a message by its field numbers.
+// message adds the deterministic encoding of a message, which has field numbers instead of names.
 func (d *modelTrace) message(t *testing.T, message proto.Message) {
 	t.Helper()
 	bytes, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
@@ -87,11 +89,11 @@
 		d.number(modelCodeReadReady)
 		d.message(t, typed.Result)
 	default:
-		t.Fatal("an action of an unknown kind")
+		t.Fatalf("the action %T has no code in the trace", action)
 	}
 }
 
-// end adds the state of every machine at the end of the run.
+// end adds the state of the model and of every machine at the end of the run.
 func (d *modelTrace) end(t *testing.T, m *model) {
 	t.Helper()
 	d.number(modelCodeEnd, uint64(m.now), uint64(m.steps), uint64(m.serial))
@@ -110,82 +112,82 @@
 			d.message(t, record)
 		}
 	}
-	d.text(m.breaches...)
+	d.text(m.violations...)
 }
 
-// modelGoldenRuns are the recorded runs: drawn faults that lose no disk, and losses of disks and machines with the
-// membership changes that repair them.
+// modelGoldenRuns are the recorded runs: random faults without the loss of a disk, and losses of disks and machines with
+// the membership changes that repair them. Each name is that of a line in modelGoldenFile.
 var modelGoldenRuns = []struct {
 	name   string
 	size   modelSize
-	faults func() map[int]modelStrike
+	faults func() map[int]modelInjection
 }{
-	{"3 members, no fault", three, func() map[int]modelStrike { return nil }},
-	{"5 members, no fault", five, func() map[int]modelStrike { return nil }},
-	{"3 members, drawn 7", three, func() map[int]modelStrike { return withoutLoss(three, 7) }},
-	{"3 members, drawn 30", three, func() map[int]modelStrike { return withoutLoss(three, 30) }},
-	{"3 members, drawn 46", three, func() map[int]modelStrike { return withoutLoss(three, 46) }},
-	{"3 members, drawn 59", three, func() map[int]modelStrike { return withoutLoss(three, 59) }},
-	{"5 members, drawn 22", five, func() map[int]modelStrike { return withoutLoss(five, 22) }},
-	{"5 members, drawn 32", five, func() map[int]modelStrike { return withoutLoss(five, 32) }},
-	{"5 members, drawn 44", five, func() map[int]modelStrike { return withoutLoss(five, 44) }},
-	{"5 members, drawn 48", five, func() map[int]modelStrike { return withoutLoss(five, 48) }},
-	{"3 members, loss after repair", three, func() map[int]modelStrike {
-		return map[int]modelStrike{20: lossAfterRepair(secondLosses[0], 0, secondLosses[1], 1)}
+	{"3 members, no fault", threeMembers, func() map[int]modelInjection { return nil }},
+	{"5 members, no fault", fiveMembers, func() map[int]modelInjection { return nil }},
+	{"3 members, drawn 7", threeMembers, func() map[int]modelInjection { return randomFaultsWithoutLoss(threeMembers, 7) }},
+	{"3 members, drawn 30", threeMembers, func() map[int]modelInjection { return randomFaultsWithoutLoss(threeMembers, 30) }},
+	{"3 members, drawn 46", threeMembers, func() map[int]modelInjection { return randomFaultsWithoutLoss(threeMembers, 46) }},
+	{"3 members, drawn 59", threeMembers, func() map[int]modelInjection { return randomFaultsWithoutLoss(threeMembers, 59) }},
+	{"5 members, drawn 22", fiveMembers, func() map[int]modelInjection { return randomFaultsWithoutLoss(fiveMembers, 22) }},
+	{"5 members, drawn 32", fiveMembers, func() map[int]modelInjection { return randomFaultsWithoutLoss(fiveMembers, 32) }},
+	{"5 members, drawn 44", fiveMembers, func() map[int]modelInjection { return randomFaultsWithoutLoss(fiveMembers, 44) }},
+	{"5 members, drawn 48", fiveMembers, func() map[int]modelInjection { return randomFaultsWithoutLoss(fiveMembers, 48) }},
+	{"3 members, loss after repair", threeMembers, func() map[int]modelInjection {
+		return map[int]modelInjection{20: lossAfterRepair(diskLosses[0], 0, diskLosses[1], 1)}
 	}},
-	{"5 members, loss after repair", five, func() map[int]modelStrike {
-		return map[int]modelStrike{20: lossAfterRepair(secondLosses[1], 1, secondLosses[0], 3)}
+	{"5 members, loss after repair", fiveMembers, func() map[int]modelInjection {
+		return map[int]modelInjection{20: lossAfterRepair(diskLosses[1], 1, diskLosses[0], 3)}
 	}},
-	{"3 members, copies lost beside a learner", three, func() map[int]modelStrike {
-		return map[int]modelStrike{11: withLearner(copiesLost(0))}
+	{"3 members, copies lost beside a learner", threeMembers, func() map[int]modelInjection {
+		return map[int]modelInjection{11: withLearner(copiesLost(0))}
 	}},
-	{"5 members, all lose power in a repair", five, func() map[int]modelStrike {
-		return map[int]modelStrike{repairFrom: strikeMember(modelFault{strike: wipeMember}, 2), repairFrom + 30: allLosePower}
+	{"5 members, all lose power in a repair", fiveMembers, func() map[int]modelInjection {
+		return map[int]modelInjection{repairFrom: injectInto(modelFault{inject: wipeMember}, 2), repairFrom + 30: allLosePower}
 	}},
 }
 
-// modelGoldenRun runs a run and returns its line.
-func modelGoldenRun(t *testing.T, size modelSize, faults map[int]modelStrike) string {
+// runGoldenModel carries out a recorded run and returns its line in modelGoldenFile without the name.
+func runGoldenModel(t *testing.T, size modelSize, faults map[int]modelInjection) string {
 	t.Helper()
 	trace := &modelTrace{sum: sha256.New()}
-	var played *model
-	modelRun(size, func(m *model) {
-		played = m
+	var finished *model
+	runModel(size, func(m *model) {
+		finished = m
 		m.onAction = func(replica *modelReplica, action Action) { trace.action(t, m, replica, action) }
 	}, faults)
-	trace.end(t, played)
+	trace.end(t, finished)
 	committed := uint64(0)
-	for _, replica := range played.members {
+	for _, replica := range finished.members {
 		reached, _ := replica.Committed()
 		committed = max(committed, reached)
 	}
 	return fmt.Sprintf("%s: %d messages, %d records, %d replies, %d reads, %d elections, committed %d, %d steps, %v, %d breaches",
 		hex.EncodeToString(trace.sum.Sum(nil)), trace.sends, trace.persists, trace.replies, trace.reads,
-		len(played.leaders), committed, played.steps, played.now.Round(time.Millisecond), len(played.breaches))
+		len(finished.leaders), committed, finished.steps, finished.now.Round(time.Millisecond), len(finished.violations))
 }
 
-// A change without effect on behaviour alters no run of the model: the replicas send, write and answer the same at the
-// same times as when the file was written. A refactoring leaves the file unchanged.
+// A refactoring changes no run of the model: the replicas send, write and answer the same at the same times as when the
+// golden file was written.
 func TestGoldenModel(t *testing.T) {
 	golden := modelGoldenLines(t)
 	if len(golden) != len(modelGoldenRuns) {
-		t.Errorf("%s has %d lines for %d runs", modelGoldenFile, len(golden), len(modelGoldenRuns))
+		t.Errorf("%s has %d lines, want %d, one for each run", modelGoldenFile, len(golden), len(modelGoldenRuns))
 	}
 	for _, run := range modelGoldenRuns {
 		t.Run(run.name, func(t *testing.T) {
 			t.Parallel()
 			want, known := golden[run.name]
 			if !known {
-				t.Fatalf("%s has no line for it", modelGoldenFile)
+				t.Fatalf("%s has no line for the run %q", modelGoldenFile, run.name)
 			}
-			if got := modelGoldenRun(t, run.size, run.faults()); got != want {
-				t.Errorf("its run differs:\n got %s\nwant %s", got, want)
+			if got := runGoldenModel(t, run.size, run.faults()); got != want {
+				t.Errorf("the run differs from the golden one:\n got %s\nwant %s", got, want)
 			}
 		})
 	}
 }
 
-// modelGoldenLines reads the file's lines, by the names of the runs.
+// modelGoldenLines returns the lines of modelGoldenFile by the names of their runs.
 func modelGoldenLines(t *testing.T) map[string]string {
 	t.Helper()
 	content, err := os.ReadFile(modelGoldenFile)
@@ -196,7 +198,7 @@
 	for line := range strings.Lines(string(content)) {
 		name, rest, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		if _, twice := lines[name]; twice {
-			t.Fatalf("%s has %q twice", modelGoldenFile, name)
+			t.Fatalf("%s has two lines for the run %q", modelGoldenFile, name)
 		}
 		lines[name] = rest
 	}
--- a/internal/store/model_faults_test.go
+++ b/internal/store/model_faults_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// powerLoss ends a replica's process. Of its writes that are not durable the first writesKept reach the disk all the same.
+// powerLoss ends the process of a replica. The first writesKept of its pending writes reach the disk nevertheless.
 func (m *model) powerLoss(replica *modelReplica, writesKept int) {
 	for _, write := range replica.writing[:min(writesKept, len(replica.writing))] {
 		replica.storeRecord(write)
@@ -13,10 +13,10 @@
 	replica.up = false
 }
 
-// extendFaults records that a fault lasts for a while, for the verdict to wait.
+// extendFaults records that a fault lasts from now for a time, so that recoverAndCheck waits for its end.
 func (m *model) extendFaults(outage time.Duration) { m.faultsEndAt = max(m.faultsEndAt, m.now+outage) }
 
-// restartAfter starts a replica's process again after a while.
+// restartAfter starts the process of a replica again after a delay.
 func (m *model) restartAfter(replica *modelReplica, after time.Duration) {
 	m.extendFaults(after)
 	m.at(after, nil, ordinaryEvent, func() {
@@ -26,32 +26,32 @@
 	})
 }
 
-// isolate partitions a replica's links for the usual time of a fault.
+// isolate partitions the incoming or outgoing links of a replica, or both, for the usual duration of a fault.
 func (m *model) isolate(replica *modelReplica, inward, outward bool) {
 	m.isolateFor(modelOutage, replica, inward, outward)
 }
 
-// isolateFor partitions a replica's incoming or outgoing links, or both, for a while.
+// isolateFor partitions the incoming or outgoing links of a replica, or both, for the duration outage.
 func (m *model) isolateFor(outage time.Duration, replica *modelReplica, inward, outward bool) {
-	cut := func(is bool) {
+	setPartitioned := func(partitioned bool) {
 		for _, other := range m.members {
 			if inward {
-				m.partitioned[[2]string{other.name, replica.name}] = is
+				m.partitioned[[2]string{other.name, replica.name}] = partitioned
 			}
 			if outward {
-				m.partitioned[[2]string{replica.name, other.name}] = is
+				m.partitioned[[2]string{replica.name, other.name}] = partitioned
 			}
 		}
 	}
-	cut(true)
-	m.at(outage, nil, ordinaryEvent, func() { cut(false) })
+	setPartitioned(true)
+	m.at(outage, nil, ordinaryEvent, func() { setPartitioned(false) })
 	m.extendFaults(outage)
 }
 
-// modelFault is a fault that strikes one replica.
+// modelFault is a fault of one replica.
 type modelFault struct {
 	name   string
-	strike func(m *model, replica *modelReplica)
+	inject func(m *model, replica *modelReplica)
 }
 
 var modelFaults = []modelFault{
@@ -75,18 +75,18 @@
 	{"is replaced", replaceMember},
 	{"is replaced as planned", func(m *model, replica *modelReplica) {
 		m.add(modelName(len(m.members)), false)
-		m.at(modelCatchUp, nil, ordinaryEvent, func() { m.remove(replica) })
+		m.at(modelCatchUpTime, nil, ordinaryEvent, func() { m.remove(replica) })
 	}},
 }
 
-// wipeMember loses a replica's disk; the machine comes back with an empty one.
+// wipeMember destroys the disk of a replica. The machine comes back with an empty disk.
 func wipeMember(m *model, replica *modelReplica) {
 	m.powerLoss(replica, 0)
 	replica.disk = nil
 	m.restartAfter(replica, modelHeartbeatTimeout)
 }
 
-// replaceMember removes a machine for good; soon another one joins.
+// replaceMember removes a machine for good. After a heartbeat timeout another one joins.
 func replaceMember(m *model, replica *modelReplica) {
 	m.remove(replica)
 	m.at(modelHeartbeatTimeout, nil, ordinaryEvent, func() { m.add(modelName(len(m.members)), false) })
@@ -100,7 +100,7 @@
 	replica.removed = true
 }
 
-// allLosePower ends every process at one moment and restarts them one after the other.
+// allLosePower ends all processes at the same time and restarts them one after the other.
 func (m *model) allLosePower() {
 	for index, replica := range m.members {
 		if replica.removed {
--- a/internal/store/model_operators_test.go
+++ b/internal/store/model_operators_test.go
@@ -10,18 +10,18 @@
 	"meadowhinge/schema"
 )
 
-// write lets an operator propose an item until it is decided, under one change id at one replica after the other.
+// write makes an operator propose an item, under one change id at one replica after the other, until it is decided.
 func (m *model) write(index int, item *schema.Item) {
-	client, began := m.next(), m.now
+	client, began := m.nextSerial(), m.now
 	record := func(result linearize.Result) {
 		delete(m.openCalls, client)
 		m.calls.Add(linearize.Operation{Client: client, Item: item.Name, Value: modelValue(item), Result: result, Begin: began, End: m.now})
 	}
 	m.openCalls[client] = func() { record(linearize.OutcomeUnknown) }
 	id := fmt.Sprint("change-", client)
-	m.call(client, index, func(replica *modelReplica, ticket string) {
+	m.callUntilDecided(client, index, func(replica *modelReplica, ticket string) {
 		change := &schema.Change{Id: id, ByOperatorVersion: true, Items: []*schema.Item{item}}
-		m.act(replica, replica.Propose(m.now-replica.started, &schema.Proposal{Ticket: ticket, Change: change}))
+		m.execute(replica, replica.Propose(m.now-replica.started, &schema.Proposal{Ticket: ticket, Change: change}))
 	}, func(_ *modelReplica, result any) bool {
 		reply := result.(*schema.ProposalReply)
 		switch {
@@ -36,25 +36,25 @@
 	})
 }
 
-// read lets an operator read all items, after a read index.
+// read makes an operator read all items after a read index.
 func (m *model) read(index int) {
-	client, began := m.next(), m.now
+	client, began := m.nextSerial(), m.now
 	m.openCalls[client] = func() {}
-	m.call(client, index, func(replica *modelReplica, ticket string) {
-		m.act(replica, replica.ReadIndex(m.now-replica.started, ticket))
+	m.callUntilDecided(client, index, func(replica *modelReplica, ticket string) {
+		m.execute(replica, replica.ReadIndex(m.now-replica.started, ticket))
 	}, func(replica *modelReplica, result any) bool {
 		reply := result.(*schema.ReadIndexReply)
 		if reply.Undecided {
 			return false
 		}
-		// If the replica's process ends before it has committed that much, the read has no answer.
+		// If the process of the replica ends before it has committed that sequence, the read has no result.
 		delete(m.openCalls, client)
 		m.readBack(client, began, replica, reply.Committed)
 		return true
 	})
 }
 
-// readBack reads at a replica once it has committed what the read index returned.
+// readBack reads all items at a replica once it has committed the sequence that the read index returned.
 func (m *model) readBack(client int, began time.Duration, replica *modelReplica, committed uint64) {
 	reached, state := replica.Committed()
 	if reached < committed {
@@ -68,10 +68,11 @@
 	}
 }
 
-// call sends a request until it is decided: twice to one replica, then to the next.
-func (m *model) call(
+// callUntilDecided makes attempts at a request until it is decided: two at the replica with an index, two at the next
+// one, and so on. request sends the request with a ticket; decided handles the result and reports whether it is final.
+func (m *model) callUntilDecided(
 	client, index int,
-	ask func(replica *modelReplica, ticket string),
+	request func(replica *modelReplica, ticket string),
 	decided func(replica *modelReplica, result any) bool,
 ) {
 	done := false
@@ -82,19 +83,22 @@
 		}
 		replica := m.members[(index+attempts/2)%len(m.members)]
 		if replica.up {
-			ticket := fmt.Sprint("ticket-", m.next())
+			ticket := fmt.Sprint("ticket-", m.nextSerial())
 			replica.tickets[ticket] = func(result any) { done = done || decided(replica, result) }
-			m.at(0, replica, ordinaryEvent, func() { ask(replica, ticket) })
+			m.at(0, replica, ordinaryEvent, func() { request(replica, ticket) })
 		}
 		m.at(modelRetry, nil, ordinaryEvent, func() { attempt(attempts + 1) })
 	}
 	attempt(0)
 }
 
+// modelItems is the number of items that the operators write.
 const modelItems = 2
 
+// modelItem returns the name of an item.
 func modelItem(index int) string { return fmt.Sprint("s", index) }
 
+// modelValue returns the value of an item in the history; a missing item is absent.
 func modelValue(item *schema.Item) linearize.Value {
 	if item == nil || item.Deleted {
 		return linearize.Value{Version: item.GetOperatorVersion(), Absent: true}
@@ -102,8 +106,9 @@
 	return linearize.Value{Version: item.OperatorVersion, Content: string(item.Body)}
 }
 
-// operate schedules writes, at every third a rival one of the same operator version, and a read after each.
-func (m *model) operate(writes int) {
+// scheduleCalls schedules writes, a competing write of the same operator version with every third of them, and a read
+// after each.
+func (m *model) scheduleCalls(writes int) {
 	for i := range writes {
 		m.at(time.Duration(i)*modelCallInterval, nil, ordinaryEvent, func() {
 			name, version := modelItem(i%modelItems), uint64(i+1)
@@ -125,19 +130,19 @@
 	}
 }
 
-// verdict lets the core recover from the last fault and lists what is wrong with the run: calls that are not decided,
-// an unhealthy core, a history that is not linearizable, and what observe found.
-func (m *model) verdict() []string {
-	m.runTo(max(m.now+modelCatchUp, m.faultsEndAt))
+// recoverAndCheck lets the core recover from the last fault and returns the violations of the run: calls that are not
+// decided, an unhealthy core, a history that is not linearizable, and the violations that checkInvariants found.
+func (m *model) recoverAndCheck() []string {
+	m.runTo(max(m.now+modelCatchUpTime, m.faultsEndAt))
 	clear(m.faultAt)
-	m.runTo(max(m.now, m.faultsEndAt) + modelSettling)
+	m.runTo(max(m.now, m.faultsEndAt) + modelSettleTime)
 	before := len(m.openCalls)
 	for index, replica := range m.members {
 		if !replica.removed {
 			m.read(index)
 		}
 	}
-	m.write(slices.Index(m.members, m.standing()[0]), &schema.Item{
+	m.write(slices.Index(m.members, m.remaining()[0]), &schema.Item{
 		Kind:            "segment",
 		Name:            modelItem(0),
 		OperatorVersion: 1 << 30,
@@ -145,34 +150,34 @@
 	})
 	m.runTo(m.now + modelHeartbeatTimeout)
 	if len(m.openCalls) > 0 {
-		m.breach("%d calls were not decided before and %d at the end", before, len(m.openCalls))
+		m.reportViolation("%d calls are undecided after the final calls (%d before them), want none", len(m.openCalls), before)
 	}
 	for _, record := range m.openCalls {
 		record()
 	}
 	if reason := m.unhealthyReason(); reason != "" {
-		m.breach("at the end %s", reason)
+		m.reportViolation("the core is unhealthy at the end: %s", reason)
 	}
 	if err := m.calls.Check(time.Minute); err != nil {
-		m.breach("%v", err)
+		m.reportViolation("the history of the calls: %v", err)
 	}
-	return m.breaches
+	return m.violations
 }
 
-// unhealthyReason is what keeps a core from being healthy; empty if nothing does.
+// unhealthyReason returns why the core is not healthy; empty if it is.
 func (m *model) unhealthyReason() string {
-	standing := m.standing()
-	for _, replica := range standing {
+	remaining := m.remaining()
+	for _, replica := range remaining {
 		switch {
 		case !replica.up:
 			return replica.name + " is down"
 		case !replica.isMember():
-			return replica.name + " is no member"
-		case replica.committedSequence != standing[0].committedSequence:
-			first := standing[0]
-			return fmt.Sprintf("%s has committed %d, %s %d", replica.name, replica.committedSequence, first.name, first.committedSequence)
-		case len(replica.membership.Members) != len(standing):
-			return fmt.Sprintf("%s has %d members for %d machines", replica.name, len(replica.membership.Members), len(standing))
+			return replica.name + " is not a member"
+		case replica.committedSequence != remaining[0].committedSequence:
+			first := remaining[0]
+			return fmt.Sprintf("%s has committed sequence %d, but %s %d", replica.name, replica.committedSequence, first.name, first.committedSequence)
+		case len(replica.membership.Members) != len(remaining):
+			return fmt.Sprintf("the membership at %s has %d members, but there are %d machines", replica.name, len(replica.membership.Members), len(remaining))
 		}
 	}
 	return ""
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -15,45 +15,50 @@
 	"meadowhinge/schema"
 )
 
-// A model of a core: real replicas under one simulated clock, with links and disks that take a fixed time, so that its
-// faults alone determine a run. A test counts the steps of a run without faults, and then repeats it with each fault
-// before each step. This file has the core and its events, model_operators_test.go the load and the verdict,
-// model_faults_test.go the faults, fault_exploration_test.go the runs.
-
-// Times of the model. Only their ratios matter.
+// The model is a deterministic simulation of a core: real replicas on one simulated clock, with links and disks that take
+// a fixed time, so that a run is determined by its faults alone. A test counts the steps of a run without faults, and
+// then repeats the run with each fault injected before each step.
+//
+// This file has the core and its events, model_operators_test.go the operators' calls and the checks at the end of a run,
+// model_faults_test.go the faults, and fault_exploration_test.go the runs.
+
+// These are the times of the model. Only their ratios matter.
 const (
 	modelHeartbeatTimeout = 300 * time.Millisecond
 	modelStallTimeout     = 600 * time.Millisecond
 	modelLinkDelay        = 2 * time.Millisecond
 	modelSyncDelay        = 3 * time.Millisecond
-	modelCatchUp          = 3 * modelHeartbeatTimeout // how long after its return a replica still counts as lost
+	modelCatchUpTime      = 3 * modelHeartbeatTimeout // how long a replica that has come back still counts as lost
 	modelOutage           = 4 * modelHeartbeatTimeout // how long a fault lasts
-	modelRetry            = 100 * time.Millisecond
-	modelCallInterval     = 40 * time.Millisecond // between two calls
-	modelFounding         = time.Second
-	modelSettling         = 3 * time.Second // after the last fault has ended
+	modelRetry            = 100 * time.Millisecond    // between two attempts of an operator's call
+	modelCallInterval     = 40 * time.Millisecond     // between two calls
+	modelFoundingTime     = time.Second               // for the first start of the core, without faults
+	modelSettleTime       = 3 * time.Second           // between the end of the last fault and the checks
 )
 
-// modelEvent is something that happens at a replica at a time. Events of one time happen by their serials.
+// modelEvent is a function to run at a point in time, usually at a replica. Events of the same time run in the order of
+// their serials.
 type modelEvent struct {
 	at         time.Duration
 	serial     int
-	replica    *modelReplica // nil for an event of the model itself, which always happens
-	processRun int           // of the replica; the event is dropped in a later one
-	kind       modelKind
+	replica    *modelReplica // nil for an event of the model itself, which always runs
+	processRun int           // the replica's processRun when the event was scheduled; the event is dropped in a later one
+	kind       modelEventKind
 	run        func()
 }
 
-// modelKind is the kind of an event, by the faults that it can meet.
-type modelKind int
+// modelEventKind is the kind of an event, which determines how faults affect it. A syncEvent or messageEvent is a step:
+// faults can be injected before it.
+type modelEventKind int
 
 const (
-	ordinaryEvent modelKind = iota
-	timerEvent              // after a freeze it comes last: what waits in sockets is read first
-	syncEvent               // a step: faults may strike before it
-	messageEvent            // a step too, and the message may be lost
+	ordinaryEvent modelEventKind = iota
+	timerEvent                   // runs last after a freeze: the messages that wait in sockets are read first
+	syncEvent                    // a step: a write becomes durable
+	messageEvent                 // a step: a message arrives, unless a fault drops it
 )
 
+// modelQueue is a heap of events by time and serial.
 type modelQueue []*modelEvent
 
 func (q modelQueue) Len() int { return len(q) }
@@ -74,55 +79,55 @@
 	return last
 }
 
-// modelReplica is a machine with a replica on it; it keeps its disk when the process ends.
+// modelReplica is a machine that runs a replica. The machine keeps its disk when the replica's process ends.
 type modelReplica struct {
-	*Replica
-	name        string
-	config      Config
-	incarnation uint64
-	disk        []*schema.Record
-	writing     []Persist // not durable yet; one after the other
-	up, removed bool
-	processRun  int // counts the starts of its process
-	started     time.Duration
-	frozenUntil time.Duration
-	nextTickAt  time.Duration
-	tickets     map[string]func(any) // the operators that wait for an answer here
+	*Replica                         // the current process; nil before the first start
+	name        string               // the replica's name
+	config      Config               // for the next start of the process
+	incarnation uint64               // of the current data folder
+	disk        []*schema.Record     // the durable records of the log
+	writing     []Persist            // writes that are not durable yet; carried out one after the other
+	up, removed bool                 // whether the process runs, and whether the machine was removed for good
+	processRun  int                  // number of times that the process was started
+	started     time.Duration        // when the process was started; the origin of the replica's clock
+	frozenUntil time.Duration        // events before this time are postponed
+	nextTickAt  time.Duration        // on the replica's clock; 0 if no tick is scheduled
+	tickets     map[string]func(any) // delivers the result to the operator that waits for it, by ticket
 }
 
-// model is a core, its operators' calls and what is wrong with them.
+// model is a simulated core with the calls of its operators, and the violations found so far.
 type model struct {
-	now         time.Duration
-	serial      int
-	queue       modelQueue
-	members     []*modelReplica
-	losses      int // tolerated
-	founded     int // the number of machines at the first start
-	seededFault seededFault
-	amnesia     bool                                          // a seeded fault: an empty folder passes for the one that was lost
-	partitioned map[[2]string]bool                            // by sender and receiver
-	faultAt     map[int][]func(event *modelEvent) (drop bool) // by the step that they strike before
-	steps       int                                           // so far, of the kinds syncEvent and messageEvent
-	calls       linearize.History
-	faultsEndAt time.Duration  // when the last fault ends
-	openCalls   map[int]func() // by client: records its call as one of unknown outcome
-	breaches    []string
-	leaders     map[uint64]string           // by term
-	states      map[uint64]string           // by committed sequence
-	onAction    func(*modelReplica, Action) // called with each action before it is carried out, if set
+	now               time.Duration
+	serial            int                                           // the last serial that nextSerial returned
+	queue             modelQueue                                    // the events to come
+	members           []*modelReplica                               // every machine there ever was
+	losses            int                                           // number of tolerated disk losses
+	initialMachines   int                                           // number of machines at the first start
+	seededFault       seededFault                                   // enabled in every replica
+	reusesIncarnation bool                                          // another seeded fault: an empty folder counts as the one that was lost
+	partitioned       map[[2]string]bool                            // links that lose messages, by sender and receiver
+	faultAt           map[int][]func(event *modelEvent) (drop bool) // faults, by the step before which they are injected
+	steps             int                                           // number of events of the kinds syncEvent and messageEvent so far
+	calls             linearize.History                             // the operators' calls whose result is known
+	faultsEndAt       time.Duration                                 // when the last fault ends
+	openCalls         map[int]func()                                // by client: records the call as one of unknown outcome
+	violations        []string
+	leaders           map[uint64]string           // name of the leader by term
+	states            map[uint64]string           // stateText by committed sequence
+	onAction          func(*modelReplica, Action) // called with each action before it is carried out; may be nil
 }
 
-// newModel founds a core of three members, and of more that join at the first start. prepare, if not nil, may seed a
-// fault.
+// newModel starts a core of the given number of machines and runs it for modelFoundingTime. The first three machines are
+// founders, and the others join at the first start. prepare, if not nil, may seed a fault.
 func newModel(members, losses int, prepare func(*model)) *model {
 	m := &model{
-		losses:      losses,
-		founded:     members,
-		partitioned: map[[2]string]bool{},
-		faultAt:     map[int][]func(*modelEvent) bool{},
-		openCalls:   map[int]func(){},
-		leaders:     map[uint64]string{},
-		states:      map[uint64]string{},
+		losses:          losses,
+		initialMachines: members,
+		partitioned:     map[[2]string]bool{},
+		faultAt:         map[int][]func(*modelEvent) bool{},
+		openCalls:       map[int]func(){},
+		leaders:         map[uint64]string{},
+		states:          map[uint64]string{},
 	}
 	if prepare != nil {
 		prepare(m)
@@ -130,7 +135,7 @@
 	for index := range members {
 		m.add(modelName(index), true)
 	}
-	m.runTo(modelFounding)
+	m.runTo(modelFoundingTime)
 	return m
 }
 
@@ -155,15 +160,15 @@
 	}
 }
 
-func (m *model) newIncarnation() uint64 { return uint64(m.next()) }
+func (m *model) newIncarnation() uint64 { return uint64(m.nextSerial()) }
 
-// next draws a serial, for events, incarnations, clients and tickets alike.
-func (m *model) next() int {
+// nextSerial returns a new serial. Events, incarnations, clients and tickets share one sequence.
+func (m *model) nextSerial() int {
 	m.serial++
 	return m.serial
 }
 
-// add starts a new machine; founding means that this is the first start of the core.
+// add adds a machine and starts its replica. founding means that this is the first start of the core.
 func (m *model) add(name string, founding bool) *modelReplica {
 	replica := &modelReplica{name: name, config: m.replicaConfig(name)}
 	if founding && slices.Contains(modelFounders(), name) {
@@ -175,18 +180,18 @@
 	return replica
 }
 
-// start starts a machine's process. Its seeds are machines of that moment: at the first start the founders, later three
-// that have not been removed.
+// start starts the replica of a machine. Its seeds are the founders at the first start of the core, and later up to three
+// machines that have not been removed by then.
 func (m *model) start(replica *modelReplica) {
 	if m.now > 0 {
 		replica.config.Seeds = nil
-		for _, other := range m.standing()[:min(len(m.standing()), 3)] {
+		for _, other := range m.remaining()[:min(len(m.remaining()), 3)] {
 			replica.config.Seeds = append(replica.config.Seeds, other.name)
 		}
 	}
 	cfg := replica.config
 	if len(replica.disk) == 0 {
-		if !m.amnesia || replica.Replica == nil {
+		if !m.reusesIncarnation || replica.Replica == nil {
 			replica.incarnation = m.newIncarnation()
 		} else {
 			cfg.Founders, cfg.ExpandsMembership = modelFounders(), false
@@ -203,16 +208,16 @@
 	m.at(0, replica, ordinaryEvent, func() { m.tick(replica) })
 }
 
-// at schedules an event at a replica, unless its process has ended by then.
-func (m *model) at(after time.Duration, replica *modelReplica, kind modelKind, run func()) {
-	event := &modelEvent{at: m.now + after, serial: m.next(), replica: replica, kind: kind, run: run}
+// at schedules an event after a delay. An event at a replica is dropped if the replica's process has ended by then.
+func (m *model) at(after time.Duration, replica *modelReplica, kind modelEventKind, run func()) {
+	event := &modelEvent{at: m.now + after, serial: m.nextSerial(), replica: replica, kind: kind, run: run}
 	if replica != nil {
 		event.processRun = replica.processRun
 	}
 	heap.Push(&m.queue, event)
 }
 
-// runTo lets all events up to a time happen.
+// runTo runs all events up to a time.
 func (m *model) runTo(until time.Duration) {
 	for len(m.queue) > 0 && m.queue[0].at <= until {
 		event := heap.Pop(&m.queue).(*modelEvent)
@@ -226,10 +231,10 @@
 				continue
 			}
 		}
-		if event.kind >= syncEvent && m.strike(event) {
+		if event.kind >= syncEvent && m.injectFaults(event) {
 			continue
 		}
-		// A fault may have just ended or frozen that replica's process.
+		// The fault may have ended or frozen the process of this very replica.
 		if replica := event.replica; replica == nil || replica.up && replica.processRun == event.processRun && replica.frozenUntil <= m.now {
 			event.run()
 		} else if replica.up && replica.processRun == event.processRun {
@@ -239,8 +244,8 @@
 	m.now = until
 }
 
-// postpone schedules an event at a frozen replica for when it goes on: operators' requests of that moment come first,
-// then messages, then timers.
+// postpone schedules an event at a frozen replica for the time when the replica continues: first the operators' requests
+// of that time, then the messages, then the timers.
 func (m *model) postpone(event *modelEvent) {
 	event.at = event.replica.frozenUntil + modelLinkDelay/2
 	if event.kind == timerEvent {
@@ -249,8 +254,9 @@
 	heap.Push(&m.queue, event)
 }
 
-// strike counts a step and lets the faults strike that are set before it.
-func (m *model) strike(event *modelEvent) (dropped bool) {
+// injectFaults counts a step and injects the faults that are due before it. It reports whether one of them drops the
+// event.
+func (m *model) injectFaults(event *modelEvent) (dropped bool) {
 	m.steps++
 	for _, fault := range m.faultAt[m.steps] {
 		dropped = fault(event) || dropped
@@ -267,25 +273,26 @@
 	return nil
 }
 
-// standing lists the machines that have not been removed, up or not.
-func (m *model) standing() []*modelReplica {
+// remaining returns the machines that have not been removed, whether they are up or not.
+func (m *model) remaining() []*modelReplica {
 	return slices.DeleteFunc(slices.Clone(m.members), func(replica *modelReplica) bool { return replica.removed })
 }
 
+// tick ticks a replica.
 func (m *model) tick(replica *modelReplica) {
 	replica.nextTickAt = 0
-	m.act(replica, replica.Tick(m.now-replica.started))
+	m.execute(replica, replica.Tick(m.now-replica.started))
 }
 
-// act carries out a replica's actions, schedules its next tick and checks what it shows.
-func (m *model) act(replica *modelReplica, actions []Action) {
+// execute carries out the actions of a replica, schedules its next tick and checks the invariants.
+func (m *model) execute(replica *modelReplica, actions []Action) {
 	for _, action := range actions {
 		if m.onAction != nil {
 			m.onAction(replica, action)
 		}
 		switch typed := action.(type) {
 		case Send:
-			m.post(replica, proto.Clone(typed.Message).(*schema.ReplicaMessage))
+			m.transmit(replica, proto.Clone(typed.Message).(*schema.ReplicaMessage))
 		case Persist:
 			typed.Record = proto.Clone(typed.Record).(*schema.Record)
 			if replica.writing = append(replica.writing, typed); len(replica.writing) == 1 {
@@ -305,10 +312,10 @@
 			}
 		})
 	}
-	m.observe(replica)
+	m.checkInvariants(replica)
 }
 
-// answer gives a result to the operator that waits for it.
+// answer delivers a result to the operator that waits for it, if there is one.
 func (m *model) answer(replica *modelReplica, ticket string, result any) {
 	if deliver := replica.tickets[ticket]; deliver != nil {
 		delete(replica.tickets, ticket)
@@ -316,9 +323,9 @@
 	}
 }
 
-// post sends a message, unless the link is partitioned when it is sent. Heartbeats are no steps: faults that strike
+// transmit sends a message, unless the link is partitioned when it is sent. Heartbeats are not steps: the faults injected
 // before other messages cover them.
-func (m *model) post(from *modelReplica, message *schema.ReplicaMessage) {
+func (m *model) transmit(from *modelReplica, message *schema.ReplicaMessage) {
 	to := m.replica(message.To)
 	if to == nil || m.partitioned[[2]string{from.name, to.name}] {
 		return
@@ -327,10 +334,10 @@
 	if message.GetHeartbeat() != nil {
 		kind = ordinaryEvent
 	}
-	m.at(modelLinkDelay, to, kind, func() { m.act(to, to.Step(m.now-to.started, message)) })
+	m.at(modelLinkDelay, to, kind, func() { m.execute(to, to.Step(m.now-to.started, message)) })
 }
 
-// persisted completes the first of a replica's writes and begins the next.
+// persisted completes the first pending write of a replica and begins the next one.
 func (m *model) persisted(replica *modelReplica) {
 	done := replica.writing[0]
 	replica.writing = replica.writing[1:]
@@ -338,10 +345,10 @@
 	if len(replica.writing) > 0 {
 		m.at(modelSyncDelay, replica, syncEvent, func() { m.persisted(replica) })
 	}
-	m.act(replica, replica.Persisted(m.now-replica.started, done.WriteID))
+	m.execute(replica, replica.Persisted(m.now-replica.started, done.WriteID))
 }
 
-// storeRecord makes a record durable.
+// storeRecord makes the record of a write durable.
 func (r *modelReplica) storeRecord(write Persist) {
 	if write.ReplacesLog {
 		r.disk = nil
@@ -349,23 +356,23 @@
 	r.disk = append(r.disk, write.Record)
 }
 
-// observe checks what no two replicas may ever disagree on: who leads in a term, and the state of a committed sequence.
-func (m *model) observe(replica *modelReplica) {
+// checkInvariants checks that no two replicas ever lead in one term or have different states at one committed sequence.
+func (m *model) checkInvariants(replica *modelReplica) {
 	if replica.role == roleLeader {
 		if previous := m.leaders[replica.term]; previous != "" && previous != replica.name {
-			m.breach("%s and %s both lead in term %d", previous, replica.name, replica.term)
+			m.reportViolation("%s and %s both lead in term %d, want one leader", previous, replica.name, replica.term)
 		}
 		m.leaders[replica.term] = replica.name
 	}
 	committed, state := replica.Committed()
 	text := stateText(state)
 	if previous, known := m.states[committed]; known && previous != text {
-		m.breach("at sequence %d %s has %q; another had %q", committed, replica.name, text, previous)
+		m.reportViolation("state of %s at committed sequence %d is %q, want %q, as at another replica", replica.name, committed, text, previous)
 	}
 	m.states[committed] = text
 }
 
-// stateText is a state as text to compare, without the versions that the core gave.
+// stateText returns a state as text to compare, without the versions that the core assigned.
 func stateText(state config.State) string {
 	var texts []string
 	for _, item := range state.Items() {
@@ -374,6 +381,7 @@
 	return strings.Join(texts, ", ")
 }
 
-func (m *model) breach(format string, values ...any) {
-	m.breaches = append(m.breaches, fmt.Sprintf("%v: "+format, append([]any{m.now}, values...)...))
+// reportViolation records, with the current time, that a check failed.
+func (m *model) reportViolation(format string, values ...any) {
+	m.violations = append(m.violations, fmt.Sprintf("%v: "+format, append([]any{m.now}, values...)...))
 }
