--- a/internal/registry/acknowledgement.go
+++ b/internal/registry/acknowledgement.go
@@ -2,21 +2,21 @@
 
 import "meadowhinge/schema"
 
-// Acknowledgement collects the registries' replies to a fence at one revision. The revision is acknowledged once a majority of
-// registries has no lease left below it: a lease needs grants of a majority, so any lease below the fence that is still valid
-// was granted by one of them. It is not safe for concurrent use.
+// Acknowledgement collects the registries' replies to a fence at one revision. The revision is acknowledged once a
+// majority of the registries report no valid lease below it. A lease needs grants from a majority, and two majorities
+// share a registry, so no valid lease below the fence can remain. It is not safe for concurrent use.
 type Acknowledgement struct {
 	memberCount     int
-	withoutLaggards map[string]bool // by core member
+	withoutLaggards map[string]bool // core members whose registry has reported no laggards, by member id
 }
 
-// NewAcknowledgement starts an acknowledgement among so many core members.
+// NewAcknowledgement returns an Acknowledgement without replies for a core of memberCount members.
 func NewAcknowledgement(memberCount int) *Acknowledgement {
 	return &Acknowledgement{memberCount: memberCount, withoutLaggards: map[string]bool{}}
 }
 
-// Record records a reply and tells whether the revision is acknowledged. A registry that had no laggards once never has any
-// again, since its fence stays: its first such reply is enough.
+// Record records a reply and reports whether the revision is acknowledged. Replies that are not authoritative do not
+// count. One reply without laggards is enough for each registry: its fence stays, so it cannot have laggards again.
 func (a *Acknowledgement) Record(reply *schema.FenceReply) bool {
 	if reply.Authoritative && len(reply.Laggards) == 0 {
 		a.withoutLaggards[reply.Member] = true
--- a/internal/registry/acknowledgement_test.go
+++ b/internal/registry/acknowledgement_test.go
@@ -8,9 +8,9 @@
 	"meadowhinge/schema"
 )
 
-// In every order in which a fence reaches three registries and a lagging proxy requests leases of them, no lease below the fence is
-// valid once the fence's revision is acknowledged.
-func TestEveryOrderOfFenceAndLease(t *testing.T) {
+// TestNoValidLeaseBelowAcknowledgedFence checks every order in which a fence reaches three registries and a lagging
+// proxy requests leases from them: once the fence's revision is acknowledged, no lease below it is valid.
+func TestNoValidLeaseBelowAcknowledgedFence(t *testing.T) {
 	const steps = 6
 	orders := 0
 	var walk func(done []int)
@@ -28,12 +28,12 @@
 	}
 	walk(nil)
 	if orders != 720 {
-		t.Errorf("%d orders of 720", orders)
+		t.Errorf("checked %d orders of %d steps, want 720", orders, steps)
 	}
 }
 
-// checkFenceOrder runs one order of steps: 0 to 2 are the proxy, still at revision 8, requesting a lease of each registry, 3 to 5
-// the fence at revision 9 reaching each.
+// checkFenceOrder runs one order of the six steps. In steps 0 to 2 the proxy, still at revision 8, requests a lease
+// from one registry each. In steps 3 to 5 the fence at revision 9 reaches one registry each.
 func checkFenceOrder(t *testing.T, order []int) {
 	t.Helper()
 	states := newFleetStates(8, 8, 8)
@@ -50,7 +50,7 @@
 			acknowledged = acknowledgement.Record(state.SetFence(testLease, 9)) || acknowledged
 		}
 		if acknowledged && lease.IsValid(testLease) {
-			t.Errorf("order %v: a lease at 8 is valid after 9 was acknowledged", order)
+			t.Errorf("order %v, step %d: lease at revision 8 is valid after revision 9 was acknowledged", order, step)
 		}
 	}
 }
--- a/internal/registry/call_counts.go
+++ b/internal/registry/call_counts.go
@@ -7,12 +7,14 @@
 	"meadowhinge/schema"
 )
 
-// maxCountsPerSource is how many incarnations have counts here for each source that may be listed.
+// maxCountsPerSource bounds the stored call counts: this many proxy incarnations for each of MaxSources sources.
 const maxCountsPerSource = 4
 
-// ApplyReport records what a proxy reports: its call counts, which only grow within an incarnation, and its workers. It tells
-// whether the service directory changed. The report becomes the state's: its source is marked with its home registry and, if the
-// proxy shuts down, as ended.
+// ApplyReport records a proxy's report: its call counts, which only grow within an incarnation, and its workers. It
+// reports whether the service directory changed. Counts of a report with more than MaxCounts lines are ignored.
+//
+// ApplyReport takes ownership of report. It sets the source's home registry and, if the proxy shuts down, marks the
+// source as ended.
 func (f *FleetState) ApplyReport(now time.Duration, report *schema.ProxyReport) bool {
 	f.reportedAt[proxyIncarnation{report.Proxy, report.Incarnation}] = now
 	if len(report.Counts)+len(report.WorkCounts) <= f.options.MaxCounts {
@@ -31,8 +33,9 @@
 	return f.MergeSource(now, report.Source)
 }
 
-// ReportedCounts gives the call counts that proxies reported here, and how many proxies reported recently. workCountsOnly leaves
-// out all but the counts that versions are judged by.
+// ReportedCounts returns the call counts that proxies reported to this registry, and the number of proxies that
+// reported within one lease renewal interval. workCountsOnly leaves out the verdict counts and keeps the work counts,
+// by which the rollout controller judges versions.
 func (f *FleetState) ReportedCounts(now time.Duration, workCountsOnly bool) *schema.CountsReply {
 	reply := &schema.CountsReply{Reporting: uint32(f.recentReporters(now))}
 	for key, stored := range f.countsByIncarnation {
@@ -51,8 +54,8 @@
 	return reply
 }
 
-// recentReporters counts the proxy incarnations that reported within the time between two lease renewals, and forgets those
-// that have not reported for long.
+// recentReporters counts the proxy incarnations that reported within one lease renewal interval. It drops the report
+// times of those that have not reported for sourceRetentionLeases leases.
 func (f *FleetState) recentReporters(now time.Duration) int {
 	count := 0
 	for key, at := range f.reportedAt {
@@ -65,8 +68,9 @@
 	return count
 }
 
-// recordCounts keeps, for one incarnation of a proxy, the report that counted the most calls: reports may arrive twice or out
-// of order. Where a report leaves counts out, those of the report before stay.
+// recordCounts keeps, for one incarnation of a proxy, the counts of the report with the most calls, since reports may
+// arrive twice or out of order. If a report leaves counts out, the stored ones stay. Beyond maxCountsPerSource
+// incarnations for each of MaxSources sources, it drops the incarnation that was added first.
 func (f *FleetState) recordCounts(reported *schema.SourceCounts) {
 	key := proxyIncarnation{reported.Proxy, reported.Incarnation}
 	existing := f.countsByIncarnation[key]
@@ -94,10 +98,11 @@
 	}
 }
 
-// MergeCounts joins the counts that several registries hold: for each incarnation of a proxy, the counts of the registry that
-// counted the most calls, for one that moved between registries is counted by both.
+// MergeCounts merges the counts that several registries hold. A proxy that moved between registries has counts at both,
+// so for each proxy incarnation it keeps the counts of the registry with the most calls.
 //
-// It resembles recordCounts but differs in ties: there the later report wins, here the one of the lesser age.
+// It differs from recordCounts in ties of work counts: recordCounts keeps the report received last, MergeCounts the one
+// with the lowest age.
 func MergeCounts(replies []*schema.CountsReply) []*schema.SourceCounts {
 	byIncarnation := map[proxyIncarnation]*schema.SourceCounts{}
 	var all []*schema.SourceCounts
@@ -120,12 +125,13 @@
 	return all
 }
 
-// mergeSourceCounts merges what one registry holds of a proxy's incarnation into what others hold of it.
+// mergeSourceCounts merges reported, one registry's counts of a proxy incarnation, into merged, the counts of the
+// registries before it.
 func mergeSourceCounts(merged, reported *schema.SourceCounts) {
 	if totalCalls(reported) > totalCalls(merged) {
 		merged.Counts = reported.Counts
 	}
-	// Of two reports that count as many completed calls, the later one has the calls that are in flight now.
+	// Of two reports with equally many completed calls, the later one has the current number of calls in flight.
 	more := totalWorkCalls(reported) > totalWorkCalls(merged)
 	asMany := totalWorkCalls(reported) == totalWorkCalls(merged)
 	if more || (asMany && reported.AgeNanos <= merged.AgeNanos) {
@@ -135,7 +141,7 @@
 	merged.AgeNanos = min(merged.AgeNanos, reported.AgeNanos)
 }
 
-// totalCalls adds up the calls of a report.
+// totalCalls returns the sum of the calls in a report's verdict counts.
 func totalCalls(counts *schema.SourceCounts) uint64 {
 	var calls uint64
 	for _, count := range counts.GetCounts() {
@@ -144,7 +150,7 @@
 	return calls
 }
 
-// totalWorkCalls adds up the calls that workers completed.
+// totalWorkCalls returns the sum of the completed calls in a report's work counts.
 func totalWorkCalls(counts *schema.SourceCounts) uint64 {
 	var calls uint64
 	for _, work := range counts.GetWorkCounts() {
--- a/internal/registry/call_counts_test.go
+++ b/internal/registry/call_counts_test.go
@@ -6,8 +6,9 @@
 	"meadowhinge/schema"
 )
 
-// The counts of each incarnation of a proxy are kept once, whichever reports arrive twice or out of order.
-func TestCountsAreNotDoubled(t *testing.T) {
+// TestRepeatedReportsCountOnce checks that reports which arrive twice or out of order do not change the counts: each
+// incarnation of a proxy keeps those of its report with the most calls.
+func TestRepeatedReportsCountOnce(t *testing.T) {
 	state := newFleetStates(1)[0]
 	report := func(incarnation, calls uint64) {
 		state.ApplyReport(0, &schema.ProxyReport{
@@ -25,6 +26,6 @@
 		sum += totalCalls(counts)
 	}
 	if sum != 11 {
-		t.Errorf("counted %d calls, not 7 and 4", sum)
+		t.Errorf("calls of both incarnations: got %d, want 7 + 4", sum)
 	}
 }
--- a/internal/registry/canary_grants.go
+++ b/internal/registry/canary_grants.go
@@ -7,17 +7,20 @@
 	"meadowhinge/schema"
 )
 
-// canaryGrantDivisor is the fraction of a lease for which canary grants are passed on after the rollout controller gave them.
+// canaryGrantDivisor sets how long canary grants are forwarded after the rollout controller last sent them: a lease
+// divided by canaryGrantDivisor.
 const canaryGrantDivisor = 2 * session.RenewalsPerLease
 
-// SetCanaryGrants replaces the grants that the rollout controller hands out. The caller no longer changes the slice.
+// SetCanaryGrants replaces the stored canary grants by those that the rollout controller sent at now. The caller must
+// not change the slice afterwards.
 func (f *FleetState) SetCanaryGrants(now time.Duration, grants []*schema.Canary) {
 	f.canaryGrants = grants
 	f.canaryGrantsAt = now
 }
 
-// CanaryGrants is what this registry may pass on to its proxies: a block without end, a grant only while the controller is
-// heard from, so that a canary ends when nobody watches it.
+// CanaryGrants returns the grants that this registry may forward to its proxies. A block is forwarded indefinitely. A
+// grant is forwarded only while the rollout controller keeps sending it, so that a canary ends when nothing monitors
+// it.
 func (f *FleetState) CanaryGrants(now time.Duration) []*schema.Canary {
 	var forwarded []*schema.Canary
 	fresh := now-f.canaryGrantsAt <= f.options.Lease/canaryGrantDivisor
--- a/internal/registry/change_traces.go
+++ b/internal/registry/change_traces.go
@@ -2,17 +2,19 @@
 
 import "time"
 
-// maxTraces is how many of the newest revisions have a trace.
+// maxTraces is the number of newest revisions for which traces are kept.
 const maxTraces = 1024
 
-// trace is when a revision reached which stage, as far as this registry observed it. Zero stands for not observed.
+// trace records when a revision reached each stage, as this registry observed it. Times count from the start of the
+// registry; zero means not observed.
 type trace struct {
-	seenAt         time.Duration            // first committed here
-	acknowledgedAt time.Duration            // to the operator, by this registry
-	appliedAt      map[string]time.Duration // first reported as applied, by proxy
+	seenAt         time.Duration            // when the revision was first known here to be committed
+	acknowledgedAt time.Duration            // when this registry first found the revision to be acknowledged
+	appliedAt      map[string]time.Duration // when a proxy first reported the revision as applied, by proxy
 }
 
-// startTraces starts the traces of all revisions up to one that is committed here now, and drops the oldest beyond maxTraces.
+// startTraces starts traces for the revisions after lastTraced up to revision, which is newly committed here, and drops
+// the oldest ones beyond maxTraces.
 func (f *FleetState) startTraces(now time.Duration, revision uint64) {
 	first := max(f.lastTraced+1, revision-min(revision, maxTraces)+1)
 	for sequence := first; sequence <= revision; sequence++ {
@@ -22,7 +24,8 @@
 	f.lastTraced = revision
 }
 
-// traceApplied records that a proxy, which had applied one revision, has now applied a later one and thereby all between.
+// traceApplied records that a proxy has moved from revision before to revision applied, and so has applied all
+// revisions in between.
 func (f *FleetState) traceApplied(now time.Duration, proxy string, before, applied uint64) {
 	first := max(before+1, applied-min(applied, maxTraces)+1)
 	for sequence := first; sequence <= applied; sequence++ {
@@ -32,14 +35,15 @@
 	}
 }
 
-// traceAcknowledged records when a revision was first acknowledged here.
+// traceAcknowledged records when this registry first found a revision to be acknowledged.
 func (f *FleetState) traceAcknowledged(now time.Duration, revision uint64) {
 	if traced := f.traces[revision]; traced != nil && traced.acknowledgedAt == 0 {
 		traced.acknowledgedAt = now
 	}
 }
 
-// KnownFor is for how long this registry has had a committed revision; zero if it does not have it yet, or dropped its trace.
+// KnownFor returns how long this registry has had a committed revision. It returns zero if the registry does not have
+// the revision yet, or has dropped its trace.
 func (f *FleetState) KnownFor(now time.Duration, revision uint64) time.Duration {
 	if traced := f.traces[revision]; traced != nil {
 		return now - traced.seenAt
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -7,42 +7,51 @@
 	"meadowhinge/schema"
 )
 
-// Multiples and fractions of a lease that decide when a source counts as lost.
+// Timeouts of the service directory. Constants named ...Leases are multiples of a lease; those named ...Divisor
+// divide it.
 const (
-	disconnectedLeases      = 1  // after the last session of a proxy with its home registry ended
-	orphanLeases            = 2  // after its home registry was last heard from, if this registry has quorum contact
-	quorumContactAgeDivisor = 2  // fraction within which the configuration must have been confirmed as current for quorum contact
-	sweepDivisor            = 64 // fraction within which sessions need not look again for what has expired
+	// disconnectedLeases is how long a proxy may be without a session with its home registry before its source is
+	// ended.
+	disconnectedLeases = 1
+	// orphanLeases is how long a source's home registry may go unheard before the source is ended. The source is ended
+	// only by a registry that has quorum contact.
+	orphanLeases = 2
+	// quorumContactAgeDivisor sets how recently the configuration must have been confirmed as current for quorum
+	// contact.
+	quorumContactAgeDivisor = 2
+	// sweepDivisor sets the shortest interval between two sweeps that sessions trigger.
+	sweepDivisor = 64
 )
 
-// directory is the part of the service directory that is about sessions. A proxy in session need not repeat that it is alive,
-// since the registry of that session, the home registry of its source, sees it. The source stays listed until the home registry finds that
-// the session ended and did not come back, or until the home registry itself is lost.
+// directory holds the session state of the service directory. A proxy in session does not send keepalives: its home
+// registry, which is the registry of that session, observes the session. The proxy's source stays listed until its home
+// registry finds that the session ended and was not reopened in time, or until the home registry itself is lost.
 type directory struct {
-	lastSequence uint64           // of the newest update
-	updateLog    []updateLogEntry // of all sources, by sequence; see appendUpdate
+	lastSequence uint64           // sequence of the newest update; zero for none
+	updateLog    []updateLogEntry // updates of all sources, in the order of their sequences; see appendUpdate
 
-	sessions       map[string]int           // number of open sessions with this registry, by proxy; no zeros
-	disconnectedAt map[string]time.Duration // when a proxy's last session with this registry ended
+	sessions       map[string]int           // number of open sessions with this registry, by proxy; never zero
+	disconnectedAt map[string]time.Duration // when a proxy's last session with this registry ended, by proxy
 
-	// incarnationOnly has the names of which another node has seen an incarnation that this registry holds no update of. A proxy
-	// that restarts must exceed it, or that node ignores its updates.
+	// incarnationOnly holds, by proxy, incarnations that another node has seen and of which this registry has no
+	// update. A proxy that restarts must use a higher incarnation, or that node ignores its updates.
 	incarnationOnly map[string]*sourceEntry
 
-	// Other registries, by member. heardAt is this registry's own peer subscription. reachedAt also counts what a peer that is
-	// heard here hears; so a registry with a partitioned link to this one is not taken for lost.
-	heardAt         map[string]time.Duration
-	reachedAt       map[string]time.Duration
-	reachedBy       map[string][]string // which registries each hears, as it reported last
-	otherRegistries int                 // members of the core, less this one
+	// heardAt is when this registry's own peer subscription last received an update, by member.
+	heardAt map[string]time.Duration
+	// reachedAt is when a registry was last heard by this one, or by a peer that this one hears, by member. With it, a
+	// registry whose link to this one is partitioned does not count as lost.
+	reachedAt map[string]time.Duration
+	// reachedBy lists the members that each registry hears, as it last reported them, by member.
+	reachedBy       map[string][]string
+	otherRegistries int // number of core members without this one
 
-	everConfirmed bool
-	confirmedAt   time.Duration // when the configuration here was last known to be the core's newest, if everConfirmed
+	everConfirmed bool          // whether confirmedAt is set
+	confirmedAt   time.Duration // when the configuration of this registry was last known to be the core's newest
 
-	// The result of LiveProxies, and for which update and time it holds.
-	liveProxies     int
-	countedSequence uint64
-	countedAt       time.Duration
+	liveProxies     int           // cached result of LiveProxies
+	countedSequence uint64        // lastSequence at the time of the cached count
+	countedAt       time.Duration // when liveProxies was counted
 }
 
 func newDirectory() directory {
@@ -56,18 +65,19 @@
 	}
 }
 
-// OpenSession opens a session of a proxy and stores what it reports of itself. It tells whether the directory changed.
+// OpenSession counts a new session of a proxy, becomes the home registry of its source and stores the source. It
+// reports whether the service directory changed.
 func (f *FleetState) OpenSession(now time.Duration, source *schema.Source) bool {
 	f.directory.sessions[source.Name]++
 	f.adoptSource(source)
 	return f.MergeSource(now, source)
 }
 
-// OpenProvisionalSession opens a session of a proxy that has a session with another registry. That registry stays the home of
-// the source until the proxy reports itself here.
+// OpenProvisionalSession counts a new session of a proxy that also has a session with another registry. That registry
+// stays the source's home registry until the proxy sends its own source to this one.
 func (f *FleetState) OpenProvisionalSession(name string) { f.directory.sessions[name]++ }
 
-// CloseSession ends one session of a proxy, opened by OpenSession or OpenProvisionalSession.
+// CloseSession ends one session of a proxy that OpenSession or OpenProvisionalSession opened.
 func (f *FleetState) CloseSession(now time.Duration, name string) {
 	f.directory.sessions[name]--
 	if f.directory.sessions[name] <= 0 {
@@ -76,10 +86,11 @@
 	}
 }
 
-// SessionCount counts the proxies in session with this registry.
+// SessionCount returns the number of proxies that have a session with this registry.
 func (f *FleetState) SessionCount() int { return len(f.directory.sessions) }
 
-// RecordPeerHeard records that another registry was heard from, and which registries that one hears.
+// RecordPeerHeard records that the registry of another member was heard from, and the members whose registries that one
+// hears itself.
 func (f *FleetState) RecordPeerHeard(now time.Duration, memberID string, reaches []string) {
 	f.directory.reachedBy[memberID] = reaches
 	f.directory.heardAt[memberID] = now
@@ -89,7 +100,7 @@
 	}
 }
 
-// ReachableRegistries lists, sorted, the members whose registries were heard from here within a lease.
+// ReachableRegistries returns, sorted, the members whose registries this registry has heard from within a lease.
 func (f *FleetState) ReachableRegistries(now time.Duration) []string {
 	var memberIDs []string
 	for memberID, at := range f.directory.heardAt {
@@ -101,10 +112,11 @@
 	return memberIDs
 }
 
-// SetMemberCount sets how many members the core has, this one included.
+// SetMemberCount sets the number of core members, including this one.
 func (f *FleetState) SetMemberCount(memberCount int) { f.directory.otherRegistries = memberCount - 1 }
 
-// ConfirmCurrent records the time as of which the configuration here is known to be the core's newest.
+// ConfirmCurrent records that, as of the time at, the configuration of this registry is known to be the core's
+// newest. An earlier time than the recorded one changes nothing.
 func (f *FleetState) ConfirmCurrent(at time.Duration) {
 	if !f.directory.everConfirmed || at > f.directory.confirmedAt {
 		f.directory.everConfirmed = true
@@ -112,33 +124,35 @@
 	}
 }
 
-// Staleness is how long ago the configuration here was last known to be the core's newest; false if it never was.
+// Staleness returns how long ago the configuration of this registry was last known to be the core's newest. The second
+// result is false if it never was.
 func (f *FleetState) Staleness(now time.Duration) (time.Duration, bool) {
 	return now - f.directory.confirmedAt, f.directory.everConfirmed
 }
 
-// hasQuorumContact tells whether this registry's store is in contact with a majority of the core.
+// hasQuorumContact reports whether this registry's store was recently in contact with a majority of the core.
 func (f *FleetState) hasQuorumContact(now time.Duration) bool {
 	age, confirmed := f.Staleness(now)
 	return confirmed && age <= f.options.Lease/quorumContactAgeDivisor
 }
 
-// adoptSource makes this registry the home of a source that its proxy reports in a session with it.
+// adoptSource makes this registry the home registry of source if the source's proxy has a session with it. source may
+// be nil.
 func (f *FleetState) adoptSource(source *schema.Source) {
 	if source != nil && f.directory.sessions[source.Name] > 0 {
 		source.HomeRegistry = f.options.MemberID
 	}
 }
 
-// endLostSources ends the sources whose proxies are lost.
+// endLostSources ends the sources of lost proxies, and incarnation-only sources for which no update came in time.
 func (f *FleetState) endLostSources(now time.Duration) {
 	for name, entry := range f.sources {
 		if f.isLost(now, name, entry) {
 			f.endSource(now, entry.source)
 		}
 	}
-	// Another node still lists a proxy of which no registry has an update: had it been alive, it would have opened a session. That is certain
-	// only while all registries are heard from here.
+	// Another node lists a proxy of which no registry has an update. A live proxy would have opened a session with some
+	// registry by now. That is certain only while this registry hears all others.
 	for _, entry := range f.directory.incarnationOnly {
 		allHeard := f.hasQuorumContact(now) && len(f.ReachableRegistries(now)) >= f.directory.otherRegistries
 		if allHeard && now-entry.receivedAt > orphanLeases*f.options.Lease {
@@ -147,24 +161,25 @@
 	}
 }
 
-// isLost tells whether the proxy of a source has been without a session for so long that its source is ended.
+// isLost reports whether a source's proxy has had no session for so long that the source must be ended.
 func (f *FleetState) isLost(now time.Duration, name string, entry *sourceEntry) bool {
 	homeRegistry := entry.source.HomeRegistry
 	switch {
 	case homeRegistry == "" || entry.source.Version.GetEnded():
 		return false
 	case homeRegistry == f.options.MemberID:
-		// A source received, or restored from another registry after a restart of this one, has as long to open a session.
+		// receivedAt gives a proxy the same time to open a session if its source was just received, or was restored
+		// from another registry after a restart of this one.
 		lastInSession := max(f.directory.disconnectedAt[name], entry.receivedAt)
 		return f.directory.sessions[name] == 0 && now-lastInSession > disconnectedLeases*f.options.Lease
 	default:
-		// A partitioned registry hears none of the others, and so knows nothing of their proxies: they stay listed.
+		// A partitioned registry hears no others and cannot know whether their proxies are alive, so they stay listed.
 		lastReached := max(f.directory.reachedAt[homeRegistry], entry.receivedAt)
 		return f.hasQuorumContact(now) && now-lastReached > orphanLeases*f.options.Lease
 	}
 }
 
-// endSource replaces a source by its tombstone, without workers and with this registry as home.
+// endSource replaces a source by its tombstone, which has no workers and this registry as home registry.
 func (f *FleetState) endSource(now time.Duration, source *schema.Source) {
 	ended := &schema.SourceVersion{
 		Incarnation: source.Version.GetIncarnation(),
@@ -180,7 +195,7 @@
 	})
 }
 
-// ObserveVector records which incarnations another node has seen that are unknown here.
+// ObserveVector records, from another node's version vector, the incarnations that are newer than those known here.
 func (f *FleetState) ObserveVector(now time.Duration, vector map[string]*schema.SourceVersion) {
 	for name, version := range vector {
 		f.mergeIncarnationOnly(now, &schema.Source{
@@ -192,7 +207,8 @@
 	}
 }
 
-// mergeIncarnationOnly stores an incarnation-only source if it is newer than what is known of the name, and tells whether it was.
+// mergeIncarnationOnly stores an incarnation-only source if it is newer than what is known of its name and there is
+// room among MaxSources. It reports whether the source was stored.
 func (f *FleetState) mergeIncarnationOnly(now time.Duration, source *schema.Source) bool {
 	if reported := f.sources[source.Name]; reported != nil && !isNewerVersion(source.Version, reported.source.Version) {
 		return false
@@ -213,7 +229,7 @@
 	return true
 }
 
-// HighestIncarnation is the highest incarnation known of a proxy's name; zero for none.
+// HighestIncarnation returns the highest known incarnation of a proxy's name; zero for none.
 func (f *FleetState) HighestIncarnation(name string) uint64 {
 	highest := uint64(0)
 	if entry := f.sources[name]; entry != nil {
@@ -225,7 +241,8 @@
 	return highest
 }
 
-// IncarnationOnlySources lists the incarnation-only sources beyond a version vector: that of one name, or all if name is empty.
+// IncarnationOnlySources returns the incarnation-only sources with a higher incarnation than the version vector has, in
+// no order. An empty name selects all of them, otherwise only the source of that name is returned.
 func (f *FleetState) IncarnationOnlySources(vector map[string]*schema.SourceVersion, name string) []*schema.Source {
 	var listed []*schema.Source
 	for sourceName, entry := range f.directory.incarnationOnly {
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -12,44 +12,46 @@
 	"meadowhinge/schema"
 )
 
-// fakeFleet is three registries' states and proxies in session with them. Every step and every fault is drawn from a seed.
+// fakeFleet simulates the states of three registries and proxies in session with them. Every step and every fault is
+// drawn at random from a seed.
 type fakeFleet struct {
 	t            *testing.T
 	seed         uint64
 	random       *rand.Rand
-	now          time.Duration
-	states       []*FleetState // of the registries, by index; so are the next two
-	incarnations []int         // how often the registry was started
-	up           []bool
-	partitioned  map[[2]string]bool      // pairs of node names that cannot reach each other
-	peerSessions map[[2]int]*fakeSession // the session of the first registry with the second
+	now          time.Duration           // simulated time, which all registries share
+	states       []*FleetState           // states of the registries, by registry index
+	incarnations []int                   // number of starts of each registry, by registry index
+	up           []bool                  // whether each registry runs, by registry index
+	partitioned  map[[2]string]bool      // pairs of node names that cannot reach each other, in either order
+	peerSessions map[[2]int]*fakeSession // sessions between registries, by the indexes of subscriber and peer
 	proxies      []*fakeProxy
 }
 
-// fakeSession is a session as the registry has it, and between which incarnations of both it is.
+// fakeSession is the registry side of a session.
 type fakeSession struct {
 	cursor       *SessionCursor
-	incarnations [2]int
+	incarnations [2]int // incarnations of both ends at the start of the session; it ends when either restarts
 }
 
-// fakeProxy is a proxy, with the service directory as it was sent to it.
+// fakeProxy is a proxy with its copy of the service directory.
 type fakeProxy struct {
 	name           string
 	up             bool
-	processCount   int
-	incarnation    uint64
-	counter        uint64
-	contentVersion uint64 // how often what it reports has changed
-	registryIndex  int    // of the registry it is in session with, -1 for none
-	session        *fakeSession
-	directory      map[string]*schema.Source
-	steadySince    time.Duration       // since when it has been in session with registries in quorum contact
-	provisional    *provisionalSession // beside the session
+	processCount   int                       // number of starts
+	incarnation    uint64                    // incarnation in its source's version
+	counter        uint64                    // counter in its source's version
+	contentVersion uint64                    // number of changes of its reported workers since its start
+	registryIndex  int                       // registry with which it is in session; -1 for none
+	session        *fakeSession              // session with that registry; meaningless if registryIndex is -1
+	directory      map[string]*schema.Source // sources that it was sent, and its own
+	steadySince    time.Duration             // start of an unbroken time in session with registries in quorum contact
+	provisional    *provisionalSession       // provisional session in addition to session; nil for none
 }
 
-// provisionalSession is a provisional session with one incarnation of a registry.
+// provisionalSession is a provisional session with one incarnation of a registry. ticksLeft counts down to its end.
 type provisionalSession struct{ registryIndex, registryIncarnation, ticksLeft int }
 
+// fleetTick is the simulated time of one step.
 const fleetTick = testLease / session.RenewalsPerLease
 
 // fakeRegistries is the number of registries in a fakeFleet.
@@ -99,16 +101,17 @@
 		registryIndex: -1,
 		directory:     map[string]*schema.Source{},
 	}
-	// It asks each registry with a chance of one half. Where it asked too few, it learns later that its incarnation was exceeded.
+	// The proxy queries each reachable registry with probability one half. If it misses the highest incarnation, it
+	// learns later that its own is superseded.
 	p.incarnation = session.NextIncarnation(0)
-	for i, table := range f.states {
+	for i, state := range f.states {
 		if f.up[i] && f.random.IntN(2) == 0 && !f.arePartitioned(p.name, memberIDAt(i)) {
-			p.incarnation = session.NextIncarnation(table.HighestIncarnation(p.name))
+			p.incarnation = session.NextIncarnation(state.HighestIncarnation(p.name))
 		}
 	}
 }
 
-// isOpen tells whether the registry of a provisional session still has it.
+// isOpen reports whether the registry of a provisional session still has the session.
 func (f *fakeFleet) isOpen(provisional *provisionalSession) bool {
 	return f.up[provisional.registryIndex] && f.incarnations[provisional.registryIndex] == provisional.registryIncarnation
 }
@@ -117,7 +120,7 @@
 	return f.partitioned[[2]string{a, b}] || f.partitioned[[2]string{b, a}]
 }
 
-// hasQuorumContact tells whether a registry reaches a majority of them.
+// hasQuorumContact reports whether a registry is up and reaches a majority of the registries, including itself.
 func (f *fakeFleet) hasQuorumContact(i int) bool {
 	reached := 0
 	for j := range f.states {
@@ -128,7 +131,8 @@
 	return f.up[i] && reached > 1
 }
 
-// source is what a proxy reports of itself. Its worker's name says of which process and content it is.
+// source returns the proxy's next report of itself. Its one worker's name identifies the process and the content
+// version.
 func (p *fakeProxy) source() *schema.Source {
 	p.counter++
 	return &schema.Source{
@@ -138,7 +142,7 @@
 	}
 }
 
-// vector is the version of each source that the proxy holds.
+// vector returns the proxy's version vector.
 func (p *fakeProxy) vector() map[string]*schema.SourceVersion {
 	vector := map[string]*schema.SourceVersion{}
 	for name, source := range p.directory {
@@ -147,7 +151,8 @@
 	return vector
 }
 
-// applyUpdates applies what a registry sent. It tells whether the proxy took a new incarnation, to exceed an earlier one.
+// applyUpdates applies updates from a registry. It reports whether the proxy took a new incarnation because its own was
+// superseded.
 func (p *fakeProxy) applyUpdates(updates []*schema.Source) (superseded bool) {
 	for _, source := range updates {
 		if source.Name == p.name && session.IsSuperseded(p.incarnation, source.Version.Incarnation, source.Version.Ended) {
@@ -161,7 +166,7 @@
 	return superseded
 }
 
-// cloneSources copies sources, as sending them does.
+// cloneSources returns deep copies of sources, as sending them over the network would.
 func cloneSources(sources ...*schema.Source) []*schema.Source {
 	var copies []*schema.Source
 	for _, source := range sources {
@@ -170,7 +175,7 @@
 	return copies
 }
 
-// report makes a proxy report a source to its registry.
+// report makes a proxy store its own source and, if its session is intact, report it to its registry.
 func (f *fakeFleet) report(p *fakeProxy, source *schema.Source) {
 	p.directory[p.name] = source
 	if p.registryIndex >= 0 && f.hasIntactSession(p) {
@@ -179,7 +184,8 @@
 	}
 }
 
-// stepProvisionalSession opens a provisional session now and then, and after a while moves to its registry or closes it.
+// stepProvisionalSession opens a provisional session at random. After a few ticks it either moves the proxy to that
+// session's registry or closes the session.
 func (f *fakeFleet) stepProvisionalSession(p *fakeProxy) {
 	at := f.random.IntN(fakeRegistries)
 	mayOpen := p.provisional == nil && p.registryIndex >= 0 && at != p.registryIndex && f.reaches(p, at)
@@ -214,12 +220,12 @@
 	}
 }
 
-// reaches tells whether a registry is up and not partitioned from a proxy.
+// reaches reports whether a registry is up and not partitioned from a proxy.
 func (f *fakeFleet) reaches(p *fakeProxy, registryIndex int) bool {
 	return f.up[registryIndex] && !f.arePartitioned(p.name, memberIDAt(registryIndex))
 }
 
-// closeSession ends a proxy's session at its registry, if that has not restarted since, and at the proxy.
+// closeSession ends a proxy's session, at the registry only if that is still the same process.
 func (f *fakeFleet) closeSession(p *fakeProxy) {
 	if p.registryIndex >= 0 && f.up[p.registryIndex] && p.session.incarnations[0] == f.incarnations[p.registryIndex] {
 		f.states[p.registryIndex].CloseSession(f.now, p.name)
@@ -227,13 +233,13 @@
 	p.registryIndex = -1
 }
 
-// hasIntactSession tells whether neither side of a proxy's session has restarted and they reach each other.
+// hasIntactSession reports whether both ends of a proxy's session are up, have not restarted and reach each other.
 func (f *fakeFleet) hasIntactSession(p *fakeProxy) bool {
 	current := [2]int{f.incarnations[p.registryIndex], p.processCount}
 	return p.up && p.session.incarnations == current && f.reaches(p, p.registryIndex)
 }
 
-// step lets the time between two heartbeats pass.
+// step advances the time by fleetTick, and with it all registries and proxies.
 func (f *fakeFleet) step() {
 	f.now += fleetTick
 	f.syncRegistries()
@@ -243,7 +249,7 @@
 	f.check()
 }
 
-// syncRegistries makes every registry receive what its peers send it.
+// syncRegistries makes every registry receive the updates that its reachable peers send.
 func (f *fakeFleet) syncRegistries() {
 	for i, state := range f.states {
 		if f.hasQuorumContact(i) {
@@ -269,7 +275,8 @@
 	}
 }
 
-// stepProxy makes a proxy leave a registry that is lost, open a session with another, and receive what its registry sends it.
+// stepProxy makes a proxy leave a lost registry, open a session with another one, and receive updates from its
+// registry.
 func (f *fakeFleet) stepProxy(p *fakeProxy) {
 	f.stepProvisionalSession(p)
 	if p.registryIndex >= 0 && (!f.hasIntactSession(p) || (!f.hasQuorumContact(p.registryIndex) && f.random.IntN(3) == 0)) {
@@ -292,12 +299,12 @@
 	}
 }
 
-// openSession opens a session with a registry that has quorum contact, or else with any that the proxy reaches.
+// openSession opens a session with a reachable registry that has quorum contact, or with a random one if there is none.
 func (f *fakeFleet) openSession(p *fakeProxy) {
 	at := f.random.IntN(fakeRegistries)
-	for _, better := range f.random.Perm(fakeRegistries) {
-		if f.hasQuorumContact(better) && !f.arePartitioned(p.name, memberIDAt(better)) {
-			at = better
+	for _, candidate := range f.random.Perm(fakeRegistries) {
+		if f.hasQuorumContact(candidate) && !f.arePartitioned(p.name, memberIDAt(candidate)) {
+			at = candidate
 		}
 	}
 	if !f.reaches(p, at) {
@@ -311,20 +318,23 @@
 	f.states[at].OpenSession(f.now, cloneSources(source)[0])
 }
 
-// check fails the test if a proxy lost another one, both of which have been in session for long enough.
+// check fails the test if a proxy does not list another one although both have been in session, with registries in
+// quorum contact, for more than two leases.
 func (f *fakeFleet) check() {
 	f.t.Helper()
 	for _, p := range f.proxies {
 		for _, other := range f.proxies {
 			steady := p.up && other.up && f.now-other.steadySince > 2*testLease && f.now-p.steadySince > 2*testLease
 			if listed := p.directory[other.name]; steady && (listed == nil || listed.Version.Ended) {
-				f.t.Fatalf("seed %d, %v: %s lost %s, which is in session: %v", f.seed, f.now, p.name, other.name, listed)
+				f.t.Fatalf("seed %d at %v: proxy %s lists %s as %v, want a source that has not ended, since %s is in session",
+					f.seed, f.now, p.name, other.name, listed, other.name)
 			}
 		}
 	}
 }
 
-// fault does one thing to the fleet, drawn at random.
+// fault injects one random event: a changed report, a crash, a shutdown, a restart, a partition or the end of all
+// partitions.
 func (f *fakeFleet) fault() {
 	p, i := f.proxies[f.random.IntN(len(f.proxies))], f.random.IntN(fakeRegistries)
 	switch f.random.IntN(9) {
@@ -336,7 +346,7 @@
 	case 1:
 		p.up = false
 	case 2:
-		// It shuts down gracefully.
+		// The proxy shuts down gracefully.
 		if p.up {
 			last := p.source()
 			last.ShuttingDown, last.Workers = true, nil
@@ -361,8 +371,8 @@
 	}
 }
 
-// Whatever restarts, dies, moves and is partitioned, once faults have ceased every proxy lists every live proxy with its last report,
-// and no dead one.
+// TestDirectoryConverges injects random restarts, crashes, moves and partitions. Once the faults have stopped, every
+// proxy must list every live proxy with its last report, and no dead one.
 func TestDirectoryConverges(t *testing.T) {
 	for seed := range uint64(300) {
 		f := newFakeFleet(t, seed, 4)
@@ -390,12 +400,13 @@
 				last := fmt.Sprintf("%s-%d-%d", other.name, other.processCount, other.contentVersion)
 				lists := listed != nil && len(listed.Workers) > 0
 				if lists != other.up || (lists && listed.Workers[0].Instance != last) {
-					t.Fatalf("seed %d: %s has %v of %s (up %v), not %s", seed, p.name, listed, other.name, other.up, last)
+					t.Fatalf("seed %d: proxy %s lists %s as %v; want workers listed %v, last reported worker %s",
+						seed, p.name, other.name, listed, other.up, last)
 				}
 			}
 		}
 		if liveProxies := f.states[0].LiveProxies(f.now); liveProxies != f.upCount() {
-			t.Fatalf("seed %d: %d live proxies, not %d", seed, liveProxies, f.upCount())
+			t.Fatalf("seed %d: LiveProxies: got %d, want %d", seed, liveProxies, f.upCount())
 		}
 	}
 }
@@ -410,8 +421,9 @@
 	return count
 }
 
-// A registry that is partitioned from the core keeps the proxies of a lost registry listed; one with quorum contact ends them.
-func TestSourcesOfALostRegistry(t *testing.T) {
+// TestSourcesOfLostHomeRegistry checks that a registry ends the sources of a lost home registry only if it has quorum
+// contact. Without it, the registry itself may be the partitioned one, so it keeps them listed.
+func TestSourcesOfLostHomeRegistry(t *testing.T) {
 	for _, quorumContact := range []bool{true, false} {
 		t.Run(fmt.Sprint("quorum contact ", quorumContact), func(t *testing.T) {
 			state := NewFleetState(FleetStateOptions{
@@ -428,7 +440,7 @@
 				state.sweep(now)
 			}
 			if ended := state.sources["p"].source.Version.GetEnded(); ended != quorumContact {
-				t.Errorf("listed as ended %v", ended)
+				t.Errorf("source of the lost registry: got ended %v, want %v", ended, quorumContact)
 			}
 		})
 	}
--- a/internal/registry/fleet_state.go
+++ b/internal/registry/fleet_state.go
@@ -7,59 +7,59 @@
 	"meadowhinge/schema"
 )
 
-// sourceRetentionLeases is how many leases the workers of a proxy without a session stay listed after its last report.
+// sourceRetentionLeases is how long a source without a home registry stays listed after its last update, in leases.
 const sourceRetentionLeases = 2
 
-// FleetStateOptions bound a FleetState.
+// FleetStateOptions are the identity and the limits of a FleetState.
 type FleetStateOptions struct {
-	MemberID      string        // the core member whose registry this is
-	Lease         time.Duration // the same on every process; all other intervals are fractions or multiples of it
-	MaxSources    int           // proxies that are listed; twice as many may hold a lease, four times as many incarnations have counts
-	MaxCounts     int           // lines of counts in one proxy's report; a longer report's counts are ignored
-	WithoutLeases bool          // changes are acknowledged without leases: there are none to wait for after a start
+	MemberID string        // id of the core member to which this registry belongs
+	Lease    time.Duration // lease duration, the same on every process; other intervals are multiples or fractions of it
+	// MaxSources is the most proxies that the service directory lists. Up to twice as many leases are kept, and call
+	// counts of up to four times as many proxy incarnations.
+	MaxSources    int
+	MaxCounts     int  // most lines of counts in one proxy's report; the counts of a longer report are ignored
+	WithoutLeases bool // changes are acknowledged without leases, so a new registry waits for none to expire
 }
 
-// proxyIncarnation tells the processes apart that ran under one proxy's name.
+// proxyIncarnation identifies one process among those that ran under a proxy's name.
 type proxyIncarnation struct {
 	proxy       string
 	incarnation uint64
 }
 
-// FleetState is what one registry knows of the fleet: leases, the service directory, call counts, canary grants and traces of
-// changes. It is a step function of events and of the time since the registry started (now, in all methods): it does no I/O and
-// reads no clock. It is not safe for concurrent use; in a server sharedState.lock guards it.
+// FleetState is one registry's knowledge of the fleet: leases, the service directory, call counts, canary grants and
+// traces of changes. It is a step function of events and of the time since the registry started, which all methods take
+// as now. It does no I/O and reads no clock. It is not safe for concurrent use; in a server sharedState.lock guards it.
 type FleetState struct {
 	options  FleetStateOptions
-	caughtUp bool          // the revision that was committed when this registry started is known here
+	caughtUp bool          // whether this registry has the revision that was committed when it started
 	sweptAt  time.Duration // when sweep last ran
 
-	// Revisions. All three only grow.
-	committedRevision   uint64           // of the configuration that this registry has
-	newestKnownRevision uint64           // the newest that this registry has or a proxy reported, as of the last lease request
-	requiredRevision    uint64           // no lease is granted to a proxy that applied less, ever again
-	recentCommits       []revisionCommit // oldest first; each becomes required once proxies have had time to apply it
+	// The next three revisions only grow.
+	committedRevision   uint64           // revision of the configuration that this registry has; zero for none
+	newestKnownRevision uint64           // newest revision that this registry has or a proxy reported; set by RenewLease
+	requiredRevision    uint64           // lowest applied revision with which a proxy is granted a lease
+	recentCommits       []revisionCommit // commits that are not required yet, oldest first; see sweep
 
-	leases map[proxyIncarnation]*lease
+	leases map[proxyIncarnation]*lease // granted leases; expired ones are dropped by sweep
 
-	// The service directory: what proxies reported of themselves and their workers, by proxy.
-	sources   map[string]*sourceEntry
-	directory directory
+	sources   map[string]*sourceEntry // the service directory: each proxy's newest source, by proxy
+	directory directory               // session state of the service directory
 
-	// Call counts.
-	countsByIncarnation map[proxyIncarnation]*schema.SourceCounts
-	countsByAge         []proxyIncarnation // the keys of countsByIncarnation, oldest first
-	reportedAt          map[proxyIncarnation]time.Duration
+	countsByIncarnation map[proxyIncarnation]*schema.SourceCounts // call counts; see recordCounts
+	countsByAge         []proxyIncarnation                        // the keys of countsByIncarnation, first added first
+	reportedAt          map[proxyIncarnation]time.Duration        // when the last report arrived
 
-	traces     map[uint64]*trace // by revision
-	lastTraced uint64            // the newest revision that has, or had, a trace
+	traces     map[uint64]*trace // traces of the newest revisions, by revision
+	lastTraced uint64            // newest revision for which a trace was started; zero for none
 
-	canaryGrants   []*schema.Canary // from the rollout controller
-	canaryGrantsAt time.Duration    // when it last handed them out
+	canaryGrants   []*schema.Canary // grants that the rollout controller sent last; never changed in place
+	canaryGrantsAt time.Duration    // when the rollout controller last sent canaryGrants
 
-	settingMismatches map[string]string // a sentence, by node and setting
+	settingMismatches map[string]string // description of each mismatch, by "node: setting"
 }
 
-// NewFleetState makes the state of a registry that has just started.
+// NewFleetState returns the state of a registry that has just started.
 func NewFleetState(options FleetStateOptions) *FleetState {
 	return &FleetState{
 		options:             options,
@@ -73,16 +73,17 @@
 	}
 }
 
-// MemberID is the core member whose registry this is.
+// MemberID returns the id of the core member to which this registry belongs.
 func (f *FleetState) MemberID() string { return f.options.MemberID }
 
-// SetCaughtUp records that the registry holds at least the revision that was committed when it started.
+// SetCaughtUp records that the registry has at least the revision that was committed when it started.
 func (f *FleetState) SetCaughtUp() { f.caughtUp = true }
 
-// CommittedRevision is the revision of the configuration that this registry has.
+// CommittedRevision returns the revision of the configuration that this registry has; zero for none.
 func (f *FleetState) CommittedRevision() uint64 { return f.committedRevision }
 
-// SetCommitted records that this registry has the configuration of a revision. An older revision changes nothing.
+// SetCommitted records that, at now, this registry has the configuration of a committed revision. A revision that is
+// not newer changes nothing.
 func (f *FleetState) SetCommitted(now time.Duration, revision uint64) {
 	if revision <= f.committedRevision {
 		return
@@ -92,14 +93,15 @@
 	f.recentCommits = append(f.recentCommits, revisionCommit{revision, now})
 }
 
-// sweepIfDue sweeps unless that was done a moment ago.
+// sweepIfDue sweeps unless the last sweep was less than a lease divided by sweepDivisor ago.
 func (f *FleetState) sweepIfDue(now time.Duration) {
 	if now-f.sweptAt >= f.options.Lease/sweepDivisor {
 		f.sweep(now)
 	}
 }
 
-// sweep drops whatever has expired, and raises the revision that lagging proxies must have applied.
+// sweep drops expired leases and sources, ends the sources of lost proxies, and raises requiredRevision to the newest
+// revision that was committed more than one lease renewal interval ago.
 func (f *FleetState) sweep(now time.Duration) {
 	f.sweptAt = now
 	for len(f.recentCommits) > 0 && now-f.recentCommits[0].committedAt > f.options.Lease/session.RenewalsPerLease {
@@ -112,7 +114,7 @@
 		}
 	}
 	for name, entry := range f.sources {
-		// A proxy with a session reports only changes, so its age says nothing: see endLostSources.
+		// A proxy in session reports only changes, so the age of its source means nothing: see endLostSources.
 		if entry.source.HomeRegistry == "" && now-entry.receivedAt > sourceRetentionLeases*f.options.Lease {
 			delete(f.sources, name)
 		}
--- a/internal/registry/fleet_state_test.go
+++ b/internal/registry/fleet_state_test.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// testLease is the lease of the states that tests drive without a server; their time is made up.
+// testLease is the lease duration of states that tests drive without a server, on simulated time.
 const testLease = 8 * time.Second
 
-// newFleetStates is the states of registries a, b and so on, which have caught up, each at a committed revision.
+// newFleetStates returns the states of registries a, b and so on, one for each committed revision. All have caught up.
 func newFleetStates(revisions ...uint64) []*FleetState {
 	var states []*FleetState
 	for i, revision := range revisions {
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -7,36 +7,38 @@
 	"meadowhinge/schema"
 )
 
-// Why a lease is refused: LeaseReply.Reason, on the wire.
+// Reasons for refusing a lease, as sent in LeaseReply.Reason.
 const (
 	reasonLeaseDiffers  = "LEASE_DIFFERS"  // the proxy is configured with another lease duration
-	reasonRegistryYoung = "REGISTRY_YOUNG" // this registry grants no leases yet; also its reason for not being ready
-	reasonLags          = "LAGS"           // the proxy has not applied the revision that is required
-	reasonBufferFull    = "BUFFER_FULL"    // this registry has as many leases as it keeps at most
+	reasonRegistryYoung = "REGISTRY_YOUNG" // this registry does not grant leases yet; also its reason for not being ready
+	reasonLags          = "LAGS"           // the proxy has not applied the required revision
+	reasonBufferFull    = "BUFFER_FULL"    // this registry already holds the maximum number of leases
 )
 
-// maxLeasesPerSource is how many leases, of a proxy's old and new incarnations, are kept for each source.
+// maxLeasesPerSource bounds the stored leases: this many for each of MaxSources sources. A restarted proxy can have a
+// lease of its old and one of its new incarnation.
 const maxLeasesPerSource = 2
 
-// lease is the right of one proxy process to decide by its configuration.
+// lease is one proxy process's permission to route by the configuration that it has applied.
 type lease struct {
-	appliedRevision uint64 // the newest that the proxy reported to have applied
-	expiresAt       time.Duration
+	appliedRevision uint64        // newest revision that the proxy reported as applied
+	expiresAt       time.Duration // end of the lease, since the start of the registry
 }
 
-// revisionCommit is when this registry first had a committed revision.
+// revisionCommit is a committed revision and the time at which this registry received it.
 type revisionCommit struct {
 	revision    uint64
 	committedAt time.Duration
 }
 
-// GrantsLeases tells whether this registry grants leases. One that has just started may have granted leases and set fences of
-// which it knows nothing any more, so it waits until those leases have expired.
+// GrantsLeases reports whether this registry grants leases. Before a restart it may have granted leases and set fences
+// that it has since lost, so a new registry waits until those leases have expired.
 func (f *FleetState) GrantsLeases(now time.Duration) bool {
 	return f.caughtUp && (f.options.WithoutLeases || now >= f.options.Lease)
 }
 
-// RenewLease grants or refuses a lease to a proxy, and records the revision that the proxy has applied.
+// RenewLease grants or refuses a lease to a proxy, and records the revision that the proxy has applied. The reply's
+// Reason is empty if the lease is granted.
 func (f *FleetState) RenewLease(now time.Duration, request *schema.LeaseRequest) *schema.LeaseReply {
 	f.sweep(now)
 	f.newestKnownRevision = max(f.newestKnownRevision, f.committedRevision, request.Applied, request.Received)
@@ -57,7 +59,7 @@
 		}
 		existing.expiresAt = now + f.options.Lease
 	}
-	// The applied revision counts even where the lease is refused: an acknowledgement may be waiting for it.
+	// The applied revision counts even if the renewal is refused: an acknowledgement may be waiting for it.
 	if existing != nil {
 		f.traceApplied(now, request.Proxy, existing.appliedRevision, request.Applied)
 		existing.appliedRevision = max(existing.appliedRevision, request.Applied)
@@ -65,18 +67,19 @@
 	return reply
 }
 
-// leaseRefusal is why a proxy gets no lease, or empty if it gets one. existing is the lease that it has, nil for none.
+// leaseRefusal returns the reason for refusing a lease, or an empty string if the lease is granted. existing is the
+// unexpired lease of the same proxy process; nil for none.
 func (f *FleetState) leaseRefusal(now time.Duration, request *schema.LeaseRequest, existing *lease) string {
 	switch {
-	// A proxy that is configured with a longer lease than this registry would go on deciding after the lease's end here.
+	// A proxy configured with a longer lease would keep using it after this registry considers it expired.
 	case request.LeaseNanos != 0 && time.Duration(request.LeaseNanos) != f.options.Lease:
 		return reasonLeaseDiffers
 	case !f.GrantsLeases(now):
 		return reasonRegistryYoung
 	case request.Applied < f.requiredRevision:
 		return reasonLags
-	// A proxy without a lease starts from the newest revision that any proxy may have used, so that a restart never makes the
-	// fleet fall back to an older one.
+	// A proxy without a lease must have applied the newest revision that any proxy may have used, so that a restart
+	// never returns the fleet to an older configuration.
 	case existing == nil && request.Applied < f.newestKnownRevision:
 		return reasonLags
 	case existing == nil && len(f.leases) >= maxLeasesPerSource*f.options.MaxSources:
@@ -85,8 +88,9 @@
 	return ""
 }
 
-// SetFence forbids leases below a revision from now on, and lists the leases below it that have not expired. The reply is
-// authoritative only if this registry grants leases; otherwise it may have granted some that it does not know of.
+// SetFence forbids leases below a revision from now on, and returns the unexpired leases below it as laggards. If
+// this registry does not grant leases yet, it sets no fence and the reply is not authoritative: the registry may have
+// granted leases before a restart that it no longer knows of.
 func (f *FleetState) SetFence(now time.Duration, revision uint64) *schema.FenceReply {
 	f.sweep(now)
 	if !f.GrantsLeases(now) {
@@ -102,7 +106,7 @@
 	return reply
 }
 
-// Leases lists the leases that have not expired, by proxy.
+// Leases returns the leases that have not expired, sorted by proxy.
 func (f *FleetState) Leases(now time.Duration) []*schema.Laggard {
 	f.sweep(now)
 	var listed []*schema.Laggard
@@ -113,6 +117,7 @@
 	return listed
 }
 
+// leaseMessage returns a lease as a wire message.
 func leaseMessage(now time.Duration, key proxyIncarnation, existing *lease) *schema.Laggard {
 	return &schema.Laggard{
 		Proxy:          key.proxy,
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -9,7 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// renewAll renews a proxy's lease at the registries and gives the lease that their replies make.
+// renewAll requests a lease for proxy p from each registry and returns the lease that results from their replies, in a
+// core of three.
 func renewAll(states []*FleetState, now time.Duration, incarnation, applied, newestKnown uint64) *session.Lease {
 	lease := session.NewLease(testLease)
 	request := &schema.LeaseRequest{Proxy: "p", Incarnation: incarnation, Applied: applied, Received: newestKnown}
@@ -21,64 +22,80 @@
 	return lease
 }
 
-// A proxy that used a revision which only one registry holds restarts, and that registry is lost. The other registries refuse the
-// restarted proxy a lease at the revision before, but only because the proxy reported the newer one to a majority first.
-func TestRestartNeverFallsBack(t *testing.T) {
+// TestRestartedProxyKeepsReportedRevision covers a proxy that received a revision which only one registry has, after
+// which that registry is lost and the proxy restarts. The other registries must refuse the restarted proxy a lease at
+// the revision before. They do so only because the proxy reported the newer revision to a majority first: to the lost
+// registry and one more. Without that report the proxy falls back.
+func TestRestartedProxyKeepsReportedRevision(t *testing.T) {
 	for _, reported := range []bool{true, false} {
 		t.Run(fmt.Sprint("reported ", reported), func(t *testing.T) {
 			states := newFleetStates(9, 8, 8)
 			if !renewAll(states[1:], testLease, 1, 8, 0).IsValid(testLease) {
-				t.Fatal("no lease at the older revision")
+				t.Fatal("lease at revision 8 from two of three registries, before the restart: got invalid, want valid")
 			}
 			if reported {
 				renewAll(states[1:2], testLease, 1, 8, 9)
 			}
 			fellBack := renewAll(states[1:], testLease+time.Second, 2, 8, 0).IsValid(testLease + time.Second)
 			if fellBack == reported {
-				t.Errorf("fell back %v", fellBack)
+				t.Errorf("lease at revision 8 after the restart: got valid %v, want %v", fellBack, !reported)
 			}
 		})
 	}
 }
 
-// A registry grants leases once it is older than a lease and has caught up; a proxy may lag behind a commit for the time between
-// two renewals; and a fence lists a laggard for as long as its lease is valid.
+// TestLeaseRules checks that a registry grants leases only once it has run for a lease and has caught up, that a
+// proxy may lag behind a commit for one renewal interval, and that a fence lists a laggard as long as its lease is
+// valid.
 func TestLeaseRules(t *testing.T) {
 	young := NewFleetState(FleetStateOptions{MemberID: "a", Lease: testLease, MaxSources: 4, MaxCounts: 4})
 	young.SetCommitted(0, 5)
 	renew := &schema.LeaseRequest{Proxy: "p", Incarnation: 1, Applied: 5}
-	if young.RenewLease(testLease-1, renew).Granted || young.SetFence(testLease-1, 5).Authoritative {
-		t.Error("a registry younger than a lease granted one or counted for a fence")
+	if reply := young.RenewLease(testLease-1, renew); reply.Granted {
+		t.Errorf("RenewLease before the registry has run for a lease: got %v, want a refusal", reply)
 	}
-	if young.RenewLease(testLease, renew).Granted {
-		t.Error("a registry that has not caught up granted a lease")
+	if reply := young.SetFence(testLease-1, 5); reply.Authoritative {
+		t.Errorf("SetFence before the registry has run for a lease: got %v, want a reply that is not authoritative", reply)
+	}
+	if reply := young.RenewLease(testLease, renew); reply.Granted {
+		t.Errorf("RenewLease before the registry has caught up: got %v, want a refusal", reply)
 	}
 	young.SetCaughtUp()
-	if !young.RenewLease(testLease, renew).Granted {
-		t.Error("a registry that is old enough and has caught up refused a lease")
+	if reply := young.RenewLease(testLease, renew); !reply.Granted {
+		t.Errorf("RenewLease after a lease, caught up: got %v, want a grant", reply)
 	}
 	const renewalInterval = testLease / session.RenewalsPerLease
 	young.SetCommitted(testLease, 6)
 	mayLagUntil := testLease + renewalInterval
-	if !young.RenewLease(mayLagUntil, renew).Granted || young.RenewLease(mayLagUntil+1, renew).Granted {
-		t.Error("the bound on lagging is not kept")
+	if reply := young.RenewLease(mayLagUntil, renew); !reply.Granted {
+		t.Errorf("RenewLease one renewal interval after a commit: got %v, want a grant", reply)
+	}
+	if reply := young.RenewLease(mayLagUntil+1, renew); reply.Granted {
+		t.Errorf("RenewLease more than one renewal interval after a commit: got %v, want a refusal", reply)
 	}
-	// The lease granted last was granted at mayLagUntil.
-	if len(young.SetFence(mayLagUntil+1, 6).Laggards) != 1 || len(young.SetFence(mayLagUntil+testLease, 6).Laggards) != 0 {
-		t.Error("a laggard is listed for too short or too long")
+	// The last grant was at mayLagUntil, so the lease ends at mayLagUntil+testLease.
+	if laggards := young.SetFence(mayLagUntil+1, 6).Laggards; len(laggards) != 1 {
+		t.Errorf("SetFence while the lease is valid: got laggards %v, want 1", laggards)
+	}
+	if laggards := young.SetFence(mayLagUntil+testLease, 6).Laggards; len(laggards) != 0 {
+		t.Errorf("SetFence at the end of the lease: got laggards %v, want none", laggards)
 	}
 }
 
-// A grant counts from when it was requested, and the lease ends with the grant that is the last needed for a majority.
+// TestLeaseCountsFromRequest checks that a grant counts from the time of its request, and that the lease ends with the
+// oldest grant that its majority needs.
 func TestLeaseCountsFromRequest(t *testing.T) {
 	lease := session.NewLease(testLease)
 	lease.RecordGrant("a", 3, time.Second)
 	if lease.IsValid(time.Second) {
-		t.Error("one grant of three made a lease")
+		t.Error("lease with one grant of three: got valid, want invalid")
 	}
 	lease.RecordGrant("a", 3, 3*time.Second)
 	lease.RecordGrant("b", 3, 2*time.Second)
-	if end := lease.ExpiresAt(); end > 2*time.Second+testLease || !lease.IsValid(2*time.Second) {
-		t.Errorf("the lease ends at %v", end)
+	if end := lease.ExpiresAt(); end > 2*time.Second+testLease {
+		t.Errorf("end of a lease with grants requested at 3s and 2s: got %v, want at most %v", end, 2*time.Second+testLease)
+	}
+	if !lease.IsValid(2 * time.Second) {
+		t.Errorf("lease with two grants of three at 2s: got invalid, want valid; it ends at %v", lease.ExpiresAt())
 	}
 }
--- a/internal/registry/reservation_table.go
+++ b/internal/registry/reservation_table.go
@@ -9,50 +9,56 @@
 	"meadowhinge/schema"
 )
 
-// ReservationOptions bound a ReservationTable.
+// ReservationOptions are the limits of a ReservationTable.
 type ReservationOptions struct {
-	Lease           time.Duration
+	Lease           time.Duration // lease duration, from which RecoveryStartsAt is derived
 	Window          time.Duration // how long a reservation is valid
-	MaxReservations int           // further ones are refused
-	MemberCount     int           // members of the core, this one included
+	MaxReservations int           // most valid reservations; further ones are refused
+	MemberCount     int           // number of core members, including this one
 }
 
-// reservationsPerPage is how many reservations go into one page for a registry that restarted.
+// reservationsPerPage is the most reservations in one page that a recovering registry reads.
 const reservationsPerPage = 4096
 
-// ReservationTable is which request owns which idempotency key, as one registry has it. A key runs only for the request to which
-// a majority of registries granted it. Like FleetState it is a step function of events and of the time since the registry
-// started. It is not safe for concurrent use; in a server sharedState.lock guards it.
+// ReservationTable is one registry's table of idempotency keys and the requests for which they are reserved. A
+// request may be executed under a key only if a majority of the registries granted it the reservation. Like
+// FleetState, the table is a step function of events and of the time since the registry started. It is not safe for
+// concurrent use; in a server sharedState.lock guards it.
 type ReservationTable struct {
-	options           ReservationOptions
-	byKey             map[string]*storedReservation
-	byPosition        []*storedReservation // in the order in which they were added, nearly that in which they expire; with removed ones
-	lastPosition      uint64
-	membersRead       map[string]bool   // other members whose reservations were read to the end while they were authoritative
-	complete          bool              // no reservation granted here, in any incarnation of this registry, can be missing
-	newestIncarnation map[string]uint64 // of each proxy that made a reservation
-
-	// Refused counts reservations refused to unauthorized peers, to old incarnations, and for lack of room.
+	options ReservationOptions
+	byKey   map[string]*storedReservation // valid reservations by key
+	// byPosition has the reservations in the order in which they were added, which is nearly the order in which they
+	// expire. Removed ones stay in it until removeExpired reaches them.
+	byPosition   []*storedReservation
+	lastPosition uint64          // position of the newest reservation; zero for none
+	membersRead  map[string]bool // other members whose tables were read to the last page while authoritative, by id
+	// complete is true if the table cannot lack a valid reservation that this member granted, even before a restart.
+	complete          bool
+	newestIncarnation map[string]uint64 // highest incarnation that made a reservation, by proxy
+
+	// Refused counts the reservations refused because the peer was not authorized, its incarnation was outdated, or the
+	// table was full.
 	Refused uint64
 }
 
-// storedReservation is a reservation as it is stored. There may be very many, with few different names: the names are interned.
+// storedReservation is a reservation as the table stores it. Tables can be large with few distinct names, so the
+// names are interned.
 type storedReservation struct {
 	key                string
-	bodyDigest         string
-	requestID          string
+	bodyDigest         string // digest of the request's body
+	requestID          string // request that owns the key
 	caller             unique.Handle[string]
-	proxy              unique.Handle[string]
-	instance           unique.Handle[string]
-	workerProxy        unique.Handle[string]
+	proxy              unique.Handle[string] // proxy that made the reservation
+	instance           unique.Handle[string] // worker instance to which the request is sent
+	workerProxy        unique.Handle[string] // proxy of that worker
 	workerProxyAddress unique.Handle[string]
-	incarnation        uint64
-	position           uint64
-	expiresAt          time.Duration
-	removed            bool // from byKey; its entry in byPosition stays until it is the first
+	incarnation        uint64        // incarnation of proxy
+	position           uint64        // position in the order of addition, from 1
+	expiresAt          time.Duration // end of validity, since the start of the registry
+	removed            bool          // no longer in byKey; its entry in byPosition is dropped by removeExpired
 }
 
-// message is the reservation in its form on the wire.
+// message returns the reservation as a wire message.
 func (s *storedReservation) message() *schema.KeyReservation {
 	return &schema.KeyReservation{
 		Key:         []byte(s.key),
@@ -68,7 +74,7 @@
 	}
 }
 
-// NewReservationTable makes the table of a registry that has just started.
+// NewReservationTable returns the empty table of a registry that has just started.
 func NewReservationTable(options ReservationOptions) *ReservationTable {
 	return &ReservationTable{
 		options:           options,
@@ -78,22 +84,27 @@
 	}
 }
 
-// SetNeverUsed records that no configuration was ever committed, so no call was ever planned and no key reserved.
+// SetNeverUsed records that no configuration was ever committed. No call was ever routed then and no key reserved, so
+// the table is complete.
 func (r *ReservationTable) SetNeverUsed() { r.complete = true }
 
-// IsAuthoritative tells whether this registry's replies count. After a restart it may have granted reservations that it lost:
-// it counts once it has read the reservations of all other members, or once all that it lost have expired.
+// IsAuthoritative reports whether this registry may grant reservations. A restarted registry has lost the reservations
+// that it granted before. It becomes authoritative once it has read the tables of all other members, or once the lost
+// reservations have expired.
 func (r *ReservationTable) IsAuthoritative(now time.Duration) bool {
 	return r.complete || now >= r.options.Window
 }
 
-// RecoveryStartsAt is when the other registries' tables may be read. By then every reservation round has ended in which a grant
-// of this registry's earlier incarnation may still have been counted.
+// RecoveryStartsAt returns the time, since the start of the registry, from which the other registries' tables may be
+// read. By then every reservation attempt has ended that may have counted a grant from before this registry's
+// restart.
 func (r *ReservationTable) RecoveryStartsAt() time.Duration {
 	roundTimeout := session.ReservationAttemptTimeout(r.options.Lease)
 	return roundTimeout + roundTimeout/session.RenewalsPerLease
 }
 
+// removeExpired drops the reservations at the head of byPosition that are removed or have expired, up to the first
+// valid one.
 func (r *ReservationTable) removeExpired(now time.Duration) {
 	dropped := 0
 	for _, stored := range r.byPosition {
@@ -106,6 +117,7 @@
 	r.byPosition = r.byPosition[dropped:]
 }
 
+// remove removes a reservation from byKey, unless another one has taken its key.
 func (r *ReservationTable) remove(stored *storedReservation) {
 	stored.removed = true
 	if r.byKey[stored.key] == stored {
@@ -113,6 +125,7 @@
 	}
 }
 
+// add stores a reservation at the next position.
 func (r *ReservationTable) add(reservation *schema.KeyReservation, expiresAt time.Duration) {
 	r.lastPosition++
 	stored := &storedReservation{
@@ -132,10 +145,12 @@
 	r.byPosition = append(r.byPosition, stored)
 }
 
-// Apply grants or refuses a reservation, or releases one whose owner has proof that its request was not executed.
+// Apply grants or refuses a reservation. If reservation.Release is set, it instead releases the key, which the owner
+// requests when it has proof that its request was not executed. Releasing a key that another request owns has no
+// effect.
 func (r *ReservationTable) Apply(now time.Duration, reservation *schema.KeyReservation) *schema.ReservationReply {
 	r.removeExpired(now)
-	// After a proxy restarted, nothing is left that could execute the reservations of its earlier incarnation.
+	// After a proxy has restarted, nothing can execute a request under reservations of its earlier incarnation.
 	if reservation.Incarnation < r.newestIncarnation[reservation.Proxy] {
 		r.Refused++
 		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_STALE}
@@ -151,13 +166,13 @@
 	}
 	switch {
 	case owned && r.IsAuthoritative(now):
-		// The same request goes to another worker, with proof that the first one did not execute it.
+		// The request is retried on another worker, with proof that the first one did not execute it.
 		r.remove(existing)
 	case existing != nil && !owned:
 		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_HELD, Holder: existing.message()}
 	case !r.IsAuthoritative(now):
 		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_NOT_AUTHORITATIVE}
-	// A valid reservation is never dropped to make room for another.
+	// A valid reservation is never evicted to make room for another.
 	case len(r.byKey) >= r.options.MaxReservations:
 		r.Refused++
 		return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_FULL}
@@ -166,8 +181,8 @@
 	return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_GRANTED}
 }
 
-// Page gives the reservations after a position, in order, to a registry that restarted. Page.Last is false only if the page is
-// full, so a page that is not the last one has reservations.
+// Page returns the reservations after a position, in the order of positions, for a registry that restarted. A page that
+// is not the last one is full, so it is never empty.
 func (r *ReservationTable) Page(now time.Duration, after uint64) *schema.ReservationsPage {
 	r.removeExpired(now)
 	page := &schema.ReservationsPage{Authoritative: r.IsAuthoritative(now)}
@@ -187,11 +202,12 @@
 	return page
 }
 
-// MergePage adds a page of another member's reservations. Once the pages of all other members have been merged to the last one,
-// each from a registry that was authoritative, this one is authoritative too.
+// MergePage adds a page of another member's reservations. The table becomes complete once the last pages of all other
+// members have been merged, each sent by a registry that was authoritative.
 func (r *ReservationTable) MergePage(now time.Duration, memberID string, page *schema.ReservationsPage) {
 	for _, reservation := range page.Reservations {
-		// Of two members' reservations of one key the first stays. Either one keeps the key from being granted here.
+		// If two members have different reservations of a key, the first one merged stays: either prevents the key from
+		// being granted here to another request.
 		if r.byKey[string(reservation.Key)] == nil {
 			r.add(reservation, now+min(time.Duration(reservation.RemainingNanos), r.options.Window))
 		}
@@ -202,5 +218,5 @@
 	r.complete = r.complete || len(r.membersRead) >= r.options.MemberCount-1
 }
 
-// Len is the number of valid reservations.
+// Len returns the number of stored reservations. Expired ones count until the next call of Apply or Page.
 func (r *ReservationTable) Len() int { return len(r.byKey) }
--- a/internal/registry/setting_mismatches.go
+++ b/internal/registry/setting_mismatches.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// maxSettingMismatches bounds how many settings of other nodes are remembered as different.
+// maxSettingMismatches bounds the number of stored setting mismatches; further ones are not recorded.
 const maxSettingMismatches = 64
 
-// CompareSetting records, or forgets, that a setting which must be the same on every node differs on another node. reported is
-// false where the node did not send the setting.
+// CompareSetting records a mismatch if a setting that must be the same on every node differs on another node, and
+// otherwise removes the recorded one. reported is false if the node did not send the setting, which counts as no
+// mismatch.
 func (f *FleetState) CompareSetting(node, setting, theirs, ours string, reported bool) {
 	key := node + ": " + setting
 	if !reported || theirs == ours {
@@ -20,7 +21,8 @@
 	}
 }
 
-// SettingMismatches lists, sorted, the settings of other nodes that differ from this registry's, a sentence each.
+// SettingMismatches returns, sorted, one description for each setting of another node that differs from this
+// registry's.
 func (f *FleetState) SettingMismatches() []string {
 	return slices.Sorted(maps.Values(f.settingMismatches))
 }
--- a/internal/registry/setting_mismatches_test.go
+++ b/internal/registry/setting_mismatches_test.go
@@ -7,23 +7,27 @@
 	"meadowhinge/schema"
 )
 
-// A proxy that is configured with another lease is granted none: it would rely on a longer one than this registry keeps, or be
-// taken for dead. Mismatches are listed until they are gone, and no more than a bound of them.
+// TestSettingMismatches checks that a proxy configured with another lease duration gets no lease: it would rely on a
+// longer lease than this registry grants, or count as lost. A mismatch is listed until it is resolved, and the list
+// is bounded.
 func TestSettingMismatches(t *testing.T) {
 	state := newFleetStates(1)[0]
 	renew := &schema.LeaseRequest{Proxy: "p", Incarnation: 1, Applied: 1, LeaseNanos: int64(2 * testLease)}
 	reply := state.RenewLease(testLease, renew)
 	if reply.Granted || reply.Reason != "LEASE_DIFFERS" || len(state.SettingMismatches()) != 1 {
-		t.Errorf("%v, %v", reply, state.SettingMismatches())
+		t.Errorf("RenewLease with another lease duration: got %v with mismatches %q, want LEASE_DIFFERS with 1 mismatch",
+			reply, state.SettingMismatches())
 	}
 	renew.LeaseNanos = int64(testLease)
 	if reply := state.RenewLease(testLease, renew); !reply.Granted || len(state.SettingMismatches()) != 0 {
-		t.Errorf("%v, %v", reply, state.SettingMismatches())
+		t.Errorf("RenewLease with the same lease duration: got %v with mismatches %q, want a grant with no mismatch",
+			reply, state.SettingMismatches())
 	}
 	for i := range 2 * maxSettingMismatches {
 		state.CompareSetting(fmt.Sprint("proxy ", i), "lease", "1s", "8s", true)
 	}
 	if len(state.SettingMismatches()) != maxSettingMismatches {
-		t.Errorf("%d mismatches are listed", len(state.SettingMismatches()))
+		t.Errorf("mismatches listed for %d proxies: got %d, want %d",
+			2*maxSettingMismatches, len(state.SettingMismatches()), maxSettingMismatches)
 	}
 }
--- a/internal/registry/sources.go
+++ b/internal/registry/sources.go
@@ -8,18 +8,18 @@
 	"meadowhinge/schema"
 )
 
-// sourceEntry is the newest update of one source: a proxy with its workers.
+// sourceEntry is the newest update of one source, which is a proxy with its workers.
 type sourceEntry struct {
-	source         *schema.Source
-	receivedAt     time.Duration
-	updateSequence uint64 // this registry's own number of the update; greater than that of any update received before
-	// proxyUpdateSequence is updateSequence, or that of an earlier update if nothing has changed since that matters to other
-	// proxies. Sessions of proxies go by it, sessions of registries by updateSequence.
+	source         *schema.Source // immutable
+	receivedAt     time.Duration  // when this registry stored the update
+	updateSequence uint64         // local sequence of the update; higher than that of every update stored before
+	// proxyUpdateSequence is the updateSequence of the last update that changed anything relevant to other proxies.
+	// Sessions of proxies use it; sessions of registries use updateSequence.
 	proxyUpdateSequence uint64
 }
 
-// isNewerVersion tells whether version a of a source is newer than version b: by incarnation, then by counter; of equal ones, an
-// ended source is newer. A nil version is older than any.
+// isNewerVersion reports whether version a of a source is newer than version b. Versions are ordered by incarnation,
+// then by counter; if both are equal, an ended source is newer. A nil version compares as zero.
 func isNewerVersion(a, b *schema.SourceVersion) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
@@ -30,8 +30,9 @@
 	return a.GetEnded() && !b.GetEnded()
 }
 
-// MergeSource stores an update of a source if it is newer than the stored one, and tells whether it was. Neither the caller nor the
-// state changes a source after it is stored: sessions send it without the lock.
+// MergeSource stores an update of a source if it is newer than the stored one, and reports whether it was stored. If
+// MaxSources are listed, a new source replaces the ended source with the oldest update, or is ignored if none has
+// ended. The caller must not change the source afterwards, since sessions send it without holding the lock.
 func (f *FleetState) MergeSource(now time.Duration, source *schema.Source) bool {
 	if source == nil || source.Version == nil {
 		return false
@@ -50,7 +51,7 @@
 	return true
 }
 
-// evictEndedSource makes room for another source: it drops the ended source whose update is the oldest; false if none has ended.
+// evictEndedSource drops the ended source with the oldest update. It returns false if no source has ended.
 func (f *FleetState) evictEndedSource() bool {
 	oldest := ""
 	for name, entry := range f.sources {
@@ -62,7 +63,8 @@
 	return oldest != ""
 }
 
-// storeSource stores an update of a source and appends it to the update log.
+// storeSource stores an update of a source, appends it to the update log, and drops the incarnation-only source of that
+// name unless it is newer.
 func (f *FleetState) storeSource(now time.Duration, source *schema.Source) {
 	f.directory.lastSequence++
 	stored := &sourceEntry{
@@ -71,7 +73,7 @@
 		updateSequence:      f.directory.lastSequence,
 		proxyUpdateSequence: f.directory.lastSequence,
 	}
-	// A proxy that only moved to another registry has nothing new for other proxies.
+	// An update without relevant changes, such as a move to another registry, need not be sent to other proxies.
 	if existing := f.sources[source.Name]; existing != nil && sameContent(existing.source, source) {
 		stored.proxyUpdateSequence = existing.proxyUpdateSequence
 	}
@@ -83,8 +85,8 @@
 	}
 }
 
-// sameContent tells whether two updates of one incarnation are the same to other proxies. Workers' loads are left out: proxies
-// learn them from the responses of calls.
+// sameContent reports whether two updates have the same incarnation and are equivalent for other proxies. Updates of
+// ended sources never are. Workers' loads are not compared, since proxies learn them from the responses to calls.
 func sameContent(a, b *schema.Source) bool {
 	if a.Version.GetIncarnation() != b.Version.GetIncarnation() || a.Version.GetEnded() || b.Version.GetEnded() {
 		return false
@@ -98,7 +100,8 @@
 	})
 }
 
-// SourcesNewerThan lists, by name, the sources that a node with this version vector lacks.
+// SourcesNewerThan returns, sorted by name, the sources that are newer than in a node's version vector. A nil vector
+// selects all sources.
 func (f *FleetState) SourcesNewerThan(now time.Duration, vector map[string]*schema.SourceVersion) []*schema.Source {
 	f.sweep(now)
 	var newer []*schema.Source
@@ -111,13 +114,13 @@
 	return newer
 }
 
-// Vector is the version of each source that this registry has.
+// Vector returns this registry's version vector: the version of each known source, by name.
 func (f *FleetState) Vector() map[string]*schema.SourceVersion {
 	vector := map[string]*schema.SourceVersion{}
 	for name, entry := range f.sources {
 		vector[name] = entry.source.Version
 	}
-	// Of a source known by its incarnation only, there is no update of that incarnation: its counter is zero.
+	// No update of an incarnation-only source's incarnation is known, so its counter is zero.
 	for name, entry := range f.directory.incarnationOnly {
 		observed := &schema.SourceVersion{Incarnation: entry.source.Version.Incarnation}
 		if isNewerVersion(observed, vector[name]) {
@@ -127,8 +130,9 @@
 	return vector
 }
 
-// LiveProxies counts the proxies that have a session with any registry, or reported here within a lease. All sessions ask for
-// it at each update, so the result is kept until an update or the next sweep is due.
+// LiveProxies returns the number of proxies that have a session with any registry, or reported here within a lease.
+// All sessions call it for each update, so the result is cached until the next update of a source, at most for a
+// lease divided by sweepDivisor.
 func (f *FleetState) LiveProxies(now time.Duration) int {
 	directory := &f.directory
 	outdated := directory.countedSequence != directory.lastSequence
@@ -140,6 +144,7 @@
 	return directory.liveProxies
 }
 
+// countLiveProxies computes the result of LiveProxies.
 func (f *FleetState) countLiveProxies(now time.Duration) int {
 	count := 0
 	for _, entry := range f.sources {
@@ -153,19 +158,19 @@
 	return count
 }
 
-// ReportedWorkers lists the workers of a proxy's last report that neither drain nor have terminated; none if the proxy shut down
-// gracefully. A proxy that was killed and starts again needs them: its workers go on, and contact it only at their next
+// ReportedWorkers returns the active workers of a proxy's last report; none if the proxy shut down gracefully. A
+// proxy that was killed and restarts needs them, since its workers keep running and contact it only at their next
 // heartbeat.
 func (f *FleetState) ReportedWorkers(name string) []*schema.Worker {
 	entry := f.sources[name]
 	if entry == nil || entry.source.ShuttingDown {
 		return nil
 	}
-	var staying []*schema.Worker
+	var active []*schema.Worker
 	for _, worker := range entry.source.Workers {
-		if isStaying(worker) {
-			staying = append(staying, worker)
+		if isActive(worker) {
+			active = append(active, worker)
 		}
 	}
-	return staying
+	return active
 }
--- a/internal/registry/sources_test.go
+++ b/internal/registry/sources_test.go
@@ -7,7 +7,8 @@
 	"meadowhinge/schema"
 )
 
-// Of a source's updates the one of the newest version is kept; and a node is listed what its vector lacks, and no more.
+// TestSourcesNewerThanVector checks that a source keeps its newest update, that exactly the sources newer than a vector
+// are returned, and that a source without a home registry expires.
 func TestSourcesNewerThanVector(t *testing.T) {
 	state := newFleetStates(1)[0]
 	source := func(name string, counter uint64) *schema.Source {
@@ -18,23 +19,24 @@
 	}
 	newer := state.SourcesNewerThan(0, map[string]*schema.SourceVersion{"q": {Incarnation: 1, Counter: 1}})
 	if len(newer) != 1 || newer[0].Version.Counter != 2 {
-		t.Errorf("beyond the vector: %v", newer)
+		t.Errorf("SourcesNewerThan a vector with q: got %v, want only p with counter 2", newer)
 	}
 	if newer := state.SourcesNewerThan(3*testLease, nil); len(newer) != 0 {
-		t.Errorf("sources that do not report any more are still listed: %v", newer)
+		t.Errorf("SourcesNewerThan nil, three leases after the last report: got %v, want none", newer)
 	}
 }
 
-// A proxy that starts again gets only those of its workers that stay, and none if it had shut down gracefully.
+// TestReportedWorkers checks that a restarted proxy gets only its active workers, and none if it had shut down
+// gracefully.
 func TestReportedWorkers(t *testing.T) {
 	for name, test := range map[string]struct {
 		source *schema.Source
 		want   int
 	}{
-		"unknown":        {nil, 0},
-		"one of two":     {&schema.Source{Workers: []*schema.Worker{{Instance: "a"}, {Instance: "b", Draining: true}}}, 1},
-		"had terminated": {&schema.Source{Workers: []*schema.Worker{{Instance: "a", Terminated: true}}}, 0},
-		"shut down":      {&schema.Source{ShuttingDown: true, Workers: []*schema.Worker{{Instance: "a"}}}, 0},
+		"unknown proxy":       {nil, 0},
+		"draining worker":     {&schema.Source{Workers: []*schema.Worker{{Instance: "a"}, {Instance: "b", Draining: true}}}, 1},
+		"terminated worker":   {&schema.Source{Workers: []*schema.Worker{{Instance: "a", Terminated: true}}}, 0},
+		"shutting-down proxy": {&schema.Source{ShuttingDown: true, Workers: []*schema.Worker{{Instance: "a"}}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := NewFleetState(FleetStateOptions{
@@ -46,7 +48,7 @@
 				state.OpenSession(0, test.source)
 			}
 			if got := state.ReportedWorkers("p"); len(got) != test.want {
-				t.Errorf("%v, want %d", got, test.want)
+				t.Errorf("ReportedWorkers: got %v, want %d workers", got, test.want)
 			}
 		})
 	}
--- a/internal/registry/update_log.go
+++ b/internal/registry/update_log.go
@@ -9,18 +9,18 @@
 	"meadowhinge/schema"
 )
 
-// updateLogMaxRatio is how many times as many entries as sources the update log may have before it is compacted.
+// updateLogMaxRatio is the number of update log entries per source above which the log is compacted.
 const updateLogMaxRatio = 2
 
-// updateLogEntry says that a source was updated. Sessions read the log from where they stopped, instead of looking at all
+// updateLogEntry records one update of a source. A session reads the log from its cursor on, instead of scanning all
 // sources at each update.
 type updateLogEntry struct {
-	sequence uint64
-	name     string
+	sequence uint64 // updateSequence of the update
+	name     string // name of the updated source
 }
 
-// appendUpdate appends an update of a source to the log. The entries of the source's earlier updates stay until the log is
-// compacted; readers skip them, since the sequence is not the source's any more.
+// appendUpdate appends an update of a source to the log. Entries of the source's earlier updates stay until the log is
+// compacted. Readers skip them, since their sequence differs from the source's updateSequence.
 func (f *FleetState) appendUpdate(name string, sequence uint64) {
 	f.directory.updateLog = append(f.directory.updateLog, updateLogEntry{sequence, name})
 	if len(f.directory.updateLog) <= updateLogMaxRatio*(len(f.sources)+1) {
@@ -32,24 +32,25 @@
 	})
 }
 
-// SessionCursor is how far one session has been sent updates of sources. Only that session's goroutine uses it.
+// SessionCursor is the position of one session in the updates of sources. It is not safe for concurrent use.
 type SessionCursor struct {
-	node         string
-	peerMemberID string   // the member whose registry the session is with; empty for a proxy
-	peerReaches  []string // the registries which that registry hears itself, as of the last update
-	started      bool     // all sources have been sent once
-	sentSequence uint64   // of the newest update sent
-	vector       map[string]*schema.SourceVersion
+	node         string                           // name of the node to which the session sends updates
+	peerMemberID string                           // member id of a node that is a registry; empty for a proxy
+	peerReaches  []string                         // members whose registries that registry hears, as of the last update
+	started      bool                             // whether all sources that the node lacked have been sent
+	sentSequence uint64                           // highest sequence that the session has processed
+	vector       map[string]*schema.SourceVersion // the node's version vector when the session started
 }
 
-// NewSessionCursor starts the cursor of a session with a node that has a version vector. peerMemberID is the member of another
-// registry, empty for a proxy.
+// NewSessionCursor returns the cursor of a new session with a node that has the given version vector. peerMemberID is
+// the node's member id if it is a registry, and empty for a proxy.
 func NewSessionCursor(node, peerMemberID string, vector map[string]*schema.SourceVersion) *SessionCursor {
 	return &SessionCursor{node: node, peerMemberID: peerMemberID, vector: vector}
 }
 
-// relaysTo tells whether a session is sent updates of sources with this home registry. A proxy is sent all. A registry is sent
-// all at first, and then those of this registry's own sources and of registries that it does not hear itself.
+// relaysTo reports whether a session sends updates of sources with a home registry. A proxy gets all updates. A
+// registry first gets all sources, and then only updates of this registry's own sources and of those whose home
+// registry it does not hear itself.
 func (f *FleetState) relaysTo(cursor *SessionCursor, homeRegistry string) bool {
 	if cursor.peerMemberID == "" || !cursor.started || homeRegistry == f.options.MemberID {
 		return true
@@ -57,17 +58,18 @@
 	return homeRegistry != cursor.peerMemberID && !slices.Contains(cursor.peerReaches, homeRegistry)
 }
 
-// isUnsent tells whether a session lacks an update that has this sequence for it.
+// isUnsent reports whether a session has yet to send an update, which has the given sequence for that session.
 func (f *FleetState) isUnsent(cursor *SessionCursor, sequence uint64, source *schema.Source) bool {
 	return sequence > cursor.sentSequence && isNewerVersion(source.Version, cursor.vector[source.Name]) &&
 		f.relaysTo(cursor, source.HomeRegistry)
 }
 
-// NextUpdates lists, by name, the sources that a session has not been sent, and moves its cursor on.
+// NextUpdates returns, sorted by name, the sources that a session has not sent yet, and advances its cursor.
 func (f *FleetState) NextUpdates(now time.Duration, cursor *SessionCursor) []*schema.Source {
 	f.sweepIfDue(now)
 	toProxy := cursor.peerMemberID == ""
-	// Sources of a registry that the peer no longer hears have to be sent from the start.
+	// If the peer hears other registries than before, start again: sources of a registry that it no longer hears must
+	// now be relayed to it.
 	if reaches := f.directory.reachedBy[cursor.peerMemberID]; !toProxy && !slices.Equal(reaches, cursor.peerReaches) {
 		cursor.peerReaches = reaches
 		cursor.started = false
@@ -75,7 +77,7 @@
 	}
 	updates := f.unsentSources(cursor)
 	if toProxy {
-		// A proxy learns only of its own name what another node has seen of it: it must exceed that.
+		// A proxy gets only the incarnation-only source of its own name, whose incarnation it must exceed.
 		if entry := f.directory.incarnationOnly[cursor.node]; entry != nil && f.isUnsent(cursor, entry.updateSequence, entry.source) {
 			updates = append(updates, entry.source)
 		}
@@ -92,10 +94,10 @@
 	return updates
 }
 
-// unsentSources lists the sources, other than incarnation-only ones, that a session has not been sent.
+// unsentSources returns the sources, except incarnation-only ones, that a session has not sent yet.
 func (f *FleetState) unsentSources(cursor *SessionCursor) []*schema.Source {
 	var updates []*schema.Source
-	// Every session reads at each update: only entries after its cursor are looked at.
+	// All sessions read the log at each update, so read only the entries after the cursor.
 	from, _ := slices.BinarySearchFunc(f.directory.updateLog, cursor.sentSequence+1,
 		func(logged updateLogEntry, sequence uint64) int { return cmp.Compare(logged.sequence, sequence) })
 	for _, logged := range f.directory.updateLog[from:] {
--- a/internal/registry/update_log_test.go
+++ b/internal/registry/update_log_test.go
@@ -11,8 +11,8 @@
 	"meadowhinge/schema"
 )
 
-// updatesByFullScan is the names that NextUpdates has to list for a session, found by looking at all sources. It states the rule
-// anew, without the update log.
+// updatesByFullScan returns the names of the sources that NextUpdates must return for a session. It implements the rule
+// independently, by a scan of all sources instead of the update log.
 func updatesByFullScan(f *FleetState, cursor *SessionCursor) []string {
 	toProxy := cursor.peerMemberID == ""
 	from, started, reaches := cursor.sentSequence, cursor.started, f.directory.reachedBy[cursor.peerMemberID]
@@ -44,8 +44,9 @@
 	return names
 }
 
-// Whatever is merged, ended, evicted or known by incarnation only, sessions are sent the same by the update log as by a scan of all
-// sources; and the log's length stays in proportion to the number of sources.
+// TestUpdatesMatchFullScan applies random merges, ends, evictions and incarnation-only sources. The update log must
+// yield the same updates for each session as a scan of all sources, and its length must stay proportional to their
+// number.
 func TestUpdatesMatchFullScan(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 8))
@@ -68,16 +69,17 @@
 				got = append(got, update.Name)
 			}
 			if !slices.Equal(got, want) {
-				t.Fatalf("seed %d, step %d: %s is sent %v, not %v", seed, step, cursor.node, got, want)
+				t.Fatalf("seed %d, step %d: NextUpdates for %s: got %v, want %v", seed, step, cursor.node, got, want)
 			}
 			if logLength := len(state.directory.updateLog); logLength > updateLogMaxRatio*(len(state.sources)+2) {
-				t.Fatalf("seed %d, step %d: a log of %d for %d sources", seed, step, logLength, len(state.sources))
+				t.Fatalf("seed %d, step %d: length of the update log for %d sources: got %d, want at most %d",
+					seed, step, len(state.sources), logLength, updateLogMaxRatio*(len(state.sources)+2))
 			}
 		}
 	}
 }
 
-// changeFleetState does one thing, drawn at random, that may change what sessions are sent.
+// changeFleetState applies one random event that may change the updates for sessions.
 func changeFleetState(random *rand.Rand, state *FleetState, incarnations map[string]uint64, now time.Duration, step int) {
 	name := fmt.Sprint("p", random.IntN(16))
 	source := &schema.Source{
@@ -104,7 +106,8 @@
 	}
 }
 
-// BenchmarkNextUpdates measures what one update of one proxy costs a registry that sends it to every session, by their number.
+// BenchmarkNextUpdates measures the cost of sending one update of one proxy to every session, for several numbers of
+// sessions.
 func BenchmarkNextUpdates(b *testing.B) {
 	for _, proxies := range []int{50, 200, 820} {
 		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
@@ -129,7 +132,7 @@
 				state.MergeSource(0, source(0, uint64(turn+2)))
 				for _, cursor := range cursors {
 					if updates := state.NextUpdates(0, cursor); len(updates) != 1 || !strings.HasPrefix(updates[0].Name, "p0") {
-						b.Fatal(updates)
+						b.Fatalf("NextUpdates: got %v, want one update of p0", updates)
 					}
 					state.LiveProxies(0)
 				}
--- a/internal/registry/worker_pools.go
+++ b/internal/registry/worker_pools.go
@@ -5,14 +5,14 @@
 	"meadowhinge/schema"
 )
 
-// WorkerPoolsOf counts the workers of sources and their slots, by service and version. Workers that drain or have terminated are
-// left out. The slots of a pool are zero, for unknown, if those of any of its workers are.
+// WorkerPoolsOf returns the number of active workers of the sources and their slots, by service and version. The
+// slots of a pool are zero, for unknown, if the slots of any of its workers are unknown.
 func WorkerPoolsOf(sources []*schema.Source) map[[2]string]release.WorkerPool {
 	pools := map[[2]string]release.WorkerPool{}
 	slotsUnknown := map[[2]string]bool{}
 	for _, source := range sources {
 		for _, worker := range source.Workers {
-			if !isStaying(worker) {
+			if !isActive(worker) {
 				continue
 			}
 			key := [2]string{worker.Service, worker.Version}
@@ -29,5 +29,5 @@
 	return pools
 }
 
-// isStaying tells whether a worker neither drains nor has terminated.
-func isStaying(worker *schema.Worker) bool { return !worker.Draining && !worker.Terminated }
+// isActive reports whether a worker is neither draining nor terminated.
+func isActive(worker *schema.Worker) bool { return !worker.Draining && !worker.Terminated }
