--- a/internal/registry/acknowledger.go
+++ b/internal/registry/acknowledger.go
@@ -8,7 +8,8 @@
 	"meadowhinge/schema"
 )
 
-// acknowledger finds out when a committed revision is in force everywhere. Its fields are set at the start and do not change.
+// acknowledger waits until every proxy that holds a lease has applied a committed revision. Its fields do not change
+// after construction.
 type acknowledger struct {
 	state *sharedState
 	peers *peerClients
@@ -18,8 +19,9 @@
 	return &acknowledger{state: state, peers: peers}
 }
 
-// await waits until no proxy can use a configuration older than a revision any more, and tells whether that came before ctx
-// ended. If not, laggards names the proxies whose leases still allow it.
+// await waits until no proxy can use a configuration older than revision, and reports whether that happened before
+// ctx ended. If not, laggards names the proxies whose leases still allow an older configuration, in no order. With
+// the option acknowledge-after set to "stable" it returns true at once.
 func (a *acknowledger) await(ctx context.Context, revision uint64) (laggards []string, acknowledged bool) {
 	if a.state.config.acknowledgesAfterCommit {
 		return nil, true
@@ -51,8 +53,8 @@
 	}
 }
 
-// setFences sets the fence on this registry and on all others, and gives the replies that came. stateChanged is closed at the
-// next change here after this registry's own fence was set.
+// setFences sets the fence on this registry and on all others, and returns the replies received. stateChanged is closed
+// at the next state change of this registry after its own fence was set.
 func (a *acknowledger) setFences(ctx context.Context, revision uint64) (replies []*schema.FenceReply, stateChanged chan struct{}) {
 	s := a.state
 	s.lock.Lock()
--- a/internal/registry/backoff_test.go
+++ b/internal/registry/backoff_test.go
@@ -2,23 +2,23 @@
 
 import "testing"
 
-// A registry whose store comes up a moment later retries within a few thousandths of a lease, and then at ever longer
-// intervals, up to the longest.
-func TestRetriesAreQuickAtFirst(t *testing.T) {
-	longest := 0.
+// TestBackoffStartsShortAndGrows checks that the first retry comes within two thousandths of a lease, since the store
+// may come up shortly after the registry, and that the intervals then never shrink and grow to the longest one.
+func TestBackoffStartsShortAndGrows(t *testing.T) {
+	previous := 0.
 	for failures := 1; failures < 40; failures++ {
 		fraction := 1 / float64(backoffDivisor(failures))
 		switch {
 		case failures == 1 && fraction > 1./500:
-			t.Errorf("the first interval is %v of a lease", fraction)
-		case fraction < longest:
-			t.Errorf("interval %d is shorter than the one before", failures)
+			t.Errorf("first interval: got %v of a lease, want at most %v", fraction, 1./500)
+		case fraction < previous:
+			t.Errorf("interval after %d failures: got %v of a lease, want at least the previous %v", failures, fraction, previous)
 		case fraction > 1./retryIntervalDivisor:
-			t.Errorf("interval %d is %v of a lease", failures, fraction)
+			t.Errorf("interval after %d failures: got %v of a lease, want at most %v", failures, fraction, 1./retryIntervalDivisor)
 		}
-		longest = fraction
+		previous = fraction
 	}
-	if longest != 1./retryIntervalDivisor {
-		t.Errorf("intervals grow to %v of a lease, want %v", longest, 1./retryIntervalDivisor)
+	if previous != 1./retryIntervalDivisor {
+		t.Errorf("last interval: got %v of a lease, want %v", previous, 1./retryIntervalDivisor)
 	}
 }
--- a/internal/registry/change_submitter.go
+++ b/internal/registry/change_submitter.go
@@ -9,8 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// changeSubmitter proposes changes to the store and sees them through to their acknowledgement. All fields but the last two are
-// set at the start and do not change.
+// changeSubmitter proposes changes to the store and waits for their acknowledgement. Fields do not change after
+// construction, except those guarded by sharedState.lock.
 type changeSubmitter struct {
 	state        *sharedState
 	options      *liveOptions
@@ -18,8 +18,8 @@
 	acknowledger *acknowledger
 
 	// Guarded by sharedState.lock.
-	changeSerial   uint64                    // of the change ids that were made here last
-	pendingChanges map[string]*pendingChange // that SubmitChange is working on, by changeHash
+	changeSerial   uint64                    // serial of the last change id that this process generated; zero for none
+	pendingChanges map[string]*pendingChange // changes in progress in SubmitChange, by changeHash
 }
 
 func newChangeSubmitter(state *sharedState, live *liveOptions, store schema.DRPCStoreClient,
@@ -34,8 +34,9 @@
 	}
 }
 
-// propose hands a change to the store until it is decided. To repeat a proposal is safe: the store gives a change id that it has
-// accepted before its first outcome. nil stands for an unknown outcome, when ctx ended.
+// propose proposes a change to the store, with retries, until the change is decided. It returns nil if ctx ended first:
+// the outcome is then unknown. Repeating a proposal is safe, since the store answers a change id that it has already
+// accepted with the first outcome.
 func (c *changeSubmitter) propose(ctx context.Context, change *schema.Change) *schema.ProposalReply {
 	for {
 		reply, err := c.store.Propose(ctx, &schema.Proposal{Change: change})
@@ -49,15 +50,16 @@
 	}
 }
 
-// pendingChange is a change that SubmitChange is working on.
+// pendingChange is a change in progress, with the result that all its submitters wait for.
 type pendingChange struct {
-	done    chan struct{}         // closed when the outcome is set
-	outcome *schema.ChangeOutcome // nil for unknown
+	done    chan struct{}         // closed once outcome is final
+	outcome *schema.ChangeOutcome // read only after done is closed; nil if the outcome is unknown
 }
 
-// changeHash tells changes apart by all that they change and expect, down to the text in which the operator wrote it.
+// changeHash returns a hash of everything in a change except its id, including the operator's source text of the items.
+// The same change submitted under two ids therefore has one hash.
 func changeHash(change *schema.Change) string {
-	hasher := sha256.New() // writing to it does not fail
+	hasher := sha256.New() // Write never returns an error
 	for _, item := range change.Items {
 		_, _ = fmt.Fprintf(hasher, "%q %q %d %t %q %q\n",
 			item.Kind, item.Name, item.OperatorVersion, item.Deleted, item.Body, item.OperatorBody)
@@ -69,10 +71,10 @@
 	return hex.EncodeToString(hasher.Sum(nil))
 }
 
-// SubmitChange submits a change, or joins the same change if it is being worked on: see OperatorBackend. A change without an id
-// is given one here.
+// SubmitChange submits a change, or waits for the same change if that is already in progress: see OperatorBackend. It
+// generates an id for a change without one.
 func (c *changeSubmitter) SubmitChange(ctx context.Context, change *schema.Change) *schema.ChangeOutcome {
-	pending := c.startChange(change) //nolint:contextcheck // the work goes on after ctx ended: see completeChange
+	pending := c.startChange(change) //nolint:contextcheck // the change continues after ctx ended: see completeChange
 	select {
 	case <-pending.done:
 		return pending.outcome
@@ -81,7 +83,8 @@
 	}
 }
 
-// startChange starts to work on a change, unless the same change is being worked on.
+// startChange starts processing a change, and returns it. If the same change is already in progress, it returns that
+// one.
 func (c *changeSubmitter) startChange(change *schema.Change) *pendingChange {
 	hash := changeHash(change)
 	c.state.lock.Lock()
@@ -99,25 +102,26 @@
 	return pending
 }
 
-// nextSerialLocked is the serial of the next change id made here; the caller holds the lock.
+// nextSerialLocked returns the serial for the next change id. The caller holds the lock.
 func (c *changeSubmitter) nextSerialLocked() uint64 {
 	c.changeSerial++
 	return c.changeSerial
 }
 
-// completeChange works on a change until it is acknowledged, refused, or takes too long. It does so also after those who
-// submitted it have stopped waiting, and so under a context of its own: the change may have been proposed already, and whoever
-// submits it again joins it here.
+// completeChange processes a change until it is acknowledged or refused, or until the change timeout. It has its own
+// context, so it continues after all submitters have stopped waiting: the change may already have been proposed, and a
+// submitter who repeats it joins it here.
 func (c *changeSubmitter) completeChange(hash string, pending *pendingChange, change *schema.Change) {
-	bounded, cancel := context.WithTimeout(context.Background(), c.options.changeTimeout())
+	timeoutCtx, cancel := context.WithTimeout(context.Background(), c.options.changeTimeout())
 	defer cancel()
-	reply := c.propose(bounded, change)
+	reply := c.propose(timeoutCtx, change)
 	if outcome := reply.GetOutcome(); outcome != nil {
-		settled := true // a refused change has nothing to be acknowledged
+		settled := true // a refused change needs no acknowledgement
 		if outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
-			_, settled = c.acknowledger.await(bounded, outcome.Version.GetSequence())
+			_, settled = c.acknowledger.await(timeoutCtx, outcome.Version.GetSequence())
 		}
-		// Without acknowledgement the outcome stays nil, for unknown: the change is committed, but may not be in force.
+		// Without acknowledgement the outcome stays nil, for unknown: the change is committed, but some proxies may not
+		// apply it yet.
 		if settled {
 			pending.outcome = outcome
 		}
--- a/internal/registry/config_cache.go
+++ b/internal/registry/config_cache.go
@@ -5,38 +5,39 @@
 	"meadowhinge/schema"
 )
 
-// configCache is the committed configuration and its compiled form. It is not safe for concurrent use: sharedState.lock guards
-// it. States and snapshots are never changed once they are stored, so readers keep them without the lock.
+// configCache holds the committed configuration and its compiled form. It is not safe for concurrent use:
+// sharedState.lock guards it. Stored states and snapshots are immutable, so readers may use them without the lock.
 type configCache struct {
-	state    config.State
-	snapshot *config.Snapshot // of an earlier state unless fresh
-	fresh    bool
+	state    config.State     // committed items
+	snapshot *config.Snapshot // compiled form of state if fresh, otherwise of an earlier state; never nil
+	fresh    bool             // whether snapshot was compiled from the current state
 }
 
 func newConfigCache() *configCache {
 	state := config.State{}
-	snapshot, _ := config.Compile(state, 0) // an empty state has no faults
+	snapshot, _ := config.Compile(state, 0) // an empty state has no faults to report
 	return &configCache{state: state, snapshot: snapshot}
 }
 
-// apply applies committed items; complete tells that they replace the state rather than change it.
+// apply applies committed items. If complete is true, they replace the whole state.
 func (c *configCache) apply(items []*schema.Item, complete bool) {
 	c.state = c.state.Apply(items, complete)
-	c.fresh = false // compiled at the next read
+	c.fresh = false // the next read compiles the state
 }
 
-// compiled is the compiled configuration; revision is that of the state.
+// compiled returns the compiled configuration, and compiles it first if the state has changed. revision is the revision
+// of the state.
 func (c *configCache) compiled(revision uint64) *config.Snapshot {
 	if !c.fresh {
-		// The stores compile a change before they commit it, so committed items have no faults to report here.
+		// The stores compile a change before they commit it, so committed items have no faults.
 		c.snapshot, _ = config.CompileIncremental(c.snapshot, c.state, revision)
 		c.fresh = true
 	}
 	return c.snapshot
 }
 
-// changesAfter gives a proxy the items that changed after its revision; complete tells that they replace what it has.
-// The text in which operators wrote the items is left out: it is large, and proxies have no use for it.
+// changesAfter returns the items that changed after a proxy's revision. If complete is true, they replace all items
+// that the proxy has. The operators' source text of the items is left out: it is large, and proxies do not use it.
 func (c *configCache) changesAfter(revision uint64) (items []*schema.Item, complete bool) {
 	items, complete = c.state.ChangesAfter(revision)
 	stripped := make([]*schema.Item, len(items))
--- a/internal/registry/config_sync.go
+++ b/internal/registry/config_sync.go
@@ -10,8 +10,8 @@
 	"meadowhinge/schema"
 )
 
-// configSync follows the store on this machine and keeps the committed configuration, and the core members, as the store
-// reports them. Its fields are set at the start and do not change.
+// configSync follows the store on this machine and copies the committed configuration and the list of core members into
+// the shared state. Its fields do not change after construction.
 type configSync struct {
 	state *sharedState
 	store schema.DRPCStoreClient
@@ -22,13 +22,13 @@
 	return &configSync{state: state, store: store, log: log}
 }
 
-// followStore applies what the store commits, until ctx ends.
+// followStore long-polls the store and applies the revisions that it commits, until ctx ends.
 func (c *configSync) followStore(ctx context.Context) {
 	lease := c.state.config.lease
 	for failures := 0; ctx.Err() == nil; {
 		after := c.state.committedRevision()
-		bounded, cancel := context.WithTimeout(ctx, lease)
-		reply, err := c.store.Follow(bounded, &schema.FollowRequest{
+		timeoutCtx, cancel := context.WithTimeout(ctx, lease)
+		reply, err := c.store.Follow(timeoutCtx, &schema.FollowRequest{
 			AfterSequence: after,
 			WaitNanos:     int64(lease / session.HeartbeatsPerLease),
 		})
@@ -43,8 +43,8 @@
 	}
 }
 
-// applyCommitted applies a reply of the store and wakes the sessions, which push it to proxies. A revision that is not newer, as
-// from a store that lost its log and is being filled again, changes nothing.
+// applyCommitted applies a reply of the store and wakes the sessions, which push the changes to proxies. A revision
+// that is not newer changes nothing: a store that lost its log reports older ones while it is restored.
 func (c *configSync) applyCommitted(reply *schema.FollowReply) {
 	s := c.state
 	s.lock.Lock()
@@ -65,13 +65,13 @@
 	s.broadcastChangeLocked()
 }
 
-// catchUp waits until this registry has the revision that was committed when it started. Until then the registry grants
-// no leases and shows operators no configuration.
+// catchUp waits until this registry has the revision that was committed when it started, and then marks the fleet state
+// as caught up. Until then the registry grants no leases and shows operators no configuration.
 func (c *configSync) catchUp(ctx context.Context) {
 	s := c.state
 	for failures := 1; ctx.Err() == nil; failures++ {
-		bounded, cancel := context.WithTimeout(ctx, s.config.lease/session.RenewalsPerLease)
-		readIndex, err := c.store.ReadIndex(bounded, &schema.Empty{})
+		timeoutCtx, cancel := context.WithTimeout(ctx, s.config.lease/session.RenewalsPerLease)
+		readIndex, err := c.store.ReadIndex(timeoutCtx, &schema.Empty{})
 		cancel()
 		if err == nil && !readIndex.Undecided {
 			if readIndex.Empty {
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -10,7 +10,7 @@
 //
 // A source is one proxy's entry in the service directory: its address, zone and registered workers. The home registry
 // of a source is the one with which its proxy has its session. A source whose proxy shut down or was lost is ended
-// and stays as a tombstone.
+// and stays as a tombstone until its room is needed.
 //
 // # Request paths
 //
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -9,14 +9,14 @@
 	"meadowhinge/schema"
 )
 
-// TestRulingsGolden compares how each ruling is shown to operators with the golden list: its word, its HTTP status and its error
-// code. A ruling that is added to the schema shows here at once.
+// TestRulingsGolden compares each ruling's name, HTTP status and error code in the operator API with the golden file.
+// It covers all rulings of the schema, so a new one fails the test until it is added to the file.
 func TestRulingsGolden(t *testing.T) {
 	var listed strings.Builder
 	values := schema.Ruling(0).Descriptor().Values()
 	for i := range values.Len() {
-		status, answer := newChangeResponse("id", &schema.ChangeOutcome{Ruling: schema.Ruling(values.Get(i).Number())})
-		fmt.Fprintf(&listed, "%d: word=%q status=%d defect=%q\n", values.Get(i).Number(), answer.Ruling, status, answer.ErrorCode)
+		status, response := newChangeResponse("id", &schema.ChangeOutcome{Ruling: schema.Ruling(values.Get(i).Number())})
+		fmt.Fprintf(&listed, "%d: word=%q status=%d defect=%q\n", values.Get(i).Number(), response.Ruling, status, response.ErrorCode)
 	}
 	goldenfile.Compare(t, "rulings.txt", listed.String())
 }
--- a/internal/registry/heartbeat_test.go
+++ b/internal/registry/heartbeat_test.go
@@ -8,12 +8,12 @@
 	"meadowhinge/internal/session"
 )
 
-// However updates fall between heartbeat ticks, and though ticks come a little early or late, no node in session waits longer than
-// it was promised; and without updates no heartbeat is sent before it is due.
-func TestHeartbeatsAreNeverDelayed(t *testing.T) {
+// TestHeartbeatInterval checks that, apart from the jitter of the ticks, no node in session waits longer than the
+// promised interval, whenever an update was sent between two ticks. Without updates, no heartbeat is sent early.
+func TestHeartbeatInterval(t *testing.T) {
 	const interval = testLease / session.HeartbeatsPerLease
 	for _, ticks := range []int{1, peerHeartbeatTicks} {
-		t.Run(fmt.Sprint("every ", ticks), func(t *testing.T) {
+		t.Run(fmt.Sprint("ticks per heartbeat ", ticks), func(t *testing.T) {
 			promised := time.Duration(ticks) * interval
 			for updateAt := time.Duration(0); updateAt < promised; updateAt += interval / 7 {
 				checkHeartbeats(t, promised, updateAt)
@@ -22,7 +22,8 @@
 	}
 }
 
-// checkHeartbeats runs a session that was sent an update at updateAt, between two ticks, until its third heartbeat.
+// checkHeartbeats runs a session whose node was sent an update at updateAt, between two ticks, until the third
+// heartbeat. Ticks are up to jitter early or late.
 func checkHeartbeats(t *testing.T, promised, updateAt time.Duration) {
 	t.Helper()
 	const interval, jitter = testLease / session.HeartbeatsPerLease, testLease / batchDivisor / 4
@@ -34,9 +35,11 @@
 		}
 		switch gap := at - lastSentAt; {
 		case gap > promised+2*jitter:
-			t.Errorf("promised %v, update at %v: nothing sent for %v", promised, updateAt, gap)
+			t.Errorf("update at %v, promised interval %v: nothing sent for %v, want at most %v",
+				updateAt, promised, gap, promised+2*jitter)
 		case heartbeats > 0 && gap < promised-2*jitter:
-			t.Errorf("promised %v, update at %v: a heartbeat after %v already", promised, updateAt, gap)
+			t.Errorf("update at %v, promised interval %v: heartbeat sent after %v, want at least %v",
+				updateAt, promised, gap, promised-2*jitter)
 		}
 		lastSentAt = at
 		heartbeats++
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -9,15 +9,17 @@
 	"meadowhinge/schema"
 )
 
-// membership is who the core members are and where their registries are reached. It is not safe for concurrent use:
+// membership holds the core members and the addresses of their registries. It is not safe for concurrent use:
 // sharedState.lock guards it.
 type membership struct {
 	config  *serverConfig
 	options *liveOptions
-	// observed is each member's registry as it announced itself last, by member id; never without this registry itself. Messages
-	// are replaced, not changed, since they are sent without the lock.
+	// observed is the last announcement of each member's registry, by member id. It always includes this registry.
+	// Messages are replaced, never changed in place, since they are sent without holding the lock.
 	observed map[string]*schema.CoreMember
-	agreed   []*schema.CoreMember // the members as the store reported them last, with the stores' addresses; nil before
+	// agreed lists the members with their stores' addresses, as the store last reported them; nil before its first
+	// report.
+	agreed []*schema.CoreMember
 }
 
 func newMembership(config *serverConfig, live *liveOptions, incarnation uint64) *membership {
@@ -34,11 +36,12 @@
 	}
 }
 
-// own is this registry as it announces itself to others.
+// own returns the announcement that this registry sends to others.
 func (m *membership) own() *schema.CoreMember { return m.observed[m.config.memberID] }
 
-// list lists the core members in the order of leadership, each with its registry's address if that is known. Without a static
-// order they are those that the stores agreed on, by id; until the store has reported them, the seeds are listed instead.
+// list returns the core members in the order of leadership, each with its registry's address if that is known.
+// Without a static member order they are the members that the stores agreed on, sorted by id. Until the store has
+// reported those, the seeds take their place.
 func (m *membership) list() []*schema.CoreMember {
 	var listed []*schema.CoreMember
 	for _, name := range m.config.memberOrder {
@@ -55,7 +58,7 @@
 	return listed
 }
 
-// listUnordered lists the members that the stores agreed on, or else the seeds, by id.
+// listUnordered returns the members that the stores agreed on, or the seeds if there are none, sorted by id.
 func (m *membership) listUnordered() []*schema.CoreMember {
 	var listed []*schema.CoreMember
 	for _, member := range m.agreed {
@@ -70,21 +73,22 @@
 	return listed
 }
 
-// count is how many members the core has.
+// count returns the number of core members.
 func (m *membership) count() int { return len(m.list()) }
 
-// reachable lists the members whose registry's address is known.
+// reachable returns the members whose registry address is known.
 func (m *membership) reachable() []*schema.CoreMember {
 	return slices.DeleteFunc(m.list(), func(member *schema.CoreMember) bool { return member.Address == "" })
 }
 
-// peerAddresses is the set of addresses at which the other registries are, or may be.
+// peerAddresses returns the set of known and, before the store has reported the members, possible addresses of the
+// other registries.
 func (m *membership) peerAddresses() map[string]bool {
 	addresses := map[string]bool{}
 	for _, member := range m.reachable() {
 		addresses[member.Address] = true
 	}
-	// Once the store has reported the members, the seeds are not used any more.
+	// The seeds are used only until the store has reported the members.
 	if m.agreed == nil {
 		for _, seed := range m.options.seeds() {
 			addresses[seed] = true
@@ -94,13 +98,14 @@
 	return addresses
 }
 
-// counterpartAddress gives the address of the registry on another member's machine: this registry's port at that machine's IP.
+// counterpartAddress returns the presumed address of the registry on the machine of another member's store: the IP of
+// address with the port of this registry.
 func (m *membership) counterpartAddress(address string) string {
-	_, port, _ := net.SplitHostPort(m.config.advertisedAddress) // the options are checked to be IP:port
+	_, port, _ := net.SplitHostPort(m.config.advertisedAddress) // the options check ensures IP:port
 	return net.JoinHostPort(ipOf(address), port)
 }
 
-// setAgreed records the members as the store reports them, and tells whether they changed.
+// setAgreed records the members that the store reports, and reports whether they changed. An empty list is ignored.
 func (m *membership) setAgreed(members []*schema.CoreMember) bool {
 	if len(members) == 0 || sameMembers(m.agreed, members) {
 		return false
@@ -109,8 +114,8 @@
 	return true
 }
 
-// observe records where a member's registry is, if it is a member's and started later than the one known, and tells whether
-// anything changed.
+// observe records the announcement of a member's registry, if it is from a core member and has a higher incarnation
+// than the known one. It reports whether anything changed. member may be nil.
 func (m *membership) observe(member *schema.CoreMember) bool {
 	if member == nil || member.Id == "" {
 		return false
@@ -127,7 +132,8 @@
 	return true
 }
 
-// observeOwn takes a later incarnation than others know of this registry: until then they believe the address of an earlier one.
+// observeOwn raises this registry's incarnation above that of member, if member has a higher one, and reports whether
+// it did. Until then other registries keep the address of an earlier process of this member.
 func (m *membership) observeOwn(member *schema.CoreMember) bool {
 	own := m.own()
 	if !session.IsSuperseded(own.Incarnation, member.Incarnation, false) {
@@ -142,7 +148,8 @@
 	return true
 }
 
-// sameMembers tells whether two lists name the same members at the same addresses.
+// sameMembers reports whether two lists have the same members with the same addresses, zones and incarnations, in the
+// same order.
 func sameMembers(a, b []*schema.CoreMember) bool {
 	return slices.EqualFunc(a, b, func(a, b *schema.CoreMember) bool {
 		return a.Id == b.Id && a.Address == b.Address && a.Zone == b.Zone && a.Incarnation == b.Incarnation
--- a/internal/registry/operator_backend.go
+++ b/internal/registry/operator_backend.go
@@ -12,41 +12,43 @@
 	"meadowhinge/schema"
 )
 
-// OperatorAPI is a dialect of the operators' HTTP interface. The paths under /v1 are the registry's own; WithOperatorAPI puts
-// another dialect before them.
+// OperatorAPI is an additional HTTP API for operators. The registry's own API has the paths under /v1. An OperatorAPI
+// that is installed by WithOperatorAPI gets every request first.
 type OperatorAPI interface {
-	// Handle answers a call of this dialect and tells whether it was one; if not, it leaves the call untouched. It is called
-	// concurrently.
+	// Handle answers a request that belongs to this API, and reports whether it does. If not, it leaves the request
+	// unchanged for the registry's own API. Handle is called concurrently.
 	Handle(call *fasthttp.RequestCtx, backend OperatorBackend) bool
 }
 
-// OperatorBackend is what a dialect can do with the registry. All methods are safe for concurrent use.
+// OperatorBackend is the registry as an OperatorAPI uses it. All methods are safe for concurrent use.
 type OperatorBackend interface {
-	// SubmitChange submits a change and gives its outcome once it is acknowledged or refused, or nil if that is not known when
-	// ctx ends; work on it goes on. The same change, submitted again meanwhile, joins it.
+	// SubmitChange submits a change and returns its outcome once it is acknowledged or refused. It returns nil if ctx
+	// ends first or the change timeout passes: the outcome is then unknown, and the change may still be committed.
+	// While a change is in progress, submitting the same change again waits for it instead of proposing it again.
 	SubmitChange(ctx context.Context, change *schema.Change) *schema.ChangeOutcome
-	// ReadItems gives all items, tombstones included, no older than any change acknowledged before the call; false if that is
-	// not known when ctx ends.
+	// ReadItems returns all items, including tombstones, from a revision that contains every change acknowledged before
+	// the call. The second result is false if no such revision was reached before ctx ended.
 	ReadItems(ctx context.Context) ([]*schema.Item, bool)
-	// StartRollout submits a release plan that moves all of a service's calls to a version over a time. A plan for that version
-	// that is in progress is left as it is, and accepted. nil stands for an unknown outcome.
-	StartRollout(ctx context.Context, service, version string, over time.Duration) *schema.ChangeOutcome
-	// RolloutStatus gives the state of the release plan of a service, and its version. The state is empty if there is none, known
-	// false if it is not known when ctx ends.
+	// StartRollout submits a release plan that shifts all of a service's calls to a version over a duration.
+	// If a plan for that version is already in progress, it is left unchanged and the ruling is accepted.
+	// StartRollout returns nil if the outcome is unknown.
+	StartRollout(ctx context.Context, service, version string, duration time.Duration) *schema.ChangeOutcome
+	// RolloutStatus returns the state of a service's release plan and the plan's version. The state is empty if the
+	// service has no plan. known is false if the state could not be read before ctx ended.
 	RolloutStatus(ctx context.Context, service string) (state RolloutStatus, version string, known bool)
 }
 
-// RolloutStatus is the state of a release plan, in the words of the operators' pages.
+// RolloutStatus is the state of a release plan, as operators see it.
 type RolloutStatus string
 
 // The states of a release plan.
 const (
 	RolloutInProgress RolloutStatus = "under way"
-	RolloutDone       RolloutStatus = "done" // the version is the service's fallback now
-	RolloutRolledBack RolloutStatus = "back" // the version was found bad
+	RolloutDone       RolloutStatus = "done" // the plan's version is now the service's fallback version
+	RolloutRolledBack RolloutStatus = "back" // the plan's version was judged bad
 )
 
-// operatorBackend implements OperatorBackend. Its fields are set at the start and do not change.
+// operatorBackend implements OperatorBackend. Its fields do not change after construction.
 type operatorBackend struct {
 	*changeSubmitter
 }
@@ -55,7 +57,8 @@
 	return &operatorBackend{submitter}
 }
 
-// ReadItems gives all items as of a moment after the call began.
+// ReadItems returns all items, including tombstones, of a revision that is at least as new as the store's read index
+// during the call.
 func (b *operatorBackend) ReadItems(ctx context.Context) ([]*schema.Item, bool) {
 	for ctx.Err() == nil {
 		readIndex, err := b.store.ReadIndex(ctx, &schema.Empty{})
@@ -72,15 +75,16 @@
 	return nil, false
 }
 
-// StartRollout submits a release plan as one change.
-func (b *operatorBackend) StartRollout(ctx context.Context, service, version string, over time.Duration) *schema.ChangeOutcome {
+// StartRollout plans a rollout from the current configuration and submits the release plan as one change. On a conflict
+// it plans again.
+func (b *operatorBackend) StartRollout(ctx context.Context, service, version string, duration time.Duration) *schema.ChangeOutcome {
 	for ctx.Err() == nil {
-		// The plan is made from a configuration that is no older than the call.
+		// Plan from a configuration that contains every change acknowledged before the call.
 		if _, known := b.ReadItems(ctx); !known {
 			return nil
 		}
 		snapshot, state := b.state.compiledConfig()
-		step, err := release.PlanRollout(snapshot, state, release.RolloutOrder{Service: service, Version: version, Within: over})
+		step, err := release.PlanRollout(snapshot, state, release.RolloutOrder{Service: service, Version: version, Within: duration})
 		switch {
 		case err != nil && errs.CodeOf(err) == errs.InvalidConfig:
 			return &schema.ChangeOutcome{
@@ -92,12 +96,12 @@
 		case step == nil:
 			return &schema.ChangeOutcome{Ruling: schema.Ruling_RULING_ACCEPTED}
 		}
-		// The rollout driver makes change ids of this form too, from a serial of its own. The ids differ by the name of the step, which
-		// is "order-" and the service here, and the name of the plan there.
+		// The rollout driver generates change ids of the same form, with serials of its own. The ids differ in the
+		// name of the step: "order-" and the service here, the name of the plan there.
 		b.state.lock.Lock()
 		change := step.Change(b.state.config.memberID, b.state.incarnation, b.nextSerialLocked(), state)
 		b.state.lock.Unlock()
-		// On a conflict, another change was committed since the configuration was read: plan again.
+		// On a conflict, another change was committed after the configuration was read, so plan again.
 		if outcome := b.SubmitChange(ctx, change); outcome.GetRuling() != schema.Ruling_RULING_CONFLICT {
 			return outcome
 		}
@@ -105,7 +109,7 @@
 	return nil
 }
 
-// RolloutStatus gives the state of the release plan of a service.
+// RolloutStatus returns the state and the version of a service's release plan.
 func (b *operatorBackend) RolloutStatus(ctx context.Context, service string) (state RolloutStatus, version string, known bool) {
 	if _, known := b.ReadItems(ctx); !known {
 		return "", "", false
--- a/internal/registry/operator_changes.go
+++ b/internal/registry/operator_changes.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"fmt"
 	"strings"
 
 	"github.com/valyala/fasthttp"
@@ -15,32 +16,38 @@
 	"meadowhinge/schema"
 )
 
-// ChangeRequest is an operator's configuration change.
+// ChangeRequest is an operator's configuration change, the body of POST /v1/changes.
 type ChangeRequest struct {
-	ID               string            `json:"id"`       // chosen by the operator: the same id is the same change, accepted once
-	Config           string            `json:"setup"`    // the items, as CUE text
-	ExpectedVersions map[string]uint64 `json:"expected"` // "kind/name" to the version the change was made from; absent for new items
+	// ID is chosen by the operator, of 1 to maxChangeIDBytes bytes. The same id means the same change, which is
+	// accepted only once.
+	ID     string `json:"id"`
+	Config string `json:"setup"` // changed items as CUE text
+	// ExpectedVersions is the version of each item on which the change is based, by "kind/name". New items have no
+	// entry.
+	ExpectedVersions map[string]uint64 `json:"expected"`
 }
 
 // ChangeResponse is the outcome of a change.
 type ChangeResponse struct {
-	ID              string               `json:"id"`
-	Ruling          string               `json:"ruling"`             // accepted, invalid, conflict, stale or unknown
-	Sequence        uint64               `json:"sequence,omitempty"` // the revision that the change made
-	Term            uint64               `json:"epoch,omitempty"`    // of the leader that accepted it
-	Acknowledged    bool                 `json:"acknowledged"`       // no proxy can use an older revision any more
-	LaggingProxies  []string             `json:"waiting,omitempty"`  // that may still use an older revision, in no order
-	CurrentVersions map[string]uint64    `json:"current,omitempty"`  // on a conflict: the versions, by "kind/name"
-	CurrentItems    []ItemView           `json:"standing,omitempty"` // on a conflict: the items that exist, and whose change wrote them
-	ErrorCode       errs.Code            `json:"defect,omitempty"`   // empty if accepted
-	Faults          []*schema.FieldError `json:"faults,omitempty"`   // of an invalid change
+	ID             string   `json:"id"`
+	Ruling         string   `json:"ruling"`             // accepted, invalid, conflict, stale or unknown
+	Sequence       uint64   `json:"sequence,omitempty"` // revision that the change created; zero unless accepted
+	Term           uint64   `json:"epoch,omitempty"`    // term of the store leader that accepted the change
+	Acknowledged   bool     `json:"acknowledged"`       // no proxy can use an older revision
+	LaggingProxies []string `json:"waiting,omitempty"`  // proxies that may still use an older revision, in no order
+	// CurrentVersions is set on a conflict: the current versions of the items, by "kind/name".
+	CurrentVersions map[string]uint64 `json:"current,omitempty"`
+	// CurrentItems is set on a conflict: those of the items that exist, each with the id of the change that wrote it.
+	CurrentItems []ItemView           `json:"standing,omitempty"`
+	ErrorCode    errs.Code            `json:"defect,omitempty"` // empty if accepted
+	Faults       []*schema.FieldError `json:"faults,omitempty"` // faults in the items of an invalid change
 }
 
-// rulings is how each ruling of the store is shown to operators.
+// rulings maps each ruling of the store to its name, HTTP status and error code in the operator API.
 var rulings = map[schema.Ruling]struct {
 	name   string
-	status int // of HTTP
-	code   errs.Code
+	status int       // HTTP status
+	code   errs.Code // empty for an accepted change
 }{
 	schema.Ruling_RULING_ACCEPTED: {"accepted", fasthttp.StatusOK, ""},
 	schema.Ruling_RULING_INVALID:  {"invalid", fasthttp.StatusBadRequest, errs.InvalidConfig},
@@ -49,7 +56,7 @@
 	schema.Ruling_RULING_UNKNOWN:  {"unknown", fasthttp.StatusServiceUnavailable, errs.NoQuorum},
 }
 
-// newChangeResponse shows an outcome, without acknowledgement, and gives its HTTP status.
+// newChangeResponse returns the HTTP status and the response for an outcome. The response's acknowledgement is not set.
 func newChangeResponse(id string, outcome *schema.ChangeOutcome) (int, *ChangeResponse) {
 	ruling := rulings[outcome.GetRuling()]
 	response := &ChangeResponse{
@@ -69,7 +76,8 @@
 	return ruling.status, response
 }
 
-// handleChange proposes an operator's change, waits until it is acknowledged, and answers with its outcome.
+// handleChange proposes an operator's change, waits for its acknowledgement and responds with its outcome. The status
+// of an accepted change is 200 if it is acknowledged before the change timeout, otherwise 202.
 func (o *operatorServer) handleChange(ctx context.Context, call *fasthttp.RequestCtx) {
 	request, err := decodeChangeRequest(call.PostBody())
 	if err != nil {
@@ -82,12 +90,12 @@
 			&ChangeResponse{ID: request.ID, Ruling: "invalid", ErrorCode: errs.InvalidConfig, Faults: faults})
 		return
 	}
-	// One timeout for both waits: for the store's decision, and for the acknowledgement.
-	bounded, cancel := context.WithTimeout(ctx, o.options.changeTimeout())
+	// One timeout covers both the store's decision and the acknowledgement.
+	timeoutCtx, cancel := context.WithTimeout(ctx, o.options.changeTimeout())
 	defer cancel()
-	reply := o.backend.propose(bounded, newChange(request, items))
+	reply := o.backend.propose(timeoutCtx, newChange(request, items))
 	if reply == nil {
-		// Unknown is not refused: the change may yet be committed, so the operator has to look up its id.
+		// Unknown does not mean refused: the change may still be committed, so the operator has to query its id.
 		daemon.WriteJSON(call, fasthttp.StatusServiceUnavailable,
 			&ChangeResponse{ID: request.ID, Ruling: "unknown", ErrorCode: errs.NoQuorum})
 		return
@@ -97,8 +105,8 @@
 	case schema.Ruling_RULING_CONFLICT:
 		response.CurrentItems = o.currentItems(items)
 	case schema.Ruling_RULING_ACCEPTED:
-		o.awaitAcknowledgement(bounded, response)
-		// The change is committed, but some proxy may not use it yet: that is less than a 200 promises.
+		o.awaitAcknowledgement(timeoutCtx, response)
+		// The change is committed, but some proxies may not use it yet. A 200 would promise that all do.
 		if !response.Acknowledged {
 			status = fasthttp.StatusAccepted
 		}
@@ -106,7 +114,8 @@
 	daemon.WriteJSON(call, status, response)
 }
 
-// decodeChangeRequest reads a change from a request's body. It fails with errs.MalformedRequest.
+// decodeChangeRequest decodes a change from a request body. It fails with errs.MalformedRequest if the body is not a
+// ChangeRequest in JSON, has unknown fields, or has an id that is empty or too long.
 func decodeChangeRequest(body []byte) (*ChangeRequest, error) {
 	request := &ChangeRequest{}
 	decoder := json.NewDecoder(bytes.NewReader(body))
@@ -115,12 +124,13 @@
 		return nil, errs.Wrap(err, errs.MalformedRequest, "change")
 	}
 	if request.ID == "" || len(request.ID) > maxChangeIDBytes {
-		return nil, errs.New(errs.MalformedRequest, "a change needs an id of 1 to 128 bytes")
+		return nil, errs.New(errs.MalformedRequest,
+			fmt.Sprintf("change id has %d bytes, want 1 to %d", len(request.ID), maxChangeIDBytes))
 	}
 	return request, nil
 }
 
-// newChange makes the change that an operator requests.
+// newChange returns the change, for the store, that an operator requests.
 func newChange(request *ChangeRequest, items []*schema.Item) *schema.Change {
 	change := &schema.Change{Id: request.ID, Items: items}
 	for key, sequence := range request.ExpectedVersions {
@@ -130,7 +140,7 @@
 	return change
 }
 
-// currentItems shows those of the items that exist, as they are here.
+// currentItems returns the committed versions of those of the items that exist and are not deleted.
 func (o *operatorServer) currentItems(items []*schema.Item) []ItemView {
 	o.state.lock.Lock()
 	defer o.state.lock.Unlock()
@@ -144,18 +154,20 @@
 	return views
 }
 
-// awaitAcknowledgement puts into the response of an accepted change whether it is acknowledged before ctx ends.
+// awaitAcknowledgement waits until an accepted change is acknowledged or ctx ends, and sets the acknowledgement and the
+// lagging proxies in its response.
 func (o *operatorServer) awaitAcknowledgement(ctx context.Context, response *ChangeResponse) {
 	response.LaggingProxies, response.Acknowledged = o.acknowledger.await(ctx, response.Sequence)
 }
 
-// handleOutcome answers with the outcome of an earlier change.
+// handleOutcome responds with the outcome of an earlier change, or with errs.ChangeNotFound if the store does not know
+// its id.
 func (o *operatorServer) handleOutcome(ctx context.Context, call *fasthttp.RequestCtx, id string) {
-	bounded, cancel := context.WithTimeout(ctx, o.queryTimeout())
+	timeoutCtx, cancel := context.WithTimeout(ctx, o.queryTimeout())
 	defer cancel()
-	reply, err := o.store.Inquire(bounded, &schema.ChangeQuery{ChangeId: id})
+	reply, err := o.store.Inquire(timeoutCtx, &schema.ChangeQuery{ChangeId: id})
 	if err != nil {
-		daemon.WriteError(call, errs.Wrap(err, errs.NoQuorum, "store"), "", nil)
+		daemon.WriteError(call, errs.Wrap(err, errs.NoQuorum, "querying the store for change "+id), "", nil)
 		return
 	}
 	if reply.Undecided {
@@ -164,7 +176,7 @@
 	}
 	_, response := newChangeResponse(id, reply.Outcome)
 	if reply.Outcome.Ruling == schema.Ruling_RULING_ACCEPTED {
-		o.awaitAcknowledgement(bounded, response)
+		o.awaitAcknowledgement(timeoutCtx, response)
 	}
 	daemon.WriteJSON(call, fasthttp.StatusOK, response)
 }
--- a/internal/registry/operator_explain.go
+++ b/internal/registry/operator_explain.go
@@ -14,39 +14,40 @@
 	"meadowhinge/internal/plan"
 )
 
-// explainMaxDeadline is the deadline of an explained request whose route sets none.
+// explainMaxDeadline is the deadline of an explained request whose route does not set one.
 const explainMaxDeadline = time.Hour
 
-// ExplainRequest describes a request of which an operator wants to know the plan; it is not sent.
+// ExplainRequest describes a request whose routing decision an operator asks for. The request itself is not sent.
 type ExplainRequest struct {
-	Caller   string            `json:"caller"`
+	Caller   string            `json:"caller"` // calling service
 	Host     string            `json:"host,omitempty"`
-	Identity string            `json:"identity,omitempty"` // the key, where the route names no header
+	Identity string            `json:"identity,omitempty"` // key of the evaluation context if the route names no header for it
 	Method   string            `json:"method"`
 	Path     string            `json:"path"`
-	Zone     string            `json:"area"` // of the proxy that would plan it
+	Zone     string            `json:"area"` // zone of the proxy that would route the request
 	Headers  map[string]string `json:"headers"`
 }
 
-// ExplainResponse says which version the request would get, and why.
+// ExplainResponse is the routing decision for an ExplainRequest.
 type ExplainResponse struct {
 	Route      string       `json:"route"`
 	Service    string       `json:"service"`
 	Class      config.Class `json:"class"`
-	Deadline   string       `json:"horizon"` // a duration
-	Verdict    plan.Verdict `json:"verdict"`
-	Candidates []string     `json:"pool"`              // the instances that it may be sent to
-	Policy     string       `json:"policy,omitempty"`  // that the route names
-	Refused    bool         `json:"refused,omitempty"` // by the policy
+	Deadline   string       `json:"horizon"`           // time limit of the request, as a Go duration
+	Verdict    plan.Verdict `json:"verdict"`           // chosen version and the reason for it
+	Candidates []string     `json:"pool"`              // worker instances to which the request may be sent
+	Policy     string       `json:"policy,omitempty"`  // name of the route's policy; empty for none
+	Refused    bool         `json:"refused,omitempty"` // whether the policy denies the request
 
-	Split *plan.Verdict `json:"split,omitempty"` // which service, of a route that is split
+	Split *plan.Verdict `json:"split,omitempty"` // choice of the service on a split route; nil on other routes
 }
 
-// noFacts takes the place of a proxy's own measurements, of which the registry has none.
-type noFacts struct{}
+// reportedStats gives plan.Make the workers' own statistics, since a registry has no measurements of its own like a
+// proxy's.
+type reportedStats struct{}
 
-// Stats gives what the worker reports of itself.
-func (noFacts) Stats(worker *plan.Endpoint, _ time.Duration) plan.EndpointStats {
+// Stats returns the statistics that a worker reports about itself.
+func (reportedStats) Stats(worker *plan.Endpoint, _ time.Duration) plan.EndpointStats {
 	return plan.EndpointStats{
 		Slots:         worker.Slots,
 		ServiceTime:   worker.ServiceTime,
@@ -54,9 +55,11 @@
 	}
 }
 
-// VersionBlocked is false: a proxy may block a version by itself, which is not known here.
-func (noFacts) VersionBlocked(string, string, time.Duration) bool { return false }
+// VersionBlocked returns false: the registry does not know which versions a proxy blocks on its own.
+func (reportedStats) VersionBlocked(string, string, time.Duration) bool { return false }
 
+// handleExplain responds with the routing decision for an ExplainRequest, made from this registry's configuration and
+// service directory.
 func (o *operatorServer) handleExplain(_ context.Context, call *fasthttp.RequestCtx) {
 	query := &ExplainRequest{}
 	if err := json.Unmarshal(call.PostBody(), query); err != nil {
@@ -66,10 +69,10 @@
 	snapshot, _ := o.state.compiledConfig()
 	view := &plan.View{Config: snapshot, Directory: plan.DirectoryOf(o.state.sources(), nil, nil)}
 	options := plan.Options{Zone: query.Zone, MaxDeadline: explainMaxDeadline}
-	// The first candidate of each random choice is as good as any: it is the same at each call.
+	// Take the first candidate of each random choice, so that every call gives the same answer.
 	firstChoice := func() float64 { return 0 }
-	decision, err := plan.Make(view, planRequest(query), options, noFacts{}, 0, firstChoice)
-	// A request that is refused, or for a service without a known version, has a decision all the same, which says so.
+	decision, err := plan.Make(view, planRequest(query), options, reportedStats{}, 0, firstChoice)
+	// A request that is denied, or whose service has no known version, fails with a decision that shows the reason.
 	if err != nil && decision == nil {
 		daemon.WriteError(call, err, "", nil)
 		return
@@ -93,7 +96,7 @@
 	daemon.WriteJSON(call, fasthttp.StatusOK, response)
 }
 
-// planRequest is the request as it would be planned. Header names are compared without regard to case.
+// planRequest converts an ExplainRequest to the request that plan.Make takes. Header names are case-insensitive.
 func planRequest(query *ExplainRequest) *plan.Request {
 	headers := map[string]string{}
 	for name, value := range query.Headers {
--- a/internal/registry/operator_server.go
+++ b/internal/registry/operator_server.go
@@ -16,16 +16,16 @@
 	"meadowhinge/schema"
 )
 
-// Limits of the operators' HTTP interface.
+// Limits of the operators' HTTP API.
 const (
-	operatorMaxConns    = 1024 // served at once; further ones are refused
-	operatorReadTimeout = 30 * time.Second
-	operatorIdleTimeout = time.Minute
-	maxChangeIDBytes    = 128
+	operatorMaxConns    = 1024             // most concurrent connections; further ones are refused
+	operatorReadTimeout = 30 * time.Second // time to read a whole request
+	operatorIdleTimeout = time.Minute      // time a keep-alive connection may wait for its next request
+	maxChangeIDBytes    = 128              // longest change id
 )
 
-// operatorServer serves the operators' HTTP interface: the paths under /v1, and another dialect if one was given to Run. Its
-// fields are set at the start and do not change.
+// operatorServer serves the operators' HTTP API: the paths under /v1, and an additional OperatorAPI if Run was given
+// one. Its fields do not change after construction.
 type operatorServer struct {
 	state        *sharedState
 	options      *liveOptions
@@ -34,20 +34,20 @@
 	acknowledger *acknowledger
 	backend      *operatorBackend
 	status       *statusReporter
-	dialect      OperatorAPI // nil for none
+	additional   OperatorAPI // gets every request first; nil for none
 }
 
-// operatorHandler answers one call. ctx is not ended by the registry's shutdown, which waits for calls in flight.
+// operatorHandler answers one request. The registry's shutdown does not end ctx, since it waits for requests in flight.
 type operatorHandler func(ctx context.Context, call *fasthttp.RequestCtx)
 
-// listen opens the interface and serves it until the returned server is shut down. It fails with errs.InvalidOptions if the
-// address cannot be listened at.
+// listen serves the API at an address until the returned server is shut down. It fails with errs.InvalidOptions if it
+// cannot listen at the address.
 func (o *operatorServer) listen(ctx context.Context, address string) (*fasthttp.Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errs.Wrap(err, errs.InvalidOptions, "operator-listen")
 	}
-	callCtx := context.WithoutCancel(ctx)
+	requestCtx := context.WithoutCancel(ctx)
 	handlers := o.handlers()
 	server := &fasthttp.Server{
 		Name:                  "meadowhinge",
@@ -57,14 +57,14 @@
 		ReadTimeout:           operatorReadTimeout,
 		IdleTimeout:           operatorIdleTimeout,
 		CloseOnShutdown:       true,
-		Handler:               func(call *fasthttp.RequestCtx) { o.route(callCtx, handlers, call) },
+		Handler:               func(call *fasthttp.RequestCtx) { o.route(requestCtx, handlers, call) },
 		ErrorHandler:          writeMalformedRequest,
 	}
-	go func() { _ = server.Serve(listener) }() // it ends with the server's shutdown; there is no one to report another end to
+	go func() { _ = server.Serve(listener) }() // returns at shutdown; no caller is left to report another error to
 	return server, nil
 }
 
-// handlers are the handlers by method and path; what is not among them does not exist, but for the prefixes of route.
+// handlers returns the handlers by method and path. Paths that end with a change id are handled by route.
 func (o *operatorServer) handlers() map[string]operatorHandler {
 	return map[string]operatorHandler{
 		"POST /v1/changes": o.handleChange,
@@ -77,9 +77,10 @@
 	}
 }
 
-// route answers a call by the dialect, by a path that ends with a change id, or by one of the handlers.
+// route dispatches a request to the additional API, to a path that ends with a change id, or to one of the handlers. It
+// responds with errs.RouteNotFound if none of them matches.
 func (o *operatorServer) route(ctx context.Context, handlers map[string]operatorHandler, call *fasthttp.RequestCtx) {
-	if o.dialect != nil && o.dialect.Handle(call, o.backend) {
+	if o.additional != nil && o.additional.Handle(call, o.backend) {
 		return
 	}
 	path := string(call.Path())
@@ -97,19 +98,19 @@
 		return
 	}
 	handler(ctx, call)
-	// Without a majority now, there may be one once leases have been renewed.
+	// A quorum that is missing now may be back after the next renewal of the leases.
 	if call.Response.StatusCode() == fasthttp.StatusServiceUnavailable {
 		seconds := max(1, int64(o.queryTimeout()/time.Second))
 		call.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(seconds, 10))
 	}
 }
 
-// queryTimeout bounds the RPCs that answer an operator's question.
+// queryTimeout returns the timeout of the RPCs behind a read-only operator request: one lease renewal interval.
 func (o *operatorServer) queryTimeout() time.Duration {
 	return o.state.config.lease / session.RenewalsPerLease
 }
 
-// writeMalformedRequest answers a request that cannot be read.
+// writeMalformedRequest responds to a request that could not be read, with errs.BodyTooLarge or errs.MalformedRequest.
 func writeMalformedRequest(call *fasthttp.RequestCtx, err error) {
 	code := errs.MalformedRequest
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
--- a/internal/registry/operator_traces.go
+++ b/internal/registry/operator_traces.go
@@ -10,31 +10,32 @@
 	"meadowhinge/schema"
 )
 
-// ChangeTrace is when a change reached which stage, as one core member observed it. Times are of that member's clock; a zero time
-// stands for not observed.
+// ChangeTrace records when a change reached each stage, as one core member observed it. Times are of that member's
+// clock; a zero time means not observed. "Local" means of this core member.
 type ChangeTrace struct {
-	MemberID         string               `json:"seat"`
-	KnownToStore     bool                 `json:"known"` // to the store of this member
-	Ruling           string               `json:"ruling,omitempty"`
+	MemberID         string               `json:"seat"`             // id of the observing core member
+	KnownToStore     bool                 `json:"known"`            // whether the local store knows the change
+	Ruling           string               `json:"ruling,omitempty"` // one of the names in ChangeResponse.Ruling
 	Sequence         uint64               `json:"sequence,omitempty"`
-	Term             uint64               `json:"epoch,omitempty"`
-	Leader           string               `json:"holder,omitempty"` // the member that led the stores
-	Appended         time.Time            `json:"taken"`            // to the log of the store here
-	Durable          time.Time            `json:"synced"`           // on the disk of the store here
-	Committed        time.Time            `json:"stable"`           // as the store here learned
-	Seen             time.Time            `json:"seen"`             // by the registry here
-	Acknowledged     time.Time            `json:"acknowledged"`     // to the operator, by the registry here
-	Applied          map[string]time.Time `json:"applied"`          // by proxy, as reported to the registry here
-	Laggards         []string             `json:"missing"`          // proxies with a lease here that have not applied it
-	StoreUnreachable bool                 `json:"storeSilent"`      // the store here did not answer; nothing else is known then
+	Term             uint64               `json:"epoch,omitempty"`  // term of the store leader that accepted the change
+	Leader           string               `json:"holder,omitempty"` // member id of the store leader
+	Appended         time.Time            `json:"taken"`            // when the local store appended the change to its log
+	Durable          time.Time            `json:"synced"`           // when the change was synced to the local store's disk
+	Committed        time.Time            `json:"stable"`           // when the local store learned of the commit
+	Seen             time.Time            `json:"seen"`             // when the local registry received the revision
+	Acknowledged     time.Time            `json:"acknowledged"`     // when the local registry found it acknowledged
+	Applied          map[string]time.Time `json:"applied"`          // when each proxy reported it applied, by proxy
+	Laggards         []string             `json:"missing"`          // proxies with a local lease that have not applied it
+	StoreUnreachable bool                 `json:"storeSilent"`      // the local store did not reply; no other field is set
 }
 
-// handleTrace answers with what this core member observed of a change.
+// handleTrace responds with this core member's trace of a change. If the local store does not reply, the response is
+// still 200, with StoreUnreachable set.
 func (o *operatorServer) handleTrace(ctx context.Context, call *fasthttp.RequestCtx, id string) {
-	bounded, cancel := context.WithTimeout(ctx, o.queryTimeout())
+	timeoutCtx, cancel := context.WithTimeout(ctx, o.queryTimeout())
 	defer cancel()
 	response := ChangeTrace{MemberID: o.state.config.memberID, Applied: map[string]time.Time{}}
-	storeTrace, err := o.store.Trace(bounded, &schema.ChangeQuery{ChangeId: id})
+	storeTrace, err := o.store.Trace(timeoutCtx, &schema.ChangeQuery{ChangeId: id})
 	if err != nil {
 		response.StoreUnreachable = true
 		daemon.WriteJSON(call, fasthttp.StatusOK, response)
@@ -54,7 +55,7 @@
 	daemon.WriteJSON(call, fasthttp.StatusOK, response)
 }
 
-// addLocalTrace adds what this registry observed of the revision.
+// addLocalTrace adds this registry's observations of the change's revision.
 func (o *operatorServer) addLocalTrace(response *ChangeTrace) {
 	s := o.state
 	s.lock.Lock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// wallTimeOf is the time of day of an instant since the start; zero stays zero.
+// wallTimeOf converts a time since the start of the registry to wall-clock time. Zero gives the zero time.
 func (s *sharedState) wallTimeOf(at time.Duration) time.Time {
 	if at == 0 {
 		return time.Time{}
@@ -81,7 +82,7 @@
 	return s.startedAt.Add(at)
 }
 
-// wallTime is the time of day of nanoseconds since 1970; zero stays zero.
+// wallTime converts Unix nanoseconds to wall-clock time. Zero gives the zero time.
 func wallTime(nanos int64) time.Time {
 	if nanos == 0 {
 		return time.Time{}
--- a/internal/registry/operator_views.go
+++ b/internal/registry/operator_views.go
@@ -20,9 +20,9 @@
 type ItemView struct {
 	Kind    string          `json:"kind"`
 	Name    string          `json:"name"`
-	Version uint64          `json:"version"`          // the revision of the change that wrote it
-	Change  string          `json:"change,omitempty"` // the id of that change
-	Body    json.RawMessage `json:"body,omitempty"`
+	Version uint64          `json:"version"`          // revision of the change that wrote the item
+	Change  string          `json:"change,omitempty"` // id of the change that wrote the item
+	Body    json.RawMessage `json:"body,omitempty"`   // content of the item as JSON
 }
 
 func newItemView(item *schema.Item) ItemView {
@@ -37,10 +37,11 @@
 
 // ConfigView is the committed configuration as operators see it.
 type ConfigView struct {
-	Sequence uint64     `json:"sequence"` // its revision
-	Items    []ItemView `json:"items"`
+	Sequence uint64     `json:"sequence"` // revision of the configuration
+	Items    []ItemView `json:"items"`    // items that are not deleted
 }
 
+// handleConfig responds with the committed configuration.
 func (o *operatorServer) handleConfig(_ context.Context, call *fasthttp.RequestCtx) {
 	s := o.state
 	s.lock.Lock()
@@ -48,9 +49,10 @@
 	items := s.configCache.state.Items()
 	caughtUp := s.fleetState.caughtUp
 	s.lock.Unlock()
-	// Before it has caught up, the registry might show an older configuration than operators have seen already.
+	// Before it has caught up, the registry might show an older configuration than operators have already seen.
 	if !caughtUp {
-		daemon.WriteError(call, errs.New(errs.NoQuorum, "this registry has not caught up"), "", nil)
+		daemon.WriteError(call, errs.New(errs.NoQuorum,
+			"registry has not yet received the configuration that was committed when it started"), "", nil)
 		return
 	}
 	for _, item := range items {
@@ -61,7 +63,7 @@
 	daemon.WriteJSON(call, fasthttp.StatusOK, view)
 }
 
-// VerdictCount counts the calls of one verdict, route and outcome.
+// VerdictCount is the number of calls with one verdict, route and outcome, over all proxies.
 type VerdictCount struct {
 	Flag      string  `json:"flag"`
 	Service   string  `json:"service"`
@@ -71,10 +73,11 @@
 	Route     string  `json:"route"`
 	Outcome   string  `json:"outcome"`
 	Calls     uint64  `json:"calls"`
-	Failures  uint64  `json:"failures"` // among the calls
-	MeanMS    float64 `json:"meanMs"`   // mean duration of a call, in milliseconds
+	Failures  uint64  `json:"failures"` // number of Calls that failed
+	MeanMS    float64 `json:"meanMs"`   // mean duration of a call in milliseconds
 }
 
+// handleVerdicts responds with the call counts of all registries that reply, summed over all proxies.
 func (o *operatorServer) handleVerdicts(ctx context.Context, call *fasthttp.RequestCtx) {
 	sums := map[VerdictCount]*schema.VerdictCount{}
 	for _, counts := range o.peers.collectCounts(ctx) {
@@ -109,7 +112,7 @@
 	daemon.WriteJSON(call, fasthttp.StatusOK, views)
 }
 
-// sortKey orders the lines of the verdicts page.
+// sortKey returns the key by which handleVerdicts sorts its response.
 func (v *VerdictCount) sortKey() string {
 	return v.Service + "\x00" + v.Variation + "\x00" + v.Reason + "\x00" + v.Route + "\x00" + v.Outcome
 }
@@ -120,17 +123,18 @@
 	Service  string  `json:"service"`
 	Version  string  `json:"version"`
 	Zone     string  `json:"area"`
-	Proxy    string  `json:"proxy"` // the proxy that it is registered with
-	Load     float64 `json:"load"`
-	State    string  `json:"state"` // serving or leaving
+	Proxy    string  `json:"proxy"` // proxy with which the worker is registered
+	Load     float64 `json:"load"`  // load as last reported by the worker
+	State    string  `json:"state"` // workerServing or workerDraining
 }
 
-// States of a WorkerView.
+// Values of WorkerView.State.
 const (
 	workerServing  = "serving"
 	workerDraining = "leaving"
 )
 
+// handleWorkers responds with the workers in this registry's service directory, sorted by proxy.
 func (o *operatorServer) handleWorkers(_ context.Context, call *fasthttp.RequestCtx) {
 	views := []WorkerView{}
 	for _, source := range o.state.sources() {
@@ -153,25 +157,27 @@
 	daemon.WriteJSON(call, fasthttp.StatusOK, views)
 }
 
-// CoreStatus is the core as operators see it.
+// CoreStatus is the status of the core as operators see it.
 type CoreStatus struct {
-	Store       *statuspage.Replica      `json:"store,omitempty"` // of this member; absent if it did not answer
-	Registries  []*statuspage.Registry   `json:"registries"`      // that answered, by member
-	CoreMembers []*statuspage.CoreMember `json:"cores"`
-	LiveProxies int                      `json:"members"`
+	Store       *statuspage.Replica      `json:"store,omitempty"` // this member's store; absent if it did not reply
+	Registries  []*statuspage.Registry   `json:"registries"`      // registries that replied, sorted by member
+	CoreMembers []*statuspage.CoreMember `json:"cores"`           // members whose registry address is known
+	LiveProxies int                      `json:"members"`         // number of live proxies known to this registry
 }
 
+// handleStatus responds with the status of the core. Registries and a store that do not reply within the query timeout
+// are left out.
 func (o *operatorServer) handleStatus(ctx context.Context, call *fasthttp.RequestCtx) {
-	bounded, cancel := context.WithTimeout(ctx, o.queryTimeout())
+	timeoutCtx, cancel := context.WithTimeout(ctx, o.queryTimeout())
 	defer cancel()
 	statuses := []*schema.RegistryStatus{o.status.current()}
-	statuses = append(statuses, callOtherRegistries(bounded, o.peers, o.queryTimeout(),
+	statuses = append(statuses, callOtherRegistries(timeoutCtx, o.peers, o.queryTimeout(),
 		func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.RegistryStatus, error) {
 			return peer.Look(ctx, &schema.Empty{})
 		})...)
 	sort.Slice(statuses, func(i, j int) bool { return statuses[i].Member < statuses[j].Member })
 	status := &CoreStatus{Registries: statuspage.RegistriesOf(statuses)}
-	if replica, err := o.store.Look(bounded, &schema.Empty{}); err == nil {
+	if replica, err := o.store.Look(timeoutCtx, &schema.Empty{}); err == nil {
 		status.Store = statuspage.ReplicaOf(replica)
 	}
 	o.state.lock.Lock()
@@ -181,22 +187,24 @@
 	daemon.WriteJSON(call, fasthttp.StatusOK, status)
 }
 
-// ReleaseView is a release plan and its progress. Percentages are of the service's calls, from 0 to 100.
+// ReleaseView is a release plan and its progress as operators see them. Percentages are of the service's calls, from
+// 0 to 100.
 type ReleaseView struct {
 	Name               string  `json:"name"`
 	Service            string  `json:"service"`
-	Version            string  `json:"version"`
-	Target             float64 `json:"target"`   // the percentage at which the plan is done
-	Duration           string  `json:"over"`     // of the plan, as the operator wrote it
-	Control            string  `json:"pace"`     // go, hold or back: the operator's control of the plan
-	State              string  `json:"state"`    // of the plan; empty before its first step
-	Reason             string  `json:"reason"`   // of the state
-	Percentage         float64 `json:"share"`    // that the version is given now
-	MeasuredPercentage float64 `json:"measured"` // that it got, of all calls counted
-	ControllerTerm     uint64  `json:"duty"`     // of the controller that wrote the last step
-	Controller         string  `json:"holder"`   // its member
+	Version            string  `json:"version"`  // version that the plan releases
+	Target             float64 `json:"target"`   // percentage at which the plan is done
+	Duration           string  `json:"over"`     // duration of the plan as the operator wrote it
+	Control            string  `json:"pace"`     // operator's control of the plan: go, hold or back
+	State              string  `json:"state"`    // state of the plan; empty before its first step
+	Reason             string  `json:"reason"`   // reason for the state
+	Percentage         float64 `json:"share"`    // percentage currently assigned to the version
+	MeasuredPercentage float64 `json:"measured"` // percentage that the version got of all counted calls
+	ControllerTerm     uint64  `json:"duty"`     // term of the rollout controller that wrote the last step
+	Controller         string  `json:"holder"`   // member id of that controller
 }
 
+// handleReleases responds with all release plans and their progress, sorted by name.
 func (o *operatorServer) handleReleases(ctx context.Context, call *fasthttp.RequestCtx) {
 	snapshot, _ := o.state.compiledConfig()
 	counts := o.peers.collectCounts(ctx)
--- a/internal/registry/options.go
+++ b/internal/registry/options.go
@@ -15,47 +15,50 @@
 	"meadowhinge/schema"
 )
 
-// minWindowLeases is how many leases a key reservation must be valid at least: it must outlive every call that may still run under
-// it, and the leases of that time.
+// minWindowLeases is the minimum of the option key-window, in leases. A key reservation must outlive every call that
+// may still run under it, and the leases of that time.
 const minWindowLeases = 4
 
-// Values of options that are choices.
+// Values of enumerated options.
 const (
-	linksPlaintext         = "plain"  // option links
-	acknowledgeAfterCommit = "stable" // option acknowledge-after
+	linksPlaintext         = "plain"  // option links: RPCs without TLS
+	acknowledgeAfterCommit = "stable" // option acknowledge-after: a change is acknowledged once it is committed
 )
 
-// serverConfig is a registry's checked configuration, as far as it holds from start to end. Nothing changes it after
-// newServerConfig; options that may change meanwhile are in liveOptions.
+// serverConfig is the checked part of a registry's configuration that does not change while it runs. Options that may
+// change are in liveOptions.
 type serverConfig struct {
-	memberID          string // of the core member on this machine
+	memberID          string // id of the core member on this machine
 	advertisedAddress string // IP:port at which proxies and other registries reach this one
-	zone              string
+	zone              string // zone of the core member
 
-	memberOrder     []string // ids of all core members in the order of leadership; nil where the stores agree on the members
-	memberOrderText string   // the option as it was set; other registries compare it with theirs
+	// memberOrder lists the ids of all core members in the order of leadership, as the option order sets it. It is
+	// nil if the stores agree on the members instead.
+	memberOrder     []string
+	memberOrderText string // text of the option order; registries compare it with each other's
 
-	listenAddress         string // of RPCs
-	operatorListenAddress string // of the operators' HTTP interface
-	probeListenAddress    string // of readiness, liveness and status pages
-	storeAddress          string // of the store on this machine
+	listenAddress         string // IP:port for RPCs
+	operatorListenAddress string // IP:port for the operators' HTTP API
+	probeListenAddress    string // IP:port for readiness, liveness and status pages
+	storeAddress          string // IP:port of the store on this machine
 
-	lease             time.Duration
-	reservationWindow time.Duration
+	lease             time.Duration // lease duration, the same on every process
+	reservationWindow time.Duration // how long a key reservation is valid
 
-	maxSources      int64 // proxies that are listed
-	maxCounts       int64 // lines of counts in one proxy's report
-	maxReservations int64
-	maxChangeBytes  int64 // of an operator's request body
+	maxSources      int64 // most proxies that the service directory lists
+	maxCounts       int64 // most lines of counts in one proxy's report
+	maxReservations int64 // most valid key reservations
+	maxChangeBytes  int64 // largest body of an operator's request
 
-	// acknowledgesAfterCommit: a change is acknowledged once it is committed, and nothing rests on leases.
-	acknowledgesAfterCommit bool
+	acknowledgesAfterCommit bool // a change is acknowledged once it is committed, without regard to leases
 }
 
-// newServerConfig checks the options and derives from them what the registry works with. It does not change opts.
+// newServerConfig checks the options and returns the server configuration derived from them. It fails with
+// errs.InvalidOptions if key-window is shorter than minWindowLeases leases. It does not change opts.
 func newServerConfig(opts *schema.RegistryOptions) (*serverConfig, error) {
 	if opts.KeyWindow < minWindowLeases*opts.Lease {
-		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("key-window: must be at least %d leases", minWindowLeases))
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("key-window: %v is shorter than %d leases of %v",
+			time.Duration(opts.KeyWindow), minWindowLeases, time.Duration(opts.Lease)))
 	}
 	address := opts.Advertise
 	if address == "" {
@@ -63,7 +66,7 @@
 	}
 	memberID := opts.Seat
 	if opts.Order == "" {
-		// Where the stores agree on the members, they name each by its IP.
+		// Without a static member order the stores identify each member by its IP.
 		memberID = ipOf(address)
 	}
 	return &serverConfig{
@@ -86,10 +89,10 @@
 	}, nil
 }
 
-// nodeName is how this registry names itself to other registries.
+// nodeName returns the name by which this registry identifies itself to other registries.
 func (c *serverConfig) nodeName() string { return "registry/" + c.memberID }
 
-// ipOf gives the IP of IP:port.
+// ipOf returns the IP of IP:port, or address itself if it has no port.
 func ipOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -98,7 +101,7 @@
 	return host
 }
 
-// newTransport opens the transport of the registry's RPCs, with TLS unless the options say plaintext.
+// newTransport returns the transport for the registry's RPCs. It uses TLS unless the option links selects plaintext.
 func newTransport(opts *schema.RegistryOptions) (*transport.Transport, error) {
 	localAddress := transport.WithLocalAddress(opts.Listen)
 	if opts.Links == linksPlaintext {
@@ -107,7 +110,7 @@
 	return transport.NewTLS(opts.Certificate, opts.Authority, localAddress)
 }
 
-// checkIdentity checks that the certificate is the registry's of this member.
+// checkIdentity fails with errs.InvalidOptions unless the certificate identifies the registry of this member.
 func checkIdentity(self transport.Peer, memberID string) error {
 	if self.Role != "registry" || self.Name != memberID {
 		return errs.New(errs.InvalidOptions,
@@ -116,9 +119,9 @@
 	return nil
 }
 
-// liveOptions are the options that may change while the registry runs. All methods are safe for concurrent use.
+// liveOptions holds the options that may change while the registry runs. All methods are safe for concurrent use.
 type liveOptions struct {
-	current atomic.Pointer[schema.RegistryOptions] // never changed once stored
+	current atomic.Pointer[schema.RegistryOptions] // replaced as a whole, never changed in place
 }
 
 func newLiveOptions(opts *schema.RegistryOptions) *liveOptions {
@@ -127,23 +130,23 @@
 	return live
 }
 
-// update puts changed options into force; they are a *schema.RegistryOptions.
+// update replaces the options. updated must be a *schema.RegistryOptions, which the caller no longer changes.
 func (l *liveOptions) update(updated proto.Message) {
 	l.current.Store(updated.(*schema.RegistryOptions))
 }
 
-// seeds are the addresses at which other registries may be.
+// seeds returns the addresses at which to look for other registries.
 func (l *liveOptions) seeds() []string { return options.SplitList(l.current.Load().Seeds) }
 
-// drainTimeout is how long calls in flight are waited for at the end.
+// drainTimeout returns the longest wait, at shutdown, for operators' requests in flight.
 func (l *liveOptions) drainTimeout() time.Duration { return time.Duration(l.current.Load().Drain) }
 
-// changeTimeout is the longest wait for a change to be acknowledged.
+// changeTimeout returns the longest time to decide and acknowledge a change.
 func (l *liveOptions) changeTimeout() time.Duration {
 	return time.Duration(l.current.Load().AnswerMost)
 }
 
-// rolloutOptions are the rollout controller's options.
+// rolloutOptions returns the options of the rollout controller.
 func (l *liveOptions) rolloutOptions() release.Options {
 	opts := l.current.Load()
 	return release.Options{
--- a/internal/registry/peer_clients.go
+++ b/internal/registry/peer_clients.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// peerClients makes RPCs to the other registries. Its fields are set at the start and do not change.
+// peerClients makes RPCs to the other registries. Its fields do not change after construction.
 type peerClients struct {
 	state     *sharedState
 	transport *transport.Transport
@@ -19,24 +19,25 @@
 	return &peerClients{state: state, transport: rpcTransport}
 }
 
-// at is a client of the registry at an address.
-func (p *peerClients) at(ctx context.Context, address string) schema.DRPCRegistryClient {
+// clientAt returns a client of the registry at an address.
+func (p *peerClients) clientAt(ctx context.Context, address string) schema.DRPCRegistryClient {
 	return schema.NewDRPCRegistryClient(p.transport.Conn(ctx, address))
 }
 
-// callOtherRegistries calls every other registry at once and gives the replies that came before the timeout, in no order.
+// callOtherRegistries calls every other registry concurrently and returns the successful replies that arrived before
+// the timeout, in no order.
 func callOtherRegistries[T any](ctx context.Context, p *peerClients, timeout time.Duration,
 	call func(context.Context, schema.DRPCRegistryClient) (T, error),
 ) []T {
 	p.state.lock.Lock()
 	addresses := p.state.membership.peerAddresses()
 	p.state.lock.Unlock()
-	bounded, cancel := context.WithTimeout(ctx, timeout)
+	timeoutCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	replies := make(chan *T, len(addresses))
 	for address := range addresses {
 		go func() {
-			reply, err := call(bounded, p.at(bounded, address))
+			reply, err := call(timeoutCtx, p.clientAt(timeoutCtx, address))
 			if err != nil {
 				replies <- nil
 				return
@@ -53,7 +54,8 @@
 	return received
 }
 
-// collectCounts gathers the call counts that all registries hold, each proxy's once.
+// collectCounts returns the merged call counts of all registries that reply within one lease renewal interval, this one
+// included.
 func (p *peerClients) collectCounts(ctx context.Context) []*schema.SourceCounts {
 	replies := callOtherRegistries(ctx, p, p.state.config.lease/session.RenewalsPerLease,
 		func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.CountsReply, error) {
--- a/internal/registry/peer_sync.go
+++ b/internal/registry/peer_sync.go
@@ -11,14 +11,16 @@
 	"meadowhinge/schema"
 )
 
-// Fractions and multiples of times.
 const (
-	pollWaitDivisor    = 2 // fraction of a lease that one poll of a peer may wait for updates
-	peerHeartbeatTicks = 4 // heartbeat ticks between heartbeats of a session between registries: traffic between zones is expensive
+	// pollWaitDivisor sets how long one poll of a peer may wait for updates: a lease divided by pollWaitDivisor.
+	pollWaitDivisor = 2
+	// peerHeartbeatTicks is the heartbeat interval of a session between registries, in heartbeat ticks. It is longer
+	// than that of proxies, since traffic between zones is expensive.
+	peerHeartbeatTicks = 4
 )
 
-// peerSync keeps this registry's service directory and member addresses in step with those of the other registries: by a
-// subscription to each, or by polls where a static member order is set. Its fields are set at the start and do not change.
+// peerSync replicates the service directory and the member addresses of the other registries to this one. It subscribes
+// to each registry, or polls it if a static member order is set. Its fields do not change after construction.
 type peerSync struct {
 	state *sharedState
 	peers *peerClients
@@ -29,7 +31,8 @@
 	return &peerSync{state: state, peers: peers, log: log}
 }
 
-// run syncs with all other registries at the addresses known at the time, until ctx ends.
+// run syncs with all other registries until ctx ends. It starts and stops the sync with a registry as its address
+// becomes known or obsolete.
 func (p *peerSync) run(ctx context.Context) {
 	cancelByAddress := map[string]context.CancelFunc{}
 	for {
@@ -45,9 +48,9 @@
 		}
 		for address := range addresses {
 			if cancelByAddress[address] == nil {
-				bounded, cancel := context.WithCancel(ctx)
+				peerCtx, cancel := context.WithCancel(ctx)
 				cancelByAddress[address] = cancel
-				go p.syncWithPeer(bounded, address)
+				go p.syncWithPeer(peerCtx, address)
 			}
 		}
 		select {
@@ -71,8 +74,8 @@
 func (p *peerSync) pollPeer(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		request := p.pollRequest()
-		bounded, cancel := context.WithTimeout(ctx, p.state.config.lease)
-		response, err := p.peers.at(bounded, address).Feed(bounded, request)
+		timeoutCtx, cancel := context.WithTimeout(ctx, p.state.config.lease)
+		response, err := p.peers.clientAt(timeoutCtx, address).Feed(timeoutCtx, request)
 		cancel()
 		if err != nil {
 			p.state.waitLeaseFraction(ctx, retryIntervalDivisor)
@@ -86,6 +89,7 @@
 	}
 }
 
+// pollRequest returns the request of one poll, with this registry's current version vector.
 func (p *peerSync) pollRequest() *schema.FeedRequest {
 	s := p.state
 	s.lock.Lock()
@@ -100,8 +104,8 @@
 	}
 }
 
-// mergePeerUpdateLocked takes what another registry knows of members and sources, and tells whether anything of it was new. The
-// caller holds the lock.
+// mergePeerUpdateLocked merges members and sources received from another registry, and reports whether any of them were
+// new. The caller holds the lock.
 func (p *peerSync) mergePeerUpdateLocked(members []*schema.CoreMember, sources []*schema.Source) bool {
 	changed := false
 	for _, member := range members {
@@ -113,7 +117,8 @@
 	return changed
 }
 
-// subscribeToPeer subscribes to the registry at an address, and again whenever the subscription ends, until ctx ends.
+// subscribeToPeer keeps a subscription to the registry at an address until ctx ends. It resubscribes whenever the
+// subscription ends.
 func (p *peerSync) subscribeToPeer(ctx context.Context, address string) {
 	for ctx.Err() == nil {
 		memberID, err := p.runPeerSubscription(ctx, address)
@@ -124,16 +129,16 @@
 	}
 }
 
-// runPeerSubscription runs one subscription until it fails, which it always does in the end: with PeerConnectFailed or
-// PeerConnectionLost. memberID is that of the peer, or empty if no update came that named it.
+// runPeerSubscription runs one subscription until it fails, and always returns an error: errs.PeerConnectFailed or
+// errs.PeerConnectionLost. memberID is the member id of the peer; it is empty if no received update contained it.
 func (p *peerSync) runPeerSubscription(ctx context.Context, address string) (memberID string, err error) {
 	lease := p.state.config.lease
-	bounded, cancel := context.WithCancel(ctx)
+	streamCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A registry that has sent nothing for a lease counts as lost, even if its connection is open.
+	// A registry that has sent nothing for a lease counts as lost, even if the connection is open.
 	watchdog := time.AfterFunc(lease, cancel)
 	defer watchdog.Stop()
-	stream, err := p.peers.at(bounded, address).Attend(bounded, p.subscribeRequest())
+	stream, err := p.peers.clientAt(streamCtx, address).Attend(streamCtx, p.subscribeRequest())
 	if err != nil {
 		return "", errs.Wrap(err, errs.PeerConnectFailed, address)
 	}
@@ -155,7 +160,7 @@
 	}
 }
 
-// applyPeerUpdate applies an update of a peer; its memberID is empty until known.
+// applyPeerUpdate applies an update from a peer. memberID is the peer's member id; it is empty while unknown.
 func (p *peerSync) applyPeerUpdate(memberID string, update *schema.Update) {
 	p.state.lock.Lock()
 	defer p.state.lock.Unlock()
@@ -168,6 +173,7 @@
 	}
 }
 
+// subscribeRequest returns the request of a subscription, with this registry's current version vector.
 func (p *peerSync) subscribeRequest() *schema.SubscribeRequest {
 	s := p.state
 	s.lock.Lock()
--- a/internal/registry/registry_status.go
+++ b/internal/registry/registry_status.go
@@ -6,8 +6,8 @@
 	"meadowhinge/schema"
 )
 
-// statusReporter describes this registry to status pages, peers and readiness probes. Its fields are set at the start and do not
-// change.
+// statusReporter reports this registry's status to status pages, peers and readiness probes. Its fields do not change
+// after construction.
 type statusReporter struct {
 	state     *sharedState
 	transport *transport.Transport
@@ -18,7 +18,7 @@
 	return &statusReporter{state: state, transport: rpcTransport, rollouts: rollouts}
 }
 
-// current is the registry's status at one instant.
+// current returns a consistent snapshot of the registry's status.
 func (r *statusReporter) current() *schema.RegistryStatus {
 	s := r.state
 	s.lock.Lock()
@@ -45,7 +45,7 @@
 	}
 }
 
-// readiness tells the probe that the registry is ready once it grants leases.
+// readiness returns the state of the readiness probe: the registry is ready once it grants leases.
 func (r *statusReporter) readiness() daemon.Readiness {
 	s := r.state
 	s.lock.Lock()
--- a/internal/registry/reservation_recovery.go
+++ b/internal/registry/reservation_recovery.go
@@ -7,8 +7,8 @@
 	"meadowhinge/schema"
 )
 
-// reservationRecovery reads, after a restart, which idempotency keys the other registries have reserved. Its fields are set at
-// the start and do not change.
+// reservationRecovery reads the other registries' reservations of idempotency keys after a start. Its fields do not
+// change after construction.
 type reservationRecovery struct {
 	state *sharedState
 	peers *peerClients
@@ -18,7 +18,7 @@
 	return &reservationRecovery{state: state, peers: peers}
 }
 
-// run reads the other registries' reservations until this registry's table is authoritative.
+// run reads the other registries' reservations until this registry's table is authoritative or ctx ends.
 func (r *reservationRecovery) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		authoritative, untilStart := r.progress()
@@ -34,7 +34,8 @@
 	}
 }
 
-// progress tells whether recovery is done, and how long it is until the other registries may be read.
+// progress reports whether this registry's table is authoritative, and returns the time until the other registries
+// may be read; it is zero or negative once they may.
 func (r *reservationRecovery) progress() (authoritative bool, untilStart time.Duration) {
 	r.state.lock.Lock()
 	defer r.state.lock.Unlock()
@@ -42,7 +43,8 @@
 	return r.state.reservations.IsAuthoritative(now), r.state.reservations.RecoveryStartsAt() - now
 }
 
-// readAll reads all reservations of one registry, page by page, and merges them.
+// readAll reads and merges all reservations of one registry, page by page. It returns true, or the error of a failed
+// RPC.
 func (r *reservationRecovery) readAll(ctx context.Context, peer schema.DRPCRegistryClient) (bool, error) {
 	for after := uint64(0); ; {
 		page, err := peer.Read(ctx, &schema.ReservationsRequest{After: after})
@@ -55,6 +57,6 @@
 		if page.Last {
 			return true, nil
 		}
-		after = page.Reservations[len(page.Reservations)-1].Position // a page that is not the last is full: see Page
+		after = page.Reservations[len(page.Reservations)-1].Position // only the last page can be empty: see Page
 	}
 }
--- a/internal/registry/rollout_driver.go
+++ b/internal/registry/rollout_driver.go
@@ -13,21 +13,26 @@
 	"meadowhinge/schema"
 )
 
-// Fractions of a lease.
+// Intervals and timeouts of the rollout driver: a lease divided by the constant.
 const (
-	rolloutTickDivisor        = 4 * session.RenewalsPerLease // between two ticks, and the bound on each RPC of a tick
-	rolloutStepDivisor        = session.RenewalsPerLease     // the shortest time between two steps of a plan
-	quorumContactDivisor      = session.RenewalsPerLease / 2 // the age of a store's quorum contact up to which its registry may control
-	predecessorTimeoutDivisor = session.RenewalsPerLease     // after which a predecessor that does not say it may control is passed over
-	predecessorQueryDivisor   = 2 * session.RenewalsPerLease // bound on one query of a predecessor
-	stepWriteDivisor          = session.RenewalsPerLease / 4 // bound on writing one step
+	rolloutTickDivisor = 4 * session.RenewalsPerLease // interval between two ticks, and timeout of each RPC of a tick
+	rolloutStepDivisor = session.RenewalsPerLease     // shortest interval between two steps of a plan
+	// quorumContactDivisor sets the highest age of the store's quorum contact at which its registry may control
+	// rollouts.
+	quorumContactDivisor = session.RenewalsPerLease / 2
+	// predecessorTimeoutDivisor sets how long a predecessor keeps control after it last reported that it may control
+	// rollouts.
+	predecessorTimeoutDivisor = session.RenewalsPerLease
+	predecessorQueryDivisor   = 2 * session.RenewalsPerLease // timeout of one query of a predecessor
+	stepWriteDivisor          = session.RenewalsPerLease / 4 // timeout of writing one step
 )
 
-// rolloutDriver runs the rollout controller while this registry is in control of rollouts: while its member is the first, in the
-// order of leadership, that is in contact with a quorum. It observes, decides by release.Controller, and writes each step as an
-// ordinary change; a controller that was replaced meanwhile has its steps refused by the store as stale.
+// rolloutDriver runs the rollout controller while this registry controls rollouts. Control belongs to the first
+// member, in the order of leadership, that is in contact with a quorum. The driver gathers counts, lets
+// release.Controller decide, and writes each step as an ordinary change. The store refuses the steps of a
+// replaced controller as stale.
 type rolloutDriver struct {
-	// Set at the start.
+	// The fields from state to log do not change after construction.
 	state     *sharedState
 	options   *liveOptions
 	store     schema.DRPCStoreClient
@@ -35,30 +40,30 @@
 	submitter *changeSubmitter
 	log       logr.Logger
 
-	staleSteps atomic.Uint64 // steps that the store refused because a later term had a controller
+	staleSteps atomic.Uint64 // number of steps that the store refused because a controller of a later term exists
 
-	// Used by run's goroutine only.
-	controller *release.Controller // nil while this registry is not in control, so that each term begins with a new one
-	fleetSize  *session.FleetSize  // how many proxies there are, to tell how many of them the counts come from
+	// Used only by run's goroutine.
+	controller *release.Controller // nil while this registry has no control, so that each term starts with a new one
+	fleetSize  *session.FleetSize  // estimated number of proxies, against which the reporting ones are counted
 
 	// Guarded by sharedState.lock.
-	hadQuorumContact bool                    // the store here has ever known that a majority was in contact with it
-	quorumContactAt  time.Duration           // when it last did
-	predecessors     map[string]*predecessor // the members before this one, by id
-	stepsInFlight    map[inFlightStep]bool   // being written
+	hadQuorumContact bool                    // whether quorumContactAt is set
+	quorumContactAt  time.Duration           // when this member's store last knew that it had contact with a majority
+	predecessors     map[string]*predecessor // members before this one in the order of leadership, by id
+	stepsInFlight    map[inFlightStep]bool   // steps that are being written
 }
 
-// predecessor is a registry that comes before this one in the order of leadership: while it may control rollouts, this one does
-// not. Its fields are guarded by sharedState.lock.
+// predecessor is the registry of a member before this one in the order of leadership. While it may control rollouts,
+// this registry does not. Its fields are guarded by sharedState.lock.
 type predecessor struct {
-	lastActiveAt  time.Duration // when it last said that it may control, or when the first query of it began
-	queryInFlight bool
+	lastActiveAt  time.Duration // when it last replied that it may control rollouts; at first, when it was first queried
+	queryInFlight bool          // whether a query is running
 }
 
-// inFlightStep tells the steps in flight apart. A rollback is written beside the plan's step before it.
+// inFlightStep identifies a step in flight. An urgent step, a rollback, does not wait for the plan's ordinary step.
 type inFlightStep struct {
-	name   string
-	urgent bool
+	name   string // name of the release.Step
+	urgent bool   // whether the step is a rollback
 }
 
 func newRolloutDriver(state *sharedState, live *liveOptions, store schema.DRPCStoreClient, peers *peerClients,
@@ -77,7 +82,7 @@
 	}
 }
 
-// run ticks until ctx ends.
+// run calls tick at the interval of rolloutTickDivisor until ctx ends.
 func (d *rolloutDriver) run(ctx context.Context) {
 	ticker := time.NewTicker(d.state.config.lease / rolloutTickDivisor)
 	defer ticker.Stop()
@@ -91,8 +96,8 @@
 	}
 }
 
-// tick gathers counts, judges versions and moves plans once, if this registry is in control. All changes of one tick have the
-// same serial; their ids differ by the name of the step.
+// tick gathers counts and reconciles all release plans once, if this registry controls rollouts. All changes of one
+// tick have the same serial; their ids differ in the name of the step.
 func (d *rolloutDriver) tick(ctx context.Context, serial uint64) {
 	snapshot, state := d.state.compiledConfig()
 	workers := WorkerPoolsOf(d.state.sources())
@@ -119,14 +124,15 @@
 	if err != nil {
 		d.log.Error(err, "computing rollout steps failed")
 	}
-	// A version that was found bad is blocked with the replies to the next reports, before the block is written.
+	// Send the grants again after the decision: a version that was judged bad is then blocked by the replies to the
+	// next reports, before the block is committed.
 	d.state.setCanaryGrants(d.controller.CanaryGrants(snapshot))
 	for _, step := range steps {
 		d.writeStepAsync(ctx, step, serial, state)
 	}
 }
 
-// ensureController makes a controller if there is none, and puts the current options into force.
+// ensureController creates a controller if there is none, and applies the current options to it.
 func (d *rolloutDriver) ensureController() {
 	if d.controller == nil {
 		minStepInterval := d.state.config.lease / rolloutStepDivisor
@@ -135,8 +141,8 @@
 	d.controller.SetOptions(d.options.rolloutOptions())
 }
 
-// mayControlLocked tells whether this registry may be the rollout controller. One that is partitioned from the core may not: it
-// has too few counts to stop a bad version in time, and could not write that it did. The caller holds the lock.
+// mayControlLocked reports whether this registry may control rollouts. A registry that is partitioned from the core may
+// not: it has too few counts to stop a bad version in time, and could not write a rollback. The caller holds the lock.
 func (d *rolloutDriver) mayControlLocked() bool {
 	now := d.state.now()
 	if !d.state.fleetState.GrantsLeases(now) || !d.hadQuorumContact {
@@ -145,14 +151,14 @@
 	return now-d.quorumContactAt <= d.state.config.lease/quorumContactDivisor
 }
 
-// refreshQuorumContact asks the store how long ago it knew that a majority was in contact with it.
+// refreshQuorumContact queries the store for the age of its last known contact with a majority.
 func (d *rolloutDriver) refreshQuorumContact(ctx context.Context) {
 	after := d.state.committedRevision()
-	bounded, cancel := context.WithTimeout(ctx, d.state.config.lease/rolloutTickDivisor)
+	timeoutCtx, cancel := context.WithTimeout(ctx, d.state.config.lease/rolloutTickDivisor)
 	defer cancel()
-	reply, err := d.store.Follow(bounded, &schema.FollowRequest{AfterSequence: after, WaitNanos: 0})
+	reply, err := d.store.Follow(timeoutCtx, &schema.FollowRequest{AfterSequence: after, WaitNanos: 0})
 	if err != nil || !reply.StalenessKnown {
-		return // quorumContactAt stays, and with time becomes too old to control
+		return // quorumContactAt stays, and in time becomes too old for control
 	}
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
@@ -160,8 +166,9 @@
 	d.quorumContactAt = d.state.now() - time.Duration(reply.StalenessNanos)
 }
 
-// hasControl tells whether this registry may control rollouts and no member before it in the order does. The members before it
-// are queried in goroutines of their own, so that a dead one delays nothing; one that has not replied yet counts as in control.
+// hasControl reports whether this registry may control rollouts and no predecessor does. Predecessors are queried in
+// separate goroutines, so that an unresponsive one causes no delay. A predecessor counts as in control until it has
+// gone the time of predecessorTimeoutDivisor without a reply that it may control rollouts.
 func (d *rolloutDriver) hasControl(ctx context.Context) bool {
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
@@ -188,11 +195,11 @@
 	return inControl
 }
 
-// queryPredecessor asks a predecessor whether it may control rollouts.
+// queryPredecessor queries a predecessor's status, and records the time if it may control rollouts.
 func (d *rolloutDriver) queryPredecessor(ctx context.Context, queried *predecessor, address string) {
-	bounded, cancel := context.WithTimeout(ctx, d.state.config.lease/predecessorQueryDivisor)
+	timeoutCtx, cancel := context.WithTimeout(ctx, d.state.config.lease/predecessorQueryDivisor)
 	defer cancel()
-	status, err := d.peers.at(bounded, address).Look(bounded, &schema.Empty{})
+	status, err := d.peers.clientAt(timeoutCtx, address).Look(timeoutCtx, &schema.Empty{})
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
 	queried.queryInFlight = false
@@ -201,16 +208,16 @@
 	}
 }
 
-// forgetPredecessors forgets who was in control, since there is nothing to control. Once there is, each predecessor counts as in
-// control again for the time of predecessorTimeoutDivisor.
+// forgetPredecessors resets the predecessors while there is nothing to control. When that changes, each predecessor
+// again counts as in control for the time of predecessorTimeoutDivisor.
 func (d *rolloutDriver) forgetPredecessors() {
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
 	clear(d.predecessors)
 }
 
-// gatherCounts collects the work counts of all registries that reply, and hands out canary grants with the request. It also
-// gives the fraction of the fleet's proxies that reported recently.
+// gatherCounts returns the merged work counts of all registries that reply, and distributes the canary grants in the
+// requests. The second result is the number of proxies that reported recently, as a fraction of the fleet size.
 func (d *rolloutDriver) gatherCounts(ctx context.Context, canaryGrants []*schema.Canary) ([]*schema.SourceCounts, float64) {
 	request := &schema.CountsRequest{Controller: d.state.config.memberID, Canaries: canaryGrants, WorkOnly: true}
 	replies := callOtherRegistries(ctx, d.peers, d.state.config.lease/rolloutTickDivisor,
@@ -229,15 +236,15 @@
 	return MergeCounts(replies), float64(reporting) / float64(fleetSize)
 }
 
-// knownFor is for how long a revision has been held here.
+// knownFor returns how long this registry has had a revision: see FleetState.KnownFor.
 func (d *rolloutDriver) knownFor(revision uint64) time.Duration {
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
 	return d.state.fleetState.KnownFor(d.state.now(), revision)
 }
 
-// writeStepAsync writes a step in a goroutine of its own, unless the same plan's step before it is still being written. A
-// rollback waits only for a rollback. state is the one that the step was decided from.
+// writeStepAsync writes a step in a separate goroutine. It drops the step if an earlier step of the same plan is still
+// being written; a rollback is dropped only for another rollback. state is the one from which the step was decided.
 func (d *rolloutDriver) writeStepAsync(ctx context.Context, step release.Step, serial uint64, state config.State) {
 	key := inFlightStep{step.Name, step.Urgent}
 	d.state.lock.Lock()
@@ -258,16 +265,17 @@
 	}()
 }
 
-// writeStep proposes a step as an ordinary change, and waits until this registry has the committed change, so that the plan's next
-// step is decided from its result. A step that is refused or undecided is dropped: the next ticks decide anew.
+// writeStep proposes a step as an ordinary change. It waits until this registry has the committed change, so that the
+// plan's next step is decided from its result. A step that is refused or undecided is dropped, and a later tick decides
+// again.
 func (d *rolloutDriver) writeStep(ctx context.Context, change *schema.Change) {
-	bounded, cancel := context.WithTimeout(ctx, d.state.config.lease/stepWriteDivisor)
+	timeoutCtx, cancel := context.WithTimeout(ctx, d.state.config.lease/stepWriteDivisor)
 	defer cancel()
-	outcome := d.submitter.propose(bounded, change).GetOutcome()
+	outcome := d.submitter.propose(timeoutCtx, change).GetOutcome()
 	switch outcome.GetRuling() {
 	case schema.Ruling_RULING_STALE:
 		d.staleSteps.Add(1)
 	case schema.Ruling_RULING_ACCEPTED:
-		d.state.awaitCommitted(bounded, outcome.Version.Sequence, nil)
+		d.state.awaitCommitted(timeoutCtx, outcome.Version.Sequence, nil)
 	}
 }
--- a/internal/registry/rpc_service.go
+++ b/internal/registry/rpc_service.go
@@ -9,12 +9,12 @@
 	"meadowhinge/schema"
 )
 
-// digestBytes is the length of the digests in a key reservation.
+// digestBytes is the required length of the key and of the body digest in a key reservation, both of which are digests.
 const digestBytes = 32
 
-// rpcService serves the RPCs of proxies and of other registries; the transport admits no other peers. Where a request names the
-// proxy or speaks for a registry, the method checks that the peer is that one, and otherwise fails with errs.Unauthorized. Its
-// fields are set at the start and do not change.
+// rpcService serves the RPCs of proxies and of other registries; the transport admits no other peers. A method whose
+// request names a proxy, or is reserved for registries, fails with errs.Unauthorized for any other peer. Its fields
+// do not change after construction.
 type rpcService struct {
 	schema.DRPCRegistryUnimplementedServer
 	state     *sharedState
@@ -27,7 +27,7 @@
 	return &rpcService{state: state, transport: rpcTransport, sessions: sessions, status: status}
 }
 
-// requireProxy fails unless the peer is the proxy of this name.
+// requireProxy fails with errs.Unauthorized unless the peer is the proxy of this name.
 func (r *rpcService) requireProxy(ctx context.Context, name string) error {
 	if peer := transport.PeerFromContext(ctx); peer.Role != "proxy" || peer.Name != name {
 		r.transport.RejectedPeers.Add(1)
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// requireRegistry fails unless the peer is a registry.
+// requireRegistry fails with errs.Unauthorized unless the peer is a registry.
 func (r *rpcService) requireRegistry(ctx context.Context) error {
 	if peer := transport.PeerFromContext(ctx); peer.Role != "registry" {
 		r.transport.RejectedPeers.Add(1)
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// Lease renews a proxy's lease at this registry. The reply also says where the other registries are, since a lease needs the
-// grants of a majority.
+// Lease renews a proxy's lease at this registry. The reply also contains the registries' addresses, since a lease needs
+// grants from a majority.
 func (r *rpcService) Lease(ctx context.Context, request *schema.LeaseRequest) (*schema.LeaseReply, error) {
 	if err := r.requireProxy(ctx, request.Proxy); err != nil {
 		return nil, err
@@ -60,7 +60,7 @@
 	return reply, nil
 }
 
-// Greet tells a proxy that starts the highest incarnation seen of its name, and the workers of its last report.
+// Greet returns, to a proxy that starts, the highest known incarnation of its name and the workers of its last report.
 func (r *rpcService) Greet(ctx context.Context, greeting *schema.IncarnationRequest) (*schema.IncarnationReply, error) {
 	if err := r.requireProxy(ctx, greeting.Proxy); err != nil {
 		return nil, err
@@ -74,8 +74,8 @@
 	}, nil
 }
 
-// Feed serves one poll: it waits until there are updates that the node lacks, or until the node's wait, at most a lease, is over.
-// Registries poll with their member and get sources; other nodes also get the configuration.
+// Feed serves one long poll. It replies once there are updates that the node lacks, or after the requested wait,
+// which is at most a lease. Registries set request.Member and get sources; other nodes also get the configuration.
 func (r *rpcService) Feed(ctx context.Context, request *schema.FeedRequest) (*schema.FeedReply, error) {
 	if request.Member != nil {
 		if err := r.requireRegistry(ctx); err != nil {
@@ -101,7 +101,7 @@
 	}
 }
 
-// observePoll records what a poll says of its node.
+// observePoll records what a poll reports about its node: member address, settings and version vector.
 func (r *rpcService) observePoll(request *schema.FeedRequest) {
 	s := r.state
 	s.lock.Lock()
@@ -117,7 +117,7 @@
 	s.fleetState.ObserveVector(s.now(), request.Vector)
 }
 
-// feedReply is the reply to a poll as of now. stateChanged is closed when it may have changed.
+// feedReply returns the current reply to a poll. stateChanged is closed when the reply may have changed.
 func (r *rpcService) feedReply(request *schema.FeedRequest) (reply *schema.FeedReply, stateChanged chan struct{}) {
 	s := r.state
 	s.lock.Lock()
@@ -129,7 +129,7 @@
 	}
 	incarnationsOf := request.Node
 	if request.Member != nil {
-		incarnationsOf = "" // a registry gets those of all names
+		incarnationsOf = "" // a registry gets the incarnation-only sources of all names
 	}
 	reply.Sources = append(reply.Sources, s.fleetState.IncarnationOnlySources(request.Vector, incarnationsOf)...)
 	if request.Member == nil && s.fleetState.committedRevision > request.Revision {
@@ -138,7 +138,9 @@
 	return reply, s.stateChanged
 }
 
-// Attend serves a session, the subscription of a node to updates; it returns when the session ends.
+// Attend serves a session, which is a node's subscription to updates, and returns when the session ends. It fails with
+// errs.Unauthorized if the request's source has another name than the node, or if a registry asks for a provisional
+// session.
 func (r *rpcService) Attend(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
 	ctx := stream.Context()
 	fromRegistry := request.Member != nil
@@ -155,7 +157,7 @@
 	return r.sessions.serve(request, stream)
 }
 
-// Tell takes a proxy's report of its workers and call counts, and replies with the canary grants.
+// Tell records a proxy's report of its workers and call counts, and replies with the current canary grants.
 func (r *rpcService) Tell(ctx context.Context, report *schema.ProxyReport) (*schema.ReportReply, error) {
 	if err := r.requireProxy(ctx, report.Proxy); err != nil {
 		return nil, err
@@ -172,7 +174,7 @@
 	return &schema.ReportReply{Canaries: s.fleetState.CanaryGrants(s.now())}, nil
 }
 
-// Bar sets a fence for another registry, which waits for a revision to be acknowledged.
+// Bar sets a fence for another registry that is waiting for a revision to be acknowledged.
 func (r *rpcService) Bar(ctx context.Context, request *schema.FenceRequest) (*schema.FenceReply, error) {
 	if err := r.requireRegistry(ctx); err != nil {
 		return nil, err
@@ -183,7 +185,8 @@
 	return s.fleetState.SetFence(s.now(), request.Revision), nil
 }
 
-// Counts gives another registry the call counts that proxies reported here. The rollout controller's request also brings its canary grants.
+// Counts returns, to another registry, the call counts that proxies reported here. The rollout controller's request
+// also carries its canary grants.
 func (r *rpcService) Counts(ctx context.Context, request *schema.CountsRequest) (*schema.CountsReply, error) {
 	if err := r.requireRegistry(ctx); err != nil {
 		return nil, err
@@ -194,12 +197,13 @@
 	return r.state.localCounts(request.WorkOnly), nil
 }
 
-// Look gives this registry's status to any peer.
+// Look returns this registry's status to any peer.
 func (r *rpcService) Look(context.Context, *schema.Empty) (*schema.RegistryStatus, error) {
 	return r.status.current(), nil
 }
 
-// Claim grants or refuses the idempotency keys that a proxy wants to reserve.
+// Claim grants or refuses a proxy's reservations of idempotency keys. The reply has one result for each reservation, in
+// the order of the request.
 func (r *rpcService) Claim(ctx context.Context, request *schema.ReserveRequest) (*schema.ReserveReply, error) {
 	peer := transport.PeerFromContext(ctx)
 	s := r.state
@@ -219,7 +223,8 @@
 	return reply, nil
 }
 
-// mayReserve tells whether a peer may make a reservation: only the proxy itself, and only for callers that it may call as.
+// mayReserve reports whether a peer may make a reservation: it must be the proxy that the reservation names and be
+// allowed to call as the reservation's caller. Key and body digest must have the length digestBytes.
 func mayReserve(peer transport.Peer, reservation *schema.KeyReservation) bool {
 	if peer.Role != "proxy" || peer.Name != reservation.Proxy || !peer.MayCallAs(reservation.Caller) {
 		return false
@@ -227,7 +232,7 @@
 	return len(reservation.Key) == digestBytes && len(reservation.BodyDigest) == digestBytes
 }
 
-// Read gives a page of this registry's reservations to another registry, which has restarted.
+// Read returns a page of this registry's reservations to another registry that has restarted.
 func (r *rpcService) Read(ctx context.Context, request *schema.ReservationsRequest) (*schema.ReservationsPage, error) {
 	if err := r.requireRegistry(ctx); err != nil {
 		return nil, err
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -16,8 +16,8 @@
 	"meadowhinge/schema"
 )
 
-// server is a registry process: one component for each job, around the state that they share. Its fields are set by newServer and
-// do not change; what changes is in state, and in those components whose declarations say so.
+// server is a registry process: its components and the state that they share. Its fields do not change after newServer.
+// Mutable state is in state, and in the components whose declarations say so.
 type server struct {
 	config      *serverConfig
 	options     *liveOptions
@@ -37,21 +37,22 @@
 	operatorAPI *operatorServer
 }
 
-// Option changes how a registry runs.
+// Option configures a registry beyond its settings: see Run.
 type Option func(*extensions)
 
-// extensions are what Options add to a registry.
+// extensions are the additions to a registry that Options set.
 type extensions struct {
-	operatorAPI OperatorAPI
+	operatorAPI OperatorAPI // nil for none
 }
 
-// WithOperatorAPI puts a dialect of the operators' HTTP interface before the registry's own.
+// WithOperatorAPI installs an additional HTTP API for operators, which gets every request before the registry's own.
 func WithOperatorAPI(api OperatorAPI) Option {
 	return func(e *extensions) { e.operatorAPI = api }
 }
 
-// Run serves a registry until ctx ends, and then until the operators' calls in flight are answered or the drain time is over. It
-// fails with errs.InvalidOptions if opts cannot be used, or with the error that ended it.
+// Run runs a registry until ctx ends, and then until the operators' requests in flight are answered or the drain time
+// is over. It fails with errs.InvalidOptions if the options are invalid or a listen address cannot be used, and
+// otherwise with the error that stopped the registry. It does not change opts.
 func Run(ctx context.Context, environment *daemon.Environment, opts *schema.RegistryOptions, runOptions ...Option) error {
 	rpcTransport, err := newTransport(opts)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return s.run(ctx)
 }
 
-// newServer builds a registry that has not started: nothing runs or listens yet.
+// newServer builds a registry without starting it: nothing runs or listens yet.
 func newServer(ctx context.Context, environment *daemon.Environment, cfg *serverConfig, live *liveOptions,
 	rpcTransport *transport.Transport, runOptions []Option,
 ) *server {
@@ -109,12 +110,12 @@
 			acknowledger: changeAcknowledger,
 			backend:      newOperatorBackend(submitter),
 			status:       status,
-			dialect:      extended.operatorAPI,
+			additional:   extended.operatorAPI,
 		},
 	}
 }
 
-// run starts the registry and serves until ctx ends or serving fails.
+// run starts the registry, and serves until ctx ends or serving fails.
 func (s *server) run(ctx context.Context) error {
 	listener, err := net.Listen("tcp", s.config.listenAddress)
 	if err != nil {
@@ -139,14 +140,14 @@
 	return s.serveUntilDone(ctx, serveResult, operators)
 }
 
-// addStatusPages adds the registry's pages to those of the probe listener.
+// addStatusPages adds the registry's pages to the probe listener.
 func (s *server) addStatusPages() {
 	s.environment.AddPage("/certificate", s.transport.Certificate)
 	s.environment.AddPage("/traffic", func() any { return s.transport.Traffic() })
 	s.environment.AddPage("/status", func() any { return statuspage.RegistryOf(s.status.current()) })
 }
 
-// startLoops starts the goroutines that run until ctx ends, or until their job is done.
+// startLoops starts the background goroutines, which run until ctx ends or their work is complete.
 func (s *server) startLoops(ctx context.Context) {
 	go s.configSync.followStore(ctx)
 	go s.configSync.catchUp(ctx)
@@ -156,8 +157,8 @@
 	go s.sessions.runHeartbeats(ctx)
 }
 
-// serveUntilDone waits until ctx ends or serving RPCs fails. After ctx ended it waits until RPCs are no longer served, and gives
-// the operators' calls in flight the drain time.
+// serveUntilDone waits until ctx ends or serving RPCs fails. After ctx has ended, it waits for the RPC server to stop
+// and then, at most for the drain time, for the operators' requests in flight.
 func (s *server) serveUntilDone(ctx context.Context, serveResult <-chan error, operators *fasthttp.Server) error {
 	select {
 	case <-ctx.Done():
@@ -170,5 +171,5 @@
 	}
 	draining, cancel := context.WithTimeout(context.WithoutCancel(ctx), s.options.drainTimeout())
 	defer cancel()
-	return errs.Wrap(operators.ShutdownWithContext(draining), errs.Internal, "operators still waiting at the end of the drain time")
+	return errs.Wrap(operators.ShutdownWithContext(draining), errs.Internal, "operator requests still in flight after the drain time")
 }
--- a/internal/registry/session_server.go
+++ b/internal/registry/session_server.go
@@ -10,12 +10,12 @@
 	"meadowhinge/schema"
 )
 
-// catchUpTimeoutDivisor is the fraction of a lease after which a registry that has just started shows its configuration even though
-// the core has not confirmed which one is the newest.
+// catchUpTimeoutDivisor sets how long after its start a registry withholds its configuration while the core has not
+// confirmed the newest revision: a lease divided by catchUpTimeoutDivisor.
 const catchUpTimeoutDivisor = 2
 
-// sessionServer pushes updates to subscribed proxies and registries: committed configuration, sources and core members. Its
-// fields are set at the start and do not change.
+// sessionServer pushes updates to subscribed proxies and registries: committed configuration, sources and core members.
+// Its fields do not change after construction.
 type sessionServer struct {
 	state *sharedState
 	log   logr.Logger
@@ -25,8 +25,8 @@
 	return &sessionServer{state: state, log: log}
 }
 
-// runHeartbeats ticks until ctx ends. All sessions consider a heartbeat at the same tick, so that an idle registry wakes once for
-// all of them.
+// runHeartbeats calls tickHeartbeat HeartbeatsPerLease times in each lease until ctx ends. All sessions share these
+// ticks, so an idle registry wakes up once for all of them.
 func (srv *sessionServer) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(srv.state.config.lease / session.HeartbeatsPerLease)
 	defer ticker.Stop()
@@ -40,7 +40,7 @@
 	}
 }
 
-// tickHeartbeat sweeps the fleet state and makes all sessions consider a heartbeat.
+// tickHeartbeat sweeps the fleet state and wakes all sessions to check whether a heartbeat is due.
 func (srv *sessionServer) tickHeartbeat() {
 	s := srv.state
 	s.lock.Lock()
@@ -54,11 +54,12 @@
 	s.heartbeatTick = make(chan struct{})
 }
 
-// serve serves one session of an authorized node until the stream ends: all that the node lacks first, then updates and
-// heartbeats.
+// serve serves one session of an authorized node until the stream ends. It first sends everything that the node lacks,
+// then updates and heartbeats.
 func (srv *sessionServer) serve(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
 	srv.open(request)
-	// Only a session that open counted is closed: that of a registry, or of a proxy that only listens, has no source.
+	// Close only a session that open counted. Sessions of registries, and of proxies that send no source, are not
+	// counted.
 	if request.Tentative || request.Source != nil {
 		srv.log.V(1).Info("proxy session opened", "proxy", request.Node)
 		defer func() {
@@ -71,7 +72,7 @@
 	return srv.push(request, stream)
 }
 
-// open records what a subscription says of its node.
+// open records what a subscription reports about its node, and counts the session of a proxy.
 func (srv *sessionServer) open(request *schema.SubscribeRequest) {
 	s := srv.state
 	s.lock.Lock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// push sends updates and heartbeats until the stream ends, or fails with the stream's error.
+// push sends updates and heartbeats until the stream ends. It returns the error of a failed send.
 func (srv *sessionServer) push(request *schema.SubscribeRequest, stream schema.DRPCRegistry_AttendStream) error {
 	s := srv.state
 	ctx := stream.Context()
@@ -116,8 +117,9 @@
 	return nil
 }
 
-// awaitNextUpdate waits until a session has to look for an update again, and tells whether a heartbeat tick came meanwhile. ended
-// tells that the stream ended first. The channels are those of the instant at which the update before was made.
+// awaitNextUpdate waits until a session has to check for an update again. onHeartbeat reports whether a heartbeat
+// tick occurred; ended reports whether the stream ended first. The channels must have been read under the same hold
+// of the lock under which the previous update was built.
 func (srv *sessionServer) awaitNextUpdate(ctx context.Context, stateChanged, heartbeatTick <-chan struct{}) (onHeartbeat, ended bool) {
 	select {
 	case <-ctx.Done():
@@ -126,7 +128,7 @@
 		return true, false
 	case <-stateChanged:
 	}
-	// Changes come in bursts: those of a moment are sent together.
+	// Changes come in bursts, so collect them for a short time and send them together.
 	srv.state.waitLeaseFraction(ctx, batchDivisor)
 	select {
 	case <-heartbeatTick:
@@ -136,28 +138,29 @@
 	}
 }
 
-// heartbeatDue tells, at a heartbeat tick, whether a session's node is due a heartbeat: whether at the next tick it would have
-// waited longer, since something was last sent, than it was promised. A tick may be a little early or late, hence the tolerance. An
-// update between two ticks does not put the heartbeat off by a whole interval, or the node would count this registry as unresponsive.
+// heartbeatDue reports, at a heartbeat tick, whether a session must send a heartbeat now. It must if, at the next
+// tick, the time since the last send would exceed the promised interval. The tolerance allows for early and late
+// ticks. Without this rule, an update between two ticks would delay the next heartbeat by up to a whole interval, and
+// the node would count this registry as unresponsive.
 func heartbeatDue(sinceLastSend, promisedInterval, lease time.Duration) bool {
 	untilNextTick := lease / session.HeartbeatsPerLease
 	tolerance := lease / batchDivisor
 	return sinceLastSend+untilNextTick > promisedInterval+tolerance
 }
 
-// sessionProgress is what a session's node has been sent. Only the session's goroutine uses it, and needs no lock for it.
+// sessionProgress records what has been sent in one session. Only the session's goroutine uses it, so it needs no lock.
 type sessionProgress struct {
-	cursor      *SessionCursor // for sources
-	toRegistry  bool
-	revision    uint64 // of the configuration
-	members     []*schema.CoreMember
-	liveProxies uint32 // the fleet's size, for proxies only
-	started     bool   // the first update, which is sent even if it has nothing new, has been made
-	lastSentAt  time.Duration
+	cursor      *SessionCursor       // position in the updates of sources
+	toRegistry  bool                 // whether the node is a registry; otherwise it is a proxy
+	revision    uint64               // revision of the configuration that the node has
+	members     []*schema.CoreMember // core members that were sent last
+	liveProxies uint32               // number of live proxies that was sent last; sent to proxies only
+	started     bool                 // whether the first update was built, which is sent even if it has no content
+	lastSentAt  time.Duration        // when something was last sent; zero before the first update
 }
 
-// nextUpdateLocked makes the update that a node lacks, and tells whether it is more than a heartbeat. The caller holds the lock
-// and sends the update if hasContent is true, for progress counts it as sent.
+// nextUpdateLocked builds the update that a node lacks. hasContent reports whether it is more than a heartbeat; if
+// so, the caller must send it, since progress already counts it as sent. The caller holds the lock.
 func (srv *sessionServer) nextUpdateLocked(progress *sessionProgress) (update *schema.Update, hasContent bool) {
 	s := srv.state
 	now := s.now()
@@ -181,13 +184,13 @@
 	return update, hasContent
 }
 
-// addConfigLocked adds the configuration changes that a proxy lacks, and how stale the configuration here may be. It tells
-// whether the update has changes. The caller holds the lock.
+// addConfigLocked adds the staleness of this registry's configuration to an update and, for a proxy, the configuration
+// changes that it lacks. It reports whether it added changes. The caller holds the lock.
 func (srv *sessionServer) addConfigLocked(now time.Duration, update *schema.Update, progress *sessionProgress) bool {
 	s := srv.state
 	staleness, confirmed := s.fleetState.Staleness(now)
 	update.StalenessNanos = int64(staleness)
-	// Without StalenessKnown a proxy takes this registry for stale.
+	// If StalenessKnown is not set, a proxy treats this registry as stale.
 	if !srv.servesConfigLocked(now) {
 		return false
 	}
@@ -201,9 +204,10 @@
 	return true
 }
 
-// servesConfigLocked tells whether this registry may show its configuration. One that has just started may hold an older
-// configuration than it acknowledged in an earlier incarnation, so it finds out first which one is the newest, unless the core
-// cannot tell. The caller holds the lock.
+// servesConfigLocked reports whether this registry may send its configuration. Right after a restart it may have an
+// older configuration than it acknowledged before, so it first catches up with the newest revision. If the core
+// cannot confirm that revision, it serves what it has after the time of catchUpTimeoutDivisor. The caller holds the
+// lock.
 func (srv *sessionServer) servesConfigLocked(now time.Duration) bool {
 	return srv.state.fleetState.caughtUp || now >= srv.state.config.lease/catchUpTimeoutDivisor
 }
--- a/internal/registry/testcore_test.go
+++ b/internal/registry/testcore_test.go
@@ -21,19 +21,20 @@
 	"meadowhinge/schema"
 )
 
-// testCoreLease is the lease of the daemons that run in tests.
+// testCoreLease is the lease duration of the daemons that tests run.
 const testCoreLease = time.Second
 
-// testCore is a core of stores and registries, one of each on every member, at loopback addresses of its own.
+// testCore is a core of real stores and registries, one of each for every member, each member on its own loopback
+// address.
 type testCore struct {
-	hosts       []string // of the members
-	memberOrder string   // the option order; empty where the stores agree on the members
+	hosts       []string // IPs of the members, which are also their ids
+	memberOrder string   // value of the option order; empty if the stores agree on the members
 }
 
-// testMembers counts the members that this process has started.
+// testMembers counts the members that this test process has started, to give each a different address.
 var testMembers atomic.Int32
 
-// Ports of a testCore.
+// Ports of every member of a testCore.
 const (
 	testStorePort = fakebackend.FirstPort + iota
 	testStoreProbePort
@@ -42,10 +43,10 @@
 	testOperatorPort
 )
 
-// address is where a member listens.
+// address returns IP:port of a member.
 func (c *testCore) address(member, port int) string { return fmt.Sprint(c.hosts[member], ":", port) }
 
-// seeds are the addresses of all members.
+// seeds returns the addresses of all members with a port, separated by commas, as the seed options take them.
 func (c *testCore) seeds(port int) string {
 	var addresses []string
 	for member := range c.hosts {
@@ -93,7 +94,7 @@
 	}
 }
 
-// runDaemon runs a daemon until the test ends, and then expects it to have ended without an error.
+// runDaemon runs a daemon until the test ends, and then fails the test if the daemon returned an error.
 func runDaemon(t *testing.T, body func(context.Context, *daemon.Environment) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -103,12 +104,12 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Errorf("a daemon ended with %v", err)
+			t.Errorf("daemon: got error %v at the end of the test, want none", err)
 		}
 	})
 }
 
-// startTestCore starts a core of so many members, with a static member order or without.
+// startTestCore starts a core with a number of members, with or without a static member order.
 func startTestCore(t *testing.T, members int, staticOrder bool, runOptions ...Option) *testCore {
 	t.Helper()
 	octet, reservation, err := fakebackend.ReserveLoopbackNet()
@@ -118,7 +119,8 @@
 	t.Cleanup(func() { _ = reservation.Close() })
 	core := &testCore{}
 	for range members {
-		// A daemon's probe listener stays open when the daemon ends within the test's process: each member has a new address.
+		// The probe listener of a daemon that ended stays open for the rest of the test process, so each member needs
+		// a new address.
 		core.hosts = append(core.hosts, fmt.Sprintf("127.%d.0.%d", octet, testMembers.Add(1)))
 	}
 	if staticOrder {
@@ -136,7 +138,8 @@
 	return core
 }
 
-// request sends a request to a member's operator interface, again until there is a response that is accepted.
+// request sends a request to a member's operator API, and repeats it until accepted returns true for a response. It
+// fails the test after a minute.
 func (c *testCore) request(t *testing.T, member int, method, path, body string,
 	accepted func(status int, response string) bool,
 ) (int, string) {
@@ -152,17 +155,18 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("%s %s: %d, %q, %v", method, path, status, response, err)
+			t.Fatalf("%s %s: no accepted response within a minute; last got status %d, response %q, error %v",
+				method, path, status, response, err)
 		case <-retry.C:
 		}
 	}
 }
 
-// isDecided accepts any response but that there is no quorum yet.
+// isDecided accepts any response except 503, which means that there is no quorum yet.
 func isDecided(status int, _ string) bool { return status != http.StatusServiceUnavailable }
 
-// showing accepts a page that shows a text.
-func showing(text string) func(int, string) bool {
+// containing returns a function that accepts a response with status 200 that contains a text.
+func containing(text string) func(int, string) bool {
 	return func(status int, response string) bool {
 		return status == http.StatusOK && strings.Contains(response, text)
 	}
@@ -178,27 +182,28 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer func() { _ = reply.Body.Close() }() // it has been read, or reading it failed
+	defer func() { _ = reply.Body.Close() }() // the body has been read, or reading it failed
 	content, err := io.ReadAll(reply.Body)
 	return reply.StatusCode, string(content), err
 }
 
-// testProxy is a proxy in session with a registry, which applies each revision as it comes and says so with its lease.
+// testProxy is a proxy in session with a registry. It applies each revision at once and reports it when it renews its
+// lease.
 type testProxy struct {
 	client  schema.DRPCRegistryClient
-	applied atomic.Uint64
-	items   chan *schema.Item // as the registry pushed them
-	granted chan struct{}     // closed once a registry granted the proxy a lease
+	applied atomic.Uint64     // newest applied revision
+	items   chan *schema.Item // items in the order in which the registry pushed them
+	granted chan struct{}     // closed once the registry has granted the proxy a lease
 }
 
 const testProxyName = "p"
 
-// startTestProxy opens a session with a member's registry and waits until that registry granted the proxy a lease.
+// startTestProxy opens a session with a member's registry and waits until that registry has granted the proxy a lease.
 func startTestProxy(t *testing.T, core *testCore, member int) *testProxy {
 	t.Helper()
 	proxyTransport := transport.NewPlaintext("proxy", testProxyName, nil)
 	t.Cleanup(proxyTransport.Close)
-	// The session ends with the test's context, before the registry is stopped.
+	// The test's context ends the session before the cleanup stops the registry.
 	ctx := t.Context()
 	proxy := &testProxy{
 		client:  schema.NewDRPCRegistryClient(proxyTransport.Conn(ctx, core.address(member, testRegistryPort))),
@@ -252,7 +257,7 @@
 			Received:    applied,
 			LeaseNanos:  int64(testCoreLease),
 		})
-		// A refused or failed renewal is repeated at the next tick.
+		// The next tick repeats a refused or failed renewal.
 		if err == nil && reply.Granted {
 			closeGranted()
 		}
