--- a/internal/registry/backoff_test.go
+++ b/internal/registry/backoff_test.go
@@ -12,9 +12,11 @@
 		case failures == 1 && fraction > 1./500:
 			t.Errorf("first interval: got %v of a lease, want at most %v", fraction, 1./500)
 		case fraction < previous:
-			t.Errorf("interval after %d failures: got %v of a lease, want at least the previous %v", failures, fraction, previous)
+			t.Errorf("interval after %d failures: got %v of a lease, want at least the previous %v",
+				failures, fraction, previous)
 		case fraction > 1./retryIntervalDivisor:
-			t.Errorf("interval after %d failures: got %v of a lease, want at most %v", failures, fraction, 1./retryIntervalDivisor)
+			t.Errorf("interval after %d failures: got %v of a lease, want at most %v",
+				failures, fraction, 1./retryIntervalDivisor)
 		}
 		previous = fraction
 	}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -16,7 +16,8 @@
 	values := schema.Ruling(0).Descriptor().Values()
 	for i := range values.Len() {
 		status, response := newChangeResponse("id", &schema.ChangeOutcome{Ruling: schema.Ruling(values.Get(i).Number())})
-		fmt.Fprintf(&listed, "%d: word=%q status=%d defect=%q\n", values.Get(i).Number(), response.Ruling, status, response.ErrorCode)
+		fmt.Fprintf(&listed, "%d: word=%q status=%d defect=%q\n",
+			values.Get(i).Number(), response.Ruling, status, response.ErrorCode)
 	}
 	goldenfile.Compare(t, "rulings.txt", listed.String())
 }
--- a/internal/registry/reservation_table_test.go
+++ b/internal/registry/reservation_table_test.go
@@ -158,15 +158,42 @@
 		ended   bool // whether no more replies can arrive
 		want    session.ReservationOutcome
 	}{
-		"granted by two of three":               {[]timedReply{{0, "a", granted}, {0, "b", granted}}, false, session.ReservationGranted},
-		"granted twice by one member":           {[]timedReply{{0, "a", granted}, {0, "a", granted}}, false, session.ReservationPending},
-		"granted by one of three, ended":        {[]timedReply{{0, "a", granted}}, true, session.ReservationNoMajority},
-		"second grant after the timeout, ended": {[]timedReply{{0, "a", granted}, {timeout + 1, "b", granted}}, true, session.ReservationNoMajority},
-		"held by one, granted by two":           {[]timedReply{{0, "a", held}, {0, "b", granted}, {0, "c", granted}}, false, session.ReservationGranted},
-		"held by one, third reply missing":      {[]timedReply{{0, "a", held}, {0, "b", granted}}, false, session.ReservationPending},
-		"held by two":                           {[]timedReply{{0, "a", held}, {0, "b", held}}, false, session.ReservationConflict},
-		"held with another body digest":         {[]timedReply{{0, "a", reused}, {0, "b", reused}}, false, session.ReservationKeyReused},
-		"two tables full":                       {[]timedReply{{0, "a", full}, {0, "b", full}}, false, session.ReservationNoCapacity},
+		"granted by two of three": {
+			[]timedReply{{0, "a", granted}, {0, "b", granted}},
+			false, session.ReservationGranted,
+		},
+		"granted twice by one member": {
+			[]timedReply{{0, "a", granted}, {0, "a", granted}},
+			false, session.ReservationPending,
+		},
+		"granted by one of three, ended": {
+			[]timedReply{{0, "a", granted}},
+			true, session.ReservationNoMajority,
+		},
+		"second of two grants too late, ended": {
+			[]timedReply{{0, "a", granted}, {timeout + 1, "b", granted}},
+			true, session.ReservationNoMajority,
+		},
+		"held by one, granted by two": {
+			[]timedReply{{0, "a", held}, {0, "b", granted}, {0, "c", granted}},
+			false, session.ReservationGranted,
+		},
+		"held by one, third reply missing": {
+			[]timedReply{{0, "a", held}, {0, "b", granted}},
+			false, session.ReservationPending,
+		},
+		"held by two": {
+			[]timedReply{{0, "a", held}, {0, "b", held}},
+			false, session.ReservationConflict,
+		},
+		"held with another body digest": {
+			[]timedReply{{0, "a", reused}, {0, "b", reused}},
+			false, session.ReservationKeyReused,
+		},
+		"two tables full": {
+			[]timedReply{{0, "a", full}, {0, "b", full}},
+			false, session.ReservationNoCapacity,
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			attempt := session.NewReservationAttempt(reservationFor("k", "mine", 1), 3, 0, timeout)
