--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -9,60 +9,62 @@
 	"meadowhinge/schema"
 )
 
-// Controller is what a registry knows of guarded versions and release plans while it has rollout control.
-// A registry that gains control makes a new one, and the plans continue from their recorded progress.
+// Controller holds a registry's state of guarded versions and release plans while it has rollout control.
+// A registry that gains control creates a new Controller, and the plans continue from their recorded progress.
 //
-// It is a step function, and not safe for concurrent use: one goroutine of the registry calls it in
-// rounds, hands out the canary grants and writes the steps.
+// It is a step function and not safe for concurrent use. One goroutine of the registry calls it in rounds,
+// distributes the canary grants and writes the steps.
 type Controller struct {
 	options         Options
-	memberID        string        // of the registry, recorded with each progress
-	minStepInterval time.Duration // between two steps of a plan
+	memberID        string        // member id of this registry, recorded with each progress
+	minStepInterval time.Duration // shortest time between two steps of a plan
 	guardedVersions map[versionKey]*guardedVersion
-	trackedPlans    map[string]*trackedPlan // by name
-	// lastCounts are the highest counts of each proxy process. Processes that ended stay in it, because
-	// the sums must not fall.
+	trackedPlans    map[string]*trackedPlan // by plan name
+	// lastCounts holds the highest counts of each proxy process. Counts of processes that have ended are kept,
+	// because the sums must not fall.
 	lastCounts map[sourceKey]*schema.SourceCounts
 }
 
+// versionKey identifies a version of a service.
 type versionKey struct{ service, version string }
 
-// guardedVersion is what is known of a version, as stated in one configuration revision. What was learned
-// under an earlier statement does not count.
+// guardedVersion is the evaluation of a version under one configuration revision. Observations made under an
+// earlier revision do not count.
 type guardedVersion struct {
-	revision         uint64
+	revision         uint64 // configuration revision that defined the version
 	rollbackGuard    RollbackGuard
 	failureEvidence  FailureEvidence
-	evidenceStrength float64 // of the latest round
-	evidenceVerdict  string  // of the latest round
-	stopVerdict      string  // why the version must be stopped; empty if not. Once set, it stays
-	recovered        bool    // as of the latest round
+	evidenceStrength float64 // strength that failureEvidence returned in the latest round; bad from 1
+	evidenceVerdict  string  // verdict that failureEvidence returned in the latest round
+	stopVerdict      string  // why the version must be stopped, empty if it need not be; never cleared once set
+	recovered        bool    // result of rollbackGuard.Recovered in the latest round
 }
 
-// trackedPlan is what is known of a plan, as stated in one configuration revision.
+// trackedPlan is this controller's state of a plan under one configuration revision. All times are on the
+// clock that Reconcile is called with.
 type trackedPlan struct {
-	revision uint64
+	revision uint64 // configuration revision that defined the plan
 
-	// Of a plan by ramp:
-	firstCounts    VersionCounts // when this controller first saw the plan
-	lastStepCounts VersionCounts // at the last step after which the new version had calls
-	steppedAt      time.Duration
+	// The following fields are used by ramp plans.
+	firstCounts    VersionCounts // counts when this controller first saw the plan
+	lastStepCounts VersionCounts // counts at the last step after which the new version had calls
+	steppedAt      time.Duration // time of the last computed progress, or when this controller first saw the plan
 
-	// Of a plan by deadline:
-	rateWindowCounts    VersionCounts // at the start of the window in which rates are measured
-	rateWindowStartedAt time.Duration
-	moveKey             moveKey // of the last move that this controller observed
-	logOddsAtMove       float64 // of the failure evidence when moveKey changed
-	meanInFlight        float64 // calls in flight at all the service's workers, in the last window
-	callsPerSecond      float64 // of all the service's versions, in the last window
+	// The following fields are used by deadline plans.
+	rateWindowCounts    VersionCounts // counts at the start of the current rate window
+	rateWindowStartedAt time.Duration // start of the current rate window
+	lastTransition      transitionKey // last transition that this controller observed
+	logOddsAtTransition float64       // log odds of the failure evidence when lastTransition changed
+	meanInFlight        float64       // mean calls in flight at all workers of the service in the last rate window
+	callsPerSecond      float64       // call rate of all versions of the service in the last rate window
 }
 
-// moveKey identifies a move of a plan by deadline. A progress is also written without a move, and then
-// the key stays.
-type moveKey struct{ stateSince, weight int64 }
+// transitionKey identifies a transition of a deadline plan. A progress that is written without a transition
+// keeps the key.
+type transitionKey struct{ stateSince, weight int64 }
 
-// NewController makes the controller of the registry with the given member id. A plan makes at most one
-// step in minStepInterval.
+// NewController returns the controller of the registry with the given member id. A ramp plan makes at most
+// one regular step in minStepInterval. A deadline plan takes its intervals as multiples of it.
 func NewController(options Options, memberID string, minStepInterval time.Duration) *Controller {
 	return &Controller{
 		options:         options,
@@ -74,10 +76,11 @@
 	}
 }
 
-// SetOptions replaces the bounds by which versions are judged and plans make steps.
+// SetOptions replaces the thresholds by which versions are evaluated and plans make steps.
 func (c *Controller) SetOptions(options Options) { c.options = options }
 
-// NeedsControl reports whether a configuration gives a controller anything to do.
+// NeedsControl reports whether a configuration and the registered workers, by service and version, give a
+// controller anything to do.
 func NeedsControl(compiled *config.Snapshot, workers map[[2]string]WorkerPool) bool {
 	if len(compiled.GuardedVersions) > 0 || len(initialVersionSteps(compiled, workers)) > 0 {
 		return true
@@ -88,12 +91,12 @@
 		}
 	}
 	for _, plan := range compiled.Releases {
-		// A plan by ramp is judged even when it is done, and one by deadline only until it ends.
+		// A ramp plan is evaluated even when it is done, a deadline plan only until it ends.
 		recorded := progressOf(compiled, plan)
 		if plan.Strategy != config.StrategyDeadline || recorded == nil || inProgress(recorded.State) {
 			return true
 		}
-		// The operator may resume what the operator rolled back.
+		// The operator may resume a plan that the operator rolled back.
 		if recorded.Reason == reasonOperatorRollback && plan.Control != controlRollBack {
 			return true
 		}
@@ -101,22 +104,22 @@
 	return false
 }
 
-// JudgedServices tells which services have a version that is judged, so that proxies must report their
-// work counts, and whether there are any.
-func JudgedServices(compiled *config.Snapshot) (isJudged func(service string) bool, anyJudged bool) {
-	judged := map[string]bool{}
+// JudgedServices returns a function that reports whether a service has a version under evaluation, and
+// whether any service has one. Proxies must report their work counts of such services.
+func JudgedServices(compiled *config.Snapshot) (isEvaluated func(service string) bool, anyEvaluated bool) {
+	evaluated := map[string]bool{}
 	for service := range compiled.GuardedVersions {
-		judged[service] = true
+		evaluated[service] = true
 	}
 	for _, plan := range compiled.Releases {
 		if recorded := progressOf(compiled, plan); recorded == nil || inProgress(recorded.State) {
-			judged[plan.Service] = true
+			evaluated[plan.Service] = true
 		}
 	}
-	return func(service string) bool { return judged[service] }, len(judged) > 0
+	return func(service string) bool { return evaluated[service] }, len(evaluated) > 0
 }
 
-// CanaryGrants lists the guarded versions, and for each whether the proxies may use it.
+// CanaryGrants returns a grant for each guarded version. It tells the proxies whether they may use the version.
 func (c *Controller) CanaryGrants(compiled *config.Snapshot) []*schema.Canary {
 	var grants []*schema.Canary
 	for _, service := range slices.Sorted(maps.Keys(compiled.GuardedVersions)) {
@@ -127,11 +130,12 @@
 	return grants
 }
 
+// canaryGrant returns the grant of one guarded version.
 func (c *Controller) canaryGrant(compiled *config.Snapshot, service, version string) *schema.Canary {
 	revision, _ := compiled.GuardedRevision(service, version)
 	grant := &schema.Canary{Service: service, Version: version, PlanSequence: revision}
 	if plan := planFor(compiled, service, version); plan != nil {
-		// Unlike elsewhere, a progress of an earlier plan of the same name counts here.
+		// Unlike in progressOf, the progress of an earlier plan with the same name counts here.
 		progress := compiled.Progress[plan.Name]
 		grant.Blocked = progress != nil && progress.State == StateRolledBack
 	}
@@ -143,15 +147,15 @@
 	return grant
 }
 
-// Reconcile judges every guarded version and advances every plan by one round's observation. The steps
-// are to be written, in any order. If some can't be made, the others are returned with the last error. A
-// step that could not be made or written is not kept: the next round decides anew.
+// Reconcile evaluates every guarded version and advances every plan with one round's observation. It returns
+// the steps to write, in any order. If some steps cannot be built, it returns the others and the last error.
+// A step that could not be built or written is not retained: the next round computes it again.
 func (c *Controller) Reconcile(now time.Duration, compiled *config.Snapshot, state config.State,
 	observation FleetObservation) ([]Step, error) {
 	steps := initialVersionSteps(compiled, observation.Workers)
 	observation.Counts = c.withLastCounts(observation.Counts)
 	c.forgetObsolete(compiled)
-	stopSteps, err := c.judgeGuardedVersions(compiled, observation)
+	stopSteps, err := c.evaluateGuardedVersions(compiled, observation)
 	steps = append(steps, stopSteps...)
 	steps = append(steps, orphanedProgressSteps(compiled)...)
 	planSteps, planErr := c.advancePlans(now, compiled, state, observation)
@@ -161,7 +165,8 @@
 	return append(steps, planSteps...), err
 }
 
-// forgetObsolete forgets versions that are no longer judged, and plans that were deleted or restated.
+// forgetObsolete drops the state of versions that are no longer evaluated, and of plans that were deleted or
+// redefined.
 func (c *Controller) forgetObsolete(compiled *config.Snapshot) {
 	for key := range c.guardedVersions {
 		_, isGuarded := compiled.GuardedRevision(key.service, key.version)
@@ -176,15 +181,15 @@
 	}
 }
 
-// judgeGuardedVersions judges the guarded versions. A version that must be stopped and has no plan to be
-// rolled back gets a stop step, so that the stop outlives this controller.
-func (c *Controller) judgeGuardedVersions(compiled *config.Snapshot, observation FleetObservation) (steps []Step, lastErr error) {
+// evaluateGuardedVersions evaluates the guarded versions and returns stop steps. A version that must be stopped
+// and has no plan to roll back needs one, so that the stop outlives this controller.
+func (c *Controller) evaluateGuardedVersions(compiled *config.Snapshot, observation FleetObservation) (steps []Step, lastErr error) {
 	for _, service := range slices.Sorted(maps.Keys(compiled.GuardedVersions)) {
 		for _, version := range compiled.GuardedVersions[service] {
 			revision, _ := compiled.GuardedRevision(service, version)
 			guarded := c.guardedVersionFor(versionKey{service, version}, revision)
 			counts := GatherVersionCounts(observation.Counts, service, version, revision, compiled.FallbackOf(service))
-			c.judgeVersion(guarded, counts, observation.ReportingFraction, planGivesAllCalls(compiled, service, version))
+			c.evaluateVersion(guarded, counts, observation.ReportingFraction, planGivesAllCalls(compiled, service, version))
 			if guarded.stopVerdict == "" || planFor(compiled, service, version) != nil || compiled.ActiveStop(service, version) != nil {
 				continue
 			}
@@ -199,7 +204,8 @@
 	return steps, lastErr
 }
 
-// guardedVersionFor is what is known of a version under a revision, empty if that is nothing yet.
+// guardedVersionFor returns the state of a version under a configuration revision. It creates an empty one if
+// there is none.
 func (c *Controller) guardedVersionFor(key versionKey, revision uint64) *guardedVersion {
 	guarded := c.guardedVersions[key]
 	if guarded == nil || guarded.revision != revision {
@@ -209,9 +215,9 @@
 	return guarded
 }
 
-// judgeVersion takes a round's counts of a version into the rollback guard and the failure evidence. The
-// first of the two that finds the version bad gives the verdict.
-func (c *Controller) judgeVersion(guarded *guardedVersion, counts VersionCounts, reportingFraction float64, allCalls bool) {
+// evaluateVersion feeds a round's counts of a version to the rollback guard and the failure evidence. The first
+// of the two to find the version bad sets the stop verdict. The guard comes first in each round.
+func (c *Controller) evaluateVersion(guarded *guardedVersion, counts VersionCounts, reportingFraction float64, allCalls bool) {
 	verdict, failing := guarded.rollbackGuard.Observe(c.options, counts, reportingFraction)
 	if failing && guarded.stopVerdict == "" {
 		guarded.stopVerdict = verdict
@@ -223,20 +229,20 @@
 	}
 }
 
-// planGivesAllCalls reports whether a version's plan gives it all calls.
+// planGivesAllCalls reports whether the recorded progress of a version's plan gives the version all calls.
 func planGivesAllCalls(compiled *config.Snapshot, service, version string) bool {
 	recorded := progressOf(compiled, planFor(compiled, service, version))
 	return recorded != nil && recorded.Percentage >= maxPercent
 }
 
 // isDraining reports whether a version's plan has made it the fallback and waits for the last calls of the
-// old version. The version is then no longer guarded, but still judged.
+// old version. The version is then no longer guarded, but still evaluated.
 func isDraining(compiled *config.Snapshot, service, version string) bool {
 	recorded := progressOf(compiled, planFor(compiled, service, version))
 	return recorded != nil && recorded.State == StateDraining
 }
 
-// orphanedProgressSteps delete the progress of plans that were deleted.
+// orphanedProgressSteps returns the steps that delete the progress of deleted plans.
 func orphanedProgressSteps(compiled *config.Snapshot) []Step {
 	var steps []Step
 	for _, name := range slices.Sorted(maps.Keys(compiled.Progress)) {
@@ -247,7 +253,7 @@
 	return steps
 }
 
-// advancePlans makes the next step of every plan that has one.
+// advancePlans returns the next step of every plan that has one, and the last error.
 func (c *Controller) advancePlans(now time.Duration, compiled *config.Snapshot, state config.State,
 	observation FleetObservation) (steps []Step, lastErr error) {
 	for _, name := range slices.Sorted(maps.Keys(compiled.Releases)) {
@@ -266,7 +272,8 @@
 	return steps, lastErr
 }
 
-// trackedPlanFor is what is known of a plan, begun with the given counts if that is nothing yet.
+// trackedPlanFor returns this controller's state of a plan. If there is none, it creates one that starts with
+// the given counts and time.
 func (c *Controller) trackedPlanFor(now time.Duration, plan *config.Release, counts VersionCounts) *trackedPlan {
 	tracked := c.trackedPlans[plan.Name]
 	if tracked == nil {
@@ -283,9 +290,10 @@
 	return tracked
 }
 
-// stamp marks a progress as written by this controller. A controller that takes another member's plan over
-// raises the term, and the store then refuses as stale the steps that the other member still has in flight.
-func (c *Controller) stamp(plan *config.Release, before, after config.Progress) config.Progress {
+// withWriter returns after with this controller recorded as its writer. A controller that takes over another
+// member's plan raises the controller term, which acts as a fencing token: the store rejects as stale the steps
+// that the other member still has in flight.
+func (c *Controller) withWriter(plan *config.Release, before, after config.Progress) config.Progress {
 	after.PlanID = planIdentity(plan)
 	after.Controller = c.memberID
 	after.ControllerTerm = before.ControllerTerm
--- a/internal/release/counts.go
+++ b/internal/release/counts.go
@@ -6,15 +6,16 @@
 	"meadowhinge/schema"
 )
 
-// CallStats is what was counted of a version, on one route or on several together.
+// CallStats holds the call counts of a version, on one route or summed over several.
 type CallStats struct {
-	Calls          uint64                     // that ended
-	Failures       uint64                     // of those calls
-	TotalLatency   time.Duration              // of those calls
-	LatencyBuckets [LatencyBucketCount]uint64 // calls that did not fail, by LatencyBucket
+	Calls          uint64                     // calls that ended
+	Failures       uint64                     // ended calls that failed
+	TotalLatency   time.Duration              // sum of the latencies of all ended calls
+	LatencyBuckets [LatencyBucketCount]uint64 // ended calls that did not fail, indexed by LatencyBucket
 	InFlight       uint64                     // calls that have not ended, by the latest reports
 }
 
+// add adds all counts of other to c.
 func (c *CallStats) add(other CallStats) {
 	c.Calls += other.Calls
 	c.Failures += other.Failures
@@ -25,8 +26,8 @@
 	}
 }
 
-// minus is what was counted after an earlier count. A counter that fell, because a proxy's counts
-// vanished with it, gives 0. InFlight is no counter, and stays.
+// minus returns the increase of each counter since an earlier count. A counter that fell, because a proxy's
+// counts vanished with it, gives 0. InFlight is a gauge and stays as it is in c.
 func (c CallStats) minus(earlier CallStats) CallStats {
 	difference := CallStats{
 		Calls:        c.Calls - min(earlier.Calls, c.Calls),
@@ -40,8 +41,8 @@
 	return difference
 }
 
-// cappedAt scales a count down to at most maxCalls calls. Latency buckets and calls in flight are left
-// out: no caller uses them.
+// cappedAt returns the counts scaled down to at most maxCalls calls. Scaled counts have no latency buckets and
+// no calls in flight, because no caller uses them.
 func (c CallStats) cappedAt(maxCalls uint64) CallStats {
 	if c.Calls <= maxCalls {
 		return c
@@ -54,7 +55,7 @@
 	}
 }
 
-// failureRate is the fraction of calls that failed, 0 without calls.
+// failureRate returns the fraction of ended calls that failed, 0 without calls.
 func (c CallStats) failureRate() float64 {
 	if c.Calls == 0 {
 		return 0
@@ -62,7 +63,7 @@
 	return float64(c.Failures) / float64(c.Calls)
 }
 
-// meanLatency is in nanoseconds, 0 without calls.
+// meanLatency returns the mean latency of ended calls in nanoseconds, 0 without calls.
 func (c CallStats) meanLatency() float64 {
 	if c.Calls == 0 {
 		return 0
@@ -70,7 +71,7 @@
 	return float64(c.TotalLatency) / float64(c.Calls)
 }
 
-// total adds up the counts of all routes.
+// total returns the sum of the counts of all routes.
 func total(byRoute map[string]CallStats) (totals CallStats) {
 	for _, stats := range byRoute {
 		totals.add(stats)
@@ -78,14 +79,14 @@
 	return totals
 }
 
-// VersionCounts is what was counted of one service's versions, since the proxies started or in a window.
+// VersionCounts holds the call counts of one service's versions, since the proxies started or in a window.
 type VersionCounts struct {
-	Old    map[string]CallStats // of the fallback version, by route
-	New    map[string]CallStats // of the version that is judged, by route
-	Others CallStats            // of any other version, which may be bad itself and so is no baseline
+	Old    map[string]CallStats // counts of the fallback version, by route
+	New    map[string]CallStats // counts of the version under evaluation, by route
+	Others CallStats            // counts of all other versions; no baseline, because they may be bad themselves
 }
 
-// Since is what was counted after an earlier count.
+// Since returns the increase of the counts since an earlier count.
 func (v VersionCounts) Since(earlier VersionCounts) VersionCounts {
 	return VersionCounts{
 		Old:    subtractByRoute(v.Old, earlier.Old),
@@ -94,15 +95,16 @@
 	}
 }
 
-func subtractByRoute(now, earlier map[string]CallStats) map[string]CallStats {
+// subtractByRoute returns the increase of each route's counts since earlier.
+func subtractByRoute(latest, earlier map[string]CallStats) map[string]CallStats {
 	difference := map[string]CallStats{}
-	for route, stats := range now {
+	for route, stats := range latest {
 		difference[route] = stats.minus(earlier[route])
 	}
 	return difference
 }
 
-// allVersions adds up the service's calls at all its versions.
+// allVersions returns the sum of the counts of all versions.
 func (v VersionCounts) allVersions() CallStats {
 	totals := total(v.Old)
 	totals.add(total(v.New))
@@ -110,7 +112,7 @@
 	return totals
 }
 
-// NewPercent is the new version's percentage of the service's calls, 0 to 100; 0 without calls.
+// NewPercent returns the new version's percentage of the service's calls, from 0 to 100, and 0 without calls.
 func (v VersionCounts) NewPercent() float64 {
 	totals := v.allVersions()
 	if totals.Calls == 0 {
@@ -119,8 +121,8 @@
 	return 100 * float64(total(v.New).Calls) / float64(totals.Calls)
 }
 
-// GatherVersionCounts adds up what the proxies counted of a service: of the given version, as stated in
-// the given configuration revision, and of the fallback version that it is compared with.
+// GatherVersionCounts sums the proxies' counts of a service. New holds the counts of the given version under
+// the given configuration revision, Old those of the fallback version that it is compared with.
 func GatherVersionCounts(sources []*schema.SourceCounts, service, version string, revision uint64, fallback string) VersionCounts {
 	counts := VersionCounts{Old: map[string]CallStats{}, New: map[string]CallStats{}}
 	for _, source := range sources {
@@ -134,7 +136,8 @@
 			case work.Version == version && work.PlanSequence == revision:
 				byRoute = counts.New
 			case work.Version == version:
-				// Counted under an earlier statement of the version, which may have been another build.
+				// These calls were counted under an earlier definition of the version, which may have been
+				// another build.
 				continue
 			case work.Version == fallback:
 				byRoute = counts.Old
@@ -150,8 +153,8 @@
 	return counts
 }
 
-// callStatsOf converts a proxy's count. Calls in flight count only if the proxy reported them lately:
-// a proxy that has ended has none.
+// callStatsOf converts a proxy's count. Calls in flight are included only if the report is current, because a
+// proxy process that has ended has none.
 func callStatsOf(work *schema.WorkCount, current bool) CallStats {
 	stats := CallStats{
 		Calls:        work.Calls,
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -6,14 +6,14 @@
 	"meadowhinge/internal/config"
 )
 
-// rateWindow is the shortest time over which the rate of calls and the calls in flight are measured.
+// rateWindow is the shortest time over which the call rate and the calls in flight are measured.
 const rateWindow = time.Second
 
-// progressWritesPerPlan is how often in a plan's time its progress is written although nothing changes, so
-// that a registry that starts later knows how much of the time is over.
+// progressWritesPerPlan is the number of times during a plan that its progress is written although nothing
+// changed. A registry that starts later learns from it how much of the plan's duration has passed.
 const progressWritesPerPlan = 6
 
-// nextDeadlineStep makes the next step of a plan by deadline, nil if none is due.
+// nextDeadlineStep returns the next step of a deadline plan, nil if none is due.
 func (c *Controller) nextDeadlineStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release,
 	observation FleetObservation) (*Step, error) {
 	service := compiled.Services[plan.Service]
@@ -30,7 +30,7 @@
 		return nil, nil
 	}
 	if before.PreviousVersion == plan.Version {
-		// The version is the fallback already: there is nothing to move.
+		// The version is the fallback already, so there are no calls to shift.
 		after := before
 		after.State, after.Reason, after.Percentage = StateDone, reasonAllCalls, plan.Target
 		return c.deadlineStep(plan, compiled, state, before, after)
@@ -39,18 +39,19 @@
 	return c.deadlineStep(plan, compiled, state, before, c.options.NextDeadlineProgress(plan, before, inputs))
 }
 
-// deadlineInputs gathers what a plan's next progress depends on. It takes the round's counts into what is known
-// of the plan and, unless that was done before in this round, of its version.
+// deadlineInputs returns the inputs of a plan's next progress. It updates the tracked plan with the round's
+// counts, and evaluates the plan's version unless that was done earlier in this round.
 func (c *Controller) deadlineInputs(now time.Duration, compiled *config.Snapshot, plan *config.Release,
 	before config.Progress, recorded deadlineRecord, observation FleetObservation) DeadlineInputs {
 	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, before.PreviousVersion)
 	guarded := c.guardedVersionFor(versionKey{plan.Service, plan.Version}, plan.Revision)
-	// Guarded versions were judged before the plans advance; one that is draining is judged here.
+	// Guarded versions were evaluated before the plans advance. The version of a draining plan is no longer
+	// guarded, so it is evaluated here.
 	if _, isGuarded := compiled.GuardedRevision(plan.Service, plan.Version); !isGuarded {
-		c.judgeVersion(guarded, counts, observation.ReportingFraction, planGivesAllCalls(compiled, plan.Service, plan.Version))
+		c.evaluateVersion(guarded, counts, observation.ReportingFraction, planGivesAllCalls(compiled, plan.Service, plan.Version))
 	}
 	tracked := c.trackedPlanFor(now, plan, counts)
-	tracked.recordMove(before, guarded.failureEvidence.LogOdds())
+	tracked.recordTransition(before, guarded.failureEvidence.LogOdds())
 	tracked.measureRates(now, counts)
 	pool := observation.Workers[[2]string{plan.Service, plan.Version}]
 	inputs := DeadlineInputs{
@@ -58,7 +59,7 @@
 		MinStepInterval:    c.minStepInterval,
 		EvidenceStrength:   guarded.evidenceStrength,
 		EvidenceReason:     guarded.evidenceVerdict,
-		HealthLogOdds:      tracked.logOddsAtMove - guarded.failureEvidence.LogOdds(),
+		HealthLogOdds:      tracked.logOddsAtTransition - guarded.failureEvidence.LogOdds(),
 		NewCalls:           total(counts.New).Calls,
 		CallsPerSecond:     tracked.callsPerSecond,
 		MeanInFlight:       tracked.meanInFlight,
@@ -73,15 +74,15 @@
 	return inputs
 }
 
-// deadlineRecord is what is recorded of a plan by deadline.
+// deadlineRecord is the recorded progress of a deadline plan and its position in time.
 type deadlineRecord struct {
-	progress config.Progress // zero if none is recorded
-	sequence uint64          // of the plan's last step, or of the plan if it made none
-	elapsed  time.Duration   // since the plan was stated
+	progress config.Progress // recorded progress, zero if there is none
+	sequence uint64          // configuration sequence of the plan's last step, or of the plan if it made none
+	elapsed  time.Duration   // time since the plan was created
 }
 
-// recordedDeadlineProgress reads a plan's progress. A registry that started after the plan was stated adds
-// the time since it learned of the last write to the time recorded then.
+// recordedDeadlineProgress returns a plan's record. A registry that started after the plan was created adds the
+// time since it learned of the last write to the elapsed time in that write.
 func recordedDeadlineProgress(compiled *config.Snapshot, state config.State, plan *config.Release,
 	observation FleetObservation) deadlineRecord {
 	record := deadlineRecord{sequence: plan.Revision, elapsed: observation.KnownFor(plan.Revision)}
@@ -93,17 +94,17 @@
 	return record
 }
 
-// recordMove records the failure evidence as it was when the plan's last move took effect, so that the
-// evidence of the calls since then can be told apart.
-func (t *trackedPlan) recordMove(before config.Progress, logOdds float64) {
-	if key := (moveKey{before.StateSince, int64(before.Weight)}); t.moveKey != key {
-		t.moveKey = key
-		t.logOddsAtMove = logOdds
+// recordTransition records the log odds of the failure evidence when the plan's last transition is first
+// observed. The difference from later log odds is the evidence of the calls since then.
+func (t *trackedPlan) recordTransition(before config.Progress, logOdds float64) {
+	if key := (transitionKey{before.StateSince, int64(before.Weight)}); t.lastTransition != key {
+		t.lastTransition = key
+		t.logOddsAtTransition = logOdds
 	}
 }
 
-// measureRates measures the service's rate of calls and calls in flight, once the window is long enough, and
-// starts the next window.
+// measureRates computes the service's call rate and mean calls in flight once the window has lasted rateWindow,
+// and starts the next window.
 func (t *trackedPlan) measureRates(now time.Duration, counts VersionCounts) {
 	window := now - t.rateWindowStartedAt
 	if window < rateWindow {
@@ -116,15 +117,15 @@
 	t.rateWindowStartedAt = now
 }
 
-// deadlineStep writes a plan's progress with the flag and the discovered versions that follow from it. It
-// is nil if nothing changed and the progress was written lately.
+// deadlineStep returns the step that writes a plan's progress, with the flag and the discovered versions that
+// follow from it. It returns nil if nothing changed and the progress was written recently.
 func (c *Controller) deadlineStep(plan *config.Release, compiled *config.Snapshot, state config.State,
 	before, after config.Progress) (*Step, error) {
 	changed := before.State != after.State || before.Weight != after.Weight || before.Reason != after.Reason
 	if !changed && after.Elapsed-before.Elapsed < int64(plan.Duration)/progressWritesPerPlan {
 		return nil, nil
 	}
-	after = c.stamp(plan, before, after)
+	after = c.withWriter(plan, before, after)
 	step := &Step{Name: plan.Name, Urgent: after.State == StateRolledBack}
 	if changed {
 		step.Message = "rollout step"
@@ -138,34 +139,34 @@
 		}
 	}
 	if !changed || after.State == StateDone {
-		return step, step.put(progressKind, plan.Name, after)
+		return step, step.appendItem(progressKind, plan.Name, after)
 	}
-	// An operator's own flag keeps its targets and rules.
+	// A flag that an operator wrote keeps its targets and rules.
 	if !usesDiscoveredVersions(compiled, plan.Service) {
 		items, err := flagAndProgressItems(plan, compiled, state, after)
 		step.Items = items
 		return step, err
 	}
-	return step, step.putDiscoveredVersions(plan, compiled, after)
+	return step, step.appendDiscoveredVersionItems(plan, compiled, after)
 }
 
-// putDiscoveredVersions appends the flag, the discovered versions if their fallback changes, and the
-// progress of a plan for a service whose versions are discovered. A draining plan has made its version
-// the fallback; any other has its version beside the previous one.
-func (s *Step) putDiscoveredVersions(plan *config.Release, compiled *config.Snapshot, after config.Progress) error {
+// appendDiscoveredVersionItems adds the items of a plan for a service whose versions are discovered: the flag,
+// the discovered versions if their fallback changes, and the progress. A draining plan makes its version the
+// fallback. In all other states the previous version is the fallback.
+func (s *Step) appendDiscoveredVersionItems(plan *config.Release, compiled *config.Snapshot, after config.Progress) error {
 	fallback := after.PreviousVersion
 	if after.State == StateDraining {
 		fallback = plan.Version
 	}
 	rolloutFlag := newRolloutFlag(compiled, plan.Service, fallback, plan.Version, after.Weight)
 	rolloutFlag.On = after.State != StateRolledBack
-	if err := s.put(flagKind, config.VersionFlagKey(plan.Service), rolloutFlag); err != nil {
+	if err := s.appendItem(flagKind, config.VersionFlagKey(plan.Service), rolloutFlag); err != nil {
 		return err
 	}
 	if compiled.DiscoveredVersions[plan.Service].Fallback != fallback {
-		if err := s.put(discoveredVersionsKind, plan.Service, newDiscoveredVersions(fallback, plan.Version)); err != nil {
+		if err := s.appendItem(discoveredVersionsKind, plan.Service, newDiscoveredVersions(fallback, plan.Version)); err != nil {
 			return err
 		}
 	}
-	return s.put(progressKind, plan.Name, after)
+	return s.appendItem(progressKind, plan.Name, after)
 }
--- a/internal/release/discovered_versions.go
+++ b/internal/release/discovered_versions.go
@@ -7,8 +7,8 @@
 	"meadowhinge/internal/config"
 )
 
-// initialVersionSteps state the first versions of services whose configuration leaves them out: the
-// version of most registered workers becomes the fallback, until a plan replaces it.
+// initialVersionSteps returns the steps that set the first version of each service whose configuration lists
+// none. The version of most registered workers becomes the fallback, until a plan replaces it.
 func initialVersionSteps(compiled *config.Snapshot, workers map[[2]string]WorkerPool) []Step {
 	var steps []Step
 	for _, name := range slices.Sorted(maps.Keys(compiled.Services)) {
@@ -23,8 +23,8 @@
 	return steps
 }
 
-// mostCommonVersion is the version with the most workers of a service, the first by name of several, and
-// empty if the service has no workers.
+// mostCommonVersion returns the version with the most workers of a service. Among several it is the first by
+// name. It is empty if the service has no workers.
 func mostCommonVersion(service string, workers map[[2]string]WorkerPool) string {
 	version, mostWorkers := "", 0
 	for key, pool := range workers {
@@ -35,6 +35,7 @@
 	return version
 }
 
+// initialVersionStep returns the step that makes a version the only one of a service, and its fallback.
 func initialVersionStep(compiled *config.Snapshot, service, version string) Step {
 	step := Step{
 		Name:      "standing-" + service,
@@ -42,16 +43,16 @@
 		LogFields: []any{"service", service, "version", version},
 	}
 	flagKey := config.VersionFlagKey(service)
-	// Both bodies hold strings and integers alone, which can always be encoded.
-	_ = step.put(discoveredVersionsKind, service, newDiscoveredVersions(version, version))
-	// A flag that an operator wrote before stays.
+	// Encoding cannot fail, because both bodies hold strings and integers only.
+	_ = step.appendItem(discoveredVersionsKind, service, newDiscoveredVersions(version, version))
+	// A flag that an operator wrote earlier is kept.
 	if compiled.Flags.Flags[flagKey] == nil {
-		_ = step.put(flagKind, flagKey, newRolloutFlag(compiled, service, version, version, 0)) // as above
+		_ = step.appendItem(flagKind, flagKey, newRolloutFlag(compiled, service, version, version, 0)) // as above
 	}
 	return step
 }
 
-// usesDiscoveredVersions reports whether a service has its versions from a discovered-versions item rather
+// usesDiscoveredVersions reports whether a service gets its versions from a discovered-versions item rather
 // than from its own configuration.
 func usesDiscoveredVersions(compiled *config.Snapshot, service string) bool {
 	definition, discovered := compiled.Services[service], compiled.DiscoveredVersions[service]
@@ -59,7 +60,8 @@
 		slices.Equal(definition.Versions, discovered.Versions)
 }
 
-// newDiscoveredVersions lists the fallback version, and another one if it differs.
+// newDiscoveredVersions returns an item body that lists the fallback version, and the other version if it
+// differs.
 func newDiscoveredVersions(fallback, version string) config.DiscoveredVersions {
 	versions := []string{fallback}
 	if version != fallback {
--- a/internal/release/doc.go
+++ b/internal/release/doc.go
@@ -1,22 +1,27 @@
-// Package release is the rollout controller: from what the proxies counted of an old and a new version
-// it decides how many calls the new version gets next, or that it must be rolled back.
+// Package release implements the rollout controller. It compares the call counts that proxies report for an
+// old and a new version of a service. From these it decides the new version's next percentage of calls, or
+// that the version must be rolled back.
 //
-//   - [Controller] holds what one registry knows of guarded versions and release plans while it has
-//     rollout control. [Controller.Reconcile] judges them and returns [Step] values, changes to be written
-//     to the configuration. Whatever must outlive the controller is in those changes.
-//   - A version is judged by [RollbackGuard], which compares failures in sliding windows, and by
-//     [FailureEvidence], a sequential test that reacts within few calls.
-//   - [Options.NextRampProgress] and [Options.NextDeadlineProgress] are the two strategies of a plan,
-//     as pure functions of the recorded progress and the evidence.
-//   - [PlanRollout] turns an operator's request into the step that states a plan.
+//   - [Controller] holds the state of one registry's rollout control: the guarded versions and the release
+//     plans. [Controller.Reconcile] evaluates them and returns [Step] values, which are changes to be written
+//     to the configuration. State that must survive a change of controller is stored in those changes.
+//   - Two detectors evaluate a version. [RollbackGuard] compares failures in sliding windows.
+//     [FailureEvidence] is a sequential test that reacts within few calls.
+//   - [Options.NextRampProgress] and [Options.NextDeadlineProgress] implement the two rollout strategies as
+//     pure functions of the recorded progress and the evidence.
+//   - [PlanRollout] turns an operator's request into the step that creates a plan.
 //
-// The package does no I/O and reads no clock. The registry that has rollout control gathers counts,
-// calls Reconcile and writes the steps; the simulator drives the same code. Nothing here is safe for
-// concurrent use: a controller belongs to one goroutine.
+// The package does no I/O and reads no clock. The registry that has rollout control gathers counts, calls
+// Reconcile and writes the steps. The simulator drives the same code. Nothing here is safe for concurrent
+// use: one goroutine owns a controller.
 //
-// A guarded version is one that the version flag of a service may pick besides the fallback
+// A guarded version is one that the version flag of a service may select besides the fallback
 // (config.Snapshot.GuardedVersions). A canary grant tells proxies whether they may use it.
 //
-// Units: a percentage runs from 0 to 100, a flag's weight from 0 to 100000 (flag.TotalWeight), a rate
-// is a fraction from 0 to 1, and Elapsed in a progress is in nanoseconds.
+// A release plan uses one of two strategies. A ramp plan raises the percentage in proportion to the time in
+// which the new version performed no worse than the old one. A deadline plan keeps a canary for most of the
+// plan's duration and completes the rollout before the deadline.
+//
+// Units: a percentage ranges from 0 to 100, a flag's weight from 0 to 100000 (flag.TotalWeight), and a rate
+// is a fraction from 0 to 1. Elapsed in a progress is in nanoseconds.
 package release
--- a/internal/release/options.go
+++ b/internal/release/options.go
@@ -1,31 +1,44 @@
 package release
 
-// Options are the bounds by which versions are judged and plans make steps. The registry sets them from
-// its settings.
+// Options are the thresholds by which versions are evaluated and plans make steps. The registry sets them
+// from its settings.
 type Options struct {
-	CanaryPercent float64 // percent of calls that a version gets until it is known
-	MinCalls      uint64  // calls of the new version on a route from which it is known there
+	// CanaryPercent is the percentage of calls that a new version gets in the canary state.
+	CanaryPercent float64
+	// MinCalls is the number of the new version's calls on a route that are enough to evaluate it there.
+	MinCalls uint64
 
-	FailureThreshold    uint64  // failures of the new version below which IsFailing does not judge their rate
-	FailureRateMargin   float64 // failure rate allowed above the multiple of the old version's
-	FailureRateMultiple float64 // allowed multiple of the old version's failure rate
-	MinStandardErrors   float64 // standard errors by which the failure rates must differ, to exclude chance
-	LatencyMultiple     float64 // multiple of the old version's mean latency from which the new one counts as failing
+	// FailureThreshold is the number of the new version's failures below which IsFailing ignores its failure rate.
+	FailureThreshold uint64
+	// FailureRateMargin is the failure rate, 0 to 1, that the new version may have in addition to
+	// FailureRateMultiple times the old version's rate.
+	FailureRateMargin float64
+	// FailureRateMultiple is the allowed multiple of the old version's failure rate.
+	FailureRateMultiple float64
+	// MinStandardErrors is the number of standard errors by which the failure rates must differ for the
+	// difference not to be attributed to chance.
+	MinStandardErrors float64
+	// LatencyMultiple is the multiple of the old version's mean latency above which the new version is slow.
+	LatencyMultiple float64
 
-	RampSteps int // steps in which a ramp reaches its target
+	// RampSteps is the number of steps in which a ramp plan reaches its target.
+	RampSteps int
 
-	// RollbackLogOdds is the natural logarithm of how much likelier "bad" than "healthy" must be, by the
-	// failure evidence, for a version to be stopped.
+	// RollbackLogOdds is the natural logarithm of the likelihood ratio of "bad" to "healthy" at which the
+	// failure evidence stops a version.
 	RollbackLogOdds float64
 
-	// MaxBadFraction bounds, for a plan by deadline, the fraction of the service's calls in the plan's time
-	// that a bad version may get. 0 sets no bound.
-	MaxBadFraction    float64
-	BadCallsMargin    float64 // calls allowed beyond that fraction
-	CanaryEndFraction float64 // fraction of its time after which a plan by deadline leaves the canary state
+	// MaxBadFraction limits the calls that a bad version may get under a deadline plan, as a fraction, 0 to 1,
+	// of the service's calls during the plan. 0 means no limit.
+	MaxBadFraction float64
+	// BadCallsMargin is the number of calls that a bad version may get in addition to MaxBadFraction.
+	BadCallsMargin float64
+	// CanaryEndFraction is the fraction of a deadline plan's duration, 0 to 1, after which it may leave the
+	// canary state.
+	CanaryEndFraction float64
 }
 
-// Defaults are the presets of the settings.
+// Defaults are the default values of the settings.
 var Defaults = Options{
 	CanaryPercent:       10,
 	MinCalls:            30,
--- a/internal/release/ramp.go
+++ b/internal/release/ramp.go
@@ -8,39 +8,40 @@
 	"meadowhinge/internal/flag"
 )
 
-// maxPercent is all calls.
+// maxPercent is the percentage of a version that gets all calls.
 const maxPercent = 100
 
-// weightPerPercent converts a percentage of calls to a weight of the flag.
+// weightPerPercent converts a percentage of calls to a flag's weight.
 const weightPerPercent = flag.TotalWeight / 100
 
 func weightOfPercent(percent float64) int { return int(percent * weightPerPercent) }
 
-// minCallsDivisor is the fraction of MinCalls without which a plan does not raise the percentage.
-const minCallsDivisor = 3
+// minCallsToRaiseDivisor gives the number of calls that a plan needs to raise the percentage: MinCalls divided
+// by this constant. A ramp plan counts the calls since its last step, a deadline plan those since it was created.
+const minCallsToRaiseDivisor = 3
 
-// rolledBack is a progress with the plan rolled back.
+// rolledBack returns progress in the rolled-back state: no calls, and the given reason.
 func rolledBack(progress config.Progress, reason string) config.Progress {
 	progress.State, progress.Reason = StateRolledBack, reason
 	progress.Percentage, progress.Weight = 0, 0
 	return progress
 }
 
-// operatorResumes reports whether the operator lets a plan continue that the operator rolled back. A plan
-// that was rolled back as bad stays so.
+// operatorResumes reports whether the operator resumes a plan that the operator rolled back. A plan whose
+// version was rolled back as bad cannot be resumed.
 func operatorResumes(plan *config.Release, before config.Progress) bool {
 	return before.State == StateRolledBack && before.Reason == reasonOperatorRollback && plan.Control != controlRollBack
 }
 
-// NextRampProgress decides the next progress of a plan by ramp: the percentage rises in proportion to the
-// time in which the new version proved no worse. The counts are those since the plan began and those
-// since the last step; elapsed is the time since the last step.
+// NextRampProgress returns the next progress of a ramp plan. The percentage rises in proportion to the time
+// in which the new version performed no worse than the old one. sinceStart counts calls since the plan began,
+// sinceLastStep those since the last step, and elapsed is the time since the last step.
 func (o Options) NextRampProgress(plan *config.Release, before config.Progress, sinceStart, sinceLastStep VersionCounts,
 	elapsed time.Duration) config.Progress {
 	after := before
 	switch {
 	case operatorResumes(plan, before):
-		// The plan begins anew, without its progress.
+		// A resumed plan starts over, without its earlier progress.
 		before.State = ""
 		after = config.Progress{
 			ControllerTerm: before.ControllerTerm,
@@ -66,15 +67,15 @@
 	return after
 }
 
-// raisePercentage decides the state and the percentage of a plan by ramp that neither the operator nor a
-// failure keeps from rising.
+// raisePercentage returns after with the next state and percentage of a ramp plan that neither the operator
+// nor a failing version holds back.
 func (o Options) raisePercentage(plan *config.Release, before, after config.Progress, sinceStart, sinceLastStep VersionCounts,
 	elapsed time.Duration) config.Progress {
 	canaryPercent := min(o.CanaryPercent, plan.Target)
 	switch {
 	case !o.isProven(sinceStart):
 		after.State, after.Reason, after.Percentage = StateCanary, reasonNotProven, canaryPercent
-	case total(sinceLastStep.New).Calls < o.MinCalls/minCallsDivisor && before.Percentage < plan.Target:
+	case total(sinceLastStep.New).Calls < o.MinCalls/minCallsToRaiseDivisor && before.Percentage < plan.Target:
 		after.State, after.Reason = StateHolding, reasonTooFewCalls
 		after.Percentage = max(before.Percentage, canaryPercent)
 	default:
@@ -88,21 +89,21 @@
 	return after
 }
 
-// Bounds of the weight's correction by the measured percentage.
+// Parameters of the feedback correction of a flag's weight by the measured percentage of calls.
 const (
-	samePercent             = 1e-9 // percentages that differ by less are the same set point
+	setPointTolerance       = 1e-9 // percentages that differ by less are the same set point
 	weightCorrectionDivisor = 2    // half of the measured deviation is corrected in one step
 	minWeightDivisor        = 2    // the weight is at least half of the set point
-	maxWeightMultiple       = 1.5  // and at most this multiple of it
+	maxWeightMultiple       = 1.5  // the weight is at most this multiple of the set point
 )
 
 // flagWeight converts the set point, after.Percentage, to the flag's weight. The flag splits contexts, and
-// contexts do not all make the same number of calls, so the measured percentage of calls corrects the
-// weight while the set point stays; never above CanaryPercent in the canary state.
+// contexts do not all make the same number of calls. So while the set point stays the same, the weight is
+// corrected by the measured percentage of calls. In the canary state it never exceeds CanaryPercent.
 func (o Options) flagWeight(before, after config.Progress, measuredPercent float64) int {
 	target := after.Percentage
 	weightPercent := target
-	if before.Weight > 0 && measuredPercent > 0 && math.Abs(before.Percentage-target) < samePercent {
+	if before.Weight > 0 && measuredPercent > 0 && math.Abs(before.Percentage-target) < setPointTolerance {
 		weightPercent = float64(before.Weight)/weightPerPercent + (target-measuredPercent)/weightCorrectionDivisor
 	}
 	weightPercent = max(target/minWeightDivisor, min(weightPercent, target*maxWeightMultiple))
@@ -112,13 +113,13 @@
 	return weightOfPercent(min(maxPercent, weightPercent))
 }
 
-// The smallest changes of a progress that are written although its state and reason stay.
+// The smallest changes of a progress that are written while its state and reason stay the same.
 const (
 	minPercentChangeToWrite = 0.5
 	minWeightChangeToWrite  = minPercentChangeToWrite * weightPerPercent
 )
 
-// NeedsWrite reports whether a progress differs enough from the recorded one to be written.
+// NeedsWrite reports whether the progress after differs enough from the recorded progress before to be written.
 func NeedsWrite(before, after config.Progress) bool {
 	return before.State != after.State || before.Reason != after.Reason ||
 		math.Abs(before.Percentage-after.Percentage) >= minPercentChangeToWrite ||
--- a/internal/release/ramp_step.go
+++ b/internal/release/ramp_step.go
@@ -6,7 +6,7 @@
 	"meadowhinge/internal/config"
 )
 
-// nextRampStep makes the next step of a plan by ramp, nil if none is due or worth a write.
+// nextRampStep returns the next step of a ramp plan, or nil if none is due or the change is too small to write.
 func (c *Controller) nextRampStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release,
 	observation FleetObservation) (*Step, error) {
 	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, compiled.FallbackOf(plan.Service))
@@ -34,14 +34,15 @@
 	if !NeedsWrite(before, after) {
 		return nil, nil
 	}
-	after = c.stamp(plan, before, after)
+	after = c.withWriter(plan, before, after)
 	items, err := flagAndProgressItems(plan, compiled, state, after)
 	return &Step{Name: plan.Name, Items: items, Urgent: after.State == StateRolledBack}, err
 }
 
-// isRampStepDue reports whether a plan by ramp decides now: after its step interval, or at once when it is
-// new, must be rolled back, or the operator rolls it back or resumes it. The last also holds in every round
-// for a plan that was rolled back as bad; it then decides to stay so.
+// isRampStepDue reports whether the next progress of a ramp plan is computed in this round. It is after the
+// step interval, and at once if the plan is new, must be rolled back, or is rolled back or resumed by the
+// operator. The check for a resumed plan also holds in every round for a plan that was rolled back as bad.
+// NextRampProgress then leaves that plan rolled back.
 func (c *Controller) isRampStepDue(now time.Duration, plan *config.Release, tracked *trackedPlan, before config.Progress,
 	stopVerdict string) bool {
 	stepInterval := max(plan.Duration/time.Duration(c.options.RampSteps), c.minStepInterval)
--- a/internal/release/rollout_flag.go
+++ b/internal/release/rollout_flag.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"slices"
 
 	"meadowhinge/internal/config"
@@ -10,15 +11,16 @@
 	"meadowhinge/schema"
 )
 
-// newRolloutFlag is the flag that gives a version the weight, 0 to flag.TotalWeight, of a service's calls
-// and the fallback version the rest. An existing flag's salt stays, so that contexts keep their buckets.
+// newRolloutFlag returns the flag that gives a version the weight, from 0 to flag.TotalWeight, of a service's
+// calls and the fallback version the rest. It keeps the salt of an existing flag, so that contexts keep their
+// buckets.
 func newRolloutFlag(compiled *config.Snapshot, service, fallback, version string, weight int) *flag.Flag {
 	rolloutFlag := &flag.Flag{On: true, Salt: service, Variations: []string{fallback}}
 	if current := compiled.Flags.Flags[config.VersionFlagKey(service)]; current != nil {
 		rolloutFlag.Salt = current.Salt
 	}
 	if version == fallback {
-		rolloutFlag.Fallthrough.Variation = new(int) // variation 0, stated rather than left out
+		rolloutFlag.Fallthrough.Variation = new(int) // variation 0, set explicitly
 		return rolloutFlag
 	}
 	rolloutFlag.Variations = append(rolloutFlag.Variations, version)
@@ -29,28 +31,29 @@
 	return rolloutFlag
 }
 
-// flagAndProgressItems are the progress of a plan and the operator's flag edited to follow it, to be
-// written as one change.
+// flagAndProgressItems returns the operator's flag, edited to follow a plan's progress, and the progress itself,
+// to be written as one change. It fails with code errs.InvalidConfig if the flag or the service no longer exists
+// or the flag cannot be decoded, and with errs.Internal if the encoding fails.
 func flagAndProgressItems(plan *config.Release, compiled *config.Snapshot, state config.State,
 	after config.Progress) ([]*schema.Item, error) {
 	key := config.VersionFlagKey(plan.Service)
 	flagItem := state[config.Key(flagKind, key)]
 	rolloutFlag, service := compiled.Flags.Flags[key], compiled.Services[plan.Service]
 	if flagItem == nil || rolloutFlag == nil || service == nil {
-		return nil, errs.New(errs.InvalidConfig, key+" is gone")
+		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf("flag %q or service %q no longer exists", key, plan.Service))
 	}
 	flagFields := map[string]any{}
 	if err := json.Unmarshal(flagItem.Body, &flagFields); err != nil {
-		return nil, errs.Wrap(err, errs.InvalidConfig, key)
+		return nil, errs.Wrap(err, errs.InvalidConfig, fmt.Sprintf("decoding flag %q", key))
 	}
 	editRolloutFlag(flagFields, rolloutFlag.Variations, plan.Version, service.Fallback, after)
 	flagBody, err := json.Marshal(flagFields)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, key)
+		return nil, errs.Wrap(err, errs.Internal, fmt.Sprintf("encoding flag %q", key))
 	}
 	progressBody, err := json.Marshal(after)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, plan.Name)
+		return nil, errs.Wrap(err, errs.Internal, fmt.Sprintf("encoding progress of plan %q", plan.Name))
 	}
 	return []*schema.Item{
 		{Kind: flagKind, Name: key, Body: flagBody},
@@ -58,9 +61,9 @@
 	}, nil
 }
 
-// editRolloutFlag sets the split of an operator's flag to a progress, or turns the flag off to the fallback
-// version if the plan is rolled back. It edits the decoded JSON rather than a flag.Flag, so that the
-// operator's targets, rules and unknown fields stay.
+// editRolloutFlag sets the weights of an operator's flag to those of a progress. If the plan is rolled back, it
+// turns the flag off, with the fallback version as the off variation. It edits the decoded JSON rather than a
+// flag.Flag, so that the operator's targets, rules and unknown fields are kept.
 func editRolloutFlag(flagFields map[string]any, variations []string, version, fallback string, after config.Progress) {
 	// A version that the flag does not list counts as its first variation.
 	variationIndex := func(name string) int { return max(0, slices.Index(variations, name)) }
--- a/internal/release/rollout_order.go
+++ b/internal/release/rollout_order.go
@@ -8,26 +8,28 @@
 	"meadowhinge/internal/errs"
 )
 
-// RolloutOrder is an operator's request that all calls of a service move to a version.
+// RolloutOrder is an operator's request to shift all calls of a service to a version.
 type RolloutOrder struct {
-	Service string
-	Version string
-	Within  time.Duration // deadline, counted from when the order is written; above 0
+	Service string        // name of the service
+	Version string        // version that is to get all calls
+	Within  time.Duration // deadline, counted from the time when the order is written; must be above 0
 }
 
-// PlanRollout turns an order into the step that states its plan: the version is allowed, the flag can
-// give it, and the plan says by when. The step is nil if the service's plan moves calls to the version
-// already, or has done so. An impossible order is an errs.InvalidConfig error, and an order for a service
-// without any known version an errs.NoQuorum error, because the versions may become known later.
+// PlanRollout returns the step that creates the plan for an order. The step allows the version, adds it to the
+// service's flag and writes a deadline plan. It is nil if the service's plan shifts calls to the version
+// already, or has done so. PlanRollout fails with code errs.InvalidConfig if the order is invalid. It fails
+// with code errs.NoQuorum if no version of the service is known, because one may become known later.
 func PlanRollout(compiled *config.Snapshot, state config.State, order RolloutOrder) (*Step, error) {
 	service := compiled.Services[order.Service]
 	switch {
 	case service == nil:
 		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf("service %q does not exist", order.Service))
 	case order.Version == "" || order.Within <= 0:
-		return nil, errs.New(errs.InvalidConfig, "an order needs a version and a time")
+		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf(
+			"rollout of service %q needs a version and a deadline above 0, got version %q within %v",
+			order.Service, order.Version, order.Within))
 	case service.Fallback == "":
-		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("no version of %q is known yet", order.Service))
+		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("no version of service %q is known yet", order.Service))
 	}
 	version, planState := RolloutState(compiled, order.Service)
 	if version == order.Version && planState != "" && planState != StateRolledBack {
@@ -40,16 +42,16 @@
 	step := &Step{Name: "order-" + order.Service}
 	step.removeSuperseded(compiled, state, order)
 	if discovered {
-		if err := step.put(discoveredVersionsKind, order.Service, newDiscoveredVersions(service.Fallback, order.Version)); err != nil {
+		if err := step.appendItem(discoveredVersionsKind, order.Service, newDiscoveredVersions(service.Fallback, order.Version)); err != nil {
 			return nil, err
 		}
 	}
-	// The version gets no call yet: the controller's first step moves the plan to the canary state.
+	// The version gets no calls yet. The controller's first step moves the plan to the canary state.
 	rolloutFlag := newRolloutFlag(compiled, order.Service, service.Fallback, order.Version, 0)
-	if err := step.put(flagKind, config.VersionFlagKey(order.Service), rolloutFlag); err != nil {
+	if err := step.appendItem(flagKind, config.VersionFlagKey(order.Service), rolloutFlag); err != nil {
 		return nil, err
 	}
-	err := step.put(releaseKind, order.Service, config.Release{
+	err := step.appendItem(releaseKind, order.Service, config.Release{
 		Service:      order.Service,
 		Version:      order.Version,
 		Target:       maxPercent,
@@ -60,21 +62,21 @@
 	return step, err
 }
 
-// removeSuperseded deletes what an order replaces: other plans of the service, since a service has one
-// plan, the progress of the plan before, and a stop of the version.
+// removeSuperseded adds the deletion of the items that an order replaces: other plans of the service and their
+// progress, because a service has one plan, the progress of the previous plan, and a stop of the version.
 func (s *Step) removeSuperseded(compiled *config.Snapshot, state config.State, order RolloutOrder) {
 	for name, plan := range compiled.Releases {
 		if plan.Service == order.Service && name != order.Service {
-			s.remove(state, releaseKind, name)
-			s.remove(state, progressKind, name)
+			s.appendDeletion(state, releaseKind, name)
+			s.appendDeletion(state, progressKind, name)
 		}
 	}
-	s.remove(state, progressKind, order.Service)
-	s.remove(state, stopKind, config.StopName(order.Service, order.Version))
+	s.appendDeletion(state, progressKind, order.Service)
+	s.appendDeletion(state, stopKind, config.StopName(order.Service, order.Version))
 }
 
-// RolloutState is the version of a service's plan, and the state of that plan. Both are empty if the
-// service has no plan.
+// RolloutState returns the version of a service's plan and the state of that plan. Both are empty if the service
+// has no plan. A plan without recorded progress is done if its version is the fallback, and else a canary.
 func RolloutState(compiled *config.Snapshot, service string) (version, state string) {
 	for _, plan := range compiled.Releases {
 		if plan.Service != service {
@@ -92,11 +94,11 @@
 	return "", ""
 }
 
-// planIdentity is the plan that a progress belongs to, config.Progress.PlanID.
+// planIdentity returns the config.Progress.PlanID of a plan's progress.
 func planIdentity(plan *config.Release) string { return plan.Service + " " + plan.Version }
 
-// progressOf is the recorded progress of a plan; nil if there is none, if it is of another plan that had
-// the same name, or if plan is nil.
+// progressOf returns the recorded progress of a plan. It is nil if there is none, if it belongs to another plan
+// that had the same name, or if plan is nil.
 func progressOf(compiled *config.Snapshot, plan *config.Release) *config.Progress {
 	if plan == nil {
 		return nil
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// planFor is the plan for a version of a service, nil for none.
+// planFor returns the plan for a version of a service, nil if there is none.
 func planFor(compiled *config.Snapshot, service, version string) *config.Release {
 	for _, plan := range compiled.Releases {
 		if plan.Service == service && plan.Version == version {
--- a/internal/release/states.go
+++ b/internal/release/states.go
@@ -2,30 +2,30 @@
 
 // The states of a plan, as stored in its progress.
 const (
-	// StateCanary gives the new version a small percentage, until enough is known of it.
+	// StateCanary means that the new version gets a small percentage of calls until enough of them were seen.
 	StateCanary = "trial"
-	// StateRamping raises the new version's percentage.
+	// StateRamping means that the new version's percentage is being raised.
 	StateRamping = "ramp"
-	// StateHolding keeps the percentage, because the operator wants that or evidence is lacking.
+	// StateHolding means that the percentage stays, because the operator holds it or too few calls were seen.
 	StateHolding = "hold"
-	// StateDraining is the state of a plan by deadline whose version has all calls, while the calls in
-	// flight at the old version end. Once none is left, the plan is done.
+	// StateDraining means that the new version of a deadline plan gets all calls while calls are still in
+	// flight at the old version. The plan is done when none is left.
 	StateDraining = "settle"
-	// StateDone has reached the target.
+	// StateDone means that the new version has reached the plan's target percentage.
 	StateDone = "done"
-	// StateRolledBack has the version's flag turned off.
+	// StateRolledBack means that the version's flag is turned off.
 	StateRolledBack = "back"
 )
 
-// The operator's control of a plan, config.Release.Control.
+// The values of config.Release.Control, by which the operator controls a plan.
 const (
 	controlGo       = "go"
 	controlHold     = "hold"
 	controlRollBack = "back"
 )
 
-// The reasons of a progress. They are stored with it; reasonOperatorRollback is also compared, because
-// the operator may resume only what the operator rolled back.
+// The reasons stored with a progress. reasonOperatorRollback is also compared with the stored value, because
+// the operator may resume only a plan that the operator rolled back.
 const (
 	reasonOperatorRollback = "the operator turned it back"
 	reasonOperatorHold     = "the operator holds it"
@@ -40,8 +40,8 @@
 	reasonAllCalls         = "the version has all calls"
 )
 
-// versionReason completes a verdict such as "fails on route buy" to the stored reason of a rollback or stop.
+// versionReason returns the stored reason of a rollback or stop for a verdict such as "fails on route buy".
 func versionReason(verdict string) string { return "the version " + verdict }
 
-// inProgress reports whether a plan in a state still makes steps.
+// inProgress reports whether a plan in the given state can still make steps.
 func inProgress(state string) bool { return state != StateDone && state != StateRolledBack }
--- a/internal/release/step.go
+++ b/internal/release/step.go
@@ -9,14 +9,14 @@
 	"meadowhinge/schema"
 )
 
-// The kinds of the items that steps write, and the prefix of the changes' ids.
+// The configuration item kinds that steps write, and the prefix of their change ids.
 const (
 	flagKind     = "flag"
 	releaseKind  = "release"
 	progressKind = "progress"
 	stopKind     = "stop"
-	// discoveredVersionsKind names the items that say which versions a service has whose configuration
-	// leaves them out. This package writes them, from worker registrations, orders and plans.
+	// discoveredVersionsKind is the kind of the items that list the versions of a service whose own
+	// configuration lists none. This package derives them from worker registrations, rollout orders and plans.
 	discoveredVersionsKind = "standing"
 
 	changeIDPrefix = "steer-"
@@ -24,18 +24,20 @@
 
 // Step is a set of items to be written to the configuration as one change.
 type Step struct {
-	Name  string         // of the plan, or of what else the step is about; part of the change's id
-	Items []*schema.Item // without versions: the store assigns them
-	// Message and LogFields are the step's log line, the fields as alternating keys and values. The message
-	// is empty for a step that is not worth a line.
-	Message   string
+	// Name identifies the step's subject, such as a plan or a stop. It is part of the change id.
+	Name string
+	// Items are the items to write. They carry no versions: the store assigns them.
+	Items []*schema.Item
+	// Message is the text of the step's log line. It is empty for a step that is not logged.
+	Message string
+	// LogFields are the fields of the step's log line, as alternating keys and values.
 	LogFields []any
-	// Urgent steps roll a version back. They do not wait for other steps in flight.
+	// Urgent marks a step that rolls a version back. Such a step does not wait for other steps in flight.
 	Urgent bool
 }
 
-// Preconditions are the current versions of the items that the step writes. If another writer changes
-// one of them first, the change conflicts, and the next round decides anew.
+// Preconditions returns the current versions of the items that the step writes. If another writer changes
+// one of them first, the change conflicts, and the next round computes a new step.
 func (s Step) Preconditions(state config.State) []*schema.ExpectedVersion {
 	var expected []*schema.ExpectedVersion
 	for _, item := range s.Items {
@@ -50,7 +52,8 @@
 	return expected
 }
 
-// Change is the step as a change. Member, its incarnation and a serial number of its own make the id unique.
+// Change returns the configuration change that writes the step. The change id is unique because it contains
+// the id of the writing member, the member's incarnation and a serial number within that incarnation.
 func (s Step) Change(memberID string, incarnation, serial uint64, state config.State) *schema.Change {
 	return &schema.Change{
 		Id:       fmt.Sprintf(changeIDPrefix+"%s-%x-%d-%s", memberID, incarnation, serial, s.Name),
@@ -59,17 +62,17 @@
 	}
 }
 
-// newItem encodes an item. The errors are internal ones.
+// newItem returns an item with the JSON encoding of body. It fails with code errs.Internal.
 func newItem(kind, name string, body any) (*schema.Item, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, kind+" "+name)
+		return nil, errs.Wrap(err, errs.Internal, fmt.Sprintf("encoding %s %q", kind, name))
 	}
 	return &schema.Item{Kind: kind, Name: name, Body: encoded}, nil
 }
 
-// put appends an item to the step.
-func (s *Step) put(kind, name string, body any) error {
+// appendItem adds the item to the step. It fails with code errs.Internal if body cannot be encoded.
+func (s *Step) appendItem(kind, name string, body any) error {
 	item, err := newItem(kind, name, body)
 	if err != nil {
 		return err
@@ -78,17 +81,17 @@
 	return nil
 }
 
-// remove appends the deletion of an item to the step, if the item exists.
-func (s *Step) remove(state config.State, kind, name string) {
+// appendDeletion adds the deletion of an item to the step, if the item exists.
+func (s *Step) appendDeletion(state config.State, kind, name string) {
 	if current := state[config.Key(kind, name)]; current != nil && !current.Deleted {
 		s.Items = append(s.Items, &schema.Item{Kind: kind, Name: name, Deleted: true})
 	}
 }
 
-// versionStopStep states that a version gets no calls any more.
+// versionStopStep returns the step that stops a version, so that it gets no more calls.
 func versionStopStep(service, version, verdict string) (Step, error) {
 	name := config.StopName(service, version)
 	step := Step{Name: name}
-	err := step.put(stopKind, name, config.VersionStop{Service: service, Version: version, Reason: versionReason(verdict)})
+	err := step.appendItem(stopKind, name, config.VersionStop{Service: service, Version: version, Reason: versionReason(verdict)})
 	return step, err
 }
--- a/internal/release/verdict.go
+++ b/internal/release/verdict.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// exceedsBaseline reports whether a failure rate is above what the old version's rate allows.
+// exceedsBaseline reports whether the new version's failure rate is above the rate allowed for the old one's.
 func (o Options) exceedsBaseline(newRate, oldRate float64) bool {
 	return newRate > o.FailureRateMultiple*oldRate+o.FailureRateMargin
 }
 
-// standardError is the standard error of the difference between two versions' failure rates under the
-// hypothesis that they are equal: sqrt(p*(1-p)*(1/n1 + 1/n2)), with p the failure rate of both together.
-// An old version without calls leaves its term out. The new version must have calls.
+// standardError returns the standard error of the difference between two versions' failure rates under the
+// hypothesis that they are equal: sqrt(p*(1-p)*(1/n1 + 1/n2)), where p is the pooled failure rate. The term
+// of an old version without calls is omitted. The new version must have calls.
 func standardError(oldStats, newStats CallStats) float64 {
 	combined := oldStats
 	combined.add(newStats)
@@ -21,21 +21,21 @@
 	return math.Sqrt(rate * (1 - rate) * inverseCalls)
 }
 
-// baselineWeightLimit bounds the weight of the baseline beside the old version's calls in the window,
-// as a multiple of MinCalls.
+// baselineWeightLimit limits the calls of the baseline that are added to the old version's calls in the
+// window, as a multiple of MinCalls.
 const baselineWeightLimit = 10
 
 // IsFailing reports whether the new version fails or is slow compared with the old one, on all routes
-// together or on one of them, and in what way. A fault that hits both versions alike does not
-// count against the new one. The baseline, by route, is what was counted of an old version that no longer
-// gets enough calls to be compared with; it is nil otherwise.
+// together or on a single one, and returns a verdict that says how. A fault that affects both versions alike
+// does not count against the new one. The baseline holds earlier counts, by route, of an old version that no
+// longer gets enough calls for a comparison. It is nil otherwise.
 func (o Options) IsFailing(counts VersionCounts, baseline map[string]CallStats) (verdict string, failing bool) {
 	if verdict, failing = o.compareVersions(total(counts.Old), total(counts.New), total(baseline), onAllRoutes); failing {
 		return verdict, true
 	}
 	for route, newStats := range counts.New {
 		oldStats := counts.Old[route]
-		// An old version without calls on the route is known by its calls on the others only.
+		// An old version without calls on the route is represented by its calls on all others.
 		if oldStats.Calls == 0 {
 			oldStats = total(counts.Old)
 		}
@@ -46,7 +46,8 @@
 	return "", false
 }
 
-// compareVersions compares the two versions on one route or on all; where completes the verdict.
+// compareVersions compares the two versions by counts of one route or of all. where names the routes in the
+// verdict.
 func (o Options) compareVersions(oldStats, newStats, baseline CallStats, where string) (verdict string, failing bool) {
 	oldStats.add(baseline.cappedAt(baselineWeightLimit * o.MinCalls))
 	oldRate, newRate := oldStats.failureRate(), newStats.failureRate()
@@ -61,18 +62,19 @@
 	return "", false
 }
 
-// onAllRoutes and onRoute say where a version fails. They are part of stored reasons.
+// onAllRoutes names all routes together in a verdict. It is part of stored reasons.
 const onAllRoutes = "on the whole"
 
+// onRoute names one route in a verdict. The text is part of stored reasons.
 func onRoute(route string) string { return "on route " + route }
 
-// busyRouteMultiple is the multiple of MinCalls that the old version must have had on a route for a ramp
-// to wait until the new version is known there.
+// busyRouteMultiple gives the number of the old version's calls, as a multiple of MinCalls, from which a route
+// is busy. A ramp plan waits until the new version has enough calls on every busy route.
 const busyRouteMultiple = 10
 
-// isProven reports whether the new version has had enough calls on every busy route of the old one, and
-// does not fail more often there. Routes with few calls do not count, or they would hold a plan up
-// for ever; without any busy route, the new version's calls on all routes count.
+// isProven reports whether the new version has had enough calls on every busy route of the old one, and its
+// failure rate there is within the allowed one. Routes with few calls are ignored, because they would delay a
+// plan forever. Without any busy route, the new version's calls on all routes are counted together.
 func (o Options) isProven(counts VersionCounts) bool {
 	anyBusyRoute := false
 	for route, oldStats := range counts.Old {
