--- a/internal/release/discovered_versions_test.go
+++ b/internal/release/discovered_versions_test.go
@@ -2,18 +2,20 @@
 
 import "testing"
 
-// TestDiscoveredVersions checks that the first version of registered workers becomes the fallback, with a flag
-// for it, and that a version which registers without an order does not, however many its workers.
+// TestDiscoveredVersions checks that the first version of registered workers becomes the fallback and gets a flag.
+// A version that registers later without an order is not allowed, however many workers it has.
 func TestDiscoveredVersions(t *testing.T) {
 	h := newDeadlineHarness(t)
 	compiled := h.compiled()
 	if compiled.FallbackOf("shop") != "1" || compiled.Flags.Flags["release.shop"] == nil || len(compiled.GuardedVersions["shop"]) != 0 {
-		t.Fatalf("discovered %v", compiled.DiscoveredVersions["shop"])
+		t.Fatalf("discovered versions = %v, flag = %v, guarded versions = %v, want fallback 1 with a flag and none guarded",
+			compiled.DiscoveredVersions["shop"], compiled.Flags.Flags["release.shop"], compiled.GuardedVersions["shop"])
 	}
 	h.workers[[2]string{"shop", "2"}] = WorkerPool{Workers: 9}
 	sequence := h.sequence
 	h.reconcile()
 	if h.sequence != sequence || h.compiled().Services["shop"].AllowsVersion("2") {
-		t.Error("a version that nobody ordered is allowed")
+		t.Errorf("sequence after version 2 registered = %d with versions %v, want %d and version 2 not allowed",
+			h.sequence, h.compiled().DiscoveredVersions["shop"], sequence)
 	}
 }
--- a/internal/release/harness_test.go
+++ b/internal/release/harness_test.go
@@ -9,14 +9,14 @@
 	"meadowhinge/schema"
 )
 
-// fakeStore is a configuration that steps are written to. It fails the test if a step makes it invalid.
+// fakeStore is an in-memory configuration store. It fails the test if a write makes the configuration invalid.
 type fakeStore struct {
 	t        *testing.T
 	state    config.State
-	sequence uint64
+	sequence uint64 // sequence of the last write, 0 before the first
 }
 
-// write writes items under the next sequence.
+// write writes items with the next sequence.
 func (s *fakeStore) write(items ...*schema.Item) {
 	s.t.Helper()
 	s.sequence++
@@ -25,25 +25,27 @@
 	}
 	s.state = s.state.With(items)
 	if _, faults := config.Compile(s.state, s.sequence); len(faults) > 0 {
-		s.t.Fatalf("step %d is refused: %v", s.sequence, faults)
+		s.t.Fatalf("config.Compile() after write %d reported faults: %v", s.sequence, faults)
 	}
 }
 
+// compiled returns the snapshot of the current configuration.
 func (s *fakeStore) compiled() *config.Snapshot {
 	compiled, _ := config.Compile(s.state, s.sequence)
 	return compiled
 }
 
+// jsonItem returns an item with the JSON encoding of content.
 func (s *fakeStore) jsonItem(kind, name string, content any) *schema.Item {
 	s.t.Helper()
 	encoded, err := json.Marshal(content)
 	if err != nil {
-		s.t.Fatal(err)
+		s.t.Fatalf("encoding %s %q: %v", kind, name, err)
 	}
 	return &schema.Item{Kind: kind, Name: name, Body: encoded}
 }
 
-// newFakeStore holds a shop whose versions the operator lists.
+// newFakeStore returns a store with a service "shop" whose configuration lists its versions.
 func newFakeStore(t *testing.T) *fakeStore {
 	t.Helper()
 	store := &fakeStore{t: t, state: config.State{}}
@@ -52,12 +54,12 @@
 	return store
 }
 
-// planRollout writes an order of 12 seconds and returns its step, nil if it needs none.
+// planRollout orders a rollout of a version within 12 seconds, and writes and returns its step, nil if there is none.
 func (s *fakeStore) planRollout(version string) *Step {
 	s.t.Helper()
 	step, err := PlanRollout(s.compiled(), s.state, RolloutOrder{"shop", version, 12 * time.Second})
 	if err != nil {
-		s.t.Fatal(err)
+		s.t.Fatalf("PlanRollout(shop, %q): %v", version, err)
 	}
 	if step != nil {
 		s.write(step.Items...)
@@ -65,25 +67,26 @@
 	return step
 }
 
-// deadlineOptions bound the calls of a bad version to a tenth of the plan's, and 50.
+// deadlineOptions limit the calls of a bad version to a tenth of the service's calls during the plan, plus 50.
 var deadlineOptions = func() Options {
 	options := Defaults
 	options.CanaryPercent, options.MaxBadFraction, options.BadCallsMargin = 8, 0.1, 50
 	return options
 }()
 
-// deadlineHarness is a fleet of one proxy whose shop has its versions from worker registrations. A test can
-// replace the controller, as when another registry takes over.
+// deadlineHarness simulates a fleet of one proxy, with a service "shop" whose versions come from worker
+// registrations. A test can replace the controller, as when another registry takes over.
 type deadlineHarness struct {
 	*fakeStore
 	controller      *Controller
-	now             time.Duration
-	firstSeenAt     map[uint64]time.Duration        // when the controller's registry learned of each sequence
-	appliedRevision uint64                          // by the proxy; 0 for the newest
-	workCounts      map[[2]string]*schema.WorkCount // by version and route
-	workers         map[[2]string]WorkerPool        // by service and version
+	now             time.Duration                   // simulated time
+	firstSeenAt     map[uint64]time.Duration        // time at which the controller's registry learned of each sequence
+	appliedRevision uint64                          // revision that the proxy has applied; 0 means the newest
+	workCounts      map[[2]string]*schema.WorkCount // the proxy's counts, by version and route
+	workers         map[[2]string]WorkerPool        // registered workers, by service and version
 }
 
+// newDeadlineHarness returns a harness in which workers of version 1 are registered and discovered.
 func newDeadlineHarness(t *testing.T) *deadlineHarness {
 	t.Helper()
 	h := &deadlineHarness{
@@ -98,13 +101,13 @@
 	return h
 }
 
-// takeControl gives rollout control to a registry that has just started.
+// takeControl gives rollout control to a newly started registry.
 func (h *deadlineHarness) takeControl(memberID string) {
 	h.controller = NewController(deadlineOptions, memberID, 500*time.Millisecond)
 	h.firstSeenAt = map[uint64]time.Duration{}
 }
 
-// recordCalls counts calls that ended at a version's workers, and sets the number of those in flight.
+// recordCalls counts calls that ended at a version's workers, and sets the number of calls in flight there.
 func (h *deadlineHarness) recordCalls(version string, calls, failures uint64, latency time.Duration, inFlight uint32) {
 	key := [2]string{version, "buy"}
 	if h.workCounts[key] == nil {
@@ -148,15 +151,15 @@
 		KnownFor:          func(sequence uint64) time.Duration { return h.now - h.firstSeenAt[sequence] },
 	})
 	if err != nil {
-		h.t.Fatal(err)
+		h.t.Fatalf("Reconcile() at %v: %v", h.now, err)
 	}
 	for _, step := range steps {
 		h.write(step.Items...)
 	}
 }
 
-// runFor advances the time in rounds, with a rate of calls a second split by the plan's percentage. The new
-// version's calls of a round end as newOutcome says, or well if it is nil.
+// runFor advances the time in rounds, with rate calls a second split by the plan's percentage. newOutcome returns
+// the failures and the latency of the new version's calls in a round. If it is nil, all of them succeed.
 func (h *deadlineHarness) runFor(span time.Duration, rate int, newOutcome func() (failures uint64, latency time.Duration)) {
 	h.t.Helper()
 	const interval = 125 * time.Millisecond
@@ -182,6 +185,7 @@
 	}
 }
 
+// progress returns the recorded progress of the plan, zero if there is none.
 func (h *deadlineHarness) progress() config.Progress {
 	if progress := h.compiled().Progress["shop"]; progress != nil {
 		return *progress
@@ -189,12 +193,12 @@
 	return config.Progress{}
 }
 
-// orderRollout writes an order and starts the workers of its version.
+// orderRollout orders a rollout of a version, writes its step and registers workers of the version.
 func (h *deadlineHarness) orderRollout(version string, within time.Duration) {
 	h.t.Helper()
 	step, err := PlanRollout(h.compiled(), h.state, RolloutOrder{"shop", version, within})
 	if err != nil || step == nil {
-		h.t.Fatal(step, err)
+		h.t.Fatalf("PlanRollout(shop, %q, %v) = %v, %v, want a step", version, within, step, err)
 	}
 	h.write(step.Items...)
 	h.workers[[2]string{"shop", version}] = WorkerPool{Workers: 3, Slots: 54}
