--- a/internal/session/endpoint_class.go
+++ b/internal/session/endpoint_class.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// endpointClass ranks registries: a lower class is preferred.
+// endpointClass is the preference class of a registry. A lower class is preferred.
 type endpointClass int
 
 // The classes, from the best to the worst.
@@ -17,15 +17,15 @@
 	// classSuspect is a registry that failed or was stale within the cooldown, or a seed that the
 	// registries do not list.
 	classSuspect
-	// classDegraded is a registry that has a stale configuration, was stale a moment ago, or misses
-	// heartbeats. It ranks below classSuspect: a registry that failed longer ago may be well again, so it
-	// is tried rather than stay with a degraded one.
+	// classDegraded is a registry that has a stale configuration, was stale within the stale retry interval, or
+	// misses heartbeats. It ranks below classSuspect, because a registry that failed longer ago may have
+	// recovered and is worth a try.
 	classDegraded
 	// classFailed is a registry that failed within the last heartbeat interval.
 	classFailed
 )
 
-// String names the class in the reasons of actions, which are logged.
+// String returns the class as it appears in the reasons of actions, which are logged.
 func (c endpointClass) String() string {
 	switch c {
 	case classHealthy:
@@ -42,25 +42,25 @@
 	return "class " + strconv.Itoa(int(c))
 }
 
-// suspectAfterHeartbeats is the number of heartbeat intervals without a heartbeat after which a
-// registry counts as degraded, and another one is opened beside it.
-const suspectAfterHeartbeats = 1.5
+// degradedAfterHeartbeats is the number of heartbeat intervals without a heartbeat after which a registry
+// counts as degraded, and a session with another one is opened beside it.
+const degradedAfterHeartbeats = 1.5
 
-// unresponsiveAfter is the time without a heartbeat after which a registry counts as degraded.
+// unresponsiveAfter returns the time without a heartbeat after which a registry counts as degraded.
 func (o SelectorOptions) unresponsiveAfter() time.Duration {
-	return time.Duration(suspectAfterHeartbeats * float64(o.HeartbeatInterval))
+	return time.Duration(degradedAfterHeartbeats * float64(o.HeartbeatInterval))
 }
 
-// Retry intervals for a stale registry, relative to the heartbeat interval. They matter only while all
+// Retry intervals for a stale registry, relative to the heartbeat interval. They take effect only while all
 // registries are stale.
 const (
-	staleRetryHeartbeats = 2 // intervals, once an up-to-date registry has been found
-	initialRetryDivisor  = 4 // fraction of an interval, before that
+	staleRetryHeartbeats = 2 // heartbeat intervals, once an up-to-date registry was found
+	initialRetryDivisor  = 4 // divisor of one heartbeat interval, before an up-to-date registry was found
 )
 
-// staleRetryInterval is how long a registry that was stale stays degraded. Before this proxy has found
-// any up-to-date registry it retries sooner: it has no configuration to continue with, and when the
-// core starts at the same time, its registries reach the quorum one by one.
+// staleRetryInterval returns how long a registry that was stale remains degraded. Before this proxy has found
+// any up-to-date registry it retries sooner, because it has no configuration to continue with. When the core
+// starts at the same time, its registries reach the quorum one by one.
 func (s *RegistrySelector) staleRetryInterval() time.Duration {
 	if s.foundUpToDate {
 		return staleRetryHeartbeats * s.options.HeartbeatInterval
@@ -68,13 +68,13 @@
 	return s.options.HeartbeatInterval / initialRetryDivisor
 }
 
-// isStale reports whether the registry's configuration may be older than allowed. A registry that
-// does not report its staleness counts as stale.
+// isStale reports whether the registry's configuration may be older than MaxStaleness. A registry that does not
+// report its staleness counts as stale.
 func (s *RegistrySelector) isStale(now time.Duration, endpoint *registryEndpoint) bool {
 	return now >= s.graceUntil && (!endpoint.stalenessReported || now-endpoint.freshAsOf > s.options.MaxStaleness)
 }
 
-// class ranks a registry by what this proxy knows of it. The order of the cases decides.
+// class returns the preference class of a registry. The first case that applies decides.
 func (s *RegistrySelector) class(now time.Duration, endpoint *registryEndpoint) endpointClass {
 	unresponsive := now >= s.graceUntil && endpoint.sessionOpen && now-endpoint.lastActivityAt() > s.options.unresponsiveAfter()
 	staleInSession := endpoint.sessionOpen && endpoint.heartbeatReceived && s.isStale(now, endpoint)
--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// clockDriftDivisor is the fraction of a lease that the holder gives up, because the clocks of the
-// proxy and the core members may run at different speeds.
+// clockDriftDivisor gives the part of a lease that the proxy does not use, because its clock and those of the
+// core members may run at different speeds. That part is the length of the lease divided by this constant.
 const clockDriftDivisor = 50
 
-// Lease computes until when a proxy may decide calls. The lease needs grants from a majority of the
-// core members. Each grant counts from the moment at which the proxy sent the request, not from when
-// the reply came, so the proxy's lease never outlasts what the members granted.
+// Lease computes how long a proxy may route calls. The lease needs grants from a majority of the core members.
+// Each grant counts from the time at which the proxy sent the request, not from when the reply arrived, so the
+// proxy's lease never outlasts the members' grants.
 //
 // A Lease is not safe for concurrent use; LeaseGate guards one with a lock.
 type Lease struct {
-	usableDuration time.Duration            // the granted length less the allowance for clock drift
-	memberCount    int                      // largest number of core members seen
-	requestedAt    map[string]time.Duration // by member id: send time of the latest granted request
+	usableDuration time.Duration            // granted length less the allowance for clock drift
+	memberCount    int                      // largest number of core members reported so far
+	requestedAt    map[string]time.Duration // send time of the latest granted request, by member id
 }
 
-// NewLease makes a lease of the given length without any grant.
+// NewLease returns a lease of the given length without any grant.
 func NewLease(length time.Duration) *Lease {
 	return &Lease{
 		usableDuration: length - length/clockDriftDivisor,
@@ -37,7 +37,7 @@
 	}
 }
 
-// ExpiresAt is when the lease runs out; 0 if no majority has granted it yet.
+// ExpiresAt returns the time at which the lease expires, 0 if no majority has granted it yet.
 func (l *Lease) ExpiresAt() time.Duration {
 	majority := quorumSize(l.memberCount)
 	if l.memberCount == 0 || len(l.requestedAt) < majority {
@@ -48,9 +48,9 @@
 		requestTimes = append(requestTimes, requestedAt)
 	}
 	slices.Sort(requestTimes)
-	// Of the latest majority of grants, the earliest one ends the lease.
+	// The lease is bounded by the earliest request among the most recent majority.
 	return requestTimes[len(requestTimes)-majority] + l.usableDuration
 }
 
-// IsValid reports whether the lease is valid at a time.
+// IsValid reports whether the lease is valid at the time now.
 func (l *Lease) IsValid(now time.Duration) bool { return now < l.ExpiresAt() }
--- a/internal/session/lease_gate_test.go
+++ b/internal/session/lease_gate_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// TestNoCallWaitsLongAfterTheLease checks that a call waits for a renewal within the grace period after a
-// lease's expiry, and does not wait at all after it.
-func TestNoCallWaitsLongAfterTheLease(t *testing.T) {
+// TestAwaitWithinGrace checks that a call waits for a renewal within the grace period after a lease's expiry, and
+// does not wait at all after that period.
+func TestAwaitWithinGrace(t *testing.T) {
 	const duration = 8 * time.Second
 	for name, test := range map[string]struct {
-		sinceExpiry time.Duration // when the call comes; negative while the lease is valid
-		renewsAfter time.Duration // after the call came; 0 for no renewal
+		sinceExpiry time.Duration // time from the lease's expiry to the call; negative while the lease is valid
+		renewsAfter time.Duration // time from the call to the renewal; 0 means no renewal
 		wantOpen    bool
-		maxWait     time.Duration
+		maxWait     time.Duration // longest time that the call may wait
 	}{
-		"just after, and renewed":    {10 * time.Millisecond, 300 * time.Millisecond, true, 300 * time.Millisecond},
-		"just after, not renewed":    {10 * time.Millisecond, 0, false, duration/renewalGraceDivisor - 10*time.Millisecond},
-		"long after":                 {3 * time.Second, 0, false, 0},
-		"long after, renewed later":  {3 * time.Second, 300 * time.Millisecond, false, 0},
-		"well within, nothing to do": {-time.Second, 0, true, 0},
+		"within grace, renewed":                {10 * time.Millisecond, 300 * time.Millisecond, true, 300 * time.Millisecond},
+		"within grace, not renewed":            {10 * time.Millisecond, 0, false, duration/renewalGraceDivisor - 10*time.Millisecond},
+		"after grace, not renewed":             {3 * time.Second, 0, false, 0},
+		"after grace, renewed after the call":  {3 * time.Second, 300 * time.Millisecond, false, 0},
+		"valid lease is open without any wait": {-time.Second, 0, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -28,7 +28,7 @@
 				now := func() time.Duration { return time.Since(processStart) }
 				gate := NewLeaseGate(duration, now)
 				if gate.IsOpen() || gate.AwaitWithinGrace(t.Context()) {
-					t.Error("open before there was a lease")
+					t.Error("IsOpen() or AwaitWithinGrace() before the first lease = true, want both false")
 				}
 				grant := func(requestedAt time.Duration) {
 					gate.RecordGrant("a", 3, requestedAt)
@@ -44,7 +44,7 @@
 				}
 				startedAt := now()
 				if got := gate.AwaitWithinGrace(t.Context()); got != test.wantOpen || now()-startedAt > test.maxWait {
-					t.Errorf("open %v after %v, want %v within %v", got, now()-startedAt, test.wantOpen, test.maxWait)
+					t.Errorf("AwaitWithinGrace() = %t after %v, want %t within %v", got, now()-startedAt, test.wantOpen, test.maxWait)
 				}
 				time.Sleep(duration)
 			})
--- a/internal/session/quorum.go
+++ b/internal/session/quorum.go
@@ -1,4 +1,4 @@
 package session
 
-// quorumSize is the number of core members that form a majority.
+// quorumSize returns the number of core members that form a majority.
 func quorumSize(memberCount int) int { return memberCount/2 + 1 }
--- a/internal/session/registry_endpoint.go
+++ b/internal/session/registry_endpoint.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// registryEndpoint is an address at which a registry runs or may run, with what this proxy knows of it.
+// registryEndpoint is an address of a registry, with the state of its session and its recent failures.
 // Only RegistrySelector writes its fields.
 type registryEndpoint struct {
-	address    string
-	zone       string // as the registries report it, empty if unknown
-	advertised bool   // listed by the registries themselves, rather than a seed alone
+	address    string // address of the registry
+	zone       string // zone that the registries report, empty if unknown
+	advertised bool   // the registries list this address; false for an address known only as a seed
 
-	sessionOpen       bool
-	openedAt          time.Duration // of the open session
-	heartbeatReceived bool          // in the open session
-	lastHeartbeatAt   time.Duration // of the latest session; valid while heartbeatReceived
+	sessionOpen       bool          // a session is open, or is being opened
+	openedAt          time.Duration // time at which the session was opened; valid while sessionOpen
+	heartbeatReceived bool          // the open session has had a heartbeat
+	lastHeartbeatAt   time.Duration // time of the open session's last heartbeat; valid while heartbeatReceived
 
 	failed   bool          // the last session ended or could not be opened; cleared by a heartbeat
-	failedAt time.Duration // valid while failed
+	failedAt time.Duration // time of the last failure; 0 if there was none
 
-	stale             bool          // the last heartbeat showed an outdated configuration
-	staleAt           time.Duration // of that heartbeat
-	stalenessReported bool          // the last heartbeat said how old the registry's configuration may be
-	freshAsOf         time.Duration // time at which that configuration was certainly the newest
+	stale             bool          // the configuration was stale at the last heartbeat
+	staleAt           time.Duration // time of the last heartbeat with a stale configuration; 0 if there was none
+	stalenessReported bool          // the last heartbeat reported the age of the registry's configuration
+	freshAsOf         time.Duration // latest time at which that configuration was certainly the newest
 }
 
-// lastActivityAt is when the open session last had a heartbeat, or was opened.
+// lastActivityAt returns when the open session last had a heartbeat, or was opened if it had none.
 func (e *registryEndpoint) lastActivityAt() time.Duration {
 	if e.heartbeatReceived {
 		return e.lastHeartbeatAt
@@ -31,33 +31,33 @@
 	return e.openedAt
 }
 
-// lastFailureAt is when the registry last failed or was stale.
+// lastFailureAt returns when the registry last failed or was stale.
 func (e *registryEndpoint) lastFailureAt() time.Duration { return max(e.failedAt, e.staleAt) }
 
-// failedWithin reports whether the registry has no session because it failed less than a given time ago.
+// failedWithin reports whether the registry has no session and failed less than period ago.
 func (e *registryEndpoint) failedWithin(now, period time.Duration) bool {
 	return !e.sessionOpen && e.failed && now-e.failedAt < period
 }
 
-// staleWithin reports whether the registry has no session and was stale less than a given time ago.
+// staleWithin reports whether the registry has no session and was stale less than period ago.
 func (e *registryEndpoint) staleWithin(now, period time.Duration) bool {
 	return !e.sessionOpen && e.stale && now-e.staleAt < period
 }
 
-// open starts a session.
+// open records that a session is opened.
 func (e *registryEndpoint) open(now time.Duration) {
 	e.sessionOpen = true
 	e.openedAt = now
 	e.heartbeatReceived = false
 }
 
-// close ends the session without blaming the registry.
+// close records that the session is closed for no fault of the registry.
 func (e *registryEndpoint) close() {
 	e.sessionOpen = false
 	e.heartbeatReceived = false
 }
 
-// fail ends the session because the registry failed.
+// fail records that the session ended because the registry failed.
 func (e *registryEndpoint) fail(now time.Duration) {
 	e.close()
 	e.failed = true
--- a/internal/session/registry_selector.go
+++ b/internal/session/registry_selector.go
@@ -10,26 +10,26 @@
 	"meadowhinge/schema"
 )
 
-// SelectorOptions say for which proxy a RegistrySelector selects, and its time limits.
+// SelectorOptions holds the identity of the selecting proxy, and the time limits of a RegistrySelector.
 type SelectorOptions struct {
-	ProxyName         string        // spreads the proxies over registries that are equally good
-	Zone              string        // of this proxy: a registry of the same zone is preferred
+	ProxyName         string        // name of this proxy; its hash spreads proxies over equally good registries
+	Zone              string        // zone of this proxy; registries of the same zone are preferred
 	HeartbeatInterval time.Duration // longest time between two heartbeats of a responsive registry
 	HeartbeatTimeout  time.Duration // time without a heartbeat after which a session is closed
-	MaxStaleness      time.Duration // age of a registry's configuration from which it counts as stale
-	FailureCooldown   time.Duration // how long a failed or stale registry ranks below the others
+	MaxStaleness      time.Duration // age above which a registry's configuration is stale
+	FailureCooldown   time.Duration // time for which a failed or stale registry ranks below the others
 }
 
 // Action tells the caller to open or close a session with a registry.
 type Action struct {
-	Open      bool   // false closes the session
-	Candidate bool   // the session opens beside the current one, and replaces it once it proves better
-	Address   string // of the registry
-	Reason    string // for the log
+	Open      bool   // true opens a session, false closes it
+	Candidate bool   // the session opens beside the current one, and replaces it if it turns out better
+	Address   string // address of the registry
+	Reason    string // reason of the action, for the log
 }
 
-// The reasons of actions. An action that opens a session beside the current one gives the class of
-// the current registry instead.
+// The reasons of actions. An action that opens a session beside the current one has the class of the
+// current registry as its reason instead.
 const (
 	reasonNoSession        = "no current session"
 	reasonHeartbeatTimeout = "heartbeat timeout"
@@ -37,25 +37,33 @@
 	reasonCandidateNoGain  = "candidate is no better"
 )
 
-// RegistrySelector selects the registry that a proxy subscribes to: one of its own zone if possible,
-// another while that one is unresponsive, down, or partitioned from the core. It opens a new session
+// RegistrySelector selects the registry that a proxy subscribes to. It prefers one of the proxy's own zone,
+// and uses another while that one is unresponsive, down, or partitioned from the core. It opens a new session
 // before it closes the old one, unless the old one has failed, so at most two sessions are open.
 //
 // It is a step function: the caller reports events with their times, and carries out the returned
 // actions in order. It is not safe for concurrent use; the proxy guards it with its lock.
 type RegistrySelector struct {
-	options       SelectorOptions
-	seeds         []string                     // addresses from the settings
-	endpoints     map[string]*registryEndpoint // by address
-	membersKnown  bool                         // the registries have reported their own addresses
-	current       string                       // address of the session in use, empty for none
-	candidate     string                       // address of the session opened to replace it, or to become the first
-	nextTickAt    time.Duration                // when the next Tick is due; 0 if NextTick was not called since the last event
-	foundUpToDate bool                         // some registry was not stale, once
-	graceUntil    time.Duration                // after a stall of this process: no registry counts as unresponsive or stale before
+	options   SelectorOptions
+	seeds     []string                     // addresses from the settings
+	endpoints map[string]*registryEndpoint // known registries, by address
+	// membersKnown is set once the registries have reported the addresses of the core members.
+	membersKnown bool
+	// current is the address of the session in use, empty for none.
+	current string
+	// candidate is the address of the session opened to become the current one, empty for none.
+	candidate string
+	// nextTickAt is the time at which the next Tick is due. It is 0 if NextTick was not called since the last
+	// event.
+	nextTickAt time.Duration
+	// foundUpToDate is set once a registry was found whose configuration was not stale.
+	foundUpToDate bool
+	// graceUntil is the time before which no registry counts as unresponsive or stale. A stall of this process
+	// sets it.
+	graceUntil time.Duration
 }
 
-// NewRegistrySelector makes a selector that knows the seed addresses alone.
+// NewRegistrySelector returns a selector that knows only the seed addresses.
 func NewRegistrySelector(options SelectorOptions, seeds []string) *RegistrySelector {
 	s := &RegistrySelector{options: options, endpoints: map[string]*registryEndpoint{}}
 	s.SetSeeds(seeds)
@@ -70,6 +78,7 @@
 	}
 }
 
+// ensureEndpoint returns the registry at an address, and adds it if it is not known yet.
 func (s *RegistrySelector) ensureEndpoint(address string) *registryEndpoint {
 	endpoint := s.endpoints[address]
 	if endpoint == nil {
@@ -79,8 +88,8 @@
 	return endpoint
 }
 
-// SetCoreMembers replaces the addresses that the registries advertise. An empty list is ignored. An
-// address that is no longer listed is forgotten, unless it is a seed or has an open session.
+// SetCoreMembers replaces the addresses that the registries advertise. An empty list is ignored. An address
+// that is no longer listed is removed, unless it is a seed or has an open session.
 func (s *RegistrySelector) SetCoreMembers(members []*schema.CoreMember) {
 	if len(members) == 0 {
 		return
@@ -103,11 +112,11 @@
 	}
 }
 
-// Current is the address of the session in use, empty for none.
+// Current returns the address of the session in use, empty for none.
 func (s *RegistrySelector) Current() string { return s.current }
 
-// RecordHeartbeat records a message received in a session. The registry's configuration may be as old as
-// staleness says; without stalenessReported its age is unknown.
+// RecordHeartbeat records a message received in a session, and returns the actions to carry out. staleness is
+// the age that the registry's configuration may have. If stalenessReported is false, the age is unknown.
 func (s *RegistrySelector) RecordHeartbeat(now time.Duration, address string, stalenessReported bool, staleness time.Duration) []Action {
 	s.detectStall(now)
 	endpoint := s.endpoints[address]
@@ -126,7 +135,7 @@
 	return s.Tick(now)
 }
 
-// RecordSessionEnd records that a session ended, or could not be opened.
+// RecordSessionEnd records that a session ended or could not be opened, and returns the actions to carry out.
 func (s *RegistrySelector) RecordSessionEnd(now time.Duration, address string) []Action {
 	s.detectStall(now)
 	if endpoint := s.endpoints[address]; endpoint != nil && endpoint.sessionOpen {
@@ -135,8 +144,8 @@
 	return s.Tick(now)
 }
 
-// Tick evaluates the sessions and returns what the caller must open and close. It must be called when
-// NextTick says, at the latest.
+// Tick evaluates the sessions and returns the actions to carry out. It must be called no later than at the
+// time that NextTick returns.
 func (s *RegistrySelector) Tick(now time.Duration) []Action {
 	s.detectStall(now)
 	actions := s.closeUnresponsive(now)
@@ -154,7 +163,7 @@
 		if !endpoint.sessionOpen {
 			continue
 		}
-		// One nanosecond beyond a limit is the first moment at which it is exceeded.
+		// A limit is first exceeded one nanosecond after it.
 		for _, deadline := range []time.Duration{
 			endpoint.lastActivityAt() + s.options.unresponsiveAfter() + 1,
 			endpoint.lastActivityAt() + s.options.HeartbeatTimeout,
@@ -169,7 +178,7 @@
 		next = min(next, s.graceUntil)
 	}
 	switch {
-	case s.candidate != "": // a retry waits for the candidate's first heartbeat or its timeout
+	case s.candidate != "": // no retry before the candidate's first heartbeat or its timeout
 	case !s.foundUpToDate:
 		next = min(next, now+s.staleRetryInterval())
 	case s.current == "":
@@ -179,13 +188,13 @@
 	return next
 }
 
-// stallDivisor is the fraction of a heartbeat interval by which a call must be late to show that this
-// process was stalled.
+// stallDivisor gives the delay of a call from which this process was stalled: a heartbeat interval divided by
+// this constant.
 const stallDivisor = 2
 
-// detectStall finds out whether this process was stalled. Messages that came during a stall are not
-// processed yet, so the registries must not be blamed for its length: it is added to the times of
-// the last activity, and for one heartbeat interval no registry counts as unresponsive or stale.
+// detectStall detects that this process was stalled. Messages that arrived during a stall are not processed
+// yet, so the registries must not be treated as silent for that time. The length of the stall is added to the
+// times of their last activity. For one heartbeat interval no registry counts as unresponsive or stale.
 func (s *RegistrySelector) detectStall(now time.Duration) {
 	if late := now - s.nextTickAt; s.nextTickAt > 0 && late > s.options.HeartbeatInterval/stallDivisor {
 		for _, endpoint := range s.endpoints {
@@ -208,7 +217,7 @@
 	}
 }
 
-// closeUnresponsive closes the sessions that had no heartbeat within the timeout.
+// closeUnresponsive closes the sessions without a heartbeat within HeartbeatTimeout.
 func (s *RegistrySelector) closeUnresponsive(now time.Duration) []Action {
 	if now < s.graceUntil {
 		return nil
@@ -224,8 +233,8 @@
 	return actions
 }
 
-// resolveCandidate decides about the candidate session once it has had its first heartbeat: it
-// replaces the current session if it is better or there is none, otherwise it is closed.
+// resolveCandidate decides on the candidate session once it has had its first heartbeat. The candidate replaces
+// the current session if it is better or there is none. Otherwise it is closed.
 func (s *RegistrySelector) resolveCandidate(now time.Duration) []Action {
 	candidate := s.endpoints[s.candidate]
 	if candidate == nil || !candidate.heartbeatReceived {
@@ -246,14 +255,14 @@
 	return actions
 }
 
-// openCandidate opens a session with the best registry if that is better than the current one, or if
-// there is no current one.
+// openCandidate opens a session with the best registry if it is better than the current one or there is no
+// current one.
 func (s *RegistrySelector) openCandidate(now time.Duration) []Action {
 	best, current := s.bestEndpoint(now), s.endpoints[s.current]
 	switch {
 	case best == nil, best == current:
 		return nil
-	// One attempt a heartbeat interval, so that registries which all fail are not dialled in a busy loop.
+	// While all registries fail, each is dialled at most once a heartbeat interval to avoid a busy loop.
 	case current == nil && best.failed && now-best.failedAt < s.options.HeartbeatInterval:
 		return nil
 	case current != nil && s.class(now, best) >= s.class(now, current):
@@ -268,12 +277,12 @@
 	return []Action{{Open: true, Candidate: current != nil, Address: best.address, Reason: reason}}
 }
 
-// bestEndpoint is the registry to have a session with, nil if none is known.
+// bestEndpoint returns the most preferred registry, nil if none is known.
 func (s *RegistrySelector) bestEndpoint(now time.Duration) *registryEndpoint {
 	var best *registryEndpoint
 	for address, endpoint := range s.endpoints {
-		// A seed always counts: its class puts it last once the registries list their own addresses,
-		// so it is used again only when none of those can be reached.
+		// A seed is always eligible. Once the registries list their own addresses, a seed that is not listed
+		// ranks as classSuspect, so it is used only while none of the listed ones is better.
 		if !endpoint.advertised && s.membersKnown && !slices.Contains(s.seeds, address) {
 			continue
 		}
@@ -284,14 +293,15 @@
 	return best
 }
 
-// compareEndpoints orders registries, the preferred one first: by class, then by the time of the last
-// failure where there was one, then the current one, then in an order that differs between proxies.
+// compareEndpoints orders registries, the preferred one first. It compares the class, then for failed and
+// suspect ones the time of the last failure. The current registry comes next, then an order that differs between
+// proxies.
 func (s *RegistrySelector) compareEndpoints(now time.Duration, a, b *registryEndpoint) int {
 	classA, classB := s.class(now, a), s.class(now, b)
 	if classA != classB {
 		return cmp.Compare(classA, classB)
 	}
-	// The one that failed longest ago is retried first.
+	// The registry that failed longest ago is retried first.
 	if (classA == classFailed || classA == classSuspect) && a.lastFailureAt() != b.lastFailureAt() {
 		return cmp.Compare(a.lastFailureAt(), b.lastFailureAt())
 	}
@@ -307,13 +317,15 @@
 	)
 }
 
-// affinityHash gives each proxy an order of its own among registries that are equally good.
+// affinityHash returns a sort key that gives each proxy its own order of equally good registries.
 func (s *RegistrySelector) affinityHash(address string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(s.options.ProxyName + " " + address)) // a hash never fails to write
 	return hash.Sum64()
 }
 
+// sortedAddresses returns the addresses of all known registries in a fixed order, which keeps the order of
+// actions deterministic.
 func (s *RegistrySelector) sortedAddresses() []string {
 	addresses := make([]string, 0, len(s.endpoints))
 	for address := range s.endpoints {
--- a/internal/session/registry_selector_test.go
+++ b/internal/session/registry_selector_test.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// selectorOptions count in units of a nanosecond, the tick of selectorHarness.
+// selectorOptions gives all times in ticks of selectorHarness, which are one nanosecond long.
 var selectorOptions = SelectorOptions{
 	ProxyName:         "p",
 	Zone:              "x",
@@ -19,28 +19,30 @@
 	FailureCooldown:   32,
 }
 
+// threeMembers are registries in three zones. Registry a is in the zone of the proxy.
 var threeMembers = []*schema.CoreMember{
 	{Id: "a", Address: "a", Zone: "x"},
 	{Id: "b", Address: "b", Zone: "y"},
 	{Id: "c", Address: "c", Zone: "z"},
 }
 
-// selectorHarness is a proxy among simulated registries. Each sends a heartbeat every interval in its
-// sessions, unless a test made it unresponsive or refusing.
+// selectorHarness simulates a proxy and its registries. Each registry sends a heartbeat once per interval in its
+// sessions, unless a test makes it unresponsive or refusing.
 type selectorHarness struct {
 	selector     *RegistrySelector
-	now          time.Duration
-	nextTick     time.Duration            // when the selector is next due
-	openedAt     map[string]time.Duration // of the open sessions, by address
-	unresponsive map[string]bool          // sends no heartbeat
-	refusing     map[string]bool          // ends its sessions at once
-	staleness    map[string]time.Duration // age of its configuration
-	gap          time.Duration            // time without a current session, up to now
-	longestGap   time.Duration            // the longest such time since the first session
-	connected    bool                     // there was a current session once
+	now          time.Duration            // simulated time
+	nextTick     time.Duration            // time at which the selector's next Tick is due
+	openedAt     map[string]time.Duration // open sessions: the time at which each was opened, by address
+	unresponsive map[string]bool          // registries that send no heartbeat, by address
+	refusing     map[string]bool          // registries that end each session at once, by address
+	staleness    map[string]time.Duration // age of each registry's configuration, by address
+	gap          time.Duration            // time since the last current session, 0 while there is one
+	longestGap   time.Duration            // longest gap since the first session
+	connected    bool                     // there was a current session
 	log          []string                 // sessions opened (+) and closed (-), and violations
 }
 
+// newSelectorHarness returns a harness whose selector knows the given members and seeds.
 func newSelectorHarness(members []*schema.CoreMember, seeds ...string) *selectorHarness {
 	h := &selectorHarness{
 		selector:     NewRegistrySelector(selectorOptions, seeds),
@@ -66,7 +68,7 @@
 	}
 }
 
-// runUntil advances the time tick by tick, and delivers ticks, heartbeats and session ends.
+// runUntil advances the time in ticks, and delivers due calls of Tick, heartbeats and session ends.
 func (h *selectorHarness) runUntil(end time.Duration) {
 	for ; h.now < end; h.now++ {
 		if h.now >= h.nextTick {
@@ -94,34 +96,34 @@
 			h.longestGap = max(h.longestGap, h.gap)
 		}
 		if len(h.openedAt) > 2 {
-			h.log = append(h.log, "too many sessions")
+			h.log = append(h.log, fmt.Sprintf("violation: %d sessions at %d, want at most 2", len(h.openedAt), h.now))
 		}
 	}
 }
 
-// TestRegistrySelector checks that a proxy prefers the registry of its zone, moves to another one when
-// that fails and back when it recovers, and that it is never without a session for too long.
+// TestRegistrySelector checks that a proxy prefers the registry of its zone, switches to another one when that
+// fails, and returns when it recovers. It also checks how long the proxy is without a current session.
 func TestRegistrySelector(t *testing.T) {
 	for name, test := range map[string]struct {
 		members  []*schema.CoreMember
 		seeds    []string
 		scenario func(h *selectorHarness)
-		want     string        // the current session at the end; one of several, separated by commas
-		maxGap   time.Duration // bound on the time without a current session, after the first one
+		want     string        // allowed addresses of the current session at the end, separated by commas
+		maxGap   time.Duration // longest allowed time without a current session, after the first session
 	}{
-		"calm":             {threeMembers, nil, func(h *selectorHarness) { h.runUntil(100) }, "a", 0},
+		"selects its zone": {threeMembers, nil, func(h *selectorHarness) { h.runUntil(100) }, "a", 0},
 		"only seeds known": {nil, []string{"b"}, func(h *selectorHarness) { h.runUntil(30) }, "b", 0},
-		"members learnt from a seed": {nil, []string{"b"}, func(h *selectorHarness) {
+		"learns the members from a seed": {nil, []string{"b"}, func(h *selectorHarness) {
 			h.runUntil(10)
 			h.selector.SetCoreMembers(threeMembers)
 			h.runUntil(20)
 		}, "a", 0},
-		"its registry is killed": {threeMembers, nil, func(h *selectorHarness) {
+		"its registry fails": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.refusing["a"] = true
 			h.runUntil(40)
 		}, "b,c", 3},
-		"its registry is killed and comes back": {threeMembers, nil, func(h *selectorHarness) {
+		"its registry fails and recovers": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.refusing["a"] = true
 			h.runUntil(30)
@@ -133,7 +135,7 @@
 			h.unresponsive["a"] = true
 			h.runUntil(40)
 		}, "b,c", 0},
-		"two are unresponsive": {threeMembers, nil, func(h *selectorHarness) {
+		"two registries are unresponsive": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.unresponsive["a"], h.unresponsive["b"] = true, true
 			h.runUntil(60)
@@ -143,28 +145,28 @@
 			h.staleness["a"] = 30
 			h.runUntil(40)
 		}, "b,c", 0},
-		"its registry's partition heals": {threeMembers, nil, func(h *selectorHarness) {
+		"its registry is partitioned and recovers": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"] = 30
 			h.runUntil(40)
 			h.staleness["a"] = 0
 			h.runUntil(100)
 		}, "a", 0},
-		"all are partitioned": {threeMembers, nil, func(h *selectorHarness) {
+		"all registries are partitioned": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(100)
 		}, "a", 0},
-		"all but one are partitioned": {threeMembers, nil, func(h *selectorHarness) {
+		"all registries but one are partitioned": {threeMembers, nil, func(h *selectorHarness) {
 			h.staleness["a"], h.staleness["b"] = 30, 30
 			h.runUntil(40)
 		}, "c", 0},
-		"all are down": {threeMembers, []string{"d"}, func(h *selectorHarness) {
+		"all members fail and a seed is used": {threeMembers, []string{"d"}, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.refusing["a"], h.refusing["b"], h.refusing["c"] = true, true, true
 			h.runUntil(60)
 		}, "d", 20},
-		"reconnects to a partitioned one first": {threeMembers, nil, func(h *selectorHarness) {
+		"reconnects first to a partitioned registry": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.refusing["a"], h.refusing["b"], h.refusing["c"] = 30, true, true, true
 			h.runUntil(41)
@@ -173,14 +175,14 @@
 			h.refusing["b"], h.refusing["c"] = false, false
 			h.runUntil(60)
 		}, "b,c", 30},
-		"the partition heals except for its own": {threeMembers, nil, func(h *selectorHarness) {
+		"all registries but its own recover from a partition": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(45)
 			h.staleness["b"], h.staleness["c"] = 0, 0
 			h.runUntil(45 + 3*selectorOptions.HeartbeatInterval)
 		}, "b,c", 0},
-		"the core starts with it and two registries reach quorum later": {threeMembers, nil, func(h *selectorHarness) {
+		"two registries of a starting core reach the quorum later": {threeMembers, nil, func(h *selectorHarness) {
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(6)
 			h.staleness["b"], h.staleness["c"] = 0, 0
@@ -191,17 +193,17 @@
 			h.now = 51
 			h.runUntil(53)
 			if len(h.openedAt) != 1 {
-				h.log = append(h.log, "too many sessions")
+				h.log = append(h.log, fmt.Sprintf("violation: %d sessions after a stall, want 1", len(h.openedAt)))
 			}
 			h.runUntil(80)
 		}, "a", 0},
-		"a dead seed is not dialled while others answer": {threeMembers, []string{"d"}, func(h *selectorHarness) {
+		"a failed seed is not dialled while other registries respond": {threeMembers, []string{"d"}, func(h *selectorHarness) {
 			h.refusing["d"] = true
 			h.runUntil(21)
 			h.staleness["a"] = 30
 			h.runUntil(60)
 			if strings.Contains(strings.Join(h.log, ","), "+d") {
-				h.log = append(h.log, "too many sessions")
+				h.log = append(h.log, "violation: session with a failed seed")
 			}
 		}, "b,c", 0},
 	} {
@@ -209,31 +211,31 @@
 			h := newSelectorHarness(test.members, test.seeds...)
 			test.scenario(h)
 			log := strings.Join(h.log, ",")
-			if current := h.selector.Current(); current == "" || !strings.Contains(test.want, current) || strings.Contains(log, "too many") {
-				t.Errorf("at %q, want %q: %v", current, test.want, h.log)
+			if current := h.selector.Current(); current == "" || !strings.Contains(test.want, current) || strings.Contains(log, "violation") {
+				t.Errorf("current session = %q, want one of %q without violations; log: %v", current, test.want, h.log)
 			}
 			if h.longestGap > test.maxGap {
-				t.Errorf("%d without a session, want %d at most: %v", h.longestGap, test.maxGap, h.log)
+				t.Errorf("longest time without a session = %d ticks, want at most %d; log: %v", h.longestGap, test.maxGap, h.log)
 			}
 		})
 	}
 }
 
-// TestRegistrySelectorAcceptsOtherSeeds checks that seeds changed at run time leave the open session
-// alone, and are tried once no known registry can be reached.
-func TestRegistrySelectorAcceptsOtherSeeds(t *testing.T) {
+// TestSetSeedsKeepsOpenSession checks that seeds changed at run time do not affect the open session, and are tried
+// once no known registry can be reached.
+func TestSetSeedsKeepsOpenSession(t *testing.T) {
 	h := newSelectorHarness(threeMembers, "a", "b", "c")
 	h.runUntil(100)
 	h.selector.SetSeeds([]string{"d"})
 	h.runUntil(200)
 	if h.selector.Current() != "a" || len(h.log) != 1 {
-		t.Fatalf("in session with %q: %s", h.selector.Current(), strings.Join(h.log, ", "))
+		t.Fatalf("current session after SetSeeds() = %q, want \"a\" with no other action; log: %v", h.selector.Current(), h.log)
 	}
 	for _, address := range []string{"a", "b", "c"} {
 		h.refusing[address] = true
 	}
 	h.runUntil(400)
 	if h.selector.Current() != "d" {
-		t.Errorf("in session with %q: %s", h.selector.Current(), strings.Join(h.log, ", "))
+		t.Errorf("current session without reachable members = %q, want the seed \"d\"; log: %v", h.selector.Current(), h.log)
 	}
 }
--- a/internal/session/reservation_attempt.go
+++ b/internal/session/reservation_attempt.go
@@ -8,11 +8,12 @@
 	"meadowhinge/schema"
 )
 
-// reservationAttemptDivisor is the fraction of a lease within which a reservation attempt must end.
+// reservationAttemptDivisor gives the timeout of a reservation attempt: the length of the lease divided by this
+// constant.
 const reservationAttemptDivisor = 8
 
-// ReservationAttemptTimeout is how long after its start a reservation attempt accepts grants. A registry
-// that restarts waits this long before it reads the reservations of the others, so no attempt counts
+// ReservationAttemptTimeout returns how long after its start a reservation attempt accepts grants. A registry
+// that restarts waits this long before it reads the reservations of the other registries, so no attempt counts
 // grants from two incarnations of one registry.
 func ReservationAttemptTimeout(lease time.Duration) time.Duration {
 	return lease / reservationAttemptDivisor
@@ -23,32 +24,35 @@
 
 // The outcomes of an attempt.
 const (
-	ReservationPending    ReservationOutcome = iota // replies that can still decide are outstanding
+	ReservationPending    ReservationOutcome = iota // outstanding replies can still decide the attempt
 	ReservationGranted                              // a majority reserved the key for this request
 	ReservationConflict                             // another request holds the key, or may hold it
 	ReservationKeyReused                            // the key is reserved with a different request body
-	ReservationNoCapacity                           // no majority, and a registry has no room for more keys
-	ReservationNoMajority                           // no majority, and no more specific cause was reported
+	ReservationNoCapacity                           // no majority, and a registry has no capacity for more keys
+	ReservationNoMajority                           // no majority, and no registry reported a more specific cause
 )
 
-// ReservationAttempt counts the core members' replies to one reservation of an idempotency key. A majority
-// of grants within the timeout wins; the attempt is over as soon as that is no longer possible.
+// ReservationAttempt counts the core members' replies to one reservation of an idempotency key. The attempt
+// succeeds with a majority of grants within the timeout, and ends as soon as a majority is no longer possible.
 //
-// A ReservationAttempt belongs to the goroutine of the call that started it.
+// A ReservationAttempt is not safe for concurrent use. It belongs to the goroutine of the call that started it.
 type ReservationAttempt struct {
-	reservation *schema.KeyReservation
-	startedAt   time.Duration
-	timeout     time.Duration
-	memberCount int                                 // of the core; 0 while it is unknown, and then no attempt can succeed
-	results     map[string]schema.ReservationResult // by member id: the first result, a late grant counted as none
-	grants      int
-	rejections  int // for want of capacity
+	reservation *schema.KeyReservation // reservation requested by this attempt
+	startedAt   time.Duration          // start of the attempt
+	timeout     time.Duration          // time after startedAt in which grants are accepted
+	// memberCount is the number of core members. It is 0 if unknown, and then the attempt cannot succeed.
+	memberCount int
+	// results holds the first result of each member, by member id. A late grant is recorded as not authoritative.
+	results            map[string]schema.ReservationResult
+	grants             int // number of grants within the timeout
+	capacityRejections int // number of members without capacity for another key
 
 	// Conflicting is the reservation of another request that a member reported, nil if none did.
 	Conflicting *schema.KeyReservation
 }
 
-// NewReservationAttempt starts an attempt among memberCount core members.
+// NewReservationAttempt starts an attempt among memberCount core members. startedAt is on the clock that is read
+// for Record and AwaitOutcome.
 func NewReservationAttempt(reservation *schema.KeyReservation, memberCount int, startedAt, timeout time.Duration) *ReservationAttempt {
 	return &ReservationAttempt{
 		reservation: reservation,
@@ -59,14 +63,14 @@
 	}
 }
 
-// Record counts a member's reply; nil stands for a member that could not be reached. Only the first
-// reply of each member counts.
+// Record counts a member's reply, which is nil if the member could not be reached. Only the first reply of each
+// member counts.
 func (r *ReservationAttempt) Record(now time.Duration, memberID string, response *schema.ReservationReply) {
 	if _, answered := r.results[memberID]; answered {
 		return
 	}
 	result := response.GetResult()
-	// A late grant may come from an incarnation of the registry that has ended since.
+	// A late grant may come from an incarnation of the registry that has ended in the meantime.
 	if result == schema.ReservationResult_RESERVATION_GRANTED && now-r.startedAt > r.timeout {
 		result = schema.ReservationResult_RESERVATION_NOT_AUTHORITATIVE
 	}
@@ -75,21 +79,21 @@
 	case schema.ReservationResult_RESERVATION_GRANTED:
 		r.grants++
 	case schema.ReservationResult_RESERVATION_FULL:
-		r.rejections++
+		r.capacityRejections++
 	case schema.ReservationResult_RESERVATION_HELD:
 		r.Conflicting = response.Holder
 	}
 }
 
-// ReservationAnswer is one member's reply. MemberID is empty if the request to a member failed.
+// ReservationAnswer is the result of one request to a core member.
 type ReservationAnswer struct {
-	MemberID string
-	Response *schema.ReservationReply
+	MemberID string                   // id of the member; empty if the request failed
+	Response *schema.ReservationReply // reply of the member
 }
 
-// AwaitOutcome records answers until the attempt is over, all outstanding ones came, or ctx ends. It
-// returns the outcome and the conflicting reservation, if a member reported one. The function now
-// reads the clock that startedAt comes from.
+// AwaitOutcome records answers until the attempt is decided, all outstanding answers were received, or ctx ends.
+// It returns the outcome, and the conflicting reservation if a member reported one. The function now reads the
+// clock that startedAt comes from.
 func (r *ReservationAttempt) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer,
 	now func() time.Duration) (ReservationOutcome, *schema.KeyReservation) {
 	for ; ; outstanding-- {
@@ -107,8 +111,8 @@
 	}
 }
 
-// Outcome is the state of the attempt. With complete set, no further reply will come, and the outcome is
-// never ReservationPending.
+// Outcome returns the current outcome of the attempt. complete says that no further reply will arrive. The outcome
+// is then never ReservationPending.
 func (r *ReservationAttempt) Outcome(complete bool) ReservationOutcome {
 	majority := quorumSize(r.memberCount)
 	if r.memberCount > 0 && r.grants >= majority {
@@ -123,7 +127,7 @@
 		return ReservationKeyReused
 	case r.Conflicting != nil:
 		return ReservationConflict
-	case r.rejections > 0:
+	case r.capacityRejections > 0:
 		return ReservationNoCapacity
 	}
 	return ReservationNoMajority
