--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,15 +1,16 @@
-// Package policy compiles operators' policies to the bytecode of package expr, and evaluates them. A policy is an
-// expression over a call's context that must be true for the call to be planned. Evaluation is pure, has no loops
-// and is bounded in memory.
+// Package policy compiles and evaluates the authorization policies that operators write. A policy is a boolean
+// expression over the context of a call. The call is planned only if the expression is true. Policies are compiled
+// to bytecode of package expr (github.com/expr-lang/expr). Evaluation is pure, has no loops and is bounded in memory.
 //
-// Package config compiles policies, package plan evaluates them. The package owns no state; a Program never changes
-// once made, so any number of goroutines may evaluate it.
+// Package config compiles policies, and package plan evaluates them. The package has no state. A Program is
+// immutable, so any number of goroutines may evaluate it concurrently.
 package policy
 
 import (
 	"errors"
 	"fmt"
 	"slices"
+	"strings"
 
 	"github.com/expr-lang/expr"
 	"github.com/expr-lang/expr/ast"
@@ -18,48 +19,54 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Bounds on a policy.
+// Limits of a policy.
 const (
+	// MaxExpressionBytes is the length of the longest expression, in bytes.
 	MaxExpressionBytes = 1024
-	maxNodes           = 256     // nodes of the parsed expression
-	memoryBudget       = 1 << 12 // of one evaluation, in package expr's units
+	// maxNodes is the largest number of nodes of the parsed expression.
+	maxNodes = 256
+	// memoryBudget is the memory limit of one evaluation, in the units of vm.VM.MemoryBudget.
+	memoryBudget = 1 << 12
 )
 
-// allowedFunctions are the functions that a policy may call; their cost is bounded by the size of their argument.
+// allowedFunctions lists the functions that a policy may call. Their cost is bounded by the size of their argument.
 var allowedFunctions = []string{"len", "lower", "upper", "trim"}
 
-// Context is what a policy can refer to in a call.
+// Context holds the properties of a call that a policy can refer to.
 type Context struct {
-	Caller     string
-	Zone       string // a policy calls it area
-	Method     string
-	Path       string
-	Key        string         // that flags bucket by
-	Attributes map[string]any // by the names that the route gives them
+	Caller     string         // authenticated calling service or client kind
+	Zone       string         // zone of the caller; an expression refers to it as area
+	Method     string         // HTTP method
+	Path       string         // URL path
+	Key        string         // key by which flags assign the call to a bucket
+	Attributes map[string]any // attributes that the route declares, by name
 }
 
-// contextNames are the names of the context's own fields in an expression. Attributes must not have them.
+// contextNames lists the names of the context's own fields in an expression. They are reserved: attributes must not
+// have them.
 var contextNames = []string{"caller", "area", "method", "path", "key"}
 
-// IsReserved tells whether an attribute must not have a name, because a field of the context has it.
+// IsReserved reports whether a name is reserved for a field of the context, so that no attribute may have it.
 func IsReserved(name string) bool {
 	return slices.Contains(contextNames, name)
 }
 
-// Fault is why a policy was refused, and where.
+// Fault is a compile error of a policy.
 type Fault struct {
-	Line, Column int // in the expression, from 1
-	Reason       string
+	Line   int    // line in the expression, from 1
+	Column int    // column in the line, from 1
+	Reason string // description of the error
 }
 
-// Program is a policy compiled for a set of attributes.
+// Program is a policy compiled for a set of attribute names.
 type Program struct{ code *vm.Program }
 
-// Compile checks a policy's types and compiles it for the names of a route's attributes. For nil attributes any name
-// is taken for one: so a policy is checked that no route names yet.
+// Compile checks the types of a policy and compiles it for the attribute names of a route. If attributes is nil, every
+// unknown name is taken as an attribute, so that a policy can be checked before any route refers to it.
 func Compile(expression string, attributes []string) (*Program, *Fault) {
 	if len(expression) > MaxExpressionBytes {
-		return nil, &Fault{1, MaxExpressionBytes + 1, fmt.Sprintf("takes at most %d bytes", MaxExpressionBytes)}
+		return nil, &Fault{1, MaxExpressionBytes + 1, fmt.Sprintf("expression has %d bytes, at most %d bytes are allowed",
+			len(expression), MaxExpressionBytes)}
 	}
 	checker := &callChecker{}
 	code, err := expr.Compile(expression, compileOptions(attributes, checker)...)
@@ -68,12 +75,13 @@
 	}
 	if checker.disallowed != nil {
 		location := checker.disallowed.Location()
-		return nil, &Fault{1, location.From + 1, "calls what is no helper of a policy"}
+		return nil, &Fault{1, location.From + 1, "call of a function that is not allowed in a policy, allowed are " +
+			strings.Join(allowedFunctions, ", ")}
 	}
 	return &Program{code}, nil
 }
 
-// compileOptions are the options of package expr for a set of attributes.
+// compileOptions returns the options of package expr for a set of attribute names.
 func compileOptions(attributes []string, checker *callChecker) []expr.Option {
 	environment := types.Map{}
 	for _, name := range attributes {
@@ -98,7 +106,7 @@
 	return append(exprOptions, expr.Patch(checker))
 }
 
-// faultOf gives the fault for an error of package expr.
+// faultOf converts an error of package expr to a fault. An error without a position is reported at line 1, column 1.
 func faultOf(err error) *Fault {
 	var exprErr *file.Error
 	if errors.As(err, &exprErr) {
@@ -107,11 +115,13 @@
 	return &Fault{1, 1, err.Error()}
 }
 
-// callChecker finds the last call of anything but allowedFunctions: of a function that loops, or of a name that may
-// be an attribute.
-type callChecker struct{ disallowed ast.Node }
+// callChecker finds calls of anything but allowedFunctions, such as a function that loops or a name that is taken
+// as an attribute.
+type callChecker struct {
+	disallowed ast.Node // last disallowed call found, nil for none
+}
 
-// Visit checks a node of the parsed expression. Package expr calls it for each.
+// Visit checks a node of the parsed expression. Package expr calls it for each node.
 func (c *callChecker) Visit(node *ast.Node) {
 	switch call := (*node).(type) {
 	case *ast.CallNode, *ast.PredicateNode:
@@ -123,8 +133,8 @@
 	}
 }
 
-// Allows tells whether a call may be planned. An expression that cannot be evaluated, as for a missing attribute,
-// does not allow it: a policy fails closed.
+// Allows reports whether the policy allows a call. A policy fails closed: it does not allow the call if its expression
+// cannot be evaluated, for example because an attribute is missing.
 func (p *Program) Allows(context Context) bool {
 	environment := map[string]any{}
 	for name, value := range context.Attributes {
