--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -21,7 +21,7 @@
 					ServiceTime: 1e8,
 				})
 			}
-			view := compiledOf(b, benchBodies, Directory{"shop": {"1": workers, "2": workers}})
+			view := viewOfBodies(b, benchBodies, Directory{"shop": {"1": workers, "2": workers}})
 			request := newRequest("GET", "/a/x", nil)
 			request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
 			random := rand.New(rand.NewPCG(1, 1))
@@ -44,14 +44,14 @@
 
 // A plan allocates itself and its candidates and nothing else, whatever its flag takes to decide.
 func TestMakeAllocatesLittle(t *testing.T) {
-	view := compiledOf(t, benchBodies, Directory{"shop": {"1": workers("a", "b", "far1"), "2": workers("c")}})
+	view := viewOfBodies(t, benchBodies, Directory{"shop": {"1": workers("a", "b", "far1"), "2": workers("c")}})
 	request := newRequest("GET", "/a/x", nil)
 	request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
 	random := rand.New(rand.NewPCG(1, 1))
 	var local LocalState = fakeLocalState{}
 	randomFloat := random.Float64
 	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, local, 0, randomFloat) })
-	if allocations > 2 && !underRace {
+	if allocations > 2 && !raceEnabled {
 		t.Errorf("%v allocations", allocations)
 	}
 }
--- a/internal/plan/directory.go
+++ b/internal/plan/directory.go
@@ -6,12 +6,13 @@
 	"meadowhinge/schema"
 )
 
-// Directory lists the workers that may get calls by service and version. It is immutable once it is part of a View.
+// Directory lists the workers that may get calls, by service and version. It is immutable once it is part of a View.
 type Directory map[string]map[string][]Endpoint
 
 // DirectoryOf returns the directory of the workers that proxies report, without those that are draining or terminated.
-// firstSeenAt returns when a worker, by instance, was first known, and reportedAt when a proxy, by name, last
-// reported; both are on the clock of the process, and either may be nil for a directory without times.
+// firstSeenAt returns when the worker with the given instance id was first known. reportedAt returns when the proxy with
+// the given name last reported. Both return times on the clock of this process. Either may be nil, which leaves the
+// times that depend on it zero.
 func DirectoryOf(sources []*schema.Source, firstSeenAt, reportedAt func(name string) time.Duration) Directory {
 	directory := Directory{}
 	for _, source := range sources {
@@ -38,7 +39,8 @@
 	return directory
 }
 
-// newEndpoint returns a worker as the proxy beside it reports it.
+// newEndpoint returns the endpoint of a worker as reported by the proxy beside it, without times on the clock of this
+// process.
 func newEndpoint(source *schema.Source, worker *schema.Worker) Endpoint {
 	return Endpoint{
 		Instance:    worker.Instance,
--- a/internal/plan/endpoint.go
+++ b/internal/plan/endpoint.go
@@ -4,37 +4,40 @@
 
 // Endpoint is a worker that may get a call, as the directory lists it. Times are on the clock of this process.
 type Endpoint struct {
-	Instance    string        // the registration's id
+	Instance    string        // id of the worker's registration
 	Proxy       string        // name of the proxy beside the worker
-	Address     string        // of that proxy
-	Zone        string        // of the worker
-	Load        float64       // additional load that the worker reports, by which one without slots gets fewer calls
-	FirstSeenAt time.Duration // when the worker was first known here
-	Slots       int           // requests that the worker works on at once, 0 for not reported
-	Running     int           // requests that it worked on at ReportedAt
-	Waiting     int           // requests that waited for it at ReportedAt, at the worker or at its proxy
-	ServiceTime time.Duration // moving mean of the time that it takes for a request, 0 for not reported
-	ReportedAt  time.Duration // when its proxy reported Slots, Running, Waiting and ServiceTime
-	WarmUntil   time.Duration // until when the worker is in its slow start
+	Address     string        // address of the proxy beside the worker
+	Zone        string        // zone of the worker
+	Load        float64       // additional load that the worker reports; more of it means fewer calls if Slots is 0
+	FirstSeenAt time.Duration // time at which this process first knew the worker
+	Slots       int           // concurrency limit of the worker, 0 if not reported
+	Running     int           // requests that the worker was processing at ReportedAt
+	Waiting     int           // requests queued at the worker or at its proxy at ReportedAt
+	ServiceTime time.Duration // moving mean of the worker's processing time per request, 0 if not reported
+	ReportedAt  time.Duration // time at which the proxy reported Slots, Running, Waiting and ServiceTime; 0 if unknown
+	WarmUntil   time.Duration // end of the slow start that the worker reported
 }
 
-// EndpointStats is what a process knows of a worker besides the directory. Package dispatch fills it in.
+// EndpointStats holds a process's own observations of a worker, besides the directory. Package dispatch fills it in.
 type EndpointStats struct {
-	InFlight       int           // calls of this process at the worker
-	OtherInFlight  float64       // estimated calls of other processes there
-	Slots          int           // requests that the worker works on at once, 0 for not known
-	ServiceTime    time.Duration // what the worker takes for a request once it runs, 0 for not known
-	RecentCalls    float64       // decaying count of the worker's calls
-	RecentFailures float64       // decaying count of those that failed
-	Full           bool          // it recently refused a call for lack of capacity
-	Ejected        bool          // it failed too often in a row, owes responses, or is unreachable
-	Unreachable    bool          // its proxy was recently not reached, or does not know the worker any more
+	InFlight       int           // calls of this process in flight at the worker
+	OtherInFlight  float64       // estimated calls of other processes in flight at the worker
+	Slots          int           // concurrency limit of the worker, 0 if unknown
+	ServiceTime    time.Duration // processing time of a request, without queueing, 0 if unknown
+	RecentCalls    float64       // exponentially decaying count of the worker's calls
+	RecentFailures float64       // exponentially decaying count of the worker's failed calls
+	Full           bool          // the worker recently refused a call for lack of capacity
+	// Ejected says that the worker failed too often in a row, has calls in flight but sent no response for too long,
+	// or is unreachable.
+	Ejected     bool
+	Unreachable bool // the worker's proxy recently could not be reached, or does not know the worker any more
 }
 
-// LocalState is what a process knows of workers and versions besides its view. It is called concurrently.
+// LocalState provides a process's own observations of workers and versions, besides the View. Implementations must be
+// safe for concurrent use.
 type LocalState interface {
-	// Stats returns what is known of a worker as of now.
+	// Stats returns the statistics of a worker at the time now.
 	Stats(worker *Endpoint, now time.Duration) EndpointStats
-	// VersionBlocked reports whether a version other than the fallback must not be used now.
+	// VersionBlocked reports whether a version other than the fallback must not be used at the time now.
 	VersionBlocked(service, version string, now time.Duration) bool
 }
--- a/internal/plan/evaluation_context.go
+++ b/internal/plan/evaluation_context.go
@@ -9,20 +9,21 @@
 	"meadowhinge/internal/policy"
 )
 
-// CallerKind is the context kind whose key is the calling service and whose attributes describe the caller.
+// CallerKind is the flag context kind whose key is the calling service and whose attributes describe the caller.
 const CallerKind = "caller"
 
-// evaluationContext is what flags are evaluated for: the user, as the route identifies users, and the caller. It reads the
-// request lazily, because most flags need only the key. It implements flag.EvaluationContext.
+// evaluationContext is the context in which flags are evaluated for a request. It has the user, as identified by the
+// route, and the caller. It reads the request lazily, because most flags need only the key. It implements
+// flag.EvaluationContext.
 type evaluationContext struct {
 	route   *config.Route
 	request *Request
-	zone    string // of this proxy, and thereby of the caller beside it
-	key     string // of the user
+	zone    string // zone of this proxy, which is also the zone of the caller beside it
+	key     string // key of the user, empty if unknown
 }
 
-// newEvaluationContext returns the context of a request. Where the route names no header for the key, the request's own
-// identity is the key.
+// newEvaluationContext returns the context of a request. If the route names no key header, the request's own identity is
+// the key.
 func newEvaluationContext(route *config.Route, request *Request, zone string) evaluationContext {
 	evaluation := evaluationContext{route: route, request: request, zone: zone, key: request.Identity}
 	if route.KeyHeader != "" {
@@ -31,7 +32,8 @@
 	return evaluation
 }
 
-// KeyOf returns the user's key, or the calling service.
+// KeyOf returns the key of a context kind, and whether the kind is known. The key is the user's for flag.DefaultKind and
+// the calling service for CallerKind.
 func (e *evaluationContext) KeyOf(kind string) (string, bool) {
 	switch kind {
 	case flag.DefaultKind:
@@ -42,10 +44,11 @@
 	return "", false
 }
 
-// HasAllKeys reports whether both keys are known.
+// HasAllKeys reports whether the keys of both context kinds are known.
 func (e *evaluationContext) HasAllKeys() bool { return e.key != "" && e.request.Caller != "" }
 
-// Attribute returns what the route takes from headers, method and path; of the caller, its zone.
+// Attribute returns the value of an attribute, and whether it is present. The user's attributes are those that the route
+// takes from headers, and the method and the path. The caller's only attribute is its zone, named area.
 func (e *evaluationContext) Attribute(kind, name string) (any, bool) {
 	if kind == CallerKind {
 		return e.zone, name == "area"
@@ -66,7 +69,8 @@
 	return nil, false
 }
 
-// parseAttribute parses a header's value: plain decimal numbers and booleans are taken as such, all else as text.
+// parseAttribute parses the value of a header. It returns a float64 for a plain decimal number, a bool for true or false,
+// and else the text.
 func parseAttribute(text string) any {
 	if number, err := strconv.ParseFloat(text, 64); err == nil && !strings.ContainsAny(text, "xXpP_nN") {
 		return number
@@ -80,7 +84,7 @@
 	return text
 }
 
-// policyContext returns what a policy sees: what the flags' context holds, under the names of package policy.
+// policyContext returns the context for evaluating a policy, with the same values as the flags' context.
 func policyContext(evaluation *evaluationContext) policy.Context {
 	request := evaluation.request
 	input := policy.Context{
--- a/internal/plan/picker.go
+++ b/internal/plan/picker.go
@@ -5,82 +5,94 @@
 	"time"
 )
 
-// Ratios of picking endpoints.
+// Load balancing parameters.
 const (
-	maxEjectedDivisor = 2   // at most 1/maxEjectedDivisor of a pool may be ejected
-	slowStartFloor    = 0.1 // part of the calls that a worker begins with, where it does not report its slow start
-	slowStartFactor   = 2.0 // how many times longer a worker takes in the slow start that it reports
-	lastSlotSlowdown  = 0.1 // how much longer a worker takes with its last slot in use than with its first
+	maxEjectedDivisor = 2   // at most 1/maxEjectedDivisor of the sampled workers may be ejected or avoided
+	slowStartFloor    = 0.1 // fraction of its full share of calls at which a worker starts, if it reports no slow start
+	slowStartFactor   = 2.0 // multiple of the service time expected of a worker in the slow start that it reports
+	lastSlotSlowdown  = 0.1 // relative increase of the service time from the first to the last slot in use
 
-	// Calls spill to other zones in so far as the wait in the own zone uses up what the latency target leaves besides
-	// the service time: increasingly from spillStart of it, and always from spillAlways. In between, the zones
-	// settle where the wait in both is alike.
-	spillStart             = 0.15
-	spillAlways            = 0.4
-	spillMaxTimeRatio      = 0.8 // and only to where a call takes less than this part of the time
-	spillUnknownSlotsRatio = 3.0 // where slots are not known: only from this many times the load
-	spillTargetDivisor     = 2   // and only where calls take longer than this part of the latency target
+	// Zone spillover. The slack is the time that the latency target leaves besides the service time. Calls spill to
+	// other zones with a probability that rises with the fraction of the slack that the wait in the own zone takes.
+	// The probability is 0 up to spillStart and 1 from spillAlways. In between, the zones settle at a load where both
+	// have a similar wait.
+	spillStart  = 0.15
+	spillAlways = 0.4
+	// spillMaxTimeRatio is the largest ratio of the expected time in the other zone to that in the own zone.
+	spillMaxTimeRatio = 0.8
+	// spillUnknownSlotsRatio is the ratio of the load in the own zone to that in the other zone above which calls spill
+	// if slots are unknown.
+	spillUnknownSlotsRatio = 3.0
+	// spillTargetDivisor applies if slots are unknown. Calls do not spill if the service time is known and shorter than
+	// the latency target divided by this constant.
+	spillTargetDivisor = 2
 
-	// A worker is avoided in so far as it fails more than the others: increasingly from excessFailureStart of its
-	// calls, and always from excessFailureAlways.
+	// Outlier avoidance. A worker is avoided with a probability that rises with the excess of its failure rate over
+	// the rate of the others. The probability is 0 up to excessFailureStart and 1 from excessFailureAlways.
 	excessFailureStart    = 0.15
 	excessFailureAlways   = 0.5
-	commonFailureRate     = 0.25 // where the others fail in this part of their calls, consecutive failures mean nothing
-	assumedSuccesses      = 4.0  // calls that a worker is assumed to have served before any was seen
-	failureStandardErrors = 2.0  // excess that is explained by chance, in standard errors
+	commonFailureRate     = 0.25 // failure rate of the others from which consecutive failures do not eject a worker
+	assumedSuccesses      = 4.0  // successful calls that each worker is assumed to have served before the first one seen
+	failureStandardErrors = 2.0  // standard errors of the excess that are attributed to chance
 
-	maxPackedUtilization = 0.8 // of the slots of a worker that gets the calls where they are packed
+	maxPackedUtilization = 0.8 // largest fraction of a worker's slots that packed calls may occupy
 
-	fullServiceTimes = 2.0 // a worker that was full gets calls that have this many service times left besides the wait
+	// fullServiceTimes is the time, in service times, that a call must have left besides the expected wait for a worker
+	// to be tried that recently had no capacity.
+	fullServiceTimes = 2.0
 
-	maxCandidates     = 8 // of one plan; a call that has tried all of them gets another plan
-	sameZoneSampled   = 6 // workers of a larger pool that are rated
-	otherZonesSampled = 4
+	maxCandidates     = 8 // largest number of candidates of a plan; a call that has tried all of them gets another plan
+	sameZoneSampled   = 6 // workers in the own zone that are sampled from a large pool
+	otherZonesSampled = 4 // workers in other zones that are sampled from a large pool
 )
 
-// ratedEndpoint is a worker of the sample with what a call is expected to take there.
-type ratedEndpoint struct {
-	poolIndex    int
-	expectedTime float64 // nanoseconds that one more call takes; where no service time is known, calls
-	expectedWait float64 // the part of expectedTime before the worker begins with the call
-	group        int
+// scoredEndpoint is a sampled worker with the expected time of a call.
+type scoredEndpoint struct {
+	poolIndex int // index in picker.pool
+	// expectedTime is the expected time of one more call, in nanoseconds. If no service time is known in the sample, its
+	// unit is a number of calls.
+	expectedTime float64
+	expectedWait float64 // part of expectedTime before the worker starts the call, in the same unit; 0 if slots are unknown
+	group        int     // group of the worker, such as sameZone
 	stats        EndpointStats
 }
 
 // The groups of workers, in the order in which they are tried.
 const (
-	sameZone   = iota // in this proxy's zone
-	otherZones        // in other zones
-	suspect           // fail more than others; those with capacity may still answer well
-	atCapacity        // without capacity
-	unusable          // not reached, or fail all calls
+	sameZone   = iota // workers in this proxy's zone
+	otherZones        // workers in other zones
+	suspect           // workers with capacity that fail more than others; a call may still succeed there
+	atCapacity        // workers without capacity
+	unusable          // workers that are unreachable or fail all calls
 	groupCount
 )
 
-// maxSampled is the size of the sample of a larger pool.
+// maxSampled is the number of workers sampled from a large pool. A pool of at most this size is scored as a whole.
 const maxSampled = sameZoneSampled + otherZonesSampled
 
-// picker is one pick of endpoints from a pool. Pickers are reused for their memory; one is used by one goroutine at a time.
+// picker holds the working state of one selection of endpoints from a pool. Pickers are reused to save allocations. One
+// goroutine at a time uses a picker.
 type picker struct {
-	pool          []Endpoint
+	pool          []Endpoint // workers to select from; not modified
 	options       Options
 	local         LocalState
-	now           time.Duration
+	now           time.Duration // time of the selection, on the clock of this process
 	random        Random
-	latencyTarget time.Duration
-	sampled       []ratedEndpoint
-	groups        [groupCount][]int // indexes into sampled
+	latencyTarget time.Duration     // latency target of the call, 0 for none
+	sampled       []scoredEndpoint  // sampled workers
+	groups        [groupCount][]int // indexes into sampled, by group
 }
 
-// pickerPool has the pickers that are not in use.
+// pickerPool holds pickers that are not in use.
 var pickerPool = sync.Pool{New: func() any { return &picker{} }}
 
-// pickEndpoints picks workers for a call, in the order in which to try them: first those of this zone, unless that would
-// make the call late, with the one that is likely the fastest in front; then those without capacity, then those
-// that fail.
+// pickEndpoints returns up to maxCandidates workers for a call, in the order in which to try them. Workers of this zone
+// come first, unless their wait would make the call late, then those of other zones. Within a group, the better of two
+// workers drawn at random comes first. Workers that fail more than others follow, then those without capacity, then
+// those that are unusable.
 //
-// If packed is set, the calls of all proxies go to as few workers as have capacity for them. So each of these shows
-// how it performs under load, though there are fewer calls than the pool has capacity for.
+// If packed is set, all proxies send their calls to as few workers as have capacity for them. Each of these workers
+// then shows how it performs under load, although there are fewer calls than the pool has capacity for.
 func pickEndpoints(
 	pool []Endpoint, packed bool, latencyTarget time.Duration, options Options, local LocalState, now time.Duration, random Random,
 ) []Endpoint {
@@ -94,7 +106,7 @@
 		p.pool, p.local, p.random = nil, nil, nil
 		pickerPool.Put(p)
 	}()
-	p.rate()
+	p.scorePool()
 	if len(p.groups[sameZone]) > 0 && len(p.groups[otherZones]) > 0 && p.shouldSpill() {
 		p.groups[sameZone], p.groups[otherZones] = p.groups[otherZones], p.groups[sameZone]
 	}
@@ -115,32 +127,32 @@
 	return chosen
 }
 
-// rate rates the whole pool if it is small, and else a random sample of it.
-func (p *picker) rate() {
+// scorePool scores the whole pool if it is small, and else a random sample of it.
+func (p *picker) scorePool() {
 	poolSize := len(p.pool)
 	if poolSize <= maxSampled {
-		p.rateSample(0, poolSize, poolSize)
+		p.scoreSample(0, poolSize, poolSize)
 		return
 	}
 	start := min(int(p.random()*float64(poolSize)), poolSize-1)
-	p.rateSample(start, sameZoneSampled, otherZonesSampled)
-	// Where no worker of the sample is good, all are rated.
+	p.scoreSample(start, sameZoneSampled, otherZonesSampled)
+	// If the sample has no usable worker with capacity, the whole pool is scored.
 	if len(p.groups[sameZone])+len(p.groups[otherZones]) == 0 && len(p.sampled) < poolSize {
-		p.rateSample(0, poolSize, poolSize)
+		p.scoreSample(0, poolSize, poolSize)
 	}
 }
 
-// takeFirstWithCapacity removes from the groups the first worker by name that reports its slots and has capacity within
-// the bound for packing; by name, so that all proxies take the same one. It returns the worker's index in the pool,
-// -1 for none.
+// takeFirstWithCapacity removes one worker from the groups and returns its index in the pool, or -1 if there is none. It
+// takes the first worker by instance id that reports its slots and stays within maxPackedUtilization. The order by id
+// makes all proxies take the same worker.
 func (p *picker) takeFirstWithCapacity() int {
 	best, fromGroup, position := -1, 0, 0
 	for _, group := range []int{sameZone, otherZones} {
 		for i, sampleIndex := range p.groups[group] {
-			rated := &p.sampled[sampleIndex]
-			hasCapacity := float64(rated.stats.InFlight)+rated.stats.OtherInFlight+1 <= maxPackedUtilization*float64(rated.stats.Slots)
-			if hasCapacity && (best < 0 || p.pool[rated.poolIndex].Instance < p.pool[best].Instance) {
-				best, fromGroup, position = rated.poolIndex, group, i
+			scored := &p.sampled[sampleIndex]
+			hasCapacity := float64(scored.stats.InFlight)+scored.stats.OtherInFlight+1 <= maxPackedUtilization*float64(scored.stats.Slots)
+			if hasCapacity && (best < 0 || p.pool[scored.poolIndex].Instance < p.pool[best].Instance) {
+				best, fromGroup, position = scored.poolIndex, group, i
 			}
 		}
 	}
@@ -152,15 +164,16 @@
 	return best
 }
 
-// rateSample samples at most so many workers of this zone and of others, from an index of the pool on, and sorts them
-// into groups.
-func (p *picker) rateSample(start, sameZoneLimit, otherZonesLimit int) {
+// scoreSample samples workers of this zone and of others up to the given limits, starting at an index of the pool. It
+// estimates their times and assigns them to groups.
+func (p *picker) scoreSample(start, sameZoneLimit, otherZonesLimit int) {
 	p.drawSample(start, sameZoneLimit, otherZonesLimit)
 	p.estimateTimes()
 	p.groupSample()
 }
 
-// drawSample takes workers in the order of the pool, from an index on and around, until both limits are reached.
+// drawSample takes workers in the order of the pool, starting at an index and wrapping around, until both limits are
+// reached.
 func (p *picker) drawSample(start, sameZoneLimit, otherZonesLimit int) {
 	p.sampled = p.sampled[:0]
 	remaining := [2]int{sameZone: sameZoneLimit, otherZones: otherZonesLimit}
@@ -176,7 +189,7 @@
 		if remaining[group] > 0 {
 			remaining[group]--
 			stats := p.local.Stats(&p.pool[poolIndex], p.now)
-			p.sampled = append(p.sampled, ratedEndpoint{poolIndex: poolIndex, group: group, stats: stats})
+			p.sampled = append(p.sampled, scoredEndpoint{poolIndex: poolIndex, group: group, stats: stats})
 		}
 		if remaining[sameZone]+remaining[otherZones] == 0 {
 			break
@@ -184,8 +197,8 @@
 	}
 }
 
-// groupSample sorts the sample into groups: its workers begin in the group of their zone, and are moved to another if
-// they lack capacity or fail.
+// groupSample assigns the sampled workers to groups. A worker is in the group of its zone unless it lacks capacity or
+// fails.
 func (p *picker) groupSample() {
 	for i := range p.groups {
 		p.groups[i] = p.groups[i][:0]
@@ -196,50 +209,50 @@
 		failures += p.sampled[i].stats.RecentFailures
 	}
 	for i := range p.sampled {
-		rated := &p.sampled[i]
-		lacksCapacity := rated.stats.Full && p.likelyFull(rated)
+		scored := &p.sampled[i]
+		lacksCapacity := scored.stats.Full && p.likelyFull(scored)
 		if lacksCapacity {
-			rated.group = atCapacity
+			scored.group = atCapacity
 		}
-		// Beyond this part of the sample no more workers are avoided: when all fail alike, none is the outlier.
+		// Only a limited part of the sample is ejected or avoided, because no worker is an outlier when all fail alike.
 		if len(p.groups[unusable])+len(p.groups[suspect]) < len(p.sampled)/maxEjectedDivisor {
-			othersCalls, othersFailures := calls-rated.stats.RecentCalls, failures-rated.stats.RecentFailures
-			switch ejected, avoid := p.assessFailures(&rated.stats, othersCalls, othersFailures); {
+			othersCalls, othersFailures := calls-scored.stats.RecentCalls, failures-scored.stats.RecentFailures
+			switch ejected, avoid := p.assessFailures(&scored.stats, othersCalls, othersFailures); {
 			case ejected:
-				rated.group = unusable
+				scored.group = unusable
 			case avoid && !lacksCapacity:
-				rated.group = suspect
+				scored.group = suspect
 			}
 		}
-		p.groups[rated.group] = append(p.groups[rated.group], i)
+		p.groups[scored.group] = append(p.groups[scored.group], i)
 	}
 }
 
-// estimateTimes estimates how long one more call would take at each worker of the sample.
+// estimateTimes estimates the time and the wait of one more call at each sampled worker.
 func (p *picker) estimateTimes() {
 	baseline := p.meanServiceTime()
 	for i := range p.sampled {
-		rated := &p.sampled[i]
-		endpoint := &p.pool[rated.poolIndex]
-		calls := float64(rated.stats.InFlight) + rated.stats.OtherInFlight + 1
-		if rated.stats.Slots == 0 {
-			rated.expectedTime = baseline * calls * (1 + endpoint.Load) / p.slowStartFraction(endpoint)
+		scored := &p.sampled[i]
+		endpoint := &p.pool[scored.poolIndex]
+		calls := float64(scored.stats.InFlight) + scored.stats.OtherInFlight + 1
+		if scored.stats.Slots == 0 {
+			scored.expectedTime = baseline * calls * (1 + endpoint.Load) / p.slowStartFraction(endpoint)
 			continue
 		}
-		serviceTime := float64(rated.stats.ServiceTime)
+		serviceTime := float64(scored.stats.ServiceTime)
 		if serviceTime == 0 {
 			serviceTime = baseline
 			if p.now < endpoint.WarmUntil {
 				serviceTime *= slowStartFactor
 			}
 		}
-		utilization := calls / float64(rated.stats.Slots)
-		rated.expectedWait = serviceTime * max(0, utilization-1)
-		rated.expectedTime = serviceTime*(1+lastSlotSlowdown*min(1, utilization*utilization)) + rated.expectedWait
+		utilization := calls / float64(scored.stats.Slots)
+		scored.expectedWait = serviceTime * max(0, utilization-1)
+		scored.expectedTime = serviceTime*(1+lastSlotSlowdown*min(1, utilization*utilization)) + scored.expectedWait
 	}
 }
 
-// meanServiceTime returns the mean service time of the sample, in nanoseconds, or 1 where none is known.
+// meanServiceTime returns the mean service time of the sample, in nanoseconds, or 1 if none is known.
 func (p *picker) meanServiceTime() float64 {
 	sum, measured := 0.0, 0.0
 	for i := range p.sampled {
@@ -254,7 +267,7 @@
 	return sum / measured
 }
 
-// slowStartFraction returns the part of its calls that a worker gets in its slow start, 1 once that is over.
+// slowStartFraction returns the fraction of its full share of calls that a worker gets during slow start, 1 after it.
 func (p *picker) slowStartFraction(endpoint *Endpoint) float64 {
 	age := p.now - endpoint.FirstSeenAt
 	if p.options.Warmup <= 0 || age >= p.options.Warmup {
@@ -263,21 +276,21 @@
 	return max(slowStartFloor, float64(age)/float64(p.options.Warmup))
 }
 
-// shouldSpill reports whether another zone is tried first this time. The more the wait in this zone would make calls
-// late, the more of them spill; at random, so that proxies do not switch all at once.
+// shouldSpill reports whether other zones are tried first for this call. The probability rises with the expected wait in
+// this zone. The choice is random so that proxies do not all switch at once.
 func (p *picker) shouldSpill() bool {
 	best := &p.sampled[p.groups[sameZone][0]]
 	slotsUnknown := false
 	for _, i := range p.groups[sameZone] {
-		rated := &p.sampled[i]
-		slotsUnknown = slotsUnknown || rated.stats.Slots == 0
-		if rated.expectedTime < best.expectedTime {
-			best = rated
+		scored := &p.sampled[i]
+		slotsUnknown = slotsUnknown || scored.stats.Slots == 0
+		if scored.expectedTime < best.expectedTime {
+			best = scored
 		}
 	}
 	remote := &p.sampled[p.groups[otherZones][p.pickOfTwo(p.groups[otherZones])]]
 	if slotsUnknown {
-		// Where at least the service time is known, and is short enough, calls stay.
+		// If the service time is known and short enough, calls stay in this zone.
 		fastEnough := p.latencyTarget > 0 && best.stats.ServiceTime > 0 && best.stats.ServiceTime < p.latencyTarget/spillTargetDivisor
 		return !fastEnough && best.expectedTime > spillUnknownSlotsRatio*remote.expectedTime
 	}
@@ -290,8 +303,8 @@
 	return waitFraction > spillStart && p.random() < (waitFraction-spillStart)/(spillAlways-spillStart)
 }
 
-// pickOfTwo draws two workers of a group at random and returns the index, in the group, of the one with the shorter
-// expected time.
+// pickOfTwo draws two different workers of a group at random and returns the index, in the group, of the one with the
+// shorter expected time (power of two choices).
 func (p *picker) pickOfTwo(group []int) int {
 	if len(group) == 1 {
 		return 0
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -9,63 +9,68 @@
 	"meadowhinge/internal/flag"
 )
 
-// Exceptions to the flag's verdict. Each is counted under a reason of its own.
+// The reasons of verdicts that differ from the flag's result. Each reason is counted separately.
 const (
-	// ReasonPoolEmpty: the version has no worker that is reachable, so the fallback version serves.
+	// ReasonPoolEmpty means that no worker of the version is reachable, so the fallback version serves the call.
 	ReasonPoolEmpty flag.Reason = "POOL_EMPTY"
-	// ReasonVersionBlocked: the version is not the fallback, and this proxy must not use it now.
+	// ReasonVersionBlocked means that the version is not the fallback, and is stopped or must not be used by this
+	// process now.
 	ReasonVersionBlocked flag.Reason = "HELD"
-	// ReasonPolicy: the route's policy refused the call, so no version was decided.
+	// ReasonPolicy means that the route's policy denied the call, so no version was selected.
 	ReasonPolicy flag.Reason = "POLICY"
-	// ReasonSplitEmpty: the split's service has no worker, and another one of the split has.
+	// ReasonSplitEmpty means that the service selected by the split has no workers, and another service of the split
+	// serves the call.
 	ReasonSplitEmpty flag.Reason = "SPLIT_EMPTY"
-	// ReasonNoVersion: no version of the service is configured, and no worker has reported one yet.
+	// ReasonNoVersion means that no version of the service is configured, and no worker has reported one yet.
 	ReasonNoVersion flag.Reason = "NO_VERSION"
 )
 
-// View is an immutable snapshot of what a plan is made from. A plan is made from one view only.
+// View is an immutable snapshot of the configuration and the workers. Each plan is made from a single view.
 type View struct {
 	Config    *config.Snapshot
 	Directory Directory
 }
 
-// Request is what a plan needs to know of a request. Package proxy fills it in from the caller's HTTP request.
+// Request holds the properties of a request that determine its plan. Package proxy fills it in from the caller's HTTP
+// request.
 type Request struct {
-	Caller            string // the authenticated calling service or client kind
-	Host              string // as the caller named it
-	Identity          string // the caller's own id of this attempt: the context's key where the route names no header
-	Method            string
-	Path              string
-	Header            func(name string) (string, bool) // value of a header, and whether it is present
+	Caller string // authenticated calling service or client kind
+	Host   string // host as named by the caller
+	// Identity is the caller's own id of this attempt. It is the key for flags if the route names no key header.
+	Identity          string
+	Method            string                           // HTTP method
+	Path              string                           // URL path
+	Header            func(name string) (string, bool) // returns the value of a header, and whether it is present
 	HasIdempotencyKey bool                             // an Idempotency-Key header is present
-	IdempotencyKey    string                           // its value
-	CallerDeadline    time.Duration                    // time that the caller gives, 0 for no bound
+	IdempotencyKey    string                           // value of the Idempotency-Key header
+	CallerDeadline    time.Duration                    // time that the caller allows for the call, 0 for no limit
 }
 
-// Verdict is the result of one decision, and its reason: of a service, the version whose workers get the call; of a
-// split route, the service. The JSON keys are the operators' API.
+// Verdict is the result of one decision, with its reason. For a service it is the version whose workers get the call,
+// for a split route the service. The JSON keys are part of the operators' API.
 type Verdict struct {
-	Flag           string         `json:"flag"`           // key of the flag that decided
-	Version        string         `json:"version"`        // of a split: the service
-	Reason         flag.Reason    `json:"reason"`         // the flag's, or an exception
-	RuleID         string         `json:"rule,omitempty"` // the flag's rule that matched
-	Error          flag.ErrorCode `json:"error,omitempty"`
-	ConfigRevision uint64         `json:"setup"`
-	Evaluated      string         `json:"evaluated,omitempty"` // what the flag said, where an exception changed it
+	Flag           string         `json:"flag"`                // key of the evaluated flag
+	Version        string         `json:"version"`             // selected version; for a split route the selected service
+	Reason         flag.Reason    `json:"reason"`              // reason of the flag's result, or why the verdict differs from it
+	RuleID         string         `json:"rule,omitempty"`      // id of the flag's rule that matched, empty if none did
+	Error          flag.ErrorCode `json:"error,omitempty"`     // error of the flag's evaluation, empty for none
+	ConfigRevision uint64         `json:"setup"`               // revision of the configuration that was evaluated
+	Evaluated      string         `json:"evaluated,omitempty"` // the flag's result if the verdict differs from it, else empty
 }
 
-// Plan is what is to happen to a request.
+// Plan is the routing decision for a request.
 type Plan struct {
-	Route         *config.Route
-	Service       string
-	Split         Verdict // of a route that is split: its Version is the service; without a flag if the route is not
-	Verdict       Verdict
-	Class         config.Class
-	Deadline      time.Duration // for the whole call, from its start
-	LatencyTarget time.Duration // the time within which an answer is worth most, 0 for none
-	Candidates    []Endpoint    // in the order in which to try them
-
-	evaluation evaluationContext // of its request
+	Route   *config.Route // matched route
+	Service string        // name of the service that gets the call
+	// Split is the verdict that selected the service of a split route. It is zero if the route is not split.
+	Split         Verdict
+	Verdict       Verdict       // verdict that selected the version of the service
+	Class         config.Class  // idempotency class of the request
+	Deadline      time.Duration // time allowed for the whole call, counted from its start
+	LatencyTarget time.Duration // latency within which a response has its full value, 0 for none
+	Candidates    []Endpoint    // endpoints in the order in which to try them
+
+	evaluation evaluationContext // context for evaluating flags and policies
 }
 
 // maxIdempotencyKeyBytes is the length of the longest idempotency key, in bytes.
@@ -73,21 +78,21 @@
 
 // Options are the planner's settings.
 type Options struct {
-	Zone        string        // of this proxy
-	MaxDeadline time.Duration // upper bound on the deadline of any call
+	Zone        string        // zone of this proxy
+	MaxDeadline time.Duration // upper limit of the deadline of any call
 	Warmup      time.Duration // slow start of a new worker that does not report its own, 0 for none
 }
 
-// Random returns numbers in [0,1).
+// Random returns pseudo-random numbers in [0,1).
 type Random func() float64
 
-// Make makes the plan of a request. The error has the code errs.RouteNotFound, CallerNotAllowed, MalformedRequest,
-// PolicyDenied or NoWorker. With the last two it comes with the plan as far as it was made, so that the refusal can
-// be counted and shown.
+// Make returns the plan of a request. It fails with code errs.RouteNotFound, errs.CallerNotAllowed,
+// errs.MalformedRequest, errs.PolicyDenied or errs.NoWorker. With the last two it also returns the incomplete plan, so
+// that the refusal can be counted and shown.
 func Make(view *View, request *Request, options Options, local LocalState, now time.Duration, random Random) (*Plan, error) {
 	route, found := view.Config.Match(request.Host, request.Path, request.Method)
 	if !found {
-		return nil, errs.New(errs.RouteNotFound, request.Method+" "+request.Path)
+		return nil, errs.New(errs.RouteNotFound, fmt.Sprintf("no route for %s %s on host %q", request.Method, request.Path, request.Host))
 	}
 	plan := newPlan(route, request, options)
 	decision := decision{view: view, subject: &plan.evaluation, caller: request.Caller, local: local, now: now}
@@ -98,21 +103,21 @@
 	if err := plan.checkRequest(view, request); err != nil {
 		return nil, err
 	}
-	// The policy decides whether the call is made at all; only then the flag decides its version.
+	// The policy decides whether the call is made at all. The flag decides the version only if it is.
 	if route.Policy != nil && !route.Policy.Allows(policyContext(&plan.evaluation)) {
 		plan.Verdict = Verdict{
 			Flag:           config.VersionFlagKey(plan.Service),
 			Reason:         ReasonPolicy,
 			ConfigRevision: view.Config.Revision,
 		}
-		return plan, errs.New(errs.PolicyDenied, route.PolicyName)
+		return plan, errs.New(errs.PolicyDenied, fmt.Sprintf("policy %q of route %q does not allow the call", route.PolicyName, route.Name))
 	}
-	pool := plan.decide(&decision)
+	pool := plan.selectPool(&decision)
 	if plan.Verdict.Version == "" {
-		return plan, errs.New(errs.NoWorker, plan.Service+" has no version yet")
+		return plan, errs.New(errs.NoWorker, fmt.Sprintf("no version of service %q is known yet", plan.Service))
 	}
 	if plan.UsesIdempotencyKey(request) {
-		plan.Candidates = rendezvous(pool, request.Caller+"\x00"+request.IdempotencyKey, func(endpoint *Endpoint) bool {
+		plan.Candidates = rendezvousOrder(pool, request.Caller+"\x00"+request.IdempotencyKey, func(endpoint *Endpoint) bool {
 			return local.Stats(endpoint, now).Unreachable
 		})
 	} else {
@@ -122,7 +127,7 @@
 	return plan, nil
 }
 
-// newPlan returns a plan with what the route alone decides.
+// newPlan returns a plan with the fields that follow from the route and the request alone.
 func newPlan(route *config.Route, request *Request, options Options) *Plan {
 	deadline := deadlineOf(route, request, options)
 	return &Plan{
@@ -135,7 +140,7 @@
 	}
 }
 
-// deadlineOf returns the time that a call has. A caller may ask for less time than the route gives, never for more.
+// deadlineOf returns the time allowed for a call. A caller may ask for less time than the route allows, never for more.
 func deadlineOf(route *config.Route, request *Request, options Options) time.Duration {
 	deadline := options.MaxDeadline
 	if route.Deadline > 0 {
@@ -147,36 +152,36 @@
 	return deadline
 }
 
-// checkRequest checks that the service exists and the caller may call it, and the form of its idempotency key.
+// checkRequest checks that the service exists and allows the caller, and that the idempotency key has a valid length.
 func (p *Plan) checkRequest(view *View, request *Request) error {
 	service := view.Config.Services[p.Service]
 	if service == nil {
-		return errs.New(errs.RouteNotFound, p.Service)
+		return errs.New(errs.RouteNotFound, fmt.Sprintf("service %q of route %q does not exist", p.Service, p.Route.Name))
 	}
 	if !service.AllowsCaller(request.Caller) {
-		return errs.New(errs.CallerNotAllowed, request.Caller+" may not call "+p.Service)
+		return errs.New(errs.CallerNotAllowed, fmt.Sprintf("caller %q may not call service %q", request.Caller, p.Service))
 	}
-	// A key that cannot be retained would protect nothing, so it is refused. An idempotent request needs no key, so
-	// a key that comes with it is ignored.
+	// A key that cannot be stored would not prevent a duplicate, so it is rejected. An idempotent request needs no key,
+	// so its key is ignored.
 	keyLength := len(request.IdempotencyKey)
 	if p.Class == config.ClassNonIdempotent && request.HasIdempotencyKey && (keyLength == 0 || keyLength > maxIdempotencyKeyBytes) {
-		return errs.New(errs.MalformedRequest, fmt.Sprintf("Idempotency-Key needs 1 to %d bytes", maxIdempotencyKeyBytes))
+		return errs.New(errs.MalformedRequest, fmt.Sprintf("Idempotency-Key has %d bytes, allowed are 1 to %d", keyLength, maxIdempotencyKeyBytes))
 	}
 	return nil
 }
 
-// UsesIdempotencyKey reports whether the call must not run twice under its idempotency key. A key that comes with an
-// idempotent request is ignored.
+// UsesIdempotencyKey reports whether the call must run at most once under its idempotency key. The key of an idempotent
+// request is ignored.
 func (p *Plan) UsesIdempotencyKey(request *Request) bool {
 	return request.IdempotencyKey != "" && p.Class == config.ClassNonIdempotent
 }
 
-// decide decides the version, and for a split whose service has no workers another service. It returns the pool that
-// is to serve.
-func (p *Plan) decide(decision *decision) []Endpoint {
+// selectPool sets the verdict on the version and returns the workers that serve the call. For a split whose selected
+// service has no workers, it also selects another service.
+func (p *Plan) selectPool(decision *decision) []Endpoint {
 	verdict, pool := decision.decideVersion(p.Service)
-	// Any service of a split with a weight may serve: the services that have workers share the calls of one that
-	// has none, by their weights.
+	// Any service of a split with a positive weight may serve. The services that have workers share the calls of one
+	// that has none, in proportion to their weights.
 	if len(pool) == 0 && len(p.Route.Split) > 0 {
 		otherService := decision.pickOtherService(p.Route, p.Service)
 		if otherService != "" {
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -274,7 +274,7 @@
 
 // The key of the context is the header that the route names, or else the request's identity.
 func TestIdentityIsTheKey(t *testing.T) {
-	view := compiledOf(t, map[string]string{"service/shop": `{"versions":["1","2"],"fallback":"1"}`,
+	view := viewOfBodies(t, map[string]string{"service/shop": `{"versions":["1","2"],"fallback":"1"}`,
 		"route/own":         `{"service":"shop","prefix":"/own/"}`,
 		"route/named":       `{"service":"shop","prefix":"/named/","key":"X-User"}`,
 		"flag/release.shop": `{"on":true,"salt":"","variations":["1","2"],"offVariation":0,"fallthrough":{"variation":0},"targets":[{"variation":1,"values":["ann"]}]}`},
@@ -291,8 +291,8 @@
 	}
 }
 
-// compiledOf returns a view of a configuration, given as JSON by kind and name.
-func compiledOf(tb testing.TB, bodies map[string]string, directory Directory) *View {
+// viewOfBodies returns a view of a configuration, given as JSON by kind and name.
+func viewOfBodies(tb testing.TB, bodies map[string]string, directory Directory) *View {
 	tb.Helper()
 	var items []*schema.Item
 	for key, body := range bodies {
@@ -332,7 +332,7 @@
 		"empty for those that the caller may call": {at("b", "d"), nil, "client", map[string]int{"b": 900, "denied": 100}, 600},
 	} {
 		t.Run(name, func(t *testing.T) {
-			view := compiledOf(t, bodies, test.directory)
+			view := viewOfBodies(t, bodies, test.directory)
 			got, exceptions := map[string]int{}, 0
 			for i := range 1000 {
 				request := newRequest("GET", "/x", nil)
@@ -373,7 +373,7 @@
 		})
 	}
 	// Without a key the service is the first with a weight, and the reason an error.
-	callPlan, err := Make(compiledOf(t, bodies, at("a")), newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
+	callPlan, err := Make(viewOfBodies(t, bodies, at("a")), newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
 	if err != nil || callPlan.Service != "a" || callPlan.Split.Reason != flag.ReasonError || callPlan.Split.Error != flag.KeyMissing {
 		t.Errorf("no key: %+v, %v", callPlan, err)
 	}
@@ -381,7 +381,7 @@
 
 // A service of which no version is known yet gets no call, and the refusal can be counted.
 func TestNoVersionYet(t *testing.T) {
-	view := compiledOf(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
+	view := viewOfBodies(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
 	callPlan, err := Make(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
 	if err == nil || errs.CodeOf(err) != errs.NoWorker || callPlan == nil || callPlan.Verdict.Reason != ReasonNoVersion || callPlan.Service != "a" {
 		t.Errorf("%+v, %v", callPlan, err)
--- a/internal/plan/race_off_test.go
+++ b/internal/plan/race_off_test.go
@@ -2,4 +2,4 @@
 
 package plan
 
-const underRace = false
+const raceEnabled = false
--- a/internal/plan/rendezvous.go
+++ b/internal/plan/rendezvous.go
@@ -5,17 +5,18 @@
 	"sort"
 )
 
-// murmurMultiplier is the multiplier of the final mix of MurmurHash3.
+// murmurMultiplier is the first multiplier of the 64-bit finalizer of MurmurHash3.
 const murmurMultiplier = 0xff51afd7ed558ccd
 
-// rendezvous orders a pool by a key, so that a repeat reaches the worker that had the key first. Unreachable workers come
-// last: otherwise each key of such a worker would be charged to the retry budget.
-func rendezvous(pool []Endpoint, key string, unreachable func(*Endpoint) bool) []Endpoint {
+// rendezvousOrder returns a pool ordered by rendezvous hashing (highest random weight) of a key, so that a repeated call
+// reaches the worker that had the key first. Unreachable workers come last, because otherwise each call with a key of
+// such a worker would be charged to the retry budget.
+func rendezvousOrder(pool []Endpoint, key string, unreachable func(*Endpoint) bool) []Endpoint {
 	ordered := append([]Endpoint(nil), pool...)
 	weight := func(endpoint Endpoint) uint64 {
 		hash := fnv.New64a()
 		_, _ = hash.Write([]byte(key + "\x00" + endpoint.Instance)) // a hash never fails to write
-		// A final mix (of MurmurHash), because in FNV alone the last bytes have too little effect.
+		// The MurmurHash3 finalizer mixes the bits, because in FNV alone the last bytes have too little effect.
 		sum := hash.Sum64()
 		sum ^= sum >> 33
 		sum *= murmurMultiplier
--- a/internal/plan/version.go
+++ b/internal/plan/version.go
@@ -7,16 +7,16 @@
 	"meadowhinge/internal/flag"
 )
 
-// decision is what the decisions on one request's service and version are made from. It is only read.
+// decision holds the inputs of the decisions on one request's service and version. Its methods do not modify it.
 type decision struct {
 	view    *View
-	subject flag.EvaluationContext // of the request
-	caller  string
+	subject flag.EvaluationContext // flag evaluation context of the request
+	caller  string                 // authenticated calling service or client kind
 	local   LocalState
-	now     time.Duration
+	now     time.Duration // time of the decision, on the clock of this process
 }
 
-// decideSplit decides the service of a route that is split.
+// decideSplit returns the verdict on the service of a split route.
 func (d *decision) decideSplit(route *config.Route) Verdict {
 	decider := d.view.Config.ServiceDecider(route)
 	result := d.view.Config.Flags.Decide(decider.Flag, d.subject)
@@ -28,7 +28,7 @@
 		ConfigRevision: d.view.Config.Revision,
 	}
 	if result.Index < 0 {
-		// The fallback of a split is its first service with a weight.
+		// The fallback of a split is its first service with a positive weight.
 		verdict.Reason = flag.ReasonError
 		if services := route.Services(); len(services) > 0 {
 			verdict.Version = services[0]
@@ -37,9 +37,10 @@
 	return verdict
 }
 
-// pickOtherService picks a service with workers, by weight, for a split whose decided service has none. It returns an
-// empty string if no other service has any. A key keeps its service as long as the same services have workers. The
-// bucket differs from the split's, because there all keys of the decided service fall into one range.
+// pickOtherService returns a service with workers, selected by weight, for a split whose decided service has none. It
+// returns an empty string if no other service has workers. A key keeps its service as long as the same services have
+// workers. The key is hashed to a bucket again, because in the split's own buckets all keys of the decided service fall
+// into one range.
 func (d *decision) pickOtherService(route *config.Route, decided string) string {
 	available, totalWeight := d.availableServices(route)
 	bucket := flag.Bucket(route.SplitFlagKey(), route.Name+"."+decided, nil, d.subject, flag.DefaultKind, "")
@@ -56,7 +57,8 @@
 	return ""
 }
 
-// availableServices returns the services of a split that may serve the caller and have workers, and their total weight.
+// availableServices returns the services of a split that have a positive weight, allow the caller and have workers, and
+// the sum of their weights.
 func (d *decision) availableServices(route *config.Route) (available []config.WeightedService, totalWeight float64) {
 	for _, target := range route.Split {
 		service := d.view.Config.Services[target.Service]
@@ -71,22 +73,23 @@
 	return available, totalWeight
 }
 
-// decideVersion returns the verdict on the version of a service, and the pool that is to serve. The verdict is the
-// flag's unless one of two exceptions applies, and then names what the flag said in Evaluated.
+// decideVersion returns the verdict on the version of a service, and the pool of workers that serves it. The fallback
+// version replaces the flag's result if that version is blocked, or if its pool is empty. Evaluated is then the flag's
+// result.
 func (d *decision) decideVersion(serviceName string) (Verdict, []Endpoint) {
 	service := d.view.Config.Services[serviceName]
 	verdict := d.evaluateVersion(service, serviceName)
 	if verdict.Version == "" {
 		return verdict, nil
 	}
-	// The rollback guard: a version other than the fallback gets no call while it is stopped or blocked.
+	// A version other than the fallback gets no calls while the configuration stops it or this process blocks it.
 	if verdict.Version != service.Fallback && d.isBlocked(serviceName, verdict.Version) {
 		verdict.Evaluated = verdict.Version
 		verdict.Version, verdict.Reason = service.Fallback, ReasonVersionBlocked
 	}
 	pool := d.view.Directory[serviceName][verdict.Version]
-	// The fallback version serves in place of an empty pool, which would refuse valid callers. A pool without any
-	// reachable worker counts as empty while the fallback's pool has one.
+	// An empty pool would refuse valid calls, so the fallback version serves them. A pool without any reachable worker
+	// counts as empty while the fallback's pool has one.
 	fallbackPool := d.view.Directory[serviceName][service.Fallback]
 	empty := len(pool) == 0 || (!d.anyReachable(pool) && d.anyReachable(fallbackPool))
 	if empty && verdict.Version != service.Fallback {
@@ -99,12 +102,12 @@
 	return verdict, pool
 }
 
-// isBlocked reports whether the configuration has stopped a version, or this process must not use it now.
+// isBlocked reports whether the configuration has stopped a version or this process must not use it now.
 func (d *decision) isBlocked(service, version string) bool {
 	return d.view.Config.ActiveStop(service, version) != nil || d.local.VersionBlocked(service, version, d.now)
 }
 
-// evaluateVersion evaluates the version flag of a service.
+// evaluateVersion returns the verdict of a service's version flag.
 func (d *decision) evaluateVersion(service *config.Service, serviceName string) Verdict {
 	decider := d.view.Config.VersionDecider(serviceName)
 	result := d.view.Config.Flags.Decide(decider.Flag, d.subject)
@@ -116,7 +119,7 @@
 		Error:          result.Error,
 		ConfigRevision: d.view.Config.Revision,
 	}
-	// The fallback takes the place of an error. A version that the configuration does not list is never called.
+	// The fallback is used if the evaluation failed, or returned a version that the configuration does not list.
 	if result.Index < 0 || !service.AllowsVersion(result.Value) {
 		verdict.Version, verdict.Reason = service.Fallback, flag.ReasonError
 	}
@@ -126,7 +129,7 @@
 	return verdict
 }
 
-// anyReachable reports whether the proxy of any worker of a pool is reachable.
+// anyReachable reports whether at least one worker of a pool is reachable.
 func (d *decision) anyReachable(pool []Endpoint) bool {
 	for i := range pool {
 		if !d.local.Stats(&pool[i], d.now).Unreachable {
