--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkMake measures a plan of a route without split, and a version flag with a rollout.
+// BenchmarkMake measures the plan of a request whose route is not split and whose version flag has a rollout.
 func BenchmarkMake(b *testing.B) {
 	for _, pool := range []int{5, 40} {
 		b.Run(fmt.Sprint(pool, " workers"), func(b *testing.B) {
@@ -37,13 +37,14 @@
 	}
 }
 
-// benchBodies is a configuration by kind and name.
+// benchBodies is a configuration as JSON bodies by kind and name.
 var benchBodies = map[string]string{"service/shop": `{"versions":["1","2"],"fallback":"1"}`,
 	"route/r":           `{"service":"shop","host":"a.example","prefix":"/a/","aim":"200ms","horizon":"800ms"}`,
 	"flag/release.shop": `{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":{"variations":[{"variation":0,"weight":90000},{"variation":1,"weight":10000}]}}}`}
 
-// A plan allocates itself and its candidates and nothing else, whatever its flag takes to decide.
-func TestMakeAllocatesLittle(t *testing.T) {
+// TestMakeAllocatesPlanAndCandidatesOnly checks that Make allocates the plan and its candidates and nothing else. The
+// flag's evaluation must not allocate.
+func TestMakeAllocatesPlanAndCandidatesOnly(t *testing.T) {
 	view := viewOfBodies(t, benchBodies, Directory{"shop": {"1": workers("a", "b", "far1"), "2": workers("c")}})
 	request := newRequest("GET", "/a/x", nil)
 	request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
@@ -52,6 +53,6 @@
 	randomFloat := random.Float64
 	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, local, 0, randomFloat) })
 	if allocations > 2 && !raceEnabled {
-		t.Errorf("%v allocations", allocations)
+		t.Errorf("Make() made %v allocations, want at most 2", allocations)
 	}
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -14,14 +14,15 @@
 	"meadowhinge/schema"
 )
 
-// fakeLocalState is what a test says of workers, by instance.
+// fakeLocalState is a LocalState with the statistics that a test sets.
 type fakeLocalState struct {
-	inFlight    map[string]int
-	ejected     map[string]bool
-	blocked     bool
-	unreachable map[string]bool
+	inFlight    map[string]int  // calls in flight, by worker instance
+	ejected     map[string]bool // ejected workers, by instance
+	blocked     bool            // every version is blocked
+	unreachable map[string]bool // unreachable workers, by instance
 }
 
+// Stats implements LocalState.
 func (f fakeLocalState) Stats(endpoint *Endpoint, _ time.Duration) EndpointStats {
 	unreachable := f.unreachable[endpoint.Instance]
 	return EndpointStats{
@@ -34,9 +35,10 @@
 	}
 }
 
+// VersionBlocked implements LocalState.
 func (f fakeLocalState) VersionBlocked(string, string, time.Duration) bool { return f.blocked }
 
-// viewOf returns a view of a service with a version flag and two routes, and of more configuration.
+// viewOf returns a view of a service with a version flag and two routes, and the additional configuration in more.
 func viewOf(t *testing.T, directory Directory, more string) *View {
 	t.Helper()
 	items, faults := configsource.Parse([]byte(`
@@ -51,7 +53,7 @@
 	}
 	snapshot, found := config.Compile(config.State{}.With(items), 9)
 	if len(faults)+len(found) > 0 {
-		t.Fatal(faults, found)
+		t.Fatalf("configuration has faults: parsing %v, compiling %v", faults, found)
 	}
 	return &View{Config: snapshot, Directory: directory}
 }
@@ -65,9 +67,10 @@
 	return &Request{Caller: "client", Method: method, Path: path, Header: header}
 }
 
+// options are the planner's settings in all tests, unless a test says otherwise.
 var options = Options{Zone: "near", MaxDeadline: 10 * time.Second, Warmup: 10 * time.Second}
 
-// workers returns a pool of long-known workers; those whose names begin with "far" are in another zone.
+// workers returns a pool of workers whose slow start is over. Those whose names begin with "far" are in another zone.
 func workers(names ...string) []Endpoint {
 	var pool []Endpoint
 	for _, name := range names {
@@ -80,7 +83,8 @@
 	return pool
 }
 
-// Each verdict names the version, the reason, and what the flag said where an exception changed it.
+// TestVerdicts checks the version and the reason of verdicts, and that a verdict that differs from the flag's result
+// keeps that result.
 func TestVerdicts(t *testing.T) {
 	full := Directory{"shop": {"1": workers("old"), "2": workers("new")}}
 	canary := `release: r: {service: "shop", version: "2", target: 50, over: "1m"}`
@@ -94,17 +98,17 @@
 		reason    flag.Reason
 		evaluated string
 	}{
-		"the fallthrough":                    {full, "", false, user, "2", flag.ReasonFallthrough, ""},
-		"a rule":                             {full, "", false, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
-		"no key":                             {full, "", false, nil, "1", flag.ReasonError, ""},
-		"an empty pool":                      {Directory{"shop": {"1": workers("old")}}, "", false, user, "1", ReasonPoolEmpty, "2"},
-		"in canary, and allowed":             {full, canary, false, user, "2", flag.ReasonFallthrough, ""},
-		"in canary, and blocked":             {full, canary, true, user, "1", ReasonVersionBlocked, "2"},
+		"flag falls through":                 {full, "", false, user, "2", flag.ReasonFallthrough, ""},
+		"flag rule matches":                  {full, "", false, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
+		"request without a key":              {full, "", false, nil, "1", flag.ReasonError, ""},
+		"pool is empty":                      {Directory{"shop": {"1": workers("old")}}, "", false, user, "1", ReasonPoolEmpty, "2"},
+		"canary is allowed":                  {full, canary, false, user, "2", flag.ReasonFallthrough, ""},
+		"canary is blocked":                  {full, canary, true, user, "1", ReasonVersionBlocked, "2"},
 		"no worker of the pool is reachable": {full, "", false, user, "1", ReasonPoolEmpty, "2"},
-		"blocked without any release":        {full, "", true, user, "1", ReasonVersionBlocked, "2"},
-		"the fallback is never blocked":      {full, "", true, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
-		"stopped":                            {full, `stop: "shop.2": {service: "shop", version: "2"}`, false, user, "1", ReasonVersionBlocked, "2"},
-		"a stop that was lifted":             {full, `stop: "shop.2": {service: "shop", version: "2", lifted: true}`, false, user, "2", flag.ReasonFallthrough, ""},
+		"version without a plan is blocked":  {full, "", true, user, "1", ReasonVersionBlocked, "2"},
+		"fallback is never blocked":          {full, "", true, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
+		"version is stopped":                 {full, `stop: "shop.2": {service: "shop", version: "2"}`, false, user, "1", ReasonVersionBlocked, "2"},
+		"stop is lifted":                     {full, `stop: "shop.2": {service: "shop", version: "2", lifted: true}`, false, user, "2", flag.ReasonFallthrough, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := viewOf(t, test.directory, test.more)
@@ -112,85 +116,91 @@
 			local := fakeLocalState{blocked: test.blocked, unreachable: map[string]bool{"new": name == "no worker of the pool is reachable"}}
 			callPlan, err := Make(view, request, options, local, 0, rand.New(rand.NewPCG(1, 1)).Float64)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("Make(): %v", err)
 			}
 			if v := callPlan.Verdict; v.Version != test.version || v.Reason != test.reason || v.Evaluated != test.evaluated || v.ConfigRevision != 9 {
-				t.Errorf("%+v", v)
+				t.Errorf("Make() verdict = %+v, want version %q, reason %q, evaluated %q and revision 9",
+					v, test.version, test.reason, test.evaluated)
 			}
 			if len(callPlan.Candidates) != 1 {
-				t.Errorf("%v", callPlan.Candidates)
+				t.Errorf("Make() candidates = %v, want 1", callPlan.Candidates)
 			}
 		})
 	}
 }
 
-// No plan is made without a route, or for a caller that may not call. A caller's deadline only shortens the route's.
+// TestRefusalsAndDeadlines checks that Make fails without a matching route, or if the service does not allow the caller.
+// It also checks that a caller's deadline can only shorten the route's.
 func TestRefusalsAndDeadlines(t *testing.T) {
 	view := viewOf(t, nil, "")
 	random := rand.New(rand.NewPCG(1, 1)).Float64
 	if _, err := Make(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.RouteNotFound {
-		t.Errorf("no route gave %v", err)
+		t.Errorf("Make() without a matching route: error = %v, want code %s", err, errs.RouteNotFound)
 	}
 	unauthorized := newRequest("GET", "/shop", nil)
 	unauthorized.Caller = "saves"
 	if _, err := Make(view, unauthorized, options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.CallerNotAllowed {
-		t.Errorf("a caller that may not call gave %v", err)
+		t.Errorf("Make() for a caller that is not allowed: error = %v, want code %s", err, errs.CallerNotAllowed)
 	}
 	for callerDeadline, want := range map[time.Duration]time.Duration{0: 2 * time.Second, time.Second: time.Second, time.Minute: 2 * time.Second} {
 		request := newRequest("POST", "/shop/buy", nil)
 		request.CallerDeadline = callerDeadline
 		if callPlan, err := Make(view, request, options, fakeLocalState{}, 0, random); err != nil || callPlan.Deadline != want || callPlan.Class != config.ClassNonIdempotent {
-			t.Errorf("asked %v: %v, %v", callerDeadline, callPlan, err)
+			t.Errorf("Make() with caller deadline %v = %+v, %v, want deadline %v and class %v",
+				callerDeadline, callPlan, err, want, config.ClassNonIdempotent)
 		}
 	}
 }
 
-// A policy decides whether the call is made, before the flag decides its version.
+// TestPolicies checks that a route's policy decides whether the call is made, before the flag decides its version.
 func TestPolicies(t *testing.T) {
 	for name, test := range map[string]struct {
 		policy  string
 		headers map[string]string
-		holds   bool
+		allowed bool
 	}{
-		"holds":                      {`caller == "client" and country == "se"`, map[string]string{"X-User": "ann", "X-Country": "se"}, true},
-		"does not":                   {`country == "no"`, map[string]string{"X-User": "ann", "X-Country": "se"}, false},
-		"cannot be evaluated":        {`country > 3`, map[string]string{"X-User": "ann", "X-Country": "se"}, false},
-		"by what the call lacks":     {`country == "se"`, map[string]string{"X-User": "ann"}, false},
-		"by what the listener says":  {`caller != "saves"`, map[string]string{"X-User": "ann", "Caller": "saves"}, true},
-		"by the flag's key, missing": {`key != ""`, nil, false},
+		"expression is true":                                {`caller == "client" and country == "se"`, map[string]string{"X-User": "ann", "X-Country": "se"}, true},
+		"expression is false":                               {`country == "no"`, map[string]string{"X-User": "ann", "X-Country": "se"}, false},
+		"expression cannot be evaluated":                    {`country > 3`, map[string]string{"X-User": "ann", "X-Country": "se"}, false},
+		"attribute is missing":                              {`country == "se"`, map[string]string{"X-User": "ann"}, false},
+		"caller comes from the listener, not from a header": {`caller != "saves"`, map[string]string{"X-User": "ann", "Caller": "saves"}, true},
+		"key is missing":                                    {`key != ""`, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := viewOf(t, Directory{"shop": {"1": workers("old"), "2": workers("new")}}, fmt.Sprintf(`policy: only: expression: %q
 route: guarded: {service: "shop", prefix: "/shop/guarded", key: "X-User", attributes: country: "X-Country", policy: "only"}`, test.policy))
 			callPlan, err := Make(view, newRequest("GET", "/shop/guarded", test.headers), options, fakeLocalState{}, 0, rand.Float64)
-			if test.holds != (err == nil) || (err != nil && (errs.CodeOf(err) != errs.PolicyDenied || callPlan.Verdict.Reason != ReasonPolicy || len(callPlan.Candidates) > 0)) {
-				t.Errorf("%v, %+v", err, callPlan)
+			if test.allowed != (err == nil) || (err != nil && (errs.CodeOf(err) != errs.PolicyDenied || callPlan.Verdict.Reason != ReasonPolicy || len(callPlan.Candidates) > 0)) {
+				t.Errorf("Make() with policy %q = %+v, %v, want allowed %t, or else code %s with reason %q and no candidates",
+					test.policy, callPlan, err, test.allowed, errs.PolicyDenied, ReasonPolicy)
 			}
 			// Another route of the service is not affected.
 			if _, err := Make(view, newRequest("GET", "/shop/x", test.headers), options, fakeLocalState{}, 0, rand.Float64); err != nil {
-				t.Errorf("a route without a policy: %v", err)
+				t.Errorf("Make() on a route without a policy: %v", err)
 			}
 		})
 	}
 }
 
-// An idempotency key that cannot be retained is refused where it would matter, and ignored elsewhere.
-func TestKeys(t *testing.T) {
+// TestIdempotencyKeyLength checks that an idempotency key of invalid length is rejected for a non-idempotent request, and
+// ignored for an idempotent one.
+func TestIdempotencyKeyLength(t *testing.T) {
 	view := viewOf(t, nil, "")
 	for _, test := range []struct {
 		method, key string
-		keyed       bool
-		want        errs.Code
+		hasKey      bool
+		want        errs.Code // empty for no error
 	}{
 		{"POST", "k", true, ""}, {"POST", "", false, ""}, {"POST", "", true, errs.MalformedRequest},
 		{"POST", strings.Repeat("k", maxIdempotencyKeyBytes), true, ""}, {"POST", strings.Repeat("k", maxIdempotencyKeyBytes+1), true, errs.MalformedRequest},
 		{"GET", "", true, ""}, {"GET", strings.Repeat("k", maxIdempotencyKeyBytes+1), true, ""},
 	} {
 		request := newRequest(test.method, "/shop/buy", nil)
-		request.HasIdempotencyKey, request.IdempotencyKey = test.keyed, test.key
+		request.HasIdempotencyKey, request.IdempotencyKey = test.hasKey, test.key
 		_, err := Make(view, request, options, fakeLocalState{}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
 		if (err == nil) != (test.want == "") || (err != nil && errs.CodeOf(err) != test.want) {
-			t.Errorf("%s with a key of %d bytes: %v", test.method, len(test.key), err)
+			t.Errorf("Make() of %s with an idempotency key (%t) of %d bytes: error = %v, want code %q",
+				test.method, test.hasKey, len(test.key), err, test.want)
 		}
 	}
 }
@@ -204,39 +214,40 @@
 	for range 1000 {
 		callPlan, err := Make(view, newRequest("GET", "/shop/x", map[string]string{"X-User": "ann"}), options, local, now, random.Float64)
 		if err != nil || len(callPlan.Candidates) != len(pool) {
-			t.Fatal(callPlan, err)
+			t.Fatalf("Make() = %+v, %v, want %d candidates", callPlan, err, len(pool))
 		}
 		counts[callPlan.Candidates[0].Instance]++
 	}
 	return counts
 }
 
-// Each rule of the order of candidates, alone.
+// TestPickEndpoints checks each rule of the order of candidates separately.
 func TestPickEndpoints(t *testing.T) {
 	if got := countFirstPicks(t, workers("a", "b", "far1"), fakeLocalState{}, 0); got["far1"] > 0 || got["a"] < 400 || got["b"] < 400 {
-		t.Errorf("the own zone is first, evenly: %v", got)
+		t.Errorf("first candidates = %v, want only a and b, each at least 400 of 1000 times", got)
 	}
 	if got := countFirstPicks(t, workers("a", "far1"), fakeLocalState{inFlight: map[string]int{"a": 9}}, 0); got["far1"] != 1000 {
-		t.Errorf("an overloaded zone spills over: %v", got)
+		t.Errorf("first candidates with the own zone overloaded = %v, want only far1", got)
 	}
 	if got := countFirstPicks(t, workers("a", "b", "c"), fakeLocalState{inFlight: map[string]int{"a": 5}}, 0); got["a"] > 0 {
-		t.Errorf("of two drawn, the busier goes second: %v", got)
+		t.Errorf("first candidates with a the busiest = %v, want never a", got)
 	}
 	if got := countFirstPicks(t, workers("a", "b"), fakeLocalState{ejected: map[string]bool{"a": true}}, 0); got["a"] > 0 {
-		t.Errorf("an ejected worker comes last: %v", got)
+		t.Errorf("first candidates with a ejected = %v, want never a", got)
 	}
 	if got := countFirstPicks(t, workers("a", "b"), fakeLocalState{ejected: map[string]bool{"a": true, "b": true}}, 0); len(got) != 1 {
-		t.Errorf("at most half of a pool is ejected: %v", got)
+		t.Errorf("first candidates with all workers ejected = %v, want only one, because at most half are ejected", got)
 	}
 	young := workers("a", "b", "c")
 	young[0].FirstSeenAt = 0
 	if got := countFirstPicks(t, young, fakeLocalState{inFlight: map[string]int{"b": 1, "c": 1}}, time.Second); got["a"] > 0 {
-		t.Errorf("a worker in its slow start gets fewer calls: %v", got)
+		t.Errorf("first candidates with a in slow start = %v, want never a", got)
 	}
 }
 
-// A key keeps its worker while that is listed, and only the keys of a worker that disappears move.
-func TestKeysStay(t *testing.T) {
+// TestIdempotencyKeyKeepsItsWorker checks that calls with a key go to the same worker while it is listed, and that only
+// the keys of a worker that disappears go to others.
+func TestIdempotencyKeyKeepsItsWorker(t *testing.T) {
 	pool := workers("a", "b", "c", "d")
 	lost := map[string]bool{}
 	pickFor := func(pool []Endpoint, key string) string {
@@ -244,7 +255,7 @@
 		request.IdempotencyKey = key
 		callPlan, err := Make(viewOf(t, Directory{"shop": {"2": pool}}, ""), request, options, fakeLocalState{unreachable: lost}, 0, rand.Float64)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("Make() with key %q: %v", key, err)
 		}
 		return callPlan.Candidates[0].Instance
 	}
@@ -254,26 +265,26 @@
 		before := pickFor(pool, key)
 		used[before] = true
 		if again := pickFor(pool, key); again != before {
-			t.Errorf("%s moved from %s to %s", key, before, again)
+			t.Errorf("first candidate of key %q on a repeat = %s, want %s", key, again, before)
 		}
 		if after := pickFor(pool[:3], key); before != "d" && after != before {
-			t.Errorf("%s moved from %s to %s when d went", key, before, after)
+			t.Errorf("first candidate of key %q without d = %s, want %s", key, after, before)
 		}
 	}
-	// While a worker's proxy is unreachable, no key goes there first.
+	// An unreachable worker is never the first candidate.
 	lost["a"] = true
 	for i := range 40 {
 		if got := pickFor(pool, strings.Repeat("k", i+1)); got == "a" {
-			t.Error("a key goes first to an unreachable worker")
+			t.Errorf("first candidate of key %q = %s, which is unreachable", strings.Repeat("k", i+1), got)
 		}
 	}
 	if len(used) < 4 {
-		t.Errorf("keys went to %v only", used)
+		t.Errorf("first candidates of 40 keys = %v, want all 4 workers", used)
 	}
 }
 
-// The key of the context is the header that the route names, or else the request's identity.
-func TestIdentityIsTheKey(t *testing.T) {
+// TestContextKey checks that the key for flags is the header that the route names, or else the request's identity.
+func TestContextKey(t *testing.T) {
 	view := viewOfBodies(t, map[string]string{"service/shop": `{"versions":["1","2"],"fallback":"1"}`,
 		"route/own":         `{"service":"shop","prefix":"/own/"}`,
 		"route/named":       `{"service":"shop","prefix":"/named/","key":"X-User"}`,
@@ -286,12 +297,13 @@
 		request.Identity = test.identity
 		callPlan, err := Make(view, request, options, fakeLocalState{}, 0, rand.Float64)
 		if err != nil || callPlan.Verdict.Version != test.version {
-			t.Errorf("%+v: %+v, %v", test, callPlan, err)
+			t.Errorf("Make() of %s with identity %q and X-User %q = %+v, %v, want version %q",
+				test.path, test.identity, test.header, callPlan, err, test.version)
 		}
 	}
 }
 
-// viewOfBodies returns a view of a configuration, given as JSON by kind and name.
+// viewOfBodies returns a view of a configuration that is given as JSON bodies by kind and name.
 func viewOfBodies(tb testing.TB, bodies map[string]string, directory Directory) *View {
 	tb.Helper()
 	var items []*schema.Item
@@ -301,17 +313,17 @@
 	}
 	snapshot, faults := config.Compile(config.State{}.With(items), 9)
 	if len(faults) > 0 {
-		tb.Fatal(faults)
+		tb.Fatalf("config.Compile() reported faults: %v", faults)
 	}
 	return &View{Config: snapshot, Directory: directory}
 }
 
-// A split decides the service by weight and key, then the service's own flag decides its version. Only where the decided
-// service has no workers do the other services with a weight take its calls.
+// TestSplit checks that a split selects the service by weight and key, and that the service's own flag then selects the
+// version. Other services with a positive weight take the calls only if the selected service has no workers.
 func TestSplit(t *testing.T) {
 	bodies := map[string]string{"service/a": `{"versions":["1"],"fallback":"1"}`, "service/b": `{"versions":["1"],"fallback":"1"}`, "service/c": `{"versions":["1"],"fallback":"1","callers":["saves"]}`, "service/d": `{"versions":["1"],"fallback":"1"}`,
 		"route/r": `{"prefix":"/","split":[{"service":"a","weight":60},{"service":"b","weight":30},{"service":"c","weight":10},{"service":"d","weight":0}]}`}
-	at := func(names ...string) Directory {
+	directoryOf := func(names ...string) Directory {
 		directory := Directory{}
 		for _, name := range names {
 			directory[name] = map[string][]Endpoint{"1": workers("at-" + name)}
@@ -322,14 +334,14 @@
 		directory Directory
 		lost      map[string]bool
 		caller    string
-		shares    map[string]int // expected of 1000 keys, plus or minus 60
-		empty     int            // of which by the exception, plus or minus 60
+		shares    map[string]int // keys of 1000 that each service gets, plus or minus 60
+		empty     int            // keys of 1000 with ReasonSplitEmpty, plus or minus 60
 	}{
-		"all have workers":                         {at("a", "b", "c", "d"), nil, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
-		"one empty":                                {at("b", "c", "d"), nil, "saves", map[string]int{"b": 750, "c": 250}, 600},
-		"only what has no weight":                  {at("d"), nil, "saves", map[string]int{"": 1000}, 0},
-		"one unreachable":                          {at("a", "b", "c"), map[string]bool{"at-a": true}, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
-		"empty for those that the caller may call": {at("b", "d"), nil, "client", map[string]int{"b": 900, "denied": 100}, 600},
+		"all services have workers":                {directoryOf("a", "b", "c", "d"), nil, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
+		"one service has no workers":               {directoryOf("b", "c", "d"), nil, "saves", map[string]int{"b": 750, "c": 250}, 600},
+		"only a service with weight 0 has workers": {directoryOf("d"), nil, "saves", map[string]int{"": 1000}, 0},
+		"one service is unreachable":               {directoryOf("a", "b", "c"), map[string]bool{"at-a": true}, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
+		"other services must allow the caller":     {directoryOf("b", "d"), nil, "client", map[string]int{"b": 900, "denied": 100}, 600},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := viewOfBodies(t, bodies, test.directory)
@@ -343,53 +355,58 @@
 					got["denied"]++
 					continue
 				case err != nil:
-					t.Fatal(err)
+					t.Fatalf("Make() with key %q: %v", request.Identity, err)
 				case len(callPlan.Candidates) == 0:
 					got[""]++
 					continue
 				}
 				got[callPlan.Service]++
 				if callPlan.Split.Flag != "route.r" || callPlan.Split.Version != callPlan.Service || callPlan.Candidates[0].Instance != "at-"+callPlan.Service || callPlan.Verdict.Flag != "release."+callPlan.Service {
-					t.Errorf("%+v", callPlan)
+					t.Errorf("Make() = %+v, want split flag route.r and version flag release.%s with a worker of that service first",
+						callPlan, callPlan.Service)
 				}
 				if callPlan.Split.Reason == ReasonSplitEmpty {
 					exceptions++
 					if callPlan.Split.Evaluated == callPlan.Service || callPlan.Split.Evaluated == "" {
-						t.Errorf("what the flag said is not kept: %+v", callPlan.Split)
+						t.Errorf("split verdict = %+v, want the flag's own result in Evaluated", callPlan.Split)
 					}
 				}
 				if again, _ := Make(view, request, options, fakeLocalState{unreachable: test.lost}, 0, rand.Float64); again.Service != callPlan.Service {
-					t.Errorf("a key moved from %s to %s", callPlan.Service, again.Service)
+					t.Errorf("service of key %q on a repeat = %s, want %s", request.Identity, again.Service, callPlan.Service)
 				}
 			}
 			for service, want := range test.shares {
 				if diff := got[service] - want; diff < -60 || diff > 60 {
-					t.Errorf("%v", got)
+					t.Errorf("keys by service = %v, want %d for %q, plus or minus 60", got, want, service)
 				}
 			}
 			if len(got) != len(test.shares) || exceptions < test.empty-60 || exceptions > test.empty+60 {
-				t.Errorf("%v, %d exceptions", got, exceptions)
+				t.Errorf("keys by service = %v with %d of reason %s, want services %v with %d, plus or minus 60",
+					got, exceptions, ReasonSplitEmpty, test.shares, test.empty)
 			}
 		})
 	}
-	// Without a key the service is the first with a weight, and the reason an error.
-	callPlan, err := Make(viewOfBodies(t, bodies, at("a")), newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
+	// Without a key, the split selects its first service with a positive weight, and reports an error.
+	callPlan, err := Make(viewOfBodies(t, bodies, directoryOf("a")), newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
 	if err != nil || callPlan.Service != "a" || callPlan.Split.Reason != flag.ReasonError || callPlan.Split.Error != flag.KeyMissing {
-		t.Errorf("no key: %+v, %v", callPlan, err)
+		t.Errorf("Make() without a key = %+v, %v, want service a with reason %s and error %s",
+			callPlan, err, flag.ReasonError, flag.KeyMissing)
 	}
 }
 
-// A service of which no version is known yet gets no call, and the refusal can be counted.
-func TestNoVersionYet(t *testing.T) {
+// TestServiceWithoutVersion checks that a service without any known version gets no call, and that Make also returns the
+// incomplete plan, so that the refusal can be counted.
+func TestServiceWithoutVersion(t *testing.T) {
 	view := viewOfBodies(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
 	callPlan, err := Make(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
 	if err == nil || errs.CodeOf(err) != errs.NoWorker || callPlan == nil || callPlan.Verdict.Reason != ReasonNoVersion || callPlan.Service != "a" {
-		t.Errorf("%+v, %v", callPlan, err)
+		t.Errorf("Make() = %+v, %v, want code %s and a plan for service a with reason %s",
+			callPlan, err, errs.NoWorker, ReasonNoVersion)
 	}
 }
 
-// Where a version is to show how it performs under load, all proxies fill its workers one after the other. Failing and
-// unreachable workers are avoided, and where none has capacity the usual order applies.
+// TestPackedCallsFillWorkersInTurn checks that packed calls fill the workers of a version one after the other, in the
+// same order from every zone. Unreachable workers are avoided. If no worker has capacity, the usual order applies.
 func TestPackedCallsFillWorkersInTurn(t *testing.T) {
 	pool := workers("w2", "far1", "w1")
 	for i := range pool {
@@ -398,9 +415,9 @@
 	random := rand.New(rand.NewPCG(1, 2)).Float64
 	for name, test := range map[string]struct {
 		local fakeLocalState
-		want  string
+		want  string // first candidate; empty for any
 	}{
-		"all idle":           {fakeLocalState{}, "far1"},
+		"all are idle":       {fakeLocalState{}, "far1"},
 		"one is full":        {fakeLocalState{inFlight: map[string]int{"far1": 8}}, "w1"},
 		"one is nearly full": {fakeLocalState{inFlight: map[string]int{"far1": 7}}, "far1"},
 		"two are full":       {fakeLocalState{inFlight: map[string]int{"far1": 8, "w1": 9}}, "w2"},
@@ -412,7 +429,7 @@
 				for range 50 {
 					got := pickEndpoints(pool, true, 0, Options{Zone: zone, MaxDeadline: time.Second}, test.local, time.Second, random)
 					if len(got) != len(pool) || test.want != "" && got[0].Instance != test.want {
-						t.Fatalf("from %s: %v first of %d, want %s", zone, got[0].Instance, len(got), test.want)
+						t.Fatalf("pickEndpoints() from zone %s = %v, want %q first of %d", zone, got, test.want, len(pool))
 					}
 				}
 			}
--- a/internal/plan/race_on_test.go
+++ b/internal/plan/race_on_test.go
@@ -2,5 +2,6 @@
 
 package plan
 
-// raceEnabled is true with the race detector: it lets pools drop what they hold at random, so allocations say nothing.
+// raceEnabled is true with the race detector, under which sync.Pool drops values at random. Allocation counts then mean
+// nothing.
 const raceEnabled = true
