--- a/internal/plan/picker.go
+++ b/internal/plan/picker.go
@@ -7,7 +7,7 @@
 
 // Load balancing parameters.
 const (
-	maxEjectedDivisor = 2   // at most 1/maxEjectedDivisor of the sampled workers may be ejected or avoided
+	maxEjectedDivisor = 2   // number of sampled workers for each one that may be ejected or avoided
 	slowStartFloor    = 0.1 // fraction of its full share of calls at which a worker starts, if it reports no slow start
 	slowStartFactor   = 2.0 // multiple of the service time expected of a worker in the slow start that it reports
 	lastSlotSlowdown  = 0.1 // relative increase of the service time from the first to the last slot in use
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -67,7 +67,7 @@
 	return &Request{Caller: "client", Method: method, Path: path, Header: header}
 }
 
-// options are the planner's settings in all tests, unless a test says otherwise.
+// options are the planner's settings in most tests.
 var options = Options{Zone: "near", MaxDeadline: 10 * time.Second, Warmup: 10 * time.Second}
 
 // workers returns a pool of workers whose slow start is over. Those whose names begin with "far" are in another zone.
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -19,7 +19,7 @@
 	memberID        string        // member id of this registry, recorded with each progress
 	minStepInterval time.Duration // shortest time between two steps of a plan
 	guardedVersions map[versionKey]*guardedVersion
-	trackedPlans    map[string]*trackedPlan // by plan name
+	trackedPlans    map[string]*trackedPlan // state of each plan, by plan name
 	// lastCounts holds the highest counts of each proxy process. Counts of processes that have ended are kept,
 	// because the sums must not fall.
 	lastCounts map[sourceKey]*schema.SourceCounts
@@ -36,7 +36,7 @@
 	failureEvidence  FailureEvidence
 	evidenceStrength float64 // strength that failureEvidence returned in the latest round; bad from 1
 	evidenceVerdict  string  // verdict that failureEvidence returned in the latest round
-	stopVerdict      string  // why the version must be stopped, empty if it need not be; never cleared once set
+	stopVerdict      string  // verdict that stops the version, empty for none; never cleared once set
 	recovered        bool    // result of rollbackGuard.Recovered in the latest round
 }
 
--- a/internal/release/discovered_versions.go
+++ b/internal/release/discovered_versions.go
@@ -43,11 +43,11 @@
 		LogFields: []any{"service", service, "version", version},
 	}
 	flagKey := config.VersionFlagKey(service)
-	// Encoding cannot fail, because both bodies hold strings and integers only.
-	_ = step.appendItem(discoveredVersionsKind, service, newDiscoveredVersions(version, version))
+	// The encoding of both bodies cannot fail, because they hold strings and integers only.
+	_ = step.appendItem(discoveredVersionsKind, service, newDiscoveredVersions(version, version)) // cannot fail
 	// A flag that an operator wrote earlier is kept.
 	if compiled.Flags.Flags[flagKey] == nil {
-		_ = step.appendItem(flagKind, flagKey, newRolloutFlag(compiled, service, version, version, 0)) // as above
+		_ = step.appendItem(flagKind, flagKey, newRolloutFlag(compiled, service, version, version, 0)) // cannot fail
 	}
 	return step
 }
--- a/internal/release/failure_evidence.go
+++ b/internal/release/failure_evidence.go
@@ -28,6 +28,7 @@
 // fractional when they decay.
 type outcomeCounts struct{ total, bad float64 }
 
+// add adds the counts of other to o.
 func (o *outcomeCounts) add(other outcomeCounts) {
 	o.total += other.total
 	o.bad += other.bad
@@ -64,7 +65,7 @@
 //
 // The zero value is ready to use. It is not safe for concurrent use.
 type FailureEvidence struct {
-	routes     map[string]*routeEvidence // by route; allRoutes is the key of the overall evidence
+	routes     map[string]*routeEvidence // evidence by route; allRoutes is the key of the overall evidence
 	lastCounts VersionCounts             // counts passed to the last call of Observe
 }
 
--- a/internal/release/ramp.go
+++ b/internal/release/ramp.go
@@ -14,6 +14,7 @@
 // weightPerPercent converts a percentage of calls to a flag's weight.
 const weightPerPercent = flag.TotalWeight / 100
 
+// weightOfPercent returns the flag's weight for a percentage of calls, rounded down.
 func weightOfPercent(percent float64) int { return int(percent * weightPerPercent) }
 
 // minCallsToRaiseDivisor gives the number of calls that a plan needs to raise the percentage: MinCalls divided
