--- a/internal/plan/picker.go
+++ b/internal/plan/picker.go
@@ -27,8 +27,10 @@
 	// the latency target divided by this constant.
 	spillTargetDivisor = 2
 
-	// Outlier avoidance. A worker is avoided with a probability that rises with the excess of its failure rate over
-	// the rate of the others. The probability is 0 up to excessFailureStart and 1 from excessFailureAlways.
+	// Outlier avoidance. Failure rates are fractions of a worker's recent calls. A worker is avoided with a probability
+	// that rises with the excess of its failure rate over the rate of the others, from 0 at excessFailureStart to 1 at
+	// excessFailureAlways. The part of the excess beyond failureStandardErrors is significant. By that part alone, the
+	// probability rises from 0 at no significant excess to 1 at excessFailureStart. The higher probability applies.
 	excessFailureStart    = 0.15
 	excessFailureAlways   = 0.5
 	commonFailureRate     = 0.25 // failure rate of the others from which consecutive failures do not eject a worker
--- a/internal/release/rollback_guard.go
+++ b/internal/release/rollback_guard.go
@@ -87,9 +87,9 @@
 }
 
 // Recovered reports whether proxies that stopped using the version on their own may use it again. Nearly the
-// whole fleet must have reported. Within recoveryWindow, the version's failures must be below the threshold or
-// its failure rate within the rate allowed for the old version's. Unlike IsFailing, Recovered does not test
-// whether the difference is statistically significant.
+// whole fleet must have reported. Within recoveryWindow, the version's failures must be below the threshold, or
+// its failure rate must be one that the old version's rate allows. Unlike IsFailing, Recovered does not test
+// whether a difference is statistically significant.
 func (g *RollbackGuard) Recovered(options Options, reportingFraction float64) bool {
 	if reportingFraction < recoveryMinFraction || len(g.recentSamples) == 0 {
 		return false
--- a/internal/release/verdict.go
+++ b/internal/release/verdict.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// exceedsBaseline reports whether the new version's failure rate is above the rate allowed for the old one's.
+// exceedsBaseline reports whether the new version's failure rate is above the one that the old version's rate
+// allows.
 func (o Options) exceedsBaseline(newRate, oldRate float64) bool {
 	return newRate > o.FailureRateMultiple*oldRate+o.FailureRateMargin
 }
