--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -12,22 +12,23 @@
 	"meadowhinge/schema"
 )
 
-// Where nothing else reveals a proxy that hangs, an attempt of an idempotent call may take the larger of
-// 1/attemptTimeDivisor of the time left and all of it but reservedServiceTimes times the worker's service time.
+// An attempt of an idempotent call has a timeout, so that time for a retry is left if the proxy hangs. The timeout is
+// the larger of 1/attemptTimeDivisor of the time left, and the time left less reservedServiceTimes times the worker's
+// service time. There is none where NoAttemptTimeout is set.
 const (
 	attemptTimeDivisor   = 2
 	reservedServiceTimes = 2
 )
 
-// isIntact reports whether a response belongs to the request and has arrived as it was sent.
+// isIntact reports whether a response belongs to the request, and its body arrived as it was sent.
 func isIntact(request *schema.ForwardRequest, response *schema.ForwardResponse) bool {
 	return response.Request == request.Request &&
 		uint64(len(response.Body)) == response.Length &&
 		crc32.ChecksumIEEE(response.Body) == response.Checksum
 }
 
-// remainingTarget returns the nanoseconds left until the call's latency target, -1 if it has passed, and 0 if the
-// call has none.
+// remainingTarget returns the nanoseconds left until the call's latency target: -1 if the target has passed, and 0 if the
+// call has none. remaining is the time left until the plan's deadline.
 func remainingTarget(callPlan *plan.Plan, remaining time.Duration) int64 {
 	if callPlan.LatencyTarget <= 0 {
 		return 0
@@ -39,7 +40,8 @@
 	return int64(target)
 }
 
-// newAttemptRequest returns the request of one attempt of a call, which is named by the call and the attempt's number.
+// newAttemptRequest returns the request of one attempt of a call. Its id is made of the call's id and the number of the
+// attempt. remaining is the time left until the plan's deadline.
 func newAttemptRequest(call *Call, result *CallResult, endpoint *plan.Endpoint, remaining time.Duration) *schema.ForwardRequest {
 	callPlan := result.Plan
 	return &schema.ForwardRequest{
@@ -65,8 +67,8 @@
 	}
 }
 
-// attemptContext bounds an attempt of an idempotent call, so that time for a retry is left should the proxy hang:
-// as much as the worker takes, for a run that is broken off is lost.
+// attemptContext returns the context of one attempt. For an idempotent call it has the timeout described at
+// attemptTimeDivisor, which leaves a retry as much time as the worker takes: a run that is broken off is wasted.
 func (f *Forwarder) attemptContext(
 	ctx context.Context, callPlan *plan.Plan, endpoint *plan.Endpoint, remaining time.Duration,
 ) (context.Context, context.CancelFunc) {
@@ -80,7 +82,8 @@
 	return context.WithTimeout(ctx, timeout)
 }
 
-// sendAttempt sends the call to a candidate and records what that says of its worker, proxy and version.
+// sendAttempt sends the call to a candidate, and records the result for its worker, its proxy and its version. It returns
+// the response, or the refusal of the capacity check that comes before it.
 func (a *attemptSequence) sendAttempt(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) *schema.ForwardResponse {
 	f, callPlan := a.forwarder, a.result.Plan
 	request := newAttemptRequest(a.call, a.result, candidate, remaining)
@@ -97,7 +100,7 @@
 		}
 		return refusal
 	}
-	// The capacity check may have waited for the worker's admission.
+	// A capacity check may have waited for admission by the worker's queue.
 	if waited := f.Now() - sentAt; waited > 0 {
 		remaining -= waited
 		request.TimeLeftNanos = int64(remaining)
@@ -111,14 +114,14 @@
 	return response
 }
 
-// responseOf turns what came back of a request into a response, and records whether the proxy was reached. An
-// attempt without a timeout of its own that ran into the call's deadline met a slow worker, not a lost proxy.
+// responseOf returns the response to a request from the results of Send, and records whether the proxy was reached. With
+// NoAttemptTimeout, an attempt that ends at the call's deadline means a slow worker, not an unreachable proxy.
 func (f *Forwarder) responseOf(
 	ctx context.Context, request *schema.ForwardRequest, response *schema.ForwardResponse, err error, proxy string,
 ) *schema.ForwardResponse {
 	if err == nil {
 		f.Outliers.MarkReachable(proxy)
-		// A response that belongs to another request, or has not arrived intact, is none.
+		// A response to another request, or one that did not arrive intact, proves nothing about this request.
 		if !isIntact(request, response) {
 			return outcomeUnknown(errs.InvalidResponse)
 		}
@@ -134,16 +137,16 @@
 	return outcomeUnknown(errs.PeerConnectionLost)
 }
 
-// recordOutcome records what an attempt says of the worker.
+// recordOutcome records the result of an attempt with the outlier detector.
 func (f *Forwarder) recordOutcome(callPlan *plan.Plan, endpoint *plan.Endpoint, response *schema.ForwardResponse, sentAt time.Duration) {
 	if isCanceled(response) {
 		f.Outliers.CancelCall(endpoint.Instance)
 		return
 	}
-	// The directory lags: the worker is deregistered or draining, and is not tried again while it is still listed.
+	// The directory lags behind: the worker is deregistered or draining. It is tried last while it is still listed.
 	if response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		if refusal := errs.Code(response.ErrorCode); refusal == errs.WrongInstance || refusal == errs.WorkerDraining {
-			f.Outliers.MarkDisowned(endpoint.Instance)
+			f.Outliers.MarkRetired(endpoint.Instance)
 		}
 	}
 	endedAt := f.Now()
@@ -151,7 +154,7 @@
 	f.Outliers.RecordOffer(endpoint.Instance, callPlan.Route.Name, endedAt, response)
 }
 
-// beginCanaryCall records a call to a service with a version in canary. It returns nil for other services.
+// beginCanaryCall records that a call to a service with guarded versions begins. It returns nil for other services.
 func (f *Forwarder) beginCanaryCall(callPlan *plan.Plan) *CanaryCall {
 	if len(f.View().Config.GuardedVersions[callPlan.Service]) == 0 {
 		return nil
@@ -159,8 +162,8 @@
 	return f.Canaries.Begin(callPlan.Service, callPlan.Verdict.Version, f.Now())
 }
 
-// endCanaryCall records what an attempt says of its version. A request that is proved not to have run says nothing
-// of it, nor does a run whose caller disconnected. Unlike isFailure it counts the former as no failure.
+// endCanaryCall records the result of an attempt for its version. canaryCall may be nil. A run whose caller disconnected
+// is discarded. A request that is proved not to have run is no failure of the version, unlike in isFailure.
 func (f *Forwarder) endCanaryCall(canaryCall *CanaryCall, response *schema.ForwardResponse) {
 	switch {
 	case canaryCall == nil:
--- a/internal/dispatch/call_counter.go
+++ b/internal/dispatch/call_counter.go
@@ -10,23 +10,23 @@
 	"meadowhinge/schema"
 )
 
-// callCountKey is what calls have in common that are counted together.
+// callCountKey identifies the calls that are counted together.
 type callCountKey struct {
 	flag, service, variation, reason, rule, route, outcome string
-	configRevision                                         uint64
+	configRevision                                         uint64 // 0 for all revisions without counts of their own
 }
 
-// callCount is one line of the counter; nanos is the total time that the calls took.
+// callCount is the count for one key. nanos is the total duration of the calls, in nanoseconds.
 type callCount struct{ calls, failures, nanos atomic.Uint64 }
 
-// CallCounter counts calls by verdict and outcome. Counts only grow while the process lives. Counts of recent
-// configuration revisions are kept apart; those of older ones are added up under revision 0. It is safe for concurrent
-// use.
+// CallCounter counts calls by verdict and outcome. Counts only grow while the process lives. Recent configuration
+// revisions have counts of their own, and those of older revisions are added up under revision 0. It is safe for
+// concurrent use.
 type CallCounter struct {
 	counts    *xsync.Map[callCountKey, *callCount]
-	maxCounts int
+	maxCounts int // counts beyond which a new key is counted under revision 0
 
-	// foldLock is held shared while a count is added to, and exclusively while Counts folds old revisions, so that no
+	// foldLock is held shared while a count is incremented, and exclusively while Counts folds old revisions, so that no
 	// count is removed between its lookup and its increment.
 	foldLock sync.RWMutex
 }
@@ -34,12 +34,13 @@
 // separateRevisions is how many revisions before the current one have counts of their own.
 const separateRevisions = 4
 
-// NewCallCounter returns a counter with at most maxCounts lines; calls beyond them count under revision 0.
+// NewCallCounter returns a counter that holds about maxCounts counts. Once it holds as many, calls with a new key are
+// counted under revision 0.
 func NewCallCounter(maxCounts int) *CallCounter {
 	return &CallCounter{counts: xsync.NewMap[callCountKey, *callCount](), maxCounts: maxCounts}
 }
 
-// outcomeCanceled is the outcome, in counts only, of calls whose callers disconnected.
+// outcomeCanceled is the outcome under which calls whose callers disconnected are counted. It appears only in counts.
 const outcomeCanceled = "called-off"
 
 // outcomeLabel returns the outcome under which a call is counted.
@@ -50,7 +51,8 @@
 	return outcomeNames[response.Outcome]
 }
 
-// Add counts one call, which took so long, by its verdict and outcome. The result must have a plan and a response.
+// Add counts one call, which took the given time, by its verdict and outcome. A call that a split assigned to a service
+// is also counted under the split's verdict. The result must have a plan and a response.
 func (c *CallCounter) Add(result *CallResult, took time.Duration) {
 	c.foldLock.RLock()
 	defer c.foldLock.RUnlock()
@@ -65,7 +67,7 @@
 		outcome:        outcome,
 		configRevision: verdict.ConfigRevision,
 	}, result, took)
-	// The variation of a split is a service and not a version of one, so its count names no service.
+	// The variation of a split is a service, not a version of one, so the split's count names no service.
 	if split := &result.Plan.Split; split.Flag != "" {
 		c.add(callCountKey{
 			flag:           split.Flag,
@@ -80,7 +82,7 @@
 
 // add counts a call under a key. The caller holds foldLock shared.
 func (c *CallCounter) add(key callCountKey, result *CallResult, took time.Duration) {
-	// Old revisions would add lines without end; beyond the bound they share one line.
+	// New revisions would add counts without bound. Beyond maxCounts they share the counts of revision 0.
 	if _, found := c.counts.Load(key); !found && c.counts.Size() >= c.maxCounts {
 		key.configRevision = 0
 	}
@@ -92,7 +94,8 @@
 	}
 }
 
-// Counts returns all counts, with those of revisions long before the current one folded into revision 0.
+// Counts returns all counts, after adding those of revisions more than separateRevisions before the current one to
+// revision 0.
 func (c *CallCounter) Counts(currentRevision uint64) []*schema.VerdictCount {
 	c.foldLock.Lock()
 	defer c.foldLock.Unlock()
@@ -127,7 +130,7 @@
 	return counts
 }
 
-// countOf returns the count of a key, added if there is none.
+// countOf returns the count of a key, and adds one if there is none.
 func (c *CallCounter) countOf(key callCountKey) *callCount {
 	count, _ := c.counts.LoadOrCompute(key, func() (*callCount, bool) { return &callCount{}, false })
 	return count
--- a/internal/dispatch/call_progress.go
+++ b/internal/dispatch/call_progress.go
@@ -5,43 +5,43 @@
 	"meadowhinge/schema"
 )
 
-// callProgress is what the attempts of one call have come to so far. It belongs to the goroutine of the call.
+// callProgress accumulates the results of the attempts of one call. Only the goroutine of the call uses it.
 //
-// lastResponse decides how the call ends if no further attempt is made. It starts as "not executed" and moves
-// only one way: a refusal replaces a refusal, an unknown outcome or a failure response replaces a refusal, and
-// nothing turns either of these back into "not executed", because a worker may have run the request by then.
+// lastResponse is the call's response if no further attempt is made. It starts with the outcome "not executed". A
+// refusal replaces only a refusal. An unknown outcome or a failure response replaces a refusal, and neither is ever
+// replaced by "not executed", because a worker may have run the request by then.
 type callProgress struct {
 	lastResponse  *schema.ForwardResponse
-	excluded      map[string]bool // instances that get no further attempt of this call; nil until the first
-	fullEndpoints int             // endpoints that refused and reported when they expect to have capacity
-	retryAfter    int64           // the soonest of these times, in nanoseconds from now; 0 for not reported
-	prepaid       bool            // the retry budget has been charged for the next attempt already
+	excluded      map[string]bool // instances that get no further attempt of this call; nil until the first is excluded
+	fullEndpoints int             // endpoints that refused the call and reported when they expect capacity
+	retryAfter    int64           // shortest time after which such an endpoint expects capacity, in nanoseconds; 0 if none
+	prepaid       bool            // the retry budget has already been charged for the next attempt
 }
 
-// endWith returns the response with which the call ends if it ends now for the reason given by code. The code
-// counts only while it is proved that nothing ran.
-func (p *callProgress) endWith(code errs.Code) *schema.ForwardResponse {
+// responseWithCode returns the response of a call that ends now for the reason given by code. The code applies only
+// while it is proved that nothing ran.
+func (p *callProgress) responseWithCode(code errs.Code) *schema.ForwardResponse {
 	if p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		p.lastResponse = notExecuted(code, 0)
 	}
-	return p.lastWithRetryAfter()
+	return p.finalResponse()
 }
 
-// hasAnswer reports whether a worker has answered, which at this point means: with a failure.
+// hasAnswer reports whether a worker has answered. Any other answer than a failure has ended the call already.
 func (p *callProgress) hasAnswer() bool {
 	return p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED
 }
 
-// lastWithRetryAfter returns the response with which the call ends after its last attempt. A refusal carries the
-// soonest time at which any endpoint expects to have capacity.
-func (p *callProgress) lastWithRetryAfter() *schema.ForwardResponse {
+// finalResponse returns the response of a call that makes no further attempt. A refusal carries the shortest time after
+// which any endpoint expects capacity.
+func (p *callProgress) finalResponse() *schema.ForwardResponse {
 	if p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && p.retryAfter > 0 {
 		p.lastResponse.RetryAfterNanos = p.retryAfter
 	}
 	return p.lastResponse
 }
 
-// exclude keeps further attempts of this call away from an instance.
+// exclude prevents further attempts of this call at an instance.
 func (p *callProgress) exclude(instance string) {
 	if p.excluded == nil {
 		p.excluded = map[string]bool{}
@@ -49,7 +49,7 @@
 	p.excluded[instance] = true
 }
 
-// recordRefusal records a response that proves that nothing ran.
+// recordRefusal records a response with the outcome "not executed".
 func (p *callProgress) recordRefusal(response *schema.ForwardResponse) {
 	if p.lastResponse.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		p.lastResponse = response
--- a/internal/dispatch/canary_guard.go
+++ b/internal/dispatch/canary_guard.go
@@ -8,89 +8,90 @@
 	"meadowhinge/schema"
 )
 
-// minSlowTime is the time below which no call counts as too slow.
+// minSlowTime is the duration up to which no call counts as too slow.
 const minSlowTime = 50 * time.Millisecond
 
-// CanaryOptions bound one proxy's part of the rollback guard.
+// CanaryOptions are the limits of a [CanaryGuard]. A version is stopped once its failures exceed this proxy's share of
+// MaxFailures and its failure rate exceeds FailureRatio times the fallback version's rate plus FailureExcess.
 type CanaryOptions struct {
 	GrantDuration time.Duration // how long a grant is valid
-	MaxFailures   int64         // failures of a version that the whole fleet may take
-	FailureRatio  float64       // a version may fail this many times as often as the fallback version
-	FailureExcess float64       // and in this part of its calls more than that
-	SlowFactor    float64       // a call that takes this many times the fallback version's mean counts as failed
+	MaxFailures   int64         // failures of a version that the proxies of the fleet tolerate together
+	FailureRatio  float64       // tolerated failure rate, as a multiple of the fallback version's rate
+	FailureExcess float64       // failure rate tolerated in addition, as a fraction of the version's calls
+	SlowFactor    float64       // a call that takes longer than this multiple of the fallback version's mean counts as failed
 }
 
-// DefaultCanaryOptions are the defaults of the settings.
+// DefaultCanaryOptions are the options that apply unless the settings say otherwise.
 var DefaultCanaryOptions = CanaryOptions{GrantDuration: time.Second, MaxFailures: 40, FailureRatio: 2, FailureExcess: 0.02, SlowFactor: 10}
 
-// CanaryGuard is one proxy's part of the rollback guard. A version other than its service's fallback is used only
-// under a short grant from the registries, and only until this proxy has taken its own part of the allowed
-// failures; so a failing version loses its calls even while the registries cannot be reached.
+// CanaryGuard stops failing canary versions at one proxy. A canary version is a version other than its service's
+// fallback. The proxy uses it only under a short-lived grant from the registries, and only until it has seen its own
+// share of the tolerated failures. So a failing version loses its calls even while the registries cannot be reached.
 type CanaryGuard struct {
-	fleetSize func() int // proxies in the fleet
-	guards    func() VersionGuards
+	fleetSize func() int           // returns the number of proxies in the fleet
+	guards    func() VersionGuards // returns the guards of the current configuration
 
 	lock       sync.Mutex // guards the fields below
 	options    CanaryOptions
 	grants     map[versionKey]canaryGrant
-	localStops map[versionKey]localStop     // versions of which this proxy has taken its part of the failures
-	windows    map[versionKey]*canaryWindow // what this proxy saw of versions
+	localStops map[versionKey]localStop     // versions that this proxy has stopped itself
+	windows    map[versionKey]*canaryWindow // recent calls of this proxy, by version
 }
 
 // versionKey identifies a version of a service.
 type versionKey struct{ service, version string }
 
-// VersionGuards is what the configuration in use says of versions; config.Snapshot implements it.
+// VersionGuards tells which versions the current configuration guards. config.Snapshot implements it.
 type VersionGuards interface {
-	// GuardedRevision reports whether a version is guarded, and the revision at which its guard was configured.
+	// GuardedRevision reports whether a version is guarded, and returns the revision at which its guard was configured.
 	GuardedRevision(service, version string) (revision uint64, guarded bool)
 	// FallbackOf returns the version that the service's other versions are compared with.
 	FallbackOf(service string) string
 }
 
-// canaryGrant is the registries' grant of a version. Like a localStop it is valid only under the guard for which it was
-// given, not under a later configuration.
+// canaryGrant is the registries' grant of a version. Like a localStop it is valid only for the guard that it was given
+// for, not for one that was configured later.
 type canaryGrant struct {
-	guardedRevision uint64
-	expiresAt       time.Duration // on the clock of the process
+	guardedRevision uint64        // revision at which the guard was configured
+	expiresAt       time.Duration // end of the grant, on the process clock
 	stopped         bool          // the registries have stopped the version
 }
 
-// localStop is this proxy's own stop of a version. It is valid until the rollout controller, knowing of the failures
-// that led to it, finds the version healthy, or until the version's guard is configured again.
+// localStop is this proxy's own stop of a version. It is valid until the version's guard is configured again, or until
+// the rollout controller finds the version healthy although it knows of the failures that led to the stop.
 type localStop struct {
-	guardedRevision uint64
-	stoppedAt       time.Duration
+	guardedRevision uint64        // revision at which the guard was configured
+	stoppedAt       time.Duration // time of the stop, on the process clock
 }
 
-// judgementGrants is how many grant durations it takes, at most, until the failures that this proxy reported have been
+// evaluationGrants is the maximum time, in grant durations, until the failures that this proxy reported have been
 // evaluated and the result has come back.
-const judgementGrants = 2
+const evaluationGrants = 2
 
-// canaryWindow is what this proxy saw of a version in the last DefaultRetryWindow.
+// canaryWindow holds this proxy's calls to a version in the last DefaultRetryWindow, and those in flight.
 type canaryWindow struct {
-	slots    [windowSlots]canarySlot // a ring, by number modulo its length
+	slots    [windowSlots]canarySlot // a ring, indexed by slot number modulo its length
 	inFlight map[*CanaryCall]bool
 }
 
-// canarySlot counts what ended in one slot of the window.
+// canarySlot counts the calls that ended in one slot of the window.
 type canarySlot struct {
-	number          int64 // of the slot since the clock began
+	number          int64 // number of the slot since the start of the process clock
 	calls, failures float64
-	spent           time.Duration // total time that the calls took
+	totalTime       time.Duration // sum of the durations of the calls
 }
 
 // canarySlotLength is the length of one slot of a window.
 const canarySlotLength = DefaultRetryWindow / windowSlots
 
-// CanaryCall is one call under way to a service with a version in canary.
+// CanaryCall is a call in flight to a service that has guarded versions. [CanaryGuard.Begin] returns it.
 type CanaryCall struct {
 	key       versionKey
-	startedAt time.Duration
-	window    *canaryWindow
+	startedAt time.Duration // time of Begin, on the process clock
+	window    *canaryWindow // window of the version when the call began
 }
 
-// NewCanaryGuard returns a guard without any grant: all versions but the fallbacks are blocked.
+// NewCanaryGuard returns a guard without any grant, which blocks all versions but the fallbacks.
 func NewCanaryGuard(options CanaryOptions, fleetSize func() int, guards func() VersionGuards) *CanaryGuard {
 	return &CanaryGuard{
 		fleetSize:  fleetSize,
@@ -102,21 +103,21 @@
 	}
 }
 
-// SetOptions sets other bounds. Grants and stops are kept.
+// SetOptions replaces the options. Grants and stops are kept.
 func (g *CanaryGuard) SetOptions(options CanaryOptions) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	g.options = options
 }
 
-// ApplyGrants applies a registry's grants. They count from when they were requested, so that no delay extends them.
+// ApplyGrants applies a registry's grants. Their duration starts at requestedAt, so that no delay extends them.
 func (g *CanaryGuard) ApplyGrants(requestedAt time.Duration, grants []*schema.Canary) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	guards := g.guards()
 	for _, granted := range grants {
 		key := versionKey{granted.Service, granted.Version}
-		// A grant for another guard is outdated, or belongs to a configuration that has not arrived here yet.
+		// A grant for another guard is outdated, or is for a configuration that has not arrived here yet.
 		guardedRevision, guarded := guards.GuardedRevision(granted.Service, granted.Version)
 		if !guarded || guardedRevision != granted.PlanSequence {
 			continue
@@ -128,12 +129,12 @@
 			delete(g.windows, key)
 		}
 		stop, stopped := g.localStops[key]
-		judged := requestedAt >= stop.stoppedAt+judgementGrants*g.options.GrantDuration
-		if stopped && granted.Healthy && judged {
+		evaluated := requestedAt >= stop.stoppedAt+evaluationGrants*g.options.GrantDuration
+		if stopped && granted.Healthy && evaluated {
 			delete(g.localStops, key)
 			delete(g.windows, key)
 		}
-		// The registries' stop is valid until the guard is configured again, whatever is granted later.
+		// A stop by the registries is valid until the guard is configured again, whatever is granted later.
 		g.grants[key] = canaryGrant{
 			guardedRevision: granted.PlanSequence,
 			expiresAt:       max(current.expiresAt, requestedAt+g.options.GrantDuration),
@@ -142,7 +143,8 @@
 	}
 }
 
-// ForgetUnguarded drops what is known of versions that are not guarded any more.
+// ForgetUnguarded drops the grants, stops and windows of versions that are not guarded any more. It keeps the windows of
+// fallback versions, which guarded versions are compared with.
 func (g *CanaryGuard) ForgetUnguarded() {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -158,7 +160,7 @@
 	})
 }
 
-// window returns the window of a version. The caller holds the lock.
+// window returns the window of a version, and adds one if there is none. The caller holds the lock.
 func (g *CanaryGuard) window(key versionKey) *canaryWindow {
 	window := g.windows[key]
 	if window == nil {
@@ -168,33 +170,35 @@
 	return window
 }
 
-// sum adds up the slots within the window.
-func (w *canaryWindow) sum(now time.Duration) (calls, failures float64, spent time.Duration) {
+// sum adds up the slots that lie within the window ending at now.
+func (w *canaryWindow) sum(now time.Duration) (calls, failures float64, totalTime time.Duration) {
 	number := int64(now / canarySlotLength)
 	for _, slot := range w.slots {
 		if number-slot.number < windowSlots {
 			calls += slot.calls
 			failures += slot.failures
-			spent += slot.spent
+			totalTime += slot.totalTime
 		}
 	}
-	return calls, failures, spent
+	return calls, failures, totalTime
 }
 
-// fallbackStats sums what was seen of the service's fallback version. The caller holds the lock.
+// fallbackStats returns the recent calls and failures of the service's fallback version, and the mean duration of the
+// calls. It returns zeros if there were none. The caller holds the lock.
 func (g *CanaryGuard) fallbackStats(service string, now time.Duration) (calls, failures float64, mean time.Duration) {
 	window := g.windows[versionKey{service, g.guards().FallbackOf(service)}]
 	if window == nil {
 		return 0, 0, 0
 	}
-	calls, failures, spent := window.sum(now)
+	calls, failures, totalTime := window.sum(now)
 	if calls > 0 {
-		mean = spent / time.Duration(calls)
+		mean = totalTime / time.Duration(calls)
 	}
 	return calls, failures, mean
 }
 
-// Begin records a call to a version. It must be passed to [CanaryGuard.End] or [CanaryGuard.Discard].
+// Begin records that a call to a version begins. The result must be passed to [CanaryGuard.End] or
+// [CanaryGuard.Discard].
 func (g *CanaryGuard) Begin(service, version string, now time.Duration) *CanaryCall {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -204,7 +208,7 @@
 	return call
 }
 
-// End records how a call ended. One that took far longer than the fallback version's calls counts as failed.
+// End records how a call ended. A call that took far longer than the fallback version's calls counts as failed.
 func (g *CanaryGuard) End(call *CanaryCall, now time.Duration, failed bool) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -216,13 +220,13 @@
 		*slot = canarySlot{number: number}
 	}
 	slot.calls++
-	slot.spent += now - call.startedAt
+	slot.totalTime += now - call.startedAt
 	if failed || g.isTooSlow(call, now) {
 		slot.failures++
 	}
 }
 
-// Discard forgets a call whose caller disconnected: how it would have ended is not known.
+// Discard drops a call whose caller disconnected, because how it would have ended is not known.
 func (g *CanaryGuard) Discard(call *CanaryCall) {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -236,9 +240,8 @@
 	return call.key.version != g.guards().FallbackOf(call.key.service) && calls > 0 && now-call.startedAt > slowTime
 }
 
-// VersionBlocked reports whether a version other than the fallback must not be used now: it has no valid grant, or
-// this proxy has taken its part of the allowed failures, and they are more than the fallback version would have had.
-// In the second case the version is stopped here.
+// VersionBlocked reports whether a version other than the fallback must not be used now. A version is blocked if it has
+// no valid grant, or if it exceeds the limits in [CanaryOptions]. In the second case this proxy stops the version.
 func (g *CanaryGuard) VersionBlocked(service, version string, now time.Duration) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -249,9 +252,9 @@
 	}
 	window := g.window(key)
 	calls, failures, _ := window.sum(now)
-	// A call that hangs counts as failed now: until its end many more would follow it.
-	for open := range window.inFlight {
-		if g.isTooSlow(open, now) {
+	// A call that hangs counts as failed now, because many more calls would follow it before it ends.
+	for call := range window.inFlight {
+		if g.isTooSlow(call, now) {
 			calls++
 			failures++
 		}
@@ -269,8 +272,8 @@
 	return true
 }
 
-// hasValidGrant reports whether a version is granted under its present guard and not stopped. The caller holds the
-// lock.
+// hasValidGrant reports whether a version has a grant for its present guard and is not stopped, neither by the
+// registries nor by this proxy. The caller holds the lock.
 func (g *CanaryGuard) hasValidGrant(key versionKey, guardedRevision uint64, now time.Duration) bool {
 	grant, found := g.grants[key]
 	if !found || grant.guardedRevision != guardedRevision || grant.stopped || now >= grant.expiresAt {
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/candidates.go
@@ -10,47 +10,49 @@
 	"meadowhinge/schema"
 )
 
-// maxPlanRounds is how often a plan is made within one call before the call is given up.
+// maxPlanRounds is how many rounds of candidates, each by a plan of its own, a call goes through before it ends.
 const maxPlanRounds = 4
 
-// maxFullEndpoints is how many endpoints without capacity a call is sent to.
+// maxFullEndpoints is how many endpoints may refuse a call for lack of capacity, and report when they expect some,
+// before the call ends.
 const maxFullEndpoints = 2
 
-// attemptSequence is the attempts of one call: it goes through the candidates of its plan, and of plans made later. It
-// belongs to the goroutine of the call.
+// attemptSequence makes the attempts of one call. It goes through the candidates of the call's plan, and of plans made
+// later. Only the goroutine of the call uses it.
 type attemptSequence struct {
 	forwarder *Forwarder
 	call      *Call
 	result    *CallResult
-	startedAt time.Duration // when the call came in, on the clock of the process
-	// pinnedInstance is the only instance that may get the call, empty for any.
+	startedAt time.Duration // arrival of the call at this proxy, on the process clock
+	// pinnedInstance is the only instance that the call may be sent to; empty for any.
 	pinnedInstance string
 	progress       callProgress
 }
 
-// nextStep says how a call goes on after one of its steps.
+// nextStep is what a call does after one of its steps.
 type nextStep int
 
 const (
-	stepProceed       nextStep = iota // the step found nothing against the candidate
-	stepNextCandidate                 // go on with the next candidate of the plan
-	stepReplan                        // the plan is outdated: make another one
-	stepDone                          // the call is over, with the response of the step
+	stepProceed       nextStep = iota // continue with the same candidate
+	stepNextCandidate                 // continue with the next candidate of the plan
+	stepReplan                        // make a new plan, because the present one is outdated
+	stepDone                          // end the call with the response of the step
 )
 
-// step is the result of one step: how to go on and, if the call is done, with which response. Instance is where
-// the response came from; it is empty where no further attempt under the same idempotency key needs to know.
+// step is the result of one step.
 type step struct {
 	next     nextStep
-	response *schema.ForwardResponse
+	response *schema.ForwardResponse // the response of the call; nil unless next is stepDone
+	// instance is where the response came from. It is set only if a repeat under the same idempotency key must know it.
 	instance string
 }
 
-// doneWith ends a call with a response that is bound to no instance.
+// doneWith returns a step that ends the call with a response, without an instance.
 func doneWith(response *schema.ForwardResponse) step { return step{next: stepDone, response: response} }
 
-// attemptCandidates tries the candidates in order until one answers or nothing more may be done. It returns the
-// response of the last attempt and the instance it came from, or [anotherProxy].
+// attemptCandidates tries the candidates in order until one answers or no further attempt may be made. It returns the
+// call's response and the instance that it came from. The instance is [reservedElsewhere] if the call's key could not be
+// reserved, and empty if no repeat needs to know it.
 func (f *Forwarder) attemptCandidates(
 	ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string,
 ) (*schema.ForwardResponse, string) {
@@ -68,30 +70,30 @@
 // run makes plans and tries their candidates until the call is over.
 func (a *attemptSequence) run(ctx context.Context) (*schema.ForwardResponse, string) {
 	for replans := range maxPlanRounds {
-		// A refusal by another proxy for an outdated configuration would hit the next call as well.
+		// If another proxy has refused a call for its outdated configuration, it would refuse this call as well.
 		a.forwarder.awaitNewerConfig(ctx, a.remaining())
 		if err := a.ensureCurrentPlan(replans); err != nil {
-			return a.progress.endWith(errs.CodeOf(err)), ""
+			return a.progress.responseWithCode(errs.CodeOf(err)), ""
 		}
 		last := a.tryEndpoints(ctx)
 		if last.next == stepDone {
 			return last.response, last.instance
 		}
-		// No candidate is left: an update with other workers may be on its way.
+		// No candidate is left, but a directory update with other workers may be about to arrive.
 		if last.next != stepReplan && (a.progress.hasAnswer() || !a.awaitUntriedWorkers(ctx)) {
 			break
 		}
 	}
-	return a.progress.lastWithRetryAfter(), ""
+	return a.progress.finalResponse(), ""
 }
 
-// remaining returns the time left until the call's deadline; 0 or less if it has passed.
+// remaining returns the time left until the call's deadline. It is 0 or less once the deadline has passed.
 func (a *attemptSequence) remaining() time.Duration {
 	return a.result.Plan.Deadline - (a.forwarder.Now() - a.startedAt)
 }
 
-// ensureCurrentPlan makes the plan again after the first time, or if the configuration has changed since: a plan
-// is carried out only under the configuration that it was made from.
+// ensureCurrentPlan makes a new plan in every round but the first, and in the first if the configuration has changed
+// since. A plan is executed only under the configuration that it was made from.
 func (a *attemptSequence) ensureCurrentPlan(replans int) error {
 	if view := a.forwarder.View(); replans == 0 && view.Config.Revision == a.result.Plan.Verdict.ConfigRevision {
 		return nil
@@ -104,8 +106,8 @@
 	return nil
 }
 
-// tryEndpoints tries the candidates of the plan in order. It returns a step that is done or asks for another
-// plan, or stepNextCandidate if it has come to the end of them.
+// tryEndpoints tries the candidates of the plan in order. It returns the first step that ends the call or requires a new
+// plan, and stepNextCandidate if there is none.
 func (a *attemptSequence) tryEndpoints(ctx context.Context) step {
 	candidates := a.result.Plan.Candidates
 	for i := range candidates {
@@ -116,16 +118,16 @@
 	return step{next: stepNextCandidate}
 }
 
-// attemptCandidate sends the call to a candidate unless something speaks against it. The order of the checks is part
-// of the contract: the key is reserved before the checks that a wait for the registries could outdate.
+// attemptCandidate sends the call to a candidate unless a check rules it out. The order of the checks is part of the
+// contract: the key is reserved first, because the other checks could be outdated after a wait for the registries.
 func (a *attemptSequence) attemptCandidate(ctx context.Context, candidate *plan.Endpoint) step {
-	if !a.admits(candidate) {
+	if !a.isEligible(candidate) {
 		return step{next: stepNextCandidate}
 	}
 	if a.needsReservation(candidate) {
 		response, reserved := a.reserveKey(ctx, candidate)
 		if !reserved {
-			return step{next: stepDone, response: response, instance: anotherProxy}
+			return step{next: stepDone, response: response, instance: reservedElsewhere}
 		}
 	}
 	remaining := a.remaining()
@@ -136,7 +138,7 @@
 		return skipped
 	}
 	if !a.forwarder.mayAttempt(a.result, &a.progress) {
-		return doneWith(a.progress.lastWithRetryAfter())
+		return doneWith(a.progress.finalResponse())
 	}
 	a.result.Attempts++
 	response := a.sendAttempt(ctx, candidate, remaining)
@@ -150,29 +152,31 @@
 	}
 }
 
-// admits reports whether a candidate may get an attempt of this call at all.
-func (a *attemptSequence) admits(candidate *plan.Endpoint) bool {
+// isEligible reports whether a candidate may get an attempt of this call: the call is not pinned to another instance,
+// and the candidate is not excluded after an earlier attempt.
+func (a *attemptSequence) isEligible(candidate *plan.Endpoint) bool {
 	pinnedElsewhere := a.pinnedInstance != "" && candidate.Instance != a.pinnedInstance
 	return !pinnedElsewhere && !a.progress.excluded[candidate.Instance]
 }
 
-// needsReservation reports whether the idempotency key must be reserved before the attempt: a key is reserved for
-// the very worker that the call goes to, and again for another one.
+// needsReservation reports whether the idempotency key must be reserved before the attempt. A key is reserved for the
+// worker that the call is sent to, so it must be reserved again for another worker.
 func (a *attemptSequence) needsReservation(candidate *plan.Endpoint) bool {
 	return a.pinnedInstance == "" &&
 		a.result.Plan.UsesIdempotencyKey(&a.call.Request) &&
 		a.result.reservation.GetInstance() != candidate.Instance
 }
 
-// precheck checks last of all that this proxy may still decide, by the plan it has, to send the call.
+// precheck checks, after any wait, that the call still has time, and that this proxy may still send it by its plan: the
+// proxy has a lease, the configuration is the plan's, and the version and the worker are still available.
 func (a *attemptSequence) precheck(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) step {
 	f, callPlan := a.forwarder, a.result.Plan
 	view := f.View()
 	switch {
 	case remaining <= 0 || ctx.Err() != nil:
-		return doneWith(a.progress.endWith(contextErrorCode(ctx)))
+		return doneWith(a.progress.responseWithCode(contextErrorCode(ctx)))
 	case !f.HasLease():
-		return doneWith(a.progress.endWith(errs.NoLease))
+		return doneWith(a.progress.responseWithCode(errs.NoLease))
 	case view.Config.Revision != callPlan.Verdict.ConfigRevision || f.versionBlocked(view, callPlan):
 		return step{next: stepReplan}
 	case !isListed(view, callPlan.Service, callPlan.Verdict.Version, candidate.Instance):
@@ -181,8 +185,8 @@
 	return step{next: stepProceed}
 }
 
-// skipOverloaded skips a candidate that has refused most calls of the route lately. A pinned call is not skipped,
-// for no other worker can refuse it, nor is a worker beside this proxy, which costs nothing to try.
+// skipOverloaded skips a candidate that has recently refused most calls of the route. A pinned call does not skip its
+// candidate, because no other worker can serve it. A worker of this proxy is not skipped, because trying it costs nothing.
 func (a *attemptSequence) skipOverloaded(candidate *plan.Endpoint) step {
 	f := a.forwarder
 	retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, a.result.Plan.Route.Name, f.Now(), f.Random)
@@ -194,12 +198,12 @@
 	a.progress.recordRefusal(refusal)
 	a.progress.exclude(candidate.Instance)
 	if a.progress.fullEndpoints >= maxFullEndpoints || a.progress.hasAnswer() {
-		return doneWith(a.progress.lastWithRetryAfter())
+		return doneWith(a.progress.finalResponse())
 	}
 	return step{next: stepNextCandidate}
 }
 
-// onAnswered ends the call with a worker's answer, or goes on if the answer is a failure that may be retried.
+// onAnswered ends the call with a worker's answer, or continues if the answer is a failure that may be retried.
 func (a *attemptSequence) onAnswered(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
 	a.result.WorkerAttempts++
 	if !a.forwarder.mayRetryFailure(a.result, &a.progress, response, a.remaining()) {
@@ -210,12 +214,12 @@
 	return step{next: stepNextCandidate}
 }
 
-// onUnknown goes on after an attempt that may have run, which only an idempotent call does.
+// onUnknown handles an attempt that may have run. Only an idempotent call continues after it.
 func (a *attemptSequence) onUnknown(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
 	a.result.WorkerAttempts++
-	// A failure response of an earlier attempt is still an answer, and better than none.
+	// A failure response from an earlier attempt is an answer, which is better than none.
 	if a.progress.hasAnswer() {
-		return doneWith(a.progress.lastWithRetryAfter())
+		return doneWith(a.progress.finalResponse())
 	}
 	a.progress.lastResponse = response
 	a.progress.exclude(candidate.Instance)
@@ -225,14 +229,14 @@
 	return step{next: stepNextCandidate}
 }
 
-// onNotExecuted goes on after a refusal, which proves that nothing ran.
+// onNotExecuted handles a refusal, which proves that nothing ran.
 func (a *attemptSequence) onNotExecuted(candidate *plan.Endpoint, response *schema.ForwardResponse) step {
 	if response.ReachedWorker {
 		a.result.WorkerAttempts++
 	}
 	a.progress.recordRefusal(response)
 	if a.progress.hasAnswer() {
-		return doneWith(a.progress.lastWithRetryAfter())
+		return doneWith(a.progress.finalResponse())
 	}
 	if a.configIsBehind(response) {
 		newest := &a.forwarder.newestRevision
@@ -240,28 +244,28 @@
 		return step{next: stepReplan}
 	}
 	a.progress.exclude(candidate.Instance)
-	// Candidates are ordered by expected capacity. If some of the first report that they have none, the
-	// others have none either, and are spared the attempt.
+	// Candidates are ordered by expected capacity. If the first ones report that they have none, the others are assumed
+	// to have none either, and are not tried.
 	if a.progress.fullEndpoints >= maxFullEndpoints {
-		return doneWith(a.progress.lastWithRetryAfter())
+		return doneWith(a.progress.finalResponse())
 	}
 	return step{next: stepNextCandidate}
 }
 
-// configIsBehind reports whether a proxy refused the call by a newer configuration, under which the plan is too
-// old or its version not allowed. Such a call is planned again by that configuration and not refused.
+// configIsBehind reports whether another proxy refused the call under a newer configuration, by which the plan is too
+// old or its version is not allowed. Such a call is planned again under that configuration instead of being refused.
 func (a *attemptSequence) configIsBehind(refusal *schema.ForwardResponse) bool {
 	code := errs.Code(refusal.ErrorCode)
 	return code == errs.StalePlan || (code == errs.VersionNotAllowed && refusal.Revision > a.result.Plan.Verdict.ConfigRevision)
 }
 
-// versionBlocked reports whether the plan's version may not be used any more.
+// versionBlocked reports whether the canary guard blocks the plan's version. It never blocks the fallback version.
 func (f *Forwarder) versionBlocked(view *plan.View, callPlan *plan.Plan) bool {
 	version := callPlan.Verdict.Version
 	return version != view.Config.FallbackOf(callPlan.Service) && f.Canaries.VersionBlocked(callPlan.Service, version, f.Now())
 }
 
-// isListed reports whether a worker is still in the directory.
+// isListed reports whether the directory lists a worker under a service and version.
 func isListed(view *plan.View, service, version, instance string) bool {
 	for _, endpoint := range view.Directory[service][version] {
 		if endpoint.Instance == instance {
--- a/internal/dispatch/capacity_check.go
+++ b/internal/dispatch/capacity_check.go
@@ -10,14 +10,15 @@
 	"meadowhinge/schema"
 )
 
-// capacityCheckGain is how many times its own size a capacity check must be likely to save.
+// capacityCheckGain is the expected number of body bytes that a capacity check must save, as a multiple of its own size.
 const capacityCheckGain = 2
 
-// refusalAfterRefusal is the probability of a refusal that is assumed once another worker has refused the call.
+// refusalAfterRefusal is the least probability of a refusal that is assumed once another worker has refused the call.
 const refusalAfterRefusal = 0.5
 
-// checkCapacity asks a worker in another zone whether it has capacity before a body is sent there that would
-// likely be refused. It returns the refusal, or nil if the request is to be sent.
+// checkCapacity checks whether a worker in another zone has capacity before a body is sent there that would likely be
+// refused. It returns the refusal, or nil if the request is to be sent. refusedBefore reports whether another worker has
+// refused the call for lack of capacity.
 func (f *Forwarder) checkCapacity(
 	ctx context.Context, request *schema.ForwardRequest, endpoint *plan.Endpoint, refusedBefore bool,
 ) *schema.ForwardResponse {
@@ -33,7 +34,7 @@
 	case err != nil && f.NoAttemptTimeout && ctx.Err() != nil:
 		return notExecuted(contextErrorCode(ctx), 0)
 	case err != nil:
-		// Nothing that could run was sent.
+		// The capacity check itself runs nothing, so nothing can have run.
 		f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
 		return notExecuted(errs.PeerConnectFailed, 0)
 	case response.Request != request.Request || response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || response.ErrorCode == "":
@@ -43,8 +44,8 @@
 	return response
 }
 
-// newCapacityCheck returns a request without its body and headers. It keeps the checksum of the body, so that a
-// proxy that does not know capacity checks takes it for a request that lost its body, and refuses it.
+// newCapacityCheck returns the capacity check for a request: the request without its body and headers. It keeps the
+// checksum of the body, so that a proxy that does not know capacity checks refuses it as a request that lost its body.
 func newCapacityCheck(request *schema.ForwardRequest) *schema.ForwardRequest {
 	return &schema.ForwardRequest{
 		Request:            request.Request,
@@ -61,7 +62,8 @@
 	}
 }
 
-// worthChecking reports whether the bytes of the body that a check is expected to save outweigh its own.
+// worthChecking reports whether the body bytes that a capacity check is expected to save are at least capacityCheckGain
+// times its own size.
 func (f *Forwarder) worthChecking(endpoint *plan.Endpoint, request, capacityCheck *schema.ForwardRequest, refusedBefore bool) bool {
 	refusalProbability := f.Outliers.RefusalRate(endpoint.Instance)
 	if refusedBefore {
--- a/internal/dispatch/disconnects.go
+++ b/internal/dispatch/disconnects.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// Disconnects counts what becomes of calls whose callers disconnect before they are answered. The proxy that received a
-// call counts Detected and HalfClosed; the proxy beside the worker counts the rest.
+// Disconnects counts the results of calls whose callers disconnect before they are answered. The caller's proxy counts
+// Detected and HalfClosed. The worker's proxy counts the others.
 type Disconnects struct {
 	Detected   atomic.Uint64 // callers that were found to have disconnected while their call was under way
 	HalfClosed atomic.Uint64 // callers that closed only their sending side, and still read
-	Propagated atomic.Uint64 // disconnects known at the worker's proxy while the call was sent to the worker or ran
-	Dequeued   atomic.Uint64 // calls removed from a worker's queue without having run
-	Canceled   atomic.Uint64 // runs of idempotent calls that were ended for it
-	RanToEnd   atomic.Uint64 // runs of non-idempotent calls, which went on to their end
+	Propagated atomic.Uint64 // disconnects that the worker's proxy learned of while the call was sent to the worker or ran
+	Dequeued   atomic.Uint64 // calls that ended without having run, most of them removed from a worker's queue
+	Canceled   atomic.Uint64 // runs of idempotent calls that the disconnect ended
+	RanToEnd   atomic.Uint64 // runs of non-idempotent calls, which the disconnect did not end
 
-	// The next two count violations of invariants, so they stay 0.
-	SentLate atomic.Uint64 // calls sent to a worker although their caller was known to have disconnected
-	Overrun  atomic.Uint64 // runs of idempotent calls that went on for longer than is allowed after it
+	// SentLate and Overrun count violations of invariants, so they must stay 0.
+	SentLate atomic.Uint64 // calls sent to a worker more than MaxOverrun after their caller was known to have disconnected
+	Overrun  atomic.Uint64 // runs of idempotent calls that continued for longer than MaxOverrun and its grace
 
-	longestOverrun atomic.Int64 // nanoseconds that an idempotent run went on after the disconnect was known
+	longestOverrun atomic.Int64 // longest time, in nanoseconds, that an idempotent run continued after a known disconnect
 }
 
-// DisconnectCounts are the counts of Disconnects at one moment. The JSON keys are older than the fields' names.
+// DisconnectCounts is a snapshot of the counts of [Disconnects]. The JSON keys are older than the fields' names.
 type DisconnectCounts struct {
 	Detected   uint64 `json:"noticed"`
 	HalfClosed uint64 `json:"halfClosed"`
@@ -34,7 +34,8 @@
 	RanToEnd   uint64 `json:"kept"`
 	SentLate   uint64 `json:"handedLate"`
 	Overrun    uint64 `json:"overrun"`
-	LongestMS  int64  `json:"longestMs"` // longest overrun of an idempotent run, in milliseconds
+	// LongestMS is the longest time that an idempotent run continued after a known disconnect, in milliseconds.
+	LongestMS int64 `json:"longestMs"`
 }
 
 // Counts returns the current counts.
@@ -52,7 +53,7 @@
 	}
 }
 
-// Add adds other counts. Of the longest overruns it keeps the longer one.
+// Add adds other counts. LongestMS becomes the larger one of both.
 func (c *DisconnectCounts) Add(other DisconnectCounts) {
 	c.Detected += other.Detected
 	c.HalfClosed += other.HalfClosed
@@ -65,36 +66,37 @@
 	c.LongestMS = max(c.LongestMS, other.LongestMS)
 }
 
-// Violations returns how often an invariant was violated.
+// Violations returns how often an invariant was violated: the sum of SentLate and Overrun.
 func (c DisconnectCounts) Violations() uint64 { return c.SentLate + c.Overrun }
 
-// disconnectWatch watches the caller of one call that is sent to a worker. Once the caller is known to have
-// disconnected, an idempotent run has maxOverrun to end; a longer one is a violation.
+// disconnectWatch watches the caller of one call while the call is sent to a worker and runs. Once the caller is known to
+// have disconnected, an idempotent run must end within maxOverrun and a grace period. Otherwise it is a violation.
 type disconnectWatch struct {
 	counts     *Disconnects
-	now        func() time.Duration
-	stop       func() bool // stops the watch of the context
-	maxOverrun time.Duration
-	mustStop   bool // the run must end when its caller disconnects
+	now        func() time.Duration // returns the process clock
+	stop       func() bool          // detaches the watch from the caller's context
+	maxOverrun time.Duration        // 0 turns the detection of overruns off
+	mustStop   bool                 // the run must end when its caller disconnects
 
 	lock           sync.Mutex    // guards the fields below
-	disconnectedAt time.Duration // when the disconnect was known, 0 for not yet
-	timer          *time.Timer   // counts an overrun unless the run ends first
+	disconnectedAt time.Duration // time at which the disconnect became known, on the process clock; 0 before
+	timer          *time.Timer   // ends maxOverrun, and then the grace period; nil if neither has begun
 	finished       bool          // the run has ended
 }
 
-// graceDivisor is the part of maxOverrun that a run gets in addition, so that a process which was suspended meanwhile
-// can still end it.
+// graceDivisor: the grace period after maxOverrun is 1/graceDivisor of it, so that a process that was suspended meanwhile
+// can still end the run.
 const graceDivisor = 4
 
-// watchCaller watches the caller whose disconnect ends ctx, until finish is called.
+// watchCaller starts to watch the caller whose disconnect ends ctx. finish must be called when the run ends. mustStop
+// reports whether the run must end when its caller disconnects.
 func (d *Disconnects) watchCaller(ctx context.Context, mustStop bool, maxOverrun time.Duration, now func() time.Duration) *disconnectWatch {
 	watch := &disconnectWatch{counts: d, now: now, maxOverrun: maxOverrun, mustStop: mustStop}
 	watch.stop = context.AfterFunc(ctx, watch.onDisconnect)
 	return watch
 }
 
-// onDisconnect records the disconnect.
+// onDisconnect records the disconnect, and starts the time within which the run must end.
 func (w *disconnectWatch) onDisconnect() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// startGrace starts the grace period of a run that has used up maxOverrun; recordOverrun ends it.
+// startGrace starts the grace period of a run that has used up maxOverrun. recordOverrun is called at its end.
 func (w *disconnectWatch) startGrace() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -117,7 +119,7 @@
 	}
 }
 
-// recordOverrun counts a run that did not end with its caller.
+// recordOverrun counts a run that has not ended by the end of its grace period.
 func (w *disconnectWatch) recordOverrun() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -126,7 +128,7 @@
 	}
 }
 
-// finish ends the watch together with the run. It returns when the caller disconnected, if it has.
+// finish ends the watch when the run ends. It returns whether the disconnect of the caller became known, and when.
 func (w *disconnectWatch) finish() (disconnectedAt time.Duration, disconnected bool) {
 	w.stop()
 	w.lock.Lock()
@@ -138,7 +140,7 @@
 	return w.disconnectedAt, w.disconnectedAt > 0
 }
 
-// recordOverrunTime records for how long an idempotent run went on after the disconnect was known.
+// recordOverrunTime records how long an idempotent run continued after the disconnect was known.
 func (d *Disconnects) recordOverrunTime(overrun time.Duration) {
 	for {
 		longest := d.longestOverrun.Load()
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,22 +1,24 @@
 // Package dispatch forwards a planned call to a worker and runs it there.
 //
-// Two sides meet in it. On the side of the caller, the proxy that took a call has a [Forwarder]: it makes a
-// plan (package plan), sends the call to the planned endpoints one after the other, and decides after each
-// attempt whether another one is safe and within the [RetryBudget]. On the side of the worker, the proxy beside
-// it has a [Runner]: it checks a forward request, queues it in the worker's [WorkerQueue], and sends it to the
-// worker over a pooled connection.
+// A worker is one instance of a service. It is local to the proxy that it registers with, and only that proxy
+// connects to it. Each call passes through two proxies, which may be the same process:
+//   - The caller's proxy has a [Forwarder]. It plans the call (package plan) and sends it to the planned endpoints
+//     one after the other. After each attempt it decides whether another one is safe and within the [RetryBudget].
+//   - The worker's proxy has a [Runner]. It checks the forward request, queues it in the worker's [WorkerQueue], and
+//     sends it to the worker over a pooled connection.
 //
-// Every attempt ends in one of three outcomes, and the distinction is the package's main invariant:
-//   - answered: the worker answered, with whatever status;
+// Every attempt ends in one of three outcomes. Keeping them apart is the package's main invariant:
+//   - answered: the worker answered, with any status;
 //   - not executed: it is proved that no worker ran the request, so it may be sent again;
 //   - unknown: a worker may have run the request, so only an idempotent request may be sent again.
 //
-// State kept here is in memory only and belongs to one process: retry budgets by service, what is known of
-// workers ([OutlierDetector]), canary grants ([CanaryGuard]), idempotency keys and their results
-// ([IdempotencyCache]), the registrations of local workers ([Workers]), and counters ([CallCounter], [WorkCounts],
-// [Disconnects]). Package proxy constructs all of it, and package simulator does so for its simulated proxies.
+// All state is held in memory by one process: retry budgets by service, the health and load of workers
+// ([OutlierDetector]), canary grants ([CanaryGuard]), idempotency keys and their results ([IdempotencyCache]), the
+// registrations of local workers ([Workers]), and counters ([CallCounter], [WorkCounts], [Disconnects]). Package proxy
+// constructs these values, and package simulator does so for its simulated proxies.
 //
 // All exported types are safe for concurrent use unless their comment says otherwise. Each guards its own
 // state with its own lock or with atomics, and no lock is held while a request is sent or waited for. Time is
-// passed in or read through a Now function on the clock of the process, so that the simulator can drive it.
+// passed in, or read through a Now function, as the process clock: a duration since a moment that is fixed for the
+// process. So the simulator can drive it.
 package dispatch
--- a/internal/dispatch/forward_keyed.go
+++ b/internal/dispatch/forward_keyed.go
@@ -12,20 +12,20 @@
 	"meadowhinge/schema"
 )
 
-// keyOf returns the idempotency key of a call, qualified by its caller, service and route.
+// keyOf returns a call's idempotency key, qualified by its caller, service and route.
 func keyOf(call *Call, callPlan *plan.Plan) string {
 	return idempotencyKey(call.Request.Caller, callPlan.Service, callPlan.Route.Name, call.Request.IdempotencyKey)
 }
 
-// forwardKeyed carries out a call that must not run twice under its idempotency key. ctx bounds the call;
-// outlivingCtx bounds what may go on after it.
+// forwardKeyed executes the plan of a call that must not run twice under its idempotency key. ctx ends at the call's
+// deadline. outlivingCtx does not, and is for work that may go on after the call.
 func (f *Forwarder) forwardKeyed(
 	ctx, outlivingCtx context.Context, call *Call, result *CallResult, startedAt time.Duration,
 ) *schema.ForwardResponse {
 	fingerprint := requestFingerprint(call.Target, call.Body)
 	return f.idempotency.Do(ctx, keyOf(call, result.Plan), fingerprint, func(pinnedInstance string) (*schema.ForwardResponse, string) {
 		response, instance := f.attemptCandidates(ctx, call, result, startedAt, pinnedInstance)
-		// Only proof that nothing ran frees the key. The response does not wait long for the release.
+		// The key is released only if it is proved that nothing ran. The response waits for the release only briefly.
 		if pinnedInstance == "" && result.reservation != nil && response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 			f.releaseKey(outlivingCtx, result.reservation)
 		}
@@ -33,26 +33,27 @@
 	})
 }
 
-// reservationRefusals are the codes of reservations that the registries do not grant, other than for a conflict.
+// reservationRefusals are the codes for calls whose key the registries do not reserve, by their decision. A conflict has
+// no code, because its call gets the result of the other request.
 var reservationRefusals = map[session.ReservationOutcome]errs.Code{
 	session.ReservationKeyReused:  errs.IdempotencyKeyReused,
 	session.ReservationNoCapacity: errs.QueueFull,
 	session.ReservationNoMajority: errs.IdempotencyKeyNotReserved,
 }
 
-// reserveKey reserves the call's key for a run at a candidate, and reports whether it is reserved. If the key is another
-// request's, it returns what that request came to, as far as it can be known.
+// reserveKey reserves the call's key for a run at a candidate, and reports whether it did. If not, it returns the
+// response of the call. If another request holds the key, that is the other request's result as far as it can be known.
 func (a *attemptSequence) reserveKey(ctx context.Context, candidate *plan.Endpoint) (*schema.ForwardResponse, bool) {
 	f, result := a.forwarder, a.result
 	reservedBefore := result.reservation != nil
 	result.reservation = f.newReservation(a.call, result, candidate)
-	verdict, existing := f.ReserveKey(ctx, result.reservation)
+	decision, existing := f.ReserveKey(ctx, result.reservation)
 	switch {
-	case verdict == session.ReservationGranted:
+	case decision == session.ReservationGranted:
 		return nil, true
-	case verdict != session.ReservationConflict:
-		return notExecuted(reservationRefusals[verdict], 0), false
-	// This request had the key and has lost it: another one may have run under it meanwhile.
+	case decision != session.ReservationConflict:
+		return notExecuted(reservationRefusals[decision], 0), false
+	// This request had reserved the key and has lost it, so another request may have run under the key meanwhile.
 	case reservedBefore:
 		return outcomeUnknown(errs.IdempotencyKeyUnresolved), false
 	}
@@ -61,7 +62,7 @@
 	return a.recallResult(ctx, existing), false
 }
 
-// newReservation returns the reservation of the call's key for a run at an endpoint.
+// newReservation returns a reservation of the call's key for a run at an endpoint.
 func (f *Forwarder) newReservation(call *Call, result *CallResult, endpoint *plan.Endpoint) *schema.KeyReservation {
 	key := sha256.Sum256([]byte(keyOf(call, result.Plan)))
 	return &schema.KeyReservation{
@@ -77,8 +78,8 @@
 	}
 }
 
-// releaseKey releases a reservation, and waits for that no longer than KeyReleaseTimeout. Registries that are not
-// reached keep the reservation until it expires, so the outcome of the release needs no handling.
+// releaseKey releases a reservation. It waits for the release for at most KeyReleaseTimeout, and the release goes on
+// after that. Registries that are not reached keep the reservation until it expires, so a failure needs no handling.
 func (f *Forwarder) releaseKey(ctx context.Context, reservation *schema.KeyReservation) {
 	release := &schema.KeyReservation{
 		Key:         reservation.Key,
@@ -100,7 +101,8 @@
 	}
 }
 
-// recallResult asks the proxy of the worker that the key is reserved for what its request came to.
+// recallResult requests the result of the request that holds the key from the proxy of its worker. If that proxy does not
+// know the result, the outcome is unknown.
 func (a *attemptSequence) recallResult(ctx context.Context, existing *schema.KeyReservation) *schema.ForwardResponse {
 	request := newRecallRequest(a.call, a.result, a.remaining())
 	endpoint := plan.Endpoint{Instance: existing.Instance, Proxy: existing.WorkerProxy, Address: existing.Address}
@@ -111,7 +113,8 @@
 	return response
 }
 
-// newRecallRequest returns a request for the result of a key. It runs nothing, so it names neither worker nor version.
+// newRecallRequest returns a request for the result under the call's key. It names neither worker nor version, because
+// it runs nothing.
 func newRecallRequest(call *Call, result *CallResult, remaining time.Duration) *schema.ForwardRequest {
 	return &schema.ForwardRequest{
 		Request:        result.ID + "-0",
--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -14,92 +14,93 @@
 	"meadowhinge/schema"
 )
 
-// Call is a caller's request as the proxy beside the caller received it. It is not changed once it is forwarded.
+// Call is a caller's request as the caller's proxy received it. It does not change once it is forwarded.
 type Call struct {
 	Request     plan.Request
 	Target      string // path with query
-	HeaderBlock []byte // the headers that are passed on, see [AppendField]
+	HeaderBlock []byte // headers to pass on to the worker, see [AppendField]
 	Body        []byte
 }
 
-// CallResult is what a call came to: a response, or an error with a code and an outcome.
+// CallResult is the result of a call: the response if a worker answered, and otherwise an error.
 type CallResult struct {
-	ID             string // unique in the fleet
-	Response       *schema.ForwardResponse
-	Plan           *plan.Plan // nil when no plan could be made
-	Attempts       int        // attempts that were sent to a proxy
-	WorkerAttempts int        // attempts that reached a worker, or may have
-	Err            error      // an errs.Error unless a worker answered
-
-	reservation *schema.KeyReservation // the key reservation last requested for this call, nil for none
+	ID             string                  // id of the call, unique in the fleet
+	Response       *schema.ForwardResponse // nil if the call was refused without a plan
+	Plan           *plan.Plan              // the last plan of the call; nil if none could be made
+	Attempts       int                     // attempts that were sent to a proxy
+	WorkerAttempts int                     // attempts that reached a worker, or may have
+	Err            error                   // nil if a worker answered, otherwise an errs.Error
+
+	reservation *schema.KeyReservation // key reservation last requested for this call; nil if none is
 }
 
-// Sender sends one attempt to the proxy beside a worker. An error with the code errs.PeerConnectFailed proves that
-// nothing was sent; any other leaves open whether the worker ran the request.
+// Sender sends one attempt to the candidate's proxy. An error with the code errs.PeerConnectFailed proves that nothing
+// was sent. After any other error the worker may have run the request.
 type Sender func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
-// KeyReserver requests an idempotency key from the registries, or releases it. It returns their decision and,
-// on a conflict, the existing reservation of the other request.
+// KeyReserver reserves an idempotency key at the registries, or releases it if reservation.Release is set. It returns
+// their decision and, on a conflict, the existing reservation of the other request.
 type KeyReserver func(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation)
 
-// Forwarder is the caller's side of a call: it makes a plan and carries it out. The exported fields are set before
-// [Forwarder.Init] and not changed afterwards, except that Incarnation may be replaced until the first call; Forward may
-// then be called concurrently.
+// Forwarder plans calls and sends them to workers. The exported fields are set before [Forwarder.Init] and not changed
+// afterwards, except that Incarnation may be replaced until the first call. Forward may then be called concurrently.
 type Forwarder struct {
-	Name        string // of this proxy
-	Incarnation uint64 // of this proxy's process
-	Limits             // at the start; those in force are in limits, set by SetLimits
+	Name        string // name of this proxy
+	Incarnation uint64 // incarnation of this proxy, another one for each of its processes
+	Limits             // initial limits; SetLimits replaces those in force and leaves these unchanged
 	// View returns the current configuration and directory.
 	View func() *plan.View
-	// AwaitView waits until the view satisfies ready, or ctx ends.
+	// AwaitView waits until ready is true for the view, or until ctx ends.
 	AwaitView func(ctx context.Context, ready func(*plan.View) bool)
-	// AwaitLease waits until this proxy holds a lease, or ctx ends. It reports whether the proxy holds one.
+	// AwaitLease waits until this proxy holds a lease, or until ctx ends. It reports whether the proxy holds one.
 	AwaitLease func(ctx context.Context) bool
-	// NoAttemptTimeout lets one attempt of an idempotent call take all the time left. It is set where Send itself
-	// detects an unresponsive proxy, so that a long wait can only mean a slow worker.
+	// NoAttemptTimeout lets one attempt of an idempotent call take all the time left. It is set if Send itself detects
+	// an unresponsive proxy, so that a long wait can only mean a slow worker.
 	NoAttemptTimeout bool
 	// FreeProxyRefusals charges the retry budget only for attempts after one that reached a worker. A call that
 	// only proxies have refused may look for its first worker without charge.
 	FreeProxyRefusals bool
-	// OnConfigLag is called when another proxy has a configuration that does not arrive at this one.
+	// OnConfigLag is called once for each configuration that another proxy has and that does not arrive at this one.
 	OnConfigLag func()
-	HasLease    func() bool          // whether this proxy may decide under the configuration that it has
-	FleetSize   func() int           // proxies in the fleet
-	Now         func() time.Duration // the clock of the process
-	Random      plan.Random
-	Send        Sender
-	Outliers    *OutlierDetector
-	Canaries    *CanaryGuard
-	Counter     *CallCounter
+	// HasLease reports whether this proxy holds a lease, without which it may not decide by its configuration.
+	HasLease  func() bool
+	FleetSize func() int           // returns the number of proxies in the fleet
+	Now       func() time.Duration // returns the process clock
+	Random    plan.Random
+	Send      Sender
+	Outliers  *OutlierDetector
+	Canaries  *CanaryGuard
+	Counter   *CallCounter
 	// ReserveKey reserves an idempotency key at the registries, or releases it.
 	ReserveKey KeyReserver
-	// KeyReleaseTimeout is how long a refusal may wait for the release of its key reservation.
+	// KeyReleaseTimeout is how long a call waits at most for the release of its key reservation.
 	KeyReleaseTimeout time.Duration
 
-	limits              atomic.Pointer[Limits] // in force
+	limits              atomic.Pointer[Limits] // the limits in force
 	local               plan.LocalState
-	retryBudgets        *xsync.Map[string, *RetryBudget] // by service
+	retryBudgets        *xsync.Map[string, *RetryBudget] // keyed by service
 	idempotency         *IdempotencyCache
-	serial              atomic.Uint64 // of the last call
-	newestRevision      atomic.Uint64 // the newest revision by which another proxy refused an older plan
-	lagReportedRevision atomic.Uint64 // the last revision for which OnConfigLag was called
+	serial              atomic.Uint64 // serial number of the last call
+	newestRevision      atomic.Uint64 // newest configuration revision by which another proxy refused an older plan
+	lagReportedRevision atomic.Uint64 // last revision for which OnConfigLag was called
 }
 
 // Limits bound the plans and the retries of a forwarder.
 type Limits struct {
 	PlanOptions plan.Options
 	RetryRatio  float64 // retries per call of a service, in any window
-	RetryFloor  float64 // retries in any window that the fleet may make in addition
-	// RetryWindow is the window in which retries are bounded, 0 for DefaultRetryWindow.
+	RetryFloor  float64 // retries per service, in any window, that the fleet may make in addition to the ratio
+	// RetryWindow is the length of the window in which retries are bounded, 0 for DefaultRetryWindow.
 	RetryWindow time.Duration
-	// FailureRetryFraction is the fraction of the retry budget for calls that a worker answered with a failure.
+	// FailureRetryFraction is the fraction of the retry budget that calls answered with a failure may use. 0 turns
+	// retries of failures off.
 	FailureRetryFraction float64
 }
 
-// SetLimits sets the limits for what is planned and retried from now on.
+// SetLimits replaces the limits for later plans and retries.
 func (f *Forwarder) SetLimits(limits Limits) { f.limits.Store(&limits) }
 
-// Init makes the forwarder ready for calls. It retains at most maxKeys idempotency keys.
+// Init makes the forwarder ready for calls, and returns it. It retains at most maxKeys idempotency keys.
 func (f *Forwarder) Init(maxKeys int) *Forwarder {
 	f.limits.Store(&f.Limits)
 	f.retryBudgets = xsync.NewMap[string, *RetryBudget]()
@@ -108,23 +109,23 @@
 	return f
 }
 
-// returnMarginDivisor is the part of a call's time that is reserved for the way back to the caller.
+// returnMarginDivisor: 1/returnMarginDivisor of a call's time is reserved for the way of the response to the caller.
 const returnMarginDivisor = 32
 
-// Forward plans a call and carries it out. The caller has disconnected when ctx ends: a queued call is dropped
-// then, and an idempotent one ends where it runs. A non-idempotent call runs to its end once a worker has it,
-// and one under an idempotency key is not affected, for its result is retained for repeats.
+// Forward plans a call and executes the plan. ctx ends when the caller disconnects. A queued call is then dropped, and
+// the run of an idempotent call is canceled. A non-idempotent call runs to its end once a worker has it. A call with an
+// idempotency key is not affected, because its result is retained for repeats.
 func (f *Forwarder) Forward(ctx context.Context, call *Call) *CallResult {
 	startedAt := f.Now()
 	result := &CallResult{ID: f.newID()}
 	if !f.HasLease() && !f.awaitLease(ctx, call) {
-		result.Err = errs.New(errs.NoLease, "this proxy cannot know the rules in force")
+		result.Err = errs.New(errs.NoLease, "this proxy holds no lease, so its configuration may be outdated")
 		return result
 	}
 	callPlan, err := f.makePlan(&call.Request)
 	if err != nil {
 		result.Err = err
-		// A refusal that comes with a plan, as a policy's does, is counted under the plan's verdict.
+		// A refusal that comes with a plan, such as a refusal by a policy, is counted under the plan's verdict.
 		if callPlan != nil {
 			result.Plan = callPlan
 			result.Response = notExecuted(errs.CodeOf(err), 0)
@@ -142,7 +143,7 @@
 	return result
 }
 
-// executePlan carries out the plan of a call within its deadline.
+// executePlan makes the attempts of a call within the plan's deadline, and returns the response of the call.
 func (f *Forwarder) executePlan(ctx context.Context, call *Call, result *CallResult, startedAt time.Duration) *schema.ForwardResponse {
 	keyed := result.Plan.UsesIdempotencyKey(&call.Request)
 	if keyed {
@@ -157,14 +158,14 @@
 	return response
 }
 
-// newID returns an id that no other proxy, and no other incarnation of this one, gives to a call.
+// newID returns an id that is unique among the calls of all proxies and of all incarnations of this one.
 func (f *Forwarder) newID() string {
 	id := append(make([]byte, 0, 64), f.Name...)
 	id = strconv.AppendUint(append(id, '-'), f.Incarnation, 16)
 	return string(strconv.AppendUint(append(id, '-'), f.serial.Add(1), 16))
 }
 
-// makePlan makes a plan whose deadline leaves time for the way back to the caller.
+// makePlan makes a plan and shortens its deadline by the time reserved for the way of the response to the caller.
 func (f *Forwarder) makePlan(request *plan.Request) (*plan.Plan, error) {
 	callPlan, err := plan.Make(f.View(), request, f.limits.Load().PlanOptions, f.local, f.Now(), f.Random)
 	if callPlan != nil {
--- a/internal/dispatch/header_block.go
+++ b/internal/dispatch/header_block.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// A header block is a request's or response's headers as lines. The lines are passed from connection to connection as
-// they arrived, and no process on the way has to parse them.
+// A header block holds the headers of a request or response as lines of text. Proxies pass the lines on as they arrived,
+// without parsing them.
 
 // Separators within a header block.
 const (
-	fieldMiddle = ": " // between name and value
-	fieldEnd    = "\r\n"
+	nameSeparator  = ": "   // between name and value
+	fieldSeparator = "\r\n" // after each header
 )
 
-// AppendField appends a header to a header block. Line breaks in the value, which would end the header early, become
-// spaces.
+// AppendField appends a header to a header block and returns the extended block. Carriage returns and line feeds in the
+// value, which would end the header early, are replaced by spaces.
 func AppendField[Text string | []byte](block []byte, name, value Text) []byte {
-	block = append(append(block, name...), fieldMiddle...)
+	block = append(append(block, name...), nameSeparator...)
 	from := len(block)
 	block = append(block, value...)
 	for i := from; i < len(block); i++ {
@@ -26,15 +26,15 @@
 			block[i] = ' '
 		}
 	}
-	return append(block, fieldEnd...)
+	return append(block, fieldSeparator...)
 }
 
 // Fields iterates over the headers of a header block, in order.
 func Fields(block []byte) iter.Seq2[[]byte, []byte] {
 	return func(yield func(name, value []byte) bool) {
 		for len(block) > 0 {
-			line, rest, _ := bytes.Cut(block, []byte(fieldEnd))
-			name, value, _ := bytes.Cut(line, []byte(fieldMiddle))
+			line, rest, _ := bytes.Cut(block, []byte(fieldSeparator))
+			name, value, _ := bytes.Cut(line, []byte(nameSeparator))
 			if !yield(name, value) {
 				return
 			}
@@ -43,7 +43,8 @@
 	}
 }
 
-// FieldOf returns the value of the first header of a name in a header block, empty for none.
+// FieldOf returns the value of the first header in a header block with the given name, whatever its case. It is empty if
+// there is none.
 func FieldOf(block []byte, name string) string {
 	for fieldName, value := range Fields(block) {
 		if strings.EqualFold(string(fieldName), name) {
--- a/internal/dispatch/headers.go
+++ b/internal/dispatch/headers.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// HeaderPrefix is the prefix of this project's own headers. The native codec passes none of them on, neither from
-// callers nor from workers.
+// HeaderPrefix is the prefix of this project's own headers. [NativeCodec] does not pass them on, neither from callers nor
+// from workers.
 const HeaderPrefix = "Meadowhinge-"
 
 // Headers between a proxy, its workers and its callers. The names on the wire are older than the constants' names.
@@ -14,6 +14,6 @@
 	HeaderOutcome        = HeaderPrefix + "Outcome"
 	HeaderConfigRevision = HeaderPrefix + "Setup"
 	HeaderAttempts       = HeaderPrefix + "Tries"
-	HeaderRefused        = HeaderPrefix + "Refused" // set by a worker on a request that was not meant for it and did not run
+	HeaderRefused        = HeaderPrefix + "Refused" // set by a worker that did not run a request meant for another one
 	HeaderDeadline       = HeaderPrefix + "Horizon-Ms"
 )
--- a/internal/dispatch/hop_by_hop_headers.go
+++ b/internal/dispatch/hop_by_hop_headers.go
@@ -4,8 +4,9 @@
 	"bytes"
 )
 
-// hopByHopHeaders are headers that are meant for one connection only, or are set again for each. They are grouped by
-// length, so that most names are ruled out without a comparison.
+// hopByHopHeaders are the lower-case names of headers that are not passed on: the hop-by-hop headers, which are meant for
+// one connection only (RFC 9110, section 7.6.1), and headers that each connection sets anew. They are grouped by length,
+// so that most names are ruled out without a comparison.
 var hopByHopHeaders = func() map[int][][]byte {
 	byLength := map[int][][]byte{}
 	for _, name := range []string{
@@ -17,7 +18,8 @@
 	return byLength
 }()
 
-// IsHopByHopHeader reports whether a header is meant for one connection only, or is set again for each.
+// IsHopByHopHeader reports whether a header is meant for one connection only, or is set anew for each. The case of the
+// name does not matter.
 func IsHopByHopHeader(name []byte) bool {
 	for _, hopByHop := range hopByHopHeaders[len(name)] {
 		if bytes.EqualFold(hopByHop, name) {
--- a/internal/dispatch/idempotency_cache.go
+++ b/internal/dispatch/idempotency_cache.go
@@ -11,16 +11,18 @@
 	"meadowhinge/schema"
 )
 
-// anotherProxy is the instance of a repeat whose key was reserved by another proxy. What that proxy reported holds only
-// for that moment, so the next repeat asks again.
-const anotherProxy = "elsewhere"
+// reservedElsewhere takes the place of an instance if the key could not be reserved for a run, usually because a request
+// at another proxy holds it. What is known of that request holds only for that moment, so the next repeat asks again.
+const reservedElsewhere = "elsewhere"
 
-// idempotencyKey qualifies an idempotency key: the same key of two callers, or on two routes, is two keys.
+// idempotencyKey qualifies an idempotency key by its caller, service and route, so that equal keys of two callers, or on
+// two routes, are different keys.
 func idempotencyKey(caller, service, route, key string) string {
 	return strings.Join([]string{caller, service, route, key}, "\x00")
 }
 
-// requestFingerprint returns what two requests under one key must have in common.
+// requestFingerprint returns a SHA-256 digest of a request's target and body. Two requests under one key must have the
+// same fingerprint.
 func requestFingerprint(target string, body []byte) []byte {
 	hash := sha256.New()
 	hash.Write([]byte(target))
@@ -29,41 +31,46 @@
 	return hash.Sum(nil)
 }
 
-// crcTable shortens fingerprints to checksums.
+// crcTable is the table for the checksums of fingerprints that entries hold.
 var crcTable = crc64.MakeTable(crc64.ECMA)
 
-// idempotencyEntry is one idempotency key: in flight until done is closed, then settled. The fields after done are set
-// before it is closed, and not changed afterwards.
+// idempotencyEntry is the state of one idempotency key: in flight until done is closed, then settled. The fields after
+// done are set before it is closed, and not changed afterwards.
 type idempotencyEntry struct {
-	fingerprint uint64 // checksum of the request's fingerprint
+	fingerprint uint64 // CRC-64 of the request's fingerprint
 	done        chan struct{}
-	instance    string // where the request was tried; empty if no instance can report on it; or anotherProxy
-	result      *schema.ForwardResponse
+	// instance is where the request was tried. It is empty if no instance can report on the request, and
+	// reservedElsewhere if another proxy holds the key.
+	instance string
+	result   *schema.ForwardResponse
 }
 
 // IdempotencyCache retains idempotency keys and their results, so that a repeat gets the result of the first request.
-// It is bounded: the oldest settled keys are dropped first. It is safe for concurrent use.
+// It is bounded in keys and in bytes, and evicts the oldest settled keys first. It is safe for concurrent use.
 type IdempotencyCache struct {
 	maxKeys int
 
 	lock        sync.Mutex // guards the fields below
 	entries     map[string]*idempotencyEntry
-	order       []string // the keys, the oldest first
+	order       []string // the keys of entries, the oldest first
 	answerBytes int      // total size of the retained bodies
 }
 
-// bytesPerKey is the size that a retained body may have on average: larger ones push out older ones sooner.
+// bytesPerKey is the average size of the retained bodies, per key of the cache's bound. If it is exceeded, the oldest
+// settled keys are evicted.
 const bytesPerKey = 1024
 
-// NewIdempotencyCache returns a cache of at most maxKeys keys.
+// NewIdempotencyCache returns a cache of at most maxKeys keys, with bodies of at most bytesPerKey bytes on average.
 func NewIdempotencyCache(maxKeys int) *IdempotencyCache {
 	return &IdempotencyCache{maxKeys: maxKeys, entries: map[string]*idempotencyEntry{}}
 }
 
-// Do runs a request under a key once. A repeat waits for the first request, and gets its result unless that proves that
-// nothing ran; the same key with another request is refused. run returns the result and the instance that was tried.
-// A repeat of an attempt with an unknown outcome is pinned to that instance, because only there it is known
-// whether the request ran.
+// Do runs a request under a key at most once at a time, and returns its result. A repeat waits for the first request and
+// gets its result, unless that proves that nothing ran. A request with another fingerprint under the same key is refused
+// with errs.IdempotencyKeyReused, and a key for which there is no room with errs.QueueFull.
+//
+// run returns the result and the instance that was tried. After a result with an unknown outcome, a repeat runs again
+// with that instance as pinnedInstance, because only that instance knows whether the request ran.
 func (c *IdempotencyCache) Do(
 	ctx context.Context, key string, fingerprint []byte,
 	run func(pinnedInstance string) (*schema.ForwardResponse, string),
@@ -74,7 +81,7 @@
 		return response
 	}
 	result, instance := run(pinnedInstance)
-	// That this attempt did not run says nothing of the one before it.
+	// Proof that this attempt did not run does not tell whether the one before it ran.
 	if pinnedInstance != "" && result.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		result, instance = outcomeUnknown(errs.IdempotencyKeyUnresolved), pinnedInstance
 	}
@@ -82,13 +89,13 @@
 	entry.result, entry.instance = result, instance
 	close(entry.done)
 	c.answerBytes += len(result.Body)
-	c.makeRoom()
+	c.evict()
 	c.lock.Unlock()
 	return result
 }
 
-// begin adds an entry in flight for a key, after it has waited for an earlier one. If the key is settled, or cannot be
-// used, it returns the response instead.
+// begin adds an entry in flight for a key, after waiting for an earlier entry under that key. If the earlier result is
+// final, or the key cannot be used, it returns the response instead.
 func (c *IdempotencyCache) begin(ctx context.Context, key string, checksum uint64) (
 	entry *idempotencyEntry, pinnedInstance string, response *schema.ForwardResponse,
 ) {
@@ -108,15 +115,15 @@
 		if existing.isFinal() {
 			return nil, "", existing.result
 		}
-		// Of all repeats that waited, the first to get here takes over the key; the others find its entry.
+		// Of all repeats that waited, the first one to get here replaces the entry. The others find the new entry.
 		if c.entries[key] == existing {
-			if existing.result.Outcome == schema.CallOutcome_CALL_OUTCOME_UNKNOWN && existing.instance != anotherProxy {
+			if existing.result.Outcome == schema.CallOutcome_CALL_OUTCOME_UNKNOWN && existing.instance != reservedElsewhere {
 				pinnedInstance = existing.instance
 			}
-			c.forget(key)
+			c.remove(key)
 		}
 	}
-	if !c.makeRoom() {
+	if !c.evict() {
 		return nil, "", notExecuted(errs.QueueFull, 0)
 	}
 	entry = &idempotencyEntry{fingerprint: checksum, done: make(chan struct{})}
@@ -125,8 +132,8 @@
 	return entry, pinnedInstance, nil
 }
 
-// awaitUnlocked waits, without the lock that its caller holds, until an entry is settled. It returns false if ctx ends
-// first.
+// awaitUnlocked waits until an entry is settled, and returns false if ctx ends first. The caller holds the lock, which
+// is released during the wait.
 func (c *IdempotencyCache) awaitUnlocked(ctx context.Context, entry *idempotencyEntry) bool {
 	c.lock.Unlock()
 	defer c.lock.Lock()
@@ -138,8 +145,8 @@
 	}
 }
 
-// isFinal reports whether a settled entry's result is every repeat's result. It is not if nothing ran, or if the
-// outcome is unknown and the instance can still report on it.
+// isFinal reports whether every repeat gets the result of a settled entry. It does not if nothing ran, or if the outcome
+// is unknown and a repeat may still learn it from the instance.
 func (e *idempotencyEntry) isFinal() bool {
 	switch e.result.Outcome {
 	case schema.CallOutcome_CALL_OUTCOME_ANSWERED:
@@ -150,7 +157,9 @@
 	return false
 }
 
-// Recall returns the result of a key, after waiting for it while it is in flight. It never runs anything.
+// Recall returns the result under a key, after waiting for it if the key is in flight. It never runs anything. The
+// outcome is unknown, with the code errs.IdempotencyKeyUnresolved, unless the request was answered here before ctx ends.
+// A fingerprint of another request is refused with errs.IdempotencyKeyReused.
 func (c *IdempotencyCache) Recall(ctx context.Context, key string, fingerprint []byte) *schema.ForwardResponse {
 	c.lock.Lock()
 	existing := c.entries[key]
@@ -166,15 +175,15 @@
 	case <-ctx.Done():
 		return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 	}
-	// That the request did not run here does not say that it runs nowhere: its proxy may try another worker.
+	// A request that did not run here may still run elsewhere, because its proxy may try another worker.
 	if existing.result.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 		return outcomeUnknown(errs.IdempotencyKeyUnresolved)
 	}
 	return existing.result
 }
 
-// forget drops a key. The caller holds the lock.
-func (c *IdempotencyCache) forget(key string) {
+// remove removes a key. The caller holds the lock.
+func (c *IdempotencyCache) remove(key string) {
 	c.answerBytes -= len(c.entries[key].result.GetBody())
 	delete(c.entries, key)
 	for i, listed := range c.order {
@@ -185,13 +194,13 @@
 	}
 }
 
-// makeRoom drops the oldest settled keys until the retained bodies fit and there is room for one more key. It returns
-// false if there is none, because all keys are in flight. The caller holds the lock.
-func (c *IdempotencyCache) makeRoom() bool {
+// evict removes the oldest settled keys until the retained bodies fit and there is room for one more key. It returns
+// false if there is no room because all keys are in flight. The caller holds the lock.
+func (c *IdempotencyCache) evict() bool {
 	for i := 0; i < len(c.order) && (len(c.order) >= c.maxKeys || c.answerBytes > c.maxKeys*bytesPerKey); {
 		select {
 		case <-c.entries[c.order[i]].done:
-			c.forget(c.order[i])
+			c.remove(c.order[i])
 		default:
 			i++
 		}
--- a/internal/dispatch/local_state.go
+++ b/internal/dispatch/local_state.go
@@ -1,6 +1,7 @@
 package dispatch
 
-// LocalState is all that a proxy knows of workers and versions besides its view. It implements plan.LocalState.
+// LocalState is what a proxy knows of workers and versions by its own observation, in addition to the configuration and
+// the directory. It implements plan.LocalState.
 type LocalState struct {
 	*OutlierDetector
 	*CanaryGuard
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -8,55 +8,55 @@
 	"meadowhinge/schema"
 )
 
-// minFailureStatus is the lowest HTTP status that counts as a worker's failure.
+// minFailureStatus is the lowest HTTP status that counts as a failure of the worker.
 const minFailureStatus = 500
 
-// outcomeNames are the outcomes as callers and operators see them.
+// outcomeNames are the names of the outcomes that callers and operators see.
 var outcomeNames = map[schema.CallOutcome]string{
 	schema.CallOutcome_CALL_OUTCOME_ANSWERED:     "answered",
 	schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED: "not-run",
 	schema.CallOutcome_CALL_OUTCOME_UNKNOWN:      "unknown",
 }
 
-// OutcomeName returns the name of an outcome as callers see it, empty for no known outcome.
-func OutcomeName(ending schema.CallOutcome) string { return outcomeNames[ending] }
+// OutcomeName returns the name of an outcome as callers see it. It is empty for an outcome that is not known.
+func OutcomeName(outcome schema.CallOutcome) string { return outcomeNames[outcome] }
 
-// notExecuted returns a refusal, which proves that nothing ran. A configRevision other than 0 tells the other side
-// by which configuration it was refused.
+// notExecuted returns a refusal, which proves that nothing ran. configRevision tells the caller's proxy under which
+// configuration the request was refused; 0 reports none.
 func notExecuted(code errs.Code, configRevision uint64) *schema.ForwardResponse {
 	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), Revision: configRevision}
 }
 
-// outcomeUnknown returns the response to a request that may have run.
+// outcomeUnknown returns the response to a request that may or may not have run.
 func outcomeUnknown(code errs.Code) *schema.ForwardResponse {
 	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_UNKNOWN, ErrorCode: string(code)}
 }
 
-// withReachedWorker records in a refusal that it is the worker's own, so that it counts as an attempt there.
-func withReachedWorker(response *schema.ForwardResponse) *schema.ForwardResponse {
+// markReachedWorker marks a refusal as the worker's own, so that it counts as an attempt that reached a worker.
+func markReachedWorker(response *schema.ForwardResponse) *schema.ForwardResponse {
 	response.ReachedWorker = true
 	return response
 }
 
-// isFailure reports whether a request did not succeed: it was not answered, or with a failure status.
+// isFailure reports whether a request did not succeed: it was not answered, or was answered with a failure status.
 func isFailure(response *schema.ForwardResponse) bool {
 	return response.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || response.Status >= minFailureStatus
 }
 
-// isCanceled reports whether an attempt ended because its caller disconnected. That says nothing of the worker,
-// of the version that runs there, or of the network.
+// isCanceled reports whether an attempt ended because its caller disconnected. Such an attempt says nothing about the
+// health of the worker, of its version or of the network.
 func isCanceled(response *schema.ForwardResponse) bool {
 	return errs.Code(response.ErrorCode) == errs.CallerDisconnected
 }
 
-// isCapacityRefusal reports whether a call was refused for lack of capacity or time by the worker or its proxy.
+// isCapacityRefusal reports whether the worker or its proxy refused a call for lack of capacity or of time.
 func isCapacityRefusal(response *schema.ForwardResponse) bool {
 	code := errs.Code(response.ErrorCode)
 	return response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (code == errs.QueueFull || code == errs.DeadlineExceeded)
 }
 
-// contextErrorCode returns why a call's context has ended: its deadline has passed, or its caller, or the proxy
-// that received the call, has disconnected.
+// contextErrorCode returns the code for a call whose context has ended: errs.CallerDisconnected if the caller, or the
+// proxy that received the call, has disconnected, and errs.DeadlineExceeded otherwise.
 func contextErrorCode(ctx context.Context) errs.Code {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return errs.CallerDisconnected
--- a/internal/dispatch/outlier_detector.go
+++ b/internal/dispatch/outlier_detector.go
@@ -11,38 +11,40 @@
 	"meadowhinge/schema"
 )
 
-// Ratios of what is known of workers.
+// Ratios of outlier detection. A divisor n stands for the fraction 1/n.
 const (
-	fullEjectionDivisor         = 64   // a worker without capacity comes last for this part of an ejection, unless it reports a time
-	refusalAveragingDivisor     = 8    // each response moves the refusal rate by this part
-	baselineAveragingDivisor    = 16.0 // each report moves the baseline load by this part
-	serviceTimeAveragingDivisor = 8    // each report moves the service time by this part
+	fullEjectionDivisor         = 64   // a worker without capacity is tried last for 1/64 of an ejection if it reports no time
+	refusalAveragingDivisor     = 8    // weight of one response in the refusal rate is 1/8
+	baselineAveragingDivisor    = 16.0 // weight of one report in the baseline load is 1/16
+	serviceTimeAveragingDivisor = 8    // weight of one report in the service time is 1/8
 
-	// A worker that accepts few calls of a route is offered maxOffersPerAccept times as many as it accepts, as seen over
-	// 1/offerWindowDivisor of an ejection: each refusal costs the worker and its network as much as it costs the
-	// caller, who learns of it sooner here.
+	// A worker that refuses many calls of a route is offered at most maxOffersPerAccept times as many as it accepts,
+	// measured over 1/offerWindowDivisor of an ejection. A refusal there costs the worker and its network as much as it
+	// costs the caller. A refusal by this proxy comes sooner.
 	maxOffersPerAccept = 2
 	offerWindowDivisor = 2
-	assumedAccepts     = 1 // calls that a worker is assumed to have accepted in addition
+	assumedAccepts     = 1 // accepted calls that are assumed in addition to those counted
 
-	// A proxy that owes responses and sends none for unresponsiveServiceTimes times the worker's service time, and
-	// for 1/unresponsiveEjectionDivisor of an ejection, comes last until it sends one. If it owes only one response it
-	// gets twice the time, because a single call may just take long.
+	// A worker with calls in flight is unresponsive if no response has come for unresponsiveServiceTimes times its
+	// service time, and for 1/unresponsiveEjectionDivisor of an ejection. It is tried last until a response comes. With
+	// a single call in flight it gets twice the time, because one call may simply take long.
 	unresponsiveServiceTimes    = 4
 	unresponsiveEjectionDivisor = 25
 )
 
-// OutlierDetector records what this process sees of workers, by instance, and ejects those that fail. It implements the
-// part of plan.LocalState that is about workers. It is safe for concurrent use.
+// OutlierDetector records the health and load of workers as this process observes them, and ejects workers that fail.
+// An ejected worker is tried last. The detector implements the part of plan.LocalState that is about workers. It is safe
+// for concurrent use.
 type OutlierDetector struct {
-	workers            *xsync.Map[string, *workerState]  // by instance
-	unreachableProxies *xsync.Map[string, time.Duration] // until when a proxy that was not reached counts as unreachable
-	unreachableCount   atomic.Int64                      // approximate size of unreachableProxies, so that it is rarely looked into
+	workers            *xsync.Map[string, *workerState]  // keyed by instance
+	unreachableProxies *xsync.Map[string, time.Duration] // keyed by proxy: the end of the time it counts as unreachable
+	unreachableCount   atomic.Int64                      // approximate size of unreachableProxies; 0 saves the lookup
 	maxFailures        atomic.Int64                      // consecutive failures that eject a worker
-	ejectionNanos      atomic.Int64                      // how long an ejection lasts
+	ejectionNanos      atomic.Int64                      // duration of an ejection, in nanoseconds
 }
 
-// NewOutlierDetector returns a detector that ejects a worker for a time after maxFailures consecutive failures.
+// NewOutlierDetector returns a detector that ejects a worker after maxFailures consecutive failures, for the duration
+// ejection.
 func NewOutlierDetector(maxFailures int64, ejection time.Duration) *OutlierDetector {
 	d := &OutlierDetector{
 		workers:            xsync.NewMap[string, *workerState](),
@@ -52,7 +54,7 @@
 	return d
 }
 
-// SetLimits sets other limits. What is known of workers is kept.
+// SetLimits replaces the limits given to [NewOutlierDetector]. The state of workers and ejections under way are kept.
 func (d *OutlierDetector) SetLimits(maxFailures int64, ejection time.Duration) {
 	d.maxFailures.Store(maxFailures)
 	d.ejectionNanos.Store(int64(ejection))
@@ -60,7 +62,7 @@
 
 func (d *OutlierDetector) ejection() time.Duration { return time.Duration(d.ejectionNanos.Load()) }
 
-// stateOf returns the state of a worker, added if there is none.
+// stateOf returns the state of a worker, and adds one if there is none.
 func (d *OutlierDetector) stateOf(instance string) *workerState {
 	if state, found := d.workers.Load(instance); found {
 		return state
@@ -69,7 +71,8 @@
 	return state
 }
 
-// Stats returns what this process knows of a worker.
+// Stats returns the health and load of a worker as far as this process knows them. For a worker that this process has
+// not called, it returns what the directory reports.
 func (d *OutlierDetector) Stats(worker *plan.Endpoint, now time.Duration) plan.EndpointStats {
 	stats := plan.EndpointStats{Slots: worker.Slots, ServiceTime: worker.ServiceTime}
 	unreachable := d.unreachableCount.Load() > 0 && d.isProxyUnreachable(worker.Proxy, now)
@@ -82,7 +85,7 @@
 	stats.InFlight = int(state.inFlight.Load())
 	sinceResponse := now - time.Duration(state.lastResponseAt.Load())
 	stats.Full = int64(now) < state.fullUntil.Load()
-	stats.Unreachable = unreachable || state.disowned.Load()
+	stats.Unreachable = unreachable || state.retired.Load()
 	stats.Ejected = stats.Unreachable || int64(now) < state.ejectedUntil.Load()
 	state.lock.Lock()
 	defer state.lock.Unlock()
@@ -97,7 +100,8 @@
 	return stats
 }
 
-// isUnresponsive reports whether a worker owes responses and has sent none for too long.
+// isUnresponsive reports whether a worker has calls in flight and no response has come for too long. sinceResponse is
+// the time since its last response, or since its first call in flight was sent.
 func isUnresponsive(stats *plan.EndpointStats, sinceResponse, ejection time.Duration) bool {
 	if stats.InFlight <= 0 || stats.ServiceTime <= 0 {
 		return false
@@ -106,7 +110,7 @@
 	return sinceResponse > max(unresponsiveServiceTimes*expected, ejection/unresponsiveEjectionDivisor)
 }
 
-// RecordRun records how a call ended that a worker beside this process ran, whichever proxy forwarded it.
+// RecordRun records how a call ended that a local worker ran, whichever proxy forwarded it.
 func (d *OutlierDetector) RecordRun(instance string, now time.Duration, failed bool) {
 	state := d.stateOf(instance)
 	state.lock.Lock()
@@ -114,8 +118,8 @@
 	state.lock.Unlock()
 }
 
-// RunCounts returns what is reported to other proxies of the calls that a worker beside this process ran recently; zeros
-// if none failed.
+// RunCounts returns how many calls a local worker ran recently and how many of them failed, for the report to other
+// proxies. It returns zeros if none failed.
 func (d *OutlierDetector) RunCounts(instance string, now time.Duration) (ran, failed uint32) {
 	state, found := d.workers.Load(instance)
 	if !found {
@@ -130,25 +134,26 @@
 	return uint32(math.Round(calls)), failed
 }
 
-// isProxyUnreachable reports whether a proxy was recently not reached.
+// isProxyUnreachable reports whether an attempt to reach a proxy has failed within the duration of an ejection, and no
+// response has come from it since.
 func (d *OutlierDetector) isProxyUnreachable(proxy string, now time.Duration) bool {
 	until, unreachable := d.unreachableProxies.Load(proxy)
 	return unreachable && now < until
 }
 
-// MarkDisowned records that a worker's own proxy refused calls for it. Instances are not reused, so this is valid until
-// the directory drops the worker.
-func (d *OutlierDetector) MarkDisowned(instance string) { d.stateOf(instance).disowned.Store(true) }
+// MarkRetired records that the worker's proxy refused a call because the worker is deregistered or draining. Instances
+// are not reused, so this holds until the directory drops the worker.
+func (d *OutlierDetector) MarkRetired(instance string) { d.stateOf(instance).retired.Store(true) }
 
-// MarkUnreachable records that a proxy was not reached. Once is enough: unlike a worker's failure it affects every
-// worker behind that proxy, and each further attempt would hang as long.
+// MarkUnreachable records that a proxy was not reached. All workers behind it are ejected at once, because the proxy's
+// failure affects each of them and each further attempt would hang as long.
 func (d *OutlierDetector) MarkUnreachable(proxy string, now time.Duration) {
 	if _, wasUnreachable := d.unreachableProxies.LoadAndStore(proxy, now+d.ejection()); !wasUnreachable {
 		d.unreachableCount.Add(1)
 	}
 }
 
-// MarkReachable records that a proxy responded.
+// MarkReachable records that a proxy responded, which ends the effect of [OutlierDetector.MarkUnreachable].
 func (d *OutlierDetector) MarkReachable(proxy string) {
 	if d.unreachableCount.Load() == 0 {
 		return
@@ -158,7 +163,7 @@
 	}
 }
 
-// BeginCall records a call sent to a worker. EndCall, CancelCall or RecordResponse must follow.
+// BeginCall records that a call is sent to a worker. EndCall, CancelCall or RecordResponse must follow.
 func (d *OutlierDetector) BeginCall(instance string, now time.Duration) {
 	state := d.stateOf(instance)
 	if state.inFlight.Add(1) == 1 {
@@ -185,14 +190,14 @@
 	}
 }
 
-// CancelCall records that a call ended because its caller disconnected, which says nothing of the worker.
+// CancelCall records that a call ended because its caller disconnected, which says nothing about the worker's health.
 func (d *OutlierDetector) CancelCall(instance string) { d.stateOf(instance).inFlight.Add(-1) }
 
-// RecordResponse records the response to a call sent to a worker, which arrived after elapsed: how the call ended, the load
-// that the worker's proxy reported, and whether there was capacity.
+// RecordResponse records the response to a call: how the call ended, the reported load, and whether there was capacity.
+// elapsed is the time since the call was sent.
 func (d *OutlierDetector) RecordResponse(instance string, now, elapsed time.Duration, response *schema.ForwardResponse) {
 	if state := d.stateOf(instance); isCapacityRefusal(response) {
-		// It says nothing of the worker's health: the worker only comes last until it has capacity.
+		// A lack of capacity says nothing about the worker's health: the worker is only tried last until it has some.
 		state.inFlight.Add(-1)
 		retryAfter := time.Duration(response.RetryAfterNanos)
 		if retryAfter <= 0 {
@@ -210,7 +215,7 @@
 	state.observeLoad(now, elapsed, response)
 }
 
-// RefusalRate returns the part of the recent calls to a worker that were refused for lack of capacity.
+// RefusalRate returns the fraction of the recent calls to a worker that were refused for lack of capacity.
 func (d *OutlierDetector) RefusalRate(instance string) float64 {
 	state := d.stateOf(instance)
 	state.lock.Lock()
@@ -218,7 +223,8 @@
 	return state.refusalRate
 }
 
-// RecordOffer records whether a worker accepted a call of a route.
+// RecordOffer records by its response whether a worker accepted a call of a route. A refusal for lack of capacity is
+// not accepted; any other response is.
 func (d *OutlierDetector) RecordOffer(instance, route string, now time.Duration, response *schema.ForwardResponse) {
 	state, full := d.stateOf(instance), isCapacityRefusal(response)
 	state.lock.Lock()
@@ -234,14 +240,15 @@
 		acceptance = &routeAcceptance{updatedAt: now}
 		state.acceptance[route] = acceptance
 	}
-	acceptance.fade(now, d.ejection()/offerWindowDivisor)
+	acceptance.decay(now, d.ejection()/offerWindowDivisor)
 	if acceptance.offered++; !full {
 		acceptance.accepted++
 	}
 }
 
-// ShouldSkip reports whether a worker gets no offer of a call this time, because it refused many of the route, and
-// when capacity is expected. A skipped offer counts as made, so that offers settle at a multiple of what is accepted.
+// ShouldSkip reports whether a worker is not offered a call because it refused many calls of the route. If so, it also
+// returns the time after which capacity is expected. The more calls were refused, the more are skipped, at random. A
+// skipped offer counts as made, so that the offers settle at a multiple of the accepted calls.
 func (d *OutlierDetector) ShouldSkip(instance, route string, now time.Duration, random plan.Random) (retryAfter time.Duration, skip bool) {
 	state, found := d.workers.Load(instance)
 	if !found {
@@ -253,7 +260,7 @@
 	if acceptance == nil {
 		return 0, false
 	}
-	acceptance.fade(now, d.ejection()/offerWindowDivisor)
+	acceptance.decay(now, d.ejection()/offerWindowDivisor)
 	excess := acceptance.offered - maxOffersPerAccept*(acceptance.accepted+assumedAccepts)
 	if excess <= 0 || random() >= excess/(acceptance.offered+1) {
 		return 0, false
@@ -262,8 +269,8 @@
 	return max(time.Duration(state.fullUntil.Load())-now, d.ejection()/fullEjectionDivisor), true
 }
 
-// Retain forgets workers that are not listed any more, so that memory does not grow with replacements. Workers with calls
-// in flight are kept until a later call.
+// Retain drops the state of workers that are not in listed, so that memory does not grow as workers are replaced. The
+// state of a worker with calls in flight is kept until a later call of Retain.
 func (d *OutlierDetector) Retain(listed map[string]bool) {
 	d.workers.Range(func(instance string, state *workerState) bool {
 		if !listed[instance] && state.inFlight.Load() == 0 {
--- a/internal/dispatch/outlier_detector_test.go
+++ b/internal/dispatch/outlier_detector_test.go
@@ -37,7 +37,7 @@
 		t.Error("a proxy that responded still counts as unreachable")
 	}
 	// A worker that its own proxy disowned is not tried again for as long as it is listed.
-	detector.MarkDisowned("w")
+	detector.MarkRetired("w")
 	if !unreached(worker, time.Hour) || !ejected(worker, time.Hour) || unreached(other, time.Hour) {
 		t.Error("a disowned worker is still tried, or another is not")
 	}
--- a/internal/dispatch/recent_ids.go
+++ b/internal/dispatch/recent_ids.go
@@ -4,20 +4,20 @@
 	"sync"
 )
 
-// RecentIDs is a set of the last ids that were added, of bounded size. It is safe for concurrent use.
+// RecentIDs is a set of bounded size that holds the ids added last. It is safe for concurrent use.
 type RecentIDs struct {
 	lock sync.Mutex // guards the fields below
 	ids  map[string]struct{}
-	ring []string // the ids in the order in which they were added
-	next int      // where in the ring the next id goes, in place of the oldest
+	ring []string // the ids in the order in which they were added; empty strings until it is full
+	next int      // index in ring of the oldest id, which the next one replaces
 }
 
-// NewRecentIDs returns a set that retains the last limit ids.
+// NewRecentIDs returns a set that retains the last limit ids. limit must be greater than 0.
 func NewRecentIDs(limit int) *RecentIDs {
 	return &RecentIDs{ids: map[string]struct{}{}, ring: make([]string, limit)}
 }
 
-// AddIfNew adds an id and reports whether it was new.
+// AddIfNew adds an id unless the set contains it, and reports whether it was added.
 func (r *RecentIDs) AddIfNew(id string) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Contains reports whether an id is retained.
+// Contains reports whether the set contains an id.
 func (r *RecentIDs) Contains(id string) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
--- a/internal/dispatch/reserved_admissions.go
+++ b/internal/dispatch/reserved_admissions.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// reservationDivisor is the part of the time left for which an admission is reserved after a capacity check.
+// reservationDivisor: an admission is reserved after a capacity check for 1/reservationDivisor of the time left.
 const reservationDivisor = 16
 
-// reservedAdmissions are admissions that were granted to capacity checks, for the requests that follow them.
+// reservedAdmissions holds the admissions that were granted to capacity checks, for the requests that follow the checks.
 type reservedAdmissions struct {
 	lock      sync.Mutex                    // guards byRequest; held while an admission is released to its WorkerQueue
-	byRequest map[string]*reservedAdmission // by request id
+	byRequest map[string]*reservedAdmission // keyed by request id
 }
 
-// reservedAdmission is an admission of a worker's queue that a request has yet to use.
+// reservedAdmission is an admission by a worker's queue that its request has not used yet.
 type reservedAdmission struct {
 	queue *WorkerQueue
-	now   func() time.Duration
-	timer *time.Timer // releases the admission if the request does not arrive
+	now   func() time.Duration // returns the process clock
+	timer *time.Timer          // releases the admission if the request does not arrive
 }
 
 // release returns the admission to the queue, which admits the next request.
 func (r *reservedAdmission) release() { r.queue.Release(r.now(), "", ResultNotRun, 0) }
 
-// reserve reserves an admission, which the queue has granted already, for a request.
+// reserve reserves an admission that the queue has granted for a request id. It is released after lifetime unless take is
+// called for it first.
 func (r *reservedAdmissions) reserve(request string, queue *WorkerQueue, now func() time.Duration, lifetime time.Duration) {
 	reservation := &reservedAdmission{queue: queue, now: now}
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	// A capacity check that arrived twice was admitted twice; one admission is enough.
+	// A capacity check that was delivered twice was admitted twice, but its request needs only one admission.
 	if earlier := r.byRequest[request]; earlier != nil {
 		earlier.timer.Stop()
 		earlier.release()
@@ -45,7 +46,8 @@
 	})
 }
 
-// take reports whether an admission of the queue is reserved for a request, and passes it to the caller.
+// take removes the admission that is reserved for a request id, and reports whether it is an admission by the given
+// queue. If so, the caller must release it to the queue.
 func (r *reservedAdmissions) take(request string, queue *WorkerQueue) bool {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -55,7 +57,7 @@
 	}
 	reservation.timer.Stop()
 	delete(r.byRequest, request)
-	// It was reserved at a worker that has been replaced meanwhile.
+	// The admission was reserved at a worker that has been replaced meanwhile.
 	if reservation.queue != queue {
 		reservation.release()
 		return false
--- a/internal/dispatch/retry_budget.go
+++ b/internal/dispatch/retry_budget.go
@@ -6,37 +6,39 @@
 	"time"
 )
 
-// DefaultRetryWindow is the window in which retries are bounded unless the limits say otherwise.
+// DefaultRetryWindow is the length of the window of a [RetryBudget] unless the limits set another one. Windows of a
+// [CanaryGuard] always have this length.
 const DefaultRetryWindow = 10 * time.Second
 
-// windowSlots is how many slots a window is divided into. One slot more is counted, so that no window, wherever it
-// begins, exceeds the bound.
+// windowSlots is the number of slots that a window is divided into. A retry budget counts the retries of one more slot,
+// so that the bound holds for every window, wherever it begins.
 const windowSlots = 10
 
-// RetryBudget bounds the retries for one service, in any window, to a ratio of the service's own calls. It is safe for
-// concurrent use.
+// RetryBudget bounds the retries for one service. In any window the retries are at most a ratio of the service's calls,
+// plus a floor. It is safe for concurrent use.
 type RetryBudget struct {
-	limits atomic.Pointer[Limits] // last applied by setLimits; nil before
+	limits atomic.Pointer[Limits] // last applied by setLimits; nil before the first call of it
 
-	lock       sync.Mutex // guards the fields below
-	ratio      float64    // retries per call
-	slotLength time.Duration
-	slots      [windowSlots + 1]budgetSlot // a ring, by number modulo its length
+	lock       sync.Mutex                  // guards the fields below
+	ratio      float64                     // retries per call
+	slotLength time.Duration               // length of the window / windowSlots
+	slots      [windowSlots + 1]budgetSlot // a ring, indexed by slot number modulo its length
 }
 
-// budgetSlot counts what happened in one slot of the window.
+// budgetSlot counts the calls and retries in one slot of the window.
 type budgetSlot struct {
-	number  int64 // of the slot since the clock began
+	number  int64 // number of the slot since the start of the process clock
 	calls   float64
 	retries float64
 }
 
-// NewRetryBudget returns a budget of ratio retries per call in any window, 0 for DefaultRetryWindow.
+// NewRetryBudget returns a budget of ratio retries per call in any window. A window of 0 or less stands for
+// DefaultRetryWindow.
 func NewRetryBudget(ratio float64, window time.Duration) *RetryBudget {
 	return &RetryBudget{ratio: ratio, slotLength: slotLengthOf(window)}
 }
 
-// slotLengthOf returns the length of one slot of a window.
+// slotLengthOf returns the length of one slot of a window. A window of 0 or less stands for DefaultRetryWindow.
 func slotLengthOf(window time.Duration) time.Duration {
 	if window <= 0 {
 		window = DefaultRetryWindow
@@ -44,8 +46,8 @@
 	return window / windowSlots
 }
 
-// setLimits sets another ratio and window. Retries of the window before count in the new one as if they were made now,
-// and its calls earn nothing more, so that no bound is exceeded.
+// setLimits replaces the ratio and the window. If the length of the window changes, the retries of the last window count
+// in the new one as if they were made now, and its calls earn no more retries, so that no bound is exceeded.
 func (b *RetryBudget) setLimits(now time.Duration, limits *Limits) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -61,8 +63,8 @@
 	}
 }
 
-// sum returns the retries and calls in the window that ends with the slot until. Calls of the oldest slot may lie
-// outside the window, so they earn nothing. The caller holds the lock.
+// sum returns the retries and calls in the window that ends with the slot numbered until. The oldest slot may lie
+// partly outside the window, so its retries are counted and its calls are not. The caller holds the lock.
 func (b *RetryBudget) sum(until int64) (retries, calls float64) {
 	for i := range b.slots {
 		if age := until - b.slots[i].number; age >= 0 && age <= windowSlots {
@@ -75,14 +77,15 @@
 	return retries, calls
 }
 
-// RecordCall records a call of a caller, which earns a part of a retry.
+// RecordCall records a call by a caller, which adds the ratio to the budget. Retries are not recorded as calls.
 func (b *RetryBudget) RecordCall(now time.Duration) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
 	b.slot(now).calls++
 }
 
-// slot returns the slot of a moment, cleared if it was last used for an earlier one. The caller holds the lock.
+// slot returns the slot that contains now, cleared if its place in the ring was last used for an earlier slot. The caller
+// holds the lock.
 func (b *RetryBudget) slot(now time.Duration) *budgetSlot {
 	number := int64(now / b.slotLength)
 	slot := &b.slots[number%int64(len(b.slots))]
@@ -92,8 +95,8 @@
 	return slot
 }
 
-// Allow takes one retry from the budget and reports whether it could. Floor is this process's part of the retries in
-// a window that are allowed besides the ratio; only the given fraction of the budget may be used.
+// Allow takes one retry from the budget and reports whether the budget had one left. floor is this process's share of
+// the retries in a window that are allowed besides the ratio. Only the given fraction of the whole budget may be used.
 func (b *RetryBudget) Allow(now time.Duration, floor, fraction float64) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/dispatch/retry_decision.go
+++ b/internal/dispatch/retry_decision.go
@@ -7,10 +7,11 @@
 	"meadowhinge/schema"
 )
 
-// ownFailureRatio is the failure ratio of a worker below which a failure is attributed to the call itself.
+// ownFailureRatio is the fraction of a worker's recent calls that failed below which a failure is attributed to the call
+// itself, not to the worker.
 const ownFailureRatio = 0.05
 
-// retryBudget returns the budget of a service, brought up to date with the limits in force.
+// retryBudget returns the retry budget of a service, updated to the limits in force.
 func (f *Forwarder) retryBudget(service string) *RetryBudget {
 	limits := f.limits.Load()
 	budget, _ := f.retryBudgets.LoadOrCompute(service, func() (*RetryBudget, bool) {
@@ -22,13 +23,13 @@
 	return budget
 }
 
-// retryFloorPerProxy returns this proxy's part of the retries that the fleet may make besides the ratio.
+// retryFloorPerProxy returns this proxy's equal share of the retries that the fleet may make besides the ratio.
 func (f *Forwarder) retryFloorPerProxy() float64 {
 	return f.limits.Load().RetryFloor / float64(max(1, f.FleetSize()))
 }
 
-// mayAttempt reports whether the call may be sent once more, within its route's maximum and the retry budget. A
-// retry that it allows is charged to the budget.
+// mayAttempt reports whether the call may be sent again, or for the first time, within its route's maximum number of
+// attempts and the retry budget. A retry that it allows is charged to the budget.
 func (f *Forwarder) mayAttempt(result *CallResult, progress *callProgress) bool {
 	if progress.prepaid {
 		progress.prepaid = false
@@ -44,17 +45,19 @@
 	return attemptsBefore == 0 || f.retryBudget(result.Plan.Service).Allow(f.Now(), f.retryFloorPerProxy(), 1)
 }
 
-// maxAttemptsReached reports whether as many attempts came to workers as the route allows.
+// maxAttemptsReached reports whether as many attempts have reached workers, or may have, as the route allows.
 func maxAttemptsReached(result *CallResult) bool {
 	maxAttempts := result.Plan.Route.MaxAttempts
 	return maxAttempts > 0 && result.WorkerAttempts >= maxAttempts
 }
 
-// mayRetryFailure reports whether a call that a worker answered with a failure is retried on another worker, and
-// charges the retry budget for it. A retry needs an idempotent call, time to answer within the latency target,
-// and no refusal so far: without spare capacity a second run takes it from other callers.
-// Two kinds of failure are not retried. A version in canary answers for its own failures. And where a worker
-// hardly ever fails, the failure is likely the call's own, so that another worker would fail too.
+// mayRetryFailure reports whether a call that a worker answered with a failure is retried on another worker. If so, it
+// charges the retry budget.
+//
+// A retry needs an idempotent call, time left to answer within the latency target, and no refusal for lack of capacity
+// so far: without spare capacity, a second run would take it from other callers. Two kinds of failure are not retried:
+//   - failures of a canary version, which must count against that version;
+//   - failures of a worker that hardly ever fails, which are likely the call's own, so that another worker would fail too.
 func (f *Forwarder) mayRetryFailure(
 	result *CallResult, progress *callProgress, response *schema.ForwardResponse, remaining time.Duration,
 ) bool {
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -11,62 +11,63 @@
 	"meadowhinge/schema"
 )
 
-// Runner is the worker's side of a call: it checks forward requests and runs them on the workers beside this proxy.
-// The exported fields are set before [NewRunner] and not changed afterwards; Run may then be called concurrently.
+// Runner checks forward requests and runs them on the local workers. The exported fields are set before [NewRunner]
+// and not changed afterwards. Run may then be called concurrently.
 type Runner struct {
 	Workers *Workers
-	View    func() *plan.View // the current configuration and directory
-	// AwaitConfig waits until this proxy's configuration has reached a revision, or ctx ends.
+	View    func() *plan.View // returns the current configuration and directory
+	// AwaitConfig waits until this proxy's configuration has reached a revision, or until ctx ends.
 	AwaitConfig func(ctx context.Context, revision uint64)
 	// RevisionOutdated reports whether a configuration was replaced here so long ago that no proxy under a lease
 	// may still plan by it.
 	RevisionOutdated func(revision uint64) bool
-	HasLease         func() bool // whether this proxy may decide under the configuration that it has
-	// ServeStale serves by the configuration that is present, however old: a request that it allows does not wait
-	// for a newer one.
+	// HasLease reports whether this proxy holds a lease, without which it may not decide by its configuration.
+	HasLease func() bool
+	// ServeStale serves requests under the present configuration, however old it is. A request that this configuration
+	// allows does not wait for a newer one.
 	ServeStale bool
-	Now        func() time.Duration // the clock of the process
-	WorkCounts *WorkCounts          // nil for counts of the runner's own
-	// Outliers records the results of the workers here, which each response reports; nil for not at all.
+	Now        func() time.Duration // returns the process clock
+	WorkCounts *WorkCounts          // counts the runs by version and route; NewRunner replaces nil with a new one
+	// Outliers records the results of the local workers, which each response reports. If nil, neither is done.
 	Outliers *OutlierDetector
-	// Disconnects counts calls whose callers disconnect; nil for counts of the runner's own.
+	// Disconnects counts calls whose callers disconnect. NewRunner replaces nil with a new one.
 	Disconnects *Disconnects
-	// MaxOverrun is how long an idempotent run may go on after its caller is known to have disconnected.
+	// MaxOverrun is how long an idempotent run may continue after its caller is known to have disconnected.
 	MaxOverrun time.Duration
-	Codec      WorkerCodec // nil for NativeCodec
+	Codec      WorkerCodec // translates to the workers' headers; NewRunner replaces nil with NativeCodec
 
-	recentIDs   *RecentIDs        // ids of requests that were checked here
-	idempotency *IdempotencyCache // results of non-idempotent requests under a key
-	reserved    *reservedAdmissions
+	recentIDs   *RecentIDs          // ids of recent requests, by which duplicate deliveries are recognized
+	idempotency *IdempotencyCache   // results of non-idempotent requests that carry an idempotency key
+	reserved    *reservedAdmissions // admissions granted to capacity checks
 }
 
-// incomingRequest is a request on its way through the runner.
+// incomingRequest is a forward request with its time of arrival, from which its remaining time is calculated.
 type incomingRequest struct {
 	*schema.ForwardRequest
-	arrivedAt time.Duration // on the clock of the process
-	now       func() time.Duration
+	arrivedAt time.Duration        // arrival at this proxy, on the process clock
+	now       func() time.Duration // returns the process clock
 }
 
-// remaining returns the time left until the request's deadline; 0 or less if it has passed.
+// remaining returns the time left until the request's deadline. It is 0 or less once the deadline has passed.
 func (i *incomingRequest) remaining() time.Duration {
 	return time.Duration(i.TimeLeftNanos) - (i.now() - i.arrivedAt)
 }
 
-// maxWorkCounts is how many work counts a runner retains.
+// maxWorkCounts bounds the work counts, one for each version and route, of a runner that is given none.
 const maxWorkCounts = 1024
 
-// A run was truncated if it ended with less than 1/truncatedRunDivisor of its time left, unless it took
-// overdueFactor times its worker's service time.
+// A run counts as truncated by its deadline if it did not succeed and less than 1/truncatedRunDivisor of the time it
+// was given was left at its end. It does not if it took overdueFactor times its worker's service time or longer.
 const (
 	truncatedRunDivisor = workerMarginDivisor / 2
 	overdueFactor       = 3
 )
 
-// NewRunner returns a runner with the exported fields of another one. It retains as many request ids, and as many
-// idempotency keys, as maxRemembered says.
-func NewRunner(runner Runner, maxRemembered int) *Runner {
-	runner.recentIDs = NewRecentIDs(maxRemembered)
-	runner.idempotency = NewIdempotencyCache(maxRemembered)
+// NewRunner returns a runner with the exported fields of the given one. It retains up to maxRetained request ids, and
+// as many idempotency keys.
+func NewRunner(runner Runner, maxRetained int) *Runner {
+	runner.recentIDs = NewRecentIDs(maxRetained)
+	runner.idempotency = NewIdempotencyCache(maxRetained)
 	runner.reserved = &reservedAdmissions{byRequest: map[string]*reservedAdmission{}}
 	if runner.Codec == nil {
 		runner.Codec = NativeCodec{}
@@ -80,8 +81,8 @@
 	return &runner
 }
 
-// Run checks a request and runs it at most once. A response with the outcome "not executed" proves that it did not
-// run. Every response reports the worker's load, by which the caller's proxy picks endpoints for later calls.
+// Run checks a request and runs it at most once. A response with the outcome "not executed" proves that the request did
+// not run. Every response reports the worker's load, from which the caller's proxy picks endpoints for later calls.
 func (r *Runner) Run(ctx context.Context, peer transport.Peer, request *schema.ForwardRequest) *schema.ForwardResponse {
 	incoming := &incomingRequest{ForwardRequest: request, arrivedAt: r.Now(), now: r.Now}
 	response := r.checkAndRun(ctx, peer, incoming)
@@ -95,7 +96,8 @@
 	return response
 }
 
-// checkAndRun handles a request by its kind. The order of the checks is part of the contract.
+// checkAndRun handles a request by its kind: a capacity check, a recall or a run. The order of the checks is part of
+// the contract with other proxies.
 func (r *Runner) checkAndRun(ctx context.Context, peer transport.Peer, request *incomingRequest) *schema.ForwardResponse {
 	if !peer.MayCallAs(request.Caller) {
 		return notExecuted(errs.CallerNotAllowed, 0)
@@ -109,8 +111,8 @@
 	if request.RecallOnly {
 		return r.recall(ctx, request)
 	}
-	// The id is recorded before anything can refuse the request: a request that was refused as not executed must
-	// not run when it arrives a second time, by then perhaps under a lease again.
+	// The id is recorded before any check can refuse the request. A request that was refused as not executed must not
+	// run when it is delivered a second time, for example after this proxy has regained its lease.
 	if !r.recentIDs.AddIfNew(request.Request) {
 		return outcomeUnknown(errs.DuplicateRequest)
 	}
@@ -120,8 +122,8 @@
 	return r.runOnce(ctx, request)
 }
 
-// recall returns the result of a request under an idempotency key. Nothing is run, so neither the lease nor the
-// worker matters.
+// recall returns the result of an earlier request with the same idempotency key. It runs nothing, so it needs neither
+// a lease nor a worker.
 func (r *Runner) recall(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
 	boundedCtx, cancel := context.WithTimeout(ctx, request.remaining())
 	defer cancel()
@@ -129,12 +131,13 @@
 	return cloneResponse(r.idempotency.Recall(boundedCtx, idempotencyKeyOf(request), fingerprint))
 }
 
-// refuseBeforeRun checks lease, configuration and worker. It returns the refusal, or nil if the request may run.
+// refuseBeforeRun checks the lease, the configuration and the worker. It returns the refusal, or nil if the request may
+// run.
 func (r *Runner) refuseBeforeRun(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
 	if !r.ServeStale {
 		r.awaitConfig(ctx, request)
 	}
-	// Without a lease this proxy cannot know whether the version is still allowed.
+	// Without a lease, this proxy cannot know whether the version is still allowed.
 	if !r.HasLease() {
 		return notExecuted(errs.NoLease, 0)
 	}
@@ -143,7 +146,7 @@
 		return notExecuted(errs.StalePlan, view.Config.Revision)
 	}
 	if !isAllowed(view, request) {
-		// The configuration that the plan was made from may be about to arrive.
+		// The configuration that allows the request may be about to arrive.
 		r.awaitConfig(ctx, request)
 		if view = r.View(); !isAllowed(view, request) {
 			return notExecuted(errs.VersionNotAllowed, view.Config.Revision)
@@ -155,7 +158,7 @@
 	return nil
 }
 
-// runOnce runs a request, and one under an idempotency key only if the key has no result yet.
+// runOnce runs a request. A non-idempotent request with an idempotency key runs only if the key has no result yet.
 func (r *Runner) runOnce(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
 	if !request.NonIdempotent || request.IdempotencyKey == "" {
 		return r.runOnWorker(ctx, request)
@@ -178,7 +181,8 @@
 	return service != nil && service.AllowsVersion(request.Version) && service.AllowsCaller(request.Caller)
 }
 
-// awaitConfig waits a little for the configuration that a plan was made from, if it is not present yet.
+// awaitConfig waits for the configuration that the request was planned under, if it has not arrived here yet. It waits
+// for at most 1/updateWaitDivisor of the time left.
 func (r *Runner) awaitConfig(ctx context.Context, request *incomingRequest) {
 	if r.View().Config.Revision >= request.Revision {
 		return
@@ -188,7 +192,7 @@
 	r.AwaitConfig(boundedCtx, request.Revision)
 }
 
-// cloneResponse copies a retained response, so that the copy can carry the id of the request that it answers.
+// cloneResponse copies a cached response, so that Run can set the request id and the load in the copy.
 func cloneResponse(response *schema.ForwardResponse) *schema.ForwardResponse {
 	return &schema.ForwardResponse{
 		Outcome:     response.Outcome,
@@ -202,7 +206,7 @@
 	}
 }
 
-// admissionRequestOf returns what a forward request requires of its worker's queue.
+// admissionRequestOf returns the admission request of a forward request, with its times on the process clock.
 func admissionRequestOf(request *incomingRequest) AdmissionRequest {
 	admission := AdmissionRequest{
 		Route:    request.Route,
@@ -215,7 +219,8 @@
 	return admission
 }
 
-// awaitAdmission waits until the worker's queue admits a request. It returns the refusal, or nil once admitted.
+// awaitAdmission waits for the decision of the worker's queue. It returns the refusal, or nil once the request is
+// admitted.
 func (r *Runner) awaitAdmission(ctx context.Context, worker *localWorker, request *incomingRequest) *schema.ForwardResponse {
 	admission, queued := worker.queue.Admit(r.Now(), admissionRequestOf(request))
 	if queued != nil {
@@ -233,7 +238,7 @@
 }
 
 // reserveAdmission answers a capacity check. It waits for admission as the request itself would, and reserves the
-// admission for the request for a part of the time left, so that no body is sent only to be refused.
+// admission for that request for 1/reservationDivisor of the time left. So no body is sent only to be refused.
 func (r *Runner) reserveAdmission(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
 	worker, _, refusal := r.Workers.find(request.ForwardRequest)
 	if refusal != "" {
@@ -242,7 +247,7 @@
 	if refused := r.awaitAdmission(ctx, worker, request); refused != nil {
 		return refused
 	}
-	// No request will follow if the caller has disconnected meanwhile.
+	// A caller that has disconnected meanwhile sends no request that could use the admission.
 	if ctx.Err() != nil {
 		worker.queue.Release(r.Now(), "", ResultNotRun, 0)
 		return notExecuted(contextErrorCode(ctx), 0)
@@ -251,7 +256,7 @@
 	return notExecuted("", 0)
 }
 
-// runOnWorker waits until a request is admitted, and sends it to the worker.
+// runOnWorker waits until the worker's queue admits a request, sends it to the worker, and records the result.
 func (r *Runner) runOnWorker(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
 	worker, _, refusal := r.Workers.find(request.ForwardRequest)
 	if refusal != "" {
@@ -264,7 +269,7 @@
 	}
 	startedAt, timeAllowed := r.Now(), request.remaining()
 	delivery := workerDelivery{result: ResultNotRun}
-	// From here on the worker takes the time, and its version is accountable for the result.
+	// The wait for admission is over: from here on the time and the result count for the worker's version.
 	revision := r.View().Config.VersionRevision(request.Service, request.Version)
 	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, revision)
 	caller := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
@@ -284,20 +289,22 @@
 	return response
 }
 
-// wasTruncated reports whether a run ended for lack of the time that calls take at its worker. How it would have ended
-// otherwise is not known, so it says nothing of the worker. timeAllowed was left when the run began; took is its duration.
+// wasTruncated reports whether a run ended because it was given less time than calls usually take at its worker. Such
+// a run says nothing about the worker's health, because its result with more time is not known. timeAllowed is the time
+// that was left when the run began, took is its duration.
 func wasTruncated(worker *localWorker, request *incomingRequest, result RunResult, timeAllowed, took time.Duration) bool {
 	return result != ResultAnswered &&
 		request.remaining() < timeAllowed/truncatedRunDivisor &&
 		took < overdueFactor*worker.queue.ServiceTime()
 }
 
-// mayHaveRun reports whether a worker ran the request, or may have.
+// mayHaveRun reports whether a worker ran the request or may have run it.
 func mayHaveRun(response *schema.ForwardResponse) bool {
 	return response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
 }
 
-// recordDisconnect counts what became of a call whose caller disconnected while it was sent to a worker or ran.
+// recordDisconnect counts the result of a call whose caller disconnected while the call was sent to a worker or ran.
+// sentAt is when the first byte was sent to the worker, 0 if none was.
 func (r *Runner) recordDisconnect(
 	watch *disconnectWatch, request *incomingRequest, response *schema.ForwardResponse, sentAt, now time.Duration,
 ) {
--- a/internal/dispatch/service_time_estimate.go
+++ b/internal/dispatch/service_time_estimate.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// serviceTimeEstimate is how long requests take, and which part of the worker's time they use. The lock of the
-// WorkerQueue guards it.
+// serviceTimeEstimate holds the estimated service time of a route's requests, or of all requests, and the fraction of
+// the worker's time that the route uses. The lock of the WorkerQueue guards it.
 type serviceTimeEstimate struct {
-	mean         time.Duration // moving mean
-	deviation    time.Duration // moving mean of the distance from it
+	mean         time.Duration // moving mean of the service time
+	deviation    time.Duration // moving mean of the absolute deviation from mean
 	known        bool          // at least one request was measured
-	priority     uint32        // of the route's last request
-	timeFraction float64       // of the worker's time, as of updatedAt
-	updatedAt    time.Duration
+	priority     uint32        // priority of the route's last request
+	timeFraction float64       // fraction of the worker's time that the route uses, decayed up to updatedAt
+	updatedAt    time.Duration // last update of timeFraction, on the process clock
 }
 
-// timeFractionAt returns the part of the worker's time at a moment. It decays to 1/e in a window.
+// timeFractionAt returns the fraction of the worker's time that the route uses, decayed up to now. It decays
+// exponentially, to 1/e in each window.
 func (e *serviceTimeEstimate) timeFractionAt(now, window time.Duration) float64 {
 	if window <= 0 || now <= e.updatedAt {
 		return e.timeFraction
@@ -24,8 +25,8 @@
 	return e.timeFraction * math.Exp(-float64(now-e.updatedAt)/float64(window))
 }
 
-// expectedServiceTime returns how long a request of a route takes, and by how much it may well take longer. The caller
-// holds the lock.
+// expectedServiceTime returns the estimated service time of a route's requests and its mean deviation. For a route that
+// was not measured yet it returns the estimate of all requests. The caller holds the lock.
 func (q *WorkerQueue) expectedServiceTime(route string) (mean, deviation time.Duration) {
 	if estimate := q.byRoute[route]; estimate != nil {
 		return estimate.mean, estimate.deviation
@@ -33,7 +34,8 @@
 	return q.overall.mean, q.overall.deviation
 }
 
-// recordServiceTime updates the estimates with a request that has run. The caller holds the lock.
+// recordServiceTime updates the estimates with the service time of a request that ended at now. The caller holds the
+// lock.
 func (q *WorkerQueue) recordServiceTime(now time.Duration, route string, took time.Duration) {
 	if len(q.byRoute) >= maxRoutes {
 		clear(q.byRoute)
--- a/internal/dispatch/update_waits.go
+++ b/internal/dispatch/update_waits.go
@@ -8,28 +8,34 @@
 	"meadowhinge/internal/plan"
 )
 
-// updateWaitDivisor is the part of the time left for which a call waits, at either proxy, for an update of the lease, the
-// configuration or the directory before it is refused.
-const updateWaitDivisor = 8
+// Bounds on the waits for updates. A divisor n stands for the fraction 1/n.
+const (
+	// updateWaitDivisor bounds, as a fraction of the time left, how long a call waits at either proxy for a lease, a
+	// configuration or a directory update before it is refused.
+	updateWaitDivisor = 8
 
-// assumedDeadlineDivisor is the part of the longest deadline that a call whose caller gives none is assumed to have.
-const assumedDeadlineDivisor = 8
+	// assumedDeadlineDivisor gives the deadline that is assumed for a call without one, as a fraction of the longest
+	// deadline.
+	assumedDeadlineDivisor = 8
 
-// targetWaitDivisor is the part of the latency target for which a call may wait for updates of the directory: a
-// caller refused within a fourth of it still has time to call again.
-const targetWaitDivisor = 8
+	// targetWaitDivisor bounds, as a fraction of the latency target, how long a call waits for directory updates. A
+	// caller that is refused within a fourth of the target still has time to call again.
+	targetWaitDivisor = 8
 
-// configWaitDivisor is the part of the time left for which a call waits for a configuration that another proxy has.
-const configWaitDivisor = 2
+	// configWaitDivisor bounds, as a fraction of the time left, how long a call waits for a configuration that another
+	// proxy has.
+	configWaitDivisor = 2
+)
 
-// awaitLease holds a call back for a moment: most gaps between leases are shorter than that.
+// awaitLease waits until this proxy holds a lease, for at most 1/updateWaitDivisor of the assumed deadline, and reports
+// whether it holds one. Most gaps between leases are shorter than that.
 func (f *Forwarder) awaitLease(ctx context.Context, call *Call) bool {
 	waitCtx, cancel := context.WithTimeout(ctx, f.assumedDeadline(&call.Request)/updateWaitDivisor)
 	defer cancel()
 	return f.AwaitLease(waitCtx)
 }
 
-// assumedDeadline returns the time that a call likely has, where no plan can be made that would say so.
+// assumedDeadline returns the deadline that a call is assumed to have while no plan can be made for it.
 func (f *Forwarder) assumedDeadline(request *plan.Request) time.Duration {
 	maxDeadline := f.limits.Load().PlanOptions.MaxDeadline
 	if request.CallerDeadline > 0 {
@@ -38,8 +44,9 @@
 	return maxDeadline / assumedDeadlineDivisor
 }
 
-// awaitNewerConfig waits for a configuration that another proxy is known to have. A proxy under a lease lags
-// only so far behind, so the configuration is about to arrive; if it does not, this proxy's stream is at fault.
+// awaitNewerConfig waits for the newest configuration that another proxy is known to have. A proxy that holds a lease
+// lags behind only by a bounded time, so that configuration is about to arrive. If it does not, this proxy's
+// configuration stream is at fault, and the lag is reported by OnConfigLag.
 func (f *Forwarder) awaitNewerConfig(ctx context.Context, remaining time.Duration) {
 	newestRevision := f.newestRevision.Load()
 	if f.View().Config.Revision >= newestRevision {
@@ -51,7 +58,7 @@
 	shortCtx, cancelShort := context.WithTimeout(waitCtx, remaining/updateWaitDivisor)
 	f.AwaitView(shortCtx, isCurrent)
 	cancelShort()
-	// Others have had the revision for a while. Of all calls that wait for it, one reports the lag.
+	// Other proxies have had the revision for some time. Of all calls that wait for it, only one reports the lag.
 	if !isCurrent(f.View()) && f.lagReportedRevision.Swap(newestRevision) != newestRevision {
 		f.OnConfigLag()
 	}
@@ -60,13 +67,13 @@
 	}
 }
 
-// awaitUntriedWorkers waits a moment for a worker that the call has not tried, and reports whether there is one.
-// It does not wait where known workers refused for lack of capacity: their caller is refused at once.
+// awaitUntriedWorkers waits for a worker that the call has not tried, and reports whether there may be one. It does not
+// wait if the last response is a refusal for lack of capacity, so that the caller is refused at once.
 func (a *attemptSequence) awaitUntriedWorkers(ctx context.Context) bool {
 	if a.pinnedInstance != "" {
 		return false
 	}
-	// The condition holds only what it needs, so that the attemptSequence itself stays on the stack.
+	// The closure captures only what it needs, so that the attemptSequence itself stays on the stack.
 	f, callPlan, excluded := a.forwarder, a.result.Plan, a.progress.excluded
 	hasUntried := func(view *plan.View) bool { return hasUntriedWorker(view, callPlan, excluded) }
 	if hasUntried(f.View()) {
@@ -85,7 +92,8 @@
 	return hasUntried(f.View())
 }
 
-// hasUntriedWorker reports whether another plan by a view could have a candidate that is not excluded.
+// hasUntriedWorker reports whether a new plan by a view could have a candidate that is not excluded. Under another
+// configuration revision it always could.
 func hasUntriedWorker(view *plan.View, callPlan *plan.Plan, excluded map[string]bool) bool {
 	if view.Config.Revision != callPlan.Verdict.ConfigRevision {
 		return true
@@ -102,7 +110,7 @@
 	return false
 }
 
-// fallbackOf returns a service's fallback version, empty for a service that is not configured.
+// fallbackOf returns a service's fallback version. It is empty for nil, a service that is not configured.
 func fallbackOf(service *config.Service) string {
 	if service == nil {
 		return ""
--- a/internal/dispatch/uplink.go
+++ b/internal/dispatch/uplink.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Uplink models the network link that this machine's responses and requests leave by, as far as this process fills it.
-// What is written to a socket only joins a queue in the kernel, so the wait there is calculated from the bytes
-// written and the link's bandwidth. A nil Uplink is a link without limit. It is safe for concurrent use.
+// Uplink models the network link over which this process sends its responses and requests. Bytes that are written to a
+// socket wait in the kernel until the link can send them. The wait is calculated from the bytes that this process has
+// written and the bandwidth of the link; other traffic on the link is not known. A nil *Uplink stands for a link of
+// unlimited bandwidth. It is safe for concurrent use.
 type Uplink struct {
-	now            func() time.Duration // the clock of the process
-	bytesPerSecond float64
+	now            func() time.Duration // returns the process clock
+	bytesPerSecond float64              // bandwidth
 
 	lock      sync.Mutex    // guards drainedAt
-	drainedAt time.Duration // when all that was written has left
+	drainedAt time.Duration // time by which the link has sent all bytes written so far, on the process clock
 }
 
-// Packets of the link, in bytes.
+// Sizes of a full TCP segment, in bytes.
 const (
-	segmentPayload  = 1460 // data in one packet
-	segmentOverhead = 40   // headers of one packet
+	segmentPayload  = 1460 // data
+	segmentOverhead = 40   // IP and TCP headers
 )
 
-// NewUplink returns a link of a bandwidth, or nil if the bandwidth is not known (0 or less).
+// NewUplink returns a link of the given bandwidth, or nil if the bandwidth is not known, which 0 or less stands for.
 func NewUplink(bytesPerSecond int64, now func() time.Duration) *Uplink {
 	if bytesPerSecond <= 0 {
 		return nil
@@ -30,7 +31,7 @@
 	return &Uplink{now: now, bytesPerSecond: float64(bytesPerSecond)}
 }
 
-// TransferTime returns how long the link takes to send a number of bytes.
+// TransferTime returns how long the link takes to send a number of bytes, including the headers of their packets.
 func (u *Uplink) TransferTime(bytes int) time.Duration {
 	if u == nil || bytes <= 0 {
 		return 0
@@ -39,7 +40,7 @@
 	return time.Duration(float64(bytes+packets*segmentOverhead) / u.bytesPerSecond * float64(time.Second))
 }
 
-// RecordWrite records a number of bytes that were written.
+// RecordWrite records that a number of bytes were written to a socket.
 func (u *Uplink) RecordWrite(bytes int) {
 	if u == nil || bytes <= 0 {
 		return
@@ -50,7 +51,7 @@
 	u.lock.Unlock()
 }
 
-// Backlog returns how long bytes that are written now wait before they leave.
+// Backlog returns how long bytes that are written now wait until the link begins to send them.
 func (u *Uplink) Backlog() time.Duration {
 	if u == nil {
 		return 0
--- a/internal/dispatch/work_counts.go
+++ b/internal/dispatch/work_counts.go
@@ -11,34 +11,36 @@
 	"meadowhinge/schema"
 )
 
-// WorkCounts counts how requests ended that this proxy sent to the workers beside it. Versions are judged by these
-// counts, because no connection between proxies, and no failure of one, affects them. It is safe for concurrent use.
+// WorkCounts counts the results of the requests that this proxy sent to its local workers, by version and route.
+// Rollouts evaluate versions by these counts, because connections between proxies, and their failures, do not affect
+// them. It is safe for concurrent use.
 type WorkCounts struct {
 	counts    *xsync.Map[workCountKey, *WorkCount]
-	maxCounts int
+	maxCounts int // counts beyond which a new key is not counted
 }
 
-// workCountKey is what requests have in common that are counted together. versionRevision is the revision at which
-// the version was configured, so that what happened before does not count against it once it is configured again.
+// workCountKey identifies the requests that are counted together. versionRevision is the revision at which the version
+// was configured. A version that is configured again gets new counts, so that earlier results do not count against it.
 type workCountKey struct {
 	service, version, route string
 	versionRevision         uint64
 }
 
-// WorkCount counts the requests of one version and route. It only grows while the process lives.
+// WorkCount counts the requests of one version and route. All counts but inFlight only grow while the process lives.
 type WorkCount struct {
-	calls, failures, totalNanos atomic.Uint64
-	histogram                   [release.LatencyBucketCount]atomic.Uint32 // of the calls that did not fail
+	calls, failures, totalNanos atomic.Uint64                             // totalNanos is the total duration in nanoseconds
+	histogram                   [release.LatencyBucketCount]atomic.Uint32 // durations of the calls that did not fail
 	inFlight                    atomic.Int32
-	connectionLostAt            atomic.Int64 // when the worker last broke a connection, 0 for never
+	connectionLostAt            atomic.Int64 // time of the last broken connection, in nanoseconds; 0 for none
 }
 
-// NewWorkCounts returns counts of at most maxCounts versions and routes. Requests beyond them are not counted.
+// NewWorkCounts returns counts for at most about maxCounts versions and routes. Requests beyond them are not counted.
 func NewWorkCounts(maxCounts int) *WorkCounts {
 	return &WorkCounts{counts: xsync.NewMap[workCountKey, *WorkCount](), maxCounts: maxCounts}
 }
 
-// Begin records that a request is sent to a worker of a version. It returns nil if it is not counted.
+// Begin records that a request is sent to a worker of a version. The result must be passed the end of the request by
+// [WorkCount.End]. It is nil if the request is not counted.
 func (w *WorkCounts) Begin(service, version, route string, versionRevision uint64) *WorkCount {
 	key := workCountKey{service, version, route, versionRevision}
 	count, found := w.counts.Load(key)
@@ -52,11 +54,12 @@
 	return count
 }
 
-// connectionLossWindow is the time within which broken connections count as one failure: a worker that ends breaks all
-// of its connections, which says no more of its version than one does.
+// connectionLossWindow is the time after a broken connection within which further ones are not counted. A worker that
+// exits breaks all of its connections at once, which is no more evidence against its version than one broken connection.
 const connectionLossWindow = 100 * time.Millisecond
 
-// End records how a request ended, and how long it took since Begin. c may be nil.
+// End records the response to a request, and the time since Begin that it took. Requests that did not run, or whose
+// callers disconnected, are not counted. c may be nil, which counts nothing.
 func (c *WorkCount) End(now, took time.Duration, response *schema.ForwardResponse) {
 	if c == nil {
 		return
@@ -92,7 +95,7 @@
 	return reported
 }
 
-// report returns the count as it is reported, with a histogram that ends at its last bucket in use.
+// report returns the count as a message. Its histogram ends at the last bucket that is not empty.
 func (c *WorkCount) report(key workCountKey) *schema.WorkCount {
 	reported := &schema.WorkCount{
 		Service:      key.service,
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -13,17 +13,18 @@
 	"meadowhinge/schema"
 )
 
-// workerMarginDivisor is the part of the time left that a worker is not given, so that its own timeout response
+// workerMarginDivisor: a worker is given the time left less 1/workerMarginDivisor of it, so that its own timeout response
 // still arrives and the connection can be used again.
 const workerMarginDivisor = 64
 
-// workerDelivery is what became of the delivery of a request to a worker.
+// workerDelivery is the result of sending a request to a worker.
 type workerDelivery struct {
 	result RunResult
-	sentAt time.Duration // when its first byte was sent, 0 for not at all
+	sentAt time.Duration // start of sending the request, on the process clock; 0 if no byte was sent
 }
 
-// sendToWorker sends a request to the worker. From its first byte on, the request may have run.
+// sendToWorker sends a request to the worker, and returns its response or the reason why there is none. Once the first
+// byte is sent the request may have run. It fills in delivery.
 func (r *Runner) sendToWorker(
 	ctx context.Context, worker *localWorker, request *incomingRequest, delivery *workerDelivery,
 ) *schema.ForwardResponse {
@@ -64,14 +65,14 @@
 	err := worker.conns.roundTrip(ctx, &x)
 	delivery.sentAt = x.sentAt
 	if err != nil {
-		// A call that its caller gives up as its time ends has run out of time, and that does say something of the worker.
+		// A disconnect at the end of the call's time counts as a deadline that has passed, and so against the worker.
 		outOfTime := func() bool { return request.remaining() <= timeLeft/truncatedRunDivisor }
 		return r.responseToError(ctx, worker, err, x.sentAt > 0, outOfTime)
 	}
 	return r.responseOf(worker, &x, delivery)
 }
 
-// buildRequest fills in what is passed on to the worker as it came from the caller.
+// buildRequest sets the method, target, headers and body, which are passed on as they came from the caller.
 func buildRequest(httpRequest *fasthttp.Request, request *schema.ForwardRequest) {
 	httpRequest.Header.DisableNormalizing()
 	httpRequest.Header.SetMethod(request.Method)
@@ -82,8 +83,9 @@
 	httpRequest.SetBodyRaw(request.Body)
 }
 
-// revalidate looks the registration up last of all, so that a worker which deregistered meanwhile gets nothing. It
-// returns the worker's token, or the refusal. The order of the checks decides which refusal a caller sees.
+// revalidate looks up the registration again just before the request is sent, so that a worker that has deregistered
+// meanwhile gets no request. It returns the worker's token, or the refusal. The order of the checks determines which
+// refusal the caller sees.
 func (r *Runner) revalidate(
 	ctx context.Context, worker *localWorker, request *schema.ForwardRequest, hasLease bool, timeLeft time.Duration,
 ) (string, *schema.ForwardResponse) {
@@ -101,8 +103,9 @@
 	return token, nil
 }
 
-// responseToError returns the response to a request whose exchange with the worker failed. outOfTime reports whether
-// the call has hardly any time left; it reads the clock only if the answer matters.
+// responseToError returns the response to a request whose exchange with the worker failed with err. sent reports whether
+// a byte of the request was sent. outOfTime reports whether the call has hardly any time left; it is a function so that
+// the clock is read only if needed.
 func (r *Runner) responseToError(
 	ctx context.Context, worker *localWorker, err error, sent bool, outOfTime func() bool,
 ) *schema.ForwardResponse {
@@ -113,24 +116,24 @@
 	case code == errs.CallerDisconnected && outOfTime():
 		return outcomeUnknown(errs.DeadlineExceeded)
 	case code == errs.WorkerConnectFailed:
-		// If nothing listens the worker has ended; if it has not, its next heartbeat registers it again.
+		// Nothing listens at the address, so the worker has probably ended. Otherwise its next heartbeat registers it again.
 		if errors.Is(err, syscall.ECONNREFUSED) {
-			r.Workers.removeDisowned(worker)
+			r.Workers.removeStale(worker)
 		}
 		return notExecuted(code, 0)
 	}
 	return outcomeUnknown(code)
 }
 
-// responseOf returns the response to a request that the worker answered or refused.
+// responseOf returns the response to a request that the worker answered or refused, and sets the result in delivery.
 func (r *Runner) responseOf(worker *localWorker, x *exchange, delivery *workerDelivery) *schema.ForwardResponse {
 	switch {
 	case x.info.WrongWorker:
-		r.Workers.removeDisowned(worker)
-		return withReachedWorker(notExecuted(errs.WrongInstance, 0))
+		r.Workers.removeStale(worker)
+		return markReachedWorker(notExecuted(errs.WrongInstance, 0))
 	case x.info.NotExecuted:
 		delivery.result = ResultRejected
-		return withReachedWorker(notExecuted(errs.QueueFull, 0))
+		return markReachedWorker(notExecuted(errs.QueueFull, 0))
 	case !r.Codec.ValidBody(&x.response.Header, x.body):
 		return outcomeUnknown(errs.InvalidResponse)
 	}
--- a/internal/dispatch/worker_codec.go
+++ b/internal/dispatch/worker_codec.go
@@ -11,48 +11,49 @@
 	"meadowhinge/schema"
 )
 
-// WorkerRegistration identifies the worker that a request is sent to, as it is registered.
+// WorkerRegistration identifies the worker that a request is sent to.
 type WorkerRegistration struct {
-	Instance string
+	Instance string // id of the registration
 	Address  string // IP:port
-	Token    string // by which the worker knows that a request is meant for it
+	Token    string // token by which the worker recognizes requests meant for it
 	Service  string
 	Version  string
 }
 
-// ResponseInfo is what the header of a worker's response says besides its status.
+// ResponseInfo is the information that a [WorkerCodec] reads from the header of a worker's response.
 type ResponseInfo struct {
 	NotExecuted      bool // the worker did not run the request
-	WrongWorker      bool // another worker is at this address, and did not run the request either
+	WrongWorker      bool // another worker has this address, and did not run the request
 	WrongRequest     bool // the response belongs to another request
 	ClosesConnection bool // the worker closes the connection after this response
-	// EndsAtClose lets a response without a length end where the worker closes its connection. Where it is not set,
-	// such a response is invalid, because it cannot be distinguished from a truncated one.
+	// EndsAtClose allows a response without a length to end where the worker closes the connection. Otherwise such a
+	// response is invalid, because it cannot be distinguished from a truncated one.
 	EndsAtClose bool
-	// IdleTimeout is how long the worker keeps an idle connection open, 0 for not reported.
+	// IdleTimeout is how long the worker keeps an idle connection open; 0 if not reported.
 	IdleTimeout time.Duration
-	// The worker's load as it reports it, in requests. Slots 0 means not reported.
+	// Running, Waiting and Slots are the worker's load as it reports it, in requests. Slots 0 means not reported.
 	Running, Waiting, Slots uint32
 }
 
-// WorkerCodec translates between a proxy and the workers beside it: it writes and reads HTTP headers, and makes no
+// WorkerCodec translates between a proxy and its local workers: it writes and reads HTTP headers, and makes no
 // decisions. Its methods are called concurrently.
 type WorkerCodec interface {
-	// WriteHeaders sets what a request says to its worker besides method, target, body and the headers passed on. left
-	// is the time that the worker has to answer.
+	// WriteHeaders sets the headers of a request that are meant for the worker itself. Method, target, body and the
+	// headers passed on from the caller are set already. left is the time that the worker has to answer.
 	WriteHeaders(httpRequest *fasthttp.Request, request *schema.ForwardRequest, worker WorkerRegistration, left time.Duration)
-	// ReadHeader returns what the header of a response to the request says.
+	// ReadHeader reads the header of a response to the request.
 	ReadHeader(header *fasthttp.ResponseHeader, request *schema.ForwardRequest) ResponseInfo
-	// ValidBody reports whether a body that arrived completely can be what the worker meant to answer.
+	// ValidBody reports whether a body that arrived completely is valid for its header.
 	ValidBody(header *fasthttp.ResponseHeader, body []byte) bool
-	// PassesHeader reports whether a header is passed on: to a caller if response is set, else to a worker.
+	// PassesHeader reports whether a header is passed on: from a worker to the caller if response is true, otherwise
+	// from the caller to a worker.
 	PassesHeader(name []byte, response bool) bool
 }
 
-// NativeCodec is the codec of the native worker API.
+// NativeCodec is the codec of this project's own worker API.
 type NativeCodec struct{}
 
-// WriteHeaders sets the worker's token, the caller, the request id and the version.
+// WriteHeaders sets the headers for the host, the worker's token, the caller, the request id and the version.
 func (NativeCodec) WriteHeaders(httpRequest *fasthttp.Request, request *schema.ForwardRequest, worker WorkerRegistration, _ time.Duration) {
 	httpRequest.Header.SetHost(worker.Address)
 	httpRequest.Header.Set(HeaderToken, worker.Token)
@@ -61,7 +62,7 @@
 	httpRequest.Header.Set(HeaderVersion, request.Version)
 }
 
-// ReadHeader recognizes the one thing that workers report: that the request was not meant for them.
+// ReadHeader recognizes a refusal of a request that was not meant for the worker, and the end of the connection.
 func (NativeCodec) ReadHeader(header *fasthttp.ResponseHeader, _ *schema.ForwardRequest) ResponseInfo {
 	return ResponseInfo{
 		WrongWorker:      header.StatusCode() == fasthttp.StatusMisdirectedRequest && len(header.Peek(HeaderRefused)) > 0,
@@ -69,13 +70,13 @@
 	}
 }
 
-// ValidBody rejects a body that is declared as JSON and is not.
+// ValidBody reports false for a body that is declared as JSON and is not valid JSON. An empty body is valid.
 func (NativeCodec) ValidBody(header *fasthttp.ResponseHeader, body []byte) bool {
 	mediaType, _, _ := strings.Cut(string(header.ContentType()), ";")
 	return len(body) == 0 || strings.TrimSpace(strings.ToLower(mediaType)) != "application/json" || json.Valid(body)
 }
 
-// PassesHeader keeps this project's own headers from being passed on.
+// PassesHeader reports false for hop-by-hop headers and for headers that begin with HeaderPrefix.
 func (NativeCodec) PassesHeader(name []byte, _ bool) bool {
 	return !IsHopByHopHeader(name) && (len(name) < len(HeaderPrefix) || !bytes.EqualFold(name[:len(HeaderPrefix)], []byte(HeaderPrefix)))
 }
--- a/internal/dispatch/worker_conns.go
+++ b/internal/dispatch/worker_conns.go
@@ -12,45 +12,46 @@
 	"meadowhinge/internal/socket"
 )
 
-// connPool is the pool of connections to one worker, each for one request at a time. The HTTP library's own client
-// is not used: it resends what it takes for unsent, gives up a connection without an error, and takes any response
-// that arrives for the response to its request.
+// connPool is the pool of connections to one worker. A connection carries one request at a time. The client of the HTTP
+// library is not used, for three reasons: it resends requests that it takes for unsent, it gives up a connection without
+// an error, and it takes any response that arrives for the response to its request.
 type connPool struct {
-	address string // of the worker
+	address string // address of the worker, IP:port
 	dial    func(address string) (net.Conn, error)
-	now     func() time.Duration // the clock of the process
+	now     func() time.Duration // returns the process clock
 
 	lock   sync.Mutex    // guards the fields below; may be taken while the lock of Workers is held
-	idle   []*workerConn // the one idle the longest first
-	closed bool
-	// idleTimeout is after how long the worker closes an idle connection: as it reported, or as was observed; 0
-	// for not known.
+	idle   []*workerConn // idle connections, the longest idle first
+	closed bool          // connections are closed as soon as they are idle
+	// idleTimeout is how long the worker keeps an idle connection open, as it reported or as was observed; 0 if neither is
+	// known.
 	idleTimeout time.Duration
 }
 
-// Ratios to how long a worker keeps an idle connection.
+// Fractions of a worker's idle timeout. A divisor n stands for 1/n.
 const (
-	idleMarginDivisor = 8 // a connection is not used any more when this part of the time is left
-	idleLearnDivisor  = 4 // a connection that was found closed is assumed to have been closed this part earlier
+	idleMarginDivisor = 8 // a connection is not used any more once less than 1/8 of the idle timeout is left
+	idleLearnDivisor  = 4 // a connection that is found closed is assumed to have been closed after 3/4 of its idle time
 )
 
-// workerConn is one connection to a worker. It belongs to the goroutine that took it from the pool.
+// workerConn is one connection to a worker. Only the goroutine that took it from the pool uses it.
 type workerConn struct {
 	net.Conn
-	bytesSent int                       // bytes of the request that left this process
-	idleSince time.Duration             // on the clock of the process
-	rawConn   syscall.RawConn           // nil for what is no socket
-	probe     func(handle uintptr) bool // for rawConn.Read: sets noData; made once, so that alive allocates nothing
+	bytesSent int                       // bytes of the current request that were written to the connection
+	idleSince time.Duration             // time of the last return to the pool, on the process clock
+	rawConn   syscall.RawConn           // nil if the connection is no socket
+	probe     func(handle uintptr) bool // passed to rawConn.Read, sets noData; allocated once, so that alive allocates nothing
 	noData    bool                      // the last probe found neither data nor the end of the connection
 }
 
-// Write counts the bytes that left this process.
+// Write writes to the connection and adds the bytes that were written to bytesSent.
 func (c *workerConn) Write(data []byte) (int, error) {
 	count, err := c.Conn.Write(data)
 	c.bytesSent += count
 	return count, err
 }
 
+// newWorkerConn returns a worker connection over raw. It prepares the probe if raw is a socket.
 func newWorkerConn(raw net.Conn) *workerConn {
 	conn := &workerConn{Conn: socket.Wrap(raw)}
 	syscallConn, ok := raw.(syscall.Conn)
@@ -71,8 +72,9 @@
 	return conn
 }
 
-// alive reports whether nothing arrived on an idle connection: neither its end, nor bytes, which could only belong
-// to a request that is over. The probe consumes a byte that did arrive: the connection is then not used again.
+// alive reports whether nothing has arrived on an idle connection: neither its end, nor bytes, which could only belong
+// to a request that has ended. The probe consumes a byte that has arrived, so the connection must not be used after
+// alive returned false. A connection that is no socket is assumed to be alive.
 func (c *workerConn) alive() bool {
 	if c.rawConn == nil {
 		return true
@@ -80,20 +82,21 @@
 	return c.rawConn.Read(c.probe) == nil && c.noData
 }
 
-// interrupt ends every read and write on a connection at once.
+// interrupt ends all reads and writes on a connection at once.
 func (c *workerConn) interrupt() {
 	_ = c.SetDeadline(time.Unix(1, 0)) // fails only on a closed connection, which is interrupted already
 }
 
 // discard closes a connection that is not used any more.
 func (c *workerConn) discard() {
-	_ = c.Close() // what it carried is over, and its descriptor is released in any case
+	_ = c.Close() // the last request has ended, and the descriptor is released even if Close fails
 }
 
 // roundTrip sends a request and reads its response. An error with the code errs.WorkerConnectFailed proves that the
-// worker saw nothing of it; any other leaves that open. When ctx ends, the connection is closed, by which the worker
-// learns that its response is not awaited, and the error has the code errs.CallerDisconnected. Once something was
-// sent, the context of the exchange counts in place of ctx.
+// worker received nothing of the request. After any other error the worker may have received it, if x.sentAt is not 0.
+//
+// When ctx ends before the request is sent, or x.ctx ends after that, the connection is closed and the error has the code
+// errs.CallerDisconnected. The worker learns from the closed connection that its response is not awaited any more.
 func (c *connPool) roundTrip(ctx context.Context, x *exchange) error {
 	for {
 		conn, fresh, err := c.acquire(ctx, x)
@@ -104,15 +107,15 @@
 		switch {
 		case err == nil || conn.bytesSent > 0:
 			return err
-		// Nothing left this process, so another connection may be tried; a second fresh one would do no better. Once ctx
-		// has ended, acquire gives up in the next round.
+		// Nothing was sent, so another connection may be tried, but not after a fresh one, because a second fresh one
+		// would fail as well. If ctx has ended, acquire returns that error in the next round.
 		case fresh && ctx.Err() == nil:
 			return errs.New(errs.WorkerConnectFailed, c.address)
 		}
 	}
 }
 
-// acquire returns an idle connection, or a fresh one if there is none. Its deadline is that of the exchange.
+// acquire returns an idle connection, or a fresh one if there is none. The deadline of the exchange is set on it.
 func (c *connPool) acquire(ctx context.Context, x *exchange) (conn *workerConn, fresh bool, err error) {
 	if ctx.Err() != nil {
 		return nil, false, errs.New(errs.CallerDisconnected, c.address)
@@ -126,7 +129,7 @@
 		conn, fresh = newWorkerConn(raw), true
 		_ = conn.SetDeadline(x.deadline) // fails only on a closed connection, which the exchange reports
 	}
-	// The worker may have taken long to accept the connection.
+	// ctx may have ended while the connection was being opened.
 	if ctx.Err() != nil {
 		conn.discard()
 		return nil, false, errs.New(errs.CallerDisconnected, c.address)
@@ -142,7 +145,7 @@
 	if conn.bytesSent > 0 {
 		x.sentAt = max(1, startedAt)
 	}
-	// An interrupt that has begun may take effect at any time from now on.
+	// An interrupt that has begun may still take effect, so the connection cannot be used again.
 	if !stop() {
 		reusable = false
 		if err != nil && conn.bytesSent > 0 {
@@ -157,8 +160,9 @@
 	return err
 }
 
-// takeIdle returns the connection that was idle the longest, nil for none. So connections in regular use stay open
-// in turn, and only those that are not needed reach their idle timeout.
+// takeIdle returns the usable connection that has been idle the longest, or nil if there is none, and closes those that
+// are not usable. Taking the longest idle one first uses all connections in turn, which keeps them from reaching their
+// idle timeout.
 func (c *connPool) takeIdle(deadline time.Time) *workerConn {
 	for {
 		c.lock.Lock()
@@ -182,8 +186,8 @@
 	}
 }
 
-// learnIdleTimeout records that the worker closed a connection that was idle for so long. So the idle timeout of a
-// worker that does not report one is observed.
+// learnIdleTimeout lowers the assumed idle timeout after a connection was found closed that had been idle for idleFor. So
+// the idle timeout is observed if the worker does not report it.
 func (c *connPool) learnIdleTimeout(idleFor time.Duration) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -192,7 +196,8 @@
 	}
 }
 
-// putIdle keeps a connection for the next request. reportedTimeout is the worker's idle timeout, 0 for not reported.
+// putIdle returns a connection to the pool, or closes it if the pool is closed. reportedTimeout is the idle timeout that
+// the worker reported, 0 if it reported none.
 func (c *connPool) putIdle(conn *workerConn, reportedTimeout time.Duration) {
 	conn.idleSince = c.now()
 	c.lock.Lock()
@@ -209,7 +214,7 @@
 	}
 }
 
-// close closes the connections that are idle now, and those in use once they are returned.
+// close closes the pool and its idle connections. Connections in use are closed when they are returned.
 func (c *connPool) close() {
 	c.lock.Lock()
 	idle := c.idle
--- a/internal/dispatch/worker_exchange.go
+++ b/internal/dispatch/worker_exchange.go
@@ -20,43 +20,45 @@
 	"meadowhinge/schema"
 )
 
-// Bounds on what a worker sends besides the response.
+// Bounds on the bytes that a worker may send.
 const (
-	maxInterimResponses = 16       // interim responses before the final one
-	maxStrayResponses   = 4        // complete responses to other requests
-	bodyChunkSize       = 1 << 16  // bytes; a larger body counts against bodyMemory
-	maxHeaderBytes      = 16 << 10 // bytes of a response header
+	maxInterimResponses = 16       // headers read, up to and including that of the final response
+	maxStaleResponses   = 4        // complete responses to other requests before the response
+	bodyChunkSize       = 1 << 16  // bytes by which a body buffer first grows; a larger body counts against bodyMemory
+	maxHeaderBytes      = 16 << 10 // size of the read buffer, which a response header must fit in
 )
 
-// Buffers are borrowed for the duration of an exchange, so that idle connections hold none.
+// Read and write buffers, which are used only during an exchange, so that idle connections hold none.
 var (
 	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHeaderBytes) }}
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, 4<<10) }}
 )
 
-// exchange is one request to a worker and what became of it. It belongs to the goroutine of the request.
+// exchange is one request to a worker and its response. Only the goroutine of the request uses it.
 type exchange struct {
 	request      *fasthttp.Request
 	response     *fasthttp.Response // its header is valid once the exchange has succeeded; its body is not used
 	codec        WorkerCodec
 	forward      *schema.ForwardRequest // the request as it came from the caller's proxy
-	deadline     time.Time
-	maxBodyBytes int                 // bytes of a body
-	bodyMemory   *semaphore.Weighted // for large bodies of all workers
-
-	ctx           context.Context // ends when the run is to end, which may be later than the call
-	sentAt        time.Duration   // when the first byte of the request was sent, 0 for not at all
-	info          ResponseInfo
-	body          []byte
-	reservedBytes int64 // acquired from bodyMemory
+	deadline     time.Time              // deadline of all reads and writes
+	maxBodyBytes int                    // upper bound on the size of the response body
+	bodyMemory   *semaphore.Weighted    // memory in bytes for the large bodies of all workers
+
+	ctx           context.Context // ends when the run must end, which for a non-idempotent request it never does
+	sentAt        time.Duration   // start of sending the request, on the process clock; 0 if no byte was sent
+	info          ResponseInfo    // read from the response's header by codec
+	body          []byte          // body of the response as far as it has arrived
+	reservedBytes int64           // bytes acquired from bodyMemory
 }
 
 // HasNoBody reports whether the final response to a request has no body, whatever its headers say (RFC 9112, section 6.3).
+// method is that of the request.
 func HasNoBody(method string, status int) bool {
 	return method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// exchange sends a request and reads its response. reusable reports whether the connection can carry another request.
+// exchange sends a request and reads its response. reusable reports whether the connection can carry another request. An
+// error has one of the codes of [transferErrorCode], and c.bytesSent is 0 if it proves that nothing was sent.
 func (c *workerConn) exchange(x *exchange) (reusable bool, err error) {
 	c.bytesSent = 0
 	writer := writerPool.Get().(*bufio.Writer)
@@ -68,79 +70,79 @@
 	writer.Reset(nil)
 	writerPool.Put(writer)
 	if writeErr != nil && c.bytesSent == 0 {
-		return false, errs.Wrap(writeErr, transferErrorCode(writeErr), "sending")
+		return false, errs.Wrap(writeErr, transferErrorCode(writeErr), "sending the request to the worker")
 	}
-	// A worker that does not read a request to its end may have answered it all the same.
+	// A worker may answer a request without reading it to its end, so the response is read even if sending failed.
 	reader := readerPool.Get().(*bufio.Reader)
 	reader.Reset(c.Conn)
 	defer func() {
 		reader.Reset(nil)
 		readerPool.Put(reader)
 	}()
-	for strays := 0; ; strays++ {
+	for staleResponses := 0; ; staleResponses++ {
 		if err := x.readFinalHeader(reader); err != nil {
 			return false, err
 		}
 		x.info = x.codec.ReadHeader(&x.response.Header, x.forward)
 		err := x.readBody(reader)
 		// A late response to another request is skipped.
-		if x.info.WrongRequest && err == nil && strays < maxStrayResponses {
+		if x.info.WrongRequest && err == nil && staleResponses < maxStaleResponses {
 			continue
 		}
 		if x.info.WrongRequest {
-			return false, errs.New(errs.InvalidResponse, "answers another request")
+			return false, errs.New(errs.InvalidResponse, "worker's response belongs to another request")
 		}
-		// A header that says that the request did not run is enough, whatever becomes of the body.
+		// A header that proves that the request did not run is sufficient, even if reading the body fails.
 		if err != nil && !x.info.NotExecuted && !x.info.WrongWorker {
 			return false, err
 		}
 		// Bytes after a complete response belong to no request, so the connection is closed.
-		return err == nil && writeErr == nil && strays == 0 && !x.info.ClosesConnection && reader.Buffered() == 0, nil
+		return err == nil && writeErr == nil && staleResponses == 0 && !x.info.ClosesConnection && reader.Buffered() == 0, nil
 	}
 }
 
-// readFinalHeader reads the header of the final response, past interim ones.
+// readFinalHeader reads the header of the final response, and skips interim responses.
 func (x *exchange) readFinalHeader(reader *bufio.Reader) error {
 	for range maxInterimResponses {
 		if err := x.response.Header.Read(reader); err != nil {
-			return errs.Wrap(err, transferErrorCode(err), "head of an answer")
+			return errs.Wrap(err, transferErrorCode(err), "reading the header of the worker's response")
 		}
 		status := x.response.StatusCode()
 		switch {
 		case status >= 200 && status <= 599:
 			return nil
 		case status < 100 || status > 199 || status == fasthttp.StatusSwitchingProtocols:
-			return errs.New(errs.InvalidResponse, "no final status")
+			return errs.New(errs.InvalidResponse, "worker's response has the invalid status "+strconv.Itoa(status))
 		}
 	}
-	return errs.New(errs.InvalidResponse, "no final answer")
+	return errs.New(errs.InvalidResponse, "no final response within "+strconv.Itoa(maxInterimResponses)+" responses of the worker")
 }
 
-// readBody reads the body that belongs to the header.
+// readBody reads the body of the final response, whose header has been read.
 func (x *exchange) readBody(reader *bufio.Reader) error {
 	x.body = nil
 	header := &x.response.Header
-	// Values of ContentLength for a body without one.
+	// Values of ContentLength for a response without such a header.
 	const (
-		inChunks = -1
-		toTheEnd = -2 // up to the end of the connection
+		chunkedLength = -1
+		untilClose    = -2 // the body ends with the connection
 	)
 	length := header.ContentLength()
 	switch {
 	case HasNoBody(x.forward.Method, header.StatusCode()):
 		return nil
-	case length == inChunks:
+	case length == chunkedLength:
 		return x.readChunks(reader, header)
-	case length == toTheEnd && x.info.EndsAtClose:
+	case length == untilClose && x.info.EndsAtClose:
 		return x.readToClose(reader)
 	case length < 0 || length > x.maxBodyBytes:
-		return errs.New(errs.InvalidResponse, "no length, or too much")
+		return errs.New(errs.InvalidResponse, "worker's response has no Content-Length, or one above "+strconv.Itoa(x.maxBodyBytes))
 	}
-	return x.readMore(reader, length, length)
+	return x.appendBody(reader, length, length)
 }
 
-// readToClose reads a body that ends with its connection. It is complete if the worker closed the connection, and
-// truncated if the connection was reset or time ran out.
+// readToClose reads a body that ends with the connection. The body is complete if the worker closed the connection, and
+// truncated if the connection was reset or the deadline passed.
 func (x *exchange) readToClose(reader *bufio.Reader) error {
 	for {
 		_, err := reader.Peek(1)
@@ -148,47 +150,47 @@
 		case errors.Is(err, io.EOF):
 			return nil
 		case err != nil:
-			return errs.Wrap(err, transferErrorCode(err), "body to the end of the connection")
+			return errs.Wrap(err, transferErrorCode(err), "reading a response body up to the end of the connection")
 		case len(x.body)+reader.Buffered() > x.maxBodyBytes:
-			return errs.New(errs.InvalidResponse, "too much before the end of the connection")
+			return errs.New(errs.InvalidResponse, "response body up to the end of the connection exceeds "+strconv.Itoa(x.maxBodyBytes)+" bytes")
 		}
-		if err := x.readMore(reader, reader.Buffered(), x.maxBodyBytes); err != nil {
+		if err := x.appendBody(reader, reader.Buffered(), x.maxBodyBytes); err != nil {
 			return err
 		}
 	}
 }
 
-// readChunks reads a body in chunked encoding, with its trailer.
+// readChunks reads a body in chunked transfer coding, with its trailer (RFC 9112, section 7.1).
 func (x *exchange) readChunks(reader *bufio.Reader, header *fasthttp.ResponseHeader) error {
 	for {
 		line, err := reader.ReadSlice('\n')
 		if err != nil {
-			return errs.Wrap(err, transferErrorCode(err), "size of a chunk")
+			return errs.Wrap(err, transferErrorCode(err), "reading the size of a chunk")
 		}
 		// Chunk extensions are ignored.
 		digits, _, _ := bytes.Cut(bytes.TrimSuffix(bytes.TrimSuffix(line, []byte{'\n'}), []byte{'\r'}), []byte{';'})
 		size, err := strconv.ParseUint(string(bytes.TrimRight(digits, " \t")), 16, 31)
 		switch {
 		case err != nil || len(x.body)+int(size) > x.maxBodyBytes:
-			return errs.New(errs.InvalidResponse, "size of a chunk")
+			return errs.New(errs.InvalidResponse, "chunk size is invalid, or the response body exceeds "+strconv.Itoa(x.maxBodyBytes)+" bytes")
 		case size == 0:
 			err = header.ReadTrailer(reader)
-			return errs.Wrap(err, transferErrorCode(err), "end of chunks")
+			return errs.Wrap(err, transferErrorCode(err), "reading the trailer after the last chunk")
 		}
-		if err := x.readMore(reader, int(size), x.maxBodyBytes); err != nil {
+		if err := x.appendBody(reader, int(size), x.maxBodyBytes); err != nil {
 			return err
 		}
 		if end, err := reader.Peek(2); err != nil || end[0] != '\r' || end[1] != '\n' {
-			return errs.Wrap(errors.Join(err, io.ErrUnexpectedEOF), errs.InvalidResponse, "end of a chunk")
+			return errs.Wrap(errors.Join(err, io.ErrUnexpectedEOF), errs.InvalidResponse, "reading the line break after a chunk")
 		}
 		_, _ = reader.Discard(2) // cannot fail: Peek has buffered both bytes
 	}
 }
 
-// readMore reads length more bytes of a body of at most limit bytes. The buffer grows as bytes arrive, because an
-// announced length proves nothing. A large body first acquires its limit from bodyMemory, and waits, unread, while
-// the bodies of all workers together take up too much.
-func (x *exchange) readMore(reader *bufio.Reader, length, limit int) error {
+// appendBody reads length more bytes of a body of at most limit bytes. The buffer grows only as bytes arrive, because
+// the announced length is not trusted. A body that outgrows bodyChunkSize first acquires limit bytes from bodyMemory. It
+// waits for them, unread, while the bodies of all workers together use up that memory.
+func (x *exchange) appendBody(reader *bufio.Reader, length, limit int) error {
 	for target := len(x.body) + length; len(x.body) < target; {
 		if len(x.body) == cap(x.body) {
 			if cap(x.body) >= bodyChunkSize && x.reservedBytes == 0 {
@@ -196,7 +198,7 @@
 				err := x.bodyMemory.Acquire(waitCtx, int64(limit))
 				cancel()
 				if err != nil {
-					return errs.Wrap(err, errs.DeadlineExceeded, "room for a body")
+					return errs.Wrap(err, errs.DeadlineExceeded, "waiting for memory for a response body of up to "+strconv.Itoa(limit)+" bytes")
 				}
 				x.reservedBytes = int64(limit)
 			}
@@ -205,13 +207,13 @@
 		from, to := len(x.body), min(target, cap(x.body))
 		x.body = x.body[:to]
 		if _, err := io.ReadFull(reader, x.body[from:to]); err != nil {
-			return errs.Wrap(err, transferErrorCode(err), "body")
+			return errs.Wrap(err, transferErrorCode(err), "reading the response body")
 		}
 	}
 	return nil
 }
 
-// releaseMemory returns what the body acquired from bodyMemory.
+// releaseMemory returns the bytes that the body acquired from bodyMemory.
 func (x *exchange) releaseMemory() {
 	if x.reservedBytes > 0 {
 		x.bodyMemory.Release(x.reservedBytes)
@@ -219,8 +221,9 @@
 	}
 }
 
-// transferErrorCode returns why a request or response was not transferred completely: the time ran out, the
-// connection ended, or what arrived is no valid response.
+// transferErrorCode returns the code for a request or response that was not transferred completely:
+// errs.DeadlineExceeded if the time ran out, errs.WorkerConnectionLost if the connection ended, and errs.InvalidResponse
+// if the bytes that arrived are no valid response.
 func transferErrorCode(err error) errs.Code {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, fasthttp.ErrTimeout):
