--- a/internal/dispatch/worker_queue.go
+++ b/internal/dispatch/worker_queue.go
@@ -10,61 +10,64 @@
 	"meadowhinge/internal/errs"
 )
 
-// WorkerQueue queues the requests for one worker at the proxy beside it. That proxy is the only way to the worker,
-// so it knows how much work the worker has: it sends the worker no more than it can work on, keeps the rest in
-// order, and refuses at once what would be answered too late. A refused request was never sent to the worker.
+// WorkerQueue is the admission queue in front of one worker, held by the worker's proxy. All requests for the worker
+// pass through it, so the queue knows the worker's load. It sends the worker no more requests than it can work on, keeps
+// the rest in order, and refuses at once a request that would be answered too late. A refused request was never sent to
+// the worker.
 type WorkerQueue struct {
-	maxRunning int     // requests sent to the worker at once, whatever the worker reports
-	uplink     *Uplink // that responses leave by, nil if its bandwidth is not known
-
-	lock                sync.Mutex       // guards the fields below; may be taken while the lock of Workers or reservedAdmissions is held
-	slots               int              // requests that the worker works on at once, 0 for not reported
-	reducedLimit        int              // bound on running since the worker rejected a request, 0 for none
-	answersSinceReduced int              // answers since the bound last changed
-	running             int              // admitted and not released
-	lastProgressAt      time.Duration    // when a request was last admitted or released
-	waiting             []*QueuedRequest // in the order of goesBefore
-	closedReason        errs.Code        // refuses all requests, empty while the queue is open
-	overall             serviceTimeEstimate
-	byRoute             map[string]*serviceTimeEstimate
-	answerTransferTime  time.Duration // moving mean of the time that an answer takes on the uplink
+	maxRunning int     // upper bound on running requests, whatever the worker reports
+	uplink     *Uplink // link that responses are sent over; nil if its bandwidth is not known
+
+	// lock guards the fields below. It may be taken while the lock of Workers or of reservedAdmissions is held.
+	lock                sync.Mutex
+	slots               int                             // requests that the worker works on at once; 0 if not reported
+	reducedLimit        int                             // bound on running requests after the worker rejected one; 0 for no such bound
+	answersSinceReduced int                             // answers since reducedLimit last changed
+	running             int                             // requests admitted and not yet released
+	lastProgressAt      time.Duration                   // last admission or release of a request, on the process clock
+	waiting             []*QueuedRequest                // sorted by precedes
+	closedReason        errs.Code                       // code by which every request is refused; empty while the queue is open
+	overall             serviceTimeEstimate             // estimate for all requests
+	byRoute             map[string]*serviceTimeEstimate // estimates for the requests of each route
+	answerTransferTime  time.Duration                   // moving mean of the time to send one answer over the uplink; 0 if not known
 }
 
-// AdmissionRequest is a request that waits to be sent to the worker. Times are on the clock of the process.
+// AdmissionRequest is what the queue must know of a request to decide on it. Times are on the process clock.
 type AdmissionRequest struct {
 	Route    string
-	Priority uint32        // 0 is the highest
-	TargetAt time.Duration // latency target: an answer is worth most until then, 0 for none
-	Deadline time.Duration // an answer is worth nothing after it
+	Priority uint32        // 0 is the highest; larger numbers are lower priorities
+	TargetAt time.Duration // latency target: when the request should be answered; 0 for no target
+	Deadline time.Duration // an answer is useless afterwards
 }
 
 // Admission is the queue's decision on a request.
 type Admission struct {
-	Refusal    errs.Code     // empty: the request is admitted
-	RetryAfter time.Duration // when capacity is expected, from now; 0 for not known
+	Refusal    errs.Code     // code of the refusal; empty if the request is admitted
+	RetryAfter time.Duration // time after which capacity is expected; 0 if not known
 }
 
-// QueuedRequest is a request that waits for admission.
+// QueuedRequest is a request that waits for admission. Times are on the process clock.
 type QueuedRequest struct {
-	Admission   chan Admission // buffered, so that the queue never blocks on it
+	Admission   chan Admission // receives the decision; buffered, so that the queue never blocks on it
 	request     AdmissionRequest
-	arrivedAt   time.Duration
-	serviceTime time.Duration // that the request is expected to take
-	deviation   time.Duration // by which it may well take longer
-	latestStart time.Duration // when it must start to be answered in time
+	arrivedAt   time.Duration // start of the wait
+	serviceTime time.Duration // expected service time
+	deviation   time.Duration // mean deviation of the service time, added as a safety margin
+	latestStart time.Duration // latest start of the run for an answer in time
 }
 
-// cost is the worker's time that a request takes, weighted by its priority.
+// cost returns the worker's time that a request is expected to take, weighted by its priority.
 func (q *QueuedRequest) cost() float64 { return priorityCost(q.serviceTime, q.request.Priority) }
 
+// priorityCost returns a service time in nanoseconds, multiplied by priorityFactor for each step below priority 0.
 func priorityCost(serviceTime time.Duration, priority uint32) float64 {
 	return float64(serviceTime) * math.Pow(priorityFactor, float64(priority))
 }
 
-// goesBefore reports whether a request goes before another one. First is the one that costs less of the worker's
-// time for its priority: so as many as possible are served where not all can be, and a route that other work waits
-// for is not refused. Of the same route and priority, first is the one that must start earlier.
-func (q *QueuedRequest) goesBefore(other *QueuedRequest) bool {
+// precedes reports whether a request is admitted before another one. The request with the lower cost is. So as many
+// requests as possible are served when not all can be, and a cheap route that other work waits for is not refused. Of
+// two requests with the same route and priority, or the same cost, the one that must start earlier is admitted first.
+func (q *QueuedRequest) precedes(other *QueuedRequest) bool {
 	sameKind := q.request.Route == other.request.Route && q.request.Priority == other.request.Priority
 	if ownCost, otherCost := q.cost(), other.cost(); ownCost != otherCost && !sameKind {
 		return ownCost < otherCost
@@ -72,29 +75,30 @@
 	return q.latestStart <= other.latestStart
 }
 
-// Ratios of the queue.
+// Ratios and bounds of the queue. A divisor n stands for the fraction 1/n.
 const (
-	overlapDivisor        = 16   // besides one, this part of the slots is sent ahead, to hide the network's latency
-	averagingDivisor      = 8    // each answer moves a mean by this part
-	displaceDivisor       = 4    // after this part of the time to its target, a waiting request is not refused any more
-	increaseAfterFactor   = 2    // a reduced limit grows by one after this many answers for each request in it
-	unmeasuredQueueFactor = 2    // requests that may wait for each that runs, while service times are not known
-	shortRequestFactor    = 2    // a request is short if it takes this part of the mean
-	priorityFactor        = 2    // a priority is worth this many times the next lower one
-	fractionWindowFactor  = 32   // mean service times in the window over which a route's part of the worker's time is measured
-	maxPrecedingFraction  = 0.95 // upper bound on the part of the worker's time that goes to routes that precede
+	overlapDivisor        = 16   // one request, and 1/16 of the slots, are sent ahead to hide the network latency
+	averagingDivisor      = 8    // weight of one sample in the moving means is 1/8
+	displaceDivisor       = 4    // a request that has waited for over 1/4 of the time to its target is not displaced any more
+	increaseAfterFactor   = 2    // a reduced limit n grows by one after 2n answers
+	unmeasuredQueueFactor = 2    // while service times are not known, up to 2 requests may wait for each that may run
+	shortRequestFactor    = 2    // a request is short if it takes at most 1/2 of the mean service time
+	priorityFactor        = 2    // a cost counts twice as much at the next lower priority
+	fractionWindowFactor  = 32   // window, in mean service times, for the fraction of the worker's time that a route uses
+	maxPrecedingFraction  = 0.95 // upper bound on the fraction of the worker's time that preceding routes use
 	maxWaitNumerator      = 3    // a request waits for at most 3/8 of its time left, so that another worker can still serve it
 	maxWaitDenominator    = 8
-	maxRoutes             = 1024 // routes with an estimate of their own
+	maxRoutes             = 1024 // routes with records of their own, per worker
 )
 
-// NewWorkerQueue returns the queue of a worker that gets at most maxRunning requests at once and has reported the
-// given slots, 0 for not reported.
+// NewWorkerQueue returns the queue of a worker that gets at most maxRunning requests at once. slots is how many
+// requests the worker reports to work on at once, 0 if it does not report that.
 func NewWorkerQueue(maxRunning, slots int) *WorkerQueue {
 	return &WorkerQueue{maxRunning: maxRunning, slots: slots, byRoute: map[string]*serviceTimeEstimate{}}
 }
 
-// withUplink limits running requests by the bandwidth that their answers need. It is called before the queue is used.
+// withUplink also limits the running requests by the uplink's capacity for their answers. It must be called before the
+// queue is used, and returns the queue.
 func (q *WorkerQueue) withUplink(uplink *Uplink) *WorkerQueue {
 	q.uplink = uplink
 	return q
@@ -109,21 +113,21 @@
 	if q.reducedLimit > 0 {
 		limit = min(limit, q.reducedLimit)
 	}
-	// More answers than the uplink can send would only wait there, in no order of priority.
+	// Answers beyond the uplink's capacity would only wait in the kernel, without regard to priority.
 	if q.answerTransferTime > 0 && q.overall.known {
 		limit = min(limit, 1+int(q.uplinkBacklogTarget()/q.answerTransferTime))
 	}
 	return max(1, limit)
 }
 
-// uplinkBacklogTarget is how much of the uplink's time the answers under way may take: enough to keep it busy while
-// the next requests run. The caller holds the lock.
+// uplinkBacklogTarget returns how long the uplink may need for the answers of all running requests: enough to keep it
+// busy while the next requests run. The caller holds the lock.
 func (q *WorkerQueue) uplinkBacklogTarget() time.Duration {
 	return q.overall.mean + q.overall.mean/overlapDivisor
 }
 
-// hasCapacity reports whether one more request may run. The uplink's backlog counts against the answers, but one
-// request may always run, because its end admits the next. The caller holds the lock.
+// hasCapacity reports whether one more request may run. The uplink's backlog uses up capacity for answers. One request
+// may always run, because requests are admitted from the queue only when another one ends. The caller holds the lock.
 func (q *WorkerQueue) hasCapacity() bool {
 	switch {
 	case q.running == 0:
@@ -134,14 +138,14 @@
 	return q.answerTransferTime == 0 || q.uplink.Backlog()+time.Duration(q.running)*q.answerTransferTime <= q.uplinkBacklogTarget()
 }
 
-// expectedWait returns how long a request waits behind work that takes the worker so long. A worker that is full and
-// completes nothing is assumed to go on like this for as long as it has already. The caller holds the lock.
+// expectedWait returns how long a request is expected to wait behind requests whose service times add up to workAhead.
+// A worker that makes no progress is assumed to stay so for as long as it has been already. The caller holds the lock.
 func (q *WorkerQueue) expectedWait(now, workAhead time.Duration) time.Duration {
 	return max((q.overall.mean+workAhead)/time.Duration(q.limit()), now-q.lastProgressAt)
 }
 
-// expectedWaitBehind returns how long a request waits behind the work ahead, and behind requests of other routes that
-// arrive meanwhile and go before it. The caller holds the lock.
+// expectedWaitBehind returns how long a request is expected to wait behind workAhead, and behind requests of other
+// routes that arrive meanwhile and precede it. The caller holds the lock.
 func (q *WorkerQueue) expectedWaitBehind(now time.Duration, queued *QueuedRequest, workAhead time.Duration) time.Duration {
 	precedingFraction, cost := 0.0, queued.cost()
 	for route, estimate := range q.byRoute {
@@ -152,7 +156,7 @@
 	return time.Duration(float64(q.expectedWait(now, workAhead)) / (1 - min(precedingFraction, maxPrecedingFraction)))
 }
 
-// answerBy returns when a request should be answered.
+// answerBy returns when a request should be answered: at its latency target, or at its deadline if that is earlier.
 func (r *AdmissionRequest) answerBy() time.Duration {
 	if r.TargetAt != 0 {
 		return min(r.TargetAt, r.Deadline)
@@ -160,9 +164,9 @@
 	return r.Deadline
 }
 
-// lateness returns by how much a request would be answered too late after a wait, 0 or less for in time. A request
-// that is short compared to the others may use its whole deadline: refusing it would free little capacity. The caller
-// holds the lock.
+// lateness returns how long after the time it should be answered a request is expected to be answered, if it first waits
+// for the given time. 0 or less means in time. A short request has until its deadline, because refusing it would free
+// little capacity. The caller holds the lock.
 func (q *WorkerQueue) lateness(now time.Duration, queued *QueuedRequest, wait time.Duration) time.Duration {
 	answerBy := queued.request.answerBy()
 	if queued.serviceTime*shortRequestFactor <= q.overall.mean {
@@ -171,8 +175,12 @@
 	return now + wait + queued.serviceTime + queued.deviation + q.uplink.Backlog() - answerBy
 }
 
-// Admit admits a request, queues it, or refuses it. If it is queued, the decision comes over the returned
-// request's Admission, and the caller must [WorkerQueue.Wait] for it. Each admitted request must be released.
+// Admit admits a request, refuses it or queues it. If the request is queued, the second result is not nil, and the
+// caller must get the decision by [WorkerQueue.Wait]. Each admitted request must be passed to [WorkerQueue.Release].
+//
+// The code of a refusal is errs.DeadlineExceeded if the deadline has passed, and the code given to [WorkerQueue.Close]
+// once the queue is closed. Otherwise it is errs.QueueFull: the request would be late, the queue has no room while service
+// times are not known, or the worker is busy and reports no slots.
 func (q *WorkerQueue) Admit(now time.Duration, request AdmissionRequest) (Admission, *QueuedRequest) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -201,7 +209,7 @@
 	return Admission{}, queued
 }
 
-// newQueuedRequest returns a request with what its route's estimates say of it. The caller holds the lock.
+// newQueuedRequest returns a queued request with the estimates for its route. The caller holds the lock.
 func (q *WorkerQueue) newQueuedRequest(now time.Duration, request AdmissionRequest) *QueuedRequest {
 	queued := &QueuedRequest{request: request, arrivedAt: now}
 	queued.serviceTime, queued.deviation = q.expectedServiceTime(request.Route)
@@ -212,24 +220,25 @@
 	return queued
 }
 
-// position returns where a request goes in the queue, and the worker's time that the requests before it take. The caller
-// holds the lock.
+// position returns the index of a request in the queue, and the sum of the service times of the requests before it. The
+// caller holds the lock.
 func (q *WorkerQueue) position(queued *QueuedRequest) (position int, workAhead time.Duration) {
-	for position < len(q.waiting) && q.waiting[position].goesBefore(queued) {
+	for position < len(q.waiting) && q.waiting[position].precedes(queued) {
 		workAhead += q.waiting[position].serviceTime
 		position++
 	}
 	return position, workAhead
 }
 
-// refuseFull returns the refusal of a request that would be late. It may be sent again once its lateness, and the work
-// that is running, are over. The caller holds the lock.
+// refuseFull returns the refusal of a request that would be late by lateness. RetryAfter is that time, or the time
+// until a running request is expected to end if that is longer. The caller holds the lock.
 func (q *WorkerQueue) refuseFull(now, lateness time.Duration) Admission {
 	return Admission{Refusal: errs.QueueFull, RetryAfter: max(lateness, q.expectedWait(now, 0))}
 }
 
-// displace refuses the requests from an index on that would now be late, for as long as they have good prospects at
-// another worker: a request that has waited long is better served late than not at all. The caller holds the lock.
+// displace refuses the requests from an index on that would now be late and have time left to try another worker. A
+// request that has waited long is kept, because it is better served late than not at all. workAhead is the sum of the
+// service times of the requests before the index. The caller holds the lock.
 func (q *WorkerQueue) displace(now time.Duration, from int, workAhead time.Duration) {
 	retained := q.waiting[:from]
 	for _, queued := range q.waiting[from:] {
@@ -245,8 +254,8 @@
 	q.waiting = retained
 }
 
-// Remove removes a request that does not wait any more. It returns false if the request is not queued, because the
-// decision has been made: then the decision is in its Admission.
+// Remove removes a queued request, so that no decision on it will be made. It returns false if the decision has been
+// made already; the decision is then in the request's Admission channel.
 func (q *WorkerQueue) Remove(queued *QueuedRequest) bool {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -259,8 +268,9 @@
 	return false
 }
 
-// Wait waits for the decision on a queued request, but only for a part of the time left, so that another worker can
-// still serve the request in the rest.
+// Wait waits for the decision on a queued request, for at most maxWaitNumerator/maxWaitDenominator of the time left, so
+// that another worker can still serve the request. It then removes the request from the queue and refuses it with
+// errs.QueueFull. When ctx ends it refuses the request with the code of [contextErrorCode].
 func (q *WorkerQueue) Wait(ctx context.Context, queued *QueuedRequest, remaining time.Duration) Admission {
 	timer := time.NewTimer(remaining * maxWaitNumerator / maxWaitDenominator)
 	defer timer.Stop()
@@ -278,19 +288,19 @@
 	return <-queued.Admission
 }
 
-// RunResult is what became of a request that was admitted.
+// RunResult is the result of an admitted request, as far as the queue distinguishes results.
 type RunResult int
 
-// The results that the queue distinguishes.
+// Results of admitted requests.
 const (
-	ResultNotRun   RunResult = iota // it was not sent to the worker, or did not complete
-	ResultAnswered                  // it ran to its end
-	ResultRejected                  // the worker rejected it
-	ResultFailed                    // it ran, and its answer is a failure
+	ResultNotRun   RunResult = iota // the request was not sent to the worker, or got no valid answer
+	ResultAnswered                  // the worker answered, and not with a failure
+	ResultRejected                  // the worker rejected the request without running it
+	ResultFailed                    // the worker answered with a failure
 )
 
-// Release ends an admission after the time that it took, and admits the next requests. The route may be empty if the
-// result is ResultNotRun.
+// Release ends an admission and admits the next requests. took is the time since the request was admitted. route may be
+// empty if the result is ResultNotRun.
 func (q *WorkerQueue) Release(now time.Duration, route string, result RunResult, took time.Duration) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -298,7 +308,7 @@
 	q.lastProgressAt = now
 	switch result {
 	case ResultAnswered, ResultFailed:
-		// A quick failure says nothing of how long requests take: it would make a failing worker look fast.
+		// A quick failure does not count as a service time, because it would make a failing worker look fast.
 		if mean, _ := q.expectedServiceTime(route); result == ResultAnswered || took >= mean {
 			q.recordServiceTime(now, route, took)
 		}
@@ -309,8 +319,8 @@
 	q.admitNext(now)
 }
 
-// raiseReducedLimit lets one more request run after enough answers: since it rejected a request, the worker gets its
-// slots back one by one. The caller holds the lock.
+// raiseReducedLimit raises the reduced limit by one after enough answers, and lifts it once it exceeds the slots. So a
+// worker that rejected a request gets its slots back one by one. The caller holds the lock.
 func (q *WorkerQueue) raiseReducedLimit() {
 	q.answersSinceReduced++
 	if q.reducedLimit == 0 || q.answersSinceReduced < increaseAfterFactor*q.reducedLimit {
@@ -323,7 +333,7 @@
 	}
 }
 
-// RecordAnswerSize records how many bytes an answer had.
+// RecordAnswerSize records the size of an answer, from which the queue learns how much of the uplink answers need.
 func (q *WorkerQueue) RecordAnswerSize(bytes int) {
 	if transferTime := q.uplink.TransferTime(bytes); transferTime > 0 {
 		q.lock.Lock()
@@ -335,7 +345,8 @@
 	}
 }
 
-// admitNext admits requests from the head of the queue while there is capacity. The caller holds the lock.
+// admitNext admits requests from the head of the queue while there is capacity, and refuses those whose deadline has
+// passed. The caller holds the lock.
 func (q *WorkerQueue) admitNext(now time.Duration) {
 	for len(q.waiting) > 0 && q.hasCapacity() {
 		first := q.waiting[0]
@@ -351,7 +362,7 @@
 	}
 }
 
-// Close refuses all queued and all later requests, with the reason as code. Requests that are running go on.
+// Close refuses all queued and all later requests with the given code. Running requests are not affected.
 func (q *WorkerQueue) Close(reason errs.Code) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -362,7 +373,8 @@
 	q.waiting = nil
 }
 
-// SetSlots sets how many requests the worker works on at once, 0 for not reported.
+// SetSlots sets how many requests the worker works on at once, 0 if it does not report that, and admits the requests for
+// which there is now capacity.
 func (q *WorkerQueue) SetSlots(now time.Duration, slots int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -370,14 +382,15 @@
 	q.admitNext(now)
 }
 
-// ServiceTime returns the moving mean of the time that the worker takes for a request, 0 for not known.
+// ServiceTime returns the moving mean of the time that the worker takes for a request, 0 if none was measured yet.
 func (q *WorkerQueue) ServiceTime() time.Duration {
 	q.lock.Lock()
 	defer q.lock.Unlock()
 	return q.overall.mean
 }
 
-// Load returns how many requests are running and waiting, and how many the worker can work on at once.
+// Load returns how many requests are running and how many are waiting. slots is how many requests the worker may run at
+// once, 0 if the worker does not report slots.
 func (q *WorkerQueue) Load() (running, waiting, slots uint32) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -10,34 +10,37 @@
 	"meadowhinge/schema"
 )
 
-// workerState is what this process has seen of a worker. Times are on the clock of the process, in nanoseconds.
+// workerState is the health and load of one worker as this process has observed them. Times are on the process clock;
+// the atomic ones are in nanoseconds.
 type workerState struct {
-	inFlight            atomic.Int64 // calls from this process
-	consecutiveFailures atomic.Int64
-	ejectedUntil        atomic.Int64
-	fullUntil           atomic.Int64 // without capacity until then
-	lastResponseAt      atomic.Int64 // when its proxy last responded, or when the first of the calls in flight was sent
-	disowned            atomic.Bool  // its proxy does not know it any more, or it is draining: it never comes back
+	inFlight            atomic.Int64 // calls that this process has sent to the worker and that have not ended
+	consecutiveFailures atomic.Int64 // failures since the last success or ejection
+	ejectedUntil        atomic.Int64 // end of the last ejection; 0 if there was none
+	fullUntil           atomic.Int64 // expected end of a lack of capacity; 0 if there was none
+	lastResponseAt      atomic.Int64 // last response of the worker's proxy, or the start of the first call in flight if later
+	retired             atomic.Bool  // the worker's proxy refused calls because the worker is deregistered or draining
 
-	lock sync.Mutex // guards the fields below
-	// The calls of this process; those of all callers as the worker's proxy reported them; and those of all callers
-	// as this process saw them, where it is that proxy.
-	ownCalls, reportedCalls, localCalls callRecord
-	// The load that the worker's proxy last reported, less the calls of this process.
-	loadReportedAt   time.Duration
-	hasLoad          bool // a load was reported
-	slots            int
-	otherInFlight    float64       // calls of others, as of loadReportedAt
+	lock          sync.Mutex // guards the fields below
+	ownCalls      callRecord // calls of this process
+	reportedCalls callRecord // calls of all callers, as the worker's proxy reported them
+	localCalls    callRecord // calls of all callers, as this process ran them; empty unless it is the worker's proxy
+
+	loadReportedAt   time.Duration // time of the last response that reported the load
+	hasLoad          bool          // a response has reported the load
+	slots            int           // requests that the worker runs at once, as last reported
+	otherInFlight    float64       // running and waiting calls of other processes, at loadReportedAt
 	baselineInFlight float64       // moving mean of otherInFlight
-	serviceTime      time.Duration // as reported, or else as measured from here; 0 for not known
-	refusalRate      float64       // part of the recent calls that were refused for lack of capacity
-	// acceptance is by route, for routes of which the worker has refused calls recently.
+	// serviceTime is the moving mean of the reported service time, or of the measured response time if none is reported;
+	// 0 if neither is known.
+	serviceTime time.Duration
+	refusalRate float64 // fraction of the recent calls that were refused for lack of capacity
+	// acceptance counts offered and accepted calls by route, for routes of which the worker has refused calls.
 	acceptance map[string]*routeAcceptance
 }
 
 // recentCalls returns how many calls the worker had recently and how many of them failed, from the record with the most
-// calls: each caller's proxy alone sees few. Calls that are lost on the way to the worker's proxy are counted against
-// that proxy, see MarkUnreachable. The caller holds the lock.
+// calls, because a single caller's proxy sees only few of them. Calls that were lost on the way to the worker's proxy
+// are counted against that proxy, see MarkUnreachable. The caller holds the lock.
 func (s *workerState) recentCalls(now, window time.Duration) (calls, failed float64) {
 	calls, failed = s.ownCalls.decayed(now, window)
 	for _, other := range [2]*callRecord{&s.reportedCalls, &s.localCalls} {
@@ -48,7 +51,7 @@
 	return calls, failed
 }
 
-// observeLoad records the load that was reported with a response.
+// observeLoad records the load that a response reports. took is the time from sending the call to its response.
 func (s *workerState) observeLoad(now, took time.Duration, response *schema.ForwardResponse) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
@@ -56,7 +59,8 @@
 	if isCapacityRefusal(response) {
 		s.refusalRate += 1.0 / refusalAveragingDivisor
 	}
-	// The worker's proxy knows best how long the worker takes: what is measured here includes network and queue.
+	// The service time that the worker's proxy measured is preferred: the time measured here includes the network and
+	// the queue.
 	reported := time.Duration(response.ServiceTimeNanos)
 	if reported == 0 && response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 		reported = took
@@ -86,28 +90,28 @@
 
 // routeAcceptance counts how many calls of a route were recently offered to a worker, and how many it accepted.
 type routeAcceptance struct {
-	offered, accepted float64
-	updatedAt         time.Duration
+	offered, accepted float64       // decayed up to updatedAt
+	updatedAt         time.Duration // time of the last decay, on the process clock
 }
 
-// fade decays the counts to a moment, to 1/e in a window.
-func (a *routeAcceptance) fade(now, window time.Duration) {
+// decay decays both counts up to now, exponentially, to 1/e in each window.
+func (a *routeAcceptance) decay(now, window time.Duration) {
 	if now > a.updatedAt {
-		decay := math.Exp(-float64(now-a.updatedAt) / float64(window))
-		a.offered *= decay
-		a.accepted *= decay
+		factor := math.Exp(-float64(now-a.updatedAt) / float64(window))
+		a.offered *= factor
+		a.accepted *= factor
 		a.updatedAt = now
 	}
 }
 
-// estimateOtherLoad fills in the worker's slots and the calls of others there. Of the last response and the directory,
-// the later report counts. The older the report is, the more it gives way to the baseline, because the calls that it
-// counted are over by now. The caller holds the lock.
+// estimateOtherLoad sets the worker's slots and the estimated calls of other processes in stats. It uses the later one
+// of the last response's report and the directory's. As the report ages the estimate approaches the baseline, because
+// the calls that it counted have ended by then. The caller holds the lock.
 func (s *workerState) estimateOtherLoad(stats *plan.EndpointStats, worker *plan.Endpoint, now time.Duration) {
 	switch {
 	case !s.hasLoad && s.ownCalls.calls > 0:
-		// The worker's responses report no load, and the directory's report is older than most calls last: by it,
-		// all proxies would pick the same worker at once. Only the calls of this process are certain.
+		// The worker's responses report no load, and the directory's report is older than most calls last. If all
+		// proxies used it, all would pick the same worker at once. Only the calls of this process are certain.
 		stats.Slots, stats.OtherInFlight = 0, 0
 		return
 	case !s.hasLoad:
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -13,55 +13,58 @@
 	"meadowhinge/schema"
 )
 
-// localWorker is a worker beside this proxy. The lock of Workers guards description and lastHeartbeatAt; the other
-// fields do not change.
+// localWorker is one registration of a local worker. The lock of Workers guards description and lastHeartbeatAt. The
+// other fields do not change.
 type localWorker struct {
-	instance        string // the registration's id
-	address         string
+	instance        string // id of the registration
+	address         string // IP:port
 	description     WorkerDescription
-	lastHeartbeatAt time.Duration // on the clock of the process
-	livenessConn    net.Conn      // ends with the worker; nil if no such connection is held
+	lastHeartbeatAt time.Duration // arrival of the last heartbeat, on the process clock
+	livenessConn    net.Conn      // idle connection that ends when the worker does; nil if none is held
 	conns           *connPool
 	queue           *WorkerQueue
 }
 
-// Workers are the workers beside this proxy. Each registration has an instance of its own.
+// Workers holds the registrations of the local workers. Each registration has an instance id of its own.
 type Workers struct {
 	options    WorkersOptions
-	bodyMemory *semaphore.Weighted // in bytes, for large bodies of responses that are read at the same time
+	bodyMemory *semaphore.Weighted // memory in bytes for the large response bodies that are being read
 	onChange   func()              // called without the lock
 
-	lock            sync.Mutex              // guards the fields below; the locks of queues and connPools may be taken under it
-	byAddress       map[string]*localWorker // an address is one worker's at a time
-	byInstance      map[string]*localWorker
-	deregisteredIDs *RecentIDs // ids of workers that deregistered: they never come back
-	serial          uint64     // of the last registration
-	shuttingDown    bool       // this proxy itself is shutting down
+	// lock guards the fields below. The locks of queues and of connection pools may be taken while it is held.
+	lock            sync.Mutex
+	byAddress       map[string]*localWorker // keyed by address, which only one registration has at a time
+	byInstance      map[string]*localWorker // keyed by instance
+	deregisteredIDs *RecentIDs              // ids of workers that have deregistered and never return
+	serial          uint64                  // serial number of the last registration
+	shuttingDown    bool                    // this proxy itself is shutting down
 }
 
-// WorkersOptions bound what is retained of workers, and say how they are reached.
+// WorkersOptions configure [Workers].
 type WorkersOptions struct {
 	Proxy               string // name of this proxy
-	Incarnation         uint64 // of this proxy's process
-	Zone                string // of workers that do not report one
-	MaxMissedHeartbeats int64  // a worker that misses more is dropped
-	MaxWorkers          int
-	MaxConns            int     // requests sent to one worker at a time
-	MaxBodyBytes        int     // of a response
-	MaxBodyMemory       int     // bytes of large bodies that are read at the same time, 0 for a default
-	Uplink              *Uplink // that responses leave by, nil if its bandwidth is not known
-	Now                 func() time.Duration
-	Dial                func(address string) (net.Conn, error)
-	// NoLivenessConn: no connection is held to each worker to detect its end, for workers that close or count such
-	// connections.
+	Incarnation         uint64 // incarnation of this proxy, another one for each of its processes
+	Zone                string // zone of workers that report none
+	MaxMissedHeartbeats int64  // a worker that misses more heartbeats in a row is dropped
+	MaxWorkers          int    // maximum number of registrations
+	MaxConns            int    // maximum number of requests running on one worker
+	MaxBodyBytes        int    // maximum size of a response body
+	// MaxBodyMemory bounds the bytes of all large response bodies that are being read. 0 stands for the larger one of
+	// MaxBodyBytes and minBodyMemory.
+	MaxBodyMemory int
+	Uplink        *Uplink                                // link that responses are sent over; nil if its bandwidth is not known
+	Now           func() time.Duration                   // returns the process clock
+	Dial          func(address string) (net.Conn, error) // opens a connection to a worker
+	// NoLivenessConn turns off the idle connection that is held to each worker to detect its end. It is set for workers
+	// that close or count such connections.
 	NoLivenessConn bool
-	// DiscoveryGrace is the uptime until which this proxy may not know yet of workers that register under ids of
-	// their own.
+	// DiscoveryGrace is the uptime of this process up to which workers that register under ids of their own may not have
+	// registered yet. Until then, requests for unknown workers are refused with errs.ProxyWarmingUp.
 	DiscoveryGrace time.Duration
 }
 
-// NewWorkers returns an empty registry of workers. onChange is called after each change that other proxies should
-// see, without the lock, so that it may call methods of Workers.
+// NewWorkers returns an empty set of registrations. onChange is called after each change that other proxies should see,
+// without the lock, so that it may call methods of Workers.
 func NewWorkers(options WorkersOptions, onChange func()) *Workers {
 	if options.MaxBodyMemory == 0 {
 		options.MaxBodyMemory = max(options.MaxBodyBytes, minBodyMemory)
@@ -76,16 +79,16 @@
 	}
 }
 
-// Register applies a worker's description, which is its registration, its heartbeat and its deregistration in one.
-// It returns the instance under which the worker is registered, empty for one that deregistered. The error has the
-// code errs.QueueFull for too many workers, and errs.WorkerConnectFailed if the liveness connection fails.
+// Register applies a description from a worker: a registration, a heartbeat, or a deregistration. It returns the
+// instance under which the worker is registered, which is empty after a deregistration. The error has the code
+// errs.QueueFull if there are too many workers, and errs.WorkerConnectFailed if the liveness connection fails.
 func (w *Workers) Register(description WorkerDescription) (string, error) {
 	now := w.options.Now()
 	w.lock.Lock()
 	existing, sameWorker := w.match(&description)
 	switch {
 	case description.Deregistered:
-		// Only the worker itself may deregister; another one at its address may not.
+		// Only the worker itself may deregister, not another one at the same address.
 		if sameWorker {
 			w.remove(existing)
 		}
@@ -94,7 +97,7 @@
 			w.onChange()
 		}
 		return "", nil
-	// A late description of a worker that has deregistered changes nothing.
+	// A late description from a worker that has deregistered changes nothing.
 	case description.ID != "" && w.deregisteredIDs.Contains(description.ID):
 		w.lock.Unlock()
 		return description.ID, nil
@@ -114,17 +117,17 @@
 		w.onChange()
 	}
 	if full {
-		return "", errs.New(errs.QueueFull, "too many workers at this proxy")
+		return "", errs.New(errs.QueueFull, fmt.Sprintf("worker %s: this proxy has its maximum of %d workers", description.Address, w.options.MaxWorkers))
 	}
 	return w.registerNew(description, now)
 }
 
-// match finds the registration that a description is about, and reports whether it is the same worker's. The caller
-// holds the lock.
+// match returns the registration that a description concerns, nil if there is none, and reports whether it belongs to
+// the same worker. The caller holds the lock.
 func (w *Workers) match(description *WorkerDescription) (existing *localWorker, sameWorker bool) {
 	existing = w.byAddress[description.Address]
 	if description.ID != "" {
-		// A worker with an id of its own is found by it, whatever its address.
+		// A worker with an id of its own is found by that id, whatever its address.
 		byID := w.byInstance[description.ID]
 		if byID != nil && (description.Deregistered || description.Serial < byID.description.Serial || byID.address == description.Address) {
 			existing = byID
@@ -140,17 +143,17 @@
 	return existing, description.Deregistered || sameVersion
 }
 
-// descriptionChanges are the changes of a description that matter to others than the worker.
+// descriptionChanges are the differences between two descriptions of a worker that the queue or other proxies must know.
 type descriptionChanges struct {
-	draining     bool // the worker is draining now
-	slotsChanged bool
-	newSlots     uint32 // valid if slotsChanged
+	draining     bool   // the worker is draining now
+	slotsChanged bool   // the number of slots differs
+	newSlots     uint32 // number of slots; valid if slotsChanged
 	visible      bool   // other proxies should see the change
 }
 
-// refresh applies a heartbeat to a registration. The caller holds the lock of Workers.
+// refresh applies a heartbeat to a registration, and returns what changed. The caller holds the lock of Workers.
 func (l *localWorker) refresh(description WorkerDescription, now time.Duration) descriptionChanges {
-	// A worker that has reported that it is draining does not come back under the same token.
+	// A worker that has reported that it is draining remains so as long as its token is the same.
 	description.Draining = description.Draining || l.description.Draining
 	changes := descriptionChanges{
 		draining:     description.Draining,
@@ -162,9 +165,10 @@
 	return changes
 }
 
-// applyChanges brings a worker's queue up to date with its description. The caller does not hold the lock.
+// applyChanges updates a worker's queue after a heartbeat, and calls onChange if other proxies should see the change. The
+// caller does not hold the lock.
 func (w *Workers) applyChanges(worker *localWorker, changes descriptionChanges, now time.Duration) {
-	// Requests that still wait for a draining worker have better prospects elsewhere.
+	// Requests that still wait for a draining worker are better served by another one.
 	if changes.draining {
 		worker.queue.Close(errs.WorkerDraining)
 	}
@@ -176,8 +180,9 @@
 	}
 }
 
-// removeReplaced ends the registrations that a new one takes the place of: another worker's at its address, and its
-// own under another address. They end before anything else. The caller holds the lock.
+// removeReplaced removes the registrations that a new one replaces: another worker's at the same address, and the same
+// worker's at another address. They are removed before anything else is done, so that they get no more requests. The
+// caller holds the lock.
 func (w *Workers) removeReplaced(existing *localWorker, id string) (removed bool) {
 	if existing != nil {
 		w.remove(existing)
@@ -190,8 +195,7 @@
 	return removed
 }
 
-// registerNew registers a worker that was not registered, or as another one. The caller does not hold the lock, for
-// the liveness connection takes time.
+// registerNew adds a registration. The caller does not hold the lock, because opening the liveness connection takes time.
 func (w *Workers) registerNew(description WorkerDescription, now time.Duration) (string, error) {
 	var livenessConn net.Conn
 	if !w.options.NoLivenessConn {
@@ -211,8 +215,8 @@
 	return worker.instance, nil
 }
 
-// insert adds a registration, and ends those that were added under its address or id since the lock was released.
-// It returns nil if the worker has deregistered since.
+// insert adds a registration, and removes those that were added under its address or id since the caller released the
+// lock. It returns nil if the worker has deregistered since then.
 func (w *Workers) insert(description WorkerDescription, now time.Duration, livenessConn net.Conn) *localWorker {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -234,8 +238,8 @@
 	return worker
 }
 
-// newLocalWorker returns a worker under its own id, or under an instance that no other registration has. The caller
-// holds the lock.
+// newLocalWorker returns a registration under the worker's own id or, if it has none, under an id that no other
+// registration has. The caller holds the lock.
 func (w *Workers) newLocalWorker(description WorkerDescription, now time.Duration, livenessConn net.Conn) *localWorker {
 	instance := description.ID
 	if instance == "" {
@@ -252,9 +256,12 @@
 	}
 }
 
-// Restore registers a worker that an earlier incarnation of this proxy knew, until the worker's own description
-// arrives. If another worker has its address by now, that one refuses requests that are not meant for it. Any
-// description from the worker takes precedence, and a single missed heartbeat drops the worker.
+// Restore registers a worker that an earlier incarnation of this proxy knew, until the worker's own description arrives.
+// Any description from a worker takes precedence, and a single missed heartbeat drops the restored worker. If another
+// worker has taken over its address, that worker refuses requests that are not meant for it.
+//
+// Restore does nothing for a worker without an id of its own, for an invalid description, or if NoLivenessConn is not
+// set.
 func (w *Workers) Restore(description WorkerDescription) {
 	w.lock.Lock()
 	known := description.ID == "" ||
@@ -275,11 +282,11 @@
 	}
 }
 
-// watchLiveness waits for the end of a worker's liveness connection. The kernel closes it when the worker dies, long
-// before heartbeats are missed.
+// watchLiveness waits for the end of a worker's liveness connection, and then removes the registration. The kernel closes
+// the connection when the worker dies, long before heartbeats are missed.
 func (w *Workers) watchLiveness(worker *localWorker) {
 	buffer := make([]byte, 1)
-	_, _ = worker.livenessConn.Read(buffer) // whatever ends the read, the connection is of no more use
+	_, _ = worker.livenessConn.Read(buffer) // the worker is removed for any result of the read
 	w.lock.Lock()
 	current := w.byAddress[worker.address] == worker
 	if current {
@@ -291,7 +298,8 @@
 	}
 }
 
-// remove ends a registration. The caller holds the lock.
+// remove removes a registration, closes its connections and refuses its queued requests with errs.WrongInstance. The
+// caller holds the lock.
 func (w *Workers) remove(worker *localWorker) {
 	if w.byAddress[worker.address] == worker {
 		delete(w.byAddress, worker.address)
@@ -300,13 +308,13 @@
 		delete(w.byInstance, worker.instance)
 	}
 	if worker.livenessConn != nil {
-		_ = worker.livenessConn.Close() // nothing was written to it that could be lost
+		_ = worker.livenessConn.Close() // nothing was written to the connection, so an error loses nothing
 	}
 	worker.conns.close()
 	worker.queue.Close(errs.WrongInstance)
 }
 
-// DropUnresponsive drops the workers whose heartbeats are overdue.
+// DropUnresponsive removes the workers that have missed more than MaxMissedHeartbeats heartbeats.
 func (w *Workers) DropUnresponsive() {
 	now := w.options.Now()
 	removed := false
@@ -324,12 +332,12 @@
 	}
 }
 
-// remainingWarmup returns how long a worker is still in its slow start. The caller holds the lock.
+// remainingWarmup returns how much is left of a worker's slow start. The caller holds the lock.
 func (w *Workers) remainingWarmup(worker *localWorker) time.Duration {
 	return max(0, time.Duration(worker.description.WarmupMS)*time.Millisecond-(w.options.Now()-worker.lastHeartbeatAt))
 }
 
-// List returns what other proxies should know of the workers here, ordered by instance.
+// List returns the directory entries of the local workers, ordered by instance.
 func (w *Workers) List() []*schema.Worker {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -358,8 +366,8 @@
 	return workers
 }
 
-// find returns the registration that a request is meant for and the worker's token, or the code of the refusal, which
-// is empty if the worker is found.
+// find returns the registration that a request is meant for and the worker's token. If the request must be refused it
+// returns the code of the refusal instead, which is empty otherwise.
 func (w *Workers) find(request *schema.ForwardRequest) (*localWorker, string, errs.Code) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -375,8 +383,8 @@
 	return worker, worker.description.token(), ""
 }
 
-// Load returns how many requests a worker here runs, how many wait for it, how many slots it has and its service time;
-// all 0 for a worker that is not registered.
+// Load returns how many requests a local worker runs, how many wait for it, how many it may run at once, and its service
+// time. All are 0 for a worker that is not registered.
 func (w *Workers) Load(instance string) (running, waiting, slots uint32, serviceTime time.Duration) {
 	w.lock.Lock()
 	worker := w.byInstance[instance]
@@ -388,16 +396,16 @@
 	return running, waiting, slots, worker.queue.ServiceTime()
 }
 
-// removeDisowned ends a registration at whose address there is another worker, or none.
-func (w *Workers) removeDisowned(worker *localWorker) {
+// removeStale removes a registration at whose address another worker, or none, was found.
+func (w *Workers) removeStale(worker *localWorker) {
 	w.lock.Lock()
 	w.remove(worker)
 	w.lock.Unlock()
 	w.onChange()
 }
 
-// DrainAll reports every worker here as draining, because this proxy is shutting down. Requests that still arrive are
-// served, unless the worker itself has reported that it is draining.
+// DrainAll reports all local workers as draining, because this proxy is shutting down. Requests that still arrive are
+// served unless the worker itself has reported that it is draining.
 func (w *Workers) DrainAll() {
 	w.lock.Lock()
 	w.shuttingDown = true
