--- a/internal/dispatch/call_counter_test.go
+++ b/internal/dispatch/call_counter_test.go
@@ -11,8 +11,8 @@
 	"meadowhinge/schema"
 )
 
-// The number of lines does not grow with the number of revisions, and no call is lost or counted twice while others are
-// counted at the same time.
+// The number of counts does not grow with the number of revisions, and no call is lost or counted twice while Counts
+// folds old revisions concurrently.
 func TestCallCounterFoldsOldRevisions(t *testing.T) {
 	counter := NewCallCounter(1000)
 	result := func(revision uint64) *CallResult {
@@ -42,18 +42,18 @@
 		}
 	})
 	counting.Wait()
-	sum := func() (total uint64, lines int) {
-		for _, line := range counter.Counts(revisions) {
-			total += line.Calls
-			lines++
+	sum := func() (total uint64, counts int) {
+		for _, count := range counter.Counts(revisions) {
+			total += count.Calls
+			counts++
 		}
-		return total, lines
+		return total, counts
 	}
-	total, lines := sum()
+	total, counts := sum()
 	if total != goroutines*revisions*calls {
-		t.Errorf("counted %d calls of %d", total, goroutines*revisions*calls)
+		t.Errorf("Counts: got %d calls in all, want %d", total, goroutines*revisions*calls)
 	}
-	if lines > separateRevisions+2 {
-		t.Errorf("%d lines are left", lines)
+	if counts > separateRevisions+2 {
+		t.Errorf("Counts: got %d counts, want at most %d", counts, separateRevisions+2)
 	}
 }
--- a/internal/dispatch/disconnects_test.go
+++ b/internal/dispatch/disconnects_test.go
@@ -13,101 +13,102 @@
 	"meadowhinge/schema"
 )
 
-// A run that goes on after its caller has disconnected is counted as a violation, if it must end and had the time to.
+// A run that must end when its caller disconnects is counted as an overrun if it goes on for longer than maxOverrun and
+// the grace period.
 func TestOverrunsAreCounted(t *testing.T) {
 	const maxOverrun = 100 * time.Millisecond
 	for name, test := range map[string]struct {
-		limited bool
-		lasts   time.Duration // from the disconnect to the end of the run
-		want    uint64
+		mustStop bool
+		lasts    time.Duration // time from the disconnect to the end of the run; negative for no disconnect
+		want     uint64
 	}{
-		"ends at once":               {true, 0, 0},
-		"ends in time":               {true, maxOverrun, 0},
-		"ends within the grace":      {true, maxOverrun + maxOverrun/graceDivisor - 1, 0},
-		"goes on":                    {true, maxOverrun + maxOverrun/graceDivisor + 1, 1},
-		"may go on":                  {false, time.Hour, 0},
-		"its caller does not leave":  {true, -1, 0},
-		"goes on for a long time":    {true, time.Hour, 1},
-		"may go on, and ends soon":   {false, 1, 0},
-		"ends before it is too late": {true, maxOverrun / 2, 0},
+		"ends at once":                      {true, 0, 0},
+		"ends at the limit":                 {true, maxOverrun, 0},
+		"ends just within the grace period": {true, maxOverrun + maxOverrun/graceDivisor - 1, 0},
+		"ends just after the grace period":  {true, maxOverrun + maxOverrun/graceDivisor + 1, 1},
+		"need not stop, ends long after":    {false, time.Hour, 0},
+		"caller does not disconnect":        {true, -1, 0},
+		"ends long after the grace period":  {true, time.Hour, 1},
+		"need not stop, ends soon after":    {false, 1, 0},
+		"ends before the limit":             {true, maxOverrun / 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				startedAt, counts := time.Now(), &Disconnects{}
 				ctx, disconnect := context.WithCancel(t.Context())
 				defer disconnect()
-				caller := counts.watchCaller(ctx, test.limited, maxOverrun, func() time.Duration { return time.Since(startedAt) })
+				watch := counts.watchCaller(ctx, test.mustStop, maxOverrun, func() time.Duration { return time.Since(startedAt) })
 				time.Sleep(time.Second)
 				if test.lasts >= 0 {
 					disconnect()
 					synctest.Wait()
 					time.Sleep(test.lasts)
 				}
-				if _, disconnected := caller.finish(); disconnected != (test.lasts >= 0) {
-					t.Errorf("disconnected: %t", disconnected)
+				if _, disconnected := watch.finish(); disconnected != (test.lasts >= 0) {
+					t.Errorf("finish: got disconnected %t, want %t", disconnected, test.lasts >= 0)
 				}
 				time.Sleep(time.Hour)
 				if got := counts.Counts().Overrun; got != test.want {
-					t.Errorf("%d overruns counted, want %d", got, test.want)
+					t.Errorf("Counts().Overrun: got %d, want %d", got, test.want)
 				}
 			})
 		})
 	}
 }
 
-// A run ends when its context does: the worker sees its connection end, the call has the outcome of a disconnect, and
-// nothing counts against the worker. A non-idempotent run goes on.
-func TestRunsEndWithTheirCallers(t *testing.T) {
+// An idempotent run ends when its caller disconnects: the connection to the worker is closed, the outcome is unknown with
+// the code for a disconnect, and nothing counts against the worker. A non-idempotent run goes on.
+func TestIdempotentRunEndsAtDisconnect(t *testing.T) {
 	for name, test := range map[string]struct {
-		once   bool
-		ending schema.CallOutcome
-		kind   errs.Code
-		counts DisconnectCounts
+		nonIdempotent bool
+		wantOutcome   schema.CallOutcome
+		wantCode      errs.Code
+		wantCounts    DisconnectCounts
 	}{
-		"repeatable": {false, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected, DisconnectCounts{Propagated: 1, Canceled: 1}},
-		"once":       {true, schema.CallOutcome_CALL_OUTCOME_ANSWERED, "", DisconnectCounts{Propagated: 1, RanToEnd: 1}},
+		"idempotent":     {false, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected, DisconnectCounts{Propagated: 1, Canceled: 1}},
+		"non-idempotent": {true, schema.CallOutcome_CALL_OUTCOME_ANSWERED, "", DisconnectCounts{Propagated: 1, RanToEnd: 1}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newWorkerFixture(t)
-				s.runner.MaxOverrun, s.runner.Outliers = 100*time.Millisecond, NewOutlierDetector(1, time.Minute)
-				instance, worker := s.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
+				fixture := newWorkerFixture(t)
+				fixture.runner.MaxOverrun, fixture.runner.Outliers = 100*time.Millisecond, NewOutlierDetector(1, time.Minute)
+				instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 				worker.answer = func(string) string {
 					time.Sleep(500 * time.Millisecond)
 					return jsonAnswer(`{}`)
 				}
-				ctx, leave := context.WithCancel(t.Context())
-				time.AfterFunc(200*time.Millisecond, leave)
+				ctx, disconnect := context.WithCancel(t.Context())
+				time.AfterFunc(200*time.Millisecond, disconnect)
 				request := newForwardRequest("r1", instance)
-				request.NonIdempotent = test.once
+				request.NonIdempotent = test.nonIdempotent
 				startedAt := time.Now()
-				got := s.runner.Run(ctx, client, request)
-				if got.Outcome != test.ending || got.ErrorCode != string(test.kind) {
-					t.Errorf("ended %v with %q", got.Outcome, got.ErrorCode)
+				got := fixture.runner.Run(ctx, client, request)
+				if got.Outcome != test.wantOutcome || got.ErrorCode != string(test.wantCode) {
+					t.Errorf("Run(r1): got %v with code %q, want %v with code %q", got.Outcome, got.ErrorCode, test.wantOutcome, test.wantCode)
 				}
-				if !test.once && time.Since(startedAt) != 200*time.Millisecond {
-					t.Errorf("it ended after %v", time.Since(startedAt))
+				if !test.nonIdempotent && time.Since(startedAt) != 200*time.Millisecond {
+					t.Errorf("Run(r1): returned after %v, want 200ms, when the caller disconnects", time.Since(startedAt))
 				}
-				if counts := s.runner.Disconnects.Counts(); counts != test.counts {
-					t.Errorf("counted %+v", counts)
+				if counts := fixture.runner.Disconnects.Counts(); counts != test.wantCounts {
+					t.Errorf("Disconnects.Counts: got %+v, want %+v", counts, test.wantCounts)
 				}
-				if _, failed := s.runner.Outliers.RunCounts(instance, s.now()); failed != 0 {
-					t.Error("the call counts against its worker")
+				if _, failed := fixture.runner.Outliers.RunCounts(instance, fixture.now()); failed != 0 {
+					t.Errorf("RunCounts: got %d failed runs, want 0", failed)
 				}
-				if running, waiting, _, _ := s.workers.Load(instance); running+waiting != 0 {
-					t.Errorf("%d running, %d waiting", running, waiting)
+				if running, waiting, _, _ := fixture.workers.Load(instance); running+waiting != 0 {
+					t.Errorf("Load: got %d running and %d waiting requests, want 0 and 0", running, waiting)
 				}
-				// The next call has a connection of its own.
-				if next := s.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); next.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
-					t.Errorf("the next call ended %v with %q", next.Outcome, next.ErrorCode)
+				// The next request must not get the connection, nor the response, of the canceled one.
+				if next := fixture.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); next.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
+					t.Errorf("Run(r2): got %v with code %q, want CALL_OUTCOME_ANSWERED", next.Outcome, next.ErrorCode)
 				}
 			})
 		})
 	}
 }
 
-// A call that its caller's proxy gives up as its time ends has run out of time, and that counts against its worker.
-func TestGivenUpInTheEndIsNotCanceled(t *testing.T) {
+// A call that the caller's proxy gives up shortly before its deadline has run out of time. It does not count as canceled.
+func TestDisconnectAtDeadlineIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
 		fixture.runner.Outliers = NewOutlierDetector(1, time.Minute)
@@ -122,26 +123,26 @@
 		ctx, disconnect := context.WithCancel(t.Context())
 		time.AfterFunc(left-left/truncatedRunDivisor/2, disconnect)
 		if got := fixture.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(errs.DeadlineExceeded) {
-			t.Errorf("ended %v with %q", got.Outcome, got.ErrorCode)
+			t.Errorf("Run: got %v with code %q, want CALL_OUTCOME_UNKNOWN with code %q", got.Outcome, got.ErrorCode, errs.DeadlineExceeded)
 		}
 	})
 }
 
-// On the caller's side a canceled call ends at once, is tried nowhere else, and is no failure of the worker or of its
-// version. A call under an idempotency key is not canceled.
-func TestCarryingEndsWithTheCaller(t *testing.T) {
+// When the caller disconnects, Forward ends at once, makes no further attempt, and does not count a failure of the worker
+// or of its version. A call with an idempotency key is not canceled.
+func TestForwardEndsAtDisconnect(t *testing.T) {
 	for name, test := range map[string]struct {
-		route, key string
-		ending     schema.CallOutcome
-		kind       errs.Code
+		route, key  string
+		wantOutcome schema.CallOutcome
+		wantCode    errs.Code
 	}{
-		"repeatable":  {`"class":"repeatable"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected},
-		"once":        {`"class":"once"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected},
-		"under a key": {`"class":"once"`, "k", schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"idempotent":           {`"class":"repeatable"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected},
+		"non-idempotent":       {`"class":"once"`, "", schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.CallerDisconnected},
+		"with idempotency key": {`"class":"once"`, "k", schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				answersAfter := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+				answerAfterOneSecond := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 					select {
 					case <-ctx.Done():
 						return nil, ctx.Err()
@@ -149,7 +150,7 @@
 						return answering(ctx, request)
 					}
 				}
-				forwarder := newScriptedForwarder(t, 3, test.route, 9, answersAfter)
+				forwarder := newScriptedForwarder(t, 3, test.route, 9, answerAfterOneSecond)
 				forwarder.ReserveKey = func(context.Context, *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 					return session.ReservationGranted, nil
 				}
@@ -159,55 +160,57 @@
 				call.Request.IdempotencyKey = test.key
 				startedAt := time.Now()
 				result := forwarder.Forward(ctx, call)
-				if result.Response.Outcome != test.ending || result.Response.ErrorCode != string(test.kind) || len(forwarder.sent) != 1 {
-					t.Errorf("ended %v with %q after %d attempts", result.Response.Outcome, result.Response.ErrorCode, len(forwarder.sent))
+				if result.Response.Outcome != test.wantOutcome || result.Response.ErrorCode != string(test.wantCode) || len(forwarder.sent) != 1 {
+					t.Errorf("Forward: got %v with code %q after %d attempts, want %v with code %q after 1 attempt",
+						result.Response.Outcome, result.Response.ErrorCode, len(forwarder.sent), test.wantOutcome, test.wantCode)
 				}
 				if test.key == "" && time.Since(startedAt) != 300*time.Millisecond {
-					t.Errorf("it ended after %v", time.Since(startedAt))
+					t.Errorf("Forward: returned after %v, want 300ms, when the caller disconnects", time.Since(startedAt))
 				}
 				for _, count := range forwarder.Counter.Counts(1) {
 					if count.Failures != 0 {
-						t.Errorf("counted as a failure: %v", count)
+						t.Errorf("Counter.Counts: got %v, want no failures", count)
 					}
 					if test.key == "" && count.Outcome != outcomeCanceled {
-						t.Errorf("counted as %q", count.Outcome)
+						t.Errorf("Counter.Counts: got the outcome %q, want %q", count.Outcome, outcomeCanceled)
 					}
 				}
 				stats := forwarder.Outliers.Stats(&plan.Endpoint{Instance: forwarder.sent[0]}, forwarder.Now())
 				if stats.InFlight != 0 || stats.RecentFailures != 0 || stats.Ejected {
-					t.Errorf("the worker has %+v", stats)
+					t.Errorf("Stats: got %+v, want no call in flight, no failures and no ejection", stats)
 				}
 			})
 		})
 	}
 }
 
-// The cancellation of a call before it was sent proves that nothing ran, whatever the call was waiting for.
-func TestCanceledBeforeItIsSent(t *testing.T) {
+// A request whose caller disconnects before the request is sent has the outcome "not executed", and does not run.
+func TestDisconnectBeforeSendRunsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
 		instance, _ := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 		ctx, disconnect := context.WithCancel(t.Context())
 		disconnect()
-		for _, once := range []bool{false, true} {
-			request := newForwardRequest("r-"+map[bool]string{true: "once"}[once], instance)
-			request.NonIdempotent = once
+		for _, nonIdempotent := range []bool{false, true} {
+			request := newForwardRequest("r-"+map[bool]string{true: "once"}[nonIdempotent], instance)
+			request.NonIdempotent = nonIdempotent
 			if got := fixture.runner.Run(ctx, client, request); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(errs.CallerDisconnected) {
-				t.Errorf("once %t: ended %v with %q", once, got.Outcome, got.ErrorCode)
+				t.Errorf("Run with non-idempotent %t: got %v with code %q, want CALL_OUTCOME_NOT_EXECUTED with code %q",
+					nonIdempotent, got.Outcome, got.ErrorCode, errs.CallerDisconnected)
 			}
 		}
 		if runs := fixture.recordedRuns(); len(runs) > 0 {
-			t.Errorf("it ran: %v", runs)
+			t.Errorf("after the disconnect: got runs %v, want none", runs)
 		}
 		if !errors.Is(ctx.Err(), context.Canceled) || contextErrorCode(ctx) != errs.CallerDisconnected {
-			t.Error("a caller's disconnect has another code")
+			t.Errorf("contextErrorCode after %v: got %q, want %q after context.Canceled", ctx.Err(), contextErrorCode(ctx), errs.CallerDisconnected)
 		}
 	})
 }
 
-// A caller disconnects at the very moment of its answer. Whichever comes first, the next call on the same worker gets its own
-// answer, and no connection is reused that a call was interrupted on.
-func TestDisconnectsCrossAnswers(t *testing.T) {
+// A caller disconnects at the same moment as its answer arrives. Whichever comes first, the next request to the worker
+// gets its own answer, so no connection is reused on which a request was interrupted.
+func TestDisconnectWhileAnswerArrives(t *testing.T) {
 	const rounds, took = 300, 100 * time.Millisecond
 	outcomes := map[schema.CallOutcome]int{}
 	for range rounds {
@@ -225,15 +228,15 @@
 			got := fixture.runner.Run(ctx, client, first)
 			outcomes[got.Outcome]++
 			if got.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && string(got.Body) != `{"request":"r1"}` {
-				t.Errorf("the first got %q", got.Body)
+				t.Errorf("Run(r1): got the body %q, want that of r1", got.Body)
 			}
 			if got = fixture.runner.Run(t.Context(), client, second); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || string(got.Body) != `{"request":"r2"}` {
-				t.Errorf("the second ended %v with %q: %q", got.Outcome, got.ErrorCode, got.Body)
+				t.Errorf("Run(r2): got %v with code %q and body %q, want an answer with the body of r2", got.Outcome, got.ErrorCode, got.Body)
 			}
 			if counts := fixture.runner.Disconnects.Counts(); counts.Violations() > 0 {
-				t.Errorf("counted %+v", counts)
+				t.Errorf("Disconnects.Counts: got %+v, want no violations", counts)
 			}
 		})
 	}
-	t.Logf("the first ended %v", outcomes)
+	t.Logf("outcomes of the first request: %v", outcomes)
 }
--- a/internal/dispatch/endpoint_sim_test.go
+++ b/internal/dispatch/endpoint_sim_test.go
@@ -14,41 +14,41 @@
 	"meadowhinge/schema"
 )
 
-// This file simulates a service under load on a virtual clock: proxies in three zones pick endpoints for its calls, each by what it
-// has seen itself and by a directory that lags. Workers differ in speed.
+// This file simulates a service under load on a virtual clock. Proxies in three zones pick endpoints for its calls, each
+// from its own observations and from a directory that lags behind. Workers differ in speed.
 
-// queuedCall is one call on its way.
-type queuedCall struct {
-	proxy     int // proxy
-	startedAt time.Duration
-	work      time.Duration
-	sentAt    time.Duration
-	worker    int
-	attempts  int
-	order     []int
+// simCall is one call in the simulation.
+type simCall struct {
+	proxy     int           // index of the caller's proxy
+	startedAt time.Duration // arrival of the call at the proxy
+	work      time.Duration // service time at a worker of speed 1
+	sentAt    time.Duration // start of the last attempt
+	worker    int           // index of the worker of the last attempt
+	attempts  int           // attempts so far
+	order     []int         // indexes of the workers to try, in order; nil until they are picked
 }
 
 // simWorker is a worker with its queue.
 type simWorker struct {
 	zone        int
-	speed       float64
-	slots       int
+	speed       float64 // calls take their work divided by speed
+	slots       int     // calls that run at once
 	running     int
-	queue       []*queuedCall
-	serviceTime time.Duration
-	slowUntil   time.Duration
-	failing     float64 // fraction of its calls that fail
+	queue       []*simCall
+	serviceTime time.Duration // moving mean, as reported
+	slowUntil   time.Duration // end of the time in which calls take twice as long
+	failing     float64       // fraction of its calls that fail
 	calls       callRecord
 }
 
-// simEvent is something that happens at a moment; seq orders events of the same moment.
+// simEvent is an event of the simulation. seq orders events of the same time.
 type simEvent struct {
 	at  time.Duration
 	run func()
 	seq int
 }
 
-// simEvents is a heap of events, the next one first.
+// simEvents is a heap of events with the next one on top.
 type simEvents []simEvent
 
 func (e simEvents) Len() int { return len(e) }
@@ -70,63 +70,70 @@
 
 // simOptions describe a fleet, its traffic and its faults.
 type simOptions struct {
-	zones         []int     // workers in each zone
-	shares        []float64 // fraction of the traffic that comes from each zone
-	speeds        []float64
-	utilization   float64 // of the capacity of all workers
-	pick          func(w *simWorld, from int) []int
-	length        time.Duration
-	seed          uint64
-	restarted     int     // workers that restart in the middle, and are slow for a while
-	swing         float64 // amplitude of the traffic, as a fraction of it
-	times         int     // multiple of the default number of proxies, and of the default duration of calls
-	noLoadReports bool    // responses report no load
-	failingEvery  int     // every failingEvery-th worker fails, 0 for none
-	failing       float64 // fraction of its calls, each in a tenth of the time
-	judgedBy      string  // strategy by which workers are judged, empty for the detector's own
+	zones         []int                             // number of workers in each zone
+	shares        []float64                         // fraction of the traffic that comes from each zone
+	speeds        []float64                         // speeds of the workers, repeated in order
+	utilization   float64                           // traffic as a fraction of the capacity of all workers
+	pick          func(w *simWorld, from int) []int // returns the workers to try for a call at proxy from, in order
+	length        time.Duration                     // simulated time, including the warm-up
+	seed          uint64                            // seed of the random numbers
+	restarted     int                               // workers that restart halfway, and are then slow for 3 s
+	swing         float64                           // amplitude of the traffic's oscillation, as a fraction of its mean
+	times         int                               // multiple of the default number of proxies, call duration and latency target; 0 for 1
+	noLoadReports bool                              // responses report no load
+	failingEvery  int                               // every failingEvery-th worker fails; 0 for none
+	failing       float64                           // fraction of a failing worker's calls that fail, in a tenth of their time
+	detection     string                            // strategy of outlier detection; empty for the detector's own
 }
 
-// simWorld is a simulation under way, and its counts since the end of its warm-up.
+// simWorld is the state of a simulation, with the counts since the end of its warm-up.
 type simWorld struct {
 	simOptions
 	now           time.Duration
 	events        simEvents
-	seq           int
+	seq           int // sequence number of the last event
 	random        *rand.Rand
 	workers       []*simWorker
-	detectors     []*OutlierDetector
-	views         []*plan.View
+	detectors     []*OutlierDetector // one for each proxy
+	views         []*plan.View       // one for each proxy
 	latencyTarget time.Duration
 
-	calls, late, crossed, refused, lost, failed int
-	zoneCrossed                                 [3][]int // calls that crossed, by zone of origin and second
-	byWorker                                    []int
+	calls       int      // calls that ended
+	late        int      // calls that were not served by the latency target
+	crossed     int      // calls whose last attempt was in another zone
+	refused     int      // refusals for lack of capacity, warm-up included
+	lost        int      // calls that no worker served
+	failed      int      // failure responses
+	zoneCrossed [3][]int // crossed calls by zone of origin and second
+	byWorker    []int    // calls by worker of the last attempt
 }
 
+// Defaults of the simulation.
 const (
-	simProxies       = 15
-	simSlots         = 18
-	simWork          = 160 * time.Millisecond
+	simProxies       = 15                     // proxies in all zones together
+	simSlots         = 18                     // slots of each worker
+	simWork          = 160 * time.Millisecond // mean service time at speed 1
 	simLatencyTarget = 500 * time.Millisecond
-	simWarmup        = 5 * time.Second
+	simWarmup        = 5 * time.Second // time before counting begins
 	simEjection      = 5 * time.Second
 )
 
-// proxies returns how many proxies there are.
+// proxies returns the number of proxies.
 func (o *simOptions) proxies() int { return simProxies * max(1, o.times) }
 
-// work returns how long a call takes in the mean, at speed 1.
+// work returns the mean service time at speed 1.
 func (o *simOptions) work() time.Duration { return simWork * time.Duration(max(1, o.times)) }
 
-// after schedules an event.
+// after schedules an event after a span of time.
 func (w *simWorld) after(span time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.events, simEvent{w.now + span, run, w.seq})
 }
 
+// zoneOf returns the zone of a proxy.
 func zoneOf(proxy int) int { return proxy % 3 }
 
-// simulate runs a simulation to its end.
+// simulate runs a simulation to its end and returns its final state.
 func simulate(options simOptions) *simWorld {
 	w := &simWorld{simOptions: options, random: rand.New(rand.NewPCG(options.seed, 1)), latencyTarget: simLatencyTarget * time.Duration(max(1, options.times))}
 	for zone, count := range options.zones {
@@ -174,7 +181,7 @@
 		rate := options.utilization * capacity * options.shares[zone]
 		var arrive func()
 		arrive = func() {
-			// The traffic of each zone swings at its own phase.
+			// The traffic of each zone oscillates with a phase of its own, every 11 s.
 			currentRate := rate * (1 + options.swing*math.Sin(2*math.Pi*(w.now.Seconds()/11+float64(zone)/3)))
 			w.after(time.Duration(w.random.ExpFloat64()/currentRate*1e9), arrive)
 			w.startCall(zone + 3*w.random.IntN(options.proxies()/3))
@@ -196,16 +203,17 @@
 	return w
 }
 
-// startCall starts a call at a proxy. The duration is distributed log-normally.
+// startCall starts a call at a proxy. The work of calls is distributed log-normally, up to six times its mean.
 func (w *simWorld) startCall(from int) {
 	const spread = 0.8
 	work := math.Exp(w.random.NormFloat64()*spread-spread*spread/2) * float64(w.work())
-	call := &queuedCall{proxy: from, startedAt: w.now, work: time.Duration(min(work, 6*float64(w.work())))}
+	call := &simCall{proxy: from, startedAt: w.now, work: time.Duration(min(work, 6*float64(w.work())))}
 	w.send(call)
 }
 
-// send makes the next attempt of a call.
-func (w *simWorld) send(call *queuedCall) {
+// send makes the next attempt of a call. It ends the call after four attempts, after the latency target, or if no worker is
+// left to try.
+func (w *simWorld) send(call *simCall) {
 	if call.attempts >= 4 || w.now-call.startedAt > w.latencyTarget {
 		w.end(call, false)
 		return
@@ -228,8 +236,8 @@
 	w.after(latency, func() { w.arrive(call, latency) })
 }
 
-// arrive queues a call at a worker, or refuses it where its answer would be late.
-func (w *simWorld) arrive(call *queuedCall, latency time.Duration) {
+// arrive queues a call at its worker, or refuses it if the answer would be late.
+func (w *simWorld) arrive(call *simCall, latency time.Duration) {
 	worker := w.workers[call.worker]
 	if wait := float64(len(worker.queue)+1) * float64(worker.serviceTime) / float64(worker.slots); worker.running >= worker.slots && wait > float64(w.latencyTarget) {
 		w.refused++
@@ -245,7 +253,7 @@
 	w.begin(worker, latency)
 }
 
-// fillLoad reports a worker's load and record in a response.
+// fillLoad sets a worker's load and run counts in a response.
 func (w *simWorld) fillLoad(worker *simWorker, response *schema.ForwardResponse) {
 	if w.noLoadReports {
 		return
@@ -254,7 +262,7 @@
 	response.Queued = uint32(len(worker.queue))
 	response.Slots = uint32(worker.slots)
 	response.ServiceTimeNanos = int64(worker.serviceTime)
-	if ran, failed := worker.calls.decayed(w.now, simEjection); w.judgedBy == "" && math.Round(failed) > 0 {
+	if ran, failed := worker.calls.decayed(w.now, simEjection); w.detection == "" && math.Round(failed) > 0 {
 		response.RecentRuns, response.RecentFailures = uint32(math.Round(ran)), uint32(math.Round(failed))
 	}
 }
@@ -272,7 +280,7 @@
 		status, measured := int32(200), true
 		if worker.failing > 0 && w.random.Float64() < worker.failing {
 			status, took = 500, took/10
-			measured = w.judgedBy != "" || took >= worker.serviceTime
+			measured = w.detection != "" || took >= worker.serviceTime
 		}
 		w.after(took, func() {
 			worker.running--
@@ -298,7 +306,7 @@
 }
 
 // end counts a call that is over.
-func (w *simWorld) end(call *queuedCall, served bool) {
+func (w *simWorld) end(call *simCall, served bool) {
 	if w.now < simWarmup {
 		return
 	}
@@ -322,14 +330,17 @@
 	}
 }
 
+// lateFraction returns the fraction of the calls that were late.
 func (w *simWorld) lateFraction() float64 { return float64(w.late) / float64(w.calls) }
 
+// crossedFraction returns the fraction of the calls whose last attempt was in another zone.
 func (w *simWorld) crossedFraction() float64 { return float64(w.crossed) / float64(w.calls) }
 
-// cost weighs what a call loses by being late, and by its bytes between zones.
+// cost returns the mean cost of a call: 0.7 for being late, and 0.2 for its bytes between zones.
 func (w *simWorld) cost() float64 { return 0.7*w.lateFraction() + 0.2*w.crossedFraction() }
 
-// simPickers are the strategies of picking endpoints that are compared. Each returns indexes of workers, in order.
+// simPickers are the strategies of picking endpoints that are compared. Each returns the indexes of the workers to try for
+// a call at proxy from, in order.
 var simPickers = map[string]func(w *simWorld, from int) []int{
 	"planned": func(w *simWorld, from int) []int {
 		options := plan.Options{Zone: fmt.Sprint("z", zoneOf(from)), MaxDeadline: time.Minute}
@@ -340,7 +351,7 @@
 			Header:   func(string) (string, bool) { return "", false },
 			Identity: "i",
 		}
-		local := judgedState{LocalState{w.detectors[from], nil}, w.judgedBy}
+		local := detectionState{LocalState{w.detectors[from], nil}, w.detection}
 		callPlan, err := plan.Make(w.views[from], request, options, local, w.now, w.random.Float64)
 		if err != nil {
 			panic(err)
@@ -357,15 +368,15 @@
 	},
 	"random": func(w *simWorld, _ int) []int { return w.random.Perm(len(w.workers)) },
 	"own zone": func(w *simWorld, from int) []int {
-		return slices.DeleteFunc(w.random.Perm(len(w.workers)), func(at int) bool { return w.workers[at].zone != zoneOf(from) })
+		return slices.DeleteFunc(w.random.Perm(len(w.workers)), func(index int) bool { return w.workers[index].zone != zoneOf(from) })
 	},
 	"least in flight": func(w *simWorld, from int) []int {
 		order := w.random.Perm(len(w.workers))
 		slices.SortStableFunc(order, func(a, b int) int {
-			seen := func(at int) int {
-				return w.detectors[from].Stats(&plan.Endpoint{Instance: fmt.Sprint("w", at)}, w.now).InFlight
+			inFlight := func(index int) int {
+				return w.detectors[from].Stats(&plan.Endpoint{Instance: fmt.Sprint("w", index)}, w.now).InFlight
 			}
-			return seen(a) - seen(b)
+			return inFlight(a) - inFlight(b)
 		})
 		return order
 	},
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -13,52 +13,59 @@
 	"meadowhinge/schema"
 )
 
-// scriptedForwarder is a forwarder whose attempts end as a script says, one after the other.
+// scriptedForwarder is a forwarder whose attempts get the responses of a script, one after the other.
 type scriptedForwarder struct {
 	*Forwarder
-	sent   []string // instances, in the order of the attempts
-	waited int      // how often the call waited for an update
+	sent   []string // instances of the attempts, in order
+	waited int      // number of waits for an update of the view
 }
 
-// attemptScript decides how an attempt ends.
+// attemptScript returns the result of one attempt.
 type attemptScript func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
-// refusing proves that nothing ran; reachedWorker says that the worker itself refused.
+// refusing returns a script that refuses the request, which proves that nothing ran. reachedWorker reports that the
+// worker itself refused.
 func refusing(code errs.Code, retryAfter time.Duration, reachedWorker bool) attemptScript {
 	return func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), RetryAfterNanos: int64(retryAfter), ReachedWorker: reachedWorker}, nil
 	}
 }
 
+// failing answers with a failure.
 func failing(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500}, nil
 }
 
-// failingOf fails, and reports how many recent calls the worker ran and how many of them failed.
+// failingOf returns a script that answers with a failure, and reports how many recent calls the worker ran and how many
+// of them failed.
 func failingOf(ran, failed uint32) attemptScript {
 	return func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500, Slots: 9, RecentRuns: ran, RecentFailures: failed}, nil
 	}
 }
 
+// answering answers with success.
 func answering(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}, nil
 }
 
+// breaking loses the connection after the request was sent, so that the worker may have run it.
 func breaking(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	return nil, errs.New(errs.PeerConnectionLost, "connection reset")
 }
 
+// unopened fails to open a connection, so that nothing was sent.
 func unopened(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	return nil, errs.New(errs.PeerConnectFailed, "connection refused")
 }
 
+// hanging sends no response until ctx ends.
 func hanging(ctx context.Context, _ *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-// newScriptedCall returns a call that the route of a scripted forwarder takes.
+// newScriptedCall returns a call that matches the route of a scripted forwarder.
 func newScriptedCall() *Call {
 	return &Call{Target: "/a", Request: plan.Request{
 		Caller: "client",
@@ -68,8 +75,8 @@
 	}}
 }
 
-// newScriptedForwarder returns a forwarder with one service, a number of workers, and a route to it. Route is a part of the
-// route's configuration; after the end of the script its last entry repeats.
+// newScriptedForwarder returns a forwarder with one service, a number of workers for it, and a route to it. route is a
+// part of the route's configuration, floor the retry floor. After the end of the script its last entry repeats.
 func newScriptedForwarder(tb testing.TB, workers int, route string, floor float64, script ...attemptScript) *scriptedForwarder {
 	tb.Helper()
 	item := func(kind, name, body string) *schema.Item {
@@ -79,7 +86,7 @@
 		item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+route+`}`)})
 	compiled, faults := config.Compile(state, 1)
 	if len(faults) > 0 {
-		tb.Fatal(faults)
+		tb.Fatalf("config.Compile with the route %s: got faults %v, want none", route, faults)
 	}
 	view := &plan.View{Config: compiled, Directory: plan.Directory{"shop": {"1": {}}}}
 	for i := range workers {
@@ -118,39 +125,39 @@
 	return scripted
 }
 
-// Looking for a first worker is free; each further worker is charged to the retry budget, and a non-idempotent request
-// goes to no other worker after it may have run.
-func TestNextCandidate(t *testing.T) {
+// Attempts that reach no worker are free. Each attempt after one that reached a worker is charged to the retry budget. A
+// non-idempotent request is not sent again once it may have run. No instance gets two attempts.
+func TestRetryAtNextCandidate(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
 	full := refusing(errs.QueueFull, 0, false)
 	wait := refusing(errs.QueueFull, 9*time.Millisecond, false)
 	rejected := refusing(errs.QueueFull, 0, true)
 	for name, test := range map[string]struct {
-		route  string
-		floor  float64
-		script []attemptScript
-		sent   int
-		ending schema.CallOutcome
-		code   errs.Code
+		route       string
+		floor       float64
+		script      []attemptScript
+		wantSent    int
+		wantOutcome schema.CallOutcome
+		wantCode    errs.Code // any if empty
 	}{
 		"refused by proxies, then answered":           {once, 0, []attemptScript{full, refusing(errs.DeadlineExceeded, 0, false), unopened, refusing(errs.WorkerDraining, 0, false), answering}, 5, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"two report that they have no capacity":       {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"rejected by a worker, with no budget":        {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"rejected by a worker, with a budget":         {once, 1, []attemptScript{rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"rejected by two, with a budget of one":       {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"rejected by as many as the route allows":     {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"two report when they expect capacity":        {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by a worker, no budget":             {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by a worker, budget of one":         {once, 1, []attemptScript{rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"rejected by two workers, budget of one":      {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by the route's maximum of workers":  {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
 		"connection lost, non-idempotent":             {once, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
 		"connection lost, idempotent":                 {repeatable, 1, []attemptScript{breaking, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"connection lost, idempotent, with no budget": {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"connection lost, idempotent, one attempt":    {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"connection lost, idempotent, no budget":      {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"connection lost, idempotent, maximum of one": {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
 		"connection lost, then refused everywhere":    {repeatable, 9, []attemptScript{breaking, full}, 6, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"no answer in all the time there is":          {repeatable, 9, []attemptScript{hanging}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
-		"refused, then no answer, non-idempotent":     {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
-		"an answer that is a failure is the worker's": {repeatable, 9, []attemptScript{failing, answering}, 1, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"an answer to another request is no answer": {once, 9, []attemptScript{func(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		"no response before the deadline":             {repeatable, 9, []attemptScript{hanging}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
+		"refused, then no response, non-idempotent":   {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
+		"failure response is an answer":               {repeatable, 9, []attemptScript{failing, answering}, 1, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"response to another request is invalid": {once, 9, []attemptScript{func(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			return &schema.ForwardResponse{Request: "other", Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}, nil
 		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.InvalidResponse},
-		"an incomplete answer is no answer": {once, 9, []attemptScript{func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		"incomplete response is invalid": {once, 9, []attemptScript{func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Body: []byte("a"), Length: 2}, nil
 		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.InvalidResponse},
 	} {
@@ -158,13 +165,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
 				result := forwarder.Forward(t.Context(), newScriptedCall())
-				if len(forwarder.sent) != test.sent || result.Response.Outcome != test.ending || (test.code != "" && result.Response.ErrorCode != string(test.code)) {
-					t.Errorf("sent to %v, ended %v %s; want %d, %v %s", forwarder.sent, result.Response.Outcome, result.Response.ErrorCode, test.sent, test.ending, test.code)
+				if len(forwarder.sent) != test.wantSent || result.Response.Outcome != test.wantOutcome || (test.wantCode != "" && result.Response.ErrorCode != string(test.wantCode)) {
+					t.Errorf("Forward: got attempts at %v and %v with code %q, want %d attempts and %v with code %q",
+						forwarder.sent, result.Response.Outcome, result.Response.ErrorCode, test.wantSent, test.wantOutcome, test.wantCode)
 				}
 				seen := map[string]bool{}
 				for _, instance := range forwarder.sent {
 					if seen[instance] {
-						t.Errorf("sent to %s twice", instance)
+						t.Errorf("Forward: got two attempts at %s, want at most one for each instance", instance)
 					}
 					seen[instance] = true
 				}
@@ -173,8 +181,8 @@
 	}
 }
 
-// Each attempt carries the time that is left when it is sent, not the time that the call came with.
-func TestRemainingTimeIsSentAnew(t *testing.T) {
+// Each attempt carries the time that is left when it is sent, not the time that the call had when it arrived.
+func TestEachAttemptCarriesRemainingTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const lost = 300 * time.Millisecond
 		var sent []time.Duration
@@ -188,60 +196,66 @@
 		forwarder := newScriptedForwarder(t, 6, `"class":"repeatable"`, 9, recording(breaking), recording(breaking), recording(answering))
 		forwarder.Forward(t.Context(), newScriptedCall())
 		if len(sent) != 3 {
-			t.Fatalf("sent with %v left", sent)
+			t.Fatalf("Forward: got attempts with the remaining times %v, want 3 attempts", sent)
 		}
 		for i := range 2 {
 			if sent[i]-sent[i+1] < lost {
-				t.Errorf("sent with %v left, then %v later with %v", sent[i], lost, sent[i+1])
+				t.Errorf("attempt %d, sent %v after the one before: got the remaining time %v, want at most %v", i+2, lost, sent[i+1], sent[i]-lost)
 			}
 		}
 	})
 }
 
 // A failure response is retried on one other worker if the call is idempotent, in time, and within a fraction of the
-// retry budget. Whatever the retry comes to, the caller gets a worker's answer.
-func TestFailedAnswerIsRetriedElsewhere(t *testing.T) {
+// retry budget. Whatever the result of the retry, the caller gets an answer from a worker.
+func TestFailureResponseRetriedOnAnotherWorker(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
 	slow := func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		time.Sleep(300 * time.Millisecond)
 		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500, ServiceTimeNanos: int64(300 * time.Millisecond)}, nil
 	}
 	for name, test := range map[string]struct {
-		route    string
-		floor    float64
-		fraction float64
-		script   []attemptScript
-		sent     int
-		status   int32
+		route      string
+		floor      float64
+		fraction   float64 // FailureRetryFraction
+		script     []attemptScript
+		wantSent   int
+		wantStatus int32
 	}{
-		"answered by another":                    {repeatable, 2, 0.5, []attemptScript{failing, answering}, 2, 200},
-		"not a non-idempotent call":              {once, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"not without a fraction of the budget":   {repeatable, 9, 0, []attemptScript{failing, answering}, 1, 500},
-		"not beyond its fraction":                {repeatable, 1, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"not beyond the route's maximum":         {repeatable + `,"tries":1`, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"not of a worker that hardly ever fails": {repeatable, 9, 0.5, []attemptScript{failingOf(100, 4), answering}, 1, 500},
-		"of a worker that fails some":            {repeatable, 9, 0.5, []attemptScript{failingOf(100, 5), answering}, 2, 200},
-		"one other only":                         {repeatable, 9, 0.5, []attemptScript{failing, failing, answering}, 2, 500},
-		"the other has no capacity":              {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.QueueFull, 9, false), answering}, 2, 500},
-		"the other's answer is lost":             {repeatable, 9, 0.5, []attemptScript{failing, breaking, answering}, 2, 500},
-		"the other has a newer configuration":    {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.StalePlan, 0, false), answering}, 2, 500},
-		"after a lost answer":                    {repeatable, 9, 0.5, []attemptScript{breaking, failing, answering}, 3, 200},
-		"not after a refusal for capacity":       {repeatable, 9, 0.5, []attemptScript{refusing(errs.QueueFull, 9, false), failing, answering}, 2, 500},
-		"in time":                                {repeatable + `,"aim":"700ms"`, 9, 0.5, []attemptScript{slow, answering}, 2, 200},
-		"not where it would come too late":       {repeatable + `,"aim":"500ms"`, 9, 0.5, []attemptScript{slow, answering}, 1, 500},
+		"retried and answered":                        {repeatable, 2, 0.5, []attemptScript{failing, answering}, 2, 200},
+		"non-idempotent: not retried":                 {once, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"no fraction of the budget: not retried":      {repeatable, 9, 0, []attemptScript{failing, answering}, 1, 500},
+		"fraction of the budget used up: not retried": {repeatable, 1, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"route's maximum reached: not retried":        {repeatable + `,"tries":1`, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"worker hardly ever fails: not retried":       {repeatable, 9, 0.5, []attemptScript{failingOf(100, 4), answering}, 1, 500},
+		"worker fails some calls: retried":            {repeatable, 9, 0.5, []attemptScript{failingOf(100, 5), answering}, 2, 200},
+		"retry fails as well: no second retry":        {repeatable, 9, 0.5, []attemptScript{failing, failing, answering}, 2, 500},
+		"retry refused for capacity":                  {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.QueueFull, 9, false), answering}, 2, 500},
+		"retry loses its connection":                  {repeatable, 9, 0.5, []attemptScript{failing, breaking, answering}, 2, 500},
+		"retry refused by a newer configuration":      {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.StalePlan, 0, false), answering}, 2, 500},
+		"lost connection, then failure: retried":      {repeatable, 9, 0.5, []attemptScript{breaking, failing, answering}, 3, 200},
+		"refused for capacity, then failure":          {repeatable, 9, 0.5, []attemptScript{refusing(errs.QueueFull, 9, false), failing, answering}, 2, 500},
+		"retry within the latency target":             {repeatable + `,"aim":"700ms"`, 9, 0.5, []attemptScript{slow, answering}, 2, 200},
+		"retry too late for the latency target":       {repeatable + `,"aim":"500ms"`, 9, 0.5, []attemptScript{slow, answering}, 1, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
 				forwarder.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: test.floor, FailureRetryFraction: test.fraction})
 				result := forwarder.Forward(t.Context(), newScriptedCall())
-				if len(forwarder.sent) != test.sent || result.Err != nil || result.Response.Status != test.status || forwarder.waited > 0 {
-					t.Errorf("sent to %v, ended %v %d, waited for updates %d times; want %d, %d", forwarder.sent, result.Err, result.Response.Status, forwarder.waited, test.sent, test.status)
+				if len(forwarder.sent) != test.wantSent || result.Err != nil || result.Response.Status != test.wantStatus || forwarder.waited > 0 {
+					t.Errorf("Forward: got attempts at %v, error %v, status %d and %d waits for updates, want %d attempts, no error, status %d and no wait",
+						forwarder.sent, result.Err, result.Response.Status, forwarder.waited, test.wantSent, test.wantStatus)
 				}
 			})
 		})
 	}
-	// The failures of a version in canary are not retried.
+}
+
+// A failure of the fallback version may be retried. A failure of a canary version may not, so that it counts against that
+// version.
+func TestCanaryFailureIsNotRetried(t *testing.T) {
+	const repeatable = `"class":"repeatable"`
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := newScriptedForwarder(t, 6, repeatable, 9, failing, answering)
 		forwarder.SetLimits(Limits{PlanOptions: plan.Options{MaxDeadline: 10 * time.Second}, RetryFloor: 9, FailureRetryFraction: 1})
@@ -251,7 +265,7 @@
 		snapshot, faults := config.Compile(config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
 			item("flag", "release.shop", `{"on":true,"salt":"","variations":["0","1"],"offVariation":0,"fallthrough":{"variation":1}}`)}), 1)
 		if len(faults) > 0 {
-			t.Fatal(faults)
+			t.Fatalf("config.Compile: got faults %v, want none", faults)
 		}
 		view := &plan.View{Config: snapshot, Directory: forwarder.View().Directory}
 		forwarder.View = func() *plan.View { return view }
@@ -259,44 +273,46 @@
 		for version, want := range map[string]bool{"0": true, "1": false} {
 			callPlan := &plan.Plan{Route: &config.Route{}, Service: "shop", Verdict: plan.Verdict{Version: version}, Class: config.ClassIdempotent}
 			if got := forwarder.mayRetryFailure(&CallResult{Plan: callPlan}, &callProgress{lastResponse: notExecuted(errs.NoWorker, 0)}, failed, time.Second); got != want {
-				t.Errorf("version %s: retried %v", version, got)
+				t.Errorf("mayRetryFailure for version %s: got %t, want %t", version, got, want)
 			}
 		}
 	})
 }
 
-// Without FreeProxyRefusals every attempt but the first is charged, also while the call looks for its first worker.
-func TestEveryAttemptCounts(t *testing.T) {
+// Without FreeProxyRefusals every attempt but the first is charged to the retry budget, even if no worker was reached.
+func TestEveryRetryIsChargedWithoutFreeProxyRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(errs.QueueFull, 0, false))
 		forwarder.FreeProxyRefusals = false
 		forwarder.Forward(t.Context(), newScriptedCall())
 		if len(forwarder.sent) != 3 {
-			t.Errorf("sent to %v, want the first and two paid for", forwarder.sent)
+			t.Errorf("Forward with a budget of 2 retries: got attempts at %v, want 3 attempts", forwarder.sent)
 		}
 	})
 }
 
-// A caller is refused at once where no worker has capacity, with the time when one will. Where no worker is known, it is
-// refused in time to call again.
-func TestRefusalsComeAtOnce(t *testing.T) {
+// If no worker has capacity, the caller is refused at once, with the shortest time after which a worker expects capacity.
+// If no worker is known, the caller is refused within a fourth of the latency target, in time to call again.
+func TestRefusalsArePrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const route = `"class":"once","aim":"800ms"`
 		call := newScriptedCall()
 		forwarder := newScriptedForwarder(t, 3, route, 0, refusing(errs.QueueFull, 300*time.Millisecond, false), refusing(errs.DeadlineExceeded, 100*time.Millisecond, false), refusing(errs.QueueFull, 0, false))
 		startedAt := time.Now()
 		if result := forwarder.Forward(t.Context(), call); len(forwarder.sent) != 2 || time.Since(startedAt) > 0 || time.Duration(result.Response.RetryAfterNanos) != 100*time.Millisecond {
-			t.Errorf("%d tries, %v, back after %v", len(forwarder.sent), time.Since(startedAt), time.Duration(result.Response.RetryAfterNanos))
+			t.Errorf("Forward without capacity: got %d attempts in %v and retry after %v, want 2 attempts in 0s and retry after 100ms",
+				len(forwarder.sent), time.Since(startedAt), time.Duration(result.Response.RetryAfterNanos))
 		}
 		forwarder = newScriptedForwarder(t, 0, route, 0, answering)
 		startedAt = time.Now()
 		if result := forwarder.Forward(t.Context(), call); result.Response.ErrorCode != string(errs.NoWorker) || time.Since(startedAt) > 200*time.Millisecond {
-			t.Errorf("%s after %v", result.Response.ErrorCode, time.Since(startedAt))
+			t.Errorf("Forward without workers: got code %q after %v, want %q within 200ms", result.Response.ErrorCode, time.Since(startedAt), errs.NoWorker)
 		}
 	})
 }
 
-// BenchmarkForward measures what a forwarder itself costs for a call whose first candidate answers, without the network.
+// BenchmarkForward measures the cost of the forwarder itself, without the network, for a call that its first candidate
+// answers.
 func BenchmarkForward(b *testing.B) {
 	for _, class := range []string{"repeatable", "once"} {
 		b.Run(class, func(b *testing.B) {
@@ -306,7 +322,7 @@
 			for b.Loop() {
 				forwarder.sent = forwarder.sent[:0]
 				if result := forwarder.Forward(context.Background(), call); result.Err != nil {
-					b.Fatal(result.Err)
+					b.Fatalf("Forward: %v", result.Err)
 				}
 			}
 		})
--- a/internal/dispatch/key_reservation_test.go
+++ b/internal/dispatch/key_reservation_test.go
@@ -19,17 +19,18 @@
 
 const reservationLease = 8 * time.Second
 
-// keyFixture is three registries' reservation tables, and two proxies whose callers share one key. Each proxy sees another
-// worker, behind another proxy, so that only the reservations keep the request from running twice.
+// keyFixture holds the reservation tables of three registries, and two proxies whose callers use the same key. Each proxy
+// knows a different worker, behind a different proxy, so that only the reservations prevent the request from running
+// twice.
 type keyFixture struct {
-	fixtures             [2]*workerFixture
-	lock                 sync.Mutex // guards registries: a key is released in a goroutine of its own
+	fixtures             [2]*workerFixture // the worker that each proxy knows
+	lock                 sync.Mutex        // guards registries; a key is released in a goroutine of its own
 	registries           [3]*registry.ReservationTable
 	unresponsive         [3]bool // registries that do not respond
 	startedAt            time.Time
-	seededSingleRegistry bool // seeded fault: one registry is taken for a majority
-	lost                 [2]func(order int) bool
-	results              [2][]*CallResult
+	seededSingleRegistry bool                    // seeded fault: one registry counts as a majority
+	lost                 [2]func(order int) bool // for each proxy, tells which of its messages, counted from 1, lose their response; nil for none
+	results              [2][]*CallResult        // results by proxy
 }
 
 func newKeyFixture(tb testing.TB) *keyFixture {
@@ -42,13 +43,14 @@
 	return fixture
 }
 
+// newReservationTable returns the empty table of one of three registries.
 func (f *keyFixture) newReservationTable() *registry.ReservationTable {
 	return registry.NewReservationTable(registry.ReservationOptions{Lease: reservationLease, Window: 4 * reservationLease, MaxReservations: 64, MemberCount: 3})
 }
 
 func (f *keyFixture) now() time.Duration { return time.Since(f.startedAt) }
 
-// restartRegistry restarts a registry with an empty table, which then recovers in one of the ways below.
+// restartRegistry replaces a registry's table by an empty one, which then recovers in one of the ways below.
 func (f *keyFixture) restartRegistry(i int, recovery string) {
 	table := f.newReservationTable()
 	if recovery == skipRecovery {
@@ -66,11 +68,11 @@
 	f.refillRegistry(i)
 }
 
-// Ways in which a restarted registry recovers; only the first is correct.
+// Ways in which a restarted registry recovers. Only recoverAfterRounds is correct.
 const (
-	recoverAfterRounds = "reads the others once no round of its earlier incarnation can go on"
-	recoverAtOnce      = "reads the others at once"
-	skipRecovery       = "counts at once"
+	recoverAfterRounds = "reads the other tables once no round of its earlier incarnation can continue"
+	recoverAtOnce      = "reads the other tables at once"
+	skipRecovery       = "votes at once, without reading the other tables"
 )
 
 // refillRegistry copies the reservations of the other registries to a registry.
@@ -84,7 +86,8 @@
 	}
 }
 
-// newReserver requests reservations from the registries one after another, yielding before each.
+// newReserver returns a KeyReserver that asks the registries one after another, beginning with registry from. It yields
+// before each.
 func (f *keyFixture) newReserver(from int, yield func()) KeyReserver {
 	return func(_ context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 		members := 3
@@ -101,15 +104,15 @@
 				f.lock.Unlock()
 				round.Record(f.now(), fmt.Sprint(member), reply)
 			}
-			if verdict := round.Outcome(i == 2); verdict != session.ReservationPending {
-				return verdict, round.Conflicting
+			if outcome := round.Outcome(i == 2); outcome != session.ReservationPending {
+				return outcome, round.Conflicting
 			}
 		}
 		return round.Outcome(true), round.Conflicting
 	}
 }
 
-// newForwarder returns the forwarder of one of the two proxies.
+// newForwarder returns the forwarder of proxy number caller. It yields before each message.
 func (f *keyFixture) newForwarder(caller int, yield func()) *Forwarder {
 	fixture := f.fixtures[caller]
 	view := &plan.View{Config: fixture.view.Config, Directory: plan.Directory{"shop": {"1": {}}}}
@@ -152,6 +155,7 @@
 	return forwarder.Init(16)
 }
 
+// newCall returns a non-idempotent call with an idempotency key.
 func (f *keyFixture) newCall(key, body string) *Call {
 	return &Call{Target: "/shop/buy", Body: []byte(body), Request: plan.Request{
 		Caller:            "client",
@@ -163,12 +167,13 @@
 	}}
 }
 
+// countRuns returns the number of runs on both workers.
 func (f *keyFixture) countRuns() int {
 	return len(f.fixtures[0].recordedRuns()) + len(f.fixtures[1].recordedRuns())
 }
 
-// check compares the reported outcomes with what ran: at most one run, and none of a request that was reported as not
-// executed.
+// check returns an error if the results contradict the runs: more than one request ran, a request ran that was reported
+// as not executed, or a request was answered and none ran.
 func (f *keyFixture) check() error {
 	ran := map[string]bool{}
 	for _, fixture := range f.fixtures {
@@ -177,25 +182,25 @@
 		}
 	}
 	if count := f.countRuns(); count > 1 {
-		return fmt.Errorf("ran %d times: %v", count, ran)
+		return fmt.Errorf("got %d runs, of the calls %v, want at most one", count, ran)
 	}
 	for _, results := range f.results {
 		for _, result := range results {
 			if result.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && ran[result.ID] {
-				return fmt.Errorf("%s was reported as not executed, and ran", result.ID)
+				return fmt.Errorf("call %s was reported as not executed, but ran", result.ID)
 			}
 			if result.Response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && len(ran) == 0 {
-				return fmt.Errorf("%s was answered, and nothing ran", result.ID)
+				return fmt.Errorf("call %s was answered, but nothing ran", result.ID)
 			}
 		}
 	}
 	return nil
 }
 
-// Two callers use one key at two proxies, in every order of their reservations, a registry's restart and their attempts:
-// one run. The exploration finds the seeded faults: one registry taken for a majority, and a restarted registry that
-// votes before it has recovered.
-func TestEveryOrderOfOneKeyAtTwoProxies(t *testing.T) {
+// Two callers use one key at two proxies. In every order of their reservations, their attempts and the restart of a
+// registry, at most one request runs. The exploration must find the seeded faults: one registry counts as a majority, or a
+// restarted registry votes before it has recovered.
+func TestOneKeyAtTwoProxiesInEveryOrder(t *testing.T) {
 	explore := func(t *testing.T, single bool, restart string) scheduleexplorer.Outcome {
 		t.Helper()
 		return scheduleexplorer.Explore(t, 200000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
@@ -217,68 +222,68 @@
 		})
 	}
 	for name, test := range map[string]struct {
-		single  bool
-		restart string
-		broken  bool
+		single      bool   // one registry counts as a majority
+		restart     string // how the registry that restarts recovers; empty if none restarts
+		wantFailure bool
 	}{
-		"correct":                              {},
-		"a registry restarts":                  {restart: recoverAfterRounds},
-		"seeded fault: one registry is enough": {single: true, broken: true},
-		"seeded fault: votes at once":          {restart: skipRecovery, broken: true},
-		"seeded fault: recovers at once":       {restart: recoverAtOnce, broken: true},
+		"no restart":        {},
+		"registry restarts": {restart: recoverAfterRounds},
+		"seeded fault: one registry counts as majority": {single: true, wantFailure: true},
+		"seeded fault: no recovery":                     {restart: skipRecovery, wantFailure: true},
+		"seeded fault: recovers at once":                {restart: recoverAtOnce, wantFailure: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			outcome := explore(t, test.single, test.restart)
-			if (outcome.Failure != "") != test.broken {
-				t.Errorf("%q after %d orders", outcome.Failure, outcome.Schedules)
+			if (outcome.Failure != "") != test.wantFailure {
+				t.Errorf("Explore: got the failure %q after %d orders, want a failure: %t", outcome.Failure, outcome.Schedules, test.wantFailure)
 			}
-			t.Logf("%d orders", outcome.Schedules)
+			t.Logf("explored %d orders", outcome.Schedules)
 		})
 	}
 }
 
-// A request that is repeated at another proxy, after each single fault, runs once. The repeat gets the first answer where
-// that can still be known.
-func TestRepeatElsewhere(t *testing.T) {
-	answered, unknownEnding, notRunEnding := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
+// A request that is repeated at another proxy runs at most once, whatever single fault comes before the repeat. The
+// repeat gets the first answer if that can still be known.
+func TestRepeatAtAnotherProxy(t *testing.T) {
+	answered, unknown, notRun := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
 	for name, test := range map[string]struct {
-		before func(fixture *keyFixture)     // done before the first request
-		after  func(fixture *keyFixture)     // done after it
-		body   string                        // of the repeat, empty for the same
-		first  schema.CallOutcome            // of the first request
-		again  schema.CallOutcome            // of the repeat
-		runs   int                           // of both together
-		lost   func(order int) bool          // whether the response to an attempt of the first request is lost
-		check  func(*testing.T, *CallResult) // of the repeat
+		before func(fixture *keyFixture)     // done before the first request; nil for nothing
+		after  func(fixture *keyFixture)     // done between the first request and the repeat; nil for nothing
+		body   string                        // body of the repeat; empty for that of the first request
+		first  schema.CallOutcome            // wanted outcome of the first request
+		again  schema.CallOutcome            // wanted outcome of the repeat
+		runs   int                           // wanted number of runs of both together
+		lost   func(order int) bool          // whether the response to an attempt of the first request is lost; nil for none
+		check  func(*testing.T, *CallResult) // further check of the repeat's result; nil for none
 	}{
-		"the first was answered":       {first: answered, again: answered, runs: 1},
-		"the first's answer was lost":  {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }},
-		"the worker's proxy is lost":   {first: unknownEnding, again: unknownEnding, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) { fixture.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
-		"a core member is lost after":  {first: answered, again: answered, runs: 1, after: func(fixture *keyFixture) { fixture.unresponsive[1] = true }},
-		"a core member is lost before": {first: answered, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[2] = true }},
-		"one core member after another comes back empty": {first: unknownEnding, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) {
+		"first request answered":                 {first: answered, again: answered, runs: 1},
+		"answer to the first request lost":       {first: unknown, again: answered, runs: 1, lost: func(int) bool { return true }},
+		"worker's proxy loses its results":       {first: unknown, again: unknown, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) { fixture.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
+		"registry lost after the first request":  {first: answered, again: answered, runs: 1, after: func(fixture *keyFixture) { fixture.unresponsive[1] = true }},
+		"registry lost before the first request": {first: answered, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[2] = true }},
+		"registries restart empty, one after another": {first: unknown, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) {
 			for i := range 3 {
 				fixture.restartRegistry(i, recoverAfterRounds)
 			}
 		}},
-		"two core members are lost at once": {first: answered, again: notRunEnding, runs: 1, after: func(fixture *keyFixture) {
+		"two registries lost at once": {first: answered, again: notRun, runs: 1, after: func(fixture *keyFixture) {
 			fixture.registries[0], fixture.registries[1] = fixture.newReservationTable(), fixture.newReservationTable()
 			time.Sleep(reservationLease)
 			fixture.refillRegistry(0)
 			fixture.refillRegistry(1)
-			// The third still has the reservation, but one alone would not keep another request from running.
+			// The third table still had the reservation, but a single one would not prevent another run.
 			fixture.registries[2] = fixture.newReservationTable()
 		}},
-		"no majority of registries": {first: notRunEnding, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[0], fixture.unresponsive[1] = true, true }, after: func(fixture *keyFixture) {
+		"no majority of registries for the first request": {first: notRun, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[0], fixture.unresponsive[1] = true, true }, after: func(fixture *keyFixture) {
 			fixture.unresponsive[0], fixture.unresponsive[1] = false, false
 		}},
-		"another body under the key": {first: answered, again: notRunEnding, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
+		"repeat with another body": {first: answered, again: notRun, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
 			t.Helper()
 			if result.Response.ErrorCode != "IDEMPOTENCY_KEY_REUSED" {
-				t.Error(result.Response.ErrorCode)
+				t.Errorf("repeat with another body: got code %q, want IDEMPOTENCY_KEY_REUSED", result.Response.ErrorCode)
 			}
 		}},
-		"the first never ran": {first: notRunEnding, again: answered, runs: 1, before: func(fixture *keyFixture) {
+		"first request did not run": {first: notRun, again: answered, runs: 1, before: func(fixture *keyFixture) {
 			description := fixture.fixtures[0].describe("127.0.0.1:1", fixture.fixtures[0].workersByAddress["127.0.0.1:1"])
 			description.Draining = true
 			_, _ = fixture.fixtures[0].workers.Register(description)
@@ -306,16 +311,16 @@
 				again := second.Forward(t.Context(), fixture.newCall("key", body))
 				fixture.results[1] = append(fixture.results[1], again)
 				if got := fixture.results[0][0].Response; got.Outcome != test.first {
-					t.Errorf("the first ended %v with %s, want %v", got.Outcome, got.ErrorCode, test.first)
+					t.Errorf("first Forward: got %v with code %q, want %v", got.Outcome, got.ErrorCode, test.first)
 				}
 				if again.Response.Outcome != test.again {
-					t.Errorf("the repeat ended %v with %s, want %v", again.Response.Outcome, again.Response.ErrorCode, test.again)
+					t.Errorf("repeated Forward: got %v with code %q, want %v", again.Response.Outcome, again.Response.ErrorCode, test.again)
 				}
 				if fixture.countRuns() != test.runs {
-					t.Errorf("%d runs, want %d", fixture.countRuns(), test.runs)
+					t.Errorf("after both calls: got %d runs, want %d", fixture.countRuns(), test.runs)
 				}
 				if err := fixture.check(); err != nil {
-					t.Error(err)
+					t.Errorf("results and runs: %v", err)
 				}
 				if test.check != nil {
 					test.check(t, again)
@@ -325,9 +330,9 @@
 	}
 }
 
-// A worker's proxy with a newer configuration may refuse what the older one allowed. The call is planned again by the
-// newer one as soon as it arrives here, and answered.
-func TestNewerConfigElsewhere(t *testing.T) {
+// A worker's proxy with a newer configuration may refuse a version that the older one allowed. The call then waits for the
+// newer configuration, is planned again under it, and is answered.
+func TestCallIsReplannedUnderNewerConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newKeyFixture(t)
 		for i, workers := range fixture.fixtures {
@@ -361,7 +366,8 @@
 		}
 		result := forwarder.Forward(t.Context(), fixture.newCall("key", "{}"))
 		if result.Err != nil || refused != 1 || result.Plan.Verdict.ConfigRevision != 6 {
-			t.Errorf("ended %v after %d refusals, by revision %d", result.Err, refused, result.Plan.Verdict.ConfigRevision)
+			t.Errorf("Forward: got error %v after %d refusals, planned under revision %d, want no error after 1 refusal under revision 6",
+				result.Err, refused, result.Plan.Verdict.ConfigRevision)
 		}
 	})
 }
--- a/internal/dispatch/reserved_admissions_test.go
+++ b/internal/dispatch/reserved_admissions_test.go
@@ -13,80 +13,80 @@
 	"meadowhinge/schema"
 )
 
-// A body that is likely to be refused goes to another zone only once the worker's queue has admitted the request.
-func TestCapacityCheckBeforeABodyIsSent(t *testing.T) {
+// A body that would likely be refused is sent to another zone only after a capacity check has been admitted there.
+func TestCapacityCheckPrecedesBody(t *testing.T) {
 	full := refusing(errs.QueueFull, 9*time.Millisecond, false)
 	withCapacity := func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-		time.Sleep(20 * time.Millisecond) // it waits for admission
+		time.Sleep(20 * time.Millisecond) // the wait for admission
 		return refusing("", 0, false)(ctx, request)
 	}
 	body := strings.Repeat("x", 4000)
 	for name, test := range map[string]struct {
-		body     string
-		far      bool
-		rejected int // calls that the worker refused before
-		script   []attemptScript
-		want     string // one letter for each attempt: e for a capacity check, s for the request with its body
-		ending   schema.CallOutcome
+		body        string
+		otherZone   bool // the workers are in another zone than the forwarder
+		refused     int  // calls that each worker has refused before
+		script      []attemptScript
+		want        string // one letter for each message: c for a capacity check, r for the request with its body
+		wantOutcome schema.CallOutcome
 	}{
-		"of the own zone":                                         {body, false, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
-		"elsewhere, with capacity so far":                         {body, true, 0, []attemptScript{answering}, "s", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, after another refused":                        {body, true, 0, []attemptScript{full, full}, "se", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
-		"elsewhere, after another refused, and there is capacity": {body, true, 0, []attemptScript{full, withCapacity, answering}, "ses", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, that refused recently":                        {body, true, 9, []attemptScript{full, full}, "ee", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
-		"elsewhere, that refused recently and has capacity":       {body, true, 9, []attemptScript{withCapacity, answering}, "es", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, not reached by the capacity check":            {body, true, 9, []attemptScript{breaking, unopened, withCapacity, answering}, "eees", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"elsewhere, with hardly a body":                           {"x", true, 9, []attemptScript{full, full}, "ss", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"own zone: no check":                                         {body, false, 9, []attemptScript{full, full}, "rr", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"other zone, no refusals so far: no check":                   {body, true, 0, []attemptScript{answering}, "r", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"other zone, another worker refused: check refused":          {body, true, 0, []attemptScript{full, full}, "rc", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"other zone, another worker refused: check admitted":         {body, true, 0, []attemptScript{full, withCapacity, answering}, "rcr", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"other zone, worker refused recently: check refused":         {body, true, 9, []attemptScript{full, full}, "cc", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
+		"other zone, worker refused recently: check admitted":        {body, true, 9, []attemptScript{withCapacity, answering}, "cr", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"other zone, check does not reach the proxy: next candidate": {body, true, 9, []attemptScript{breaking, unopened, withCapacity, answering}, "cccr", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"other zone, small body: no check":                           {"x", true, 9, []attemptScript{full, full}, "rr", schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				forwarder := newScriptedForwarder(t, 6, `"class":"once"`, 0, test.script...)
 				directory := forwarder.View().Directory["shop"]["1"]
 				for i := range directory {
-					directory[i].Zone = map[bool]string{true: "elsewhere"}[test.far]
-					for range test.rejected {
+					directory[i].Zone = map[bool]string{true: "elsewhere"}[test.otherZone]
+					for range test.refused {
 						forwarder.Outliers.BeginCall(directory[i].Instance, 0)
 						forwarder.Outliers.RecordResponse(directory[i].Instance, 0, 0, notExecuted(errs.QueueFull, 0))
 					}
 				}
-				kinds, send, startedAt, deadline := "", forwarder.Send, time.Now(), 3100*time.Millisecond
+				sent, send, startedAt, deadline := "", forwarder.Send, time.Now(), 3100*time.Millisecond
 				forwarder.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-					kind := "s"
+					kind := "r"
 					if request.AdmissionOnly {
-						kind = "e"
+						kind = "c"
 					}
 					if request.AdmissionOnly == (len(request.Body) > 0) {
-						t.Error("a capacity check with a body, or a request without")
+						t.Errorf("Send: got a body of %d bytes with AdmissionOnly %t, want a body only without it", len(request.Body), request.AdmissionOnly)
 					}
-					kinds += kind
+					sent += kind
 					if left := deadline - time.Since(startedAt); request.TimeLeftNanos != int64(left) {
-						t.Errorf("time left is %v, not %v", time.Duration(request.TimeLeftNanos), left)
+						t.Errorf("Send: got the time left %v, want %v", time.Duration(request.TimeLeftNanos), left)
 					}
 					return send(ctx, candidate, request)
 				}
 				result := forwarder.Forward(t.Context(), &Call{Target: "/a", Body: []byte(test.body), Request: plan.Request{Caller: "client", Method: "PUT", Path: "/a", Header: func(string) (string, bool) { return "", false }}})
-				if kinds != test.want || result.Response.Outcome != test.ending {
-					t.Errorf("sent %q, ended %v; want %q, %v", kinds, result.Response.Outcome, test.want, test.ending)
+				if sent != test.want || result.Response.Outcome != test.wantOutcome {
+					t.Errorf("Forward: sent %q and got %v, want %q and %v", sent, result.Response.Outcome, test.want, test.wantOutcome)
 				}
 			})
 		})
 	}
 }
 
-// An admission that is reserved for a request can be used by that request alone, once, and for a limited time.
+// An admission that is reserved for a request can be used only by that request, once, and for a limited time.
 func TestReservedAdmissions(t *testing.T) {
 	for name, test := range map[string]struct {
 		checks   int           // capacity checks that arrive
-		late     time.Duration // after which the request comes
-		replaced bool          // the admission was reserved at another worker
-		taken    bool
+		delay    time.Duration // time from the last capacity check to the request
+		replaced bool          // the worker is replaced between the capacity check and the request
+		want     bool          // the request takes the admission
 	}{
-		"the request comes":                            {1, time.Millisecond, false, true},
-		"the capacity check arrives twice":             {2, time.Millisecond, false, true},
-		"the request comes late":                       {1, time.Second, false, false},
-		"the worker was replaced":                      {1, time.Millisecond, true, false},
-		"a request without a capacity check":           {0, 0, false, false},
-		"the request comes just after the reservation": {1, 101 * time.Millisecond, false, false},
+		"request after its capacity check":   {1, time.Millisecond, false, true},
+		"duplicate capacity check":           {2, time.Millisecond, false, true},
+		"request long after the reservation": {1, time.Second, false, false},
+		"worker replaced":                    {1, time.Millisecond, true, false},
+		"request without a capacity check":   {0, 0, false, false},
+		"request just after the reservation": {1, 101 * time.Millisecond, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -103,7 +103,7 @@
 					reservations.lock.Unlock()
 					if earlier == nil {
 						if admission, queued := queue.Admit(now(), AdmissionRequest{Deadline: time.Hour}); admission.Refusal != "" || queued != nil {
-							t.Fatal("the first is not admitted")
+							t.Fatalf("Admit: got refusal %q, queued %t, want the capacity check admitted", admission.Refusal, queued != nil)
 						}
 					} else {
 						queue.running++
@@ -111,29 +111,30 @@
 					reservations.reserve("r", queue, now, 100*time.Millisecond)
 				}
 				if running, _, _ := queue.Load(); running != uint32(min(1, test.checks)) {
-					t.Errorf("%d admissions are reserved", running)
+					t.Errorf("Load after reserve: got %d admissions, want %d", running, min(1, test.checks))
 				}
-				time.Sleep(test.late)
+				time.Sleep(test.delay)
 				synctest.Wait()
-				if got := reservations.take("r", queueOfRequest); got != test.taken {
-					t.Errorf("taken: %v, want %v", got, test.taken)
+				if got := reservations.take("r", queueOfRequest); got != test.want {
+					t.Errorf("take: got %t, want %t", got, test.want)
 				}
 				if reservations.take("r", queueOfRequest) {
-					t.Error("one admission was taken twice")
+					t.Error("second take: got true, want false")
 				}
-				want := uint32(0)
-				if test.taken {
-					want = 1
+				wantRunning := uint32(0)
+				if test.want {
+					wantRunning = 1
 				}
-				if running, _, _ := queue.Load(); running != want {
-					t.Errorf("%d are admitted, want %d", running, want)
+				if running, _, _ := queue.Load(); running != wantRunning {
+					t.Errorf("Load after take: got %d admissions, want %d", running, wantRunning)
 				}
 			})
 		})
 	}
 }
 
-// On the worker's side a capacity check runs nothing, reserves the admission, and is refused where there is no capacity.
+// The runner answers a capacity check without running anything. It reserves the admission for the request, and refuses the
+// check if there is no capacity.
 func TestCapacityChecksRunNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
@@ -146,24 +147,25 @@
 		worker, _, _ := fixture.workers.find(newForwardRequest("r1", instance))
 		worker.queue.maxRunning, worker.queue.slots = 1, 0
 		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r1")); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != "" || len(fixture.recordedRuns()) > 0 {
-			t.Errorf("the capacity check ended %v with %s, runs %v", got.Outcome, got.ErrorCode, fixture.recordedRuns())
+			t.Errorf("capacity check r1: got %v with code %q and runs %v, want CALL_OUTCOME_NOT_EXECUTED with no code and no run",
+				got.Outcome, got.ErrorCode, fixture.recordedRuns())
 		}
 		if got := fixture.runner.Run(t.Context(), transport.Peer{}, newCapacityCheck("r1")); got.ErrorCode != string(errs.CallerNotAllowed) {
-			t.Errorf("an unauthenticated peer's capacity check ended with %s", got.ErrorCode)
+			t.Errorf("capacity check r1 of an unauthenticated peer: got code %q, want %q", got.ErrorCode, errs.CallerNotAllowed)
 		}
 		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r2")); got.ErrorCode != string(errs.QueueFull) {
-			t.Errorf("a capacity check without capacity ended with %q", got.ErrorCode)
+			t.Errorf("capacity check r2 without capacity: got code %q, want %q", got.ErrorCode, errs.QueueFull)
 		}
 		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(fixture.recordedRuns()) != 1 {
-			t.Errorf("the request ended %v with %s, runs %v", got.Outcome, got.ErrorCode, fixture.recordedRuns())
+			t.Errorf("request r1: got %v with code %q and runs %v, want CALL_OUTCOME_ANSWERED and one run", got.Outcome, got.ErrorCode, fixture.recordedRuns())
 		}
 		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r3")); got.ErrorCode != "" {
-			t.Errorf("the admission was not returned: %s", got.ErrorCode)
+			t.Errorf("capacity check r3 after request r1: got code %q, want none, because the admission was released", got.ErrorCode)
 		}
 		unknown := newCapacityCheck("r4")
 		unknown.Instance = "p/old/1"
 		if got := fixture.runner.Run(t.Context(), client, unknown); got.ErrorCode != string(errs.WrongInstance) {
-			t.Errorf("a capacity check for a worker that is no longer registered ended with %q", got.ErrorCode)
+			t.Errorf("capacity check r4 for an instance that is not registered: got code %q, want %q", got.ErrorCode, errs.WrongInstance)
 		}
 	})
 }
--- a/internal/dispatch/restore_test.go
+++ b/internal/dispatch/restore_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A restarted proxy continues with the workers that its earlier incarnation knew. The worker's own descriptions take
-// precedence, whether they arrive before or after, and without any it is dropped after one heartbeat interval.
-func TestTakenUpWorkers(t *testing.T) {
+// A restarted proxy restores the workers that its earlier incarnation knew. A worker's own descriptions take precedence,
+// whether they arrive before or after that. Without any, a restored worker is dropped after one heartbeat interval.
+func TestRestoredWorkers(t *testing.T) {
 	const heartbeatInterval = 1500 * time.Millisecond
 	description := WorkerDescription{ID: "w", Address: "127.0.0.1:9", Service: "shop", Version: "v1", Slots: 4, HeartbeatMS: heartbeatInterval.Milliseconds()}
 	with := func(change func(*WorkerDescription)) WorkerDescription {
@@ -20,22 +20,22 @@
 	draining := with(func(d *WorkerDescription) { d.Draining, d.Serial = true, 7 })
 	newer := with(func(d *WorkerDescription) { d.Serial = 7 })
 	for name, test := range map[string]struct {
-		before, after []WorkerDescription
-		ids           bool // workers have ids of their own, and no liveness connection
-		at            time.Duration
-		want          string
-		isDraining    bool
+		before, after  []WorkerDescription // descriptions that arrive before and after Restore
+		noLivenessConn bool
+		at             time.Duration // when the listing is checked
+		want           string        // instance that is listed; empty for none
+		wantDraining   bool
 	}{
-		"no description yet":                        {ids: true, at: heartbeatInterval, want: "w"},
-		"no description for more than the interval": {ids: true, at: heartbeatInterval + 1, want: ""},
-		"a description within the interval":         {ids: true, after: []WorkerDescription{newer}, at: 3 * heartbeatInterval, want: "w"},
-		"it drains":                                 {ids: true, after: []WorkerDescription{draining}, at: heartbeatInterval, want: "w", isDraining: true},
-		"another incarnation of it":                 {ids: true, after: []WorkerDescription{other}, at: heartbeatInterval, want: "x"},
-		"it deregisters":                            {ids: true, after: []WorkerDescription{deregistered}, at: 0, want: ""},
-		"it had deregistered":                       {ids: true, before: []WorkerDescription{deregistered}, at: 0, want: ""},
-		"another had registered":                    {ids: true, before: []WorkerDescription{other}, at: 0, want: "x"},
-		"it had drained":                            {ids: true, before: []WorkerDescription{draining}, at: 0, want: "w", isDraining: true},
-		"workers are known by a connection":         {at: 0, want: ""},
+		"no description within the interval": {noLivenessConn: true, at: heartbeatInterval, want: "w"},
+		"no description after the interval":  {noLivenessConn: true, at: heartbeatInterval + 1, want: ""},
+		"description within the interval":    {noLivenessConn: true, after: []WorkerDescription{newer}, at: 3 * heartbeatInterval, want: "w"},
+		"drains after restore":               {noLivenessConn: true, after: []WorkerDescription{draining}, at: heartbeatInterval, want: "w", wantDraining: true},
+		"new incarnation after restore":      {noLivenessConn: true, after: []WorkerDescription{other}, at: heartbeatInterval, want: "x"},
+		"deregisters after restore":          {noLivenessConn: true, after: []WorkerDescription{deregistered}, at: 0, want: ""},
+		"deregistered before restore":        {noLivenessConn: true, before: []WorkerDescription{deregistered}, at: 0, want: ""},
+		"new incarnation before restore":     {noLivenessConn: true, before: []WorkerDescription{other}, at: 0, want: "x"},
+		"drained before restore":             {noLivenessConn: true, before: []WorkerDescription{draining}, at: 0, want: "w", wantDraining: true},
+		"liveness connections: not restored": {at: 0, want: ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := time.Duration(0)
@@ -44,7 +44,7 @@
 				MaxMissedHeartbeats: 3,
 				MaxWorkers:          4,
 				MaxConns:            4,
-				NoLivenessConn:      test.ids,
+				NoLivenessConn:      test.noLivenessConn,
 				Now:                 func() time.Duration { return now },
 			}, func() {})
 			for _, update := range test.before {
@@ -60,8 +60,8 @@
 			if len(listed) > 0 {
 				got, isDraining = listed[0].Instance, listed[0].Draining
 			}
-			if got != test.want || isDraining != test.isDraining || len(listed) > 1 {
-				t.Errorf("%v, want %q", listed, test.want)
+			if got != test.want || isDraining != test.wantDraining || len(listed) > 1 {
+				t.Errorf("List at %v: got %v, want only %q (empty for none), draining %t", test.at, listed, test.want, test.wantDraining)
 			}
 		})
 	}
--- a/internal/dispatch/retry_budget_test.go
+++ b/internal/dispatch/retry_budget_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// In any window, wherever it begins, retries stay within the ratio of the calls in it, plus the floor.
-func TestBudgetInAnyWindow(t *testing.T) {
+// In any window, wherever it begins, the retries do not exceed the ratio times the calls in it, plus the floor.
+func TestRetryBudgetHoldsInAnyWindow(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 5))
 	for round := range 200 {
 		window := []time.Duration{DefaultRetryWindow, 8 * time.Second, 3 * time.Second}[round%3]
@@ -34,15 +34,15 @@
 		}
 		for _, end := range retries {
 			if got, most := count(retries, end-window), 0.2*float64(count(calls, end-window))+floor; float64(got) > most {
-				t.Fatalf("%d retries in the %v before %v, at most %v", got, window, end, most)
+				t.Fatalf("round %d: got %d retries in the %v before %v, want at most %v", round, got, window, end, most)
 			}
 		}
 	}
 }
 
-// New limits apply at once. In a window that ends after the change the retries of before count as well, so that a change
-// grants no second budget.
-func TestBudgetThatChanges(t *testing.T) {
+// New limits apply at once. The retries before the change still count in a window that ends after it, so that a change
+// does not grant a second budget.
+func TestRetryBudgetHoldsAcrossChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(6, 6))
 	for round := range 200 {
 		windows := []time.Duration{DefaultRetryWindow, 8 * time.Second, 4 * time.Second}
@@ -74,23 +74,23 @@
 			}
 			return inside
 		}
-		spent := 0
+		retriesAfterChange := 0
 		for _, end := range retries {
 			if end < changed {
 				continue
 			}
-			spent++
+			retriesAfterChange++
 			if got, most := count(retries, end-window, end), ratio*float64(count(calls, end-window, end))+floor; float64(got) > most && end-window > changed {
-				t.Fatalf("%d retries in the %v before %v, at most %v", got, window, end, most)
+				t.Fatalf("round %d: got %d retries in the %v before %v, want at most %v", round, got, window, end, most)
 			}
-			// In a window over the change, each of its retries after the change was allowed by the new limits.
+			// In a window that contains the change, the retries after it were allowed by the new limits.
 			most := ratio*float64(count(calls, end-window, end)) + floor
 			if after := count(retries, changed, end); end-window <= changed && float64(after) > most {
-				t.Fatalf("%d retries from the change until %v, at most %v", after, end, most)
+				t.Fatalf("round %d: got %d retries from the change to %v, want at most %v", round, after, end, most)
 			}
 		}
-		if spent == 0 {
-			t.Fatal("no retry was allowed after the change")
+		if retriesAfterChange == 0 {
+			t.Fatalf("round %d: got no retries after the change, want some", round)
 		}
 	}
 }
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -16,40 +16,40 @@
 	"meadowhinge/schema"
 )
 
-// Every refusal on the worker's side has the outcome "not executed", and nothing has run.
-func TestRefusalsRunNothing(t *testing.T) {
+// A request that the runner refuses has the outcome "not executed" and the code of the reason, and no worker runs it.
+func TestRefusedRequestsDoNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(fixture *workerFixture, request *schema.ForwardRequest)
 		peer   transport.Peer
 		want   errs.Code
 	}{
-		"a caller the peer may not call as":        {func(_ *workerFixture, request *schema.ForwardRequest) { request.Caller = "saves" }, client, errs.CallerNotAllowed},
-		"a peer without a certificate":             {func(*workerFixture, *schema.ForwardRequest) {}, transport.Peer{}, errs.CallerNotAllowed},
-		"an altered body":                          {func(_ *workerFixture, request *schema.ForwardRequest) { request.Body = []byte("x") }, client, errs.MalformedRequest},
-		"an instance that is no longer registered": {func(_ *workerFixture, request *schema.ForwardRequest) { request.Instance = "p/old/1" }, client, errs.WrongInstance},
-		"another version":                          {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "2" }, client, errs.WrongInstance},
-		"another service":                          {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "saves" }, client, errs.WrongInstance},
-		"a version no configuration lists":         {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "9" }, client, errs.VersionNotAllowed},
-		"a service no configuration lists":         {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "nowhere" }, client, errs.VersionNotAllowed},
-		"a plan by a revision replaced long ago":   {func(_ *workerFixture, request *schema.ForwardRequest) { request.Revision = 3 }, client, errs.StalePlan},
-		"no time left":                             {func(_ *workerFixture, request *schema.ForwardRequest) { request.TimeLeftNanos = 0 }, client, errs.DeadlineExceeded},
-		"a proxy without a lease": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"caller not allowed for the peer":       {func(_ *workerFixture, request *schema.ForwardRequest) { request.Caller = "saves" }, client, errs.CallerNotAllowed},
+		"peer without a certificate":            {func(*workerFixture, *schema.ForwardRequest) {}, transport.Peer{}, errs.CallerNotAllowed},
+		"body that does not match its checksum": {func(_ *workerFixture, request *schema.ForwardRequest) { request.Body = []byte("x") }, client, errs.MalformedRequest},
+		"instance no longer registered":         {func(_ *workerFixture, request *schema.ForwardRequest) { request.Instance = "p/old/1" }, client, errs.WrongInstance},
+		"version that is not the worker's":      {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "2" }, client, errs.WrongInstance},
+		"service that is not the worker's":      {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "saves" }, client, errs.WrongInstance},
+		"version not in the configuration":      {func(_ *workerFixture, request *schema.ForwardRequest) { request.Version = "9" }, client, errs.VersionNotAllowed},
+		"service not in the configuration":      {func(_ *workerFixture, request *schema.ForwardRequest) { request.Service = "nowhere" }, client, errs.VersionNotAllowed},
+		"plan of an outdated revision":          {func(_ *workerFixture, request *schema.ForwardRequest) { request.Revision = 3 }, client, errs.StalePlan},
+		"deadline passed":                       {func(_ *workerFixture, request *schema.ForwardRequest) { request.TimeLeftNanos = 0 }, client, errs.DeadlineExceeded},
+		"proxy without a lease": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			fixture.runner.HasLease = func() bool { return false }
 		}, client, errs.NoLease},
-		"a worker that is draining": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"worker draining": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			description := fixture.describe("127.0.0.1:1", fixture.workersByAddress["127.0.0.1:1"])
 			description.Draining = true
 			_, _ = fixture.workers.Register(description)
 		}, client, errs.WorkerDraining},
-		"a worker whose heartbeats are overdue": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"worker with overdue heartbeats": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			time.Sleep(4 * time.Second)
 			fixture.workers.DropUnresponsive()
 		}, client, errs.WrongInstance},
-		"an address now another's, registered": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"address taken by another worker that is registered": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			fixture.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 			_, _ = fixture.workers.Register(fixture.describe("127.0.0.1:1", fixture.workersByAddress["127.0.0.1:1"]))
 		}, client, errs.WrongInstance},
-		"an address now another's, not yet registered": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
+		"address taken by another worker that is not registered yet": {func(fixture *workerFixture, _ *schema.ForwardRequest) {
 			fixture.workersByAddress["127.0.0.1:1"] = &fakeWorker{token: "new", service: "saves", version: "1"}
 		}, client, errs.WrongInstance},
 	} {
@@ -61,40 +61,40 @@
 				test.change(fixture, request)
 				got := fixture.runner.Run(t.Context(), test.peer, request)
 				if got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(test.want) {
-					t.Errorf("ended %v with %s, want not run with %s", got.Outcome, got.ErrorCode, test.want)
+					t.Errorf("Run: got %v with code %q, want CALL_OUTCOME_NOT_EXECUTED with code %q", got.Outcome, got.ErrorCode, test.want)
 				}
 				if runs := fixture.recordedRuns(); len(runs) > 0 {
-					t.Errorf("it ran: %v", runs)
+					t.Errorf("after the refusal: got runs %v, want none", runs)
 				}
 			})
 		})
 	}
 }
 
-// A worker's response is passed on only if it is certainly complete.
-func TestAnswersMustBeWhole(t *testing.T) {
+// A worker's response is passed on only if it is valid and complete. Otherwise the outcome is unknown.
+func TestOnlyCompleteResponsesArePassedOn(t *testing.T) {
 	for name, test := range map[string]struct {
 		answer string
 		want   schema.CallOutcome
 	}{
-		"whole":                        {jsonAnswer(`{"a":1}`), schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"whole, in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: Content-Length\r\n\r\n3\r\nabc\r\n0\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"an error of the worker's":     {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
-		"cut short":                    {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
-		"cut short in a chunk":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
-		"ended by the connection":      {"HTTP/1.1 200 OK\r\n\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
-		"garbage for a status":         {"HTTP/1.1 9 ?\r\nContent-Length: 0\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
-		"no HTTP":                      {"this is not an answer at all\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
-		"JSON that is not":             {strings.Replace(jsonAnswer(`{"a":1}`), `{"a":1}`, `{"a":1]`, 1), schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
-		"larger than is taken":         {jsonAnswer(`"` + strings.Repeat("x", 5000) + `"`), schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
-		"nothing, the work being done": {"", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"complete":                           {jsonAnswer(`{"a":1}`), schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"complete, in chunks":                {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: Content-Length\r\n\r\n3\r\nabc\r\n0\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"complete, with an error status":     {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", schema.CallOutcome_CALL_OUTCOME_ANSWERED},
+		"truncated body":                     {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"truncated chunk":                    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"no length, ended by the connection": {"HTTP/1.1 200 OK\r\n\r\nabc", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"invalid status line":                {"HTTP/1.1 9 ?\r\nContent-Length: 0\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"not HTTP":                           {"this is not an answer at all\r\n\r\n", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"invalid JSON":                       {strings.Replace(jsonAnswer(`{"a":1}`), `{"a":1}`, `{"a":1]`, 1), schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"body above the limit":               {jsonAnswer(`"` + strings.Repeat("x", 5000) + `"`), schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
+		"no response after the request ran":  {"", schema.CallOutcome_CALL_OUTCOME_UNKNOWN},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fixture := newWorkerFixture(t)
 				instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 				worker.answer = func(string) string {
-					// A truncated response is followed by the end of the connection.
+					// An incomplete response is followed by the end of the connection.
 					if test.want == schema.CallOutcome_CALL_OUTCOME_UNKNOWN {
 						go func() {
 							time.Sleep(time.Millisecond)
@@ -108,16 +108,17 @@
 					return test.answer
 				}
 				if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != test.want {
-					t.Errorf("ended %v with %s, want %v", got.Outcome, got.ErrorCode, test.want)
+					t.Errorf("Run: got %v with code %q, want %v", got.Outcome, got.ErrorCode, test.want)
 				}
 			})
 		})
 	}
 }
 
-// A worker gets no call after it has reported that it is draining, and a request runs once however often it is delivered:
-// in every order of two deliveries and the report.
-func TestEveryOrderOfDeliveryAndLeaving(t *testing.T) {
+// A worker gets no request after it has reported that it is draining, and a request that is delivered twice runs at most
+// once. This holds in every order of the two deliveries and the report. The exploration must find a seeded fault: the
+// deliveries do not share the set of request ids.
+func TestDuplicateDeliveryAndDrainingInEveryOrder(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			t.Helper()
@@ -129,7 +130,7 @@
 					runner := *fixture.runner
 					runner.HasLease = func() bool { yield(); return true }
 					if seeded {
-						runner.recentIDs = NewRecentIDs(8) // each delivery with a set of ids of its own
+						runner.recentIDs = NewRecentIDs(8)
 					}
 					runner.Run(t.Context(), client, newForwardRequest("r1", instance))
 				})
@@ -144,27 +145,28 @@
 			return func() error {
 				runs := fixture.recordedRuns()
 				if len(runs) > 1 {
-					return fmt.Errorf("ran %d times", len(runs))
+					return fmt.Errorf("the request ran %d times, want at most once", len(runs))
 				}
 				if runsAtDraining > 0 && len(runs) >= runsAtDraining {
-					return errors.New("ran after the worker was draining")
+					return errors.New("the request ran after the worker had reported that it is draining")
 				}
 				return nil
 			}
 		})
 	}
-	if broken := explore(true); broken.Failure == "" {
-		t.Error("the seeded fault was not found")
+	if faulty := explore(true); faulty.Failure == "" {
+		t.Error("Explore with the seeded fault: got no failure, want one")
 	}
 	correct := explore(false)
 	if correct.Failure != "" {
-		t.Error(correct.Failure)
+		t.Errorf("Explore: got the failure %q, want none", correct.Failure)
 	}
-	t.Logf("%d orders", correct.Schedules)
+	t.Logf("explored %d orders", correct.Schedules)
 }
 
-// Of three callers with one key one runs, and the others get its answer, in every order.
-func TestEveryOrderOfOneKey(t *testing.T) {
+// Of three concurrent requests under one key at most one runs, and the others get its answer, in every order. The
+// exploration must find a seeded fault: each request has a key of its own.
+func TestConcurrentRequestsUnderOneKeyInEveryOrder(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			t.Helper()
@@ -188,58 +190,58 @@
 			}
 			return func() error {
 				if runs.Load() > 1 {
-					return fmt.Errorf("ran %d times", runs.Load())
+					return fmt.Errorf("requests under the key ran %d times, want at most once", runs.Load())
 				}
 				if answered.Load() > 0 && runs.Load() == 0 {
-					return errors.New("answered and never ran")
+					return fmt.Errorf("%d requests were answered, but none ran", answered.Load())
 				}
 				return nil
 			}
 		})
 	}
 	if explore(true).Failure == "" {
-		t.Error("the seeded fault was not found")
+		t.Error("Explore with the seeded fault: got no failure, want one")
 	}
 	if correct := explore(false); correct.Failure != "" {
-		t.Error(correct.Failure)
+		t.Errorf("Explore: got the failure %q, want none", correct.Failure)
 	}
 }
 
-// The results of repeats, by the result of the first request and where it was tried.
-func TestIdempotencyCache(t *testing.T) {
+// The result of a repeat depends on the outcome of the earlier request and on the instance where that was tried.
+func TestIdempotencyCacheRepeats(t *testing.T) {
 	cache := NewIdempotencyCache(2)
 	runs := 0
-	attempt := func(key, body string, ending schema.CallOutcome, instance string) *schema.ForwardResponse {
+	attempt := func(key, body string, outcome schema.CallOutcome, instance string) *schema.ForwardResponse {
 		return cache.Do(context.Background(), key, []byte(body), func(string) (*schema.ForwardResponse, string) {
 			runs++
-			return &schema.ForwardResponse{Outcome: ending}, instance
+			return &schema.ForwardResponse{Outcome: outcome}, instance
 		})
 	}
-	unknownEnding, notRunEnding, answered := schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_ANSWERED
+	unknown, notRun, answered := schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_ANSWERED
 	for i, test := range []struct {
 		key, body string
-		ending    schema.CallOutcome
-		instance  string
+		outcome   schema.CallOutcome // result of the run, if there is one
+		instance  string             // instance that the run tried
 		want      schema.CallOutcome
-		ran       int
+		wantRuns  int // runs of all steps so far
 	}{
-		{"k", "b", notRunEnding, "", notRunEnding, 1},    // not executed: the key is free again
-		{"k", "b", unknownEnding, "w", unknownEnding, 2}, // unknown at an instance
-		{"k", "b", notRunEnding, "w", unknownEnding, 3},  // a repeat there that did not run leaves the first unknown
-		{"k", "x", answered, "w", notRunEnding, 3},       // the key with another body
-		{"k", "b", answered, "w", answered, 4},           // the instance can report on it after all
-		{"k", "b", answered, "w", answered, 4},           // from the cache
-		{"u", "b", unknownEnding, "", unknownEnding, 5},  // unknown, and no instance can report on it
-		{"u", "b", answered, "", unknownEnding, 5},       // stays unknown, and is not run
-		{"v", "b", answered, "", answered, 6},            // makes room: the oldest is dropped
+		{"k", "b", notRun, "", notRun, 1},      // the key is free again
+		{"k", "b", unknown, "w", unknown, 2},   // unknown, tried at an instance
+		{"k", "b", notRun, "w", unknown, 3},    // the repeat did not run there, which leaves the first unknown
+		{"k", "x", answered, "w", notRun, 3},   // another body under the key is refused
+		{"k", "b", answered, "w", answered, 4}, // the instance answers a later repeat
+		{"k", "b", answered, "w", answered, 4}, // answered from the cache
+		{"u", "b", unknown, "", unknown, 5},    // unknown, and no instance knows the result
+		{"u", "b", answered, "", unknown, 5},   // remains unknown, and is not run
+		{"v", "b", answered, "", answered, 6},  // the cache is full, so the oldest key is evicted
 	} {
-		if got := attempt(test.key, test.body, test.ending, test.instance); got.Outcome != test.want || runs != test.ran {
-			t.Errorf("step %d: ended %v after %d runs, want %v after %d", i, got.Outcome, runs, test.want, test.ran)
+		if got := attempt(test.key, test.body, test.outcome, test.instance); got.Outcome != test.want || runs != test.wantRuns {
+			t.Errorf("step %d: Do(%q, %q): got %v after %d runs, want %v after %d", i, test.key, test.body, got.Outcome, runs, test.want, test.wantRuns)
 		}
 	}
 }
 
-// Large answers push older ones out, so that keys never take more memory than the settings allow.
+// Large answers evict older ones, so that retained bodies never exceed bytesPerKey bytes for each key of the bound.
 func TestIdempotencyCacheIsBoundedInBytes(t *testing.T) {
 	cache := NewIdempotencyCache(100)
 	large := make([]byte, 10*bytesPerKey)
@@ -249,7 +251,8 @@
 		})
 	}
 	if cache.answerBytes > 100*bytesPerKey || len(cache.order) != 10 || len(cache.entries) != 10 {
-		t.Errorf("%d bytes in %d keys", cache.answerBytes, len(cache.entries))
+		t.Errorf("after 50 large answers: got %d bytes in %d keys, %d of them ordered, want at most %d bytes in 10 keys",
+			cache.answerBytes, len(cache.entries), len(cache.order), 100*bytesPerKey)
 	}
 	runs := 0
 	for _, key := range []string{"0", "49"} {
@@ -259,77 +262,77 @@
 		})
 	}
 	if runs != 1 {
-		t.Errorf("%d of an old and a new key ran again", runs)
+		t.Errorf("repeats of the oldest and the newest key: got %d runs, want 1, of the evicted oldest key", runs)
 	}
 }
 
-// A request that was refused as not executed does not run when it is delivered again, though nothing refuses it then.
-func TestWhatWasRefusedNeverRuns(t *testing.T) {
+// A request that was refused as not executed does not run when it is delivered again, even if no check refuses it then.
+func TestRefusedRequestNeverRunsLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
 		instance, _ := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
 		leased := false
 		fixture.runner.HasLease = func() bool { return leased }
 		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
-			t.Fatalf("ended %v", got.Outcome)
+			t.Fatalf("Run(r1) without a lease: got %v, want CALL_OUTCOME_NOT_EXECUTED", got.Outcome)
 		}
 		leased = true
 		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || len(fixture.recordedRuns()) > 0 {
-			t.Errorf("delivered again it ended %v, with runs %v", got.Outcome, fixture.recordedRuns())
+			t.Errorf("second Run(r1), with a lease: got %v and runs %v, want CALL_OUTCOME_UNKNOWN and no run", got.Outcome, fixture.recordedRuns())
 		}
 		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
-			t.Errorf("another request ended %v", got.Outcome)
+			t.Errorf("Run(r2) with a lease: got %v, want CALL_OUTCOME_ANSWERED", got.Outcome)
 		}
 	})
 }
 
-// Each response reports how the worker's calls ended: failures, truncated responses, and calls that were given up after far
-// longer than calls take; not those that had less time than calls take.
-func TestReportedWorkerRecord(t *testing.T) {
+// The runner reports a worker's failed calls: failure responses, truncated responses, and calls that had no response
+// after far longer than calls take. Calls that had less time than calls take are not reported as failed.
+func TestReportedRunCounts(t *testing.T) {
 	const answers = 20
 	for name, test := range map[string]struct {
-		answer   string        // of the last five calls; empty for none
-		timeLeft time.Duration // that calls have
-		failed   uint32        // reported failures
+		answer     string        // response to each of the last five calls; empty for none
+		timeLeft   time.Duration // time that each of these calls has
+		wantFailed uint32
 	}{
-		"answers":                {jsonAnswer(`{"a":1}`), time.Minute, 0},
-		"fails":                  {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", time.Minute, 5},
-		"breaks answers off":     {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", 500 * time.Millisecond, 5},
-		"hangs":                  {"", 500 * time.Millisecond, 5},
-		"is not given the time":  {"", 150 * time.Millisecond, 0},
-		"refuses, and runs none": {"HTTP/1.1 421 Misdirected\r\n" + HeaderRefused + ": token\r\nContent-Length: 0\r\n\r\n", time.Minute, 0},
+		"answers":                          {jsonAnswer(`{"a":1}`), time.Minute, 0},
+		"answers with a failure":           {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", time.Minute, 5},
+		"truncates responses":              {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", 500 * time.Millisecond, 5},
+		"hangs":                            {"", 500 * time.Millisecond, 5},
+		"has less time than calls take":    {"", 150 * time.Millisecond, 0},
+		"refuses without running the call": {"HTTP/1.1 421 Misdirected\r\n" + HeaderRefused + ": token\r\nContent-Length: 0\r\n\r\n", time.Minute, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				fixture := newWorkerFixture(t)
 				fixture.runner.Outliers = NewOutlierDetector(5, time.Hour)
 				instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
-				hung := make(chan struct{})
-				defer close(hung)
+				testEnded := make(chan struct{})
+				defer close(testEnded)
 				answer := jsonAnswer(`{"a":1}`)
 				worker.answer = func(string) string {
 					time.Sleep(100 * time.Millisecond)
 					if answer == "" || strings.Contains(answer, "10\r\n\r\nabc") {
-						<-hung
+						<-testEnded
 					}
 					return answer
 				}
 				run := func(number int, timeLeft time.Duration) *schema.ForwardResponse {
-					test := newForwardRequest(fmt.Sprint("r", number), instance)
-					test.TimeLeftNanos = int64(timeLeft)
-					return fixture.runner.Run(t.Context(), client, test)
+					request := newForwardRequest(fmt.Sprint("r", number), instance)
+					request.TimeLeftNanos = int64(timeLeft)
+					return fixture.runner.Run(t.Context(), client, request)
 				}
 				for number := range answers {
 					if got := run(number, time.Minute); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || got.RecentFailures != 0 || got.RecentRuns != 0 {
-						t.Fatal(got)
+						t.Fatalf("Run(r%d): got %v with %d of %d runs failed, want an answer and no report", number, got.Outcome, got.RecentFailures, got.RecentRuns)
 					}
 				}
 				answer = test.answer
 				for number := range 5 {
 					run(answers+number, test.timeLeft)
 				}
-				if ran, failed := fixture.runner.Outliers.RunCounts(instance, fixture.now()); failed != test.failed || (failed > 0 && ran != answers+failed) {
-					t.Errorf("reported: %d of %d failed", failed, ran)
+				if ran, failed := fixture.runner.Outliers.RunCounts(instance, fixture.now()); failed != test.wantFailed || (failed > 0 && ran != answers+failed) {
+					t.Errorf("RunCounts: got %d failed of %d, want %d failed of %d (of 0 if none failed)", failed, ran, test.wantFailed, answers+test.wantFailed)
 				}
 			})
 		})
--- a/internal/dispatch/work_counts_test.go
+++ b/internal/dispatch/work_counts_test.go
@@ -9,24 +9,24 @@
 	"meadowhinge/schema"
 )
 
-// Every second latency bucket doubles the time, and no bucket is skipped.
-func TestLatencyBucketsDouble(t *testing.T) {
+// Latency buckets follow each other without a gap, and a time twice as long is two buckets higher.
+func TestLatencyBucketsDoubleEverySecondBucket(t *testing.T) {
 	last := 0
 	for took := 100 * time.Microsecond; took < time.Minute; took += took / 16 {
 		bucket := release.LatencyBucket(took)
 		if bucket < last || bucket > last+1 {
-			t.Errorf("%v is in bucket %d after %d", took, bucket, last)
+			t.Errorf("LatencyBucket(%v): got %d, want %d or %d", took, bucket, last, last+1)
 		}
 		if took > time.Millisecond && took < 10*time.Second && release.LatencyBucket(2*took) != bucket+2 {
-			t.Errorf("twice %v is %d buckets on", took, release.LatencyBucket(2*took)-bucket)
+			t.Errorf("LatencyBucket(%v): got %d, want %d, which is 2 above that of %v", 2*took, release.LatencyBucket(2*took), bucket+2, took)
 		}
 		last = bucket
 	}
 }
 
-// A worker that ends breaks all its connections at once, which counts as one failure. One that breaks a connection now and
-// then fails each time.
-func TestWorkCountsCountAnEndOnce(t *testing.T) {
+// A worker that exits breaks all its connections at once, which counts as one failure. Connections that break at
+// different times count as one failure each.
+func TestWorkCountsCountWorkerExitOnce(t *testing.T) {
 	counts := NewWorkCounts(2)
 	end := func(now time.Duration, response *schema.ForwardResponse) {
 		counts.Begin("shop", "2", "buy", 7).End(now, 20*time.Millisecond, response)
@@ -47,9 +47,9 @@
 	counts.Begin("saves", "1", "beyond the bound", 0).End(0, 0, answer(200))
 	reported := counts.Report(func(service string) bool { return service == "shop" })
 	if len(reported) != 1 || reported[0].Calls != 5 || reported[0].Failures != 4 || reported[0].InFlight != 1 || reported[0].PlanSequence != 7 {
-		t.Fatalf("reported %v", reported)
+		t.Fatalf("Report: got %v, want one count with 5 calls, 4 failures, 1 in flight and plan sequence 7", reported)
 	}
-	if sum := 0; len(reported[0].LatencyHistogram) != release.LatencyBucket(20*time.Millisecond)+1 || reported[0].LatencyHistogram[len(reported[0].LatencyHistogram)-1] != 1 {
-		t.Errorf("times %v, %d", reported[0].LatencyHistogram, sum)
+	if last := release.LatencyBucket(20 * time.Millisecond); len(reported[0].LatencyHistogram) != last+1 || reported[0].LatencyHistogram[len(reported[0].LatencyHistogram)-1] != 1 {
+		t.Errorf("Report: got the latency histogram %v, want its last bucket to be %d with 1 call", reported[0].LatencyHistogram, last)
 	}
 }
--- a/internal/dispatch/worker_conns_fuzz_test.go
+++ b/internal/dispatch/worker_conns_fuzz_test.go
@@ -12,8 +12,9 @@
 	"meadowhinge/schema"
 )
 
-// Whatever a worker sends, a response is accepted only if it is complete, within the size limit and with a final status.
-func FuzzAnswers(f *testing.F) {
+// A response is accepted only if it is complete, within the size limit, and has a final status, whatever bytes a worker
+// sends.
+func FuzzWorkerResponse(f *testing.F) {
 	for _, seed := range []string{answered("r", "one"), "HTTP/1.1 200 OK\r\n\r\none", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n",
 		"HTTP/1.1 100 Continue\r\n\r\n" + answered("r", ""), "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffffffff\r\n"} {
 		f.Add([]byte(seed))
@@ -38,13 +39,13 @@
 		x.info = x.codec.ReadHeader(&response.Header, x.forward)
 		err := x.readBody(reader)
 		if len(x.body) > maxBodyBytes {
-			t.Fatalf("%d bytes were accepted", len(x.body))
+			t.Fatalf("readBody: got a body of %d bytes, want at most %d", len(x.body), maxBodyBytes)
 		}
 		if status := response.StatusCode(); err == nil && (status < 200 || status > 599) {
-			t.Fatalf("status %d was accepted", status)
+			t.Fatalf("readFinalHeader: accepted the status %d, want only 200 to 599", status)
 		}
 		if length := response.Header.ContentLength(); err == nil && length > 0 && !HasNoBody(x.forward.Method, response.StatusCode()) && len(x.body) != length {
-			t.Fatalf("%d bytes of %d were accepted as complete", len(x.body), length)
+			t.Fatalf("readBody: accepted a body of %d bytes as complete, want Content-Length %d", len(x.body), length)
 		}
 	})
 }
--- a/internal/dispatch/worker_conns_test.go
+++ b/internal/dispatch/worker_conns_test.go
@@ -22,7 +22,7 @@
 	"meadowhinge/schema"
 )
 
-// testCodec is a codec with a header for everything that a worker may report.
+// testCodec is a codec that reads all fields of a ResponseInfo that tests need from headers.
 type testCodec struct{ NativeCodec }
 
 func (testCodec) WriteHeaders(request *fasthttp.Request, forward *schema.ForwardRequest, _ WorkerRegistration, _ time.Duration) {
@@ -45,18 +45,19 @@
 type socketFixture struct {
 	runner  *Runner
 	workers *Workers
-	opened  atomic.Int32 // connections that the worker accepted
-	address string
+	opened  atomic.Int32 // connections that the worker has accepted
+	address string       // address of the worker
 }
 
-// newSocketFixture returns a fixture whose worker serves each connection by serve. connNumber is 1 for the first one.
+// newSocketFixture returns a fixture whose worker handles each connection with serve. connNumber counts the connections
+// from 1.
 func newSocketFixture(tb testing.TB, serve func(conn *net.TCPConn, reader *bufio.Reader, connNumber int)) *socketFixture {
 	tb.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("net.Listen: %v", err)
 	}
-	tb.Cleanup(func() { _ = listener.Close() }) // the test is over
+	tb.Cleanup(func() { _ = listener.Close() }) // an error does not matter after the test
 	fixture := &socketFixture{address: listener.Addr().String()}
 	go func() {
 		for {
@@ -66,7 +67,7 @@
 			}
 			connNumber := int(fixture.opened.Add(1))
 			go func() {
-				defer func() { _ = conn.Close() }() // the test has reset or closed it already where that matters
+				defer func() { _ = conn.Close() }() // fails only if serve has closed the connection already
 				serve(conn.(*net.TCPConn), bufio.NewReader(conn), connNumber)
 			}()
 		}
@@ -94,7 +95,7 @@
 		Now:              now,
 	}, 1<<16)
 	if _, err := fixture.workers.Register(WorkerDescription{ID: "w", Address: fixture.address, Service: "shop", Version: "1", HeartbeatMS: 60000, Slots: 64}); err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("Register: %v", err)
 	}
 	tb.Cleanup(func() {
 		_, _ = fixture.workers.Register(WorkerDescription{ID: "w", Address: fixture.address, Deregistered: true})
@@ -102,7 +103,7 @@
 	return fixture
 }
 
-// run runs a request on the worker, after change if it is not nil.
+// run runs a request on the worker. change, if not nil, changes the request before.
 func (f *socketFixture) run(tb testing.TB, id string, change func(*schema.ForwardRequest)) *schema.ForwardResponse {
 	tb.Helper()
 	request := newForwardRequest(id, "w")
@@ -114,8 +115,8 @@
 	return f.runner.Run(tb.Context(), client, request)
 }
 
-// idOf reads a request and returns its id, empty at the end of the connection.
-func idOf(reader *bufio.Reader) string {
+// readRequestID reads a request and returns its id. It is empty at the end of the connection.
+func readRequestID(reader *bufio.Reader) string {
 	request, err := http.ReadRequest(reader)
 	if err != nil {
 		return ""
@@ -124,66 +125,67 @@
 	return request.Header.Get("X-Id")
 }
 
-// answered returns a complete response to a request.
+// answered returns a complete response to a request, as raw HTTP.
 func answered(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// Whatever a worker sends, two successive requests end as they should, and each answer belongs to its own request.
-func TestOddWorkers(t *testing.T) {
-	answeredEnding, notRunEnding, unknownEnding := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN
+// Whatever a worker sends in response to the first of two requests, both have the right outcome, and a body is returned
+// only for the request that it belongs to.
+func TestUnusualWorkerResponses(t *testing.T) {
+	answeredOutcome, notRun, unknown := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN
 	always := func(text string) func(string) string { return func(string) string { return text } }
 	for name, test := range map[string]struct {
-		first  func(id string) string // the answer to the first request
-		ends   bool                   // the worker then closes
-		resets bool                   // it does so by a reset
-		second func(id string) string // the answer to the second, on the same connection
-		change func(*schema.ForwardRequest)
-		want   [2]schema.CallOutcome
-		code   errs.Code // of the first
-		opened int32
+		first  func(id string) string       // returns the response to the first request; nil for a plain one
+		ends   bool                         // the worker closes the connection after the first response
+		resets bool                         // the worker closes the connection by a reset
+		second func(id string) string       // returns the response to the second request; nil for a plain one
+		change func(*schema.ForwardRequest) // changes the first request; nil for no change
+		want   [2]schema.CallOutcome        // wanted outcomes of both requests
+		code   errs.Code                    // wanted code of the first request; any if empty
+		opened int32                        // wanted number of connections
 	}{
-		"plain":                     {want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"an empty body":             {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"in chunks":                 {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"in chunks, with a trailer": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"interim answers": {first: func(id string) string {
+		"plain response":             {want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"empty body":                 {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"chunked body":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"chunked body, with trailer": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"interim responses": {first: func(id string) string {
 			return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answered(id, "one")
-		}, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"no content":                         {first: always("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"not modified":                       {first: always("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"the header alone":                   {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"closes the connection":              {first: always("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"closes while idle":                  {ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"sends more":                         {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"sends a second response":            {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"sends a response late":              {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"sends only a late response":         {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{answeredEnding, unknownEnding}, opened: 1},
-		"refuses":                            {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, code: errs.QueueFull, opened: 1},
-		"refuses, truncated":                 {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRunEnding, answeredEnding}, code: errs.QueueFull, opened: 2},
-		"is another worker":                  {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRunEnding, notRunEnding}, code: errs.WrongInstance, opened: 1},
-		"an error of its own":                {first: always("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"closes instead of a response":       {first: always(""), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.WorkerConnectionLost, opened: 2},
-		"truncated in the header":            {first: always("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
-		"truncated in the body":              {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.WorkerConnectionLost, opened: 2},
-		"truncated in a chunk":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
-		"truncated before the trailer":       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, opened: 2},
-		"chunks with extensions and padding": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 1},
-		"a chunk with no size":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
-		"a chunk too long":                   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
-		"chunks too large":                   {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
-		"to the end":                         {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"nothing to the end":                 {first: always("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"much to the end":                    {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{answeredEnding, answeredEnding}, opened: 2},
-		"too much to the end":                {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
-		"reset before the end":               {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.WorkerConnectionLost, opened: 2},
-		"unresponsive before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
+		}, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"204 without a body":                 {first: always("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"304 with a length":                  {first: always("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"HEAD with a length":                 {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"announces the close":                {first: always("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"closes while idle":                  {ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"sends bytes after the response":     {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"sends a second response":            {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"late response before the right one": {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"late response only":                 {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{answeredOutcome, unknown}, opened: 1},
+		"refusal":                            {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRun, answeredOutcome}, code: errs.QueueFull, opened: 1},
+		"refusal, truncated":                 {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRun, answeredOutcome}, code: errs.QueueFull, opened: 2},
+		"another worker at the address":      {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRun, notRun}, code: errs.WrongInstance, opened: 1},
+		"error status":                       {first: always("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"closes instead of a response":       {first: always(""), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
+		"truncated in the header":            {first: always("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
+		"truncated in the body":              {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
+		"truncated in a chunk":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
+		"truncated before the trailer":       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
+		"chunks with extensions and padding": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"chunk with a negative size":         {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"chunk longer than its size":         {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"chunk above the body limit":         {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"body to the end":                    {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"empty body to the end":              {first: always("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"largest body to the end":            {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"body above the limit to the end":    {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"reset before the end":               {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
+		"unresponsive before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknown, answeredOutcome},
 			code: errs.DeadlineExceeded, opened: 2},
-		"two lengths":      {first: always("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
-		"no answer":        {first: always("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
-		"changes protocol": {first: always("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
-		"too much":         {first: always("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{unknownEnding, answeredEnding}, code: errs.InvalidResponse, opened: 2},
-		"unresponsive": {first: always("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknownEnding, answeredEnding},
+		"two lengths":               {first: always("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"not HTTP":                  {first: always("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"101 switches the protocol": {first: always("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"length above the limit":    {first: always("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"unresponsive in the header": {first: always("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknown, answeredOutcome},
 			code: errs.DeadlineExceeded, opened: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -194,10 +196,10 @@
 			if test.second == nil {
 				test.second = plain
 			}
-			result := make(chan bool, 1)
+			closed := make(chan bool, 1)
 			fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
 				for {
-					id := idOf(reader)
+					id := readRequestID(reader)
 					text := test.second(id)
 					if id == "first" {
 						text = test.first(id)
@@ -210,44 +212,45 @@
 						_ = conn.SetLinger(0)
 					}
 					if connNumber == 1 && test.ends {
-						_ = conn.Close() // the second request finds out
-						result <- true
+						_ = conn.Close() // the second request detects the close
+						closed <- true
 						return
 					}
-					// The runner reads no more than the one late response.
-					if id == "second" && test.want[1] == unknownEnding {
+					// The runner reads nothing after the late response, so the connection is closed.
+					if id == "second" && test.want[1] == unknown {
 						return
 					}
 				}
 			})
 			first := fixture.run(t, "first", test.change)
 			if first.Outcome != test.want[0] || (test.code != "" && first.ErrorCode != string(test.code)) {
-				t.Errorf("the first ended %v with %s, want %v with %s", first.Outcome, first.ErrorCode, test.want[0], test.code)
+				t.Errorf("first request: got %v with code %q, want %v with code %q (any if empty)", first.Outcome, first.ErrorCode, test.want[0], test.code)
 			}
 			if test.ends {
-				<-result
+				<-closed
 			}
 			second := fixture.run(t, "second", nil)
-			if second.Outcome != test.want[1] || (test.want[1] == answeredEnding && string(second.Body) != "second") {
-				t.Errorf("the second ended %v with %s and %q, want %v", second.Outcome, second.ErrorCode, second.Body, test.want[1])
+			if second.Outcome != test.want[1] || (test.want[1] == answeredOutcome && string(second.Body) != "second") {
+				t.Errorf("second request: got %v with code %q and body %q, want %v, with the body %q if answered",
+					second.Outcome, second.ErrorCode, second.Body, test.want[1], "second")
 			}
-			if first.Outcome == answeredEnding && strings.HasSuffix(name, "to the end") {
+			if first.Outcome == answeredOutcome && strings.HasSuffix(name, "to the end") {
 				sent := test.first("first")
 				if want := sent[strings.Index(sent, "\r\n\r\n")+4:]; string(first.Body) != want {
-					t.Errorf("%d bytes came of %d", len(first.Body), len(want))
+					t.Errorf("first request: got a body of %d bytes, want the %d bytes that were sent", len(first.Body), len(want))
 				}
 			}
 			if got := fixture.opened.Load(); got != test.opened {
-				t.Errorf("%d connections, want %d", got, test.opened)
+				t.Errorf("connections to the worker: got %d, want %d", got, test.opened)
 			}
 		})
 	}
 }
 
-// A connection on which bytes arrive while no request is under way is not used again.
-func TestUnaskedBytesEndAConnection(t *testing.T) {
+// A connection on which bytes arrive while it is idle is not used again.
+func TestBytesOnIdleConnectionEndIt(t *testing.T) {
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, connNumber int) {
-		for id := idOf(reader); id != ""; id = idOf(reader) {
+		for id := readRequestID(reader); id != ""; id = readRequestID(reader) {
 			_, _ = conn.Write([]byte(answered(id, id)))
 			if connNumber == 1 {
 				_, _ = conn.Write([]byte(answered(id, id)))
@@ -260,35 +263,36 @@
 		for conns.idle[0].alive() {
 			runtime.Gosched()
 		}
-		// The peek has consumed the bytes, so the connection is closed for takeIdle to find it unusable.
-		_ = conns.idle[0].Close() // it is open until now
+		// The probe has consumed the bytes, so the connection is closed here for takeIdle to find it unusable.
+		_ = conns.idle[0].Close() // the connection is open, so an error is not expected
 	}
 	if got := fixture.run(t, "second", nil); string(got.Body) != "second" || fixture.opened.Load() != 2 {
-		t.Errorf("ended %v with %q over %d connections", got.Outcome, got.Body, fixture.opened.Load())
+		t.Errorf("second request: got %v with body %q over %d connections, want the body %q over 2", got.Outcome, got.Body, fixture.opened.Load(), "second")
 	}
 }
 
-// A worker that resets a connection may have run the request; one that does not listen any more has not.
-func TestResetAndDeadWorkers(t *testing.T) {
+// A worker that resets a connection may have run the request. A worker that does not listen any more has not run it, and
+// its registration ends until it registers again.
+func TestResetConnectionAndDeadWorker(t *testing.T) {
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
-		idOf(reader)
+		readRequestID(reader)
 		_ = conn.SetLinger(0)
 	})
 	if got := fixture.run(t, "first", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || got.ErrorCode != string(errs.WorkerConnectionLost) {
-		t.Errorf("ended %v with %s", got.Outcome, got.ErrorCode)
+		t.Errorf("request on a connection that is reset: got %v with code %q, want CALL_OUTCOME_UNKNOWN with code %q", got.Outcome, got.ErrorCode, errs.WorkerConnectionLost)
 	}
 	fixture.workers.byInstance["w"].conns.address = "127.0.0.1:1"
 	for _, want := range []errs.Code{errs.WorkerConnectFailed, errs.WrongInstance} {
 		if got := fixture.run(t, string(want), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != string(want) {
-			t.Errorf("ended %v with %s, want %s", got.Outcome, got.ErrorCode, want)
+			t.Errorf("request to a worker that does not listen: got %v with code %q, want CALL_OUTCOME_NOT_EXECUTED with code %q", got.Outcome, got.ErrorCode, want)
 		}
 	}
 	// A worker that registers again gets requests again.
 	if _, err := fixture.workers.Register(WorkerDescription{ID: "w", Address: fixture.address, Service: "shop", Version: "1", HeartbeatMS: 60000}); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Register: %v", err)
 	}
 	if got := fixture.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN {
-		t.Errorf("ended %v with %s", got.Outcome, got.ErrorCode)
+		t.Errorf("request after the new registration: got %v with code %q, want CALL_OUTCOME_UNKNOWN", got.Outcome, got.ErrorCode)
 	}
 }
 
@@ -312,17 +316,17 @@
 		})
 		line := FieldOf(got.HeaderBlock, "X-Line")
 		if string(got.Body) != body || line != "PUT /a//b/../%7e?x=%20y&&z shop.example" {
-			t.Errorf("%d bytes came back as %d, of %q", size, len(got.Body), line)
+			t.Errorf("request with a body of %d bytes: got a body of %d bytes back and the request line %q, want both unchanged", size, len(got.Body), line)
 		}
 	}
 	if fixture.opened.Load() != 1 {
-		t.Errorf("%d connections", fixture.opened.Load())
+		t.Errorf("connections to the worker: got %d, want 1", fixture.opened.Load())
 	}
 }
 
-// A worker may answer before it has read a body, keep the connection and read on later: it then finds the rest of that body
-// and, after it, the next request.
-func TestAnsweredBeforeTheBodyIsRead(t *testing.T) {
+// A worker may answer before it has read the body of a request, and keep the connection. It must then find the rest of that
+// body on the connection and, after it, the next request.
+func TestAnswerBeforeBodyIsRead(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 1<<16)
 	read := make(chan string, 2)
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
@@ -346,20 +350,20 @@
 			c.Checksum = crc32.ChecksumIEEE(c.Body)
 		})
 		if got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || string(got.Body) != id {
-			t.Errorf("%s ended %v with %s and %q", id, got.Outcome, got.ErrorCode, got.Body)
+			t.Errorf("%s request: got %v with code %q and body %q, want an answer with the body %q", id, got.Outcome, got.ErrorCode, got.Body, id)
 		}
 		if rest := <-read; rest != body {
-			t.Errorf("%s: the worker read %d bytes of %d", id, len(rest), len(body))
+			t.Errorf("%s request: the worker read a body of %d bytes, want the %d bytes that were sent", id, len(rest), len(body))
 		}
 	}
 }
 
-// Large bodies wait for each other where their memory does not suffice for all at once.
-func TestLargeAnswersTakeTurns(t *testing.T) {
+// Large response bodies wait for each other if the memory does not suffice for all of them at once.
+func TestLargeBodiesShareMemory(t *testing.T) {
 	const size = 1 << 20
 	body, begun, resume := strings.Repeat("x", size), make(chan bool), make(chan bool)
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
-		for id := idOf(reader); id != ""; id = idOf(reader) {
+		for id := readRequestID(reader); id != ""; id = readRequestID(reader) {
 			text := answered(id, body)
 			if id == "first" {
 				_, _ = conn.Write([]byte(text[:size/2]))
@@ -374,26 +378,27 @@
 	first := make(chan *schema.ForwardResponse)
 	go func() { first <- fixture.run(t, "first", nil) }()
 	<-begun
-	// The first has acquired its memory once it has read more than one chunk: the second then finds none.
+	// The first body has acquired its memory once more than one buffer of it is read. The second then finds none left.
 	for fixture.workers.bodyMemory.TryAcquire(size) {
 		fixture.workers.bodyMemory.Release(size)
 		runtime.Gosched()
 	}
-	hasty := fixture.run(t, "hasty", func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(50 * time.Millisecond) })
-	if hasty.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || hasty.ErrorCode != string(errs.DeadlineExceeded) {
-		t.Errorf("ended %v with %s beside another", hasty.Outcome, hasty.ErrorCode)
+	second := fixture.run(t, "second", func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(50 * time.Millisecond) })
+	if second.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || second.ErrorCode != string(errs.DeadlineExceeded) {
+		t.Errorf("second request, without memory left for 50ms: got %v with code %q, want CALL_OUTCOME_UNKNOWN with code %q",
+			second.Outcome, second.ErrorCode, errs.DeadlineExceeded)
 	}
 	close(resume)
 	if got := <-first; got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(got.Body) != size {
-		t.Errorf("the first ended %v with %d bytes", got.Outcome, len(got.Body))
+		t.Errorf("first request: got %v with a body of %d bytes, want an answer with %d", got.Outcome, len(got.Body), size)
 	}
 	if got := fixture.run(t, "third", nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(got.Body) != size || !fixture.workers.bodyMemory.TryAcquire(size) {
-		t.Errorf("the third ended %v with %d bytes, or its memory is not released", got.Outcome, len(got.Body))
+		t.Errorf("third request: got %v with a body of %d bytes, want an answer with %d and all memory released", got.Outcome, len(got.Body), size)
 	}
 }
 
-// BenchmarkHop measures the worker's side of a call. Most of it is the sockets.
-func BenchmarkHop(b *testing.B) {
+// BenchmarkRun measures the worker's side of a call over a loopback socket. The sockets account for most of the time.
+func BenchmarkRun(b *testing.B) {
 	fixture := newSocketFixture(b, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		text, request := []byte(answered("", strings.Repeat("x", 400))), make([]byte, 4096)
 		for {
@@ -406,7 +411,7 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		if got := fixture.run(b, fmt.Sprint(i), nil); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
-			b.Fatal(got)
+			b.Fatalf("Run(%d): got %v with code %q, want CALL_OUTCOME_ANSWERED", i, got.Outcome, got.ErrorCode)
 		}
 	}
 }
--- a/internal/dispatch/worker_fixture_test.go
+++ b/internal/dispatch/worker_fixture_test.go
@@ -28,42 +28,43 @@
 route: look: {service: "shop", prefix: "/shop/look", class: "repeatable"}
 `
 
-// fixtureItems is parsed once: parsing CUE takes longer than most tests that use it.
+// fixtureItems is fixtureConfig, parsed only once because parsing CUE takes longer than most tests that use it.
 var fixtureItems, fixtureFaults = configsource.Parse([]byte(fixtureConfig))
 
-func compileConfig(tb testing.TB, sequence uint64) *config.Snapshot {
+// compileConfig compiles fixtureConfig as the configuration of the given revision.
+func compileConfig(tb testing.TB, revision uint64) *config.Snapshot {
 	tb.Helper()
 	items, faults := fixtureItems, fixtureFaults
 	for _, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: 1}
 	}
-	snapshot, more := config.Compile(config.State{}.With(items), sequence)
-	if len(faults)+len(more) > 0 {
-		tb.Fatal(faults, more)
+	snapshot, compileFaults := config.Compile(config.State{}.With(items), revision)
+	if len(faults)+len(compileFaults) > 0 {
+		tb.Fatalf("the fixture's configuration has faults: parsing %v, compiling %v", faults, compileFaults)
 	}
 	return snapshot
 }
 
-// workerRun is one request as a worker ran it.
+// workerRun records one request that a worker ran.
 type workerRun struct {
 	request, caller, service, version, token string
-	at                                       time.Duration
+	at                                       time.Duration // start of the run, since the start of the fixture
 }
 
-// fakeWorker is a worker behind pipes. Each request that it runs is recorded before it answers.
+// fakeWorker is a worker that is reached over pipes. The fixture records each request that it runs before it answers.
 type fakeWorker struct {
 	token, service, version string
-	answer                  func(request string) string // raw HTTP; empty closes the connection
+	answer                  func(request string) string // returns raw HTTP; an empty answer closes the connection
 }
 
-// workerFixture is the runner of one proxy and the workers beside it.
+// workerFixture is the runner of one proxy with its local workers.
 type workerFixture struct {
-	lock               sync.Mutex
+	lock               sync.Mutex // guards workersByAddress, conns and runs
 	startedAt          time.Time
 	workersByAddress   map[string]*fakeWorker
-	conns              map[string][]net.Conn
+	conns              map[string][]net.Conn // both ends of all pipes, by the worker's address
 	runs               []workerRun
-	seededNoTokenCheck bool // seeded fault: workers run requests without their token
+	seededNoTokenCheck bool // seeded fault: workers run requests that lack their token
 	workers            *Workers
 	runner             *Runner
 	view               *plan.View
@@ -93,7 +94,7 @@
 	}, 1024)
 	tb.Cleanup(func() {
 		fixture.close()
-		// Timers of the connections run out on the virtual clock, so that no goroutine outlives the test.
+		// The timers of the connections expire on the virtual clock, so that no goroutine outlives the test.
 		time.Sleep(time.Minute)
 	})
 	return fixture
@@ -113,12 +114,14 @@
 	return near, nil
 }
 
+// jsonAnswer returns a complete HTTP response with a JSON body.
 func jsonAnswer(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
+// serve answers the requests on a connection as the worker that has the address at that time.
 func (f *workerFixture) serve(address string, conn net.Conn) {
-	defer func() { _ = conn.Close() }() // the reader has ended, or nothing more is to be sent
+	defer func() { _ = conn.Close() }() // closing a pipe cannot fail
 	reader := bufio.NewReader(conn)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -128,8 +131,8 @@
 		_, _ = io.Copy(io.Discard, request.Body)
 		f.lock.Lock()
 		worker := f.workersByAddress[address]
-		meant := worker != nil && (f.seededNoTokenCheck || request.Header.Get(HeaderToken) == worker.token)
-		if meant {
+		accepted := worker != nil && (f.seededNoTokenCheck || request.Header.Get(HeaderToken) == worker.token)
+		if accepted {
 			f.runs = append(f.runs, workerRun{
 				request: request.Header.Get(HeaderRequest),
 				caller:  request.Header.Get(HeaderCaller),
@@ -141,7 +144,7 @@
 		}
 		f.lock.Unlock()
 		answer := "HTTP/1.1 421 Misdirected\r\n" + HeaderRefused + ": token\r\nContent-Length: 0\r\n\r\n"
-		if meant {
+		if accepted {
 			answer = jsonAnswer(`{"request":"` + request.Header.Get(HeaderRequest) + `"}`)
 			if worker.answer != nil {
 				answer = worker.answer(request.Header.Get(HeaderRequest))
@@ -154,13 +157,13 @@
 			return
 		}
 		// A response without a length ends with its connection.
-		if meant && worker.answer != nil && !strings.Contains(answer, "Content-Length") {
+		if accepted && worker.answer != nil && !strings.Contains(answer, "Content-Length") {
 			return
 		}
 	}
 }
 
-// addWorker adds a worker at an address and registers it. It returns the instance.
+// addWorker adds a worker at an address and registers it. It returns the instance of the registration and the worker.
 func (f *workerFixture) addWorker(tb testing.TB, address, service, version, token string) (string, *fakeWorker) {
 	tb.Helper()
 	worker := &fakeWorker{token: token, service: service, version: version}
@@ -169,16 +172,17 @@
 	f.lock.Unlock()
 	instance, err := f.workers.Register(f.describe(address, worker))
 	if err != nil {
-		tb.Fatal(err)
+		tb.Fatalf("Register(%s): %v", address, err)
 	}
 	return instance, worker
 }
 
+// describe returns the description with which a worker at an address registers.
 func (f *workerFixture) describe(address string, worker *fakeWorker) WorkerDescription {
 	return WorkerDescription{Address: address, Service: worker.service, Version: worker.version, Token: worker.token, HeartbeatMS: 1000}
 }
 
-// close closes every connection, so that no goroutine outlives the test.
+// close deregisters all workers and closes all connections, so that no goroutine outlives the test.
 func (f *workerFixture) close() {
 	f.lock.Lock()
 	addresses := f.workersByAddress
@@ -204,7 +208,7 @@
 	return append([]workerRun(nil), f.runs...)
 }
 
-// client is a proxy that may call as the service kind "client".
+// client is a peer proxy that may forward calls of the caller "client".
 var client = transport.LocalPeer("proxy", "q", map[string]bool{"client": true})
 
 // newForwardRequest returns a non-idempotent request that the fixture's configuration allows.
