--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -27,8 +27,8 @@
 		crc32.ChecksumIEEE(response.Body) == response.Checksum
 }
 
-// remainingTarget returns the nanoseconds left until the call's latency target: -1 if the target has passed, and 0 if the
-// call has none. remaining is the time left until the plan's deadline.
+// remainingTarget returns the nanoseconds left until the call's latency target: -1 if the target has passed, and 0 if
+// the call has none. remaining is the time left until the plan's deadline.
 func remainingTarget(callPlan *plan.Plan, remaining time.Duration) int64 {
 	if callPlan.LatencyTarget <= 0 {
 		return 0
@@ -82,8 +82,8 @@
 	return context.WithTimeout(ctx, timeout)
 }
 
-// sendAttempt sends the call to a candidate, and records the result for its worker, its proxy and its version. It returns
-// the response, or the refusal of the capacity check that comes before it.
+// sendAttempt sends the call to a candidate, and records the result for its worker, its proxy and its version. It
+// returns the response, or the refusal of the capacity check that comes before it.
 func (a *attemptSequence) sendAttempt(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) *schema.ForwardResponse {
 	f, callPlan := a.forwarder, a.result.Plan
 	request := newAttemptRequest(a.call, a.result, candidate, remaining)
@@ -114,8 +114,8 @@
 	return response
 }
 
-// responseOf returns the response to a request from the results of Send, and records whether the proxy was reached. With
-// NoAttemptTimeout, an attempt that ends at the call's deadline means a slow worker, not an unreachable proxy.
+// responseOf returns the response to a request from the results of Send, and records whether the proxy was reached.
+// With NoAttemptTimeout, an attempt that ends at the call's deadline means a slow worker, not an unreachable proxy.
 func (f *Forwarder) responseOf(
 	ctx context.Context, request *schema.ForwardRequest, response *schema.ForwardResponse, err error, proxy string,
 ) *schema.ForwardResponse {
@@ -162,8 +162,9 @@
 	return f.Canaries.Begin(callPlan.Service, callPlan.Verdict.Version, f.Now())
 }
 
-// endCanaryCall records the result of an attempt for its version. canaryCall may be nil. A run whose caller disconnected
-// is discarded. A request that is proved not to have run is no failure of the version, unlike in isFailure.
+// endCanaryCall records the result of an attempt for its version. canaryCall may be nil. A run whose caller
+// disconnected is discarded. A request that is proved not to have run is no failure of the version, unlike in
+// isFailure.
 func (f *Forwarder) endCanaryCall(canaryCall *CanaryCall, response *schema.ForwardResponse) {
 	switch {
 	case canaryCall == nil:
--- a/internal/dispatch/candidates.go
+++ b/internal/dispatch/attempt_sequence.go
@@ -51,8 +51,8 @@
 func doneWith(response *schema.ForwardResponse) step { return step{next: stepDone, response: response} }
 
 // attemptCandidates tries the candidates in order until one answers or no further attempt may be made. It returns the
-// call's response and the instance that it came from. The instance is [reservedElsewhere] if the call's key could not be
-// reserved, and empty if no repeat needs to know it.
+// call's response and the instance that it came from. The instance is [reservedElsewhere] if the call's key could not
+// be reserved, and empty if no repeat needs to know it.
 func (f *Forwarder) attemptCandidates(
 	ctx context.Context, call *Call, result *CallResult, startedAt time.Duration, pinnedInstance string,
 ) (*schema.ForwardResponse, string) {
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// tryEndpoints tries the candidates of the plan in order. It returns the first step that ends the call or requires a new
-// plan, and stepNextCandidate if there is none.
+// tryEndpoints tries the candidates of the plan in order. It returns the first step that ends the call or requires a
+// new plan, and stepNextCandidate if there is none.
 func (a *attemptSequence) tryEndpoints(ctx context.Context) step {
 	candidates := a.result.Plan.Candidates
 	for i := range candidates {
@@ -186,7 +186,8 @@
 }
 
 // skipOverloaded skips a candidate that has recently refused most calls of the route. A pinned call does not skip its
-// candidate, because no other worker can serve it. A worker of this proxy is not skipped, because trying it costs nothing.
+// candidate, because no other worker can serve it. A worker of this proxy is not skipped, because trying it costs
+// nothing.
 func (a *attemptSequence) skipOverloaded(candidate *plan.Endpoint) step {
 	f := a.forwarder
 	retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, a.result.Plan.Route.Name, f.Now(), f.Random)
--- a/internal/dispatch/call_record.go
+++ b/internal/dispatch/call_record.go
@@ -6,7 +6,8 @@
 )
 
 // callRecord counts the recent calls to a worker and how many of them failed. Both counts decay exponentially, to 1/e
-// in each window, so that a worker that has failed gets its calls back gradually. It is guarded by the workerState's lock.
+// in each window, so that a worker that has failed gets its calls back gradually. It is guarded by the workerState's
+// lock.
 type callRecord struct {
 	calls, failed float64       // decayed up to updatedAt
 	updatedAt     time.Duration // time of the last change, on the process clock
--- a/internal/dispatch/canary_guard.go
+++ b/internal/dispatch/canary_guard.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// ForgetUnguarded drops the grants, stops and windows of versions that are not guarded any more. It keeps the windows of
-// fallback versions, which guarded versions are compared with.
+// ForgetUnguarded drops the grants, stops and windows of versions that are not guarded any more. It keeps the windows
+// of fallback versions, which guarded versions are compared with.
 func (g *CanaryGuard) ForgetUnguarded() {
 	g.lock.Lock()
 	defer g.lock.Unlock()
--- a/internal/dispatch/canary_guard_test.go
+++ b/internal/dispatch/canary_guard_test.go
@@ -7,15 +7,17 @@
 	"meadowhinge/schema"
 )
 
-// fakeGuards implements VersionGuards: it maps each guarded version to the revision of its guard. The fallback version of
-// all services is "1".
+// fakeGuards implements VersionGuards: it maps each guarded version to the revision of its guard. The fallback version
+// of all services is "1".
 type fakeGuards map[string]uint64
 
+// GuardedRevision implements VersionGuards.
 func (g fakeGuards) GuardedRevision(_, version string) (uint64, bool) {
 	revision, guarded := g[version]
 	return revision, guarded
 }
 
+// FallbackOf implements VersionGuards.
 func (g fakeGuards) FallbackOf(string) string { return "1" }
 
 // newGrantedGuard returns a guard with a grant for version 2 of the service "shop" from now on.
@@ -25,7 +27,8 @@
 	return guard
 }
 
-// newTestGuard returns the guard of a proxy in a fleet of ten. The fleet tolerates forty failures, so its share is four.
+// newTestGuard returns the guard of a proxy in a fleet of ten. The fleet tolerates forty failures, so its share is
+// four.
 func newTestGuard(guards fakeGuards) *CanaryGuard {
 	return NewCanaryGuard(DefaultCanaryOptions, func() int { return 10 }, func() VersionGuards { return guards })
 }
@@ -104,8 +107,8 @@
 	}
 }
 
-// Calls that hang count as failed before they end, because calls that are sent meanwhile would be lost as well. A stop by
-// the proxy itself ends only when the rollout controller, knowing of the failures, finds the version healthy.
+// Calls that hang count as failed before they end, because calls that are sent meanwhile would be lost as well. A stop
+// by the proxy itself ends only when the rollout controller, knowing of the failures, finds the version healthy.
 func TestHangingCallsCountAsFailed(t *testing.T) {
 	guard := newGrantedGuard(0)
 	for range 20 {
--- a/internal/dispatch/capacity_check.go
+++ b/internal/dispatch/capacity_check.go
@@ -10,15 +10,16 @@
 	"meadowhinge/schema"
 )
 
-// capacityCheckGain is the expected number of body bytes that a capacity check must save, as a multiple of its own size.
+// capacityCheckGain is the expected number of body bytes that a capacity check must save, as a multiple of its own
+// size.
 const capacityCheckGain = 2
 
 // refusalAfterRefusal is the least probability of a refusal that is assumed once another worker has refused the call.
 const refusalAfterRefusal = 0.5
 
 // checkCapacity checks whether a worker in another zone has capacity before a body is sent there that would likely be
-// refused. It returns the refusal, or nil if the request is to be sent. refusedBefore reports whether another worker has
-// refused the call for lack of capacity.
+// refused. It returns the refusal, or nil if the request is to be sent. refusedBefore reports whether another worker
+// has refused the call for lack of capacity.
 func (f *Forwarder) checkCapacity(
 	ctx context.Context, request *schema.ForwardRequest, endpoint *plan.Endpoint, refusedBefore bool,
 ) *schema.ForwardResponse {
--- a/internal/dispatch/disconnects.go
+++ b/internal/dispatch/disconnects.go
@@ -69,8 +69,8 @@
 // Violations returns how often an invariant was violated: the sum of SentLate and Overrun.
 func (c DisconnectCounts) Violations() uint64 { return c.SentLate + c.Overrun }
 
-// disconnectWatch watches the caller of one call while the call is sent to a worker and runs. Once the caller is known to
-// have disconnected, an idempotent run must end within maxOverrun and a grace period. Otherwise it is a violation.
+// disconnectWatch watches the caller of one call while the call is sent to a worker and runs. Once the caller is known
+// to have disconnected, an idempotent run must end within maxOverrun and a grace period. Otherwise it is a violation.
 type disconnectWatch struct {
 	counts     *Disconnects
 	now        func() time.Duration // returns the process clock
@@ -84,8 +84,8 @@
 	finished       bool          // the run has ended
 }
 
-// graceDivisor: the grace period after maxOverrun is 1/graceDivisor of it, so that a process that was suspended meanwhile
-// can still end the run.
+// graceDivisor: the grace period after maxOverrun is 1/graceDivisor of it, so that a process that was suspended
+// meanwhile can still end the run.
 const graceDivisor = 4
 
 // watchCaller starts to watch the caller whose disconnect ends ctx. finish must be called when the run ends. mustStop
--- a/internal/dispatch/disconnects_test.go
+++ b/internal/dispatch/disconnects_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// An idempotent run ends when its caller disconnects: the connection to the worker is closed, the outcome is unknown with
-// the code for a disconnect, and nothing counts against the worker. A non-idempotent run goes on.
+// An idempotent run ends when its caller disconnects: the connection to the worker is closed, the outcome is unknown
+// with the code for a disconnect, and nothing counts against the worker. A non-idempotent run goes on.
 func TestIdempotentRunEndsAtDisconnect(t *testing.T) {
 	for name, test := range map[string]struct {
 		nonIdempotent bool
@@ -107,7 +107,8 @@
 	}
 }
 
-// A call that the caller's proxy gives up shortly before its deadline has run out of time. It does not count as canceled.
+// A call that the caller's proxy gives up shortly before its deadline has run out of time. It does not count as
+// canceled.
 func TestDisconnectAtDeadlineIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
@@ -128,8 +129,8 @@
 	})
 }
 
-// When the caller disconnects, Forward ends at once, makes no further attempt, and does not count a failure of the worker
-// or of its version. A call with an idempotency key is not canceled.
+// When the caller disconnects, Forward ends at once, makes no further attempt, and does not count a failure of the
+// worker or of its version. A call with an idempotency key is not canceled.
 func TestForwardEndsAtDisconnect(t *testing.T) {
 	for name, test := range map[string]struct {
 		route, key  string
--- a/internal/dispatch/endpoint_picks_test.go
+++ b/internal/dispatch/endpoint_picks_test.go
@@ -13,8 +13,9 @@
 	"meadowhinge/schema"
 )
 
-// The planner's picks cost less, in late calls and calls between zones taken together, than the picks of simple strategies.
-// Calls are late less often than with picks by zone alone, and at most 1.2 times as often as with random picks.
+// The planner's picks cost less, in late calls and calls between zones taken together, than the picks of simple
+// strategies. Calls are late less often than with picks by zone alone, and at most 1.2 times as often as with random
+// picks.
 func TestPlannedPicksCostLeast(t *testing.T) {
 	layouts := []simOptions{
 		{zones: []int{2, 2, 1}, speeds: []float64{1.4, 1.0, 1.4, 1.0, 0.6}},
@@ -61,8 +62,8 @@
 	}
 }
 
-// At most 1% of the calls leave their zone while each zone has capacity for its own. If a zone lacks capacity, its excess
-// calls leave it evenly over time, not in bursts.
+// At most 1% of the calls leave their zone while each zone has capacity for its own. If a zone lacks capacity, its
+// excess calls leave it evenly over time, not in bursts.
 func TestZoneOverflowIsSmooth(t *testing.T) {
 	even := simulate(simOptions{
 		zones:       []int{4, 4, 4},
@@ -153,8 +154,8 @@
 	}
 }
 
-// Strategies of outlier detection that the detector's own is compared with. The detector's own strategy uses all three of
-// consecutive failures, the failure rate that the caller's proxy observes, and the report of the worker's proxy.
+// Strategies of outlier detection that the detector's own is compared with. The detector's own strategy uses all three
+// of consecutive failures, the failure rate that the caller's proxy observes, and the report of the worker's proxy.
 const (
 	detectNothing     = "none"
 	detectConsecutive = "consecutive failures"            // only five consecutive failures, as the caller's proxy observes them
@@ -208,8 +209,8 @@
 	return float64(calls) / float64(w.calls) * float64(len(w.workers)) / float64(workers)
 }
 
-// spread returns the mean absolute deviation of the calls of workers with the same zone and speed, as a fraction of their
-// mean.
+// spread returns the mean absolute deviation of the calls of workers with the same zone and speed, as a fraction of
+// their mean.
 func (w *simWorld) spread() float64 {
 	alike := map[[2]float64][]float64{}
 	for i, worker := range w.workers {
@@ -230,9 +231,9 @@
 	return sum / count
 }
 
-// In a large fleet each proxy rarely calls a given worker. By its own record, it would detect a partly failing worker late,
-// and a worker that fails quickly looks idle. The report of the worker's proxy reveals the failures. For several failure
-// rates, the calls to a failing worker and the failed calls are bounded.
+// In a large fleet each proxy rarely calls a given worker. By its own record, it would detect a partly failing worker
+// late, and a worker that fails quickly looks idle. The report of the worker's proxy reveals the failures. For several
+// failure rates, the calls to a failing worker and the failed calls are bounded.
 func TestPartlyFailingWorkersInLargeFleet(t *testing.T) {
 	const failingEvery = 4
 	for _, test := range []struct {
@@ -260,8 +261,8 @@
 	}
 }
 
-// If all workers fail alike none is an outlier. Hardly any worker is avoided by chance, so the calls are spread about as
-// evenly over equal workers as without failures.
+// If all workers fail alike none is an outlier. Hardly any worker is avoided by chance, so the calls are spread about
+// as evenly over equal workers as without failures.
 func TestEquallyFailingWorkersAreNotOutliers(t *testing.T) {
 	healthySpread := simulateLargeFleet("", 1, 0).spread()
 	for failing, maxIncrease := range map[float64]float64{0.02: 0.05, 0.1: 0.05, 0.3: 0.1} {
--- a/internal/dispatch/endpoint_sim_test.go
+++ b/internal/dispatch/endpoint_sim_test.go
@@ -14,8 +14,8 @@
 	"meadowhinge/schema"
 )
 
-// This file simulates a service under load on a virtual clock. Proxies in three zones pick endpoints for its calls, each
-// from its own observations and from a directory that lags behind. Workers differ in speed.
+// This file simulates a service under load on a virtual clock. Proxies in three zones pick endpoints for its calls,
+// each from its own observations and from a directory that lags behind. Workers differ in speed.
 
 // simCall is one call in the simulation.
 type simCall struct {
@@ -48,7 +48,7 @@
 	seq int
 }
 
-// simEvents is a heap of events with the next one on top.
+// simEvents is a heap of events with the next one on top. It implements heap.Interface.
 type simEvents []simEvent
 
 func (e simEvents) Len() int { return len(e) }
@@ -211,8 +211,8 @@
 	w.send(call)
 }
 
-// send makes the next attempt of a call. It ends the call after four attempts, after the latency target, or if no worker is
-// left to try.
+// send makes the next attempt of a call. It ends the call after four attempts, after the latency target, or if no
+// worker is left to try.
 func (w *simWorld) send(call *simCall) {
 	if call.attempts >= 4 || w.now-call.startedAt > w.latencyTarget {
 		w.end(call, false)
@@ -339,8 +339,8 @@
 // cost returns the mean cost of a call: 0.7 for being late, and 0.2 for its bytes between zones.
 func (w *simWorld) cost() float64 { return 0.7*w.lateFraction() + 0.2*w.crossedFraction() }
 
-// simPickers are the strategies of picking endpoints that are compared. Each returns the indexes of the workers to try for
-// a call at proxy from, in order.
+// simPickers are the strategies of picking endpoints that are compared. Each returns the indexes of the workers to try
+// for a call at proxy from, in order.
 var simPickers = map[string]func(w *simWorld, from int) []int{
 	"planned": func(w *simWorld, from int) []int {
 		options := plan.Options{Zone: fmt.Sprint("z", zoneOf(from)), MaxDeadline: time.Minute}
--- a/internal/dispatch/forward_keyed.go
+++ b/internal/dispatch/forward_keyed.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// reservationRefusals are the codes for calls whose key the registries do not reserve, by their decision. A conflict has
-// no code, because its call gets the result of the other request.
+// reservationRefusals are the codes for calls whose key the registries do not reserve, by their decision. A conflict
+// has no code, because its call gets the result of the other request.
 var reservationRefusals = map[session.ReservationOutcome]errs.Code{
 	session.ReservationKeyReused:  errs.IdempotencyKeyReused,
 	session.ReservationNoCapacity: errs.QueueFull,
@@ -101,8 +101,8 @@
 	}
 }
 
-// recallResult requests the result of the request that holds the key from the proxy of its worker. If that proxy does not
-// know the result, the outcome is unknown.
+// recallResult requests the result of the request that holds the key from the proxy of its worker. If that proxy does
+// not know the result, the outcome is unknown.
 func (a *attemptSequence) recallResult(ctx context.Context, existing *schema.KeyReservation) *schema.ForwardResponse {
 	request := newRecallRequest(a.call, a.result, a.remaining())
 	endpoint := plan.Endpoint{Instance: existing.Instance, Proxy: existing.WorkerProxy, Address: existing.Address}
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -125,8 +125,8 @@
 	return scripted
 }
 
-// Attempts that reach no worker are free. Each attempt after one that reached a worker is charged to the retry budget. A
-// non-idempotent request is not sent again once it may have run. No instance gets two attempts.
+// Attempts that reach no worker are free. Each attempt after one that reached a worker is charged to the retry budget.
+// A non-idempotent request is not sent again once it may have run. No instance gets two attempts.
 func TestRetryAtNextCandidate(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
 	full := refusing(errs.QueueFull, 0, false)
@@ -252,8 +252,8 @@
 	}
 }
 
-// A failure of the fallback version may be retried. A failure of a canary version may not, so that it counts against that
-// version.
+// A failure of the fallback version may be retried. A failure of a canary version may not, so that it counts against
+// that version.
 func TestCanaryFailureIsNotRetried(t *testing.T) {
 	const repeatable = `"class":"repeatable"`
 	synctest.Test(t, func(t *testing.T) {
@@ -291,8 +291,8 @@
 	})
 }
 
-// If no worker has capacity, the caller is refused at once, with the shortest time after which a worker expects capacity.
-// If no worker is known, the caller is refused within a fourth of the latency target, in time to call again.
+// If no worker has capacity, the caller is refused at once, with the shortest time after which a worker expects
+// capacity. If no worker is known, the caller is refused within a fourth of the latency target, in time to call again.
 func TestRefusalsArePrompt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const route = `"class":"once","aim":"800ms"`
--- a/internal/dispatch/header_block.go
+++ b/internal/dispatch/header_block.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// A header block holds the headers of a request or response as lines of text. Proxies pass the lines on as they arrived,
-// without parsing them.
+// A header block holds the headers of a request or response as lines of text. Proxies pass the lines on as they
+// arrived, without parsing them.
 
 // Separators within a header block.
 const (
-	nameSeparator  = ": "   // between name and value
-	fieldSeparator = "\r\n" // after each header
+	nameSeparator  = ": "   // separates name and value
+	fieldSeparator = "\r\n" // ends each header
 )
 
 // AppendField appends a header to a header block and returns the extended block. Carriage returns and line feeds in the
@@ -43,8 +43,8 @@
 	}
 }
 
-// FieldOf returns the value of the first header in a header block with the given name, whatever its case. It is empty if
-// there is none.
+// FieldOf returns the value of the first header in a header block with the given name, whatever its case. It is empty
+// if there is none.
 func FieldOf(block []byte, name string) string {
 	for fieldName, value := range Fields(block) {
 		if strings.EqualFold(string(fieldName), name) {
--- a/internal/dispatch/headers.go
+++ b/internal/dispatch/headers.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// HeaderPrefix is the prefix of this project's own headers. [NativeCodec] does not pass them on, neither from callers nor
-// from workers.
+// HeaderPrefix is the prefix of this project's own headers. [NativeCodec] does not pass them on, neither from callers
+// nor from workers.
 const HeaderPrefix = "Meadowhinge-"
 
 // Headers between a proxy, its workers and its callers. The names on the wire are older than the constants' names.
--- a/internal/dispatch/hop_by_hop_headers.go
+++ b/internal/dispatch/hop_by_hop_headers.go
@@ -4,9 +4,9 @@
 	"bytes"
 )
 
-// hopByHopHeaders are the lower-case names of headers that are not passed on: the hop-by-hop headers, which are meant for
-// one connection only (RFC 9110, section 7.6.1), and headers that each connection sets anew. They are grouped by length,
-// so that most names are ruled out without a comparison.
+// hopByHopHeaders are the lower-case names of headers that are not passed on: the hop-by-hop headers, which are meant
+// for one connection only (RFC 9110, section 7.6.1), and headers that each connection sets anew. They are grouped by
+// length, so that most names are ruled out without a comparison.
 var hopByHopHeaders = func() map[int][][]byte {
 	byLength := map[int][][]byte{}
 	for _, name := range []string{
--- a/internal/dispatch/idempotency_cache.go
+++ b/internal/dispatch/idempotency_cache.go
@@ -11,12 +11,13 @@
 	"meadowhinge/schema"
 )
 
-// reservedElsewhere takes the place of an instance if the key could not be reserved for a run, usually because a request
-// at another proxy holds it. What is known of that request holds only for that moment, so the next repeat asks again.
+// reservedElsewhere takes the place of an instance if the key could not be reserved for a run, usually because a
+// request at another proxy holds it. What is known of that request holds only for that moment, so the next repeat asks
+// again.
 const reservedElsewhere = "elsewhere"
 
-// idempotencyKey qualifies an idempotency key by its caller, service and route, so that equal keys of two callers, or on
-// two routes, are different keys.
+// idempotencyKey qualifies an idempotency key by its caller, service and route, so that equal keys of two callers, or
+// on two routes, are different keys.
 func idempotencyKey(caller, service, route, key string) string {
 	return strings.Join([]string{caller, service, route, key}, "\x00")
 }
@@ -65,9 +66,9 @@
 	return &IdempotencyCache{maxKeys: maxKeys, entries: map[string]*idempotencyEntry{}}
 }
 
-// Do runs a request under a key at most once at a time, and returns its result. A repeat waits for the first request and
-// gets its result, unless that proves that nothing ran. A request with another fingerprint under the same key is refused
-// with errs.IdempotencyKeyReused, and a key for which there is no room with errs.QueueFull.
+// Do runs a request under a key at most once at a time, and returns its result. A repeat waits for the first request
+// and gets its result, unless that proves that nothing ran. A request with another fingerprint under the same key is
+// refused with errs.IdempotencyKeyReused, and a key for which there is no room with errs.QueueFull.
 //
 // run returns the result and the instance that was tried. After a result with an unknown outcome, a repeat runs again
 // with that instance as pinnedInstance, because only that instance knows whether the request ran.
@@ -145,8 +146,8 @@
 	}
 }
 
-// isFinal reports whether every repeat gets the result of a settled entry. It does not if nothing ran, or if the outcome
-// is unknown and a repeat may still learn it from the instance.
+// isFinal reports whether every repeat gets the result of a settled entry. It does not if nothing ran, or if the
+// outcome is unknown and a repeat may still learn it from the instance.
 func (e *idempotencyEntry) isFinal() bool {
 	switch e.result.Outcome {
 	case schema.CallOutcome_CALL_OUTCOME_ANSWERED:
@@ -158,8 +159,8 @@
 }
 
 // Recall returns the result under a key, after waiting for it if the key is in flight. It never runs anything. The
-// outcome is unknown, with the code errs.IdempotencyKeyUnresolved, unless the request was answered here before ctx ends.
-// A fingerprint of another request is refused with errs.IdempotencyKeyReused.
+// outcome is unknown, with the code errs.IdempotencyKeyUnresolved, unless the request was answered here before ctx
+// ends. A fingerprint of another request is refused with errs.IdempotencyKeyReused.
 func (c *IdempotencyCache) Recall(ctx context.Context, key string, fingerprint []byte) *schema.ForwardResponse {
 	c.lock.Lock()
 	existing := c.entries[key]
--- a/internal/dispatch/key_reservation_test.go
+++ b/internal/dispatch/key_reservation_test.go
@@ -19,9 +19,9 @@
 
 const reservationLease = 8 * time.Second
 
-// keyFixture holds the reservation tables of three registries, and two proxies whose callers use the same key. Each proxy
-// knows a different worker, behind a different proxy, so that only the reservations prevent the request from running
-// twice.
+// keyFixture holds the reservation tables of three registries, and two proxies whose callers use the same key. Each
+// proxy knows a different worker, behind a different proxy, so that only the reservations prevent the request from
+// running twice.
 type keyFixture struct {
 	fixtures             [2]*workerFixture // the worker that each proxy knows
 	lock                 sync.Mutex        // guards registries; a key is released in a goroutine of its own
@@ -29,10 +29,11 @@
 	unresponsive         [3]bool // registries that do not respond
 	startedAt            time.Time
 	seededSingleRegistry bool                    // seeded fault: one registry counts as a majority
-	lost                 [2]func(order int) bool // for each proxy, tells which of its messages, counted from 1, lose their response; nil for none
+	lost                 [2]func(order int) bool // reports whether the response to a proxy's message number order is lost; nil for none
 	results              [2][]*CallResult        // results by proxy
 }
 
+// newKeyFixture returns a fixture without workers, whose registries have never been used.
 func newKeyFixture(tb testing.TB) *keyFixture {
 	tb.Helper()
 	fixture := &keyFixture{fixtures: [2]*workerFixture{newWorkerFixture(tb), newWorkerFixture(tb)}, startedAt: time.Now()}
@@ -48,6 +49,7 @@
 	return registry.NewReservationTable(registry.ReservationOptions{Lease: reservationLease, Window: 4 * reservationLease, MaxReservations: 64, MemberCount: 3})
 }
 
+// now returns the process clock of all processes in the fixture.
 func (f *keyFixture) now() time.Duration { return time.Since(f.startedAt) }
 
 // restartRegistry replaces a registry's table by an empty one, which then recovers in one of the ways below.
@@ -198,8 +200,8 @@
 }
 
 // Two callers use one key at two proxies. In every order of their reservations, their attempts and the restart of a
-// registry, at most one request runs. The exploration must find the seeded faults: one registry counts as a majority, or a
-// restarted registry votes before it has recovered.
+// registry, at most one request runs. The exploration must find the seeded faults: one registry counts as a majority,
+// or a restarted registry votes before it has recovered.
 func TestOneKeyAtTwoProxiesInEveryOrder(t *testing.T) {
 	explore := func(t *testing.T, single bool, restart string) scheduleexplorer.Outcome {
 		t.Helper()
@@ -330,8 +332,8 @@
 	}
 }
 
-// A worker's proxy with a newer configuration may refuse a version that the older one allowed. The call then waits for the
-// newer configuration, is planned again under it, and is answered.
+// A worker's proxy with a newer configuration may refuse a version that the older one allowed. The call then waits for
+// the newer configuration, is planned again under it, and is answered.
 func TestCallIsReplannedUnderNewerConfig(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newKeyFixture(t)
--- a/internal/dispatch/outlier_detector.go
+++ b/internal/dispatch/outlier_detector.go
@@ -33,8 +33,8 @@
 )
 
 // OutlierDetector records the health and load of workers as this process observes them, and ejects workers that fail.
-// An ejected worker is tried last. The detector implements the part of plan.LocalState that is about workers. It is safe
-// for concurrent use.
+// An ejected worker is tried last. The detector implements the part of plan.LocalState that is about workers. It is
+// safe for concurrent use.
 type OutlierDetector struct {
 	workers            *xsync.Map[string, *workerState]  // keyed by instance
 	unreachableProxies *xsync.Map[string, time.Duration] // keyed by proxy: the end of the time it counts as unreachable
@@ -60,6 +60,7 @@
 	d.ejectionNanos.Store(int64(ejection))
 }
 
+// ejection returns the duration of an ejection.
 func (d *OutlierDetector) ejection() time.Duration { return time.Duration(d.ejectionNanos.Load()) }
 
 // stateOf returns the state of a worker, and adds one if there is none.
--- a/internal/dispatch/outlier_detector_test.go
+++ b/internal/dispatch/outlier_detector_test.go
@@ -9,8 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// Consecutive failures eject a worker for a time. An unreachable proxy ejects all workers behind it, for the same time or
-// until it responds. A retired worker remains ejected while it is listed.
+// Consecutive failures eject a worker for a time. An unreachable proxy ejects all workers behind it, for the same time
+// or until it responds. A retired worker remains ejected while it is listed.
 func TestOutlierDetectorEjections(t *testing.T) {
 	detector := NewOutlierDetector(3, 5*time.Second)
 	ejected := func(endpoint plan.Endpoint, now time.Duration) bool { return detector.Stats(&endpoint, now).Ejected }
@@ -47,8 +47,8 @@
 	}
 }
 
-// A worker with calls in flight that sends no response is ejected until it sends one. A worker without calls in flight is
-// never unresponsive.
+// A worker with calls in flight that sends no response is ejected until it sends one. A worker without calls in flight
+// is never unresponsive.
 func TestUnresponsiveWorkersAreEjected(t *testing.T) {
 	const ms = time.Millisecond
 	detector := NewOutlierDetector(3, 5*time.Second)
@@ -71,8 +71,8 @@
 	}
 }
 
-// The counts that a worker's proxy reports of all calls apply at a caller's proxy that has made few or no calls, until they
-// decay. Nothing is reported if no call failed.
+// The counts that a worker's proxy reports of all calls apply at a caller's proxy that has made few or no calls, until
+// they decay. Nothing is reported if no call failed.
 func TestReportedFailures(t *testing.T) {
 	workerProxy, callerProxy := NewOutlierDetector(5, 5*time.Second), NewOutlierDetector(5, 5*time.Second)
 	worker := plan.Endpoint{Instance: "w", Proxy: "p"}
@@ -145,8 +145,8 @@
 	expect("much later: the baseline", time.Hour, 10, 8.9, 9)
 }
 
-// A worker that refuses calls for lack of capacity is full until it expects capacity, and is neither ejected nor counted as
-// failing.
+// A worker that refuses calls for lack of capacity is full until it expects capacity, and is neither ejected nor
+// counted as failing.
 func TestCapacityRefusalMarksWorkerFull(t *testing.T) {
 	detector := NewOutlierDetector(2, 5*time.Second)
 	worker := plan.Endpoint{Instance: "w"}
@@ -163,8 +163,8 @@
 	}
 }
 
-// A worker that refuses most calls of a route is skipped for some of them, with a probability that grows with the refusals.
-// Other routes are not affected, and the refusals decay with time.
+// A worker that refuses most calls of a route is skipped for some of them, with a probability that grows with the
+// refusals. Other routes are not affected, and the refusals decay with time.
 func TestShouldSkip(t *testing.T) {
 	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
 	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
--- a/internal/dispatch/reserved_admissions.go
+++ b/internal/dispatch/reserved_admissions.go
@@ -8,7 +8,8 @@
 // reservationDivisor: an admission is reserved after a capacity check for 1/reservationDivisor of the time left.
 const reservationDivisor = 16
 
-// reservedAdmissions holds the admissions that were granted to capacity checks, for the requests that follow the checks.
+// reservedAdmissions holds the admissions that were granted to capacity checks, for the requests that follow the
+// checks.
 type reservedAdmissions struct {
 	lock      sync.Mutex                    // guards byRequest; held while an admission is released to its WorkerQueue
 	byRequest map[string]*reservedAdmission // keyed by request id
@@ -24,8 +25,8 @@
 // release returns the admission to the queue, which admits the next request.
 func (r *reservedAdmission) release() { r.queue.Release(r.now(), "", ResultNotRun, 0) }
 
-// reserve reserves an admission that the queue has granted for a request id. It is released after lifetime unless take is
-// called for it first.
+// reserve reserves an admission that the queue has granted for a request id. It is released after lifetime unless take
+// is called for it first.
 func (r *reservedAdmissions) reserve(request string, queue *WorkerQueue, now func() time.Duration, lifetime time.Duration) {
 	reservation := &reservedAdmission{queue: queue, now: now}
 	r.lock.Lock()
--- a/internal/dispatch/reserved_admissions_test.go
+++ b/internal/dispatch/reserved_admissions_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// The runner answers a capacity check without running anything. It reserves the admission for the request, and refuses the
-// check if there is no capacity.
+// The runner answers a capacity check without running anything. It reserves the admission for the request, and refuses
+// the check if there is no capacity.
 func TestCapacityChecksRunNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
--- a/internal/dispatch/restore_test.go
+++ b/internal/dispatch/restore_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A restarted proxy restores the workers that its earlier incarnation knew. A worker's own descriptions take precedence,
-// whether they arrive before or after that. Without any, a restored worker is dropped after one heartbeat interval.
+// A restarted proxy restores the workers that its earlier incarnation knew. A worker's own descriptions take
+// precedence, whether they arrive before or after that. Without any, a restored worker is dropped after one heartbeat
+// interval.
 func TestRestoredWorkers(t *testing.T) {
 	const heartbeatInterval = 1500 * time.Millisecond
 	description := WorkerDescription{ID: "w", Address: "127.0.0.1:9", Service: "shop", Version: "v1", Slots: 4, HeartbeatMS: heartbeatInterval.Milliseconds()}
@@ -22,7 +23,7 @@
 	for name, test := range map[string]struct {
 		before, after  []WorkerDescription // descriptions that arrive before and after Restore
 		noLivenessConn bool
-		at             time.Duration // when the listing is checked
+		at             time.Duration // time of the listing
 		want           string        // instance that is listed; empty for none
 		wantDraining   bool
 	}{
--- a/internal/dispatch/retry_budget.go
+++ b/internal/dispatch/retry_budget.go
@@ -46,8 +46,8 @@
 	return window / windowSlots
 }
 
-// setLimits replaces the ratio and the window. If the length of the window changes, the retries of the last window count
-// in the new one as if they were made now, and its calls earn no more retries, so that no bound is exceeded.
+// setLimits replaces the ratio and the window. If the length of the window changes, the retries of the last window
+// count in the new one as if they were made now, and its calls earn no more retries, so that no bound is exceeded.
 func (b *RetryBudget) setLimits(now time.Duration, limits *Limits) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -84,8 +84,8 @@
 	b.slot(now).calls++
 }
 
-// slot returns the slot that contains now, cleared if its place in the ring was last used for an earlier slot. The caller
-// holds the lock.
+// slot returns the slot that contains now, cleared if its place in the ring was last used for an earlier slot. The
+// caller holds the lock.
 func (b *RetryBudget) slot(now time.Duration) *budgetSlot {
 	number := int64(now / b.slotLength)
 	slot := &b.slots[number%int64(len(b.slots))]
--- a/internal/dispatch/retry_decision.go
+++ b/internal/dispatch/retry_decision.go
@@ -7,8 +7,8 @@
 	"meadowhinge/schema"
 )
 
-// ownFailureRatio is the fraction of a worker's recent calls that failed below which a failure is attributed to the call
-// itself, not to the worker.
+// ownFailureRatio is the fraction of a worker's recent calls that failed below which a failure is attributed to the
+// call itself, not to the worker.
 const ownFailureRatio = 0.05
 
 // retryBudget returns the retry budget of a service, updated to the limits in force.
@@ -57,7 +57,7 @@
 // A retry needs an idempotent call, time left to answer within the latency target, and no refusal for lack of capacity
 // so far: without spare capacity, a second run would take it from other callers. Two kinds of failure are not retried:
 //   - failures of a canary version, which must count against that version;
-//   - failures of a worker that hardly ever fails, which are likely the call's own, so that another worker would fail too.
+//   - failures of a worker that hardly ever fails, which are likely the call's own: another worker would fail too.
 func (f *Forwarder) mayRetryFailure(
 	result *CallResult, progress *callProgress, response *schema.ForwardResponse, remaining time.Duration,
 ) bool {
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// A worker gets no request after it has reported that it is draining, and a request that is delivered twice runs at most
-// once. This holds in every order of the two deliveries and the report. The exploration must find a seeded fault: the
-// deliveries do not share the set of request ids.
+// A worker gets no request after it has reported that it is draining, and a request that is delivered twice runs at
+// most once. This holds in every order of the two deliveries and the report. The exploration must find a seeded fault:
+// the deliveries do not share the set of request ids.
 func TestDuplicateDeliveryAndDrainingInEveryOrder(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
--- a/internal/dispatch/uplink_test.go
+++ b/internal/dispatch/uplink_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// The queue admits no more requests than the uplink can send answers for. The others wait in the queue, where priorities
-// apply, and a request that would be late is refused at once.
+// The queue admits no more requests than the uplink can send answers for. The others wait in the queue, where
+// priorities apply, and a request that would be late is refused at once.
 func TestWorkerQueueLimitsRequestsByUplink(t *testing.T) {
 	for name, test := range map[string]struct {
 		rate  int64 // bandwidth in bytes per second
--- a/internal/dispatch/work_counts.go
+++ b/internal/dispatch/work_counts.go
@@ -55,7 +55,8 @@
 }
 
 // connectionLossWindow is the time after a broken connection within which further ones are not counted. A worker that
-// exits breaks all of its connections at once, which is no more evidence against its version than one broken connection.
+// exits breaks all of its connections at once, which is no more evidence against its version than one broken
+// connection.
 const connectionLossWindow = 100 * time.Millisecond
 
 // End records the response to a request, and the time since Begin that it took. Requests that did not run, or whose
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -13,8 +13,8 @@
 	"meadowhinge/schema"
 )
 
-// workerMarginDivisor: a worker is given the time left less 1/workerMarginDivisor of it, so that its own timeout response
-// still arrives and the connection can be used again.
+// workerMarginDivisor: a worker is given the time left less 1/workerMarginDivisor of it, so that its own timeout
+// response still arrives and the connection can be used again.
 const workerMarginDivisor = 64
 
 // workerDelivery is the result of sending a request to a worker.
@@ -103,9 +103,9 @@
 	return token, nil
 }
 
-// responseToError returns the response to a request whose exchange with the worker failed with err. sent reports whether
-// a byte of the request was sent. outOfTime reports whether the call has hardly any time left; it is a function so that
-// the clock is read only if needed.
+// responseToError returns the response to a request whose exchange with the worker failed with err. sent reports
+// whether a byte of the request was sent. outOfTime reports whether the call has hardly any time left; it is a function
+// so that the clock is read only if needed.
 func (r *Runner) responseToError(
 	ctx context.Context, worker *localWorker, err error, sent bool, outOfTime func() bool,
 ) *schema.ForwardResponse {
--- a/internal/dispatch/worker_conns.go
+++ b/internal/dispatch/worker_conns.go
@@ -13,8 +13,8 @@
 )
 
 // connPool is the pool of connections to one worker. A connection carries one request at a time. The client of the HTTP
-// library is not used, for three reasons: it resends requests that it takes for unsent, it gives up a connection without
-// an error, and it takes any response that arrives for the response to its request.
+// library is not used, for three reasons: it resends requests that it takes for unsent, it gives up a connection
+// without an error, and it takes any response that arrives for the response to its request.
 type connPool struct {
 	address string // address of the worker, IP:port
 	dial    func(address string) (net.Conn, error)
@@ -95,8 +95,8 @@
 // roundTrip sends a request and reads its response. An error with the code errs.WorkerConnectFailed proves that the
 // worker received nothing of the request. After any other error the worker may have received it, if x.sentAt is not 0.
 //
-// When ctx ends before the request is sent, or x.ctx ends after that, the connection is closed and the error has the code
-// errs.CallerDisconnected. The worker learns from the closed connection that its response is not awaited any more.
+// When ctx ends before the request is sent, or x.ctx ends after that, the connection is closed and the error has the
+// code errs.CallerDisconnected. The worker learns from the closed connection that its response is not awaited any more.
 func (c *connPool) roundTrip(ctx context.Context, x *exchange) error {
 	for {
 		conn, fresh, err := c.acquire(ctx, x)
@@ -186,8 +186,8 @@
 	}
 }
 
-// learnIdleTimeout lowers the assumed idle timeout after a connection was found closed that had been idle for idleFor. So
-// the idle timeout is observed if the worker does not report it.
+// learnIdleTimeout lowers the assumed idle timeout after a connection was found closed that had been idle for idleFor.
+// So the idle timeout is observed if the worker does not report it.
 func (c *connPool) learnIdleTimeout(idleFor time.Duration) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -196,8 +196,8 @@
 	}
 }
 
-// putIdle returns a connection to the pool, or closes it if the pool is closed. reportedTimeout is the idle timeout that
-// the worker reported, 0 if it reported none.
+// putIdle returns a connection to the pool, or closes it if the pool is closed. reportedTimeout is the idle timeout
+// that the worker reported, 0 if it reported none.
 func (c *connPool) putIdle(conn *workerConn, reportedTimeout time.Duration) {
 	conn.idleSince = c.now()
 	c.lock.Lock()
--- a/internal/dispatch/worker_conns_test.go
+++ b/internal/dispatch/worker_conns_test.go
@@ -25,11 +25,13 @@
 // testCodec is a codec that reads all fields of a ResponseInfo that tests need from headers.
 type testCodec struct{ NativeCodec }
 
+// WriteHeaders sets the host that the caller called and the request id.
 func (testCodec) WriteHeaders(request *fasthttp.Request, forward *schema.ForwardRequest, _ WorkerRegistration, _ time.Duration) {
 	request.Header.SetHost(forward.Host)
 	request.Header.Set("X-Id", forward.Request)
 }
 
+// ReadHeader implements WorkerCodec. A response without a length ends with its connection.
 func (testCodec) ReadHeader(header *fasthttp.ResponseHeader, request *schema.ForwardRequest) ResponseInfo {
 	id := string(header.Peek("X-Id"))
 	return ResponseInfo{
@@ -271,8 +273,8 @@
 	}
 }
 
-// A worker that resets a connection may have run the request. A worker that does not listen any more has not run it, and
-// its registration ends until it registers again.
+// A worker that resets a connection may have run the request. A worker that does not listen any more has not run it,
+// and its registration ends until it registers again.
 func TestResetConnectionAndDeadWorker(t *testing.T) {
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		readRequestID(reader)
@@ -324,8 +326,8 @@
 	}
 }
 
-// A worker may answer before it has read the body of a request, and keep the connection. It must then find the rest of that
-// body on the connection and, after it, the next request.
+// A worker may answer before it has read the body of a request, and keep the connection. It must then find the rest of
+// that body on the connection and, after it, the next request.
 func TestAnswerBeforeBodyIsRead(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 1<<16)
 	read := make(chan string, 2)
--- a/internal/dispatch/worker_description.go
+++ b/internal/dispatch/worker_description.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// WorkerDescription is a worker's report about itself: its registration, each of its heartbeats, and its deregistration.
-// The JSON keys are older than the fields' names.
+// WorkerDescription is a worker's report about itself: its registration, each of its heartbeats, and its
+// deregistration. The JSON keys are older than the fields' names.
 type WorkerDescription struct {
 	Address      string  `json:"address"` // IP:port where the worker accepts requests
 	Service      string  `json:"service"`
@@ -46,8 +46,8 @@
 	minBodyMemory        = 64 << 20    // least default of MaxBodyMemory, in bytes
 )
 
-// Validate returns an error text for each invalid field, sorted, and nil if the description is valid. A text begins with
-// the field's JSON key.
+// Validate returns an error text for each invalid field, sorted, and nil if the description is valid. A text begins
+// with the field's JSON key.
 func (d *WorkerDescription) Validate() []string {
 	var faults []string
 	if address, err := netip.ParseAddrPort(d.Address); err != nil || address.Port() == 0 || address.Addr().IsUnspecified() {
--- a/internal/dispatch/worker_exchange.go
+++ b/internal/dispatch/worker_exchange.go
@@ -51,14 +51,14 @@
 	reservedBytes int64           // bytes acquired from bodyMemory
 }
 
-// HasNoBody reports whether the final response to a request has no body, whatever its headers say (RFC 9112, section 6.3).
-// method is that of the request.
+// HasNoBody reports whether the final response to a request has no body, whatever its headers say (RFC 9112, section
+// 6.3). method is that of the request.
 func HasNoBody(method string, status int) bool {
 	return method == fasthttp.MethodHead || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
 
-// exchange sends a request and reads its response. reusable reports whether the connection can carry another request. An
-// error has one of the codes of [transferErrorCode], and c.bytesSent is 0 if it proves that nothing was sent.
+// exchange sends a request and reads its response. reusable reports whether the connection can carry another request.
+// An error has one of the codes of [transferErrorCode], and c.bytesSent is 0 if it proves that nothing was sent.
 func (c *workerConn) exchange(x *exchange) (reusable bool, err error) {
 	c.bytesSent = 0
 	writer := writerPool.Get().(*bufio.Writer)
@@ -188,8 +188,8 @@
 }
 
 // appendBody reads length more bytes of a body of at most limit bytes. The buffer grows only as bytes arrive, because
-// the announced length is not trusted. A body that outgrows bodyChunkSize first acquires limit bytes from bodyMemory. It
-// waits for them, unread, while the bodies of all workers together use up that memory.
+// the announced length is not trusted. A body that outgrows bodyChunkSize first acquires limit bytes from bodyMemory.
+// It waits for them, unread, while the bodies of all workers together use up that memory.
 func (x *exchange) appendBody(reader *bufio.Reader, length, limit int) error {
 	for target := len(x.body) + length; len(x.body) < target; {
 		if len(x.body) == cap(x.body) {
@@ -222,8 +222,8 @@
 }
 
 // transferErrorCode returns the code for a request or response that was not transferred completely:
-// errs.DeadlineExceeded if the time ran out, errs.WorkerConnectionLost if the connection ended, and errs.InvalidResponse
-// if the bytes that arrived are no valid response.
+// errs.DeadlineExceeded if the time ran out, errs.WorkerConnectionLost if the connection ended, and
+// errs.InvalidResponse if the bytes that arrived are no valid response.
 func transferErrorCode(err error) errs.Code {
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, fasthttp.ErrTimeout):
--- a/internal/dispatch/worker_fixture_test.go
+++ b/internal/dispatch/worker_fixture_test.go
@@ -70,6 +70,7 @@
 	view               *plan.View
 }
 
+// newWorkerFixture returns a fixture without workers. Its proxy has a lease and the configuration revision 5.
 func newWorkerFixture(tb testing.TB) *workerFixture {
 	tb.Helper()
 	fixture := &workerFixture{startedAt: time.Now(), workersByAddress: map[string]*fakeWorker{}, conns: map[string][]net.Conn{}}
@@ -100,8 +101,10 @@
 	return fixture
 }
 
+// now returns the process clock.
 func (f *workerFixture) now() time.Duration { return time.Since(f.startedAt) }
 
+// dial opens a pipe to the worker at an address.
 func (f *workerFixture) dial(address string) (net.Conn, error) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -202,6 +205,7 @@
 	}
 }
 
+// recordedRuns returns a copy of the runs so far.
 func (f *workerFixture) recordedRuns() []workerRun {
 	f.lock.Lock()
 	defer f.lock.Unlock()
--- a/internal/dispatch/worker_queue.go
+++ b/internal/dispatch/worker_queue.go
@@ -11,9 +11,9 @@
 )
 
 // WorkerQueue is the admission queue in front of one worker, held by the worker's proxy. All requests for the worker
-// pass through it, so the queue knows the worker's load. It sends the worker no more requests than it can work on, keeps
-// the rest in order, and refuses at once a request that would be answered too late. A refused request was never sent to
-// the worker.
+// pass through it, so the queue knows the worker's load. It sends the worker no more requests than it can work on,
+// keeps the rest in order, and refuses at once a request that would be answered too late. A refused request was never
+// sent to the worker.
 type WorkerQueue struct {
 	maxRunning int     // upper bound on running requests, whatever the worker reports
 	uplink     *Uplink // link that responses are sent over; nil if its bandwidth is not known
@@ -164,9 +164,9 @@
 	return r.Deadline
 }
 
-// lateness returns how long after the time it should be answered a request is expected to be answered, if it first waits
-// for the given time. 0 or less means in time. A short request has until its deadline, because refusing it would free
-// little capacity. The caller holds the lock.
+// lateness returns how long after the time it should be answered a request is expected to be answered, if it first
+// waits for the given time. 0 or less means in time. A short request has until its deadline, because refusing it would
+// free little capacity. The caller holds the lock.
 func (q *WorkerQueue) lateness(now time.Duration, queued *QueuedRequest, wait time.Duration) time.Duration {
 	answerBy := queued.request.answerBy()
 	if queued.serviceTime*shortRequestFactor <= q.overall.mean {
@@ -179,8 +179,8 @@
 // caller must get the decision by [WorkerQueue.Wait]. Each admitted request must be passed to [WorkerQueue.Release].
 //
 // The code of a refusal is errs.DeadlineExceeded if the deadline has passed, and the code given to [WorkerQueue.Close]
-// once the queue is closed. Otherwise it is errs.QueueFull: the request would be late, the queue has no room while service
-// times are not known, or the worker is busy and reports no slots.
+// once the queue is closed. Otherwise it is errs.QueueFull: the request would be late, the queue has no room while
+// service times are not known, or the worker is busy and reports no slots.
 func (q *WorkerQueue) Admit(now time.Duration, request AdmissionRequest) (Admission, *QueuedRequest) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -373,8 +373,8 @@
 	q.waiting = nil
 }
 
-// SetSlots sets how many requests the worker works on at once, 0 if it does not report that, and admits the requests for
-// which there is now capacity.
+// SetSlots sets how many requests the worker works on at once, 0 if it does not report that, and admits the requests
+// for which there is now capacity.
 func (q *WorkerQueue) SetSlots(now time.Duration, slots int) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/internal/dispatch/worker_queue_test.go
+++ b/internal/dispatch/worker_queue_test.go
@@ -15,7 +15,8 @@
 
 const ms = time.Millisecond
 
-// queueScript executes steps on a queue that runs two requests at once, each for 10 ms, and records the queue's decisions.
+// queueScript executes steps on a queue that runs two requests at once, each for 10 ms, and records the queue's
+// decisions.
 type queueScript struct {
 	t       *testing.T
 	queue   *WorkerQueue
@@ -25,6 +26,7 @@
 	route   string                    // route of the requests that admit sends
 }
 
+// newQueueScript returns a script whose queue has measured a service time of 10 ms for route r.
 func newQueueScript(t *testing.T) *queueScript {
 	t.Helper()
 	script := &queueScript{t: t, queue: NewWorkerQueue(2, 8), waiters: map[string]*QueuedRequest{}, route: "r"}
@@ -245,9 +247,9 @@
 	}
 }
 
-// In every order of three requests, the cancellation of one of them, and the close of the queue: no more than one request
-// runs at once, none is admitted after the close, and none remains in the queue. The exploration must find a seeded fault:
-// a canceled request ignores that it was admitted.
+// In every order of three requests, the cancellation of one of them, and the close of the queue: no more than one
+// request runs at once, none is admitted after the close, and none remains in the queue. The exploration must find a
+// seeded fault: a canceled request ignores that it was admitted.
 func TestWorkerQueueInEveryOrder(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 400000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -143,7 +143,8 @@
 	return existing, description.Deregistered || sameVersion
 }
 
-// descriptionChanges are the differences between two descriptions of a worker that the queue or other proxies must know.
+// descriptionChanges are the differences between two descriptions of a worker that the queue or other proxies must
+// know.
 type descriptionChanges struct {
 	draining     bool   // the worker is draining now
 	slotsChanged bool   // the number of slots differs
@@ -165,8 +166,8 @@
 	return changes
 }
 
-// applyChanges updates a worker's queue after a heartbeat, and calls onChange if other proxies should see the change. The
-// caller does not hold the lock.
+// applyChanges updates a worker's queue after a heartbeat, and calls onChange if other proxies should see the change.
+// The caller does not hold the lock.
 func (w *Workers) applyChanges(worker *localWorker, changes descriptionChanges, now time.Duration) {
 	// Requests that still wait for a draining worker are better served by another one.
 	if changes.draining {
@@ -195,7 +196,8 @@
 	return removed
 }
 
-// registerNew adds a registration. The caller does not hold the lock, because opening the liveness connection takes time.
+// registerNew adds a registration. The caller does not hold the lock, because opening the liveness connection takes
+// time.
 func (w *Workers) registerNew(description WorkerDescription, now time.Duration) (string, error) {
 	var livenessConn net.Conn
 	if !w.options.NoLivenessConn {
@@ -256,9 +258,9 @@
 	}
 }
 
-// Restore registers a worker that an earlier incarnation of this proxy knew, until the worker's own description arrives.
-// Any description from a worker takes precedence, and a single missed heartbeat drops the restored worker. If another
-// worker has taken over its address, that worker refuses requests that are not meant for it.
+// Restore registers a worker that an earlier incarnation of this proxy knew, until the worker's own description
+// arrives. Any description from a worker takes precedence, and a single missed heartbeat drops the restored worker. If
+// another worker has taken over its address, that worker refuses requests that are not meant for it.
 //
 // Restore does nothing for a worker without an id of its own, for an invalid description, or if NoLivenessConn is not
 // set.
@@ -282,8 +284,8 @@
 	}
 }
 
-// watchLiveness waits for the end of a worker's liveness connection, and then removes the registration. The kernel closes
-// the connection when the worker dies, long before heartbeats are missed.
+// watchLiveness waits for the end of a worker's liveness connection, and then removes the registration. The kernel
+// closes the connection when the worker dies, long before heartbeats are missed.
 func (w *Workers) watchLiveness(worker *localWorker) {
 	buffer := make([]byte, 1)
 	_, _ = worker.livenessConn.Read(buffer) // the worker is removed for any result of the read
@@ -383,8 +385,8 @@
 	return worker, worker.description.token(), ""
 }
 
-// Load returns how many requests a local worker runs, how many wait for it, how many it may run at once, and its service
-// time. All are 0 for a worker that is not registered.
+// Load returns how many requests a local worker runs, how many wait for it, how many it may run at once, and its
+// service time. All are 0 for a worker that is not registered.
 func (w *Workers) Load(instance string) (running, waiting, slots uint32, serviceTime time.Duration) {
 	w.lock.Lock()
 	worker := w.byInstance[instance]
