--- a/internal/dispatch/canary_guard.go
+++ b/internal/dispatch/canary_guard.go
@@ -35,7 +35,7 @@
 	options    CanaryOptions
 	grants     map[versionKey]canaryGrant
 	localStops map[versionKey]localStop     // versions that this proxy has stopped itself
-	windows    map[versionKey]*canaryWindow // recent calls of this proxy, by version
+	windows    map[versionKey]*canaryWindow // recent calls of this proxy to each version
 }
 
 // versionKey identifies a version of a service.
--- a/internal/dispatch/work_counts.go
+++ b/internal/dispatch/work_counts.go
@@ -30,17 +30,18 @@
 type WorkCount struct {
 	calls, failures, totalNanos atomic.Uint64                             // totalNanos is the total duration in nanoseconds
 	histogram                   [release.LatencyBucketCount]atomic.Uint32 // durations of the calls that did not fail
-	inFlight                    atomic.Int32
-	connectionLostAt            atomic.Int64 // time of the last broken connection, in nanoseconds; 0 for none
+	inFlight                    atomic.Int32                              // requests begun and not ended
+	connectionLostAt            atomic.Int64                              // time of the last broken connection, in nanoseconds; 0 for none
 }
 
-// NewWorkCounts returns counts for at most about maxCounts versions and routes. Requests beyond them are not counted.
+// NewWorkCounts returns counts for about maxCounts pairs of a version and a route. Requests of further ones are not
+// counted.
 func NewWorkCounts(maxCounts int) *WorkCounts {
 	return &WorkCounts{counts: xsync.NewMap[workCountKey, *WorkCount](), maxCounts: maxCounts}
 }
 
-// Begin records that a request is sent to a worker of a version. The result must be passed the end of the request by
-// [WorkCount.End]. It is nil if the request is not counted.
+// Begin records that a request is sent to a worker of a version. [WorkCount.End] must be called on the result when the
+// request ends. The result is nil if the request is not counted.
 func (w *WorkCounts) Begin(service, version, route string, versionRevision uint64) *WorkCount {
 	key := workCountKey{service, version, route, versionRevision}
 	count, found := w.counts.Load(key)
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -23,8 +23,9 @@
 	sentAt time.Duration // start of sending the request, on the process clock; 0 if no byte was sent
 }
 
-// sendToWorker sends a request to the worker, and returns its response or the reason why there is none. Once the first
-// byte is sent the request may have run. It fills in delivery.
+// sendToWorker sends a request to the worker. It returns the worker's response, or one that carries the code of the
+// error, and records in delivery whether the request was sent and what its result was. Once the first byte is sent, the
+// request may have run.
 func (r *Runner) sendToWorker(
 	ctx context.Context, worker *localWorker, request *incomingRequest, delivery *workerDelivery,
 ) *schema.ForwardResponse {
