--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -10,14 +10,15 @@
 	"meadowhinge/schema"
 )
 
-// Compile makes a snapshot of a state and lists every fault, each at its path, ordered by path. A snapshot
-// with faults can still be used; what is faulty in it is left out or matches nothing.
+// Compile returns the snapshot of a state, and every fault in the state, ordered by path. A snapshot with faults
+// can still be used: its faulty parts are left out or match nothing. revision is the configuration revision that
+// the snapshot reports.
 func Compile(state State, revision uint64) (*Snapshot, []*schema.FieldError) {
 	return CompileIncremental(nil, state, revision)
 }
 
-// CompileIncremental is Compile that reuses what an earlier snapshot decoded of items that have not changed,
-// so that only changed items are decoded. previous may be nil.
+// CompileIncremental returns the same as Compile, but decodes only the items that differ from those of previous,
+// an earlier snapshot. It reuses the other decoded items, and the compiled policies. previous may be nil.
 func CompileIncremental(previous *Snapshot, state State, revision uint64) (*Snapshot, []*schema.FieldError) {
 	if previous == nil {
 		previous = &Snapshot{decodedItems: map[string]*decodedItem{}}
@@ -43,8 +44,9 @@
 	return snapshot, faults
 }
 
-// decodeChanges decodes what is new or changed in a state and drops what the state no longer has. It gives
-// the new or changed routes in order, and the names of the earlier routes that no longer count.
+// decodeChanges decodes the items that are new or changed in a state, and drops the decoded items that the state
+// no longer has. It returns the new and changed routes, ordered by compareRoutes, and the names of the routes of
+// the previous snapshot that were changed or removed.
 func (s *Snapshot) decodeChanges(state State) (changedRoutes []*Route, replacedRoutes map[string]bool) {
 	replacedRoutes = map[string]bool{}
 	liveItems := 0
@@ -67,7 +69,7 @@
 			changedRoutes = append(changedRoutes, route)
 		}
 	}
-	// Every live item has been decoded, so the numbers differ only if an item was removed.
+	// Every live item has been decoded, so the counts differ only if an item was removed.
 	if len(s.decodedItems) > liveItems {
 		s.dropRemoved(state, replacedRoutes)
 	}
@@ -75,7 +77,8 @@
 	return changedRoutes, replacedRoutes
 }
 
-// dropRemoved drops the decoded items that a state no longer has, and adds the routes among them to removedRoutes.
+// dropRemoved drops the decoded items that a state no longer has, and adds the names of the routes among them to
+// removedRoutes.
 func (s *Snapshot) dropRemoved(state State, removedRoutes map[string]bool) {
 	for key, cached := range s.decodedItems {
 		if item := state[key]; item != nil && !item.Deleted {
@@ -88,7 +91,7 @@
 	}
 }
 
-// withoutRoutes gives a new list without the routes of some names, in the same order.
+// withoutRoutes returns a new list of the routes whose names are not in names, in the same order.
 func withoutRoutes(routes []*Route, names map[string]bool) []*Route {
 	retained := make([]*Route, 0, len(routes))
 	for _, route := range routes {
@@ -99,7 +102,8 @@
 	return retained
 }
 
-// bindDiscoveredVersions gives services for which operators list no versions those that were discovered.
+// bindDiscoveredVersions sets the versions and the fallback of each service for which operators wrote neither to
+// the discovered ones.
 func (s *Snapshot) bindDiscoveredVersions() {
 	for name, service := range s.Services {
 		discovered := s.DiscoveredVersions[name]
@@ -115,7 +119,8 @@
 	}
 }
 
-// addSplitFlags adds the flags of split routes to the operators' own.
+// addSplitFlags adds the flags of split routes to the flags that operators wrote. It reports a flag that an
+// operator wrote under the key of a split route.
 func (s *Snapshot) addSplitFlags(add faultReporter) {
 	for _, route := range s.Routes {
 		if route.splitFlag == nil {
@@ -123,13 +128,14 @@
 		}
 		key := route.splitFlag.Key
 		if _, found := s.Flags.Flags[key]; found {
-			add(itemPath(kindFlag, key), "is made of the split of route %q", route.Name)
+			add(itemPath(kindFlag, key), "the key is reserved for the split of route %q", route.Name)
 		}
 		s.Flags.Flags[key] = route.splitFlag
 	}
 }
 
-// bindVersionDeciders looks up the flag that picks each service's version, and which versions it may pick.
+// bindVersionDeciders looks up the version flag of each service, and fills GuardedVersions with the versions
+// besides the fallback that the flag may pick.
 func (s *Snapshot) bindVersionDeciders() {
 	for _, name := range sortedKeys(s.Services) {
 		key := VersionFlagKey(name)
@@ -146,8 +152,9 @@
 	}
 }
 
-// bindPolicies compiles each policy once for each set of attributes that routes give it, and reuses what the
-// previous snapshot compiled.
+// bindPolicies compiles the policy of each route, and sets Route.Policy. A policy is compiled once for each set of
+// attributes that routes use it with; programs of the previous snapshot are reused. A policy that no route names
+// is compiled too, so that its faults are reported.
 func (s *Snapshot) bindPolicies(previous *Snapshot, add faultReporter) {
 	used := map[string]bool{}
 	for i, route := range s.Routes {
@@ -163,10 +170,10 @@
 		attributes := append([]string{}, sortedKeys(route.Attributes)...)
 		for _, name := range attributes {
 			if policy.IsReserved(name) {
-				add(path+".attributes."+name, "a policy knows %q as its own", name)
+				add(path+".attributes."+name, "%q is a built-in name in policies, an attribute must not have it", name)
 			}
 		}
-		// The decoded route is shared with other snapshots, whose policy may be another.
+		// The decoded route is shared with other snapshots, in which the policy may have another expression.
 		bound := *route
 		bound.Policy = s.compilePolicy(previous, route.PolicyName, attributes, " (as route "+route.Name+" names it)", add)
 		s.Routes[i] = &bound
@@ -178,8 +185,8 @@
 	}
 }
 
-// compilePolicy gives a policy's program for a set of attributes (nil: any name may be an attribute); nil,
-// with a fault that ends in usage, if it does not compile.
+// compilePolicy returns the program of a policy for a set of attributes; with attributes nil, any name may be an
+// attribute. If the policy does not compile, it reports a fault whose text ends with usage, and returns nil.
 func (s *Snapshot) compilePolicy(previous *Snapshot, name string, attributes []string, usage string, add faultReporter) *policy.Program {
 	expression := s.policies[name].Expression
 	key := expression + "\x00" + strings.Join(attributes, "\x00")
@@ -197,7 +204,7 @@
 	return s.programs[key]
 }
 
-// sortedKeys lists a map's keys in order, so that faults come in the same order each time.
+// sortedKeys returns the keys of a map in order. Iterating in this order makes the order of faults deterministic.
 func sortedKeys[V any](from map[string]V) []string {
 	return slices.Sorted(maps.Keys(from))
 }
--- a/internal/config/compile_test.go
+++ b/internal/config/compile_test.go
@@ -14,7 +14,8 @@
 	"meadowhinge/schema"
 )
 
-// stateFromBodies makes a state of items as an operator API's adapter gives them, without CUE: from kind/name to body.
+// stateFromBodies returns a state with an item for each body, by kind/name. The bodies are not checked against the
+// CUE schema, as those of items from an operator API that does not use CUE.
 func stateFromBodies(bodies map[string]string) State {
 	var items []*schema.Item
 	for key, body := range bodies {
@@ -31,9 +32,10 @@
 	return paths
 }
 
-// Items that bypass CUE are checked as strictly, and each fault is reported at its path.
-func TestItemFaults(t *testing.T) {
-	for body, paths := range map[string][]string{
+// Compile checks the items that were not checked against the CUE schema as strictly as CUE does, and reports each
+// fault at its path.
+func TestCompileReportsItemFaults(t *testing.T) {
+	for body, wantPaths := range map[string][]string{
 		`{"service":"shop","prefix":"/a/"}`: nil,
 		`{"service":"shop","prefix":"/a/","host":"a.example","horizon":"800ms","aim":"200ms","tries":2,"rank":2}`:  nil,
 		`{"service":"shop","prefix":"/a/","horizon":"1s","aim":"60.9s"}`:                                           nil,
@@ -57,45 +59,46 @@
 	} {
 		t.Run(body, func(t *testing.T) {
 			_, faults := Compile(stateFromBodies(map[string]string{"service/shop": `{}`, "service/bar": `{}`, "route/r": body}), 1)
-			if diff := cmp.Diff(paths, pathsOf(faults)); diff != "" {
-				t.Errorf("%s: %s", body, diff)
+			if diff := cmp.Diff(wantPaths, pathsOf(faults)); diff != "" {
+				t.Errorf("Compile with route %s: paths of faults (-want +got):\n%s", body, diff)
 			}
 		})
 	}
 }
 
-// Check finds what is wrong with an item by itself, without the rest of the configuration, and passes tombstones.
-func TestCheck(t *testing.T) {
+// Check reports the faults that an item has by itself, not a missing service, and none for a tombstone.
+func TestCheckIgnoresReferencesAndTombstones(t *testing.T) {
 	invalid := &schema.Item{Kind: "route", Name: "r", Body: []byte(`{"service":"gone","prefix":"/a/","tries":-1}`)}
 	if diff := cmp.Diff([]string{"route.r.tries"}, pathsOf(Check([]*schema.Item{invalid, {Kind: "route", Name: "s", Deleted: true}}))); diff != "" {
-		t.Error(diff)
+		t.Errorf("Check: paths of faults (-want +got):\n%s", diff)
 	}
 }
 
+// Limits that are left out have their defaults, and each bad limit is reported at its path.
 func TestLimits(t *testing.T) {
 	for name, test := range map[string]struct {
 		bodies map[string]string
 		limits Limits
 		paths  []string
 	}{
-		"none":   {nil, DefaultLimits, nil},
-		"some":   {map[string]string{"limits/limits": `{"headerMost":100,"quiet":"15000ms"}`}, Limits{MaxHeaderBytes: 100, MaxBodyBytes: DefaultLimits.MaxBodyBytes, HeaderTimeout: DefaultLimits.HeaderTimeout, IdleTimeout: 15 * time.Second, IdleTimeoutText: "15000ms"}, nil},
-		"wrong":  {map[string]string{"limits/limits": `{"headerMost":-1,"bodyMost":-1,"quiet":"0s","headerWait":"x"}`}, Limits{}, []string{"limits.bodyMost", "limits.headerMost", "limits.headerWait", "limits.quiet"}},
-		"others": {map[string]string{"limits/else": `{}`}, DefaultLimits, []string{"limits.else"}},
+		"no limits item has the defaults":            {nil, DefaultLimits, nil},
+		"limits that are left out have the defaults": {map[string]string{"limits/limits": `{"headerMost":100,"quiet":"15000ms"}`}, Limits{MaxHeaderBytes: 100, MaxBodyBytes: DefaultLimits.MaxBodyBytes, HeaderTimeout: DefaultLimits.HeaderTimeout, IdleTimeout: 15 * time.Second, IdleTimeoutText: "15000ms"}, nil},
+		"every bad limit is reported":                {map[string]string{"limits/limits": `{"headerMost":-1,"bodyMost":-1,"quiet":"0s","headerWait":"x"}`}, Limits{}, []string{"limits.bodyMost", "limits.headerMost", "limits.headerWait", "limits.quiet"}},
+		"an item by another name is reported":        {map[string]string{"limits/else": `{}`}, DefaultLimits, []string{"limits.else"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			snapshot, faults := Compile(stateFromBodies(test.bodies), 1)
 			if diff := cmp.Diff(test.paths, pathsOf(faults)); diff != "" {
-				t.Errorf("%s: %s", name, diff)
+				t.Errorf("paths of faults (-want +got):\n%s", diff)
 			}
-			if diff := cmp.Diff(test.limits, snapshot.Limits); diff != "" && name != "wrong" {
-				t.Errorf("%s: %s", name, diff)
+			if diff := cmp.Diff(test.limits, snapshot.Limits); diff != "" && name != "every bad limit is reported" {
+				t.Errorf("Snapshot.Limits (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Items parsed from CUE compile with the same field names, and CUE refuses what Compile would.
+// The CUE schema and the decoders have the same field names, and the CUE schema refuses what Compile would report.
 func TestParsedItemsCompile(t *testing.T) {
 	state, faults := stateOf(t, `
 service: {shop: {}, bar: {callers: ["client"]}}
@@ -103,42 +106,43 @@
 limits: {bodyMost: 100, quiet: "15s"}
 `)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("Parse reported faults: %v", faults)
 	}
 	snapshot, faults := Compile(state, 1)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("Compile reported faults: %v", faults)
 	}
 	route, found := snapshot.Match("a.EXAMPLE", "/a/x", "GET")
 	if !found || route.LatencyTarget != 200*time.Millisecond || route.MaxAttempts != 2 || route.Priority != 1 || route.Deadline != 2*time.Second || route.KeyHeader == "" {
-		t.Errorf("%+v", route)
+		t.Errorf("Match returned %+v, %v; want route r as the text states it, with a deadline of 2s and a key header", route, found)
 	}
 	if snapshot.Limits.MaxBodyBytes != 100 || snapshot.Limits.IdleTimeout != 15*time.Second {
-		t.Errorf("%+v", snapshot.Limits)
+		t.Errorf("Limits are %+v, want MaxBodyBytes 100 and IdleTimeout 15s", snapshot.Limits)
 	}
-	if !snapshot.Services["shop"].AllowsCaller("anyone") || snapshot.Services["bar"].AllowsCaller("anyone") {
-		t.Error("a service without callers must allow anyone, one with callers only those")
+	shopAllows, barAllows := snapshot.Services["shop"].AllowsCaller("anyone"), snapshot.Services["bar"].AllowsCaller("anyone")
+	if !shopAllows || barAllows {
+		t.Errorf("AllowsCaller: shop, without callers, gave %v, want true; bar, with other callers, gave %v, want false", shopAllows, barAllows)
 	}
 	for _, text := range []string{`route: r: {host: "", prefix: "/", service: "shop"}`, `route: r: {prefix: "/", service: "shop", tries: -1}`, `limits: {headerMost: 0}`, `limits: {colour: 1}`} {
 		if _, faults := configsource.Parse([]byte(text)); len(faults) == 0 {
-			t.Errorf("%s was accepted", text)
+			t.Errorf("Parse reported no fault for %s", text)
 		}
 	}
 }
 
-// Versions that operators leave out are those that were discovered; versions that they list go first.
+// A service for which operators list no versions has the discovered ones. Listed versions take precedence.
 func TestDiscoveredVersions(t *testing.T) {
 	for name, test := range map[string]struct {
 		service, discovered, fallback string
 		versions                      []string
 		paths                         []string
 	}{
-		"nothing yet":            {`{}`, "", "", nil, nil},
-		"discovered versions":    {`{}`, `{"versions":["v1","v2"],"fallback":"v2"}`, "v2", []string{"v1", "v2"}, nil},
-		"stated":                 {`{"versions":["1"],"fallback":"1"}`, `{"versions":["v1"],"fallback":"v1"}`, "1", []string{"1"}, nil},
-		"stated, wrong":          {`{"versions":["1"],"fallback":"2"}`, `{"versions":["2"],"fallback":"2"}`, "2", []string{"1"}, []string{"service.shop.fallback"}},
-		"a fallback alone":       {`{"fallback":"2"}`, "", "2", nil, []string{"service.shop.fallback"}},
-		"standing, inconsistent": {`{}`, `{"versions":["v1"],"fallback":"v3"}`, "v3", []string{"v1"}, []string{"service.shop.fallback", "standing.shop.fallback"}},
+		"neither listed nor discovered versions are no fault":            {`{}`, "", "", nil, nil},
+		"discovered versions are used":                                   {`{}`, `{"versions":["v1","v2"],"fallback":"v2"}`, "v2", []string{"v1", "v2"}, nil},
+		"listed versions take precedence":                                {`{"versions":["1"],"fallback":"1"}`, `{"versions":["v1"],"fallback":"v1"}`, "1", []string{"1"}, nil},
+		"a listed fallback that is not listed as a version is a fault":   {`{"versions":["1"],"fallback":"2"}`, `{"versions":["2"],"fallback":"2"}`, "2", []string{"1"}, []string{"service.shop.fallback"}},
+		"a fallback without versions is a fault":                         {`{"fallback":"2"}`, "", "2", nil, []string{"service.shop.fallback"}},
+		"a discovered fallback that is no discovered version is a fault": {`{}`, `{"versions":["v1"],"fallback":"v3"}`, "v3", []string{"v1"}, []string{"service.shop.fallback", "standing.shop.fallback"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			bodies := map[string]string{"service/shop": test.service}
@@ -151,37 +155,39 @@
 			}
 			service := snapshot.Services["shop"]
 			if diff := cmp.Diff(test.versions, service.Versions); diff != "" || service.Fallback != test.fallback || snapshot.FallbackOf("shop") != test.fallback {
-				t.Errorf("%s: %+v", name, service)
+				t.Errorf("got service %+v and FallbackOf %q; want versions %q and fallback %q", service, snapshot.FallbackOf("shop"), test.versions, test.fallback)
 			}
 			for _, version := range test.versions {
 				if !service.AllowsVersion(version) {
-					t.Errorf("%s: does not allow %q", name, version)
+					t.Errorf("AllowsVersion(%q) = false, want true", version)
 				}
 			}
 		})
 	}
-	// The discovered versions may change while the service's item stays; the earlier snapshot keeps its own.
+	// If the discovered versions change while the service's item stays, the new snapshot has the new versions, and the
+	// earlier snapshot keeps the old ones.
 	first := stateFromBodies(map[string]string{"service/shop": `{}`, "standing/shop": `{"versions":["v1"],"fallback":"v1"}`})
 	before, _ := Compile(first, 1)
 	after, _ := CompileIncremental(before, first.With([]*schema.Item{{Kind: "standing", Name: "shop", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"versions":["v1","v2"],"fallback":"v2"}`)}}), 2)
 	if before.Services["shop"].AllowsVersion("v2") || !after.Services["shop"].AllowsVersion("v2") || after.FallbackOf("shop") != "v2" || before.FallbackOf("shop") != "v1" {
-		t.Error("a change of the discovered versions was lost, or changed the earlier snapshot")
+		t.Errorf("versions and fallback before the change: %q, %q, want only v1; after it: %q, %q, want v2 too, as the fallback",
+			before.Services["shop"].Versions, before.FallbackOf("shop"), after.Services["shop"].Versions, after.FallbackOf("shop"))
 	}
 }
 
 // A split becomes a flag whose weights add up to flag.TotalWeight, whatever the scale of the operator's weights.
 func TestSplitFlags(t *testing.T) {
-	for shares, want := range map[string][]int{
+	for split, want := range map[string][]int{
 		`[{"service":"a","weight":90},{"service":"b","weight":10}]`:                             {90000, 10000},
 		`[{"service":"a","weight":1},{"service":"b","weight":1},{"service":"a","weight":1}]`:    {33333, 33334, 33333},
 		`[{"service":"a","weight":0},{"service":"b","weight":0.25}]`:                            {0, 100000},
 		`[{"service":"a","weight":100000},{"service":"b","weight":100000}]`:                     {50000, 50000},
 		`[{"service":"b","weight":7},{"service":"a","weight":0},{"service":"b","weight":0.01}]`: {99857, 0, 143},
 	} {
-		t.Run(shares, func(t *testing.T) {
-			snapshot, faults := Compile(stateFromBodies(map[string]string{"service/a": `{}`, "service/b": `{}`, "route/r": fmt.Sprintf(`{"prefix":"/","split":%s}`, shares)}), 1)
+		t.Run(split, func(t *testing.T) {
+			snapshot, faults := Compile(stateFromBodies(map[string]string{"service/a": `{}`, "service/b": `{}`, "route/r": fmt.Sprintf(`{"prefix":"/","split":%s}`, split)}), 1)
 			if len(faults) > 0 {
-				t.Fatal(shares, faults)
+				t.Fatalf("Compile reported faults: %v", faults)
 			}
 			decider := snapshot.Flags.Flags["route.r"]
 			var got []int
@@ -189,18 +195,20 @@
 				got = append(got, weighted.Weight)
 			}
 			if diff := cmp.Diff(want, got); diff != "" || decider.Salt != "r" || !decider.On {
-				t.Errorf("%s: %s", shares, diff)
+				t.Errorf("flag route.r has salt %q and On %v, want salt r and true; weights (-want +got):\n%s", decider.Salt, decider.On, diff)
 			}
 		})
 	}
-	// The flag's key belongs to the route: an operator's flag cannot have it.
+	// The flag's key is reserved for the route: an operator's flag must not have it.
 	_, faults := Compile(stateFromBodies(map[string]string{"service/a": `{}`, "route/r": `{"prefix":"/","split":[{"service":"a","weight":1}]}`,
 		"flag/route.r": `{"on":true,"salt":"","variations":["a"],"offVariation":0,"fallthrough":{"variation":0}}`}), 1)
 	if diff := cmp.Diff([]string{"flag.route.r"}, pathsOf(faults)); diff != "" {
-		t.Error(diff)
+		t.Errorf("operator's flag with the key of a split route: paths of faults (-want +got):\n%s", diff)
 	}
 }
 
+// A request matches the route with the longest prefix among those for its host, and if there is none, among those
+// for any host.
 func TestMatch(t *testing.T) {
 	snapshot, faults := Compile(stateFromBodies(map[string]string{"service/s": `{}`,
 		"route/any": `{"service":"s","prefix":"/"}`, "route/own": `{"service":"s","prefix":"/a/","host":"a.example"}`,
@@ -208,17 +216,17 @@
 		"route/open": `{"service":"s","prefix":"/open"}`, "route/other": `{"service":"s","prefix":"/a/b/c/","host":"b.example:81"}`,
 		"route/six": `{"service":"s","prefix":"/","host":"[::1]:8080"}`, "route/aa": `{"service":"s","prefix":"/a/a/","host":"a.example"}`}), 1)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("Compile reported faults: %v", faults)
 	}
 	for _, test := range []struct{ host, path, method, want string }{
 		{"a.example", "/a/", "GET", "own"},
 		{"A.Example:8304", "/a/x", "GET", "own"},
-		{"a.example", "/a", "GET", "any"}, // the prefix ends with a slash
+		{"a.example", "/a", "GET", "any"}, // the prefix /a/ ends with a slash, so it does not match
 		{"a.example", "/ab/x", "GET", "any"},
 		{"a.example", "/a/b/x", "GET", "deep"},
 		{"a.example", "/a/b/x", "POST", "post"},
-		{"a.example", "/a/b/x", "PUT", "own"}, // the longest that takes the method
-		{"a.example", "/a/c/x", "GET", "own"}, // not the prefix ordered just before it
+		{"a.example", "/a/b/x", "PUT", "own"}, // /a/b/ is longer, but its routes do not match the method
+		{"a.example", "/a/c/x", "GET", "own"}, // /a/b/ is ordered just before the path, but does not match it
 		{"a.example", "/a/b/c/x", "GET", "deep"},
 		{"a.example", "/open/x", "GET", "open"},
 		{"b.example", "/a/b/c/x", "GET", "other"},
@@ -236,13 +244,13 @@
 				got = route.Name
 			}
 			if got != test.want {
-				t.Errorf("%s %s%s matched %q, not %q", test.method, test.host, test.path, got, test.want)
+				t.Errorf("Match(%q, %q, %q) = route %q, want %q", test.host, test.path, test.method, got, test.want)
 			}
 		})
 	}
 }
 
-// The index finds the same route as a linear search with the longest prefix.
+// The route matcher finds the same route as a linear search for the longest matching prefix, for random routes.
 func TestMatchAgreesWithLinearSearch(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	randomPath := func(maxLength int) string {
@@ -272,14 +280,14 @@
 				}
 			}
 			if got := matcher.find(host, path, "GET"); got != best {
-				t.Fatalf("%s%s: %+v, not %+v", host, path, got, best)
+				t.Fatalf("find(%q, %q, GET) = %+v, want %+v", host, path, got, best)
 			}
 		}
 	}
 }
 
-// Two routes with one host, prefix and method are refused, unless both have operator versions: then the same
-// route goes first whatever the order in which the changes arrived.
+// Two routes with the same host, prefix and method are a fault, unless both have operator versions. Which of the two
+// is matched does not depend on the order in which they arrived.
 func TestRoutesWithSamePrefix(t *testing.T) {
 	route := func(name string, sequence, operatorVersion uint64) *schema.Item {
 		return &schema.Item{Kind: "route", Name: name, OperatorVersion: operatorVersion, Version: &schema.Version{Term: 1, Sequence: sequence}, Body: []byte(`{"service":"s","prefix":"/","host":"h"}`)}
@@ -290,11 +298,11 @@
 		want          string
 		paths         []string
 	}{
-		"no operator version":  {0, 0, "a", []string{"route.b"}},
-		"one operator version": {0, 4, "b", []string{"route.a"}},
-		"higher first":         {5, 4, "a", nil},
-		"higher last":          {4, 5, "b", nil},
-		"alike":                {4, 4, "a", nil},
+		"without operator versions it is a fault":       {0, 0, "a", []string{"route.b"}},
+		"with only one operator version it is a fault":  {0, 4, "b", []string{"route.a"}},
+		"the higher operator version wins, by route a":  {5, 4, "a", nil},
+		"the higher operator version wins, by route b":  {4, 5, "b", nil},
+		"with equal operator versions the name decides": {4, 4, "a", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := route("a", 1, test.first), route("b", 1, test.second)
@@ -306,53 +314,53 @@
 					snapshot, faults = CompileIncremental(snapshot, state, 1)
 				}
 				if diff := cmp.Diff(test.paths, pathsOf(faults)); diff != "" {
-					t.Errorf("%s: %s", name, diff)
+					t.Errorf("route %s arrived last: paths of faults (-want +got):\n%s", order[2].Name, diff)
 				}
 				if got, _ := snapshot.Match("h", "/", "GET"); got.Name != test.want {
-					t.Errorf("%s: %s goes first", name, got.Name)
+					t.Errorf("route %s arrived last: Match returned route %q, want %q", order[2].Name, got.Name, test.want)
 				}
 			}
 		})
 	}
 }
 
-// stateWithHosts is a state with many routes, two to a host, every tenth of them split.
+// stateWithHosts returns a state with a number of routes, two to each host. Every tenth route is split.
 func stateWithHosts(routes int) State {
 	bodies := map[string]string{"service/a": `{}`, "service/b": `{}`, "standing/a": `{"versions":["v1"],"fallback":"v1"}`,
 		"flag/release.a": `{"on":true,"salt":"s","variations":["v1"],"offVariation":0,"fallthrough":{"variation":0}}`}
 	for i := range routes {
-		to := `"service":"a"`
+		destination := `"service":"a"`
 		if i%10 == 0 {
-			to = `"split":[{"service":"a","weight":90},{"service":"b","weight":10}]`
+			destination = `"split":[{"service":"a","weight":90},{"service":"b","weight":10}]`
 		}
-		bodies[fmt.Sprint("route/r", i)] = fmt.Sprintf(`{"host":"h%d.example","prefix":"/p%d/",%s,"class":"repeatable","horizon":"800ms","aim":"200ms","tries":2,"rank":1}`, i/2, i, to)
+		bodies[fmt.Sprint("route/r", i)] = fmt.Sprintf(`{"host":"h%d.example","prefix":"/p%d/",%s,"class":"repeatable","horizon":"800ms","aim":"200ms","tries":2,"rank":1}`, i/2, i, destination)
 	}
 	return stateFromBodies(bodies)
 }
 
-// Only changed items are decoded, also where every item arrives again as a copy; the result is the same as that
-// of compiling from scratch.
-func TestDecodesOnlyChangedItems(t *testing.T) {
+// CompileIncremental decodes only the items that changed, even if every item is a new copy of the earlier one, and
+// its result is the same as that of Compile.
+func TestOnlyChangedItemsAreDecoded(t *testing.T) {
 	state := stateWithHosts(500)
 	before, faults := Compile(state, 1)
 	if before.decodeCount != len(state) || len(faults) > 0 {
-		t.Fatal(before.decodeCount, faults)
+		t.Fatalf("Compile decoded %d items, want %d; faults: %v", before.decodeCount, len(state), faults)
 	}
-	at := func(kind, name, body string, deleted bool) *schema.Item {
+	changed := func(kind, name, body string, deleted bool) *schema.Item {
 		return &schema.Item{Kind: kind, Name: name, Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(body), Deleted: deleted}
 	}
 	for name, test := range map[string]struct {
 		items   []*schema.Item
 		decodes int
 	}{
-		"nothing":               {nil, 0},
-		"a route":               {[]*schema.Item{at("route", "r7", `{"host":"h7.example","prefix":"/","service":"a"}`, false)}, 1},
-		"a new route":           {[]*schema.Item{at("route", "new", `{"host":"h7.example","prefix":"/","service":"a"}`, false)}, 1},
-		"a route less":          {[]*schema.Item{at("route", "r7", "", true)}, 0},
-		"a split now a service": {[]*schema.Item{at("route", "r10", `{"host":"h5.example","prefix":"/p10/","service":"b"}`, false)}, 1},
-		"a split's weights":     {[]*schema.Item{at("route", "r10", `{"host":"h5.example","prefix":"/p10/","split":[{"service":"b","weight":1}]}`, false)}, 1},
-		"discovered versions":   {[]*schema.Item{at("standing", "a", `{"versions":["v1","v2"],"fallback":"v1"}`, false)}, 1},
-		"a flag":                {[]*schema.Item{at("flag", "release.a", `{"on":false,"salt":"s","variations":["v1"],"offVariation":0,"fallthrough":{"variation":0}}`, false)}, 1},
+		"no change":                           {nil, 0},
+		"a changed route":                     {[]*schema.Item{changed("route", "r7", `{"host":"h7.example","prefix":"/","service":"a"}`, false)}, 1},
+		"a new route":                         {[]*schema.Item{changed("route", "new", `{"host":"h7.example","prefix":"/","service":"a"}`, false)}, 1},
+		"a removed route":                     {[]*schema.Item{changed("route", "r7", "", true)}, 0},
+		"a split route that gets one service": {[]*schema.Item{changed("route", "r10", `{"host":"h5.example","prefix":"/p10/","service":"b"}`, false)}, 1},
+		"changed weights of a split":          {[]*schema.Item{changed("route", "r10", `{"host":"h5.example","prefix":"/p10/","split":[{"service":"b","weight":1}]}`, false)}, 1},
+		"changed discovered versions":         {[]*schema.Item{changed("standing", "a", `{"versions":["v1","v2"],"fallback":"v1"}`, false)}, 1},
+		"a changed flag":                      {[]*schema.Item{changed("flag", "release.a", `{"on":false,"salt":"s","variations":["v1"],"offVariation":0,"fallthrough":{"variation":0}}`, false)}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := state.With(test.items)
@@ -362,12 +370,12 @@
 			}
 			fromScratch, scratchFaults := Compile(next, 2)
 			if len(scratchFaults) > 0 {
-				t.Fatal(name, scratchFaults)
+				t.Fatalf("Compile reported faults: %v", scratchFaults)
 			}
 			for _, state := range []State{next, copied} {
 				after, faults := CompileIncremental(before, state, 2)
 				if after.decodeCount != test.decodes || len(faults) > 0 {
-					t.Errorf("%s: %d decodes, %v", name, after.decodeCount, faults)
+					t.Errorf("CompileIncremental decoded %d items, want %d; faults: %v", after.decodeCount, test.decodes, faults)
 				}
 				describe := func(snapshot *Snapshot) (list []string) {
 					for _, route := range snapshot.Routes {
@@ -379,24 +387,24 @@
 					return append(list, fmt.Sprint(snapshot.Services["a"].Versions, len(snapshot.routeMatcher.groups), snapshot.routeMatcher.hosts))
 				}
 				if diff := cmp.Diff(describe(fromScratch), describe(after)); diff != "" {
-					t.Errorf("%s: %s", name, diff)
+					t.Errorf("snapshots of Compile (-) and CompileIncremental (+) differ:\n%s", diff)
 				}
 			}
 		})
 	}
 	if decider := before.Flags.Flags["route.r10"]; decider == nil || decider.Fallthrough.Rollout.Variations[0].Weight != flag.TotalWeight*9/10 {
-		t.Error("the earlier snapshot was changed")
+		t.Errorf("flag route.r10 of the earlier snapshot is now %+v, want its first weight to be %d", decider, flag.TotalWeight*9/10)
 	}
 }
 
-func BenchmarkCompileFirst(b *testing.B) {
+func BenchmarkCompile350Routes(b *testing.B) {
 	state := stateWithHosts(350)
 	for b.Loop() {
 		Compile(state, 1)
 	}
 }
 
-func BenchmarkCompileOneRouteOf500(b *testing.B) {
+func BenchmarkCompileIncrementalOneRouteOf500(b *testing.B) {
 	state := stateWithHosts(500)
 	before, _ := Compile(state, 1)
 	next := state.With([]*schema.Item{{Kind: "route", Name: "r7", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"host":"h7.example","prefix":"/","service":"a"}`)}})
--- a/internal/config/item_kinds.go
+++ b/internal/config/item_kinds.go
@@ -11,7 +11,7 @@
 	"meadowhinge/schema"
 )
 
-// The kinds of item besides KindPurged.
+// The kinds of items besides KindPurged. The value is the kind's name in stored items and in operators' CUE text.
 const (
 	kindService            = "service"
 	kindDiscoveredVersions = "standing"
@@ -25,29 +25,29 @@
 	kindPolicy             = "policy"
 )
 
-// itemPath is the path of an item in the faults that operators see.
+// itemPath returns the path of an item in the faults that operators see.
 func itemPath(kind, name string) string { return kind + "." + name }
 
-// faultReporter records a fault at its path.
+// faultReporter records a fault at a path; format and values make its reason, as for fmt.Sprintf.
 type faultReporter func(path, format string, values ...any)
 
-// faultList gathers faults.
+// faultList collects faults. Its method add is a faultReporter.
 type faultList []*schema.FieldError
 
-// add records a fault at its path.
+// add appends a fault at a path.
 func (l *faultList) add(path, format string, values ...any) {
 	*l = append(*l, &schema.FieldError{Path: path, Reason: fmt.Sprintf(format, values...)})
 }
 
-// decodedItem is an item as decoded, with what is wrong with it by itself. It never changes once made, so
-// snapshots share it.
+// decodedItem is an item with its decoded body. It never changes once it is made, so snapshots share it.
 type decodedItem struct {
 	item   *schema.Item
-	value  any // a pointer to the kind's type; nil if the body could not be decoded
-	faults faultList
+	value  any       // pointer to the body type of the item's kind; nil if the body could not be decoded
+	faults faultList // faults that the item has by itself, without regard to other items
 }
 
-// matches tells whether the item was decoded from this very item, or from one with the same version and content.
+// matches reports whether decoding an item would give this result again: it is the item that was decoded, or one
+// with the same versions and body.
 func (d *decodedItem) matches(item *schema.Item) bool {
 	source := d.item
 	if source == item {
@@ -59,27 +59,27 @@
 		bytes.Equal(source.Body, item.Body)
 }
 
-// itemKind is how items of a kind are decoded, and how they are added to a snapshot.
+// itemKind has the functions that handle items of one kind.
 type itemKind struct {
-	decode func(item *schema.Item, add faultReporter) any
-	addTo  func(snapshot *Snapshot, decoded *decodedItem)
+	decode func(item *schema.Item, add faultReporter) any // returns decodedItem.value, and reports the item's faults
+	addTo  func(snapshot *Snapshot, decoded *decodedItem) // adds a decoded item to a snapshot
 }
 
-// newItemKind makes a kind of items with a body of type V. finish fills in and checks a value by itself;
-// addTo adds it to a snapshot.
+// newItemKind returns the functions for items with a body of type V. prepare sets the derived fields of a decoded
+// body and reports its faults; addTo adds the body to a snapshot.
 func newItemKind[V any](
-	finish func(item *schema.Item, value *V, add faultReporter),
-	addTo func(snapshot *Snapshot, name string, value *V, item *schema.Item),
+	prepare func(item *schema.Item, body *V, add faultReporter),
+	addTo func(snapshot *Snapshot, name string, body *V, item *schema.Item),
 ) itemKind {
 	return itemKind{
 		decode: func(item *schema.Item, add faultReporter) any {
-			value := new(V)
-			if err := decodeStrict(item.Body, value); err != nil {
+			body := new(V)
+			if err := decodeStrict(item.Body, body); err != nil {
 				add(itemPath(item.Kind, item.Name), "%v", err)
 				return nil
 			}
-			finish(item, value, add)
-			return value
+			prepare(item, body, add)
+			return body
 		},
 		addTo: func(snapshot *Snapshot, decoded *decodedItem) {
 			addTo(snapshot, decoded.item.Name, decoded.value.(*V), decoded.item)
@@ -87,14 +87,14 @@
 	}
 }
 
-// noFinish is for kinds whose values need no check by themselves.
-func noFinish[V any](*schema.Item, *V, faultReporter) {}
+// noPreparation is the prepare function of kinds without derived fields whose bodies need no check by themselves.
+func noPreparation[V any](*schema.Item, *V, faultReporter) {}
 
-// notAdded is for kinds that addTo does not add: routes, which are kept in order from snapshot to snapshot,
-// and purges, which count in a State only.
+// notAdded is the addTo function of kinds that are not added to a snapshot one by one. CompileIncremental merges
+// routes into the ordered list of the previous snapshot, and a purge has an effect on a State only.
 func notAdded[V any](*Snapshot, string, *V, *schema.Item) {}
 
-// itemKinds are all kinds of item.
+// itemKinds has the functions of every kind, by kind.
 var itemKinds = map[string]itemKind{
 	kindService: newItemKind(
 		func(_ *schema.Item, service *Service, _ faultReporter) {
@@ -114,7 +114,7 @@
 			snapshot.DiscoveredVersions[name] = discovered
 		}),
 	kindRoute: newItemKind(
-		func(item *schema.Item, route *Route, add faultReporter) { route.finish(item, add) },
+		func(item *schema.Item, route *Route, add faultReporter) { route.prepare(item, add) },
 		notAdded[Route]),
 	kindLimits: newItemKind(
 		func(item *schema.Item, limits *Limits, add faultReporter) { limits.applyDefaults(item, add) },
@@ -146,50 +146,51 @@
 			snapshot.recordRevision(release.Service, release.Version, item)
 		}),
 	kindProgress: newItemKind(
-		noFinish[Progress],
+		noPreparation[Progress],
 		func(snapshot *Snapshot, name string, progress *Progress, _ *schema.Item) {
 			snapshot.Progress[name] = progress
 		}),
 	kindStop: newItemKind(
-		noFinish[VersionStop],
+		noPreparation[VersionStop],
 		func(snapshot *Snapshot, name string, stop *VersionStop, item *schema.Item) {
 			snapshot.Stops[name] = stop
 			snapshot.recordRevision(stop.Service, stop.Version, item)
 		}),
 	kindPolicy: newItemKind(
-		noFinish[Policy],
+		noPreparation[Policy],
 		func(snapshot *Snapshot, name string, policy *Policy, _ *schema.Item) {
 			snapshot.policies[name] = policy
 		}),
-	KindPurged: newItemKind(noFinish[tombstonePurge], notAdded[tombstonePurge]),
+	KindPurged: newItemKind(noPreparation[tombstonePurge], notAdded[tombstonePurge]),
 }
 
-// recordRevision records that an item is about a version; the latest item counts.
+// recordRevision raises the VersionRevision of a version to the sequence of a release plan or stop of the version.
 func (s *Snapshot) recordRevision(service, version string, item *schema.Item) {
 	key := serviceVersion{service, version}
 	s.versionRevisions[key] = max(s.versionRevisions[key], item.Version.GetSequence())
 }
 
-// addFlagFaults reports the faults that package flag found; their paths are complete.
+// addFlagFaults reports faults that package flag found. Their paths need no prefix.
 func addFlagFaults(faults []flag.Fault, add faultReporter) {
 	for _, fault := range faults {
 		add(fault.Path, "%s", fault.Reason)
 	}
 }
 
-// parsePositiveDuration reads a duration that must be above zero.
+// parsePositiveDuration parses a duration. It reports a fault at the path if the text is no duration, or a duration
+// of zero or less.
 func parsePositiveDuration(text, path string, add faultReporter) time.Duration {
 	duration, err := time.ParseDuration(text)
 	switch {
 	case err != nil:
 		add(path, "%v", err)
 	case duration <= 0:
-		add(path, "must be a time above zero")
+		add(path, "must be above zero, got %v", duration)
 	}
 	return duration
 }
 
-// decodeStrict decodes JSON into target and refuses fields that target does not have.
+// decodeStrict decodes JSON into target. It fails if the JSON has a field that target does not have.
 func decodeStrict(body []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -204,7 +205,7 @@
 	return members
 }
 
-// decodeItem decodes an item and finds what is wrong with it by itself.
+// decodeItem decodes an item and collects the faults that it has by itself.
 func decodeItem(item *schema.Item) *decodedItem {
 	decoded := &decodedItem{item: item}
 	itemKind, found := itemKinds[item.Kind]
@@ -216,8 +217,8 @@
 	return decoded
 }
 
-// Check finds what is wrong with items by themselves, whatever else the configuration holds: an item that
-// can never be valid is refused even where a newer version of it exists.
+// Check returns the faults that items have by themselves, whatever else the configuration holds. Tombstones have
+// none. A caller can refuse an item that can never be valid, even if a newer version of the item exists.
 func Check(items []*schema.Item) []*schema.FieldError {
 	var faults []*schema.FieldError
 	for _, item := range items {
--- a/internal/config/references.go
+++ b/internal/config/references.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// checkReferences reports the faults that no item shows by itself: names that do not exist, versions that a
-// service does not list, and items that contradict each other.
+// checkReferences reports the faults between items: references to items that do not exist, versions that a service
+// does not list, and items that contradict each other.
 func (s *Snapshot) checkReferences(add faultReporter) {
 	s.checkServices(add)
 	s.checkVersionFlagServices(add)
@@ -17,11 +17,11 @@
 	s.checkReleases(add)
 }
 
-// checkServices reports fallbacks, and variations of version flags, that are no version of their service.
+// checkServices reports fallback versions, and variations of version flags, that their service does not list.
 func (s *Snapshot) checkServices(add faultReporter) {
 	for _, name := range sortedKeys(s.Services) {
 		service := s.Services[name]
-		// A service without versions, listed or discovered, has no worker so far: that is no fault.
+		// A service with neither listed nor discovered versions has had no worker yet. That is no fault.
 		hasVersions := service.Versions != nil || service.Fallback != ""
 		if hasVersions && !service.AllowsVersion(service.Fallback) {
 			add(itemPath(kindService, name)+".fallback", "version %q is not in versions", service.Fallback)
@@ -38,19 +38,19 @@
 	}
 }
 
-// checkVersionFlagServices reports version flags of services that do not exist.
+// checkVersionFlagServices reports version flags whose service does not exist.
 func (s *Snapshot) checkVersionFlagServices(add faultReporter) {
 	for _, key := range sortedKeys(s.Flags.Flags) {
 		service, isVersionFlag := strings.CutPrefix(key, VersionFlagKey(""))
-		// What the rollout controller wrote of a service outlasts it: an operator may remove the service and
-		// add it again.
+		// The discovered versions that the rollout controller wrote remain when an operator removes the service,
+		// who may add it again. The flag of such a service is no fault.
 		if isVersionFlag && s.Services[service] == nil && s.DiscoveredVersions[service] == nil {
 			add(itemPath(kindFlag, key), "service %q does not exist", service)
 		}
 	}
 }
 
-// checkRouteServices reports services that routes name and that do not exist.
+// checkRouteServices reports routes that name no service, or a service that does not exist.
 func (s *Snapshot) checkRouteServices(add faultReporter) {
 	for _, route := range s.Routes {
 		switch {
@@ -68,24 +68,26 @@
 	}
 }
 
-// checkOverlappingRoutes reports routes with the same host and prefix that take the same method.
+// checkOverlappingRoutes reports routes with the same host and prefix that match the same method.
 func (s *Snapshot) checkOverlappingRoutes(add faultReporter) {
 	for _, group := range s.routeMatcher.groups {
 		routes := s.Routes[group.routes.from:group.routes.to]
 		for i, route := range routes {
 			for _, other := range routes[:i] {
-				// Operators that give items versions of their own may race, each unaware of the other's
-				// change: both changes are then accepted, and compareRoutes says which route goes first.
+				// Operators that give items versions of their own may write at the same time, each unaware of
+				// the other's change. Both changes are then accepted, and compareRoutes decides which route is
+				// matched.
 				bothVersioned := route.operatorVersion != 0 && other.operatorVersion != 0
 				if method, overlaps := overlappingMethod(route, other); overlaps && !bothVersioned {
-					add(itemPath(kindRoute, route.Name), "%s %s is taken by route %q", method, route.Prefix, other.Name)
+					add(itemPath(kindRoute, route.Name), "method %s of prefix %q is matched by route %q already", method, route.Prefix, other.Name)
 				}
 			}
 		}
 	}
 }
 
-// overlappingMethod names a method that both routes list; "*" if both take any method.
+// overlappingMethod returns a method that both routes list, or "*" if neither lists any. A route that lists methods
+// does not overlap with one that matches any method.
 func overlappingMethod(a, b *Route) (string, bool) {
 	if len(a.Methods) == 0 && len(b.Methods) == 0 {
 		return "*", true
@@ -98,7 +100,7 @@
 	return "", false
 }
 
-// checkStops reports stops of versions that do not exist or that must not be stopped.
+// checkStops reports stops with a wrong name, and stops of a version that does not exist or that is the fallback.
 func (s *Snapshot) checkStops(add faultReporter) {
 	for _, name := range sortedKeys(s.Stops) {
 		stop, path := s.Stops[name], itemPath(kindStop, name)
@@ -111,30 +113,32 @@
 		case !service.AllowsVersion(stop.Version):
 			add(path+".version", "service %q does not list version %q", stop.Service, stop.Version)
 		case stop.Version == service.Fallback && !stop.Lifted:
-			add(path+".version", "is the fallback version, which has none to take its calls")
+			add(path+".version", "version %q is the fallback, no other version can take its calls", stop.Version)
 		}
 	}
 }
 
-// checkReleases reports release plans of versions that cannot be rolled out, and second plans of a service.
+// checkReleases reports release plans of versions that cannot be rolled out, and plans of a service that already has
+// another plan.
 func (s *Snapshot) checkReleases(add faultReporter) {
 	planByService := map[string]string{}
 	for _, name := range sortedKeys(s.Releases) {
 		release := s.Releases[name]
 		hasDiscovered := s.DiscoveredVersions[release.Service] != nil
-		// The plan of a service that was removed waits for the service to be added again.
+		// The plan of a service that was removed stays, and has an effect again once the service is added again.
 		if s.Services[release.Service] == nil && hasDiscovered {
 			continue
 		}
 		s.checkReleaseVersion(release, hasDiscovered, add)
 		if other, found := planByService[release.Service]; found {
-			add(itemPath(kindRelease, name), "service %q has the plan %q already", release.Service, other)
+			add(itemPath(kindRelease, name), "service %q already has the release plan %q", release.Service, other)
 		}
 		planByService[release.Service] = name
 	}
 }
 
-// checkReleaseVersion reports a plan whose version its service or the service's flag does not have.
+// checkReleaseVersion reports a plan whose service does not exist, whose version is not listed by the service or is
+// no variation of the service's version flag, or whose version is the fallback that an operator listed.
 func (s *Snapshot) checkReleaseVersion(release *Release, hasDiscovered bool, add faultReporter) {
 	path := itemPath(kindRelease, release.Name)
 	service := s.Services[release.Service]
@@ -147,9 +151,9 @@
 	decider := s.Flags.Flags[flagKey]
 	switch {
 	case decider == nil || !slices.Contains(decider.Variations, release.Version):
-		add(path, "flag %q does not have the variation %q", flagKey, release.Version)
+		add(path, "flag %q has no variation %q", flagKey, release.Version)
 	case service != nil && release.Version == service.Fallback && !hasDiscovered:
-		// Where versions are discovered, this very plan may have made its version the fallback.
-		add(path+".version", "is the fallback version, which has no other to be weighed against")
+		// Where versions are discovered, the plan itself may have made its version the fallback when it completed.
+		add(path+".version", "version %q is the fallback, there is no other version to compare it with", release.Version)
 	}
 }
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -9,45 +9,49 @@
 // Release is a release plan: the percentage of a service's calls that a version should get, and how fast.
 // Operators write it; the rollout controller carries it out.
 type Release struct {
-	Name         string  `json:"-"`
+	Name         string  `json:"-"` // name of the plan's item
 	Service      string  `json:"service"`
-	Version      string  `json:"version"`
-	Target       float64 `json:"target"` // percent of the service's calls, 0 to 100
-	DurationText string  `json:"over"`
-	Control      string  `json:"pace"`
-	Strategy     string  `json:"by,omitempty"` // how the percentage rises: StrategyRamp if left out
+	Version      string  `json:"version"`      // the version to roll out
+	Target       float64 `json:"target"`       // percentage of the service's calls that Version should reach, 0 to 100
+	DurationText string  `json:"over"`         // Duration as the operator wrote it, such as 10m
+	Control      string  `json:"pace"`         // go: carry out the plan; hold: pause it; back: roll it back
+	Strategy     string  `json:"by,omitempty"` // how the percentage rises; empty means StrategyRamp
 
-	Duration time.Duration `json:"-"` // parsed from DurationText
+	Duration time.Duration `json:"-"` // time over which Target is reached, parsed from DurationText
 	Revision uint64        `json:"-"` // configuration revision in which the plan was written
 }
 
-// The ways in which a plan's percentage rises.
+// The rollout strategies of a release plan.
 const (
-	StrategyRamp     = "ramp" // steadily over the plan's duration, once the version has enough calls to be judged
-	StrategyDeadline = "term" // in canary for most of the plan's duration, then moved before the duration is over
+	// StrategyRamp raises the percentage steadily over the plan's duration, once the version has had enough calls
+	// to be judged.
+	StrategyRamp = "ramp"
+	// StrategyDeadline keeps the version in canary for most of the plan's duration, and then moves all calls to it
+	// before the duration is over.
+	StrategyDeadline = "term"
 )
 
-// Progress is how far a release plan has come. The rollout controller writes it with each step, so that the
-// next controller goes on from there.
+// Progress is the state of a release plan that is being carried out. The rollout controller writes it with each
+// step, so that the next controller continues where this one stopped.
 type Progress struct {
-	ControllerTerm  uint64  `json:"duty"`            // term of the controller that wrote it; it never goes down
-	Controller      string  `json:"holder"`          // member that was the controller
-	PlanID          string  `json:"set"`             // identifies the plan as it was written
-	State           string  `json:"state"`           // trial, ramp, hold, settle, done, back: see the states of package release
-	Reason          string  `json:"reason"`          // why the plan is in that state
-	Percentage      float64 `json:"share"`           // current set point, in percent
-	Weight          int     `json:"weight"`          // of the new version, as written to the flag: of flag.TotalWeight
-	Elapsed         int64   `json:"elapsed"`         // nanoseconds of the ramp; by deadline, nanoseconds since the plan was written
-	PreviousVersion string  `json:"from,omitempty"`  // version that calls move away from
-	StateSince      int64   `json:"since,omitempty"` // by deadline: the value of Elapsed when this state or percentage began
+	ControllerTerm  uint64  `json:"duty"`            // term of the rollout controller that wrote it; never decreases
+	Controller      string  `json:"holder"`          // id of the core member that was the controller
+	PlanID          string  `json:"set"`             // identifies the plan with the content that it had then
+	State           string  `json:"state"`           // trial, ramp, hold, settle, done or back: see the states in package release
+	Reason          string  `json:"reason"`          // why the plan is in State
+	Percentage      float64 `json:"share"`           // percentage of calls that the new version should get at present, 0 to 100
+	Weight          int     `json:"weight"`          // weight of the new version in the version flag, 0 to flag.TotalWeight
+	Elapsed         int64   `json:"elapsed"`         // nanoseconds of the ramp; with StrategyDeadline, nanoseconds since the plan was written
+	PreviousVersion string  `json:"from,omitempty"`  // the version that the new one replaces
+	StateSince      int64   `json:"since,omitempty"` // with StrategyDeadline: Elapsed when the current state or percentage began
 }
 
-// progressStateRamp is the Progress.State of a plan whose version is getting more calls. Package release
-// names all the states; this one is repeated here, since release imports this package.
+// progressStateRamp is the Progress.State of a plan whose version is getting more calls. Package release defines
+// all states. This one is repeated here, since release imports this package.
 const progressStateRamp = "ramp"
 
-// ControllerTermOf is the term of the rollout controller that wrote a progress item, 0 for a body that
-// cannot be decoded.
+// ControllerTermOf returns the term of the rollout controller that wrote a progress item, 0 if the body cannot be
+// decoded.
 func ControllerTermOf(item *schema.Item) uint64 {
 	progress := &Progress{}
 	if decodeStrict(item.Body, progress) != nil {
@@ -56,14 +60,14 @@
 	return progress.ControllerTerm
 }
 
-// VersionStop keeps every call away from a version until it is lifted. The rollback guard writes it where
-// there is no plan to roll back; an operator may write and lift it too.
+// VersionStop keeps every call away from a version until the stop is lifted. The rollback guard writes it where
+// there is no release plan to roll back; an operator may write and lift one too.
 type VersionStop struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
-	Reason  string `json:"reason"`
-	Lifted  bool   `json:"lifted"`
+	Reason  string `json:"reason"` // shown to operators
+	Lifted  bool   `json:"lifted"` // the stop has no effect any more
 }
 
-// StopName is the name that the item of a version's stop must have.
+// StopName returns the name that the item of a version's stop must have.
 func StopName(service, version string) string { return service + "." + version }
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -7,52 +7,53 @@
 	"meadowhinge/internal/policy"
 )
 
-// Class tells whether a request may be executed more than once.
+// Class is the idempotency class of a request: whether it may be executed more than once.
 type Class string
 
-// The two classes of route.
+// The two classes.
 const (
-	ClassNonIdempotent Class = "once"
-	ClassIdempotent    Class = "repeatable"
+	ClassNonIdempotent Class = "once"       // must not be executed a second time
+	ClassIdempotent    Class = "repeatable" // may be executed again, so it may be retried after an unknown outcome
 )
 
-// WeightedService is a service that gets a part of a route's requests, by its weight among the others.
+// WeightedService is one of the services over which a route splits its requests.
 type WeightedService struct {
 	Service string  `json:"service"`
-	Weight  float64 `json:"weight"` // of any scale, not below 0
+	Weight  float64 `json:"weight"` // not negative; the service gets Weight divided by the sum of the split's weights of the requests
 }
 
-// Route sends requests of a host, with a prefix and method, to one service or split over several. Operators
-// write it.
+// Route sends the requests that match its host, path prefix and methods to a service, or splits them over several.
+// Operators write it.
 type Route struct {
-	Name              string            `json:"-"`
-	HostText          *string           `json:"host,omitempty"` // left out: any host
-	Service           string            `json:"service,omitempty"`
-	Split             []WeightedService `json:"split,omitempty"` // in place of Service
-	Prefix            string            `json:"prefix"`
-	Methods           []string          `json:"methods,omitempty"` // left out: any method
-	Class             Class             `json:"class,omitempty"`   // left out: by the method, see ClassFor
-	DeadlineText      string            `json:"horizon,omitempty"` // left out: as long as the caller and the proxy allow
-	LatencyTargetText string            `json:"aim,omitempty"`
-	MaxAttempts       int               `json:"tries,omitempty"` // workers that one request may be sent to, 0 for no bound
-	Priority          int               `json:"rank,omitempty"`  // lower is served first where not all requests can be
-	KeyHeader         string            `json:"key,omitempty"`   // header with the key that flags bucket by; left out: the request's own id
-	Attributes        map[string]string `json:"attributes,omitempty"`
-	PolicyName        string            `json:"policy,omitempty"`
+	Name              string            `json:"-"`                    // name of the route's item
+	HostText          *string           `json:"host,omitempty"`       // host as the operator wrote it; nil matches any host
+	Service           string            `json:"service,omitempty"`    // service that gets the requests; empty if Split is set
+	Split             []WeightedService `json:"split,omitempty"`      // services that share the requests; empty if Service is set
+	Prefix            string            `json:"prefix"`               // prefix of the paths that the route matches
+	Methods           []string          `json:"methods,omitempty"`    // HTTP methods that the route matches; empty matches any
+	Class             Class             `json:"class,omitempty"`      // class of the requests; if empty, ClassFor derives it from the method
+	DeadlineText      string            `json:"horizon,omitempty"`    // Deadline as the operator wrote it, such as 800ms
+	LatencyTargetText string            `json:"aim,omitempty"`        // LatencyTarget as the operator wrote it, such as 200ms
+	MaxAttempts       int               `json:"tries,omitempty"`      // maximum number of workers that one request is sent to; 0 means no limit
+	Priority          int               `json:"rank,omitempty"`       // requests with a lower value are served first under overload
+	KeyHeader         string            `json:"key,omitempty"`        // header whose value is the flags' bucketing key; if empty, the request id is the key
+	Attributes        map[string]string `json:"attributes,omitempty"` // header that holds the value, by name of the attribute in flags and policies
+	PolicyName        string            `json:"policy,omitempty"`     // policy that must allow each call; empty means no policy
 
-	Host          string          `json:"-"` // normalized by NormalizeHost, empty for any
-	Deadline      time.Duration   `json:"-"` // 0 for none of its own
-	LatencyTarget time.Duration   `json:"-"` // time within which a response is worth most, 0 for none
-	Policy        *policy.Program `json:"-"` // must allow a call for it to be planned; nil for none
+	Host          string          `json:"-"` // HostText normalized by NormalizeHost; empty matches any host
+	Deadline      time.Duration   `json:"-"` // longest time for a request; 0 means that only the caller and the proxy limit it
+	LatencyTarget time.Duration   `json:"-"` // time within which a response is worth most; 0 means no target
+	Policy        *policy.Program `json:"-"` // compiled policy; nil if there is none, or if it does not compile
 
-	splitFlag       *flag.Flag // picks the service of a split route; nil for no split
-	operatorVersion uint64     // of the item, 0 for none
+	splitFlag       *flag.Flag // flag that picks the service; nil if the route has no valid split
+	operatorVersion uint64     // Item.operator_version of the route's item, 0 for none
 }
 
-// SplitFlagKey names the flag that picks the service of a split route.
+// SplitFlagKey returns the key of the flag that picks the service of the route, if it is split.
 func (r *Route) SplitFlagKey() string { return RouteFlagKey(r.Name) }
 
-// Services lists the services that a route may send to, those without weight left out.
+// Services returns the services to which the route may send requests. Services without weight in a split are left
+// out.
 func (r *Route) Services() []string {
 	if len(r.Split) == 0 {
 		return []string{r.Service}
@@ -66,12 +67,14 @@
 	return services
 }
 
-// ClassFor gives the class of requests with a method on the route.
+// ClassFor returns the class of the route's requests with a method. Where the operator set none, only GET and HEAD
+// requests are idempotent.
 func (r *Route) ClassFor(method string) Class {
 	if r.Class != "" {
 		return r.Class
 	}
-	// By HTTP's own rules only these change nothing, so only they are retried unless an operator says otherwise.
+	// GET and HEAD are safe methods (RFC 9110, section 9.2.1). Requests with other methods may change state, so
+	// they are retried only if an operator allows it.
 	if method == "GET" || method == "HEAD" {
 		return ClassIdempotent
 	}
@@ -90,7 +93,7 @@
 	return false
 }
 
-// Policy is an expression over a call's context that routes may name. Operators write it.
+// Policy is a rule that decides which calls a route allows. Operators write it, and routes name it.
 type Policy struct {
-	Expression string `json:"expression"`
+	Expression string `json:"expression"` // boolean expression over the call's context, in the language of package policy
 }
--- a/internal/config/route_matcher.go
+++ b/internal/config/route_matcher.go
@@ -6,27 +6,27 @@
 	"strings"
 )
 
-// routeMatcher finds routes by host and prefix. A lookup costs the logarithm of the host's number of
-// prefixes, and a step for each of them that begins the path. It never changes once made.
+// routeMatcher is an index of routes by host and path prefix. A lookup does a binary search over the prefixes of
+// the host, and then one step for each prefix that could match the path. A matcher never changes once it is made.
 type routeMatcher struct {
 	routes []*Route              // ordered by compareRoutes
-	groups []prefixGroup         // one for each prefix of a host, in the order of routes
-	hosts  map[string]indexRange // the groups of each host
+	groups []prefixGroup         // one group for each host and prefix, in the order of routes
+	hosts  map[string]indexRange // range in groups, by host; "" is the key of routes for any host
 }
 
-// indexRange is the part of a list from index from up to, but without, index to.
+// indexRange is a range of indexes in a list: from is included, to is not.
 type indexRange struct{ from, to int }
 
-// prefixGroup is all routes of one host and prefix.
+// prefixGroup has the routes with the same host and prefix.
 type prefixGroup struct {
 	prefix string
-	routes indexRange
-	parent int // index of the group with the longest prefix of the same host that begins this one's, -1 for none
+	routes indexRange // range in routeMatcher.routes
+	parent int        // index of the group of the same host with the longest proper prefix of this group's prefix, -1 for none
 }
 
-// compareRoutes orders routes by host, then by prefix. Two routes with the same host, prefix and method
-// exist only if operators with versions of their own race; the one with the higher operator version then
-// goes first, then the first by name.
+// compareRoutes orders routes by host, then by prefix, and defines which of two routes with the same host, prefix
+// and method is matched. Such routes are valid only if both have operator versions, from operators that wrote at
+// the same time. The one with the higher operator version is then matched; with equal versions, the first by name.
 func compareRoutes(a, b *Route) int {
 	if order := strings.Compare(a.Host, b.Host); order != 0 {
 		return order
@@ -40,7 +40,7 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
-// mergeRoutes merges two ordered lists into one.
+// mergeRoutes merges two lists that are ordered by compareRoutes. It may return one of them.
 func mergeRoutes(a, b []*Route) []*Route {
 	if len(b) == 0 {
 		return a
@@ -56,7 +56,8 @@
 	return append(append(all, a...), b...)
 }
 
-// newMatcher indexes ordered routes. It keeps the list, so a route put in its place is matched instead.
+// newMatcher returns an index of routes that are ordered by compareRoutes. It keeps the list: a route that later
+// replaces another in the list, with the same host and prefix, is matched in its place.
 func newMatcher(routes []*Route) routeMatcher {
 	built := routeMatcher{
 		routes: routes,
@@ -70,8 +71,8 @@
 			for i < len(routes) && routes[i].Host == host && routes[i].Prefix == prefix {
 				i++
 			}
-			// In this order, a prefix that begins this one is the last group so far, or begins that group's
-			// prefix: so it is among the last group and its parents.
+			// The groups are in lexical order, so any proper prefix of this prefix is that of the last group
+			// so far, or a prefix of it. The parent is therefore the last group or one of its ancestors.
 			parent := len(built.groups) - 1
 			for parent >= from && !strings.HasPrefix(prefix, built.groups[parent].prefix) {
 				parent = built.groups[parent].parent
@@ -86,14 +87,16 @@
 	return built
 }
 
-// find gives the route with the longest prefix that begins the path and that takes the method, nil for none.
+// find returns the route of a host that matches the path and the method, nil for none. Of several, the one with the
+// longest prefix is returned.
 func (m *routeMatcher) find(host, path, method string) *Route {
 	hostGroups, found := m.hosts[host]
 	if !found {
 		return nil
 	}
 	groups := m.groups[hostGroups.from:hostGroups.to]
-	// Every prefix that begins the path is the last group not ordered after the path, or one of its parents.
+	// The groups whose prefix matches the path are the last group that is not ordered after the path, and its
+	// ancestors. The last group itself need not match.
 	insertion, exact := slices.BinarySearchFunc(groups, path, comparePrefix)
 	current := hostGroups.from + insertion
 	if !exact {
@@ -115,7 +118,7 @@
 
 func comparePrefix(group prefixGroup, path string) int { return strings.Compare(group.prefix, path) }
 
-// NormalizeHost gives a host as routes have it: in lower case, without a port.
+// NormalizeHost returns a host in lower case and without its port, the form in which routes are compared with it.
 func NormalizeHost(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 {
@@ -130,8 +133,9 @@
 	return strings.ToLower(host)
 }
 
-// Match finds the route for a request's host, path and method: the one with the longest prefix that begins
-// the path, among the host's own routes first, then among those for any host.
+// Match returns the route for a request, and false if there is none. Routes for the request's host take precedence
+// over routes for any host. Among either, the route that matches the method and has the longest prefix of the path
+// is returned.
 func (s *Snapshot) Match(host, path, method string) (*Route, bool) {
 	if host != "" {
 		if route := s.routeMatcher.find(NormalizeHost(host), path, method); route != nil {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -7,33 +7,33 @@
 	"meadowhinge/internal/policy"
 )
 
-// Snapshot is one configuration, compiled. It never changes once made. Its maps and lists are shared with
-// readers and with later snapshots, so nobody may write to them.
+// Snapshot is the compiled form of one configuration. It never changes once it is made. Its maps and lists are
+// shared with readers and with later snapshots, so nobody may write to them.
 type Snapshot struct {
-	Revision           uint64
-	Services           map[string]*Service
-	Routes             []*Route // ordered by compareRoutes
-	Flags              *flag.Set
-	Releases           map[string]*Release
-	Progress           map[string]*Progress           // by release
+	Revision           uint64                         // configuration revision that was compiled
+	Services           map[string]*Service            // by name
+	Routes             []*Route                       // ordered by compareRoutes
+	Flags              *flag.Set                      // flags and segments of operators, and the flags of split routes
+	Releases           map[string]*Release            // by name of the plan
+	Progress           map[string]*Progress           // by name of the release plan
 	DiscoveredVersions map[string]*DiscoveredVersions // by service
-	Stops              map[string]*VersionStop        // by StopName
-	GuardedVersions    map[string][]string            // by service: the versions besides the fallback that its flag may pick
-	Limits             Limits
+	Stops              map[string]*VersionStop        // by StopName; includes lifted stops
+	GuardedVersions    map[string][]string            // versions besides the fallback that the version flag may pick, by service
+	Limits             Limits                         // limits of operators, or DefaultLimits
 
-	versionRevisions map[serviceVersion]uint64  // see VersionRevision
+	versionRevisions map[serviceVersion]uint64  // values that VersionRevision returns; a version without one is absent
 	policies         map[string]*Policy         // by name
-	programs         map[string]*policy.Program // by expression and attributes; reused by later snapshots
-	decodedItems     map[string]*decodedItem    // by Key; reused by later snapshots where the item stayed
+	programs         map[string]*policy.Program // compiled policies by expression and attributes; reused by later snapshots
+	decodedItems     map[string]*decodedItem    // live items by Key; those that do not change are reused by later snapshots
 	versionDeciders  map[string]Decider         // by service
-	routeMatcher     routeMatcher
-	decodeCount      int // items decoded for this snapshot, rather than reused
+	routeMatcher     routeMatcher               // index of Routes
+	decodeCount      int                        // number of items that were decoded for this snapshot, not reused
 }
 
-// serviceVersion names a version of a service.
+// serviceVersion identifies a version of a service.
 type serviceVersion struct{ service, version string }
 
-// newSnapshot makes an empty snapshot that knows which items an earlier one decoded.
+// newSnapshot returns a snapshot without items that may reuse decodedItems. It takes over the map and changes it.
 func newSnapshot(revision uint64, decodedItems map[string]*decodedItem) *Snapshot {
 	return &Snapshot{
 		Revision:           revision,
@@ -54,8 +54,9 @@
 	}
 }
 
-// GuardedRevision tells whether the rollback guard watches a version of a service, and under which revision
-// (see VersionRevision). Evidence gathered about a version under another revision does not count under this one.
+// GuardedRevision reports whether the rollback guard watches a version of a service, and returns the version's
+// VersionRevision. Evidence about a version that was gathered under another revision must not be used under this
+// one. The revision is 0 for a version that is not guarded.
 func (s *Snapshot) GuardedRevision(service, version string) (revision uint64, guarded bool) {
 	if !slices.Contains(s.GuardedVersions[service], version) {
 		return 0, false
@@ -63,12 +64,13 @@
 	return s.VersionRevision(service, version), true
 }
 
-// VersionRevision is the revision of the latest release plan or stop of a version, guarded or not; 0 for none.
+// VersionRevision returns the configuration revision of the latest release plan or stop of a version, 0 for none.
+// The version need not be guarded.
 func (s *Snapshot) VersionRevision(service, version string) uint64 {
 	return s.versionRevisions[serviceVersion{service, version}]
 }
 
-// ActiveStop gives the stop of a version that has not been lifted, nil for none.
+// ActiveStop returns the stop of a version, nil if there is none or if it has been lifted.
 func (s *Snapshot) ActiveStop(service, version string) *VersionStop {
 	if len(s.Stops) == 0 {
 		return nil
@@ -79,8 +81,8 @@
 	return nil
 }
 
-// RampingByDeadline tells whether a plan with StrategyDeadline is giving a version more calls at present, to
-// see how the version bears them.
+// RampingByDeadline reports whether a release plan with StrategyDeadline is at present raising a version's percentage
+// of calls, to see how the version behaves under them. The plan must have the name of the service.
 func (s *Snapshot) RampingByDeadline(service, version string) bool {
 	plan, progress := s.Releases[service], s.Progress[service]
 	if plan == nil || progress == nil {
@@ -90,7 +92,7 @@
 	return isPlanOfVersion && plan.Strategy == StrategyDeadline && progress.State == progressStateRamp
 }
 
-// FallbackOf names a service's fallback version, empty for a service that does not exist or has none.
+// FallbackOf returns the fallback version of a service, empty if the service does not exist or has none.
 func (s *Snapshot) FallbackOf(service string) string {
 	if found := s.Services[service]; found != nil {
 		return found.Fallback
@@ -98,19 +100,19 @@
 	return ""
 }
 
-// VersionFlagKey names the flag that picks the version of a service.
+// VersionFlagKey returns the key of the version flag of a service: the flag that picks the version of each call.
 func VersionFlagKey(service string) string { return "release." + service }
 
-// RouteFlagKey names the flag that picks the service of a split route.
+// RouteFlagKey returns the key of the flag that picks the service for each request of a split route.
 func RouteFlagKey(route string) string { return "route." + route }
 
-// Decider is the flag that picks a version or a service.
+// Decider is the result of looking up the flag that picks a version or a service.
 type Decider struct {
-	Key  string     // of the flag, whether it exists or not
-	Flag *flag.Flag // nil if there is none
+	Key  string     // key of the flag, whether the flag exists or not
+	Flag *flag.Flag // nil if the flag does not exist
 }
 
-// VersionDecider gives the flag that picks the version of a service.
+// VersionDecider returns the version flag of a service.
 func (s *Snapshot) VersionDecider(service string) Decider {
 	if decider, found := s.versionDeciders[service]; found {
 		return decider
@@ -118,7 +120,7 @@
 	return Decider{Key: VersionFlagKey(service)}
 }
 
-// ServiceDecider gives the flag that picks the service of a route, if the route is split.
+// ServiceDecider returns the flag that picks the service of a route. Its Flag is nil for a route without a split.
 func (s *Snapshot) ServiceDecider(route *Route) Decider {
 	if route.splitFlag == nil {
 		return Decider{Key: route.SplitFlagKey()}
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -21,7 +21,7 @@
 release: r1: {service: "shop", version: "2.0.0", target: 50, over: "10m"}
 `
 
-// stateOf parses CUE text into a state, each item with a sequence of its own.
+// stateOf parses CUE text into a state. Each item gets its own sequence; all have term 1.
 func stateOf(t *testing.T, text string) (State, []*schema.FieldError) {
 	t.Helper()
 	items, faults := configsource.Parse([]byte(text))
@@ -31,14 +31,15 @@
 	return State{}.With(items), faults
 }
 
+// A valid configuration compiles without faults, and its routes match by prefix and method.
 func TestValidConfigCompiles(t *testing.T) {
 	state, faults := stateOf(t, validConfig)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("Parse reported faults: %v", faults)
 	}
 	snapshot, faults := Compile(state, 7)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("Compile reported faults: %v", faults)
 	}
 	for _, want := range []struct{ path, method, route string }{
 		{"/shop/buy", "POST", "buy"}, {"/shop/buy", "GET", "look"}, {"/shop/x", "POST", "look"}, {"/other", "GET", ""},
@@ -50,18 +51,18 @@
 				got = route.Name
 			}
 			if got != want.route {
-				t.Errorf("%s %s matched %q, want %q", want.method, want.path, got, want.route)
+				t.Errorf("Match(\"\", %q, %q) = route %q, want %q", want.path, want.method, got, want.route)
 			}
 		})
 	}
 	route, _ := snapshot.Match("", "/shop/buy", "POST")
 	if route.ClassFor("POST") != ClassNonIdempotent || route.ClassFor("GET") != ClassIdempotent {
-		t.Error("only GET and HEAD may be retried by default")
+		t.Errorf("ClassFor(POST) = %q, want %q; ClassFor(GET) = %q, want %q", route.ClassFor("POST"), ClassNonIdempotent, route.ClassFor("GET"), ClassIdempotent)
 	}
 }
 
-// Every fault of a text is reported at once, each at its path.
-func TestEveryFaultIsReported(t *testing.T) {
+// Parse reports all faults of a text at once, each at its path.
+func TestParseReportsEveryFault(t *testing.T) {
 	_, faults := stateOf(t, `
 service: shop: {versions: [], fallback: "1", callers: [], colour: "red"}
 route: a: {service: "shop", prefix: "no-slash"}
@@ -74,13 +75,13 @@
 	got := strings.Join(paths, " ")
 	for _, path := range []string{"service.shop.colour", "route.a.prefix", "release.r.target", "release.r.size"} {
 		if !strings.Contains(got, path) {
-			t.Errorf("no fault at %s; got %v", path, faults)
+			t.Errorf("Parse reported no fault at %s; got %v", path, faults)
 		}
 	}
 }
 
-// Faults between items are each reported at the path of the item that refers.
-func TestCrossFaults(t *testing.T) {
+// A fault between two items is reported at the path of the item that refers to the other.
+func TestReferenceFaults(t *testing.T) {
 	state, faults := stateOf(t, `
 service: shop: {versions: ["1"], fallback: "2", callers: []}
 route: a: {service: "nowhere", prefix: "/a"}
@@ -95,7 +96,7 @@
 release: r2: {service: "shop", version: "1", target: 50, over: "1s"}
 `)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("Parse reported faults: %v", faults)
 	}
 	_, faults = Compile(state, 1)
 	got := map[string]int{}
@@ -109,12 +110,12 @@
 		"release.r1.version": 1, "release.r1.over": 1, "release.r1": 1, "release.r2": 2,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Error(diff)
+		t.Errorf("Compile: number of faults by path (-want +got):\n%s", diff)
 	}
 }
 
-// Of two versions of an item the newer stays, in whatever order they are merged.
-func TestMergeKeepsNewer(t *testing.T) {
+// With keeps the newer of two versions of an item, in whatever order they are merged.
+func TestWithKeepsNewerVersion(t *testing.T) {
 	older := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 1, Sequence: 9}, Body: []byte("old")}
 	newer := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 2, Sequence: 1}, Body: []byte("new")}
 	for _, order := range [][]*schema.Item{{older, newer}, {newer, older}} {
@@ -123,11 +124,12 @@
 			merged = merged.With([]*schema.Item{item})
 		}
 		if string(merged["flag/a"].Body) != "new" {
-			t.Error("an older copy displaced a newer one")
+			t.Errorf("merged %q, then %q: got body %q, want new", order[0].Body, order[1].Body, merged["flag/a"].Body)
 		}
 	}
 }
 
+// stateWithRoutes returns a state with a number of routes for any host, each with a prefix of its own.
 func stateWithRoutes(routes int) State {
 	var items []*schema.Item
 	for i := range routes {
@@ -137,7 +139,8 @@
 	return State{}.With(items)
 }
 
-// A change to a large configuration costs by what changed; the rest is reused.
+// The cost of a change to a large configuration should depend on the size of the change, since unchanged items are
+// reused.
 func BenchmarkCompileIncrementalOneChange(b *testing.B) {
 	state := stateWithRoutes(5000)
 	before, _ := Compile(state, 1)
@@ -147,7 +150,7 @@
 	}
 }
 
-// Compiling after an earlier snapshot gives the same as compiling from scratch.
+// CompileIncremental returns the same routes as Compile after routes were changed and removed.
 func TestCompileIncremental(t *testing.T) {
 	state := stateWithRoutes(20)
 	before, _ := Compile(state, 1)
@@ -164,19 +167,19 @@
 		return list
 	}
 	if diff := cmp.Diff(prefixes(fromScratch), prefixes(after)); diff != "" {
-		t.Error(diff)
+		t.Errorf("routes of Compile (-) and CompileIncremental (+) differ:\n%s", diff)
 	}
-	if _, found := after.Match("", "/grown/3", "GET"); found {
-		t.Error("a removed route is still there")
+	if route, found := after.Match("", "/grown/3", "GET"); found {
+		t.Errorf("Match for the removed route r3 returned %+v, want none", route)
 	}
 	if route, found := after.Match("", "/moved", "GET"); !found || route.KeyHeader != "K" {
-		t.Error("a changed route was reused from the earlier snapshot")
+		t.Errorf("Match for the changed route r4 returned %+v, %v; want key header K", route, found)
 	}
 }
 
-// The rollback guard watches what a flag may pick besides the fallback. A stop must be named after the service
-// and version that it stops, which must exist and not be the fallback.
-func TestGuardsAndStops(t *testing.T) {
+// The guarded versions are those that the version flag may pick besides the fallback. A stop must be named after its
+// service and version, which must exist. A version with an active stop must not be the fallback.
+func TestGuardedVersionsAndStops(t *testing.T) {
 	base := `service: shop: {versions: ["1", "2", "3"], fallback: "1", callers: []}
 `
 	for name, test := range map[string]struct {
@@ -184,33 +187,34 @@
 		guards []string
 		faults int
 	}{
-		"no flag":                 {"", nil, 0},
-		"a flag for the fallback": {`flag: "release.shop": {on: true, salt: "", variations: ["1", "2"], offVariation: 1, fallthrough: {variation: 0}}`, nil, 0},
-		"off, to another version": {`flag: "release.shop": {on: false, salt: "", variations: ["1", "2"], offVariation: 1, fallthrough: {variation: 0}}`, []string{"2"}, 0},
-		"no weight on it":         {`flag: "release.shop": {on: true, salt: "", variations: ["1", "2"], offVariation: 0, fallthrough: rollout: variations: [{variation: 0, weight: 100000}, {variation: 1, weight: 0}]}`, nil, 0},
-		"a target and a rule": {`flag: "release.shop": {on: true, salt: "", variations: ["1", "2", "3"], offVariation: 0, fallthrough: {variation: 0},
+		"without a flag no version is guarded":                  {"", nil, 0},
+		"a flag that picks only the fallback guards no version": {`flag: "release.shop": {on: true, salt: "", variations: ["1", "2"], offVariation: 1, fallthrough: {variation: 0}}`, nil, 0},
+		"the off variation of a flag that is off is guarded":    {`flag: "release.shop": {on: false, salt: "", variations: ["1", "2"], offVariation: 1, fallthrough: {variation: 0}}`, []string{"2"}, 0},
+		"a variation without weight is not guarded":             {`flag: "release.shop": {on: true, salt: "", variations: ["1", "2"], offVariation: 0, fallthrough: rollout: variations: [{variation: 0, weight: 100000}, {variation: 1, weight: 0}]}`, nil, 0},
+		"the variations of targets and rules are guarded": {`flag: "release.shop": {on: true, salt: "", variations: ["1", "2", "3"], offVariation: 0, fallthrough: {variation: 0},
 			targets: [{variation: 2, values: ["ann"]}], rules: [{id: "r", clauses: [], variation: 1}]}`, []string{"2", "3"}, 0},
-		"a stop":                      {`stop: "shop.2": {service: "shop", version: "2"}`, nil, 0},
-		"a stop by another name":      {`stop: "two": {service: "shop", version: "2"}`, nil, 1},
-		"a stop of no version":        {`stop: "shop.9": {service: "shop", version: "9"}`, nil, 1},
-		"a stop of no service":        {`stop: "gone.2": {service: "gone", version: "2"}`, nil, 1},
-		"a stop of the fallback":      {`stop: "shop.1": {service: "shop", version: "1"}`, nil, 1},
-		"a lifted stop, now fallback": {`stop: "shop.1": {service: "shop", version: "1", lifted: true}`, nil, 0},
+		"a stop is valid":                         {`stop: "shop.2": {service: "shop", version: "2"}`, nil, 0},
+		"a stop by another name is a fault":       {`stop: "two": {service: "shop", version: "2"}`, nil, 1},
+		"a stop of an unknown version is a fault": {`stop: "shop.9": {service: "shop", version: "9"}`, nil, 1},
+		"a stop of an unknown service is a fault": {`stop: "gone.2": {service: "gone", version: "2"}`, nil, 1},
+		"a stop of the fallback is a fault":       {`stop: "shop.1": {service: "shop", version: "1"}`, nil, 1},
+		"a lifted stop of the fallback is valid":  {`stop: "shop.1": {service: "shop", version: "1", lifted: true}`, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state, faults := stateOf(t, base+test.text)
-			snapshot, cross := Compile(state, 9)
-			if len(faults) > 0 || len(cross) != test.faults {
-				t.Errorf("%s: faults %v, %v", name, faults, cross)
+			snapshot, compileFaults := Compile(state, 9)
+			if len(faults) > 0 || len(compileFaults) != test.faults {
+				t.Errorf("Parse reported faults %v, want none; Compile reported faults %v, want %d", faults, compileFaults, test.faults)
 			}
 			if diff := cmp.Diff(test.guards, snapshot.GuardedVersions["shop"]); diff != "" {
-				t.Errorf("%s: %s", name, diff)
+				t.Errorf("GuardedVersions of shop (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// Each fault of a policy is reported at its path; a policy that compiled is not compiled again.
+// Each fault of a policy is reported at its path. A policy that compiled once is not compiled again for a later
+// snapshot.
 func TestPolicies(t *testing.T) {
 	base := `service: shop: {versions: ["1"], fallback: "1", callers: []}
 `
@@ -218,31 +222,31 @@
 		text  string
 		paths []string
 	}{
-		"sound": {`policy: p: expression: "country == \"se\""
+		"a policy that a route names is valid": {`policy: p: expression: "country == \"se\""
 route: r: {service: "shop", prefix: "/r", attributes: country: "X", policy: "p"}`, nil},
-		"sound, no route yet": {`policy: p: expression: "country == \"se\""`, nil},
-		"no bool":             {`policy: p: expression: "caller"`, []string{"policy.p.expression"}},
-		"does not parse":      {`policy: p: expression: "caller =="`, []string{"policy.p.expression"}},
-		"no such attribute": {`policy: p: expression: "country == \"se\""
+		"a policy without a route is valid":       {`policy: p: expression: "country == \"se\""`, nil},
+		"a policy that is not boolean is a fault": {`policy: p: expression: "caller"`, []string{"policy.p.expression"}},
+		"a policy that does not parse is a fault": {`policy: p: expression: "caller =="`, []string{"policy.p.expression"}},
+		"an attribute that the route does not have is a fault": {`policy: p: expression: "country == \"se\""
 route: r: {service: "shop", prefix: "/r", policy: "p"}`, []string{"policy.p.expression"}},
-		"missing, or removed": {`route: r: {service: "shop", prefix: "/r", policy: "p"}`, []string{"route.r.policy"}},
-		"hides the context": {`policy: p: expression: "caller == \"a\""
+		"a policy that does not exist is a fault of the route": {`route: r: {service: "shop", prefix: "/r", policy: "p"}`, []string{"route.r.policy"}},
+		"an attribute with a built-in name is a fault": {`policy: p: expression: "caller == \"a\""
 route: r: {service: "shop", prefix: "/r", attributes: caller: "X", policy: "p"}`, []string{"route.r.attributes.caller"}},
-		"each by itself": {`policy: {p: expression: "caller", q: expression: "1 +"}`, []string{"policy.p.expression", "policy.q.expression"}},
+		"each policy has faults of its own": {`policy: {p: expression: "caller", q: expression: "1 +"}`, []string{"policy.p.expression", "policy.q.expression"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state, faults := stateOf(t, base+test.text)
-			snapshot, cross := Compile(state, 9)
+			snapshot, compileFaults := Compile(state, 9)
 			var paths []string
-			for _, fault := range append(faults, cross...) {
+			for _, fault := range append(faults, compileFaults...) {
 				paths = append(paths, fault.Path)
 			}
 			if diff := cmp.Diff(test.paths, paths); diff != "" {
-				t.Errorf("%s: %s", name, diff)
+				t.Errorf("paths of faults (-want +got):\n%s", diff)
 			}
-			// Compiled once: the next snapshot reuses the program.
+			// The next snapshot reuses the compiled program.
 			if next, _ := CompileIncremental(snapshot, state, 10); len(test.paths) == 0 && len(snapshot.Routes) > 0 && next.Routes[0].Policy != snapshot.Routes[0].Policy {
-				t.Errorf("%s: was compiled again", name)
+				t.Errorf("program of the next snapshot is %p, want %p: the policy was compiled again", next.Routes[0].Policy, snapshot.Routes[0].Policy)
 			}
 		})
 	}
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -9,40 +9,43 @@
 	"meadowhinge/schema"
 )
 
-// Key joins kind and name.
+// Key returns the key of an item in a State.
 func Key(kind, name string) string { return schema.Key(kind, name) }
 
-// State is the items of a configuration by Key, tombstones of removed items included. It is the unit of
-// replication: stores, registries and proxies merge the items that they receive into it with With.
+// State holds the items of a configuration by Key, with a tombstone for each removed item. Stores, registries and
+// proxies replicate it: each merges the items that it receives into its own copy with With or Apply.
 type State map[string]*schema.Item
 
-// KindPurged is the kind of the item that says up to which sequence tombstones have been purged. It travels
-// like any other item; only the store's leader writes it.
+// KindPurged is the kind of the item that records up to which sequence tombstones have been purged. The item is
+// replicated like any other; only the leader of the stores writes it.
 const KindPurged = "purged"
 
-// purgeName is the name of the one item of KindPurged.
+// purgeName is the name of the only item of KindPurged.
 const purgeName = "tombstones"
 
+// tombstonePurge is the body of the item of KindPurged. All zero means that no tombstone has been purged.
 type tombstonePurge struct {
-	UpTo                  uint64 `json:"to"`
-	OperatorVersionedUpTo uint64 `json:"given,omitempty"`
+	UpTo                  uint64 `json:"to"`              // sequence up to which tombstones without an operator version are purged
+	OperatorVersionedUpTo uint64 `json:"given,omitempty"` // sequence up to which those with an operator version are purged too
 }
 
-// NewPurgeItem makes the item that purges tombstones up to a sequence. Tombstones with an operator version
-// are retained longer, up to a sequence of their own, because an older write of the operator may still arrive.
+// NewPurgeItem returns the item that purges tombstones up to sequence upTo. Tombstones with an operator version are
+// purged only up to operatorVersionedUpTo: they are kept longer, because an older write of the operator may still
+// arrive. The item has no version; the leader sets it.
 func NewPurgeItem(upTo, operatorVersionedUpTo uint64) *schema.Item {
 	body := fmt.Sprintf(`{"to":%d,"given":%d}`, upTo, operatorVersionedUpTo)
 	return &schema.Item{Kind: KindPurged, Name: purgeName, Body: []byte(body)}
 }
 
-// PurgedUpTo is the sequence up to which tombstones have been purged. A copy whose state is older than that
-// may still have items that were removed, which no delta would tell it: it needs the complete state.
+// PurgedUpTo returns the sequence up to which tombstones without an operator version have been purged. A replica
+// whose state is older may still have removed items, and a delta no longer contains their tombstones. It needs the
+// complete state.
 func (s State) PurgedUpTo() uint64 { return s.purge().UpTo }
 
-// OperatorVersionedPurgedUpTo is the same for the tombstones with an operator version.
+// OperatorVersionedPurgedUpTo returns the sequence up to which tombstones with an operator version have been purged.
 func (s State) OperatorVersionedPurgedUpTo() uint64 { return s.purge().OperatorVersionedUpTo }
 
-// purge decodes the state's purge item, all zero for none.
+// purge returns the decoded purge item of the state, all zero if there is none.
 func (s State) purge() tombstonePurge {
 	if item := s[Key(KindPurged, purgeName)]; item != nil {
 		return decodePurge(item)
@@ -50,6 +53,7 @@
 	return tombstonePurge{}
 }
 
+// decodePurge decodes a purge item. The result is all zero if the body cannot be decoded.
 func decodePurge(item *schema.Item) tombstonePurge {
 	decoded := tombstonePurge{}
 	if decodeStrict(item.Body, &decoded) != nil {
@@ -58,7 +62,7 @@
 	return decoded
 }
 
-// covers tells whether an item is a tombstone that the purge removes.
+// covers reports whether an item is a tombstone that the purge removes.
 func (p tombstonePurge) covers(item *schema.Item) bool {
 	sequence := item.Version.GetSequence()
 	if !item.Deleted {
@@ -67,8 +71,8 @@
 	return sequence <= p.OperatorVersionedUpTo || item.OperatorVersion == 0 && sequence <= p.UpTo
 }
 
-// Tombstones counts the tombstones without an operator version, and gives the sequences of those with one,
-// in ascending order.
+// Tombstones returns the number of tombstones without an operator version, and the sequences of those with an
+// operator version, in ascending order.
 func (s State) Tombstones() (count int, operatorVersioned []uint64) {
 	for _, item := range s {
 		switch {
@@ -82,8 +86,9 @@
 	return count, operatorVersioned
 }
 
-// ChangesAfter gives what a copy lacks that has the state of a sequence: the newer items, or, if complete is
-// true, every item, which then replaces what the copy has.
+// ChangesAfter returns the items that a replica needs if it has the state as of a sequence. They are the newer items,
+// for the replica to merge in, or every item if complete is true, to replace its state. A replica with sequence 0, or
+// with one before PurgedUpTo, gets the complete state.
 func (s State) ChangesAfter(sequence uint64) (items []*schema.Item, complete bool) {
 	complete = sequence == 0 || sequence < s.PurgedUpTo()
 	for _, item := range s.Items() {
@@ -94,7 +99,7 @@
 	return items, complete
 }
 
-// Apply gives the state of a copy after it received what ChangesAfter gave.
+// Apply returns the state of a replica after it received the items that ChangesAfter returned elsewhere.
 func (s State) Apply(items []*schema.Item, complete bool) State {
 	if complete {
 		return State{}.With(items)
@@ -102,7 +107,8 @@
 	return s.With(items)
 }
 
-// With gives a copy with items merged in: of two versions of an item the newer stays.
+// With returns a copy of the state with items merged in. Of two versions of an item the newer one is kept. Tombstones
+// that a purge among the items covers are removed.
 func (s State) With(items []*schema.Item) State {
 	merged := make(State, len(s)+len(items))
 	for key, item := range s {
@@ -114,7 +120,7 @@
 			merged[key] = item
 		}
 	}
-	// Purges come last, since one may be listed before the tombstones that it removes.
+	// Purges are applied last, since a purge may be listed before the tombstones that it removes.
 	for _, item := range items {
 		if item.Kind == KindPurged {
 			purge := decodePurge(item)
@@ -124,7 +130,7 @@
 	return merged
 }
 
-// Newer tells whether version a is newer than b: by term, then by sequence.
+// Newer reports whether version a is newer than b. Versions are compared by term, then by sequence.
 func Newer(a, b *schema.Version) bool {
 	if a.GetTerm() != b.GetTerm() {
 		return a.GetTerm() > b.GetTerm()
@@ -132,7 +138,7 @@
 	return a.GetSequence() > b.GetSequence()
 }
 
-// Items lists the state ordered by Key.
+// Items returns the items of the state, tombstones included, ordered by Key.
 func (s State) Items() []*schema.Item {
 	keys := make([]string, 0, len(s))
 	for key := range s {
