--- a/internal/flag/bucket.go
+++ b/internal/flag/bucket.go
@@ -7,18 +7,19 @@
 	"strconv"
 )
 
-// bucketDigits is the number of hexadecimal digits of the SHA-1 that make up a bucket, and maxBucketValue the
-// largest value that they can have.
+// A bucket is made of the first bucketDigits hexadecimal digits of a SHA-1 sum; maxBucketValue is the largest value
+// of that many digits.
 const (
 	bucketDigits   = 15
 	maxBucketValue = 0xFFFFFFFFFFFFFFF
 )
 
-// Bucket gives the bucket of a context in [0,1], by its attribute name of a kind. It is a function of the seed, or
-// without one of the flag's key and salt, and of the attribute's text. A missing kind or attribute, or one without
-// a text, gives 0.
+// Bucket returns the bucket of a context, a number from 0 to 1, both included. It is computed from the value of an
+// attribute of a context kind, and from the seed, or if seed is nil from the key and salt of the flag or segment. An
+// empty name means the key of the context. The bucket is 0 if the context does not have the kind or the attribute,
+// or if the value is neither text nor a whole number.
 func Bucket(key, salt string, seed *int64, context EvaluationContext, kind, name string) float64 {
-	// The common case: the key is text already, so no interface value is allocated for it.
+	// The context's key is the common case. It is text, so no interface value is allocated for it.
 	text, usable := "", false
 	if name == "" || name == "key" {
 		text, usable = context.KeyOf(kind)
@@ -38,15 +39,15 @@
 	}
 	joined = append(append(joined, '.'), text...)
 	sum := sha1.Sum(joined)
-	// The first hexadecimal digits of the sum are its first bits, four for each digit.
+	// Each hexadecimal digit is four bits of the sum, from the first one on.
 	return float64(binary.BigEndian.Uint64(sum[:])>>(64-4*bucketDigits)) / maxBucketValue
 }
 
-// bucketBufferBytes is the longest hashed text that takes no allocation.
+// bucketBufferBytes is the length in bytes up to which the hashed text needs no allocation.
 const bucketBufferBytes = 192
 
-// bucketText gives the text by which a value is bucketed. Only text, and whole numbers that a float64 holds exactly,
-// have one.
+// bucketText returns the text by which a value is bucketed, and false for a value that cannot be bucketed. Only text,
+// and whole numbers that a float64 represents exactly, can be.
 func bucketText(value any) (string, bool) {
 	if text, isText := value.(string); isText {
 		return text, true
--- a/internal/flag/evaluate.go
+++ b/internal/flag/evaluate.go
@@ -1,59 +1,63 @@
 package flag
 
-// Evaluate evaluates the flag of a key for a context. What cannot be evaluated gives ReasonError.
+// Evaluate returns the result of the flag with a key for a context. The result has ReasonError if the flag does not
+// exist, or if it or the context cannot be evaluated.
 func (s *Set) Evaluate(key string, context EvaluationContext) Result {
 	return s.Decide(s.Flags[key], context)
 }
 
-// Decide is Evaluate for a flag that has been looked up already, nil if there is none.
-func (s *Set) Decide(chosenFlag *Flag, context EvaluationContext) Result {
-	if chosenFlag == nil {
+// Decide returns the same as Evaluate for a flag that has been looked up already; nil means that it does not exist.
+func (s *Set) Decide(evaluated *Flag, context EvaluationContext) Result {
+	if evaluated == nil {
 		return Result{Index: -1, Reason: ReasonError, Error: FlagNotFound}
 	}
 	if !isEvaluable(context) {
 		return Result{Index: -1, Reason: ReasonError, Error: KeyMissing}
 	}
-	return s.evaluate(chosenFlag, context, nil)
+	return s.evaluate(evaluated, context, nil)
 }
 
-// evaluate goes through the steps; visiting has the keys of the flags whose prerequisites led here, nil for none.
-func (s *Set) evaluate(chosenFlag *Flag, context EvaluationContext, visiting map[string]bool) Result {
-	if !chosenFlag.On {
-		return chosenFlag.variationResult(chosenFlag.OffVariation, Result{Reason: ReasonOff})
-	}
-	// Compile reports cycles, but a set with faults can be evaluated too, and must not recurse without end.
-	if len(chosenFlag.Prerequisites) > 0 {
-		if visiting[chosenFlag.Key] {
+// evaluate goes through the steps of the evaluation. visiting has the keys of the flags with prerequisites on the
+// path of evaluations that led to this one; nil means none.
+func (s *Set) evaluate(evaluated *Flag, context EvaluationContext, visiting map[string]bool) Result {
+	if !evaluated.On {
+		return evaluated.variationResult(evaluated.OffVariation, Result{Reason: ReasonOff})
+	}
+	// Compile reports cycles of prerequisites, but a set with faults may be evaluated all the same. The evaluation
+	// must not recurse without end then.
+	if len(evaluated.Prerequisites) > 0 {
+		if visiting[evaluated.Key] {
 			return Result{Index: -1, Reason: ReasonError, Error: MalformedFlag}
 		}
 		if visiting == nil {
 			visiting = map[string]bool{}
 		}
-		visiting[chosenFlag.Key] = true
-		defer delete(visiting, chosenFlag.Key)
+		visiting[evaluated.Key] = true
+		defer delete(visiting, evaluated.Key)
 	}
 
-	for _, prerequisite := range chosenFlag.Prerequisites {
+	for _, prerequisite := range evaluated.Prerequisites {
 		if !s.isMet(prerequisite, context, visiting) {
-			return chosenFlag.variationResult(chosenFlag.OffVariation, Result{Reason: ReasonPrerequisite, Prerequisite: prerequisite.Key})
+			return evaluated.variationResult(evaluated.OffVariation, Result{Reason: ReasonPrerequisite, Prerequisite: prerequisite.Key})
 		}
 	}
-	for i := range chosenFlag.Targets {
-		target := &chosenFlag.Targets[i]
+	for i := range evaluated.Targets {
+		target := &evaluated.Targets[i]
 		if key, found := context.KeyOf(kindOrDefault(target.ContextKind)); found && target.keySet[key] {
-			return chosenFlag.variationResult(target.Variation, Result{Reason: ReasonTarget})
+			return evaluated.variationResult(target.Variation, Result{Reason: ReasonTarget})
 		}
 	}
-	for i := range chosenFlag.Rules {
-		rule := &chosenFlag.Rules[i]
+	for i := range evaluated.Rules {
+		rule := &evaluated.Rules[i]
 		if s.allClausesMatch(rule.Clauses, context, true) {
-			return chosenFlag.serve(rule.Serve, context, Result{Reason: ReasonRule, RuleID: rule.ID})
+			return evaluated.serve(rule.Serve, context, Result{Reason: ReasonRule, RuleID: rule.ID})
 		}
 	}
-	return chosenFlag.serve(chosenFlag.Fallthrough, context, Result{Reason: ReasonFallthrough})
+	return evaluated.serve(evaluated.Fallthrough, context, Result{Reason: ReasonFallthrough})
 }
 
-// isMet tells whether a prerequisite's flag is on and gives the variation required.
+// isMet reports whether the flag of a prerequisite is on and its result is the variation that the prerequisite
+// requires.
 func (s *Set) isMet(prerequisite Prerequisite, context EvaluationContext, visiting map[string]bool) bool {
 	requiredFlag, found := s.Flags[prerequisite.Key]
 	if !found || !requiredFlag.On {
@@ -63,7 +67,7 @@
 	return index >= 0 && index == prerequisite.Variation
 }
 
-// variationResult fills the variation into a result; a bad index gives MalformedFlag.
+// variationResult returns result with the variation of an index, or MalformedFlag if the index is out of range.
 func (f *Flag) variationResult(index int, result Result) Result {
 	if index < 0 || index >= len(f.Variations) {
 		return Result{Index: -1, Reason: ReasonError, Error: MalformedFlag}
@@ -72,7 +76,7 @@
 	return result
 }
 
-// serve gives the result of a rule or a fallthrough.
+// serve returns result with the variation that a rule or the fallthrough serves to a context.
 func (f *Flag) serve(serve Serve, context EvaluationContext, result Result) Result {
 	if serve.Variation != nil {
 		return f.variationResult(*serve.Variation, result)
@@ -87,15 +91,15 @@
 	return f.variationResult(index, result)
 }
 
-// pickVariation gives the first variation whose cumulative weight exceeds the context's bucket; found is false if no
-// variation has any weight.
+// pickVariation returns the index of the first variation whose cumulative weight, divided by TotalWeight, exceeds the
+// bucket of the context. found is false if no variation has any weight.
 func (r *Rollout) pickVariation(key, salt string, context EvaluationContext) (index int, found bool) {
 	kind := kindOrDefault(r.ContextKind)
 	last := 0
 	for _, weighted := range r.Variations {
 		if weighted.Weight > 0 {
-			// A context without the kind cannot be bucketed: it gets the first variation with any weight. A
-			// variation with all the weight needs no bucket.
+			// A context that does not have the kind cannot be bucketed and gets the first variation with any
+			// weight. If one variation has all the weight, no bucket is needed.
 			if weighted.Weight == TotalWeight || !hasKind(context, kind) {
 				return weighted.Variation, true
 			}
@@ -110,12 +114,12 @@
 			return weighted.Variation, true
 		}
 	}
-	// A bucket can be exactly 1, which no sum exceeds: it belongs to the last variation with any weight.
+	// A bucket can be exactly 1, which no sum of weights exceeds. It belongs to the last variation with any weight.
 	return last, found
 }
 
-// allClausesMatch tells whether every clause matches. Rules of segments may not refer to segments: allowSegments is
-// false for them.
+// allClausesMatch reports whether every clause matches. allowSegments is false for the rules of segments, in which a
+// clause that refers to segments does not match.
 func (s *Set) allClausesMatch(clauses []Clause, context EvaluationContext, allowSegments bool) bool {
 	for i := range clauses {
 		if !s.clauseMatches(&clauses[i], context, allowSegments) {
@@ -125,12 +129,13 @@
 	return true
 }
 
+// clauseMatches reports whether a clause matches, with Clause.Negate taken into account.
 func (s *Set) clauseMatches(clause *Clause, context EvaluationContext, allowSegments bool) bool {
 	if clause.Operator == segmentMatch {
 		return allowSegments && s.inAnySegment(clause.Values, context) != clause.Negate
 	}
 	value, present := attribute(context, clause.ContextKind, clause.Attribute)
-	// With nothing to compare, the clause does not match even if it is negated.
+	// A clause without a value to compare does not match, even if it is negated.
 	if !present {
 		return false
 	}
@@ -141,7 +146,7 @@
 	return matchesAnyElement(compare, value, clause) != clause.Negate
 }
 
-// inAnySegment tells whether a context is in one of the segments that a clause's values name.
+// inAnySegment reports whether a context is in any of the segments with some names.
 func (s *Set) inAnySegment(names []any, context EvaluationContext) bool {
 	for _, value := range names {
 		name, _ := value.(string)
@@ -152,7 +157,8 @@
 	return false
 }
 
-// matchesAnyElement compares the elements of a list, or a value that is not a list, with a clause's values.
+// matchesAnyElement reports whether an attribute matches any value of a clause. Of an attribute that is a list, one
+// element must match.
 func matchesAnyElement(compare comparison, value any, clause *Clause) bool {
 	list, isList := value.([]any)
 	if !isList {
@@ -166,6 +172,7 @@
 	return false
 }
 
+// matchesAnyValue reports whether a value matches any value of a clause.
 func matchesAnyValue(compare comparison, value any, clause *Clause) bool {
 	for i := range clause.Values {
 		if compare(value, clause, i) {
@@ -175,7 +182,8 @@
 	return false
 }
 
-// contains tells whether a context is in a segment.
+// contains reports whether a context is in a segment. Included takes precedence over Excluded, and Excluded over the
+// rules.
 func (s *Set) contains(segment *Segment, context EvaluationContext) bool {
 	user, _ := context.KeyOf(DefaultKind)
 	if segment.included[user] {
--- a/internal/flag/operators.go
+++ b/internal/flag/operators.go
@@ -9,10 +9,10 @@
 	"github.com/Masterminds/semver/v3"
 )
 
-// comparison compares an attribute with the i-th value of a clause.
+// comparison reports whether the value of an attribute matches the i-th value of a clause.
 type comparison func(value any, clause *Clause, i int) bool
 
-// operators has every operator but segmentMatch, which needs the segments.
+// operators has the comparison of every operator except segmentMatch, which needs the segments.
 var operators = map[string]comparison{
 	"in": func(value any, clause *Clause, i int) bool { return equalValues(value, clause.Values[i]) },
 	"endsWith": compareTexts(func(value, wanted string) bool {
@@ -35,7 +35,7 @@
 	"semVerGreaterThan":  compareSemvers(func(order int) bool { return order > 0 }),
 }
 
-// equalValues tells whether two values are equal in value and type; all numbers have one type, as in JSON.
+// equalValues reports whether two values are equal and of the same type. All numbers have the same type, as in JSON.
 func equalValues(a, b any) bool {
 	if left, isNumber := numeric(a); isNumber {
 		right, alsoNumber := numeric(b)
@@ -44,7 +44,7 @@
 	return reflect.DeepEqual(a, b)
 }
 
-// numeric gives a value as a number; NaN is none.
+// numeric returns a value as a number, and false if it is not a number. NaN is not one.
 func numeric(value any) (float64, bool) {
 	switch number := value.(type) {
 	case float64:
@@ -57,6 +57,7 @@
 	return 0, false
 }
 
+// compareTexts returns a comparison of texts, in which other values do not match.
 func compareTexts(compare func(value, wanted string) bool) comparison {
 	return func(value any, clause *Clause, i int) bool {
 		text, isText := value.(string)
@@ -65,6 +66,7 @@
 	}
 }
 
+// compareNumbers returns a comparison of numbers, in which other values do not match.
 func compareNumbers(compare func(a, b float64) bool) comparison {
 	return func(value any, clause *Clause, i int) bool {
 		number, isNumber := numeric(value)
@@ -73,7 +75,8 @@
 	}
 }
 
-// parseTimestamp gives a timestamp in milliseconds since 1970, from whole milliseconds or RFC 3339 text.
+// parseTimestamp returns a timestamp in milliseconds since 1970, and false if the value is not one. A timestamp is a
+// whole number of milliseconds since 1970, or RFC 3339 text.
 func parseTimestamp(value any) (int64, bool) {
 	if text, isText := value.(string); isText {
 		parsed, err := time.Parse(time.RFC3339Nano, text)
@@ -89,16 +92,19 @@
 	return int64(number), true
 }
 
+// compareTimes returns a comparison of timestamps, in which other values do not match.
 func compareTimes(compare func(a, b int64) bool) comparison {
 	return func(value any, clause *Clause, i int) bool {
-		if i >= len(clause.times) || clause.times[i] == nil {
+		if i >= len(clause.timestamps) || clause.timestamps[i] == nil {
 			return false
 		}
-		instant, isTimestamp := parseTimestamp(value)
-		return isTimestamp && compare(instant, *clause.times[i])
+		timestamp, isTimestamp := parseTimestamp(value)
+		return isTimestamp && compare(timestamp, *clause.timestamps[i])
 	}
 }
 
+// compareSemvers returns a comparison of semantic versions, in which other values do not match. accepts gets the
+// order of the two versions: negative, zero or positive if the attribute is lower, equal or higher.
 func compareSemvers(accepts func(order int) bool) comparison {
 	return func(value any, clause *Clause, i int) bool {
 		text, isText := value.(string)
--- a/internal/flag/reachable.go
+++ b/internal/flag/reachable.go
@@ -1,6 +1,7 @@
 package flag
 
-// ReachableVariations lists the variations that an evaluation of the flag may give, in the flag's order.
+// ReachableVariations returns the names of the variations that an evaluation of the flag can result in, in the order
+// of Variations. Variations without weight in a rollout are not reachable.
 func (f *Flag) ReachableVariations() []string {
 	reached := map[int]bool{}
 	if !f.On || len(f.Prerequisites) > 0 {
@@ -24,7 +25,7 @@
 	return names
 }
 
-// addReachable adds the variations that a serve may give.
+// addReachable adds the indexes of the variations that can be served to reached.
 func (s Serve) addReachable(reached map[int]bool) {
 	if s.Variation != nil {
 		reached[*s.Variation] = true
--- a/internal/flag/references.go
+++ b/internal/flag/references.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// CheckReferences reports the faults between definitions that are each prepared already: names that do not exist, and
-// cycles of prerequisites. Definitions without references cost next to nothing here.
+// CheckReferences returns the faults between definitions: references to flags, variations and segments that do not
+// exist, and cycles of prerequisites. Every definition must have been prepared. Flags without references cost next
+// to nothing here.
 func (s *Set) CheckReferences() []Fault {
 	var faults []Fault
 	var referring []string
@@ -22,7 +23,7 @@
 	return append(faults, s.findCycles(referring)...)
 }
 
-// checkReferences reports the flags, variations and segments that a flag names and that do not exist.
+// checkReferences returns a fault for each reference of the flag to a flag, variation or segment that does not exist.
 func (f *Flag) checkReferences(set *Set) []Fault {
 	path := "flag." + f.Key
 	var faults []Fault
@@ -47,7 +48,7 @@
 	return faults
 }
 
-// checkSegments reports the segments that a clause with segmentMatch names and that do not exist.
+// checkSegments returns a fault for each segment that a clause with segmentMatch names and that does not exist.
 func (c *Clause) checkSegments(set *Set, path string) (faults []Fault) {
 	for i, value := range c.Values {
 		if name, _ := value.(string); set.Segments[name] == nil {
@@ -57,31 +58,32 @@
 	return faults
 }
 
-// findCycles reports the flags that are prerequisites of themselves, directly or not, among those of some keys.
+// findCycles returns a fault for each cycle of prerequisites that a depth-first search from the flags with some keys
+// finds.
 func (s *Set) findCycles(referring []string) []Fault {
 	var faults []Fault
-	// The state of a flag in the depth-first walk, 0 before it.
-	const walking, done = 1, 2
+	// The states of a flag in the search.
+	const unvisited, onPath, done = 0, 1, 2
 	state := map[string]int{}
-	var walk func(key string)
-	walk = func(key string) {
-		state[key] = walking
+	var visit func(key string)
+	visit = func(key string) {
+		state[key] = onPath
 		for _, prerequisite := range s.Flags[key].Prerequisites {
 			if _, found := s.Flags[prerequisite.Key]; !found {
 				continue
 			}
 			switch state[prerequisite.Key] {
-			case walking:
-				faults = append(faults, Fault{"flag." + key + ".prerequisites", fmt.Sprintf("%q closes a cycle", prerequisite.Key)})
-			case 0:
-				walk(prerequisite.Key)
+			case onPath:
+				faults = append(faults, Fault{"flag." + key + ".prerequisites", fmt.Sprintf("prerequisite %q closes a cycle", prerequisite.Key)})
+			case unvisited:
+				visit(prerequisite.Key)
 			}
 		}
 		state[key] = done
 	}
 	for _, key := range referring {
-		if state[key] == 0 {
-			walk(key)
+		if state[key] == unvisited {
+			visit(key)
 		}
 	}
 	return faults
