--- a/internal/configsource/faults.go
+++ b/internal/configsource/faults.go
@@ -10,7 +10,8 @@
 	"meadowhinge/schema"
 )
 
-// cueFaults lists every error that CUE found, each once.
+// cueFaults returns the errors that CUE found as faults, without duplicates. The path of a fault is that in the
+// operator's text, or "." for the text as a whole.
 func cueFaults(err error) []*schema.FieldError {
 	var faults []*schema.FieldError
 	seen := map[string]bool{}
@@ -28,7 +29,7 @@
 	return faults
 }
 
-// reasonOf gives the first line of a CUE error's details, which is the one without positions in files.
+// reasonOf returns the first line of the details of a CUE error. The lines after it are positions in files.
 func reasonOf(cueError errors.Error) string {
 	format, values := cueError.Msg()
 	details := strings.TrimSpace(errors.Details(errors.Newf(cueError.Position(), format, values...), nil))
@@ -36,8 +37,8 @@
 	return strings.TrimSuffix(firstLine, ":")
 }
 
-// withUnknownFields adds the unknown fields of the input that faults do not name yet. A bad value in a struct
-// keeps CUE from reporting the struct's unknown fields.
+// withUnknownFields returns faults with a fault for each unknown field of the input that faults does not contain yet.
+// CUE does not report the unknown fields of a struct that has an invalid value.
 func withUnknownFields(faults []*schema.FieldError, allowed, input cue.Value) []*schema.FieldError {
 	reported := map[string]bool{}
 	for _, fault := range faults {
@@ -51,7 +52,8 @@
 	return faults
 }
 
-// reportUnknownFields walks the input alongside the schema and reports each field that the schema does not have.
+// reportUnknownFields walks through the input along with its schema, allowed, and reports the path of each field that
+// the schema does not have. path is the path of the input.
 func reportUnknownFields(allowed, input cue.Value, path []string, report func(path string)) {
 	if list, err := input.List(); err == nil {
 		elementSchema := allowed.LookupPath(cue.MakePath(cue.AnyIndex))
--- a/internal/configsource/items.go
+++ b/internal/configsource/items.go
@@ -7,11 +7,12 @@
 	"meadowhinge/schema"
 )
 
-// removeField is the field under which a configuration lists the names of items to remove, by kind.
+// removeField is the top-level field that lists the names of items to remove, by kind.
 const removeField = "remove"
 
-// itemsOf gives the items of a configuration in JSON, ordered by schema.Key: those that it writes, and a
-// tombstone for each that it removes.
+// itemsOf returns the items of a change, ordered by schema.Key: an item for each that the text writes, and a tombstone
+// for each that it removes. body is the text as JSON. It fails with a fault if the JSON does not have the form of a
+// configuration.
 func itemsOf(body []byte) ([]*schema.Item, *schema.FieldError) {
 	var bodiesByKind map[string]map[string]json.RawMessage
 	if err := json.Unmarshal(body, &bodiesByKind); err != nil {
@@ -19,20 +20,20 @@
 	}
 	var items []*schema.Item
 	for kind, bodyByName := range bodiesByKind {
-		var ofKind []*schema.Item
+		var kindItems []*schema.Item
 		var fault *schema.FieldError
 		switch kind {
 		case removeField:
-			ofKind, fault = tombstonesOf(bodyByName)
+			kindItems, fault = tombstonesOf(bodyByName)
 		case schema.LimitsKind:
-			ofKind, fault = limitsItem(bodyByName)
+			kindItems, fault = limitsItem(bodyByName)
 		default:
-			ofKind = itemsOfKind(kind, bodyByName)
+			kindItems = itemsOfKind(kind, bodyByName)
 		}
 		if fault != nil {
 			return nil, fault
 		}
-		items = append(items, ofKind...)
+		items = append(items, kindItems...)
 	}
 	sort.Slice(items, func(i, j int) bool { return keyOf(items[i]) < keyOf(items[j]) })
 	return items, nil
@@ -40,6 +41,7 @@
 
 func keyOf(item *schema.Item) string { return schema.Key(item.Kind, item.Name) }
 
+// itemsOfKind returns the items of a kind, in no order.
 func itemsOfKind(kind string, bodyByName map[string]json.RawMessage) (items []*schema.Item) {
 	for name, body := range bodyByName {
 		items = append(items, &schema.Item{Kind: kind, Name: name, Body: body})
@@ -47,7 +49,7 @@
 	return items
 }
 
-// limitsItem gives the one item of limits, whose fields stand where other kinds have names.
+// limitsItem returns the only item of limits, as a list. Its fields stand where other kinds have the names of items.
 func limitsItem(fields map[string]json.RawMessage) ([]*schema.Item, *schema.FieldError) {
 	body, err := json.Marshal(fields)
 	if err != nil {
@@ -56,6 +58,7 @@
 	return []*schema.Item{{Kind: schema.LimitsKind, Name: schema.LimitsName, Body: body}}, nil
 }
 
+// tombstonesOf returns a tombstone for each item that removeField lists.
 func tombstonesOf(namesByKind map[string]json.RawMessage) (items []*schema.Item, fault *schema.FieldError) {
 	for kind, list := range namesByKind {
 		var names []string
@@ -69,15 +72,16 @@
 	return items, nil
 }
 
-// checkItems refuses a change without items, and one that has an item twice; the items are ordered.
+// checkItems refuses a change that has no items, or that both writes and removes an item. The items must be ordered
+// by schema.Key.
 func checkItems(items []*schema.Item) *schema.FieldError {
 	for i := 1; i < len(items); i++ {
 		if keyOf(items[i]) == keyOf(items[i-1]) {
-			return &schema.FieldError{Path: items[i].Kind + "." + items[i].Name, Reason: "is both written and removed"}
+			return &schema.FieldError{Path: items[i].Kind + "." + items[i].Name, Reason: "must not be both written and removed"}
 		}
 	}
 	if len(items) == 0 {
-		return &schema.FieldError{Path: ".", Reason: "states no item"}
+		return &schema.FieldError{Path: ".", Reason: "must write or remove at least one item"}
 	}
 	return nil
 }
--- a/internal/configsource/parse.go
+++ b/internal/configsource/parse.go
@@ -16,19 +16,21 @@
 // rootDefinition is the definition in the CUE schema that a configuration must match.
 const rootDefinition = "#Setup"
 
-// parsesPerContext is how many texts are parsed before the CUE context is replaced, as it grows with use.
+// parsesPerContext is the number of texts after which the CUE context is replaced, because a context grows with each
+// text that is compiled in it.
 const parsesPerContext = 64
 
-// schemaCache holds the compiled CUE schema. A CUE context is not safe for concurrent use, so lock guards all
-// fields, and every use of the values.
+// schemaCache holds the compiled CUE schema.
 var schemaCache struct {
+	// lock guards all fields and every use of their values, since a CUE context is not safe for concurrent use.
 	lock       sync.Mutex
-	parsesLeft int // before the context is replaced
-	schema     cue.Value
-	ctx        *cue.Context
+	parsesLeft int          // number of parses before the context is replaced
+	schema     cue.Value    // rootDefinition, compiled in ctx
+	ctx        *cue.Context // nil before the first parse
 }
 
-// Parse turns an operator's CUE text into the items of a change, ordered by schema.Key, or lists every fault.
+// Parse returns the items of a change that an operator wrote in CUE, ordered by schema.Key, or every fault of the
+// text. Items have no version. A removed item is returned as a tombstone.
 func Parse(text []byte) ([]*schema.Item, []*schema.FieldError) {
 	schemaCache.lock.Lock()
 	defer schemaCache.lock.Unlock()
@@ -47,7 +49,8 @@
 	return items, nil
 }
 
-// renewContext compiles the schema for another number of parses if none is left; schemaCache.lock is held.
+// renewContext makes a new CUE context and compiles the schema in it if the current one has no parses left. The caller
+// holds schemaCache.lock.
 func renewContext() {
 	if schemaCache.parsesLeft == 0 {
 		schemaCache.ctx = cuecontext.New()
@@ -58,7 +61,8 @@
 	schemaCache.parsesLeft--
 }
 
-// unify checks a text against the schema and gives it as JSON, defaults filled in; schemaCache.lock is held.
+// unify checks a text against the schema, and returns it as JSON with the schema's defaults filled in, or its faults.
+// The caller holds schemaCache.lock.
 func unify(text []byte) ([]byte, []*schema.FieldError) {
 	input := schemaCache.ctx.CompileBytes(text, cue.Filename("setup.cue"))
 	if err := input.Err(); err != nil {
--- a/internal/configsource/schema.cue
+++ b/internal/configsource/schema.cue
@@ -1,36 +1,47 @@
-// The configuration that an operator may write. Every struct is closed: an unknown field is refused.
+// The schema of the configuration that operators write; #Setup is the top level. Every struct is closed: a field that
+// is not listed here is refused. Package config documents the fields.
+
+// The name of an item, a version or an attribute.
 #Name:    =~"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
+// Text without control characters.
 #Text:    =~"^[^\\x00-\\x1f]{0,512}$"
+// An index in the variations of a flag.
 #Index:   int & >=0 & <=255
+// The weight of a variation; 100000 is all contexts.
 #Weight:  int & >=0 & <=100000
-#Span:    =~"^([0-9]+(\\.[0-9]+)?(ms|s|m|h))+$"
+// A duration such as 1m30s or 800ms.
+#Duration: =~"^([0-9]+(\\.[0-9]+)?(ms|s|m|h))+$"
+// The name of an HTTP header.
 #Header:  =~"^[A-Za-z0-9-]{1,64}$"
-
+// A host name or an IPv4 address, without a port.
 #Host:    =~"^[A-Za-z0-9._-]{1,253}$"
 
-// versions and fallback are left out together: they are then discovered from what workers report.
+// versions and fallback are given together or left out together. If they are left out, they are discovered from what
+// workers report.
 #Service: {
 	versions?: [...#Name]
 	fallback?: #Name
 	callers?: [...#Name]
 }
 
+// A service that gets a part of a route's requests: its weight divided by the sum of the split's weights.
 #Share: {
 	service: #Name
 	weight:  number & >=0
 }
 
+// A route has either a service or a split.
 #Route: {
 	host?:    #Host
 	service?: #Name
 	split?: [...#Share]
-	aim?:   #Span
+	aim?:   #Duration
 	tries?: int & >=0 & <=100
 	rank?:  int & >=0 & <=255
 	prefix:  =~"^/[^?#\\s]{0,255}$"
 	methods: [...("GET" | "HEAD" | "POST" | "PUT" | "PATCH" | "DELETE" | "OPTIONS")] | *[]
 	class?:  "once" | "repeatable"
-	horizon: #Span | *"2s"
+	horizon: #Duration | *"2s"
 	key:     #Header | *"X-User-Key"
 	policy?: #Name
 	attributes: {[=~"^[A-Za-z0-9_]{1,64}$"]: #Header}
@@ -74,7 +85,7 @@
 	service: #Name
 	version: #Name
 	target:  number & >=0 & <=100
-	over:    #Span
+	over:    #Duration
 	pace:    "go" | "hold" | "back" | *"go"
 	by?:     "ramp" | "term"
 }
@@ -84,8 +95,8 @@
 #Limits: {
 	headerMost?: int & >0 & <=1048576
 	bodyMost?:   int & >0 & <=1073741824
-	headerWait?: #Span
-	quiet?:      #Span
+	headerWait?: #Duration
+	quiet?:      #Duration
 }
 
 #Stop: {
@@ -95,9 +106,11 @@
 	lifted:  bool | *false
 }
 
-// A stop is named after its service and version, so its name may be as long as both together.
+// The name of a stop is the service and the version that it stops, joined by a dot. It may therefore be as long as
+// two names.
 #StopName: =~"^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$"
 
+// The items to write, by kind and name, and under remove the names of the items to remove, by kind.
 #Setup: {
 	service?: [#Name]: #Service
 	route?: [#Name]:   #Route
--- a/internal/errs/error.go
+++ b/internal/errs/error.go
@@ -6,14 +6,15 @@
 	pkgerrors "github.com/pkg/errors"
 )
 
-// Error is a failure with its code. The cause, if there is one, carries the stack of the first Wrap.
+// Error is an error with a code.
 type Error struct {
 	Code   Code
-	Detail string // what the failure is about; may be shown to callers and operators
-	cause  error
+	Detail string // what failed and on which object; may be shown to callers and operators, may be empty
+	cause  error  // wrapped error with the stack trace of the first Wrap; nil for an Error of New
 }
 
-// Error puts the code first, so that a log line can be searched by it.
+// Error returns the code, the detail and the text of the cause. The code comes first, so that logs can be searched by
+// it.
 func (e *Error) Error() string {
 	message := string(e.Code)
 	if e.Detail != "" {
@@ -25,18 +26,19 @@
 	return message
 }
 
-// Unwrap returns the cause, nil for none, for errors.Is and errors.As.
+// Unwrap returns the cause for errors.Is and errors.As, nil if there is none.
 func (e *Error) Unwrap() error { return e.cause }
 
-// New makes an error that has no other error as its cause.
+// New returns an error without a cause.
 func New(code Code, detail string) *Error { return &Error{Code: code, Detail: detail} }
 
-// Wrap adds a code and a detail to an error. A nil error stays nil, and an error that has a code already keeps it.
+// Wrap returns an error with err as its cause, and with a code and a detail. If err or one of its causes has a code
+// already, that code is kept and code is ignored. Wrap returns nil if err is nil.
 func Wrap(err error, code Code, detail string) error {
 	if err == nil {
 		return nil
 	}
-	// The first code was given closest to the cause, so it says most about it.
+	// The code that was set first was set closest to the cause, so it is the most specific one.
 	var inner *Error
 	if errors.As(err, &inner) {
 		return &Error{Code: inner.Code, Detail: detail, cause: err}
@@ -44,7 +46,7 @@
 	return &Error{Code: code, Detail: detail, cause: pkgerrors.WithStack(err)}
 }
 
-// CodeOf returns the code of an error, found anywhere in its chain; Internal if it has none.
+// CodeOf returns the code of an error or of one of its causes, and Internal if none of them has a code.
 func CodeOf(err error) Code {
 	var typed *Error
 	if errors.As(err, &typed) {
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -10,25 +10,28 @@
 	"testing"
 )
 
-// An error keeps the code that it was given first, however often it is wrapped.
+// An error keeps the code that was set first, however often it is wrapped.
 func TestWrapKeepsTheFirstCode(t *testing.T) {
-	if Wrap(nil, Internal, "x") != nil {
-		t.Error("wrapping nil gave an error")
+	if got := Wrap(nil, Internal, "x"); got != nil {
+		t.Errorf("Wrap(nil) = %v, want nil", got)
 	}
 	inner := Wrap(io.ErrUnexpectedEOF, InvalidResponse, "body")
 	outer := Wrap(inner, PeerConnectionLost, "peer RPC")
 	if CodeOf(outer) != InvalidResponse || !errors.Is(outer, io.ErrUnexpectedEOF) {
-		t.Errorf("%v is %s", outer, CodeOf(outer))
+		t.Errorf("CodeOf(%q) = %s, want %s; errors.Is(its cause) = %v, want true",
+			outer, CodeOf(outer), InvalidResponse, errors.Is(outer, io.ErrUnexpectedEOF))
 	}
-	if CodeOf(io.EOF) != Internal || HTTPStatus(CodeOf(io.EOF)) != http.StatusInternalServerError {
-		t.Error("an error without a code is not internal")
+	if code := CodeOf(io.EOF); code != Internal || HTTPStatus(code) != http.StatusInternalServerError {
+		t.Errorf("an error without a code has code %s and status %d, want %s and %d",
+			code, HTTPStatus(code), Internal, http.StatusInternalServerError)
 	}
 	if HTTPStatus(CallerNotAllowed) != http.StatusForbidden || HTTPStatus(BodyTooLarge) != http.StatusRequestEntityTooLarge {
-		t.Error("a code has the wrong status")
+		t.Errorf("HTTPStatus of CallerNotAllowed = %d, want %d; of BodyTooLarge = %d, want %d", HTTPStatus(CallerNotAllowed),
+			http.StatusForbidden, HTTPStatus(BodyTooLarge), http.StatusRequestEntityTooLarge)
 	}
 }
 
-// Every code that is declared has a status, so that Codes lists them all.
+// Every declared code has a status, so that Codes returns all of them.
 func TestEveryCodeHasAStatus(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "codes.go", nil, 0)
 	if err != nil {
@@ -44,6 +47,6 @@
 		return true
 	})
 	if listed := len(Codes()); declared != listed || declared == 0 {
-		t.Errorf("%d codes are declared, %d have a status", declared, listed)
+		t.Errorf("codes.go declares %d codes, Codes returns %d; want the same number above zero", declared, listed)
 	}
 }
--- a/internal/errs/golden_test.go
+++ b/internal/errs/golden_test.go
@@ -9,8 +9,8 @@
 	"meadowhinge/internal/goldenfile"
 )
 
-// TestCodesGolden compares every code and its HTTP status with the golden list. Callers and operators decide
-// by these strings, so they stay when a constant is renamed.
+// TestCodesGolden compares every code and its HTTP status with the golden file. Callers and operators depend on the
+// strings, so they stay when a constant is renamed.
 func TestCodesGolden(t *testing.T) {
 	var listed strings.Builder
 	for _, code := range errs.Codes() {
