--- a/internal/daemon/doc.go
+++ b/internal/daemon/doc.go
@@ -1,6 +1,7 @@
-// Package daemon is what the long-running programs share: reading settings, signals, the flight recorder, the
-// probe listener, the form of HTTP responses, and exit codes.
+// Package daemon has the parts that all long-running programs share: reading and reloading settings, signals, the log,
+// the listener for health probes and status pages, the JSON form of HTTP responses, and exit codes.
 //
-// Run owns the state of a program's Environment: its status pages, and the settings that are in effect. Pages and
-// readiness paths are added before ServeProbes; after that the Environment may be used from any goroutine.
+// The main function of a program calls Run, which makes the program's Environment: its log, its status pages, and the
+// settings that are in effect. The program adds pages and readiness paths before it calls ServeProbes; from then on
+// any goroutine may use the Environment.
 package daemon
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -14,28 +14,29 @@
 
 // The limits of the probe listener.
 const (
-	probeConcurrency = 256 // connections
-	probeReadTimeout = 5 * time.Second
-	probeIdleTimeout = time.Minute
+	probeConcurrency = 256             // maximum number of connections
+	probeReadTimeout = 5 * time.Second // longest time to receive a request
+	probeIdleTimeout = time.Minute     // time for which a connection without a request is kept open
 )
 
-// readyPath is the path of the readiness probe, besides those of AddReadinessPath.
+// readyPath is the path of the readiness probe. AddReadinessPath adds others.
 const readyPath = "/ready"
 
-// Readiness is a program's response to a readiness probe.
+// Readiness is the response to a readiness probe.
 type Readiness struct {
 	Ready  bool   `json:"ready"`
-	Reason string `json:"reason,omitempty"` // why it is not ready
+	Reason string `json:"reason,omitempty"` // why the program is not ready, empty if it is
 }
 
-// Process is what a process knows of its own use of resources, as the page /process shows it.
+// Process has the resource usage of the process, as the page /process shows it.
 type Process struct {
-	Goroutines int    `json:"goroutines"`
-	HeapBytes  uint64 `json:"heapBytes"`
+	Goroutines int    `json:"goroutines"` // number of goroutines
+	HeapBytes  uint64 `json:"heapBytes"`  // bytes of allocated heap objects
 }
 
-// ServeProbes begins to serve /live, /ready, /process, /journal and the program's own pages, until the process
-// ends. ready may be called from any goroutine. The error is InvalidOptions: the address cannot be listened at.
+// ServeProbes starts to serve /live, /ready, /process, /journal and the program's own pages at an address, and returns.
+// It serves until the process ends. ready is called for each readiness probe, from any goroutine. ServeProbes fails
+// with errs.InvalidOptions if it cannot listen at the address.
 func (e *Environment) ServeProbes(address string, ready func() Readiness) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -49,10 +50,11 @@
 		NoDefaultServerHeader: true,
 		Handler:               func(call *fasthttp.RequestCtx) { e.serveProbe(call, ready) },
 	}
-	go func() { _ = e.probeServer.Serve(listener) }() // ends only with the process
+	go func() { _ = e.probeServer.Serve(listener) }() // serves until the process ends
 	return nil
 }
 
+// serveProbe handles a request to the probe listener.
 func (e *Environment) serveProbe(call *fasthttp.RequestCtx, ready func() Readiness) {
 	path := string(call.Path())
 	if slices.Contains(e.readinessPaths, path) {
@@ -77,6 +79,7 @@
 	}
 }
 
+// serveReadiness handles a readiness probe. A draining program is not ready, whatever ready returns.
 func (e *Environment) serveReadiness(call *fasthttp.RequestCtx, ready func() Readiness) {
 	readiness := ready()
 	if e.Draining.Load() {
@@ -89,6 +92,7 @@
 	WriteJSON(call, status, readiness)
 }
 
+// currentProcess returns the resource usage of this process.
 func currentProcess() Process {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -15,19 +15,22 @@
 	"meadowhinge/internal/options"
 )
 
-// The exit codes of Run. Bad settings have one of their own, so that a supervisor does not restart the program
-// with them.
+// The exit codes of Run. Invalid settings have their own, so that a supervisor does not restart the program with the
+// same settings.
 const (
 	exitSuccess     = 0
 	exitFailure     = 1
 	exitBadSettings = 2
 )
 
-// defaultGCPercent is how much the heap may grow, in percent, before it is collected.
+// defaultGCPercent is the garbage collection target percentage if the operator sets no GOGC: the growth of the heap
+// after which it is collected, in percent of the live heap.
 const defaultGCPercent = 100
 
-// Run reads settings from source into target, then runs body until SIGTERM, SIGINT or its own end; it returns the
-// exit code. recorderOptions is called after the settings are read. The context of body ends with the signal.
+// Run runs a long-running program and returns its exit code. It reads the settings from source into target and calls
+// body, whose context ends on SIGTERM or SIGINT. Run returns when body does: 0 if body returned no error, 2 if settings
+// are invalid, 1 after any other error. recorderOptions is called once the settings are read, and returns the folder
+// and the number of log lines for the flight recorder.
 func Run(
 	program string,
 	source Source,
@@ -35,7 +38,8 @@
 	recorderOptions func() (directory string, lines int64),
 	body func(ctx context.Context, environment *Environment) error,
 ) int {
-	// Registered first, so that a SIGHUP at any time reloads the settings and never ends the program.
+	// SIGHUP is handled before anything else, so that it reloads the settings and never ends the program, whenever it
+	// arrives.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	defer signal.Stop(reloadSignals)
@@ -55,20 +59,21 @@
 	return exitSuccess
 }
 
-// limitHeapGrowth keeps the heap's peak low: memory is scarce on edge machines, and collecting so small a heap
-// costs little. An operator's GOGC takes precedence.
+// limitHeapGrowth sets the garbage collection target percentage, which keeps the peak of the heap low. Memory is scarce
+// on edge machines, and collecting a heap that small costs little. GOGC takes precedence if an operator sets it.
 func limitHeapGrowth() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(defaultGCPercent)
 	}
 }
 
-// reportFailure logs the error with which a program ended, writes the flight recorder out, and gives the exit code.
+// reportFailure logs the error with which a program ended, writes the log lines of the flight recorder out, and returns
+// the exit code.
 func (e *Environment) reportFailure(program string, err error) int {
 	e.Log.Error(err, "program failed", "program", program)
-	_ = e.Recorder.Dump(true) // the program's own error is the one to report
+	_ = e.Recorder.Dump(true) // a failure to write the lines must not hide the program's own error
 	fmt.Fprintf(os.Stderr, "%s: %v\n", program, err)
-	// Some settings are found to be bad only when they are used.
+	// Some settings are found to be invalid only when they are used, such as an address that is taken.
 	if errs.CodeOf(err) == errs.InvalidOptions {
 		return exitBadSettings
 	}
--- a/internal/daemon/run_test.go
+++ b/internal/daemon/run_test.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// SIGHUP asks for a reload of the settings and does not end the program.
+// SIGHUP requests a reload of the settings and does not end the program.
 func TestSIGHUPDoesNotStopProgram(t *testing.T) {
 	settings := &schema.StoreOptions{}
 	args := []string{"-links=plain", "-seat=s", "-listen=127.0.0.1:1", "-seeds=127.0.0.1:1", "-probe-listen=127.0.0.1:2", "-data=" + t.TempDir()}
@@ -17,6 +17,6 @@
 		return syscall.Kill(os.Getpid(), syscall.SIGHUP)
 	})
 	if code != 0 {
-		t.Fatalf("exit code %d", code)
+		t.Fatalf("Run with a SIGHUP = exit code %d, want 0", code)
 	}
 }
--- a/internal/daemon/settings_source.go
+++ b/internal/daemon/settings_source.go
@@ -10,40 +10,42 @@
 	"meadowhinge/internal/options"
 )
 
-// Source is where a program gets its settings from.
+// Source is where a program gets its settings from. They are read at start and again at each reload.
 type Source struct {
-	// Read gives the settings in their current form. Its error is reported as a bad setting.
+	// Read returns the current settings. An error is reported as an invalid setting.
 	Read func() (SourceSettings, error)
-	// File is watched for changes, besides the settings file that the command line names; empty for none.
+	// File is a file from which Read gets settings, and which is watched for changes; empty means none. The settings
+	// file that the command line names is watched too.
 	File string
 }
 
-// SourceSettings is what a Source read.
+// SourceSettings has the settings that a Source read.
 type SourceSettings struct {
-	Args        []string          // command line that has the settings
-	RestartOnly map[string]string // what has an effect besides the settings, and only after a restart; by name
-	OnAccepted  func()            // called once the settings are found to be valid; may be nil
+	Args        []string          // settings as a command line, without the program's name
+	RestartOnly map[string]string // inputs that are not settings and that have an effect only at program start, by name
+	OnAccepted  func()            // called each time the settings were found to be valid; may be nil
 }
 
-// FromArgs gives the settings of a command line, and of the settings file that it names.
+// FromArgs returns the source of the settings on a command line and in the settings file that it names.
 func FromArgs(args []string) Source {
 	return Source{Read: func() (SourceSettings, error) { return SourceSettings{Args: args}, nil }}
 }
 
-// loadedSettings is what one load of a source read, and from which files.
+// loadedSettings is the result of one load of a Source.
 type loadedSettings struct {
 	SourceSettings
-	files     []string
-	fileInfos []os.FileInfo // of files, from before they were read
+	files     []string      // names of the files that were read
+	fileInfos []os.FileInfo // info of each of files, taken before it was read; nil for a file that was not found
 }
 
-// addFile adds a file that is about to be read.
+// addFile records a file that is about to be read.
 func (l *loadedSettings) addFile(file string) {
 	l.files = append(l.files, file)
 	l.fileInfos = append(l.fileInfos, statFile(file))
 }
 
-// load fills target with valid settings. On an error it leaves target as it is, and still gives the files.
+// load reads the settings into target. If they are invalid, target is not changed, and the result still has the files
+// that were read. Help and version, if the command line asks for them, are written to help.
 func (s Source) load(program string, target proto.Message, help io.Writer) (*loadedSettings, error) {
 	loaded := &loadedSettings{}
 	if s.File != "" {
@@ -62,12 +64,13 @@
 	return loaded, nil
 }
 
-// maxParses is how often settings are parsed at most: once to learn which file the command line names, and once with
-// that file's info taken before.
+// maxParses is the maximum number of times that one load parses the command line: once to find out which settings file
+// it names, and once after the info of that file was taken.
 const maxParses = 2
 
-// parse parses the command line into target. Which settings file it names is known only once it was parsed. So
-// that a change of the file in the meantime is not missed, the file's info is taken then, and all is parsed again.
+// parse parses the command line into target. The settings file is known only after the command line was parsed, which
+// reads the file too. The file's info is therefore taken then, and everything is parsed again. A change of the file
+// between the two is thus not missed.
 func (l *loadedSettings) parse(program string, target proto.Message, help io.Writer) error {
 	for range maxParses {
 		fresh := target.ProtoReflect().New().Interface()
@@ -86,7 +89,8 @@
 	return nil
 }
 
-// statFile gives a file's info, by which its versions can be told apart; nil for a file that cannot be found.
+// statFile returns the info of a file, which differs if the file is changed or replaced. It is nil if the file cannot
+// be found.
 func statFile(file string) os.FileInfo {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -95,6 +99,7 @@
 	return info
 }
 
+// statFiles returns the info of each file, as statFile does.
 func statFiles(files []string) []os.FileInfo {
 	infos := make([]os.FileInfo, len(files))
 	for i, file := range files {
@@ -103,6 +108,7 @@
 	return infos
 }
 
+// sameFileInfos reports whether two lists are infos of the same files with the same sizes and modification times.
 func sameFileInfos(a, b []os.FileInfo) bool {
 	return slices.EqualFunc(a, b, func(a, b os.FileInfo) bool {
 		if a == nil || b == nil {
--- a/internal/daemon/settings_watcher.go
+++ b/internal/daemon/settings_watcher.go
@@ -16,19 +16,20 @@
 	"meadowhinge/internal/options"
 )
 
-// settingsWatcher reloads the settings of a running program. Only the goroutine of WatchSettings uses it.
+// settingsWatcher reloads the settings of a running program. Only the goroutine that WatchSettings starts uses it.
 type settingsWatcher struct {
-	program            string
+	program            string // name of the program, for errors
 	source             Source
-	initial            proto.Message     // settings at start
+	initial            proto.Message     // settings at program start
 	current            proto.Message     // settings in effect
-	lastLoaded         *loadedSettings   // by the last load, valid or not
-	initialRestartOnly map[string]string // SourceSettings.RestartOnly at start
-	lastFileInfos      []os.FileInfo     // at the last poll or load
-	reloadSignals      chan os.Signal
+	lastLoaded         *loadedSettings   // result of the last load, valid or not
+	initialRestartOnly map[string]string // SourceSettings.RestartOnly at program start
+	lastFileInfos      []os.FileInfo     // infos of the files in lastLoaded at the last poll or load
+	reloadSignals      chan os.Signal    // receives each SIGHUP
 	log                logr.Logger
 }
 
+// newSettingsWatcher returns a watcher for a program that started with the settings initial, which were read as loaded.
 func newSettingsWatcher(
 	program string,
 	source Source,
@@ -50,9 +51,11 @@
 	}
 }
 
-// WatchSettings calls apply with the settings each time a live setting changed, until ctx ends. It reloads on
-// SIGHUP, and within two intervals of a change of a file. What apply gets differs from the settings at start in
-// live settings only; it must not be written to.
+// WatchSettings starts to watch the settings until ctx ends, and returns. They are reloaded on SIGHUP, and two polls
+// after a change of a file at the latest, one poll in each interval. Each time a live setting changed, apply is called,
+// from one goroutine, with the settings that are then in effect. They differ from those at program start in live
+// settings only, and must not be written to. WatchSettings must be called at most once. It does nothing in a program
+// that was not started by Run.
 func (e *Environment) WatchSettings(ctx context.Context, interval time.Duration, apply func(proto.Message)) {
 	if e.settings == nil {
 		return
@@ -60,6 +63,7 @@
 	go e.settings.watch(ctx, interval, apply)
 }
 
+// watch polls the files and waits for SIGHUP until ctx ends.
 func (w *settingsWatcher) watch(ctx context.Context, interval time.Duration, apply func(proto.Message)) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -75,8 +79,8 @@
 	}
 }
 
-// poll reloads the settings if their files differ from those loaded last, and are the same as at the last poll: a
-// file that is still being written may be cut off anywhere, and be valid all the same.
+// poll reloads the settings if their files changed since they were loaded last, and did not change since the last poll.
+// A file that is still being written may be cut off anywhere and yet be valid, so it must not be loaded.
 func (w *settingsWatcher) poll(apply func(proto.Message)) {
 	infos := statFiles(w.lastLoaded.files)
 	unchanged := sameFileInfos(infos, w.lastFileInfos)
@@ -86,7 +90,7 @@
 	}
 }
 
-// reload loads the settings and applies the live ones. If any setting is bad, none is applied.
+// reload loads the settings and applies the live ones. If any setting is invalid, none is applied.
 func (w *settingsWatcher) reload(apply func(proto.Message)) {
 	target := w.initial.ProtoReflect().New().Interface()
 	loaded, err := w.source.load(w.program, target, io.Discard)
@@ -107,12 +111,12 @@
 	}
 }
 
-// recordLoaded remembers which files were loaded, valid or not, so that files that were rejected are not loaded
+// recordLoaded records the files of a load, whether its settings were valid or not. Rejected files are thus not loaded
 // again before they change.
 func (w *settingsWatcher) recordLoaded(loaded *loadedSettings, err error) {
 	previousFiles := w.lastLoaded.files
 	w.lastLoaded = loaded
-	// A load that failed early may not have found out which files there are: those of before are then watched.
+	// A load that failed early may not have found all files. The files of the load before are then watched on.
 	if err != nil && len(loaded.files) < len(previousFiles) {
 		loaded.files = previousFiles
 		loaded.fileInfos = statFiles(previousFiles)
@@ -120,7 +124,8 @@
 	w.lastFileInfos = loaded.fileInfos
 }
 
-// changedRestartOnly names what differs from the start besides the settings, in order.
+// changedRestartOnly returns the names in SourceSettings.RestartOnly whose values differ from those at program start,
+// in order.
 func (w *settingsWatcher) changedRestartOnly(loaded *loadedSettings) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(loaded.RestartOnly)) {
 		if loaded.RestartOnly[name] != w.initialRestartOnly[name] {
@@ -130,7 +135,7 @@
 	return names
 }
 
-// logRejected logs every bad setting, each with what is wrong with it.
+// logRejected logs every invalid setting with the reason.
 func (w *settingsWatcher) logRejected(err error) {
 	faults := options.Faults{err.Error()}
 	var list options.Faults
--- a/internal/options/doc.go
+++ b/internal/options/doc.go
@@ -1,6 +1,6 @@
-// Package options parses a program's settings into a message of the schema: from the command line, then from a
-// settings file, then from defaults. Each setting is checked by the rule beside its field in the schema.
+// Package options parses the settings of a program into a message of the schema. A setting is taken from the command
+// line, else from the settings file, else from its default. It is checked by the Rule of its field in the schema.
 //
-// Every program calls it at start, and package daemon again when a settings file changes. It owns no state; all
-// functions may be called from any goroutine.
+// Programs call it when they start, and package daemon calls it again when a settings file changes. The package owns
+// no state; all functions may be called from any goroutine.
 package options
--- a/internal/options/golden_test.go
+++ b/internal/options/golden_test.go
@@ -16,8 +16,8 @@
 	"meadowhinge/schema"
 )
 
-// programs are all programs with settings in the schema. The golden lists have these names, which stay when a
-// program is renamed.
+// programs has the settings message of each program with settings in the schema, by the name of its golden file. The
+// names stay when a program is renamed.
 var programs = map[string]proto.Message{
 	"proxy":           &schema.ProxyOptions{},
 	"registry":        &schema.RegistryOptions{},
@@ -27,8 +27,8 @@
 	"emulator calls":  &schema.CallsOptions{},
 }
 
-// TestSettingsGolden compares the settings of each program with the golden list. Operators have them in files and
-// on command lines, so no name, default, bound or form may change.
+// TestSettingsGolden compares the settings of each program with the golden file. Operators use them in files and on
+// command lines, so no name, default, bound or form may change.
 func TestSettingsGolden(t *testing.T) {
 	for program, target := range programs {
 		t.Run(program, func(t *testing.T) {
@@ -39,14 +39,14 @@
 			}
 			var help bytes.Buffer
 			if err := options.Parse(program, []string{"-help"}, target, &help); !errors.Is(err, flag.ErrHelp) {
-				t.Fatalf("-help gave %v", err)
+				t.Fatalf("Parse with -help = %v, want flag.ErrHelp", err)
 			}
 			goldenfile.Compare(t, strings.ReplaceAll(program, " ", "-")+".txt", listed.String()+"\n"+flagsIn(help.String()))
 		})
 	}
 }
 
-// TestEveryOptionsMessageIsListed fails for a program with settings that has no golden list.
+// TestEveryOptionsMessageIsListed checks that every settings message in the schema has a golden file.
 func TestEveryOptionsMessageIsListed(t *testing.T) {
 	listed := map[protoreflect.FullName]bool{}
 	for _, target := range programs {
@@ -56,13 +56,13 @@
 		for i := range file.Messages().Len() {
 			message := file.Messages().Get(i)
 			if strings.HasSuffix(string(message.Name()), "Options") && !listed[message.FullName()] {
-				t.Errorf("%s has no golden list", message.FullName())
+				t.Errorf("settings message %s is not in programs, so it has no golden file", message.FullName())
 			}
 		}
 	}
 }
 
-// flagsIn gives the lines of a help text that name a flag. The explanations are not compared.
+// flagsIn returns the lines of a help text that name a flag. The lines with descriptions are not compared.
 func flagsIn(help string) string {
 	var flags strings.Builder
 	for line := range strings.Lines(help) {
@@ -73,13 +73,13 @@
 	return flags.String()
 }
 
-// settingLine gives everything that the schema says about one setting except its explanation. The rule's own
-// fields are listed by reflection, so that a field added to it is compared too.
+// settingLine returns the name and the kind of a setting, and all fields of its rule except the description. The fields
+// are listed by reflection, so that a field that is added to Rule is compared too.
 func settingLine(t *testing.T, field protoreflect.FieldDescriptor) string {
 	t.Helper()
 	rule, ok := proto.GetExtension(field.Options(), schema.E_Rule).(proto.Message)
 	if !ok {
-		t.Fatalf("%s has no rule", field.FullName())
+		t.Fatalf("setting %s has no rule in the schema", field.FullName())
 	}
 	line := fmt.Sprintf("%s: kind=%s", strings.ReplaceAll(string(field.Name()), "_", "-"), field.Kind())
 	reflected := rule.ProtoReflect()
--- a/internal/options/live_update.go
+++ b/internal/options/live_update.go
@@ -8,26 +8,27 @@
 // LiveUpdate is the result of a reload of settings.
 type LiveUpdate struct {
 	Current        proto.Message // settings in effect after the reload
-	Changed        []string      // live settings whose value changed, by flag name
-	PendingRestart []string      // other settings that differ from those at start, by flag name
+	Changed        []string      // flag names of the live settings whose value changed
+	PendingRestart []string      // flag names of the other settings whose loaded value differs from that at program start
 }
 
-// ApplyLive gives the settings in effect after a reload: the live ones (Rule.live) as loaded, all others as they
-// were at the program's start. All messages are of one type; none is written to.
+// ApplyLive returns the settings in effect after a reload. Live settings (Rule.live) have the loaded values; all others
+// keep the values of current. initial has the settings at program start, current those in effect so far, and loaded
+// those that were just read. All three must be of the same type; none is written to.
 func ApplyLive(initial, current, loaded proto.Message) LiveUpdate {
 	update := LiveUpdate{Current: proto.Clone(current)}
-	from, to, initialFields := loaded.ProtoReflect(), update.Current.ProtoReflect(), initial.ProtoReflect()
-	fields := from.Descriptor().Fields()
+	loadedFields, updatedFields, initialFields := loaded.ProtoReflect(), update.Current.ProtoReflect(), initial.ProtoReflect()
+	fields := loadedFields.Descriptor().Fields()
 	for i := range fields.Len() {
 		field := fields.Get(i)
 		switch live := ruleOf(field).Live; {
-		case live && !sameValue(from, to, field):
-			to.Clear(field)
-			if from.Has(field) {
-				to.Set(field, from.Get(field))
+		case live && !sameValue(loadedFields, updatedFields, field):
+			updatedFields.Clear(field)
+			if loadedFields.Has(field) {
+				updatedFields.Set(field, loadedFields.Get(field))
 			}
 			update.Changed = append(update.Changed, flagName(field))
-		case !live && !sameValue(from, initialFields, field):
+		case !live && !sameValue(loadedFields, initialFields, field):
 			update.PendingRestart = append(update.PendingRestart, flagName(field))
 		}
 	}
--- a/internal/options/parse_test.go
+++ b/internal/options/parse_test.go
@@ -15,22 +15,23 @@
 	"meadowhinge/schema"
 )
 
-// All bad settings are named at once, and the exit code is 2.
-func TestEveryBadSettingIsNamed(t *testing.T) {
+// ExitCode writes all invalid settings at once and returns 2.
+func TestEveryInvalidSettingIsReported(t *testing.T) {
 	settings := &schema.StoreOptions{}
 	err := Parse("store", []string{"-seat", "a", "-listen", "localhost:1", "-seeds", "1,2", "-silence", "1ms", "-buffer", "many", "-data", t.TempDir(),
 		"-certificate", "/nowhere", "-probe-listen", "127.0.0.1:1"}, settings, &bytes.Buffer{})
 	var output bytes.Buffer
 	if code := ExitCode("store", err, &output); code != 2 {
-		t.Errorf("exit code %d", code)
+		t.Errorf("ExitCode = %d, want 2", code)
 	}
 	for _, name := range []string{"order: is required", "listen: ", "seeds: ", "silence: ", "buffer: ", "certificate: ", "authority: is required"} {
 		if !strings.Contains(output.String(), name) {
-			t.Errorf("%q is not named in:\n%s", name, output.String())
+			t.Errorf("ExitCode did not write %q; output:\n%s", name, output.String())
 		}
 	}
 }
 
+// writeFile replaces the content of a file.
 func writeFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -38,8 +39,9 @@
 	}
 }
 
-// Flags take precedence over the settings file, and the file over the defaults.
-func TestFileFlagsAndPresets(t *testing.T) {
+// Flags take precedence over the settings file, and the file over the defaults. A file with an unknown setting is
+// refused.
+func TestPrecedenceOfFlagsFileAndDefaults(t *testing.T) {
 	folder := t.TempDir()
 	pem, file := filepath.Join(folder, "pem"), filepath.Join(folder, "settings")
 	writeFile(t, pem, "")
@@ -49,20 +51,21 @@
 		t.Fatal(err)
 	}
 	if settings.Silence != int64(3*time.Second) || settings.Ring != 60 || settings.EntriesMost != 512 {
-		t.Errorf("got silence %d, ring %d, entries-most %d", settings.Silence, settings.Ring, settings.EntriesMost)
+		t.Errorf("got silence %v, want 3s of the file; ring %d, want 60 of the flag; entries-most %d, want the default 512",
+			time.Duration(settings.Silence), settings.Ring, settings.EntriesMost)
 	}
 	var help bytes.Buffer
 	if err := Parse("store", []string{"-help"}, settings, &help); !errors.Is(err, flag.ErrHelp) || !strings.Contains(help.String(), "-entries-most") {
-		t.Errorf("help gave %v: %s", err, help.String())
+		t.Errorf("Parse with -help = %v, want flag.ErrHelp; help, which must list -entries-most:\n%s", err, help.String())
 	}
 	writeFile(t, file, "colour red\n")
 	if err := Parse("store", []string{"-settings", file}, settings, &help); err == nil {
-		t.Error("a setting that does not exist was accepted")
+		t.Error("Parse of a settings file with the unknown setting colour = nil, want an error")
 	}
 }
 
-// Every setting in the schema has a form that exists, and its bounds and its default are valid for the form: the
-// parsers rely on it.
+// Every setting in the schema has a description and a form that exists, and its bounds and default are valid for the
+// form. The parsers rely on it.
 func TestRulesAreComplete(t *testing.T) {
 	for _, message := range []proto.Message{
 		&schema.ProxyOptions{},
@@ -76,20 +79,20 @@
 		for i := range fields.Len() {
 			t.Run(string(fields.Get(i).FullName()), func(t *testing.T) {
 				rule := ruleOf(fields.Get(i))
-				if rule.Help == "" || parseByForm[rule.Form] == nil {
-					t.Fatalf("no help, or no form: %v", rule)
+				if rule.Help == "" || parserByForm[rule.Form] == nil {
+					t.Fatalf("rule has help %q and form %q, want a text and a form with a parser", rule.Help, rule.Form)
 				}
 				for _, text := range []string{rule.Least, rule.Most, rule.Preset} {
 					if text == "" {
 						continue
 					}
-					if _, reason := parseByForm[rule.Form](text, rule); reason != "" {
-						t.Error(reason)
+					if _, reason := parserByForm[rule.Form](text, rule); reason != "" {
+						t.Errorf("bound or default %q is not valid for form %s: %s", text, rule.Form, reason)
 					}
 				}
 				bounded := rule.Form == "duration" || rule.Form == "number" || rule.Form == "ratio"
 				if hasBounds := rule.Least != "" && rule.Most != ""; hasBounds != bounded {
-					t.Errorf("form %s, bounds %q to %q", rule.Form, rule.Least, rule.Most)
+					t.Errorf("rule of form %s has the bounds %q to %q, want both for duration, number and ratio, none for others", rule.Form, rule.Least, rule.Most)
 				}
 			})
 		}
--- a/internal/options/rule.go
+++ b/internal/options/rule.go
@@ -10,7 +10,7 @@
 	"meadowhinge/schema"
 )
 
-// ruleOf gives the rule of a setting in the schema, an empty one for a field without.
+// ruleOf returns the rule of a setting, an empty one for a field that has none in the schema.
 func ruleOf(field protoreflect.FieldDescriptor) *schema.Rule {
 	rule, _ := proto.GetExtension(field.Options(), schema.E_Rule).(*schema.Rule)
 	if rule == nil {
@@ -19,12 +19,12 @@
 	return rule
 }
 
-// flagName is a setting's name on the command line and in the settings file.
+// flagName returns the name of a setting on the command line and in the settings file.
 func flagName(field protoreflect.FieldDescriptor) string {
 	return strings.ReplaceAll(string(field.Name()), "_", "-")
 }
 
-// describeRule gives the text of a setting in the output of -help.
+// describeRule returns the description of a setting in the output of -help.
 func describeRule(rule *schema.Rule) string {
 	text := rule.Help
 	if rule.Least != "" || rule.Most != "" {
@@ -42,8 +42,8 @@
 	return text
 }
 
-// isRequiredBy tells whether a setting must be given because another one does not have the value with which it
-// may be left out. textByName has the texts of all settings.
+// isRequiredBy reports whether a setting must be given because of Rule.unless: the setting that it names does not have
+// the value with which this one may be left out. textByName has the texts of all settings by flag name.
 func isRequiredBy(rule *schema.Rule, textByName map[string]string) bool {
 	name, value, depends := strings.Cut(rule.Unless, "=")
 	return depends && textByName[name] != value
