--- a/schema/golden_test.go
+++ b/schema/golden_test.go
@@ -15,26 +15,26 @@
 	"storj.io/drpc"
 )
 
-// The golden files have what processes of different versions must agree on: messages as bytes, and the paths of
-// RPCs. They identify messages by their position in mesh.proto and fields by their number, never by name, so that
-// renames do not change them. A message may be added after the last one; existing rows never change.
+// The golden files have what processes of different versions must agree on: encoded messages, numbers of enums, and
+// paths of RPCs. They identify a message by its position in mesh.proto and a field by its number, never by name, so
+// renames do not change the files. A message may be added after the last one; existing rows never change.
 const (
 	goldenMessages = "testdata/golden/messages.txt"
 	goldenEnums    = "testdata/golden/enums.txt"
 	goldenCalls    = "testdata/golden/calls.txt"
 )
 
-// exampleDepth bounds how deeply the messages within an example are filled.
+// exampleDepth is the number of levels of nested messages that are filled in an example.
 const exampleDepth = 4
 
-// goldenRow is one message of the golden file.
+// goldenRow has one message of the golden file.
 type goldenRow struct {
-	place    int
-	shape    []string // a line for each field, ordered by number
-	examples [][]byte // together they have each alternative of every oneof
+	position int      // index of the message in mesh.proto
+	format   []string // wire format: a line for each field, ordered by number, then one for each reserved range
+	examples [][]byte // encoded messages; together they have each alternative of every oneof
 }
 
-// readGoldenRows reads the golden messages.
+// readGoldenRows reads the golden file of messages.
 func readGoldenRows(t *testing.T) []goldenRow {
 	t.Helper()
 	var rows []goldenRow
@@ -43,27 +43,28 @@
 		switch word {
 		case "message":
 			row := goldenRow{}
-			if _, err := fmt.Sscanf(rest, "%d", &row.place); err != nil {
-				t.Fatalf("%q: %v", line, err)
+			if _, err := fmt.Sscanf(rest, "%d", &row.position); err != nil {
+				t.Fatalf("%s: line %q has no message position: %v", goldenMessages, line, err)
 			}
 			rows = append(rows, row)
 		case "field", "reserved":
 			last := &rows[len(rows)-1]
-			last.shape = append(last.shape, line)
+			last.format = append(last.format, line)
 		case "example":
 			data, err := hex.DecodeString(rest)
 			if err != nil {
-				t.Fatalf("%q: %v", line, err)
+				t.Fatalf("%s: line %q is not hexadecimal: %v", goldenMessages, line, err)
 			}
 			last := &rows[len(rows)-1]
 			last.examples = append(last.examples, data)
 		default:
-			t.Fatalf("unexpected line %q", line)
+			t.Fatalf("%s: line %q begins with an unknown word", goldenMessages, line)
 		}
 	}
 	return rows
 }
 
+// goldenLines returns the lines of a golden file.
 func goldenLines(t *testing.T, path string) []string {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -73,8 +74,9 @@
 	return strings.Split(strings.TrimSuffix(string(data), "\n"), "\n")
 }
 
-// shapeOf gives a message's wire format: its fields by number, with kind and cardinality, and the reserved numbers.
-func shapeOf(message protoreflect.MessageDescriptor) []string {
+// wireFormat returns the wire format of a message: its fields by number with kind and cardinality, and the reserved
+// numbers.
+func wireFormat(message protoreflect.MessageDescriptor) []string {
 	var lines []string
 	fields := message.Fields()
 	for number := protoreflect.FieldNumber(1); len(lines) < fields.Len(); number++ {
@@ -105,7 +107,7 @@
 	return lines
 }
 
-// kindText names a field's kind; messages and enums are named by their position in the file.
+// kindText returns the kind of a field; for a message or enum, it includes its position in the file.
 func kindText(field protoreflect.FieldDescriptor) string {
 	switch {
 	case field.Message() != nil:
@@ -116,18 +118,18 @@
 	return field.Kind().String()
 }
 
-// messageType gives the generated Go type of a message, with which programs decode it.
+// messageType returns the generated Go type of a message, with which programs decode it.
 func messageType(t *testing.T, message protoreflect.MessageDescriptor) protoreflect.MessageType {
 	t.Helper()
 	found, err := protoregistry.GlobalTypes.FindMessageByName(message.FullName())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("message %s has no generated type: %v", message.FullName(), err)
 	}
 	return found
 }
 
-// fill sets every field of a message by its number, and of each oneof the alternative with an index, modulo their
-// number.
+// fill sets every field of a message to a value that depends on the field's number. Of each oneof it sets one field,
+// that with the index alternative modulo the number of fields. Messages nested deeper than depth are not filled.
 func fill(message protoreflect.Message, alternative, depth int) {
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -141,19 +143,19 @@
 		switch {
 		case field.IsMap():
 			entries := message.Mutable(field).Map()
-			for turn := range 2 {
-				key := scalar(field.MapKey(), turn).MapKey()
+			for i := range 2 {
+				key := scalar(field.MapKey(), i).MapKey()
 				if field.MapValue().Message() == nil {
-					entries.Set(key, scalar(field.MapValue(), turn))
+					entries.Set(key, scalar(field.MapValue(), i))
 				} else if value := entries.Mutable(key).Message(); depth > 0 {
 					fill(value, alternative, depth-1)
 				}
 			}
 		case field.IsList():
 			list := message.Mutable(field).List()
-			for turn := range 2 {
+			for i := range 2 {
 				if field.Message() == nil {
-					list.Append(scalar(field, turn))
+					list.Append(scalar(field, i))
 				} else {
 					fill(list.AppendMutable().Message(), alternative, depth-1)
 				}
@@ -166,16 +168,16 @@
 	}
 }
 
-// scalar gives the value of a field in the examples. Numbers are chosen so that kinds with different encodings give
-// different bytes.
-func scalar(field protoreflect.FieldDescriptor, turn int) protoreflect.Value {
-	number := int64(field.Number())*1000 + int64(turn)
+// scalar returns the value of a field in the examples; i is the index of an element in a repeated field or map. Numbers
+// are chosen so that kinds with different encodings have different bytes.
+func scalar(field protoreflect.FieldDescriptor, i int) protoreflect.Value {
+	number := int64(field.Number())*1000 + int64(i)
 	switch field.Kind() {
 	case protoreflect.BoolKind:
-		return protoreflect.ValueOfBool(turn == 0)
+		return protoreflect.ValueOfBool(i == 0)
 	case protoreflect.EnumKind:
 		values := field.Enum().Values()
-		return protoreflect.ValueOfEnum(protoreflect.EnumNumber(1 + (int(field.Number())+turn)%(min(values.Len(), 3)-1)))
+		return protoreflect.ValueOfEnum(protoreflect.EnumNumber(1 + (int(field.Number())+i)%(min(values.Len(), 3)-1)))
 	case protoreflect.Int32Kind, protoreflect.Sint32Kind, protoreflect.Sfixed32Kind:
 		return protoreflect.ValueOfInt32(int32(-number))
 	case protoreflect.Int64Kind, protoreflect.Sint64Kind, protoreflect.Sfixed64Kind:
@@ -194,90 +196,92 @@
 	return protoreflect.ValueOfBytes([]byte(fmt.Sprintf("\x00\xffbytes-%d", number)))
 }
 
-// alternatives is the number of examples needed to have every alternative of a message's oneofs.
-func alternatives(message protoreflect.MessageDescriptor) int {
-	most := 1
+// exampleCount returns the number of examples needed to have every alternative of a message's oneofs.
+func exampleCount(message protoreflect.MessageDescriptor) int {
+	count := 1
 	for i := range message.Oneofs().Len() {
-		most = max(most, message.Oneofs().Get(i).Fields().Len())
+		count = max(count, message.Oneofs().Get(i).Fields().Len())
 	}
-	return most
+	return count
 }
 
-// unknownIn tells whether a message has fields, at any depth, that are not in its descriptor.
-func unknownIn(message protoreflect.Message) bool {
+// hasUnknownFields reports whether a message, or a message nested in it at any depth, has fields that are not in its
+// descriptor.
+func hasUnknownFields(message protoreflect.Message) bool {
 	found := len(message.GetUnknown()) > 0
 	message.Range(func(field protoreflect.FieldDescriptor, value protoreflect.Value) bool {
 		switch {
 		case field.IsMap() && field.MapValue().Message() != nil:
-			value.Map().Range(func(_ protoreflect.MapKey, one protoreflect.Value) bool {
-				found = found || unknownIn(one.Message())
+			value.Map().Range(func(_ protoreflect.MapKey, element protoreflect.Value) bool {
+				found = found || hasUnknownFields(element.Message())
 				return true
 			})
 		case field.IsMap() || field.Message() == nil:
 		case field.IsList():
 			for i := range value.List().Len() {
-				found = found || unknownIn(value.List().Get(i).Message())
+				found = found || hasUnknownFields(value.List().Get(i).Message())
 			}
 		default:
-			found = found || unknownIn(value.Message())
+			found = found || hasUnknownFields(value.Message())
 		}
 		return true
 	})
 	return found
 }
 
+// marshal encodes a message deterministically.
 func marshal(t *testing.T, message proto.Message) []byte {
 	t.Helper()
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Marshal %s: %v", message.ProtoReflect().Descriptor().FullName(), err)
 	}
 	return data
 }
 
-// Every message that another version may have sent or stored still has its wire format, is decoded without unknown
+// Every message that another version may have sent or stored still has the same wire format, is decoded without unknown
 // fields, and is encoded to the same bytes again.
 func TestGoldenMessages(t *testing.T) {
 	messages := File_mesh_proto.Messages()
 	rows := readGoldenRows(t)
 	if len(rows) > messages.Len() {
-		t.Fatalf("%d messages are left of %d", messages.Len(), len(rows))
+		t.Fatalf("mesh.proto has %d messages, want at least the %d of the golden file", messages.Len(), len(rows))
 	}
-	for place, row := range rows {
-		t.Run(fmt.Sprint(place), func(t *testing.T) {
-			descriptor := messages.Get(place)
-			if row.place != place {
-				t.Fatalf("row %d is of message %d", place, row.place)
+	for position, row := range rows {
+		t.Run(fmt.Sprint(position), func(t *testing.T) {
+			descriptor := messages.Get(position)
+			if row.position != position {
+				t.Fatalf("row %d of the golden file has message position %d, want %d", position, row.position, position)
 			}
-			if got, want := strings.Join(shapeOf(descriptor), "\n"), strings.Join(row.shape, "\n"); got != want {
-				t.Errorf("%s has the shape\n%s\nwant\n%s", descriptor.FullName(), got, want)
+			if got, want := strings.Join(wireFormat(descriptor), "\n"), strings.Join(row.format, "\n"); got != want {
+				t.Errorf("%s has the wire format\n%s\nwant\n%s", descriptor.FullName(), got, want)
 			}
-			if want := alternatives(descriptor); len(row.examples) != want {
-				t.Fatalf("%d examples, want %d", len(row.examples), want)
+			if want := exampleCount(descriptor); len(row.examples) != want {
+				t.Fatalf("%s has %d examples in the golden file, want %d", descriptor.FullName(), len(row.examples), want)
 			}
 			for alternative, data := range row.examples {
-				read := messageType(t, descriptor).New()
-				if err := proto.Unmarshal(data, read.Interface()); err != nil {
-					t.Fatalf("example %d: %v", alternative, err)
+				decoded := messageType(t, descriptor).New()
+				if err := proto.Unmarshal(data, decoded.Interface()); err != nil {
+					t.Fatalf("Unmarshal example %d of %s: %v", alternative, descriptor.FullName(), err)
 				}
-				if unknownIn(read) {
-					t.Errorf("example %d holds fields that %s does not know", alternative, descriptor.FullName())
+				if hasUnknownFields(decoded) {
+					t.Errorf("example %d has fields that are unknown in %s, want none", alternative, descriptor.FullName())
 				}
-				if again := marshal(t, read.Interface()); !bytes.Equal(again, data) {
-					t.Errorf("example %d is written as\n%x\nwant\n%x", alternative, again, data)
+				if got := marshal(t, decoded.Interface()); !bytes.Equal(got, data) {
+					t.Errorf("example %d of %s, decoded and encoded again, is\n%x\nwant\n%x", alternative, descriptor.FullName(), got, data)
 				}
-				// The same values, set by field number, encode to the same bytes.
-				made := dynamicpb.NewMessage(descriptor)
-				fill(made, alternative, exampleDepth)
-				if got := marshal(t, made); !bytes.Equal(got, data) {
-					t.Errorf("example %d is built as\n%x\nwant\n%x", alternative, got, data)
+				// A message with the same values, set by field number, is encoded to the same bytes.
+				built := dynamicpb.NewMessage(descriptor)
+				fill(built, alternative, exampleDepth)
+				if got := marshal(t, built); !bytes.Equal(got, data) {
+					t.Errorf("%s with the values of example %d is encoded as\n%x\nwant\n%x", descriptor.FullName(), alternative, got, data)
 				}
 			}
 		})
 	}
 }
 
-// enumLines lists the numbers of each enum, and the extension with the rules of settings.
+// enumLines returns a line for each enum with its numbers, and one for the extension that holds the rules of settings.
 func enumLines() []string {
 	var lines []string
 	enums := File_mesh_proto.Enums()
@@ -290,53 +294,53 @@
 	}
 	extensions := File_mesh_proto.Extensions()
 	for i := range extensions.Len() {
-		one := extensions.Get(i)
-		lines = append(lines, fmt.Sprintf("extension %d %s of %s", one.Number(), kindText(one), one.ContainingMessage().FullName()))
+		extension := extensions.Get(i)
+		lines = append(lines, fmt.Sprintf("extension %d %s of %s", extension.Number(), kindText(extension), extension.ContainingMessage().FullName()))
 	}
 	return lines
 }
 
-// The numbers of enums never change, nor does that of the extension with the rules of settings.
+// The numbers of enums never change, nor does that of the extension that holds the rules of settings.
 func TestGoldenEnums(t *testing.T) {
 	if got, want := strings.Join(enumLines(), "\n"), strings.Join(goldenLines(t, goldenEnums), "\n"); got != want {
-		t.Errorf("enums are\n%s\nwant\n%s", got, want)
+		t.Errorf("mesh.proto has the enums and extensions\n%s\nwant\n%s", got, want)
 	}
 }
 
-// callLines lists the RPCs: path, which sides stream, and the messages by their position.
+// callLines returns a line for each RPC: its path, which sides stream, and the messages by their position.
 func callLines() []string {
 	var lines []string
 	services := File_mesh_proto.Services()
 	for i := range services.Len() {
 		methods := services.Get(i).Methods()
 		for j := range methods.Len() {
-			one := methods.Get(j)
-			stream := func(streams bool, message protoreflect.MessageDescriptor) string {
+			method := methods.Get(j)
+			side := func(streams bool, message protoreflect.MessageDescriptor) string {
 				text := fmt.Sprintf("message %d", message.Index())
 				if streams {
 					text = "stream of " + text
 				}
 				return text
 			}
-			lines = append(lines, fmt.Sprintf("/%s/%s takes %s gives %s", services.Get(i).FullName(), one.Name(),
-				stream(one.IsStreamingClient(), one.Input()), stream(one.IsStreamingServer(), one.Output())))
+			lines = append(lines, fmt.Sprintf("/%s/%s takes %s gives %s", services.Get(i).FullName(), method.Name(),
+				side(method.IsStreamingClient(), method.Input()), side(method.IsStreamingServer(), method.Output())))
 		}
 	}
 	return lines
 }
 
-// The paths of RPCs are part of the protocol between versions, so they stay even where Go names change.
+// The paths of RPCs are part of the protocol between versions, so they stay even if Go names change.
 func TestGoldenCalls(t *testing.T) {
 	want := goldenLines(t, goldenCalls)
 	if got := strings.Join(callLines(), "\n"); got != strings.Join(want, "\n") {
-		t.Errorf("calls are\n%s\nwant\n%s", got, strings.Join(want, "\n"))
+		t.Errorf("mesh.proto has the RPCs\n%s\nwant\n%s", got, strings.Join(want, "\n"))
 	}
 	var served []string
-	for _, one := range []drpc.Description{DRPCStoreDescription{}, DRPCRegistryDescription{}, DRPCHopDescription{}} {
-		for n := range one.NumMethods() {
-			path, _, _, _, found := one.Method(n)
+	for _, description := range []drpc.Description{DRPCStoreDescription{}, DRPCRegistryDescription{}, DRPCHopDescription{}} {
+		for n := range description.NumMethods() {
+			path, _, _, _, found := description.Method(n)
 			if !found {
-				t.Errorf("%T has no method %d", one, n)
+				t.Errorf("%T has no method %d, but NumMethods is %d", description, n, description.NumMethods())
 			}
 			served = append(served, path)
 		}
@@ -344,10 +348,10 @@
 	for i, line := range want {
 		path, _, _ := strings.Cut(line, " ")
 		if i >= len(served) || served[i] != path {
-			t.Errorf("call %d is not served as %s", i, path)
+			t.Errorf("RPC %d has no generated method for path %s; the generated paths are %q", i, path, served)
 		}
 	}
 	if len(served) != len(want) {
-		t.Errorf("%d calls are served, want %d", len(served), len(want))
+		t.Errorf("the generated services have %d methods, want %d", len(served), len(want))
 	}
 }
--- a/schema/item.go
+++ b/schema/item.go
@@ -1,9 +1,9 @@
 package schema
 
-// Key is the key of an item in a configuration: its kind and name, joined.
+// Key returns the key that identifies an item in a configuration: its kind and name, joined by a slash.
 func Key(kind, name string) string { return kind + "/" + name }
 
-// A configuration has one item of limits, whose kind and name these are.
+// The kind and the name of the item of limits. A configuration has at most one.
 const (
 	LimitsKind = "limits"
 	LimitsName = "limits"
