--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -102,8 +102,8 @@
 	return retained
 }
 
-// bindDiscoveredVersions sets the versions and the fallback of each service for which operators wrote neither to
-// the discovered ones.
+// bindDiscoveredVersions gives each service for which operators wrote neither versions nor a fallback those that were
+// discovered.
 func (s *Snapshot) bindDiscoveredVersions() {
 	for name, service := range s.Services {
 		discovered := s.DiscoveredVersions[name]
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -15,7 +15,7 @@
 	Target       float64 `json:"target"`       // percentage of the service's calls that Version should reach, 0 to 100
 	DurationText string  `json:"over"`         // Duration as the operator wrote it, such as 10m
 	Control      string  `json:"pace"`         // go: carry out the plan; hold: pause it; back: roll it back
-	Strategy     string  `json:"by,omitempty"` // how the percentage rises; empty means StrategyRamp
+	Strategy     string  `json:"by,omitempty"` // StrategyRamp or StrategyDeadline; empty means StrategyRamp
 
 	Duration time.Duration `json:"-"` // time over which Target is reached, parsed from DurationText
 	Revision uint64        `json:"-"` // configuration revision in which the plan was written
@@ -26,8 +26,8 @@
 	// StrategyRamp raises the percentage steadily over the plan's duration, once the version has had enough calls
 	// to be judged.
 	StrategyRamp = "ramp"
-	// StrategyDeadline keeps the version in canary for most of the plan's duration, and then moves all calls to it
-	// before the duration is over.
+	// StrategyDeadline keeps the version in canary for most of the plan's duration, and then raises the percentage
+	// to the target before the duration is over.
 	StrategyDeadline = "term"
 )
 
@@ -36,14 +36,14 @@
 type Progress struct {
 	ControllerTerm  uint64  `json:"duty"`            // term of the rollout controller that wrote it; never decreases
 	Controller      string  `json:"holder"`          // id of the core member that was the controller
-	PlanID          string  `json:"set"`             // identifies the plan with the content that it had then
+	PlanID          string  `json:"set"`             // service and version of the plan that this is the progress of, joined by a space
 	State           string  `json:"state"`           // trial, ramp, hold, settle, done or back: see the states in package release
-	Reason          string  `json:"reason"`          // why the plan is in State
+	Reason          string  `json:"reason"`          // reason for which the plan is in State
 	Percentage      float64 `json:"share"`           // percentage of calls that the new version should get at present, 0 to 100
 	Weight          int     `json:"weight"`          // weight of the new version in the version flag, 0 to flag.TotalWeight
 	Elapsed         int64   `json:"elapsed"`         // nanoseconds of the ramp; with StrategyDeadline, nanoseconds since the plan was written
 	PreviousVersion string  `json:"from,omitempty"`  // the version that the new one replaces
-	StateSince      int64   `json:"since,omitempty"` // with StrategyDeadline: Elapsed when the current state or percentage began
+	StateSince      int64   `json:"since,omitempty"` // value of Elapsed when the current state or percentage began; only with StrategyDeadline
 }
 
 // progressStateRamp is the Progress.State of a plan whose version is getting more calls. Package release defines
@@ -65,8 +65,8 @@
 type VersionStop struct {
 	Service string `json:"service"`
 	Version string `json:"version"`
-	Reason  string `json:"reason"` // shown to operators
-	Lifted  bool   `json:"lifted"` // the stop has no effect any more
+	Reason  string `json:"reason"` // reason for the stop, shown to operators
+	Lifted  bool   `json:"lifted"` // true if the stop has no effect any more
 }
 
 // StopName returns the name that the item of a version's stop must have.
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -19,7 +19,7 @@
 // WeightedService is one of the services over which a route splits its requests.
 type WeightedService struct {
 	Service string  `json:"service"`
-	Weight  float64 `json:"weight"` // not negative; the service gets Weight divided by the sum of the split's weights of the requests
+	Weight  float64 `json:"weight"` // not negative, of any scale; divided by the sum of the split's weights, it is the service's part of the requests
 }
 
 // Route sends the requests that match its host, path prefix and methods to a service, or splits them over several.
@@ -36,8 +36,8 @@
 	LatencyTargetText string            `json:"aim,omitempty"`        // LatencyTarget as the operator wrote it, such as 200ms
 	MaxAttempts       int               `json:"tries,omitempty"`      // maximum number of workers that one request is sent to; 0 means no limit
 	Priority          int               `json:"rank,omitempty"`       // requests with a lower value are served first under overload
-	KeyHeader         string            `json:"key,omitempty"`        // header whose value is the flags' bucketing key; if empty, the request id is the key
-	Attributes        map[string]string `json:"attributes,omitempty"` // header that holds the value, by name of the attribute in flags and policies
+	KeyHeader         string            `json:"key,omitempty"`        // header with the key by which flags bucket requests; empty means the request id
+	Attributes        map[string]string `json:"attributes,omitempty"` // header with the value of each attribute of flags and policies, keyed by attribute
 	PolicyName        string            `json:"policy,omitempty"`     // policy that must allow each call; empty means no policy
 
 	Host          string          `json:"-"` // HostText normalized by NormalizeHost; empty matches any host
--- a/internal/config/route_matcher.go
+++ b/internal/config/route_matcher.go
@@ -95,8 +95,8 @@
 		return nil
 	}
 	groups := m.groups[hostGroups.from:hostGroups.to]
-	// The groups whose prefix matches the path are the last group that is not ordered after the path, and its
-	// ancestors. The last group itself need not match.
+	// A group whose prefix matches the path is the last group that is not ordered after the path, or one of its
+	// ancestors. Not all of these match.
 	insertion, exact := slices.BinarySearchFunc(groups, path, comparePrefix)
 	current := hostGroups.from + insertion
 	if !exact {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -11,21 +11,21 @@
 // shared with readers and with later snapshots, so nobody may write to them.
 type Snapshot struct {
 	Revision           uint64                         // configuration revision that was compiled
-	Services           map[string]*Service            // by name
+	Services           map[string]*Service            // keyed by name
 	Routes             []*Route                       // ordered by compareRoutes
 	Flags              *flag.Set                      // flags and segments of operators, and the flags of split routes
-	Releases           map[string]*Release            // by name of the plan
-	Progress           map[string]*Progress           // by name of the release plan
-	DiscoveredVersions map[string]*DiscoveredVersions // by service
-	Stops              map[string]*VersionStop        // by StopName; includes lifted stops
-	GuardedVersions    map[string][]string            // versions besides the fallback that the version flag may pick, by service
+	Releases           map[string]*Release            // release plans, keyed by name
+	Progress           map[string]*Progress           // progress of release plans, keyed by name of the plan
+	DiscoveredVersions map[string]*DiscoveredVersions // keyed by service
+	Stops              map[string]*VersionStop        // active and lifted stops, keyed by StopName
+	GuardedVersions    map[string][]string            // versions besides the fallback that the version flag may pick, keyed by service
 	Limits             Limits                         // limits of operators, or DefaultLimits
 
 	versionRevisions map[serviceVersion]uint64  // values that VersionRevision returns; a version without one is absent
-	policies         map[string]*Policy         // by name
-	programs         map[string]*policy.Program // compiled policies by expression and attributes; reused by later snapshots
-	decodedItems     map[string]*decodedItem    // live items by Key; those that do not change are reused by later snapshots
-	versionDeciders  map[string]Decider         // by service
+	policies         map[string]*Policy         // keyed by name
+	programs         map[string]*policy.Program // compiled policies, keyed by expression and attributes; later snapshots reuse them
+	decodedItems     map[string]*decodedItem    // live items, keyed by Key; later snapshots reuse those that do not change
+	versionDeciders  map[string]Decider         // version flags, keyed by service
 	routeMatcher     routeMatcher               // index of Routes
 	decodeCount      int                        // number of items that were decoded for this snapshot, not reused
 }
--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -25,7 +25,7 @@
 // Readiness is the response to a readiness probe.
 type Readiness struct {
 	Ready  bool   `json:"ready"`
-	Reason string `json:"reason,omitempty"` // why the program is not ready, empty if it is
+	Reason string `json:"reason,omitempty"` // reason for which the program is not ready, empty if it is ready
 }
 
 // Process has the resource usage of the process, as the page /process shows it.
--- a/internal/daemon/response.go
+++ b/internal/daemon/response.go
@@ -25,7 +25,7 @@
 type ErrorResponse struct {
 	Code    errs.Code `json:"defect"`
 	Detail  string    `json:"detail,omitempty"`  // text of the error
-	Outcome string    `json:"outcome,omitempty"` // whether the call was executed; empty for a request that is not a call
+	Outcome string    `json:"outcome,omitempty"` // execution outcome of the call; empty for a request that is not a call
 	Faults  any       `json:"faults,omitempty"`  // validation errors of a configuration change; nil for other requests
 }
 
--- a/internal/errs/codes.go
+++ b/internal/errs/codes.go
@@ -39,7 +39,7 @@
 	IdempotencyKeyReused      Code = "IDEMPOTENCY_KEY_REUSED"    // the key was used for a request with another body
 	IdempotencyKeyUnresolved  Code = "IDEMPOTENCY_KEY_UNSETTLED" // the outcome of an earlier request under the key is not known
 	IdempotencyKeyNotReserved Code = "IDEMPOTENCY_KEY_UNCLAIMED" // no majority of registries reserved the key
-	InvalidResponse           Code = "BAD_ANSWER"                // what was received is not a valid response
+	InvalidResponse           Code = "BAD_ANSWER"                // a worker or another mesh process sent something that is not a valid response
 	PeerConnectionLost        Code = "LINK_LOST"                 // a connection to another mesh process broke after it was opened
 	PeerConnectFailed         Code = "LINK_UNOPENED"             // a connection to another mesh process was never opened: nothing was sent
 	WorkerConnectionLost      Code = "WORKER_LOST"               // a connection to a worker broke after it was opened
--- a/internal/errs/error.go
+++ b/internal/errs/error.go
@@ -9,7 +9,7 @@
 // Error is an error with a code.
 type Error struct {
 	Code   Code
-	Detail string // what failed and on which object; may be shown to callers and operators, may be empty
+	Detail string // description of the failure and its object, may be empty; callers and operators may see it
 	cause  error  // wrapped error with the stack trace of the first Wrap; nil for an Error of New
 }
 
--- a/internal/flag/compile.go
+++ b/internal/flag/compile.go
@@ -12,7 +12,7 @@
 // Fault is a validation error in the definition of a flag or segment.
 type Fault struct {
 	Path   string // path of the invalid part, such as flag.KEY.rules[0]
-	Reason string // what is wrong with it, shown to operators
+	Reason string // reason for which the part is invalid, shown to operators
 }
 
 // Compile prepares every definition of the set for evaluation, and returns every fault. A set with faults can still
--- a/internal/flag/model.go
+++ b/internal/flag/model.go
@@ -95,7 +95,7 @@
 // Flag is the definition of a flag. Its other fields refer to a variation by the index in Variations.
 type Flag struct {
 	Key           string         `json:"key"`                     // unique among all flags
-	On            bool           `json:"on"`                      // if false, every context gets OffVariation
+	On            bool           `json:"on"`                      // turns the flag on; a flag that is off serves OffVariation to every context
 	Salt          string         `json:"salt"`                    // hashed with Key, so that flags have independent buckets
 	Variations    []string       `json:"variations"`              // names of versions or services
 	OffVariation  int            `json:"offVariation"`            // served if the flag is off or a prerequisite is not met
