--- a/internal/fakebackend/bounds.go
+++ b/internal/fakebackend/bounds.go
@@ -2,26 +2,32 @@
 
 import "time"
 
-// The bounds of what must never happen, as the users' rules have them; docs/brief.md lists the rules.
+// Limits of the invariants that the simulator and the testbed check. They are the users' requirements, which
+// docs/brief.md lists.
 const (
-	// DrainingBound is the time after which a worker that said it is draining gets no new calls.
+	// DrainingBound is how long a worker that has reported that it is draining may still get new calls.
 	DrainingBound = 2 * time.Second
-	// ConfigPropagationBound is the time after which no call is handled by a configuration older than an acknowledged
-	// change.
+	// ConfigPropagationBound is how long after the acknowledgement of a change calls may still be handled by an
+	// older configuration.
 	ConfigPropagationBound = 2 * time.Second
-	// ConfigRegressionBound is the time after which a proxy that used a configuration uses no older one.
+	// ConfigRegressionBound is how long a proxy that has used a configuration may still use an older one.
 	ConfigRegressionBound = 250 * time.Millisecond
 
-	// In any RetryBudgetWindow, a service's extra attempts stay within RetryBudgetRatio of its calls and
-	// RetryBudgetFloor besides.
+	// RetryBudgetWindow is the length of the sliding window in which the retries of a service are limited. They may
+	// not exceed RetryBudgetRatio of the service's calls in the window, plus RetryBudgetFloor.
 	RetryBudgetWindow = 10 * time.Second
-	RetryBudgetRatio  = 0.2
-	RetryBudgetFloor  = 60
+	// RetryBudgetRatio is the fraction of a service's calls in a window that may be retried.
+	RetryBudgetRatio = 0.2
+	// RetryBudgetFloor is the number of retries that a service may make in a window in any case.
+	RetryBudgetFloor = 60
 
-	// A faulty version gets no more than FaultyVersionRatio of its service's calls and FaultyVersionFloor besides, and
-	// none later than FaultyVersionBound after its FaultyVersionFailures-th failure.
-	FaultyVersionRatio    = 0.1
-	FaultyVersionFloor    = 50
+	// FaultyVersionRatio is the fraction of its service's calls that a faulty version may get. FaultyVersionFloor
+	// calls are allowed in addition.
+	FaultyVersionRatio = 0.1
+	// FaultyVersionFloor is the number of calls that a faulty version may get in any case.
+	FaultyVersionFloor = 50
+	// FaultyVersionFailures is the number of failures after which a faulty version must be taken out of service.
 	FaultyVersionFailures = 50
-	FaultyVersionBound    = 5 * time.Second
+	// FaultyVersionBound is how long after its FaultyVersionFailures-th failure a version may still get calls.
+	FaultyVersionBound = 5 * time.Second
 )
--- a/internal/fakebackend/doc.go
+++ b/internal/fakebackend/doc.go
@@ -1,4 +1,4 @@
-// Package fakebackend is what the fake backends of the simulator and of the testbed have in common: the reply of a
-// fake worker, the bounds by which both judge a run, and the loopback addresses of a run's processes. It owns no
-// state besides the reserved addresses.
+// Package fakebackend holds what the simulator and the testbed share: the reply of a fake worker, the limits of the
+// invariants that both check, and the reservation of a loopback network for the processes of a run. Its only state is
+// the listener that locks each reserved network. All functions may be called concurrently.
 package fakebackend
--- a/internal/fakebackend/fakebackend_test.go
+++ b/internal/fakebackend/fakebackend_test.go
@@ -2,29 +2,29 @@
 
 import "testing"
 
-// A reply is intact only if no field was cut, altered or exchanged for another's.
+// TestIsIntact checks that a new reply is intact, and that a change of any one field is detected.
 func TestIsIntact(t *testing.T) {
 	reply := NewReply("buy", "w1", "xxxx")
 	if !reply.IsIntact() {
-		t.Error("a new reply is not intact")
+		t.Errorf("IsIntact() = false for the new reply %+v, want true", reply)
 	}
 	for name, change := range map[string]func(*Reply){
-		"operation": func(r *Reply) { r.Operation = "look" },
-		"worker":    func(r *Reply) { r.Worker = "w2" },
-		"filler":    func(r *Reply) { r.Filler = "xxx" },
-		"checksum":  func(r *Reply) { r.Checksum++ },
+		"another operation is detected": func(r *Reply) { r.Operation = "look" },
+		"another worker is detected":    func(r *Reply) { r.Worker = "w2" },
+		"a cut filler is detected":      func(r *Reply) { r.Filler = "xxx" },
+		"a wrong checksum is detected":  func(r *Reply) { r.Checksum++ },
 	} {
 		t.Run(name, func(t *testing.T) {
 			changed := reply
 			change(&changed)
 			if changed.IsIntact() {
-				t.Error("the change was not noticed")
+				t.Errorf("IsIntact() = true for %+v, made from %+v; want false", changed, reply)
 			}
 		})
 	}
 }
 
-// Two runs at once reserve different networks.
+// TestReserveLoopbackNet checks that two reservations that are held at the same time get different networks.
 func TestReserveLoopbackNet(t *testing.T) {
 	first, firstLock, err := ReserveLoopbackNet()
 	if err != nil {
@@ -37,6 +37,6 @@
 	}
 	defer func() { _ = secondLock.Close() }()
 	if first == second {
-		t.Errorf("both reserved %d", first)
+		t.Errorf("ReserveLoopbackNet() = %d twice, want two different networks", first)
 	}
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -1,5 +1,5 @@
-// Package golden_test holds golden lists of what operators, callers and workers see by name, where a
-// list takes in more than one package. There is nothing here but tests.
+// Package golden_test compares the names that operators, callers and workers see with golden files, where one file
+// covers several packages. It holds only tests.
 package golden_test
 
 import (
@@ -31,8 +31,8 @@
 	"meadowhinge/schema"
 )
 
-// TestPageKeysGolden compares the JSON keys of every page and of every body that is sent to one with
-// the golden lists. A renamed field without its tag would change a key in silence.
+// TestPageKeysGolden compares the JSON keys of every status page, operator request and operator response with the
+// golden files. It guards against a renamed Go field without a JSON tag, which would silently rename its key.
 func TestPageKeysGolden(t *testing.T) {
 	for name, page := range map[string]any{
 		"probe-ready":             daemon.Readiness{},
@@ -66,66 +66,68 @@
 		"item-segment":            flag.Segment{},
 	} {
 		t.Run(name, func(t *testing.T) {
-			goldenfile.Compare(t, name+".txt", strings.Join(keysOf(t, page), "\n")+"\n")
+			goldenfile.Compare(t, name+".txt", strings.Join(jsonPathsOf(t, page), "\n")+"\n")
 		})
 	}
 }
 
-// TestWordsGolden compares the words that counts, verdicts and headers are made of with the golden list.
+// TestWordsGolden compares the enum values and header names of the public interfaces with the golden file.
 func TestWordsGolden(t *testing.T) {
-	var listed strings.Builder
+	var listing strings.Builder
 	section := func(name string, words ...string) {
-		fmt.Fprintf(&listed, "%s: %s\n", name, strings.Join(words, " "))
+		fmt.Fprintf(&listing, "%s: %s\n", name, strings.Join(words, " "))
 	}
-	section("verdict reason", textsOf([]flag.Reason{flag.ReasonError, flag.ReasonOff, flag.ReasonPrerequisite, flag.ReasonTarget, flag.ReasonRule, flag.ReasonFallthrough,
+	section("verdict reason", stringsOf([]flag.Reason{flag.ReasonError, flag.ReasonOff, flag.ReasonPrerequisite, flag.ReasonTarget, flag.ReasonRule, flag.ReasonFallthrough,
 		plan.ReasonPoolEmpty, plan.ReasonVersionBlocked, plan.ReasonPolicy, plan.ReasonSplitEmpty, plan.ReasonNoVersion})...)
-	section("verdict error", textsOf([]flag.ErrorCode{flag.FlagNotFound, flag.KeyMissing, flag.MalformedFlag})...)
-	section("route class", textsOf([]config.Class{config.ClassNonIdempotent, config.ClassIdempotent})...)
+	section("verdict error", stringsOf([]flag.ErrorCode{flag.FlagNotFound, flag.KeyMissing, flag.MalformedFlag})...)
+	section("route class", stringsOf([]config.Class{config.ClassNonIdempotent, config.ClassIdempotent})...)
 	section("release state", release.StateCanary, release.StateRamping, release.StateHolding, release.StateDone, release.StateRolledBack)
-	section("plan as operators are told", textsOf([]registry.RolloutStatus{registry.RolloutInProgress, registry.RolloutDone, registry.RolloutRolledBack})...)
-	endings := schema.CallOutcome(0).Descriptor().Values()
-	for i := range endings.Len() {
-		section(fmt.Sprint("outcome ", endings.Get(i).Number()), dispatch.OutcomeName(schema.CallOutcome(endings.Get(i).Number())))
+	section("plan as operators are told", stringsOf([]registry.RolloutStatus{registry.RolloutInProgress, registry.RolloutDone, registry.RolloutRolledBack})...)
+	outcomes := schema.CallOutcome(0).Descriptor().Values()
+	for i := range outcomes.Len() {
+		section(fmt.Sprint("outcome ", outcomes.Get(i).Number()), dispatch.OutcomeName(schema.CallOutcome(outcomes.Get(i).Number())))
 	}
 	section("headers", dispatch.HeaderRequest, dispatch.HeaderDeadline, dispatch.HeaderOutcome, dispatch.HeaderVersion, dispatch.HeaderReason, dispatch.HeaderConfigRevision,
 		dispatch.HeaderAttempts, dispatch.HeaderCaller, dispatch.HeaderToken, dispatch.HeaderRefused)
-	goldenfile.Compare(t, "words.txt", listed.String())
+	goldenfile.Compare(t, "words.txt", listing.String())
 }
 
-// TestProbeGolden asks the probe listener itself, so that paths, statuses and the keys of pages without
-// a type of their own are held too.
+// TestProbeGolden compares the responses of a running probe listener with the golden file. Unlike
+// TestPageKeysGolden it also covers paths, status codes and pages that have no Go type of their own.
 func TestProbeGolden(t *testing.T) {
-	held, err := net.Listen("tcp", "127.0.0.1:0")
+	// The listener finds a free port; it is closed so that the probe listener can use it.
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	address := held.Addr().String()
-	if err := held.Close(); err != nil {
+	address := listener.Addr().String()
+	if err := listener.Close(); err != nil {
 		t.Fatal(err)
 	}
 	ready := atomic.Bool{}
-	frame := &daemon.Environment{Recorder: flightrecorder.New("", "golden", 4), Draining: &atomic.Bool{}}
-	frame.AddPage("/page", func() any { return map[string]int{"own": 1} })
-	frame.AddReadinessPath("/elsewhere")
-	if err := frame.ServeProbes(address, func() daemon.Readiness { return daemon.Readiness{Ready: ready.Load(), Reason: "young"} }); err != nil {
+	environment := &daemon.Environment{Recorder: flightrecorder.New("", "golden", 4), Draining: &atomic.Bool{}}
+	environment.AddPage("/page", func() any { return map[string]int{"own": 1} })
+	environment.AddReadinessPath("/elsewhere")
+	if err := environment.ServeProbes(address, func() daemon.Readiness { return daemon.Readiness{Ready: ready.Load(), Reason: "young"} }); err != nil {
 		t.Fatal(err)
 	}
-	var listed strings.Builder
-	ask := func(state string, paths ...string) {
+	var listing strings.Builder
+	request := func(state string, paths ...string) {
 		for _, path := range paths {
-			fmt.Fprintf(&listed, "%s, %s: %s\n", state, path, asked(t, "http://"+address+path))
+			fmt.Fprintf(&listing, "%s, %s: %s\n", state, path, describeResponse(t, "http://"+address+path))
 		}
 	}
-	ask("not ready", "/live", "/ready", "/elsewhere", "/process", "/page", "/journal", "/nowhere")
+	request("not ready", "/live", "/ready", "/elsewhere", "/process", "/page", "/journal", "/nowhere")
 	ready.Store(true)
-	ask("ready", "/ready", "/elsewhere")
-	frame.Draining.Store(true)
-	ask("draining", "/ready", "/elsewhere", "/live")
-	goldenfile.Compare(t, "probe.txt", listed.String())
+	request("ready", "/ready", "/elsewhere")
+	environment.Draining.Store(true)
+	request("draining", "/ready", "/elsewhere", "/live")
+	goldenfile.Compare(t, "probe.txt", listing.String())
 }
 
-// asked gives a page's status, form and keys; of readiness also what it says.
-func asked(t *testing.T, url string) string {
+// describeResponse requests a page and returns its status code, content type and JSON paths, and the values of the
+// keys that state readiness or an error.
+func describeResponse(t *testing.T, url string) string {
 	t.Helper()
 	client := &http.Client{Timeout: 3 * time.Second}
 	response, err := client.Get(url)
@@ -137,50 +139,51 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	said := fmt.Sprintf("%d %s", response.StatusCode, response.Header.Get("Content-Type"))
+	described := fmt.Sprintf("%d %s", response.StatusCode, response.Header.Get("Content-Type"))
 	var body map[string]any
 	if json.Unmarshal(text, &body) == nil {
-		found := map[string]bool{}
-		walk("", body, found)
-		said += " " + strings.Join(sorted(found), "; ")
+		paths := map[string]bool{}
+		collectPaths("", body, paths)
+		described += " " + strings.Join(sortedPaths(paths), "; ")
 		for _, key := range []string{"defect", "reason", "ready"} {
 			if value, has := body[key]; has {
-				said += fmt.Sprintf("; %s=%v", key, value)
+				described += fmt.Sprintf("; %s=%v", key, value)
 			}
 		}
 	}
-	return said
+	return described
 }
 
-// TestStatusOfRefusalGolden holds how an error is answered to callers and operators: the status of its
-// kind, and the body's own words.
-func TestStatusOfRefusalGolden(t *testing.T) {
-	var listed strings.Builder
-	for _, kind := range errs.Codes() {
-		status, refusal := daemon.NewErrorResponse(errs.New(kind, "detail"), "not-run", []string{"fault"})
-		text, err := json.Marshal(refusal)
+// TestErrorResponsesGolden compares the HTTP status and the body of the response to each error code with the golden
+// file.
+func TestErrorResponsesGolden(t *testing.T) {
+	var listing strings.Builder
+	for _, code := range errs.Codes() {
+		status, response := daemon.NewErrorResponse(errs.New(code, "detail"), "not-run", []string{"fault"})
+		text, err := json.Marshal(response)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&listed, "%d %s\n", status, text)
+		fmt.Fprintf(&listing, "%d %s\n", status, text)
 	}
-	goldenfile.Compare(t, "refusals.txt", listed.String())
+	goldenfile.Compare(t, "refusals.txt", listing.String())
 }
 
-func textsOf[T ~string](words []T) []string {
+// stringsOf converts values of a string type to strings.
+func stringsOf[T ~string](values []T) []string {
 	var texts []string
-	for _, word := range words {
-		texts = append(texts, string(word))
+	for _, value := range values {
+		texts = append(texts, string(value))
 	}
 	return texts
 }
 
-// keysOf encodes a value of which every field is set and lists the key paths of what came out, each with
-// its JSON type.
-func keysOf(t *testing.T, page any) []string {
+// jsonPathsOf encodes a value of page's type with every field set, and lists the path and the JSON type of each leaf
+// of the encoding.
+func jsonPathsOf(t *testing.T, page any) []string {
 	t.Helper()
 	value := reflect.New(reflect.TypeOf(page)).Elem()
-	fill(value, 0)
+	setAllFields(value, 0)
 	text, err := json.Marshal(value.Interface())
 	if err != nil {
 		t.Fatal(err)
@@ -189,46 +192,46 @@
 	if err := json.Unmarshal(text, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	found := map[string]bool{}
-	walk("", decoded, found)
-	return sorted(found)
+	paths := map[string]bool{}
+	collectPaths("", decoded, paths)
+	return sortedPaths(paths)
 }
 
-// depthMost ends the filling of types that hold themselves.
-const depthMost = 8
+// maxFillDepth bounds the depth to which setAllFields fills a recursive type.
+const maxFillDepth = 8
 
-// fill sets every exported field to what is not its zero value, so that no omitempty hides a key.
-func fill(value reflect.Value, depth int) {
-	if depth > depthMost {
+// setAllFields sets every exported field to a value other than its zero value, so that omitempty hides no key.
+func setAllFields(value reflect.Value, depth int) {
+	if depth > maxFillDepth {
 		return
 	}
-	switch at := value.Addr().Interface().(type) {
+	switch target := value.Addr().Interface().(type) {
 	case *time.Time:
-		*at = time.Unix(1, 0).UTC()
+		*target = time.Unix(1, 0).UTC()
 		return
 	case *json.RawMessage:
-		*at = json.RawMessage(`"raw"`)
+		*target = json.RawMessage(`"raw"`)
 		return
 	}
 	switch value.Kind() {
 	case reflect.Pointer:
 		value.Set(reflect.New(value.Type().Elem()))
-		fill(value.Elem(), depth+1)
+		setAllFields(value.Elem(), depth+1)
 	case reflect.Struct:
 		for i := range value.NumField() {
 			if value.Type().Field(i).IsExported() {
-				fill(value.Field(i), depth+1)
+				setAllFields(value.Field(i), depth+1)
 			}
 		}
 	case reflect.Slice:
 		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
-		fill(value.Index(0), depth+1)
+		setAllFields(value.Index(0), depth+1)
 	case reflect.Map:
-		key, held := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
-		fill(key, depth+1)
-		fill(held, depth+1)
+		key, element := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+		setAllFields(key, depth+1)
+		setAllFields(element, depth+1)
 		value.Set(reflect.MakeMap(value.Type()))
-		value.SetMapIndex(key, held)
+		value.SetMapIndex(key, element)
 	case reflect.Interface:
 		if value.NumMethod() == 0 {
 			value.Set(reflect.ValueOf("*"))
@@ -246,33 +249,33 @@
 	}
 }
 
-// walk collects the paths of all leaves.
-func walk(path string, value any, found map[string]bool) {
+// collectPaths adds the path and the JSON type of every leaf of a decoded JSON value to paths.
+func collectPaths(path string, value any, paths map[string]bool) {
 	switch value := value.(type) {
 	case map[string]any:
-		for key, held := range value {
-			walk(strings.TrimPrefix(path+"."+key, "."), held, found)
+		for key, element := range value {
+			collectPaths(strings.TrimPrefix(path+"."+key, "."), element, paths)
 		}
 	case []any:
-		for _, held := range value {
-			walk(path+"[]", held, found)
+		for _, element := range value {
+			collectPaths(path+"[]", element, paths)
 		}
 	case string:
-		found[path+" string"] = true
+		paths[path+" string"] = true
 	case bool:
-		found[path+" bool"] = true
+		paths[path+" bool"] = true
 	case float64:
-		found[path+" number"] = true
+		paths[path+" number"] = true
 	default:
-		found[path+" null"] = true
+		paths[path+" null"] = true
 	}
 }
 
-func sorted(found map[string]bool) []string {
-	var paths []string
-	for path := range found {
-		paths = append(paths, path)
+func sortedPaths(paths map[string]bool) []string {
+	var list []string
+	for path := range paths {
+		list = append(list, path)
 	}
-	slices.Sort(paths)
-	return paths
+	slices.Sort(list)
+	return list
 }
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -1,5 +1,5 @@
-// Package goldenfile compares what a test produces with a file of its package's testdata folder. Only tests use it. There is
-// no way to write a file anew: golden files hold names and bytes that must not change.
+// Package goldenfile compares what a test produces with a file in the testdata folder of its package. Only tests use
+// it. It has no switch that updates the files: they hold names and bytes that must not change.
 package goldenfile
 
 import (
@@ -10,7 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Compare fails the test, and shows the lines that differ, unless testdata/golden/name holds exactly the text got.
+// Compare reports an error with the differing lines unless the file testdata/golden/name holds exactly the text got.
+// It ends the test if the file cannot be read.
 func Compare(t *testing.T, name, got string) {
 	t.Helper()
 	file := filepath.Join("testdata", "golden", name)
