--- a/internal/testbed/call_checks.go
+++ b/internal/testbed/call_checks.go
@@ -6,8 +6,8 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// checkExecutedOnce checks that a non-idempotent request is executed at most once, retries of its caller
-// under an idempotency key included.
+// checkExecutedOnce checks that a non-idempotent request is executed at most once, counting the retries that its
+// caller makes under an idempotency key.
 func checkExecutedOnce(h *History, _ *Deployment, result *Finding) {
 	executions := executionsByOperation(h)
 	for _, call := range h.Calls {
@@ -21,8 +21,8 @@
 	}
 }
 
-// checkNotExecuted checks that a request whose outcome is not-run has no execution. A retry of its caller
-// may be executed under the same operation: only the attempt that was rejected may not.
+// checkNotExecuted checks that a request with the outcome not-run was not executed. Only the attempt that got this
+// outcome counts, because a retry of its caller has the same operation and may be executed.
 func checkNotExecuted(h *History, _ *Deployment, result *Finding) {
 	executions := executionsByOperation(h)
 	for _, call := range h.Calls {
@@ -38,7 +38,7 @@
 	}
 }
 
-// checkResponses checks that each response is complete, unaltered, and to the request of its caller.
+// checkResponses checks that each answered call got the response to its own request, complete and unaltered.
 func checkResponses(h *History, _ *Deployment, result *Finding) {
 	executions := executionsByOperation(h)
 	for _, call := range h.Calls {
@@ -57,8 +57,8 @@
 	}
 }
 
-// checkExecutionsWereSent checks that each execution is of a request that was sent, to this service, by the
-// caller that the proxy named to the worker.
+// checkExecutionsWereSent checks that each executed request was sent to this service, by the caller that the proxy
+// named to the worker.
 func checkExecutionsWereSent(h *History, _ *Deployment, result *Finding) {
 	sent := map[string]CallEntry{}
 	for _, call := range h.Calls {
@@ -76,8 +76,8 @@
 	}
 }
 
-// checkRetryBudget checks, for each service and each window that ends with a call, that attempts beyond the
-// first stay within a part of the calls plus a floor.
+// checkRetryBudget checks the retry budget of each service, in every window that ends with a call. The retries of
+// proxies may not exceed RetryBudgetRatio of the calls in the window plus RetryBudgetFloor.
 func checkRetryBudget(h *History, _ *Deployment, result *Finding) {
 	byService := map[string][]CallEntry{}
 	for _, call := range h.Calls {
@@ -101,8 +101,8 @@
 	}
 }
 
-// checkLostResponses checks that a request that was executed gets a response, unless an unplanned fault was
-// active: planned work, such as a restart, may not cost one.
+// checkLostResponses checks that an executed request got a response, unless a fault that may cause rejections was
+// active. Planned work such as a restart must not lose a response.
 func checkLostResponses(h *History, _ *Deployment, result *Finding) {
 	executions := executionsByOperation(h)
 	for _, call := range h.Calls {
@@ -117,8 +117,9 @@
 	}
 }
 
-// checkDisconnectsReachWorkers checks that an idempotent request ends at its worker soon after its caller
-// disconnected, unless a fault may have delayed the messages between proxies. It is off without a bound.
+// checkDisconnectsReachWorkers checks that the execution of an idempotent request ends within DisconnectBound after its
+// caller disconnected, unless a fault may have delayed messages between proxies. It checks nothing if DisconnectBound
+// is 0.
 func checkDisconnectsReachWorkers(h *History, _ *Deployment, result *Finding) {
 	if h.DisconnectBound == 0 {
 		return
@@ -143,7 +144,7 @@
 	}
 }
 
-// checkDisconnectCounts checks the counts that proxies keep of disconnected callers against each other.
+// checkDisconnectCounts checks that the counts of disconnected callers that each proxy keeps are consistent.
 func checkDisconnectCounts(h *History, _ *Deployment, result *Finding) {
 	for incarnation, counts := range h.Disconnects {
 		result.Checked += int(counts.Detected + counts.Dequeued + counts.Canceled + counts.RanToEnd)
@@ -153,8 +154,8 @@
 	}
 }
 
-// checkRejections checks that no request is rejected unless a fault may have caused it. It is off for runs
-// on machines whose speed is not to be relied on.
+// checkRejections checks that no request is rejected unless a fault may have caused it. It checks nothing unless
+// CheckRejections is set.
 func checkRejections(h *History, _ *Deployment, result *Finding) {
 	if !h.CheckRejections {
 		return
--- a/internal/testbed/config_checks.go
+++ b/internal/testbed/config_checks.go
@@ -8,7 +8,7 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// checkVersionsAllowed checks that only versions which the configuration lists execute requests.
+// checkVersionsAllowed checks that only versions that the configuration lists execute requests.
 func checkVersionsAllowed(h *History, _ *Deployment, result *Finding) {
 	for _, execution := range h.Executions {
 		result.Checked++
@@ -18,8 +18,8 @@
 	}
 }
 
-// checkDrainedWorkers checks that a worker gets no request once it has been draining, or dead, for longer
-// than the bound.
+// checkDrainedWorkers checks that a worker gets no request later than DrainingBound after it began to drain or was
+// killed.
 func checkDrainedWorkers(h *History, _ *Deployment, result *Finding) {
 	exits := map[string]time.Duration{}
 	for _, exit := range h.WorkerExits {
@@ -37,8 +37,8 @@
 	}
 }
 
-// checkConfigPropagation checks that a request sent well after a change was acknowledged is handled by that
-// change's configuration revision or a later one.
+// checkConfigPropagation checks that a request sent later than ConfigPropagationBound after a change was acknowledged
+// is handled by that change's configuration revision or a newer one.
 func checkConfigPropagation(h *History, _ *Deployment, result *Finding) {
 	acknowledged := acknowledgedRevisions(h)
 	for _, call := range h.Calls {
@@ -59,8 +59,8 @@
 	}
 }
 
-// acknowledgedRevisions lists the acknowledged changes by the time of the acknowledgement. The Sequence of
-// each is the highest that was acknowledged by then.
+// acknowledgedRevisions returns the acknowledged changes, ordered by the time of acknowledgement. The Sequence of each
+// is raised to the highest that was acknowledged by then.
 func acknowledgedRevisions(h *History) []ChangeEntry {
 	var acknowledged []ChangeEntry
 	for _, change := range h.Changes {
@@ -75,14 +75,16 @@
 	return acknowledged
 }
 
-// checkConfigRegression checks that no node shows a configuration older than one that it had shown a bound
-// before. Views overlap in time, so a view is compared with those received a bound before it was requested.
+// checkConfigRegression checks that no node shows an older configuration than it showed ConfigRegressionBound before.
+// Requests for views overlap in time, so a view is compared with those that were received that long before it was
+// requested.
 func checkConfigRegression(h *History, _ *Deployment, result *Finding) {
 	for node, views := range configViewsByNode(h) {
 		byReceived := slices.Clone(views)
 		sort.Slice(byReceived, func(i, j int) bool { return byReceived[i].Received < byReceived[j].Received })
 		sort.Slice(views, func(i, j int) bool { return views[i].Requested < views[j].Requested })
-		// Both lists are swept together: highest is of the views before next, all received early enough.
+		// Both lists are traversed together. highest is the newest revision among byReceived[:next], which holds the
+		// views that were received early enough.
 		highest, next := uint64(0), 0
 		for _, view := range views {
 			for next < len(byReceived) && byReceived[next].Received+fakebackend.ConfigRegressionBound < view.Requested {
@@ -97,7 +99,8 @@
 	}
 }
 
-// configViewsByNode groups what nodes showed: registries to operators, proxies in responses to calls.
+// configViewsByNode groups the observed configurations by node. Registries show theirs to operators; proxies report
+// their revision in responses to calls.
 func configViewsByNode(h *History) map[string][]ConfigViewEntry {
 	views := map[string][]ConfigViewEntry{}
 	for _, view := range h.ConfigViews {
@@ -116,7 +119,7 @@
 	return views
 }
 
-// checkInvalidChanges checks that invalid changes are rejected, and that no node shows an item of one.
+// checkInvalidChanges checks that no invalid change is accepted and that no node shows an item of one.
 func checkInvalidChanges(h *History, _ *Deployment, result *Finding) {
 	changeByItem := map[string]string{}
 	for _, change := range h.Changes {
@@ -138,8 +141,8 @@
 	}
 }
 
-// checkFaultyVersions checks how many calls a version gets once it is faulty, and that it gets none once
-// enough of them have failed.
+// checkFaultyVersions checks that a faulty version gets at most FaultyVersionRatio of its service's calls plus
+// FaultyVersionFloor, and none later than FaultyVersionBound after its FaultyVersionFailures-th failure.
 func checkFaultyVersions(h *History, _ *Deployment, result *Finding) {
 	for _, faulty := range h.FaultyVersions {
 		ofService, onVersion, failures := h.executionsOnFaulty(faulty)
@@ -160,8 +163,8 @@
 	}
 }
 
-// executionsOnFaulty counts a service's executions since its version turned faulty, and lists the times of
-// those on the version and of those that failed.
+// executionsOnFaulty counts the executions of a service since one of its versions became faulty. It also returns the
+// times of the executions on this version, and of those to which the fault applied.
 func (h *History) executionsOnFaulty(faulty FaultyVersionEntry) (ofService int, onVersion, failures []time.Duration) {
 	for _, execution := range h.Executions {
 		if execution.Service != faulty.Service || execution.At < faulty.From {
@@ -179,7 +182,7 @@
 	return ofService, onVersion, failures
 }
 
-// checkAcknowledgedChanges checks that every acknowledged change still has its outcome at the end.
+// checkAcknowledgedChanges checks that every acknowledged change still had its outcome at the end of the run.
 func checkAcknowledgedChanges(h *History, _ *Deployment, result *Finding) {
 	result.Checked = h.SurvivedChanges + len(h.LostChanges)
 	for _, lost := range h.LostChanges {
--- a/internal/testbed/doc.go
+++ b/internal/testbed/doc.go
@@ -1,14 +1,17 @@
-// Package testbed brings up fleets of the mesh's real processes on this machine, puts load and faults on them,
-// and checks or measures what callers, workers and operators outside the mesh see.
+// Package testbed brings up fleets of the mesh's real processes on this machine, puts load and faults on them, and
+// checks or measures what callers, workers and operators observe from outside the mesh.
 //
-// There are three kinds of runs. Run and Soak put a scenario of faults on a fleet of a Deployment, record what
-// is seen in a History, and check that against the invariants: what must never happen, whatever the faults.
-// RunHollow and RunSlopes measure what a mesh costs, with many proxies without listeners (hollow members, in
-// this process) on a real core. RunCalls measures what a call through real proxies costs.
+// There are three kinds of runs:
+//   - Run and Soak inject the faults of a scenario into a fleet of a Deployment, record what is observed in a History,
+//     and check it against the invariants. These must hold whatever the faults.
+//   - RunHollow and RunSlopes measure what the mesh itself costs. Their proxies are hollow members: proxies without
+//     listeners that run in this process, as members of a core of real processes.
+//   - RunCalls measures what a call through real proxies costs.
 //
-// A run owns a folder with the data, settings, certificates and logs of its processes, and a part of the
-// loopback net that is reserved for it; runs may go on at the same time. Within a run, callers, workers,
-// operators and faults run in goroutines of their own; History is what they share, under its lock. The package
-// is used by cmd/testbed and by its own tests, and knows the mesh by its programs and protocols alone, but for
-// hollow members.
+// A run owns a folder with the data, settings, certificates and logs of its processes. It also owns a loopback network
+// that is reserved for it, so several runs may go on at the same time. Within a run, callers, workers, operators and
+// fault injection have goroutines of their own and share a History, which is guarded by its lock.
+//
+// The package is used by cmd/testbed and by tests. Except for hollow members, it uses the mesh only through its
+// programs and protocols.
 package testbed
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// firstWorker is the worker that the standard scenario drains and ends.
+// firstWorker returns the worker that the standard scenario drains and ends.
 func (r *testRun) firstWorker() *Worker { return r.workers[0] }
 
-// middleProxy is the proxy that scenarios kill and restart.
+// middleProxy returns the proxy that scenarios kill and restart.
 func (r *testRun) middleProxy() *Process { return r.fleet.Proxies[r.options.Deployment.Edges/2] }
 
-// killCore kills a core machine's processes; startCore starts them again. Both report the target.
+// killCore kills the processes of the i-th core machine and returns the name of its store.
 func (r *testRun) killCore(i int) string {
 	r.fleet.Stores[i].Kill()
 	r.fleet.Registries[i].Kill()
 	return r.fleet.Stores[i].Name
 }
 
-// startCore starts a core machine's processes and reports the target, with the errors.
+// startCore starts the processes of the i-th core machine. It returns the name of its store and the errors of both
+// starts, which are nil on success.
 func (r *testRun) startCore(i int) string {
 	return fmt.Sprint(r.fleet.Stores[i].Name, " ", r.fleet.Stores[i].Start(), r.fleet.Registries[i].Start())
 }
 
-// forCoreProcesses applies something to both processes of a core machine.
+// forCoreProcesses calls apply for both processes of the i-th core machine and returns the name of its store.
 func (r *testRun) forCoreProcesses(i int, apply func(*Process)) string {
 	apply(r.fleet.Stores[i])
 	apply(r.fleet.Registries[i])
 	return r.fleet.Stores[i].Name
 }
 
-// corePairs lists the ordered pairs of core members that are chosen.
+// corePairs lists the ordered pairs of different core members for which chosen returns true.
 func (r *testRun) corePairs(chosen func(i, j int) bool) [][2]int {
 	var pairs [][2]int
 	for i := range r.options.Deployment.CoreMembers {
@@ -44,7 +45,7 @@
 	return pairs
 }
 
-// coreLinks lists the links from one core machine to another that are chosen.
+// coreLinks lists the links between core machines for which chosen returns true, each direction separately.
 func (r *testRun) coreLinks(chosen func(i, j int) bool) [][2]string {
 	var links [][2]string
 	for _, pair := range r.corePairs(chosen) {
@@ -53,7 +54,7 @@
 	return links
 }
 
-// partitionCore cuts the links from one core machine to another that are chosen, and names them.
+// partitionCore cuts the links between core machines for which chosen returns true, and returns their names.
 func (r *testRun) partitionCore(chosen func(i, j int) bool) string {
 	r.setLinks(r.coreLinks(chosen), r.fleet.LinkFaults.SetPartitioned)
 	var names []string
@@ -63,13 +64,13 @@
 	return strings.Join(names, " ")
 }
 
-// partitionEdge cuts every link of an edge machine.
+// partitionEdge cuts every link of an edge machine and returns the name of its proxy.
 func (r *testRun) partitionEdge(edge int) string {
 	r.setLinks(r.linksOfEdge(edge), r.fleet.LinkFaults.SetPartitioned)
 	return r.fleet.Proxies[edge].Name
 }
 
-// coreToEdgeLinks lists every link between a core machine and an edge machine, each direction by itself.
+// coreToEdgeLinks lists every link between a core machine and an edge machine, each direction separately.
 func (r *testRun) coreToEdgeLinks() [][2]string {
 	var links [][2]string
 	for i := range r.options.Deployment.CoreMembers {
@@ -81,19 +82,19 @@
 	return links
 }
 
-// partitionCoreFromEdges cuts the core off from every proxy.
+// partitionCoreFromEdges cuts every link between a core machine and an edge machine.
 func (r *testRun) partitionCoreFromEdges() string {
 	r.setLinks(r.coreToEdgeLinks(), r.fleet.LinkFaults.SetPartitioned)
 	return "all proxies"
 }
 
-// healPartitions ends every fault of a link.
+// healPartitions ends all faults of all links.
 func (r *testRun) healPartitions() string {
 	r.fleet.LinkFaults.Heal()
 	return "all links"
 }
 
-// killThird kills every third proxy; startThird starts them again.
+// killThird kills every third proxy and returns their names.
 func (r *testRun) killThird() string {
 	var names []string
 	for i := 0; i < len(r.fleet.Proxies); i += 3 {
@@ -111,16 +112,16 @@
 	return "all"
 }
 
-// replaceWorkerAt replaces the i-th worker; see replaceWorker.
+// replaceWorkerAt replaces the i-th worker as replaceWorker does.
 func (r *testRun) replaceWorkerAt(i int) string { return r.replaceWorker(r.workers[i]) }
 
-// replaceWorker starts a replacement on the machine of a worker, then drains and ends the old one. The address
-// that this frees goes to a worker of another service. All but the start of the replacement happens in the
-// background.
+// replaceWorker starts a replacement on the machine of a worker, then drains the old worker and ends it. A worker of
+// another service then reuses the old worker's address, so that a proxy with stale data would call the wrong service.
+// It returns the old worker's name once the replacement has been started; the rest happens in the background.
 func (r *testRun) replaceWorker(old *Worker) string {
 	edge := r.edgeOf(old)
 	_ = r.startWorker(r.newWorkerName(old.description.Service), edge, old.description.Service, old.description.Version)
-	// Every proxy knows the replacement before the old worker drains.
+	// The overlap lets every proxy learn about the replacement before the old worker drains.
 	go func() {
 		time.Sleep(replacementOverlap)
 		_ = old.Drain()
@@ -136,10 +137,12 @@
 	return old.name
 }
 
-// replacementOverlap is how long a replacement runs before the old worker drains, and how long that one drains.
+// replacementOverlap is how long a replacement runs before the old worker drains, and then how long the old worker
+// drains before it ends.
 const replacementOverlap = time.Second
 
-// makeVersionFaulty makes every worker of a service's new version faulty, and records from when.
+// makeVersionFaulty makes every worker of a service's new version faulty, records the time, and returns the name of
+// the service.
 func (r *testRun) makeVersionFaulty(service string, fault *WorkerFault) string {
 	appendEntry(r.history, &r.history.FaultyVersions, FaultyVersionEntry{service, versionNew, r.now()})
 	for _, worker := range r.workers {
@@ -150,7 +153,7 @@
 	return service
 }
 
-// setLinks sets a fault on each of some links, and returns a function that ends it on just those.
+// setLinks sets a fault on each of the links and returns a function that ends the fault on these links only.
 func (r *testRun) setLinks(links [][2]string, set func(from, to string, on bool)) func() {
 	for _, link := range links {
 		set(link[0], link[1], true)
@@ -162,16 +165,16 @@
 	}
 }
 
-// linksOfEdge lists every link of an edge machine, each direction by itself.
+// linksOfEdge lists every link of an edge machine, each direction separately.
 func (r *testRun) linksOfEdge(edge int) [][2]string {
 	var links [][2]string
-	here := r.fleet.edgeAddress(edge)
+	machine := r.fleet.edgeAddress(edge)
 	for i := range r.options.Deployment.CoreMembers {
-		links = append(links, [2]string{r.fleet.coreAddress(i), here}, [2]string{here, r.fleet.coreAddress(i)})
+		links = append(links, [2]string{r.fleet.coreAddress(i), machine}, [2]string{machine, r.fleet.coreAddress(i)})
 	}
 	for other := range r.options.Deployment.Edges {
 		if other != edge {
-			links = append(links, [2]string{r.fleet.edgeAddress(other), here}, [2]string{here, r.fleet.edgeAddress(other)})
+			links = append(links, [2]string{r.fleet.edgeAddress(other), machine}, [2]string{machine, r.fleet.edgeAddress(other)})
 		}
 	}
 	return links
--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -7,142 +7,147 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// CallEntry is one request as its caller saw it. Times of all entries are since the run began.
+// CallEntry is one attempt of a call, as its caller saw it. Times in this and all other entries are measured from the
+// beginning of the run.
 type CallEntry struct {
-	Operation      string        `json:"op"`
-	Caller         string        `json:"caller"`
-	Proxy          string        `json:"proxy"`
-	Service        string        `json:"service"`
-	Route          string        `json:"route"`
-	NonIdempotent  bool          `json:"once"`
-	Keyed          bool          `json:"keyed,omitempty"` // under an idempotency key, which is its operation
-	CallerRetry    int           `json:"ask,omitempty"`   // 0 for the first attempt of the caller, which retries at other proxies
-	Sent           time.Duration `json:"sent"`
-	Received       time.Duration `json:"got"`
-	Status         int           `json:"status"` // 0: no response from the proxy
-	Outcome        string        `json:"outcome"`
-	ErrorCode      string        `json:"defect,omitempty"`
-	Version        string        `json:"version,omitempty"`
-	ConfigRevision uint64        `json:"setup,omitempty"`
-	Attempts       int           `json:"tries"`
-	Echoed         string        `json:"echoed,omitempty"` // the operation that the response says it is for
-	Worker         string        `json:"worker,omitempty"`
-	Intact         bool          `json:"whole"` // the response's own checksum is right
+	Operation      string        `json:"op"`                // unique name of the call, the same for all attempts of its caller
+	Caller         string        `json:"caller"`            // clientCaller or the name of a service
+	Proxy          string        `json:"proxy"`             // name of the proxy that the caller called
+	Service        string        `json:"service"`           // service that the route leads to
+	Route          string        `json:"route"`             // name of the route
+	NonIdempotent  bool          `json:"once"`              // the request must not be executed more than once
+	Keyed          bool          `json:"keyed,omitempty"`   // the request has an idempotency key, which equals Operation
+	CallerRetry    int           `json:"ask,omitempty"`     // number of earlier attempts of the caller, at other proxies
+	Sent           time.Duration `json:"sent"`              // when the caller sent the request
+	Received       time.Duration `json:"got"`               // when the caller got the response or gave up
+	Status         int           `json:"status"`            // HTTP status; 0 if there was no response
+	Outcome        string        `json:"outcome"`           // outcome that the proxy reported, or unsent, unknown or outcomeDisconnected
+	ErrorCode      string        `json:"defect,omitempty"`  // error code of a rejection
+	Version        string        `json:"version,omitempty"` // version of the worker, as the proxy reported it
+	ConfigRevision uint64        `json:"setup,omitempty"`   // configuration that the proxy applied to the call; 0 if it reported none
+	Attempts       int           `json:"tries"`             // number of attempts that the proxy made
+	Echoed         string        `json:"echoed,omitempty"`  // operation that the response names
+	Worker         string        `json:"worker,omitempty"`  // worker that the response names
+	Intact         bool          `json:"whole"`             // the checksum of the response matches its content
 }
 
-// ExecutionEntry is one request as a worker executed it.
+// ExecutionEntry is one execution of a request by a worker.
 type ExecutionEntry struct {
-	Operation   string        `json:"op"`
-	CallerRetry int           `json:"ask,omitempty"`
-	Caller      string        `json:"caller"` // as the proxy said
-	Service     string        `json:"service"`
-	Version     string        `json:"version"`
-	Worker      string        `json:"worker"`
-	At          time.Duration `json:"at"`
-	Faulty      bool          `json:"ill"` // the worker was faulty: it failed, or was far too slow
+	Operation   string        `json:"op"`            // operation that the request named
+	CallerRetry int           `json:"ask,omitempty"` // CallEntry.CallerRetry of the request
+	Caller      string        `json:"caller"`        // caller that the proxy named to the worker
+	Service     string        `json:"service"`       // service of the worker
+	Version     string        `json:"version"`       // version of the worker
+	Worker      string        `json:"worker"`        // name of the worker
+	At          time.Duration `json:"at"`            // when the execution began
+	Faulty      bool          `json:"ill"`           // a WorkerFault applied to the execution
 }
 
-// ExecutionEndEntry is the end of an execution that was asked to take its time; see workDurationHeader.
+// ExecutionEndEntry is the end of an execution whose request asked for a duration; see workDurationHeader.
 type ExecutionEndEntry struct {
-	Operation      string        `json:"op"`
-	Worker         string        `json:"worker"`
-	At             time.Duration `json:"at"`
-	ConnectionLost bool          `json:"broken"` // its connection ended before its time was over
+	Operation      string        `json:"op"`     // operation that the request named
+	Worker         string        `json:"worker"` // name of the worker
+	At             time.Duration `json:"at"`     // when the execution ended
+	ConnectionLost bool          `json:"broken"` // the connection ended before the requested duration was over
 }
 
-// FaultyVersionEntry is a version that is faulty from a time on.
+// FaultyVersionEntry records that all workers of a version became faulty.
 type FaultyVersionEntry struct {
 	Service string        `json:"service"`
 	Version string        `json:"version"`
-	From    time.Duration `json:"from"`
+	From    time.Duration `json:"from"` // when the workers became faulty
 }
 
-// ReleaseEntry is a release plan as an operator saw it.
+// ReleaseEntry is the state of a release plan, as a registry showed it to an operator.
 type ReleaseEntry struct {
-	At                 time.Duration `json:"at"`
-	Release            string        `json:"release"`
-	State              string        `json:"state"`
-	Reason             string        `json:"reason"`
-	SetPoint           float64       `json:"setPoint"`
-	MeasuredPercentage float64       `json:"measured"` // of the executions since the last entry
+	At                 time.Duration `json:"at"`       // when the state was read
+	Release            string        `json:"release"`  // name of the release plan
+	State              string        `json:"state"`    // state of the release plan
+	Reason             string        `json:"reason"`   // reason that the registry gave for the state
+	SetPoint           float64       `json:"setPoint"` // percentage of the calls that the new version is to get
+	MeasuredPercentage float64       `json:"measured"` // percentage of the executions since the last read that the new version got
 }
 
-// ChangeEntry is one configuration change as its operator saw it.
+// ChangeEntry is one configuration change, as its operator saw it.
 type ChangeEntry struct {
-	ID           string        `json:"id"`
-	Invalid      bool          `json:"invalid"` // meant to be rejected
-	Sent         time.Duration `json:"sent"`
-	Answered     time.Duration `json:"got"`
-	Ruling       string        `json:"ruling"`
-	Sequence     uint64        `json:"sequence"`
-	Acknowledged bool          `json:"acknowledged"`
-	InvalidItem  string        `json:"marker,omitempty"` // an item that only an invalid change names
+	ID           string        `json:"id"`               // unique id of the change
+	Invalid      bool          `json:"invalid"`          // the change has to be rejected
+	Sent         time.Duration `json:"sent"`             // when the operator submitted the change
+	Answered     time.Duration `json:"got"`              // when the operator got the response or gave up
+	Ruling       string        `json:"ruling"`           // ruling of the registry; unknown if there was no valid response
+	Sequence     uint64        `json:"sequence"`         // configuration revision that the change made
+	Acknowledged bool          `json:"acknowledged"`     // the registry reported that no proxy uses an older revision any more
+	InvalidItem  string        `json:"marker,omitempty"` // item that only this change names, if it is invalid
 }
 
-// WorkerExitEntry is when a worker reported that it drains, or was killed without.
+// WorkerExitEntry records that a worker reported that it is draining, or that it was killed without such a report.
 type WorkerExitEntry struct {
 	Worker string        `json:"worker"`
 	At     time.Duration `json:"at"`
 }
 
-// ConfigViewEntry is a configuration as a node showed it.
+// ConfigViewEntry is the configuration that a node showed at one time.
 type ConfigViewEntry struct {
-	Node           string        `json:"node"`
-	Requested      time.Duration `json:"asked"`
-	Received       time.Duration `json:"got"`
-	ConfigRevision uint64        `json:"setup"`
-	Items          []string      `json:"items,omitempty"`
+	Node           string        `json:"node"`            // name of the registry or proxy
+	Requested      time.Duration `json:"asked"`           // when the configuration was requested
+	Received       time.Duration `json:"got"`             // when the response was received
+	ConfigRevision uint64        `json:"setup"`           // revision of the configuration
+	Items          []string      `json:"items,omitempty"` // keys of its items; none if a proxy showed only the revision
 }
 
 // FaultEntry is a fault that the run injected.
 type FaultEntry struct {
-	Name               string        `json:"what"`
-	Target             string        `json:"on"`
-	At                 time.Duration `json:"at"`
-	End                time.Duration `json:"end,omitempty"`   // 0: until the next fault
-	MayReject          bool          `json:"costs,omitempty"` // it may cause rejections
-	HitsCore           bool          `json:"core,omitempty"`  // it takes a core machine, which alone is harmless
-	DelaysPeerMessages bool          `json:"mute,omitempty"`  // it delays messages between proxies
+	Name               string        `json:"what"`            // name of the scenario step or random fault
+	Target             string        `json:"on"`              // process, worker or link that the fault acted on
+	At                 time.Duration `json:"at"`              // when the fault began
+	End                time.Duration `json:"end,omitempty"`   // when the fault ended; 0 if it lasts until the next fault
+	MayReject          bool          `json:"costs,omitempty"` // the fault may cause rejections
+	HitsCore           bool          `json:"core,omitempty"`  // the fault affects a core machine; one such fault alone causes no rejections
+	DelaysPeerMessages bool          `json:"mute,omitempty"`  // the fault delays messages between proxies
 }
 
-// History is all that was seen from outside the mesh in one run, and the bounds that it is checked against.
+// History is everything that was observed from outside the mesh in one run, and the limits that it is checked against.
 type History struct {
-	lock           sync.Mutex // guards all lists while the run goes on
+	lock           sync.Mutex // guards all lists and Disconnects during the run
 	Calls          []CallEntry
 	Executions     []ExecutionEntry
 	ExecutionEnds  []ExecutionEndEntry
 	Changes        []ChangeEntry
 	WorkerExits    []WorkerExitEntry
-	ConfigViews    []ConfigViewEntry
-	Faults         []FaultEntry // in the order of their beginnings
+	ConfigViews    []ConfigViewEntry // what registries showed to operators; see configViewsByNode for proxies
+	Faults         []FaultEntry      // ordered by At
 	FaultyVersions []FaultyVersionEntry
 	Releases       []ReleaseEntry
-	// Disconnects are the last counts read from each incarnation of each proxy, by its name and process id.
+	// Disconnects holds the last counts that were read from each incarnation of each proxy. The key is the proxy's
+	// name and process id.
 	Disconnects map[string]dispatch.DisconnectCounts
-	// MisdirectedRequests are requests that a worker rejected because they were meant for another.
+	// MisdirectedRequests describes the requests that a worker rejected because they carried another worker's token.
 	MisdirectedRequests []string
 
-	// Set by verifyAcknowledgedChanges: how many acknowledged changes kept their outcome, and what became of
-	// the others.
+	// SurvivedChanges is the number of acknowledged changes that still had their outcome at the end of the run.
+	// verifyAcknowledgedChanges sets it and LostChanges.
 	SurvivedChanges int
-	LostChanges     []string
-
-	// Lease, DrainingBound, DisconnectBound and CheckRejections are those of Options. DrainingBound is the
-	// rule's 2 s, or more where the speed of the machine is not to be relied on.
-	Lease           time.Duration
-	DrainingBound   time.Duration
+	// LostChanges describes the acknowledged changes that did not.
+	LostChanges []string
+
+	// Lease is Options.Lease.
+	Lease time.Duration
+	// DrainingBound is Options.DrainingBound: the required 2 s, or more on machines of unknown speed.
+	DrainingBound time.Duration
+	// DisconnectBound is Options.DisconnectBound.
 	DisconnectBound time.Duration
+	// CheckRejections is Options.CheckRejections.
 	CheckRejections bool
 }
 
-// appendEntry adds an entry to one of a history's lists, under its lock.
+// appendEntry adds an entry to one of the history's lists, under the history's lock.
 func appendEntry[T any](history *History, list *[]T, entry T) {
 	history.lock.Lock()
 	defer history.lock.Unlock()
 	*list = append(*list, entry)
 }
 
-// addFault records the beginning of a fault and returns its index.
+// addFault records the beginning of a fault and returns its index in Faults.
 func (h *History) addFault(entry FaultEntry) int {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -150,7 +155,7 @@
 	return len(h.Faults) - 1
 }
 
-// setFaultTarget records which process or link a fault hit.
+// setFaultTarget records the process, worker or link that a fault acted on.
 func (h *History) setFaultTarget(index int, target string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -6,16 +6,16 @@
 
 // Finding is the result of checking one invariant against the history of a run.
 type Finding struct {
-	Rule       string   `json:"rule"`
-	Checked    int      `json:"judged"` // how many entries the invariant was checked against; 0 proves nothing
-	Violations int      `json:"breaches"`
-	Examples   []string `json:"examples,omitempty"` // the first maxExamples violations
+	Rule       string   `json:"rule"`               // the invariant, as a sentence
+	Checked    int      `json:"judged"`             // number of entries that were checked; with 0 the invariant was not tested
+	Violations int      `json:"breaches"`           // number of violations
+	Examples   []string `json:"examples,omitempty"` // descriptions of the first maxExamples violations
 }
 
-// maxExamples bounds how many violations of each invariant are described.
+// maxExamples is the number of violations of each invariant that are described.
 const maxExamples = 5
 
-// addViolation counts a violation and describes it, if it is one of the first.
+// addViolation counts a violation and describes it if it is one of the first maxExamples.
 func (f *Finding) addViolation(format string, values ...any) {
 	f.Violations++
 	if len(f.Examples) < maxExamples {
@@ -23,14 +23,15 @@
 	}
 }
 
-// invariant is a rule that must hold of every run, whatever faults it had, and that can be checked from
-// outside the mesh.
+// invariant is a property that must hold in every run, whatever its faults, and that can be checked from outside the
+// mesh.
 type invariant struct {
-	rule  string // as reports show it
+	rule string // the property as a sentence, which reports show
+	// check adds what it checked and the violations that it found to result.
 	check func(h *History, d *Deployment, result *Finding)
 }
 
-// invariants are all rules, in the order of reports.
+// invariants holds all invariants, in the order of reports.
 var invariants = []invariant{
 	{"a once request never runs twice", checkExecutedOnce},
 	{"a request answered not-run never runs", checkNotExecuted},
@@ -50,7 +51,8 @@
 	{"no proper call is turned away without cause", checkRejections},
 }
 
-// CheckInvariants checks the history of a run against every invariant. It holds the history's lock.
+// CheckInvariants checks the history of a run against every invariant and returns one finding for each, in a fixed
+// order. It holds the history's lock meanwhile.
 func CheckInvariants(h *History, d *Deployment) []Finding {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -63,7 +65,7 @@
 	return findings
 }
 
-// executionsByOperation groups what workers executed by the operation that its caller named.
+// executionsByOperation groups the executions by operation.
 func executionsByOperation(h *History) map[string][]ExecutionEntry {
 	executions := map[string][]ExecutionEntry{}
 	for _, execution := range h.Executions {
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -7,7 +7,7 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// validHistory is a history that violates no invariant and has something to check for each.
+// validHistory returns a history that violates no invariant and has at least one entry to check for each.
 func validHistory() *History {
 	s := time.Second
 	return &History{
@@ -35,11 +35,11 @@
 	}
 }
 
-// TestCheckersSeeBreaches checks each invariant on the valid history, where it must check something and hold,
-// and on the same history with one violation, which it must find. Violations are in the invariants' order.
-func TestCheckersSeeBreaches(t *testing.T) {
+// TestInvariantsDetectViolations checks each invariant twice. On the valid history it must check something and find no
+// violation. On the same history with one violation added, it must find that.
+func TestInvariantsDetectViolations(t *testing.T) {
 	s := time.Second
-	violations := []func(*History){
+	violations := []func(*History){ // in the order of invariants
 		func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) },
 		func(h *History) { h.Executions[0].Operation = "2" },
 		func(h *History) { h.Calls[0].Echoed = "2" },
@@ -66,17 +66,17 @@
 		},
 	}
 	if len(violations) != len(invariants) {
-		t.Fatalf("%d violations for %d invariants", len(violations), len(invariants))
+		t.Fatalf("the test has %d violations for %d invariants, want one for each", len(violations), len(invariants))
 	}
 	for i, violate := range violations {
 		t.Run(invariants[i].rule, func(t *testing.T) {
 			history := validHistory()
 			if finding := CheckInvariants(history, nil)[i]; finding.Violations != 0 || finding.Checked == 0 {
-				t.Errorf("%s: on the valid history %+v", finding.Rule, finding)
+				t.Errorf("CheckInvariants() on the valid history: got %+v, want 0 violations and at least 1 checked entry", finding)
 			}
 			violate(history)
 			if finding := CheckInvariants(history, nil)[i]; finding.Violations == 0 {
-				t.Errorf("%s: the violation was not found", finding.Rule)
+				t.Errorf("CheckInvariants() on a history that violates %q: got %+v, want a violation", finding.Rule, finding)
 			}
 		})
 	}
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// operatorInterval is between two changes of an operator in the background.
+// operatorInterval is the time between two changes of a background operator.
 const operatorInterval = 500 * time.Millisecond
 
-// load is everyone who uses or watches the fleet while a scenario runs. Callers outlast the operators and
-// observers, so that the effect of the last changes is seen.
+// load is the set of goroutines that use or observe the fleet while a scenario runs. Callers are stopped last, so that
+// the effect of the operators' last changes is recorded.
 type load struct {
-	stopCallers    chan struct{}
-	stopBackground chan struct{} // operators and observers
+	stopCallers    chan struct{} // closed to stop the callers
+	stopBackground chan struct{} // closed to stop operators and observers
 	callers        sync.WaitGroup
 	background     sync.WaitGroup
 }
 
-// startLoad starts callers, operators and observers. The order in which they are made decides what each draws
-// from the seed.
+// startLoad starts callers, operators and observers. Their order must not change: each draws its random numbers from
+// the seed in turn.
 func (r *testRun) startLoad() *load {
 	l := &load{stopCallers: make(chan struct{}), stopBackground: make(chan struct{})}
 	rng := rand.New(rand.NewPCG(r.options.Seed, 1))
@@ -33,7 +33,7 @@
 	return l
 }
 
-// stop ends operators and observers, then callers, and waits for each.
+// stop stops operators and observers and waits for them, then does the same with callers.
 func (l *load) stop() {
 	close(l.stopBackground)
 	l.background.Wait()
@@ -41,8 +41,8 @@
 	l.callers.Wait()
 }
 
-// makeCallers makes the callers of each edge and links each to its namesakes at other edges, which it uses
-// when a call under an idempotency key got no response.
+// makeCallers makes the callers of each edge machine. Each gets the callers of the same name at other edges as its
+// alternates, through which it retries calls that have an idempotency key.
 func (r *testRun) makeCallers() [][]*Caller {
 	var callers [][]*Caller
 	for edge := range r.options.Deployment.Edges {
@@ -56,7 +56,7 @@
 	return callers
 }
 
-// alternatesOf lists the callers of the same name at other edges than this one.
+// alternatesOf lists the callers with the same name as caller at all edges but the given one.
 func alternatesOf(callers [][]*Caller, edge int, caller *Caller) []*Caller {
 	var alternates []*Caller
 	for other, otherCallers := range callers {
--- a/internal/testbed/options.go
+++ b/internal/testbed/options.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// Options say which fleet a run brings up, and what it goes through. All are set by the caller of Run and
-// not changed after.
+// Options configure a run: its fleet, its load, its faults and the limits of its invariants. The caller of Run sets
+// them; they do not change during the run.
 type Options struct {
-	Deployment   *Deployment
-	Folder       string        // where data and logs go; it must exist
-	Binaries     string        // folder of the programs
-	LoadDuration time.Duration // how long callers send
-	Lease        time.Duration // the fleet's lease
-	Seed         uint64        // of the callers' and the faults' random choices
+	Deployment   *Deployment   // size of the fleet and its load
+	Folder       string        // folder for data and logs; it must exist
+	Binaries     string        // folder of the mesh's programs
+	LoadDuration time.Duration // length of the load, during which the scenario's faults are injected
+	Lease        time.Duration // lease of every process of the fleet
+	Seed         uint64        // seed of all random choices of callers and faults
 	Scenario     string        // a key of Scenarios
-	OnReady      func(*Fleet)  // if set: no load, and the fleet is stopped when this returns
-	WorkerDelay  time.Duration // that a worker takes for a request
-	RateFactor   float64       // multiplies the deployment's request rate
+	OnReady      func(*Fleet)  // if set, there is no load: it is called once the fleet is ready, then the fleet is stopped
+	WorkerDelay  time.Duration // time that a worker takes for each request
+	RateFactor   float64       // factor by which the deployment's request rate is multiplied
 	// DrainingBound is how long a draining worker may still get requests.
 	DrainingBound time.Duration
-	// DisconnectBound is how long a worker may go on with an idempotent request after its caller
-	// disconnected; 0 if that is not checked.
+	// DisconnectBound is how long a worker may continue with an idempotent request after its caller disconnected. The
+	// zero value turns this check off.
 	DisconnectBound time.Duration
-	// CheckRejections checks that requests are rejected only because of faults. That depends on the speed of
-	// the machine.
+	// CheckRejections turns on the check that requests are rejected only because of faults. It needs a machine that is
+	// fast enough for the fleet, as one that is too slow rejects requests without any fault.
 	CheckRejections bool
-	Out             io.Writer // progress
+	Out             io.Writer // progress output
 }
--- a/internal/testbed/random_faults.go
+++ b/internal/testbed/random_faults.go
@@ -10,18 +10,19 @@
 	"time"
 )
 
-// randomFault is a kind of fault that the random scenarios draw.
+// randomFault is a kind of fault that random scenarios draw.
 type randomFault struct {
-	name      string
-	mayReject bool // it may cause rejections
-	hitsCore  bool // it takes a core machine or its disk: only one at a time is promised to be survived
-	inject    func(r *testRun, rng *rand.Rand) (target string, end func())
+	name      string // name in reports; the key of delaysPeerMessages
+	mayReject bool   // the fault may cause rejections
+	hitsCore  bool   // the fault affects a core machine or its disk; the mesh tolerates only one such fault at a time
+	// inject begins the fault. It returns what the fault acts on, and a function that ends the fault.
+	inject func(r *testRun, rng *rand.Rand) (target string, end func())
 }
 
-// noCleanup is the end of a fault that needs none.
+// noCleanup is the end function of a fault that ends by itself.
 func noCleanup() {}
 
-// delaysPeerMessages are the names of faults that delay messages between proxies.
+// delaysPeerMessages holds the names of the random faults that delay messages between proxies.
 var delaysPeerMessages = map[string]bool{
 	"proxy killed":                        true,
 	"a herd of proxies killed":            true,
@@ -31,10 +32,10 @@
 	"lossy links of an edge":              true,
 }
 
-// lossRatio is the part of what is sent that a lossy link loses at first.
+// lossRatio is the fraction of the data sent on a lossy link that is lost and has to be retransmitted.
 const lossRatio = 0.1
 
-// randomFaults are all kinds of random faults. Their order decides what a seed draws.
+// randomFaults holds all kinds of random faults. A seed draws them by index, so their order must not change.
 var randomFaults = []randomFault{
 	{"worker replaced, its address reused", false, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		return r.replaceWorker(r.randomWorker(rng)), noCleanup
@@ -86,16 +87,16 @@
 	}},
 	{"a herd of proxies killed", true, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		var names []string
-		var herd []*Process
+		var killed []*Process
 		for _, proxy := range r.fleet.Proxies {
 			if rng.IntN(3) == 0 {
-				herd = append(herd, proxy)
+				killed = append(killed, proxy)
 				names = append(names, proxy.Name)
 				proxy.Signal(syscall.SIGKILL)
 			}
 		}
 		return strings.Join(names, " "), func() {
-			for _, proxy := range herd {
+			for _, proxy := range killed {
 				proxy.Kill()
 				_ = proxy.Start()
 			}
@@ -152,12 +153,12 @@
 	}},
 	{"core machine back empty", false, true, func(r *testRun, rng *rand.Rand) (string, func()) {
 		i := r.randomCoreMember(rng)
-		on := r.killCore(i)
+		target := r.killCore(i)
 		_ = r.fleet.Stores[i].WipeData()
-		return on, func() { r.startCore(i) }
+		return target, func() { r.startCore(i) }
 	}},
 	{"power lost right after a yes, with the disk", false, true, func(r *testRun, rng *rand.Rand) (string, func()) {
-		// The leader dies as soon as the acknowledgement is out, and its disk with it.
+		// The leader is killed as soon as the change is acknowledged, and its disk is wiped.
 		operator := NewOperator(fmt.Sprint("last-", rng.IntN(1<<30)), r.fleet, r.history, r.now)
 		core := r.randomCoreMember(rng)
 		entry := operator.SubmitChange(core, fmt.Sprintf("segment: last: {salt: \"%d\"}\n", rng.IntN(1<<30)), "")
@@ -180,12 +181,12 @@
 	}},
 	{"storm of changes, fifty a second from two operators", false, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		stop := make(chan struct{})
-		var storming sync.WaitGroup
+		var submitting sync.WaitGroup
 		for _, name := range []string{"cat", "dan"} {
-			own := NewOperator(fmt.Sprint(name, "-", rng.IntN(1<<30)), r.fleet, r.history, r.now)
-			storming.Go(func() { own.ChangeLoop(stop, 40*time.Millisecond, true) })
+			operator := NewOperator(fmt.Sprint(name, "-", rng.IntN(1<<30)), r.fleet, r.history, r.now)
+			submitting.Go(func() { operator.ChangeLoop(stop, 40*time.Millisecond, true) })
 		}
-		return "all", func() { close(stop); storming.Wait() }
+		return "all", func() { close(stop); submitting.Wait() }
 	}},
 	{"setup grows by five hundred routes", false, false, func(r *testRun, rng *rand.Rand) (string, func()) {
 		var text strings.Builder
@@ -198,14 +199,14 @@
 	}},
 }
 
-// Bounds of a series of faults.
+// Limits of forProxiesInSeries.
 const (
-	maxSeries = 4
-	seriesGap = 400 * time.Millisecond
+	maxSeries = 4                      // largest number of proxies in a series
+	seriesGap = 400 * time.Millisecond // time between two proxies
 )
 
-// forProxiesInSeries applies something to several proxies, each seriesGap after the one before, without waiting
-// for that one. The second result waits for all.
+// forProxiesInSeries calls apply for 2 to maxSeries proxies, each seriesGap after the one before. It does not wait for
+// the calls: the returned function does. The first result names the proxies.
 func (r *testRun) forProxiesInSeries(rng *rand.Rand, apply func(*Process)) (string, func()) {
 	first, count := r.randomEdge(rng), 2+rng.IntN(maxSeries-1)
 	var names []string
@@ -221,15 +222,15 @@
 	return strings.Join(names, " "), running.Wait
 }
 
-// randomEdge draws an edge machine.
+// randomEdge draws the index of an edge machine.
 func (r *testRun) randomEdge(rng *rand.Rand) int { return rng.IntN(r.options.Deployment.Edges) }
 
-// randomCoreMember draws a core machine.
+// randomCoreMember draws the index of a core member.
 func (r *testRun) randomCoreMember(rng *rand.Rand) int {
 	return rng.IntN(r.options.Deployment.CoreMembers)
 }
 
-// randomWorker draws a worker that neither drains nor has ended.
+// randomWorker draws a worker of an allowed version that neither drains nor has ended.
 func (r *testRun) randomWorker(rng *rand.Rand) *Worker {
 	r.lock.Lock()
 	defer r.lock.Unlock()
@@ -241,13 +242,14 @@
 	}
 }
 
-// injectWorkerFault makes one worker faulty; the second result ends that.
+// injectWorkerFault makes one worker faulty. It returns the worker's name and a function that ends the fault.
 func (r *testRun) injectWorkerFault(worker *Worker, fault *WorkerFault) (string, func()) {
 	worker.SetFault(fault)
 	return worker.name, func() { worker.SetFault(nil) }
 }
 
-// storeLeader is the core machine whose store leads, as the first store that answers reports; 0 if none does.
+// storeLeader returns the index of the core machine whose store is the leader. It takes the word of the first store
+// that names a known leader, and returns 0 if none does.
 func (r *testRun) storeLeader() int {
 	for _, store := range r.fleet.Stores {
 		var status struct{ Leader string }
--- a/internal/testbed/random_schedule.go
+++ b/internal/testbed/random_schedule.go
@@ -6,38 +6,38 @@
 	"time"
 )
 
-// randomSchedule is how densely random faults are drawn.
+// randomSchedule holds the frequency and the duration of random faults.
 type randomSchedule struct {
-	meanInterval  time.Duration // between the beginnings of two faults
-	maxDuration   time.Duration // of one fault
-	faultFreeTail time.Duration // at the end of the load, in which no fault begins
-	maxActive     int           // faults at the same time
+	meanInterval  time.Duration // mean time between the beginnings of two faults
+	maxDuration   time.Duration // longest duration of a fault
+	faultFreeTail time.Duration // length of the last part of the load, which has no faults
+	maxActive     int           // largest number of faults at the same time
 }
 
-// schedulerInterval is between two looks of the scheduler at its faults.
+// schedulerInterval is the time between two checks of the scheduler for faults that are due to begin or end.
 const schedulerInterval = 100 * time.Millisecond
 
-// activeFault is a random fault that has not ended.
+// activeFault is a random fault that has begun and not ended.
 type activeFault struct {
-	until    time.Duration
-	index    int // in the history's faults
-	hitsCore bool
-	end      func()
+	until    time.Duration // when the fault is due to end, since the run began
+	index    int           // index of the fault in History.Faults
+	hitsCore bool          // the fault affects a core machine
+	end      func()        // ends the fault
 }
 
-// faultScheduler begins and ends random faults. All draws come from its generator, in a fixed order, but what
-// is drawn when depends on the speed of the machine.
+// faultScheduler begins and ends random faults, from one goroutine. All draws come from one generator in a fixed order.
+// Which fault begins when still depends on the speed of the machine.
 type faultScheduler struct {
 	run        *testRun
 	schedule   *randomSchedule
-	rng        *rand.Rand
-	active     []activeFault
-	next       time.Duration // when the next fault is due
-	coreFaulty bool          // a core member is faulty, or has not recovered from its last fault
+	rng        *rand.Rand    // source of all draws, including those of randomFault.inject
+	active     []activeFault // faults that have not ended, in the order of their beginnings
+	next       time.Duration // when the next fault is due to begin, since the run began
+	coreFaulty bool          // a core machine is faulty, or the core has not recovered from its last fault
 }
 
-// runRandomFaults draws faults by the seed, lets them overlap, ends all, measures how long the fleet then takes
-// to recover, and returns at the end of the load's duration.
+// runRandomFaults injects random faults that may overlap, ends them all, and measures how long the fleet then takes to
+// recover. It returns at the end of the load's duration.
 func (r *testRun) runRandomFaults(schedule *randomSchedule, duration time.Duration) {
 	s := &faultScheduler{run: r, schedule: schedule, rng: rand.New(rand.NewPCG(r.options.Seed, 77))}
 	start := r.now()
@@ -58,7 +58,7 @@
 	time.Sleep(duration - (r.now() - start))
 }
 
-// endExpired ends the faults whose time is over.
+// endExpired ends the faults that are due to end.
 func (s *faultScheduler) endExpired() {
 	for i := 0; i < len(s.active); i++ {
 		if fault := s.active[i]; s.run.now() >= fault.until {
@@ -69,8 +69,8 @@
 	}
 }
 
-// checkCore finds out whether the core has recovered from its last fault. Only one fault of the core at a time
-// is promised to be survived, so the next waits for that.
+// checkCore updates coreFaulty. The mesh tolerates only one core fault at a time, so the next may begin only once the
+// core has recovered from the last.
 func (s *faultScheduler) checkCore() {
 	if !s.coreFaulty {
 		return
@@ -79,7 +79,8 @@
 	s.coreFaulty = stillFaulty || !s.run.coreHealthy()
 }
 
-// begin draws a fault and, if it may overlap with those that are active, injects it.
+// begin draws a fault. It drops the fault if too many are active, or if it would be a second core fault at a time;
+// otherwise it injects it.
 func (s *faultScheduler) begin() {
 	r := s.run
 	s.next = r.now() + time.Duration(s.rng.Int64N(int64(2*s.schedule.meanInterval)))
@@ -95,7 +96,7 @@
 		HitsCore:           chosen.hitsCore,
 		DelaysPeerMessages: delaysPeerMessages[chosen.name],
 	}
-	// The entry is there before the fault is: what it causes may be checked against it.
+	// The fault is recorded before it is injected, so that the entry covers everything that the fault causes.
 	index := r.history.addFault(entry)
 	target, end := chosen.inject(r, s.rng)
 	r.history.setFaultTarget(index, target)
@@ -104,23 +105,24 @@
 	s.coreFaulty = s.coreFaulty || chosen.hitsCore
 }
 
-// end ends a fault and records when.
+// end ends a fault and records the time of its end.
 func (s *faultScheduler) end(fault activeFault) {
 	fault.end()
 	name := s.run.history.endFault(fault.index, s.run.now())
 	s.run.logf("%6.1f s:   ended: %s", s.run.now().Seconds(), name)
 }
 
-// coreHealthy tells whether every core member is ready and its registry counts key reservations again.
+// coreHealthy reports whether every store and registry is ready and the key reservations of every registry count
+// towards a majority again.
 func (r *testRun) coreHealthy() bool {
 	for i, store := range r.fleet.Stores {
 		var status struct {
-			ClaimsCount bool `json:"claims_count"`
+			ReservationsAuthoritative bool `json:"claims_count"`
 		}
 		if !store.Ready() || !r.fleet.Registries[i].Ready() {
 			return false
 		}
-		if r.fleet.Registries[i].getPage("/status", &status) != nil || !status.ClaimsCount {
+		if r.fleet.Registries[i].getPage("/status", &status) != nil || !status.ReservationsAuthoritative {
 			return false
 		}
 	}
--- a/internal/testbed/rejections.go
+++ b/internal/testbed/rejections.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// rejected tells whether a call got the mesh's own error, or was lost with its proxy. A call that its proxy
-// never took, or that its caller gave up, is not rejected.
+// rejected reports whether a call got an error of the mesh or lost its response. A call whose proxy refused the
+// connection, or whose caller disconnected, does not count as rejected.
 func (e *CallEntry) rejected() bool {
 	return e.Outcome != "answered" && e.Outcome != "unsent" && e.Outcome != outcomeDisconnected
 }
 
-// rejectionGraceLeases is how many leases after its end a fault may still cause rejections.
+// rejectionGraceLeases is how long after its end a fault may still cause rejections, in leases.
 const rejectionGraceLeases = 2
 
-// faultBehindRejection names a fault that may have caused the rejection of a call; empty if there is none.
-// A fault without an end lasts until the next one.
+// faultBehindRejection returns the name of a fault that may have caused the rejection of a call; empty if there is
+// none. A fault without an end lasts until the next fault begins.
 func (h *History) faultBehindRejection(call CallEntry) string {
 	coreFaults := 0
 	for i, fault := range h.Faults {
@@ -28,7 +28,7 @@
 		if fault.HitsCore {
 			coreFaults++
 		}
-		// The loss of one core machine is harmless; that of two may cost the majority.
+		// The core keeps its majority without one machine, but may lose it without two.
 		if fault.MayReject || coreFaults > 1 {
 			return fault.Name
 		}
@@ -36,11 +36,10 @@
 	return ""
 }
 
-// peerMessageGrace is how long messages between proxies may still be late after the end of a fault that
-// delays them.
+// peerMessageGrace is how long messages between proxies may still be late after the end of a fault that delayed them.
 const peerMessageGrace = 3 * time.Second
 
-// peerMessagesDelayed tells whether messages between proxies may have been delayed at some time of a span.
+// peerMessagesDelayed reports whether messages between proxies may have been delayed at some time between from and to.
 func (h *History) peerMessagesDelayed(from, to time.Duration) bool {
 	for _, fault := range h.Faults {
 		if fault.DelaysPeerMessages && fault.At < to && (fault.End == 0 || fault.End+peerMessageGrace > from) {
--- a/internal/testbed/release_changes.go
+++ b/internal/testbed/release_changes.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// startRelease submits a release plan for a service's new version and reports the ruling.
+// startRelease submits a release plan that raises a service's new version to target percent over the given time. It
+// returns the service and the ruling on the change.
 func (r *testRun) startRelease(service string, target float64, over time.Duration) string {
 	operator := NewOperator("release-"+service, r.fleet, r.history, r.now)
 	text := fmt.Sprintf("release: %q: {service: %q, version: %q, target: %v, over: %q}\n", "to-"+service, service, versionNew, target, over)
 	return service + " " + operator.SubmitChange(1, text, "").Ruling
 }
 
-// churnBatch is how many routes are added, or removed, by one change.
+// churnBatch is the number of routes that one change of churnRoutes adds or removes.
 const churnBatch = 40
 
-// churnRoutes adds a batch of routes, or removes it, and reports the ruling.
+// churnRoutes adds or removes a batch of routes and returns the ruling on the change.
 func (r *testRun) churnRoutes(batch int, adds bool) string {
 	text := removeRoutesText(batch)
 	if adds {
@@ -26,6 +27,7 @@
 	return operator.SubmitChange(batch%r.options.Deployment.CoreMembers, text, "").Ruling
 }
 
+// addRoutesText returns the change, in CUE, that adds a batch of routes to a service.
 func addRoutesText(batch int, service string) string {
 	var text strings.Builder
 	for i := range churnBatch {
@@ -34,6 +36,7 @@
 	return text.String()
 }
 
+// removeRoutesText returns the change, in CUE, that removes the routes of addRoutesText.
 func removeRoutesText(batch int) string {
 	var text strings.Builder
 	text.WriteString("remove: route: [")
@@ -44,11 +47,11 @@
 	return text.String()
 }
 
-// releaseInterval is between two looks at the release plans.
+// releaseInterval is the time between two reads of the release plans.
 const releaseInterval = 2 * time.Second
 
-// watchReleases records set point and measured percentage of each release plan until stop closes, and reports
-// each change of a plan's state.
+// watchReleases records the set point and the measured percentage of each release plan until stop closes. It logs each
+// change of a plan's state.
 func (r *testRun) watchReleases(stop <-chan struct{}) {
 	operator := NewOperator("watcher", r.fleet, r.history, r.now)
 	seen, lastStatus := 0, map[string]string{}
@@ -84,15 +87,16 @@
 	}
 }
 
-// executionsSince gives the executions recorded after the first so many. The history only grows, so they may
-// be read without its lock.
+// executionsSince returns the executions recorded after the first count. Recorded entries never change, so the result
+// may be read without the history's lock.
 func (r *testRun) executionsSince(count int) []ExecutionEntry {
 	r.history.lock.Lock()
 	defer r.history.lock.Unlock()
 	return r.history.Executions[count:]
 }
 
-// percentageOnVersion is the percentage of a service's executions that one version had.
+// percentageOnVersion returns the percentage of a service's executions that were on one version; 0 if the service had
+// none.
 func percentageOnVersion(executions []ExecutionEntry, service, version string) float64 {
 	total, onVersion := 0, 0
 	for _, execution := range executions {
--- a/internal/testbed/rollback_scenarios.go
+++ b/internal/testbed/rollback_scenarios.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// releaseSteps bring in a healthy version while the registry that controls the rollout is lost.
+// releaseSteps is the scenario of the release of a healthy version during which core machines, and with them the
+// registry that controls the rollout, are killed.
 var releaseSteps = []scenarioStep{
 	{0.02, "release plan stated", func(r *testRun) string { return r.startRelease(r.serviceAt(0), 50, r.fractionOfLoad(0.5)) }},
 	{0.30, "core machine killed", func(r *testRun) string { return r.killCore(0) }},
@@ -13,7 +14,8 @@
 	{0.70, "core machine back", func(r *testRun) string { return r.startCore(1) }},
 }
 
-// rollbackSteps bring in versions that are faulty in each way.
+// rollbackSteps is the scenario of releases that must be rolled back, one for each way in which a version may be
+// faulty.
 var rollbackSteps = []scenarioStep{
 	{0.00, "a good version, to turn bad late", func(r *testRun) string { return r.startRelease(r.serviceAt(3), 60, r.fractionOfLoad(0.2)) }},
 	{0.05, "bad from the start", func(r *testRun) string {
@@ -42,7 +44,8 @@
 	{0.70, "bad late, at a high share", func(r *testRun) string { return r.makeVersionFaulty(r.serviceAt(3), &WorkerFault{ReturnsError: true}) }},
 }
 
-// rollbackDuringPartitionSteps make a version faulty just as the core is partitioned.
+// rollbackDuringPartitionSteps is the scenario in which a version becomes faulty at the moment when the core is
+// partitioned.
 var rollbackDuringPartitionSteps = []scenarioStep{
 	{0.00, "a good version, to turn bad late", func(r *testRun) string { return r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.2)) }},
 	{0.60, "core split 1-1-1", func(r *testRun) string { return r.partitionCore(func(int, int) bool { return true }) }},
@@ -52,7 +55,8 @@
 	{0.80, "mended", (*testRun).healPartitions},
 }
 
-// rollbackDuringCoreLossSteps make a version faulty just as the whole core is killed.
+// rollbackDuringCoreLossSteps is the scenario in which a version becomes faulty at the moment when the whole core is
+// killed.
 var rollbackDuringCoreLossSteps = []scenarioStep{
 	{0.00, "a good version, to turn bad late", func(r *testRun) string { return r.startRelease(r.serviceAt(0), 60, r.fractionOfLoad(0.2)) }},
 	{0.55, "the whole core killed", func(r *testRun) string { r.killCore(0); r.killCore(1); return r.killCore(2) }},
@@ -62,7 +66,8 @@
 	{0.70, "the whole core back", func(r *testRun) string { return r.startCore(0) + r.startCore(1) + r.startCore(2) }},
 }
 
-// rollbackUnderLoadSteps bring in versions that are faulty only under load, one by a release plan and one by hand.
+// rollbackUnderLoadSteps is the scenario of versions that are faulty only under load. One is released by a release
+// plan, the other by a manual change of its flag.
 var rollbackUnderLoadSteps = []scenarioStep{
 	{0.00, "bad under load", func(r *testRun) string {
 		fault := &WorkerFault{AboveInFlight: 2, ExtraDelay: 10 * time.Millisecond, ReturnsError: true}
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -7,13 +7,16 @@
 	"meadowhinge/internal/errs"
 )
 
-// quietPeriod is how long the fleet is left alone at the end, so that late executions show.
+// quietPeriod is how long the fleet runs without load before the final checks, so that late executions are recorded.
 const quietPeriod = 3 * time.Second
 
-// readyTimeout bounds each wait for processes of the fleet.
+// readyTimeout bounds each wait for processes to become ready.
 const readyTimeout = time.Minute
 
-// Run brings a fleet up, puts load and faults on it, stops it, and checks what was seen.
+// Run brings up a fleet, puts load and the faults of a scenario on it, stops it, and checks the recorded history
+// against the invariants. Violations are in the report. Run fails only if the fleet cannot be brought up: with
+// errs.InvalidOptions for an unknown scenario, else with the error of the step that failed. With OnReady, the report
+// lists only unclean exits.
 func Run(o Options) (*Report, error) {
 	r, err := newTestRun(o)
 	if err != nil {
@@ -34,14 +37,14 @@
 	loadDuration := r.now() - loadStarted
 	cpuAfter := r.cpuSeconds()
 	time.Sleep(quietPeriod)
-	r.finalChecks()
+	r.recordFinalState()
 	unclean := r.shutdown()
 	report := r.buildReport(loadDuration, cpuBefore, cpuAfter)
 	report.UncleanExits = unclean
 	return report, nil
 }
 
-// newTestRun lays out the fleet of a run; nothing runs yet.
+// newTestRun lays out the fleet of a run and starts no process.
 func newTestRun(o Options) (*testRun, error) {
 	scenario, found := Scenarios[o.Scenario]
 	if !found {
@@ -60,19 +63,19 @@
 		Lease:           o.Lease,
 	}
 	return &testRun{
-		fleet:          fleet,
-		options:        o,
-		scenario:       scenario,
-		history:        history,
-		now:            now,
-		operator:       NewOperator("first", fleet, history, now),
-		workersStarted: map[int]int{},
-		edgeByWorker:   map[string]int{},
+		fleet:              fleet,
+		options:            o,
+		scenario:           scenario,
+		history:            history,
+		now:                now,
+		operator:           NewOperator("first", fleet, history, now),
+		allocatedAddresses: map[int]int{},
+		edgeByWorker:       map[string]int{},
 	}, nil
 }
 
-// bringUp starts the core, configures it, starts proxies and workers, and waits until every proxy knows
-// every worker: calls before that are no proper load.
+// bringUp starts the core, submits the initial configuration, and starts proxies and workers. It then waits until
+// every proxy knows every worker, because calls before that would not be valid load.
 func (r *testRun) bringUp() error {
 	if err := r.startCoreMembers(); err != nil {
 		return err
@@ -114,6 +117,7 @@
 	return nil
 }
 
+// startAll starts processes in order, up to the first that fails.
 func startAll(processes []*Process) error {
 	for _, process := range processes {
 		if err := process.Start(); err != nil {
@@ -123,12 +127,13 @@
 	return nil
 }
 
-// initialNewWeight is the share of the new versions at the start, in thousandths of a percent, where no
-// release plans move it.
+// initialNewWeight is the weight of the new versions in the initial configuration, in thousandths of a percent. In
+// scenarios with release plans it is 0 instead.
 const initialNewWeight = 50000
 
-// submitInitialConfig submits the first configuration. On a machine too busy for the core to settle it is
-// submitted again, at the next core member.
+// submitInitialConfig submits the initial configuration until it is acknowledged. The core of a busy machine may take
+// long to settle, so it makes up to 2*CoreMembers+1 attempts, at the core members in turn. It fails with errs.NoQuorum
+// after the last.
 func (r *testRun) submitInitialConfig() error {
 	newWeight := initialNewWeight
 	if r.scenario.releasePlans {
@@ -146,17 +151,17 @@
 	}
 }
 
-// finalChecks reads the configuration at each core member, the outcome of each acknowledged change, and the
-// counts of disconnected callers.
-func (r *testRun) finalChecks() {
+// recordFinalState records the configuration at each core member, the outcome of each acknowledged change, and the
+// proxies' counts of disconnected callers.
+func (r *testRun) recordFinalState() {
 	for core := range r.options.Deployment.CoreMembers {
-		_, _ = r.operator.ReadConfig(core) // a view that can't be read is one entry less to check
+		_, _ = r.operator.ReadConfig(core) // a view that can't be read leaves one entry less to check
 	}
 	r.verifyAcknowledgedChanges()
 	r.recordDisconnects()
 }
 
-// shutdown ends the workers, then the fleet, and names the processes that did not end cleanly.
+// shutdown ends the workers, then the fleet, and returns the names of the processes that did not exit cleanly.
 func (r *testRun) shutdown() []string {
 	for _, worker := range r.workers {
 		worker.Kill()
@@ -164,7 +169,8 @@
 	return r.stopFleet()
 }
 
-// stopFleet stops the fleet, unless that was done before.
+// stopFleet stops the fleet and returns the names of the processes that did not exit cleanly. Further calls do
+// nothing.
 func (r *testRun) stopFleet() []string {
 	if r.fleetStopped {
 		return nil
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -6,26 +6,25 @@
 	"time"
 )
 
-// Scenario is a series of faults, each at a fraction of the load's duration, or a schedule of random ones.
+// Scenario is a list of faults at fixed times, or a schedule by which random faults are drawn.
 type Scenario struct {
-	relayEdges           bool            // links between edges go through relays too, so that they can be partitioned
-	releasePlans         bool            // flags start with the old version only, and release plans move them
-	delayedDisks         bool            // stores run on a disk that can be delayed
-	random               *randomSchedule // faults are drawn by the seed; steps is empty then
+	relayEdges           bool            // links between edge machines run through relays too, so that they can be cut
+	releasePlans         bool            // all weight is on the old versions at first, and release plans shift it
+	delayedDisks         bool            // the disks of stores can be delayed
+	random               *randomSchedule // schedule of random faults; nil if steps is used
 	disconnectingCallers bool            // some callers disconnect before they get a response
-	steps                []scenarioStep  // in the order of their times
+	steps                []scenarioStep  // faults and their ends, ordered by atFraction
 }
 
-// scenarioStep is one fault, or the end of one.
+// scenarioStep is the beginning or the end of one fault.
 type scenarioStep struct {
-	atFraction float64 // of the load's duration
-	name       string  // as reports show it; see nonRejecting
-	apply      func(*testRun) (target string)
+	atFraction float64                        // time of the step, as a fraction of the load's duration
+	name       string                         // name in reports; the key of nonRejecting
+	apply      func(*testRun) (target string) // injects or ends the fault and returns what it acted on
 }
 
-// nonRejecting are the names of steps that may cause no rejection. After any other step, calls may be
-// rejected for a while. A name that no step has would change nothing, so a change of a step's name belongs here
-// too.
+// nonRejecting holds the names of steps that must not cause rejections. After any other step, calls may be rejected
+// for a while. A name here that no step has is ignored silently, so a step and its entry must be renamed together.
 var nonRejecting = map[string]bool{
 	"worker drained":                           true,
 	"worker gone":                              true,
@@ -61,7 +60,7 @@
 	"storm over":                               true,
 }
 
-// Scenarios are all scenarios by name.
+// Scenarios holds all scenarios by name. It must not be modified.
 var Scenarios = map[string]*Scenario{
 	"none":     {},
 	"standard": {steps: standardSteps},
@@ -97,10 +96,10 @@
 	},
 }
 
-// ScenarioNames lists the scenarios by name.
+// ScenarioNames returns the names of all scenarios in alphabetical order.
 func ScenarioNames() []string { return slices.Sorted(maps.Keys(Scenarios)) }
 
-// runScenario goes through the scenario and returns at the end of the load's duration.
+// runScenario injects the faults of the scenario and returns at the end of the load's duration.
 func (r *testRun) runScenario() {
 	duration := r.options.LoadDuration
 	if r.scenario.random != nil {
@@ -118,12 +117,12 @@
 	time.Sleep(duration - (r.now() - start))
 }
 
-// serviceAt names the i-th service of the deployment, counted round and round.
+// serviceAt returns the name of the i-th service of the deployment, modulo the number of services.
 func (r *testRun) serviceAt(i int) string {
 	return r.options.Deployment.Services[i%len(r.options.Deployment.Services)].Name
 }
 
-// fractionOfLoad is a part of the load's duration, in full seconds.
+// fractionOfLoad returns a fraction of the load's duration, rounded to seconds.
 func (r *testRun) fractionOfLoad(fraction float64) time.Duration {
 	return (time.Duration(fraction * float64(r.options.LoadDuration))).Round(time.Second)
 }
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// standardSteps are the faults of a quick run.
+// standardSteps is the default scenario: one fault of each common kind, for a short run.
 var standardSteps = []scenarioStep{
 	{0.10, "worker drained", func(r *testRun) string { _ = r.firstWorker().Drain(); return r.firstWorker().name }},
 	{0.20, "worker gone", func(r *testRun) string { r.firstWorker().Shutdown(); return r.firstWorker().name }},
@@ -34,8 +34,8 @@
 	{0.85, "core machine back", func(r *testRun) string { return r.startCore(0) }},
 }
 
-// harshSteps are all other faults of the brief that processes on one machine can show. They need a load of two
-// minutes or more, so that each fault has ended before the next.
+// harshSteps is the scenario of all other faults that docs/brief.md lists and that processes on one machine can
+// reproduce. It needs a load of at least two minutes, so that each fault has ended before the next begins.
 var harshSteps = []scenarioStep{
 	{0.02, "workers replaced one by one", func(r *testRun) string { return r.replaceWorkerAt(0) }},
 	{0.05, "workers replaced one by one", func(r *testRun) string { return r.replaceWorkerAt(1) }},
@@ -93,8 +93,9 @@
 	{0.97, "mended", (*testRun).healPartitions},
 }
 
-// longSteps go through what grows with time: workers replaced one after another, release plans submitted, done
-// and cancelled, routes added and removed. They need a load of fifteen minutes or more.
+// longSteps is the scenario that looks for state that grows with time. It replaces workers one after another, submits
+// release plans, lets them finish and cancels them, and adds and removes routes. It needs a load of at least fifteen
+// minutes.
 var longSteps = func() []scenarioStep {
 	var steps []scenarioStep
 	for i := range 30 {
@@ -119,8 +120,9 @@
 	return steps
 }()
 
-// rollingRestartSteps stop the machines in turn, gracefully, as an upgrade does. A core machine counts again a
-// lease after its start, so the next is stopped only then: they need a load of two minutes or more.
+// rollingRestartSteps is the scenario of a rolling upgrade, which stops and starts the machines in turn. A core machine
+// takes part fully only a lease after its start, and the next must not be stopped before. The scenario therefore needs
+// a load of at least two minutes.
 var rollingRestartSteps = func() []scenarioStep {
 	var steps []scenarioStep
 	for i := range 3 {
@@ -129,7 +131,7 @@
 			return r.forCoreProcesses(i, func(p *Process) { p.Stop(15 * time.Second) })
 		}}, scenarioStep{at + 0.05, "core machine started", func(r *testRun) string { return r.startCore(i) }})
 	}
-	// The users' largest deployment has 15 edges. Each proxy has a moment to come back.
+	// The largest of the users' deployments has 15 edge machines. The gap between two steps lets a proxy come back.
 	for i := range 15 {
 		steps = append(steps, scenarioStep{0.72 + 0.018*float64(i), "proxy restarted politely", func(r *testRun) string {
 			if i >= len(r.fleet.Proxies) {
@@ -146,7 +148,7 @@
 	return steps
 }()
 
-// massKillSteps kill proxies one by one and many at the same time.
+// massKillSteps is the scenario in which proxies are killed, first one and then a third of them at the same time.
 var massKillSteps = []scenarioStep{
 	{0.10, "proxy killed", func(r *testRun) string { r.middleProxy().Kill(); return r.middleProxy().Name }},
 	{0.25, "proxy back", func(r *testRun) string { _ = r.middleProxy().Start(); return r.middleProxy().Name }},
--- a/internal/testbed/test_run.go
+++ b/internal/testbed/test_run.go
@@ -6,43 +6,42 @@
 	"time"
 )
 
-// testRun is one run of a fleet: the fleet, everyone outside the mesh who uses it, and what they saw. Run
-// makes it; callers, operators, observers and injected faults use it at the same time.
+// testRun is the state of one call of Run. Callers, operators, observers and fault injection use it concurrently.
 type testRun struct {
 	fleet    *Fleet
 	options  Options
 	scenario *Scenario
 	history  *History
-	now      func() time.Duration // since the run began
-	operator *Operator            // submits the first configuration and reads the last
+	now      func() time.Duration // time since the run began
+	operator *Operator            // submits the initial configuration and reads the final one
 
-	lock           sync.Mutex // guards the fields of this block
-	workers        []*Worker
-	workersStarted map[int]int    // by edge, the number of workers that got an address of their own
-	edgeByWorker   map[string]int // by the worker's name
-	namedWorkers   int            // workers that were started after the first ones
+	lock               sync.Mutex     // guards the fields of this block
+	workers            []*Worker      // all workers that were started, in order; those that have ended stay in the list
+	allocatedAddresses map[int]int    // number of worker addresses in use or used, by edge machine
+	edgeByWorker       map[string]int // edge machine of each worker, by its name
+	additionalWorkers  int            // number of names that newWorkerName has given out
 
-	directLatencyMS []float64     // of calls past the mesh; measureDirectLatency's alone while load runs
-	resources       []Sample      // sampleResources' alone while load runs
-	recoveryTime    time.Duration // from the end of the last random fault until the fleet serves again
-	fleetStopped    bool
+	directLatencyMS []float64     // latencies of calls that bypass the mesh; only measureDirectLatency writes it during load
+	resources       []Sample      // resource samples; only sampleResources writes it during load
+	recoveryTime    time.Duration // time from the end of the last random fault until the fleet served again
+	fleetStopped    bool          // stopFleet has been called
 }
 
-// logf reports progress.
+// logf writes a line of progress.
 func (r *testRun) logf(format string, values ...any) {
 	printf(r.options.Out, format+"\n", values...)
 }
 
-// startWorker starts a worker at the next free address of an edge.
+// startWorker starts a worker at the next unused address of an edge machine.
 func (r *testRun) startWorker(name string, edge int, service, version string) error {
 	r.lock.Lock()
-	address := fmt.Sprintf("%s:%d", r.fleet.edgeAddress(edge), portWorker+r.workersStarted[edge])
-	r.workersStarted[edge]++
+	address := fmt.Sprintf("%s:%d", r.fleet.edgeAddress(edge), portWorker+r.allocatedAddresses[edge])
+	r.allocatedAddresses[edge]++
 	r.lock.Unlock()
 	return r.startWorkerAt(name, edge, service, version, address)
 }
 
-// startWorkerAt starts a worker at an address, which may be that of a worker that has ended.
+// startWorkerAt starts a worker at a given address, which may be the address of a worker that has ended.
 func (r *testRun) startWorkerAt(name string, edge int, service, version, address string) error {
 	worker, err := StartWorker(WorkerOptions{
 		Name:                name,
@@ -63,8 +62,8 @@
 	return nil
 }
 
-// callersOn makes the callers of an edge: one for all clients, and one for each service that makes its part
-// of the internal calls from there.
+// callersOn makes the callers of an edge machine: one for all clients, and one for each service that makes internal
+// calls from there.
 func (r *testRun) callersOn(edge int) []*Caller {
 	d := r.options.Deployment
 	rate := d.RequestRate * r.options.RateFactor / float64(d.Edges)
@@ -73,7 +72,7 @@
 	callers := []*Caller{
 		NewCaller(clientCaller, proxy, r.fleet.CallerAddress(edge, clientCaller), clients, rate, r.history, r.now),
 	}
-	// The service whose worker runs on this edge makes this edge's part of the internal calls.
+	// Only the first worker that was assigned to the edge counts, so each edge gets the internal calls of one service.
 	for i, placement := range d.assignWorkers() {
 		routes := internal[placement.service]
 		if placement.edge != edge || len(routes) == 0 || i >= d.Edges {
@@ -85,8 +84,8 @@
 	return callers
 }
 
-// routesByCaller lists the routes that clients call, and for each service the internal routes that it calls:
-// all but its own.
+// routesByCaller returns the routes that clients call and, by service, the internal routes that the service calls. A
+// service calls the internal routes of every other service.
 func (d *Deployment) routesByCaller() (clients []RouteSpec, internal map[string][]RouteSpec) {
 	internal = map[string][]RouteSpec{}
 	for _, route := range d.Routes {
@@ -103,27 +102,28 @@
 	return clients, internal
 }
 
-// newWorkerName names a worker that is started after the first ones.
+// newWorkerName returns a unique name for a worker that is started after the initial ones.
 func (r *testRun) newWorkerName(service string) string {
 	r.lock.Lock()
 	defer r.lock.Unlock()
-	r.namedWorkers++
-	return fmt.Sprintf("n%d-%s", r.namedWorkers, service)
+	r.additionalWorkers++
+	return fmt.Sprintf("n%d-%s", r.additionalWorkers, service)
 }
 
-// edgeOf is the edge machine that a worker runs on.
+// edgeOf returns the index of the edge machine on which a worker runs.
 func (r *testRun) edgeOf(worker *Worker) int {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	return r.edgeByWorker[worker.name]
 }
 
-// directInterval is between two calls past the mesh.
+// directInterval is the time between two calls that bypass the mesh.
 const directInterval = 100 * time.Millisecond
 
-// measureDirectLatency calls one worker past the mesh, to compare latencies with.
+// measureDirectLatency calls one worker without the mesh until stop closes. The latencies of these calls are the
+// baseline for those through the mesh.
 func (r *testRun) measureDirectLatency(stop <-chan struct{}) {
-	// The faults of the standard scenario leave this worker alone.
+	// The standard scenario injects no fault into this worker.
 	worker := r.workers[1]
 	for {
 		select {
--- a/internal/testbed/verify.go
+++ b/internal/testbed/verify.go
@@ -8,8 +8,8 @@
 	"meadowhinge/internal/registry"
 )
 
-// awaitRecovery waits until every process is ready and a change is acknowledged, for a minute at most, and
-// returns how long that took.
+// awaitRecovery waits until every process is ready and a change is acknowledged, for about a minute at most. It returns
+// how long it waited.
 func (r *testRun) awaitRecovery() time.Duration {
 	began := r.now()
 	operator := NewOperator("closing", r.fleet, r.history, r.now)
@@ -27,7 +27,8 @@
 	return r.now() - began
 }
 
-// verifyAcknowledgedChanges asks for the outcome of each acknowledged change, and records those that differ.
+// verifyAcknowledgedChanges requests the outcome of each acknowledged change, and records how many still have it and
+// which do not.
 func (r *testRun) verifyAcknowledgedChanges() {
 	operator := NewOperator("auditor", r.fleet, r.history, r.now)
 	r.history.lock.Lock()
@@ -50,16 +51,17 @@
 	}
 }
 
-// maxOutcomeWait is for how long registries are asked for the outcome of one change.
+// maxOutcomeWait is how long awaitOutcome tries to learn the outcome of one change.
 const maxOutcomeWait = time.Minute
 
-// awaitOutcome asks one registry after another for the outcome of a change, until one knows it. A registry that
-// cannot know it at the moment, without a majority or because it lags, proves no loss.
-func awaitOutcome(cores int, now func() time.Duration, ask func(core int) (registry.ChangeResponse, int, error)) registry.ChangeResponse {
+// awaitOutcome requests the outcome of a change from the registries in turn, until one of them knows it. A registry
+// that has no majority or lags behind may not know it yet, so one failed request does not mean that the change is
+// lost. It returns the zero value if no registry knows the outcome for longer than maxOutcomeWait.
+func awaitOutcome(cores int, now func() time.Duration, request func(core int) (registry.ChangeResponse, int, error)) registry.ChangeResponse {
 	began := now()
 	for {
 		for core := range cores {
-			if answer, status, err := ask(core); err == nil && status == http.StatusOK {
+			if answer, status, err := request(core); err == nil && status == http.StatusOK {
 				return answer
 			}
 		}
