--- a/internal/testbed/caller.go
+++ b/internal/testbed/caller.go
@@ -20,30 +20,34 @@
 // maxInFlight bounds the requests in flight of one caller.
 const maxInFlight = 256
 
-// callerTimeout is longer than any deadline, so that the proxy answers first.
+// callerTimeout bounds each attempt of a caller. It is longer than any deadline of a route, so that the proxy answers
+// first.
 const callerTimeout = 5 * time.Second
 
-// Caller is a fake caller at one listener of a proxy. It sends at a steady rate, whatever the responses, and
-// records what it got.
+// Caller is a fake caller at one listener of a proxy. It sends requests at a constant rate, whatever the responses, and
+// records each attempt in a history.
 type Caller struct {
-	name, proxy string
-	client      *fasthttp.HostClient
-	alternates  []*Caller // the same caller at other proxies, for retries
-	routes      []RouteSpec
-	rate        float64 // requests a second
-	history     *History
-	now         func() time.Duration
-	serial      atomic.Uint64
+	name       string // clientCaller or the name of a service
+	proxy      string // name of the proxy
+	client     *fasthttp.HostClient
+	alternates []*Caller   // callers of the same name at other proxies, through which calls are retried
+	routes     []RouteSpec // routes that are called, each in proportion to its weight
+	rate       float64     // requests per second
+	history    *History
+	now        func() time.Duration // time since the run began
+	serial     atomic.Uint64        // number of calls so far; part of their operations
 }
 
-// NewCaller makes a caller of some routes, each by its weight, at a rate in requests a second.
+// NewCaller returns a caller at the given address of a proxy's listener. It calls the routes in proportion to their
+// weights, at a total rate in requests per second. The caller does not send before Run is called.
 func NewCaller(name, proxy, address string, routes []RouteSpec, rate float64, history *History, now func() time.Duration) *Caller {
 	return &Caller{name: name, proxy: proxy, routes: routes, rate: rate, history: history, now: now,
 		client: &fasthttp.HostClient{Addr: address, MaxConns: maxInFlight, MaxIdemponentCallAttempts: 1,
 			RetryIfErr: func(*fasthttp.Request, int, error) (bool, bool) { return false, false }}}
 }
 
-// Run sends until stop closes, then waits for the requests in flight.
+// Run sends requests until stop closes, then waits for those in flight. Requests that are due while maxInFlight are in
+// flight are dropped.
 func (c *Caller) Run(stop <-chan struct{}, rng *rand.Rand) {
 	var waiting sync.WaitGroup
 	slots := make(chan struct{}, maxInFlight)
@@ -61,7 +65,7 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			continue // a caller beyond its bound drops the request
+			continue // too many requests in flight: this one is dropped
 		}
 		waiting.Add(1)
 		go func() {
@@ -72,7 +76,8 @@
 	}
 }
 
-// pickRoute picks the route at a point from 0 to 1 of the routes' weights.
+// pickRoute returns a route for a point from 0 to 1, so that uniformly distributed points yield the routes in proportion
+// to their weights.
 func (c *Caller) pickRoute(point float64) RouteSpec {
 	total := 0.0
 	for _, route := range c.routes {
@@ -87,22 +92,22 @@
 	return c.routes[len(c.routes)-1]
 }
 
-// unkeyedOneIn is which part of the non-idempotent requests has no idempotency key: one in so many.
-const unkeyedOneIn = 4
+// unkeyedInterval determines which non-idempotent calls have no idempotency key: those whose serial number is a multiple
+// of it.
+const unkeyedInterval = 4
 
-// maxCallerRetries is how often a request under an idempotency key is retried; callerRetryBackoff is between two
-// attempts.
+// Retries of calls that have an idempotency key.
 const (
-	maxCallerRetries   = 4
-	callerRetryBackoff = 300 * time.Millisecond
+	maxCallerRetries   = 4                      // largest number of retries of one call
+	callerRetryBackoff = 300 * time.Millisecond // time between two attempts
 )
 
-// call makes one call. One under an idempotency key is retried, at another proxy each time, for as long as its
-// outcome is unknown.
+// call makes one call. A call with an idempotency key is retried while its outcome is unknown, each time at another
+// proxy, up to maxCallerRetries times.
 func (c *Caller) call(route RouteSpec, user int) {
 	serial := c.serial.Add(1)
 	operation := fmt.Sprintf("%s@%s-%d", c.name, c.proxy, serial)
-	keyed := route.NonIdempotent && serial%unkeyedOneIn != 0
+	keyed := route.NonIdempotent && serial%unkeyedInterval != 0
 	for retry, target := 0, c; ; retry++ {
 		entry := target.send(route, user, operation, keyed, retry)
 		if !keyed || retry == maxCallerRetries || entry.Outcome == "answered" || entry.Outcome == "not-run" || len(c.alternates) == 0 {
@@ -113,7 +118,8 @@
 	}
 }
 
-// send makes one attempt and records it.
+// send makes one attempt of a call, records it and returns its entry. The outcome is unsent if the proxy refused the
+// connection, and unknown if there was no response.
 func (c *Caller) send(route RouteSpec, user int, operation string, keyed bool, retry int) CallEntry {
 	entry := CallEntry{
 		Operation:     operation,
@@ -136,7 +142,7 @@
 		request.Header.Set(callerRetryHeader, strconv.Itoa(retry))
 	}
 	request.Header.Set("X-User", "user-"+strconv.Itoa(user))
-	// A forged identity, which must never reach a worker.
+	// The caller forges another caller's identity. The proxy must replace it.
 	request.Header.Set(dispatch.HeaderCaller, "somebody-else")
 	if route.Method == fasthttp.MethodPost {
 		request.SetBodyString(`{"op":"` + entry.Operation + `","filler":"0123456789012345678901234567890123456789"}`)
@@ -157,12 +163,13 @@
 	return entry
 }
 
-// readResponse takes the outcome from the proxy's headers and, of an answered call, checks the response itself.
+// readResponse fills in the entry from a response. An answered call has its outcome in the headers, and a body that is
+// checked. Any other call has its outcome and error code in the body.
 func (e *CallEntry) readResponse(status int, header func(name string) string, body []byte) {
 	e.Status = status
 	e.Outcome = header(dispatch.HeaderOutcome)
 	e.Version = header(dispatch.HeaderVersion)
-	// Without one of these headers its field stays 0.
+	// A header that is missing leaves its field 0.
 	e.ConfigRevision, _ = strconv.ParseUint(header(dispatch.HeaderConfigRevision), 10, 64)
 	e.Attempts, _ = strconv.Atoi(header(dispatch.HeaderAttempts))
 	if e.Outcome == "answered" {
@@ -178,7 +185,7 @@
 		ErrorCode string `json:"defect"`
 		Outcome   string `json:"outcome"`
 	}
-	_ = json.Unmarshal(body, &rejection) // a body that is none leaves the outcome empty, which is no known one
+	_ = json.Unmarshal(body, &rejection) // a malformed body leaves the outcome empty, which counts as a rejection
 	e.ErrorCode = rejection.ErrorCode
 	e.Outcome = rejection.Outcome
 }
--- a/internal/testbed/certificates.go
+++ b/internal/testbed/certificates.go
@@ -16,18 +16,19 @@
 	"meadowhinge/internal/errs"
 )
 
-// Authority issues the certificates of one fleet. It is used from one goroutine.
+// Authority is the certificate authority of one fleet. It must be used from one goroutine.
 type Authority struct {
-	folder string
+	folder string // folder of all certificate files
 	key    *ecdsa.PrivateKey
-	root   *x509.Certificate
-	serial int64
+	root   *x509.Certificate // the authority's own certificate
+	serial int64             // serial number of the last certificate
 }
 
-// certificateValidity is short: after a run its certificates are of no use.
+// certificateValidity is short, because the certificates are not needed after a run.
 const certificateValidity = 48 * time.Hour
 
-// NewAuthority makes an authority and writes its certificate to folder.
+// NewAuthority makes an authority with a new key, creates the folder if necessary, and writes the authority's
+// certificate to it. It fails with errs.DiskFailed or errs.Internal.
 func NewAuthority(folder string) (*Authority, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, errs.Wrap(err, errs.DiskFailed, folder)
@@ -53,16 +54,16 @@
 	return a, writePEM(a.File(), []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}})
 }
 
-// File is the file of the authority's certificate, in PEM.
+// File returns the path of the authority's certificate, a PEM file.
 func (a *Authority) File() string { return filepath.Join(a.folder, "authority.pem") }
 
-// Issue makes a certificate for a process (role/name) that may call as the given services. It returns the file
-// of certificate and key, in PEM.
+// Issue issues a certificate for the process role/name, which may make calls in the name of the given services. It
+// returns the path of a PEM file with the certificate and its key. It fails with errs.DiskFailed or errs.Internal.
 func (a *Authority) Issue(role, name string, services []string) (string, error) {
 	return a.IssueUntil(role, name, services, time.Now().Add(certificateValidity))
 }
 
-// IssueUntil is Issue with an end of validity.
+// IssueUntil is Issue for a certificate that expires at the given time.
 func (a *Authority) IssueUntil(role, name string, services []string, until time.Time) (string, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return file, writePEM(file, []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}, {Type: "EC PRIVATE KEY", Bytes: private}})
 }
 
-// writePEM writes blocks to a file that only this user may read.
+// writePEM writes blocks to a file that only the current user may read.
 func writePEM(file string, blocks []*pem.Block) error {
 	var text []byte
 	for _, block := range blocks {
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -5,33 +5,36 @@
 	"strings"
 )
 
-// Deployment is the size of a fleet and the load on it.
+// Deployment describes the size of a fleet and the load on it.
 type Deployment struct {
 	Name          string
-	Edges         int // edge machines, each with a proxy
-	CoreMembers   int // core machines, each with a store and a registry
-	Zones         int
-	RequestRate   float64 // requests a second of clients, at all proxies together
-	InternalRatio float64 // rate of each service's internal calls, as a part of the clients' at the same proxy
+	Edges         int     // number of edge machines, each with a proxy
+	CoreMembers   int     // number of core machines, each with a store and a registry
+	Zones         int     // number of zones, over which the machines of each kind are spread
+	RequestRate   float64 // requests per second of clients, at all proxies together
+	InternalRatio float64 // rate of the internal calls at a proxy, as a fraction of the clients' rate there
 	Services      []ServiceSpec
 	Routes        []RouteSpec
 }
 
-// ServiceSpec is a service and its number of workers.
+// ServiceSpec describes a service of a deployment.
 type ServiceSpec struct {
 	Name    string
-	Workers int
+	Workers int // number of workers
 }
 
-// RouteSpec is a kind of request.
+// RouteSpec describes a route of a deployment and its part in the load.
 type RouteSpec struct {
-	Name, Service, Prefix, Method string
-	NonIdempotent                 bool
-	Weight                        float64 // relative, among the requests of its callers
-	Internal                      bool    // called by other services rather than clients
+	Name          string
+	Service       string
+	Prefix        string  // path prefix
+	Method        string  // HTTP method
+	NonIdempotent bool    // requests must not be executed more than once
+	Weight        float64 // share of the route in the requests of a caller, relative to the weights of its other routes
+	Internal      bool    // the route is called by services; otherwise by clients
 }
 
-// smallRoutes are the requests of fleets that stand for none of the users' deployments.
+// smallRoutes holds the routes of the deployments that are not modeled on a user's.
 var smallRoutes = []RouteSpec{
 	{Name: "shop-buy", Service: "shop", Prefix: "/shop/buy", Method: "POST", NonIdempotent: true, Weight: 0.4},
 	{Name: "shop-look", Service: "shop", Prefix: "/shop/look", Method: "GET", Weight: 0.3},
@@ -39,7 +42,8 @@
 	{Name: "check-slot", Service: "saves", Prefix: "/saves/slot", Method: "GET", Weight: 1, Internal: true},
 }
 
-// Deployments are all fleets by name: the users' deployments, and others of our own for quick or wide runs.
+// Deployments holds all deployments by name: models of the users' deployments, and others for quick and for wide runs.
+// It must not be modified.
 var Deployments = map[string]*Deployment{
 	"wroblewski": {Name: "wroblewski", Edges: 15, CoreMembers: 3, Zones: 3, RequestRate: 680, InternalRatio: 0.3,
 		Services: []ServiceSpec{{"saves", 4}, {"shop", 4}, {"items", 4}, {"accounts", 3}},
@@ -64,7 +68,7 @@
 			{Name: "stock", Service: "orders", Prefix: "/orders/stock", Method: "GET", Weight: 0.3, Internal: true},
 			{Name: "ranking", Service: "search", Prefix: "/search/ranking", Method: "GET", Weight: 0.4, Internal: true},
 		}},
-	// As many processes as one machine can run beside its other work.
+	// The wide deployment has as many processes as one machine can run beside its other work.
 	"wide": {Name: "wide", Edges: 120, CoreMembers: 3, Zones: 4, RequestRate: 240, InternalRatio: 0.2,
 		Services: []ServiceSpec{{"shop", 60}, {"saves", 60}},
 		Routes:   smallRoutes},
@@ -73,17 +77,17 @@
 		Routes:   smallRoutes},
 }
 
-// clientCaller is the name of the caller that stands for all clients outside the mesh.
+// clientCaller is the caller name of all clients outside the mesh.
 const clientCaller = "client"
 
-// Versions of workers. The configuration lists the old and the new one of each service.
+// Versions of workers, the same for each service.
 const (
-	versionOld        = "1.0.0"
-	versionNew        = "1.1.0"
-	versionNotAllowed = "9.9.9"
+	versionOld        = "1.0.0" // listed in the configuration; the fallback version
+	versionNew        = "1.1.0" // listed in the configuration
+	versionNotAllowed = "9.9.9" // not listed in the configuration, so that its workers must not get calls
 )
 
-// allowedCallers lists who may call a service: clients and every other service.
+// allowedCallers returns the names of the callers that may call a service: clients and every other service.
 func (d *Deployment) allowedCallers(service string) []string {
 	callers := []string{clientCaller}
 	for _, other := range d.Services {
@@ -94,7 +98,7 @@
 	return callers
 }
 
-// quoteList writes names as a CUE list.
+// quoteList formats names as a CUE list of strings.
 func quoteList(names []string) string {
 	var parts []string
 	for _, name := range names {
@@ -103,8 +107,8 @@
 	return "[" + strings.Join(parts, ", ") + "]"
 }
 
-// FlagText is the release flag of a service, in CUE, with the new version at a weight in thousandths of a percent.
-// A generation of its own makes each text a change, also where the weight is the same.
+// FlagText returns the release flag of a service, in CUE. newWeight is the weight of the new version, in thousandths of
+// a percent. Texts with different generations differ even if the weight is the same, so that each is a change.
 func (d *Deployment) FlagText(service string, newWeight, generation int) string {
 	return fmt.Sprintf(`flag: "release.%s": {on: true, salt: "s", variations: [%q, %q], offVariation: 0,
 	targets: [{variation: 0, values: ["nobody-%d"]}],
@@ -112,8 +116,8 @@
 `, service, versionOld, versionNew, generation, 100000-newWeight, newWeight)
 }
 
-// ConfigText is the first configuration of the fleet, in CUE, with the new versions at a weight in thousandths of a
-// percent.
+// ConfigText returns the initial configuration of the fleet, in CUE. newWeight is the weight of the new version of each
+// service, in thousandths of a percent.
 func (d *Deployment) ConfigText(newWeight int) string {
 	var text strings.Builder
 	for _, service := range d.Services {
@@ -132,14 +136,15 @@
 	return text.String()
 }
 
-// workerPlacement is a worker on an edge machine.
+// workerPlacement assigns a worker to an edge machine.
 type workerPlacement struct {
-	edge    int
+	edge    int // index of the edge machine
 	service string
 	version string
 }
 
-// assignWorkers assigns workers to the edge machines in turn. Each service runs both versions, in turn too.
+// assignWorkers assigns the workers of all services to the edge machines in turn. The workers of each service have the
+// old and the new version alternately.
 func (d *Deployment) assignWorkers() []workerPlacement {
 	var placements []workerPlacement
 	edge := 0
--- a/internal/testbed/disconnecting_caller.go
+++ b/internal/testbed/disconnecting_caller.go
@@ -10,48 +10,51 @@
 	"time"
 )
 
-// workDurationHeader asks a worker to take so many milliseconds for a request, or until its connection ends.
+// workDurationHeader is the request header with the time in milliseconds that a worker is to take for the request. The
+// worker stops earlier if the connection ends.
 const workDurationHeader = "X-Lasts-Ms"
 
-// Times of disconnecting callers, and their number.
+// Timing and number of disconnecting callers.
 const (
-	meanDisconnectCallGap        = 150 * time.Millisecond // mean time between two calls of one caller
-	meanDisconnectDelay          = 300 * time.Millisecond // mean time for which it waits before it disconnects
-	maxDisconnectedWork          = 1800 * time.Millisecond
-	disconnectingReadTimeout     = 4 * time.Second // for which it waits for a response, if it does
-	disconnectingCallersPerProxy = 3               // at each proxy
+	meanDisconnectCallGap        = 150 * time.Millisecond  // mean time between two calls of a caller
+	meanDisconnectDelay          = 300 * time.Millisecond  // mean time from sending a request to disconnecting
+	maxDisconnectedWork          = 1800 * time.Millisecond // largest value of workDurationHeader
+	disconnectingReadTimeout     = 4 * time.Second         // longest wait for a response by a caller that reads it
+	disconnectingCallersPerProxy = 3                       // number of callers at each proxy
 )
 
 // outcomeDisconnected is the outcome of a call whose caller disconnected before it was answered.
 const outcomeDisconnected = "left"
 
-// disconnectMode is how a disconnecting caller ends a call.
+// disconnectMode is how a DisconnectingCaller ends a call.
 type disconnectMode int
 
 const (
-	modeClose        disconnectMode = iota // closes its connection
-	modeReset                              // resets it
-	modeHalfClose                          // closes its sending side, and reads the response
-	modeReadResponse                       // reads the response, and uses the connection for the next call
-	disconnectModes
+	modeClose        disconnectMode = iota // close the connection
+	modeReset                              // reset the connection
+	modeHalfClose                          // close the sending side of the connection and read the response
+	modeReadResponse                       // read the response and keep the connection for the next call
+	disconnectModes                        // number of modes
 )
 
-// DisconnectingCaller is a fake caller that disconnects before it gets its response, in all the ways there are. It
-// keeps a connection for as long as that lasts. It is used from one goroutine.
+// DisconnectingCaller is a fake caller that ends its calls in a random disconnectMode. Most modes disconnect before the
+// response has arrived. It reuses its connection for as long as that stays open. It must be used from one goroutine.
 type DisconnectingCaller struct {
-	name, proxy, address string
-	routes               []RouteSpec
-	history              *History
-	now                  func() time.Duration
+	name    string // clientCaller or the name of a service
+	proxy   string // name of the proxy
+	address string // IP:port of the proxy's listener
+	routes  []RouteSpec
+	history *History
+	now     func() time.Duration // time since the run began
 
-	conn   net.Conn
-	reader *bufio.Reader
-	number int // among the disconnecting callers at its proxy
-	serial int
+	conn   net.Conn      // nil while there is no connection
+	reader *bufio.Reader // buffered reader of conn
+	number int           // index among the disconnecting callers of the same proxy
+	serial int           // number of calls so far; part of their operations
 }
 
-// NewDisconnectingCaller makes a disconnecting caller of the routes of a caller, at one proxy. Its number sets it
-// apart from the others there.
+// NewDisconnectingCaller returns a disconnecting caller that has the name, the proxy, the routes and the history of the
+// given caller. The address is that of the proxy's listener. The number must be unique at this proxy.
 func NewDisconnectingCaller(caller *Caller, address string, number int) *DisconnectingCaller {
 	return &DisconnectingCaller{
 		name:    caller.name,
@@ -64,7 +67,7 @@
 	}
 }
 
-// Run makes calls until stop closes.
+// Run makes one call after another until stop closes. All random choices come from rng.
 func (c *DisconnectingCaller) Run(stop <-chan struct{}, rng *rand.Rand) {
 	defer c.closeConn()
 	for {
@@ -77,7 +80,7 @@
 	}
 }
 
-// call makes one call, ends it in the given mode, and records it.
+// call makes one call that asks the worker for a random duration, ends it in the given mode, and records it.
 func (c *DisconnectingCaller) call(route RouteSpec, mode disconnectMode, rng *rand.Rand) {
 	c.serial++
 	entry := CallEntry{
@@ -120,7 +123,7 @@
 	}
 }
 
-// dial opens a connection, unless one is left.
+// dial opens a connection unless there is one. It reports whether there is a connection now.
 func (c *DisconnectingCaller) dial() bool {
 	if c.conn != nil {
 		return true
@@ -133,7 +136,7 @@
 	return true
 }
 
-// send sends a request on the connection.
+// send writes a request to the connection.
 func (c *DisconnectingCaller) send(entry *CallEntry, route RouteSpec, work time.Duration) error {
 	_ = c.conn.SetDeadline(time.Now().Add(disconnectingReadTimeout))
 	_, err := fmt.Fprintf(c.conn, "%s %s?n=1 HTTP/1.1\r\nHost: mesh\r\n%s: %s\r\nX-User: leaver\r\n%s: %d\r\nContent-Length: 2\r\n\r\n{}",
@@ -141,7 +144,8 @@
 	return err
 }
 
-// read reads the final response, past interim ones, and its outcome.
+// read reads responses until the final one and fills in the entry from it. If that fails, it closes the connection and
+// sets the outcome to unknown.
 func (c *DisconnectingCaller) read(entry *CallEntry) {
 	for {
 		response, err := http.ReadResponse(c.reader, nil)
@@ -151,7 +155,7 @@
 			return
 		}
 		body, err := io.ReadAll(response.Body)
-		_ = response.Body.Close() // read to its end, or its connection is closed
+		_ = response.Body.Close() // the body was read to its end, or the connection is closed below
 		if response.StatusCode < http.StatusOK && err == nil {
 			continue
 		}
@@ -169,7 +173,7 @@
 // closeConn closes the connection, if there is one.
 func (c *DisconnectingCaller) closeConn() {
 	if c.conn != nil {
-		_ = c.conn.Close() // a lost connection is as good as a closed one
+		_ = c.conn.Close() // an error means that the connection is lost, which has the same effect
 		c.conn = nil
 	}
 }
--- a/internal/testbed/disconnects.go
+++ b/internal/testbed/disconnects.go
@@ -8,10 +8,11 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// disconnectsInterval is between two reads of the proxies' counts of disconnected callers.
+// disconnectsInterval is the time between two reads of the proxies' counts of disconnected callers.
 const disconnectsInterval = time.Second
 
-// watchDisconnects keeps the last counts of each incarnation of each proxy, until stop closes.
+// watchDisconnects records the counts of disconnected callers until stop closes. It reads them repeatedly, because the
+// counts of a proxy that is killed are lost with it.
 func (r *testRun) watchDisconnects(stop <-chan struct{}) {
 	for {
 		r.recordDisconnects()
@@ -23,7 +24,8 @@
 	}
 }
 
-// recordDisconnects reads the counts of every proxy that answers.
+// recordDisconnects reads the counts of all proxies concurrently and stores them by incarnation. It skips proxies that
+// do not answer.
 func (r *testRun) recordDisconnects() {
 	var polling sync.WaitGroup
 	for _, process := range r.fleet.Proxies {
@@ -46,7 +48,7 @@
 	polling.Wait()
 }
 
-// totalDisconnects sums the counts of all incarnations.
+// totalDisconnects returns the sum of the counts of all incarnations of all proxies.
 func (h *History) totalDisconnects() dispatch.DisconnectCounts {
 	var sum dispatch.DisconnectCounts
 	for _, counts := range h.Disconnects {
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -9,32 +9,33 @@
 	"time"
 )
 
-// Fleet is a mesh of real processes on this machine, which stand for as many machines: each has a loopback
-// address of its own, and links between them may run through relays. NewFleet makes it; nothing of it changes
-// after but the processes, and the relays of a core machine that is replaced.
+// Fleet is a mesh of real processes on this machine that simulates many machines. Each simulated machine has a loopback
+// address of its own, and the links between machines may run through relays. NewFleet makes a fleet. After that, only
+// its processes change, and the addresses and relays of a core machine that ReplaceCoreMember replaces.
 type Fleet struct {
 	Deployment   *Deployment
-	folder       string
-	binaries     string
-	netOctet     int // second octet of every address, reserved so that fleets at the same time differ
-	netLock      io.Closer
-	lease        time.Duration
-	delayedDisks bool // stores run on a disk that can be delayed
-	authority    *Authority
-	LinkFaults   *LinkFaults
-	relays       []*Relay
+	folder       string        // folder of settings, data, certificates and logs
+	binaries     string        // folder of the mesh's programs
+	netOctet     int           // second octet of every address; reserved, so that fleets that run at the same time differ
+	netLock      io.Closer     // reservation of netOctet
+	lease        time.Duration // lease of every process
+	delayedDisks bool          // stores run on a disk that can be delayed
+	authority    *Authority    // issuer of the processes' certificates
+	LinkFaults   *LinkFaults   // faults that the relays apply
+	relays       []*Relay      // all relays, including those of replaced core machines
 
-	Stores     []*Process
-	Registries []*Process
-	Proxies    []*Process
+	Stores     []*Process // by core member
+	Registries []*Process // by core member
+	Proxies    []*Process // by edge machine
 }
 
-// Processes lists every process, the core's first.
+// Processes returns all processes: stores, registries, then proxies.
 func (f *Fleet) Processes() []*Process {
 	return append(append(append([]*Process(nil), f.Stores...), f.Registries...), f.Proxies...)
 }
 
-// Stop ends every process, frees the addresses, and names the processes that did not end cleanly.
+// Stop ends every process and relay and releases the reserved network. It returns the names of the processes that were
+// started but did not exit cleanly.
 func (f *Fleet) Stop() []string {
 	f.LinkFaults.Heal()
 	var lock sync.Mutex
@@ -56,12 +57,13 @@
 	for _, relay := range f.relays {
 		relay.Close()
 	}
-	_ = f.netLock.Close() // frees the net, also if it fails
+	_ = f.netLock.Close() // the network is released even if this fails
 	return unclean
 }
 
-// ReplaceCoreMember brings a core machine back at another address and without its disk, as a replacement. Its old
-// address stays dead; the other members learn the new one from the replacement.
+// ReplaceCoreMember kills the i-th core machine and starts a replacement at another address with empty data folders.
+// No process uses the old address any more; the other members learn the new one from the replacement. It fails with
+// the error of the first step that failed.
 func (f *Fleet) ReplaceCoreMember(i int) error {
 	machine := fmt.Sprintf("127.%d.3.%d", f.netOctet, i+1)
 	if err := f.moveProcess(f.Stores[i], f.coreAddress(i), machine, portStore, portStoreProbe, nil); err != nil {
@@ -71,9 +73,9 @@
 	return f.moveProcess(f.Registries[i], f.coreAddress(i), machine, portRegistry, portRegistryProbe, store)
 }
 
-// moveProcess kills a process of a core machine, wipes its data, and starts it at another address with further
-// changes of its settings. Its relay there keeps the faults of the old machine's links.
-func (f *Fleet) moveProcess(process *Process, oldMachine, machine string, port, probePort int, further map[string]string) error {
+// moveProcess kills a process of a core machine, wipes its data, and starts it at another machine address with
+// additional changes of its settings. The new relay applies the link faults of the old machine.
+func (f *Fleet) moveProcess(process *Process, oldMachine, machine string, port, probePort int, additional map[string]string) error {
 	process.Kill()
 	if err := process.WipeData(); err != nil {
 		return err
@@ -87,7 +89,7 @@
 	f.relays = append(f.relays, relay)
 	process.probeAddress = fmt.Sprintf("%s:%d", machine, probePort)
 	changes := map[string]string{"listen": listen, "advertise": advertise, "probe-listen": process.probeAddress}
-	maps.Copy(changes, further)
+	maps.Copy(changes, additional)
 	if err := process.writeSettings(changes); err != nil {
 		return err
 	}
--- a/internal/testbed/fleet_layout.go
+++ b/internal/testbed/fleet_layout.go
@@ -11,9 +11,10 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// NewFleet lays out a fleet in a folder: its addresses, certificates, settings files and relays. No process
-// runs yet. With relayEdges, links between edges go through relays too; with delayedDisks, the stores' disks
-// can be delayed.
+// NewFleet lays out a fleet: it reserves its addresses, writes certificates and settings files to folder, and starts the
+// relays. It starts no process. binaries is the folder of the mesh's programs. With relayEdges, links between edge
+// machines run through relays too; with delayedDisks, the disks of stores can be delayed. It fails with the error of the
+// first step that failed.
 func NewFleet(d *Deployment, folder, binaries string, lease time.Duration, relayEdges, delayedDisks bool) (*Fleet, error) {
 	authority, err := NewAuthority(filepath.Join(folder, "certificates"))
 	if err != nil {
@@ -44,7 +45,8 @@
 	return f, nil
 }
 
-// relayedSeeds lists a port of all core members, as reached through their relays, but for one; -1 for all.
+// relayedSeeds returns the addresses of a port of the core members' relays, separated by commas. It leaves out the
+// member with the index except; -1 leaves out none.
 func (f *Fleet) relayedSeeds(port, except int) string {
 	var seeds []string
 	for i := range f.Deployment.CoreMembers {
@@ -55,7 +57,7 @@
 	return strings.Join(seeds, ",")
 }
 
-// addRelay puts a relay in front of a port of a machine.
+// addRelay starts a relay in front of a port of a machine.
 func (f *Fleet) addRelay(machine string, port int) error {
 	listen := fmt.Sprintf("%s:%d", relayAddress(machine), port)
 	target := fmt.Sprintf("%s:%d", machine, port)
@@ -104,7 +106,7 @@
 	return nil
 }
 
-// layOutEdge lays out the proxy of an edge machine and, if links between edges are relayed, its relay.
+// layOutEdge lays out the proxy of an edge machine and, if relayed is set, the relay in front of it.
 func (f *Fleet) layOutEdge(i int, relayed bool) error {
 	machine := f.edgeAddress(i)
 	var callers []string
@@ -136,8 +138,8 @@
 	return nil
 }
 
-// newProcess issues a process's certificate, writes its settings file and makes the process, which does not run
-// yet. Services are those that the certificate may speak for.
+// newProcess issues a certificate for a process, writes its settings file, and returns the process without starting it.
+// The certificate lets the process make calls in the name of the given services.
 func (f *Fleet) newProcess(program, name string, services []string, probeAddress string, settings map[string]string) (*Process, error) {
 	certificate, err := f.authority.Issue(program, name, services)
 	if err != nil {
@@ -161,7 +163,7 @@
 		logFile:      filepath.Join(folder, "output"),
 		settings:     settings,
 	}
-	// The store program can't delay its disk. This program can, and runs the same daemon.
+	// The store program can't delay its disk. The testbed program can, and it runs the same daemon.
 	if program == "store" && f.delayedDisks {
 		process.program = filepath.Join(f.binaries, "testbed")
 		process.args = append([]string{DelayedStoreCommand, filepath.Join(folder, diskDelayFile)}, process.args...)
--- a/internal/testbed/hollow_core.go
+++ b/internal/testbed/hollow_core.go
@@ -187,7 +187,7 @@
 		role = realProxy
 	}
 	counters, sample := processCounters{role: role, name: name}, Sample{}
-	p.raiseSample(&sample)
+	p.raiseToUsage(&sample)
 	counters.memoryKB = sample.MemoryKB
 	counters.diskKB = sample.DiskKB
 	pid := p.pid()
--- a/internal/testbed/latency.go
+++ b/internal/testbed/latency.go
@@ -6,33 +6,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms, in microseconds, and their significant digits.
+// Range and precision of the latency histograms.
 const (
-	minLatencyMicros = 1
-	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond)
-	latencyDigits    = 3
+	minLatencyMicros = 1                                          // smallest value in microseconds
+	maxLatencyMicros = int64(10 * time.Minute / time.Microsecond) // largest value in microseconds
+	latencyDigits    = 3                                          // number of significant decimal digits
 )
 
-// newLatencyHistogram makes a histogram of microseconds.
+// newLatencyHistogram returns an empty histogram of latencies in microseconds.
 func newLatencyHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(minLatencyMicros, maxLatencyMicros, latencyDigits)
 }
 
-// recordLatency records a time, moved to the bounds if it is beyond them.
+// recordLatency records a latency, which is clamped to the range of the histogram.
 func recordLatency(histogram *hdrhistogram.Histogram, latency time.Duration) {
 	_ = histogram.RecordValue(min(max(minLatencyMicros, int64(latency/time.Microsecond)), maxLatencyMicros))
 }
 
-// LatencySummary has quantiles of a histogram, in milliseconds.
+// LatencySummary holds the number of values in a latency histogram and their quantiles, in milliseconds.
 type LatencySummary struct {
-	Count int64   `json:"count"`
+	Count int64   `json:"count"` // number of values
 	P50   float64 `json:"p50"`
 	P90   float64 `json:"p90"`
 	P99   float64 `json:"p99"`
 	Max   float64 `json:"max"`
 }
 
-// summarizeLatency takes the quantiles of a histogram of microseconds.
+// summarizeLatency returns the summary of a histogram of microseconds.
 func summarizeLatency(from *hdrhistogram.Histogram) LatencySummary {
 	millis := func(micros int64) float64 { return float64(micros) / 1000 }
 	return LatencySummary{
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// LinkFaults says which links are faulty. A link goes from one machine to another, one direction by itself, and
-// is named by their IP addresses. Scenarios set faults, relays obey them, at the same time.
+// LinkFaults holds the faults of the links of a fleet. A link is one direction of the connection between two machines
+// and is identified by their IP addresses, the sender's first. Fault injection and relays use it concurrently.
 type LinkFaults struct {
-	lock        sync.Mutex // guards all fields
-	partitioned map[[2]string]bool
-	lossRatio   map[[2]string]float64 // part of what is sent that is lost at first, and arrives late
-	changed     chan struct{}         // closed and replaced when a partition changes
+	lock        sync.Mutex            // guards all fields
+	partitioned map[[2]string]bool    // links that are cut
+	lossRatio   map[[2]string]float64 // fraction of the data sent on a link that is lost and retransmitted, so it arrives late
+	changed     chan struct{}         // closed and replaced when partitioned changes
 }
 
-// NewLinkFaults starts without faults.
+// NewLinkFaults returns a LinkFaults without any faults.
 func NewLinkFaults() *LinkFaults {
 	return &LinkFaults{partitioned: map[[2]string]bool{}, lossRatio: map[[2]string]float64{}, changed: make(chan struct{})}
 }
 
-// retransmitTimeout is how late a lost packet arrives after all: TCP sends it again.
+// retransmitTimeout is the delay of a lost packet, after which TCP sends it again.
 const retransmitTimeout = 250 * time.Millisecond
 
-// SetLoss makes a link lose a part of what is sent at first; 0 for none.
+// SetLoss sets the fraction of the data on a link that is lost and retransmitted; 0 for none.
 func (f *LinkFaults) SetLoss(from, to string, ratio float64) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -34,7 +34,8 @@
 	}
 }
 
-// retransmitDelay draws how late the next data arrives.
+// retransmitDelay draws the delay of the next data on a link: one retransmitTimeout for each time in a row that it is
+// lost, up to four.
 func (f *LinkFaults) retransmitDelay(from, to string) time.Duration {
 	f.lock.Lock()
 	ratio := f.lossRatio[[2]string{from, to}]
@@ -46,7 +47,7 @@
 	return delay
 }
 
-// SetPartitioned cuts a link or heals it.
+// SetPartitioned cuts a link or, with false, restores it.
 func (f *LinkFaults) SetPartitioned(from, to string, partitioned bool) {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -59,7 +60,7 @@
 	f.changed = make(chan struct{})
 }
 
-// Heal ends every fault.
+// Heal ends all faults of all links.
 func (f *LinkFaults) Heal() {
 	f.lock.Lock()
 	defer f.lock.Unlock()
@@ -68,7 +69,7 @@
 	f.changed = make(chan struct{})
 }
 
-// awaitOpen returns true once the link is not cut, or false when done closes first.
+// awaitOpen waits until a link is not cut. It returns false if done closes before that.
 func (f *LinkFaults) awaitOpen(from, to string, done <-chan struct{}) bool {
 	for {
 		f.lock.Lock()
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -14,27 +14,31 @@
 	"meadowhinge/internal/registry"
 )
 
-// Operator is a fake operator: it submits changes one after another and records what it got. It is used from one
-// goroutine.
+// Operator is a fake operator that submits changes and records the responses in a history. It must be used from one
+// goroutine at a time.
 type Operator struct {
 	name         string
 	fleet        *Fleet
 	history      *History
-	now          func() time.Duration
+	now          func() time.Duration // time since the run began
 	http         *http.Client
-	changeSerial int // of change ids
-	textSerial   int // makes each change differ
+	changeSerial int // number of changes submitted so far; part of their ids
+	textSerial   int // number of change texts made so far; makes each text differ from the one before
 }
 
-// operatorTimeout is longer than a registry takes to answer a change that not every proxy has acknowledged.
+// operatorTimeout bounds each request of an operator. It is longer than a registry takes to answer a change that not
+// every proxy acknowledges.
 const operatorTimeout = 25 * time.Second
 
-// NewOperator makes an operator. The name is part of the ids of its changes, so no other operator may have it.
+// NewOperator returns an operator of the fleet. Its name is part of the ids of its changes and must be unique in the
+// run. Recorded times come from now.
 func NewOperator(name string, fleet *Fleet, history *History, now func() time.Duration) *Operator {
 	return &Operator{name: name, fleet: fleet, history: history, now: now, http: &http.Client{Timeout: operatorTimeout}}
 }
 
-// call sends a request to one registry and decodes the response, whatever its status. A GET has the body null.
+// call sends a request to the registry of a core member, decodes the JSON response into target, whatever its status,
+// and returns the status. A nil body is sent as JSON null. It fails with errs.PeerConnectionLost if there was no
+// response, and with errs.MalformedRequest if the response is not valid JSON.
 func (o *Operator) call(core int, method, path string, body, target any) (int, error) {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -56,7 +60,8 @@
 	return response.StatusCode, errs.Wrap(json.Unmarshal(answer, target), errs.MalformedRequest, string(answer))
 }
 
-// ReadConfig reads the configuration at a core member and records what it showed.
+// ReadConfig reads the configuration at a core member and records it. It fails with errs.NoQuorum if the member does
+// not return it.
 func (o *Operator) ReadConfig(core int) (*registry.ConfigView, error) {
 	entry := ConfigViewEntry{Node: o.fleet.Registries[core].Name, Requested: o.now()}
 	shown := &registry.ConfigView{}
@@ -73,16 +78,16 @@
 	return shown, nil
 }
 
-// SubmitChange submits a change at a core member, on top of the configuration that this member shows, and records
-// the result. The ruling is "unknown" if there was no response. invalidItem is an item that only an invalid change
-// names; empty for a valid one.
+// SubmitChange submits a change, in CUE, at a core member. The change expects the item versions that this member shows.
+// It records the result and returns it; the ruling is "unknown" if there was no valid response. For a change that must
+// be rejected, invalidItem is the key of an item that only this change names; otherwise it is empty.
 func (o *Operator) SubmitChange(core int, text, invalidItem string) ChangeEntry {
 	o.changeSerial++
 	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.changeSerial), Invalid: invalidItem != "", InvalidItem: invalidItem}
 	submission := registry.ChangeRequest{ID: entry.ID, Config: text, ExpectedVersions: map[string]uint64{}}
-	// Without a view of the configuration the change expects nothing, and may be in conflict.
+	// If the configuration can't be read, the change expects no versions and may be rejected as a conflict.
 	if shown, err := o.ReadConfig(core); err == nil {
-		items, _ := configsource.Parse([]byte(text)) // the faults of a change that is meant to be invalid are the registry's to find
+		items, _ := configsource.Parse([]byte(text)) // finding the faults of an invalid change is the registry's task
 		for _, item := range items {
 			for _, current := range shown.Items {
 				if current.Kind == item.Kind && current.Name == item.Name {
@@ -105,8 +110,8 @@
 	return entry
 }
 
-// invalidChange is a change with a valid item, which is returned too, and an invalid one: a flag that requires
-// itself. Nothing of it may take effect.
+// invalidChange returns a change that must be rejected as a whole, because one of its items is a flag that requires
+// itself. Its other item, a route, is valid; the second result is the key of this route.
 func (o *Operator) invalidChange() (text, invalidItem string) {
 	o.textSerial++
 	name := fmt.Sprintf("bad-%s-%d", o.name, o.textSerial)
@@ -116,8 +121,8 @@
 `, name, service, name, name, name), "route/" + name
 }
 
-// ChangeLoop submits one change after another until stop closes; every fifth is invalid. With skipFlags it leaves
-// the flags to the release plans.
+// ChangeLoop submits a change each interval until stop closes. Every fifth change is invalid. The others change release
+// flags or, with skipFlags, segments, so that they don't interfere with release plans.
 func (o *Operator) ChangeLoop(stop <-chan struct{}, interval time.Duration, skipFlags bool) {
 	for turn := 0; ; turn++ {
 		select {
@@ -141,7 +146,7 @@
 	}
 }
 
-// ReadReleases reads the release plans at a core member.
+// ReadReleases reads the release plans at a core member. It fails with errs.NoQuorum if the status is not OK.
 func (o *Operator) ReadReleases(core int) ([]registry.ReleaseView, error) {
 	var shown []registry.ReleaseView
 	status, err := o.call(core, http.MethodGet, "/v1/releases", nil, &shown)
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -17,24 +17,26 @@
 	"meadowhinge/internal/errs"
 )
 
-// Process is one of the mesh's own processes. It may be started and ended many times; a restart is a new
-// incarnation with the same settings file and data folder.
+// Process is a process of the mesh: a proxy, a registry or a store. It may be started and ended many times. Each start
+// makes a new incarnation with the same settings file and data folder. Starting, signaling and ending may be done
+// concurrently; changes of its settings may not.
 type Process struct {
-	Name         string
-	program      string
-	args         []string
-	probeAddress string // IP:port of its status pages
-	logFile      string // its output, of all incarnations
+	Name         string   // program/name, such as proxy/edge-1
+	program      string   // path of the executable
+	args         []string // command-line arguments
+	probeAddress string   // IP:port of the process's status pages
+	logFile      string   // file to which the output of all incarnations is appended
 
-	settings     map[string]string
-	settingsFile string
+	settings     map[string]string // content of settingsFile
+	settingsFile string            // file that the process reads at its start and at SIGHUP
 
 	lock   sync.Mutex    // guards cmd and exited
-	cmd    *exec.Cmd     // of the last incarnation; nil before the first
-	exited chan struct{} // closed once that has ended
+	cmd    *exec.Cmd     // last incarnation; nil before the first start
+	exited chan struct{} // closed when the last incarnation has ended; nil before the first start
 }
 
-// Start starts the process, unless it runs already.
+// Start starts the process unless it is running. It fails with errs.DiskFailed if the log file cannot be opened, and
+// with errs.Internal if the program cannot be started.
 func (p *Process) Start() error {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -45,7 +47,7 @@
 	if err != nil {
 		return errs.Wrap(err, errs.DiskFailed, p.logFile)
 	}
-	defer func() { _ = out.Close() }() // the process has a descriptor of its own
+	defer func() { _ = out.Close() }() // the process has its own copy of the descriptor
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
@@ -60,7 +62,7 @@
 	return nil
 }
 
-// running tells whether the process runs; the caller holds the lock.
+// running reports whether the process is running. The caller must hold the lock.
 func (p *Process) running() bool {
 	if p.cmd == nil {
 		return false
@@ -73,7 +75,7 @@
 	}
 }
 
-// pid is the process's number, 0 before it was started.
+// pid returns the process id of the last incarnation, or 0 before the first start.
 func (p *Process) pid() int {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -83,7 +85,7 @@
 	return p.cmd.Process.Pid
 }
 
-// Signal sends a signal to the process, if it runs.
+// Signal sends a signal to the process if it is running.
 func (p *Process) Signal(signal syscall.Signal) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -92,20 +94,20 @@
 	}
 }
 
-// Freeze stops the process with SIGSTOP, as a machine that hangs.
+// Freeze suspends the process with SIGSTOP, which simulates a machine that hangs.
 func (p *Process) Freeze() { p.Signal(syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process with SIGCONT.
 func (p *Process) Thaw() { p.Signal(syscall.SIGCONT) }
 
-// Kill kills the process and waits for its end.
+// Kill kills the process with SIGKILL and waits up to 5 s for its end.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.awaitExit(5 * time.Second)
 }
 
-// Stop ends the process with SIGTERM, and kills it after the timeout. It returns whether the process exited with
-// 0 in time.
+// Stop ends the process with SIGTERM and kills it if it does not exit within the timeout. It reports whether the process
+// exited in time and with code 0.
 func (p *Process) Stop(timeout time.Duration) (clean bool) {
 	p.Signal(syscall.SIGTERM)
 	if p.awaitExit(timeout) {
@@ -117,7 +119,7 @@
 	return false
 }
 
-// awaitExit waits for the end of the process; false if that takes longer than the timeout.
+// awaitExit waits for the end of the process. It reports whether the process ended within the timeout.
 func (p *Process) awaitExit(timeout time.Duration) bool {
 	p.lock.Lock()
 	exited := p.exited
@@ -133,8 +135,7 @@
 	}
 }
 
-// writeSettings applies changes to the settings and writes the settings file. The process reads it at its start
-// and at SIGHUP.
+// writeSettings applies changes to the settings and writes the settings file. A running process applies them at SIGHUP.
 func (p *Process) writeSettings(changes map[string]string) error {
 	var text strings.Builder
 	for key, value := range changes {
@@ -146,16 +147,17 @@
 	return errs.Wrap(os.WriteFile(p.settingsFile, []byte(text.String()), 0o640), errs.DiskFailed, p.Name)
 }
 
-// WipeData removes the process's data folder, as of a machine that comes back without its disk.
+// WipeData removes the process's data folder, which simulates a machine that comes back with a new disk. The process
+// must not be running.
 func (p *Process) WipeData() error {
 	folder := filepath.Join(filepath.Dir(p.logFile), "data")
 	return errs.Wrap(os.RemoveAll(folder), errs.DiskFailed, folder)
 }
 
-// probeClient reads pages of processes. Without keep-alives no connection outlasts a process that is killed.
+// probeClient requests status pages. Keep-alives are off, so that no connection to a process that was killed is reused.
 var probeClient = &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ready tells whether the process reports that it is ready.
+// Ready reports whether the process's readiness page returns status 200 within a second.
 func (p *Process) Ready() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -172,7 +174,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// AwaitReady waits until every process reports that it is ready. The timeout is for all together.
+// AwaitReady waits until every process is ready. The timeout covers all processes together. It fails with errs.Internal
+// and the name of the first process that is not ready in time.
 func AwaitReady(processes []*Process, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for _, process := range processes {
@@ -186,7 +189,8 @@
 	return nil
 }
 
-// awaitWorkerDiscovery waits until every proxy knows so many workers. The timeout is for all together.
+// awaitWorkerDiscovery waits until every proxy knows at least the given number of workers. The timeout covers all
+// proxies together. It fails with errs.Internal.
 func awaitWorkerDiscovery(proxies []*Process, workers int, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for _, process := range proxies {
@@ -194,7 +198,7 @@
 			var status struct {
 				Known int `json:"knownWorkers"`
 			}
-			_ = process.getPage("/status", &status) // repeated until the deadline
+			_ = process.getPage("/status", &status) // a failed request is repeated until the deadline
 			if status.Known >= workers {
 				break
 			}
@@ -207,7 +211,9 @@
 	return nil
 }
 
-// getPage reads one of the process's own pages, which are JSON.
+// getPage requests one of the process's status pages and decodes its JSON into target. It fails with
+// errs.PeerConnectionLost if the process does not answer, and with errs.MalformedRequest for any other response than
+// valid JSON with status 200.
 func (p *Process) getPage(path string, target any) error {
 	response, err := probeClient.Get("http://" + p.probeAddress + path)
 	if err != nil {
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -8,16 +8,18 @@
 	"meadowhinge/internal/errs"
 )
 
-// Relay stands in front of a machine's port and passes bytes on, unless LinkFaults has the link cut. What is cut
-// disappears without an error, as on a lost link.
+// Relay is a TCP relay in front of a port of a machine. It forwards data in both directions and applies the faults of
+// the links between the two machines. On a cut link, data and new connections wait without an error, as on a network
+// that drops packets.
 type Relay struct {
 	listener net.Listener
-	target   string
-	machine  string
+	target   string // IP:port to which connections are forwarded
+	machine  string // IP address that names the target's machine in faults
 	faults   *LinkFaults
 }
 
-// NewRelay listens at an address and passes connections on to the target, which is on the given machine.
+// NewRelay starts a relay that listens at an address and forwards connections to the target. machine is the IP address
+// by which faults name the target's machine. It fails with errs.Internal if it cannot listen.
 func NewRelay(address, target, machine string, faults *LinkFaults) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -28,7 +30,7 @@
 	return r, nil
 }
 
-// acceptLoop serves connections until the relay is closed.
+// acceptLoop accepts connections until the relay is closed.
 func (r *Relay) acceptLoop() {
 	for {
 		inbound, err := r.listener.Accept()
@@ -39,21 +41,21 @@
 	}
 }
 
-// forward passes one connection on, each direction under the faults of its own link.
+// forward relays one connection. Each direction is subject to the faults of its own link.
 func (r *Relay) forward(inbound net.Conn) {
-	// Machines dial from their own address, so the peer's address names the machine.
+	// Processes dial from the address of their machine, so the remote address identifies the machine.
 	from := inbound.RemoteAddr().(*net.TCPAddr).IP.String()
 	done := make(chan struct{})
 	var once sync.Once
 	finish := func() { once.Do(func() { close(done) }) }
 	if !r.faults.awaitOpen(from, r.machine, done) {
-		_ = inbound.Close() // nothing was written to it
+		_ = inbound.Close() // nothing was written, so nothing can be lost
 		return
 	}
 	outbound, err := net.Dial("tcp", r.target)
 	if err != nil {
-		// A refused connection must look refused from the other side of the relay too.
-		_ = inbound.(*net.TCPConn).SetLinger(0) // reset rather than close; best effort
+		// If the target refuses the connection, the inbound side must not see an orderly close.
+		_ = inbound.(*net.TCPConn).SetLinger(0) // makes Close reset the connection; best effort
 		_ = inbound.Close()
 		return
 	}
@@ -63,7 +65,7 @@
 		for {
 			n, err := source.Read(buffer)
 			if n > 0 {
-				// Data behind it in the stream waits too, as in TCP.
+				// As in TCP, a lost packet also delays the data that follows it.
 				time.Sleep(r.faults.retransmitDelay(from, to))
 				if !r.faults.awaitOpen(from, to, done) {
 					return
@@ -80,10 +82,10 @@
 	go relayBytes(inbound, outbound, from, r.machine)
 	go relayBytes(outbound, inbound, r.machine, from)
 	<-done
-	// Ends the other copy; what an end lost is for the processes to find out.
+	// This ends the copy in the other direction. The processes must cope with data that is lost.
 	_ = inbound.Close()
 	_ = outbound.Close()
 }
 
-// Close ends the listener. Connections end with their processes.
+// Close closes the listener. Open connections are relayed until one of their processes ends them.
 func (r *Relay) Close() { _ = r.listener.Close() }
--- a/internal/testbed/resources.go
+++ b/internal/testbed/resources.go
@@ -11,19 +11,20 @@
 	"meadowhinge/internal/daemon"
 )
 
-// Sample is what a program's processes used at a time: each figure is that of the largest process.
+// Sample is the resource usage of a program at one time. Each value is the largest among the program's processes.
 type Sample struct {
-	At         time.Duration `json:"at"`
+	At         time.Duration `json:"at"` // time since the run began
 	Program    string        `json:"program"`
-	MemoryKB   int           `json:"memoryKB"` // resident
-	Files      int           `json:"files"`    // open
-	Goroutines int           `json:"goroutines"`
-	DiskKB     int           `json:"diskKB"` // in the data folder
+	MemoryKB   int           `json:"memoryKB"`   // resident memory
+	Files      int           `json:"files"`      // number of open files
+	Goroutines int           `json:"goroutines"` // number of goroutines
+	DiskKB     int           `json:"diskKB"`     // size of the files in the data folder
 }
 
-// sampleInterval is between two samples.
+// sampleInterval is the time between two samples.
 const sampleInterval = 5 * time.Second
 
+// sampleResources adds a sample of each program to r.resources at each interval, until stop closes.
 func (r *testRun) sampleResources(stop <-chan struct{}) {
 	for {
 		largest := map[string]*Sample{}
@@ -34,7 +35,7 @@
 				sample = &Sample{At: r.now(), Program: program}
 				largest[program] = sample
 			}
-			process.raiseSample(sample)
+			process.raiseToUsage(sample)
 		}
 		for _, sample := range largest {
 			r.resources = append(r.resources, *sample)
@@ -47,9 +48,9 @@
 	}
 }
 
-// raiseSample raises each figure of a sample to what this process uses now, if that is more. What can't be read,
-// as of a process that was killed, raises nothing.
-func (p *Process) raiseSample(sample *Sample) {
+// raiseToUsage raises each value of a sample to the current usage of the process, if that is larger. Values that can't be
+// read, for example because the process was killed, are left as they are.
+func (p *Process) raiseToUsage(sample *Sample) {
 	pid := p.pid()
 	if text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid)); err == nil {
 		for _, line := range strings.Split(string(text), "\n") {
@@ -80,7 +81,7 @@
 	sample.DiskKB = max(sample.DiskKB, int(bytes>>10))
 }
 
-// formatGrowth shows how a program grew: a third through the run, after two thirds, and at the end.
+// formatGrowth formats a program's samples after one third of the run, after two thirds, and at the end.
 func formatGrowth(samples []Sample, program string) string {
 	var ofProgram []Sample
 	for _, sample := range samples {
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -22,55 +22,58 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// operationHeader carries the name of a request (CallEntry.Operation) from caller to worker.
+// operationHeader is the request header with the name of the operation (CallEntry.Operation), which callers set.
 const operationHeader = "X-Op"
 
-// callerRetryHeader carries CallEntry.CallerRetry.
+// callerRetryHeader is the request header with CallEntry.CallerRetry, which callers set.
 const callerRetryHeader = "X-Ask"
 
-// Worker is a fake worker. It executes the requests that bear its token, and records each execution.
+// Worker is a fake worker. It executes requests that carry its token and records each execution. Its methods may be
+// called concurrently.
 type Worker struct {
 	name                string
-	description         dispatch.WorkerDescription
-	registrationAddress string // IP:port at which its proxy takes registrations
+	description         dispatch.WorkerDescription // what the worker registers; guarded by lock
+	registrationAddress string                     // IP:port at which the worker's proxy takes registrations
 	history             *History
-	now                 func() time.Duration
-	delay               time.Duration // of each request
+	now                 func() time.Duration // time since the run began
+	delay               time.Duration        // time that each request takes
 
-	lock      sync.Mutex // guards description and conns
-	conns     map[net.Conn]bool
+	lock      sync.Mutex        // guards description and conns
+	conns     map[net.Conn]bool // all connections that were accepted
 	listener  net.Listener
-	stopped   chan struct{}
+	stopped   chan struct{} // closed by Kill; ends the heartbeats
 	killed    atomic.Bool
 	draining  atomic.Bool
-	inFlight  atomic.Int64
-	fault     atomic.Pointer[WorkerFault]
-	onRequest atomic.Pointer[func(call *fasthttp.RequestCtx)] // called for each request before the response is written
+	inFlight  atomic.Int64                                    // number of requests that carry the token and are not yet answered
+	fault     atomic.Pointer[WorkerFault]                     // nil while the worker is not faulty
+	onRequest atomic.Pointer[func(call *fasthttp.RequestCtx)] // if not nil, called for each request before the response is written
 }
 
-// WorkerFault is how a worker misbehaves.
+// WorkerFault describes how a worker misbehaves.
 type WorkerFault struct {
-	Prefix          string        // only on paths that begin with it; empty for all
-	ReturnsError    bool          // answers 500
-	ExtraDelay      time.Duration // takes this much longer
-	DropsResponse   bool          // executes the request and closes the connection
-	GarblesResponse bool          // answers with a cut JSON body
-	AboveInFlight   int64         // faulty only while more requests than this are in flight; the delay then comes before the execution, in any case
+	Prefix          string        // path prefix to which the fault is limited; empty for all paths
+	ReturnsError    bool          // the worker answers with status 500
+	ExtraDelay      time.Duration // the worker takes this much longer for a request
+	DropsResponse   bool          // the worker executes the request and closes the connection without a response
+	GarblesResponse bool          // the worker answers with a truncated JSON body
+	// AboveInFlight limits the fault to times when more than this number of requests are in flight. If it is not 0,
+	// ExtraDelay applies to every request, and before its execution.
+	AboveInFlight int64
 }
 
-// SetFault makes the worker faulty; nil ends that.
+// SetFault makes the worker faulty. A nil fault ends the fault that was set before.
 func (w *Worker) SetFault(fault *WorkerFault) { w.fault.Store(fault) }
 
-// heartbeatInterval is between two heartbeats of a worker.
+// heartbeatInterval is the time between two heartbeats of a worker.
 const heartbeatInterval = time.Second
 
-// trackingListener keeps the connections that it accepted, so that Kill can reset them.
+// trackingListener adds the connections that it accepts to its worker, so that Kill can reset them.
 type trackingListener struct {
 	net.Listener
 	worker *Worker
 }
 
-// Accept accepts a connection and adds it to the worker's.
+// Accept accepts a connection and adds it to the worker's connections.
 func (l trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
@@ -81,19 +84,20 @@
 	return conn, err
 }
 
-// WorkerOptions say what a worker is and where it runs.
+// WorkerOptions configure a worker.
 type WorkerOptions struct {
-	Name                string
+	Name                string // unique name in the history
 	Service             string
 	Version             string
 	Zone                string
-	Address             string        // IP:port at which it takes requests
-	RegistrationAddress string        // IP:port at which its proxy takes registrations
-	Delay               time.Duration // that each request takes
+	Address             string        // IP:port at which the worker takes requests
+	RegistrationAddress string        // IP:port at which the worker's proxy takes registrations
+	Delay               time.Duration // time that each request takes
 }
 
-// StartWorker starts a worker and registers it with its proxy, at once and with each heartbeat. It records what it
-// executes in the history, with times of now.
+// StartWorker starts a worker, which runs until Kill or Shutdown is called. The worker registers with its proxy at once
+// and then with each heartbeat, and records its executions in the history, with times from now. StartWorker fails with
+// errs.Internal if the worker cannot listen at its address.
 func StartWorker(o WorkerOptions, history *History, now func() time.Duration) (*Worker, error) {
 	listener, err := net.Listen("tcp", o.Address)
 	if err != nil {
@@ -117,7 +121,8 @@
 			HeartbeatMS: heartbeatInterval.Milliseconds(),
 		},
 	}
-	// Connections that proxies close are expected; where one matters, the history has it.
+	// The server's log is discarded: it reports connections that proxies close, which is expected. Closed connections
+	// that matter are in the history.
 	discard := log.New(io.Discard, "", 0)
 	server := &fasthttp.Server{Handler: w.handle, NoDefaultServerHeader: true, Concurrency: 10000, Logger: discard}
 	go func() { _ = server.Serve(trackingListener{listener, w}) }()
@@ -125,7 +130,7 @@
 	return w, nil
 }
 
-// handle serves one request.
+// handle serves one request. A worker that was killed closes the connection without a response.
 func (w *Worker) handle(call *fasthttp.RequestCtx) {
 	if w.killed.Load() {
 		call.HijackSetNoResponse(true)
@@ -134,7 +139,7 @@
 	}
 	operation := string(call.Request.Header.Peek(operationHeader))
 	if string(call.Request.Header.Peek(dispatch.HeaderToken)) != w.description.Token {
-		// Meant for another worker: it is rejected, and was not executed.
+		// The request was meant for another worker, so it is rejected without being executed.
 		appendEntry(w.history, &w.history.MisdirectedRequests, w.name+" refused "+operation)
 		call.Response.Header.Set(dispatch.HeaderRefused, "token")
 		call.SetStatusCode(fasthttp.StatusMisdirectedRequest)
@@ -142,7 +147,7 @@
 	}
 	w.inFlight.Add(1)
 	defer w.inFlight.Add(-1)
-	// Calls past the mesh only measure what the mesh adds.
+	// Calls that bypass the mesh are only a baseline for latencies: they are not recorded and no fault applies.
 	if string(call.Path()) == directPath {
 		w.respond(call, operation)
 		return
@@ -180,7 +185,8 @@
 	}
 }
 
-// simulateWork takes as long as a request asks for, or until its connection ends, and records the end.
+// simulateWork works for the duration that the request asks for in workDurationHeader, or until its connection ends, and
+// records the end. Without the header it returns at once.
 func (w *Worker) simulateWork(call *fasthttp.RequestCtx, operation string) {
 	requestedMS, err := strconv.Atoi(string(call.Request.Header.Peek(workDurationHeader)))
 	if err != nil {
@@ -188,8 +194,8 @@
 	}
 	conn, connEnded := call.Conn(), make(chan bool, 1)
 	go func() {
-		// A proxy sends nothing before it has its response, so a read returns only at the end of the connection, or
-		// at the deadline set below.
+		// A proxy sends nothing more before it has the response. The read therefore returns only when the connection
+		// ends or at the deadline that is set below.
 		_, err := conn.Read(make([]byte, 1))
 		connEnded <- err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 	}()
@@ -204,10 +210,10 @@
 	appendEntry(w.history, &w.history.ExecutionEnds, ExecutionEndEntry{operation, w.name, w.now(), connLost})
 }
 
-// directPath is the path of calls past the mesh, which are not recorded.
+// directPath is the path of calls that bypass the mesh.
 const directPath = "/direct"
 
-// respond writes the response, once the worker's delay is over.
+// respond waits for the worker's delay and writes the response.
 func (w *Worker) respond(call *fasthttp.RequestCtx, operation string) {
 	if w.delay > 0 {
 		time.Sleep(w.delay)
@@ -220,7 +226,9 @@
 	call.SetBody(text)
 }
 
-// register sends a heartbeat with the worker's description, once change was applied to it.
+// register applies change, if it is not nil, to the worker's description and sends the description to the proxy as a
+// heartbeat. It fails with errs.PeerConnectionLost if the proxy does not answer, and with errs.MalformedRequest if it
+// rejects the description.
 func (w *Worker) register(change func(*dispatch.WorkerDescription)) error {
 	w.lock.Lock()
 	if change != nil {
@@ -246,7 +254,8 @@
 	return nil
 }
 
-// CallDirectly sends one call straight to the worker and returns how long it took.
+// CallDirectly sends one call to the worker without the mesh and returns how long it took. It fails with
+// errs.WorkerConnectionLost if there was no response.
 func (w *Worker) CallDirectly() (time.Duration, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -258,7 +267,8 @@
 	return time.Since(begin), errs.Wrap(err, errs.WorkerConnectionLost, w.name)
 }
 
-// heartbeatLoop sends heartbeats until the worker is killed. A lost one is made up for by the next.
+// heartbeatLoop sends heartbeats until the worker is killed. Errors are ignored, because the next heartbeat makes up for
+// a lost one.
 func (w *Worker) heartbeatLoop() {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -272,7 +282,8 @@
 	}
 }
 
-// Drain reports that the worker drains. It goes on serving.
+// Drain reports to the proxy that the worker is draining and records the time. The worker keeps serving. The error is
+// that of the report to the proxy.
 func (w *Worker) Drain() error {
 	w.draining.Store(true)
 	err := w.register(func(description *dispatch.WorkerDescription) { description.Draining = true })
@@ -280,7 +291,7 @@
 	return err
 }
 
-// Shutdown deregisters the worker, waits for its requests in flight, and ends it.
+// Shutdown deregisters the worker, waits until no requests are in flight, and ends it.
 func (w *Worker) Shutdown() {
 	_ = w.register(func(description *dispatch.WorkerDescription) { description.Deregistered = true })
 	for w.inFlight.Load() > 0 {
@@ -289,13 +300,14 @@
 	w.Kill()
 }
 
-// Kill ends the worker as a crash does: every connection is reset, and nothing is reported.
+// Kill ends the worker as a crash would: it resets every connection and reports nothing to the proxy. It records the
+// time unless Drain was called before.
 func (w *Worker) Kill() {
 	if w.killed.Swap(true) {
 		return
 	}
 	close(w.stopped)
-	_ = w.listener.Close() // a second close fails, and changes nothing
+	_ = w.listener.Close() // an error means that it is closed already
 	w.lock.Lock()
 	for conn := range w.conns {
 		if tcp, ok := conn.(*net.TCPConn); ok {
