--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -22,42 +22,45 @@
 	"meadowhinge/schema"
 )
 
-// Headers between the callers and workers of a chain.
+// Headers between the callers and workers of a chain of calls.
 const (
-	remainingDepthHeader = "X-Depth"  // how many calls are still to be made, each nested in the one before
-	workedNanosHeader    = "X-Work"   // nanoseconds that this worker and all nested ones worked
-	directHeader         = "X-Direct" // set on calls past the mesh
+	remainingDepthHeader = "X-Depth"  // request: depth of the chain from this call on, 1 for the last call
+	workedNanosHeader    = "X-Work"   // response: total work of this worker and all nested ones, in nanoseconds
+	directHeader         = "X-Direct" // request: set on calls that bypass the mesh
 )
 
-// CallPoint is what calls cost in one run.
+// CallPoint holds the costs of calls in one run with a constant rate and depth.
 type CallPoint struct {
-	Rate     float64 `json:"rate"` // chains begun a second
-	Depth    int     `json:"depth"`
-	Run      int     `json:"run"`
-	CallRate float64 `json:"callsPerSecond"` // answered calls, each of a chain counted
-	Failed   int     `json:"failed"`
-	// Processor time in thousandths of a core: of all proxies, of the first caller's, of the first worker's.
-	ProxiesCPU    float64 `json:"proxiesCpuMsPerSecond"`
+	Rate     float64 `json:"rate"`           // chains begun per second, including those that bypass the mesh
+	Depth    int     `json:"depth"`          // number of nested calls in each chain
+	Run      int     `json:"run"`            // number of the run among those of the same rate and depth, from 1
+	CallRate float64 `json:"callsPerSecond"` // answered calls through the mesh per second, counting each call of a chain
+	Failed   int     `json:"failed"`         // number of failed chains
+	// ProxiesCPU is the CPU usage of all proxies together, in thousandths of a core.
+	ProxiesCPU float64 `json:"proxiesCpuMsPerSecond"`
+	// CallerSideCPU is the CPU usage of the first caller's proxy, in thousandths of a core.
 	CallerSideCPU float64 `json:"callerSideCpuMsPerSecond"`
+	// WorkerSideCPU is the CPU usage of the first worker's proxy, in thousandths of a core.
 	WorkerSideCPU float64 `json:"workerSideCpuMsPerSecond"`
-	BytesSent     float64 `json:"bytesPerSecond"` // between proxies and to registries, sent
-	// AddedLatency is what a chain took beyond its workers' work, through the mesh and past it.
-	AddedLatency  LatencySummary `json:"addedMs"`
+	BytesSent     float64 `json:"bytesPerSecond"` // bytes that the proxies sent to each other and to registries per second
+	// AddedLatency is the time that chains through the mesh took in addition to the work of their workers.
+	AddedLatency LatencySummary `json:"addedMs"`
+	// DirectLatency is the same for chains that bypass the mesh.
 	DirectLatency LatencySummary `json:"directMs"`
 }
 
-// CallsReport is what a series of runs found.
+// CallsReport is the result of a series of runs of chains of calls.
 type CallsReport struct {
-	Commit string      `json:"commit"`
-	Mode   string      `json:"mode"`
-	Cores  int         `json:"cores"`
-	Points []CallPoint `json:"points"`
+	Commit string      `json:"commit"` // commit of this program; see buildCommit
+	Mode   string      `json:"mode"`   // mode of the fleet
+	Cores  int         `json:"cores"`  // number of CPU cores of this machine
+	Points []CallPoint `json:"points"` // runs, in the order in which they were made
 	Slopes []Slope     `json:"slopes"`
 
-	addedByLoad map[string]*hdrhistogram.Histogram // by rate and depth
+	addedByLoad map[string]*hdrhistogram.Histogram // latencies of CallPoint.AddedLatency, by depth and rate
 }
 
-// ValidateCalls lists what in the settings cannot be run.
+// ValidateCalls returns the faults of the settings beyond the bounds of each; none if the series can be run.
 func ValidateCalls(opts *schema.CallsOptions) options.Faults {
 	var faults options.Faults
 	for name, text := range map[string]string{"rates": opts.Rates, "depths": opts.Depths} {
@@ -75,10 +78,10 @@
 	return faults
 }
 
-// maxDepth bounds a chain; each depth is a service of its own.
+// maxDepth is the largest depth of a chain. Each depth needs a service of its own.
 const maxDepth = 64
 
-// parsePositiveInts reads whole numbers above 0, separated by commas.
+// parsePositiveInts parses a list of integers of at least 1, separated by commas. It fails with errs.InvalidOptions.
 func parsePositiveInts(text string) ([]int, error) {
 	var values []int
 	for _, field := range options.SplitList(text) {
@@ -91,17 +94,18 @@
 	return values, nil
 }
 
-// callChain is a fleet whose workers call each other in a chain: service-0 calls service-1 and so on.
+// callChain is a fleet whose workers call each other in a chain: a client calls service-0, which calls service-1, and so
+// on. Caller 0 is the client; caller i+1 is the worker of service i.
 type callChain struct {
 	opts          *schema.CallsOptions
 	fleet         *Fleet
-	workers       []*Worker
-	meshClients   []*fasthttp.HostClient // of the i-th caller, through the mesh
-	directClients []*fasthttp.HostClient // of the i-th caller, past the mesh
-	body          []byte
+	workers       []*Worker              // worker of each service
+	meshClients   []*fasthttp.HostClient // by caller, for calls through the mesh
+	directClients []*fasthttp.HostClient // by caller, for calls that bypass the mesh
+	body          []byte                 // body of each request
 }
 
-// newChainClient makes a client that never retries.
+// newChainClient returns an HTTP client that never retries.
 func newChainClient(address string) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -114,7 +118,7 @@
 // maxChainConns bounds the calls in flight of one caller of a chain.
 const maxChainConns = 4096
 
-// chainCallers are the callers that have a listener at each proxy.
+// chainCallers returns the names of the callers of a chain of the given length. Each has a listener at each proxy.
 func chainCallers(length int) []string {
 	callers := []string{clientCaller}
 	for i := range length - 1 {
@@ -123,8 +127,8 @@
 	return callers
 }
 
-// startChain brings up a core, proxies, and a worker for each depth, at the proxies in turn. After an error the chain
-// may be incomplete; it is nil only if nothing was started.
+// startChain brings up a core, proxies, and one worker for each depth; the workers are spread over the proxies. After an
+// error it returns the incomplete chain, which must be stopped, or nil if nothing was started.
 func startChain(ctx context.Context, opts *schema.CallsOptions, length int) (*callChain, error) {
 	coreOptions := &schema.HollowOptions{
 		Seats:    maxSeeds,
@@ -149,7 +153,7 @@
 		return c, err
 	}
 	core := slices.Concat(fleet.Stores, fleet.Registries)
-	//nolint:contextcheck // AwaitReady has a timeout of its own; to end it with ctx would change interrupted runs
+	//nolint:contextcheck // AwaitReady has its own timeout; ending it with ctx would change what interrupted runs do
 	if err := AwaitReady(core, readyTimeout+keyWindowLeases*fleet.lease); err != nil {
 		return c, err
 	}
@@ -168,8 +172,8 @@
 	return c, awaitWorkerDiscovery(fleet.Proxies, length, readyTimeout)
 }
 
-// startWorkers starts the workers of a chain and makes the clients of their callers. A worker makes nested calls only
-// once all workers run.
+// startWorkers starts the workers of a chain and makes the clients of their callers. The workers begin to make nested
+// calls only when all of them have been started.
 func (c *callChain) startWorkers(length int, now func() time.Duration) error {
 	edges := int(c.opts.Edges)
 	for i := range length {
@@ -186,7 +190,7 @@
 			return err
 		}
 		c.workers = append(c.workers, worker)
-		// The i-th caller calls the i-th service: first a client, then the worker of the service before.
+		// Caller i calls service i through its proxy, which is the proxy of the worker of service i-1.
 		callerAddress := fmt.Sprintf("%s:%d", c.fleet.spacedEdgeAddress(i%edges), portCallers+i)
 		c.meshClients = append(c.meshClients, newChainClient(callerAddress))
 		c.directClients = append(c.directClients, newChainClient(worker.description.Address))
@@ -198,12 +202,14 @@
 	return nil
 }
 
-// spacedEdgeAddress is the IP address of the i-th proxy of a fleet that may have more than 254.
+// spacedEdgeAddress returns the IP address of the i-th proxy of a hollow or chain fleet. Unlike edgeAddress, it allows
+// for more than 254 proxies.
 func (f *Fleet) spacedEdgeAddress(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", f.netOctet, 2+i/edgesPerNet, 1+i%edgesPerNet)
 }
 
-// simulateWork is what the i-th worker does for a request: its own work, then the nested call.
+// simulateWork does the work of the i-th worker for a request, then makes the nested call, if there is one. It reports
+// the total work in the response, or status 502 if the nested call failed.
 func (c *callChain) simulateWork(i int, call *fasthttp.RequestCtx) {
 	begin := time.Now()
 	time.Sleep(time.Duration(c.opts.Work))
@@ -220,7 +226,8 @@
 	call.Response.Header.Set(workedNanosHeader, strconv.FormatInt(int64(worked), 10))
 }
 
-// call makes the call of the i-th caller and returns how long all workers nested in it worked.
+// call makes the call of the i-th caller with a chain of the given depth, through the mesh or, with direct, without it.
+// It returns the total work of all workers of the chain.
 func (c *callChain) call(i, depth int, direct bool) (time.Duration, error) {
 	request, response := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(request)
@@ -246,7 +253,8 @@
 	return time.Duration(worked), errs.Wrap(err, errs.InvalidResponse, "work")
 }
 
-// measureLoad makes chains at a rate, in chains a second, for the length of a run.
+// measureLoad begins chains at a constant rate, in chains per second, for the length of a run. It returns the costs and
+// the latencies that CallPoint.AddedLatency sums up.
 func (c *callChain) measureLoad(rate float64, depth int) (CallPoint, *hdrhistogram.Histogram) {
 	point := CallPoint{Rate: rate, Depth: depth}
 	meshLatency, directLatency := newLatencyHistogram(), newLatencyHistogram()
@@ -257,8 +265,8 @@
 	answered := 0
 	for sent := 0; time.Since(begin) < time.Duration(c.opts.Length); sent++ {
 		time.Sleep(time.Until(begin.Add(time.Duration(float64(sent) / rate * float64(time.Second)))))
-		// Chains past the mesh show what callers and workers themselves take.
-		direct := sent%directOneIn == 0
+		// Chains that bypass the mesh measure the latency of the callers and workers themselves.
+		direct := sent%directChainInterval == 0
 		calling.Go(func() {
 			started := time.Now()
 			worked, err := c.call(0, depth, direct)
@@ -296,9 +304,10 @@
 	return point, meshLatency
 }
 
-// directOneIn is which part of the chains goes past the mesh: one in so many.
-const directOneIn = 8
+// directChainInterval determines which chains bypass the mesh: the first of each directChainInterval chains.
+const directChainInterval = 8
 
+// readCounters reads the counters of all proxies.
 func (c *callChain) readCounters() []processCounters {
 	var counters []processCounters
 	for _, process := range c.fleet.Proxies {
@@ -307,6 +316,7 @@
 	return counters
 }
 
+// stop ends the workers, then the fleet.
 func (c *callChain) stop() {
 	for _, worker := range c.workers {
 		worker.Kill()
@@ -314,12 +324,14 @@
 	c.fleet.Stop()
 }
 
-// RunCalls varies the rate and the depth of calls and fits what a call costs.
+// RunCalls measures chains of calls at each rate with depth 1, and at each depth with the base rate, and fits the growth
+// of each cost with rate and depth. It writes progress to out. It fails with options.Faults for invalid settings, with
+// the error of bringing up the fleet, or with ctx's error.
 func RunCalls(ctx context.Context, opts *schema.CallsOptions, out io.Writer) (*CallsReport, error) {
 	if faults := ValidateCalls(opts); len(faults) > 0 {
 		return nil, faults
 	}
-	// ValidateCalls has checked both lists.
+	// ValidateCalls has checked both lists, so they parse.
 	rates, _ := parsePositiveInts(opts.Rates)
 	depths, _ := parsePositiveInts(opts.Depths)
 	length := 1
@@ -333,7 +345,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The first run opens connections and warms the programs up; it does not count.
+	// The first run is a warm-up: it opens connections and is not recorded.
 	c.measureLoad(float64(opts.Chains), length)
 	report := &CallsReport{Commit: buildCommit(), Mode: opts.Mode, Cores: runtime.NumCPU(), addedByLoad: map[string]*hdrhistogram.Histogram{}}
 	for run := range int(opts.Runs) {
@@ -363,14 +375,14 @@
 	return report, nil
 }
 
-// fit computes the slopes: what calls of depth 1 cost by their rate, and what a chain costs by its depth. Points come
-// in rounds of so many rates, then so many depths.
+// fit computes the slopes: the costs of calls of depth 1 by their rate, and the costs of a chain by its depth. rates and
+// depths are the numbers of rates and depths; r.Points repeats a run for each rate followed by a run for each depth.
 func (r *CallsReport) fit(rates, depths int) {
 	costs := []struct {
-		name  string
-		adds  bool // is a sum over all calls, so that it is divided by the chains
-		sided bool // is of one side of a call
-		of    func(CallPoint) float64
+		name     string
+		additive bool // the cost is a sum over all calls, so the cost of a chain is its quotient by the chain rate
+		oneSided bool // the cost is that of the caller's or of the worker's proxy only
+		value    func(CallPoint) float64
 	}{
 		{"proxies cpu ms", true, false, func(p CallPoint) float64 { return p.ProxiesCPU }},
 		{"caller side cpu ms", true, true, func(p CallPoint) float64 { return p.CallerSideCPU }},
@@ -381,29 +393,29 @@
 		{"past the mesh ms, p50", false, false, func(p CallPoint) float64 { return p.DirectLatency.P50 }},
 		{"past the mesh ms, p99", false, false, func(p CallPoint) float64 { return p.DirectLatency.P99 }},
 	}
-	const meshed = 1 - 1.0/directOneIn
+	const meshRatio = 1 - 1.0/directChainInterval // fraction of the chains that go through the mesh
 	for _, cost := range costs {
 		var byRate, byDepth []costSample
 		for i, point := range r.Points {
-			switch value := cost.of(point); {
+			switch value := cost.value(point); {
 			case i%(rates+depths) < rates:
-				byRate = append(byRate, costSample{point.Rate * meshed, value})
-			case cost.adds:
-				byDepth = append(byDepth, costSample{float64(point.Depth), value / (point.Rate * meshed)})
+				byRate = append(byRate, costSample{point.Rate * meshRatio, value})
+			case cost.additive:
+				byDepth = append(byDepth, costSample{float64(point.Depth), value / (point.Rate * meshRatio)})
 			default:
 				byDepth = append(byDepth, costSample{float64(point.Depth), value})
 			}
 		}
-		per := map[bool][2]string{true: {" a second", " a chain"}}[cost.adds]
-		r.Slopes = append(r.Slopes, fitSlope("calls a second", cost.name+per[0], byRate))
-		// In a chain every proxy is on both sides of calls.
-		if !cost.sided {
-			r.Slopes = append(r.Slopes, fitSlope("depth", cost.name+per[1], byDepth))
+		units := map[bool][2]string{true: {" a second", " a chain"}}[cost.additive]
+		r.Slopes = append(r.Slopes, fitSlope("calls a second", cost.name+units[0], byRate))
+		// The proxies of a chain are on both sides of calls, so one-sided costs have no slope by depth.
+		if !cost.oneSided {
+			r.Slopes = append(r.Slopes, fitSlope("depth", cost.name+units[1], byDepth))
 		}
 	}
 }
 
-// Print shows the runs and the slopes.
+// Print writes the runs and the slopes as Markdown tables.
 func (r *CallsReport) Print(out io.Writer) {
 	printf(out, "%s mode, commit %s, %d cores\n\n"+
 		"| chains/s | depth | run | calls/s | failed | proxies cpu ms/s | caller side | worker side | bytes sent/s | added ms p50 / p99 | past the mesh ms p50 / p99 |\n"+
@@ -421,12 +433,12 @@
 	}
 }
 
-// Write saves the report as JSON.
+// Write writes the report to a file as JSON. It fails with errs.DiskFailed.
 func (r *CallsReport) Write(file string) error {
 	return writeReport(file, r)
 }
 
-// WritePlots writes plots of the slopes, and of the latency that the mesh adds.
+// WritePlots writes plots of the slopes and of the latency that the mesh adds to a folder; see writePlot on the format.
 func (r *CallsReport) WritePlots(folder, format string) error {
 	var lines []plotSeries
 	for _, point := range r.Points {
--- a/internal/testbed/curve_fit.go
+++ b/internal/testbed/curve_fit.go
@@ -11,35 +11,37 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// costSample is one cost at one value of a driver, in one run.
+// costSample is the cost that one run measured at one value of a driver.
 type costSample struct {
 	driverValue, cost float64
 }
 
-// Slope is how a cost grows with a driver, as a polynomial fitted to runs.
+// Slope is the growth of a cost with a driver, as a polynomial that was fitted to the costs of runs.
 type Slope struct {
-	Driver         string    `json:"driver"`
-	Cost           string    `json:"cost"`
-	Coefficients   []float64 `json:"terms"`  // the constant first
-	RSquared       float64   `json:"fit"`    // R² over the runs that it was fitted to
-	RelativeSpread float64   `json:"spread"` // the largest standard deviation of the runs at one value, as a part of their mean
-	// HeldOut is the value that was left out of the fit, for a comparison of Predicted and Measured; 0 for none.
+	Driver       string    `json:"driver"` // name of the driver, the independent variable
+	Cost         string    `json:"cost"`   // name of the cost, with its unit
+	Coefficients []float64 `json:"terms"`  // coefficients of the polynomial, the constant first
+	RSquared     float64   `json:"fit"`    // coefficient of determination R² over the fitted runs
+	// RelativeSpread is the largest standard deviation of the runs at one value, as a fraction of their mean.
+	RelativeSpread float64 `json:"spread"`
+	// HeldOut is the driver's value whose runs were left out of the fit, to compare Predicted with Measured; 0 if no value
+	// was left out.
 	HeldOut   float64 `json:"out"`
-	Predicted float64 `json:"predicted"`
-	Measured  float64 `json:"measured"` // the mean of its runs
+	Predicted float64 `json:"predicted"` // cost that the polynomial predicts at HeldOut
+	Measured  float64 `json:"measured"`  // mean cost of the runs at HeldOut
 }
 
-// Predict is the cost that the slope predicts at a value of its driver.
+// Predict returns the cost that the polynomial predicts at a value of the driver.
 func (s Slope) Predict(value float64) float64 {
 	sum, power := 0.0, 1.0
-	for _, term := range s.Coefficients {
-		sum += term * power
+	for _, coefficient := range s.Coefficients {
+		sum += coefficient * power
 		power *= value
 	}
 	return sum
 }
 
-// RelativeError is how far the prediction was from what was measured at the held-out value, as a part of that.
+// RelativeError returns the difference between Predicted and Measured, as a fraction of Measured; 0 if that is 0.
 func (s Slope) RelativeError() float64 {
 	if s.Measured == 0 {
 		return 0
@@ -47,24 +49,26 @@
 	return (s.Predicted - s.Measured) / s.Measured
 }
 
-// Formula writes the polynomial.
+// Formula returns the polynomial as text, such as "5 + 3 x".
 func (s Slope) Formula() string {
 	var parts []string
-	for i, term := range s.Coefficients {
-		name := map[int]string{0: "", 1: " x", 2: " x²"}[i]
-		parts = append(parts, fmt.Sprintf("%.3g%s", term, name))
+	for i, coefficient := range s.Coefficients {
+		power := map[int]string{0: "", 1: " x", 2: " x²"}[i]
+		parts = append(parts, fmt.Sprintf("%.3g%s", coefficient, power))
 	}
 	return strings.ReplaceAll(strings.Join(parts, " + "), "+ -", "- ")
 }
 
-// maxDegree bounds the polynomial: costs come from loops over members, or over pairs of them.
+// maxDegree is the largest degree of a fitted polynomial. Costs come from loops over members, or over pairs of members.
 const maxDegree = 2
 
-// minCurveImprovement is the factor by which a curve's error must be below a line's for the curve to be taken.
-const minCurveImprovement = 0.7
+// maxErrorRatio is the ratio of the error of a curve to the error of a line below which the curve is preferred.
+const maxErrorRatio = 0.7
 
-// fitSlope fits a line or, where that predicts left-out values clearly better, a curve. The largest value is held
-// out of the fit, because slopes are used to predict beyond what was measured.
+// fitSlope fits a polynomial to runs by least squares. It chooses the degree by leave-one-out cross-validation over the
+// driver's values: it prefers a higher degree only if that reduces the squared error by the factor maxErrorRatio. The
+// largest value is held out of the fit and of the choice, because slopes are used to predict beyond the measured range.
+// The fit needs more than maxDegree values for that; otherwise none is held out.
 func fitSlope(driver, cost string, runs []costSample) Slope {
 	byValue := map[float64][]float64{}
 	for _, sample := range runs {
@@ -90,10 +94,10 @@
 	for candidate := 1; candidate <= maxDegree && len(values) > candidate+1; candidate++ {
 		squaredError := 0.0
 		for _, value := range values {
-			terms := fitPolynomial(withoutValue(fitted, value), candidate)
-			squaredError += math.Pow(Slope{Coefficients: terms}.Predict(value)-stat.Mean(byValue[value], nil), 2)
+			coefficients := fitPolynomial(withoutValue(fitted, value), candidate)
+			squaredError += math.Pow(Slope{Coefficients: coefficients}.Predict(value)-stat.Mean(byValue[value], nil), 2)
 		}
-		if squaredError < smallestError*minCurveImprovement {
+		if squaredError < smallestError*maxErrorRatio {
 			degree, smallestError = candidate, squaredError
 		}
 	}
@@ -103,7 +107,7 @@
 	for i := range x {
 		predicted[i] = slope.Predict(x[i])
 	}
-	// R² has no value where all runs cost the same; the fit is exact then.
+	// R² is undefined if all runs have the same cost. The fit is exact in that case.
 	if slope.RSquared = stat.RSquaredFrom(predicted, y, nil); math.IsNaN(slope.RSquared) || math.IsInf(slope.RSquared, 0) {
 		slope.RSquared = 1
 	}
@@ -111,12 +115,12 @@
 	return slope
 }
 
-// withoutValue lists the runs at all other values.
+// withoutValue returns the runs at all values but the given one.
 func withoutValue(runs []costSample, value float64) []costSample {
 	return slices.DeleteFunc(slices.Clone(runs), func(sample costSample) bool { return sample.driverValue == value })
 }
 
-// columns lists the runs' values and costs.
+// columns returns the driver's values and the costs of runs as separate slices.
 func columns(runs []costSample) (x, y []float64) {
 	for _, sample := range runs {
 		x = append(x, sample.driverValue)
@@ -125,7 +129,8 @@
 	return x, y
 }
 
-// fitPolynomial fits a polynomial by least squares; the constant is the first coefficient.
+// fitPolynomial fits a polynomial by least squares and returns its coefficients, the constant first. If the runs do not
+// determine a polynomial of this degree, it fits one of a lower degree.
 func fitPolynomial(runs []costSample, degree int) []float64 {
 	x, y := columns(runs)
 	switch {
@@ -137,7 +142,8 @@
 		constant, slope := stat.LinearRegression(x, y, nil, false)
 		return []float64{constant, slope}
 	}
-	// Powers of large values differ by many orders of magnitude, so values are scaled to the largest.
+	// The powers of large values differ by many orders of magnitude, which would make the solution inaccurate. Values are
+	// therefore scaled to at most 1.
 	scale := slices.Max(x)
 	powers := mat.NewDense(len(x), degree+1, nil)
 	for i, value := range x {
@@ -149,9 +155,9 @@
 	if solution.SolveVec(powers, mat.NewVecDense(len(y), y)) != nil {
 		return fitPolynomial(runs, degree-1)
 	}
-	terms := make([]float64, degree+1)
-	for j := range terms {
-		terms[j] = solution.AtVec(j) / math.Pow(scale, float64(j))
+	coefficients := make([]float64, degree+1)
+	for j := range coefficients {
+		coefficients[j] = solution.AtVec(j) / math.Pow(scale, float64(j))
 	}
-	return terms
+	return coefficients
 }
--- a/internal/testbed/plots.go
+++ b/internal/testbed/plots.go
@@ -15,20 +15,22 @@
 	"meadowhinge/internal/errs"
 )
 
-// Size of a plot, in inches.
+// Size of each plot, in inches.
 const (
 	plotWidthInches  = 7
 	plotHeightInches = 4
 )
 
-// plotSeries is one line of a plot.
+// plotSeries is one series of points in a plot.
 type plotSeries struct {
-	name    string
+	name    string // text of the legend
 	points  plotter.XYs
-	scatter bool // points that are not joined
+	scatter bool // draw separate points instead of a line
 }
 
-// writePlot writes a plot as a file in a format such as svg; the format "none" writes nothing.
+// writePlot writes a plot to the file name.format in a folder, with the spaces of the name replaced. The format is a
+// file extension that gonum/plot supports, such as svg; with "none" or an empty format nothing is written. customize, if
+// not nil, is called with the plot before the series are added.
 func writePlot(folder, format, name, title, xLabel, yLabel string, plotted []plotSeries, customize func(*plot.Plot)) error {
 	if format == "none" || format == "" {
 		return nil
@@ -69,7 +71,8 @@
 	return errs.Wrap(chart.Save(plotWidthInches*vg.Inch, plotHeightInches*vg.Inch, file), errs.DiskFailed, file)
 }
 
-// quantileCurve draws a histogram of microseconds: which percentage is within how many milliseconds.
+// quantileCurve returns the cumulative distribution of a histogram of microseconds: X is in milliseconds, Y is the
+// percentage of the values up to X.
 func quantileCurve(histogram *hdrhistogram.Histogram) plotter.XYs {
 	var points plotter.XYs
 	for _, bracket := range histogram.CumulativeDistribution() {
@@ -80,9 +83,10 @@
 	return points
 }
 
-// WritePlots writes the run's plots to a folder.
+// WritePlots writes plots of latencies, CPU and memory to a folder; see writePlot on the format. It fails with
+// errs.DiskFailed or errs.Internal.
 func (r *HollowReport) WritePlots(folder, format string) error {
-	var spans []plotSeries
+	var latencies []plotSeries
 	for _, name := range []string{
 		"stated to acknowledged",
 		"acknowledged to in use, each member",
@@ -91,19 +95,19 @@
 		"news of workers, each member",
 	} {
 		if histogram := r.histograms[name]; histogram != nil && histogram.TotalCount() > 0 {
-			spans = append(spans, plotSeries{name: name, points: quantileCurve(histogram)})
+			latencies = append(latencies, plotSeries{name: name, points: quantileCurve(histogram)})
 		}
 	}
 	title := fmt.Sprintf("%d members, %d services, %d routes", r.Options.Members, r.Options.Services, r.Options.Routes)
-	if len(spans) > 0 {
-		err := writePlot(folder, format, "spans", title, "milliseconds", "per cent done within", spans, logScaleX)
+	if len(latencies) > 0 {
+		err := writePlot(folder, format, "spans", title, "milliseconds", "per cent done within", latencies, logScaleX)
 		if err != nil {
 			return err
 		}
 	}
 	for _, figure := range []struct {
-		name, up string
-		of       func(HollowInterval) map[string]float64
+		name, yLabel string
+		byRole       func(HollowInterval) map[string]float64
 	}{
 		{"processor", "thousandths of a core", func(i HollowInterval) map[string]float64 { return i.CPU }},
 		{"memory", "MB", func(i HollowInterval) map[string]float64 { return i.Memory }},
@@ -111,12 +115,12 @@
 		var lines []plotSeries
 		for _, role := range []string{"proxy", "registry", "store"} {
 			roleSeries := plotSeries{name: role}
-			for _, line := range r.Timeline {
-				roleSeries.points = append(roleSeries.points, plotter.XY{X: line.At, Y: figure.of(line)[role]})
+			for _, interval := range r.Timeline {
+				roleSeries.points = append(roleSeries.points, plotter.XY{X: interval.At, Y: figure.byRole(interval)[role]})
 			}
 			lines = append(lines, roleSeries)
 		}
-		if err := writePlot(folder, format, figure.name, title, "seconds", figure.up, lines, nil); err != nil {
+		if err := writePlot(folder, format, figure.name, title, "seconds", figure.yLabel, lines, nil); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -15,51 +15,57 @@
 	"meadowhinge/internal/errs"
 )
 
-// Report is what a run found. Its JSON is read by scripts.
+// Report is the result of a run. Scripts read its JSON form, so the keys must not change.
 type Report struct {
-	Deployment string    `json:"deployment"`
+	Deployment string    `json:"deployment"` // name of the deployment
 	Seed       uint64    `json:"seed"`
-	Seconds    float64   `json:"seconds"` // of load
+	Seconds    float64   `json:"seconds"` // duration of the load
 	Findings   []Finding `json:"findings"`
 	Phases     []Phase   `json:"phases"`
-	// Unanswered is a sample of the calls without an answer, a few for each phase and error code.
+	// Unanswered is a sample of the calls that were not answered: up to maxUnansweredSamples for each combination of
+	// phase, outcome and error code.
 	Unanswered []CallEntry    `json:"refused"`
 	Faults     []FaultEntry   `json:"faults"`
-	Outcomes   map[string]int `json:"outcomes"` // calls by outcome
-	ErrorCodes map[string]int `json:"defects"`  // calls by error code
+	Outcomes   map[string]int `json:"outcomes"` // number of calls by outcome
+	ErrorCodes map[string]int `json:"defects"`  // number of calls by error code
 	CallRate   float64        `json:"callsPerSecond"`
-	// LatencyMS has quantiles by path: past the mesh, through one proxy, through two.
-	LatencyMS         map[string]map[string]float64 `json:"latencyMs"`
-	AcknowledgementMS map[string]float64            `json:"ackMs"`   // quantiles, from submission to acknowledgement
-	Rulings           map[string]int                `json:"rulings"` // changes by ruling
-	Acknowledged      int                           `json:"acknowledged"`
-	CPU               map[string]float64            `json:"cpuSecondsPer1000Calls"` // by program
-	UncleanExits      []string                      `json:"unclean"`                // processes
-	// Resources are samples through the run; each is of a program's largest process.
+	// LatencyMS holds quantiles of the latencies of answered calls by path, in milliseconds; see pathDirect and the
+	// constants after it.
+	LatencyMS map[string]map[string]float64 `json:"latencyMs"`
+	// AcknowledgementMS holds quantiles of the time from the submission of a change to its acknowledgement, in
+	// milliseconds.
+	AcknowledgementMS map[string]float64 `json:"ackMs"`
+	Rulings           map[string]int     `json:"rulings"`                // number of changes by ruling
+	Acknowledged      int                `json:"acknowledged"`           // number of acknowledged changes
+	CPU               map[string]float64 `json:"cpuSecondsPer1000Calls"` // CPU seconds per 1000 calls, by program
+	UncleanExits      []string           `json:"unclean"`                // names of the processes that did not exit cleanly
+	// Resources holds samples of the whole run; each is of the largest process of a program.
 	Resources []Sample `json:"resources"`
-	// RecoverySeconds is from the end of the last random fault until the fleet served again.
+	// RecoverySeconds is the time from the end of the last random fault until the fleet served again; 0 in scenarios
+	// without random faults.
 	RecoverySeconds float64 `json:"backSeconds,omitempty"`
-	// SurvivedChanges is how many acknowledged changes still had their outcome at the end.
+	// SurvivedChanges is the number of acknowledged changes that still had their outcome at the end.
 	SurvivedChanges int            `json:"survived"`
 	Releases        []ReleaseEntry `json:"shares,omitempty"`
-	Violations      int            `json:"breaches"` // of all invariants
-	// Disconnects sums what all incarnations of the proxies counted of disconnected callers.
+	Violations      int            `json:"breaches"` // total number of violations of all invariants
+	// Disconnects is the sum of the counts of disconnected callers of all incarnations of all proxies.
 	Disconnects dispatch.DisconnectCounts `json:"departures"`
 }
 
-// Phase is what callers got between the beginning of one fault and that of the next.
+// Phase sums up the calls that were sent between the beginning of one fault and the beginning of the next.
 type Phase struct {
-	Fault      string         `json:"fault"`
-	Target     string         `json:"on"`
-	Calls      int            `json:"calls"`
-	Rejected   int            `json:"turnedAway"` // got the mesh's own error, or no response
-	Unsent     int            `json:"unsent"`     // whose own proxy did not listen
-	ErrorCodes map[string]int `json:"defects,omitempty"`
-	// LastRejectedAfter is when the last call was rejected, in seconds after the fault began.
+	Fault      string         `json:"fault"`             // name of the fault that began the phase
+	Target     string         `json:"on"`                // target of that fault
+	Calls      int            `json:"calls"`             // number of calls
+	Rejected   int            `json:"turnedAway"`        // number of calls that were sent but not answered
+	Unsent     int            `json:"unsent"`            // number of calls whose proxy refused the connection
+	ErrorCodes map[string]int `json:"defects,omitempty"` // number of rejected calls by error code
+	// LastRejectedAfter is the time from the beginning of the fault to the last rejection, in seconds.
 	LastRejectedAfter float64 `json:"backAfterSeconds"`
 }
 
-// buildReport sums up the history of a run that has ended.
+// buildReport sums up the history of a run that has ended. loadDuration is the duration of the load; cpuBefore and
+// cpuAfter are the results of cpuSeconds before and after it.
 func (r *testRun) buildReport(loadDuration time.Duration, cpuBefore, cpuAfter map[string]float64) *Report {
 	calls := float64(len(r.history.Calls))
 	report := &Report{
@@ -92,7 +98,7 @@
 	return report
 }
 
-// countCalls counts outcomes and error codes, and samples the calls without an answer.
+// countCalls counts the calls by outcome and error code, and samples the calls that were not answered.
 func (r *Report) countCalls(h *History) {
 	sampled := map[string]int{}
 	for _, call := range h.Calls {
@@ -111,7 +117,7 @@
 	}
 }
 
-// countChanges counts rulings and acknowledgements.
+// countChanges counts the changes by ruling and the acknowledged changes, and computes AcknowledgementMS.
 func (r *Report) countChanges(h *History) {
 	var acknowledgementMS []float64
 	for _, change := range h.Changes {
@@ -124,17 +130,18 @@
 	r.AcknowledgementMS = quantiles(acknowledgementMS)
 }
 
-// Paths of calls whose latencies a report compares.
+// Paths of calls by which a report compares latencies.
 const (
-	pathDirect     = "direct"
-	pathOneProxy   = "one proxy"
-	pathTwoProxies = "two proxies"
-	pathKeyed      = "once, under a key"
-	pathUnkeyed    = "once, without one"
+	pathDirect     = "direct"            // calls that bypass the mesh
+	pathOneProxy   = "one proxy"         // the caller and the worker have the same proxy
+	pathTwoProxies = "two proxies"       // the caller and the worker have different proxies
+	pathKeyed      = "once, under a key" // non-idempotent calls with an idempotency key
+	pathUnkeyed    = "once, without one" // non-idempotent calls without an idempotency key
 )
 
-// latencies gives the quantiles of answered calls by path, in milliseconds. A call that was not retried by its
-// caller counts twice if it is non-idempotent: by its proxies, and by whether it had an idempotency key.
+// latencies returns the quantiles of the latencies of answered calls by path, in milliseconds. A non-idempotent call
+// that its caller did not retry counts for two paths: by the number of its proxies, and by whether it had an
+// idempotency key.
 func (r *testRun) latencies() map[string]map[string]float64 {
 	values := map[string][]float64{pathDirect: r.directLatencyMS, pathOneProxy: nil, pathTwoProxies: nil, pathKeyed: nil, pathUnkeyed: nil}
 	for _, call := range r.history.Calls {
@@ -162,14 +169,17 @@
 	return latencies
 }
 
+// milliseconds converts a duration to milliseconds without rounding.
 func milliseconds(duration time.Duration) float64 {
 	return float64(duration) / float64(time.Millisecond)
 }
 
-// maxUnansweredSamples is how many calls of each phase, outcome and error code Report.Unanswered has.
+// maxUnansweredSamples is the largest number of calls in Report.Unanswered for each combination of phase, outcome and
+// error code.
 const maxUnansweredSamples = 8
 
-// phasesOf assigns each call to the last fault that began before it was sent.
+// phasesOf sums up the calls by phase. A call belongs to the last fault that began before the call was sent; the first
+// phase has the calls before any fault.
 func phasesOf(history *History) []Phase {
 	faults := append([]FaultEntry{{Name: "before any fault"}}, history.Faults...)
 	phases := make([]Phase, len(faults))
@@ -193,7 +203,8 @@
 	return phases
 }
 
-// quantiles sorts values and gives those at some fractions of the list; nil for none.
+// quantiles sorts values in place and returns their 0.5, 0.9 and 0.99 quantiles and their maximum; nil if there are no
+// values.
 func quantiles(values []float64) map[string]float64 {
 	if len(values) == 0 {
 		return nil
@@ -203,12 +214,12 @@
 	return map[string]float64{"p50": quantile(0.5), "p90": quantile(0.9), "p99": quantile(0.99), "max": quantile(1)}
 }
 
-// Write saves the report as JSON.
+// Write writes the report to a file as JSON. It fails with errs.DiskFailed.
 func (r *Report) Write(file string) error {
 	return writeReport(file, r)
 }
 
-// writeReport saves what a run found as JSON.
+// writeReport writes a report to a file as indented JSON.
 func writeReport(file string, report any) error {
 	text, err := json.MarshalIndent(report, "", "  ")
 	if err != nil {
@@ -217,7 +228,7 @@
 	return errs.Wrap(os.WriteFile(file, append(text, '\n'), 0o640), errs.DiskFailed, file)
 }
 
-// formatFigures lists named numbers in the order of their names.
+// formatFigures formats named numbers, sorted by name.
 func formatFigures(values map[string]float64) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(values)) {
@@ -226,7 +237,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// Print shows the report to a person.
+// Print writes the report as readable text.
 func (r *Report) Print(out io.Writer) {
 	printf(out, "%s: %.0f s of load, %.0f calls a second, seed %d\n", r.Deployment, r.Seconds, r.CallRate, r.Seed)
 	printf(out, "outcomes %v, defects %v\n", r.Outcomes, r.ErrorCodes)
@@ -249,7 +260,7 @@
 	}
 }
 
-// printPhases prints the phases in which calls were rejected or not sent.
+// printPhases prints the phases in which calls were rejected or unsent.
 func (r *Report) printPhases(out io.Writer) {
 	for _, phase := range r.Phases {
 		if phase.Rejected+phase.Unsent > 0 {
@@ -259,7 +270,7 @@
 	}
 }
 
-// printFindings prints each invariant with its violations.
+// printFindings prints each invariant, whether it holds, and examples of its violations.
 func (r *Report) printFindings(out io.Writer) {
 	for _, finding := range r.Findings {
 		verdict := "holds"
--- a/internal/testbed/slopes.go
+++ b/internal/testbed/slopes.go
@@ -23,10 +23,11 @@
 	"meadowhinge/schema"
 )
 
-// drivers are what a series may vary, each by itself: where its values come from, and how a run gets one.
+// drivers holds the independent variables that a series may vary, by name. list returns the setting with the driver's
+// values; apply sets one value in the options of a run.
 var drivers = map[string]struct {
-	of  func(*schema.SlopesOptions) string
-	set func(*schema.HollowOptions, float64)
+	list  func(*schema.SlopesOptions) string
+	apply func(*schema.HollowOptions, float64)
 }{
 	"members":  {func(g *schema.SlopesOptions) string { return g.Members }, func(h *schema.HollowOptions, v float64) { h.Members = int64(v) }},
 	"services": {func(g *schema.SlopesOptions) string { return g.Services }, setServiceCount},
@@ -34,38 +35,39 @@
 	"changes":  {func(g *schema.SlopesOptions) string { return g.Changes }, func(h *schema.HollowOptions, v float64) { h.Changes = v }},
 	"releases": {func(g *schema.SlopesOptions) string { return g.Releases }, func(h *schema.HollowOptions, v float64) { h.Releases = int64(v) }},
 	"restarts": {func(g *schema.SlopesOptions) string { return g.Restarts }, func(h *schema.HollowOptions, v float64) { h.Restarts = v }},
-	// Members report counts of calls only while a release is in progress.
+	// The next two drivers come with releases, because members report counts of calls only while a release is in progress.
 	"reach":  {func(g *schema.SlopesOptions) string { return g.Reach }, setReach},
 	"judged": {func(g *schema.SlopesOptions) string { return g.Judged }, setJudgedMembers},
 	"seats":  {func(g *schema.SlopesOptions) string { return g.Seats }, func(h *schema.HollowOptions, v float64) { h.Seats = int64(v) }},
 }
 
-// judgedAtOnce is how many releases are in progress while the driver "judged" varies the members.
-const judgedAtOnce = 2
+// judgedReleases is the number of releases in progress while the driver "judged" varies the number of members.
+const judgedReleases = 2
 
-// setServiceCount raises routes and workers with the services: each service has one of each at least.
+// setServiceCount sets the number of services, and raises the numbers of routes and workers so that each service has at
+// least one of each.
 func setServiceCount(opts *schema.HollowOptions, value float64) {
 	opts.Services = int64(value)
 	opts.Routes = max(opts.Routes, int64(value))
 	opts.Workers = max(opts.Members, opts.Services)
 }
 
-// setReach sets how many routes a member's calls use, with a release that makes members report them.
+// setReach sets the number of routes that a member's calls use, with one release that makes members report their calls.
 func setReach(opts *schema.HollowOptions, value float64) {
 	opts.Reach = int64(value)
 	opts.Releases = 1
 }
 
-// setJudgedMembers sets the members, with releases that make members report their calls.
+// setJudgedMembers sets the number of members, with releases that make members report their calls.
 func setJudgedMembers(opts *schema.HollowOptions, value float64) {
 	opts.Members = int64(value)
-	opts.Releases = judgedAtOnce
+	opts.Releases = judgedReleases
 }
 
-// baseOptions are the settings of a run before its driver's value is set.
+// baseOptions returns the options of a run before the value of its driver is set.
 func baseOptions(opts *schema.SlopesOptions) *schema.HollowOptions {
 	base := &schema.HollowOptions{}
-	// The presets are checked with each build, so they parse.
+	// This sets the default values. It can't fail, because each build checks them.
 	_ = options.Parse("hollow", nil, base, io.Discard)
 	base.Members = opts.At
 	base.Routes = max(base.Routes, routesAtBase)
@@ -80,17 +82,16 @@
 	return base
 }
 
-// What the base has besides the presets: enough routes that members may reach different ones, and so few changes
-// that they do not hide other costs. Changes are by the minute.
+// Values in baseOptions that differ from the defaults of a hollow run.
 const (
-	routesAtBase  = 64
-	changesAtBase = 6
+	routesAtBase  = 64 // smallest number of routes, so that the calls of different members use different routes
+	changesAtBase = 6  // changes per minute; few enough that they do not hide other costs
 )
 
-// driverValues reads the values of a driver.
+// driverValues parses the list of values of a driver. It fails with errs.InvalidOptions.
 func driverValues(opts *schema.SlopesOptions, driver string) ([]float64, error) {
 	var values []float64
-	for _, text := range options.SplitList(drivers[driver].of(opts)) {
+	for _, text := range options.SplitList(drivers[driver].list(opts)) {
 		value, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(value >= 0) {
 			return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("%s: %q is not a number from 0 up", driver, text))
@@ -100,7 +101,8 @@
 	return values, nil
 }
 
-// ValidateSlopes lists what in the settings cannot be run on this machine, for each run of the series.
+// ValidateSlopes returns the faults of the settings because of which a run of the series could not be made on this
+// machine; none if the series can be run.
 func ValidateSlopes(opts *schema.SlopesOptions) options.Faults {
 	var faults options.Faults
 	for _, driver := range options.SplitList(opts.Drivers) {
@@ -114,9 +116,9 @@
 		}
 		for _, value := range values {
 			run := baseOptions(opts)
-			drivers[driver].set(run, value)
-			bad := append(boundsFaults(run), ValidateHollow(run)...)
-			for _, fault := range bad {
+			drivers[driver].apply(run, value)
+			runFaults := append(boundsFaults(run), ValidateHollow(run)...)
+			for _, fault := range runFaults {
 				faults = append(faults, fmt.Sprintf("%s=%g: %s", driver, value, fault))
 			}
 		}
@@ -124,7 +126,8 @@
 	return faults
 }
 
-// boundsFaults checks settings that were put together here against their bounds.
+// boundsFaults checks options that were set by code against the bounds that the option parser checks on the command
+// line.
 func boundsFaults(opts *schema.HollowOptions) options.Faults {
 	var args []string
 	for name, value := range map[string]any{
@@ -146,18 +149,18 @@
 	return faults
 }
 
-// Point is one run of a series. The runs done so far are kept in a file, one a line.
+// Point is one run of a series: a hollow run with one value of one driver.
 type Point struct {
-	Driver string        `json:"driver"`
-	Value  float64       `json:"value"`
-	Run    int           `json:"run"`
-	Report *HollowReport `json:"report"`
+	Driver string        `json:"driver"` // name of the driver
+	Value  float64       `json:"value"`  // value of the driver
+	Run    int           `json:"run"`    // number of the run among those with the same value, from 1; also its seed
+	Report *HollowReport `json:"report"` // nil until the run is done
 }
 
-// slopeCosts are the costs that slopes are fitted to, in the order of reports.
+// slopeCosts holds the costs to which slopes are fitted, in the order of reports.
 var slopeCosts = []struct {
-	name string
-	of   func(*HollowReport) float64
+	name  string
+	value func(*HollowReport) float64
 }{
 	{"proxy cpu ms/s", roleCost("proxy", func(r *RoleCost) float64 { return r.CPU })},
 	{"proxy bytes in/s", roleCost("proxy", func(r *RoleCost) float64 { return r.BytesIn })},
@@ -181,31 +184,34 @@
 	{"news of workers after ms, p99", func(r *HollowReport) float64 { return r.WorkerUpdates.P99 }},
 }
 
-func roleCost(role string, of func(*RoleCost) float64) func(*HollowReport) float64 {
+// roleCost returns a function that returns one figure of a role from a report; 0 if the report does not have the role.
+func roleCost(role string, figure func(*RoleCost) float64) func(*HollowReport) float64 {
 	return func(report *HollowReport) float64 {
 		for i := range report.Roles {
 			if report.Roles[i].Role == role {
-				return of(&report.Roles[i])
+				return figure(&report.Roles[i])
 			}
 		}
 		return 0
 	}
 }
 
-// SlopesReport is what a series found.
+// SlopesReport is the result of a series.
 type SlopesReport struct {
-	Commit string  `json:"commit"`
-	Mode   string  `json:"mode"`
-	Runs   int     `json:"runs"`
-	Slopes []Slope `json:"slopes"`
+	Commit string  `json:"commit"` // commit of this program; see buildCommit
+	Mode   string  `json:"mode"`   // mode of the hollow runs
+	Runs   int     `json:"runs"`   // number of runs that the slopes were fitted to
+	Slopes []Slope `json:"slopes"` // by driver, then by cost
 	points []Point
 }
 
-// pointsFile holds the runs of a series, one a line, so that one that was cut short goes on.
+// pointsFile is the name of the file with the finished runs of a series: one Point per line, as JSON. A series that was
+// interrupted continues from it.
 const pointsFile = "points.jsonl"
 
-// RunSlopes varies each driver by itself and fits what it costs. Runs that a previous call with the same folder has
-// done are not repeated. A run that fails is reported and left out.
+// RunSlopes runs a series: it varies one driver at a time and fits the growth of each cost with it. Runs that an earlier
+// call has stored in the same folder are not repeated. A run that fails is reported to out and left out of the fit.
+// RunSlopes fails with options.Faults for invalid settings, with ctx's error, or with the error of the points file.
 func RunSlopes(ctx context.Context, opts *schema.SlopesOptions, out io.Writer) (*SlopesReport, error) {
 	if faults := ValidateSlopes(opts); len(faults) > 0 {
 		return nil, faults
@@ -222,7 +228,7 @@
 	if err != nil {
 		return nil, errs.Wrap(err, errs.DiskFailed, file)
 	}
-	defer func() { _ = pointsLog.Close() }() // each write was checked
+	defer func() { _ = pointsLog.Close() }() // the error of each write was checked
 	planned := planPoints(opts)
 	for i, point := range planned {
 		if slices.ContainsFunc(points, func(done Point) bool {
@@ -232,18 +238,18 @@
 		}
 		printf(out, "run %d of %d: %s %g, time %d\n", i+1, len(planned), point.Driver, point.Value, point.Run)
 		run := baseOptions(opts)
-		drivers[point.Driver].set(run, point.Value)
+		drivers[point.Driver].apply(run, point.Value)
 		run.Seed = int64(point.Run)
 		run.Folder = filepath.Join(opts.Folder, fmt.Sprintf("%s-%g-%d", point.Driver, point.Value, point.Run))
 		if point.Report, err = RunHollow(ctx, run, io.Discard); err != nil {
 			if ctx.Err() != nil {
 				return nil, ctx.Err()
 			}
-			// That a value cannot be run is a result too, so the series goes on.
+			// It is a result too that a value can't be run, so the series continues.
 			printf(out, "  failed: %v\n", err)
 			continue
 		}
-		_ = os.RemoveAll(run.Folder) // what stays only takes space
+		_ = os.RemoveAll(run.Folder) // files that can't be removed do no harm
 		text, err := json.Marshal(point)
 		if err != nil {
 			return nil, errs.Wrap(err, errs.Internal, "point")
@@ -257,8 +263,8 @@
 	return fitPoints(opts, points), nil
 }
 
-// planPoints lists the runs of the series. Each value comes once before any comes twice, so that the other load on
-// the machine is spread over all values.
+// planPoints returns the runs of the series in order. All values are run once before any is run again, so that other
+// load on the machine affects all values alike.
 func planPoints(opts *schema.SlopesOptions) []Point {
 	var planned []Point
 	for run := range int(opts.Runs) {
@@ -272,6 +278,7 @@
 	return planned
 }
 
+// readPoints reads a points file; no points if it does not exist.
 func readPoints(file string) ([]Point, error) {
 	text, err := os.ReadFile(file)
 	if os.IsNotExist(err) {
@@ -293,6 +300,7 @@
 	return points, nil
 }
 
+// fitPoints fits a slope for each driver and cost that has at least two runs.
 func fitPoints(opts *schema.SlopesOptions, points []Point) *SlopesReport {
 	report := &SlopesReport{Commit: buildCommit(), Mode: opts.Mode, Runs: len(points), points: points}
 	for _, driver := range options.SplitList(opts.Drivers) {
@@ -300,7 +308,7 @@
 			var runs []costSample
 			for _, point := range points {
 				if point.Driver == driver {
-					runs = append(runs, costSample{point.Value, cost.of(point.Report)})
+					runs = append(runs, costSample{point.Value, cost.value(point.Report)})
 				}
 			}
 			if len(runs) > 1 {
@@ -311,7 +319,7 @@
 	return report
 }
 
-// Print shows, for each driver, the mean of each cost at each value, and the slope through them.
+// Print writes a Markdown table for each driver, with the mean of each cost at each value and the fitted slope.
 func (r *SlopesReport) Print(out io.Writer) {
 	printf(out, "%s mode, %d runs, commit %s\n", r.Mode, r.Runs, r.Commit)
 	driver := ""
@@ -345,16 +353,17 @@
 	}
 }
 
+// costByName returns the function of a cost in slopeCosts; for an unknown name, a function that returns 0.
 func costByName(name string) func(*HollowReport) float64 {
 	for _, cost := range slopeCosts {
 		if cost.name == name {
-			return cost.of
+			return cost.value
 		}
 	}
 	return func(*HollowReport) float64 { return 0 }
 }
 
-// formatShort writes a number with three significant digits, or as a whole number from 1000.
+// formatShort formats a number with three significant digits or, if its absolute value is at least 1000, as an integer.
 func formatShort(value float64) string {
 	if value >= 1000 || value <= -1000 {
 		return fmt.Sprintf("%.0f", value)
@@ -362,12 +371,12 @@
 	return fmt.Sprintf("%.3g", value)
 }
 
-// Write saves the slopes as JSON.
+// Write writes the slopes to a file as JSON. It fails with errs.DiskFailed.
 func (r *SlopesReport) Write(file string) error {
 	return writeReport(file, r)
 }
 
-// WritePlots writes a plot of each slope with the runs that it was fitted to.
+// WritePlots writes a plot of each slope and its runs to a folder; see writePlot on the format.
 func (r *SlopesReport) WritePlots(folder, format string) error {
 	for _, slope := range r.Slopes {
 		runs := plotSeries{name: "runs", scatter: true}
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -12,51 +12,54 @@
 	"meadowhinge/internal/errs"
 )
 
-// SoakOptions say which seeds to run, and how. A soak runs real processes under random faults that overlap in time,
-// with callers that disconnect, and checks each run against every invariant.
+// SoakOptions configure a soak: runs of the scenario "soak" with many seeds. Each run has real processes, random faults
+// that overlap in time, and callers that disconnect. It is checked against every invariant.
 type SoakOptions struct {
-	Deployment     *Deployment
-	WideDeployment *Deployment // for every WideEvery-th seed, if that is not 0
-	WideEvery      uint64
-	Folder         string
-	Binaries       string
-	FirstSeed      uint64
-	SeedCount      uint64
-	ParallelFleets int // at the same time
-	LoadDuration   time.Duration
-	Lease          time.Duration
-	// DrainingBound and DisconnectBound are those of Options.
-	DrainingBound, DisconnectBound time.Duration
-	Out                            io.Writer
+	Deployment     *Deployment   // deployment of all seeds but the wide ones
+	WideDeployment *Deployment   // deployment of the seeds that are multiples of WideEvery; may be nil if WideEvery is 0
+	WideEvery      uint64        // seeds that are multiples of it use WideDeployment; 0 for none
+	Folder         string        // folder in which each run gets a folder
+	Binaries       string        // folder of the mesh's programs
+	FirstSeed      uint64        // the first seed
+	SeedCount      uint64        // number of seeds, which are consecutive
+	ParallelFleets int           // number of fleets that run at the same time
+	LoadDuration   time.Duration // Options.LoadDuration of each run
+	Lease          time.Duration // Options.Lease of each run
+	// DrainingBound is Options.DrainingBound of each run.
+	DrainingBound time.Duration
+	// DisconnectBound is Options.DisconnectBound of each run.
+	DisconnectBound time.Duration
+	Out             io.Writer // output for the result of each run
 }
 
-// SoakReport is what a soak found, by seed.
+// SoakReport is the result of a soak.
 type SoakReport struct {
-	Runs []SoakRun `json:"runs"`
+	Runs []SoakRun `json:"runs"` // one for each seed, in the order of seeds
 }
 
-// SoakRun is what one seed of a soak gave.
+// SoakRun is the result of one seed of a soak.
 type SoakRun struct {
 	Seed            uint64                    `json:"seed"`
-	Deployment      string                    `json:"deployment"`
-	Processes       int                       `json:"processes"`
-	Faults          int                       `json:"faults"`
-	Calls           int                       `json:"calls"`
-	Outcomes        map[string]int            `json:"outcomes"`
-	Disconnects     dispatch.DisconnectCounts `json:"departures"`
+	Deployment      string                    `json:"deployment"` // name of the deployment
+	Processes       int                       `json:"processes"`  // number of processes of the fleet
+	Faults          int                       `json:"faults"`     // number of faults that were injected
+	Calls           int                       `json:"calls"`      // number of calls
+	Outcomes        map[string]int            `json:"outcomes"`   // number of calls by outcome
+	Disconnects     dispatch.DisconnectCounts `json:"departures"` // Report.Disconnects
 	RecoverySeconds float64                   `json:"backSeconds"`
-	Violated        []Finding                 `json:"broken,omitempty"`
-	UncleanExits    []string                  `json:"unclean,omitempty"`
-	Failure         string                    `json:"failure,omitempty"` // why the run could not be checked
+	Violated        []Finding                 `json:"broken,omitempty"`  // invariants that were violated, or maxRecovery
+	UncleanExits    []string                  `json:"unclean,omitempty"` // names of the processes that did not exit cleanly
+	Failure         string                    `json:"failure,omitempty"` // error because of which the run could not be checked
 }
 
-// Passed tells whether a run violated nothing and ended cleanly.
+// Passed reports whether the run was checked, violated nothing, and all its processes exited cleanly.
 func (r *SoakRun) Passed() bool { return len(r.Violated)+len(r.UncleanExits) == 0 && r.Failure == "" }
 
 // maxRecovery is how long a fleet may take to serve again after the end of its last fault.
 const maxRecovery = 15 * time.Second
 
-// Soak runs every seed, each in a folder of its own, ParallelFleets at the same time, and prints each result.
+// Soak runs every seed, ParallelFleets at the same time, and prints the result of each as it ends. A run that fails or
+// violates an invariant does not stop the soak. Soak itself fails only with errs.InvalidOptions.
 func Soak(o SoakOptions) (*SoakReport, error) {
 	if o.SeedCount == 0 || o.ParallelFleets < 1 || o.Deployment == nil || (o.WideEvery > 0 && o.WideDeployment == nil) {
 		return nil, errs.New(errs.InvalidOptions, "a soak needs seeds, fleets beside each other and deployments")
@@ -84,7 +87,7 @@
 	return report, nil
 }
 
-// runSeed runs one seed. The folder of a run that passed is removed.
+// runSeed runs one seed in a folder of its own, which it removes if the run passed.
 func (o *SoakOptions) runSeed(seed uint64) SoakRun {
 	deployment := o.Deployment
 	if o.WideEvery > 0 && seed%o.WideEvery == 0 {
@@ -101,7 +104,7 @@
 		run.Failure = err.Error()
 		return run
 	}
-	defer func() { _ = log.Close() }() // progress only: the report is a file of its own
+	defer func() { _ = log.Close() }() // the log is only for reading; the report has a file of its own
 	report, err := Run(Options{
 		Deployment:      deployment,
 		Folder:          folder,
@@ -121,15 +124,16 @@
 		return run
 	}
 	report.Print(log)
-	_ = report.Write(filepath.Join(folder, "report.json")) // what counts is in the soak's own report too
+	_ = report.Write(filepath.Join(folder, "report.json")) // the soak's own report has the main results too
 	run.summarize(report)
 	if run.Passed() {
-		_ = os.RemoveAll(folder) // what stays only takes space
+		_ = os.RemoveAll(folder) // files that can't be removed do no harm
 	}
 	return run
 }
 
-// summarize takes over what counts from a run's report.
+// summarize copies the main results from the report of a run. It adds a finding if recovery took longer than
+// maxRecovery.
 func (r *SoakRun) summarize(report *Report) {
 	r.Faults = len(report.Faults)
 	r.Outcomes = report.Outcomes
@@ -154,7 +158,8 @@
 	}
 }
 
-// print prints one line, and one more for each invariant that was violated.
+// print prints the result of the run in one line, followed by a line for each violated invariant and each other reason
+// why the run did not pass.
 func (r *SoakRun) print(out io.Writer) {
 	verdict := "sound"
 	if !r.Passed() {
@@ -173,7 +178,7 @@
 	}
 }
 
-// FailedSeeds lists the seeds whose runs did not pass.
+// FailedSeeds returns the seeds whose runs did not pass.
 func (r *SoakReport) FailedSeeds() []uint64 {
 	var seeds []uint64
 	for i := range r.Runs {
@@ -184,7 +189,7 @@
 	return seeds
 }
 
-// Write saves the report as JSON.
+// Write writes the report to a file as JSON. It fails with errs.DiskFailed.
 func (r *SoakReport) Write(file string) error {
 	return writeReport(file, r)
 }
