--- a/internal/testbed/hollow_core.go
+++ b/internal/testbed/hollow_core.go
@@ -16,13 +16,14 @@
 	"meadowhinge/schema"
 )
 
-// modeOpen is the mode without certificates and leases; see HollowOptions.mode.
+// modeOpen is the mode of a fleet without certificates and leases; see HollowOptions.mode.
 const modeOpen = "open"
 
-// maxSeeds is how many seeds a process gets at most.
+// maxSeeds is the largest number of seeds that a process gets.
 const maxSeeds = 3
 
-// newHollowCore lays out a real core for hollow members. It has no relays: their cost would be measured too.
+// newHollowCore lays out a core of real processes for hollow members, and starts no process. The core has no relays,
+// because their cost would be measured too.
 func newHollowCore(opts *schema.HollowOptions) (*Fleet, error) {
 	authority, err := NewAuthority(filepath.Join(opts.Folder, "certificates"))
 	if err != nil {
@@ -95,14 +96,14 @@
 	return nil
 }
 
-// Settings that a large fleet needs besides the presets.
+// Settings of a large fleet that differ from the defaults.
 const (
-	keyWindowLeases = 8   // the window of idempotency keys, in leases
-	minSources      = 256 // proxies that a registry accepts, at least
+	keyWindowLeases = 8   // duration of the window of idempotency keys, in leases
+	minSources      = 256 // smallest limit on the number of proxies that a registry accepts
 )
 
-// coreSeeds lists a port of the core machines, but for one (-1 for all), as far as a process may have seeds. A single
-// machine is its own seed.
+// coreSeeds returns the addresses of a port of up to maxSeeds core machines, separated by commas. It leaves out the
+// machine with the index except; -1 leaves out none. If no machine remains, the first is its own seed.
 func (f *Fleet) coreSeeds(port, except int) string {
 	var parts []string
 	for i := range f.Deployment.CoreMembers {
@@ -116,12 +117,13 @@
 	return strings.Join(parts, ",")
 }
 
-// edgeSettings are the settings of the i-th proxy, but for those of its own process.
+// edgeSettings returns the settings of the i-th proxy, except those that depend on its data folder. callers are the
+// callers that get a listener; maxMembers is the limit on the number of members that the proxy knows.
 func (f *Fleet) edgeSettings(mode string, i int, callers []string, maxMembers int64) (map[string]string, error) {
 	address := f.spacedEdgeAddress(i)
 	var listeners []string
-	for at, caller := range callers {
-		listeners = append(listeners, fmt.Sprintf("%s=%s:%d", caller, address, portCallers+at))
+	for j, caller := range callers {
+		listeners = append(listeners, fmt.Sprintf("%s=%s:%d", caller, address, portCallers+j))
 	}
 	settings := map[string]string{
 		"name":           address,
@@ -145,7 +147,8 @@
 	return settings, err
 }
 
-// hollowSettings are the settings of the i-th hollow member, checked as the proxy program checks its own.
+// hollowSettings returns the settings of the i-th hollow member, which are parsed and checked like those of the proxy
+// program.
 func (f *Fleet) hollowSettings(opts *schema.HollowOptions, i int) (*schema.ProxyOptions, error) {
 	settings, err := f.edgeSettings(opts.Mode, i, []string{clientCaller}, max(minSources, 2*opts.Members))
 	if err != nil {
@@ -162,25 +165,25 @@
 	return parsed, options.Parse("proxy", args, parsed, io.Discard)
 }
 
-// edgesPerNet is how many proxies have addresses that differ in the last octet alone.
+// edgesPerNet is the number of proxies whose addresses differ only in the last octet; see spacedEdgeAddress.
 const edgesPerNet = 200
 
-// processCounters are what a process reports of itself, and what the kernel reports of it.
+// processCounters holds the resource usage of a process, as the process itself and the kernel report it.
 type processCounters struct {
-	role         string
-	name         string
-	cpuSeconds   float64 // since its start
-	memoryKB     int
-	heapKB       int
-	diskKB       int
-	bytesWritten uint64 // to disk, since its start
-	traffic      transport.Traffic
+	role         string            // registry, store or realProxy
+	name         string            // name of the process without its program
+	cpuSeconds   float64           // CPU time since the start of the process
+	memoryKB     int               // resident memory
+	heapKB       int               // heap of the Go runtime
+	diskKB       int               // size of the files in the data folder
+	bytesWritten uint64            // bytes written to disk since the start of the process
+	traffic      transport.Traffic // RPC traffic since the start of the process
 }
 
-// realProxy is the role of proxies that are processes, in runs in which hollow members are the proxies.
+// realProxy is the role of proxies that are processes. The role "proxy" is that of the hollow members.
 const realProxy = "real proxy"
 
-// readCounters reads the counters of a process; what can't be read is 0.
+// readCounters reads the counters of a process. Values that can't be read are 0.
 func (p *Process) readCounters() processCounters {
 	role, name, _ := strings.Cut(p.Name, "/")
 	if role == "proxy" {
@@ -200,10 +203,11 @@
 	return counters
 }
 
-// pageAttempts is how often a page is requested: a counter that can't be read would count as 0.
+// pageAttempts is the number of times that a status page is requested. Retries are worthwhile, because a counter that
+// can't be read counts as 0.
 const pageAttempts = 5
 
-// readPage reads one of the process's own pages, with retries. What can't be read leaves the target as it is.
+// readPage is getPage with up to pageAttempts attempts. If all fail, it leaves the target as it is.
 func (p *Process) readPage(path string, target any) {
 	for range pageAttempts {
 		if p.getPage(path, target) == nil {
@@ -212,7 +216,7 @@
 	}
 }
 
-// bytesWrittenBy is how many bytes a process has had written to disk; 0 if that can't be read.
+// bytesWrittenBy returns the number of bytes that the kernel has written to disk for a process; 0 if it can't be read.
 func bytesWrittenBy(pid int) uint64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -228,12 +232,12 @@
 	return 0
 }
 
-// addRealProxies lays out real proxies, at the addresses after those of the hollow members.
+// addRealProxies lays out the proxies that are processes, at the addresses after those of the hollow members.
 func (f *Fleet) addRealProxies(opts *schema.HollowOptions) error {
 	return f.addProxies(opts.Mode, int(opts.Members), int(opts.Real), []string{clientCaller}, max(minSources, 2*opts.Members))
 }
 
-// addProxies lays out so many proxies from the first address on, each with a listener for each caller.
+// addProxies lays out count proxies, beginning with the one of index first. Each has a listener for each caller.
 func (f *Fleet) addProxies(mode string, first, count int, callers []string, maxMembers int64) error {
 	for i := first; i < first+count; i++ {
 		settings, err := f.edgeSettings(mode, i, callers, maxMembers)
--- a/internal/testbed/hollow_counters.go
+++ b/internal/testbed/hollow_counters.go
@@ -10,17 +10,17 @@
 	"meadowhinge/schema"
 )
 
-// counterSnapshot has the counters of all processes at a time.
+// counterSnapshot holds the counters of all processes at one time.
 type counterSnapshot struct {
-	at      time.Duration
-	own     float64 // processor seconds of this process, which holds the hollow members
-	members processCounters
-	core    []processCounters
+	at            time.Duration     // when reading began, since the run began
+	ownCPUSeconds float64           // CPU time of this process, in which the hollow members run
+	members       processCounters   // all hollow members together; only heapKB and traffic are set
+	core          []processCounters // processes of the core and real proxies, in the order of Fleet.Processes
 }
 
-// takeCounterSnapshot reads all counters, one process after another.
+// takeCounterSnapshot reads the counters of one process after another.
 func takeCounterSnapshot(core *Fleet, fleet *hollowFleet) counterSnapshot {
-	snapshot := counterSnapshot{at: fleet.now(), own: cpuSecondsOf(os.Getpid())}
+	snapshot := counterSnapshot{at: fleet.now(), ownCPUSeconds: cpuSecondsOf(os.Getpid())}
 	snapshot.members.traffic = fleet.traffic()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -31,11 +31,12 @@
 	return snapshot
 }
 
-// intervalBetween computes what the roles used between two snapshots.
+// intervalBetween returns the usage of each role between two snapshots. began is when the first interval of the run
+// began.
 func intervalBetween(opts *schema.HollowOptions, began time.Duration, from, to counterSnapshot) HollowInterval {
 	seconds := (to.at - from.at).Seconds()
 	interval := HollowInterval{At: (to.at - began).Seconds(), CPU: map[string]float64{}, Memory: map[string]float64{}}
-	interval.CPU["proxy"] = (to.own - from.own) / seconds * 1000 / float64(opts.Members)
+	interval.CPU["proxy"] = (to.ownCPUSeconds - from.ownCPUSeconds) / seconds * 1000 / float64(opts.Members)
 	interval.Memory["proxy"] = float64(to.members.heapKB) / 1024 / float64(opts.Members)
 	for i, process := range to.core {
 		interval.CPU[process.role] = max(interval.CPU[process.role], (process.cpuSeconds-from.core[i].cpuSeconds)/seconds*1000)
@@ -44,12 +45,12 @@
 	return interval
 }
 
-// costsBetween computes the cost of each role between two snapshots, the hollow members' first.
+// costsBetween returns the cost of each role between two snapshots, beginning with the hollow members.
 func costsBetween(opts *schema.HollowOptions, from, to counterSnapshot) []RoleCost {
 	seconds := (to.at - from.at).Seconds()
 	members := float64(opts.Members)
 	before, after := from.members.traffic, to.members.traffic
-	memberCPU := (to.own - from.own) / seconds * 1000 / members
+	memberCPU := (to.ownCPUSeconds - from.ownCPUSeconds) / seconds * 1000 / members
 	rows := []RoleCost{{
 		Role:              "proxy",
 		Processes:         int(opts.Members),
@@ -81,14 +82,14 @@
 	return rows
 }
 
-// perSecond is the rate of a counter. One that fell is of a process that could not be read, or that was restarted,
-// and counts as 0.
+// perSecond returns the rate at which a counter grew. It returns 0 for a counter that fell, because its process was
+// restarted or could not be read.
 func perSecond(from, to uint64, seconds float64) float64 {
 	return float64(max(to, from)-from) / seconds
 }
 
-// add adds what one process used between two snapshots. Of a process that was restarted meanwhile, only what goes
-// beyond its earlier use counts.
+// add adds the usage of one process between two snapshots. If the process was restarted in between, a counter adds only
+// the amount by which it exceeds its earlier value.
 func (c *RoleCost) add(before, after *processCounters, seconds float64) {
 	used := max(after.cpuSeconds-before.cpuSeconds, 0) / seconds * 1000
 	c.Processes++
@@ -111,7 +112,7 @@
 	}
 }
 
-// average turns sums into means over the processes. SessionsBegun stays a sum.
+// average turns the sums of add into means over the processes. SessionsBegun remains a sum.
 func (c *RoleCost) average() {
 	processes := float64(c.Processes)
 	for _, figure := range []*float64{
@@ -132,10 +133,11 @@
 	}
 }
 
-// sessionStartCalls are the RPCs by which a session begins, the first or a later one.
+// sessionStartCalls holds the RPCs that begin a session, a member's first one or a later one.
 var sessionStartCalls = []string{"/meadowhinge.Registry/Greet", "/meadowhinge.Registry/Attend"}
 
-// proxyCalls are the RPCs of proxies to registries. A few of the sessions among them are other registries'.
+// proxyCalls holds the RPCs that proxies make to registries. Registries make a few of the session calls too, which are
+// counted as calls of proxies.
 var proxyCalls = []string{
 	"/meadowhinge.Registry/Lease",
 	"/meadowhinge.Registry/Feed",
@@ -145,7 +147,8 @@
 	"/meadowhinge.Registry/Attend",
 }
 
-// stableMemory is the heap and stacks of this process, in bytes, once garbage collections no longer reduce them.
+// stableMemory runs garbage collections until they no longer reduce the memory of this process, and returns the size of
+// its heap and stacks in bytes.
 func stableMemory() int64 {
 	previous := int64(0)
 	for range maxMemoryReads {
@@ -162,9 +165,8 @@
 	return previous
 }
 
-// Bounds of stableMemory: how often memory is read at most, and which part of it a collection must free for
-// another read.
+// Limits of stableMemory.
 const (
-	maxMemoryReads = 50
-	stableDivisor  = 200
+	maxMemoryReads = 50  // largest number of garbage collections
+	stableDivisor  = 200 // a collection that frees less than 1/stableDivisor of the memory is the last
 )
--- a/internal/testbed/hollow_load.go
+++ b/internal/testbed/hollow_load.go
@@ -12,7 +12,7 @@
 	"meadowhinge/schema"
 )
 
-// heartbeat sends a heartbeat of each of a member's workers.
+// heartbeat sends one heartbeat for each worker of a member. It returns the first error.
 func (f *hollowFleet) heartbeat(m *hollowMember) error {
 	for _, worker := range m.workers {
 		description := worker.WorkerDescription
@@ -24,10 +24,12 @@
 	return nil
 }
 
-// heartbeatSteps is into how many steps one heartbeat interval is divided, each for a part of the members.
+// heartbeatSteps is the number of steps into which a heartbeat interval is divided. Each step handles another part of
+// the members, so that the heartbeats are spread over the interval.
 const heartbeatSteps = 50
 
-// heartbeatLoop sends heartbeats and counts calls, as running workers and callers would, until stop closes.
+// heartbeatLoop simulates the workers and callers of all members until stop closes: once per heartbeat interval, each
+// member gets the heartbeats of its workers, and calls are added to its counts.
 func (f *hollowFleet) heartbeatLoop(stop <-chan struct{}) {
 	ticker := time.NewTicker(time.Duration(f.opts.Beat) / heartbeatSteps)
 	defer ticker.Stop()
@@ -39,25 +41,28 @@
 		}
 		for i := step % heartbeatSteps; i < len(f.members); i += heartbeatSteps {
 			m := f.members[i]
-			_ = f.heartbeat(m) // the next makes up for a lost one
-			proxyNow := m.current()
+			_ = f.heartbeat(m) // the next heartbeat makes up for a lost one
+			current := m.current()
 			f.simulateWork(m)
 			for _, called := range m.reach {
 				for _, version := range called.versions {
-					proxyNow.Count(called.answeredBy(version, proxyNow.ConfigRevision()), time.Millisecond)
+					current.Count(called.answeredBy(version, current.ConfigRevision()), time.Millisecond)
 				}
 			}
 		}
 	}
 }
 
-// calledRoute is a route that a member's calls use.
+// calledRoute is a route that the callers of a member call.
 type calledRoute struct {
-	route, service, flag string
-	versions             []string
+	route    string   // name of the route
+	service  string   // service that the route leads to
+	flag     string   // key of the service's release flag
+	versions []string // versions that answer the calls
 }
 
-// routeCalledBy is the j-th route that a member's calls use. Members are spread over all routes.
+// routeCalledBy returns the j-th route that the callers of a member call. Different members use different routes as far
+// as there are enough.
 func routeCalledBy(opts *schema.HollowOptions, member, j int) calledRoute {
 	route := (member*int(opts.Reach) + j) % int(opts.Routes)
 	service := serviceName(route % int(opts.Services))
@@ -73,7 +78,8 @@
 	return called
 }
 
-// answeredBy is the result of a call of the route that a version answered.
+// answeredBy returns the result of a call of the route that a worker of the given version answered, under the given
+// configuration revision.
 func (c calledRoute) answeredBy(version string, revision uint64) *dispatch.CallResult {
 	return &dispatch.CallResult{
 		Plan: &plan.Plan{
@@ -90,14 +96,15 @@
 	}
 }
 
-// The calls of a hollow worker: how many with each heartbeat and route, and how long they take.
+// Calls that a hollow worker answers.
 const (
-	callsPerHeartbeat = 4
-	minWork           = 20 * time.Millisecond
-	workSpread        = 8 // the longest work is this much longer, in units of minWork
+	callsPerHeartbeat = 4                     // number of calls of each route per heartbeat
+	minWork           = 20 * time.Millisecond // shortest duration of a call
+	workSpread        = 8                     // difference between the longest and the shortest duration, in units of minWork
 )
 
-// simulateWork lets a member's workers answer calls of their services' routes.
+// simulateWork counts calls at a member as if its workers had answered them. Each worker answers calls of up to Reach
+// routes of its service.
 func (f *hollowFleet) simulateWork(m *hollowMember) {
 	for _, worker := range m.workers {
 		for j := range int(f.opts.Reach) {
--- a/internal/testbed/hollow_losses.go
+++ b/internal/testbed/hollow_losses.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// Bounds of losses.
+// Timing and limits of losses.
 const (
-	leasesPerLoss     = 2 // a loss takes so many: it lasts for the first, and recovery has the second
-	minMembersForLoss = 3 // of the core, of which one may be lost
-	failoverPoll      = 10 * time.Millisecond
+	leasesPerLoss     = 2                     // leases that each loss needs: one during which it lasts, and one for recovery
+	minMembersForLoss = 3                     // smallest number of core members of which one may be lost
+	failoverPoll      = 10 * time.Millisecond // time between two checks whether members have moved to another registry
 )
 
-// lossLoop kills core machines, then zones, one after the other and each for a lease, until the settings' number is
-// reached or stop closes.
+// lossLoop kills CoresLost core machines, then the machines of ZonesLost zones, one loss after another. Each lasts for a
+// lease and is followed by a lease for recovery. The loop ends early if stop closes.
 func (f *hollowFleet) lossLoop(stop <-chan struct{}) {
 	for i := range int(f.opts.CoresLost + f.opts.ZonesLost) {
 		zone, member := "", i%int(f.opts.Seats)
 		if zoneIndex := i - int(f.opts.CoresLost); zoneIndex >= 0 {
 			zone, member = f.core.zone(zoneIndex%int(f.opts.Zones)), -1
 		}
-		if !f.lose(stop, zone, member) {
+		if !f.injectLoss(stop, zone, member) {
 			return
 		}
 		f.losses++
@@ -33,9 +33,10 @@
 	}
 }
 
-// lose kills a core machine, or everything in a zone, starts it again after a lease, and records how soon the
-// members that had sessions there have one elsewhere. It returns false if stop closed meanwhile.
-func (f *hollowFleet) lose(stop <-chan struct{}, zone string, member int) bool {
+// injectLoss kills the core machine with the given index or, if zone is not empty, all core machines and hollow members
+// of a zone. It restarts them after a lease. Meanwhile it records how long the members that had a session with a lost
+// registry take to get one with another. It returns false if stop closed meanwhile.
+func (f *hollowFleet) injectLoss(stop <-chan struct{}, zone string, member int) bool {
 	var lost []*Process
 	lostRegistries := map[string]bool{}
 	for i := range f.core.Registries {
@@ -59,7 +60,7 @@
 	for _, m := range ended {
 		m.current().End()
 	}
-	back, over := time.After(f.core.lease), false
+	leaseOver, over := time.After(f.core.lease), false
 	for !over {
 		moving = slices.DeleteFunc(moving, func(m *hollowMember) bool {
 			registry := m.current().Status().Registry
@@ -72,20 +73,20 @@
 		select {
 		case <-stop:
 			over = true
-		case <-back:
+		case <-leaseOver:
 			over = true
 		case <-time.After(failoverPoll):
 		}
 	}
-	// A member without another session by now counts with the whole time.
+	// A member that still has no other session is recorded with the whole duration of the loss.
 	for range moving {
 		f.recordLatency(f.failovers, f.now()-at)
 	}
 	for _, process := range lost {
-		_ = process.Start() // without it, the losses and latencies show it
+		_ = process.Start() // a process that does not start shows in the recorded latencies
 	}
 	for _, m := range ended {
-		_ = f.rejoin(m) // a member that stays away shows as one that never recovered
+		_ = f.rejoin(m) // a member that does not rejoin has no recorded recovery
 	}
 	select {
 	case <-stop:
@@ -95,7 +96,7 @@
 	}
 }
 
-// restartLoop ends members and lets them join again, one after another, until stop closes.
+// restartLoop restarts random members, Restarts per minute, until stop closes.
 func (f *hollowFleet) restartLoop(stop <-chan struct{}) {
 	if f.opts.Restarts == 0 {
 		return
@@ -116,7 +117,7 @@
 	}
 }
 
-// rejoin lets a member that was ended join again, as a new incarnation.
+// rejoin makes a member that was ended join again, as a new incarnation.
 func (f *hollowFleet) rejoin(m *hollowMember) error {
 	ended := m.current()
 	m.lock.Lock()
--- a/internal/testbed/hollow_members.go
+++ b/internal/testbed/hollow_members.go
@@ -19,60 +19,60 @@
 	"meadowhinge/schema"
 )
 
-// hollowMember is a place in the fleet and the hollow proxy that runs there now: a proxy without listeners, in this
-// process.
+// hollowMember is a member of the mesh that runs as a sequence of hollow proxies. A hollow proxy is a proxy without
+// listeners that runs in this process; each restart of the member begins a new one, as a new incarnation.
 type hollowMember struct {
-	index    int
+	index    int // index in hollowFleet.members
 	settings *schema.ProxyOptions
-	workers  []hollowWorker
-	reach    []calledRoute
+	workers  []hollowWorker // workers that are registered with the member
+	reach    []calledRoute  // routes that the member's callers call
 
-	lock         sync.Mutex // guards the fields below
-	proxy        *proxy.Hollow
-	joined       time.Time
-	recovered    bool                     // has applied a configuration since it joined
-	applied      []appliedConfig          // in order
-	reportedAt   map[uint64]time.Duration // when it made its own last updates, by their counter
-	incarnation  uint64                   // that reportedAt is of
-	priorTraffic transport.Traffic        // of the incarnations before this one
+	lock         sync.Mutex               // guards the fields below
+	proxy        *proxy.Hollow            // current incarnation, or the last one if it was ended; nil before the first
+	joined       time.Time                // when the current incarnation began to join
+	recovered    bool                     // the current incarnation has applied a configuration
+	applied      []appliedConfig          // configurations that all incarnations applied, in order
+	reportedAt   map[uint64]time.Duration // times of the member's own last updates, by their counter
+	incarnation  uint64                   // incarnation of the updates in reportedAt
+	priorTraffic transport.Traffic        // traffic of the incarnations that have ended
 }
 
-// appliedConfig is a configuration revision and when a member applied it.
+// appliedConfig records that a member applied a configuration revision.
 type appliedConfig struct {
 	revision uint64
-	at       time.Duration
+	at       time.Duration // when it was applied, since the run began
 }
 
-// hollowWorker is a worker that only sends heartbeats.
+// hollowWorker is a worker that exists only as the heartbeats that are sent for it.
 type hollowWorker struct {
 	dispatch.WorkerDescription
-	service int
+	service int // index of its service
 }
 
-// maxReportedTimes is for how many of a member's own updates it is remembered when they were made.
+// maxReportedTimes is the number of updates of a member for which reportedAt keeps the times.
 const maxReportedTimes = 4096
 
-// hollowFleet is all hollow members and what is measured at them.
+// hollowFleet holds all hollow members and what is measured at them.
 type hollowFleet struct {
 	opts        *schema.HollowOptions
 	core        *Fleet
 	members     []*hollowMember
-	environment *daemon.Environment // of all members
-	now         func() time.Duration
-	rng         *rand.Rand
+	environment *daemon.Environment  // shared by all members
+	now         func() time.Duration // time since the run began
+	rng         *rand.Rand           // source of restartLoop's choices
 
-	byName        map[string]*hollowMember
-	lock          sync.Mutex // guards the histograms while members run
-	staleness     *hdrhistogram.Histogram
-	workerUpdates *hdrhistogram.Histogram
-	recoveries    *hdrhistogram.Histogram
-	failovers     *hdrhistogram.Histogram
-	restarts      int
-	losses        int
-	measuring     atomic.Bool // before, nothing is recorded
+	byName        map[string]*hollowMember // members by the name of their proxy
+	lock          sync.Mutex               // guards the histograms while members run
+	staleness     *hdrhistogram.Histogram  // HollowReport.Staleness
+	workerUpdates *hdrhistogram.Histogram  // HollowReport.WorkerUpdates
+	recoveries    *hdrhistogram.Histogram  // HollowReport.Recovery
+	failovers     *hdrhistogram.Histogram  // HollowReport.RegistryFailover
+	restarts      int                      // number of restarts by restartLoop
+	losses        int                      // number of losses by lossLoop
+	measuring     atomic.Bool              // observe records latencies only while this is set
 }
 
-// newHollowFleet lays out the members and spreads workers over them; none has joined yet.
+// newHollowFleet makes the members and spreads workers over them. No member joins yet.
 func newHollowFleet(opts *schema.HollowOptions, core *Fleet, now func() time.Duration) (*hollowFleet, error) {
 	f := &hollowFleet{
 		opts:          opts,
@@ -122,13 +122,13 @@
 	return f, nil
 }
 
-// serviceName names the i-th service of a hollow configuration.
+// serviceName returns the name of the i-th service of a hollow configuration.
 func serviceName(i int) string { return fmt.Sprintf("service-%d", i) }
 
-// routeName names the i-th route of a hollow configuration.
+// routeName returns the name of the i-th route of a hollow configuration.
 func routeName(i int) string { return fmt.Sprintf("route-%d", i) }
 
-// join lets a member join the mesh and registers its workers.
+// join makes a member join the mesh as a new incarnation and registers its workers.
 func (f *hollowFleet) join(m *hollowMember) error {
 	m.lock.Lock()
 	m.joined = time.Now()
@@ -145,7 +145,8 @@
 	return f.heartbeat(m)
 }
 
-// observe records what a member learned: configurations, and updates of other members' workers.
+// observe records what a member applied: configurations, its own updates, and updates of other members' workers. It is
+// the callback of proxy.JoinHollow.
 func (f *hollowFleet) observe(m *hollowMember, seen proxy.Seen) {
 	now := f.now()
 	m.lock.Lock()
@@ -170,7 +171,7 @@
 		f.recordLatency(f.recoveries, time.Since(joined))
 	}
 	for _, source := range seen.Sources {
-		// What a restarted member learns at first is no update.
+		// What a member learns within a lease after it joined may be old, so it does not count as an update.
 		if source.Name != m.settings.Name && time.Since(joined) > f.core.lease {
 			if updated, found := f.byName[source.Name].updatedAt(source.Version); found {
 				f.recordLatency(f.workerUpdates, now-updated)
@@ -179,15 +180,16 @@
 	}
 }
 
-// updatedAt is when a member made the update of a source version, if that was in its present incarnation.
-func (m *hollowMember) updatedAt(stamp *schema.SourceVersion) (time.Duration, bool) {
+// updatedAt returns when a member made the update with the given source version. It returns false if that is unknown,
+// or if the update was made by another incarnation. The member may be nil.
+func (m *hollowMember) updatedAt(version *schema.SourceVersion) (time.Duration, bool) {
 	if m == nil {
 		return 0, false
 	}
 	m.lock.Lock()
 	defer m.lock.Unlock()
-	updated, found := m.reportedAt[stamp.GetCounter()]
-	return updated, found && m.incarnation == stamp.GetIncarnation()
+	updated, found := m.reportedAt[version.GetCounter()]
+	return updated, found && m.incarnation == version.GetIncarnation()
 }
 
 // recordLatency records a time in one of the fleet's histograms.
@@ -197,21 +199,22 @@
 	recordLatency(histogram, latency)
 }
 
-// current is the proxy that runs at a member's place now.
+// current returns the proxy of the member's current incarnation, or of the last one if that was ended; nil before the
+// first.
 func (m *hollowMember) current() *proxy.Hollow {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.proxy
 }
 
-// How often the staleness of members' views is measured, and at how many of them.
+// Sampling by measureStaleness.
 const (
-	stalenessInterval = time.Second
-	stalenessSamples  = 8
+	stalenessInterval = time.Second // time between two rounds
+	stalenessSamples  = 8           // number of members sampled in each round
 )
 
-// measureStaleness records how stale some members' views are: in open mode as they report it, else by the age of the
-// newest update that they have of each other member.
+// measureStaleness samples the staleness of the views of random members until stop closes. In open mode the members
+// report it themselves. In other modes it is the age of the newest update that the member has of each other member.
 func (f *hollowFleet) measureStaleness(stop <-chan struct{}) {
 	ticker := time.NewTicker(stalenessInterval)
 	defer ticker.Stop()
@@ -223,15 +226,15 @@
 		case <-ticker.C:
 		}
 		for range stalenessSamples {
-			proxyNow := f.members[rng.IntN(len(f.members))].current()
+			current := f.members[rng.IntN(len(f.members))].current()
 			if f.opts.Mode == modeOpen {
-				if status := proxyNow.Status(); status.StalenessKnown {
+				if status := current.Status(); status.StalenessKnown {
 					f.recordLatency(f.staleness, time.Duration(status.StalenessMS)*time.Millisecond)
 				}
 				continue
 			}
-			for name, stamp := range proxyNow.Vector() {
-				if updated, found := f.byName[name].updatedAt(stamp); found {
+			for name, version := range current.Vector() {
+				if updated, found := f.byName[name].updatedAt(version); found {
 					f.recordLatency(f.staleness, f.now()-updated)
 				}
 			}
@@ -239,8 +242,8 @@
 	}
 }
 
-// awaitJoined waits until every member has the configuration and knows every worker. The timeout is for all
-// together.
+// awaitJoined waits until every member has the given configuration revision or a newer one and knows at least the given
+// number of workers. The timeout covers all members together. It fails if the timeout is over, or with ctx's error.
 func (f *hollowFleet) awaitJoined(ctx context.Context, revision uint64, workers int, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for _, m := range f.members {
@@ -261,15 +264,15 @@
 	return nil
 }
 
-// allApplied tells whether every member has applied a revision or a later one.
+// allApplied reports whether every member has applied a configuration revision or a newer one.
 func (f *hollowFleet) allApplied(revision uint64) bool {
 	return !slices.ContainsFunc(f.members, func(m *hollowMember) bool { return m.current().ConfigRevision() < revision })
 }
 
-// joinPoll is between two looks at what is awaited.
+// joinPoll is the time between two checks of a condition that is waited for.
 const joinPoll = 20 * time.Millisecond
 
-// traffic sums the traffic of all incarnations of all members.
+// traffic returns the total traffic of all incarnations of all members.
 func (f *hollowFleet) traffic() transport.Traffic {
 	var sum transport.Traffic
 	for _, m := range f.members {
@@ -278,13 +281,14 @@
 	return sum
 }
 
-// endedTraffic is the traffic of the incarnations that have ended.
+// endedTraffic returns the total traffic of the member's incarnations that have ended.
 func (m *hollowMember) endedTraffic() transport.Traffic {
 	m.lock.Lock()
 	defer m.lock.Unlock()
 	return m.priorTraffic
 }
 
+// sumTraffic adds bytes and opened connections; the other fields of the result are empty.
 func sumTraffic(a, b transport.Traffic) transport.Traffic {
 	return transport.Traffic{In: a.In + b.In, Out: a.Out + b.Out, Opened: a.Opened + b.Opened}
 }
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -20,30 +20,31 @@
 	"meadowhinge/schema"
 )
 
-// hollowOperator submits changes without reading the configuration back before each, as a machine does that knows
-// what it wrote. Its methods may be called at the same time.
+// hollowOperator is a fake operator that tracks the versions of the items that it has written. Unlike Operator, it does
+// not read the configuration before each change. Its methods may be called concurrently, except changeLoop.
 type hollowOperator struct {
 	opts *schema.HollowOptions
 	core *Fleet
-	now  func() time.Duration
+	now  func() time.Duration // time since the run began
 	http *http.Client
-	rng  *rand.Rand
+	rng  *rand.Rand // source of changeLoop's choices
 
-	lock            sync.Mutex // guards the fields below
-	serial          int
-	currentVersions map[string]uint64 // by item key, from the responses so far
-	submitted       []submittedChange
-	rulings         map[string]int
-	newestRevision  uint64
+	lock            sync.Mutex        // guards the fields below
+	serial          int               // number of changes so far; part of their ids
+	currentVersions map[string]uint64 // versions of items by key, as far as the responses so far showed them
+	submitted       []submittedChange // accepted changes since the last forgetSubmitted
+	rulings         map[string]int    // number of changes by ruling
+	newestRevision  uint64            // newest revision of an accepted change
 }
 
-// submittedChange is an accepted change and its times.
+// submittedChange is an accepted change. Its times are measured from the beginning of the run.
 type submittedChange struct {
-	revision       uint64
-	submittedAt    time.Duration
-	acknowledgedAt time.Duration // 0 for never
+	revision       uint64        // configuration revision that the change made
+	submittedAt    time.Duration // when the change was sent
+	acknowledgedAt time.Duration // when the acknowledgement was received; 0 if there was none
 }
 
+// newHollowOperator returns an operator of the core. It sends nothing before one of its methods is called.
 func newHollowOperator(opts *schema.HollowOptions, core *Fleet, now func() time.Duration) *hollowOperator {
 	return &hollowOperator{
 		opts:            opts,
@@ -56,7 +57,9 @@
 	}
 }
 
-// submitChange submits one change at a core member, and remembers versions and times of an accepted one.
+// submitChange submits one change, in CUE, at a core member and records the result. A rejection is not an error: it is
+// in the response. submitChange fails with errs.InvalidConfig if the text can't be parsed, with
+// errs.PeerConnectionLost if there was no response, and with errs.MalformedRequest if that is not valid JSON.
 func (o *hollowOperator) submitChange(core int, text string) (*registry.ChangeResponse, error) {
 	items, faults := configsource.Parse([]byte(text))
 	if len(faults) > 0 {
@@ -79,7 +82,7 @@
 	return answer, nil
 }
 
-// newSubmission makes a change on top of the versions that are known of its items.
+// newSubmission makes the request for a change. The change expects the item versions that the operator knows.
 func (o *hollowOperator) newSubmission(text string, items []*schema.Item) registry.ChangeRequest {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -98,7 +101,7 @@
 	return submission
 }
 
-// post sends a change to a core member and reads the response.
+// post sends an encoded change to a core member and decodes the response.
 func (o *hollowOperator) post(core int, body []byte) (*registry.ChangeResponse, error) {
 	response, err := o.http.Post("http://"+o.core.OperatorAddress(core)+"/v1/changes", "application/json", bytes.NewReader(body))
 	if err != nil {
@@ -116,7 +119,8 @@
 	return answer, nil
 }
 
-// record remembers the result of a change.
+// record counts the ruling on a change and updates the known versions. If the change was accepted, it adds the entry to
+// submitted.
 func (o *hollowOperator) record(answer *registry.ChangeResponse, items []*schema.Item, entry submittedChange) {
 	o.lock.Lock()
 	defer o.lock.Unlock()
@@ -132,24 +136,24 @@
 	o.newestRevision = max(o.newestRevision, answer.Sequence)
 }
 
-// forgetSubmitted forgets the changes so far, so that they do not count as measured.
+// forgetSubmitted clears the accepted changes, so that only those after it are measured.
 func (o *hollowOperator) forgetSubmitted() {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	o.submitted = nil
 }
 
-// newestAccepted is the newest revision of an accepted change.
+// newestAccepted returns the newest configuration revision of an accepted change.
 func (o *hollowOperator) newestAccepted() uint64 {
 	o.lock.Lock()
 	defer o.lock.Unlock()
 	return o.newestRevision
 }
 
-// routesPerChange is how many routes each change of the first configuration adds.
+// routesPerChange is the number of routes in each change of the initial configuration.
 const routesPerChange = 250
 
-// submitInitialConfig submits the first configuration, in pieces, until each is accepted.
+// submitInitialConfig submits the changes of the initial configuration in order, each until it is accepted.
 func (o *hollowOperator) submitInitialConfig(ctx context.Context) error {
 	for _, piece := range o.initialConfig() {
 		if err := o.submitUntilAccepted(ctx, piece); err != nil {
@@ -159,7 +163,7 @@
 	return nil
 }
 
-// initialConfig gives the changes that make up the first configuration: services, then routes, then releases.
+// initialConfig returns the changes that make up the initial configuration: services, then routes, then releases.
 func (o *hollowOperator) initialConfig() []string {
 	pieces := []string{o.servicesText()}
 	for from := 0; from < int(o.opts.Routes); from += routesPerChange {
@@ -169,7 +173,7 @@
 		}
 		pieces = append(pieces, text.String())
 	}
-	// So long that it is still in progress at the end.
+	// A release takes so long that it is still in progress at the end of the run.
 	over := releaseLengthFactor * time.Duration(o.opts.Length+o.opts.Settle)
 	for i := range int(o.opts.Releases) {
 		pieces = append(pieces, fmt.Sprintf("release: %q: {service: %q, version: %q, target: 50, over: %q}\n",
@@ -178,8 +182,8 @@
 	return pieces
 }
 
-// servicesText states the services, each called by a few others as in a tree of calls, and the flags of those
-// that have a release.
+// servicesText returns the services in CUE, with the release flags of those that have a release. Clients and a few other
+// services may call each service.
 func (o *hollowOperator) servicesText() string {
 	var text strings.Builder
 	services := int(o.opts.Services)
@@ -197,8 +201,9 @@
 	return text.String()
 }
 
-// submitUntilAccepted submits a change at one core member after another. A conflict counts as accepted: an
-// earlier attempt, whose response was lost, was.
+// submitUntilAccepted submits a change at the core members in turn until it is accepted. A conflict counts as accepted,
+// because it shows that an earlier attempt was accepted and its response lost. It fails with errs.InvalidConfig if the
+// change is invalid, with errs.NoQuorum after maxInitialAttempts retries, or with ctx's error.
 func (o *hollowOperator) submitUntilAccepted(ctx context.Context, text string) error {
 	for attempt := 0; ; attempt++ {
 		answer, err := o.submitChange(attempt%int(o.opts.Seats), text)
@@ -217,15 +222,15 @@
 	}
 }
 
-// The first configuration of a hollow fleet, and how often it is submitted.
+// The initial configuration of a hollow fleet and its submission.
 const (
-	callersPerService   = 3
-	releaseLengthFactor = 10
-	maxInitialAttempts  = 100
-	initialRetryBackoff = 200 * time.Millisecond
+	callersPerService   = 3                      // largest number of other services that may call a service
+	releaseLengthFactor = 10                     // duration of a release, as a multiple of the run's
+	maxInitialAttempts  = 100                    // largest number of retries of each change
+	initialRetryBackoff = 200 * time.Millisecond // time between two attempts
 )
 
-// routeText states the i-th route, in CUE. One route in three is non-idempotent.
+// routeText returns the i-th route with the given deadline, in CUE. Every third route is non-idempotent.
 func (o *hollowOperator) routeText(i int, deadline string) string {
 	class := "repeatable"
 	if i%3 == 0 {
@@ -235,7 +240,8 @@
 		routeName(i), serviceName(i%int(o.opts.Services)), serviceName(i%int(o.opts.Services)), routeName(i), class, deadline)
 }
 
-// changeLoop submits changes at the settings' rate until stop closes, each of one route.
+// changeLoop submits Changes changes per minute until stop closes, then waits for their responses. Each change gives a
+// random route a new deadline.
 func (o *hollowOperator) changeLoop(stop <-chan struct{}) {
 	if o.opts.Changes == 0 {
 		return
@@ -251,12 +257,13 @@
 		case <-ticker.C:
 		}
 		text := o.routeText(o.rng.IntN(int(o.opts.Routes)), fmt.Sprintf("%dms", minDeadlineMS+turn))
-		// At a high rate the next change is submitted before the one before it is acknowledged.
+		// At a high rate a change is submitted before the previous one is acknowledged.
 		submitting.Go(func() {
-			_, _ = o.submitChange(turn%int(o.opts.Seats), text) // what was not accepted is not measured
+			_, _ = o.submitChange(turn%int(o.opts.Seats), text) // a change that fails is not measured
 		})
 	}
 }
 
-// minDeadlineMS is the deadline that the first change gives its route; each further change gives one more.
+// minDeadlineMS is the deadline in milliseconds that the first change of changeLoop gives its route. Each further change
+// uses a deadline that is 1 ms longer, so that it differs from all changes before.
 const minDeadlineMS = 2000
--- a/internal/testbed/hollow_options.go
+++ b/internal/testbed/hollow_options.go
@@ -9,21 +9,25 @@
 	"meadowhinge/schema"
 )
 
-// Memory of a run, from the slopes in docs/CAPACITY.md, in bytes.
+// Memory usage of a run in bytes, from the slopes in docs/CAPACITY.md.
 const (
-	memberBytes       = 700 << 10 // of a member without workers or routes
-	memberWorkerBytes = 1200      // of each worker that it knows
-	memberRouteBytes  = 3 << 10   // of each route that it has
-	coreBytes         = 256 << 20 // of a registry and its store
-	memoryDivisor     = 2         // one part in so many of the machine's memory may be used
+	memberBytes       = 700 << 10 // a member without workers and routes
+	memberWorkerBytes = 1200      // each worker that a member knows
+	memberRouteBytes  = 3 << 10   // each route in the configuration of a member
+	coreBytes         = 256 << 20 // a registry and its store
 )
 
-// ValidateHollow lists what in the settings cannot be run on this machine, beyond the bounds of each setting.
+// memoryDivisor limits a run to 1/memoryDivisor of the machine's memory.
+const memoryDivisor = 2
+
+// ValidateHollow returns the faults of the settings because of which a run could not be made on this machine; none if it
+// can be made. It does not check the bounds of each setting, which the option parser does.
 func ValidateHollow(opts *schema.HollowOptions) options.Faults {
 	return validateHollow(opts, machineMemory(), maxOpenFiles())
 }
 
-// validateHollow is ValidateHollow for a machine with so many bytes of memory and open files for a process.
+// validateHollow is ValidateHollow for a machine with the given memory in bytes, of which 0 means unknown, and the given
+// limit of open files per process.
 func validateHollow(opts *schema.HollowOptions, memory int64, files uint64) options.Faults {
 	var faults options.Faults
 	if opts.Releases > opts.Services {
@@ -55,19 +59,19 @@
 	return faults
 }
 
-// Files that a run holds open.
+// Open files of a run.
 const (
-	connsPerMember = 2   // with each core member
-	reservedFiles  = 256 // for all else
+	connsPerMember = 2   // connections of each hollow member with each core member
+	reservedFiles  = 256 // all other files
 )
 
-// requiredMemory estimates the memory of a run, in bytes.
+// requiredMemory returns the estimated memory usage of a run in bytes.
 func requiredMemory(opts *schema.HollowOptions) int64 {
 	workers := max(opts.Workers, opts.Members)
 	return opts.Members*(memberBytes+workers*memberWorkerBytes+opts.Routes*memberRouteBytes) + opts.Seats*coreBytes
 }
 
-// machineMemory is the machine's memory in bytes; 0 if it is not known.
+// machineMemory returns the size of the machine's memory in bytes; 0 if it is unknown.
 func machineMemory() int64 {
 	var info syscall.Sysinfo_t
 	if syscall.Sysinfo(&info) != nil {
@@ -76,7 +80,7 @@
 	return int64(info.Totalram) * int64(info.Unit)
 }
 
-// maxOpenFiles is how many files this process may have open; 0 if that is not known.
+// maxOpenFiles returns the number of files that this process may have open; 0 if it is unknown.
 func maxOpenFiles() uint64 {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil {
--- a/internal/testbed/hollow_report.go
+++ b/internal/testbed/hollow_report.go
@@ -18,62 +18,71 @@
 	"meadowhinge/schema"
 )
 
-// RoleCost is what the processes of a role cost: means over the processes, but for CPULargest.
+// RoleCost holds the costs of the processes of one role. The hollow members have the role "proxy", and each counts as a
+// process. Values are means over the processes of the role unless noted otherwise.
 type RoleCost struct {
-	Role              string      `json:"role"`
-	Processes         int         `json:"processes"`
-	CPU               float64     `json:"cpuMsPerSecond"`        // of one core, in thousandths
-	CPULargest        float64     `json:"cpuMsPerSecondLargest"` // of the processes
-	BytesIn           float64     `json:"bytesInPerSecond"`
-	BytesOut          float64     `json:"bytesOutPerSecond"`
-	SessionsBegun     float64     `json:"begunPerSecond"`    // of a registry, sessions that it accepted; of a member, its part of those
-	Messages          float64     `json:"messagesPerSecond"` // in both directions: of a member, with the core; of the core, with all its callers
-	MemoryMB          float64     `json:"memoryMB"`          // resident at the end; of a member, its part of this process's heap and stacks
-	HeapMB            float64     `json:"heapMB"`
-	DiskKB            float64     `json:"diskKB"`
-	BytesWritten      float64     `json:"writtenBytesPerSecond"`
-	ConnectionsOpened float64     `json:"linksOpenedPerSecond"`
-	MessagesByCall    RatesByName `json:"messagesPerSecondByCall,omitempty"`
+	Role       string  `json:"role"`
+	Processes  int     `json:"processes"`             // number of processes
+	CPU        float64 `json:"cpuMsPerSecond"`        // CPU usage in thousandths of a core
+	CPULargest float64 `json:"cpuMsPerSecondLargest"` // largest CPU usage of a process; for members the same as CPU
+	BytesIn    float64 `json:"bytesInPerSecond"`      // bytes received by RPC per second
+	BytesOut   float64 `json:"bytesOutPerSecond"`     // bytes sent by RPC per second
+	// SessionsBegun is the number of sessions that all processes of the role together accepted per second. For members it
+	// is the number that registries accepted, divided by the number of members.
+	SessionsBegun float64 `json:"begunPerSecond"`
+	// Messages is the number of RPC messages per second in both directions. For members these are the messages with the
+	// core; for processes of the core, those with all their callers.
+	Messages float64 `json:"messagesPerSecond"`
+	// MemoryMB is the resident memory at the end of the run. For members it is the growth of this process's heap and
+	// stacks, divided by the number of members.
+	MemoryMB          float64     `json:"memoryMB"`
+	HeapMB            float64     `json:"heapMB"`                            // heap of the Go runtime; for members the same as MemoryMB
+	DiskKB            float64     `json:"diskKB"`                            // size of the data folder at the end of the run
+	BytesWritten      float64     `json:"writtenBytesPerSecond"`             // bytes written to disk per second
+	ConnectionsOpened float64     `json:"linksOpenedPerSecond"`              // connections opened per second
+	MessagesByCall    RatesByName `json:"messagesPerSecondByCall,omitempty"` // Messages by RPC
 }
 
-// RatesByName are numbers a second by name.
+// RatesByName holds rates per second by name.
 type RatesByName map[string]float64
 
-// HollowReport is what a run of hollow members found.
+// HollowReport is the result of a hollow run.
 type HollowReport struct {
 	Options *schema.HollowOptions `json:"options"`
-	Commit  string                `json:"commit"`
-	Cores   int                   `json:"cores"` // of this machine
-	Seconds float64               `json:"seconds"`
-	Roles   []RoleCost            `json:"roles"`
-
-	Acknowledge       LatencySummary   `json:"acknowledge"` // from submission to acknowledgement
-	Applied           LatencySummary   `json:"apply"`       // from acknowledgement until it is applied, at each member
-	AppliedEverywhere LatencySummary   `json:"everywhere"`  // from submission until every member has applied it
-	Staleness         LatencySummary   `json:"stale"`       // of members' views of the fleet
-	WorkerUpdates     LatencySummary   `json:"news"`        // from an update of a member's workers until another member has it, at each
-	Recovery          LatencySummary   `json:"back"`        // from a restart until a configuration is applied
-	RegistryFailover  LatencySummary   `json:"moved"`       // from the loss of a member's registry until it has a session with another
-	WakeupDelay       LatencySummary   `json:"late"`        // by how much this process was woken late, by the load on the machine
-	Unapplied         int              `json:"unapplied"`   // changes that some member had not applied at the end
-	Rulings           map[string]int   `json:"rulings"`
-	Restarts          int              `json:"restarts"`
-	InjectedLosses    int              `json:"losses"`    // of core machines and of zones
-	Items             int              `json:"items"`     // in the configuration
-	ItemBytes         int              `json:"itemBytes"` // of their bodies, names and versions
-	Timeline          []HollowInterval `json:"lines"`
-
-	histograms map[string]*hdrhistogram.Histogram
+	Commit  string                `json:"commit"`  // commit of this program; see buildCommit
+	Cores   int                   `json:"cores"`   // number of CPU cores of this machine
+	Seconds float64               `json:"seconds"` // duration of the measurement
+	Roles   []RoleCost            `json:"roles"`   // hollow members first, then the other roles in alphabetical order
+
+	Acknowledge       LatencySummary `json:"acknowledge"` // submission of a change to its acknowledgement
+	Applied           LatencySummary `json:"apply"`       // acknowledgement of a change to its application, at each member
+	AppliedEverywhere LatencySummary `json:"everywhere"`  // submission of a change to its application by the last member
+	Staleness         LatencySummary `json:"stale"`       // staleness of members' views of the mesh; see measureStaleness
+	WorkerUpdates     LatencySummary `json:"news"`        // update of a member's workers to its arrival, at each other member
+	Recovery          LatencySummary `json:"back"`        // restart of a member to its application of a configuration
+	RegistryFailover  LatencySummary `json:"moved"`       // loss of a member's registry to its session with another
+	WakeupDelay       LatencySummary `json:"late"`        // lateness of this process's timers; shows the load of the machine
+	Unapplied         int            `json:"unapplied"`   // number of accepted changes that were not acknowledged, or not applied by every member
+	Rulings           map[string]int `json:"rulings"`     // number of changes by ruling, those of the initial configuration included
+	Restarts          int            `json:"restarts"`    // number of restarts of members
+	InjectedLosses    int            `json:"losses"`      // number of losses of core machines and of zones
+	Items             int            `json:"items"`       // number of items in the configuration
+	ItemBytes         int            `json:"itemBytes"`   // size of these items as JSON: bodies, names and versions
+
+	Timeline []HollowInterval `json:"lines"` // usage in each interval of the run
+
+	histograms map[string]*hdrhistogram.Histogram // latencies for plots, by the names that Print shows
 }
 
-// HollowInterval is what the roles used in one interval of a run.
+// HollowInterval is the usage of each role in one interval of a run.
 type HollowInterval struct {
-	At     float64            `json:"at"`
-	CPU    map[string]float64 `json:"cpuMsPerSecond"` // by role, of its largest process; of members the mean
-	Memory map[string]float64 `json:"memoryMB"`
+	At     float64            `json:"at"`             // end of the interval, in seconds since the measurement began
+	CPU    map[string]float64 `json:"cpuMsPerSecond"` // CPU usage by role in thousandths of a core: of the largest process, or the mean over members
+	Memory map[string]float64 `json:"memoryMB"`       // memory by role: of the largest process, or the mean over members
 }
 
-// buildCommit is the commit that this program was built from; empty if that is not known.
+// buildCommit returns the commit from which this program was built, with a note if there were uncommitted changes; empty
+// if it is unknown.
 func buildCommit() string {
 	info, found := debug.ReadBuildInfo()
 	if !found {
@@ -90,7 +99,7 @@
 	return commit
 }
 
-// fillChanges fills in the latencies of changes at members, and the fleet's counts.
+// fillChanges fills in the latencies of changes and the figures that the operator and the fleet recorded.
 func (r *HollowReport) fillChanges(operator *hollowOperator, fleet *hollowFleet) {
 	acknowledge, apply, everywhere := newLatencyHistogram(), newLatencyHistogram(), newLatencyHistogram()
 	operator.lock.Lock()
@@ -104,7 +113,8 @@
 		last, all := time.Duration(0), true
 		for _, member := range fleet.members {
 			member.lock.Lock()
-			// Revisions are applied in order, except across a restart; those before it were as new at the time.
+			// Members apply revisions in order, except that a restart may set one back. The entries before a restart were as
+			// new as the configuration was at that time.
 			first := sort.Search(len(member.applied), func(i int) bool { return member.applied[i].revision >= change.revision })
 			if first == len(member.applied) {
 				all = false
@@ -139,10 +149,10 @@
 	}
 }
 
-// configSize is the number of items of a configuration, and their bytes as JSON.
+// configSize is the size of a configuration: the number of its items and their total size as JSON.
 type configSize struct{ items, bytes int }
 
-// configSize reads the size of the configuration at the first core member; nil if it can't be read.
+// configSize reads the configuration at the first core member and returns its size; nil if it can't be read.
 func (f *Fleet) configSize() *configSize {
 	response, err := probeClient.Get("http://" + f.OperatorAddress(0) + "/v1/setup")
 	if err != nil {
@@ -155,14 +165,14 @@
 	if json.NewDecoder(response.Body).Decode(&shown) != nil {
 		return nil
 	}
-	state := &configSize{items: len(shown.Items)}
+	size := &configSize{items: len(shown.Items)}
 	for _, item := range shown.Items {
-		state.bytes += len(item)
+		size.bytes += len(item)
 	}
-	return state
+	return size
 }
 
-// Print shows the report to a person.
+// Print writes the report as readable text.
 func (r *HollowReport) Print(out io.Writer) {
 	opts := r.Options
 	printf(out, "%s: %d members, %d workers, %d services, %d routes, %d seats, %g changes and %g restarts a minute, %d releases, %.0f s, commit %s\n",
@@ -204,7 +214,7 @@
 	}
 }
 
-// Write saves the report as JSON.
+// Write writes the report to a file as JSON. It fails with errs.DiskFailed.
 func (r *HollowReport) Write(file string) error {
 	return writeReport(file, r)
 }
--- a/internal/testbed/hollow_run.go
+++ b/internal/testbed/hollow_run.go
@@ -12,28 +12,29 @@
 	"meadowhinge/schema"
 )
 
-// progressInterval is between two reports of how far a run is.
+// progressInterval is the time between two lines of progress during the measurement.
 const progressInterval = 10 * time.Second
 
-// hollowRun is one run of hollow members: its core, its members, and the tasks that act on them.
+// hollowRun is the state of one call of RunHollow: the core, the members, and the goroutines that act on them.
 type hollowRun struct {
 	opts     *schema.HollowOptions
 	core     *Fleet
 	operator *hollowOperator
-	fleet    *hollowFleet // nil until the core is configured
-	now      func() time.Duration
-	out      io.Writer // progress
+	fleet    *hollowFleet         // nil until the core is configured
+	now      func() time.Duration // time since the run began
+	out      io.Writer            // progress output
 
-	memoryBefore int64 // of this process, before its members were made
-	wakeupDelay  *hdrhistogram.Histogram
+	memoryBefore int64                   // stableMemory before the members were made
+	wakeupDelay  *hdrhistogram.Histogram // HollowReport.WakeupDelay
 
-	stop      chan struct{} // ends the tasks
-	stopTasks func()        // closes stop, once
-	tasks     sync.WaitGroup
+	stop      chan struct{}  // closed to end the tasks
+	stopTasks func()         // closes stop; may be called more than once
+	tasks     sync.WaitGroup // goroutines that run until stop closes
 }
 
-// RunHollow brings up a real core and hollow members, lets them run, and measures what they cost. It ends
-// early, with ctx's error, between two of its steps.
+// RunHollow brings up a core of real processes and hollow members, and measures what they cost while operators, restarts
+// and losses act on them. It writes progress to out. It fails with options.Faults for invalid settings, or with the
+// error of bringing up the fleet. If ctx is canceled, RunHollow ends after the current step, with ctx's error.
 func RunHollow(ctx context.Context, opts *schema.HollowOptions, out io.Writer) (*HollowReport, error) {
 	if faults := ValidateHollow(opts); len(faults) > 0 {
 		return nil, faults
@@ -61,7 +62,7 @@
 	return report, nil
 }
 
-// newHollowRun lays out the core; nothing runs yet.
+// newHollowRun lays out the core and starts no process.
 func newHollowRun(opts *schema.HollowOptions, out io.Writer) (*hollowRun, error) {
 	began := time.Now()
 	r := &hollowRun{
@@ -80,21 +81,21 @@
 	return r, nil
 }
 
-// logf reports progress.
+// logf writes a line of progress.
 func (r *hollowRun) logf(format string, values ...any) {
 	printf(r.out, "%6.1f s  "+format+"\n", append([]any{r.now().Seconds()}, values...)...)
 }
 
-// coreTimeout is how long the core may take to become ready: registries grant leases only once a key window is
-// over.
+// coreTimeout returns how long the core may take to become ready. It includes a window of idempotency keys, because
+// registries grant leases only after that.
 func (r *hollowRun) coreTimeout() time.Duration { return readyTimeout + keyWindowLeases*r.core.lease }
 
-// startCore starts the core, submits the first configuration, and starts the real proxies.
+// startCore starts the core, submits the initial configuration, and starts the real proxies.
 func (r *hollowRun) startCore(ctx context.Context) error {
 	if err := startAll(r.core.Processes()); err != nil {
 		return err
 	}
-	//nolint:contextcheck // AwaitReady has a timeout of its own; to end it with ctx would change interrupted runs
+	//nolint:contextcheck // AwaitReady has its own timeout; ending it with ctx would change what interrupted runs do
 	if err := AwaitReady(r.core.Processes(), r.coreTimeout()); err != nil {
 		return err
 	}
@@ -109,7 +110,8 @@
 	return startAll(r.core.Proxies)
 }
 
-// joinMembers makes the hollow members and waits until each has the configuration and knows every worker.
+// joinMembers makes the hollow members, starts their heartbeats, and waits until each has the configuration and knows
+// every worker.
 func (r *hollowRun) joinMembers(ctx context.Context) error {
 	r.memoryBefore = stableMemory()
 	fleet, err := newHollowFleet(r.opts, r.core, r.now)
@@ -133,8 +135,8 @@
 	return nil
 }
 
-// startTasks starts what is measured: changes, restarts, losses, and the observers. Changes of the first
-// configuration do not count.
+// startTasks starts changes, restarts, losses and the measurements of latencies. The changes of the initial configuration
+// are not measured.
 func (r *hollowRun) startTasks() {
 	r.operator.forgetSubmitted()
 	r.fleet.measuring.Store(true)
@@ -145,7 +147,7 @@
 	r.tasks.Go(func() { measureWakeupDelay(r.stop, r.wakeupDelay) })
 }
 
-// measure takes counters for the length of the run, ends the tasks, and fills in the report.
+// measure samples counters for the length of the run, ends the tasks, and fills in the report.
 func (r *hollowRun) measure(ctx context.Context, report *HollowReport) error {
 	first := takeCounterSnapshot(r.core, r.fleet)
 	last, err := r.sampleCounters(ctx, first, report)
@@ -162,15 +164,16 @@
 	report.Roles[0].HeapMB = report.Roles[0].MemoryMB
 	report.fillChanges(r.operator, r.fleet)
 	report.WakeupDelay = summarizeLatency(r.wakeupDelay)
-	if state := r.core.configSize(); state != nil {
-		report.Items = state.items
-		report.ItemBytes = state.bytes
+	if size := r.core.configSize(); size != nil {
+		report.Items = size.items
+		report.ItemBytes = size.bytes
 	}
 	return nil
 }
 
-// sampleCounters takes a snapshot of all counters at each interval and returns the last. The times of the
-// snapshots decide how long that goes on: on a busy machine the first alone may take longer than the run.
+// sampleCounters takes a snapshot of all counters at each interval, adds the interval to the report, and returns the last
+// snapshot. The run is over when the snapshots cover its length. Elapsed time would not do, because on a busy machine the
+// first snapshot alone may take longer than the run.
 func (r *hollowRun) sampleCounters(ctx context.Context, first counterSnapshot, report *HollowReport) (last counterSnapshot, err error) {
 	length := time.Duration(r.opts.Length)
 	last = first
@@ -190,7 +193,7 @@
 	return last, nil
 }
 
-// awaitApplied gives the last changes time to be applied by every member.
+// awaitApplied waits until every member has applied the last change, for applyTimeout at most.
 func (r *hollowRun) awaitApplied(ctx context.Context) {
 	began := r.now()
 	for r.now()-began < applyTimeout && !r.fleet.allApplied(r.operator.newestAccepted()) {
@@ -200,7 +203,7 @@
 	}
 }
 
-// end ends the tasks, then the members.
+// end ends the tasks, waits for them, and ends the members.
 func (r *hollowRun) end() {
 	r.stopTasks()
 	r.tasks.Wait()
@@ -209,11 +212,11 @@
 	}
 }
 
-// wakeupInterval is for how long measureWakeupDelay sleeps each time.
+// wakeupInterval is the length of each sleep of measureWakeupDelay.
 const wakeupInterval = 10 * time.Millisecond
 
-// measureWakeupDelay records how late this process is woken. A machine too busy for that delays all else that
-// is measured too.
+// measureWakeupDelay records how late this process's timers fire, until stop closes. A machine that is so busy that they
+// are late also delays everything else that is measured.
 func measureWakeupDelay(stop <-chan struct{}, histogram *hdrhistogram.Histogram) {
 	for {
 		slept := time.Now()
@@ -226,7 +229,7 @@
 	}
 }
 
-// sleepContext waits, and returns false if ctx ended the wait.
+// sleepContext sleeps for a time. It returns false if ctx ended before that.
 func sleepContext(ctx context.Context, span time.Duration) bool {
 	select {
 	case <-ctx.Done():
@@ -236,10 +239,10 @@
 	}
 }
 
-// Bounds of a run.
+// Timing of a run.
 const (
-	minIntervals         = 10 // snapshots of counters in a run
-	maxInterval          = 2 * time.Second
-	joinTimeoutPerMember = 200 * time.Millisecond
-	applyTimeout         = 8 * time.Second
+	minIntervals         = 10                     // smallest number of snapshots of counters that a run is divided into
+	maxInterval          = 2 * time.Second        // longest time between two snapshots
+	joinTimeoutPerMember = 200 * time.Millisecond // time that each member adds to the timeout of joinMembers
+	applyTimeout         = 8 * time.Second        // longest wait of awaitApplied
 )
