--- a/internal/fakebackend/bounds.go
+++ b/internal/fakebackend/bounds.go
@@ -5,12 +5,12 @@
 // Limits of the invariants that the simulator and the testbed check. They are the users' requirements, which
 // docs/brief.md lists.
 const (
-	// DrainingBound is how long a worker that has reported that it is draining may still get new calls.
+	// DrainingBound is the time after a worker's report that it is draining during which it may still get new calls.
 	DrainingBound = 2 * time.Second
-	// ConfigPropagationBound is how long after the acknowledgement of a change calls may still be handled by an
-	// older configuration.
+	// ConfigPropagationBound is the time after the acknowledgement of a change during which calls may still be handled
+	// by an older configuration.
 	ConfigPropagationBound = 2 * time.Second
-	// ConfigRegressionBound is how long a proxy that has used a configuration may still use an older one.
+	// ConfigRegressionBound is the time after its use of a configuration during which a proxy may still use an older one.
 	ConfigRegressionBound = 250 * time.Millisecond
 
 	// RetryBudgetWindow is the length of the sliding window in which the retries of a service are limited. They may
@@ -28,6 +28,7 @@
 	FaultyVersionFloor = 50
 	// FaultyVersionFailures is the number of failures after which a faulty version must be taken out of service.
 	FaultyVersionFailures = 50
-	// FaultyVersionBound is how long after its FaultyVersionFailures-th failure a version may still get calls.
+	// FaultyVersionBound is the time after its FaultyVersionFailures-th failure during which a version may still get
+	// calls.
 	FaultyVersionBound = 5 * time.Second
 )
--- a/internal/testbed/brief_test.go
+++ b/internal/testbed/brief_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// TestBriefNamesWhatExists checks that every test, scenario and seeded fault that docs/brief.md names exists.
-func TestBriefNamesWhatExists(t *testing.T) {
+// TestNamesInBriefExist checks that every test, scenario and seeded fault that docs/brief.md names exists. It guards
+// against references that a rename leaves behind.
+func TestNamesInBriefExist(t *testing.T) {
 	text, err := os.ReadFile("../../docs/brief.md")
 	if err != nil {
 		t.Fatal(err)
@@ -19,28 +20,28 @@
 	for _, match := range regexp.MustCompile("`(Test[A-Za-z]+)`").FindAllStringSubmatch(string(text), -1) {
 		named++
 		if out, err := exec.Command("grep", "-rl", "--include=*_test.go", "func "+match[1]+"(", "..", "../../cmd").Output(); err != nil || len(out) == 0 {
-			t.Errorf("test %s does not exist", match[1])
+			t.Errorf("docs/brief.md names test %s, which no test file declares", match[1])
 		}
 	}
 	simulator := simulatorSource(t)
 	for _, match := range regexp.MustCompile("`(Seeded[A-Za-z]+)`").FindAllStringSubmatch(string(text), -1) {
 		named++
 		if !strings.Contains(simulator, "\t"+match[1]+" ") {
-			t.Errorf("seeded fault %s does not exist", match[1])
+			t.Errorf("docs/brief.md names seeded fault %s, which the simulator does not declare", match[1])
 		}
 	}
 	for _, match := range regexp.MustCompile(`\bplay ([a-z]+)`).FindAllStringSubmatch(string(text), -1) {
 		named++
 		if Scenarios[match[1]] == nil {
-			t.Errorf("play %s does not exist", match[1])
+			t.Errorf("docs/brief.md names play %s, which is not a key of Scenarios", match[1])
 		}
 	}
 	if named < 80 {
-		t.Errorf("only %d names were found", named)
+		t.Errorf("found %d names in docs/brief.md, want at least 80", named)
 	}
 }
 
-// simulatorSource is the text of all files of the simulator that are not tests.
+// simulatorSource returns the text of all Go files of the simulator except tests.
 func simulatorSource(t *testing.T) string {
 	t.Helper()
 	files, err := filepath.Glob("../simulator/*.go")
--- a/internal/testbed/caller.go
+++ b/internal/testbed/caller.go
@@ -49,14 +49,14 @@
 // Run sends requests until stop closes, then waits for those in flight. Requests that are due while maxInFlight are in
 // flight are dropped.
 func (c *Caller) Run(stop <-chan struct{}, rng *rand.Rand) {
-	var waiting sync.WaitGroup
+	var inFlight sync.WaitGroup
 	slots := make(chan struct{}, maxInFlight)
 	begin := time.Now()
 	for sent := 0; ; sent++ {
 		due := begin.Add(time.Duration(float64(sent) / c.rate * float64(time.Second)))
 		select {
 		case <-stop:
-			waiting.Wait()
+			inFlight.Wait()
 			return
 		case <-time.After(time.Until(due)):
 		}
@@ -67,9 +67,9 @@
 		default:
 			continue // too many requests in flight: this one is dropped
 		}
-		waiting.Add(1)
+		inFlight.Add(1)
 		go func() {
-			defer waiting.Done()
+			defer inFlight.Done()
 			c.call(route, user)
 			<-slots
 		}()
--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -100,8 +100,8 @@
 	opts          *schema.CallsOptions
 	fleet         *Fleet
 	workers       []*Worker              // worker of each service
-	meshClients   []*fasthttp.HostClient // by caller, for calls through the mesh
-	directClients []*fasthttp.HostClient // by caller, for calls that bypass the mesh
+	meshClients   []*fasthttp.HostClient // client of each caller for calls through the mesh
+	directClients []*fasthttp.HostClient // client of each caller for calls that bypass the mesh
 	body          []byte                 // body of each request
 }
 
@@ -162,7 +162,7 @@
 	if err := newHollowOperator(coreOptions, fleet, now).submitInitialConfig(ctx); err != nil {
 		return c, err
 	}
-	//nolint:contextcheck // as above
+	//nolint:contextcheck // AwaitReady has its own timeout, as for the core
 	if err := AwaitReady(fleet.Proxies, readyTimeout); err != nil {
 		return c, err
 	}
--- a/internal/testbed/calls_test.go
+++ b/internal/testbed/calls_test.go
@@ -9,8 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// TestCallsSmall checks that calls through real proxies, alone and in chains, are all answered, and that a call
-// sends no more over the links than its bodies and a bounded rest, however deep its chain is.
+// TestCallsSmall measures calls through real proxies, alone and in chains. It checks that all are answered and that the
+// bytes sent per call are bounded by the size of its bodies, however deep the chain is.
 func TestCallsSmall(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
@@ -28,21 +28,22 @@
 	report.Print(t.Output())
 	for _, point := range report.Points {
 		if point.Failed > 0 || point.CallRate == 0 {
-			t.Errorf("%g chains of depth %d: %.0f calls a second, %d failed", point.Rate, point.Depth, point.CallRate, point.Failed)
+			t.Errorf("at %g chains per second of depth %d: got %.0f answered calls per second and %d failed chains, want more than 0 and none",
+				point.Rate, point.Depth, point.CallRate, point.Failed)
 		}
 	}
-	// A call's two bodies cross one link, and what goes with them is smaller than they are.
+	// The bodies of request and response cross one link between proxies. The rest of the messages is smaller than that.
 	const bodies = 1000 + 300
 	for _, slope := range report.Slopes {
 		if strings.HasPrefix(slope.Cost, "bytes sent") && (slope.Coefficients[1] < bodies || slope.Coefficients[1] > 2*bodies) {
-			t.Errorf("%s by %s: %s", slope.Cost, slope.Driver, slope.Formula())
+			t.Errorf("%s by %s = %s, want a slope from %d to %d", slope.Cost, slope.Driver, slope.Formula(), bodies, 2*bodies)
 		}
 	}
 	if err := report.WritePlots(t.TempDir(), "svg"); err != nil {
-		t.Error(err)
+		t.Errorf("WritePlots() failed: %v", err)
 	}
 	opts.Rates, opts.Depths = "0,x", "65"
 	if faults := ValidateCalls(opts); len(faults) != 2 {
-		t.Error(faults)
+		t.Errorf("ValidateCalls(rates %q, depths %q) = %v, want 2 faults", opts.Rates, opts.Depths, faults)
 	}
 }
--- a/internal/testbed/certificates.go
+++ b/internal/testbed/certificates.go
@@ -18,8 +18,8 @@
 
 // Authority is the certificate authority of one fleet. It must be used from one goroutine.
 type Authority struct {
-	folder string // folder of all certificate files
-	key    *ecdsa.PrivateKey
+	folder string            // folder of all certificate files
+	key    *ecdsa.PrivateKey // key of root, with which certificates are signed
 	root   *x509.Certificate // the authority's own certificate
 	serial int64             // serial number of the last certificate
 }
--- a/internal/testbed/disconnecting_caller.go
+++ b/internal/testbed/disconnecting_caller.go
@@ -26,9 +26,10 @@
 // outcomeDisconnected is the outcome of a call whose caller disconnected before it was answered.
 const outcomeDisconnected = "left"
 
-// disconnectMode is how a DisconnectingCaller ends a call.
+// disconnectMode is the way in which a DisconnectingCaller ends a call.
 type disconnectMode int
 
+// Modes of disconnecting callers.
 const (
 	modeClose        disconnectMode = iota // close the connection
 	modeReset                              // reset the connection
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -137,8 +137,8 @@
 	return old.name
 }
 
-// replacementOverlap is how long a replacement runs before the old worker drains, and then how long the old worker
-// drains before it ends.
+// replacementOverlap is the time from the start of a replacement until the old worker drains, and from then until the
+// old worker ends.
 const replacementOverlap = time.Second
 
 // makeVersionFaulty makes every worker of a service's new version faulty, records the time, and returns the name of
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -24,9 +24,9 @@
 	LinkFaults   *LinkFaults   // faults that the relays apply
 	relays       []*Relay      // all relays, including those of replaced core machines
 
-	Stores     []*Process // by core member
-	Registries []*Process // by core member
-	Proxies    []*Process // by edge machine
+	Stores     []*Process // store of each core member
+	Registries []*Process // registry of each core member
+	Proxies    []*Process // proxy of each edge machine
 }
 
 // Processes returns all processes: stores, registries, then proxies.
@@ -40,11 +40,11 @@
 	f.LinkFaults.Heal()
 	var lock sync.Mutex
 	var unclean []string
-	var waiting sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, process := range f.Processes() {
-		waiting.Add(1)
+		stopping.Add(1)
 		go func() {
-			defer waiting.Done()
+			defer stopping.Done()
 			process.Signal(syscall.SIGCONT)
 			if process.cmd != nil && !process.Stop(15*time.Second) {
 				lock.Lock()
@@ -53,7 +53,7 @@
 			}
 		}()
 	}
-	waiting.Wait()
+	stopping.Wait()
 	for _, relay := range f.relays {
 		relay.Close()
 	}
--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -18,13 +18,13 @@
 	NonIdempotent  bool          `json:"once"`              // the request must not be executed more than once
 	Keyed          bool          `json:"keyed,omitempty"`   // the request has an idempotency key, which equals Operation
 	CallerRetry    int           `json:"ask,omitempty"`     // number of earlier attempts of the caller, at other proxies
-	Sent           time.Duration `json:"sent"`              // when the caller sent the request
-	Received       time.Duration `json:"got"`               // when the caller got the response or gave up
+	Sent           time.Duration `json:"sent"`              // time at which the caller sent the request
+	Received       time.Duration `json:"got"`               // time at which the caller got the response or gave up
 	Status         int           `json:"status"`            // HTTP status; 0 if there was no response
-	Outcome        string        `json:"outcome"`           // outcome that the proxy reported, or unsent, unknown or outcomeDisconnected
+	Outcome        string        `json:"outcome"`           // outcome from the proxy, or unsent, unknown or outcomeDisconnected
 	ErrorCode      string        `json:"defect,omitempty"`  // error code of a rejection
 	Version        string        `json:"version,omitempty"` // version of the worker, as the proxy reported it
-	ConfigRevision uint64        `json:"setup,omitempty"`   // configuration that the proxy applied to the call; 0 if it reported none
+	ConfigRevision uint64        `json:"setup,omitempty"`   // configuration that the proxy used; 0 if it reported none
 	Attempts       int           `json:"tries"`             // number of attempts that the proxy made
 	Echoed         string        `json:"echoed,omitempty"`  // operation that the response names
 	Worker         string        `json:"worker,omitempty"`  // worker that the response names
@@ -39,7 +39,7 @@
 	Service     string        `json:"service"`       // service of the worker
 	Version     string        `json:"version"`       // version of the worker
 	Worker      string        `json:"worker"`        // name of the worker
-	At          time.Duration `json:"at"`            // when the execution began
+	At          time.Duration `json:"at"`            // time at which the execution began
 	Faulty      bool          `json:"ill"`           // a WorkerFault applied to the execution
 }
 
@@ -47,7 +47,7 @@
 type ExecutionEndEntry struct {
 	Operation      string        `json:"op"`     // operation that the request named
 	Worker         string        `json:"worker"` // name of the worker
-	At             time.Duration `json:"at"`     // when the execution ended
+	At             time.Duration `json:"at"`     // time at which the execution ended
 	ConnectionLost bool          `json:"broken"` // the connection ended before the requested duration was over
 }
 
@@ -55,25 +55,25 @@
 type FaultyVersionEntry struct {
 	Service string        `json:"service"`
 	Version string        `json:"version"`
-	From    time.Duration `json:"from"` // when the workers became faulty
+	From    time.Duration `json:"from"` // time at which the workers became faulty
 }
 
 // ReleaseEntry is the state of a release plan, as a registry showed it to an operator.
 type ReleaseEntry struct {
-	At                 time.Duration `json:"at"`       // when the state was read
+	At                 time.Duration `json:"at"`       // time at which the state was read
 	Release            string        `json:"release"`  // name of the release plan
 	State              string        `json:"state"`    // state of the release plan
 	Reason             string        `json:"reason"`   // reason that the registry gave for the state
 	SetPoint           float64       `json:"setPoint"` // percentage of the calls that the new version is to get
-	MeasuredPercentage float64       `json:"measured"` // percentage of the executions since the last read that the new version got
+	MeasuredPercentage float64       `json:"measured"` // percentage of the executions since the last read
 }
 
 // ChangeEntry is one configuration change, as its operator saw it.
 type ChangeEntry struct {
 	ID           string        `json:"id"`               // unique id of the change
 	Invalid      bool          `json:"invalid"`          // the change has to be rejected
-	Sent         time.Duration `json:"sent"`             // when the operator submitted the change
-	Answered     time.Duration `json:"got"`              // when the operator got the response or gave up
+	Sent         time.Duration `json:"sent"`             // time at which the operator submitted the change
+	Answered     time.Duration `json:"got"`              // time at which the operator got the response or gave up
 	Ruling       string        `json:"ruling"`           // ruling of the registry; unknown if there was no valid response
 	Sequence     uint64        `json:"sequence"`         // configuration revision that the change made
 	Acknowledged bool          `json:"acknowledged"`     // the registry reported that no proxy uses an older revision any more
@@ -82,15 +82,15 @@
 
 // WorkerExitEntry records that a worker reported that it is draining, or that it was killed without such a report.
 type WorkerExitEntry struct {
-	Worker string        `json:"worker"`
-	At     time.Duration `json:"at"`
+	Worker string        `json:"worker"` // name of the worker
+	At     time.Duration `json:"at"`     // time of the report or, without one, of the kill
 }
 
 // ConfigViewEntry is the configuration that a node showed at one time.
 type ConfigViewEntry struct {
 	Node           string        `json:"node"`            // name of the registry or proxy
-	Requested      time.Duration `json:"asked"`           // when the configuration was requested
-	Received       time.Duration `json:"got"`             // when the response was received
+	Requested      time.Duration `json:"asked"`           // time at which the configuration was requested
+	Received       time.Duration `json:"got"`             // time at which the response was received
 	ConfigRevision uint64        `json:"setup"`           // revision of the configuration
 	Items          []string      `json:"items,omitempty"` // keys of its items; none if a proxy showed only the revision
 }
@@ -99,10 +99,10 @@
 type FaultEntry struct {
 	Name               string        `json:"what"`            // name of the scenario step or random fault
 	Target             string        `json:"on"`              // process, worker or link that the fault acted on
-	At                 time.Duration `json:"at"`              // when the fault began
-	End                time.Duration `json:"end,omitempty"`   // when the fault ended; 0 if it lasts until the next fault
+	At                 time.Duration `json:"at"`              // time at which the fault began
+	End                time.Duration `json:"end,omitempty"`   // end of the fault; 0 if it lasts until the next fault
 	MayReject          bool          `json:"costs,omitempty"` // the fault may cause rejections
-	HitsCore           bool          `json:"core,omitempty"`  // the fault affects a core machine; one such fault alone causes no rejections
+	HitsCore           bool          `json:"core,omitempty"`  // the fault affects a core machine; one such fault at a time is harmless
 	DelaysPeerMessages bool          `json:"mute,omitempty"`  // the fault delays messages between proxies
 }
 
@@ -127,7 +127,7 @@
 	// SurvivedChanges is the number of acknowledged changes that still had their outcome at the end of the run.
 	// verifyAcknowledgedChanges sets it and LostChanges.
 	SurvivedChanges int
-	// LostChanges describes the acknowledged changes that did not.
+	// LostChanges describes the acknowledged changes that had another outcome, or none, at the end of the run.
 	LostChanges []string
 
 	// Lease is Options.Lease.
--- a/internal/testbed/hollow_core.go
+++ b/internal/testbed/hollow_core.go
@@ -99,7 +99,7 @@
 // Settings of a large fleet that differ from the defaults.
 const (
 	keyWindowLeases = 8   // duration of the window of idempotency keys, in leases
-	minSources      = 256 // smallest limit on the number of proxies that a registry accepts
+	minSources      = 256 // smallest limit on the number of proxies, for registries and proxies
 )
 
 // coreSeeds returns the addresses of a port of up to maxSeeds core machines, separated by commas. It leaves out the
@@ -118,7 +118,7 @@
 }
 
 // edgeSettings returns the settings of the i-th proxy, except those that depend on its data folder. callers are the
-// callers that get a listener; maxMembers is the limit on the number of members that the proxy knows.
+// callers that get a listener; maxMembers is the largest number of proxies that the fleet may have.
 func (f *Fleet) edgeSettings(mode string, i int, callers []string, maxMembers int64) (map[string]string, error) {
 	address := f.spacedEdgeAddress(i)
 	var listeners []string
--- a/internal/testbed/hollow_counters.go
+++ b/internal/testbed/hollow_counters.go
@@ -12,7 +12,7 @@
 
 // counterSnapshot holds the counters of all processes at one time.
 type counterSnapshot struct {
-	at            time.Duration     // when reading began, since the run began
+	at            time.Duration     // time at which reading began, since the run began
 	ownCPUSeconds float64           // CPU time of this process, in which the hollow members run
 	members       processCounters   // all hollow members together; only heapKB and traffic are set
 	core          []processCounters // processes of the core and real proxies, in the order of Fleet.Processes
--- a/internal/testbed/hollow_members.go
+++ b/internal/testbed/hollow_members.go
@@ -29,7 +29,7 @@
 
 	lock         sync.Mutex               // guards the fields below
 	proxy        *proxy.Hollow            // current incarnation, or the last one if it was ended; nil before the first
-	joined       time.Time                // when the current incarnation began to join
+	joined       time.Time                // time at which the current incarnation began to join
 	recovered    bool                     // the current incarnation has applied a configuration
 	applied      []appliedConfig          // configurations that all incarnations applied, in order
 	reportedAt   map[uint64]time.Duration // times of the member's own last updates, by their counter
@@ -40,7 +40,7 @@
 // appliedConfig records that a member applied a configuration revision.
 type appliedConfig struct {
 	revision uint64
-	at       time.Duration // when it was applied, since the run began
+	at       time.Duration // time at which it was applied, since the run began
 }
 
 // hollowWorker is a worker that exists only as the heartbeats that are sent for it.
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -40,8 +40,8 @@
 // submittedChange is an accepted change. Its times are measured from the beginning of the run.
 type submittedChange struct {
 	revision       uint64        // configuration revision that the change made
-	submittedAt    time.Duration // when the change was sent
-	acknowledgedAt time.Duration // when the acknowledgement was received; 0 if there was none
+	submittedAt    time.Duration // time at which the change was sent
+	acknowledgedAt time.Duration // time at which the acknowledgement was received; 0 if there was none
 }
 
 // newHollowOperator returns an operator of the core. It sends nothing before one of its methods is called.
--- a/internal/testbed/hollow_report.go
+++ b/internal/testbed/hollow_report.go
@@ -57,13 +57,13 @@
 	Acknowledge       LatencySummary `json:"acknowledge"` // submission of a change to its acknowledgement
 	Applied           LatencySummary `json:"apply"`       // acknowledgement of a change to its application, at each member
 	AppliedEverywhere LatencySummary `json:"everywhere"`  // submission of a change to its application by the last member
-	Staleness         LatencySummary `json:"stale"`       // staleness of members' views of the mesh; see measureStaleness
+	Staleness         LatencySummary `json:"stale"`       // staleness of members' views; see measureStaleness
 	WorkerUpdates     LatencySummary `json:"news"`        // update of a member's workers to its arrival, at each other member
 	Recovery          LatencySummary `json:"back"`        // restart of a member to its application of a configuration
 	RegistryFailover  LatencySummary `json:"moved"`       // loss of a member's registry to its session with another
 	WakeupDelay       LatencySummary `json:"late"`        // lateness of this process's timers; shows the load of the machine
-	Unapplied         int            `json:"unapplied"`   // number of accepted changes that were not acknowledged, or not applied by every member
-	Rulings           map[string]int `json:"rulings"`     // number of changes by ruling, those of the initial configuration included
+	Unapplied         int            `json:"unapplied"`   // number of accepted changes not acknowledged or not applied by all
+	Rulings           map[string]int `json:"rulings"`     // number of changes by ruling, including the initial configuration
 	Restarts          int            `json:"restarts"`    // number of restarts of members
 	InjectedLosses    int            `json:"losses"`      // number of losses of core machines and of zones
 	Items             int            `json:"items"`       // number of items in the configuration
@@ -76,9 +76,11 @@
 
 // HollowInterval is the usage of each role in one interval of a run.
 type HollowInterval struct {
-	At     float64            `json:"at"`             // end of the interval, in seconds since the measurement began
-	CPU    map[string]float64 `json:"cpuMsPerSecond"` // CPU usage by role in thousandths of a core: of the largest process, or the mean over members
-	Memory map[string]float64 `json:"memoryMB"`       // memory by role: of the largest process, or the mean over members
+	At float64 `json:"at"` // end of the interval, in seconds since the measurement began
+	// CPU is the CPU usage by role in thousandths of a core: that of the largest process, or the mean over the members.
+	CPU map[string]float64 `json:"cpuMsPerSecond"`
+	// Memory is the memory by role: that of the largest process, or the mean over the members.
+	Memory map[string]float64 `json:"memoryMB"`
 }
 
 // buildCommit returns the commit from which this program was built, with a note if there were uncommitted changes; empty
@@ -159,14 +161,14 @@
 		return nil
 	}
 	defer func() { _ = response.Body.Close() }() // the response is only read
-	var shown struct {
+	var view struct {
 		Items []json.RawMessage `json:"items"`
 	}
-	if json.NewDecoder(response.Body).Decode(&shown) != nil {
+	if json.NewDecoder(response.Body).Decode(&view) != nil {
 		return nil
 	}
-	size := &configSize{items: len(shown.Items)}
-	for _, item := range shown.Items {
+	size := &configSize{items: len(view.Items)}
+	for _, item := range view.Items {
 		size.bytes += len(item)
 	}
 	return size
--- a/internal/testbed/hollow_run.go
+++ b/internal/testbed/hollow_run.go
@@ -86,8 +86,8 @@
 	printf(r.out, "%6.1f s  "+format+"\n", append([]any{r.now().Seconds()}, values...)...)
 }
 
-// coreTimeout returns how long the core may take to become ready. It includes a window of idempotency keys, because
-// registries grant leases only after that.
+// coreTimeout returns the longest time that the core may take to become ready. It includes a window of idempotency keys,
+// because registries grant leases only after that.
 func (r *hollowRun) coreTimeout() time.Duration { return readyTimeout + keyWindowLeases*r.core.lease }
 
 // startCore starts the core, submits the initial configuration, and starts the real proxies.
--- a/internal/testbed/hollow_test.go
+++ b/internal/testbed/hollow_test.go
@@ -10,7 +10,7 @@
 	"meadowhinge/schema"
 )
 
-// parseHollowOptions parses settings as the program does.
+// parseHollowOptions parses command-line arguments as the program does.
 func parseHollowOptions(t *testing.T, args ...string) *schema.HollowOptions {
 	t.Helper()
 	opts := &schema.HollowOptions{}
@@ -20,12 +20,12 @@
 	return opts
 }
 
-// TestHollowOptionsAreValidated checks that settings that cannot be run are rejected before anything starts, each
-// by its name.
+// TestHollowOptionsAreValidated checks that settings with which no run can be made are rejected, and that each fault
+// begins with the name of the setting.
 func TestHollowOptionsAreValidated(t *testing.T) {
 	for _, testCase := range []struct {
 		args   []string
-		faults []string
+		faults []string // names of the settings with faults, in order
 	}{
 		{nil, nil},
 		{[]string{"-members=820", "-services=150", "-routes=150", "-zones=6", "-seats=5"}, nil},
@@ -37,12 +37,12 @@
 		t.Run(strings.Join(testCase.args, " "), func(t *testing.T) {
 			faults := validateHollow(parseHollowOptions(t, testCase.args...), 16<<30, 20000)
 			if len(faults) != len(testCase.faults) {
-				t.Errorf("%v: %v", testCase.args, faults)
+				t.Errorf("validateHollow(%v) = %v, want faults of %v", testCase.args, faults, testCase.faults)
 				return
 			}
 			for i, fault := range faults {
 				if name, _, _ := strings.Cut(fault, ":"); name != testCase.faults[i] {
-					t.Errorf("%v: %v", testCase.args, faults)
+					t.Errorf("validateHollow(%v) = %v, want faults of %v", testCase.args, faults, testCase.faults)
 				}
 			}
 		})
@@ -50,23 +50,24 @@
 	err := options.Parse("testbed hollow", []string{"-members=0", "-seats=6", "-length=1ms", "-mode=lax"}, &schema.HollowOptions{}, io.Discard)
 	for _, name := range []string{"members: ", "seats: ", "length: ", "mode: "} {
 		if err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("%s is not named in %v", name, err)
+			t.Errorf("options.Parse() = %v, want an error that contains %q", err, name)
 		}
 	}
 }
 
-// buildWithoutRaceDetector builds the daemons without the race detector, whose cost would hide theirs.
+// buildWithoutRaceDetector builds the daemons without the race detector, whose overhead would distort measurements. It
+// returns the folder of the binaries.
 func buildWithoutRaceDetector(t *testing.T) string {
 	t.Helper()
 	binaries := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", binaries+"/", "meadowhinge/cmd/proxy", "meadowhinge/cmd/registry", "meadowhinge/cmd/store").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("go build failed: %v: %s", err, out)
 	}
 	return binaries
 }
 
-// TestHollowMembers checks that hollow members behave as proxies: they know every worker, apply every change,
-// recover from restarts, and what they cost is counted.
+// TestHollowMembers checks that hollow members behave like proxies: they apply every change and recover from restarts.
+// It also checks that the costs of every role are measured.
 func TestHollowMembers(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
@@ -79,29 +80,30 @@
 	}
 	report.Print(t.Output())
 	if report.Unapplied > 0 || report.Acknowledge.Count == 0 || report.Rulings["accepted"] == 0 {
-		t.Errorf("changes %v: %d acknowledged, %d not in use everywhere", report.Rulings, report.Acknowledge.Count, report.Unapplied)
+		t.Errorf("got changes %v, %d acknowledged, %d not applied by every member; want some accepted and acknowledged, and 0 not applied",
+			report.Rulings, report.Acknowledge.Count, report.Unapplied)
 	}
 	if report.Restarts == 0 || report.Recovery.Count == 0 {
-		t.Errorf("%d restarts, %d back", report.Restarts, report.Recovery.Count)
+		t.Errorf("got %d restarts and %d recoveries, want at least 1 each", report.Restarts, report.Recovery.Count)
 	}
-	if least := 4 + 40 + 2*2; report.Items < least {
-		t.Errorf("%d items of %d", report.Items, least)
+	if least := 4 + 40 + 2*2; report.Items < least { // services, routes, and a flag and a release plan for each release
+		t.Errorf("the configuration has %d items, want at least %d", report.Items, least)
 	}
 	if rows := len(report.Roles); rows != 4 {
-		t.Fatalf("%d roles", rows)
+		t.Fatalf("the report has %d roles, want 4: %+v", rows, report.Roles)
 	}
 	for _, row := range report.Roles {
 		if row.BytesIn == 0 || row.BytesOut == 0 || row.MemoryMB == 0 || (row.Messages == 0 && row.Role != realProxy) {
-			t.Errorf("not counted: %+v", row)
+			t.Errorf("costs of role %s = %+v, want bytes, memory and (except for real proxies) messages above 0", row.Role, row)
 		}
 	}
 	if err := report.WritePlots(t.TempDir(), "svg"); err != nil {
-		t.Error(err)
+		t.Errorf("WritePlots() failed: %v", err)
 	}
 }
 
-// TestHollowLosses checks that members whose registry is lost get a session with another, that those of a lost zone
-// recover, and that changes are applied everywhere all the same.
+// TestHollowLosses checks that members whose registry is lost get a session with another one, that members of a lost
+// zone recover, and that every member applies all changes despite the losses.
 func TestHollowLosses(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
@@ -114,9 +116,10 @@
 	}
 	report.Print(t.Output())
 	if report.InjectedLosses != 2 || report.RegistryFailover.Count < 3 || report.Recovery.Count < 3 {
-		t.Errorf("%d losses, %d moved, %d back", report.InjectedLosses, report.RegistryFailover.Count, report.Recovery.Count)
+		t.Errorf("got %d losses, %d failovers and %d recoveries, want 2, at least 3 and at least 3",
+			report.InjectedLosses, report.RegistryFailover.Count, report.Recovery.Count)
 	}
 	if report.Unapplied > 0 || report.Rulings["accepted"] == 0 {
-		t.Errorf("changes %v: %d not in use everywhere", report.Rulings, report.Unapplied)
+		t.Errorf("got changes %v, %d not applied by every member; want some accepted and 0 not applied", report.Rulings, report.Unapplied)
 	}
 }
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -69,25 +69,28 @@
 	return alternates
 }
 
+// startCallers starts all callers, each with a random generator of its own that is seeded from rng.
 func (r *testRun) startCallers(l *load, callers [][]*Caller, rng *rand.Rand) {
 	for _, edgeCallers := range callers {
 		for _, caller := range edgeCallers {
-			own := rand.New(rand.NewPCG(r.options.Seed, rng.Uint64()))
-			l.callers.Go(func() { caller.Run(l.stopCallers, own) })
+			callerRNG := rand.New(rand.NewPCG(r.options.Seed, rng.Uint64()))
+			l.callers.Go(func() { caller.Run(l.stopCallers, callerRNG) })
 		}
 	}
 }
 
+// startDisconnectingCallers starts disconnectingCallersPerProxy callers at each proxy, which call the routes of clients.
 func (r *testRun) startDisconnectingCallers(l *load, callers [][]*Caller, rng *rand.Rand) {
 	for edge, edgeCallers := range callers {
 		for i := range disconnectingCallersPerProxy {
 			caller := NewDisconnectingCaller(edgeCallers[0], r.fleet.CallerAddress(edge, clientCaller), i)
-			own := rand.New(rand.NewPCG(r.options.Seed, rng.Uint64()))
-			l.callers.Go(func() { caller.Run(l.stopCallers, own) })
+			callerRNG := rand.New(rand.NewPCG(r.options.Seed, rng.Uint64()))
+			l.callers.Go(func() { caller.Run(l.stopCallers, callerRNG) })
 		}
 	}
 }
 
+// startOperators starts two operators, which submit changes concurrently.
 func (r *testRun) startOperators(l *load) {
 	for _, name := range []string{"ann", "ben"} {
 		operator := NewOperator(name, r.fleet, r.history, r.now)
@@ -97,6 +100,7 @@
 	}
 }
 
+// startObservers starts the goroutines that record what the run observes besides the responses to callers and operators.
 func (r *testRun) startObservers(l *load) {
 	l.background.Go(func() { r.watchDisconnects(l.stopBackground) })
 	l.background.Go(func() { r.measureDirectLatency(l.stopBackground) })
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -40,11 +40,11 @@
 // and returns the status. A nil body is sent as JSON null. It fails with errs.PeerConnectionLost if there was no
 // response, and with errs.MalformedRequest if the response is not valid JSON.
 func (o *Operator) call(core int, method, path string, body, target any) (int, error) {
-	text, err := json.Marshal(body)
+	requestBody, err := json.Marshal(body)
 	if err != nil {
 		return 0, errs.Wrap(err, errs.Internal, "request")
 	}
-	request, err := http.NewRequest(method, "http://"+o.fleet.OperatorAddress(core)+path, bytes.NewReader(text))
+	request, err := http.NewRequest(method, "http://"+o.fleet.OperatorAddress(core)+path, bytes.NewReader(requestBody))
 	if err != nil {
 		return 0, errs.Wrap(err, errs.Internal, "request")
 	}
@@ -53,29 +53,29 @@
 		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
 	defer func() { _ = response.Body.Close() }() // the response is only read
-	answer, err := io.ReadAll(response.Body)
+	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
 	}
-	return response.StatusCode, errs.Wrap(json.Unmarshal(answer, target), errs.MalformedRequest, string(answer))
+	return response.StatusCode, errs.Wrap(json.Unmarshal(responseBody, target), errs.MalformedRequest, string(responseBody))
 }
 
 // ReadConfig reads the configuration at a core member and records it. It fails with errs.NoQuorum if the member does
 // not return it.
 func (o *Operator) ReadConfig(core int) (*registry.ConfigView, error) {
 	entry := ConfigViewEntry{Node: o.fleet.Registries[core].Name, Requested: o.now()}
-	shown := &registry.ConfigView{}
-	status, err := o.call(core, http.MethodGet, "/v1/setup", nil, shown)
+	view := &registry.ConfigView{}
+	status, err := o.call(core, http.MethodGet, "/v1/setup", nil, view)
 	if err != nil || status != http.StatusOK {
 		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("status %d: %v", status, err))
 	}
 	entry.Received = o.now()
-	entry.ConfigRevision = shown.Sequence
-	for _, item := range shown.Items {
+	entry.ConfigRevision = view.Sequence
+	for _, item := range view.Items {
 		entry.Items = append(entry.Items, config.Key(item.Kind, item.Name))
 	}
 	appendEntry(o.history, &o.history.ConfigViews, entry)
-	return shown, nil
+	return view, nil
 }
 
 // SubmitChange submits a change, in CUE, at a core member. The change expects the item versions that this member shows.
@@ -86,10 +86,10 @@
 	entry := ChangeEntry{ID: fmt.Sprintf("%s-%d", o.name, o.changeSerial), Invalid: invalidItem != "", InvalidItem: invalidItem}
 	submission := registry.ChangeRequest{ID: entry.ID, Config: text, ExpectedVersions: map[string]uint64{}}
 	// If the configuration can't be read, the change expects no versions and may be rejected as a conflict.
-	if shown, err := o.ReadConfig(core); err == nil {
+	if view, err := o.ReadConfig(core); err == nil {
 		items, _ := configsource.Parse([]byte(text)) // finding the faults of an invalid change is the registry's task
 		for _, item := range items {
-			for _, current := range shown.Items {
+			for _, current := range view.Items {
 				if current.Kind == item.Kind && current.Name == item.Name {
 					submission.ExpectedVersions[config.Key(item.Kind, item.Name)] = current.Version
 				}
@@ -97,12 +97,12 @@
 		}
 	}
 	entry.Sent = o.now()
-	var answer registry.ChangeResponse
-	_, err := o.call(core, http.MethodPost, "/v1/changes", submission, &answer)
+	var response registry.ChangeResponse
+	_, err := o.call(core, http.MethodPost, "/v1/changes", submission, &response)
 	entry.Answered = o.now()
-	entry.Ruling = answer.Ruling
-	entry.Sequence = answer.Sequence
-	entry.Acknowledged = answer.Acknowledged
+	entry.Ruling = response.Ruling
+	entry.Sequence = response.Sequence
+	entry.Acknowledged = response.Acknowledged
 	if err != nil || entry.Ruling == "" {
 		entry.Ruling = "unknown"
 	}
@@ -148,10 +148,10 @@
 
 // ReadReleases reads the release plans at a core member. It fails with errs.NoQuorum if the status is not OK.
 func (o *Operator) ReadReleases(core int) ([]registry.ReleaseView, error) {
-	var shown []registry.ReleaseView
-	status, err := o.call(core, http.MethodGet, "/v1/releases", nil, &shown)
+	var releases []registry.ReleaseView
+	status, err := o.call(core, http.MethodGet, "/v1/releases", nil, &releases)
 	if err == nil && status != http.StatusOK {
 		err = errs.New(errs.NoQuorum, fmt.Sprint(status))
 	}
-	return shown, err
+	return releases, err
 }
--- a/internal/testbed/options.go
+++ b/internal/testbed/options.go
@@ -18,10 +18,10 @@
 	OnReady      func(*Fleet)  // if set, there is no load: it is called once the fleet is ready, then the fleet is stopped
 	WorkerDelay  time.Duration // time that a worker takes for each request
 	RateFactor   float64       // factor by which the deployment's request rate is multiplied
-	// DrainingBound is how long a draining worker may still get requests.
+	// DrainingBound is the longest time for which a draining worker may still get requests.
 	DrainingBound time.Duration
-	// DisconnectBound is how long a worker may continue with an idempotent request after its caller disconnected. The
-	// zero value turns this check off.
+	// DisconnectBound is the longest time for which a worker may continue with an idempotent request after its caller
+	// disconnected. The zero value turns this check off.
 	DisconnectBound time.Duration
 	// CheckRejections turns on the check that requests are rejected only because of faults. It needs a machine that is
 	// fast enough for the fleet, as one that is too slow rejects requests without any fault.
--- a/internal/testbed/random_schedule.go
+++ b/internal/testbed/random_schedule.go
@@ -19,7 +19,7 @@
 
 // activeFault is a random fault that has begun and not ended.
 type activeFault struct {
-	until    time.Duration // when the fault is due to end, since the run began
+	until    time.Duration // time at which the fault is due to end, since the run began
 	index    int           // index of the fault in History.Faults
 	hitsCore bool          // the fault affects a core machine
 	end      func()        // ends the fault
@@ -32,7 +32,7 @@
 	schedule   *randomSchedule
 	rng        *rand.Rand    // source of all draws, including those of randomFault.inject
 	active     []activeFault // faults that have not ended, in the order of their beginnings
-	next       time.Duration // when the next fault is due to begin, since the run began
+	next       time.Duration // time at which the next fault is due to begin, since the run began
 	coreFaulty bool          // a core machine is faulty, or the core has not recovered from its last fault
 }
 
--- a/internal/testbed/rejections.go
+++ b/internal/testbed/rejections.go
@@ -10,7 +10,7 @@
 	return e.Outcome != "answered" && e.Outcome != "unsent" && e.Outcome != outcomeDisconnected
 }
 
-// rejectionGraceLeases is how long after its end a fault may still cause rejections, in leases.
+// rejectionGraceLeases is the time after its end during which a fault may still cause rejections, in leases.
 const rejectionGraceLeases = 2
 
 // faultBehindRejection returns the name of a fault that may have caused the rejection of a call; empty if there is
@@ -36,7 +36,8 @@
 	return ""
 }
 
-// peerMessageGrace is how long messages between proxies may still be late after the end of a fault that delayed them.
+// peerMessageGrace is the time after the end of a fault during which messages between proxies that it delayed may still
+// be late.
 const peerMessageGrace = 3 * time.Second
 
 // peerMessagesDelayed reports whether messages between proxies may have been delayed at some time between from and to.
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -26,9 +26,9 @@
 	// phase, outcome and error code.
 	Unanswered []CallEntry    `json:"refused"`
 	Faults     []FaultEntry   `json:"faults"`
-	Outcomes   map[string]int `json:"outcomes"` // number of calls by outcome
-	ErrorCodes map[string]int `json:"defects"`  // number of calls by error code
-	CallRate   float64        `json:"callsPerSecond"`
+	Outcomes   map[string]int `json:"outcomes"`       // number of calls by outcome
+	ErrorCodes map[string]int `json:"defects"`        // number of calls by error code
+	CallRate   float64        `json:"callsPerSecond"` // calls per second of load, whatever their outcome
 	// LatencyMS holds quantiles of the latencies of answered calls by path, in milliseconds; see pathDirect and the
 	// constants after it.
 	LatencyMS map[string]map[string]float64 `json:"latencyMs"`
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -7,7 +7,7 @@
 	"meadowhinge/internal/errs"
 )
 
-// quietPeriod is how long the fleet runs without load before the final checks, so that late executions are recorded.
+// quietPeriod is the time between the end of the load and the final checks, in which late executions are recorded.
 const quietPeriod = 3 * time.Second
 
 // readyTimeout bounds each wait for processes to become ready.
--- a/internal/testbed/slopes.go
+++ b/internal/testbed/slopes.go
@@ -201,8 +201,9 @@
 	Commit string  `json:"commit"` // commit of this program; see buildCommit
 	Mode   string  `json:"mode"`   // mode of the hollow runs
 	Runs   int     `json:"runs"`   // number of runs that the slopes were fitted to
-	Slopes []Slope `json:"slopes"` // by driver, then by cost
-	points []Point
+	Slopes []Slope `json:"slopes"` // slopes of all costs for the first driver, then for the next
+
+	points []Point // runs that the slopes were fitted to
 }
 
 // pointsFile is the name of the file with the finished runs of a series: one Point per line, as JSON. A series that was
--- a/internal/testbed/slopes_test.go
+++ b/internal/testbed/slopes_test.go
@@ -11,42 +11,43 @@
 	"meadowhinge/schema"
 )
 
-// TestFitSlope checks that a fit of noisy runs finds the line or curve behind them, and how far it is off at the
-// value that was held out.
+// TestFitSlope checks that a fit of noisy runs has the right degree, and that its prediction at the held-out value is
+// close to the measured cost unless the cost breaks off its line there.
 func TestFitSlope(t *testing.T) {
 	noise := []float64{0.98, 1.02, 1}
-	runsOf := func(law func(float64) float64) (runs []costSample) {
+	runsOf := func(cost func(float64) float64) (runs []costSample) {
 		for _, value := range []float64{15, 50, 100, 200, 400, 820} {
-			for _, by := range noise {
-				runs = append(runs, costSample{value, law(value) * by})
+			for _, factor := range noise {
+				runs = append(runs, costSample{value, cost(value) * factor})
 			}
 		}
 		return runs
 	}
 	for _, testCase := range []struct {
-		name  string
-		law   func(float64) float64
-		terms int
-		off   float64 // at most
+		name         string
+		cost         func(float64) float64
+		coefficients int     // number of coefficients of the fitted polynomial
+		maxError     float64 // largest absolute value of RelativeError
 	}{
-		{"constant", func(float64) float64 { return 7 }, 2, 0.05},
-		{"line", func(x float64) float64 { return 5 + 3*x }, 2, 0.05},
-		{"pairs", func(x float64) float64 { return 5 + x + 0.2*x*x }, 3, 0.1},
+		{"a constant is fitted by a line", func(float64) float64 { return 7 }, 2, 0.05},
+		{"a line is fitted by a line", func(x float64) float64 { return 5 + 3*x }, 2, 0.05},
+		{"a cost of pairs is fitted by a parabola", func(x float64) float64 { return 5 + x + 0.2*x*x }, 3, 0.1},
 	} {
 		t.Run(testCase.name, func(t *testing.T) {
-			slope := fitSlope("members", testCase.name, runsOf(testCase.law))
-			if len(slope.Coefficients) != testCase.terms || math.Abs(slope.RelativeError()) > testCase.off || slope.HeldOut != 820 || slope.RelativeSpread < 0.01 || slope.RelativeSpread > 0.05 {
-				t.Errorf("%s: %+v, off %.3f", testCase.name, slope, slope.RelativeError())
+			slope := fitSlope("members", testCase.name, runsOf(testCase.cost))
+			if len(slope.Coefficients) != testCase.coefficients || math.Abs(slope.RelativeError()) > testCase.maxError || slope.HeldOut != 820 || slope.RelativeSpread < 0.01 || slope.RelativeSpread > 0.05 {
+				t.Errorf("fitSlope() = %+v with relative error %.3f, want %d coefficients, error up to %g, held-out value 820, spread from 0.01 to 0.05",
+					slope, slope.RelativeError(), testCase.coefficients, testCase.maxError)
 			}
 		})
 	}
-	// A cost that breaks off its line at the held-out value must show as an error.
+	// A cost that breaks off its line before the held-out value must be far above the prediction.
 	if slope := fitSlope("members", "breaks", runsOf(func(x float64) float64 { return 5 + x + math.Max(0, x-400)*9 })); slope.RelativeError() > -0.5 {
-		t.Errorf("%+v, off %.3f", slope, slope.RelativeError())
+		t.Errorf("fitSlope() of a cost that breaks off its line = %+v with relative error %.3f, want -0.5 or less", slope, slope.RelativeError())
 	}
 }
 
-// TestSlopesOptionsAreValidated checks that a series with runs that cannot be made is rejected, and names each.
+// TestSlopesOptionsAreValidated checks that ValidateSlopes reports each run of a series that cannot be made.
 func TestSlopesOptionsAreValidated(t *testing.T) {
 	opts := &schema.SlopesOptions{}
 	if err := options.Parse("testbed slopes", []string{"-drivers=members,loads,releases", "-members=10,99999,many", "-releases=1,500"}, opts, io.Discard); err != nil {
@@ -55,17 +56,16 @@
 	faults := ValidateSlopes(opts).Error()
 	for _, part := range []string{`"loads"`, `members: "many"`, "releases=500: releases"} {
 		if !strings.Contains(faults, part) {
-			t.Errorf("%s is not named in:\n%s", part, faults)
+			t.Errorf("ValidateSlopes() = %q, want it to contain %q", faults, part)
 		}
 	}
 	if opts.Members = "10,99999"; !strings.Contains(ValidateSlopes(opts).Error(), "members=99999: members: 99999 is outside") {
-		t.Errorf("out of bounds: %v", ValidateSlopes(opts))
+		t.Errorf("ValidateSlopes(members %q) = %v, want a fault for members=99999", opts.Members, ValidateSlopes(opts))
 	}
 }
 
-// TestSlopesSmall checks the table of docs/CAPACITY.md at a small size: what a member and a change cost in bytes and
-// messages, and what an item of the configuration takes, within bounds that do not depend on the speed of the
-// machine.
+// TestSlopesSmall checks the costs in docs/CAPACITY.md at a small size: the bytes and messages of a member and of a
+// change, and the disk space of an item of the configuration. Its limits do not depend on the speed of the machine.
 func TestSlopesSmall(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
@@ -81,39 +81,41 @@
 		t.Fatal(err)
 	}
 	report.Print(t.Output())
-	t.Logf("took %.0f s", time.Since(began).Seconds())
+	t.Logf("RunSlopes() took %.0f s", time.Since(began).Seconds())
 	if report.Runs != 9 || len(report.Slopes) != 3*len(slopeCosts) {
-		t.Fatalf("%d runs, %d slopes", report.Runs, len(report.Slopes))
+		t.Fatalf("RunSlopes() = %d runs and %d slopes, want 9 and %d", report.Runs, len(report.Slopes), 3*len(slopeCosts))
 	}
-	// Bytes of a change: one route's item, some 250, and its message. A session that begins again, as on a machine
-	// too busy for its heartbeats, is counted, and costs as much once more, and an update of each other member.
+	// A change costs the bytes of one route's item, some 250, and of its message. Sessions that begin again, as happens on
+	// a machine that is too busy for its heartbeats, are counted in the report. Each costs as much as a change and, in
+	// addition, an update of each other member.
 	const changeBytes, updateBytes, itemBytes, heartbeats = 1000.0, 200.0, 1024.0, 4.0
 	for _, point := range report.points {
 		proxy := point.Report.Roles[0]
 		seconds, changes := point.Report.Seconds, float64(point.Report.Acknowledge.Count)
 		sessionsBegun, others := proxy.SessionsBegun*seconds, float64(proxy.Processes)
-		if most := (changeBytes*(1+changes+sessionsBegun) + updateBytes*sessionsBegun*others) / seconds; proxy.BytesIn > 2*most || proxy.BytesOut > 2*most {
-			t.Errorf("%s %g: a member took %.0f bytes a second and sent %.0f, with %.0f changes in %.0f s", point.Driver, point.Value, proxy.BytesIn, proxy.BytesOut, changes, seconds)
+		if limit := (changeBytes*(1+changes+sessionsBegun) + updateBytes*sessionsBegun*others) / seconds; proxy.BytesIn > 2*limit || proxy.BytesOut > 2*limit {
+			t.Errorf("%s %g: a member received %.0f bytes per second and sent %.0f, with %.0f changes in %.0f s; want up to %.0f each",
+				point.Driver, point.Value, proxy.BytesIn, proxy.BytesOut, changes, seconds, 2*limit)
 		}
-		// A session that begins again: a greeting, its response, the beginning, and an update of each other member.
-		if most := heartbeats + (2*(1+changes)+sessionsBegun*(others+3))/seconds; proxy.Messages > most {
-			t.Errorf("%s %g: %.2f messages a second of a member, more than %.2f", point.Driver, point.Value, proxy.Messages, most)
+		// A session that begins again takes a greeting, its response, the beginning, and an update of each other member.
+		if limit := heartbeats + (2*(1+changes)+sessionsBegun*(others+3))/seconds; proxy.Messages > limit {
+			t.Errorf("%s %g: a member had %.2f messages per second, want up to %.2f", point.Driver, point.Value, proxy.Messages, limit)
 		}
 		if point.Report.Unapplied > 0 {
-			t.Errorf("%s %g: %d changes not in use everywhere", point.Driver, point.Value, point.Report.Unapplied)
+			t.Errorf("%s %g: %d changes were not applied by every member, want 0", point.Driver, point.Value, point.Report.Unapplied)
 		}
 	}
 	for _, slope := range report.Slopes {
 		if slope.Driver == "routes" && slope.Cost == "store disk KB" && (slope.Coefficients[1] < 0.05 || slope.Coefficients[1]*1024 > itemBytes) {
-			t.Errorf("%s by routes: %s", slope.Cost, slope.Formula())
+			t.Errorf("%s by routes = %s, want a slope from 0.05 KB to %.0f bytes", slope.Cost, slope.Formula(), itemBytes)
 		}
 	}
 	if err := report.WritePlots(t.TempDir(), "svg"); err != nil {
-		t.Error(err)
+		t.Errorf("WritePlots() failed: %v", err)
 	}
-	// A series that was interrupted continues with what it has.
+	// A second call with the same folder uses the runs that are stored there.
 	again, err := RunSlopes(t.Context(), opts, t.Output())
 	if err != nil || again.Runs != report.Runs {
-		t.Errorf("%d runs the second time, %v", again.Runs, err)
+		t.Errorf("the second RunSlopes() = %+v, error %v; want %d runs and no error", again, err, report.Runs)
 	}
 }
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -40,13 +40,13 @@
 // SoakRun is the result of one seed of a soak.
 type SoakRun struct {
 	Seed            uint64                    `json:"seed"`
-	Deployment      string                    `json:"deployment"` // name of the deployment
-	Processes       int                       `json:"processes"`  // number of processes of the fleet
-	Faults          int                       `json:"faults"`     // number of faults that were injected
-	Calls           int                       `json:"calls"`      // number of calls
-	Outcomes        map[string]int            `json:"outcomes"`   // number of calls by outcome
-	Disconnects     dispatch.DisconnectCounts `json:"departures"` // Report.Disconnects
-	RecoverySeconds float64                   `json:"backSeconds"`
+	Deployment      string                    `json:"deployment"`        // name of the deployment
+	Processes       int                       `json:"processes"`         // number of processes of the fleet
+	Faults          int                       `json:"faults"`            // number of faults that were injected
+	Calls           int                       `json:"calls"`             // number of calls
+	Outcomes        map[string]int            `json:"outcomes"`          // number of calls by outcome
+	Disconnects     dispatch.DisconnectCounts `json:"departures"`        // Report.Disconnects
+	RecoverySeconds float64                   `json:"backSeconds"`       // Report.RecoverySeconds
 	Violated        []Finding                 `json:"broken,omitempty"`  // invariants that were violated, or maxRecovery
 	UncleanExits    []string                  `json:"unclean,omitempty"` // names of the processes that did not exit cleanly
 	Failure         string                    `json:"failure,omitempty"` // error because of which the run could not be checked
@@ -55,7 +55,7 @@
 // Passed reports whether the run was checked, violated nothing, and all its processes exited cleanly.
 func (r *SoakRun) Passed() bool { return len(r.Violated)+len(r.UncleanExits) == 0 && r.Failure == "" }
 
-// maxRecovery is how long a fleet may take to serve again after the end of its last fault.
+// maxRecovery is the longest time that a fleet may take to serve again after the end of its last fault.
 const maxRecovery = 15 * time.Second
 
 // Soak runs every seed, ParallelFleets at the same time, and prints the result of each as it ends. A run that fails or
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -38,15 +38,16 @@
 	now                 func() time.Duration // time since the run began
 	delay               time.Duration        // time that each request takes
 
-	lock      sync.Mutex        // guards description and conns
-	conns     map[net.Conn]bool // all connections that were accepted
-	listener  net.Listener
-	stopped   chan struct{} // closed by Kill; ends the heartbeats
-	killed    atomic.Bool
-	draining  atomic.Bool
-	inFlight  atomic.Int64                                    // number of requests that carry the token and are not yet answered
-	fault     atomic.Pointer[WorkerFault]                     // nil while the worker is not faulty
-	onRequest atomic.Pointer[func(call *fasthttp.RequestCtx)] // if not nil, called for each request before the response is written
+	lock     sync.Mutex        // guards description and conns
+	conns    map[net.Conn]bool // all connections that were accepted
+	listener net.Listener
+	stopped  chan struct{} // closed by Kill; ends the heartbeats
+	killed   atomic.Bool
+	draining atomic.Bool
+	inFlight atomic.Int64                // number of requests with the right token that are not yet answered
+	fault    atomic.Pointer[WorkerFault] // nil while the worker is not faulty
+	// onRequest, if not nil, is called for each request before the response is written.
+	onRequest atomic.Pointer[func(call *fasthttp.RequestCtx)]
 }
 
 // WorkerFault describes how a worker misbehaves.
