--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,7 +1,8 @@
-// Package socket reads and writes TCP connections with less of the Go runtime's work around each system call. It
-// owns no state besides that of each Conn.
+// Package socket wraps TCP connections so that their reads and writes bypass the Go runtime's bookkeeping for blocking
+// system calls.
 //
-// Package transport wraps the connections between processes with it, the proxy those to callers and workers.
+// Package transport wraps the connections between mesh processes, and the proxy those to its callers and workers. All
+// state is in each Conn, which is safe for concurrent use.
 package socket
 
 import (
@@ -13,12 +14,12 @@
 	"syscall"
 )
 
-// Conn is a TCP connection whose reads and writes are raw system calls. The Go runtime treats every other system
-// call as one that may block: the first one after an idle period wakes its monitor thread (sysmon), which polls
-// several times before it sleeps again. A non-blocking socket needs none of that, and in a process that is mostly
-// idle it is a large part of the cost of a call.
+// Conn is a TCP connection whose reads and writes are raw system calls. The Go runtime treats any other system call as
+// one that may block. The first such call after an idle period wakes the monitor thread (sysmon), which polls several
+// times before it sleeps again. A non-blocking socket needs no monitoring, and in a mostly idle process the monitoring
+// is a large part of the cost of a request.
 //
-// As with net.Conn, reads may run beside writes; concurrent reads, or writes, wait for each other.
+// As with net.Conn, reads and writes may run concurrently. Concurrent reads wait for each other, and so do writes.
 type Conn struct {
 	*net.TCPConn
 	raw       syscall.RawConn
@@ -26,16 +27,17 @@
 	writeSide direction
 }
 
-// direction is one direction of a connection.
+// direction is the state of one direction of a connection: its reads or its writes.
 type direction struct {
-	lock    sync.Mutex                // held during a call; guards the fields below
-	data    []byte                    // of the call: to read into, or left to write
-	count   int                       // bytes read or written by the last system call
-	err     error                     // of the last system call
-	onReady func(handle uintptr) bool // calls attempt; made once, so that a call allocates nothing
+	lock    sync.Mutex                // held during Conn.Read or Conn.Write; guards data, count and err
+	data    []byte                    // buffer to read into, or the bytes left to write; nil between calls
+	count   int                       // number of bytes that the last system call read or wrote
+	err     error                     // error of the last system call
+	onReady func(handle uintptr) bool // calls attempt; set once by Wrap, so that reads and writes allocate nothing
 }
 
-// Wrap gives a Conn for a TCP connection, and any other connection as it is.
+// Wrap returns a Conn for a TCP connection. It returns a connection that is not TCP, or whose socket it cannot access,
+// unchanged.
 func Wrap(conn net.Conn) net.Conn {
 	tcp, isTCP := conn.(*net.TCPConn)
 	if !isTCP {
@@ -51,8 +53,8 @@
 	return wrapped
 }
 
-// attempt makes a system call for data, again if it was interrupted. It gives false if the call would block, upon
-// which syscall.RawConn waits until the socket is ready and calls it again.
+// attempt makes the system call on d.data, and repeats it while it is interrupted. It returns false if the call would
+// block. syscall.RawConn then waits until the socket is ready and calls attempt again.
 func (d *direction) attempt(handle uintptr, call func(handle uintptr, data []byte) (int, error)) bool {
 	for {
 		count, err := call(handle, d.data)
@@ -67,7 +69,8 @@
 	}
 }
 
-// Read reads what has arrived, and waits if nothing has.
+// Read reads the bytes that have arrived, at most len(into), and waits if there are none. Like any io.Reader it
+// returns io.EOF at the end of the stream.
 func (c *Conn) Read(into []byte) (int, error) {
 	if len(into) == 0 {
 		return 0, nil
@@ -89,7 +92,7 @@
 	return side.count, nil
 }
 
-// Write writes all of from, or gives how many bytes it wrote before an error.
+// Write writes all of from. If it fails, it returns the number of bytes written before the error.
 func (c *Conn) Write(from []byte) (int, error) {
 	side := &c.writeSide
 	side.lock.Lock()
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// connPair gives both ends of a connection, one of them wrapped.
+// connPair returns both ends of a TCP connection, one of them wrapped.
 func connPair(t *testing.T) (wrapped net.Conn, other *net.TCPConn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -19,7 +19,7 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = listener.Close() }()
-	dialled, err := net.Dial("tcp", listener.Addr().String())
+	dialed, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,17 +28,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		_ = dialled.Close()
+		_ = dialed.Close()
 		_ = accepted.Close()
 	})
 	wrapped = Wrap(accepted)
-	if _, is := wrapped.(*Conn); !is {
-		t.Fatalf("a TCP connection became %T", wrapped)
+	if _, isConn := wrapped.(*Conn); !isConn {
+		t.Fatalf("Wrap of a TCP connection returned a %T, want a *Conn", wrapped)
 	}
-	return wrapped, dialled.(*net.TCPConn)
+	return wrapped, dialed.(*net.TCPConn)
 }
 
-// TestFullDuplexTransfer sends more than a socket buffers, in both directions at once.
+// TestFullDuplexTransfer checks that data larger than the socket buffers arrives intact in both directions at once.
 func TestFullDuplexTransfer(t *testing.T) {
 	wrapped, other := connPair(t)
 	sent := bytes.Repeat([]byte("meadow hinge "), 1<<20)
@@ -59,7 +59,7 @@
 		got, _ := io.ReadAll(other)
 		received <- got
 	}()
-	// A small buffer, so that a read leaves bytes in the socket.
+	// The buffer is small, so that a read leaves bytes in the socket.
 	var got bytes.Buffer
 	if _, err := io.CopyBuffer(&got, struct{ io.Reader }{wrapped}, make([]byte, 777)); err != nil {
 		t.Fatal(err)
@@ -69,36 +69,39 @@
 			t.Fatal(err)
 		}
 	}
-	if !bytes.Equal(got.Bytes(), sent) || !bytes.Equal(<-received, sent) {
-		t.Fatal("the bytes received are not those sent")
+	if !bytes.Equal(got.Bytes(), sent) {
+		t.Fatalf("the wrapped end received %d bytes that differ from the %d bytes sent", got.Len(), len(sent))
+	}
+	if plain := <-received; !bytes.Equal(plain, sent) {
+		t.Fatalf("the other end received %d bytes that differ from the %d bytes sent", len(plain), len(sent))
 	}
 }
 
-// TestErrorsMatchTheStandardLibrary checks that reads and writes end with the errors that the standard library's own
-// connections give.
+// TestErrorsMatchTheStandardLibrary checks that reads and writes fail with the same errors as those of the standard
+// library's connections.
 func TestErrorsMatchTheStandardLibrary(t *testing.T) {
 	octet := make([]byte, 1)
 	for name, test := range map[string]struct {
 		do   func(wrapped net.Conn, other *net.TCPConn) error
 		want error
 	}{
-		"the other side closed": {func(wrapped net.Conn, other *net.TCPConn) error {
+		"peer closed": {func(wrapped net.Conn, other *net.TCPConn) error {
 			_ = other.Close()
 			_, err := wrapped.Read(octet)
 			return err
 		}, io.EOF},
-		"reset": {func(wrapped net.Conn, other *net.TCPConn) error {
+		"reset by peer": {func(wrapped net.Conn, other *net.TCPConn) error {
 			_ = other.SetLinger(0)
 			_ = other.Close()
 			_, err := wrapped.Read(octet)
 			return err
 		}, syscall.ECONNRESET},
-		"closed here": {func(wrapped net.Conn, _ *net.TCPConn) error {
+		"closed locally": {func(wrapped net.Conn, _ *net.TCPConn) error {
 			_ = wrapped.Close()
 			_, err := wrapped.Read(octet)
 			return err
 		}, net.ErrClosed},
-		"closed here during a read": {func(wrapped net.Conn, _ *net.TCPConn) error {
+		"closed locally during a read": {func(wrapped net.Conn, _ *net.TCPConn) error {
 			ended := make(chan error)
 			go func() {
 				_, err := wrapped.Read(octet)
@@ -107,7 +110,7 @@
 			_ = wrapped.Close()
 			return <-ended
 		}, net.ErrClosed},
-		"read after its deadline": {func(wrapped net.Conn, _ *net.TCPConn) error {
+		"read after the deadline": {func(wrapped net.Conn, _ *net.TCPConn) error {
 			_ = wrapped.SetReadDeadline(time.Unix(1, 0))
 			_, err := wrapped.Read(octet)
 			return err
@@ -121,7 +124,7 @@
 			_ = wrapped.SetReadDeadline(time.Unix(1, 0))
 			return <-ended
 		}, os.ErrDeadlineExceeded},
-		"the other side does not read": {func(wrapped net.Conn, _ *net.TCPConn) error {
+		"write deadline while the peer does not read": {func(wrapped net.Conn, _ *net.TCPConn) error {
 			_ = wrapped.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 			for {
 				if _, err := wrapped.Write(make([]byte, 1<<20)); err != nil {
@@ -129,7 +132,7 @@
 				}
 			}
 		}, os.ErrDeadlineExceeded},
-		"written after a reset": {func(wrapped net.Conn, other *net.TCPConn) error {
+		"write after a reset": {func(wrapped net.Conn, other *net.TCPConn) error {
 			_ = other.SetLinger(0)
 			_ = other.Close()
 			for {
@@ -141,7 +144,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := test.do(connPair(t)); !errors.Is(err, test.want) {
-				t.Fatalf("ended with %v, want %v", err, test.want)
+				t.Fatalf("error %v, want %v", err, test.want)
 			}
 		})
 	}
@@ -157,16 +160,16 @@
 		_, _ = other.Write(octet)
 		_, _ = wrapped.Read(octet)
 	}); count > 0 {
-		t.Fatalf("a write and a read took %v allocations", count)
+		t.Fatalf("a write and a read made %v allocations, want 0", count)
 	}
 }
 
-// TestOtherConnsAreNotWrapped checks that Wrap gives back a connection that is not TCP.
+// TestOtherConnsAreNotWrapped checks that Wrap returns a connection that is not TCP unchanged.
 func TestOtherConnsAreNotWrapped(t *testing.T) {
 	pipe, other := net.Pipe()
 	defer func() { _ = pipe.Close() }()
 	defer func() { _ = other.Close() }()
 	if Wrap(pipe) != pipe {
-		t.Fatal("a pipe was changed")
+		t.Fatal("Wrap of a net.Pipe returned another connection, want it unchanged")
 	}
 }
--- a/internal/transport/cancellation_test.go
+++ b/internal/transport/cancellation_test.go
@@ -12,11 +12,11 @@
 	"meadowhinge/schema"
 )
 
-// blockingServer answers a request named "completes" at once, and any other only when it is cancelled.
+// blockingServer responds to a request named "completes" at once, and to any other request only when it is cancelled.
 type blockingServer struct {
 	schema.DRPCHopUnimplementedServer
-	started   chan struct{}
-	cancelled chan struct{}
+	started   chan struct{} // gets a value when a blocking request starts
+	cancelled chan struct{} // gets a value when a blocking request is cancelled
 }
 
 func (s *blockingServer) Run(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
@@ -28,8 +28,8 @@
 	return &schema.ForwardResponse{Request: request.Request}, nil
 }
 
-// A call that is cancelled ends at the other side too, and affects no other call: none gets its network connection,
-// however soon it follows.
+// TestCancelledCallsDoNotAffectOthers checks that cancelling a call also cancels it at the server, and that no other
+// call gets the cancelled call's network connection, however soon it follows.
 func TestCancelledCallsDoNotAffectOthers(t *testing.T) {
 	const rounds, concurrent = 300, 4
 	server := &blockingServer{started: make(chan struct{}, rounds), cancelled: make(chan struct{}, rounds)}
@@ -60,15 +60,15 @@
 		for range concurrent {
 			others.Go(func() {
 				if err := call(ctx, "completes"); err != nil {
-					t.Errorf("a call beside the cancelled one: %v", err)
+					t.Errorf("call concurrent with the cancelled one: %v", err)
 				}
 			})
 		}
 		if err := <-ended; err == nil {
-			t.Error("a cancelled call was answered")
+			t.Error("a cancelled call returned no error")
 		}
 		if err := call(ctx, "completes"); err != nil {
-			t.Errorf("the call after the cancelled one: %v", err)
+			t.Errorf("call after the cancelled one: %v", err)
 		}
 		others.Wait()
 		<-server.cancelled
--- a/internal/transport/conn_pool.go
+++ b/internal/transport/conn_pool.go
@@ -7,30 +7,31 @@
 	"storj.io/drpc/drpcconn"
 )
 
-// Bounds on idle connections.
+// Limits of idle connections.
 const (
-	maxIdleTime       = time.Minute // before one is closed
-	sweepInterval     = maxIdleTime / 4
-	maxIdlePerAddress = 256
+	maxIdleTime       = time.Minute     // idle time after which a sweep closes a connection
+	sweepInterval     = maxIdleTime / 4 // minimum time between two sweeps
+	maxIdlePerAddress = 256             // connections beyond this number are closed instead of kept
 )
 
-// idleConns are the idle connections to one address. The one used last is reused first, so that the ones beyond
-// what is needed stay idle and are closed.
+// idleConns is the stack of idle connections to one address. The connection that was used last is reused first, so
+// that surplus connections stay idle and expire.
 type idleConns struct {
-	conns []idleConn
+	conns []idleConn // in the order in which they became idle
 }
 
+// idleConn is an idle connection and the time since which it is idle.
 type idleConn struct {
 	conn  *drpcconn.Conn
 	since time.Time
 }
 
-// connPool has all idle connections of a transport.
+// connPool holds all idle connections of a transport.
 type connPool struct {
 	lock      sync.Mutex            // guards all fields
-	byAddress map[string]*idleConns // without addresses that have no idle connection left after a sweep
-	sweptAt   time.Time
-	closed    bool // connections are closed instead of kept
+	byAddress map[string]*idleConns // a sweep removes addresses without idle connections
+	sweptAt   time.Time             // time of the last sweep
+	closed    bool                  // set by close; put then closes connections instead of keeping them
 }
 
 func isClosed(conn *drpcconn.Conn) bool {
@@ -42,7 +43,7 @@
 	}
 }
 
-// get gives an idle connection that is still open, nil for none.
+// get removes and returns an idle connection that is still open. It returns nil if there is none.
 func (p *connPool) get(address string) *drpcconn.Conn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -61,7 +62,8 @@
 	return nil
 }
 
-// put keeps a connection for the next call, if it is still open and there is room.
+// put keeps an open connection for a later call, or closes it if the pool is full or closed. It also closes the
+// connections that have expired, if a sweep is due.
 func (p *connPool) put(address string, conn *drpcconn.Conn) {
 	if isClosed(conn) {
 		return
@@ -70,13 +72,14 @@
 	if !retained {
 		expired = append(expired, conn)
 	}
-	// Closed without the lock, as closing may take its time.
+	// Closing can block, so the lock is not held.
 	for _, stale := range expired {
-		_ = stale.Close() // nothing uses it any more
+		_ = stale.Close() // the connection is unused, so the error does not matter
 	}
 }
 
-// add keeps a connection if there is room, and takes out the expired ones if a sweep is due.
+// add keeps a connection if there is room, and sweeps the pool if a sweep is due. It reports whether the connection
+// was kept, and returns the expired connections for the caller to close.
 func (p *connPool) add(address string, conn *drpcconn.Conn, now time.Time) (retained bool, expired []*drpcconn.Conn) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
@@ -96,8 +99,8 @@
 	return retained, expired
 }
 
-// sweep takes out the connections that were idle too long, and those that closed by themselves. The caller holds
-// the lock, and closes what sweep gives.
+// sweep removes and returns the connections that were idle for longer than maxIdleTime or that have closed by
+// themselves. The caller holds the lock during the call, and closes the returned connections after releasing it.
 func (p *connPool) sweep(now time.Time) (expired []*drpcconn.Conn) {
 	for address, idle := range p.byAddress {
 		retained := idle.conns[:0]
@@ -117,7 +120,7 @@
 	return expired
 }
 
-// close closes every idle connection; those with a call are closed when they are put back.
+// close closes every idle connection. Connections in use are closed when they are put back.
 func (p *connPool) close() {
 	p.lock.Lock()
 	p.closed = true
@@ -126,7 +129,7 @@
 	p.lock.Unlock()
 	for _, idle := range all {
 		for _, entry := range idle.conns {
-			_ = entry.conn.Close() // nothing uses it any more
+			_ = entry.conn.Close() // the connection is unused, so the error does not matter
 		}
 	}
 }
--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -10,19 +10,19 @@
 	"meadowhinge/internal/errs"
 )
 
-// credentialCheckInterval is the shortest time between two checks whether the credential files have changed.
+// credentialCheckInterval is the minimum time between two checks whether the credential files have changed.
 const credentialCheckInterval = time.Second
 
-// credentials are a process's certificate and the authority that it trusts, read together. They never change
-// once made.
+// credentials are a process's certificate and the authority that it trusts, read together. They are immutable.
 type credentials struct {
-	pair      tls.Certificate
-	leaf      *x509.Certificate
-	roots     *x509.CertPool
-	fileStamp string // fileStampOf the files, from before they were read
+	pair      tls.Certificate   // certificate chain and private key
+	leaf      *x509.Certificate // parsed first certificate of pair
+	roots     *x509.CertPool    // certificate authority that peers' certificates must chain to
+	fileStamp string            // fileStampOf both files, taken before they were read
 }
 
-// readCredentials reads credentials and refuses those that are not valid at a time. All errors are InvalidOptions.
+// readCredentials reads both files. It fails if the certificate is not valid at time now. All errors are
+// InvalidOptions.
 func readCredentials(certificateFile, authorityFile string, now time.Time) (*credentials, error) {
 	pair, err := tls.LoadX509KeyPair(certificateFile, certificateFile)
 	if err != nil {
@@ -34,19 +34,20 @@
 	}
 	loaded := &credentials{pair: pair, roots: x509.NewCertPool()}
 	if !loaded.roots.AppendCertsFromPEM(authority) {
-		return nil, errs.New(errs.InvalidOptions, "authority holds no certificate")
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("authority file %q contains no PEM certificate", authorityFile))
 	}
 	if loaded.leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
 		return nil, errs.Wrap(err, errs.InvalidOptions, "certificate")
 	}
 	if now.After(loaded.leaf.NotAfter) || now.Before(loaded.leaf.NotBefore) {
 		from, until := loaded.leaf.NotBefore.Format(time.RFC3339), loaded.leaf.NotAfter.Format(time.RFC3339)
-		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is good from %s to %s only", from, until))
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is valid only from %s to %s", from, until))
 	}
 	return loaded, nil
 }
 
-// fileStampOf tells whether files have changed, by their modification times and sizes.
+// fileStampOf returns a text made of the files' modification times and sizes. Two different stamps show that a file
+// changed between them. A file that cannot be read adds nothing to the stamp.
 func fileStampOf(files ...string) string {
 	stamp := ""
 	for _, file := range files {
@@ -57,7 +58,7 @@
 	return stamp
 }
 
-// currentCredentials gives the credentials in use, after it reloaded them if their files have changed.
+// currentCredentials reloads the credentials if their files have changed, and returns the ones in use.
 func (t *Transport) currentCredentials() *credentials {
 	t.lock.Lock()
 	defer t.lock.Unlock()
@@ -65,8 +66,8 @@
 	return t.active
 }
 
-// reloadIfChanged reads the credential files again if they have changed. Credentials that cannot be used are
-// refused: the previous ones stay in use, and reloadFault says why. The caller holds t.lock.
+// reloadIfChanged reads the credential files again if they have changed. If the new credentials are unusable or
+// belong to another identity, the previous ones stay in use and reloadFault says why. The caller holds t.lock.
 func (t *Transport) reloadIfChanged() {
 	now := t.now()
 	if now.Sub(t.checkedAt) < credentialCheckInterval {
@@ -90,7 +91,8 @@
 	t.active = fresh
 }
 
-// checkSameIdentity refuses a certificate that is another process's.
+// checkSameIdentity returns an InvalidOptions error if a certificate was issued for another role or name than this
+// process's.
 func (t *Transport) checkSameIdentity(certificate *x509.Certificate) error {
 	peer := peerFromCertificate(certificate)
 	if peer.Role == t.self.Role && peer.Name == t.self.Name {
@@ -100,18 +102,20 @@
 	return errs.New(errs.InvalidOptions, detail)
 }
 
-// CertificateStatus is what the probe page /certificate shows of a process's own certificate.
+// CertificateStatus is the content of the probe page /certificate: the status of this process's own certificate.
 type CertificateStatus struct {
-	Name     string    `json:"name"` // role/name
-	NotAfter time.Time `json:"notAfter"`
-	Fault    string    `json:"fault,omitempty"` // why the files' newer certificate is not in use
+	Name     string    `json:"name"`     // role/name
+	NotAfter time.Time `json:"notAfter"` // expiry of the certificate in use; zero for plaintext
+	// Fault says why the newer certificate in the files is not in use, or that the transport is plaintext. It is empty
+	// if the certificate in use is the one in the files.
+	Fault string `json:"fault,omitempty"`
 }
 
-// Certificate gives the CertificateStatus of the certificate in use.
+// Certificate returns the CertificateStatus of the certificate in use.
 func (t *Transport) Certificate() any {
 	name := t.self.Role + "/" + t.self.Name
 	if t.tlsConfig == nil {
-		return CertificateStatus{Name: name, Fault: "links are plain: there is none"}
+		return CertificateStatus{Name: name, Fault: "links=plain: no certificate is used"}
 	}
 	active := t.currentCredentials()
 	t.lock.Lock()
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -12,8 +12,8 @@
 	"meadowhinge/internal/socket"
 )
 
-// dialConn opens a connection within the dial timeout. Its error is always PeerConnectFailed, which tells the
-// caller that nothing of a call can have reached the other side.
+// dialConn opens a connection within the dial timeout. Its error is always PeerConnectFailed, which means that nothing
+// of a call can have reached the peer.
 func (t *Transport) dialConn(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.dialTimeout)
 	defer cancel()
@@ -24,7 +24,7 @@
 	return drpcconn.NewWithOptions(secured, drpcconn.Options{Manager: t.managerOptions()}), nil
 }
 
-// dialAndIdentify dials, and sends the greeting or makes the TLS handshake.
+// dialAndIdentify dials address, and then sends the greeting or performs the TLS handshake.
 func (t *Transport) dialAndIdentify(ctx context.Context, address string) (net.Conn, error) {
 	dialer := &net.Dialer{LocalAddr: t.localAddress, KeepAliveConfig: t.keepAliveConfig(), Control: t.setUserTimeout}
 	raw, err := dialRepeatedly(ctx, t.dialTimeout/dialsPerTimeout, func(ctx context.Context) (net.Conn, error) {
@@ -37,14 +37,14 @@
 	counted := countingConn{socket.Wrap(raw), &t.meter}
 	if t.tlsConfig == nil {
 		if _, err := io.WriteString(counted, t.self.greeting()); err != nil {
-			_ = counted.Close() // the error of the write is the one that counts
+			_ = counted.Close() // the error of the write is returned instead
 			return nil, err
 		}
 		return counted, nil
 	}
 	secured := tls.Client(counted, t.tlsConfig)
 	if err := secured.HandshakeContext(ctx); err != nil {
-		_ = counted.Close() // the error of the handshake is the one that counts
+		_ = counted.Close() // the error of the handshake is returned instead
 		return nil, err
 	}
 	return secured, nil
--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -1,7 +1,7 @@
-// Package transport carries RPCs (drpc) between the processes of the mesh: over mutual TLS, or over plaintext
-// connections that begin with a greeting, for networks that only these processes can reach.
+// Package transport carries drpc RPCs between the processes of the mesh. Connections use mutual TLS. On networks that
+// only these processes can reach they may be plaintext instead; each then begins with a greeting that names the peer.
 //
-// A Transport owns a process's credentials, which it reloads when their files change, its idle connections to
-// other processes, and the counts of its traffic. The proxy, the registry and the store each make one at start.
+// A Transport owns a process's credentials, its idle connections to other processes and its traffic counters. It
+// reloads the credentials when their files change. The proxy, the registry and the store each create one at startup.
 // All methods are safe for concurrent use, except OnSent, which must be called before the first connection.
 package transport
--- a/internal/transport/greeting.go
+++ b/internal/transport/greeting.go
@@ -1,6 +1,7 @@
 package transport
 
 import (
+	"fmt"
 	"io"
 	"maps"
 	"net"
@@ -10,20 +11,21 @@
 	"meadowhinge/internal/errs"
 )
 
-// maxGreetingBytes bounds the greeting of a plaintext connection, in bytes.
+// maxGreetingBytes is the maximum length of the greeting of a plaintext connection, in bytes, without its newline.
 const maxGreetingBytes = 4096
 
-// greetingFields is the number of fields of a greeting.
+// greetingFields is the number of fields of a greeting, which are separated by blanks.
 const greetingFields = 4
 
-// greeting is the line with which a plaintext connection begins: protocol, role, name, and the services that the
-// peer may call as, separated by commas.
+// greeting returns the line with which a plaintext connection begins. Its fields are the protocol version, the role,
+// the name, and the comma-separated services and client kinds on whose behalf the peer may make calls.
 func (p Peer) greeting() string {
 	services := strings.Join(slices.Sorted(maps.Keys(p.mayCallAs)), ",")
 	return strings.Join([]string{protocolVersion, p.Role, p.Name, services}, " ") + "\n"
 }
 
-// readGreeting reads a peer's greeting byte by byte, so that nothing after it is consumed.
+// readGreeting reads a peer's greeting. It reads byte by byte, so that nothing after the greeting is consumed. Errors
+// are Unauthorized.
 func readGreeting(raw net.Conn) (Peer, error) {
 	text, octet := make([]byte, 0, 64), make([]byte, 1)
 	for {
@@ -34,7 +36,7 @@
 			return parseGreeting(string(text))
 		}
 		if text = append(text, octet[0]); len(text) > maxGreetingBytes {
-			return Peer{}, errs.New(errs.Unauthorized, "greeting is too long")
+			return Peer{}, errs.New(errs.Unauthorized, fmt.Sprintf("greeting exceeds %d bytes", maxGreetingBytes))
 		}
 	}
 }
@@ -53,5 +55,7 @@
 	return peer, nil
 }
 
-// otherProtocolError is the error for a peer with another protocol version, or no mesh process at all.
-func otherProtocolError() error { return errs.New(errs.Unauthorized, "speaks another protocol") }
+// otherProtocolError returns the error for a peer that has another protocol version or is no mesh process at all.
+func otherProtocolError() error {
+	return errs.New(errs.Unauthorized, "peer does not speak the protocol "+protocolVersion)
+}
--- a/internal/transport/keepalive.go
+++ b/internal/transport/keepalive.go
@@ -10,12 +10,12 @@
 	"meadowhinge/internal/errs"
 )
 
-// Multiples of the dial timeout after which an unresponsive peer is considered dead. A machine that lost power closes no
-// connection, so without these its connections would hang.
+// Timeouts, in multiples of the dial timeout, after which an unresponsive peer is considered dead. A machine that loses
+// power does not close its connections, so without these timeouts calls on them would hang.
 const (
-	handshakeTimeoutFactor      = 5 // for a peer to identify itself
-	unacknowledgedTimeoutFactor = 2 // for sent data to be acknowledged, and before a first keep-alive probe
-	maxKeepAliveProbes          = 3
+	handshakeTimeoutFactor      = 5 // time for an accepted peer to identify itself
+	unacknowledgedTimeoutFactor = 2 // time for sent data to be acknowledged, and idle time before the first probe
+	maxKeepAliveProbes          = 3 // number of unanswered keep-alive probes after which a connection breaks; no timeout
 )
 
 func (t *Transport) keepAliveConfig() net.KeepAliveConfig {
@@ -27,8 +27,8 @@
 	}
 }
 
-// setUserTimeout bounds how long sent data may stay unacknowledged before the connection breaks. It has the
-// form of net.Dialer.Control.
+// setUserTimeout sets TCP_USER_TIMEOUT: the time that sent data may stay unacknowledged before the connection breaks.
+// Its signature is that of net.Dialer.Control. Errors are PeerConnectFailed.
 func (t *Transport) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	timeout := t.dialTimeout * unacknowledgedTimeoutFactor
 	var socketErr error
@@ -38,5 +38,5 @@
 	if err == nil {
 		err = socketErr
 	}
-	return errs.Wrap(err, errs.PeerConnectFailed, "socket")
+	return errs.Wrap(err, errs.PeerConnectFailed, "set TCP_USER_TIMEOUT")
 }
--- a/internal/transport/peer.go
+++ b/internal/transport/peer.go
@@ -6,25 +6,25 @@
 	"strings"
 )
 
-// Peer is the identity of the process at the other end of a connection: from its certificate, or on a
-// plaintext connection from its greeting.
+// Peer is the identity of the process at the other end of a connection. It comes from the peer's certificate or, on a
+// plaintext connection, from its greeting.
 type Peer struct {
-	Role      string // proxy, registry or store
-	Name      string
-	mayCallAs map[string]bool // services and client kinds
-	verified  bool            // false for the zero Peer, which may call as nobody
+	Role      string          // proxy, registry or store
+	Name      string          // name of the process
+	mayCallAs map[string]bool // services and client kinds on whose behalf the peer may make calls
+	verified  bool            // false only for the zero Peer, for which MayCallAs is always false
 }
 
-// MayCallAs tells whether the peer may make calls on behalf of a service or client kind.
+// MayCallAs reports whether the peer may make calls on behalf of a service or client kind.
 func (p Peer) MayCallAs(service string) bool { return p.verified && p.mayCallAs[service] }
 
-// LocalPeer is this process itself, for calls that it serves without a connection.
+// LocalPeer returns a Peer for this process itself, for calls that it serves without a connection.
 func LocalPeer(role, name string, services map[string]bool) Peer {
 	return Peer{Role: role, Name: name, mayCallAs: services, verified: true}
 }
 
 // peerFromCertificate reads the identity from the URIs of a certificate: mesh:role/name, and mesh:speaks/service
-// for each service that the peer may call as.
+// for each service or client kind on whose behalf the peer may make calls.
 func peerFromCertificate(certificate *x509.Certificate) Peer {
 	peer := Peer{mayCallAs: map[string]bool{}, verified: true}
 	for _, uri := range certificate.URIs {
@@ -43,7 +43,8 @@
 
 type peerContextKey struct{}
 
-// PeerFromContext gives the peer that made the RPC being served, the zero Peer outside of one.
+// PeerFromContext returns the peer that made the RPC that ctx belongs to. Outside a served RPC it returns the zero
+// Peer.
 func PeerFromContext(ctx context.Context) Peer {
 	peer, _ := ctx.Value(peerContextKey{}).(Peer)
 	return peer
--- a/internal/transport/pooled_conn.go
+++ b/internal/transport/pooled_conn.go
@@ -13,7 +13,8 @@
 	"meadowhinge/internal/errs"
 )
 
-// pooledConn is a drpc.Conn to an address whose calls each have a network connection of their own.
+// pooledConn is a drpc.Conn to an address. Each call on it takes a network connection of its own from the transport's
+// pool, or dials one.
 type pooledConn struct {
 	transport *Transport
 	address   string
@@ -22,11 +23,12 @@
 // Close does nothing: the network connections belong to the transport.
 func (c pooledConn) Close() error { return nil }
 
-// Closed gives a nil channel, since a pooledConn is never closed: it opens another network connection where one
-// broke.
+// Closed returns a nil channel, because a pooledConn never closes: when a network connection breaks, the next call
+// uses another one.
 func (c pooledConn) Closed() <-chan struct{} { return nil }
 
-// open opens a stream on an idle or a new network connection. Nothing has been sent on it.
+// open opens a stream on an idle or a new network connection. Nothing has been sent on the stream yet. All errors are
+// PeerConnectFailed.
 func (c pooledConn) open(ctx context.Context, rpc string, enc drpc.Encoding) (*drpcconn.Conn, drpc.Stream, error) {
 	for {
 		conn := c.transport.idle.get(c.address)
@@ -41,44 +43,44 @@
 		if err == nil {
 			return conn, stream, nil
 		}
-		_ = conn.Close() // the error of the stream is the one that counts
-		// An idle connection that broke carried nothing of this call, so another one is tried.
+		_ = conn.Close() // the error of NewStream is returned instead
+		// An idle connection that broke has carried nothing of this call, so the call is tried on another one.
 		if fresh || ctx.Err() != nil {
 			return nil, nil, errs.Wrap(err, errs.PeerConnectFailed, c.address)
 		}
 	}
 }
 
-// release returns a connection after a call. If the call was cancelled, the drpc library is closing the
-// connection already, so no other call may get it.
+// release returns a connection to the pool after a call. If the call was cancelled, the drpc library is already
+// closing the connection, so it must not be reused.
 func (t *Transport) release(ctx context.Context, address string, conn *drpcconn.Conn) {
 	if ctx.Err() != nil {
-		_ = conn.Close() // nothing uses it any more
+		_ = conn.Close() // the connection is unused, so the error does not matter
 		return
 	}
 	t.idle.put(address, conn)
 }
 
-// messageBuffers are the buffers into which messages are encoded before they are sent.
+// messageBuffers holds *[]byte buffers into which messages are encoded before they are sent.
 var messageBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// maxPooledBufferBytes is the largest buffer that is kept for the next message.
+// maxPooledBufferBytes is the capacity of the largest buffer that goes back into messageBuffers, in bytes.
 const maxPooledBufferBytes = 64 << 10
 
-// rawWriter is implemented by drpc's streams, beside the interface drpc.Stream.
+// rawWriter is a method of drpc's stream type that the interface drpc.Stream lacks.
 type rawWriter interface {
 	RawWrite(kind drpcwire.Kind, data []byte) error
 }
 
-// Invoke makes a unary call. The request and the end of the stream go out in one write, and the response is read
-// up to the end of the stream from the other side; so neither side needs another write to free the connection.
+// Invoke makes a unary call. The request and the end of the stream are sent in one write. The response is read up to
+// the server's end of the stream, so that neither side needs another write before the connection can be reused.
 func (c pooledConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
 	conn, stream, err := c.open(ctx, rpc, enc)
 	if err != nil {
 		return err
 	}
 	defer c.transport.release(ctx, c.address, conn)
-	defer func() { _ = stream.Close() }() // the call's own error is the one that counts
+	defer func() { _ = stream.Close() }() // the call's own error is returned instead
 	if err := sendMessage(stream, enc, in); err != nil {
 		return err
 	}
@@ -88,11 +90,11 @@
 	if err := stream.MsgRecv(out, enc); err != nil {
 		return err
 	}
-	_ = stream.MsgRecv(nil, endOfStreamEncoding{}) // the response is complete, whether or not the end arrives
+	_ = stream.MsgRecv(nil, endOfStreamEncoding{}) // the response is complete even if the end of the stream is not received
 	return nil
 }
 
-// sendMessage encodes a message into a pooled buffer and writes it, without a flush.
+// sendMessage encodes a message into a pooled buffer and writes it to the stream without flushing.
 func sendMessage(stream drpc.Stream, enc drpc.Encoding, message drpc.Message) error {
 	buffer := messageBuffers.Get().(*[]byte)
 	encoded, err := drpcenc.MarshalAppend(message, enc, (*buffer)[:0])
@@ -106,22 +108,23 @@
 	return err
 }
 
-// endOfStreamEncoding reads the end of a stream: a message in its place is an error.
+// endOfStreamEncoding is the encoding for receiving the end of a stream: it fails if a message arrives instead.
 type endOfStreamEncoding struct{}
 
-// Marshal fails: nothing is sent with this encoding.
+// Marshal always fails, because nothing is sent with this encoding.
 func (endOfStreamEncoding) Marshal(drpc.Message) ([]byte, error) { return nil, io.ErrUnexpectedEOF }
 
-// Unmarshal fails: the other side sent a message where the stream must end.
+// Unmarshal always fails: it is called only if the peer sent a message where the stream must end.
 func (endOfStreamEncoding) Unmarshal([]byte, drpc.Message) error { return io.ErrUnexpectedEOF }
 
-// NewStream opens a stream on a network connection of its own, which is released when the stream ends.
+// NewStream opens a stream on a network connection of its own, which goes back to the pool when the stream ends.
+// Errors are PeerConnectFailed.
 func (c pooledConn) NewStream(ctx context.Context, rpc string, enc drpc.Encoding) (drpc.Stream, error) {
 	conn, stream, err := c.open(ctx, rpc, enc)
 	if err != nil {
 		return nil, err
 	}
-	//nolint:contextcheck // ctx is the caller's, as it should be; the stream's own context only tells when it ends
+	//nolint:contextcheck // release needs the caller's ctx; the stream's own context only signals that the stream ended
 	context.AfterFunc(stream.Context(), func() { c.transport.release(ctx, c.address, conn) })
 	return stream, nil
 }
--- a/internal/transport/redial.go
+++ b/internal/transport/redial.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// dialsPerTimeout is how many times an address is dialed within the dial timeout. A machine without power does
-// not answer the first packet, and the kernel repeats that only after a second. The machine may be back long
-// before, and would have to go without its peers until then.
+// dialsPerTimeout is the number of times that an address is dialed within the dial timeout. A machine without power
+// does not answer the first SYN packet, and the kernel retransmits it only after one second. A machine that is back
+// before then would stay unreachable until the retransmission.
 const dialsPerTimeout = 5
 
 // dialResult is the result of one dial.
@@ -17,9 +17,9 @@
 	err  error
 }
 
-// dialRepeatedly starts another dial after each interval until one has a result. Earlier dials go on, so that a
-// peer that is only far away is still reached. The first result counts, also if it is an error: a refusal shows
-// that the machine is there. Connections of later results are closed.
+// dialRepeatedly starts another dial after each interval until one of them has a result. Earlier dials continue, so
+// that a peer with a long round-trip time is still reached. The first result is returned even if it is an error: a
+// refused connection shows that the machine is running. Connections that open after the first result are closed.
 func dialRepeatedly(ctx context.Context, interval time.Duration, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -30,7 +30,7 @@
 		case results <- dialResult{conn, err}:
 		case <-ctx.Done():
 			if conn != nil {
-				_ = conn.Close() // another dial was first
+				_ = conn.Close() // another dial finished first
 			}
 		}
 	}
--- a/internal/transport/redial_test.go
+++ b/internal/transport/redial_test.go
@@ -11,9 +11,10 @@
 	"github.com/pkg/errors"
 )
 
-// A dial whose first packet went to a machine without power must not delay the connection to a machine that is
-// back: a later dial connects, and the connections of the others are closed.
-func TestUnansweredDialIsDialledAgain(t *testing.T) {
+// TestUnansweredDialIsRepeated guards against a delayed reconnection after a power loss: the first SYN packet goes to a
+// machine without power, and the kernel retransmits it only a second later. A later dial must connect, and connections
+// of the other dials must be closed.
+func TestUnansweredDialIsRepeated(t *testing.T) {
 	unanswered := func(ctx context.Context, _ int64) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -21,21 +22,21 @@
 	refused := errors.WithStack(syscall.ECONNREFUSED)
 	for name, test := range map[string]struct {
 		dial     func(ctx context.Context, attempt int64) (net.Conn, error)
-		want     error
-		maxDials int64
+		want     error // nil for a connection
+		maxDials int64 // most dials that may be started; 1 also makes the interval too long for a second one
 	}{
-		"the first answers": {maxDials: 1, dial: func(context.Context, int64) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }},
-		"the third answers": {maxDials: 1 << 20, dial: func(ctx context.Context, attempt int64) (net.Conn, error) {
+		"first dial connects": {maxDials: 1, dial: func(context.Context, int64) (net.Conn, error) { a, _ := net.Pipe(); return a, nil }},
+		"third dial connects": {maxDials: 1 << 20, dial: func(ctx context.Context, attempt int64) (net.Conn, error) {
 			if attempt < 3 {
 				return unanswered(ctx, attempt)
 			}
 			a, _ := net.Pipe()
 			return a, nil
 		}},
-		"a refusal is an answer": {maxDials: 1, want: syscall.ECONNREFUSED, dial: func(context.Context, int64) (net.Conn, error) { return nil, refused }},
+		"refused connection is a result": {maxDials: 1, want: syscall.ECONNREFUSED, dial: func(context.Context, int64) (net.Conn, error) { return nil, refused }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			// Where one dial is enough, no interval ever passes.
+			// If one dial must be enough, the interval is too long to pass.
 			interval := time.Hour
 			if test.maxDials > 1 {
 				interval = time.Microsecond
@@ -43,14 +44,14 @@
 			var attempts atomic.Int64
 			conn, err := dialRepeatedly(t.Context(), interval, func(ctx context.Context) (net.Conn, error) { return test.dial(ctx, attempts.Add(1)) })
 			if !errors.Is(err, test.want) || (err == nil) != (conn != nil) || attempts.Load() > test.maxDials {
-				t.Fatalf("got %v, %v after %d dials", conn, err, attempts.Load())
+				t.Fatalf("dialRepeatedly = %v, error %v after %d dials; want error %v after at most %d dials", conn, err, attempts.Load(), test.want, test.maxDials)
 			}
 			if conn != nil {
 				_ = conn.Close()
 			}
 		})
 	}
-	t.Run("nobody answers", func(t *testing.T) {
+	t.Run("no dial has a result", func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		var attempts atomic.Int64
 		_, err := dialRepeatedly(ctx, time.Microsecond, func(ctx context.Context) (net.Conn, error) {
@@ -60,10 +61,10 @@
 			return unanswered(ctx, 0)
 		})
 		if !errors.Is(err, context.Canceled) {
-			t.Fatal(err)
+			t.Fatalf("dialRepeatedly: error %v, want %v", err, context.Canceled)
 		}
 	})
-	t.Run("a late connection is closed", func(t *testing.T) {
+	t.Run("late connection is closed", func(t *testing.T) {
 		mine, theirs := net.Pipe()
 		won := make(chan struct{})
 		var attempts atomic.Int64
@@ -81,7 +82,7 @@
 		_ = conn.Close()
 		close(won)
 		if _, err := theirs.Read(make([]byte, 1)); err == nil {
-			t.Fatal("the connection of a dial that came second is still open")
+			t.Fatal("the connection of the dial that finished second is still open")
 		}
 	})
 }
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -13,9 +13,9 @@
 	"meadowhinge/internal/socket"
 )
 
-// Serve serves RPCs on a listener until ctx ends, and then closes the listener and returns nil. Peers whose role
-// is not among roles are rejected at the handshake. Connections are served until their peers close them, or ctx
-// ends.
+// Serve serves RPCs on a listener until ctx ends, and then closes the listener and returns nil. If accepting
+// connections fails before that, it returns an Internal error. Peers whose role is not in roles are rejected after the
+// handshake. Each connection is served until its peer closes it or ctx ends.
 func (t *Transport) Serve(ctx context.Context, listener net.Listener, handler drpc.Handler, roles ...string) error {
 	counted := countingHandler{handler, &t.meter}
 	server := drpcserver.NewWithOptions(counted, drpcserver.Options{Manager: t.managerOptions()})
@@ -27,7 +27,7 @@
 	go func() {
 		defer close(closed)
 		<-ctx.Done()
-		_ = listener.Close() // Accept fails all the same
+		_ = listener.Close() // makes Accept fail even if Close returns an error
 	}()
 	for {
 		raw, err := listener.Accept()
@@ -36,7 +36,7 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			// The address must be free when Serve returns, for whoever listens there next.
+			// When Serve returns, the address must be free for the next listener.
 			<-closed
 			return nil
 		}
@@ -44,32 +44,32 @@
 	}
 }
 
-// serveConn identifies the peer of a new connection, and serves it if its role is allowed.
+// serveConn identifies the peer of an accepted connection, serves it if the peer's role is allowed, and closes it.
 func (t *Transport) serveConn(ctx context.Context, server *drpcserver.Server, raw net.Conn, allowed map[string]bool) {
 	secured, peer, err := t.handshake(ctx, raw)
-	defer func() { _ = secured.Close() }() // the connection is done with, whatever the error
+	defer func() { _ = secured.Close() }() // the connection is no longer used, so the error does not matter
 	if err != nil || !allowed[peer.Role] {
-		// Counted before the connection closes: whoever sees the close may look at the count.
+		// The count is raised before the connection closes, so that a peer that sees the close also sees the count.
 		t.RejectedPeers.Add(1)
 		return
 	}
-	// Any error here is a peer that disconnected, except that malformed messages give a protocol error.
+	// A protocol error means malformed messages. Any other error means that the peer disconnected.
 	err = server.ServeOne(context.WithValue(ctx, peerContextKey{}, peer), secured)
 	if err != nil && ctx.Err() == nil && drpc.ProtocolError.Has(err) {
 		t.RejectedPeers.Add(1)
 	}
 }
 
-// handshake identifies the peer of a connection that it opened, within a bound. The connection that it gives is
-// never nil.
+// handshake identifies the peer of an accepted connection, within handshakeTimeoutFactor dial timeouts. The returned
+// connection is never nil. Errors are Unauthorized.
 func (t *Transport) handshake(ctx context.Context, raw net.Conn) (net.Conn, Peer, error) {
 	t.enableKeepAlive(raw)
 	timeout := t.dialTimeout * handshakeTimeoutFactor
 	counted := countingConn{socket.Wrap(raw), &t.meter}
 	if t.tlsConfig == nil {
-		_ = counted.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection, as the read then does
+		_ = counted.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection, on which the read fails too
 		peer, err := readGreeting(counted)
-		_ = counted.SetReadDeadline(time.Time{}) // the same
+		_ = counted.SetReadDeadline(time.Time{}) // fails only on a closed connection, as above
 		return counted, peer, err
 	}
 	secured := tls.Server(counted, t.tlsConfig)
@@ -81,15 +81,15 @@
 	return secured, peerFromCertificate(secured.ConnectionState().PeerCertificates[0]), nil
 }
 
-// enableKeepAlive sets an accepted connection's keep-alive and user timeout, as dialing sets them. An error
-// would only make a lost peer be noticed later, so it is not reported.
+// enableKeepAlive gives an accepted connection the same keep-alive settings and user timeout as a dialed one. Errors
+// are ignored: their only effect is that a lost peer is detected later.
 func (t *Transport) enableKeepAlive(raw net.Conn) {
 	tcp, isTCP := raw.(*net.TCPConn)
 	if !isTCP {
 		return
 	}
-	_ = tcp.SetKeepAliveConfig(t.keepAliveConfig()) // not reported, see above
+	_ = tcp.SetKeepAliveConfig(t.keepAliveConfig()) // ignored, see above
 	if inner, err := tcp.SyscallConn(); err == nil {
-		_ = t.setUserTimeout("", "", inner) // not reported, see above
+		_ = t.setUserTimeout("", "", inner) // ignored, see above
 	}
 }
--- a/internal/transport/traffic.go
+++ b/internal/transport/traffic.go
@@ -12,29 +12,29 @@
 	"meadowhinge/schema"
 )
 
-// Traffic is what a transport has carried since it was made.
+// Traffic holds the traffic counters of a transport since its creation.
 type Traffic struct {
 	In       uint64            `json:"in"`       // bytes received from sockets
 	Out      uint64            `json:"out"`      // bytes sent to sockets
 	Opened   uint64            `json:"opened"`   // connections that this process opened
-	Served   map[string]uint64 `json:"served"`   // RPCs served, by name
-	Messages map[string]uint64 `json:"messages"` // messages of the RPCs served, in both directions, by name
+	Served   map[string]uint64 `json:"served"`   // RPCs served, by RPC name
+	Messages map[string]uint64 `json:"messages"` // messages of served RPCs in both directions, by RPC name
 }
 
-// OnSent sets a function that is called with the number of bytes after each write. It must be set before the
-// first connection.
+// OnSent sets a function that is called after each write to a socket with the number of bytes written. It must be
+// called before the first connection opens.
 func (t *Transport) OnSent(notify func(bytes int)) { t.meter.onSent = notify }
 
 // meter counts the traffic of a transport.
 type meter struct {
 	in, out, opened atomic.Uint64
-	onSent          func(bytes int) // see OnSent; may be nil
+	onSent          func(bytes int) // set by OnSent; may be nil
 
-	lock             sync.Mutex // guards the maps
-	served, messages map[string]uint64
+	lock             sync.Mutex        // guards served and messages
+	served, messages map[string]uint64 // as in Traffic; nil until the first RPC
 }
 
-// Traffic gives a copy of the counts.
+// Traffic returns a copy of the counters.
 func (t *Transport) Traffic() Traffic {
 	t.meter.lock.Lock()
 	defer t.meter.lock.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// countingConn counts the bytes of one connection.
+// countingConn adds the bytes read from and written to a connection to the transport's counters.
 type countingConn struct {
 	net.Conn
 	meter *meter
@@ -70,7 +70,7 @@
 	return count, err
 }
 
-// unaryRPCs are the names of the RPCs with one message in each direction.
+// unaryRPCs is the set of names of the RPCs with one message in each direction.
 var unaryRPCs = findUnaryRPCs(schema.File_mesh_proto.Services())
 
 func findUnaryRPCs(services protoreflect.ServiceDescriptors) map[string]bool {
@@ -86,23 +86,23 @@
 	return found
 }
 
-// countingHandler counts the RPCs that a handler serves.
+// countingHandler counts the RPCs that it passes to a handler, and their messages.
 type countingHandler struct {
 	drpc.Handler
 	meter *meter
 }
 
-// HandleRPC counts an RPC and hands it to the handler.
+// HandleRPC counts an RPC and passes it to the handler.
 func (c countingHandler) HandleRPC(stream drpc.Stream, rpc string) error {
 	c.meter.count(&c.meter.served, rpc)
-	// Without a flush after the message, a unary RPC's response and the end of the stream are one write.
+	// With manual flushing, the response of a unary RPC and the end of the stream go out in one write.
 	if flusher, isFlusher := stream.(interface{ SetManualFlush(bool) }); isFlusher && unaryRPCs[rpc] {
 		flusher.SetManualFlush(true)
 	}
 	return c.Handler.HandleRPC(countingStream{stream, c.meter, rpc}, rpc)
 }
 
-// count adds one to an RPC's count in one of the meter's maps.
+// count adds one to the count of an RPC in counts, which points to served or messages of m.
 func (m *meter) count(counts *map[string]uint64, rpc string) {
 	m.lock.Lock()
 	defer m.lock.Unlock()
@@ -125,7 +125,7 @@
 	return s.Stream.MsgSend(message, encoding)
 }
 
-// MsgRecv receives a message and counts it unless there is an error.
+// MsgRecv receives a message, and counts it if there is no error.
 func (s countingStream) MsgRecv(message drpc.Message, encoding drpc.Encoding) error {
 	err := s.Stream.MsgRecv(message, encoding)
 	if err == nil {
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -12,7 +12,8 @@
 	"meadowhinge/schema"
 )
 
-// Traffic is counted at both ends: bytes, connections opened, RPCs and messages by name.
+// TestTrafficIsCounted checks that both ends count bytes and opened connections, and that the server counts RPCs and
+// messages by RPC name.
 func TestTrafficIsCounted(t *testing.T) {
 	const calls, body = 3, 10_000
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,14 +36,15 @@
 		}
 	}
 	sent, received := client.Traffic(), server.Traffic()
-	// Besides the bodies there are a greeting, and a frame for each call of less than 100 bytes.
+	// Each call adds less than 100 bytes of framing to its body, and the connection has one greeting.
 	for _, bytes := range []uint64{sent.Out, received.In} {
 		if bytes < calls*body || bytes > calls*(body+200) {
-			t.Errorf("%d bytes counted of %d sent in bodies", bytes, calls*body)
+			t.Errorf("counted %d bytes, want from %d, the sum of the bodies, to %d", bytes, calls*body, calls*(body+200))
 		}
 	}
-	// Each call is a request and a response message.
+	// Each call has two messages: the request and the response.
 	if sent.Opened != 1 || received.Served["/meadowhinge.Hop/Run"] != calls || received.Messages["/meadowhinge.Hop/Run"] != 2*calls {
-		t.Errorf("opened %d connections, served %v, messages %v", sent.Opened, received.Served, received.Messages)
+		t.Errorf("client opened %d connections, want 1; server counted calls %v and messages %v, want %d and %d of /meadowhinge.Hop/Run",
+			sent.Opened, received.Served, received.Messages, calls, 2*calls)
 	}
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -17,35 +17,35 @@
 	"meadowhinge/internal/errs"
 )
 
-// protocolVersion is the version of the messages between mesh processes; a peer with another is refused at the
-// handshake.
+// protocolVersion is the version of the messages between mesh processes. A peer with a different version is rejected
+// at the handshake.
 const protocolVersion = "meadowhinge/1"
 
-// maxMessageBytes bounds one message, in bytes. A complete configuration must fit, and so must the largest body
-// that the settings allow with the fields beside it.
+// maxMessageBytes is the size limit of one message, in bytes. A message must be able to hold a complete configuration,
+// or the largest body that the settings allow together with the message's other fields.
 const maxMessageBytes = 65 << 20
 
-// defaultDialTimeout is the time in which a connection must open unless WithDialTimeout sets another.
+// defaultDialTimeout bounds opening a connection, including the handshake, unless WithDialTimeout sets another bound.
 const defaultDialTimeout = time.Second
 
-// Transport is this process's end of all RPCs to and from other processes.
+// Transport sends and serves all RPCs between this process and other processes.
 type Transport struct {
 	tlsConfig       *tls.Config // nil for plaintext
 	idle            connPool
-	dialTimeout     time.Duration
-	self            Peer
-	localAddress    net.Addr // to dial from, nil for any
-	certificateFile string   // empty for plaintext
-	authorityFile   string   // empty for plaintext
+	dialTimeout     time.Duration // bounds opening a connection; the timeouts in keepalive.go are multiples of it
+	self            Peer          // this process's own identity
+	localAddress    net.Addr      // source address of outgoing connections; nil lets the kernel choose
+	certificateFile string        // PEM file of the certificate and its key; empty for plaintext
+	authorityFile   string        // PEM file of the certificate authority; empty for plaintext
 	now             func() time.Time
 
-	lock        sync.Mutex   // guards the fields up to reloadFault
-	active      *credentials // nil for plaintext
-	checkedAt   time.Time    // when the credential files were last checked
-	reloadFault string       // why the credential files' content is not in use, empty if it is
+	lock        sync.Mutex   // guards active, checkedAt and reloadFault
+	active      *credentials // credentials in use; nil for plaintext
+	checkedAt   time.Time    // time of the last check whether the credential files changed
+	reloadFault string       // why the last reload of the credential files failed; empty if it succeeded
 
-	// RejectedPeers counts the peers rejected for a wrong certificate or protocol, or for malformed messages. Callers
-	// add the peers that they reject themselves.
+	// RejectedPeers counts the peers rejected for a wrong certificate or protocol, a role that is not allowed, or
+	// malformed messages. Code that serves the RPCs adds the peers that it rejects itself.
 	RejectedPeers atomic.Uint64
 
 	meter meter
@@ -54,14 +54,14 @@
 // Option changes a default of a Transport.
 type Option func(*Transport)
 
-// WithDialTimeout sets the time in which a connection must open.
+// WithDialTimeout bounds the time that opening a connection may take.
 func WithDialTimeout(bound time.Duration) Option { return func(t *Transport) { t.dialTimeout = bound } }
 
-// WithClock sets the clock by which certificates expire and are reloaded.
+// WithClock replaces time.Now as the clock for the validity of certificates and the interval between reload checks.
 func WithClock(now func() time.Time) Option { return func(t *Transport) { t.now = now } }
 
-// WithLocalAddress dials from the IP of an IP:port, so that a machine with several addresses has one identity.
-// An address that is unspecified or not IP:port changes nothing.
+// WithLocalAddress makes outgoing connections come from the IP of address, which is IP:port, so that peers see a
+// machine with several IPs under one of them. An unspecified IP, or an address that is not IP:port, has no effect.
 func WithLocalAddress(address string) Option {
 	return func(t *Transport) {
 		if from, err := netip.ParseAddrPort(address); err == nil && !from.Addr().IsUnspecified() {
@@ -82,8 +82,8 @@
 	return transport
 }
 
-// NewTLS makes a transport with mutual TLS. certificateFile has this process's certificate and key, authorityFile
-// the mesh's certificate authority, both in PEM; they are reloaded when they change. Errors are InvalidOptions.
+// NewTLS returns a transport with mutual TLS. certificateFile holds this process's certificate and key, authorityFile
+// the mesh's certificate authority, both in PEM. Both files are reloaded when they change. Errors are InvalidOptions.
 func NewTLS(certificateFile, authorityFile string, opts ...Option) (*Transport, error) {
 	transport := newTransport(opts)
 	transport.certificateFile = certificateFile
@@ -101,8 +101,9 @@
 	return transport, nil
 }
 
-// NewPlaintext makes a transport without encryption: peers say in a greeting who they are, and are believed. It
-// is for networks that only the mesh's own processes can reach and where there are no keys.
+// NewPlaintext returns a transport without encryption or authentication: the identity that a peer states in its
+// greeting is not verified. It is for networks without keys that only the mesh's own processes can reach. mayCallAs
+// lists the services and client kinds on whose behalf this process may make calls.
 func NewPlaintext(role, name string, mayCallAs []string, opts ...Option) *Transport {
 	transport := newTransport(opts)
 	transport.self = Peer{Role: role, Name: name, mayCallAs: map[string]bool{}, verified: true}
@@ -112,8 +113,8 @@
 	return transport
 }
 
-// newTLSConfig gives the configuration for both ends of a connection. Certificates are looked up at each
-// handshake, so that reloaded ones count from the next connection on.
+// newTLSConfig returns the configuration for both ends of a connection. The certificate is looked up at each
+// handshake, so that a reloaded one is used from the next connection on.
 func (t *Transport) newTLSConfig() *tls.Config {
 	return &tls.Config{
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -125,20 +126,21 @@
 		ClientAuth: tls.RequireAnyClientCert,
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocolVersion},
-		// Certificates name a role, not a host: verifyPeer checks the chain, and the callers check the role.
+		// Certificates identify a role, not a host. verifyPeer checks the chain in place of the standard library,
+		// and Serve checks the role.
 		InsecureSkipVerify: true,
 		VerifyConnection:   t.verifyPeer,
 	}
 }
 
-// verifyPeer checks a peer's protocol version, and its certificate against the authority.
+// verifyPeer checks a peer's protocol version, and its certificate against the authority. Errors are Unauthorized.
 func (t *Transport) verifyPeer(state tls.ConnectionState) error {
 	if state.NegotiatedProtocol != protocolVersion {
 		return otherProtocolError()
 	}
 	certificates := state.PeerCertificates
 	if len(certificates) == 0 {
-		return errs.New(errs.Unauthorized, "shows no certificate")
+		return errs.New(errs.Unauthorized, "peer presented no certificate")
 	}
 	_, err := certificates[0].Verify(x509.VerifyOptions{
 		Roots:     t.currentCredentials().roots,
@@ -147,14 +149,14 @@
 	return errs.Wrap(err, errs.Unauthorized, "certificate")
 }
 
-// Self is this process's own identity.
+// Self returns this process's own identity.
 func (t *Transport) Self() Peer { return t.self }
 
-// Conn gives a connection to an address, which opens on the first call. Each call on it has a network connection
-// of its own, taken from the idle ones or dialed.
+// Conn returns a drpc.Conn to an address. It does not dial: each RPC takes an idle network connection or dials a new
+// one, and has that connection to itself until it ends.
 func (t *Transport) Conn(_ context.Context, address string) drpc.Conn { return pooledConn{t, address} }
 
-// Close closes all idle connections; those with a call are closed after it.
+// Close closes all idle connections. A connection that an RPC uses is closed when the RPC ends.
 func (t *Transport) Close() { t.idle.close() }
 
 func (t *Transport) managerOptions() drpcmanager.Options {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -29,7 +29,8 @@
 	return &schema.ForwardResponse{Request: request.Request}, nil
 }
 
-// tlsTransport makes a transport with a certificate that the authority issues for a role and name.
+// tlsTransport returns a TLS transport with a certificate that authority issues for a role and name, and for the
+// services on whose behalf it may make calls.
 func tlsTransport(t *testing.T, authority *testbed.Authority, role, name string, services ...string) *transport.Transport {
 	t.Helper()
 	file, err := authority.Issue(role, name, services)
@@ -44,8 +45,8 @@
 	return made
 }
 
-// Only a peer with a certificate of this mesh, in a role that is allowed, is served; any other is rejected and
-// counted, and the server goes on.
+// TestOnlyKnownPeersAreServed checks that only a peer with a certificate of this mesh and an allowed role is served.
+// Any other peer must be rejected and counted, and must not affect the service of other peers.
 func TestOnlyKnownPeersAreServed(t *testing.T) {
 	ours, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
@@ -79,7 +80,7 @@
 		t.Helper()
 		for deadline := time.Now().Add(20 * time.Second); server.RejectedPeers.Load() < want; {
 			if time.Now().After(deadline) {
-				t.Fatalf("%d peers rejected, want %d", server.RejectedPeers.Load(), want)
+				t.Fatalf("RejectedPeers = %d after 20 s, want %d", server.RejectedPeers.Load(), want)
 			}
 			runtime.Gosched()
 		}
@@ -89,14 +90,14 @@
 		t.Fatal(err)
 	}
 	if peer := <-recorder.seen; peer.Name != "q" || !peer.MayCallAs("client") || peer.MayCallAs("shop") {
-		t.Errorf("the server saw %+v", peer)
+		t.Errorf("PeerFromContext = %+v, want name q that may call as client but not as shop", peer)
 	}
 	if err := call(tlsTransport(t, theirs, "proxy", "q", "client")); err == nil {
-		t.Error("a certificate of another authority was served")
+		t.Error("call with a certificate of another authority succeeded, want an error")
 	}
 	awaitRejected(1)
 	if err := call(tlsTransport(t, ours, "store", "a")); err == nil {
-		t.Error("a role that is not allowed was served")
+		t.Error("call with the role store succeeded, want an error: only the role proxy is allowed")
 	}
 	awaitRejected(2)
 	raw, err := net.Dial("tcp", address)
@@ -106,22 +107,23 @@
 	_, _ = raw.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	awaitRejected(3)
 	_ = raw.Close()
-	// Another protocol version is refused at the handshake.
+	// A peer with another protocol version is rejected at the handshake.
 	if conn, err := tls.Dial("tcp", address, &tls.Config{InsecureSkipVerify: true, NextProtos: []string{"meadowhinge/0"}}); err == nil {
 		_ = conn.Close()
-		t.Error("another protocol version was accepted")
+		t.Error("TLS handshake with protocol meadowhinge/0 succeeded, want an error")
 	}
 	awaitRejected(4)
 	if err := call(allowedPeer); err != nil {
-		t.Errorf("after the rejected peers, an allowed one got %v", err)
+		t.Errorf("call by an allowed peer after rejected ones: %v", err)
 	}
 	cancel()
 	if err := <-ended; err != nil {
-		t.Error(err)
+		t.Errorf("Serve after its context ended: %v, want nil", err)
 	}
 }
 
-// A connection that never opened has an error code of its own: it proves that nothing was sent.
+// TestConnectFailureIsTyped checks that a call whose connection cannot be opened fails with PeerConnectFailed, which
+// proves to the caller that nothing was sent.
 func TestConnectFailureIsTyped(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
@@ -136,12 +138,12 @@
 	client := tlsTransport(t, authority, "proxy", "q")
 	_, err = schema.NewDRPCHopClient(client.Conn(t.Context(), address)).Run(t.Context(), &schema.ForwardRequest{})
 	if errs.CodeOf(err) != errs.PeerConnectFailed {
-		t.Errorf("got %v", err)
+		t.Errorf("call to a closed port: error %v, want code %s", err, errs.PeerConnectFailed)
 	}
 }
 
-// A certificate is reloaded when its file changes. One that cannot be used is refused: the previous one stays in
-// use, and the status says why.
+// TestCertificatesAreReloaded checks that a certificate is reloaded when its file changes. If the new one cannot be
+// used, the previous one must stay in use and the status must say why.
 func TestCertificatesAreReloaded(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
@@ -185,32 +187,32 @@
 		return text
 	}
 	for i, test := range []struct {
-		name  string
-		text  []byte
-		fault string
-		inUse bool
+		name     string
+		text     []byte // new content of the certificate file
+		fault    string // part of the status's fault; empty for no fault
+		replaced bool   // whether the new certificate must be in use instead of the first one
 	}{
-		{"unreadable", []byte("x"), "PEM", false},
-		{"expired", issue("proxy", "q", now.Add(-time.Hour)), "good from", false},
-		{"somebody else's", issue("proxy", "r", now.Add(3*time.Hour)), "not proxy", false},
-		{"the first again", valid, "", false},
-		{"a newer one", issue("proxy", "q", now.Add(5*time.Hour)), "", true},
+		{"not PEM", []byte("x"), "PEM", false},
+		{"expired", issue("proxy", "q", now.Add(-time.Hour)), "valid only from", false},
+		{"another identity", issue("proxy", "r", now.Add(3*time.Hour)), "not proxy", false},
+		{"first certificate again", valid, "", false},
+		{"newer certificate", issue("proxy", "q", now.Add(5*time.Hour)), "", true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			write(t, test.text, time.Duration(i+1)*time.Minute)
 			got := status()
-			if (test.fault == "") != (got.Fault == "") || !strings.Contains(got.Fault, test.fault) || got.NotAfter.Equal(first.NotAfter) == test.inUse {
-				t.Errorf("%s: %+v", test.name, got)
+			if (test.fault == "") != (got.Fault == "") || !strings.Contains(got.Fault, test.fault) || got.NotAfter.Equal(first.NotAfter) == test.replaced {
+				t.Errorf("Certificate() = %+v, want fault containing %q; first certificate expires %v, want it replaced: %v", got, test.fault, first.NotAfter, test.replaced)
 			}
 		})
 	}
 	if _, err := transport.NewTLS("/nowhere", authority.File()); errs.CodeOf(err) != errs.InvalidOptions {
-		t.Errorf("a file that is not there gave %v", err)
+		t.Errorf("NewTLS with a missing certificate file: error %v, want code %s", err, errs.InvalidOptions)
 	}
 }
 
-// The greeting of a plaintext connection identifies its peer; a peer with another protocol, or in a role that is not
-// allowed, is rejected and counted.
+// TestPlaintextHandshake checks that the greeting of a plaintext connection identifies its peer, and that a peer with
+// another protocol or a role that is not allowed is rejected and counted.
 func TestPlaintextHandshake(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -238,10 +240,10 @@
 		t.Fatal(err)
 	}
 	if peer := <-recorder.seen; peer.Role != "proxy" || peer.Name != "q" || !peer.MayCallAs("bag") || peer.MayCallAs("other") {
-		t.Fatalf("%+v", peer)
+		t.Fatalf("PeerFromContext = %+v, want proxy q that may call as bag but not as other", peer)
 	}
 	if err := call("store"); err == nil {
-		t.Fatal("a role that is not allowed was served")
+		t.Fatal("call with the role store succeeded, want an error: only the role proxy is allowed")
 	}
 	raw, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
@@ -249,10 +251,10 @@
 	}
 	_, _ = raw.Write([]byte("GET / HTTP/1.1\r\n\r\n"))
 	if _, err := raw.Read(make([]byte, 1)); err == nil {
-		t.Fatal("another protocol was answered")
+		t.Fatal("an HTTP request on the mesh's listener got a response, want the connection closed")
 	}
 	if rejected := server.RejectedPeers.Load(); rejected != 2 {
-		t.Fatalf("%d rejected", rejected)
+		t.Fatalf("RejectedPeers = %d, want 2", rejected)
 	}
 	cancel()
 	<-ended
