--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -1,6 +1,6 @@
-// Package flightrecorder keeps a program's last log lines in memory, and writes them out when an error is logged.
+// Package flightrecorder keeps a program's last log lines in memory and writes them out when an error is logged.
 //
-// Each long-running program has one Recorder, made by package daemon, and logs through its Logger. All methods
+// Each long-running program has one Recorder, which package daemon creates, and logs through its Logger. All methods
 // are safe for concurrent use.
 package flightrecorder
 
@@ -19,34 +19,34 @@
 )
 
 const (
-	// minDumpInterval is the shortest time between two dumps that are not forced, so that many errors do not
-	// become many disk writes.
+	// minDumpInterval is the minimum time between two dumps that are not forced, so that many errors do not cause as
+	// many disk writes.
 	minDumpInterval = time.Second
-	// dumpFileMode is the mode of the file that a dump writes.
+	// dumpFileMode is the permission mode of the file that a dump writes.
 	dumpFileMode = 0o640
-	// debugVerbosity is the highest verbosity of a log line that is recorded.
+	// debugVerbosity is the highest logr verbosity at which lines are recorded.
 	debugVerbosity = 1
 	// timestampFormat is RFC 3339 with microseconds.
 	timestampFormat = "2006-01-02T15:04:05.000000Z07:00"
-	// errorKey is what a line has that was logged with Logger.Error.
+	// errorKey is the text by which a line of Logger.Error is recognized.
 	errorKey = `"error"=`
 )
 
-// Recorder is a ring buffer of log lines.
+// Recorder is a ring buffer of log lines that can be dumped to a file or to standard error.
 type Recorder struct {
-	file string // that a dump replaces, empty for standard error
-	now  func() time.Time
+	file string           // file that each dump replaces; empty for standard error
+	now  func() time.Time // clock of minDumpInterval; tests replace it
 
 	lock      sync.Mutex // guards all fields below
-	lines     []string   // ring buffer
+	lines     []string   // ring buffer; its length is its capacity
 	next      int        // index for the next line
 	wrapped   bool       // the buffer is full, so its oldest line is at next
-	unwritten int        // recorded lines that no dump has written to standard error yet
-	lastDump  time.Time
+	unwritten int        // number of newest lines that no dump has written to standard error yet
+	lastDump  time.Time  // time of the last dump, forced or not
 }
 
-// New makes a recorder of size lines. A dump goes to the file name.log in directory, or for an empty directory to
-// standard error.
+// New returns a recorder of the last size lines. A dump goes to the file name.log in directory or, if directory is
+// empty, to standard error.
 func New(directory, name string, size int) *Recorder {
 	file := ""
 	if directory != "" {
@@ -60,7 +60,7 @@
 	record := func(prefix, args string) {
 		r.add(strings.TrimSpace(prefix + " " + args))
 		if strings.Contains(args, errorKey) {
-			_ = r.Dump(false) // a log call cannot report an error; the lines stay recorded
+			_ = r.Dump(false) // a log call cannot return an error; the lines stay recorded
 		}
 	}
 	return funcr.New(record, funcr.Options{LogTimestamp: true, TimestampFormat: timestampFormat, Verbosity: debugVerbosity})
@@ -88,8 +88,9 @@
 	return append(ordered, r.lines[:r.next]...)
 }
 
-// Dump writes the recorded lines to the recorder's file, in place of the dump before, or those that are new to
-// standard error. Unless forced, it does nothing within a second of the last dump. Its errors are DiskFailed.
+// Dump replaces the recorder's file by the recorded lines. Without a file it writes the lines that are new since the
+// last dump to standard error. Unless forced, it does nothing within minDumpInterval of the last dump. Its errors are
+// DiskFailed.
 func (r *Recorder) Dump(forced bool) error {
 	if !r.beginDump(forced) {
 		return nil
@@ -111,17 +112,18 @@
 	return true
 }
 
-// replaceFile writes all lines to a file beside the recorder's and renames it, so that a dump that is cut short
-// leaves the one before.
+// replaceFile writes all lines to a temporary file next to the recorder's and renames it, so that an interrupted dump
+// leaves the previous one intact.
 func (r *Recorder) replaceFile() error {
 	text := strings.Join(r.Lines(), "\n") + "\n"
 	if err := os.WriteFile(r.file+".new", []byte(text), dumpFileMode); err != nil {
-		return errs.Wrap(err, errs.DiskFailed, fmt.Sprintf("log ring %s", r.file))
+		return errs.Wrap(err, errs.DiskFailed, fmt.Sprintf("write log dump %s", r.file+".new"))
 	}
-	return errs.Wrap(os.Rename(r.file+".new", r.file), errs.DiskFailed, "log ring")
+	return errs.Wrap(os.Rename(r.file+".new", r.file), errs.DiskFailed, "rename log dump")
 }
 
-// writeToStderr writes the lines that no dump has written yet: unlike a file, standard error is not replaced.
+// writeToStderr writes only the lines that no dump has written yet, because standard error, unlike a file, keeps the
+// previous dumps.
 func (r *Recorder) writeToStderr() error {
 	lines := r.Lines()
 	r.lock.Lock()
@@ -131,5 +133,5 @@
 		return nil
 	}
 	_, err := os.Stderr.WriteString(strings.Join(lines, "\n") + "\n")
-	return errs.Wrap(err, errs.DiskFailed, "log ring")
+	return errs.Wrap(err, errs.DiskFailed, "write log dump to standard error")
 }
--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// The recorder keeps the last lines, writes nothing until an error is logged, and then writes them all.
+// TestRecorder checks that the recorder keeps the last lines, writes nothing until an error is logged and then writes
+// all kept lines, and that unforced dumps are rate-limited.
 func TestRecorder(t *testing.T) {
 	folder := t.TempDir()
 	recorder := New(folder, "proxy", 5)
@@ -21,27 +22,27 @@
 		log.V(1).Info("event", "number", i)
 	}
 	if files, _ := os.ReadDir(folder); len(files) > 0 {
-		t.Error("lines were written without an error")
+		t.Errorf("%d files written before an error was logged, want none", len(files))
 	}
 	if lines := recorder.Lines(); len(lines) != 5 || !strings.Contains(lines[0], `"number"=7`) || !strings.Contains(lines[4], `"number"=11`) {
-		t.Errorf("kept %q", lines)
+		t.Errorf("Lines() = %q, want the events 7 to 11", lines)
 	}
 	log.Error(errors.New("it broke"), "failed")
 	text, err := os.ReadFile(filepath.Join(folder, "proxy.log"))
 	if err != nil || strings.Count(string(text), "\n") != 5 || !strings.Contains(string(text), "it broke") {
-		t.Errorf("wrote %q, %v", text, err)
+		t.Errorf("dump after an error = %q, read error %v; want 5 lines with the error it broke", text, err)
 	}
-	// Many errors at once are dumped once, until a dump is forced.
+	// Errors within minDumpInterval of the last dump are not dumped until a dump is forced.
 	for i := range 3 {
 		log.Error(fmt.Errorf("again %d", i), "failed")
 	}
 	if text, _ := os.ReadFile(filepath.Join(folder, "proxy.log")); strings.Contains(string(text), "again") {
-		t.Error("each of many errors at once was dumped")
+		t.Errorf("dump within minDumpInterval = %q, want the previous dump unchanged", text)
 	}
 	if err := recorder.Dump(true); err != nil {
-		t.Error(err)
+		t.Errorf("Dump(true): %v", err)
 	}
 	if text, _ := os.ReadFile(filepath.Join(folder, "proxy.log")); !strings.Contains(string(text), "again 2") {
-		t.Error("a forced dump was not written")
+		t.Errorf("forced dump = %q, want it to contain the error again 2", text)
 	}
 }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,7 +1,7 @@
-// Package journal holds the state of a process as a fold over its events: events are appended, each gives a new
-// view from the one before, and readers get the latest view without a lock. Nothing is written to disk.
+// Package journal keeps the state of a process as a fold over its events. Each appended event produces a new view from
+// the previous one, and readers get the latest view without a lock. Nothing is written to disk.
 //
-// The proxy and the simulator hold their state in one. All methods are safe for concurrent use.
+// The proxy and the simulator keep their state in a Journal. All methods are safe for concurrent use.
 package journal
 
 import (
@@ -10,26 +10,27 @@
 	"sync/atomic"
 )
 
-// Journal folds events into a view and retains the last of them.
+// Journal folds events into a view and retains the most recent events.
 type Journal[Event, View any] struct {
-	fold func(View, Event) View
-	view atomic.Pointer[View] // written with lock held, read without
+	fold func(View, Event) View // returns the view after an event
+	view atomic.Pointer[View]   // latest view; written with lock held, read without it
 
 	lock    sync.Mutex    // guards the fields below
-	recent  []Event       // ring buffer of the retained events
-	next    int           // index of the oldest event in recent, once it is full
+	recent  []Event       // ring buffer of the retained events; its capacity is fixed by New
+	next    int           // index of the oldest event in recent; 0 until recent is full
 	changed chan struct{} // closed and replaced by each Append
 }
 
-// New makes a journal that starts from a view and retains the last events, at most as many as retained says. fold
-// gives the view after an event; it must not change the view that it gets, and is called with the journal locked.
+// New returns a journal whose first view is initial, and which retains the last events, at most retained of them. fold
+// returns the view after an event. It must not modify the view that it gets, and must not call the journal's methods,
+// because the journal is locked meanwhile.
 func New[Event, View any](initial View, retained int, fold func(View, Event) View) *Journal[Event, View] {
 	j := &Journal[Event, View]{fold: fold, recent: make([]Event, 0, retained), changed: make(chan struct{})}
 	j.view.Store(&initial)
 	return j
 }
 
-// Append folds an event into the view, wakes all calls of Wait, and gives the new view.
+// Append folds an event into the view, wakes all waiting calls of Wait, and returns the new view.
 func (j *Journal[Event, View]) Append(event Event) View {
 	j.lock.Lock()
 	defer j.lock.Unlock()
@@ -46,11 +47,11 @@
 	return folded
 }
 
-// View gives the latest view.
+// View returns the latest view.
 func (j *Journal[Event, View]) View() View { return *j.view.Load() }
 
-// Wait gives the current view or else the next one for which ready is true; if ctx ends first, the latest view that
-// was checked, and false. Views that are replaced quickly may be skipped.
+// Wait blocks until ready is true for the latest view, and returns that view and true. If ctx ends first, it returns
+// the last view that it checked and false. It may skip views that are replaced quickly.
 func (j *Journal[Event, View]) Wait(ctx context.Context, ready func(View) bool) (View, bool) {
 	for {
 		j.lock.Lock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// Recent gives a copy of the retained events, oldest first.
+// Recent returns a copy of the retained events, oldest first.
 func (j *Journal[Event, View]) Recent() []Event {
 	j.lock.Lock()
 	defer j.lock.Unlock()
--- a/internal/linearize/history.go
+++ b/internal/linearize/history.go
@@ -1,12 +1,16 @@
-// Package linearize checks whether a history of operators' calls is linearizable: whether each call can have
-// happened at one moment between its begin and its end, on a single store that follows the rule of operator versions.
+// Package linearize checks whether a history of operators' calls is linearizable, that is, whether each call can have
+// taken effect at one moment between its begin and its end, on a single store that follows the rule of operator
+// versions.
 //
-// The rule, for each item by itself: a write with a higher version than the stored one takes effect. One with a lower
-// version is accepted without effect, and so is one with the stored version and the stored content. One with the
-// stored version and another content is refused and has no effect. A read returns the stored value.
+// The rule applies to each item by itself:
+//   - A write with a higher version than the stored one takes effect.
+//   - A write with a lower version is accepted without effect, and so is one with the stored version and content.
+//   - A write with the stored version and a different content is refused and has no effect.
+//   - A read returns the stored value.
 //
-// The simulator, and tests of package store and of the platform, check their histories with it. Its only
-// state is a History, which several goroutines may add to.
+// The search for an order is done by Porcupine (github.com/anishathalye/porcupine). The simulator and the tests of
+// package store and of the platform check their histories with this package. A History is its only state, and is safe
+// for concurrent use.
 package linearize
 
 import (
@@ -24,69 +28,70 @@
 
 // The results of a call.
 const (
-	OutcomeUnknown Result = iota // no response: the call may have taken effect at any time since its begin, or never
-	Accepted                     // a write was acknowledged, or a read was answered
-	Conflicted                   // a write was refused because of this item
+	OutcomeUnknown Result = iota // no response: the call may have taken effect at any time after its begin, or never
+	Accepted                     // a write was acknowledged, or a read returned a value
+	Conflicted                   // a write was refused because of this item's version and content
 	Rejected                     // a write was refused for a reason other than this item
 )
 
-// Value is an item as it is written or read. Items that were removed, or never written, are absent.
+// Value is the state of an item as written or read.
 type Value struct {
-	Version uint64 // operator version; not known of an item that is read as absent
-	Content string
-	Absent  bool
+	Version uint64 // operator version; 0 if the item is read as absent, because then the version is unknown
+	Content string // empty if the item is absent
+	Absent  bool   // the item was removed or never written
 }
 
 // Operation is one call on one item.
 type Operation struct {
-	Client     int // calls of one client do not overlap
-	Item       string
-	Read       bool  // else a write
-	Value      Value // written, or read
-	Result     Result
-	Begin, End time.Duration // on one clock for all operations; End counts only if the outcome is known
+	Client     int           // id of the caller; calls of one client must not overlap in time
+	Item       string        // name of the item
+	Read       bool          // true for a read, false for a write or a removal
+	Value      Value         // value that was written or returned
+	Result     Result        // result as the caller knows it
+	Begin, End time.Duration // times on a clock common to all operations; End is ignored for OutcomeUnknown
 }
 
-// ErrUndecided is the error of Check where the search took too long to find an order of the calls, or to rule out all
-// orders.
-var ErrUndecided = errors.New("no order of the calls was found or ruled out in time")
+// ErrUndecided is the error of Check if the search reached its timeout before it found an order of the calls or ruled
+// out all orders.
+var ErrUndecided = errors.New("linearizability not decided within the timeout")
 
-// History gathers operations; several goroutines may add to it.
+// History collects operations. All methods are safe for concurrent use.
 type History struct {
-	lock       sync.Mutex
+	lock       sync.Mutex // guards operations
 	operations []Operation
 }
 
-// Add puts an operation into the history.
+// Add appends an operation to the history.
 func (h *History) Add(operation Operation) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.operations = append(h.operations, operation)
 }
 
-// Len is how many operations the history holds.
+// Len returns the number of operations in the history.
 func (h *History) Len() int {
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	return len(h.operations)
 }
 
-// Check returns an error that names an item for which no order of the calls explains their results, or else
-// ErrUndecided if the search for one item's order took longer than timeout.
+// Check returns nil if the calls on every item are linearizable. Otherwise it returns an error that names an item for
+// which no order of the calls explains their results. If there is no such item but the search for an order took longer
+// than timeout for some item, it returns ErrUndecided.
 func (h *History) Check(timeout time.Duration) error {
 	var undecided error
 	for item, operations := range h.byItem() {
 		switch porcupine.CheckOperationsTimeout(versionedRegister, operations, timeout) {
 		case porcupine.Illegal:
-			return fmt.Errorf("%s: no order of its %d calls explains what the callers were told", item, len(operations))
+			return fmt.Errorf("item %q: its %d calls are not linearizable", item, len(operations))
 		case porcupine.Unknown:
-			undecided = fmt.Errorf("%s: %w", item, ErrUndecided)
+			undecided = fmt.Errorf("item %q: %w", item, ErrUndecided)
 		}
 	}
 	return undecided
 }
 
-// byItem returns the operations on each item in the checker's form.
+// byItem returns the informative operations on each item, converted for Porcupine.
 func (h *History) byItem() map[string][]porcupine.Operation {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -99,7 +104,8 @@
 	return byItem
 }
 
-// toPorcupine converts an operation to the checker's form. One that cannot contradict any order is not informative.
+// toPorcupine converts an operation for Porcupine. An operation that is compatible with every order is not informative:
+// a rejected write, or a read without a response.
 func toPorcupine(operation Operation) (converted porcupine.Operation, informative bool) {
 	if operation.Result == Rejected || operation.Read && operation.Result == OutcomeUnknown {
 		return converted, false
@@ -117,7 +123,7 @@
 	return converted, true
 }
 
-// versionedRegister is the rule of operator versions for one item, as a model for the checker.
+// versionedRegister is the Porcupine model of the rule of operator versions for one item.
 var versionedRegister = porcupine.Model{
 	Init: func() any { return Value{Absent: true} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -125,7 +131,8 @@
 	},
 }
 
-// step reports whether an operation can have its result on a stored value, and returns the value stored after it.
+// step reports whether an operation on the stored value current can have its result, and returns the value stored
+// after it.
 func step(current Value, operation Operation) (possible bool, after Value) {
 	value := operation.Value
 	if operation.Read {
--- a/internal/scheduleexplorer/explorer.go
+++ b/internal/scheduleexplorer/explorer.go
@@ -1,9 +1,9 @@
-// Package scheduleexplorer runs a test under every interleaving of a few threads. Each thread runs the real code and
-// calls yield at the points where another thread may run; the explorer varies which thread runs there, until every
-// schedule has been tried.
+// Package scheduleexplorer runs a test under every interleaving of a few threads. Each thread runs the real code, and
+// calls yield at the points where another thread may run. The explorer varies which thread continues at each of these
+// points, until it has tried every schedule.
 //
-// Tests of concurrency rules use it, in package dispatch and others. One execution's state is shared by its threads and
-// the explorer, which hand over to each other so that only one of them runs at a time.
+// Tests of concurrent code use it, in package dispatch and others. The state of an execution is shared by its threads
+// and the explorer, which hand control to each other so that only one of them runs at a time.
 package scheduleexplorer
 
 import (
@@ -18,20 +18,20 @@
 // Execution is one run of the threads, under one schedule.
 type Execution struct {
 	threads    []*thread
-	trace      []string      // names of the threads that ran, in order
-	progressed chan struct{} // has a value after a thread yielded or ended
+	trace      []string      // name of the thread that ran at each step
+	progressed chan struct{} // one-element buffer; gets a value when a thread yields or ends
 }
 
-// thread is a thread of an execution. Its flags are atomic because a thread that the clock wakes is not synchronized
+// thread is a thread of an execution. Its flags are atomic because a thread that wakes from a timer is not synchronized
 // with the explorer in any other way.
 type thread struct {
 	name   string
-	resume chan struct{} // has a thread that yielded go on
-	parked atomic.Bool   // it has yielded
-	done   atomic.Bool
+	resume chan struct{} // a value makes the thread continue after yield
+	parked atomic.Bool   // the thread waits in yield
+	done   atomic.Bool   // the thread's body has returned
 }
 
-// Go adds a thread, which waits to be scheduled before it runs body.
+// Go adds a thread that runs body once the explorer schedules it. body calls yield where another thread may run.
 func (e *Execution) Go(name string, body func(yield func())) {
 	added := &thread{name: name, resume: make(chan struct{})}
 	e.threads = append(e.threads, added)
@@ -58,32 +58,33 @@
 
 // Outcome is the result of an exploration.
 type Outcome struct {
-	Schedules int    // that were tried
-	Failure   string // the first failure and the schedule that led to it, empty for none
+	Schedules int    // number of schedules tried
+	Failure   string // first failure and the schedule that led to it; empty if there was none
 }
 
-// maxVirtualWait is the virtual time without progress after which an execution is taken for deadlocked.
+// maxVirtualWait is the virtual time without progress after which an execution counts as deadlocked.
 const maxVirtualWait = 100 * time.Second
 
-// Explore runs build under every schedule. build starts threads and gives a check, which is called after every step
-// and at the end, and whose error is a failure. Explore stops at the first failure, and fails the test if there are
-// more schedules than maxSchedules.
+// Explore runs a test under every schedule. For each schedule it calls build, which adds the threads and returns a
+// check. The check is called before the first step and after every step, and its error is a failure. Explore stops at
+// the first failure, and fails the test if there are more schedules than maxSchedules. A deadlock panics.
 func Explore(t *testing.T, maxSchedules int, build func(t *testing.T, execution *Execution) (check func() error)) Outcome {
 	t.Helper()
 	var outcome Outcome
-	var choices []int // by step: index of the thread that runs, among those that can; then always the first
+	// By step, the index of the thread to run among those that can run. After the last choice the first thread runs.
+	var choices []int
 	for {
 		if outcome.Schedules == maxSchedules {
-			t.Fatalf("more than %d orders", maxSchedules)
+			t.Fatalf("more than %d schedules", maxSchedules)
 		}
 		outcome.Schedules++
-		var branchCounts []int // by step: how many threads could run
+		var branchCounts []int // number of threads that could run at each step
 		synctest.Test(t, func(t *testing.T) {
 			execution := &Execution{progressed: make(chan struct{}, 1)}
 			check := build(t, execution)
 			branchCounts = execution.execute(choices, func() bool {
 				if err := check(); err != nil && outcome.Failure == "" {
-					outcome.Failure = fmt.Sprintf("%v, after %s", err, strings.Join(execution.trace, " "))
+					outcome.Failure = fmt.Sprintf("%v, after schedule %s", err, strings.Join(execution.trace, " "))
 				}
 				return outcome.Failure == ""
 			})
@@ -97,8 +98,8 @@
 	}
 }
 
-// nextChoices gives the schedule after one that was tried, in depth-first order: it differs at the last step where
-// another thread could have run. It gives nil after the last schedule.
+// nextChoices returns the schedule that follows a tried one in depth-first order: it differs at the last step at which
+// a later thread could have run. It returns nil after the last schedule.
 func nextChoices(choices, branchCounts []int) []int {
 	next := make([]int, len(branchCounts))
 	copy(next, choices)
@@ -111,8 +112,9 @@
 	return nil
 }
 
-// execute runs the threads to their end, as choices say and then always the first that can run. It gives the number
-// of threads that could run at each step. check is called after each step until it gives false.
+// execute runs the threads to their end. It schedules them by choices and, after the last choice, always runs the first
+// thread that can run. It returns the number of threads that could run at each step. check is called before the first
+// step and after each step, until it returns false.
 func (e *Execution) execute(choices []int, check func() bool) (branchCounts []int) {
 	checking := true
 	for {
@@ -140,7 +142,8 @@
 	}
 }
 
-// discardProgress drops the signal of threads that have yielded or ended by now, as execute is about to look at them.
+// discardProgress drops the signal of threads that have already yielded or ended, because execute is about to examine
+// all threads.
 func (e *Execution) discardProgress() {
 	select {
 	case <-e.progressed:
@@ -148,7 +151,7 @@
 	}
 }
 
-// readyThreads gives the threads that can run, and the number of those that have not ended.
+// readyThreads returns the threads that can run, and the number of threads that have not ended.
 func (e *Execution) readyThreads() (ready []*thread, unfinished int) {
 	for _, candidate := range e.threads {
 		if !candidate.done.Load() {
@@ -161,11 +164,12 @@
 	return ready, unfinished
 }
 
-// awaitProgress lets virtual time pass until a thread yields or ends: every thread waits for the clock or for another.
+// awaitProgress lets virtual time pass until a thread yields or ends. It is called when no thread can run, so each one
+// waits for a timer or for another thread.
 func (e *Execution) awaitProgress() {
 	select {
 	case <-e.progressed:
 	case <-time.After(maxVirtualWait):
-		panic("deadlock, no thread can run after " + strings.Join(e.trace, " "))
+		panic("deadlock: no thread can run after schedule " + strings.Join(e.trace, " "))
 	}
 }
--- a/internal/scheduleexplorer/explorer_test.go
+++ b/internal/scheduleexplorer/explorer_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A read and a write in separate steps lose an update under some schedule, and the explorer finds it.
+// TestFindsALostUpdate checks that the explorer finds the schedule under which two threads that read and write a sum in
+// separate steps lose an update.
 func TestFindsALostUpdate(t *testing.T) {
 	count := func(atomic bool) Outcome {
 		return Explore(t, 1000, func(_ *testing.T, run *Execution) func() error {
@@ -29,14 +30,14 @@
 		})
 	}
 	if broken := count(false); broken.Failure == "" {
-		t.Error("the lost update was not found")
+		t.Errorf("read and write in separate steps: Explore = %+v, want a failure", broken)
 	}
 	if correct := count(true); correct.Failure != "" || correct.Schedules != 2 {
-		t.Errorf("two atomic steps gave %+v", correct)
+		t.Errorf("read and write in one step: Explore = %+v, want 2 schedules without a failure", correct)
 	}
 }
 
-// All schedules of three threads of two steps each are tried, each once.
+// TestExploresEverySchedule checks that every schedule of three threads with two steps each is tried exactly once.
 func TestExploresEverySchedule(t *testing.T) {
 	seen := map[string]bool{}
 	outcome := Explore(t, 1000, func(_ *testing.T, run *Execution) func() error {
@@ -58,6 +59,6 @@
 	})
 	// There are 6! / (2! 2! 2!) schedules.
 	if len(seen) != 90 || outcome.Schedules != 90 {
-		t.Errorf("%d schedules tried, %d seen, of 90", outcome.Schedules, len(seen))
+		t.Errorf("%d schedules tried and %d distinct orders seen, want 90 and 90", outcome.Schedules, len(seen))
 	}
 }
--- a/internal/statuspage/statuspage.go
+++ b/internal/statuspage/statuspage.go
@@ -1,19 +1,21 @@
-// Package statuspage is the JSON form of the status that programs show on their probe and operator listeners. People
-// and scripts read its keys, so these stay as they are when the messages between processes are renamed: the pages are
-// made from such messages here and nowhere else.
+// Package statuspage defines the JSON form of the status pages that programs serve on their probe and operator
+// listeners. People and scripts read its keys, so the keys stay when the messages between processes are renamed. Only
+// this package converts such messages to pages.
 //
-// The proxy, the registry and the store make their pages with it. It owns no state.
+// The proxy, the registry and the store build their pages with it. It has no state, so all functions are safe for
+// concurrent use.
 package statuspage
 
 import "meadowhinge/schema"
 
-// Version is a position in the log: the term of the leader that wrote the entry, then its sequence.
+// Version is a position in the replicated log: the term of the leader that wrote the entry, and the entry's sequence
+// number.
 type Version struct {
 	Term     uint64 `json:"epoch,omitempty"`
 	Sequence uint64 `json:"sequence,omitempty"`
 }
 
-// CoreMember is a member of the core, and where it is reached.
+// CoreMember is the identity and address of a member of the core.
 type CoreMember struct {
 	ID          string `json:"seat,omitempty"`
 	Address     string `json:"address,omitempty"`
@@ -24,74 +26,74 @@
 // Membership is the set of members whose stores form the quorum.
 type Membership struct {
 	Members       []*CoreMember `json:"members,omitempty"`
-	TargetSize    uint32        `json:"wanted,omitempty"` // how many members there should be
-	EffectiveFrom *Version      `json:"taken,omitempty"`  // entry that made these the members
-	Committed     *Version      `json:"committed,omitempty"`
+	TargetSize    uint32        `json:"wanted,omitempty"`    // number of members that the core should have
+	EffectiveFrom *Version      `json:"taken,omitempty"`     // log entry that set this membership
+	Committed     *Version      `json:"committed,omitempty"` // committed log position that this membership is part of
 }
 
 // Replica is the status of a store.
 type Replica struct {
-	Replica        string      `json:"replica,omitempty"`
-	Leader         string      `json:"leader,omitempty"` // empty where none is known
-	Term           uint64      `json:"epoch,omitempty"`
-	VotedTerm      uint64      `json:"voted_epoch,omitempty"`
-	Sequence       uint64      `json:"sequence,omitempty"`  // last appended
-	Durable        uint64      `json:"durable,omitempty"`   // last on this disk
-	Committed      uint64      `json:"committed,omitempty"` // last known to be committed
-	Member         bool        `json:"member,omitempty"`
-	Unfit          bool        `json:"unfit,omitempty"`              // must not lead
+	Replica        string      `json:"replica,omitempty"`            // member id of this store
+	Leader         string      `json:"leader,omitempty"`             // member id of the leader; empty if none is known
+	Term           uint64      `json:"epoch,omitempty"`              // term of this store's log
+	VotedTerm      uint64      `json:"voted_epoch,omitempty"`        // highest term in which this store voted
+	Sequence       uint64      `json:"sequence,omitempty"`           // sequence of the last appended log entry
+	Durable        uint64      `json:"durable,omitempty"`            // sequence of the last entry on this store's disk
+	Committed      uint64      `json:"committed,omitempty"`          // sequence of the last entry known to be committed
+	Member         bool        `json:"member,omitempty"`             // this store belongs to the membership
+	Unfit          bool        `json:"unfit,omitempty"`              // this store must not lead
 	Heard          []string    `json:"heard,omitempty"`              // members whose heartbeats arrive
-	RefusedPeers   uint64      `json:"refused_peers,omitempty"`      // wrong certificate or protocol, or malformed messages
-	Membership     *Membership `json:"membership,omitempty"`         // the latest appended, committed or not
-	Learners       []string    `json:"waiting,omitempty"`            // kept up to date here until there is room for them
-	DiskFailed     bool        `json:"refuses,omitempty"`            // the disk refuses writes
+	RefusedPeers   uint64      `json:"refused_peers,omitempty"`      // peers rejected for certificate, protocol or messages
+	Membership     *Membership `json:"membership,omitempty"`         // latest appended membership, committed or not
+	Learners       []string    `json:"waiting,omitempty"`            // replicas kept up to date that wait for a free place
+	DiskFailed     bool        `json:"refuses,omitempty"`            // writes to this store's disk fail
 	StalenessKnown bool        `json:"vouched,omitempty"`            // a majority has reported since this store started
 	StalenessNanos int64       `json:"majority_age_nanos,omitempty"` // nanoseconds since a majority reported nothing newer
 }
 
-// Lease is one proxy's lease as a registry has it.
+// Lease is a proxy's lease as a registry knows it.
 type Lease struct {
 	Proxy       string `json:"proxy,omitempty"`
-	Incarnation uint64 `json:"incarnation,omitempty"`
-	Applied     uint64 `json:"applied,omitempty"`    // configuration revision that the proxy uses
-	LeftNanos   int64  `json:"left_nanos,omitempty"` // nanoseconds until the lease runs out
+	Incarnation uint64 `json:"incarnation,omitempty"` // incarnation of the proxy that holds the lease
+	Applied     uint64 `json:"applied,omitempty"`     // configuration revision that the proxy uses
+	LeftNanos   int64  `json:"left_nanos,omitempty"`  // nanoseconds until the lease expires
 }
 
 // Registry is the status of a registry.
 type Registry struct {
-	Member                    string   `json:"seat,omitempty"`
-	GrantsLeases              bool     `json:"grants,omitempty"`
-	Committed                 uint64   `json:"stable,omitempty"` // newest committed configuration revision known
-	Leases                    []*Lease `json:"leases,omitempty"`
+	Member                    string   `json:"seat,omitempty"`           // member id of the core machine
+	GrantsLeases              bool     `json:"grants,omitempty"`         // this registry grants leases; it does not right after its start
+	Committed                 uint64   `json:"stable,omitempty"`         // newest committed configuration revision known
+	Leases                    []*Lease `json:"leases,omitempty"`         // leases of proxies, lagging or not
 	StaleSteps                uint64   `json:"stale_steps,omitempty"`    // rollout steps refused for a controller with a later term
-	RefusedPeers              uint64   `json:"refused_peers,omitempty"`  // wrong certificate or protocol, or malformed messages
-	KeyReservations           uint64   `json:"claims,omitempty"`         // idempotency keys reserved here
-	ReservationsAuthoritative bool     `json:"claims_count,omitempty"`   // counts towards the majority of a reservation
-	RefusedReservations       uint64   `json:"refused_claims,omitempty"` // of unauthorized peers, of old incarnations, or beyond the limit
+	RefusedPeers              uint64   `json:"refused_peers,omitempty"`  // peers rejected for certificate, protocol or messages
+	KeyReservations           uint64   `json:"claims,omitempty"`         // unexpired idempotency keys reserved at this registry
+	ReservationsAuthoritative bool     `json:"claims_count,omitempty"`   // its reservations count towards the required majority
+	RefusedReservations       uint64   `json:"refused_claims,omitempty"` // from unauthorized peers, from old incarnations, or over the limit
 	ConflictingSettings       []string `json:"odd,omitempty"`            // settings of other processes that contradict this registry's
-	MayControlRollouts        bool     `json:"steers,omitempty"`         // may be the rollout controller
-	Sessions                  uint32   `json:"sessions,omitempty"`       // of proxies, open here
-	FleetSize                 uint32   `json:"members,omitempty"`        // proxies known to live
-	StalenessKnown            bool     `json:"vouched,omitempty"`        // it knows how old its configuration may be
+	MayControlRollouts        bool     `json:"steers,omitempty"`         // this registry may be the rollout controller
+	Sessions                  uint32   `json:"sessions,omitempty"`       // open sessions of proxies at this registry
+	FleetSize                 uint32   `json:"members,omitempty"`        // proxies known to be alive
+	StalenessKnown            bool     `json:"vouched,omitempty"`        // StalenessNanos is known
 	StalenessNanos            int64    `json:"age_nanos,omitempty"`      // nanoseconds since its configuration was known to be the newest
-	Reachable                 []string `json:"reached,omitempty"`        // other registries heard from
+	Reachable                 []string `json:"reached,omitempty"`        // other registries that this registry hears from
 }
 
-// Worker is a worker as the proxy beside it describes it.
+// Worker is a worker as described by the proxy beside it.
 type Worker struct {
-	Instance         string  `json:"instance,omitempty"`
+	Instance         string  `json:"instance,omitempty"` // id of the worker
 	Service          string  `json:"service,omitempty"`
 	Version          string  `json:"version,omitempty"`
 	Zone             string  `json:"area,omitempty"`
 	Load             float64 `json:"load,omitempty"`
-	Draining         bool    `json:"leaving,omitempty"`
-	Terminated       bool    `json:"gone,omitempty"`
-	UptimeNanos      int64   `json:"sound_since_nanos,omitempty"` // when the worker described itself
-	Slots            uint32  `json:"slots,omitempty"`             // requests it works on at once, 0 if it does not say
-	WarmupLeftNanos  int64   `json:"warm_nanos,omitempty"`        // remaining slow start
-	Running          uint32  `json:"running,omitempty"`           // requests it works on
-	Queued           uint32  `json:"waiting,omitempty"`           // requests that wait, at the worker and at its proxy
-	ServiceTimeNanos int64   `json:"pace_nanos,omitempty"`        // moving mean of the execution time of a request, 0 if not known
+	Draining         bool    `json:"leaving,omitempty"`           // the worker accepts no new requests
+	Terminated       bool    `json:"gone,omitempty"`              // the worker has ended
+	UptimeNanos      int64   `json:"sound_since_nanos,omitempty"` // time of the description; not set by any program yet
+	Slots            uint32  `json:"slots,omitempty"`             // requests that the worker can execute at the same time; 0 if not stated
+	WarmupLeftNanos  int64   `json:"warm_nanos,omitempty"`        // remaining slow start, in nanoseconds
+	Running          uint32  `json:"running,omitempty"`           // requests that the worker executes now
+	Queued           uint32  `json:"waiting,omitempty"`           // requests that wait at the worker and at its proxy
+	ServiceTimeNanos int64   `json:"pace_nanos,omitempty"`        // moving mean of a request's execution time; 0 if unknown
 }
 
 // convertAll converts the elements of a list; a nil list stays nil, which JSON shows as null.
@@ -122,7 +124,7 @@
 	}
 }
 
-// CoreMembersOf returns the page's form of members of the core.
+// CoreMembersOf converts members of the core to the form of the pages.
 func CoreMembersOf(members []*schema.CoreMember) []*CoreMember {
 	return convertAll(members, coreMemberOf)
 }
@@ -139,7 +141,7 @@
 	}
 }
 
-// ReplicaOf returns the page for the status of a store, nil for nil.
+// ReplicaOf converts the status of a store to its page. It returns nil for nil.
 func ReplicaOf(status *schema.ReplicaStatus) *Replica {
 	if status == nil {
 		return nil
@@ -164,7 +166,8 @@
 	}
 }
 
-// leaseOf makes the page's form of a lease. In a RegistryStatus a Laggard is any lease, lagging or not.
+// leaseOf converts a lease to the form of the pages. In a RegistryStatus, each Laggard is a lease, whether or not its
+// proxy lags.
 func leaseOf(lease *schema.Laggard) *Lease {
 	return &Lease{
 		Proxy:       lease.Proxy,
@@ -174,7 +177,7 @@
 	}
 }
 
-// RegistryOf returns the page for the status of a registry, nil for nil.
+// RegistryOf converts the status of a registry to its page. It returns nil for nil.
 func RegistryOf(status *schema.RegistryStatus) *Registry {
 	if status == nil {
 		return nil
@@ -199,7 +202,7 @@
 	}
 }
 
-// RegistriesOf returns the pages for the status of several registries.
+// RegistriesOf converts the status of several registries to their pages.
 func RegistriesOf(statuses []*schema.RegistryStatus) []*Registry {
 	return convertAll(statuses, RegistryOf)
 }
@@ -222,5 +225,5 @@
 	}
 }
 
-// WorkersOf returns the page's form of the workers beside a proxy.
+// WorkersOf converts the workers beside a proxy to the form of the pages.
 func WorkersOf(workers []*schema.Worker) []*Worker { return convertAll(workers, workerOf) }
