--- a/cmd/golden_test.go
+++ b/cmd/golden_test.go
@@ -1,12 +1,11 @@
-// Package cmd_test holds golden lists of what scripts and supervisors see of our programs: exit codes,
-// help texts and the pages that are served. There is nothing here but tests.
+// Package cmd_test compares the interfaces that scripts and supervisors rely on with golden files: the exit
+// codes, command lines and served pages of all programs. It contains only tests.
 package cmd_test
 
 import (
 	"context"
 	"errors"
 	"fmt"
-	"meadowhinge/internal/goldenfile"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -19,12 +18,14 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"meadowhinge/internal/goldenfile"
 )
 
-// binaries is where the programs were built.
+// binaries is the directory into which TestMain builds the programs.
 var binaries string
 
-// TestMain builds all programs once, so that what is tested is what is shipped.
+// TestMain builds all programs once, so that the tests run the real executables.
 func TestMain(m *testing.M) { os.Exit(buildAndTest(m)) }
 
 func buildAndTest(m *testing.M) int {
@@ -33,7 +34,7 @@
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(folder) }() // a temporary folder
+	defer func() { _ = os.RemoveAll(folder) }() // an error leaves only a temporary folder behind
 	binaries = folder
 	if out, err := exec.Command("go", "build", "-o", folder+string(filepath.Separator), "./...").CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "go build: %v\n%s", err, out)
@@ -42,13 +43,14 @@
 	return m.Run()
 }
 
-// exitResult is how a program ended.
+// exitResult is the exit code and output of a program that ended.
 type exitResult struct {
 	code        int
-	out, errors string
+	out, errors string // standard output and standard error
 }
 
-// runProgram runs a program until it ends by itself.
+// runProgram runs a program until it ends by itself, with in as its standard input. It fails the test if the
+// program does not end within 20 s.
 func runProgram(t *testing.T, environment []string, program string, in string, args ...string) exitResult {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -57,21 +59,22 @@
 	var out, errOut strings.Builder
 	command.Stdin, command.Stdout, command.Stderr = strings.NewReader(in), &out, &errOut
 	command.Env = append(environment, "PATH="+os.Getenv("PATH"), "TMPDIR="+t.TempDir())
-	// What it starts ends with it, should a case that is refused now be taken some day.
+	// The program gets a process group of its own, so that killing it also kills its children if a command line
+	// that is rejected now is ever accepted.
 	command.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	command.Cancel = func() error { return syscall.Kill(-command.Process.Pid, syscall.SIGKILL) }
 	err := command.Run()
 	var exit *exec.ExitError
 	if err != nil && !errors.As(err, &exit) || ctx.Err() != nil {
-		t.Fatalf("%s %q: %v", program, args, err)
+		t.Fatalf("%s %q: error %v, context %v; want an exit code", program, args, err, ctx.Err())
 	}
 	return exitResult{command.ProcessState.ExitCode(), out.String(), errOut.String()}
 }
 
-// unreachableAddress is an address at which nobody answers.
+// unreachableAddress is an address without a listener.
 const unreachableAddress = "127.0.0.1:1"
 
-// TestExitCodesGolden holds the exit codes of all programs, by case.
+// TestExitCodesGolden compares the exit code of every program in each case with the golden file.
 func TestExitCodesGolden(t *testing.T) {
 	folder := t.TempDir()
 	write := func(name, text string) string {
@@ -167,7 +170,7 @@
 	add("unknown change", "tracer", "-registries", trace(`{"seat":"a"}`), "x")
 	add("store silent", "tracer", "-registries", trace(`{"seat":"a","storeSilent":true}`), "x")
 	add("broken answer", "tracer", "-registries", trace(`{`), "x")
-	// Where there are no programs no fleet can come up, whatever becomes of these cases.
+	// In an empty directory of programs no fleet can start, even if one of these command lines is accepted.
 	noBinaries := "-binaries=" + t.TempDir()
 	add("version", emulator, noBinaries, "-version")
 	add("unknown deployment", emulator, noBinaries, "-deployment", "no-such-deployment")
@@ -192,13 +195,14 @@
 	goldenfile.Compare(t, "exit-codes.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// emulator is the program that brings up fleets. It may be given another name; the golden lists go by
-// emulatorLabel whatever that name is.
+// emulator is the name of the program that runs fleets, and emulatorLabel its name in the golden files, which
+// stays if the program is renamed.
 const (
 	emulator      = "testbed"
 	emulatorLabel = "emulator"
 )
 
+// labelOf returns the name of a program in the golden files.
 func labelOf(program string) string {
 	if program == emulator {
 		return emulatorLabel
@@ -207,12 +211,12 @@
 }
 
 var (
-	columnGap  = regexp.MustCompile(`\s{2,}`)
-	defaultsTo = regexp.MustCompile(`\(default .*\)`)
+	columnGap      = regexp.MustCompile(`\s{2,}`)
+	defaultPattern = regexp.MustCompile(`\(default .*\)`)
 )
 
-// outlineOf keeps of a help text what scripts rely on: verbs, usage, flags, their forms and defaults. The
-// words that explain them are not held.
+// outlineOf reduces a help text to the parts that scripts rely on: subcommands, usage lines, flags, and their
+// types and defaults. Explanations are left out.
 func outlineOf(help string) string {
 	var outline strings.Builder
 	section := ""
@@ -222,8 +226,8 @@
 		case line == strings.ToUpper(line) && strings.TrimSpace(line) != "":
 			section = line
 		case strings.HasPrefix(line, "\t") || strings.HasPrefix(line, "    \t"):
-			if preset := defaultsTo.FindString(line); preset != "" {
-				fmt.Fprintln(&outline, "     ", preset)
+			if defaultText := defaultPattern.FindString(line); defaultText != "" {
+				fmt.Fprintln(&outline, "     ", defaultText)
 			}
 		case strings.HasPrefix(line, "  -"):
 			fmt.Fprintln(&outline, " ", columnGap.Split(strings.TrimSpace(line), 2)[0])
@@ -236,8 +240,8 @@
 	return outline.String()
 }
 
-// TestHelpGolden holds the command lines of the programs whose settings do not come from the schema: verbs,
-// flags and defaults that scripts rely on.
+// TestHelpGolden compares the outlines of the help texts with the golden file, for the programs whose settings
+// do not come from the schema.
 func TestHelpGolden(t *testing.T) {
 	var listed strings.Builder
 	for _, commandLine := range [][]string{{"operator"}, {"operator", "apply"}, {"operator", "outcome"}, {"operator", "show"}, {"operator", "verdicts"}, {"operator", "releases"},
@@ -249,14 +253,15 @@
 	goldenfile.Compare(t, "help.txt", listed.String())
 }
 
-// TestPagesServedGolden starts each of the three programs by itself and holds which paths it serves.
+// TestPagesServedGolden starts the proxy, the registry and the store, each by itself, and compares the paths that
+// they serve with the golden file.
 func TestPagesServedGolden(t *testing.T) {
 	freeAddress := func() string {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer func() { _ = listener.Close() }() // its port is all that is needed
+		defer func() { _ = listener.Close() }() // only its port number is needed
 		return listener.Addr().String()
 	}
 	var listed strings.Builder
@@ -288,7 +293,7 @@
 	goldenfile.Compare(t, "pages.txt", listed.String())
 }
 
-// awaitListener waits until an address takes connections.
+// awaitListener waits until an address accepts connections, and fails the test after 4 s.
 func awaitListener(t *testing.T, address string) {
 	t.Helper()
 	deadline := time.After(4 * time.Second)
@@ -302,12 +307,12 @@
 		select {
 		case <-poll.C:
 		case <-deadline:
-			t.Fatalf("nobody listens at %s", address)
+			t.Fatalf("%s accepts no connections after 4 s", address)
 		}
 	}
 }
 
-// servedOrNot tells whether there is a page, whatever it says.
+// servedOrNot returns "no page" for a response with status 404, and "served" for any other response.
 func servedOrNot(t *testing.T, method, address, path string) string {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address+path, strings.NewReader("{"))
@@ -318,7 +323,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = response.Body.Close() }() // nothing of it is read
+	defer func() { _ = response.Body.Close() }() // the body is not read
 	if response.StatusCode == http.StatusNotFound {
 		return "no page"
 	}
--- a/cmd/operator/change.go
+++ b/cmd/operator/change.go
@@ -5,6 +5,7 @@
 	"crypto/rand"
 	"encoding/hex"
 	"encoding/json"
+	"fmt"
 	"io"
 	"maps"
 	"net/http"
@@ -35,7 +36,7 @@
 	})
 }
 
-// apply submits the change written in a file; the file "-" is standard input.
+// apply submits the change written in a CUE file. The file name "-" means standard input.
 func (c *client) apply(ctx context.Context, file, id string) error {
 	text, err := os.ReadFile(file)
 	if file == "-" {
@@ -47,8 +48,8 @@
 	return c.submitChange(ctx, id, text)
 }
 
-// submitChange submits a change on top of the configuration in force, waits for its outcome and
-// prints it. An empty id gets a random one.
+// submitChange submits a change, written in CUE, on top of the configuration in force. It waits for the
+// outcome and prints it. An empty id is replaced by a random one.
 func (c *client) submitChange(ctx context.Context, id string, text []byte) error {
 	if id == "" {
 		id = newChangeID()
@@ -62,7 +63,7 @@
 		for _, fault := range faults {
 			printf(c.errOut, "%s: %s\n", fault.Path, fault.Reason)
 		}
-		return &exitError{exitRejected, errs.New(errs.InvalidConfig, "nothing of it was sent")}
+		return &exitError{exitRejected, errs.New(errs.InvalidConfig, fmt.Sprintf("setup has %d faults, nothing was sent", len(faults)))}
 	}
 	submission := registry.ChangeRequest{
 		ID:               id,
@@ -76,15 +77,15 @@
 	return c.printOutcome(status, body)
 }
 
-// newChangeID draws an id that no other change has.
+// newChangeID returns a random id of 64 bits, so that no other change has it.
 func newChangeID() string {
 	random := make([]byte, 8)
-	_, _ = rand.Read(random) // never fails: crypto/rand ends the program instead
+	_, _ = rand.Read(random) // never returns an error: crypto/rand ends the program instead
 	return "change-" + hex.EncodeToString(random)
 }
 
-// expectedVersions gives the version in force of each item that a change touches: the registry
-// rejects the change if one of them has moved on meanwhile.
+// expectedVersions returns the current version of each existing item that a change modifies, by
+// config.Key. The registry rejects the change if one of these items has another version by then.
 func expectedVersions(changed []*schema.Item, current []registry.ItemView) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, item := range changed {
@@ -116,8 +117,9 @@
 	})
 }
 
-// printOutcome prints a registry's response to a change; its error carries the exit code that the
-// outcome asks for, and is nil only for a change that is accepted and acknowledged.
+// printOutcome prints a registry's response to a change. It returns nil only for a change that is accepted
+// and acknowledged. Otherwise it returns an exitError: exitUnreachable if the outcome is not final, else
+// exitRejected.
 func (c *client) printOutcome(status int, body []byte) error {
 	var outcome registry.ChangeResponse
 	if err := json.Unmarshal(body, &outcome); err != nil {
@@ -132,11 +134,12 @@
 	case outcome.Ruling == "accepted" && outcome.Acknowledged:
 		return nil
 	case outcome.Ruling == "accepted" || status == http.StatusServiceUnavailable:
-		return &exitError{exitUnreachable, errs.New(errs.NoQuorum, "not settled; ask again with: operator outcome "+outcome.ID)}
+		return &exitError{exitUnreachable, errs.New(errs.NoQuorum, "outcome is not final; ask again with: operator outcome "+outcome.ID)}
 	}
 	return &exitError{exitRejected, errs.New(outcome.ErrorCode, outcome.ID)}
 }
 
+// printOutcomeText prints the outcome of a change, its faults, and the items that it conflicts with.
 func (c *client) printOutcomeText(outcome *registry.ChangeResponse) {
 	printf(c.out, "change %s: %s", outcome.ID, outcome.Ruling)
 	if outcome.Sequence > 0 {
@@ -153,7 +156,7 @@
 		printf(c.out, "  %s: %s\n", fault.Path, fault.Reason)
 	}
 	for _, key := range slices.Sorted(maps.Keys(outcome.CurrentVersions)) {
-		printf(c.out, "  %s stands at %d\n", key, outcome.CurrentVersions[key])
+		printf(c.out, "  %s is at version %d\n", key, outcome.CurrentVersions[key])
 	}
 	for _, item := range outcome.CurrentItems {
 		printf(c.out, "  %s/%s, by change %s: %s\n", item.Kind, item.Name, item.Change, item.Body)
--- a/cmd/operator/client.go
+++ b/cmd/operator/client.go
@@ -16,26 +16,27 @@
 	"meadowhinge/internal/options"
 )
 
-// client calls the operators' interface of the registries. The global flags fill in registries,
-// timeout and asJSON before a subcommand runs.
+// client calls the operators' HTTP interface of the registries. The global flags set registries, timeout
+// and asJSON before a subcommand runs.
 type client struct {
 	registries string        // IP:port of each registry, separated by commas
-	timeout    time.Duration // for one call to one registry
-	asJSON     bool          // print responses as they came
-	in         io.Reader
-	out        io.Writer
-	errOut     io.Writer
+	timeout    time.Duration // bound of one call to one registry
+	asJSON     bool          // print response bodies unchanged instead of as text
+	in         io.Reader     // standard input
+	out        io.Writer     // standard output
+	errOut     io.Writer     // standard error
 }
 
-// decoding returns a copy of the client whose get always decodes, whatever -json says.
+// decoding returns a copy of the client whose get always decodes the response, regardless of -json.
 func (c *client) decoding() *client {
 	decoding := *c
 	decoding.asJSON = false
 	return &decoding
 }
 
-// request calls one registry after another until one answers, and returns that one's status and
-// body. If every registry that answers a GET is unavailable, the last such response is returned.
+// request calls one registry after another until one answers, and returns the status and body of its
+// response. A GET that is answered with 503 is tried at the next registry. If no registry gives another
+// response, the last 503 is returned. If none responds at all, the error is NoQuorum.
 func (c *client) request(ctx context.Context, method, path string, body any) (int, []byte, error) {
 	var encoded []byte
 	if body != nil {
@@ -59,8 +60,8 @@
 			unreachable = append(unreachable, address)
 			continue
 		}
-		// A registry that has just started may not know yet. A read has no effect, so another
-		// registry is asked.
+		// A registry that has just started may not know the answer yet. A read has no effect, so it
+		// can be sent to another registry.
 		if method == http.MethodGet && status == http.StatusServiceUnavailable {
 			unavailable = text
 			continue
@@ -73,8 +74,9 @@
 	return 0, nil, errs.New(errs.NoQuorum, "no answer from "+strings.Join(unreachable, ", "))
 }
 
-// requestFrom calls one registry and reads its complete response. A path that is no URL, made of an
-// argument such as the change id "%zz", is an exitError: no other registry can answer it either.
+// requestFrom calls one registry and reads its complete response. A failed call is a NoQuorum error. A
+// path that is not a valid URL, for example because of the change id "%zz", is an exitError with
+// exitUsage, because no other registry can answer it either.
 func (c *client) requestFrom(ctx context.Context, address, method, path string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -87,7 +89,7 @@
 	if err != nil {
 		return 0, nil, errs.Wrap(err, errs.NoQuorum, address)
 	}
-	defer func() { _ = response.Body.Close() }() // read to its end, or failed already
+	defer func() { _ = response.Body.Close() }() // the body was read to its end, or reading it failed
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, nil, errs.Wrap(err, errs.NoQuorum, address)
@@ -95,8 +97,8 @@
 	return response.StatusCode, text, nil
 }
 
-// get reads a page and decodes it into target. With -json it prints the page as it came instead,
-// and returns printed as true.
+// get requests a page and decodes its JSON into target. With -json it prints the page unchanged instead
+// and returns printed as true. A status other than 200 is an exitError with exitRejected.
 func (c *client) get(ctx context.Context, path string, target any) (printed bool, err error) {
 	status, text, err := c.request(ctx, http.MethodGet, path, nil)
 	if err != nil {
--- a/cmd/operator/errors.go
+++ b/cmd/operator/errors.go
@@ -2,27 +2,27 @@
 
 import "errors"
 
-// Exit codes, so that a script can tell the kinds of failure apart.
+// Exit codes, which let scripts tell the kinds of failure apart.
 const (
 	exitRejected    = 1 // the mesh rejected the request
-	exitUsage       = 2
+	exitUsage       = 2 // the command line or a file that it names is invalid
 	exitUnreachable = 3 // no registry answered, or the outcome is not known
 )
 
-// exitError is an error of a command together with the exit code that it asks for.
+// exitError is the error of a command together with the program's exit code.
 type exitError struct {
-	code int
+	code int // one of the exit codes above
 	err  error
 }
 
-// Error is the text of the error that the command failed with.
+// Error returns the text of the command's error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap gives the error that the command failed with.
+// Unwrap returns the command's error.
 func (e *exitError) Unwrap() error { return e.err }
 
-// asUnreachable gives an error of client.request the exit code for an unreachable mesh, unless the
-// error asks for an exit code already.
+// asUnreachable returns an error of client.request with the exit code exitUnreachable. An error that
+// already has an exit code is returned unchanged.
 func asUnreachable(err error) error {
 	var exit *exitError
 	if errors.As(err, &exit) {
--- a/cmd/operator/explain.go
+++ b/cmd/operator/explain.go
@@ -36,7 +36,7 @@
 	})
 }
 
-// explain asks a registry which version a request would get, and prints the answer.
+// explain asks a registry which version a request would get, and prints its explanation.
 func (c *client) explain(ctx context.Context, query registry.ExplainRequest) error {
 	status, body, err := c.request(ctx, http.MethodPost, "/v1/explain", query)
 	if err != nil {
@@ -57,12 +57,13 @@
 	return nil
 }
 
-// printExplanation prints which version a request would get, and why.
+// printExplanation prints the route of a request, its policy's decision, and the version that it would
+// get with the flag, rule and reason that select it.
 func (c *client) printExplanation(explanation *registry.ExplainResponse) {
 	printf(c.out, "route %s of service %s, %s, within %s\n",
 		explanation.Route, explanation.Service, explanation.Class, explanation.Deadline)
 	if explanation.Policy != "" {
-		result := "holds"
+		result := "allows it"
 		if explanation.Refused {
 			result = "refuses it"
 		}
--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -16,7 +16,8 @@
 	return c.exitCode(newRootCommand(c).ParseAndRun(context.Background(), args))
 }
 
-// exitCode prints why a command failed, if it did, and returns the exit code for it.
+// exitCode returns the exit code for a command's error, which it prints to standard error. A nil error
+// and a request for help give 0.
 func (c *client) exitCode(err error) int {
 	if err == nil || errors.Is(err, flag.ErrHelp) {
 		return 0
--- a/cmd/operator/main_test.go
+++ b/cmd/operator/main_test.go
@@ -11,8 +11,9 @@
 	"meadowhinge/internal/registry"
 )
 
-// fakeRegistry serves the operators' interface of a registry with one fixed response for each page,
-// all under one status if it is not 0, and collects what it was asked.
+// fakeRegistry serves the operators' interface of a registry with one fixed response for each method and
+// path. If status is not 0, every response has that status. The requests that it gets are appended to
+// requests.
 func fakeRegistry(t *testing.T, pages map[string]string, status int) (address string, requests *[]string) {
 	t.Helper()
 	requests = &[]string{}
@@ -37,6 +38,7 @@
 	return strings.TrimPrefix(server.URL, "http://"), requests
 }
 
+// goodPages are the responses of a healthy registry, by method and path.
 var goodPages = map[string]string{
 	"GET /v1/setup":       `{"sequence":7,"items":[{"kind":"segment","name":"s","version":3,"change":"ann-1","body":{"salt":"a"}}]}`,
 	"POST /v1/changes":    `{"id":"x","ruling":"accepted","sequence":8,"acknowledged":true}`,
@@ -82,32 +84,32 @@
 			var out, errOut bytes.Buffer
 			*requests = nil
 			if code := run(append([]string{"-registries", address}, testCase.args...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !strings.Contains(out.String(), testCase.wantOutput) {
-				t.Errorf("%v: code %d, %q, %q", testCase.args, code, out.String(), errOut.String())
+				t.Errorf("exit code %d, output %q, errors %q; want code 0 and output with %q", code, out.String(), errOut.String(), testCase.wantOutput)
 			}
 			if sent := strings.Join(*requests, "\n"); !strings.Contains(sent, testCase.wantRequest) {
-				t.Errorf("%v: asked %s", testCase.args, sent)
+				t.Errorf("sent the requests\n%s\nwant one with %q", sent, testCase.wantRequest)
 			}
 			if testCase.args[0] == "-version" || len(testCase.args) > 4 && testCase.args[1] == "-watch" {
 				return
 			}
 			out.Reset()
 			if code := run(append([]string{"-registries", address, "-json"}, testCase.args...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !json.Valid(out.Bytes()) {
-				t.Errorf("%v as JSON: code %d, %q", testCase.args, code, out.String())
+				t.Errorf("with -json: exit code %d, output %q; want code 0 and valid JSON", code, out.String())
 			}
 			out.Reset()
 			if code := run([]string{testCase.args[0], "-help"}, nil, &out, &errOut); code != 0 || !strings.Contains(errOut.String(), "operator [flags] "+testCase.args[0]) {
-				t.Errorf("%s -help: code %d, %q", testCase.args[0], code, errOut.String())
+				t.Errorf("%s -help: exit code %d, errors %q; want code 0 and the usage line", testCase.args[0], code, errOut.String())
 			}
 		})
 	}
 }
 
-// TestExitCodes checks that each kind of failure has its exit code and names its cause.
+// TestExitCodes checks that each kind of failure has its own exit code and that the output names the cause.
 func TestExitCodes(t *testing.T) {
 	good, _ := fakeRegistry(t, goodPages, 0)
 	unavailable, _ := fakeRegistry(t, nil, http.StatusServiceUnavailable)
-	with := func(page, answer string) string {
-		pages := map[string]string{"GET /v1/setup": goodPages["GET /v1/setup"], page: answer}
+	withPage := func(page, response string) string {
+		pages := map[string]string{"GET /v1/setup": goodPages["GET /v1/setup"], page: response}
 		address, _ := fakeRegistry(t, pages, 0)
 		return address
 	}
@@ -121,29 +123,29 @@
 		code       int
 		wantOutput string
 	}{
-		"nobody there":                        {unreachable, []string{"show"}, "", exitUnreachable, unreachable},
-		"one of three is dead":                {unreachable + "," + good, []string{"show"}, "", 0, "setup 7"},
-		"one of three is young":               {unavailable + "," + good, []string{"show"}, "", 0, "setup 7"},
-		"all are young":                       {unavailable, []string{"show"}, "", exitRejected, "NO_MAJORITY"},
-		"a change, one of three dead":         {unreachable + "," + good, []string{"apply", "-"}, `segment: t: {salt: ""}`, 0, "accepted"},
-		"no such command":                     {good, []string{"dance"}, "", exitUsage, "no such command"},
-		"too few words":                       {good, []string{"apply"}, "", exitUsage, "usage"},
-		"no such flag":                        {good, []string{"show", "-colour"}, "", exitUsage, "colour"},
-		"an address that is none":             {"here", []string{"show"}, "", exitUnreachable, "is not IP:port"},
-		"no such file":                        {good, []string{"apply", "/nowhere"}, "", exitUsage, "BAD_OPTIONS"},
-		"a setup that breaks the schema":      {good, []string{"apply", "-"}, `route: r: {prefix: 4}`, exitRejected, "route.r.prefix"},
-		"a plan without its version":          {good, []string{"release", "-service", "shop", "new"}, "", exitUsage, "needs -service and -version"},
-		"an outcome of an id that is no URL":  {good, []string{"outcome", "%zz"}, "", exitUsage, "BAD_OPTIONS"},
-		"an outcome nobody knows":             {good, []string{"outcome", "never"}, "", exitRejected, "UNKNOWN_CHANGE"},
-		"not yet acknowledged":                {with("POST /v1/changes", `{"id":"x","ruling":"accepted","acknowledged":false,"waiting":["p"]}`), []string{"apply", "-"}, `segment: t: {salt: ""}`, exitUnreachable, "operator outcome x"},
-		"a conflict tells what stands, whose": {with("POST /v1/changes", string(conflict)), []string{"apply", "-"}, `segment: s: {salt: "mine"}`, exitRejected, `by change ben-4: {"salt":"his"}`},
-		"an answer that is none":              {with("POST /v1/changes", `{`), []string{"apply", "-"}, `segment: t: {salt: ""}`, exitUnreachable, "MALFORMED"},
+		"no registry reachable":                {unreachable, []string{"show"}, "", exitUnreachable, unreachable},
+		"one of two registries is down":        {unreachable + "," + good, []string{"show"}, "", 0, "setup 7"},
+		"one of two registries is unavailable": {unavailable + "," + good, []string{"show"}, "", 0, "setup 7"},
+		"all registries are unavailable":       {unavailable, []string{"show"}, "", exitRejected, "NO_MAJORITY"},
+		"change while one registry is down":    {unreachable + "," + good, []string{"apply", "-"}, `segment: t: {salt: ""}`, 0, "accepted"},
+		"unknown command":                      {good, []string{"dance"}, "", exitUsage, "no such command"},
+		"missing argument":                     {good, []string{"apply"}, "", exitUsage, "usage"},
+		"unknown flag":                         {good, []string{"show", "-colour"}, "", exitUsage, "colour"},
+		"malformed registry address":           {"here", []string{"show"}, "", exitUnreachable, "is not IP:port"},
+		"missing setup file":                   {good, []string{"apply", "/nowhere"}, "", exitUsage, "BAD_OPTIONS"},
+		"setup that violates the schema":       {good, []string{"apply", "-"}, `route: r: {prefix: 4}`, exitRejected, "route.r.prefix"},
+		"new plan without a version":           {good, []string{"release", "-service", "shop", "new"}, "", exitUsage, "needs -service and -version"},
+		"change id that is not a valid path":   {good, []string{"outcome", "%zz"}, "", exitUsage, "BAD_OPTIONS"},
+		"outcome of an unknown change":         {good, []string{"outcome", "never"}, "", exitRejected, "UNKNOWN_CHANGE"},
+		"change not acknowledged yet":          {withPage("POST /v1/changes", `{"id":"x","ruling":"accepted","acknowledged":false,"waiting":["p"]}`), []string{"apply", "-"}, `segment: t: {salt: ""}`, exitUnreachable, "operator outcome x"},
+		"conflict shows the current item":      {withPage("POST /v1/changes", string(conflict)), []string{"apply", "-"}, `segment: s: {salt: "mine"}`, exitRejected, `by change ben-4: {"salt":"his"}`},
+		"malformed response":                   {withPage("POST /v1/changes", `{`), []string{"apply", "-"}, `segment: t: {salt: ""}`, exitUnreachable, "MALFORMED"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out, errOut bytes.Buffer
 			code := run(append([]string{"-registries", testCase.registries, "-timeout", "2s"}, testCase.args...), strings.NewReader(testCase.in), &out, &errOut)
 			if all := out.String() + errOut.String(); code != testCase.code || !strings.Contains(all, testCase.wantOutput) {
-				t.Errorf("%s: code %d, want %d: %q", name, code, testCase.code, all)
+				t.Errorf("exit code %d, output %q; want code %d and output with %q", code, all, testCase.code, testCase.wantOutput)
 			}
 		})
 	}
--- a/cmd/operator/output.go
+++ b/cmd/operator/output.go
@@ -7,8 +7,8 @@
 	"text/tabwriter"
 )
 
-// printf and printLine write to the terminal or to a pipe. A failed write goes unreported: there is
-// nowhere left to report it, and a reader that closed the pipe has seen what it wanted.
+// printf and printLine write to the terminal or to a pipe. They ignore failed writes, because there is
+// nowhere left to report them, and a reader that closes the pipe has read what it needs.
 func printf(out io.Writer, format string, values ...any) {
 	_, _ = fmt.Fprintf(out, format, values...)
 }
@@ -17,7 +17,8 @@
 	_, _ = fmt.Fprintln(out, values...)
 }
 
-// printTable prints rows under a header whose columns are separated by blanks.
+// printTable prints rows under a header in aligned columns. header has the column names, separated by
+// blanks.
 func (c *client) printTable(header string, rows [][]any) {
 	writer := tabwriter.NewWriter(c.out, 0, 4, 2, ' ', 0)
 	printLine(writer, strings.ReplaceAll(header, " ", "\t"))
@@ -30,5 +31,5 @@
 		}
 		printLine(writer)
 	}
-	_ = writer.Flush() // fails only with the terminal or pipe, as in printf
+	_ = writer.Flush() // a failed write is ignored, as in printf
 }
--- a/cmd/operator/release.go
+++ b/cmd/operator/release.go
@@ -32,8 +32,8 @@
 	})
 }
 
-// changeRelease submits a release plan. If a plan of this name exists, its fields are kept where no
-// flag was set.
+// changeRelease submits a release plan. If a plan of this name exists, it keeps the fields whose flags
+// were not set.
 func (c *client) changeRelease(ctx context.Context, name string, plan *registry.ReleaseView, setFlags map[string]bool) error {
 	var shown []registry.ReleaseView
 	if _, err := c.decoding().get(ctx, "/v1/releases", &shown); err != nil {
@@ -45,7 +45,7 @@
 		}
 	}
 	if plan.Service == "" || plan.Version == "" {
-		return &exitError{exitUsage, errs.New(errs.InvalidOptions, "release: a new plan needs -service and -version")}
+		return &exitError{exitUsage, errs.New(errs.InvalidOptions, fmt.Sprintf("release: the new plan %q needs -service and -version", name))}
 	}
 	return c.submitChange(ctx, "", fmt.Appendf(nil, "release: %q: {service: %q, version: %q, target: %v, over: %q, pace: %q}\n",
 		name, plan.Service, plan.Version, plan.Target, plan.Duration, plan.Control))
--- a/cmd/operator/root.go
+++ b/cmd/operator/root.go
@@ -11,11 +11,11 @@
 	"meadowhinge/internal/options"
 )
 
-// defaultTimeout is how long the program waits for one registry. It exceeds the time in which a
-// registry answers a change that not every proxy has acknowledged yet.
+// defaultTimeout bounds a call to one registry. It exceeds the time after which a registry answers a
+// change that some proxies have not acknowledged yet.
 const defaultTimeout = 25 * time.Second
 
-// newRootCommand builds the command line: the global flags, which fill in c, and the subcommands
+// newRootCommand builds the command line: the global flags, which are parsed into c, and the subcommands
 // in the order in which -help lists them.
 func newRootCommand(c *client) *ffcli.Command {
 	flags := flag.NewFlagSet("operator", flag.ContinueOnError)
@@ -52,19 +52,19 @@
 	}
 }
 
-// execFunc runs a subcommand with its positional arguments.
+// execFunc runs a subcommand with its positional arguments. Its error may be an exitError.
 type execFunc func(ctx context.Context, args []string) error
 
 // subcommand describes a subcommand to newCommand.
 type subcommand struct {
-	usage    string        // the name, the flags and the arguments
-	help     string        // one line for -help
-	flags    *flag.FlagSet // its name is the subcommand's
-	argCount int           // how many positional arguments it takes
+	usage    string        // usage line: name, flags and positional arguments
+	help     string        // one-line description for -help
+	flags    *flag.FlagSet // named after the subcommand
+	argCount int           // exact number of positional arguments
 	exec     execFunc
 }
 
-// newCommand builds a subcommand that checks the number of its arguments before it runs.
+// newCommand builds a subcommand, which checks the number of its positional arguments before it runs.
 func newCommand(c *client, command subcommand) *ffcli.Command {
 	command.flags.SetOutput(c.errOut)
 	usage := "operator [flags] " + command.usage
@@ -82,5 +82,5 @@
 	}
 }
 
-// newFlags makes the flag set of a subcommand.
+// newFlags returns an empty flag set for a subcommand.
 func newFlags(name string) *flag.FlagSet { return flag.NewFlagSet(name, flag.ContinueOnError) }
--- a/cmd/operator/status.go
+++ b/cmd/operator/status.go
@@ -33,7 +33,8 @@
 	})
 }
 
-// printStoreStatus prints a store's view of the core: its leader, members and quorum.
+// printStoreStatus prints a store's view of the core: the leader, the members, and how long ago it had
+// contact with a majority.
 func (c *client) printStoreStatus(store *statuspage.Replica) {
 	leader := store.Leader
 	if leader == "" {
@@ -58,20 +59,23 @@
 	c.printStoreWarnings(store)
 }
 
+// printStoreWarnings prints why a store does not vote or must not lead, and which replicas wait to become
+// members.
 func (c *client) printStoreWarnings(store *statuspage.Replica) {
 	if !store.Member {
-		printLine(c.out, "this store is no member: it counts for nothing until it is put in")
+		printLine(c.out, "this store is no member: it does not count towards a majority until it becomes one")
 	}
 	if store.Unfit {
-		printLine(c.out, "this store must not lead: no member, or its disk stalls or refuses")
+		printLine(c.out, "this store must not lead: it is no member, or its disk stalls or fails")
 	}
 	if len(store.Learners) > 0 {
 		printLine(c.out, "waiting to become members: "+strings.Join(store.Learners, " "))
 	}
 }
 
-// printRegistries prints each registry's leases, then its key reservations and the settings in
-// which proxies contradict it.
+// printRegistries prints a table of each registry's leases. Below it, it prints the number of
+// idempotency keys that each registry has reserved, and the settings of proxies that contradict the
+// registry's.
 func (c *client) printRegistries(status *registry.CoreStatus) {
 	var rows [][]any
 	for _, entry := range status.Registries {
@@ -84,7 +88,7 @@
 	}
 	c.printTable("REGISTRY GRANTS STABLE LEASES", rows)
 	for _, entry := range status.Registries {
-		printf(c.out, "registry %s: %d keys claimed, its word on them counts: %v\n",
+		printf(c.out, "registry %s: %d idempotency keys reserved, authoritative: %v\n",
 			entry.Member, entry.KeyReservations, entry.ReservationsAuthoritative)
 		for _, conflict := range entry.ConflictingSettings {
 			printf(c.out, "registry %s: SETTINGS CONTRADICT: %s\n", entry.Member, conflict)
--- a/cmd/operator/verdicts.go
+++ b/cmd/operator/verdicts.go
@@ -24,11 +24,11 @@
 	})
 }
 
-// verdictCalls are the calls counted at the last showing, by line.
+// verdictCalls holds the call counts that were printed last, by the fields that identify a line.
 type verdictCalls map[string]uint64
 
-// since returns how many calls a line counts beyond its last showing, and remembers its count. A
-// count that fell, because a registry restarted, gives 0.
+// since returns the increase of a line's call count since it was last printed, and stores the new count.
+// It returns 0 if the count fell, which happens when a registry restarts.
 func (v verdictCalls) since(line *registry.VerdictCount) uint64 {
 	key := strings.Join([]string{line.Flag, line.Variation, line.Reason, line.Rule, line.Route, line.Outcome}, " ")
 	newCalls := line.Calls - min(v[key], line.Calls)
@@ -36,6 +36,7 @@
 	return newCalls
 }
 
+// showVerdicts prints the verdict counts. The column SINCE has the increase of each count over previous.
 func (c *client) showVerdicts(ctx context.Context, previous verdictCalls) error {
 	var lines []registry.VerdictCount
 	if done, err := c.get(ctx, "/v1/verdicts", &lines); done || err != nil {
--- a/cmd/proxy/main.go
+++ b/cmd/proxy/main.go
@@ -14,6 +14,7 @@
 func main() {
 	opts := &schema.ProxyOptions{}
 	os.Exit(daemon.Run("proxy", daemon.FromArgs(os.Args[1:]), opts,
+		// The flight recorder's directory and its number of lines.
 		func() (string, int64) { return opts.Data, opts.Ring },
 		func(ctx context.Context, environment *daemon.Environment) error {
 			return proxy.Run(ctx, environment, opts)
--- a/cmd/registry/main.go
+++ b/cmd/registry/main.go
@@ -1,4 +1,5 @@
-// Command registry runs on each core machine: it serves operators and grants leases to proxies.
+// Command registry runs on each core machine. It serves the operators' HTTP interface, distributes the
+// configuration to proxies and grants them leases.
 package main
 
 import (
@@ -13,7 +14,8 @@
 func main() {
 	opts := &schema.RegistryOptions{}
 	os.Exit(daemon.Run("registry", daemon.FromArgs(os.Args[1:]), opts,
-		func() (directory string, lines int64) { return opts.Data, opts.Ring }, // of the flight recorder
+		// The flight recorder's directory and its number of lines.
+		func() (string, int64) { return opts.Data, opts.Ring },
 		func(ctx context.Context, environment *daemon.Environment) error {
 			return registry.Run(ctx, environment, opts)
 		}))
--- a/cmd/store/main.go
+++ b/cmd/store/main.go
@@ -1,5 +1,5 @@
-// Command store runs on each core machine and replicates the configuration: it admits changes, makes
-// them durable on a majority, and repairs members that lag.
+// Command store runs on each core machine and replicates the configuration. It admits changes, makes them
+// durable on a majority of the members, and brings lagging members up to date.
 package main
 
 import (
@@ -14,7 +14,7 @@
 func main() {
 	opts := &schema.StoreOptions{}
 	os.Exit(daemon.Run("store", daemon.FromArgs(os.Args[1:]), opts,
-		// The folder, and the number of lines, of the recorder of recent log lines.
+		// The flight recorder's directory and its number of lines.
 		func() (string, int64) { return opts.Data, opts.Ring },
 		func(ctx context.Context, environment *daemon.Environment) error {
 			return store.Run(ctx, environment, opts)
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -10,7 +10,8 @@
 
 func main() { os.Exit(run(os.Args[1:])) }
 
-// subcommands take their own arguments and return the exit code.
+// subcommands maps the name of each subcommand to its function, which gets the arguments after the name
+// and returns the exit code.
 var subcommands = map[string]func(args []string) int{
 	"hollow": runHollow,
 	"slopes": runSlopes,
@@ -30,8 +31,9 @@
 	return runScenario(args)
 }
 
-// resolveFolders fills in where a run writes and where its programs are, if they were not given. If
-// exit, that failed and code is the exit code.
+// resolveFolders replaces an empty folder by a new temporary directory, and empty binaries by the directory
+// of this program. If exit is true, that failed and the program must exit with code. program prefixes error
+// messages.
 func resolveFolders(program string, folder, binaries *string) (code int, exit bool) {
 	if *folder == "" {
 		temporary, err := os.MkdirTemp("", "testbed-")
--- a/cmd/testbed/measure.go
+++ b/cmd/testbed/measure.go
@@ -17,28 +17,29 @@
 	"meadowhinge/schema"
 )
 
-// measuredReport is what a run that measures, rather than checks, returns.
+// measuredReport is the result of a measurement.
 type measuredReport interface {
 	Print(out io.Writer)
 	Write(file string) error
 	WritePlots(folder, format string) error
 }
 
-// measurement is one kind of run that measures. The pointers are fields of opts, which parsing fills in.
+// measurement describes a subcommand that measures costs instead of checking invariants. The pointers point
+// to fields of opts, which are set when the arguments are parsed.
 type measurement struct {
-	name     string // of the subcommand
-	noun     string // what the report is called; its file is noun.json
-	leftover string // what a failed run leaves in its folder
-	opts     proto.Message
-	folder   *string
-	binaries *string
-	plots    *string // format of the plots
-	validate func() options.Faults
-	run      func(ctx context.Context, out io.Writer) (measuredReport, error)
+	name       string                // name of the subcommand
+	reportName string                // name of the report; it is written to reportName.json
+	leftover   string                // what a failed run leaves in folder, for the error message
+	opts       proto.Message         // options that the arguments are parsed into
+	folder     *string               // directory of data, logs and reports
+	binaries   *string               // directory of the programs proxy, registry and store
+	plots      *string               // file format of the plots
+	validate   func() options.Faults // checks opts after parsing
+	run        func(ctx context.Context, out io.Writer) (measuredReport, error)
 }
 
-// measure parses the arguments, runs the measurement, prints its report and writes it beside the
-// plots. It returns the exit code.
+// measure parses the arguments, runs the measurement, prints its report, and writes the report and its
+// plots to folder. It returns the exit code.
 func (m measurement) measure(args []string) int {
 	program := "testbed " + m.name
 	if code, exit := m.parse(program, args); exit {
@@ -52,17 +53,16 @@
 		return 1
 	}
 	report.Print(os.Stdout)
-	file := filepath.Join(*m.folder, m.noun+".json")
+	file := filepath.Join(*m.folder, m.reportName+".json")
 	if err := errors.Join(report.Write(file), report.WritePlots(*m.folder, *m.plots)); err != nil {
 		fmt.Fprintln(os.Stderr, program+":", err)
 		return 1
 	}
-	fmt.Println(m.noun+" in", file)
+	fmt.Println(m.reportName+" in", file)
 	return 0
 }
 
-// parse reads and validates the settings. If exit, there is nothing more to do and code is the exit
-// code.
+// parse parses and validates the arguments. If exit is true, the program must exit with code.
 func (m measurement) parse(program string, args []string) (code int, exit bool) {
 	err := options.Parse(program, args, m.opts, os.Stdout)
 	if err == nil {
@@ -76,59 +76,60 @@
 	return resolveFolders(program, m.folder, m.binaries)
 }
 
-// signalContext ends at SIGINT or SIGTERM, so that a run that is interrupted ends its processes.
+// signalContext returns a context that ends at SIGINT or SIGTERM, so that an interrupted run still stops the
+// processes that it started.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
-// runHollow runs hollow members against a real core.
+// runHollow measures the cost of a member, with proxies without listeners against a real core.
 func runHollow(args []string) int {
 	opts := &schema.HollowOptions{}
 	return measurement{
-		name:     "hollow",
-		noun:     "report",
-		leftover: "logs",
-		opts:     opts,
-		folder:   &opts.Folder,
-		binaries: &opts.Binaries,
-		plots:    &opts.Plots,
-		validate: func() options.Faults { return testbed.ValidateHollow(opts) },
+		name:       "hollow",
+		reportName: "report",
+		leftover:   "logs",
+		opts:       opts,
+		folder:     &opts.Folder,
+		binaries:   &opts.Binaries,
+		plots:      &opts.Plots,
+		validate:   func() options.Faults { return testbed.ValidateHollow(opts) },
 		run: func(ctx context.Context, out io.Writer) (measuredReport, error) {
 			return testbed.RunHollow(ctx, opts, out)
 		},
 	}.measure(args)
 }
 
-// runSlopes runs a series of hollow fleets and fits what each driver costs.
+// runSlopes measures a series of hollow fleets and fits the cost of each driver.
 func runSlopes(args []string) int {
 	opts := &schema.SlopesOptions{}
 	return measurement{
-		name:     "slopes",
-		noun:     "slopes",
-		leftover: "runs",
-		opts:     opts,
-		folder:   &opts.Folder,
-		binaries: &opts.Binaries,
-		plots:    &opts.Plots,
-		validate: func() options.Faults { return testbed.ValidateSlopes(opts) },
+		name:       "slopes",
+		reportName: "slopes",
+		leftover:   "runs",
+		opts:       opts,
+		folder:     &opts.Folder,
+		binaries:   &opts.Binaries,
+		plots:      &opts.Plots,
+		validate:   func() options.Faults { return testbed.ValidateSlopes(opts) },
 		run: func(ctx context.Context, out io.Writer) (measuredReport, error) {
 			return testbed.RunSlopes(ctx, opts, out)
 		},
 	}.measure(args)
 }
 
-// runCalls runs chains of calls through real proxies and fits what one call costs.
+// runCalls measures chains of calls through real proxies and fits the cost of one call.
 func runCalls(args []string) int {
 	opts := &schema.CallsOptions{}
 	return measurement{
-		name:     "calls",
-		noun:     "calls",
-		leftover: "logs",
-		opts:     opts,
-		folder:   &opts.Folder,
-		binaries: &opts.Binaries,
-		plots:    &opts.Plots,
-		validate: func() options.Faults { return testbed.ValidateCalls(opts) },
+		name:       "calls",
+		reportName: "calls",
+		leftover:   "logs",
+		opts:       opts,
+		folder:     &opts.Folder,
+		binaries:   &opts.Binaries,
+		plots:      &opts.Plots,
+		validate:   func() options.Faults { return testbed.ValidateCalls(opts) },
 		run: func(ctx context.Context, out io.Writer) (measuredReport, error) {
 			return testbed.RunCalls(ctx, opts, out)
 		},
--- a/cmd/testbed/scenario.go
+++ b/cmd/testbed/scenario.go
@@ -15,19 +15,20 @@
 	"meadowhinge/internal/testbed"
 )
 
-// scenarioSettings are what the command line of a scenario asks for.
+// scenarioSettings are the parsed command line of a scenario.
 type scenarioSettings struct {
 	run         testbed.Options
-	deployment  string
-	keep        bool
-	showVersion bool
+	deployment  string // name of the fleet in testbed.Deployments
+	keep        bool   // keep the fleet up without load until a signal, instead of running the scenario
+	showVersion bool   // print the program's version and exit
 }
 
-// drainingBound is how long after it left a worker may still get calls, by the rule itself.
+// drainingBound is the time after a worker's deregistration during which it may still get calls; the
+// invariant itself allows it.
 const drainingBound = 2 * time.Second
 
-// runScenario runs one fleet through one scenario and checks it. It exits with 1 if an invariant was
-// violated.
+// runScenario runs one fleet through one scenario and checks the invariants. It returns the exit code,
+// which is 1 if an invariant was violated.
 func runScenario(args []string) int {
 	s := scenarioSettings{run: testbed.Options{DrainingBound: drainingBound, CheckRejections: true, Out: os.Stdout}}
 	if code, exit := s.parse(args); exit {
@@ -61,7 +62,7 @@
 	return 0
 }
 
-// parse reads the command line. If exit, there is nothing more to do and code is the exit code.
+// parse parses the command line. If exit is true, the program must exit with code.
 func (s *scenarioSettings) parse(args []string) (code int, exit bool) {
 	flags := flag.NewFlagSet("testbed", flag.ContinueOnError)
 	flags.StringVar(&s.deployment, "deployment", "small", "which fleet: small, wroblewski or kithul")
@@ -84,16 +85,16 @@
 	return 0, false
 }
 
-// resolve looks up the deployment, checks the scenario and fills in folders. If exit, something was
-// wrong and code is the exit code.
+// resolve looks up the deployment, checks that the scenario exists, and resolves the folders. If exit is
+// true, one of these failed and the program must exit with code.
 func (s *scenarioSettings) resolve() (code int, exit bool) {
 	s.run.Deployment = testbed.Deployments[s.deployment]
 	if s.run.Deployment == nil {
-		fmt.Fprintf(os.Stderr, "testbed: no deployment is called %q; there are small, wroblewski and kithul\n", s.deployment)
+		fmt.Fprintf(os.Stderr, "testbed: unknown deployment %q; known are small, wroblewski and kithul\n", s.deployment)
 		return 2, true
 	}
 	if testbed.Scenarios[s.run.Scenario] == nil {
-		fmt.Fprintf(os.Stderr, "testbed: no play is called %q; there are %s\n", s.run.Scenario, strings.Join(testbed.ScenarioNames(), ", "))
+		fmt.Fprintf(os.Stderr, "testbed: unknown play %q; known are %s\n", s.run.Scenario, strings.Join(testbed.ScenarioNames(), ", "))
 		return 2, true
 	}
 	if s.keep {
@@ -102,7 +103,7 @@
 	return resolveFolders("testbed", &s.run.Folder, &s.run.Binaries)
 }
 
-// waitForSignal tells where the fleet can be reached and returns at a signal.
+// waitForSignal prints the fleet's addresses for operators and clients, and waits for SIGINT or SIGTERM.
 func waitForSignal(fleet *testbed.Fleet) {
 	ctx, stop := signalContext()
 	defer stop()
--- a/cmd/testbed/soak.go
+++ b/cmd/testbed/soak.go
@@ -13,8 +13,8 @@
 	"meadowhinge/internal/testbed"
 )
 
-// runSoak runs many seeds of overlapping random faults against real processes. It exits with 1 if any
-// seed failed.
+// runSoak runs fleets of real processes under overlapping random faults, one fleet for each of many seeds. It
+// returns the exit code, which is 1 if any seed failed.
 func runSoak(args []string) int {
 	const program = "testbed soak"
 	opts := testbed.SoakOptions{Out: os.Stdout}
--- a/cmd/tracer/doc.go
+++ b/cmd/tracer/doc.go
@@ -1,6 +1,7 @@
-// Command tracer follows one change through all nodes: its admission, each store's sync, its commit,
-// each registry, each proxy, the acknowledgement, and which nodes still lack it.
+// Command tracer shows the progress of one configuration change: when each store appended it, made it
+// durable and learned of its commit, when each registry received and acknowledged it, when each proxy
+// applied it, and which nodes still lack it.
 //
-// It asks each core member once, over the operators' HTTP interface, and keeps no state; everything
+// It queries each core member once, over the operators' HTTP interface. It keeps no state, and everything
 // runs in one goroutine.
 package main
--- a/cmd/tracer/fetch.go
+++ b/cmd/tracer/fetch.go
@@ -9,8 +9,8 @@
 	"meadowhinge/internal/registry"
 )
 
-// fetchTraces asks each core member once for its trace of a change. Traces are sorted by member;
-// unreachable lists the addresses that gave none.
+// fetchTraces requests the trace of a change from each core member once. It returns the traces sorted by
+// member id, and the addresses that returned none. Each request takes at most timeout.
 func fetchTraces(addresses []string, id string, timeout time.Duration) (traces []registry.ChangeTrace, unreachable []string) {
 	client := &http.Client{Timeout: timeout}
 	for _, address := range addresses {
@@ -25,7 +25,8 @@
 	return traces, unreachable
 }
 
-// fetchTrace asks one core member. Why it gave no trace makes no difference to the caller.
+// fetchTrace requests the trace of a change from one core member. It returns no error, because the caller
+// treats every failure alike.
 func fetchTrace(client *http.Client, address, id string) (trace registry.ChangeTrace, found bool) {
 	response, err := client.Get("http://" + address + "/v1/trace/" + id)
 	if err != nil {
--- a/cmd/tracer/main.go
+++ b/cmd/tracer/main.go
@@ -18,22 +18,22 @@
 	"meadowhinge/internal/registry"
 )
 
-// Exit codes, so that a script can tell the kinds of failure apart.
+// Exit codes, which let scripts tell the kinds of failure apart.
 const (
 	exitNotFound    = 1 // no store that answered knows the change
-	exitUsage       = 2
+	exitUsage       = 2 // the command line is invalid
 	exitUnreachable = 3 // no core member, or no store, answered
 )
 
 func main() { os.Exit(run(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// settings are what the command line asks for.
+// settings are the parsed command line.
 type settings struct {
-	registries  string // IP:port of every registry's operator interface, separated by commas
-	timeout     time.Duration
-	asJSON      bool
-	showVersion bool
-	changeID    string
+	registries  string        // IP:port of every registry's operator interface, separated by commas
+	timeout     time.Duration // bound of one request to one registry
+	asJSON      bool          // print the traces as JSON instead of as a timeline
+	showVersion bool          // print the program's version and exit
+	changeID    string        // change to trace; empty with showVersion
 }
 
 // run executes one command line and returns the program's exit code.
@@ -54,7 +54,7 @@
 	found, storesReachable := summarize(traces)
 	switch {
 	case s.asJSON:
-		// Traces hold nothing that JSON can't express, so this can't fail.
+		// Encoding cannot fail, because traces have no values that JSON cannot express.
 		detail, _ := json.MarshalIndent(map[string]any{"traces": traces, "silent": unreachable}, "", "  ")
 		printLine(out, string(detail))
 	case found:
@@ -75,7 +75,7 @@
 	return exitNotFound
 }
 
-// parseFlags reads the command line. If done, there is nothing more to do and code is the exit code.
+// parseFlags parses and checks the command line. If done is true, the program must exit with code.
 func parseFlags(args []string, errOut io.Writer) (s settings, code int, done bool) {
 	flags := flag.NewFlagSet("tracer", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -110,7 +110,7 @@
 	return s, 0, false
 }
 
-// summarize tells whether any store knows the change, and whether any store answered its registry.
+// summarize reports whether any store knows the change, and whether any store answered its registry.
 func summarize(traces []registry.ChangeTrace) (found, storesReachable bool) {
 	for i := range traces {
 		found = found || traces[i].KnownToStore
@@ -119,8 +119,8 @@
 	return found, storesReachable
 }
 
-// printf and printLine write to the terminal or to a pipe. A failed write goes unreported: there is
-// nowhere left to report it.
+// printf and printLine write to the terminal or to a pipe. They ignore failed writes, because there is
+// nowhere left to report them.
 func printf(out io.Writer, format string, values ...any) {
 	_, _ = fmt.Fprintf(out, format, values...)
 }
--- a/cmd/tracer/main_test.go
+++ b/cmd/tracer/main_test.go
@@ -12,7 +12,8 @@
 	"meadowhinge/internal/registry"
 )
 
-// fakeCoreMember serves one trace as the operators' interface of a core member does.
+// fakeCoreMember serves one trace over HTTP, as the operators' interface of a core member does, and returns
+// its address.
 func fakeCoreMember(t *testing.T, trace registry.ChangeTrace) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(out http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(out).Encode(trace) }))
@@ -20,42 +21,42 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestTracer checks the exit code and the text for a change that some nodes have, for a change that no
-// store knows, for nodes that do not answer and for each misuse.
+// TestTracer checks the exit code and output for a change that some nodes have, for a change that no store
+// knows, for nodes that do not answer, and for invalid command lines.
 func TestTracer(t *testing.T) {
 	at := time.Unix(1000, 0)
 	leader := fakeCoreMember(t, registry.ChangeTrace{MemberID: "a", KnownToStore: true, Ruling: "accepted", Sequence: 7, Term: 3, Leader: "a", Appended: at, Durable: at.Add(time.Millisecond),
 		Committed: at.Add(2 * time.Millisecond), Seen: at.Add(3 * time.Millisecond), Acknowledged: at.Add(9 * time.Millisecond),
 		Applied: map[string]time.Time{"edge-1": at.Add(5 * time.Millisecond)}, Laggards: []string{"edge-2"}})
 	unaware := fakeCoreMember(t, registry.ChangeTrace{MemberID: "b"})
-	storeless := fakeCoreMember(t, registry.ChangeTrace{MemberID: "c", StoreUnreachable: true})
+	withoutStore := fakeCoreMember(t, registry.ChangeTrace{MemberID: "c", StoreUnreachable: true})
 	closed := httptest.NewServer(http.NotFoundHandler())
-	dead := strings.TrimPrefix(closed.URL, "http://")
+	unreachable := strings.TrimPrefix(closed.URL, "http://")
 	closed.Close()
 	for name, testCase := range map[string]struct {
 		args       []string
 		code       int
 		wantOutput []string
 	}{
-		"a change, with one core machine dead": {[]string{"-registries", leader + "," + unaware + "," + dead, "x"}, 0, []string{"accepted as 7 in epoch 3", "store a took it",
-			"store a synced it", "registry a had it", "proxy edge-1 applied it", "registry a acknowledged it", "missing: store b", "missing: proxy edge-2", dead}},
-		"an unknown change":   {[]string{"-registries", unaware, "x"}, exitNotFound, []string{"UNKNOWN_CHANGE"}},
-		"nobody answers":      {[]string{"-registries", dead, "x"}, exitUnreachable, []string{"NO_MAJORITY", dead}},
-		"no store answers":    {[]string{"-registries", storeless, "x"}, exitUnreachable, []string{"no store answered"}},
-		"no change named":     {[]string{"-registries", leader}, exitUsage, []string{"usage"}},
-		"not an address":      {[]string{"-registries", "here", "x"}, exitUsage, []string{"BAD_OPTIONS", `"here"`}},
-		"a flag nobody knows": {[]string{"-colour", "x"}, exitUsage, []string{"colour"}},
-		"help":                {[]string{"-help"}, 0, []string{"usage"}},
-		"JSON":                {[]string{"-json", "-registries", leader, "x"}, 0, []string{`"sequence": 7`}},
+		"change while one core machine is down": {[]string{"-registries", leader + "," + unaware + "," + unreachable, "x"}, 0, []string{"accepted as 7 in epoch 3", "store a appended it",
+			"store a synced it", "registry a received it", "proxy edge-1 applied it", "registry a acknowledged it", "missing: store b", "missing: proxy edge-2", unreachable}},
+		"unknown change":             {[]string{"-registries", unaware, "x"}, exitNotFound, []string{"UNKNOWN_CHANGE"}},
+		"no core member answers":     {[]string{"-registries", unreachable, "x"}, exitUnreachable, []string{"NO_MAJORITY", unreachable}},
+		"no store answers":           {[]string{"-registries", withoutStore, "x"}, exitUnreachable, []string{"no store answered"}},
+		"missing change id":          {[]string{"-registries", leader}, exitUsage, []string{"usage"}},
+		"malformed registry address": {[]string{"-registries", "here", "x"}, exitUsage, []string{"BAD_OPTIONS", `"here"`}},
+		"unknown flag":               {[]string{"-colour", "x"}, exitUsage, []string{"colour"}},
+		"help":                       {[]string{"-help"}, 0, []string{"usage"}},
+		"JSON":                       {[]string{"-json", "-registries", leader, "x"}, 0, []string{`"sequence": 7`}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out bytes.Buffer
 			if code := run(testCase.args, &out, &out); code != testCase.code {
-				t.Errorf("%s: exit %d, want %d: %s", name, code, testCase.code, out.String())
+				t.Errorf("exit code %d, want %d; output:\n%s", code, testCase.code, out.String())
 			}
 			for _, part := range testCase.wantOutput {
 				if !strings.Contains(out.String(), part) {
-					t.Errorf("%s: no %q in\n%s", name, part, out.String())
+					t.Errorf("output lacks %q:\n%s", part, out.String())
 				}
 			}
 		})
--- a/cmd/tracer/timeline.go
+++ b/cmd/tracer/timeline.go
@@ -10,14 +10,13 @@
 	"meadowhinge/internal/registry"
 )
 
-// step is something that happened to the change at one node.
+// step is an event in the progress of the change at one node.
 type step struct {
-	at    time.Time
-	event string
+	at    time.Time // by the clock of the node's machine
+	event string    // text to print: the node and what it did
 }
 
-// printTimeline prints what happened to a change in the order in which it happened, then which
-// nodes lack it.
+// printTimeline prints the steps of a change ordered by time, and then the nodes that lack it.
 func printTimeline(out io.Writer, id string, traces []registry.ChangeTrace, unreachable []string) {
 	printAdmission(out, id, traces)
 	applied := firstApplied(traces)
@@ -28,8 +27,8 @@
 	}
 }
 
-// printAdmission prints the ruling on the change as the leader gave it, or as a store tells it that
-// has it from a snapshot.
+// printAdmission prints the ruling on the change. It takes the ruling from the leader's trace, or from the
+// trace of a store that received the change in a snapshot and so has no time of appending it.
 func printAdmission(out io.Writer, id string, traces []registry.ChangeTrace) {
 	for i := range traces {
 		entry := &traces[i]
@@ -37,14 +36,15 @@
 			continue
 		}
 		if entry.Appended.IsZero() || entry.Leader == entry.MemberID {
-			printf(out, "change %s: %s as %d in epoch %d; the duty is now with %s\n",
+			printf(out, "change %s: %s as %d in epoch %d; the leader is now %s\n",
 				id, entry.Ruling, entry.Sequence, entry.Term, entry.Leader)
 			return
 		}
 	}
 }
 
-// firstApplied gives for each proxy when it first reported the change as applied, to any registry.
+// firstApplied returns, by proxy, the earliest time at which the proxy reported to any registry that it had
+// applied the change.
 func firstApplied(traces []registry.ChangeTrace) map[string]time.Time {
 	applied := map[string]time.Time{}
 	for i := range traces {
@@ -57,7 +57,7 @@
 	return applied
 }
 
-// collectSteps lists the steps of all nodes in the order of their times.
+// collectSteps returns the steps of all nodes ordered by time.
 func collectSteps(traces []registry.ChangeTrace, applied map[string]time.Time) []step {
 	var steps []step
 	add := func(at time.Time, event string) {
@@ -67,10 +67,10 @@
 	}
 	for i := range traces {
 		entry := &traces[i]
-		add(entry.Appended, "store "+entry.MemberID+" took it")
+		add(entry.Appended, "store "+entry.MemberID+" appended it")
 		add(entry.Durable, "store "+entry.MemberID+" synced it")
-		add(entry.Committed, "store "+entry.MemberID+" knew it stable")
-		add(entry.Seen, "registry "+entry.MemberID+" had it")
+		add(entry.Committed, "store "+entry.MemberID+" knew it committed")
+		add(entry.Seen, "registry "+entry.MemberID+" received it")
 		add(entry.Acknowledged, "registry "+entry.MemberID+" acknowledged it")
 	}
 	for proxy, at := range applied {
@@ -80,7 +80,7 @@
 	return steps
 }
 
-// printSteps prints each step with its time and its distance from the first.
+// printSteps prints each step with its time of day and the milliseconds since the first step.
 func printSteps(out io.Writer, steps []step) {
 	for _, entry := range steps {
 		sinceFirst := float64(entry.at.Sub(steps[0].at)) / float64(time.Millisecond)
@@ -88,7 +88,7 @@
 	}
 }
 
-// printMissing prints which stores, and which proxies with a lease, are not known to have the change.
+// printMissing prints the stores, and the proxies with a lease, that are not known to have the change.
 func printMissing(out io.Writer, traces []registry.ChangeTrace, applied map[string]time.Time) {
 	lagging := map[string]bool{}
 	for i := range traces {
@@ -102,7 +102,7 @@
 		case !entry.KnownToStore:
 			printf(out, "missing: store %s does not know the change\n", entry.MemberID)
 		case entry.Committed.IsZero() && entry.Ruling != "":
-			printf(out, "missing: store %s was told of it in a digest, or does not know it stable yet\n", entry.MemberID)
+			printf(out, "missing: store %s received it in a snapshot, or does not know yet that it is committed\n", entry.MemberID)
 		}
 	}
 	for _, proxy := range slices.Sorted(maps.Keys(lagging)) {
