--- a/internal/configsource/schema.cue
+++ b/internal/configsource/schema.cue
@@ -1,4 +1,4 @@
-// The configuration that an operator may write. Every struct is closed: an unknown field is refused.
+// The schema of the configuration that operators submit. Every struct is closed, so an unknown field is an error.
 #Name:    =~"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$"
 #Text:    =~"^[^\\x00-\\x1f]{0,512}$"
 #Index:   int & >=0 & <=255
@@ -8,7 +8,7 @@
 
 #Host:    =~"^[A-Za-z0-9._-]{1,253}$"
 
-// versions and fallback are left out together: they are then discovered from what workers report.
+// Either both versions and fallback are set, or neither. If neither is, they are discovered from what workers report.
 #Service: {
 	versions?: [...#Name]
 	fallback?: #Name
@@ -95,7 +95,7 @@
 	lifted:  bool | *false
 }
 
-// A stop is named after its service and version, so its name may be as long as both together.
+// A stop is named SERVICE.VERSION, so its name may be as long as two names and a dot.
 #StopName: =~"^[A-Za-z0-9][A-Za-z0-9._-]{0,126}$"
 
 #Setup: {
