--- a/internal/transport/keepalive.go
+++ b/internal/transport/keepalive.go
@@ -10,12 +10,12 @@
 	"meadowhinge/internal/errs"
 )
 
-// Timeouts, in multiples of the dial timeout, after which an unresponsive peer is considered dead. A machine that loses
-// power does not close its connections, so without these timeouts calls on them would hang.
+// Bounds after which an unresponsive peer is considered dead; the factors are multiples of the dial timeout. A machine
+// that loses power does not close its connections, so without these bounds calls on them would hang.
 const (
 	handshakeTimeoutFactor      = 5 // time for an accepted peer to identify itself
 	unacknowledgedTimeoutFactor = 2 // time for sent data to be acknowledged, and idle time before the first probe
-	maxKeepAliveProbes          = 3 // number of unanswered keep-alive probes after which a connection breaks; no timeout
+	maxKeepAliveProbes          = 3 // unanswered keep-alive probes, sent one dial timeout apart, after which a connection breaks
 )
 
 func (t *Transport) keepAliveConfig() net.KeepAliveConfig {
--- a/internal/transport/pooled_conn.go
+++ b/internal/transport/pooled_conn.go
@@ -27,8 +27,8 @@
 // uses another one.
 func (c pooledConn) Closed() <-chan struct{} { return nil }
 
-// open opens a stream on an idle or a new network connection. Nothing has been sent on the stream yet. All errors are
-// PeerConnectFailed.
+// open opens a stream on an idle or a new network connection. Nothing has been sent on the stream yet. Its errors are
+// those of dialConn.
 func (c pooledConn) open(ctx context.Context, rpc string, enc drpc.Encoding) (*drpcconn.Conn, drpc.Stream, error) {
 	for {
 		conn := c.transport.idle.get(c.address)
@@ -117,8 +117,8 @@
 // Unmarshal always fails: it is called only if the peer sent a message where the stream must end.
 func (endOfStreamEncoding) Unmarshal([]byte, drpc.Message) error { return io.ErrUnexpectedEOF }
 
-// NewStream opens a stream on a network connection of its own, which goes back to the pool when the stream ends.
-// Errors are PeerConnectFailed.
+// NewStream opens a stream on a network connection of its own, which goes back to the pool when the stream ends. Errors
+// are PeerConnectFailed, or Unauthorized if the peer's certificate or protocol version is wrong.
 func (c pooledConn) NewStream(ctx context.Context, rpc string, enc drpc.Encoding) (drpc.Stream, error) {
 	conn, stream, err := c.open(ctx, rpc, enc)
 	if err != nil {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -30,14 +30,14 @@
 
 // Transport sends and serves all RPCs between this process and other processes.
 type Transport struct {
-	tlsConfig       *tls.Config // nil for plaintext
-	idle            connPool
-	dialTimeout     time.Duration // bounds opening a connection; the timeouts in keepalive.go are multiples of it
-	self            Peer          // this process's own identity
-	localAddress    net.Addr      // source address of outgoing connections; nil lets the kernel choose
-	certificateFile string        // PEM file of the certificate and its key; empty for plaintext
-	authorityFile   string        // PEM file of the certificate authority; empty for plaintext
-	now             func() time.Time
+	tlsConfig       *tls.Config      // nil for plaintext
+	idle            connPool         // open connections without a call
+	dialTimeout     time.Duration    // bounds opening a connection; the timeouts in keepalive.go are multiples of it
+	self            Peer             // this process's own identity
+	localAddress    net.Addr         // source address of outgoing connections; nil lets the kernel choose
+	certificateFile string           // PEM file of the certificate and its key; empty for plaintext
+	authorityFile   string           // PEM file of the certificate authority; empty for plaintext
+	now             func() time.Time // clock; time.Now unless WithClock sets another
 
 	lock        sync.Mutex   // guards active, checkedAt and reloadFault
 	active      *credentials // credentials in use; nil for plaintext
@@ -48,7 +48,7 @@
 	// malformed messages. Code that serves the RPCs adds the peers that it rejects itself.
 	RejectedPeers atomic.Uint64
 
-	meter meter
+	meter meter // traffic counters
 }
 
 // Option changes a default of a Transport.
@@ -127,7 +127,7 @@
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{protocolVersion},
 		// Certificates identify a role, not a host. verifyPeer checks the chain in place of the standard library,
-		// and Serve checks the role.
+		// and Serve checks the role of a peer that connects.
 		InsecureSkipVerify: true,
 		VerifyConnection:   t.verifyPeer,
 	}
