--- a/internal/store/actions.go
+++ b/internal/store/actions.go
@@ -13,7 +13,9 @@
 // Persist asks for a record to be made durable. Once it is, the owner calls Replica.Persisted with WriteID.
 // Records are written, and reported, in the order in which they were asked for.
 type Persist struct {
-	WriteID uint64         // increases with each write; passed to Persisted it also covers all earlier writes
+	// WriteID increases with each write, except that RewriteSnapshot repeats the last one. Passed to Persisted, it
+	// also covers all earlier writes.
+	WriteID uint64
 	Record  *schema.Record // the record to append to the log
 	// ReplacesLog means that Record is complete by itself, so that earlier records may be dropped. It is set for a
 	// snapshot and for the initial record of a replica that starts empty.
@@ -24,7 +26,7 @@
 // known here. The change may still be committed, and it is safe to propose it again under the same change id.
 type Reply struct{ Result *schema.ProposalReply }
 
-// ReadIndexReady answers the ReadIndex call whose ticket Result has.
+// ReadIndexReady answers the ReadIndex call whose ticket Result has. An undecided result has no sequence.
 type ReadIndexReady struct{ Result *schema.ReadIndexReply }
 
 func (Send) isAction()           {}
--- a/internal/store/config.go
+++ b/internal/store/config.go
@@ -25,15 +25,15 @@
 	// NewIncarnation returns an incarnation that no other data folder has. It may be nil only if the replica can
 	// never be excluded from the membership.
 	NewIncarnation func() uint64
-	// HeartbeatTimeout is how long a replica counts as alive after the last message from it. The other intervals
-	// are fractions of HeartbeatTimeout. May change at run time.
+	// HeartbeatTimeout is how long a replica counts as alive after the last message from it. Most other intervals are
+	// fractions or multiples of it. May change at run time.
 	HeartbeatTimeout time.Duration
 	// StallTimeout is how long a write may take before the replica counts as unfit to lead. It is also how long a
 	// campaign may take before it starts again. May change at run time.
 	StallTimeout time.Duration
 	// MaxEntries is the number of entries after which a snapshot replaces the log on disk. It is also the minimum
-	// number of entries retained in memory for followers that lag; the maximum is twice that, plus the uncommitted
-	// entries. May change at run time.
+	// number of entries retained in memory for followers that lag. At most twice that number, and the uncommitted
+	// entries, are retained. May change at run time.
 	MaxEntries int
 	// MaxOutcomes is the maximum number of change ids whose outcome is retained. May change at run time.
 	MaxOutcomes int
@@ -44,13 +44,13 @@
 	// purged. May change at run time.
 	MaxOperatorTombstones int
 
-	seededFault seededFault // set only by tests that verify that a check detects the fault; 0 for none
+	seededFault seededFault // a deliberate fault, set only by tests that verify that their checks detect it; 0 for none
 }
 
-// These constants divide Config.HeartbeatTimeout or Config.StallTimeout into shorter intervals.
+// These constants divide Config.HeartbeatTimeout or Config.StallTimeout into intervals.
 const (
-	// heartbeatsPerTimeout divides HeartbeatTimeout into the heartbeat interval. One heartbeat may be late before its
-	// sender counts as lost.
+	// heartbeatsPerTimeout divides HeartbeatTimeout into the heartbeat interval, which is also the interval between two
+	// Joins and between two rounds of StateRequests. One heartbeat may be late before its sender counts as lost.
 	heartbeatsPerTimeout = 3
 	// isolatedHeartbeatsPerTimeout replaces heartbeatsPerTimeout on a replica that reaches no majority, so that the
 	// others hear it sooner.
@@ -65,6 +65,6 @@
 // A snapshot replaces the log on disk, regardless of the number of entries, once the entries since the last snapshot
 // reach the larger of these two sizes.
 const (
-	minSnapshotLogBytes = 1 << 20 // in bytes
-	snapshotLogFactor   = 2       // as a multiple of the size of the last snapshot
+	minSnapshotLogBytes = 1 << 20 // a size in bytes
+	snapshotLogFactor   = 2       // a multiple of the size of the last snapshot
 )
--- a/internal/store/decide.go
+++ b/internal/store/decide.go
@@ -5,8 +5,8 @@
 	"meadowhinge/schema"
 )
 
-// maxReportedFaults is the maximum number of reasons listed in a refusal. An operator who has mended these gets the
-// remaining ones at the next attempt.
+// maxReportedFaults is the maximum number of reasons listed in a refusal. An operator who has corrected these gets
+// the remaining ones at the next attempt.
 const maxReportedFaults = 32
 
 // progressKind is the kind of the items in which rollout controllers store their progress.
--- a/internal/store/election.go
+++ b/internal/store/election.go
@@ -29,7 +29,7 @@
 }
 
 // onVoteRequest votes for a candidate, unless this replica has already voted for another one in that term, or in a
-// higher term.
+// higher term. A replica that is not a member does not answer.
 func (r *Replica) onVoteRequest(from string, request *schema.VoteRequest) {
 	if !r.isMember() {
 		return
--- a/internal/store/freshness.go
+++ b/internal/store/freshness.go
@@ -13,7 +13,7 @@
 // of its content, and all of those sequences are committed here, this replica has everything that was acknowledged
 // before the earliest of those reports.
 type freshness struct {
-	reports map[string]*peerReport // by replica name
+	reports map[string]*peerReport // the reports of each replica, by its name; nil before the first
 }
 
 // peerReport holds what the reports of one replica prove.
--- a/internal/store/join.go
+++ b/internal/store/join.go
@@ -98,7 +98,7 @@
 }
 
 // onMembership stores a committed membership that another replica reports, if it is the newest so far. A member that is
-// missing from it steps down and asks to join.
+// missing from it steps down. A replica that is not a member asks to join at once.
 func (r *Replica) onMembership(membership *schema.Membership) {
 	if r.reportedMembership != nil && !config.Newer(membership.Committed, r.reportedMembership.Committed) {
 		return
@@ -119,8 +119,8 @@
 //
 // It serves a replica that was removed while it was unreachable and has voted in a term higher than the leader's. A vote
 // must not be taken back, so the replica would refuse the leader and could never catch up. What it acknowledged was
-// acknowledged by its old incarnation. That no longer counts, as it was removed by a membership newer than all of its
-// content.
+// acknowledged by its old incarnation. That incarnation no longer counts: the membership that removed it is newer than
+// all of its content.
 func (r *Replica) restartAsNewIncarnation() {
 	cfg := r.config
 	cfg.Founders, cfg.ExpandsMembership = nil, false
--- a/internal/store/leadership.go
+++ b/internal/store/leadership.go
@@ -132,7 +132,8 @@
 }
 
 // awaitsFounders reports whether to delay the first campaign of a core because a founder may still appear. The first
-// term binds the founders heard so far to their data folders; binding a later one takes a membership change.
+// term binds the founders heard so far to their data folders, while binding a later one takes a membership change. The
+// delay ends one heartbeat timeout after the start.
 func (r *Replica) awaitsFounders() bool {
 	if r.highestTerm > 0 || r.now-r.clockStartedAt > r.config.HeartbeatTimeout {
 		return false
--- a/internal/store/operator_version.go
+++ b/internal/store/operator_version.go
@@ -12,12 +12,15 @@
 // selectByOperatorVersion compares the items of a change with the state by their operator versions, which the
 // operator's own system assigns. It returns the items to write and, for the items in conflict, the stored versions.
 //
-//   - An item with a higher version than the stored one is written, also over a tombstone.
+//   - An item that is not stored, or has a higher version than the stored one, is written, also over a tombstone.
 //   - An item with a lower version is outdated and changes nothing.
 //   - An item with the stored version and the stored content is a repetition and changes nothing.
 //   - An item with the stored version and another content is a conflict: the whole change must be refused.
+//
+// If an earlier item of the change has the same name and is newer than the stored one, the item is compared with that
+// one instead. Of several items with one name only the newest is written.
 func selectByOperatorVersion(state config.State, items []*schema.Item) (written []*schema.Item, conflicts []*schema.ExpectedVersion) {
-	latest := map[string]*schema.Item{} // by key: the newest of the change's items that are newer than the stored one
+	latest := map[string]*schema.Item{} // the change's newest item that is newer than the stored one, by key
 	for _, item := range items {
 		key := config.Key(item.Kind, item.Name)
 		existing, seen := latest[key]
--- a/internal/store/peer.go
+++ b/internal/store/peer.go
@@ -18,7 +18,7 @@
 
 	// Liveness.
 	heard             bool              // a message has come from the peer; heardAt is valid
-	heardAt           time.Duration     // when the last message came from the peer
+	heardAt           time.Duration     // time of the last message from the peer
 	receivedHeartbeat *schema.Heartbeat // the last complete heartbeat from the peer; nil for none
 
 	// Heartbeats sent to the peer. One that equals lastFullHeartbeat is abbreviated to its serial.
@@ -26,16 +26,16 @@
 	abbreviatedCount  int               // number of abbreviated ones sent since lastFullHeartbeat
 
 	// Replication progress, set by a candidate or leader (etcd: Progress).
-	term             uint64          // the last term whose beginning the peer acknowledged; acked is valid only in it
-	acked            uint64          // the highest sequence that the peer has acknowledged as durable
+	term             uint64          // the last term whose beginning the peer acknowledged; 0 for none
+	acked            uint64          // the highest sequence that the peer acknowledged as durable in term
 	sent             uint64          // the highest sequence sent, acknowledged or not; reset to acked before a resend
 	lastKnownVersion *schema.Version // the peer's content as last reported; a hint: a wrong one costs only a refusal
-	versionReported  bool            // the peer reported lastKnownVersion since resetForTerm, so no probe is needed
-	snapshotSentAt   time.Duration   // when the last complete snapshot was sent to the peer; 0 for never
+	versionReported  bool            // a Vote or AppendReply reported a version since resetForTerm: no probe is needed
+	snapshotSentAt   time.Duration   // time at which the last complete snapshot was sent to the peer; 0 for never
 
 	// Votes and reads.
 	vote                 *schema.Vote // the peer's vote in this replica's current campaign; nil for none
-	confirmedReadIndexID uint64       // the highest read-index id that the peer has confirmed
+	confirmedReadIndexID uint64       // the highest readIndexID that the peer has confirmed; 0 for none
 
 	// Fields of a replica that is not a member.
 	stateReply        *schema.StateReply // the peer's last reply to a StateRequest, at bootstrap
--- a/internal/store/persist.go
+++ b/internal/store/persist.go
@@ -13,11 +13,11 @@
 // pendingWrite is a record handed to the owner as a Persist, with the messages that wait until it is durable.
 type pendingWrite struct {
 	writeID     uint64                   // the id in the Persist
-	startedAt   time.Duration            // when the Persist was emitted; see Config.StallTimeout
+	startedAt   time.Duration            // time of the Persist, on the replica's clock; see Config.StallTimeout
 	term        uint64                   // term of the content that is durable once the write is
 	sequence    uint64                   // last sequence of that content
 	messages    []*schema.ReplicaMessage // sent once the write is durable
-	votedTerm   uint64                   // term of the vote in the record; 0 if it has none
+	votedTerm   uint64                   // term of the vote cast by the record; 0 if the record casts none
 	voteRequest *schema.VoteRequest      // answered by the vote once the write is durable; nil if there is none to answer
 	candidate   string                   // name of the replica that sent voteRequest
 }
@@ -101,8 +101,8 @@
 	return r.actions
 }
 
-// RewriteSnapshot returns a Persist of a complete snapshot, which replaces every record whose write has failed or is
-// still pending. It reuses the last write id, so that its Persisted completes all pending writes.
+// RewriteSnapshot returns a Persist of a complete snapshot as its only action. The snapshot replaces every record whose
+// write has failed or is still pending. It reuses the last write id, so that its Persisted completes all pending writes.
 func (r *Replica) RewriteSnapshot(now time.Duration) []Action {
 	r.beginStep(now)
 	record := &schema.Record{Snapshot: r.snapshot()}
--- a/internal/store/proposal.go
+++ b/internal/store/proposal.go
@@ -19,7 +19,7 @@
 // forwardedRequest is a request of this process that has been forwarded to the leader and waits for its answer.
 type forwardedRequest struct {
 	leader string        // the replica that the request was sent to
-	sentAt time.Duration // on the replica's clock
+	sentAt time.Duration // time at which the request was sent, on the replica's clock
 	isRead bool          // true for a ReadIndex, false for a Proposal
 }
 
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -25,16 +25,16 @@
 	expandsMembership bool   // joining raises the target size; cleared once this replica is a member
 
 	// Votes (Raft: currentTerm and votedFor). They are durable before they are sent.
-	votedTerm   uint64 // the last term voted in; leaders of lower terms are refused
-	votedFor    string // empty if a snapshot of a later term was installed, which votes for nobody
+	votedTerm   uint64 // the last term voted in, 0 before the first vote; leaders of lower terms are refused
+	votedFor    string // empty before the first vote, and after a snapshot of a later term, which votes for nobody
 	highestTerm uint64 // the highest term seen anywhere; the next campaign is in a higher one
 
 	// Content: everything appended, durable or not. (term, sequence) identifies it: equal versions mean equal contents.
-	term         uint64                           // the term whose beginning the content includes
+	term         uint64                           // the term whose beginning the content includes; 0 before the first
 	sequence     uint64                           // sequence of the last entry (Raft: last log index)
 	state        config.State                     // the items, as of sequence
-	membership   *schema.Membership               // in force once appended, committed or not (thesis, section 4.1)
-	outcomes     map[string]*schema.ChangeOutcome // by change id; at most MaxOutcomes
+	membership   *schema.Membership               // in force once it is appended, committed or not (thesis, section 4.1)
+	outcomes     map[string]*schema.ChangeOutcome // the retained outcomes, at most MaxOutcomes, by change id
 	outcomeOrder []string                         // the keys of outcomes, oldest first
 
 	// The retained tail of the log, and the base content, which is the content just before that tail.
@@ -44,7 +44,7 @@
 	entries        []*schema.Entry    // the entries with the sequences baseSequence+1 to sequence
 
 	// Committed content, the only content shown outside.
-	committedTerm       uint64             // the term under which the content was committed; 0 if none is known to be committed
+	committedTerm       uint64             // the term under which the content was committed; 0 if nothing is known to be
 	committedSequence   uint64             // sequence of the last entry known to be committed
 	committedState      config.State       // the items, as of committedSequence
 	committedMembership *schema.Membership // the membership, as of committedSequence
@@ -56,8 +56,8 @@
 	pendingWrites        []pendingWrite // writes that Persisted has not reported yet, in order
 	diskFailed           bool           // set by DiskFailed, cleared by the next Persisted
 	entriesSinceSnapshot int            // number of entries after the last snapshot in the log on disk
-	bytesSinceSnapshot   int            // total encoded size of those entries
-	snapshotBytes        int            // encoded size of the last snapshot record
+	bytesSinceSnapshot   int            // total encoded size of those entries in bytes
+	snapshotBytes        int            // encoded size in bytes of the last snapshot record since the start; 0 for none
 
 	// Other replicas.
 	peers              map[string]*peerState // the other members, by name
@@ -68,30 +68,30 @@
 
 	// Role and election.
 	role             role
-	roleSince        time.Duration   // when role was last set, except by becomeLeader; 0 lets this replica campaign at once
+	roleSince        time.Duration   // time at which role was set, except by becomeLeader; 0 allows a campaign at once
 	termStartVersion *schema.Version // the content that the leader's term began with; valid while this replica leads
 
 	// Heartbeats.
 	heartbeatSent   bool          // a round of heartbeats was sent since the start; heartbeatSentAt is valid
-	heartbeatSentAt time.Duration // when the last round of heartbeats was sent
-	heartbeatSerial uint32        // serial of the last complete heartbeat
+	heartbeatSentAt time.Duration // time of the last round of heartbeats
+	heartbeatSerial uint32        // serial of the last complete heartbeat sent, to whichever replica; 0 before the first
 	lastUrgentState string        // the urgentState that the last round of heartbeats reported
 
 	// Bootstrap and joining.
 	stateRequestID   uint64        // number of the last round of StateRequests; 0 before the first
-	stateRequestedAt time.Duration // when that round was sent
+	stateRequestedAt time.Duration // time of that round
 	coreExists       bool          // a StateReply showed that a core exists already
-	joinRequestedAt  time.Duration // when the last Join was sent; 0 lets the next one be sent at once
+	joinRequestedAt  time.Duration // time of the last Join; 0 lets the next one be sent at once
 
 	// Requests. The owner chooses the tickets.
 	pendingProposals  map[string][]requester      // used by a leader: requesters that wait for an outcome, by change id
 	pendingReads      []pendingRead               // used by a leader: reads that wait for confirmation
-	readIndexID       uint64                      // id of the last pending read; confirmations name it
+	readIndexID       uint64                      // id of the last read for which confirmations were requested
 	forwardedRequests map[string]forwardedRequest // used by a follower: requests sent to the leader, by ticket
 
 	// Used by a leader.
 	nextPurgeSequence uint64           // the committed sequence at which purgeTombstones acts next
-	compiledConfig    *config.Snapshot // the configuration after the last admitted change; speeds up compiling the next one
+	compiledConfig    *config.Snapshot // snapshot that Decide returned for the last change admitted here; nil before the first
 
 	freshness freshness // how recent the committed state is
 
--- a/internal/store/replication.go
+++ b/internal/store/replication.go
@@ -92,7 +92,8 @@
 }
 
 // onBeginTerm accepts the beginning of a leader's term, unless this replica has voted in a higher one. If the message is
-// a repetition, or its base is not the content of this replica, the reply reports that content.
+// a repetition, or its base is not the content of this replica, the reply reports that content. An excluded replica that
+// has voted in a higher term restarts as a new incarnation instead of refusing.
 func (r *Replica) onBeginTerm(from string, begin *schema.BeginTerm) {
 	if begin.Term < r.votedTerm {
 		if r.isExcluded() {
@@ -219,6 +220,8 @@
 // onTermNotBegun handles the reply of a peer that lacks the beginning of the term: the leader sends it again, based on
 // the content that the peer reports. A repeated report is ignored, since that beginning has been sent already.
 func (r *Replica) onTermNotBegun(from string, peer *peerState, reported *schema.Version) {
+	// Without a report the reply acknowledges another term. A report of this term means that the peer has appended the
+	// beginning, and will acknowledge it once it is durable.
 	if reported == nil || reported.Term == r.term {
 		return
 	}
--- a/internal/store/role.go
+++ b/internal/store/role.go
@@ -81,8 +81,8 @@
 	r.highestTerm = max(r.highestTerm, term)
 }
 
-// durableVotedTerm returns a term such that every vote of this replica in that term or an earlier one is durable. Votes
-// are cast in ascending terms and written in order, so all votes before the first pending one are on disk.
+// durableVotedTerm returns a term such that every vote that this replica cast in that term or an earlier one is durable.
+// Votes are cast in ascending terms and written in order, so all votes before the first pending one are on disk.
 func (r *Replica) durableVotedTerm() uint64 {
 	for _, write := range r.pendingWrites {
 		if write.votedTerm != 0 {
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -29,7 +29,8 @@
 	r.term = max(r.term, record.Term)
 }
 
-// restoreSnapshot replaces the content with that of a snapshot, which becomes the base content too.
+// restoreSnapshot replaces the content with that of a snapshot, which becomes the base content too. The committed
+// content stays as it is until commitTo advances it.
 func (r *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
 	r.term, r.sequence = snapshot.Term, snapshot.Sequence
 	r.state = config.State{}.With(snapshot.Items)
--- a/internal/store/status.go
+++ b/internal/store/status.go
@@ -10,7 +10,7 @@
 	stageAppended = iota
 	stageDurable
 	stageCommitted
-	stageCount
+	stageCount // the number of stages
 )
 
 // Committed returns the committed sequence and state, the only ones that may be shown outside. The returned state is
--- a/internal/store/step.go
+++ b/internal/store/step.go
@@ -8,7 +8,7 @@
 
 // Step handles a message from another replica and returns the actions that follow. The owner has authenticated
 // message.From. A message addressed to another replica is ignored: a sender that does not know where a replica runs
-// sends to every seed.
+// sends to every seed. A message in this replica's own name is ignored too.
 func (r *Replica) Step(now time.Duration, message *schema.ReplicaMessage) []Action {
 	r.beginStep(now)
 	if message.To != r.config.Name || message.From == r.config.Name {
