--- a/internal/store/disk_writer.go
+++ b/internal/store/disk_writer.go
@@ -87,7 +87,7 @@
 }
 
 // writeBatch writes a batch and reports to the replica what is durable. The batch is split after each record that
-// replaces the log, as only the last record of a Log.Write can do so. It returns false if ctx ended.
+// replaces the log, as only the last record of a Log.Write can do so. writeBatch returns false if ctx ended.
 func (s *Server) writeBatch(ctx context.Context, recordLog Log, batch []Persist) bool {
 	var records []*schema.Record
 	for i, write := range batch {
--- a/internal/store/peer_stream.go
+++ b/internal/store/peer_stream.go
@@ -36,7 +36,7 @@
 // sendLoop is the sender for one replica. It sends the messages of the outbox in order until ctx ends, all that are
 // waiting in one batch.
 func (s *Server) sendLoop(ctx context.Context, name string, outbox chan *schema.ReplicaMessage) {
-	streams := map[string]*peerStream{} // by address
+	streams := map[string]*peerStream{} // the open streams, by address
 	for {
 		var messages []*schema.ReplicaMessage
 		select {
--- a/internal/store/rpc.go
+++ b/internal/store/rpc.go
@@ -132,7 +132,7 @@
 	return reply
 }
 
-// ItemsAfter returns the items of a state that were written after a sequence. If that sequence is so old that later
+// ItemsAfter returns the items of a state that were written after a sequence. If that sequence is 0, or so old that later
 // deletions are no longer known, it returns all items and sets Complete. committed is the sequence of the state itself.
 func ItemsAfter(state config.State, committed, after uint64) *schema.FollowReply {
 	reply := &schema.FollowReply{Committed: committed}
--- a/internal/store/server.go
+++ b/internal/store/server.go
@@ -46,11 +46,11 @@
 	committedChanged chan struct{}                          // closed and replaced when the committed sequence changes
 	lastCommitted    uint64                                 // the committed sequence at the last close of committedChanged
 	progress         [stageCount]uint64                     // Replica.Progress after the last step
-	stageTimes       map[uint64]*[stageCount]int64          // by sequence: Unix nanoseconds of each stage, 0 for not reached
-	outboxes         map[string]chan *schema.ReplicaMessage // by replica name
+	stageTimes       map[uint64]*[stageCount]int64          // Unix nanoseconds of each stage, 0 for not reached, by sequence
+	outboxes         map[string]chan *schema.ReplicaMessage // messages that wait for the sender, by replica name
 	pendingWrites    []Persist                              // queue of the disk writer; bounded by what the replica admits
 	timer            *time.Timer                            // fires at nextTickAt; runTimer receives from it without lock
-	nextTickAt       time.Duration                          // on the replica's clock; 0 if the timer is not set
+	nextTickAt       time.Duration                          // time on the replica's clock; 0 if the timer is not set
 }
 
 // Option modifies how Run runs a store.
@@ -59,14 +59,14 @@
 // runOptions holds what the Options of a Run call set.
 type runOptions struct{ wrapLog func(Log) Log }
 
-// WithLogWrapper makes the server use the log that wrapLog returns for its own one. The testbed uses it to slow the disk
-// down.
+// WithLogWrapper makes the server use the log that wrapLog returns for the one it has opened. The testbed uses it to slow
+// the disk down.
 func WithLogWrapper(wrapLog func(Log) Log) Option {
 	return func(options *runOptions) { options.wrapLog = wrapLog }
 }
 
 // Run serves a store until ctx ends, and then returns nil. It fails with errs.InvalidOptions if the settings contradict
-// each other or the certificate, or if the address cannot be listened on; later errors have the code of what failed. A
+// each other or the certificate, or if the address cannot be listened on. Other errors have the code of what failed. A
 // disk that fails is not an error of Run: the server retries until ctx ends.
 func Run(ctx context.Context, environment *daemon.Environment, opts *schema.StoreOptions, runOpts ...Option) error {
 	run := &runOptions{wrapLog: func(recordLog Log) Log { return recordLog }}
@@ -153,7 +153,8 @@
 	return environment.ServeProbes(s.initialOptions.ProbeListen, s.readiness)
 }
 
-// runTimer ticks the replica until ctx ends, which is no error, or RPC serving ends, whose error it returns.
+// runTimer ticks the replica until ctx ends or the serving of RPCs ends. In the first case it marks the process as
+// draining and returns nil. In the second it returns the error of serving, nil if there was none.
 func (s *Server) runTimer(ctx context.Context, environment *daemon.Environment, served <-chan error) error {
 	defer s.timer.Stop()
 	for {
--- a/internal/store/wal.go
+++ b/internal/store/wal.go
@@ -32,7 +32,7 @@
 type FileLog struct {
 	fileSystem  fileSystem
 	fileNumber  uint64  // number of the newest file; 0 if there has been none
-	file        logFile // the newest file; nil until the first write to an empty folder
+	file        logFile // the newest file; nil before the first write to an empty folder, or if creating a file failed
 	frameNumber uint64  // number of the last frame in file; 0 if it has none
 	failed      bool    // a write has failed since the last one that replaced the log
 }
--- a/internal/store/wal_fs.go
+++ b/internal/store/wal_fs.go
@@ -8,7 +8,9 @@
 
 // fileSystem is the folder that holds the log files. Tests substitute one that simulates power losses and failed writes.
 type fileSystem interface {
+	// list returns the names of all files in the folder.
 	list() ([]string, error)
+	// read returns the content of a file.
 	read(name string) ([]byte, error)
 	// create opens an empty file for appending. It replaces an existing file of that name.
 	create(name string) (logFile, error)
