--- a/internal/store/catch_up_test.go
+++ b/internal/store/catch_up_test.go
@@ -12,7 +12,7 @@
 const (
 	changeCount    = 2000
 	changeInterval = 8 * time.Millisecond
-	halfLossPeriod = 150 // in changes: half the period in which one member is lost
+	halfLossPeriod = 150 // half the number of changes between two losses
 )
 
 // During thousands of changes, members in turn lose their disks, are down for long and are replaced. Each of them
@@ -53,7 +53,7 @@
 	}
 	m.runTo(m.now + changeCount*changeInterval)
 	if violations := m.recoverAndCheck(); len(violations) > 0 {
-		t.Error(violations)
+		t.Errorf("violations under load: %v, want none", violations)
 	}
 	committed, _ := m.remaining()[0].Committed()
 	if committed < changeCount || losses < 6 {
--- a/internal/store/decide_test.go
+++ b/internal/store/decide_test.go
@@ -8,7 +8,7 @@
 )
 
 // Decide gives each of its rulings on changes with expected sequences, against one state.
-func TestDecide(t *testing.T) {
+func TestDecideByExpectedSequences(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
 	state := config.State{}.With([]*schema.Item{
 		{Kind: "service", Name: "shop", Version: at(1), Body: []byte(`{"versions":["1","2"],"fallback":"1","callers":[]}`)},
@@ -98,28 +98,28 @@
 		want    schema.Ruling
 		written map[string]uint64 // operator version by name
 	}{
-		"a higher version is written":                            {[]*schema.Item{item("present", 8, body)}, accepted, map[string]uint64{"present": 8}},
-		"the same version and content changes nothing":           {[]*schema.Item{item("present", 7, `{"salt":""}`)}, accepted, nil},
-		"the same content with other white space":                {[]*schema.Item{item("present", 7, `{ "salt" : "" }`)}, accepted, nil},
-		"the same version with another content conflicts":        {[]*schema.Item{item("present", 7, body)}, conflict, nil},
-		"a deletion under the same version conflicts":            {[]*schema.Item{item("present", 7, "")}, conflict, nil},
-		"a repeated deletion changes nothing":                    {[]*schema.Item{item("deleted", 7, "")}, accepted, nil},
-		"one conflict refuses the newer items too":               {[]*schema.Item{item("present", 7, body), item("more", 2, body)}, conflict, nil},
-		"invalid content under the same version is invalid":      {[]*schema.Item{item("present", 7, `{"salt":5}`)}, invalid, nil},
-		"version 0 over an unversioned item conflicts":           {[]*schema.Item{item("unversioned", 0, body)}, conflict, nil},
-		"a deletion under a lower version changes nothing":       {[]*schema.Item{item("present", 6, "")}, accepted, nil},
-		"invalid content under a lower version is invalid":       {[]*schema.Item{item("present", 6, `{"salt":5}`)}, invalid, nil},
-		"a version lower than a tombstone's changes nothing":     {[]*schema.Item{item("deleted", 6, body)}, accepted, nil},
-		"a write under a tombstone's version conflicts":          {[]*schema.Item{item("deleted", 7, body)}, conflict, nil},
-		"a version higher than a tombstone's is written":         {[]*schema.Item{item("deleted", 9, body)}, accepted, map[string]uint64{"deleted": 9}},
-		"a deletion of an unknown item is written":               {[]*schema.Item{item("unknown", 3, "")}, accepted, map[string]uint64{"unknown": 3}},
-		"a version over an unversioned item is written":          {[]*schema.Item{item("unversioned", 1, body)}, accepted, map[string]uint64{"unversioned": 1}},
-		"only the newer items are written":                       {[]*schema.Item{item("present", 6, body), item("more", 2, body)}, accepted, map[string]uint64{"more": 2}},
-		"the newest of two items of one name is written":         {[]*schema.Item{item("present", 9, body), item("present", 8, "")}, accepted, map[string]uint64{"present": 9}},
-		"two contents of one name under one version conflict":    {[]*schema.Item{item("present", 9, body), item("present", 9, "")}, conflict, nil},
-		"the same item twice is written once":                    {[]*schema.Item{item("present", 9, body), item("present", 9, body)}, accepted, map[string]uint64{"present": 9}},
-		"an invalid item refuses the newer items too":            {[]*schema.Item{item("present", 9, body), route("r", 9)}, invalid, nil},
-		"an item of an unknown kind refuses the newer items too": {[]*schema.Item{item("present", 9, body), {Kind: "thing", Name: "x", OperatorVersion: 9}}, invalid, nil},
+		"a higher version is written":                                 {[]*schema.Item{item("present", 8, body)}, accepted, map[string]uint64{"present": 8}},
+		"the same version and content changes nothing":                {[]*schema.Item{item("present", 7, `{"salt":""}`)}, accepted, nil},
+		"the same content with other white space changes nothing":     {[]*schema.Item{item("present", 7, `{ "salt" : "" }`)}, accepted, nil},
+		"the same version with another content conflicts":             {[]*schema.Item{item("present", 7, body)}, conflict, nil},
+		"a deletion under the same version conflicts":                 {[]*schema.Item{item("present", 7, "")}, conflict, nil},
+		"a repeated deletion changes nothing":                         {[]*schema.Item{item("deleted", 7, "")}, accepted, nil},
+		"one conflict refuses the whole change":                       {[]*schema.Item{item("present", 7, body), item("more", 2, body)}, conflict, nil},
+		"invalid content under the same version is refused":           {[]*schema.Item{item("present", 7, `{"salt":5}`)}, invalid, nil},
+		"version 0 over an unversioned item conflicts":                {[]*schema.Item{item("unversioned", 0, body)}, conflict, nil},
+		"a deletion under a lower version changes nothing":            {[]*schema.Item{item("present", 6, "")}, accepted, nil},
+		"invalid content under a lower version is refused":            {[]*schema.Item{item("present", 6, `{"salt":5}`)}, invalid, nil},
+		"a write under a version below a tombstone's changes nothing": {[]*schema.Item{item("deleted", 6, body)}, accepted, nil},
+		"a write under a tombstone's version conflicts":               {[]*schema.Item{item("deleted", 7, body)}, conflict, nil},
+		"a write under a version above a tombstone's is written":      {[]*schema.Item{item("deleted", 9, body)}, accepted, map[string]uint64{"deleted": 9}},
+		"a deletion of an unknown item is written":                    {[]*schema.Item{item("unknown", 3, "")}, accepted, map[string]uint64{"unknown": 3}},
+		"a version over an unversioned item is written":               {[]*schema.Item{item("unversioned", 1, body)}, accepted, map[string]uint64{"unversioned": 1}},
+		"only the newer items are written":                            {[]*schema.Item{item("present", 6, body), item("more", 2, body)}, accepted, map[string]uint64{"more": 2}},
+		"the newest of two items of one name is written":              {[]*schema.Item{item("present", 9, body), item("present", 8, "")}, accepted, map[string]uint64{"present": 9}},
+		"two contents of one name under one version conflict":         {[]*schema.Item{item("present", 9, body), item("present", 9, "")}, conflict, nil},
+		"the same item twice is written once":                         {[]*schema.Item{item("present", 9, body), item("present", 9, body)}, accepted, map[string]uint64{"present": 9}},
+		"an invalid item makes the whole change invalid":              {[]*schema.Item{item("present", 9, body), route("r", 9)}, invalid, nil},
+		"an item of an unknown kind makes the whole change invalid":   {[]*schema.Item{item("present", 9, body), {Kind: "thing", Name: "x", OperatorVersion: 9}}, invalid, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			entry, _ := Decide(state, nil, &schema.Change{Items: test.items, ByOperatorVersion: true}, at(10))
--- a/internal/store/fault_exploration_test.go
+++ b/internal/store/fault_exploration_test.go
@@ -57,7 +57,7 @@
 	return steps
 }
 
-// injectInto returns the injection of a fault into the replica with an index.
+// injectInto returns an injection of a fault into the replica with an index.
 func injectInto(fault modelFault, index int) modelInjection {
 	return func(m *model, _ *modelEvent) bool {
 		fault.inject(m, m.members[index])
@@ -90,7 +90,7 @@
 // Each fault of each replica is injected before messages and writes. In every run the operators' history is linearizable,
 // no two members lead in one term or have different states at one sequence, and soon after the fault the core decides
 // again and is healthy.
-func TestEveryFaultAtEveryStep(t *testing.T) {
+func TestCoreRecoversFromEveryFaultAtEveryStep(t *testing.T) {
 	for _, size := range []modelSize{threeMembers, fiveMembers} {
 		steps := countModelSteps(t, size)
 		for step := 1; step <= steps; step += modelStride(size) {
@@ -109,8 +109,9 @@
 // diskLosses are the faults that destroy a disk. A core tolerates another one as soon as the lost replica has caught up.
 var diskLosses = []modelFault{{"loses its disk", wipeMember}, {"is replaced", replaceMember}}
 
-// A replica loses its disk or is replaced. After the time to catch up any other one may be lost, and then a third.
-func TestLossAfterRepair(t *testing.T) {
+// A replica loses its disk or is replaced. After the time to catch up any other one may be lost, and then a third. None
+// of these losses violates the checks of the model.
+func TestLossAfterRepairIsTolerated(t *testing.T) {
 	for _, size := range []modelSize{threeMembers, fiveMembers} {
 		for _, first := range diskLosses {
 			for _, second := range diskLosses {
@@ -160,7 +161,7 @@
 )
 
 // While a replica is being repaired, all replicas may lose power at any step: that loses no disk, so it is tolerated.
-func TestPowerLossOfAllDuringRepair(t *testing.T) {
+func TestPowerLossOfAllDuringRepairIsTolerated(t *testing.T) {
 	for _, size := range []modelSize{threeMembers, fiveMembers} {
 		for _, fault := range modelFaults {
 			if fault.name != "loses its disk" && fault.name != "is replaced" && fault.name != "is replaced as planned" {
@@ -184,7 +185,7 @@
 
 // Any number of faults may occur at any members, if none of them loses a disk: no acknowledged change is lost, and once
 // the faults have ended the core decides again.
-func TestRandomFaultsWithoutDiskLoss(t *testing.T) {
+func TestRandomFaultsWithoutDiskLossAreTolerated(t *testing.T) {
 	for _, size := range []modelSize{threeMembers, fiveMembers} {
 		for part := range randomFaultParts {
 			t.Run(fmt.Sprintf("%d members, part %d", size.members, part), func(t *testing.T) {
@@ -403,7 +404,7 @@
 	}
 }
 
-// eachPowerLossDuringRepair yields the runs of TestPowerLossOfAllDuringRepair with a lost disk, at every step.
+// eachPowerLossDuringRepair yields the runs of TestPowerLossOfAllDuringRepairIsTolerated with a lost disk, at every step.
 func eachPowerLossDuringRepair(size modelSize) func(yield func(string, map[int]modelInjection) bool) {
 	return func(yield func(string, map[int]modelInjection) bool) {
 		for index := range size.members {
--- a/internal/store/golden_core_test.go
+++ b/internal/store/golden_core_test.go
@@ -21,12 +21,12 @@
 	root       string // the folder that holds the data folders
 	now        time.Duration
 	tickOrder  []string                         // names of the members, in the order of their ticks
-	members    map[string]*Replica              // by name
-	logs       map[string]*FileLog              // by member name; only open ones
+	members    map[string]*Replica              // the replicas, by member name
+	logs       map[string]*FileLog              // the open logs, by member name
 	down       map[string]bool                  // members that neither tick nor send nor receive, by name
 	holdWrites bool                             // writes are collected in heldWrites instead of being carried out
-	heldWrites []Persist                        // in order
-	replies    map[string]*schema.ProposalReply // by change id
+	heldWrites []Persist                        // the collected writes, in order
+	replies    map[string]*schema.ProposalReply // the replies to proposals, by change id
 }
 
 // newGoldenCore returns a core without members whose data folders are under root.
@@ -68,12 +68,12 @@
 	cfg.Founders = founders
 	log, records, err := Open(filepath.Join(c.root, "member-"+name))
 	if err != nil {
-		c.t.Fatal(err)
+		c.t.Fatalf("Open of the log of %s = %v, want nil", name, err)
 	}
 	if len(records) == 0 {
 		records = []*schema.Record{InitialRecord(cfg, incarnation)}
 		if err := log.Write(records, true); err != nil {
-			c.t.Fatal(err)
+			c.t.Fatalf("Write of the initial record of %s = %v, want nil", name, err)
 		}
 	}
 	cfg.Founders = nil
@@ -87,7 +87,7 @@
 func (c *goldenCore) close() {
 	for _, name := range slices.Sorted(maps.Keys(c.logs)) {
 		if err := c.logs[name].Close(); err != nil {
-			c.t.Error(err)
+			c.t.Errorf("Close of the log of %s = %v, want nil", name, err)
 		}
 	}
 	c.logs = map[string]*FileLog{}
@@ -123,7 +123,7 @@
 	}
 	last := writes[len(writes)-1]
 	if err := c.logs[at].Write(records, last.ReplacesLog); err != nil {
-		c.t.Fatal(err)
+		c.t.Fatalf("Write of %d records at %s = %v, want nil", len(records), at, err)
 	}
 	c.execute(at, c.members[at].Persisted(c.now, last.WriteID))
 }
@@ -155,6 +155,7 @@
 	}
 }
 
+// goldenItem returns an item to write; operatorVersion is 0 for an item without one.
 func goldenItem(kind, name string, operatorVersion uint64, body string) *schema.Item {
 	return &schema.Item{Kind: kind, Name: name, OperatorVersion: operatorVersion, Body: []byte(body)}
 }
--- a/internal/store/golden_model_test.go
+++ b/internal/store/golden_model_test.go
@@ -168,7 +168,7 @@
 
 // A refactoring changes no run of the model: the replicas send, write and answer the same at the same times as when the
 // golden file was written.
-func TestGoldenModel(t *testing.T) {
+func TestGoldenModelRunsAreUnchanged(t *testing.T) {
 	golden := modelGoldenLines(t)
 	if len(golden) != len(modelGoldenRuns) {
 		t.Errorf("%s has %d lines, want %d, one for each run", modelGoldenFile, len(golden), len(modelGoldenRuns))
--- a/internal/store/golden_test.go
+++ b/internal/store/golden_test.go
@@ -83,7 +83,7 @@
 }
 
 // Every record of the golden logs is read with the content that was written.
-func TestGoldenRecords(t *testing.T) {
+func TestGoldenRecordsAreRead(t *testing.T) {
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
 			_, records, _ := openGolden(t, name)
@@ -124,7 +124,7 @@
 
 // The records of the golden logs are written as the same bytes again, so that the previous release can read what this
 // one writes.
-func TestGoldenFrames(t *testing.T) {
+func TestGoldenFramesAreRewrittenUnchanged(t *testing.T) {
 	for _, name := range goldenFolders {
 		t.Run(name, func(t *testing.T) {
 			for file, data := range readFolder(t, filepath.Join(goldenFolder, name), goldenSuffix) {
@@ -136,7 +136,7 @@
 				folder := t.TempDir()
 				log, _, err := Open(folder)
 				if err != nil {
-					t.Fatal(err)
+					t.Fatalf("Open of an empty folder = %v, want nil", err)
 				}
 				for _, body := range bodies {
 					group := &schema.RecordGroup{}
@@ -144,11 +144,11 @@
 						t.Fatal(err)
 					}
 					if err := log.Write(group.Records, false); err != nil {
-						t.Fatal(err)
+						t.Fatalf("Write of %d golden records = %v, want nil", len(group.Records), err)
 					}
 				}
 				if err := log.Close(); err != nil {
-					t.Fatal(err)
+					t.Fatalf("Close after the golden records = %v, want nil", err)
 				}
 				written := readFolder(t, folder, "")
 				if got := written["setup-000000000001.log"]; len(written) != 1 || !bytes.Equal(got, data[:len(data)-len(rest)]) {
@@ -202,10 +202,10 @@
 			_, records, _ := openGolden(t, want.name)
 			replica := NewReplica(goldenConfig(strings.TrimPrefix(want.name, "member-")), 0, records)
 			if replica.incarnation != want.incarnation || replica.founder != want.founder {
-				t.Errorf("incarnation %d, founder %t; want %d, %t", replica.incarnation, replica.founder, want.incarnation, want.founder)
+				t.Errorf("replica restored from its log has incarnation %d, founder %t; want %d, %t", replica.incarnation, replica.founder, want.incarnation, want.founder)
 			}
 			if replica.term != want.term || replica.votedTerm != want.voted || replica.votedFor != want.votedFor || replica.sequence != want.length {
-				t.Errorf("term %d, vote for %q in term %d, sequence %d; want %d, %q, %d, %d",
+				t.Errorf("replica restored from its log has term %d, a vote for %q in term %d, sequence %d; want %d, %q, %d, %d",
 					replica.term, replica.votedFor, replica.votedTerm, replica.sequence, want.term, want.votedFor, want.voted, want.length)
 			}
 			var members, stateItems []string
@@ -240,7 +240,7 @@
 	t.Helper()
 	compiled, faults := config.Compile(state, 13)
 	if len(faults) > 0 {
-		t.Fatal(faults)
+		t.Fatalf("Compile of the golden state found the faults %v, want none", faults)
 	}
 	plan, progress := compiled.Releases["shop"], compiled.Progress["shop"]
 	if plan == nil || plan.Service != "shop" || plan.Version != "2" || plan.Target != 50 || plan.Duration != 10*time.Minute || plan.Control != "go" || plan.Revision != 9 {
@@ -289,10 +289,10 @@
 func TestGoldenFoldersContinue(t *testing.T) {
 	for _, test := range []struct {
 		name         string
-		folders      map[string]string // by member
-		leader       string
-		after        uint64 // lowest possible term of the first leader
-		committedKey string // key of an item that was committed; empty for none
+		folders      map[string]string // names of the golden folders, by member
+		leader       string            // the member that must lead
+		after        uint64            // lowest possible term of the first leader
+		committedKey string            // key of an item that was committed; empty for none
 	}{
 		{"all members", map[string]string{"a": "member-a", "b": "member-b", "d": "member-d"}, "a", 10, "progress/shop"},
 		{"members without the first one", map[string]string{"b": "member-b", "d": "member-d"}, "b", 10, "progress/shop"},
@@ -374,12 +374,13 @@
 	copyGolden(t, name, folder)
 	log, records, err := Open(folder)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open of a copy of the golden folder %s = %v, want nil", name, err)
 	}
 	t.Cleanup(func() { _ = log.Close() }) // records that the test wrote are durable already
 	return log, records, folder
 }
 
+// goldenFolders are the names of the golden folders.
 var goldenFolders = []string{"member-a", "member-b", "member-d", "born", "torn"}
 
 // readFolder returns the contents of the files in a folder, by their names without the suffix.
--- a/internal/store/harness_test.go
+++ b/internal/store/harness_test.go
@@ -16,9 +16,9 @@
 // the faults that a test sets.
 type testCore struct {
 	now           time.Duration
-	replicas      map[string]*Replica              // by name
+	replicas      map[string]*Replica              // the replicas, by name
 	down          map[string]bool                  // replicas that neither tick nor send nor receive, by name
-	replies       map[string]*schema.ProposalReply // by ticket
+	replies       map[string]*schema.ProposalReply // the replies to proposals, by ticket
 	stalled       string                           // name of the replica whose writes do not complete; empty for none
 	stalledWrites []Persist                        // writes of the stalled replica
 	order         []string                         // names of the replicas, in the order of their ticks
@@ -27,6 +27,7 @@
 	snapshotsSent int                              // number of messages sent with a complete snapshot
 }
 
+// founderNames are the names of the founders, or of the members of the static list.
 var founderNames = []string{"a", "b", "c"}
 
 // testConfig returns the configuration of a member of a static list.
--- a/internal/store/heartbeat_test.go
+++ b/internal/store/heartbeat_test.go
@@ -8,7 +8,7 @@
 
 // A change of leader sends no snapshot to a member that has the state, and an idle core sends at most 1000 bytes a
 // second.
-func TestMessageVolume(t *testing.T) {
+func TestMessageVolumeIsBounded(t *testing.T) {
 	c := newFoundedCore(1)
 	for i := range 40 {
 		c.expectAccepted(t, "c", fmt.Sprint("change-", i))
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -10,7 +10,7 @@
 )
 
 // A single member is a majority by itself: it decides changes and answers a read index at once.
-func TestSingleMember(t *testing.T) {
+func TestSingleMemberDecidesAlone(t *testing.T) {
 	c := newStaticCore()
 	clear(c.replicas)
 	c.order = nil
@@ -56,34 +56,34 @@
 // A lost member is replaced by a replica that joins. If the lost one comes back, it becomes a learner that is kept up to
 // date, does not depose the leader, and replaces the next member that is lost.
 func TestLostMemberIsReplaced(t *testing.T) {
-	for _, gone := range founderNames {
-		t.Run(gone, func(t *testing.T) {
+	for _, lost := range founderNames {
+		t.Run(lost, func(t *testing.T) {
 			c := newFoundedCore(1)
 			c.expectAccepted(t, "a", "one")
-			c.down[gone] = true
+			c.down[lost] = true
 			c.start("d", false, 1)
 			c.advance(4 * time.Second)
-			remaining := slices.DeleteFunc(slices.Clone(founderNames), func(name string) bool { return name == gone })
+			remaining := slices.DeleteFunc(slices.Clone(founderNames), func(name string) bool { return name == lost })
 			want := strings.Join(remaining, " ") + " d of 3"
 			c.expectMembers(t, want, append(remaining, "d")...)
 			c.expectAccepted(t, "d", "two")
 			term := c.replicas["d"].Status().Term
-			c.down[gone] = false
+			c.down[lost] = false
 			c.advance(10 * time.Second)
 			c.expectMembers(t, want, append(remaining, "d")...)
-			status := c.replicas[gone].Status()
+			status := c.replicas[lost].Status()
 			if current := c.replicas["d"].Status().Term; current != term || status.Member {
-				t.Errorf("after %s came back: term %d, member %t; want term %d and no member", gone, current, status.Member, term)
+				t.Errorf("after %s came back: d is in term %d, %s is a member: %t; want term %d and no member", lost, current, lost, status.Member, term)
 			}
 			if want := c.replicas["d"].Status().Committed; status.Committed != want {
-				t.Errorf("learner %s has committed %d, want %d", gone, status.Committed, want)
+				t.Errorf("learner %s has committed %d, want %d", lost, status.Committed, want)
 			}
 			// The learner replaces the next member that is lost.
 			c.down[remaining[1]] = true
 			c.advance(6 * time.Second)
 			c.expectAccepted(t, remaining[0], "three")
-			if !c.replicas[gone].isMember() {
-				t.Errorf("learner %s is not a member after the loss of %s: %s", gone, remaining[1], c.memberNames(remaining[0]))
+			if !c.replicas[lost].isMember() {
+				t.Errorf("learner %s is not a member after the loss of %s; the membership is %q, want it listed", lost, remaining[1], c.memberNames(remaining[0]))
 			}
 		})
 	}
--- a/internal/store/model_faults_test.go
+++ b/internal/store/model_faults_test.go
@@ -50,10 +50,11 @@
 
 // modelFault is a fault of one replica.
 type modelFault struct {
-	name   string
-	inject func(m *model, replica *modelReplica)
+	name   string                                // what the replica does or suffers, after its name
+	inject func(m *model, replica *modelReplica) // makes the fault begin at a replica
 }
 
+// modelFaults are the faults that the exploration injects into each replica.
 var modelFaults = []modelFault{
 	{"loses power", func(m *model, replica *modelReplica) {
 		m.powerLoss(replica, 0)
@@ -67,7 +68,7 @@
 	{"is partitioned", func(m *model, replica *modelReplica) { m.isolate(replica, true, true) }},
 	{"hears nothing", func(m *model, replica *modelReplica) { m.isolate(replica, true, false) }},
 	{"is not heard", func(m *model, replica *modelReplica) { m.isolate(replica, false, true) }},
-	{"freezes, and gets a read as it thaws", func(m *model, replica *modelReplica) {
+	{"freezes, and gets a read when it continues", func(m *model, replica *modelReplica) {
 		replica.frozenUntil = m.now + modelOutage
 		m.extendFaults(modelOutage)
 		m.at(modelOutage, nil, ordinaryEvent, func() { m.read(slices.Index(m.members, replica)) })
@@ -100,7 +101,8 @@
 	replica.removed = true
 }
 
-// allLosePower ends all processes at the same time and restarts them one after the other.
+// allLosePower ends all processes at the same time and restarts them one after the other. Every second one keeps a
+// pending write.
 func (m *model) allLosePower() {
 	for index, replica := range m.members {
 		if replica.removed {
--- a/internal/store/model_operators_test.go
+++ b/internal/store/model_operators_test.go
@@ -10,7 +10,8 @@
 	"meadowhinge/schema"
 )
 
-// write makes an operator propose an item, under one change id at one replica after the other, until it is decided.
+// write makes an operator propose an item until it is decided: under one change id, at one replica after the other from
+// the one with an index.
 func (m *model) write(index int, item *schema.Item) {
 	client, began := m.nextSerial(), m.now
 	record := func(result linearize.Result) {
@@ -36,7 +37,7 @@
 	})
 }
 
-// read makes an operator read all items after a read index.
+// read makes an operator request a read index, from the replica with an index on, and then read all items.
 func (m *model) read(index int) {
 	client, began := m.nextSerial(), m.now
 	m.openCalls[client] = func() {}
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -30,10 +30,10 @@
 	modelSyncDelay        = 3 * time.Millisecond
 	modelCatchUpTime      = 3 * modelHeartbeatTimeout // how long a replica that has come back still counts as lost
 	modelOutage           = 4 * modelHeartbeatTimeout // how long a fault lasts
-	modelRetry            = 100 * time.Millisecond    // between two attempts of an operator's call
-	modelCallInterval     = 40 * time.Millisecond     // between two calls
-	modelFoundingTime     = time.Second               // for the first start of the core, without faults
-	modelSettleTime       = 3 * time.Second           // between the end of the last fault and the checks
+	modelRetry            = 100 * time.Millisecond    // delay between two attempts of an operator's call
+	modelCallInterval     = 40 * time.Millisecond     // time between two calls of the operators
+	modelFoundingTime     = time.Second               // duration of the first start of the core, without faults
+	modelSettleTime       = 3 * time.Second           // time between the end of the last fault and the checks
 )
 
 // modelEvent is a function to run at a point in time, usually at a replica. Events of the same time run in the order of
@@ -83,15 +83,15 @@
 type modelReplica struct {
 	*Replica                         // the current process; nil before the first start
 	name        string               // the replica's name
-	config      Config               // for the next start of the process
-	incarnation uint64               // of the current data folder
+	config      Config               // the configuration for the next start of the process
+	incarnation uint64               // identifies the current data folder
 	disk        []*schema.Record     // the durable records of the log
 	writing     []Persist            // writes that are not durable yet; carried out one after the other
 	up, removed bool                 // whether the process runs, and whether the machine was removed for good
 	processRun  int                  // number of times that the process was started
-	started     time.Duration        // when the process was started; the origin of the replica's clock
+	started     time.Duration        // time at which the process was started; the origin of the replica's clock
 	frozenUntil time.Duration        // events before this time are postponed
-	nextTickAt  time.Duration        // on the replica's clock; 0 if no tick is scheduled
+	nextTickAt  time.Duration        // time of the next tick on the replica's clock; 0 if none is scheduled
 	tickets     map[string]func(any) // delivers the result to the operator that waits for it, by ticket
 }
 
@@ -103,18 +103,18 @@
 	members           []*modelReplica                               // every machine there ever was
 	losses            int                                           // number of tolerated disk losses
 	initialMachines   int                                           // number of machines at the first start
-	seededFault       seededFault                                   // enabled in every replica
-	reusesIncarnation bool                                          // another seeded fault: an empty folder counts as the one that was lost
+	seededFault       seededFault                                   // the fault enabled in every replica; 0 for none
+	reusesIncarnation bool                                          // a seeded fault: an empty folder counts as the lost one
 	partitioned       map[[2]string]bool                            // links that lose messages, by sender and receiver
 	faultAt           map[int][]func(event *modelEvent) (drop bool) // faults, by the step before which they are injected
-	steps             int                                           // number of events of the kinds syncEvent and messageEvent so far
+	steps             int                                           // number of syncEvents and messageEvents so far
 	calls             linearize.History                             // the operators' calls whose result is known
-	faultsEndAt       time.Duration                                 // when the last fault ends
-	openCalls         map[int]func()                                // by client: records the call as one of unknown outcome
-	violations        []string
-	leaders           map[uint64]string           // name of the leader by term
-	states            map[uint64]string           // stateText by committed sequence
-	onAction          func(*modelReplica, Action) // called with each action before it is carried out; may be nil
+	faultsEndAt       time.Duration                                 // time at which the last fault ends
+	openCalls         map[int]func()                                // by client, the function that records a call of unknown outcome
+	violations        []string                                      // the checks that failed so far, as text
+	leaders           map[uint64]string                             // name of the leader by term
+	states            map[uint64]string                             // stateText by committed sequence
+	onAction          func(*modelReplica, Action)                   // called before each action is carried out; may be nil
 }
 
 // newModel starts a core of the given number of machines and runs it for modelFoundingTime. The first three machines are
@@ -139,10 +139,13 @@
 	return m
 }
 
+// modelName returns the name of the machine with an index, in the order in which machines were added.
 func modelName(index int) string { return string(rune('a' + index)) }
 
+// modelFounders returns the names of the founders of every model.
 func modelFounders() []string { return []string{modelName(0), modelName(1), modelName(2)} }
 
+// replicaConfig returns the configuration of a replica, without Founders and ExpandsMembership, which add sets.
 func (m *model) replicaConfig(name string) Config {
 	return Config{
 		Name:                  name,
@@ -160,6 +163,7 @@
 	}
 }
 
+// newIncarnation returns an incarnation that no other data folder has.
 func (m *model) newIncarnation() uint64 { return uint64(m.nextSerial()) }
 
 // nextSerial returns a new serial. Events, incarnations, clients and tickets share one sequence.
@@ -264,6 +268,7 @@
 	return dropped
 }
 
+// replica returns the machine with a name, nil if there is none.
 func (m *model) replica(name string) *modelReplica {
 	for _, replica := range m.members {
 		if replica.name == name {
--- a/internal/store/wal_fault_fs_test.go
+++ b/internal/store/wal_fault_fs_test.go
@@ -34,6 +34,7 @@
 // errPowerLost is the error of every operation after the power loss.
 var errPowerLost = errors.New("simulated power loss")
 
+// newFaultyFileSystem returns an empty file system on which nothing fails.
 func newFaultyFileSystem() *faultyFileSystem {
 	return &faultyFileSystem{visible: map[string]*faultyFile{}, durable: map[string]*faultyFile{}}
 }
--- a/internal/store/wal_test.go
+++ b/internal/store/wal_test.go
@@ -61,7 +61,7 @@
 			files.powerLossAt = first
 			_, synced, inFlight, err := writeUntilPowerLoss(files, 1, snapshots)
 			if err != nil {
-				t.Fatal(err)
+				t.Fatalf("openLog of an empty folder = %v, want nil", err)
 			}
 			for _, state := range files.statesAfterPowerLoss() {
 				found := state.statesAfterPowerLoss()[0]
@@ -78,7 +78,7 @@
 						if errors.Is(err, errPowerLost) || errs.CodeOf(err) == errs.DiskFailed {
 							continue // power was lost while the log was opened
 						}
-						t.Fatal(err)
+						t.Fatalf("openLog until the second power loss = %v, want nil, %v or code %s", err, errPowerLost, errs.DiskFailed)
 					}
 					for _, secondState := range continued.statesAfterPowerLoss() {
 						_, read, err := openLog(secondState)
@@ -127,7 +127,7 @@
 	}
 	first := &schema.Record{VotedTerm: 1, Snapshot: &schema.Snapshot{}}
 	if err := log.Write([]*schema.Record{first}, true); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write of the first record = %v, want nil", err)
 	}
 	files.failWrites = true
 	expectRefused := func(term int) {
@@ -147,10 +147,10 @@
 	expectRefused(3)
 	snapshot := &schema.Record{VotedTerm: 4, Snapshot: &schema.Snapshot{}}
 	if err := log.Write([]*schema.Record{snapshot}, true); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write of a snapshot to a recovered disk = %v, want nil", err)
 	}
 	if err := log.Write([]*schema.Record{voteRecord(5)}, false); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write of term 5 after the log was replaced = %v, want nil", err)
 	}
 	for _, state := range files.statesAfterPowerLoss() {
 		if _, read, err := openLog(state); err != nil || !equalRecords(read, []*schema.Record{snapshot, voteRecord(5)}) {
@@ -166,13 +166,13 @@
 		files := newFaultyFileSystem()
 		files.powerLossAt = first
 		if _, _, _, err := writeUntilPowerLoss(files, 1, true); err != nil {
-			t.Fatal(err)
+			t.Fatalf("openLog of an empty folder = %v, want nil", err)
 		}
 		ended := files.operations < first
 		files.powerLossAt = 0
 		_, read, err := openLog(files)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("openLog after a kill at operation %d = %v, want nil", first, err)
 		}
 		for _, state := range files.statesAfterPowerLoss() {
 			if _, readAgain, err := openLog(state); err != nil || !equalRecords(read, readAgain) {
@@ -197,7 +197,7 @@
 	for i := range count {
 		written = append(written, voteRecord(i+1))
 		if err := log.Write(written[i:i+1], false); err != nil {
-			t.Fatal(err)
+			t.Fatalf("Write of term %d = %v, want nil", i+1, err)
 		}
 	}
 	if err := log.Close(); err != nil {
@@ -206,12 +206,12 @@
 	return folder, written
 }
 
-// expectRecords checks the records of a log, and that the log accepts a further record.
+// expectRecords checks the records of a log, and that the log accepts a further record, as it must after a repair too.
 func expectRecords(t *testing.T, folder string, want []*schema.Record) {
 	t.Helper()
 	log, records, err := Open(folder)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Open failed: %v, want %d records", err, len(want))
 	}
 	defer func() { _ = log.Close() }() // the record is durable already
 	if !equalRecords(want, records) {
@@ -254,7 +254,7 @@
 		t.Errorf("Open of a corrupt log = %v, want code %s", err, errs.DiskCorrupt)
 	}
 	if err := QuarantineLog(folder); err != nil {
-		t.Fatal(err)
+		t.Fatalf("QuarantineLog of a corrupt log = %v, want nil", err)
 	}
 	expectRecords(t, folder, nil)
 }
@@ -268,10 +268,10 @@
 	}
 	snapshot := &schema.Record{Snapshot: &schema.Snapshot{Term: 4, Sequence: 7}}
 	if err := log.Write([]*schema.Record{snapshot}, true); err != nil {
-		t.Fatal(err)
+		t.Fatalf("Write of a record that replaces the log = %v, want nil", err)
 	}
 	if err := log.Close(); err != nil {
-		t.Error(err)
+		t.Errorf("Close after a record that replaces the log = %v, want nil", err)
 	}
 	if names, _ := osFileSystem(folder).list(); len(names) != 1 {
 		t.Errorf("files after a record that replaces the log = %v, want 1 file", names)
