--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -16,10 +16,10 @@
 // distributes the canary grants and writes the steps.
 type Controller struct {
 	options         Options
-	memberID        string        // member id of this registry, recorded with each progress
-	minStepInterval time.Duration // shortest time between two steps of a plan
-	guardedVersions map[versionKey]*guardedVersion
-	trackedPlans    map[string]*trackedPlan // state of each plan, by plan name
+	memberID        string                         // member id of this registry, recorded with each progress
+	minStepInterval time.Duration                  // shortest time between two steps of a plan
+	guardedVersions map[versionKey]*guardedVersion // state of each evaluated version
+	trackedPlans    map[string]*trackedPlan        // state of each plan, by plan name
 	// lastCounts holds the highest counts of each proxy process. Counts of processes that have ended are kept,
 	// because the sums must not fall.
 	lastCounts map[sourceKey]*schema.SourceCounts
@@ -28,10 +28,10 @@
 // versionKey identifies a version of a service.
 type versionKey struct{ service, version string }
 
-// guardedVersion is the evaluation of a version under one configuration revision. Observations made under an
-// earlier revision do not count.
+// guardedVersion is the evaluation of a version under one revision, as config.Snapshot.VersionRevision returns it.
+// Observations made under another revision do not count.
 type guardedVersion struct {
-	revision         uint64 // configuration revision that defined the version
+	revision         uint64 // revision of the version's latest plan or stop, 0 for none
 	rollbackGuard    RollbackGuard
 	failureEvidence  FailureEvidence
 	evidenceStrength float64 // strength that failureEvidence returned in the latest round; bad from 1
@@ -46,8 +46,10 @@
 	revision uint64 // configuration revision that defined the plan
 
 	// The following fields are used by ramp plans.
-	firstCounts    VersionCounts // counts when this controller first saw the plan
-	lastStepCounts VersionCounts // counts at the last step after which the new version had calls
+	firstCounts VersionCounts // counts when this controller first saw the plan
+	// lastStepCounts holds the counts at the last computed progress. A progress does not update it if the new
+	// version has had no calls since the last update.
+	lastStepCounts VersionCounts
 	steppedAt      time.Duration // time of the last computed progress, or when this controller first saw the plan
 
 	// The following fields are used by deadline plans.
@@ -182,7 +184,7 @@
 }
 
 // evaluateGuardedVersions evaluates the guarded versions and returns stop steps. A version that must be stopped
-// and has no plan to roll back needs one, so that the stop outlives this controller.
+// and has no plan to roll back gets one, so that the stop outlives this controller.
 func (c *Controller) evaluateGuardedVersions(compiled *config.Snapshot, observation FleetObservation) (steps []Step, lastErr error) {
 	for _, service := range slices.Sorted(maps.Keys(compiled.GuardedVersions)) {
 		for _, version := range compiled.GuardedVersions[service] {
@@ -204,8 +206,8 @@
 	return steps, lastErr
 }
 
-// guardedVersionFor returns the state of a version under a configuration revision. It creates an empty one if
-// there is none.
+// guardedVersionFor returns the state of a version under a revision, as config.Snapshot.VersionRevision returns it.
+// It creates an empty state if there is none.
 func (c *Controller) guardedVersionFor(key versionKey, revision uint64) *guardedVersion {
 	guarded := c.guardedVersions[key]
 	if guarded == nil || guarded.revision != revision {
--- a/internal/release/counts.go
+++ b/internal/release/counts.go
@@ -26,8 +26,8 @@
 	}
 }
 
-// minus returns the increase of each counter since an earlier count. A counter that fell, because a proxy's
-// counts vanished with it, gives 0. InFlight is a gauge and stays as it is in c.
+// minus returns the increase of each counter since an earlier count. A counter that fell, because the counts of a
+// proxy are missing, gives 0. InFlight is a gauge and stays as it is in c.
 func (c CallStats) minus(earlier CallStats) CallStats {
 	difference := CallStats{
 		Calls:        c.Calls - min(earlier.Calls, c.Calls),
@@ -121,8 +121,9 @@
 	return 100 * float64(total(v.New).Calls) / float64(totals.Calls)
 }
 
-// GatherVersionCounts sums the proxies' counts of a service. New holds the counts of the given version under
-// the given configuration revision, Old those of the fallback version that it is compared with.
+// GatherVersionCounts sums the proxies' counts of a service. New holds the counts of the given version under the
+// given revision, as config.Snapshot.VersionRevision returns it. Old holds those of the fallback version that it is
+// compared with.
 func GatherVersionCounts(sources []*schema.SourceCounts, service, version string, revision uint64, fallback string) VersionCounts {
 	counts := VersionCounts{Old: map[string]CallStats{}, New: map[string]CallStats{}}
 	for _, source := range sources {
@@ -136,8 +137,8 @@
 			case work.Version == version && work.PlanSequence == revision:
 				byRoute = counts.New
 			case work.Version == version:
-				// These calls were counted under an earlier definition of the version, which may have been
-				// another build.
+				// These calls were counted under another plan or stop of the version, which may have been another
+				// build then.
 				continue
 			case work.Version == fallback:
 				byRoute = counts.Old
--- a/internal/release/deadline.go
+++ b/internal/release/deadline.go
@@ -9,11 +9,15 @@
 
 // Parameters of deadline plans. Intervals are multiples of DeadlineInputs.MinStepInterval.
 const (
-	intermediatePercent  = 25   // percentage between the canary's and the target
-	maxEvidenceToProceed = 0.3  // evidence strength above which the percentage does not rise
-	minHealthLogOdds     = 3    // log odds of "healthy" below which the percentage does not rise
-	minCapacityFraction  = 0.75 // smallest ratio of the new workers' slots to the service's calls in flight
-	rollbackIntervals    = 1.25 // intervals from a rise of the percentage until a bad version is rolled back
+	intermediatePercent = 25 // percentage between the canary's and the target
+	// maxEvidenceToProceed is the evidence strength above which the percentage does not rise beyond
+	// intermediatePercent, and falls back to it from above.
+	maxEvidenceToProceed = 0.3
+	// minHealthLogOdds is the value of DeadlineInputs.HealthLogOdds below which a plan that has reached
+	// intermediatePercent is neither raised further nor completed.
+	minHealthLogOdds    = 3
+	minCapacityFraction = 0.75 // smallest ratio of the new workers' slots to the service's calls in flight
+	rollbackIntervals   = 1.25 // intervals from a rise of the percentage until a bad version is rolled back
 	// fullTrafficIntervals is the number of intervals at the target before the version replaces the fallback,
 	// because only there the version shows how it performs under full load.
 	fullTrafficIntervals  = 2
@@ -48,14 +52,19 @@
 	ProxiesBehind int
 	// OldInFlight is the number of calls in flight at the old version's workers.
 	OldInFlight uint64
-	// MayReplaceFallback says that the plan may make its version the fallback.
+	// MayReplaceFallback says that the plan may make its version the fallback. It may if the versions of the service
+	// are discovered from worker registrations.
 	MayReplaceFallback bool
 }
 
 // canaryPercent returns the percentage of calls in the canary state. It is chosen so that a version which
-// turns out to be bad only under full load gets at most MaxBadFraction of the plan's calls plus BadCallsMargin.
+// turns out to be bad only under full load gets at most MaxBadFraction of the service's calls during the plan, plus
+// BadCallsMargin.
 // By then the version has had the canary's calls. It also gets the calls of the intermediate step, and those at
 // the target until it is rolled back. The calls of these two are reserved, and the canary gets the rest.
+//
+// The result lies between canaryFloorFraction of CanaryPercent and CanaryPercent. At the lower end, the version may
+// get more calls than the limit. Without a limit, or while the call rate is unknown, the result is CanaryPercent.
 func (o Options) canaryPercent(planDuration time.Duration, inputs DeadlineInputs) float64 {
 	if o.MaxBadFraction == 0 || inputs.CallsPerSecond == 0 {
 		return o.CanaryPercent
@@ -69,7 +78,8 @@
 
 // NextDeadlineProgress returns the next progress of a deadline plan. The plan keeps the canary's percentage for
 // most of its duration, then goes to a quarter of the calls and then to the target, and is done before the
-// deadline. This limits the calls that a bad version can get, however late it turns bad.
+// deadline. This limits the calls that a bad version can get, however late it turns bad. The plan ends later if the
+// operator holds it, or if it lacks calls, capacity, evidence or proxies that have applied the last step.
 func (o Options) NextDeadlineProgress(plan *config.Release, before config.Progress, inputs DeadlineInputs) config.Progress {
 	resumes := operatorResumes(plan, before)
 	if before.State == StateDone || before.State == StateRolledBack && !resumes {
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -81,8 +81,9 @@
 	elapsed  time.Duration   // time since the plan was created
 }
 
-// recordedDeadlineProgress returns a plan's record. A registry that started after the plan was created adds the
-// time since it learned of the last write to the elapsed time in that write.
+// recordedDeadlineProgress returns a plan's record. Its elapsed time is the larger of two: the time for which this
+// registry has known the plan, and the elapsed time in the last write plus the time for which this registry has
+// known that write. The latter is the larger one in a registry that started after the plan was created.
 func recordedDeadlineProgress(compiled *config.Snapshot, state config.State, plan *config.Release,
 	observation FleetObservation) deadlineRecord {
 	record := deadlineRecord{sequence: plan.Revision, elapsed: observation.KnownFor(plan.Revision)}
@@ -152,7 +153,7 @@
 
 // appendDiscoveredVersionItems adds the items of a plan for a service whose versions are discovered: the flag,
 // the discovered versions if their fallback changes, and the progress. A draining plan makes its version the
-// fallback. In all other states the previous version is the fallback.
+// fallback. In all other states the previous version is the fallback, and the plan's version is listed beside it.
 func (s *Step) appendDiscoveredVersionItems(plan *config.Release, compiled *config.Snapshot, after config.Progress) error {
 	fallback := after.PreviousVersion
 	if after.State == StateDraining {
--- a/internal/release/deadline_step_test.go
+++ b/internal/release/deadline_step_test.go
@@ -48,7 +48,7 @@
 
 // runFailingUnderLoad runs the plan of a version that fails only once it has all calls of the service. It returns
 // the final progress, the version's calls and the limit on them. In a failing round, failuresPerRound calls fail.
-// Every round fails from 12 failures a round, and else one round in four.
+// If failuresPerRound is 12 or more, every round fails. Otherwise one round in four fails.
 func runFailingUnderLoad(t *testing.T, failuresPerRound uint64) (final config.Progress, calls, maxCalls uint64) {
 	t.Helper()
 	const rate, within = 250, 14 * time.Second
@@ -117,7 +117,7 @@
 	h.appliedRevision = 0
 	h.now += 125 * time.Millisecond
 	if h.reconcile(); h.progress().State != StateDone {
-		t.Errorf("state once all proxies and calls are done = %q, want %q", h.progress().State, StateDone)
+		t.Errorf("state without calls in flight and with the step applied by all proxies = %q, want %q", h.progress().State, StateDone)
 	}
 }
 
--- a/internal/release/discovered_versions.go
+++ b/internal/release/discovered_versions.go
@@ -23,8 +23,8 @@
 	return steps
 }
 
-// mostCommonVersion returns the version with the most workers of a service. Among several it is the first by
-// name. It is empty if the service has no workers.
+// mostCommonVersion returns the version with the most workers of a service, and the first by name if several have
+// equally many. It is empty if the service has no workers.
 func mostCommonVersion(service string, workers map[[2]string]WorkerPool) string {
 	version, mostWorkers := "", 0
 	for key, pool := range workers {
@@ -43,11 +43,11 @@
 		LogFields: []any{"service", service, "version", version},
 	}
 	flagKey := config.VersionFlagKey(service)
-	// The encoding of both bodies cannot fail, because they hold strings and integers only.
-	_ = step.appendItem(discoveredVersionsKind, service, newDiscoveredVersions(version, version)) // cannot fail
+	// Encoding the bodies cannot fail, because they hold only strings, integers and booleans.
+	_ = step.appendItem(discoveredVersionsKind, service, newDiscoveredVersions(version, version))
 	// A flag that an operator wrote earlier is kept.
 	if compiled.Flags.Flags[flagKey] == nil {
-		_ = step.appendItem(flagKind, flagKey, newRolloutFlag(compiled, service, version, version, 0)) // cannot fail
+		_ = step.appendItem(flagKind, flagKey, newRolloutFlag(compiled, service, version, version, 0))
 	}
 	return step
 }
--- a/internal/release/discovered_versions_test.go
+++ b/internal/release/discovered_versions_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestDiscoveredVersions checks that the first version of registered workers becomes the fallback and gets a flag.
-// A version that registers later without an order is not allowed, however many workers it has.
-func TestDiscoveredVersions(t *testing.T) {
+// TestFirstRegisteredVersionBecomesFallback checks that the first version of registered workers becomes the fallback
+// and gets a flag. A version that registers later without an order is not allowed, however many workers it has.
+func TestFirstRegisteredVersionBecomesFallback(t *testing.T) {
 	h := newDeadlineHarness(t)
 	compiled := h.compiled()
 	if compiled.FallbackOf("shop") != "1" || compiled.Flags.Flags["release.shop"] == nil || len(compiled.GuardedVersions["shop"]) != 0 {
--- a/internal/release/doc.go
+++ b/internal/release/doc.go
@@ -6,7 +6,7 @@
 //     plans. [Controller.Reconcile] evaluates them and returns [Step] values, which are changes to be written
 //     to the configuration. State that must survive a change of controller is stored in those changes.
 //   - Two detectors evaluate a version. [RollbackGuard] compares failures in sliding windows.
-//     [FailureEvidence] is a sequential test that reacts within few calls.
+//     [FailureEvidence] is a sequential test that reacts within a few calls.
 //   - [Options.NextRampProgress] and [Options.NextDeadlineProgress] implement the two rollout strategies as
 //     pure functions of the recorded progress and the evidence.
 //   - [PlanRollout] turns an operator's request into the step that creates a plan.
@@ -20,7 +20,7 @@
 //
 // A release plan uses one of two strategies. A ramp plan raises the percentage in proportion to the time in
 // which the new version performed no worse than the old one. A deadline plan keeps a canary for most of the
-// plan's duration and completes the rollout before the deadline.
+// plan's duration and normally completes the rollout before the deadline.
 //
 // Units: a percentage ranges from 0 to 100, a flag's weight from 0 to 100000 (flag.TotalWeight), and a rate
 // is a fraction from 0 to 1. Elapsed in a progress is in nanoseconds.
--- a/internal/release/failure_evidence.go
+++ b/internal/release/failure_evidence.go
@@ -16,9 +16,9 @@
 
 // Parameters of the comparison with the old version's recent calls.
 const (
-	recentDecay         = 0.8   // factor applied to recent counts at each observation
-	recentMinCalls      = 20    // recent calls of the old version from which its recent rate is used
-	maxAlikeProbability = 0.001 // p-value up to which the old version is taken to fail less than the new one
+	recentDecay               = 0.8   // factor applied to recent counts at each observation
+	recentMinCalls            = 20    // recent calls of the old version from which its recent rate is used
+	baselineSignificanceLevel = 0.001 // p-value up to which the old version is taken to fail less often than the new one
 )
 
 // allRoutes is the key of the evidence on all routes together.
@@ -122,11 +122,13 @@
 
 // strongestEvidence returns the strongest evidence of all routes, except those where the old version's recent
 // calls fail as often: a fault that affects both versions counts against neither. The recent calls of both
-// cover the same time, so that such a fault begins for both in the same observation.
+// cover the same time, so that such a fault begins for both in the same observation. No route is excepted if the
+// plan gives the new version all calls, or if the old version gets too few.
 func (e *FailureEvidence) strongestEvidence(options Options, overall *routeEvidence, allCalls bool) (strength float64, verdict string) {
 	oldHasFewCalls := allCalls || overall.recentOld.total*sparseBaselineRatio < overall.recentNew.total
 	for route, evidence := range e.routes {
 		oldOutcomes := evidence.recentOld
+		// An old version without recent calls on the route is represented by its recent calls on all routes.
 		if oldOutcomes.total < 1 {
 			oldOutcomes = overall.recentOld
 		}
@@ -134,7 +136,7 @@
 		if routeStrength <= strength {
 			continue
 		}
-		if oldHasFewCalls || binomialCDF(oldOutcomes, evidence.recentNew.badRate()) <= maxAlikeProbability {
+		if oldHasFewCalls || binomialCDF(oldOutcomes, evidence.recentNew.badRate()) <= baselineSignificanceLevel {
 			strength, verdict = routeStrength, "fails or is slow "+describeRoute(route)
 		}
 	}
--- a/internal/release/ramp.go
+++ b/internal/release/ramp.go
@@ -11,7 +11,7 @@
 // maxPercent is the percentage of a version that gets all calls.
 const maxPercent = 100
 
-// weightPerPercent converts a percentage of calls to a flag's weight.
+// weightPerPercent is the flag's weight for one percent of the calls.
 const weightPerPercent = flag.TotalWeight / 100
 
 // weightOfPercent returns the flag's weight for a percentage of calls, rounded down.
@@ -35,8 +35,8 @@
 }
 
 // NextRampProgress returns the next progress of a ramp plan. The percentage rises in proportion to the time
-// in which the new version performed no worse than the old one. sinceStart counts calls since the plan began,
-// sinceLastStep those since the last step, and elapsed is the time since the last step.
+// in which the new version performed no worse than the old one. sinceStart holds the counts since the controller
+// first saw the plan, and sinceLastStep those since the last step. elapsed is the time since the last step.
 func (o Options) NextRampProgress(plan *config.Release, before config.Progress, sinceStart, sinceLastStep VersionCounts,
 	elapsed time.Duration) config.Progress {
 	after := before
@@ -92,7 +92,7 @@
 
 // Parameters of the feedback correction of a flag's weight by the measured percentage of calls.
 const (
-	setPointTolerance       = 1e-9 // percentages that differ by less are the same set point
+	setPointTolerance       = 1e-9 // percentage points; percentages that differ by less are the same set point
 	weightCorrectionDivisor = 2    // half of the measured deviation is corrected in one step
 	minWeightDivisor        = 2    // the weight is at least half of the set point
 	maxWeightMultiple       = 1.5  // the weight is at most this multiple of the set point
@@ -116,8 +116,8 @@
 
 // The smallest changes of a progress that are written while its state and reason stay the same.
 const (
-	minPercentChangeToWrite = 0.5
-	minWeightChangeToWrite  = minPercentChangeToWrite * weightPerPercent
+	minPercentChangeToWrite = 0.5                                        // change of the percentage, in percentage points
+	minWeightChangeToWrite  = minPercentChangeToWrite * weightPerPercent // change of the flag's weight
 )
 
 // NeedsWrite reports whether the progress after differs enough from the recorded progress before to be written.
--- a/internal/release/ramp_step.go
+++ b/internal/release/ramp_step.go
@@ -39,8 +39,8 @@
 	return &Step{Name: plan.Name, Items: items, Urgent: after.State == StateRolledBack}, err
 }
 
-// isRampStepDue reports whether the next progress of a ramp plan is computed in this round. It is after the
-// step interval, and at once if the plan is new, must be rolled back, or is rolled back or resumed by the
+// isRampStepDue reports whether the next progress of a ramp plan is computed in this round. A progress is due after
+// the step interval. It is due at once if the plan is new, must be rolled back, or is rolled back or resumed by the
 // operator. The check for a resumed plan also holds in every round for a plan that was rolled back as bad.
 // NextRampProgress then leaves that plan rolled back.
 func (c *Controller) isRampStepDue(now time.Duration, plan *config.Release, tracked *trackedPlan, before config.Progress,
--- a/internal/release/rollback_guard_test.go
+++ b/internal/release/rollback_guard_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestRecovered checks that proxies may use a version again only if nearly the whole fleet reported, and the
-// version recently did not fail more than the old one.
-func TestRecovered(t *testing.T) {
+// TestRecoveredNeedsFleetAndFewFailures checks that proxies may use a version again only if nearly the whole fleet
+// reported, and the version recently did not fail more than the old one.
+func TestRecoveredNeedsFleetAndFewFailures(t *testing.T) {
 	const ms = time.Millisecond
 	none := callStats(0, 0, ms)
 	for name, test := range map[string]struct {
@@ -15,15 +15,15 @@
 		reportingFraction float64
 		wantRecovered     bool
 	}{
-		"whole fleet reported without failures": {versionCounts(none, none),
+		"recovers if the whole fleet reported no failures": {versionCounts(none, none),
 			versionCounts(callStats(100, 0, ms), callStats(100, 0, ms)), 1, true},
-		"only a third of the fleet reported": {versionCounts(none, none),
+		"does not recover if only a third of the fleet reported": {versionCounts(none, none),
 			versionCounts(callStats(100, 0, ms), callStats(100, 0, ms)), 0.34, false},
-		"recent failures": {versionCounts(none, none),
+		"does not recover with recent failures": {versionCounts(none, none),
 			versionCounts(callStats(100, 0, ms), callStats(100, 20, ms)), 1, false},
-		"only earlier failures": {versionCounts(callStats(100, 0, ms), callStats(100, 20, ms)),
+		"recovers if all failures are earlier": {versionCounts(callStats(100, 0, ms), callStats(100, 20, ms)),
 			versionCounts(callStats(200, 0, ms), callStats(200, 20, ms)), 1, true},
-		"both versions fail alike": {versionCounts(none, none),
+		"recovers if both versions fail alike": {versionCounts(none, none),
 			versionCounts(callStats(100, 30, ms), callStats(100, 30, ms)), 1, true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -48,17 +48,17 @@
 		oldCalls, newCalls uint64
 		wantBaseline       bool
 	}{
-		"old version without calls":                {0, 1000, true},
-		"old version below the sparse ratio":       {19, 1000, true},
-		"old version with a tenth of the calls":    {100, 1000, false},
-		"new version with too few calls to decide": {0, 150, false},
+		"baseline for an old version without calls":          {0, 1000, true},
+		"baseline for an old version below the sparse ratio": {19, 1000, true},
+		"none for an old version with a tenth of the calls":  {100, 1000, false},
+		"none while the new version has too few calls":       {0, 150, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			guard := &RollbackGuard{}
 			guard.Observe(Defaults, versionCounts(callStats(5000, 5, ms), callStats(0, 0, ms)), 1)
 			counts := versionCounts(callStats(5000+test.oldCalls, 5, ms), callStats(test.newCalls, 0, ms))
 			if got := guard.baseline(counts, guard.recentSamples[0]); (got != nil) != test.wantBaseline {
-				t.Errorf("baseline() = %v, want one: %t", got, test.wantBaseline)
+				t.Errorf("baseline() = %v, want a non-nil baseline: %t", got, test.wantBaseline)
 			}
 		})
 	}
--- a/internal/release/rollout_order.go
+++ b/internal/release/rollout_order.go
@@ -18,7 +18,8 @@
 // PlanRollout returns the step that creates the plan for an order. The step allows the version, adds it to the
 // service's flag and writes a deadline plan. It is nil if the service's plan shifts calls to the version
 // already, or has done so. PlanRollout fails with code errs.InvalidConfig if the order is invalid. It fails
-// with code errs.NoQuorum if no version of the service is known, because one may become known later.
+// with code errs.NoQuorum if no version of the service is known, because one may become known later, and with code
+// errs.Internal if an item cannot be encoded.
 func PlanRollout(compiled *config.Snapshot, state config.State, order RolloutOrder) (*Step, error) {
 	service := compiled.Services[order.Service]
 	switch {
@@ -62,8 +63,9 @@
 	return step, err
 }
 
-// removeSuperseded adds the deletion of the items that an order replaces: other plans of the service and their
-// progress, because a service has one plan, the progress of the previous plan, and a stop of the version.
+// removeSuperseded adds the deletion of the items that an order replaces. These are the progress of the previous plan
+// of the same name, a stop of the version, and other plans of the service with their progress. Other plans are
+// deleted because a service has only one plan.
 func (s *Step) removeSuperseded(compiled *config.Snapshot, state config.State, order RolloutOrder) {
 	for name, plan := range compiled.Releases {
 		if plan.Service == order.Service && name != order.Service {
--- a/internal/release/rollout_order_test.go
+++ b/internal/release/rollout_order_test.go
@@ -7,9 +7,9 @@
 	"meadowhinge/internal/config"
 )
 
-// TestPlanRollout checks that an order is one valid change and that a repeated order is no change. A version that
-// was rolled back can be ordered again, and an order for another version replaces the plan.
-func TestPlanRollout(t *testing.T) {
+// TestPlanRolloutCreatesOneChange checks that an order is one valid change and that a repeated order is no
+// change. A version that was rolled back can be ordered again, and an order for another version replaces the plan.
+func TestPlanRolloutCreatesOneChange(t *testing.T) {
 	store := newFakeStore(t)
 	if version, state := RolloutState(store.compiled(), "shop"); version != "" || state != "" {
 		t.Errorf("RolloutState() before any order = %q, %q, want both empty", version, state)
@@ -18,7 +18,7 @@
 		t.Fatal("PlanRollout() of version 2 = nil, want a step")
 	}
 	if got := store.compiled().Flags.Flags["release.shop"].ReachableVariations(); len(got) != 1 || got[0] != "1" {
-		t.Errorf("reachable variations before the first step = %v, want only 1", got)
+		t.Errorf("reachable variations before the first step = %v, want only version \"1\"", got)
 	}
 	if store.planRollout("2") != nil {
 		t.Error("PlanRollout() of a version in rollout returned a step, want nil")
@@ -26,7 +26,7 @@
 	firstRevision := store.compiled().Releases["shop"].Revision
 	store.write(store.jsonItem("progress", "shop", config.Progress{PlanID: "shop 2", State: StateRolledBack}))
 	if version, state := RolloutState(store.compiled(), "shop"); version != "2" || state != StateRolledBack {
-		t.Errorf("RolloutState() after a rollback = %q, %q, want \"2\", %q", version, state, StateRolledBack)
+		t.Errorf("RolloutState() after a rollback = %q, %q, want \"2\" and %q", version, state, StateRolledBack)
 	}
 	if store.planRollout("2") == nil {
 		t.Error("PlanRollout() of a version that was rolled back = nil, want a step")
@@ -38,7 +38,7 @@
 	}
 	store.planRollout("3")
 	if version, state := RolloutState(store.compiled(), "shop"); version != "3" || state != StateCanary {
-		t.Errorf("RolloutState() after an order for another version = %q, %q, want \"3\", %q", version, state, StateCanary)
+		t.Errorf("RolloutState() after an order for another version = %q, %q, want \"3\" and %q", version, state, StateCanary)
 	}
 }
 
--- a/internal/release/states.go
+++ b/internal/release/states.go
@@ -2,18 +2,22 @@
 
 // The states of a plan, as stored in its progress.
 const (
-	// StateCanary means that the new version gets a small percentage of calls until enough of them were seen.
+	// StateCanary means that the new version gets a small percentage of calls. A ramp plan leaves this state once
+	// the version has had enough calls without failing more often than allowed. A deadline plan leaves it no
+	// earlier than Options.CanaryEndFraction of the plan's duration.
 	StateCanary = "trial"
 	// StateRamping means that the new version's percentage is being raised.
 	StateRamping = "ramp"
-	// StateHolding means that the percentage stays, because the operator holds it or too few calls were seen.
+	// StateHolding means that the percentage of a ramp plan does not rise, because the operator holds the plan or
+	// the new version has had too few calls since the last step.
 	StateHolding = "hold"
 	// StateDraining means that the new version of a deadline plan gets all calls while calls are still in
-	// flight at the old version. The plan is done when none is left.
+	// flight at the old version. The plan is done when none is left and every proxy has applied the last step, or
+	// after maxDrainIntervals.
 	StateDraining = "settle"
 	// StateDone means that the new version has reached the plan's target percentage.
 	StateDone = "done"
-	// StateRolledBack means that the version's flag is turned off.
+	// StateRolledBack means that the version's flag is turned off, so that the fallback version gets all calls.
 	StateRolledBack = "back"
 )
 
--- a/internal/release/step.go
+++ b/internal/release/step.go
@@ -36,8 +36,8 @@
 	Urgent bool
 }
 
-// Preconditions returns the current versions of the items that the step writes. If another writer changes
-// one of them first, the change conflicts, and the next round computes a new step.
+// Preconditions returns the current versions of those items of the step that exist already. If another writer
+// changes one of them first, the change conflicts, and the next round computes a new step.
 func (s Step) Preconditions(state config.State) []*schema.ExpectedVersion {
 	var expected []*schema.ExpectedVersion
 	for _, item := range s.Items {
@@ -62,7 +62,8 @@
 	}
 }
 
-// newItem returns an item with the JSON encoding of body. It fails with code errs.Internal.
+// newItem returns an item with the JSON encoding of body. It fails with code errs.Internal if body cannot be
+// encoded.
 func newItem(kind, name string, body any) (*schema.Item, error) {
 	encoded, err := json.Marshal(body)
 	if err != nil {
--- a/internal/release/verdict.go
+++ b/internal/release/verdict.go
@@ -28,8 +28,8 @@
 
 // IsFailing reports whether the new version fails or is slow compared with the old one, on all routes
 // together or on a single one, and returns a verdict that says how. A fault that affects both versions alike
-// does not count against the new one. The baseline holds earlier counts, by route, of an old version that no
-// longer gets enough calls for a comparison. It is nil otherwise.
+// does not count against the new one. The baseline holds all counts, by route, of an old version that no longer gets
+// enough calls for a comparison. It is nil otherwise.
 func (o Options) IsFailing(counts VersionCounts, baseline map[string]CallStats) (verdict string, failing bool) {
 	if verdict, failing = o.compareVersions(total(counts.Old), total(counts.New), total(baseline), onAllRoutes); failing {
 		return verdict, true
