--- a/internal/session/endpoint_class.go
+++ b/internal/session/endpoint_class.go
@@ -54,8 +54,10 @@
 // Retry intervals for a stale registry, relative to the heartbeat interval. They take effect only while all
 // registries are stale.
 const (
-	staleRetryHeartbeats = 2 // heartbeat intervals, once an up-to-date registry was found
-	initialRetryDivisor  = 4 // divisor of one heartbeat interval, before an up-to-date registry was found
+	// staleRetryHeartbeats is the retry interval, in heartbeat intervals, once an up-to-date registry was found.
+	staleRetryHeartbeats = 2
+	// initialRetryDivisor gives the retry interval before that: one heartbeat interval divided by this constant.
+	initialRetryDivisor = 4
 )
 
 // staleRetryInterval returns how long a registry that was stale remains degraded. Before this proxy has found
@@ -69,7 +71,7 @@
 }
 
 // isStale reports whether the registry's configuration may be older than MaxStaleness. A registry that does not
-// report its staleness counts as stale.
+// report its staleness counts as stale. Until graceUntil, no registry does.
 func (s *RegistrySelector) isStale(now time.Duration, endpoint *registryEndpoint) bool {
 	return now >= s.graceUntil && (!endpoint.stalenessReported || now-endpoint.freshAsOf > s.options.MaxStaleness)
 }
--- a/internal/session/intervals.go
+++ b/internal/session/intervals.go
@@ -4,7 +4,7 @@
 // lease divided by the constant.
 const (
 	// RenewalsPerLease is the number of renewals that a proxy requests during one lease. One renewal interval is
-	// also how far a proxy may lag behind.
+	// also the time for which a proxy may still use a configuration that a newer one has replaced.
 	RenewalsPerLease = 8
 	// HeartbeatsPerLease is the smallest number of messages that a registry sends in a session during one lease.
 	HeartbeatsPerLease = RenewalsPerLease
--- a/internal/session/lease_gate_test.go
+++ b/internal/session/lease_gate_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestAwaitWithinGrace checks that a call waits for a renewal within the grace period after a lease's expiry, and
-// does not wait at all after that period.
-func TestAwaitWithinGrace(t *testing.T) {
+// TestCallsWaitOnlyWithinGrace checks that a call waits for a renewal within the grace period after a lease's expiry,
+// and does not wait at all after that period.
+func TestCallsWaitOnlyWithinGrace(t *testing.T) {
 	const duration = 8 * time.Second
 	for name, test := range map[string]struct {
 		sinceExpiry time.Duration // time from the lease's expiry to the call; negative while the lease is valid
@@ -16,11 +16,11 @@
 		wantOpen    bool
 		maxWait     time.Duration // longest time that the call may wait
 	}{
-		"within grace, renewed":                {10 * time.Millisecond, 300 * time.Millisecond, true, 300 * time.Millisecond},
-		"within grace, not renewed":            {10 * time.Millisecond, 0, false, duration/renewalGraceDivisor - 10*time.Millisecond},
-		"after grace, not renewed":             {3 * time.Second, 0, false, 0},
-		"after grace, renewed after the call":  {3 * time.Second, 300 * time.Millisecond, false, 0},
-		"valid lease is open without any wait": {-time.Second, 0, true, 0},
+		"call within grace waits for a renewal":         {10 * time.Millisecond, 300 * time.Millisecond, true, 300 * time.Millisecond},
+		"call within grace waits until its end at most": {10 * time.Millisecond, 0, false, duration/renewalGraceDivisor - 10*time.Millisecond},
+		"call after grace does not wait":                {3 * time.Second, 0, false, 0},
+		"call after grace does not wait for a renewal":  {3 * time.Second, 300 * time.Millisecond, false, 0},
+		"call under a valid lease does not wait":        {-time.Second, 0, true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/session/registry_endpoint.go
+++ b/internal/session/registry_endpoint.go
@@ -15,12 +15,12 @@
 	lastHeartbeatAt   time.Duration // time of the open session's last heartbeat; valid while heartbeatReceived
 
 	failed   bool          // the last session ended or could not be opened; cleared by a heartbeat
-	failedAt time.Duration // time of the last failure; 0 if there was none
+	failedAt time.Duration // time of the last failure, 0 if there was none
 
 	stale             bool          // the configuration was stale at the last heartbeat
-	staleAt           time.Duration // time of the last heartbeat with a stale configuration; 0 if there was none
+	staleAt           time.Duration // time of the last heartbeat with a stale configuration, 0 if there was none
 	stalenessReported bool          // the last heartbeat reported the age of the registry's configuration
-	freshAsOf         time.Duration // latest time at which that configuration was certainly the newest
+	freshAsOf         time.Duration // latest time at which the registry's configuration was certainly the newest one
 }
 
 // lastActivityAt returns when the open session last had a heartbeat, or was opened if it had none.
@@ -31,7 +31,7 @@
 	return e.openedAt
 }
 
-// lastFailureAt returns when the registry last failed or was stale.
+// lastFailureAt returns when the registry last failed or was stale, 0 if neither has happened.
 func (e *registryEndpoint) lastFailureAt() time.Duration { return max(e.failedAt, e.staleAt) }
 
 // failedWithin reports whether the registry has no session and failed less than period ago.
--- a/internal/session/registry_selector.go
+++ b/internal/session/registry_selector.go
@@ -188,11 +188,12 @@
 	return next
 }
 
-// stallDivisor gives the delay of a call from which this process was stalled: a heartbeat interval divided by
-// this constant.
+// stallDivisor gives the delay after a Tick was due above which this process counts as stalled: a heartbeat interval
+// divided by this constant.
 const stallDivisor = 2
 
-// detectStall detects that this process was stalled. Messages that arrived during a stall are not processed
+// detectStall detects that this process was stalled. It was if neither Tick nor an event came until well after the Tick
+// was due. Messages that arrived during a stall are not processed
 // yet, so the registries must not be treated as silent for that time. The length of the stall is added to the
 // times of their last activity. For one heartbeat interval no registry counts as unresponsive or stale.
 func (s *RegistrySelector) detectStall(now time.Duration) {
@@ -293,9 +294,9 @@
 	return best
 }
 
-// compareEndpoints orders registries, the preferred one first. It compares the class, then for failed and
-// suspect ones the time of the last failure. The current registry comes next, then an order that differs between
-// proxies.
+// compareEndpoints orders registries, the preferred one first. It compares the class first, and then the time of the
+// last failure if the class is classFailed or classSuspect. Among equal registries the current one comes first, and
+// the others follow in an order that differs between proxies.
 func (s *RegistrySelector) compareEndpoints(now time.Duration, a, b *registryEndpoint) int {
 	classA, classB := s.class(now, a), s.class(now, b)
 	if classA != classB {
--- a/internal/session/registry_selector_test.go
+++ b/internal/session/registry_selector_test.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestRegistrySelector checks that a proxy prefers the registry of its zone, switches to another one when that
-// fails, and returns when it recovers. It also checks how long the proxy is without a current session.
-func TestRegistrySelector(t *testing.T) {
+// TestSelectorPrefersHealthyRegistryOfItsZone checks that a proxy prefers the registry of its zone, switches to another
+// one when that fails, and returns when it recovers. It also limits the time without a current session.
+func TestSelectorPrefersHealthyRegistryOfItsZone(t *testing.T) {
 	for name, test := range map[string]struct {
 		members  []*schema.CoreMember
 		seeds    []string
@@ -111,62 +111,62 @@
 		want     string        // allowed addresses of the current session at the end, separated by commas
 		maxGap   time.Duration // longest allowed time without a current session, after the first session
 	}{
-		"selects its zone": {threeMembers, nil, func(h *selectorHarness) { h.runUntil(100) }, "a", 0},
-		"only seeds known": {nil, []string{"b"}, func(h *selectorHarness) { h.runUntil(30) }, "b", 0},
-		"learns the members from a seed": {nil, []string{"b"}, func(h *selectorHarness) {
+		"selects the registry of its zone":        {threeMembers, nil, func(h *selectorHarness) { h.runUntil(100) }, "a", 0},
+		"selects a seed while no member is known": {nil, []string{"b"}, func(h *selectorHarness) { h.runUntil(30) }, "b", 0},
+		"leaves a seed once members are known": {nil, []string{"b"}, func(h *selectorHarness) {
 			h.runUntil(10)
 			h.selector.SetCoreMembers(threeMembers)
 			h.runUntil(20)
 		}, "a", 0},
-		"its registry fails": {threeMembers, nil, func(h *selectorHarness) {
+		"leaves a failed registry": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.refusing["a"] = true
 			h.runUntil(40)
 		}, "b,c", 3},
-		"its registry fails and recovers": {threeMembers, nil, func(h *selectorHarness) {
+		"returns to a failed registry that recovers": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.refusing["a"] = true
 			h.runUntil(30)
 			h.refusing["a"] = false
 			h.runUntil(100)
 		}, "a", 3},
-		"its registry becomes unresponsive": {threeMembers, nil, func(h *selectorHarness) {
+		"leaves an unresponsive registry without a gap": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.unresponsive["a"] = true
 			h.runUntil(40)
 		}, "b,c", 0},
-		"two registries are unresponsive": {threeMembers, nil, func(h *selectorHarness) {
+		"finds the only responsive registry": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.unresponsive["a"], h.unresponsive["b"] = true, true
 			h.runUntil(60)
 		}, "c", 10},
-		"its registry is partitioned": {threeMembers, nil, func(h *selectorHarness) {
+		"leaves a partitioned registry without a gap": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"] = 30
 			h.runUntil(40)
 		}, "b,c", 0},
-		"its registry is partitioned and recovers": {threeMembers, nil, func(h *selectorHarness) {
+		"returns to a partitioned registry that recovers": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"] = 30
 			h.runUntil(40)
 			h.staleness["a"] = 0
 			h.runUntil(100)
 		}, "a", 0},
-		"all registries are partitioned": {threeMembers, nil, func(h *selectorHarness) {
+		"stays while all registries are partitioned": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(100)
 		}, "a", 0},
-		"all registries but one are partitioned": {threeMembers, nil, func(h *selectorHarness) {
+		"finds the only registry that is not partitioned": {threeMembers, nil, func(h *selectorHarness) {
 			h.staleness["a"], h.staleness["b"] = 30, 30
 			h.runUntil(40)
 		}, "c", 0},
-		"all members fail and a seed is used": {threeMembers, []string{"d"}, func(h *selectorHarness) {
+		"uses a seed while all members fail": {threeMembers, []string{"d"}, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.refusing["a"], h.refusing["b"], h.refusing["c"] = true, true, true
 			h.runUntil(60)
 		}, "d", 20},
-		"reconnects first to a partitioned registry": {threeMembers, nil, func(h *selectorHarness) {
+		"leaves a partitioned registry that it reconnected to first": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.refusing["a"], h.refusing["b"], h.refusing["c"] = 30, true, true, true
 			h.runUntil(41)
@@ -175,20 +175,20 @@
 			h.refusing["b"], h.refusing["c"] = false, false
 			h.runUntil(60)
 		}, "b,c", 30},
-		"all registries but its own recover from a partition": {threeMembers, nil, func(h *selectorHarness) {
+		"leaves its registry when only the others recover from a partition": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(45)
 			h.staleness["b"], h.staleness["c"] = 0, 0
 			h.runUntil(45 + 3*selectorOptions.HeartbeatInterval)
 		}, "b,c", 0},
-		"two registries of a starting core reach the quorum later": {threeMembers, nil, func(h *selectorHarness) {
+		"finds the registries of a starting core that reach the quorum later": {threeMembers, nil, func(h *selectorHarness) {
 			h.staleness["a"], h.staleness["b"], h.staleness["c"] = 30, 30, 30
 			h.runUntil(6)
 			h.staleness["b"], h.staleness["c"] = 0, 0
 			h.runUntil(6 + selectorOptions.HeartbeatInterval)
 		}, "b,c", 0},
-		"the process is stalled": {threeMembers, nil, func(h *selectorHarness) {
+		"keeps its session after a stall of the process": {threeMembers, nil, func(h *selectorHarness) {
 			h.runUntil(21)
 			h.now = 51
 			h.runUntil(53)
@@ -197,7 +197,7 @@
 			}
 			h.runUntil(80)
 		}, "a", 0},
-		"a failed seed is not dialled while other registries respond": {threeMembers, []string{"d"}, func(h *selectorHarness) {
+		"does not dial a failed seed while other registries respond": {threeMembers, []string{"d"}, func(h *selectorHarness) {
 			h.refusing["d"] = true
 			h.runUntil(21)
 			h.staleness["a"] = 30
--- a/internal/session/reservation_attempt.go
+++ b/internal/session/reservation_attempt.go
@@ -52,7 +52,7 @@
 }
 
 // NewReservationAttempt starts an attempt among memberCount core members. startedAt is on the clock that is read
-// for Record and AwaitOutcome.
+// for the now arguments of Record and AwaitOutcome.
 func NewReservationAttempt(reservation *schema.KeyReservation, memberCount int, startedAt, timeout time.Duration) *ReservationAttempt {
 	return &ReservationAttempt{
 		reservation: reservation,
@@ -87,7 +87,7 @@
 
 // ReservationAnswer is the result of one request to a core member.
 type ReservationAnswer struct {
-	MemberID string                   // id of the member; empty if the request failed
+	MemberID string                   // id of the member, empty if the request failed
 	Response *schema.ReservationReply // reply of the member
 }
 
