--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -30,7 +30,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if _, err := Make(view, request, options, local, 0, randomFloat); err != nil {
-					b.Fatal(err)
+					b.Fatalf("Make(): %v", err)
 				}
 			}
 		})
--- a/internal/plan/endpoint.go
+++ b/internal/plan/endpoint.go
@@ -8,7 +8,7 @@
 	Proxy       string        // name of the proxy beside the worker
 	Address     string        // address of the proxy beside the worker
 	Zone        string        // zone of the worker
-	Load        float64       // additional load that the worker reports; more of it means fewer calls if Slots is 0
+	Load        float64       // additional load that the worker reports; 1 doubles the expected time; used if Slots is 0
 	FirstSeenAt time.Duration // time at which this process first knew the worker
 	Slots       int           // concurrency limit of the worker, 0 if not reported
 	Running     int           // requests that the worker was processing at ReportedAt
--- a/internal/plan/evaluation_context.go
+++ b/internal/plan/evaluation_context.go
@@ -69,8 +69,8 @@
 	return nil, false
 }
 
-// parseAttribute parses the value of a header. It returns a float64 for a plain decimal number, a bool for true or false,
-// and else the text.
+// parseAttribute parses the value of a header. It returns a float64 for a plain decimal number, a bool for true or
+// false, and the text itself for anything else.
 func parseAttribute(text string) any {
 	if number, err := strconv.ParseFloat(text, 64); err == nil && !strings.ContainsAny(text, "xXpP_nN") {
 		return number
--- a/internal/plan/picker.go
+++ b/internal/plan/picker.go
@@ -7,21 +7,23 @@
 
 // Load balancing parameters.
 const (
-	maxEjectedDivisor = 2   // number of sampled workers for each one that may be ejected or avoided
-	slowStartFloor    = 0.1 // fraction of its full share of calls at which a worker starts, if it reports no slow start
-	slowStartFactor   = 2.0 // multiple of the service time expected of a worker in the slow start that it reports
+	maxEjectedDivisor = 2   // the workers ejected or avoided are at most the sample size divided by this
+	slowStartFloor    = 0.1 // fraction of its full share of calls at which a worker starts, if its slots are unknown
 	lastSlotSlowdown  = 0.1 // relative increase of the service time from the first to the last slot in use
+	// slowStartFactor is the multiple of the sample's mean service time that is expected of a worker in the slow start
+	// that it reports, while its own service time is unknown.
+	slowStartFactor = 2.0
 
-	// Zone spillover. The slack is the time that the latency target leaves besides the service time. Calls spill to
-	// other zones with a probability that rises with the fraction of the slack that the wait in the own zone takes.
-	// The probability is 0 up to spillStart and 1 from spillAlways. In between, the zones settle at a load where both
-	// have a similar wait.
+	// Zone spillover. The slack is the time that the latency target leaves besides the service time, and at least one
+	// service time. Calls spill to other zones with a probability that rises with the fraction of the slack that the
+	// wait in the own zone takes. The probability is 0 up to spillStart and 1 from spillAlways. In between, the zones
+	// settle at a load where both have a similar wait.
 	spillStart  = 0.15
 	spillAlways = 0.4
 	// spillMaxTimeRatio is the largest ratio of the expected time in the other zone to that in the own zone.
 	spillMaxTimeRatio = 0.8
-	// spillUnknownSlotsRatio is the ratio of the load in the own zone to that in the other zone above which calls spill
-	// if slots are unknown.
+	// spillUnknownSlotsRatio is the ratio of the expected time in the own zone to that in the other zone above which
+	// calls spill if slots are unknown.
 	spillUnknownSlotsRatio = 3.0
 	// spillTargetDivisor applies if slots are unknown. Calls do not spill if the service time is known and shorter than
 	// the latency target divided by this constant.
@@ -39,8 +41,8 @@
 
 	maxPackedUtilization = 0.8 // largest fraction of a worker's slots that packed calls may occupy
 
-	// fullServiceTimes is the time, in service times, that a call must have left besides the expected wait for a worker
-	// to be tried that recently had no capacity.
+	// fullServiceTimes is the number of service times that the latency target of a call must leave besides the expected
+	// wait at a worker that recently had no capacity. If it leaves less, the worker is taken to be without capacity.
 	fullServiceTimes = 2.0
 
 	maxCandidates     = 8 // largest number of candidates of a plan; a call that has tried all of them gets another plan
@@ -65,7 +67,7 @@
 	otherZones        // workers in other zones
 	suspect           // workers with capacity that fail more than others; a call may still succeed there
 	atCapacity        // workers without capacity
-	unusable          // workers that are unreachable or fail all calls
+	unusable          // workers that are unreachable or ejected
 	groupCount
 )
 
@@ -138,7 +140,7 @@
 	}
 	start := min(int(p.random()*float64(poolSize)), poolSize-1)
 	p.scoreSample(start, sameZoneSampled, otherZonesSampled)
-	// If the sample has no usable worker with capacity, the whole pool is scored.
+	// If every sampled worker lacks capacity or fails, the whole pool is scored.
 	if len(p.groups[sameZone])+len(p.groups[otherZones]) == 0 && len(p.sampled) < poolSize {
 		p.scoreSample(0, poolSize, poolSize)
 	}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -49,8 +49,8 @@
 // Verdict is the result of one decision, with its reason. For a service it is the version whose workers get the call,
 // for a split route the service. The JSON keys are part of the operators' API.
 type Verdict struct {
-	Flag           string         `json:"flag"`                // key of the evaluated flag
-	Version        string         `json:"version"`             // selected version; for a split route the selected service
+	Flag           string         `json:"flag"`                // key of the flag that decides
+	Version        string         `json:"version"`             // selected version, or service of a split route; empty if none
 	Reason         flag.Reason    `json:"reason"`              // reason of the flag's result, or why the verdict differs from it
 	RuleID         string         `json:"rule,omitempty"`      // id of the flag's rule that matched, empty if none did
 	Error          flag.ErrorCode `json:"error,omitempty"`     // error of the flag's evaluation, empty for none
@@ -80,7 +80,7 @@
 type Options struct {
 	Zone        string        // zone of this proxy
 	MaxDeadline time.Duration // upper limit of the deadline of any call
-	Warmup      time.Duration // slow start of a new worker that does not report its own, 0 for none
+	Warmup      time.Duration // slow start of a new worker whose slots are unknown, 0 for none
 }
 
 // Random returns pseudo-random numbers in [0,1).
@@ -165,7 +165,7 @@
 	// so its key is ignored.
 	keyLength := len(request.IdempotencyKey)
 	if p.Class == config.ClassNonIdempotent && request.HasIdempotencyKey && (keyLength == 0 || keyLength > maxIdempotencyKeyBytes) {
-		return errs.New(errs.MalformedRequest, fmt.Sprintf("Idempotency-Key has %d bytes, allowed are 1 to %d", keyLength, maxIdempotencyKeyBytes))
+		return errs.New(errs.MalformedRequest, fmt.Sprintf("Idempotency-Key has %d bytes; 1 to %d bytes are allowed", keyLength, maxIdempotencyKeyBytes))
 	}
 	return nil
 }
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -83,9 +83,9 @@
 	return pool
 }
 
-// TestVerdicts checks the version and the reason of verdicts, and that a verdict that differs from the flag's result
-// keeps that result.
-func TestVerdicts(t *testing.T) {
+// TestVerdictKeepsFlagResult checks the version and the reason of verdicts, and that a verdict that differs from the
+// flag's result keeps that result.
+func TestVerdictKeepsFlagResult(t *testing.T) {
 	full := Directory{"shop": {"1": workers("old"), "2": workers("new")}}
 	canary := `release: r: {service: "shop", version: "2", target: 50, over: "1m"}`
 	user := map[string]string{"X-User": "ann"}
@@ -98,22 +98,22 @@
 		reason    flag.Reason
 		evaluated string
 	}{
-		"flag falls through":                 {full, "", false, user, "2", flag.ReasonFallthrough, ""},
-		"flag rule matches":                  {full, "", false, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
-		"request without a key":              {full, "", false, nil, "1", flag.ReasonError, ""},
-		"pool is empty":                      {Directory{"shop": {"1": workers("old")}}, "", false, user, "1", ReasonPoolEmpty, "2"},
-		"canary is allowed":                  {full, canary, false, user, "2", flag.ReasonFallthrough, ""},
-		"canary is blocked":                  {full, canary, true, user, "1", ReasonVersionBlocked, "2"},
-		"no worker of the pool is reachable": {full, "", false, user, "1", ReasonPoolEmpty, "2"},
-		"version without a plan is blocked":  {full, "", true, user, "1", ReasonVersionBlocked, "2"},
-		"fallback is never blocked":          {full, "", true, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
-		"version is stopped":                 {full, `stop: "shop.2": {service: "shop", version: "2"}`, false, user, "1", ReasonVersionBlocked, "2"},
-		"stop is lifted":                     {full, `stop: "shop.2": {service: "shop", version: "2", lifted: true}`, false, user, "2", flag.ReasonFallthrough, ""},
+		"fallthrough selects the version":                            {full, "", false, user, "2", flag.ReasonFallthrough, ""},
+		"matching rule selects the version":                          {full, "", false, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
+		"request without a key gets the fallback":                    {full, "", false, nil, "1", flag.ReasonError, ""},
+		"empty pool is replaced by the fallback":                     {Directory{"shop": {"1": workers("old")}}, "", false, user, "1", ReasonPoolEmpty, "2"},
+		"canary that is not blocked gets calls":                      {full, canary, false, user, "2", flag.ReasonFallthrough, ""},
+		"blocked canary is replaced by the fallback":                 {full, canary, true, user, "1", ReasonVersionBlocked, "2"},
+		"unreachable pool is replaced by the fallback":               {full, "", false, user, "1", ReasonPoolEmpty, "2"},
+		"blocked version without a plan is replaced by the fallback": {full, "", true, user, "1", ReasonVersionBlocked, "2"},
+		"fallback is never blocked":                                  {full, "", true, map[string]string{"X-User": "ann", "X-Country": "se"}, "1", flag.ReasonRule, ""},
+		"stopped version is replaced by the fallback":                {full, `stop: "shop.2": {service: "shop", version: "2"}`, false, user, "1", ReasonVersionBlocked, "2"},
+		"lifted stop has no effect":                                  {full, `stop: "shop.2": {service: "shop", version: "2", lifted: true}`, false, user, "2", flag.ReasonFallthrough, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := viewOf(t, test.directory, test.more)
 			request := newRequest("GET", "/shop/x", test.headers)
-			local := fakeLocalState{blocked: test.blocked, unreachable: map[string]bool{"new": name == "no worker of the pool is reachable"}}
+			local := fakeLocalState{blocked: test.blocked, unreachable: map[string]bool{"new": name == "unreachable pool is replaced by the fallback"}}
 			callPlan, err := Make(view, request, options, local, 0, rand.New(rand.NewPCG(1, 1)).Float64)
 			if err != nil {
 				t.Fatalf("Make(): %v", err)
@@ -123,15 +123,15 @@
 					v, test.version, test.reason, test.evaluated)
 			}
 			if len(callPlan.Candidates) != 1 {
-				t.Errorf("Make() candidates = %v, want 1", callPlan.Candidates)
+				t.Errorf("Make() candidates = %v, want exactly 1", callPlan.Candidates)
 			}
 		})
 	}
 }
 
-// TestRefusalsAndDeadlines checks that Make fails without a matching route, or if the service does not allow the caller.
-// It also checks that a caller's deadline can only shorten the route's.
-func TestRefusalsAndDeadlines(t *testing.T) {
+// TestMakeRefusesCallsAndLimitsDeadlines checks that Make fails without a matching route, or if the service does not
+// allow the caller. It also checks that a caller's deadline can only shorten the route's.
+func TestMakeRefusesCallsAndLimitsDeadlines(t *testing.T) {
 	view := viewOf(t, nil, "")
 	random := rand.New(rand.NewPCG(1, 1)).Float64
 	if _, err := Make(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.RouteNotFound {
@@ -152,19 +152,20 @@
 	}
 }
 
-// TestPolicies checks that a route's policy decides whether the call is made, before the flag decides its version.
-func TestPolicies(t *testing.T) {
+// TestPolicyDecidesBeforeFlag checks that a route's policy decides whether the call is made, before the flag decides its
+// version.
+func TestPolicyDecidesBeforeFlag(t *testing.T) {
 	for name, test := range map[string]struct {
 		policy  string
 		headers map[string]string
 		allowed bool
 	}{
-		"expression is true":                                {`caller == "client" and country == "se"`, map[string]string{"X-User": "ann", "X-Country": "se"}, true},
-		"expression is false":                               {`country == "no"`, map[string]string{"X-User": "ann", "X-Country": "se"}, false},
-		"expression cannot be evaluated":                    {`country > 3`, map[string]string{"X-User": "ann", "X-Country": "se"}, false},
-		"attribute is missing":                              {`country == "se"`, map[string]string{"X-User": "ann"}, false},
-		"caller comes from the listener, not from a header": {`caller != "saves"`, map[string]string{"X-User": "ann", "Caller": "saves"}, true},
-		"key is missing":                                    {`key != ""`, nil, false},
+		"true expression allows the call":                     {`caller == "client" and country == "se"`, map[string]string{"X-User": "ann", "X-Country": "se"}, true},
+		"false expression denies the call":                    {`country == "no"`, map[string]string{"X-User": "ann", "X-Country": "se"}, false},
+		"expression that cannot be evaluated denies the call": {`country > 3`, map[string]string{"X-User": "ann", "X-Country": "se"}, false},
+		"missing attribute denies the call":                   {`country == "se"`, map[string]string{"X-User": "ann"}, false},
+		"caller comes from the listener, not from a header":   {`caller != "saves"`, map[string]string{"X-User": "ann", "Caller": "saves"}, true},
+		"missing key is an empty string":                      {`key != ""`, nil, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := viewOf(t, Directory{"shop": {"1": workers("old"), "2": workers("new")}}, fmt.Sprintf(`policy: only: expression: %q
@@ -182,9 +183,9 @@
 	}
 }
 
-// TestIdempotencyKeyLength checks that an idempotency key of invalid length is rejected for a non-idempotent request, and
-// ignored for an idempotent one.
-func TestIdempotencyKeyLength(t *testing.T) {
+// TestIdempotencyKeyOfInvalidLengthIsRejected checks that an idempotency key of invalid length is rejected for a
+// non-idempotent request, and ignored for an idempotent one.
+func TestIdempotencyKeyOfInvalidLengthIsRejected(t *testing.T) {
 	view := viewOf(t, nil, "")
 	for _, test := range []struct {
 		method, key string
@@ -199,7 +200,7 @@
 		request.HasIdempotencyKey, request.IdempotencyKey = test.hasKey, test.key
 		_, err := Make(view, request, options, fakeLocalState{}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
 		if (err == nil) != (test.want == "") || (err != nil && errs.CodeOf(err) != test.want) {
-			t.Errorf("Make() of %s with an idempotency key (%t) of %d bytes: error = %v, want code %q",
+			t.Errorf("Make() of %s with idempotency key present %t and of %d bytes: error = %v, want code %q (empty for no error)",
 				test.method, test.hasKey, len(test.key), err, test.want)
 		}
 	}
@@ -221,8 +222,8 @@
 	return counts
 }
 
-// TestPickEndpoints checks each rule of the order of candidates separately.
-func TestPickEndpoints(t *testing.T) {
+// TestCandidatesFollowEachRuleOfOrder checks each rule of the order of candidates separately.
+func TestCandidatesFollowEachRuleOfOrder(t *testing.T) {
 	if got := countFirstPicks(t, workers("a", "b", "far1"), fakeLocalState{}, 0); got["far1"] > 0 || got["a"] < 400 || got["b"] < 400 {
 		t.Errorf("first candidates = %v, want only a and b, each at least 400 of 1000 times", got)
 	}
@@ -249,11 +250,11 @@
 // the keys of a worker that disappears go to others.
 func TestIdempotencyKeyKeepsItsWorker(t *testing.T) {
 	pool := workers("a", "b", "c", "d")
-	lost := map[string]bool{}
+	unreachable := map[string]bool{}
 	pickFor := func(pool []Endpoint, key string) string {
 		request := newRequest("POST", "/shop/buy", map[string]string{"X-User": "ann"})
 		request.IdempotencyKey = key
-		callPlan, err := Make(viewOf(t, Directory{"shop": {"2": pool}}, ""), request, options, fakeLocalState{unreachable: lost}, 0, rand.Float64)
+		callPlan, err := Make(viewOf(t, Directory{"shop": {"2": pool}}, ""), request, options, fakeLocalState{unreachable: unreachable}, 0, rand.Float64)
 		if err != nil {
 			t.Fatalf("Make() with key %q: %v", key, err)
 		}
@@ -272,7 +273,7 @@
 		}
 	}
 	// An unreachable worker is never the first candidate.
-	lost["a"] = true
+	unreachable["a"] = true
 	for i := range 40 {
 		if got := pickFor(pool, strings.Repeat("k", i+1)); got == "a" {
 			t.Errorf("first candidate of key %q = %s, which is unreachable", strings.Repeat("k", i+1), got)
@@ -283,8 +284,9 @@
 	}
 }
 
-// TestContextKey checks that the key for flags is the header that the route names, or else the request's identity.
-func TestContextKey(t *testing.T) {
+// TestFlagKeyIsHeaderOrIdentity checks that the key for flags is the header that the route names, or else the request's
+// identity.
+func TestFlagKeyIsHeaderOrIdentity(t *testing.T) {
 	view := viewOfBodies(t, map[string]string{"service/shop": `{"versions":["1","2"],"fallback":"1"}`,
 		"route/own":         `{"service":"shop","prefix":"/own/"}`,
 		"route/named":       `{"service":"shop","prefix":"/named/","key":"X-User"}`,
@@ -318,9 +320,10 @@
 	return &View{Config: snapshot, Directory: directory}
 }
 
-// TestSplit checks that a split selects the service by weight and key, and that the service's own flag then selects the
-// version. Other services with a positive weight take the calls only if the selected service has no workers.
-func TestSplit(t *testing.T) {
+// TestSplitSelectsServiceByWeightAndKey checks that a split selects the service by weight and key, and that the
+// service's own flag then selects the version. Other services with a positive weight take the calls only if the selected
+// service has no workers.
+func TestSplitSelectsServiceByWeightAndKey(t *testing.T) {
 	bodies := map[string]string{"service/a": `{"versions":["1"],"fallback":"1"}`, "service/b": `{"versions":["1"],"fallback":"1"}`, "service/c": `{"versions":["1"],"fallback":"1","callers":["saves"]}`, "service/d": `{"versions":["1"],"fallback":"1"}`,
 		"route/r": `{"prefix":"/","split":[{"service":"a","weight":60},{"service":"b","weight":30},{"service":"c","weight":10},{"service":"d","weight":0}]}`}
 	directoryOf := func(names ...string) Directory {
@@ -331,25 +334,27 @@
 		return directory
 	}
 	for name, test := range map[string]struct {
-		directory Directory
-		lost      map[string]bool
-		caller    string
-		shares    map[string]int // keys of 1000 that each service gets, plus or minus 60
-		empty     int            // keys of 1000 with ReasonSplitEmpty, plus or minus 60
+		directory   Directory
+		unreachable map[string]bool // unreachable workers, by instance
+		caller      string
+		// keys holds the keys of 1000 that each service gets, plus or minus 60. "" stands for calls without candidates,
+		// "denied" for calls whose caller is not allowed.
+		keys       map[string]int
+		splitEmpty int // keys of 1000 with ReasonSplitEmpty, plus or minus 60
 	}{
-		"all services have workers":                {directoryOf("a", "b", "c", "d"), nil, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
-		"one service has no workers":               {directoryOf("b", "c", "d"), nil, "saves", map[string]int{"b": 750, "c": 250}, 600},
-		"only a service with weight 0 has workers": {directoryOf("d"), nil, "saves", map[string]int{"": 1000}, 0},
-		"one service is unreachable":               {directoryOf("a", "b", "c"), map[string]bool{"at-a": true}, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
-		"other services must allow the caller":     {directoryOf("b", "d"), nil, "client", map[string]int{"b": 900, "denied": 100}, 600},
+		"services get keys by weight":                             {directoryOf("a", "b", "c", "d"), nil, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
+		"services share the keys of one without workers":          {directoryOf("b", "c", "d"), nil, "saves", map[string]int{"b": 750, "c": 250}, 600},
+		"service with weight 0 gets no keys":                      {directoryOf("d"), nil, "saves", map[string]int{"": 1000}, 0},
+		"unreachable service keeps its keys":                      {directoryOf("a", "b", "c"), map[string]bool{"at-a": true}, "saves", map[string]int{"a": 600, "b": 300, "c": 100}, 0},
+		"service that denies the caller takes no keys of another": {directoryOf("b", "d"), nil, "client", map[string]int{"b": 900, "denied": 100}, 600},
 	} {
 		t.Run(name, func(t *testing.T) {
 			view := viewOfBodies(t, bodies, test.directory)
-			got, exceptions := map[string]int{}, 0
+			got, gotSplitEmpty := map[string]int{}, 0
 			for i := range 1000 {
 				request := newRequest("GET", "/x", nil)
 				request.Identity, request.Caller = fmt.Sprint("key-", i), test.caller
-				callPlan, err := Make(view, request, options, fakeLocalState{unreachable: test.lost}, 0, rand.Float64)
+				callPlan, err := Make(view, request, options, fakeLocalState{unreachable: test.unreachable}, 0, rand.Float64)
 				switch {
 				case errs.CodeOf(err) == errs.CallerNotAllowed && err != nil:
 					got["denied"]++
@@ -362,27 +367,27 @@
 				}
 				got[callPlan.Service]++
 				if callPlan.Split.Flag != "route.r" || callPlan.Split.Version != callPlan.Service || callPlan.Candidates[0].Instance != "at-"+callPlan.Service || callPlan.Verdict.Flag != "release."+callPlan.Service {
-					t.Errorf("Make() = %+v, want split flag route.r and version flag release.%s with a worker of that service first",
-						callPlan, callPlan.Service)
+					t.Errorf("Make() with key %q = %+v, want split flag route.r and version flag release.%s with a worker of that service first",
+						request.Identity, callPlan, callPlan.Service)
 				}
 				if callPlan.Split.Reason == ReasonSplitEmpty {
-					exceptions++
+					gotSplitEmpty++
 					if callPlan.Split.Evaluated == callPlan.Service || callPlan.Split.Evaluated == "" {
-						t.Errorf("split verdict = %+v, want the flag's own result in Evaluated", callPlan.Split)
+						t.Errorf("split verdict of key %q = %+v, want the flag's own result in Evaluated", request.Identity, callPlan.Split)
 					}
 				}
-				if again, _ := Make(view, request, options, fakeLocalState{unreachable: test.lost}, 0, rand.Float64); again.Service != callPlan.Service {
+				if again, _ := Make(view, request, options, fakeLocalState{unreachable: test.unreachable}, 0, rand.Float64); again.Service != callPlan.Service {
 					t.Errorf("service of key %q on a repeat = %s, want %s", request.Identity, again.Service, callPlan.Service)
 				}
 			}
-			for service, want := range test.shares {
+			for service, want := range test.keys {
 				if diff := got[service] - want; diff < -60 || diff > 60 {
 					t.Errorf("keys by service = %v, want %d for %q, plus or minus 60", got, want, service)
 				}
 			}
-			if len(got) != len(test.shares) || exceptions < test.empty-60 || exceptions > test.empty+60 {
+			if len(got) != len(test.keys) || gotSplitEmpty < test.splitEmpty-60 || gotSplitEmpty > test.splitEmpty+60 {
 				t.Errorf("keys by service = %v with %d of reason %s, want services %v with %d, plus or minus 60",
-					got, exceptions, ReasonSplitEmpty, test.shares, test.empty)
+					got, gotSplitEmpty, ReasonSplitEmpty, test.keys, test.splitEmpty)
 			}
 		})
 	}
@@ -400,7 +405,7 @@
 	view := viewOfBodies(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
 	callPlan, err := Make(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
 	if err == nil || errs.CodeOf(err) != errs.NoWorker || callPlan == nil || callPlan.Verdict.Reason != ReasonNoVersion || callPlan.Service != "a" {
-		t.Errorf("Make() = %+v, %v, want code %s and a plan for service a with reason %s",
+		t.Errorf("Make() of a service without versions = %+v, %v, want code %s and a plan for service a with reason %s",
 			callPlan, err, errs.NoWorker, ReasonNoVersion)
 	}
 }
@@ -417,12 +422,12 @@
 		local fakeLocalState
 		want  string // first candidate; empty for any
 	}{
-		"all are idle":       {fakeLocalState{}, "far1"},
-		"one is full":        {fakeLocalState{inFlight: map[string]int{"far1": 8}}, "w1"},
-		"one is nearly full": {fakeLocalState{inFlight: map[string]int{"far1": 7}}, "far1"},
-		"two are full":       {fakeLocalState{inFlight: map[string]int{"far1": 8, "w1": 9}}, "w2"},
-		"one is unreachable": {fakeLocalState{unreachable: map[string]bool{"far1": true}}, "w1"},
-		"all are full":       {fakeLocalState{inFlight: map[string]int{"far1": 9, "w1": 9, "w2": 9}}, ""},
+		"first by instance id if all are idle": {fakeLocalState{}, "far1"},
+		"second if the first is full":          {fakeLocalState{inFlight: map[string]int{"far1": 8}}, "w1"},
+		"first while it is nearly full":        {fakeLocalState{inFlight: map[string]int{"far1": 7}}, "far1"},
+		"last if the others are full":          {fakeLocalState{inFlight: map[string]int{"far1": 8, "w1": 9}}, "w2"},
+		"second if the first is unreachable":   {fakeLocalState{unreachable: map[string]bool{"far1": true}}, "w1"},
+		"any if all are full":                  {fakeLocalState{inFlight: map[string]int{"far1": 9, "w1": 9, "w2": 9}}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, zone := range []string{"near", "far"} {
--- a/internal/plan/race_off_test.go
+++ b/internal/plan/race_off_test.go
@@ -2,4 +2,5 @@
 
 package plan
 
+// raceEnabled is false without the race detector.
 const raceEnabled = false
--- a/internal/plan/rendezvous.go
+++ b/internal/plan/rendezvous.go
@@ -16,7 +16,8 @@
 	weight := func(endpoint Endpoint) uint64 {
 		hash := fnv.New64a()
 		_, _ = hash.Write([]byte(key + "\x00" + endpoint.Instance)) // a hash never fails to write
-		// The MurmurHash3 finalizer mixes the bits, because in FNV alone the last bytes have too little effect.
+		// The first half of the MurmurHash3 finalizer mixes the bits, because in FNV alone the last bytes have too
+		// little effect.
 		sum := hash.Sum64()
 		sum ^= sum >> 33
 		sum *= murmurMultiplier
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -39,7 +39,7 @@
 	Method     string         // HTTP method
 	Path       string         // URL path
 	Key        string         // key by which flags assign the call to a bucket
-	Attributes map[string]any // attributes that the route declares, by name
+	Attributes map[string]any // values of the declared attributes that the call has, by name
 }
 
 // contextNames lists the names of the context's own fields in an expression. They are reserved: attributes must not
@@ -65,7 +65,7 @@
 // unknown name is taken as an attribute, so that a policy can be checked before any route refers to it.
 func Compile(expression string, attributes []string) (*Program, *Fault) {
 	if len(expression) > MaxExpressionBytes {
-		return nil, &Fault{1, MaxExpressionBytes + 1, fmt.Sprintf("expression has %d bytes, at most %d bytes are allowed",
+		return nil, &Fault{1, MaxExpressionBytes + 1, fmt.Sprintf("expression has %d bytes; at most %d bytes are allowed",
 			len(expression), MaxExpressionBytes)}
 	}
 	checker := &callChecker{}
@@ -75,7 +75,7 @@
 	}
 	if checker.disallowed != nil {
 		location := checker.disallowed.Location()
-		return nil, &Fault{1, location.From + 1, "call of a function that is not allowed in a policy, allowed are " +
+		return nil, &Fault{1, location.From + 1, "call of a function that is not allowed in a policy; allowed are " +
 			strings.Join(allowedFunctions, ", ")}
 	}
 	return &Program{code}, nil
@@ -115,8 +115,8 @@
 	return &Fault{1, 1, err.Error()}
 }
 
-// callChecker finds calls of anything but allowedFunctions, such as a function that loops or a name that is taken
-// as an attribute.
+// callChecker finds calls of anything but allowedFunctions. Examples are a function that loops, and a name that is
+// taken as an attribute.
 type callChecker struct {
 	disallowed ast.Node // last disallowed call found, nil for none
 }
--- a/internal/policy/policy_test.go
+++ b/internal/policy/policy_test.go
@@ -5,26 +5,26 @@
 	"testing"
 )
 
-// TestCompileFaults checks that Compile rejects a policy that is not boolean, refers to an unknown name, or could be
-// expensive to evaluate.
-func TestCompileFaults(t *testing.T) {
+// TestCompileRejectsInvalidPolicies checks that Compile rejects a policy that is not boolean, refers to an unknown name,
+// or could be expensive to evaluate.
+func TestCompileRejectsInvalidPolicies(t *testing.T) {
 	for name, test := range map[string]struct {
 		text       string
 		attributes []string
 		reason     string // part of the fault's reason; empty if the policy is valid
 	}{
-		"valid policy":                     {`caller == "client" && country in ["se", "no"]`, []string{"country"}, ""},
-		"attribute of any type as result":  {`country`, []string{"country"}, "bool"},
-		"string as result":                 {`caller`, nil, "bool"},
-		"syntax error":                     {`caller ==`, nil, "unexpected"},
-		"unknown name":                     {`colour == "red"`, []string{"country"}, "unknown name colour"},
-		"any name without a route":         {`colour == "red"`, nil, ""},
-		"string compared with a number":    {`method > 4`, []string{}, "mismatched types"},
-		"expression too long":              {`caller == "` + strings.Repeat("x", MaxExpressionBytes) + `"`, nil, "at most 1024 bytes"},
-		"too many nodes":                   {strings.Repeat(`key=="" or `, 90) + `caller == "b"`, nil, "maximum allowed nodes"},
-		"loop":                             {`all(1..1000000, # > 0)`, []string{}, "function that is not allowed"},
-		"unbounded function":               {`repeat(caller, 1000000) == ""`, []string{}, "unknown name repeat"},
-		"unknown function without a route": {`repeat(caller, 1000000) == ""`, nil, "function that is not allowed"},
+		"valid policy compiles":                        {`caller == "client" && country in ["se", "no"]`, []string{"country"}, ""},
+		"attribute of any type as result is rejected":  {`country`, []string{"country"}, "bool"},
+		"string as result is rejected":                 {`caller`, nil, "bool"},
+		"syntax error is rejected":                     {`caller ==`, nil, "unexpected"},
+		"unknown name is rejected":                     {`colour == "red"`, []string{"country"}, "unknown name colour"},
+		"any name compiles without a route":            {`colour == "red"`, nil, ""},
+		"string compared with a number is rejected":    {`method > 4`, []string{}, "mismatched types"},
+		"expression that is too long is rejected":      {`caller == "` + strings.Repeat("x", MaxExpressionBytes) + `"`, nil, "at most 1024 bytes"},
+		"expression with too many nodes is rejected":   {strings.Repeat(`key=="" or `, 90) + `caller == "b"`, nil, "maximum allowed nodes"},
+		"loop is rejected":                             {`all(1..1000000, # > 0)`, []string{}, "function that is not allowed"},
+		"unbounded function is rejected":               {`repeat(caller, 1000000) == ""`, []string{}, "unknown name repeat"},
+		"unknown function without a route is rejected": {`repeat(caller, 1000000) == ""`, nil, "function that is not allowed"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, fault := Compile(test.text, test.attributes)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestAllows checks that a policy allows a call only if its expression can be evaluated and is true.
-func TestAllows(t *testing.T) {
+// TestPolicyAllowsOnlyIfTrue checks that a policy allows a call only if its expression can be evaluated and is true.
+func TestPolicyAllowsOnlyIfTrue(t *testing.T) {
 	context := Context{Caller: "client", Zone: "a", Method: "POST", Path: "/shop/buy", Key: "ann", Attributes: map[string]any{"country": "se", "age": 20.0}}
 	for text, want := range map[string]bool{
 		`caller == "client"`:                         true,
