--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -51,7 +51,8 @@
 	return slices.Contains(contextNames, name)
 }
 
-// Fault is a compile error of a policy.
+// Fault is a compile error of a policy. A call that is not allowed is reported at line 1, with its column counted from
+// the start of the expression. So is an expression that is too long.
 type Fault struct {
 	Line   int    // line in the expression, from 1
 	Column int    // column in the line, from 1
--- a/internal/release/latency_buckets.go
+++ b/internal/release/latency_buckets.go
@@ -32,8 +32,8 @@
 )
 
 // slowBucket returns the first bucket in which a call is too slow. A call that is too slow counts as much as a
-// failure. The bucket lies slowBucketDistance above the baseline's median. If the baseline has too few calls,
-// slowBucket returns LatencyBucketCount, so that no call is too slow.
+// failure. The bucket lies slowBucketDistance above the bucket of the baseline's median, or one more. If the baseline
+// has too few calls, slowBucket returns LatencyBucketCount, so that no call is too slow.
 func slowBucket(baseline CallStats) int {
 	calls, cumulative := uint64(0), uint64(0)
 	for _, count := range baseline.LatencyBuckets {
--- a/internal/release/ramp.go
+++ b/internal/release/ramp.go
@@ -37,6 +37,9 @@
 // NextRampProgress returns the next progress of a ramp plan. The percentage rises in proportion to the time
 // in which the new version performed no worse than the old one. sinceStart holds the counts since the controller
 // first saw the plan, and sinceLastStep those since the last step. elapsed is the time since the last step.
+//
+// While sinceStart has too few calls of the new version, the plan is in the canary state, whatever its recorded state
+// is. That is also so after a change of controller.
 func (o Options) NextRampProgress(plan *config.Release, before config.Progress, sinceStart, sinceLastStep VersionCounts,
 	elapsed time.Duration) config.Progress {
 	after := before
--- a/internal/session/endpoint_class.go
+++ b/internal/session/endpoint_class.go
@@ -71,7 +71,7 @@
 }
 
 // isStale reports whether the registry's configuration may be older than MaxStaleness. A registry that does not
-// report its staleness counts as stale. Until graceUntil, no registry does.
+// report its staleness counts as stale. Before graceUntil, no registry counts as stale.
 func (s *RegistrySelector) isStale(now time.Duration, endpoint *registryEndpoint) bool {
 	return now >= s.graceUntil && (!endpoint.stalenessReported || now-endpoint.freshAsOf > s.options.MaxStaleness)
 }
--- a/internal/session/registry_selector.go
+++ b/internal/session/registry_selector.go
@@ -192,10 +192,10 @@
 // divided by this constant.
 const stallDivisor = 2
 
-// detectStall detects that this process was stalled. It was if neither Tick nor an event came until well after the Tick
-// was due. Messages that arrived during a stall are not processed
-// yet, so the registries must not be treated as silent for that time. The length of the stall is added to the
-// times of their last activity. For one heartbeat interval no registry counts as unresponsive or stale.
+// detectStall detects that this process was stalled, because neither Tick nor an event came until well after the Tick
+// was due. Messages that arrived during a stall are not processed yet, so the registries must not be treated as silent
+// for that time. The length of the stall is added to the times of their last activity. For one heartbeat interval no
+// registry counts as unresponsive or stale.
 func (s *RegistrySelector) detectStall(now time.Duration) {
 	if late := now - s.nextTickAt; s.nextTickAt > 0 && late > s.options.HeartbeatInterval/stallDivisor {
 		for _, endpoint := range s.endpoints {
