--- a/internal/registry/acknowledgement.go
+++ b/internal/registry/acknowledgement.go
@@ -6,7 +6,7 @@
 // majority of the registries report no valid lease below it. A lease needs grants from a majority, and two majorities
 // share a registry, so no valid lease below the fence can remain. It is not safe for concurrent use.
 type Acknowledgement struct {
-	memberCount     int
+	memberCount     int             // number of core members
 	withoutLaggards map[string]bool // core members whose registry has reported no laggards, by member id
 }
 
--- a/internal/registry/acknowledger.go
+++ b/internal/registry/acknowledger.go
@@ -8,7 +8,7 @@
 	"meadowhinge/schema"
 )
 
-// acknowledger waits until every proxy that holds a lease has applied a committed revision. Its fields do not change
+// acknowledger waits until every proxy with a valid lease has applied a committed revision. Its fields do not change
 // after construction.
 type acknowledger struct {
 	state *sharedState
--- a/internal/registry/call_counts.go
+++ b/internal/registry/call_counts.go
@@ -69,8 +69,9 @@
 }
 
 // recordCounts keeps, for one incarnation of a proxy, the counts of the report with the most calls, since reports may
-// arrive twice or out of order. If a report leaves counts out, the stored ones stay. Beyond maxCountsPerSource
-// incarnations for each of MaxSources sources, it drops the incarnation that was added first.
+// arrive twice or out of order. It does so separately for verdict counts and work counts. If a report leaves counts
+// out, the stored ones stay. Beyond maxCountsPerSource incarnations for each of MaxSources sources, it drops the
+// incarnation that was added first.
 func (f *FleetState) recordCounts(reported *schema.SourceCounts) {
 	key := proxyIncarnation{reported.Proxy, reported.Incarnation}
 	existing := f.countsByIncarnation[key]
@@ -101,8 +102,8 @@
 // MergeCounts merges the counts that several registries hold. A proxy that moved between registries has counts at both,
 // so for each proxy incarnation it keeps the counts of the registry with the most calls.
 //
-// It differs from recordCounts in ties of work counts: recordCounts keeps the report received last, MergeCounts the one
-// with the lowest age.
+// It differs from recordCounts in ties, in which recordCounts keeps the report received last. Of equal work counts,
+// MergeCounts keeps those with the lowest age. Of equal verdict counts, it keeps those of the first reply.
 func MergeCounts(replies []*schema.CountsReply) []*schema.SourceCounts {
 	byIncarnation := map[proxyIncarnation]*schema.SourceCounts{}
 	var all []*schema.SourceCounts
--- a/internal/registry/change_submitter.go
+++ b/internal/registry/change_submitter.go
@@ -9,8 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// changeSubmitter proposes changes to the store and waits for their acknowledgement. Fields do not change after
-// construction, except those guarded by sharedState.lock.
+// changeSubmitter proposes changes to the store and waits for their acknowledgement. The fields that sharedState.lock
+// guards are its only mutable ones.
 type changeSubmitter struct {
 	state        *sharedState
 	options      *liveOptions
@@ -72,7 +72,7 @@
 }
 
 // SubmitChange submits a change, or waits for the same change if that is already in progress: see OperatorBackend. It
-// generates an id for a change without one.
+// sets the id of a change that has none.
 func (c *changeSubmitter) SubmitChange(ctx context.Context, change *schema.Change) *schema.ChangeOutcome {
 	pending := c.startChange(change) //nolint:contextcheck // the change continues after ctx ended: see completeChange
 	select {
--- a/internal/registry/change_traces.go
+++ b/internal/registry/change_traces.go
@@ -8,7 +8,7 @@
 // trace records when a revision reached each stage, as this registry observed it. Times count from the start of the
 // registry; zero means not observed.
 type trace struct {
-	seenAt         time.Duration            // when the revision was first known here to be committed
+	seenAt         time.Duration            // when this registry first had the revision, or a newer one
 	acknowledgedAt time.Duration            // when this registry first found the revision to be acknowledged
 	appliedAt      map[string]time.Duration // when a proxy first reported the revision as applied, by proxy
 }
--- a/internal/registry/config_sync.go
+++ b/internal/registry/config_sync.go
@@ -44,7 +44,8 @@
 }
 
 // applyCommitted applies a reply of the store and wakes the sessions, which push the changes to proxies. A revision
-// that is not newer changes nothing: a store that lost its log reports older ones while it is restored.
+// that is not newer leaves the configuration unchanged, since a store that lost its log reports older revisions while
+// it is restored.
 func (c *configSync) applyCommitted(reply *schema.FollowReply) {
 	s := c.state
 	s.lock.Lock()
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -14,12 +14,14 @@
 	// ended.
 	disconnectedLeases = 1
 	// orphanLeases is how long a source's home registry may go unheard before the source is ended. The source is ended
-	// only by a registry that has quorum contact.
+	// only by a registry that has quorum contact. An incarnation-only source without an update is ended after the same
+	// time.
 	orphanLeases = 2
-	// quorumContactAgeDivisor sets how recently the configuration must have been confirmed as current for quorum
-	// contact.
+	// quorumContactAgeDivisor sets the highest age of the last confirmation that this registry's configuration is
+	// current, at which the registry has quorum contact.
 	quorumContactAgeDivisor = 2
-	// sweepDivisor sets the shortest interval between two sweeps that sessions trigger.
+	// sweepDivisor sets the shortest interval between two sweeps that sessions trigger, and the longest time for which
+	// the number of live proxies is cached.
 	sweepDivisor = 64
 )
 
@@ -28,9 +30,9 @@
 // registry finds that the session ended and was not reopened in time, or until the home registry itself is lost.
 type directory struct {
 	lastSequence uint64           // sequence of the newest update; zero for none
-	updateLog    []updateLogEntry // updates of all sources, in the order of their sequences; see appendUpdate
+	updateLog    []updateLogEntry // updates of sources, in the order of their sequences; see appendUpdate
 
-	sessions       map[string]int           // number of open sessions with this registry, by proxy; never zero
+	sessions       map[string]int           // number of open sessions with this registry, by proxy; no entry for none
 	disconnectedAt map[string]time.Duration // when a proxy's last session with this registry ended, by proxy
 
 	// incarnationOnly holds, by proxy, incarnations that another node has seen and of which this registry has no
@@ -65,8 +67,8 @@
 	}
 }
 
-// OpenSession counts a new session of a proxy, becomes the home registry of its source and stores the source. It
-// reports whether the service directory changed.
+// OpenSession counts a new session of a proxy, makes this registry the home registry of the proxy's source, and stores
+// the source as MergeSource does. It reports whether the service directory changed.
 func (f *FleetState) OpenSession(now time.Duration, source *schema.Source) bool {
 	f.directory.sessions[source.Name]++
 	f.adoptSource(source)
@@ -89,8 +91,8 @@
 // SessionCount returns the number of proxies that have a session with this registry.
 func (f *FleetState) SessionCount() int { return len(f.directory.sessions) }
 
-// RecordPeerHeard records that the registry of another member was heard from, and the members whose registries that one
-// hears itself.
+// RecordPeerHeard records that an update of another member's registry arrived. reaches lists the members whose
+// registries that registry hears itself.
 func (f *FleetState) RecordPeerHeard(now time.Duration, memberID string, reaches []string) {
 	f.directory.reachedBy[memberID] = reaches
 	f.directory.heardAt[memberID] = now
@@ -100,7 +102,7 @@
 	}
 }
 
-// ReachableRegistries returns, sorted, the members whose registries this registry has heard from within a lease.
+// ReachableRegistries returns, sorted, the other members whose registries this registry has heard from within a lease.
 func (f *FleetState) ReachableRegistries(now time.Duration) []string {
 	var memberIDs []string
 	for memberID, at := range f.directory.heardAt {
@@ -151,8 +153,8 @@
 			f.endSource(now, entry.source)
 		}
 	}
-	// Another node lists a proxy of which no registry has an update. A live proxy would have opened a session with some
-	// registry by now. That is certain only while this registry hears all others.
+	// Another node has seen an incarnation of a proxy of which no registry has an update. A live proxy would have opened
+	// a session with some registry by now. That is certain only while this registry hears all others.
 	for _, entry := range f.directory.incarnationOnly {
 		allHeard := f.hasQuorumContact(now) && len(f.ReachableRegistries(now)) >= f.directory.otherRegistries
 		if allHeard && now-entry.receivedAt > orphanLeases*f.options.Lease {
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -4,13 +4,20 @@
 //
 // # Terms
 //
-// A lease permits a proxy process to route by the configuration that it has applied; it needs grants from a majority
-// of the registries. A fence at a revision forbids leases below that revision. A change is acknowledged once no proxy
-// can use an older configuration.
+// A revision is the sequence number of a committed change, and of the configuration that results from it.
+//
+// A lease permits a proxy process to route by the configuration that it has applied. It needs grants from a majority
+// of the registries. Where a comment gives a time in leases, the unit is the lease duration, which is the same on every
+// process. A fence at a revision forbids leases below that revision; a laggard is a lease below the fence that has not
+// expired. A change is acknowledged once no proxy can use an older configuration.
 //
 // A source is one proxy's entry in the service directory: its address, zone and registered workers. The home registry
-// of a source is the one with which its proxy has its session. A source whose proxy shut down or was lost is ended
-// and stays as a tombstone until its room is needed.
+// of a source is the registry with which its proxy has, or last had, a session. A source whose proxy shut down or was
+// lost is ended and stays as a tombstone until its room is needed.
+//
+// An incarnation is the number that distinguishes a process from earlier ones of the same name. A version vector gives,
+// for each source that a node has, the incarnation and a counter within it. An incarnation-only source records that
+// another node has seen a higher incarnation of a proxy than this registry has.
 //
 // # Request paths
 //
@@ -48,6 +55,7 @@
 // the channel that announces the next one must be read at the same instant. The lock is not held during an RPC or
 // while waiting on a channel. Methods whose names end in Locked are called with the lock held.
 //
-// cmd/registry and platform/operator run a server. internal/simulator drives the state alone. internal/testbed and
-// cmd/operator read the operators' pages.
+// cmd/registry and platform/cmd/registry run a server. platform/operator implements an additional API for operators.
+// internal/simulator drives the state alone. internal/testbed, cmd/operator and cmd/tracer call the operators' HTTP
+// API.
 package registry
--- a/internal/registry/fleet_state.go
+++ b/internal/registry/fleet_state.go
@@ -8,16 +8,17 @@
 )
 
 // sourceRetentionLeases is how long a source without a home registry stays listed after its last update, in leases.
+// The time of a proxy's last report is kept as long.
 const sourceRetentionLeases = 2
 
 // FleetStateOptions are the identity and the limits of a FleetState.
 type FleetStateOptions struct {
 	MemberID string        // id of the core member to which this registry belongs
 	Lease    time.Duration // lease duration, the same on every process; other intervals are multiples or fractions of it
-	// MaxSources is the most proxies that the service directory lists. Up to twice as many leases are kept, and call
-	// counts of up to four times as many proxy incarnations.
+	// MaxSources is the most proxies that the service directory lists. Up to maxLeasesPerSource times as many leases
+	// are kept, and call counts of up to maxCountsPerSource times as many proxy incarnations.
 	MaxSources    int
-	MaxCounts     int  // most lines of counts in one proxy's report; the counts of a longer report are ignored
+	MaxCounts     int  // most lines of call counts in one proxy's report; the counts of a longer report are ignored
 	WithoutLeases bool // changes are acknowledged without leases, so a new registry waits for none to expire
 }
 
@@ -37,7 +38,7 @@
 
 	// The next three revisions only grow.
 	committedRevision   uint64           // revision of the configuration that this registry has; zero for none
-	newestKnownRevision uint64           // newest revision that this registry has or a proxy reported; set by RenewLease
+	newestKnownRevision uint64           // newest revision that this registry or a proxy had, as of the last RenewLease
 	requiredRevision    uint64           // lowest applied revision with which a proxy is granted a lease
 	recentCommits       []revisionCommit // commits that are not required yet, oldest first; see sweep
 
@@ -48,7 +49,7 @@
 
 	countsByIncarnation map[proxyIncarnation]*schema.SourceCounts // call counts; see recordCounts
 	countsByAge         []proxyIncarnation                        // the keys of countsByIncarnation, first added first
-	reportedAt          map[proxyIncarnation]time.Duration        // when the last report arrived
+	reportedAt          map[proxyIncarnation]time.Duration        // when the last report of an incarnation arrived
 
 	traces     map[uint64]*trace // traces of the newest revisions, by revision
 	lastTraced uint64            // newest revision for which a trace was started; zero for none
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -22,17 +22,18 @@
 // lease is one proxy process's permission to route by the configuration that it has applied.
 type lease struct {
 	appliedRevision uint64        // newest revision that the proxy reported as applied
-	expiresAt       time.Duration // end of the lease, since the start of the registry
+	expiresAt       time.Duration // time of the lease's end, counted from the start of the registry
 }
 
 // revisionCommit is a committed revision and the time at which this registry received it.
 type revisionCommit struct {
 	revision    uint64
-	committedAt time.Duration
+	committedAt time.Duration // counted from the start of the registry
 }
 
-// GrantsLeases reports whether this registry grants leases. Before a restart it may have granted leases and set fences
-// that it has since lost, so a new registry waits until those leases have expired.
+// GrantsLeases reports whether this registry grants leases: it must have caught up, and have run for a lease. Before a
+// restart it may have granted leases and set fences that it has since lost, so it waits until those leases have
+// expired. With WithoutLeases there are none to wait for.
 func (f *FleetState) GrantsLeases(now time.Duration) bool {
 	return f.caughtUp && (f.options.WithoutLeases || now >= f.options.Lease)
 }
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -14,8 +14,9 @@
 type membership struct {
 	config  *serverConfig
 	options *liveOptions
-	// observed is the last announcement of each member's registry, by member id. It always includes this registry.
-	// Messages are replaced, never changed in place, since they are sent without holding the lock.
+	// observed is the announcement with the highest incarnation of each member's registry, by member id. It always
+	// includes this registry. Messages are replaced, never changed in place, since they are sent without holding the
+	// lock.
 	observed map[string]*schema.CoreMember
 	// agreed lists the members with their stores' addresses, as the store last reported them; nil before its first
 	// report.
@@ -39,9 +40,9 @@
 // own returns the announcement that this registry sends to others.
 func (m *membership) own() *schema.CoreMember { return m.observed[m.config.memberID] }
 
-// list returns the core members in the order of leadership, each with its registry's address if that is known.
-// Without a static member order they are the members that the stores agreed on, sorted by id. Until the store has
-// reported those, the seeds take their place.
+// list returns the core members in the order of preference for leadership, each with its registry's address if that is
+// known. Without a static member order it returns the members that the stores agreed on, sorted by id. Until the store
+// has reported those, it returns the seeds.
 func (m *membership) list() []*schema.CoreMember {
 	var listed []*schema.CoreMember
 	for _, name := range m.config.memberOrder {
@@ -81,14 +82,13 @@
 	return slices.DeleteFunc(m.list(), func(member *schema.CoreMember) bool { return member.Address == "" })
 }
 
-// peerAddresses returns the set of known and, before the store has reported the members, possible addresses of the
-// other registries.
+// peerAddresses returns the set of the other registries' addresses. It includes the seeds until the store has reported
+// the members, since any of them may be the address of a registry.
 func (m *membership) peerAddresses() map[string]bool {
 	addresses := map[string]bool{}
 	for _, member := range m.reachable() {
 		addresses[member.Address] = true
 	}
-	// The seeds are used only until the store has reported the members.
 	if m.agreed == nil {
 		for _, seed := range m.options.seeds() {
 			addresses[seed] = true
@@ -114,8 +114,8 @@
 	return true
 }
 
-// observe records the announcement of a member's registry, if it is from a core member and has a higher incarnation
-// than the known one. It reports whether anything changed. member may be nil.
+// observe records the announcement of a core member's registry if its incarnation is higher than the known one. It
+// reports whether anything changed. member may be nil.
 func (m *membership) observe(member *schema.CoreMember) bool {
 	if member == nil || member.Id == "" {
 		return false
@@ -132,8 +132,9 @@
 	return true
 }
 
-// observeOwn raises this registry's incarnation above that of member, if member has a higher one, and reports whether
-// it did. Until then other registries keep the address of an earlier process of this member.
+// observeOwn raises this registry's incarnation above that of member if member's is higher, and reports whether it did.
+// With a lower incarnation than an earlier process of this member had, this registry would not be heard: the others
+// would keep the address of the earlier process.
 func (m *membership) observeOwn(member *schema.CoreMember) bool {
 	own := m.own()
 	if !session.IsSuperseded(own.Incarnation, member.Incarnation, false) {
--- a/internal/registry/operator_backend.go
+++ b/internal/registry/operator_backend.go
@@ -12,8 +12,8 @@
 	"meadowhinge/schema"
 )
 
-// OperatorAPI is an additional HTTP API for operators. The registry's own API has the paths under /v1. An OperatorAPI
-// that is installed by WithOperatorAPI gets every request first.
+// OperatorAPI is an additional HTTP API for operators. WithOperatorAPI installs it. It gets every request before the
+// registry's own API, which has the paths under /v1.
 type OperatorAPI interface {
 	// Handle answers a request that belongs to this API, and reports whether it does. If not, it leaves the request
 	// unchanged for the registry's own API. Handle is called concurrently.
@@ -22,8 +22,8 @@
 
 // OperatorBackend is the registry as an OperatorAPI uses it. All methods are safe for concurrent use.
 type OperatorBackend interface {
-	// SubmitChange submits a change and returns its outcome once it is acknowledged or refused. It returns nil if ctx
-	// ends first or the change timeout passes: the outcome is then unknown, and the change may still be committed.
+	// SubmitChange submits a change and returns its outcome once the change is acknowledged or refused. It returns nil
+	// if ctx ends first or the change timeout passes. The outcome is then unknown, and the change may still be committed.
 	// While a change is in progress, submitting the same change again waits for it instead of proposing it again.
 	SubmitChange(ctx context.Context, change *schema.Change) *schema.ChangeOutcome
 	// ReadItems returns all items, including tombstones, from a revision that contains every change acknowledged before
@@ -97,7 +97,7 @@
 			return &schema.ChangeOutcome{Ruling: schema.Ruling_RULING_ACCEPTED}
 		}
 		// The rollout driver generates change ids of the same form, with serials of its own. The ids differ in the
-		// name of the step: "order-" and the service here, the name of the plan there.
+		// name of the step: "order-" and the service here, the name of the plan or the stop there.
 		b.state.lock.Lock()
 		change := step.Change(b.state.config.memberID, b.state.incarnation, b.nextSerialLocked(), state)
 		b.state.lock.Unlock()
--- a/internal/registry/operator_changes.go
+++ b/internal/registry/operator_changes.go
@@ -33,11 +33,12 @@
 	Ruling         string   `json:"ruling"`             // accepted, invalid, conflict, stale or unknown
 	Sequence       uint64   `json:"sequence,omitempty"` // revision that the change created; zero unless accepted
 	Term           uint64   `json:"epoch,omitempty"`    // term of the store leader that accepted the change
-	Acknowledged   bool     `json:"acknowledged"`       // no proxy can use an older revision
+	Acknowledged   bool     `json:"acknowledged"`       // whether no proxy can use an older revision
 	LaggingProxies []string `json:"waiting,omitempty"`  // proxies that may still use an older revision, in no order
-	// CurrentVersions is set on a conflict: the current versions of the items, by "kind/name".
+	// CurrentVersions has the current versions of the items, by "kind/name". It is set on a conflict only.
 	CurrentVersions map[string]uint64 `json:"current,omitempty"`
-	// CurrentItems is set on a conflict: those of the items that exist, each with the id of the change that wrote it.
+	// CurrentItems has the changed items that exist, as they are committed, each with the id of the change that wrote it.
+	// It is set on a conflict only.
 	CurrentItems []ItemView           `json:"standing,omitempty"`
 	ErrorCode    errs.Code            `json:"defect,omitempty"` // empty if accepted
 	Faults       []*schema.FieldError `json:"faults,omitempty"` // faults in the items of an invalid change
@@ -121,7 +122,7 @@
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(request); err != nil {
-		return nil, errs.Wrap(err, errs.MalformedRequest, "change")
+		return nil, errs.Wrap(err, errs.MalformedRequest, "decoding the change request")
 	}
 	if request.ID == "" || len(request.ID) > maxChangeIDBytes {
 		return nil, errs.New(errs.MalformedRequest,
@@ -130,7 +131,7 @@
 	return request, nil
 }
 
-// newChange returns the change, for the store, that an operator requests.
+// newChange returns the change to propose to the store for an operator's request.
 func newChange(request *ChangeRequest, items []*schema.Item) *schema.Change {
 	change := &schema.Change{Id: request.ID, Items: items}
 	for key, sequence := range request.ExpectedVersions {
@@ -140,7 +141,8 @@
 	return change
 }
 
-// currentItems returns the committed versions of those of the items that exist and are not deleted.
+// currentItems returns the committed counterparts of items, by kind and name. It leaves out items that do not exist or
+// are deleted.
 func (o *operatorServer) currentItems(items []*schema.Item) []ItemView {
 	o.state.lock.Lock()
 	defer o.state.lock.Unlock()
@@ -160,8 +162,8 @@
 	response.LaggingProxies, response.Acknowledged = o.acknowledger.await(ctx, response.Sequence)
 }
 
-// handleOutcome responds with the outcome of an earlier change, or with errs.ChangeNotFound if the store does not know
-// its id.
+// handleOutcome responds with the outcome of an earlier change. It responds with errs.ChangeNotFound if the store does
+// not know the change's id, and with errs.NoQuorum if the store does not reply.
 func (o *operatorServer) handleOutcome(ctx context.Context, call *fasthttp.RequestCtx, id string) {
 	timeoutCtx, cancel := context.WithTimeout(ctx, o.queryTimeout())
 	defer cancel()
--- a/internal/registry/operator_explain.go
+++ b/internal/registry/operator_explain.go
@@ -14,13 +14,13 @@
 	"meadowhinge/internal/plan"
 )
 
-// explainMaxDeadline is the deadline of an explained request whose route does not set one.
+// explainMaxDeadline is the upper limit of an explained request's deadline. It is the deadline if the route sets none.
 const explainMaxDeadline = time.Hour
 
 // ExplainRequest describes a request whose routing decision an operator asks for. The request itself is not sent.
 type ExplainRequest struct {
-	Caller   string            `json:"caller"` // calling service
-	Host     string            `json:"host,omitempty"`
+	Caller   string            `json:"caller"`             // calling service
+	Host     string            `json:"host,omitempty"`     // host that the caller names
 	Identity string            `json:"identity,omitempty"` // key of the evaluation context if the route names no header for it
 	Method   string            `json:"method"`
 	Path     string            `json:"path"`
@@ -30,20 +30,20 @@
 
 // ExplainResponse is the routing decision for an ExplainRequest.
 type ExplainResponse struct {
-	Route      string       `json:"route"`
-	Service    string       `json:"service"`
-	Class      config.Class `json:"class"`
+	Route      string       `json:"route"`             // name of the matched route
+	Service    string       `json:"service"`           // service that gets the request
+	Class      config.Class `json:"class"`             // whether the request may be executed more than once
 	Deadline   string       `json:"horizon"`           // time limit of the request, as a Go duration
 	Verdict    plan.Verdict `json:"verdict"`           // chosen version and the reason for it
 	Candidates []string     `json:"pool"`              // worker instances to which the request may be sent
 	Policy     string       `json:"policy,omitempty"`  // name of the route's policy; empty for none
 	Refused    bool         `json:"refused,omitempty"` // whether the policy denies the request
 
-	Split *plan.Verdict `json:"split,omitempty"` // choice of the service on a split route; nil on other routes
+	Split *plan.Verdict `json:"split,omitempty"` // choice of a split route's service; nil on other routes
 }
 
-// reportedStats gives plan.Make the workers' own statistics, since a registry has no measurements of its own like a
-// proxy's.
+// reportedStats implements plan.LocalState with the workers' own statistics, since a registry does not measure workers
+// as a proxy does.
 type reportedStats struct{}
 
 // Stats returns the statistics that a worker reports about itself.
@@ -63,7 +63,7 @@
 func (o *operatorServer) handleExplain(_ context.Context, call *fasthttp.RequestCtx) {
 	query := &ExplainRequest{}
 	if err := json.Unmarshal(call.PostBody(), query); err != nil {
-		daemon.WriteError(call, errs.Wrap(err, errs.MalformedRequest, "question"), "", nil)
+		daemon.WriteError(call, errs.Wrap(err, errs.MalformedRequest, "decoding the explain request"), "", nil)
 		return
 	}
 	snapshot, _ := o.state.compiledConfig()
--- a/internal/registry/operator_server.go
+++ b/internal/registry/operator_server.go
@@ -21,7 +21,7 @@
 	operatorMaxConns    = 1024             // most concurrent connections; further ones are refused
 	operatorReadTimeout = 30 * time.Second // time to read a whole request
 	operatorIdleTimeout = time.Minute      // time a keep-alive connection may wait for its next request
-	maxChangeIDBytes    = 128              // longest change id
+	maxChangeIDBytes    = 128              // length of the longest change id, in bytes
 )
 
 // operatorServer serves the operators' HTTP API: the paths under /v1, and an additional OperatorAPI if Run was given
@@ -37,7 +37,8 @@
 	additional   OperatorAPI // gets every request first; nil for none
 }
 
-// operatorHandler answers one request. The registry's shutdown does not end ctx, since it waits for requests in flight.
+// operatorHandler responds to one request. The registry's shutdown does not end ctx, since the shutdown waits for
+// requests in flight.
 type operatorHandler func(ctx context.Context, call *fasthttp.RequestCtx)
 
 // listen serves the API at an address until the returned server is shut down. It fails with errs.InvalidOptions if it
@@ -98,7 +99,7 @@
 		return
 	}
 	handler(ctx, call)
-	// A quorum that is missing now may be back after the next renewal of the leases.
+	// A quorum that is missing now may be back after one lease renewal interval, so suggest to retry then.
 	if call.Response.StatusCode() == fasthttp.StatusServiceUnavailable {
 		seconds := max(1, int64(o.queryTimeout()/time.Second))
 		call.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.FormatInt(seconds, 10))
@@ -110,11 +111,12 @@
 	return o.state.config.lease / session.RenewalsPerLease
 }
 
-// writeMalformedRequest responds to a request that could not be read, with errs.BodyTooLarge or errs.MalformedRequest.
+// writeMalformedRequest responds to a request that could not be read: with errs.BodyTooLarge if its body exceeds the
+// limit, otherwise with errs.MalformedRequest.
 func writeMalformedRequest(call *fasthttp.RequestCtx, err error) {
 	code := errs.MalformedRequest
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		code = errs.BodyTooLarge
 	}
-	daemon.WriteError(call, errs.Wrap(err, code, "request"), "", nil)
+	daemon.WriteError(call, errs.Wrap(err, code, "reading the request"), "", nil)
 }
--- a/internal/registry/operator_traces.go
+++ b/internal/registry/operator_traces.go
@@ -13,20 +13,20 @@
 // ChangeTrace records when a change reached each stage, as one core member observed it. Times are of that member's
 // clock; a zero time means not observed. "Local" means of this core member.
 type ChangeTrace struct {
-	MemberID         string               `json:"seat"`             // id of the observing core member
-	KnownToStore     bool                 `json:"known"`            // whether the local store knows the change
-	Ruling           string               `json:"ruling,omitempty"` // one of the names in ChangeResponse.Ruling
-	Sequence         uint64               `json:"sequence,omitempty"`
-	Term             uint64               `json:"epoch,omitempty"`  // term of the store leader that accepted the change
-	Leader           string               `json:"holder,omitempty"` // member id of the store leader
-	Appended         time.Time            `json:"taken"`            // when the local store appended the change to its log
-	Durable          time.Time            `json:"synced"`           // when the change was synced to the local store's disk
-	Committed        time.Time            `json:"stable"`           // when the local store learned of the commit
-	Seen             time.Time            `json:"seen"`             // when the local registry received the revision
-	Acknowledged     time.Time            `json:"acknowledged"`     // when the local registry found it acknowledged
-	Applied          map[string]time.Time `json:"applied"`          // when each proxy reported it applied, by proxy
-	Laggards         []string             `json:"missing"`          // proxies with a local lease that have not applied it
-	StoreUnreachable bool                 `json:"storeSilent"`      // the local store did not reply; no other field is set
+	MemberID         string               `json:"seat"`               // id of the observing core member
+	KnownToStore     bool                 `json:"known"`              // whether the local store knows the change
+	Ruling           string               `json:"ruling,omitempty"`   // one of the names in ChangeResponse.Ruling
+	Sequence         uint64               `json:"sequence,omitempty"` // revision that the change created; zero unless accepted
+	Term             uint64               `json:"epoch,omitempty"`    // term of the store leader that accepted the change
+	Leader           string               `json:"holder,omitempty"`   // member id of the store leader
+	Appended         time.Time            `json:"taken"`              // when the local store appended the change to its log
+	Durable          time.Time            `json:"synced"`             // when the change was synced to the local store's disk
+	Committed        time.Time            `json:"stable"`             // when the local store learned of the commit
+	Seen             time.Time            `json:"seen"`               // when the local registry received the revision
+	Acknowledged     time.Time            `json:"acknowledged"`       // when the local registry found it acknowledged
+	Applied          map[string]time.Time `json:"applied"`            // when the local registry learned it was applied, by proxy
+	Laggards         []string             `json:"missing"`            // proxies with a local lease that have not applied it
+	StoreUnreachable bool                 `json:"storeSilent"`        // the local store did not reply; only MemberID is set
 }
 
 // handleTrace responds with this core member's trace of a change. If the local store does not reply, the response is
--- a/internal/registry/operator_views.go
+++ b/internal/registry/operator_views.go
@@ -65,16 +65,16 @@
 
 // VerdictCount is the number of calls with one verdict, route and outcome, over all proxies.
 type VerdictCount struct {
-	Flag      string  `json:"flag"`
-	Service   string  `json:"service"`
-	Variation string  `json:"variation"`
-	Reason    string  `json:"reason"`
-	Rule      string  `json:"rule,omitempty"`
-	Route     string  `json:"route"`
-	Outcome   string  `json:"outcome"`
-	Calls     uint64  `json:"calls"`
-	Failures  uint64  `json:"failures"` // number of Calls that failed
-	MeanMS    float64 `json:"meanMs"`   // mean duration of a call in milliseconds
+	Flag      string  `json:"flag"`           // key of the evaluated flag
+	Service   string  `json:"service"`        // called service
+	Variation string  `json:"variation"`      // variation of the flag
+	Reason    string  `json:"reason"`         // reason for the variation
+	Rule      string  `json:"rule,omitempty"` // id of the flag's rule that matched; empty if none did
+	Route     string  `json:"route"`          // name of the route
+	Outcome   string  `json:"outcome"`        // outcome of the calls
+	Calls     uint64  `json:"calls"`          // number of calls
+	Failures  uint64  `json:"failures"`       // number of Calls that failed
+	MeanMS    float64 `json:"meanMs"`         // mean duration of a call in milliseconds
 }
 
 // handleVerdicts responds with the call counts of all registries that reply, summed over all proxies.
@@ -112,7 +112,8 @@
 	daemon.WriteJSON(call, fasthttp.StatusOK, views)
 }
 
-// sortKey returns the key by which handleVerdicts sorts its response.
+// sortKey returns the key by which handleVerdicts sorts its response. Lines that differ only in flag or rule have the
+// same key, so their order is not defined.
 func (v *VerdictCount) sortKey() string {
 	return v.Service + "\x00" + v.Variation + "\x00" + v.Reason + "\x00" + v.Route + "\x00" + v.Outcome
 }
@@ -123,8 +124,8 @@
 	Service  string  `json:"service"`
 	Version  string  `json:"version"`
 	Zone     string  `json:"area"`
-	Proxy    string  `json:"proxy"` // proxy with which the worker is registered
-	Load     float64 `json:"load"`  // load as last reported by the worker
+	Proxy    string  `json:"proxy"` // name of the proxy with which the worker is registered
+	Load     float64 `json:"load"`  // additional load that the worker last reported
 	State    string  `json:"state"` // workerServing or workerDraining
 }
 
@@ -199,7 +200,7 @@
 	State              string  `json:"state"`    // state of the plan; empty before its first step
 	Reason             string  `json:"reason"`   // reason for the state
 	Percentage         float64 `json:"share"`    // percentage currently assigned to the version
-	MeasuredPercentage float64 `json:"measured"` // percentage that the version got of all counted calls
+	MeasuredPercentage float64 `json:"measured"` // percentage of the service's counted calls that the version got
 	ControllerTerm     uint64  `json:"duty"`     // term of the rollout controller that wrote the last step
 	Controller         string  `json:"holder"`   // member id of that controller
 }
--- a/internal/registry/options.go
+++ b/internal/registry/options.go
@@ -16,7 +16,7 @@
 )
 
 // minWindowLeases is the minimum of the option key-window, in leases. A key reservation must outlive every call that
-// may still run under it, and the leases of that time.
+// may still run under it. It must also outlive the leases that were valid during such a call.
 const minWindowLeases = 4
 
 // Values of enumerated options.
@@ -32,8 +32,8 @@
 	advertisedAddress string // IP:port at which proxies and other registries reach this one
 	zone              string // zone of the core member
 
-	// memberOrder lists the ids of all core members in the order of leadership, as the option order sets it. It is
-	// nil if the stores agree on the members instead.
+	// memberOrder lists the ids of all core members in order of preference for leadership, as the option order sets it.
+	// It is nil if the stores agree on the members instead.
 	memberOrder     []string
 	memberOrderText string // text of the option order; registries compare it with each other's
 
@@ -43,12 +43,12 @@
 	storeAddress          string // IP:port of the store on this machine
 
 	lease             time.Duration // lease duration, the same on every process
-	reservationWindow time.Duration // how long a key reservation is valid
+	reservationWindow time.Duration // how long a key reservation is valid; option key-window
 
 	maxSources      int64 // most proxies that the service directory lists
-	maxCounts       int64 // most lines of counts in one proxy's report
+	maxCounts       int64 // most lines of call counts in one proxy's report
 	maxReservations int64 // most valid key reservations
-	maxChangeBytes  int64 // largest body of an operator's request
+	maxChangeBytes  int64 // largest body of an operator's request, in bytes
 
 	acknowledgesAfterCommit bool // a change is acknowledged once it is committed, without regard to leases
 }
--- a/internal/registry/peer_clients.go
+++ b/internal/registry/peer_clients.go
@@ -54,8 +54,8 @@
 	return received
 }
 
-// collectCounts returns the merged call counts of all registries that reply within one lease renewal interval, this one
-// included.
+// collectCounts returns the merged call counts of this registry and of all others that reply within one lease renewal
+// interval.
 func (p *peerClients) collectCounts(ctx context.Context) []*schema.SourceCounts {
 	replies := callOtherRegistries(ctx, p, p.state.config.lease/session.RenewalsPerLease,
 		func(ctx context.Context, peer schema.DRPCRegistryClient) (*schema.CountsReply, error) {
--- a/internal/registry/peer_sync.go
+++ b/internal/registry/peer_sync.go
@@ -14,8 +14,8 @@
 const (
 	// pollWaitDivisor sets how long one poll of a peer may wait for updates: a lease divided by pollWaitDivisor.
 	pollWaitDivisor = 2
-	// peerHeartbeatTicks is the heartbeat interval of a session between registries, in heartbeat ticks. It is longer
-	// than that of proxies, since traffic between zones is expensive.
+	// peerHeartbeatTicks is the heartbeat interval of a session between registries, in heartbeat ticks of a lease divided
+	// by session.HeartbeatsPerLease. It is longer than that of proxies, since traffic between zones is expensive.
 	peerHeartbeatTicks = 4
 )
 
--- a/internal/registry/reservation_table.go
+++ b/internal/registry/reservation_table.go
@@ -37,7 +37,7 @@
 	newestIncarnation map[string]uint64 // highest incarnation that made a reservation, by proxy
 
 	// Refused counts the reservations refused because the peer was not authorized, its incarnation was outdated, or the
-	// table was full.
+	// table was full. Apply counts the last two; the caller adds those of unauthorized peers, which it does not apply.
 	Refused uint64
 }
 
@@ -45,17 +45,17 @@
 // names are interned.
 type storedReservation struct {
 	key                string
-	bodyDigest         string // digest of the request's body
-	requestID          string // request that owns the key
-	caller             unique.Handle[string]
+	bodyDigest         string                // digest of the request's body
+	requestID          string                // request that owns the key
+	caller             unique.Handle[string] // service that sent the request
 	proxy              unique.Handle[string] // proxy that made the reservation
 	instance           unique.Handle[string] // worker instance to which the request is sent
 	workerProxy        unique.Handle[string] // proxy of that worker
-	workerProxyAddress unique.Handle[string]
-	incarnation        uint64        // incarnation of proxy
-	position           uint64        // position in the order of addition, from 1
-	expiresAt          time.Duration // end of validity, since the start of the registry
-	removed            bool          // no longer in byKey; its entry in byPosition is dropped by removeExpired
+	workerProxyAddress unique.Handle[string] // address of workerProxy
+	incarnation        uint64                // incarnation of proxy
+	position           uint64                // position in the order of addition, from 1
+	expiresAt          time.Duration         // time of the reservation's end, counted from the start of the registry
+	removed            bool                  // no longer in byKey; its entry in byPosition is dropped by removeExpired
 }
 
 // message returns the reservation as a wire message.
@@ -84,8 +84,8 @@
 	}
 }
 
-// SetNeverUsed records that no configuration was ever committed. No call was ever routed then and no key reserved, so
-// the table is complete.
+// SetNeverUsed records that no configuration was ever committed. Without one, no call was ever routed and no key
+// reserved, so the table is complete.
 func (r *ReservationTable) SetNeverUsed() { r.complete = true }
 
 // IsAuthoritative reports whether this registry may grant reservations. A restarted registry has lost the reservations
@@ -95,12 +95,12 @@
 	return r.complete || now >= r.options.Window
 }
 
-// RecoveryStartsAt returns the time, since the start of the registry, from which the other registries' tables may be
-// read. By then every reservation attempt has ended that may have counted a grant from before this registry's
-// restart.
+// RecoveryStartsAt returns the time, counted from the start of the registry, from which the other registries' tables
+// may be read. By then every reservation attempt has ended that may have counted a grant from before this registry's
+// restart. The time is the timeout of an attempt with a margin of that timeout divided by session.RenewalsPerLease.
 func (r *ReservationTable) RecoveryStartsAt() time.Duration {
-	roundTimeout := session.ReservationAttemptTimeout(r.options.Lease)
-	return roundTimeout + roundTimeout/session.RenewalsPerLease
+	attemptTimeout := session.ReservationAttemptTimeout(r.options.Lease)
+	return attemptTimeout + attemptTimeout/session.RenewalsPerLease
 }
 
 // removeExpired drops the reservations at the head of byPosition that are removed or have expired, up to the first
@@ -181,8 +181,8 @@
 	return &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_GRANTED}
 }
 
-// Page returns the reservations after a position, in the order of positions, for a registry that restarted. A page that
-// is not the last one is full, so it is never empty.
+// Page returns the reservations after a position, in the order of positions, for a registry that restarted. Every page
+// before the last one has reservationsPerPage reservations, so only the last page can be empty.
 func (r *ReservationTable) Page(now time.Duration, after uint64) *schema.ReservationsPage {
 	r.removeExpired(now)
 	page := &schema.ReservationsPage{Authoritative: r.IsAuthoritative(now)}
--- a/internal/registry/rollout_driver.go
+++ b/internal/registry/rollout_driver.go
@@ -15,8 +15,9 @@
 
 // Intervals and timeouts of the rollout driver: a lease divided by the constant.
 const (
-	rolloutTickDivisor = 4 * session.RenewalsPerLease // interval between two ticks, and timeout of each RPC of a tick
-	rolloutStepDivisor = session.RenewalsPerLease     // shortest interval between two steps of a plan
+	// rolloutTickDivisor sets the interval between two ticks, and the timeout of the RPCs for which a tick waits.
+	rolloutTickDivisor = 4 * session.RenewalsPerLease
+	rolloutStepDivisor = session.RenewalsPerLease // shortest interval between two steps of a plan
 	// quorumContactDivisor sets the highest age of the store's quorum contact at which its registry may control
 	// rollouts.
 	quorumContactDivisor = session.RenewalsPerLease / 2
@@ -28,7 +29,7 @@
 )
 
 // rolloutDriver runs the rollout controller while this registry controls rollouts. Control belongs to the first
-// member, in the order of leadership, that is in contact with a quorum. The driver gathers counts, lets
+// member, in the order of preference for leadership, that is in contact with a quorum. The driver gathers counts, lets
 // release.Controller decide, and writes each step as an ordinary change. The store refuses the steps of a
 // replaced controller as stale.
 type rolloutDriver struct {
@@ -40,30 +41,31 @@
 	submitter *changeSubmitter
 	log       logr.Logger
 
-	staleSteps atomic.Uint64 // number of steps that the store refused because a controller of a later term exists
+	staleSteps atomic.Uint64 // number of steps that the store refused as those of a replaced controller
 
 	// Used only by run's goroutine.
 	controller *release.Controller // nil while this registry has no control, so that each term starts with a new one
-	fleetSize  *session.FleetSize  // estimated number of proxies, against which the reporting ones are counted
+	fleetSize  *session.FleetSize  // estimated number of proxies, the base of the reporting fraction
 
 	// Guarded by sharedState.lock.
 	hadQuorumContact bool                    // whether quorumContactAt is set
 	quorumContactAt  time.Duration           // when this member's store last knew that it had contact with a majority
-	predecessors     map[string]*predecessor // members before this one in the order of leadership, by id
+	predecessors     map[string]*predecessor // registries of the members before this one in membership.list, by id
 	stepsInFlight    map[inFlightStep]bool   // steps that are being written
 }
 
-// predecessor is the registry of a member before this one in the order of leadership. While it may control rollouts,
-// this registry does not. Its fields are guarded by sharedState.lock.
+// predecessor is the registry of a member before this one in the order of preference for leadership. While it may
+// control rollouts, this registry does not. Its fields are guarded by sharedState.lock.
 type predecessor struct {
 	lastActiveAt  time.Duration // when it last replied that it may control rollouts; at first, when it was first queried
 	queryInFlight bool          // whether a query is running
 }
 
-// inFlightStep identifies a step in flight. An urgent step, a rollback, does not wait for the plan's ordinary step.
+// inFlightStep identifies a step in flight. An urgent step, which is a rollback, does not wait for an ordinary step of
+// the same name.
 type inFlightStep struct {
-	name   string // name of the release.Step
-	urgent bool   // whether the step is a rollback
+	name   string // release.Step.Name, such as the name of a plan
+	urgent bool   // release.Step.Urgent: whether the step is a rollback
 }
 
 func newRolloutDriver(state *sharedState, live *liveOptions, store schema.DRPCStoreClient, peers *peerClients,
@@ -97,7 +99,7 @@
 }
 
 // tick gathers counts and reconciles all release plans once, if this registry controls rollouts. All changes of one
-// tick have the same serial; their ids differ in the name of the step.
+// tick have the same serial, so only the names of the steps make their ids differ.
 func (d *rolloutDriver) tick(ctx context.Context, serial uint64) {
 	snapshot, state := d.state.compiledConfig()
 	workers := WorkerPoolsOf(d.state.sources())
@@ -141,8 +143,10 @@
 	d.controller.SetOptions(d.options.rolloutOptions())
 }
 
-// mayControlLocked reports whether this registry may control rollouts. A registry that is partitioned from the core may
-// not: it has too few counts to stop a bad version in time, and could not write a rollback. The caller holds the lock.
+// mayControlLocked reports whether this registry may control rollouts: it must grant leases, and its store must
+// recently have been in contact with a quorum. A registry that is partitioned from the core may not control rollouts,
+// since it has too few counts to stop a bad version in time. It also could not write a rollback. The caller holds the
+// lock.
 func (d *rolloutDriver) mayControlLocked() bool {
 	now := d.state.now()
 	if !d.state.fleetState.GrantsLeases(now) || !d.hadQuorumContact {
@@ -167,8 +171,9 @@
 }
 
 // hasControl reports whether this registry may control rollouts and no predecessor does. Predecessors are queried in
-// separate goroutines, so that an unresponsive one causes no delay. A predecessor counts as in control until it has
-// gone the time of predecessorTimeoutDivisor without a reply that it may control rollouts.
+// separate goroutines, so that an unresponsive one causes no delay. A predecessor counts as in control until the time
+// of predecessorTimeoutDivisor has passed since it last replied that it may control rollouts, or since it was first
+// queried. A member whose address is not known counts as not in control.
 func (d *rolloutDriver) hasControl(ctx context.Context) bool {
 	d.state.lock.Lock()
 	defer d.state.lock.Unlock()
@@ -217,7 +222,8 @@
 }
 
 // gatherCounts returns the merged work counts of all registries that reply, and distributes the canary grants in the
-// requests. The second result is the number of proxies that reported recently, as a fraction of the fleet size.
+// requests. The second result is the number of proxies that reported recently, as a fraction of the estimated number of
+// proxies.
 func (d *rolloutDriver) gatherCounts(ctx context.Context, canaryGrants []*schema.Canary) ([]*schema.SourceCounts, float64) {
 	request := &schema.CountsRequest{Controller: d.state.config.memberID, Canaries: canaryGrants, WorkOnly: true}
 	replies := callOtherRegistries(ctx, d.peers, d.state.config.lease/rolloutTickDivisor,
@@ -243,8 +249,9 @@
 	return d.state.fleetState.KnownFor(d.state.now(), revision)
 }
 
-// writeStepAsync writes a step in a separate goroutine. It drops the step if an earlier step of the same plan is still
-// being written; a rollback is dropped only for another rollback. state is the one from which the step was decided.
+// writeStepAsync writes a step in a separate goroutine. It drops the step if an earlier step of the same name is still
+// being written. A rollback is dropped only for another rollback. state is the configuration from which the step was
+// decided.
 func (d *rolloutDriver) writeStepAsync(ctx context.Context, step release.Step, serial uint64, state config.State) {
 	key := inFlightStep{step.Name, step.Urgent}
 	d.state.lock.Lock()
--- a/internal/registry/rpc_service.go
+++ b/internal/registry/rpc_service.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"meadowhinge/internal/errs"
@@ -12,9 +13,12 @@
 // digestBytes is the required length of the key and of the body digest in a key reservation, both of which are digests.
 const digestBytes = 32
 
-// rpcService serves the RPCs of proxies and of other registries; the transport admits no other peers. A method whose
-// request names a proxy, or is reserved for registries, fails with errs.Unauthorized for any other peer. Its fields
-// do not change after construction.
+// rpcService serves the RPCs of proxies and of other registries; the transport admits no other peers. Its fields do not
+// change after construction.
+//
+// Lease, Greet, Tell and Attend are for the proxy that the request names. Bar, Counts and Read are for registries, and
+// so are Feed and Attend if the request has a member. For any other peer these methods fail with errs.Unauthorized.
+// Claim refuses single reservations instead. Look, and Feed without a member, are open to both kinds of peer.
 type rpcService struct {
 	schema.DRPCRegistryUnimplementedServer
 	state     *sharedState
@@ -31,7 +35,7 @@
 func (r *rpcService) requireProxy(ctx context.Context, name string) error {
 	if peer := transport.PeerFromContext(ctx); peer.Role != "proxy" || peer.Name != name {
 		r.transport.RejectedPeers.Add(1)
-		return errs.New(errs.Unauthorized, name)
+		return errs.New(errs.Unauthorized, fmt.Sprintf("peer %s %q is not proxy %q", peer.Role, peer.Name, name))
 	}
 	return nil
 }
@@ -40,7 +44,7 @@
 func (r *rpcService) requireRegistry(ctx context.Context) error {
 	if peer := transport.PeerFromContext(ctx); peer.Role != "registry" {
 		r.transport.RejectedPeers.Add(1)
-		return errs.New(errs.Unauthorized, peer.Role)
+		return errs.New(errs.Unauthorized, fmt.Sprintf("peer %s %q is not a registry", peer.Role, peer.Name))
 	}
 	return nil
 }
@@ -152,18 +156,21 @@
 		return err
 	}
 	if (request.Source != nil && request.Source.Name != request.Node) || (request.Tentative && fromRegistry) {
-		return errs.New(errs.Unauthorized, request.Node)
+		return errs.New(errs.Unauthorized, fmt.Sprintf("subscription of %q with source %q, provisional %v",
+			request.Node, request.Source.GetName(), request.Tentative))
 	}
 	return r.sessions.serve(request, stream)
 }
 
-// Tell records a proxy's report of its workers and call counts, and replies with the current canary grants.
+// Tell records a proxy's report of its workers and call counts, and replies with the current canary grants. It fails
+// with errs.Unauthorized if the report's source has another name than the proxy.
 func (r *rpcService) Tell(ctx context.Context, report *schema.ProxyReport) (*schema.ReportReply, error) {
 	if err := r.requireProxy(ctx, report.Proxy); err != nil {
 		return nil, err
 	}
 	if report.Source != nil && report.Source.Name != report.Proxy {
-		return nil, errs.New(errs.Unauthorized, report.Source.Name)
+		return nil, errs.New(errs.Unauthorized,
+			fmt.Sprintf("report of proxy %q with source %q", report.Proxy, report.Source.Name))
 	}
 	s := r.state
 	s.lock.Lock()
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -17,7 +17,7 @@
 )
 
 // server is a registry process: its components and the state that they share. Its fields do not change after newServer.
-// Mutable state is in state, and in the components whose declarations say so.
+// The mutable state is in sharedState, and in the components whose declarations say so.
 type server struct {
 	config      *serverConfig
 	options     *liveOptions
@@ -123,7 +123,7 @@
 	}
 	mux := drpcmux.New()
 	if err := schema.DRPCRegisterRegistry(mux, s.rpc); err != nil {
-		return errs.Wrap(err, errs.Internal, "mux")
+		return errs.Wrap(err, errs.Internal, "registering the RPC service")
 	}
 	s.addStatusPages()
 	if err := s.environment.ServeProbes(s.config.probeListenAddress, s.status.readiness); err != nil {
--- a/internal/registry/session_server.go
+++ b/internal/registry/session_server.go
@@ -72,7 +72,7 @@
 	return srv.push(request, stream)
 }
 
-// open records what a subscription reports about its node, and counts the session of a proxy.
+// open records what a subscription reports about its node. It counts the session if it is provisional or has a source.
 func (srv *sessionServer) open(request *schema.SubscribeRequest) {
 	s := srv.state
 	s.lock.Lock()
@@ -148,7 +148,8 @@
 	return sinceLastSend+untilNextTick > promisedInterval+tolerance
 }
 
-// sessionProgress records what has been sent in one session. Only the session's goroutine uses it, so it needs no lock.
+// sessionProgress records which updates were sent in one session. Only the session's goroutine uses it, so it needs no
+// lock.
 type sessionProgress struct {
 	cursor      *SessionCursor       // position in the updates of sources
 	toRegistry  bool                 // whether the node is a registry; otherwise it is a proxy
@@ -156,7 +157,7 @@
 	members     []*schema.CoreMember // core members that were sent last
 	liveProxies uint32               // number of live proxies that was sent last; sent to proxies only
 	started     bool                 // whether the first update was built, which is sent even if it has no content
-	lastSentAt  time.Duration        // when something was last sent; zero before the first update
+	lastSentAt  time.Duration        // when an update or heartbeat was last sent; zero before the first
 }
 
 // nextUpdateLocked builds the update that a node lacks. hasContent reports whether it is more than a heartbeat; if
--- a/internal/registry/setting_mismatches.go
+++ b/internal/registry/setting_mismatches.go
@@ -9,9 +9,9 @@
 // maxSettingMismatches bounds the number of stored setting mismatches; further ones are not recorded.
 const maxSettingMismatches = 64
 
-// CompareSetting records a mismatch if a setting that must be the same on every node differs on another node, and
-// otherwise removes the recorded one. reported is false if the node did not send the setting, which counts as no
-// mismatch.
+// CompareSetting compares a setting that must be the same on every node: theirs is another node's value, ours that of
+// this registry. It records a mismatch if they differ, and otherwise removes the recorded one. reported is false if the
+// node did not send the setting, which counts as no mismatch.
 func (f *FleetState) CompareSetting(node, setting, theirs, ours string, reported bool) {
 	key := node + ": " + setting
 	if !reported || theirs == ours {
--- a/internal/registry/sources.go
+++ b/internal/registry/sources.go
@@ -8,10 +8,10 @@
 	"meadowhinge/schema"
 )
 
-// sourceEntry is the newest update of one source, which is a proxy with its workers.
+// sourceEntry is the newest update of one source.
 type sourceEntry struct {
 	source         *schema.Source // immutable
-	receivedAt     time.Duration  // when this registry stored the update
+	receivedAt     time.Duration  // when this registry stored the update, counted from its start
 	updateSequence uint64         // local sequence of the update; higher than that of every update stored before
 	// proxyUpdateSequence is the updateSequence of the last update that changed anything relevant to other proxies.
 	// Sessions of proxies use it; sessions of registries use updateSequence.
@@ -130,9 +130,9 @@
 	return vector
 }
 
-// LiveProxies returns the number of proxies that have a session with any registry, or reported here within a lease.
-// All sessions call it for each update, so the result is cached until the next update of a source, at most for a
-// lease divided by sweepDivisor.
+// LiveProxies returns the number of proxies that have a session with any registry, or whose source has no home registry
+// and was updated here within a lease. All sessions call it for each update, so the result is cached until the next
+// update of a source, at most for a lease divided by sweepDivisor.
 func (f *FleetState) LiveProxies(now time.Duration) int {
 	directory := &f.directory
 	outdated := directory.countedSequence != directory.lastSequence
--- a/internal/registry/update_log.go
+++ b/internal/registry/update_log.go
@@ -15,7 +15,7 @@
 // updateLogEntry records one update of a source. A session reads the log from its cursor on, instead of scanning all
 // sources at each update.
 type updateLogEntry struct {
-	sequence uint64 // updateSequence of the update
+	sequence uint64 // updateSequence of the source's entry when the update was stored
 	name     string // name of the updated source
 }
 
@@ -58,7 +58,8 @@
 	return homeRegistry != cursor.peerMemberID && !slices.Contains(cursor.peerReaches, homeRegistry)
 }
 
-// isUnsent reports whether a session has yet to send an update, which has the given sequence for that session.
+// isUnsent reports whether a session still has to send a source. sequence is the source's proxyUpdateSequence if the
+// session is with a proxy, and its updateSequence if it is with a registry or the source is incarnation-only.
 func (f *FleetState) isUnsent(cursor *SessionCursor, sequence uint64, source *schema.Source) bool {
 	return sequence > cursor.sentSequence && isNewerVersion(source.Version, cursor.vector[source.Name]) &&
 		f.relaysTo(cursor, source.HomeRegistry)
