--- a/internal/registry/acknowledgement_test.go
+++ b/internal/registry/acknowledgement_test.go
@@ -8,8 +8,9 @@
 	"meadowhinge/schema"
 )
 
-// TestNoValidLeaseBelowAcknowledgedFence checks every order in which a fence reaches three registries and a lagging
-// proxy requests leases from them: once the fence's revision is acknowledged, no lease below it is valid.
+// TestNoValidLeaseBelowAcknowledgedFence checks that, once the revision of a fence is acknowledged, no lease below it
+// is valid. It covers every order in which the fence reaches three registries and a lagging proxy requests leases from
+// them.
 func TestNoValidLeaseBelowAcknowledgedFence(t *testing.T) {
 	const steps = 6
 	orders := 0
@@ -28,7 +29,7 @@
 	}
 	walk(nil)
 	if orders != 720 {
-		t.Errorf("checked %d orders of %d steps, want 720", orders, steps)
+		t.Errorf("orders of %d steps: got %d, want 720", steps, orders)
 	}
 }
 
@@ -50,7 +51,8 @@
 			acknowledged = acknowledgement.Record(state.SetFence(testLease, 9)) || acknowledged
 		}
 		if acknowledged && lease.IsValid(testLease) {
-			t.Errorf("order %v, step %d: lease at revision 8 is valid after revision 9 was acknowledged", order, step)
+			t.Errorf("order %v, step %d: lease at revision 8 after revision 9 was acknowledged: got valid, want invalid",
+				order, step)
 		}
 	}
 }
--- a/internal/registry/backoff_test.go
+++ b/internal/registry/backoff_test.go
@@ -21,6 +21,6 @@
 		previous = fraction
 	}
 	if previous != 1./retryIntervalDivisor {
-		t.Errorf("last interval: got %v of a lease, want %v", previous, 1./retryIntervalDivisor)
+		t.Errorf("interval after 39 failures: got %v of a lease, want %v", previous, 1./retryIntervalDivisor)
 	}
 }
--- a/internal/registry/call_counts_test.go
+++ b/internal/registry/call_counts_test.go
@@ -6,8 +6,8 @@
 	"meadowhinge/schema"
 )
 
-// TestRepeatedReportsCountOnce checks that reports which arrive twice or out of order do not change the counts: each
-// incarnation of a proxy keeps those of its report with the most calls.
+// TestRepeatedReportsCountOnce checks that reports which arrive twice or out of order do not change the counts. Each
+// incarnation of a proxy keeps the counts of its report with the most calls.
 func TestRepeatedReportsCountOnce(t *testing.T) {
 	state := newFleetStates(1)[0]
 	report := func(incarnation, calls uint64) {
@@ -26,6 +26,6 @@
 		sum += totalCalls(counts)
 	}
 	if sum != 11 {
-		t.Errorf("calls of both incarnations: got %d, want 7 + 4", sum)
+		t.Errorf("calls of both incarnations: got %d, want 11, of which 7 in incarnation 1 and 4 in incarnation 2", sum)
 	}
 }
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -225,7 +225,7 @@
 	return f.up[registryIndex] && !f.arePartitioned(p.name, memberIDAt(registryIndex))
 }
 
-// closeSession ends a proxy's session, at the registry only if that is still the same process.
+// closeSession ends a proxy's session. The registry's side is closed only if the registry runs and has not restarted.
 func (f *fakeFleet) closeSession(p *fakeProxy) {
 	if p.registryIndex >= 0 && f.up[p.registryIndex] && p.session.incarnations[0] == f.incarnations[p.registryIndex] {
 		f.states[p.registryIndex].CloseSession(f.now, p.name)
@@ -299,7 +299,8 @@
 	}
 }
 
-// openSession opens a session with a reachable registry that has quorum contact, or with a random one if there is none.
+// openSession opens a session with a reachable registry that has quorum contact. If there is none, it tries a registry
+// drawn at random.
 func (f *fakeFleet) openSession(p *fakeProxy) {
 	at := f.random.IntN(fakeRegistries)
 	for _, candidate := range f.random.Perm(fakeRegistries) {
@@ -421,9 +422,9 @@
 	return count
 }
 
-// TestSourcesOfLostHomeRegistry checks that a registry ends the sources of a lost home registry only if it has quorum
-// contact. Without it, the registry itself may be the partitioned one, so it keeps them listed.
-func TestSourcesOfLostHomeRegistry(t *testing.T) {
+// TestSourcesOfLostHomeRegistryEndWithQuorumContact checks that a registry ends the sources of a lost home registry if
+// it has quorum contact. Without it, the registry itself may be the partitioned one, so it must keep them listed.
+func TestSourcesOfLostHomeRegistryEndWithQuorumContact(t *testing.T) {
 	for _, quorumContact := range []bool{true, false} {
 		t.Run(fmt.Sprint("quorum contact ", quorumContact), func(t *testing.T) {
 			state := NewFleetState(FleetStateOptions{
--- a/internal/registry/fleet_state_test.go
+++ b/internal/registry/fleet_state_test.go
@@ -5,7 +5,7 @@
 // testLease is the lease duration of states that tests drive without a server, on simulated time.
 const testLease = 8 * time.Second
 
-// newFleetStates returns the states of registries a, b and so on, one for each committed revision. All have caught up.
+// newFleetStates returns one state for each committed revision, of registries a, b and so on. All have caught up.
 func newFleetStates(revisions ...uint64) []*FleetState {
 	var states []*FleetState
 	for i, revision := range revisions {
--- a/internal/registry/heartbeat_test.go
+++ b/internal/registry/heartbeat_test.go
@@ -8,9 +8,10 @@
 	"meadowhinge/internal/session"
 )
 
-// TestHeartbeatInterval checks that, apart from the jitter of the ticks, no node in session waits longer than the
-// promised interval, whenever an update was sent between two ticks. Without updates, no heartbeat is sent early.
-func TestHeartbeatInterval(t *testing.T) {
+// TestHeartbeatsKeepPromisedInterval checks that no node in session waits longer than the promised interval, apart from
+// the jitter of the ticks, at whatever time between two ticks an update was sent. Without updates, no heartbeat is sent
+// early.
+func TestHeartbeatsKeepPromisedInterval(t *testing.T) {
 	const interval = testLease / session.HeartbeatsPerLease
 	for _, ticks := range []int{1, peerHeartbeatTicks} {
 		t.Run(fmt.Sprint("ticks per heartbeat ", ticks), func(t *testing.T) {
--- a/internal/registry/leases_test.go
+++ b/internal/registry/leases_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// TestLeaseRules checks that a registry grants leases only once it has run for a lease and has caught up, that a
-// proxy may lag behind a commit for one renewal interval, and that a fence lists a laggard as long as its lease is
+// TestLeasesNeedCaughtUpRegistryAndProxy checks that a registry grants leases only once it has run for a lease and has
+// caught up. A proxy may lag behind a commit for one renewal interval. A fence lists a laggard as long as its lease is
 // valid.
-func TestLeaseRules(t *testing.T) {
+func TestLeasesNeedCaughtUpRegistryAndProxy(t *testing.T) {
 	young := NewFleetState(FleetStateOptions{MemberID: "a", Lease: testLease, MaxSources: 4, MaxCounts: 4})
 	young.SetCommitted(0, 5)
 	renew := &schema.LeaseRequest{Proxy: "p", Incarnation: 1, Applied: 5}
@@ -62,7 +62,7 @@
 	}
 	young.SetCaughtUp()
 	if reply := young.RenewLease(testLease, renew); !reply.Granted {
-		t.Errorf("RenewLease after a lease, caught up: got %v, want a grant", reply)
+		t.Errorf("RenewLease once the registry has run for a lease and caught up: got %v, want a grant", reply)
 	}
 	const renewalInterval = testLease / session.RenewalsPerLease
 	young.SetCommitted(testLease, 6)
--- a/internal/registry/reservation_table_test.go
+++ b/internal/registry/reservation_table_test.go
@@ -28,9 +28,10 @@
 	}
 }
 
-// TestReservationTable checks the results of a sequence of reservations in a table with room for two, and which of them
-// count as refused.
-func TestReservationTable(t *testing.T) {
+// TestReservationHoldsKeyUntilReleaseOrExpiry checks that a reservation holds its key until its owner releases it or it
+// expires. It applies a sequence of reservations to a table with room for two. It also checks how many of them count as
+// refused.
+func TestReservationHoldsKeyUntilReleaseOrExpiry(t *testing.T) {
 	table := newTestReservations(2)
 	table.SetNeverUsed()
 	release := reservationFor("k", "r1", 5)
@@ -134,9 +135,9 @@
 	}
 }
 
-// TestReservationAttempt checks that a grant counts only if its reply arrived in time, and that a request owns a key
-// only with grants from a majority of the members.
-func TestReservationAttempt(t *testing.T) {
+// TestReservationNeedsMajorityInTime checks that a grant counts only if its reply arrived in time, and that a request
+// owns a key only with grants from a majority of the members.
+func TestReservationNeedsMajorityInTime(t *testing.T) {
 	granted := &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_GRANTED}
 	full := &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_FULL}
 	held := &schema.ReservationReply{
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -44,8 +44,8 @@
 }
 
 // TestChangeReachesProxy checks the path of a configuration change that doc.go describes, with a real store: a change
-// that an operator submits is committed, pushed to a proxy in session, and answered once the proxy has applied it.
-// The pages for operators must show each of these steps.
+// that an operator submits is committed, pushed to a proxy in session, and acknowledged once the proxy has applied it.
+// The operators' API must show each of these steps.
 func TestChangeReachesProxy(t *testing.T) {
 	api := &testAPI{items: make(chan []*schema.Item, 1)}
 	core := startTestCore(t, 1, false, WithOperatorAPI(api))
@@ -63,7 +63,7 @@
 		t.Fatalf("POST /v1/changes: got status %d, want 200 with an accepted and acknowledged change: %s", status, response)
 	}
 	if item := <-proxy.items; item.Kind != "segment" || item.Name != "testers" || proxy.applied.Load() < outcome.Sequence {
-		t.Errorf("proxy: got item %v and applied revision %d, want segment testers and at least revision %d",
+		t.Errorf("update pushed to the proxy: got item %v and applied revision %d, want segment testers and at least revision %d",
 			item, proxy.applied.Load(), outcome.Sequence)
 	}
 
@@ -166,7 +166,7 @@
 }
 
 // TestRunRejectsInvalidOptions checks that Run fails with errs.InvalidOptions for contradictory options or unusable
-// certificate files, and does not change the options.
+// certificate files, and leaves the member id in the options unchanged.
 func TestRunRejectsInvalidOptions(t *testing.T) {
 	core := &testCore{hosts: []string{"127.0.0.1"}}
 	for name, test := range map[string]struct {
@@ -191,9 +191,9 @@
 	}
 }
 
-// TestMalformedRequests checks the error code in the response to a request that could not be read: body too large, or
-// malformed for any other error.
-func TestMalformedRequests(t *testing.T) {
+// TestUnreadableRequestGetsErrorCode checks that the response to a request that could not be read has the code
+// errs.BodyTooLarge if the body is too large, and errs.MalformedRequest for any other error.
+func TestUnreadableRequestGetsErrorCode(t *testing.T) {
 	for name, test := range map[string]struct {
 		err  error
 		code errs.Code
--- a/internal/registry/setting_mismatches_test.go
+++ b/internal/registry/setting_mismatches_test.go
@@ -7,10 +7,10 @@
 	"meadowhinge/schema"
 )
 
-// TestSettingMismatches checks that a proxy configured with another lease duration gets no lease: it would rely on a
-// longer lease than this registry grants, or count as lost. A mismatch is listed until it is resolved, and the list
-// is bounded.
-func TestSettingMismatches(t *testing.T) {
+// TestLeaseMismatchIsRefusedAndListed checks that a proxy configured with another lease duration gets no lease. It
+// would rely on a longer lease than this registry grants, or count as lost. A mismatch is listed until it is resolved,
+// and the list is bounded.
+func TestLeaseMismatchIsRefusedAndListed(t *testing.T) {
 	state := newFleetStates(1)[0]
 	renew := &schema.LeaseRequest{Proxy: "p", Incarnation: 1, Applied: 1, LeaseNanos: int64(2 * testLease)}
 	reply := state.RenewLease(testLease, renew)
@@ -27,7 +27,7 @@
 		state.CompareSetting(fmt.Sprint("proxy ", i), "lease", "1s", "8s", true)
 	}
 	if len(state.SettingMismatches()) != maxSettingMismatches {
-		t.Errorf("mismatches listed for %d proxies: got %d, want %d",
+		t.Errorf("number of mismatches listed for %d proxies: got %d, want %d",
 			2*maxSettingMismatches, len(state.SettingMismatches()), maxSettingMismatches)
 	}
 }
--- a/internal/registry/sources_test.go
+++ b/internal/registry/sources_test.go
@@ -7,9 +7,9 @@
 	"meadowhinge/schema"
 )
 
-// TestSourcesNewerThanVector checks that a source keeps its newest update, that exactly the sources newer than a vector
-// are returned, and that a source without a home registry expires.
-func TestSourcesNewerThanVector(t *testing.T) {
+// TestSourcesNewerThanReturnsWhatVectorLacks checks that a source keeps its newest update, and that exactly the sources
+// newer than a version vector are returned. A source without a home registry must expire.
+func TestSourcesNewerThanReturnsWhatVectorLacks(t *testing.T) {
 	state := newFleetStates(1)[0]
 	source := func(name string, counter uint64) *schema.Source {
 		return &schema.Source{Name: name, Version: &schema.SourceVersion{Incarnation: 1, Counter: counter}}
@@ -26,17 +26,17 @@
 	}
 }
 
-// TestReportedWorkers checks that a restarted proxy gets only its active workers, and none if it had shut down
-// gracefully.
-func TestReportedWorkers(t *testing.T) {
+// TestRestartedProxyGetsActiveWorkers checks that a restarted proxy gets only its active workers, and none if it had
+// shut down gracefully.
+func TestRestartedProxyGetsActiveWorkers(t *testing.T) {
 	for name, test := range map[string]struct {
 		source *schema.Source
-		want   int
+		want   int // number of workers
 	}{
-		"unknown proxy":       {nil, 0},
-		"draining worker":     {&schema.Source{Workers: []*schema.Worker{{Instance: "a"}, {Instance: "b", Draining: true}}}, 1},
-		"terminated worker":   {&schema.Source{Workers: []*schema.Worker{{Instance: "a", Terminated: true}}}, 0},
-		"shutting-down proxy": {&schema.Source{ShuttingDown: true, Workers: []*schema.Worker{{Instance: "a"}}}, 0},
+		"unknown proxy has no workers":        {nil, 0},
+		"draining worker is left out":         {&schema.Source{Workers: []*schema.Worker{{Instance: "a"}, {Instance: "b", Draining: true}}}, 1},
+		"terminated worker is left out":       {&schema.Source{Workers: []*schema.Worker{{Instance: "a", Terminated: true}}}, 0},
+		"proxy that shut down has no workers": {&schema.Source{ShuttingDown: true, Workers: []*schema.Worker{{Instance: "a"}}}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			state := NewFleetState(FleetStateOptions{
--- a/internal/registry/testcore_test.go
+++ b/internal/registry/testcore_test.go
@@ -94,8 +94,9 @@
 	}
 }
 
-// runDaemon runs a daemon until the test ends, and then fails the test if the daemon returned an error.
-func runDaemon(t *testing.T, body func(context.Context, *daemon.Environment) error) {
+// runDaemon runs a daemon until the test ends, and then fails the test if the daemon returned an error. name is the
+// daemon's name in the failure.
+func runDaemon(t *testing.T, name string, body func(context.Context, *daemon.Environment) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -104,17 +105,17 @@
 	t.Cleanup(func() {
 		cancel()
 		if err := <-ended; err != nil {
-			t.Errorf("daemon: got error %v at the end of the test, want none", err)
+			t.Errorf("%s at the end of the test: got error %v, want none", name, err)
 		}
 	})
 }
 
-// startTestCore starts a core with a number of members, with or without a static member order.
+// startTestCore starts a core of members stores and registries, with or without a static member order.
 func startTestCore(t *testing.T, members int, staticOrder bool, runOptions ...Option) *testCore {
 	t.Helper()
 	octet, reservation, err := fakebackend.ReserveLoopbackNet()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("ReserveLoopbackNet: %v", err)
 	}
 	t.Cleanup(func() { _ = reservation.Close() })
 	core := &testCore{}
@@ -128,10 +129,10 @@
 	}
 	for member := range members {
 		folder := t.TempDir()
-		runDaemon(t, func(ctx context.Context, environment *daemon.Environment) error {
+		runDaemon(t, "store of member "+core.hosts[member], func(ctx context.Context, environment *daemon.Environment) error {
 			return store.Run(ctx, environment, core.storeOptions(member, folder))
 		})
-		runDaemon(t, func(ctx context.Context, environment *daemon.Environment) error {
+		runDaemon(t, "registry of member "+core.hosts[member], func(ctx context.Context, environment *daemon.Environment) error {
 			return Run(ctx, environment, core.registryOptions(member), runOptions...)
 		})
 	}
@@ -155,8 +156,8 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatalf("%s %s: no accepted response within a minute; last got status %d, response %q, error %v",
-				method, path, status, response, err)
+			t.Fatalf("member %d: %s %s: no accepted response within a minute; last got status %d, response %q, error %v",
+				member, method, path, status, response, err)
 		case <-retry.C:
 		}
 	}
@@ -198,7 +199,8 @@
 
 const testProxyName = "p"
 
-// startTestProxy opens a session with a member's registry and waits until that registry has granted the proxy a lease.
+// startTestProxy starts a proxy that opens a session with a member's registry. It waits until that registry has granted
+// the proxy a lease.
 func startTestProxy(t *testing.T, core *testCore, member int) *testProxy {
 	t.Helper()
 	proxyTransport := transport.NewPlaintext("proxy", testProxyName, nil)
@@ -221,7 +223,7 @@
 		},
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Attend of proxy %s at the registry of member %d: %v", testProxyName, member, err)
 	}
 	go proxy.applyUpdates(stream)
 	go proxy.renewLeases(ctx)
--- a/internal/registry/update_log_test.go
+++ b/internal/registry/update_log_test.go
@@ -110,7 +110,7 @@
 // sessions.
 func BenchmarkNextUpdates(b *testing.B) {
 	for _, proxies := range []int{50, 200, 820} {
-		b.Run(fmt.Sprint(proxies), func(b *testing.B) {
+		b.Run(fmt.Sprint("sessions ", proxies), func(b *testing.B) {
 			state := NewFleetState(FleetStateOptions{MemberID: "a", Lease: testLease, MaxSources: 4096, MaxCounts: 4, WithoutLeases: true})
 			source := func(i int, counter uint64) *schema.Source {
 				return &schema.Source{
