--- a/internal/registry/change_submitter.go
+++ b/internal/registry/change_submitter.go
@@ -35,8 +35,8 @@
 }
 
 // propose proposes a change to the store, with retries, until the change is decided. It returns nil if ctx ended first:
-// the outcome is then unknown. Repeating a proposal is safe, since the store answers a change id that it has already
-// accepted with the first outcome.
+// the outcome is then unknown. Repeating a proposal is safe, since the store replies to a change id that was decided
+// before with its first outcome.
 func (c *changeSubmitter) propose(ctx context.Context, change *schema.Change) *schema.ProposalReply {
 	for {
 		reply, err := c.store.Propose(ctx, &schema.Proposal{Change: change})
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -41,8 +41,8 @@
 
 	// heardAt is when this registry's own peer subscription last received an update, by member.
 	heardAt map[string]time.Duration
-	// reachedAt is when a registry was last heard by this one, or by a peer that this one hears, by member. With it, a
-	// registry whose link to this one is partitioned does not count as lost.
+	// reachedAt is when this registry last heard another registry, or last heard from a peer that hears it, by member.
+	// With it, a registry whose link to this one is partitioned does not count as lost.
 	reachedAt map[string]time.Duration
 	// reachedBy lists the members that each registry hears, as it last reported them, by member.
 	reachedBy       map[string][]string
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -79,8 +79,10 @@
 	return f
 }
 
+// memberIDAt returns the member id of the registry with index i.
 func memberIDAt(i int) string { return string(rune('a' + i)) }
 
+// startRegistry starts a registry with an empty state.
 func (f *fakeFleet) startRegistry(i int) {
 	f.states[i] = NewFleetState(FleetStateOptions{
 		MemberID: memberIDAt(i), Lease: testLease, MaxSources: 32, MaxCounts: 4, WithoutLeases: true,
@@ -90,6 +92,7 @@
 	f.up[i] = true
 }
 
+// startProxy starts a new process of a proxy, without a session.
 func (f *fakeFleet) startProxy(p *fakeProxy) {
 	if provisional := p.provisional; provisional != nil && f.isOpen(provisional) {
 		f.states[provisional.registryIndex].CloseSession(f.now, p.name)
@@ -116,6 +119,7 @@
 	return f.up[provisional.registryIndex] && f.incarnations[provisional.registryIndex] == provisional.registryIncarnation
 }
 
+// arePartitioned reports whether two nodes cannot reach each other.
 func (f *fakeFleet) arePartitioned(a, b string) bool {
 	return f.partitioned[[2]string{a, b}] || f.partitioned[[2]string{b, a}]
 }
@@ -412,6 +416,7 @@
 	}
 }
 
+// upCount returns the number of proxies that run.
 func (f *fakeFleet) upCount() int {
 	count := 0
 	for _, p := range f.proxies {
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -4,7 +4,8 @@
 //
 // # Terms
 //
-// A revision is the sequence number of a committed change, and of the configuration that results from it.
+// A revision is the sequence number of an entry in the stores' log, and identifies the configuration up to that entry.
+// Every decided change has an entry, whether it was accepted or refused.
 //
 // A lease permits a proxy process to route by the configuration that it has applied. It needs grants from a majority
 // of the registries. Where a comment gives a time in leases, the unit is the lease duration, which is the same on every
@@ -33,8 +34,8 @@
 // Proxy session: rpcService.Attend authorizes the proxy. sessionServer.serve opens its session in the service
 // directory and sends what the proxy lacks, then updates and heartbeats. Separately from the session, the proxy
 // renews its lease, reports its workers and call counts (rpcService.Tell) and reserves idempotency keys
-// (rpcService.Claim). peerSync replicates the reported sources to the other registries. When the session ends and is
-// not reopened in time, FleetState.endLostSources ends the proxy's source.
+// (rpcService.Claim). Each other registry copies the reported sources from this one by its own peerSync. When the
+// session ends and is not reopened in time, FleetState.endLostSources ends the proxy's source.
 //
 // Rollout step: rolloutDriver.tick runs on the one registry that controls rollouts. It gathers the call counts of all
 // registries, lets release.Controller decide, and writes each step as a configuration change. Canary grants reach
--- a/internal/registry/fleet_state.go
+++ b/internal/registry/fleet_state.go
@@ -102,7 +102,8 @@
 }
 
 // sweep drops expired leases and sources, ends the sources of lost proxies, and raises requiredRevision to the newest
-// revision that was committed more than one lease renewal interval ago.
+// revision that this registry received more than one lease renewal interval ago. That is the time that proxies have to
+// apply a revision.
 func (f *FleetState) sweep(now time.Duration) {
 	f.sweptAt = now
 	for len(f.recentCommits) > 0 && now-f.recentCommits[0].committedAt > f.options.Lease/session.RenewalsPerLease {
--- a/internal/registry/operator_changes.go
+++ b/internal/registry/operator_changes.go
@@ -18,8 +18,8 @@
 
 // ChangeRequest is an operator's configuration change, the body of POST /v1/changes.
 type ChangeRequest struct {
-	// ID is chosen by the operator, of 1 to maxChangeIDBytes bytes. The same id means the same change, which is
-	// accepted only once.
+	// ID is chosen by the operator, of 1 to maxChangeIDBytes bytes. The same id means the same change, which is decided
+	// only once as long as the stores keep its outcome.
 	ID     string `json:"id"`
 	Config string `json:"setup"` // changed items as CUE text
 	// ExpectedVersions is the version of each item on which the change is based, by "kind/name". New items have no
@@ -31,8 +31,8 @@
 type ChangeResponse struct {
 	ID             string   `json:"id"`
 	Ruling         string   `json:"ruling"`             // accepted, invalid, conflict, stale or unknown
-	Sequence       uint64   `json:"sequence,omitempty"` // revision that the change created; zero unless accepted
-	Term           uint64   `json:"epoch,omitempty"`    // term of the store leader that accepted the change
+	Sequence       uint64   `json:"sequence,omitempty"` // revision of the decision, also of a refusal; zero if undecided
+	Term           uint64   `json:"epoch,omitempty"`    // term of the store leader that decided on the change
 	Acknowledged   bool     `json:"acknowledged"`       // whether no proxy can use an older revision
 	LaggingProxies []string `json:"waiting,omitempty"`  // proxies that may still use an older revision, in no order
 	// CurrentVersions has the current versions of the items, by "kind/name". It is set on a conflict only.
@@ -162,8 +162,9 @@
 	response.LaggingProxies, response.Acknowledged = o.acknowledger.await(ctx, response.Sequence)
 }
 
-// handleOutcome responds with the outcome of an earlier change. It responds with errs.ChangeNotFound if the store does
-// not know the change's id, and with errs.NoQuorum if the store does not reply.
+// handleOutcome responds with the outcome of an earlier change, with status 200 whatever the ruling was. It responds
+// with errs.ChangeNotFound if the local store knows of no committed outcome of the change's id. It responds with
+// errs.NoQuorum if that store does not reply.
 func (o *operatorServer) handleOutcome(ctx context.Context, call *fasthttp.RequestCtx, id string) {
 	timeoutCtx, cancel := context.WithTimeout(ctx, o.queryTimeout())
 	defer cancel()
--- a/internal/registry/operator_traces.go
+++ b/internal/registry/operator_traces.go
@@ -15,10 +15,10 @@
 type ChangeTrace struct {
 	MemberID         string               `json:"seat"`               // id of the observing core member
 	KnownToStore     bool                 `json:"known"`              // whether the local store knows the change
-	Ruling           string               `json:"ruling,omitempty"`   // one of the names in ChangeResponse.Ruling
-	Sequence         uint64               `json:"sequence,omitempty"` // revision that the change created; zero unless accepted
-	Term             uint64               `json:"epoch,omitempty"`    // term of the store leader that accepted the change
-	Leader           string               `json:"holder,omitempty"`   // member id of the store leader
+	Ruling           string               `json:"ruling,omitempty"`   // as in ChangeResponse; may not be committed yet
+	Sequence         uint64               `json:"sequence,omitempty"` // revision of the decision, also of a refusal
+	Term             uint64               `json:"epoch,omitempty"`    // term of the store leader that decided on the change
+	Leader           string               `json:"holder,omitempty"`   // member id of the current store leader
 	Appended         time.Time            `json:"taken"`              // when the local store appended the change to its log
 	Durable          time.Time            `json:"synced"`             // when the change was synced to the local store's disk
 	Committed        time.Time            `json:"stable"`             // when the local store learned of the commit
--- a/internal/registry/operator_views.go
+++ b/internal/registry/operator_views.go
@@ -41,7 +41,8 @@
 	Items    []ItemView `json:"items"`    // items that are not deleted
 }
 
-// handleConfig responds with the committed configuration.
+// handleConfig responds with the committed configuration. It responds with errs.NoQuorum until this registry has caught
+// up.
 func (o *operatorServer) handleConfig(_ context.Context, call *fasthttp.RequestCtx) {
 	s := o.state
 	s.lock.Lock()
@@ -166,8 +167,8 @@
 	LiveProxies int                      `json:"members"`         // number of live proxies known to this registry
 }
 
-// handleStatus responds with the status of the core. Registries and a store that do not reply within the query timeout
-// are left out.
+// handleStatus responds with the status of the core. It queries the other registries, and then the store within what is
+// left of the query timeout. It leaves out registries and a store that do not reply in time.
 func (o *operatorServer) handleStatus(ctx context.Context, call *fasthttp.RequestCtx) {
 	timeoutCtx, cancel := context.WithTimeout(ctx, o.queryTimeout())
 	defer cancel()
--- a/internal/registry/reservation_table_test.go
+++ b/internal/registry/reservation_table_test.go
@@ -9,6 +9,7 @@
 	"meadowhinge/schema"
 )
 
+// newTestReservations returns an empty table of a core of three, in which a reservation is valid for four leases.
 func newTestReservations(maxReservations int) *ReservationTable {
 	return NewReservationTable(ReservationOptions{
 		Lease:           testLease,
@@ -18,6 +19,7 @@
 	})
 }
 
+// reservationFor returns the reservation of a key for a request by an incarnation of proxy p.
 func reservationFor(key, request string, incarnation uint64) *schema.KeyReservation {
 	return &schema.KeyReservation{
 		Key:         []byte(key),
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -81,35 +81,35 @@
 	if items := <-api.items; !slices.ContainsFunc(items, isTesters) {
 		t.Errorf("ReadItems: got %v, want segment testers among the items", items)
 	}
-	checkOperatorPages(t, core)
+	checkOperatorResponses(t, core)
 }
 
-// checkOperatorPages checks the status and a part of the response of each operator request, after the change "first"
-// and with one proxy in session.
-func checkOperatorPages(t *testing.T, core *testCore) {
+// checkOperatorResponses checks the status and a part of the response of each operator request, after the change
+// "first" and with one proxy in session.
+func checkOperatorResponses(t *testing.T, core *testCore) {
 	t.Helper()
 	for name, test := range map[string]struct {
 		method, path, body string
 		status             int
 		contains           string
 	}{
-		"configuration":             {"GET", "/v1/setup", "", http.StatusOK, `"change":"first"`},
-		"outcome":                   {"GET", "/v1/changes/first", "", http.StatusOK, `"acknowledged":true`},
-		"outcome of unknown change": {"GET", "/v1/changes/other", "", http.StatusNotFound, string(errs.ChangeNotFound)},
-		"workers":                   {"GET", "/v1/workers", "", http.StatusOK, `"instance":"w1"`},
-		"status":                    {"GET", "/v1/status", "", http.StatusOK, `"members":1`},
-		"verdicts":                  {"GET", "/v1/verdicts", "", http.StatusOK, `[]`},
-		"releases":                  {"GET", "/v1/releases", "", http.StatusOK, `[]`},
-		"unknown path":              {"GET", "/v1/nothing", "", http.StatusNotFound, string(errs.RouteNotFound)},
-		"unsupported method":        {"DELETE", "/v1/setup", "", http.StatusNotFound, string(errs.RouteNotFound)},
-		"malformed explain request": {"POST", "/v1/explain", "{", http.StatusBadRequest, string(errs.MalformedRequest)},
-		"malformed change":          {"POST", "/v1/changes", "{", http.StatusBadRequest, string(errs.MalformedRequest)},
-		"change without id":         {"POST", "/v1/changes", `{"setup": ""}`, http.StatusBadRequest, string(errs.MalformedRequest)},
-		"change with too long id": {"POST", "/v1/changes", `{"id": "` + strings.Repeat("i", maxChangeIDBytes+1) + `"}`,
+		"configuration has the change":         {"GET", "/v1/setup", "", http.StatusOK, `"change":"first"`},
+		"outcome is acknowledged":              {"GET", "/v1/changes/first", "", http.StatusOK, `"acknowledged":true`},
+		"unknown change is not found":          {"GET", "/v1/changes/other", "", http.StatusNotFound, string(errs.ChangeNotFound)},
+		"worker is listed":                     {"GET", "/v1/workers", "", http.StatusOK, `"instance":"w1"`},
+		"live proxy is counted":                {"GET", "/v1/status", "", http.StatusOK, `"members":1`},
+		"no calls, no verdicts":                {"GET", "/v1/verdicts", "", http.StatusOK, `[]`},
+		"no plans, no releases":                {"GET", "/v1/releases", "", http.StatusOK, `[]`},
+		"unknown path is not found":            {"GET", "/v1/nothing", "", http.StatusNotFound, string(errs.RouteNotFound)},
+		"unsupported method is not found":      {"DELETE", "/v1/setup", "", http.StatusNotFound, string(errs.RouteNotFound)},
+		"malformed explain request is refused": {"POST", "/v1/explain", "{", http.StatusBadRequest, string(errs.MalformedRequest)},
+		"malformed change is refused":          {"POST", "/v1/changes", "{", http.StatusBadRequest, string(errs.MalformedRequest)},
+		"change without id is refused":         {"POST", "/v1/changes", `{"setup": ""}`, http.StatusBadRequest, string(errs.MalformedRequest)},
+		"change with too long id is refused": {"POST", "/v1/changes", `{"id": "` + strings.Repeat("i", maxChangeIDBytes+1) + `"}`,
 			http.StatusBadRequest, string(errs.MalformedRequest)},
-		"change with faults": {"POST", "/v1/changes", `{"id": "bad", "setup": "segment: 7"}`,
+		"change with faults is invalid": {"POST", "/v1/changes", `{"id": "bad", "setup": "segment: 7"}`,
 			http.StatusBadRequest, string(errs.InvalidConfig)},
-		"new item that already exists": {"POST", "/v1/changes", `{"id": "again", "setup": "segment: testers: {salt: \"u\"}"}`,
+		"new item that already exists conflicts": {"POST", "/v1/changes", `{"id": "again", "setup": "segment: testers: {salt: \"u\"}"}`,
 			http.StatusConflict, `"standing":[{"kind":"segment","name":"testers"`},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -198,9 +198,9 @@
 		err  error
 		code errs.Code
 	}{
-		"body too large":          {fasthttp.ErrBodyTooLarge, errs.BodyTooLarge},
-		"body too large, wrapped": {fmt.Errorf("reading: %w", fasthttp.ErrBodyTooLarge), errs.BodyTooLarge},
-		"other error":             {io.ErrUnexpectedEOF, errs.MalformedRequest},
+		"body too large":           {fasthttp.ErrBodyTooLarge, errs.BodyTooLarge},
+		"body too large, wrapped":  {fmt.Errorf("reading: %w", fasthttp.ErrBodyTooLarge), errs.BodyTooLarge},
+		"other error is malformed": {io.ErrUnexpectedEOF, errs.MalformedRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
 			call := &fasthttp.RequestCtx{}
--- a/internal/registry/testcore_test.go
+++ b/internal/registry/testcore_test.go
@@ -55,6 +55,7 @@
 	return strings.Join(addresses, ",")
 }
 
+// storeOptions returns the options of a member's store, which keeps its data in folder.
 func (c *testCore) storeOptions(member int, folder string) *schema.StoreOptions {
 	return &schema.StoreOptions{
 		Seat:        c.hosts[member],
@@ -71,6 +72,7 @@
 	}
 }
 
+// registryOptions returns the options of a member's registry.
 func (c *testCore) registryOptions(member int) *schema.RegistryOptions {
 	return &schema.RegistryOptions{
 		Seat:           c.hosts[member],
@@ -173,6 +175,7 @@
 	}
 }
 
+// requestOnce sends a request to a member's operator API once. It fails if there is no complete response.
 func (c *testCore) requestOnce(ctx context.Context, member int, method, path, body string) (status int, response string, err error) {
 	url := "http://" + c.address(member, testOperatorPort) + path
 	request, err := http.NewRequestWithContext(ctx, method, url, strings.NewReader(body))
@@ -231,6 +234,7 @@
 	return proxy
 }
 
+// applyUpdates records the items and the revision of each update until the session ends.
 func (p *testProxy) applyUpdates(stream schema.DRPCRegistry_AttendClient) {
 	for {
 		update, err := stream.Recv()
@@ -246,6 +250,7 @@
 	}
 }
 
+// renewLeases renews the proxy's lease RenewalsPerLease times in each lease until ctx ends.
 func (p *testProxy) renewLeases(ctx context.Context) {
 	ticker := time.NewTicker(testCoreLease / session.RenewalsPerLease)
 	defer ticker.Stop()
