--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -18,7 +18,8 @@
 //
 // An incarnation is the number that distinguishes a process from earlier ones of the same name. A version vector gives,
 // for each source that a node has, the incarnation and a counter within it. An incarnation-only source records that
-// another node has seen a higher incarnation of a proxy than this registry has.
+// another node has seen a higher incarnation of a proxy than this registry has. One registry hears another while it
+// receives updates from it.
 //
 // # Request paths
 //
--- a/internal/registry/leases.go
+++ b/internal/registry/leases.go
@@ -33,7 +33,7 @@
 
 // GrantsLeases reports whether this registry grants leases: it must have caught up, and have run for a lease. Before a
 // restart it may have granted leases and set fences that it has since lost, so it waits until those leases have
-// expired. With WithoutLeases there are none to wait for.
+// expired. It does not wait if the option WithoutLeases is set.
 func (f *FleetState) GrantsLeases(now time.Duration) bool {
 	return f.caughtUp && (f.options.WithoutLeases || now >= f.options.Lease)
 }
--- a/internal/registry/membership.go
+++ b/internal/registry/membership.go
@@ -133,8 +133,7 @@
 }
 
 // observeOwn raises this registry's incarnation above that of member if member's is higher, and reports whether it did.
-// With a lower incarnation than an earlier process of this member had, this registry would not be heard: the others
-// would keep the address of the earlier process.
+// With a lower incarnation, the other registries would keep the address of an earlier process of this member.
 func (m *membership) observeOwn(member *schema.CoreMember) bool {
 	own := m.own()
 	if !session.IsSuperseded(own.Incarnation, member.Incarnation, false) {
--- a/internal/registry/operator_backend.go
+++ b/internal/registry/operator_backend.go
@@ -97,7 +97,7 @@
 			return &schema.ChangeOutcome{Ruling: schema.Ruling_RULING_ACCEPTED}
 		}
 		// The rollout driver generates change ids of the same form, with serials of its own. The ids differ in the
-		// name of the step: "order-" and the service here, the name of the plan or the stop there.
+		// name of the step: "order-" and the service for this one, the plan or the stop for a step of the driver.
 		b.state.lock.Lock()
 		change := step.Change(b.state.config.memberID, b.state.incarnation, b.nextSerialLocked(), state)
 		b.state.lock.Unlock()
