--- a/internal/registry/change_submitter.go
+++ b/internal/registry/change_submitter.go
@@ -9,8 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// changeSubmitter proposes changes to the store and waits for their acknowledgement. Fields do not change after
-// construction, except those guarded by sharedState.lock.
+// changeSubmitter proposes changes to the store and waits for their acknowledgement. The fields that sharedState.lock
+// guards are its only mutable ones.
 type changeSubmitter struct {
 	state        *sharedState
 	options      *liveOptions
@@ -35,8 +35,8 @@
 }
 
 // propose proposes a change to the store, with retries, until the change is decided. It returns nil if ctx ended first:
-// the outcome is then unknown. Repeating a proposal is safe, since the store answers a change id that it has already
-// accepted with the first outcome.
+// the outcome is then unknown. Repeating a proposal is safe, since the store replies to a change id that was decided
+// before with its first outcome.
 func (c *changeSubmitter) propose(ctx context.Context, change *schema.Change) *schema.ProposalReply {
 	for {
 		reply, err := c.store.Propose(ctx, &schema.Proposal{Change: change})
@@ -72,7 +72,7 @@
 }
 
 // SubmitChange submits a change, or waits for the same change if that is already in progress: see OperatorBackend. It
-// generates an id for a change without one.
+// sets the id of a change that has none.
 func (c *changeSubmitter) SubmitChange(ctx context.Context, change *schema.Change) *schema.ChangeOutcome {
 	pending := c.startChange(change) //nolint:contextcheck // the change continues after ctx ended: see completeChange
 	select {
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -79,8 +79,10 @@
 	return f
 }
 
+// memberIDAt returns the member id of the registry with index i.
 func memberIDAt(i int) string { return string(rune('a' + i)) }
 
+// startRegistry starts a registry with an empty state.
 func (f *fakeFleet) startRegistry(i int) {
 	f.states[i] = NewFleetState(FleetStateOptions{
 		MemberID: memberIDAt(i), Lease: testLease, MaxSources: 32, MaxCounts: 4, WithoutLeases: true,
@@ -90,6 +92,7 @@
 	f.up[i] = true
 }
 
+// startProxy starts a new process of a proxy, without a session.
 func (f *fakeFleet) startProxy(p *fakeProxy) {
 	if provisional := p.provisional; provisional != nil && f.isOpen(provisional) {
 		f.states[provisional.registryIndex].CloseSession(f.now, p.name)
@@ -116,6 +119,7 @@
 	return f.up[provisional.registryIndex] && f.incarnations[provisional.registryIndex] == provisional.registryIncarnation
 }
 
+// arePartitioned reports whether two nodes cannot reach each other.
 func (f *fakeFleet) arePartitioned(a, b string) bool {
 	return f.partitioned[[2]string{a, b}] || f.partitioned[[2]string{b, a}]
 }
@@ -225,7 +229,7 @@
 	return f.up[registryIndex] && !f.arePartitioned(p.name, memberIDAt(registryIndex))
 }
 
-// closeSession ends a proxy's session, at the registry only if that is still the same process.
+// closeSession ends a proxy's session. The registry's side is closed only if the registry runs and has not restarted.
 func (f *fakeFleet) closeSession(p *fakeProxy) {
 	if p.registryIndex >= 0 && f.up[p.registryIndex] && p.session.incarnations[0] == f.incarnations[p.registryIndex] {
 		f.states[p.registryIndex].CloseSession(f.now, p.name)
@@ -299,7 +303,8 @@
 	}
 }
 
-// openSession opens a session with a reachable registry that has quorum contact, or with a random one if there is none.
+// openSession opens a session with a reachable registry that has quorum contact. If there is none, it tries a registry
+// drawn at random.
 func (f *fakeFleet) openSession(p *fakeProxy) {
 	at := f.random.IntN(fakeRegistries)
 	for _, candidate := range f.random.Perm(fakeRegistries) {
@@ -411,6 +416,7 @@
 	}
 }
 
+// upCount returns the number of proxies that run.
 func (f *fakeFleet) upCount() int {
 	count := 0
 	for _, p := range f.proxies {
@@ -421,9 +427,9 @@
 	return count
 }
 
-// TestSourcesOfLostHomeRegistry checks that a registry ends the sources of a lost home registry only if it has quorum
-// contact. Without it, the registry itself may be the partitioned one, so it keeps them listed.
-func TestSourcesOfLostHomeRegistry(t *testing.T) {
+// TestSourcesOfLostHomeRegistryEndWithQuorumContact checks that a registry ends the sources of a lost home registry if
+// it has quorum contact. Without it, the registry itself may be the partitioned one, so it must keep them listed.
+func TestSourcesOfLostHomeRegistryEndWithQuorumContact(t *testing.T) {
 	for _, quorumContact := range []bool{true, false} {
 		t.Run(fmt.Sprint("quorum contact ", quorumContact), func(t *testing.T) {
 			state := NewFleetState(FleetStateOptions{
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -4,13 +4,22 @@
 //
 // # Terms
 //
-// A lease permits a proxy process to route by the configuration that it has applied; it needs grants from a majority
-// of the registries. A fence at a revision forbids leases below that revision. A change is acknowledged once no proxy
-// can use an older configuration.
+// A revision is the sequence number of an entry in the stores' log, and identifies the configuration up to that entry.
+// Every decided change has an entry, whether it was accepted or refused.
+//
+// A lease permits a proxy process to route by the configuration that it has applied. It needs grants from a majority
+// of the registries. Where a comment gives a time in leases, the unit is the lease duration, which is the same on every
+// process. A fence at a revision forbids leases below that revision; a laggard is a lease below the fence that has not
+// expired. A change is acknowledged once no proxy can use an older configuration.
 //
 // A source is one proxy's entry in the service directory: its address, zone and registered workers. The home registry
-// of a source is the one with which its proxy has its session. A source whose proxy shut down or was lost is ended
-// and stays as a tombstone until its room is needed.
+// of a source is the registry with which its proxy has, or last had, a session. A source whose proxy shut down or was
+// lost is ended and stays as a tombstone until its room is needed.
+//
+// An incarnation is the number that distinguishes a process from earlier ones of the same name. A version vector gives,
+// for each source that a node has, the incarnation and a counter within it. An incarnation-only source records that
+// another node has seen a higher incarnation of a proxy than this registry has. One registry hears another while it
+// receives updates from it.
 //
 // # Request paths
 //
@@ -26,8 +35,8 @@
 // Proxy session: rpcService.Attend authorizes the proxy. sessionServer.serve opens its session in the service
 // directory and sends what the proxy lacks, then updates and heartbeats. Separately from the session, the proxy
 // renews its lease, reports its workers and call counts (rpcService.Tell) and reserves idempotency keys
-// (rpcService.Claim). peerSync replicates the reported sources to the other registries. When the session ends and is
-// not reopened in time, FleetState.endLostSources ends the proxy's source.
+// (rpcService.Claim). Each other registry copies the reported sources from this one by its own peerSync. When the
+// session ends and is not reopened in time, FleetState.endLostSources ends the proxy's source.
 //
 // Rollout step: rolloutDriver.tick runs on the one registry that controls rollouts. It gathers the call counts of all
 // registries, lets release.Controller decide, and writes each step as a configuration change. Canary grants reach
@@ -48,6 +57,7 @@
 // the channel that announces the next one must be read at the same instant. The lock is not held during an RPC or
 // while waiting on a channel. Methods whose names end in Locked are called with the lock held.
 //
-// cmd/registry and platform/operator run a server. internal/simulator drives the state alone. internal/testbed and
-// cmd/operator read the operators' pages.
+// cmd/registry and platform/cmd/registry run a server. platform/operator implements an additional API for operators.
+// internal/simulator drives the state alone. internal/testbed, cmd/operator and cmd/tracer call the operators' HTTP
+// API.
 package registry
--- a/internal/registry/reservation_table_test.go
+++ b/internal/registry/reservation_table_test.go
@@ -9,6 +9,7 @@
 	"meadowhinge/schema"
 )
 
+// newTestReservations returns an empty table of a core of three, in which a reservation is valid for four leases.
 func newTestReservations(maxReservations int) *ReservationTable {
 	return NewReservationTable(ReservationOptions{
 		Lease:           testLease,
@@ -18,6 +19,7 @@
 	})
 }
 
+// reservationFor returns the reservation of a key for a request by an incarnation of proxy p.
 func reservationFor(key, request string, incarnation uint64) *schema.KeyReservation {
 	return &schema.KeyReservation{
 		Key:         []byte(key),
@@ -28,9 +30,10 @@
 	}
 }
 
-// TestReservationTable checks the results of a sequence of reservations in a table with room for two, and which of them
-// count as refused.
-func TestReservationTable(t *testing.T) {
+// TestReservationHoldsKeyUntilReleaseOrExpiry checks that a reservation holds its key until its owner releases it or it
+// expires. It applies a sequence of reservations to a table with room for two. It also checks how many of them count as
+// refused.
+func TestReservationHoldsKeyUntilReleaseOrExpiry(t *testing.T) {
 	table := newTestReservations(2)
 	table.SetNeverUsed()
 	release := reservationFor("k", "r1", 5)
@@ -134,9 +137,9 @@
 	}
 }
 
-// TestReservationAttempt checks that a grant counts only if its reply arrived in time, and that a request owns a key
-// only with grants from a majority of the members.
-func TestReservationAttempt(t *testing.T) {
+// TestReservationNeedsMajorityInTime checks that a grant counts only if its reply arrived in time, and that a request
+// owns a key only with grants from a majority of the members.
+func TestReservationNeedsMajorityInTime(t *testing.T) {
 	granted := &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_GRANTED}
 	full := &schema.ReservationReply{Result: schema.ReservationResult_RESERVATION_FULL}
 	held := &schema.ReservationReply{
