--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -14,7 +14,7 @@
 
 // An attempt of an idempotent call has a timeout, so that time for a retry is left if the proxy hangs. The timeout is
 // the larger of 1/attemptTimeDivisor of the time left, and the time left less reservedServiceTimes times the worker's
-// service time. There is none where NoAttemptTimeout is set.
+// service time. With NoAttemptTimeout there is no such timeout.
 const (
 	attemptTimeDivisor   = 2
 	reservedServiceTimes = 2
@@ -68,7 +68,8 @@
 }
 
 // attemptContext returns the context of one attempt. For an idempotent call it has the timeout described at
-// attemptTimeDivisor, which leaves a retry as much time as the worker takes: a run that is broken off is wasted.
+// attemptTimeDivisor. The timeout leaves no more time for a retry than a worker needs, because a run that is broken off
+// is wasted. remaining is the time left until the plan's deadline.
 func (f *Forwarder) attemptContext(
 	ctx context.Context, callPlan *plan.Plan, endpoint *plan.Endpoint, remaining time.Duration,
 ) (context.Context, context.CancelFunc) {
@@ -114,8 +115,9 @@
 	return response
 }
 
-// responseOf returns the response to a request from the results of Send, and records whether the proxy was reached.
-// With NoAttemptTimeout, an attempt that ends at the call's deadline means a slow worker, not an unreachable proxy.
+// responseOf returns the response to a request from the results of Send, and records whether the proxy was reached. ctx
+// is the context of the call, not of the attempt. With NoAttemptTimeout, an attempt that ends at the call's deadline
+// means a slow worker, not an unreachable proxy.
 func (f *Forwarder) responseOf(
 	ctx context.Context, request *schema.ForwardRequest, response *schema.ForwardResponse, err error, proxy string,
 ) *schema.ForwardResponse {
@@ -143,7 +145,8 @@
 		f.Outliers.CancelCall(endpoint.Instance)
 		return
 	}
-	// The directory lags behind: the worker is deregistered or draining. It is tried last while it is still listed.
+	// The worker is deregistered or draining, and the directory does not show that yet. It is tried last while it is
+	// listed.
 	if response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 		if refusal := errs.Code(response.ErrorCode); refusal == errs.WrongInstance || refusal == errs.WorkerDraining {
 			f.Outliers.MarkRetired(endpoint.Instance)
@@ -162,9 +165,9 @@
 	return f.Canaries.Begin(callPlan.Service, callPlan.Verdict.Version, f.Now())
 }
 
-// endCanaryCall records the result of an attempt for its version. canaryCall may be nil. A run whose caller
-// disconnected is discarded. A request that is proved not to have run is no failure of the version, unlike in
-// isFailure.
+// endCanaryCall records the result of an attempt for its version. If canaryCall is nil, it does nothing. A run whose
+// caller disconnected is discarded. A request that is proved not to have run does not count as a failure of the version,
+// although isFailure reports it as one.
 func (f *Forwarder) endCanaryCall(canaryCall *CanaryCall, response *schema.ForwardResponse) {
 	switch {
 	case canaryCall == nil:
--- a/internal/dispatch/attempt_sequence.go
+++ b/internal/dispatch/attempt_sequence.go
@@ -10,11 +10,11 @@
 	"meadowhinge/schema"
 )
 
-// maxPlanRounds is how many rounds of candidates, each by a plan of its own, a call goes through before it ends.
+// maxPlanRounds is the maximum number of plans of one call. The call ends once the candidates of the last one are tried.
 const maxPlanRounds = 4
 
-// maxFullEndpoints is how many endpoints may refuse a call for lack of capacity, and report when they expect some,
-// before the call ends.
+// maxFullEndpoints is the number of endpoints after which a call ends if they refuse it and report when they expect
+// capacity. An endpoint that skipOverloaded skips counts as one of them.
 const maxFullEndpoints = 2
 
 // attemptSequence makes the attempts of one call. It goes through the candidates of the call's plan, and of plans made
@@ -39,7 +39,7 @@
 	stepDone                          // end the call with the response of the step
 )
 
-// step is the result of one step.
+// step is the result of one step of a call: an attempt, or one of the checks before it.
 type step struct {
 	next     nextStep
 	response *schema.ForwardResponse // the response of the call; nil unless next is stepDone
@@ -70,7 +70,8 @@
 // run makes plans and tries their candidates until the call is over.
 func (a *attemptSequence) run(ctx context.Context) (*schema.ForwardResponse, string) {
 	for replans := range maxPlanRounds {
-		// If another proxy has refused a call for its outdated configuration, it would refuse this call as well.
+		// Another proxy may have refused a call because this proxy's configuration was outdated. Until the newer one
+		// arrives, it would refuse this call as well.
 		a.forwarder.awaitNewerConfig(ctx, a.remaining())
 		if err := a.ensureCurrentPlan(replans); err != nil {
 			return a.progress.responseWithCode(errs.CodeOf(err)), ""
@@ -92,8 +93,9 @@
 	return a.result.Plan.Deadline - (a.forwarder.Now() - a.startedAt)
 }
 
-// ensureCurrentPlan makes a new plan in every round but the first, and in the first if the configuration has changed
-// since. A plan is executed only under the configuration that it was made from.
+// ensureCurrentPlan makes a new plan in every round but the first. In the first round it makes one if the configuration
+// has changed since the call was planned, because a plan is executed only under the configuration it was made from.
+// replans is the number of rounds before this one.
 func (a *attemptSequence) ensureCurrentPlan(replans int) error {
 	if view := a.forwarder.View(); replans == 0 && view.Config.Revision == a.result.Plan.Verdict.ConfigRevision {
 		return nil
@@ -119,7 +121,7 @@
 }
 
 // attemptCandidate sends the call to a candidate unless a check rules it out. The order of the checks is part of the
-// contract: the key is reserved first, because the other checks could be outdated after a wait for the registries.
+// contract: the key is reserved before precheck, whose results a wait for the registries could outdate.
 func (a *attemptSequence) attemptCandidate(ctx context.Context, candidate *plan.Endpoint) step {
 	if !a.isEligible(candidate) {
 		return step{next: stepNextCandidate}
@@ -167,8 +169,9 @@
 		a.result.reservation.GetInstance() != candidate.Instance
 }
 
-// precheck checks, after any wait, that the call still has time, and that this proxy may still send it by its plan: the
-// proxy has a lease, the configuration is the plan's, and the version and the worker are still available.
+// precheck checks, after any wait, that the call still has time and that this proxy may still send it by its plan. The
+// proxy must have a lease, and the configuration must be the plan's. The canary guard must not block the version, and the
+// directory must list the worker.
 func (a *attemptSequence) precheck(ctx context.Context, candidate *plan.Endpoint, remaining time.Duration) step {
 	f, callPlan := a.forwarder, a.result.Plan
 	view := f.View()
@@ -187,7 +190,7 @@
 
 // skipOverloaded skips a candidate that has recently refused most calls of the route. A pinned call does not skip its
 // candidate, because no other worker can serve it. A worker of this proxy is not skipped, because trying it costs
-// nothing.
+// nothing. A skipped candidate counts as one that refused the call.
 func (a *attemptSequence) skipOverloaded(candidate *plan.Endpoint) step {
 	f := a.forwarder
 	retryAfter, skip := f.Outliers.ShouldSkip(candidate.Instance, a.result.Plan.Route.Name, f.Now(), f.Random)
@@ -253,8 +256,8 @@
 	return step{next: stepNextCandidate}
 }
 
-// configIsBehind reports whether another proxy refused the call under a newer configuration, by which the plan is too
-// old or its version is not allowed. Such a call is planned again under that configuration instead of being refused.
+// configIsBehind reports whether another proxy refused the call under a newer configuration, because the plan is too old
+// or its version is no longer allowed. Such a call is planned again under that configuration instead of being refused.
 func (a *attemptSequence) configIsBehind(refusal *schema.ForwardResponse) bool {
 	code := errs.Code(refusal.ErrorCode)
 	return code == errs.StalePlan || (code == errs.VersionNotAllowed && refusal.Revision > a.result.Plan.Verdict.ConfigRevision)
--- a/internal/dispatch/call_counter.go
+++ b/internal/dispatch/call_counter.go
@@ -16,7 +16,8 @@
 	configRevision                                         uint64 // 0 for all revisions without counts of their own
 }
 
-// callCount is the count for one key. nanos is the total duration of the calls, in nanoseconds.
+// callCount is the count for one key. nanos is the total duration of the calls, in nanoseconds. Calls whose callers
+// disconnected are not counted as failures.
 type callCount struct{ calls, failures, nanos atomic.Uint64 }
 
 // CallCounter counts calls by verdict and outcome. Counts only grow while the process lives. Recent configuration
--- a/internal/dispatch/call_progress.go
+++ b/internal/dispatch/call_progress.go
@@ -8,8 +8,9 @@
 // callProgress accumulates the results of the attempts of one call. Only the goroutine of the call uses it.
 //
 // lastResponse is the call's response if no further attempt is made. It starts with the outcome "not executed". A
-// refusal replaces only a refusal. An unknown outcome or a failure response replaces a refusal, and neither is ever
-// replaced by "not executed", because a worker may have run the request by then.
+// refusal replaces only a refusal. An unknown outcome replaces a refusal or another unknown outcome, and a failure
+// response replaces either. Neither is ever replaced by "not executed", because a worker may have run the request by
+// then.
 type callProgress struct {
 	lastResponse  *schema.ForwardResponse
 	excluded      map[string]bool // instances that get no further attempt of this call; nil until the first is excluded
--- a/internal/dispatch/canary_guard.go
+++ b/internal/dispatch/canary_guard.go
@@ -11,14 +11,15 @@
 // minSlowTime is the duration up to which no call counts as too slow.
 const minSlowTime = 50 * time.Millisecond
 
-// CanaryOptions are the limits of a [CanaryGuard]. A version is stopped once its failures exceed this proxy's share of
-// MaxFailures and its failure rate exceeds FailureRatio times the fallback version's rate plus FailureExcess.
+// CanaryOptions are the limits of a [CanaryGuard]. A proxy's share of MaxFailures is MaxFailures divided by the number of
+// proxies, and at least 1. A version is stopped once one more failure would exceed the proxy's share, and its failure
+// rate exceeds FailureRatio times the fallback version's rate plus FailureExcess.
 type CanaryOptions struct {
 	GrantDuration time.Duration // how long a grant is valid
 	MaxFailures   int64         // failures of a version that the proxies of the fleet tolerate together
 	FailureRatio  float64       // tolerated failure rate, as a multiple of the fallback version's rate
 	FailureExcess float64       // failure rate tolerated in addition, as a fraction of the version's calls
-	SlowFactor    float64       // a call that takes longer than this multiple of the fallback version's mean counts as failed
+	SlowFactor    float64       // a call that takes over SlowFactor times the fallback version's mean duration counts as failed
 }
 
 // DefaultCanaryOptions are the options that apply unless the settings say otherwise.
@@ -33,7 +34,7 @@
 
 	lock       sync.Mutex // guards the fields below
 	options    CanaryOptions
-	grants     map[versionKey]canaryGrant
+	grants     map[versionKey]canaryGrant   // latest grant of each version
 	localStops map[versionKey]localStop     // versions that this proxy has stopped itself
 	windows    map[versionKey]*canaryWindow // recent calls of this proxy to each version
 }
@@ -71,7 +72,7 @@
 // canaryWindow holds this proxy's calls to a version in the last DefaultRetryWindow, and those in flight.
 type canaryWindow struct {
 	slots    [windowSlots]canarySlot // a ring, indexed by slot number modulo its length
-	inFlight map[*CanaryCall]bool
+	inFlight map[*CanaryCall]bool    // calls that have begun and not ended
 }
 
 // canarySlot counts the calls that ended in one slot of the window.
@@ -241,7 +242,8 @@
 }
 
 // VersionBlocked reports whether a version other than the fallback must not be used now. A version is blocked if it has
-// no valid grant, or if it exceeds the limits in [CanaryOptions]. In the second case this proxy stops the version.
+// no valid grant, or if it has reached the limits described at [CanaryOptions]. In the second case this proxy stops the
+// version.
 func (g *CanaryGuard) VersionBlocked(service, version string, now time.Duration) bool {
 	g.lock.Lock()
 	defer g.lock.Unlock()
@@ -272,7 +274,7 @@
 	return true
 }
 
-// hasValidGrant reports whether a version has a grant for its present guard and is not stopped, neither by the
+// hasValidGrant reports whether a version has an unexpired grant for its present guard, and is stopped neither by the
 // registries nor by this proxy. The caller holds the lock.
 func (g *CanaryGuard) hasValidGrant(key versionKey, guardedRevision uint64, now time.Duration) bool {
 	grant, found := g.grants[key]
--- a/internal/dispatch/capacity_check.go
+++ b/internal/dispatch/capacity_check.go
@@ -38,6 +38,7 @@
 		// The capacity check itself runs nothing, so nothing can have run.
 		f.Outliers.MarkUnreachable(endpoint.Proxy, f.Now())
 		return notExecuted(errs.PeerConnectFailed, 0)
+	// The check was admitted, or its response is invalid. In both cases the request itself is sent.
 	case response.Request != request.Request || response.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || response.ErrorCode == "":
 		return nil
 	}
@@ -45,8 +46,9 @@
 	return response
 }
 
-// newCapacityCheck returns the capacity check for a request: the request without its body and headers. It keeps the
-// checksum of the body, so that a proxy that does not know capacity checks refuses it as a request that lost its body.
+// newCapacityCheck returns the capacity check for a request. It has only the fields that the worker's queue and the
+// lookup of the worker need, and neither body nor headers. It keeps the checksum of the body, so that a proxy that does
+// not know capacity checks refuses it as a request that lost its body.
 func newCapacityCheck(request *schema.ForwardRequest) *schema.ForwardRequest {
 	return &schema.ForwardRequest{
 		Request:            request.Request,
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,4 +1,4 @@
-// Package dispatch forwards a planned call to a worker and runs it there.
+// Package dispatch forwards calls to workers and runs them there.
 //
 // A worker is one instance of a service. It is local to the proxy that it registers with, and only that proxy
 // connects to it. Each call passes through two proxies, which may be the same process:
@@ -18,7 +18,9 @@
 // constructs these values, and package simulator does so for its simulated proxies.
 //
 // All exported types are safe for concurrent use unless their comment says otherwise. Each guards its own
-// state with its own lock or with atomics, and no lock is held while a request is sent or waited for. Time is
-// passed in, or read through a Now function, as the process clock: a duration since a moment that is fixed for the
-// process. So the simulator can drive it.
+// state with its own lock or with atomics, and no lock is held while a request is sent or waited for.
+//
+// Times are durations on the process clock, which begins at a moment that is fixed for the process. They are passed in,
+// or read through a Now function, so that the simulator can supply its own clock. Timers and connection deadlines use
+// package time.
 package dispatch
--- a/internal/dispatch/idempotency_cache.go
+++ b/internal/dispatch/idempotency_cache.go
@@ -11,9 +11,9 @@
 	"meadowhinge/schema"
 )
 
-// reservedElsewhere takes the place of an instance if the key could not be reserved for a run, usually because a
-// request at another proxy holds it. What is known of that request holds only for that moment, so the next repeat asks
-// again.
+// reservedElsewhere is returned and stored in place of an instance if the key could not be reserved for a run, usually
+// because a request at another proxy has reserved it. The state of that request may change at any time, so the next
+// repeat asks the registries again.
 const reservedElsewhere = "elsewhere"
 
 // idempotencyKey qualifies an idempotency key by its caller, service and route, so that equal keys of two callers, or
@@ -38,37 +38,38 @@
 // idempotencyEntry is the state of one idempotency key: in flight until done is closed, then settled. The fields after
 // done are set before it is closed, and not changed afterwards.
 type idempotencyEntry struct {
-	fingerprint uint64 // CRC-64 of the request's fingerprint
-	done        chan struct{}
+	fingerprint uint64        // CRC-64 of the request's fingerprint
+	done        chan struct{} // closed once the entry is settled
 	// instance is where the request was tried. It is empty if no instance can report on the request, and
-	// reservedElsewhere if another proxy holds the key.
+	// reservedElsewhere if the key could not be reserved.
 	instance string
-	result   *schema.ForwardResponse
+	result   *schema.ForwardResponse // result of the request
 }
 
 // IdempotencyCache retains idempotency keys and their results, so that a repeat gets the result of the first request.
 // It is bounded in keys and in bytes, and evicts the oldest settled keys first. It is safe for concurrent use.
 type IdempotencyCache struct {
-	maxKeys int
+	maxKeys int // maximum number of keys, both in flight and settled
 
-	lock        sync.Mutex // guards the fields below
-	entries     map[string]*idempotencyEntry
-	order       []string // the keys of entries, the oldest first
-	answerBytes int      // total size of the retained bodies
+	lock        sync.Mutex                   // guards the fields below
+	entries     map[string]*idempotencyEntry // keyed by the result of idempotencyKey
+	order       []string                     // the keys of entries, the oldest first
+	answerBytes int                          // total size of the retained bodies
 }
 
-// bytesPerKey is the average size of the retained bodies, per key of the cache's bound. If it is exceeded, the oldest
-// settled keys are evicted.
+// bytesPerKey is the memory for retained bodies, in bytes for each of the maxKeys keys. If all bodies together exceed
+// maxKeys*bytesPerKey bytes, the oldest settled keys are evicted.
 const bytesPerKey = 1024
 
-// NewIdempotencyCache returns a cache of at most maxKeys keys, with bodies of at most bytesPerKey bytes on average.
+// NewIdempotencyCache returns a cache of at most maxKeys keys, with bodies of at most maxKeys*bytesPerKey bytes in all.
 func NewIdempotencyCache(maxKeys int) *IdempotencyCache {
 	return &IdempotencyCache{maxKeys: maxKeys, entries: map[string]*idempotencyEntry{}}
 }
 
 // Do runs a request under a key at most once at a time, and returns its result. A repeat waits for the first request
-// and gets its result, unless that proves that nothing ran. A request with another fingerprint under the same key is
-// refused with errs.IdempotencyKeyReused, and a key for which there is no room with errs.QueueFull.
+// and gets its result, unless the result proves that nothing ran. If ctx ends during the wait, the outcome is unknown with
+// the code errs.IdempotencyKeyUnresolved. A request with another fingerprint under the same key is refused with
+// errs.IdempotencyKeyReused, and a key for which there is no room with errs.QueueFull.
 //
 // run returns the result and the instance that was tried. After a result with an unknown outcome, a repeat runs again
 // with that instance as pinnedInstance, because only that instance knows whether the request ran.
--- a/internal/dispatch/local_state.go
+++ b/internal/dispatch/local_state.go
@@ -1,7 +1,7 @@
 package dispatch
 
-// LocalState is what a proxy knows of workers and versions by its own observation, in addition to the configuration and
-// the directory. It implements plan.LocalState.
+// LocalState combines a proxy's own observations of workers and of versions. Plans use them in addition to the
+// configuration and the directory. It implements plan.LocalState.
 type LocalState struct {
 	*OutlierDetector
 	*CanaryGuard
--- a/internal/dispatch/outcome.go
+++ b/internal/dispatch/outcome.go
@@ -21,8 +21,8 @@
 // OutcomeName returns the name of an outcome as callers see it. It is empty for an outcome that is not known.
 func OutcomeName(outcome schema.CallOutcome) string { return outcomeNames[outcome] }
 
-// notExecuted returns a refusal, which proves that nothing ran. configRevision tells the caller's proxy under which
-// configuration the request was refused; 0 reports none.
+// notExecuted returns a refusal, which proves that nothing ran. configRevision is the revision of the configuration that
+// the request was refused under; 0 if the refusal reports none.
 func notExecuted(code errs.Code, configRevision uint64) *schema.ForwardResponse {
 	return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(code), Revision: configRevision}
 }
@@ -49,7 +49,8 @@
 	return errs.Code(response.ErrorCode) == errs.CallerDisconnected
 }
 
-// isCapacityRefusal reports whether the worker or its proxy refused a call for lack of capacity or of time.
+// isCapacityRefusal reports whether the worker or its proxy refused a call for lack of capacity, or because the call's
+// deadline passed before it could run.
 func isCapacityRefusal(response *schema.ForwardResponse) bool {
 	code := errs.Code(response.ErrorCode)
 	return response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED && (code == errs.QueueFull || code == errs.DeadlineExceeded)
--- a/internal/dispatch/outlier_detector.go
+++ b/internal/dispatch/outlier_detector.go
@@ -19,15 +19,17 @@
 	serviceTimeAveragingDivisor = 8    // weight of one report in the service time is 1/8
 
 	// A worker that refuses many calls of a route is offered at most maxOffersPerAccept times as many as it accepts,
-	// measured over 1/offerWindowDivisor of an ejection. A refusal there costs the worker and its network as much as it
-	// costs the caller. A refusal by this proxy comes sooner.
+	// measured over 1/offerWindowDivisor of an ejection. A call that the worker refuses costs the worker and its network
+	// as much as it costs the caller. If this proxy skips the worker instead, the caller also learns of the refusal
+	// sooner.
 	maxOffersPerAccept = 2
 	offerWindowDivisor = 2
 	assumedAccepts     = 1 // accepted calls that are assumed in addition to those counted
 
 	// A worker with calls in flight is unresponsive if no response has come for unresponsiveServiceTimes times its
-	// service time, and for 1/unresponsiveEjectionDivisor of an ejection. It is tried last until a response comes. With
-	// a single call in flight it gets twice the time, because one call may simply take long.
+	// service time, and for 1/unresponsiveEjectionDivisor of an ejection. It is tried last until a response comes. With n
+	// calls in flight the service time counts 1+1/n times, twice for a single call, because one call may simply take
+	// long.
 	unresponsiveServiceTimes    = 4
 	unresponsiveEjectionDivisor = 25
 )
@@ -172,7 +174,7 @@
 	}
 }
 
-// EndCall records how a call ended, and ejects the worker after too many consecutive failures.
+// EndCall records how a call ended. It ejects the worker after as many consecutive failures as the limits set.
 func (d *OutlierDetector) EndCall(instance string, now time.Duration, failed bool) {
 	state := d.stateOf(instance)
 	state.inFlight.Add(-1)
@@ -208,7 +210,7 @@
 	} else {
 		d.EndCall(instance, now, isFailure(response))
 	}
-	// Looked up again, because Retain may have dropped the state as soon as no call was in flight.
+	// The state is looked up again, because Retain may have dropped it as soon as no call was in flight.
 	state := d.stateOf(instance)
 	if response.Slots > 0 || response.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 		state.lastResponseAt.Store(int64(now))
@@ -224,8 +226,8 @@
 	return state.refusalRate
 }
 
-// RecordOffer records by its response whether a worker accepted a call of a route. A refusal for lack of capacity is
-// not accepted; any other response is.
+// RecordOffer records whether a worker accepted a call of a route. The call was accepted unless the response is a
+// refusal for lack of capacity.
 func (d *OutlierDetector) RecordOffer(instance, route string, now time.Duration, response *schema.ForwardResponse) {
 	state, full := d.stateOf(instance), isCapacityRefusal(response)
 	state.lock.Lock()
@@ -249,7 +251,7 @@
 
 // ShouldSkip reports whether a worker is not offered a call because it refused many calls of the route. If so, it also
 // returns the time after which capacity is expected. The more calls were refused, the more are skipped, at random. A
-// skipped offer counts as made, so that the offers settle at a multiple of the accepted calls.
+// skipped offer counts as made, so that the offers settle at about maxOffersPerAccept times the accepted calls.
 func (d *OutlierDetector) ShouldSkip(instance, route string, now time.Duration, random plan.Random) (retryAfter time.Duration, skip bool) {
 	state, found := d.workers.Load(instance)
 	if !found {
--- a/internal/dispatch/recent_ids.go
+++ b/internal/dispatch/recent_ids.go
@@ -6,10 +6,10 @@
 
 // RecentIDs is a set of bounded size that holds the ids added last. It is safe for concurrent use.
 type RecentIDs struct {
-	lock sync.Mutex // guards the fields below
-	ids  map[string]struct{}
-	ring []string // the ids in the order in which they were added; empty strings until it is full
-	next int      // index in ring of the oldest id, which the next one replaces
+	lock sync.Mutex          // guards the fields below
+	ids  map[string]struct{} // the ids in the set
+	ring []string            // the ids in the order in which they were added; empty strings until it is full
+	next int                 // index in ring of the oldest id, which the next one replaces
 }
 
 // NewRecentIDs returns a set that retains the last limit ids. limit must be greater than 0.
--- a/internal/dispatch/reserved_admissions.go
+++ b/internal/dispatch/reserved_admissions.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// reservationDivisor: an admission is reserved after a capacity check for 1/reservationDivisor of the time left.
+// reservationDivisor sets how long an admission is reserved after a capacity check: for 1/reservationDivisor of the time
+// left.
 const reservationDivisor = 16
 
 // reservedAdmissions holds the admissions that were granted to capacity checks, for the requests that follow the
@@ -17,13 +18,13 @@
 
 // reservedAdmission is an admission by a worker's queue that its request has not used yet.
 type reservedAdmission struct {
-	queue *WorkerQueue
+	queue *WorkerQueue         // queue that granted the admission
 	now   func() time.Duration // returns the process clock
 	timer *time.Timer          // releases the admission if the request does not arrive
 }
 
 // release returns the admission to the queue, which admits the next request.
-func (r *reservedAdmission) release() { r.queue.Release(r.now(), "", ResultNotRun, 0) }
+func (r *reservedAdmission) release() { r.queue.Release(r.now(), "", ResultNoAnswer, 0) }
 
 // reserve reserves an admission that the queue has granted for a request id. It is released after lifetime unless take
 // is called for it first.
@@ -58,7 +59,7 @@
 	}
 	reservation.timer.Stop()
 	delete(r.byRequest, request)
-	// The admission was reserved at a worker that has been replaced meanwhile.
+	// The admission was reserved in the queue of a worker that has been replaced meanwhile.
 	if reservation.queue != queue {
 		reservation.release()
 		return false
--- a/internal/dispatch/retry_budget.go
+++ b/internal/dispatch/retry_budget.go
@@ -27,9 +27,9 @@
 
 // budgetSlot counts the calls and retries in one slot of the window.
 type budgetSlot struct {
-	number  int64 // number of the slot since the start of the process clock
-	calls   float64
-	retries float64
+	number  int64   // number of the slot since the start of the process clock
+	calls   float64 // calls recorded in the slot
+	retries float64 // retries allowed in the slot
 }
 
 // NewRetryBudget returns a budget of ratio retries per call in any window. A window of 0 or less stands for
@@ -47,7 +47,7 @@
 }
 
 // setLimits replaces the ratio and the window. If the length of the window changes, the retries of the last window
-// count in the new one as if they were made now, and its calls earn no more retries, so that no bound is exceeded.
+// count in the new one as if they were made now. Its calls add nothing more to the budget. So no bound is exceeded.
 func (b *RetryBudget) setLimits(now time.Duration, limits *Limits) {
 	b.lock.Lock()
 	defer b.lock.Unlock()
@@ -96,7 +96,8 @@
 }
 
 // Allow takes one retry from the budget and reports whether the budget had one left. floor is this process's share of
-// the retries in a window that are allowed besides the ratio. Only the given fraction of the whole budget may be used.
+// the retries in a window that are allowed in addition to the ratio. fraction is the part of the whole budget, floor
+// included, that may be used: 1 for all of it.
 func (b *RetryBudget) Allow(now time.Duration, floor, fraction float64) bool {
 	b.lock.Lock()
 	defer b.lock.Unlock()
--- a/internal/dispatch/retry_decision.go
+++ b/internal/dispatch/retry_decision.go
@@ -7,9 +7,9 @@
 	"meadowhinge/schema"
 )
 
-// ownFailureRatio is the fraction of a worker's recent calls that failed below which a failure is attributed to the
-// call itself, not to the worker.
-const ownFailureRatio = 0.05
+// minWorkerFailureRate is the failure rate of a worker, as a fraction of its recent calls, from which a failure is
+// attributed to the worker. At a lower rate it is attributed to the call itself.
+const minWorkerFailureRate = 0.05
 
 // retryBudget returns the retry budget of a service, updated to the limits in force.
 func (f *Forwarder) retryBudget(service string) *RetryBudget {
@@ -23,13 +23,15 @@
 	return budget
 }
 
-// retryFloorPerProxy returns this proxy's equal share of the retries that the fleet may make besides the ratio.
+// retryFloorPerProxy returns this proxy's equal share of Limits.RetryFloor: the retries per service, in any window, that
+// the whole fleet may make in addition to the ratio.
 func (f *Forwarder) retryFloorPerProxy() float64 {
 	return f.limits.Load().RetryFloor / float64(max(1, f.FleetSize()))
 }
 
 // mayAttempt reports whether the call may be sent again, or for the first time, within its route's maximum number of
-// attempts and the retry budget. A retry that it allows is charged to the budget.
+// attempts and the retry budget. A retry that it allows is charged to the budget, unless mayRetryFailure has already
+// charged it.
 func (f *Forwarder) mayAttempt(result *CallResult, progress *callProgress) bool {
 	if progress.prepaid {
 		progress.prepaid = false
@@ -45,19 +47,23 @@
 	return attemptsBefore == 0 || f.retryBudget(result.Plan.Service).Allow(f.Now(), f.retryFloorPerProxy(), 1)
 }
 
-// maxAttemptsReached reports whether as many attempts have reached workers, or may have, as the route allows.
+// maxAttemptsReached reports whether as many attempts have reached workers, or may have, as the route allows. It is
+// false for a route without a maximum.
 func maxAttemptsReached(result *CallResult) bool {
 	maxAttempts := result.Plan.Route.MaxAttempts
 	return maxAttempts > 0 && result.WorkerAttempts >= maxAttempts
 }
 
 // mayRetryFailure reports whether a call that a worker answered with a failure is retried on another worker. If so, it
-// charges the retry budget.
+// charges the retry budget, of which such retries may use the fraction Limits.FailureRetryFraction.
 //
-// A retry needs an idempotent call, time left to answer within the latency target, and no refusal for lack of capacity
-// so far: without spare capacity, a second run would take it from other callers. Two kinds of failure are not retried:
-//   - failures of a canary version, which must count against that version;
-//   - failures of a worker that hardly ever fails, which are likely the call's own: another worker would fail too.
+// A retry needs an idempotent call without an earlier failure response, an attempt left under the route's maximum, and
+// time for another run within the deadline and the latency target. No endpoint may have refused the call and reported
+// when it expects capacity: without spare capacity, a second run would take it from other callers. Two kinds of failure
+// are not retried:
+//   - failures of a version other than the fallback, because they must count against that version;
+//   - failures of a worker that hardly ever fails, because the call itself is the likely cause, and another worker would
+//     fail as well.
 func (f *Forwarder) mayRetryFailure(
 	result *CallResult, progress *callProgress, response *schema.ForwardResponse, remaining time.Duration,
 ) bool {
@@ -69,7 +75,7 @@
 		return false
 	case callPlan.Verdict.Version != f.View().Config.FallbackOf(callPlan.Service):
 		return false
-	case response.Slots > 0 && float64(response.RecentFailures) < ownFailureRatio*float64(response.RecentRuns):
+	case response.Slots > 0 && float64(response.RecentFailures) < minWorkerFailureRate*float64(response.RecentRuns):
 		return false
 	case maxAttemptsReached(result):
 		return false
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -14,7 +14,7 @@
 // Runner checks forward requests and runs them on the local workers. The exported fields are set before [NewRunner]
 // and not changed afterwards. Run may then be called concurrently.
 type Runner struct {
-	Workers *Workers
+	Workers *Workers          // registrations of the local workers
 	View    func() *plan.View // returns the current configuration and directory
 	// AwaitConfig waits until this proxy's configuration has reached a revision, or until ctx ends.
 	AwaitConfig func(ctx context.Context, revision uint64)
@@ -32,7 +32,8 @@
 	Outliers *OutlierDetector
 	// Disconnects counts calls whose callers disconnect. NewRunner replaces nil with a new one.
 	Disconnects *Disconnects
-	// MaxOverrun is how long an idempotent run may continue after its caller is known to have disconnected.
+	// MaxOverrun is how long an idempotent run may continue after its caller is known to have disconnected. With 0, longer
+	// runs are not counted in Disconnects.Overrun.
 	MaxOverrun time.Duration
 	Codec      WorkerCodec // translates to the workers' headers; NewRunner replaces nil with NativeCodec
 
@@ -56,8 +57,8 @@
 // maxWorkCounts bounds the work counts, one for each version and route, of a runner that is given none.
 const maxWorkCounts = 1024
 
-// A run counts as truncated by its deadline if it did not succeed and less than 1/truncatedRunDivisor of the time it
-// was given was left at its end. It does not if it took overdueFactor times its worker's service time or longer.
+// A run counts as truncated by its deadline if it did not succeed, and less than 1/truncatedRunDivisor of the time it was
+// given was left at its end. A run that took overdueFactor times its worker's service time or longer does not count.
 const (
 	truncatedRunDivisor = workerMarginDivisor / 2
 	overdueFactor       = 3
@@ -158,7 +159,8 @@
 	return nil
 }
 
-// runOnce runs a request. A non-idempotent request with an idempotency key runs only if the key has no result yet.
+// runOnce runs a request. A non-idempotent request with an idempotency key runs only if the key has no result yet, and
+// otherwise gets that result.
 func (r *Runner) runOnce(ctx context.Context, request *incomingRequest) *schema.ForwardResponse {
 	if !request.NonIdempotent || request.IdempotencyKey == "" {
 		return r.runOnWorker(ctx, request)
@@ -249,10 +251,11 @@
 	}
 	// A caller that has disconnected meanwhile sends no request that could use the admission.
 	if ctx.Err() != nil {
-		worker.queue.Release(r.Now(), "", ResultNotRun, 0)
+		worker.queue.Release(r.Now(), "", ResultNoAnswer, 0)
 		return notExecuted(contextErrorCode(ctx), 0)
 	}
 	r.reserved.reserve(request.Request, worker.queue, r.Now, request.remaining()/reservationDivisor)
+	// The empty code tells the caller's proxy that the admission is reserved.
 	return notExecuted("", 0)
 }
 
@@ -268,8 +271,8 @@
 		}
 	}
 	startedAt, timeAllowed := r.Now(), request.remaining()
-	delivery := workerDelivery{result: ResultNotRun}
-	// The wait for admission is over: from here on the time and the result count for the worker's version.
+	delivery := workerDelivery{result: ResultNoAnswer}
+	// The wait for admission is over. From here on, the time and the result count for the worker's version.
 	revision := r.View().Config.VersionRevision(request.Service, request.Version)
 	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, revision)
 	caller := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
@@ -291,7 +294,7 @@
 
 // wasTruncated reports whether a run ended because it was given less time than calls usually take at its worker. Such
 // a run says nothing about the worker's health, because its result with more time is not known. timeAllowed is the time
-// that was left when the run began, took is its duration.
+// that was left when the run began. took is the duration of the run.
 func wasTruncated(worker *localWorker, request *incomingRequest, result RunResult, timeAllowed, took time.Duration) bool {
 	return result != ResultAnswered &&
 		request.remaining() < timeAllowed/truncatedRunDivisor &&
--- a/internal/dispatch/service_time_estimate.go
+++ b/internal/dispatch/service_time_estimate.go
@@ -10,7 +10,7 @@
 type serviceTimeEstimate struct {
 	mean         time.Duration // moving mean of the service time
 	deviation    time.Duration // moving mean of the absolute deviation from mean
-	known        bool          // whether a request was measured
+	known        bool          // at least one request was measured
 	priority     uint32        // priority of the route's last request
 	timeFraction float64       // fraction of the worker's time that the route uses, decayed up to updatedAt
 	updatedAt    time.Duration // last update of timeFraction, on the process clock
@@ -34,8 +34,8 @@
 	return q.overall.mean, q.overall.deviation
 }
 
-// recordServiceTime updates the estimates with the service time of a request that ended at now. The caller holds the
-// lock.
+// recordServiceTime updates the estimates with the service time of a request that ended at now. Once maxRoutes routes
+// have estimates, it drops those of all routes first. The caller holds the lock.
 func (q *WorkerQueue) recordServiceTime(now time.Duration, route string, took time.Duration) {
 	if len(q.byRoute) >= maxRoutes {
 		clear(q.byRoute)
--- a/internal/dispatch/worker_queue.go
+++ b/internal/dispatch/worker_queue.go
@@ -36,7 +36,7 @@
 type AdmissionRequest struct {
 	Route    string
 	Priority uint32        // 0 is the highest; larger numbers are lower priorities
-	TargetAt time.Duration // latency target: when the request should be answered; 0 for no target
+	TargetAt time.Duration // latency target: an answer has its full value until then; 0 for no target
 	Deadline time.Duration // an answer is useless afterwards
 }
 
@@ -64,9 +64,10 @@
 	return float64(serviceTime) * math.Pow(priorityFactor, float64(priority))
 }
 
-// precedes reports whether a request is admitted before another one. The request with the lower cost is. So as many
-// requests as possible are served when not all can be, and a cheap route that other work waits for is not refused. Of
-// two requests with the same route and priority, or the same cost, the one that must start earlier is admitted first.
+// precedes reports whether a request is admitted before another one. The request with the lower cost is admitted first.
+// So as many requests as possible are served when not all can be. A cheap route that other work waits for is therefore
+// not refused. Of two requests with the same route and priority, or the same cost, the one that must start earlier is
+// admitted first.
 func (q *QueuedRequest) precedes(other *QueuedRequest) bool {
 	sameKind := q.request.Route == other.request.Route && q.request.Priority == other.request.Priority
 	if ownCost, otherCost := q.cost(), other.cost(); ownCost != otherCost && !sameKind {
@@ -77,7 +78,7 @@
 
 // Ratios and bounds of the queue. A divisor n stands for the fraction 1/n.
 const (
-	overlapDivisor        = 16   // one request, and 1/16 of the slots, are sent ahead to hide the network latency
+	overlapDivisor        = 16   // besides the slots, one request and 1/16 of the slots are sent ahead to hide the network latency
 	averagingDivisor      = 8    // weight of one sample in the moving means is 1/8
 	displaceDivisor       = 4    // a request that has waited for over 1/4 of the time to its target is not displaced any more
 	increaseAfterFactor   = 2    // a reduced limit n grows by one after 2n answers
@@ -88,7 +89,7 @@
 	maxPrecedingFraction  = 0.95 // upper bound on the fraction of the worker's time that preceding routes use
 	maxWaitNumerator      = 3    // a request waits for at most 3/8 of its time left, so that another worker can still serve it
 	maxWaitDenominator    = 8
-	maxRoutes             = 1024 // routes with records of their own, per worker
+	maxRoutes             = 1024 // routes with records of their own, per worker; also used by OutlierDetector
 )
 
 // NewWorkerQueue returns the queue of a worker that gets at most maxRunning requests at once. slots is how many
@@ -126,8 +127,9 @@
 	return q.overall.mean + q.overall.mean/overlapDivisor
 }
 
-// hasCapacity reports whether one more request may run. The uplink's backlog uses up capacity for answers. One request
-// may always run, because requests are admitted from the queue only when another one ends. The caller holds the lock.
+// hasCapacity reports whether one more request may run. The uplink's backlog and the answers of the running requests must
+// not exceed uplinkBacklogTarget together. One request may always run, because requests are admitted from the queue when
+// another one ends. The caller holds the lock.
 func (q *WorkerQueue) hasCapacity() bool {
 	switch {
 	case q.running == 0:
@@ -254,8 +256,8 @@
 	q.waiting = retained
 }
 
-// Remove removes a queued request, so that no decision on it will be made. It returns false if the decision has been
-// made already; the decision is then in the request's Admission channel.
+// Remove removes a queued request, so that no decision on it will be made. It returns false if the decision has already
+// been made. The decision is then in the request's Admission channel.
 func (q *WorkerQueue) Remove(queued *QueuedRequest) bool {
 	q.lock.Lock()
 	defer q.lock.Unlock()
@@ -293,14 +295,14 @@
 
 // Results of admitted requests.
 const (
-	ResultNotRun   RunResult = iota // the request was not sent to the worker, or got no valid answer
+	ResultNoAnswer RunResult = iota // the request was not sent to the worker, or got no valid answer
 	ResultAnswered                  // the worker answered, and not with a failure
 	ResultRejected                  // the worker rejected the request without running it
 	ResultFailed                    // the worker answered with a failure
 )
 
 // Release ends an admission and admits the next requests. took is the time since the request was admitted. route may be
-// empty if the result is ResultNotRun.
+// empty if the result is ResultNoAnswer.
 func (q *WorkerQueue) Release(now time.Duration, route string, result RunResult, took time.Duration) {
 	q.lock.Lock()
 	defer q.lock.Unlock()
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -33,7 +33,7 @@
 	// serviceTime is the moving mean of the reported service time, or of the measured response time if none is reported;
 	// 0 if neither is known.
 	serviceTime time.Duration
-	refusalRate float64 // fraction of the recent calls that were refused for lack of capacity
+	refusalRate float64 // fraction of the recent calls that were refused for lack of capacity, a moving mean
 	// acceptance counts offered and accepted calls by route, for routes of which the worker has refused calls.
 	acceptance map[string]*routeAcceptance
 }
@@ -104,9 +104,9 @@
 	}
 }
 
-// estimateOtherLoad sets the worker's slots and the estimated calls of other processes in stats. It uses the later one
-// of the last response's report and the directory's. As the report ages the estimate approaches the baseline, because
-// the calls that it counted have ended by then. The caller holds the lock.
+// estimateOtherLoad sets the worker's slots and the estimated calls of other processes in stats. It uses the report of
+// the last response or that of the directory, whichever is later. As the report ages, the estimate approaches the
+// baseline, because the calls that the report counted have ended by then. The caller holds the lock.
 func (s *workerState) estimateOtherLoad(stats *plan.EndpointStats, worker *plan.Endpoint, now time.Duration) {
 	switch {
 	case !s.hasLoad && s.ownCalls.calls > 0:
