--- a/internal/dispatch/disconnects.go
+++ b/internal/dispatch/disconnects.go
@@ -75,7 +75,7 @@
 	counts     *Disconnects
 	now        func() time.Duration // returns the process clock
 	stop       func() bool          // detaches the watch from the caller's context
-	maxOverrun time.Duration        // 0 turns the detection of overruns off
+	maxOverrun time.Duration        // time that the run may take after the disconnect; 0 turns the detection of overruns off
 	mustStop   bool                 // the run must end when its caller disconnects
 
 	lock           sync.Mutex    // guards the fields below
@@ -84,8 +84,8 @@
 	finished       bool          // the run has ended
 }
 
-// graceDivisor: the grace period after maxOverrun is 1/graceDivisor of it, so that a process that was suspended
-// meanwhile can still end the run.
+// graceDivisor sets the length of the grace period after maxOverrun: 1/graceDivisor of maxOverrun. In that time, a
+// process that was suspended meanwhile can still end the run.
 const graceDivisor = 4
 
 // watchCaller starts to watch the caller whose disconnect ends ctx. finish must be called when the run ends. mustStop
@@ -128,7 +128,8 @@
 	}
 }
 
-// finish ends the watch when the run ends. It returns whether the disconnect of the caller became known, and when.
+// finish ends the watch when the run ends. It returns whether the disconnect of the caller became known, and at what time
+// on the process clock.
 func (w *disconnectWatch) finish() (disconnectedAt time.Duration, disconnected bool) {
 	w.stop()
 	w.lock.Lock()
@@ -140,7 +141,8 @@
 	return w.disconnectedAt, w.disconnectedAt > 0
 }
 
-// recordOverrunTime records how long an idempotent run continued after the disconnect was known.
+// recordOverrunTime records how long an idempotent run continued after the disconnect was known. Only the longest time is
+// kept.
 func (d *Disconnects) recordOverrunTime(overrun time.Duration) {
 	for {
 		longest := d.longestOverrun.Load()
--- a/internal/dispatch/forward_keyed.go
+++ b/internal/dispatch/forward_keyed.go
@@ -18,14 +18,15 @@
 }
 
 // forwardKeyed executes the plan of a call that must not run twice under its idempotency key. ctx ends at the call's
-// deadline. outlivingCtx does not, and is for work that may go on after the call.
+// deadline. outlivingCtx does not end then, so it is used for work that may go on after the call.
 func (f *Forwarder) forwardKeyed(
 	ctx, outlivingCtx context.Context, call *Call, result *CallResult, startedAt time.Duration,
 ) *schema.ForwardResponse {
 	fingerprint := requestFingerprint(call.Target, call.Body)
 	return f.idempotency.Do(ctx, keyOf(call, result.Plan), fingerprint, func(pinnedInstance string) (*schema.ForwardResponse, string) {
 		response, instance := f.attemptCandidates(ctx, call, result, startedAt, pinnedInstance)
-		// The key is released only if it is proved that nothing ran. The response waits for the release only briefly.
+		// The key is released only if it is proved that nothing ran. The response waits for the release, but for
+		// KeyReleaseTimeout at most.
 		if pinnedInstance == "" && result.reservation != nil && response.Outcome == schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED {
 			f.releaseKey(outlivingCtx, result.reservation)
 		}
@@ -114,7 +115,7 @@
 }
 
 // newRecallRequest returns a request for the result under the call's key. It names neither worker nor version, because
-// it runs nothing.
+// it runs nothing. remaining is the time left until the plan's deadline.
 func newRecallRequest(call *Call, result *CallResult, remaining time.Duration) *schema.ForwardRequest {
 	return &schema.ForwardRequest{
 		Request:        result.ID + "-0",
--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -16,10 +16,10 @@
 
 // Call is a caller's request as the caller's proxy received it. It does not change once it is forwarded.
 type Call struct {
-	Request     plan.Request
-	Target      string // path with query
-	HeaderBlock []byte // headers to pass on to the worker, see [AppendField]
-	Body        []byte
+	Request     plan.Request // the parts of the request that the plan depends on
+	Target      string       // path with query
+	HeaderBlock []byte       // headers to pass on to the worker, see [AppendField]
+	Body        []byte       // complete body of the request
 }
 
 // CallResult is the result of a call: the response if a worker answered, and otherwise an error.
@@ -60,37 +60,38 @@
 	// FreeProxyRefusals charges the retry budget only for attempts after one that reached a worker. A call that
 	// only proxies have refused may look for its first worker without charge.
 	FreeProxyRefusals bool
-	// OnConfigLag is called once for each configuration that another proxy has and that does not arrive at this one.
+	// OnConfigLag is called once for each configuration that another proxy has and that does not arrive at this one in
+	// time.
 	OnConfigLag func()
 	// HasLease reports whether this proxy holds a lease, without which it may not decide by its configuration.
 	HasLease  func() bool
 	FleetSize func() int           // returns the number of proxies in the fleet
 	Now       func() time.Duration // returns the process clock
-	Random    plan.Random
-	Send      Sender
-	Outliers  *OutlierDetector
-	Canaries  *CanaryGuard
-	Counter   *CallCounter
+	Random    plan.Random          // source of the random choices in plans and in ShouldSkip
+	Send      Sender               // sends one attempt
+	Outliers  *OutlierDetector     // health and load of the workers
+	Canaries  *CanaryGuard         // canary versions that may be used
+	Counter   *CallCounter         // counts of the calls of this proxy
 	// ReserveKey reserves an idempotency key at the registries, or releases it.
 	ReserveKey KeyReserver
 	// KeyReleaseTimeout is how long a call waits at most for the release of its key reservation.
 	KeyReleaseTimeout time.Duration
 
-	limits              atomic.Pointer[Limits] // the limits in force
-	local               plan.LocalState
+	limits              atomic.Pointer[Limits]           // the limits in force
+	local               plan.LocalState                  // Outliers and Canaries together, set by Init
 	retryBudgets        *xsync.Map[string, *RetryBudget] // keyed by service
-	idempotency         *IdempotencyCache
-	serial              atomic.Uint64 // serial number of the last call
-	newestRevision      atomic.Uint64 // newest configuration revision by which another proxy refused an older plan
-	lagReportedRevision atomic.Uint64 // last revision for which OnConfigLag was called
+	idempotency         *IdempotencyCache                // results of calls that carry an idempotency key
+	serial              atomic.Uint64                    // serial number of the last call
+	newestRevision      atomic.Uint64                    // newest configuration revision by which another proxy refused an older plan
+	lagReportedRevision atomic.Uint64                    // last revision for which OnConfigLag was called
 }
 
 // Limits bound the plans and the retries of a forwarder.
 type Limits struct {
-	PlanOptions plan.Options
-	RetryRatio  float64 // retries per call of a service, in any window
-	RetryFloor  float64 // retries per service, in any window, that the fleet may make in addition to the ratio
-	// RetryWindow is the length of the window in which retries are bounded, 0 for DefaultRetryWindow.
+	PlanOptions plan.Options // options of all plans
+	RetryRatio  float64      // retries per call of a service, in any window
+	RetryFloor  float64      // retries per service, in any window, that the fleet may make in addition to the ratio
+	// RetryWindow is the length of the window in which retries are bounded. 0 stands for DefaultRetryWindow.
 	RetryWindow time.Duration
 	// FailureRetryFraction is the fraction of the retry budget that calls answered with a failure may use. 0 turns
 	// retries of failures off.
@@ -109,7 +110,8 @@
 	return f
 }
 
-// returnMarginDivisor: 1/returnMarginDivisor of a call's time is reserved for the way of the response to the caller.
+// returnMarginDivisor sets the part of a call's time that is reserved for sending the response back to the caller:
+// 1/returnMarginDivisor of it.
 const returnMarginDivisor = 32
 
 // Forward plans a call and executes the plan. ctx ends when the caller disconnects. A queued call is then dropped, and
@@ -165,7 +167,7 @@
 	return string(strconv.AppendUint(append(id, '-'), f.serial.Add(1), 16))
 }
 
-// makePlan makes a plan and shortens its deadline by the time reserved for the way of the response to the caller.
+// makePlan makes a plan and shortens its deadline by the time reserved for sending the response back to the caller.
 func (f *Forwarder) makePlan(request *plan.Request) (*plan.Plan, error) {
 	callPlan, err := plan.Make(f.View(), request, f.limits.Load().PlanOptions, f.local, f.Now(), f.Random)
 	if callPlan != nil {
--- a/internal/dispatch/header_block.go
+++ b/internal/dispatch/header_block.go
@@ -11,7 +11,7 @@
 
 // Separators within a header block.
 const (
-	nameSeparator  = ": "   // separates name and value
+	nameSeparator  = ": "   // between the name and the value of a header
 	fieldSeparator = "\r\n" // ends each header
 )
 
--- a/internal/dispatch/update_waits.go
+++ b/internal/dispatch/update_waits.go
@@ -44,9 +44,10 @@
 	return maxDeadline / assumedDeadlineDivisor
 }
 
-// awaitNewerConfig waits for the newest configuration that another proxy is known to have. A proxy that holds a lease
-// lags behind only by a bounded time, so that configuration is about to arrive. If it does not, this proxy's
-// configuration stream is at fault, and the lag is reported by OnConfigLag.
+// awaitNewerConfig waits for the newest configuration that another proxy is known to have, for at most
+// 1/configWaitDivisor of the time left. A proxy that holds a lease lags behind only by a bounded time, so that
+// configuration is about to arrive. If it has not arrived after 1/updateWaitDivisor of the time left, this proxy's
+// configuration stream is at fault. The lag is then reported by OnConfigLag.
 func (f *Forwarder) awaitNewerConfig(ctx context.Context, remaining time.Duration) {
 	newestRevision := f.newestRevision.Load()
 	if f.View().Config.Revision >= newestRevision {
@@ -58,7 +59,7 @@
 	shortCtx, cancelShort := context.WithTimeout(waitCtx, remaining/updateWaitDivisor)
 	f.AwaitView(shortCtx, isCurrent)
 	cancelShort()
-	// Other proxies have had the revision for some time. Of all calls that wait for it, only one reports the lag.
+	// Another proxy has had the revision for some time. Of all calls that wait for it, only one reports the lag.
 	if !isCurrent(f.View()) && f.lagReportedRevision.Swap(newestRevision) != newestRevision {
 		f.OnConfigLag()
 	}
@@ -68,7 +69,8 @@
 }
 
 // awaitUntriedWorkers waits for a worker that the call has not tried, and reports whether there may be one. It does not
-// wait if the last response is a refusal for lack of capacity, so that the caller is refused at once.
+// wait if the last response is a refusal for lack of capacity, so that the caller is refused at once. A pinned call has
+// no other worker to wait for.
 func (a *attemptSequence) awaitUntriedWorkers(ctx context.Context) bool {
 	if a.pinnedInstance != "" {
 		return false
@@ -92,8 +94,8 @@
 	return hasUntried(f.View())
 }
 
-// hasUntriedWorker reports whether a new plan by a view could have a candidate that is not excluded. Under another
-// configuration revision it always could.
+// hasUntriedWorker reports whether a new plan from a view could have a candidate that is not excluded. It returns true
+// for a view with another configuration revision, because that plan may differ in any way.
 func hasUntriedWorker(view *plan.View, callPlan *plan.Plan, excluded map[string]bool) bool {
 	if view.Config.Revision != callPlan.Verdict.ConfigRevision {
 		return true
@@ -110,7 +112,7 @@
 	return false
 }
 
-// fallbackOf returns a service's fallback version. It is empty for nil, a service that is not configured.
+// fallbackOf returns a service's fallback version. It is empty if service is nil, because it is not configured.
 func fallbackOf(service *config.Service) string {
 	if service == nil {
 		return ""
--- a/internal/dispatch/uplink.go
+++ b/internal/dispatch/uplink.go
@@ -23,7 +23,8 @@
 	segmentOverhead = 40   // IP and TCP headers
 )
 
-// NewUplink returns a link of the given bandwidth, or nil if the bandwidth is not known, which 0 or less stands for.
+// NewUplink returns a link of the given bandwidth. It returns nil if bytesPerSecond is 0 or less, which means that the
+// bandwidth is not known.
 func NewUplink(bytesPerSecond int64, now func() time.Duration) *Uplink {
 	if bytesPerSecond <= 0 {
 		return nil
--- a/internal/dispatch/work_counts.go
+++ b/internal/dispatch/work_counts.go
@@ -29,9 +29,9 @@
 // WorkCount counts the requests of one version and route. All counts but inFlight only grow while the process lives.
 type WorkCount struct {
 	calls, failures, totalNanos atomic.Uint64                             // totalNanos is the total duration in nanoseconds
-	histogram                   [release.LatencyBucketCount]atomic.Uint32 // durations of the calls that did not fail
+	histogram                   [release.LatencyBucketCount]atomic.Uint32 // calls that did not fail, by latency bucket
 	inFlight                    atomic.Int32                              // requests begun and not ended
-	connectionLostAt            atomic.Int64                              // time of the last broken connection, in nanoseconds; 0 for none
+	connectionLostAt            atomic.Int64                              // last broken connection, in nanoseconds on the process clock; 0 for none
 }
 
 // NewWorkCounts returns counts for about maxCounts pairs of a version and a route. Requests of further ones are not
@@ -55,13 +55,14 @@
 	return count
 }
 
-// connectionLossWindow is the time after a broken connection within which further ones are not counted. A worker that
+// connectionLossWindow is the time after a broken connection within which the next one is not counted. A worker that
 // exits breaks all of its connections at once, which is no more evidence against its version than one broken
 // connection.
 const connectionLossWindow = 100 * time.Millisecond
 
 // End records the response to a request, and the time since Begin that it took. Requests that did not run, or whose
-// callers disconnected, are not counted. c may be nil, which counts nothing.
+// callers disconnected, are not counted, and neither are broken connections within connectionLossWindow of the one
+// before. If c is nil, End does nothing.
 func (c *WorkCount) End(now, took time.Duration, response *schema.ForwardResponse) {
 	if c == nil {
 		return
@@ -84,7 +85,7 @@
 	c.calls.Add(1)
 }
 
-// Report returns the counts of the services for which include is true.
+// Report returns the counts of the services for which include returns true.
 func (w *WorkCounts) Report(include func(service string) bool) []*schema.WorkCount {
 	var reported []*schema.WorkCount
 	w.counts.Range(func(key workCountKey, workCount *WorkCount) bool {
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -19,7 +19,7 @@
 
 // workerDelivery is the result of sending a request to a worker.
 type workerDelivery struct {
-	result RunResult
+	result RunResult     // ResultNoAnswer until the worker has answered or rejected the request
 	sentAt time.Duration // start of sending the request, on the process clock; 0 if no byte was sent
 }
 
@@ -66,7 +66,8 @@
 	err := worker.conns.roundTrip(ctx, &x)
 	delivery.sentAt = x.sentAt
 	if err != nil {
-		// A disconnect at the end of the call's time counts as a deadline that has passed, and so against the worker.
+		// A disconnect at the end of the call's time counts as a passed deadline. So the run may count against the
+		// worker.
 		outOfTime := func() bool { return request.remaining() <= timeLeft/truncatedRunDivisor }
 		return r.responseToError(ctx, worker, err, x.sentAt > 0, outOfTime)
 	}
@@ -117,7 +118,8 @@
 	case code == errs.CallerDisconnected && outOfTime():
 		return outcomeUnknown(errs.DeadlineExceeded)
 	case code == errs.WorkerConnectFailed:
-		// Nothing listens at the address, so the worker has probably ended. Otherwise its next heartbeat registers it again.
+		// Nothing listens at the address, so the worker has probably ended. If it has not, its next heartbeat registers it
+		// again.
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			r.Workers.removeStale(worker)
 		}
--- a/internal/dispatch/worker_codec.go
+++ b/internal/dispatch/worker_codec.go
@@ -62,7 +62,8 @@
 	httpRequest.Header.Set(HeaderVersion, request.Version)
 }
 
-// ReadHeader recognizes a refusal of a request that was not meant for the worker, and the end of the connection.
+// ReadHeader recognizes the refusal of a request that was not meant for the worker, and whether the worker closes the
+// connection.
 func (NativeCodec) ReadHeader(header *fasthttp.ResponseHeader, _ *schema.ForwardRequest) ResponseInfo {
 	return ResponseInfo{
 		WrongWorker:      header.StatusCode() == fasthttp.StatusMisdirectedRequest && len(header.Peek(HeaderRefused)) > 0,
--- a/internal/dispatch/worker_conns.go
+++ b/internal/dispatch/worker_conns.go
@@ -16,9 +16,9 @@
 // library is not used, for three reasons: it resends requests that it takes for unsent, it gives up a connection
 // without an error, and it takes any response that arrives for the response to its request.
 type connPool struct {
-	address string // address of the worker, IP:port
-	dial    func(address string) (net.Conn, error)
-	now     func() time.Duration // returns the process clock
+	address string                                 // address of the worker, IP:port
+	dial    func(address string) (net.Conn, error) // opens a connection to the worker
+	now     func() time.Duration                   // returns the process clock
 
 	lock   sync.Mutex    // guards the fields below; may be taken while the lock of Workers is held
 	idle   []*workerConn // idle connections, the longest idle first
@@ -28,7 +28,7 @@
 	idleTimeout time.Duration
 }
 
-// Fractions of a worker's idle timeout. A divisor n stands for 1/n.
+// Fractions of idle times. A divisor n stands for the fraction 1/n.
 const (
 	idleMarginDivisor = 8 // a connection is not used any more once less than 1/8 of the idle timeout is left
 	idleLearnDivisor  = 4 // a connection that is found closed is assumed to have been closed after 3/4 of its idle time
@@ -107,15 +107,16 @@
 		switch {
 		case err == nil || conn.bytesSent > 0:
 			return err
-		// Nothing was sent, so another connection may be tried, but not after a fresh one, because a second fresh one
-		// would fail as well. If ctx has ended, acquire returns that error in the next round.
+		// Nothing was sent, so another connection may be tried. After a fresh connection none is tried, because a second
+		// fresh one would fail as well. If ctx has ended, acquire returns the error for that in the next round.
 		case fresh && ctx.Err() == nil:
 			return errs.New(errs.WorkerConnectFailed, c.address)
 		}
 	}
 }
 
-// acquire returns an idle connection, or a fresh one if there is none. The deadline of the exchange is set on it.
+// acquire returns an idle connection, or a fresh one if there is none, with the deadline of the exchange set. It fails
+// with errs.CallerDisconnected if ctx has ended, and with errs.WorkerConnectFailed if no connection can be opened.
 func (c *connPool) acquire(ctx context.Context, x *exchange) (conn *workerConn, fresh bool, err error) {
 	if ctx.Err() != nil {
 		return nil, false, errs.New(errs.CallerDisconnected, c.address)
--- a/internal/dispatch/worker_exchange.go
+++ b/internal/dispatch/worker_exchange.go
@@ -20,15 +20,16 @@
 	"meadowhinge/schema"
 )
 
-// Bounds on the bytes that a worker may send.
+// Bounds on what a worker may send in response to one request.
 const (
-	maxInterimResponses = 16       // headers read, up to and including that of the final response
-	maxStaleResponses   = 4        // complete responses to other requests before the response
-	bodyChunkSize       = 1 << 16  // bytes by which a body buffer first grows; a larger body counts against bodyMemory
-	maxHeaderBytes      = 16 << 10 // size of the read buffer, which a response header must fit in
+	maxResponseHeaders = 16       // headers of interim responses and of the final one together
+	maxStaleResponses  = 4        // complete responses to other requests that are skipped
+	bodyChunkSize      = 1 << 16  // first capacity of a body buffer, in bytes; a larger body counts against bodyMemory
+	maxHeaderBytes     = 16 << 10 // size of the read buffer in bytes, which a response header must fit in
 )
 
-// Read and write buffers, which are used only during an exchange, so that idle connections hold none.
+// readerPool and writerPool hold the read and write buffers. A connection has buffers only during an exchange, so that
+// idle connections hold none.
 var (
 	readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHeaderBytes) }}
 	writerPool = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, 4<<10) }}
@@ -44,7 +45,7 @@
 	maxBodyBytes int                    // upper bound on the size of the response body
 	bodyMemory   *semaphore.Weighted    // memory in bytes for the large bodies of all workers
 
-	ctx           context.Context // ends when the run must end, which for a non-idempotent request it never does
+	ctx           context.Context // ends when the run must end; never ends for a non-idempotent request
 	sentAt        time.Duration   // start of sending the request, on the process clock; 0 if no byte was sent
 	info          ResponseInfo    // read from the response's header by codec
 	body          []byte          // body of the response as far as it has arrived
@@ -58,7 +59,7 @@
 }
 
 // exchange sends a request and reads its response. reusable reports whether the connection can carry another request.
-// An error has one of the codes of [transferErrorCode], and c.bytesSent is 0 if it proves that nothing was sent.
+// An error has one of the codes of [transferErrorCode]. If c.bytesSent is 0, nothing was sent.
 func (c *workerConn) exchange(x *exchange) (reusable bool, err error) {
 	c.bytesSent = 0
 	writer := writerPool.Get().(*bufio.Writer)
@@ -101,9 +102,9 @@
 	}
 }
 
-// readFinalHeader reads the header of the final response, and skips interim responses.
+// readFinalHeader reads the header of the final response, and skips interim responses (RFC 9110, section 15.2).
 func (x *exchange) readFinalHeader(reader *bufio.Reader) error {
-	for range maxInterimResponses {
+	for range maxResponseHeaders {
 		if err := x.response.Header.Read(reader); err != nil {
 			return errs.Wrap(err, transferErrorCode(err), "reading the header of the worker's response")
 		}
@@ -115,7 +116,7 @@
 			return errs.New(errs.InvalidResponse, "worker's response has the invalid status "+strconv.Itoa(status))
 		}
 	}
-	return errs.New(errs.InvalidResponse, "no final response within "+strconv.Itoa(maxInterimResponses)+" responses of the worker")
+	return errs.New(errs.InvalidResponse, "worker sent no final response within "+strconv.Itoa(maxResponseHeaders)+" responses")
 }
 
 // readBody reads the body of the final response, whose header has been read.
@@ -136,7 +137,7 @@
 	case length == untilClose && x.info.EndsAtClose:
 		return x.readToClose(reader)
 	case length < 0 || length > x.maxBodyBytes:
-		return errs.New(errs.InvalidResponse, "worker's response has no Content-Length, or one above "+strconv.Itoa(x.maxBodyBytes))
+		return errs.New(errs.InvalidResponse, "worker's response has no Content-Length, or one above "+strconv.Itoa(x.maxBodyBytes)+" bytes")
 	}
 	return x.appendBody(reader, length, length)
 }
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -16,20 +16,20 @@
 // localWorker is one registration of a local worker. The lock of Workers guards description and lastHeartbeatAt. The
 // other fields do not change.
 type localWorker struct {
-	instance        string // id of the registration
-	address         string // IP:port
-	description     WorkerDescription
-	lastHeartbeatAt time.Duration // arrival of the last heartbeat, on the process clock
-	livenessConn    net.Conn      // idle connection that ends when the worker does; nil if none is held
-	conns           *connPool
-	queue           *WorkerQueue
+	instance        string            // id of the registration
+	address         string            // IP:port
+	description     WorkerDescription // last description from the worker
+	lastHeartbeatAt time.Duration     // arrival of the last heartbeat, on the process clock
+	livenessConn    net.Conn          // idle connection that ends when the worker does; nil if none is held
+	conns           *connPool         // connections for requests
+	queue           *WorkerQueue      // requests that wait for the worker
 }
 
 // Workers holds the registrations of the local workers. Each registration has an instance id of its own.
 type Workers struct {
 	options    WorkersOptions
 	bodyMemory *semaphore.Weighted // memory in bytes for the large response bodies that are being read
-	onChange   func()              // called without the lock
+	onChange   func()              // called without the lock after each change that other proxies should see
 
 	// lock guards the fields below. The locks of queues and of connection pools may be taken while it is held.
 	lock            sync.Mutex
@@ -45,7 +45,7 @@
 	Proxy               string // name of this proxy
 	Incarnation         uint64 // incarnation of this proxy, another one for each of its processes
 	Zone                string // zone of workers that report none
-	MaxMissedHeartbeats int64  // a worker that misses more heartbeats in a row is dropped
+	MaxMissedHeartbeats int64  // a worker that misses more heartbeats than this in a row is dropped
 	MaxWorkers          int    // maximum number of registrations
 	MaxConns            int    // maximum number of requests running on one worker
 	MaxBodyBytes        int    // maximum size of a response body
@@ -80,7 +80,8 @@
 }
 
 // Register applies a description from a worker: a registration, a heartbeat, or a deregistration. It returns the
-// instance under which the worker is registered, which is empty after a deregistration. The error has the code
+// instance under which the worker is registered, which is empty after a deregistration. A description that is older than
+// the last one, or that arrives after the deregistration of its ID, changes nothing. The error has the code
 // errs.QueueFull if there are too many workers, and errs.WorkerConnectFailed if the liveness connection fails.
 func (w *Workers) Register(description WorkerDescription) (string, error) {
 	now := w.options.Now()
@@ -117,13 +118,13 @@
 		w.onChange()
 	}
 	if full {
-		return "", errs.New(errs.QueueFull, fmt.Sprintf("worker %s: this proxy has its maximum of %d workers", description.Address, w.options.MaxWorkers))
+		return "", errs.New(errs.QueueFull, fmt.Sprintf("worker %s cannot register: this proxy already has the maximum of %d workers", description.Address, w.options.MaxWorkers))
 	}
 	return w.registerNew(description, now)
 }
 
 // match returns the registration that a description concerns, nil if there is none, and reports whether it belongs to
-// the same worker. The caller holds the lock.
+// the same worker. It also records the ID of a worker that deregisters. The caller holds the lock.
 func (w *Workers) match(description *WorkerDescription) (existing *localWorker, sameWorker bool) {
 	existing = w.byAddress[description.Address]
 	if description.ID != "" {
@@ -182,8 +183,8 @@
 }
 
 // removeReplaced removes the registrations that a new one replaces: another worker's at the same address, and the same
-// worker's at another address. They are removed before anything else is done, so that they get no more requests. The
-// caller holds the lock.
+// worker's at another address. They are removed before anything else is done, so that they get no more requests. It
+// reports whether there were any. The caller holds the lock.
 func (w *Workers) removeReplaced(existing *localWorker, id string) (removed bool) {
 	if existing != nil {
 		w.remove(existing)
@@ -196,8 +197,8 @@
 	return removed
 }
 
-// registerNew adds a registration. The caller does not hold the lock, because opening the liveness connection takes
-// time.
+// registerNew adds a registration and returns its instance. The caller does not hold the lock, because opening the
+// liveness connection takes time.
 func (w *Workers) registerNew(description WorkerDescription, now time.Duration) (string, error) {
 	var livenessConn net.Conn
 	if !w.options.NoLivenessConn {
@@ -263,7 +264,7 @@
 // another worker has taken over its address, that worker refuses requests that are not meant for it.
 //
 // Restore does nothing for a worker without an id of its own, for an invalid description, or if NoLivenessConn is not
-// set.
+// set. It also does nothing if the worker has deregistered, or if its id or its address is registered already.
 func (w *Workers) Restore(description WorkerDescription) {
 	w.lock.Lock()
 	known := description.ID == "" ||
@@ -334,7 +335,7 @@
 	}
 }
 
-// remainingWarmup returns how much is left of a worker's slow start. The caller holds the lock.
+// remainingWarmup returns the time left of a worker's slow start, 0 once it has ended. The caller holds the lock.
 func (w *Workers) remainingWarmup(worker *localWorker) time.Duration {
 	return max(0, time.Duration(worker.description.WarmupMS)*time.Millisecond-(w.options.Now()-worker.lastHeartbeatAt))
 }
@@ -368,8 +369,8 @@
 	return workers
 }
 
-// find returns the registration that a request is meant for and the worker's token. If the request must be refused it
-// returns the code of the refusal instead, which is empty otherwise.
+// find returns the registration that a request is meant for and the worker's token. If the request must be refused, it
+// returns only the code of the refusal, which is empty otherwise.
 func (w *Workers) find(request *schema.ForwardRequest) (*localWorker, string, errs.Code) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
