--- a/internal/dispatch/call_counter_test.go
+++ b/internal/dispatch/call_counter_test.go
@@ -53,6 +53,7 @@
 	if total != goroutines*revisions*calls {
 		t.Errorf("Counts: got %d calls in all, want %d", total, goroutines*revisions*calls)
 	}
+	// The current revision, separateRevisions before it, and revision 0 have one count each.
 	if counts > separateRevisions+2 {
 		t.Errorf("Counts: got %d counts, want at most %d", counts, separateRevisions+2)
 	}
--- a/internal/dispatch/canary_guard_test.go
+++ b/internal/dispatch/canary_guard_test.go
@@ -86,11 +86,11 @@
 
 		want bool
 	}{
-		"no failures":                      {100, 100, 0, 0, false},
-		"fewer failures than the share":    {100, 10, 0, 3, false},
-		"as many failures as the share":    {100, 10, 0, 4, true},
-		"fails as often as the fallback":   {100, 20, 40, 8, false},
-		"a low failure rate in many calls": {1000, 1000, 0, 10, false},
+		"no failures: not blocked":                      {100, 100, 0, 0, false},
+		"fewer failures than the share: not blocked":    {100, 10, 0, 3, false},
+		"as many failures as the share: blocked":        {100, 10, 0, 4, true},
+		"fails as often as the fallback: not blocked":   {100, 20, 40, 8, false},
+		"a low failure rate in many calls: not blocked": {1000, 1000, 0, 10, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			guard := newGrantedGuard(0)
--- a/internal/dispatch/disconnects_test.go
+++ b/internal/dispatch/disconnects_test.go
@@ -18,19 +18,19 @@
 func TestOverrunsAreCounted(t *testing.T) {
 	const maxOverrun = 100 * time.Millisecond
 	for name, test := range map[string]struct {
-		mustStop bool
+		mustStop bool          // the run must end when its caller disconnects
 		lasts    time.Duration // time from the disconnect to the end of the run; negative for no disconnect
-		want     uint64
+		want     uint64        // number of overruns
 	}{
-		"ends at once":                      {true, 0, 0},
-		"ends at the limit":                 {true, maxOverrun, 0},
-		"ends just within the grace period": {true, maxOverrun + maxOverrun/graceDivisor - 1, 0},
-		"ends just after the grace period":  {true, maxOverrun + maxOverrun/graceDivisor + 1, 1},
-		"need not stop, ends long after":    {false, time.Hour, 0},
-		"caller does not disconnect":        {true, -1, 0},
-		"ends long after the grace period":  {true, time.Hour, 1},
-		"need not stop, ends soon after":    {false, 1, 0},
-		"ends before the limit":             {true, maxOverrun / 2, 0},
+		"ends at once: no overrun":                      {true, 0, 0},
+		"ends at maxOverrun: no overrun":                {true, maxOverrun, 0},
+		"ends just within the grace period: no overrun": {true, maxOverrun + maxOverrun/graceDivisor - 1, 0},
+		"ends just after the grace period: overrun":     {true, maxOverrun + maxOverrun/graceDivisor + 1, 1},
+		"need not stop, ends long after: no overrun":    {false, time.Hour, 0},
+		"caller does not disconnect: no overrun":        {true, -1, 0},
+		"ends long after the grace period: overrun":     {true, time.Hour, 1},
+		"need not stop, ends soon after: no overrun":    {false, 1, 0},
+		"ends before maxOverrun: no overrun":            {true, maxOverrun / 2, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -107,8 +107,8 @@
 	}
 }
 
-// A call that the caller's proxy gives up shortly before its deadline has run out of time. It does not count as
-// canceled.
+// A call that the caller's proxy gives up shortly before its deadline has run out of time. Its code is that of a passed
+// deadline, not that of a disconnect, so that the run may count against the worker.
 func TestDisconnectAtDeadlineIsNotCanceled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fixture := newWorkerFixture(t)
@@ -201,7 +201,7 @@
 			}
 		}
 		if runs := fixture.recordedRuns(); len(runs) > 0 {
-			t.Errorf("after the disconnect: got runs %v, want none", runs)
+			t.Errorf("after the disconnect: got runs %+v, want none", runs)
 		}
 		if !errors.Is(ctx.Err(), context.Canceled) || contextErrorCode(ctx) != errs.CallerDisconnected {
 			t.Errorf("contextErrorCode after %v: got %q, want %q after context.Canceled", ctx.Err(), contextErrorCode(ctx), errs.CallerDisconnected)
@@ -211,7 +211,7 @@
 
 // A caller disconnects at the same moment as its answer arrives. Whichever comes first, the next request to the worker
 // gets its own answer, so no connection is reused on which a request was interrupted.
-func TestDisconnectWhileAnswerArrives(t *testing.T) {
+func TestInterruptedConnectionIsNotReused(t *testing.T) {
 	const rounds, took = 300, 100 * time.Millisecond
 	outcomes := map[schema.CallOutcome]int{}
 	for range rounds {
@@ -229,10 +229,10 @@
 			got := fixture.runner.Run(ctx, client, first)
 			outcomes[got.Outcome]++
 			if got.Outcome == schema.CallOutcome_CALL_OUTCOME_ANSWERED && string(got.Body) != `{"request":"r1"}` {
-				t.Errorf("Run(r1): got the body %q, want that of r1", got.Body)
+				t.Errorf("Run(r1): got the body %q, want %q", got.Body, `{"request":"r1"}`)
 			}
 			if got = fixture.runner.Run(t.Context(), client, second); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || string(got.Body) != `{"request":"r2"}` {
-				t.Errorf("Run(r2): got %v with code %q and body %q, want an answer with the body of r2", got.Outcome, got.ErrorCode, got.Body)
+				t.Errorf("Run(r2): got %v with code %q and body %q, want CALL_OUTCOME_ANSWERED with the body %q", got.Outcome, got.ErrorCode, got.Body, `{"request":"r2"}`)
 			}
 			if counts := fixture.runner.Disconnects.Counts(); counts.Violations() > 0 {
 				t.Errorf("Disconnects.Counts: got %+v, want no violations", counts)
--- a/internal/dispatch/endpoint_picks_test.go
+++ b/internal/dispatch/endpoint_picks_test.go
@@ -110,14 +110,14 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for name, test := range map[string]struct {
 		failing                  [3]float64 // fraction of each worker's calls that fail
-		minFraction, maxFraction float64    // bounds on the fraction of calls that worker 0 gets meanwhile
+		minFraction, maxFraction float64    // bounds on the fraction of calls that worker 0 gets while workers fail
 	}{
-		"no failures":                           {[3]float64{}, 0.25, 0.42},
-		"one worker fails a few calls":          {[3]float64{0.02, 0, 0}, 0.25, 0.42},
-		"one worker fails half of its calls":    {[3]float64{0.5, 0, 0}, 0, 0.2},
-		"one worker fails all calls":            {[3]float64{1, 0, 0}, 0, 0.1},
-		"all workers fail alike":                {[3]float64{0.3, 0.3, 0.3}, 0.25, 0.42},
-		"two of three fail half of their calls": {[3]float64{0.5, 0.5, 0}, 0, 0.4},
+		"no failures: equal share":                             {[3]float64{}, 0.25, 0.42},
+		"one worker fails a few calls: equal share":            {[3]float64{0.02, 0, 0}, 0.25, 0.42},
+		"one worker fails half of its calls: avoided":          {[3]float64{0.5, 0, 0}, 0, 0.2},
+		"one worker fails all calls: avoided":                  {[3]float64{1, 0, 0}, 0, 0.1},
+		"all workers fail alike: equal share":                  {[3]float64{0.3, 0.3, 0.3}, 0.25, 0.42},
+		"two of three fail half of their calls: limited share": {[3]float64{0.5, 0.5, 0}, 0, 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			detector := NewOutlierDetector(5, 5*time.Second)
--- a/internal/dispatch/endpoint_sim_test.go
+++ b/internal/dispatch/endpoint_sim_test.go
@@ -31,14 +31,14 @@
 // simWorker is a worker with its queue.
 type simWorker struct {
 	zone        int
-	speed       float64 // calls take their work divided by speed
-	slots       int     // calls that run at once
-	running     int
-	queue       []*simCall
+	speed       float64       // calls take their work divided by speed
+	slots       int           // calls that run at once
+	running     int           // calls that run now
+	queue       []*simCall    // calls that wait for a slot
 	serviceTime time.Duration // moving mean, as reported
 	slowUntil   time.Duration // end of the time in which calls take twice as long
 	failing     float64       // fraction of its calls that fail
-	calls       callRecord
+	calls       callRecord    // recent calls and failures, as the worker's proxy records them
 }
 
 // simEvent is an event of the simulation. seq orders events of the same time.
@@ -91,7 +91,7 @@
 	simOptions
 	now           time.Duration
 	events        simEvents
-	seq           int // sequence number of the last event
+	seq           int // sequence number of the last event, see simEvent
 	random        *rand.Rand
 	workers       []*simWorker
 	detectors     []*OutlierDetector // one for each proxy
@@ -354,13 +354,13 @@
 		local := detectionState{LocalState{w.detectors[from], nil}, w.detection}
 		callPlan, err := plan.Make(w.views[from], request, options, local, w.now, w.random.Float64)
 		if err != nil {
-			panic(err)
+			panic(fmt.Sprintf("plan.Make for the simulated service: %v", err))
 		}
 		var order []int
 		for _, candidate := range callPlan.Candidates {
 			index := 0
 			if _, err := fmt.Sscanf(candidate.Instance, "w%d", &index); err != nil {
-				panic(err)
+				panic(fmt.Sprintf("instance %q is not w and a number: %v", candidate.Instance, err))
 			}
 			order = append(order, index)
 		}
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -20,7 +20,7 @@
 	waited int      // number of waits for an update of the view
 }
 
-// attemptScript returns the result of one attempt.
+// attemptScript returns the result of one attempt in place of Send.
 type attemptScript func(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error)
 
 // refusing returns a script that refuses the request, which proves that nothing ran. reachedWorker reports that the
@@ -127,37 +127,37 @@
 
 // Attempts that reach no worker are free. Each attempt after one that reached a worker is charged to the retry budget.
 // A non-idempotent request is not sent again once it may have run. No instance gets two attempts.
-func TestRetryAtNextCandidate(t *testing.T) {
+func TestRetriesStayWithinBudgetAndMaximum(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
-	full := refusing(errs.QueueFull, 0, false)
-	wait := refusing(errs.QueueFull, 9*time.Millisecond, false)
-	rejected := refusing(errs.QueueFull, 0, true)
+	full := refusing(errs.QueueFull, 0, false)                  // a proxy refuses the call
+	wait := refusing(errs.QueueFull, 9*time.Millisecond, false) // a proxy refuses the call and expects capacity in 9 ms
+	rejected := refusing(errs.QueueFull, 0, true)               // a worker rejects the call
 	for name, test := range map[string]struct {
 		route       string
-		floor       float64
+		floor       float64 // retry budget, because the ratio is 0
 		script      []attemptScript
-		wantSent    int
+		wantSent    int // number of attempts
 		wantOutcome schema.CallOutcome
 		wantCode    errs.Code // any if empty
 	}{
-		"refused by proxies, then answered":           {once, 0, []attemptScript{full, refusing(errs.DeadlineExceeded, 0, false), unopened, refusing(errs.WorkerDraining, 0, false), answering}, 5, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"two report when they expect capacity":        {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"rejected by a worker, no budget":             {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"rejected by a worker, budget of one":         {once, 1, []attemptScript{rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"rejected by two workers, budget of one":      {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"rejected by the route's maximum of workers":  {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
-		"connection lost, non-idempotent":             {once, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"connection lost, idempotent":                 {repeatable, 1, []attemptScript{breaking, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"connection lost, idempotent, no budget":      {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"connection lost, idempotent, maximum of one": {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"connection lost, then refused everywhere":    {repeatable, 9, []attemptScript{breaking, full}, 6, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
-		"no response before the deadline":             {repeatable, 9, []attemptScript{hanging}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
-		"refused, then no response, non-idempotent":   {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
-		"failure response is an answer":               {repeatable, 9, []attemptScript{failing, answering}, 1, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
-		"response to another request is invalid": {once, 9, []attemptScript{func(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		"refused by proxies: retried without a budget":             {once, 0, []attemptScript{full, refusing(errs.DeadlineExceeded, 0, false), unopened, refusing(errs.WorkerDraining, 0, false), answering}, 5, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"two report when they expect capacity: call ends":          {repeatable, 9, []attemptScript{full, wait, full, wait, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by a worker, no budget: not retried":             {repeatable, 0, []attemptScript{rejected, answering}, 1, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by a worker, budget of one: retried":             {once, 1, []attemptScript{rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"rejected by two workers, budget of one: one retry":        {once, 1, []attemptScript{rejected, rejected, answering}, 2, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"rejected by the route's maximum of workers: call ends":    {once + `,"tries":2`, 9, []attemptScript{full, rejected, full, rejected, answering}, 4, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, errs.QueueFull},
+		"connection lost, non-idempotent: not retried":             {once, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"connection lost, idempotent: retried":                     {repeatable, 1, []attemptScript{breaking, answering}, 2, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"connection lost, idempotent, no budget: not retried":      {repeatable, 0, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"connection lost, idempotent, maximum of one: not retried": {repeatable + `,"tries":1`, 9, []attemptScript{breaking, answering}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"connection lost, then refused everywhere: unknown":        {repeatable, 9, []attemptScript{breaking, full}, 6, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.PeerConnectionLost},
+		"no response before the deadline: unknown":                 {repeatable, 9, []attemptScript{hanging}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
+		"refused, then no response, non-idempotent: unknown":       {once, 9, []attemptScript{full, hanging, answering}, 2, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.DeadlineExceeded},
+		"failure response: answered":                               {repeatable, 9, []attemptScript{failing, answering}, 1, schema.CallOutcome_CALL_OUTCOME_ANSWERED, ""},
+		"response to another request: unknown": {once, 9, []attemptScript{func(context.Context, *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			return &schema.ForwardResponse{Request: "other", Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}, nil
 		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.InvalidResponse},
-		"incomplete response is invalid": {once, 9, []attemptScript{func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
+		"incomplete response: unknown": {once, 9, []attemptScript{func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Body: []byte("a"), Length: 2}, nil
 		}}, 1, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, errs.InvalidResponse},
 	} {
@@ -166,7 +166,7 @@
 				forwarder := newScriptedForwarder(t, 6, test.route, test.floor, test.script...)
 				result := forwarder.Forward(t.Context(), newScriptedCall())
 				if len(forwarder.sent) != test.wantSent || result.Response.Outcome != test.wantOutcome || (test.wantCode != "" && result.Response.ErrorCode != string(test.wantCode)) {
-					t.Errorf("Forward: got attempts at %v and %v with code %q, want %d attempts and %v with code %q",
+					t.Errorf("Forward: got attempts at %v and %v with code %q, want %d attempts and %v with code %q (any if empty)",
 						forwarder.sent, result.Response.Outcome, result.Response.ErrorCode, test.wantSent, test.wantOutcome, test.wantCode)
 				}
 				seen := map[string]bool{}
@@ -210,33 +210,34 @@
 // retry budget. Whatever the result of the retry, the caller gets an answer from a worker.
 func TestFailureResponseRetriedOnAnotherWorker(t *testing.T) {
 	const repeatable, once = `"class":"repeatable"`, `"class":"once"`
+	// slow answers with a failure after its service time of 300 ms.
 	slow := func(_ context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 		time.Sleep(300 * time.Millisecond)
 		return &schema.ForwardResponse{Request: request.Request, Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 500, ServiceTimeNanos: int64(300 * time.Millisecond)}, nil
 	}
 	for name, test := range map[string]struct {
 		route      string
-		floor      float64
+		floor      float64 // retry budget, because the ratio is 0
 		fraction   float64 // FailureRetryFraction
 		script     []attemptScript
-		wantSent   int
+		wantSent   int // number of attempts
 		wantStatus int32
 	}{
-		"retried and answered":                        {repeatable, 2, 0.5, []attemptScript{failing, answering}, 2, 200},
-		"non-idempotent: not retried":                 {once, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"no fraction of the budget: not retried":      {repeatable, 9, 0, []attemptScript{failing, answering}, 1, 500},
-		"fraction of the budget used up: not retried": {repeatable, 1, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"route's maximum reached: not retried":        {repeatable + `,"tries":1`, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
-		"worker hardly ever fails: not retried":       {repeatable, 9, 0.5, []attemptScript{failingOf(100, 4), answering}, 1, 500},
-		"worker fails some calls: retried":            {repeatable, 9, 0.5, []attemptScript{failingOf(100, 5), answering}, 2, 200},
-		"retry fails as well: no second retry":        {repeatable, 9, 0.5, []attemptScript{failing, failing, answering}, 2, 500},
-		"retry refused for capacity":                  {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.QueueFull, 9, false), answering}, 2, 500},
-		"retry loses its connection":                  {repeatable, 9, 0.5, []attemptScript{failing, breaking, answering}, 2, 500},
-		"retry refused by a newer configuration":      {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.StalePlan, 0, false), answering}, 2, 500},
-		"lost connection, then failure: retried":      {repeatable, 9, 0.5, []attemptScript{breaking, failing, answering}, 3, 200},
-		"refused for capacity, then failure":          {repeatable, 9, 0.5, []attemptScript{refusing(errs.QueueFull, 9, false), failing, answering}, 2, 500},
-		"retry within the latency target":             {repeatable + `,"aim":"700ms"`, 9, 0.5, []attemptScript{slow, answering}, 2, 200},
-		"retry too late for the latency target":       {repeatable + `,"aim":"500ms"`, 9, 0.5, []attemptScript{slow, answering}, 1, 500},
+		"one failure: retried":                                     {repeatable, 2, 0.5, []attemptScript{failing, answering}, 2, 200},
+		"non-idempotent: not retried":                              {once, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"no fraction of the budget: not retried":                   {repeatable, 9, 0, []attemptScript{failing, answering}, 1, 500},
+		"fraction of the budget used up: not retried":              {repeatable, 1, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"route's maximum reached: not retried":                     {repeatable + `,"tries":1`, 9, 0.5, []attemptScript{failing, answering}, 1, 500},
+		"worker hardly ever fails: not retried":                    {repeatable, 9, 0.5, []attemptScript{failingOf(100, 4), answering}, 1, 500},
+		"worker fails some calls: retried":                         {repeatable, 9, 0.5, []attemptScript{failingOf(100, 5), answering}, 2, 200},
+		"retry fails as well: no second retry":                     {repeatable, 9, 0.5, []attemptScript{failing, failing, answering}, 2, 500},
+		"retry refused for capacity: failure returned":             {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.QueueFull, 9, false), answering}, 2, 500},
+		"retry loses its connection: failure returned":             {repeatable, 9, 0.5, []attemptScript{failing, breaking, answering}, 2, 500},
+		"retry refused by a newer configuration: failure returned": {repeatable, 9, 0.5, []attemptScript{failing, refusing(errs.StalePlan, 0, false), answering}, 2, 500},
+		"lost connection, then failure: retried":                   {repeatable, 9, 0.5, []attemptScript{breaking, failing, answering}, 3, 200},
+		"refused for capacity, then failure: not retried":          {repeatable, 9, 0.5, []attemptScript{refusing(errs.QueueFull, 9, false), failing, answering}, 2, 500},
+		"retry within the latency target: retried":                 {repeatable + `,"aim":"700ms"`, 9, 0.5, []attemptScript{slow, answering}, 2, 200},
+		"retry too late for the latency target: not retried":       {repeatable + `,"aim":"500ms"`, 9, 0.5, []attemptScript{slow, answering}, 1, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/dispatch/key_reservation_test.go
+++ b/internal/dispatch/key_reservation_test.go
@@ -17,19 +17,20 @@
 	"meadowhinge/schema"
 )
 
+// reservationLease is the length of the lease that the registries' reservation tables are configured with.
 const reservationLease = 8 * time.Second
 
 // keyFixture holds the reservation tables of three registries, and two proxies whose callers use the same key. Each
 // proxy knows a different worker, behind a different proxy, so that only the reservations prevent the request from
 // running twice.
 type keyFixture struct {
-	fixtures             [2]*workerFixture // the worker that each proxy knows
+	fixtures             [2]*workerFixture // by proxy: fixture of the worker that the proxy knows
 	lock                 sync.Mutex        // guards registries; a key is released in a goroutine of its own
 	registries           [3]*registry.ReservationTable
-	unresponsive         [3]bool // registries that do not respond
-	startedAt            time.Time
+	unresponsive         [3]bool                 // registries that do not respond
+	startedAt            time.Time               // start of the process clock of all processes
 	seededSingleRegistry bool                    // seeded fault: one registry counts as a majority
-	lost                 [2]func(order int) bool // reports whether the response to a proxy's message number order is lost; nil for none
+	lost                 [2]func(order int) bool // by proxy: reports whether the response to its message number order is lost; nil for none
 	results              [2][]*CallResult        // results by proxy
 }
 
@@ -119,7 +120,7 @@
 	fixture := f.fixtures[caller]
 	view := &plan.View{Config: fixture.view.Config, Directory: plan.Directory{"shop": {"1": {}}}}
 	for _, worker := range fixture.workers.List() {
-		view.Directory["shop"]["1"] = append(view.Directory["shop"]["1"], plan.Endpoint{Instance: worker.Instance, Proxy: fmt.Sprint("beside-", caller)})
+		view.Directory["shop"]["1"] = append(view.Directory["shop"]["1"], plan.Endpoint{Instance: worker.Instance, Proxy: fmt.Sprint("worker-proxy-", caller)})
 	}
 	sent := 0
 	forwarder := &Forwarder{
@@ -144,7 +145,7 @@
 			yield()
 			sent++
 			target := f.fixtures[0]
-			if candidate.Proxy == "beside-1" {
+			if candidate.Proxy == "worker-proxy-1" {
 				target = f.fixtures[1]
 			}
 			response := target.runner.Run(ctx, transport.LocalPeer("proxy", "q", map[string]bool{"client": true}), request)
@@ -202,7 +203,7 @@
 // Two callers use one key at two proxies. In every order of their reservations, their attempts and the restart of a
 // registry, at most one request runs. The exploration must find the seeded faults: one registry counts as a majority,
 // or a restarted registry votes before it has recovered.
-func TestOneKeyAtTwoProxiesInEveryOrder(t *testing.T) {
+func TestOneKeyAtTwoProxiesRunsAtMostOnceInEveryOrder(t *testing.T) {
 	explore := func(t *testing.T, single bool, restart string) scheduleexplorer.Outcome {
 		t.Helper()
 		return scheduleexplorer.Explore(t, 200000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
@@ -228,11 +229,11 @@
 		restart     string // how the registry that restarts recovers; empty if none restarts
 		wantFailure bool
 	}{
-		"no restart":        {},
-		"registry restarts": {restart: recoverAfterRounds},
-		"seeded fault: one registry counts as majority": {single: true, wantFailure: true},
-		"seeded fault: no recovery":                     {restart: skipRecovery, wantFailure: true},
-		"seeded fault: recovers at once":                {restart: recoverAtOnce, wantFailure: true},
+		"no restart: at most one run":                          {},
+		"registry restarts: at most one run":                   {restart: recoverAfterRounds},
+		"seeded fault, one registry counts as majority: found": {single: true, wantFailure: true},
+		"seeded fault, no recovery: found":                     {restart: skipRecovery, wantFailure: true},
+		"seeded fault, recovers at once: found":                {restart: recoverAtOnce, wantFailure: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			outcome := explore(t, test.single, test.restart)
@@ -246,7 +247,7 @@
 
 // A request that is repeated at another proxy runs at most once, whatever single fault comes before the repeat. The
 // repeat gets the first answer if that can still be known.
-func TestRepeatAtAnotherProxy(t *testing.T) {
+func TestRepeatAtAnotherProxyRunsAtMostOnce(t *testing.T) {
 	answered, unknown, notRun := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED
 	for name, test := range map[string]struct {
 		before func(fixture *keyFixture)     // done before the first request; nil for nothing
@@ -258,17 +259,17 @@
 		lost   func(order int) bool          // whether the response to an attempt of the first request is lost; nil for none
 		check  func(*testing.T, *CallResult) // further check of the repeat's result; nil for none
 	}{
-		"first request answered":                 {first: answered, again: answered, runs: 1},
-		"answer to the first request lost":       {first: unknown, again: answered, runs: 1, lost: func(int) bool { return true }},
-		"worker's proxy loses its results":       {first: unknown, again: unknown, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) { fixture.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
-		"registry lost after the first request":  {first: answered, again: answered, runs: 1, after: func(fixture *keyFixture) { fixture.unresponsive[1] = true }},
-		"registry lost before the first request": {first: answered, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[2] = true }},
-		"registries restart empty, one after another": {first: unknown, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) {
+		"first request answered: repeat answered":                {first: answered, again: answered, runs: 1},
+		"answer to the first request lost: repeat answered":      {first: unknown, again: answered, runs: 1, lost: func(int) bool { return true }},
+		"worker's proxy loses its results: repeat unknown":       {first: unknown, again: unknown, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) { fixture.fixtures[0].runner.idempotency = NewIdempotencyCache(8) }},
+		"registry lost after the first request: repeat answered": {first: answered, again: answered, runs: 1, after: func(fixture *keyFixture) { fixture.unresponsive[1] = true }},
+		"registry lost before the first request: both answered":  {first: answered, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[2] = true }},
+		"registries restart empty, one after another: repeat answered": {first: unknown, again: answered, runs: 1, lost: func(int) bool { return true }, after: func(fixture *keyFixture) {
 			for i := range 3 {
 				fixture.restartRegistry(i, recoverAfterRounds)
 			}
 		}},
-		"two registries lost at once": {first: answered, again: notRun, runs: 1, after: func(fixture *keyFixture) {
+		"two registries lost at once: repeat not executed": {first: answered, again: notRun, runs: 1, after: func(fixture *keyFixture) {
 			fixture.registries[0], fixture.registries[1] = fixture.newReservationTable(), fixture.newReservationTable()
 			time.Sleep(reservationLease)
 			fixture.refillRegistry(0)
@@ -276,16 +277,16 @@
 			// The third table still had the reservation, but a single one would not prevent another run.
 			fixture.registries[2] = fixture.newReservationTable()
 		}},
-		"no majority of registries for the first request": {first: notRun, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[0], fixture.unresponsive[1] = true, true }, after: func(fixture *keyFixture) {
+		"no majority of registries for the first request: repeat runs": {first: notRun, again: answered, runs: 1, before: func(fixture *keyFixture) { fixture.unresponsive[0], fixture.unresponsive[1] = true, true }, after: func(fixture *keyFixture) {
 			fixture.unresponsive[0], fixture.unresponsive[1] = false, false
 		}},
-		"repeat with another body": {first: answered, again: notRun, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
+		"repeat with another body: refused": {first: answered, again: notRun, runs: 1, body: "{1}", check: func(t *testing.T, result *CallResult) {
 			t.Helper()
 			if result.Response.ErrorCode != "IDEMPOTENCY_KEY_REUSED" {
 				t.Errorf("repeat with another body: got code %q, want IDEMPOTENCY_KEY_REUSED", result.Response.ErrorCode)
 			}
 		}},
-		"first request did not run": {first: notRun, again: answered, runs: 1, before: func(fixture *keyFixture) {
+		"first request did not run: repeat runs": {first: notRun, again: answered, runs: 1, before: func(fixture *keyFixture) {
 			description := fixture.fixtures[0].describe("127.0.0.1:1", fixture.fixtures[0].workersByAddress["127.0.0.1:1"])
 			description.Draining = true
 			_, _ = fixture.fixtures[0].workers.Register(description)
--- a/internal/dispatch/outlier_detector_test.go
+++ b/internal/dispatch/outlier_detector_test.go
@@ -11,7 +11,7 @@
 
 // Consecutive failures eject a worker for a time. An unreachable proxy ejects all workers behind it, for the same time
 // or until it responds. A retired worker remains ejected while it is listed.
-func TestOutlierDetectorEjections(t *testing.T) {
+func TestFailuresEjectWorkers(t *testing.T) {
 	detector := NewOutlierDetector(3, 5*time.Second)
 	ejected := func(endpoint plan.Endpoint, now time.Duration) bool { return detector.Stats(&endpoint, now).Ejected }
 	unreachable := func(endpoint plan.Endpoint, now time.Duration) bool {
@@ -59,11 +59,11 @@
 	detector.BeginCall("w", 1200*ms)
 	// With two calls in flight a worker may take 4*(100ms+100ms/2) = 600ms, with one call 4*(100ms+100ms) = 800ms.
 	if before, after := unresponsive(1600*ms), unresponsive(1601*ms); before || !after {
-		t.Errorf("Stats with two calls in flight since 1s: got ejected %t at 1600ms and %t at 1601ms, want false and true", before, after)
+		t.Errorf("Stats with two calls in flight since 1s: got ejected %t at 1600ms and %t at 1601ms, want false and true (600ms after the start of the first call)", before, after)
 	}
 	detector.RecordResponse("w", 1700*ms, 300*ms, answer)
 	if before, after := unresponsive(2500*ms), unresponsive(2501*ms); before || !after {
-		t.Errorf("Stats with one call in flight and a response at 1700ms: got ejected %t at 2500ms and %t at 2501ms, want false and true", before, after)
+		t.Errorf("Stats with one call in flight and a response at 1700ms: got ejected %t at 2500ms and %t at 2501ms, want false and true (800ms after the response)", before, after)
 	}
 	detector.RecordResponse("w", 3000*ms, 100*ms, answer)
 	if unresponsive(time.Hour) {
@@ -73,7 +73,7 @@
 
 // The counts that a worker's proxy reports of all calls apply at a caller's proxy that has made few or no calls, until
 // they decay. Nothing is reported if no call failed.
-func TestReportedFailures(t *testing.T) {
+func TestReportedFailuresApplyAtCallersProxy(t *testing.T) {
 	workerProxy, callerProxy := NewOutlierDetector(5, 5*time.Second), NewOutlierDetector(5, 5*time.Second)
 	worker := plan.Endpoint{Instance: "w", Proxy: "p"}
 	for i := range 40 {
@@ -119,7 +119,7 @@
 
 // The calls of other processes at a worker are estimated from the later report of its last response and the directory,
 // less the calls of this process. As that report ages, the estimate approaches the baseline.
-func TestEstimatedOtherInFlight(t *testing.T) {
+func TestOtherInFlightFollowsLatestReport(t *testing.T) {
 	answer := func(running, waiting, slots uint32) *schema.ForwardResponse {
 		return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Running: running, Queued: waiting, Slots: slots, ServiceTimeNanos: int64(time.Second)}
 	}
@@ -165,23 +165,23 @@
 
 // A worker that refuses most calls of a route is skipped for some of them, with a probability that grows with the
 // refusals. Other routes are not affected, and the refusals decay with time.
-func TestShouldSkip(t *testing.T) {
+func TestRefusedCallsCauseSkips(t *testing.T) {
 	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
 	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
 	for name, test := range map[string]struct {
-		answers []*schema.ForwardResponse
-		route   string
-		after   time.Duration
-		random  float64
+		answers []*schema.ForwardResponse // responses to calls of route r, all at 1s
+		route   string                    // route that ShouldSkip is called with
+		after   time.Duration             // time from the responses to ShouldSkip
+		random  float64                   // random number that ShouldSkip gets
 		want    bool
 	}{
-		"never refused":                        {nil, "r", 0, 0, false},
-		"few refusals":                         {[]*schema.ForwardResponse{full, full}, "r", 0, 0, false},
-		"accepts none, random below the limit": {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 0, 0.5, true},
-		"accepts none, random above the limit": {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 0, 0.6, false},
-		"accepts half":                         {[]*schema.ForwardResponse{full, accepted, full, accepted, full, accepted}, "r", 0, 0, false},
-		"refused calls of another route":       {[]*schema.ForwardResponse{full, full, full, full, full, full}, "other", 0, 0, false},
-		"refused long ago":                     {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 5 * time.Second, 0, false},
+		"never refused: not skipped":                               {nil, "r", 0, 0, false},
+		"few refusals: not skipped":                                {[]*schema.ForwardResponse{full, full}, "r", 0, 0, false},
+		"accepts none, random number below the limit: skipped":     {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 0, 0.5, true},
+		"accepts none, random number above the limit: not skipped": {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 0, 0.6, false},
+		"accepts half: not skipped":                                {[]*schema.ForwardResponse{full, accepted, full, accepted, full, accepted}, "r", 0, 0, false},
+		"refused calls of another route: not skipped":              {[]*schema.ForwardResponse{full, full, full, full, full, full}, "other", 0, 0, false},
+		"refused long ago: not skipped":                            {[]*schema.ForwardResponse{full, full, full, full, full, full}, "r", 5 * time.Second, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			detector := NewOutlierDetector(5, 5*time.Second)
@@ -197,7 +197,7 @@
 }
 
 // The offers settle at a multiple of the accepted calls, however many more calls there are.
-func TestShouldSkipConverges(t *testing.T) {
+func TestOffersSettleAtMultipleOfAccepted(t *testing.T) {
 	full := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: string(errs.QueueFull)}
 	accepted := &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200}
 	detector, last := NewOutlierDetector(5, 5*time.Second), 0.0
--- a/internal/dispatch/reserved_admissions_test.go
+++ b/internal/dispatch/reserved_admissions_test.go
@@ -49,6 +49,7 @@
 						forwarder.Outliers.RecordResponse(directory[i].Instance, 0, 0, notExecuted(errs.QueueFull, 0))
 					}
 				}
+				// The route's deadline of 3200 ms, less 1/returnMarginDivisor of it, is 3100 ms.
 				sent, send, startedAt, deadline := "", forwarder.Send, time.Now(), 3100*time.Millisecond
 				forwarder.Send = func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 					kind := "r"
@@ -74,19 +75,19 @@
 }
 
 // An admission that is reserved for a request can be used only by that request, once, and for a limited time.
-func TestReservedAdmissions(t *testing.T) {
+func TestReservedAdmissionIsTakenOnce(t *testing.T) {
 	for name, test := range map[string]struct {
 		checks   int           // capacity checks that arrive
 		delay    time.Duration // time from the last capacity check to the request
 		replaced bool          // the worker is replaced between the capacity check and the request
 		want     bool          // the request takes the admission
 	}{
-		"request after its capacity check":   {1, time.Millisecond, false, true},
-		"duplicate capacity check":           {2, time.Millisecond, false, true},
-		"request long after the reservation": {1, time.Second, false, false},
-		"worker replaced":                    {1, time.Millisecond, true, false},
-		"request without a capacity check":   {0, 0, false, false},
-		"request just after the reservation": {1, 101 * time.Millisecond, false, false},
+		"request after its capacity check: taken":                  {1, time.Millisecond, false, true},
+		"duplicate capacity check: taken once":                     {2, time.Millisecond, false, true},
+		"request long after the end of the reservation: not taken": {1, time.Second, false, false},
+		"worker replaced: not taken":                               {1, time.Millisecond, true, false},
+		"request without a capacity check: not taken":              {0, 0, false, false},
+		"request just after the end of the reservation: not taken": {1, 101 * time.Millisecond, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -110,6 +111,7 @@
 					}
 					reservations.reserve("r", queue, now, 100*time.Millisecond)
 				}
+				// A duplicate check does not hold a second admission.
 				if running, _, _ := queue.Load(); running != uint32(min(1, test.checks)) {
 					t.Errorf("Load after reserve: got %d admissions, want %d", running, min(1, test.checks))
 				}
@@ -147,7 +149,7 @@
 		worker, _, _ := fixture.workers.find(newForwardRequest("r1", instance))
 		worker.queue.maxRunning, worker.queue.slots = 1, 0
 		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r1")); got.Outcome != schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED || got.ErrorCode != "" || len(fixture.recordedRuns()) > 0 {
-			t.Errorf("capacity check r1: got %v with code %q and runs %v, want CALL_OUTCOME_NOT_EXECUTED with no code and no run",
+			t.Errorf("capacity check r1: got %v with code %q and runs %+v, want CALL_OUTCOME_NOT_EXECUTED with no code and no run",
 				got.Outcome, got.ErrorCode, fixture.recordedRuns())
 		}
 		if got := fixture.runner.Run(t.Context(), transport.Peer{}, newCapacityCheck("r1")); got.ErrorCode != string(errs.CallerNotAllowed) {
@@ -157,7 +159,7 @@
 			t.Errorf("capacity check r2 without capacity: got code %q, want %q", got.ErrorCode, errs.QueueFull)
 		}
 		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED || len(fixture.recordedRuns()) != 1 {
-			t.Errorf("request r1: got %v with code %q and runs %v, want CALL_OUTCOME_ANSWERED and one run", got.Outcome, got.ErrorCode, fixture.recordedRuns())
+			t.Errorf("request r1: got %v with code %q and runs %+v, want CALL_OUTCOME_ANSWERED and one run", got.Outcome, got.ErrorCode, fixture.recordedRuns())
 		}
 		if got := fixture.runner.Run(t.Context(), client, newCapacityCheck("r3")); got.ErrorCode != "" {
 			t.Errorf("capacity check r3 after request r1: got code %q, want none, because the admission was released", got.ErrorCode)
--- a/internal/dispatch/runner_test.go
+++ b/internal/dispatch/runner_test.go
@@ -64,7 +64,7 @@
 					t.Errorf("Run: got %v with code %q, want CALL_OUTCOME_NOT_EXECUTED with code %q", got.Outcome, got.ErrorCode, test.want)
 				}
 				if runs := fixture.recordedRuns(); len(runs) > 0 {
-					t.Errorf("after the refusal: got runs %v, want none", runs)
+					t.Errorf("after the refusal: got runs %+v, want none", runs)
 				}
 			})
 		})
@@ -118,13 +118,13 @@
 // A worker gets no request after it has reported that it is draining, and a request that is delivered twice runs at
 // most once. This holds in every order of the two deliveries and the report. The exploration must find a seeded fault:
 // the deliveries do not share the set of request ids.
-func TestDuplicateDeliveryAndDrainingInEveryOrder(t *testing.T) {
+func TestDuplicateDeliveryRunsAtMostOnceInEveryOrder(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			t.Helper()
 			fixture := newWorkerFixture(t)
 			instance, worker := fixture.addWorker(t, "127.0.0.1:1", "shop", "1", "token")
-			var runsAtDraining int
+			var runsAtDraining int // number of runs when the worker was draining, plus 1; 0 before
 			for _, name := range []string{"first", "again"} {
 				run.Go(name, func(yield func()) {
 					runner := *fixture.runner
@@ -164,9 +164,9 @@
 	t.Logf("explored %d orders", correct.Schedules)
 }
 
-// Of three concurrent requests under one key at most one runs, and the others get its answer, in every order. The
+// Of three concurrent requests under one key at most one runs, in every order, and none is answered unless one ran. The
 // exploration must find a seeded fault: each request has a key of its own.
-func TestConcurrentRequestsUnderOneKeyInEveryOrder(t *testing.T) {
+func TestOneKeyRunsAtMostOnceInEveryOrder(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 20000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			t.Helper()
@@ -207,8 +207,9 @@
 	}
 }
 
-// The result of a repeat depends on the outcome of the earlier request and on the instance where that was tried.
-func TestIdempotencyCacheRepeats(t *testing.T) {
+// A repeat runs only if the earlier request under the key did not run, or if its outcome is unknown and an instance may
+// know it. Otherwise the repeat gets the result of the earlier request. A request with another body is refused.
+func TestRepeatGetsFinalResult(t *testing.T) {
 	cache := NewIdempotencyCache(2)
 	runs := 0
 	attempt := func(key, body string, outcome schema.CallOutcome, instance string) *schema.ForwardResponse {
@@ -236,7 +237,7 @@
 		{"v", "b", answered, "", answered, 6},  // the cache is full, so the oldest key is evicted
 	} {
 		if got := attempt(test.key, test.body, test.outcome, test.instance); got.Outcome != test.want || runs != test.wantRuns {
-			t.Errorf("step %d: Do(%q, %q): got %v after %d runs, want %v after %d", i, test.key, test.body, got.Outcome, runs, test.want, test.wantRuns)
+			t.Errorf("step %d: Do(%q, %q): got %v after %d runs, want %v after %d runs", i, test.key, test.body, got.Outcome, runs, test.want, test.wantRuns)
 		}
 	}
 }
@@ -278,7 +279,7 @@
 		}
 		leased = true
 		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r1", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_UNKNOWN || len(fixture.recordedRuns()) > 0 {
-			t.Errorf("second Run(r1), with a lease: got %v and runs %v, want CALL_OUTCOME_UNKNOWN and no run", got.Outcome, fixture.recordedRuns())
+			t.Errorf("second Run(r1), with a lease: got %v and runs %+v, want CALL_OUTCOME_UNKNOWN and no run", got.Outcome, fixture.recordedRuns())
 		}
 		if got := fixture.runner.Run(t.Context(), client, newForwardRequest("r2", instance)); got.Outcome != schema.CallOutcome_CALL_OUTCOME_ANSWERED {
 			t.Errorf("Run(r2) with a lease: got %v, want CALL_OUTCOME_ANSWERED", got.Outcome)
@@ -287,20 +288,20 @@
 }
 
 // The runner reports a worker's failed calls: failure responses, truncated responses, and calls that had no response
-// after far longer than calls take. Calls that had less time than calls take are not reported as failed.
-func TestReportedRunCounts(t *testing.T) {
+// after far longer than calls take. Calls that had too little time for such a conclusion are not reported as failed.
+func TestRunnerReportsFailedRuns(t *testing.T) {
 	const answers = 20
 	for name, test := range map[string]struct {
 		answer     string        // response to each of the last five calls; empty for none
 		timeLeft   time.Duration // time that each of these calls has
 		wantFailed uint32
 	}{
-		"answers":                          {jsonAnswer(`{"a":1}`), time.Minute, 0},
-		"answers with a failure":           {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", time.Minute, 5},
-		"truncates responses":              {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", 500 * time.Millisecond, 5},
-		"hangs":                            {"", 500 * time.Millisecond, 5},
-		"has less time than calls take":    {"", 150 * time.Millisecond, 0},
-		"refuses without running the call": {"HTTP/1.1 421 Misdirected\r\n" + HeaderRefused + ": token\r\nContent-Length: 0\r\n\r\n", time.Minute, 0},
+		"answers: no failures":                         {jsonAnswer(`{"a":1}`), time.Minute, 0},
+		"answers with a failure: failed":               {"HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno", time.Minute, 5},
+		"truncates responses: failed":                  {"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc", 500 * time.Millisecond, 5},
+		"hangs: failed":                                {"", 500 * time.Millisecond, 5},
+		"has less time than calls take: not failed":    {"", 150 * time.Millisecond, 0},
+		"refuses without running the call: not failed": {"HTTP/1.1 421 Misdirected\r\n" + HeaderRefused + ": token\r\nContent-Length: 0\r\n\r\n", time.Minute, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/dispatch/uplink_test.go
+++ b/internal/dispatch/uplink_test.go
@@ -7,13 +7,13 @@
 )
 
 // Bytes wait behind those that were written before, and are sent at the bandwidth of the link.
-func TestUplinkBacklog(t *testing.T) {
+func TestUplinkBacklogDrainsAtBandwidth(t *testing.T) {
 	now := time.Duration(0)
 	uplink := NewUplink(1000, func() time.Duration { return now })
 	for _, test := range []struct {
-		at    time.Duration
-		bytes int // bytes that are written at that time
-		want  time.Duration
+		at    time.Duration // process clock
+		bytes int           // bytes that are written at that time
+		want  time.Duration // backlog after that
 	}{
 		{0, 0, 0},
 		{0, 460, 500 * ms},
--- a/internal/dispatch/work_counts_test.go
+++ b/internal/dispatch/work_counts_test.go
@@ -44,6 +44,7 @@
 	end(2*time.Second, outcomeUnknown(errs.DeadlineExceeded))
 	counts.Begin("shop", "2", "buy", 7)
 	counts.Begin("saves", "1", "load", 0)
+	// The third version and route exceeds the bound of two, and is not counted.
 	counts.Begin("saves", "1", "beyond the bound", 0).End(0, 0, answer(200))
 	reported := counts.Report(func(service string) bool { return service == "shop" })
 	if len(reported) != 1 || reported[0].Calls != 5 || reported[0].Failures != 4 || reported[0].InFlight != 1 || reported[0].PlanSequence != 7 {
--- a/internal/dispatch/worker_conns_test.go
+++ b/internal/dispatch/worker_conns_test.go
@@ -22,7 +22,7 @@
 	"meadowhinge/schema"
 )
 
-// testCodec is a codec that reads all fields of a ResponseInfo that tests need from headers.
+// testCodec is a codec that reads the fields of a ResponseInfo that the tests need from the headers and the status.
 type testCodec struct{ NativeCodec }
 
 // WriteHeaders sets the host that the caller called and the request id.
@@ -132,9 +132,9 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-// Whatever a worker sends in response to the first of two requests, both have the right outcome, and a body is returned
-// only for the request that it belongs to.
-func TestUnusualWorkerResponses(t *testing.T) {
+// A worker may send anything in response to two successive requests. Each request has the outcome that the response
+// proves, and gets a body only if the body belongs to it. A case name begins with the outcome of the first request.
+func TestUnusualWorkerResponsesHaveProvedOutcome(t *testing.T) {
 	answeredOutcome, notRun, unknown := schema.CallOutcome_CALL_OUTCOME_ANSWERED, schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, schema.CallOutcome_CALL_OUTCOME_UNKNOWN
 	always := func(text string) func(string) string { return func(string) string { return text } }
 	for name, test := range map[string]struct {
@@ -144,50 +144,50 @@
 		second func(id string) string       // returns the response to the second request; nil for a plain one
 		change func(*schema.ForwardRequest) // changes the first request; nil for no change
 		want   [2]schema.CallOutcome        // wanted outcomes of both requests
-		code   errs.Code                    // wanted code of the first request; any if empty
+		code   errs.Code                    // wanted code of the first request's response; any if empty
 		opened int32                        // wanted number of connections
 	}{
-		"plain response":             {want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"empty body":                 {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"chunked body":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"chunked body, with trailer": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"interim responses": {first: func(id string) string {
+		"answered: plain response":             {want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"answered: empty body":                 {first: func(id string) string { return answered(id, "") }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"answered: chunked body":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"answered: chunked body, with trailer": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-End\r\n\r\n3\r\none\r\n0\r\nX-End: 1\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"answered: interim responses": {first: func(id string) string {
 			return "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + answered(id, "one")
 		}, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"204 without a body":                 {first: always("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"304 with a length":                  {first: always("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"HEAD with a length":                 {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"announces the close":                {first: always("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
-		"closes while idle":                  {ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
-		"sends bytes after the response":     {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
-		"sends a second response":            {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
-		"late response before the right one": {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"late response only":                 {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{answeredOutcome, unknown}, opened: 1},
-		"refusal":                            {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRun, answeredOutcome}, code: errs.QueueFull, opened: 1},
-		"refusal, truncated":                 {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRun, answeredOutcome}, code: errs.QueueFull, opened: 2},
-		"another worker at the address":      {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRun, notRun}, code: errs.WrongInstance, opened: 1},
-		"error status":                       {first: always("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"closes instead of a response":       {first: always(""), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
-		"truncated in the header":            {first: always("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
-		"truncated in the body":              {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
-		"truncated in a chunk":               {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
-		"truncated before the trailer":       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
-		"chunks with extensions and padding": {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
-		"chunk with a negative size":         {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
-		"chunk longer than its size":         {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
-		"chunk above the body limit":         {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
-		"body to the end":                    {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
-		"empty body to the end":              {first: always("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
-		"largest body to the end":            {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
-		"body above the limit to the end":    {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
-		"reset before the end":               {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
-		"unresponsive before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknown, answeredOutcome},
+		"answered: 204 without a body":                              {first: always("HTTP/1.1 204 No Content\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"answered: 304 with a length":                               {first: always("HTTP/1.1 304 Not Modified\r\nContent-Length: 9\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"answered: HEAD with a length":                              {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), change: func(c *schema.ForwardRequest) { c.Method = "HEAD" }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"answered: announces the close":                             {first: always("HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 3\r\n\r\none"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"answered: closes while idle":                               {ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"answered: sends bytes after the response":                  {first: func(id string) string { return answered(id, "one") + "and more" }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"answered: sends a second response":                         {first: func(id string) string { return answered(id, "one") + answered(id, "one") }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"answered: late response before that to the second request": {second: func(id string) string { return answered("first", "one") + answered(id, id) }, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"answered: only a late response to the second request":      {second: func(string) string { return answered("first", "one") }, want: [2]schema.CallOutcome{answeredOutcome, unknown}, opened: 1},
+		"not executed: refusal":                                     {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRun, answeredOutcome}, code: errs.QueueFull, opened: 1},
+		"not executed: refusal, truncated":                          {first: always("HTTP/1.1 503 No\r\nX-Unrun: 1\r\nContent-Length: 5\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{notRun, answeredOutcome}, code: errs.QueueFull, opened: 2},
+		"not executed: another worker at the address":               {first: always("HTTP/1.1 421 No\r\nContent-Length: 0\r\n\r\n"), want: [2]schema.CallOutcome{notRun, notRun}, code: errs.WrongInstance, opened: 1},
+		"answered: error status":                                    {first: always("HTTP/1.1 500 No\r\nContent-Length: 2\r\n\r\nno"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"unknown: closes instead of a response":                     {first: always(""), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
+		"unknown: truncated in the header":                          {first: always("HTTP/1.1 200 OK\r\nContent-Le"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
+		"unknown: truncated in the body":                            {first: always("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
+		"unknown: truncated in a chunk":                             {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\none"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
+		"unknown: truncated before the trailer":                     {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n0\r\n"), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, opened: 2},
+		"answered: chunks with extensions and padding":              {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\none\r\n0003 \r\ntwo\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 1},
+		"unknown: chunk with a negative size":                       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n-3\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"unknown: chunk longer than its size":                       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\none\r\n0\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"unknown: chunk above the body limit":                       {first: always("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n100001\r\none"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"answered: body to the end":                                 {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"answered: empty body to the end":                           {first: always("HTTP/1.1 200 OK\r\n\r\n"), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"answered: largest body to the end":                         {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20)), ends: true, want: [2]schema.CallOutcome{answeredOutcome, answeredOutcome}, opened: 2},
+		"unknown: body above the limit to the end":                  {first: always("HTTP/1.1 200 OK\r\n\r\n" + strings.Repeat("x", 1<<20+1)), ends: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"unknown: reset before the end":                             {first: always("HTTP/1.1 200 OK\r\n\r\none"), ends: true, resets: true, want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.WorkerConnectionLost, opened: 2},
+		"unknown: unresponsive before the end": {first: always("HTTP/1.1 200 OK\r\n\r\none"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknown, answeredOutcome},
 			code: errs.DeadlineExceeded, opened: 2},
-		"two lengths":               {first: always("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
-		"not HTTP":                  {first: always("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
-		"101 switches the protocol": {first: always("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
-		"length above the limit":    {first: always("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
-		"unresponsive in the header": {first: always("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknown, answeredOutcome},
+		"unknown: two lengths":               {first: always("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 2\r\n\r\none"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"unknown: not HTTP":                  {first: always("no answer at all\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"unknown: 101 switches the protocol": {first: always("HTTP/1.1 101 Switching\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"unknown: length above the limit":    {first: always("HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\n"), want: [2]schema.CallOutcome{unknown, answeredOutcome}, code: errs.InvalidResponse, opened: 2},
+		"unknown: unresponsive in the header": {first: always("HTTP/1.1 200 OK\r\n"), change: func(c *schema.ForwardRequest) { c.TimeLeftNanos = int64(20 * time.Millisecond) }, want: [2]schema.CallOutcome{unknown, answeredOutcome},
 			code: errs.DeadlineExceeded, opened: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -275,7 +275,7 @@
 
 // A worker that resets a connection may have run the request. A worker that does not listen any more has not run it,
 // and its registration ends until it registers again.
-func TestResetConnectionAndDeadWorker(t *testing.T) {
+func TestResetIsUnknownAndDeadWorkerRunsNothing(t *testing.T) {
 	fixture := newSocketFixture(t, func(conn *net.TCPConn, reader *bufio.Reader, _ int) {
 		readRequestID(reader)
 		_ = conn.SetLinger(0)
--- a/internal/dispatch/worker_fixture_test.go
+++ b/internal/dispatch/worker_fixture_test.go
@@ -21,6 +21,7 @@
 	"meadowhinge/schema"
 )
 
+// fixtureConfig is the configuration of the fixture in the syntax of package configsource.
 const fixtureConfig = `
 service: shop: {versions: ["1", "2"], fallback: "1", callers: ["client", "saves"]}
 service: saves: {versions: ["1"], fallback: "1", callers: ["client"]}
@@ -59,10 +60,10 @@
 
 // workerFixture is the runner of one proxy with its local workers.
 type workerFixture struct {
-	lock               sync.Mutex // guards workersByAddress, conns and runs
-	startedAt          time.Time
-	workersByAddress   map[string]*fakeWorker
-	conns              map[string][]net.Conn // both ends of all pipes, by the worker's address
+	lock               sync.Mutex             // guards workersByAddress, conns and runs
+	startedAt          time.Time              // start of the process clock
+	workersByAddress   map[string]*fakeWorker // keyed by the address that the worker has now
+	conns              map[string][]net.Conn  // both ends of all pipes, by the worker's address
 	runs               []workerRun
 	seededNoTokenCheck bool // seeded fault: workers run requests that lack their token
 	workers            *Workers
--- a/internal/dispatch/worker_queue_test.go
+++ b/internal/dispatch/worker_queue_test.go
@@ -76,7 +76,7 @@
 
 // The queue admits, refuses and orders requests as described at WorkerQueue, and a refusal tells when capacity is
 // expected.
-func TestWorkerQueueDecisions(t *testing.T) {
+func TestWorkerQueueAdmitsByCostAndTime(t *testing.T) {
 	for name, test := range map[string]struct {
 		steps func(script *queueScript)
 		want  string
@@ -197,7 +197,7 @@
 			script.admit("e", 0, 65*ms, time.Second)
 			script.release(ResultAnswered)
 		}, "a admitted, b admitted, d BUFFER_FULL 30ms, c admitted, e admitted"},
-		"queue closed for a draining worker": {func(script *queueScript) {
+		"queue closed for a draining worker: waiting and later requests refused": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c"} {
 				script.admit(name, 0, 0, time.Second)
 			}
@@ -206,7 +206,7 @@
 			script.release(ResultAnswered)
 			script.admit("d", 0, 0, time.Second)
 		}, "a admitted, b admitted, c WORKER_LEAVING 0s, d WORKER_LEAVING 0s"},
-		"rejection by the worker reduces the limit": {func(script *queueScript) {
+		"rejection by the worker: limit reduced, raised after answers": {func(script *queueScript) {
 			for _, name := range []string{"a", "b", "c", "d"} {
 				script.admit(name, 0, 0, time.Second)
 			}
@@ -250,17 +250,17 @@
 // In every order of three requests, the cancellation of one of them, and the close of the queue: no more than one
 // request runs at once, none is admitted after the close, and none remains in the queue. The exploration must find a
 // seeded fault: a canceled request ignores that it was admitted.
-func TestWorkerQueueInEveryOrder(t *testing.T) {
+func TestWorkerQueueHoldsLimitInEveryOrder(t *testing.T) {
 	explore := func(seeded bool) scheduleexplorer.Outcome {
 		return scheduleexplorer.Explore(t, 400000, func(t *testing.T, run *scheduleexplorer.Execution) func() error {
 			t.Helper()
 			queue := NewWorkerQueue(1, 1)
 			queue.recordServiceTime(0, "", ms)
 			// A goroutine that is woken by its admission runs concurrently with the one that released the slot.
-			var lock sync.Mutex // guards the variables below
-			running, closed := 0, false
+			var lock sync.Mutex             // guards the variables below
+			running, closed := 0, false     // requests running; whether the queue was closed
 			outcomes := map[string]string{} // keyed by request: "ran", the code of the refusal, or empty while running
-			var violation error
+			var violation error             // last violation that a request found; nil for none
 			ctx, cancel := context.WithCancel(t.Context())
 			for i, name := range []string{"low", "high", "canceled"} {
 				run.Go(name, func(yield func()) {
@@ -287,7 +287,8 @@
 						running++
 					}
 					if running > 1 || (afterClose && admission.Refusal == "") {
-						violation = fmt.Errorf("request %s was admitted, with %d requests running, limit 1, queue closed before: %t", name, running, afterClose)
+						violation = fmt.Errorf("request %s: got refusal %q with %d requests running, queue closed before: %t, want at most 1 running and none admitted after the close",
+							name, admission.Refusal, running, afterClose)
 					}
 					lock.Unlock()
 					if admission.Refusal != "" {
