--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -68,8 +68,8 @@
 }
 
 // attemptContext returns the context of one attempt. For an idempotent call it has the timeout described at
-// attemptTimeDivisor. The timeout leaves no more time for a retry than a worker needs, because a run that is broken off
-// is wasted. remaining is the time left until the plan's deadline.
+// attemptTimeDivisor. If the worker's service time is known, the timeout leaves a retry at most reservedServiceTimes times
+// that, because a run that is broken off is wasted. remaining is the time left until the plan's deadline.
 func (f *Forwarder) attemptContext(
 	ctx context.Context, callPlan *plan.Plan, endpoint *plan.Endpoint, remaining time.Duration,
 ) (context.Context, context.CancelFunc) {
--- a/internal/dispatch/attempt_sequence.go
+++ b/internal/dispatch/attempt_sequence.go
@@ -10,11 +10,11 @@
 	"meadowhinge/schema"
 )
 
-// maxPlanRounds is the maximum number of plans of one call. The call ends once the candidates of the last one are tried.
+// maxPlanRounds is the maximum number of plans whose candidates one call tries. The call ends after the last of them.
 const maxPlanRounds = 4
 
-// maxFullEndpoints is the number of endpoints after which a call ends if they refuse it and report when they expect
-// capacity. An endpoint that skipOverloaded skips counts as one of them.
+// maxFullEndpoints bounds the refusals of one call by endpoints that report when they expect capacity. The call ends at
+// the last of them. An endpoint that skipOverloaded skips counts as well.
 const maxFullEndpoints = 2
 
 // attemptSequence makes the attempts of one call. It goes through the candidates of the call's plan, and of plans made
--- a/internal/dispatch/capacity_check.go
+++ b/internal/dispatch/capacity_check.go
@@ -46,9 +46,9 @@
 	return response
 }
 
-// newCapacityCheck returns the capacity check for a request. It has only the fields that the worker's queue and the
-// lookup of the worker need, and neither body nor headers. It keeps the checksum of the body, so that a proxy that does
-// not know capacity checks refuses it as a request that lost its body.
+// newCapacityCheck returns the capacity check for a request. It has only the fields that the worker's proxy needs to
+// admit the request, and neither body nor headers. It keeps the checksum of the body, so that a proxy that does not know
+// capacity checks refuses it as a request that lost its body.
 func newCapacityCheck(request *schema.ForwardRequest) *schema.ForwardRequest {
 	return &schema.ForwardRequest{
 		Request:            request.Request,
--- a/internal/dispatch/update_waits.go
+++ b/internal/dispatch/update_waits.go
@@ -18,8 +18,8 @@
 	// deadline.
 	assumedDeadlineDivisor = 8
 
-	// targetWaitDivisor bounds, as a fraction of the latency target, how long a call waits for directory updates. A
-	// caller that is refused within a fourth of the target still has time to call again.
+	// targetWaitDivisor bounds, as a fraction of the latency target, how long one wait of a call for directory updates
+	// lasts. A caller that is refused within a fourth of the target, the length of two such waits, can still call again.
 	targetWaitDivisor = 8
 
 	// configWaitDivisor bounds, as a fraction of the time left, how long a call waits for a configuration that another
--- a/internal/dispatch/worker_call.go
+++ b/internal/dispatch/worker_call.go
@@ -13,8 +13,8 @@
 	"meadowhinge/schema"
 )
 
-// workerMarginDivisor: a worker is given the time left less 1/workerMarginDivisor of it, so that its own timeout
-// response still arrives and the connection can be used again.
+// workerMarginDivisor sets the time that a worker is given: the time left, less 1/workerMarginDivisor of it. So the
+// worker's own timeout response still arrives, and the connection can be used again.
 const workerMarginDivisor = 64
 
 // workerDelivery is the result of sending a request to a worker.
--- a/internal/dispatch/worker_exchange.go
+++ b/internal/dispatch/worker_exchange.go
@@ -38,8 +38,8 @@
 // exchange is one request to a worker and its response. Only the goroutine of the request uses it.
 type exchange struct {
 	request      *fasthttp.Request
-	response     *fasthttp.Response // its header is valid once the exchange has succeeded; its body is not used
-	codec        WorkerCodec
+	response     *fasthttp.Response     // its header is valid once the exchange has succeeded; its body is not used
+	codec        WorkerCodec            // reads the response's header
 	forward      *schema.ForwardRequest // the request as it came from the caller's proxy
 	deadline     time.Time              // deadline of all reads and writes
 	maxBodyBytes int                    // upper bound on the size of the response body
--- a/internal/dispatch/workers.go
+++ b/internal/dispatch/workers.go
@@ -128,7 +128,8 @@
 func (w *Workers) match(description *WorkerDescription) (existing *localWorker, sameWorker bool) {
 	existing = w.byAddress[description.Address]
 	if description.ID != "" {
-		// A worker with an id of its own is found by that id, whatever its address.
+		// A worker with an id of its own is found by that id at its present address. At another address it is found only
+		// if it deregisters or the description is late. Otherwise it registers anew at the other address.
 		byID := w.byInstance[description.ID]
 		if byID != nil && (description.Deregistered || description.Serial < byID.description.Serial || byID.address == description.Address) {
 			existing = byID
