--- a/internal/proxy/extensions.go
+++ b/internal/proxy/extensions.go
@@ -16,7 +16,7 @@
 	readinessPaths    []string                               // additional paths of the readiness probe
 	dialWorker        func(address string) (net.Conn, error) // opens a connection to a local worker
 	foldEvent         func(MeshState, Event) MeshState       // computes the next mesh state; Fold by default
-	workerIDHeartbeat time.Duration                          // heartbeat interval of workers with their own IDs; 0 for others
+	workerIDHeartbeat time.Duration                          // heartbeat interval if workers supply IDs; otherwise 0
 }
 
 // Option replaces a part of a proxy. Without options a proxy uses the mesh's native wire formats.
--- a/internal/proxy/lease.go
+++ b/internal/proxy/lease.go
@@ -97,8 +97,9 @@
 }
 
 // switchLaggingRegistry moves on to the next registry if the polled one lags behind. That is the case once some registry
-// has had a newer configuration than the applied one for longer than a feedLagDivisor-th of the lease. upToDate reports
-// that the registry which just answered has nothing newer. The caller holds s.lock.
+// has had a newer configuration than the applied one for longer than a feedLagDivisor-th of the lease. upToDate is
+// true if the registry that just answered has nothing newer. now is the time at which that registry was asked. The caller
+// holds s.lock.
 func (s *Server) switchLaggingRegistry(now time.Duration, upToDate bool) {
 	switch {
 	case upToDate:
--- a/internal/proxy/mesh_directory.go
+++ b/internal/proxy/mesh_directory.go
@@ -10,8 +10,7 @@
 	"meadowhinge/schema"
 )
 
-// minLiveRatio is the fraction of all sources that must be exceeded by the live ones before timed-out sources are
-// dropped.
+// minLiveRatio is a fraction of all sources. Timed-out sources are dropped only while more than this fraction is live.
 const minLiveRatio = 0.8
 
 // applySources applies the sources of an event. It recomputes only the affected services, because in a large mesh each
@@ -23,7 +22,7 @@
 		m.dropTimedOutSources(before, event, changed)
 	}
 	for _, source := range event.Sources {
-		// Such an entry carries only the incarnation of the source, not its workers.
+		// An incarnation-only source tells the incarnation of a proxy, but not its workers.
 		if source.IncarnationOnly {
 			continue
 		}
--- a/internal/proxy/mesh_state.go
+++ b/internal/proxy/mesh_state.go
@@ -17,7 +17,9 @@
 	Items          []*schema.Item   // configuration items
 	Complete       bool             // whether Items is the complete configuration; otherwise it holds only the changed items
 	Sources        []*schema.Source // new versions of sources
-	SourceTimeout  time.Duration    // age after which a source that sent no update is dropped; 0 to drop none
+	// SourceTimeout is the age after which a source that sent no update is dropped while most others are live, 0 to drop
+	// none.
+	SourceTimeout time.Duration
 }
 
 // sourceRecord is the newest version of a source and the time of its arrival.
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -35,8 +35,8 @@
 // reportSchedule decides when reportLoop sends a report and what the report includes.
 //
 //   - Workers, with their load and liveness, are reported renewalsPerLease times per lease, and at once when they change.
-//   - Work counts are reported reportsPerLease times per lease, but only while some service is judged, which
-//     means that the release controller judges one of its versions by these counts.
+//   - Work counts are reported reportsPerLease times per lease, but only while some service is judged. A
+//     service is judged while the release controller evaluates one of its versions by these counts.
 //   - Verdict counts are reported rarely, because nothing waits for them.
 //
 // Without a lease the session itself shows the registry that this proxy is alive. Workers are then reported only when
@@ -48,7 +48,7 @@
 	leaseDuration time.Duration
 
 	turn          int  // number of completed turns of reportLoop
-	reportWorkers bool // whether the next turn reports workers: after a change or, without a lease, a failed report
+	reportWorkers bool // whether the next turn reports workers: they changed or, without a lease, their report failed
 
 	verdictInterval    time.Duration // time between two reports of verdict counts
 	verdictsReportedAt time.Duration // time of the last such report, counted from the start of the proxy; 0 for none
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -78,8 +78,8 @@
 	return s.shutDown(callerListeners, workerServer)
 }
 
-// newTransport creates the RPC transport of this process. The keys of callers are the callers on whose behalf a
-// plaintext transport may call; with certificates, the certificate names them.
+// newTransport creates the RPC transport of this process. callers maps caller names to listener addresses. A plaintext
+// transport may call on behalf of each of these names. With certificates, the certificate determines the names.
 func newTransport(opts *schema.ProxyOptions, callers map[string]string) (*transport.Transport, error) {
 	transportOptions := []transport.Option{
 		transport.WithLocalAddress(opts.Listen),
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -21,12 +21,13 @@
 // Intervals and timeouts derived from the lease duration: "per lease" is a number of times within one lease, a divisor
 // gives a fraction of the lease, and "leases" is a number of leases.
 const (
-	renewalsPerLease         = session.RenewalsPerLease
-	reportsPerLease          = 4 * session.RenewalsPerLease // frequent, to detect a faulty version before it does much harm
-	verdictReportsPerLease   = 2                            // verdict counts only inform operators
-	staleVerdictReportLeases = 2                            // between reports of verdict counts without a lease
+	renewalsPerLease = session.RenewalsPerLease
+	// reportsPerLease is the number of reports of work counts, which must arrive before a faulty version does much harm.
+	reportsPerLease          = 4 * session.RenewalsPerLease
+	verdictReportsPerLease   = 2                            // reports of verdict counts, which only inform operators
+	staleVerdictReportLeases = 2                            // lease durations between two such reports without a lease
 	longPollDivisor          = 2                            // time that a registry may hold a poll
-	sourceTimeoutDivisor     = 4                            // age after which a source is dropped while others are live
+	sourceTimeoutDivisor     = 4                            // age at which a source is dropped while most others are live
 	dialTimeoutDivisor       = 16                           // timeout for dialing registries and proxies
 	retryBackoffDivisor      = 40                           // pause before a retry of a request to a registry
 	feedLagDivisor           = 2 * session.RenewalsPerLease // lag after which a registry is left; also the check interval
@@ -80,17 +81,20 @@
 	// lock guards the fields of this block. It is never held during an RPC.
 	lock sync.Mutex
 	// sourceIncarnation is the incarnation in the versions of newLocalSource. It is 0 until establishIncarnation sets
-	// it to processIncarnation. checkSuperseded raises it if a registry lists this proxy under a higher one.
+	// it to processIncarnation. checkSuperseded raises it if a registry lists this proxy under a higher incarnation, or
+	// lists this incarnation as ended.
 	sourceIncarnation uint64
 	sourceCounter     uint64                        // counter in the version that newLocalSource returned last
 	coreMembers       map[string]*schema.CoreMember // announced registries by member ID
 	coreSize          int                           // number of core members; 0 while unknown
-	behindSince       time.Duration                 // since when a registry has had a newer configuration; 0 for none
+	behindSince       time.Duration                 // time from which a registry had a newer configuration; 0 for none
 	registryRotation  int                           // number of switches to the next registry; not used without a lease
 	registrySelector  *session.RegistrySelector     // selects the registry of the current session; used only without a lease
-	freshAsOf         time.Duration                 // when the configuration was last known to be the newest; 0 for never
-	reportedFleetSize int64                         // live proxies by the last update of a session
-	fleetSizeEstimate *session.FleetSize            // smooths the fleet sizes that registries report
+	// freshAsOf is the time at which the configuration was last known to be the newest, 0 for never. It stays 0 under a
+	// lease.
+	freshAsOf         time.Duration
+	reportedFleetSize int64              // number of live proxies in the last update of a session
+	fleetSizeEstimate *session.FleetSize // smooths the fleet sizes that registries report
 	// reservationQueues holds the reservations to be sent to each registry, by registry address.
 	reservationQueues map[string]chan *pendingReservation
 
@@ -105,7 +109,7 @@
 
 	// Graceful shutdown.
 	draining         *atomic.Bool // whether the shutdown has begun; set by Run when its context ends
-	lastCallAt       atomic.Int64 // nanoseconds on the clock of now at which the last call of the shutdown arrived; 0 for none
+	lastCallAt       atomic.Int64 // arrival of the last call while draining, in nanoseconds on the clock of now; 0 for none
 	shutdownDeadline atomic.Int64 // nanoseconds on the clock of now by which the process must have ended; 0 before the shutdown
 	rejectsPeerCalls atomic.Bool  // whether calls of other proxies are rejected; set when stageAccepting ends
 }
--- a/internal/proxy/serving_gate.go
+++ b/internal/proxy/serving_gate.go
@@ -11,8 +11,8 @@
 type servingGate interface {
 	// IsOpen reports whether the gate is open now.
 	IsOpen() bool
-	// AwaitWithinGrace waits for the gate to open, at most for a short grace time of its own and until ctx ends. It
-	// reports whether the gate is open.
+	// AwaitWithinGrace waits for the gate to open, at most for a short grace time that the implementation sets, or until
+	// ctx ends. It reports whether the gate is open.
 	AwaitWithinGrace(ctx context.Context) bool
 	// AwaitOpen waits until the gate opens for the first time or ctx ends. It reports whether the gate is open.
 	AwaitOpen(ctx context.Context) bool
--- a/internal/proxy/session.go
+++ b/internal/proxy/session.go
@@ -15,8 +15,9 @@
 type registrySession struct {
 	address string             // registry address
 	cancel  context.CancelFunc // ends the subscription
-	// candidate reports that another session is the current one, which this session may replace. Only the goroutine of
-	// maintainSession accesses the field; the goroutine of the session gets the initial value as an argument.
+	// candidate is true while another session is the current one and the selector tries this one as its replacement.
+	// Only the goroutine of maintainSession accesses the field; the goroutine of the session gets the initial value as
+	// an argument.
 	candidate bool
 }
 
--- a/internal/proxy/shutdown.go
+++ b/internal/proxy/shutdown.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"github.com/valyala/fasthttp"
@@ -174,7 +175,8 @@
 	var firstErr error
 	for _, listener := range callerListeners {
 		if !listener.shutDown(deadline) && firstErr == nil {
-			firstErr = errs.New(errs.ProxyDraining, "calls still in flight at the end of the drain time were cut off")
+			detail := fmt.Sprintf("calls still in flight at the end of the drain time of %s were cut off", r.schedule.drainTimeout)
+			firstErr = errs.New(errs.ProxyDraining, detail)
 		}
 	}
 	return firstErr
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -29,17 +29,18 @@
 // Status is the content of the page /status. The JSON keys are a stable interface for operators, so they differ from the
 // names of the fields. Durations are in milliseconds.
 type Status struct {
-	Name           string               `json:"name"`               // name of the proxy
-	ConfigRevision uint64               `json:"setup"`              // revision of the configuration in use; 0 for none
-	HasLease       bool                 `json:"leased"`             // whether the proxy may serve calls
-	LeaseMS        int64                `json:"leaseMs"`            // time until the lease expires; negative after that
-	FleetSize      int64                `json:"members"`            // estimated number of proxies, which share mesh-wide limits
-	Registry       string               `json:"registry,omitempty"` // registry of the current session; empty under a lease
-	StalenessKnown bool                 `json:"vouched"`            // whether StalenessMS is known
-	StalenessMS    int64                `json:"ageMs"`              // time since the configuration was known to be newest
-	Sources        int                  `json:"sources"`            // proxies in the directory, including this one
-	KnownWorkers   int                  `json:"knownWorkers"`       // number of workers in the directory
-	Workers        []*statuspage.Worker `json:"workers"`            // local workers
+	Name           string `json:"name"`               // name of the proxy
+	ConfigRevision uint64 `json:"setup"`              // revision of the configuration in use; 0 for none
+	HasLease       bool   `json:"leased"`             // whether the proxy may serve calls
+	LeaseMS        int64  `json:"leaseMs"`            // time until the lease expires; negative without one
+	FleetSize      int64  `json:"members"`            // estimated number of proxies, which share mesh-wide limits
+	Registry       string `json:"registry,omitempty"` // registry of the current session; empty under a lease
+	StalenessKnown bool   `json:"vouched"`            // whether StalenessMS is known
+	// StalenessMS is the time since the configuration was last known to be the newest.
+	StalenessMS  int64                `json:"ageMs"`
+	Sources      int                  `json:"sources"`      // proxies in the directory, including this one
+	KnownWorkers int                  `json:"knownWorkers"` // number of workers in the directory
+	Workers      []*statuspage.Worker `json:"workers"`      // local workers
 	// RejectedPeers counts peers rejected for a wrong certificate, a wrong protocol or malformed data.
 	RejectedPeers     uint64 `json:"refusedPeers"`
 	CallsInFlight     int    `json:"callsInFlight"` // calls of local callers in flight
