--- a/internal/proxy/caller_listener.go
+++ b/internal/proxy/caller_listener.go
@@ -57,7 +57,7 @@
 	smallBodyBytes         = 64 << 10 // larger bodies count against largeBodyCapacity; also bounds the first allocation
 	bodyGrowthFactor       = 4        // growth factor of the memory of a body while its bytes arrive
 	maxCombinedWriteBytes  = 16 << 10 // largest body that is written together with its header
-	maxChunkLineBytes      = 256      // maximum size of a line with a chunk size
+	maxChunkLineBytes      = 256      // maximum size of an incomplete line in a chunked body
 	deadlineRefreshDivisor = 4        // a read deadline is moved only after timeout / deadlineRefreshDivisor has passed
 
 	// rejectedBodyDiscardFactor is the multiple of the body limit that is read and discarded after a rejection. Closing
--- a/internal/proxy/calls.go
+++ b/internal/proxy/calls.go
@@ -136,8 +136,8 @@
 	s.extensions.callerCodec.AddMetadata(result, response)
 }
 
-// writeError fills the error response to a request that did not become a call, with a time to retry after if a retry may
-// succeed.
+// writeError fills the error response to a request that was rejected before it was forwarded. The response tells when to
+// retry if a retry may succeed.
 func (s *Server) writeError(header *RequestHeader, err error, outcome string, response *Response) {
 	s.extensions.callerCodec.WriteError(header, err, outcome, s.retryAfter(err), response)
 }
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -47,7 +47,7 @@
 
 	watching     bool             // whether the disconnect watch owns the buffer
 	watchResults chan watchResult // delivers the result of the watch's read; buffered for one
-	inputClosed  atomic.Bool      // whether the caller has closed its sending side; set by the watch
+	inputClosed  atomic.Bool      // whether the caller's stream has ended, HTTP/1.1 only; set by the watch
 
 	// writeLock guards responseStarted, callerDisconnected and deadlineExtended, and thereby the right to write to conn.
 	// The watch may write until the response has started; after that only serve may.
@@ -115,8 +115,8 @@
 // errIdle reports that the connection ended between two requests, so that no response is due.
 var errIdle = errors.New("connection ended while idle")
 
-// setReadTimeout sets the read deadline to now plus timeout. A deadline that is close enough is kept, which saves work
-// for each request.
+// setReadTimeout sets the read deadline to now plus timeout. An earlier deadline is kept if the difference is at most
+// timeout / deadlineRefreshDivisor, which saves work for each request.
 func (c *connection) setReadTimeout(now time.Time, timeout time.Duration) {
 	if left := c.readDeadline.Sub(now); left <= timeout && left >= timeout-timeout/deadlineRefreshDivisor {
 		return
--- a/internal/proxy/disconnect_watch.go
+++ b/internal/proxy/disconnect_watch.go
@@ -155,8 +155,8 @@
 	return result.count, result.err
 }
 
-// beginResponse passes the right to write from the disconnect watch to serve. The watch no longer moves the read
-// deadline or cancels the call.
+// beginResponse passes the right to write from the disconnect watch to serve. After that the watch neither moves
+// the read deadline nor cancels the call.
 func (c *connection) beginResponse() {
 	c.writeLock.Lock()
 	defer c.writeLock.Unlock()
--- a/internal/proxy/request_body.go
+++ b/internal/proxy/request_body.go
@@ -71,7 +71,8 @@
 	additional := size - c.reservedBytes
 	if c.listener.largeBodyBytes.Add(additional) > c.listener.largeBodyCapacity {
 		c.listener.largeBodyBytes.Add(-additional)
-		return errs.New(errs.QueueFull, "large request bodies exceed the capacity of the listener")
+		capacity := strconv.FormatInt(c.listener.largeBodyCapacity, 10)
+		return errs.New(errs.QueueFull, "large request bodies exceed the capacity of "+capacity+" bytes")
 	}
 	c.reservedBytes = size
 	return nil
@@ -136,7 +137,8 @@
 }
 
 // skipTrailer reads and discards the trailer after the last chunk. It fails with errs.HeaderTooLarge if the trailer
-// exceeds the limit of a header.
+// exceeds the limit of a header, and with errs.MalformedRequest if an incomplete line already exceeds what is left of
+// the limit.
 func (c *connection) skipTrailer(limits requestLimits) error {
 	for bytesLeft := limits.maxHeaderBytes; ; {
 		line, err := c.readChunkLine(bytesLeft, limits)
@@ -149,8 +151,9 @@
 	}
 }
 
-// readChunkLine reads a line of at most maxBytes within a chunked body and returns it without its line end. The result
-// is valid until the next read.
+// readChunkLine reads a line within a chunked body and returns it without its line end. It fails with
+// errs.MalformedRequest if more than maxBytes of the line have arrived without its end. A longer line is accepted if it
+// is already complete in the buffer. The result is valid until the next read.
 func (c *connection) readChunkLine(maxBytes int, limits requestLimits) ([]byte, error) {
 	for searched := 0; ; {
 		if lineFeed := bytes.IndexByte(c.buffer[c.bufferStart+searched:c.bufferEnd], '\n'); lineFeed >= 0 {
--- a/internal/proxy/request_header.go
+++ b/internal/proxy/request_header.go
@@ -17,7 +17,7 @@
 	http10            bool          // whether the request uses HTTP/1.0
 	closeAfter        bool          // whether the caller sends no further request on this connection
 	chunked           bool          // whether the body is chunked
-	contentLength     int64         // length of a body that is not chunked, in bytes
+	contentLength     int64         // length of a body that is not chunked, in bytes; 0 for none
 	expectsContinue   bool          // whether the caller waits for an interim response before it sends the body
 	connectionOptions []string      // names in Connection fields, other than "close"; fields with these names are not forwarded
 	forwarded         []HeaderField // fields to forward; set by selectForwarded
--- a/internal/proxy/worker_listener.go
+++ b/internal/proxy/worker_listener.go
@@ -67,7 +67,7 @@
 	if errors.Is(err, fasthttp.ErrBodyTooLarge) {
 		code = errs.BodyTooLarge
 	}
-	rejectHeartbeat(requestCtx, errs.Wrap(err, code, "request"))
+	rejectHeartbeat(requestCtx, errs.Wrap(err, code, "read request of worker"))
 }
 
 // rejectHeartbeat answers a request with err and closes the connection.
@@ -85,11 +85,11 @@
 	stream := requestCtx.RequestBodyStream()
 	body, err := io.ReadAll(io.LimitReader(stream, int64(maxBytes)+1))
 	if err != nil {
-		return errs.Wrap(err, errs.MalformedRequest, "body")
+		return errs.Wrap(err, errs.MalformedRequest, "read body of worker request")
 	}
 	if len(body) > maxBytes {
 		_, _ = io.CopyN(io.Discard, stream, int64(maxBytes)*rejectedBodyDiscardFactor) // best effort: the connection is closed next
-		return errs.New(errs.BodyTooLarge, fmt.Sprintf("more than %d bytes", maxBytes))
+		return errs.New(errs.BodyTooLarge, fmt.Sprintf("worker request with a body of more than %d bytes", maxBytes))
 	}
 	requestCtx.Request.SetBody(body)
 	return nil
