--- a/internal/proxy/call_bench_test.go
+++ b/internal/proxy/call_bench_test.go
@@ -90,8 +90,8 @@
 // It returns the proxy for callers.
 func startProxyPair(tb testing.TB, worker string) *proxy.StandaloneProxy {
 	tb.Helper()
-	callerProxy := proxy.StartStandaloneProxy(tb, standaloneOptions("here"), "shop")
-	workerProxy := proxy.StartStandaloneProxy(tb, standaloneOptions("there"), "saves")
+	callerProxy := proxy.StartStandaloneProxy(tb, standaloneOptions("caller-proxy"), "shop")
+	workerProxy := proxy.StartStandaloneProxy(tb, standaloneOptions("worker-proxy"), "saves")
 	description := dispatch.WorkerDescription{Address: worker, Service: "saves", Version: "v1", HeartbeatMS: 60000, Token: "i-1"}
 	if _, err := workerProxy.Workers().Register(description); err != nil {
 		tb.Fatal(err)
--- a/internal/proxy/caller_listener_test.go
+++ b/internal/proxy/caller_listener_test.go
@@ -139,7 +139,7 @@
 	}
 	defer func() { _ = response.Body.Close() }() // an interim response has no body
 	if response.StatusCode != http.StatusContinue {
-		t.Fatalf("status %d, want interim response %d", response.StatusCode, http.StatusContinue)
+		t.Fatalf("interim response: status %d, want %d", response.StatusCode, http.StatusContinue)
 	}
 }
 
@@ -304,6 +304,7 @@
 		for _, writeSize := range []int{1 << 20, 1, 7} {
 			t.Run(fmt.Sprint(name, " in writes of ", writeSize), func(t *testing.T) {
 				t.Parallel()
+				// A large request is sent in parts of 100 bytes instead of single bytes.
 				if writeSize == 1 && len(test.text) > 1<<12 {
 					writeSize = 100
 				}
--- a/internal/proxy/disconnect_mesh_test.go
+++ b/internal/proxy/disconnect_mesh_test.go
@@ -90,8 +90,9 @@
 	callerProxy, workerProxy *proxy.StandaloneProxy
 }
 
-// startMesh starts two proxies and registers a worker at each whose worker address is not empty. slots is the number of
-// calls that a worker serves concurrently.
+// startMesh starts two proxies. callerSideWorker and workerSideWorker are the addresses of the local workers of
+// callerProxy and workerProxy; a proxy with an empty address has none. slots is the number of calls that a worker serves
+// concurrently.
 func startMesh(t *testing.T, callerSideWorker, workerSideWorker string, slots uint32) *twoProxyMesh {
 	t.Helper()
 	newOptions := func(name string) *schema.ProxyOptions {
@@ -182,7 +183,7 @@
 	"closes": func(conn net.Conn) { _ = conn.Close() }, // the test checks the effect at the proxy
 	"resets": func(conn net.Conn) {
 		_ = conn.(*net.TCPConn).SetLinger(0) // on an error the connection closes without a reset, like "closes"
-		_ = conn.Close()                     // as above
+		_ = conn.Close()                     // the test checks the effect at the proxy
 	},
 }
 
--- a/internal/proxy/incarnation_test.go
+++ b/internal/proxy/incarnation_test.go
@@ -13,8 +13,9 @@
 	"meadowhinge/schema"
 )
 
-// Workers may register before the proxy has established its incarnation. If such a source were published under a random
-// incarnation, it could supersede what the proxy publishes afterwards, and its own mesh state would stay outdated.
+// Workers may register before the proxy has established its incarnation. If their source were published under a random
+// incarnation, it could supersede what the proxy publishes afterwards, and the mesh state of the proxy would stay
+// outdated.
 func TestSourceBeforeEstablishedIncarnationIsSuperseded(t *testing.T) {
 	rpcTransport := transport.NewPlaintext("proxy", "p", nil)
 	t.Cleanup(rpcTransport.Close)
--- a/internal/proxy/mesh_state_fold_test.go
+++ b/internal/proxy/mesh_state_fold_test.go
@@ -15,7 +15,8 @@
 	"meadowhinge/schema"
 )
 
-// fullState is the state of foldFromScratch, the reference implementation of Fold for sources.
+// fullState is the state of foldFromScratch, the reference implementation of Fold for sources. The fields correspond to
+// those of MeshState; firstSeenAt holds workerRecord.firstSeenAt by instance name.
 type fullState struct {
 	sources         map[string]sourceRecord
 	droppedVersions map[string]*schema.SourceVersion
--- a/internal/proxy/options_reload_test.go
+++ b/internal/proxy/options_reload_test.go
@@ -113,6 +113,7 @@
 	worker, arrived, release := startGatedWorker(t)
 	defer close(release)
 	callerProxy := startProxyPair(t, worker)
+	// The option is in nanoseconds: 50ms.
 	callerProxy.ChangeOptions(func(opts *schema.ProxyOptions) { opts.HorizonMost = int64(50e6) })
 	late := startRequest(t, callerProxy.CallerAddress)
 	awaitRequest(t, arrived, late)
--- a/internal/proxy/request_header_test.go
+++ b/internal/proxy/request_header_test.go
@@ -49,17 +49,17 @@
 func TestFirstInvalidLineDeterminesError(t *testing.T) {
 	const requestLine = "GET /a HTTP/1.1\r\n"
 	for name, test := range map[string]struct{ text, want string }{
-		"length before host":         {requestLine + "Content-Length: x\r\nHost: a/b\r\n\r\n", "invalid Content-Length"},
-		"host before length":         {requestLine + "Host: a/b\r\nContent-Length: x\r\n\r\n", "invalid Host"},
-		"encoding before expect":     {requestLine + "Transfer-Encoding: gzip\r\nExpect: x\r\n\r\n", "unsupported Transfer-Encoding"},
-		"expect before invalid line": {requestLine + "Expect: x\r\nX\r\n\r\n", "unsupported Expect"},
-		"request line before others": {"GET a HTTP/1.1\r\nX\r\n\r\n", "invalid target"},
-		"line before missing end":    {requestLine + "Host: a/b\r\nX: y", "invalid Host"},
-		"missing end before framing": {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n", "header is not terminated"},
-		"trailing data first":        {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", "data after the end of the header"},
-		"framing before host":        {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", "more than one Content-Length or Transfer-Encoding"},
-		"HTTP/1.0 before hosts":      {"GET /a HTTP/1.0\r\nHost: a\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", "Transfer-Encoding in HTTP/1.0"},
-		"no host":                    {requestLine + "\r\n", "missing or repeated Host"},
+		"length before host":           {requestLine + "Content-Length: x\r\nHost: a/b\r\n\r\n", "invalid Content-Length"},
+		"host before length":           {requestLine + "Host: a/b\r\nContent-Length: x\r\n\r\n", "invalid Host"},
+		"encoding before expect":       {requestLine + "Transfer-Encoding: gzip\r\nExpect: x\r\n\r\n", "unsupported Transfer-Encoding"},
+		"expect before invalid line":   {requestLine + "Expect: x\r\nX\r\n\r\n", "unsupported Expect"},
+		"request line before others":   {"GET a HTTP/1.1\r\nX\r\n\r\n", "invalid target"},
+		"line before missing end":      {requestLine + "Host: a/b\r\nX: y", "invalid Host"},
+		"missing end before framing":   {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n", "header is not terminated"},
+		"trailing data before framing": {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\nx", "data after the end of the header"},
+		"framing before host":          {requestLine + "Content-Length: 1\r\nContent-Length: 1\r\n\r\n", "more than one Content-Length or Transfer-Encoding"},
+		"HTTP/1.0 before hosts":        {"GET /a HTTP/1.0\r\nHost: a\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n", "Transfer-Encoding in HTTP/1.0"},
+		"no host":                      {requestLine + "\r\n", "missing or repeated Host"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, want := fmt.Sprint(parseRequestHeader(test.text, &RequestHeader{})), malformed(test.want).Error(); got != want {
--- a/internal/proxy/retry_after_test.go
+++ b/internal/proxy/retry_after_test.go
@@ -40,7 +40,7 @@
 		errs.WorkerConnectFailed:       "5",
 		errs.InvalidResponse:           "5",
 		errs.ProxyDraining:             "7",
-		// A retry of these would fail again.
+		// A retry after one of these errors would fail again.
 		errs.RouteNotFound:        "",
 		errs.PolicyDenied:         "",
 		errs.CallerDisconnected:   "",
