--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -11,14 +11,13 @@
 )
 
 // Compile returns the snapshot of a state, and every fault in the state, ordered by path. A snapshot with faults
-// can still be used: its faulty parts are left out or match nothing. revision is the configuration revision that
-// the snapshot reports.
+// can still be used: its faulty parts are left out or match nothing. revision becomes Snapshot.Revision.
 func Compile(state State, revision uint64) (*Snapshot, []*schema.FieldError) {
 	return CompileIncremental(nil, state, revision)
 }
 
 // CompileIncremental returns the same as Compile, but decodes only the items that differ from those of previous,
-// an earlier snapshot. It reuses the other decoded items, and the compiled policies. previous may be nil.
+// an earlier snapshot. It reuses the other decoded items and the compiled policies of previous, which may be nil.
 func CompileIncremental(previous *Snapshot, state State, revision uint64) (*Snapshot, []*schema.FieldError) {
 	if previous == nil {
 		previous = &Snapshot{decodedItems: map[string]*decodedItem{}}
@@ -44,9 +43,9 @@
 	return snapshot, faults
 }
 
-// decodeChanges decodes the items that are new or changed in a state, and drops the decoded items that the state
-// no longer has. It returns the new and changed routes, ordered by compareRoutes, and the names of the routes of
-// the previous snapshot that were changed or removed.
+// decodeChanges updates s.decodedItems, which has the items of the previous snapshot, to those of a state: it decodes
+// the items that are new or changed, and drops those that the state no longer has. It returns the new and changed
+// routes, ordered by compareRoutes, and the names of the routes of the previous snapshot that were changed or removed.
 func (s *Snapshot) decodeChanges(state State) (changedRoutes []*Route, replacedRoutes map[string]bool) {
 	replacedRoutes = map[string]bool{}
 	liveItems := 0
@@ -102,8 +101,8 @@
 	return retained
 }
 
-// bindDiscoveredVersions gives each service for which operators wrote neither versions nor a fallback those that were
-// discovered.
+// bindDiscoveredVersions sets the versions and the fallback of each service for which operators wrote neither to those
+// that were discovered.
 func (s *Snapshot) bindDiscoveredVersions() {
 	for name, service := range s.Services {
 		discovered := s.DiscoveredVersions[name]
@@ -153,7 +152,7 @@
 }
 
 // bindPolicies compiles the policy of each route, and sets Route.Policy. A policy is compiled once for each set of
-// attributes that routes use it with; programs of the previous snapshot are reused. A policy that no route names
+// attributes with which routes use it. Programs of the previous snapshot are reused. A policy that no route names
 // is compiled too, so that its faults are reported.
 func (s *Snapshot) bindPolicies(previous *Snapshot, add faultReporter) {
 	used := map[string]bool{}
@@ -175,7 +174,7 @@
 		}
 		// The decoded route is shared with other snapshots, in which the policy may have another expression.
 		bound := *route
-		bound.Policy = s.compilePolicy(previous, route.PolicyName, attributes, " (as route "+route.Name+" names it)", add)
+		bound.Policy = s.compilePolicy(previous, route.PolicyName, attributes, " (with the attributes of route "+route.Name+")", add)
 		s.Routes[i] = &bound
 	}
 	for _, name := range sortedKeys(s.policies) {
@@ -185,8 +184,8 @@
 	}
 }
 
-// compilePolicy returns the program of a policy for a set of attributes; with attributes nil, any name may be an
-// attribute. If the policy does not compile, it reports a fault whose text ends with usage, and returns nil.
+// compilePolicy returns the program of a policy for a set of attributes. If attributes is nil, any name may be an
+// attribute. If the policy does not compile, compilePolicy reports a fault whose text ends with usage, and returns nil.
 func (s *Snapshot) compilePolicy(previous *Snapshot, name string, attributes []string, usage string, add faultReporter) *policy.Program {
 	expression := s.policies[name].Expression
 	key := expression + "\x00" + strings.Join(attributes, "\x00")
--- a/internal/config/compile_test.go
+++ b/internal/config/compile_test.go
@@ -14,8 +14,8 @@
 	"meadowhinge/schema"
 )
 
-// stateFromBodies returns a state with an item for each body, by kind/name. The bodies are not checked against the
-// CUE schema, as those of items from an operator API that does not use CUE.
+// stateFromBodies returns a state with an item for each body, keyed by kind/name. The bodies are not checked against the
+// CUE schema. Neither are those of items from an operator API that does not use CUE.
 func stateFromBodies(bodies map[string]string) State {
 	var items []*schema.Item
 	for key, body := range bodies {
@@ -89,7 +89,7 @@
 		t.Run(name, func(t *testing.T) {
 			snapshot, faults := Compile(stateFromBodies(test.bodies), 1)
 			if diff := cmp.Diff(test.paths, pathsOf(faults)); diff != "" {
-				t.Errorf("paths of faults (-want +got):\n%s", diff)
+				t.Errorf("Compile: paths of faults (-want +got):\n%s", diff)
 			}
 			if diff := cmp.Diff(test.limits, snapshot.Limits); diff != "" && name != "every bad limit is reported" {
 				t.Errorf("Snapshot.Limits (-want +got):\n%s", diff)
@@ -114,7 +114,7 @@
 	}
 	route, found := snapshot.Match("a.EXAMPLE", "/a/x", "GET")
 	if !found || route.LatencyTarget != 200*time.Millisecond || route.MaxAttempts != 2 || route.Priority != 1 || route.Deadline != 2*time.Second || route.KeyHeader == "" {
-		t.Errorf("Match returned %+v, %v; want route r as the text states it, with a deadline of 2s and a key header", route, found)
+		t.Errorf("Match returned %+v, %v; want a route with LatencyTarget 200ms, MaxAttempts 2, Priority 1, Deadline 2s and a KeyHeader", route, found)
 	}
 	if snapshot.Limits.MaxBodyBytes != 100 || snapshot.Limits.IdleTimeout != 15*time.Second {
 		t.Errorf("Limits are %+v, want MaxBodyBytes 100 and IdleTimeout 15s", snapshot.Limits)
@@ -151,11 +151,11 @@
 			}
 			snapshot, faults := Compile(stateFromBodies(bodies), 1)
 			if diff := cmp.Diff(test.paths, pathsOf(faults)); diff != "" {
-				t.Errorf("%s: %s", name, diff)
+				t.Errorf("Compile: paths of faults (-want +got):\n%s", diff)
 			}
 			service := snapshot.Services["shop"]
 			if diff := cmp.Diff(test.versions, service.Versions); diff != "" || service.Fallback != test.fallback || snapshot.FallbackOf("shop") != test.fallback {
-				t.Errorf("got service %+v and FallbackOf %q; want versions %q and fallback %q", service, snapshot.FallbackOf("shop"), test.versions, test.fallback)
+				t.Errorf("Snapshot.Services has shop with versions %q and fallback %q, and FallbackOf(shop) = %q; want versions %q and fallback %q", service.Versions, service.Fallback, snapshot.FallbackOf("shop"), test.versions, test.fallback)
 			}
 			for _, version := range test.versions {
 				if !service.AllowsVersion(version) {
@@ -298,11 +298,11 @@
 		want          string
 		paths         []string
 	}{
-		"without operator versions it is a fault":       {0, 0, "a", []string{"route.b"}},
-		"with only one operator version it is a fault":  {0, 4, "b", []string{"route.a"}},
-		"the higher operator version wins, by route a":  {5, 4, "a", nil},
-		"the higher operator version wins, by route b":  {4, 5, "b", nil},
-		"with equal operator versions the name decides": {4, 4, "a", nil},
+		"two routes without operator versions are a fault": {0, 0, "a", []string{"route.b"}},
+		"two routes with one operator version are a fault": {0, 4, "b", []string{"route.a"}},
+		"the higher operator version is matched, route a":  {5, 4, "a", nil},
+		"the higher operator version is matched, route b":  {4, 5, "b", nil},
+		"of equal operator versions the first by name is":  {4, 4, "a", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a, b := route("a", 1, test.first), route("b", 1, test.second)
@@ -353,14 +353,14 @@
 		items   []*schema.Item
 		decodes int
 	}{
-		"no change":                           {nil, 0},
-		"a changed route":                     {[]*schema.Item{changed("route", "r7", `{"host":"h7.example","prefix":"/","service":"a"}`, false)}, 1},
-		"a new route":                         {[]*schema.Item{changed("route", "new", `{"host":"h7.example","prefix":"/","service":"a"}`, false)}, 1},
-		"a removed route":                     {[]*schema.Item{changed("route", "r7", "", true)}, 0},
-		"a split route that gets one service": {[]*schema.Item{changed("route", "r10", `{"host":"h5.example","prefix":"/p10/","service":"b"}`, false)}, 1},
-		"changed weights of a split":          {[]*schema.Item{changed("route", "r10", `{"host":"h5.example","prefix":"/p10/","split":[{"service":"b","weight":1}]}`, false)}, 1},
-		"changed discovered versions":         {[]*schema.Item{changed("standing", "a", `{"versions":["v1","v2"],"fallback":"v1"}`, false)}, 1},
-		"a changed flag":                      {[]*schema.Item{changed("flag", "release.a", `{"on":false,"salt":"s","variations":["v1"],"offVariation":0,"fallthrough":{"variation":0}}`, false)}, 1},
+		"no change decodes nothing":                          {nil, 0},
+		"a changed route is decoded":                         {[]*schema.Item{changed("route", "r7", `{"host":"h7.example","prefix":"/","service":"a"}`, false)}, 1},
+		"a new route is decoded":                             {[]*schema.Item{changed("route", "new", `{"host":"h7.example","prefix":"/","service":"a"}`, false)}, 1},
+		"a removed route decodes nothing":                    {[]*schema.Item{changed("route", "r7", "", true)}, 0},
+		"a split route that gets one service is decoded":     {[]*schema.Item{changed("route", "r10", `{"host":"h5.example","prefix":"/p10/","service":"b"}`, false)}, 1},
+		"a route whose split has changed weights is decoded": {[]*schema.Item{changed("route", "r10", `{"host":"h5.example","prefix":"/p10/","split":[{"service":"b","weight":1}]}`, false)}, 1},
+		"changed discovered versions are decoded":            {[]*schema.Item{changed("standing", "a", `{"versions":["v1","v2"],"fallback":"v1"}`, false)}, 1},
+		"a changed flag is decoded":                          {[]*schema.Item{changed("flag", "release.a", `{"on":false,"salt":"s","variations":["v1"],"offVariation":0,"fallthrough":{"variation":0}}`, false)}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := state.With(test.items)
--- a/internal/config/item_kinds.go
+++ b/internal/config/item_kinds.go
@@ -11,7 +11,8 @@
 	"meadowhinge/schema"
 )
 
-// The kinds of items besides KindPurged. The value is the kind's name in stored items and in operators' CUE text.
+// The kinds of items besides KindPurged, by their names in stored items. The rollout controller writes items of
+// kindDiscoveredVersions and kindProgress. Operators write the others, in CUE text under the same names.
 const (
 	kindService            = "service"
 	kindDiscoveredVersions = "standing"
@@ -28,7 +29,7 @@
 // itemPath returns the path of an item in the faults that operators see.
 func itemPath(kind, name string) string { return kind + "." + name }
 
-// faultReporter records a fault at a path; format and values make its reason, as for fmt.Sprintf.
+// faultReporter records a fault at a path. Its reason is made of format and values, as for fmt.Sprintf.
 type faultReporter func(path, format string, values ...any)
 
 // faultList collects faults. Its method add is a faultReporter.
@@ -65,8 +66,8 @@
 	addTo  func(snapshot *Snapshot, decoded *decodedItem) // adds a decoded item to a snapshot
 }
 
-// newItemKind returns the functions for items with a body of type V. prepare sets the derived fields of a decoded
-// body and reports its faults; addTo adds the body to a snapshot.
+// newItemKind returns the functions for items with a body of type V. The function prepare sets the derived fields of a
+// decoded body and reports its faults. The function addTo adds the body to a snapshot.
 func newItemKind[V any](
 	prepare func(item *schema.Item, body *V, add faultReporter),
 	addTo func(snapshot *Snapshot, name string, body *V, item *schema.Item),
@@ -164,21 +165,20 @@
 	KindPurged: newItemKind(noPreparation[tombstonePurge], notAdded[tombstonePurge]),
 }
 
-// recordRevision raises the VersionRevision of a version to the sequence of a release plan or stop of the version.
+// recordRevision raises the VersionRevision of a version to the sequence of item, a release plan or stop of the version.
 func (s *Snapshot) recordRevision(service, version string, item *schema.Item) {
 	key := serviceVersion{service, version}
 	s.versionRevisions[key] = max(s.versionRevisions[key], item.Version.GetSequence())
 }
 
-// addFlagFaults reports faults that package flag found. Their paths need no prefix.
+// addFlagFaults reports faults that package flag found. Their paths already begin with the kind and key of the item.
 func addFlagFaults(faults []flag.Fault, add faultReporter) {
 	for _, fault := range faults {
 		add(fault.Path, "%s", fault.Reason)
 	}
 }
 
-// parsePositiveDuration parses a duration. It reports a fault at the path if the text is no duration, or a duration
-// of zero or less.
+// parsePositiveDuration parses a duration. It reports a fault at the path if the text is not a duration above zero.
 func parsePositiveDuration(text, path string, add faultReporter) time.Duration {
 	duration, err := time.ParseDuration(text)
 	switch {
@@ -218,7 +218,8 @@
 }
 
 // Check returns the faults that items have by themselves, whatever else the configuration holds. Tombstones have
-// none. A caller can refuse an item that can never be valid, even if a newer version of the item exists.
+// none. With it, the leader of the stores refuses an item that can never be valid even if the item is not written and so
+// not compiled, because a newer version of it exists.
 func Check(items []*schema.Item) []*schema.FieldError {
 	var faults []*schema.FieldError
 	for _, item := range items {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -15,7 +15,7 @@
 	HeaderTimeoutText string `json:"headerWait,omitempty"` // HeaderTimeout as the operator wrote it, such as 10s
 	IdleTimeoutText   string `json:"quiet,omitempty"`      // IdleTimeout as the operator wrote it, such as 1m
 
-	HeaderTimeout time.Duration `json:"-"` // time from the first byte of a request header to its last
+	HeaderTimeout time.Duration `json:"-"` // longest time from the first byte of a request header to its last
 	IdleTimeout   time.Duration `json:"-"` // time for which a connection without a request is kept open
 }
 
--- a/internal/config/prepare_route.go
+++ b/internal/config/prepare_route.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// parseTimes parses the deadline and the latency target of the route.
+// parseTimes parses the deadline and the latency target of the route, and reports their faults.
 func (r *Route) parseTimes(path string, add faultReporter) {
 	if r.DeadlineText != "" {
 		r.Deadline = parsePositiveDuration(r.DeadlineText, path+".horizon", add)
@@ -52,10 +52,11 @@
 }
 
 // buildSplitFlag makes the flag that picks the service of a split route, a percentage rollout over its services.
-// A split with a negative weight, or without any weight, is reported and gets no flag.
+// A split with a negative weight, or without any weight, is reported and gets no flag. A service in addition to the
+// split is reported too.
 func (r *Route) buildSplitFlag(path string, add faultReporter) {
 	if r.Service != "" {
-		add(path+".service", "must be left out where a split is given")
+		add(path+".service", "must be left out if a split is given, got %q", r.Service)
 	}
 	totalWeight := 0.0
 	for i, weighted := range r.Split {
--- a/internal/config/references.go
+++ b/internal/config/references.go
@@ -125,7 +125,7 @@
 	for _, name := range sortedKeys(s.Releases) {
 		release := s.Releases[name]
 		hasDiscovered := s.DiscoveredVersions[release.Service] != nil
-		// The plan of a service that was removed stays, and has an effect again once the service is added again.
+		// The plan of a removed service is no fault. It stays, and has an effect once the service is added again.
 		if s.Services[release.Service] == nil && hasDiscovered {
 			continue
 		}
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -14,10 +14,10 @@
 	Version      string  `json:"version"`      // the version to roll out
 	Target       float64 `json:"target"`       // percentage of the service's calls that Version should reach, 0 to 100
 	DurationText string  `json:"over"`         // Duration as the operator wrote it, such as 10m
-	Control      string  `json:"pace"`         // go: carry out the plan; hold: pause it; back: roll it back
+	Control      string  `json:"pace"`         // go carries out the plan, hold pauses it, back rolls it back; empty means go
 	Strategy     string  `json:"by,omitempty"` // StrategyRamp or StrategyDeadline; empty means StrategyRamp
 
-	Duration time.Duration `json:"-"` // time over which Target is reached, parsed from DurationText
+	Duration time.Duration `json:"-"` // time in which Target should be reached, parsed from DurationText
 	Revision uint64        `json:"-"` // configuration revision in which the plan was written
 }
 
@@ -36,18 +36,18 @@
 type Progress struct {
 	ControllerTerm  uint64  `json:"duty"`            // term of the rollout controller that wrote it; never decreases
 	Controller      string  `json:"holder"`          // id of the core member that was the controller
-	PlanID          string  `json:"set"`             // service and version of the plan that this is the progress of, joined by a space
-	State           string  `json:"state"`           // trial, ramp, hold, settle, done or back: see the states in package release
+	PlanID          string  `json:"set"`             // service and version of the plan, joined by a space
+	State           string  `json:"state"`           // trial, ramp, hold, settle, done or back, as package release defines them
 	Reason          string  `json:"reason"`          // reason for which the plan is in State
 	Percentage      float64 `json:"share"`           // percentage of calls that the new version should get at present, 0 to 100
 	Weight          int     `json:"weight"`          // weight of the new version in the version flag, 0 to flag.TotalWeight
-	Elapsed         int64   `json:"elapsed"`         // nanoseconds of the ramp; with StrategyDeadline, nanoseconds since the plan was written
+	Elapsed         int64   `json:"elapsed"`         // nanoseconds of raising Percentage; with StrategyDeadline, since the plan was written
 	PreviousVersion string  `json:"from,omitempty"`  // the version that the new one replaces
 	StateSince      int64   `json:"since,omitempty"` // value of Elapsed when the current state or percentage began; only with StrategyDeadline
 }
 
-// progressStateRamp is the Progress.State of a plan whose version is getting more calls. Package release defines
-// all states. This one is repeated here, since release imports this package.
+// progressStateRamp is the Progress.State of a plan while the percentage of its version is being raised. Package release
+// defines all states. This one is repeated here, since release imports this package.
 const progressStateRamp = "ramp"
 
 // ControllerTermOf returns the term of the rollout controller that wrote a progress item, 0 if the body cannot be
--- a/internal/config/route.go
+++ b/internal/config/route.go
@@ -18,8 +18,10 @@
 
 // WeightedService is one of the services over which a route splits its requests.
 type WeightedService struct {
-	Service string  `json:"service"`
-	Weight  float64 `json:"weight"` // not negative, of any scale; divided by the sum of the split's weights, it is the service's part of the requests
+	Service string `json:"service"`
+	// Weight is not negative and of any scale. The service gets Weight divided by the sum of the split's weights, as a
+	// fraction of the route's requests.
+	Weight float64 `json:"weight"`
 }
 
 // Route sends the requests that match its host, path prefix and methods to a service, or splits them over several.
@@ -34,14 +36,14 @@
 	Class             Class             `json:"class,omitempty"`      // class of the requests; if empty, ClassFor derives it from the method
 	DeadlineText      string            `json:"horizon,omitempty"`    // Deadline as the operator wrote it, such as 800ms
 	LatencyTargetText string            `json:"aim,omitempty"`        // LatencyTarget as the operator wrote it, such as 200ms
-	MaxAttempts       int               `json:"tries,omitempty"`      // maximum number of workers that one request is sent to; 0 means no limit
+	MaxAttempts       int               `json:"tries,omitempty"`      // maximum number of attempts that may reach a worker; 0 means no limit
 	Priority          int               `json:"rank,omitempty"`       // requests with a lower value are served first under overload
-	KeyHeader         string            `json:"key,omitempty"`        // header with the key by which flags bucket requests; empty means the request id
-	Attributes        map[string]string `json:"attributes,omitempty"` // header with the value of each attribute of flags and policies, keyed by attribute
+	KeyHeader         string            `json:"key,omitempty"`        // header with the key for flags; empty means the caller's id of the attempt
+	Attributes        map[string]string `json:"attributes,omitempty"` // headers with the attributes for flags and policies, keyed by attribute
 	PolicyName        string            `json:"policy,omitempty"`     // policy that must allow each call; empty means no policy
 
 	Host          string          `json:"-"` // HostText normalized by NormalizeHost; empty matches any host
-	Deadline      time.Duration   `json:"-"` // longest time for a request; 0 means that only the caller and the proxy limit it
+	Deadline      time.Duration   `json:"-"` // longest time for a request; 0 means no limit but those of the caller and the proxy
 	LatencyTarget time.Duration   `json:"-"` // time within which a response is worth most; 0 means no target
 	Policy        *policy.Program `json:"-"` // compiled policy; nil if there is none, or if it does not compile
 
--- a/internal/config/route_matcher.go
+++ b/internal/config/route_matcher.go
@@ -95,8 +95,8 @@
 		return nil
 	}
 	groups := m.groups[hostGroups.from:hostGroups.to]
-	// A group whose prefix matches the path is the last group that is not ordered after the path, or one of its
-	// ancestors. Not all of these match.
+	// Every group whose prefix matches the path is either the last group that is not ordered after the path, or an
+	// ancestor of that group. Not all of these match, so each is checked.
 	insertion, exact := slices.BinarySearchFunc(groups, path, comparePrefix)
 	current := hostGroups.from + insertion
 	if !exact {
@@ -134,8 +134,8 @@
 }
 
 // Match returns the route for a request, and false if there is none. Routes for the request's host take precedence
-// over routes for any host. Among either, the route that matches the method and has the longest prefix of the path
-// is returned.
+// over routes for any host. Of the routes for the same host that match the path and the method, the one with the longest
+// prefix is returned.
 func (s *Snapshot) Match(host, path, method string) (*Route, bool) {
 	if host != "" {
 		if route := s.routeMatcher.find(NormalizeHost(host), path, method); route != nil {
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -173,7 +173,7 @@
 		t.Errorf("Match for the removed route r3 returned %+v, want none", route)
 	}
 	if route, found := after.Match("", "/moved", "GET"); !found || route.KeyHeader != "K" {
-		t.Errorf("Match for the changed route r4 returned %+v, %v; want key header K", route, found)
+		t.Errorf("Match for the changed route r4 returned %+v, %v; want a route with key header K", route, found)
 	}
 }
 
@@ -242,7 +242,7 @@
 				paths = append(paths, fault.Path)
 			}
 			if diff := cmp.Diff(test.paths, paths); diff != "" {
-				t.Errorf("paths of faults (-want +got):\n%s", diff)
+				t.Errorf("Parse and Compile: paths of faults (-want +got):\n%s", diff)
 			}
 			// The next snapshot reuses the compiled program.
 			if next, _ := CompileIncremental(snapshot, state, 10); len(test.paths) == 0 && len(snapshot.Routes) > 0 && next.Routes[0].Policy != snapshot.Routes[0].Policy {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -26,7 +26,7 @@
 // tombstonePurge is the body of the item of KindPurged. All zero means that no tombstone has been purged.
 type tombstonePurge struct {
 	UpTo                  uint64 `json:"to"`              // sequence up to which tombstones without an operator version are purged
-	OperatorVersionedUpTo uint64 `json:"given,omitempty"` // sequence up to which those with an operator version are purged too
+	OperatorVersionedUpTo uint64 `json:"given,omitempty"` // sequence up to which tombstones with an operator version are purged too
 }
 
 // NewPurgeItem returns the item that purges tombstones up to sequence upTo. Tombstones with an operator version are
@@ -38,8 +38,8 @@
 }
 
 // PurgedUpTo returns the sequence up to which tombstones without an operator version have been purged. A replica
-// whose state is older may still have removed items, and a delta no longer contains their tombstones. It needs the
-// complete state.
+// whose state is older may still have removed items, and a delta no longer contains their tombstones. The replica
+// therefore needs the complete state.
 func (s State) PurgedUpTo() uint64 { return s.purge().UpTo }
 
 // OperatorVersionedPurgedUpTo returns the sequence up to which tombstones with an operator version have been purged.
@@ -86,9 +86,9 @@
 	return count, operatorVersioned
 }
 
-// ChangesAfter returns the items that a replica needs if it has the state as of a sequence. They are the newer items,
-// for the replica to merge in, or every item if complete is true, to replace its state. A replica with sequence 0, or
-// with one before PurgedUpTo, gets the complete state.
+// ChangesAfter returns the items that a replica needs if it has the state as of a sequence. If complete is false, they
+// are the newer items, which the replica merges into its state. If complete is true, they are all items, which replace
+// its state. A replica with sequence 0, or with one before PurgedUpTo, gets the complete state.
 func (s State) ChangesAfter(sequence uint64) (items []*schema.Item, complete bool) {
 	complete = sequence == 0 || sequence < s.PurgedUpTo()
 	for _, item := range s.Items() {
