--- a/internal/flag/bucket.go
+++ b/internal/flag/bucket.go
@@ -14,8 +14,8 @@
 	maxBucketValue = 0xFFFFFFFFFFFFFFF
 )
 
-// Bucket returns the bucket of a context, a number from 0 to 1, both included. It is computed from the value of an
-// attribute of a context kind, and from the seed, or if seed is nil from the key and salt of the flag or segment. An
+// Bucket returns the bucket of a context, a number from 0 to 1, both included. It is computed from the value of the
+// attribute name of a context kind, and from seed, or if seed is nil, from the key and salt of the flag or segment. An
 // empty name means the key of the context. The bucket is 0 if the context does not have the kind or the attribute,
 // or if the value is neither text nor a whole number.
 func Bucket(key, salt string, seed *int64, context EvaluationContext, kind, name string) float64 {
@@ -43,7 +43,7 @@
 	return float64(binary.BigEndian.Uint64(sum[:])>>(64-4*bucketDigits)) / maxBucketValue
 }
 
-// bucketBufferBytes is the length in bytes up to which the hashed text needs no allocation.
+// bucketBufferBytes is the length, in bytes, up to which no memory is allocated for the hashed text.
 const bucketBufferBytes = 192
 
 // bucketText returns the text by which a value is bucketed, and false for a value that cannot be bucketed. Only text,
--- a/internal/flag/compile.go
+++ b/internal/flag/compile.go
@@ -72,7 +72,7 @@
 	for i := range f.Rules {
 		rule, at := &f.Rules[i], fmt.Sprintf(".rules[%d]", i)
 		if rule.ID == "" || seen[rule.ID] {
-			list.add(at, "id %q is empty or the id of another rule", rule.ID)
+			list.add(at, "id %q must not be empty or the id of an earlier rule", rule.ID)
 		}
 		seen[rule.ID] = true
 		list.faults = append(list.faults, compileClauses(rule.Clauses, list.path+at, true)...)
@@ -91,8 +91,8 @@
 	}
 }
 
-// checkServe reports a serve that has both a variation and a rollout or neither of them, that refers to a variation
-// which does not exist, or whose weights do not add up to TotalWeight.
+// checkServe reports a serve that has both a variation and a rollout, or neither of them. It also reports a variation
+// that does not exist, a weight that is out of range, and weights that do not add up to TotalWeight.
 func (f *Flag) checkServe(list *faultList, at string, serve Serve) {
 	if (serve.Variation == nil) == (serve.Rollout == nil) {
 		list.add(at, "must have either a variation or a rollout")
@@ -107,7 +107,7 @@
 	for _, weighted := range serve.Rollout.Variations {
 		f.checkVariation(list, at, weighted.Variation)
 		if weighted.Weight < 0 || weighted.Weight > TotalWeight {
-			list.add(at, "weight %d is not from 0 to %d", weighted.Weight, TotalWeight)
+			list.add(at, "weight must be from 0 to %[2]d, got %[1]d", weighted.Weight, TotalWeight)
 			return
 		}
 		sum += weighted.Weight
@@ -125,7 +125,7 @@
 		at := fmt.Sprintf("segment.%s.rules[%d]", s.Key, i)
 		faults = append(faults, compileClauses(s.Rules[i].Clauses, at, false)...)
 		if weight := s.Rules[i].Weight; weight != nil && (*weight < 0 || *weight > TotalWeight) {
-			faults = append(faults, Fault{at, fmt.Sprintf("weight %d is not from 0 to %d", *weight, TotalWeight)})
+			faults = append(faults, Fault{at, fmt.Sprintf("weight must be from 0 to %[2]d, got %[1]d", *weight, TotalWeight)})
 		}
 	}
 	return faults
--- a/internal/flag/evaluate.go
+++ b/internal/flag/evaluate.go
@@ -23,8 +23,8 @@
 	if !evaluated.On {
 		return evaluated.variationResult(evaluated.OffVariation, Result{Reason: ReasonOff})
 	}
-	// Compile reports cycles of prerequisites, but a set with faults may be evaluated all the same. The evaluation
-	// must not recurse without end then.
+	// Compile reports cycles of prerequisites, but a set with faults may be evaluated all the same. Such an evaluation
+	// must not recurse without end.
 	if len(evaluated.Prerequisites) > 0 {
 		if visiting[evaluated.Key] {
 			return Result{Index: -1, Reason: ReasonError, Error: MalformedFlag}
@@ -118,8 +118,8 @@
 	return last, found
 }
 
-// allClausesMatch reports whether every clause matches. allowSegments is false for the rules of segments, in which a
-// clause that refers to segments does not match.
+// allClausesMatch reports whether every clause matches. allowSegments is false for the rules of segments, where a clause
+// that refers to segments does not match.
 func (s *Set) allClausesMatch(clauses []Clause, context EvaluationContext, allowSegments bool) bool {
 	for i := range clauses {
 		if !s.clauseMatches(&clauses[i], context, allowSegments) {
@@ -146,7 +146,8 @@
 	return matchesAnyElement(compare, value, clause) != clause.Negate
 }
 
-// inAnySegment reports whether a context is in any of the segments with some names.
+// inAnySegment reports whether a context is in any of the segments that names has. Elements that are not text are
+// ignored.
 func (s *Set) inAnySegment(names []any, context EvaluationContext) bool {
 	for _, value := range names {
 		name, _ := value.(string)
--- a/internal/flag/flag_test.go
+++ b/internal/flag/flag_test.go
@@ -273,7 +273,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if len(compileChanged(change)) == 0 {
-				t.Error("Compile returned no fault")
+				t.Errorf("Compile of a flag with %s returned no fault, want at least one", name)
 			}
 		})
 	}
--- a/internal/flag/model.go
+++ b/internal/flag/model.go
@@ -17,12 +17,12 @@
 
 // The reasons, in the order of the steps.
 const (
-	ReasonError        Reason = "ERROR"
-	ReasonOff          Reason = "OFF"
-	ReasonPrerequisite Reason = "PREREQUISITE_FAILED"
-	ReasonTarget       Reason = "TARGET_MATCH"
-	ReasonRule         Reason = "RULE_MATCH"
-	ReasonFallthrough  Reason = "FALLTHROUGH"
+	ReasonError        Reason = "ERROR"               // the flag cannot be evaluated; Result.Error has the cause
+	ReasonOff          Reason = "OFF"                 // the flag is off
+	ReasonPrerequisite Reason = "PREREQUISITE_FAILED" // a prerequisite is not met
+	ReasonTarget       Reason = "TARGET_MATCH"        // a target lists the context
+	ReasonRule         Reason = "RULE_MATCH"          // a rule matches the context
+	ReasonFallthrough  Reason = "FALLTHROUGH"         // no target and no rule applies
 )
 
 // ErrorCode is the cause of a result with ReasonError.
@@ -30,7 +30,7 @@
 
 // The error codes.
 const (
-	FlagNotFound  ErrorCode = "FLAG_NOT_FOUND"
+	FlagNotFound  ErrorCode = "FLAG_NOT_FOUND"     // the flag does not exist
 	KeyMissing    ErrorCode = "USER_NOT_SPECIFIED" // the context does not have DefaultKind, or one of its kinds has no key
 	MalformedFlag ErrorCode = "MALFORMED_FLAG"     // the definition has a fault that Compile reports
 )
--- a/internal/flag/references.go
+++ b/internal/flag/references.go
@@ -6,8 +6,8 @@
 )
 
 // CheckReferences returns the faults between definitions: references to flags, variations and segments that do not
-// exist, and cycles of prerequisites. Every definition must have been prepared. Flags without references cost next
-// to nothing here.
+// exist, and cycles of prerequisites. Every definition must have been prepared. Flags without references are skipped,
+// so they cost next to nothing.
 func (s *Set) CheckReferences() []Fault {
 	var faults []Fault
 	var referring []string
@@ -58,8 +58,8 @@
 	return faults
 }
 
-// findCycles returns a fault for each cycle of prerequisites that a depth-first search from the flags with some keys
-// finds.
+// findCycles returns a fault for each cycle of prerequisites that a depth-first search finds. referring has the keys of
+// the flags from which the search starts.
 func (s *Set) findCycles(referring []string) []Fault {
 	var faults []Fault
 	// The states of a flag in the search.
