--- a/internal/configsource/items.go
+++ b/internal/configsource/items.go
@@ -41,7 +41,7 @@
 
 func keyOf(item *schema.Item) string { return schema.Key(item.Kind, item.Name) }
 
-// itemsOfKind returns the items of a kind, in no order.
+// itemsOfKind returns the items of a kind, in no particular order.
 func itemsOfKind(kind string, bodyByName map[string]json.RawMessage) (items []*schema.Item) {
 	for name, body := range bodyByName {
 		items = append(items, &schema.Item{Kind: kind, Name: name, Body: body})
@@ -49,7 +49,8 @@
 	return items
 }
 
-// limitsItem returns the only item of limits, as a list. Its fields stand where other kinds have the names of items.
+// limitsItem returns the only item of limits, as a list. In the text, the fields of the limits are on the level at which
+// other kinds have the names of their items.
 func limitsItem(fields map[string]json.RawMessage) ([]*schema.Item, *schema.FieldError) {
 	body, err := json.Marshal(fields)
 	if err != nil {
--- a/internal/configsource/parse.go
+++ b/internal/configsource/parse.go
@@ -29,8 +29,9 @@
 	ctx        *cue.Context // nil before the first parse
 }
 
-// Parse returns the items of a change that an operator wrote in CUE, ordered by schema.Key, or every fault of the
-// text. Items have no version. A removed item is returned as a tombstone.
+// Parse returns the items of a change that an operator wrote in CUE, ordered by schema.Key. Items have no version. A
+// removed item is returned as a tombstone. If the text is invalid, Parse returns its faults instead: all that CUE finds,
+// or if CUE finds none, the first that Parse finds in the items.
 func Parse(text []byte) ([]*schema.Item, []*schema.FieldError) {
 	schemaCache.lock.Lock()
 	defer schemaCache.lock.Unlock()
--- a/internal/errs/codes.go
+++ b/internal/errs/codes.go
@@ -19,7 +19,7 @@
 	NoQuorum                  Code = "NO_MAJORITY"               // no majority of the core members is reachable, or there is no leader
 	ChangeNotFound            Code = "UNKNOWN_CHANGE"            // no change with this id is known
 	RouteNotFound             Code = "NO_ROUTE"                  // no route, or no page, matches the request
-	CallerNotAllowed          Code = "CALLER_NOT_ALLOWED"        // the caller is not among the service's callers
+	CallerNotAllowed          Code = "CALLER_NOT_ALLOWED"        // the service does not allow the caller, or the peer may not call on its behalf
 	PolicyDenied              Code = "POLICY_REFUSED"            // the policy of the route denied the call
 	BodyTooLarge              Code = "TOO_LARGE"                 // the request body exceeds the limit
 	HeaderTooLarge            Code = "HEAD_TOO_LARGE"            // the request header exceeds the limit
@@ -27,7 +27,7 @@
 	MalformedRequest          Code = "MALFORMED"                 // the request is not valid HTTP, or not valid for its path
 	NoLease                   Code = "NO_LEASE"                  // the proxy has no valid lease, so its configuration may be stale
 	NoWorker                  Code = "NO_WORKER"                 // no worker of the service can take the call
-	QueueFull                 Code = "BUFFER_FULL"               // a limit on requests in flight or on reservations is reached
+	QueueFull                 Code = "BUFFER_FULL"               // a capacity limit is reached, such as on requests in flight or reservations
 	WorkerDraining            Code = "WORKER_LEAVING"            // the worker accepts no new requests
 	WrongInstance             Code = "WRONG_INSTANCE"            // the proxy does not have the worker instance that was picked
 	ProxyWarmingUp            Code = "PROXY_YOUNG"               // the proxy has just started and may not know all of its workers yet
@@ -36,7 +36,7 @@
 	DeadlineExceeded          Code = "HORIZON_PAST"              // the deadline of the call has passed
 	CallerDisconnected        Code = "CALLER_GONE"               // the caller closed its connection before the response was sent
 	DuplicateRequest          Code = "REQUEST_REPEATED"          // a request with this id has been received before
-	IdempotencyKeyReused      Code = "IDEMPOTENCY_KEY_REUSED"    // the key was used for a request with another body
+	IdempotencyKeyReused      Code = "IDEMPOTENCY_KEY_REUSED"    // the key was used for a request with another target or body
 	IdempotencyKeyUnresolved  Code = "IDEMPOTENCY_KEY_UNSETTLED" // the outcome of an earlier request under the key is not known
 	IdempotencyKeyNotReserved Code = "IDEMPOTENCY_KEY_UNCLAIMED" // no majority of registries reserved the key
 	InvalidResponse           Code = "BAD_ANSWER"                // a worker or another mesh process sent something that is not a valid response
--- a/internal/errs/errs_test.go
+++ b/internal/errs/errs_test.go
@@ -47,6 +47,6 @@
 		return true
 	})
 	if listed := len(Codes()); declared != listed || declared == 0 {
-		t.Errorf("codes.go declares %d codes, Codes returns %d; want the same number above zero", declared, listed)
+		t.Errorf("codes.go declares %d codes, Codes returns %d; want equal numbers above zero", declared, listed)
 	}
 }
--- a/internal/options/golden_test.go
+++ b/internal/options/golden_test.go
@@ -16,8 +16,8 @@
 	"meadowhinge/schema"
 )
 
-// programs has the settings message of each program with settings in the schema, by the name of its golden file. The
-// names stay when a program is renamed.
+// programs has the settings message of each program with settings in the schema. The key is the name of the program's
+// golden file, with spaces in place of hyphens. It stays when the program is renamed.
 var programs = map[string]proto.Message{
 	"proxy":           &schema.ProxyOptions{},
 	"registry":        &schema.RegistryOptions{},
--- a/internal/options/parse.go
+++ b/internal/options/parse.go
@@ -18,8 +18,9 @@
 const settingsFlag = "settings"
 
 // Parse sets the fields of target to the settings in args, a command line, and in the file that its flag -settings
-// names. If the command line asks for help or the version, Parse writes it to help and returns flag.ErrHelp. Any
-// other error is Faults, with every invalid setting.
+// names. If the command line asks for help or the version, Parse writes the text to help and returns flag.ErrHelp. Any
+// other error is of type Faults. It has every invalid setting, or only the first error if the flags or the file cannot
+// be read.
 func Parse(program string, args []string, target proto.Message, help io.Writer) error {
 	_, err := ParseWithFile(program, args, target, help)
 	return err
@@ -67,7 +68,7 @@
 func newSettingSet(program string, message protoreflect.Message) *settingSet {
 	set := &settingSet{flags: flag.NewFlagSet(program, flag.ContinueOnError), message: message}
 	set.flags.SetOutput(io.Discard)
-	set.settingsFile = set.flags.String(settingsFlag, "", "file with one 'name value' a line; flags go before it")
+	set.settingsFile = set.flags.String(settingsFlag, "", "file with one 'name value' on each line; flags take precedence over it")
 	set.showVersion = set.flags.Bool("version", false, "print the version and exit")
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
--- a/internal/options/value_forms.go
+++ b/internal/options/value_forms.go
@@ -91,7 +91,7 @@
 	for _, pair := range strings.Split(text, ",") {
 		name, address, found := strings.Cut(pair, "=")
 		if !found || name == "" || seen[name] {
-			return refuse("%q is not name=IP:port, or its name is repeated", pair)
+			return refuse("%q must be name=IP:port, with a name that no other pair has", pair)
 		}
 		seen[name] = true
 		if _, err := netip.ParseAddrPort(address); err != nil {
@@ -156,7 +156,7 @@
 	return protoreflect.ValueOfString(text), ""
 }
 
-// parseSwitch returns the truth value that strconv.ParseBool accepts.
+// parseSwitch returns a truth value, in any form that strconv.ParseBool accepts.
 func parseSwitch(text string, _ *schema.Rule) (value protoreflect.Value, reason string) {
 	isOn, err := strconv.ParseBool(text)
 	if err != nil {
