--- a/internal/daemon/probes.go
+++ b/internal/daemon/probes.go
@@ -35,8 +35,8 @@
 }
 
 // ServeProbes starts to serve /live, /ready, /process, /journal and the program's own pages at an address, and returns.
-// It serves until the process ends. ready is called for each readiness probe, from any goroutine. ServeProbes fails
-// with errs.InvalidOptions if it cannot listen at the address.
+// They are served until the process ends. ready is called for each readiness probe, from any goroutine. ServeProbes
+// fails with errs.InvalidOptions if it cannot listen at the address.
 func (e *Environment) ServeProbes(address string, ready func() Readiness) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
--- a/internal/daemon/response.go
+++ b/internal/daemon/response.go
@@ -26,7 +26,7 @@
 	Code    errs.Code `json:"defect"`
 	Detail  string    `json:"detail,omitempty"`  // text of the error
 	Outcome string    `json:"outcome,omitempty"` // execution outcome of the call; empty for a request that is not a call
-	Faults  any       `json:"faults,omitempty"`  // validation errors of a configuration change; nil for other requests
+	Faults  any       `json:"faults,omitempty"`  // validation errors of a configuration change or a worker's description; nil for none
 }
 
 // WriteError sets the response of a call to an ErrorResponse with the HTTP status of the error's code. outcome may be
--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -28,9 +28,11 @@
 const defaultGCPercent = 100
 
 // Run runs a long-running program and returns its exit code. It reads the settings from source into target and calls
-// body, whose context ends on SIGTERM or SIGINT. Run returns when body does: 0 if body returned no error, 2 if settings
-// are invalid, 1 after any other error. recorderOptions is called once the settings are read, and returns the folder
-// and the number of log lines for the flight recorder.
+// body, whose context ends on SIGTERM or SIGINT. recorderOptions is called once the settings are read, and returns the
+// folder and the number of log lines for the flight recorder.
+//
+// The exit code is 0 if body returned no error, or if the command line asked for help or the version, in which case body
+// is not called. It is 2 if settings are invalid, and 1 after any other error.
 func Run(
 	program string,
 	source Source,
@@ -38,8 +40,8 @@
 	recorderOptions func() (directory string, lines int64),
 	body func(ctx context.Context, environment *Environment) error,
 ) int {
-	// SIGHUP is handled before anything else, so that it reloads the settings and never ends the program, whenever it
-	// arrives.
+	// The handler of SIGHUP is installed before anything else. A SIGHUP at any time then reloads the settings and never
+	// ends the program.
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	defer signal.Stop(reloadSignals)
@@ -59,8 +61,9 @@
 	return exitSuccess
 }
 
-// limitHeapGrowth sets the garbage collection target percentage, which keeps the peak of the heap low. Memory is scarce
-// on edge machines, and collecting a heap that small costs little. GOGC takes precedence if an operator sets it.
+// limitHeapGrowth sets the garbage collection target percentage to defaultGCPercent, to keep the peak of the heap low.
+// Memory is scarce on edge machines. The heap is small there, so collecting it costs little. GOGC takes precedence if an
+// operator sets it.
 func limitHeapGrowth() {
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(defaultGCPercent)
--- a/internal/daemon/settings_source.go
+++ b/internal/daemon/settings_source.go
@@ -68,9 +68,9 @@
 // it names, and once after the info of that file was taken.
 const maxParses = 2
 
-// parse parses the command line into target. The settings file is known only after the command line was parsed, which
-// reads the file too. The file's info is therefore taken then, and everything is parsed again. A change of the file
-// between the two is thus not missed.
+// parse parses the command line, and the settings file that it names, into target. The name of the file is known only
+// after the first parse, which has read the file already. The file's info is taken at that point, and everything is
+// parsed again. The info is thus older than the settings, so that a later change of the file is not missed.
 func (l *loadedSettings) parse(program string, target proto.Message, help io.Writer) error {
 	for range maxParses {
 		fresh := target.ProtoReflect().New().Interface()
--- a/internal/daemon/settings_watcher.go
+++ b/internal/daemon/settings_watcher.go
@@ -51,11 +51,13 @@
 	}
 }
 
-// WatchSettings starts to watch the settings until ctx ends, and returns. They are reloaded on SIGHUP, and two polls
-// after a change of a file at the latest, one poll in each interval. Each time a live setting changed, apply is called,
-// from one goroutine, with the settings that are then in effect. They differ from those at program start in live
-// settings only, and must not be written to. WatchSettings must be called at most once. It does nothing in a program
-// that was not started by Run.
+// WatchSettings starts to watch the settings until ctx ends, and returns. Their files are polled once in each interval.
+// The settings are reloaded on SIGHUP, and after a change of a file at the first poll that finds the file as it was at
+// the poll before.
+//
+// Each time a live setting changed, apply is called, from one goroutine, with the settings that are then in effect. They
+// differ from those at program start in live settings only, and apply must not write to them. WatchSettings must be
+// called at most once. It does nothing in a program that was not started by Run.
 func (e *Environment) WatchSettings(ctx context.Context, interval time.Duration, apply func(proto.Message)) {
 	if e.settings == nil {
 		return
@@ -116,7 +118,7 @@
 func (w *settingsWatcher) recordLoaded(loaded *loadedSettings, err error) {
 	previousFiles := w.lastLoaded.files
 	w.lastLoaded = loaded
-	// A load that failed early may not have found all files. The files of the load before are then watched on.
+	// A load that failed early may not have found all files. Those of the load before then stay watched.
 	if err != nil && len(loaded.files) < len(previousFiles) {
 		loaded.files = previousFiles
 		loaded.fileInfos = statFiles(previousFiles)
