--- a/schema/golden_test.go
+++ b/schema/golden_test.go
@@ -128,8 +128,9 @@
 	return found
 }
 
-// fill sets every field of a message to a value that depends on the field's number. Of each oneof it sets one field,
-// that with the index alternative modulo the number of fields. Messages nested deeper than depth are not filled.
+// fill sets every field of a message to a value that depends on the field's number. Of each oneof it sets only one
+// field: its index is alternative modulo the number of fields in the oneof. Messages nested deeper than depth are not
+// filled.
 func fill(message protoreflect.Message, alternative, depth int) {
 	fields := message.Descriptor().Fields()
 	for i := range fields.Len() {
