--- a/internal/config/compile_test.go
+++ b/internal/config/compile_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Limits that are left out have their defaults, and each bad limit is reported at its path.
-func TestLimits(t *testing.T) {
+// Limits that are left out have their defaults, and each invalid limit is reported at its path.
+func TestOmittedLimitsHaveDefaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		bodies map[string]string
 		limits Limits
@@ -83,7 +83,7 @@
 	}{
 		"no limits item has the defaults":            {nil, DefaultLimits, nil},
 		"limits that are left out have the defaults": {map[string]string{"limits/limits": `{"headerMost":100,"quiet":"15000ms"}`}, Limits{MaxHeaderBytes: 100, MaxBodyBytes: DefaultLimits.MaxBodyBytes, HeaderTimeout: DefaultLimits.HeaderTimeout, IdleTimeout: 15 * time.Second, IdleTimeoutText: "15000ms"}, nil},
-		"every bad limit is reported":                {map[string]string{"limits/limits": `{"headerMost":-1,"bodyMost":-1,"quiet":"0s","headerWait":"x"}`}, Limits{}, []string{"limits.bodyMost", "limits.headerMost", "limits.headerWait", "limits.quiet"}},
+		"every invalid limit is reported":            {map[string]string{"limits/limits": `{"headerMost":-1,"bodyMost":-1,"quiet":"0s","headerWait":"x"}`}, Limits{}, []string{"limits.bodyMost", "limits.headerMost", "limits.headerWait", "limits.quiet"}},
 		"an item by another name is reported":        {map[string]string{"limits/else": `{}`}, DefaultLimits, []string{"limits.else"}},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -91,7 +91,7 @@
 			if diff := cmp.Diff(test.paths, pathsOf(faults)); diff != "" {
 				t.Errorf("Compile: paths of faults (-want +got):\n%s", diff)
 			}
-			if diff := cmp.Diff(test.limits, snapshot.Limits); diff != "" && name != "every bad limit is reported" {
+			if diff := cmp.Diff(test.limits, snapshot.Limits); diff != "" && name != "every invalid limit is reported" {
 				t.Errorf("Snapshot.Limits (-want +got):\n%s", diff)
 			}
 		})
@@ -131,7 +131,7 @@
 }
 
 // A service for which operators list no versions has the discovered ones. Listed versions take precedence.
-func TestDiscoveredVersions(t *testing.T) {
+func TestListedVersionsPrecedeDiscoveredOnes(t *testing.T) {
 	for name, test := range map[string]struct {
 		service, discovered, fallback string
 		versions                      []string
@@ -176,7 +176,7 @@
 }
 
 // A split becomes a flag whose weights add up to flag.TotalWeight, whatever the scale of the operator's weights.
-func TestSplitFlags(t *testing.T) {
+func TestSplitBecomesFlagWithTotalWeight(t *testing.T) {
 	for split, want := range map[string][]int{
 		`[{"service":"a","weight":90},{"service":"b","weight":10}]`:                             {90000, 10000},
 		`[{"service":"a","weight":1},{"service":"b","weight":1},{"service":"a","weight":1}]`:    {33333, 33334, 33333},
@@ -209,7 +209,7 @@
 
 // A request matches the route with the longest prefix among those for its host, and if there is none, among those
 // for any host.
-func TestMatch(t *testing.T) {
+func TestMatchPrefersHostThenLongestPrefix(t *testing.T) {
 	snapshot, faults := Compile(stateFromBodies(map[string]string{"service/s": `{}`,
 		"route/any": `{"service":"s","prefix":"/"}`, "route/own": `{"service":"s","prefix":"/a/","host":"a.example"}`,
 		"route/deep": `{"service":"s","prefix":"/a/b/","host":"a.example","methods":["GET"]}`, "route/post": `{"service":"s","prefix":"/a/b/","host":"a.example","methods":["POST"]}`,
@@ -288,7 +288,7 @@
 
 // Two routes with the same host, prefix and method are a fault, unless both have operator versions. Which of the two
 // is matched does not depend on the order in which they arrived.
-func TestRoutesWithSamePrefix(t *testing.T) {
+func TestOverlappingRoutesNeedOperatorVersions(t *testing.T) {
 	route := func(name string, sequence, operatorVersion uint64) *schema.Item {
 		return &schema.Item{Kind: "route", Name: name, OperatorVersion: operatorVersion, Version: &schema.Version{Term: 1, Sequence: sequence}, Body: []byte(`{"service":"s","prefix":"/","host":"h"}`)}
 	}
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -81,7 +81,7 @@
 }
 
 // A fault between two items is reported at the path of the item that refers to the other.
-func TestReferenceFaults(t *testing.T) {
+func TestCompileReportsReferenceFaults(t *testing.T) {
 	state, faults := stateOf(t, `
 service: shop: {versions: ["1"], fallback: "2", callers: []}
 route: a: {service: "nowhere", prefix: "/a"}
@@ -151,7 +151,7 @@
 }
 
 // CompileIncremental returns the same routes as Compile after routes were changed and removed.
-func TestCompileIncremental(t *testing.T) {
+func TestCompileIncrementalReturnsRoutesOfCompile(t *testing.T) {
 	state := stateWithRoutes(20)
 	before, _ := Compile(state, 1)
 	next := state.With([]*schema.Item{
@@ -179,7 +179,7 @@
 
 // The guarded versions are those that the version flag may pick besides the fallback. A stop must be named after its
 // service and version, which must exist. A version with an active stop must not be the fallback.
-func TestGuardedVersionsAndStops(t *testing.T) {
+func TestGuardedVersionsAndFaultsOfStops(t *testing.T) {
 	base := `service: shop: {versions: ["1", "2", "3"], fallback: "1", callers: []}
 `
 	for name, test := range map[string]struct {
@@ -215,7 +215,7 @@
 
 // Each fault of a policy is reported at its path. A policy that compiled once is not compiled again for a later
 // snapshot.
-func TestPolicies(t *testing.T) {
+func TestPolicyFaultsAndReuse(t *testing.T) {
 	base := `service: shop: {versions: ["1"], fallback: "1", callers: []}
 `
 	for name, test := range map[string]struct {
--- a/internal/configsource/parse_test.go
+++ b/internal/configsource/parse_test.go
@@ -9,7 +9,7 @@
 
 // Parse returns the items of a text ordered by key, with defaults filled in and a tombstone for each removed item. It
 // refuses an invalid text with each fault at its path.
-func TestParse(t *testing.T) {
+func TestParseReturnsItemsOrFaults(t *testing.T) {
 	for name, test := range map[string]struct {
 		text  string
 		items []string // the form is "kind/name body", or "kind/name deleted" for a tombstone
@@ -52,7 +52,7 @@
 }
 
 // Parse returns the same items before and after the CUE context is replaced.
-func TestParseAfterContextIsReplaced(t *testing.T) {
+func TestParseIsUnchangedByContextReplacement(t *testing.T) {
 	for parse := range 2*parsesPerContext + 1 {
 		if items, faults := Parse([]byte(`service: shop: {}`)); len(items) != 1 || len(faults) > 0 {
 			t.Fatalf("Parse, call %d: got items %v and faults %v, want one item and no fault", parse, items, faults)
--- a/internal/errs/codes.go
+++ b/internal/errs/codes.go
@@ -15,8 +15,8 @@
 	InvalidOptions            Code = "BAD_OPTIONS"               // a setting, or a file that it names, is invalid
 	InvalidConfig             Code = "BAD_SETUP"                 // a configuration change is invalid
 	Conflict                  Code = "CONFLICT"                  // a change is based on another version of an item than the stored one
-	StaleTerm                 Code = "STALE_DUTY"                // a leader or rollout controller acted in a term that is no longer the current one
-	NoQuorum                  Code = "NO_MAJORITY"               // no majority of the core members is reachable, or there is no leader
+	StaleTerm                 Code = "STALE_DUTY"                // a rollout controller acted in a term that is no longer the current one
+	NoQuorum                  Code = "NO_MAJORITY"               // the core did not decide in time: no majority is reachable, or there is no leader
 	ChangeNotFound            Code = "UNKNOWN_CHANGE"            // no change with this id is known
 	RouteNotFound             Code = "NO_ROUTE"                  // no route, or no page, matches the request
 	CallerNotAllowed          Code = "CALLER_NOT_ALLOWED"        // the service does not allow the caller, or the peer may not call on its behalf
@@ -47,7 +47,7 @@
 	ProxyDraining             Code = "PROXY_DRAINING"            // the process is shutting down
 	DiskFailed                Code = "DISK_FAILED"               // a file could not be read or written
 	DiskCorrupt               Code = "DISK_CORRUPT"              // the content of a file is not what was written to it
-	Unauthorized              Code = "STRANGER"                  // the peer is not authenticated, or not authorized for the request
+	Unauthorized              Code = "STRANGER"                  // the peer is not authenticated or not authorized, or speaks another protocol version
 	Internal                  Code = "INTERNAL"                  // any error without another code
 )
 
--- a/internal/flag/flag_test.go
+++ b/internal/flag/flag_test.go
@@ -39,7 +39,7 @@
 }
 
 // Bucket agrees with buckets whose digits were computed with another implementation of SHA-1, in another language.
-func TestBucketVectors(t *testing.T) {
+func TestBucketAgreesWithOtherImplementation(t *testing.T) {
 	seed := int64(61)
 	for _, test := range []struct {
 		key, salt, value string
@@ -76,7 +76,7 @@
 
 // The steps of an evaluation have a fixed order. The flag under test applies at every step, so the result shows which
 // step decided.
-func TestEvaluationOrder(t *testing.T) {
+func TestEvaluationStepsHaveFixedOrder(t *testing.T) {
 	compileChanged := func(change func(*Flag)) *Set {
 		required := flagWithFallthrough("needed")
 		required.Fallthrough = Serve{Variation: pointerTo(1)}
@@ -122,7 +122,7 @@
 }
 
 // A prerequisite whose flag is off is not met, even if the off variation is the required one.
-func TestPrerequisiteOff(t *testing.T) {
+func TestPrerequisiteThatIsOffIsNotMet(t *testing.T) {
 	required := flagWithFallthrough("needed")
 	required.On, required.OffVariation = false, 1
 	tested := flagWithFallthrough("f")
@@ -133,7 +133,7 @@
 }
 
 // Each operator matches only values of its type, and a negated clause has the opposite result.
-func TestOperators(t *testing.T) {
+func TestOperatorsMatchOnlyValuesOfTheirType(t *testing.T) {
 	attributes := map[string]any{"text": "hello", "number": 5.0, "flag": true, "list": []any{"a", 7.0}, "null": nil, "version": "1.2.3", "when": "2026-01-01T00:00:00Z", "ms": 1767225600000.0, "empty": []any{}}
 	for _, test := range []struct {
 		attribute, operator string
@@ -179,7 +179,7 @@
 }
 
 // Included takes precedence over Excluded, and Excluded over the rules. A rule with a weight adds contexts by bucket.
-func TestSegments(t *testing.T) {
+func TestSegmentPrecedence(t *testing.T) {
 	weight := 50000
 	testers := &Segment{Key: "testers", Salt: "z", Included: []string{"ann"}, Excluded: []string{"ann", "ben"}, Rules: []SegmentRule{
 		{Clauses: []Clause{{Attribute: "country", Operator: "in", Values: []any{"se"}}}},
@@ -216,7 +216,7 @@
 }
 
 // A context that cannot be bucketed, and one with a bucket at either end, gets a variation that has weight.
-func TestRolloutEdges(t *testing.T) {
+func TestRolloutPicksVariationWithWeight(t *testing.T) {
 	tested := flagWithFallthrough("f")
 	tested.Fallthrough = Serve{Rollout: rollout(0, 30000, 70000)}
 	set := setOf(t, []*Flag{tested})
@@ -292,7 +292,7 @@
 }
 
 // A rollout over many contexts gives each variation a part of them that is close to its weight.
-func TestRolloutDistribution(t *testing.T) {
+func TestRolloutFollowsWeights(t *testing.T) {
 	tested := flagWithFallthrough("f")
 	tested.Fallthrough = Serve{Rollout: rollout(20000, 30000, 50000)}
 	set := setOf(t, []*Flag{tested})
