--- a/internal/flag/compile.go
+++ b/internal/flag/compile.go
@@ -107,7 +107,7 @@
 	for _, weighted := range serve.Rollout.Variations {
 		f.checkVariation(list, at, weighted.Variation)
 		if weighted.Weight < 0 || weighted.Weight > TotalWeight {
-			list.add(at, "weight must be from 0 to %[2]d, got %[1]d", weighted.Weight, TotalWeight)
+			list.add(at, "weight must be from 0 to %d, got %d", TotalWeight, weighted.Weight)
 			return
 		}
 		sum += weighted.Weight
@@ -125,7 +125,7 @@
 		at := fmt.Sprintf("segment.%s.rules[%d]", s.Key, i)
 		faults = append(faults, compileClauses(s.Rules[i].Clauses, at, false)...)
 		if weight := s.Rules[i].Weight; weight != nil && (*weight < 0 || *weight > TotalWeight) {
-			faults = append(faults, Fault{at, fmt.Sprintf("weight must be from 0 to %[2]d, got %[1]d", *weight, TotalWeight)})
+			faults = append(faults, Fault{at, fmt.Sprintf("weight must be from 0 to %d, got %d", TotalWeight, *weight)})
 		}
 	}
 	return faults
