--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -81,7 +81,7 @@
 }
 
 // A fault between two items is reported at the path of the item that refers to the other.
-func TestReferenceFaults(t *testing.T) {
+func TestCompileReportsReferenceFaults(t *testing.T) {
 	state, faults := stateOf(t, `
 service: shop: {versions: ["1"], fallback: "2", callers: []}
 route: a: {service: "nowhere", prefix: "/a"}
@@ -151,7 +151,7 @@
 }
 
 // CompileIncremental returns the same routes as Compile after routes were changed and removed.
-func TestCompileIncremental(t *testing.T) {
+func TestCompileIncrementalReturnsRoutesOfCompile(t *testing.T) {
 	state := stateWithRoutes(20)
 	before, _ := Compile(state, 1)
 	next := state.With([]*schema.Item{
@@ -173,13 +173,13 @@
 		t.Errorf("Match for the removed route r3 returned %+v, want none", route)
 	}
 	if route, found := after.Match("", "/moved", "GET"); !found || route.KeyHeader != "K" {
-		t.Errorf("Match for the changed route r4 returned %+v, %v; want key header K", route, found)
+		t.Errorf("Match for the changed route r4 returned %+v, %v; want a route with key header K", route, found)
 	}
 }
 
 // The guarded versions are those that the version flag may pick besides the fallback. A stop must be named after its
 // service and version, which must exist. A version with an active stop must not be the fallback.
-func TestGuardedVersionsAndStops(t *testing.T) {
+func TestGuardedVersionsAndFaultsOfStops(t *testing.T) {
 	base := `service: shop: {versions: ["1", "2", "3"], fallback: "1", callers: []}
 `
 	for name, test := range map[string]struct {
@@ -215,7 +215,7 @@
 
 // Each fault of a policy is reported at its path. A policy that compiled once is not compiled again for a later
 // snapshot.
-func TestPolicies(t *testing.T) {
+func TestPolicyFaultsAndReuse(t *testing.T) {
 	base := `service: shop: {versions: ["1"], fallback: "1", callers: []}
 `
 	for name, test := range map[string]struct {
@@ -242,7 +242,7 @@
 				paths = append(paths, fault.Path)
 			}
 			if diff := cmp.Diff(test.paths, paths); diff != "" {
-				t.Errorf("paths of faults (-want +got):\n%s", diff)
+				t.Errorf("Parse and Compile: paths of faults (-want +got):\n%s", diff)
 			}
 			// The next snapshot reuses the compiled program.
 			if next, _ := CompileIncremental(snapshot, state, 10); len(test.paths) == 0 && len(snapshot.Routes) > 0 && next.Routes[0].Policy != snapshot.Routes[0].Policy {
