--- a/internal/flightrecorder/recorder.go
+++ b/internal/flightrecorder/recorder.go
@@ -35,7 +35,7 @@
 // Recorder is a ring buffer of log lines that can be dumped to a file or to standard error.
 type Recorder struct {
 	file string           // file that each dump replaces; empty for standard error
-	now  func() time.Time // clock of minDumpInterval; tests replace it
+	now  func() time.Time // clock for minDumpInterval; tests replace it
 
 	lock      sync.Mutex // guards all fields below
 	lines     []string   // ring buffer; its length is its capacity
@@ -119,7 +119,7 @@
 	if err := os.WriteFile(r.file+".new", []byte(text), dumpFileMode); err != nil {
 		return errs.Wrap(err, errs.DiskFailed, fmt.Sprintf("write log dump %s", r.file+".new"))
 	}
-	return errs.Wrap(os.Rename(r.file+".new", r.file), errs.DiskFailed, "rename log dump")
+	return errs.Wrap(os.Rename(r.file+".new", r.file), errs.DiskFailed, fmt.Sprintf("rename log dump to %s", r.file))
 }
 
 // writeToStderr writes only the lines that no dump has written yet, because standard error, unlike a file, keeps the
--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestRecorder checks that the recorder keeps the last lines, writes nothing until an error is logged and then writes
+// TestRecorderDumpsOnError checks that the recorder keeps the last lines, writes nothing until an error is logged and then writes
 // all kept lines, and that unforced dumps are rate-limited.
-func TestRecorder(t *testing.T) {
+func TestRecorderDumpsOnError(t *testing.T) {
 	folder := t.TempDir()
 	recorder := New(folder, "proxy", 5)
 	fixedTime := time.Unix(1000, 0)
@@ -30,7 +30,7 @@
 	log.Error(errors.New("it broke"), "failed")
 	text, err := os.ReadFile(filepath.Join(folder, "proxy.log"))
 	if err != nil || strings.Count(string(text), "\n") != 5 || !strings.Contains(string(text), "it broke") {
-		t.Errorf("dump after an error = %q, read error %v; want 5 lines with the error it broke", text, err)
+		t.Errorf("dump after an error = %q, read error %v; want 5 lines, one of them with the error \"it broke\"", text, err)
 	}
 	// Errors within minDumpInterval of the last dump are not dumped until a dump is forced.
 	for i := range 3 {
@@ -43,6 +43,6 @@
 		t.Errorf("Dump(true): %v", err)
 	}
 	if text, _ := os.ReadFile(filepath.Join(folder, "proxy.log")); !strings.Contains(string(text), "again 2") {
-		t.Errorf("forced dump = %q, want it to contain the error again 2", text)
+		t.Errorf("forced dump = %q, want it to contain the error \"again 2\"", text)
 	}
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -8,14 +8,14 @@
 
 func sum(view, event int) int { return view + event }
 
-// TestAppend checks that the view is the fold of all events, and that the retained events are the last ones, oldest
+// TestAppendFoldsAndRetainsEvents checks that the view is the fold of all events, and that the retained events are the last ones, oldest
 // first.
-func TestAppend(t *testing.T) {
+func TestAppendFoldsAndRetainsEvents(t *testing.T) {
 	for name, test := range map[string]struct {
-		retained int
-		events   []int
-		view     int
-		recent   []int
+		retained int   // capacity for retained events
+		events   []int // appended events
+		view     int   // wanted view; the first view is 100
+		recent   []int // wanted retained events
 	}{
 		"no event":                {2, nil, 100, nil},
 		"below capacity":          {3, []int{1, 2}, 103, []int{1, 2}},
@@ -38,9 +38,9 @@
 	}
 }
 
-// TestWait checks that Wait returns at once if the view is ready, after the event that makes it ready, or when its
+// TestWaitReturnsWhenReadyOrCancelled checks that Wait returns at once if the view is ready, after the event that makes it ready, or when its
 // context ends.
-func TestWait(t *testing.T) {
+func TestWaitReturnsWhenReadyOrCancelled(t *testing.T) {
 	events := New(0, 0, sum)
 	atLeast := func(threshold int) func(int) bool { return func(view int) bool { return view >= threshold } }
 	if view, ready := events.Wait(t.Context(), atLeast(0)); !ready || view != 0 {
--- a/internal/linearize/history_test.go
+++ b/internal/linearize/history_test.go
@@ -22,11 +22,11 @@
 	return Operation{Item: "item", Read: true, Value: Value{Absent: true}, Result: Accepted, Begin: begin, End: end}
 }
 
-// TestHistories checks that Check accepts the histories that a single store can produce, and rejects the others.
-func TestHistories(t *testing.T) {
+// TestCheckDecidesLinearizability checks that Check accepts the histories that a single store can produce, and rejects the others.
+func TestCheckDecidesLinearizability(t *testing.T) {
 	for name, test := range map[string]struct {
 		history []Operation
-		valid   bool
+		valid   bool // whether Check must accept the history
 	}{
 		"a write is read":                             {[]Operation{write(1, "a", Accepted, 0, 1), read(1, "a", 2, 3)}, true},
 		"an accepted write is lost":                   {[]Operation{write(1, "a", Accepted, 0, 1), readAbsent(2, 3)}, false},
@@ -57,7 +57,7 @@
 			}
 			err := history.Check(time.Minute)
 			if errors.Is(err, ErrUndecided) || (err == nil) != test.valid {
-				t.Errorf("Check() = %v, want a linearizable history: %v", err, test.valid)
+				t.Errorf("Check() = %v; history accepted: want %v, and want no ErrUndecided", err, test.valid)
 			}
 		})
 	}
--- a/internal/scheduleexplorer/explorer.go
+++ b/internal/scheduleexplorer/explorer.go
@@ -75,7 +75,7 @@
 	var choices []int
 	for {
 		if outcome.Schedules == maxSchedules {
-			t.Fatalf("more than %d schedules", maxSchedules)
+			t.Fatalf("Explore: the test has more than %d schedules", maxSchedules)
 		}
 		outcome.Schedules++
 		var branchCounts []int // number of threads that could run at each step
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -22,9 +22,9 @@
 // As with net.Conn, reads and writes may run concurrently. Concurrent reads wait for each other, and so do writes.
 type Conn struct {
 	*net.TCPConn
-	raw       syscall.RawConn
-	readSide  direction
-	writeSide direction
+	raw       syscall.RawConn // gives access to the socket of TCPConn
+	readSide  direction       // state of Read
+	writeSide direction       // state of Write
 }
 
 // direction is the state of one direction of a connection: its reads or its writes.
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -144,14 +144,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := test.do(connPair(t)); !errors.Is(err, test.want) {
-				t.Fatalf("error %v, want %v", err, test.want)
+				t.Fatalf("read or write returned the error %v, want %v", err, test.want)
 			}
 		})
 	}
 }
 
-// TestNoAllocations checks that reads and writes allocate nothing.
-func TestNoAllocations(t *testing.T) {
+// TestReadsAndWritesDoNotAllocate checks that reads and writes allocate nothing.
+func TestReadsAndWritesDoNotAllocate(t *testing.T) {
 	wrapped, other := connPair(t)
 	octet := make([]byte, 1)
 	if count := testing.AllocsPerRun(100, func() {
@@ -160,7 +160,7 @@
 		_, _ = other.Write(octet)
 		_, _ = wrapped.Read(octet)
 	}); count > 0 {
-		t.Fatalf("a write and a read made %v allocations, want 0", count)
+		t.Fatalf("a write and a read at both ends made %v allocations, want 0", count)
 	}
 }
 
--- a/internal/statuspage/statuspage.go
+++ b/internal/statuspage/statuspage.go
@@ -17,10 +17,10 @@
 
 // CoreMember is the identity and address of a member of the core.
 type CoreMember struct {
-	ID          string `json:"seat,omitempty"`
-	Address     string `json:"address,omitempty"`
-	Incarnation uint64 `json:"incarnation,omitempty"`
-	Zone        string `json:"area,omitempty"`
+	ID          string `json:"seat,omitempty"`        // member id
+	Address     string `json:"address,omitempty"`     // IP:port
+	Incarnation uint64 `json:"incarnation,omitempty"` // incarnation of the member; 0 if unknown
+	Zone        string `json:"area,omitempty"`        // zone of the machine; empty if unknown
 }
 
 // Membership is the set of members whose stores form the quorum.
@@ -28,7 +28,7 @@
 	Members       []*CoreMember `json:"members,omitempty"`
 	TargetSize    uint32        `json:"wanted,omitempty"`    // number of members that the core should have
 	EffectiveFrom *Version      `json:"taken,omitempty"`     // log entry that set this membership
-	Committed     *Version      `json:"committed,omitempty"` // committed log position that this membership is part of
+	Committed     *Version      `json:"committed,omitempty"` // position of the committed state that has this membership
 }
 
 // Replica is the status of a store.
@@ -43,9 +43,9 @@
 	Member         bool        `json:"member,omitempty"`             // this store belongs to the membership
 	Unfit          bool        `json:"unfit,omitempty"`              // this store must not lead
 	Heard          []string    `json:"heard,omitempty"`              // members whose heartbeats arrive
-	RefusedPeers   uint64      `json:"refused_peers,omitempty"`      // peers rejected for certificate, protocol or messages
+	RefusedPeers   uint64      `json:"refused_peers,omitempty"`      // peers rejected: wrong certificate, protocol or role, or malformed messages
 	Membership     *Membership `json:"membership,omitempty"`         // latest appended membership, committed or not
-	Learners       []string    `json:"waiting,omitempty"`            // replicas kept up to date that wait for a free place
+	Learners       []string    `json:"waiting,omitempty"`            // live replicas that wait to join; the leader keeps them up to date
 	DiskFailed     bool        `json:"refuses,omitempty"`            // writes to this store's disk fail
 	StalenessKnown bool        `json:"vouched,omitempty"`            // a majority has reported since this store started
 	StalenessNanos int64       `json:"majority_age_nanos,omitempty"` // nanoseconds since a majority reported nothing newer
@@ -53,7 +53,7 @@
 
 // Lease is a proxy's lease as a registry knows it.
 type Lease struct {
-	Proxy       string `json:"proxy,omitempty"`
+	Proxy       string `json:"proxy,omitempty"`       // name of the proxy
 	Incarnation uint64 `json:"incarnation,omitempty"` // incarnation of the proxy that holds the lease
 	Applied     uint64 `json:"applied,omitempty"`     // configuration revision that the proxy uses
 	LeftNanos   int64  `json:"left_nanos,omitempty"`  // nanoseconds until the lease expires
@@ -62,14 +62,14 @@
 // Registry is the status of a registry.
 type Registry struct {
 	Member                    string   `json:"seat,omitempty"`           // member id of the core machine
-	GrantsLeases              bool     `json:"grants,omitempty"`         // this registry grants leases; it does not right after its start
+	GrantsLeases              bool     `json:"grants,omitempty"`         // this registry grants leases; false for some time after its start
 	Committed                 uint64   `json:"stable,omitempty"`         // newest committed configuration revision known
-	Leases                    []*Lease `json:"leases,omitempty"`         // leases of proxies, lagging or not
+	Leases                    []*Lease `json:"leases,omitempty"`         // unexpired leases, whether or not their proxies lag
 	StaleSteps                uint64   `json:"stale_steps,omitempty"`    // rollout steps refused for a controller with a later term
-	RefusedPeers              uint64   `json:"refused_peers,omitempty"`  // peers rejected for certificate, protocol or messages
+	RefusedPeers              uint64   `json:"refused_peers,omitempty"`  // peers rejected: wrong certificate, protocol or role, or malformed messages
 	KeyReservations           uint64   `json:"claims,omitempty"`         // unexpired idempotency keys reserved at this registry
-	ReservationsAuthoritative bool     `json:"claims_count,omitempty"`   // its reservations count towards the required majority
-	RefusedReservations       uint64   `json:"refused_claims,omitempty"` // from unauthorized peers, from old incarnations, or over the limit
+	ReservationsAuthoritative bool     `json:"claims_count,omitempty"`   // this registry counts towards the majority that must grant a reservation
+	RefusedReservations       uint64   `json:"refused_claims,omitempty"` // reservations refused: unauthorized peer, old incarnation, or limit reached
 	ConflictingSettings       []string `json:"odd,omitempty"`            // settings of other processes that contradict this registry's
 	MayControlRollouts        bool     `json:"steers,omitempty"`         // this registry may be the rollout controller
 	Sessions                  uint32   `json:"sessions,omitempty"`       // open sessions of proxies at this registry
@@ -85,15 +85,15 @@
 	Service          string  `json:"service,omitempty"`
 	Version          string  `json:"version,omitempty"`
 	Zone             string  `json:"area,omitempty"`
-	Load             float64 `json:"load,omitempty"`
+	Load             float64 `json:"load,omitempty"`              // additional load that the worker reports
 	Draining         bool    `json:"leaving,omitempty"`           // the worker accepts no new requests
 	Terminated       bool    `json:"gone,omitempty"`              // the worker has ended
-	UptimeNanos      int64   `json:"sound_since_nanos,omitempty"` // time of the description; not set by any program yet
+	UptimeNanos      int64   `json:"sound_since_nanos,omitempty"` // when the worker described itself, in nanoseconds; no program sets it
 	Slots            uint32  `json:"slots,omitempty"`             // requests that the worker can execute at the same time; 0 if not stated
 	WarmupLeftNanos  int64   `json:"warm_nanos,omitempty"`        // remaining slow start, in nanoseconds
 	Running          uint32  `json:"running,omitempty"`           // requests that the worker executes now
 	Queued           uint32  `json:"waiting,omitempty"`           // requests that wait at the worker and at its proxy
-	ServiceTimeNanos int64   `json:"pace_nanos,omitempty"`        // moving mean of a request's execution time; 0 if unknown
+	ServiceTimeNanos int64   `json:"pace_nanos,omitempty"`        // moving mean of the execution time of a request, in nanoseconds; 0 if unknown
 }
 
 // convertAll converts the elements of a list; a nil list stays nil, which JSON shows as null.
--- a/internal/transport/cancellation_test.go
+++ b/internal/transport/cancellation_test.go
@@ -60,15 +60,15 @@
 		for range concurrent {
 			others.Go(func() {
 				if err := call(ctx, "completes"); err != nil {
-					t.Errorf("call concurrent with the cancelled one: %v", err)
+					t.Errorf("call concurrent with the cancelled one: error %v, want none", err)
 				}
 			})
 		}
 		if err := <-ended; err == nil {
-			t.Error("a cancelled call returned no error")
+			t.Error("cancelled call returned no error, want one")
 		}
 		if err := call(ctx, "completes"); err != nil {
-			t.Errorf("call after the cancelled one: %v", err)
+			t.Errorf("call after the cancelled one: error %v, want none", err)
 		}
 		others.Wait()
 		<-server.cancelled
--- a/internal/transport/conn_pool.go
+++ b/internal/transport/conn_pool.go
@@ -20,15 +20,15 @@
 	conns []idleConn // in the order in which they became idle
 }
 
-// idleConn is an idle connection and the time since which it is idle.
+// idleConn is an idle connection.
 type idleConn struct {
 	conn  *drpcconn.Conn
-	since time.Time
+	since time.Time // time at which the connection became idle
 }
 
 // connPool holds all idle connections of a transport.
 type connPool struct {
-	lock      sync.Mutex            // guards all fields
+	lock      sync.Mutex            // guards the fields below
 	byAddress map[string]*idleConns // a sweep removes addresses without idle connections
 	sweptAt   time.Time             // time of the last sweep
 	closed    bool                  // set by close; put then closes connections instead of keeping them
@@ -43,7 +43,7 @@
 	}
 }
 
-// get removes and returns an idle connection that is still open. It returns nil if there is none.
+// get removes and returns an idle connection to an address that is still open. It returns nil if there is none.
 func (p *connPool) get(address string) *drpcconn.Conn {
 	p.lock.Lock()
 	defer p.lock.Unlock()
--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -18,7 +18,7 @@
 	pair      tls.Certificate   // certificate chain and private key
 	leaf      *x509.Certificate // parsed first certificate of pair
 	roots     *x509.CertPool    // certificate authority that peers' certificates must chain to
-	fileStamp string            // fileStampOf both files, taken before they were read
+	fileStamp string            // fileStampOf of both files, taken before they were read
 }
 
 // readCredentials reads both files. It fails if the certificate is not valid at time now. All errors are
@@ -26,22 +26,22 @@
 func readCredentials(certificateFile, authorityFile string, now time.Time) (*credentials, error) {
 	pair, err := tls.LoadX509KeyPair(certificateFile, certificateFile)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.InvalidOptions, "certificate")
+		return nil, errs.Wrap(err, errs.InvalidOptions, fmt.Sprintf("load certificate file %q", certificateFile))
 	}
 	authority, err := os.ReadFile(authorityFile)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.InvalidOptions, "authority")
+		return nil, errs.Wrap(err, errs.InvalidOptions, fmt.Sprintf("read authority file %q", authorityFile))
 	}
 	loaded := &credentials{pair: pair, roots: x509.NewCertPool()}
 	if !loaded.roots.AppendCertsFromPEM(authority) {
 		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("authority file %q contains no PEM certificate", authorityFile))
 	}
 	if loaded.leaf, err = x509.ParseCertificate(pair.Certificate[0]); err != nil {
-		return nil, errs.Wrap(err, errs.InvalidOptions, "certificate")
+		return nil, errs.Wrap(err, errs.InvalidOptions, fmt.Sprintf("parse certificate file %q", certificateFile))
 	}
 	if now.After(loaded.leaf.NotAfter) || now.Before(loaded.leaf.NotBefore) {
 		from, until := loaded.leaf.NotBefore.Format(time.RFC3339), loaded.leaf.NotAfter.Format(time.RFC3339)
-		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("certificate is valid only from %s to %s", from, until))
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("certificate in %q is valid only from %s to %s", certificateFile, from, until))
 	}
 	return loaded, nil
 }
--- a/internal/transport/greeting.go
+++ b/internal/transport/greeting.go
@@ -30,7 +30,7 @@
 	text, octet := make([]byte, 0, 64), make([]byte, 1)
 	for {
 		if _, err := io.ReadFull(raw, octet); err != nil {
-			return Peer{}, errs.Wrap(err, errs.Unauthorized, "greeting")
+			return Peer{}, errs.Wrap(err, errs.Unauthorized, "read greeting")
 		}
 		if octet[0] == '\n' {
 			return parseGreeting(string(text))
--- a/internal/transport/pooled_conn.go
+++ b/internal/transport/pooled_conn.go
@@ -16,8 +16,8 @@
 // pooledConn is a drpc.Conn to an address. Each call on it takes a network connection of its own from the transport's
 // pool, or dials one.
 type pooledConn struct {
-	transport *Transport
-	address   string
+	transport *Transport // owner of the network connections
+	address   string     // IP:port of the peer
 }
 
 // Close does nothing: the network connections belong to the transport.
@@ -43,7 +43,7 @@
 		if err == nil {
 			return conn, stream, nil
 		}
-		_ = conn.Close() // the error of NewStream is returned instead
+		_ = conn.Close() // the connection is unused, so the error does not matter
 		// An idle connection that broke has carried nothing of this call, so the call is tried on another one.
 		if fresh || ctx.Err() != nil {
 			return nil, nil, errs.Wrap(err, errs.PeerConnectFailed, c.address)
@@ -51,8 +51,8 @@
 	}
 }
 
-// release returns a connection to the pool after a call. If the call was cancelled, the drpc library is already
-// closing the connection, so it must not be reused.
+// release returns a connection to the pool after a call. If the call was cancelled or reached its deadline, the drpc
+// library is already closing the connection, so it must not be reused.
 func (t *Transport) release(ctx context.Context, address string, conn *drpcconn.Conn) {
 	if ctx.Err() != nil {
 		_ = conn.Close() // the connection is unused, so the error does not matter
@@ -64,7 +64,8 @@
 // messageBuffers holds *[]byte buffers into which messages are encoded before they are sent.
 var messageBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// maxPooledBufferBytes is the capacity of the largest buffer that goes back into messageBuffers, in bytes.
+// maxPooledBufferBytes is the largest capacity of a buffer that goes back into messageBuffers, in bytes. The garbage
+// collector frees larger ones.
 const maxPooledBufferBytes = 64 << 10
 
 // rawWriter is a method of drpc's stream type that the interface drpc.Stream lacks.
--- a/internal/transport/redial_test.go
+++ b/internal/transport/redial_test.go
@@ -33,7 +33,7 @@
 			a, _ := net.Pipe()
 			return a, nil
 		}},
-		"refused connection is a result": {maxDials: 1, want: syscall.ECONNREFUSED, dial: func(context.Context, int64) (net.Conn, error) { return nil, refused }},
+		"refused connection is returned": {maxDials: 1, want: syscall.ECONNREFUSED, dial: func(context.Context, int64) (net.Conn, error) { return nil, refused }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// If one dial must be enough, the interval is too long to pass.
@@ -51,7 +51,7 @@
 			}
 		})
 	}
-	t.Run("no dial has a result", func(t *testing.T) {
+	t.Run("context ends before any dial has a result", func(t *testing.T) {
 		ctx, end := context.WithCancel(t.Context())
 		var attempts atomic.Int64
 		_, err := dialRepeatedly(ctx, time.Microsecond, func(ctx context.Context) (net.Conn, error) {
@@ -82,7 +82,7 @@
 		_ = conn.Close()
 		close(won)
 		if _, err := theirs.Read(make([]byte, 1)); err == nil {
-			t.Fatal("the connection of the dial that finished second is still open")
+			t.Fatal("read at the peer of the dial that finished second returned no error, want one: its connection must be closed")
 		}
 	})
 }
--- a/internal/transport/serve.go
+++ b/internal/transport/serve.go
@@ -40,7 +40,7 @@
 			<-closed
 			return nil
 		}
-		return errs.Wrap(err, errs.Internal, "accept")
+		return errs.Wrap(err, errs.Internal, "accept a connection at "+listener.Addr().String())
 	}
 }
 
@@ -69,14 +69,14 @@
 	if t.tlsConfig == nil {
 		_ = counted.SetReadDeadline(time.Now().Add(timeout)) // fails only on a closed connection, on which the read fails too
 		peer, err := readGreeting(counted)
-		_ = counted.SetReadDeadline(time.Time{}) // fails only on a closed connection, as above
+		_ = counted.SetReadDeadline(time.Time{}) // fails only on a closed connection, which the caller closes anyway
 		return counted, peer, err
 	}
 	secured := tls.Server(counted, t.tlsConfig)
 	handshakeCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if err := secured.HandshakeContext(handshakeCtx); err != nil {
-		return secured, Peer{}, errs.Wrap(err, errs.Unauthorized, "handshake")
+		return secured, Peer{}, errs.Wrap(err, errs.Unauthorized, "TLS handshake")
 	}
 	return secured, peerFromCertificate(secured.ConnectionState().PeerCertificates[0]), nil
 }
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -36,10 +36,11 @@
 		}
 	}
 	sent, received := client.Traffic(), server.Traffic()
-	// Each call adds less than 100 bytes of framing to its body, and the connection has one greeting.
-	for _, bytes := range []uint64{sent.Out, received.In} {
+	// Each call adds less than 100 bytes of framing to its body, and the connection has one greeting. The upper limit
+	// allows 200 bytes for each call.
+	for counter, bytes := range map[string]uint64{"Out of the client": sent.Out, "In of the server": received.In} {
 		if bytes < calls*body || bytes > calls*(body+200) {
-			t.Errorf("counted %d bytes, want from %d, the sum of the bodies, to %d", bytes, calls*body, calls*(body+200))
+			t.Errorf("%s = %d bytes, want from %d, the sum of the bodies, to %d", counter, bytes, calls*body, calls*(body+200))
 		}
 	}
 	// Each call has two messages: the request and the response.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -31,7 +31,7 @@
 // Transport sends and serves all RPCs between this process and other processes.
 type Transport struct {
 	tlsConfig       *tls.Config      // nil for plaintext
-	idle            connPool         // open connections without a call
+	idle            connPool         // connections that no RPC uses
 	dialTimeout     time.Duration    // bounds opening a connection; the timeouts in keepalive.go are multiples of it
 	self            Peer             // this process's own identity
 	localAddress    net.Addr         // source address of outgoing connections; nil lets the kernel choose
@@ -146,7 +146,7 @@
 		Roots:     t.currentCredentials().roots,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return errs.Wrap(err, errs.Unauthorized, "certificate")
+	return errs.Wrap(err, errs.Unauthorized, "verify peer certificate")
 }
 
 // Self returns this process's own identity.
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -21,7 +21,7 @@
 // peerRecorder records the peer of each RPC.
 type peerRecorder struct {
 	schema.DRPCHopUnimplementedServer
-	seen chan transport.Peer
+	seen chan transport.Peer // gets the peer of each RPC; its buffer must hold all of them
 }
 
 func (p *peerRecorder) Run(ctx context.Context, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
@@ -114,7 +114,7 @@
 	}
 	awaitRejected(4)
 	if err := call(allowedPeer); err != nil {
-		t.Errorf("call by an allowed peer after rejected ones: %v", err)
+		t.Errorf("call by an allowed peer after rejected ones: error %v, want none", err)
 	}
 	cancel()
 	if err := <-ended; err != nil {
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestConnectFailureIsTyped checks that a call whose connection cannot be opened fails with PeerConnectFailed, which
+// TestFailedDialReturnsPeerConnectFailed checks that a call whose connection cannot be opened fails with PeerConnectFailed, which
 // proves to the caller that nothing was sent.
-func TestConnectFailureIsTyped(t *testing.T) {
+func TestFailedDialReturnsPeerConnectFailed(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -153,7 +153,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := time.Now()
+	now := time.Now() // each reading of the clock advances it by 2 s, so that each status checks the files again
 	made, err := transport.NewTLS(file, authority.File(), transport.WithClock(func() time.Time { now = now.Add(2 * time.Second); return now }))
 	if err != nil {
 		t.Fatal(err)
@@ -165,6 +165,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
+	// write replaces the certificate file, and sets its modification time to a time after now.
 	write := func(t *testing.T, text []byte, later time.Duration) {
 		t.Helper()
 		if err := os.WriteFile(file, text, 0o600); err != nil {
