--- a/internal/flightrecorder/recorder_test.go
+++ b/internal/flightrecorder/recorder_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestRecorderDumpsOnError checks that the recorder keeps the last lines, writes nothing until an error is logged and then writes
-// all kept lines, and that unforced dumps are rate-limited.
+// TestRecorderDumpsOnError checks that the recorder keeps the last lines, writes nothing until an error is logged and
+// then writes all kept lines, and that unforced dumps are rate-limited.
 func TestRecorderDumpsOnError(t *testing.T) {
 	folder := t.TempDir()
 	recorder := New(folder, "proxy", 5)
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -8,8 +8,8 @@
 
 func sum(view, event int) int { return view + event }
 
-// TestAppendFoldsAndRetainsEvents checks that the view is the fold of all events, and that the retained events are the last ones, oldest
-// first.
+// TestAppendFoldsAndRetainsEvents checks that the view is the fold of all events, and that the retained events are
+// the last ones, oldest first.
 func TestAppendFoldsAndRetainsEvents(t *testing.T) {
 	for name, test := range map[string]struct {
 		retained int   // capacity for retained events
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestWaitReturnsWhenReadyOrCancelled checks that Wait returns at once if the view is ready, after the event that makes it ready, or when its
-// context ends.
+// TestWaitReturnsWhenReadyOrCancelled checks that Wait returns at once if the view is ready, after the event that
+// makes it ready, or when its context ends.
 func TestWaitReturnsWhenReadyOrCancelled(t *testing.T) {
 	events := New(0, 0, sum)
 	atLeast := func(threshold int) func(int) bool { return func(view int) bool { return view >= threshold } }
--- a/internal/linearize/history.go
+++ b/internal/linearize/history.go
@@ -51,8 +51,8 @@
 	Begin, End time.Duration // times on a clock common to all operations; End is ignored for OutcomeUnknown
 }
 
-// ErrUndecided is the error of Check if the search reached its timeout before it found an order of the calls or ruled
-// out all orders.
+// ErrUndecided is wrapped by the error of Check if the search reached its timeout before it found an order of the
+// calls or ruled out all orders.
 var ErrUndecided = errors.New("linearizability not decided within the timeout")
 
 // History collects operations. All methods are safe for concurrent use.
@@ -77,7 +77,7 @@
 
 // Check returns nil if the calls on every item are linearizable. Otherwise it returns an error that names an item for
 // which no order of the calls explains their results. If there is no such item but the search for an order took longer
-// than timeout for some item, it returns ErrUndecided.
+// than timeout for some item, it returns an error that wraps ErrUndecided.
 func (h *History) Check(timeout time.Duration) error {
 	var undecided error
 	for item, operations := range h.byItem() {
--- a/internal/linearize/history_test.go
+++ b/internal/linearize/history_test.go
@@ -22,7 +22,8 @@
 	return Operation{Item: "item", Read: true, Value: Value{Absent: true}, Result: Accepted, Begin: begin, End: end}
 }
 
-// TestCheckDecidesLinearizability checks that Check accepts the histories that a single store can produce, and rejects the others.
+// TestCheckDecidesLinearizability checks that Check accepts the histories that a single store can produce, and
+// rejects the others.
 func TestCheckDecidesLinearizability(t *testing.T) {
 	for name, test := range map[string]struct {
 		history []Operation
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -62,11 +62,11 @@
 	// The buffer is small, so that a read leaves bytes in the socket.
 	var got bytes.Buffer
 	if _, err := io.CopyBuffer(&got, struct{ io.Reader }{wrapped}, make([]byte, 777)); err != nil {
-		t.Fatal(err)
+		t.Fatalf("read of the wrapped end: error %v, want none until the end of the stream", err)
 	}
 	for range cap(results) {
 		if err := <-results; err != nil {
-			t.Fatal(err)
+			t.Fatalf("write of one end: error %v, want none", err)
 		}
 	}
 	if !bytes.Equal(got.Bytes(), sent) {
--- a/internal/statuspage/statuspage.go
+++ b/internal/statuspage/statuspage.go
@@ -33,17 +33,18 @@
 
 // Replica is the status of a store.
 type Replica struct {
-	Replica        string      `json:"replica,omitempty"`            // member id of this store
-	Leader         string      `json:"leader,omitempty"`             // member id of the leader; empty if none is known
-	Term           uint64      `json:"epoch,omitempty"`              // term of this store's log
-	VotedTerm      uint64      `json:"voted_epoch,omitempty"`        // highest term in which this store voted
-	Sequence       uint64      `json:"sequence,omitempty"`           // sequence of the last appended log entry
-	Durable        uint64      `json:"durable,omitempty"`            // sequence of the last entry on this store's disk
-	Committed      uint64      `json:"committed,omitempty"`          // sequence of the last entry known to be committed
-	Member         bool        `json:"member,omitempty"`             // this store belongs to the membership
-	Unfit          bool        `json:"unfit,omitempty"`              // this store must not lead
-	Heard          []string    `json:"heard,omitempty"`              // members whose heartbeats arrive
-	RefusedPeers   uint64      `json:"refused_peers,omitempty"`      // peers rejected: wrong certificate, protocol or role, or malformed messages
+	Replica   string   `json:"replica,omitempty"`     // member id of this store
+	Leader    string   `json:"leader,omitempty"`      // member id of the leader; empty if none is known
+	Term      uint64   `json:"epoch,omitempty"`       // term of this store's log
+	VotedTerm uint64   `json:"voted_epoch,omitempty"` // highest term in which this store voted
+	Sequence  uint64   `json:"sequence,omitempty"`    // sequence of the last appended log entry
+	Durable   uint64   `json:"durable,omitempty"`     // sequence of the last entry on this store's disk
+	Committed uint64   `json:"committed,omitempty"`   // sequence of the last entry known to be committed
+	Member    bool     `json:"member,omitempty"`      // this store belongs to the membership
+	Unfit     bool     `json:"unfit,omitempty"`       // this store must not lead
+	Heard     []string `json:"heard,omitempty"`       // members whose heartbeats arrive
+	// RefusedPeers counts the peers rejected for a wrong certificate, protocol or role, or for malformed messages.
+	RefusedPeers   uint64      `json:"refused_peers,omitempty"`
 	Membership     *Membership `json:"membership,omitempty"`         // latest appended membership, committed or not
 	Learners       []string    `json:"waiting,omitempty"`            // live replicas that wait to join; the leader keeps them up to date
 	DiskFailed     bool        `json:"refuses,omitempty"`            // writes to this store's disk fail
@@ -61,22 +62,26 @@
 
 // Registry is the status of a registry.
 type Registry struct {
-	Member                    string   `json:"seat,omitempty"`           // member id of the core machine
-	GrantsLeases              bool     `json:"grants,omitempty"`         // this registry grants leases; false for some time after its start
-	Committed                 uint64   `json:"stable,omitempty"`         // newest committed configuration revision known
-	Leases                    []*Lease `json:"leases,omitempty"`         // unexpired leases, whether or not their proxies lag
-	StaleSteps                uint64   `json:"stale_steps,omitempty"`    // rollout steps refused for a controller with a later term
-	RefusedPeers              uint64   `json:"refused_peers,omitempty"`  // peers rejected: wrong certificate, protocol or role, or malformed messages
-	KeyReservations           uint64   `json:"claims,omitempty"`         // unexpired idempotency keys reserved at this registry
-	ReservationsAuthoritative bool     `json:"claims_count,omitempty"`   // this registry counts towards the majority that must grant a reservation
-	RefusedReservations       uint64   `json:"refused_claims,omitempty"` // reservations refused: unauthorized peer, old incarnation, or limit reached
-	ConflictingSettings       []string `json:"odd,omitempty"`            // settings of other processes that contradict this registry's
-	MayControlRollouts        bool     `json:"steers,omitempty"`         // this registry may be the rollout controller
-	Sessions                  uint32   `json:"sessions,omitempty"`       // open sessions of proxies at this registry
-	FleetSize                 uint32   `json:"members,omitempty"`        // proxies known to be alive
-	StalenessKnown            bool     `json:"vouched,omitempty"`        // StalenessNanos is known
-	StalenessNanos            int64    `json:"age_nanos,omitempty"`      // nanoseconds since its configuration was known to be the newest
-	Reachable                 []string `json:"reached,omitempty"`        // other registries that this registry hears from
+	Member       string   `json:"seat,omitempty"`        // member id of the core machine
+	GrantsLeases bool     `json:"grants,omitempty"`      // this registry grants leases; false for some time after its start
+	Committed    uint64   `json:"stable,omitempty"`      // newest committed configuration revision known
+	Leases       []*Lease `json:"leases,omitempty"`      // unexpired leases, whether or not their proxies lag
+	StaleSteps   uint64   `json:"stale_steps,omitempty"` // rollout steps refused for a controller with a later term
+	// RefusedPeers counts the peers rejected for a wrong certificate, protocol or role, or for malformed messages.
+	RefusedPeers    uint64 `json:"refused_peers,omitempty"`
+	KeyReservations uint64 `json:"claims,omitempty"` // unexpired idempotency keys reserved at this registry
+	// ReservationsAuthoritative reports whether this registry counts towards the majority that must grant a
+	// reservation.
+	ReservationsAuthoritative bool `json:"claims_count,omitempty"`
+	// RefusedReservations counts the reservations refused: unauthorized peer, old incarnation, or limit reached.
+	RefusedReservations uint64   `json:"refused_claims,omitempty"`
+	ConflictingSettings []string `json:"odd,omitempty"`       // settings of other processes that contradict this registry's
+	MayControlRollouts  bool     `json:"steers,omitempty"`    // this registry may be the rollout controller
+	Sessions            uint32   `json:"sessions,omitempty"`  // open sessions of proxies at this registry
+	FleetSize           uint32   `json:"members,omitempty"`   // proxies known to be alive
+	StalenessKnown      bool     `json:"vouched,omitempty"`   // StalenessNanos is known
+	StalenessNanos      int64    `json:"age_nanos,omitempty"` // nanoseconds since its configuration was known to be the newest
+	Reachable           []string `json:"reached,omitempty"`   // other registries that this registry hears from
 }
 
 // Worker is a worker as described by the proxy beside it.
--- a/internal/transport/credentials.go
+++ b/internal/transport/credentials.go
@@ -106,8 +106,8 @@
 type CertificateStatus struct {
 	Name     string    `json:"name"`     // role/name
 	NotAfter time.Time `json:"notAfter"` // expiry of the certificate in use; zero for plaintext
-	// Fault says why the newer certificate in the files is not in use, or that the transport is plaintext. It is empty
-	// if the certificate in use is the one in the files.
+	// Fault says why the last reload of the files failed, so that the previous certificate is still in use, or that the
+	// transport is plaintext. It is empty if the last reload succeeded.
 	Fault string `json:"fault,omitempty"`
 }
 
--- a/internal/transport/redial_test.go
+++ b/internal/transport/redial_test.go
@@ -66,7 +66,7 @@
 	})
 	t.Run("late connection is closed", func(t *testing.T) {
 		mine, theirs := net.Pipe()
-		won := make(chan struct{})
+		won := make(chan struct{}) // closed after the second dial has connected
 		var attempts atomic.Int64
 		conn, err := dialRepeatedly(t.Context(), time.Microsecond, func(context.Context) (net.Conn, error) {
 			if attempts.Add(1) == 1 {
@@ -77,7 +77,7 @@
 			return a, nil
 		})
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("dialRepeatedly: error %v, want the connection of the second dial", err)
 		}
 		_ = conn.Close()
 		close(won)
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -32,7 +32,7 @@
 	go func() { _ = server.Serve(ctx, listener, mux, "proxy") }()
 	for range calls {
 		if _, err := schema.NewDRPCHopClient(client.Conn(ctx, listener.Addr().String())).Run(ctx, &schema.ForwardRequest{Body: make([]byte, body)}); err != nil {
-			t.Fatal(err)
+			t.Fatalf("call: error %v, want none", err)
 		}
 	}
 	sent, received := client.Traffic(), server.Traffic()
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -37,7 +37,7 @@
 	localAddress    net.Addr         // source address of outgoing connections; nil lets the kernel choose
 	certificateFile string           // PEM file of the certificate and its key; empty for plaintext
 	authorityFile   string           // PEM file of the certificate authority; empty for plaintext
-	now             func() time.Time // clock; time.Now unless WithClock sets another
+	now             func() time.Time // clock for this process's certificate; time.Now unless WithClock sets another
 
 	lock        sync.Mutex   // guards active, checkedAt and reloadFault
 	active      *credentials // credentials in use; nil for plaintext
@@ -57,7 +57,8 @@
 // WithDialTimeout bounds the time that opening a connection may take.
 func WithDialTimeout(bound time.Duration) Option { return func(t *Transport) { t.dialTimeout = bound } }
 
-// WithClock replaces time.Now as the clock for the validity of certificates and the interval between reload checks.
+// WithClock replaces time.Now as the clock for the validity of this process's certificate and for the interval between
+// reload checks. The validity of peers' certificates is always checked with time.Now.
 func WithClock(now func() time.Time) Option { return func(t *Transport) { t.now = now } }
 
 // WithLocalAddress makes outgoing connections come from the IP of address, which is IP:port, so that peers see a
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -87,7 +87,7 @@
 	}
 	allowedPeer := tlsTransport(t, ours, "proxy", "q", "client")
 	if err := call(allowedPeer); err != nil {
-		t.Fatal(err)
+		t.Fatalf("call by an allowed peer: error %v, want none", err)
 	}
 	if peer := <-recorder.seen; peer.Name != "q" || !peer.MayCallAs("client") || peer.MayCallAs("shop") {
 		t.Errorf("PeerFromContext = %+v, want name q that may call as client but not as shop", peer)
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestFailedDialReturnsPeerConnectFailed checks that a call whose connection cannot be opened fails with PeerConnectFailed, which
-// proves to the caller that nothing was sent.
+// TestFailedDialReturnsPeerConnectFailed checks that a call whose connection cannot be opened fails with
+// PeerConnectFailed, which proves to the caller that nothing was sent.
 func TestFailedDialReturnsPeerConnectFailed(t *testing.T) {
 	authority, err := testbed.NewAuthority(t.TempDir())
 	if err != nil {
@@ -238,7 +238,7 @@
 		return err
 	}
 	if err := call("proxy"); err != nil {
-		t.Fatal(err)
+		t.Fatalf("call with the role proxy: error %v, want none", err)
 	}
 	if peer := <-recorder.seen; peer.Role != "proxy" || peer.Name != "q" || !peer.MayCallAs("bag") || peer.MayCallAs("other") {
 		t.Fatalf("PeerFromContext = %+v, want proxy q that may call as bag but not as other", peer)
