--- a/cmd/golden_test.go
+++ b/cmd/golden_test.go
@@ -114,8 +114,8 @@
 		"POST /v1/explain": `{"route":"r","verdict":{}}`, "POST /v1/changes": `{"id":"x","ruling":"accepted","acknowledged":true}`, "GET /v1/changes/x": `{"id":"x","ruling":"accepted","acknowledged":true}`})
 
 	type testCase struct {
-		name, program string
-		environment   []string
+		name, program string   // name of the case and of the program
+		environment   []string // environment variables besides those that runProgram sets
 		args          []string
 	}
 	var cases []testCase
@@ -312,7 +312,7 @@
 	}
 }
 
-// servedOrNot returns "no page" for a response with status 404, and "served" for any other response.
+// servedOrNot sends a request, and returns "no page" for a response with status 404 and "served" for any other.
 func servedOrNot(t *testing.T, method, address, path string) string {
 	t.Helper()
 	request, err := http.NewRequest(method, "http://"+address+path, strings.NewReader("{"))
--- a/cmd/operator/change.go
+++ b/cmd/operator/change.go
@@ -43,7 +43,7 @@
 		text, err = io.ReadAll(c.in)
 	}
 	if err != nil {
-		return &exitError{exitUsage, errs.Wrap(err, errs.InvalidOptions, "setup")}
+		return &exitError{exitUsage, errs.Wrap(err, errs.InvalidOptions, fmt.Sprintf("read setup file %q", file))}
 	}
 	return c.submitChange(ctx, id, text)
 }
--- a/cmd/operator/client.go
+++ b/cmd/operator/client.go
@@ -36,13 +36,14 @@
 
 // request calls one registry after another until one answers, and returns the status and body of its
 // response. A GET that is answered with 503 is tried at the next registry. If no registry gives another
-// response, the last 503 is returned. If none responds at all, the error is NoQuorum.
+// response, the last 503 is returned. If none responds at all, the error is NoQuorum. An address that is
+// not IP:port is an InvalidOptions error, and an invalid path is the exitError of requestFrom.
 func (c *client) request(ctx context.Context, method, path string, body any) (int, []byte, error) {
 	var encoded []byte
 	if body != nil {
 		var err error
 		if encoded, err = json.Marshal(body); err != nil {
-			return 0, nil, errs.Wrap(err, errs.Internal, "request")
+			return 0, nil, errs.Wrap(err, errs.Internal, "encode request")
 		}
 	}
 	unreachable := []string{}
--- a/cmd/operator/errors.go
+++ b/cmd/operator/errors.go
@@ -6,7 +6,7 @@
 const (
 	exitRejected    = 1 // the mesh rejected the request
 	exitUsage       = 2 // the command line or a file that it names is invalid
-	exitUnreachable = 3 // no registry answered, or the outcome is not known
+	exitUnreachable = 3 // no registry answered, the outcome is not known, or -registries has a malformed address
 )
 
 // exitError is the error of a command together with the program's exit code.
--- a/cmd/operator/main_test.go
+++ b/cmd/operator/main_test.go
@@ -51,15 +51,15 @@
 	"GET /v1/changes/odd": `{`,
 }
 
-// TestCommands checks that each subcommand with good input sends its request, prints the result as
-// text and as JSON, and exits with 0.
-func TestCommands(t *testing.T) {
+// TestCommandsSendRequestsAndPrintResults checks that each subcommand with good input sends its request, prints the
+// result as text and as JSON, and exits with 0.
+func TestCommandsSendRequestsAndPrintResults(t *testing.T) {
 	address, requests := fakeRegistry(t, goodPages, 0)
 	for _, testCase := range []struct {
 		args        []string
-		in          string
-		wantOutput  string
-		wantRequest string
+		in          string // standard input
+		wantOutput  string // part of standard output
+		wantRequest string // part of the requests that the registry gets; empty for any
 	}{
 		{[]string{"apply", "-"}, `segment: s: {salt: "b"}`, "accepted as 8, acknowledged: true", `"expected":{"segment/s":3}`},
 		{[]string{"apply", "-id", "x", "-"}, `segment: t: {salt: "b"}`, "change x: accepted", `"id":"x"`},
@@ -94,7 +94,7 @@
 			}
 			out.Reset()
 			if code := run(append([]string{"-registries", address, "-json"}, testCase.args...), strings.NewReader(testCase.in), &out, &errOut); code != 0 || !json.Valid(out.Bytes()) {
-				t.Errorf("with -json: exit code %d, output %q; want code 0 and valid JSON", code, out.String())
+				t.Errorf("with -json: exit code %d, output %q, errors %q; want code 0 and valid JSON", code, out.String(), errOut.String())
 			}
 			out.Reset()
 			if code := run([]string{testCase.args[0], "-help"}, nil, &out, &errOut); code != 0 || !strings.Contains(errOut.String(), "operator [flags] "+testCase.args[0]) {
@@ -104,8 +104,9 @@
 	}
 }
 
-// TestExitCodes checks that each kind of failure has its own exit code and that the output names the cause.
-func TestExitCodes(t *testing.T) {
+// TestExitCodesTellFailuresApart checks that each kind of failure has its own exit code and that the output names the
+// cause.
+func TestExitCodesTellFailuresApart(t *testing.T) {
 	good, _ := fakeRegistry(t, goodPages, 0)
 	unavailable, _ := fakeRegistry(t, nil, http.StatusServiceUnavailable)
 	withPage := func(page, response string) string {
@@ -117,11 +118,11 @@
 	conflict, _ := json.Marshal(registry.ChangeResponse{ID: "x", Ruling: "conflict", ErrorCode: "CONFLICT", CurrentVersions: map[string]uint64{"segment/s": 9},
 		CurrentItems: []registry.ItemView{{Kind: "segment", Name: "s", Version: 9, Change: "ben-4", Body: json.RawMessage(`{"salt":"his"}`)}}})
 	for name, testCase := range map[string]struct {
-		registries string
+		registries string // value of -registries
 		args       []string
-		in         string
-		code       int
-		wantOutput string
+		in         string // standard input
+		code       int    // wanted exit code
+		wantOutput string // part of standard output and standard error
 	}{
 		"no registry reachable":                {unreachable, []string{"show"}, "", exitUnreachable, unreachable},
 		"one of two registries is down":        {unreachable + "," + good, []string{"show"}, "", 0, "setup 7"},
--- a/cmd/operator/watch.go
+++ b/cmd/operator/watch.go
@@ -13,7 +13,6 @@
 }
 
 // addWatchFlags adds the flags -watch and -times, which are parsed into the result.
-
 func addWatchFlags(flags *flag.FlagSet) *watch {
 	w := &watch{}
 	flags.DurationVar(&w.interval, "watch", 0, "show it again and again, with this pause")
--- a/cmd/testbed/doc.go
+++ b/cmd/testbed/doc.go
@@ -4,7 +4,7 @@
 //	testbed            runs one fleet through one fault scenario and checks the invariants
 //	testbed soak       does the same for many seeds of random faults, with several fleets at a time
 //	testbed hollow     runs many proxies without listeners against a real core, to measure the cost of a member
-//	testbed slopes     runs a series of hollow fleets, to measure how costs grow with each driver
+//	testbed slopes     runs a series of hollow fleets, to measure how costs grow with each cost driver
 //	testbed calls      runs chains of calls through real proxies, to measure the cost of a call
 //
 // The programs proxy, registry and store must be in the directory of this program or in -binaries. With
--- a/cmd/testbed/measure.go
+++ b/cmd/testbed/measure.go
@@ -19,9 +19,9 @@
 
 // measuredReport is the result of a measurement.
 type measuredReport interface {
-	Print(out io.Writer)
-	Write(file string) error
-	WritePlots(folder, format string) error
+	Print(out io.Writer)                    // prints the result as text
+	Write(file string) error                // writes the result as JSON
+	WritePlots(folder, format string) error // writes the plots in a file format
 }
 
 // measurement describes a subcommand that measures costs instead of checking invariants. The pointers point
@@ -35,7 +35,8 @@
 	binaries   *string               // directory of the programs proxy, registry and store
 	plots      *string               // file format of the plots
 	validate   func() options.Faults // checks opts after parsing
-	run        func(ctx context.Context, out io.Writer) (measuredReport, error)
+	// run makes the measurement. It writes its progress to out.
+	run func(ctx context.Context, out io.Writer) (measuredReport, error)
 }
 
 // measure parses the arguments, runs the measurement, prints its report, and writes the report and its
@@ -100,7 +101,7 @@
 	}.measure(args)
 }
 
-// runSlopes measures a series of hollow fleets and fits the cost of each driver.
+// runSlopes measures a series of hollow fleets and fits the cost of each cost driver.
 func runSlopes(args []string) int {
 	opts := &schema.SlopesOptions{}
 	return measurement{
--- a/cmd/testbed/scenario.go
+++ b/cmd/testbed/scenario.go
@@ -17,14 +17,14 @@
 
 // scenarioSettings are the parsed command line of a scenario.
 type scenarioSettings struct {
-	run         testbed.Options
-	deployment  string // name of the fleet in testbed.Deployments
-	keep        bool   // keep the fleet up without load until a signal, instead of running the scenario
-	showVersion bool   // print the program's version and exit
+	run         testbed.Options // options of the run
+	deployment  string          // name of the fleet in testbed.Deployments
+	keep        bool            // keep the fleet up without load until a signal, instead of running the scenario
+	showVersion bool            // print the program's version and exit
 }
 
-// drainingBound is the time after a worker's deregistration during which it may still get calls; the
-// invariant itself allows it.
+// drainingBound is the longest time after a worker began to drain or was killed for which it may still get
+// calls. The invariant itself allows this time.
 const drainingBound = 2 * time.Second
 
 // runScenario runs one fleet through one scenario and checks the invariants. It returns the exit code,
--- a/cmd/tracer/main_test.go
+++ b/cmd/tracer/main_test.go
@@ -21,9 +21,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestTracer checks the exit code and output for a change that some nodes have, for a change that no store
-// knows, for nodes that do not answer, and for invalid command lines.
-func TestTracer(t *testing.T) {
+// TestTracerExitCodesAndOutput checks the exit code and output for a change that some nodes have, for a change that
+// no store knows, for nodes that do not answer, and for invalid command lines.
+func TestTracerExitCodesAndOutput(t *testing.T) {
 	at := time.Unix(1000, 0)
 	leader := fakeCoreMember(t, registry.ChangeTrace{MemberID: "a", KnownToStore: true, Ruling: "accepted", Sequence: 7, Term: 3, Leader: "a", Appended: at, Durable: at.Add(time.Millisecond),
 		Committed: at.Add(2 * time.Millisecond), Seen: at.Add(3 * time.Millisecond), Acknowledged: at.Add(9 * time.Millisecond),
@@ -35,8 +35,8 @@
 	closed.Close()
 	for name, testCase := range map[string]struct {
 		args       []string
-		code       int
-		wantOutput []string
+		code       int      // wanted exit code
+		wantOutput []string // parts of standard output and standard error
 	}{
 		"change while one core machine is down": {[]string{"-registries", leader + "," + unaware + "," + unreachable, "x"}, 0, []string{"accepted as 7 in epoch 3", "store a appended it",
 			"store a synced it", "registry a received it", "proxy edge-1 applied it", "registry a acknowledged it", "missing: store b", "missing: proxy edge-2", unreachable}},
@@ -56,7 +56,7 @@
 			}
 			for _, part := range testCase.wantOutput {
 				if !strings.Contains(out.String(), part) {
-					t.Errorf("output lacks %q:\n%s", part, out.String())
+					t.Errorf("output:\n%s\nwant it to contain %q", out.String(), part)
 				}
 			}
 		})
--- a/cmd/tracer/timeline.go
+++ b/cmd/tracer/timeline.go
@@ -88,7 +88,8 @@
 	}
 }
 
-// printMissing prints the stores, and the proxies with a lease, that are not known to have the change.
+// printMissing prints the stores that are not known to have the committed change, and the proxies with a lease that
+// have not reported that they applied it.
 func printMissing(out io.Writer, traces []registry.ChangeTrace, applied map[string]time.Time) {
 	lagging := map[string]bool{}
 	for i := range traces {
