--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -31,13 +31,13 @@
 // Transport sends and serves all RPCs between this process and other processes.
 type Transport struct {
 	tlsConfig       *tls.Config      // nil for plaintext
-	idle            connPool         // open connections without a call
+	idle            connPool         // connections that no RPC uses
 	dialTimeout     time.Duration    // bounds opening a connection; the timeouts in keepalive.go are multiples of it
 	self            Peer             // this process's own identity
 	localAddress    net.Addr         // source address of outgoing connections; nil lets the kernel choose
 	certificateFile string           // PEM file of the certificate and its key; empty for plaintext
 	authorityFile   string           // PEM file of the certificate authority; empty for plaintext
-	now             func() time.Time // clock; time.Now unless WithClock sets another
+	now             func() time.Time // clock for this process's certificate; time.Now unless WithClock sets another
 
 	lock        sync.Mutex   // guards active, checkedAt and reloadFault
 	active      *credentials // credentials in use; nil for plaintext
@@ -57,7 +57,8 @@
 // WithDialTimeout bounds the time that opening a connection may take.
 func WithDialTimeout(bound time.Duration) Option { return func(t *Transport) { t.dialTimeout = bound } }
 
-// WithClock replaces time.Now as the clock for the validity of certificates and the interval between reload checks.
+// WithClock replaces time.Now as the clock for the validity of this process's certificate and for the interval between
+// reload checks. The validity of peers' certificates is always checked with time.Now.
 func WithClock(now func() time.Time) Option { return func(t *Transport) { t.now = now } }
 
 // WithLocalAddress makes outgoing connections come from the IP of address, which is IP:port, so that peers see a
@@ -146,7 +147,7 @@
 		Roots:     t.currentCredentials().roots,
 		KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny},
 	})
-	return errs.Wrap(err, errs.Unauthorized, "certificate")
+	return errs.Wrap(err, errs.Unauthorized, "verify peer certificate")
 }
 
 // Self returns this process's own identity.
