--- a/internal/fakebackend/bounds.go
+++ b/internal/fakebackend/bounds.go
@@ -10,21 +10,22 @@
 	// ConfigPropagationBound is the time after the acknowledgement of a change during which calls may still be handled
 	// by an older configuration.
 	ConfigPropagationBound = 2 * time.Second
-	// ConfigRegressionBound is the time after its use of a configuration during which a proxy may still use an older one.
+	// ConfigRegressionBound is the time for which a proxy or registry may still use an older configuration after it has
+	// used a newer one.
 	ConfigRegressionBound = 250 * time.Millisecond
 
 	// RetryBudgetWindow is the length of the sliding window in which the retries of a service are limited. They may
 	// not exceed RetryBudgetRatio of the service's calls in the window, plus RetryBudgetFloor.
 	RetryBudgetWindow = 10 * time.Second
-	// RetryBudgetRatio is the fraction of a service's calls in a window that may be retried.
+	// RetryBudgetRatio limits the retries in a window, as a fraction of the service's calls in that window.
 	RetryBudgetRatio = 0.2
-	// RetryBudgetFloor is the number of retries that a service may make in a window in any case.
+	// RetryBudgetFloor is the number of retries that are allowed in a window in addition, however few calls there are.
 	RetryBudgetFloor = 60
 
-	// FaultyVersionRatio is the fraction of its service's calls that a faulty version may get. FaultyVersionFloor
-	// calls are allowed in addition.
+	// FaultyVersionRatio limits the calls that a faulty version gets, as a fraction of its service's calls since the
+	// version became faulty. FaultyVersionFloor calls are allowed in addition.
 	FaultyVersionRatio = 0.1
-	// FaultyVersionFloor is the number of calls that a faulty version may get in any case.
+	// FaultyVersionFloor is the number of calls that a faulty version may get however few calls its service gets.
 	FaultyVersionFloor = 50
 	// FaultyVersionFailures is the number of failures after which a faulty version must be taken out of service.
 	FaultyVersionFailures = 50
--- a/internal/fakebackend/fakebackend_test.go
+++ b/internal/fakebackend/fakebackend_test.go
@@ -28,12 +28,12 @@
 func TestReserveLoopbackNet(t *testing.T) {
 	first, firstLock, err := ReserveLoopbackNet()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("the first ReserveLoopbackNet() failed: %v", err)
 	}
 	defer func() { _ = firstLock.Close() }()
 	second, secondLock, err := ReserveLoopbackNet()
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("the second ReserveLoopbackNet() failed: %v", err)
 	}
 	defer func() { _ = secondLock.Close() }()
 	if first == second {
--- a/internal/fakebackend/loopback.go
+++ b/internal/fakebackend/loopback.go
@@ -32,5 +32,6 @@
 			return octet, lock, nil
 		}
 	}
-	return 0, nil, errs.Wrap(err, errs.Internal, "no free loopback net")
+	return 0, nil, errs.Wrap(err, errs.Internal,
+		fmt.Sprintf("every loopback network from 127.%d.0.0/16 to 127.%d.0.0/16 is reserved", firstLoopbackNet, lastLoopbackNet))
 }
--- a/internal/fakebackend/reply.go
+++ b/internal/fakebackend/reply.go
@@ -17,6 +17,7 @@
 	return reply
 }
 
+// checksum computes the checksum of the other fields.
 func (r Reply) checksum() uint32 {
 	return crc32.ChecksumIEEE([]byte(r.Operation + "|" + r.Worker + "|" + r.Filler))
 }
--- a/internal/golden/golden_test.go
+++ b/internal/golden/golden_test.go
@@ -98,18 +98,18 @@
 	// The listener finds a free port; it is closed so that the probe listener can use it.
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("finding a free port failed: %v", err)
 	}
 	address := listener.Addr().String()
 	if err := listener.Close(); err != nil {
-		t.Fatal(err)
+		t.Fatalf("closing the listener at %s failed: %v", address, err)
 	}
 	ready := atomic.Bool{}
 	environment := &daemon.Environment{Recorder: flightrecorder.New("", "golden", 4), Draining: &atomic.Bool{}}
 	environment.AddPage("/page", func() any { return map[string]int{"own": 1} })
 	environment.AddReadinessPath("/elsewhere")
 	if err := environment.ServeProbes(address, func() daemon.Readiness { return daemon.Readiness{Ready: ready.Load(), Reason: "young"} }); err != nil {
-		t.Fatal(err)
+		t.Fatalf("ServeProbes(%s) failed: %v", address, err)
 	}
 	var listing strings.Builder
 	request := func(state string, paths ...string) {
@@ -132,12 +132,12 @@
 	client := &http.Client{Timeout: 3 * time.Second}
 	response, err := client.Get(url)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("GET %s failed: %v", url, err)
 	}
-	defer func() { _ = response.Body.Close() }() // its error says nothing once the body is read
+	defer func() { _ = response.Body.Close() }() // the response is only read
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the response of %s failed: %v", url, err)
 	}
 	described := fmt.Sprintf("%d %s", response.StatusCode, response.Header.Get("Content-Type"))
 	var body map[string]any
@@ -162,7 +162,7 @@
 		status, response := daemon.NewErrorResponse(errs.New(code, "detail"), "not-run", []string{"fault"})
 		text, err := json.Marshal(response)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("encoding the response to error code %s failed: %v", code, err)
 		}
 		fmt.Fprintf(&listing, "%d %s\n", status, text)
 	}
@@ -186,11 +186,11 @@
 	setAllFields(value, 0)
 	text, err := json.Marshal(value.Interface())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding a %T failed: %v", page, err)
 	}
 	var decoded any
 	if err := json.Unmarshal(text, &decoded); err != nil {
-		t.Fatal(err)
+		t.Fatalf("decoding the JSON of a %T failed: %v", page, err)
 	}
 	paths := map[string]bool{}
 	collectPaths("", decoded, paths)
@@ -271,6 +271,7 @@
 	}
 }
 
+// sortedPaths returns the keys of paths in alphabetical order.
 func sortedPaths(paths map[string]bool) []string {
 	var list []string
 	for path := range paths {
--- a/internal/goldenfile/goldenfile.go
+++ b/internal/goldenfile/goldenfile.go
@@ -17,7 +17,7 @@
 	file := filepath.Join("testdata", "golden", name)
 	want, err := os.ReadFile(file)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the golden file failed: %v", err)
 	}
 	if diff := cmp.Diff(string(want), got); diff != "" {
 		t.Errorf("%s differs (-want +got):\n%s", file, diff)
