--- a/internal/testbed/brief_test.go
+++ b/internal/testbed/brief_test.go
@@ -14,7 +14,7 @@
 func TestNamesInBriefExist(t *testing.T) {
 	text, err := os.ReadFile("../../docs/brief.md")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the brief failed: %v", err)
 	}
 	named := 0
 	for _, match := range regexp.MustCompile("`(Test[A-Za-z]+)`").FindAllStringSubmatch(string(text), -1) {
@@ -46,7 +46,7 @@
 	t.Helper()
 	files, err := filepath.Glob("../simulator/*.go")
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("listing the files of the simulator failed: %v", err)
 	}
 	var source strings.Builder
 	for _, file := range files {
@@ -55,7 +55,7 @@
 		}
 		text, err := os.ReadFile(file)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("reading the simulator failed: %v", err)
 		}
 		source.Write(text)
 	}
--- a/internal/testbed/caller.go
+++ b/internal/testbed/caller.go
@@ -35,7 +35,7 @@
 	rate       float64     // requests per second
 	history    *History
 	now        func() time.Duration // time since the run began
-	serial     atomic.Uint64        // number of calls so far; part of their operations
+	serial     atomic.Uint64        // number of calls so far; the operation of a call contains its number
 }
 
 // NewCaller returns a caller at the given address of a proxy's listener. It calls the routes in proportion to their
@@ -102,8 +102,8 @@
 	callerRetryBackoff = 300 * time.Millisecond // time between two attempts
 )
 
-// call makes one call. A call with an idempotency key is retried while its outcome is unknown, each time at another
-// proxy, up to maxCallerRetries times.
+// call makes one call. A call with an idempotency key is retried through the alternates, up to maxCallerRetries times,
+// until its outcome is answered or not-run.
 func (c *Caller) call(route RouteSpec, user int) {
 	serial := c.serial.Add(1)
 	operation := fmt.Sprintf("%s@%s-%d", c.name, c.proxy, serial)
--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -55,7 +55,7 @@
 	Mode   string      `json:"mode"`   // mode of the fleet
 	Cores  int         `json:"cores"`  // number of CPU cores of this machine
 	Points []CallPoint `json:"points"` // runs, in the order in which they were made
-	Slopes []Slope     `json:"slopes"`
+	Slopes []Slope     `json:"slopes"` // growth of each cost with the rate of calls and with the depth of chains
 
 	addedByLoad map[string]*hdrhistogram.Histogram // latencies of CallPoint.AddedLatency, by depth and rate
 }
@@ -244,13 +244,14 @@
 	}
 	request.SetBody(c.body)
 	if err := client.DoTimeout(request, response, callerTimeout); err != nil {
-		return 0, errs.Wrap(err, errs.PeerConnectionLost, "call")
+		return 0, errs.Wrap(err, errs.PeerConnectionLost, fmt.Sprintf("no response from %s at %s", serviceName(i), client.Addr))
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return 0, errs.New(errs.InvalidResponse, strconv.Itoa(response.StatusCode()))
+		return 0, errs.New(errs.InvalidResponse,
+			fmt.Sprintf("%s at %s answered with status %d, want 200", serviceName(i), client.Addr, response.StatusCode()))
 	}
 	worked, err := strconv.ParseInt(string(response.Header.Peek(workedNanosHeader)), 10, 64)
-	return time.Duration(worked), errs.Wrap(err, errs.InvalidResponse, "work")
+	return time.Duration(worked), errs.Wrap(err, errs.InvalidResponse, "cannot parse the response header "+workedNanosHeader)
 }
 
 // measureLoad begins chains at a constant rate, in chains per second, for the length of a run. It returns the costs and
@@ -380,8 +381,8 @@
 func (r *CallsReport) fit(rates, depths int) {
 	costs := []struct {
 		name     string
-		additive bool // the cost is a sum over all calls, so the cost of a chain is its quotient by the chain rate
-		oneSided bool // the cost is that of the caller's or of the worker's proxy only
+		additive bool // the cost is a sum over all chains, so it is divided by their rate to get the cost of one chain
+		oneSided bool // the cost is that of one proxy only, the first caller's or the first worker's
 		value    func(CallPoint) float64
 	}{
 		{"proxies cpu ms", true, false, func(p CallPoint) float64 { return p.ProxiesCPU }},
@@ -408,7 +409,7 @@
 		}
 		units := map[bool][2]string{true: {" a second", " a chain"}}[cost.additive]
 		r.Slopes = append(r.Slopes, fitSlope("calls a second", cost.name+units[0], byRate))
-		// The proxies of a chain are on both sides of calls, so one-sided costs have no slope by depth.
+		// In a chain a proxy is on both sides of calls, so one-sided costs have no slope by depth.
 		if !cost.oneSided {
 			r.Slopes = append(r.Slopes, fitSlope("depth", cost.name+units[1], byDepth))
 		}
--- a/internal/testbed/calls_test.go
+++ b/internal/testbed/calls_test.go
@@ -19,11 +19,11 @@
 	opts := &schema.CallsOptions{}
 	if err := options.Parse("testbed calls", []string{"-rates=20,40,80", "-depths=1,2,4,8", "-chains=10", "-runs=1", "-length=1s", "-work=1ms", "-body=1000", "-lease=2s",
 		"-folder=" + t.TempDir(), "-binaries=" + binaries}, opts, io.Discard); err != nil {
-		t.Fatal(err)
+		t.Fatalf("options.Parse() failed: %v", err)
 	}
 	report, err := RunCalls(t.Context(), opts, t.Output())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("RunCalls() failed: %v", err)
 	}
 	report.Print(t.Output())
 	for _, point := range report.Points {
--- a/internal/testbed/certificates.go
+++ b/internal/testbed/certificates.go
@@ -35,7 +35,7 @@
 	}
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "key")
+		return nil, errs.Wrap(err, errs.Internal, "cannot generate the key of the authority")
 	}
 	a := &Authority{folder: folder, key: key, serial: 1}
 	a.root = &x509.Certificate{
@@ -49,7 +49,7 @@
 	}
 	signed, err := x509.CreateCertificate(rand.Reader, a.root, a.root, &key.PublicKey, key)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "authority")
+		return nil, errs.Wrap(err, errs.Internal, "cannot sign the certificate of the authority")
 	}
 	return a, writePEM(a.File(), []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}})
 }
@@ -67,7 +67,7 @@
 func (a *Authority) IssueUntil(role, name string, services []string, until time.Time) (string, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return "", errs.Wrap(err, errs.Internal, "key")
+		return "", errs.Wrap(err, errs.Internal, "cannot generate the key of "+role+"/"+name)
 	}
 	a.serial++
 	request := &x509.Certificate{
@@ -84,11 +84,11 @@
 	}
 	signed, err := x509.CreateCertificate(rand.Reader, request, a.root, &key.PublicKey, a.key)
 	if err != nil {
-		return "", errs.Wrap(err, errs.Internal, "certificate")
+		return "", errs.Wrap(err, errs.Internal, "cannot sign the certificate of "+role+"/"+name)
 	}
 	private, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
-		return "", errs.Wrap(err, errs.Internal, "key")
+		return "", errs.Wrap(err, errs.Internal, "cannot encode the key of "+role+"/"+name)
 	}
 	file := filepath.Join(a.folder, role+"-"+name+".pem")
 	return file, writePEM(file, []*pem.Block{{Type: "CERTIFICATE", Bytes: signed}, {Type: "EC PRIVATE KEY", Bytes: private}})
--- a/internal/testbed/config_checks.go
+++ b/internal/testbed/config_checks.go
@@ -119,7 +119,8 @@
 	return views
 }
 
-// checkInvalidChanges checks that no invalid change is accepted and that no node shows an item of one.
+// checkInvalidChanges checks that no invalid change is accepted, and that no node shows the item that only this change
+// names.
 func checkInvalidChanges(h *History, _ *Deployment, result *Finding) {
 	changeByItem := map[string]string{}
 	for _, change := range h.Changes {
--- a/internal/testbed/curve_fit.go
+++ b/internal/testbed/curve_fit.go
@@ -22,13 +22,14 @@
 	Cost         string    `json:"cost"`   // name of the cost, with its unit
 	Coefficients []float64 `json:"terms"`  // coefficients of the polynomial, the constant first
 	RSquared     float64   `json:"fit"`    // coefficient of determination R² over the fitted runs
-	// RelativeSpread is the largest standard deviation of the runs at one value, as a fraction of their mean.
+	// RelativeSpread is the largest relative spread at any value: the standard deviation of the costs of the runs at that
+	// value, as a fraction of their mean.
 	RelativeSpread float64 `json:"spread"`
 	// HeldOut is the driver's value whose runs were left out of the fit, to compare Predicted with Measured; 0 if no value
 	// was left out.
 	HeldOut   float64 `json:"out"`
 	Predicted float64 `json:"predicted"` // cost that the polynomial predicts at HeldOut
-	Measured  float64 `json:"measured"`  // mean cost of the runs at HeldOut
+	Measured  float64 `json:"measured"`  // mean cost of the runs at HeldOut; 0 if no value was left out
 }
 
 // Predict returns the cost that the polynomial predicts at a value of the driver.
@@ -62,13 +63,14 @@
 // maxDegree is the largest degree of a fitted polynomial. Costs come from loops over members, or over pairs of members.
 const maxDegree = 2
 
-// maxErrorRatio is the ratio of the error of a curve to the error of a line below which the curve is preferred.
+// maxErrorRatio bounds the squared error of a parabola, as a fraction of the squared error of a line. The parabola is
+// chosen only if its squared error is below this bound.
 const maxErrorRatio = 0.7
 
 // fitSlope fits a polynomial to runs by least squares. It chooses the degree by leave-one-out cross-validation over the
-// driver's values: it prefers a higher degree only if that reduces the squared error by the factor maxErrorRatio. The
-// largest value is held out of the fit and of the choice, because slopes are used to predict beyond the measured range.
-// The fit needs more than maxDegree values for that; otherwise none is held out.
+// driver's values: a higher degree is chosen only if its squared error is less than maxErrorRatio times that of the
+// lower degree. The largest value is held out of the fit and of the choice, because slopes are used to predict beyond
+// the measured range. If there are no more than maxDegree values, none is held out.
 func fitSlope(driver, cost string, runs []costSample) Slope {
 	byValue := map[float64][]float64{}
 	for _, sample := range runs {
--- a/internal/testbed/deployment.go
+++ b/internal/testbed/deployment.go
@@ -34,7 +34,7 @@
 	Internal      bool    // the route is called by services; otherwise by clients
 }
 
-// smallRoutes holds the routes of the deployments that are not modeled on a user's.
+// smallRoutes holds the routes of the deployments that are not models of a user's deployment.
 var smallRoutes = []RouteSpec{
 	{Name: "shop-buy", Service: "shop", Prefix: "/shop/buy", Method: "POST", NonIdempotent: true, Weight: 0.4},
 	{Name: "shop-look", Service: "shop", Prefix: "/shop/look", Method: "GET", Weight: 0.3},
--- a/internal/testbed/disconnecting_caller.go
+++ b/internal/testbed/disconnecting_caller.go
@@ -19,7 +19,7 @@
 	meanDisconnectCallGap        = 150 * time.Millisecond  // mean time between two calls of a caller
 	meanDisconnectDelay          = 300 * time.Millisecond  // mean time from sending a request to disconnecting
 	maxDisconnectedWork          = 1800 * time.Millisecond // largest value of workDurationHeader
-	disconnectingReadTimeout     = 4 * time.Second         // longest wait for a response by a caller that reads it
+	disconnectingReadTimeout     = 4 * time.Second         // longest time from sending a request to the end of its response
 	disconnectingCallersPerProxy = 3                       // number of callers at each proxy
 )
 
@@ -38,8 +38,9 @@
 	disconnectModes                        // number of modes
 )
 
-// DisconnectingCaller is a fake caller that ends its calls in a random disconnectMode. Most modes disconnect before the
-// response has arrived. It reuses its connection for as long as that stays open. It must be used from one goroutine.
+// DisconnectingCaller is a fake caller that ends each call in a random disconnectMode. In the modes modeClose and
+// modeReset it disconnects without waiting for the response. It reuses its connection for as long as that stays open. It
+// must be used from one goroutine.
 type DisconnectingCaller struct {
 	name    string // clientCaller or the name of a service
 	proxy   string // name of the proxy
@@ -51,7 +52,7 @@
 	conn   net.Conn      // nil while there is no connection
 	reader *bufio.Reader // buffered reader of conn
 	number int           // index among the disconnecting callers of the same proxy
-	serial int           // number of calls so far; part of their operations
+	serial int           // number of calls so far; the operation of a call contains its number
 }
 
 // NewDisconnectingCaller returns a disconnecting caller that has the name, the proxy, the routes and the history of the
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -10,15 +10,16 @@
 )
 
 // Fleet is a mesh of real processes on this machine that simulates many machines. Each simulated machine has a loopback
-// address of its own, and the links between machines may run through relays. NewFleet makes a fleet. After that, only
-// its processes change, and the addresses and relays of a core machine that ReplaceCoreMember replaces.
+// address of its own, and the links between machines may run through relays. NewFleet makes a fleet with relays,
+// newHollowCore one without. Once a fleet is laid out, only the state of its processes changes, and the addresses and
+// relays of a core machine that ReplaceCoreMember replaces.
 type Fleet struct {
 	Deployment   *Deployment
 	folder       string        // folder of settings, data, certificates and logs
 	binaries     string        // folder of the mesh's programs
 	netOctet     int           // second octet of every address; reserved, so that fleets that run at the same time differ
 	netLock      io.Closer     // reservation of netOctet
-	lease        time.Duration // lease of every process
+	lease        time.Duration // duration of leases, in the settings of registries and proxies
 	delayedDisks bool          // stores run on a disk that can be delayed
 	authority    *Authority    // issuer of the processes' certificates
 	LinkFaults   *LinkFaults   // faults that the relays apply
@@ -62,8 +63,9 @@
 }
 
 // ReplaceCoreMember kills the i-th core machine and starts a replacement at another address with empty data folders.
-// No process uses the old address any more; the other members learn the new one from the replacement. It fails with
-// the error of the first step that failed.
+// No store or registry listens at the old address any more; the other members learn the new one from the replacement.
+// The operator API of the machine keeps its address. ReplaceCoreMember fails with the error of the first step that
+// failed.
 func (f *Fleet) ReplaceCoreMember(i int) error {
 	machine := fmt.Sprintf("127.%d.3.%d", f.netOctet, i+1)
 	if err := f.moveProcess(f.Stores[i], f.coreAddress(i), machine, portStore, portStoreProbe, nil); err != nil {
@@ -73,8 +75,9 @@
 	return f.moveProcess(f.Registries[i], f.coreAddress(i), machine, portRegistry, portRegistryProbe, store)
 }
 
-// moveProcess kills a process of a core machine, wipes its data, and starts it at another machine address with
-// additional changes of its settings. The new relay applies the link faults of the old machine.
+// moveProcess kills a process of a core machine, wipes its data, and starts it at the IP address machine. It changes the
+// addresses in the process's settings and adds the changes in additional, which may be nil. The new relay applies the
+// link faults of the old machine.
 func (f *Fleet) moveProcess(process *Process, oldMachine, machine string, port, probePort int, additional map[string]string) error {
 	process.Kill()
 	if err := process.WipeData(); err != nil {
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -43,7 +43,7 @@
 		Out:           t.Output(),
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Run() failed: %v", err)
 	}
 	report.Print(t.Output())
 	for _, finding := range report.Findings {
@@ -76,7 +76,7 @@
 		OnReady:    func(fleet *Fleet) { checkInputs(t, fleet) },
 	})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Run() failed: %v", err)
 	}
 	if len(report.UncleanExits) > 0 {
 		t.Errorf("processes %v did not exit with 0 on SIGTERM, want all to", report.UncleanExits)
@@ -99,7 +99,7 @@
 		}
 		response, err := http.DefaultClient.Do(request)
 		if err != nil {
-			t.Fatal(err)
+			t.Fatalf("%s %s%s failed: %v", method, address, path, err)
 		}
 		defer func() { _ = response.Body.Close() }() // the response is only read
 		text, _ := io.ReadAll(response.Body)
@@ -184,7 +184,7 @@
 	operator := NewOperator("person", fleet, &History{}, func() time.Duration { return 0 })
 	for deadline := time.Now().Add(time.Minute); counted < 5+countedRetries && time.Now().Before(deadline); {
 		if _, err := operator.call(2, http.MethodGet, "/v1/verdicts", nil, &counts); err != nil {
-			t.Fatal(err)
+			t.Fatalf("GET /v1/verdicts failed: %v", err)
 		}
 		counted = 0
 		for _, count := range counts {
--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -17,7 +17,7 @@
 	Route          string        `json:"route"`             // name of the route
 	NonIdempotent  bool          `json:"once"`              // the request must not be executed more than once
 	Keyed          bool          `json:"keyed,omitempty"`   // the request has an idempotency key, which equals Operation
-	CallerRetry    int           `json:"ask,omitempty"`     // number of earlier attempts of the caller, at other proxies
+	CallerRetry    int           `json:"ask,omitempty"`     // number of earlier attempts of the caller; 0 for the first attempt
 	Sent           time.Duration `json:"sent"`              // time at which the caller sent the request
 	Received       time.Duration `json:"got"`               // time at which the caller got the response or gave up
 	Status         int           `json:"status"`            // HTTP status; 0 if there was no response
@@ -60,12 +60,13 @@
 
 // ReleaseEntry is the state of a release plan, as a registry showed it to an operator.
 type ReleaseEntry struct {
-	At                 time.Duration `json:"at"`       // time at which the state was read
-	Release            string        `json:"release"`  // name of the release plan
-	State              string        `json:"state"`    // state of the release plan
-	Reason             string        `json:"reason"`   // reason that the registry gave for the state
-	SetPoint           float64       `json:"setPoint"` // percentage of the calls that the new version is to get
-	MeasuredPercentage float64       `json:"measured"` // percentage of the executions since the last read
+	At       time.Duration `json:"at"`       // time at which the state was read
+	Release  string        `json:"release"`  // name of the release plan
+	State    string        `json:"state"`    // state of the release plan
+	Reason   string        `json:"reason"`   // reason that the registry gave for the state
+	SetPoint float64       `json:"setPoint"` // percentage of the service's calls that the new version is to get
+	// MeasuredPercentage is the percentage of the service's executions since the last read that were on the new version.
+	MeasuredPercentage float64 `json:"measured"`
 }
 
 // ChangeEntry is one configuration change, as its operator saw it.
@@ -75,9 +76,9 @@
 	Sent         time.Duration `json:"sent"`             // time at which the operator submitted the change
 	Answered     time.Duration `json:"got"`              // time at which the operator got the response or gave up
 	Ruling       string        `json:"ruling"`           // ruling of the registry; unknown if there was no valid response
-	Sequence     uint64        `json:"sequence"`         // configuration revision that the change made
+	Sequence     uint64        `json:"sequence"`         // configuration revision that the change made; 0 unless it was accepted
 	Acknowledged bool          `json:"acknowledged"`     // the registry reported that no proxy uses an older revision any more
-	InvalidItem  string        `json:"marker,omitempty"` // item that only this change names, if it is invalid
+	InvalidItem  string        `json:"marker,omitempty"` // key of an item that only this change names; empty if the change is valid
 }
 
 // WorkerExitEntry records that a worker reported that it is draining, or that it was killed without such a report.
@@ -97,13 +98,15 @@
 
 // FaultEntry is a fault that the run injected.
 type FaultEntry struct {
-	Name               string        `json:"what"`            // name of the scenario step or random fault
-	Target             string        `json:"on"`              // process, worker or link that the fault acted on
-	At                 time.Duration `json:"at"`              // time at which the fault began
-	End                time.Duration `json:"end,omitempty"`   // end of the fault; 0 if it lasts until the next fault
-	MayReject          bool          `json:"costs,omitempty"` // the fault may cause rejections
-	HitsCore           bool          `json:"core,omitempty"`  // the fault affects a core machine; one such fault at a time is harmless
-	DelaysPeerMessages bool          `json:"mute,omitempty"`  // the fault delays messages between proxies
+	Name   string        `json:"what"` // name of the scenario step or random fault
+	Target string        `json:"on"`   // process, worker or link that the fault acted on
+	At     time.Duration `json:"at"`   // time at which the fault began
+	// End is the time at which the fault ended; 0 if it lasts until the next fault begins or the run ends.
+	End       time.Duration `json:"end,omitempty"`
+	MayReject bool          `json:"costs,omitempty"` // the fault may cause rejections
+	// HitsCore is set if the fault affects a core machine or its disk. One such fault at a time is harmless.
+	HitsCore           bool `json:"core,omitempty"`
+	DelaysPeerMessages bool `json:"mute,omitempty"` // the fault delays messages between proxies
 }
 
 // History is everything that was observed from outside the mesh in one run, and the limits that it is checked against.
--- a/internal/testbed/hollow_core.go
+++ b/internal/testbed/hollow_core.go
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// Settings of a large fleet that differ from the defaults.
+// Settings of hollow and chain fleets that differ from the defaults.
 const (
 	keyWindowLeases = 8   // duration of the window of idempotency keys, in leases
 	minSources      = 256 // smallest limit on the number of proxies, for registries and proxies
@@ -147,8 +147,7 @@
 	return settings, err
 }
 
-// hollowSettings returns the settings of the i-th hollow member, which are parsed and checked like those of the proxy
-// program.
+// hollowSettings returns the settings of the i-th hollow member. It parses and checks them as the proxy program does.
 func (f *Fleet) hollowSettings(opts *schema.HollowOptions, i int) (*schema.ProxyOptions, error) {
 	settings, err := f.edgeSettings(opts.Mode, i, []string{clientCaller}, max(minSources, 2*opts.Members))
 	if err != nil {
--- a/internal/testbed/hollow_members.go
+++ b/internal/testbed/hollow_members.go
@@ -32,8 +32,8 @@
 	joined       time.Time                // time at which the current incarnation began to join
 	recovered    bool                     // the current incarnation has applied a configuration
 	applied      []appliedConfig          // configurations that all incarnations applied, in order
-	reportedAt   map[uint64]time.Duration // times of the member's own last updates, by their counter
-	incarnation  uint64                   // incarnation of the updates in reportedAt
+	reportedAt   map[uint64]time.Duration // times of the current incarnation's last updates, since the run began, by counter
+	incarnation  uint64                   // number of the incarnation that made the updates in reportedAt
 	priorTraffic transport.Traffic        // traffic of the incarnations that have ended
 }
 
@@ -67,8 +67,8 @@
 	workerUpdates *hdrhistogram.Histogram  // HollowReport.WorkerUpdates
 	recoveries    *hdrhistogram.Histogram  // HollowReport.Recovery
 	failovers     *hdrhistogram.Histogram  // HollowReport.RegistryFailover
-	restarts      int                      // number of restarts by restartLoop
-	losses        int                      // number of losses by lossLoop
+	restarts      int                      // number of restarts; only restartLoop writes it
+	losses        int                      // number of losses; only lossLoop writes it
 	measuring     atomic.Bool              // observe records latencies only while this is set
 }
 
@@ -243,7 +243,7 @@
 }
 
 // awaitJoined waits until every member has the given configuration revision or a newer one and knows at least the given
-// number of workers. The timeout covers all members together. It fails if the timeout is over, or with ctx's error.
+// number of workers. The timeout covers all members together. It fails once the timeout is over, or with ctx's error.
 func (f *hollowFleet) awaitJoined(ctx context.Context, revision uint64, workers int, timeout time.Duration) error {
 	deadline := time.Now().Add(timeout)
 	for _, m := range f.members {
@@ -253,8 +253,8 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("%s has setup %d of %d and knows %d workers of %d",
-					m.settings.Name, status.ConfigRevision, revision, status.KnownWorkers, workers)
+				return fmt.Errorf("hollow member %s did not join within %v: it has configuration revision %d, want %d, and knows %d workers, want %d",
+					m.settings.Name, timeout, status.ConfigRevision, revision, status.KnownWorkers, workers)
 			}
 			if !sleepContext(ctx, joinPoll) {
 				return ctx.Err()
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -63,11 +63,11 @@
 func (o *hollowOperator) submitChange(core int, text string) (*registry.ChangeResponse, error) {
 	items, faults := configsource.Parse([]byte(text))
 	if len(faults) > 0 {
-		return nil, errs.New(errs.InvalidConfig, fmt.Sprint(faults[0]))
+		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf("cannot parse the change: %v", faults[0]))
 	}
 	body, err := json.Marshal(o.newSubmission(text, items))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "change")
+		return nil, errs.Wrap(err, errs.Internal, "cannot encode the change")
 	}
 	entry := submittedChange{submittedAt: o.now()}
 	answer, err := o.post(core, body)
@@ -103,18 +103,19 @@
 
 // post sends an encoded change to a core member and decodes the response.
 func (o *hollowOperator) post(core int, body []byte) (*registry.ChangeResponse, error) {
-	response, err := o.http.Post("http://"+o.core.OperatorAddress(core)+"/v1/changes", "application/json", bytes.NewReader(body))
+	address := o.core.OperatorAddress(core)
+	response, err := o.http.Post("http://"+address+"/v1/changes", "application/json", bytes.NewReader(body))
 	if err != nil {
-		return nil, errs.Wrap(err, errs.PeerConnectionLost, "registry")
+		return nil, errs.Wrap(err, errs.PeerConnectionLost, "no response from the registry at "+address)
 	}
 	defer func() { _ = response.Body.Close() }() // the response is only read
 	text, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.PeerConnectionLost, "registry")
+		return nil, errs.Wrap(err, errs.PeerConnectionLost, "incomplete response from the registry at "+address)
 	}
 	answer := &registry.ChangeResponse{}
 	if err := json.Unmarshal(text, answer); err != nil {
-		return nil, errs.Wrap(err, errs.MalformedRequest, string(text))
+		return nil, errs.Wrap(err, errs.MalformedRequest, fmt.Sprintf("cannot decode the response of the registry at %s: %s", address, text))
 	}
 	return answer, nil
 }
@@ -182,8 +183,8 @@
 	return pieces
 }
 
-// servicesText returns the services in CUE, with the release flags of those that have a release. Clients and a few other
-// services may call each service.
+// servicesText returns the services in CUE, with the release flags of those that have a release. Clients and up to
+// callersPerService other services may call each service, as in a tree of calls.
 func (o *hollowOperator) servicesText() string {
 	var text strings.Builder
 	services := int(o.opts.Services)
@@ -203,7 +204,7 @@
 
 // submitUntilAccepted submits a change at the core members in turn until it is accepted. A conflict counts as accepted,
 // because it shows that an earlier attempt was accepted and its response lost. It fails with errs.InvalidConfig if the
-// change is invalid, with errs.NoQuorum after maxInitialAttempts retries, or with ctx's error.
+// change is invalid, with errs.NoQuorum after maxInitialRetries retries, or with ctx's error.
 func (o *hollowOperator) submitUntilAccepted(ctx context.Context, text string) error {
 	for attempt := 0; ; attempt++ {
 		answer, err := o.submitChange(attempt%int(o.opts.Seats), text)
@@ -211,10 +212,11 @@
 			return nil
 		}
 		if err == nil && answer.Ruling == "invalid" {
-			return errs.New(errs.InvalidConfig, fmt.Sprint(answer.Faults))
+			return errs.New(errs.InvalidConfig, fmt.Sprintf("the initial configuration is invalid: %v", answer.Faults))
 		}
-		if attempt == maxInitialAttempts {
-			return errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not taken: %+v, %v", answer, err))
+		if attempt == maxInitialRetries {
+			return errs.New(errs.NoQuorum,
+				fmt.Sprintf("the initial configuration was not accepted in %d attempts; last response: %+v, error: %v", attempt+1, answer, err))
 		}
 		if !sleepContext(ctx, initialRetryBackoff) {
 			return ctx.Err()
@@ -226,7 +228,7 @@
 const (
 	callersPerService   = 3                      // largest number of other services that may call a service
 	releaseLengthFactor = 10                     // duration of a release, as a multiple of the run's
-	maxInitialAttempts  = 100                    // largest number of retries of each change
+	maxInitialRetries   = 100                    // largest number of retries of each change
 	initialRetryBackoff = 200 * time.Millisecond // time between two attempts
 )
 
--- a/internal/testbed/hollow_options.go
+++ b/internal/testbed/hollow_options.go
@@ -26,8 +26,8 @@
 	return validateHollow(opts, machineMemory(), maxOpenFiles())
 }
 
-// validateHollow is ValidateHollow for a machine with the given memory in bytes, of which 0 means unknown, and the given
-// limit of open files per process.
+// validateHollow is ValidateHollow for a machine with the given memory in bytes and the given limit of open files per
+// process. A memory of 0 means unknown and is not checked.
 func validateHollow(opts *schema.HollowOptions, memory int64, files uint64) options.Faults {
 	var faults options.Faults
 	if opts.Releases > opts.Services {
@@ -41,27 +41,27 @@
 	}
 	losses := opts.CoresLost + opts.ZonesLost
 	if need := time.Duration(losses*leasesPerLoss) * time.Duration(opts.Lease); need > time.Duration(opts.Length) {
-		faults = append(faults, fmt.Sprintf("length: %v are too short for %d losses, which take %v", time.Duration(opts.Length), losses, need))
+		faults = append(faults, fmt.Sprintf("length: %v is too short for %d losses, which take %v", time.Duration(opts.Length), losses, need))
 	}
 	if losses > 0 && opts.Restarts > 0 {
-		faults = append(faults, "restarts: cannot be run together with cores-lost and zones-lost")
+		faults = append(faults, "restarts: cannot be combined with cores-lost or zones-lost")
 	}
 	if opts.CoresLost > 0 && opts.Seats < minMembersForLoss {
-		faults = append(faults, fmt.Sprintf("cores-lost: of %d seats none can be lost", opts.Seats))
+		faults = append(faults, fmt.Sprintf("cores-lost: a core of %d members cannot lose one, at least %d are needed", opts.Seats, minMembersForLoss))
 	}
 	if need, have := requiredMemory(opts), memory/memoryDivisor; memory > 0 && need > have {
-		faults = append(faults, fmt.Sprintf("members: %d with this setup need about %d MB, and half of this machine's memory is %d MB",
+		faults = append(faults, fmt.Sprintf("members: %d with this configuration need about %d MB, and half of this machine's memory is %d MB",
 			opts.Members, need>>20, have>>20))
 	}
 	if need := uint64(opts.Members*(opts.Seats+1)*connsPerMember) + reservedFiles; need > files {
-		faults = append(faults, fmt.Sprintf("members: %d need about %d open files, and %d are allowed", opts.Members, need, files))
+		faults = append(faults, fmt.Sprintf("members: %d need about %d open files, and a process may have %d", opts.Members, need, files))
 	}
 	return faults
 }
 
 // Open files of a run.
 const (
-	connsPerMember = 2   // connections of each hollow member with each core member
+	connsPerMember = 2   // connections of a hollow member with a core member; counted for one core member more than there is
 	reservedFiles  = 256 // all other files
 )
 
--- a/internal/testbed/hollow_report.go
+++ b/internal/testbed/hollow_report.go
@@ -54,14 +54,14 @@
 	Seconds float64               `json:"seconds"` // duration of the measurement
 	Roles   []RoleCost            `json:"roles"`   // hollow members first, then the other roles in alphabetical order
 
-	Acknowledge       LatencySummary `json:"acknowledge"` // submission of a change to its acknowledgement
-	Applied           LatencySummary `json:"apply"`       // acknowledgement of a change to its application, at each member
-	AppliedEverywhere LatencySummary `json:"everywhere"`  // submission of a change to its application by the last member
+	Acknowledge       LatencySummary `json:"acknowledge"` // time from the submission of a change to its acknowledgement
+	Applied           LatencySummary `json:"apply"`       // time from the acknowledgement of a change to its application by each member
+	AppliedEverywhere LatencySummary `json:"everywhere"`  // time from the submission of a change to its application by the last member
 	Staleness         LatencySummary `json:"stale"`       // staleness of members' views; see measureStaleness
-	WorkerUpdates     LatencySummary `json:"news"`        // update of a member's workers to its arrival, at each other member
-	Recovery          LatencySummary `json:"back"`        // restart of a member to its application of a configuration
-	RegistryFailover  LatencySummary `json:"moved"`       // loss of a member's registry to its session with another
-	WakeupDelay       LatencySummary `json:"late"`        // lateness of this process's timers; shows the load of the machine
+	WorkerUpdates     LatencySummary `json:"news"`        // time from an update of a member's workers to its arrival at each other member
+	Recovery          LatencySummary `json:"back"`        // time from the restart of a member to its first application of a configuration
+	RegistryFailover  LatencySummary `json:"moved"`       // time from the loss of a member's registry to its session with another
+	WakeupDelay       LatencySummary `json:"late"`        // time by which this process's timers fire late; it shows the load of the machine
 	Unapplied         int            `json:"unapplied"`   // number of accepted changes not acknowledged or not applied by all
 	Rulings           map[string]int `json:"rulings"`     // number of changes by ruling, including the initial configuration
 	Restarts          int            `json:"restarts"`    // number of restarts of members
@@ -79,7 +79,7 @@
 	At float64 `json:"at"` // end of the interval, in seconds since the measurement began
 	// CPU is the CPU usage by role in thousandths of a core: that of the largest process, or the mean over the members.
 	CPU map[string]float64 `json:"cpuMsPerSecond"`
-	// Memory is the memory by role: that of the largest process, or the mean over the members.
+	// Memory is the memory by role in MB: that of the largest process, or the mean over the members.
 	Memory map[string]float64 `json:"memoryMB"`
 }
 
@@ -115,8 +115,8 @@
 		last, all := time.Duration(0), true
 		for _, member := range fleet.members {
 			member.lock.Lock()
-			// Members apply revisions in order, except that a restart may set one back. The entries before a restart were as
-			// new as the configuration was at that time.
+			// The search needs ascending revisions. Only a restart may set a member back to an older one, and the entries
+			// before the restart were as new as the configuration was at that time.
 			first := sort.Search(len(member.applied), func(i int) bool { return member.applied[i].revision >= change.revision })
 			if first == len(member.applied) {
 				all = false
--- a/internal/testbed/hollow_run.go
+++ b/internal/testbed/hollow_run.go
@@ -24,7 +24,7 @@
 	now      func() time.Duration // time since the run began
 	out      io.Writer            // progress output
 
-	memoryBefore int64                   // stableMemory before the members were made
+	memoryBefore int64                   // result of stableMemory before the members were made, in bytes
 	wakeupDelay  *hdrhistogram.Histogram // HollowReport.WakeupDelay
 
 	stop      chan struct{}  // closed to end the tasks
@@ -241,8 +241,8 @@
 
 // Timing of a run.
 const (
-	minIntervals         = 10                     // smallest number of snapshots of counters that a run is divided into
-	maxInterval          = 2 * time.Second        // longest time between two snapshots
+	minIntervals         = 10                     // 1/minIntervals of the run's length is the longest wait between two snapshots
+	maxInterval          = 2 * time.Second        // upper limit of that wait
 	joinTimeoutPerMember = 200 * time.Millisecond // time that each member adds to the timeout of joinMembers
 	applyTimeout         = 8 * time.Second        // longest wait of awaitApplied
 )
--- a/internal/testbed/hollow_test.go
+++ b/internal/testbed/hollow_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	opts := &schema.HollowOptions{}
 	if err := options.Parse("testbed hollow", args, opts, io.Discard); err != nil {
-		t.Fatal(err)
+		t.Fatalf("options.Parse(%v) failed: %v", args, err)
 	}
 	return opts
 }
@@ -66,8 +66,8 @@
 	return binaries
 }
 
-// TestHollowMembers checks that hollow members behave like proxies: they apply every change and recover from restarts.
-// It also checks that the costs of every role are measured.
+// TestHollowMembers checks that hollow members behave like proxies: they learn of every worker, apply every change and
+// recover from restarts. It also checks that the costs of every role are measured.
 func TestHollowMembers(t *testing.T) {
 	if testing.Short() {
 		t.Skip("brings up processes")
@@ -76,7 +76,7 @@
 		"-lease=2s", "-mode=strict", "-beat=500ms", "-real=1", "-folder="+t.TempDir(), "-binaries="+buildWithoutRaceDetector(t))
 	report, err := RunHollow(t.Context(), opts, t.Output())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("RunHollow() failed: %v", err)
 	}
 	report.Print(t.Output())
 	if report.Unapplied > 0 || report.Acknowledge.Count == 0 || report.Rulings["accepted"] == 0 {
@@ -112,7 +112,7 @@
 		"-folder="+t.TempDir(), "-binaries="+buildWithoutRaceDetector(t))
 	report, err := RunHollow(t.Context(), opts, t.Output())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("RunHollow() failed: %v", err)
 	}
 	report.Print(t.Output())
 	if report.InjectedLosses != 2 || report.RegistryFailover.Count < 3 || report.Recovery.Count < 3 {
--- a/internal/testbed/invariants.go
+++ b/internal/testbed/invariants.go
@@ -7,7 +7,7 @@
 // Finding is the result of checking one invariant against the history of a run.
 type Finding struct {
 	Rule       string   `json:"rule"`               // the invariant, as a sentence
-	Checked    int      `json:"judged"`             // number of entries that were checked; with 0 the invariant was not tested
+	Checked    int      `json:"judged"`             // number of entries that were checked; 0 means that the invariant was not tested
 	Violations int      `json:"breaches"`           // number of violations
 	Examples   []string `json:"examples,omitempty"` // descriptions of the first maxExamples violations
 }
--- a/internal/testbed/latency.go
+++ b/internal/testbed/latency.go
@@ -26,7 +26,7 @@
 // LatencySummary holds the number of values in a latency histogram and their quantiles, in milliseconds.
 type LatencySummary struct {
 	Count int64   `json:"count"` // number of values
-	P50   float64 `json:"p50"`
+	P50   float64 `json:"p50"`   // median
 	P90   float64 `json:"p90"`
 	P99   float64 `json:"p99"`
 	Max   float64 `json:"max"`
--- a/internal/testbed/load.go
+++ b/internal/testbed/load.go
@@ -18,8 +18,8 @@
 	background     sync.WaitGroup
 }
 
-// startLoad starts callers, operators and observers. Their order must not change: each draws its random numbers from
-// the seed in turn.
+// startLoad starts callers, operators and observers. The order of the callers must not change, because each draws the
+// seed of its random choices from rng in turn.
 func (r *testRun) startLoad() *load {
 	l := &load{stopCallers: make(chan struct{}), stopBackground: make(chan struct{})}
 	rng := rand.New(rand.NewPCG(r.options.Seed, 1))
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -23,7 +23,7 @@
 	now          func() time.Duration // time since the run began
 	http         *http.Client
 	changeSerial int // number of changes submitted so far; part of their ids
-	textSerial   int // number of change texts made so far; makes each text differ from the one before
+	textSerial   int // number of change texts made so far; each text contains its number, so that all differ
 }
 
 // operatorTimeout bounds each request of an operator. It is longer than a registry takes to answer a change that not
@@ -42,22 +42,24 @@
 func (o *Operator) call(core int, method, path string, body, target any) (int, error) {
 	requestBody, err := json.Marshal(body)
 	if err != nil {
-		return 0, errs.Wrap(err, errs.Internal, "request")
+		return 0, errs.Wrap(err, errs.Internal, "cannot encode the body of "+method+" "+path)
 	}
-	request, err := http.NewRequest(method, "http://"+o.fleet.OperatorAddress(core)+path, bytes.NewReader(requestBody))
+	address := o.fleet.OperatorAddress(core)
+	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(requestBody))
 	if err != nil {
-		return 0, errs.Wrap(err, errs.Internal, "request")
+		return 0, errs.Wrap(err, errs.Internal, "cannot make the request "+method+" "+path)
 	}
 	response, err := o.http.Do(request)
 	if err != nil {
-		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
+		return 0, errs.Wrap(err, errs.PeerConnectionLost, "no response from the registry at "+address)
 	}
 	defer func() { _ = response.Body.Close() }() // the response is only read
 	responseBody, err := io.ReadAll(response.Body)
 	if err != nil {
-		return 0, errs.Wrap(err, errs.PeerConnectionLost, "registry")
+		return 0, errs.Wrap(err, errs.PeerConnectionLost, "incomplete response from the registry at "+address)
 	}
-	return response.StatusCode, errs.Wrap(json.Unmarshal(responseBody, target), errs.MalformedRequest, string(responseBody))
+	return response.StatusCode, errs.Wrap(json.Unmarshal(responseBody, target), errs.MalformedRequest,
+		"cannot decode the response of the registry at "+address+": "+string(responseBody))
 }
 
 // ReadConfig reads the configuration at a core member and records it. It fails with errs.NoQuorum if the member does
@@ -67,7 +69,7 @@
 	view := &registry.ConfigView{}
 	status, err := o.call(core, http.MethodGet, "/v1/setup", nil, view)
 	if err != nil || status != http.StatusOK {
-		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("status %d: %v", status, err))
+		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("%s did not return its configuration: status %d, error %v", entry.Node, status, err))
 	}
 	entry.Received = o.now()
 	entry.ConfigRevision = view.Sequence
@@ -146,12 +148,13 @@
 	}
 }
 
-// ReadReleases reads the release plans at a core member. It fails with errs.NoQuorum if the status is not OK.
+// ReadReleases reads the release plans at a core member. It fails like call, or with errs.NoQuorum if the status of the
+// response is not 200.
 func (o *Operator) ReadReleases(core int) ([]registry.ReleaseView, error) {
 	var releases []registry.ReleaseView
 	status, err := o.call(core, http.MethodGet, "/v1/releases", nil, &releases)
 	if err == nil && status != http.StatusOK {
-		err = errs.New(errs.NoQuorum, fmt.Sprint(status))
+		err = errs.New(errs.NoQuorum, fmt.Sprintf("%s did not return its release plans: status %d", o.fleet.Registries[core].Name, status))
 	}
 	return releases, err
 }
--- a/internal/testbed/options.go
+++ b/internal/testbed/options.go
@@ -11,8 +11,8 @@
 	Deployment   *Deployment   // size of the fleet and its load
 	Folder       string        // folder for data and logs; it must exist
 	Binaries     string        // folder of the mesh's programs
-	LoadDuration time.Duration // length of the load, during which the scenario's faults are injected
-	Lease        time.Duration // lease of every process of the fleet
+	LoadDuration time.Duration // duration of the load, during which the scenario's faults are injected
+	Lease        time.Duration // duration of leases, in the settings of registries and proxies
 	Seed         uint64        // seed of all random choices of callers and faults
 	Scenario     string        // a key of Scenarios
 	OnReady      func(*Fleet)  // if set, there is no load: it is called once the fleet is ready, then the fleet is stopped
@@ -21,7 +21,7 @@
 	// DrainingBound is the longest time for which a draining worker may still get requests.
 	DrainingBound time.Duration
 	// DisconnectBound is the longest time for which a worker may continue with an idempotent request after its caller
-	// disconnected. The zero value turns this check off.
+	// disconnected. 0 turns this check off.
 	DisconnectBound time.Duration
 	// CheckRejections turns on the check that requests are rejected only because of faults. It needs a machine that is
 	// fast enough for the fleet, as one that is too slow rejects requests without any fault.
--- a/internal/testbed/plots.go
+++ b/internal/testbed/plots.go
@@ -28,9 +28,9 @@
 	scatter bool // draw separate points instead of a line
 }
 
-// writePlot writes a plot to the file name.format in a folder, with the spaces of the name replaced. The format is a
-// file extension that gonum/plot supports, such as svg; with "none" or an empty format nothing is written. customize, if
-// not nil, is called with the plot before the series are added.
+// writePlot writes a plot to the file name.format in a folder, with the spaces of the name replaced by hyphens. The
+// format is a file extension that gonum/plot supports, such as svg; with "none" or an empty format nothing is written.
+// customize, if not nil, is called with the plot before the series are added.
 func writePlot(folder, format, name, title, xLabel, yLabel string, plotted []plotSeries, customize func(*plot.Plot)) error {
 	if format == "none" || format == "" {
 		return nil
@@ -51,7 +51,7 @@
 		if data.scatter {
 			dots, err := plotter.NewScatter(data.points)
 			if err != nil {
-				return errs.Wrap(err, errs.Internal, name)
+				return errs.Wrap(err, errs.Internal, "cannot plot "+data.name+" in "+name)
 			}
 			dots.Color = plotutil.Color(i)
 			dots.Shape = plotutil.Shape(i)
@@ -61,7 +61,7 @@
 		}
 		line, err := plotter.NewLine(data.points)
 		if err != nil {
-			return errs.Wrap(err, errs.Internal, name)
+			return errs.Wrap(err, errs.Internal, "cannot plot "+data.name+" in "+name)
 		}
 		line.Color = color.Color(plotutil.Color(i))
 		chart.Add(line)
--- a/internal/testbed/process.go
+++ b/internal/testbed/process.go
@@ -25,10 +25,10 @@
 	program      string   // path of the executable
 	args         []string // command-line arguments
 	probeAddress string   // IP:port of the process's status pages
-	logFile      string   // file to which the output of all incarnations is appended
+	logFile      string   // path of the file to which the output of all incarnations is appended
 
 	settings     map[string]string // content of settingsFile
-	settingsFile string            // file that the process reads at its start and at SIGHUP
+	settingsFile string            // path of the file that the process reads at its start and at SIGHUP
 
 	lock   sync.Mutex    // guards cmd and exited
 	cmd    *exec.Cmd     // last incarnation; nil before the first start
@@ -51,7 +51,7 @@
 	cmd := exec.Command(p.program, p.args...)
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
-		return errs.Wrap(err, errs.Internal, p.Name)
+		return errs.Wrap(err, errs.Internal, "cannot start "+p.Name)
 	}
 	exited := make(chan struct{})
 	go func() {
@@ -144,7 +144,8 @@
 	for key, value := range p.settings {
 		fmt.Fprintf(&text, "%s %s\n", key, value)
 	}
-	return errs.Wrap(os.WriteFile(p.settingsFile, []byte(text.String()), 0o640), errs.DiskFailed, p.Name)
+	return errs.Wrap(os.WriteFile(p.settingsFile, []byte(text.String()), 0o640), errs.DiskFailed,
+		"cannot write the settings of "+p.Name)
 }
 
 // WipeData removes the process's data folder, which simulates a machine that comes back with a new disk. The process
@@ -181,7 +182,7 @@
 	for _, process := range processes {
 		for !process.Ready() {
 			if time.Now().After(deadline) {
-				return errs.New(errs.Internal, process.Name+" is not ready in time; see "+process.logFile)
+				return errs.New(errs.Internal, fmt.Sprintf("%s is not ready after %v; its log is %s", process.Name, timeout, process.logFile))
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -203,7 +204,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return errs.New(errs.Internal, fmt.Sprintf("%s knows %d workers of %d", process.Name, status.Known, workers))
+				return errs.New(errs.Internal, fmt.Sprintf("%s knows %d workers after %v, want %d", process.Name, status.Known, timeout, workers))
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -217,11 +218,12 @@
 func (p *Process) getPage(path string, target any) error {
 	response, err := probeClient.Get("http://" + p.probeAddress + path)
 	if err != nil {
-		return errs.Wrap(err, errs.PeerConnectionLost, p.Name+path)
+		return errs.Wrap(err, errs.PeerConnectionLost, "no response from "+p.Name+" to "+path)
 	}
 	defer func() { _ = response.Body.Close() }() // the response is only read
 	if response.StatusCode != http.StatusOK {
-		return errs.New(errs.MalformedRequest, fmt.Sprintf("%s%s: status %d", p.Name, path, response.StatusCode))
+		return errs.New(errs.MalformedRequest, fmt.Sprintf("%s answered %s with status %d, want 200", p.Name, path, response.StatusCode))
 	}
-	return errs.Wrap(json.NewDecoder(response.Body).Decode(target), errs.MalformedRequest, p.Name+path)
+	return errs.Wrap(json.NewDecoder(response.Body).Decode(target), errs.MalformedRequest,
+		"cannot decode the response of "+p.Name+" to "+path)
 }
--- a/internal/testbed/random_faults.go
+++ b/internal/testbed/random_faults.go
@@ -248,8 +248,8 @@
 	return worker.name, func() { worker.SetFault(nil) }
 }
 
-// storeLeader returns the index of the core machine whose store is the leader. It takes the word of the first store
-// that names a known leader, and returns 0 if none does.
+// storeLeader returns the index of the core machine whose store is the leader. It uses the first answer of a store
+// that names a core member as the leader, and returns 0 if there is none.
 func (r *testRun) storeLeader() int {
 	for _, store := range r.fleet.Stores {
 		var status struct{ Leader string }
--- a/internal/testbed/random_schedule.go
+++ b/internal/testbed/random_schedule.go
@@ -8,7 +8,7 @@
 
 // randomSchedule holds the frequency and the duration of random faults.
 type randomSchedule struct {
-	meanInterval  time.Duration // mean time between the beginnings of two faults
+	meanInterval  time.Duration // mean time between the draws of two faults, of which faultScheduler.begin drops some
 	maxDuration   time.Duration // longest duration of a fault
 	faultFreeTail time.Duration // length of the last part of the load, which has no faults
 	maxActive     int           // largest number of faults at the same time
@@ -21,7 +21,7 @@
 type activeFault struct {
 	until    time.Duration // time at which the fault is due to end, since the run began
 	index    int           // index of the fault in History.Faults
-	hitsCore bool          // the fault affects a core machine
+	hitsCore bool          // the fault affects a core machine or its disk
 	end      func()        // ends the fault
 }
 
@@ -69,8 +69,8 @@
 	}
 }
 
-// checkCore updates coreFaulty. The mesh tolerates only one core fault at a time, so the next may begin only once the
-// core has recovered from the last.
+// checkCore clears coreFaulty once the core has recovered from its last fault. The mesh tolerates only one core fault at
+// a time, so the next may not begin earlier.
 func (s *faultScheduler) checkCore() {
 	if !s.coreFaulty {
 		return
@@ -79,8 +79,8 @@
 	s.coreFaulty = stillFaulty || !s.run.coreHealthy()
 }
 
-// begin draws a fault. It drops the fault if too many are active, or if it would be a second core fault at a time;
-// otherwise it injects it.
+// begin draws a fault and the time of the next draw. It injects the fault unless maxActive faults are active, or the
+// fault hits the core while coreFaulty is set. A fault that is not injected is dropped.
 func (s *faultScheduler) begin() {
 	r := s.run
 	s.next = r.now() + time.Duration(s.rng.Int64N(int64(2*s.schedule.meanInterval)))
--- a/internal/testbed/rejections.go
+++ b/internal/testbed/rejections.go
@@ -14,7 +14,7 @@
 const rejectionGraceLeases = 2
 
 // faultBehindRejection returns the name of a fault that may have caused the rejection of a call; empty if there is
-// none. A fault without an end lasts until the next fault begins.
+// none. A fault without an end lasts until the next fault begins or, if it is the last, until the end of the run.
 func (h *History) faultBehindRejection(call CallEntry) string {
 	coreFaults := 0
 	for i, fault := range h.Faults {
--- a/internal/testbed/relay.go
+++ b/internal/testbed/relay.go
@@ -1,6 +1,7 @@
 package testbed
 
 import (
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -23,7 +24,7 @@
 func NewRelay(address, target, machine string, faults *LinkFaults) (*Relay, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "relay")
+		return nil, errs.Wrap(err, errs.Internal, fmt.Sprintf("relay for %s cannot listen at %s", target, address))
 	}
 	r := &Relay{listener: listener, target: target, machine: machine, faults: faults}
 	go r.acceptLoop()
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -18,14 +18,14 @@
 // Report is the result of a run. Scripts read its JSON form, so the keys must not change.
 type Report struct {
 	Deployment string    `json:"deployment"` // name of the deployment
-	Seed       uint64    `json:"seed"`
-	Seconds    float64   `json:"seconds"` // duration of the load
-	Findings   []Finding `json:"findings"`
-	Phases     []Phase   `json:"phases"`
+	Seed       uint64    `json:"seed"`       // Options.Seed
+	Seconds    float64   `json:"seconds"`    // duration of the load
+	Findings   []Finding `json:"findings"`   // one for each invariant, in a fixed order
+	Phases     []Phase   `json:"phases"`     // in the order of time; the first ends with the first fault
 	// Unanswered is a sample of the calls that were not answered: up to maxUnansweredSamples for each combination of
 	// phase, outcome and error code.
 	Unanswered []CallEntry    `json:"refused"`
-	Faults     []FaultEntry   `json:"faults"`
+	Faults     []FaultEntry   `json:"faults"`         // History.Faults
 	Outcomes   map[string]int `json:"outcomes"`       // number of calls by outcome
 	ErrorCodes map[string]int `json:"defects"`        // number of calls by error code
 	CallRate   float64        `json:"callsPerSecond"` // calls per second of load, whatever their outcome
@@ -39,15 +39,15 @@
 	Acknowledged      int                `json:"acknowledged"`           // number of acknowledged changes
 	CPU               map[string]float64 `json:"cpuSecondsPer1000Calls"` // CPU seconds per 1000 calls, by program
 	UncleanExits      []string           `json:"unclean"`                // names of the processes that did not exit cleanly
-	// Resources holds samples of the whole run; each is of the largest process of a program.
+	// Resources holds the samples of the whole run, one for each program at each sampleInterval.
 	Resources []Sample `json:"resources"`
 	// RecoverySeconds is the time from the end of the last random fault until the fleet served again; 0 in scenarios
 	// without random faults.
 	RecoverySeconds float64 `json:"backSeconds,omitempty"`
 	// SurvivedChanges is the number of acknowledged changes that still had their outcome at the end.
 	SurvivedChanges int            `json:"survived"`
-	Releases        []ReleaseEntry `json:"shares,omitempty"`
-	Violations      int            `json:"breaches"` // total number of violations of all invariants
+	Releases        []ReleaseEntry `json:"shares,omitempty"` // History.Releases
+	Violations      int            `json:"breaches"`         // total number of violations of all invariants
 	// Disconnects is the sum of the counts of disconnected callers of all incarnations of all proxies.
 	Disconnects dispatch.DisconnectCounts `json:"departures"`
 }
@@ -57,10 +57,10 @@
 	Fault      string         `json:"fault"`             // name of the fault that began the phase
 	Target     string         `json:"on"`                // target of that fault
 	Calls      int            `json:"calls"`             // number of calls
-	Rejected   int            `json:"turnedAway"`        // number of calls that were sent but not answered
+	Rejected   int            `json:"turnedAway"`        // number of calls with any other outcome than answered and unsent
 	Unsent     int            `json:"unsent"`            // number of calls whose proxy refused the connection
-	ErrorCodes map[string]int `json:"defects,omitempty"` // number of rejected calls by error code
-	// LastRejectedAfter is the time from the beginning of the fault to the last rejection, in seconds.
+	ErrorCodes map[string]int `json:"defects,omitempty"` // number of the calls in Rejected by error code, which may be empty
+	// LastRejectedAfter is the time from the beginning of the fault to the end of the last call in Rejected, in seconds.
 	LastRejectedAfter float64 `json:"backAfterSeconds"`
 }
 
--- a/internal/testbed/resources.go
+++ b/internal/testbed/resources.go
@@ -13,8 +13,8 @@
 
 // Sample is the resource usage of a program at one time. Each value is the largest among the program's processes.
 type Sample struct {
-	At         time.Duration `json:"at"` // time since the run began
-	Program    string        `json:"program"`
+	At         time.Duration `json:"at"`         // time since the run began
+	Program    string        `json:"program"`    // proxy, registry or store
 	MemoryKB   int           `json:"memoryKB"`   // resident memory
 	Files      int           `json:"files"`      // number of open files
 	Goroutines int           `json:"goroutines"` // number of goroutines
--- a/internal/testbed/run.go
+++ b/internal/testbed/run.go
@@ -48,7 +48,7 @@
 func newTestRun(o Options) (*testRun, error) {
 	scenario, found := Scenarios[o.Scenario]
 	if !found {
-		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("no play is called %q", o.Scenario))
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf("unknown scenario %q", o.Scenario))
 	}
 	fleet, err := NewFleet(o.Deployment, o.Folder, o.Binaries, o.Lease, scenario.relayEdges, scenario.delayedDisks)
 	if err != nil {
@@ -146,16 +146,17 @@
 			return nil
 		}
 		if attempt == 2*d.CoreMembers {
-			return errs.New(errs.NoQuorum, fmt.Sprintf("the first setup was not acknowledged: %+v", result))
+			return errs.New(errs.NoQuorum,
+				fmt.Sprintf("the initial configuration was not acknowledged in %d attempts; last result: %+v", attempt+1, result))
 		}
 	}
 }
 
-// recordFinalState records the configuration at each core member, the outcome of each acknowledged change, and the
-// proxies' counts of disconnected callers.
+// recordFinalState records the final configuration at each core member, whether each acknowledged change still has its
+// outcome, and the proxies' counts of disconnected callers.
 func (r *testRun) recordFinalState() {
 	for core := range r.options.Deployment.CoreMembers {
-		_, _ = r.operator.ReadConfig(core) // a view that can't be read leaves one entry less to check
+		_, _ = r.operator.ReadConfig(core) // a configuration that can't be read is one entry less to check
 	}
 	r.verifyAcknowledgedChanges()
 	r.recordDisconnects()
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -13,14 +13,14 @@
 	delayedDisks         bool            // the disks of stores can be delayed
 	random               *randomSchedule // schedule of random faults; nil if steps is used
 	disconnectingCallers bool            // some callers disconnect before they get a response
-	steps                []scenarioStep  // faults and their ends, ordered by atFraction
+	steps                []scenarioStep  // steps at fixed times, ordered by atFraction; empty if random is used
 }
 
-// scenarioStep is the beginning or the end of one fault.
+// scenarioStep begins or ends a fault, or submits a change.
 type scenarioStep struct {
 	atFraction float64                        // time of the step, as a fraction of the load's duration
 	name       string                         // name in reports; the key of nonRejecting
-	apply      func(*testRun) (target string) // injects or ends the fault and returns what it acted on
+	apply      func(*testRun) (target string) // performs the step and returns what it acted on
 }
 
 // nonRejecting holds the names of steps that must not cause rejections. After any other step, calls may be rejected
--- a/internal/testbed/scenarios.go
+++ b/internal/testbed/scenarios.go
@@ -34,8 +34,9 @@
 	{0.85, "core machine back", func(r *testRun) string { return r.startCore(0) }},
 }
 
-// harshSteps is the scenario of all other faults that docs/brief.md lists and that processes on one machine can
-// reproduce. It needs a load of at least two minutes, so that each fault has ended before the next begins.
+// harshSteps is the scenario of the faults in docs/brief.md that standardSteps leaves out, as far as processes on one
+// machine can reproduce them. It needs a load of at least two minutes, so that each fault has ended before the next
+// begins.
 var harshSteps = []scenarioStep{
 	{0.02, "workers replaced one by one", func(r *testRun) string { return r.replaceWorkerAt(0) }},
 	{0.05, "workers replaced one by one", func(r *testRun) string { return r.replaceWorkerAt(1) }},
--- a/internal/testbed/slopes.go
+++ b/internal/testbed/slopes.go
@@ -84,7 +84,7 @@
 
 // Values in baseOptions that differ from the defaults of a hollow run.
 const (
-	routesAtBase  = 64 // smallest number of routes, so that the calls of different members use different routes
+	routesAtBase  = 64 // smallest number of routes; enough for the calls of different members to use different routes
 	changesAtBase = 6  // changes per minute; few enough that they do not hide other costs
 )
 
@@ -107,7 +107,7 @@
 	var faults options.Faults
 	for _, driver := range options.SplitList(opts.Drivers) {
 		if _, found := drivers[driver]; !found {
-			faults = append(faults, fmt.Sprintf("drivers: %q is not one of them", driver))
+			faults = append(faults, fmt.Sprintf("drivers: unknown driver %q", driver))
 			continue
 		}
 		values, err := driverValues(opts, driver)
@@ -200,10 +200,10 @@
 type SlopesReport struct {
 	Commit string  `json:"commit"` // commit of this program; see buildCommit
 	Mode   string  `json:"mode"`   // mode of the hollow runs
-	Runs   int     `json:"runs"`   // number of runs that the slopes were fitted to
+	Runs   int     `json:"runs"`   // number of finished runs, including those at held-out values
 	Slopes []Slope `json:"slopes"` // slopes of all costs for the first driver, then for the next
 
-	points []Point // runs that the slopes were fitted to
+	points []Point // finished runs
 }
 
 // pointsFile is the name of the file with the finished runs of a series: one Point per line, as JSON. A series that was
@@ -253,7 +253,7 @@
 		_ = os.RemoveAll(run.Folder) // files that can't be removed do no harm
 		text, err := json.Marshal(point)
 		if err != nil {
-			return nil, errs.Wrap(err, errs.Internal, "point")
+			return nil, errs.Wrap(err, errs.Internal, fmt.Sprintf("cannot encode run %d of %s %g", point.Run, point.Driver, point.Value))
 		}
 		if _, err := pointsLog.Write(append(text, '\n')); err != nil {
 			return nil, errs.Wrap(err, errs.DiskFailed, file)
--- a/internal/testbed/slopes_test.go
+++ b/internal/testbed/slopes_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestFitSlope checks that a fit of noisy runs has the right degree, and that its prediction at the held-out value is
-// close to the measured cost unless the cost breaks off its line there.
+// close to the measured cost. If the cost leaves its line after the last fitted value, the prediction must be far off.
 func TestFitSlope(t *testing.T) {
 	noise := []float64{0.98, 1.02, 1}
 	runsOf := func(cost func(float64) float64) (runs []costSample) {
@@ -41,7 +41,7 @@
 			}
 		})
 	}
-	// A cost that breaks off its line before the held-out value must be far above the prediction.
+	// This cost leaves its line after the last fitted value, 400, so at 820 it is far above the prediction.
 	if slope := fitSlope("members", "breaks", runsOf(func(x float64) float64 { return 5 + x + math.Max(0, x-400)*9 })); slope.RelativeError() > -0.5 {
 		t.Errorf("fitSlope() of a cost that breaks off its line = %+v with relative error %.3f, want -0.5 or less", slope, slope.RelativeError())
 	}
@@ -51,7 +51,7 @@
 func TestSlopesOptionsAreValidated(t *testing.T) {
 	opts := &schema.SlopesOptions{}
 	if err := options.Parse("testbed slopes", []string{"-drivers=members,loads,releases", "-members=10,99999,many", "-releases=1,500"}, opts, io.Discard); err != nil {
-		t.Fatal(err)
+		t.Fatalf("options.Parse() failed: %v", err)
 	}
 	faults := ValidateSlopes(opts).Error()
 	for _, part := range []string{`"loads"`, `members: "many"`, "releases=500: releases"} {
@@ -73,12 +73,12 @@
 	opts := &schema.SlopesOptions{}
 	if err := options.Parse("testbed slopes", []string{"-drivers=members,changes,routes", "-members=4,8,16", "-changes=0,60,240", "-routes=64,128,256", "-at=6", "-runs=1",
 		"-length=2s", "-settle=500ms", "-folder=" + t.TempDir(), "-binaries=" + buildWithoutRaceDetector(t)}, opts, io.Discard); err != nil {
-		t.Fatal(err)
+		t.Fatalf("options.Parse() failed: %v", err)
 	}
 	began := time.Now()
 	report, err := RunSlopes(t.Context(), opts, t.Output())
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("RunSlopes() failed: %v", err)
 	}
 	report.Print(t.Output())
 	t.Logf("RunSlopes() took %.0f s", time.Since(began).Seconds())
@@ -107,7 +107,7 @@
 	}
 	for _, slope := range report.Slopes {
 		if slope.Driver == "routes" && slope.Cost == "store disk KB" && (slope.Coefficients[1] < 0.05 || slope.Coefficients[1]*1024 > itemBytes) {
-			t.Errorf("%s by routes = %s, want a slope from 0.05 KB to %.0f bytes", slope.Cost, slope.Formula(), itemBytes)
+			t.Errorf("%s by routes = %s, want a slope from 0.05 to %g KB", slope.Cost, slope.Formula(), itemBytes/1024)
 		}
 	}
 	if err := report.WritePlots(t.TempDir(), "svg"); err != nil {
--- a/internal/testbed/soak.go
+++ b/internal/testbed/soak.go
@@ -18,10 +18,10 @@
 	Deployment     *Deployment   // deployment of all seeds but the wide ones
 	WideDeployment *Deployment   // deployment of the seeds that are multiples of WideEvery; may be nil if WideEvery is 0
 	WideEvery      uint64        // seeds that are multiples of it use WideDeployment; 0 for none
-	Folder         string        // folder in which each run gets a folder
+	Folder         string        // folder that gets a folder for each seed
 	Binaries       string        // folder of the mesh's programs
 	FirstSeed      uint64        // the first seed
-	SeedCount      uint64        // number of seeds, which are consecutive
+	SeedCount      uint64        // number of seeds; they follow each other from FirstSeed on
 	ParallelFleets int           // number of fleets that run at the same time
 	LoadDuration   time.Duration // Options.LoadDuration of each run
 	Lease          time.Duration // Options.Lease of each run
@@ -40,16 +40,17 @@
 // SoakRun is the result of one seed of a soak.
 type SoakRun struct {
 	Seed            uint64                    `json:"seed"`
-	Deployment      string                    `json:"deployment"`        // name of the deployment
-	Processes       int                       `json:"processes"`         // number of processes of the fleet
-	Faults          int                       `json:"faults"`            // number of faults that were injected
-	Calls           int                       `json:"calls"`             // number of calls
-	Outcomes        map[string]int            `json:"outcomes"`          // number of calls by outcome
-	Disconnects     dispatch.DisconnectCounts `json:"departures"`        // Report.Disconnects
-	RecoverySeconds float64                   `json:"backSeconds"`       // Report.RecoverySeconds
-	Violated        []Finding                 `json:"broken,omitempty"`  // invariants that were violated, or maxRecovery
-	UncleanExits    []string                  `json:"unclean,omitempty"` // names of the processes that did not exit cleanly
-	Failure         string                    `json:"failure,omitempty"` // error because of which the run could not be checked
+	Deployment      string                    `json:"deployment"`  // name of the deployment
+	Processes       int                       `json:"processes"`   // number of processes of the fleet
+	Faults          int                       `json:"faults"`      // number of faults that were injected
+	Calls           int                       `json:"calls"`       // number of calls
+	Outcomes        map[string]int            `json:"outcomes"`    // number of calls by outcome
+	Disconnects     dispatch.DisconnectCounts `json:"departures"`  // Report.Disconnects
+	RecoverySeconds float64                   `json:"backSeconds"` // Report.RecoverySeconds
+	// Violated holds the findings of violated invariants, and one more if recovery took longer than maxRecovery.
+	Violated     []Finding `json:"broken,omitempty"`
+	UncleanExits []string  `json:"unclean,omitempty"` // names of the processes that did not exit cleanly
+	Failure      string    `json:"failure,omitempty"` // error because of which the run could not be checked
 }
 
 // Passed reports whether the run was checked, violated nothing, and all its processes exited cleanly.
@@ -59,10 +60,13 @@
 const maxRecovery = 15 * time.Second
 
 // Soak runs every seed, ParallelFleets at the same time, and prints the result of each as it ends. A run that fails or
-// violates an invariant does not stop the soak. Soak itself fails only with errs.InvalidOptions.
+// violates an invariant does not stop the soak. Soak itself fails only with errs.InvalidOptions, if seeds, fleets or
+// deployments are missing.
 func Soak(o SoakOptions) (*SoakReport, error) {
 	if o.SeedCount == 0 || o.ParallelFleets < 1 || o.Deployment == nil || (o.WideEvery > 0 && o.WideDeployment == nil) {
-		return nil, errs.New(errs.InvalidOptions, "a soak needs seeds, fleets beside each other and deployments")
+		return nil, errs.New(errs.InvalidOptions, fmt.Sprintf(
+			"a soak needs at least 1 seed, at least 1 parallel fleet and known deployments; got %d seeds and %d parallel fleets",
+			o.SeedCount, o.ParallelFleets))
 	}
 	report := &SoakReport{Runs: make([]SoakRun, o.SeedCount)}
 	var seedWorkers sync.WaitGroup
@@ -104,7 +108,7 @@
 		run.Failure = err.Error()
 		return run
 	}
-	defer func() { _ = log.Close() }() // the log is only for reading; the report has a file of its own
+	defer func() { _ = log.Close() }() // if closing fails, only progress output is lost: the report is in another file
 	report, err := Run(Options{
 		Deployment:      deployment,
 		Folder:          folder,
@@ -124,7 +128,7 @@
 		return run
 	}
 	report.Print(log)
-	_ = report.Write(filepath.Join(folder, "report.json")) // the soak's own report has the main results too
+	_ = report.Write(filepath.Join(folder, "report.json")) // if writing fails, the report of the soak still has the main results
 	run.summarize(report)
 	if run.Passed() {
 		_ = os.RemoveAll(folder) // files that can't be removed do no harm
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -17,7 +17,7 @@
 	report, err := Soak(SoakOptions{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: buildWithRaceDetector(t), FirstSeed: 1, SeedCount: 2, ParallelFleets: 1,
 		LoadDuration: 16 * time.Second, Lease: 8 * time.Second, DrainingBound: 20 * time.Second, Out: t.Output()})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Soak() failed: %v", err)
 	}
 	for i := range report.Runs {
 		run := &report.Runs[i]
@@ -55,7 +55,7 @@
 			history := &History{DisconnectBound: 500 * time.Millisecond, Calls: []CallEntry{testCase.call}, ExecutionEnds: []ExecutionEndEntry{{Operation: "a", Worker: "w", At: testCase.end}}, Faults: testCase.faults}
 			for _, finding := range CheckInvariants(history, Deployments["small"]) {
 				if finding.Rule == rule && finding.Violations != testCase.violations {
-					t.Errorf("%q has %d violations, want %d: %v", finding.Rule, finding.Violations, testCase.violations, finding.Examples)
+					t.Errorf("CheckInvariants() found %d violations of %q, want %d: %v", finding.Violations, finding.Rule, testCase.violations, finding.Examples)
 				}
 			}
 		})
@@ -84,7 +84,7 @@
 				Faults: []FaultEntry{{Name: testCase.fault, At: time.Second, MayReject: testCase.mayReject}}}
 			for _, finding := range CheckInvariants(history, Deployments["small"]) {
 				if strings.HasPrefix(finding.Rule, "a call that a worker is at is answered") && finding.Violations != testCase.violations {
-					t.Errorf("%q has %d violations, want %d", finding.Rule, finding.Violations, testCase.violations)
+					t.Errorf("CheckInvariants() found %d violations of %q, want %d: %v", finding.Violations, finding.Rule, testCase.violations, finding.Examples)
 				}
 			}
 		})
--- a/internal/testbed/test_run.go
+++ b/internal/testbed/test_run.go
@@ -17,13 +17,13 @@
 
 	lock               sync.Mutex     // guards the fields of this block
 	workers            []*Worker      // all workers that were started, in order; those that have ended stay in the list
-	allocatedAddresses map[int]int    // number of worker addresses in use or used, by edge machine
+	allocatedAddresses map[int]int    // number of worker addresses that startWorker has allocated, by edge machine
 	edgeByWorker       map[string]int // edge machine of each worker, by its name
 	additionalWorkers  int            // number of names that newWorkerName has given out
 
 	directLatencyMS []float64     // latencies of calls that bypass the mesh; only measureDirectLatency writes it during load
 	resources       []Sample      // resource samples; only sampleResources writes it during load
-	recoveryTime    time.Duration // time from the end of the last random fault until the fleet served again
+	recoveryTime    time.Duration // result of awaitRecovery; 0 in scenarios without random faults
 	fleetStopped    bool          // stopFleet has been called
 }
 
@@ -72,7 +72,8 @@
 	callers := []*Caller{
 		NewCaller(clientCaller, proxy, r.fleet.CallerAddress(edge, clientCaller), clients, rate, r.history, r.now),
 	}
-	// Only the first worker that was assigned to the edge counts, so each edge gets the internal calls of one service.
+	// Only the first worker that was assigned to the edge counts, so each edge gets the internal calls of at most one
+	// service.
 	for i, placement := range d.assignWorkers() {
 		routes := internal[placement.service]
 		if placement.edge != edge || len(routes) == 0 || i >= d.Edges {
--- a/internal/testbed/verify.go
+++ b/internal/testbed/verify.go
@@ -8,8 +8,8 @@
 	"meadowhinge/internal/registry"
 )
 
-// awaitRecovery waits until every process is ready and a change is acknowledged, for about a minute at most. It returns
-// how long it waited.
+// awaitRecovery waits until every process is ready and a change is acknowledged. It gives up after about a minute. It
+// returns how long it waited.
 func (r *testRun) awaitRecovery() time.Duration {
 	began := r.now()
 	operator := NewOperator("closing", r.fleet, r.history, r.now)
--- a/internal/testbed/worker.go
+++ b/internal/testbed/worker.go
@@ -32,13 +32,13 @@
 // called concurrently.
 type Worker struct {
 	name                string
-	description         dispatch.WorkerDescription // what the worker registers; guarded by lock
+	description         dispatch.WorkerDescription // what the worker registers; lock guards the fields that register changes
 	registrationAddress string                     // IP:port at which the worker's proxy takes registrations
 	history             *History
 	now                 func() time.Duration // time since the run began
 	delay               time.Duration        // time that each request takes
 
-	lock     sync.Mutex        // guards description and conns
+	lock     sync.Mutex        // guards conns and the changes of description
 	conns    map[net.Conn]bool // all connections that were accepted
 	listener net.Listener
 	stopped  chan struct{} // closed by Kill; ends the heartbeats
@@ -58,7 +58,7 @@
 	DropsResponse   bool          // the worker executes the request and closes the connection without a response
 	GarblesResponse bool          // the worker answers with a truncated JSON body
 	// AboveInFlight limits the fault to times when more than this number of requests are in flight. If it is not 0,
-	// ExtraDelay applies to every request, and before its execution.
+	// ExtraDelay applies to every request, whatever its path, and before its execution is recorded.
 	AboveInFlight int64
 }
 
@@ -102,7 +102,7 @@
 func StartWorker(o WorkerOptions, history *History, now func() time.Duration) (*Worker, error) {
 	listener, err := net.Listen("tcp", o.Address)
 	if err != nil {
-		return nil, errs.Wrap(err, errs.Internal, "worker")
+		return nil, errs.Wrap(err, errs.Internal, fmt.Sprintf("worker %s cannot listen at %s", o.Name, o.Address))
 	}
 	w := &Worker{
 		name:                o.Name,
@@ -247,10 +247,12 @@
 	request.Header.SetContentType("application/json")
 	request.SetBody(text)
 	if err := fasthttp.DoTimeout(request, response, heartbeatInterval); err != nil {
-		return errs.Wrap(err, errs.PeerConnectionLost, w.name)
+		return errs.Wrap(err, errs.PeerConnectionLost,
+			fmt.Sprintf("worker %s got no response from its proxy at %s", w.name, w.registrationAddress))
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return errs.New(errs.MalformedRequest, string(response.Body()))
+		return errs.New(errs.MalformedRequest, fmt.Sprintf("worker %s was rejected by its proxy at %s with status %d: %s",
+			w.name, w.registrationAddress, response.StatusCode(), response.Body()))
 	}
 	return nil
 }
@@ -265,7 +267,7 @@
 	request.Header.Set(dispatch.HeaderToken, w.description.Token)
 	begin := time.Now()
 	err := fasthttp.DoTimeout(request, response, heartbeatInterval)
-	return time.Since(begin), errs.Wrap(err, errs.WorkerConnectionLost, w.name)
+	return time.Since(begin), errs.Wrap(err, errs.WorkerConnectionLost, "direct call of worker "+w.name+" at "+w.description.Address)
 }
 
 // heartbeatLoop sends heartbeats until the worker is killed. Errors are ignored, because the next heartbeat makes up for
@@ -283,8 +285,8 @@
 	}
 }
 
-// Drain reports to the proxy that the worker is draining and records the time. The worker keeps serving. The error is
-// that of the report to the proxy.
+// Drain reports to the proxy that the worker is draining and records the time. The worker keeps serving. Drain fails
+// like register if the report is not accepted.
 func (w *Worker) Drain() error {
 	w.draining.Store(true)
 	err := w.register(func(description *dispatch.WorkerDescription) { description.Draining = true })
@@ -292,7 +294,8 @@
 	return err
 }
 
-// Shutdown deregisters the worker, waits until no requests are in flight, and ends it.
+// Shutdown deregisters the worker, waits until no request is in flight, and ends the worker. Deregistration is not
+// retried if it fails.
 func (w *Worker) Shutdown() {
 	_ = w.register(func(description *dispatch.WorkerDescription) { description.Deregistered = true })
 	for w.inFlight.Load() > 0 {
