--- a/internal/testbed/hollow_test.go
+++ b/internal/testbed/hollow_test.go
@@ -24,17 +24,18 @@
 // begins with the name of the setting.
 func TestHollowOptionsAreValidated(t *testing.T) {
 	for _, testCase := range []struct {
+		name   string
 		args   []string
 		faults []string // names of the settings with faults, in order
 	}{
-		{nil, nil},
-		{[]string{"-members=820", "-services=150", "-routes=150", "-zones=6", "-seats=5"}, nil},
-		{[]string{"-releases=5", "-reach=9", "-workers=3"}, []string{"releases", "reach", "workers"}},
-		{[]string{"-cores-lost=2", "-zones-lost=1", "-length=20s", "-restarts=1", "-seats=1"}, []string{"length", "restarts", "cores-lost"}},
-		{[]string{"-cores-lost=1", "-zones-lost=1", "-length=32s"}, nil},
-		{[]string{"-members=5000", "-workers=20000", "-routes=20000"}, []string{"members", "members"}},
+		{"the default settings can be run", nil, nil},
+		{"a large fleet can be run", []string{"-members=820", "-services=150", "-routes=150", "-zones=6", "-seats=5"}, nil},
+		{"too many releases, too many called routes and too few workers are rejected", []string{"-releases=5", "-reach=9", "-workers=3"}, []string{"releases", "reach", "workers"}},
+		{"losses beside restarts, in a short run or of a single core member are rejected", []string{"-cores-lost=2", "-zones-lost=1", "-length=20s", "-restarts=1", "-seats=1"}, []string{"length", "restarts", "cores-lost"}},
+		{"losses that just fit into the run can be run", []string{"-cores-lost=1", "-zones-lost=1", "-length=32s"}, nil},
+		{"more members than memory and open files allow are rejected", []string{"-members=5000", "-workers=20000", "-routes=20000"}, []string{"members", "members"}},
 	} {
-		t.Run(strings.Join(testCase.args, " "), func(t *testing.T) {
+		t.Run(testCase.name, func(t *testing.T) {
 			faults := validateHollow(parseHollowOptions(t, testCase.args...), 16<<30, 20000)
 			if len(faults) != len(testCase.faults) {
 				t.Errorf("validateHollow(%v) = %v, want faults of %v", testCase.args, faults, testCase.faults)
@@ -47,10 +48,11 @@
 			}
 		})
 	}
-	err := options.Parse("testbed hollow", []string{"-members=0", "-seats=6", "-length=1ms", "-mode=lax"}, &schema.HollowOptions{}, io.Discard)
+	outOfBounds := []string{"-members=0", "-seats=6", "-length=1ms", "-mode=lax"}
+	err := options.Parse("testbed hollow", outOfBounds, &schema.HollowOptions{}, io.Discard)
 	for _, name := range []string{"members: ", "seats: ", "length: ", "mode: "} {
 		if err == nil || !strings.Contains(err.Error(), name) {
-			t.Errorf("options.Parse() = %v, want an error that contains %q", err, name)
+			t.Errorf("options.Parse(%v) = %v, want an error that contains %q", outOfBounds, err, name)
 		}
 	}
 }
--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -43,13 +43,13 @@
 		faults     []FaultEntry
 		violations int
 	}{
-		"an execution may end at the disconnect":                {left, 2 * time.Second, nil, 0},
-		"an execution may end at the bound":                     {left, 2500 * time.Millisecond, nil, 0},
-		"an execution must not go on after the bound":           {left, 2501 * time.Millisecond, nil, 1},
-		"a slow disk of a store is no excuse":                   {left, 3 * time.Second, []FaultEntry{{Name: "disk slow", At: time.Second}}, 1},
-		"a partition during the call is an excuse":              {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: time.Second, DelaysPeerMessages: true}}, 0},
-		"a partition that ended long before is no excuse":       {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: -4 * time.Second, End: -3 * time.Second, DelaysPeerMessages: true}}, 1},
-		"a non-idempotent request may go on after a disconnect": {nonIdempotent, time.Minute, nil, 0},
+		"an execution may end at the disconnect":                       {left, 2 * time.Second, nil, 0},
+		"an execution may end at the bound":                            {left, 2500 * time.Millisecond, nil, 0},
+		"an execution must not go on after the bound":                  {left, 2501 * time.Millisecond, nil, 1},
+		"a slow disk of a store does not allow a late end":             {left, 3 * time.Second, []FaultEntry{{Name: "disk slow", At: time.Second}}, 1},
+		"a partition during the call allows a late end":                {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: time.Second, DelaysPeerMessages: true}}, 0},
+		"a partition that ended long before does not allow a late end": {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: -4 * time.Second, End: -3 * time.Second, DelaysPeerMessages: true}}, 1},
+		"a non-idempotent request may go on after a disconnect":        {nonIdempotent, time.Minute, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			history := &History{DisconnectBound: 500 * time.Millisecond, Calls: []CallEntry{testCase.call}, ExecutionEnds: []ExecutionEndEntry{{Operation: "a", Worker: "w", At: testCase.end}}, Faults: testCase.faults}
@@ -76,8 +76,8 @@
 		mayReject  bool
 		violations int
 	}{
-		"planned work is no excuse":   {"proxies restarted politely in series", false, 1},
-		"a killed proxy is an excuse": {"proxy killed", true, 0},
+		"planned work must not lose a response": {"proxies restarted politely in series", false, 1},
+		"a killed proxy may lose a response":    {"proxy killed", true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			history := &History{Calls: []CallEntry{{Operation: "a", Outcome: "unknown", Sent: 2 * time.Second, Received: 3 * time.Second}}, Executions: []ExecutionEntry{{Operation: "a"}},
