--- a/internal/testbed/soak_test.go
+++ b/internal/testbed/soak_test.go
@@ -17,7 +17,7 @@
 	report, err := Soak(SoakOptions{Deployment: Deployments["small"], Folder: t.TempDir(), Binaries: buildWithRaceDetector(t), FirstSeed: 1, SeedCount: 2, ParallelFleets: 1,
 		LoadDuration: 16 * time.Second, Lease: 8 * time.Second, DrainingBound: 20 * time.Second, Out: t.Output()})
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("Soak() failed: %v", err)
 	}
 	for i := range report.Runs {
 		run := &report.Runs[i]
@@ -43,19 +43,19 @@
 		faults     []FaultEntry
 		violations int
 	}{
-		"an execution may end at the disconnect":                {left, 2 * time.Second, nil, 0},
-		"an execution may end at the bound":                     {left, 2500 * time.Millisecond, nil, 0},
-		"an execution must not go on after the bound":           {left, 2501 * time.Millisecond, nil, 1},
-		"a slow disk of a store is no excuse":                   {left, 3 * time.Second, []FaultEntry{{Name: "disk slow", At: time.Second}}, 1},
-		"a partition during the call is an excuse":              {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: time.Second, DelaysPeerMessages: true}}, 0},
-		"a partition that ended long before is no excuse":       {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: -4 * time.Second, End: -3 * time.Second, DelaysPeerMessages: true}}, 1},
-		"a non-idempotent request may go on after a disconnect": {nonIdempotent, time.Minute, nil, 0},
+		"an execution may end at the disconnect":                       {left, 2 * time.Second, nil, 0},
+		"an execution may end at the bound":                            {left, 2500 * time.Millisecond, nil, 0},
+		"an execution must not go on after the bound":                  {left, 2501 * time.Millisecond, nil, 1},
+		"a slow disk of a store does not allow a late end":             {left, 3 * time.Second, []FaultEntry{{Name: "disk slow", At: time.Second}}, 1},
+		"a partition during the call allows a late end":                {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: time.Second, DelaysPeerMessages: true}}, 0},
+		"a partition that ended long before does not allow a late end": {left, 3 * time.Second, []FaultEntry{{Name: "edge machine cut off", At: -4 * time.Second, End: -3 * time.Second, DelaysPeerMessages: true}}, 1},
+		"a non-idempotent request may go on after a disconnect":        {nonIdempotent, time.Minute, nil, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			history := &History{DisconnectBound: 500 * time.Millisecond, Calls: []CallEntry{testCase.call}, ExecutionEnds: []ExecutionEndEntry{{Operation: "a", Worker: "w", At: testCase.end}}, Faults: testCase.faults}
 			for _, finding := range CheckInvariants(history, Deployments["small"]) {
 				if finding.Rule == rule && finding.Violations != testCase.violations {
-					t.Errorf("%q has %d violations, want %d: %v", finding.Rule, finding.Violations, testCase.violations, finding.Examples)
+					t.Errorf("CheckInvariants() found %d violations of %q, want %d: %v", finding.Violations, finding.Rule, testCase.violations, finding.Examples)
 				}
 			}
 		})
@@ -76,15 +76,15 @@
 		mayReject  bool
 		violations int
 	}{
-		"planned work is no excuse":   {"proxies restarted politely in series", false, 1},
-		"a killed proxy is an excuse": {"proxy killed", true, 0},
+		"planned work must not lose a response": {"proxies restarted politely in series", false, 1},
+		"a killed proxy may lose a response":    {"proxy killed", true, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			history := &History{Calls: []CallEntry{{Operation: "a", Outcome: "unknown", Sent: 2 * time.Second, Received: 3 * time.Second}}, Executions: []ExecutionEntry{{Operation: "a"}},
 				Faults: []FaultEntry{{Name: testCase.fault, At: time.Second, MayReject: testCase.mayReject}}}
 			for _, finding := range CheckInvariants(history, Deployments["small"]) {
 				if strings.HasPrefix(finding.Rule, "a call that a worker is at is answered") && finding.Violations != testCase.violations {
-					t.Errorf("%q has %d violations, want %d", finding.Rule, finding.Violations, testCase.violations)
+					t.Errorf("CheckInvariants() found %d violations of %q, want %d: %v", finding.Violations, finding.Rule, testCase.violations, finding.Examples)
 				}
 			}
 		})
