--- a/internal/flag/references.go
+++ b/internal/flag/references.go
@@ -74,7 +74,7 @@
 			}
 			switch state[prerequisite.Key] {
 			case onPath:
-				faults = append(faults, Fault{"flag." + key + ".prerequisites", fmt.Sprintf("prerequisite %q closes a cycle", prerequisite.Key)})
+				faults = append(faults, Fault{"flag." + key + ".prerequisites", fmt.Sprintf("%q closes a cycle", prerequisite.Key)})
 			case unvisited:
 				visit(prerequisite.Key)
 			}
