--- a/internal/fakebackend/bounds.go
+++ b/internal/fakebackend/bounds.go
@@ -2,26 +2,34 @@
 
 import "time"
 
-// The bounds of what must never happen, as the users' rules have them; docs/brief.md lists the rules.
+// Limits of the invariants that the simulator and the testbed check. They are the users' requirements, which
+// docs/brief.md lists.
 const (
-	// DrainingBound is the time after which a worker that said it is draining gets no new calls.
+	// DrainingBound is the time after a worker's report that it is draining during which it may still get new calls.
 	DrainingBound = 2 * time.Second
-	// ConfigPropagationBound is the time after which no call is handled by a configuration older than an acknowledged
-	// change.
+	// ConfigPropagationBound is the time after the acknowledgement of a change during which calls may still be handled
+	// by an older configuration.
 	ConfigPropagationBound = 2 * time.Second
-	// ConfigRegressionBound is the time after which a proxy that used a configuration uses no older one.
+	// ConfigRegressionBound is the time for which a proxy or registry may still use an older configuration after it has
+	// used a newer one.
 	ConfigRegressionBound = 250 * time.Millisecond
 
-	// In any RetryBudgetWindow, a service's extra attempts stay within RetryBudgetRatio of its calls and
-	// RetryBudgetFloor besides.
+	// RetryBudgetWindow is the length of the sliding window in which the retries of a service are limited. They may
+	// not exceed RetryBudgetRatio of the service's calls in the window, plus RetryBudgetFloor.
 	RetryBudgetWindow = 10 * time.Second
-	RetryBudgetRatio  = 0.2
-	RetryBudgetFloor  = 60
+	// RetryBudgetRatio limits the retries in a window, as a fraction of the service's calls in that window.
+	RetryBudgetRatio = 0.2
+	// RetryBudgetFloor is the number of retries that are allowed in a window in addition, however few calls there are.
+	RetryBudgetFloor = 60
 
-	// A faulty version gets no more than FaultyVersionRatio of its service's calls and FaultyVersionFloor besides, and
-	// none later than FaultyVersionBound after its FaultyVersionFailures-th failure.
-	FaultyVersionRatio    = 0.1
-	FaultyVersionFloor    = 50
+	// FaultyVersionRatio limits the calls that a faulty version gets, as a fraction of its service's calls since the
+	// version became faulty. FaultyVersionFloor calls are allowed in addition.
+	FaultyVersionRatio = 0.1
+	// FaultyVersionFloor is the number of calls that a faulty version may get however few calls its service gets.
+	FaultyVersionFloor = 50
+	// FaultyVersionFailures is the number of failures after which a faulty version must be taken out of service.
 	FaultyVersionFailures = 50
-	FaultyVersionBound    = 5 * time.Second
+	// FaultyVersionBound is the time after its FaultyVersionFailures-th failure during which a version may still get
+	// calls.
+	FaultyVersionBound = 5 * time.Second
 )
--- a/internal/plan/race_off_test.go
+++ b/internal/plan/race_off_test.go
@@ -2,4 +2,5 @@
 
 package plan
 
-const underRace = false
+// raceEnabled is false without the race detector.
+const raceEnabled = false
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -12,7 +12,8 @@
 	"meadowhinge/schema"
 )
 
-// Traffic is counted at both ends: bytes, connections opened, RPCs and messages by name.
+// TestTrafficIsCounted checks that both ends count bytes and opened connections, and that the server counts RPCs and
+// messages by RPC name.
 func TestTrafficIsCounted(t *testing.T) {
 	const calls, body = 3, 10_000
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -31,18 +32,20 @@
 	go func() { _ = server.Serve(ctx, listener, mux, "proxy") }()
 	for range calls {
 		if _, err := schema.NewDRPCHopClient(client.Conn(ctx, listener.Addr().String())).Run(ctx, &schema.ForwardRequest{Body: make([]byte, body)}); err != nil {
-			t.Fatal(err)
+			t.Fatalf("call: error %v, want none", err)
 		}
 	}
 	sent, received := client.Traffic(), server.Traffic()
-	// Besides the bodies there are a greeting, and a frame for each call of less than 100 bytes.
-	for _, bytes := range []uint64{sent.Out, received.In} {
+	// Each call adds less than 100 bytes of framing to its body, and the connection has one greeting. The upper limit
+	// allows 200 bytes for each call.
+	for counter, bytes := range map[string]uint64{"Out of the client": sent.Out, "In of the server": received.In} {
 		if bytes < calls*body || bytes > calls*(body+200) {
-			t.Errorf("%d bytes counted of %d sent in bodies", bytes, calls*body)
+			t.Errorf("%s = %d bytes, want from %d, the sum of the bodies, to %d", counter, bytes, calls*body, calls*(body+200))
 		}
 	}
-	// Each call is a request and a response message.
+	// Each call has two messages: the request and the response.
 	if sent.Opened != 1 || received.Served["/meadowhinge.Hop/Run"] != calls || received.Messages["/meadowhinge.Hop/Run"] != 2*calls {
-		t.Errorf("opened %d connections, served %v, messages %v", sent.Opened, received.Served, received.Messages)
+		t.Errorf("client opened %d connections, want 1; server counted calls %v and messages %v, want %d and %d of /meadowhinge.Hop/Run",
+			sent.Opened, received.Served, received.Messages, calls, 2*calls)
 	}
 }
