--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -111,11 +111,11 @@
 			cancel()
 		}
 	}()
-	var callerLeaves <-chan time.Time
+	var callerCancels <-chan time.Time
 	if delay, cancels := w.sampleCancel(operation, attemptNumber); cancels {
 		timer := time.NewTimer(delay)
 		defer timer.Stop()
-		callerLeaves = timer.C
+		callerCancels = timer.C
 	}
 	go func() {
 		// A request that reaches a frozen process waits there, and so does its response.
@@ -130,7 +130,7 @@
 			done <- result
 		}
 	}()
-	attempt.awaitOutcome(done, callerLeaves, exited, cancel)
+	attempt.awaitOutcome(done, callerCancels, exited, cancel)
 	w.History.recordOutcome(w.time(), operation, attempt)
 	return attempt.outcome
 }
@@ -164,7 +164,7 @@
 // awaitOutcome waits for the first of: the result, the caller's own cancellation, the end of the proxy's run, and the
 // caller's timeout.
 func (a *callerAttempt) awaitOutcome(
-	done <-chan *dispatch.CallResult, callerLeaves <-chan time.Time, exited <-chan struct{}, cancel func(),
+	done <-chan *dispatch.CallResult, callerCancels <-chan time.Time, exited <-chan struct{}, cancel func(),
 ) {
 	timeout := time.NewTimer(callerTimeout)
 	defer timeout.Stop()
@@ -175,7 +175,7 @@
 		if result.Response != nil {
 			a.outcome = dispatch.OutcomeName(result.Response.Outcome)
 		}
-	case <-callerLeaves:
+	case <-callerCancels:
 		cancel()
 		a.outcome = outcomeCancelled
 	case <-exited:
--- a/internal/simulator/caller_cancel.go
+++ b/internal/simulator/caller_cancel.go
@@ -121,7 +121,7 @@
 		}
 		for _, run := range operation.runs {
 			if run.attemptNumber == attemptNumber && run.endedAt > attempt.finishedAt+maxRunAfterCancel {
-				h.recordBreach(RuleRunAfterCancel, "%s ran at %s from %v to %v, its caller left at %v",
+				h.recordViolation(ViolationRunAfterCancel, "%s ran at %s from %v to %v, its caller left at %v",
 					operation.id, run.worker.name, run.at, run.endedAt, attempt.finishedAt)
 			}
 		}
@@ -138,6 +138,6 @@
 	counts := node.runner.Disconnects.Counts()
 	h.Disconnects.Add(counts)
 	if counts.Violations() > 0 {
-		h.recordBreach(RuleRunAfterCancel, "%s counts %+v", node.name, counts)
+		h.recordViolation(ViolationRunAfterCancel, "%s counts %+v", node.name, counts)
 	}
 }
--- a/internal/simulator/checks_call.go
+++ b/internal/simulator/checks_call.go
@@ -13,15 +13,15 @@
 
 // recordDispatch records a dispatch by a proxy and checks the configuration that it was decided by.
 func (h *History) recordDispatch(now time.Duration, node *proxyNode, request *schema.ForwardRequest) {
-	inTouch := !h.world.Options.ServeStale || h.world.inTouch(node)
+	isWellConnected := !h.world.Options.ServeStale || h.world.isWellConnected(node)
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.Decisions++
-	h.checkFreshness(now, node, request, inTouch)
+	h.checkFreshness(now, node, request, isWellConnected)
 	h.checkRevisionIncreases(now, node, request)
 	for key := range h.invalidItems {
 		if item := node.journal.View().Items()[key]; item != nil {
-			h.recordBreach(RuleInvalidConfig, "%v: %s holds %s", now, node.name, key)
+			h.recordViolation(ViolationInvalidConfig, "%v: %s holds %s", now, node.name, key)
 		}
 	}
 	if isRetry := !strings.HasSuffix(request.Request, "-1"); isRetry {
@@ -31,20 +31,20 @@
 
 // checkFreshness checks that a dispatch was not decided by a revision older than an acknowledged one. Under leases this
 // binds every proxy at once; where proxies serve stale, only those in touch, after the propagation bound.
-func (h *History) checkFreshness(now time.Duration, node *proxyNode, request *schema.ForwardRequest, inTouch bool) {
+func (h *History) checkFreshness(now time.Duration, node *proxyNode, request *schema.ForwardRequest, isWellConnected bool) {
 	if !h.world.Options.ServeStale {
 		if request.Revision < h.lastAcknowledged {
-			h.recordBreach(RuleStaleConfig, "%v: %s sent %s by %d; %d was acknowledged",
+			h.recordViolation(ViolationStaleConfig, "%v: %s sent %s by %d; %d was acknowledged",
 				now, node.name, request.Request, request.Revision, h.lastAcknowledged)
 		}
 		return
 	}
-	if !inTouch {
+	if !isWellConnected {
 		return
 	}
-	h.InTouchDecisions++
+	h.WellConnectedDecisions++
 	if minRevision := h.acknowledgedAt(now - fakebackend.ConfigPropagationBound); request.Revision < minRevision {
-		h.recordBreach(RuleStaleConfig, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before",
+		h.recordViolation(ViolationStaleConfig, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before",
 			now, node.name, request.Request, request.Revision, minRevision, fakebackend.ConfigPropagationBound)
 	}
 }
@@ -57,7 +57,7 @@
 		h.processRuns[node.name] = node.processRun
 	}
 	if request.Revision < h.lastUsedRevision[node.name] {
-		h.recordBreach(RuleRevisionDecreased, "%v: %s sent %s by %d after %d",
+		h.recordViolation(ViolationRevisionDecreased, "%v: %s sent %s by %d after %d",
 			now, node.name, request.Request, request.Revision, h.lastUsedRevision[node.name])
 	}
 	h.lastUsedRevision[node.name] = max(h.lastUsedRevision[node.name], request.Revision)
@@ -69,18 +69,18 @@
 ) {
 	// A proxy that froze between its last check and the dispatch is bound by its lease or, where there is none,
 	// only while it is in touch.
-	bound := !h.world.Options.ServeStale || h.world.isUndisturbed(worker.proxy)
+	bound := !h.world.Options.ServeStale || h.world.isProxyUndisturbed(worker.proxy)
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.WorkerRuns++
 	requested := h.operations[id]
 	if requested == nil || requested.caller != caller || requested.service != worker.service {
-		h.recordBreach(RuleUnauthorizedRun, "%v: %s ran %s (%s) as from %q", now, worker.name, id, requestID, caller)
+		h.recordViolation(ViolationUnauthorizedRun, "%v: %s ran %s (%s) as from %q", now, worker.name, id, requestID, caller)
 		return
 	}
 	requested.runs = append(requested.runs, workerRun{worker, now, attemptNumber, requestID, 0})
 	if at, departed := h.departedAt[worker.token]; departed && bound && now > at+fakebackend.DrainingBound {
-		h.recordBreach(RuleCallAfterDrain, "%v: %s ran %s %v after it left", now, worker.name, id, now-at)
+		h.recordViolation(ViolationCallAfterDrain, "%v: %s ran %s %v after it left", now, worker.name, id, now-at)
 	}
 	h.checkAllowed(now, worker, requested, attemptNumber)
 	for _, bad := range h.badVersions {
@@ -109,7 +109,7 @@
 			return
 		}
 	}
-	h.recordBreach(RuleDisallowedCall, "%v: %s of version %s ran %s from %s; no setup since %d allows it",
+	h.recordViolation(ViolationDisallowedCall, "%v: %s of version %s ran %s from %s; no setup since %d allows it",
 		now, worker.name, worker.version, requested.id, requested.caller, minRevision)
 }
 
@@ -185,7 +185,7 @@
 	}
 	minRevision := h.acknowledgedAt(attempt.sentAt - fakebackend.ConfigPropagationBound)
 	if !h.world.Options.ServeStale && callPlan.Verdict.ConfigRevision < minRevision {
-		h.recordBreach(RuleStaleConfig, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged",
+		h.recordViolation(ViolationStaleConfig, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged",
 			now, operation.id, attempt.sentAt, callPlan.Verdict.ConfigRevision, minRevision)
 	}
 	if callPlan.Verdict.Reason == plan.ReasonVersionBlocked {
@@ -197,10 +197,10 @@
 func (h *History) checkResponse(now time.Duration, operation *operation, response *schema.ForwardResponse) {
 	var got fakebackend.Reply
 	if json.Unmarshal(response.Body, &got) != nil || got.Operation != operation.id || !got.IsIntact() {
-		h.recordBreach(RuleWrongAnswer, "%v: %s got %q", now, operation.id, response.Body)
+		h.recordViolation(ViolationWrongResponse, "%v: %s got %q", now, operation.id, response.Body)
 	}
 	if len(operation.runs) == 0 {
-		h.recordBreach(RuleWrongAnswer, "%v: %s was answered and had not run", now, operation.id)
+		h.recordViolation(ViolationWrongResponse, "%v: %s was answered and had not run", now, operation.id)
 	}
 }
 
@@ -227,7 +227,7 @@
 		}
 	}
 	if blamed == "" {
-		h.recordBreach(RuleCauselessRejection, "%v: asked at %v at %s: %s",
+		h.recordViolation(ViolationCauselessRejection, "%v: asked at %v at %s: %s",
 			attempt.finishedAt, attempt.sentAt, attempt.proxy.name, cause)
 		blamed = "no fault"
 	}
--- a/internal/simulator/checks_config.go
+++ b/internal/simulator/checks_config.go
@@ -54,7 +54,7 @@
 	if existing, found := h.contentBySequence[sequence]; !found {
 		h.contentBySequence[sequence] = fingerprint
 	} else if existing != fingerprint {
-		h.recordBreach(RuleDivergedState, "%v: %s shows %q; another showed %q", now, name, fingerprint, existing)
+		h.recordViolation(ViolationDivergedState, "%v: %s shows %q; another showed %q", now, name, fingerprint, existing)
 	}
 }
 
@@ -66,7 +66,7 @@
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	if existing, found := h.rulings[id]; found && existing != ruling {
-		h.recordBreach(RuleRulingChanged, "%v: %s was %v and is now %v", now, id, existing, ruling)
+		h.recordViolation(ViolationRulingChanged, "%v: %s was %v and is now %v", now, id, existing, ruling)
 	}
 	h.rulings[id] = ruling
 	if ruling != schema.Ruling_RULING_ACCEPTED {
--- a/internal/simulator/checks_end.go
+++ b/internal/simulator/checks_end.go
@@ -41,7 +41,7 @@
 	for _, run := range operation.runs {
 		runs = append(runs, fmt.Sprintf("%s at %s (%s) at %v", run.requestID, run.worker.name, run.worker.proxy.name, run.at))
 	}
-	h.recordBreach(RuleRanTwice, "%s (keyed %v) ran %d times: %s; asked %s",
+	h.recordViolation(ViolationRanTwice, "%s (keyed %v) ran %d times: %s; asked %s",
 		operation.id, operation.keyed, len(operation.runs), strings.Join(runs, ", "), operation.outcomes())
 }
 
@@ -50,7 +50,7 @@
 	for attemptNumber, attempt := range operation.attempts {
 		for _, run := range operation.runs {
 			if run.attemptNumber == attemptNumber && attempt.outcome == outcomeNotExecuted {
-				h.recordBreach(RuleNotExecutedRan, "%s ran at %v and was told %s", operation.id, run.at, operation.outcomes())
+				h.recordViolation(ViolationNotExecutedRan, "%s ran at %v and was told %s", operation.id, run.at, operation.outcomes())
 			}
 		}
 	}
@@ -71,7 +71,7 @@
 		end := sort.Search(len(calls), func(i int) bool { return calls[i] > at })
 		retriesInWindow, callsInWindow := i-oldest+1, end-first
 		if float64(retriesInWindow) > fakebackend.RetryBudgetRatio*float64(callsInWindow)+h.world.Options.RetryFloor {
-			h.recordBreach(RuleRetryBudget, "%v: %s had %d extra tries on %d calls in ten seconds",
+			h.recordViolation(ViolationRetryBudget, "%v: %s had %d extra tries on %d calls in ten seconds",
 				at, service, retriesInWindow, callsInWindow)
 		}
 	}
@@ -81,11 +81,11 @@
 func (h *History) checkExposure(bad *badVersion) {
 	limit := fakebackend.FaultyVersionRatio*float64(bad.serviceCalls) + fakebackend.FaultyVersionFloor
 	if float64(bad.versionCalls) > limit {
-		h.recordBreach(RuleBadVersionExposure, "%s %s got %d of %d calls since it was bad, %d of them failures",
+		h.recordViolation(ViolationBadVersionExposure, "%s %s got %d of %d calls since it was bad, %d of them failures",
 			bad.service, bad.version, bad.versionCalls, bad.serviceCalls, bad.failures)
 	}
 	if bad.lateCallAt > 0 {
-		h.recordBreach(RuleBadVersionExposure, "%s %s got a call %v after its fiftieth failure",
+		h.recordViolation(ViolationBadVersionExposure, "%s %s got a call %v after its fiftieth failure",
 			bad.service, bad.version, bad.lateCallAt-bad.failureLimitAt)
 	}
 }
--- a/internal/simulator/in_touch.go
+++ b/internal/simulator/connectivity.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// inTouchAfter is how long a host must have been free of faults for its processes to be in touch.
-const inTouchAfter = 3 * time.Second
+// settleTime is how long a host must have been free of faults for its processes to be in touch.
+const settleTime = 3 * time.Second
 
 // everyHost is the name under which recordDisturbance records faults of all links.
 const everyHost = "every site"
@@ -17,8 +17,8 @@
 	}
 }
 
-// isUndisturbed reports whether no fault touched the host of a proxy for a while.
-func (w *World) isUndisturbed(node *proxyNode) bool {
+// isProxyUndisturbed reports whether no fault touched the host of a proxy for a while.
+func (w *World) isProxyUndisturbed(node *proxyNode) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.isHostUndisturbed(node.name)
@@ -27,12 +27,12 @@
 // isHostUndisturbed reports whether no fault touched a host for a while. The caller holds the lock.
 func (w *World) isHostUndisturbed(host string) bool {
 	at, known := w.disturbedAt[host]
-	return !known || w.time()-at >= inTouchAfter
+	return !known || w.time()-at >= settleTime
 }
 
-// inTouch reports whether a proxy is in touch, so that what the mesh promises about fresh configuration binds it: no
+// isWellConnected reports whether a proxy is in touch, so that what the mesh promises about fresh configuration binds it: no
 // fault touched it, the links or the core for a while, and it reaches every core host that itself reaches a majority.
-func (w *World) inTouch(node *proxyNode) bool {
+func (w *World) isWellConnected(node *proxyNode) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if w.lossRate > 0 || w.maxExtraDelay > 0 || !node.up {
@@ -58,7 +58,7 @@
 func (w *World) isCoreUndisturbed() bool {
 	now := w.time()
 	for _, member := range w.members {
-		hasDiskFault := member.maxExtraSyncDelay > 0 || now-member.stalledUntil < inTouchAfter
+		hasDiskFault := member.maxExtraSyncDelay > 0 || now-member.stalledUntil < settleTime
 		if hasDiskFault || !w.isHostUndisturbed(member.host()) {
 			return false
 		}
--- a/internal/simulator/core_checks.go
+++ b/internal/simulator/core_checks.go
@@ -54,7 +54,7 @@
 			return true
 		}
 		if w.now-from >= bound {
-			w.History.recordBreach(RuleCoreIncomplete, "%v: %s, %v after the last trouble", w.now, reason, w.now-from)
+			w.History.recordViolation(ViolationCoreIncomplete, "%v: %s, %v after the last trouble", w.now, reason, w.now-from)
 			return true
 		}
 		return false
@@ -67,18 +67,18 @@
 	for name, operatorVersion := range acknowledged {
 		item := state[config.Key("segment", name)]
 		if item.GetOperatorVersion() < operatorVersion {
-			w.History.recordBreach(RuleOperatorVersionLost, "%v: %s shows %s under %d; %d was acknowledged",
+			w.History.recordViolation(ViolationOperatorVersionLost, "%v: %s shows %s under %d; %d was acknowledged",
 				w.now, node.name, name, item.GetOperatorVersion(), operatorVersion)
 		}
 	}
 	for _, item := range state {
 		sent := w.sentContents[item.Name][item.OperatorVersion]
 		if item.Kind == "segment" && !slices.Contains(sent, string(item.Body)) {
-			w.History.recordBreach(RuleContentMismatch, "%v: %s shows %s under %d as %q",
+			w.History.recordViolation(ViolationContentMismatch, "%v: %s shows %s under %d as %q",
 				w.now, node.name, item.Name, item.OperatorVersion, item.Body)
 		}
 		if w.History.invalidItems[config.Key(item.Kind, item.Name)] {
-			w.History.recordBreach(RuleInvalidConfig, "%v: %s holds %s", w.now, node.name, item.Name)
+			w.History.recordViolation(ViolationInvalidConfig, "%v: %s holds %s", w.now, node.name, item.Name)
 		}
 	}
 }
@@ -89,14 +89,14 @@
 		recordUnanswered()
 	}
 	if err := w.calls.Check(linearizabilityTimeout); err != nil {
-		w.History.recordBreach(RuleNotLinearizable, "%v", err)
+		w.History.recordViolation(ViolationNotLinearizable, "%v", err)
 	}
 }
 
 // checkAtEnd checks that the core is complete and that every member can be read.
 func (w *CoreWorld) checkAtEnd() {
 	if reason := w.incompleteReason(); reason != "" {
-		w.History.recordBreach(RuleCoreIncomplete, "%v: at the end %s", w.now, reason)
+		w.History.recordViolation(ViolationCoreIncomplete, "%v: at the end %s", w.now, reason)
 	}
 	reads := w.Reads
 	for _, node := range w.activeMembers() {
@@ -104,7 +104,7 @@
 	}
 	w.Run(w.now + time.Second)
 	if w.Reads < reads+len(w.activeMembers()) {
-		w.History.recordBreach(RuleAcknowledgedLost, "only %d of %d seats could be read at the end",
+		w.History.recordViolation(ViolationAcknowledgedLost, "only %d of %d seats could be read at the end",
 			w.Reads-reads, len(w.activeMembers()))
 	}
 }
--- a/internal/simulator/core_operators.go
+++ b/internal/simulator/core_operators.go
@@ -139,7 +139,7 @@
 			quietSince = w.now
 		}
 		if w.now-quietSince > acknowledgementBound {
-			w.History.recordBreach(RuleSlowAcknowledgement, "%v: %s, sent at %v, has no answer", w.now, change.Id, began)
+			w.History.recordViolation(ViolationSlowAcknowledgement, "%v: %s, sent at %v, has no answer", w.now, change.Id, began)
 			return true
 		}
 		if w.now-began > time.Minute {
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -262,15 +262,15 @@
 func (w *World) killRandomWorkerAndReuseAddress() func() {
 	old := w.randomWorker()
 	other := otherService(old.service)
-	var reuser *workerNode
+	var successor *workerNode
 	if w.randomInt(2) == 0 {
-		reuser = w.takeOverConnections(old, other)
+		successor = w.takeOverConnections(old, other)
 	} else {
 		w.killWorker(old)
-		reuser = w.startWorker(old.proxy, other, "1", old.address)
+		successor = w.startWorker(old.proxy, other, "1", old.address)
 	}
 	return func() {
-		w.killWorker(reuser)
+		w.killWorker(successor)
 		w.startWorker(old.proxy, old.service, old.version, "")
 	}
 }
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -21,9 +21,9 @@
 	"meadowhinge/schema"
 )
 
-// historyFile holds one line for each run: its name, the digest of its history, and totals that make a difference easier to
+// goldenFile holds one line for each run: its name, the digest of its history, and totals that make a difference easier to
 // interpret.
-const historyFile = "testdata/golden/histories.txt"
+const goldenFile = "testdata/golden/histories.txt"
 
 // historyDigest hashes what happened, as numbers and length-prefixed strings. Names of Go types, functions and fields are
 // never hashed, so that renaming them changes no digest.
@@ -78,24 +78,24 @@
 
 // The codes that are hashed for kinds of event, whatever these are called in Go.
 const (
-	historyCall = iota + 1
-	historyAttempt
-	historyPlan
-	historyRun
-	historyFault
-	historyAcknowledged
-	historyShown
-	historyOrder
-	historyRuling
-	historyLeft
-	historyExtra
-	historyBad
-	historyBreach
-	historyRejected
-	historyDisk
-	historyEnd
-	historySent
-	historyOutcome
+	codeCall = iota + 1
+	codeAttempt
+	codePlan
+	codeRun
+	codeFault
+	codeAcknowledged
+	codeShownRevision
+	codeContent
+	codeRuling
+	codeDeparture
+	codeRetries
+	codeBadVersion
+	codeViolation
+	codeRejection
+	codeDisk
+	codeTotals
+	codeSentChange
+	codeScenarioResult
 )
 
 // calls hashes every call with its attempts, as the caller saw them, and its runs, as the workers saw them.
@@ -103,12 +103,12 @@
 	t.Helper()
 	for _, id := range sortedOperationIDs(h.operations) {
 		operation := h.operations[id]
-		d.number(historyCall)
+		d.number(codeCall)
 		d.text(operation.id, operation.caller, operation.service, operation.path)
 		d.flags(operation.nonIdempotent, operation.keyed)
 		d.times(operation.startedAt)
 		for _, attempt := range operation.attempts {
-			d.number(historyAttempt)
+			d.number(codeAttempt)
 			d.text(attempt.proxy.name, attempt.outcome)
 			d.times(attempt.sentAt, attempt.finishedAt)
 			if result := attempt.result; result != nil {
@@ -119,7 +119,7 @@
 				}
 				if callPlan := result.Plan; callPlan != nil {
 					verdict := callPlan.Verdict
-					d.number(historyPlan, verdict.ConfigRevision, uint64(len(callPlan.Candidates)))
+					d.number(codePlan, verdict.ConfigRevision, uint64(len(callPlan.Candidates)))
 					d.text(callPlan.Service, verdict.Flag, verdict.Version, string(verdict.Reason), verdict.RuleID,
 						string(verdict.Error), verdict.Evaluated)
 					d.times(callPlan.Deadline, callPlan.LatencyTarget)
@@ -127,7 +127,7 @@
 			}
 		}
 		for _, run := range operation.runs {
-			d.number(historyRun, uint64(run.attemptNumber))
+			d.number(codeRun, uint64(run.attemptNumber))
 			d.text(run.worker.name, run.requestID)
 			d.times(run.at, run.endedAt)
 		}
@@ -140,60 +140,60 @@
 	t.Helper()
 	h := w.History
 	for _, entry := range w.faults {
-		d.number(historyFault)
+		d.number(codeFault)
 		d.text(entry.name)
 		d.times(entry.startedAt, entry.endedAt)
 	}
 	for _, entry := range h.acknowledgements {
-		d.number(historyAcknowledged, entry.revision)
+		d.number(codeAcknowledged, entry.revision)
 		d.times(entry.at)
 	}
 	for _, name := range slices.Sorted(maps.Keys(h.shownRevisions)) {
 		d.text(name)
 		for _, entry := range h.shownRevisions[name] {
-			d.number(historyShown, entry.revision)
+			d.number(codeShownRevision, entry.revision)
 			d.times(entry.at)
 		}
 	}
 	for _, sequence := range slices.Sorted(maps.Keys(h.contentBySequence)) {
-		d.number(historyOrder, sequence)
+		d.number(codeContent, sequence)
 		d.text(h.contentBySequence[sequence])
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.rulings)) {
-		d.number(historyRuling, uint64(h.rulings[id]))
+		d.number(codeRuling, uint64(h.rulings[id]))
 		d.text(id)
 	}
 	for _, token := range slices.Sorted(maps.Keys(h.departedAt)) {
-		d.number(historyLeft)
+		d.number(codeDeparture)
 		d.text(token)
 		d.times(h.departedAt[token])
 	}
 	for _, service := range slices.Sorted(maps.Keys(h.retryTimes)) {
-		d.number(historyExtra)
+		d.number(codeRetries)
 		d.text(service)
 		d.times(slices.Sorted(slices.Values(h.retryTimes[service]))...)
 	}
 	for _, bad := range h.badVersions {
-		d.number(historyBad, uint64(bad.serviceCalls), uint64(bad.versionCalls), uint64(bad.failures))
+		d.number(codeBadVersion, uint64(bad.serviceCalls), uint64(bad.versionCalls), uint64(bad.failures))
 		d.text(bad.service, bad.version)
 		d.times(bad.failureLimitAt, bad.lastCallAt, bad.lateCallAt)
 	}
-	d.breaches(h.Breaches)
+	d.breaches(h.Violations)
 	for _, cause := range slices.Sorted(maps.Keys(h.Rejections)) {
-		d.number(historyRejected, uint64(h.Rejections[cause]))
+		d.number(codeRejection, uint64(h.Rejections[cause]))
 		d.text(cause)
 	}
 	for _, node := range w.members {
-		d.number(historyDisk, node.incarnation, uint64(node.processRun), uint64(node.syncsStarted))
+		d.number(codeDisk, node.incarnation, uint64(node.processRun), uint64(node.syncsStarted))
 		d.text(node.name)
 		for _, record := range node.disk {
 			d.message(t, record)
 		}
 	}
-	d.number(historyEnd)
+	d.number(codeTotals)
 	for _, total := range []int{
 		h.Decisions,
-		h.InTouchDecisions,
+		h.WellConnectedDecisions,
 		h.Attempts,
 		h.Answered,
 		h.WorkerRuns,
@@ -218,14 +218,14 @@
 // breaches hashes the breaches of each rule, in order.
 func (d historyDigest) breaches(breaches map[string][]string) {
 	for _, rule := range slices.Sorted(maps.Keys(breaches)) {
-		d.number(historyBreach)
+		d.number(codeViolation)
 		d.text(rule)
 		d.text(breaches[rule]...)
 	}
 }
 
-// historyOfWorld returns the line of a run of a mesh.
-func historyOfWorld(t *testing.T, w *World) string {
+// goldenLine returns the line of a run of a mesh.
+func goldenLine(t *testing.T, w *World) string {
 	t.Helper()
 	calls, rest := newHistoryDigest(), newHistoryDigest()
 	calls.calls(t, w.History)
@@ -238,68 +238,68 @@
 	return fmt.Sprintf("calls %s rest %s: %s%d asked, %d answered, %d runs, %d acknowledged, %d refused, "+
 		"%d held, %d left, epoch %d, %d faults, %d breaches",
 		calls, rest, events, h.Attempts, h.Answered, h.WorkerRuns, h.Acknowledgements, h.RefusedChanges,
-		h.BlockedCalls, h.CancelledCalls, historyHighestTerm(w), len(w.faults), len(h.Breaches))
+		h.BlockedCalls, h.CancelledCalls, highestTerm(w), len(w.faults), len(h.Violations))
 }
 
-// historyHighestTerm returns the highest term of any member: about how many elections there were.
-func historyHighestTerm(w *World) (highest uint64) {
+// highestTerm returns the highest term of any member: about how many elections there were.
+func highestTerm(w *World) (highest uint64) {
 	for _, node := range w.members {
 		highest = max(highest, node.replica.Status().Term)
 	}
 	return highest
 }
 
-// historyMesh runs a seed as TestSeeds and TestServing do.
-func historyMesh(seed uint64, options Options) func(t *testing.T) string {
+// goldenMesh runs a seed as TestMeshSeeds and TestServeStaleSeeds do.
+func goldenMesh(seed uint64, options Options) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
-		return historyOfWorld(t, RunMesh(seed, SeededNone, options))
+		return goldenLine(t, RunMesh(seed, SeededNone, options))
 	}
 }
 
-// historyCore runs a core without a mesh: members found it, join, are replaced and lose their disks.
-func historyCore(seed uint64, options CoreOptions) func(t *testing.T) string {
+// goldenCore runs a core without a mesh: members found it, join, are replaced and lose their disks.
+func goldenCore(seed uint64, options CoreOptions) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
 		w := RunCore(seed, SeededNone, options)
 		d := newHistoryDigest()
 		d.world(t, w.World)
 		for _, change := range w.sentChanges {
-			d.number(historySent)
+			d.number(codeSentChange)
 			d.message(t, change)
 		}
 		for _, name := range slices.Sorted(maps.Keys(w.acknowledgedVersions)) {
-			d.number(historyAcknowledged, w.acknowledgedVersions[name], w.issuedVersions[name])
+			d.number(codeAcknowledged, w.acknowledgedVersions[name], w.issuedVersions[name])
 			d.text(name)
 		}
-		d.number(historyEnd, uint64(w.Acknowledgements), uint64(w.Reads), uint64(w.Replacements), uint64(w.Resends))
+		d.number(codeTotals, uint64(w.Acknowledgements), uint64(w.Reads), uint64(w.Replacements), uint64(w.Resends))
 		return fmt.Sprintf("core %s: %d events, %d changes sent, %d acknowledged, %d refused, "+
 			"%d reads, %d replaced, %d repeats, epoch %d, %d breaches",
 			d, w.lastEventSequence, len(w.sentChanges), w.Acknowledgements, w.History.RefusedChanges,
-			w.Reads, w.Replacements, w.Resends, historyHighestTerm(w.World), len(w.History.Breaches))
+			w.Reads, w.Replacements, w.Resends, highestTerm(w.World), len(w.History.Violations))
 	}
 }
 
-// historyRollback runs a scenario of the rollback guard. Only its result is hashed, as RunRollback returns no world;
-// historyRelease hashes a complete history.
-func historyRollback(seed uint64, name string) func(t *testing.T) string {
+// goldenRollback runs a scenario of the rollback guard. Only its result is hashed, as RunRollback returns no world;
+// goldenRelease hashes a complete history.
+func goldenRollback(seed uint64, name string) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
 		got := RunRollback(seed, rollbackScenarioNamed(t, name), SeededNone, 5)
 		d := newHistoryDigest()
-		d.number(historyOutcome, uint64(got.ServiceCalls), uint64(got.VersionCalls), uint64(got.FailedCalls), uint64(got.BlockedCalls))
+		d.number(codeScenarioResult, uint64(got.ServiceCalls), uint64(got.VersionCalls), uint64(got.FailedCalls), uint64(got.BlockedCalls))
 		d.times(got.ExposureTime)
 		d.flags(got.RolledBack)
 		d.text(got.State, got.StopReason)
-		d.breaches(got.Breaches)
+		d.breaches(got.Violations)
 		return fmt.Sprintf("outcome %s: %d calls, %d of them its, %d failed, took %d ns, back %t, %d held, state %q, %q, %d breaches",
 			d, got.ServiceCalls, got.VersionCalls, got.FailedCalls, got.ExposureTime, got.RolledBack,
-			got.BlockedCalls, got.State, got.StopReason, len(got.Breaches))
+			got.BlockedCalls, got.State, got.StopReason, len(got.Violations))
 	}
 }
 
-// historyVersionOrder runs the first scenario of a rollout order whose name begins with a string.
-func historyVersionOrder(seed uint64, start string) func(t *testing.T) string {
+// goldenOrder runs the first scenario of a rollout order whose name begins with a string.
+func goldenOrder(seed uint64, start string) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
 		index := slices.IndexFunc(OrderScenarios, func(scenario OrderScenario) bool { return strings.HasPrefix(scenario.Name, start) })
@@ -308,19 +308,19 @@
 		}
 		got := RunOrder(seed, OrderScenarios[index])
 		d := newHistoryDigest()
-		d.number(historyOutcome, uint64(got.VersionCalls), uint64(got.ServiceCalls), uint64(got.BadCalls), uint64(got.LostCalls))
+		d.number(codeScenarioResult, uint64(got.VersionCalls), uint64(got.ServiceCalls), uint64(got.BadCalls), uint64(got.LostCalls))
 		d.times(got.ReachedAfter)
 		d.flags(got.HasLateCall)
 		d.text(got.State)
-		d.breaches(got.Breaches)
+		d.breaches(got.Violations)
 		return fmt.Sprintf("outcome %s: %d calls, %d of them its, %d bad, %d lost, state %q at %d ns, late %t, %d breaches",
-			d, got.ServiceCalls, got.VersionCalls, got.BadCalls, got.LostCalls, got.State, got.ReachedAfter, got.HasLateCall, len(got.Breaches))
+			d, got.ServiceCalls, got.VersionCalls, got.BadCalls, got.LostCalls, got.State, got.ReachedAfter, got.HasLateCall, len(got.Violations))
 	}
 }
 
-// historyRelease introduces a bad version, by a release plan or by a rollout order, and hashes the complete history, which
+// goldenRelease introduces a bad version, by a release plan or by a rollout order, and hashes the complete history, which
 // RunRollback and RunOrder do not return.
-func historyRelease(seed uint64, options Options, ordered bool) func(t *testing.T) string {
+func goldenRelease(seed uint64, options Options, ordered bool) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
 		w := NewWorld(seed, SeededNone, options)
@@ -335,7 +335,7 @@
 			},
 				&schema.Item{Kind: "flag", Name: "release.shop", Deleted: true})
 			w.Run(w.now + 4*time.Second)
-			w.submitOrder(release.RolloutOrder{Service: "shop", Version: "2", Within: 12 * time.Second}, func() {})
+			w.submitRolloutOrder(release.RolloutOrder{Service: "shop", Version: "2", Within: 12 * time.Second}, func() {})
 		} else {
 			w.submitUntilAccepted(func() {}, releasePlanItem("shop", 60, 20*time.Second))
 		}
@@ -343,38 +343,38 @@
 		w.Run(w.now + 25*time.Second)
 		w.Close()
 		w.History.checkAtEnd()
-		return historyOfWorld(t, w)
+		return goldenLine(t, w)
 	}
 }
 
-// historyRuns are the runs whose histories are fixed: each kind of world and of scenario.
-var historyRuns = []struct {
+// goldenRuns are the runs whose histories are fixed: each kind of world and of scenario.
+var goldenRuns = []struct {
 	name string
 	run  func(t *testing.T) string
 }{
-	{"mesh 1", historyMesh(1, Options{FaultyDuration: 25 * time.Second})},
-	{"mesh 2, with a plan", historyMesh(2, Options{FaultyDuration: 25 * time.Second})},
-	{"mesh 4, with a bad version", historyMesh(4, Options{FaultyDuration: 25 * time.Second})},
-	{"mesh 3, nothing that costs", historyMesh(3, Options{FaultyDuration: 25 * time.Second, HarmlessFaultsOnly: true})},
-	{"serving 1", historyMesh(1, Options{FaultyDuration: 25 * time.Second, ServeStale: true})},
-	{"serving 4, with a bad version", historyMesh(4, Options{FaultyDuration: 25 * time.Second, ServeStale: true})},
-	{"leaving 1, calm", historyMesh(1, Options{
+	{"mesh 1", goldenMesh(1, Options{FaultyDuration: 25 * time.Second})},
+	{"mesh 2, with a plan", goldenMesh(2, Options{FaultyDuration: 25 * time.Second})},
+	{"mesh 4, with a bad version", goldenMesh(4, Options{FaultyDuration: 25 * time.Second})},
+	{"mesh 3, nothing that costs", goldenMesh(3, Options{FaultyDuration: 25 * time.Second, HarmlessFaultsOnly: true})},
+	{"serving 1", goldenMesh(1, Options{FaultyDuration: 25 * time.Second, ServeStale: true})},
+	{"serving 4, with a bad version", goldenMesh(4, Options{FaultyDuration: 25 * time.Second, ServeStale: true})},
+	{"leaving 1, calm", goldenMesh(1, Options{
 		NoFaults:         true,
 		CallerCancelRate: 0.3,
 		MeanServiceTime:  100 * time.Millisecond,
 		FaultyDuration:   15 * time.Second,
 	})},
-	{"leaving 2, faults", historyMesh(2, Options{
+	{"leaving 2, faults", goldenMesh(2, Options{
 		CallerCancelRate: 0.3,
 		MeanServiceTime:  100 * time.Millisecond,
 		FaultyDuration:   15 * time.Second,
 	})},
-	{"core 1, 3 seats", historyCore(1, CoreOptions{Members: 3, MaxLosses: 1})},
-	{"core 2, 3 seats", historyCore(2, CoreOptions{Members: 3, MaxLosses: 1})},
-	{"core 1, 5 seats", historyCore(1, CoreOptions{Members: 5, MaxLosses: 2})},
-	{"core 2, 5 seats", historyCore(2, CoreOptions{Members: 5, MaxLosses: 2})},
-	{"release 1, planned", historyRelease(1, Options{Proxies: 5, CallRate: 60, NoFaults: true}, false)},
-	{"release 2, ordered", historyRelease(2, Options{
+	{"core 1, 3 seats", goldenCore(1, CoreOptions{Members: 3, MaxLosses: 1})},
+	{"core 2, 3 seats", goldenCore(2, CoreOptions{Members: 3, MaxLosses: 1})},
+	{"core 1, 5 seats", goldenCore(1, CoreOptions{Members: 5, MaxLosses: 2})},
+	{"core 2, 5 seats", goldenCore(2, CoreOptions{Members: 5, MaxLosses: 2})},
+	{"release 1, planned", goldenRelease(1, Options{Proxies: 5, CallRate: 60, NoFaults: true}, false)},
+	{"release 2, ordered", goldenRelease(2, Options{
 		Proxies:         5,
 		CallRate:        60,
 		NoFaults:        true,
@@ -382,25 +382,25 @@
 		BoundExposure:   true,
 		MeanServiceTime: 20 * time.Millisecond,
 	}, true)},
-	{"brake 1, planned", historyRollback(1, "bad late, at a high share")},
-	{"brake 1, by hand, core split", historyRollback(1, "by hand at 100 %, bad late, the core split")},
-	{"term 1, errors, duty killed", historyVersionOrder(1, "errors, duty killed")},
-	{"term 1, good, herd killed", historyVersionOrder(1, "good, herd killed")},
+	{"brake 1, planned", goldenRollback(1, "bad late, at a high share")},
+	{"brake 1, by hand, core split", goldenRollback(1, "by hand at 100 %, bad late, the core split")},
+	{"term 1, errors, duty killed", goldenOrder(1, "errors, duty killed")},
+	{"term 1, good, herd killed", goldenOrder(1, "good, herd killed")},
 }
 
 // TestGoldenHistories checks that each run gives exactly the events, times, responses and disks that it gave when the file
 // was written. A refactoring must leave the file unchanged.
 func TestGoldenHistories(t *testing.T) {
-	golden := historyLines(t)
-	if len(golden) != len(historyRuns) {
-		t.Errorf("%s has %d lines for %d runs", historyFile, len(golden), len(historyRuns))
+	golden := readGoldenLines(t)
+	if len(golden) != len(goldenRuns) {
+		t.Errorf("%s has %d lines for %d runs", goldenFile, len(golden), len(goldenRuns))
 	}
-	for _, test := range historyRuns {
+	for _, test := range goldenRuns {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			want, known := golden[test.name]
 			if !known {
-				t.Fatalf("%s has no line for this run", historyFile)
+				t.Fatalf("%s has no line for this run", goldenFile)
 			}
 			var got string
 			synctest.Test(t, func(t *testing.T) { got = test.run(t) })
@@ -425,10 +425,10 @@
 	return totals
 }
 
-// historyLines reads the file into a map from the name of a run to its line.
-func historyLines(t *testing.T) map[string]string {
+// readGoldenLines reads the file into a map from the name of a run to its line.
+func readGoldenLines(t *testing.T) map[string]string {
 	t.Helper()
-	content, err := os.ReadFile(historyFile)
+	content, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -436,7 +436,7 @@
 	for line := range strings.Lines(string(content)) {
 		name, rest, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		if _, twice := lines[name]; twice {
-			t.Fatalf("%s has %q twice", historyFile, name)
+			t.Fatalf("%s has %q twice", goldenFile, name)
 		}
 		lines[name] = rest
 	}
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -21,23 +21,23 @@
 	closed bool
 
 	// Totals for reports and golden digests.
-	Decisions        int                       // dispatches of calls by proxies
-	InTouchDecisions int                       // of these, by proxies in touch; counted only with Options.ServeStale
-	Attempts         int                       // attempts by callers
-	Answered         int                       // attempts with a response from a worker
-	WorkerRuns       int                       // requests that workers ran
-	AnsweredRetries  int                       // answered attempts of calls that had been attempted before
-	Acknowledgements int                       // changes acknowledged to operators
-	RefusedChanges   int                       // rulings other than accepted
-	Unsent           int                       // attempts that no proxy admitted
-	BlockedCalls     int                       // calls that a blocked version would have got
-	CancelledCalls   int                       // attempts that the caller cancelled
-	MaxTombstones    int                       // the most that any copy of the configuration held
-	Purges           int                       // purges of tombstones
-	Rejections       map[string]int            // rejected calls by the fault blamed and the cause
-	Disconnects      dispatch.DisconnectCounts // of all runs of all proxies
-	EventHash        uint64                    // over the due times of all events; World.lock guards it
-	Breaches         map[string][]string       // descriptions by rule, at most maxBreachesShown of each
+	Decisions              int                       // dispatches of calls by proxies
+	WellConnectedDecisions int                       // of these, by proxies in touch; counted only with Options.ServeStale
+	Attempts               int                       // attempts by callers
+	Answered               int                       // attempts with a response from a worker
+	WorkerRuns             int                       // requests that workers ran
+	AnsweredRetries        int                       // answered attempts of calls that had been attempted before
+	Acknowledgements       int                       // changes acknowledged to operators
+	RefusedChanges         int                       // rulings other than accepted
+	Unsent                 int                       // attempts that no proxy admitted
+	BlockedCalls           int                       // calls that a blocked version would have got
+	CancelledCalls         int                       // attempts that the caller cancelled
+	MaxTombstones          int                       // the most that any copy of the configuration held
+	Purges                 int                       // purges of tombstones
+	Rejections             map[string]int            // rejected calls by the fault blamed and the cause
+	Disconnects            dispatch.DisconnectCounts // of all runs of all proxies
+	EventHash              uint64                    // over the due times of all events; World.lock guards it
+	Violations             map[string][]string       // descriptions by rule, at most maxViolationsKept of each
 
 	// What callers, workers and operators did and saw.
 	operations       map[string]*operation
--- a/internal/simulator/member.go
+++ b/internal/simulator/member.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// memberNode is one member of the core: a replica of the store with its disk. Only events use it; World.inTouch also
+// memberNode is one member of the core: a replica of the store with its disk. Only events use it; World.isWellConnected also
 // reads its disk faults, from goroutines that events wait for.
 type memberNode struct {
 	process
@@ -66,7 +66,7 @@
 	replicaConfig := node.replicaConfig
 	if len(node.disk) == 0 {
 		// The seeded fault makes an empty disk pass for the one that was lost.
-		if w.seededFault != SeededWipedMemberCounts || node.incarnation == 0 {
+		if w.seededFault != SeededWipedMemberInQuorum || node.incarnation == 0 {
 			node.incarnation = uint64(w.nextID())
 		} else {
 			replicaConfig.Founders = memberNames(node.replica)
@@ -222,7 +222,7 @@
 // crashMember cuts the power of a member. Pending writes are lost, except for a random prefix that reached the disk.
 func (w *World) crashMember(node *memberNode) {
 	// The seeded fault also takes records that the disk had reported as durable.
-	if w.seededFault == SeededLyingDisk {
+	if w.seededFault == SeededSyncedWritesLost {
 		for remaining := 1 + w.randomInt(3); remaining > 0 && len(node.disk) > 1; remaining-- {
 			last := len(node.disk) - 1
 			if node.disk[last].Snapshot != nil {
--- a/internal/simulator/mesh_scenario.go
+++ b/internal/simulator/mesh_scenario.go
@@ -77,14 +77,14 @@
 		}
 	}
 	if recoveredAfter == 0 || recoveredAfter > recoveryBound {
-		w.History.recordBreach(RuleRecoveryTime, "service back after %v (0: never)", recoveredAfter)
+		w.History.recordViolation(ViolationRecoveryTime, "service back after %v (0: never)", recoveredAfter)
 	}
 	for _, node := range w.members {
 		if !node.up {
 			continue
 		}
 		if committed, _ := node.replica.Committed(); committed < acknowledgedBefore {
-			w.History.recordBreach(RuleAcknowledgedLost, "%s shows %d; %d had been acknowledged",
+			w.History.recordViolation(ViolationAcknowledgedLost, "%s shows %d; %d had been acknowledged",
 				node.name, committed, acknowledgedBefore)
 		}
 	}
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -68,7 +68,7 @@
 	BadCalls                   int           // failed calls of the version, also after the deadline
 	HasLateCall                bool          // the version got a call after orderRollbackBound
 	LostCalls                  int           // calls in flight at the old version when its workers ended
-	Breaches                   map[string][]string
+	Violations                 map[string][]string
 }
 
 // Exposed reports whether a bad version got more calls than it may.
@@ -114,7 +114,7 @@
 	}
 	run.Close()
 	run.History.checkAtEnd()
-	run.result.Breaches = run.History.Breaches
+	run.result.Violations = run.History.Violations
 	return run.result
 }
 
@@ -143,7 +143,7 @@
 // order places the order, waits until it is accepted, and schedules the version's workers and their degradation.
 func (run *orderRun) order() {
 	order := release.RolloutOrder{Service: "shop", Version: "2", Within: run.scenario.RolloutDuration}
-	run.submitOrder(order, func() { run.orderedAt = run.now })
+	run.submitRolloutOrder(order, func() { run.orderedAt = run.now })
 	for run.orderedAt == 0 {
 		run.Run(run.now + 50*time.Millisecond)
 	}
@@ -209,8 +209,8 @@
 	}
 }
 
-// submitOrder submits an order at random registries until it is accepted.
-func (w *World) submitOrder(order release.RolloutOrder, onAccepted func()) {
+// submitRolloutOrder submits an order at random registries until it is accepted.
+func (w *World) submitRolloutOrder(order release.RolloutOrder, onAccepted func()) {
 	accepted := false
 	w.retryEvery(300*time.Millisecond, func() bool {
 		if accepted {
--- a/internal/simulator/order_test.go
+++ b/internal/simulator/order_test.go
@@ -16,10 +16,10 @@
 	orderScenarioFilter = flag.String("term-kind", "", "only scenarios whose name contains this")
 )
 
-// TestTerm checks that the rollout of an ordered healthy version is done in time, and that a bad version is rolled back and
+// TestRolloutOrders checks that the rollout of an ordered healthy version is done in time, and that a bad version is rolled back and
 // gets no more calls than it may, whatever faults hit the core and the proxies. One seed in ten may miss the state or the
 // time; none may exceed the exposure.
-func TestTerm(t *testing.T) {
+func TestRolloutOrders(t *testing.T) {
 	for i, scenario := range OrderScenarios {
 		// By default the test runs a third of the scenarios, which takes in each behavior under one of the loads.
 		if !strings.Contains(scenario.Name, *orderScenarioFilter) || (*orderSeedCount == 1 && *orderScenarioFilter == "" && i%3 != 0) {
@@ -34,7 +34,7 @@
 			for seed := *orderFirstSeed; seed < *orderFirstSeed+uint64(*orderSeedCount); seed++ {
 				var got OrderResult
 				synctest.Test(t, func(*testing.T) { got = RunOrder(seed, scenario) })
-				for rule, breaches := range got.Breaches {
+				for rule, breaches := range got.Violations {
 					t.Errorf("seed %d: %s: %v", seed, rule, breaches)
 				}
 				want := release.StateRolledBack
--- a/internal/simulator/peer_rpc.go
+++ b/internal/simulator/peer_rpc.go
@@ -85,7 +85,7 @@
 	case !up:
 		c.failToConnect(delay)
 		return
-	case w.seededFault == SeededSpuriousUnopened && random.IntN(8) == 0:
+	case w.seededFault == SeededSpuriousConnectFailed && random.IntN(8) == 0:
 		c.failToConnect(delay)
 		return
 	// Half of the broken links refuse to open, which the sender learns after the dial timeout; the others were open
@@ -99,7 +99,7 @@
 	}
 	c.maybeDuplicate(delay, random)
 	w.schedule(delay, func() {
-		w.scheduleOn(&c.to.process, 0, func() { w.serveForward(c.to, c.peer, c.request, c.respond, c.reportLost) })
+		w.scheduleOn(&c.to.process, 0, func() { w.serveForward(c.to, c.peer, c.request, c.respond, c.reportConnectionLost) })
 	})
 }
 
@@ -117,12 +117,12 @@
 	if random.IntN(2) == 0 {
 		w.schedule(time.Duration(random.Int64N(int64(12*time.Second))), func() {
 			if !w.isPartitioned(&c.from.process, &c.to.process) {
-				w.scheduleOn(&c.to.process, 0, func() { c.serveUnheard(c.request) })
+				w.scheduleOn(&c.to.process, 0, func() { c.serveDiscardingResponse(c.request) })
 			}
 		})
 	}
-	if w.seededFault == SeededLostLinkAsUnopened {
-		w.schedule(dialTimeout, c.reportLost)
+	if w.seededFault == SeededConnectionLostAsConnectFailed {
+		w.schedule(dialTimeout, c.reportConnectionLost)
 	}
 }
 
@@ -134,13 +134,13 @@
 	w.lock.Unlock()
 	if duplicated {
 		w.schedule(delay+time.Duration(random.Int64N(int64(time.Second))), func() {
-			w.scheduleOn(&c.to.process, 0, func() { c.serveUnheard(proto.Clone(c.request).(*schema.ForwardRequest)) })
+			w.scheduleOn(&c.to.process, 0, func() { c.serveDiscardingResponse(proto.Clone(c.request).(*schema.ForwardRequest)) })
 		})
 	}
 }
 
-// serveUnheard serves a request whose response reaches nobody.
-func (c *peerCall) serveUnheard(request *schema.ForwardRequest) {
+// serveDiscardingResponse serves a request whose response reaches nobody.
+func (c *peerCall) serveDiscardingResponse(request *schema.ForwardRequest) {
 	c.world.serveForward(c.to, c.peer, request, func(*schema.ForwardResponse) {}, func() {})
 }
 
@@ -154,12 +154,14 @@
 	}
 }
 
-// reportLost reports that an open connection was lost, so the outcome is unknown.
-func (c *peerCall) reportLost() { c.results <- forwardResult{nil, c.world.lostLinkError()} }
+// reportConnectionLost reports that an open connection was lost, so the outcome is unknown.
+func (c *peerCall) reportConnectionLost() {
+	c.results <- forwardResult{nil, c.world.connectionLostError()}
+}
 
-// lostLinkError is the error for a connection that was lost after it opened.
-func (w *World) lostLinkError() error {
-	if w.seededFault == SeededLostLinkAsUnopened {
+// connectionLostError is the error for a connection that was lost after it opened.
+func (w *World) connectionLostError() error {
+	if w.seededFault == SeededConnectionLostAsConnectFailed {
 		return errs.New(errs.PeerConnectFailed, "lost")
 	}
 	return errs.New(errs.PeerConnectionLost, "lost")
--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -97,7 +97,7 @@
 	})
 	w.scheduleEvery(&node.process, pollInterval, func() {
 		// Callers are admitted once the proxy can decide.
-		if run.hasLease() || w.seededFault == SeededDecidesBeforeLease {
+		if run.hasLease() || w.seededFault == SeededAdmitsBeforeLease {
 			node.acceptsCallers.Store(true)
 		}
 	})
@@ -151,8 +151,8 @@
 	switch {
 	case w.Options.ServeStale:
 		return hasConfig
-	case w.seededFault == SeededEternalLease && r.leaseGate.ExpiresAt() > 0,
-		w.seededFault == SeededDecidesBeforeLease && hasConfig:
+	case w.seededFault == SeededLeaseNeverExpires && r.leaseGate.ExpiresAt() > 0,
+		w.seededFault == SeededAdmitsBeforeLease && hasConfig:
 		return true
 	}
 	return r.leaseGate.IsOpen()
--- a/internal/simulator/rollback_scenario.go
+++ b/internal/simulator/rollback_scenario.go
@@ -27,8 +27,8 @@
 
 // The faults of the core in a RollbackScenario. The words are part of the scenarios' names.
 const (
-	CoreSplit = "split" // each member is partitioned from the others
-	CoreDown  = "gone"  // all members and registries crash
+	CorePartitioned = "split" // each member is partitioned from the others
+	CoreDown        = "gone"  // all members and registries crash
 )
 
 // How a RollbackScenario introduces a version.
@@ -100,7 +100,7 @@
 // rollbackScenariosWithCoreFaults are the scenarios in which the core fails when the version becomes unhealthy.
 func rollbackScenariosWithCoreFaults() []RollbackScenario {
 	var all []RollbackScenario
-	for _, fault := range []string{CoreSplit, CoreDown} {
+	for _, fault := range []string{CorePartitioned, CoreDown} {
 		all = append(all,
 			RollbackScenario{
 				Name:        "bad late, the core " + fault,
@@ -144,7 +144,7 @@
 	ExposureTime                            time.Duration // from when the version became unhealthy to its last call
 	RolledBack                              bool          // the version was rolled back or stopped
 	BlockedCalls                            int           // calls that the version would have got, had it not been blocked
-	Breaches                                map[string][]string
+	Violations                              map[string][]string
 	State, StopReason                       string // of the last progress or stop seen at a registry
 }
 
@@ -179,9 +179,9 @@
 	w.History.checkAtEnd()
 	result.addExposure(w.History.badVersions, startedAt+scenario.Degradation.From)
 	if scenario.Healthy && result.RolledBack {
-		w.History.recordBreach(RuleHealthyRolledBack, "%s: %s", scenario.Name, result.StopReason)
+		w.History.recordViolation(ViolationHealthyRolledBack, "%s: %s", scenario.Name, result.StopReason)
 	}
-	result.Breaches = w.History.Breaches
+	result.Violations = w.History.Violations
 	return result
 }
 
@@ -221,7 +221,7 @@
 
 // failCore takes the core away until the end of the run.
 func (w *World) failCore(fault string) {
-	if fault == CoreSplit {
+	if fault == CorePartitioned {
 		w.partitionCore(func(int, int) bool { return true })
 		return
 	}
--- a/internal/simulator/rollback_test.go
+++ b/internal/simulator/rollback_test.go
@@ -38,9 +38,9 @@
 	return RollbackScenarios[index]
 }
 
-// TestBrake checks that the rollback guard stops a bad version within the bounds, however it was introduced and in whatever
+// TestRollbackGuard checks that the rollback guard stops a bad version within the bounds, however it was introduced and in whatever
 // way it is bad, and that it does not stop a healthy one.
-func TestBrake(t *testing.T) {
+func TestRollbackGuard(t *testing.T) {
 	for _, scenario := range RollbackScenarios {
 		if !strings.Contains(scenario.Name, *rollbackScenarioFilter) {
 			continue
@@ -52,7 +52,7 @@
 			rolledBack := 0
 			for seed := *rollbackFirstSeed; seed < *rollbackFirstSeed+uint64(*rollbackSeedCount); seed++ {
 				got := runRollbackSeed(t, seed, scenario, SeededNone)
-				for rule, breaches := range got.Breaches {
+				for rule, breaches := range got.Violations {
 					t.Errorf("seed %d: %s: %v", seed, rule, breaches)
 				}
 				versionCalls = append(versionCalls, got.VersionCalls)
@@ -70,12 +70,12 @@
 	}
 }
 
-// TestBrakeInSplitCore checks that a version that fails a tenth of its calls stays within its bound while no part of a split
+// TestRollbackGuardInPartitionedCore checks that a version that fails a tenth of its calls stays within its bound while no part of a split
 // core gets enough reports of it. When each part had a rollout controller, this seed let the version go on for 13 s, to 497
 // calls of 4229.
-func TestBrakeInSplitCore(t *testing.T) {
+func TestRollbackGuardInPartitionedCore(t *testing.T) {
 	scenario := rollbackScenarioNamed(t, "by hand, a tenth fails late, the core split")
-	if got := runRollbackSeed(t, 15, scenario, SeededNone); len(got.Breaches) > 0 {
-		t.Errorf("%d of %d calls, the last %v after it turned bad: %v", got.VersionCalls, got.ServiceCalls, got.ExposureTime, got.Breaches)
+	if got := runRollbackSeed(t, 15, scenario, SeededNone); len(got.Violations) > 0 {
+		t.Errorf("%d of %d calls, the last %v after it turned bad: %v", got.VersionCalls, got.ServiceCalls, got.ExposureTime, got.Violations)
 	}
 }
--- a/internal/simulator/rollout_control.go
+++ b/internal/simulator/rollout_control.go
@@ -68,7 +68,7 @@
 		allReplies := append(*replies, node.table.ReportedCounts(w.uptime(node), true))
 		steps, err := controller.Reconcile(w.uptime(node), snapshot, state, w.fleetObservation(node, allReplies, workers))
 		if err != nil {
-			w.History.recordBreach(RuleRecoveryTime, "%v: a step could not be made: %v", w.now, err)
+			w.History.recordViolation(ViolationRecoveryTime, "%v: a step could not be made: %v", w.now, err)
 		}
 		if w.seededFault != SeededAlwaysHealthy {
 			node.table.SetCanaryGrants(w.uptime(node), controller.CanaryGrants(snapshot))
@@ -89,7 +89,7 @@
 		options.LatencyMultiple = 1e9
 		options.RollbackLogOdds = 1e9
 	}
-	if w.seededFault == SeededHairTrigger {
+	if w.seededFault == SeededOversensitiveGuard {
 		options.FailureThreshold = 2
 		options.FailureRateMargin = 0
 		options.MinStandardErrors = 0
--- a/internal/simulator/serve_stale.go
+++ b/internal/simulator/serve_stale.go
@@ -12,7 +12,7 @@
 )
 
 // Where proxies serve stale, they hold sessions with registries instead of leases, and a change is acknowledged as soon
-// as it is committed. What the mesh promises then binds only proxies in touch; see World.inTouch.
+// as it is committed. What the mesh promises then binds only proxies in touch; see World.isWellConnected.
 
 // startRegistrySubscriptions starts the loops of a registry that serves sessions.
 func (w *World) startRegistrySubscriptions(node *registryNode) {
@@ -43,22 +43,22 @@
 // subscribeToPeer keeps a registry subscribed to another: it subscribes again when the subscription has ended, when the
 // other restarted, and when nothing was heard for a lease.
 func (w *World) subscribeToPeer(node, other *registryNode) {
-	heardAt := time.Duration(0)
+	lastUpdateAt := time.Duration(0)
 	w.scheduleEvery(&node.process, pollInterval, func() {
 		current := node.subscriptions[other.name]
 		if current != nil {
-			timedOut := w.now-heardAt > servingLease
+			timedOut := w.now-lastUpdateAt > servingLease
 			isSameRun := other.processRun == current.serverRun || current.serverRun == 0
 			if !current.closed && !timedOut && isSameRun {
 				return
 			}
 			current.closed = true
 		}
-		heardAt = w.now
+		lastUpdateAt = w.now
 		vector, memberID := node.table.Vector(), node.table.MemberID()
 		sub := &subscription{server: other, client: &node.process, peer: true}
 		sub.handle = func(update *schema.Update) {
-			heardAt = w.now
+			lastUpdateAt = w.now
 			for _, source := range update.Sources {
 				node.table.MergeSource(w.uptime(node), source)
 			}
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -27,10 +27,10 @@
 	return history
 }
 
-// breachedRules returns the rules that were breached, sorted.
-func (h *History) breachedRules() []string {
+// violationKinds returns the rules that were breached, sorted.
+func (h *History) violationKinds() []string {
 	var names []string
-	for rule := range h.Breaches {
+	for rule := range h.Violations {
 		names = append(names, rule)
 	}
 	sort.Strings(names)
@@ -49,7 +49,7 @@
 		for skipped := range options.SkipFaults {
 			without.SkipFaults[skipped] = true
 		}
-		if len(runMeshSeed(t, seed, seededFault, without).Breaches[rule]) > 0 {
+		if len(runMeshSeed(t, seed, seededFault, without).Violations[rule]) > 0 {
 			options = without
 		}
 	}
@@ -77,8 +77,8 @@
 	return sum
 }
 
-// TestSeeds checks that no never-rule breaks under the faults of any seed.
-func TestSeeds(t *testing.T) {
+// TestMeshSeeds checks that no never-rule breaks under the faults of any seed.
+func TestMeshSeeds(t *testing.T) {
 	sum := runMeshSeeds(t, *firstSeed, *seedCount, Options{HarmlessFaultsOnly: *harmlessOnly})
 	// Runs in which little happens prove nothing.
 	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount {
@@ -90,20 +90,20 @@
 	t.Logf("%d seeds: %s", *seedCount, sum.summary())
 }
 
-// TestServing checks that no never-rule breaks where proxies serve stale configuration and a change is acknowledged once
+// TestServeStaleSeeds checks that no never-rule breaks where proxies serve stale configuration and a change is acknowledged once
 // it is committed. The rules on fresh configuration bind only proxies in touch there, so enough decisions must be theirs.
-func TestServing(t *testing.T) {
+func TestServeStaleSeeds(t *testing.T) {
 	sum := runMeshSeeds(t, *firstSeed, *seedCount, Options{ServeStale: true, HarmlessFaultsOnly: *harmlessOnly})
-	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount || sum.InTouchDecisions < sum.Decisions/10 {
+	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount || sum.WellConnectedDecisions < sum.Decisions/10 {
 		t.Errorf("only %d answered, %d acknowledged, %d of %d decisions in touch in %d seeds",
-			sum.Answered, sum.Acknowledgements, sum.InTouchDecisions, sum.Decisions, *seedCount)
+			sum.Answered, sum.Acknowledgements, sum.WellConnectedDecisions, sum.Decisions, *seedCount)
 	}
-	t.Logf("%d seeds, %d of %d decisions in touch: %s", *seedCount, sum.InTouchDecisions, sum.Decisions, sum.summary())
+	t.Logf("%d seeds, %d of %d decisions in touch: %s", *seedCount, sum.WellConnectedDecisions, sum.Decisions, sum.summary())
 }
 
-// TestLeavingCallers checks callers that cancel while their calls wait or run: in a world without faults each worker stops
+// TestCallerCancellation checks callers that cancel while their calls wait or run: in a world without faults each worker stops
 // in time, and under all faults every other rule holds too.
-func TestLeavingCallers(t *testing.T) {
+func TestCallerCancellation(t *testing.T) {
 	for name, options := range map[string]Options{
 		"calm": {
 			NoFaults:         true,
@@ -118,8 +118,8 @@
 				t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 					t.Parallel()
 					h := runMeshSeed(t, seed, SeededNone, options)
-					for _, rule := range h.breachedRules() {
-						t.Errorf("%s: %s", rule, strings.Join(h.Breaches[rule], "\n\t"))
+					for _, rule := range h.violationKinds() {
+						t.Errorf("%s: %s", rule, strings.Join(h.Violations[rule], "\n\t"))
 					}
 					if h.CancelledCalls < 20 || h.Disconnects.Canceled+h.Disconnects.Dequeued == 0 || h.Disconnects.RanToEnd == 0 {
 						t.Errorf("only %d callers left: %+v", h.CancelledCalls, h.Disconnects)
@@ -134,17 +134,17 @@
 // report fails a test with the breaches of a seed, and logs how to replay it and the faults without which it passes.
 func (h *History) report(t *testing.T, seed uint64, options Options) {
 	t.Helper()
-	for _, rule := range h.breachedRules() {
-		t.Errorf("seed %d: %s: %s", seed, rule, strings.Join(h.Breaches[rule], "\n\t"))
+	for _, rule := range h.violationKinds() {
+		t.Errorf("seed %d: %s: %s", seed, rule, strings.Join(h.Violations[rule], "\n\t"))
 	}
-	if len(h.Breaches) == 0 {
+	if len(h.Violations) == 0 {
 		return
 	}
-	test := map[bool]string{false: "TestSeeds", true: "TestServing"}[options.ServeStale]
+	test := map[bool]string{false: "TestMeshSeeds", true: "TestServeStaleSeeds"}[options.ServeStale]
 	t.Logf("replay: go test ./internal/simulator -run '%s$' -seeds 1 -first %d -free=%v -v", test, seed, options.HarmlessFaultsOnly)
-	least := shrink(t, seed, SeededNone, options, h.breachedRules()[0])
+	least := shrink(t, seed, SeededNone, options, h.violationKinds()[0])
 	shrunk := runMeshSeed(t, seed, SeededNone, least)
-	t.Logf("%s needs these faults: %s", h.breachedRules()[0], shrunk.faultNames())
+	t.Logf("%s needs these faults: %s", h.violationKinds()[0], shrunk.faultNames())
 }
 
 // faultNames lists the faults of a run with their times.
@@ -165,7 +165,7 @@
 	h.Acknowledgements += other.Acknowledgements
 	h.RefusedChanges += other.RefusedChanges
 	h.Decisions += other.Decisions
-	h.InTouchDecisions += other.InTouchDecisions
+	h.WellConnectedDecisions += other.WellConnectedDecisions
 	h.Unsent += other.Unsent
 	h.BlockedCalls += other.BlockedCalls
 	h.MaxTombstones = max(h.MaxTombstones, other.MaxTombstones)
@@ -188,27 +188,27 @@
 		h.RefusedChanges, h.MaxTombstones, h.Purges, strings.Join(rejections, "\n\t"))
 }
 
-// TestHarmlessFaults checks that no call is rejected, in any seed, by what must cost nothing: draining and replacing
+// TestHarmlessFaultsRejectNoCall checks that no call is rejected, in any seed, by what must cost nothing: draining and replacing
 // workers, graceful restarts, one core host that is lost, frozen, slow or back empty, many changes, a growing
 // configuration, invalid and racing changes.
-func TestHarmlessFaults(t *testing.T) {
+func TestHarmlessFaultsRejectNoCall(t *testing.T) {
 	sum := runMeshSeeds(t, 1, harmlessSeedCount, Options{HarmlessFaultsOnly: true})
 	if len(sum.Rejections) > 0 || sum.Answered < 500*harmlessSeedCount {
 		t.Errorf("%s", sum.summary())
 	}
 }
 
-// harmlessSeedCount is how many seeds TestHarmlessFaults runs.
+// harmlessSeedCount is how many seeds TestHarmlessFaultsRejectNoCall runs.
 const harmlessSeedCount = 16
 
-// TestFoundBefore runs seeds that found a fault once. What a seed draws changes with the list of Faults, so each cause also
+// TestRegressionSeeds runs seeds that found a fault once. What a seed draws changes with the list of Faults, so each cause also
 // has a test of its own:
 //
 //   - 10404: a call was rejected as VERSION_NOT_ALLOWED, because its proxy did not wait long enough for the configuration
 //     that the worker's proxy already had (TestNewerConfigElsewhere).
 //   - 10080, 10167, 10209: goroutines left of a killed proxy's calls still counted (a fault of the simulator).
 //   - 10609: two proxies were restarted gracefully at once, and with them every worker of a service.
-func TestFoundBefore(t *testing.T) {
+func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{10080, 10167, 10209, 10404, 10609} {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			t.Parallel()
@@ -217,8 +217,8 @@
 	}
 }
 
-// TestReplay checks that a seed replays to the same events at the same times.
-func TestReplay(t *testing.T) {
+// TestSeedReplaysExactly checks that a seed replays to the same events at the same times.
+func TestSeedReplaysExactly(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			first := runMeshSeed(t, seed, SeededNone, Options{})
@@ -242,57 +242,57 @@
 		rules       []string
 		options     Options
 	}{
-		{SeededEarlyAcknowledgement, []string{RuleStaleConfig}, Options{}},
-		{SeededEternalLease, []string{RuleStaleConfig}, Options{}},
-		{SeededLyingDisk, []string{RuleAcknowledgedLost, RuleDivergedState, RuleStaleConfig}, Options{
+		{SeededEarlyAcknowledgement, []string{ViolationStaleConfig}, Options{}},
+		{SeededLeaseNeverExpires, []string{ViolationStaleConfig}, Options{}},
+		{SeededSyncedWritesLost, []string{ViolationAcknowledgedLost, ViolationDivergedState, ViolationStaleConfig}, Options{
 			OnlyFaults:     []string{"the whole core loses power"},
 			CallRate:       1,
 			ChangeInterval: 300 * time.Millisecond,
 		}},
-		{SeededWipedMemberCounts, []string{RuleAcknowledgedLost, RuleDivergedState, RuleStaleConfig}, Options{
+		{SeededWipedMemberInQuorum, []string{ViolationAcknowledgedLost, ViolationDivergedState, ViolationStaleConfig}, Options{
 			OnlyFaults:     lossOfDisk,
 			CallRate:       1,
 			FaultyDuration: 3 * time.Minute,
 			ChangeInterval: 300 * time.Millisecond,
 		}},
-		{SeededPartialChange, []string{RuleInvalidConfig}, Options{}},
-		{SeededYoungRegistryGrants, []string{RuleStaleConfig, RuleRevisionDecreased}, Options{
+		{SeededPartialChange, []string{ViolationInvalidConfig}, Options{}},
+		{SeededYoungRegistryGrants, []string{ViolationStaleConfig, ViolationRevisionDecreased}, Options{
 			OnlyFaults:     []string{"registry restarts", "core cut off from some proxies"},
 			ChangeInterval: 200 * time.Millisecond,
 			FaultyDuration: 2 * time.Minute,
 		}},
-		{SeededDecidesBeforeLease, []string{RuleRevisionDecreased, RuleStaleConfig}, Options{}},
-		{SeededNoRecovery, []string{RuleRecoveryTime}, Options{}},
-		{SeededNoKeyReservation, []string{RuleRanTwice}, Options{OnlyFaults: edges}},
-		{SeededReservationsForgotten, []string{RuleRanTwice}, Options{
+		{SeededAdmitsBeforeLease, []string{ViolationRevisionDecreased, ViolationStaleConfig}, Options{}},
+		{SeededNoRecovery, []string{ViolationRecoveryTime}, Options{}},
+		{SeededNoKeyReservation, []string{ViolationRanTwice}, Options{OnlyFaults: edges}},
+		{SeededReservationsForgotten, []string{ViolationRanTwice}, Options{
 			OnlyFaults:     append([]string{"registry restarts"}, edges...),
 			CallRate:       60,
 			FaultyDuration: 3 * time.Minute,
 		}},
-		{SeededLostLinkAsUnopened, []string{RuleNotExecutedRan}, Options{OnlyFaults: edges}},
-		{SeededNoDuplicateDetection, []string{RuleRanTwice}, Options{OnlyFaults: []string{"links that repeat"}}},
-		{SeededDeltaAfterPurge, []string{RuleDivergedState}, Options{
+		{SeededConnectionLostAsConnectFailed, []string{ViolationNotExecutedRan}, Options{OnlyFaults: edges}},
+		{SeededNoDuplicateDetection, []string{ViolationRanTwice}, Options{OnlyFaults: []string{"links that repeat"}}},
+		{SeededDeltaAfterPurge, []string{ViolationDivergedState}, Options{
 			OnlyFaults:     []string{"edge machine frozen", "edge machine cut off", "core cut off from some proxies"},
 			ChangeInterval: 300 * time.Millisecond,
 		}},
-		{SeededStaleFeedReply, []string{RuleDivergedState}, Options{
+		{SeededStaleFeedReply, []string{ViolationDivergedState}, Options{
 			OnlyFaults:     []string{"proxy killed", "a herd of proxies killed", "proxy restarted politely", "slow links"},
 			ChangeInterval: 300 * time.Millisecond,
 			CallRate:       1,
 		}},
-		{SeededTokenIgnored, []string{RuleUnauthorizedRun}, Options{OnlyFaults: []string{"worker killed, its address another's"}}},
-		{SeededDrainIgnored, []string{RuleCallAfterDrain}, Options{OnlyFaults: []string{"worker drained, and goes later"}}},
-		{SeededAnyCallerAccepted, []string{RuleUnauthorizedRun}, Options{NoFaults: true}},
-		{SeededCancelNotPropagated, []string{RuleRunAfterCancel}, Options{
+		{SeededTokenIgnored, []string{ViolationUnauthorizedRun}, Options{OnlyFaults: []string{"worker killed, its address another's"}}},
+		{SeededDrainIgnored, []string{ViolationCallAfterDrain}, Options{OnlyFaults: []string{"worker drained, and goes later"}}},
+		{SeededAnyCallerAccepted, []string{ViolationUnauthorizedRun}, Options{NoFaults: true}},
+		{SeededCancelNotPropagated, []string{ViolationRunAfterCancel}, Options{
 			NoFaults:         true,
 			CallerCancelRate: 0.3,
 			MeanServiceTime:  300 * time.Millisecond,
 		}},
-		{SeededForgedChecksum, []string{RuleWrongAnswer}, Options{OnlyFaults: []string{"links that alter"}}},
-		{SeededNoRetryBudget, []string{RuleRetryBudget}, Options{OnlyFaults: edges, RetryFloor: 5}},
-		{SeededNoAuthorization, []string{RuleDisallowedCall}, Options{NoFaults: true}},
-		{SeededSpuriousUnopened, []string{RuleCauselessRejection}, Options{HarmlessFaultsOnly: true}},
-		{SeededNoRegistryFailover, []string{RuleStaleConfig}, Options{
+		{SeededForgedChecksum, []string{ViolationWrongResponse}, Options{OnlyFaults: []string{"links that alter"}}},
+		{SeededNoRetryBudget, []string{ViolationRetryBudget}, Options{OnlyFaults: edges, RetryFloor: 5}},
+		{SeededNoAuthorization, []string{ViolationDisallowedCall}, Options{NoFaults: true}},
+		{SeededSpuriousConnectFailed, []string{ViolationCauselessRejection}, Options{HarmlessFaultsOnly: true}},
+		{SeededNoRegistryFailover, []string{ViolationStaleConfig}, Options{
 			ServeStale:     true,
 			OnlyFaults:     []string{"core split one from two", "a core machine cut off one way"},
 			ChangeInterval: 300 * time.Millisecond,
@@ -303,8 +303,8 @@
 			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
 				h := runMeshSeed(t, seed, test.seededFault, test.options)
 				for _, rule := range test.rules {
-					if len(h.Breaches[rule]) > 0 {
-						t.Logf("seed %d: %s: %s", seed, rule, h.Breaches[rule][0])
+					if len(h.Violations[rule]) > 0 {
+						t.Logf("seed %d: %s: %s", seed, rule, h.Violations[rule][0])
 						return
 					}
 				}
@@ -313,17 +313,17 @@
 		})
 	}
 	for seededFault, name := range map[SeededFault]string{
-		SeededFailuresIgnored: "bad late, at a high share",
-		SeededAlwaysHealthy:   "by hand at 100 %, bad late, the core split",
-		SeededHairTrigger:     "a few failures",
+		SeededFailuresIgnored:    "bad late, at a high share",
+		SeededAlwaysHealthy:      "by hand at 100 %, bad late, the core split",
+		SeededOversensitiveGuard: "a few failures",
 	} {
 		t.Run(string(seededFault), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
 				got := runRollbackSeed(t, seed, rollbackScenarioNamed(t, name), seededFault)
-				for _, rule := range []string{RuleBadVersionExposure, RuleHealthyRolledBack} {
-					if len(got.Breaches[rule]) > 0 {
-						t.Logf("seed %d: %s: %s", seed, rule, got.Breaches[rule][0])
+				for _, rule := range []string{ViolationBadVersionExposure, ViolationHealthyRolledBack} {
+					if len(got.Violations[rule]) > 0 {
+						t.Logf("seed %d: %s: %s", seed, rule, got.Violations[rule][0])
 						return
 					}
 				}
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -180,11 +180,11 @@
 // reuseAddress starts a worker of the other service at the address of an ended one. The new worker ends too, so that
 // the fleet does not grow with every replacement.
 func (w *World) reuseAddress(old *workerNode) {
-	reuser := w.startWorker(old.proxy, otherService(old.service), "1", old.address)
+	successor := w.startWorker(old.proxy, otherService(old.service), "1", old.address)
 	w.schedule(10*time.Second, func() {
-		if reuser.up {
-			w.drainWorker(reuser)
-			w.schedule(2*time.Second, func() { w.killWorker(reuser) })
+		if successor.up {
+			w.drainWorker(successor)
+			w.schedule(2*time.Second, func() { w.killWorker(successor) })
 		}
 	})
 }
