--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -11,14 +11,14 @@
 	"meadowhinge/internal/plan"
 )
 
-// callKind is one kind of call that callers make.
+// callKind is a kind of call that callers make.
 type callKind struct {
 	caller, method, path, service string
-	nonIdempotent                 bool
-	weight                        float64 // fraction of all calls; the weights of callKinds add up to one
+	nonIdempotent                 bool    // the call must not run more than once
+	weight                        float64 // fraction of all calls; the weights of callKinds sum to one
 }
 
-// callKinds are all kinds of call. They match the routes of initialConfig.
+// callKinds lists the kinds of call. They match the routes of initialConfig.
 var callKinds = []callKind{
 	{"client", "POST", "/shop/buy", "shop", true, 0.25},
 	{"client", "GET", "/shop/look", "shop", false, 0.3},
@@ -40,14 +40,16 @@
 	return chosen
 }
 
-// Outcomes of an attempt as its caller sees them; outcomeCancelled is another. Golden digests hold these strings.
+// Outcomes of an attempt as its caller sees it. outcomeCancelled and the names of dispatch.OutcomeName are others. The
+// golden digests cover these strings.
 const (
 	outcomeUnsent      = "unsent"  // the proxy was down or admitted no callers
 	outcomeNotExecuted = "not-run" // the proxy answered with an error
 	outcomeUnknown     = "unknown" // the connection was lost or the caller timed out
 )
 
-// startCallers makes the callers of each proxy send at a steady rate, independent of the responses.
+// startCallers makes the callers of each proxy send calls in a Poisson process, which does not wait for the
+// responses. The rate of all proxies together is Options.CallRate.
 func (w *World) startCallers() {
 	for _, node := range w.proxies {
 		random := rand.New(rand.NewPCG(uint64(w.randomInt(1<<30)), uint64(node.index)))
@@ -69,11 +71,11 @@
 	}
 }
 
-// maxCallerRetries is how often a caller retries a call under an idempotency key.
+// maxCallerRetries is the number of times that a caller retries a call under an idempotency key.
 const maxCallerRetries = 4
 
-// makeCall makes one call through a proxy. A call under an idempotency key is retried through random proxies while its
-// outcome is unknown.
+// makeCall makes one call through a proxy. Three quarters of the non-idempotent calls have an idempotency key. A call
+// with a key is retried through random proxies while its outcome is unknown or it was not sent.
 func (w *World) makeCall(node *proxyNode, id int, random *rand.Rand) {
 	kind := drawCallKind(random)
 	keyed := kind.nonIdempotent && random.IntN(4) > 0
@@ -89,7 +91,8 @@
 	}
 }
 
-// callerTimeout is how long a caller waits. It is longer than the deadline of any route, so a live proxy answers first.
+// callerTimeout is how long a caller waits for the result of an attempt. It is longer than the deadline of any route,
+// so a proxy that is up responds first.
 const callerTimeout = 5 * time.Second
 
 // attemptCall makes one attempt of a call through a proxy, records it, and returns its outcome.
@@ -105,7 +108,7 @@
 	done := make(chan *dispatch.CallResult, 1)
 	forwarder := node.forwarder
 	ctx, cancel := context.WithCancel(callContext(fmt.Sprint(operation.id, "/", attemptNumber)))
-	// In a world without cancelling callers a call that was given up on goes on, as its proxy does not learn of it.
+	// In a world without cancelling callers, the proxy does not learn that the caller has given up, so the call goes on.
 	defer func() {
 		if w.Options.CallerCancelRate > 0 {
 			cancel()
@@ -118,7 +121,7 @@
 		callerCancels = timer.C
 	}
 	go func() {
-		// A request that reaches a frozen process waits there, and so does its response.
+		// Requests and responses wait at a frozen process.
 		if !w.awaitThaw(&node.process, processRun) {
 			return
 		}
@@ -135,8 +138,8 @@
 	return attempt.outcome
 }
 
-// newCall builds one attempt of an operation as the proxy's listener hands it to the forwarder. The fake worker reads
-// the operation and the attempt back from X-Op and X-Ask.
+// newCall returns one attempt of an operation as the proxy's listener passes it to the forwarder. The fake worker
+// reads the id of the operation from X-Op and the number of the attempt from X-Ask.
 func newCall(operation *operation, attemptNumber int, method, user string) *dispatch.Call {
 	header := dispatch.AppendField(nil, "X-Op", operation.id)
 	header = dispatch.AppendField(header, "X-Ask", strconv.Itoa(attemptNumber))
@@ -161,8 +164,8 @@
 	return call
 }
 
-// awaitOutcome waits for the first of: the result, the caller's own cancellation, the end of the proxy's run, and the
-// caller's timeout.
+// awaitOutcome sets the outcome of an attempt by the first of these: the result, the cancellation by the caller, the
+// end of the proxy's run, and the caller's timeout. On a cancellation it calls cancel.
 func (a *callerAttempt) awaitOutcome(
 	done <-chan *dispatch.CallResult, callerCancels <-chan time.Time, exited <-chan struct{}, cancel func(),
 ) {
--- a/internal/simulator/caller_cancel.go
+++ b/internal/simulator/caller_cancel.go
@@ -7,25 +7,27 @@
 	"time"
 )
 
-// outcomeCancelled is the outcome of an attempt that its caller cancelled before it had the response.
+// outcomeCancelled is the outcome of an attempt that its caller cancelled before it had the response. The golden
+// digests cover this string.
 const outcomeCancelled = "left"
 
-// maxRunAfterCancel is how long a worker may go on with an idempotent call after the caller cancelled.
+// maxRunAfterCancel is how long a worker may go on with an idempotent call after the caller cancelled it.
 const maxRunAfterCancel = 500 * time.Millisecond
 
-// cancelDelayFactor bounds when a caller cancels, as a multiple of the mean service time.
+// cancelDelayFactor is the upper bound of the time after which a caller cancels, as a multiple of the mean service
+// time.
 const cancelDelayFactor = 2
 
-// cancellations are the peer RPCs that can be cancelled, by request. They have a lock of their own because contexts are
-// cancelled with it held.
+// cancellations holds the cancel functions of peer RPCs, by request. It has a lock of its own, because cancel
+// functions are called with the lock held.
 type cancellations struct {
-	lock      sync.Mutex
-	cancels   map[string][]context.CancelFunc
-	cancelled map[string]bool // requests cancelled, including those that have not arrived yet
+	lock      sync.Mutex                      // guards the fields below
+	cancels   map[string][]context.CancelFunc // by request, of the RPCs in progress
+	cancelled map[string]bool                 // cancelled requests, including those that have not arrived yet
 }
 
-// sampleCancel draws whether the caller of an attempt cancels, and after how long. Calls under an idempotency key are
-// retried instead.
+// sampleCancel draws whether the caller of an attempt cancels it, and after how long. Calls under an idempotency key
+// are never cancelled; they are retried instead.
 func (w *World) sampleCancel(operation *operation, attemptNumber int) (time.Duration, bool) {
 	if w.Options.CallerCancelRate == 0 || operation.keyed {
 		return 0, false
@@ -36,15 +38,16 @@
 	return time.Duration(random.Int64N(int64(maxDelay))), cancels
 }
 
-// cancellableContext returns the context of a request at the proxy that received it. propagateCancel cancels it.
+// cancellableContext returns a context for a request at the proxy that received it. propagateCancel cancels the
+// context.
 func (w *World) cancellableContext(request string) context.Context {
 	ctx, cancel := context.WithCancel(callContext(request))
 	w.cancellations.add(request, cancel)
 	return ctx
 }
 
-// propagateCancel notifies the proxy that a request went to that nobody waits for the response any more. The
-// notification may be lost with the link, and may overtake the request.
+// propagateCancel notifies the proxy that a request was sent to of its cancellation. The link may lose the
+// notification, and the notification may overtake the request.
 func (w *World) propagateCancel(node *proxyNode, name, request string) {
 	if w.Options.CallerCancelRate == 0 || w.seededFault == SeededCancelNotPropagated {
 		return
@@ -62,7 +65,7 @@
 	})
 }
 
-// add registers the cancel function of a request; it is called at once if the request is cancelled already.
+// add registers a cancel function of a request. It calls the function at once if the request is cancelled already.
 func (c *cancellations) add(request string, cancel context.CancelFunc) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -74,7 +77,7 @@
 	c.cancels[request] = append(c.cancels[request], cancel)
 }
 
-// cancel cancels a request, now or when it arrives.
+// cancel cancels a request at once or, if it has not arrived yet, when it arrives.
 func (c *cancellations) cancel(request string) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -94,7 +97,7 @@
 	}
 }
 
-// recordRunEnd records when a worker finished a call, or stopped because of its cancellation.
+// recordRunEnd records that a worker finished a call or stopped because of its cancellation.
 func (h *History) recordRunEnd(now time.Duration, id, requestID string) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -109,8 +112,8 @@
 	}
 }
 
-// checkCancelled checks how long the runs of an operation went on after its caller cancelled. Only a world without
-// faults bounds how long the notification takes. The caller holds the lock.
+// checkCancelled checks how long the runs of an idempotent operation went on after its caller cancelled it. It checks
+// nothing under faults, because then the notification may take any time. The caller holds History.lock.
 func (h *History) checkCancelled(operation *operation) {
 	if operation.nonIdempotent || !h.world.Options.NoFaults {
 		return
@@ -121,14 +124,15 @@
 		}
 		for _, run := range operation.runs {
 			if run.attemptNumber == attemptNumber && run.endedAt > attempt.finishedAt+maxRunAfterCancel {
-				h.recordViolation(ViolationRunAfterCancel, "%s ran at %s from %v to %v, its caller left at %v",
+				h.recordViolation(ViolationRunAfterCancel, "%s ran at %s from %v to %v; its caller cancelled at %v",
 					operation.id, run.worker.name, run.at, run.endedAt, attempt.finishedAt)
 			}
 		}
 	}
 }
 
-// collectDisconnects adds a proxy's counts of disconnected callers at the end of its run.
+// collectDisconnects adds the counts of disconnected callers of a proxy's run to the totals, and checks that they
+// show no violation. It is called at the end of the run.
 func (h *History) collectDisconnects(node *proxyNode) {
 	if node.runner == nil {
 		return
@@ -138,6 +142,6 @@
 	counts := node.runner.Disconnects.Counts()
 	h.Disconnects.Add(counts)
 	if counts.Violations() > 0 {
-		h.recordViolation(ViolationRunAfterCancel, "%s counts %+v", node.name, counts)
+		h.recordViolation(ViolationRunAfterCancel, "the runner of %s counted violations after its callers disconnected: %+v", node.name, counts)
 	}
 }
--- a/internal/simulator/change.go
+++ b/internal/simulator/change.go
@@ -7,8 +7,9 @@
 	"meadowhinge/schema"
 )
 
-// submitChange proposes a change at a registry and, once it is acknowledged, reports the ruling, as the registry's
-// daemon does. If the registry or its member does not respond, or the proposal stays undecided, onRuling is never called.
+// submitChange proposes a change at a registry, as the registry's daemon does. It calls onRuling with the ruling and
+// the sequence of the change: for an accepted change once it is acknowledged, for any other once it is decided. If
+// the registry or its member does not respond, or the proposal stays undecided, it never calls onRuling.
 func (w *World) submitChange(node *registryNode, change *schema.Change, onRuling func(ruling schema.Ruling, sequence uint64)) {
 	if !w.isResponsive(&node.process) || !w.isResponsive(&node.member.process) {
 		return
@@ -37,8 +38,9 @@
 	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), proposal))
 }
 
-// acknowledge sets a fence for a committed change at all registries, again and again, until at a majority no proxy holds
-// a lease under an older configuration. It gives up after three leases.
+// acknowledge sets a fence for a committed change at all registries, at every pollInterval, until at a majority of
+// them no proxy holds a lease under an older configuration. Then it calls onAcknowledged. It gives up after three
+// lease durations.
 func (w *World) acknowledge(node *registryNode, sequence uint64, onAcknowledged func()) {
 	acknowledgement := registry.NewAcknowledgement(memberCount)
 	done := false
--- a/internal/simulator/connections.go
+++ b/internal/simulator/connections.go
@@ -5,14 +5,14 @@
 	"sync"
 )
 
-// connections are the open connections of a worker, or of a proxy to its workers, that break when its run ends.
+// connections holds the open connections of a worker, or of a proxy to its workers. They break when its run ends.
 type connections struct {
-	lock   sync.Mutex
-	open   []net.Conn
-	closed bool
+	lock   sync.Mutex // guards the fields below
+	open   []net.Conn // connections added before the run ended, including any that have ended themselves
+	closed bool       // the run has ended
 }
 
-// add registers a connection; it closes the connection at once if the run has ended.
+// add adds a connection. It closes the connection at once if the run has ended.
 func (c *connections) add(conn net.Conn) {
 	c.lock.Lock()
 	defer c.lock.Unlock()
@@ -23,7 +23,7 @@
 	c.open = append(c.open, conn)
 }
 
-// close breaks all connections, and every one that is added later.
+// close ends the run: it closes all connections, and add closes every later one.
 func (c *connections) close() {
 	c.lock.Lock()
 	defer c.lock.Unlock()
--- a/internal/simulator/connectivity.go
+++ b/internal/simulator/connectivity.go
@@ -4,34 +4,36 @@
 	"time"
 )
 
-// settleTime is how long a host must have been free of faults for its processes to be in touch.
+// settleTime is how long a host must have been free of faults to count as undisturbed.
 const settleTime = 3 * time.Second
 
-// everyHost is the name under which recordDisturbance records faults of all links.
-const everyHost = "every site"
+// everyHost is the pseudo-host that recordDisturbance records faults of all links under.
+const everyHost = "every host"
 
-// recordDisturbance records that a fault touches hosts until a point in virtual time. The caller holds the lock.
+// recordDisturbance records that a fault affects hosts until a point in virtual time. The caller holds World.lock.
 func (w *World) recordDisturbance(until time.Duration, hosts ...string) {
 	for _, host := range hosts {
 		w.disturbedAt[host] = max(w.disturbedAt[host], until)
 	}
 }
 
-// isProxyUndisturbed reports whether no fault touched the host of a proxy for a while.
+// isProxyUndisturbed reports whether no fault has affected the host of a proxy for settleTime.
 func (w *World) isProxyUndisturbed(node *proxyNode) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.isHostUndisturbed(node.name)
 }
 
-// isHostUndisturbed reports whether no fault touched a host for a while. The caller holds the lock.
+// isHostUndisturbed reports whether no fault has affected a host for settleTime. The caller holds World.lock.
 func (w *World) isHostUndisturbed(host string) bool {
 	at, known := w.disturbedAt[host]
 	return !known || w.time()-at >= settleTime
 }
 
-// isWellConnected reports whether a proxy is in touch, so that what the mesh promises about fresh configuration binds it: no
-// fault touched it, the links or the core for a while, and it reaches every core host that itself reaches a majority.
+// isWellConnected reports whether a proxy is well connected. With Options.ServeStale, the bounds on the propagation
+// of the configuration apply only to such proxies. No fault may have affected the proxy, the links or the core for
+// settleTime, and the proxy must be connected to every core host that itself reaches a majority, of which there must
+// be at least one.
 func (w *World) isWellConnected(node *proxyNode) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -54,7 +56,8 @@
 	return hasMajority
 }
 
-// isCoreUndisturbed reports whether no fault touched a core host or its disk for a while. The caller holds the lock.
+// isCoreUndisturbed reports whether no fault has affected a core host or its disk for settleTime. The caller holds
+// World.lock.
 func (w *World) isCoreUndisturbed() bool {
 	now := w.time()
 	for _, member := range w.members {
@@ -66,8 +69,8 @@
 	return true
 }
 
-// reachableMembers returns how many core hosts that are up the i-th reaches, itself included; none if it is down. The
-// caller holds the lock.
+// reachableMembers returns the number of core hosts, including itself, that are up and connected to the i-th one. It
+// is 0 if the i-th host is down. The caller holds World.lock.
 func (w *World) reachableMembers(i int) int {
 	isUp := func(i int) bool { return w.members[i].up && w.registries[i].up }
 	reachable := 0
@@ -79,7 +82,7 @@
 	return reachable
 }
 
-// isConnected reports whether the link between two hosts is up in both directions. The caller holds the lock.
+// isConnected reports whether the link between two hosts is up in both directions. The caller holds World.lock.
 func (w *World) isConnected(a, b string) bool {
 	return !w.partitionedLinks[[2]string{a, b}] && !w.partitionedLinks[[2]string{b, a}]
 }
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -8,11 +8,11 @@
 // event is a function to run at a point in virtual time.
 type event struct {
 	at       time.Duration
-	sequence uint64 // order of scheduling; it decides between events due at the same time
+	sequence uint64 // position in the order of scheduling; breaks ties between events due at the same time
 	run      func()
 }
 
-// eventQueue is the heap of scheduled events, the earliest first. Its methods implement heap.Interface.
+// eventQueue is a min-heap of scheduled events, ordered by due time. Its methods implement heap.Interface.
 type eventQueue []event
 
 // Len returns the number of scheduled events.
@@ -37,7 +37,7 @@
 	return last
 }
 
-// schedule runs a function after a delay as an event. Events and goroutines may call it.
+// schedule schedules a function as an event that is due after a delay. Events and goroutines may call it.
 func (w *World) schedule(delay time.Duration, run func()) {
 	w.lock.Lock()
 	w.lastEventSequence++
@@ -49,20 +49,20 @@
 	}
 }
 
-// scheduleOn runs a function on a process after a delay, unless the current run of the process ends before. On a
-// frozen process the task is both kept in deferred and queued for the planned end of the freeze: whichever comes
-// first runs it, and done drops the other.
-func (w *World) scheduleOn(m *process, delay time.Duration, run func()) {
-	processRun, _, _ := w.processRunOf(m)
+// scheduleOn runs a function on a process after a delay, unless the current run of the process ends before. If the
+// process is frozen when the task is due, the task waits for the thaw. It is then both kept in deferred and queued for
+// the planned end of the freeze. Whichever comes first runs it, and the flag done drops the other.
+func (w *World) scheduleOn(p *process, delay time.Duration, run func()) {
+	processRun, _, _ := w.processRunOf(p)
 	var task func()
 	done := false
 	task = func() {
-		if done || !m.up || m.processRun != processRun {
+		if done || !p.up || p.processRun != processRun {
 			return
 		}
-		if m.thawAt > w.now {
-			m.deferred = append(m.deferred, task)
-			w.schedule(m.thawAt-w.now, task)
+		if p.thawAt > w.now {
+			p.deferred = append(p.deferred, task)
+			w.schedule(p.thawAt-w.now, task)
 			return
 		}
 		done = true
@@ -71,18 +71,18 @@
 	w.schedule(delay, task)
 }
 
-// scheduleEvery runs a function on a process at an interval while its current run lasts. The first
-// execution comes after a random part of the interval, so that loops of several processes do not run in step.
-func (w *World) scheduleEvery(m *process, interval time.Duration, run func()) {
+// scheduleEvery runs a function on a process at an interval until the current run of the process ends. The first
+// execution is due after a random part of the interval, so that the loops of several processes do not run in step.
+func (w *World) scheduleEvery(p *process, interval time.Duration, run func()) {
 	var runAndReschedule func()
 	runAndReschedule = func() {
 		run()
-		w.scheduleOn(m, interval, runAndReschedule)
+		w.scheduleOn(p, interval, runAndReschedule)
 	}
-	w.scheduleOn(m, w.randomDuration(interval), runAndReschedule)
+	w.scheduleOn(p, w.randomDuration(interval), runAndReschedule)
 }
 
-// retryEvery calls attempt at once and then at an interval until it returns true.
+// retryEvery calls attempt at once and then at an interval, until it returns true.
 func (w *World) retryEvery(interval time.Duration, attempt func() (done bool)) {
 	var retry func()
 	retry = func() {
--- a/internal/simulator/initial_config.go
+++ b/internal/simulator/initial_config.go
@@ -7,7 +7,7 @@
 	"meadowhinge/internal/configsource"
 )
 
-// initialConfig is the configuration that every mesh begins with, in the operators' source format.
+// initialConfig is the configuration that every mesh starts with, in the source format of operators.
 const initialConfig = `
 service: shop: {versions: ["1", "2"], fallback: "1", callers: ["client", "saves"]}
 service: saves: {versions: ["1", "2"], fallback: "1", callers: ["client"]}
@@ -25,12 +25,12 @@
 }
 `
 
-// bootFleet runs the world until the fleet serves its initial configuration, and starts the callers.
+// bootFleet submits the initial configuration, runs the world until settlingTime, and starts the callers.
 func (w *World) bootFleet() {
 	w.Run(leaseDuration + 2*time.Second)
 	items, err := configsource.Parse([]byte(initialConfig))
 	if err != nil {
-		panic(fmt.Sprintf("simulator: the initial configuration is invalid: %v", err))
+		panic(fmt.Sprintf("simulator: parsing the initial configuration: %v", err))
 	}
 	w.submitUntilAccepted(func() {}, items...)
 	w.Run(settlingTime)
--- a/internal/simulator/key_reserver.go
+++ b/internal/simulator/key_reserver.go
@@ -12,8 +12,8 @@
 	"meadowhinge/schema"
 )
 
-// keyReserver returns how a proxy reserves an idempotency key at the registries: it requests the reservation from all of
-// them and waits for a majority or the round's timeout.
+// keyReserver returns the function by which a proxy reserves an idempotency key. The function requests the reservation
+// from all registries and waits for a majority, the timeout of the attempt or the end of ctx.
 func (w *World) keyReserver(node *proxyNode, processRun int, now func() time.Duration) dispatch.KeyReserver {
 	return func(ctx context.Context, reservation *schema.KeyReservation) (session.ReservationOutcome, *schema.KeyReservation) {
 		if w.seededFault == SeededNoKeyReservation {
@@ -26,11 +26,11 @@
 		boundedCtx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		replies := make(chan session.ReservationAnswer, memberCount)
-		reservationRound := session.NewReservationAttempt(reservation, memberCount, now(), timeout)
+		attempt := session.NewReservationAttempt(reservation, memberCount, now(), timeout)
 		for _, registryNode := range w.registries {
 			w.requestReservation(node, registryNode, reservation, replies)
 		}
-		verdict, owner := reservationRound.AwaitOutcome(boundedCtx, memberCount, replies, now)
+		verdict, owner := attempt.AwaitOutcome(boundedCtx, memberCount, replies, now)
 		// A proxy that froze meanwhile continues when it thaws.
 		if !w.awaitThaw(&node.process, processRun) {
 			return session.ReservationNoMajority, nil
@@ -39,7 +39,8 @@
 	}
 }
 
-// requestReservation requests a reservation from one registry; the answer goes to replies, which has room for it.
+// requestReservation requests a reservation from one registry. The reply is sent to replies, which must have room for
+// it.
 func (w *World) requestReservation(
 	node *proxyNode, target *registryNode, reservation *schema.KeyReservation, replies chan<- session.ReservationAnswer,
 ) {
--- a/internal/simulator/member.go
+++ b/internal/simulator/member.go
@@ -9,36 +9,36 @@
 	"meadowhinge/schema"
 )
 
-// memberNode is one member of the core: a replica of the store with its disk. Only events use it; World.isWellConnected also
-// reads its disk faults, from goroutines that events wait for.
+// memberNode is one member of the core: a replica of the store with its disk. Only events use it. One exception is
+// World.isWellConnected, which reads its disk faults from goroutines; no event runs meanwhile.
 type memberNode struct {
 	process
 	replica       *store.Replica
-	replicaConfig store.Config
-	incarnation   uint64
-	disk          []*schema.Record // durable records; they survive a crash
-	pendingWrites []store.Persist  // records not yet durable, in order
-	syncsStarted  int              // numbers the syncs, so that a superseded one has no effect
-	nextTickAt    time.Duration    // of the tick scheduled next, by the local clock; 0 for none
+	replicaConfig store.Config     // configuration that the next run starts with
+	incarnation   uint64           // identity of the disk's content; new for each empty disk
+	disk          []*schema.Record // durable records, which survive a crash
+	pendingWrites []store.Persist  // writes that are not durable yet, in order
+	syncsStarted  int              // number of syncs started; a superseded sync has no effect
+	nextTickAt    time.Duration    // local time of the next scheduled tick; 0 for none
 
 	// Faults of the disk.
-	stalledUntil      time.Duration // syncs do not finish before
-	failsUntil        time.Duration // syncs fail before
-	maxExtraSyncDelay time.Duration // bound of the latency added to each sync
+	stalledUntil      time.Duration // virtual time before which no sync finishes
+	failsUntil        time.Duration // virtual time before which every sync fails
+	maxExtraSyncDelay time.Duration // upper bound of the random latency added to each sync
 
-	// Callbacks by ticket; a crash drops them.
+	// Callbacks by ticket, called once with the reply. A restart drops them.
 	pendingRulings     map[string]func(*schema.ProposalReply)
 	pendingReadIndexes map[string]func(*schema.ReadIndexReply)
 
 	// The fields below are used only by RunCore.
-	lost    bool // a fault has taken the member, and it has not fully recovered
-	removed bool // the member is gone for good
+	lost    bool // a fault took the member, and the core has not fully recovered from it
+	removed bool // the member was removed from the core for good
 }
 
 // memberName returns the id of the i-th member: "a", "b" and so on.
 func memberName(i int) string { return string(rune('a' + i)) }
 
-// newReplicaConfig returns the configuration of a replica. A nil list of static members makes it find the core from
+// newReplicaConfig returns the configuration of a replica. Without static members the replica discovers the core from
 // its seeds.
 func newReplicaConfig(name string, staticMembers []string, toleratedLosses int) store.Config {
 	return store.Config{
@@ -55,7 +55,7 @@
 	}
 }
 
-// startMember begins a run of a member with what its disk holds. An empty disk gets a new incarnation.
+// startMember begins a run of a member with the records on its disk. An empty disk gets a new incarnation.
 func (w *World) startMember(node *memberNode) {
 	w.startProcess(&node.process)
 	node.pendingWrites = nil
@@ -65,7 +65,7 @@
 	node.replicaConfig.NewIncarnation = func() uint64 { return uint64(w.nextID()) }
 	replicaConfig := node.replicaConfig
 	if len(node.disk) == 0 {
-		// The seeded fault makes an empty disk pass for the one that was lost.
+		// The seeded fault makes the empty disk pass for the lost one.
 		if w.seededFault != SeededWipedMemberInQuorum || node.incarnation == 0 {
 			node.incarnation = uint64(w.nextID())
 		} else {
@@ -73,7 +73,7 @@
 			replicaConfig.ExpandsMembership = false
 		}
 		node.disk = []*schema.Record{store.InitialRecord(replicaConfig, node.incarnation)}
-		// Only the first start of all may found or expand the core.
+		// Only the very first start may found or expand the core.
 		node.replicaConfig.Founders = nil
 		node.replicaConfig.ExpandsMembership = false
 	}
@@ -81,7 +81,7 @@
 	w.scheduleOn(&node.process, 0, func() { w.tick(node) })
 }
 
-// memberNames returns the ids of the members as a replica knows them.
+// memberNames returns the ids of the members in the membership that a replica knows.
 func memberNames(replica *store.Replica) (names []string) {
 	for _, member := range replica.Status().Membership.GetMembers() {
 		names = append(names, member.Id)
@@ -89,14 +89,14 @@
 	return names
 }
 
-// tick advances a replica to its local time.
+// tick advances a replica to the member's local time.
 func (w *World) tick(node *memberNode) {
 	node.nextTickAt = 0
 	w.execute(node, node.replica.Tick(node.clock.at(w.now)))
 }
 
-// scheduleTick schedules the next tick that a replica asks for, as its daemon does. A tick scheduled earlier for a
-// later time is superseded.
+// scheduleTick schedules the tick that a replica requests, as its daemon does. It supersedes a tick that is scheduled
+// for a later time.
 func (w *World) scheduleTick(node *memberNode) {
 	at := node.replica.NextTickAt()
 	if node.nextTickAt != 0 && at >= node.nextTickAt {
@@ -111,7 +111,7 @@
 	})
 }
 
-// memberNamed returns the member of an id, or nil.
+// memberNamed returns the member with an id, or nil.
 func (w *World) memberNamed(id string) *memberNode {
 	for _, node := range w.members {
 		if node.name == "store-"+id {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// execute carries out the actions that a step of a replica returned.
+// execute carries out the actions that a step of a replica returned, and then schedules the replica's next tick.
 func (w *World) execute(node *memberNode, actions []store.Action) {
 	for _, action := range actions {
 		switch action := action.(type) {
@@ -143,7 +143,7 @@
 	w.observeMember(node)
 }
 
-// sendToMember sends a message of a replica to another, if there is one of that id.
+// sendToMember sends a message of a replica to the member that it is addressed to, if there is one.
 func (w *World) sendToMember(node *memberNode, message *schema.ReplicaMessage) {
 	receiver := w.memberNamed(message.To)
 	if receiver == nil {
@@ -155,7 +155,8 @@
 	})
 }
 
-// resolveReply calls the callback of a ticket with its reply, once. Tickets of an earlier run have none.
+// resolveReply calls the callback of a ticket with its reply and removes it. Tickets of an earlier run have no
+// callback.
 func resolveReply[Reply any](pending map[string]func(Reply), ticket string, reply Reply) {
 	if onReply := pending[ticket]; onReply != nil {
 		delete(pending, ticket)
@@ -163,7 +164,7 @@
 	}
 }
 
-// syncNext makes the first pending write durable after the disk's latency, then goes on with the next.
+// syncNext makes the first pending write durable after the disk's latency, then continues with the next.
 func (w *World) syncNext(node *memberNode) {
 	node.syncsStarted++
 	syncID := node.syncsStarted
@@ -173,7 +174,7 @@
 	}
 	w.scheduleOn(&node.process, delay, func() {
 		if syncID != node.syncsStarted {
-			return // the stall ended early, and another sync has begun
+			return // the stall ended early, and another sync has started
 		}
 		if node.stalledUntil > w.now {
 			w.syncNext(node)
@@ -193,7 +194,7 @@
 	})
 }
 
-// endDiskStall ends the stall of a disk; a sync that waits for its end starts again at once.
+// endDiskStall ends the stall of a disk. A sync that waits for the end of the stall starts again at once.
 func (w *World) endDiskStall(node *memberNode) {
 	if node.stalledUntil > w.now && len(node.pendingWrites) > 0 && node.up {
 		node.stalledUntil = 0
@@ -202,7 +203,7 @@
 	node.stalledUntil = 0
 }
 
-// failWrites reports a failed disk to the replica and rewrites the snapshot later, as the daemon does.
+// failWrites reports a failed write to the replica and rewrites the snapshot later, as the daemon does.
 func (w *World) failWrites(node *memberNode) {
 	w.execute(node, node.replica.DiskFailed(node.clock.at(w.now)))
 	w.scheduleOn(&node.process, stallTimeout/8, func() {
@@ -211,7 +212,7 @@
 	})
 }
 
-// persist makes a record durable.
+// persist puts a record on the disk, in place of the whole log if the write says so.
 func (w *World) persist(node *memberNode, write store.Persist) {
 	if write.ReplacesLog {
 		node.disk = nil
@@ -219,9 +220,10 @@
 	node.disk = append(node.disk, write.Record)
 }
 
-// crashMember cuts the power of a member. Pending writes are lost, except for a random prefix that reached the disk.
+// crashMember cuts the power of a member. Its pending writes are lost, except for a random prefix that reached the
+// disk.
 func (w *World) crashMember(node *memberNode) {
-	// The seeded fault also takes records that the disk had reported as durable.
+	// The seeded fault also drops records that the disk had reported as durable.
 	if w.seededFault == SeededSyncedWritesLost {
 		for remaining := 1 + w.randomInt(3); remaining > 0 && len(node.disk) > 1; remaining-- {
 			last := len(node.disk) - 1
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// hostOf returns the host that a process runs on. A replica and a registry of one member share a core host; every
-// proxy has a host of its own.
+// hostOf returns the name of the host that a process runs on. The replica and the registry of a member share a core
+// host. Every proxy has a host of its own, named like the proxy.
 func hostOf(name string) string {
 	if member, found := strings.CutPrefix(name, "store-"); found && member != "" {
 		return "core-" + member
@@ -21,7 +21,7 @@
 // coreHost returns the name of the host of the i-th member.
 func coreHost(i int) string { return "core-" + memberName(i) }
 
-// linksBetween returns the links of two hosts in both directions.
+// linksBetween returns the two links between hosts, one in each direction.
 func linksBetween(a, b string) [][2]string { return [][2]string{{a, b}, {b, a}} }
 
 // isPartitioned reports whether the link from one process to another is cut in this direction.
@@ -31,17 +31,19 @@
 	return w.partitionedLinks[[2]string{hostOf(from.name), hostOf(to.name)}]
 }
 
-// isPartitionedEitherWay reports whether a link is cut in either direction; no session survives on such a link.
+// isPartitionedEitherWay reports whether the link between two processes is cut in either direction. No session
+// survives on such a link.
 func (w *World) isPartitionedEitherWay(a, b *process) bool {
 	return w.isPartitioned(a, b) || w.isPartitioned(b, a)
 }
 
-// canReach reports whether one process can call another at this moment.
+// canReach reports whether one process can call another now: the other responds and no link between them is cut.
 func (w *World) canReach(from, to *process) bool {
 	return w.isResponsive(to) && !w.isPartitionedEitherWay(from, to)
 }
 
-// sampleLink draws whether a link loses a message, and the latency of the message.
+// sampleLink draws whether the link from one process to another loses a message, and the latency of the message. Links
+// within a host lose nothing.
 func (w *World) sampleLink(from, to *process, random *rand.Rand) (delay time.Duration, lost bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -53,11 +55,11 @@
 	return time.Millisecond + time.Duration(random.Int64N(int64(maxDelay))), lost
 }
 
-// send delivers a message of an event from one process to another, if the links let it through; run is its
-// effect at the receiver.
+// send sends a message from one process to another. It runs run at the receiver when the message arrives; if the link
+// loses the message, or the receiver's run ends before, it does not run at all. Only events call it.
 func (w *World) send(from, to *process, run func()) { w.sendWith(w.random, from, to, run) }
 
-// sendWith is send with a random stream of the caller's, for goroutines.
+// sendWith is send with a random stream of its own, for goroutines.
 func (w *World) sendWith(random *rand.Rand, from, to *process, run func()) {
 	delay, lost := w.sampleLink(from, to, random)
 	if lost {
@@ -72,7 +74,8 @@
 	})
 }
 
-// partitionCore cuts the links between members for which isPartitioned is true, and returns what heals them.
+// partitionCore cuts the links between core hosts for which isPartitioned is true, and returns a function that
+// restores them.
 func (w *World) partitionCore(isPartitioned func(i, j int) bool) (heal func()) {
 	var links [][2]string
 	for i := range memberCount {
@@ -85,7 +88,7 @@
 	return w.partitionLinks(links)
 }
 
-// partitionLinks cuts links, each from its first host to its second, and returns what heals them.
+// partitionLinks cuts links, each from its first host to its second, and returns a function that restores them.
 func (w *World) partitionLinks(links [][2]string) (heal func()) {
 	w.withLock(func() {
 		for _, link := range links {
--- a/internal/simulator/operators.go
+++ b/internal/simulator/operators.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// startOperators submits changes at random intervals.
+// startOperators submits random changes at random intervals below Options.ChangeInterval.
 func (w *World) startOperators() {
 	interval := w.Options.ChangeInterval
 	if interval == 0 {
@@ -23,8 +23,9 @@
 	submitAndReschedule()
 }
 
-// submitRandomChange submits a random change: a valid one, one that may race for an item with another, or an invalid
-// one. A quarter are submitted again at another registry, as by an operator who got no response.
+// submitRandomChange submits a random change at a random registry: a valid one, one that may race with another for an
+// item, or an invalid one. A quarter of the changes are submitted again at a random registry, as by an operator who
+// got no response.
 func (w *World) submitRandomChange() {
 	id := w.nextID()
 	node := w.registries[w.randomInt(len(w.registries))]
@@ -44,8 +45,8 @@
 	}
 }
 
-// randomItems draws the items of a change to the configuration that a registry shows; none if the kind of change that
-// was drawn has nothing to do.
+// randomItems draws the items of a change to the configuration of a registry. It returns none if the kind of change
+// that was drawn does not apply.
 func (w *World) randomItems(node *registryNode, id int) []*schema.Item {
 	listsBoth := func(service string) bool {
 		listed := node.snapshot.Services[service]
@@ -63,13 +64,13 @@
 	case kind < 8 && listsBoth("saves"):
 		return []*schema.Item{weightedFlagItem("saves", 1000*w.randomInt(60))}
 	case kind < 9 && len(w.degradations) == 0 && node.snapshot.Releases["to-shop"] == nil:
-		// A version is delisted, or listed again; its workers stay and go on describing themselves.
+		// A version is removed from the list of its service, or added again. Its workers keep sending heartbeats.
 		if listsBoth("saves") {
 			return []*schema.Item{serviceItem("saves", `"1"`, `"client"`), singleVersionFlagItem("saves")}
 		}
 		return []*schema.Item{serviceItem("saves", `"1","2"`, `"client"`), weightedFlagItem("saves", 30000)}
 	case kind < 10:
-		// The permission of a caller is withdrawn, or granted again.
+		// A caller loses its permission, or gets it back.
 		if node.snapshot.Services["shop"].AllowsCaller("saves") {
 			return []*schema.Item{serviceItem("shop", `"1","2"`, `"client"`)}
 		}
@@ -79,7 +80,8 @@
 	}
 }
 
-// invalidItems returns a valid route together with a flag that is its own prerequisite: the change as a whole is invalid.
+// invalidItems returns a valid route together with a flag that is its own prerequisite, which makes the whole change
+// invalid.
 func (w *World) invalidItems(id int) []*schema.Item {
 	name := fmt.Sprint("bad", id)
 	w.History.addInvalidItem("route/" + name)
@@ -93,7 +95,7 @@
 	return items
 }
 
-// newRouteItems returns new routes whose names begin with a prefix.
+// newRouteItems returns a number of new routes whose names begin with a prefix.
 func (w *World) newRouteItems(prefix string, count int) []*schema.Item {
 	var items []*schema.Item
 	for range count {
@@ -103,8 +105,8 @@
 	return items
 }
 
-// deletedRouteItems deletes up to four of the routes that newRouteItems added, so that tombstones accumulate and are
-// purged.
+// deletedRouteItems returns the deletion of up to four routes that newRouteItems added. Without deletions no
+// tombstones would accumulate and be purged.
 func deletedRouteItems(state config.State) []*schema.Item {
 	var items []*schema.Item
 	for _, item := range state.Items() {
@@ -116,7 +118,7 @@
 	return items
 }
 
-// submitItems submits items at a registry, as an operator does who has read the configuration there.
+// submitItems submits a change at a registry like an operator who has read the configuration there, and returns it.
 func (w *World) submitItems(node *registryNode, items ...*schema.Item) *schema.Change {
 	change := &schema.Change{
 		Id:       fmt.Sprint("change-", w.nextID()),
@@ -127,8 +129,8 @@
 	return change
 }
 
-// submitUntilAccepted submits items at random registries until they are accepted. A registry that does not know the
-// service yet is passed over, unless the items bring it.
+// submitUntilAccepted submits items at random registries until they are accepted, and then calls onAccepted. It passes
+// over a registry that does not know the service yet, unless the change begins with a service or a flag.
 func (w *World) submitUntilAccepted(onAccepted func(), items ...*schema.Item) {
 	accepted := false
 	w.retryEvery(500*time.Millisecond, func() bool {
@@ -154,7 +156,8 @@
 	})
 }
 
-// expectedVersions returns the versions that a registry's configuration has of the items of a change.
+// expectedVersions returns the versions that a configuration has of the items of a change. Missing and deleted items
+// have none.
 func expectedVersions(state config.State, items []*schema.Item) []*schema.ExpectedVersion {
 	var list []*schema.ExpectedVersion
 	for _, item := range items {
@@ -169,25 +172,26 @@
 	return list
 }
 
-// routeItem returns a route of the shop; a variant differs from another in its path.
+// routeItem returns a route of the service "shop". The variant is part of its path.
 func routeItem(name string, variant int) *schema.Item {
 	const format = `{"service":"shop","prefix":"/%s/%d","methods":[],"horizon":"2s","key":"X","attributes":{}}`
 	return &schema.Item{Kind: "route", Name: name, Body: []byte(fmt.Sprintf(format, name, variant))}
 }
 
-// versionFlagItem returns the flag that chooses the version of a service.
+// versionFlagItem returns the version flag of a service, which chooses the version of each call.
 func versionFlagItem(service, body string) *schema.Item {
 	return &schema.Item{Kind: "flag", Name: config.VersionFlagKey(service), Body: []byte(body)}
 }
 
-// weightedFlagItem returns a version flag that gives version 2 a weight, in thousandths of a percent.
+// weightedFlagItem returns a version flag that gives version 2 a weight, in thousandths of a percent of the calls.
 func weightedFlagItem(service string, weight int) *schema.Item {
 	const format = `{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":` +
 		`{"variations":[{"variation":0,"weight":%d},{"variation":1,"weight":%d}]}}}`
 	return versionFlagItem(service, fmt.Sprintf(format, 100000-weight, weight))
 }
 
-// targetedFlagItem returns a version flag that gives version 2 to the first users, of a thousand.
+// targetedFlagItem returns a version flag that gives version 2 to the first of the thousand users, and version 1 to
+// the others.
 func targetedFlagItem(service string, users int) *schema.Item {
 	var names []string
 	for i := range users {
@@ -198,25 +202,26 @@
 	return versionFlagItem(service, fmt.Sprintf(format, strings.Join(names, ",")))
 }
 
-// serviceItem returns a service with version 1 as its fallback. The versions and the callers are JSON lists without
-// their brackets.
+// serviceItem returns a service with version 1 as its fallback. versions and callers are JSON lists without the
+// brackets.
 func serviceItem(service, versions, callers string) *schema.Item {
 	const format = `{"versions":[%s],"fallback":"1","callers":[%s]}`
 	return &schema.Item{Kind: "service", Name: service, Body: []byte(fmt.Sprintf(format, versions, callers))}
 }
 
-// unlistedServiceItem returns the shop without a list of versions: the versions of its workers are allowed.
+// unlistedServiceItem returns the service "shop" without a list of versions, which allows the versions of its workers.
 func unlistedServiceItem() *schema.Item {
 	return &schema.Item{Kind: "service", Name: "shop", Body: []byte(`{"callers":["client","saves"]}`)}
 }
 
-// singleVersionFlagItem returns a version flag that knows only version 1.
+// singleVersionFlagItem returns a version flag whose only variation is version 1.
 func singleVersionFlagItem(service string) *schema.Item {
 	const body = `{"on":true,"salt":"s","variations":["1"],"offVariation":0,"fallthrough":{"variation":0}}`
 	return versionFlagItem(service, body)
 }
 
-// releasePlanItem returns a release plan that takes version 2 of a service to a percentage of the calls.
+// releasePlanItem returns a release plan that takes version 2 of a service to a target percentage of the calls within
+// a duration.
 func releasePlanItem(service string, target float64, over time.Duration) *schema.Item {
 	const format = `{"service":%q,"version":"2","target":%v,"over":%q,"pace":"go"}`
 	body := fmt.Sprintf(format, service, target, over.String())
--- a/internal/simulator/peer_rpc.go
+++ b/internal/simulator/peer_rpc.go
@@ -15,22 +15,22 @@
 	"meadowhinge/schema"
 )
 
-// attemptSender returns how a proxy sends an attempt to the proxy of a worker: itself, or another one over a link
-// that may be cut, slow or lossy, and whose far end may be down or frozen.
+// attemptSender returns the function by which a proxy sends an attempt to the proxy of a worker. That is the proxy
+// itself, or another one over a link. The link may be cut, slow or lossy, and the other proxy may be down or frozen.
 func (w *World) attemptSender(node *proxyNode, processRun int) dispatch.Sender {
 	peer := peerOf(node)
 	return func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
-		// Goroutines that are left of an earlier run have no effect any more.
+		// Goroutines that remain from an earlier run must have no effect.
 		if currentRun, _, up := w.processRunOf(&node.process); !up || currentRun != processRun {
 			<-ctx.Done()
-			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
+			return nil, errs.New(errs.PeerConnectionLost, "the run of the sending proxy has ended")
 		}
 		if !request.RecallOnly && !request.AdmissionOnly {
 			w.History.recordDispatch(w.time(), node, request)
 		}
 		if !w.awaitThaw(&node.process, processRun) {
 			<-ctx.Done()
-			return nil, errs.New(errs.PeerConnectionLost, "this proxy is dead")
+			return nil, errs.New(errs.PeerConnectionLost, "the run of the sending proxy has ended")
 		}
 		if candidate.Proxy == node.name {
 			return node.runner.Run(ctx, peer, request), nil
@@ -43,18 +43,18 @@
 			request: proto.Clone(request).(*schema.ForwardRequest),
 			results: make(chan forwardResult, 1),
 		}
-		call.start() //nolint:contextcheck // the far proxy learns of a cancelled context only by propagateCancel, as over a real link
+		call.start() //nolint:contextcheck // the other proxy learns of a cancellation only through propagateCancel
 		select {
 		case result := <-call.results:
 			return result.response, result.err
 		case <-ctx.Done():
 			w.propagateCancel(node, candidate.Proxy, request.Request)
-			return nil, errs.New(errs.PeerConnectionLost, "no answer in time")
+			return nil, errs.New(errs.PeerConnectionLost, "no response in time")
 		}
 	}
 }
 
-// forwardResult is the result of a peer RPC as the sending proxy sees it.
+// forwardResult is the result of a peer RPC at the sending proxy.
 type forwardResult struct {
 	response *schema.ForwardResponse
 	err      error
@@ -66,16 +66,17 @@
 	from, to *proxyNode
 	peer     transport.Peer // the sender as the receiver sees it
 	request  *schema.ForwardRequest
-	results  chan forwardResult // has room for one; the sender takes the first result
+	results  chan forwardResult // has room for one result; the sender receives only the first
 }
 
-// peerOf returns a proxy as another one sees it: it may call as its own callers.
+// peerOf returns the authenticated identity of a proxy at another one. It is authorized for the callers of every
+// proxy.
 func peerOf(node *proxyNode) transport.Peer {
 	callers := map[string]bool{"client": true, "saves": true}
 	return transport.LocalPeer("proxy", node.name, callers)
 }
 
-// start draws the fate of the call and schedules it. The order of the draws is fixed by the golden histories.
+// start draws what happens to the call and schedules it. The golden histories fix the order of the draws.
 func (c *peerCall) start() {
 	w := c.world
 	random := w.derivedRandom(c.request.Request)
@@ -88,8 +89,8 @@
 	case w.seededFault == SeededSpuriousConnectFailed && random.IntN(8) == 0:
 		c.failToConnect(delay)
 		return
-	// Half of the broken links refuse to open, which the sender learns after the dial timeout; the others were open
-	// already, and the sender learns nothing.
+	// On half of the broken links the connection does not open, which the sender learns after the dial timeout. On the
+	// others it was open already, and the sender learns nothing.
 	case (dropped || w.isPartitioned(&c.to.process, &c.from.process)) && random.IntN(2) == 0:
 		c.failToConnect(dialTimeout)
 		return
@@ -103,15 +104,16 @@
 	})
 }
 
-// failToConnect reports after a delay that the connection never opened, so nothing was executed.
+// failToConnect reports after a delay that the connection never opened. The sender then knows that nothing was
+// executed.
 func (c *peerCall) failToConnect(delay time.Duration) {
 	c.world.schedule(delay, func() {
 		c.results <- forwardResult{nil, errs.New(errs.PeerConnectFailed, c.to.name)}
 	})
 }
 
-// lose loses the request on an open connection. It may still arrive once the link is back, long after the sender
-// has given up.
+// lose loses the request on an open connection. In half of the cases the request still arrives up to 12 s later, long
+// after the sender has given up, if the link is up then.
 func (c *peerCall) lose(random *rand.Rand) {
 	w := c.world
 	if random.IntN(2) == 0 {
@@ -126,7 +128,7 @@
 	}
 }
 
-// maybeDuplicate draws whether the request arrives a second time, and when.
+// maybeDuplicate draws whether the request arrives a second time, and schedules the duplicate.
 func (c *peerCall) maybeDuplicate(delay time.Duration, random *rand.Rand) {
 	w := c.world
 	w.lock.Lock()
@@ -139,12 +141,12 @@
 	}
 }
 
-// serveDiscardingResponse serves a request whose response reaches nobody.
+// serveDiscardingResponse serves a request whose response is lost.
 func (c *peerCall) serveDiscardingResponse(request *schema.ForwardRequest) {
 	c.world.serveForward(c.to, c.peer, request, func(*schema.ForwardResponse) {}, func() {})
 }
 
-// respond sends the response back over the link.
+// respond sends the response back over the link, which may lose or corrupt it.
 func (c *peerCall) respond(response *schema.ForwardResponse) {
 	w := c.world
 	random := w.derivedRandom("back " + c.request.Request)
@@ -154,12 +156,12 @@
 	}
 }
 
-// reportConnectionLost reports that an open connection was lost, so the outcome is unknown.
+// reportConnectionLost reports that an open connection was lost. The outcome of the request is then unknown.
 func (c *peerCall) reportConnectionLost() {
 	c.results <- forwardResult{nil, c.world.connectionLostError()}
 }
 
-// connectionLostError is the error for a connection that was lost after it opened.
+// connectionLostError returns the error for a connection that was lost after it opened.
 func (w *World) connectionLostError() error {
 	if w.seededFault == SeededConnectionLostAsConnectFailed {
 		return errs.New(errs.PeerConnectFailed, "lost")
@@ -167,8 +169,8 @@
 	return errs.New(errs.PeerConnectionLost, "lost")
 }
 
-// maybeCorrupt returns a response as it arrives: at the corruption rate, with one bit of its body flipped. The checksum
-// stays as it was, except with a seeded fault.
+// maybeCorrupt returns a copy of a response as it arrives. With a probability of World.corruptionRate one bit of its
+// body is flipped. The checksum still is that of the original, except with SeededForgedChecksum.
 func (w *World) maybeCorrupt(response *schema.ForwardResponse, random *rand.Rand) *schema.ForwardResponse {
 	received := proto.Clone(response).(*schema.ForwardResponse)
 	w.lock.Lock()
@@ -186,7 +188,7 @@
 }
 
 // serveForward runs a forwarded request at the proxy that received it. It calls respond with the response, or lost if
-// the run of that proxy ends before.
+// the run of that proxy ends first.
 func (w *World) serveForward(
 	target *proxyNode, peer transport.Peer, request *schema.ForwardRequest,
 	respond func(*schema.ForwardResponse), lost func(),
@@ -214,8 +216,8 @@
 	}()
 }
 
-// maybeForgeCaller runs, for one in a hundred requests of the client, a copy that an unauthorized peer sends under
-// the name of another caller. The runner must refuse it.
+// maybeForgeCaller draws one in a hundred requests of the caller "client" and runs a copy of it that an unauthorized
+// peer sends in the name of another caller. The runner must refuse the copy.
 func (w *World) maybeForgeCaller(runner *dispatch.Runner, request *schema.ForwardRequest) {
 	if request.Caller != "client" || w.derivedRandom("stranger "+request.Request).IntN(100) != 0 {
 		return
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -4,22 +4,22 @@
 	"time"
 )
 
-// Timing and size of the simulated fleet.
+// Durations and sizes of the simulated fleet.
 const (
-	leaseDuration        = 8 * time.Second    // of a proxy's lease and of a key reservation
-	keyReservationWindow = 12 * leaseDuration // for which registries remember a reserved key
-	heartbeatTimeout     = 1500 * time.Millisecond
-	stallTimeout         = 2 * time.Second       // after which a replica treats a pending write as stalled
-	pollInterval         = 50 * time.Millisecond // of the loops that follow the state of another part
-	recoveryBound        = 15 * time.Second      // within which service is back after the last fault
-	memberCount          = 3                     // of the core in a mesh
+	leaseDuration        = 8 * time.Second         // duration of a proxy's lease and of a key reservation
+	keyReservationWindow = 12 * leaseDuration      // how long registries remember a reserved key
+	heartbeatTimeout     = 1500 * time.Millisecond // how long a replica that is not heard from counts as alive
+	stallTimeout         = 2 * time.Second         // duration of a write after which the replica is unfit to lead
+	pollInterval         = 50 * time.Millisecond   // interval of the loops that poll the state of another component
+	recoveryBound        = 15 * time.Second        // within which service must recover after the last fault
+	memberCount          = 3                       // members of the core in a mesh
 )
 
-// clock is the local clock of one process. It starts at an arbitrary offset and runs slightly fast or slow, so
-// that code which compares the readings of two processes misbehaves visibly.
+// clock is the local clock of one process. It starts at an arbitrary offset and runs slightly fast or slow, so that
+// code that wrongly compares the readings of two processes fails visibly.
 type clock struct {
-	offset time.Duration
-	rate   float64 // local nanoseconds per nanosecond of virtual time
+	offset time.Duration // local time at virtual time zero
+	rate   float64       // local nanoseconds per nanosecond of virtual time
 }
 
 // at converts virtual time to local time.
@@ -27,54 +27,54 @@
 	return c.offset + time.Duration(float64(now)*c.rate)
 }
 
-// process is what can crash, freeze and be partitioned. Only events change it; World.lock guards up, processRun,
-// thawAt, thaw and exited because goroutines read them.
+// process is a daemon or a replica: the unit that can crash, freeze and be partitioned. Only events change it.
+// World.lock guards up, processRun, thawAt, thaw and exited, because goroutines read them.
 type process struct {
 	name       string
 	up         bool
-	processRun int // counts starts, so that events scheduled for an earlier run are dropped
-	thawAt     time.Duration
+	processRun int           // number of starts; events scheduled for an earlier run are dropped
+	thawAt     time.Duration // virtual time until which the process is frozen; not in the future if it is not
 	thaw       chan struct{} // closed when the process thaws before thawAt; nil while it is not frozen
-	deferred   []func()      // tasks that came due while the process was frozen; events only
+	deferred   []func()      // tasks that came due while the process was frozen; only events use it
 	clock      clock
 	exited     chan struct{} // closed when the current run ends
 }
 
 // startProcess begins a new run of a process.
-func (w *World) startProcess(m *process) {
+func (w *World) startProcess(p *process) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	m.up = true
-	m.processRun++
-	m.exited = make(chan struct{})
-	w.recordDisturbance(w.time(), hostOf(m.name))
+	p.up = true
+	p.processRun++
+	p.exited = make(chan struct{})
+	w.recordDisturbance(w.time(), hostOf(p.name))
 }
 
 // stopProcess ends the current run of a process; it does nothing if the process is down.
-func (w *World) stopProcess(m *process) {
+func (w *World) stopProcess(p *process) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	if m.up {
-		m.up = false
-		w.recordDisturbance(w.time(), hostOf(m.name))
-		close(m.exited)
+	if p.up {
+		p.up = false
+		w.recordDisturbance(w.time(), hostOf(p.name))
+		close(p.exited)
 	}
 }
 
-// freeze suspends a process until a point in virtual time; a time that has passed thaws it.
-func (w *World) freeze(m *process, until time.Duration) {
+// freeze suspends a process until a point in virtual time. A time that has passed thaws it.
+func (w *World) freeze(p *process, until time.Duration) {
 	w.lock.Lock()
-	m.thawAt = until
-	w.recordDisturbance(max(until, w.time()), hostOf(m.name))
+	p.thawAt = until
+	w.recordDisturbance(max(until, w.time()), hostOf(p.name))
 	var deferred []func()
-	if until > w.time() && m.thaw == nil {
-		m.thaw = make(chan struct{})
-	} else if until <= w.time() && m.thaw != nil {
+	if until > w.time() && p.thaw == nil {
+		p.thaw = make(chan struct{})
+	} else if until <= w.time() && p.thaw != nil {
 		// A process that thaws early runs its deferred tasks at once; see scheduleOn.
-		close(m.thaw)
-		deferred = m.deferred
-		m.deferred = nil
-		m.thaw = nil
+		close(p.thaw)
+		deferred = p.deferred
+		p.deferred = nil
+		p.thaw = nil
 	}
 	w.lock.Unlock()
 	for _, task := range deferred {
@@ -83,26 +83,28 @@
 }
 
 // isResponsive reports whether a process is up and not frozen.
-func (w *World) isResponsive(m *process) bool {
+func (w *World) isResponsive(p *process) bool {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return m.up && m.thawAt <= w.time()
+	return p.up && p.thawAt <= w.time()
 }
 
-// processRunOf returns the number of a process's current run, the channel that closes with it, and whether it is up.
-func (w *World) processRunOf(m *process) (processRun int, exited chan struct{}, up bool) {
+// processRunOf returns the number of a process's current run, the channel that closes when it ends, and whether the
+// process is up.
+func (w *World) processRunOf(p *process) (processRun int, exited chan struct{}, up bool) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return m.processRun, m.exited, m.up
+	return p.processRun, p.exited, p.up
 }
 
-// awaitThaw blocks a goroutine while the process it belongs to is frozen. It returns false if the given run has ended.
-func (w *World) awaitThaw(m *process, processRun int) bool {
+// awaitThaw blocks a goroutine while the process that it belongs to is frozen. It returns false once the given run has
+// ended.
+func (w *World) awaitThaw(p *process, processRun int) bool {
 	for {
 		w.lock.Lock()
-		remaining := m.thawAt - w.time()
-		isSameRun := m.up && m.processRun == processRun
-		exited, thaw := m.exited, m.thaw
+		remaining := p.thawAt - w.time()
+		isSameRun := p.up && p.processRun == processRun
+		exited, thaw := p.exited, p.thaw
 		w.lock.Unlock()
 		if !isSameRun || remaining <= 0 {
 			return isSameRun
--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -16,26 +16,26 @@
 	"meadowhinge/internal/session"
 )
 
-// Settings of the simulated proxies.
+// Options of the simulated proxies.
 const (
 	maxDeadline           = 10 * time.Second
 	retryRatio            = fakebackend.RetryBudgetRatio
 	retryFloor            = fakebackend.RetryBudgetFloor
 	dialTimeout           = leaseDuration / 16
 	maxRememberedRequests = 1 << 14
-	initialFleetSize      = 64 // proxies that a proxy assumes before it learns the size of the fleet
+	initialFleetSize      = 64 // fleet size that a proxy assumes until it learns the real one, in proxies
 )
 
-// proxyNode is one proxy. startProxy sets the fields anew for each run of the process; events read and write them, and
-// goroutines use only the atomic ones and what is safe for concurrent use itself.
+// proxyNode is one proxy. startProxy sets most fields anew for each run of the process. Events read and write them.
+// Goroutines use only the atomic fields and values that are safe for concurrent use.
 type proxyNode struct {
 	process
-	index          int
-	incarnation    uint64
-	startedAt      time.Duration
+	index          int           // position in World.proxies; decides the zone
+	incarnation    uint64        // incarnation of the proxy's source in the service directory
+	startedAt      time.Duration // virtual time at which the current run began
 	leaseGate      *session.LeaseGate
 	fleetEstimate  *session.FleetSize
-	fleetSize      atomic.Int64
+	fleetSize      atomic.Int64 // latest estimate of fleetEstimate, in proxies
 	journal        *journal.Journal[proxy.Event, proxy.MeshState]
 	workers        *dispatch.Workers
 	runner         *dispatch.Runner
@@ -43,28 +43,28 @@
 	canaries       *dispatch.CanaryGuard
 	callCounter    *dispatch.CallCounter
 	outliers       *dispatch.OutlierDetector
-	sourceCounter  uint64
-	feedIndex      int         // of the registry that feeds this proxy
-	lagging        atomic.Bool // a call found that the configuration here lags behind
-	acceptsCallers atomic.Bool // the proxy has been ready to decide in this run
-	draining       atomic.Bool // the proxy is shutting down and takes no new callers
-	conns          *connections
+	sourceCounter  uint64       // number of versions of the proxy's source that this run has published
+	feedIndex      int          // index of the registry that feeds this proxy, modulo the number of registries
+	lagging        atomic.Bool  // a call found that this proxy's configuration lags behind another proxy's
+	acceptsCallers atomic.Bool  // the proxy has been able to decide calls in this run
+	draining       atomic.Bool  // the proxy is shutting down and admits no new callers
+	conns          *connections // connections to the proxy's workers
 
 	// The fields below are used only with Options.ServeStale.
 	selector          *session.RegistrySelector
-	subscriptions     map[string]*subscription // by registry
-	reportedFleetSize int64
-	reportPending     bool // the registry has not acknowledged the last report
-	reportedAt        time.Duration
+	subscriptions     map[string]*subscription // by name of the registry
+	reportedFleetSize int64                    // last fleet size in an update from a registry; 0 before the first
+	reportPending     bool                     // the registry has not replied to the last report of workers
+	reportedAt        time.Duration            // virtual time of the last report of workers
 }
 
-// proxyRuntime is what one run of a proxy is assembled from. Its fields are fixed for the run: closures that outlive
-// a crash keep the journal and the lease gate of their own run.
+// proxyRuntime holds what the parts of a proxy share in one run. Its fields never change, so a closure that outlives a
+// crash keeps the journal and the lease gate of its own run.
 type proxyRuntime struct {
 	world       *World
 	node        *proxyNode
 	name        string
-	incarnation uint64 // at the start of the run
+	incarnation uint64 // incarnation at the start of the run
 	processRun  int
 	now         func() time.Duration // local time since the start of the run
 	journal     *journal.Journal[proxy.Event, proxy.MeshState]
@@ -72,10 +72,10 @@
 	conns       *connections
 }
 
-// zoneOf returns the zone of the i-th proxy or member.
+// zoneOf returns the zone of the proxy or member with an index.
 func (w *World) zoneOf(index int) string { return fmt.Sprint("area-", index%3) }
 
-// startProxy begins a run of a proxy and assembles its parts as the daemon does.
+// startProxy begins a run of a proxy and assembles its components as the daemon does.
 func (w *World) startProxy(node *proxyNode) {
 	w.startProcess(&node.process)
 	run := w.newProxyRuntime(node)
@@ -96,14 +96,14 @@
 		}
 	})
 	w.scheduleEvery(&node.process, pollInterval, func() {
-		// Callers are admitted once the proxy can decide.
+		// Callers are admitted once the proxy can decide calls.
 		if run.hasLease() || w.seededFault == SeededAdmitsBeforeLease {
 			node.acceptsCallers.Store(true)
 		}
 	})
 }
 
-// newProxyRuntime resets the state of a proxy for a new run.
+// newProxyRuntime resets the state of a proxy for a new run and returns the shared parts.
 func (w *World) newProxyRuntime(node *proxyNode) *proxyRuntime {
 	node.incarnation = uint64(w.nextID())
 	node.startedAt = w.now
@@ -131,7 +131,7 @@
 	}
 }
 
-// startProxyLeases starts the loops of a proxy that decides under leases.
+// startProxyLeases starts the periodic tasks of a proxy that decides calls under leases.
 func (w *World) startProxyLeases(node *proxyNode) {
 	const interval = leaseDuration / session.RenewalsPerLease
 	for i := range w.registries {
@@ -141,10 +141,11 @@
 	w.scheduleEvery(&node.process, interval, func() { w.sendReport(node, true) })
 }
 
-// view returns what the proxy decides by at this moment.
+// view returns the view that the proxy plans calls by now.
 func (r *proxyRuntime) view() *plan.View { return r.journal.View().View() }
 
-// hasLease reports whether the proxy may decide: with a lease, or with any configuration where it serves stale.
+// hasLease reports whether the proxy may decide calls. It needs a lease or, with Options.ServeStale, any
+// configuration.
 func (r *proxyRuntime) hasLease() bool {
 	w := r.world
 	hasConfig := r.journal.View().ConfigRevision() > 0
@@ -158,23 +159,23 @@
 	return r.leaseGate.IsOpen()
 }
 
-// fleetSize returns how many proxies the proxy believes there are.
+// fleetSize returns the proxy's estimate of the number of proxies in the fleet.
 func (r *proxyRuntime) fleetSize() int { return int(r.node.fleetSize.Load()) }
 
-// newCanaryGuard returns what limits the calls to versions in canary.
+// newCanaryGuard returns the guard that limits the calls to versions in canary.
 func (r *proxyRuntime) newCanaryGuard() *dispatch.CanaryGuard {
 	options := dispatch.DefaultCanaryOptions
 	if r.world.seededFault == SeededFailuresIgnored {
 		options.MaxFailures = 1 << 40
 	}
-	// Where rollout control bounds the exposure, proxies must not hide the evidence from it.
+	// Where rollout control bounds the exposure, the proxies must let through enough failures for it to see.
 	if r.world.Options.BoundExposure {
 		options.MaxFailures = orderMaxFailures
 	}
 	return dispatch.NewCanaryGuard(options, r.fleetSize, func() dispatch.VersionGuards { return r.view().Config })
 }
 
-// newWorkers returns the registry of the workers beside the proxy.
+// newWorkers returns the table of the workers that register with the proxy.
 func (r *proxyRuntime) newWorkers() *dispatch.Workers {
 	options := dispatch.WorkersOptions{
 		Proxy:               r.name,
@@ -190,7 +191,7 @@
 	return dispatch.NewWorkers(options, func() { r.world.onWorkersChanged(r.node, r.processRun) })
 }
 
-// newRunner returns what runs forwarded requests at the proxy's workers.
+// newRunner returns the runner, which runs forwarded requests at the proxy's workers.
 func (r *proxyRuntime) newRunner() *dispatch.Runner {
 	remembered := maxRememberedRequests
 	if r.world.seededFault == SeededNoDuplicateDetection {
@@ -208,7 +209,8 @@
 	}, remembered)
 }
 
-// awaitConfig waits until the proxy has at least a revision. A proxy that serves stale does not wait.
+// awaitConfig waits until the proxy has a configuration of at least the given revision, or ctx ends. With
+// Options.ServeStale it does not wait.
 func (r *proxyRuntime) awaitConfig(ctx context.Context, revision uint64) {
 	if r.journal.View().ConfigRevision() < revision && !r.world.Options.ServeStale {
 		r.journal.Wait(ctx, func(state proxy.MeshState) bool { return state.ConfigRevision() >= revision })
@@ -216,13 +218,14 @@
 	}
 }
 
-// revisionOutdated reports whether a revision was replaced here longer ago than a proxy under leases may lag behind.
+// revisionOutdated reports whether a revision was replaced at this proxy longer ago than another proxy may lag behind.
+// With Options.ServeStale none is, as there is no bound.
 func (r *proxyRuntime) revisionOutdated(revision uint64) bool {
 	return !r.world.Options.ServeStale &&
 		r.journal.View().Outdated(revision, r.now(), leaseDuration/session.RenewalsPerLease)
 }
 
-// newForwarder returns what plans the calls of the proxy's callers and sends their attempts.
+// newForwarder returns the forwarder, which plans the calls of the proxy's callers and sends their attempts.
 func (r *proxyRuntime) newForwarder() *dispatch.Forwarder {
 	w, node := r.world, r.node
 	floor := w.Options.RetryFloor
@@ -256,13 +259,14 @@
 	return forwarder.Init(maxRememberedRequests)
 }
 
-// awaitView waits until the view fulfills a condition.
+// awaitView waits until the view fulfills a condition, or ctx ends.
 func (r *proxyRuntime) awaitView(ctx context.Context, ready func(*plan.View) bool) {
 	r.journal.Wait(ctx, func(state proxy.MeshState) bool { return ready(state.View()) })
 	r.world.stagger(ctx)
 }
 
-// awaitLease waits until the proxy may decide. A proxy that serves stale has no lease to wait for.
+// awaitLease waits for a lease within the grace period and reports whether the proxy may decide. With
+// Options.ServeStale there is no lease to wait for.
 func (r *proxyRuntime) awaitLease(ctx context.Context) bool {
 	if r.hasLease() {
 		return true
@@ -274,7 +278,7 @@
 	return r.leaseGate.AwaitWithinGrace(ctx)
 }
 
-// proxyNamed returns the proxy of a name, or nil.
+// proxyNamed returns the proxy with a name, or nil.
 func (w *World) proxyNamed(name string) *proxyNode {
 	for _, node := range w.proxies {
 		if node.name == name {
@@ -289,7 +293,7 @@
 	return node.clock.at(now) - node.clock.at(node.startedAt)
 }
 
-// stopProxy crashes a proxy: its connections break, its workers stay.
+// stopProxy crashes a proxy. Its connections break; its workers go on.
 func (w *World) stopProxy(node *proxyNode) {
 	w.History.collectDisconnects(node)
 	w.stopProcess(&node.process)
@@ -297,7 +301,8 @@
 	node.conns.close()
 }
 
-// killProxies crashes proxies at once and returns what starts them again. Their workers stay.
+// killProxies crashes those of the given proxies that are up, and returns a function that starts them again. Their
+// workers go on.
 func (w *World) killProxies(nodes []*proxyNode) (restart func()) {
 	var killed []*proxyNode
 	for _, node := range nodes {
@@ -313,7 +318,7 @@
 	}
 }
 
-// drawHalfOfProxies draws for each proxy whether it belongs to the half.
+// drawHalfOfProxies draws each proxy with probability one half.
 func (w *World) drawHalfOfProxies() []*proxyNode {
 	var half []*proxyNode
 	for _, node := range w.proxies {
@@ -324,10 +329,11 @@
 	return half
 }
 
-// restartGracefully shuts a proxy down as SIGTERM does and starts it again: its workers are reported as draining, new
-// callers go to other proxies, calls in flight end, and then the process exits.
+// restartGracefully shuts a proxy down as SIGTERM does and starts it again. The proxy reports its workers as
+// draining. A second later it admits no new callers. Three seconds later, when the calls in flight have ended, the
+// process exits. It does nothing if the proxy is down or another graceful restart is not complete.
 func (w *World) restartGracefully(node *proxyNode) {
-	// Proxies are restarted in turn: the next one only when the last is back and admits callers.
+	// Only one proxy restarts at a time: the previous one must be back and admit callers.
 	isLastRestarting := w.lastRestarted != nil &&
 		(w.lastRestarted.processRun == w.lastRestartedRun || !w.lastRestarted.acceptsCallers.Load())
 	if !node.up || isLastRestarting {
--- a/internal/simulator/proxy_feed.go
+++ b/internal/simulator/proxy_feed.go
@@ -10,10 +10,11 @@
 	"meadowhinge/schema"
 )
 
-// startFeed starts the loop in which a proxy fetches updates from one registry at a time. It moves on to the next
-// registry when that one does not respond in time, or when a call has found that the configuration here lags behind.
+// startFeed starts the periodic task that fetches updates for a proxy from one registry at a time. The proxy moves on
+// to the next registry when the current one does not respond in time, or when a call has found that the proxy's
+// configuration lags behind.
 func (w *World) startFeed(node *proxyNode) {
-	busyUntil := time.Duration(0) // while a request is in flight: when it times out
+	busyUntil := time.Duration(0) // virtual time at which the request in flight times out; 0 for none
 	w.scheduleEvery(&node.process, pollInterval, func() {
 		if node.lagging.Swap(false) {
 			node.feedIndex++
@@ -33,7 +34,7 @@
 			event := w.feedUpdate(target, vector, revision)
 			w.send(&target.process, &node.process, func() {
 				busyUntil = 0
-				// A response to a request of an earlier run reaches nobody: its connection broke with that run.
+				// The response to a request of an earlier run is lost, because the connection broke with that run.
 				if node.journal == proxyJournal || w.seededFault == SeededStaleFeedReply {
 					w.applyUpdate(node, event)
 				}
@@ -42,7 +43,8 @@
 	})
 }
 
-// feedUpdate returns what a registry knows beyond a proxy's vector of sources and its configuration revision.
+// feedUpdate returns the update from a registry for a proxy: the sources newer than the proxy's vector, and the
+// changes after its configuration revision.
 func (w *World) feedUpdate(target *registryNode, vector map[string]*schema.SourceVersion, revision uint64) proxy.Event {
 	event := proxy.Event{Sources: target.table.SourcesNewerThan(w.uptime(target), vector)}
 	if committed := target.table.CommittedRevision(); committed > revision {
@@ -55,9 +57,9 @@
 	return event
 }
 
-// applyUpdate applies an update at a proxy that decides under leases. A newer configuration is applied only after a
-// majority of registries has recorded, with a lease renewal, that the proxy received it. The first configuration needs no
-// majority: the proxy has no lease yet, so it decides nothing by it.
+// applyUpdate applies an update at a proxy that decides calls under leases. It applies a newer configuration only
+// after a majority of the registries has recorded, with a lease renewal, that the proxy received it. The first
+// configuration needs no majority, because the proxy has no lease yet and decides nothing by it.
 func (w *World) applyUpdate(node *proxyNode, event proxy.Event) {
 	if w.seededFault == SeededNoAuthorization {
 		current := node.journal.View().Items()
@@ -88,8 +90,8 @@
 	}
 }
 
-// appendUpdate appends an update to a proxy's journal, if it brings anything new, and reports a new configuration to
-// all registries with lease renewals.
+// appendUpdate appends an update to a proxy's journal, unless it contains nothing new. It reports a new configuration
+// to all registries with lease renewals.
 func (w *World) appendUpdate(node *proxyNode, event proxy.Event) {
 	before := node.journal.View().ConfigRevision()
 	if before >= event.ConfigRevision && len(event.Sources) == 0 {
@@ -104,8 +106,9 @@
 	}
 }
 
-// renewLease requests a lease from the i-th registry and reports the configuration revisions that the proxy has applied
-// and received. onReply, if not nil, is called with the id of the member that replied.
+// renewLease requests a lease from the i-th registry. The request also reports the configuration revisions that the
+// proxy has applied and received; received is 0 unless a newer configuration waits to be applied. If onReply is not
+// nil, it is called with the id of the member that replied.
 func (w *World) renewLease(node *proxyNode, i int, received uint64, onReply func(memberID string)) {
 	target := w.registries[i]
 	sentAt := node.localTime(w.now)
@@ -130,7 +133,7 @@
 			if reply.Granted {
 				leaseGate.RecordGrant(reply.Member, memberCount, sentAt)
 			}
-			// If another registry knows more than the one that feeds this proxy, it sometimes becomes the feed.
+			// A registry with a newer configuration than the proxy becomes its feed in a quarter of the cases.
 			isAhead := reply.Committed > node.journal.View().ConfigRevision()
 			if isAhead && node.feedIndex%len(w.registries) != i && w.randomInt(4) == 0 {
 				node.feedIndex = i
--- a/internal/simulator/proxy_report.go
+++ b/internal/simulator/proxy_report.go
@@ -8,7 +8,7 @@
 	"meadowhinge/schema"
 )
 
-// nextSource returns the proxy's own source of the service directory, its workers, under a new version.
+// nextSource returns the next version of the proxy's own source of the service directory, which lists its workers.
 func (node *proxyNode) nextSource(zone string) *schema.Source {
 	node.sourceCounter++
 	return &schema.Source{
@@ -20,8 +20,8 @@
 	}
 }
 
-// onWorkersChanged reports the workers of a proxy after a change. It is called by goroutines too, for example when the
-// connection of a worker ends, so it schedules an event.
+// onWorkersChanged reports the workers of a proxy after a change. Goroutines call it too, for example when a worker's
+// connection ends, so it schedules an event.
 func (w *World) onWorkersChanged(node *proxyNode, processRun int) {
 	w.schedule(0, func() {
 		if node.up && node.processRun == processRun {
@@ -30,8 +30,8 @@
 	})
 }
 
-// sendReport reports a proxy's work counts to its registry and takes the canary grants from the reply. withSource also
-// applies and reports the proxy's workers, and the counts of calls by version.
+// sendReport sends a proxy's work counts to its registry and applies the canary grants in the reply. If withSource is
+// set, it also applies and reports the proxy's own source, and reports the call counts by version.
 func (w *World) sendReport(node *proxyNode, withSource bool) {
 	report := &schema.ProxyReport{Proxy: node.name, Incarnation: node.incarnation}
 	if withSource {
@@ -57,7 +57,8 @@
 	canaries.ForgetUnguarded()
 }
 
-// applyOwnSource applies a new version of a proxy's own source to its view and returns the source.
+// applyOwnSource drops unresponsive workers, applies a new version of the proxy's own source to its view, and returns
+// the source.
 func (w *World) applyOwnSource(node *proxyNode) *schema.Source {
 	node.workers.DropUnresponsive()
 	source := node.nextSource(w.zoneOf(node.index))
@@ -70,7 +71,8 @@
 	return source
 }
 
-// sendFeedReport sends a report to the registry that feeds a proxy. Nothing repeats it: the next report is due soon.
+// sendFeedReport sends a report to the registry that feeds a proxy. A lost report is not repeated, because the next
+// one is due soon.
 func (w *World) sendFeedReport(node *proxyNode, report *schema.ProxyReport, onReply func(grants []*schema.Canary)) {
 	target := w.registries[node.feedIndex%len(w.registries)]
 	w.send(&node.process, &target.process, func() {
@@ -84,8 +86,8 @@
 	})
 }
 
-// sendSessionReport sends a report to the registry that a proxy has its session with. A report of workers stays pending
-// until a reply arrives, and is sent again meanwhile.
+// sendSessionReport sends a report to the registry that a proxy has its session with, if there is one. A report with a
+// source stays pending until its reply arrives; see startProxySubscriptions for the repetition.
 func (w *World) sendSessionReport(node *proxyNode, report *schema.ProxyReport, onReply func(grants []*schema.Canary)) {
 	target := w.registryNamed(node.selector.Current())
 	if report.Source != nil {
--- a/internal/simulator/registry.go
+++ b/internal/simulator/registry.go
@@ -12,23 +12,23 @@
 	"meadowhinge/schema"
 )
 
-// registryNode is one registry, with the member that its daemon runs beside. startRegistry sets the fields anew for each
-// run; only events use them.
+// registryNode is one registry, with the member of the core on the same host. startRegistry sets most fields anew for
+// each run. Only events use them.
 type registryNode struct {
 	process
-	incarnation    uint64
-	startedAt      time.Duration
+	incarnation    uint64        // unique in the world, new for each run
+	startedAt      time.Duration // virtual time at which the current run began
 	table          *registry.FleetState
 	reservations   *registry.ReservationTable
-	state          config.State // items of the committed configuration
-	snapshot       *config.Snapshot
-	member         *memberNode
-	subscriptions  map[string]*subscription // with other registries, by name; only with Options.ServeStale
+	state          config.State             // items of the configuration that the registry knows as committed
+	snapshot       *config.Snapshot         // state, compiled
+	member         *memberNode              // member that the registry takes the configuration from
+	subscriptions  map[string]*subscription // subscriptions to other registries, by name; with Options.ServeStale
 	controller     *release.Controller      // nil while this registry does not control rollouts
-	stepsSubmitted uint64                   // changes of rollouts, for their ids
+	stepsSubmitted uint64                   // number of rollout steps submitted; makes the ids of their changes unique
 }
 
-// startRegistry begins a run of a registry and the loops that its daemon drives it by.
+// startRegistry begins a run of a registry and schedules the periodic tasks of its daemon.
 func (w *World) startRegistry(node *registryNode) {
 	w.startProcess(&node.process)
 	w.resetRegistry(node)
@@ -49,7 +49,7 @@
 	}
 }
 
-// resetRegistry gives a registry the empty state that a new run begins with.
+// resetRegistry gives a registry the empty state of a new run.
 func (w *World) resetRegistry(node *registryNode) {
 	node.incarnation = uint64(w.nextID())
 	node.startedAt = w.now
@@ -74,7 +74,7 @@
 	}
 }
 
-// followMember takes over what the registry's member has committed.
+// followMember takes over the configuration that the registry's member has committed.
 func (w *World) followMember(node *registryNode) {
 	member := node.member
 	if !w.isResponsive(&member.process) {
@@ -92,8 +92,8 @@
 	node.table.SetCommitted(w.uptime(node), committed)
 }
 
-// scheduleCatchUp requests a read index until one is known, and marks the registry as caught up once it has committed
-// as much. Before that it grants nothing.
+// scheduleCatchUp requests a read index from the member until it gets one, and marks the registry as caught up once
+// its configuration has reached that index. Until then the registry grants nothing.
 func (w *World) scheduleCatchUp(node *registryNode) {
 	readIndexKnown := false
 	w.scheduleEvery(&node.process, 4*pollInterval, func() {
@@ -123,7 +123,7 @@
 	})
 }
 
-// registryLease returns the lease that the registries' tables work with.
+// registryLease returns the lease duration that the registries' tables are configured with.
 func (w *World) registryLease() time.Duration {
 	if w.Options.ServeStale {
 		return servingLease
@@ -134,14 +134,14 @@
 // uptime returns a registry's local time since the start of its run.
 func (w *World) uptime(node *registryNode) time.Duration {
 	uptime := node.clock.at(w.now) - node.clock.at(node.startedAt)
-	// The seeded fault makes the table believe that it has been up for a lease already.
+	// The seeded fault makes the registry appear to have been up for a whole lease already.
 	if w.seededFault == SeededYoungRegistryGrants {
 		uptime += leaseDuration
 	}
 	return uptime
 }
 
-// pullSources fetches the sources of the service directory that another registry knows in newer versions.
+// pullSources fetches from another registry the sources of the service directory that it knows in newer versions.
 func (w *World) pullSources(node, other *registryNode) {
 	vector := node.table.Vector()
 	w.send(&node.process, &other.process, func() {
@@ -155,8 +155,8 @@
 	})
 }
 
-// recoverReservations makes a restarted registry read the key reservations of another, page by page, until its table
-// is authoritative.
+// recoverReservations makes a restarted registry read all key reservations of another, page by page. It does nothing
+// once the registry's table is authoritative, or while it is too early to read.
 func (w *World) recoverReservations(node, other *registryNode) {
 	if age := w.uptime(node); node.reservations.IsAuthoritative(age) || age < node.reservations.RecoveryStartsAt() {
 		return
@@ -176,7 +176,7 @@
 	readPage(0)
 }
 
-// registryNamed returns the registry of a name, or nil.
+// registryNamed returns the registry with a name, or nil.
 func (w *World) registryNamed(name string) *registryNode {
 	for _, node := range w.registries {
 		if node.name == name {
@@ -186,20 +186,20 @@
 	return nil
 }
 
-// crashCoreHost cuts the power of the host of a member: its replica and its registry crash.
+// crashCoreHost cuts the power of a core host: its member and its registry crash.
 func (w *World) crashCoreHost(i int) {
 	w.crashMember(w.members[i])
 	w.stopProcess(&w.registries[i].process)
 }
 
-// startCoreHost starts the processes of a core host again.
+// startCoreHost starts the member and the registry of a core host again.
 func (w *World) startCoreHost(i int) {
 	w.startMember(w.members[i])
 	w.startRegistry(w.registries[i])
 }
 
-// isCoreRecovered reports whether every member is up, counts in the quorum and has durably stored what is acknowledged,
-// and every registry grants leases and knows the key reservations again.
+// isCoreRecovered reports whether the core of a mesh has recovered. Every member must be up, a voting member, and have
+// stored durably what is acknowledged. Every registry must be up, grant leases and know the key reservations again.
 func (w *World) isCoreRecovered() bool {
 	for i, node := range w.members {
 		if !node.up || !node.replica.Status().Member || node.replica.Status().Durable < w.History.lastAcknowledged {
--- a/internal/simulator/rollout_control.go
+++ b/internal/simulator/rollout_control.go
@@ -9,8 +9,8 @@
 	"meadowhinge/schema"
 )
 
-// isController reports whether a registry controls rollouts: the first in the static order that can, as far as this
-// registry reaches the others.
+// isController reports whether a registry is the rollout controller from its own point of view: the first in the
+// static order, among itself and the registries that it reaches, that may control rollouts.
 func (w *World) isController(node *registryNode) bool {
 	for _, other := range w.registries {
 		if other == node {
@@ -23,14 +23,14 @@
 	return w.mayControlRollouts(node)
 }
 
-// mayControlRollouts reports whether a registry is able to control rollouts: it grants leases and its member has a
-// recent committed state.
+// mayControlRollouts reports whether a registry is able to control rollouts. It must grant leases, and its member must
+// have confirmed its committed state within a quarter of a lease.
 func (w *World) mayControlRollouts(node *registryNode) bool {
 	member := node.member
 	if !node.table.GrantsLeases(w.uptime(node)) || !w.isResponsive(&member.process) {
 		return false
 	}
-	// The seeded fault lets each part of a split core have a controller, whose decisions can do harm.
+	// The seeded fault allows one controller in each part of a partitioned core, and their decisions conflict.
 	if w.seededFault == SeededAlwaysHealthy {
 		return true
 	}
@@ -38,8 +38,8 @@
 	return known && staleness <= w.registryLease()/4
 }
 
-// runController runs one round of rollout control if this registry is the controller: it distributes canary grants,
-// gathers the counts of calls from all registries, and submits the resulting steps.
+// runController runs one round of rollout control if the registry is the controller. It distributes canary grants,
+// gathers the call counts from all registries and submits the resulting steps.
 func (w *World) runController(node *registryNode) {
 	snapshot, state := node.snapshot, node.state
 	workers := registry.WorkerPoolsOf(node.table.SourcesNewerThan(w.uptime(node), nil))
@@ -60,7 +60,7 @@
 	}
 	node.table.SetCanaryGrants(w.uptime(node), canaries)
 	replies := w.gatherCounts(node, canaries)
-	// Registries that have not replied by then are left out of this round.
+	// Registries that have not replied by then do not take part in this round.
 	w.scheduleOn(&node.process, w.registryLease()/(8*session.RenewalsPerLease), func() {
 		if node.controller != controller {
 			return
@@ -68,7 +68,7 @@
 		allReplies := append(*replies, node.table.ReportedCounts(w.uptime(node), true))
 		steps, err := controller.Reconcile(w.uptime(node), snapshot, state, w.fleetObservation(node, allReplies, workers))
 		if err != nil {
-			w.History.recordViolation(ViolationRecoveryTime, "%v: a step could not be made: %v", w.now, err)
+			w.History.recordViolation(ViolationRecoveryTime, "%v: rollout control at %s failed: %v", w.now, node.name, err)
 		}
 		if w.seededFault != SeededAlwaysHealthy {
 			node.table.SetCanaryGrants(w.uptime(node), controller.CanaryGrants(snapshot))
@@ -81,7 +81,8 @@
 	})
 }
 
-// controllerOptions returns the options of the rollout controller in this world.
+// controllerOptions returns the options of the rollout controller, changed by a seeded fault and
+// Options.BoundExposure.
 func (w *World) controllerOptions() release.Options {
 	options := release.Defaults
 	if w.seededFault == SeededFailuresIgnored {
@@ -103,8 +104,8 @@
 	return options
 }
 
-// gatherCounts distributes canary grants to the other registries and collects their counts of calls. Replies are
-// appended to the returned list as they arrive.
+// gatherCounts sends canary grants to the other registries and collects their call counts. It appends replies to the
+// returned list as they arrive.
 func (w *World) gatherCounts(node *registryNode, canaries []*schema.Canary) *[]*schema.CountsReply {
 	replies := &[]*schema.CountsReply{}
 	for _, other := range w.registries {
@@ -120,7 +121,8 @@
 	return replies
 }
 
-// fleetObservation returns what the controller decides by.
+// fleetObservation returns the observation of the fleet that the controller decides by. The reporting fraction is a
+// fraction of all proxies.
 func (w *World) fleetObservation(
 	node *registryNode, replies []*schema.CountsReply, workers map[[2]string]release.WorkerPool,
 ) release.FleetObservation {
--- a/internal/simulator/serve_stale.go
+++ b/internal/simulator/serve_stale.go
@@ -11,10 +11,11 @@
 	"meadowhinge/schema"
 )
 
-// Where proxies serve stale, they hold sessions with registries instead of leases, and a change is acknowledged as soon
-// as it is committed. What the mesh promises then binds only proxies in touch; see World.isWellConnected.
+// With Options.ServeStale, proxies hold sessions with registries instead of leases, and a change is acknowledged as
+// soon as it is committed. The bounds on the propagation of the configuration then apply only to well-connected
+// proxies; see World.isWellConnected.
 
-// startRegistrySubscriptions starts the loops of a registry that serves sessions.
+// startRegistrySubscriptions starts the periodic tasks of a registry that serves sessions.
 func (w *World) startRegistrySubscriptions(node *registryNode) {
 	node.table.SetMemberCount(memberCount)
 	node.subscriptions = map[string]*subscription{}
@@ -26,7 +27,8 @@
 	}
 }
 
-// confirmCurrent records how recently the registry's member confirmed its committed state.
+// confirmCurrent records when the registry's member last confirmed that its committed state is current. It does
+// nothing while the member does not respond or has committed less than the registry knows.
 func (w *World) confirmCurrent(node *registryNode) {
 	member := node.member
 	if !w.isResponsive(&member.process) {
@@ -40,8 +42,8 @@
 	}
 }
 
-// subscribeToPeer keeps a registry subscribed to another: it subscribes again when the subscription has ended, when the
-// other restarted, and when nothing was heard for a lease.
+// subscribeToPeer keeps a registry subscribed to another. It subscribes again when the subscription has ended, when
+// the other registry has restarted, and when no update has arrived for servingLease.
 func (w *World) subscribeToPeer(node, other *registryNode) {
 	lastUpdateAt := time.Duration(0)
 	w.scheduleEvery(&node.process, pollInterval, func() {
@@ -72,14 +74,15 @@
 	})
 }
 
-// nextIncarnation returns an incarnation above one that was seen: the upper half counts up, the lower half is unique in
-// the world.
+// nextIncarnation returns an incarnation that is higher than a given one and unique in the world. The upper 32 bits
+// count up, the lower 32 bits are a unique id.
 func (w *World) nextIncarnation(seen uint64) uint64 {
 	const shift = 32
 	return (seen>>shift+1)<<shift | uint64(w.nextID())
 }
 
-// startProxySubscriptions starts the loops of a proxy that holds sessions with registries.
+// startProxySubscriptions starts the periodic tasks of a proxy that holds sessions with registries. They also repeat a
+// report that a registry has not replied to.
 func (w *World) startProxySubscriptions(node *proxyNode) {
 	node.incarnation = w.nextIncarnation(0)
 	node.reportedFleetSize = 0
@@ -97,7 +100,8 @@
 	w.scheduleEvery(&node.process, servingLease/session.HeartbeatsPerLease, node.workers.DropUnresponsive)
 }
 
-// newSelector returns what selects the registry of a proxy, with all registries as seeds.
+// newSelector returns the selector of a proxy, which chooses the registry of its session, with all registries as
+// seeds.
 func (w *World) newSelector(node *proxyNode) *session.RegistrySelector {
 	maxStaleness := float64(servingLease) / session.MaxStalenessDivisor
 	if w.seededFault == SeededNoRegistryFailover {
@@ -117,8 +121,8 @@
 	}, seeds)
 }
 
-// dropBrokenSubscriptions drops the subscriptions of a proxy that have ended. A crashed registry's connections are reset
-// as soon as the reset gets through.
+// dropBrokenSubscriptions drops the subscriptions of a proxy that have ended, and tells its selector. The proxy
+// learns that a registry has crashed by a connection reset, as soon as the link between them is up.
 func (w *World) dropBrokenSubscriptions(node *proxyNode) {
 	for _, registryNode := range w.registries {
 		current := node.subscriptions[registryNode.name]
@@ -135,7 +139,7 @@
 	}
 }
 
-// applySelectorActions closes and opens the sessions that a proxy's selector decides on.
+// applySelectorActions closes and opens sessions of a proxy as its selector decided.
 func (w *World) applySelectorActions(node *proxyNode, actions []session.Action) {
 	for _, action := range actions {
 		if existing := node.subscriptions[action.Address]; existing != nil {
@@ -146,15 +150,15 @@
 			w.openProxySession(node, action)
 		}
 	}
-	// A probed session that the selector has chosen becomes the proxy's session.
+	// A candidate session that the selector has chosen becomes the proxy's current session.
 	if current := node.subscriptions[node.selector.Current()]; current != nil && current.tentative {
 		current.tentative = false
 		w.sendReport(node, true)
 	}
 }
 
-// openProxySession opens a session of a proxy with a registry. Only a candidate session, which the proxy probes beside
-// its current one, does not bring the proxy's own source.
+// openProxySession opens a session of a proxy with a registry. The request carries the proxy's own source, unless the
+// session is a candidate, which the proxy only probes beside its current session.
 func (w *World) openProxySession(node *proxyNode, action session.Action) {
 	registryNode := w.registryNamed(action.Address)
 	state := node.journal.View()
@@ -184,7 +188,8 @@
 	})
 }
 
-// applySubscriptionUpdate applies an update from a session as the proxy's daemon does.
+// applySubscriptionUpdate applies an update that a proxy received in the session with the registry at an address, as
+// the proxy's daemon does.
 func (w *World) applySubscriptionUpdate(node *proxyNode, address string, update *schema.Update) {
 	now := node.localTime(w.now)
 	before := node.journal.View().ConfigRevision()
@@ -207,7 +212,8 @@
 	}
 	for _, source := range update.Sources {
 		version := source.Version
-		// The directory holds the proxy's own source of an incarnation that ended or is newer: go beyond it.
+		// The service directory has the proxy's own source under an incarnation that has ended or is newer. The proxy must
+		// publish under a higher one.
 		if source.Name == node.name && session.IsSuperseded(node.incarnation, version.GetIncarnation(), version.GetEnded()) {
 			node.incarnation = w.nextIncarnation(version.GetIncarnation())
 			w.sendReport(node, true)
--- a/internal/simulator/subscription.go
+++ b/internal/simulator/subscription.go
@@ -10,34 +10,35 @@
 	"meadowhinge/schema"
 )
 
-// servingLease is the duration that the intervals and timeouts of sessions are fractions of, where proxies serve stale.
+// servingLease is the base of all intervals and timeouts of sessions, with Options.ServeStale.
 const servingLease = 4 * time.Second
 
-// subscription is a session of a proxy or another registry (the client) with a registry (the server). Updates arrive in
-// order; a lost one ends the subscription. Only events use it.
+// subscription is a session of a proxy or another registry (the client) with a registry (the server). Updates arrive
+// in order. The loss of an update ends the subscription. Only events use it.
 type subscription struct {
 	server     *registryNode
-	serverRun  int // run of the server that serves it; 0 until the request has reached the server
+	serverRun  int // run of the server that serves the client; 0 until the request has reached the server
 	client     *process
-	clientRun  int
-	peer       bool // the client is a registry
-	tentative  bool // the client has another session and only probes this one
-	closed     bool // no update is sent or handled any more
-	handle     func(*schema.Update)
-	inbox      []*schema.Update // updates that arrived and are not handled yet, for example by a frozen client
-	lastSentAt time.Duration
-	// lastArrivalAt is when the last update sent arrives; the next arrives later, which keeps the order.
+	clientRun  int                  // run of the client that opened the subscription
+	peer       bool                 // the client is a registry
+	tentative  bool                 // the client probes the server beside its current session
+	closed     bool                 // no update is sent or handled anymore
+	handle     func(*schema.Update) // applies an update at the client
+	inbox      []*schema.Update     // updates that have arrived but are not handled yet, in order
+	lastSentAt time.Duration        // virtual time at which the server last sent an update
+	// lastArrivalAt is the virtual time at which the last update sent arrives. The next one arrives later, which keeps
+	// the order.
 	lastArrivalAt time.Duration
 
-	// What the server has sent already.
-	position        *registry.SessionCursor // of the sources
-	revision        uint64                  // of the configuration
-	fleetSize       uint32
-	sentCoreMembers bool
-	started         bool // the first update is sent
+	// The state of the server: how much it has sent already.
+	position        *registry.SessionCursor // position in the sources of the service directory
+	revision        uint64                  // revision of the configuration
+	fleetSize       uint32                  // last fleet size sent, in proxies
+	sentCoreMembers bool                    // the core members are sent
+	started         bool                    // the first update is sent
 }
 
-// coreMembers returns the members of the core as registries announce them.
+// coreMembers returns the core members as registries announce them.
 func (w *World) coreMembers() []*schema.CoreMember {
 	var members []*schema.CoreMember
 	for i, node := range w.registries {
@@ -46,7 +47,8 @@
 	return members
 }
 
-// openSubscription opens a subscription. onReached runs at the server when the request arrives.
+// openSubscription sends the request for a subscription to its server. When the request arrives, onReached runs and
+// the server begins to serve.
 func (w *World) openSubscription(sub *subscription, onReached func()) {
 	sub.clientRun = sub.client.processRun
 	w.send(sub.client, &sub.server.process, func() {
@@ -59,12 +61,13 @@
 	})
 }
 
-// isBroken reports whether the server finds the subscription ended.
+// isBroken reports whether the subscription has ended from the server's point of view.
 func (s *subscription) isBroken() bool {
 	return s.closed || !s.client.up || s.client.processRun != s.clientRun
 }
 
-// serveSubscription sends a due update or heartbeat to the client and schedules itself again, until the subscription ends.
+// serveSubscription sends an update or a heartbeat to the client if one is due, and schedules itself again until the
+// subscription ends.
 func (w *World) serveSubscription(sub *subscription) {
 	server := sub.server
 	if sub.isBroken() {
@@ -75,7 +78,7 @@
 		return
 	}
 	update, isDue := w.nextUpdate(sub)
-	const heartbeatsPerPeerUpdate = 4 // registries send each other fewer heartbeats than they send proxies
+	const heartbeatsPerPeerUpdate = 4 // heartbeat intervals of a proxy session in one of a session between registries
 	interval := servingLease / session.HeartbeatsPerLease
 	if sub.peer {
 		interval = heartbeatsPerPeerUpdate * servingLease / session.HeartbeatsPerLease
@@ -83,7 +86,7 @@
 	if isDue || w.now-sub.lastSentAt >= interval {
 		sub.lastSentAt = w.now
 		if !w.sendUpdate(sub, update) {
-			// The transport ends a connection on which nothing is acknowledged for a while.
+			// The transport closes a connection on which nothing is acknowledged for a while.
 			w.scheduleOn(&server.process, servingLease/8, func() {
 				sub.closed = true
 				w.serveSubscription(sub)
@@ -94,7 +97,8 @@
 	w.scheduleOn(&server.process, pollInterval, func() { w.serveSubscription(sub) })
 }
 
-// sendUpdate sends an update to the client. It returns false if the link loses it.
+// sendUpdate sends an update to the client, which handles updates in the order sent. It returns false if the link
+// loses the update or is cut.
 func (w *World) sendUpdate(sub *subscription, update *schema.Update) bool {
 	server := &sub.server.process
 	delay, lost := w.sampleLink(server, sub.client, w.random)
@@ -119,8 +123,8 @@
 	return true
 }
 
-// nextUpdate returns the next update of a subscription as the server's daemon builds it, and whether it must be sent
-// before the next heartbeat.
+// nextUpdate returns the next update of a subscription as the server's daemon builds it. isDue reports whether the
+// update must be sent without waiting for the next heartbeat.
 func (w *World) nextUpdate(sub *subscription) (update *schema.Update, isDue bool) {
 	node := sub.server
 	now := w.uptime(node)
--- a/internal/simulator/worker.go
+++ b/internal/simulator/worker.go
@@ -7,30 +7,31 @@
 	"meadowhinge/internal/dispatch"
 )
 
-// workerNode is a fake worker beside a proxy.
+// workerNode is a fake worker that runs beside a proxy and registers with it.
 type workerNode struct {
 	name, address, service, version, token string
-	proxy                                  *proxyNode
-	up                                     bool // World.lock guards it
-	draining                               bool
-	conns                                  connections
-	startedAt                              time.Duration
-	warmup                                 time.Duration // for which it is slow after its start
-	predecessor                            *workerNode   // whose connections it took over, or nil
-	dropsResponses                         bool          // it executes calls and closes the connection
-	truncatesResponses                     bool          // it sends half of the body
+	proxy                                  *proxyNode    // proxy that the worker registers with
+	up                                     bool          // whether the worker runs; World.lock guards changes
+	draining                               bool          // the worker has reported that it is draining
+	conns                                  connections   // connections that the worker accepted
+	startedAt                              time.Duration // virtual time
+	warmup                                 time.Duration // how long the worker is slow after its start
+	predecessor                            *workerNode   // worker whose connections this one took over, or nil
+	dropsResponses                         bool          // fault: executes calls, then closes the connection
+	truncatesResponses                     bool          // fault: sends only half of the body
 }
 
 // Degradation is how an unhealthy version behaves.
 type Degradation struct {
 	From           time.Duration // start in virtual time
 	Until          time.Duration // end in virtual time; 0 for no end
-	Route          string        // path prefix that it is limited to; empty for all
-	FailureRate    float64       // fraction of its calls that it answers with status 500
-	ExtraLatency   time.Duration // added to each call
-	SlowdownFactor float64       // if positive, calls that would fail take so many times as long instead
-	// LoadThreshold limits it to times when more calls than this are in flight at the version. With the default service
-	// time a positive threshold also makes calls take ten times as long, or the load would never be reached.
+	Route          string        // path prefix of the affected calls; empty for all calls
+	FailureRate    float64       // fraction of the affected calls that are answered with status 500
+	ExtraLatency   time.Duration // latency added to each affected call
+	SlowdownFactor float64       // if positive, calls that would fail take this multiple of their time instead
+	// LoadThreshold restricts the degradation to times when more calls than this are in flight at the version. With the
+	// default service time, a positive threshold also makes calls take ten times as long; otherwise the load would never
+	// be reached.
 	LoadThreshold int
 }
 
@@ -39,23 +40,24 @@
 	return now >= d.From && (d.Until <= 0 || now < d.Until)
 }
 
-// heartbeatInterval is how often a worker describes itself to its proxy.
+// heartbeatInterval is the interval at which a worker sends its description to its proxy.
 const heartbeatInterval = time.Second
 
-// initialWorkers are the service and version of each worker at the start, spread over the proxies in turn.
+// initialWorkers lists the service and version of each worker that a fleet begins with. The workers are assigned to
+// the proxies round-robin.
 var initialWorkers = [][2]string{
 	{"shop", "1"}, {"shop", "2"}, {"saves", "1"}, {"shop", "1"},
 	{"saves", "2"}, {"shop", "2"}, {"saves", "1"}, {"saves", "2"},
 }
 
-// startInitialWorkers starts the workers that a fleet begins with.
+// startInitialWorkers starts the initialWorkers.
 func (w *World) startInitialWorkers() {
 	for i, worker := range initialWorkers {
 		w.startWorker(w.proxies[i%len(w.proxies)], worker[0], worker[1], "")
 	}
 }
 
-// startWorker starts a worker beside a proxy, at the given address or, if that is empty, at a new one.
+// startWorker starts a worker beside a proxy. An empty address selects a new one.
 func (w *World) startWorker(proxy *proxyNode, service, version, address string) *workerNode {
 	if address == "" {
 		w.addressesUsed++
@@ -88,7 +90,8 @@
 	return worker
 }
 
-// describeWorker sends the description of a worker to its proxy; a proxy that is down does not receive it.
+// describeWorker sends the description of a worker to its proxy, as registration, heartbeat or, if terminated,
+// deregistration. A proxy that is down does not receive it.
 func (w *World) describeWorker(worker *workerNode, terminated bool) {
 	proxy := worker.proxy
 	if !proxy.up {
@@ -108,20 +111,20 @@
 	}
 	workers := proxy.workers
 	w.scheduleOn(&proxy.process, time.Millisecond, func() {
-		// The proxy may refuse the registration, for example of a worker whose address another has taken; the worker
-		// then tries again with its next heartbeat.
+		// The proxy may refuse the registration, for example if another worker has taken the address. The worker tries
+		// again with its next heartbeat.
 		_, _ = workers.Register(description)
 	})
 }
 
-// drainWorker makes a worker report that it is draining.
+// drainWorker makes a worker report to its proxy that it is draining.
 func (w *World) drainWorker(worker *workerNode) {
 	worker.draining = true
 	w.History.recordDeparture(worker.token, w.now)
 	w.describeWorker(worker, false)
 }
 
-// killWorker ends a worker at once: every connection breaks, those that it took over too.
+// killWorker ends a worker at once. All its connections break, including those that it took over.
 func (w *World) killWorker(worker *workerNode) {
 	w.lock.Lock()
 	wasUp := worker.up
@@ -138,8 +141,8 @@
 	}
 }
 
-// takeOverConnections replaces a worker by one of another service at the same address without breaking a connection, as
-// a load balancer in front of the workers does that keeps connections open.
+// takeOverConnections replaces a worker with one of another service at the same address without breaking a connection.
+// This happens behind a load balancer that keeps connections open.
 func (w *World) takeOverConnections(old *workerNode, service string) *workerNode {
 	w.lock.Lock()
 	old.up = false
@@ -150,7 +153,7 @@
 	return replacement
 }
 
-// otherService returns the other one of the two services.
+// otherService returns the service of a mesh that is not the given one.
 func otherService(service string) string {
 	if service == "saves" {
 		return "shop"
@@ -158,8 +161,8 @@
 	return "saves"
 }
 
-// replaceWorker starts a replacement, drains the old worker and ends it, and lets a worker of the other service reuse
-// its address for a while.
+// replaceWorker starts a replacement for a worker, drains the old worker and ends it. Then a worker of the other
+// service reuses its address for a while.
 func (w *World) replaceWorker(old *workerNode) {
 	w.startWorker(old.proxy, old.service, old.version, "")
 	w.schedule(300*time.Millisecond, func() {
@@ -177,8 +180,8 @@
 	})
 }
 
-// reuseAddress starts a worker of the other service at the address of an ended one. The new worker ends too, so that
-// the fleet does not grow with every replacement.
+// reuseAddress starts a worker of the other service at the address of a worker that has ended. The new worker ends
+// after 12 s, so that the fleet does not grow with every replacement.
 func (w *World) reuseAddress(old *workerNode) {
 	successor := w.startWorker(old.proxy, otherService(old.service), "1", old.address)
 	w.schedule(10*time.Second, func() {
@@ -189,7 +192,7 @@
 	})
 }
 
-// randomWorker draws an active worker.
+// randomWorker draws one of the active workers.
 func (w *World) randomWorker() *workerNode {
 	all := w.activeWorkers()
 	return all[w.randomInt(len(all))]
--- a/internal/simulator/worker_serve.go
+++ b/internal/simulator/worker_serve.go
@@ -18,7 +18,8 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// dial opens a connection from a proxy to the worker that listens at an address now.
+// dial opens a connection from a proxy to the worker that listens at an address now, and adds it to conns. It fails
+// with errs.WorkerConnectFailed if there is no worker or the world is closed.
 func (w *World) dial(address string, conns *connections) (net.Conn, error) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
@@ -40,7 +41,8 @@
 	return w.workersByAddress[address]
 }
 
-// serveConn answers the requests that arrive over one connection to an address, until the connection ends.
+// serveConn serves the requests on one connection to an address until the connection ends. Each request goes to the
+// worker that listens at the address when it arrives.
 func (w *World) serveConn(address string, conn net.Conn) {
 	defer func() { _ = conn.Close() }() // closing a pipe never fails
 	reader := bufio.NewReader(conn)
@@ -57,7 +59,8 @@
 	}
 }
 
-// serveRequest runs one request at a worker and writes the response. It returns false if the connection must close.
+// serveRequest runs one request at a worker and writes the response. It returns false if the connection must be
+// closed. A request with a token other than the worker's is refused with status 421.
 func (w *World) serveRequest(worker *workerNode, request *http.Request, reader *bufio.Reader, conn net.Conn) bool {
 	if request.Header.Get(dispatch.HeaderToken) != worker.token && w.seededFault != SeededTokenIgnored {
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 421 Misdirected\r\n%s: token\r\nContent-Length: 0\r\n\r\n", dispatch.HeaderRefused)
@@ -84,8 +87,8 @@
 	return true
 }
 
-// runWorkerCall spends the service time of a call. In a world whose callers cancel, the end of the connection cuts it
-// short; done is then false. connReadable closes when reader may be used again.
+// runWorkerCall waits for the service time of a call. In a world whose callers cancel, the end of the connection cuts
+// the wait short, and done is false. connReadable is closed when reader may be used again.
 func (w *World) runWorkerCall(
 	reader *bufio.Reader, operationID, requestID string, serviceTime time.Duration,
 ) (connReadable chan struct{}, done bool) {
@@ -100,7 +103,7 @@
 	return connReadable, done
 }
 
-// writeReply writes the response of a worker to a call.
+// writeReply writes the response of a worker to a call: status 500 if the call fails, otherwise 200.
 func writeReply(conn net.Conn, worker *workerNode, operationID string, fails bool) error {
 	body, err := json.Marshal(fakebackend.NewReply(operationID, worker.name, "xxxxxxxxxxxxxxxxxxxx"))
 	if err != nil {
@@ -118,8 +121,9 @@
 	return err
 }
 
-// simulateWork spends the service time, or less if the connection ends before, and reports whether the work was done.
-// It detects the end by reading ahead, which is safe because a proxy sends nothing before it has the response.
+// simulateWork waits for the service time, or less if the connection ends before, and reports whether the work was
+// done. It detects the end of the connection by reading ahead. This is safe because a proxy sends nothing before it
+// has the response. connReadable is closed when the read has returned.
 func simulateWork(reader *bufio.Reader, serviceTime time.Duration) (done bool, connReadable chan struct{}) {
 	closed := make(chan struct{})
 	connReadable = make(chan struct{})
@@ -142,8 +146,8 @@
 // serviceTimeSigma is the standard deviation of the logarithm of service times, which are log-normal.
 const serviceTimeSigma = 0.7
 
-// sampleWorkerCall draws whether a call fails at a worker, and how long it takes there. It counts the call as in flight
-// until endWorkerCall.
+// sampleWorkerCall draws whether a call fails at a worker, and its service time. It counts the call as in flight until
+// endWorkerCall.
 func (w *World) sampleWorkerCall(worker *workerNode, path string, random *rand.Rand) (fails bool, serviceTime time.Duration) {
 	now := w.time()
 	w.lock.Lock()
@@ -179,7 +183,7 @@
 	return true, serviceTime
 }
 
-// degradationOf returns the degradation of a worker, or nil. The caller holds the lock.
+// degradationOf returns the degradation of a worker, or nil. The caller holds World.lock.
 func (w *World) degradationOf(worker *workerNode) *Degradation {
 	if w.halfDegradation != nil && worker.service == "shop" && worker.version == "2" && worker.isInDegradedHalf() {
 		return w.halfDegradation
@@ -187,10 +191,11 @@
 	return w.degradations[[2]string{worker.service, worker.version}]
 }
 
-// isInDegradedHalf reports whether halfDegradation affects the worker: an arbitrary but fixed half of all names.
+// isInDegradedHalf reports whether World.halfDegradation affects the worker. The half is arbitrary but fixed by the
+// name.
 func (worker *workerNode) isInDegradedHalf() bool { return len(worker.name)%2 == int(worker.name[1])%2 }
 
-// endWorkerCall counts a call as not in flight any more.
+// endWorkerCall stops counting a call as in flight.
 func (w *World) endWorkerCall(worker *workerNode) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -9,50 +9,50 @@
 	"time"
 )
 
-// World is one simulated fleet. A scenario creates it, runs it and closes it within one synctest bubble.
+// World is one simulated fleet. A scenario creates, runs and closes it within one synctest bubble.
 type World struct {
 	seed        uint64
 	seededFault SeededFault
-	startTime   time.Time
-	now         time.Duration // of the running event; goroutines call time()
+	startTime   time.Time     // reading of the bubble's clock when the world was created
+	now         time.Duration // virtual time of the running event; goroutines call time() instead
 
-	// lock guards the fields from here to closed, which events and goroutines share.
+	// lock guards the fields from here to closed, except cancellations. Events and goroutines share these fields.
 	lock              sync.Mutex
-	random            *rand.Rand // the random stream of the events
-	lastEventSequence uint64
-	lastID            int
+	random            *rand.Rand // random stream of the events
+	lastEventSequence uint64     // number of events scheduled so far
+	lastID            int        // last number that nextID returned
 	events            eventQueue
-	eventAdded        chan struct{} // wakes Run when a goroutine has scheduled an event
-	partitionedLinks  map[[2]string]bool
-	disturbedAt       map[string]time.Duration // by host: when a fault last touched it
-	lossRate          float64                  // fraction of messages lost
-	maxExtraDelay     time.Duration            // bound of the latency added to each message
-	corruptionRate    float64                  // fraction of responses between proxies that are altered in transit
+	eventAdded        chan struct{}            // wakes Run when a goroutine has scheduled an event
+	partitionedLinks  map[[2]string]bool       // links that are cut, as pairs of sending and receiving host
+	disturbedAt       map[string]time.Duration // by host: when a fault last affected it; may be in the future
+	lossRate          float64                  // fraction of messages between hosts that are lost
+	maxExtraDelay     time.Duration            // upper bound of the random latency added to each message
+	corruptionRate    float64                  // fraction of responses between proxies that are corrupted in transit
 	duplicationRate   float64                  // fraction of requests between proxies that arrive twice
-	workersByAddress  map[string]*workerNode
-	cancellations     cancellations // has a lock of its own
-	closed            bool          // the run is over: no call starts any more
+	workersByAddress  map[string]*workerNode   // by address: the worker that listens there now
+	cancellations     cancellations            // has a lock of its own
+	closed            bool                     // set by Close: no call and no connection starts anymore
 
 	members    []*memberNode
 	registries []*registryNode
 	proxies    []*proxyNode
-	workers    []*workerNode // lock guards appending
+	workers    []*workerNode // all workers ever started; appended with lock held
 
-	degradations    map[[2]string]*Degradation // by service and version
-	halfDegradation *Degradation               // of half of the workers of an ordered version
-	faults          []*faultRecord             // in the order of their starts
-	addressesUsed   int                        // worker addresses handed out
+	degradations    map[[2]string]*Degradation // by service and version; only events change it
+	halfDegradation *Degradation               // of half of the workers of shop version 2, or nil; only events change it
+	faults          []*faultRecord             // in the order of their starts; only events append
+	addressesUsed   int                        // number of worker addresses handed out
 
-	// lastRestarted is the proxy that was last shut down gracefully, lastRestartedRun the run that ended.
+	// lastRestarted is the proxy that was last shut down gracefully, lastRestartedRun the number of its run that ended.
 	lastRestarted    *proxyNode
 	lastRestartedRun int
 
 	Options      Options
-	onWorkerCall func(worker *workerNode, bad bool) // if set, called with lock held for each call that a worker begins
+	onWorkerCall func(worker *workerNode, bad bool) // if not nil, called with lock held for each call that a worker begins
 	History      *History
 }
 
-// NewWorld creates a fleet from a seed and starts all its processes, except for Options.Empty. The world must be
+// NewWorld creates a fleet from a seed and starts all its processes, or none with Options.Empty. The world must be
 // created, run and closed inside one synctest bubble.
 func NewWorld(seed uint64, seededFault SeededFault, options Options) *World {
 	if options.RetryFloor == 0 {
@@ -88,7 +88,7 @@
 	return w
 }
 
-// createNodes creates the members, registries and proxies of a mesh; none of them is up yet.
+// createNodes creates the members, registries and proxies of a mesh without starting them.
 func (w *World) createNodes() {
 	for i := range memberCount {
 		w.members = append(w.members, &memberNode{
@@ -117,20 +117,20 @@
 		name: name,
 		clock: clock{
 			offset: time.Duration(w.random.Int64N(int64(time.Hour))),
-			rate:   0.995 + 0.01*w.random.Float64(), // within the clock drift that the slack of a lease allows for
+			rate:   0.995 + 0.01*w.random.Float64(), // within the clock drift that a lease allows for
 		},
 	}
 }
 
-// withLock runs a change of shared state with the lock held.
+// withLock runs a change of shared state with World.lock held.
 func (w *World) withLock(change func()) {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	change()
 }
 
-// Run executes events in the order of their due times until virtual time reaches until. It waits for all goroutines
-// of the bubble to block before each event.
+// Run executes events in the order of their due times until virtual time reaches until. Before each event it waits
+// until all goroutines of the bubble are blocked.
 func (w *World) Run(until time.Duration) {
 	for {
 		synctest.Wait()
@@ -164,7 +164,7 @@
 }
 
 // Close drops all scheduled events and stops every worker and process, so that no goroutine outlives the bubble. The
-// history records nothing after it. Close must be called once, after the last Run.
+// history records no outcome of an attempt afterwards. Close must be called once, after the last Run.
 func (w *World) Close() {
 	w.History.lock.Lock()
 	w.History.closed = true
@@ -185,6 +185,6 @@
 	for _, node := range w.registries {
 		w.stopProcess(&node.process)
 	}
-	// Callers time out, and the goroutines of the HTTP client end, within a minute.
+	// Callers time out within a minute, and the goroutines of the HTTP client end with them.
 	time.Sleep(2 * time.Minute)
 }
