--- a/internal/simulator/checks_call.go
+++ b/internal/simulator/checks_call.go
@@ -11,7 +11,7 @@
 	"meadowhinge/schema"
 )
 
-// recordDispatch records a dispatch by a proxy and checks the configuration that it was decided by.
+// recordDispatch records that a proxy dispatches an attempt, and checks the configuration that it is decided by.
 func (h *History) recordDispatch(now time.Duration, node *proxyNode, request *schema.ForwardRequest) {
 	isWellConnected := !h.world.Options.ServeStale || h.world.isWellConnected(node)
 	h.lock.Lock()
@@ -21,7 +21,7 @@
 	h.checkRevisionIncreases(now, node, request)
 	for key := range h.invalidItems {
 		if item := node.journal.View().Items()[key]; item != nil {
-			h.recordViolation(ViolationInvalidConfig, "%v: %s holds %s", now, node.name, key)
+			h.recordViolation(ViolationInvalidConfig, "%v: %s has the invalid item %s", now, node.name, key)
 		}
 	}
 	if isRetry := !strings.HasSuffix(request.Request, "-1"); isRetry {
@@ -29,12 +29,13 @@
 	}
 }
 
-// checkFreshness checks that a dispatch was not decided by a revision older than an acknowledged one. Under leases this
-// binds every proxy at once; where proxies serve stale, only those in touch, after the propagation bound.
+// checkFreshness checks that a dispatch was not decided by a revision older than an acknowledged one. Under leases
+// every proxy must obey at once. With Options.ServeStale only well-connected proxies must, after the propagation
+// bound. The caller holds History.lock.
 func (h *History) checkFreshness(now time.Duration, node *proxyNode, request *schema.ForwardRequest, isWellConnected bool) {
 	if !h.world.Options.ServeStale {
 		if request.Revision < h.lastAcknowledged {
-			h.recordViolation(ViolationStaleConfig, "%v: %s sent %s by %d; %d was acknowledged",
+			h.recordViolation(ViolationStaleConfig, "%v: %s dispatched %s by revision %d; revision %d was acknowledged",
 				now, node.name, request.Request, request.Revision, h.lastAcknowledged)
 		}
 		return
@@ -44,43 +45,43 @@
 	}
 	h.WellConnectedDecisions++
 	if minRevision := h.acknowledgedAt(now - fakebackend.ConfigPropagationBound); request.Revision < minRevision {
-		h.recordViolation(ViolationStaleConfig, "%v: %s, in touch, sent %s by %d; %d was acknowledged %v before",
+		h.recordViolation(ViolationStaleConfig, "%v: %s, well connected, dispatched %s by revision %d; revision %d was acknowledged %v before",
 			now, node.name, request.Request, request.Revision, minRevision, fakebackend.ConfigPropagationBound)
 	}
 }
 
-// checkRevisionIncreases checks that a proxy never goes back to an older revision. A proxy that serves stale knows its
-// configuration only within one run of its process.
+// checkRevisionIncreases checks that a proxy never goes back to an older revision. With Options.ServeStale this
+// applies only within one run of the proxy. The caller holds History.lock.
 func (h *History) checkRevisionIncreases(now time.Duration, node *proxyNode, request *schema.ForwardRequest) {
 	if h.processRuns[node.name] != node.processRun && h.world.Options.ServeStale {
 		h.lastUsedRevision[node.name] = 0
 		h.processRuns[node.name] = node.processRun
 	}
 	if request.Revision < h.lastUsedRevision[node.name] {
-		h.recordViolation(ViolationRevisionDecreased, "%v: %s sent %s by %d after %d",
+		h.recordViolation(ViolationRevisionDecreased, "%v: %s dispatched %s by revision %d after revision %d",
 			now, node.name, request.Request, request.Revision, h.lastUsedRevision[node.name])
 	}
 	h.lastUsedRevision[node.name] = max(h.lastUsedRevision[node.name], request.Revision)
 }
 
-// recordRun records that a worker runs a request and checks that it may.
+// recordRun records that a worker runs a request, and checks that the worker may run it.
 func (h *History) recordRun(
 	now time.Duration, worker *workerNode, id string, attemptNumber int, caller, requestID string, failed bool,
 ) {
-	// A proxy that froze between its last check and the dispatch is bound by its lease or, where there is none,
-	// only while it is in touch.
+	// A proxy may freeze between its last check and the dispatch. A lease bounds that delay. With Options.ServeStale
+	// there is none, so the draining bound applies only to undisturbed proxies.
 	bound := !h.world.Options.ServeStale || h.world.isProxyUndisturbed(worker.proxy)
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.WorkerRuns++
 	requested := h.operations[id]
 	if requested == nil || requested.caller != caller || requested.service != worker.service {
-		h.recordViolation(ViolationUnauthorizedRun, "%v: %s ran %s (%s) as from %q", now, worker.name, id, requestID, caller)
+		h.recordViolation(ViolationUnauthorizedRun, "%v: %s ran operation %q (request %s) for caller %q", now, worker.name, id, requestID, caller)
 		return
 	}
 	requested.runs = append(requested.runs, workerRun{worker, now, attemptNumber, requestID, 0})
 	if at, departed := h.departedAt[worker.token]; departed && bound && now > at+fakebackend.DrainingBound {
-		h.recordViolation(ViolationCallAfterDrain, "%v: %s ran %s %v after it left", now, worker.name, id, now-at)
+		h.recordViolation(ViolationCallAfterDrain, "%v: %s ran %s %v after it began to drain or ended", now, worker.name, id, now-at)
 	}
 	h.checkAllowed(now, worker, requested, attemptNumber)
 	for _, bad := range h.badVersions {
@@ -88,15 +89,16 @@
 	}
 }
 
-// checkAllowed checks that a configuration allows the run: one that was in force when the attempt was sent, or came
-// into force later. The attempt is recorded only when it ends; until then the start of the operation stands for it.
+// checkAllowed checks that a run is allowed by a configuration that was in force when the attempt was sent, or came
+// into force later. While the attempt is not recorded, because it has not ended, its time is that of the operation's
+// start. The caller holds History.lock.
 func (h *History) checkAllowed(now time.Duration, worker *workerNode, requested *operation, attemptNumber int) {
 	sentAt := requested.startedAt
 	if attemptNumber < len(requested.attempts) {
 		sentAt = requested.attempts[attemptNumber].sentAt
 	}
 	minRevision := h.acknowledgedAt(sentAt - fakebackend.ConfigPropagationBound)
-	// A proxy out of touch may serve by any configuration that ever existed.
+	// A proxy that is not well connected may serve by any configuration that ever existed.
 	if h.world.Options.ServeStale {
 		minRevision = 0
 	}
@@ -109,11 +111,12 @@
 			return
 		}
 	}
-	h.recordViolation(ViolationDisallowedCall, "%v: %s of version %s ran %s from %s; no setup since %d allows it",
+	h.recordViolation(ViolationDisallowedCall, "%v: %s of version %s ran %s for caller %s; no configuration since revision %d allows it",
 		now, worker.name, worker.version, requested.id, requested.caller, minRevision)
 }
 
-// countBadVersionCall counts a run for a bad version while the version is unhealthy.
+// countBadVersionCall counts a run against a bad version of its service while the version is unhealthy. The caller
+// holds History.lock.
 func (h *History) countBadVersionCall(now time.Duration, bad *badVersion, worker *workerNode, failed bool) {
 	if bad.service != worker.service {
 		return
@@ -139,11 +142,11 @@
 	}
 }
 
-// recordOutcome records how an attempt ended for its caller and checks the result.
+// recordOutcome records how an attempt ended for its caller, and checks the result.
 func (h *History) recordOutcome(now time.Duration, operation *operation, attempt *callerAttempt) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
-	// Attempts in flight when the run ends have no outcome.
+	// Attempts in flight at World.Close have no outcome.
 	if h.closed {
 		return
 	}
@@ -164,7 +167,7 @@
 	}
 	h.checkPlan(now, operation, attempt)
 	if attempt.result.Err != nil {
-		// A caller whose permission was withdrawn is rejected rightly.
+		// The rejection is right if the caller has lost its permission.
 		if errs.CodeOf(attempt.result.Err) != errs.CallerNotAllowed {
 			h.recordRejection(attempt, string(errs.CodeOf(attempt.result.Err)))
 		}
@@ -177,7 +180,8 @@
 	h.checkResponse(now, operation, attempt.result.Response)
 }
 
-// checkPlan checks the configuration revision that an attempt was planned by.
+// checkPlan checks that an attempt was not planned by a configuration that was outdated when the attempt was sent.
+// With Options.ServeStale it only counts blocked calls. The caller holds History.lock.
 func (h *History) checkPlan(now time.Duration, operation *operation, attempt *callerAttempt) {
 	callPlan := attempt.result.Plan
 	if callPlan == nil {
@@ -185,7 +189,7 @@
 	}
 	minRevision := h.acknowledgedAt(attempt.sentAt - fakebackend.ConfigPropagationBound)
 	if !h.world.Options.ServeStale && callPlan.Verdict.ConfigRevision < minRevision {
-		h.recordViolation(ViolationStaleConfig, "%v: %s, asked at %v, was handled by %d; %d had been acknowledged",
+		h.recordViolation(ViolationStaleConfig, "%v: %s, sent at %v, was planned by revision %d; revision %d had been acknowledged",
 			now, operation.id, attempt.sentAt, callPlan.Verdict.ConfigRevision, minRevision)
 	}
 	if callPlan.Verdict.Reason == plan.ReasonVersionBlocked {
@@ -194,18 +198,20 @@
 }
 
 // checkResponse checks that a response belongs to the operation and is intact, and that a worker ran the operation.
+// The caller holds History.lock.
 func (h *History) checkResponse(now time.Duration, operation *operation, response *schema.ForwardResponse) {
 	var got fakebackend.Reply
 	if json.Unmarshal(response.Body, &got) != nil || got.Operation != operation.id || !got.IsIntact() {
-		h.recordViolation(ViolationWrongResponse, "%v: %s got %q", now, operation.id, response.Body)
+		h.recordViolation(ViolationWrongResponse, "%v: %s got the response %q", now, operation.id, response.Body)
 	}
 	if len(operation.runs) == 0 {
-		h.recordViolation(ViolationWrongResponse, "%v: %s was answered and had not run", now, operation.id)
+		h.recordViolation(ViolationWrongResponse, "%v: %s got a response, but no worker ran it", now, operation.id)
 	}
 }
 
-// recordRejection counts a valid call that was rejected under the fault that may have caused it. A rejection without
-// such a fault is a breach.
+// recordRejection counts the rejection of a valid call under the fault that may have caused it. A rejection without
+// such a fault is a violation. The caller holds History.lock. The golden digests cover the keys of
+// History.Rejections.
 func (h *History) recordRejection(attempt *callerAttempt, cause string) {
 	overlaps := func(record *faultRecord) bool {
 		return record.startedAt <= attempt.finishedAt &&
@@ -220,14 +226,14 @@
 		if record.hitsCore {
 			coreFaults++
 		}
-		// The loss of one core host costs nothing; together with another fault of the core it may cost a majority.
+		// The loss of one core host must cost nothing. Two at a time may cost a majority of the registries.
 		if record.mayReject || coreFaults > 1 {
 			blamed = record.name
 			break
 		}
 	}
 	if blamed == "" {
-		h.recordViolation(ViolationCauselessRejection, "%v: asked at %v at %s: %s",
+		h.recordViolation(ViolationCauselessRejection, "%v: attempt sent at %v to %s was rejected: %s",
 			attempt.finishedAt, attempt.sentAt, attempt.proxy.name, cause)
 		blamed = "no fault"
 	}
--- a/internal/simulator/checks_config.go
+++ b/internal/simulator/checks_config.go
@@ -9,7 +9,7 @@
 	"meadowhinge/schema"
 )
 
-// observeMember records the committed revision that a member shows and checks its content.
+// observeMember records the committed revision of a member and checks its content, if the revision has changed.
 func (w *World) observeMember(node *memberNode) {
 	committed, state := node.replica.Committed()
 	h := w.History
@@ -33,8 +33,9 @@
 	}
 }
 
-// checkContent checks that every process shows the same content at a sequence. Items are compared by the sequence of
-// the change that set them; deleted items count as absent, because copies purge their tombstones at different times.
+// checkContent checks that a process shows the same content at a sequence as every other process. It compares items
+// by the sequence of the change that set them. Deleted items count as absent, because copies purge their tombstones
+// at different times.
 func (h *History) checkContent(now time.Duration, name string, sequence uint64, state config.State) {
 	sum := fnv.New64a()
 	for _, item := range state.Items() {
@@ -54,11 +55,11 @@
 	if existing, found := h.contentBySequence[sequence]; !found {
 		h.contentBySequence[sequence] = fingerprint
 	} else if existing != fingerprint {
-		h.recordViolation(ViolationDivergedState, "%v: %s shows %q; another showed %q", now, name, fingerprint, existing)
+		h.recordViolation(ViolationDivergedState, "%v: %s has content %q; another process has %q", now, name, fingerprint, existing)
 	}
 }
 
-// recordRuling records the ruling on a change and checks that a change never gets another ruling later.
+// recordRuling records the ruling on a change and checks that the change had no other ruling before.
 func (h *History) recordRuling(now time.Duration, id string, ruling schema.Ruling) {
 	if ruling == schema.Ruling_RULING_UNKNOWN {
 		return
@@ -66,7 +67,7 @@
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	if existing, found := h.rulings[id]; found && existing != ruling {
-		h.recordViolation(ViolationRulingChanged, "%v: %s was %v and is now %v", now, id, existing, ruling)
+		h.recordViolation(ViolationRulingChanged, "%v: the ruling on change %s was %v and is now %v", now, id, existing, ruling)
 	}
 	h.rulings[id] = ruling
 	if ruling != schema.Ruling_RULING_ACCEPTED {
--- a/internal/simulator/checks_end.go
+++ b/internal/simulator/checks_end.go
@@ -10,7 +10,7 @@
 	"meadowhinge/internal/fakebackend"
 )
 
-// checkAtEnd checks the rules that need the complete history. It is called once, after World.Close.
+// checkAtEnd checks the invariants that need the complete history. It is called once, after World.Close.
 func (h *History) checkAtEnd() {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -32,7 +32,7 @@
 	}
 }
 
-// checkRanOnce checks that a non-idempotent operation ran at most once.
+// checkRanOnce checks that a non-idempotent operation ran at most once. The caller holds History.lock.
 func (h *History) checkRanOnce(operation *operation) {
 	if !operation.nonIdempotent || len(operation.runs) <= 1 {
 		return
@@ -41,23 +41,24 @@
 	for _, run := range operation.runs {
 		runs = append(runs, fmt.Sprintf("%s at %s (%s) at %v", run.requestID, run.worker.name, run.worker.proxy.name, run.at))
 	}
-	h.recordViolation(ViolationRanTwice, "%s (keyed %v) ran %d times: %s; asked %s",
+	h.recordViolation(ViolationRanTwice, "%s (with an idempotency key: %v) ran %d times: %s; attempts: %s",
 		operation.id, operation.keyed, len(operation.runs), strings.Join(runs, ", "), operation.outcomes())
 }
 
-// checkNotExecuted checks that no attempt ran whose caller was told that it was not executed.
+// checkNotExecuted checks that no attempt ran whose caller was told that it was not executed. The caller holds
+// History.lock.
 func (h *History) checkNotExecuted(operation *operation) {
 	for attemptNumber, attempt := range operation.attempts {
 		for _, run := range operation.runs {
 			if run.attemptNumber == attemptNumber && attempt.outcome == outcomeNotExecuted {
-				h.recordViolation(ViolationNotExecutedRan, "%s ran at %v and was told %s", operation.id, run.at, operation.outcomes())
+				h.recordViolation(ViolationNotExecutedRan, "%s ran at %v, although one of its attempts was reported as not executed: %s", operation.id, run.at, operation.outcomes())
 			}
 		}
 	}
 }
 
-// checkRetryBudget checks, in a window that ends at each retry of a service, the number of retries against the number
-// of calls. It sorts both lists of times.
+// checkRetryBudget checks the retry budget of a service in each window that ends at a retry: the retries in the window
+// against the attempts of callers in it. It sorts both lists of times. The caller holds History.lock.
 func (h *History) checkRetryBudget(service string, calls, retries []time.Duration) {
 	slices.Sort(calls)
 	slices.Sort(retries)
@@ -71,21 +72,22 @@
 		end := sort.Search(len(calls), func(i int) bool { return calls[i] > at })
 		retriesInWindow, callsInWindow := i-oldest+1, end-first
 		if float64(retriesInWindow) > fakebackend.RetryBudgetRatio*float64(callsInWindow)+h.world.Options.RetryFloor {
-			h.recordViolation(ViolationRetryBudget, "%v: %s had %d extra tries on %d calls in ten seconds",
-				at, service, retriesInWindow, callsInWindow)
+			h.recordViolation(ViolationRetryBudget, "%v: service %s had %d retries for %d calls within %v",
+				at, service, retriesInWindow, callsInWindow, fakebackend.RetryBudgetWindow)
 		}
 	}
 }
 
-// checkExposure checks how many calls a bad version got, and when it got the last.
+// checkExposure checks how many calls a bad version got, and that it got none too long after its failure limit. The
+// caller holds History.lock.
 func (h *History) checkExposure(bad *badVersion) {
 	limit := fakebackend.FaultyVersionRatio*float64(bad.serviceCalls) + fakebackend.FaultyVersionFloor
 	if float64(bad.versionCalls) > limit {
-		h.recordViolation(ViolationBadVersionExposure, "%s %s got %d of %d calls since it was bad, %d of them failures",
-			bad.service, bad.version, bad.versionCalls, bad.serviceCalls, bad.failures)
+		h.recordViolation(ViolationBadVersionExposure, "version %s of %s got %d of the %d calls of the service while it was unhealthy; %d of them failed",
+			bad.version, bad.service, bad.versionCalls, bad.serviceCalls, bad.failures)
 	}
 	if bad.lateCallAt > 0 {
-		h.recordViolation(ViolationBadVersionExposure, "%s %s got a call %v after its fiftieth failure",
-			bad.service, bad.version, bad.lateCallAt-bad.failureLimitAt)
+		h.recordViolation(ViolationBadVersionExposure, "version %s of %s got a call %v after its failure number %d",
+			bad.version, bad.service, bad.lateCallAt-bad.failureLimitAt, fakebackend.FaultyVersionFailures)
 	}
 }
--- a/internal/simulator/core_faults.go
+++ b/internal/simulator/core_faults.go
@@ -6,53 +6,56 @@
 	"time"
 )
 
-// lossKind says what a fault of a CoreWorld does to members. While members are removed no links are cut, and the other
-// way round: a partitioned member counts as lost, and the core must not lose members for good meanwhile.
+// lossKind classifies the faults of a CoreWorld by what happens to members. Permanent losses and partitions are never
+// active at the same time. A partitioned member counts as lost, and the core must not lose another one for good
+// meanwhile.
 type lossKind int
 
 const (
-	lossTemporary lossKind = iota // members or disks are back soon
+	lossTemporary lossKind = iota // members, disks or links fail and come back
 	lossPermanent                 // a member is removed for good and replaced
 	lossPartition                 // links are cut
-	lossKindCount
+	lossKindCount                 // number of kinds
 )
 
 // coreFault is a kind of fault of a core without a mesh.
 type coreFault struct {
 	name        string
-	membersLost int // members lost while it lasts
+	membersLost int // number of members that are lost while the fault is active
 	kind        lossKind
-	// inject begins the fault and returns what ends it.
+	// inject begins the fault and returns a function that ends it.
 	inject func(w *CoreWorld) (repair func())
 }
 
-// hitsAll reports whether the fault hits all members at once.
+// hitsAll reports whether the fault hits all members at once. The names of such faults begin with "all".
 func (f coreFault) hitsAll() bool { return strings.HasPrefix(f.name, "all") }
 
-// CoreFaults are all kinds of fault that RunCore injects. Seeds draw them by index, and tests hold the names.
+// CoreFaults lists the kinds of fault that RunCore injects. Seeds draw them by index, so a change of the order changes
+// recorded histories. Tests select faults by name.
 var CoreFaults = []coreFault{
 	{"power lost", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashAndRestart(w.loseRandomMember(), false) }},
 	{"disk lost", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashAndRestart(w.loseRandomMember(), true) }},
-	{"power lost right after a yes", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashLeaderAfterAcknowledgement(false) }},
-	{"disk lost right after a yes", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashLeaderAfterAcknowledgement(true) }},
-	{"machine replaced", 1, lossPermanent, func(w *CoreWorld) func() { return w.replaceMember(false) }},
-	{"machine replaced, and back later", 1, lossPermanent, func(w *CoreWorld) func() { return w.replaceMember(true) }},
-	{"machine frozen", 1, lossTemporary, (*CoreWorld).freezeRandom},
+	{"power lost right after an acknowledgement", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashLeaderAfterAcknowledgement(false) }},
+	{"disk lost right after an acknowledgement", 1, lossTemporary, func(w *CoreWorld) func() { return w.crashLeaderAfterAcknowledgement(true) }},
+	{"member replaced", 1, lossPermanent, func(w *CoreWorld) func() { return w.replaceMember(false) }},
+	{"member replaced, and back later", 1, lossPermanent, func(w *CoreWorld) func() { return w.replaceMember(true) }},
+	{"member frozen", 1, lossTemporary, (*CoreWorld).freezeRandom},
 	{"disk stalls", 1, lossTemporary, (*CoreWorld).stallRandom},
-	{"disk refuses", 1, lossTemporary, (*CoreWorld).failRandomDisk},
+	{"disk writes fail", 1, lossTemporary, (*CoreWorld).failRandomDisk},
 	{"disk slow", 1, lossTemporary, (*CoreWorld).slowRandom},
 	{"all lose power", 0, lossTemporary, func(w *CoreWorld) func() { return w.crashAll(0) }},
 	{"all lose power, and some their disks", 0, lossTemporary, func(w *CoreWorld) func() { return w.crashAll(w.options.MaxLosses) }},
-	{"one cut off", 0, lossPartition, (*CoreWorld).isolateRandom},
-	{"one cut off one way", 0, lossPartition, (*CoreWorld).isolateRandomOneWay},
-	{"split in two", 0, lossPartition, (*CoreWorld).splitInTwo},
-	{"each alone", 0, lossPartition, func(w *CoreWorld) func() { return w.partition(func(string, string) bool { return true }) }},
-	{"one link one way", 0, lossPartition, (*CoreWorld).partitionRandomLink},
+	{"one member isolated", 0, lossPartition, (*CoreWorld).isolateRandom},
+	{"one member isolated in one direction", 0, lossPartition, (*CoreWorld).isolateRandomOneWay},
+	{"core split in two", 0, lossPartition, (*CoreWorld).splitInTwo},
+	{"every member isolated", 0, lossPartition, func(w *CoreWorld) func() { return w.partition(func(string, string) bool { return true }) }},
+	{"one link cut in one direction", 0, lossPartition, (*CoreWorld).partitionRandomLink},
 	{"lossy links", 0, lossTemporary, func(w *CoreWorld) func() { return w.loseMessages() }},
 	{"slow links", 0, lossTemporary, func(w *CoreWorld) func() { return w.delayMessages() }},
 }
 
-// freezeRandom and the methods up to partitionRandomLink begin the fault that their name says and return what ends it.
+// freezeRandom and the methods up to partitionRandomLink begin the fault in their name, at random members, and return
+// a function that ends it.
 func (w *CoreWorld) freezeRandom() func() {
 	node := w.loseRandomMember()
 	w.freeze(&node.process, w.now+w.randomDuration(12*time.Second))
@@ -100,14 +103,14 @@
 	return w.partition(func(a, b string) bool { return a == from && b == to })
 }
 
-// lossRecord is an active fault and the members that are lost by it.
+// lossRecord is a fault that was injected, with the members that it took.
 type lossRecord struct {
 	kind  lossKind
-	count int // members that count as lost
-	nodes []*memberNode
+	count int           // number of members that count as lost until releaseLoss
+	nodes []*memberNode // members whose lost flag the fault has set
 }
 
-// loseRandomMember draws a member that is not lost already and assigns it to the current fault.
+// loseRandomMember draws an active member that is not lost already, marks it as lost and adds it to the current loss.
 func (w *CoreWorld) loseRandomMember() *memberNode {
 	for {
 		if node := w.randomMember(); !node.lost {
@@ -118,7 +121,8 @@
 	}
 }
 
-// crashAndRestart cuts the power of a member and may wipe its disk; it starts again under the same id.
+// crashAndRestart cuts the power of a member, wipes its disk if loseDisk is set, and returns a function that starts it
+// again under the same id.
 func (w *CoreWorld) crashAndRestart(node *memberNode, loseDisk bool) (restart func()) {
 	w.crashMember(node)
 	if loseDisk {
@@ -127,7 +131,8 @@
 	return func() { w.startWithSeeds(node) }
 }
 
-// crashLeaderAfterAcknowledgement waits for the next acknowledgement and crashes the leader at that moment.
+// crashLeaderAfterAcknowledgement crashes the leader at the next acknowledgement and returns a function that starts it
+// again. There is no crash if that function is called first.
 func (w *CoreWorld) crashLeaderAfterAcknowledgement(loseDisk bool) (restart func()) {
 	var restartLeader func()
 	ended, loss := false, w.currentLoss
@@ -148,8 +153,8 @@
 	}
 }
 
-// replaceMember removes a member for good; an empty replacement under another id starts when the fault ends. The old
-// member may come back later, when its place is taken.
+// replaceMember removes a member for good and returns a function that starts an empty replacement under another id. If
+// oldReturns is set, the old member starts again 3 to 13 s after the replacement.
 func (w *CoreWorld) replaceMember(oldReturns bool) (startReplacement func()) {
 	node, loss := w.loseRandomMember(), w.currentLoss
 	w.crashMember(node)
@@ -168,8 +173,8 @@
 	}
 }
 
-// crashAll cuts the power of every member at once and wipes the given number of disks; all members start again within
-// a second.
+// crashAll cuts the power of every active member at once. It wipes the given number of disks if no member
+// counts as lost. All members that are not lost start again within a second.
 func (w *CoreWorld) crashAll(lostDisks int) func() {
 	for i, node := range w.activeMembers() {
 		if node.up {
@@ -187,7 +192,8 @@
 	return nothingToRepair
 }
 
-// partition cuts the links between active members for whose hosts isPartitioned is true, and returns what heals them.
+// partition cuts the links between active members for whose hosts isPartitioned is true, and returns a function that
+// restores them.
 func (w *CoreWorld) partition(isPartitioned func(a, b string) bool) (heal func()) {
 	var links [][2]string
 	for _, a := range w.activeMembers() {
@@ -200,8 +206,8 @@
 	return w.partitionLinks(links)
 }
 
-// injectCoreFaults injects faults until a point in virtual time. No more members are lost at once than the core
-// promises to survive.
+// injectCoreFaults injects faults until a point in virtual time. No more members than CoreOptions.MaxLosses are lost
+// at once.
 func (w *CoreWorld) injectCoreFaults(until time.Duration) {
 	var injectNext func()
 	injectNext = func() {
@@ -258,8 +264,8 @@
 	})
 }
 
-// releaseLoss makes the members of an ended fault count as recovered once the core is complete again, so that the core
-// never loses more than it promises to survive.
+// releaseLoss makes the members of an ended fault count as recovered once the core is complete again. Otherwise the
+// next fault could take more members than the core must survive.
 func (w *CoreWorld) releaseLoss(loss *lossRecord) {
 	if loss.count > 0 && w.incompleteReason() != "" {
 		w.schedule(500*time.Millisecond, func() { w.releaseLoss(loss) })
--- a/internal/simulator/core_operators.go
+++ b/internal/simulator/core_operators.go
@@ -10,14 +10,14 @@
 	"meadowhinge/schema"
 )
 
-// submitPeriodically submits changes at random intervals.
+// submitPeriodically submits changes at random intervals of less than 600 ms.
 func (w *CoreWorld) submitPeriodically() {
 	w.submitCoreChange()
 	w.schedule(w.randomDuration(600*time.Millisecond), w.submitPeriodically)
 }
 
-// submitCoreChange submits a change at a random member, and in a third of the cases a competing change of another
-// operator at a random member.
+// submitCoreChange submits a change at a random member. In a third of the cases it also submits a competing change of
+// another operator at a random member.
 func (w *CoreWorld) submitCoreChange() {
 	change, resent := w.randomCoreChange()
 	w.submitUntilDecided(w.randomMember(), change, resent)
@@ -28,8 +28,8 @@
 	}
 }
 
-// randomCoreChange draws a valid change, an invalid one, or an older one that is sent again as a new call or, if resent,
-// under its own id.
+// randomCoreChange draws a change: a valid one, an invalid one, or the items of an older one. An older change is sent
+// under a new id or, if resent is true, under its own.
 func (w *CoreWorld) randomCoreChange() (change *schema.Change, resent bool) {
 	change = &schema.Change{Id: fmt.Sprint("change-", w.nextID()), ByOperatorVersion: true}
 	switch kind := w.randomInt(10); {
@@ -58,7 +58,8 @@
 	return change, resent
 }
 
-// competingChange returns a change of another operator to the same items, under the same versions or under the next.
+// competingChange returns a change of another operator to the same items: other contents under the same versions, or
+// the next versions.
 func (w *CoreWorld) competingChange(change *schema.Change) *schema.Change {
 	other := &schema.Change{Id: fmt.Sprint("change-", w.nextID()), ByOperatorVersion: change.ByOperatorVersion}
 	sameVersions := w.randomInt(2) == 0
@@ -73,10 +74,10 @@
 	return other
 }
 
-// coreItem returns the name of one of the items that the operators change.
+// coreItem returns the name of the item with an index below coreItemCount.
 func coreItem(index int) string { return fmt.Sprint("s", index) }
 
-// nextItems returns the next versions of random items.
+// nextItems returns the next versions of a number of random items; an item may be drawn more than once.
 func (w *CoreWorld) nextItems(count int) (items []*schema.Item) {
 	for range count {
 		items = append(items, w.nextItem(coreItem(w.randomInt(coreItemCount))))
@@ -84,7 +85,8 @@
 	return items
 }
 
-// nextItem returns the next version of an item. Versions increase by random steps; a quarter of them delete the item.
+// nextItem returns the next version of an item. Versions increase by random steps of one to three. A quarter of them
+// delete the item.
 func (w *CoreWorld) nextItem(name string) *schema.Item {
 	w.issuedVersions[name] += uint64(1 + w.randomInt(3))
 	item := &schema.Item{
@@ -100,7 +102,7 @@
 	return item
 }
 
-// recordContent records a content that an operator sends under a version.
+// recordContent records the content that an operator sends for an item under its version.
 func (w *CoreWorld) recordContent(item *schema.Item) {
 	if w.sentContents[item.Name] == nil {
 		w.sentContents[item.Name] = map[uint64][]string{}
@@ -109,7 +111,7 @@
 	versions[item.OperatorVersion] = append(versions[item.OperatorVersion], string(item.Body))
 }
 
-// conflictingItem returns another content under the version of an item.
+// conflictingItem returns an item of the same name and version with another content.
 func (w *CoreWorld) conflictingItem(of *schema.Item) *schema.Item {
 	item := &schema.Item{
 		Kind:            of.Kind,
@@ -121,9 +123,9 @@
 	return item
 }
 
-// submitUntilDecided proposes a change at a member until it is decided, and moves on to a random member whenever that
-// one does not respond, as a registry does. It gives up after a minute. resent says that the change was sent before
-// under the same id.
+// submitUntilDecided proposes a change at a member again and again until it is decided. Like a registry, it moves on
+// to a random member when the member does not respond. It gives up after a minute. The flag resent tells that the
+// change was sent before under the same id. A change that is not decided within acknowledgementBound is a violation.
 func (w *CoreWorld) submitUntilDecided(node *memberNode, change *schema.Change, resent bool) {
 	began, quietSince := w.now, w.now
 	decided := false
@@ -134,12 +136,12 @@
 		if decided {
 			return true
 		}
-		// The time counts only while no fault is active or was active shortly before.
+		// The bound applies only to times without an active or recent fault.
 		if w.activeFaults > 0 || w.now-w.lastFaultAt < quietPeriod {
 			quietSince = w.now
 		}
 		if w.now-quietSince > acknowledgementBound {
-			w.History.recordViolation(ViolationSlowAcknowledgement, "%v: %s, sent at %v, has no answer", w.now, change.Id, began)
+			w.History.recordViolation(ViolationSlowAcknowledgement, "%v: change %s, sent at %v, is still undecided", w.now, change.Id, began)
 			return true
 		}
 		if w.now-began > time.Minute {
@@ -161,7 +163,7 @@
 	})
 }
 
-// recordCall records a call that changes items for the linearizability check.
+// recordCall records a change of items, from its begin to now, for the linearizability check.
 func (w *CoreWorld) recordCall(client int, change *schema.Change, result linearize.Result, began time.Duration) {
 	for _, item := range change.Items {
 		if item.Kind == "segment" {
@@ -177,7 +179,7 @@
 	}
 }
 
-// valueOf returns the value of an item for the linearizability check; a missing item is absent.
+// valueOf returns the value of an item for the linearizability check. A missing or deleted item is absent.
 func valueOf(item *schema.Item) linearize.Value {
 	if item == nil || item.Deleted {
 		return linearize.Value{Version: item.GetOperatorVersion(), Absent: true}
@@ -185,7 +187,8 @@
 	return linearize.Value{Version: item.OperatorVersion, Content: string(item.Body)}
 }
 
-// resultOf returns the result that a ruling implies for each item of a change. A conflict of several items does not say
+// resultOf returns the result that a ruling implies for each item of a change, for the linearizability check. Only
+// the conflict of a single item that is not resent counts as Conflicted. With several items the ruling does not tell
 // which of them conflicted, and a change that is sent again under its own id gets its first ruling.
 func resultOf(ruling schema.Ruling, resent bool, items int) linearize.Result {
 	switch {
@@ -197,7 +200,8 @@
 	return linearize.Rejected
 }
 
-// propose proposes a change at a member and calls decided with the ruling that the operator gets.
+// propose proposes a change at a member and calls decided with the ruling that the operator gets. An undecided
+// proposal has no ruling.
 func (w *CoreWorld) propose(node *memberNode, change *schema.Change, decided func(schema.Ruling)) {
 	if w.seededFault == SeededOperatorVersionsIgnored {
 		_, state := node.replica.Committed()
@@ -228,7 +232,7 @@
 	}
 }
 
-// recordAcknowledged records an acknowledged change and triggers the faults that wait for one.
+// recordAcknowledged records an acknowledged change and triggers the faults that wait for an acknowledgement.
 func (w *CoreWorld) recordAcknowledged(change *schema.Change, sequence uint64) {
 	w.Acknowledgements++
 	w.History.recordAcknowledgement(w.now, sequence)
@@ -241,13 +245,14 @@
 	w.onAcknowledged = nil
 }
 
-// readPeriodically reads the configuration at a random member at random intervals.
+// readPeriodically reads the configuration at a random member, at random intervals of less than 2 s.
 func (w *CoreWorld) readPeriodically() {
 	w.readAt(w.randomMember())
 	w.schedule(w.randomDuration(2*time.Second), w.readPeriodically)
 }
 
-// readAt reads the whole configuration at a member through a read index, as a registry does, and checks it.
+// readAt reads the whole configuration at a member through a read index, as a registry does. It checks the result and
+// records it for the linearizability check.
 func (w *CoreWorld) readAt(node *memberNode) {
 	if !w.isResponsive(&node.process) {
 		return
--- a/internal/simulator/core_scenario.go
+++ b/internal/simulator/core_scenario.go
@@ -8,52 +8,53 @@
 	"meadowhinge/schema"
 )
 
-// Timing and size of a core scenario.
+// Durations and sizes of a core scenario.
 const (
-	catchUpTime          = 4 * time.Second // for which a member still counts as lost after it is back
-	acknowledgementBound = 4 * time.Second // of a change, while no fault is active or was within quietPeriod
-	quietPeriod          = 3 * time.Second
-	coreItemCount        = 6 // items that the operators change
+	catchUpTime          = 4 * time.Second // how long members still count as lost after their fault ended
+	acknowledgementBound = 4 * time.Second // time to decide a change, while no fault is active or recent (see quietPeriod)
+	quietPeriod          = 3 * time.Second // after a fault, before acknowledgementBound applies
+	coreItemCount        = 6               // number of items that the operators change
 
-	linearizabilityTimeout = time.Minute // of real time, for the check of one item
+	linearizabilityTimeout = time.Minute // real time that the check of one item may take
 )
 
-// CoreOptions describe a core without a mesh.
+// CoreOptions configure a core without a mesh.
 type CoreOptions struct {
-	Members        int           // 3 or 5
-	MaxLosses      int           // members that may be lost at once
-	OnlyFaults     []string      // restricts fault injection to faults of these names; empty allows all
+	Members        int           // number of members, 3 or 5
+	MaxLosses      int           // number of members that may be lost at once
+	OnlyFaults     []string      // restricts fault injection to the CoreFaults with these names; empty allows all
 	FaultyDuration time.Duration // how long faults are injected; 0 for 90 seconds
 }
 
-// CoreWorld is a world of members without registries and proxies: the core founds itself from seeds, members join, are
-// replaced and lose their disks, while operators change items under operator versions. More members and more faults fit
-// into a run than with a mesh. Only events use its fields.
+// CoreWorld is a World of members without registries and proxies. The core founds itself from seeds. Members join,
+// are replaced and lose their disks, while operators change items under operator versions. Compared to a mesh, more
+// members and more faults fit into a run. Only events use its fields.
 type CoreWorld struct {
 	*World
 	options CoreOptions
 
 	// Faults.
-	lastFaultAt        time.Duration // when a fault last began or ended
-	activeFaults       int
-	activeFaultsByKind [lossKindCount]int
-	lostCount          int         // members that count as lost
-	currentLoss        *lossRecord // of the fault that was injected last
-	onAcknowledged     []func()    // called once with the next acknowledgement
+	lastFaultAt        time.Duration      // virtual time at which a fault last began or ended
+	activeFaults       int                // faults that have not been repaired
+	activeFaultsByKind [lossKindCount]int // faults that still count; see releaseLoss
+	lostCount          int                // number of members that count as lost
+	currentLoss        *lossRecord        // record of the fault that was injected last
+	onAcknowledged     []func()           // called at the next acknowledgement, then dropped
 
 	// What operators sent and learned.
-	issuedVersions       map[string]uint64              // by item: the highest version ever sent
-	acknowledgedVersions map[string]uint64              // by item: the highest version acknowledged
-	sentContents         map[string]map[uint64][]string // by item and version
-	sentChanges          []*schema.Change
-	calls                linearize.History
-	unanswered           map[int]func() // by client: records the call as one with an unknown outcome
+	issuedVersions       map[string]uint64              // by item: highest operator version sent
+	acknowledgedVersions map[string]uint64              // by item: highest operator version acknowledged
+	sentContents         map[string]map[uint64][]string // by item and operator version
+	sentChanges          []*schema.Change               // changes without invalid items, which may be sent again
+	calls                linearize.History              // changes and reads, for the linearizability check
+	unanswered           map[int]func()                 // by client of an undecided change: records its outcome as unknown
 
-	// Totals.
+	// Totals. Resends counts the older changes that were sent again.
 	Acknowledgements, Reads, Replacements, Resends int
 }
 
-// RunCore runs one seed of a core without a mesh. It must run inside a synctest bubble.
+// RunCore runs one seed of a core without a mesh: operators change and read items while faults come and go. It
+// returns the closed world, whose History has the violations. It must run inside a synctest bubble.
 func RunCore(seed uint64, seededFault SeededFault, options CoreOptions) *CoreWorld {
 	if options.FaultyDuration == 0 {
 		options.FaultyDuration = 90 * time.Second
@@ -75,7 +76,7 @@
 	w.readPeriodically()
 	until := w.now + options.FaultyDuration
 	w.injectCoreFaults(until)
-	// What is lost recovers soon; otherwise the check at the end reports it.
+	// Lost members have up to a minute to recover. If they do not, the check at the end reports it.
 	for w.Run(until); (w.activeFaults > 0 || w.lostCount > 0) && w.now < until+time.Minute; {
 		w.Run(w.now + time.Second)
 	}
@@ -86,8 +87,8 @@
 	return w
 }
 
-// addMember starts a new member. A founder is one of the first members of the core; those beyond the first three
-// expand it.
+// addMember starts a new member and returns it. Founders are the members that the core begins with. The first three
+// of them found the core, the others expand it.
 func (w *CoreWorld) addMember(name string, isFounder bool) *memberNode {
 	replicaConfig := newReplicaConfig(name, nil, w.options.MaxLosses)
 	if w.seededFault == SeededNoTombstones {
@@ -104,8 +105,8 @@
 	return node
 }
 
-// startWithSeeds starts a member with up to three active members as its seeds. The member itself may be among them, and
-// any of them may be down.
+// startWithSeeds starts a member with up to three random active members as its seeds, or the three founders at
+// virtual time zero. The member itself may be among its seeds, and any of them may be down.
 func (w *CoreWorld) startWithSeeds(node *memberNode) {
 	node.replicaConfig.Seeds = []string{"a", "b", "c"}
 	if w.now > 0 {
@@ -118,7 +119,7 @@
 	w.startMember(node)
 }
 
-// activeMembers returns the members that are not removed.
+// activeMembers returns the members that are not removed; they may be down.
 func (w *CoreWorld) activeMembers() []*memberNode {
 	var all []*memberNode
 	for _, node := range w.members {
--- a/internal/simulator/fault_injection.go
+++ b/internal/simulator/fault_injection.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// drawFault draws a fault among those that the options allow.
+// drawFault draws one of the Faults that the options allow.
 func (w *World) drawFault() *fault {
 	for {
 		chosen := &Faults[w.randomInt(len(Faults))]
-		// It voids the key reservations of a whole window, and with them most of what a seed could show; so it is rare.
+		// A power loss of the whole core voids the key reservations of a whole window. Calls under keys are then refused,
+		// and the seed tests little else. So it is made rare.
 		if chosen.name == corePowerLoss && len(w.Options.OnlyFaults) == 0 && w.randomInt(8) > 0 {
 			continue
 		}
@@ -20,22 +21,22 @@
 	}
 }
 
-// faultInjection lets faults come and go until a point in virtual time.
+// faultInjection begins and ends faults of a World until a point in virtual time.
 type faultInjection struct {
 	*World
-	until    time.Duration
-	coreDown bool // a fault has hit the core, and the core has not fully recovered
-	drawn    int  // faults drawn so far: the index for Options.SkipFaults
+	until    time.Duration // virtual time after which no fault begins
+	coreDown bool          // a fault with hitsCore began, and the core has not fully recovered from it
+	drawn    int           // number of faults drawn so far; the index into Options.SkipFaults
 }
 
-// injectFaults injects faults until a point in virtual time: several at once or, with Options.HarmlessFaultsOnly, one
-// at a time.
+// injectFaults injects faults until a point in virtual time. Several may be active at once; with
+// Options.HarmlessFaultsOnly only one.
 func (w *World) injectFaults(until time.Duration) {
 	injection := &faultInjection{World: w, until: until}
 	injection.injectNext()
 }
 
-// injectNext draws a fault, begins it if it is allowed now, and schedules its end and the next fault.
+// injectNext draws a fault, begins it if that is allowed now, and schedules its end and the next draw.
 func (f *faultInjection) injectNext() {
 	if f.now > f.until {
 		return
@@ -44,7 +45,7 @@
 	skipped := f.Options.SkipFaults[f.drawn]
 	f.drawn++
 	interval := f.randomDuration(5 * time.Second)
-	// Only one core host at a time may lose a process or its disk; links may fail in addition.
+	// Only one fault with hitsCore may be active at a time. Links may fail in addition.
 	if (chosen.hitsCore && f.coreDown) || skipped {
 		f.schedule(interval, f.injectNext)
 		return
@@ -59,7 +60,7 @@
 	}
 }
 
-// end repairs a fault. A fault of the core lasts until the other members have brought the lost one up to date.
+// end repairs a fault. A fault with hitsCore lasts until the other members have brought the lost one up to date.
 func (f *faultInjection) end(chosen *fault, record *faultRecord, repair func()) {
 	repair()
 	if chosen.hitsCore && f.seededFault == SeededNoRecovery && f.now > f.until/2 {
@@ -83,7 +84,7 @@
 	})
 }
 
-// recordEnd records the end of a fault; where faults come one at a time, it schedules the next.
+// recordEnd records the end of a fault. With Options.HarmlessFaultsOnly it also schedules the next fault.
 func (f *faultInjection) recordEnd(record *faultRecord) {
 	f.withLock(func() { record.endedAt = f.now })
 	if f.Options.HarmlessFaultsOnly {
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -4,21 +4,22 @@
 	"time"
 )
 
-// fault is a kind of fault of the environment. Faults of the mesh's own logic are SeededFaults.
+// fault is a kind of fault of the environment: hosts, disks, links, processes, workers or operators. A SeededFault is
+// a fault in the logic of the mesh.
 type fault struct {
 	name      string
-	mayReject bool // it may cause rejected calls
-	hitsCore  bool // it takes a core host or its disk: the mesh promises to survive one of these at a time
-	// inject begins the fault and returns what ends it.
+	mayReject bool // the mesh may reject calls because of the fault
+	hitsCore  bool // the fault takes a core host or its disk; the mesh must survive one such fault at a time
+	// inject begins the fault and returns a function that ends it.
 	inject func(w *World) (repair func())
 }
 
-// corePowerLoss goes beyond what the mesh survives without cost: nothing acknowledged is lost, but key reservations
-// are, so keys are refused until all forgotten ones have expired.
+// corePowerLoss is the name of a fault that costs rejected calls. Nothing acknowledged is lost, but the key
+// reservations are. So the registries refuse keys until all lost reservations have expired.
 const corePowerLoss = "the whole core loses power"
 
-// Faults are all kinds of fault that RunMesh injects. Seeds draw them by index, and golden digests and tests hold the
-// names.
+// Faults lists the kinds of fault that RunMesh injects. Seeds draw them by index, and the golden digests cover the
+// names, so a change of the order or of a name changes recorded histories.
 var Faults = []fault{
 	{"seat loses power", false, true, (*World).crashRandomMember},
 	{"core machine loses power", false, true, (*World).crashRandomCoreHost},
@@ -57,10 +58,10 @@
 	{"setup grows", false, false, (*World).growConfig},
 }
 
-// Each method below that the table names begins the fault that its name says, at whatever the random stream draws, and
-// returns what ends it. The order of their draws is fixed by the golden histories.
+// Each method below that Faults refers to begins the fault in its name and returns a function that ends it. It draws
+// the affected hosts, processes, links or workers from World.random. The golden histories fix the order of the draws.
 
-// nothingToRepair ends a fault that ends by itself.
+// nothingToRepair is the repair function of a fault that ends by itself.
 func nothingToRepair() {}
 
 func (w *World) crashRandomMember() func() {
@@ -89,7 +90,8 @@
 	return func() { w.startMember(node) }
 }
 
-// wipeLeaderAfterAcknowledgement waits for the next acknowledgement, then takes the power and the disk of the leader.
+// wipeLeaderAfterAcknowledgement waits for the next acknowledgement, then cuts the power of the leader's host and
+// wipes its disk.
 func (w *World) wipeLeaderAfterAcknowledgement() func() {
 	lost := false
 	var restart func()
@@ -210,9 +212,9 @@
 }
 
 func (w *World) freezeRandomProxy() func() {
-	m := &w.proxies[w.randomInt(len(w.proxies))].process
-	w.freeze(m, w.now+w.randomDuration(15*time.Second))
-	return func() { w.freeze(m, 0) }
+	p := &w.proxies[w.randomInt(len(w.proxies))].process
+	w.freeze(p, w.now+w.randomDuration(15*time.Second))
+	return func() { w.freeze(p, 0) }
 }
 
 func (w *World) killRandomProxy() func() {
@@ -257,8 +259,8 @@
 	return func() { w.startWorker(old.proxy, old.service, old.version, old.address) }
 }
 
-// killRandomWorkerAndReuseAddress gives the address of a worker to one of the other service, in half of the cases with
-// its open connections.
+// killRandomWorkerAndReuseAddress ends a worker and starts one of the other service at its address. In half of the
+// cases the new worker takes over the open connections.
 func (w *World) killRandomWorkerAndReuseAddress() func() {
 	old := w.randomWorker()
 	other := otherService(old.service)
@@ -298,7 +300,7 @@
 	return nothingToRepair
 }
 
-// drainRandomWorker drains a worker that has a replacement, and ends it only after a while.
+// drainRandomWorker starts a replacement for a worker and drains the worker. It ends the worker 6 s after the repair.
 func (w *World) drainRandomWorker() func() {
 	old := w.randomWorker()
 	w.startWorker(old.proxy, old.service, old.version, "")
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -21,31 +21,32 @@
 	"meadowhinge/schema"
 )
 
-// goldenFile holds one line for each run: its name, the digest of its history, and totals that make a difference easier to
-// interpret.
+// goldenFile has one line for each of goldenRuns: its name, a tab, the digests of its history, and totals that help to
+// interpret a difference.
 const goldenFile = "testdata/golden/histories.txt"
 
-// historyDigest hashes what happened, as numbers and length-prefixed strings. Names of Go types, functions and fields are
-// never hashed, so that renaming them changes no digest.
+// historyDigest is a running hash of what happened in a run, as numbers and length-prefixed strings. It never covers
+// names of Go types, functions or fields, so renaming them changes no digest.
 type historyDigest struct{ sum hash.Hash }
 
+// newHistoryDigest returns the digest of nothing.
 func newHistoryDigest() historyDigest { return historyDigest{sha256.New()} }
 
-// number hashes numbers.
+// number adds numbers to the digest.
 func (d historyDigest) number(values ...uint64) {
 	for _, value := range values {
 		d.sum.Write(binary.LittleEndian.AppendUint64(nil, value))
 	}
 }
 
-// times hashes durations.
+// times adds durations to the digest.
 func (d historyDigest) times(values ...time.Duration) {
 	for _, value := range values {
 		d.number(uint64(value))
 	}
 }
 
-// flags hashes booleans.
+// flags adds booleans to the digest.
 func (d historyDigest) flags(values ...bool) {
 	for _, value := range values {
 		bit := uint64(0)
@@ -56,7 +57,7 @@
 	}
 }
 
-// text hashes strings, each with its length.
+// text adds strings to the digest, each after its length.
 func (d historyDigest) text(values ...string) {
 	for _, value := range values {
 		d.number(uint64(len(value)))
@@ -64,19 +65,20 @@
 	}
 }
 
-// message hashes a message by its field numbers, not by their names.
+// message adds the encoding of a message to the digest, which has field numbers but no field names.
 func (d historyDigest) message(t *testing.T, message proto.Message) {
 	t.Helper()
 	bytes, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("encoding a %s: %v", message.ProtoReflect().Descriptor().FullName(), err)
 	}
 	d.text(string(bytes))
 }
 
+// String returns the digest in hexadecimal.
 func (d historyDigest) String() string { return hex.EncodeToString(d.sum.Sum(nil)) }
 
-// The codes that are hashed for kinds of event, whatever these are called in Go.
+// Codes of the kinds of entry in a digest. The digests cover these numbers, so their order must not change.
 const (
 	codeCall = iota + 1
 	codeAttempt
@@ -98,7 +100,7 @@
 	codeScenarioResult
 )
 
-// calls hashes every call with its attempts, as the caller saw them, and its runs, as the workers saw them.
+// calls adds every operation with its attempts, as the caller saw them, and its runs, as the workers saw them.
 func (d historyDigest) calls(t *testing.T, h *History) {
 	t.Helper()
 	for _, id := range sortedOperationIDs(h.operations) {
@@ -134,8 +136,8 @@
 	}
 }
 
-// world hashes what a world holds when its run is over: what was decided, what each process showed, what the disks hold,
-// and the state of the random stream and the counters.
+// world adds the state of a world at the end of its run: the faults, the decisions, the revisions that members
+// showed, the violations, the disks, the totals, and the state of the random stream and the counters.
 func (d historyDigest) world(t *testing.T, w *World) {
 	t.Helper()
 	h := w.History
@@ -178,7 +180,7 @@
 		d.text(bad.service, bad.version)
 		d.times(bad.failureLimitAt, bad.lastCallAt, bad.lateCallAt)
 	}
-	d.breaches(h.Violations)
+	d.violations(h.Violations)
 	for _, cause := range slices.Sorted(maps.Keys(h.Rejections)) {
 		d.number(codeRejection, uint64(h.Rejections[cause]))
 		d.text(cause)
@@ -208,23 +210,25 @@
 	} {
 		d.number(uint64(total))
 	}
-	// Where callers cancel, goroutines that wake at the same moment race for which side cancels first: the resulting events,
-	// and what proxies count of them, differ between runs. So they are left out.
+	// If callers cancel, goroutines that wake at the same moment race for which side cancels first. The resulting events
+	// and the counts of disconnects then differ between runs, so they are left out.
 	if w.Options.CallerCancelRate == 0 {
 		d.number(h.EventHash, w.lastEventSequence, uint64(w.lastID), w.random.Uint64())
 	}
 }
 
-// breaches hashes the breaches of each rule, in order.
-func (d historyDigest) breaches(breaches map[string][]string) {
-	for _, rule := range slices.Sorted(maps.Keys(breaches)) {
+// violations adds the descriptions of violations, by kind in alphabetical order.
+func (d historyDigest) violations(violations map[string][]string) {
+	for _, kind := range slices.Sorted(maps.Keys(violations)) {
 		d.number(codeViolation)
-		d.text(rule)
-		d.text(breaches[rule]...)
+		d.text(kind)
+		d.text(violations[kind]...)
 	}
 }
 
-// goldenLine returns the line of a run of a mesh.
+// goldenLine returns the line of goldenFile for a run of a mesh, without the name. The words for the totals are part
+// of the file format: "asked" are attempts, "held" attempts whose version was blocked, "left" cancelled attempts,
+// "epoch" is the highest term, and "breaches" are kinds of violation.
 func goldenLine(t *testing.T, w *World) string {
 	t.Helper()
 	calls, rest := newHistoryDigest(), newHistoryDigest()
@@ -241,7 +245,7 @@
 		h.BlockedCalls, h.CancelledCalls, highestTerm(w), len(w.faults), len(h.Violations))
 }
 
-// highestTerm returns the highest term of any member: about how many elections there were.
+// highestTerm returns the highest term of any member, which is about the number of elections.
 func highestTerm(w *World) (highest uint64) {
 	for _, node := range w.members {
 		highest = max(highest, node.replica.Status().Term)
@@ -249,7 +253,7 @@
 	return highest
 }
 
-// goldenMesh runs a seed as TestMeshSeeds and TestServeStaleSeeds do.
+// goldenMesh returns a run of a mesh seed, as in TestMeshSeeds and TestServeStaleSeeds.
 func goldenMesh(seed uint64, options Options) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
@@ -257,7 +261,7 @@
 	}
 }
 
-// goldenCore runs a core without a mesh: members found it, join, are replaced and lose their disks.
+// goldenCore returns a run of a core without a mesh, as in TestCoreSeeds.
 func goldenCore(seed uint64, options CoreOptions) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
@@ -280,8 +284,8 @@
 	}
 }
 
-// goldenRollback runs a scenario of the rollback guard. Only its result is hashed, as RunRollback returns no world;
-// goldenRelease hashes a complete history.
+// goldenRollback returns a run of the rollback scenario with a name. The digest covers only the result, because
+// RunRollback returns no world. The digest of goldenRelease covers a complete history.
 func goldenRollback(seed uint64, name string) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
@@ -291,20 +295,21 @@
 		d.times(got.ExposureTime)
 		d.flags(got.RolledBack)
 		d.text(got.State, got.StopReason)
-		d.breaches(got.Violations)
+		d.violations(got.Violations)
 		return fmt.Sprintf("outcome %s: %d calls, %d of them its, %d failed, took %d ns, back %t, %d held, state %q, %q, %d breaches",
 			d, got.ServiceCalls, got.VersionCalls, got.FailedCalls, got.ExposureTime, got.RolledBack,
 			got.BlockedCalls, got.State, got.StopReason, len(got.Violations))
 	}
 }
 
-// goldenOrder runs the first scenario of a rollout order whose name begins with a string.
+// goldenOrder returns a run of the first order scenario whose name begins with a text. The digest covers only the
+// result.
 func goldenOrder(seed uint64, start string) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
 		index := slices.IndexFunc(OrderScenarios, func(scenario OrderScenario) bool { return strings.HasPrefix(scenario.Name, start) })
 		if index < 0 {
-			t.Fatalf("no scenario name begins with %q", start)
+			t.Fatalf("no order scenario has a name that begins with %q", start)
 		}
 		got := RunOrder(seed, OrderScenarios[index])
 		d := newHistoryDigest()
@@ -312,20 +317,21 @@
 		d.times(got.ReachedAfter)
 		d.flags(got.HasLateCall)
 		d.text(got.State)
-		d.breaches(got.Violations)
+		d.violations(got.Violations)
 		return fmt.Sprintf("outcome %s: %d calls, %d of them its, %d bad, %d lost, state %q at %d ns, late %t, %d breaches",
 			d, got.ServiceCalls, got.VersionCalls, got.BadCalls, got.LostCalls, got.State, got.ReachedAfter, got.HasLateCall, len(got.Violations))
 	}
 }
 
-// goldenRelease introduces a bad version, by a release plan or by a rollout order, and hashes the complete history, which
-// RunRollback and RunOrder do not return.
+// goldenRelease returns a run that introduces a bad version, by a rollout order if ordered is set, otherwise by a
+// release plan. The digest covers the complete history, which RunRollback and RunOrder do not return.
 func goldenRelease(seed uint64, options Options, ordered bool) func(t *testing.T) string {
 	return func(t *testing.T) string {
 		t.Helper()
 		w := NewWorld(seed, SeededNone, options)
 		w.bootFleet()
 		w.Run(w.now + 5*time.Second)
+		// The digest covers the name of the record.
 		w.faults = append(w.faults, &faultRecord{name: "a version goes wrong", startedAt: w.now, mayReject: true})
 		if ordered {
 			w.submitUntilAccepted(func() {}, &schema.Item{
@@ -347,7 +353,8 @@
 	}
 }
 
-// goldenRuns are the runs whose histories are fixed: each kind of world and of scenario.
+// goldenRuns lists the runs whose histories goldenFile fixes: each kind of world and of scenario. The names are the
+// keys of the lines in the file.
 var goldenRuns = []struct {
 	name string
 	run  func(t *testing.T) string
@@ -382,25 +389,25 @@
 		BoundExposure:   true,
 		MeanServiceTime: 20 * time.Millisecond,
 	}, true)},
-	{"brake 1, planned", goldenRollback(1, "bad late, at a high share")},
-	{"brake 1, by hand, core split", goldenRollback(1, "by hand at 100 %, bad late, the core split")},
-	{"term 1, errors, duty killed", goldenOrder(1, "errors, duty killed")},
-	{"term 1, good, herd killed", goldenOrder(1, "good, herd killed")},
+	{"brake 1, planned", goldenRollback(1, "bad late, at a high percentage")},
+	{"brake 1, by hand, core split", goldenRollback(1, "weighted flag at 100 %, bad late, core partitioned")},
+	{"term 1, errors, duty killed", goldenOrder(1, "errors, controller killed")},
+	{"term 1, good, herd killed", goldenOrder(1, "healthy, half of the proxies killed")},
 }
 
-// TestGoldenHistories checks that each run gives exactly the events, times, responses and disks that it gave when the file
-// was written. A refactoring must leave the file unchanged.
+// TestGoldenHistories checks that each run has exactly the events, times, responses and disks that it had when
+// goldenFile was written. A refactoring must not change the file.
 func TestGoldenHistories(t *testing.T) {
 	golden := readGoldenLines(t)
 	if len(golden) != len(goldenRuns) {
-		t.Errorf("%s has %d lines for %d runs", goldenFile, len(golden), len(goldenRuns))
+		t.Errorf("%s has %d lines, want one for each of %d runs", goldenFile, len(golden), len(goldenRuns))
 	}
 	for _, test := range goldenRuns {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			want, known := golden[test.name]
 			if !known {
-				t.Fatalf("%s has no line for this run", goldenFile)
+				t.Fatalf("%s has no line for the run %q", goldenFile, test.name)
 			}
 			var got string
 			synctest.Test(t, func(t *testing.T) { got = test.run(t) })
@@ -408,35 +415,36 @@
 				got, want = totalsOf(got), totalsOf(want)
 			}
 			if got != want {
-				t.Errorf("the history differs:\n got %s\nwant %s", got, want)
+				t.Errorf("the history of run %q differs:\n got %s\nwant %s", test.name, got, want)
 			}
 		})
 	}
 }
 
-// hasRacingCancellations tells whether callers disconnect in a run. The disconnect of a caller is noticed by two callbacks of
-// one context, in goroutines of their own, so such a run has more than one history: of 60 runs of "leaving 2, faults" 5 had
-// another digest than the file's, of two kinds, and the code before any rename gave the same ones. All had the same totals.
+// hasRacingCancellations reports whether callers cancel in the run with a name. Two callbacks of one context, each in
+// a goroutine of its own, notice the cancellation, so such a run has more than one possible history. Of 60 runs of
+// "leaving 2, faults", 5 had a digest that differs from the file, of two kinds. Earlier code gave the same two. All
+// 60 had the same totals, so only the totals are compared.
 func hasRacingCancellations(name string) bool { return strings.HasPrefix(name, "leaving ") }
 
-// totalsOf is the part of a line behind its digests.
+// totalsOf returns the part of a line after its digests.
 func totalsOf(line string) string {
 	_, totals, _ := strings.Cut(line, ": ")
 	return totals
 }
 
-// readGoldenLines reads the file into a map from the name of a run to its line.
+// readGoldenLines reads goldenFile and returns its lines by the names of their runs.
 func readGoldenLines(t *testing.T) map[string]string {
 	t.Helper()
 	content, err := os.ReadFile(goldenFile)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("reading the golden file: %v", err)
 	}
 	lines := map[string]string{}
 	for line := range strings.Lines(string(content)) {
 		name, rest, _ := strings.Cut(strings.TrimSuffix(line, "\n"), "\t")
 		if _, twice := lines[name]; twice {
-			t.Fatalf("%s has %q twice", goldenFile, name)
+			t.Fatalf("%s has more than one line for the run %q", goldenFile, name)
 		}
 		lines[name] = rest
 	}
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -13,53 +13,54 @@
 	"meadowhinge/schema"
 )
 
-// History records what happens in a world, and every breach of a never-rule found in it.
+// History records what happens in a World and the violations of invariants found in it. Events and goroutines write it
+// during the run; tests read it after World.Close.
 type History struct {
 	world *World
-	lock  sync.Mutex // guards all fields below, except those with another rule
-	// closed is set by World.Close: outcomes are not recorded any more.
+	lock  sync.Mutex // guards all fields below, except where noted
+	// closed is set by World.Close. Outcomes are not recorded after that.
 	closed bool
 
-	// Totals for reports and golden digests.
-	Decisions              int                       // dispatches of calls by proxies
-	WellConnectedDecisions int                       // of these, by proxies in touch; counted only with Options.ServeStale
-	Attempts               int                       // attempts by callers
+	// Totals for test reports and golden digests.
+	Decisions              int                       // dispatches of attempts to workers by proxies
+	WellConnectedDecisions int                       // decisions of well-connected proxies, with Options.ServeStale
+	Attempts               int                       // attempts of callers
 	Answered               int                       // attempts with a response from a worker
 	WorkerRuns             int                       // requests that workers ran
-	AnsweredRetries        int                       // answered attempts of calls that had been attempted before
+	AnsweredRetries        int                       // answered attempts that were not the first of their call
 	Acknowledgements       int                       // changes acknowledged to operators
 	RefusedChanges         int                       // rulings other than accepted
-	Unsent                 int                       // attempts that no proxy admitted
-	BlockedCalls           int                       // calls that a blocked version would have got
-	CancelledCalls         int                       // attempts that the caller cancelled
-	MaxTombstones          int                       // the most that any copy of the configuration held
-	Purges                 int                       // purges of tombstones
-	Rejections             map[string]int            // rejected calls by the fault blamed and the cause
-	Disconnects            dispatch.DisconnectCounts // of all runs of all proxies
-	EventHash              uint64                    // over the due times of all events; World.lock guards it
-	Violations             map[string][]string       // descriptions by rule, at most maxViolationsKept of each
+	Unsent                 int                       // attempts at proxies that were down or did not admit callers
+	BlockedCalls           int                       // attempts that got another version because theirs was blocked
+	CancelledCalls         int                       // attempts that their caller cancelled
+	MaxTombstones          int                       // largest number of tombstones in any copy of the configuration
+	Purges                 int                       // number of purges of tombstones
+	Rejections             map[string]int            // number of rejected attempts, by the fault blamed and the cause
+	Disconnects            dispatch.DisconnectCounts // sum over all runs of all proxies
+	EventHash              uint64                    // hash of the due times of all events; World.lock guards it
+	Violations             map[string][]string       // descriptions by kind of violation, at most maxViolationsKept of each
 
 	// What callers, workers and operators did and saw.
-	operations       map[string]*operation
-	acknowledgements []revisionAt // by time, with increasing revisions
-	lastAcknowledged uint64
-	rulings          map[string]schema.Ruling   // by change
-	departedAt       map[string]time.Duration   // by token: when the worker began to drain or ended
-	retryTimes       map[string][]time.Duration // by service: dispatches after the first of their call
-	badVersions      []*badVersion
-	inFlight         map[versionKey]int // calls in flight at workers; World.lock guards it
-
-	// What configurations are known and shown.
-	snapshots         map[uint64]*config.Snapshot // by revision, as compiled by the first registry
-	contentBySequence map[uint64]string           // fingerprint of the configuration at each sequence
-	shownRevisions    map[string][]revisionAt     // by member
-	invalidItems      map[string]bool             // keys of items that only invalid changes contain
-	purgedUpTo        uint64
-	lastUsedRevision  map[string]uint64 // by proxy
-	processRuns       map[string]int    // by proxy: the run that lastUsedRevision belongs to
-}
-
-// versionKey names a version of a service.
+	operations       map[string]*operation      // by id
+	acknowledgements []revisionAt               // in order of time, with increasing revisions
+	lastAcknowledged uint64                     // highest acknowledged revision
+	rulings          map[string]schema.Ruling   // by id of the change
+	departedAt       map[string]time.Duration   // by token of the worker: when it began to drain or ended
+	retryTimes       map[string][]time.Duration // by service: times of the dispatches that were retries
+	badVersions      []*badVersion              // versions whose exposure is checked
+	inFlight         map[versionKey]int         // number of calls in flight at workers; World.lock guards it
+
+	// What configurations exist, and which processes showed them.
+	snapshots         map[uint64]*config.Snapshot // by revision, as compiled by the first registry that had it
+	contentBySequence map[uint64]string           // by sequence: fingerprint of the configuration
+	shownRevisions    map[string][]revisionAt     // by member, in order of time
+	invalidItems      map[string]bool             // keys of items that occur only in invalid changes
+	purgedUpTo        uint64                      // highest sequence up to which tombstones were purged
+	lastUsedRevision  map[string]uint64           // by proxy: highest revision that it dispatched by
+	processRuns       map[string]int              // by proxy: number of the run that lastUsedRevision belongs to
+}
+
+// versionKey identifies a version of a service.
 type versionKey struct{ service, version string }
 
 // newHistory creates the empty history of a world.
@@ -81,57 +82,57 @@
 	}
 }
 
-// revisionAt is a revision and the time from which it was known.
+// revisionAt is a revision and the virtual time from which it was known.
 type revisionAt struct {
 	at       time.Duration
 	revision uint64
 }
 
-// operation is one call that a caller wants executed, with all its attempts and runs.
+// operation is one call of a caller, with all its attempts and runs.
 type operation struct {
 	id, caller, service, path string
-	nonIdempotent, keyed      bool // keyed: under an idempotency key
-	attempts                  []*callerAttempt
+	nonIdempotent, keyed      bool             // keyed: with an idempotency key
+	attempts                  []*callerAttempt // attempts that have ended
 	runs                      []workerRun
-	startedAt                 time.Duration
+	startedAt                 time.Duration // virtual time
 }
 
 // callerAttempt is one attempt of an operation as its caller saw it.
 type callerAttempt struct {
-	proxy              *proxyNode
-	sentAt, finishedAt time.Duration
-	outcome            string               // one of the constants outcomeX
-	result             *dispatch.CallResult // nil if the connection was lost or never opened
+	proxy              *proxyNode           // proxy that the caller sent the attempt to
+	sentAt, finishedAt time.Duration        // virtual time
+	outcome            string               // one of the outcome constants, or a name from dispatch.OutcomeName
+	result             *dispatch.CallResult // result from the forwarder; nil if the caller got none
 }
 
 // workerRun is one execution of an operation by a worker.
 type workerRun struct {
 	worker        *workerNode
-	at            time.Duration
-	attemptNumber int
-	requestID     string        // of the dispatch
-	endedAt       time.Duration // recorded only in worlds whose callers cancel
+	at            time.Duration // virtual time of the start
+	attemptNumber int           // index into operation.attempts
+	requestID     string        // request id of the dispatch
+	endedAt       time.Duration // virtual time of the end; 0 unless callers cancel in this world
 }
 
-// faultRecord is a fault that was injected and how long it lasted.
+// faultRecord records when an injected fault was active.
 type faultRecord struct {
 	name               string
-	startedAt, endedAt time.Duration // endedAt is zero while the fault is active
-	mayReject          bool          // the fault may cause rejected calls
-	hitsCore           bool          // the fault takes a core host, which must cost nothing while the others run
+	startedAt, endedAt time.Duration // virtual times; endedAt is 0 while the fault is active
+	mayReject          bool          // the mesh may reject calls because of the fault
+	hitsCore           bool          // the fault takes a core host; one such fault alone must not cause rejected calls
 }
 
-// badVersion counts the calls of an unhealthy version and its service since the version became unhealthy.
+// badVersion counts the calls of an unhealthy version and of its service while the version is unhealthy.
 type badVersion struct {
 	service, version                     string
 	serviceCalls, versionCalls, failures int
 
-	failureLimitAt time.Duration // of the failure that reached the limit
-	lastCallAt     time.Duration
-	lateCallAt     time.Duration // of the first call after the bound that follows failureLimitAt, 0 for none
+	failureLimitAt time.Duration // virtual time of the version's failure number fakebackend.FaultyVersionFailures, 0 before
+	lastCallAt     time.Duration // virtual time of the version's last call
+	lateCallAt     time.Duration // virtual time of the first call after failureLimitAt plus the bound, 0 for none
 }
 
-// startOperation records a new operation of a caller.
+// startOperation records a new operation of a caller and returns it.
 func (h *History) startOperation(id string, kind callKind, keyed bool) *operation {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -148,8 +149,8 @@
 	return started
 }
 
-// beginWorkerCall counts a call that a worker begins, and returns the calls in flight at its version. The caller holds
-// World.lock.
+// beginWorkerCall counts a call that a worker begins, and returns the number of calls in flight at its version,
+// including this one. The caller holds World.lock.
 func (h *History) beginWorkerCall(worker *workerNode) int {
 	key := versionKey{worker.service, worker.version}
 	h.inFlight[key]++
@@ -165,7 +166,7 @@
 	}
 }
 
-// recordSnapshot records a configuration that a registry serves.
+// recordSnapshot records the configuration that a registry serves, unless its revision is recorded already.
 func (h *History) recordSnapshot(snapshot *config.Snapshot) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -174,7 +175,8 @@
 	}
 }
 
-// recordAcknowledgement records that a change was acknowledged to its operator.
+// recordAcknowledgement records that a change was acknowledged to its operator. A sequence of 0 only
+// increases the count.
 func (h *History) recordAcknowledgement(now time.Duration, sequence uint64) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
@@ -185,7 +187,8 @@
 	}
 }
 
-// acknowledgedAt returns the highest revision that had been acknowledged at a time. The caller holds the lock.
+// acknowledgedAt returns the highest revision that had been acknowledged by a virtual time, or 0. The caller holds
+// History.lock.
 func (h *History) acknowledgedAt(at time.Duration) uint64 {
 	index := sort.Search(len(h.acknowledgements), func(i int) bool { return h.acknowledgements[i].at > at }) - 1
 	if index < 0 {
@@ -201,7 +204,7 @@
 	h.invalidItems[key] = true
 }
 
-// outcomes lists what the callers of an operation saw, for breach texts.
+// outcomes describes the attempts of an operation as its caller saw them, for the texts of violations.
 func (o *operation) outcomes() string {
 	var parts []string
 	for _, attempt := range o.attempts {
@@ -214,7 +217,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// sortedOperationIDs returns the ids of operations in a fixed order.
+// sortedOperationIDs returns the ids of operations in ascending order, so that every iteration has the same order.
 func sortedOperationIDs(operations map[string]*operation) []string {
 	ids := make([]string, 0, len(operations))
 	for id := range operations {
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -8,34 +8,35 @@
 	"meadowhinge/schema"
 )
 
-// OrderScenario is a rollout order for version 2 of "shop", with how that version behaves and what fails meanwhile.
+// OrderScenario describes a rollout order for version 2 of the service "shop": how the versions behave, the load, and
+// the faults during the rollout.
 type OrderScenario struct {
 	Name        string
-	Degradation Degradation // From counts from the start of the version's workers; the zero value is a healthy version
-	// OldVersionToo degrades the old version in the same way, HalfOfWorkers only half of the new version's workers.
-	// Neither says anything about the new version.
+	Degradation Degradation // From is relative to the start of the version's workers; the zero value is a healthy version
+	// OldVersionToo applies the degradation to the old version as well. HalfOfWorkers applies it to only half of the new
+	// version's workers. Neither is evidence against the new version.
 	OldVersionToo, HalfOfWorkers bool
-	CallRate                     float64       // calls per second of the whole fleet; seven in ten go to the service
-	ServiceTime                  time.Duration // mean time of a call at a worker
-	Workers                      int           // of each version
-	RolloutDuration              time.Duration // within which the rollout is ordered to be done
-	CoreFault                    string        // what hits the host of the rollout controller: CoreHostX, or empty
-	KillProxies                  bool          // half of the proxies crash at once
+	CallRate                     float64       // calls per second of the whole fleet; 70 % of them go to the service
+	ServiceTime                  time.Duration // mean service time of a call at a worker
+	Workers                      int           // number of workers of each version
+	RolloutDuration              time.Duration // duration within which the rollout is ordered to be done
+	CoreFault                    string        // fault at the controller: CoreHostKilled, CoreHostPartitioned or empty
+	KillProxies                  bool          // about half of the proxies crash at once
 }
 
 // The faults of a core host in an OrderScenario.
 const (
-	CoreHostKilled      = "killed"
-	CoreHostPartitioned = "cut"
+	CoreHostKilled      = "killed"      // the host crashes
+	CoreHostPartitioned = "partitioned" // the host is cut off from the other core hosts
 )
 
-// IsHealthy reports whether the ordered version must not be rolled back.
+// IsHealthy reports whether the ordered version is healthy: the rollout must be done, not rolled back.
 func (s OrderScenario) IsHealthy() bool {
 	return s.Degradation.FailureRate == 0 || s.OldVersionToo || s.HalfOfWorkers
 }
 
-// faultAfter draws when faults are injected, counted from the order. They come when they hurt most: at the end of the
-// canary of a healthy version, or when a bad version becomes unhealthy.
+// faultAfter draws the delay from the order to the injection of faults. They are injected when they do the most harm:
+// at the end of the canary of a healthy version, or when a bad version becomes unhealthy.
 func (s OrderScenario) faultAfter(w *World) time.Duration {
 	after := time.Duration(float64(s.RolloutDuration)*release.Defaults.CanaryEndFraction) + w.randomDuration(1500*time.Millisecond)
 	if !s.IsHealthy() {
@@ -44,34 +45,35 @@
 	return after
 }
 
-// Bounds of the exposure to a bad version, and timing of an OrderScenario.
+// Bounds of the exposure to a bad version, and durations of an OrderScenario.
 const (
-	orderCanaryPercent = 8                       // percent of the calls in canary at most
+	orderCanaryPercent = 8                       // largest percentage of the service's calls in canary
 	orderBadFraction   = 0.1                     // fraction of the service's calls that a bad version may get
-	orderBadMargin     = 50                      // calls that it may get in addition
-	orderFailureExcess = 0.06                    // failure rate above the old version's that any version may have
-	orderMaxFailures   = 400                     // failures in canary that the proxies of the fleet together allow a version
+	orderBadMargin     = 50                      // calls that a bad version may get in addition
+	orderFailureExcess = 0.06                    // failure rate, above that of the old version, that counts as healthy
+	orderMaxFailures   = 400                     // failures in canary that the fleet allows a version
 	orderFailureLimit  = 50                      // failures after which a bad version must be rolled back
-	orderRollbackBound = 5 * time.Second         // after the failure limit, without another call
+	orderRollbackBound = 5 * time.Second         // after the failure limit; then the version must get no call
 	orderWorkerDelay   = 1300 * time.Millisecond // from the order to the start of the version's workers
-	orderWatchTime     = 8 * time.Second         // watched beyond the deadline
-	orderCoreDowntime  = 3 * time.Second         // of a killed core host
-	orderPartitionTime = 4800 * time.Millisecond // of a partitioned core host
-	orderFaultDuration = 5 * time.Second         // of a degradation that is not the version's
+	orderWatchTime     = 8 * time.Second         // how long the run goes on after the deadline
+	orderCoreDowntime  = 3 * time.Second         // downtime of a killed core host
+	orderPartitionTime = 4800 * time.Millisecond // duration of the partition of a core host
+	orderFaultDuration = 5 * time.Second         // duration of a degradation that is not the new version's fault
 )
 
-// OrderResult is the result of an OrderScenario. Calls are counted from the order to the deadline of the rollout.
+// OrderResult is the result of an OrderScenario. Unless noted otherwise, calls are counted from the order to the
+// deadline of the rollout.
 type OrderResult struct {
-	State                      string        // final state of the rollout, done or rolled back; empty for neither
-	ReachedAfter               time.Duration // from the order to that state
-	VersionCalls, ServiceCalls int           // calls that workers of the version, and of the service, got
-	BadCalls                   int           // failed calls of the version, also after the deadline
-	HasLateCall                bool          // the version got a call after orderRollbackBound
-	LostCalls                  int           // calls in flight at the old version when its workers ended
-	Violations                 map[string][]string
+	State                      string              // release.StateDone or release.StateRolledBack; empty for neither
+	ReachedAfter               time.Duration       // from the order to the final state
+	VersionCalls, ServiceCalls int                 // calls to workers of the new version, and of the service
+	BadCalls                   int                 // failed calls to the new version, including those after the deadline
+	HasLateCall                bool                // the new version got a call after orderRollbackBound had passed
+	LostCalls                  int                 // calls that were in flight at the old version when its workers ended
+	Violations                 map[string][]string // descriptions by kind of violation
 }
 
-// Exposed reports whether a bad version got more calls than it may.
+// Exposed reports whether the version of a scenario is bad and got more calls, or later ones, than a bad version may.
 func (r OrderResult) Exposed(s OrderScenario) bool {
 	limit := orderBadFraction*float64(r.ServiceCalls) + orderBadMargin
 	return !s.IsHealthy() && (r.HasLateCall || float64(r.VersionCalls) > limit)
@@ -81,14 +83,14 @@
 type orderRun struct {
 	*World
 	scenario  OrderScenario
-	orderedAt time.Duration // when the order was accepted, 0 before
-	deadline  time.Duration // of the rollout
-	result    OrderResult   // World.lock guards what countCall writes
+	orderedAt time.Duration // virtual time at which the order was accepted, 0 before
+	deadline  time.Duration // virtual time by which the rollout must be done
+	result    OrderResult   // World.lock guards the fields that countCall writes
 
-	failureLimitAt time.Duration // of the failure that reached orderFailureLimit, 0 before; World.lock guards it
+	failureLimitAt time.Duration // virtual time of failure number orderFailureLimit, 0 before; World.lock guards it
 }
 
-// RunOrder orders the rollout of a version and returns what the mesh did. It must run inside a synctest bubble.
+// RunOrder runs one seed of an OrderScenario and returns what the mesh did. It must run inside a synctest bubble.
 func RunOrder(seed uint64, scenario OrderScenario) OrderResult {
 	run := &orderRun{
 		World: NewWorld(seed, SeededNone, Options{
@@ -104,7 +106,7 @@
 	}
 	run.bootFleet()
 	run.prepareFleet()
-	run.order()
+	run.placeOrder()
 	run.schedule(scenario.faultAfter(run.World), func() { run.injectScenarioFault(scenario) })
 	for run.now < run.deadline+orderWatchTime {
 		run.Run(run.now + 50*time.Millisecond)
@@ -118,8 +120,8 @@
 	return run.result
 }
 
-// prepareFleet replaces the workers of version 2 by those of the scenario's old version, and lets the service's workers
-// decide which versions there are.
+// prepareFleet replaces the workers of version 2 of the service by the scenario's workers of the old version. It also
+// removes the list of versions and the version flag, so that the registered workers determine which versions exist.
 func (run *orderRun) prepareFleet() {
 	for _, worker := range run.activeWorkers() {
 		if worker.service == "shop" && worker.version == "2" {
@@ -132,7 +134,7 @@
 	run.Run(run.now + 4*time.Second)
 }
 
-// startWorkers starts the scenario's workers of a version, spread over the proxies.
+// startWorkers starts the scenario's workers of a version, distributed over the proxies.
 func (run *orderRun) startWorkers(version string) {
 	for i := range run.scenario.Workers {
 		index := (i*3 + len(version) + int(version[0])) % len(run.proxies)
@@ -140,8 +142,9 @@
 	}
 }
 
-// order places the order, waits until it is accepted, and schedules the version's workers and their degradation.
-func (run *orderRun) order() {
+// placeOrder submits the rollout order and runs the world until it is accepted. Then it schedules the start of the new
+// version's workers and the degradation.
+func (run *orderRun) placeOrder() {
 	order := release.RolloutOrder{Service: "shop", Version: "2", Within: run.scenario.RolloutDuration}
 	run.submitRolloutOrder(order, func() { run.orderedAt = run.now })
 	for run.orderedAt == 0 {
@@ -155,7 +158,7 @@
 	run.withLock(func() { run.onWorkerCall = run.countCall })
 }
 
-// countCall counts a call that a worker begins. The caller holds World.lock.
+// countCall counts a call that a worker begins; bad tells whether the call fails. The caller holds World.lock.
 func (run *orderRun) countCall(worker *workerNode, bad bool) {
 	now := run.time()
 	if worker.service != "shop" || now < run.orderedAt {
@@ -181,13 +184,13 @@
 	}
 }
 
-// isFinal reports whether a rollout in a state goes no further.
+// isFinal reports whether a state of a rollout is final.
 func isFinal(state string) bool {
 	return state == release.StateDone || state == release.StateRolledBack
 }
 
-// observeState looks for the final state of the rollout at the registries. When the rollout is done, the old version's
-// workers end at once.
+// observeState records the final state of the rollout once a registry shows one. When the rollout is done, it ends
+// the old version's workers at once.
 func (run *orderRun) observeState() {
 	for _, node := range run.registries {
 		if !node.up || node.snapshot == nil {
@@ -209,7 +212,7 @@
 	}
 }
 
-// submitRolloutOrder submits an order at random registries until it is accepted.
+// submitRolloutOrder submits a rollout order at random registries until it is accepted, and then calls onAccepted.
 func (w *World) submitRolloutOrder(order release.RolloutOrder, onAccepted func()) {
 	accepted := false
 	w.retryEvery(300*time.Millisecond, func() bool {
@@ -236,7 +239,8 @@
 	})
 }
 
-// degradeForScenario degrades the versions or workers that a scenario names.
+// degradeForScenario applies the degradation of a scenario, with From relative to startsAt, to the versions or
+// workers that the scenario selects.
 func (w *World) degradeForScenario(scenario OrderScenario, startsAt time.Duration) {
 	degradation := scenario.Degradation
 	degradation.From += startsAt
@@ -257,7 +261,8 @@
 	}
 }
 
-// injectScenarioFault hits the first core host, which the rollout controller runs on while it is up, or the proxies.
+// injectScenarioFault injects the faults of a scenario. The core host is the first one, because the rollout
+// controller runs there while it is up.
 func (w *World) injectScenarioFault(scenario OrderScenario) {
 	switch scenario.CoreFault {
 	case CoreHostKilled:
@@ -271,7 +276,7 @@
 	}
 }
 
-// OrderScenarios are all scenarios that orders are tested with: each behavior under each load.
+// OrderScenarios lists the scenarios that rollout orders are tested with: each behavior under each load.
 var OrderScenarios = func() []OrderScenario {
 	var all []OrderScenario
 	for _, load := range orderLoads {
@@ -282,56 +287,57 @@
 	return all
 }()
 
-// orderLoad is a load under which a rollout is ordered.
+// orderLoad is a load that a rollout is ordered under.
 type orderLoad struct {
-	callRate        float64 // calls per second of the whole fleet
-	serviceTime     time.Duration
-	workers         int // of each version
+	callRate        float64       // rate of calls of the whole fleet, in calls per second
+	serviceTime     time.Duration // mean service time of a call
+	workers         int           // number of workers of each version
 	rolloutDuration time.Duration
 }
 
+// orderLoads lists the loads of OrderScenarios.
 var orderLoads = []orderLoad{
 	{143, 60 * time.Millisecond, 3, 12 * time.Second},
 	{320, 120 * time.Millisecond, 5, 16 * time.Second},
 	{660, 60 * time.Millisecond, 5, 14 * time.Second},
 }
 
-// relativeLoadThreshold stands for a Degradation.LoadThreshold that withLoad computes.
+// relativeLoadThreshold is a placeholder for a Degradation.LoadThreshold that withLoad computes from the load.
 const relativeLoadThreshold = -1
 
-// withLoad returns a scenario under a load.
+// withLoad returns a copy of a scenario with a load, which becomes part of its name.
 func (s OrderScenario) withLoad(load orderLoad) OrderScenario {
 	s.CallRate = load.callRate
 	s.ServiceTime = load.serviceTime
 	s.Workers = load.workers
 	s.RolloutDuration = load.rolloutDuration
 	if s.Degradation.LoadThreshold == relativeLoadThreshold {
-		// Half of the calls in flight at the version when it gets all calls of the service.
+		// Half of the mean number of calls in flight at the version when it gets all calls of the service.
 		s.Degradation.LoadThreshold = int(0.35 * load.callRate * load.serviceTime.Seconds())
 	}
-	s.Name = fmt.Sprintf("%s, %.0f a second, over %v", s.Name, 0.7*load.callRate, load.rolloutDuration)
+	s.Name = fmt.Sprintf("%s, %.0f calls per second, within %v", s.Name, 0.7*load.callRate, load.rolloutDuration)
 	return s
 }
 
-// orderBehaviors are the scenarios without a load: bad versions first, then healthy ones.
+// orderBehaviors returns the scenarios without a load: first those of bad versions, then those of healthy ones.
 func orderBehaviors() []OrderScenario {
 	failing := Degradation{FailureRate: 0.35}
 	failingLate := Degradation{FailureRate: 0.35, From: 3 * time.Second}
 	fewFailures := Degradation{FailureRate: 0.05, From: 3 * time.Second}
 	return []OrderScenario{
 		{Name: "errors", Degradation: failing},
-		{Name: "slow", Degradation: Degradation{FailureRate: 0.35, SlowdownFactor: 8}},
-		{Name: "late", Degradation: failingLate},
-		{Name: "one route", Degradation: Degradation{FailureRate: 0.45, Route: "/shop/buy"}},
-		{Name: "under load", Degradation: Degradation{FailureRate: 0.35, LoadThreshold: relativeLoadThreshold}},
-		{Name: "errors, duty killed", Degradation: failing, CoreFault: CoreHostKilled},
-		{Name: "errors, duty cut off", Degradation: failing, CoreFault: CoreHostPartitioned},
-		{Name: "late, herd killed", Degradation: failingLate, KillProxies: true},
-		{Name: "good"},
-		{Name: "good, 5 % lost at all workers", Degradation: fewFailures, OldVersionToo: true},
-		{Name: "good, 5 % lost at half of the new", Degradation: fewFailures, HalfOfWorkers: true},
-		{Name: "good, duty killed", CoreFault: CoreHostKilled},
-		{Name: "good, duty cut off", CoreFault: CoreHostPartitioned},
-		{Name: "good, herd killed", KillProxies: true},
+		{Name: "slow responses", Degradation: Degradation{FailureRate: 0.35, SlowdownFactor: 8}},
+		{Name: "late errors", Degradation: failingLate},
+		{Name: "errors on one route", Degradation: Degradation{FailureRate: 0.45, Route: "/shop/buy"}},
+		{Name: "errors under load", Degradation: Degradation{FailureRate: 0.35, LoadThreshold: relativeLoadThreshold}},
+		{Name: "errors, controller killed", Degradation: failing, CoreFault: CoreHostKilled},
+		{Name: "errors, controller partitioned", Degradation: failing, CoreFault: CoreHostPartitioned},
+		{Name: "late errors, half of the proxies killed", Degradation: failingLate, KillProxies: true},
+		{Name: "healthy"},
+		{Name: "healthy, 5 % errors at all workers", Degradation: fewFailures, OldVersionToo: true},
+		{Name: "healthy, 5 % errors at half of the new workers", Degradation: fewFailures, HalfOfWorkers: true},
+		{Name: "healthy, controller killed", CoreFault: CoreHostKilled},
+		{Name: "healthy, controller partitioned", CoreFault: CoreHostPartitioned},
+		{Name: "healthy, half of the proxies killed", KillProxies: true},
 	}
 }
--- a/internal/simulator/order_test.go
+++ b/internal/simulator/order_test.go
@@ -11,17 +11,17 @@
 )
 
 var (
-	orderSeedCount      = flag.Int("term-seeds", 1, "how many seeds to run for each scenario")
-	orderFirstSeed      = flag.Uint64("term-first", 1, "the first of these seeds")
-	orderScenarioFilter = flag.String("term-kind", "", "only scenarios whose name contains this")
+	orderSeedCount      = flag.Int("term-seeds", 1, "number of seeds to run for each order scenario")
+	orderFirstSeed      = flag.Uint64("term-first", 1, "first seed of the order scenarios")
+	orderScenarioFilter = flag.String("term-kind", "", "run only the order scenarios whose name contains this text")
 )
 
-// TestRolloutOrders checks that the rollout of an ordered healthy version is done in time, and that a bad version is rolled back and
-// gets no more calls than it may, whatever faults hit the core and the proxies. One seed in ten may miss the state or the
-// time; none may exceed the exposure.
+// TestRolloutOrders checks rollout orders under faults of the core and the proxies. The rollout of a healthy version
+// must be done in time. A bad version must be rolled back in time and get no more calls than it may. One seed in ten
+// may miss the final state or the time, but none may exceed the bound on the calls.
 func TestRolloutOrders(t *testing.T) {
 	for i, scenario := range OrderScenarios {
-		// By default the test runs a third of the scenarios, which takes in each behavior under one of the loads.
+		// By default only every third scenario runs, which covers each behavior under one of the loads.
 		if !strings.Contains(scenario.Name, *orderScenarioFilter) || (*orderSeedCount == 1 && *orderScenarioFilter == "" && i%3 != 0) {
 			continue
 		}
@@ -34,8 +34,8 @@
 			for seed := *orderFirstSeed; seed < *orderFirstSeed+uint64(*orderSeedCount); seed++ {
 				var got OrderResult
 				synctest.Test(t, func(*testing.T) { got = RunOrder(seed, scenario) })
-				for rule, breaches := range got.Violations {
-					t.Errorf("seed %d: %s: %v", seed, rule, breaches)
+				for kind, violations := range got.Violations {
+					t.Errorf("seed %d: %s: %v", seed, kind, violations)
 				}
 				want := release.StateRolledBack
 				if scenario.IsHealthy() {
@@ -43,20 +43,22 @@
 				}
 				if got.State != want || got.ReachedAfter > scenario.RolloutDuration {
 					wrong++
-					t.Logf("seed %d: %s at %v", seed, got.State, got.ReachedAfter)
+					t.Logf("seed %d: got state %q after %v, want %q within %v", seed, got.State, got.ReachedAfter, want, scenario.RolloutDuration)
 				}
 				if got.Exposed(scenario) {
 					exposed++
-					t.Errorf("seed %d: %d of %d calls, late %v", seed, got.VersionCalls, got.ServiceCalls, got.HasLateCall)
+					t.Errorf("seed %d: the bad version got %d of %d calls, want at most %d; call after the rollback bound: %v, want none",
+						seed, got.VersionCalls, got.ServiceCalls, int(orderBadFraction*float64(got.ServiceCalls)+orderBadMargin), got.HasLateCall)
 				}
 				maxFraction = max(maxFraction, float64(got.VersionCalls)/float64(got.ServiceCalls))
 				latest = max(latest, got.ReachedAfter)
 				lost += got.LostCalls
 			}
-			t.Logf("%d seeds: wrong or too late %d, exposed %d, largest fraction of calls %.3f, latest %v, calls lost at the end %d",
+			t.Logf("%d seeds: %d with a wrong or late state, %d over the bound on calls; largest fraction of calls %.3f; latest state after %v; "+
+				"%d calls lost when the old workers ended",
 				*orderSeedCount, wrong, exposed, maxFraction, latest.Round(10*time.Millisecond), lost)
 			if wrong*10 > *orderSeedCount {
-				t.Errorf("%d of %d went wrong", wrong, *orderSeedCount)
+				t.Errorf("%d of %d seeds have a wrong or late state, want at most a tenth", wrong, *orderSeedCount)
 			}
 		})
 	}
--- a/internal/simulator/rollback_scenario.go
+++ b/internal/simulator/rollback_scenario.go
@@ -8,15 +8,16 @@
 	"meadowhinge/schema"
 )
 
-// RollbackScenario is a way in which a new version is introduced and does or does not become unhealthy.
+// RollbackScenario describes how a new version is introduced, whether and how it becomes unhealthy, and what fails
+// meanwhile.
 type RollbackScenario struct {
 	Name        string
-	Method      string      // how the version is introduced: one of the constants MethodX
-	Percent     float64     // of the calls that the version gets in the end
-	Degradation Degradation // From counts from the introduction; the zero value is a healthy version
-	FallbackToo bool        // the fallback version is unhealthy in the same way
-	TwoServices bool        // the new version of another service is as unhealthy at the same time
-	CoreFault   string      // injected when the version becomes unhealthy: one of the constants CoreX, or empty
+	Method      string      // how the version is introduced: one of the Method constants
+	Percent     float64     // percentage of the service's calls that the version gets in the end
+	Degradation Degradation // From is relative to the introduction; the zero value is a healthy version
+	FallbackToo bool        // the fallback version becomes unhealthy in the same way
+	TwoServices bool        // the new version of another service becomes unhealthy in the same way at the same time
+	CoreFault   string      // fault that is injected when the version becomes unhealthy: CorePartitioned, CoreDown or empty
 	Healthy     bool        // the version must not be rolled back
 }
 
@@ -25,27 +26,27 @@
 	return s.Degradation.FailureRate != 0 || s.Degradation.ExtraLatency != 0
 }
 
-// The faults of the core in a RollbackScenario. The words are part of the scenarios' names.
+// The faults of the core in a RollbackScenario. Their texts are part of the scenarios' names.
 const (
-	CorePartitioned = "split" // each member is partitioned from the others
-	CoreDown        = "gone"  // all members and registries crash
+	CorePartitioned = "partitioned" // each member is partitioned from the others
+	CoreDown        = "down"        // all members and registries crash
 )
 
 // How a RollbackScenario introduces a version.
 const (
-	MethodPlan         = "plan"                     // by a release plan
-	MethodWeightedFlag = "hand"                     // by an operator who sets weights in the version flag
-	MethodTargetedFlag = "target"                   // by a version flag that targets users
-	MethodFinishedPlan = "plan, done and cancelled" // by a release plan that is deleted when it is done
+	MethodPlan         = "release plan"          // an operator submits a release plan
+	MethodWeightedFlag = "weighted flag"         // an operator sets weights in the version flag
+	MethodTargetedFlag = "targeted flag"         // an operator targets users in the version flag
+	MethodFinishedPlan = "finished release plan" // an operator submits a release plan and deletes it when it is done
 
-	rollbackCallRate = 150 // calls per second of the whole fleet
-	rollbackRunTime  = 60 * time.Second
+	rollbackCallRate = 150              // rate of calls of the whole fleet, in calls per second
+	rollbackRunTime  = 60 * time.Second // from the introduction of the version to the end of the run
 )
 
-// RollbackScenarios are all scenarios that the rollback guard is tested with.
+// RollbackScenarios lists the scenarios that the rollback guard is tested with.
 var RollbackScenarios = append(rollbackScenarios(), rollbackScenariosWithCoreFaults()...)
 
-// rollbackScenarios are the scenarios without a fault of the core.
+// rollbackScenarios returns the scenarios without a fault of the core.
 func rollbackScenarios() []RollbackScenario {
 	failing := func(rate float64) Degradation { return Degradation{FailureRate: rate} }
 	failingFrom := func(from time.Duration, rate float64) Degradation {
@@ -57,12 +58,12 @@
 	underLoad := Degradation{FailureRate: 0.5, LoadThreshold: 1}
 	const late = 20 * time.Second
 	return []RollbackScenario{
-		{Name: "good", Method: MethodPlan, Percent: 60, Healthy: true},
-		{Name: "a few failures", Method: MethodPlan, Percent: 60, Degradation: failing(0.005), Healthy: true},
-		{Name: "one in a hundred fails", Method: MethodWeightedFlag, Percent: 50, Degradation: failing(0.01), Healthy: true},
-		{Name: "both fail alike", Method: MethodPlan, Percent: 60, Degradation: failing(0.33), FallbackToo: true, Healthy: true},
+		{Name: "healthy", Method: MethodPlan, Percent: 60, Healthy: true},
+		{Name: "0.5 % of calls fail", Method: MethodPlan, Percent: 60, Degradation: failing(0.005), Healthy: true},
+		{Name: "weighted flag, 1 % of calls fail", Method: MethodWeightedFlag, Percent: 50, Degradation: failing(0.01), Healthy: true},
+		{Name: "both versions fail alike", Method: MethodPlan, Percent: 60, Degradation: failing(0.33), FallbackToo: true, Healthy: true},
 		{
-			Name:        "both fail alike of late, at 90 %",
+			Name:        "weighted flag at 90 %, both versions fail alike, late",
 			Method:      MethodWeightedFlag,
 			Percent:     90,
 			Degradation: failingFrom(late, 0.33),
@@ -71,17 +72,17 @@
 		},
 		{Name: "bad from the start", Method: MethodPlan, Percent: 60, Degradation: failing(1)},
 		{Name: "bad on one route", Method: MethodPlan, Percent: 60, Degradation: onOneRoute},
-		{Name: "bad late, at a high share", Method: MethodPlan, Percent: 60, Degradation: failingFrom(35*time.Second, 1)},
+		{Name: "bad late, at a high percentage", Method: MethodPlan, Percent: 60, Degradation: failingFrom(35*time.Second, 1)},
 		{Name: "bad under load", Method: MethodPlan, Percent: 60, Degradation: underLoad},
 		{Name: "slow", Method: MethodPlan, Percent: 60, Degradation: slow},
-		{Name: "a fifth fails", Method: MethodPlan, Percent: 60, Degradation: failing(0.2)},
-		{Name: "by hand, bad from the start", Method: MethodWeightedFlag, Percent: 50, Degradation: failing(1)},
-		{Name: "by hand at 100 %, bad late", Method: MethodWeightedFlag, Percent: 100, Degradation: failingFrom(late, 1)},
-		{Name: "by hand at 100 %, half fails late", Method: MethodWeightedFlag, Percent: 100, Degradation: failingFrom(late, 0.5)},
-		{Name: "by hand, a tenth fails late", Method: MethodWeightedFlag, Percent: 50, Degradation: failingFrom(late, 0.1)},
-		{Name: "a target's calls, bad", Method: MethodTargetedFlag, Percent: 20, Degradation: failing(1)},
+		{Name: "20 % of calls fail", Method: MethodPlan, Percent: 60, Degradation: failing(0.2)},
+		{Name: "weighted flag, bad from the start", Method: MethodWeightedFlag, Percent: 50, Degradation: failing(1)},
+		{Name: "weighted flag at 100 %, bad late", Method: MethodWeightedFlag, Percent: 100, Degradation: failingFrom(late, 1)},
+		{Name: "weighted flag at 100 %, half of the calls fail late", Method: MethodWeightedFlag, Percent: 100, Degradation: failingFrom(late, 0.5)},
+		{Name: "weighted flag, 10 % of calls fail late", Method: MethodWeightedFlag, Percent: 50, Degradation: failingFrom(late, 0.1)},
+		{Name: "targeted flag, bad from the start", Method: MethodTargetedFlag, Percent: 20, Degradation: failing(1)},
 		{
-			Name:        "bad after its plan was done and cancelled",
+			Name:        "bad after its plan was done and deleted",
 			Method:      MethodFinishedPlan,
 			Percent:     60,
 			Degradation: failingFrom(40*time.Second, 1),
@@ -93,38 +94,38 @@
 			Degradation: failingFrom(late, 1),
 			TwoServices: true,
 		},
-		{Name: "slow late at 100 %", Method: MethodWeightedFlag, Percent: 100, Degradation: slowLate},
+		{Name: "weighted flag at 100 %, slow late", Method: MethodWeightedFlag, Percent: 100, Degradation: slowLate},
 	}
 }
 
-// rollbackScenariosWithCoreFaults are the scenarios in which the core fails when the version becomes unhealthy.
+// rollbackScenariosWithCoreFaults returns the scenarios in which the core fails when the version becomes unhealthy.
 func rollbackScenariosWithCoreFaults() []RollbackScenario {
 	var all []RollbackScenario
 	for _, fault := range []string{CorePartitioned, CoreDown} {
 		all = append(all,
 			RollbackScenario{
-				Name:        "bad late, the core " + fault,
+				Name:        "bad late, core " + fault,
 				Method:      MethodPlan,
 				Percent:     60,
 				Degradation: Degradation{From: 35 * time.Second, FailureRate: 1},
 				CoreFault:   fault,
 			},
 			RollbackScenario{
-				Name:        "by hand at 100 %, bad late, the core " + fault,
+				Name:        "weighted flag at 100 %, bad late, core " + fault,
 				Method:      MethodWeightedFlag,
 				Percent:     100,
 				Degradation: Degradation{From: 20 * time.Second, FailureRate: 1},
 				CoreFault:   fault,
 			},
 			RollbackScenario{
-				Name:        "by hand, a tenth fails late, the core " + fault,
+				Name:        "weighted flag, 10 % of calls fail late, core " + fault,
 				Method:      MethodWeightedFlag,
 				Percent:     50,
 				Degradation: Degradation{From: 20 * time.Second, FailureRate: 0.1},
 				CoreFault:   fault,
 			},
 			RollbackScenario{
-				Name:        "two services bad at once, the core " + fault,
+				Name:        "two services bad at once, core " + fault,
 				Method:      MethodWeightedFlag,
 				Percent:     50,
 				Degradation: Degradation{From: 20 * time.Second, FailureRate: 1},
@@ -138,22 +139,23 @@
 // RollbackResult is the result of a RollbackScenario.
 type RollbackResult struct {
 	Scenario RollbackScenario
-	// ServiceCalls are the calls of the service since the version was unhealthy, VersionCalls those of them that the
-	// version got, FailedCalls those that failed there. Of two services each number is the larger one.
+	// ServiceCalls is the number of calls that the service got while the version was unhealthy. VersionCalls is the part
+	// of them that the version got, FailedCalls the part of those that failed. With two services each number is the
+	// larger one. All are 0 for a healthy scenario.
 	ServiceCalls, VersionCalls, FailedCalls int
-	ExposureTime                            time.Duration // from when the version became unhealthy to its last call
-	RolledBack                              bool          // the version was rolled back or stopped
-	BlockedCalls                            int           // calls that the version would have got, had it not been blocked
-	Violations                              map[string][]string
-	State, StopReason                       string // of the last progress or stop seen at a registry
+	ExposureTime                            time.Duration       // from when the version became unhealthy to its last call
+	RolledBack                              bool                // the version was rolled back or stopped
+	BlockedCalls                            int                 // attempts whose version was blocked; they got another
+	Violations                              map[string][]string // descriptions by kind of violation
+	State, StopReason                       string              // state and reason of the last rollout step seen
 }
 
-// RunRollback introduces a new version, lets it become unhealthy, and returns what the mesh did about it. It must run
-// inside a synctest bubble.
+// RunRollback runs one seed of a RollbackScenario with a number of proxies. It introduces a new version, lets it
+// become unhealthy, and returns what the mesh did. It must run inside a synctest bubble.
 func RunRollback(seed uint64, scenario RollbackScenario, seededFault SeededFault, proxies int) RollbackResult {
 	w := NewWorld(seed, seededFault, Options{Proxies: proxies, CallRate: rollbackCallRate, NoFaults: true})
 	w.bootFleet()
-	// The callers use the old version for a while before the new one is introduced.
+	// The old version gets all calls for a while before the new one is introduced.
 	w.Run(w.now + 5*time.Second)
 	services := []string{"shop"}
 	if scenario.TwoServices {
@@ -169,7 +171,7 @@
 	if scenario.CoreFault != "" {
 		w.schedule(scenario.Degradation.From, func() { w.failCore(scenario.CoreFault) })
 	}
-	w.faults = append(w.faults, &faultRecord{name: "a version goes wrong", startedAt: startedAt, mayReject: true})
+	w.faults = append(w.faults, &faultRecord{name: "a version becomes unhealthy", startedAt: startedAt, mayReject: true})
 	w.Run(startedAt + rollbackRunTime)
 	result := RollbackResult{Scenario: scenario, BlockedCalls: w.History.BlockedCalls}
 	for _, node := range w.registries {
@@ -202,8 +204,8 @@
 	}
 }
 
-// degradeIntroduced schedules the degradation of a scenario. The history watches the exposure of a version only if
-// the version should be rolled back.
+// degradeIntroduced schedules the degradation of a scenario for version 2 of a service. The history checks the
+// exposure of the version only if the version must be rolled back.
 func (w *World) degradeIntroduced(scenario RollbackScenario, service string, startedAt time.Duration) {
 	degradation := scenario.Degradation
 	degradation.From += startedAt
@@ -219,7 +221,7 @@
 	})
 }
 
-// failCore takes the core away until the end of the run.
+// failCore makes the core fail until the end of the run, by one of CorePartitioned and CoreDown.
 func (w *World) failCore(fault string) {
 	if fault == CorePartitioned {
 		w.partitionCore(func(int, int) bool { return true })
@@ -233,7 +235,7 @@
 	}
 }
 
-// addProgress adds what the configuration of a registry shows of the rollout.
+// addProgress adds the progress and the stops of rollouts in the configuration of a registry. A nil snapshot has none.
 func (r *RollbackResult) addProgress(snapshot *config.Snapshot, services []string) {
 	if snapshot == nil {
 		return
@@ -251,7 +253,7 @@
 	}
 }
 
-// addExposure adds the calls that bad versions got.
+// addExposure adds the calls that bad versions got, as the largest number of any.
 func (r *RollbackResult) addExposure(badVersions []*badVersion, unhealthyFrom time.Duration) {
 	for _, bad := range badVersions {
 		r.ServiceCalls = max(r.ServiceCalls, bad.serviceCalls)
--- a/internal/simulator/seeded_faults.go
+++ b/internal/simulator/seeded_faults.go
@@ -1,52 +1,53 @@
 package simulator
 
-// SeededFault is a fault put into the logic of the mesh on purpose, to show that a check detects it. The strings are
-// names of subtests, which -run patterns use.
+// SeededFault is a fault put into the logic of the mesh on purpose, to show that a check detects it. Its text is the
+// name of a subtest.
 type SeededFault string
 
-// The seeded faults of a mesh.
+// The seeded faults of a mesh. SeededNone leaves the logic as it is.
 const (
 	SeededNone SeededFault = ""
 
 	// Registries, leases and members.
-	SeededEarlyAcknowledgement  SeededFault = "early yes: acknowledged as soon as it is stable"
-	SeededLeaseNeverExpires     SeededFault = "eternal lease: a proxy decides though its lease has run out"
-	SeededSyncedWritesLost      SeededFault = "lying disk: says synced what power loss takes away"
-	SeededWipedMemberInQuorum   SeededFault = "amnesia: a wiped seat counts at once"
-	SeededPartialChange         SeededFault = "partial: the good half of an invalid change is taken"
-	SeededYoungRegistryGrants   SeededFault = "young registry: grants and fences count from its first moment"
-	SeededAdmitsBeforeLease     SeededFault = "hasty proxy: decides before it holds a lease"
-	SeededNoRecovery            SeededFault = "no recovery: a seat stays down after the last fault"
-	SeededNoKeyReservation      SeededFault = "no claims: a key is run by whoever is asked"
-	SeededReservationsForgotten SeededFault = "forgets: a registry's word on keys counts from its first moment"
-	SeededDeltaAfterPurge       SeededFault = "revives: who is behind what was let go gets the difference only"
-	SeededStaleFeedReply        SeededFault = "haunts: an answer that a proxy asked for before it was killed is taken by its next life"
-	SeededNoRegistryFailover    SeededFault = "stays: a proxy keeps to a registry however old its setup is"
+	SeededEarlyAcknowledgement  SeededFault = "early acknowledgement: a change is acknowledged once committed, without a fence"
+	SeededLeaseNeverExpires     SeededFault = "lease never expires: a proxy decides calls after its lease has expired"
+	SeededSyncedWritesLost      SeededFault = "synced writes lost: a power loss drops records that the disk reported as synced"
+	SeededWipedMemberInQuorum   SeededFault = "wiped member in quorum: a member with a wiped disk counts in the quorum at once"
+	SeededPartialChange         SeededFault = "partial change: the valid half of an invalid change is accepted"
+	SeededYoungRegistryGrants   SeededFault = "young registry: a restarted registry grants leases and confirms fences at once"
+	SeededAdmitsBeforeLease     SeededFault = "admits before lease: a proxy decides calls before it holds a lease"
+	SeededNoRecovery            SeededFault = "no recovery: two members crash when a late fault of the core ends, and stay down"
+	SeededNoKeyReservation      SeededFault = "no key reservation: a proxy runs calls under a key without reserving it"
+	SeededReservationsForgotten SeededFault = "reservations forgotten: a restarted registry is authoritative on key reservations at once"
+	SeededDeltaAfterPurge       SeededFault = "delta after purge: a copy that missed a purge of tombstones gets only the changes"
+	SeededStaleFeedReply        SeededFault = "stale feed reply: a restarted proxy applies a reply to a request of its earlier run"
+	SeededNoRegistryFailover    SeededFault = "no registry failover: a proxy stays with a registry however stale that is"
 
 	// Calls.
-	SeededConnectionLostAsConnectFailed SeededFault = "false no: a lost link is taken for one that never opened"
-	SeededSpuriousConnectFailed         SeededFault = "away: now and then a whole link is taken for one that never opened"
-	SeededNoDuplicateDetection          SeededFault = "no memory: the worker's side forgets which requests it has seen"
-	SeededTokenIgnored                  SeededFault = "lax workers: they run what does not bear their token"
-	SeededDrainIgnored                  SeededFault = "unheard: a worker's word that it leaves is not taken"
-	SeededAnyCallerAccepted             SeededFault = "false claims: a peer may speak for any caller"
-	SeededCancelNotPropagated           SeededFault = "ignores: a proxy whose caller has left does not tell the worker's"
-	SeededForgedChecksum                SeededFault = "forged: an altered answer carries a checksum that fits it"
-	SeededNoRetryBudget                 SeededFault = "no budget: extra tries are without bound"
-	SeededNoAuthorization               SeededFault = "open: versions and callers are not held against the setup"
+	SeededConnectionLostAsConnectFailed SeededFault = "connection lost as connect failed: the loss of an open connection is reported as never opened"
+	SeededSpuriousConnectFailed         SeededFault = "spurious connect failed: a working connection is sometimes reported as never opened"
+	SeededNoDuplicateDetection          SeededFault = "no duplicate detection: a runner remembers only one request"
+	SeededTokenIgnored                  SeededFault = "token ignored: workers run requests without their token"
+	SeededDrainIgnored                  SeededFault = "drain ignored: the proxy does not learn that a worker is draining"
+	SeededAnyCallerAccepted             SeededFault = "any caller accepted: a peer may send requests for a caller that it is not authorized for"
+	SeededCancelNotPropagated           SeededFault = "cancel not propagated: a proxy does not forward its caller's cancellation"
+	SeededForgedChecksum                SeededFault = "forged checksum: a corrupted response carries a matching checksum"
+	SeededNoRetryBudget                 SeededFault = "no retry budget: retries are unbounded"
+	SeededNoAuthorization               SeededFault = "no authorization: proxies miss changes of the allowed versions and callers"
 
 	// Rollback guard and rollout control.
-	SeededFailuresIgnored    SeededFault = "deaf brake: neither the proxies nor the duty look at failures"
-	SeededAlwaysHealthy      SeededFault = "easy brake: the duty finds any version fine, and each part of a split core has one"
-	SeededOversensitiveGuard SeededFault = "hair trigger: a few failures turn a version back"
+	SeededFailuresIgnored    SeededFault = "failures ignored: neither the proxies nor the rollout controller react to failures"
+	SeededAlwaysHealthy      SeededFault = "always healthy: each part of a partitioned core has a controller, which finds every version healthy"
+	SeededOversensitiveGuard SeededFault = "oversensitive guard: a few failures roll a version back"
 )
 
-// The seeded faults of a core without a mesh; RunCore also knows SeededSyncedWritesLost and SeededWipedMemberInQuorum.
+// The seeded faults of a core without a mesh. RunCore also supports SeededSyncedWritesLost and
+// SeededWipedMemberInQuorum.
 const (
-	SeededUncommittedAcknowledgement SeededFault = "unstable: acknowledged once the holder has taken it"
-	SeededOperatorVersionsIgnored    SeededFault = "unordered: given versions are not compared"
-	SeededNoTombstones               SeededFault = "no tombstones: what was dropped is forgotten at once"
-	SeededNoReplacement              SeededFault = "alone: no successor takes the place of a machine that is gone"
-	SeededStaleRead                  SeededFault = "stale read: a seat shows what it has without asking a majority"
-	SeededConflictAccepted           SeededFault = "twice: a second content under one version is confirmed"
+	SeededUncommittedAcknowledgement SeededFault = "uncommitted acknowledgement: a change is acknowledged once appended, before it is committed"
+	SeededOperatorVersionsIgnored    SeededFault = "operator versions ignored: changes are not ordered by operator version"
+	SeededNoTombstones               SeededFault = "no tombstones: a member keeps only one tombstone"
+	SeededNoReplacement              SeededFault = "no replacement: no new member replaces a removed one"
+	SeededStaleRead                  SeededFault = "stale read: a member serves a read without a read index"
+	SeededConflictAccepted           SeededFault = "conflict accepted: a second content under one operator version is acknowledged"
 )
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -13,13 +13,13 @@
 )
 
 var (
-	seedCount       = flag.Int("seeds", 40, "how many seeds to run")
-	cancelSeedCount = flag.Int("leaving-seeds", 6, "how many seeds of worlds whose callers leave")
-	firstSeed       = flag.Uint64("first", 1, "the first seed; with -seeds 1 it replays one")
-	harmlessOnly    = flag.Bool("free", false, "only faults that may turn nobody away, one at a time")
+	seedCount       = flag.Int("seeds", 40, "number of mesh seeds to run")
+	cancelSeedCount = flag.Int("leaving-seeds", 6, "number of seeds to run with callers that cancel")
+	firstSeed       = flag.Uint64("first", 1, "first seed of a mesh or a core; with -seeds 1 it replays one mesh seed")
+	harmlessOnly    = flag.Bool("free", false, "inject only faults that must not cause rejected calls, one at a time")
 )
 
-// runMeshSeed runs a seed of a mesh in a bubble of its own.
+// runMeshSeed runs a seed of a mesh in a synctest bubble of its own and returns its history.
 func runMeshSeed(t *testing.T, seed uint64, seededFault SeededFault, options Options) *History {
 	t.Helper()
 	var history *History
@@ -27,21 +27,22 @@
 	return history
 }
 
-// violationKinds returns the rules that were breached, sorted.
+// violationKinds returns the kinds of violation that were found, sorted.
 func (h *History) violationKinds() []string {
-	var names []string
-	for rule := range h.Violations {
-		names = append(names, rule)
+	var kinds []string
+	for kind := range h.Violations {
+		kinds = append(kinds, kind)
 	}
-	sort.Strings(names)
-	return names
+	sort.Strings(kinds)
+	return kinds
 }
 
-// maxShrunkFaults is how many faults of a seed shrink tries to leave out.
+// maxShrunkFaults is the number of faults of a seed that shrink tries to leave out.
 const maxShrunkFaults = 48
 
-// shrink returns options that leave out every fault without which the seed still breaks the same rule.
-func shrink(t *testing.T, seed uint64, seededFault SeededFault, options Options, rule string) Options {
+// shrink returns options that skip the faults without which the seed still has a violation of the same kind. It tries
+// them one after another.
+func shrink(t *testing.T, seed uint64, seededFault SeededFault, options Options, kind string) Options {
 	t.Helper()
 	for index := range maxShrunkFaults {
 		without := options
@@ -49,15 +50,15 @@
 		for skipped := range options.SkipFaults {
 			without.SkipFaults[skipped] = true
 		}
-		if len(runMeshSeed(t, seed, seededFault, without).Violations[rule]) > 0 {
+		if len(runMeshSeed(t, seed, seededFault, without).Violations[kind]) > 0 {
 			options = without
 		}
 	}
 	return options
 }
 
-// runMeshSeeds runs consecutive seeds in parallel, as subtests of "all", reports their breaches and returns the sum of
-// their totals.
+// runMeshSeeds runs consecutive seeds in parallel, as subtests of "all". It fails the subtest of a seed with
+// violations, and returns the sum of the totals of all seeds.
 func runMeshSeeds(t *testing.T, first uint64, count int, options Options) *History {
 	t.Helper()
 	sum := &History{Rejections: map[string]int{}}
@@ -77,65 +78,70 @@
 	return sum
 }
 
-// TestMeshSeeds checks that no never-rule breaks under the faults of any seed.
+// TestMeshSeeds checks that the faults of no seed violate an invariant.
 func TestMeshSeeds(t *testing.T) {
 	sum := runMeshSeeds(t, *firstSeed, *seedCount, Options{HarmlessFaultsOnly: *harmlessOnly})
-	// Runs in which little happens prove nothing.
+	// Seeds in which little happens would prove nothing.
 	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount {
-		t.Errorf("only %d answered and %d acknowledged in %d seeds", sum.Answered, sum.Acknowledgements, *seedCount)
+		t.Errorf("in %d seeds: %d answered attempts, want at least %d; %d acknowledged changes, want at least %d",
+			*seedCount, sum.Answered, 500**seedCount, sum.Acknowledgements, 5**seedCount)
 	}
 	if sum.Purges == 0 {
-		t.Error("no tombstone was ever purged")
+		t.Error("no seed purged a tombstone, want at least one purge")
 	}
 	t.Logf("%d seeds: %s", *seedCount, sum.summary())
 }
 
-// TestServeStaleSeeds checks that no never-rule breaks where proxies serve stale configuration and a change is acknowledged once
-// it is committed. The rules on fresh configuration bind only proxies in touch there, so enough decisions must be theirs.
+// TestServeStaleSeeds checks that the faults of no seed violate an invariant with Options.ServeStale. The invariants
+// on fresh configuration then apply only to well-connected proxies, so these must make at least a tenth of the
+// decisions.
 func TestServeStaleSeeds(t *testing.T) {
 	sum := runMeshSeeds(t, *firstSeed, *seedCount, Options{ServeStale: true, HarmlessFaultsOnly: *harmlessOnly})
 	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount || sum.WellConnectedDecisions < sum.Decisions/10 {
-		t.Errorf("only %d answered, %d acknowledged, %d of %d decisions in touch in %d seeds",
-			sum.Answered, sum.Acknowledgements, sum.WellConnectedDecisions, sum.Decisions, *seedCount)
+		t.Errorf("in %d seeds: %d answered attempts, want at least %d; %d acknowledged changes, want at least %d; "+
+			"%d of %d decisions by well-connected proxies, want at least a tenth",
+			*seedCount, sum.Answered, 500**seedCount, sum.Acknowledgements, 5**seedCount, sum.WellConnectedDecisions, sum.Decisions)
 	}
-	t.Logf("%d seeds, %d of %d decisions in touch: %s", *seedCount, sum.WellConnectedDecisions, sum.Decisions, sum.summary())
+	t.Logf("%d seeds, %d of %d decisions by well-connected proxies: %s", *seedCount, sum.WellConnectedDecisions, sum.Decisions, sum.summary())
 }
 
-// TestCallerCancellation checks callers that cancel while their calls wait or run: in a world without faults each worker stops
-// in time, and under all faults every other rule holds too.
+// TestCallerCancellation checks the invariants with callers that cancel while their calls wait or run. Only without
+// faults does it check that workers stop in time after a cancellation.
 func TestCallerCancellation(t *testing.T) {
 	for name, options := range map[string]Options{
-		"calm": {
+		"no faults": {
 			NoFaults:         true,
 			CallerCancelRate: 0.3,
 			MeanServiceTime:  100 * time.Millisecond,
 			FaultyDuration:   20 * time.Second,
 		},
-		"faults": {CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 30 * time.Second},
+		"all faults": {CallerCancelRate: 0.3, MeanServiceTime: 100 * time.Millisecond, FaultyDuration: 30 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := *firstSeed; seed < *firstSeed+uint64(*cancelSeedCount); seed++ {
 				t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 					t.Parallel()
 					h := runMeshSeed(t, seed, SeededNone, options)
-					for _, rule := range h.violationKinds() {
-						t.Errorf("%s: %s", rule, strings.Join(h.Violations[rule], "\n\t"))
+					for _, kind := range h.violationKinds() {
+						t.Errorf("seed %d: %s: %s", seed, kind, strings.Join(h.Violations[kind], "\n\t"))
 					}
 					if h.CancelledCalls < 20 || h.Disconnects.Canceled+h.Disconnects.Dequeued == 0 || h.Disconnects.RanToEnd == 0 {
-						t.Errorf("only %d callers left: %+v", h.CancelledCalls, h.Disconnects)
+						t.Errorf("seed %d: %d cancelled attempts, want at least 20; disconnects %+v, want RanToEnd, and Canceled or Dequeued, above 0",
+							seed, h.CancelledCalls, h.Disconnects)
 					}
-					t.Logf("%d callers left of %d: %+v", h.CancelledCalls, h.Attempts, h.Disconnects)
+					t.Logf("%d of %d attempts cancelled; disconnects: %+v", h.CancelledCalls, h.Attempts, h.Disconnects)
 				})
 			}
 		})
 	}
 }
 
-// report fails a test with the breaches of a seed, and logs how to replay it and the faults without which it passes.
+// report fails a test with the violations of a seed. It logs how to replay the seed, and the faults that the first
+// kind of violation needs.
 func (h *History) report(t *testing.T, seed uint64, options Options) {
 	t.Helper()
-	for _, rule := range h.violationKinds() {
-		t.Errorf("seed %d: %s: %s", seed, rule, strings.Join(h.Violations[rule], "\n\t"))
+	for _, kind := range h.violationKinds() {
+		t.Errorf("seed %d: %s: %s", seed, kind, strings.Join(h.Violations[kind], "\n\t"))
 	}
 	if len(h.Violations) == 0 {
 		return
@@ -144,10 +150,10 @@
 	t.Logf("replay: go test ./internal/simulator -run '%s$' -seeds 1 -first %d -free=%v -v", test, seed, options.HarmlessFaultsOnly)
 	least := shrink(t, seed, SeededNone, options, h.violationKinds()[0])
 	shrunk := runMeshSeed(t, seed, SeededNone, least)
-	t.Logf("%s needs these faults: %s", h.violationKinds()[0], shrunk.faultNames())
+	t.Logf("faults needed for %q: %s", h.violationKinds()[0], shrunk.faultNames())
 }
 
-// faultNames lists the faults of a run with their times.
+// faultNames lists the faults of a run with the virtual times at which they began and ended.
 func (h *History) faultNames() string {
 	var names []string
 	for _, record := range h.world.faults {
@@ -156,7 +162,7 @@
 	return strings.Join(names, "; ")
 }
 
-// add adds the totals of another run.
+// add adds the totals of another run to those of h.
 func (h *History) add(other *History) {
 	h.Attempts += other.Attempts
 	h.Answered += other.Answered
@@ -182,32 +188,35 @@
 		rejections = append(rejections, fmt.Sprintf("%s %d", cause, count))
 	}
 	slices.Sort(rejections)
-	const format = "%d attempts, %d answered, %d of them retries, %d unsent, %d blocked, %d acknowledged, %d refused, " +
-		"at most %d tombstones, %d purges; rejected:\n\t%s"
+	const format = "%d attempts, %d answered, %d of them retries, %d unsent, %d with a blocked version; " +
+		"%d changes acknowledged, %d refused; at most %d tombstones, %d purges; rejected attempts:\n\t%s"
 	return fmt.Sprintf(format, h.Attempts, h.Answered, h.AnsweredRetries, h.Unsent, h.BlockedCalls, h.Acknowledgements,
 		h.RefusedChanges, h.MaxTombstones, h.Purges, strings.Join(rejections, "\n\t"))
 }
 
-// TestHarmlessFaultsRejectNoCall checks that no call is rejected, in any seed, by what must cost nothing: draining and replacing
-// workers, graceful restarts, one core host that is lost, frozen, slow or back empty, many changes, a growing
-// configuration, invalid and racing changes.
+// TestHarmlessFaultsRejectNoCall checks that no call is rejected because of a fault that must cost nothing. These are
+// draining and replacing workers, graceful restarts, a single core host that is lost, frozen, slow or back with an
+// empty disk, many changes, a growing configuration, and invalid and racing changes.
 func TestHarmlessFaultsRejectNoCall(t *testing.T) {
 	sum := runMeshSeeds(t, 1, harmlessSeedCount, Options{HarmlessFaultsOnly: true})
 	if len(sum.Rejections) > 0 || sum.Answered < 500*harmlessSeedCount {
-		t.Errorf("%s", sum.summary())
+		t.Errorf("in %d seeds, want no rejected attempt and at least %d answered: %s",
+			harmlessSeedCount, 500*harmlessSeedCount, sum.summary())
 	}
 }
 
-// harmlessSeedCount is how many seeds TestHarmlessFaultsRejectNoCall runs.
+// harmlessSeedCount is the number of seeds that TestHarmlessFaultsRejectNoCall runs.
 const harmlessSeedCount = 16
 
-// TestRegressionSeeds runs seeds that found a fault once. What a seed draws changes with the list of Faults, so each cause also
-// has a test of its own:
+// TestRegressionSeeds runs seeds that once found a fault:
+//
+//   - 10404: a call was rejected as VERSION_NOT_ALLOWED, because its proxy did not wait long enough for the
+//     configuration that the worker's proxy already had. TestNewerConfigElsewhere in internal/dispatch tests the same.
+//   - 10080, 10167, 10209: goroutines that remained from the calls of a killed proxy still had an effect. This was a
+//     fault of the simulator.
+//   - 10609: two proxies restarted gracefully at the same time, and with them every worker of a service.
 //
-//   - 10404: a call was rejected as VERSION_NOT_ALLOWED, because its proxy did not wait long enough for the configuration
-//     that the worker's proxy already had (TestNewerConfigElsewhere).
-//   - 10080, 10167, 10209: goroutines left of a killed proxy's calls still counted (a fault of the simulator).
-//   - 10609: two proxies were restarted gracefully at once, and with them every worker of a service.
+// What a seed draws changes with the list of Faults, so each cause also has a test of its own.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range []uint64{10080, 10167, 10209, 10404, 10609} {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
@@ -217,40 +226,40 @@
 	}
 }
 
-// TestSeedReplaysExactly checks that a seed replays to the same events at the same times.
+// TestSeedReplaysExactly checks that two runs of a seed have the same events at the same times and the same totals.
 func TestSeedReplaysExactly(t *testing.T) {
 	for seed := uint64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint("seed-", seed), func(t *testing.T) {
 			first := runMeshSeed(t, seed, SeededNone, Options{})
 			second := runMeshSeed(t, seed, SeededNone, Options{})
 			if first.EventHash != second.EventHash || first.summary() != second.summary() {
-				t.Errorf("two runs differ: %x %s and %x %s", first.EventHash, first.summary(), second.EventHash, second.summary())
+				t.Errorf("two runs of seed %d differ:\nfirst  hash %x, %s\nsecond hash %x, %s", seed, first.EventHash, first.summary(), second.EventHash, second.summary())
 			}
 		})
 	}
 }
 
-// seededFaultSeedCount is how many seeds a check gets to detect a seeded fault.
+// seededFaultSeedCount is the number of seeds in which a seeded fault must be detected at least once.
 const seededFaultSeedCount = 40
 
-// TestSeededFaults checks that each check detects the fault that it is there for, in one of a few seeds.
+// TestSeededFaults checks that the checks of the simulator detect each seeded fault in at least one of a few seeds.
 func TestSeededFaults(t *testing.T) {
-	lossOfDisk := []string{"seat loses its disk", "core split one from two", "a core machine cut off one way", "slow links"}
-	edges := []string{"proxy killed", "a herd of proxies killed", "lossy links", "edge machine frozen"}
+	diskAndLinkFaults := []string{"seat loses its disk", "core split one from two", "a core machine cut off one way", "slow links"}
+	proxyFaults := []string{"proxy killed", "a herd of proxies killed", "lossy links", "edge machine frozen"}
 	for _, test := range []struct {
 		seededFault SeededFault
-		rules       []string
+		want        []string // kinds of violation, of which one must be found
 		options     Options
 	}{
 		{SeededEarlyAcknowledgement, []string{ViolationStaleConfig}, Options{}},
 		{SeededLeaseNeverExpires, []string{ViolationStaleConfig}, Options{}},
 		{SeededSyncedWritesLost, []string{ViolationAcknowledgedLost, ViolationDivergedState, ViolationStaleConfig}, Options{
-			OnlyFaults:     []string{"the whole core loses power"},
+			OnlyFaults:     []string{corePowerLoss},
 			CallRate:       1,
 			ChangeInterval: 300 * time.Millisecond,
 		}},
 		{SeededWipedMemberInQuorum, []string{ViolationAcknowledgedLost, ViolationDivergedState, ViolationStaleConfig}, Options{
-			OnlyFaults:     lossOfDisk,
+			OnlyFaults:     diskAndLinkFaults,
 			CallRate:       1,
 			FaultyDuration: 3 * time.Minute,
 			ChangeInterval: 300 * time.Millisecond,
@@ -263,13 +272,13 @@
 		}},
 		{SeededAdmitsBeforeLease, []string{ViolationRevisionDecreased, ViolationStaleConfig}, Options{}},
 		{SeededNoRecovery, []string{ViolationRecoveryTime}, Options{}},
-		{SeededNoKeyReservation, []string{ViolationRanTwice}, Options{OnlyFaults: edges}},
+		{SeededNoKeyReservation, []string{ViolationRanTwice}, Options{OnlyFaults: proxyFaults}},
 		{SeededReservationsForgotten, []string{ViolationRanTwice}, Options{
-			OnlyFaults:     append([]string{"registry restarts"}, edges...),
+			OnlyFaults:     append([]string{"registry restarts"}, proxyFaults...),
 			CallRate:       60,
 			FaultyDuration: 3 * time.Minute,
 		}},
-		{SeededConnectionLostAsConnectFailed, []string{ViolationNotExecutedRan}, Options{OnlyFaults: edges}},
+		{SeededConnectionLostAsConnectFailed, []string{ViolationNotExecutedRan}, Options{OnlyFaults: proxyFaults}},
 		{SeededNoDuplicateDetection, []string{ViolationRanTwice}, Options{OnlyFaults: []string{"links that repeat"}}},
 		{SeededDeltaAfterPurge, []string{ViolationDivergedState}, Options{
 			OnlyFaults:     []string{"edge machine frozen", "edge machine cut off", "core cut off from some proxies"},
@@ -289,7 +298,7 @@
 			MeanServiceTime:  300 * time.Millisecond,
 		}},
 		{SeededForgedChecksum, []string{ViolationWrongResponse}, Options{OnlyFaults: []string{"links that alter"}}},
-		{SeededNoRetryBudget, []string{ViolationRetryBudget}, Options{OnlyFaults: edges, RetryFloor: 5}},
+		{SeededNoRetryBudget, []string{ViolationRetryBudget}, Options{OnlyFaults: proxyFaults, RetryFloor: 5}},
 		{SeededNoAuthorization, []string{ViolationDisallowedCall}, Options{NoFaults: true}},
 		{SeededSpuriousConnectFailed, []string{ViolationCauselessRejection}, Options{HarmlessFaultsOnly: true}},
 		{SeededNoRegistryFailover, []string{ViolationStaleConfig}, Options{
@@ -302,33 +311,34 @@
 			t.Parallel()
 			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
 				h := runMeshSeed(t, seed, test.seededFault, test.options)
-				for _, rule := range test.rules {
-					if len(h.Violations[rule]) > 0 {
-						t.Logf("seed %d: %s: %s", seed, rule, h.Violations[rule][0])
+				for _, kind := range test.want {
+					if len(h.Violations[kind]) > 0 {
+						t.Logf("seed %d: %s: %s", seed, kind, h.Violations[kind][0])
 						return
 					}
 				}
 			}
-			t.Errorf("no seed breaches any of %v", test.rules)
+			t.Errorf("seeds 1 to %d have no violation, want one of %q", seededFaultSeedCount, test.want)
 		})
 	}
-	for seededFault, name := range map[SeededFault]string{
-		SeededFailuresIgnored:    "bad late, at a high share",
-		SeededAlwaysHealthy:      "by hand at 100 %, bad late, the core split",
-		SeededOversensitiveGuard: "a few failures",
+	want := []string{ViolationBadVersionExposure, ViolationHealthyRolledBack}
+	for seededFault, scenarioName := range map[SeededFault]string{
+		SeededFailuresIgnored:    "bad late, at a high percentage",
+		SeededAlwaysHealthy:      "weighted flag at 100 %, bad late, core partitioned",
+		SeededOversensitiveGuard: "0.5 % of calls fail",
 	} {
 		t.Run(string(seededFault), func(t *testing.T) {
 			t.Parallel()
 			for seed := uint64(1); seed <= seededFaultSeedCount; seed++ {
-				got := runRollbackSeed(t, seed, rollbackScenarioNamed(t, name), seededFault)
-				for _, rule := range []string{ViolationBadVersionExposure, ViolationHealthyRolledBack} {
-					if len(got.Violations[rule]) > 0 {
-						t.Logf("seed %d: %s: %s", seed, rule, got.Violations[rule][0])
+				got := runRollbackSeed(t, seed, rollbackScenarioNamed(t, scenarioName), seededFault)
+				for _, kind := range want {
+					if len(got.Violations[kind]) > 0 {
+						t.Logf("seed %d: %s: %s", seed, kind, got.Violations[kind][0])
 						return
 					}
 				}
 			}
-			t.Error("no seed breaches a rule")
+			t.Errorf("seeds 1 to %d of scenario %q have no violation, want one of %q", seededFaultSeedCount, scenarioName, want)
 		})
 	}
 }
