--- a/cmd/tracer/timeline.go
+++ b/cmd/tracer/timeline.go
@@ -12,7 +12,7 @@
 
 // step is an event in the progress of the change at one node.
 type step struct {
-	at    time.Time // by the clock of the node's machine
+	at    time.Time // time of the event, on the clock of the node's machine
 	event string    // text to print: the node and what it did
 }
 
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -23,8 +23,8 @@
 
 // The rollout strategies of a release plan.
 const (
-	// StrategyRamp raises the percentage steadily over the plan's duration, once the version has had enough calls
-	// to be judged.
+	// StrategyRamp raises the percentage steadily over the plan's duration, once the version has received
+	// enough calls to judge it.
 	StrategyRamp = "ramp"
 	// StrategyDeadline keeps the version in canary for most of the plan's duration, and then raises the percentage
 	// to the target before the duration is over.
@@ -37,7 +37,7 @@
 	ControllerTerm  uint64  `json:"duty"`            // term of the rollout controller that wrote it; never decreases
 	Controller      string  `json:"holder"`          // id of the core member that was the controller
 	PlanID          string  `json:"set"`             // service and version of the plan, joined by a space
-	State           string  `json:"state"`           // trial, ramp, hold, settle, done or back, as package release defines them
+	State           string  `json:"state"`           // state of the plan: trial, ramp, hold, settle, done or back; see package release
 	Reason          string  `json:"reason"`          // reason for which the plan is in State
 	Percentage      float64 `json:"share"`           // percentage of calls that the new version should get at present, 0 to 100
 	Weight          int     `json:"weight"`          // weight of the new version in the version flag, 0 to flag.TotalWeight
--- a/internal/dispatch/disconnects_test.go
+++ b/internal/dispatch/disconnects_test.go
@@ -13,8 +13,8 @@
 	"meadowhinge/schema"
 )
 
-// A run that must end when its caller disconnects is counted as an overrun if it goes on for longer than maxOverrun and
-// the grace period.
+// A run that must end when its caller disconnects is counted as an overrun if it still runs after maxOverrun
+// and the grace period.
 func TestOverrunsAreCounted(t *testing.T) {
 	const maxOverrun = 100 * time.Millisecond
 	for name, test := range map[string]struct {
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -12,10 +12,15 @@
 //   - not executed: it is proved that no worker ran the request, so it may be sent again;
 //   - unknown: a worker may have run the request, so only an idempotent request may be sent again.
 //
-// All state is held in memory by one process: retry budgets by service, the health and load of workers
-// ([OutlierDetector]), canary grants ([CanaryGuard]), idempotency keys and their results ([IdempotencyCache]), the
-// registrations of local workers ([Workers]), and counters ([CallCounter], [WorkCounts], [Disconnects]). Package proxy
-// constructs these values, and package simulator does so for its simulated proxies.
+// All state is held in memory by one process:
+//   - retry budgets by service ([RetryBudget]);
+//   - the health and load of workers ([OutlierDetector]);
+//   - canary grants ([CanaryGuard]);
+//   - idempotency keys and their results ([IdempotencyCache]);
+//   - the registrations of local workers ([Workers]);
+//   - counters ([CallCounter], [WorkCounts], [Disconnects]).
+//
+// Package proxy constructs these values, and package simulator does so for its simulated proxies.
 //
 // All exported types are safe for concurrent use unless their comment says otherwise. Each guards its own
 // state with its own lock or with atomics, and no lock is held while a request is sent or waited for.
--- a/internal/dispatch/endpoint_sim_test.go
+++ b/internal/dispatch/endpoint_sim_test.go
@@ -124,7 +124,7 @@
 // work returns the mean service time at speed 1.
 func (o *simOptions) work() time.Duration { return simWork * time.Duration(max(1, o.times)) }
 
-// after schedules an event after a span of time.
+// after schedules run to be called when span has passed on the simulated clock.
 func (w *simWorld) after(span time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.events, simEvent{w.now + span, run, w.seq})
--- a/internal/dispatch/key_reservation_test.go
+++ b/internal/dispatch/key_reservation_test.go
@@ -24,13 +24,13 @@
 // proxy knows a different worker, behind a different proxy, so that only the reservations prevent the request from
 // running twice.
 type keyFixture struct {
-	fixtures             [2]*workerFixture // by proxy: fixture of the worker that the proxy knows
+	fixtures             [2]*workerFixture // fixtures of the workers that the proxies know, by proxy
 	lock                 sync.Mutex        // guards registries; a key is released in a goroutine of its own
 	registries           [3]*registry.ReservationTable
 	unresponsive         [3]bool                 // registries that do not respond
 	startedAt            time.Time               // start of the process clock of all processes
 	seededSingleRegistry bool                    // seeded fault: one registry counts as a majority
-	lost                 [2]func(order int) bool // by proxy: reports whether the response to its message number order is lost; nil for none
+	lost                 [2]func(order int) bool // reports whether the response to message number order is lost, by proxy; nil for none
 	results              [2][]*CallResult        // results by proxy
 }
 
--- a/internal/dispatch/service_time_estimate.go
+++ b/internal/dispatch/service_time_estimate.go
@@ -10,7 +10,7 @@
 type serviceTimeEstimate struct {
 	mean         time.Duration // moving mean of the service time
 	deviation    time.Duration // moving mean of the absolute deviation from mean
-	known        bool          // at least one request was measured
+	known        bool          // set once a request has been measured
 	priority     uint32        // priority of the route's last request
 	timeFraction float64       // fraction of the worker's time that the route uses, decayed up to updatedAt
 	updatedAt    time.Duration // last update of timeFraction, on the process clock
--- a/internal/dispatch/worker_queue.go
+++ b/internal/dispatch/worker_queue.go
@@ -78,7 +78,7 @@
 
 // Ratios and bounds of the queue. A divisor n stands for the fraction 1/n.
 const (
-	overlapDivisor        = 16   // besides the slots, one request and 1/16 of the slots are sent ahead to hide the network latency
+	overlapDivisor        = 16   // requests sent beyond the slots, to hide the network latency: one, plus 1/16 of the slots
 	averagingDivisor      = 8    // weight of one sample in the moving means is 1/8
 	displaceDivisor       = 4    // a request that has waited for over 1/4 of the time to its target is not displaced any more
 	increaseAfterFactor   = 2    // a reduced limit n grows by one after 2n answers
--- a/internal/proxy/caller_listener_test.go
+++ b/internal/proxy/caller_listener_test.go
@@ -460,8 +460,8 @@
 			if err != nil || !strings.HasPrefix(string(got), test.want) || (test.want == "") != (len(got) == 0) {
 				t.Errorf("read %q, error %v; want a response that starts with %q", got, err, test.want)
 			}
-			if len(harness.received) > 0 {
-				t.Error("handler received the request, want none")
+			if count := len(harness.received); count > 0 {
+				t.Errorf("handler received %d requests, want none", count)
 			}
 		})
 	}
--- a/internal/proxy/disconnect_mesh_test.go
+++ b/internal/proxy/disconnect_mesh_test.go
@@ -182,7 +182,7 @@
 var disconnectMethods = map[string]func(net.Conn){
 	"closes": func(conn net.Conn) { _ = conn.Close() }, // the test checks the effect at the proxy
 	"resets": func(conn net.Conn) {
-		_ = conn.(*net.TCPConn).SetLinger(0) // on an error the connection closes without a reset, like "closes"
+		_ = conn.(*net.TCPConn).SetLinger(0) // if this fails, the connection closes without a reset, like "closes"
 		_ = conn.Close()                     // the test checks the effect at the proxy
 	},
 }
--- a/internal/proxy/disconnect_watch_test.go
+++ b/internal/proxy/disconnect_watch_test.go
@@ -11,7 +11,7 @@
 
 // reset closes a connection so that the peer receives a reset.
 func reset(conn net.Conn) {
-	_ = conn.(*net.TCPConn).SetLinger(0) // on an error the connection closes without a reset
+	_ = conn.(*net.TCPConn).SetLinger(0) // if this fails, the connection closes without a reset
 	_ = conn.Close()                     // the test checks the effect at the proxy
 }
 
--- a/internal/proxy/request_body.go
+++ b/internal/proxy/request_body.go
@@ -12,9 +12,13 @@
 	"meadowhinge/internal/errs"
 )
 
-// readBody reads the body that the header announces. It returns nil for a request without a body. It fails with
-// errs.BodyTooLarge, errs.QueueFull, errs.RequestTimeout, errs.MalformedRequest or, for the trailer,
-// errs.HeaderTooLarge, and with io.ErrUnexpectedEOF if the caller closed the connection.
+// readBody reads the body that the header announces. It returns nil for a request without a body. It fails with:
+//   - errs.BodyTooLarge if the body exceeds limits.maxBodyBytes;
+//   - errs.QueueFull if the capacity for large bodies is exceeded;
+//   - errs.RequestTimeout if the next bytes do not arrive in time;
+//   - errs.MalformedRequest if the chunked encoding or its trailer is invalid;
+//   - errs.HeaderTooLarge if the trailer exceeds the limit of a header;
+//   - io.ErrUnexpectedEOF if the caller closed the connection.
 func (c *connection) readBody(limits requestLimits) ([]byte, error) {
 	switch {
 	case c.header.contentLength > int64(limits.maxBodyBytes):
--- a/internal/proxy/run.go
+++ b/internal/proxy/run.go
@@ -19,9 +19,10 @@
 // linkModePlaintext is the value of the option "links" that makes RPC connections plaintext, without certificates.
 const linkModePlaintext = "plain"
 
-// Run serves a proxy until ctx ends and the graceful shutdown is over. It fails with errs.InvalidOptions if a listener
-// cannot be opened or the certificate is not usable, with errs.ProxyDraining if calls were cut off at the end of the
-// drain time, and with the error of the peer listener if that fails while serving.
+// Run serves a proxy until ctx ends and the graceful shutdown is over. It fails with:
+//   - errs.InvalidOptions if a listener cannot be opened or the certificate is not usable;
+//   - errs.ProxyDraining if calls were cut off at the end of the drain time;
+//   - the error of the peer listener if that fails while serving.
 //
 // If Run fails before it serves, listeners that it has opened stay open. The process is expected to exit.
 //
--- a/internal/release/states.go
+++ b/internal/release/states.go
@@ -3,7 +3,7 @@
 // The states of a plan, as stored in its progress.
 const (
 	// StateCanary means that the new version gets a small percentage of calls. A ramp plan leaves this state once
-	// the version has had enough calls without failing more often than allowed. A deadline plan leaves it no
+	// the version has received enough calls and fails no more often than allowed. A deadline plan leaves it no
 	// earlier than Options.CanaryEndFraction of the plan's duration.
 	StateCanary = "trial"
 	// StateRamping means that the new version's percentage is being raised.
--- a/internal/release/verdict.go
+++ b/internal/release/verdict.go
@@ -73,9 +73,9 @@
 // is busy. A ramp plan waits until the new version has enough calls on every busy route.
 const busyRouteMultiple = 10
 
-// isProven reports whether the new version has had enough calls on every busy route of the old one, and its
-// failure rate there is within the allowed one. Routes with few calls are ignored, because they would delay a
-// plan forever. Without any busy route, the new version's calls on all routes are counted together.
+// isProven reports whether the new version has received at least MinCalls calls on every busy route of the old
+// one, and its failure rate there is within the allowed one. Routes with few calls are ignored, because they
+// would delay a plan forever. Without any busy route, the new version's calls on all routes are counted together.
 func (o Options) isProven(counts VersionCounts) bool {
 	anyBusyRoute := false
 	for route, oldStats := range counts.Old {
--- a/internal/store/decide_test.go
+++ b/internal/store/decide_test.go
@@ -128,7 +128,7 @@
 					entry.Outcome.Ruling, len(entry.Items), entry.Outcome.Faults, test.want, len(test.written))
 			}
 			if test.want == conflict && len(entry.Outcome.Current) == 0 {
-				t.Error("the outcome of a conflict has no current versions, want those of the items in conflict")
+				t.Errorf("Decide ruled %v with no current versions, want those of the items in conflict", entry.Outcome.Ruling)
 			}
 			for _, written := range entry.Items {
 				if want := test.written[written.Name]; written.OperatorVersion != want {
--- a/internal/store/golden_core_test.go
+++ b/internal/store/golden_core_test.go
@@ -206,7 +206,7 @@
 	c.expectRuling("a", accepted, &schema.Change{Id: "dropped-given", ByOperatorVersion: true, Items: []*schema.Item{{Kind: "segment", Name: "old", OperatorVersion: 8, Deleted: true}}})
 	c.expectRuling("a", schema.Ruling_RULING_INVALID, changeExpecting("wrong", []*schema.Item{goldenItem("segment", "wrong", 0, `{"colour":"red"}`)}))
 	c.expectRuling("b", schema.Ruling_RULING_CONFLICT, changeExpecting("late", []*schema.Item{goldenItem("segment", "plain", 0, `{"salt":"q"}`)}))
-	// c is lost for good, and d replaces it.
+	// c is lost permanently, and d replaces it.
 	c.down["c"] = true
 	c.start("d", 14)
 	c.advance(6 * time.Second)
--- a/internal/store/membership_test.go
+++ b/internal/store/membership_test.go
@@ -19,12 +19,13 @@
 	c.replicas["a"], c.order = NewReplica(cfg, 0, []*schema.Record{InitialRecord(cfg, 1)}), []string{"a"}
 	c.advance(5 * time.Second)
 	c.expectAccepted(t, "a", "one")
-	for _, action := range c.replicas["a"].ReadIndex(c.now, "read") {
+	actions := c.replicas["a"].ReadIndex(c.now, "read")
+	for _, action := range actions {
 		if reply, answered := action.(ReadIndexReady); answered && !reply.Result.Undecided && reply.Result.Committed == 1 {
 			return
 		}
 	}
-	t.Error("ReadIndex of a single member returned no ReadIndexReady with the committed sequence 1")
+	t.Errorf("ReadIndex of a single member = %+v, want a decided ReadIndexReady with the committed sequence 1", actions)
 }
 
 // Members that join at the first start raise the target size. With two tolerated losses a commit then needs three copies.
--- a/internal/store/model_faults_test.go
+++ b/internal/store/model_faults_test.go
@@ -87,13 +87,13 @@
 	m.restartAfter(replica, modelHeartbeatTimeout)
 }
 
-// replaceMember removes a machine for good. After a heartbeat timeout another one joins.
+// replaceMember removes a machine permanently. After a heartbeat timeout another one joins.
 func replaceMember(m *model, replica *modelReplica) {
 	m.remove(replica)
 	m.at(modelHeartbeatTimeout, nil, ordinaryEvent, func() { m.add(modelName(len(m.members)), false) })
 }
 
-// remove removes a machine for good.
+// remove powers off a machine, which never restarts.
 func (m *model) remove(replica *modelReplica) {
 	if replica.up {
 		m.powerLoss(replica, 0)
--- a/internal/store/model_test.go
+++ b/internal/store/model_test.go
@@ -87,7 +87,7 @@
 	incarnation uint64               // identifies the current data folder
 	disk        []*schema.Record     // the durable records of the log
 	writing     []Persist            // writes that are not durable yet; carried out one after the other
-	up, removed bool                 // whether the process runs, and whether the machine was removed for good
+	up, removed bool                 // whether the process runs, and whether the machine was removed permanently
 	processRun  int                  // number of times that the process was started
 	started     time.Duration        // time at which the process was started; the origin of the replica's clock
 	frozenUntil time.Duration        // events before this time are postponed
@@ -110,7 +110,7 @@
 	steps             int                                           // number of syncEvents and messageEvents so far
 	calls             linearize.History                             // the operators' calls whose result is known
 	faultsEndAt       time.Duration                                 // time at which the last fault ends
-	openCalls         map[int]func()                                // by client, the function that records a call of unknown outcome
+	openCalls         map[int]func()                                // functions that record a client's undecided call with an unknown outcome, by client
 	violations        []string                                      // the checks that failed so far, as text
 	leaders           map[uint64]string                             // name of the leader by term
 	states            map[uint64]string                             // stateText by committed sequence
--- a/internal/store/proposal.go
+++ b/internal/store/proposal.go
@@ -49,7 +49,7 @@
 // uncommitted entries.
 func (r *Replica) proposeAsLeader(proposal *schema.Proposal, from requester) {
 	uncommitted := int(r.sequence - r.committedSequence)
-	// The change is turned away before it is admitted, so it cannot take effect later.
+	// The change is rejected before it is admitted, so it cannot take effect later.
 	if r.role != roleLeader || r.unfit() || uncommitted >= r.config.MaxUncommittedEntries {
 		r.answerProposal(from, undecidedProposal(proposal.Ticket))
 		return
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -33,7 +33,7 @@
 	term         uint64                           // the term whose beginning the content includes; 0 before the first
 	sequence     uint64                           // sequence of the last entry (Raft: last log index)
 	state        config.State                     // the items, as of sequence
-	membership   *schema.Membership               // in force once it is appended, committed or not (thesis, section 4.1)
+	membership   *schema.Membership               // the members; takes effect once appended, committed or not (thesis, section 4.1)
 	outcomes     map[string]*schema.ChangeOutcome // the retained outcomes, at most MaxOutcomes, by change id
 	outcomeOrder []string                         // the keys of outcomes, oldest first
 
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -76,7 +76,7 @@
 	c.down["b"] = true
 	c.advance(5 * time.Second)
 	if c.replicas["c"].Status().Member {
-		t.Error("empty replica c is a member though b has not reported its state")
+		t.Error("Status().Member of the empty replica c = true, want false until b has reported its state")
 	}
 	c.propose("a", "t2", "two")
 	if got := c.replies["t2"]; got != nil && !got.GetUndecided() {
--- a/internal/testbed/invariants_test.go
+++ b/internal/testbed/invariants_test.go
@@ -39,7 +39,7 @@
 // violation. On the same history with one violation added, it must find that.
 func TestInvariantsDetectViolations(t *testing.T) {
 	s := time.Second
-	violations := []func(*History){ // in the order of invariants
+	violations := []func(*History){ // one for each of invariants, in the same order
 		func(h *History) { h.Executions = append(h.Executions, h.Executions[0]) },
 		func(h *History) { h.Executions[0].Operation = "2" },
 		func(h *History) { h.Calls[0].Echoed = "2" },
--- a/internal/testbed/report.go
+++ b/internal/testbed/report.go
@@ -21,7 +21,7 @@
 	Seed       uint64    `json:"seed"`       // Options.Seed
 	Seconds    float64   `json:"seconds"`    // duration of the load
 	Findings   []Finding `json:"findings"`   // one for each invariant, in a fixed order
-	Phases     []Phase   `json:"phases"`     // in the order of time; the first ends with the first fault
+	Phases     []Phase   `json:"phases"`     // phases of the load, ordered by time; the first ends with the first fault
 	// Unanswered is a sample of the calls that were not answered: up to maxUnansweredSamples for each combination of
 	// phase, outcome and error code.
 	Unanswered []CallEntry    `json:"refused"`
--- a/internal/testbed/verify.go
+++ b/internal/testbed/verify.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// maxOutcomeWait is the time after which awaitOutcome gives up on a change.
+// maxOutcomeWait is the time after which awaitOutcome stops requesting the outcome of a change.
 const maxOutcomeWait = time.Minute
 
 // awaitOutcome requests the outcome of a change from the registries in turn, until one of them knows it. A registry
--- a/internal/transport/conn_pool.go
+++ b/internal/transport/conn_pool.go
@@ -17,7 +17,7 @@
 // idleConns is the stack of idle connections to one address. The connection that was used last is reused first, so
 // that surplus connections stay idle and expire.
 type idleConns struct {
-	conns []idleConn // in the order in which they became idle
+	conns []idleConn // idle connections, ordered by the time at which they became idle, oldest first
 }
 
 // idleConn is an idle connection.
