--- a/internal/config/compile_test.go
+++ b/internal/config/compile_test.go
@@ -22,7 +22,7 @@
 		kind, name, _ := strings.Cut(key, "/")
 		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}})
 	}
-	return State{}.With(items)
+	return State{}.Merge(items)
 }
 
 func pathsOf(faults []*schema.FieldError) (paths []string) {
@@ -154,8 +154,8 @@
 				t.Errorf("Compile: paths of faults (-want +got):\n%s", diff)
 			}
 			service := snapshot.Services["shop"]
-			if diff := cmp.Diff(test.versions, service.Versions); diff != "" || service.Fallback != test.fallback || snapshot.FallbackOf("shop") != test.fallback {
-				t.Errorf("Snapshot.Services has shop with versions %q and fallback %q, and FallbackOf(shop) = %q; want versions %q and fallback %q", service.Versions, service.Fallback, snapshot.FallbackOf("shop"), test.versions, test.fallback)
+			if diff := cmp.Diff(test.versions, service.Versions); diff != "" || service.Fallback != test.fallback || snapshot.FallbackVersion("shop") != test.fallback {
+				t.Errorf("Snapshot.Services has shop with versions %q and fallback %q, and FallbackVersion(shop) = %q; want versions %q and fallback %q", service.Versions, service.Fallback, snapshot.FallbackVersion("shop"), test.versions, test.fallback)
 			}
 			for _, version := range test.versions {
 				if !service.AllowsVersion(version) {
@@ -168,10 +168,10 @@
 	// earlier snapshot keeps the old ones.
 	first := stateFromBodies(map[string]string{"service/shop": `{}`, "standing/shop": `{"versions":["v1"],"fallback":"v1"}`})
 	before, _ := Compile(first, 1)
-	after, _ := CompileIncremental(before, first.With([]*schema.Item{{Kind: "standing", Name: "shop", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"versions":["v1","v2"],"fallback":"v2"}`)}}), 2)
-	if before.Services["shop"].AllowsVersion("v2") || !after.Services["shop"].AllowsVersion("v2") || after.FallbackOf("shop") != "v2" || before.FallbackOf("shop") != "v1" {
+	after, _ := CompileIncremental(before, first.Merge([]*schema.Item{{Kind: "standing", Name: "shop", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"versions":["v1","v2"],"fallback":"v2"}`)}}), 2)
+	if before.Services["shop"].AllowsVersion("v2") || !after.Services["shop"].AllowsVersion("v2") || after.FallbackVersion("shop") != "v2" || before.FallbackVersion("shop") != "v1" {
 		t.Errorf("versions and fallback before the change: %q, %q, want only v1; after it: %q, %q, want v2 too, as the fallback",
-			before.Services["shop"].Versions, before.FallbackOf("shop"), after.Services["shop"].Versions, after.FallbackOf("shop"))
+			before.Services["shop"].Versions, before.FallbackVersion("shop"), after.Services["shop"].Versions, after.FallbackVersion("shop"))
 	}
 }
 
@@ -310,7 +310,7 @@
 				state, snapshot := State{}, (*Snapshot)(nil)
 				var faults []*schema.FieldError
 				for _, item := range order {
-					state = state.With([]*schema.Item{item})
+					state = state.Merge([]*schema.Item{item})
 					snapshot, faults = CompileIncremental(snapshot, state, 1)
 				}
 				if diff := cmp.Diff(test.paths, pathsOf(faults)); diff != "" {
@@ -363,7 +363,7 @@
 		"a changed flag is decoded":                          {[]*schema.Item{changed("flag", "release.a", `{"on":false,"salt":"s","variations":["v1"],"offVariation":0,"fallthrough":{"variation":0}}`, false)}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			next := state.With(test.items)
+			next := state.Merge(test.items)
 			copied := State{}
 			for key, item := range next {
 				copied[key] = &schema.Item{Kind: item.Kind, Name: item.Name, Version: &schema.Version{Term: 1, Sequence: item.Version.Sequence}, Body: append([]byte(nil), item.Body...), Deleted: item.Deleted}
@@ -407,7 +407,7 @@
 func BenchmarkCompileIncrementalOneRouteOf500(b *testing.B) {
 	state := stateWithHosts(500)
 	before, _ := Compile(state, 1)
-	next := state.With([]*schema.Item{{Kind: "route", Name: "r7", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"host":"h7.example","prefix":"/","service":"a"}`)}})
+	next := state.Merge([]*schema.Item{{Kind: "route", Name: "r7", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"host":"h7.example","prefix":"/","service":"a"}`)}})
 	for b.Loop() {
 		CompileIncremental(before, next, 2)
 	}
--- a/internal/config/item_kinds.go
+++ b/internal/config/item_kinds.go
@@ -11,7 +11,7 @@
 	"meadowhinge/schema"
 )
 
-// The kinds of items besides KindPurged, by their names in stored items. The rollout controller writes items of
+// The kinds of items besides KindTombstonePurge, by their names in stored items. The rollout controller writes items of
 // kindDiscoveredVersions and kindProgress. Operators write the others, in CUE text under the same names.
 const (
 	kindService            = "service"
@@ -162,7 +162,7 @@
 		func(snapshot *Snapshot, name string, policy *Policy, _ *schema.Item) {
 			snapshot.policies[name] = policy
 		}),
-	KindPurged: newItemKind(noPreparation[tombstonePurge], notAdded[tombstonePurge]),
+	KindTombstonePurge: newItemKind(noPreparation[tombstonePurge], notAdded[tombstonePurge]),
 }
 
 // recordRevision raises the VersionRevision of a version to the sequence of item, a release plan or stop of the version.
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -92,8 +92,8 @@
 	return isPlanOfVersion && plan.Strategy == StrategyDeadline && progress.State == progressStateRamp
 }
 
-// FallbackOf returns the fallback version of a service, empty if the service does not exist or has none.
-func (s *Snapshot) FallbackOf(service string) string {
+// FallbackVersion returns the fallback version of a service, empty if the service does not exist or has none.
+func (s *Snapshot) FallbackVersion(service string) string {
 	if found := s.Services[service]; found != nil {
 		return found.Fallback
 	}
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -28,7 +28,7 @@
 	for i, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 	}
-	return State{}.With(items), faults
+	return State{}.Merge(items), faults
 }
 
 // A valid configuration compiles without faults, and its routes match by prefix and method.
@@ -114,14 +114,14 @@
 	}
 }
 
-// With keeps the newer of two versions of an item, in whatever order they are merged.
+// Merge keeps the newer of two versions of an item, in whatever order they are merged.
 func TestWithKeepsNewerVersion(t *testing.T) {
 	older := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 1, Sequence: 9}, Body: []byte("old")}
 	newer := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 2, Sequence: 1}, Body: []byte("new")}
 	for _, order := range [][]*schema.Item{{older, newer}, {newer, older}} {
 		merged := State{}
 		for _, item := range order {
-			merged = merged.With([]*schema.Item{item})
+			merged = merged.Merge([]*schema.Item{item})
 		}
 		if string(merged["flag/a"].Body) != "new" {
 			t.Errorf("merged %q, then %q: got body %q, want new", order[0].Body, order[1].Body, merged["flag/a"].Body)
@@ -136,7 +136,7 @@
 		items = append(items, &schema.Item{Kind: "route", Name: fmt.Sprint("r", i), Version: &schema.Version{Term: 1, Sequence: 1},
 			Body: []byte(fmt.Sprintf(`{"service":"shop","prefix":"/grown/%d","methods":[],"horizon":"2s","key":"X-User","attributes":{}}`, i))})
 	}
-	return State{}.With(items)
+	return State{}.Merge(items)
 }
 
 // The cost of a change to a large configuration should depend on the size of the change, since unchanged items are
@@ -144,7 +144,7 @@
 func BenchmarkCompileIncrementalOneChange(b *testing.B) {
 	state := stateWithRoutes(5000)
 	before, _ := Compile(state, 1)
-	next := state.With([]*schema.Item{{Kind: "segment", Name: "s", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"salt":""}`)}})
+	next := state.Merge([]*schema.Item{{Kind: "segment", Name: "s", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"salt":""}`)}})
 	for b.Loop() {
 		CompileIncremental(before, next, 2)
 	}
@@ -154,7 +154,7 @@
 func TestCompileIncrementalReturnsRoutesOfCompile(t *testing.T) {
 	state := stateWithRoutes(20)
 	before, _ := Compile(state, 1)
-	next := state.With([]*schema.Item{
+	next := state.Merge([]*schema.Item{
 		{Kind: "route", Name: "r3", Version: &schema.Version{Term: 1, Sequence: 2}, Deleted: true},
 		{Kind: "route", Name: "r4", Version: &schema.Version{Term: 1, Sequence: 2}, Body: []byte(`{"service":"shop","prefix":"/moved","methods":[],"horizon":"1s","key":"K","attributes":{}}`)},
 	})
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -13,17 +13,17 @@
 func Key(kind, name string) string { return schema.Key(kind, name) }
 
 // State holds the items of a configuration by Key, with a tombstone for each removed item. Stores, registries and
-// proxies replicate it: each merges the items that it receives into its own copy with With or Apply.
+// proxies replicate it: each merges the items that it receives into its own copy with Merge or Apply.
 type State map[string]*schema.Item
 
-// KindPurged is the kind of the item that records up to which sequence tombstones have been purged. The item is
+// KindTombstonePurge is the kind of the item that records up to which sequence tombstones have been purged. The item is
 // replicated like any other; only the leader of the stores writes it.
-const KindPurged = "purged"
+const KindTombstonePurge = "purged"
 
-// purgeName is the name of the only item of KindPurged.
+// purgeName is the name of the only item of KindTombstonePurge.
 const purgeName = "tombstones"
 
-// tombstonePurge is the body of the item of KindPurged. All zero means that no tombstone has been purged.
+// tombstonePurge is the body of the item of KindTombstonePurge. All zero means that no tombstone has been purged.
 type tombstonePurge struct {
 	UpTo                  uint64 `json:"to"`              // sequence up to which tombstones without an operator version are purged
 	OperatorVersionedUpTo uint64 `json:"given,omitempty"` // sequence up to which tombstones with an operator version are purged too
@@ -34,7 +34,7 @@
 // arrive. The item has no version; the leader sets it.
 func NewPurgeItem(upTo, operatorVersionedUpTo uint64) *schema.Item {
 	body := fmt.Sprintf(`{"to":%d,"given":%d}`, upTo, operatorVersionedUpTo)
-	return &schema.Item{Kind: KindPurged, Name: purgeName, Body: []byte(body)}
+	return &schema.Item{Kind: KindTombstonePurge, Name: purgeName, Body: []byte(body)}
 }
 
 // PurgedUpTo returns the sequence up to which tombstones without an operator version have been purged. A replica
@@ -47,7 +47,7 @@
 
 // purge returns the decoded purge item of the state, all zero if there is none.
 func (s State) purge() tombstonePurge {
-	if item := s[Key(KindPurged, purgeName)]; item != nil {
+	if item := s[Key(KindTombstonePurge, purgeName)]; item != nil {
 		return decodePurge(item)
 	}
 	return tombstonePurge{}
@@ -102,14 +102,14 @@
 // Apply returns the state of a replica after it received the items that ChangesAfter returned elsewhere.
 func (s State) Apply(items []*schema.Item, complete bool) State {
 	if complete {
-		return State{}.With(items)
+		return State{}.Merge(items)
 	}
-	return s.With(items)
+	return s.Merge(items)
 }
 
-// With returns a copy of the state with items merged in. Of two versions of an item the newer one is kept. Tombstones
+// Merge returns a copy of the state with items merged in. Of two versions of an item the newer one is kept. Tombstones
 // that a purge among the items covers are removed.
-func (s State) With(items []*schema.Item) State {
+func (s State) Merge(items []*schema.Item) State {
 	merged := make(State, len(s)+len(items))
 	for key, item := range s {
 		merged[key] = item
@@ -122,7 +122,7 @@
 	}
 	// Purges are applied last, since a purge may be listed before the tombstones that it removes.
 	for _, item := range items {
-		if item.Kind == KindPurged {
+		if item.Kind == KindTombstonePurge {
 			purge := decodePurge(item)
 			maps.DeleteFunc(merged, func(_ string, candidate *schema.Item) bool { return purge.covers(candidate) })
 		}
--- a/internal/dispatch/attempt_sequence.go
+++ b/internal/dispatch/attempt_sequence.go
@@ -266,7 +266,7 @@
 // versionBlocked reports whether the canary guard blocks the plan's version. It never blocks the fallback version.
 func (f *Forwarder) versionBlocked(view *plan.View, callPlan *plan.Plan) bool {
 	version := callPlan.Verdict.Version
-	return version != view.Config.FallbackOf(callPlan.Service) && f.Canaries.VersionBlocked(callPlan.Service, version, f.Now())
+	return version != view.Config.FallbackVersion(callPlan.Service) && f.Canaries.VersionBlocked(callPlan.Service, version, f.Now())
 }
 
 // isListed reports whether the directory lists a worker under a service and version.
--- a/internal/dispatch/canary_guard.go
+++ b/internal/dispatch/canary_guard.go
@@ -46,8 +46,8 @@
 type VersionGuards interface {
 	// GuardedRevision reports whether a version is guarded, and returns the revision at which its guard was configured.
 	GuardedRevision(service, version string) (revision uint64, guarded bool)
-	// FallbackOf returns the version that the service's other versions are compared with.
-	FallbackOf(service string) string
+	// FallbackVersion returns the version that the service's other versions are compared with.
+	FallbackVersion(service string) string
 }
 
 // canaryGrant is the registries' grant of a version. Like a localStop it is valid only for the guard that it was given
@@ -157,7 +157,7 @@
 	maps.DeleteFunc(g.grants, func(key versionKey, _ canaryGrant) bool { return unguarded(key) })
 	maps.DeleteFunc(g.localStops, func(key versionKey, _ localStop) bool { return unguarded(key) })
 	maps.DeleteFunc(g.windows, func(key versionKey, _ *canaryWindow) bool {
-		return unguarded(key) && guards.FallbackOf(key.service) != key.version
+		return unguarded(key) && guards.FallbackVersion(key.service) != key.version
 	})
 }
 
@@ -187,7 +187,7 @@
 // fallbackStats returns the recent calls and failures of the service's fallback version, and the mean duration of the
 // calls. It returns zeros if there were none. The caller holds the lock.
 func (g *CanaryGuard) fallbackStats(service string, now time.Duration) (calls, failures float64, mean time.Duration) {
-	window := g.windows[versionKey{service, g.guards().FallbackOf(service)}]
+	window := g.windows[versionKey{service, g.guards().FallbackVersion(service)}]
 	if window == nil {
 		return 0, 0, 0
 	}
@@ -238,7 +238,7 @@
 func (g *CanaryGuard) isTooSlow(call *CanaryCall, now time.Duration) bool {
 	calls, _, mean := g.fallbackStats(call.key.service, now)
 	slowTime := max(minSlowTime, time.Duration(g.options.SlowFactor*float64(mean)))
-	return call.key.version != g.guards().FallbackOf(call.key.service) && calls > 0 && now-call.startedAt > slowTime
+	return call.key.version != g.guards().FallbackVersion(call.key.service) && calls > 0 && now-call.startedAt > slowTime
 }
 
 // VersionBlocked reports whether a version other than the fallback must not be used now. A version is blocked if it has
--- a/internal/dispatch/canary_guard_test.go
+++ b/internal/dispatch/canary_guard_test.go
@@ -17,8 +17,8 @@
 	return revision, guarded
 }
 
-// FallbackOf implements VersionGuards.
-func (g fakeGuards) FallbackOf(string) string { return "1" }
+// FallbackVersion implements VersionGuards.
+func (g fakeGuards) FallbackVersion(string) string { return "1" }
 
 // newGrantedGuard returns a guard with a grant for version 2 of the service "shop" from now on.
 func newGrantedGuard(now time.Duration) *CanaryGuard {
--- a/internal/dispatch/endpoint_picks_test.go
+++ b/internal/dispatch/endpoint_picks_test.go
@@ -104,7 +104,7 @@
 
 // A worker that fails more calls than the others is avoided, and gets its calls back once it is healthy.
 func TestFailingWorkersAreAvoided(t *testing.T) {
-	compiled, _ := config.Compile(config.State{}.With([]*schema.Item{
+	compiled, _ := config.Compile(config.State{}.Merge([]*schema.Item{
 		{Kind: "service", Name: "s", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"versions":["1"],"fallback":"1"}`)},
 		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"service":"s","prefix":"/"}`)}}), 1)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/dispatch/endpoint_sim_test.go
+++ b/internal/dispatch/endpoint_sim_test.go
@@ -150,7 +150,7 @@
 	for _, worker := range w.workers {
 		capacity += float64(worker.slots) * worker.speed / options.work().Seconds()
 	}
-	compiled, _ := config.Compile(config.State{}.With([]*schema.Item{
+	compiled, _ := config.Compile(config.State{}.Merge([]*schema.Item{
 		{Kind: "service", Name: "s", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"versions":["1"],"fallback":"1"}`)},
 		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: fmt.Appendf(nil, `{"service":"s","prefix":"/","aim":"%v"}`, w.latencyTarget)}}), 1)
 	for range options.proxies() {
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -82,7 +82,7 @@
 	item := func(kind, name, body string) *schema.Item {
 		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
 	}
-	state := config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["1"],"fallback":"1"}`),
+	state := config.State{}.Merge([]*schema.Item{item("service", "shop", `{"versions":["1"],"fallback":"1"}`),
 		item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+route+`}`)})
 	compiled, faults := config.Compile(state, 1)
 	if len(faults) > 0 {
@@ -263,7 +263,7 @@
 		item := func(kind, name, body string) *schema.Item {
 			return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
 		}
-		snapshot, faults := config.Compile(config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
+		snapshot, faults := config.Compile(config.State{}.Merge([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
 			item("flag", "release.shop", `{"on":true,"salt":"","variations":["0","1"],"offVariation":0,"fallthrough":{"variation":1}}`)}), 1)
 		if len(faults) > 0 {
 			t.Fatalf("config.Compile: got faults %v, want none", faults)
--- a/internal/dispatch/retry_decision.go
+++ b/internal/dispatch/retry_decision.go
@@ -73,7 +73,7 @@
 		return false
 	case response.Status < minFailureStatus || progress.hasAnswer() || progress.fullEndpoints > 0:
 		return false
-	case callPlan.Verdict.Version != f.View().Config.FallbackOf(callPlan.Service):
+	case callPlan.Verdict.Version != f.View().Config.FallbackVersion(callPlan.Service):
 		return false
 	case response.Slots > 0 && float64(response.RecentFailures) < minWorkerFailureRate*float64(response.RecentRuns):
 		return false
--- a/internal/dispatch/worker_fixture_test.go
+++ b/internal/dispatch/worker_fixture_test.go
@@ -39,7 +39,7 @@
 	for _, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: 1}
 	}
-	snapshot, compileFaults := config.Compile(config.State{}.With(items), revision)
+	snapshot, compileFaults := config.Compile(config.State{}.Merge(items), revision)
 	if len(faults)+len(compileFaults) > 0 {
 		tb.Fatalf("the fixture's configuration has faults: parsing %v, compiling %v", faults, compileFaults)
 	}
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -51,7 +51,7 @@
 	for i, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: uint64(i + 1)}
 	}
-	snapshot, found := config.Compile(config.State{}.With(items), 9)
+	snapshot, found := config.Compile(config.State{}.Merge(items), 9)
 	if len(faults)+len(found) > 0 {
 		t.Fatalf("configuration has faults: parsing %v, compiling %v", faults, found)
 	}
@@ -313,7 +313,7 @@
 		kind, name, _ := strings.Cut(key, "/")
 		items = append(items, &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Term: 1, Sequence: 1}})
 	}
-	snapshot, faults := config.Compile(config.State{}.With(items), 9)
+	snapshot, faults := config.Compile(config.State{}.Merge(items), 9)
 	if len(faults) > 0 {
 		tb.Fatalf("config.Compile() reported faults: %v", faults)
 	}
--- a/internal/registry/operator_views.go
+++ b/internal/registry/operator_views.go
@@ -57,7 +57,7 @@
 		return
 	}
 	for _, item := range items {
-		if !item.Deleted && item.Kind != config.KindPurged {
+		if !item.Deleted && item.Kind != config.KindTombstonePurge {
 			view.Items = append(view.Items, newItemView(item))
 		}
 	}
@@ -212,7 +212,7 @@
 	counts := o.peers.collectCounts(ctx)
 	views := []ReleaseView{}
 	for name, planned := range snapshot.Releases {
-		fallback := snapshot.FallbackOf(planned.Service)
+		fallback := snapshot.FallbackVersion(planned.Service)
 		versionCounts := release.GatherVersionCounts(counts, planned.Service, planned.Version, planned.Revision, fallback)
 		view := ReleaseView{
 			Name:               name,
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -190,7 +190,7 @@
 		for _, version := range compiled.GuardedVersions[service] {
 			revision, _ := compiled.GuardedRevision(service, version)
 			guarded := c.guardedVersionFor(versionKey{service, version}, revision)
-			counts := GatherVersionCounts(observation.Counts, service, version, revision, compiled.FallbackOf(service))
+			counts := GatherVersionCounts(observation.Counts, service, version, revision, compiled.FallbackVersion(service))
 			c.evaluateVersion(guarded, counts, observation.ReportingFraction, planGivesAllCalls(compiled, service, version))
 			if guarded.stopVerdict == "" || planFor(compiled, service, version) != nil || compiled.ActiveStop(service, version) != nil {
 				continue
--- a/internal/release/deadline_step_test.go
+++ b/internal/release/deadline_step_test.go
@@ -33,7 +33,7 @@
 			t.Errorf("order %d: plan states = %q, want %q", i, states, want)
 		}
 		compiled := h.compiled()
-		if compiled.FallbackOf("shop") != version || len(compiled.Services["shop"].Versions) != 1 || len(compiled.GuardedVersions["shop"]) != 0 {
+		if compiled.FallbackVersion("shop") != version || len(compiled.Services["shop"].Versions) != 1 || len(compiled.GuardedVersions["shop"]) != 0 {
 			t.Errorf("order %d: discovered versions = %v with guarded versions %v, want only the fallback %q and none guarded",
 				i, compiled.DiscoveredVersions["shop"], compiled.GuardedVersions["shop"], version)
 		}
@@ -138,7 +138,7 @@
 			h.runFor(2*time.Second, 400, badOutcome)
 			compiled := h.compiled()
 			isOn := compiled.Flags.Flags["release.shop"].On
-			if progress := h.progress(); progress.State != StateRolledBack || compiled.FallbackOf("shop") != "1" || isOn {
+			if progress := h.progress(); progress.State != StateRolledBack || compiled.FallbackVersion("shop") != "1" || isOn {
 				t.Errorf("progress = %+v, discovered versions = %v, flag on = %t, want state %q, fallback 1 and the flag off",
 					progress, compiled.DiscoveredVersions["shop"], isOn, StateRolledBack)
 			}
--- a/internal/release/discovered_versions_test.go
+++ b/internal/release/discovered_versions_test.go
@@ -7,7 +7,7 @@
 func TestFirstRegisteredVersionBecomesFallback(t *testing.T) {
 	h := newDeadlineHarness(t)
 	compiled := h.compiled()
-	if compiled.FallbackOf("shop") != "1" || compiled.Flags.Flags["release.shop"] == nil || len(compiled.GuardedVersions["shop"]) != 0 {
+	if compiled.FallbackVersion("shop") != "1" || compiled.Flags.Flags["release.shop"] == nil || len(compiled.GuardedVersions["shop"]) != 0 {
 		t.Fatalf("discovered versions = %v, flag = %v, guarded versions = %v, want fallback 1 with a flag and none guarded",
 			compiled.DiscoveredVersions["shop"], compiled.Flags.Flags["release.shop"], compiled.GuardedVersions["shop"])
 	}
--- a/internal/release/harness_test.go
+++ b/internal/release/harness_test.go
@@ -23,7 +23,7 @@
 	for _, item := range items {
 		item.Version = &schema.Version{Term: 1, Sequence: s.sequence}
 	}
-	s.state = s.state.With(items)
+	s.state = s.state.Merge(items)
 	if _, faults := config.Compile(s.state, s.sequence); len(faults) > 0 {
 		s.t.Fatalf("config.Compile() after write %d reported faults: %v", s.sequence, faults)
 	}
--- a/internal/release/ramp_step.go
+++ b/internal/release/ramp_step.go
@@ -9,7 +9,7 @@
 // nextRampStep returns the next step of a ramp plan, or nil if none is due or the change is too small to write.
 func (c *Controller) nextRampStep(now time.Duration, compiled *config.Snapshot, state config.State, plan *config.Release,
 	observation FleetObservation) (*Step, error) {
-	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, compiled.FallbackOf(plan.Service))
+	counts := GatherVersionCounts(observation.Counts, plan.Service, plan.Version, plan.Revision, compiled.FallbackVersion(plan.Service))
 	before := config.Progress{}
 	if recorded := progressOf(compiled, plan); recorded != nil {
 		before = *recorded
--- a/internal/release/rollout_order.go
+++ b/internal/release/rollout_order.go
@@ -88,7 +88,7 @@
 		switch {
 		case recorded != nil:
 			return plan.Version, recorded.State
-		case compiled.Progress[plan.Name] == nil && plan.Version == compiled.FallbackOf(service):
+		case compiled.Progress[plan.Name] == nil && plan.Version == compiled.FallbackVersion(service):
 			return plan.Version, StateDone
 		}
 		return plan.Version, StateCanary
--- a/internal/store/decide.go
+++ b/internal/store/decide.go
@@ -37,7 +37,7 @@
 		outcome.Ruling = schema.Ruling_RULING_ACCEPTED
 		return entry, previous
 	}
-	compiled, faults := config.CompileIncremental(previous, state.With(items), version.Sequence)
+	compiled, faults := config.CompileIncremental(previous, state.Merge(items), version.Sequence)
 	if len(faults) > 0 {
 		outcome.Ruling = schema.Ruling_RULING_INVALID
 		outcome.Faults = faults[:min(len(faults), maxReportedFaults)]
--- a/internal/store/decide_test.go
+++ b/internal/store/decide_test.go
@@ -10,7 +10,7 @@
 // Decide gives each of its rulings on changes with expected sequences, against one state.
 func TestDecideByExpectedSequences(t *testing.T) {
 	at := func(sequence uint64) *schema.Version { return &schema.Version{Term: 1, Sequence: sequence} }
-	state := config.State{}.With([]*schema.Item{
+	state := config.State{}.Merge([]*schema.Item{
 		{Kind: "service", Name: "shop", Version: at(1), Body: []byte(`{"versions":["1","2"],"fallback":"1","callers":[]}`)},
 		{Kind: "progress", Name: "r", Version: at(2), Body: []byte(`{"duty":5}`)},
 		{Kind: "segment", Name: "old", Version: at(3), Deleted: true},
@@ -85,7 +85,7 @@
 		conflict = schema.Ruling_RULING_CONFLICT
 		invalid  = schema.Ruling_RULING_INVALID
 	)
-	state := config.State{}.With([]*schema.Item{
+	state := config.State{}.Merge([]*schema.Item{
 		stored(1, item("present", 7, `{"salt":""}`)),
 		stored(2, item("deleted", 7, "")),
 		stored(3, item("unversioned", 0, `{"salt":""}`)),
@@ -155,7 +155,7 @@
 	}
 	stored := service(`{"MaxConns":20,"Name":"shop"}`)
 	stored.Version = &schema.Version{Term: 1, Sequence: 4}
-	state := config.State{}.With([]*schema.Item{stored})
+	state := config.State{}.Merge([]*schema.Item{stored})
 	for source, want := range map[string]schema.Ruling{
 		`{"Name":"shop", "MaxConns":20}`: schema.Ruling_RULING_ACCEPTED,
 		`{"MaxConns":21,"Name":"shop"}`:  schema.Ruling_RULING_CONFLICT,
--- a/internal/store/state.go
+++ b/internal/store/state.go
@@ -33,7 +33,7 @@
 // content stays as it is until commitTo advances it.
 func (r *Replica) restoreSnapshot(snapshot *schema.Snapshot) {
 	r.term, r.sequence = snapshot.Term, snapshot.Sequence
-	r.state = config.State{}.With(snapshot.Items)
+	r.state = config.State{}.Merge(snapshot.Items)
 	if r.membership = snapshot.Membership; r.membership == nil {
 		r.membership = &schema.Membership{}
 	}
@@ -65,7 +65,7 @@
 	r.entries = append(r.entries, entry)
 	r.sequence = entry.Version.Sequence
 	if len(entry.Items) > 0 {
-		r.state = r.state.With(entry.Items)
+		r.state = r.state.Merge(entry.Items)
 	}
 	if entry.Membership != nil {
 		r.membership = entry.Membership
@@ -150,7 +150,7 @@
 	}
 	items, changed := r.effectBetween(from, sequence)
 	if len(items) > 0 {
-		state = state.With(items)
+		state = state.Merge(items)
 	}
 	if changed != nil {
 		membership = changed
@@ -176,7 +176,7 @@
 		r.baseMembership = changed
 	}
 	r.entries = append([]*schema.Entry(nil), r.entries[compactTo-r.baseSequence:]...)
-	r.baseState, r.baseSequence = r.baseState.With(items), compactTo
+	r.baseState, r.baseSequence = r.baseState.Merge(items), compactTo
 }
 
 // effectBetween returns what the retained entries after the sequence above, up to and including upTo, write: their
