--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -38,7 +38,7 @@
 	addFlagFaults(snapshot.Flags.CheckReferences(), faults.add)
 	snapshot.checkReferences(faults.add)
 	snapshot.bindPolicies(previous, faults.add)
-	snapshot.bindVersionDeciders()
+	snapshot.bindVersionFlags()
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].Path < faults[j].Path })
 	return snapshot, faults
 }
@@ -133,17 +133,17 @@
 	}
 }
 
-// bindVersionDeciders looks up the version flag of each service, and fills GuardedVersions with the versions
+// bindVersionFlags looks up the version flag of each service, and fills GuardedVersions with the versions
 // besides the fallback that the flag may pick.
-func (s *Snapshot) bindVersionDeciders() {
+func (s *Snapshot) bindVersionFlags() {
 	for _, name := range sortedKeys(s.Services) {
 		key := VersionFlagKey(name)
-		decider := s.Flags.Flags[key]
-		s.versionDeciders[name] = Decider{key, decider}
-		if decider == nil {
+		versionFlag := s.Flags.Flags[key]
+		s.versionFlags[name] = FlagRef{key, versionFlag}
+		if versionFlag == nil {
 			continue
 		}
-		for _, version := range decider.ReachableVariations() {
+		for _, version := range versionFlag.ReachableVariations() {
 			if version != s.Services[name].Fallback {
 				s.GuardedVersions[name] = append(s.GuardedVersions[name], version)
 			}
--- a/internal/config/compile_test.go
+++ b/internal/config/compile_test.go
@@ -189,13 +189,13 @@
 			if len(faults) > 0 {
 				t.Fatalf("Compile reported faults: %v", faults)
 			}
-			decider := snapshot.Flags.Flags["route.r"]
+			splitFlag := snapshot.Flags.Flags["route.r"]
 			var got []int
-			for _, weighted := range decider.Fallthrough.Rollout.Variations {
+			for _, weighted := range splitFlag.Fallthrough.Rollout.Variations {
 				got = append(got, weighted.Weight)
 			}
-			if diff := cmp.Diff(want, got); diff != "" || decider.Salt != "r" || !decider.On {
-				t.Errorf("flag route.r has salt %q and On %v, want salt r and true; weights (-want +got):\n%s", decider.Salt, decider.On, diff)
+			if diff := cmp.Diff(want, got); diff != "" || splitFlag.Salt != "r" || !splitFlag.On {
+				t.Errorf("flag route.r has salt %q and On %v, want salt r and true; weights (-want +got):\n%s", splitFlag.Salt, splitFlag.On, diff)
 			}
 		})
 	}
@@ -392,8 +392,8 @@
 			}
 		})
 	}
-	if decider := before.Flags.Flags["route.r10"]; decider == nil || decider.Fallthrough.Rollout.Variations[0].Weight != flag.TotalWeight*9/10 {
-		t.Errorf("flag route.r10 of the earlier snapshot is now %+v, want its first weight to be %d", decider, flag.TotalWeight*9/10)
+	if splitFlag := before.Flags.Flags["route.r10"]; splitFlag == nil || splitFlag.Fallthrough.Rollout.Variations[0].Weight != flag.TotalWeight*9/10 {
+		t.Errorf("flag route.r10 of the earlier snapshot is now %+v, want its first weight to be %d", splitFlag, flag.TotalWeight*9/10)
 	}
 }
 
--- a/internal/config/prepare_route.go
+++ b/internal/config/prepare_route.go
@@ -70,18 +70,18 @@
 		add(path+".split", "at least one weight must be above zero")
 		return
 	}
-	decider := &flag.Flag{Key: r.SplitFlagKey(), On: true, Salt: r.Name}
+	splitFlag := &flag.Flag{Key: r.SplitFlagKey(), On: true, Salt: r.Name}
 	rollout := &flag.Rollout{}
 	cumulativeWeight, previousBound := 0.0, 0
 	for i, weighted := range r.Split {
 		cumulativeWeight += weighted.Weight
 		// Rounding the cumulative weights, not each weight, makes the rounded weights add up to flag.TotalWeight.
 		bound := int(math.Round(cumulativeWeight / totalWeight * flag.TotalWeight))
-		decider.Variations = append(decider.Variations, weighted.Service)
+		splitFlag.Variations = append(splitFlag.Variations, weighted.Service)
 		rollout.Variations = append(rollout.Variations, flag.WeightedVariation{Variation: i, Weight: bound - previousBound})
 		previousBound = bound
 	}
-	decider.Fallthrough.Rollout = rollout
-	decider.Prepare()
-	r.splitFlag = decider
+	splitFlag.Fallthrough.Rollout = rollout
+	splitFlag.Prepare()
+	r.splitFlag = splitFlag
 }
--- a/internal/config/references.go
+++ b/internal/config/references.go
@@ -26,13 +26,13 @@
 		if hasVersions && !service.AllowsVersion(service.Fallback) {
 			add(itemPath(kindService, name)+".fallback", "version %q is not in versions", service.Fallback)
 		}
-		decider, found := s.Flags.Flags[VersionFlagKey(name)]
+		versionFlag, found := s.Flags.Flags[VersionFlagKey(name)]
 		if !found {
 			continue
 		}
-		for i, version := range decider.Variations {
+		for i, version := range versionFlag.Variations {
 			if !service.AllowsVersion(version) {
-				add(fmt.Sprintf("flag.%s.variations[%d]", decider.Key, i), "service %q does not list version %q", name, version)
+				add(fmt.Sprintf("flag.%s.variations[%d]", versionFlag.Key, i), "service %q does not list version %q", name, version)
 			}
 		}
 	}
@@ -148,9 +148,9 @@
 		add(path+".version", "service %q does not list version %q", release.Service, release.Version)
 	}
 	flagKey := VersionFlagKey(release.Service)
-	decider := s.Flags.Flags[flagKey]
+	versionFlag := s.Flags.Flags[flagKey]
 	switch {
-	case decider == nil || !slices.Contains(decider.Variations, release.Version):
+	case versionFlag == nil || !slices.Contains(versionFlag.Variations, release.Version):
 		add(path, "flag %q has no variation %q", flagKey, release.Version)
 	case service != nil && release.Version == service.Fallback && !hasDiscovered:
 		// Where versions are discovered, the plan itself may have made its version the fallback when it completed.
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -25,7 +25,7 @@
 	policies         map[string]*Policy         // keyed by name
 	programs         map[string]*policy.Program // compiled policies, keyed by expression and attributes; later snapshots reuse them
 	decodedItems     map[string]*decodedItem    // live items, keyed by Key; later snapshots reuse those that do not change
-	versionDeciders  map[string]Decider         // version flags, keyed by service
+	versionFlags     map[string]FlagRef         // version flags, keyed by service
 	routeMatcher     routeMatcher               // index of Routes
 	decodeCount      int                        // number of items that were decoded for this snapshot, not reused
 }
@@ -50,7 +50,7 @@
 		policies:         map[string]*Policy{},
 		programs:         map[string]*policy.Program{},
 		decodedItems:     decodedItems,
-		versionDeciders:  map[string]Decider{},
+		versionFlags:     map[string]FlagRef{},
 	}
 }
 
@@ -106,24 +106,24 @@
 // RouteFlagKey returns the key of the flag that picks the service for each request of a split route.
 func RouteFlagKey(route string) string { return "route." + route }
 
-// Decider is the result of looking up the flag that picks a version or a service.
-type Decider struct {
+// FlagRef is the result of looking up the flag that picks a version or a service.
+type FlagRef struct {
 	Key  string     // key of the flag, whether the flag exists or not
 	Flag *flag.Flag // nil if the flag does not exist
 }
 
-// VersionDecider returns the version flag of a service.
-func (s *Snapshot) VersionDecider(service string) Decider {
-	if decider, found := s.versionDeciders[service]; found {
-		return decider
+// VersionFlag returns the version flag of a service.
+func (s *Snapshot) VersionFlag(service string) FlagRef {
+	if ref, found := s.versionFlags[service]; found {
+		return ref
 	}
-	return Decider{Key: VersionFlagKey(service)}
+	return FlagRef{Key: VersionFlagKey(service)}
 }
 
-// ServiceDecider returns the flag that picks the service of a route. Its Flag is nil for a route without a split.
-func (s *Snapshot) ServiceDecider(route *Route) Decider {
+// ServiceFlag returns the flag that picks the service of a route. Its Flag is nil for a route without a split.
+func (s *Snapshot) ServiceFlag(route *Route) FlagRef {
 	if route.splitFlag == nil {
-		return Decider{Key: route.SplitFlagKey()}
+		return FlagRef{Key: route.SplitFlagKey()}
 	}
-	return Decider{route.splitFlag.Key, route.splitFlag}
+	return FlagRef{route.splitFlag.Key, route.splitFlag}
 }
--- a/internal/flag/evaluate.go
+++ b/internal/flag/evaluate.go
@@ -3,11 +3,12 @@
 // Evaluate returns the result of the flag with a key for a context. The result has ReasonError if the flag does not
 // exist, or if it or the context cannot be evaluated.
 func (s *Set) Evaluate(key string, context EvaluationContext) Result {
-	return s.Decide(s.Flags[key], context)
+	return s.EvaluateFlag(s.Flags[key], context)
 }
 
-// Decide returns the same as Evaluate for a flag that has been looked up already; nil means that it does not exist.
-func (s *Set) Decide(evaluated *Flag, context EvaluationContext) Result {
+// EvaluateFlag returns the same as Evaluate for a flag that has been looked up already; nil means that it does not
+// exist.
+func (s *Set) EvaluateFlag(evaluated *Flag, context EvaluationContext) Result {
 	if evaluated == nil {
 		return Result{Index: -1, Reason: ReasonError, Error: FlagNotFound}
 	}
--- a/internal/plan/version.go
+++ b/internal/plan/version.go
@@ -18,10 +18,10 @@
 
 // decideSplit returns the verdict on the service of a split route.
 func (d *decision) decideSplit(route *config.Route) Verdict {
-	decider := d.view.Config.ServiceDecider(route)
-	result := d.view.Config.Flags.Decide(decider.Flag, d.subject)
+	ref := d.view.Config.ServiceFlag(route)
+	result := d.view.Config.Flags.EvaluateFlag(ref.Flag, d.subject)
 	verdict := Verdict{
-		Flag:           decider.Key,
+		Flag:           ref.Key,
 		Version:        result.Value,
 		Reason:         result.Reason,
 		Error:          result.Error,
@@ -109,10 +109,10 @@
 
 // evaluateVersion returns the verdict of a service's version flag.
 func (d *decision) evaluateVersion(service *config.Service, serviceName string) Verdict {
-	decider := d.view.Config.VersionDecider(serviceName)
-	result := d.view.Config.Flags.Decide(decider.Flag, d.subject)
+	ref := d.view.Config.VersionFlag(serviceName)
+	result := d.view.Config.Flags.EvaluateFlag(ref.Flag, d.subject)
 	verdict := Verdict{
-		Flag:           decider.Key,
+		Flag:           ref.Key,
 		Version:        result.Value,
 		Reason:         result.Reason,
 		RuleID:         result.RuleID,
