--- a/internal/dispatch/endpoint_picks_test.go
+++ b/internal/dispatch/endpoint_picks_test.go
@@ -131,9 +131,9 @@
 			simulateCalls := func(calls int, failing [3]float64) (got [3]float64) {
 				for range calls {
 					now += 10 * time.Millisecond
-					made, err := plan.Make(view, request, plan.Options{MaxDeadline: time.Minute}, LocalState{detector, nil}, now, random.Float64)
+					made, err := plan.New(view, request, plan.Options{MaxDeadline: time.Minute}, LocalState{detector, nil}, now, random.Float64)
 					if err != nil {
-						t.Fatalf("plan.Make: %v", err)
+						t.Fatalf("plan.New: %v", err)
 					}
 					worker := int(made.Candidates[0].Instance[1] - '0')
 					got[worker] += 1 / float64(calls)
--- a/internal/dispatch/endpoint_sim_test.go
+++ b/internal/dispatch/endpoint_sim_test.go
@@ -160,8 +160,8 @@
 	var reportLoad func(i int)
 	reportLoad = func(i int) {
 		worker := w.workers[i]
-		reported := plan.Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Zone: fmt.Sprint("z", worker.zone), Slots: worker.slots, Running: worker.running,
-			Waiting: len(worker.queue), ServiceTime: worker.serviceTime, ReportedAt: w.now, WarmUntil: worker.slowUntil}
+		reported := plan.Endpoint{Instance: fmt.Sprint("w", i), Proxy: fmt.Sprint("p", i), Zone: fmt.Sprint("z", worker.zone), Slots: worker.slots, ActiveRequests: worker.running,
+			QueuedRequests: len(worker.queue), ServiceTime: worker.serviceTime, ReportedAt: w.now, WarmUntil: worker.slowUntil}
 		w.after(100*time.Millisecond, func() {
 			for _, view := range w.views {
 				view.Directory["s"]["1"][i] = reported
@@ -352,9 +352,9 @@
 			Identity: "i",
 		}
 		local := detectionState{LocalState{w.detectors[from], nil}, w.detection}
-		callPlan, err := plan.Make(w.views[from], request, options, local, w.now, w.random.Float64)
+		callPlan, err := plan.New(w.views[from], request, options, local, w.now, w.random.Float64)
 		if err != nil {
-			panic(fmt.Sprintf("plan.Make for the simulated service: %v", err))
+			panic(fmt.Sprintf("plan.New for the simulated service: %v", err))
 		}
 		var order []int
 		for _, candidate := range callPlan.Candidates {
--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -169,7 +169,7 @@
 
 // makePlan makes a plan and shortens its deadline by the time reserved for sending the response back to the caller.
 func (f *Forwarder) makePlan(request *plan.Request) (*plan.Plan, error) {
-	callPlan, err := plan.Make(f.View(), request, f.limits.Load().PlanOptions, f.local, f.Now(), f.Random)
+	callPlan, err := plan.New(f.View(), request, f.limits.Load().PlanOptions, f.local, f.Now(), f.Random)
 	if callPlan != nil {
 		callPlan.Deadline -= callPlan.Deadline / returnMarginDivisor
 	}
--- a/internal/dispatch/outlier_detector.go
+++ b/internal/dispatch/outlier_detector.go
@@ -81,13 +81,13 @@
 	unreachable := d.unreachableCount.Load() > 0 && d.isProxyUnreachable(worker.Proxy, now)
 	state, found := d.workers.Load(worker.Instance)
 	if !found {
-		stats.OtherInFlight = float64(worker.Running + worker.Waiting)
+		stats.OtherInFlight = float64(worker.ActiveRequests + worker.QueuedRequests)
 		stats.Unreachable, stats.Ejected = unreachable, unreachable
 		return stats
 	}
 	stats.InFlight = int(state.inFlight.Load())
 	sinceResponse := now - time.Duration(state.lastResponseAt.Load())
-	stats.Full = int64(now) < state.fullUntil.Load()
+	stats.AtCapacity = int64(now) < state.fullUntil.Load()
 	stats.Unreachable = unreachable || state.retired.Load()
 	stats.Ejected = stats.Unreachable || int64(now) < state.ejectedUntil.Load()
 	state.lock.Lock()
--- a/internal/dispatch/outlier_detector_test.go
+++ b/internal/dispatch/outlier_detector_test.go
@@ -124,7 +124,7 @@
 		return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200, Running: running, Queued: waiting, Slots: slots, ServiceTimeNanos: int64(time.Second)}
 	}
 	detector := NewOutlierDetector(5, 5*time.Second)
-	worker := plan.Endpoint{Instance: "w", Slots: 9, Running: 4, Waiting: 1, ReportedAt: time.Second}
+	worker := plan.Endpoint{Instance: "w", Slots: 9, ActiveRequests: 4, QueuedRequests: 1, ReportedAt: time.Second}
 	expect := func(name string, now time.Duration, slots int, from, to float64) {
 		t.Helper()
 		if stats := detector.Stats(&worker, now); stats.Slots != slots || stats.OtherInFlight < from || stats.OtherInFlight > to {
@@ -139,7 +139,7 @@
 	detector.BeginCall("w", 0)
 	detector.RecordResponse("w", 3*time.Second, time.Second, answer(7, 3, 10))
 	expect("reported by a response, less the own call", 3*time.Second, 10, 9, 9)
-	worker.ReportedAt, worker.Running, worker.Waiting = 4*time.Second, 3, 0
+	worker.ReportedAt, worker.ActiveRequests, worker.QueuedRequests = 4*time.Second, 3, 0
 	expect("reported by the directory, which is newer", 4*time.Second, 10, 2, 2)
 	expect("a service time later: half way to the baseline", 5*time.Second, 10, 5.4, 5.6)
 	expect("much later: the baseline", time.Hour, 10, 8.9, 9)
@@ -156,7 +156,7 @@
 			detector.RecordResponse("w", time.Minute, time.Millisecond, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_NOT_EXECUTED, ErrorCode: "BUFFER_FULL", RetryAfterNanos: int64(test.reported)})
 		}
 		before, after := detector.Stats(&worker, time.Minute+test.until-1), detector.Stats(&worker, time.Minute+test.until)
-		if !before.Full || after.Full || before.Ejected || before.RecentFailures > 0 || before.InFlight != 0 {
+		if !before.AtCapacity || after.AtCapacity || before.Ejected || before.RecentFailures > 0 || before.InFlight != 0 {
 			t.Errorf("Stats after refusals with retry after %v: got %+v before %v and %+v then, want full only before, never ejected, no failures or calls in flight",
 				test.reported, before, test.until, after)
 		}
--- a/internal/dispatch/worker_state.go
+++ b/internal/dispatch/worker_state.go
@@ -115,13 +115,13 @@
 		stats.Slots, stats.OtherInFlight = 0, 0
 		return
 	case !s.hasLoad:
-		stats.OtherInFlight = float64(worker.Running + worker.Waiting)
+		stats.OtherInFlight = float64(worker.ActiveRequests + worker.QueuedRequests)
 		return
 	}
 	stats.Slots = s.slots
 	otherInFlight, reportedAt := s.otherInFlight, s.loadReportedAt
 	if worker.ReportedAt > reportedAt {
-		otherInFlight = max(0, float64(worker.Running+worker.Waiting-stats.InFlight))
+		otherInFlight = max(0, float64(worker.ActiveRequests+worker.QueuedRequests-stats.InFlight))
 		reportedAt = worker.ReportedAt
 	}
 	age := float64(now-reportedAt) / float64(max(stats.ServiceTime, time.Millisecond))
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -13,12 +13,12 @@
 			var workers []Endpoint
 			for i := range pool {
 				workers = append(workers, Endpoint{
-					Instance:    fmt.Sprint("w", i),
-					Proxy:       fmt.Sprint("p", i),
-					Zone:        []string{"near", "far", "away"}[i%3],
-					Slots:       18,
-					Running:     i % 7,
-					ServiceTime: 1e8,
+					Instance:       fmt.Sprint("w", i),
+					Proxy:          fmt.Sprint("p", i),
+					Zone:           []string{"near", "far", "away"}[i%3],
+					Slots:          18,
+					ActiveRequests: i % 7,
+					ServiceTime:    1e8,
 				})
 			}
 			view := viewOfBodies(b, benchBodies, Directory{"shop": {"1": workers, "2": workers}})
@@ -29,8 +29,8 @@
 			randomFloat := random.Float64
 			b.ReportAllocs()
 			for b.Loop() {
-				if _, err := Make(view, request, options, local, 0, randomFloat); err != nil {
-					b.Fatalf("Make(): %v", err)
+				if _, err := New(view, request, options, local, 0, randomFloat); err != nil {
+					b.Fatalf("New(): %v", err)
 				}
 			}
 		})
@@ -42,7 +42,7 @@
 	"route/r":           `{"service":"shop","host":"a.example","prefix":"/a/","aim":"200ms","horizon":"800ms"}`,
 	"flag/release.shop": `{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":{"variations":[{"variation":0,"weight":90000},{"variation":1,"weight":10000}]}}}`}
 
-// TestMakeAllocatesPlanAndCandidatesOnly checks that Make allocates the plan and its candidates and nothing else. The
+// TestMakeAllocatesPlanAndCandidatesOnly checks that New allocates the plan and its candidates and nothing else. The
 // flag's evaluation must not allocate.
 func TestMakeAllocatesPlanAndCandidatesOnly(t *testing.T) {
 	view := viewOfBodies(t, benchBodies, Directory{"shop": {"1": workers("a", "b", "far1"), "2": workers("c")}})
@@ -51,8 +51,8 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	var local LocalState = fakeLocalState{}
 	randomFloat := random.Float64
-	allocations := testing.AllocsPerRun(1000, func() { _, _ = Make(view, request, options, local, 0, randomFloat) })
+	allocations := testing.AllocsPerRun(1000, func() { _, _ = New(view, request, options, local, 0, randomFloat) })
 	if allocations > 2 && !raceEnabled {
-		t.Errorf("Make() made %v allocations, want at most 2", allocations)
+		t.Errorf("New() made %v allocations, want at most 2", allocations)
 	}
 }
--- a/internal/plan/directory.go
+++ b/internal/plan/directory.go
@@ -9,11 +9,11 @@
 // Directory lists the workers that may get calls, by service and version. It is immutable once it is part of a View.
 type Directory map[string]map[string][]Endpoint
 
-// DirectoryOf returns the directory of the workers that proxies report, without those that are draining or terminated.
+// NewDirectory returns the directory of the workers that proxies report, without those that are draining or terminated.
 // firstSeenAt returns when the worker with the given instance id was first known. reportedAt returns when the proxy with
 // the given name last reported. Both return times on the clock of this process. Either may be nil, which leaves the
 // times that depend on it zero.
-func DirectoryOf(sources []*schema.Source, firstSeenAt, reportedAt func(name string) time.Duration) Directory {
+func NewDirectory(sources []*schema.Source, firstSeenAt, reportedAt func(name string) time.Duration) Directory {
 	directory := Directory{}
 	for _, source := range sources {
 		for _, worker := range source.Workers {
@@ -43,14 +43,14 @@
 // process.
 func newEndpoint(source *schema.Source, worker *schema.Worker) Endpoint {
 	return Endpoint{
-		Instance:    worker.Instance,
-		Proxy:       source.Name,
-		Address:     source.Address,
-		Zone:        worker.Zone,
-		Load:        worker.Load,
-		Slots:       int(worker.Slots),
-		Running:     int(worker.Running),
-		Waiting:     int(worker.Queued),
-		ServiceTime: time.Duration(worker.ServiceTimeNanos),
+		Instance:       worker.Instance,
+		Proxy:          source.Name,
+		Address:        source.Address,
+		Zone:           worker.Zone,
+		Load:           worker.Load,
+		Slots:          int(worker.Slots),
+		ActiveRequests: int(worker.Running),
+		QueuedRequests: int(worker.Queued),
+		ServiceTime:    time.Duration(worker.ServiceTimeNanos),
 	}
 }
--- a/internal/plan/endpoint.go
+++ b/internal/plan/endpoint.go
@@ -4,18 +4,18 @@
 
 // Endpoint is a worker that may get a call, as the directory lists it. Times are on the clock of this process.
 type Endpoint struct {
-	Instance    string        // id of the worker's registration
-	Proxy       string        // name of the proxy beside the worker
-	Address     string        // address of the proxy beside the worker
-	Zone        string        // zone of the worker
-	Load        float64       // additional load that the worker reports; 1 doubles the expected time; used if Slots is 0
-	FirstSeenAt time.Duration // time at which this process first knew the worker
-	Slots       int           // concurrency limit of the worker, 0 if not reported
-	Running     int           // requests that the worker was processing at ReportedAt
-	Waiting     int           // requests queued at the worker or at its proxy at ReportedAt
-	ServiceTime time.Duration // moving mean of the worker's processing time per request, 0 if not reported
-	ReportedAt  time.Duration // time at which the proxy reported Slots, Running, Waiting and ServiceTime; 0 if unknown
-	WarmUntil   time.Duration // end of the slow start that the worker reported
+	Instance       string        // id of the worker's registration
+	Proxy          string        // name of the proxy beside the worker
+	Address        string        // address of the proxy beside the worker
+	Zone           string        // zone of the worker
+	Load           float64       // additional load that the worker reports; 1 doubles the expected time; used if Slots is 0
+	FirstSeenAt    time.Duration // time at which this process first knew the worker
+	Slots          int           // concurrency limit of the worker, 0 if not reported
+	ActiveRequests int           // requests that the worker was processing at ReportedAt
+	QueuedRequests int           // requests queued at the worker or at its proxy at ReportedAt
+	ServiceTime    time.Duration // moving mean of the worker's processing time per request, 0 if not reported
+	ReportedAt     time.Duration // time at which the proxy reported Slots, ActiveRequests, QueuedRequests and ServiceTime; 0 if unknown
+	WarmUntil      time.Duration // end of the slow start that the worker reported
 }
 
 // EndpointStats holds a process's own observations of a worker, besides the directory. Package dispatch fills it in.
@@ -26,7 +26,7 @@
 	ServiceTime    time.Duration // processing time of a request, without queueing, 0 if unknown
 	RecentCalls    float64       // exponentially decaying count of the worker's calls
 	RecentFailures float64       // exponentially decaying count of the worker's failed calls
-	Full           bool          // the worker recently refused a call for lack of capacity
+	AtCapacity     bool          // the worker recently refused a call for lack of capacity
 	// Ejected says that the worker failed too often in a row, has calls in flight but sent no response for too long,
 	// or is unreachable.
 	Ejected     bool
--- a/internal/plan/picker.go
+++ b/internal/plan/picker.go
@@ -214,7 +214,7 @@
 	}
 	for i := range p.sampled {
 		scored := &p.sampled[i]
-		lacksCapacity := scored.stats.Full && p.likelyFull(scored)
+		lacksCapacity := scored.stats.AtCapacity && p.likelyFull(scored)
 		if lacksCapacity {
 			scored.group = atCapacity
 		}
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -86,10 +86,10 @@
 // Random returns pseudo-random numbers in [0,1).
 type Random func() float64
 
-// Make returns the plan of a request. It fails with code errs.RouteNotFound, errs.CallerNotAllowed,
+// New returns the plan of a request. It fails with code errs.RouteNotFound, errs.CallerNotAllowed,
 // errs.MalformedRequest, errs.PolicyDenied or errs.NoWorker. With the last two it also returns the incomplete plan, so
 // that the refusal can be counted and shown.
-func Make(view *View, request *Request, options Options, local LocalState, now time.Duration, random Random) (*Plan, error) {
+func New(view *View, request *Request, options Options, local LocalState, now time.Duration, random Random) (*Plan, error) {
 	route, found := view.Config.Match(request.Host, request.Path, request.Method)
 	if !found {
 		return nil, errs.New(errs.RouteNotFound, fmt.Sprintf("no route for %s %s on host %q", request.Method, request.Path, request.Host))
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -27,7 +27,7 @@
 	unreachable := f.unreachable[endpoint.Instance]
 	return EndpointStats{
 		InFlight:      f.inFlight[endpoint.Instance],
-		OtherInFlight: float64(endpoint.Running + endpoint.Waiting),
+		OtherInFlight: float64(endpoint.ActiveRequests + endpoint.QueuedRequests),
 		Slots:         endpoint.Slots,
 		ServiceTime:   endpoint.ServiceTime,
 		Ejected:       unreachable || f.ejected[endpoint.Instance],
@@ -114,39 +114,39 @@
 			view := viewOf(t, test.directory, test.more)
 			request := newRequest("GET", "/shop/x", test.headers)
 			local := fakeLocalState{blocked: test.blocked, unreachable: map[string]bool{"new": name == "unreachable pool is replaced by the fallback"}}
-			callPlan, err := Make(view, request, options, local, 0, rand.New(rand.NewPCG(1, 1)).Float64)
+			callPlan, err := New(view, request, options, local, 0, rand.New(rand.NewPCG(1, 1)).Float64)
 			if err != nil {
-				t.Fatalf("Make(): %v", err)
+				t.Fatalf("New(): %v", err)
 			}
 			if v := callPlan.Verdict; v.Version != test.version || v.Reason != test.reason || v.Evaluated != test.evaluated || v.ConfigRevision != 9 {
-				t.Errorf("Make() verdict = %+v, want version %q, reason %q, evaluated %q and revision 9",
+				t.Errorf("New() verdict = %+v, want version %q, reason %q, evaluated %q and revision 9",
 					v, test.version, test.reason, test.evaluated)
 			}
 			if len(callPlan.Candidates) != 1 {
-				t.Errorf("Make() candidates = %v, want exactly 1", callPlan.Candidates)
+				t.Errorf("New() candidates = %v, want exactly 1", callPlan.Candidates)
 			}
 		})
 	}
 }
 
-// TestMakeRefusesCallsAndLimitsDeadlines checks that Make fails without a matching route, or if the service does not
+// TestMakeRefusesCallsAndLimitsDeadlines checks that New fails without a matching route, or if the service does not
 // allow the caller. It also checks that a caller's deadline can only shorten the route's.
 func TestMakeRefusesCallsAndLimitsDeadlines(t *testing.T) {
 	view := viewOf(t, nil, "")
 	random := rand.New(rand.NewPCG(1, 1)).Float64
-	if _, err := Make(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.RouteNotFound {
-		t.Errorf("Make() without a matching route: error = %v, want code %s", err, errs.RouteNotFound)
+	if _, err := New(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.RouteNotFound {
+		t.Errorf("New() without a matching route: error = %v, want code %s", err, errs.RouteNotFound)
 	}
 	unauthorized := newRequest("GET", "/shop", nil)
 	unauthorized.Caller = "saves"
-	if _, err := Make(view, unauthorized, options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.CallerNotAllowed {
-		t.Errorf("Make() for a caller that is not allowed: error = %v, want code %s", err, errs.CallerNotAllowed)
+	if _, err := New(view, unauthorized, options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.CallerNotAllowed {
+		t.Errorf("New() for a caller that is not allowed: error = %v, want code %s", err, errs.CallerNotAllowed)
 	}
 	for callerDeadline, want := range map[time.Duration]time.Duration{0: 2 * time.Second, time.Second: time.Second, time.Minute: 2 * time.Second} {
 		request := newRequest("POST", "/shop/buy", nil)
 		request.CallerDeadline = callerDeadline
-		if callPlan, err := Make(view, request, options, fakeLocalState{}, 0, random); err != nil || callPlan.Deadline != want || callPlan.Class != config.ClassNonIdempotent {
-			t.Errorf("Make() with caller deadline %v = %+v, %v, want deadline %v and class %v",
+		if callPlan, err := New(view, request, options, fakeLocalState{}, 0, random); err != nil || callPlan.Deadline != want || callPlan.Class != config.ClassNonIdempotent {
+			t.Errorf("New() with caller deadline %v = %+v, %v, want deadline %v and class %v",
 				callerDeadline, callPlan, err, want, config.ClassNonIdempotent)
 		}
 	}
@@ -170,14 +170,14 @@
 		t.Run(name, func(t *testing.T) {
 			view := viewOf(t, Directory{"shop": {"1": workers("old"), "2": workers("new")}}, fmt.Sprintf(`policy: only: expression: %q
 route: guarded: {service: "shop", prefix: "/shop/guarded", key: "X-User", attributes: country: "X-Country", policy: "only"}`, test.policy))
-			callPlan, err := Make(view, newRequest("GET", "/shop/guarded", test.headers), options, fakeLocalState{}, 0, rand.Float64)
+			callPlan, err := New(view, newRequest("GET", "/shop/guarded", test.headers), options, fakeLocalState{}, 0, rand.Float64)
 			if test.allowed != (err == nil) || (err != nil && (errs.CodeOf(err) != errs.PolicyDenied || callPlan.Verdict.Reason != ReasonPolicy || len(callPlan.Candidates) > 0)) {
-				t.Errorf("Make() with policy %q = %+v, %v, want allowed %t, or else code %s with reason %q and no candidates",
+				t.Errorf("New() with policy %q = %+v, %v, want allowed %t, or else code %s with reason %q and no candidates",
 					test.policy, callPlan, err, test.allowed, errs.PolicyDenied, ReasonPolicy)
 			}
 			// Another route of the service is not affected.
-			if _, err := Make(view, newRequest("GET", "/shop/x", test.headers), options, fakeLocalState{}, 0, rand.Float64); err != nil {
-				t.Errorf("Make() on a route without a policy: %v", err)
+			if _, err := New(view, newRequest("GET", "/shop/x", test.headers), options, fakeLocalState{}, 0, rand.Float64); err != nil {
+				t.Errorf("New() on a route without a policy: %v", err)
 			}
 		})
 	}
@@ -198,9 +198,9 @@
 	} {
 		request := newRequest(test.method, "/shop/buy", nil)
 		request.HasIdempotencyKey, request.IdempotencyKey = test.hasKey, test.key
-		_, err := Make(view, request, options, fakeLocalState{}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
+		_, err := New(view, request, options, fakeLocalState{}, 0, rand.New(rand.NewPCG(1, 1)).Float64)
 		if (err == nil) != (test.want == "") || (err != nil && errs.CodeOf(err) != test.want) {
-			t.Errorf("Make() of %s with idempotency key present %t and of %d bytes: error = %v, want code %q (empty for no error)",
+			t.Errorf("New() of %s with idempotency key present %t and of %d bytes: error = %v, want code %q (empty for no error)",
 				test.method, test.hasKey, len(test.key), err, test.want)
 		}
 	}
@@ -213,9 +213,9 @@
 	view := viewOf(t, Directory{"shop": {"2": pool}}, "")
 	counts := map[string]int{}
 	for range 1000 {
-		callPlan, err := Make(view, newRequest("GET", "/shop/x", map[string]string{"X-User": "ann"}), options, local, now, random.Float64)
+		callPlan, err := New(view, newRequest("GET", "/shop/x", map[string]string{"X-User": "ann"}), options, local, now, random.Float64)
 		if err != nil || len(callPlan.Candidates) != len(pool) {
-			t.Fatalf("Make() = %+v, %v, want %d candidates", callPlan, err, len(pool))
+			t.Fatalf("New() = %+v, %v, want %d candidates", callPlan, err, len(pool))
 		}
 		counts[callPlan.Candidates[0].Instance]++
 	}
@@ -254,9 +254,9 @@
 	pickFor := func(pool []Endpoint, key string) string {
 		request := newRequest("POST", "/shop/buy", map[string]string{"X-User": "ann"})
 		request.IdempotencyKey = key
-		callPlan, err := Make(viewOf(t, Directory{"shop": {"2": pool}}, ""), request, options, fakeLocalState{unreachable: unreachable}, 0, rand.Float64)
+		callPlan, err := New(viewOf(t, Directory{"shop": {"2": pool}}, ""), request, options, fakeLocalState{unreachable: unreachable}, 0, rand.Float64)
 		if err != nil {
-			t.Fatalf("Make() with key %q: %v", key, err)
+			t.Fatalf("New() with key %q: %v", key, err)
 		}
 		return callPlan.Candidates[0].Instance
 	}
@@ -297,9 +297,9 @@
 	} {
 		request := newRequest("GET", test.path, map[string]string{"X-User": test.header})
 		request.Identity = test.identity
-		callPlan, err := Make(view, request, options, fakeLocalState{}, 0, rand.Float64)
+		callPlan, err := New(view, request, options, fakeLocalState{}, 0, rand.Float64)
 		if err != nil || callPlan.Verdict.Version != test.version {
-			t.Errorf("Make() of %s with identity %q and X-User %q = %+v, %v, want version %q",
+			t.Errorf("New() of %s with identity %q and X-User %q = %+v, %v, want version %q",
 				test.path, test.identity, test.header, callPlan, err, test.version)
 		}
 	}
@@ -354,20 +354,20 @@
 			for i := range 1000 {
 				request := newRequest("GET", "/x", nil)
 				request.Identity, request.Caller = fmt.Sprint("key-", i), test.caller
-				callPlan, err := Make(view, request, options, fakeLocalState{unreachable: test.unreachable}, 0, rand.Float64)
+				callPlan, err := New(view, request, options, fakeLocalState{unreachable: test.unreachable}, 0, rand.Float64)
 				switch {
 				case errs.CodeOf(err) == errs.CallerNotAllowed && err != nil:
 					got["denied"]++
 					continue
 				case err != nil:
-					t.Fatalf("Make() with key %q: %v", request.Identity, err)
+					t.Fatalf("New() with key %q: %v", request.Identity, err)
 				case len(callPlan.Candidates) == 0:
 					got[""]++
 					continue
 				}
 				got[callPlan.Service]++
 				if callPlan.Split.Flag != "route.r" || callPlan.Split.Version != callPlan.Service || callPlan.Candidates[0].Instance != "at-"+callPlan.Service || callPlan.Verdict.Flag != "release."+callPlan.Service {
-					t.Errorf("Make() with key %q = %+v, want split flag route.r and version flag release.%s with a worker of that service first",
+					t.Errorf("New() with key %q = %+v, want split flag route.r and version flag release.%s with a worker of that service first",
 						request.Identity, callPlan, callPlan.Service)
 				}
 				if callPlan.Split.Reason == ReasonSplitEmpty {
@@ -376,7 +376,7 @@
 						t.Errorf("split verdict of key %q = %+v, want the flag's own result in Evaluated", request.Identity, callPlan.Split)
 					}
 				}
-				if again, _ := Make(view, request, options, fakeLocalState{unreachable: test.unreachable}, 0, rand.Float64); again.Service != callPlan.Service {
+				if again, _ := New(view, request, options, fakeLocalState{unreachable: test.unreachable}, 0, rand.Float64); again.Service != callPlan.Service {
 					t.Errorf("service of key %q on a repeat = %s, want %s", request.Identity, again.Service, callPlan.Service)
 				}
 			}
@@ -392,20 +392,20 @@
 		})
 	}
 	// Without a key, the split selects its first service with a positive weight, and reports an error.
-	callPlan, err := Make(viewOfBodies(t, bodies, directoryOf("a")), newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
+	callPlan, err := New(viewOfBodies(t, bodies, directoryOf("a")), newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
 	if err != nil || callPlan.Service != "a" || callPlan.Split.Reason != flag.ReasonError || callPlan.Split.Error != flag.KeyMissing {
-		t.Errorf("Make() without a key = %+v, %v, want service a with reason %s and error %s",
+		t.Errorf("New() without a key = %+v, %v, want service a with reason %s and error %s",
 			callPlan, err, flag.ReasonError, flag.KeyMissing)
 	}
 }
 
-// TestServiceWithoutVersion checks that a service without any known version gets no call, and that Make also returns the
+// TestServiceWithoutVersion checks that a service without any known version gets no call, and that New also returns the
 // incomplete plan, so that the refusal can be counted.
 func TestServiceWithoutVersion(t *testing.T) {
 	view := viewOfBodies(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
-	callPlan, err := Make(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
+	callPlan, err := New(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
 	if err == nil || errs.CodeOf(err) != errs.NoWorker || callPlan == nil || callPlan.Verdict.Reason != ReasonNoVersion || callPlan.Service != "a" {
-		t.Errorf("Make() of a service without versions = %+v, %v, want code %s and a plan for service a with reason %s",
+		t.Errorf("New() of a service without versions = %+v, %v, want code %s and a plan for service a with reason %s",
 			callPlan, err, errs.NoWorker, ReasonNoVersion)
 	}
 }
--- a/internal/proxy/mesh_directory.go
+++ b/internal/proxy/mesh_directory.go
@@ -80,7 +80,7 @@
 			m.uncountListed(record.source, changedServices)
 		}
 	}
-	added := plan.DirectoryOf(
+	added := plan.NewDirectory(
 		updatedSources,
 		func(instance string) time.Duration { return m.workers[instance].firstSeenAt },
 		func(source string) time.Duration { return m.sources[source].receivedAt },
--- a/internal/proxy/mesh_state_fold_test.go
+++ b/internal/proxy/mesh_state_fold_test.go
@@ -69,7 +69,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *schema.Source) int { return strings.Compare(a.Name, b.Name) })
-	after.directory = plan.DirectoryOf(list, func(instance string) time.Duration { return after.firstSeenAt[instance] },
+	after.directory = plan.NewDirectory(list, func(instance string) time.Duration { return after.firstSeenAt[instance] },
 		func(source string) time.Duration { return after.sources[source].receivedAt })
 	return after
 }
@@ -109,7 +109,7 @@
 	incremental, full := EmptyMeshState(), fullState{}
 	for step := range 3000 {
 		event := randomEvent(random, step)
-		before, directoryBefore := incremental, plan.DirectoryOf(nil, nil, nil)
+		before, directoryBefore := incremental, plan.NewDirectory(nil, nil, nil)
 		for service, pools := range incremental.directory {
 			directoryBefore[service] = map[string][]plan.Endpoint{}
 			for version, pool := range pools {
--- a/internal/registry/operator_explain.go
+++ b/internal/registry/operator_explain.go
@@ -51,7 +51,7 @@
 	return plan.EndpointStats{
 		Slots:         worker.Slots,
 		ServiceTime:   worker.ServiceTime,
-		OtherInFlight: float64(worker.Running + worker.Waiting),
+		OtherInFlight: float64(worker.ActiveRequests + worker.QueuedRequests),
 	}
 }
 
@@ -67,11 +67,11 @@
 		return
 	}
 	snapshot, _ := o.state.compiledConfig()
-	view := &plan.View{Config: snapshot, Directory: plan.DirectoryOf(o.state.sources(), nil, nil)}
+	view := &plan.View{Config: snapshot, Directory: plan.NewDirectory(o.state.sources(), nil, nil)}
 	options := plan.Options{Zone: query.Zone, MaxDeadline: explainMaxDeadline}
 	// Take the first candidate of each random choice, so that every call gives the same answer.
 	firstChoice := func() float64 { return 0 }
-	decision, err := plan.Make(view, planRequest(query), options, reportedStats{}, 0, firstChoice)
+	decision, err := plan.New(view, planRequest(query), options, reportedStats{}, 0, firstChoice)
 	// A request that is denied, or whose service has no known version, fails with a decision that shows the reason.
 	if err != nil && decision == nil {
 		daemon.WriteError(call, err, "", nil)
@@ -96,7 +96,7 @@
 	daemon.WriteJSON(call, fasthttp.StatusOK, response)
 }
 
-// planRequest converts an ExplainRequest to the request that plan.Make takes. Header names are case-insensitive.
+// planRequest converts an ExplainRequest to the request that plan.New takes. Header names are case-insensitive.
 func planRequest(query *ExplainRequest) *plan.Request {
 	headers := map[string]string{}
 	for name, value := range query.Headers {
