--- a/internal/dispatch/canary_guard.go
+++ b/internal/dispatch/canary_guard.go
@@ -144,9 +144,9 @@
 	}
 }
 
-// ForgetUnguarded drops the grants, stops and windows of versions that are not guarded any more. It keeps the windows
+// DropUnguarded drops the grants, stops and windows of versions that are not guarded any more. It keeps the windows
 // of fallback versions, which guarded versions are compared with.
-func (g *CanaryGuard) ForgetUnguarded() {
+func (g *CanaryGuard) DropUnguarded() {
 	g.lock.Lock()
 	defer g.lock.Unlock()
 	guards := g.guards()
--- a/internal/dispatch/canary_guard_test.go
+++ b/internal/dispatch/canary_guard_test.go
@@ -70,7 +70,7 @@
 		{func() { guards["2"] = 5 }, true}, // the guard may return to an older revision, when a later change of it is removed
 		{func() { grant(9, false) }, true},
 		{func() { grant(5, false) }, false},
-		{func() { delete(guards, "2"); guard.ForgetUnguarded(); guards["2"] = 5 }, true},
+		{func() { delete(guards, "2"); guard.DropUnguarded(); guards["2"] = 5 }, true},
 	} {
 		if test.do(); guard.VersionBlocked("shop", "2", 0) != test.blocked {
 			t.Errorf("step %d: VersionBlocked(2): got %t, want %t", i, !test.blocked, test.blocked)
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -14,7 +14,7 @@
 //
 // All state is held in memory by one process: retry budgets by service, the health and load of workers
 // ([OutlierDetector]), canary grants ([CanaryGuard]), idempotency keys and their results ([IdempotencyCache]), the
-// registrations of local workers ([Workers]), and counters ([CallCounter], [WorkCounts], [Disconnects]). Package proxy
+// registrations of local workers ([Workers]), and counters ([CallCounter], [RunCounter], [Disconnects]). Package proxy
 // constructs these values, and package simulator does so for its simulated proxies.
 //
 // All exported types are safe for concurrent use unless their comment says otherwise. Each guards its own
--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -57,9 +57,9 @@
 	// NoAttemptTimeout lets one attempt of an idempotent call take all the time left. It is set if Send itself detects
 	// an unresponsive proxy, so that a long wait can only mean a slow worker.
 	NoAttemptTimeout bool
-	// FreeProxyRefusals charges the retry budget only for attempts after one that reached a worker. A call that
+	// FreeProxyRejections charges the retry budget only for attempts after one that reached a worker. A call that
 	// only proxies have refused may look for its first worker without charge.
-	FreeProxyRefusals bool
+	FreeProxyRejections bool
 	// OnConfigLag is called once for each configuration that another proxy has and that does not arrive at this one in
 	// time.
 	OnConfigLag func()
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -113,8 +113,8 @@
 		Canaries:    NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }),
 		Counter:     NewCallCounter(64),
 
-		NoAttemptTimeout:  true,
-		FreeProxyRefusals: true,
+		NoAttemptTimeout:    true,
+		FreeProxyRejections: true,
 		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			attempt := len(scripted.sent)
 			scripted.sent = append(scripted.sent, candidate.Instance)
@@ -280,11 +280,11 @@
 	})
 }
 
-// Without FreeProxyRefusals every attempt but the first is charged to the retry budget, even if no worker was reached.
+// Without FreeProxyRejections every attempt but the first is charged to the retry budget, even if no worker was reached.
 func TestEveryRetryIsChargedWithoutFreeProxyRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(errs.QueueFull, 0, false))
-		forwarder.FreeProxyRefusals = false
+		forwarder.FreeProxyRejections = false
 		forwarder.Forward(t.Context(), newScriptedCall())
 		if len(forwarder.sent) != 3 {
 			t.Errorf("Forward with a budget of 2 retries: got attempts at %v, want 3 attempts", forwarder.sent)
--- a/internal/dispatch/header_block.go
+++ b/internal/dispatch/header_block.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// FieldOf returns the value of the first header in a header block with the given name, whatever its case. It is empty
-// if there is none.
-func FieldOf(block []byte, name string) string {
+// FieldValue returns the value of the first header in a header block with the given name, whatever its case. It is
+// empty if there is none.
+func FieldValue(block []byte, name string) string {
 	for fieldName, value := range Fields(block) {
 		if strings.EqualFold(string(fieldName), name) {
 			return string(value)
--- a/internal/dispatch/retry_decision.go
+++ b/internal/dispatch/retry_decision.go
@@ -41,7 +41,7 @@
 		return false
 	}
 	attemptsBefore := result.Attempts
-	if f.FreeProxyRefusals {
+	if f.FreeProxyRejections {
 		attemptsBefore = result.WorkerAttempts
 	}
 	return attemptsBefore == 0 || f.retryBudget(result.Plan.Service).Allow(f.Now(), f.retryFloorPerProxy(), 1)
--- a/internal/dispatch/work_counts.go
+++ b/internal/dispatch/run_counter.go
@@ -11,45 +11,45 @@
 	"meadowhinge/schema"
 )
 
-// WorkCounts counts the results of the requests that this proxy sent to its local workers, by version and route.
+// RunCounter counts the results of the requests that this proxy sent to its local workers, by version and route.
 // Rollouts evaluate versions by these counts, because connections between proxies, and their failures, do not affect
 // them. It is safe for concurrent use.
-type WorkCounts struct {
-	counts    *xsync.Map[workCountKey, *WorkCount]
+type RunCounter struct {
+	counts    *xsync.Map[runCountKey, *RunCount]
 	maxCounts int // counts beyond which a new key is not counted
 }
 
-// workCountKey identifies the requests that are counted together. versionRevision is the revision at which the version
+// runCountKey identifies the requests that are counted together. versionRevision is the revision at which the version
 // was configured. A version that is configured again gets new counts, so that earlier results do not count against it.
-type workCountKey struct {
+type runCountKey struct {
 	service, version, route string
 	versionRevision         uint64
 }
 
-// WorkCount counts the requests of one version and route. All counts but inFlight only grow while the process lives.
-type WorkCount struct {
+// RunCount counts the requests of one version and route. All counts but inFlight only grow while the process lives.
+type RunCount struct {
 	calls, failures, totalNanos atomic.Uint64                             // totalNanos is the total duration in nanoseconds
 	histogram                   [release.LatencyBucketCount]atomic.Uint32 // calls that did not fail, by latency bucket
 	inFlight                    atomic.Int32                              // requests begun and not ended
 	connectionLostAt            atomic.Int64                              // last broken connection, in nanoseconds on the process clock; 0 for none
 }
 
-// NewWorkCounts returns counts for about maxCounts pairs of a version and a route. Requests of further ones are not
+// NewRunCounter returns a counter for about maxCounts pairs of a version and a route. Requests of further ones are not
 // counted.
-func NewWorkCounts(maxCounts int) *WorkCounts {
-	return &WorkCounts{counts: xsync.NewMap[workCountKey, *WorkCount](), maxCounts: maxCounts}
+func NewRunCounter(maxCounts int) *RunCounter {
+	return &RunCounter{counts: xsync.NewMap[runCountKey, *RunCount](), maxCounts: maxCounts}
 }
 
-// Begin records that a request is sent to a worker of a version. [WorkCount.End] must be called on the result when the
+// Begin records that a request is sent to a worker of a version. [RunCount.End] must be called on the result when the
 // request ends. The result is nil if the request is not counted.
-func (w *WorkCounts) Begin(service, version, route string, versionRevision uint64) *WorkCount {
-	key := workCountKey{service, version, route, versionRevision}
-	count, found := w.counts.Load(key)
+func (r *RunCounter) Begin(service, version, route string, versionRevision uint64) *RunCount {
+	key := runCountKey{service, version, route, versionRevision}
+	count, found := r.counts.Load(key)
 	if !found {
-		if w.counts.Size() >= w.maxCounts {
+		if r.counts.Size() >= r.maxCounts {
 			return nil
 		}
-		count, _ = w.counts.LoadOrCompute(key, func() (*WorkCount, bool) { return &WorkCount{}, false })
+		count, _ = r.counts.LoadOrCompute(key, func() (*RunCount, bool) { return &RunCount{}, false })
 	}
 	count.inFlight.Add(1)
 	return count
@@ -63,7 +63,7 @@
 // End records the response to a request, and the time since Begin that it took. Requests that did not run, or whose
 // callers disconnected, are not counted, and neither are broken connections within connectionLossWindow of the one
 // before. If c is nil, End does nothing.
-func (c *WorkCount) End(now, took time.Duration, response *schema.ForwardResponse) {
+func (c *RunCount) End(now, took time.Duration, response *schema.ForwardResponse) {
 	if c == nil {
 		return
 	}
@@ -86,20 +86,20 @@
 }
 
 // Report returns the counts of the services for which include returns true.
-func (w *WorkCounts) Report(include func(service string) bool) []*schema.WorkCount {
+func (r *RunCounter) Report(include func(service string) bool) []*schema.WorkCount {
 	var reported []*schema.WorkCount
-	w.counts.Range(func(key workCountKey, workCount *WorkCount) bool {
+	r.counts.Range(func(key runCountKey, runCount *RunCount) bool {
 		if !include(key.service) {
 			return true
 		}
-		reported = append(reported, workCount.report(key))
+		reported = append(reported, runCount.report(key))
 		return true
 	})
 	return reported
 }
 
 // report returns the count as a message. Its histogram ends at the last bucket that is not empty.
-func (c *WorkCount) report(key workCountKey) *schema.WorkCount {
+func (c *RunCount) report(key runCountKey) *schema.WorkCount {
 	reported := &schema.WorkCount{
 		Service:      key.service,
 		Version:      key.version,
--- a/internal/dispatch/work_counts_test.go
+++ b/internal/dispatch/run_counter_test.go
@@ -27,9 +27,9 @@
 // A worker that exits breaks all its connections at once, which counts as one failure. Connections that break at
 // different times count as one failure each.
 func TestWorkCountsCountWorkerExitOnce(t *testing.T) {
-	counts := NewWorkCounts(2)
+	counter := NewRunCounter(2)
 	end := func(now time.Duration, response *schema.ForwardResponse) {
-		counts.Begin("shop", "2", "buy", 7).End(now, 20*time.Millisecond, response)
+		counter.Begin("shop", "2", "buy", 7).End(now, 20*time.Millisecond, response)
 	}
 	answer := func(status int32) *schema.ForwardResponse {
 		return &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: status}
@@ -42,11 +42,11 @@
 	}
 	end(2*time.Second, outcomeUnknown(errs.WorkerConnectionLost))
 	end(2*time.Second, outcomeUnknown(errs.DeadlineExceeded))
-	counts.Begin("shop", "2", "buy", 7)
-	counts.Begin("saves", "1", "load", 0)
+	counter.Begin("shop", "2", "buy", 7)
+	counter.Begin("saves", "1", "load", 0)
 	// The third version and route exceeds the bound of two, and is not counted.
-	counts.Begin("saves", "1", "beyond the bound", 0).End(0, 0, answer(200))
-	reported := counts.Report(func(service string) bool { return service == "shop" })
+	counter.Begin("saves", "1", "beyond the bound", 0).End(0, 0, answer(200))
+	reported := counter.Report(func(service string) bool { return service == "shop" })
 	if len(reported) != 1 || reported[0].Calls != 5 || reported[0].Failures != 4 || reported[0].InFlight != 1 || reported[0].PlanSequence != 7 {
 		t.Fatalf("Report: got %v, want one count with 5 calls, 4 failures, 1 in flight and plan sequence 7", reported)
 	}
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -27,7 +27,7 @@
 	// allows does not wait for a newer one.
 	ServeStale bool
 	Now        func() time.Duration // returns the process clock
-	WorkCounts *WorkCounts          // counts the runs by version and route; NewRunner replaces nil with a new one
+	RunCounter *RunCounter          // counts the runs by version and route; NewRunner replaces nil with a new one
 	// Outliers records the results of the local workers, which each response reports. If nil, neither is done.
 	Outliers *OutlierDetector
 	// Disconnects counts calls whose callers disconnect. NewRunner replaces nil with a new one.
@@ -54,8 +54,8 @@
 	return time.Duration(i.TimeLeftNanos) - (i.now() - i.arrivedAt)
 }
 
-// maxWorkCounts bounds the work counts, one for each version and route, of a runner that is given none.
-const maxWorkCounts = 1024
+// maxRunCounts bounds the run counts, one for each version and route, of a runner that is given none.
+const maxRunCounts = 1024
 
 // A run counts as truncated by its deadline if it did not succeed, and less than 1/truncatedRunDivisor of the time it was
 // given was left at its end. A run that took overdueFactor times its worker's service time or longer does not count.
@@ -73,8 +73,8 @@
 	if runner.Codec == nil {
 		runner.Codec = NativeCodec{}
 	}
-	if runner.WorkCounts == nil {
-		runner.WorkCounts = NewWorkCounts(maxWorkCounts)
+	if runner.RunCounter == nil {
+		runner.RunCounter = NewRunCounter(maxRunCounts)
 	}
 	if runner.Disconnects == nil {
 		runner.Disconnects = &Disconnects{}
@@ -274,7 +274,7 @@
 	delivery := workerDelivery{result: ResultNoAnswer}
 	// The wait for admission is over. From here on, the time and the result count for the worker's version.
 	revision := r.View().Config.VersionRevision(request.Service, request.Version)
-	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, revision)
+	runCount := r.RunCounter.Begin(request.Service, request.Version, request.Route, revision)
 	caller := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
 	response := r.sendToWorker(ctx, worker, request, &delivery)
 	now := r.Now()
@@ -286,9 +286,9 @@
 	if r.Outliers != nil && mayHaveRun(response) && !truncated && !isCanceled(response) {
 		r.Outliers.RecordRun(request.Instance, now, delivery.result != ResultAnswered)
 	}
-	worker.queue.RecordAnswerSize(len(response.HeaderBlock) + len(response.Body))
+	worker.queue.RecordResponseSize(len(response.HeaderBlock) + len(response.Body))
 	worker.queue.Release(now, request.Route, delivery.result, now-startedAt)
-	workCount.End(now, now-startedAt, response)
+	runCount.End(now, now-startedAt, response)
 	return response
 }
 
--- a/internal/dispatch/uplink_test.go
+++ b/internal/dispatch/uplink_test.go
@@ -80,7 +80,7 @@
 			uplink := NewUplink(test.rate, func() time.Duration { return script.now })
 			script.queue = NewWorkerQueue(8, 8).withUplink(uplink)
 			script.queue.recordServiceTime(script.now, "r", 10*ms)
-			script.queue.RecordAnswerSize(960)
+			script.queue.RecordResponseSize(960)
 			test.steps(script, uplink)
 			if got := strings.Join(script.log, ", "); got != test.want {
 				t.Errorf("decisions: got %q, want %q", got, test.want)
--- a/internal/dispatch/worker_conns_test.go
+++ b/internal/dispatch/worker_conns_test.go
@@ -316,7 +316,7 @@
 			c.Method, c.Target, c.Body = "PUT", "/a//b/../%7e?x=%20y&&z", []byte(body)
 			c.Checksum = crc32.ChecksumIEEE(c.Body)
 		})
-		line := FieldOf(got.HeaderBlock, "X-Line")
+		line := FieldValue(got.HeaderBlock, "X-Line")
 		if string(got.Body) != body || line != "PUT /a//b/../%7e?x=%20y&&z shop.example" {
 			t.Errorf("request with a body of %d bytes: got a body of %d bytes back and the request line %q, want both unchanged", size, len(got.Body), line)
 		}
--- a/internal/dispatch/worker_queue.go
+++ b/internal/dispatch/worker_queue.go
@@ -335,8 +335,8 @@
 	}
 }
 
-// RecordAnswerSize records the size of an answer, from which the queue learns how much of the uplink answers need.
-func (q *WorkerQueue) RecordAnswerSize(bytes int) {
+// RecordResponseSize records the size of a response, from which the queue learns how much of the uplink responses need.
+func (q *WorkerQueue) RecordResponseSize(bytes int) {
 	if transferTime := q.uplink.TransferTime(bytes); transferTime > 0 {
 		q.lock.Lock()
 		defer q.lock.Unlock()
--- a/internal/proxy/dispatch_wiring.go
+++ b/internal/proxy/dispatch_wiring.go
@@ -95,13 +95,13 @@
 		AwaitView: func(ctx context.Context, ready func(*plan.View) bool) {
 			s.journal.Wait(ctx, func(state MeshState) bool { return ready(state.view) })
 		},
-		AwaitLease:        s.servingGate.AwaitWithinGrace,
-		Send:              s.sendAttempt,
-		NoAttemptTimeout:  true,
-		FreeProxyRefusals: opts.ExtraCounts == retryCountArrivals,
-		OnConfigLag:       s.leaveLaggingRegistry,
-		ReserveKey:        s.reserveKey,
-		KeyReleaseTimeout: s.leaseDuration / keyReleaseTimeoutDivisor,
+		AwaitLease:          s.servingGate.AwaitWithinGrace,
+		Send:                s.sendAttempt,
+		NoAttemptTimeout:    true,
+		FreeProxyRejections: opts.ExtraCounts == retryCountArrivals,
+		OnConfigLag:         s.leaveLaggingRegistry,
+		ReserveKey:          s.reserveKey,
+		KeyReleaseTimeout:   s.leaseDuration / keyReleaseTimeoutDivisor,
 	}
 	return forwarder.Init(int(opts.Remembered))
 }
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -104,5 +104,5 @@
 
 // HeaderValue returns the value of the first response field called name, empty if there is none.
 func (r *Response) HeaderValue(name string) string {
-	return dispatch.FieldOf(r.headerBlock, name)
+	return dispatch.FieldValue(r.headerBlock, name)
 }
--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -80,7 +80,7 @@
 // Work adds a call to the work counts as if a local worker had answered it with status 200 after duration.
 func (h *Hollow) Work(service, version, route string, duration time.Duration) {
 	revision := h.server.view().Config.VersionRevision(service, version)
-	work := h.server.runner.WorkCounts.Begin(service, version, route, revision)
+	work := h.server.runner.RunCounter.Begin(service, version, route, revision)
 	work.End(h.server.now(), duration, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200})
 }
 
--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -132,7 +132,7 @@
 // the work counts of judged services, and, if requested, the local workers and the verdict counts. If the request fails
 // under a lease, this proxy moves on to the next registry.
 func (s *Server) report(ctx context.Context, includeWorkers, includeVerdicts bool, isJudged func(service string) bool) bool {
-	defer s.canaries.ForgetUnguarded()
+	defer s.canaries.DropUnguarded()
 	address, rotation := s.currentRegistry()
 	if address == "" {
 		return false // no session with any registry
@@ -146,7 +146,7 @@
 	requestedAt, snapshot := s.now(), s.view().Config
 	report := s.newReport(source)
 	report.Applied = snapshot.Revision
-	report.WorkCounts = s.runner.WorkCounts.Report(isJudged)
+	report.WorkCounts = s.runner.RunCounter.Report(isJudged)
 	if includeVerdicts {
 		report.Counts = s.callCounter.Counts(snapshot.Revision)
 	}
--- a/internal/simulator/proxy_report.go
+++ b/internal/simulator/proxy_report.go
@@ -39,7 +39,7 @@
 	}
 	snapshot := node.journal.View().View().Config
 	guarded, _ := release.JudgedServices(snapshot)
-	report.WorkCounts = node.runner.WorkCounts.Report(guarded)
+	report.WorkCounts = node.runner.RunCounter.Report(guarded)
 	report.Applied = snapshot.Revision
 	if withSource {
 		for _, count := range node.callCounter.Counts(snapshot.Revision) {
@@ -54,7 +54,7 @@
 	} else {
 		w.sendFeedReport(node, report, applyGrants)
 	}
-	canaries.ForgetUnguarded()
+	canaries.DropUnguarded()
 }
 
 // applyOwnSource applies a new version of a proxy's own source to its view and returns the source.
