--- a/internal/proxy/report.go
+++ b/internal/proxy/report.go
@@ -35,8 +35,8 @@
 // reportSchedule decides when reportLoop sends a report and what the report includes.
 //
 //   - Workers, with their load and liveness, are reported renewalsPerLease times per lease, and at once when they change.
-//   - Work counts are reported reportsPerLease times per lease, but only while some service is judged. A
-//     service is judged while the release controller evaluates one of its versions by these counts.
+//   - Work counts are reported reportsPerLease times per lease, but only while some service is evaluated. A
+//     service counts as evaluated while the release controller evaluates one of its versions by these counts.
 //   - Verdict counts are reported rarely, because nothing waits for them.
 //
 // Without a lease the session itself shows the registry that this proxy is alive. Workers are then reported only when
@@ -53,9 +53,9 @@
 	verdictInterval    time.Duration // time between two reports of verdict counts
 	verdictsReportedAt time.Duration // time of the last such report, counted from the start of the proxy; 0 for none
 
-	judgedRevision uint64                    // configuration revision from which isJudged and anyJudged are derived
-	isJudged       func(service string) bool // whether work counts of a service are reported
-	anyJudged      bool                      // whether there is any judged service
+	evaluatedRevision uint64                    // configuration revision of isEvaluated and anyEvaluated
+	isEvaluated       func(service string) bool // whether work counts of a service are reported
+	anyEvaluated      bool                      // whether there is any evaluated service
 }
 
 // newReportSchedule returns a schedule whose first turn reports the workers.
@@ -65,7 +65,7 @@
 		leaseDuration:   leaseDuration,
 		reportWorkers:   true,
 		verdictInterval: leaseDuration / verdictReportsPerLease,
-		isJudged:        func(string) bool { return false },
+		isEvaluated:     func(string) bool { return false },
 	}
 	if servesStale {
 		schedule.verdictInterval = staleVerdictReportLeases * leaseDuration
@@ -73,16 +73,16 @@
 	return schedule
 }
 
-// updateJudged derives the judged services from snapshot if its revision has changed.
-func (r *reportSchedule) updateJudged(snapshot *config.Snapshot) {
-	if snapshot.Revision != r.judgedRevision {
-		r.isJudged, r.anyJudged = release.JudgedServices(snapshot)
-		r.judgedRevision = snapshot.Revision
+// updateEvaluated derives the evaluated services from snapshot if its revision has changed.
+func (r *reportSchedule) updateEvaluated(snapshot *config.Snapshot) {
+	if snapshot.Revision != r.evaluatedRevision {
+		r.isEvaluated, r.anyEvaluated = release.EvaluatedServices(snapshot)
+		r.evaluatedRevision = snapshot.Revision
 	}
 }
 
-// due returns what the report of this turn includes. If both results are false and no service is judged, the turn sends
-// no report.
+// due returns what the report of this turn includes. If both results are false and no service is evaluated, the turn
+// sends no report.
 func (r *reportSchedule) due(now time.Duration) (includeWorkers, includeVerdicts bool) {
 	isWorkersTurn := !r.servesStale && r.turn%(reportsPerLease/renewalsPerLease) == 0
 	return r.reportWorkers || isWorkersTurn, now-r.verdictsReportedAt >= r.verdictInterval
@@ -94,7 +94,7 @@
 	switch {
 	case retry:
 		return r.leaseDuration / retryBackoffDivisor
-	case r.anyJudged || !r.servesStale:
+	case r.anyEvaluated || !r.servesStale:
 		return r.leaseDuration / reportsPerLease
 	}
 	return r.verdictInterval
@@ -104,11 +104,11 @@
 func (s *Server) reportLoop(ctx context.Context) {
 	schedule := newReportSchedule(s.servesStale(), s.leaseDuration)
 	for ; ; schedule.turn++ {
-		schedule.updateJudged(s.view().Config)
+		schedule.updateEvaluated(s.view().Config)
 		includeWorkers, includeVerdicts := schedule.due(s.now())
 		reported := true
-		if schedule.anyJudged || includeWorkers || includeVerdicts {
-			reported = s.report(ctx, includeWorkers, includeVerdicts, schedule.isJudged)
+		if schedule.anyEvaluated || includeWorkers || includeVerdicts {
+			reported = s.report(ctx, includeWorkers, includeVerdicts, schedule.isEvaluated)
 			if reported && includeVerdicts {
 				schedule.verdictsReportedAt = s.now()
 			}
@@ -129,9 +129,9 @@
 }
 
 // report sends one report to the current registry and returns whether the registry acknowledged it. The report holds
-// the work counts of judged services, and, if requested, the local workers and the verdict counts. If the request fails
-// under a lease, this proxy moves on to the next registry.
-func (s *Server) report(ctx context.Context, includeWorkers, includeVerdicts bool, isJudged func(service string) bool) bool {
+// the work counts of evaluated services, and, if requested, the local workers and the verdict counts. If the request
+// fails under a lease, this proxy moves on to the next registry.
+func (s *Server) report(ctx context.Context, includeWorkers, includeVerdicts bool, isEvaluated func(service string) bool) bool {
 	defer s.canaries.DropUnguarded()
 	address, rotation := s.currentRegistry()
 	if address == "" {
@@ -146,7 +146,7 @@
 	requestedAt, snapshot := s.now(), s.view().Config
 	report := s.newReport(source)
 	report.Applied = snapshot.Revision
-	report.WorkCounts = s.runner.RunCounter.Report(isJudged)
+	report.WorkCounts = s.runner.RunCounter.Report(isEvaluated)
 	if includeVerdicts {
 		report.Counts = s.callCounter.Counts(snapshot.Revision)
 	}
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -106,9 +106,9 @@
 	return false
 }
 
-// JudgedServices returns a function that reports whether a service has a version under evaluation, and
+// EvaluatedServices returns a function that reports whether a service has a version under evaluation, and
 // whether any service has one. Proxies must report their work counts of such services.
-func JudgedServices(compiled *config.Snapshot) (isEvaluated func(service string) bool, anyEvaluated bool) {
+func EvaluatedServices(compiled *config.Snapshot) (isEvaluated func(service string) bool, anyEvaluated bool) {
 	evaluated := map[string]bool{}
 	for service := range compiled.GuardedVersions {
 		evaluated[service] = true
--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -91,7 +91,7 @@
 		w.startProxyLeases(node)
 	}
 	w.scheduleEvery(&node.process, w.registryLease()/(4*session.RenewalsPerLease), func() {
-		if _, hasJudged := release.JudgedServices(run.view().Config); hasJudged {
+		if _, hasEvaluated := release.EvaluatedServices(run.view().Config); hasEvaluated {
 			w.sendReport(node, false)
 		}
 	})
--- a/internal/simulator/proxy_report.go
+++ b/internal/simulator/proxy_report.go
@@ -38,7 +38,7 @@
 		report.Source = w.applyOwnSource(node)
 	}
 	snapshot := node.journal.View().View().Config
-	guarded, _ := release.JudgedServices(snapshot)
+	guarded, _ := release.EvaluatedServices(snapshot)
 	report.WorkCounts = node.runner.RunCounter.Report(guarded)
 	report.Applied = snapshot.Revision
 	if withSource {
