--- a/internal/proxy/reservations.go
+++ b/internal/proxy/reservations.go
@@ -9,9 +9,9 @@
 
 // pendingReservation is a reservation of an idempotency key, or its release, that waits to be sent to one registry.
 type pendingReservation struct {
-	ctx         context.Context                // context of the attempt; ends when reserveKey returns
-	reservation *schema.KeyReservation         // reservation or release to send
-	answers     chan session.ReservationAnswer // receives one answer per registry; buffered for all of them
+	ctx         context.Context                  // context of the attempt; ends when reserveKey returns
+	reservation *schema.KeyReservation           // reservation or release to send
+	responses   chan session.ReservationResponse // receives one response per registry; buffered for all of them
 }
 
 // maxReservationBatch is the capacity of the queue to one registry, and the maximum number of reservations in one
@@ -28,15 +28,15 @@
 	s.lock.Lock()
 	attempt := session.NewReservationAttempt(reservation, s.coreSize, s.now(), timeout)
 	s.lock.Unlock()
-	answers := make(chan session.ReservationAnswer, len(addresses))
+	responses := make(chan session.ReservationResponse, len(addresses))
 	for _, address := range addresses {
 		select {
-		case s.reservationQueue(address) <- &pendingReservation{attemptCtx, reservation, answers}:
+		case s.reservationQueue(address) <- &pendingReservation{attemptCtx, reservation, responses}:
 		default:
-			answers <- session.ReservationAnswer{} // the queue is full: count this registry as not answering
+			responses <- session.ReservationResponse{} // the queue is full: count this registry as not answering
 		}
 	}
-	return attempt.AwaitOutcome(attemptCtx, len(addresses), answers, s.now)
+	return attempt.AwaitOutcome(attemptCtx, len(addresses), responses, s.now)
 }
 
 // reservationQueue returns the queue to the registry at address. The first use of an address creates the queue and
@@ -85,12 +85,12 @@
 }
 
 // dropAbandoned removes, in place, the reservations whose context ended while they were queued, and gives them an empty
-// answer. Releases are kept in any case.
+// response. Releases are kept in any case.
 func dropAbandoned(batch []*pendingReservation) []*pendingReservation {
 	remaining := batch[:0]
 	for _, pending := range batch {
 		if pending.ctx.Err() != nil && !pending.reservation.Release {
-			pending.answers <- session.ReservationAnswer{}
+			pending.responses <- session.ReservationResponse{}
 			continue
 		}
 		remaining = append(remaining, pending)
@@ -99,7 +99,7 @@
 }
 
 // sendReservationBatch sends a batch to one registry and distributes the replies, which are in the order of the batch. A
-// reservation without a reply gets an empty answer.
+// reservation without a reply gets an empty response.
 func (s *Server) sendReservationBatch(ctx context.Context, address string, batch []*pendingReservation) {
 	request := &schema.ReserveRequest{}
 	for _, pending := range batch {
@@ -110,9 +110,9 @@
 	cancel()
 	for i, pending := range batch {
 		if err != nil || i >= len(reply.Replies) {
-			pending.answers <- session.ReservationAnswer{}
+			pending.responses <- session.ReservationResponse{}
 			continue
 		}
-		pending.answers <- session.ReservationAnswer{MemberID: reply.Member, Response: reply.Replies[i]}
+		pending.responses <- session.ReservationResponse{MemberID: reply.Member, Response: reply.Replies[i]}
 	}
 }
--- a/internal/session/reservation_attempt.go
+++ b/internal/session/reservation_attempt.go
@@ -85,25 +85,25 @@
 	}
 }
 
-// ReservationAnswer is the result of one request to a core member.
-type ReservationAnswer struct {
+// ReservationResponse is the result of one request to a core member.
+type ReservationResponse struct {
 	MemberID string                   // id of the member, empty if the request failed
 	Response *schema.ReservationReply // reply of the member
 }
 
-// AwaitOutcome records answers until the attempt is decided, all outstanding answers were received, or ctx ends.
+// AwaitOutcome records responses until the attempt is decided, all outstanding responses were received, or ctx ends.
 // It returns the outcome, and the conflicting reservation if a member reported one. The function now reads the
 // clock that startedAt comes from.
-func (r *ReservationAttempt) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer,
+func (r *ReservationAttempt) AwaitOutcome(ctx context.Context, outstanding int, responses <-chan ReservationResponse,
 	now func() time.Duration) (ReservationOutcome, *schema.KeyReservation) {
 	for ; ; outstanding-- {
 		if outcome := r.Outcome(outstanding == 0); outcome != ReservationPending {
 			return outcome, r.Conflicting
 		}
 		select {
-		case answer := <-answers:
-			if answer.MemberID != "" {
-				r.Record(now(), answer.MemberID, answer.Response)
+		case result := <-responses:
+			if result.MemberID != "" {
+				r.Record(now(), result.MemberID, result.Response)
 			}
 		case <-ctx.Done():
 			return r.Outcome(true), r.Conflicting
--- a/internal/simulator/key_reserver.go
+++ b/internal/simulator/key_reserver.go
@@ -25,7 +25,7 @@
 		timeout := session.ReservationAttemptTimeout(leaseDuration)
 		boundedCtx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		replies := make(chan session.ReservationAnswer, memberCount)
+		replies := make(chan session.ReservationResponse, memberCount)
 		reservationRound := session.NewReservationAttempt(reservation, memberCount, now(), timeout)
 		for _, registryNode := range w.registries {
 			w.requestReservation(node, registryNode, reservation, replies)
@@ -41,14 +41,14 @@
 
 // requestReservation requests a reservation from one registry; the answer goes to replies, which has room for it.
 func (w *World) requestReservation(
-	node *proxyNode, target *registryNode, reservation *schema.KeyReservation, replies chan<- session.ReservationAnswer,
+	node *proxyNode, target *registryNode, reservation *schema.KeyReservation, replies chan<- session.ReservationResponse,
 ) {
 	request := proto.Clone(reservation).(*schema.KeyReservation)
 	random := w.derivedRandom(fmt.Sprint(reservation.Request, reservation.Instance, reservation.Release, target.name))
 	w.sendWith(random, &node.process, &target.process, func() {
 		response := target.reservations.Apply(w.uptime(target), request)
 		w.send(&target.process, &node.process, func() {
-			replies <- session.ReservationAnswer{MemberID: target.name, Response: response}
+			replies <- session.ReservationResponse{MemberID: target.name, Response: response}
 		})
 	})
 }
