--- a/internal/proxy/hollow.go
+++ b/internal/proxy/hollow.go
@@ -21,29 +21,29 @@
 	transport *transport.Transport
 }
 
-// Seen describes one event that a hollow proxy applied to its mesh state.
-type Seen struct {
+// AppliedEvent describes one event that a hollow proxy applied to its mesh state.
+type AppliedEvent struct {
 	At             time.Time        // wall-clock time of the application
 	ConfigRevision uint64           // revision of the newly applied configuration; 0 if the configuration did not change
 	Sources        []*schema.Source // all sources of the event, also those that were not newer than the known ones
 }
 
 // JoinHollow starts a hollow proxy, which joins the mesh through the registries in opts. Its workers are simulated and
-// have no socket. seen is called for each event applied to the mesh state. It runs while the journal is locked, so it
-// must return quickly. JoinHollow fails if the RPC transport cannot be created, for example for an unusable
+// have no socket. onApplied is called for each event applied to the mesh state. It runs while the journal is locked, so
+// it must return quickly. JoinHollow fails if the RPC transport cannot be created, for example for an unusable
 // certificate.
-func JoinHollow(environment *daemon.Environment, opts *schema.ProxyOptions, seen func(Seen)) (*Hollow, error) {
+func JoinHollow(environment *daemon.Environment, opts *schema.ProxyOptions, onApplied func(AppliedEvent)) (*Hollow, error) {
 	rpcTransport, err := newTransport(opts, options.SplitPairs(opts.Callers))
 	if err != nil {
 		return nil, err
 	}
 	fold := func(before MeshState, event Event) MeshState {
 		after := Fold(before, event)
-		applied := Seen{At: time.Now(), Sources: event.Sources}
+		applied := AppliedEvent{At: time.Now(), Sources: event.Sources}
 		if after.ConfigRevision() > before.ConfigRevision() {
 			applied.ConfigRevision = after.ConfigRevision()
 		}
-		seen(applied)
+		onApplied(applied)
 		return after
 	}
 	// The connection to a simulated worker stays open until the proxy closes it.
@@ -59,8 +59,8 @@
 	return &Hollow{server: server, cancel: cancel, transport: rpcTransport}, nil
 }
 
-// End closes all connections of the proxy without a graceful shutdown, like a killed process.
-func (h *Hollow) End() {
+// Kill closes all connections of the proxy without a graceful shutdown, like a killed process.
+func (h *Hollow) Kill() {
 	h.cancel()
 	h.transport.Close()
 }
@@ -72,13 +72,13 @@
 	return err
 }
 
-// Count adds the result and duration of a call of a local caller to the verdict counts.
-func (h *Hollow) Count(result *dispatch.CallResult, duration time.Duration) {
+// RecordResult adds the result and duration of a call of a local caller to the verdict counts.
+func (h *Hollow) RecordResult(result *dispatch.CallResult, duration time.Duration) {
 	h.server.callCounter.Add(result, duration)
 }
 
-// Work adds a call to the work counts as if a local worker had answered it with status 200 after duration.
-func (h *Hollow) Work(service, version, route string, duration time.Duration) {
+// RecordWork adds a call to the work counts as if a local worker had answered it with status 200 after duration.
+func (h *Hollow) RecordWork(service, version, route string, duration time.Duration) {
 	revision := h.server.view().Config.VersionRevision(service, version)
 	work := h.server.runner.RunCounter.Begin(service, version, route, revision)
 	work.End(h.server.now(), duration, &schema.ForwardResponse{Outcome: schema.CallOutcome_CALL_OUTCOME_ANSWERED, Status: 200})
--- a/internal/proxy/session_test.go
+++ b/internal/proxy/session_test.go
@@ -181,7 +181,7 @@
 		FailuresMost: 5,
 		HorizonMost:  int64(time.Second),
 	}
-	p.Hollow, err = proxy.JoinHollow(quietEnvironment(), opts, func(proxy.Seen) {
+	p.Hollow, err = proxy.JoinHollow(quietEnvironment(), opts, func(proxy.AppliedEvent) {
 		select {
 		case p.changed <- struct{}{}:
 		default:
@@ -244,7 +244,7 @@
 	}
 	defer func() {
 		for _, p := range proxies {
-			p.End()
+			p.Kill()
 		}
 	}()
 	c.propose(0, segmentChange("one"))
@@ -280,7 +280,7 @@
 
 	// A proxy restarts. The counter of its source starts again, but the others accept the source because of its new
 	// incarnation.
-	proxies[2].End()
+	proxies[2].Kill()
 	proxies[2] = c.startProxy(2)
 	proxies[2].heartbeat(t, "shop")
 	proxies[2].heartbeat(t, "shop")
@@ -304,7 +304,7 @@
 	c.propose(0, segmentChange("four"))
 	awaitAll(previous+1, 3)
 	// A proxy that ends without a restart is removed from the directory.
-	proxies[1].End()
+	proxies[1].Kill()
 	proxies = append(proxies[:1], proxies[2])
 	awaitAll(previous+1, 2)
 }
--- a/internal/testbed/hollow_load.go
+++ b/internal/testbed/hollow_load.go
@@ -46,7 +46,7 @@
 			f.simulateWork(m)
 			for _, called := range m.reach {
 				for _, version := range called.versions {
-					current.Count(called.answeredBy(version, current.ConfigRevision()), time.Millisecond)
+					current.RecordResult(called.answeredBy(version, current.ConfigRevision()), time.Millisecond)
 				}
 			}
 		}
@@ -114,7 +114,7 @@
 			}
 			for range callsPerHeartbeat {
 				work := time.Duration(float64(minWork) * (1 + workSpread*rand.Float64()))
-				m.current().Work(worker.Service, worker.Version, routeName(route), work)
+				m.current().RecordWork(worker.Service, worker.Version, routeName(route), work)
 			}
 		}
 	}
--- a/internal/testbed/hollow_losses.go
+++ b/internal/testbed/hollow_losses.go
@@ -58,7 +58,7 @@
 		process.Kill()
 	}
 	for _, m := range ended {
-		m.current().End()
+		m.current().Kill()
 	}
 	leaseOver, over := time.After(f.core.lease), false
 	for !over {
@@ -110,7 +110,7 @@
 		case <-ticker.C:
 		}
 		m := f.members[f.rng.IntN(len(f.members))]
-		m.current().End()
+		m.current().Kill()
 		if f.rejoin(m) == nil {
 			f.restarts++
 		}
--- a/internal/testbed/hollow_members.go
+++ b/internal/testbed/hollow_members.go
@@ -135,7 +135,7 @@
 	m.recovered = false
 	m.reportedAt = map[uint64]time.Duration{}
 	m.lock.Unlock()
-	joined, err := proxy.JoinHollow(f.environment, m.settings, func(seen proxy.Seen) { f.observe(m, seen) })
+	joined, err := proxy.JoinHollow(f.environment, m.settings, func(event proxy.AppliedEvent) { f.observe(m, event) })
 	if err != nil {
 		return err
 	}
@@ -147,19 +147,19 @@
 
 // observe records what a member applied: configurations, its own updates, and updates of other members' workers. It is
 // the callback of proxy.JoinHollow.
-func (f *hollowFleet) observe(m *hollowMember, seen proxy.Seen) {
+func (f *hollowFleet) observe(m *hollowMember, event proxy.AppliedEvent) {
 	now := f.now()
 	m.lock.Lock()
-	for _, source := range seen.Sources {
+	for _, source := range event.Sources {
 		if source.Name == m.settings.Name {
 			m.incarnation = source.Version.GetIncarnation()
 			m.reportedAt[source.Version.GetCounter()] = now
 			delete(m.reportedAt, source.Version.GetCounter()-maxReportedTimes)
 		}
 	}
-	recovered := m.recovered || seen.ConfigRevision == 0
-	if seen.ConfigRevision > 0 {
-		m.applied = append(m.applied, appliedConfig{seen.ConfigRevision, now})
+	recovered := m.recovered || event.ConfigRevision == 0
+	if event.ConfigRevision > 0 {
+		m.applied = append(m.applied, appliedConfig{event.ConfigRevision, now})
 		m.recovered = true
 	}
 	joined := m.joined
@@ -170,7 +170,7 @@
 	if !recovered {
 		f.recordLatency(f.recoveries, time.Since(joined))
 	}
-	for _, source := range seen.Sources {
+	for _, source := range event.Sources {
 		// What a member learns within a lease after it joined may be old, so it does not count as an update.
 		if source.Name != m.settings.Name && time.Since(joined) > f.core.lease {
 			if updated, found := f.byName[source.Name].updatedAt(source.Version); found {
@@ -297,7 +297,7 @@
 func (f *hollowFleet) end() {
 	for _, m := range f.members {
 		if ended := m.current(); ended != nil {
-			ended.End()
+			ended.Kill()
 		}
 	}
 }
