--- a/internal/daemon/run.go
+++ b/internal/daemon/run.go
@@ -35,7 +35,7 @@
 // is not called. It is 2 if settings are invalid, and 1 after any other error.
 func Run(
 	program string,
-	source Source,
+	source SettingsSource,
 	target proto.Message,
 	recorderOptions func() (directory string, lines int64),
 	body func(ctx context.Context, environment *Environment) error,
--- a/internal/daemon/settings_source.go
+++ b/internal/daemon/settings_source.go
@@ -10,30 +10,30 @@
 	"meadowhinge/internal/options"
 )
 
-// Source is where a program gets its settings from. They are read at start and again at each reload.
-type Source struct {
+// SettingsSource is where a program gets its settings from. They are read at start and again at each reload.
+type SettingsSource struct {
 	// Read returns the current settings. An error is reported as an invalid setting.
-	Read func() (SourceSettings, error)
+	Read func() (SettingsReading, error)
 	// File is a file from which Read gets settings, and which is watched for changes; empty means none. The settings
 	// file that the command line names is watched too.
 	File string
 }
 
-// SourceSettings has the settings that a Source read.
-type SourceSettings struct {
+// SettingsReading has the settings that a SettingsSource read.
+type SettingsReading struct {
 	Args        []string          // settings as a command line, without the program's name
 	RestartOnly map[string]string // inputs that are not settings and that have an effect only at program start, by name
 	OnAccepted  func()            // called each time the settings were found to be valid; may be nil
 }
 
 // FromArgs returns the source of the settings on a command line and in the settings file that it names.
-func FromArgs(args []string) Source {
-	return Source{Read: func() (SourceSettings, error) { return SourceSettings{Args: args}, nil }}
+func FromArgs(args []string) SettingsSource {
+	return SettingsSource{Read: func() (SettingsReading, error) { return SettingsReading{Args: args}, nil }}
 }
 
-// loadedSettings is the result of one load of a Source.
+// loadedSettings is the result of one load of a SettingsSource.
 type loadedSettings struct {
-	SourceSettings
+	SettingsReading
 	files     []string      // names of the files that were read
 	fileInfos []os.FileInfo // info of each of files, taken before it was read; nil for a file that was not found
 }
@@ -46,13 +46,13 @@
 
 // load reads the settings into target. If they are invalid, target is not changed, and the result still has the files
 // that were read. Help and version, if the command line asks for them, are written to help.
-func (s Source) load(program string, target proto.Message, help io.Writer) (*loadedSettings, error) {
+func (s SettingsSource) load(program string, target proto.Message, help io.Writer) (*loadedSettings, error) {
 	loaded := &loadedSettings{}
 	if s.File != "" {
 		loaded.addFile(s.File)
 	}
 	var err error
-	if loaded.SourceSettings, err = s.Read(); err != nil {
+	if loaded.SettingsReading, err = s.Read(); err != nil {
 		return loaded, err
 	}
 	if err := loaded.parse(program, target, help); err != nil {
--- a/internal/daemon/settings_watcher.go
+++ b/internal/daemon/settings_watcher.go
@@ -19,11 +19,11 @@
 // settingsWatcher reloads the settings of a running program. Only the goroutine that WatchSettings starts uses it.
 type settingsWatcher struct {
 	program            string // name of the program, for errors
-	source             Source
+	source             SettingsSource
 	initial            proto.Message     // settings at program start
 	current            proto.Message     // settings in effect
 	lastLoaded         *loadedSettings   // result of the last load, valid or not
-	initialRestartOnly map[string]string // SourceSettings.RestartOnly at program start
+	initialRestartOnly map[string]string // SettingsReading.RestartOnly at program start
 	lastFileInfos      []os.FileInfo     // infos of the files in lastLoaded at the last poll or load
 	reloadSignals      chan os.Signal    // receives each SIGHUP
 	log                logr.Logger
@@ -32,7 +32,7 @@
 // newSettingsWatcher returns a watcher for a program that started with the settings initial, which were read as loaded.
 func newSettingsWatcher(
 	program string,
-	source Source,
+	source SettingsSource,
 	initial proto.Message,
 	loaded *loadedSettings,
 	reloadSignals chan os.Signal,
@@ -126,7 +126,7 @@
 	w.lastFileInfos = loaded.fileInfos
 }
 
-// changedRestartOnly returns the names in SourceSettings.RestartOnly whose values differ from those at program start,
+// changedRestartOnly returns the names in SettingsReading.RestartOnly whose values differ from those at program start,
 // in order.
 func (w *settingsWatcher) changedRestartOnly(loaded *loadedSettings) (names []string) {
 	for _, name := range slices.Sorted(maps.Keys(loaded.RestartOnly)) {
--- a/internal/daemon/settings_watcher_test.go
+++ b/internal/daemon/settings_watcher_test.go
@@ -144,7 +144,7 @@
 func TestPollWaitsForCompleteFile(t *testing.T) {
 	f := newSettingsFixture(t, "seeds 127.0.0.1:3\n")
 	read, reads := f.watcher.source.Read, 0
-	f.watcher.source.Read = func() (SourceSettings, error) {
+	f.watcher.source.Read = func() (SettingsReading, error) {
 		reads++
 		return read()
 	}
@@ -166,11 +166,12 @@
 	}
 }
 
-// A reload logs the names in SourceSettings.RestartOnly whose values changed as pending a restart, and applies nothing.
+// A reload logs the names in SettingsReading.RestartOnly whose values changed as pending a restart, and applies
+// nothing.
 func TestRestartOnlyChangesAreLogged(t *testing.T) {
 	f := newSettingsFixture(t, "seeds 127.0.0.1:3\n")
 	read := f.watcher.source.Read
-	f.watcher.source.Read = func() (SourceSettings, error) {
+	f.watcher.source.Read = func() (SettingsReading, error) {
 		source, err := read()
 		source.RestartOnly = map[string]string{"beat": "2s"}
 		return source, err
