--- a/internal/testbed/calls.go
+++ b/internal/testbed/calls.go
@@ -292,7 +292,7 @@
 	for i := range after {
 		used := (after[i].cpuSeconds - before[i].cpuSeconds) / seconds * 1000
 		point.ProxiesCPU += used
-		point.BytesSent += float64(after[i].traffic.Out-before[i].traffic.Out) / seconds
+		point.BytesSent += float64(after[i].traffic.BytesSent-before[i].traffic.BytesSent) / seconds
 		switch i {
 		case 0:
 			point.CallerSideCPU = used
--- a/internal/testbed/hollow_counters.go
+++ b/internal/testbed/hollow_counters.go
@@ -56,9 +56,9 @@
 		Processes:         int(opts.Members),
 		CPU:               memberCPU,
 		CPULargest:        memberCPU,
-		BytesIn:           perSecond(before.In, after.In, seconds) / members,
-		BytesOut:          perSecond(before.Out, after.Out, seconds) / members,
-		ConnectionsOpened: perSecond(before.Opened, after.Opened, seconds) / members,
+		BytesIn:           perSecond(before.BytesReceived, after.BytesReceived, seconds) / members,
+		BytesOut:          perSecond(before.BytesSent, after.BytesSent, seconds) / members,
+		ConnectionsOpened: perSecond(before.ConnectionsOpened, after.ConnectionsOpened, seconds) / members,
 	}}
 	byRole := map[string]*RoleCost{}
 	for i := range to.core {
@@ -95,9 +95,9 @@
 	c.Processes++
 	c.CPU += used
 	c.CPULargest = max(c.CPULargest, used)
-	c.BytesIn += perSecond(before.traffic.In, after.traffic.In, seconds)
-	c.BytesOut += perSecond(before.traffic.Out, after.traffic.Out, seconds)
-	c.ConnectionsOpened += perSecond(before.traffic.Opened, after.traffic.Opened, seconds)
+	c.BytesIn += perSecond(before.traffic.BytesReceived, after.traffic.BytesReceived, seconds)
+	c.BytesOut += perSecond(before.traffic.BytesSent, after.traffic.BytesSent, seconds)
+	c.ConnectionsOpened += perSecond(before.traffic.ConnectionsOpened, after.traffic.ConnectionsOpened, seconds)
 	c.BytesWritten += perSecond(before.bytesWritten, after.bytesWritten, seconds)
 	c.MemoryMB += float64(after.memoryKB) / 1024
 	c.HeapMB += float64(after.heapKB) / 1024
--- a/internal/testbed/hollow_members.go
+++ b/internal/testbed/hollow_members.go
@@ -290,7 +290,11 @@
 
 // sumTraffic adds bytes and opened connections; the other fields of the result are empty.
 func sumTraffic(a, b transport.Traffic) transport.Traffic {
-	return transport.Traffic{In: a.In + b.In, Out: a.Out + b.Out, Opened: a.Opened + b.Opened}
+	return transport.Traffic{
+		BytesReceived:     a.BytesReceived + b.BytesReceived,
+		BytesSent:         a.BytesSent + b.BytesSent,
+		ConnectionsOpened: a.ConnectionsOpened + b.ConnectionsOpened,
+	}
 }
 
 // end ends every member.
--- a/internal/transport/traffic.go
+++ b/internal/transport/traffic.go
@@ -14,11 +14,11 @@
 
 // Traffic holds the traffic counters of a transport since its creation.
 type Traffic struct {
-	In       uint64            `json:"in"`       // bytes received from sockets
-	Out      uint64            `json:"out"`      // bytes sent to sockets
-	Opened   uint64            `json:"opened"`   // connections that this process opened
-	Served   map[string]uint64 `json:"served"`   // RPCs served, by RPC name
-	Messages map[string]uint64 `json:"messages"` // messages of served RPCs in both directions, by RPC name
+	BytesReceived     uint64            `json:"in"`       // bytes received from sockets
+	BytesSent         uint64            `json:"out"`      // bytes sent to sockets
+	ConnectionsOpened uint64            `json:"opened"`   // connections that this process opened
+	Served            map[string]uint64 `json:"served"`   // RPCs served, by RPC name
+	Messages          map[string]uint64 `json:"messages"` // messages of served RPCs in both directions, by RPC name
 }
 
 // OnSent sets a function that is called after each write to a socket with the number of bytes written. It must be
@@ -39,11 +39,11 @@
 	t.meter.lock.Lock()
 	defer t.meter.lock.Unlock()
 	return Traffic{
-		In:       t.meter.in.Load(),
-		Out:      t.meter.out.Load(),
-		Opened:   t.meter.opened.Load(),
-		Served:   maps.Clone(t.meter.served),
-		Messages: maps.Clone(t.meter.messages),
+		BytesReceived:     t.meter.in.Load(),
+		BytesSent:         t.meter.out.Load(),
+		ConnectionsOpened: t.meter.opened.Load(),
+		Served:            maps.Clone(t.meter.served),
+		Messages:          maps.Clone(t.meter.messages),
 	}
 }
 
--- a/internal/transport/traffic_test.go
+++ b/internal/transport/traffic_test.go
@@ -38,14 +38,14 @@
 	sent, received := client.Traffic(), server.Traffic()
 	// Each call adds less than 100 bytes of framing to its body, and the connection has one greeting. The upper limit
 	// allows 200 bytes for each call.
-	for counter, bytes := range map[string]uint64{"Out of the client": sent.Out, "In of the server": received.In} {
+	for counter, bytes := range map[string]uint64{"BytesSent of the client": sent.BytesSent, "BytesReceived of the server": received.BytesReceived} {
 		if bytes < calls*body || bytes > calls*(body+200) {
 			t.Errorf("%s = %d bytes, want from %d, the sum of the bodies, to %d", counter, bytes, calls*body, calls*(body+200))
 		}
 	}
 	// Each call has two messages: the request and the response.
-	if sent.Opened != 1 || received.Served["/meadowhinge.Hop/Run"] != calls || received.Messages["/meadowhinge.Hop/Run"] != 2*calls {
+	if sent.ConnectionsOpened != 1 || received.Served["/meadowhinge.Hop/Run"] != calls || received.Messages["/meadowhinge.Hop/Run"] != 2*calls {
 		t.Errorf("client opened %d connections, want 1; server counted calls %v and messages %v, want %d and %d of /meadowhinge.Hop/Run",
-			sent.Opened, received.Served, received.Messages, calls, 2*calls)
+			sent.ConnectionsOpened, received.Served, received.Messages, calls, 2*calls)
 	}
 }
