--- a/cmd/operator/change.go
+++ b/cmd/operator/change.go
@@ -142,8 +142,8 @@
 // printOutcomeText prints the outcome of a change, its faults, and the items that it conflicts with.
 func (c *client) printOutcomeText(outcome *registry.ChangeResponse) {
 	printf(c.out, "change %s: %s", outcome.ID, outcome.Ruling)
-	if outcome.Sequence > 0 {
-		printf(c.out, " as %d", outcome.Sequence)
+	if outcome.Revision > 0 {
+		printf(c.out, " as %d", outcome.Revision)
 	}
 	if outcome.Ruling == "accepted" {
 		printf(c.out, ", acknowledged: %v", outcome.Acknowledged)
--- a/cmd/operator/show.go
+++ b/cmd/operator/show.go
@@ -22,7 +22,7 @@
 			for _, item := range shown.Items {
 				rows = append(rows, []any{item.Kind, item.Name, item.Version, string(item.Body)})
 			}
-			printf(c.out, "setup %d\n", shown.Sequence)
+			printf(c.out, "setup %d\n", shown.Revision)
 			c.printTable("KIND NAME VERSION BODY", rows)
 			return nil
 		},
--- a/cmd/tracer/main_test.go
+++ b/cmd/tracer/main_test.go
@@ -25,7 +25,7 @@
 // no store knows, for nodes that do not answer, and for invalid command lines.
 func TestTracerExitCodesAndOutput(t *testing.T) {
 	at := time.Unix(1000, 0)
-	leader := fakeCoreMember(t, registry.ChangeTrace{MemberID: "a", KnownToStore: true, Ruling: "accepted", Sequence: 7, Term: 3, Leader: "a", Appended: at, Durable: at.Add(time.Millisecond),
+	leader := fakeCoreMember(t, registry.ChangeTrace{MemberID: "a", KnownToStore: true, Ruling: "accepted", Revision: 7, Term: 3, Leader: "a", Appended: at, Durable: at.Add(time.Millisecond),
 		Committed: at.Add(2 * time.Millisecond), Seen: at.Add(3 * time.Millisecond), Acknowledged: at.Add(9 * time.Millisecond),
 		Applied: map[string]time.Time{"edge-1": at.Add(5 * time.Millisecond)}, Laggards: []string{"edge-2"}})
 	unaware := fakeCoreMember(t, registry.ChangeTrace{MemberID: "b"})
--- a/cmd/tracer/timeline.go
+++ b/cmd/tracer/timeline.go
@@ -32,12 +32,12 @@
 func printAdmission(out io.Writer, id string, traces []registry.ChangeTrace) {
 	for i := range traces {
 		entry := &traces[i]
-		if !entry.KnownToStore || entry.Sequence == 0 {
+		if !entry.KnownToStore || entry.Revision == 0 {
 			continue
 		}
 		if entry.Appended.IsZero() || entry.Leader == entry.MemberID {
 			printf(out, "change %s: %s as %d in epoch %d; the leader is now %s\n",
-				id, entry.Ruling, entry.Sequence, entry.Term, entry.Leader)
+				id, entry.Ruling, entry.Revision, entry.Term, entry.Leader)
 			return
 		}
 	}
--- a/internal/registry/operator_changes.go
+++ b/internal/registry/operator_changes.go
@@ -31,7 +31,7 @@
 type ChangeResponse struct {
 	ID             string   `json:"id"`
 	Ruling         string   `json:"ruling"`             // accepted, invalid, conflict, stale or unknown
-	Sequence       uint64   `json:"sequence,omitempty"` // revision of the decision, also of a refusal; zero if undecided
+	Revision       uint64   `json:"sequence,omitempty"` // revision of the decision, also of a refusal; zero if undecided
 	Term           uint64   `json:"epoch,omitempty"`    // term of the store leader that decided on the change
 	Acknowledged   bool     `json:"acknowledged"`       // whether no proxy can use an older revision
 	LaggingProxies []string `json:"waiting,omitempty"`  // proxies that may still use an older revision, in no order
@@ -64,7 +64,7 @@
 		ID:        id,
 		Ruling:    ruling.name,
 		ErrorCode: ruling.code,
-		Sequence:  outcome.GetVersion().GetSequence(),
+		Revision:  outcome.GetVersion().GetSequence(),
 		Term:      outcome.GetVersion().GetTerm(),
 		Faults:    outcome.GetFaults(),
 	}
@@ -159,7 +159,7 @@
 // awaitAcknowledgement waits until an accepted change is acknowledged or ctx ends, and sets the acknowledgement and the
 // lagging proxies in its response.
 func (o *operatorServer) awaitAcknowledgement(ctx context.Context, response *ChangeResponse) {
-	response.LaggingProxies, response.Acknowledged = o.acknowledger.await(ctx, response.Sequence)
+	response.LaggingProxies, response.Acknowledged = o.acknowledger.await(ctx, response.Revision)
 }
 
 // handleOutcome responds with the outcome of an earlier change, with status 200 whatever the ruling was. It responds
--- a/internal/registry/operator_traces.go
+++ b/internal/registry/operator_traces.go
@@ -16,7 +16,7 @@
 	MemberID         string               `json:"seat"`               // id of the observing core member
 	KnownToStore     bool                 `json:"known"`              // whether the local store knows the change
 	Ruling           string               `json:"ruling,omitempty"`   // as in ChangeResponse; may not be committed yet
-	Sequence         uint64               `json:"sequence,omitempty"` // revision of the decision, also of a refusal
+	Revision         uint64               `json:"sequence,omitempty"` // revision of the decision, also of a refusal
 	Term             uint64               `json:"epoch,omitempty"`    // term of the store leader that decided on the change
 	Leader           string               `json:"holder,omitempty"`   // member id of the current store leader
 	Appended         time.Time            `json:"taken"`              // when the local store appended the change to its log
@@ -48,7 +48,7 @@
 	response.Committed = wallTime(storeTrace.Committed)
 	if storeTrace.Known {
 		response.Ruling = rulings[storeTrace.Outcome.Ruling].name
-		response.Sequence = storeTrace.Outcome.Version.Sequence
+		response.Revision = storeTrace.Outcome.Version.Sequence
 		response.Term = storeTrace.Outcome.Version.Term
 		o.addLocalTrace(&response)
 	}
@@ -60,7 +60,7 @@
 	s := o.state
 	s.lock.Lock()
 	defer s.lock.Unlock()
-	if traced := s.fleetState.traces[response.Sequence]; traced != nil {
+	if traced := s.fleetState.traces[response.Revision]; traced != nil {
 		response.Seen = s.wallTimeOf(traced.seenAt)
 		response.Acknowledged = s.wallTimeOf(traced.acknowledgedAt)
 		for proxy, at := range traced.appliedAt {
@@ -68,7 +68,7 @@
 		}
 	}
 	for _, lease := range s.fleetState.Leases(s.now()) {
-		if lease.Applied < response.Sequence {
+		if lease.Applied < response.Revision {
 			response.Laggards = append(response.Laggards, lease.Proxy)
 		}
 	}
--- a/internal/registry/operator_views.go
+++ b/internal/registry/operator_views.go
@@ -37,7 +37,7 @@
 
 // ConfigView is the committed configuration as operators see it.
 type ConfigView struct {
-	Sequence uint64     `json:"sequence"` // revision of the configuration
+	Revision uint64     `json:"sequence"` // revision of the configuration
 	Items    []ItemView `json:"items"`    // items that are not deleted
 }
 
@@ -46,7 +46,7 @@
 func (o *operatorServer) handleConfig(_ context.Context, call *fasthttp.RequestCtx) {
 	s := o.state
 	s.lock.Lock()
-	view := ConfigView{Sequence: s.fleetState.committedRevision, Items: []ItemView{}}
+	view := ConfigView{Revision: s.fleetState.committedRevision, Items: []ItemView{}}
 	items := s.configCache.state.Items()
 	caughtUp := s.fleetState.caughtUp
 	s.lock.Unlock()
--- a/internal/registry/server_test.go
+++ b/internal/registry/server_test.go
@@ -62,17 +62,17 @@
 	if status != http.StatusOK || outcome.Ruling != "accepted" || !outcome.Acknowledged || len(outcome.LaggingProxies) != 0 {
 		t.Fatalf("POST /v1/changes: got status %d, want 200 with an accepted and acknowledged change: %s", status, response)
 	}
-	if item := <-proxy.items; item.Kind != "segment" || item.Name != "testers" || proxy.applied.Load() < outcome.Sequence {
+	if item := <-proxy.items; item.Kind != "segment" || item.Name != "testers" || proxy.applied.Load() < outcome.Revision {
 		t.Errorf("update pushed to the proxy: got item %v and applied revision %d, want segment testers and at least revision %d",
-			item, proxy.applied.Load(), outcome.Sequence)
+			item, proxy.applied.Load(), outcome.Revision)
 	}
 
 	var trace ChangeTrace
 	if _, response := core.request(t, 0, "GET", "/v1/trace/first", "", isDecided); json.Unmarshal([]byte(response), &trace) != nil ||
-		!trace.KnownToStore || trace.Sequence != outcome.Sequence || trace.Seen.IsZero() || trace.Acknowledged.IsZero() ||
+		!trace.KnownToStore || trace.Revision != outcome.Revision || trace.Seen.IsZero() || trace.Acknowledged.IsZero() ||
 		trace.Applied[testProxyName].IsZero() || len(trace.Laggards) != 0 {
 		t.Errorf("GET /v1/trace/first: got %s, want revision %d seen, acknowledged and applied by proxy %s, without laggards",
-			response, outcome.Sequence, testProxyName)
+			response, outcome.Revision, testProxyName)
 	}
 	if status, response := core.request(t, 0, "GET", "/additional/items", "", isDecided); status != http.StatusOK {
 		t.Fatalf("GET /additional/items: got status %d, want 200: %s", status, response)
--- a/internal/testbed/hollow_operator.go
+++ b/internal/testbed/hollow_operator.go
@@ -77,7 +77,7 @@
 	if answer.Acknowledged {
 		entry.acknowledgedAt = o.now()
 	}
-	entry.revision = answer.Sequence
+	entry.revision = answer.Revision
 	o.record(answer, items, entry)
 	return answer, nil
 }
@@ -131,10 +131,10 @@
 		return
 	}
 	for _, item := range items {
-		o.currentVersions[config.Key(item.Kind, item.Name)] = answer.Sequence
+		o.currentVersions[config.Key(item.Kind, item.Name)] = answer.Revision
 	}
 	o.submitted = append(o.submitted, entry)
-	o.newestRevision = max(o.newestRevision, answer.Sequence)
+	o.newestRevision = max(o.newestRevision, answer.Revision)
 }
 
 // forgetSubmitted clears the accepted changes, so that only those after it are measured.
--- a/internal/testbed/operator.go
+++ b/internal/testbed/operator.go
@@ -72,7 +72,7 @@
 		return nil, errs.New(errs.NoQuorum, fmt.Sprintf("%s did not return its configuration: status %d, error %v", entry.Node, status, err))
 	}
 	entry.Received = o.now()
-	entry.ConfigRevision = view.Sequence
+	entry.ConfigRevision = view.Revision
 	for _, item := range view.Items {
 		entry.Items = append(entry.Items, config.Key(item.Kind, item.Name))
 	}
@@ -103,7 +103,7 @@
 	_, err := o.call(core, http.MethodPost, "/v1/changes", submission, &response)
 	entry.Answered = o.now()
 	entry.Ruling = response.Ruling
-	entry.Sequence = response.Sequence
+	entry.Sequence = response.Revision
 	entry.Acknowledged = response.Acknowledged
 	if err != nil || entry.Ruling == "" {
 		entry.Ruling = "unknown"
--- a/internal/testbed/verify.go
+++ b/internal/testbed/verify.go
@@ -42,11 +42,11 @@
 			status, err = operator.call((i+core)%r.options.Deployment.CoreMembers, http.MethodGet, "/v1/changes/"+change.ID, nil, &answer)
 			return answer, status, err
 		})
-		if answer.Ruling == "accepted" && answer.Sequence == change.Sequence {
+		if answer.Ruling == "accepted" && answer.Revision == change.Sequence {
 			r.history.SurvivedChanges++
 			continue
 		}
-		lost := fmt.Sprintf("%s, acknowledged as %d, is now %q %d", change.ID, change.Sequence, answer.Ruling, answer.Sequence)
+		lost := fmt.Sprintf("%s, acknowledged as %d, is now %q %d", change.ID, change.Sequence, answer.Ruling, answer.Revision)
 		r.history.LostChanges = append(r.history.LostChanges, lost)
 	}
 }
--- a/internal/testbed/verify_test.go
+++ b/internal/testbed/verify_test.go
@@ -13,7 +13,7 @@
 // TestAwaitOutcome checks that awaitOutcome returns the first outcome that any registry knows, that it waits while no
 // registry knows one, and that it returns the zero value after maxOutcomeWait.
 func TestAwaitOutcome(t *testing.T) {
-	accepted, other := registry.ChangeResponse{Ruling: "accepted", Sequence: 7}, registry.ChangeResponse{Ruling: "conflict", Sequence: 7}
+	accepted, other := registry.ChangeResponse{Ruling: "accepted", Revision: 7}, registry.ChangeResponse{Ruling: "conflict", Revision: 7}
 	for name, testCase := range map[string]struct {
 		request func(since time.Duration, core int) (registry.ChangeResponse, int, error)
 		want    registry.ChangeResponse
@@ -45,7 +45,7 @@
 				began := time.Now()
 				now := func() time.Duration { return time.Since(began) }
 				got := awaitOutcome(3, now, func(core int) (registry.ChangeResponse, int, error) { return testCase.request(now(), core) })
-				if got.Ruling != testCase.want.Ruling || got.Sequence != testCase.want.Sequence || now() > testCase.maxWait {
+				if got.Ruling != testCase.want.Ruling || got.Revision != testCase.want.Revision || now() > testCase.maxWait {
 					t.Errorf("awaitOutcome() = %+v after %v, want %+v within %v", got, now(), testCase.want, testCase.maxWait)
 				}
 			})
