--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -18,7 +18,7 @@
 //   - canary grants ([CanaryGuard]);
 //   - idempotency keys and their results ([IdempotencyCache]);
 //   - the registrations of local workers ([Workers]);
-//   - counters ([CallCounter], [WorkCounts], [Disconnects]).
+//   - counters ([CallCounter], [RunCounter], [Disconnects]).
 //
 // Package proxy constructs these values, and package simulator does so for its simulated proxies.
 //
--- a/internal/dispatch/endpoint_picks_test.go
+++ b/internal/dispatch/endpoint_picks_test.go
@@ -104,7 +104,7 @@
 
 // A worker that fails more calls than the others is avoided, and gets its calls back once it is healthy.
 func TestFailingWorkersAreAvoided(t *testing.T) {
-	compiled, _ := config.Compile(config.State{}.With([]*schema.Item{
+	compiled, _ := config.Compile(config.State{}.Merge([]*schema.Item{
 		{Kind: "service", Name: "s", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"versions":["1"],"fallback":"1"}`)},
 		{Kind: "route", Name: "r", Version: &schema.Version{Sequence: 1}, Body: []byte(`{"service":"s","prefix":"/"}`)}}), 1)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -131,9 +131,9 @@
 			simulateCalls := func(calls int, failing [3]float64) (got [3]float64) {
 				for range calls {
 					now += 10 * time.Millisecond
-					made, err := plan.Make(view, request, plan.Options{MaxDeadline: time.Minute}, LocalState{detector, nil}, now, random.Float64)
+					made, err := plan.New(view, request, plan.Options{MaxDeadline: time.Minute}, LocalState{detector, nil}, now, random.Float64)
 					if err != nil {
-						t.Fatalf("plan.Make: %v", err)
+						t.Fatalf("plan.New: %v", err)
 					}
 					worker := int(made.Candidates[0].Instance[1] - '0')
 					got[worker] += 1 / float64(calls)
--- a/internal/registry/operator_views.go
+++ b/internal/registry/operator_views.go
@@ -37,7 +37,7 @@
 
 // ConfigView is the committed configuration as operators see it.
 type ConfigView struct {
-	Sequence uint64     `json:"sequence"` // revision of the configuration
+	Revision uint64     `json:"sequence"` // revision of the configuration
 	Items    []ItemView `json:"items"`    // items that are not deleted
 }
 
@@ -46,7 +46,7 @@
 func (o *operatorServer) handleConfig(_ context.Context, call *fasthttp.RequestCtx) {
 	s := o.state
 	s.lock.Lock()
-	view := ConfigView{Sequence: s.fleetState.committedRevision, Items: []ItemView{}}
+	view := ConfigView{Revision: s.fleetState.committedRevision, Items: []ItemView{}}
 	items := s.configCache.state.Items()
 	caughtUp := s.fleetState.caughtUp
 	s.lock.Unlock()
@@ -57,7 +57,7 @@
 		return
 	}
 	for _, item := range items {
-		if !item.Deleted && item.Kind != config.KindPurged {
+		if !item.Deleted && item.Kind != config.KindTombstonePurge {
 			view.Items = append(view.Items, newItemView(item))
 		}
 	}
@@ -212,7 +212,7 @@
 	counts := o.peers.collectCounts(ctx)
 	views := []ReleaseView{}
 	for name, planned := range snapshot.Releases {
-		fallback := snapshot.FallbackOf(planned.Service)
+		fallback := snapshot.FallbackVersion(planned.Service)
 		versionCounts := release.GatherVersionCounts(counts, planned.Service, planned.Version, planned.Revision, fallback)
 		view := ReleaseView{
 			Name:               name,
--- a/internal/simulator/proxy_report.go
+++ b/internal/simulator/proxy_report.go
@@ -38,8 +38,8 @@
 		report.Source = w.applyOwnSource(node)
 	}
 	snapshot := node.journal.View().View().Config
-	guarded, _ := release.JudgedServices(snapshot)
-	report.WorkCounts = node.runner.WorkCounts.Report(guarded)
+	guarded, _ := release.EvaluatedServices(snapshot)
+	report.WorkCounts = node.runner.RunCounter.Report(guarded)
 	report.Applied = snapshot.Revision
 	if withSource {
 		for _, count := range node.callCounter.Counts(snapshot.Revision) {
@@ -54,7 +54,7 @@
 	} else {
 		w.sendFeedReport(node, report, applyGrants)
 	}
-	canaries.ForgetUnguarded()
+	canaries.DropUnguarded()
 }
 
 // applyOwnSource drops unresponsive workers, applies a new version of the proxy's own source to its view, and returns
