--- a/internal/simulator/caller.go
+++ b/internal/simulator/caller.go
@@ -40,8 +40,8 @@
 	return chosen
 }
 
-// Outcomes of an attempt as its caller sees it. outcomeCancelled and the names of dispatch.OutcomeName are others. The
-// golden digests cover these strings.
+// Outcomes of an attempt as its caller sees it. An outcome may also be outcomeCancelled or, for a response from a
+// worker, a name from dispatch.OutcomeName. The golden digests cover these strings.
 const (
 	outcomeUnsent      = "unsent"  // the proxy was down or admitted no callers
 	outcomeNotExecuted = "not-run" // the proxy answered with an error
@@ -75,7 +75,8 @@
 const maxCallerRetries = 4
 
 // makeCall makes one call through a proxy. Three quarters of the non-idempotent calls have an idempotency key. A call
-// with a key is retried through random proxies while its outcome is unknown or it was not sent.
+// with a key is retried through random proxies while its outcome is unknown or it was not sent, at most
+// maxCallerRetries times.
 func (w *World) makeCall(node *proxyNode, id int, random *rand.Rand) {
 	kind := drawCallKind(random)
 	keyed := kind.nonIdempotent && random.IntN(4) > 0
--- a/internal/simulator/caller_cancel.go
+++ b/internal/simulator/caller_cancel.go
@@ -15,15 +15,15 @@
 const maxRunAfterCancel = 500 * time.Millisecond
 
 // cancelDelayFactor is the upper bound of the time after which a caller cancels, as a multiple of the mean service
-// time.
+// time or of 1 ms, whichever is longer.
 const cancelDelayFactor = 2
 
-// cancellations holds the cancel functions of peer RPCs, by request. It has a lock of its own, because cancel
-// functions are called with the lock held.
+// cancellations holds the cancel functions of the peer RPCs that proxies have received. Its lock is not World.lock,
+// because cancel functions are called with the lock held.
 type cancellations struct {
 	lock      sync.Mutex                      // guards the fields below
-	cancels   map[string][]context.CancelFunc // by request, of the RPCs in progress
-	cancelled map[string]bool                 // cancelled requests, including those that have not arrived yet
+	cancels   map[string][]context.CancelFunc // by request id: cancel functions of its RPCs, kept until it is cancelled
+	cancelled map[string]bool                 // by request id: cancelled requests, including those that have not arrived yet
 }
 
 // sampleCancel draws whether the caller of an attempt cancels it, and after how long. Calls under an idempotency key
@@ -132,7 +132,7 @@
 }
 
 // collectDisconnects adds the counts of disconnected callers of a proxy's run to the totals, and checks that they
-// show no violation. It is called at the end of the run.
+// show no violation. It is called when the proxy stops.
 func (h *History) collectDisconnects(node *proxyNode) {
 	if node.runner == nil {
 		return
@@ -142,6 +142,6 @@
 	counts := node.runner.Disconnects.Counts()
 	h.Disconnects.Add(counts)
 	if counts.Violations() > 0 {
-		h.recordViolation(ViolationRunAfterCancel, "the runner of %s counted violations after its callers disconnected: %+v", node.name, counts)
+		h.recordViolation(ViolationRunAfterCancel, "the runner of %s counted %d violations after its callers disconnected: %+v", node.name, counts.Violations(), counts)
 	}
 }
--- a/internal/simulator/change.go
+++ b/internal/simulator/change.go
@@ -9,7 +9,8 @@
 
 // submitChange proposes a change at a registry, as the registry's daemon does. It calls onRuling with the ruling and
 // the sequence of the change: for an accepted change once it is acknowledged, for any other once it is decided. If
-// the registry or its member does not respond, or the proposal stays undecided, it never calls onRuling.
+// the registry or its member does not respond, the proposal stays undecided, or acknowledge gives up, it never calls
+// onRuling. With Options.ServeStale a change is acknowledged once it is committed.
 func (w *World) submitChange(node *registryNode, change *schema.Change, onRuling func(ruling schema.Ruling, sequence uint64)) {
 	if !w.isResponsive(&node.process) || !w.isResponsive(&node.member.process) {
 		return
@@ -38,9 +39,9 @@
 	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), proposal))
 }
 
-// acknowledge sets a fence for a committed change at all registries, at every pollInterval, until at a majority of
-// them no proxy holds a lease under an older configuration. Then it calls onAcknowledged. It gives up after three
-// lease durations.
+// acknowledge sets a fence for a committed change at all registries and repeats it at every pollInterval. It calls
+// onAcknowledged once, at a majority of the registries, no proxy holds a lease under an older configuration. It gives up
+// after three lease durations.
 func (w *World) acknowledge(node *registryNode, sequence uint64, onAcknowledged func()) {
 	acknowledgement := registry.NewAcknowledgement(memberCount)
 	done := false
--- a/internal/simulator/checks_call.go
+++ b/internal/simulator/checks_call.go
@@ -24,6 +24,7 @@
 			h.recordViolation(ViolationInvalidConfig, "%v: %s has the invalid item %s", now, node.name, key)
 		}
 	}
+	// The id of the first request of a call ends with -1.
 	if isRetry := !strings.HasSuffix(request.Request, "-1"); isRetry {
 		h.retryTimes[request.Service] = append(h.retryTimes[request.Service], now)
 	}
@@ -64,13 +65,14 @@
 	h.lastUsedRevision[node.name] = max(h.lastUsedRevision[node.name], request.Revision)
 }
 
-// recordRun records that a worker runs a request, and checks that the worker may run it.
+// recordRun records that a worker runs a request, and checks that the worker may run it. isBad tells that the run fails
+// or takes longer than slowServiceTime.
 func (h *History) recordRun(
-	now time.Duration, worker *workerNode, id string, attemptNumber int, caller, requestID string, failed bool,
+	now time.Duration, worker *workerNode, id string, attemptNumber int, caller, requestID string, isBad bool,
 ) {
 	// A proxy may freeze between its last check and the dispatch. A lease bounds that delay. With Options.ServeStale
 	// there is none, so the draining bound applies only to undisturbed proxies.
-	bound := !h.world.Options.ServeStale || h.world.isProxyUndisturbed(worker.proxy)
+	boundApplies := !h.world.Options.ServeStale || h.world.isProxyUndisturbed(worker.proxy)
 	h.lock.Lock()
 	defer h.lock.Unlock()
 	h.WorkerRuns++
@@ -80,18 +82,18 @@
 		return
 	}
 	requested.runs = append(requested.runs, workerRun{worker, now, attemptNumber, requestID, 0})
-	if at, departed := h.departedAt[worker.token]; departed && bound && now > at+fakebackend.DrainingBound {
+	if at, departed := h.departedAt[worker.token]; departed && boundApplies && now > at+fakebackend.DrainingBound {
 		h.recordViolation(ViolationCallAfterDrain, "%v: %s ran %s %v after it began to drain or ended", now, worker.name, id, now-at)
 	}
 	h.checkAllowed(now, worker, requested, attemptNumber)
 	for _, bad := range h.badVersions {
-		h.countBadVersionCall(now, bad, worker, failed)
+		h.countBadVersionCall(now, bad, worker, isBad)
 	}
 }
 
-// checkAllowed checks that a run is allowed by a configuration that was in force when the attempt was sent, or came
-// into force later. While the attempt is not recorded, because it has not ended, its time is that of the operation's
-// start. The caller holds History.lock.
+// checkAllowed checks that some configuration allows a run. It must have been in force at a time no more than
+// fakebackend.ConfigPropagationBound before the attempt was sent, or later. An attempt that has not ended is not
+// recorded yet; then the start of the operation counts as its time. The caller holds History.lock.
 func (h *History) checkAllowed(now time.Duration, worker *workerNode, requested *operation, attemptNumber int) {
 	sentAt := requested.startedAt
 	if attemptNumber < len(requested.attempts) {
@@ -115,9 +117,9 @@
 		now, worker.name, worker.version, requested.id, requested.caller, minRevision)
 }
 
-// countBadVersionCall counts a run against a bad version of its service while the version is unhealthy. The caller
-// holds History.lock.
-func (h *History) countBadVersionCall(now time.Duration, bad *badVersion, worker *workerNode, failed bool) {
+// countBadVersionCall counts a run for a bad version of its service while the version is unhealthy. isBad is that of
+// recordRun. The caller holds History.lock.
+func (h *History) countBadVersionCall(now time.Duration, bad *badVersion, worker *workerNode, isBad bool) {
 	if bad.service != worker.service {
 		return
 	}
@@ -135,7 +137,7 @@
 	if isOverLimit && bad.lateCallAt == 0 {
 		bad.lateCallAt = now
 	}
-	if failed {
+	if isBad {
 		if bad.failures++; bad.failures == fakebackend.FaultyVersionFailures {
 			bad.failureLimitAt = now
 		}
@@ -180,8 +182,9 @@
 	h.checkResponse(now, operation, attempt.result.Response)
 }
 
-// checkPlan checks that an attempt was not planned by a configuration that was outdated when the attempt was sent.
-// With Options.ServeStale it only counts blocked calls. The caller holds History.lock.
+// checkPlan counts an attempt whose version was blocked. Without Options.ServeStale it also checks the revision that
+// the attempt was planned by. The revision must not be older than one that had been acknowledged
+// fakebackend.ConfigPropagationBound before the attempt was sent. The caller holds History.lock.
 func (h *History) checkPlan(now time.Duration, operation *operation, attempt *callerAttempt) {
 	callPlan := attempt.result.Plan
 	if callPlan == nil {
@@ -209,9 +212,9 @@
 	}
 }
 
-// recordRejection counts the rejection of a valid call under the fault that may have caused it. A rejection without
-// such a fault is a violation. The caller holds History.lock. The golden digests cover the keys of
-// History.Rejections.
+// recordRejection counts the rejection of a valid call under the first fault that may have caused it. A fault may cause
+// rejections up to two lease durations after its end. A rejection without such a fault is a violation. The golden
+// digests cover the keys of History.Rejections. The caller holds History.lock.
 func (h *History) recordRejection(attempt *callerAttempt, cause string) {
 	overlaps := func(record *faultRecord) bool {
 		return record.startedAt <= attempt.finishedAt &&
--- a/internal/simulator/checks_config.go
+++ b/internal/simulator/checks_config.go
@@ -40,7 +40,7 @@
 	sum := fnv.New64a()
 	for _, item := range state.Items() {
 		if !item.Deleted {
-			_, _ = fmt.Fprintf(sum, "%s/%s@%d ", item.Kind, item.Name, item.Version.Sequence) // a hash never fails
+			_, _ = fmt.Fprintf(sum, "%s/%s@%d ", item.Kind, item.Name, item.Version.Sequence) // writing to a hash never fails
 		}
 	}
 	fingerprint := fmt.Sprint(sequence, ":", sum.Sum64())
--- a/internal/simulator/core_faults.go
+++ b/internal/simulator/core_faults.go
@@ -7,8 +7,8 @@
 )
 
 // lossKind classifies the faults of a CoreWorld by what happens to members. Permanent losses and partitions are never
-// active at the same time. A partitioned member counts as lost, and the core must not lose another one for good
-// meanwhile.
+// active at the same time: a partitioned member is as good as lost, and the core need not survive the permanent loss of
+// another one meanwhile.
 type lossKind int
 
 const (
--- a/internal/simulator/core_operators.go
+++ b/internal/simulator/core_operators.go
@@ -125,7 +125,8 @@
 
 // submitUntilDecided proposes a change at a member again and again until it is decided. Like a registry, it moves on
 // to a random member when the member does not respond. It gives up after a minute. The flag resent tells that the
-// change was sent before under the same id. A change that is not decided within acknowledgementBound is a violation.
+// change was sent before under the same id. It is a violation if the change stays undecided for acknowledgementBound
+// while no fault is active or recent.
 func (w *CoreWorld) submitUntilDecided(node *memberNode, change *schema.Change, resent bool) {
 	began, quietSince := w.now, w.now
 	decided := false
@@ -200,9 +201,9 @@
 	return linearize.Rejected
 }
 
-// propose proposes a change at a member and calls decided with the ruling that the operator gets. An undecided
+// propose proposes a change at a member and calls onRuling with the ruling that the operator gets. An undecided
 // proposal has no ruling.
-func (w *CoreWorld) propose(node *memberNode, change *schema.Change, decided func(schema.Ruling)) {
+func (w *CoreWorld) propose(node *memberNode, change *schema.Change, onRuling func(schema.Ruling)) {
 	if w.seededFault == SeededOperatorVersionsIgnored {
 		_, state := node.replica.Committed()
 		change = &schema.Change{Id: change.Id, Items: change.Items, Expected: expectedVersions(state, change.Items)}
@@ -216,7 +217,7 @@
 		if w.seededFault == SeededConflictAccepted && ruling == schema.Ruling_RULING_CONFLICT {
 			ruling = schema.Ruling_RULING_ACCEPTED
 		}
-		decided(ruling)
+		onRuling(ruling)
 		if w.seededFault != SeededOperatorVersionsIgnored {
 			w.History.recordRuling(w.now, change.Id, reply.Outcome.Ruling)
 		}
--- a/internal/simulator/core_scenario.go
+++ b/internal/simulator/core_scenario.go
@@ -10,9 +10,9 @@
 
 // Durations and sizes of a core scenario.
 const (
-	catchUpTime          = 4 * time.Second // how long members still count as lost after their fault ended
-	acknowledgementBound = 4 * time.Second // time to decide a change, while no fault is active or recent (see quietPeriod)
-	quietPeriod          = 3 * time.Second // after a fault, before acknowledgementBound applies
+	catchUpTime          = 4 * time.Second // shortest time for which members still count as lost after their fault ended
+	acknowledgementBound = 4 * time.Second // longest time to decide a change while no fault is active or recent
+	quietPeriod          = 3 * time.Second // how long after its end a fault still counts as recent
 	coreItemCount        = 6               // number of items that the operators change
 
 	linearizabilityTimeout = time.Minute // real time that the check of one item may take
@@ -44,7 +44,7 @@
 	// What operators sent and learned.
 	issuedVersions       map[string]uint64              // by item: highest operator version sent
 	acknowledgedVersions map[string]uint64              // by item: highest operator version acknowledged
-	sentContents         map[string]map[uint64][]string // by item and operator version
+	sentContents         map[string]map[uint64][]string // by item and operator version: contents sent
 	sentChanges          []*schema.Change               // changes without invalid items, which may be sent again
 	calls                linearize.History              // changes and reads, for the linearizability check
 	unanswered           map[int]func()                 // by client of an undecided change: records its outcome as unknown
--- a/internal/simulator/events.go
+++ b/internal/simulator/events.go
@@ -7,8 +7,8 @@
 
 // event is a function to run at a point in virtual time.
 type event struct {
-	at       time.Duration
-	sequence uint64 // position in the order of scheduling; breaks ties between events due at the same time
+	at       time.Duration // virtual time at which the event is due
+	sequence uint64        // position in the order of scheduling; breaks ties between events due at the same time
 	run      func()
 }
 
@@ -50,8 +50,8 @@
 }
 
 // scheduleOn runs a function on a process after a delay, unless the current run of the process ends before. If the
-// process is frozen when the task is due, the task waits for the thaw. It is then both kept in deferred and queued for
-// the planned end of the freeze. Whichever comes first runs it, and the flag done drops the other.
+// process is frozen when the task is due, the task waits for the thaw. It is then kept in process.deferred, and also
+// scheduled for the planned end of the freeze. Whichever comes first runs it. The flag done makes the other a no-op.
 func (w *World) scheduleOn(p *process, delay time.Duration, run func()) {
 	processRun, _, _ := w.processRunOf(p)
 	var task func()
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -14,7 +14,7 @@
 	inject func(w *World) (repair func())
 }
 
-// corePowerLoss is the name of a fault that costs rejected calls. Nothing acknowledged is lost, but the key
+// corePowerLoss is the name of a fault that makes the mesh reject calls. No acknowledged change is lost, but the key
 // reservations are. So the registries refuse keys until all lost reservations have expired.
 const corePowerLoss = "the whole core loses power"
 
@@ -91,21 +91,21 @@
 }
 
 // wipeLeaderAfterAcknowledgement waits for the next acknowledgement, then cuts the power of the leader's host and
-// wipes its disk.
+// wipes its disk. Nothing happens if the fault ends before.
 func (w *World) wipeLeaderAfterAcknowledgement() func() {
-	lost := false
+	done := false // the host has crashed, or the fault has ended
 	var restart func()
 	before := w.History.Acknowledgements
 	w.retryEvery(time.Millisecond, func() bool {
-		if lost {
+		if done {
 			return true
 		}
 		if w.History.Acknowledgements == before {
 			return false
 		}
 		for i, node := range w.members {
-			if status := node.replica.Status(); !lost && node.up && status.Leader == memberName(i) {
-				lost = true
+			if status := node.replica.Status(); !done && node.up && status.Leader == memberName(i) {
+				done = true
 				w.crashCoreHost(i)
 				node.disk = nil
 				restart = func() { w.startCoreHost(i) }
@@ -114,7 +114,7 @@
 		return true
 	})
 	return func() {
-		lost = true
+		done = true
 		if restart != nil {
 			restart()
 		}
@@ -260,7 +260,8 @@
 }
 
 // killRandomWorkerAndReuseAddress ends a worker and starts one of the other service at its address. In half of the
-// cases the new worker takes over the open connections.
+// cases the new worker takes over the open connections. The repair ends it and starts a worker of the old service at a
+// new address.
 func (w *World) killRandomWorkerAndReuseAddress() func() {
 	old := w.randomWorker()
 	other := otherService(old.service)
--- a/internal/simulator/golden_test.go
+++ b/internal/simulator/golden_test.go
@@ -423,8 +423,8 @@
 
 // hasRacingCancellations reports whether callers cancel in the run with a name. Two callbacks of one context, each in
 // a goroutine of its own, notice the cancellation, so such a run has more than one possible history. Of 60 runs of
-// "leaving 2, faults", 5 had a digest that differs from the file, of two kinds. Earlier code gave the same two. All
-// 60 had the same totals, so only the totals are compared.
+// "leaving 2, faults", 5 had one of two digests other than that in the file. Earlier code gave the same two. All 60 had
+// the same totals, so only the totals are compared.
 func hasRacingCancellations(name string) bool { return strings.HasPrefix(name, "leaving ") }
 
 // totalsOf returns the part of a line after its digests.
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -29,7 +29,7 @@
 	WorkerRuns             int                       // requests that workers ran
 	AnsweredRetries        int                       // answered attempts that were not the first of their call
 	Acknowledgements       int                       // changes acknowledged to operators
-	RefusedChanges         int                       // rulings other than accepted
+	RefusedChanges         int                       // recorded rulings other than accepted
 	Unsent                 int                       // attempts at proxies that were down or did not admit callers
 	BlockedCalls           int                       // attempts that got another version because theirs was blocked
 	CancelledCalls         int                       // attempts that their caller cancelled
@@ -57,7 +57,7 @@
 	invalidItems      map[string]bool             // keys of items that occur only in invalid changes
 	purgedUpTo        uint64                      // highest sequence up to which tombstones were purged
 	lastUsedRevision  map[string]uint64           // by proxy: highest revision that it dispatched by
-	processRuns       map[string]int              // by proxy: number of the run that lastUsedRevision belongs to
+	processRuns       map[string]int              // by proxy: number of the run that lastUsedRevision belongs to; kept only with Options.ServeStale
 }
 
 // versionKey identifies a version of a service.
@@ -122,7 +122,8 @@
 	hitsCore           bool          // the fault takes a core host; one such fault alone must not cause rejected calls
 }
 
-// badVersion counts the calls of an unhealthy version and of its service while the version is unhealthy.
+// badVersion counts the calls of an unhealthy version and of its service while the version is unhealthy. A call of the
+// version counts as a failure if it fails or takes longer than slowServiceTime.
 type badVersion struct {
 	service, version                     string
 	serviceCalls, versionCalls, failures int
@@ -175,8 +176,8 @@
 	}
 }
 
-// recordAcknowledgement records that a change was acknowledged to its operator. A sequence of 0 only
-// increases the count.
+// recordAcknowledgement records that a change was acknowledged to its operator. A sequence that is not
+// higher than any before, such as 0, only increases the count.
 func (h *History) recordAcknowledgement(now time.Duration, sequence uint64) {
 	h.lock.Lock()
 	defer h.lock.Unlock()
--- a/internal/simulator/invariants.go
+++ b/internal/simulator/invariants.go
@@ -4,9 +4,9 @@
 	"fmt"
 )
 
-// The violations of invariants that every world can report. Times are exact, in virtual time. Each constant is the
-// text that violations are reported under and the key of History.Violations. A golden digest covers the texts of the
-// violations in its run.
+// The violations of invariants that every world can report. The checks compare exact virtual times, without a
+// tolerance. Each constant is the text that violations are reported under and the key of History.Violations. A golden
+// digest covers the texts of the violations in its run.
 const (
 	ViolationRanTwice           = "a non-idempotent call ran more than once"
 	ViolationNotExecutedRan     = "an attempt reported as not executed ran"
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -55,11 +55,11 @@
 	return time.Millisecond + time.Duration(random.Int64N(int64(maxDelay))), lost
 }
 
-// send sends a message from one process to another. It runs run at the receiver when the message arrives; if the link
-// loses the message, or the receiver's run ends before, it does not run at all. Only events call it.
+// send sends a message from one process to another and calls run at the receiver when the message arrives. It does not
+// call run if the link loses the message or the receiver's run ends before. Only events call it.
 func (w *World) send(from, to *process, run func()) { w.sendWith(w.random, from, to, run) }
 
-// sendWith is send with a random stream of its own, for goroutines.
+// sendWith is send with the given random stream instead of World.random. Goroutines call it.
 func (w *World) sendWith(random *rand.Rand, from, to *process, run func()) {
 	delay, lost := w.sampleLink(from, to, random)
 	if lost {
--- a/internal/simulator/operators.go
+++ b/internal/simulator/operators.go
@@ -130,7 +130,7 @@
 }
 
 // submitUntilAccepted submits items at random registries until they are accepted, and then calls onAccepted. It passes
-// over a registry that does not know the service yet, unless the change begins with a service or a flag.
+// over a registry that does not know the service "shop" yet, unless the change begins with a service or a flag.
 func (w *World) submitUntilAccepted(onAccepted func(), items ...*schema.Item) {
 	accepted := false
 	w.retryEvery(500*time.Millisecond, func() bool {
@@ -190,8 +190,8 @@
 	return versionFlagItem(service, fmt.Sprintf(format, 100000-weight, weight))
 }
 
-// targetedFlagItem returns a version flag that gives version 2 to the first of the thousand users, and version 1 to
-// the others.
+// targetedFlagItem returns a version flag that gives version 2 to the first users by number, of the thousand that make
+// calls, and version 1 to the others.
 func targetedFlagItem(service string, users int) *schema.Item {
 	var names []string
 	for i := range users {
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -18,7 +18,7 @@
 	OldVersionToo, HalfOfWorkers bool
 	CallRate                     float64       // calls per second of the whole fleet; 70 % of them go to the service
 	ServiceTime                  time.Duration // mean service time of a call at a worker
-	Workers                      int           // number of workers of each version
+	Workers                      int           // number of workers that the scenario starts of each version
 	RolloutDuration              time.Duration // duration within which the rollout is ordered to be done
 	CoreFault                    string        // fault at the controller: CoreHostKilled, CoreHostPartitioned or empty
 	KillProxies                  bool          // about half of the proxies crash at once
@@ -36,7 +36,7 @@
 }
 
 // faultAfter draws the delay from the order to the injection of faults. They are injected when they do the most harm:
-// at the end of the canary of a healthy version, or when a bad version becomes unhealthy.
+// up to 1.5 s after the end of the canary of a healthy version, or after a bad version becomes unhealthy.
 func (s OrderScenario) faultAfter(w *World) time.Duration {
 	after := time.Duration(float64(s.RolloutDuration)*release.Defaults.CanaryEndFraction) + w.randomDuration(1500*time.Millisecond)
 	if !s.IsHealthy() {
@@ -48,12 +48,12 @@
 // Bounds of the exposure to a bad version, and durations of an OrderScenario.
 const (
 	orderCanaryPercent = 8                       // largest percentage of the service's calls in canary
-	orderBadFraction   = 0.1                     // fraction of the service's calls that a bad version may get
-	orderBadMargin     = 50                      // calls that a bad version may get in addition
-	orderFailureExcess = 0.06                    // failure rate, above that of the old version, that counts as healthy
+	orderBadFraction   = 0.1                     // fraction of the service's calls that a bad version may get, plus orderBadMargin
+	orderBadMargin     = 50                      // number of calls that a bad version may get in addition to orderBadFraction
+	orderFailureExcess = 0.06                    // how far the failure rate of a healthy version may exceed that of the old one
 	orderMaxFailures   = 400                     // failures in canary that the fleet allows a version
 	orderFailureLimit  = 50                      // failures after which a bad version must be rolled back
-	orderRollbackBound = 5 * time.Second         // after the failure limit; then the version must get no call
+	orderRollbackBound = 5 * time.Second         // time after the failure limit from which the version must get no call
 	orderWorkerDelay   = 1300 * time.Millisecond // from the order to the start of the version's workers
 	orderWatchTime     = 8 * time.Second         // how long the run goes on after the deadline
 	orderCoreDowntime  = 3 * time.Second         // downtime of a killed core host
@@ -65,7 +65,7 @@
 // deadline of the rollout.
 type OrderResult struct {
 	State                      string              // release.StateDone or release.StateRolledBack; empty for neither
-	ReachedAfter               time.Duration       // from the order to the final state
+	ReachedAfter               time.Duration       // time from the order to the final state; 0 for neither
 	VersionCalls, ServiceCalls int                 // calls to workers of the new version, and of the service
 	BadCalls                   int                 // failed calls to the new version, including those after the deadline
 	HasLateCall                bool                // the new version got a call after orderRollbackBound had passed
@@ -158,8 +158,8 @@
 	run.withLock(func() { run.onWorkerCall = run.countCall })
 }
 
-// countCall counts a call that a worker begins; bad tells whether the call fails. The caller holds World.lock.
-func (run *orderRun) countCall(worker *workerNode, bad bool) {
+// countCall counts a call that a worker begins. fails tells whether the call fails. The caller holds World.lock.
+func (run *orderRun) countCall(worker *workerNode, fails bool) {
 	now := run.time()
 	if worker.service != "shop" || now < run.orderedAt {
 		return
@@ -177,7 +177,7 @@
 	if run.failureLimitAt > 0 && now > run.failureLimitAt+orderRollbackBound {
 		run.result.HasLateCall = true
 	}
-	if bad {
+	if fails {
 		if run.result.BadCalls++; run.result.BadCalls == orderFailureLimit {
 			run.failureLimitAt = now
 		}
--- a/internal/simulator/order_test.go
+++ b/internal/simulator/order_test.go
@@ -47,7 +47,7 @@
 				}
 				if got.Exposed(scenario) {
 					exposed++
-					t.Errorf("seed %d: the bad version got %d of %d calls, want at most %d; call after the rollback bound: %v, want none",
+					t.Errorf("seed %d: the bad version got %d of %d calls, want at most %d; call after the rollback bound: %v, want false",
 						seed, got.VersionCalls, got.ServiceCalls, int(orderBadFraction*float64(got.ServiceCalls)+orderBadMargin), got.HasLateCall)
 				}
 				maxFraction = max(maxFraction, float64(got.VersionCalls)/float64(got.ServiceCalls))
--- a/internal/simulator/peer_rpc.go
+++ b/internal/simulator/peer_rpc.go
@@ -66,11 +66,10 @@
 	from, to *proxyNode
 	peer     transport.Peer // the sender as the receiver sees it
 	request  *schema.ForwardRequest
-	results  chan forwardResult // has room for one result; the sender receives only the first
+	results  chan forwardResult // buffered for the one result that the sender receives
 }
 
-// peerOf returns the authenticated identity of a proxy at another one. It is authorized for the callers of every
-// proxy.
+// peerOf returns the authenticated identity of a proxy at another one. The proxy is authorized for all callers.
 func peerOf(node *proxyNode) transport.Peer {
 	callers := map[string]bool{"client": true, "saves": true}
 	return transport.LocalPeer("proxy", node.name, callers)
@@ -89,8 +88,8 @@
 	case w.seededFault == SeededSpuriousConnectFailed && random.IntN(8) == 0:
 		c.failToConnect(delay)
 		return
-	// On half of the broken links the connection does not open, which the sender learns after the dial timeout. On the
-	// others it was open already, and the sender learns nothing.
+	// In half of the cases of a broken link the connection does not open, which the sender learns after the dial timeout.
+	// In the others it was open already, and the sender learns nothing.
 	case (dropped || w.isPartitioned(&c.to.process, &c.from.process)) && random.IntN(2) == 0:
 		c.failToConnect(dialTimeout)
 		return
@@ -164,9 +163,9 @@
 // connectionLostError returns the error for a connection that was lost after it opened.
 func (w *World) connectionLostError() error {
 	if w.seededFault == SeededConnectionLostAsConnectFailed {
-		return errs.New(errs.PeerConnectFailed, "lost")
+		return errs.New(errs.PeerConnectFailed, "the connection was lost")
 	}
-	return errs.New(errs.PeerConnectionLost, "lost")
+	return errs.New(errs.PeerConnectionLost, "the connection was lost")
 }
 
 // maybeCorrupt returns a copy of a response as it arrives. With a probability of World.corruptionRate one bit of its
@@ -187,8 +186,8 @@
 	return received
 }
 
-// serveForward runs a forwarded request at the proxy that received it. It calls respond with the response, or lost if
-// the run of that proxy ends first.
+// serveForward runs a forwarded request at the proxy that received it. It calls respond with the response, or
+// calls lost if the run of that proxy ends first.
 func (w *World) serveForward(
 	target *proxyNode, peer transport.Peer, request *schema.ForwardRequest,
 	respond func(*schema.ForwardResponse), lost func(),
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -9,9 +9,9 @@
 	leaseDuration        = 8 * time.Second         // duration of a proxy's lease and of a key reservation
 	keyReservationWindow = 12 * leaseDuration      // how long registries remember a reserved key
 	heartbeatTimeout     = 1500 * time.Millisecond // how long a replica that is not heard from counts as alive
-	stallTimeout         = 2 * time.Second         // duration of a write after which the replica is unfit to lead
-	pollInterval         = 50 * time.Millisecond   // interval of the loops that poll the state of another component
-	recoveryBound        = 15 * time.Second        // within which service must recover after the last fault
+	stallTimeout         = 2 * time.Second         // how long a write may take before the replica is unfit to lead
+	pollInterval         = 50 * time.Millisecond   // interval at which loops poll the state of another component
+	recoveryBound        = 15 * time.Second        // longest time in which service must recover after the last fault
 	memberCount          = 3                       // members of the core in a mesh
 )
 
@@ -31,11 +31,11 @@
 // World.lock guards up, processRun, thawAt, thaw and exited, because goroutines read them.
 type process struct {
 	name       string
-	up         bool
+	up         bool          // a run has started and not ended; the process may be frozen
 	processRun int           // number of starts; events scheduled for an earlier run are dropped
 	thawAt     time.Duration // virtual time until which the process is frozen; not in the future if it is not
-	thaw       chan struct{} // closed when the process thaws before thawAt; nil while it is not frozen
-	deferred   []func()      // tasks that came due while the process was frozen; only events use it
+	thaw       chan struct{} // closed when a repair thaws the process; nil before a first freeze and after such a thaw
+	deferred   []func()      // tasks that came due while it was frozen, even those that have run since; only events use it
 	clock      clock
 	exited     chan struct{} // closed when the current run ends
 }
--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -30,7 +30,7 @@
 // Goroutines use only the atomic fields and values that are safe for concurrent use.
 type proxyNode struct {
 	process
-	index          int           // position in World.proxies; decides the zone
+	index          int           // position in World.proxies; determines the zone
 	incarnation    uint64        // incarnation of the proxy's source in the service directory
 	startedAt      time.Duration // virtual time at which the current run began
 	leaseGate      *session.LeaseGate
--- a/internal/simulator/registry.go
+++ b/internal/simulator/registry.go
@@ -21,7 +21,7 @@
 	table          *registry.FleetState
 	reservations   *registry.ReservationTable
 	state          config.State             // items of the configuration that the registry knows as committed
-	snapshot       *config.Snapshot         // state, compiled
+	snapshot       *config.Snapshot         // compiled form of state
 	member         *memberNode              // member that the registry takes the configuration from
 	subscriptions  map[string]*subscription // subscriptions to other registries, by name; with Options.ServeStale
 	controller     *release.Controller      // nil while this registry does not control rollouts
@@ -123,7 +123,8 @@
 	})
 }
 
-// registryLease returns the lease duration that the registries' tables are configured with.
+// registryLease returns the lease duration that the registries' tables are configured with: servingLease with
+// Options.ServeStale, otherwise leaseDuration.
 func (w *World) registryLease() time.Duration {
 	if w.Options.ServeStale {
 		return servingLease
--- a/internal/simulator/rollback_scenario.go
+++ b/internal/simulator/rollback_scenario.go
@@ -139,15 +139,15 @@
 // RollbackResult is the result of a RollbackScenario.
 type RollbackResult struct {
 	Scenario RollbackScenario
-	// ServiceCalls is the number of calls that the service got while the version was unhealthy. VersionCalls is the part
-	// of them that the version got, FailedCalls the part of those that failed. With two services each number is the
-	// larger one. All are 0 for a healthy scenario.
+	// ServiceCalls is the number of calls that the service got while the version was unhealthy. VersionCalls counts those
+	// of them that the version got. FailedCalls counts those of VersionCalls that failed or took longer than
+	// slowServiceTime. With two services each number is the larger one. All are 0 for a healthy scenario.
 	ServiceCalls, VersionCalls, FailedCalls int
-	ExposureTime                            time.Duration       // from when the version became unhealthy to its last call
+	ExposureTime                            time.Duration       // time from when the version became unhealthy to its last call
 	RolledBack                              bool                // the version was rolled back or stopped
 	BlockedCalls                            int                 // attempts whose version was blocked; they got another
 	Violations                              map[string][]string // descriptions by kind of violation
-	State, StopReason                       string              // state and reason of the last rollout step seen
+	State, StopReason                       string              // state of a rollout, and reason of the rollout or of its stop; empty for none
 }
 
 // RunRollback runs one seed of a RollbackScenario with a number of proxies. It introduces a new version, lets it
--- a/internal/simulator/rollback_test.go
+++ b/internal/simulator/rollback_test.go
@@ -76,7 +76,7 @@
 func TestRollbackGuardInPartitionedCore(t *testing.T) {
 	scenario := rollbackScenarioNamed(t, "weighted flag, 10 % of calls fail late, core partitioned")
 	if got := runRollbackSeed(t, 15, scenario, SeededNone); len(got.Violations) > 0 {
-		t.Errorf("the version got %d of %d calls, the last one %v after it became unhealthy; violations %v, want none",
-			got.VersionCalls, got.ServiceCalls, got.ExposureTime, got.Violations)
+		t.Errorf("seed 15 of %q: the version got %d of %d calls, the last one %v after it became unhealthy; got violations %v, want none",
+			scenario.Name, got.VersionCalls, got.ServiceCalls, got.ExposureTime, got.Violations)
 	}
 }
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -81,7 +81,7 @@
 // TestMeshSeeds checks that the faults of no seed violate an invariant.
 func TestMeshSeeds(t *testing.T) {
 	sum := runMeshSeeds(t, *firstSeed, *seedCount, Options{HarmlessFaultsOnly: *harmlessOnly})
-	// Seeds in which little happens would prove nothing.
+	// The invariants say nothing about seeds in which little happens.
 	if sum.Answered < 500**seedCount || sum.Acknowledgements < 5**seedCount {
 		t.Errorf("in %d seeds: %d answered attempts, want at least %d; %d acknowledged changes, want at least %d",
 			*seedCount, sum.Answered, 500**seedCount, sum.Acknowledgements, 5**seedCount)
@@ -126,7 +126,7 @@
 						t.Errorf("seed %d: %s: %s", seed, kind, strings.Join(h.Violations[kind], "\n\t"))
 					}
 					if h.CancelledCalls < 20 || h.Disconnects.Canceled+h.Disconnects.Dequeued == 0 || h.Disconnects.RanToEnd == 0 {
-						t.Errorf("seed %d: %d cancelled attempts, want at least 20; disconnects %+v, want RanToEnd, and Canceled or Dequeued, above 0",
+						t.Errorf("seed %d: %d cancelled attempts, want at least 20; disconnects %+v, want RanToEnd above 0, and Canceled or Dequeued above 0",
 							seed, h.CancelledCalls, h.Disconnects)
 					}
 					t.Logf("%d of %d attempts cancelled; disconnects: %+v", h.CancelledCalls, h.Attempts, h.Disconnects)
@@ -194,14 +194,14 @@
 		h.RefusedChanges, h.MaxTombstones, h.Purges, strings.Join(rejections, "\n\t"))
 }
 
-// TestHarmlessFaultsRejectNoCall checks that no call is rejected because of a fault that must cost nothing. These are
+// TestHarmlessFaultsRejectNoCall checks that no call is rejected because of a fault that must not cause rejections. These are
 // draining and replacing workers, graceful restarts, a single core host that is lost, frozen, slow or back with an
 // empty disk, many changes, a growing configuration, and invalid and racing changes.
 func TestHarmlessFaultsRejectNoCall(t *testing.T) {
 	sum := runMeshSeeds(t, 1, harmlessSeedCount, Options{HarmlessFaultsOnly: true})
 	if len(sum.Rejections) > 0 || sum.Answered < 500*harmlessSeedCount {
-		t.Errorf("in %d seeds, want no rejected attempt and at least %d answered: %s",
-			harmlessSeedCount, 500*harmlessSeedCount, sum.summary())
+		t.Errorf("%d seeds with harmless faults: got %s\nwant no rejected attempt and at least %d answered ones",
+			harmlessSeedCount, sum.summary(), 500*harmlessSeedCount)
 	}
 }
 
--- a/internal/simulator/subscription.go
+++ b/internal/simulator/subscription.go
@@ -30,12 +30,12 @@
 	// the order.
 	lastArrivalAt time.Duration
 
-	// The state of the server: how much it has sent already.
+	// The state of the server: what it has sent already.
 	position        *registry.SessionCursor // position in the sources of the service directory
 	revision        uint64                  // revision of the configuration
 	fleetSize       uint32                  // last fleet size sent, in proxies
-	sentCoreMembers bool                    // the core members are sent
-	started         bool                    // the first update is sent
+	sentCoreMembers bool                    // the core members have been sent
+	started         bool                    // the first update has been sent
 }
 
 // coreMembers returns the core members as registries announce them.
@@ -124,7 +124,8 @@
 }
 
 // nextUpdate returns the next update of a subscription as the server's daemon builds it. isDue reports whether the
-// update must be sent without waiting for the next heartbeat.
+// update must be sent without waiting for the next heartbeat. A registry that has just started announces neither its
+// configuration nor its staleness.
 func (w *World) nextUpdate(sub *subscription) (update *schema.Update, isDue bool) {
 	node := sub.server
 	now := w.uptime(node)
--- a/internal/simulator/worker_serve.go
+++ b/internal/simulator/worker_serve.go
@@ -59,6 +59,9 @@
 	}
 }
 
+// slowServiceTime is the service time above which a call counts as bad although it does not fail.
+const slowServiceTime = 200 * time.Millisecond
+
 // serveRequest runs one request at a worker and writes the response. It returns false if the connection must be
 // closed. A request with a token other than the worker's is refused with status 421.
 func (w *World) serveRequest(worker *workerNode, request *http.Request, reader *bufio.Reader, conn net.Conn) bool {
@@ -70,7 +73,7 @@
 	operationID := request.Header.Get("X-Op")
 	attemptNumber, _ := strconv.Atoi(request.Header.Get("X-Ask")) // newCall writes a number
 	fails, serviceTime := w.sampleWorkerCall(worker, request.URL.Path, w.derivedRandom(requestID))
-	isBad := fails || serviceTime > 200*time.Millisecond
+	isBad := fails || serviceTime > slowServiceTime
 	w.History.recordRun(w.time(), worker, operationID, attemptNumber, request.Header.Get(dispatch.HeaderCaller), requestID, isBad)
 	if w.onWorkerCall != nil {
 		w.withLock(func() { w.onWorkerCall(worker, fails) })
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -24,7 +24,7 @@
 	events            eventQueue
 	eventAdded        chan struct{}            // wakes Run when a goroutine has scheduled an event
 	partitionedLinks  map[[2]string]bool       // links that are cut, as pairs of sending and receiving host
-	disturbedAt       map[string]time.Duration // by host: when a fault last affected it; may be in the future
+	disturbedAt       map[string]time.Duration // by host: virtual time at which a fault last affected it; may be in the future
 	lossRate          float64                  // fraction of messages between hosts that are lost
 	maxExtraDelay     time.Duration            // upper bound of the random latency added to each message
 	corruptionRate    float64                  // fraction of responses between proxies that are corrupted in transit
@@ -43,12 +43,13 @@
 	faults          []*faultRecord             // in the order of their starts; only events append
 	addressesUsed   int                        // number of worker addresses handed out
 
-	// lastRestarted is the proxy that was last shut down gracefully, lastRestartedRun the number of its run that ended.
+	// lastRestarted is the proxy whose graceful restart began last, or nil. lastRestartedRun is the number of the run that
+	// this restart ends.
 	lastRestarted    *proxyNode
 	lastRestartedRun int
 
 	Options      Options
-	onWorkerCall func(worker *workerNode, bad bool) // if not nil, called with lock held for each call that a worker begins
+	onWorkerCall func(worker *workerNode, fails bool) // if not nil, called with lock held for each call that a worker begins
 	History      *History
 }
 
