--- a/internal/simulator/caller_cancel.go
+++ b/internal/simulator/caller_cancel.go
@@ -22,8 +22,8 @@
 // because cancel functions are called with the lock held.
 type cancellations struct {
 	lock      sync.Mutex                      // guards the fields below
-	cancels   map[string][]context.CancelFunc // by request id: cancel functions of its RPCs, kept until it is cancelled
-	cancelled map[string]bool                 // by request id: cancelled requests, including those that have not arrived yet
+	cancels   map[string][]context.CancelFunc // cancel functions of the RPCs of each request, kept until it is cancelled
+	cancelled map[string]bool                 // cancelled requests, including those that have not arrived yet
 }
 
 // sampleCancel draws whether the caller of an attempt cancels it, and after how long. Calls under an idempotency key
--- a/internal/simulator/checks_end.go
+++ b/internal/simulator/checks_end.go
@@ -83,7 +83,7 @@
 func (h *History) checkExposure(bad *badVersion) {
 	limit := fakebackend.FaultyVersionRatio*float64(bad.serviceCalls) + fakebackend.FaultyVersionFloor
 	if float64(bad.versionCalls) > limit {
-		h.recordViolation(ViolationBadVersionExposure, "version %s of %s got %d of the %d calls of the service while it was unhealthy; %d of them failed",
+		h.recordViolation(ViolationBadVersionExposure, "version %s of %s got %d of the %d calls of the service while it was unhealthy; %d of them failed or were slow",
 			bad.version, bad.service, bad.versionCalls, bad.serviceCalls, bad.failures)
 	}
 	if bad.lateCallAt > 0 {
--- a/internal/simulator/core_scenario.go
+++ b/internal/simulator/core_scenario.go
@@ -42,12 +42,12 @@
 	onAcknowledged     []func()           // called at the next acknowledgement, then dropped
 
 	// What operators sent and learned.
-	issuedVersions       map[string]uint64              // by item: highest operator version sent
-	acknowledgedVersions map[string]uint64              // by item: highest operator version acknowledged
-	sentContents         map[string]map[uint64][]string // by item and operator version: contents sent
+	issuedVersions       map[string]uint64              // highest operator version sent of each item
+	acknowledgedVersions map[string]uint64              // highest operator version acknowledged of each item
+	sentContents         map[string]map[uint64][]string // contents sent, by item and operator version
 	sentChanges          []*schema.Change               // changes without invalid items, which may be sent again
 	calls                linearize.History              // changes and reads, for the linearizability check
-	unanswered           map[int]func()                 // by client of an undecided change: records its outcome as unknown
+	unanswered           map[int]func()                 // records the outcome of an undecided change, by client
 
 	// Totals. Resends counts the older changes that were sent again.
 	Acknowledgements, Reads, Replacements, Resends int
--- a/internal/simulator/core_test.go
+++ b/internal/simulator/core_test.go
@@ -81,7 +81,8 @@
 					}
 				}
 			}
-			t.Errorf("seeds 1 to %d have no violation, want one of %q", seededFaultSeedCount, test.want)
+			t.Errorf("seeds 1 to %d with the fault %q: got no violation of the kinds %q, want at least one",
+				seededFaultSeedCount, test.seededFault, test.want)
 		})
 	}
 }
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -41,23 +41,23 @@
 	Violations             map[string][]string       // descriptions by kind of violation, at most maxViolationsKept of each
 
 	// What callers, workers and operators did and saw.
-	operations       map[string]*operation      // by id
+	operations       map[string]*operation      // operations by id
 	acknowledgements []revisionAt               // in order of time, with increasing revisions
 	lastAcknowledged uint64                     // highest acknowledged revision
-	rulings          map[string]schema.Ruling   // by id of the change
-	departedAt       map[string]time.Duration   // by token of the worker: when it began to drain or ended
-	retryTimes       map[string][]time.Duration // by service: times of the dispatches that were retries
-	badVersions      []*badVersion              // versions whose exposure is checked
+	rulings          map[string]schema.Ruling   // last ruling on each change, by its id
+	departedAt       map[string]time.Duration   // virtual time at which each worker began to drain or ended, by token
+	retryTimes       map[string][]time.Duration // virtual times of the dispatches that were retries, by service
+	badVersions      []*badVersion              // unhealthy versions whose exposure is checked
 	inFlight         map[versionKey]int         // number of calls in flight at workers; World.lock guards it
 
 	// What configurations exist, and which processes showed them.
-	snapshots         map[uint64]*config.Snapshot // by revision, as compiled by the first registry that had it
-	contentBySequence map[uint64]string           // by sequence: fingerprint of the configuration
-	shownRevisions    map[string][]revisionAt     // by member, in order of time
+	snapshots         map[uint64]*config.Snapshot // configurations by revision, as the first registry compiled them
+	contentBySequence map[uint64]string           // fingerprint of the configuration at each sequence
+	shownRevisions    map[string][]revisionAt     // committed revisions of each member, in order of time
 	invalidItems      map[string]bool             // keys of items that occur only in invalid changes
 	purgedUpTo        uint64                      // highest sequence up to which tombstones were purged
-	lastUsedRevision  map[string]uint64           // by proxy: highest revision that it dispatched by
-	processRuns       map[string]int              // by proxy: number of the run that lastUsedRevision belongs to; kept only with Options.ServeStale
+	lastUsedRevision  map[string]uint64           // highest revision that each proxy dispatched by, by name
+	processRuns       map[string]int              // run of each proxy that lastUsedRevision belongs to
 }
 
 // versionKey identifies a version of a service.
--- a/internal/simulator/mesh_scenario.go
+++ b/internal/simulator/mesh_scenario.go
@@ -6,9 +6,9 @@
 
 // Durations of a mesh scenario.
 const (
-	settlingTime          = 3 * leaseDuration // from the start of the world to the start of the callers
+	settlingTime          = 3 * leaseDuration // time from the start of the world to the start of the callers
 	defaultFaultyDuration = 60 * time.Second
-	maxFaultDuration      = 12 * time.Second  // from the start of a fault to its repair, at most
+	maxFaultDuration      = 12 * time.Second  // longest time from the start of a fault to its repair
 	registryRestartTime   = 2 * leaseDuration // time after which a restarted registry surely grants leases again
 )
 
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -48,13 +48,13 @@
 // Bounds of the exposure to a bad version, and durations of an OrderScenario.
 const (
 	orderCanaryPercent = 8                       // largest percentage of the service's calls in canary
-	orderBadFraction   = 0.1                     // fraction of the service's calls that a bad version may get, plus orderBadMargin
-	orderBadMargin     = 50                      // number of calls that a bad version may get in addition to orderBadFraction
-	orderFailureExcess = 0.06                    // how far the failure rate of a healthy version may exceed that of the old one
+	orderBadFraction   = 0.1                     // fraction of the service's calls that a bad version may get
+	orderBadMargin     = 50                      // number of calls that a bad version may get beyond this fraction
+	orderFailureExcess = 0.06                    // excess over the old version's failure rate that counts as healthy
 	orderMaxFailures   = 400                     // failures in canary that the fleet allows a version
 	orderFailureLimit  = 50                      // failures after which a bad version must be rolled back
 	orderRollbackBound = 5 * time.Second         // time after the failure limit from which the version must get no call
-	orderWorkerDelay   = 1300 * time.Millisecond // from the order to the start of the version's workers
+	orderWorkerDelay   = 1300 * time.Millisecond // time from the order to the start of the version's workers
 	orderWatchTime     = 8 * time.Second         // how long the run goes on after the deadline
 	orderCoreDowntime  = 3 * time.Second         // downtime of a killed core host
 	orderPartitionTime = 4800 * time.Millisecond // duration of the partition of a core host
--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -52,7 +52,7 @@
 
 	// The fields below are used only with Options.ServeStale.
 	selector          *session.RegistrySelector
-	subscriptions     map[string]*subscription // by name of the registry
+	subscriptions     map[string]*subscription // sessions with registries, by name of the registry
 	reportedFleetSize int64                    // last fleet size in an update from a registry; 0 before the first
 	reportPending     bool                     // the registry has not replied to the last report of workers
 	reportedAt        time.Duration            // virtual time of the last report of workers
--- a/internal/simulator/rollback_scenario.go
+++ b/internal/simulator/rollback_scenario.go
@@ -40,7 +40,7 @@
 	MethodFinishedPlan = "finished release plan" // an operator submits a release plan and deletes it when it is done
 
 	rollbackCallRate = 150              // rate of calls of the whole fleet, in calls per second
-	rollbackRunTime  = 60 * time.Second // from the introduction of the version to the end of the run
+	rollbackRunTime  = 60 * time.Second // time from the introduction of the version to the end of the run
 )
 
 // RollbackScenarios lists the scenarios that the rollback guard is tested with.
@@ -147,7 +147,8 @@
 	RolledBack                              bool                // the version was rolled back or stopped
 	BlockedCalls                            int                 // attempts whose version was blocked; they got another
 	Violations                              map[string][]string // descriptions by kind of violation
-	State, StopReason                       string              // state of a rollout, and reason of the rollout or of its stop; empty for none
+	// State is the state of a rollout. StopReason is the reason of the rollout or of its stop. Empty is none.
+	State, StopReason string
 }
 
 // RunRollback runs one seed of a RollbackScenario with a number of proxies. It introduces a new version, lets it
--- a/internal/simulator/rollback_test.go
+++ b/internal/simulator/rollback_test.go
@@ -63,7 +63,7 @@
 					rolledBack++
 				}
 			}
-			t.Logf("%d seeds, %d rolled back; at most %d calls to the version, %d of them failed, last one after %v; at most %d blocked",
+			t.Logf("%d seeds, %d rolled back; at most %d calls to the version, %d of them failed or slow, last one after %v; at most %d blocked",
 				*rollbackSeedCount, rolledBack, slices.Max(versionCalls), slices.Max(failedCalls),
 				slices.Max(exposureTimes).Round(time.Millisecond), slices.Max(blockedCalls))
 		})
--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -87,7 +87,7 @@
 			*seedCount, sum.Answered, 500**seedCount, sum.Acknowledgements, 5**seedCount)
 	}
 	if sum.Purges == 0 {
-		t.Error("no seed purged a tombstone, want at least one purge")
+		t.Errorf("in %d seeds: got no purge of tombstones, want at least one", *seedCount)
 	}
 	t.Logf("%d seeds: %s", *seedCount, sum.summary())
 }
@@ -194,9 +194,9 @@
 		h.RefusedChanges, h.MaxTombstones, h.Purges, strings.Join(rejections, "\n\t"))
 }
 
-// TestHarmlessFaultsRejectNoCall checks that no call is rejected because of a fault that must not cause rejections. These are
-// draining and replacing workers, graceful restarts, a single core host that is lost, frozen, slow or back with an
-// empty disk, many changes, a growing configuration, and invalid and racing changes.
+// TestHarmlessFaultsRejectNoCall checks that no call is rejected because of a fault that must not cause rejections.
+// These are draining and replacing workers, graceful restarts, a single core host that is lost, frozen, slow or back
+// with an empty disk, many changes, a growing configuration, and invalid and racing changes.
 func TestHarmlessFaultsRejectNoCall(t *testing.T) {
 	sum := runMeshSeeds(t, 1, harmlessSeedCount, Options{HarmlessFaultsOnly: true})
 	if len(sum.Rejections) > 0 || sum.Answered < 500*harmlessSeedCount {
@@ -318,7 +318,8 @@
 					}
 				}
 			}
-			t.Errorf("seeds 1 to %d have no violation, want one of %q", seededFaultSeedCount, test.want)
+			t.Errorf("seeds 1 to %d with the fault %q: got no violation of the kinds %q, want at least one",
+				seededFaultSeedCount, test.seededFault, test.want)
 		})
 	}
 	want := []string{ViolationBadVersionExposure, ViolationHealthyRolledBack}
@@ -338,7 +339,8 @@
 					}
 				}
 			}
-			t.Errorf("seeds 1 to %d of scenario %q have no violation, want one of %q", seededFaultSeedCount, scenarioName, want)
+			t.Errorf("seeds 1 to %d of scenario %q with the fault %q: got no violation of the kinds %q, want at least one",
+				seededFaultSeedCount, scenarioName, seededFault, want)
 		})
 	}
 }
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -24,12 +24,12 @@
 	events            eventQueue
 	eventAdded        chan struct{}            // wakes Run when a goroutine has scheduled an event
 	partitionedLinks  map[[2]string]bool       // links that are cut, as pairs of sending and receiving host
-	disturbedAt       map[string]time.Duration // by host: virtual time at which a fault last affected it; may be in the future
+	disturbedAt       map[string]time.Duration // virtual time at which a fault last affected each host; may be in the future
 	lossRate          float64                  // fraction of messages between hosts that are lost
 	maxExtraDelay     time.Duration            // upper bound of the random latency added to each message
 	corruptionRate    float64                  // fraction of responses between proxies that are corrupted in transit
 	duplicationRate   float64                  // fraction of requests between proxies that arrive twice
-	workersByAddress  map[string]*workerNode   // by address: the worker that listens there now
+	workersByAddress  map[string]*workerNode   // worker that listens at each address now
 	cancellations     cancellations            // has a lock of its own
 	closed            bool                     // set by Close: no call and no connection starts anymore
 
@@ -38,9 +38,10 @@
 	proxies    []*proxyNode
 	workers    []*workerNode // all workers ever started; appended with lock held
 
-	degradations    map[[2]string]*Degradation // by service and version; only events change it
-	halfDegradation *Degradation               // of half of the workers of shop version 2, or nil; only events change it
-	faults          []*faultRecord             // in the order of their starts; only events append
+	// Only events change the degradations.
+	degradations    map[[2]string]*Degradation // degradation of each version, by service and version
+	halfDegradation *Degradation               // degradation of half of the workers of shop version 2, or nil
+	faults          []*faultRecord             // injected faults, in the order of their starts; only events append
 	addressesUsed   int                        // number of worker addresses handed out
 
 	// lastRestarted is the proxy whose graceful restart began last, or nil. lastRestartedRun is the number of the run that
