--- a/internal/simulator/core_operators.go
+++ b/internal/simulator/core_operators.go
@@ -164,7 +164,7 @@
 	})
 }
 
-// recordCall records a change of items, from its begin to now, for the linearizability check.
+// recordCall records a change of items for the linearizability check, as a call that lasted from began to now.
 func (w *CoreWorld) recordCall(client int, change *schema.Change, result linearize.Result, began time.Duration) {
 	for _, item := range change.Items {
 		if item.Kind == "segment" {
--- a/internal/simulator/order_scenario.go
+++ b/internal/simulator/order_scenario.go
@@ -50,7 +50,7 @@
 	orderCanaryPercent = 8                       // largest percentage of the service's calls in canary
 	orderBadFraction   = 0.1                     // fraction of the service's calls that a bad version may get
 	orderBadMargin     = 50                      // number of calls that a bad version may get beyond this fraction
-	orderFailureExcess = 0.06                    // excess over the old version's failure rate that counts as healthy
+	orderFailureExcess = 0.06                    // failure rate allowed beyond FailureRateMultiple of the old version's
 	orderMaxFailures   = 400                     // failures in canary that the fleet allows a version
 	orderFailureLimit  = 50                      // failures after which a bad version must be rolled back
 	orderRollbackBound = 5 * time.Second         // time after the failure limit from which the version must get no call
--- a/internal/simulator/peer_rpc.go
+++ b/internal/simulator/peer_rpc.go
@@ -75,7 +75,8 @@
 	return transport.LocalPeer("proxy", node.name, callers)
 }
 
-// start draws what happens to the call and schedules it. The golden histories fix the order of the draws.
+// start draws whether the connection opens, whether the request is lost or duplicated, and the delays, and schedules
+// the results. The golden histories fix the order of the draws.
 func (c *peerCall) start() {
 	w := c.world
 	random := w.derivedRandom(c.request.Request)
--- a/internal/simulator/rollback_scenario.go
+++ b/internal/simulator/rollback_scenario.go
@@ -143,7 +143,7 @@
 	// of them that the version got. FailedCalls counts those of VersionCalls that failed or took longer than
 	// slowServiceTime. With two services each number is the larger one. All are 0 for a healthy scenario.
 	ServiceCalls, VersionCalls, FailedCalls int
-	ExposureTime                            time.Duration       // time from when the version became unhealthy to its last call
+	ExposureTime                            time.Duration       // time from the start of the degradation to the last call
 	RolledBack                              bool                // the version was rolled back or stopped
 	BlockedCalls                            int                 // attempts whose version was blocked; they got another
 	Violations                              map[string][]string // descriptions by kind of violation
