--- a/internal/simulator/proxy.go
+++ b/internal/simulator/proxy.go
@@ -30,7 +30,7 @@
 // Goroutines use only the atomic fields and values that are safe for concurrent use.
 type proxyNode struct {
 	process
-	index          int           // position in World.proxies; decides the zone
+	index          int           // position in World.proxies; determines the zone
 	incarnation    uint64        // incarnation of the proxy's source in the service directory
 	startedAt      time.Duration // virtual time at which the current run began
 	leaseGate      *session.LeaseGate
@@ -52,7 +52,7 @@
 
 	// The fields below are used only with Options.ServeStale.
 	selector          *session.RegistrySelector
-	subscriptions     map[string]*subscription // by name of the registry
+	subscriptions     map[string]*subscription // sessions with registries, by name of the registry
 	reportedFleetSize int64                    // last fleet size in an update from a registry; 0 before the first
 	reportPending     bool                     // the registry has not replied to the last report of workers
 	reportedAt        time.Duration            // virtual time of the last report of workers
--- a/internal/simulator/rollback_test.go
+++ b/internal/simulator/rollback_test.go
@@ -63,7 +63,7 @@
 					rolledBack++
 				}
 			}
-			t.Logf("%d seeds, %d rolled back; at most %d calls to the version, %d of them failed, last one after %v; at most %d blocked",
+			t.Logf("%d seeds, %d rolled back; at most %d calls to the version, %d of them failed or slow, last one after %v; at most %d blocked",
 				*rollbackSeedCount, rolledBack, slices.Max(versionCalls), slices.Max(failedCalls),
 				slices.Max(exposureTimes).Round(time.Millisecond), slices.Max(blockedCalls))
 		})
@@ -76,7 +76,7 @@
 func TestRollbackGuardInPartitionedCore(t *testing.T) {
 	scenario := rollbackScenarioNamed(t, "weighted flag, 10 % of calls fail late, core partitioned")
 	if got := runRollbackSeed(t, 15, scenario, SeededNone); len(got.Violations) > 0 {
-		t.Errorf("the version got %d of %d calls, the last one %v after it became unhealthy; violations %v, want none",
-			got.VersionCalls, got.ServiceCalls, got.ExposureTime, got.Violations)
+		t.Errorf("seed 15 of %q: the version got %d of %d calls, the last one %v after it became unhealthy; got violations %v, want none",
+			scenario.Name, got.VersionCalls, got.ServiceCalls, got.ExposureTime, got.Violations)
 	}
 }
