--- a/cmd/testbed/doc.go
+++ b/cmd/testbed/doc.go
@@ -7,7 +7,7 @@
 //	testbed slopes     runs a series of hollow fleets, to measure how costs grow with each cost driver
 //	testbed calls      runs chains of calls through real proxies, to measure the cost of a call
 //
-// The programs proxy, registry and store must be in the directory of this program or in -binaries. With
+// The programs proxy, registry and store must be in the folder of this program or in -binaries. With
 // testbed.DelayedStoreCommand as its first argument the program runs the store's daemon on a delayed disk;
 // only fleets start it in this way.
 package main
--- a/cmd/testbed/main.go
+++ b/cmd/testbed/main.go
@@ -31,8 +31,8 @@
 	return runScenario(args)
 }
 
-// resolveFolders replaces an empty folder by a new temporary directory, and empty binaries by the directory
-// of this program. If exit is true, that failed and the program must exit with code. program prefixes error
+// resolveFolders replaces an empty folder by a new temporary folder, and empty binaries by the folder of this
+// program. If exit is true, that failed and the program must exit with code. program prefixes error
 // messages.
 func resolveFolders(program string, folder, binaries *string) (code int, exit bool) {
 	if *folder == "" {
--- a/cmd/testbed/measure.go
+++ b/cmd/testbed/measure.go
@@ -31,8 +31,8 @@
 	reportName string                // name of the report; it is written to reportName.json
 	leftover   string                // what a failed run leaves in folder, for the error message
 	opts       proto.Message         // options that the arguments are parsed into
-	folder     *string               // directory of data, logs and reports
-	binaries   *string               // directory of the programs proxy, registry and store
+	folder     *string               // folder of data, logs and reports
+	binaries   *string               // folder of the programs proxy, registry and store
 	plots      *string               // file format of the plots
 	validate   func() options.Faults // checks opts after parsing
 	// run makes the measurement. It writes its progress to out.
--- a/cmd/testbed/scenario.go
+++ b/cmd/testbed/scenario.go
@@ -23,8 +23,7 @@
 	showVersion bool            // print the program's version and exit
 }
 
-// drainingBound is the longest time after a worker began to drain or was killed for which it may still get
-// calls. The invariant itself allows this time.
+// drainingBound is Options.DrainingBound of the run: the required time, which is also fakebackend.DrainingBound.
 const drainingBound = 2 * time.Second
 
 // runScenario runs one fleet through one scenario and checks the invariants. It returns the exit code,
--- a/internal/simulator/change.go
+++ b/internal/simulator/change.go
@@ -39,9 +39,9 @@
 	w.execute(node.member, node.member.replica.Propose(node.member.clock.at(w.now), proposal))
 }
 
-// acknowledge sets a fence for a committed change at all registries and repeats it at every pollInterval. It calls
-// onAcknowledged once, at a majority of the registries, no proxy holds a lease under an older configuration. It gives up
-// after three lease durations.
+// acknowledge sets a fence for a committed change at all registries and repeats it at every pollInterval. Once a
+// majority of the registries confirm that no proxy holds a lease under an older configuration, it calls onAcknowledged,
+// only one time. It gives up after three lease durations.
 func (w *World) acknowledge(node *registryNode, sequence uint64, onAcknowledged func()) {
 	acknowledgement := registry.NewAcknowledgement(memberCount)
 	done := false
--- a/internal/simulator/core_faults.go
+++ b/internal/simulator/core_faults.go
@@ -21,7 +21,7 @@
 // coreFault is a kind of fault of a core without a mesh.
 type coreFault struct {
 	name        string
-	membersLost int // number of members that are lost while the fault is active
+	membersLost int // number of members that the fault takes; 0 with hitsAll, where CoreOptions.MaxLosses count as lost
 	kind        lossKind
 	// inject begins the fault and returns a function that ends it.
 	inject func(w *CoreWorld) (repair func())
@@ -173,8 +173,9 @@
 	}
 }
 
-// crashAll cuts the power of every active member at once. It wipes the given number of disks if no member
-// counts as lost. All members that are not lost start again within a second.
+// crashAll cuts the power of every active member at once. It wipes the given number of disks if no member counts as
+// lost. But before a fault with hitsAll, injectCoreFault counts MaxLosses members as lost, so no disk is ever wiped.
+// All members that are not lost start again within a second.
 func (w *CoreWorld) crashAll(lostDisks int) func() {
 	for i, node := range w.activeMembers() {
 		if node.up {
--- a/internal/simulator/fault_injection.go
+++ b/internal/simulator/fault_injection.go
@@ -10,8 +10,7 @@
 	for {
 		chosen := &Faults[w.randomInt(len(Faults))]
 		// A power loss of the whole core voids the key reservations of a whole window. Calls under keys are then refused,
-		// and the seed tests little else. So seven in eight
-		// draws of it are discarded.
+		// and the seed tests little else. So seven in eight draws of it are discarded.
 		if chosen.name == corePowerLoss && len(w.Options.OnlyFaults) == 0 && w.randomInt(8) > 0 {
 			continue
 		}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -9,7 +9,7 @@
 type fault struct {
 	name      string
 	mayReject bool // the mesh may reject calls because of the fault
-	hitsCore  bool // the fault takes a core host or its disk; the mesh must survive one such fault at a time
+	hitsCore  bool // the fault affects core hosts, disks or registries; the mesh must survive one such fault at a time
 	// inject begins the fault and returns a function that ends it.
 	inject func(w *World) (repair func())
 }
@@ -19,7 +19,8 @@
 const corePowerLoss = "the whole core loses power"
 
 // Faults lists the kinds of fault that RunMesh injects. Seeds draw them by index, and the golden digests cover the
-// names, so a change of the order or of a name changes recorded histories.
+// names, so a change of the order or of a name changes recorded histories. In the names, a seat is a member without its
+// registry, a core machine is a core host, and an edge machine is the host of a proxy.
 var Faults = []fault{
 	{"seat loses power", false, true, (*World).crashRandomMember},
 	{"core machine loses power", false, true, (*World).crashRandomCoreHost},
--- a/internal/simulator/history.go
+++ b/internal/simulator/history.go
@@ -119,11 +119,12 @@
 	name               string
 	startedAt, endedAt time.Duration // virtual times; endedAt is 0 while the fault is active
 	mayReject          bool          // the mesh may reject calls because of the fault
-	hitsCore           bool          // the fault takes a core host; one such fault alone must not cause rejected calls
+	hitsCore           bool          // as in fault; without mayReject, one such fault alone must not cause rejected calls
 }
 
 // badVersion counts the calls of an unhealthy version and of its service while the version is unhealthy. A call of the
-// version counts as a failure if it fails or takes longer than slowServiceTime.
+// version counts as a failure if it fails or takes longer than slowServiceTime. Packages fakebackend and testbed call
+// such a version faulty.
 type badVersion struct {
 	service, version                     string
 	serviceCalls, versionCalls, failures int
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -88,7 +88,8 @@
 	return w.partitionLinks(links)
 }
 
-// partitionLinks cuts links, each from its first host to its second, and returns a function that restores them.
+// partitionLinks cuts links, each from its first host to its second, and returns a function that restores them, even
+// those that another fault has cut too.
 func (w *World) partitionLinks(links [][2]string) (heal func()) {
 	w.withLock(func() {
 		for _, link := range links {
--- a/internal/simulator/process.go
+++ b/internal/simulator/process.go
@@ -27,7 +27,8 @@
 	return c.offset + time.Duration(float64(now)*c.rate)
 }
 
-// process is a daemon or a replica: the unit that can crash, freeze and be partitioned. Only events change it.
+// process is a daemon or a replica: the unit that can crash and freeze. Links are cut between hosts; see hostOf. Only
+// events change it.
 // World.lock guards up, processRun, thawAt, thaw and exited, because goroutines read them.
 type process struct {
 	name       string
--- a/internal/testbed/faults.go
+++ b/internal/testbed/faults.go
@@ -153,7 +153,8 @@
 	return service
 }
 
-// setLinks sets a fault on each of the links and returns a function that ends the fault on these links only.
+// setLinks sets a fault on each of the links and returns a function that ends the fault on these links only. Where
+// another fault of the same kind is active on one of them, that ends too.
 func (r *testRun) setLinks(links [][2]string, set func(from, to string, on bool)) func() {
 	for _, link := range links {
 		set(link[0], link[1], true)
--- a/internal/testbed/link_faults.go
+++ b/internal/testbed/link_faults.go
@@ -35,7 +35,7 @@
 }
 
 // retransmitDelay draws the delay of the next data on a link: one retransmitTimeout for each time in a row that it is
-// lost, up to four.
+// lost, up to four. The draws are not seeded.
 func (f *LinkFaults) retransmitDelay(from, to string) time.Duration {
 	f.lock.Lock()
 	ratio := f.lossRatio[[2]string{from, to}]
--- a/internal/testbed/options.go
+++ b/internal/testbed/options.go
@@ -13,12 +13,12 @@
 	Binaries     string        // folder of the mesh's programs
 	LoadDuration time.Duration // duration of the load, during which the scenario's faults are injected
 	Lease        time.Duration // duration of leases, in the settings of registries and proxies
-	Seed         uint64        // seed of all random choices of callers and faults
+	Seed         uint64        // seed of the choices of callers and faults, but not of the losses on links
 	Scenario     string        // a key of Scenarios
 	OnReady      func(*Fleet)  // if set, there is no load: it is called once the fleet is ready, then the fleet is stopped
 	WorkerDelay  time.Duration // time that a worker takes for each request
 	RateFactor   float64       // factor by which the deployment's request rate is multiplied
-	// DrainingBound is the longest time for which a draining worker may still get requests.
+	// DrainingBound is the longest time after a worker began to drain or was killed for which it may still get requests.
 	DrainingBound time.Duration
 	// DisconnectBound is the longest time for which a worker may continue with an idempotent request after its caller
 	// disconnected. 0 turns this check off.
