--- a/internal/simulator/simulator_test.go
+++ b/internal/simulator/simulator_test.go
@@ -208,12 +208,12 @@
 // harmlessSeedCount is the number of seeds that TestHarmlessFaultsRejectNoCall runs.
 const harmlessSeedCount = 16
 
-// TestRegressionSeeds runs seeds that once found a fault:
+// TestRegressionSeeds runs seeds that once found a defect:
 //
 //   - 10404: a call was rejected as VERSION_NOT_ALLOWED, because its proxy did not wait long enough for the
 //     configuration that the worker's proxy already had. TestNewerConfigElsewhere in internal/dispatch tests the same.
 //   - 10080, 10167, 10209: goroutines that remained from the calls of a killed proxy still had an effect. This was a
-//     fault of the simulator.
+//     defect of the simulator.
 //   - 10609: two proxies restarted gracefully at the same time, and with them every worker of a service.
 //
 // What a seed draws changes with the list of Faults, so each cause also has a test of its own.
--- a/internal/testbed/history.go
+++ b/internal/testbed/history.go
@@ -104,7 +104,8 @@
 	// End is the time at which the fault ended; 0 if it lasts until the next fault begins or the run ends.
 	End       time.Duration `json:"end,omitempty"`
 	MayReject bool          `json:"costs,omitempty"` // the fault may cause rejections
-	// HitsCore is set if the fault affects a core machine or its disk. One such fault at a time is harmless.
+	// HitsCore is set if a random fault affects a core machine or its disk. One such fault at a time is harmless. Steps at
+	// fixed times set neither HitsCore nor DelaysPeerMessages.
 	HitsCore           bool `json:"core,omitempty"`
 	DelaysPeerMessages bool `json:"mute,omitempty"` // the fault delays messages between proxies
 }
--- a/internal/testbed/scenario.go
+++ b/internal/testbed/scenario.go
@@ -24,7 +24,8 @@
 }
 
 // nonRejecting holds the names of steps that must not cause rejections. After any other step, calls may be rejected
-// for a while. A name here that no step has is ignored silently, so a step and its entry must be renamed together.
+// for a while. A name here that no step has is ignored silently, so a step and its entry must be renamed together. No
+// step has the names of the disk and storm entries now. Random faults with such names go by randomFault.mayReject.
 var nonRejecting = map[string]bool{
 	"worker drained":                           true,
 	"worker gone":                              true,
