--- a/cmd/operator/change.go
+++ b/cmd/operator/change.go
@@ -63,7 +63,7 @@
 		for _, fault := range faults {
 			printf(c.errOut, "%s: %s\n", fault.Path, fault.Reason)
 		}
-		return &exitError{exitRejected, errs.New(errs.InvalidConfig, fmt.Sprintf("setup has %d faults, nothing was sent", len(faults)))}
+		return &exitError{exitRefused, errs.New(errs.InvalidConfig, fmt.Sprintf("setup has %d faults, nothing was sent", len(faults)))}
 	}
 	submission := registry.ChangeRequest{
 		ID:               id,
@@ -85,7 +85,8 @@
 }
 
 // expectedVersions returns the current version of each existing item that a change modifies, by
-// config.Key. The registry rejects the change if one of these items has another version by then.
+// config.Key. The store refuses the change if by then one of these items has another version, or an item
+// without an entry exists.
 func expectedVersions(changed []*schema.Item, current []registry.ItemView) map[string]uint64 {
 	versions := map[string]uint64{}
 	for _, item := range changed {
@@ -110,7 +111,7 @@
 				return asUnreachable(err)
 			}
 			if status != http.StatusOK {
-				return &exitError{exitRejected, errs.New(errs.ChangeNotFound, string(body))}
+				return &exitError{exitRefused, errs.New(errs.ChangeNotFound, string(body))}
 			}
 			return c.printOutcome(status, body)
 		},
@@ -136,7 +137,7 @@
 	case outcome.Ruling == "accepted" || status == http.StatusServiceUnavailable:
 		return &exitError{exitUnreachable, errs.New(errs.NoQuorum, "outcome is not final; ask again with: operator outcome "+outcome.ID)}
 	}
-	return &exitError{exitRejected, errs.New(outcome.ErrorCode, outcome.ID)}
+	return &exitError{exitRefused, errs.New(outcome.ErrorCode, outcome.ID)}
 }
 
 // printOutcomeText prints the outcome of a change, its faults, and the items that it conflicts with.
--- a/cmd/operator/client.go
+++ b/cmd/operator/client.go
@@ -106,7 +106,7 @@
 		return false, asUnreachable(err)
 	}
 	if status != http.StatusOK {
-		return false, &exitError{exitRejected, errs.New(errs.NoQuorum, string(text))}
+		return false, &exitError{exitRefused, errs.New(errs.NoQuorum, string(text))}
 	}
 	if c.asJSON {
 		printLine(c.out, string(text))
--- a/cmd/operator/errors.go
+++ b/cmd/operator/errors.go
@@ -4,7 +4,7 @@
 
 // Exit codes, which let scripts tell the kinds of failure apart.
 const (
-	exitRejected    = 1 // the mesh rejected the request
+	exitRefused     = 1 // the mesh refused the request
 	exitUsage       = 2 // the command line or a file that it names is invalid
 	exitUnreachable = 3 // no registry answered, the outcome is not known, or -registries has a malformed address
 )
--- a/cmd/operator/explain.go
+++ b/cmd/operator/explain.go
@@ -43,7 +43,7 @@
 		return asUnreachable(err)
 	}
 	if status != http.StatusOK {
-		return &exitError{exitRejected, errs.New(errs.RouteNotFound, string(body))}
+		return &exitError{exitRefused, errs.New(errs.RouteNotFound, string(body))}
 	}
 	if c.asJSON {
 		printLine(c.out, string(body))
@@ -51,7 +51,7 @@
 	}
 	var explanation registry.ExplainResponse
 	if err := json.Unmarshal(body, &explanation); err != nil {
-		return &exitError{exitRejected, errs.Wrap(err, errs.MalformedRequest, "explanation")}
+		return &exitError{exitRefused, errs.Wrap(err, errs.MalformedRequest, "explanation")}
 	}
 	c.printExplanation(&explanation)
 	return nil
--- a/internal/config/compile.go
+++ b/internal/config/compile.go
@@ -101,8 +101,7 @@
 	return retained
 }
 
-// bindDiscoveredVersions sets the versions and the fallback of each service for which operators wrote neither to those
-// that were discovered.
+// bindDiscoveredVersions gives the discovered versions and fallback to each service for which operators wrote neither.
 func (s *Snapshot) bindDiscoveredVersions() {
 	for name, service := range s.Services {
 		discovered := s.DiscoveredVersions[name]
--- a/internal/config/release.go
+++ b/internal/config/release.go
@@ -46,9 +46,9 @@
 	StateSince      int64   `json:"since,omitempty"` // value of Elapsed when the current state or percentage began; only with StrategyDeadline
 }
 
-// progressStateRamp is the Progress.State of a plan while the percentage of its version is being raised. Package release
+// progressStateRamping is the Progress.State of a plan while the percentage of its version is being raised. Package release
 // defines all states. This one is repeated here, since release imports this package.
-const progressStateRamp = "ramp"
+const progressStateRamping = "ramp"
 
 // ControllerTermOf returns the term of the rollout controller that wrote a progress item, 0 if the body cannot be
 // decoded.
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -89,7 +89,7 @@
 		return false
 	}
 	isPlanOfVersion := plan.Service == service && plan.Version == version
-	return isPlanOfVersion && plan.Strategy == StrategyDeadline && progress.State == progressStateRamp
+	return isPlanOfVersion && plan.Strategy == StrategyDeadline && progress.State == progressStateRamping
 }
 
 // FallbackVersion returns the fallback version of a service, empty if the service does not exist or has none.
--- a/internal/config/snapshot_test.go
+++ b/internal/config/snapshot_test.go
@@ -115,7 +115,7 @@
 }
 
 // Merge keeps the newer of two versions of an item, in whatever order they are merged.
-func TestWithKeepsNewerVersion(t *testing.T) {
+func TestMergeKeepsNewerVersion(t *testing.T) {
 	older := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 1, Sequence: 9}, Body: []byte("old")}
 	newer := &schema.Item{Kind: "flag", Name: "a", Version: &schema.Version{Term: 2, Sequence: 1}, Body: []byte("new")}
 	for _, order := range [][]*schema.Item{{older, newer}, {newer, older}} {
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -38,8 +38,8 @@
 }
 
 // PurgedUpTo returns the sequence up to which tombstones without an operator version have been purged. A replica
-// whose state is older may still have removed items, and a delta no longer contains their tombstones. The replica
-// therefore needs the complete state.
+// whose state is older may still hold items that were removed, and a delta no longer contains their tombstones. The
+// replica therefore needs the complete state.
 func (s State) PurgedUpTo() uint64 { return s.purge().UpTo }
 
 // OperatorVersionedPurgedUpTo returns the sequence up to which tombstones with an operator version have been purged.
--- a/internal/registry/change_submitter.go
+++ b/internal/registry/change_submitter.go
@@ -18,7 +18,7 @@
 	acknowledger *acknowledger
 
 	// Guarded by sharedState.lock.
-	changeSerial   uint64                    // serial of the last change id that this process generated; zero for none
+	changeSerial   uint64                    // last serial that nextSerialLocked returned; zero for none
 	pendingChanges map[string]*pendingChange // changes in progress in SubmitChange, by changeHash
 }
 
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -249,7 +249,7 @@
 	var steps []Step
 	for _, name := range slices.Sorted(maps.Keys(compiled.Progress)) {
 		if compiled.Releases[name] == nil {
-			steps = append(steps, Step{Name: name, Items: []*schema.Item{{Kind: progressKind, Name: name, Deleted: true}}})
+			steps = append(steps, Step{Name: name, Items: []*schema.Item{{Kind: kindProgress, Name: name, Deleted: true}}})
 		}
 	}
 	return steps
@@ -293,7 +293,7 @@
 }
 
 // withWriter returns after with this controller recorded as its writer. A controller that takes over another
-// member's plan raises the controller term, which acts as a fencing token: the store rejects as stale the steps
+// member's plan raises the controller term, which acts as a fencing token: the store refuses as stale the steps
 // that the other member still has in flight.
 func (c *Controller) withWriter(plan *config.Release, before, after config.Progress) config.Progress {
 	after.PlanID = planIdentity(plan)
--- a/internal/release/deadline_step.go
+++ b/internal/release/deadline_step.go
@@ -89,7 +89,7 @@
 	record := deadlineRecord{sequence: plan.Revision, elapsed: observation.KnownFor(plan.Revision)}
 	if recorded := progressOf(compiled, plan); recorded != nil {
 		record.progress = *recorded
-		record.sequence = state[config.Key(progressKind, plan.Name)].Version.GetSequence()
+		record.sequence = state[config.Key(kindProgress, plan.Name)].Version.GetSequence()
 		record.elapsed = max(record.elapsed, time.Duration(recorded.Elapsed)+observation.KnownFor(record.sequence))
 	}
 	return record
@@ -140,7 +140,7 @@
 		}
 	}
 	if !changed || after.State == StateDone {
-		return step, step.appendItem(progressKind, plan.Name, after)
+		return step, step.appendItem(kindProgress, plan.Name, after)
 	}
 	// A flag that an operator wrote keeps its targets and rules.
 	if !usesDiscoveredVersions(compiled, plan.Service) {
@@ -161,13 +161,13 @@
 	}
 	rolloutFlag := newRolloutFlag(compiled, plan.Service, fallback, plan.Version, after.Weight)
 	rolloutFlag.On = after.State != StateRolledBack
-	if err := s.appendItem(flagKind, config.VersionFlagKey(plan.Service), rolloutFlag); err != nil {
+	if err := s.appendItem(kindFlag, config.VersionFlagKey(plan.Service), rolloutFlag); err != nil {
 		return err
 	}
 	if compiled.DiscoveredVersions[plan.Service].Fallback != fallback {
-		if err := s.appendItem(discoveredVersionsKind, plan.Service, newDiscoveredVersions(fallback, plan.Version)); err != nil {
+		if err := s.appendItem(kindDiscoveredVersions, plan.Service, newDiscoveredVersions(fallback, plan.Version)); err != nil {
 			return err
 		}
 	}
-	return s.appendItem(progressKind, plan.Name, after)
+	return s.appendItem(kindProgress, plan.Name, after)
 }
--- a/internal/release/discovered_versions.go
+++ b/internal/release/discovered_versions.go
@@ -44,10 +44,10 @@
 	}
 	flagKey := config.VersionFlagKey(service)
 	// Encoding the bodies cannot fail, because they hold only strings, integers and booleans.
-	_ = step.appendItem(discoveredVersionsKind, service, newDiscoveredVersions(version, version))
+	_ = step.appendItem(kindDiscoveredVersions, service, newDiscoveredVersions(version, version))
 	// A flag that an operator wrote earlier is kept.
 	if compiled.Flags.Flags[flagKey] == nil {
-		_ = step.appendItem(flagKind, flagKey, newRolloutFlag(compiled, service, version, version, 0))
+		_ = step.appendItem(kindFlag, flagKey, newRolloutFlag(compiled, service, version, version, 0))
 	}
 	return step
 }
--- a/internal/release/rollout_flag.go
+++ b/internal/release/rollout_flag.go
@@ -37,7 +37,7 @@
 func flagAndProgressItems(plan *config.Release, compiled *config.Snapshot, state config.State,
 	after config.Progress) ([]*schema.Item, error) {
 	key := config.VersionFlagKey(plan.Service)
-	flagItem := state[config.Key(flagKind, key)]
+	flagItem := state[config.Key(kindFlag, key)]
 	rolloutFlag, service := compiled.Flags.Flags[key], compiled.Services[plan.Service]
 	if flagItem == nil || rolloutFlag == nil || service == nil {
 		return nil, errs.New(errs.InvalidConfig, fmt.Sprintf("flag %q or service %q no longer exists", key, plan.Service))
@@ -56,8 +56,8 @@
 		return nil, errs.Wrap(err, errs.Internal, fmt.Sprintf("encoding progress of plan %q", plan.Name))
 	}
 	return []*schema.Item{
-		{Kind: flagKind, Name: key, Body: flagBody},
-		{Kind: progressKind, Name: plan.Name, Body: progressBody},
+		{Kind: kindFlag, Name: key, Body: flagBody},
+		{Kind: kindProgress, Name: plan.Name, Body: progressBody},
 	}, nil
 }
 
--- a/internal/release/rollout_order.go
+++ b/internal/release/rollout_order.go
@@ -43,16 +43,16 @@
 	step := &Step{Name: "order-" + order.Service}
 	step.removeSuperseded(compiled, state, order)
 	if discovered {
-		if err := step.appendItem(discoveredVersionsKind, order.Service, newDiscoveredVersions(service.Fallback, order.Version)); err != nil {
+		if err := step.appendItem(kindDiscoveredVersions, order.Service, newDiscoveredVersions(service.Fallback, order.Version)); err != nil {
 			return nil, err
 		}
 	}
 	// The version gets no calls yet. The controller's first step moves the plan to the canary state.
 	rolloutFlag := newRolloutFlag(compiled, order.Service, service.Fallback, order.Version, 0)
-	if err := step.appendItem(flagKind, config.VersionFlagKey(order.Service), rolloutFlag); err != nil {
+	if err := step.appendItem(kindFlag, config.VersionFlagKey(order.Service), rolloutFlag); err != nil {
 		return nil, err
 	}
-	err := step.appendItem(releaseKind, order.Service, config.Release{
+	err := step.appendItem(kindRelease, order.Service, config.Release{
 		Service:      order.Service,
 		Version:      order.Version,
 		Target:       maxPercent,
@@ -69,12 +69,12 @@
 func (s *Step) removeSuperseded(compiled *config.Snapshot, state config.State, order RolloutOrder) {
 	for name, plan := range compiled.Releases {
 		if plan.Service == order.Service && name != order.Service {
-			s.appendDeletion(state, releaseKind, name)
-			s.appendDeletion(state, progressKind, name)
+			s.appendDeletion(state, kindRelease, name)
+			s.appendDeletion(state, kindProgress, name)
 		}
 	}
-	s.appendDeletion(state, progressKind, order.Service)
-	s.appendDeletion(state, stopKind, config.StopName(order.Service, order.Version))
+	s.appendDeletion(state, kindProgress, order.Service)
+	s.appendDeletion(state, kindStop, config.StopName(order.Service, order.Version))
 }
 
 // RolloutState returns the version of a service's plan and the state of that plan. Both are empty if the service
--- a/internal/release/states.go
+++ b/internal/release/states.go
@@ -47,5 +47,6 @@
 // versionReason returns the stored reason of a rollback or stop for a verdict such as "fails on route buy".
 func versionReason(verdict string) string { return "the version " + verdict }
 
-// inProgress reports whether a plan in the given state can still make steps.
+// inProgress reports whether a plan in the given state is neither done nor rolled back. NeedsControl names the plans
+// that are evaluated although they are not in progress.
 func inProgress(state string) bool { return state != StateDone && state != StateRolledBack }
--- a/internal/release/step.go
+++ b/internal/release/step.go
@@ -11,13 +11,13 @@
 
 // The configuration item kinds that steps write, and the prefix of their change ids.
 const (
-	flagKind     = "flag"
-	releaseKind  = "release"
-	progressKind = "progress"
-	stopKind     = "stop"
-	// discoveredVersionsKind is the kind of the items that list the versions of a service whose own
+	kindFlag     = "flag"
+	kindRelease  = "release"
+	kindProgress = "progress"
+	kindStop     = "stop"
+	// kindDiscoveredVersions is the kind of the items that list the versions of a service whose own
 	// configuration lists none. This package derives them from worker registrations, rollout orders and plans.
-	discoveredVersionsKind = "standing"
+	kindDiscoveredVersions = "standing"
 
 	changeIDPrefix = "steer-"
 )
@@ -37,7 +37,8 @@
 }
 
 // Preconditions returns the current versions of those items of the step that exist already. If another writer
-// changes one of them first, the change conflicts, and the next round computes a new step.
+// changes one of them first, or creates one of the others, the change conflicts, and the next round computes a new
+// step.
 func (s Step) Preconditions(state config.State) []*schema.ExpectedVersion {
 	var expected []*schema.ExpectedVersion
 	for _, item := range s.Items {
@@ -93,6 +94,6 @@
 func versionStopStep(service, version, verdict string) (Step, error) {
 	name := config.StopName(service, version)
 	step := Step{Name: name}
-	err := step.appendItem(stopKind, name, config.VersionStop{Service: service, Version: version, Reason: versionReason(verdict)})
+	err := step.appendItem(kindStop, name, config.VersionStop{Service: service, Version: version, Reason: versionReason(verdict)})
 	return step, err
 }
--- a/internal/session/lease.go
+++ b/internal/session/lease.go
@@ -29,7 +29,7 @@
 }
 
 // RecordGrant records that one of memberCount core members granted the request sent at requestedAt.
-// A grant for an older request than the latest one is ignored.
+// Of the grants of one member, the one for the latest request counts.
 func (l *Lease) RecordGrant(memberID string, memberCount int, requestedAt time.Duration) {
 	l.memberCount = max(l.memberCount, memberCount)
 	if latest, recorded := l.requestedAt[memberID]; !recorded || requestedAt > latest {
--- a/internal/session/registry_endpoint.go
+++ b/internal/session/registry_endpoint.go
@@ -14,7 +14,7 @@
 	heartbeatReceived bool          // the open session has had a heartbeat
 	lastHeartbeatAt   time.Duration // time of the open session's last heartbeat; valid while heartbeatReceived
 
-	failed   bool          // the last session ended or could not be opened; cleared by a heartbeat
+	failed   bool          // the last session failed or could not be opened; cleared by a heartbeat
 	failedAt time.Duration // time of the last failure, 0 if there was none
 
 	stale             bool          // the configuration was stale at the last heartbeat
--- a/internal/session/registry_selector.go
+++ b/internal/session/registry_selector.go
@@ -51,7 +51,8 @@
 	membersKnown bool
 	// current is the address of the session in use, empty for none.
 	current string
-	// candidate is the address of the session opened to become the current one, empty for none.
+	// candidate is the address of the session opened to become the current one, empty for none. It is set even if
+	// there is no current session, unlike Action.Candidate.
 	candidate string
 	// nextTickAt is the time at which the next Tick is due. It is 0 if NextTick was not called since the last
 	// event.
@@ -115,7 +116,8 @@
 // Current returns the address of the session in use, empty for none.
 func (s *RegistrySelector) Current() string { return s.current }
 
-// RecordHeartbeat records a message received in a session, and returns the actions to carry out. staleness is
+// RecordHeartbeat records a message received in a session, any of which counts as a heartbeat, and returns the
+// actions to carry out. staleness is
 // the age that the registry's configuration may have. If stalenessReported is false, the age is unknown.
 func (s *RegistrySelector) RecordHeartbeat(now time.Duration, address string, stalenessReported bool, staleness time.Duration) []Action {
 	s.detectStall(now)
--- a/internal/session/reservation_attempt.go
+++ b/internal/session/reservation_attempt.go
@@ -43,9 +43,9 @@
 	// memberCount is the number of core members. It is 0 if unknown, and then the attempt cannot succeed.
 	memberCount int
 	// results holds the first result of each member, by member id. A late grant is recorded as not authoritative.
-	results            map[string]schema.ReservationResult
-	grants             int // number of grants within the timeout
-	capacityRejections int // number of members without capacity for another key
+	results          map[string]schema.ReservationResult
+	grants           int // number of grants within the timeout
+	capacityRefusals int // number of members without capacity for another key
 
 	// Conflicting is the reservation of another request that a member reported, nil if none did.
 	Conflicting *schema.KeyReservation
@@ -79,7 +79,7 @@
 	case schema.ReservationResult_RESERVATION_GRANTED:
 		r.grants++
 	case schema.ReservationResult_RESERVATION_FULL:
-		r.capacityRejections++
+		r.capacityRefusals++
 	case schema.ReservationResult_RESERVATION_HELD:
 		r.Conflicting = response.Holder
 	}
@@ -127,7 +127,7 @@
 		return ReservationKeyReused
 	case r.Conflicting != nil:
 		return ReservationConflict
-	case r.capacityRejections > 0:
+	case r.capacityRefusals > 0:
 		return ReservationNoCapacity
 	}
 	return ReservationNoMajority
--- a/internal/store/decide.go
+++ b/internal/store/decide.go
@@ -6,15 +6,15 @@
 )
 
 // maxReportedFaults is the maximum number of reasons listed in a refusal. An operator who has corrected these gets
-// the remaining ones at the next attempt.
+// the remaining ones at the next attempt. Conflicts with expected versions are listed without this limit.
 const maxReportedFaults = 32
 
-// progressKind is the kind of the items in which rollout controllers store their progress.
-const progressKind = "progress"
+// kindProgress is the kind of the items in which rollout controllers store their progress.
+const kindProgress = "progress"
 
 // Decide rules on a change against a state and returns the entry to append under a version. The change is either
-// accepted with all its items, or refused with none of them and with up to maxReportedFaults reasons. Decide is a pure
-// function, so every replica that leads comes to the same ruling.
+// accepted with all its items, or refused with none of them; see maxReportedFaults for the reasons listed. Decide is a
+// pure function, so every replica that leads comes to the same ruling.
 //
 // previous is the compiled configuration of the state, or nil if the caller has none. It makes compiling cheaper and
 // does not affect the ruling. The returned snapshot is the one to pass with the next change.
@@ -101,7 +101,7 @@
 func fromStaleController(state config.State, items []*schema.Item) bool {
 	for _, item := range items {
 		existing := state[config.Key(item.Kind, item.Name)]
-		if item.Kind != progressKind || item.Deleted || existing == nil || existing.Deleted {
+		if item.Kind != kindProgress || item.Deleted || existing == nil || existing.Deleted {
 			continue
 		}
 		if config.ControllerTermOf(item) < config.ControllerTermOf(existing) {
--- a/internal/store/proposal.go
+++ b/internal/store/proposal.go
@@ -49,7 +49,8 @@
 // uncommitted entries.
 func (r *Replica) proposeAsLeader(proposal *schema.Proposal, from requester) {
 	uncommitted := int(r.sequence - r.committedSequence)
-	// The change is rejected before it is admitted, so it cannot take effect later.
+	// The proposal is answered before its change is admitted, so it has no effect later. This is not a refusal: no
+	// outcome is stored, and a repeat may be accepted.
 	if r.role != roleLeader || r.unfit() || uncommitted >= r.config.MaxUncommittedEntries {
 		r.answerProposal(from, undecidedProposal(proposal.Ticket))
 		return
