--- a/internal/config/item_kinds.go
+++ b/internal/config/item_kinds.go
@@ -167,7 +167,7 @@
 
 // recordRevision raises the VersionRevision of a version to the sequence of item, a release plan or stop of the version.
 func (s *Snapshot) recordRevision(service, version string, item *schema.Item) {
-	key := serviceVersion{service, version}
+	key := versionKey{service, version}
 	s.versionRevisions[key] = max(s.versionRevisions[key], item.Version.GetSequence())
 }
 
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -21,7 +21,7 @@
 	GuardedVersions    map[string][]string            // versions besides the fallback that the version flag may pick, keyed by service
 	Limits             Limits                         // limits of operators, or DefaultLimits
 
-	versionRevisions map[serviceVersion]uint64  // values that VersionRevision returns; a version without one is absent
+	versionRevisions map[versionKey]uint64      // values that VersionRevision returns; a version without one is absent
 	policies         map[string]*Policy         // keyed by name
 	programs         map[string]*policy.Program // compiled policies, keyed by expression and attributes; later snapshots reuse them
 	decodedItems     map[string]*decodedItem    // live items, keyed by Key; later snapshots reuse those that do not change
@@ -30,8 +30,8 @@
 	decodeCount      int                        // number of items that were decoded for this snapshot, not reused
 }
 
-// serviceVersion identifies a version of a service.
-type serviceVersion struct{ service, version string }
+// versionKey identifies a version of a service.
+type versionKey struct{ service, version string }
 
 // newSnapshot returns a snapshot without items that may reuse decodedItems. It takes over the map and changes it.
 func newSnapshot(revision uint64, decodedItems map[string]*decodedItem) *Snapshot {
@@ -46,7 +46,7 @@
 		GuardedVersions:    map[string][]string{},
 		Limits:             DefaultLimits,
 
-		versionRevisions: map[serviceVersion]uint64{},
+		versionRevisions: map[versionKey]uint64{},
 		policies:         map[string]*Policy{},
 		programs:         map[string]*policy.Program{},
 		decodedItems:     decodedItems,
@@ -67,7 +67,7 @@
 // VersionRevision returns the configuration revision of the latest release plan or stop of a version, 0 for none.
 // The version need not be guarded.
 func (s *Snapshot) VersionRevision(service, version string) uint64 {
-	return s.versionRevisions[serviceVersion{service, version}]
+	return s.versionRevisions[versionKey{service, version}]
 }
 
 // ActiveStop returns the stop of a version, nil if there is none or if it has been lifted.
--- a/internal/release/rollback_guard.go
+++ b/internal/release/rollback_guard.go
@@ -99,5 +99,5 @@
 	inWindow := latest.Since(sampleAgo(g.sparseSamples, recoveryWindow-1))
 	oldStats, newStats := total(inWindow.Old), total(inWindow.New)
 	return newStats.Failures < options.FailureThreshold ||
-		!options.exceedsBaseline(newStats.failureRate(), oldStats.failureRate())
+		!options.exceedsAllowedRate(newStats.failureRate(), oldStats.failureRate())
 }
--- a/internal/release/verdict.go
+++ b/internal/release/verdict.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// exceedsBaseline reports whether the new version's failure rate is above the one that the old version's rate
+// exceedsAllowedRate reports whether the new version's failure rate is above the one that the old version's rate
 // allows.
-func (o Options) exceedsBaseline(newRate, oldRate float64) bool {
+func (o Options) exceedsAllowedRate(newRate, oldRate float64) bool {
 	return newRate > o.FailureRateMultiple*oldRate+o.FailureRateMargin
 }
 
@@ -52,7 +52,7 @@
 func (o Options) compareVersions(oldStats, newStats, baseline CallStats, where string) (verdict string, failing bool) {
 	oldStats.add(baseline.cappedAt(baselineWeightLimit * o.MinCalls))
 	oldRate, newRate := oldStats.failureRate(), newStats.failureRate()
-	if newStats.Failures >= o.FailureThreshold && o.exceedsBaseline(newRate, oldRate) &&
+	if newStats.Failures >= o.FailureThreshold && o.exceedsAllowedRate(newRate, oldRate) &&
 		newRate-oldRate > o.MinStandardErrors*standardError(oldStats, newStats) {
 		return "fails " + where, true
 	}
@@ -84,7 +84,7 @@
 		}
 		anyBusyRoute = true
 		newStats := counts.New[route]
-		if newStats.Calls < o.MinCalls || o.exceedsBaseline(newStats.failureRate(), oldStats.failureRate()) {
+		if newStats.Calls < o.MinCalls || o.exceedsAllowedRate(newStats.failureRate(), oldStats.failureRate()) {
 			return false
 		}
 	}
