--- a/internal/dispatch/disconnects.go
+++ b/internal/dispatch/disconnects.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Disconnects counts the results of calls whose callers disconnect before they are answered. The caller's proxy counts
-// Detected and HalfClosed. The worker's proxy counts the others.
+// Disconnects counts callers that disconnect before their call is answered, and what becomes of these calls. The
+// caller's proxy counts Detected and HalfClosed. The worker's proxy counts the others.
 type Disconnects struct {
-	Detected   atomic.Uint64 // callers that were found to have disconnected while their call was under way
+	Detected   atomic.Uint64 // callers that were found to have disconnected while their call was in flight
 	HalfClosed atomic.Uint64 // callers that closed only their sending side, and still read
 	Propagated atomic.Uint64 // disconnects that the worker's proxy learned of while the call was sent to the worker or ran
 	Dequeued   atomic.Uint64 // calls that ended without having run, most of them removed from a worker's queue
@@ -69,9 +69,10 @@
 // Violations returns how often an invariant was violated: the sum of SentLate and Overrun.
 func (c DisconnectCounts) Violations() uint64 { return c.SentLate + c.Overrun }
 
-// disconnectWatch watches the caller of one call while the call is sent to a worker and runs. Once the caller is known
-// to have disconnected, an idempotent run must end within maxOverrun and a grace period. Otherwise it is a violation.
-type disconnectWatch struct {
+// overrunWatch watches, at the worker's proxy, the caller of one call while the call is sent to a worker and runs. Once
+// the caller is known to have disconnected, an idempotent run must end within maxOverrun and a grace period. Otherwise
+// it is a violation.
+type overrunWatch struct {
 	counts     *Disconnects
 	now        func() time.Duration // returns the process clock
 	stop       func() bool          // detaches the watch from the caller's context
@@ -90,14 +91,14 @@
 
 // watchCaller starts to watch the caller whose disconnect ends ctx. finish must be called when the run ends. mustStop
 // reports whether the run must end when its caller disconnects.
-func (d *Disconnects) watchCaller(ctx context.Context, mustStop bool, maxOverrun time.Duration, now func() time.Duration) *disconnectWatch {
-	watch := &disconnectWatch{counts: d, now: now, maxOverrun: maxOverrun, mustStop: mustStop}
+func (d *Disconnects) watchCaller(ctx context.Context, mustStop bool, maxOverrun time.Duration, now func() time.Duration) *overrunWatch {
+	watch := &overrunWatch{counts: d, now: now, maxOverrun: maxOverrun, mustStop: mustStop}
 	watch.stop = context.AfterFunc(ctx, watch.onDisconnect)
 	return watch
 }
 
 // onDisconnect records the disconnect, and starts the time within which the run must end.
-func (w *disconnectWatch) onDisconnect() {
+func (w *overrunWatch) onDisconnect() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if w.finished {
@@ -111,7 +112,7 @@
 }
 
 // startGrace starts the grace period of a run that has used up maxOverrun. recordOverrun is called at its end.
-func (w *disconnectWatch) startGrace() {
+func (w *overrunWatch) startGrace() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if !w.finished {
@@ -120,7 +121,7 @@
 }
 
 // recordOverrun counts a run that has not ended by the end of its grace period.
-func (w *disconnectWatch) recordOverrun() {
+func (w *overrunWatch) recordOverrun() {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	if !w.finished {
@@ -130,7 +131,7 @@
 
 // finish ends the watch when the run ends. It returns whether the disconnect of the caller became known, and at what time
 // on the process clock.
-func (w *disconnectWatch) finish() (disconnectedAt time.Duration, disconnected bool) {
+func (w *overrunWatch) finish() (disconnectedAt time.Duration, disconnected bool) {
 	w.stop()
 	w.lock.Lock()
 	defer w.lock.Unlock()
--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -58,7 +58,7 @@
 	// an unresponsive proxy, so that a long wait can only mean a slow worker.
 	NoAttemptTimeout bool
 	// FreeProxyRejections charges the retry budget only for attempts after one that reached a worker. A call that
-	// only proxies have refused may look for its first worker without charge.
+	// only proxies have rejected may look for its first worker without charge.
 	FreeProxyRejections bool
 	// OnConfigLag is called once for each configuration that another proxy has and that does not arrive at this one in
 	// time.
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -281,7 +281,7 @@
 }
 
 // Without FreeProxyRejections every attempt but the first is charged to the retry budget, even if no worker was reached.
-func TestEveryRetryIsChargedWithoutFreeProxyRefusals(t *testing.T) {
+func TestEveryRetryIsChargedWithoutFreeProxyRejections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(errs.QueueFull, 0, false))
 		forwarder.FreeProxyRejections = false
--- a/internal/dispatch/run_counter_test.go
+++ b/internal/dispatch/run_counter_test.go
@@ -26,7 +26,7 @@
 
 // A worker that exits breaks all its connections at once, which counts as one failure. Connections that break at
 // different times count as one failure each.
-func TestWorkCountsCountWorkerExitOnce(t *testing.T) {
+func TestRunCounterCountsWorkerExitOnce(t *testing.T) {
 	counter := NewRunCounter(2)
 	end := func(now time.Duration, response *schema.ForwardResponse) {
 		counter.Begin("shop", "2", "buy", 7).End(now, 20*time.Millisecond, response)
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -309,7 +309,7 @@
 // recordDisconnect counts the result of a call whose caller disconnected while the call was sent to a worker or ran.
 // sentAt is when the first byte was sent to the worker, 0 if none was.
 func (r *Runner) recordDisconnect(
-	watch *disconnectWatch, request *incomingRequest, response *schema.ForwardResponse, sentAt, now time.Duration,
+	watch *overrunWatch, request *incomingRequest, response *schema.ForwardResponse, sentAt, now time.Duration,
 ) {
 	disconnectedAt, disconnected := watch.finish()
 	if disconnected && sentAt > disconnectedAt+r.MaxOverrun {
--- a/internal/flag/compile.go
+++ b/internal/flag/compile.go
@@ -132,7 +132,7 @@
 }
 
 // valueCompilers has, by operator, the function that prepares the i-th value of a clause. The function returns the
-// reason for which the value is refused, empty for a valid value.
+// reason for which the value is rejected, empty for a valid value.
 var valueCompilers = map[string]func(clause *Clause, i int) string{
 	"matches": func(clause *Clause, i int) string {
 		text, isText := clause.Values[i].(string)
@@ -183,7 +183,7 @@
 	return ""
 }
 
-// requireNumber refuses a value that is not a number.
+// requireNumber rejects a value that is not a number.
 func requireNumber(clause *Clause, i int) string {
 	if _, isNumber := numeric(clause.Values[i]); !isNumber {
 		return fmt.Sprintf("%v is not a number", clause.Values[i])
@@ -191,7 +191,7 @@
 	return ""
 }
 
-// requireText refuses a value that is not text.
+// requireText rejects a value that is not text.
 func requireText(clause *Clause, i int) string {
 	if _, isText := clause.Values[i].(string); !isText {
 		return fmt.Sprintf("%v is not text", clause.Values[i])
--- a/internal/plan/bench_test.go
+++ b/internal/plan/bench_test.go
@@ -42,9 +42,9 @@
 	"route/r":           `{"service":"shop","host":"a.example","prefix":"/a/","aim":"200ms","horizon":"800ms"}`,
 	"flag/release.shop": `{"on":true,"salt":"s","variations":["1","2"],"offVariation":0,"fallthrough":{"rollout":{"variations":[{"variation":0,"weight":90000},{"variation":1,"weight":10000}]}}}`}
 
-// TestMakeAllocatesPlanAndCandidatesOnly checks that New allocates the plan and its candidates and nothing else. The
+// TestNewAllocatesPlanAndCandidatesOnly checks that New allocates the plan and its candidates and nothing else. The
 // flag's evaluation must not allocate.
-func TestMakeAllocatesPlanAndCandidatesOnly(t *testing.T) {
+func TestNewAllocatesPlanAndCandidatesOnly(t *testing.T) {
 	view := viewOfBodies(t, benchBodies, Directory{"shop": {"1": workers("a", "b", "far1"), "2": workers("c")}})
 	request := newRequest("GET", "/a/x", nil)
 	request.Host, request.Identity = "a.example", "9c41d07be2a35f68"
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -88,7 +88,7 @@
 
 // New returns the plan of a request. It fails with code errs.RouteNotFound, errs.CallerNotAllowed,
 // errs.MalformedRequest, errs.PolicyDenied or errs.NoWorker. With the last two it also returns the incomplete plan, so
-// that the refusal can be counted and shown.
+// that the rejection can be counted and shown.
 func New(view *View, request *Request, options Options, local LocalState, now time.Duration, random Random) (*Plan, error) {
 	route, found := view.Config.Match(request.Host, request.Path, request.Method)
 	if !found {
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -129,9 +129,9 @@
 	}
 }
 
-// TestMakeRefusesCallsAndLimitsDeadlines checks that New fails without a matching route, or if the service does not
+// TestNewRefusesCallsAndLimitsDeadlines checks that New fails without a matching route, or if the service does not
 // allow the caller. It also checks that a caller's deadline can only shorten the route's.
-func TestMakeRefusesCallsAndLimitsDeadlines(t *testing.T) {
+func TestNewRefusesCallsAndLimitsDeadlines(t *testing.T) {
 	view := viewOf(t, nil, "")
 	random := rand.New(rand.NewPCG(1, 1)).Float64
 	if _, err := New(view, newRequest("GET", "/other", nil), options, fakeLocalState{}, 0, random); errs.CodeOf(err) != errs.RouteNotFound {
@@ -400,7 +400,7 @@
 }
 
 // TestServiceWithoutVersion checks that a service without any known version gets no call, and that New also returns the
-// incomplete plan, so that the refusal can be counted.
+// incomplete plan, so that the rejection can be counted.
 func TestServiceWithoutVersion(t *testing.T) {
 	view := viewOfBodies(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
 	callPlan, err := New(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
--- a/internal/policy/policy.go
+++ b/internal/policy/policy.go
@@ -1,5 +1,5 @@
 // Package policy compiles and evaluates the authorization policies that operators write. A policy is a boolean
-// expression over the context of a call. The call is planned only if the expression is true. Policies are compiled
+// expression over the context of a call. The call is made only if the expression is true. Policies are compiled
 // to bytecode of package expr (github.com/expr-lang/expr). Evaluation is pure, has no loops and is bounded in memory.
 //
 // Package config compiles policies, and package plan evaluates them. The package has no state. A Program is
@@ -51,8 +51,8 @@
 	return slices.Contains(contextNames, name)
 }
 
-// Fault is a compile error of a policy. A call that is not allowed is reported at line 1, with its column counted from
-// the start of the expression. So is an expression that is too long.
+// Fault is a compile error of a policy. A call of a function that is not allowed is reported at line 1, with its column
+// counted from the start of the expression. So is an expression that is too long.
 type Fault struct {
 	Line   int    // line in the expression, from 1
 	Column int    // column in the line, from 1
--- a/internal/transport/conn_pool.go
+++ b/internal/transport/conn_pool.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// put keeps an open connection for a later call, or closes it if the pool is full or closed. It also closes the
+// put keeps an open connection for a later RPC, or closes it if the pool is full or closed. It also closes the
 // connections that have expired, if a sweep is due.
 func (p *connPool) put(address string, conn *drpcconn.Conn) {
 	if isClosed(conn) {
--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -13,7 +13,7 @@
 )
 
 // dialConn opens a connection within the dial timeout. Errors are PeerConnectFailed, or Unauthorized if the peer's
-// certificate or protocol version is wrong. After either, nothing of a call can have reached the peer.
+// certificate or protocol version is wrong. After either, nothing of an RPC can have reached the peer.
 func (t *Transport) dialConn(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, t.dialTimeout)
 	defer cancel()
--- a/internal/transport/greeting.go
+++ b/internal/transport/greeting.go
@@ -46,7 +46,7 @@
 	if len(fields) != greetingFields || fields[0] != protocolVersion {
 		return Peer{}, otherProtocolError()
 	}
-	peer := Peer{Role: fields[1], Name: fields[2], mayCallAs: map[string]bool{}, verified: true}
+	peer := Peer{Role: fields[1], Name: fields[2], mayCallAs: map[string]bool{}, identified: true}
 	for _, service := range strings.Split(fields[3], ",") {
 		if service != "" {
 			peer.mayCallAs[service] = true
--- a/internal/transport/keepalive.go
+++ b/internal/transport/keepalive.go
@@ -11,7 +11,7 @@
 )
 
 // Bounds after which an unresponsive peer is considered dead; the factors are multiples of the dial timeout. A machine
-// that loses power does not close its connections, so without these bounds calls on them would hang.
+// that loses power does not close its connections, so without these bounds RPCs on them would hang.
 const (
 	handshakeTimeoutFactor      = 5 // time for an accepted peer to identify itself
 	unacknowledgedTimeoutFactor = 2 // time for sent data to be acknowledged, and idle time before the first probe
--- a/internal/transport/pooled_conn.go
+++ b/internal/transport/pooled_conn.go
@@ -13,7 +13,7 @@
 	"meadowhinge/internal/errs"
 )
 
-// pooledConn is a drpc.Conn to an address. Each call on it takes a network connection of its own from the transport's
+// pooledConn is a drpc.Conn to an address. Each RPC on it takes a network connection of its own from the transport's
 // pool, or dials one.
 type pooledConn struct {
 	transport *Transport // owner of the network connections
@@ -23,7 +23,7 @@
 // Close does nothing: the network connections belong to the transport.
 func (c pooledConn) Close() error { return nil }
 
-// Closed returns a nil channel, because a pooledConn never closes: when a network connection breaks, the next call
+// Closed returns a nil channel, because a pooledConn never closes: when a network connection breaks, the next RPC
 // uses another one.
 func (c pooledConn) Closed() <-chan struct{} { return nil }
 
@@ -44,14 +44,14 @@
 			return conn, stream, nil
 		}
 		_ = conn.Close() // the connection is unused, so the error does not matter
-		// An idle connection that broke has carried nothing of this call, so the call is tried on another one.
+		// An idle connection that broke has carried nothing of this RPC, so the RPC is tried on another one.
 		if fresh || ctx.Err() != nil {
 			return nil, nil, errs.Wrap(err, errs.PeerConnectFailed, c.address)
 		}
 	}
 }
 
-// release returns a connection to the pool after a call. If the call was cancelled or reached its deadline, the drpc
+// release returns a connection to the pool after an RPC. If the RPC was cancelled or reached its deadline, the drpc
 // library is already closing the connection, so it must not be reused.
 func (t *Transport) release(ctx context.Context, address string, conn *drpcconn.Conn) {
 	if ctx.Err() != nil {
@@ -73,7 +73,7 @@
 	RawWrite(kind drpcwire.Kind, data []byte) error
 }
 
-// Invoke makes a unary call. The request and the end of the stream are sent in one write. The response is read up to
+// Invoke makes a unary RPC. The request and the end of the stream are sent in one write. The response is read up to
 // the server's end of the stream, so that neither side needs another write before the connection can be reused.
 func (c pooledConn) Invoke(ctx context.Context, rpc string, enc drpc.Encoding, in, out drpc.Message) error {
 	conn, stream, err := c.open(ctx, rpc, enc)
@@ -81,7 +81,7 @@
 		return err
 	}
 	defer c.transport.release(ctx, c.address, conn)
-	defer func() { _ = stream.Close() }() // the call's own error is returned instead
+	defer func() { _ = stream.Close() }() // the RPC's own error is returned instead
 	if err := sendMessage(stream, enc, in); err != nil {
 		return err
 	}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -107,7 +107,7 @@
 // lists the services and client kinds on whose behalf this process may make calls.
 func NewPlaintext(role, name string, mayCallAs []string, opts ...Option) *Transport {
 	transport := newTransport(opts)
-	transport.self = Peer{Role: role, Name: name, mayCallAs: map[string]bool{}, verified: true}
+	transport.self = Peer{Role: role, Name: name, mayCallAs: map[string]bool{}, identified: true}
 	for _, service := range mayCallAs {
 		transport.self.mayCallAs[service] = true
 	}
