--- a/internal/dispatch/forwarder.go
+++ b/internal/dispatch/forwarder.go
@@ -52,18 +52,19 @@
 	View func() *plan.View
 	// AwaitView waits until ready is true for the view, or until ctx ends.
 	AwaitView func(ctx context.Context, ready func(*plan.View) bool)
-	// AwaitLease waits until this proxy holds a lease, or until ctx ends. It reports whether the proxy holds one.
+	// AwaitLease waits for a short time until HasLease is true, or until ctx ends. It reports whether HasLease is true.
 	AwaitLease func(ctx context.Context) bool
 	// NoAttemptTimeout lets one attempt of an idempotent call take all the time left. It is set if Send itself detects
 	// an unresponsive proxy, so that a long wait can only mean a slow worker.
 	NoAttemptTimeout bool
 	// FreeProxyRejections charges the retry budget only for attempts after one that reached a worker. A call that
-	// only proxies have rejected may look for its first worker without charge.
+	// only proxies have refused may look for its first worker without charge.
 	FreeProxyRejections bool
 	// OnConfigLag is called once for each configuration that another proxy has and that does not arrive at this one in
 	// time.
 	OnConfigLag func()
-	// HasLease reports whether this proxy holds a lease, without which it may not decide by its configuration.
+	// HasLease reports whether this proxy may decide by its configuration: it holds a lease, or it serves without a lease
+	// and has a configuration.
 	HasLease  func() bool
 	FleetSize func() int           // returns the number of proxies in the fleet
 	Now       func() time.Duration // returns the process clock
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -21,7 +21,8 @@
 	// RevisionOutdated reports whether a configuration was replaced here so long ago that no proxy under a lease
 	// may still plan by it.
 	RevisionOutdated func(revision uint64) bool
-	// HasLease reports whether this proxy holds a lease, without which it may not decide by its configuration.
+	// HasLease reports whether this proxy may decide by its configuration: it holds a lease, or it serves without a lease
+	// and has a configuration.
 	HasLease func() bool
 	// ServeStale serves requests under the present configuration, however old it is. A request that this configuration
 	// allows does not wait for a newer one.
@@ -275,10 +276,10 @@
 	// The wait for admission is over. From here on, the time and the result count for the worker's version.
 	revision := r.View().Config.VersionRevision(request.Service, request.Version)
 	runCount := r.RunCounter.Begin(request.Service, request.Version, request.Route, revision)
-	caller := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
+	watch := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
 	response := r.sendToWorker(ctx, worker, request, &delivery)
 	now := r.Now()
-	r.recordDisconnect(caller, request, response, delivery.sentAt, now)
+	r.recordDisconnect(watch, request, response, delivery.sentAt, now)
 	if delivery.result == ResultAnswered && response.Status >= minFailureStatus {
 		delivery.result = ResultFailed
 	}
--- a/internal/plan/endpoint.go
+++ b/internal/plan/endpoint.go
@@ -26,7 +26,7 @@
 	ServiceTime    time.Duration // processing time of a request, without queueing, 0 if unknown
 	RecentCalls    float64       // exponentially decaying count of the worker's calls
 	RecentFailures float64       // exponentially decaying count of the worker's failed calls
-	AtCapacity     bool          // the worker recently rejected a call for lack of capacity
+	AtCapacity     bool          // the worker recently refused a call for lack of capacity
 	// Ejected says that the worker failed too often in a row, has calls in flight but sent no response for too long,
 	// or is unreachable.
 	Ejected     bool
--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -36,7 +36,8 @@
 type Request struct {
 	Caller string // authenticated calling service or client kind
 	Host   string // host as named by the caller
-	// Identity is the caller's own id of this attempt. It is the key for flags if the route names no key header.
+	// Identity is the id that the caller gave this request, which may itself be a retry; it has nothing to do with the
+	// attempts of package dispatch. It is the key for flags if the route names no key header.
 	Identity          string
 	Method            string                           // HTTP method
 	Path              string                           // URL path
@@ -88,7 +89,7 @@
 
 // New returns the plan of a request. It fails with code errs.RouteNotFound, errs.CallerNotAllowed,
 // errs.MalformedRequest, errs.PolicyDenied or errs.NoWorker. With the last two it also returns the incomplete plan, so
-// that the rejection can be counted and shown.
+// that the refusal can be counted and shown.
 func New(view *View, request *Request, options Options, local LocalState, now time.Duration, random Random) (*Plan, error) {
 	route, found := view.Config.Match(request.Host, request.Path, request.Method)
 	if !found {
--- a/internal/plan/plan_test.go
+++ b/internal/plan/plan_test.go
@@ -400,7 +400,7 @@
 }
 
 // TestServiceWithoutVersion checks that a service without any known version gets no call, and that New also returns the
-// incomplete plan, so that the rejection can be counted.
+// incomplete plan, so that the refusal can be counted.
 func TestServiceWithoutVersion(t *testing.T) {
 	view := viewOfBodies(t, map[string]string{"service/a": `{}`, "route/r": `{"service":"a","prefix":"/"}`}, Directory{"a": {"v1": workers("w")}})
 	callPlan, err := New(view, newRequest("GET", "/x", nil), options, fakeLocalState{}, 0, rand.Float64)
--- a/internal/plan/version.go
+++ b/internal/plan/version.go
@@ -88,7 +88,7 @@
 		verdict.Version, verdict.Reason = service.Fallback, ReasonVersionBlocked
 	}
 	pool := d.view.Directory[serviceName][verdict.Version]
-	// An empty pool would reject valid calls, so the fallback version serves them. A pool without any reachable worker
+	// An empty pool would refuse valid calls, so the fallback version serves them. A pool without any reachable worker
 	// counts as empty while the fallback's pool has one.
 	fallbackPool := d.view.Directory[serviceName][service.Fallback]
 	empty := len(pool) == 0 || (!d.anyReachable(pool) && d.anyReachable(fallbackPool))
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -31,8 +31,8 @@
 	dialTimeoutDivisor       = 16                           // timeout for dialing registries and proxies
 	retryBackoffDivisor      = 40                           // pause before a retry of a request to a registry
 	feedLagDivisor           = 2 * session.RenewalsPerLease // lag after which a registry is left; also the check interval
-	keyReleaseTimeoutDivisor = 64                           // time a rejection waits for its key to be released
-	overrunDivisor           = 16                           // time an idempotent call may outlive its caller
+	keyReleaseTimeoutDivisor = 64                           // longest wait of a call that did not run for the release of its key
+	overrunDivisor           = 16                           // time an idempotent run may continue after its caller's disconnect is known
 )
 
 // Bounds on the entries retained in memory.
