--- a/internal/plan/plan.go
+++ b/internal/plan/plan.go
@@ -36,7 +36,8 @@
 type Request struct {
 	Caller string // authenticated calling service or client kind
 	Host   string // host as named by the caller
-	// Identity is the caller's own id of this attempt. It is the key for flags if the route names no key header.
+	// Identity is the id that the caller gave this request, which may itself be a retry; it has nothing to do with the
+	// attempts of package dispatch. It is the key for flags if the route names no key header.
 	Identity          string
 	Method            string                           // HTTP method
 	Path              string                           // URL path
