--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -21,17 +21,17 @@
 	GuardedVersions    map[string][]string            // versions besides the fallback that the version flag may pick, keyed by service
 	Limits             Limits                         // limits of operators, or DefaultLimits
 
-	versionRevisions map[serviceVersion]uint64  // values that VersionRevision returns; a version without one is absent
+	versionRevisions map[versionKey]uint64      // values that VersionRevision returns; a version without one is absent
 	policies         map[string]*Policy         // keyed by name
 	programs         map[string]*policy.Program // compiled policies, keyed by expression and attributes; later snapshots reuse them
 	decodedItems     map[string]*decodedItem    // live items, keyed by Key; later snapshots reuse those that do not change
-	versionDeciders  map[string]Decider         // version flags, keyed by service
+	versionFlags     map[string]FlagRef         // version flags, keyed by service
 	routeMatcher     routeMatcher               // index of Routes
 	decodeCount      int                        // number of items that were decoded for this snapshot, not reused
 }
 
-// serviceVersion identifies a version of a service.
-type serviceVersion struct{ service, version string }
+// versionKey identifies a version of a service.
+type versionKey struct{ service, version string }
 
 // newSnapshot returns a snapshot without items that may reuse decodedItems. It takes over the map and changes it.
 func newSnapshot(revision uint64, decodedItems map[string]*decodedItem) *Snapshot {
@@ -46,11 +46,11 @@
 		GuardedVersions:    map[string][]string{},
 		Limits:             DefaultLimits,
 
-		versionRevisions: map[serviceVersion]uint64{},
+		versionRevisions: map[versionKey]uint64{},
 		policies:         map[string]*Policy{},
 		programs:         map[string]*policy.Program{},
 		decodedItems:     decodedItems,
-		versionDeciders:  map[string]Decider{},
+		versionFlags:     map[string]FlagRef{},
 	}
 }
 
@@ -67,7 +67,7 @@
 // VersionRevision returns the configuration revision of the latest release plan or stop of a version, 0 for none.
 // The version need not be guarded.
 func (s *Snapshot) VersionRevision(service, version string) uint64 {
-	return s.versionRevisions[serviceVersion{service, version}]
+	return s.versionRevisions[versionKey{service, version}]
 }
 
 // ActiveStop returns the stop of a version, nil if there is none or if it has been lifted.
@@ -89,11 +89,11 @@
 		return false
 	}
 	isPlanOfVersion := plan.Service == service && plan.Version == version
-	return isPlanOfVersion && plan.Strategy == StrategyDeadline && progress.State == progressStateRamp
+	return isPlanOfVersion && plan.Strategy == StrategyDeadline && progress.State == progressStateRamping
 }
 
-// FallbackOf returns the fallback version of a service, empty if the service does not exist or has none.
-func (s *Snapshot) FallbackOf(service string) string {
+// FallbackVersion returns the fallback version of a service, empty if the service does not exist or has none.
+func (s *Snapshot) FallbackVersion(service string) string {
 	if found := s.Services[service]; found != nil {
 		return found.Fallback
 	}
@@ -106,24 +106,24 @@
 // RouteFlagKey returns the key of the flag that picks the service for each request of a split route.
 func RouteFlagKey(route string) string { return "route." + route }
 
-// Decider is the result of looking up the flag that picks a version or a service.
-type Decider struct {
+// FlagRef is the result of looking up the flag that picks a version or a service.
+type FlagRef struct {
 	Key  string     // key of the flag, whether the flag exists or not
 	Flag *flag.Flag // nil if the flag does not exist
 }
 
-// VersionDecider returns the version flag of a service.
-func (s *Snapshot) VersionDecider(service string) Decider {
-	if decider, found := s.versionDeciders[service]; found {
-		return decider
+// VersionFlag returns the version flag of a service.
+func (s *Snapshot) VersionFlag(service string) FlagRef {
+	if ref, found := s.versionFlags[service]; found {
+		return ref
 	}
-	return Decider{Key: VersionFlagKey(service)}
+	return FlagRef{Key: VersionFlagKey(service)}
 }
 
-// ServiceDecider returns the flag that picks the service of a route. Its Flag is nil for a route without a split.
-func (s *Snapshot) ServiceDecider(route *Route) Decider {
+// ServiceFlag returns the flag that picks the service of a route. Its Flag is nil for a route without a split.
+func (s *Snapshot) ServiceFlag(route *Route) FlagRef {
 	if route.splitFlag == nil {
-		return Decider{Key: route.SplitFlagKey()}
+		return FlagRef{Key: route.SplitFlagKey()}
 	}
-	return Decider{route.splitFlag.Key, route.splitFlag}
+	return FlagRef{route.splitFlag.Key, route.splitFlag}
 }
--- a/internal/dispatch/canary_guard_test.go
+++ b/internal/dispatch/canary_guard_test.go
@@ -17,8 +17,8 @@
 	return revision, guarded
 }
 
-// FallbackOf implements VersionGuards.
-func (g fakeGuards) FallbackOf(string) string { return "1" }
+// FallbackVersion implements VersionGuards.
+func (g fakeGuards) FallbackVersion(string) string { return "1" }
 
 // newGrantedGuard returns a guard with a grant for version 2 of the service "shop" from now on.
 func newGrantedGuard(now time.Duration) *CanaryGuard {
@@ -70,7 +70,7 @@
 		{func() { guards["2"] = 5 }, true}, // the guard may return to an older revision, when a later change of it is removed
 		{func() { grant(9, false) }, true},
 		{func() { grant(5, false) }, false},
-		{func() { delete(guards, "2"); guard.ForgetUnguarded(); guards["2"] = 5 }, true},
+		{func() { delete(guards, "2"); guard.DropUnguarded(); guards["2"] = 5 }, true},
 	} {
 		if test.do(); guard.VersionBlocked("shop", "2", 0) != test.blocked {
 			t.Errorf("step %d: VersionBlocked(2): got %t, want %t", i, !test.blocked, test.blocked)
--- a/internal/dispatch/forwarder_test.go
+++ b/internal/dispatch/forwarder_test.go
@@ -82,7 +82,7 @@
 	item := func(kind, name, body string) *schema.Item {
 		return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
 	}
-	state := config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["1"],"fallback":"1"}`),
+	state := config.State{}.Merge([]*schema.Item{item("service", "shop", `{"versions":["1"],"fallback":"1"}`),
 		item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+route+`}`)})
 	compiled, faults := config.Compile(state, 1)
 	if len(faults) > 0 {
@@ -113,8 +113,8 @@
 		Canaries:    NewCanaryGuard(DefaultCanaryOptions, func() int { return 1 }, func() VersionGuards { return fakeGuards{} }),
 		Counter:     NewCallCounter(64),
 
-		NoAttemptTimeout:  true,
-		FreeProxyRefusals: true,
+		NoAttemptTimeout:    true,
+		FreeProxyRejections: true,
 		Send: func(ctx context.Context, candidate plan.Endpoint, request *schema.ForwardRequest) (*schema.ForwardResponse, error) {
 			attempt := len(scripted.sent)
 			scripted.sent = append(scripted.sent, candidate.Instance)
@@ -263,7 +263,7 @@
 		item := func(kind, name, body string) *schema.Item {
 			return &schema.Item{Kind: kind, Name: name, Body: []byte(body), Version: &schema.Version{Sequence: 1}}
 		}
-		snapshot, faults := config.Compile(config.State{}.With([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
+		snapshot, faults := config.Compile(config.State{}.Merge([]*schema.Item{item("service", "shop", `{"versions":["0","1"],"fallback":"0"}`), item("route", "r", `{"service":"shop","prefix":"/","horizon":"3200ms",`+repeatable+`}`),
 			item("flag", "release.shop", `{"on":true,"salt":"","variations":["0","1"],"offVariation":0,"fallthrough":{"variation":1}}`)}), 1)
 		if len(faults) > 0 {
 			t.Fatalf("config.Compile: got faults %v, want none", faults)
@@ -280,11 +280,11 @@
 	})
 }
 
-// Without FreeProxyRefusals every attempt but the first is charged to the retry budget, even if no worker was reached.
-func TestEveryRetryIsChargedWithoutFreeProxyRefusals(t *testing.T) {
+// Without FreeProxyRejections every attempt but the first is charged to the retry budget, even if no worker was reached.
+func TestEveryRetryIsChargedWithoutFreeProxyRejections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarder := newScriptedForwarder(t, 6, `"class":"once"`, 2, refusing(errs.QueueFull, 0, false))
-		forwarder.FreeProxyRefusals = false
+		forwarder.FreeProxyRejections = false
 		forwarder.Forward(t.Context(), newScriptedCall())
 		if len(forwarder.sent) != 3 {
 			t.Errorf("Forward with a budget of 2 retries: got attempts at %v, want 3 attempts", forwarder.sent)
--- a/internal/dispatch/retry_decision.go
+++ b/internal/dispatch/retry_decision.go
@@ -41,7 +41,7 @@
 		return false
 	}
 	attemptsBefore := result.Attempts
-	if f.FreeProxyRefusals {
+	if f.FreeProxyRejections {
 		attemptsBefore = result.WorkerAttempts
 	}
 	return attemptsBefore == 0 || f.retryBudget(result.Plan.Service).Allow(f.Now(), f.retryFloorPerProxy(), 1)
@@ -73,7 +73,7 @@
 		return false
 	case response.Status < minFailureStatus || progress.hasAnswer() || progress.fullEndpoints > 0:
 		return false
-	case callPlan.Verdict.Version != f.View().Config.FallbackOf(callPlan.Service):
+	case callPlan.Verdict.Version != f.View().Config.FallbackVersion(callPlan.Service):
 		return false
 	case response.Slots > 0 && float64(response.RecentFailures) < minWorkerFailureRate*float64(response.RecentRuns):
 		return false
--- a/internal/dispatch/runner.go
+++ b/internal/dispatch/runner.go
@@ -21,13 +21,14 @@
 	// RevisionOutdated reports whether a configuration was replaced here so long ago that no proxy under a lease
 	// may still plan by it.
 	RevisionOutdated func(revision uint64) bool
-	// HasLease reports whether this proxy holds a lease, without which it may not decide by its configuration.
+	// HasLease reports whether this proxy may decide by its configuration: it holds a lease, or it serves without a lease
+	// and has a configuration.
 	HasLease func() bool
 	// ServeStale serves requests under the present configuration, however old it is. A request that this configuration
 	// allows does not wait for a newer one.
 	ServeStale bool
 	Now        func() time.Duration // returns the process clock
-	WorkCounts *WorkCounts          // counts the runs by version and route; NewRunner replaces nil with a new one
+	RunCounter *RunCounter          // counts the runs by version and route; NewRunner replaces nil with a new one
 	// Outliers records the results of the local workers, which each response reports. If nil, neither is done.
 	Outliers *OutlierDetector
 	// Disconnects counts calls whose callers disconnect. NewRunner replaces nil with a new one.
@@ -54,8 +55,8 @@
 	return time.Duration(i.TimeLeftNanos) - (i.now() - i.arrivedAt)
 }
 
-// maxWorkCounts bounds the work counts, one for each version and route, of a runner that is given none.
-const maxWorkCounts = 1024
+// maxRunCounts bounds the run counts, one for each version and route, of a runner that is given none.
+const maxRunCounts = 1024
 
 // A run counts as truncated by its deadline if it did not succeed, and less than 1/truncatedRunDivisor of the time it was
 // given was left at its end. A run that took overdueFactor times its worker's service time or longer does not count.
@@ -73,8 +74,8 @@
 	if runner.Codec == nil {
 		runner.Codec = NativeCodec{}
 	}
-	if runner.WorkCounts == nil {
-		runner.WorkCounts = NewWorkCounts(maxWorkCounts)
+	if runner.RunCounter == nil {
+		runner.RunCounter = NewRunCounter(maxRunCounts)
 	}
 	if runner.Disconnects == nil {
 		runner.Disconnects = &Disconnects{}
@@ -274,11 +275,11 @@
 	delivery := workerDelivery{result: ResultNoAnswer}
 	// The wait for admission is over. From here on, the time and the result count for the worker's version.
 	revision := r.View().Config.VersionRevision(request.Service, request.Version)
-	workCount := r.WorkCounts.Begin(request.Service, request.Version, request.Route, revision)
-	caller := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
+	runCount := r.RunCounter.Begin(request.Service, request.Version, request.Route, revision)
+	watch := r.Disconnects.watchCaller(ctx, !request.NonIdempotent, r.MaxOverrun, r.Now)
 	response := r.sendToWorker(ctx, worker, request, &delivery)
 	now := r.Now()
-	r.recordDisconnect(caller, request, response, delivery.sentAt, now)
+	r.recordDisconnect(watch, request, response, delivery.sentAt, now)
 	if delivery.result == ResultAnswered && response.Status >= minFailureStatus {
 		delivery.result = ResultFailed
 	}
@@ -286,9 +287,9 @@
 	if r.Outliers != nil && mayHaveRun(response) && !truncated && !isCanceled(response) {
 		r.Outliers.RecordRun(request.Instance, now, delivery.result != ResultAnswered)
 	}
-	worker.queue.RecordAnswerSize(len(response.HeaderBlock) + len(response.Body))
+	worker.queue.RecordResponseSize(len(response.HeaderBlock) + len(response.Body))
 	worker.queue.Release(now, request.Route, delivery.result, now-startedAt)
-	workCount.End(now, now-startedAt, response)
+	runCount.End(now, now-startedAt, response)
 	return response
 }
 
@@ -309,7 +310,7 @@
 // recordDisconnect counts the result of a call whose caller disconnected while the call was sent to a worker or ran.
 // sentAt is when the first byte was sent to the worker, 0 if none was.
 func (r *Runner) recordDisconnect(
-	watch *disconnectWatch, request *incomingRequest, response *schema.ForwardResponse, sentAt, now time.Duration,
+	watch *overrunWatch, request *incomingRequest, response *schema.ForwardResponse, sentAt, now time.Duration,
 ) {
 	disconnectedAt, disconnected := watch.finish()
 	if disconnected && sentAt > disconnectedAt+r.MaxOverrun {
--- a/internal/release/controller.go
+++ b/internal/release/controller.go
@@ -106,9 +106,9 @@
 	return false
 }
 
-// JudgedServices returns a function that reports whether a service has a version under evaluation, and
+// EvaluatedServices returns a function that reports whether a service has a version under evaluation, and
 // whether any service has one. Proxies must report their work counts of such services.
-func JudgedServices(compiled *config.Snapshot) (isEvaluated func(service string) bool, anyEvaluated bool) {
+func EvaluatedServices(compiled *config.Snapshot) (isEvaluated func(service string) bool, anyEvaluated bool) {
 	evaluated := map[string]bool{}
 	for service := range compiled.GuardedVersions {
 		evaluated[service] = true
@@ -190,7 +190,7 @@
 		for _, version := range compiled.GuardedVersions[service] {
 			revision, _ := compiled.GuardedRevision(service, version)
 			guarded := c.guardedVersionFor(versionKey{service, version}, revision)
-			counts := GatherVersionCounts(observation.Counts, service, version, revision, compiled.FallbackOf(service))
+			counts := GatherVersionCounts(observation.Counts, service, version, revision, compiled.FallbackVersion(service))
 			c.evaluateVersion(guarded, counts, observation.ReportingFraction, planGivesAllCalls(compiled, service, version))
 			if guarded.stopVerdict == "" || planFor(compiled, service, version) != nil || compiled.ActiveStop(service, version) != nil {
 				continue
@@ -249,7 +249,7 @@
 	var steps []Step
 	for _, name := range slices.Sorted(maps.Keys(compiled.Progress)) {
 		if compiled.Releases[name] == nil {
-			steps = append(steps, Step{Name: name, Items: []*schema.Item{{Kind: progressKind, Name: name, Deleted: true}}})
+			steps = append(steps, Step{Name: name, Items: []*schema.Item{{Kind: kindProgress, Name: name, Deleted: true}}})
 		}
 	}
 	return steps
@@ -293,7 +293,7 @@
 }
 
 // withWriter returns after with this controller recorded as its writer. A controller that takes over another
-// member's plan raises the controller term, which acts as a fencing token: the store rejects as stale the steps
+// member's plan raises the controller term, which acts as a fencing token: the store refuses as stale the steps
 // that the other member still has in flight.
 func (c *Controller) withWriter(plan *config.Release, before, after config.Progress) config.Progress {
 	after.PlanID = planIdentity(plan)
--- a/internal/release/states.go
+++ b/internal/release/states.go
@@ -3,7 +3,7 @@
 // The states of a plan, as stored in its progress.
 const (
 	// StateCanary means that the new version gets a small percentage of calls. A ramp plan leaves this state once
-	// the version has had enough calls without failing more often than allowed. A deadline plan leaves it no
+	// the version has received enough calls and fails no more often than allowed. A deadline plan leaves it no
 	// earlier than Options.CanaryEndFraction of the plan's duration.
 	StateCanary = "trial"
 	// StateRamping means that the new version's percentage is being raised.
@@ -47,5 +47,6 @@
 // versionReason returns the stored reason of a rollback or stop for a verdict such as "fails on route buy".
 func versionReason(verdict string) string { return "the version " + verdict }
 
-// inProgress reports whether a plan in the given state can still make steps.
+// inProgress reports whether a plan in the given state is neither done nor rolled back. NeedsControl names the plans
+// that are evaluated although they are not in progress.
 func inProgress(state string) bool { return state != StateDone && state != StateRolledBack }
--- a/internal/release/verdict.go
+++ b/internal/release/verdict.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// exceedsBaseline reports whether the new version's failure rate is above the one that the old version's rate
+// exceedsAllowedRate reports whether the new version's failure rate is above the one that the old version's rate
 // allows.
-func (o Options) exceedsBaseline(newRate, oldRate float64) bool {
+func (o Options) exceedsAllowedRate(newRate, oldRate float64) bool {
 	return newRate > o.FailureRateMultiple*oldRate+o.FailureRateMargin
 }
 
@@ -52,7 +52,7 @@
 func (o Options) compareVersions(oldStats, newStats, baseline CallStats, where string) (verdict string, failing bool) {
 	oldStats.add(baseline.cappedAt(baselineWeightLimit * o.MinCalls))
 	oldRate, newRate := oldStats.failureRate(), newStats.failureRate()
-	if newStats.Failures >= o.FailureThreshold && o.exceedsBaseline(newRate, oldRate) &&
+	if newStats.Failures >= o.FailureThreshold && o.exceedsAllowedRate(newRate, oldRate) &&
 		newRate-oldRate > o.MinStandardErrors*standardError(oldStats, newStats) {
 		return "fails " + where, true
 	}
@@ -73,9 +73,9 @@
 // is busy. A ramp plan waits until the new version has enough calls on every busy route.
 const busyRouteMultiple = 10
 
-// isProven reports whether the new version has had enough calls on every busy route of the old one, and its
-// failure rate there is within the allowed one. Routes with few calls are ignored, because they would delay a
-// plan forever. Without any busy route, the new version's calls on all routes are counted together.
+// isProven reports whether the new version has received at least MinCalls calls on every busy route of the old
+// one, and its failure rate there is within the allowed one. Routes with few calls are ignored, because they
+// would delay a plan forever. Without any busy route, the new version's calls on all routes are counted together.
 func (o Options) isProven(counts VersionCounts) bool {
 	anyBusyRoute := false
 	for route, oldStats := range counts.Old {
@@ -84,7 +84,7 @@
 		}
 		anyBusyRoute = true
 		newStats := counts.New[route]
-		if newStats.Calls < o.MinCalls || o.exceedsBaseline(newStats.failureRate(), oldStats.failureRate()) {
+		if newStats.Calls < o.MinCalls || o.exceedsAllowedRate(newStats.failureRate(), oldStats.failureRate()) {
 			return false
 		}
 	}
--- a/internal/session/reservation_attempt.go
+++ b/internal/session/reservation_attempt.go
@@ -43,9 +43,9 @@
 	// memberCount is the number of core members. It is 0 if unknown, and then the attempt cannot succeed.
 	memberCount int
 	// results holds the first result of each member, by member id. A late grant is recorded as not authoritative.
-	results            map[string]schema.ReservationResult
-	grants             int // number of grants within the timeout
-	capacityRejections int // number of members without capacity for another key
+	results          map[string]schema.ReservationResult
+	grants           int // number of grants within the timeout
+	capacityRefusals int // number of members without capacity for another key
 
 	// Conflicting is the reservation of another request that a member reported, nil if none did.
 	Conflicting *schema.KeyReservation
@@ -79,31 +79,31 @@
 	case schema.ReservationResult_RESERVATION_GRANTED:
 		r.grants++
 	case schema.ReservationResult_RESERVATION_FULL:
-		r.capacityRejections++
+		r.capacityRefusals++
 	case schema.ReservationResult_RESERVATION_HELD:
 		r.Conflicting = response.Holder
 	}
 }
 
-// ReservationAnswer is the result of one request to a core member.
-type ReservationAnswer struct {
+// ReservationResponse is the result of one request to a core member.
+type ReservationResponse struct {
 	MemberID string                   // id of the member, empty if the request failed
 	Response *schema.ReservationReply // reply of the member
 }
 
-// AwaitOutcome records answers until the attempt is decided, all outstanding answers were received, or ctx ends.
+// AwaitOutcome records responses until the attempt is decided, all outstanding responses were received, or ctx ends.
 // It returns the outcome, and the conflicting reservation if a member reported one. The function now reads the
 // clock that startedAt comes from.
-func (r *ReservationAttempt) AwaitOutcome(ctx context.Context, outstanding int, answers <-chan ReservationAnswer,
+func (r *ReservationAttempt) AwaitOutcome(ctx context.Context, outstanding int, responses <-chan ReservationResponse,
 	now func() time.Duration) (ReservationOutcome, *schema.KeyReservation) {
 	for ; ; outstanding-- {
 		if outcome := r.Outcome(outstanding == 0); outcome != ReservationPending {
 			return outcome, r.Conflicting
 		}
 		select {
-		case answer := <-answers:
-			if answer.MemberID != "" {
-				r.Record(now(), answer.MemberID, answer.Response)
+		case result := <-responses:
+			if result.MemberID != "" {
+				r.Record(now(), result.MemberID, result.Response)
 			}
 		case <-ctx.Done():
 			return r.Outcome(true), r.Conflicting
@@ -127,7 +127,7 @@
 		return ReservationKeyReused
 	case r.Conflicting != nil:
 		return ReservationConflict
-	case r.capacityRejections > 0:
+	case r.capacityRefusals > 0:
 		return ReservationNoCapacity
 	}
 	return ReservationNoMajority
--- a/internal/testbed/verify.go
+++ b/internal/testbed/verify.go
@@ -42,16 +42,16 @@
 			status, err = operator.call((i+core)%r.options.Deployment.CoreMembers, http.MethodGet, "/v1/changes/"+change.ID, nil, &answer)
 			return answer, status, err
 		})
-		if answer.Ruling == "accepted" && answer.Sequence == change.Sequence {
+		if answer.Ruling == "accepted" && answer.Revision == change.Sequence {
 			r.history.SurvivedChanges++
 			continue
 		}
-		lost := fmt.Sprintf("%s, acknowledged as %d, is now %q %d", change.ID, change.Sequence, answer.Ruling, answer.Sequence)
+		lost := fmt.Sprintf("%s, acknowledged as %d, is now %q %d", change.ID, change.Sequence, answer.Ruling, answer.Revision)
 		r.history.LostChanges = append(r.history.LostChanges, lost)
 	}
 }
 
-// maxOutcomeWait is the time after which awaitOutcome gives up on a change.
+// maxOutcomeWait is the time after which awaitOutcome stops requesting the outcome of a change.
 const maxOutcomeWait = time.Minute
 
 // awaitOutcome requests the outcome of a change from the registries in turn, until one of them knows it. A registry
--- a/internal/transport/conn_pool.go
+++ b/internal/transport/conn_pool.go
@@ -17,7 +17,7 @@
 // idleConns is the stack of idle connections to one address. The connection that was used last is reused first, so
 // that surplus connections stay idle and expire.
 type idleConns struct {
-	conns []idleConn // in the order in which they became idle
+	conns []idleConn // idle connections, ordered by the time at which they became idle, oldest first
 }
 
 // idleConn is an idle connection.
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// put keeps an open connection for a later call, or closes it if the pool is full or closed. It also closes the
+// put keeps an open connection for a later RPC, or closes it if the pool is full or closed. It also closes the
 // connections that have expired, if a sweep is due.
 func (p *connPool) put(address string, conn *drpcconn.Conn) {
 	if isClosed(conn) {
